--- a/shedgrade/capture/recorder.py
+++ b/shedgrade/capture/recorder.py
@@ -19,6 +19,7 @@
     LIST,
     LUCK,
     NOTHING,
+    ORDERED,
     OVER,
     RELEASED,
     RESTORE,
@@ -256,6 +257,10 @@
         self.inner.doubted(now, upstreams, ends, last)
         self.keep(now, DOUBT, upstreams, ends, last)
 
+    def ordered(self, now: int, upstream: int, out: bool) -> None:
+        self.inner.ordered(now, upstream, out)
+        self.keep(now, ORDERED, upstream, out)
+
     def restore(self, now: int, state: dict, age: float) -> None:
         self.inner.restore(now, state, age)
         self.keep(now, RESTORE, state, age)
--- a/shedgrade/capture/replay.py
+++ b/shedgrade/capture/replay.py
@@ -23,6 +23,7 @@
     LUCK,
     NOTHING,
     OPS,
+    ORDERED,
     OVER,
     RELEASED,
     RESTORE,
@@ -191,6 +192,8 @@
             balancer.list_failed(now)
         elif op == DOUBT:
             balancer.doubted(now, *told)
+        elif op == ORDERED:
+            balancer.ordered(now, *told)
         elif op == RESTORE:
             balancer.restore(now, *told)
         elif op == SPAN:
@@ -234,6 +237,7 @@
                 ("aside", up.aside_until),
                 ("draining", up.state == decide.DRAINING),
                 ("removed", up.state == decide.REMOVED),
+                ("out", up.out),
                 ("in doubt", up.doubt),
                 ("on trial", up.trial),
             )
--- a/shedgrade/capture/rows.py
+++ b/shedgrade/capture/rows.py
@@ -36,7 +36,8 @@
     LUCK,
     WANTS,
     RELEASED,
-) = range(16)
+    ORDERED,
+) = range(17)
 OPS = {
     TAKE: ("take", "rpc method give_up_at retry name tenant"),
     DECIDE: ("decide", "rpc what value"),
@@ -54,6 +55,7 @@
     LUCK: ("luck", "method drawn"),
     WANTS: ("wants_list", "answer"),
     RELEASED: ("released", "upstreams"),
+    ORDERED: ("ordered", "upstream out"),
 }
 KIND = b"C"  # of the file's header
 BATCH = 512  # rows in a record: some 6 KB, a tenth of a second at 1,000 RPCs a second
--- a/shedgrade/decide.py
+++ b/shedgrade/decide.py
@@ -5,6 +5,7 @@
   b.list_changed(now, rows, whole, asked) of (upstream, zone, state, started, cell, mark, size, kind)
   b.doubted(now, upstreams, ends, last)   rows of an older source than discovery: how far to trust them
   b.export(now), b.restore(now, state, age)   what was learnt, as plain data, and its return after a restart
+  b.ordered(now, upstream, out)           operators take an upstream out, or put it back
   b.list_failed(now)                      the call for the list failed, or the subscription broke
   rpc = b.take(now, method, give_up_at, retry, tag, tenant)  a handle; rpc.decide(now) then says what to do:
       None: nothing now.  (upstream, limit): transmit.  (EXHAUSTED, retry_after), (ERRORED, 0): final.
@@ -31,6 +32,7 @@
 SECOND = 10_000
 MEMORY = 5 * SECOND     # measures fade over 5 s: hundreds of RPCs of a busy balancer
 LONGEST = 30 * SECOND   # or, for a light one, over what brings ENOUGH ends, up to the length of a trouble
+RECENT = 60 * SECOND    # sent to within this, an upstream is in use: maintenance takes seconds to a minute
 ENOUGH = 30             # ends: a mean of so many is within a fifth
 THRESHOLD = 3.0         # in flight per ready upstream at which a zone may be dropped: 2 to 4 make little odds
 LATENT = 10**9 * SECOND     # aside until it has answered: longer than any process runs
@@ -58,11 +60,13 @@
     """One server as this balancer has seen it."""
     __slots__ = ("index", "zone", "cell", "state", "started", "flight", "mark", "took", "foreseen",
                  "good", "bad", "stamp", "aside_until", "trial", "size", "kind", "turns", "listed",
-                 "cold_turns", "cold_stamp", "doubt", "held", "crowd")
+                 "cold_turns", "cold_stamp", "doubt", "held", "crowd", "out", "told", "back_at", "used")
 
     def __init__(self, index: int, turns: float) -> None:
         self.index, self.zone, self.cell, self.state = index, None, 0, REMOVED
         self.started = self.flight = 0
+        self.out, self.back_at = False, 0       # taken out by the operators; when they put it back
+        self.told, self.used = 0, -LONGEST      # its start as the list tells it; when it was last sent to
         self.mark, self.size, self.kind, self.listed = None, 1.0, None, False
         self.crowd = 0.0        # RPCs held a core, as the list tells by its size
         self.held = 0           # streams that are open there: they load it, but are no work in flight
@@ -220,6 +224,7 @@
                     limit = min(limit, patience)
         home.count_in(up, 1, 0)
         self.out[len(self.tries)] = up.flight + up.crowd
+        up.used = now
         self.tries.append(up)
         self.sent.append(now)
         return up.index, max(1, limit)
@@ -293,6 +298,7 @@
         self.ups: dict[int, Upstream] = {}
         self.latent: dict[int, Upstream] = {}   # in doubt so far that they are used as a last resort only
         self.left: list[int] = []               # given up, and not yet asked for by `released`
+        self.owed: list[Upstream] = []          # put back by the operators, and not used since
         self.ready = self.aside = 0             # upstreams ready, and of these set aside
         self.sizes = 0.0                        # the sum of what the list says of their sizes
         self.kinds: dict[int, list] = {}        # by kind of upstream: took, foreseen, since when
@@ -327,11 +333,12 @@
                 self.release(up)
         for index, zone, state, started, cell, mark, size, kind in rows:
             up = self.ups.get(index) or self.ups.setdefault(index, Upstream(index, self.chance()))
-            if started != up.started:
+            if started != up.told:
                 self.relist(up, up.zone, REMOVED)
                 up.forget()
                 up.cold_turns = self.chance()
-            up.cell, up.started, up.mark, up.kind = cell, started, mark, kind
+            up.cell, up.told, up.mark, up.kind = cell, started, mark, kind
+            up.started = max(started, up.back_at)
             if self.live and size > 0:
                 # Load moves the size that the list tells; that of its kind at rest stays.
                 self.nominal[kind] = nominal = max(size, self.nominal.get(kind, size))
@@ -343,6 +350,28 @@
                     self.back(up)
             self.relist(up, zone, state, size)
             self.release(up)
+        self.relisted()
+
+    def ordered(self, now: int, upstream: int, out: bool) -> None:
+        """Operators restart an upstream that they have taken out: it counts as draining until they put it
+        back, and then as cold whatever the list says, with nothing known of it."""
+        up = self.ups.get(upstream) or self.ups.setdefault(upstream, Upstream(upstream, self.chance()))
+        if up in self.owed:
+            self.owed.remove(up)
+        if out != up.out:
+            up.out = out
+            if not out:
+                up.forget()
+                self.latent.pop(upstream, None)
+                up.doubt, up.cold_turns, up.started, up.back_at = 0, self.chance(), now, now
+                if now - up.used < RECENT:
+                    self.owed.append(up)
+            self.relist(up, up.zone, up.state)
+            self.relisted()
+        self.release(up)
+
+    def relisted(self) -> None:
+        """What follows from any change of who is ready."""
         for zone in self.zones:
             if zone.moved:
                 self.deal(zone)
@@ -354,12 +383,13 @@
 
     def relist(self, up: Upstream, zone: int | None, state: int, size: float | None = None) -> None:
         """A change in the list costs what changed: rotations lose and gain just the upstreams it names."""
+        listed = state == READY and not up.out
         if up.listed:
             self.ready, self.sizes = self.ready - 1, self.sizes - up.size
             self.aside -= bool(up.aside_until)
         for number in {up.zone, zone} - {None}:
             place = self.zones[number]
-            place.moved |= up.zone != zone or up.listed != (state == READY) or up.size != (size or up.size)
+            place.moved |= up.zone != zone or up.listed != listed or up.size != (size or up.size)
         if up.zone != zone:
             self.rotation(up, False)
             if up.zone is not None:
@@ -369,7 +399,7 @@
             self.zones[zone].held += up.held
             up.zone = zone
         up.size, up.state = size or up.size, state
-        up.listed = state == READY
+        up.listed = listed
         if up.listed:
             self.ready, self.sizes = self.ready + 1, self.sizes + up.size
             self.aside += bool(up.aside_until)
@@ -419,7 +449,7 @@
         """What is gone with nothing out leaves memory: its index may be another's, which inherits nothing."""
         index = up.index
         busy = up.flight or up.held
-        if up.state == REMOVED and not busy and self.ups.get(index) is up:
+        if up.state == REMOVED and not (busy or up.out) and self.ups.get(index) is up:
             for kept in (self.ups, self.latent):
                 kept.pop(index, None)
             self.left.append(index)
@@ -498,6 +528,13 @@
 
     def choose(self, now: int, rpc: Rpc, stay: bool) -> Upstream | None:
         """The design's path: drop the worst zone at the threshold; own zone first, else a draw; rotation."""
+        for up in self.owed:
+            if up.listed and self.kept(up) and up not in rpc.tries and rpc.allowed(up, now) and self.room(
+                    up, now, rpc.soft_end - now, self.expected(up, now)):
+                # Guards against an upstream that is put back and never met again, by a light sidecar or from
+                # another zone: one RPC, within the budget of cold ones, shows that it is well.
+                self.owed.remove(up)
+                return self.chosen(up, now)
         worst, most = None, THRESHOLD
         open_zones = []
         for zone in self.zones:
--- a/shedgrade/lifecycle/config.py
+++ b/shedgrade/lifecycle/config.py
@@ -22,6 +22,7 @@
     known: dict | None
     settings: dict
     path: str = ""
+    admin: tuple[str, int] | None = None    # the operators' address, where one is told
 
 
 def address(text: object, what: str) -> tuple[str, int]:
@@ -47,10 +48,12 @@
         wrong = problem(text["settings"])
         if wrong is not None:
             raise ConfigError(f"{path}: {wrong}")
+        admin = text.get("admin_addr", os.environ.get("GW_ADMIN_ADDR"))
         return Config(str(text.get("name", "")), address(text["listen"], "listen"),
                       address(text["discovery"], "discovery"), int(text.get("seed", "0"), 16),
                       int(limits.get("memory_mb", 192)), int(limits.get("sockets", 1024)),
-                      text.get("known"), text["settings"], path)
+                      text.get("known"), text["settings"], path,
+                      None if admin is None else address(admin, f"{path}: admin_addr"))
     except KeyError as missing:
         raise ConfigError(f"{path}: {missing} is missing") from missing
     except (AttributeError, TypeError, ValueError) as wrong:
--- /dev/null
+++ b/shedgrade/lifecycle/orders.py
@@ -0,0 +1,42 @@
+"""What the operators have ordered, kept for as long as the sidecar runs."""
+from collections.abc import Callable
+
+from loguru import logger
+
+
+class OrderBook:
+    """Which upstreams are out, by id, and whether the sidecar stands by. The module does what is ordered.
+
+    Kept outside the list: it may drop, move or restart an upstream, which stays out until it is put back.
+    """
+
+    def __init__(self, sidecar) -> None:
+        self.sidecar = sidecar
+        self.outs: set[str] = set()
+
+    def ready(self) -> bool:
+        return self.sidecar.takes_clients()
+
+    def out(self, name: str, told: Callable[[bool, str], None]) -> None:
+        self.move(name, True, told)
+
+    def back(self, name: str, told: Callable[[bool, str], None]) -> None:
+        self.move(name, False, told)
+
+    def move(self, name: str, out: bool, told: Callable[[bool, str], None]) -> None:
+        pool = self.sidecar.pool
+        if name not in self.outs and name not in pool.reader.indices.by_id:
+            told(False, "no upstream has that id")
+            return
+        if out != (name in self.outs):
+            logger.info("ordered: upstream {!r} is {}", name, "out" if out else "back")
+        (self.outs.add if out else self.outs.discard)(name)
+        words = "nothing more goes there" if out else "it is back, as cold"
+        pool.turn.ordered(pool.reader.indices.index(name), out, lambda: told(True, words))
+
+    def drain(self) -> tuple[bool, str]:
+        return self.sidecar.stand_by(), "standing by"
+
+    def resume(self) -> tuple[bool, str]:
+        yes = self.sidecar.resume()
+        return yes, "serving" if yes else "it ends"
--- a/shedgrade/lifecycle/sidecar.py
+++ b/shedgrade/lifecycle/sidecar.py
@@ -8,29 +8,36 @@
 from loguru import logger
 
 from shedgrade import decide
+from shedgrade.admin.front import MOST as ADMIN_MOST
+from shedgrade.admin.front import AdminConnection, AdminFront
 from shedgrade.clock import Clock
 from shedgrade.core.front import Front
 from shedgrade.core.pool import Pool
 from shedgrade.lifecycle.config import Config, ConfigError, load
+from shedgrade.lifecycle.orders import OrderBook
 from shedgrade.memory.budget import Budget
-from shedgrade.wire.application import Listener
+from shedgrade.wire.application import ApplicationConnection, Listener
 from shedgrade.wire.discovery import ListError
 
 KEEP_ACCEPTING = 0.5    # s after SIGTERM: new connections may still come for 0.4 s
 AT_LAST = 0.6           # s beyond the longest hard deadline after which what is left is cut: SIGKILL is near
 LOOK_AFTER = 0.25       # s between two looks for clients that are overdue: they are owed an end within 3 s
 LOOK = 0.05             # s between two looks at whether all is answered and closed
+SETTLES = 1.0           # s of standing by after which idle connections are closed: new ones come for 0.3 s,
+                        # and after 2 s no request may come on a kept one
 
 
 class Phase(Enum):
     STARTING = "starting"
     SERVING = "serving"
+    STANDING_BY = "standing by"
     DRAINING = "draining"
     CLOSED = "closed"
 
 
 CHANGES = {Phase.STARTING: (Phase.SERVING, Phase.DRAINING, Phase.CLOSED),
-           Phase.SERVING: (Phase.DRAINING, Phase.CLOSED),
+           Phase.SERVING: (Phase.STANDING_BY, Phase.DRAINING, Phase.CLOSED),
+           Phase.STANDING_BY: (Phase.SERVING, Phase.DRAINING, Phase.CLOSED),
            Phase.DRAINING: (Phase.CLOSED,), Phase.CLOSED: ()}
 
 
@@ -53,6 +60,10 @@
         self.front = Front(loop, self.pool, self.budget, self.ready, self.leaving)
         self.parts: list = []       # what features add: started, drained and ended with the rest
         self.listener, self.last_look = None, 0.0
+        self.orders = OrderBook(self)
+        self.admin: AdminFront | None = None
+        self.admin_listener: Listener | None = None
+        self.settling: asyncio.TimerHandle | None = None    # while standing by: the next look at what is idle
         self.done = asyncio.Event()
 
     def enter(self, phase: Phase) -> None:
@@ -66,7 +77,38 @@
         return self.phase is Phase.SERVING and self.pool.listed_once
 
     def leaving(self) -> bool:
-        return self.phase in (Phase.DRAINING, Phase.CLOSED)
+        return self.phase in (Phase.STANDING_BY, Phase.DRAINING, Phase.CLOSED)
+
+    def takes_clients(self) -> bool:
+        """This process listens and knows upstreams, whether its clients are to come or not."""
+        return self.phase in (Phase.SERVING, Phase.STANDING_BY) and self.pool.listed_once
+
+    # --- as the operators order
+
+    def stand_by(self) -> bool:
+        """Clients are given up, in order; the process stays. True: that is so, or it ends anyway."""
+        if self.phase is Phase.SERVING:
+            self.enter(Phase.STANDING_BY)
+            self.settling = self.loop.call_later(SETTLES, self.settle)
+        return True
+
+    def resume(self) -> bool:
+        if self.phase is Phase.STANDING_BY:
+            self.enter(Phase.SERVING)
+            self.unsettle()
+        return self.phase is Phase.SERVING
+
+    def settle(self) -> None:
+        """Closes what is idle, for as long as the sidecar stands by."""
+        self.front.close_idle()
+        for part in self.parts:
+            part.close_idle()
+        self.settling = self.loop.call_later(LOOK, self.settle)
+
+    def unsettle(self) -> None:
+        if self.settling is not None:
+            self.settling.cancel()
+            self.settling = None
 
     # --- the list
 
@@ -115,7 +157,7 @@
         except ConfigError as wrong:
             logger.warning("reload refused, the old configuration stays: {}", " ".join(str(wrong).split()))
             return
-        later = [name for name in ("name", "listen", "settings")
+        later = [name for name in ("name", "listen", "admin", "settings")
                  if getattr(fresh, name) != getattr(self.config, name)]
         self.config = replace(self.config, discovery=fresh.discovery, sockets=fresh.sockets,
                               memory_mb=fresh.memory_mb)
@@ -142,11 +184,12 @@
                 self.pool.take_over("known")
             except ListError as wrong:
                 logger.warning("the known list is of no use: {}", wrong)
-        try:
-            self.listener = Listener(self.loop, self.front, self.config.listen)
-        except OSError as failure:
-            raise ConfigError(f"cannot listen on {':'.join(map(str, self.config.listen))}: "
-                              f"{failure.strerror}") from failure
+        self.listener = self.listen(self.config.listen, self.front, ApplicationConnection)
+        if self.config.admin is not None:
+            self.admin = AdminFront(self.loop, self.orders)
+            self.admin_listener = self.listen(self.config.admin, self.admin, AdminConnection)
+            self.admin_listener.resume()
+            self.budget.keep(ADMIN_MOST + 1)
         self.pool.follow(self.config.discovery)
         for part in self.parts:
             part.start()
@@ -156,6 +199,9 @@
         gc.freeze()     # what is here now stays: collections need not look at it again
         self.enter(Phase.SERVING)
         await self.done.wait()
+        if self.admin is not None:
+            self.admin_listener.close()
+            self.admin.close()
         self.pool.unfollow()
         for part in self.parts:
             part.close()
@@ -163,12 +209,20 @@
             self.pool.saved.close()
         self.enter(Phase.CLOSED)
 
+    def listen(self, address: tuple[str, int], front, connection: type) -> Listener:
+        try:
+            return Listener(self.loop, front, address, connection)
+        except OSError as failure:
+            raise ConfigError(f"cannot listen on {':'.join(map(str, address))}: "
+                              f"{failure.strerror}") from failure
+
     @staticmethod
     def fault(loop, context: dict) -> None:
         logger.error("fault in the loop: {}: {!r}", context.get("message"), context.get("exception"))
 
     def drain(self) -> None:
-        if self.phase is Phase.SERVING:
+        if self.phase in (Phase.SERVING, Phase.STANDING_BY):
+            self.unsettle()
             self.enter(Phase.DRAINING)
             self.last_look = self.loop.time() + self.pool.longest + AT_LAST
             self.loop.call_later(KEEP_ACCEPTING, self.stop_accepting)
@@ -176,6 +230,8 @@
     def look_after_clients(self) -> None:
         if self.phase is not Phase.CLOSED:
             self.front.look_after()
+            if self.admin is not None:
+                self.admin.look_after()
             for part in self.parts:
                 part.look_after()
             self.loop.call_later(LOOK_AFTER, self.look_after_clients)
--- a/shedgrade/memory/budget.py
+++ b/shedgrade/memory/budget.py
@@ -8,14 +8,20 @@
     """Counts what is held; whoever asks for more gives up something idle first."""
 
     def __init__(self, sockets: int, memory_mb: int) -> None:
+        self.kept = 0       # descriptors kept back for the operators' address
         self.limit(sockets, memory_mb)
         self.clients = self.upstreams = self.others = self.bytes = 0
 
     def limit(self, sockets: int, memory_mb: int) -> None:
-        self.most = max(16, sockets - RESERVE)
+        self.sockets, self.memory_mb = sockets, memory_mb
+        self.most = max(16, sockets - RESERVE - self.kept)
         self.most_clients = self.most * 3 // 4      # the rest is left to upstreams, whoever connects here
         self.most_bytes = memory_mb * 1024 * 1024 // SHARE
 
+    def keep(self, count: int) -> None:
+        self.kept += count
+        self.limit(self.sockets, self.memory_mb)
+
     def full(self, coming: int = 0) -> bool:
         """`coming`: connections that are being taken up and count already."""
         return self.clients + coming + self.upstreams + self.others >= self.most
--- a/shedgrade/turn.py
+++ b/shedgrade/turn.py
@@ -29,8 +29,8 @@
         self.in_hand = InHand(budget)
         self.gates: tuple = ()              # what may refuse an RPC before the decisions, told its end once
         self.watchers: tuple = ()           # what is told that a turn is over
-        self.limits: list[tuple] = []       # (when, order, transmission): when its time is up
-        self.order = count()
+        self.limits: list[tuple] = []       # (when, number, transmission): when its time is up
+        self.numbers = count()
         self.timer, self.timer_at, self.scheduled = None, None, False
         self.lag = 0.0                      # how late turns have been lately, tenths of a millisecond
 
@@ -60,6 +60,10 @@
     def listed(self, rows: list, whole: bool, asked: bool) -> None:
         self.gather(self.list_changed, rows, whole, asked)
 
+    def ordered(self, upstream: int, out: bool, told: Callable[[], None]) -> None:
+        """The operators take an upstream out or put it back; `told` once that is done, not before."""
+        self.gather(self.order, upstream, out, told)
+
     def list_failed(self) -> None:
         self.gather(lambda now: self.balancer.list_failed(now))
 
@@ -184,6 +188,12 @@
     def list_changed(self, now: int, rows: list, whole: bool, asked: bool) -> None:
         self.balancer.list_changed(now, rows, whole, asked)
 
+    def order(self, now: int, upstream: int, out: bool, told: Callable[[], None]) -> None:
+        self.balancer.ordered(now, upstream, out)
+        if out:
+            self.actions.append((self.caller.withdraw, (upstream,)))
+        self.actions.append((told, ()))
+
     def decide(self, now: int, carried: Carried) -> None:
         answer = carried.rpc.decide(now)
         if answer is None:
@@ -192,7 +202,7 @@
         if what >= 0:
             transmission = Transmission(carried, len(carried.rpc.tries) - 1, what, now, now + value)
             carried.out[transmission.tx] = transmission
-            heappush(self.limits, (transmission.until, next(self.order), transmission))
+            heappush(self.limits, (transmission.until, next(self.numbers), transmission))
             self.actions.append((self.transmit, (transmission, now)))
         elif not carried.done:
             self.finish(carried)
@@ -227,7 +237,7 @@
         if transmission.still_out() and not transmission.carried.done:
             self.caller.transmit(transmission, now)
             if transmission.dial_until is not None and transmission.dial_until < transmission.until:
-                heappush(self.limits, (transmission.dial_until, next(self.order), transmission))
+                heappush(self.limits, (transmission.dial_until, next(self.numbers), transmission))
 
     def expire(self, now: int) -> None:
         """Transmissions whose time is up, or whose connection did not come up in time."""
--- a/shedgrade/watch/watched.py
+++ b/shedgrade/watch/watched.py
@@ -144,6 +144,11 @@
         if self.follower is not None:
             self.guarded(self.follower.doubted, now, upstreams, ends, last)
 
+    def ordered(self, now: int, upstream: int, out: bool) -> None:
+        self.inner.ordered(now, upstream, out)
+        if self.follower is not None:
+            self.guarded(self.follower.ordered, now, upstream, out)
+
     def restore(self, now: int, state: dict, age: float) -> None:
         self.inner.restore(now, state, age)
         if self.follower is not None:
--- a/shedgrade/wire/application.py
+++ b/shedgrade/wire/application.py
@@ -279,8 +279,9 @@
 class Listener:
     """Accepts the application's connections, as many as there is room for; the rest wait in the kernel."""
 
-    def __init__(self, loop, front, address: tuple[str, int]) -> None:
-        self.loop, self.front = loop, front
+    def __init__(self, loop, front, address: tuple[str, int], connection=ApplicationConnection) -> None:
+        """`connection`: the class of what is accepted for this front."""
+        self.loop, self.front, self.connection = loop, front, connection
         family = socket.AF_INET6 if ":" in address[0] else socket.AF_INET
         self.socket = socket.create_server(address, family=family, backlog=BACKLOG)
         self.socket.setblocking(False)
@@ -325,7 +326,7 @@
 
     async def take(self, connection: socket.socket) -> None:
         try:
-            await self.loop.connect_accepted_socket(lambda: ApplicationConnection(self.front), connection)
+            await self.loop.connect_accepted_socket(lambda: self.connection(self.front), connection)
         except (OSError, RuntimeError):     # it was gone before it was taken up
             connection.close()
 
--- a/shedgrade/wire/upstream.py
+++ b/shedgrade/wire/upstream.py
@@ -298,6 +298,15 @@
         self.orphans.discard(link)
         self.count()
 
+    def withdraw(self, upstream: int) -> None:
+        """Nothing more goes there: idle connections are closed, and what was not sent is decided anew."""
+        self.forget(upstream)
+        self.leaving(upstream)
+        for transmission in [one for one in self.dials if one.upstream == upstream]:
+            self.dials.pop(transmission).cancel()
+            self.turn.ended(transmission, decide.UNSENT, None)
+        self.count()
+
     def forget(self, upstream: int) -> None:
         """Its process is another one now, drains or is gone."""
         for link in self.idle.leave(upstream):
--- /dev/null
+++ b/tests/admin/test_calls.py
@@ -0,0 +1,140 @@
+"""The second address, upstreams out and back, drain and resume, on loopback."""
+import asyncio
+
+from helpers import SILENT, ask, message, on_sockets, request, until
+from operators import Operated
+
+from shedgrade.admin.front import MOST
+from shedgrade.lifecycle.sidecar import Phase
+
+
+def serve(head, body):
+    return message(200, body)
+
+
+@on_sockets
+async def test_calls_are_answered_and_what_is_none_is_told_so():
+    async with Operated(serve) as world:
+        assert (await world.call("/-/ready", "GET"))[0] == 200
+        assert (await world.call("http://elsewhere/-/ready?x=1", "GET"))[0] == 200
+        for target, verb, status in (("/-/ready", "POST", 405), ("/-/drain", "GET", 405),
+                                     ("/-/else", "POST", 404), ("/-/upstreams/s-0", "POST", 404),
+                                     ("/-/upstreams//disable", "POST", 404), ("/up", "GET", 404),
+                                     ("/-/upstreams/s-9/disable", "POST", 503),
+                                     ("/-/upstreams/s-9/enable", "POST", 503),
+                                     ("/-/upstreams/%ff/disable", "POST", 400)):
+            assert (await world.call(target, verb))[0] == status, target
+        assert (await world.call("/-/upstreams/%73-0/disable"))[0] == 200
+        assert (await world.call("/-/upstreams/s-0/disable", head="Content-Length: 0\r\n"))[0] == 200
+        reader, writer = await asyncio.open_connection(*world.config.admin)
+        writer.write(b"nonsense\r\n\r\n")
+        assert (await reader.read()).startswith(b"HTTP/1.1 400")
+        writer.close()
+        world.sidecar.pool.listed_once = False
+        assert (await world.call("/-/ready", "GET"))[0] == 503
+
+
+@on_sockets
+async def test_callers_that_finish_nothing_hold_up_no_call_and_no_client():
+    async with Operated(serve, sockets=100) as world:
+        crowd = [await asyncio.open_connection(*world.config.admin) for _ in range(3 * MOST)]
+        for _, writer in crowd:
+            writer.write(b"GET /-/rea")
+        assert (await world.call("/-/ready", "GET"))[0] == 200
+        assert len(world.sidecar.admin.calls) <= MOST and (await ask(world))[0] == 200
+        for connection in world.sidecar.admin.calls:
+            connection.since -= 10
+        await until(lambda: not world.sidecar.admin.calls)
+        for _, writer in crowd:
+            writer.close()
+
+
+@on_sockets
+async def test_an_upstream_that_is_out_gets_nothing_whatever_the_list_says_until_it_is_back():
+    async with Operated(serve, serve) as world:
+        for number in range(6):
+            assert (await ask(world, request(name=f"a{number}")))[0] == 200
+        assert (await world.call("/-/upstreams/s-0/disable"))[0] == 200
+        assert (await world.call("/-/upstreams/s-0/disable"))[0] == 200
+        before = len(world.upstreams[0].seen)
+        await world.tell(world.entry(0, startedAtMs=5))
+        await world.tell(world.entry(1), reset=True)
+        await world.tell(world.entry(0, cell=3), world.entry(1), reset=True)
+        for number in range(6):
+            assert (await ask(world, request(name=f"b{number}")))[0] == 200
+        assert len(world.upstreams[0].seen) == before and not world.upstreams[0].writers
+        assert (await world.call("/-/upstreams/s-0/enable"))[0] == 200
+        up = world.sidecar.pool.balancer.ups[world.sidecar.pool.reader.indices.by_id["s-0"]]
+        assert up.listed and world.sidecar.pool.balancer.is_cold(up, world.sidecar.clock.now())
+        up.cold_turns = 1
+        assert (await ask(world, request(name="c")))[0] == 200
+        assert len(world.upstreams[0].seen) == before + 1       # it was in use before, so it is met at once
+
+
+@on_sockets
+async def test_with_all_upstreams_out_rpcs_are_exhausted_at_once():
+    async with Operated(serve, serve) as world:
+        for number in range(2):
+            assert (await world.call(f"/-/upstreams/s-{number}/disable"))[0] == 200
+        assert (await ask(world))[0] == 503 and not world.sent()
+        assert (await world.call("/-/upstreams/s-1/enable"))[0] == 200
+        world.sidecar.pool.balancer.ups[1].cold_turns = 1
+        assert (await ask(world))[0] == 200
+
+
+@on_sockets
+async def test_what_is_being_dialled_when_its_upstream_goes_out_goes_elsewhere():
+    async with Operated(serve, serve) as world:
+        caller, stuck = world.sidecar.pool.caller, asyncio.Event()
+        first, direct = [], caller.connect
+
+        async def slow(factory, address):
+            if not first:
+                first.append(address)
+                await stuck.wait()
+            return await direct(factory, address)
+
+        caller.connect = slow
+        asking = asyncio.create_task(ask(world))
+        await until(lambda: first)
+        number = [upstream.address for upstream in world.upstreams].index(f"{first[0][0]}:{first[0][1]}")
+        assert (await world.call(f"/-/upstreams/s-{number}/disable"))[0] == 200
+        assert (await asking)[0] == 200 and not world.upstreams[number].seen
+
+
+@on_sockets
+async def test_a_drain_says_no_serves_what_comes_late_and_closes_what_is_idle():
+    async with Operated(serve) as world:
+        idle, used = await world.connect(), await world.connect()
+        assert (await ask(world, connection=used))[0] == 200
+        assert (await world.call("/-/drain"))[0] == 200 and world.sidecar.phase is Phase.STANDING_BY
+        assert (await world.call("/-/ready", "GET"))[0] == 200
+        up = b"GET /up HTTP/1.1\r\n\r\n"
+        assert (await ask(world, up, used))[0] == 503       # on a connection that was kept, too
+        status, head, _ = await ask(world, request(name="a2"))
+        assert status == 200 and "Connection: close" in head
+        assert await idle[0].read() == b"" and not world.serving.done()
+        await until(lambda: not world.sidecar.front.clients)
+        assert (await ask(world, request(name="a3")))[0] == 200     # it listens on
+        assert (await world.call("/-/resume"))[0] == 200
+        assert (await ask(world, up))[0] == 200
+        kept = await world.connect()
+        assert "Connection: close" not in (await ask(world, request(name="a4"), kept))[1]
+        await asyncio.sleep(0.2)
+        assert not kept[0].at_eof()
+        kept[1].close()
+
+
+@on_sockets
+async def test_drain_resume_drain_ends_as_the_last_call_says_and_sigterm_ends_it():
+    async with Operated(lambda head, body: SILENT) as world:
+        for call in ("drain", "resume", "drain", "drain", "resume", "resume"):
+            assert (await world.call(f"/-/{call}"))[0] == 200
+        kept = await world.connect()
+        assert world.sidecar.phase is Phase.SERVING and world.sidecar.settling is None
+        assert (await ask(world, b"GET /up HTTP/1.1\r\n\r\n", kept))[0] == 200
+        await world.call("/-/drain")
+        world.sidecar.drain()
+        assert world.sidecar.settling is None and (await world.call("/-/resume"))[0] == 503
+        await world.serving
+        assert world.sidecar.phase is Phase.CLOSED
