--- a/shedgrade/lifecycle/sidecar.py
+++ b/shedgrade/lifecycle/sidecar.py
@@ -211,7 +211,7 @@
 
     def listen(self, address: tuple[str, int], front, connection: type) -> Listener:
         try:
-            return Listener(self.loop, front, address, connection)
+            return Listener(self.loop, front, address, connection, shared=front is self.front)
         except OSError as failure:
             raise ConfigError(f"cannot listen on {':'.join(map(str, address))}: "
                               f"{failure.strerror}") from failure
--- a/shedgrade/wire/application.py
+++ b/shedgrade/wire/application.py
@@ -279,11 +279,13 @@
 class Listener:
     """Accepts the application's connections, as many as there is room for; the rest wait in the kernel."""
 
-    def __init__(self, loop, front, address: tuple[str, int], connection=ApplicationConnection) -> None:
-        """`connection`: the class of what is accepted for this front."""
+    def __init__(self, loop, front, address: tuple[str, int], connection=ApplicationConnection,
+                 shared: bool = False) -> None:
+        """`connection`: the class of what is accepted for this front; `shared`: an upgrade's other process
+        may listen there too."""
         self.loop, self.front, self.connection = loop, front, connection
         family = socket.AF_INET6 if ":" in address[0] else socket.AF_INET
-        self.socket = socket.create_server(address, family=family, backlog=BACKLOG)
+        self.socket = socket.create_server(address, family=family, backlog=BACKLOG, reuse_port=shared)
         self.socket.setblocking(False)
         self.tasks = front.accepting
         self.accepting = False
