--- a/shedgrade/capture/recorder.py
+++ b/shedgrade/capture/recorder.py
@@ -12,6 +12,7 @@
 from shedgrade.capture.rows import (
     BATCH,
     DECIDE,
+    DIVIDED,
     DOUBT,
     ENDED,
     FAILED,
@@ -261,6 +262,10 @@
         self.inner.ordered(now, upstream, out)
         self.keep(now, ORDERED, upstream, out)
 
+    def divided(self, part: float) -> None:
+        self.inner.divided(part)
+        self.keep(self.now, DIVIDED, part)
+
     def restore(self, now: int, state: dict, age: float) -> None:
         self.inner.restore(now, state, age)
         self.keep(now, RESTORE, state, age)
--- a/shedgrade/capture/replay.py
+++ b/shedgrade/capture/replay.py
@@ -15,6 +15,7 @@
 from shedgrade import decide
 from shedgrade.capture.rows import (
     DECIDE,
+    DIVIDED,
     DOUBT,
     ENDED,
     FAILED,
@@ -194,6 +195,8 @@
             balancer.doubted(now, *told)
         elif op == ORDERED:
             balancer.ordered(now, *told)
+        elif op == DIVIDED:
+            balancer.divided(*told)
         elif op == RESTORE:
             balancer.restore(now, *told)
         elif op == SPAN:
--- a/shedgrade/capture/rows.py
+++ b/shedgrade/capture/rows.py
@@ -37,7 +37,8 @@
     WANTS,
     RELEASED,
     ORDERED,
-) = range(17)
+    DIVIDED,
+) = range(18)
 OPS = {
     TAKE: ("take", "rpc method give_up_at retry name tenant"),
     DECIDE: ("decide", "rpc what value"),
@@ -56,6 +57,7 @@
     WANTS: ("wants_list", "answer"),
     RELEASED: ("released", "upstreams"),
     ORDERED: ("ordered", "upstream out"),
+    DIVIDED: ("divided", "part"),
 }
 KIND = b"C"  # of the file's header
 BATCH = 512  # rows in a record: some 6 KB, a tenth of a second at 1,000 RPCs a second
--- a/shedgrade/saved/learnt.py
+++ b/shedgrade/core/learnt.py
@@ -22,6 +22,7 @@
     ups: list[tuple[str, float, float, float, float, float]]
     zones: list[str]
     shapes: list[str]
+    used: list[tuple[str, int, int]] = []  # when operators put it back, when it was last sent to
     late: float = 0.0  # of older files: no longer used
 
 
@@ -29,6 +30,7 @@
     return {
         **state,
         "ups": [[ids[index], *rest] for index, *rest in state["ups"]],
+        "used": [[ids[index], *rest] for index, *rest in state["used"]],
         "zones": zones,
         "shapes": shapes,
     }
@@ -70,4 +72,5 @@
         "kinds": told.kinds,
         "windows": told.windows,
         "ups": [(known[name], *rest) for name, *rest in told.ups if name in known],
+        "used": [(known[name], *rest) for name, *rest in told.used if name in known],
     }
--- a/shedgrade/decide.py
+++ b/shedgrade/decide.py
@@ -5,6 +5,7 @@
   b.list_changed(now, rows, whole, asked) of (upstream, zone, state, started, cell, mark, size, kind)
   b.doubted(now, upstreams, ends, last)   rows of an older source than discovery: how far to trust them
   b.export(now), b.restore(now, state, age)   what was learnt, as plain data, and its return after a restart
+  b.divided(part)                         this process has that part of what cold upstreams may get
   b.ordered(now, upstream, out)           operators take an upstream out, or put it back
   b.list_failed(now)                      the call for the list failed, or the subscription broke
   rpc = b.take(now, method, give_up_at, retry, tag, tenant)  a handle; rpc.decide(now) then says what to do:
@@ -299,6 +300,7 @@
         self.latent: dict[int, Upstream] = {}   # in doubt so far that they are used as a last resort only
         self.left: list[int] = []               # given up, and not yet asked for by `released`
         self.owed: list[Upstream] = []          # put back by the operators, and not used since
+        self.part = 1.0                         # of what cold upstreams may get: another process has the rest
         self.ready = self.aside = 0             # upstreams ready, and of these set aside
         self.sizes = 0.0                        # the sum of what the list says of their sizes
         self.kinds: dict[int, list] = {}        # by kind of upstream: took, foreseen, since when
@@ -370,6 +372,10 @@
             self.relisted()
         self.release(up)
 
+    def divided(self, part: float) -> None:
+        """Guards against an upgrade, whose two processes would each send a cold upstream the whole share."""
+        self.part = part
+
     def relisted(self) -> None:
         """What follows from any change of who is ready."""
         for zone in self.zones:
@@ -485,7 +491,8 @@
                 "kinds": [[kind, took, alike] for kind, (took, alike, _) in self.kinds.items()],
                 "windows": [None if zone.window == inf else zone.window for zone in self.zones],
                 "ups": [[up.index, up.took, up.foreseen, up.good, up.bad, (now - up.stamp) / SECOND]
-                        for up in self.ups.values() if up.took or up.bad]}
+                        for up in self.ups.values() if up.took or up.bad],
+                "used": [[up.index, up.back_at, up.used] for up in self.ups.values() if up.used > 0]}
 
     def restore(self, now: int, state: dict, age: float) -> None:
         """Takes what `export` gave `age` seconds ago, which weighs the less the older it is; the caller has
@@ -506,6 +513,13 @@
                 left = exp(-(age + since) * SECOND / self.memory)
                 up.took, up.foreseen, up.good, up.bad = took * left, foreseen * left, good * left, bad * left
                 up.stamp = now
+        for index, back_at, used in state.get("used", ()):
+            if up := self.ups.get(index):
+                up.started, up.back_at, up.used = max(up.started, back_at), back_at, used
+                if 0 < back_at - used < RECENT:
+                    self.owed.append(up)
+        for up in self.ups.values():
+            up.cold_turns, up.cold_stamp = 0.0, now     # whoever sent before had them
 
     def list_failed(self, now: int) -> None:
         """The subscription broke or a call failed: ask again soon, then less often, within what is set."""
@@ -611,7 +625,7 @@
         # By own traffic, as it ends at a warm upstream of like size and kind: hundreds of even parts would
         # mostly lie unused. Three quarters of the multiple, for chance.
         rate = self.sums[0] * exp((self.stamp - now) / self.memory) / self.memory / max(1, self.ready)
-        rate *= (self.base + self.slope) / self.usual(up, 1) * self.warmth(up, now)
+        rate *= (self.base + self.slope) / self.usual(up, 1) * self.warmth(up, now) * self.part
         zone = self.zones[up.zone]
         if zone.part:
             rate *= zone.ready / len(zone.part) * (len(self.zones) if up.zone == self.own else 1)
--- a/shedgrade/lifecycle/orders.py
+++ b/shedgrade/lifecycle/orders.py
@@ -30,13 +30,27 @@
             return
         if out != (name in self.outs):
             logger.info("ordered: upstream {!r} is {}", name, "out" if out else "back")
+        self.sidecar.upgrade.order("out" if out else "back", name)
+        self.set(name, out, told)
+
+    def set(self, name: str, out: bool, told: Callable[[bool, str], None]) -> None:
+        pool = self.sidecar.pool
         (self.outs.add if out else self.outs.discard)(name)
         words = "nothing more goes there" if out else "it is back, as cold"
         pool.turn.ordered(pool.reader.indices.index(name), out, lambda: told(True, words))
 
+    def carry_out(self, call: str, name: str) -> None:
+        """An order that came to the other process of an upgrade."""
+        if call in ("out", "back"):
+            self.set(name, call == "out", lambda yes, words: None)
+        else:
+            (self.sidecar.stand_by if call == "drain" else self.sidecar.resume)()
+
     def drain(self) -> tuple[bool, str]:
+        self.sidecar.upgrade.order("drain")
         return self.sidecar.stand_by(), "standing by"
 
     def resume(self) -> tuple[bool, str]:
+        self.sidecar.upgrade.order("resume")
         yes = self.sidecar.resume()
         return yes, "serving" if yes else "it ends"
--- a/shedgrade/lifecycle/sidecar.py
+++ b/shedgrade/lifecycle/sidecar.py
@@ -2,6 +2,7 @@
 import asyncio
 import gc
 import signal
+import socket
 from dataclasses import replace
 from enum import Enum
 
@@ -15,6 +16,7 @@
 from shedgrade.core.pool import Pool
 from shedgrade.lifecycle.config import Config, ConfigError, load
 from shedgrade.lifecycle.orders import OrderBook
+from shedgrade.lifecycle.upgrade import Upgrade
 from shedgrade.memory.budget import Budget
 from shedgrade.wire.application import ApplicationConnection, Listener
 from shedgrade.wire.discovery import ListError
@@ -61,6 +63,7 @@
         self.parts: list = []       # what features add: started, drained and ended with the rest
         self.listener, self.last_look = None, 0.0
         self.orders = OrderBook(self)
+        self.upgrade = Upgrade(self)
         self.admin: AdminFront | None = None
         self.admin_listener: Listener | None = None
         self.settling: asyncio.TimerHandle | None = None    # while standing by: the next look at what is idle
@@ -83,6 +86,9 @@
         """This process listens and knows upstreams, whether its clients are to come or not."""
         return self.phase in (Phase.SERVING, Phase.STANDING_BY) and self.pool.listed_once
 
+    def stands_by(self) -> bool:
+        return self.phase is Phase.STANDING_BY
+
     # --- as the operators order
 
     def stand_by(self) -> bool:
@@ -178,13 +184,14 @@
         if self.pool.saved is not None:
             self.pool.saved.open()
             self.start_from_saved()
+        given = self.upgrade.take_over()
         if self.config.known and not self.pool.listed_once:
             try:
                 self.pool.listed(self.config.known, asked=False)
                 self.pool.take_over("known")
             except ListError as wrong:
                 logger.warning("the known list is of no use: {}", wrong)
-        self.listener = self.listen(self.config.listen, self.front, ApplicationConnection)
+        self.listener = self.listen(self.config.listen, self.front, ApplicationConnection, given)
         if self.config.admin is not None:
             self.admin = AdminFront(self.loop, self.orders)
             self.admin_listener = self.listen(self.config.admin, self.admin, AdminConnection)
@@ -198,7 +205,9 @@
         gc.collect()
         gc.freeze()     # what is here now stays: collections need not look at it again
         self.enter(Phase.SERVING)
+        self.upgrade.serving()
         await self.done.wait()
+        self.upgrade.close()
         if self.admin is not None:
             self.admin_listener.close()
             self.admin.close()
@@ -209,9 +218,10 @@
             self.pool.saved.close()
         self.enter(Phase.CLOSED)
 
-    def listen(self, address: tuple[str, int], front, connection: type) -> Listener:
+    def listen(self, address: tuple[str, int], front, connection: type,
+               given: socket.socket | None = None) -> Listener:
         try:
-            return Listener(self.loop, front, address, connection, shared=front is self.front)
+            return Listener(self.loop, front, address, connection, front is self.front, given)
         except OSError as failure:
             raise ConfigError(f"cannot listen on {':'.join(map(str, address))}: "
                               f"{failure.strerror}") from failure
@@ -232,6 +242,7 @@
             self.front.look_after()
             if self.admin is not None:
                 self.admin.look_after()
+            self.upgrade.look_after()
             for part in self.parts:
                 part.look_after()
             self.loop.call_later(LOOK_AFTER, self.look_after_clients)
--- a/shedgrade/saved/source.py
+++ b/shedgrade/saved/source.py
@@ -13,10 +13,10 @@
 from loguru import logger
 from msgspec import Struct, structs
 
+from shedgrade.core.learnt import from_disk, to_disk
 from shedgrade.lifecycle.config import ConfigError
 from shedgrade.saved.config import Saved
 from shedgrade.saved.files import Files, LockedError
-from shedgrade.saved.learnt import from_disk, to_disk
 from shedgrade.saved.picture import age
 from shedgrade.saved.store import Store
 from shedgrade.saved.trust import AS_TOLD, CAUTIOUS, LAST, NEVER, weigh
--- a/shedgrade/turn.py
+++ b/shedgrade/turn.py
@@ -73,6 +73,10 @@
     def restore(self, state: dict, age: float) -> None:
         self.gather(lambda now: self.balancer.restore(now, state, age))
 
+    def divided(self, part: float) -> None:
+        """Of what cold upstreams may get, this much is this process's: an upgrade has two."""
+        self.gather(lambda now: self.balancer.divided(part))
+
     def export(self) -> dict:
         """What the decisions have learnt, as plain data."""
         return self.balancer.export(self.clock.now())
--- a/shedgrade/watch/watched.py
+++ b/shedgrade/watch/watched.py
@@ -149,6 +149,11 @@
         if self.follower is not None:
             self.guarded(self.follower.ordered, now, upstream, out)
 
+    def divided(self, part: float) -> None:
+        self.inner.divided(part)
+        if self.follower is not None:
+            self.guarded(self.follower.divided, part)
+
     def restore(self, now: int, state: dict, age: float) -> None:
         self.inner.restore(now, state, age)
         if self.follower is not None:
--- a/shedgrade/wire/application.py
+++ b/shedgrade/wire/application.py
@@ -280,18 +280,24 @@
     """Accepts the application's connections, as many as there is room for; the rest wait in the kernel."""
 
     def __init__(self, loop, front, address: tuple[str, int], connection=ApplicationConnection,
-                 shared: bool = False) -> None:
+                 shared: bool = False, given: socket.socket | None = None) -> None:
         """`connection`: the class of what is accepted for this front; `shared`: an upgrade's other process
-        may listen there too."""
+        may listen there too; `given`: its listening socket, which is then used by both."""
         self.loop, self.front, self.connection = loop, front, connection
         family = socket.AF_INET6 if ":" in address[0] else socket.AF_INET
-        self.socket = socket.create_server(address, family=family, backlog=BACKLOG, reuse_port=shared)
+        self.socket = given or socket.create_server(address, family=family, backlog=BACKLOG,
+                                                    reuse_port=shared)
         self.socket.setblocking(False)
         self.tasks = front.accepting
-        self.accepting = False
+        self.accepting = self.handed_over = False
+
+    def hand_over(self, other: bool) -> None:
+        """Another process accepts from the same socket, whatever waits there included; or no more."""
+        self.handed_over = other
+        (self.pause if other else self.resume)()
 
     def resume(self) -> None:
-        if not self.accepting and self.socket.fileno() >= 0:
+        if not self.accepting and not self.handed_over and self.socket.fileno() >= 0:
             self.accepting = True
             self.loop.add_reader(self.socket, self.accept)
 
@@ -302,8 +308,8 @@
 
     def waiting(self) -> bool:
         """A connection waits to be accepted, or is being taken up."""
-        if self.tasks:
-            return True
+        if self.tasks or self.handed_over:
+            return bool(self.tasks)
         poll = select.poll()
         poll.register(self.socket, select.POLLIN)
         return bool(poll.poll(0))
--- /dev/null
+++ b/tests/admin/test_upgrade.py
@@ -0,0 +1,275 @@
+"""An upgrade: two processes that are one sidecar, in this process and as two under load on loopback."""
+import asyncio
+import os
+import signal
+import socket
+import subprocess
+import sys
+from contextlib import asynccontextmanager
+from dataclasses import replace
+
+import orjson
+import pytest
+from helpers import Server, World, ask, free_port, message, on_sockets, request, until
+from loguru import logger
+from operators import Operated
+
+from shedgrade.lifecycle.sidecar import Phase, Sidecar
+from shedgrade.lifecycle.succession import rendezvous
+
+
+def serve(head, body):
+    return message(200, body)
+
+
+@pytest.fixture(autouse=True)
+def folder(tmp_path, monkeypatch):
+    # A path longer than the name of a Unix socket may be.
+    long = tmp_path / ("long" * 30)
+    long.mkdir()
+    monkeypatch.setenv("TMPDIR", str(long))
+    return long
+
+
+@asynccontextmanager
+async def newcomer(world, **changes):
+    """A second sidecar with the first one's addresses, but another second address."""
+    config = replace(world.config, admin=("127.0.0.1", free_port()), known=None, **changes)
+    sidecar = Sidecar(config, asyncio.get_running_loop())
+    serving = asyncio.create_task(sidecar.serve())
+    await until(lambda: sidecar.takes_clients())
+    yield sidecar
+    sidecar.done.set()
+    await serving
+    sidecar.listener.close()
+
+
+def test_the_newcomer_takes_orders_list_and_limits_over_and_both_keep_each_other_told(folder, monkeypatch):
+    from shedgrade.lifecycle import upgrade
+
+    # Both are in this process: whoever waits for the other gives the loop to it.
+    told = {}
+
+    def meet(loop, path):
+        return told.pop("found", None)
+
+    @on_sockets
+    async def scenario():
+        async with Operated(serve, serve, serve) as world:
+            loop, old = asyncio.get_running_loop(), world.sidecar
+            for number in range(6):
+                assert (await ask(world, request(name=f"a{number}")))[0] == 200
+            assert (await world.call("/-/upstreams/s-0/disable"))[0] == 200
+            assert (await world.call("/-/upstreams/s-1/disable"))[0] == 200
+            assert (await world.call("/-/upstreams/s-1/enable"))[0] == 200
+            assert (await world.call("/-/drain"))[0] == 200
+            told["found"] = await loop.run_in_executor(None, real, loop, rendezvous(world.config.listen))
+            monkeypatch.setattr(upgrade, "meet", meet)
+            async with newcomer(world) as new:
+                await until(lambda: old.upgrade.replaced)
+                assert new.orders.outs == {"s-0"} and new.phase is Phase.STANDING_BY
+                ups = new.pool.balancer.ups
+                names = new.pool.reader.indices.by_id
+                assert not ups[names["s-0"]].listed and ups[names["s-2"]].listed
+                assert new.pool.balancer.is_cold(ups[names["s-1"]], new.clock.now())
+                assert new.pool.balancer.owed == [ups[names["s-1"]]]
+                assert old.pool.balancer.part == new.pool.balancer.part == 0.5
+                assert new.budget.most + old.budget.most <= 1024
+                assert not old.listener.accepting and not old.listener.waiting()
+                # An order at either address counts for both.
+                assert (await world.call("/-/resume"))[0] == 200
+                assert (await world.call("/-/upstreams/s-0/enable"))[0] == 200
+                await until(lambda: new.phase is Phase.SERVING and not new.orders.outs)
+                new.orders.out("s-1", lambda yes, words: None)
+                await until(lambda: old.orders.outs == {"s-1"})
+                assert old.phase is Phase.SERVING
+                old.drain()
+                await until(lambda: old.phase is Phase.CLOSED)
+                await until(lambda: new.pool.balancer.part == 1.0)
+                assert new.budget.elsewhere is None
+                for number in range(9):
+                    assert (await ask(world, request(name=f"b{number}")))[0] == 200
+
+    from shedgrade.lifecycle.succession import meet as real
+    scenario()
+
+
+@on_sockets
+async def test_a_newcomer_that_dies_leaves_the_old_one_as_it_was():
+    from shedgrade.lifecycle.succession import meet
+
+    async with Operated(serve) as world:
+        loop, old = asyncio.get_running_loop(), world.sidecar
+        link, state, handle = await loop.run_in_executor(None, meet, loop, rendezvous(world.config.listen))
+        assert state["outs"] == [] and old.budget.most == old.upgrade.told
+        link.send({"what": "serving"})
+        await until(lambda: old.upgrade.replaced)
+        asking = asyncio.create_task(ask(world))    # it waits in the queue that both have
+        await asyncio.sleep(0.1)
+        assert not asking.done()
+        link.close()
+        handle.close()
+        assert (await asking)[0] == 200 and old.budget.most > 100 and old.pool.balancer.part == 1.0
+
+
+@pytest.mark.parametrize("answer", [b"", b"{", b"[]\n", b'{"v":9,"what":"state"}\n',
+                                    b'{"v":1,"what":"state"}\n', None])
+def test_what_is_torn_foreign_or_silent_is_not_used(folder, answer):
+    @on_sockets
+    async def scenario():
+        lines = []
+        sink = logger.add(lines.append, level="WARNING", format="{message}")
+        async with Operated(serve) as world:
+            world.sidecar.upgrade.place = world.sidecar.upgrade.place.close()
+            path = rendezvous(world.config.listen)
+            code = ("import socket,os,sys\nos.chdir(os.path.dirname(sys.argv[1]))\n"
+                    "s=socket.socket(socket.AF_UNIX)\ns.bind(os.path.basename(sys.argv[1]))\ns.listen()\n"
+                    "print(1,flush=True)\nc=s.accept()[0]\nc.recv(999)\n"
+                    "a=eval(sys.argv[2])\n"
+                    "a is None and __import__('time').sleep(60)\nc.sendall(a)\n")
+            peer = subprocess.Popen([sys.executable, "-c", code, path, repr(answer)], stdout=subprocess.PIPE)
+            try:
+                peer.stdout.readline()
+                async with newcomer(world) as new:
+                    assert new.phase is Phase.SERVING and new.upgrade.older is None
+                    assert len([line for line in lines if "nothing is taken over" in line]) == 1
+            finally:
+                peer.kill()
+                peer.wait()
+        logger.remove(sink)
+
+    scenario()
+
+
+def test_a_place_that_nobody_listens_at_any_more_is_taken(folder):
+    @on_sockets
+    async def scenario():
+        async with Operated(serve) as world:
+            os.rename(rendezvous(world.config.listen), folder / "kept")
+        os.rename(folder / "kept", rendezvous(world.config.listen))
+        lines = []
+        sink = logger.add(lines.append, level="WARNING", format="{message}")
+        async with Operated(serve) as world:
+            assert world.sidecar.upgrade.place is not None and not lines
+        logger.remove(sink)
+
+    scenario()
+
+
+def test_two_processes_under_load_lose_nothing_at_the_door(tmp_path, folder):
+    """Twice in a row: a newer process beside the old one, which is ended at the newer one's yes."""
+
+    @on_sockets
+    async def scenario():
+        async def slowly(head, body):
+            await asyncio.sleep(0.02)
+            return message(200, body)
+
+        world = World(*[slowly] * 8)
+        world.upstreams = [await Server(script).start() for script in world.scripts]
+        discovery = await Server(world.discover).start()
+        listen = f"127.0.0.1:{free_port()}"
+        host, port = listen.split(":")
+        lost, served, stop = [], [], asyncio.Event()
+
+        async def client(number):
+            turn, connection = 0, None
+            while not stop.is_set():
+                turn += 1
+                raw = request(b"x", name=f"c{number}-{turn}")
+                fresh = connection is None
+                try:
+                    connection = connection or await asyncio.open_connection(host, int(port))
+                    async with asyncio.timeout(20):
+                        status, head, _ = await ask(None, raw, connection)
+                    (served if status == 200 else lost).append(status)
+                    if "Connection: close" in head or turn % 3 == 0:
+                        connection[1].close()
+                        connection = None
+                except (OSError, asyncio.IncompleteReadError) as failure:
+                    connection = None
+                    if fresh:       # one that is closed between two requests may be asked once more
+                        lost.append(repr(failure))
+                await asyncio.sleep(0.005)
+
+        def start(admin):
+            path = tmp_path / f"{admin}.json"
+            path.write_bytes(orjson.dumps({
+                "name": "n", "listen": listen, "discovery": discovery.address, "seed": "1f",
+                "admin_addr": f"127.0.0.1:{admin}", "limits": {"sockets": 400, "memory_mb": 96},
+                "settings": world.conf}))
+            return subprocess.Popen([sys.executable, "-m", "shedgrade", "serve", "--config", str(path)],
+                                    stderr=subprocess.PIPE, text=True, env={**os.environ})
+
+        async def ready(admin):
+            async with asyncio.timeout(20):
+                while True:
+                    try:
+                        reader, writer = await asyncio.open_connection("127.0.0.1", admin)
+                        writer.write(b"GET /-/ready HTTP/1.1\r\n\r\n")
+                        answer = await reader.read()
+                        writer.close()
+                        if answer.startswith(b"HTTP/1.1 200"):
+                            return
+                    except OSError:
+                        pass
+                    await asyncio.sleep(0.02)
+
+        processes = []
+        try:
+            admin = free_port()
+            processes.append(start(admin))
+            await ready(admin)
+            clients = [asyncio.create_task(client(number)) for number in range(16)]
+            for _ in range(2):
+                await asyncio.sleep(0.5)
+                admin = free_port()
+                processes.append(start(admin))
+                await ready(admin)
+                processes[-2].send_signal(signal.SIGTERM)
+                await until(lambda: processes[-2].poll() is not None)
+                assert processes[-2].returncode == 0
+            await asyncio.sleep(0.3)
+            stop.set()
+            await asyncio.gather(*clients)
+            assert not lost and len(served) > 100
+            texts = [await asyncio.to_thread(process.stderr.read) for process in processes[:-1]]
+            assert all("a newer process takes the clients" in text for text in texts)
+        finally:
+            for process in processes:
+                process.kill()
+                process.wait()
+            for server in (*world.upstreams, discovery):
+                server.stop()
+
+    scenario()
+
+
+def test_without_a_folder_of_their_own_two_processes_listen_side_by_side(monkeypatch):
+    monkeypatch.delenv("TMPDIR")
+
+    @on_sockets
+    async def scenario():
+        async with Operated(serve) as world:
+            async with newcomer(world) as new:
+                assert new.upgrade.older is None and new.listener.socket is not world.sidecar.listener.socket
+                for number in range(8):
+                    assert (await ask(world, request(name=f"a{number}")))[0] == 200
+
+    scenario()
+
+
+def test_the_second_address_taken_is_one_line_and_exit_2(tmp_path):
+    with socket.create_server(("127.0.0.1", 0)) as taken:
+        path = tmp_path / "c.json"
+        path.write_bytes(orjson.dumps({
+            "name": "n", "listen": f"127.0.0.1:{free_port()}", "discovery": "127.0.0.1:1", "seed": "1",
+            "admin_addr": f"127.0.0.1:{taken.getsockname()[1]}", "settings": World().conf}))
+        for admin, code in ((None, 2), ("nowhere", 2)):
+            if admin:
+                held = b"127.0.0.1:%d" % taken.getsockname()[1]
+                path.write_bytes(path.read_bytes().replace(held, admin.encode()))
+            done = subprocess.run([sys.executable, "-m", "shedgrade", "serve", "--config", str(path)],
+                                  capture_output=True, text=True, timeout=30)
+            assert done.returncode == code
+            assert len([line for line in done.stderr.splitlines() if line.startswith("shedgrade:")]) == 1
--- a/tests/saved/test_trust.py
+++ b/tests/saved/test_trust.py
@@ -6,7 +6,7 @@
 from hypothesis import strategies as st
 
 from shedgrade import decide
-from shedgrade.saved.learnt import from_disk, to_disk
+from shedgrade.core.learnt import from_disk, to_disk
 from shedgrade.saved.picture import Moment, Picture, age
 from shedgrade.saved.trust import AS_TOLD, CAUTIOUS, LAST, NEVER, Trusting, weigh
 
