--- a/shedgrade/capture/recorder.py
+++ b/shedgrade/capture/recorder.py
@@ -24,6 +24,7 @@
     OVER,
     RELEASED,
     RESTORE,
+    RETUNED,
     SPAN,
     STARTED,
     TAKE,
@@ -262,6 +263,11 @@
         self.inner.ordered(now, upstream, out)
         self.keep(now, ORDERED, upstream, out)
 
+    def retuned(self, settings: dict) -> None:
+        self.inner.retuned(settings)
+        self.longest_wait = self.inner.longest_wait
+        self.keep(self.now, RETUNED, settings)
+
     def divided(self, part: float) -> None:
         self.inner.divided(part)
         self.keep(self.now, DIVIDED, part)
--- a/shedgrade/capture/replay.py
+++ b/shedgrade/capture/replay.py
@@ -28,6 +28,7 @@
     OVER,
     RELEASED,
     RESTORE,
+    RETUNED,
     SPAN,
     STARTED,
     TAKE,
@@ -195,6 +196,9 @@
             balancer.doubted(now, *told)
         elif op == ORDERED:
             balancer.ordered(now, *told)
+        elif op == RETUNED:
+            balancer.retuned(told[0])
+            self.settings = told[0]
         elif op == DIVIDED:
             balancer.divided(*told)
         elif op == RESTORE:
--- a/shedgrade/capture/rows.py
+++ b/shedgrade/capture/rows.py
@@ -38,7 +38,8 @@
     RELEASED,
     ORDERED,
     DIVIDED,
-) = range(18)
+    RETUNED,
+) = range(19)
 OPS = {
     TAKE: ("take", "rpc method give_up_at retry name tenant"),
     DECIDE: ("decide", "rpc what value"),
@@ -58,6 +59,7 @@
     RELEASED: ("released", "upstreams"),
     ORDERED: ("ordered", "upstream out"),
     DIVIDED: ("divided", "part"),
+    RETUNED: ("retuned", "settings"),
 }
 KIND = b"C"  # of the file's header
 BATCH = 512  # rows in a record: some 6 KB, a tenth of a second at 1,000 RPCs a second
--- a/shedgrade/cli/__init__.py
+++ b/shedgrade/cli/__init__.py
@@ -62,7 +62,7 @@
         sidecar = Sidecar(config, loop, parts[-1].decisions)
         for part in parts:
             part.join(sidecar)
-    sidecar.recheck = lambda: load_features(path, methods)
+    sidecar.recheck = lambda names: load_features(path, names)
     if features.saved is not None:
         from shedgrade.saved.source import SavedList
 
--- a/shedgrade/core/front.py
+++ b/shedgrade/core/front.py
@@ -23,12 +23,20 @@
                  leaving: Callable[[], bool]) -> None:
         """`ready`: what `/up` answers; `leaving`: answers end their connection, as the process drains."""
         self.loop, self.pool, self.budget, self.ready, self.leaving = loop, pool, budget, ready, leaving
-        self.turn, self.methods, self.tenants = pool.turn, pool.methods, pool.tenants
+        self.turn = pool.turn
         self.clients: dict = {}
         self.accepting: set = set()     # connections that were accepted and are being taken up
         self.crowd_told = -BETWEEN
         self.looked, self.stalled_until = monotonic(), 0.0
 
+    @property
+    def methods(self) -> dict[bytes, int]:
+        return self.pool.methods
+
+    @property
+    def tenants(self) -> int:
+        return self.pool.tenants
+
     def opened(self, connection) -> None:
         self.clients[connection] = None
         self.budget.clients += 1
--- a/shedgrade/core/pool.py
+++ b/shedgrade/core/pool.py
@@ -26,18 +26,13 @@
         self.name, self.loop, self.clock, self.budget = name, loop, clock, budget
         try:
             self.balancer = decisions(settings, seed, clock.now())
-            self.tenants = len(settings.get("customers", ()))
             self.reader = ListReader(settings)
-            self.methods = {method["name"].encode(): number
-                            for number, method in enumerate(settings["methods"])}
-            self.longest = max(method["hard_deadline"] for method in settings["methods"]) / 1000
-            self.grace = settings["rules"]["stop_sending_within"] / 1000
-            dial, idle = (tenths(settings["limits"][key]) for key in ("dial_timeout", "idle_close"))
+            self.methods: dict[bytes, int] = {}
+            dial, idle = self.take_settings(settings)
         except KeyError as missing:
             raise ConfigError(f"settings: {missing} is missing") from missing
         except (ArithmeticError, AttributeError, IndexError, TypeError, ValueError) as wrong:
             raise ConfigError(f"settings: a value has the wrong form ({wrong})") from wrong
-        idle = max(idle - IDLE_MARGIN, idle // 2)
         self.caller = Caller(loop, clock, self.reader.addresses.known, dial, idle, budget)
         ids = self.reader.indices.ids
         self.turn = Turn(loop, clock, self.balancer, self.caller, ids, budget, self.forget)
@@ -48,6 +43,24 @@
         self.source = "nothing"     # of the list: who is in charge
         self.listed_once = False
 
+    def take_settings(self, settings: dict) -> tuple[int, int]:
+        """What the pool itself has of them. Returns the limits of a dial and of an idle connection."""
+        self.tenants = len(settings.get("customers", ()))
+        self.methods = {method["name"].encode(): number
+                        for number, method in enumerate(settings["methods"])}
+        self.longest = max(method["hard_deadline"] for method in settings["methods"]) / 1000
+        self.grace = settings["rules"]["stop_sending_within"] / 1000
+        dial, idle = (tenths(settings["limits"][key]) for key in ("dial_timeout", "idle_close"))
+        return dial, max(idle - IDLE_MARGIN, idle // 2)
+
+    def retuned(self, settings: dict) -> None:
+        """Other settings, all of them checked, from now on."""
+        before = self.methods
+        numbers = {number: place for place, method in enumerate(settings["methods"])
+                   if (number := before.get(method["name"].encode())) is not None}
+        self.turn.retuned(settings, numbers)
+        self.caller.dial_time, self.caller.idle.limit = self.take_settings(settings)
+
     # --- the list
 
     def take_over(self, source: str) -> None:
--- a/shedgrade/decide.py
+++ b/shedgrade/decide.py
@@ -5,6 +5,7 @@
   b.list_changed(now, rows, whole, asked) of (upstream, zone, state, started, cell, mark, size, kind)
   b.doubted(now, upstreams, ends, last)   rows of an older source than discovery: how far to trust them
   b.export(now), b.restore(now, state, age)   what was learnt, as plain data, and its return after a restart
+  b.retuned(settings)                     other methods, limits, rules, prices; RPCs in hand keep their method
   b.divided(part)                         this process has that part of what cold upstreams may get
   b.ordered(now, upstream, out)           operators take an upstream out, or put it back
   b.list_failed(now)                      the call for the list failed, or the subscription broke
@@ -111,10 +112,11 @@
 
 class Method:
     """What the settings say of one method, times in tenths of a millisecond."""
-    __slots__ = ("soft", "hard", "payoff", "late", "retriable", "deduped", "group", "window", "further",
-                 "patience")
+    __slots__ = ("name", "soft", "hard", "payoff", "late", "retriable", "deduped", "group", "window",
+                 "further", "patience")
 
     def __init__(self, settings: dict, top_payoff: float, most: int) -> None:
+        self.name = settings.get("name")
         self.soft, self.hard = int(settings["soft_deadline"] * 10), int(settings["hard_deadline"] * 10)
         self.patience = 0       # the longest that a client has been seen to wait for one try
         self.payoff, self.late = settings["payoff"], settings["overdue_payoff"]
@@ -274,27 +276,16 @@
     def __init__(self, settings: dict, seed: int, now: int) -> None:
         random = Random(seed)
         self.chance, self.span, self.pick = random.random, random.uniform, random.choices
-        limits, rules = settings["limits"], settings["rules"]
-        self.most, self.parallel, self.cancelling = (
-            limits["most_transmissions"], limits["parallel_tries"], limits["cancelling"])
-        self.longest_wait = int(limits["max_retry_after"] * 10) if limits["retry_after"] else 0
-        self.slack = 2 * int(settings["tick"] * 10)
+        limits = settings["limits"]
         self.own, self.sidecars = settings["az"], settings["balancers"]
         # Where connections are shared, each sidecar keeps to a part of each zone, by its number.
         self.keeps = limits.get("multiplex", 1) > 1 and self.sidecars > 1
         self.place = settings.get("my_number", 0) * GOLDEN % 1
         self.live = settings.get("weight_kind") == "live"
         self.nominal: dict[int, float] = {}     # by kind: the size of an idle one, where sizes move with load
-        self.cold, self.cold_from = rules["cold"] * 10, rules["cold_from"]
-        self.fall_multiple = rules["fall_multiple"]
-        # By tenant: RPCs within MEMORY that are its share here, as all sidecars get alike, and those seen.
-        self.shares = [SPARE_SHARE * tenant["allowance_per_s"] * MEMORY / SECOND / self.sidecars + 3
-                       for tenant in settings.get("customers", ())]
-        self.seen, self.excess = [(0.0, now)] * len(self.shares), settings.get("excess_payoff", 1.0)
-        top = max((m["payoff"] for m in settings["methods"]), default=1)
-        self.mean_payoff = sum(m["payoff"] for m in settings["methods"]) / len(settings["methods"]) or 1.0
-        self.methods = [Method(m, top, self.most) for m in settings["methods"]]
-        self.asks, self.ask_every = settings["membership_mode"] == "on_request", int(rules["ask_every"] * 10)
+        self.methods: list[Method] = []
+        self.retuned(settings)
+        self.asks = settings["membership_mode"] == "on_request"
         self.following, self.pending, self.ask_at, self.ask_wait = False, False, now, SECOND
         self.ups: dict[int, Upstream] = {}
         self.latent: dict[int, Upstream] = {}   # in doubt so far that they are used as a last resort only
@@ -305,16 +296,37 @@
         self.sizes = 0.0                        # the sum of what the list says of their sizes
         self.kinds: dict[int, list] = {}        # by kind of upstream: took, foreseen, since when
         self.memory = MEMORY
-        self.cross_price = settings["prices"].get("cross_zone", 0.0)
         self.zones = [Zone(self.chance()) for _ in settings["zones"]]
         self.alarms, self.held, self.count, self.flight, self.spare = [], [], count().__next__, 0, 5.0
         # Time taken against own RPCs in flight at the upstream, over all of them, as sums of a fitted line.
         # Until something is seen, an upstream is believed to finish two at once in the room there is.
-        soft = ROOM * (min(m.soft for m in self.methods) - self.slack)
-        self.shortest = soft / ROOM
+        soft = ROOM * self.shortest
         self.sums, self.stamp = [1.0, 2.0, soft, 4.0, 2 * soft], now
         self.fit()
 
+    def retuned(self, settings: dict) -> None:
+        """What may change while RPCs are in hand: they keep the method that they came with, and fewer
+        transmissions bind at once. What was learnt of a method that stays stays."""
+        limits, rules = settings["limits"], settings["rules"]
+        self.most, self.parallel, self.cancelling = (
+            limits["most_transmissions"], limits["parallel_tries"], limits["cancelling"])
+        self.longest_wait = int(limits["max_retry_after"] * 10) if limits["retry_after"] else 0
+        self.slack = 2 * int(settings["tick"] * 10)
+        self.cold, self.cold_from = rules["cold"] * 10, rules["cold_from"]
+        self.fall_multiple, self.ask_every = rules["fall_multiple"], int(rules["ask_every"] * 10)
+        self.cross_price = settings["prices"].get("cross_zone", 0.0)
+        # By tenant: RPCs within MEMORY that are its share here, as all sidecars get alike, and those seen.
+        self.shares = [SPARE_SHARE * tenant["allowance_per_s"] * MEMORY / SECOND / self.sidecars + 3
+                       for tenant in settings.get("customers", ())]
+        self.seen, self.excess = [(0.0, 0)] * len(self.shares), settings.get("excess_payoff", 1.0)
+        top = max((m["payoff"] for m in settings["methods"]), default=1)
+        self.mean_payoff = sum(m["payoff"] for m in settings["methods"]) / len(settings["methods"]) or 1.0
+        patience = {method.name: method.patience for method in self.methods}
+        self.methods = [Method(m, top, self.most) for m in settings["methods"]]
+        for method in self.methods:
+            method.patience = patience.get(method.name, 0)
+        self.shortest = min(m.soft for m in self.methods) - self.slack
+
     def draw(self, payoff: float) -> float:
         """What a window holds back is rather the cheap: from 0 to 1, rather low for the dear."""
         return self.chance() ** (payoff / self.mean_payoff)
--- a/shedgrade/lifecycle/config.py
+++ b/shedgrade/lifecycle/config.py
@@ -1,10 +1,10 @@
 """The configuration: read at the start and at each reload, complete or not at all."""
 import os
-from dataclasses import dataclass
+from dataclasses import dataclass, field
 
 import orjson
 
-from shedgrade.lifecycle.shape import problem
+from shedgrade.lifecycle.shape import problem, whole
 
 
 class ConfigError(Exception):
@@ -23,6 +23,7 @@
     settings: dict
     path: str = ""
     admin: tuple[str, int] | None = None    # the operators' address, where one is told
+    told: dict = field(default_factory=dict)    # the file as it is, but for what only a start looks at
 
 
 def address(text: object, what: str) -> tuple[str, int]:
@@ -45,7 +46,7 @@
         raise ConfigError(f"{path}: not JSON ({wrong})") from wrong
     try:
         limits = text.get("limits", {})
-        wrong = problem(text["settings"])
+        wrong = problem(text["settings"]) or whole(text["settings"])
         if wrong is not None:
             raise ConfigError(f"{path}: {wrong}")
         admin = text.get("admin_addr", os.environ.get("GW_ADMIN_ADDR"))
@@ -53,7 +54,8 @@
                       address(text["discovery"], "discovery"), int(text.get("seed", "0"), 16),
                       int(limits.get("memory_mb", 192)), int(limits.get("sockets", 1024)),
                       text.get("known"), text["settings"], path,
-                      None if admin is None else address(admin, f"{path}: admin_addr"))
+                      None if admin is None else address(admin, f"{path}: admin_addr"),
+                      {key: value for key, value in text.items() if key not in ("known", "seed")})
     except KeyError as missing:
         raise ConfigError(f"{path}: {missing} is missing") from missing
     except (AttributeError, TypeError, ValueError) as wrong:
--- a/shedgrade/lifecycle/shape.py
+++ b/shedgrade/lifecycle/shape.py
@@ -7,6 +7,9 @@
 from collections.abc import Iterator
 from math import isfinite
 
+MISSING = object()
+AT_START = ("az", "zones", "shapes", "balancers", "my_number", "membership_mode", "weight_kind", "report")
+KINDS = ("repeatable", "by_key", "once")
 WEIGHTS = ("off", "nominal", "rough", "live")
 REPORTS = ("off", "on_probe", "inline")
 
@@ -19,6 +22,80 @@
     return found and f"settings.{found[0]}: found {short(found[1])}; expected {found[2]}"
 
 
+def whole(settings: object) -> str | None:
+    """What the settings lack to serve with, or what in them is of no use, in one line, or None."""
+    found = next(gaps(settings), None)
+    return found and f"settings.{found[0]}: found {short(found[1])}; expected {found[2]}"
+
+
+def gaps(settings: dict) -> Iterator[tuple[str, object, str]]:
+    """Yields (key, what was found, what is allowed) of what every sidecar needs; times are in ms."""
+    for key in ("limits", "rules", "prices"):
+        if not isinstance(settings.get(key), dict):
+            yield key, settings.get(key, MISSING), "a table"
+            return
+    if not isinstance(settings.get("methods"), list) or not settings["methods"]:
+        yield "methods", settings.get("methods", MISSING), "a list of tables, one at least"
+        return
+    names = set()
+    for place, method in enumerate(settings["methods"]):
+        key = f"methods[{place}]"
+        if not isinstance(method, dict):
+            yield key, method, "a table"
+            return
+        name = method.get("name", MISSING)
+        if not isinstance(name, str) or not name or name in names:
+            yield f"{key}.name", name, "a name that no other method has"
+        names.add(name if isinstance(name, str) else "")
+        if method.get("idempotency") not in KINDS:
+            yield f"{key}.idempotency", method.get("idempotency", MISSING), f"one of {', '.join(KINDS)}"
+        if not isinstance(method.get("group"), str):
+            yield f"{key}.group", method.get("group", MISSING), "a text"
+        for field in ("soft_deadline", "hard_deadline"):
+            yield from positive(f"{key}.{field}", method.get(field, MISSING))
+        for field in ("payoff", "overdue_payoff", "repeat_window"):
+            yield from number(f"{key}.{field}", method.get(field, MISSING), 0, whole=False)
+    limits, rules = settings["limits"], settings["rules"]
+    yield from number("limits.most_transmissions", limits.get("most_transmissions", MISSING), 1)
+    for key in ("parallel_tries", "cancelling", "retry_after"):
+        if not isinstance(limits.get(key), bool):
+            yield f"limits.{key}", limits.get(key, MISSING), "true or false"
+    yield from number("limits.max_retry_after", limits.get("max_retry_after", MISSING), 0, whole=False)
+    for key in ("dial_timeout", "idle_close"):
+        yield from positive(f"limits.{key}", limits.get(key, MISSING))
+    for key in ("ask_every", "cold", "cold_from", "fall_multiple", "stop_sending_within"):
+        yield from number(f"rules.{key}", rules.get(key, MISSING), 0, whole=False)
+    yield from number("tick", settings.get("tick", MISSING), 0, whole=False)
+    yield from number("az", settings.get("az", MISSING), 0)
+
+
+def tuned(held: dict, fresh: dict) -> tuple[dict, list[str]]:
+    """The settings that hold after a reload, and the keys in which they differ from the file: what upstreams
+    and sidecars are called and counted by is for a start."""
+    made = {**fresh, **{key: held[key] for key in AT_START if key in held}}
+    limits = {**fresh["limits"]}
+    if "multiplex" in held["limits"]:
+        limits["multiplex"] = held["limits"]["multiplex"]
+    else:
+        limits.pop("multiplex", None)
+    made["limits"] = limits
+    later = [f"settings.{key}" for key in AT_START if fresh.get(key) != held.get(key)]
+    made = {key: value for key, value in made.items() if key in held or key not in AT_START}
+    return made, later + (["settings.limits.multiplex"] if limits != fresh["limits"] else [])
+
+
+def lost(before: object, now: object, path: str = "") -> str | None:
+    """The first key that was told before and is not there any more: such a file is not complete."""
+    if isinstance(before, dict) and isinstance(now, dict):
+        for key, held in before.items():
+            if key not in now:
+                return f"{path}{key}"
+            found = lost(held, now[key], f"{path}{key}.")
+            if found is not None:
+                return found
+    return None
+
+
 def problems(settings: dict) -> Iterator[tuple[str, object, str]]:
     """Yields (key, what was found, what is allowed).
 
@@ -55,6 +132,12 @@
             f"a number below settings.balancers, {settings.get('balancers', 1)}")
 
 
+def positive(key: str, found: object) -> Iterator:
+    sound = isinstance(found, (int, float)) and not isinstance(found, bool)
+    if not (sound and isfinite(found) and found > 0):
+        yield key, found, "a number over 0"
+
+
 def number(key: str, found: object, least: float, most: float | None = None, whole: bool = True) -> Iterator:
     sound = isinstance(found, int if whole else (int, float)) and not isinstance(found, bool)
     if not (sound and isfinite(found) and found >= least and (most is None or found <= most)):
@@ -63,5 +146,5 @@
 
 
 def short(found: object) -> str:
-    text = repr(found)
+    text = "nothing" if found is MISSING else repr(found)
     return text if len(text) <= 60 else f"{text[:57]}..."
--- a/shedgrade/lifecycle/sidecar.py
+++ b/shedgrade/lifecycle/sidecar.py
@@ -16,6 +16,7 @@
 from shedgrade.core.pool import Pool
 from shedgrade.lifecycle.config import Config, ConfigError, load
 from shedgrade.lifecycle.orders import OrderBook
+from shedgrade.lifecycle.shape import lost, tuned
 from shedgrade.lifecycle.upgrade import Upgrade
 from shedgrade.memory.budget import Budget
 from shedgrade.wire.application import ApplicationConnection, Listener
@@ -149,24 +150,35 @@
         self.loop.call_later(self.pool.saved.config.state_s, self.keep_learnt)
 
     def reload(self) -> None:
-        """Reads the configuration's file anew. Discovery and the limits move; the rest is for a start.
+        """Reads the configuration's file anew. Discovery, limits and settings move; the rest is for a start.
 
         Nothing in hand is touched, and the list stays until the new address has told its own. Guards against
-        a file that would not start a sidecar: it changes nothing.
+        a file that would not start a sidecar, or lacks what it had before: it changes nothing.
         """
         if self.phase is Phase.CLOSED or self.pool.watch is None:
             return
         try:
             fresh = load(self.config.path)
-            Sidecar(fresh, self.loop)   # as a start would look at it
-            features = self.recheck() if self.recheck is not None else None
+            lacking = lost(self.config.told, fresh.told)
+            if lacking is not None:
+                raise ConfigError(f"{fresh.path}: {lacking}: found nothing; expected what was there before")
+            settings, fixed = tuned(self.config.settings, fresh.settings)
+            Sidecar(replace(fresh, settings=settings), self.loop)   # as a start would look at it
+            names = {method["name"] for method in settings["methods"]}
+            features = self.recheck(names) if self.recheck is not None else None
         except ConfigError as wrong:
             logger.warning("reload refused, the old configuration stays: {}", " ".join(str(wrong).split()))
             return
-        later = [name for name in ("name", "listen", "admin", "settings")
-                 if getattr(fresh, name) != getattr(self.config, name)]
+        later = [name for name in ("name", "listen", "admin")
+                 if getattr(fresh, name) != getattr(self.config, name)] + fixed
+        if settings != self.config.settings:
+            gone = {method["name"] for method in self.config.settings["methods"]} - names
+            logger.info("settings changed: {} methods, {} transmissions at most{}", len(names),
+                        settings["limits"]["most_transmissions"],
+                        f", gone {', '.join(sorted(gone))}" if gone else "")
+            self.pool.retuned(settings)
         self.config = replace(self.config, discovery=fresh.discovery, sockets=fresh.sockets,
-                              memory_mb=fresh.memory_mb)
+                              memory_mb=fresh.memory_mb, settings=settings, told=fresh.told)
         self.budget.limit(fresh.sockets, fresh.memory_mb)
         self.pool.move(fresh.discovery)
         for part in self.parts:
--- a/shedgrade/quota/part.py
+++ b/shedgrade/quota/part.py
@@ -16,7 +16,8 @@
 
     def __init__(self, sidecar, features) -> None:
         self.sidecar, self.pool = sidecar, sidecar.pool
-        payoffs = tuple(method["payoff"] for method in sidecar.config.settings["methods"])
+        self.methods = sidecar.config.settings["methods"]
+        payoffs = tuple(method["payoff"] for method in self.methods)
         self.gate = Gate(features.quota, sidecar.config.seed, payoffs)
         self.pool.turn.gates = (*self.pool.turn.gates, self.gate)
         self.kept_at, self.refused = time.monotonic(), 0
@@ -45,6 +46,7 @@
 
     def renew(self, features) -> None:
         """A reload that was checked. Taking the whole table away is for a start."""
+        self.retuned()
         if features is not None and features.quota is not None:
             forgiven = self.gate.renew(features.quota)
             self.count_answers(features.quota)
@@ -53,6 +55,16 @@
                     "quotas: debts of {} forgiven, their nodes or guarantees are no longer there", forgiven
                 )
 
+    def retuned(self) -> None:
+        """Methods may have come and gone: what was learnt of one that stays stays, under its new number."""
+        before = {method["name"]: number for number, method in enumerate(self.methods)}
+        self.methods = self.sidecar.config.settings["methods"]
+        learnt = self.gate.estimates
+        self.gate.estimates = {number: learnt[before[method["name"]]]
+                               for number, method in enumerate(self.methods)
+                               if before.get(method["name"]) in learnt}
+        self.gate.alike = len({method["payoff"] for method in self.methods}) < 2
+
     def look_after(self) -> None:
         self.gate.look(self.wall() * 10, len(self.pool.balancer.ups))
         now = time.monotonic()
--- a/shedgrade/tunnel/assemble.py
+++ b/shedgrade/tunnel/assemble.py
@@ -105,6 +105,9 @@
 
     def renew(self, features) -> None:
         """A reload that was checked: routes and limits of tunnels hold at once, the rest is for a start."""
+        for name, given in self.features.pools.items():
+            if name != MAIN:
+                self.pools[name].retuned(pool_settings(self.sidecar.config.settings, given))
         later = [key for key in ("pools", "proxies") if getattr(features, key) != getattr(self.features, key)]
         if (features.tunnel is None) != (self.tunnels is None):
             later.append("tunnel")
--- a/shedgrade/turn.py
+++ b/shedgrade/turn.py
@@ -73,6 +73,16 @@
     def restore(self, state: dict, age: float) -> None:
         self.gather(lambda now: self.balancer.restore(now, state, age))
 
+    def retuned(self, settings: dict, numbers: dict[int, int]) -> None:
+        """Other settings from now on; what was gathered before is decided on first. `numbers`: of the methods
+        that stay, the new by the old."""
+        self.run()
+        self.balancer.retuned(settings)
+        for carried in self.in_hand.carried:
+            carried.tickets = tuple((gate, ticket, numbers.get(method, -1), at)
+                                    for gate, ticket, method, at in carried.tickets)
+        self.gather(lambda now: None)
+
     def divided(self, part: float) -> None:
         """Of what cold upstreams may get, this much is this process's: an upgrade has two."""
         self.gather(lambda now: self.balancer.divided(part))
--- a/shedgrade/watch/watched.py
+++ b/shedgrade/watch/watched.py
@@ -52,9 +52,11 @@
 class Watched:
     """In the place of a Balancer: the same calls, the same answers."""
 
-    def __init__(self, inner: object, follower: Callable[[], Follower]) -> None:
-        """`inner`: the decisions; `follower`: makes those under the other settings."""
-        self.inner = inner
+    def __init__(self, inner: object, follower: Callable[[], Follower],
+                 overlay: Callable[[dict], dict] = dict) -> None:
+        """`inner`: the decisions; `follower`: makes those under the other settings; `overlay`: what those are
+        for the platform's settings."""
+        self.inner, self.overlay = inner, overlay
         self.follower: Follower | None = None
         self.counts: Counter[str] = Counter()
         self.rpcs = 0
@@ -149,6 +151,14 @@
         if self.follower is not None:
             self.guarded(self.follower.ordered, now, upstream, out)
 
+    def retuned(self, settings: dict) -> None:
+        self.inner.retuned(settings)
+        if self.follower is not None:
+            self.guarded(self.follow_settings, settings)
+
+    def follow_settings(self, settings: dict) -> None:
+        self.follower.retuned(self.overlay(settings))
+
     def divided(self, part: float) -> None:
         self.inner.divided(part)
         if self.follower is not None:
--- /dev/null
+++ b/tests/admin/test_settings.py
@@ -0,0 +1,181 @@
+"""Settings at a reload: methods that come, change and go, fewer transmissions, files that are not sound."""
+import asyncio
+from copy import deepcopy
+from dataclasses import replace
+
+import orjson
+import pytest
+from helpers import SILENT, World, ask, balancer, message, method, on_sockets, request, settings, until
+from loguru import logger
+
+from shedgrade import decide
+from shedgrade.lifecycle.config import ConfigError, load
+from shedgrade.lifecycle.shape import lost, tuned, whole
+
+
+def serve(head, body):
+    return message(200, body)
+
+
+def named(name, **more):
+    return {**method("once", soft=2e4, hard=2e4), "name": name, **more}
+
+
+def file_of(world, folder, conf, **changes):
+    path = folder / "config.json"
+    text = {"name": "n", "listen": "%s:%d" % world.config.listen, "seed": "1",  # noqa: UP031
+            "discovery": "%s:%d" % world.config.discovery, "limits": {"sockets": 900, "memory_mb": 96},  # noqa: UP031
+            "settings": conf, **changes}
+    path.write_bytes(orjson.dumps(text))
+    return str(path)
+
+
+def reloads(world, folder, conf, **changes):
+    world.sidecar.config = replace(world.sidecar.config, path=file_of(world, folder, conf, **changes))
+    world.sidecar.reload()
+
+
+def test_methods_come_change_and_go_and_those_in_hand_keep_theirs(tmp_path):
+    @on_sockets
+    async def scenario():
+        release = asyncio.Event()
+
+        async def late(head, body):
+            await release.wait()
+            return serve(head, body)
+
+        async with World(late, late, methods=[named("m"), named("old")]) as world:
+            held = [asyncio.create_task(ask(world, request(b"x", f"/{name}/1", name=name)))
+                    for name in ("m", "old")]
+            await until(lambda: world.sent() == 2)
+            conf = deepcopy(world.conf)
+            conf["methods"] = [named("fresh"), named("m", idempotency="repeatable")]
+            conf["limits"]["most_transmissions"] = 1
+            reloads(world, tmp_path, conf)
+            b = world.sidecar.pool.balancer
+            assert b.most == 1 and [one.name for one in b.methods] == ["fresh", "m"]
+            assert all(not one.rpc.method.retriable for one in world.sidecar.pool.turn.in_hand.carried)
+            assert (await ask(world, request(target="/old/1", name="b")))[0] == 404
+            release.set()
+            assert [(await asking)[0] for asking in held] == [200, 200]
+            for name in ("fresh", "m"):
+                assert (await ask(world, request(target=f"/{name}/1", name=name + "2")))[0] == 200
+            reloads(world, tmp_path, {**conf, "az": 0, "zones": ["0", "1"], "tick": 5.0})
+            assert len(b.zones) == 1 and b.slack == 100     # zones are for a start, the tick is not
+
+    scenario()
+
+
+def test_fewer_transmissions_bind_at_once_and_what_was_learnt_stays():
+    conf = settings([method("repeatable"), {**method(), "name": "n"}], limits={"most_transmissions": 3})
+    b = balancer(conf, [(0, 0), (1, 0), (2, 0)])
+    rpc = b.take(0, 0, 10_000)
+    assert rpc.decide(0)[0] >= 0
+    rpc.ended(10, 0, decide.UNSENT, 10, False)
+    patience, sums = b.methods[0].patience, list(b.sums)
+    limits = {**conf["limits"], "most_transmissions": 1}
+    b.retuned({**conf, "methods": conf["methods"][::-1], "limits": limits})
+    assert rpc.decide(10) == (decide.EXHAUSTED, 9990)       # one was made, and only one is allowed now
+    assert b.methods[1].patience == patience > 0 == b.methods[0].patience and b.sums == sums
+
+
+BAD = [None, "", "5", 0, -1, True, float("inf")]
+
+
+@pytest.mark.parametrize("key", ["soft_deadline", "hard_deadline", "most_transmissions"])
+@pytest.mark.parametrize("value", BAD)
+def test_deadlines_and_transmissions_are_numbers_over_0(key, value):
+    conf = deepcopy(World().conf)
+    (conf["limits"] if key == "most_transmissions" else conf["methods"][0])[key] = value
+    assert key in whole(conf) and "\n" not in whole(conf)
+
+
+def without(conf, path):
+    conf = deepcopy(conf)
+    *way, last = path
+    table = conf
+    for step in way:
+        table = table[step]
+    del table[last]
+    return conf
+
+
+def test_any_key_that_is_missing_is_named():
+    conf = World().conf
+    paths = [(key,) for key in ("methods", "limits", "rules", "prices", "tick", "az")]
+    paths += [("methods", 0, key) for key in conf["methods"][0] if key != "stream"]
+    paths += [("limits", key) for key in ("most_transmissions", "parallel_tries", "cancelling", "retry_after",
+                                          "max_retry_after", "dial_timeout", "idle_close")]
+    paths += [("rules", key) for key in conf["rules"] if key != "overload_for"]
+    assert whole(conf) is None
+    for path in paths:
+        assert str(path[-1]) in whole(without(conf, path)), path
+    assert lost(conf, conf) is None
+    for path in [path for path in paths if 0 not in path] + [("customers",), ("report", "via")]:
+        assert lost(conf, without(conf, path)) == ".".join(map(str, path))
+
+
+def test_a_file_that_is_not_sound_changes_nothing(tmp_path):
+    @on_sockets
+    async def scenario():
+        async with World(serve, methods=[named("m")]) as world:
+            lines = []
+            sink = logger.add(lines.append, level="WARNING", format="{message}")
+            good = deepcopy(world.conf)
+            good["methods"].append(named("fresh"))
+            reloads(world, tmp_path, good)
+            assert set(world.sidecar.pool.methods) == {b"m", b"fresh"} and not lines
+            path = world.sidecar.config.path
+            text = file_bytes = open(path, "rb").read()
+            other = deepcopy(good)
+            other["methods"] = [named("other")]
+            worse = deepcopy(other)
+            worse["methods"][0]["hard_deadline"] = 0
+            bad = [b"", b"{}", text[:len(text) // 2], text[:-1], b"[]", b"null",
+                   orjson.dumps({**orjson.loads(text), "settings": worse}),
+                   orjson.dumps({**orjson.loads(text), "settings": without(other, ("prices",))}),
+                   orjson.dumps(without({**orjson.loads(text), "settings": other}, ("limits",))),
+                   text.replace(b'"hard_deadline":20000.0', b'"hard_deadline":NaN'),
+                   text.replace(b'"name":"fresh"', b'"name":"m"')]
+            for file_bytes in bad:
+                with open(path, "wb") as file:
+                    file.write(file_bytes)
+                lines.clear()
+                world.sidecar.reload()
+                assert len(lines) == 1 and "reload refused" in lines[0], file_bytes[:60]
+                assert lines[0].count("\n") == 1 and path in lines[0]
+                assert set(world.sidecar.pool.methods) == {b"m", b"fresh"}
+            logger.remove(sink)
+            assert (await ask(world))[0] == 200
+
+    scenario()
+
+
+def test_what_only_a_start_changes_is_named():
+    held = World().conf
+    limits = {**held["limits"], "multiplex": 5}
+    made, later = tuned(held, {**held, "zones": ["x"], "tick": 2.0, "limits": limits})
+    assert made == {**held, "tick": 2.0} and later == ["settings.zones", "settings.limits.multiplex"]
+
+
+def test_an_unsound_file_does_not_start(tmp_path):
+    world = World()
+    world.config = type("Addresses", (), {"listen": ("127.0.0.1", 1), "discovery": ("127.0.0.1", 1)})
+    conf = deepcopy(world.conf)
+    conf["methods"][0]["soft_deadline"] = -5
+    with pytest.raises(ConfigError, match=r"methods\[0\].soft_deadline: found -5; expected a number over 0"):
+        load(file_of(world, tmp_path, conf))
+
+
+@on_sockets
+async def test_requests_read_before_a_reload_are_of_the_methods_before_it(tmp_path=None):
+    async with World(lambda head, body: SILENT, methods=[named("m"), named("n")]) as world:
+        pool = world.sidecar.pool
+        connection = await world.connect()
+        connection[1].write(request(target="/n/1"))
+        while not pool.turn.events:     # read and gathered, and not decided on
+            await asyncio.sleep(0)
+        pool.retuned({**world.conf, "methods": [named("n", hard_deadline=5.0), named("x")]})
+        rpc, = (carried.rpc for carried in pool.turn.in_hand.carried)
+        assert rpc.method.name == "n" and rpc.method.hard == 200_000
+        connection[1].close()
