--- a/shedgrade/capture/recorder.py
+++ b/shedgrade/capture/recorder.py
@@ -11,6 +11,7 @@
 from shedgrade import decide
 from shedgrade.capture.rows import (
     BATCH,
+    COMING,
     DECIDE,
     DIVIDED,
     DOUBT,
@@ -92,6 +93,11 @@
         self.rpc.started(lasting)
         self.home.keep(self.home.now, STARTED, self.number, lasting)
 
+    def coming(self, now: int, give_up_at: int, here: bool) -> int:
+        limit = self.rpc.coming(now, give_up_at, here)
+        self.home.keep(now, COMING, self.number, give_up_at - now, here, limit)
+        return limit
+
     def gone(self, now: int) -> list[int]:
         stops = self.rpc.gone(now)
         self.home.keep(now, GONE, self.number, stops)
--- a/shedgrade/capture/replay.py
+++ b/shedgrade/capture/replay.py
@@ -14,6 +14,7 @@
 
 from shedgrade import decide
 from shedgrade.capture.rows import (
+    COMING,
     DECIDE,
     DIVIDED,
     DOUBT,
@@ -50,7 +51,7 @@
     "broken",
 )
 LINGER = 10_000  # RPCs that are over and still known: more than one turn ever takes
-OF_RPC = (TAKE, DECIDE, NOTHING, ENDED, GONE, STARTED, YIELD)
+OF_RPC = (COMING, TAKE, DECIDE, NOTHING, ENDED, GONE, STARTED, YIELD)
 
 
 class Difference(Struct):
@@ -178,6 +179,9 @@
             got = rpc.gone(now)
             self.over(told[0])
             return told[1], got
+        if op == COMING:
+            number, wait, here, limit = told
+            return limit, self.rpc(number).coming(now, now + wait, here)
         if op == STARTED:
             self.rpc(told[0]).started(told[1])
             return None, None
--- a/shedgrade/capture/rows.py
+++ b/shedgrade/capture/rows.py
@@ -39,7 +39,8 @@
     ORDERED,
     DIVIDED,
     RETUNED,
-) = range(19)
+    COMING,
+) = range(20)
 OPS = {
     TAKE: ("take", "rpc method give_up_at retry name tenant"),
     DECIDE: ("decide", "rpc what value"),
@@ -60,6 +61,7 @@
     ORDERED: ("ordered", "upstream out"),
     DIVIDED: ("divided", "part"),
     RETUNED: ("retuned", "settings"),
+    COMING: ("coming", "rpc give_up_at here limit"),
 }
 KIND = b"C"  # of the file's header
 BATCH = 512  # rows in a record: some 6 KB, a tenth of a second at 1,000 RPCs a second
--- a/shedgrade/decide.py
+++ b/shedgrade/decide.py
@@ -13,6 +13,7 @@
       None: nothing now.  (upstream, limit): transmit.  (EXHAUSTED, retry_after), (ERRORED, 0): final.
   rpc.ended(now, tx, outcome, took, settled, fresh)   fresh: first on its connection; returns what to stop
   rpc.started(lasting)                    a streamed answer has begun; lasting: a stream is open, and held
+  rpc.coming(now, give_up_at, here)       bytes of a long request came; here: none were let go
   rpc.gone(now)                           the client has left
   b.due(now)                              yields the handles to ask again; b.wake_at() says when to call next
   b.wants_list(now)                       True: subscribe to the list of upstreams now
@@ -131,11 +132,22 @@
 class Rpc:
     """One RPC taken; what happens to it later is a call on this handle. `tag` is the caller's mark."""
     __slots__ = ("home", "tag", "method", "come", "soft_end", "end", "tries", "sent", "out", "repeats",
-                 "again_at", "held", "done", "turned", "luck", "payoff", "lasting")
+                 "again_at", "held", "done", "turned", "luck", "payoff", "lasting", "here")
 
     def __init__(self, home: "Balancer", method: Method, now: int, give_up_at: int, retry: bool,
                  tag: object, worth: float) -> None:
         self.home, self.method, self.tag = home, method, tag
+        self.timed(now, give_up_at, retry)
+        # Per transmission: its upstream, and when it was sent (None once it is proved that it never ran).
+        self.tries, self.sent, self.out = [], [], {}
+        self.repeats, self.again_at, self.held, self.done = 0, None, None, False
+        self.lasting, self.here = False, None   # a stream that is open; a long request: all bytes are here
+        self.turned = False     # overtaken while held, to be answered at once
+        self.payoff = method.payoff * worth
+        self.luck = home.draw(self.payoff)
+
+    def timed(self, now: int, give_up_at: int, retry: bool = False) -> None:
+        home, method = self.home, self.method
         # Guards against work for nobody: a marked retry that the hard deadline cuts short tells when its
         # first try came, and the soft deadline runs from there.
         method.patience = max(method.patience, give_up_at - now)
@@ -144,13 +156,12 @@
         # An answer is wanted two ticks early, so that a time-out is still answered before the deadline.
         self.soft_end = min(now + method.soft, give_up_at) - home.slack
         self.end = give_up_at - home.slack if method.late else self.soft_end
-        # Per transmission: its upstream, and when it was sent (None once it is proved that it never ran).
-        self.tries, self.sent, self.out = [], [], {}
-        self.repeats, self.again_at, self.held, self.done = 0, None, None, False
-        self.lasting = False    # a stream that is open
-        self.turned = False     # overtaken while held, to be answered at once
-        self.payoff = method.payoff * worth
-        self.luck = home.draw(self.payoff)
+
+    def coming(self, now: int, give_up_at: int, here: bool) -> int:
+        """A long request's time counts from its last byte; its new limit. Not all `here`, it goes no more."""
+        self.here = here
+        self.timed(now, give_up_at)
+        return max(1, self.end - now)
 
     def first_run(self) -> int | None:
         """The first transmission that may have run, those still out included."""
@@ -188,7 +199,7 @@
             return None
         repeat = self.first_run() is not None
         self.again_at = None
-        if now >= self.end or len(self.tries) >= home.most or (
+        if now >= self.end or len(self.tries) >= home.most or (self.here is False and self.tries) or (
                 repeat and not ((method.retriable or method.deduped) and self.repeats < method.further
                                 and home.spare >= 1)):
             return None if self.out else self.final(now)
@@ -219,7 +230,7 @@
             # Guards against a hang: a second upstream gets its chance while the soft deadline can be met.
             patience = int(max(3 * home.expected(up, now), (self.soft_end - now) // 2))
             if now + patience + home.typical() < self.soft_end:
-                if home.parallel:
+                if home.parallel and self.here is None:
                     self.again_at = now + patience
                     heappush(home.alarms, (self.again_at, home.count(), self))
                 elif up.bad > up.good:
@@ -332,7 +343,6 @@
         return self.chance() ** (payoff / self.mean_payoff)
 
     def luck(self, method: int) -> float:
-        """The same for gates before the decisions, which give up by it as windows do."""
         return self.draw(self.methods[method].payoff)
 
     # --- the list of upstreams
@@ -370,8 +380,7 @@
         """Operators restart an upstream that they have taken out: it counts as draining until they put it
         back, and then as cold whatever the list says, with nothing known of it."""
         up = self.ups.get(upstream) or self.ups.setdefault(upstream, Upstream(upstream, self.chance()))
-        if up in self.owed:
-            self.owed.remove(up)
+        self.owed = [one for one in self.owed if one is not up]
         if out != up.out:
             up.out = out
             if not out:
@@ -466,8 +475,7 @@
     def release(self, up: Upstream) -> None:
         """What is gone with nothing out leaves memory: its index may be another's, which inherits nothing."""
         index = up.index
-        busy = up.flight or up.held
-        if up.state == REMOVED and not (busy or up.out) and self.ups.get(index) is up:
+        if up.state == REMOVED and not (up.flight or up.held or up.out) and self.ups.get(index) is up:
             for kept in (self.ups, self.latent):
                 kept.pop(index, None)
             self.left.append(index)
--- a/shedgrade/memory/budget.py
+++ b/shedgrade/memory/budget.py
@@ -28,6 +28,10 @@
         self.kept += count
         self.limit(self.sockets, self.memory_mb)
 
+    def pressed(self) -> bool:
+        """Bytes are short: what is long makes room for what is small."""
+        return self.bytes * 2 > self.most_bytes
+
     def held(self) -> int:
         return self.clients + self.upstreams + self.others
 
--- a/shedgrade/turn.py
+++ b/shedgrade/turn.py
@@ -13,6 +13,7 @@
 from shedgrade import decide
 from shedgrade.memory.in_hand import Answer, Carried, InHand, Transmission
 
+STILL = 100_000     # tenths of a ms without a byte of a long answer after which it is held to be broken
 ALLOWANCE = 20      # tenths of a ms that an answer takes out of here at the least, on an idle loop
 MOST_ALLOWED = 50   # of lateness, well within a tick: retries are told by how long their clients wait
 
@@ -44,12 +45,21 @@
 
     def arrived(self, carried: Carried, method: int, wait: int, retry: bool, tenant: int = 0) -> None:
         self.in_hand.add(carried)
+        carried.wait = wait
         at = self.clock.now()
         self.gather(self.take, carried, method, at + wait * 10, retry, tenant)
 
     def ended(self, transmission: Transmission, outcome: int, answer: Answer | None) -> None:
         self.gather(self.end, transmission, outcome, answer, self.clock.now())
 
+    def came(self, carried: Carried, here: bool, whole: bool) -> None:
+        """Of a long request: all of its bytes are `here` still; it is `whole`, its last byte has come."""
+        self.gather(self.come, carried, here, whole, self.clock.now())
+
+    def flowing(self, transmission: Transmission, answer: Answer) -> None:
+        """A long answer has begun, and is its client's now."""
+        self.gather(self.flow, transmission, answer, self.clock.now())
+
     def opened(self, transmission: Transmission) -> None:
         """A stream's connection is up: it is its client's now."""
         self.gather(self.begun, transmission)
@@ -176,15 +186,38 @@
         served = (outcome == decide.COMPLETED or carried.opened) and not carried.done
         if served:
             self.finish(carried)
-            self.actions.append((carried.client.completed, (answer,)))
-        stops = carried.rpc.ended(now, tx, outcome, max(0, at - transmission.sent), carried.done,
-                                  transmission.fresh)
+            whole = answer if outcome == decide.COMPLETED else None
+            self.actions.append((carried.client.completed, (whole,)))
+        took = (at if transmission.first is None else transmission.first) - transmission.sent
+        stops = carried.rpc.ended(now, tx, outcome, max(0, took), carried.done, transmission.fresh)
         self.stop(now, carried, stops)
         done = len(self.actions)
         self.decide(now, carried)
         if not carried.done:
             self.actions.insert(done, (self.caller.abandon, (transmission,)))
 
+    def come(self, now: int, carried: Carried, here: bool, whole: bool, at: int) -> None:
+        if carried.done or carried.rpc is None:
+            return
+        limit = carried.rpc.coming(now, at + carried.wait * 10 - ALLOWANCE - int(self.lag), here)
+        if whole:
+            carried.coming = False
+            for transmission in carried.out.values():
+                if transmission.first is None:
+                    transmission.sent, transmission.until = now, now + limit
+                    self.limit(transmission, transmission.until)
+
+    def flow(self, now: int, transmission: Transmission, answer: Answer, at: int) -> None:
+        carried = transmission.carried
+        if not transmission.still_out() or carried.done:
+            return
+        carried.opened, carried.coming = True, False
+        transmission.first, transmission.until = at, now + STILL
+        self.limit(transmission, transmission.until)
+        carried.rpc.started()
+        self.stop(now, carried, [tx for tx in carried.out if tx != transmission.tx])
+        self.actions.append((carried.client.flowing, (answer,)))
+
     def begun(self, now: int, transmission: Transmission) -> None:
         carried = transmission.carried
         if transmission.still_out() and not carried.done:
@@ -214,9 +247,10 @@
             return
         what, value = answer
         if what >= 0:
-            transmission = Transmission(carried, len(carried.rpc.tries) - 1, what, now, now + value)
+            until = decide.inf if carried.coming else now + value
+            transmission = Transmission(carried, len(carried.rpc.tries) - 1, what, now, until)
             carried.out[transmission.tx] = transmission
-            heappush(self.limits, (transmission.until, next(self.numbers), transmission))
+            self.limit(transmission, until)
             self.actions.append((self.transmit, (transmission, now)))
         elif not carried.done:
             self.finish(carried)
@@ -226,9 +260,15 @@
             else:
                 self.actions.append((client.errored, ()))
 
+    def limit(self, transmission: Transmission, until: float) -> None:
+        if until != decide.inf:
+            heappush(self.limits, (until, next(self.numbers), transmission))
+
     def finish(self, carried: Carried) -> None:
         carried.done = True
         self.in_hand.remove(carried)
+        if carried.request.flow is not None:
+            carried.request.flow.discard()
         tickets, carried.tickets = carried.tickets, ()
         if tickets:
             now = self.clock.now()
@@ -251,7 +291,7 @@
         if transmission.still_out() and not transmission.carried.done:
             self.caller.transmit(transmission, now)
             if transmission.dial_until is not None and transmission.dial_until < transmission.until:
-                heappush(self.limits, (transmission.dial_until, next(self.numbers), transmission))
+                self.limit(transmission, transmission.dial_until)
 
     def expire(self, now: int) -> None:
         """Transmissions whose time is up, or whose connection did not come up in time."""
@@ -263,6 +303,11 @@
             if now < transmission.until and not (dialling and now >= transmission.dial_until):
                 continue
             upstream = self.names[transmission.upstream]
+            if transmission.first is not None and (moved := transmission.link.moved()) + STILL > now:
+                # Guards long answers: what still comes, or waits for its client, is cut by no deadline.
+                transmission.until = moved + STILL
+                self.limit(transmission, transmission.until)
+                continue
             if self.caller.give_up(transmission):
                 self.caller.silent(transmission)
                 outcome = decide.TIMED_OUT
--- a/shedgrade/watch/watched.py
+++ b/shedgrade/watch/watched.py
@@ -42,6 +42,12 @@
         if self.shadow is not None:
             self.home.guarded(self.shadow.started, lasting)
 
+    def coming(self, now: int, give_up_at: int, here: bool) -> int:
+        limit = self.rpc.coming(now, give_up_at, here)
+        if self.shadow is not None:
+            self.home.guarded(self.shadow.coming, now, give_up_at, here)
+        return limit
+
     def gone(self, now: int) -> list[int]:
         stops = self.rpc.gone(now)
         if self.shadow is not None:
--- a/shedgrade/wire/connection.py
+++ b/shedgrade/wire/connection.py
@@ -5,11 +5,13 @@
 
 from shedgrade.memory.ring import Ring
 
-LONGEST_BODY = LONGEST_HEAD = 64 * 1024
+LONGEST_HEAD = 64 * 1024
+LONGEST_BODY = 32 * 1024 * 1024
 READ_AHEAD = 64 * 1024      # bytes that may wait to be read: parsers take what comes, so no message must fit
 # Headers that belong to one connection, or that each side writes anew.
 HOP = frozenset((b"connection", b"keep-alive", b"proxy-connection", b"te", b"trailer", b"transfer-encoding",
                  b"upgrade", b"content-length", b"expect"))
+KNOWN_BY = frozenset((b"x-request-id", b"x-timeout-ms", b"x-retried", b"x-attrs", b"host"))
 
 
 class MessageError(Exception):
@@ -17,7 +19,17 @@
 
 
 def passed_on(headers: Iterable[tuple[bytes, bytes]]) -> list[tuple[bytes, bytes]]:
-    return [(name, value) for name, value in headers if name.lower() not in HOP]
+    """What goes on to the other side: not what belongs to a connection, by its name or as `Connection` says.
+    Guards against a `Connection` that names what the RPC is known by: that goes on all the same."""
+    headers = [(name, value, name.lower()) for name, value in headers]
+    own = {token.strip().lower() for _, value, lower in headers if lower == b"connection"
+           for token in value.split(b",")} - KNOWN_BY
+    return [(name, value) for name, value, lower in headers if lower not in HOP and lower not in own]
+
+
+def declared(headers: Iterable[tuple[bytes, bytes]]) -> int | None:
+    """The length of the body that a head says, if it says one."""
+    return next((int(value) for name, value in headers if name.lower() == b"content-length"), None)
 
 
 class Connection(asyncio.BufferedProtocol):
@@ -79,10 +91,11 @@
     # --- writing
 
     def write(self, *pieces: bytes) -> bool:
-        """Writes one message, the one before being flushed; True if all of it has left this process."""
+        """Writes one message, or a piece of one; True if all of it has left this process."""
+        before = len(self.outgoing)
         for piece in pieces:
             self.outgoing.put(piece)
-        for part in self.outgoing.parts():
+        for part in self.outgoing.parts(before):
             self.transport.write(part)
         if self.flushing or self.transport.is_closing():
             return False
--- /dev/null
+++ b/tests/size/peers.py
@@ -0,0 +1,147 @@
+"""Clients and upstreams that send and take long messages, in any form of HTTP/1.1 and at any pace."""
+import asyncio
+from hashlib import sha256
+
+from helpers import World
+
+
+def pattern(count, start=0):
+    """Bytes of which each megabyte is another."""
+    block = bytes(range(256)) * 256
+    blocks = range((start + count) // 65536 + 1)
+    made = b"".join(sha256(b"%d" % number).digest() + block[32:] for number in blocks)
+    return made[start:start + count]
+
+
+def chunked(body, size, extension=b"", trailers=b""):
+    pieces = [body[at:at + size] for at in range(0, len(body), size)]
+    return b"".join(b"%x%s\r\n%s\r\n" % (len(one), extension, one) for one in pieces) + (
+        b"0" + extension + b"\r\n" + trailers + b"\r\n")
+
+
+async def read_head(reader):
+    head = (await reader.readuntil(b"\r\n\r\n")).decode("latin-1").split("\r\n")[:-2]
+    return head, {name.lower(): value for name, _, value in (line.partition(": ") for line in head[1:])}
+
+
+async def read_body(reader, headers, pace=None):
+    """A body by its framing; `pace`: bytes a second."""
+    async def some(count):
+        found = b""
+        while len(found) < count:
+            if pace:
+                await asyncio.sleep(4096 / pace)
+            piece = await reader.readexactly(min(count - len(found), 4096 if pace else count))
+            found += piece
+        return found
+
+    if "transfer-encoding" in headers:
+        body = []
+        while True:
+            size = int((await reader.readuntil(b"\r\n")).split(b";")[0], 16)
+            if not size:
+                while await reader.readuntil(b"\r\n") != b"\r\n":
+                    pass
+                return b"".join(body)
+            body.append(await some(size))
+            assert await reader.readexactly(2) == b"\r\n"
+    if "content-length" in headers:
+        return await some(int(headers["content-length"]))
+    return await reader.read()
+
+
+class Upstream:
+    """Reads each request whole, by its framing, then gives what `answer(head, body)` gives: pieces of bytes,
+    or numbers of seconds to wait; CLOSE ends the connection in order, RESET breaks it."""
+
+    CLOSE, RESET = object(), object()
+
+    def __init__(self, answer, pace=None):
+        self.answer, self.pace, self.seen, self.open = answer, pace, [], 0
+        self.writers = set()
+
+    async def start(self):
+        self.server = await asyncio.start_server(self.serve, "127.0.0.1", 0)
+        self.address = f"127.0.0.1:{self.server.sockets[0].getsockname()[1]}"
+        return self
+
+    async def serve(self, reader, writer):
+        self.open += 1
+        self.writers.add(writer)
+        try:
+            while True:
+                head, headers = await read_head(reader)
+                framed = {"content-length", "transfer-encoding"} & set(headers)
+                body = await read_body(reader, headers, self.pace) if framed else b""
+                self.seen.append((head, body))
+                for piece in self.answer(head, body):
+                    if piece is self.CLOSE:
+                        return
+                    if piece is self.RESET:
+                        writer.transport.abort()
+                        return
+                    if isinstance(piece, bytes):
+                        writer.write(piece)
+                        await writer.drain()
+                    else:
+                        await asyncio.sleep(piece)
+        except (asyncio.IncompleteReadError, asyncio.CancelledError, ConnectionError):
+            pass
+        finally:
+            self.open -= 1
+            self.writers.discard(writer)
+            writer.close()
+
+    def stop(self):
+        self.server.close()
+        for writer in list(self.writers):
+            writer.close()
+
+
+class Sized(World):
+    """A sidecar among upstreams that take and give long messages."""
+
+    def __init__(self, *answers, pace=None, **more):
+        super().__init__(*answers, **more)
+        self.pace = pace
+
+    async def __aenter__(self):
+        import helpers
+
+        made = helpers.Server
+        helpers.Server = lambda script: (
+            made(script) if script == self.discover else Upstream(script, self.pace))
+        try:
+            return await super().__aenter__()
+        finally:
+            helpers.Server = made
+
+    def bytes_held(self):
+        return self.sidecar.budget.bytes
+
+
+def post(framing, target="/m/1", name="a1", wait=15000, version="1.1", verb="POST", *more):
+    lines = [f"{verb} {target} HTTP/{version}", "Host: api", f"X-Request-ID: {name}", f"X-Timeout-Ms: {wait}",
+             *more, *([framing] if framing else []), "", ""]
+    return "\r\n".join(lines).encode()
+
+
+async def exchange(world, raw, pace=None, verb="POST"):
+    """Sends and reads at once, as large messages want; status, headers and body."""
+    reader, writer = await world.connect()
+
+    async def send():
+        for at in range(0, len(raw), 65536):
+            writer.write(raw[at:at + 65536])
+            await writer.drain()
+
+    async with asyncio.timeout(50):
+        sending = asyncio.ensure_future(send())
+        head, headers = await read_head(reader)
+        while head[0].split()[1] == "100":
+            head, headers = await read_head(reader)
+        bodiless = verb == "HEAD" or head[0].split()[1] in ("204", "304")
+        body = b"" if bodiless else await read_body(reader, headers, pace)
+        sending.cancel()
+    writer.close()
+    return int(head[0].split()[1]), headers, body
--- /dev/null
+++ b/tests/size/test_size.py
@@ -0,0 +1,416 @@
+"""Long messages, slow ends, and all forms of HTTP/1.1, on loopback."""
+import asyncio
+import resource
+
+import pytest
+from helpers import method, on_sockets, outcomes, until
+from peers import Sized, Upstream, chunked, exchange, pattern, post, read_body, read_head
+
+from shedgrade import decide
+from shedgrade.memory.budget import Budget
+from shedgrade.memory.flow import KEPT, ROOM, Flow
+
+MEGABYTE = 1 << 20
+
+
+def echo(head, body):
+    yield b"HTTP/1.1 200 OK\r\nContent-Length: %d\r\n\r\n" % len(body)
+    yield body
+
+
+def in_chunks(head, body):
+    yield b"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n"
+    yield chunked(body, 40_000, b";x=1", b"T: 1\r\n")
+
+
+def until_the_end(head, body):
+    yield b"HTTP/1.1 200 OK\r\nX-Kind: closed\r\n\r\n"
+    yield body
+    yield Upstream.CLOSE
+
+
+@pytest.mark.parametrize("answer", [echo, in_chunks, until_the_end])
+@pytest.mark.parametrize("size", [0, 1, 65536, 65537, 200_000, 5 * MEGABYTE + 3])
+def test_bodies_of_any_size_and_framing_go_through_unchanged(answer, size):
+    @on_sockets
+    async def scenario():
+        async with Sized(answer) as world:
+            body = pattern(size)
+            for number, raw in enumerate((post(f"Content-Length: {size}", name="a1") + body,
+                                          post("Transfer-Encoding: chunked", name="a2")
+                                          + chunked(body, 30_000, b";ext=\"a b\"", b"Trail: er\r\n"))):
+                status, headers, got = await exchange(world, raw)
+                assert status == 200 and got == body
+                assert world.upstreams[0].seen[number][1] == body
+                assert "t" not in headers
+            await until(lambda: world.bytes_held() == 0)
+
+    scenario()
+
+
+@on_sockets
+async def test_the_longest_goes_through_and_more_is_413_or_a_failed_transmission():
+    def endless(head, body):
+        yield b"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n"
+        while True:
+            yield b"10000\r\n" + b"x" * 65536 + b"\r\n"
+
+    def either(head, body):
+        return (endless if "endless" in head[0] else echo)(head, body)
+
+    async with Sized(either) as world:
+        body = pattern(32 * MEGABYTE)
+        status, _, got = await exchange(world, post(f"Content-Length: {len(body)}") + body)
+        assert status == 200 and got == body
+        more = b"".join(b"100000\r\n" + body[:MEGABYTE] + b"\r\n" for _ in range(33))
+        status, _, _ = await exchange(world, post("Transfer-Encoding: chunked", name="b") + more)
+        assert status == 413
+        reader, writer = await world.connect()
+        writer.write(post("Content-Length: 0", target="/m/endless", name="c"))
+        head, headers = await read_head(reader)
+        assert head[0].startswith("HTTP/1.1 200")
+        with pytest.raises((asyncio.IncompleteReadError, ConnectionError)):     # no last chunk
+            await read_body(reader, headers)
+        writer.close()
+        await until(lambda: world.bytes_held() == 0 and not world.sidecar.pool.turn.in_hand.carried)
+
+
+@on_sockets
+async def test_a_long_answer_that_breaks_midway_shows_it_and_is_told_once():
+    def broken(head, body):
+        yield (b"HTTP/1.1 200 OK\r\nContent-Length: 300000\r\n\r\n" if "said" in head[0]
+               else b"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n30d40\r\n")
+        yield pattern(100_000)
+        yield 0.1
+        yield Upstream.CLOSE
+
+    async with Sized(broken, broken, methods=[method("repeatable", soft=2e4, hard=2e4)]) as world:
+        for target in ("/m/said", "/m/chunks"):
+            with outcomes() as ends:
+                with pytest.raises((asyncio.IncompleteReadError, ConnectionError)):
+                    await exchange(world, post("Content-Length: 0", target=target, name=target))
+                await until(lambda ends=ends: ends)
+                assert ends == [decide.DROPPED] and not world.sidecar.pool.turn.in_hand.carried
+
+
+@on_sockets
+async def test_a_long_answer_outlives_deadlines_once_it_has_begun_and_its_upstream_is_in_flight():
+    def slow(head, body):
+        yield b"HTTP/1.1 200 OK\r\nContent-Length: 100000\r\n\r\n"
+        yield pattern(80_000)
+        yield 1.0
+        yield pattern(20_000, 80_000)
+
+    async with Sized(slow) as world:
+        asking = asyncio.create_task(exchange(world, post("Content-Length: 0", wait=300)))
+        up = world.sidecar.pool.balancer.ups[0]
+        await asyncio.sleep(0.6)
+        assert up.flight == 1
+        status, _, body = await asking
+        assert status == 200 and body == pattern(100_000)
+        await until(lambda: up.flight == 0)
+        assert up.took < 5000       # what is learnt is the time to the first bytes
+
+
+@on_sockets
+async def test_time_counts_from_the_last_byte_of_a_request():
+    async with Sized(echo) as world:
+        reader, writer = await world.connect()
+        body = pattern(150_000)
+        writer.write(post("Content-Length: 150000", wait=400))
+        for at in range(0, 150_000, 30_000):
+            writer.write(body[at:at + 30_000])
+            await asyncio.sleep(0.2)
+        head, headers = await read_head(reader)
+        assert head[0].startswith("HTTP/1.1 200") and await read_body(reader, headers) == body
+        writer.close()
+
+
+@on_sockets
+async def test_a_long_request_goes_elsewhere_while_all_its_bytes_are_here_and_never_after():
+    async with Sized(echo, echo, methods=[method("repeatable", soft=2e4, hard=2e4)]) as world:
+        body = pattern(90_000)
+        world.upstreams[0].stop()       # its dials are refused
+        for number in range(4):
+            status, _, got = await exchange(world, post("Content-Length: 90000", name=f"a{number}") + body)
+            assert status == 200 and got == body
+        await until(lambda: world.bytes_held() == 0)
+
+    def resets(head, body):
+        yield Upstream.RESET
+
+    async with Sized(resets, resets, methods=[method("repeatable", soft=2e4, hard=2e4)]) as world:
+        body = pattern(2 * MEGABYTE)
+        status, _, _ = await exchange(world, post(f"Content-Length: {len(body)}") + body)
+        assert status == 503 and sum(len(one.seen) for one in world.upstreams) == 1
+
+
+@on_sockets
+async def test_an_upload_whose_upstream_goes_midway_never_ran_and_is_exhausted_at_once():
+    async with Sized(echo, pace=200_000) as world:      # the upstream takes its time
+        body = pattern(8 * MEGABYTE)
+        with outcomes() as ends:
+            asking = asyncio.create_task(exchange(world, post(f"Content-Length: {len(body)}") + body))
+            await until(lambda: world.upstreams[0].writers)
+            await asyncio.sleep(0.2)
+            for writer in world.upstreams[0].writers:
+                writer.transport.abort()
+            status, headers, _ = await asking
+            assert status == 503 and ends == [decide.BROKEN] and "retry-after" in headers
+
+
+@on_sockets
+async def test_a_client_that_leaves_in_the_middle_ends_what_it_began():
+    async with Sized(echo) as world:
+        reader, writer = await world.connect()
+        writer.write(post("Content-Length: 9000000") + pattern(300_000))
+        await until(lambda: world.upstreams[0].open == 1)
+        writer.close()
+        await until(lambda: world.upstreams[0].open == 0)
+        await until(lambda: world.bytes_held() == 0 and not world.sidecar.pool.turn.in_hand.carried)
+        assert not world.upstreams[0].seen
+
+
+@on_sockets
+async def test_slow_ends_are_served_and_stalled_ones_are_ended():
+    async with Sized(echo) as world:
+        reader, writer = await world.connect()
+        raw = post("Content-Length: 200000")
+        for at in range(0, len(raw), 20):       # a head in pieces, 1.2 s
+            writer.write(raw[at:at + 20])
+            await asyncio.sleep(1.2 / (len(raw) / 20))
+        body = pattern(200_000)
+        for at in range(0, len(body), 16_384):
+            writer.write(body[at:at + 16_384])
+            await asyncio.sleep(0.02)
+        head, headers = await read_head(reader)
+        assert head[0].startswith("HTTP/1.1 200") and await read_body(reader, headers, 2e6) == body
+        writer.close()
+        # Stalled, in a small body and in a long one; and an answer that nobody takes.
+        ends, writers = [], []
+        for name, size, sent in (("s", 900, 10), ("l", 900_000, 200_000)):
+            reader, writer = await world.connect()
+            writer.write(post(f"Content-Length: {size}", name=name) + pattern(sent))
+            ends.append(reader)
+            writers.append(writer)
+        await until(lambda: len(world.sidecar.front.clients) >= 2)
+        taker = await world.connect()
+        taker[1].transport.pause_reading()
+        await asyncio.sleep(0.3)
+        for one in world.sidecar.front.clients:
+            one.mark = one.came, one.mark[1] - 10
+            one.front.look_after()
+        for reader in ends:
+            assert (await reader.read()).startswith(b"HTTP/1.1 408")
+        for one in (taker[1], *writers):
+            one.close()
+
+
+@on_sockets
+async def test_an_answer_that_is_not_taken_is_cut_and_its_upstream_let_go():
+    def long(head, body):
+        yield b"HTTP/1.1 200 OK\r\nContent-Length: %d\r\n\r\n" % (30 * MEGABYTE)
+        yield pattern(30 * MEGABYTE)
+
+    async with Sized(long) as world:
+        reader, writer = await world.connect()
+        writer.write(post("Content-Length: 0"))
+        await read_head(reader)
+        writer.transport.pause_reading()
+        one, = world.sidecar.front.clients
+        await until(lambda: one.flushing)
+        await asyncio.sleep(0.5)
+        one.overdue(world.sidecar.loop.time())
+        assert not one.transport.is_closing()
+        one.mark = one.mark[0], one.mark[1] - 10
+        one.overdue(world.sidecar.loop.time())
+        await until(lambda: not world.sidecar.pool.turn.in_hand.carried and world.bytes_held() == 0)
+        await until(lambda: world.upstreams[0].open == 0)
+        writer.close()
+
+
+@on_sockets
+async def test_all_forms_of_http():
+    def forms(head, body):
+        verb, target, _ = head[0].split()
+        if verb == "HEAD":
+            yield b"HTTP/1.1 200 OK\r\nContent-Length: 123456\r\n\r\n"
+        elif "204" in target or "304" in target:
+            yield b"HTTP/1.1 %s X\r\nETag: 1\r\n\r\n" % target.split("/")[-1].encode()
+        else:
+            yield b"HTTP/1.1 102 Wait\r\n\r\nHTTP/1.1 103 Hints\r\nLink: x\r\n\r\n"
+            yield from echo(head, body)
+
+    async with Sized(forms) as world:
+        status, headers, _ = await exchange(world, post("", verb="HEAD"), verb="HEAD")
+        assert status == 200 and headers["content-length"] == "123456"
+        for number in ("204", "304"):
+            status, headers, _ = await exchange(world, post("", f"/m/{number}", number, verb="GET"))
+            assert status == int(number) and headers["etag"] == "1" and "content-length" not in headers
+        raw = post("Content-Length: 2", "http://api/m/5?x=1", "abs") + b"ab"
+        assert (await exchange(world, raw))[::2] == (200, b"ab")
+        assert world.upstreams[0].seen[-1][0][0] == "POST /m/5?x=1 HTTP/1.1"
+        raw = post("Content-Length: 2", "/m/1", "conn", 15000, "1.1", "POST",
+                   "cOnNeCtIoN: keep-alive, X-Own ,CLOSE", "X-Own: 1", "X-Other: 2")
+        status, headers, body = await exchange(world, raw + b"ab")
+        seen = "\n".join(world.upstreams[0].seen[-1][0]).lower()
+        assert headers["connection"] == "close" and "x-own" not in seen and "x-other: 2" in seen
+        raw = post("Content-Length: 2", "/m/1", "named", 15000, "1.1", "POST", "Connection: X-Request-ID")
+        assert (await exchange(world, raw + b"ab"))[0] == 200
+        for version, more, kept in (("1.0", (), "close"), ("1.0", ("Connection: keep-alive",), "keep-alive")):
+            raw = post("Content-Length: 2", "/m/1", f"old{kept}", 15000, version, "POST", *more)
+            status, headers, body = await exchange(world, raw + b"ab")
+            assert (status, headers["connection"], body) == (200, kept, b"ab")
+
+
+@on_sockets
+async def test_a_client_of_http_1_0_gets_a_long_answer_without_length_up_to_the_close():
+    async with Sized(in_chunks) as world:
+        body = pattern(300_000)
+        raw = post("Content-Length: 300000", "/m/1", "old", 15000, "1.0", "POST", "Connection: keep-alive")
+        status, headers, got = await exchange(world, raw + body)
+        assert status == 200 and "transfer-encoding" not in headers and headers["connection"] == "close"
+        assert got == body
+
+
+@on_sockets
+async def test_a_client_that_waits_for_100_gets_it_and_one_whose_body_is_too_long_does_not():
+    async with Sized(echo) as world:
+        for size in (5, 300_000):
+            reader, writer = await world.connect()
+            writer.write(post(f"Content-Length: {size}", "/m/1", f"a{size}", 15000, "1.1", "POST",
+                              "Expect: 100-Continue"))
+            assert (await read_head(reader))[0][0] == "HTTP/1.1 100 Continue"
+            writer.write(pattern(size))
+            head, headers = await read_head(reader)
+            assert head[0].startswith("HTTP/1.1 200") and await read_body(reader, headers) == pattern(size)
+            writer.close()
+        reader, writer = await world.connect()
+        writer.write(post("Content-Length: 99999999", "/m/1", "b", 15000, "1.1", "POST",
+                          "Expect: 100-continue"))
+        assert (await read_head(reader))[0][0].startswith("HTTP/1.1 413")
+        writer.close()
+
+
+@on_sockets
+async def test_pipelined_requests_around_a_long_one_are_answered_in_order():
+    async with Sized(echo) as world:
+        long = pattern(400_000)
+        raw = (post("Content-Length: 3", name="a") + b"one" + post("Content-Length: 400000", name="b") + long
+               + post("Transfer-Encoding: chunked", name="c") + chunked(b"three", 2)
+               + post("Content-Length: 0", name="d"))
+        reader, writer = await world.connect()
+
+        async def send():
+            for at in range(0, len(raw), 7000):
+                writer.write(raw[at:at + 7000])
+                await writer.drain()
+
+        sending = asyncio.create_task(send())
+        got = []
+        for _ in range(4):
+            head, headers = await read_head(reader)
+            got.append(await read_body(reader, headers))
+        assert got == [b"one", long, b"three", b""]
+        await sending
+        writer.close()
+
+
+@on_sockets
+async def test_messages_cut_at_every_byte_are_the_same_messages():
+    async with Sized(in_chunks) as world:
+        raw = (post("Transfer-Encoding: chunked", "http://api/m/1?q", "a", 15000, "1.1", "POST",
+                    "Connection: Keep-Alive")
+               + chunked(b"hello world", 4, b";a=b", b"X-T: 1\r\n")
+               + post("Content-Length: 5", name="b") + b"12345")
+        for cut in range(1, len(raw)):
+            reader, writer = await world.connect()
+            writer.transport.get_extra_info("socket").setsockopt(6, 1, 1)
+            writer.write(raw[:cut])
+            for _ in range(3):
+                await asyncio.sleep(0)
+            writer.write(raw[cut:])
+            got = []
+            for _ in range(2):
+                head, headers = await read_head(reader)
+                assert head[0].startswith("HTTP/1.1 200"), cut
+                got.append(await read_body(reader, headers))
+            assert got == [b"hello world", b"12345"], cut
+            writer.close()
+
+
+def test_answers_cut_at_every_byte_are_the_same_answers():
+    whole = [(b"HTTP/1.1 103 E\r\nA: b\r\n\r\nHTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n"
+              + chunked(b"hello world", 4, b";a=b", b"X-T: 1\r\n"), None),
+             (b"HTTP/1.1 200 OK\r\nCONTENT-LENGTH: 11\r\nConnection: keep-alive\r\n\r\nhello world", None),
+             (b"HTTP/1.1 200 OK\r\n\r\nhello world", Upstream.CLOSE)]
+
+    @on_sockets
+    async def scenario():
+        for raw, end in whole:
+            cuts = iter(range(1, len(raw)))
+
+            def answer(head, body, raw=raw, end=end, cuts=cuts):
+                cut = next(cuts)
+                yield raw[:cut]
+                yield 0.001
+                yield raw[cut:]
+                if end is not None:
+                    yield end
+
+            async with Sized(answer) as world:
+                for number in range(len(raw) - 1):
+                    status, _, body = await exchange(world, post("Content-Length: 0", name=f"a{number}"))
+                    assert (status, body) == (200, b"hello world"), number + 1
+
+    scenario()
+
+
+@on_sockets
+async def test_many_long_messages_at_once_stay_within_the_memory():
+    def long(head, body):
+        yield b"HTTP/1.1 200 OK\r\nContent-Length: %d\r\n\r\n" % (8 * MEGABYTE)
+        for _ in range(128):
+            yield b"y" * 65536
+
+    async with Sized(long, long, long, pace=4e6) as world:
+        world.sidecar.budget.limit(1024, 24)
+        world.sidecar.pool.balancer.sums = [100.0, 150.0, 10.0, 250.0, 15.0]
+        world.sidecar.pool.balancer.fit()
+        for zone in world.sidecar.pool.balancer.zones:
+            zone.window = 1000.0
+        most, sidecar = [0], world.sidecar
+        body = b"x" * (2 * MEGABYTE)
+
+        async def watch():
+            while True:
+                most[0] = max(most[0], sidecar.budget.bytes)
+                await asyncio.sleep(0.01)
+
+        watching = asyncio.create_task(watch())
+        asking = [exchange(world, post(f"Content-Length: {len(body)}", name=f"a{number}") + body, 2e7)
+                  for number in range(24)]
+        got = await asyncio.gather(*asking)
+        watching.cancel()
+        assert [status for status, _, _ in got] == [200] * 24
+        assert all(len(one) == 8 * MEGABYTE for _, _, one in got)
+        assert most[0] <= sidecar.budget.most_bytes     # 240 MB went through 4
+        assert sidecar.budget.bytes == 0 and resource.getrusage(resource.RUSAGE_SELF).ru_maxrss
+
+
+def test_a_flow_keeps_all_until_more_than_it_keeps_has_come_and_some_was_taken():
+    budget, told = Budget(100, 1), []
+    flow = Flow(budget, [b"a" * 70_000])
+    flow.lost = lambda: told.append(flow.total)
+    assert flow.full() and flow.take() and flow.rewind() and flow.size == 70_000
+    assert len(flow.take()) == 32_768 and flow.size < ROOM
+    flow.put(b"b" * 30_000)
+    assert flow.rewind() and flow.size == 100_000 and not told
+    while flow.take():
+        pass
+    assert not flow.full() and budget.bytes == 100_000
+    flow.put(b"c" * KEPT)
+    assert told == [100_000 + KEPT] and not flow.rewind() and budget.bytes == KEPT
+    flow.discard()
+    flow.put(b"d" * 1000)
+    assert not flow.full() and budget.bytes == 0 and not flow.take()
