--- a/shedgrade/turn.py
+++ b/shedgrade/turn.py
@@ -56,9 +56,9 @@
         """Of a long request: all of its bytes are `here` still; it is `whole`, its last byte has come."""
         self.gather(self.come, carried, here, whole, self.clock.now())
 
-    def flowing(self, transmission: Transmission, answer: Answer) -> None:
-        """A long answer has begun, and is its client's now."""
-        self.gather(self.flow, transmission, answer, self.clock.now())
+    def flowing(self, transmission: Transmission, answer: Answer, at: int) -> None:
+        """A long answer has begun, its head at `at`, and is its client's now."""
+        self.gather(self.flow, transmission, answer, at)
 
     def opened(self, transmission: Transmission) -> None:
         """A stream's connection is up: it is its client's now."""
@@ -308,6 +308,10 @@
                 transmission.until = moved + STILL
                 self.limit(transmission, transmission.until)
                 continue
+            if transmission.first is None and self.caller.in_time(transmission):
+                transmission.until = now + STILL    # it is its client's in this very turn
+                self.limit(transmission, transmission.until)
+                continue
             if self.caller.give_up(transmission):
                 self.caller.silent(transmission)
                 outcome = decide.TIMED_OUT
--- a/shedgrade/wire/application.py
+++ b/shedgrade/wire/application.py
@@ -12,6 +12,7 @@
 from shedgrade.memory.flow import PRESSED, SMALL, Flow, nothing
 from shedgrade.memory.in_hand import Answer, Carried, Request
 from shedgrade.wire.connection import (
+    BLANKS,
     LONGEST_BODY,
     LONGEST_HEAD,
     Connection,
@@ -325,7 +326,8 @@
     def on_header(self, name: bytes, value: bytes) -> None:
         if self.headed:     # what trails a body is not the head's
             return
-        if name.lower() == b"expect" and value.strip().lower() == b"100-continue":
+        value = value.strip(BLANKS)
+        if name.lower() == b"expect" and value.lower() == b"100-continue":
             self.expects = self.parser.get_http_version() != "1.0"
         self.headers.append((name, value))
         self.grown(len(name) + len(value), LONGEST_HEAD, 413)
--- a/shedgrade/wire/connection.py
+++ b/shedgrade/wire/connection.py
@@ -11,6 +11,7 @@
 # Headers that belong to one connection, or that each side writes anew.
 HOP = frozenset((b"connection", b"keep-alive", b"proxy-connection", b"te", b"trailer", b"transfer-encoding",
                  b"upgrade", b"content-length", b"expect"))
+BLANKS = b" \t"         # may stand round a header's value, and belong to nobody
 KNOWN_BY = frozenset((b"x-request-id", b"x-timeout-ms", b"x-retried", b"x-attrs", b"host"))
 
 
--- a/shedgrade/wire/upstream.py
+++ b/shedgrade/wire/upstream.py
@@ -6,10 +6,11 @@
 import httptools
 
 from shedgrade import decide
-from shedgrade.memory.flow import SMALL, Flow, nothing
+from shedgrade.memory.flow import PRESSED, SMALL, Flow, nothing
 from shedgrade.memory.idle import IdleConnections
 from shedgrade.memory.in_hand import Answer, Transmission
 from shedgrade.wire.connection import (
+    BLANKS,
     LONGEST_BODY,
     LONGEST_HEAD,
     Connection,
@@ -43,6 +44,7 @@
         self.ended_sending = self.failed = False
         self.feeding = self.resuming = False
         self.counted = 0        # bytes of an answer that is kept here, in the budget
+        self.answered_at = 0    # when the head of an answer was here
         self.heard_at = 0       # when bytes last came, or could not as nobody took them
         self.clear()
 
@@ -220,8 +222,21 @@
         """An answer that is longer than is kept, or than there is room for, goes on to its client."""
         if self.complete or self.coming is not None or not self.length or not self.status:
             return
-        if self.length <= SMALL and not (self.caller.budget.pressed() and self.length > 8192):
-            return
+        if max(self.length, self.said or 0) > SMALL or (
+                self.length > PRESSED and self.caller.budget.pressed()):
+            self.pass_on()
+
+    def in_time(self) -> bool:
+        """Its time is up. True if it is long, or may be, and has begun: that was in time, and it goes on."""
+        if self.transmission is None or self.coming is not None or self.complete or (
+                self.status // 100 != 2 or self.sending is not None or not self.whole):
+            return False
+        if self.said is not None and self.said <= SMALL:
+            return False
+        self.pass_on()
+        return True
+
+    def pass_on(self) -> None:
         if self.status // 100 != 2 or self.transmission is None or self.sending is not None:
             raise MessageError("long, and for nobody")
         budget, body, self.body = self.caller.budget, self.body, []
@@ -230,7 +245,7 @@
         self.coming.let_go()
         self.coming.room = self.resume
         self.answer = Answer(passed_on(self.headers), b"", self.status, self.coming, self.said)
-        self.caller.turn.flowing(self.transmission, self.answer)
+        self.caller.turn.flowing(self.transmission, self.answer, self.answered_at)
 
     def resume(self) -> None:
         """There is room again where a long answer goes. Not from within the taking, which may go on."""
@@ -251,6 +266,7 @@
     def on_header(self, name: bytes, value: bytes) -> None:
         if self.status:     # what trails a body is not the head's
             return
+        value = value.strip(BLANKS)
         self.headers.append((name, value))
         self.length += len(name) + len(value)
         if self.length > LONGEST_HEAD:
@@ -264,6 +280,7 @@
             self.headers = []
             return
         self.status, self.length, self.said = status, 0, declared(self.headers)
+        self.answered_at = self.caller.clock.now()
         self.framed = self.said is not None or any(
             name.lower() == b"transfer-encoding" for name, _ in self.headers)
         if self.bodiless:
@@ -407,6 +424,11 @@
         link.abort()
         return link.whole
 
+    def in_time(self, transmission: Transmission) -> bool:
+        """A long answer has begun to come when the time is up."""
+        link = transmission.link
+        return isinstance(link, UpstreamConnection) and link.transmission is transmission and link.in_time()
+
     def give_up(self, transmission: Transmission) -> bool:
         """Stops waiting, but leaves a connection open on which the whole request is the first one.
 
--- a/tests/size/test_size.py
+++ b/tests/size/test_size.py
@@ -112,6 +112,47 @@
         assert up.took < 5000       # what is learnt is the time to the first bytes
 
 
+@on_sockets
+async def test_a_long_answer_that_comes_slowly_is_begun_in_time_whether_it_says_its_length_or_not():
+    def slow(head, body):
+        said = "said" in head[0]
+        yield b"HTTP/1.1 200 OK\r\n" + (
+            b"Content-Length: 100000 \r\n\r\n" if said else b"Transfer-Encoding:\tchunked \r\n\r\n")
+        for at in range(0, 100_000, 10_000):
+            piece = pattern(10_000, at)
+            yield piece if said else chunked(piece, 10_000)[:-5]
+            yield 0.08
+        if not said:
+            yield b"0\r\n\r\n"
+
+    def late(head, body):       # short, and late: it is given up
+        yield b"HTTP/1.1 200 OK\r\nContent-Length: 1000\r\n\r\n" + b"x" * 999
+        yield 0.6
+        yield b"x"
+
+    def either(head, body):
+        return (late if "late" in head[0] else slow)(head, body)
+
+    async with Sized(either, methods=[method("once", soft=400.0, hard=400.0)]) as world:
+        assert (await exchange(world, post("Content-Length: 0", target="/m/warm/said", name="w")))[0] == 200
+        for target in ("/m/said", "/m/chunks"):
+            with outcomes() as ends:
+                status, _, body = await exchange(world, post("Content-Length: 0", target, target, 400))
+                assert (status, body) == (200, pattern(100_000))
+                await until(lambda ends=ends: ends)
+                assert ends == [decide.COMPLETED]
+        assert (await exchange(world, post("Content-Length: 0", "/m/late", "l", 400)))[0] == 502
+
+
+@on_sockets
+async def test_blanks_round_the_values_of_headers_are_nobodys():
+    async with Sized(echo) as world:
+        raw = (b"POST /m/1 HTTP/1.1\r\nhost:api \r\nX-REQUEST-ID: \ta1\t \r\nx-timeout-ms:900 \r\n"
+               b"Content-Length:  2 \r\n\r\nab")
+        assert (await exchange(world, raw))[::2] == (200, b"ab")
+        assert "X-REQUEST-ID: a1" in world.upstreams[0].seen[0][0]
+
+
 @on_sockets
 async def test_time_counts_from_the_last_byte_of_a_request():
     async with Sized(echo) as world:
--- a/tests/test_in_memory.py
+++ b/tests/test_in_memory.py
@@ -88,6 +88,9 @@
 
     give_up = stop
 
+    def in_time(self, transmission):
+        return False
+
     def abandon(self, transmission):
         pass
 
