--- a/shedgrade/capture/recorder.py
+++ b/shedgrade/capture/recorder.py
@@ -93,9 +93,9 @@
         self.rpc.started(lasting)
         self.home.keep(self.home.now, STARTED, self.number, lasting)
 
-    def coming(self, now: int, give_up_at: int, here: bool) -> int:
-        limit = self.rpc.coming(now, give_up_at, here)
-        self.home.keep(now, COMING, self.number, give_up_at - now, here, limit)
+    def coming(self, now: int, give_up_at: int, here: bool, whole: bool) -> int:
+        limit = self.rpc.coming(now, give_up_at, here, whole)
+        self.home.keep(now, COMING, self.number, give_up_at - now, here, whole, limit)
         return limit
 
     def gone(self, now: int) -> list[int]:
--- a/shedgrade/capture/replay.py
+++ b/shedgrade/capture/replay.py
@@ -180,8 +180,8 @@
             self.over(told[0])
             return told[1], got
         if op == COMING:
-            number, wait, here, limit = told
-            return limit, self.rpc(number).coming(now, now + wait, here)
+            number, wait, here, whole, limit = told
+            return limit, self.rpc(number).coming(now, now + wait, here, whole)
         if op == STARTED:
             self.rpc(told[0]).started(told[1])
             return None, None
--- a/shedgrade/capture/rows.py
+++ b/shedgrade/capture/rows.py
@@ -61,7 +61,7 @@
     ORDERED: ("ordered", "upstream out"),
     DIVIDED: ("divided", "part"),
     RETUNED: ("retuned", "settings"),
-    COMING: ("coming", "rpc give_up_at here limit"),
+    COMING: ("coming", "rpc give_up_at here whole limit"),
 }
 KIND = b"C"  # of the file's header
 BATCH = 512  # rows in a record: some 6 KB, a tenth of a second at 1,000 RPCs a second
--- a/shedgrade/decide.py
+++ b/shedgrade/decide.py
@@ -13,7 +13,7 @@
       None: nothing now.  (upstream, limit): transmit.  (EXHAUSTED, retry_after), (ERRORED, 0): final.
   rpc.ended(now, tx, outcome, took, settled, fresh)   fresh: first on its connection; returns what to stop
   rpc.started(lasting)                    a streamed answer has begun; lasting: a stream is open, and held
-  rpc.coming(now, give_up_at, here)       bytes of a long request came; here: none were let go
+  rpc.coming(now, give_up_at, here, whole)  bytes of a long request came; here: none let go; whole: the last
   rpc.gone(now)                           the client has left
   b.due(now)                              yields the handles to ask again; b.wake_at() says when to call next
   b.wants_list(now)                       True: subscribe to the list of upstreams now
@@ -157,10 +157,11 @@
         self.soft_end = min(now + method.soft, give_up_at) - home.slack
         self.end = give_up_at - home.slack if method.late else self.soft_end
 
-    def coming(self, now: int, give_up_at: int, here: bool) -> int:
+    def coming(self, now: int, give_up_at: int, here: bool, whole: bool) -> int:
         """A long request's time counts from its last byte; its new limit. Not all `here`, it goes no more."""
         self.here = here
         self.timed(now, give_up_at)
+        self.lasts(not whole)   # an upstream begins it once it is whole
         return max(1, self.end - now)
 
     def first_run(self) -> int | None:
@@ -236,8 +237,8 @@
                 elif up.bad > up.good:
                     # Only where more has failed than completed lately: elsewhere the work cut off is lost.
                     limit = min(limit, patience)
-        home.count_in(up, 1, 0)
-        self.out[len(self.tries)] = up.flight + up.crowd
+        home.count_in(up, 1 - self.lasting, int(self.lasting))
+        self.out[len(self.tries)] = max(1, up.flight) + up.crowd
         up.used = now
         self.tries.append(up)
         self.sent.append(now)
@@ -265,16 +266,17 @@
         return self.finish() if settled and not self.done else []
 
     def started(self, lasting: bool = False) -> None:
-        """A streamed answer has begun: this transmission is the client's now, and no other may follow.
-
-        `lasting`: a stream is open, for as long as both sides like. Guards against idle streams that would
-        fill windows and foreseen times: it counts as held, for passing over, and not as work in flight.
-        """
+        """A streamed answer has begun: this transmission is the client's now, and no other may follow."""
         self.again_at = None
-        if lasting and not self.lasting:
-            self.lasting = True
+        self.lasts(lasting or self.lasting)
+
+    def lasts(self, lasting: bool) -> None:
+        """Guards against streams, idle or slow, that would fill windows and foreseen times: one that is open
+        is held, for passing over, and is no work in flight."""
+        if lasting != self.lasting:
+            self.lasting = lasting
             for tx in self.out:
-                self.home.count_in(self.tries[tx], -1, 1)
+                self.home.count_in(self.tries[tx], 1 - 2 * lasting, 2 * lasting - 1)
 
     def gone(self, now: int) -> list[int]:
         return self.finish()
@@ -398,7 +400,6 @@
         self.part = part
 
     def relisted(self) -> None:
-        """What follows from any change of who is ready."""
         for zone in self.zones:
             if zone.moved:
                 self.deal(zone)
--- a/shedgrade/turn.py
+++ b/shedgrade/turn.py
@@ -175,6 +175,8 @@
             carried.tickets = (*carried.tickets, (gate, got, method, now))
         allowance = ALLOWANCE + int(self.lag)
         carried.rpc = self.balancer.take(now, method, give_up_at - allowance, retry, carried, tenant)
+        if carried.coming:
+            carried.rpc.coming(now, give_up_at - allowance, True, False)
         self.decide(now, carried)
 
     def end(self, now: int, transmission: Transmission, outcome: int, answer: Answer | None, at: int) -> None:
@@ -199,7 +201,7 @@
     def come(self, now: int, carried: Carried, here: bool, whole: bool, at: int) -> None:
         if carried.done or carried.rpc is None:
             return
-        limit = carried.rpc.coming(now, at + carried.wait * 10 - ALLOWANCE - int(self.lag), here)
+        limit = carried.rpc.coming(now, at + carried.wait * 10 - ALLOWANCE - int(self.lag), here, whole)
         if whole:
             carried.coming = False
             for transmission in carried.out.values():
@@ -214,7 +216,7 @@
         carried.opened, carried.coming = True, False
         transmission.first, transmission.until = at, now + STILL
         self.limit(transmission, transmission.until)
-        carried.rpc.started()
+        carried.rpc.started(True)
         self.stop(now, carried, [tx for tx in carried.out if tx != transmission.tx])
         self.actions.append((carried.client.flowing, (answer,)))
 
--- a/shedgrade/watch/watched.py
+++ b/shedgrade/watch/watched.py
@@ -42,10 +42,10 @@
         if self.shadow is not None:
             self.home.guarded(self.shadow.started, lasting)
 
-    def coming(self, now: int, give_up_at: int, here: bool) -> int:
-        limit = self.rpc.coming(now, give_up_at, here)
+    def coming(self, now: int, give_up_at: int, here: bool, whole: bool) -> int:
+        limit = self.rpc.coming(now, give_up_at, here, whole)
         if self.shadow is not None:
-            self.home.guarded(self.shadow.coming, now, give_up_at, here)
+            self.home.guarded(self.shadow.coming, now, give_up_at, here, whole)
         return limit
 
     def gone(self, now: int) -> list[int]:
