--- /dev/null
+++ b/benchmarks/door.py
@@ -0,0 +1,96 @@
+"""What is lost at the door when one of two processes stops listening, by way: `python benchmarks/door.py`.
+
+Clients connect, send, and read one answer, as fast as they can; the old process looks at its listening
+socket every 5 ms, as a busy loop would, and gives it up after half a second. Prints a line a way.
+"""
+import multiprocessing
+import socket
+import struct
+import sys
+import time
+from ctypes import addressof, create_string_buffer
+
+CLIENTS, ROUNDS = 6, 8
+SO_ATTACH_REUSEPORT_CBPF = 51
+WAYS = ("alone", "queue drained", "newcomer steered to, queue drained", "socket handed over")
+
+
+def listener(port: int) -> socket.socket:
+    made = socket.socket()
+    made.setsockopt(socket.SOL_SOCKET, socket.SO_REUSEPORT, 1)
+    made.bind(("127.0.0.1", port))
+    made.listen(1024)
+    made.setblocking(False)
+    return made
+
+
+def steer(made: socket.socket, place: int) -> None:
+    """All new connections go to the group's socket number `place`: a filter of one instruction."""
+    code = create_string_buffer(struct.pack("HBBI", 0x06, 0, 0, place))
+    program = struct.pack("HL", 1, addressof(code))
+    made.setsockopt(socket.SOL_SOCKET, SO_ATTACH_REUSEPORT_CBPF, program)
+
+
+def accept_all(made: socket.socket) -> None:
+    while True:
+        try:
+            one, _ = made.accept()
+        except BlockingIOError:
+            return
+        one.setblocking(True)
+        one.recv(10)
+        one.sendall(b"y")
+        one.close()
+
+
+def serve(made: socket.socket, until: float, drains: bool) -> None:
+    while time.monotonic() < until:
+        accept_all(made)
+        time.sleep(0.005)
+    if drains:
+        accept_all(made)
+    made.close()
+
+
+def ask(port: int, until: float, lost, asked) -> None:
+    while time.monotonic() < until:
+        asked.value += 1
+        try:
+            with socket.create_connection(("127.0.0.1", port), 2) as one:
+                one.sendall(b"x")
+                if one.recv(1) != b"y":
+                    lost.value += 1
+        except OSError:
+            lost.value += 1
+
+
+def run(way: str) -> tuple[int, int]:
+    start = multiprocessing.get_context("fork").Process
+    count, total = 0, 0
+    for _ in range(ROUNDS):
+        old = listener(0)
+        port = old.getsockname()[1]
+        new = old.dup() if way == "socket handed over" else listener(port)
+        if way.startswith("newcomer"):
+            steer(new, 1)
+        begin = time.monotonic()
+        counts = [(multiprocessing.Value("i"), multiprocessing.Value("i")) for _ in range(CLIENTS)]
+        children = [start(target=serve, args=(old, begin + 0.5, way != "alone")),
+                    start(target=serve, args=(new, begin + 1.2, True))]
+        children += [start(target=ask, args=(port, begin + 1.0, *pair)) for pair in counts]
+        for child in children:
+            child.start()
+        old.close()
+        new.close()
+        for child in children:
+            child.join()
+        count += sum(lost.value for lost, _ in counts)
+        total += sum(asked.value for _, asked in counts)
+    return count, total
+
+
+if __name__ == "__main__":
+    for way in WAYS:
+        lost, asked = run(way)
+        print(f"{way}: {lost} of {asked} lost in {ROUNDS} upgrades")
+    sys.exit(0)
--- a/shedgrade/lifecycle/upgrade.py
+++ b/shedgrade/lifecycle/upgrade.py
@@ -7,6 +7,7 @@
 from shedgrade.wire.discovery import ListError
 
 VERSION = 1
+SERVES = 10.0           # s within which a newer process must serve: it is owed a yes within 6
 SLACK = 8               # descriptors that the old process may still open while the new one takes its place
 
 
@@ -113,6 +114,7 @@
                 logger.warning("a second newer process came, it takes the first one's place")
                 self.newer.close()
             self.newer = link
+            self.loop.call_later(SERVES, self.late, link)
             self.told = self.sidecar.budget.held() + SLACK
             self.sidecar.budget.cap(self.told)
             self.sidecar.pool.turn.divided(0.5)
@@ -126,6 +128,12 @@
         elif line["what"] == "order":
             self.apply(line, self.older)
 
+    def late(self, link: Link) -> None:
+        """Guards against a newer process that stands still: this one would have half of everything for good."""
+        if link is self.newer and not self.replaced:
+            logger.warning("the newer process does not get to serve")
+            link.close()
+
     def newer_gone(self, link: Link) -> None:
         if link is not self.newer:
             return
--- a/tests/admin/test_upgrade.py
+++ b/tests/admin/test_upgrade.py
@@ -102,6 +102,8 @@
         loop, old = asyncio.get_running_loop(), world.sidecar
         link, state, handle = await loop.run_in_executor(None, meet, loop, rendezvous(world.config.listen))
         assert state["outs"] == [] and old.budget.most == old.upgrade.told
+        old.upgrade.late(link)      # it is another one that would be late
+        assert old.upgrade.newer is not None
         link.send({"what": "serving"})
         await until(lambda: old.upgrade.replaced)
         asking = asyncio.create_task(ask(world))    # it waits in the queue that both have
@@ -110,6 +112,11 @@
         link.close()
         handle.close()
         assert (await asking)[0] == 200 and old.budget.most > 100 and old.pool.balancer.part == 1.0
+        link, _, handle = await loop.run_in_executor(None, meet, loop, rendezvous(world.config.listen))
+        old.upgrade.late(old.upgrade.newer)     # it has stood still
+        assert old.upgrade.newer is None and old.budget.most > 100 and old.listener.accepting
+        link.close()
+        handle.close()
 
 
 @pytest.mark.parametrize("answer", [b"", b"{", b"[]\n", b'{"v":9,"what":"state"}\n',
