--- a/shedgrade/core/front.py
+++ b/shedgrade/core/front.py
@@ -76,7 +76,7 @@
         return unused is not None
 
     def room_for(self, count: int) -> bool:
-        return self.budget.bytes + count <= self.budget.most_bytes
+        return self.budget.asked + count <= self.budget.most_bytes
 
     def look_after(self) -> None:
         """Guards against clients that take up room: nothing said, half a request, an answer not taken."""
--- a/shedgrade/lifecycle/upgrade.py
+++ b/shedgrade/lifecycle/upgrade.py
@@ -129,7 +129,7 @@
             self.apply(line, self.older)
 
     def late(self, link: Link) -> None:
-        """Guards against a newer process that stands still: this one would have half of everything for good."""
+        """Guards against a newer process that stands still: this one would keep half of everything."""
         if link is self.newer and not self.replaced:
             logger.warning("the newer process does not get to serve")
             link.close()
--- a/shedgrade/memory/budget.py
+++ b/shedgrade/memory/budget.py
@@ -13,7 +13,8 @@
         self.elsewhere: int | None = None
         self.capped: int | None = None
         self.limit(sockets, memory_mb)
-        self.clients = self.upstreams = self.others = self.bytes = 0
+        self.clients = self.upstreams = self.others = 0
+        self.bytes = self.asked = 0     # all that is held; of that, by requests in hand
 
     def limit(self, sockets: int, memory_mb: int) -> None:
         self.sockets, self.memory_mb = sockets, memory_mb
--- a/shedgrade/memory/ring.py
+++ b/shedgrade/memory/ring.py
@@ -13,10 +13,11 @@
 
     Views that were handed out stay valid when the ring grows: they keep the old storage alive.
     """
-    __slots__ = ("store", "start", "size", "small", "most")
+    __slots__ = ("store", "start", "size", "small", "most", "budget")
 
-    def __init__(self, small: int = SMALL, most: int = MOST) -> None:
-        self.small, self.most = small, most
+    def __init__(self, small: int = SMALL, most: int = MOST, budget=None) -> None:
+        """`budget`: where what it holds beyond `small` is counted."""
+        self.small, self.most, self.budget = small, most, budget
         self.store, self.start, self.size = bytearray(small), 0, 0
 
     def __len__(self) -> int:
@@ -32,6 +33,8 @@
         while capacity < wanted:
             capacity *= 2
         fresh = bytearray(min(capacity, self.most))
+        if self.budget is not None:
+            self.budget.bytes += len(fresh) - len(self.store)
         at = 0
         for part in self.parts():
             fresh[at:at + len(part)] = part
@@ -79,4 +82,10 @@
             return
         self.start = 0
         if len(self.store) > self.small:
-            self.store = bytearray(self.small)
+            self.shrink()
+
+    def shrink(self) -> None:
+        """What waits here is given up: it is as large as at first."""
+        if self.budget is not None:
+            self.budget.bytes -= len(self.store) - self.small
+        self.store, self.start, self.size = bytearray(self.small), 0, 0
--- a/shedgrade/wire/application.py
+++ b/shedgrade/wire/application.py
@@ -31,8 +31,10 @@
 HEAD = 2.5              # s from its first byte within which a head must be whole: slow clients take 2
 MOVES = 2.0             # s within which so many bytes of a body must come, where they are read: slow clients
 STEP = 16 * 1024        # send four times as much
-TAKES = 5.0             # s within which an answer must be taken, or so much of a long one: a slow reader
-TAKEN = 32 * 1024       # takes ten times as much, and the kernels show it in steps of 64 KiB
+TAKES = 5.0             # s within which an answer must be taken, or so many bytes of it
+TAKES_LONG = 20.0       # the same for a long one: a reader's kernel that holds 6 MB tells of room again when
+                        # a sixteenth of that is free, which takes 6 s at 64 kB a second
+TAKEN = 32 * 1024       # bytes: a slow reader takes more even in the shorter time
 ONCE = (b"x-request-id", b"x-timeout-ms")       # headers of which a second one makes a request ambiguous
 LONGEST_TIMEOUT = 3_600_000     # ms that a client may say it waits: an hour, to keep out nonsense
 
@@ -42,7 +44,7 @@
 
     def __init__(self, front, who: str = "") -> None:
         """`who`: the name under which its owner has logged in, if it has."""
-        super().__init__()
+        super().__init__(front.budget)
         self.front, self.who = front, who
         self.parser = httptools.HttpRequestParser(self)
         self.requests: deque = deque()      # whole requests that came early
@@ -91,6 +93,7 @@
             self.out.discard()
         self.flow = self.out = None
         self.clear()
+        self.give_back()
         self.front.closed(self)
         self.parser = None      # holds on to this connection, which would wait for the collector
 
@@ -130,7 +133,8 @@
         count, at = self.mark
         if not waits or self.gone - waits - count >= TAKEN:
             self.mark = self.gone - waits, now
-        elif now - at > TAKES:
+        elif now - at > (TAKES if self.out is None else TAKES_LONG):
+            logger.info("an answer is cut: of {} bytes, {} were not taken", self.gone, waits)
             self.break_off()
 
     def give_up_coming(self) -> None:
@@ -436,6 +440,7 @@
         if self.transport.is_closing():
             return
         if answer is None:
+            logger.info("an answer is cut: its upstream broke off")
             self.break_off()
         elif self.out is None and not self.flushing:
             self.settled()
--- a/shedgrade/wire/connection.py
+++ b/shedgrade/wire/connection.py
@@ -3,6 +3,7 @@
 import socket
 from collections.abc import Iterable
 
+from shedgrade.memory.flow import PRESSED
 from shedgrade.memory.ring import Ring
 
 LONGEST_HEAD = 64 * 1024
@@ -41,8 +42,10 @@
     kernel did not take whole, and `resume_writing` once the kernel has all of it.
     """
 
-    def __init__(self) -> None:
-        self.incoming, self.outgoing = Ring(most=READ_AHEAD), Ring()
+    def __init__(self, budget=None) -> None:
+        """`budget`: of bytes, where there is one; short of them, less is read ahead."""
+        self.budget = budget
+        self.incoming, self.outgoing = Ring(most=READ_AHEAD, budget=budget), Ring(budget=budget)
         self.transport: asyncio.Transport | None = None
         self.flushing = self.reading_paused = False
 
@@ -67,6 +70,12 @@
             handle.detach()
         self.transport.abort()
 
+    def give_back(self) -> None:
+        """It is lost: its rings are nobody's, though the transport may still hold views of them."""
+        for ring in (self.incoming, self.outgoing):
+            ring.shrink()
+            ring.budget = None
+
     # --- reading
 
     def get_buffer(self, hint: int) -> memoryview:
@@ -75,7 +84,9 @@
     def buffer_updated(self, count: int) -> None:
         self.incoming.filled(count)
         self.read()
-        if self.incoming.full() and not self.reading_paused and not self.transport.is_closing():
+        full = self.incoming.full() or (
+            len(self.incoming) >= PRESSED and self.budget is not None and self.budget.pressed())
+        if full and not self.reading_paused and not self.transport.is_closing():
             self.transport.pause_reading()
             self.reading_paused = True
 
--- a/shedgrade/wire/upstream.py
+++ b/shedgrade/wire/upstream.py
@@ -31,7 +31,7 @@
     """One connection to an upstream; carries one transmission at a time."""
 
     def __init__(self, caller: "Caller", upstream: int, address: tuple[str, int]) -> None:
-        super().__init__()
+        super().__init__(caller.budget)
         self.caller, self.upstream, self.address = caller, upstream, address
         self.parser = httptools.HttpResponseParser(self)
         self.transmission: Transmission | None = None
@@ -122,6 +122,7 @@
         # Only bytes that never left prove that it never ran; once the last may have left, a reset doesn't.
         self.end(decide.DROPPED if self.whole else decide.BROKEN)
         self.clear()
+        self.give_back()
         self.parser = None      # holds on to this connection, which would wait for the collector
 
     def eof_received(self) -> bool:
