--- a/shedgrade/wire/upstream.py
+++ b/shedgrade/wire/upstream.py
@@ -229,7 +229,9 @@
 
     def in_time(self) -> bool:
         """Its time is up. True if it is long, or may be, and has begun: that was in time, and it goes on."""
-        if self.transmission is None or self.coming is not None or self.complete or (
+        if self.coming is not None:
+            return True     # it has just gone on, and the turn that is to hear of it is this one
+        if self.transmission is None or self.complete or (
                 self.status // 100 != 2 or self.sending is not None or not self.whole):
             return False
         if self.said is not None and self.said <= SMALL:
--- a/tests/size/test_size.py
+++ b/tests/size/test_size.py
@@ -144,6 +144,22 @@
         assert (await exchange(world, post("Content-Length: 0", "/m/late", "l", 400)))[0] == 502
 
 
+@on_sockets
+async def test_a_long_answer_that_goes_on_in_the_pass_in_which_its_time_is_up_goes_on():
+    async with Sized(echo) as world:
+        turn, flowing = world.sidecar.pool.turn, world.sidecar.pool.turn.flowing
+
+        def just_in_time(transmission, answer, at):
+            transmission.until = world.sidecar.clock.now()
+            turn.limit(transmission, transmission.until)
+            flowing(transmission, answer, at)
+
+        turn.flowing = just_in_time
+        body = pattern(300_000)
+        status, _, got = await exchange(world, post("Content-Length: 300000") + body)
+        assert (status, got) == (200, body)
+
+
 @on_sockets
 async def test_blanks_round_the_values_of_headers_are_nobodys():
     async with Sized(echo) as world:
