--- /dev/null
+++ b/tests/capture/test_operating.py
@@ -0,0 +1,64 @@
+"""Operators' orders, other settings, an upgrade's division and long requests, captured and replayed."""
+from types import SimpleNamespace
+
+from helpers import method, row, settings
+
+from shedgrade import decide
+from shedgrade.capture.recorder import Recorder
+from shedgrade.capture.replay import Replay
+from shedgrade.capture.rows import Ring
+from shedgrade.core import frames
+from shedgrade.watch.config import overlaid
+from shedgrade.watch.follower import Follower
+from shedgrade.watch.watched import Watched
+
+
+def tag(name):
+    return SimpleNamespace(request=SimpleNamespace(name=name))
+
+
+def happen(b):
+    """Orders, retuning and a long request between two RPCs; what was decided, in order."""
+    conf = settings([method("once", soft=9e3, hard=9e3)])
+    b.list_changed(0, [row(up) for up in range(3)], True, True)
+    found = []
+    for now, step in enumerate(("rpc", "out", "rpc", "long", "divide", "tune", "rpc", "back", "rpc", "rpc")):
+        now *= 100
+        if step in ("out", "back"):
+            b.ordered(now, 1, step == "out")
+        elif step == "divide":
+            b.divided(0.5)
+        elif step == "tune":
+            b.retuned({**conf, "methods": [method("repeatable")], "tick": 5.0})
+        else:
+            rpc = b.take(now, 0, now + 80_000, False, tag(b"%d" % now))
+            if step == "long":
+                rpc.coming(now, now + 80_000, True, False)
+            found.append(rpc.decide(now))
+            if step == "long":
+                found.append(rpc.coming(now + 50, now + 80_050, False, True))
+            found.append(rpc.ended(now + 60, 0, decide.COMPLETED, 60, True))
+    return found
+
+
+def test_what_operators_order_is_captured_and_replayed_without_a_difference():
+    ring = Ring(1 << 20)
+    recorder = Recorder(settings([method("once", soft=9e3, hard=9e3)]), 7, 0, ring)
+    happen(recorder)
+    recorder.flush()
+    _, records, _ = frames.read(ring.data(), b"C")
+    replay = Replay(records)
+    assert list(replay.run()) == [] and replay.calls > 20 and replay.left_out == 0
+    assert replay.settings["tick"] == 5.0 and replay.balancer.part == 0.5
+
+
+def test_a_follower_is_told_of_the_same_and_its_own_settings_stay():
+    conf = settings([method("once", soft=9e3, hard=9e3)])
+    over = {"limits": {"most_transmissions": 1}}
+    watched = Watched(decide.Balancer(conf, 7, 0), lambda: Follower(overlaid(conf, over), 7, 0),
+                      lambda fresh: overlaid(fresh, over))
+    alone = decide.Balancer(conf, 7, 0)
+    assert happen(watched) == happen(alone)
+    assert watched.follower is not None and watched.follower.most == 1 < watched.inner.most
+    assert watched.follower.slack == watched.inner.slack == 100 and watched.follower.part == 0.5
+    assert watched.follower.ups[1].back_at == alone.ups[1].back_at > 0
