--- a/benchmarks/door.py
+++ b/benchmarks/door.py
@@ -43,7 +43,8 @@
         one.close()
 
 
-def serve(made: socket.socket, until: float, drains: bool) -> None:
+def serve(made: socket.socket, other: socket.socket, until: float, drains: bool) -> None:
+    other.close()       # a copy that a child keeps would keep the socket open
     while time.monotonic() < until:
         accept_all(made)
         time.sleep(0.005)
@@ -52,7 +53,9 @@
     made.close()
 
 
-def ask(port: int, until: float, lost, asked) -> None:
+def ask(port: int, sockets: tuple, until: float, lost, asked) -> None:
+    for one in sockets:
+        one.close()
     while time.monotonic() < until:
         asked.value += 1
         try:
@@ -75,9 +78,9 @@
             steer(new, 1)
         begin = time.monotonic()
         counts = [(multiprocessing.Value("i"), multiprocessing.Value("i")) for _ in range(CLIENTS)]
-        children = [start(target=serve, args=(old, begin + 0.5, way != "alone")),
-                    start(target=serve, args=(new, begin + 1.2, True))]
-        children += [start(target=ask, args=(port, begin + 1.0, *pair)) for pair in counts]
+        children = [start(target=serve, args=(old, new, begin + 0.5, way != "alone")),
+                    start(target=serve, args=(new, old, begin + 1.2, True))]
+        children += [start(target=ask, args=(port, (old, new), begin + 1.0, *pair)) for pair in counts]
         for child in children:
             child.start()
         old.close()
