--- a/shedgrade/wire/application.py
+++ b/shedgrade/wire/application.py
@@ -32,9 +32,9 @@
 MOVES = 2.0             # s within which so many bytes of a body must come, where they are read: slow clients
 STEP = 16 * 1024        # send four times as much
 TAKES = 5.0             # s within which an answer must be taken, or so many bytes of it
-TAKES_LONG = 20.0       # the same for a long one: a reader's kernel that holds 6 MB tells of room again when
-                        # a sixteenth of that is free, which takes 6 s at 64 kB a second
-TAKEN = 32 * 1024       # bytes: a slow reader takes more even in the shorter time
+TAKES_LONG = 20.0       # the same for a long one: at 64 kB a second a reader's kernel was seen to tell of
+                        # room every 2 s (a probe), and one that holds more may do so later
+TAKEN = 32 * 1024       # bytes: such a reader takes more even in the shorter time
 ONCE = (b"x-request-id", b"x-timeout-ms")       # headers of which a second one makes a request ambiguous
 LONGEST_TIMEOUT = 3_600_000     # ms that a client may say it waits: an hour, to keep out nonsense
 
