--- a/shedgrade/replication/messages.py
+++ b/shedgrade/replication/messages.py
@@ -1,5 +1,5 @@
-"""What members say to one another, and the record of an epoch. All are msgspec Structs, tagged by their
-name.
+"""What members say to one another, and the record of an epoch. All are msgspec Structs. Their tags and the order
+of their fields are what members of other versions read: a class or field may be renamed, a tag may not.
 
 A mark (epoch, sequence) names one change: the epoch that decided it and its place in the one chain. An
 incarnation is the number that a process draws with an empty disk; 0 is a founder that was not heard yet."""
@@ -30,7 +30,7 @@
     active: bool
 
 
-class Hello(Struct, frozen=True, tag=True, array_like=True):
+class Hello(Struct, frozen=True, tag="Hello", array_like=True):
     """A process that wants to join, or that lost sight of the primary."""
     incarnation: int
     name: str
@@ -40,13 +40,13 @@
     finished: Mark
 
 
-class Whereabouts(Struct, frozen=True, tag=True, array_like=True):
+class Whereabouts(Struct, frozen=True, tag="Whereabouts", array_like=True):
     """Answer to a hello by who is not the primary: what it knows."""
     primary: str | None
     record: EpochRecord
 
 
-class PreVote(Struct, frozen=True, tag=True, array_like=True):
+class PreVote(Struct, frozen=True, tag="PreVote", array_like=True):
     """Would you promise? Binds nobody."""
     incarnation: int
     number: int
@@ -55,7 +55,7 @@
     sequence: int
 
 
-class PreVoteReply(Struct, frozen=True, tag=True, array_like=True):
+class PreVoteReply(Struct, frozen=True, tag="PreVoteReply", array_like=True):
     incarnation: int
     founding: bool
     number: int
@@ -65,14 +65,14 @@
     record: EpochRecord | None
 
 
-class Prepare(Struct, frozen=True, tag=True, array_like=True):
+class Prepare(Struct, frozen=True, tag="Prepare", array_like=True):
     """Asks for a promise to accept nothing under `number` from now on."""
     incarnation: int
     number: int
     record: EpochRecord
 
 
-class Promise(Struct, frozen=True, tag=True, array_like=True):
+class Promise(Struct, frozen=True, tag="Promise", array_like=True):
     """Synced before it is sent. `accepted` is the epoch as whose holder the sender has the state at `mark`;
     `finished` is the finished state that it has in memory, a witness too."""
     incarnation: int
@@ -86,7 +86,7 @@
     leaving: bool = False
 
 
-class Refusal(Struct, frozen=True, tag=True, array_like=True):
+class Refusal(Struct, frozen=True, tag="Refusal", array_like=True):
     """The sender has promised a higher number, or knows a newer epoch."""
     incarnation: int
     number: int
@@ -94,14 +94,14 @@
     record: EpochRecord
 
 
-class Fetch(Struct, frozen=True, tag=True, array_like=True):
+class Fetch(Struct, frozen=True, tag="Fetch", array_like=True):
     """A candidate asks for the state that a promise told of; it has those at the two marks."""
     number: int
     mark: Mark
     finished: Mark
 
 
-class Transfer(Struct, frozen=True, tag=True, array_like=True):
+class Transfer(Struct, frozen=True, tag="Transfer", array_like=True):
     """With `base` the changes lead from there to `mark`, else they are all of it."""
     number: int
     mark: Mark
@@ -109,7 +109,7 @@
     changes: Changes
 
 
-class Install(Struct, frozen=True, tag=True, array_like=True):
+class Install(Struct, frozen=True, tag="Install", array_like=True):
     """A new epoch for one of its holders. With `base` the changes lead from there to `mark`, else they are
     all of it."""
     record: EpochRecord
@@ -118,12 +118,12 @@
     changes: Changes
 
 
-class Installed(Struct, frozen=True, tag=True, array_like=True):
+class Installed(Struct, frozen=True, tag="Installed", array_like=True):
     incarnation: int
     number: int
 
 
-class Replicate(Struct, frozen=True, tag=True, array_like=True):
+class Replicate(Struct, frozen=True, tag="Replicate", array_like=True):
     """One write, from the primary to a backup."""
     epoch: int
     sequence: int
@@ -131,7 +131,7 @@
     changes: Changes
 
 
-class Learn(Struct, frozen=True, tag=True, array_like=True):
+class Learn(Struct, frozen=True, tag="Learn", array_like=True):
     """Finished state for who holds none. With `base` the changes lead from there, and from each position of
     the chain between the two, to `mark`, else they are all of it."""
     epoch: int
@@ -140,7 +140,7 @@
     changes: Changes
 
 
-class Heartbeat(Struct, frozen=True, tag=True, array_like=True):
+class Heartbeat(Struct, frozen=True, tag="Heartbeat", array_like=True):
     """`round` numbers the confirming rounds of the primary, 0 asks for no ack; the record goes with it to
     who lacks it. `confirmed_ago`: s since a majority of the members confirmed that the sender is the
     primary."""
@@ -151,7 +151,7 @@
     confirmed_ago: float = 0.0
 
 
-class Ack(Struct, frozen=True, tag=True, array_like=True):
+class Ack(Struct, frozen=True, tag="Ack", array_like=True):
     """The answer to Heartbeat, Replicate and Learn. `received` and `durable` are sequences in this epoch,
     or -1. `synced`: the position of the state on the sender's disk, which may be none of the chain."""
     epoch: int
@@ -168,17 +168,17 @@
     synced: Mark = (0, 0)
 
 
-class HandOver(Struct, frozen=True, tag=True, array_like=True):
+class HandOver(Struct, frozen=True, tag="HandOver", array_like=True):
     """The primary of `epoch` asks the receiver to take over."""
     epoch: int
 
 
-class LeaveGranted(Struct, frozen=True, tag=True, array_like=True):
+class LeaveGranted(Struct, frozen=True, tag="LeaveGranted", array_like=True):
     """The primary of `epoch` can do without the receiver, which has asked for its leave."""
     epoch: int
 
 
-class Piece(Struct, frozen=True, tag=True, array_like=True):
+class Piece(Struct, frozen=True, tag="Piece", array_like=True):
     """Part `index` of `count` of a message that is too big to hold up the others behind it."""
     id: int
     index: int
@@ -186,7 +186,7 @@
     body: bytes
 
 
-class PieceAck(Struct, frozen=True, tag=True, array_like=True):
+class PieceAck(Struct, frozen=True, tag="PieceAck", array_like=True):
     """`next`: the first piece that is still lacking."""
     id: int
     next: int
--- /dev/null
+++ b/tests/stored/struct_examples.py
@@ -0,0 +1,159 @@
+"""Examples of structs that are sent or stored: one value for each class, with a distinct value in each field.
+
+`python tests/stored/struct_examples.py FILE` writes examples of all classes of `STRUCTS` that the file lacks; what
+it holds already stays as the program wrote it then, since these bytes stand for processes and disks of that program.
+"""
+
+import importlib
+import itertools
+import json
+import sys
+from collections.abc import Iterator
+from pathlib import Path
+from typing import Any
+
+import msgspec
+from msgspec import inspect
+
+# Sent between processes, positional (array-like), most of them with a tag.
+SENT = {
+    "controlplane.channels": "Outcome Relayed",
+    "controlplane.duties": "Acknowledgement Ballot Heartbeat Vacated Vote",
+    "controlplane.orders": "Conflict Evacuate PatchConfiguration PutConfiguration Reply Return",
+    "knowledge": "Ask AskList ControlChange EdgeHeard EdgeSeen EdgeState EdgesKnown Instance ListMoved Model Told",
+    "loads.messages": "LoadReport LoadsShared LoadsTold",
+    "membership.messages": "Descriptor Digest Finding Inquiry Node Notice Ping Pong Query Rumour Shuffle Shuffled",
+    "record.ledger": "AskRecord RecordMoved RecordRead",
+    "replication.messages": "Ack EpochRecord Fetch HandOver Heartbeat Hello Install Installed Learn LeaveGranted Peer "
+    "Piece PieceAck PreVote PreVoteReply Prepare Promise Refusal Replicate Transfer Whereabouts",
+}
+# Written to disk, or read from users' files, by the names of their fields.
+STORED = {
+    "capture.config": "Capture",
+    "controlplane.delta": "Named RouteFields SplitFields",
+    "core.learnt": "Export",
+    "lab.scenario": "Callers Class Discovery Fault Fleet Group Judging Load Method SavedStart Scenario Settings Shape "
+    "Sidecars Trace",
+    "lifecycle.features": "Features",
+    "quota.config": "Fleet LimitTable NodeTable Quota",
+    "quota.state": "Counted Saved SavedDebt",
+    "saved.config": "Saved",
+    "saved.trust": "Trusting",
+    "tunnel.config": "MethodTable PoolTable ProxyTable RouteTable Tunnel",
+    "watch.config": "Watch",
+}
+STRUCTS = [
+    f"{module}:{name}"
+    for table in (SENT, STORED)
+    for module, names in table.items()
+    for name in names.split()
+]
+
+
+def within(number: float, least: float | None, most: float | None) -> float:
+    """The number, moved between the bounds of its field."""
+    least = least or 0
+    if most is None:
+        return number + least
+    return least + number % (most - least)
+
+
+class Examples:
+    """Draws values that differ from field to field."""
+
+    def __init__(self) -> None:
+        self.numbers = itertools.count(1)
+        self.truths = itertools.cycle((True, False))
+        self.open: list[type] = []  # classes whose example is being made
+
+    def of(self, kind: inspect.Type) -> Any:
+        """A value of that type."""
+        number = next(self.numbers)
+        match kind:
+            case inspect.IntType(ge=least, le=most):
+                return int(within(number, least, most))
+            case inspect.FloatType(ge=least, gt=above, le=most, lt=below):
+                return within(
+                    number + 0.5, above if least is None else least, below if most is None else most
+                )
+            case inspect.StrType():
+                return f"text-{number}"
+            case inspect.BytesType():
+                return b"\x00bytes-%d" % number
+            case inspect.BoolType():
+                return next(self.truths)
+            case inspect.LiteralType(values=values):
+                return values[number % len(values)]
+            case inspect.ListType(item_type=item) | inspect.VarTupleType(item_type=item):
+                values = [self.of(item), self.of(item)]
+                return tuple(values) if isinstance(kind, inspect.VarTupleType) else values
+            case inspect.SetType(item_type=item) | inspect.FrozenSetType(item_type=item):
+                return frozenset((self.of(item),))
+            case inspect.TupleType(item_types=items):
+                return tuple(map(self.of, items))
+            case inspect.DictType(value_type=inspect.StructType(cls=cls)) if cls in self.open:
+                return {}  # a class that holds itself
+            case inspect.DictType(key_type=key, value_type=value):
+                return {self.of(key): self.of(value)}
+            case inspect.UnionType(types=types):
+                return self.of(next(filter(self.is_possible, types), inspect.NoneType()))
+            case inspect.StructType(cls=cls, fields=fields) | inspect.DataclassType(cls=cls, fields=fields):
+                self.open.append(cls)
+                values = {field.name: self.of(field.type) for field in fields}
+                self.open.pop()
+                return cls(**values)
+            case inspect.AnyType():
+                return f"any-{number}"
+            case inspect.NoneType():
+                return None
+            case inspect.Metadata(type=inner):
+                return self.of(inner)
+        raise TypeError(f"no example for {kind}")
+
+    def is_possible(self, kind: inspect.Type) -> bool:
+        """Whether an example of that member of a union can be made here: None says little, and a class ends."""
+        return not isinstance(kind, inspect.NoneType) and getattr(kind, "cls", None) not in self.open
+
+
+def encode(value: msgspec.Struct) -> str:
+    """As it is sent (MessagePack, in hexadecimal digits) or as it stands in a file (JSON)."""
+    if type(value).__struct_config__.array_like:
+        return msgspec.msgpack.encode(value).hex()
+    return msgspec.json.encode(value).decode()
+
+
+def decode(text: str, cls: type[msgspec.Struct]) -> msgspec.Struct:
+    """What `encode` wrote."""
+    if cls.__struct_config__.array_like:
+        return msgspec.msgpack.decode(bytes.fromhex(text), type=cls)
+    return msgspec.json.decode(text, type=cls)
+
+
+def plain(value: Any) -> Any:
+    """The value as JSON can hold it."""
+    return json.loads(json.dumps(msgspec.to_builtins(value, str_keys=True)))
+
+
+def example(cls: type[msgspec.Struct]) -> dict[str, Any]:
+    """The encoded form of one value, and the value of each field."""
+    value = Examples().of(inspect.type_info(cls))
+    fields = {name: plain(getattr(value, name)) for name in cls.__struct_fields__}
+    return {"encoded": encode(value), "fields": fields}
+
+
+def missing(known: dict[str, Any]) -> Iterator[str]:
+    """Names of `STRUCTS` without an example."""
+    return (name for name in STRUCTS if name not in known)
+
+
+def main(path: Path) -> None:
+    """Adds what the file lacks."""
+    known = json.loads(path.read_text()) if path.exists() else {}
+    for name in missing(known):
+        module, cls = name.split(":")
+        known[name] = example(getattr(importlib.import_module(f"shedgrade.{module}"), cls))
+    path.write_text(json.dumps(known, indent=1) + "\n")
+
+
+if __name__ == "__main__":
+    main(Path(sys.argv[1]))
--- /dev/null
+++ b/tests/stored/test_sidecar_files_as_found.py
@@ -0,0 +1,115 @@
+"""Files of a sidecar that an earlier program wrote: captures, the saved endpoint list, learnt state, quota counts."""
+
+import json
+import shutil
+from pathlib import Path
+
+import pytest
+from helpers import method, row, settings
+
+from shedgrade import decide
+from shedgrade.capture.replay import Replay
+from shedgrade.capture.rows import KIND
+from shedgrade.capture.state import freeze, thaw
+from shedgrade.core import frames, lasting, learnt
+from shedgrade.quota import state as quota_state
+from shedgrade.quota.accounts import Limit, Terms
+from shedgrade.quota.tree import Node, Tree
+from shedgrade.saved.files import Files
+from shedgrade.saved.picture import Moment
+from shedgrade.saved.recovery import recover
+from shedgrade.saved.store import Store
+
+DATA = Path(__file__).parent.parent / "data"
+
+
+def records_of(name):
+    number, records, reason = frames.read((DATA / "capture" / name).read_bytes(), KIND)
+    assert (number, reason) == (0, "")
+    return records
+
+
+@pytest.mark.parametrize("name", ["from-start.bin", "from-checkpoint.bin"])
+def test_a_capture_replays_to_the_same_decisions(name):
+    records = records_of(name)
+    replay = Replay(records)
+    assert list(replay.run()) == []
+    assert replay.calls > 1000
+    assert not replay.left_out
+
+
+@pytest.mark.parametrize("name", ["from-start.bin", "from-checkpoint.bin"])
+def test_a_checkpoint_goes_in_and_comes_out_with_the_same_names(name):
+    """So an earlier program reads the captures of this one."""
+    states = [record["state"] for record in records_of(name) if record["k"] == "state"]
+    assert states
+    for state in states:
+        balancer, rpcs = thaw(state, decide)
+        again = json.loads(json.dumps(freeze(balancer, lambda tag: tag, rpcs.values())))
+        expected = json.loads(json.dumps(state))
+        assert again["v"] == expected["v"] == 6
+        assert list(again["balancer"]) == list(expected["balancer"])
+        assert again["random"] == expected["random"]
+        by_class = {name: sorted(fields) for name, fields in expected["rows"]}
+        assert {name: sorted(fields) for name, fields in again["rows"]} == by_class
+        assert len(again["rows"]) == len(expected["rows"])
+
+
+def test_the_saved_endpoint_list_comes_back(tmp_path):
+    folder = tmp_path / "saved"
+    shutil.copytree(DATA / "saved", folder)
+    found = recover(Files(folder), "n1")
+    assert (found.number, found.aside, found.newer, found.said) == (3, [], [], "")
+    picture = found.picture
+    assert {name: row.state for name, row in picture.rows.items()} == {
+        "u1": "terminating",
+        "u3": "in_service",
+        "u4": "in_service",
+        "u5": "in_service",
+    }
+    assert picture.gone == {"u2": Moment(1_004_000, "boot", 4000)}
+    assert (picture.generation, picture.owner) == (7, "n1")
+    assert picture.confirmed == Moment(1_007_000, "boot", 7000)
+    assert picture.state == json.loads((DATA / "learnt.json").read_text())
+    assert picture.quota == json.loads((DATA / "quota.json").read_text())
+
+
+def test_a_store_goes_on_from_the_saved_endpoint_list(tmp_path):
+    folder = tmp_path / "saved"
+    shutil.copytree(DATA / "saved", folder)
+    store = Store(Files(folder), "n1", lambda: Moment(1_020_000, "boot", 20_000), "always")
+    assert sorted(store.open().picture.rows) == ["u1", "u3", "u4", "u5"]
+    store.close()
+
+
+def test_learnt_state_is_taken_over_and_written_alike():
+    stored = json.loads((DATA / "learnt.json").read_text())
+    balancer = decide.Balancer(settings([method("once")], zones=2), 1, 0)
+    balancer.list_changed(0, [row(index, index % 2) for index in range(8)], True, True)
+    known = {f"u{index}": index for index in range(8)}
+    state = learnt.from_disk(stored, known, ["a", "b"], ["std"])
+    assert state is not None
+    lasting.restore(balancer, 0, state, 0.0)
+    again = learnt.to_disk(
+        lasting.export(balancer, 0), [f"u{index}" for index in range(8)], ["a", "b"], ["std"]
+    )
+    assert list(again) == list(stored)
+    assert again["sums"] == pytest.approx(stored["sums"])
+    assert again["memory"] == stored["memory"]
+    assert again["windows"] == stored["windows"]
+    assert sorted(one[0] for one in again["ups"]) == sorted(one[0] for one in stored["ups"])
+    assert again["kinds"] == [pytest.approx(kind) for kind in stored["kinds"]]
+
+
+def test_quota_counts_are_taken_over_and_written_alike():
+    stored = json.loads((DATA / "quota.json").read_text())
+    length, root = 1000, Node("all", None, (Limit("requests", 1000, 100),), Terms())
+    Node("a", root, (Limit("requests", length, 100, 60),))
+    Node("b", root, (Limit("requests", length, 80, 40),))
+    tree = Tree(root)
+    said = quota_state.restore(tree, stored, 2000, 1_700_000_000_000)
+    assert said == "saved counts are back: 170 in windows, 0 owed"
+    again = json.loads(json.dumps(quota_state.export(tree, 2000, 1_700_000_000_000)))
+    assert [list(one) for one in again["counted"]] == [list(one) for one in stored["counted"]]
+    assert [one["names"] for one in again["counted"]] == [one["names"] for one in stored["counted"]]
+    assert list(again) == list(stored)
