--- a/tests/stored/struct_examples.py
+++ b/tests/stored/struct_examples.py
@@ -1,7 +1,8 @@
 """Examples of structs that are sent or stored: one value for each class, with a distinct value in each field.
 
-`python tests/stored/struct_examples.py FILE` writes examples of all classes of `STRUCTS` that the file lacks; what
-it holds already stays as the program wrote it then, since these bytes stand for processes and disks of that program.
+`python tests/stored/struct_examples.py FILE` writes examples of all classes of `STRUCTS` that the file lacks;
+what it holds already stays as the program wrote it then, since these bytes stand for processes and disks of
+that program.
 """
 
 import importlib
@@ -20,20 +21,22 @@
     "controlplane.channels": "Outcome Relayed",
     "controlplane.duties": "Acknowledgement Ballot Heartbeat Vacated Vote",
     "controlplane.orders": "Conflict Evacuate PatchConfiguration PutConfiguration Reply Return",
-    "knowledge": "Ask AskList ControlChange EdgeHeard EdgeSeen EdgeState EdgesKnown Instance ListMoved Model Told",
+    "knowledge": "Ask AskList ControlChange EdgeHeard EdgeSeen EdgeState EdgesKnown Instance ListMoved Model "
+    "Told",
     "loads.messages": "LoadReport LoadsShared LoadsTold",
-    "membership.messages": "Descriptor Digest Finding Inquiry Node Notice Ping Pong Query Rumour Shuffle Shuffled",
+    "membership.messages": "Descriptor Digest Finding Inquiry Node Notice Ping Pong Query Rumour Shuffle "
+    "Shuffled",
     "record.ledger": "AskRecord RecordMoved RecordRead",
-    "replication.messages": "Ack EpochRecord Fetch HandOver Heartbeat Hello Install Installed Learn LeaveGranted Peer "
-    "Piece PieceAck PreVote PreVoteReply Prepare Promise Refusal Replicate Transfer Whereabouts",
+    "replication.messages": "Ack EpochRecord Fetch HandOver Heartbeat Hello Install Installed Learn "
+    "LeaveGranted Peer Piece PieceAck PreVote PreVoteReply Prepare Promise Refusal Replicate Transfer Whereabouts",
 }
 # Written to disk, or read from users' files, by the names of their fields.
 STORED = {
     "capture.config": "Capture",
     "controlplane.delta": "Named RouteFields SplitFields",
     "core.learnt": "Export",
-    "lab.scenario": "Callers Class Discovery Fault Fleet Group Judging Load Method SavedStart Scenario Settings Shape "
-    "Sidecars Trace",
+    "lab.scenario": "Callers Class Discovery Fault Fleet Group Judging Load Method SavedStart Scenario Settings "
+    "Shape Sidecars Trace",
     "lifecycle.features": "Features",
     "quota.config": "Fleet LimitTable NodeTable Quota",
     "quota.state": "Counted Saved SavedDebt",
@@ -111,7 +114,9 @@
         raise TypeError(f"no example for {kind}")
 
     def is_possible(self, kind: inspect.Type) -> bool:
-        """Whether an example of that member of a union can be made here: None says little, and a class ends."""
+        """Whether an example of that member of a union can be made here: None says little, and a class
+        ends.
+        """
         return not isinstance(kind, inspect.NoneType) and getattr(kind, "cls", None) not in self.open
 
 
--- a/tests/stored/test_core_folder_as_found.py
+++ b/tests/stored/test_core_folder_as_found.py
@@ -1,6 +1,8 @@
-"""The disks of three core members of an earlier program: a PUT, a PUT, a PATCH, an evacuation, and one taken back.
+"""The disks of three core members of an earlier program: a PUT, a PUT, a PATCH, an evacuation, and one taken
+back.
 
-`tests/data/core` holds the folders as a SIGKILL left them; core-1 and core-2 hold the state, core-3 is a witness.
+`tests/data/core` holds the folders as a SIGKILL left them; core-1 and core-2 hold the state, core-3 is a
+witness.
 """
 
 import json
--- a/tests/stored/test_sidecar_files_as_found.py
+++ b/tests/stored/test_sidecar_files_as_found.py
@@ -1,4 +1,6 @@
-"""Files of a sidecar that an earlier program wrote: captures, the saved endpoint list, learnt state, quota counts."""
+"""Files of a sidecar that an earlier program wrote: captures, the saved endpoint list, learnt state, quota
+counts.
+"""
 
 import json
 import shutil
@@ -113,3 +115,19 @@
     assert [list(one) for one in again["counted"]] == [list(one) for one in stored["counted"]]
     assert [one["names"] for one in again["counted"]] == [one["names"] for one in stored["counted"]]
     assert list(again) == list(stored)
+
+
+def test_a_snapshot_is_written_in_the_records_of_an_earlier_program():
+    _, records, _ = frames.read((DATA / "saved" / "snapshot-3").read_bytes(), frames.SNAPSHOT)
+    picture = recover(Files(DATA / "saved"), "n1").picture
+    picture.confirm(Moment(1_006_000, "boot", 6000), 6)  # as it stood when the snapshot was written
+    again = [json.loads(json.dumps(record)) for record in picture.records(Moment(1_020_000))]
+    assert [*again, {"k": "end"}] == records
+
+
+def test_the_head_of_a_file_is_that_of_an_earlier_program():
+    for name, kind, number in (("saved/snapshot-3", frames.SNAPSHOT, 3), ("saved/log-3", frames.LOG, 3)):
+        data = (DATA / name).read_bytes()
+        assert data.startswith(frames.header(kind, number))
+    for record in records_of("from-start.bin"):
+        assert frames.frame(record) in (DATA / "capture" / "from-start.bin").read_bytes()
--- a/tests/stored/test_structs_as_found.py
+++ b/tests/stored/test_structs_as_found.py
@@ -1,8 +1,8 @@
 """What an earlier program sent or stored is read, field by field, and written in the same bytes.
 
-`tests/data/structs.json` has an encoded value of each struct as that program wrote it. Its names stay as they were
-then; `CLASSES` and `FIELDS` say what they are called now. So a class or field may be renamed, and a changed tag, key
-or order of fields is found.
+`tests/data/structs.json` has an encoded value of each struct as that program wrote it. Its names stay as they
+were then; `CLASSES` and `FIELDS` say what they are called now. So a class or field may be renamed, and a
+changed tag, key or order of fields is found.
 """
 
 import importlib
