--- a/benchmarks/asking.py
+++ b/benchmarks/asking.py
@@ -17,11 +17,11 @@
 import streams
 import uvloop
 
-from shedgrade import knowledge
-from shedgrade.dataplane.asking import Watcher
-from shedgrade.knowledge import READY, EdgeState, ListMoved
-from shedgrade.link.peer import LinkError
-from shedgrade.link.tcp import Links
+from shedgrade import control_messages
+from shedgrade.control_messages import READY, EdgeState, ListMoved
+from shedgrade.dataplane.control_client import Watcher
+from shedgrade.peer_transport.peer import LinkError
+from shedgrade.peer_transport.tcp import Links
 
 SPAN = 5  # s of each measurement
 PAGE = 50  # entries
@@ -90,14 +90,18 @@
 
     async def call(self, effect) -> None:
         try:
-            body = await self.links.call(effect.address, b"K" + knowledge.encode(effect.ask), effect.timeout)
+            body = await self.links.call(
+                effect.address, b"K" + control_messages.encode(effect.ask), effect.timeout
+            )
         except LinkError:
             self.count["asks without an answer"] += 1
             self.asker.failed(self.loop.time(), effect.address, effect.number)
         else:
             self.count["asks answered"] += 1
             self.count["bytes told"] += len(body)
-            self.asker.answered(self.loop.time(), effect.address, knowledge.decode(body[1:]), effect.number)
+            self.asker.answered(
+                self.loop.time(), effect.address, control_messages.decode(body[1:]), effect.number
+            )
         self.pump()
 
     async def run(self) -> None:
--- a/benchmarks/capture.py
+++ b/benchmarks/capture.py
@@ -18,14 +18,14 @@
 
 sys.path.insert(0, str(Path(__file__).resolve().parents[1]))
 
-from shedgrade import decide
-from shedgrade.capture.files import load
-from shedgrade.capture.recorder import Recorder
-from shedgrade.capture.replay import Replay
-from shedgrade.capture.rows import TAKE, Ring, calls
+from shedgrade import load_balancing
 from shedgrade.lab import experiments, runner
 from shedgrade.lab import scenario as scenarios
 from shedgrade.lab.decisions import settings
+from shedgrade.sidecar.capture.files import load
+from shedgrade.sidecar.capture.recorder import Recorder
+from shedgrade.sidecar.capture.replay import Replay
+from shedgrade.sidecar.capture.rows import TAKE, Ring, calls
 
 ROOT = Path(__file__).resolve().parents[1]
 
@@ -70,7 +70,7 @@
     chance = Random(1)
     balancer.list_changed(
         0,
-        [(number, number % 4, decide.READY, 0, 0, number, 1.0, 0) for number in range(upstreams)],
+        [(number, number % 4, load_balancing.READY, 0, 0, number, 1.0, 0) for number in range(upstreams)],
         True,
         True,
     )
@@ -84,7 +84,7 @@
             out.append((now + chance.randrange(50, 300), carried))
         while out and (out[0][0] <= now or len(out) > upstreams):
             _, ended = out.pop(0)
-            ended.rpc.ended(now, 0, decide.COMPLETED, 200, True)
+            ended.rpc.ended(now, 0, load_balancing.COMPLETED, 200, True)
             ended.rpc.decide(now)
         for rpc in balancer.due(now):
             rpc.tag.rpc.decide(now)
@@ -98,7 +98,7 @@
     for upstreams in (10, 100, 1000):
         pairs = []
         for _ in range(3):
-            plain = drive(decide.Balancer(settings(4), 1, 0), rpcs, upstreams)
+            plain = drive(load_balancing.Balancer(settings(4), 1, 0), rpcs, upstreams)
             ring = Ring(2**26)
             recorder = Recorder(settings(4), 1, 0, ring, most_rows=10**9, checkpoint=10**9)
             pairs.append((plain, drive(recorder, rpcs, upstreams) - plain))
--- a/benchmarks/choice.py
+++ b/benchmarks/choice.py
@@ -21,13 +21,13 @@
 from pathlib import Path
 from random import Random
 
-from shedgrade import decide
+from shedgrade import load_balancing
 from shedgrade.engines.engine import Engine
 from shedgrade.engines.settings import EngineSettings
 from shedgrade.engines.work import Done, Event, Late, Rejected, Work
-from shedgrade.serving.balancer import ServingBalancer
-from shedgrade.serving.repeats import Repeats
-from shedgrade.serving.request import IDEMPOTENT, ONCE, Wants
+from shedgrade.model_routing.balancer import ServingBalancer
+from shedgrade.model_routing.request import IDEMPOTENT, ONCE, Wants
+from shedgrade.model_routing.retry_budget import Repeats
 
 TICKS = 10_000  # of the decisions' clock, a second
 RECORD_LAG = 0.7  # s until all edges know what one has seen read
@@ -149,7 +149,7 @@
     def relist(self, now: float) -> None:
         rows = []
         for index, region in enumerate(self.region_of):
-            state = decide.DRAINING if index in self.out else decide.READY
+            state = load_balancing.DRAINING if index in self.out else load_balancing.READY
             rows.append((index, region, state, 0, 0, 1000 + index, 1.0, 0))
         for balancer in self.balancers:
             balancer.list_changed(int(now * TICKS), rows, True, False)
@@ -345,7 +345,10 @@
         else:
             result.lost += 1
         if one.rpc is not None:
-            self.at(now + one.far, ("ended", one, decide.COMPLETED if whole else decide.TURNED_AWAY))
+            self.at(
+                now + one.far,
+                ("ended", one, load_balancing.COMPLETED if whole else load_balancing.TURNED_AWAY),
+            )
 
     def ended(self, now: float, one: Try, outcome: int) -> None:
         ticks = int(now * TICKS)
--- a/benchmarks/move.py
+++ b/benchmarks/move.py
@@ -16,9 +16,9 @@
 
 from helpers import method, settings
 
-from shedgrade import decide
-from shedgrade.watch.config import Watch
-from shedgrade.watch.part import WatchPart
+from shedgrade import load_balancing
+from shedgrade.sidecar.shadow_policy.config import Watch
+from shedgrade.sidecar.shadow_policy.part import WatchPart
 
 SIDECARS, ZONES = 300, 4
 
@@ -37,7 +37,16 @@
 
 def rows(count, chance, changed=None):
     return [
-        (up, up % ZONES, decide.READY, 0, 0, up * 2654435761 % 2**32, 1 / (1 + 3 * chance.random()), 0)
+        (
+            up,
+            up % ZONES,
+            load_balancing.READY,
+            0,
+            0,
+            up * 2654435761 % 2**32,
+            1 / (1 + 3 * chance.random()),
+            0,
+        )
         for up in (range(count) if changed is None else changed)
     ]
 
@@ -54,11 +63,11 @@
 def renewal():
     for count in (13, 66, 300):
         chance = Random(1)
-        b = decide.Balancer(conf(), 1, 0)
+        b = load_balancing.Balancer(conf(), 1, 0)
         b.list_changed(0, rows(count, chance), True, True)
         whole = timed(lambda b=b, c=chance, n=count: b.list_changed(1, rows(n, c), False, True), 200)
         alone = timed(lambda c=chance, n=count: rows(n, c), 200)
-        flip = [decide.DRAINING, decide.READY]
+        flip = [load_balancing.DRAINING, load_balancing.READY]
 
         def change(b=b, c=chance, flip=flip):
             flip.reverse()
@@ -76,7 +85,7 @@
         if watched:
             b = WatchPart(Watch(settings={"limits": {"multiplex": 1}}), "f").decisions(conf(), 1, 0)
         else:
-            b = decide.Balancer(conf(), 1, 0)
+            b = load_balancing.Balancer(conf(), 1, 0)
         b.list_changed(0, rows(66, Random(1)), True, True)
         state = [0]
 
@@ -86,7 +95,7 @@
                 carried = SimpleNamespace(rpc=None)
                 carried.rpc = b.take(state[0], 0, state[0] + 9000, False, carried)
                 if carried.rpc.decide(state[0]) is not None and carried.rpc.out:
-                    carried.rpc.ended(state[0] + 200, 0, decide.COMPLETED, 200, True)
+                    carried.rpc.ended(state[0] + 200, 0, load_balancing.COMPLETED, 200, True)
                 for _ in b.due(state[0] + 200):
                     pass
 
--- a/benchmarks/parts.py
+++ b/benchmarks/parts.py
@@ -14,7 +14,7 @@
 
 sys.path.insert(0, str(Path(__file__).resolve().parents[1]))
 
-from shedgrade import decide
+from shedgrade import load_balancing
 from shedgrade.lab.decisions import settings
 
 SIZES = ("12x12", "50x40", "200x100", "200x200", "1000x200", "2000x400")
@@ -25,7 +25,7 @@
     """As a list tells them; marks as ids are hashed."""
     marks = [int.from_bytes(blake2b(b"s%d" % number, digest_size=4).digest()) for number in range(upstreams)]
     return [
-        (number, number % ZONES, decide.READY, 0, 0, marks[number], size(number), 0)
+        (number, number % ZONES, load_balancing.READY, 0, 0, marks[number], size(number), 0)
         for number in range(upstreams)
     ]
 
@@ -33,7 +33,7 @@
 def dealt(sidecars: int, told: list[tuple], numbers: range | None = None) -> list[set[int]]:
     """By sidecar: the upstreams that it keeps to."""
     conf, kept = settings(ZONES), []
-    balancer = decide.Balancer({**conf, "balancers": sidecars, "prices": {"handshake": 0.08}}, 1, 0)
+    balancer = load_balancing.Balancer({**conf, "balancers": sidecars, "prices": {"handshake": 0.08}}, 1, 0)
     balancer.list_changed(0, told, True, True)
     for number in numbers or range(sidecars):
         balancer.own, balancer.number = number % ZONES, number
@@ -54,7 +54,7 @@
     grown = dealt(max(sidecars + 1, round(sidecars * 1.05)), told[:upstreams], range(sidecars))
     own = min(sum(up % ZONES == number % ZONES for up in part) for number, part in enumerate(kept))
     conf = {**settings(ZONES), "balancers": sidecars, "prices": {"handshake": 0.08}}
-    balancer = decide.Balancer(conf, 1, 0)
+    balancer = load_balancing.Balancer(conf, 1, 0)
     balancer.list_changed(0, told, True, True)
     begun = time.perf_counter()
     for _ in range(5):
--- a/benchmarks/quotas.py
+++ b/benchmarks/quotas.py
@@ -19,8 +19,8 @@
 
 from shedgrade.lab import experiments, results
 from shedgrade.lab.scenario import convert
-from shedgrade.quota.accounts import Limit, Terms
-from shedgrade.quota.tree import Node, Ticket, Tree
+from shedgrade.sidecar.quota.accounts import Limit, Terms
+from shedgrade.sidecar.quota.tree import Node, Ticket, Tree
 
 ROOT = Path(__file__).resolve().parents[1]
 
--- a/benchmarks/saved.py
+++ b/benchmarks/saved.py
@@ -22,14 +22,14 @@
 
 sys.path.insert(0, str(Path(__file__).resolve().parents[1]))
 
-from shedgrade.saved.config import Saved
-from shedgrade.saved.files import Files
-from shedgrade.saved.picture import Picture
-from shedgrade.saved.recovery import recover
-from shedgrade.saved.source import SavedList
-from shedgrade.saved.store import Store
-from shedgrade.saved.trust import Trusting, weigh
-from shedgrade.saved.wall import Wall
+from shedgrade.sidecar.endpoint_snapshot.config import Saved
+from shedgrade.sidecar.endpoint_snapshot.files import Files
+from shedgrade.sidecar.endpoint_snapshot.recovery import recover
+from shedgrade.sidecar.endpoint_snapshot.snapshot import Picture
+from shedgrade.sidecar.endpoint_snapshot.source import SavedList
+from shedgrade.sidecar.endpoint_snapshot.store import Store
+from shedgrade.sidecar.endpoint_snapshot.trust import Trusting, weigh
+from shedgrade.sidecar.endpoint_snapshot.wall_clock import Wall
 
 SETTINGS = {"zones": ["a", "b"], "shapes": ["std"]}
 
--- a/benchmarks/system.py
+++ b/benchmarks/system.py
@@ -103,11 +103,11 @@
 
 def an_edge(loop):
     """What an edge knows, without sockets."""
-    from shedgrade.boot.settings import Bounds
-    from shedgrade.clock import Clock
+    from shedgrade.buffers.budget import Budget
     from shedgrade.dataplane.service import ServicePool
     from shedgrade.dataplane.state import State
-    from shedgrade.memory.budget import Budget
+    from shedgrade.process_settings.settings import Bounds
+    from shedgrade.runtime.clock import Clock
 
     settings = SimpleNamespace(zones=zones(), bounds=Bounds({}), cloud_api=SimpleNamespace(max_lag_ms=800))
     clock, budget = Clock(), Budget(4000, 300)
@@ -120,15 +120,16 @@
 
 
 def change(raw: bytes | None, sequence: int = 1, evacuations: tuple = ()):
-    from shedgrade.knowledge import ControlChange, packed
+    from shedgrade.control_messages import ControlChange, packed
 
     whole, compressed = (None, False) if raw is None else packed(raw)
     return ControlChange(1, sequence, 7, whole, evacuations, compressed)
 
 
 def measure_list(options) -> None:
-    from shedgrade import knowledge, log
-    from shedgrade.controlplane.platform import InstanceList
+    from shedgrade import control_messages
+    from shedgrade.controlplane.platform_poller import InstanceList
+    from shedgrade.runtime import log
 
     log.hand(SimpleNamespace(**dict.fromkeys(log.METHODS, lambda *_: None)))
     loop, count = asyncio.new_event_loop(), options.upstreams
@@ -139,24 +140,25 @@
     print(f"core applies {count} entries of the platform: {spent(lambda: held.apply(0.0, told)):.1f} ms")
     print(f"core applies the same again: {spent(lambda: held.apply(1.0, told), 3):.1f} ms")
     whole = held.answer(0, 0, 1.0)
-    raw = knowledge.encode(whole)
+    raw = control_messages.encode(whole)
     print(
-        f"whole list encoded: {spent(lambda: knowledge.encode(whole), 3):.1f} ms, {len(raw)} bytes, "
+        f"whole list encoded: {spent(lambda: control_messages.encode(whole), 3):.1f} ms, {len(raw)} bytes, "
         f"{len(zlib.compress(raw, 1))} by zlib"
     )
-    print(f"whole list decoded: {spent(lambda: knowledge.decode(raw), 3):.1f} ms")
+    print(f"whole list decoded: {spent(lambda: control_messages.decode(raw), 3):.1f} ms")
     before = resident()
     print(
-        f"edge takes the whole list: {spent(lambda: state.moved(knowledge.decode(raw))):.1f} ms, "
+        f"edge takes the whole list: {spent(lambda: state.moved(control_messages.decode(raw))):.1f} ms, "
         f"{resident() - before:.1f} MB more"
     )
     base = held.version
     told[5] = {**told[5], "state": "draining"}
     print(f"core applies one that moved: {spent(lambda: held.apply(2.0, told)):.1f} ms")
     delta = held.answer(*base, 2.0)
-    small = knowledge.encode(delta)
+    small = control_messages.encode(delta)
     print(f"delta of one: {spent(lambda: held.answer(*base, 2.0), 100):.4f} ms to make, {len(small)} bytes")
-    print(f"edge takes a delta of one: {spent(lambda: state.moved(knowledge.decode(small)), 3):.1f} ms")
+    taken = spent(lambda: state.moved(control_messages.decode(small)), 3)
+    print(f"edge takes a delta of one: {taken:.1f} ms")
 
 
 def measure_configuration(options) -> None:
@@ -195,9 +197,9 @@
 
 
 def measure_choose(options) -> None:
-    from shedgrade.decide import COMPLETED, READY
-    from shedgrade.serving import IDEMPOTENT, ServingBalancer, Wants
-    from shedgrade.serving.repeats import Repeats
+    from shedgrade.load_balancing import COMPLETED, READY
+    from shedgrade.model_routing import IDEMPOTENT, ServingBalancer, Wants
+    from shedgrade.model_routing.retry_budget import Repeats
 
     names = sorted(set(zones().values()))
     for count, regions in ((options.upstreams // REGIONS, 1), (options.upstreams, REGIONS)):
@@ -228,11 +230,11 @@
 
 
 def measure_hub(options) -> None:
-    from shedgrade import knowledge
-    from shedgrade.controlplane.delivery import WatchHub
-    from shedgrade.controlplane.platform import InstanceList
-    from shedgrade.knowledge import READY, Ask, EdgeState
-    from shedgrade.link import frames
+    from shedgrade import control_messages
+    from shedgrade.control_messages import READY, Ask, EdgeState
+    from shedgrade.controlplane.platform_poller import InstanceList
+    from shedgrade.controlplane.watch_hub import WatchHub
+    from shedgrade.peer_transport import frames
 
     hub, count, out = WatchHub("10.0.0.1:7300", 0.0), options.edges, []
     hub.members(0.0, tuple(f"10.0.0.{number}:7300" for number in range(5)))
@@ -253,11 +255,11 @@
             zone = f"zone-{number % ZONES}"
             edge = EdgeState(f"edge-{number}", "10.1.0.12:8263", zone, "region-0", 1, READY)
             ask = Ask(edge, (1, sequence), held.version, 1.2, sequence, 0.1)
-            body = frames.encode("10.1.0.12:7300", 5, False, b"K" + knowledge.encode(ask))
+            body = frames.encode("10.1.0.12:7300", 5, False, b"K" + control_messages.encode(ask))
             bodies.append(body[4:])
 
     def answer(told):
-        out.append(frames.encode("10.0.0.1:7300", 5, True, b"K" + knowledge.encode(told)))
+        out.append(frames.encode("10.0.0.1:7300", 5, True, b"K" + control_messages.encode(told)))
 
     control(1)
     bodies: list[bytes] = []
@@ -266,7 +268,7 @@
 
     def take():
         for body in bodies:
-            hub.ask(0.1, knowledge.decode(frames.decode(body).body[1:]), answer)
+            hub.ask(0.1, control_messages.decode(frames.decode(body).body[1:]), answer)
 
     print(
         f"{count} asks read and parked: {spent(take) / count * 1000:.0f} us each, "
@@ -284,8 +286,8 @@
     held.apply(1.0, told)
     took = spent(lambda: hub.instances(1.0, held))
     print(f"a delta of one upstream told to all: {took:.1f} ms, {len(out[-1])} bytes each")
-    word = knowledge.encode(hub.own_edges(1.0))
-    took = spent(lambda: knowledge.encode(hub.own_edges(1.0)))
+    word = control_messages.encode(hub.own_edges(1.0))
+    took = spent(lambda: control_messages.encode(hub.own_edges(1.0)))
     print(f"word to another member of {count} edges: {took:.1f} ms, {len(word)} bytes")
 
 
--- a/benchmarks/tunnels.py
+++ b/benchmarks/tunnels.py
@@ -24,8 +24,8 @@
 
 from shedgrade.lab.processes import free_port, stat_of
 from shedgrade.lab.worker import raise_limit, tied
-from shedgrade.tunnel import connect, socks
-from shedgrade.tunnel.destinations import destination
+from shedgrade.sidecar.tunnel import connect, socks
+from shedgrade.sidecar.tunnel.destinations import destination
 
 IDLE = 5_000
 
--- a/shedgrade/__main__.py
+++ b/shedgrade/__main__.py
@@ -1,6 +1,6 @@
 """python -m shedgrade"""
 
-from shedgrade.lifecycle.early import unheard
+from shedgrade.sidecar.lifecycle.early import unheard
 
 if __name__ == "__main__":
     unheard()  # before the rest is imported, which takes a while
--- /dev/null
+++ b/shedgrade/buffers/__init__.py
@@ -0,0 +1,1 @@
+"""Bytes in memory, bounded: rings, flows between connections, and the budget that counts them."""
--- a/shedgrade/cli/__init__.py
+++ b/shedgrade/cli/__init__.py
@@ -9,10 +9,11 @@
 import uvloop
 
 from shedgrade import __version__
-from shedgrade.lifecycle.config import Config, ConfigError, load
-from shedgrade.lifecycle.early import noted
-from shedgrade.lifecycle.logs import log_to_stderr
-from shedgrade.lifecycle.sidecar import Sidecar
+from shedgrade.sidecar.lifecycle.config import Config, load
+from shedgrade.sidecar.lifecycle.early import noted
+from shedgrade.sidecar.lifecycle.logs import log_to_stderr
+from shedgrade.sidecar.lifecycle.sidecar import Sidecar
+from shedgrade.upstream_pool.errors import ConfigError
 
 app = typer.Typer(
     help="A client-side load balancer: one sidecar beside every client process.",
@@ -44,18 +45,18 @@
     """The sidecar with what the features file switches on; without one, nothing of it is imported."""
     if path is None:
         return Sidecar(config, loop)
-    from shedgrade.lifecycle.features import load_features
+    from shedgrade.sidecar.lifecycle.features import load_features
 
     sidecar = Sidecar(config, loop)
     methods = {name.decode() for name in sidecar.pool.methods}
     features, parts = load_features(path, methods), []
     if features.capture is not None:
-        from shedgrade.capture.part import CapturePart
+        from shedgrade.sidecar.capture.part import CapturePart
 
         part = CapturePart(features.capture)
         parts.append(part)
     if features.watch is not None:
-        from shedgrade.watch.part import WatchPart
+        from shedgrade.sidecar.shadow_policy.part import WatchPart
 
         parts.append(WatchPart(features.watch, str(path), parts[0].decisions if parts else None))
     if parts:
@@ -65,15 +66,15 @@
             part.join(sidecar)
     sidecar.recheck = lambda names: load_features(path, names)
     if features.saved is not None:
-        from shedgrade.saved.source import SavedList
+        from shedgrade.sidecar.endpoint_snapshot.source import SavedList
 
         sidecar.pool.saved = SavedList(features.saved, config.name, config.settings)
     if features.quota is not None:
-        from shedgrade.quota.part import QuotaPart
+        from shedgrade.sidecar.quota.part import QuotaPart
 
         sidecar.parts.append(QuotaPart(sidecar, features))
     if features.tunnel is not None or features.pools:
-        from shedgrade.tunnel.assemble import TunnelPart
+        from shedgrade.sidecar.tunnel.assemble import TunnelPart
 
         sidecar.parts.append(TunnelPart(sidecar, features))
     return sidecar
--- a/shedgrade/cli/quota.py
+++ b/shedgrade/cli/quota.py
@@ -8,12 +8,12 @@
 import typer
 
 from shedgrade.cli import fail
-from shedgrade.lifecycle.config import ConfigError
-from shedgrade.lifecycle.features import load_features
-from shedgrade.quota.accounts import Account, Limit
-from shedgrade.quota.config import Quota
-from shedgrade.quota.gate import Gate
-from shedgrade.quota.tree import Ticket
+from shedgrade.sidecar.lifecycle.features import load_features
+from shedgrade.sidecar.quota.accounts import Account, Limit
+from shedgrade.sidecar.quota.config import Quota
+from shedgrade.sidecar.quota.gate import Gate
+from shedgrade.sidecar.quota.tree import Ticket
+from shedgrade.upstream_pool.errors import ConfigError
 
 app = typer.Typer(
     help="Nested quotas of a features file.",
--- a/shedgrade/cli/replay.py
+++ b/shedgrade/cli/replay.py
@@ -10,24 +10,23 @@
 
 import typer
 
-from shedgrade import decide
-from shedgrade.capture.explanation import explain, find
-from shedgrade.capture.files import CaptureError, load
-from shedgrade.capture.recorder import short
-from shedgrade.capture.replay import Replay
-from shedgrade.capture.rows import KIND
-from shedgrade.capture.shortening import shorten
-from shedgrade.capture.state import StateError
+from shedgrade import file_frames, load_balancing
 from shedgrade.cli import fail
-from shedgrade.core import frames
+from shedgrade.sidecar.capture.explanation import explain, find
+from shedgrade.sidecar.capture.files import CaptureError, load
+from shedgrade.sidecar.capture.recorder import short
+from shedgrade.sidecar.capture.replay import Replay
+from shedgrade.sidecar.capture.rows import KIND
+from shedgrade.sidecar.capture.shortening import shorten
+from shedgrade.sidecar.capture.state import StateError
 
 SHOWN = 20  # differences between two versions that are printed; all are counted
 
 TEST = '''"""A capture as a test: written by `shedgrade replay --to-test`. {about}"""
 import base64
 
-from shedgrade.capture.replay import Replay
-from shedgrade.core import frames
+from shedgrade.sidecar.capture.replay import Replay
+from shedgrade import file_frames
 
 CAPTURE = base64.b85decode(
 {lines}
@@ -35,7 +34,7 @@
 
 
 def test_the_same_decisions_are_made():
-    _, records, why = frames.read(CAPTURE, b"C")
+    _, records, why = file_frames.read(CAPTURE, b"C")
     assert not why
     replay = Replay(records)
     differences = list(replay.run())
@@ -47,12 +46,12 @@
     """Another version's decisions, beside ours."""
     path = checkout
     if checkout.is_dir():  # a package, as now, or a single file, as it once was; or the package itself
-        places = ("shedgrade/decide/__init__.py", "shedgrade/decide.py", "__init__.py")
+        places = ("shedgrade/load_balancing/__init__.py", "shedgrade/load_balancing.py", "__init__.py")
         path = next((checkout / place for place in places if (checkout / place).is_file()), checkout)
     whole = [str(path.parent)] if path.name == "__init__.py" else None
     spec = importlib.util.spec_from_file_location("other_decide", path, submodule_search_locations=whole)
     if spec is None or not path.is_file():
-        fail(ValueError(f"{checkout}: no shedgrade/decide there"))
+        fail(ValueError(f"{checkout}: no shedgrade/load_balancing there"))
     module = importlib.util.module_from_spec(spec)
     sys.modules["other_decide"] = module
     spec.loader.exec_module(module)
@@ -97,7 +96,7 @@
         print(f"{file}: {why}: read up to there")
     begun = next((one["now"] for one in records if "now" in one), 0)
     last = begun + until * 10 if until else float("inf")
-    module = other(checkout) if checkout is not None else decide
+    module = other(checkout) if checkout is not None else load_balancing
     try:
         if shortest:
             number = number_of(records, shortest)
@@ -106,7 +105,9 @@
                 f"{sum(len(one['r']) for one in records if one['k'] == 'rows')} calls left for RPC #{number}"
             )
             if out is not None:
-                out.write_bytes(frames.header(KIND, 0) + b"".join(frames.frame(one) for one in records))
+                out.write_bytes(
+                    file_frames.header(KIND, 0) + b"".join(file_frames.frame(one) for one in records)
+                )
         if explained:
             print("\n".join(explain(records, number_of(records, explained), module, last)))
             return
@@ -133,7 +134,7 @@
     except StateError as wrong:
         fail(wrong)
     if to_test is not None:
-        data = frames.header(KIND, 0) + b"".join(frames.frame(one) for one in records)
+        data = file_frames.header(KIND, 0) + b"".join(file_frames.frame(one) for one in records)
         text = base64.b85encode(data).decode()
         lines = "\n".join(f"    {text[place : place + 96]!r}" for place in range(0, len(text), 96))
         to_test.write_text(TEST.format(about=f"From {file.name}.", lines=lines, calls=one.calls))
--- a/shedgrade/cli/saved.py
+++ b/shedgrade/cli/saved.py
@@ -7,12 +7,12 @@
 import typer
 
 from shedgrade.cli import fail
-from shedgrade.saved.files import Files, LockedError
-from shedgrade.saved.picture import age
-from shedgrade.saved.recovery import Recovered, recover
-from shedgrade.saved.store import Store
-from shedgrade.saved.trust import Trusting, weigh
-from shedgrade.saved.wall import Wall
+from shedgrade.sidecar.endpoint_snapshot.files import Files, LockedError
+from shedgrade.sidecar.endpoint_snapshot.recovery import Recovered, recover
+from shedgrade.sidecar.endpoint_snapshot.snapshot import age
+from shedgrade.sidecar.endpoint_snapshot.store import Store
+from shedgrade.sidecar.endpoint_snapshot.trust import Trusting, weigh
+from shedgrade.sidecar.endpoint_snapshot.wall_clock import Wall
 
 app = typer.Typer(
     help="Folders in which sidecars keep their lists.",
@@ -26,7 +26,7 @@
 
 def owner_of(files: Files) -> str:
     """The name in the newest snapshot that can be read."""
-    from shedgrade.core import frames
+    from shedgrade import file_frames
 
     for name in sorted(
         (name for name in files.names() if name.startswith("snapshot-")),
@@ -34,8 +34,8 @@
         reverse=True,
     ):
         try:
-            _, records, _ = frames.read(files.read(name), frames.SNAPSHOT)
-        except (frames.FormatError, OSError):
+            _, records, _ = file_frames.read(files.read(name), file_frames.SNAPSHOT)
+        except (file_frames.FormatError, OSError):
             continue
         if records and records[0].get("k") == "owner":
             return str(records[0]["name"])
--- a/shedgrade/knowledge.py
+++ b/shedgrade/control_messages.py
@@ -6,8 +6,8 @@
 
 import msgspec
 
-from shedgrade.loads.messages import LoadReport, LoadsShared, LoadsTold
-from shedgrade.record.ledger import AskRecord, Pair, RecordMoved, RecordRead
+from shedgrade.load_reports.messages import LoadReport, LoadsShared, LoadsTold
+from shedgrade.prefix_cache_index.index import AskRecord, Pair, RecordMoved, RecordRead
 
 COMPRESSED_OVER = 8 * 1024  # bytes of a configuration beyond which it travels compressed
 LONGEST_CONFIGURATION = 16 * 1024 * 1024  # bytes, plain
--- a/shedgrade/controlplane/directory.py
+++ b/shedgrade/controlplane/directory.py
@@ -10,11 +10,11 @@
 
 import msgspec
 
+from shedgrade.control_messages import LEAVING, NOBODY, READY, EdgeSeen, EdgeState
 from shedgrade.controlplane.home_regions import ANYWHERE, Regions
 from shedgrade.findings import Finding
-from shedgrade.httpd import Reply, Request, failure
-from shedgrade.knowledge import LEAVING, NOBODY, READY, EdgeSeen, EdgeState
-from shedgrade.matching.calls import CallTree, Match, NotAllowed
+from shedgrade.http.server import Reply, Request, failure
+from shedgrade.route_matching.calls import CallTree, Match, NotAllowed
 
 MOST = 64  # addresses that an answer may hold
 FEW = 2  # edges below which a zone's own are not enough: one of them may have died
--- a/shedgrade/controlplane/disk.py
+++ b/shedgrade/controlplane/disk.py
@@ -7,7 +7,7 @@
 from collections import deque
 from collections.abc import Callable, Mapping
 
-from shedgrade.log import logger
+from shedgrade.runtime.log import logger
 from shedgrade.storage import Store
 
 
--- a/shedgrade/controlplane/operators.py
+++ b/shedgrade/controlplane/operator_api.py
@@ -10,8 +10,8 @@
 import msgspec
 from expression import Result
 
-from shedgrade.controlplane.accepted import digest
 from shedgrade.controlplane.configuration import read
+from shedgrade.controlplane.deduplication import digest
 from shedgrade.controlplane.delta import read_delta
 from shedgrade.controlplane.ordering import Caller
 from shedgrade.controlplane.orders import (
@@ -23,8 +23,8 @@
     Return,
 )
 from shedgrade.findings import Finding
-from shedgrade.httpd import Reply, Request, Tell, failure
-from shedgrade.matching.calls import CallTree, Match, NotAllowed
+from shedgrade.http.server import Reply, Request, Tell, failure
+from shedgrade.route_matching.calls import CallTree, Match, NotAllowed
 
 AGAIN = ((b"Retry-After", b"0.2"),)
 SOUND = 8  # configurations whose check is remembered, as their callers send them again
--- a/shedgrade/controlplane/ordering.py
+++ b/shedgrade/controlplane/ordering.py
@@ -21,7 +21,7 @@
     ZoneOrder,
     zone_revisions,
 )
-from shedgrade.link.peer import LinkError
+from shedgrade.peer_transport.peer import LinkError
 from shedgrade.replication import Elsewhere, Member, Reading, Unavailable, Unclear
 
 ANSWER_TIMEOUT = 0.65  # s until a caller is told to go on: after a second of silence it does so by itself
--- a/shedgrade/controlplane/orders.py
+++ b/shedgrade/controlplane/orders.py
@@ -17,8 +17,8 @@
 import msgspec
 from expression import Ok, Result
 
-from shedgrade.controlplane import accepted
-from shedgrade.controlplane.accepted import Past
+from shedgrade.controlplane import deduplication
+from shedgrade.controlplane.deduplication import Past
 from shedgrade.controlplane.delta import EMPTY, Refused, apply_delta
 from shedgrade.findings import Finding
 from shedgrade.replication.effects import Decision
@@ -110,7 +110,7 @@
 
     def configure(state: Mapping[str, bytes], order: ConfigurationOrder) -> Decision:
         current = int(state.get("version") or 0)
-        past = accepted.past(state, order.version, order.content)
+        past = deduplication.past(state, order.version, order.content)
         # Guards an operator whose call got no clear answer: what it sends again has been accepted, also if
         # another version is current by now.
         if past is Past.ACCEPTED or (
@@ -134,7 +134,7 @@
             {
                 "configuration": whole.ok,
                 "version": b"%d" % order.version,
-                **accepted.record(state, order.version, order.content),
+                **deduplication.record(state, order.version, order.content),
             },
             Reply(200),
         )
--- a/shedgrade/controlplane/plane.py
+++ b/shedgrade/controlplane/plane.py
@@ -10,34 +10,49 @@
 
 import msgspec
 
-from shedgrade import knowledge
-from shedgrade.arrival import ArrivalClock, steady_clock
-from shedgrade.boot import Reload, Settings, Watched
-from shedgrade.controlplane import duties as duty
+from shedgrade import control_messages
+from shedgrade.control_messages import (
+    Ask,
+    AskList,
+    EdgeSeen,
+    EdgesKnown,
+    EdgeState,
+    ListMoved,
+)
+from shedgrade.controlplane import singleton_roles as duty
 from shedgrade.controlplane.channels import DUTIES, KNOWLEDGE, ORDERS, REPLICATION
-from shedgrade.controlplane.delivery import WatchHub
 from shedgrade.controlplane.directory import Directory, cover
 from shedgrade.controlplane.disk import Disk
 from shedgrade.controlplane.home_regions import HomeRegions, Regions
-from shedgrade.controlplane.operators import Operators
+from shedgrade.controlplane.operator_api import Operators
 from shedgrade.controlplane.ordering import Ordering
 from shedgrade.controlplane.orders import make_decide
-from shedgrade.controlplane.platform import InstanceList, Poller
-from shedgrade.controlplane.reach import Reach
-from shedgrade.controlplane.recording import Recording
+from shedgrade.controlplane.platform_poller import InstanceList, Poller
+from shedgrade.controlplane.prefix_index_exchange import Recording
+from shedgrade.controlplane.reachability import Reach
 from shedgrade.controlplane.standstill import Standstill
 from shedgrade.controlplane.status import status
-from shedgrade.faults import fault
-from shedgrade.httpd import HttpServer
-from shedgrade.knowledge import Ask, AskList, EdgeSeen, EdgesKnown, EdgeState, ListMoved
-from shedgrade.link.address import split
-from shedgrade.link.tcp import Links, LinkServer
-from shedgrade.loads import LoadHub, LoadReport, LoadsShared
-from shedgrade.log import logger
+from shedgrade.controlplane.watch_hub import WatchHub
+from shedgrade.http.server import HttpServer
+from shedgrade.load_reports import LoadHub, LoadReport, LoadsShared
 from shedgrade.membership.messages import Node
 from shedgrade.membership.running import Gossip
-from shedgrade.record import AskRecord, RecordMoved, RecordRead
-from shedgrade.replication import Answer, Finished, Left, Member, Persist, Send, messages
+from shedgrade.peer_transport.address import split
+from shedgrade.peer_transport.tcp import Links, LinkServer
+from shedgrade.prefix_cache_index import AskRecord, RecordMoved, RecordRead
+from shedgrade.process_settings import Reload, Settings, Watched
+from shedgrade.replication import (
+    Answer,
+    Finished,
+    Left,
+    Member,
+    Persist,
+    Send,
+    messages,
+)
+from shedgrade.runtime.log import logger
+from shedgrade.runtime.loop_errors import fault
+from shedgrade.runtime.stall_detection import ArrivalClock, steady_clock
 from shedgrade.storage import Found, Store
 
 LIST = "upstreams"  # the duty of polling the platform's list
@@ -250,7 +265,7 @@
         self.spread_at = now + SPREAD
         known = self.hub.own_edges(now)
         if known.edges:
-            self.tell_others(KNOWLEDGE + knowledge.encode(known))
+            self.tell_others(KNOWLEDGE + control_messages.encode(known))
 
     def member_addresses(self) -> tuple[str, ...]:
         """Link addresses of the members that the newest epoch names; before that, the seeds."""
@@ -261,7 +276,7 @@
         return max(self.member.known_at, self.member.confirmed_at)
 
     def tell_knowledge(self, message: object) -> None:
-        self.tell_others(KNOWLEDGE + knowledge.encode(message))
+        self.tell_others(KNOWLEDGE + control_messages.encode(message))
 
     def tell_others(self, body: bytes) -> None:
         for address in self.member_addresses():
@@ -383,7 +398,7 @@
             elif channel == DUTIES:
                 self.duties.receive(now, sender, decode_duties(body))
             elif channel == KNOWLEDGE:
-                self.learn(now, sender, knowledge.decode(body), answer, unread_s)
+                self.learn(now, sender, control_messages.decode(body), answer, unread_s)
             elif channel == ORDERS:
                 self.ordering.relayed(body, answer)
         except msgspec.MsgspecError as wrong:
@@ -399,12 +414,16 @@
                 # Guards against core members that all started anew: their terms go above what edges hold.
                 self.duties.met(now, LIST, message.upstreams[0])
                 before = self.hub.own_version
-                self.hub.ask(now, message, lambda told: answer(KNOWLEDGE + knowledge.encode(told)), unread_s)
+                self.hub.ask(
+                    now, message, lambda told: answer(KNOWLEDGE + control_messages.encode(told)), unread_s
+                )
                 if self.hub.own_version != before:
                     self.spread_edges(now)
             case LoadReport():
                 self.loads.reported(
-                    now, message, lambda told: self.links.send(sender, KNOWLEDGE + knowledge.encode(told))
+                    now,
+                    message,
+                    lambda told: self.links.send(sender, KNOWLEDGE + control_messages.encode(told)),
                 )
             case LoadsShared():
                 self.loads.shared(now, message)
@@ -414,12 +433,12 @@
                 self.reach.heard(now - unread_s, sender)
                 self.hub.peers_edges(now, sender, message, unread_s)
             case AskList(term, number):
-                answer(KNOWLEDGE + knowledge.encode(self.instances.answer(term, number, now)))
+                answer(KNOWLEDGE + control_messages.encode(self.instances.answer(term, number, now)))
             case ListMoved():
                 if self.instances.take(message, now, unread_s):
                     self.list_moved(now)
                 elif self.instances.lacks:
-                    answer(KNOWLEDGE + knowledge.encode(self.instances.question(now)))
+                    answer(KNOWLEDGE + control_messages.encode(self.instances.question(now)))
 
     def list_moved(self, now: float) -> None:
         self.recording.listed(self.instances)
@@ -434,7 +453,7 @@
         now = self.loop.time()
         if changed:
             self.list_moved(now)
-        self.tell_others(KNOWLEDGE + knowledge.encode(self.instances.answer(*self.listed, now)))
+        self.tell_others(KNOWLEDGE + control_messages.encode(self.instances.answer(*self.listed, now)))
         self.listed = self.instances.version
 
     # --- operators and clients
--- a/shedgrade/controlplane/platform.py
+++ b/shedgrade/controlplane/platform_poller.py
@@ -14,9 +14,17 @@
 import msgspec
 import orjson
 
-from shedgrade.knowledge import AVAILABLE, DRAINING, NEVER, AskList, Instance, ListMoved, Model
-from shedgrade.log import logger
-from shedgrade.wire.discovery import DiscoveryConnection, ListError
+from shedgrade.control_messages import (
+    AVAILABLE,
+    DRAINING,
+    NEVER,
+    AskList,
+    Instance,
+    ListMoved,
+    Model,
+)
+from shedgrade.http.discovery import DiscoveryConnection, ListError
+from shedgrade.runtime.log import logger
 
 HISTORY = 256  # changes from which deltas are made; who holds less is told the whole list
 JUMP = 1.0  # s by which what is left of a span may differ from what was said before: lag and delay
--- a/shedgrade/controlplane/recording.py
+++ b/shedgrade/controlplane/prefix_index_exchange.py
@@ -3,10 +3,10 @@
 from collections.abc import Callable
 from zlib import crc32
 
-from shedgrade import knowledge
-from shedgrade.controlplane.delivery import WatchHub
-from shedgrade.controlplane.platform import InstanceList
-from shedgrade.record import AskRecord, Ledger, RecordMoved, RecordRead
+from shedgrade import control_messages
+from shedgrade.controlplane.platform_poller import InstanceList
+from shedgrade.controlplane.watch_hub import WatchHub
+from shedgrade.prefix_cache_index import AskRecord, Ledger, RecordMoved, RecordRead
 
 LOST = 1.0  # s without the primary after which this member counts as cut off
 ASK = 0.5  # s between two questions to the others
@@ -48,7 +48,7 @@
             case AskRecord():
                 moved = self.ledger.since(0, -1)
                 if moved is not None:
-                    answer(knowledge.encode(moved))
+                    answer(control_messages.encode(moved))
 
     def listed(self, instances: InstanceList) -> None:
         """The platform's list moved: an incarnation that is gone holds nothing."""
--- a/shedgrade/controlplane/status.py
+++ b/shedgrade/controlplane/status.py
@@ -2,10 +2,10 @@
 
 from collections import Counter
 
-from shedgrade.controlplane.delivery import WatchHub
-from shedgrade.controlplane.duties import Duties
-from shedgrade.controlplane.platform import InstanceList
-from shedgrade.knowledge import NEVER
+from shedgrade.control_messages import NEVER
+from shedgrade.controlplane.platform_poller import InstanceList
+from shedgrade.controlplane.singleton_roles import Duties
+from shedgrade.controlplane.watch_hub import WatchHub
 from shedgrade.replication import Member
 
 EVACUATED = "evacuated"
--- a/shedgrade/controlplane/delivery.py
+++ b/shedgrade/controlplane/watch_hub.py
@@ -10,8 +10,7 @@
 import msgspec
 import orjson
 
-from shedgrade.controlplane.platform import InstanceList
-from shedgrade.knowledge import (
+from shedgrade.control_messages import (
     CLOSED,
     LEAVING,
     NEVER,
@@ -26,8 +25,9 @@
     Told,
     packed,
 )
-from shedgrade.log import logger
-from shedgrade.record.ledger import Ledger, Pair
+from shedgrade.controlplane.platform_poller import InstanceList
+from shedgrade.prefix_cache_index.index import Ledger, Pair
+from shedgrade.runtime.log import logger
 
 LONGEST_WAIT = 10.0  # s that an ask may be parked, whatever it says
 MOST_PARKED = 4096  # asks; beyond it they are answered at once
--- a/shedgrade/ctl/explain.py
+++ b/shedgrade/ctl/explain.py
@@ -6,7 +6,7 @@
 from shedgrade.ctl.config import in_force
 from shedgrade.ctl.output import Output, RefusedError
 from shedgrade.findings import Finding
-from shedgrade.matching.routes import RouteTree
+from shedgrade.route_matching.routes import RouteTree
 
 
 def run(options, output: Output, caller) -> int:
--- a/shedgrade/ctl/files.py
+++ b/shedgrade/ctl/files.py
@@ -37,8 +37,8 @@
 
 
 def settings(options, output: Output) -> int:
-    from shedgrade.boot import SettingsError, load
-    from shedgrade.boot.reading import VARIABLE
+    from shedgrade.process_settings import SettingsError, load
+    from shedgrade.process_settings.reading import VARIABLE
 
     path = options["FILE"] or os.environ.get(VARIABLE, "")
     if not Path(path).is_file():
--- a/shedgrade/dataplane/__main__.py
+++ b/shedgrade/dataplane/__main__.py
@@ -13,8 +13,8 @@
 
 def main(arguments: list[str]) -> int:
     """Runs the data plane; returns the process's exit status."""
-    from shedgrade.boot import Settings, require
-    from shedgrade.boot.program import PlaneClass, run_program
+    from shedgrade.process_settings import Settings, require
+    from shedgrade.program import PlaneClass, run_program
 
     def check(settings: Settings) -> None:
         require(settings, listen=("front", "readiness"))
--- a/shedgrade/dataplane/caller.py
+++ b/shedgrade/dataplane/caller.py
@@ -7,9 +7,9 @@
 from collections.abc import Callable
 from enum import Enum
 
-from shedgrade import decide
+from shedgrade import load_balancing
 from shedgrade.dataplane.engine import EngineConnection
-from shedgrade.wire.caller import OURS, Caller
+from shedgrade.http.caller import OURS, Caller
 
 SECOND = 10_000  # in tenths of a ms
 DEFAULT_IDLE_LIMIT = 4 * SECOND  # of an idle connection whose upstream states no limit
@@ -69,7 +69,7 @@
         """Its machine can't be reached: whatever waits for it ends now, not when the kernel gives up."""
         self.forget(upstream)
         for link in [link for link in self.open if link.upstream == upstream]:
-            link.end(decide.DROPPED if link.may_have_run() else decide.BROKEN)
+            link.end(load_balancing.DROPPED if link.may_have_run() else load_balancing.BROKEN)
             link.cut()
 
     def idle_timeout_stated(self, seconds: int) -> None:
--- a/shedgrade/dataplane/asking.py
+++ b/shedgrade/dataplane/control_client.py
@@ -12,7 +12,7 @@
 
 import msgspec
 
-from shedgrade.knowledge import (
+from shedgrade.control_messages import (
     NEVER,
     Ask,
     ControlChange,
@@ -22,7 +22,7 @@
     Told,
     unpacked,
 )
-from shedgrade.log import logger
+from shedgrade.runtime.log import logger
 
 LATE = 0.7  # s beyond its wait after which an ask counts as failed
 OLD_WORD = 0.8  # s since a member heard the primary, beyond which others are asked too
--- a/shedgrade/dataplane/draining.py
+++ b/shedgrade/dataplane/draining.py
@@ -10,7 +10,7 @@
 
 from math import inf
 
-from shedgrade.knowledge import LEAVING, NOBODY, READY
+from shedgrade.control_messages import LEAVING, NOBODY, READY
 
 TAKES_ALL = 2.8  # s after SIGTERM in which all that comes is served: clients hold addresses so long
 TAKES_ALL_FIRST = 0.5  # the same for who goes before others that take its clients
--- a/shedgrade/dataplane/engine.py
+++ b/shedgrade/dataplane/engine.py
@@ -8,9 +8,9 @@
 
 from shedgrade.dataplane.attribution import Attribution, attribute
 from shedgrade.dataplane.protocol import MISDIRECTED
-from shedgrade.memory.in_hand import Answer, Transmission
-from shedgrade.wire.connection import LONGEST_HEAD, MessageError, passed_on
-from shedgrade.wire.upstream import UpstreamConnection
+from shedgrade.http.connection import LONGEST_HEAD, MessageError, passed_on
+from shedgrade.http.upstream import UpstreamConnection
+from shedgrade.in_flight import Answer, Transmission
 
 USER_TIMEOUT_MS = 1500  # without an acknowledgement of what was sent, then the kernel ends the connection
 STATED_TIMEOUT = re.compile(rb"timeout\s*=\s*(\d+)", re.IGNORECASE)
--- a/shedgrade/dataplane/exchange.py
+++ b/shedgrade/dataplane/exchange.py
@@ -1,7 +1,7 @@
 """One try of a client's in hand: what it wants, whose turn it is, and what a failed upstream said."""
 
-from shedgrade.memory.in_hand import Answer, Carried, Request
-from shedgrade.serving.request import Wants
+from shedgrade.in_flight import Answer, Carried, Request
+from shedgrade.model_routing.request import Wants
 
 TICKS = 10_000  # of the clock, a second
 OVERTIME = 1_500  # tenths of a ms past its time for which an answer that still comes is passed on
--- a/shedgrade/dataplane/front.py
+++ b/shedgrade/dataplane/front.py
@@ -4,9 +4,9 @@
 from random import Random
 
 from shedgrade.configuration import Limits
-from shedgrade.core.front import Front
 from shedgrade.dataplane.ingress import Turns
 from shedgrade.dataplane.routes import Routes, ServedRoute
+from shedgrade.upstream_pool.front import Front
 
 BACK = 0.1, 0.4  # s after which a client is told to try elsewhere: spread, so they don't come together
 JUST_UP = 0.2  # s after which a connection that brought nothing counts as idle
--- a/shedgrade/dataplane/ingress.py
+++ b/shedgrade/dataplane/ingress.py
@@ -1,15 +1,15 @@
 """The clients' side of the data plane: requests come in, are given a route, and are answered once."""
 
+from shedgrade.buffers.flow import SMALL, Flow
 from shedgrade.configuration import Limits
 from shedgrade.dataplane.exchange import TICKS, Exchange
 from shedgrade.dataplane.routes import ServedRoute, shared_parts, token_usage
 from shedgrade.dataplane.streams import ResumableStream
-from shedgrade.memory.flow import SMALL, Flow
-from shedgrade.memory.in_hand import Answer, Request
-from shedgrade.serving.request import IDEMPOTENT, Wants
-from shedgrade.wire.application import ApplicationConnection
-from shedgrade.wire.connection import declared, passed_on
-from shedgrade.wire.http import relative
+from shedgrade.http.application import ApplicationConnection
+from shedgrade.http.connection import declared, passed_on
+from shedgrade.http.http import relative
+from shedgrade.in_flight import Answer, Request
+from shedgrade.model_routing.request import IDEMPOTENT, Wants
 
 OWN = frozenset((b"time-remaining", b"target-instance", b"priority"))  # written anew for each upstream
 LEAST_LEFT = 50  # ms: with less left no further leg of a stream is worth its upstream's work
--- a/shedgrade/dataplane/plane.py
+++ b/shedgrade/dataplane/plane.py
@@ -7,31 +7,39 @@
 
 import msgspec
 
-from shedgrade import knowledge
-from shedgrade.boot import Reload, Settings, Watched
-from shedgrade.clock import Clock
-from shedgrade.dataplane.asking import OLD_WORD, AskTo, Watcher
+from shedgrade import control_messages
+from shedgrade.buffers.budget import Budget
+from shedgrade.control_messages import (
+    CLOSED,
+    LEAVING,
+    NOBODY,
+    READY,
+    STARTING,
+    EdgeState,
+    Told,
+)
+from shedgrade.dataplane.control_client import OLD_WORD, AskTo, Watcher
 from shedgrade.dataplane.draining import Drain
 from shedgrade.dataplane.exchange import TICKS
 from shedgrade.dataplane.front import IngressFront
 from shedgrade.dataplane.ingress import IngressConnection
 from shedgrade.dataplane.service import ServicePool
 from shedgrade.dataplane.state import State
-from shedgrade.faults import fault
-from shedgrade.httpd import HttpServer, Reply
-from shedgrade.knowledge import CLOSED, LEAVING, NOBODY, READY, STARTING, EdgeState, Told
-from shedgrade.link.address import join
-from shedgrade.link.peer import LinkError
-from shedgrade.link.tcp import Links
-from shedgrade.loads import LoadReporter, LoadsTold, OthersKnown
-from shedgrade.loads.edge import INTERVAL as LOAD_INTERVAL
-from shedgrade.log import logger
+from shedgrade.http.listener import Listener
+from shedgrade.http.server import HttpServer, Reply
+from shedgrade.load_reports import LoadReporter, LoadsTold, OthersKnown
+from shedgrade.load_reports.edge import INTERVAL as LOAD_INTERVAL
 from shedgrade.membership.messages import Node
 from shedgrade.membership.running import Gossip
-from shedgrade.memory.budget import Budget
-from shedgrade.record import Record
-from shedgrade.serving.repeats import Repeats
-from shedgrade.wire.listener import Listener
+from shedgrade.model_routing.retry_budget import Repeats
+from shedgrade.peer_transport.address import join
+from shedgrade.peer_transport.peer import LinkError
+from shedgrade.peer_transport.tcp import Links
+from shedgrade.prefix_cache_index import Record
+from shedgrade.process_settings import Reload, Settings, Watched
+from shedgrade.runtime.clock import Clock
+from shedgrade.runtime.log import logger
+from shedgrade.runtime.loop_errors import fault
 
 KNOWLEDGE = b"K"  # as the control plane tells its links' bodies apart
 RESERVED = 200  # descriptors that are kept for files
@@ -258,12 +266,12 @@
             to = self.asker.main.address
             report = self.reporter.report(now, to, self.state.own_loads(), len(self.others.loads))
             if report is not None:
-                self.links.send(to, KNOWLEDGE + knowledge.encode(report))
+                self.links.send(to, KNOWLEDGE + control_messages.encode(report))
 
     def heard(self, sender: str, frame) -> None:
         """A word that came unasked."""
         try:
-            told = knowledge.decode(frame.body[1:])
+            told = control_messages.decode(frame.body[1:])
         except (msgspec.MsgspecError, ValueError):
             return  # of a member of another version
         if isinstance(told, LoadsTold):
@@ -331,9 +339,9 @@
             if not beside:  # the record's numbers are one member's: another asked beside it tells none
                 reads = self.record.outgoing()
                 ask = msgspec.structs.replace(ask, reads=reads, record=self.record.version)
-            asked = KNOWLEDGE + knowledge.encode(ask)
+            asked = KNOWLEDGE + control_messages.encode(ask)
             body = await self.links.call(effect.address, asked, effect.timeout)
-            told = knowledge.decode(body[1:])
+            told = control_messages.decode(body[1:])
         except (LinkError, msgspec.MsgspecError, ValueError):
             told = None
         if isinstance(told, Told):
--- a/shedgrade/dataplane/protocol.py
+++ b/shedgrade/dataplane/protocol.py
@@ -1,6 +1,6 @@
 """What the system's upstreams speak, where it differs from the protocol in service."""
 
-from shedgrade.memory.in_hand import Transmission
+from shedgrade.in_flight import Transmission
 
 MISDIRECTED = 421  # another incarnation has the address: by itself it says so
 REFUSALS = frozenset((400, MISDIRECTED, 429, 503))  # statuses with which `Not-Executed` may stand
--- a/shedgrade/dataplane/routes.py
+++ b/shedgrade/dataplane/routes.py
@@ -5,8 +5,8 @@
 from random import Random
 
 from shedgrade.configuration import STREAMING, Configuration, Route
-from shedgrade.matching.routes import RouteTree
-from shedgrade.serving.request import IDEMPOTENT, ONCE
+from shedgrade.model_routing.request import IDEMPOTENT, ONCE
+from shedgrade.route_matching.routes import RouteTree
 
 GOLDEN = (5**0.5 - 1) / 2
 LEAST_SHARED = 64  # tokens of shared parts for which a request keeps to their holder
--- a/shedgrade/dataplane/service.py
+++ b/shedgrade/dataplane/service.py
@@ -2,17 +2,17 @@
 
 from collections.abc import Iterable, Mapping
 
-from shedgrade import decide
+from shedgrade import load_balancing
+from shedgrade.control_messages import Instance
 from shedgrade.dataplane.caller import EngineCaller, Reach
 from shedgrade.dataplane.protocol import SystemProtocol
 from shedgrade.dataplane.service_times import ServiceTimes
-from shedgrade.knowledge import Instance
-from shedgrade.log import logger
-from shedgrade.memory.upstreams import Addresses, Indices
-from shedgrade.record import Record
-from shedgrade.serving.balancer import ServingBalancer
-from shedgrade.serving.repeats import Repeats
-from shedgrade.turn import Turn
+from shedgrade.load_balancing.upstream_indices import Addresses, Indices
+from shedgrade.model_routing.balancer import ServingBalancer
+from shedgrade.model_routing.retry_budget import Repeats
+from shedgrade.prefix_cache_index import Record
+from shedgrade.request_dispatch import Turn
+from shedgrade.runtime.log import logger
 
 SILENCE_LIMIT = 4_000  # tenths of a ms without a byte from an upstream that has requests in flight
 PROBE_INTERVAL = 10_000  # tenths of a ms between two probes of one upstream
@@ -95,7 +95,13 @@
                 continue
             ready = one.state == "available" and one.zone not in evacuated
             row = self.indices.row(
-                one.id, self.regions[region], decide.READY if ready else decide.DRAINING, 0, 0, 1.0, 0
+                one.id,
+                self.regions[region],
+                load_balancing.READY if ready else load_balancing.DRAINING,
+                0,
+                0,
+                1.0,
+                0,
             )
             rows.append(row)
             index = row[0]
@@ -112,7 +118,7 @@
             self.caller.withdraw(index)
 
     def ready(self) -> int:
-        return sum(state == decide.READY for state in self.states.values())
+        return sum(state == load_balancing.READY for state in self.states.values())
 
     def misdirected(self, upstream: int) -> None:
         """Another incarnation is at its address: this one is gone, whatever the list says."""
--- a/shedgrade/dataplane/state.py
+++ b/shedgrade/dataplane/state.py
@@ -5,12 +5,12 @@
 from zlib import crc32
 
 from shedgrade.configuration import parse
+from shedgrade.control_messages import ControlChange, Counts, Instance, ListMoved, unpacked
 from shedgrade.dataplane.fleet import FleetSize
 from shedgrade.dataplane.routes import Routes
 from shedgrade.dataplane.service import ServicePool
-from shedgrade.knowledge import ControlChange, Counts, Instance, ListMoved, unpacked
-from shedgrade.log import logger
-from shedgrade.serving.repeats import Repeats
+from shedgrade.model_routing.retry_budget import Repeats
+from shedgrade.runtime.log import logger
 
 
 class State:
--- a/shedgrade/dataplane/streams.py
+++ b/shedgrade/dataplane/streams.py
@@ -2,9 +2,9 @@
 
 import re
 
-from shedgrade.log import logger
-from shedgrade.memory.flow import Flow, nothing
-from shedgrade.memory.in_hand import Answer
+from shedgrade.buffers.flow import Flow, nothing
+from shedgrade.in_flight import Answer
+from shedgrade.runtime.log import logger
 
 END = re.compile(rb"\r?\n\r?\n")
 ID = re.compile(rb"^id:[ ]?([^\r\n]*)", re.MULTILINE)
--- a/shedgrade/engines/__init__.py
+++ b/shedgrade/engines/__init__.py
@@ -5,6 +5,14 @@
 
 from shedgrade.engines.engine import Engine
 from shedgrade.engines.settings import EngineSettings
-from shedgrade.engines.work import Done, Event, Fell, Late, Rejected, Started, Work
+from shedgrade.engines.work import (
+    Done,
+    Event,
+    Fell,
+    Late,
+    Rejected,
+    Started,
+    Work,
+)
 
 __all__ = ["Done", "Engine", "EngineSettings", "Event", "Fell", "Late", "Rejected", "Started", "Work"]
--- a/shedgrade/engines/engine.py
+++ b/shedgrade/engines/engine.py
@@ -10,7 +10,17 @@
 
 from shedgrade.engines.memory import KeyValueMemory
 from shedgrade.engines.settings import EngineSettings
-from shedgrade.engines.work import LEAST_URGENT, Done, Event, Fell, Job, Late, Rejected, Started, Work
+from shedgrade.engines.work import (
+    LEAST_URGENT,
+    Done,
+    Event,
+    Fell,
+    Job,
+    Late,
+    Rejected,
+    Started,
+    Work,
+)
 
 NEARLY_FULL = 0.9  # of the slots, above which some engines slow down
 REPORT_AGE = 0.3  # s by which a report is old
--- a/shedgrade/engines/server.py
+++ b/shedgrade/engines/server.py
@@ -9,7 +9,14 @@
 from shedgrade.engines.connection import ServerConnection
 from shedgrade.engines.engine import Engine
 from shedgrade.engines.records import Run
-from shedgrade.engines.work import Done, Event, Fell, Late, Rejected, Started
+from shedgrade.engines.work import (
+    Done,
+    Event,
+    Fell,
+    Late,
+    Rejected,
+    Started,
+)
 
 RESET = struct.pack("ii", 1, 0)
 BACKLOG = 1024
--- a/shedgrade/wire/application.py
+++ b/shedgrade/http/application.py
@@ -10,10 +10,8 @@
 
 import httptools
 
-from shedgrade.log import logger
-from shedgrade.memory.flow import PRESSED, SMALL, Flow, nothing
-from shedgrade.memory.in_hand import Answer, Carried, Request
-from shedgrade.wire.connection import (
+from shedgrade.buffers.flow import PRESSED, SMALL, Flow, nothing
+from shedgrade.http.connection import (
     BLANKS,
     LONGEST_BODY,
     LONGEST_HEAD,
@@ -22,7 +20,9 @@
     declared,
     passed_on,
 )
-from shedgrade.wire.http import REASONS, relative
+from shedgrade.http.http import REASONS, relative
+from shedgrade.in_flight import Answer, Carried, Request
+from shedgrade.runtime.log import logger
 
 COMES = 2.0  # s within which a connection's first request must begin
 HEAD = 2.5  # s from its first byte within which a head must be whole: slow clients take 2
--- a/shedgrade/wire/caller.py
+++ b/shedgrade/http/caller.py
@@ -3,11 +3,11 @@
 import asyncio
 import errno
 
-from shedgrade import decide
-from shedgrade.memory.idle import IdleConnections
-from shedgrade.memory.in_hand import Transmission
-from shedgrade.wire.protocol import IN_SERVICE
-from shedgrade.wire.upstream import UpstreamConnection
+from shedgrade import load_balancing
+from shedgrade.http.idle_connections import IdleConnections
+from shedgrade.http.protocol import IN_SERVICE
+from shedgrade.http.upstream import UpstreamConnection
+from shedgrade.in_flight import Transmission
 
 SETTLED = 60  # tenths of a ms: what an upstream sends behind an answer is here by then (5 plays: 1 to 4 ms)
 # Failures to connect that are this side's own: they prove as well that nothing ran, and blame no upstream.
@@ -55,7 +55,7 @@
             return
         self.count()
         if self.budget.full() and not self.give_up_idle():
-            self.turn.ended(transmission, decide.UNSENT, None)
+            self.turn.ended(transmission, load_balancing.UNSENT, None)
             return
         # A proxy's slowness says nothing of the upstream: its own limit ends the dial, as unsent.
         transmission.dial_until = transmission.until + 1 if self.proxied else now + self.dial_time
@@ -85,9 +85,9 @@
             outcome = getattr(failure, "outcome", None)
             if outcome is None:
                 outcome = (
-                    decide.UNSENT
+                    load_balancing.UNSENT
                     if number in OURS
-                    else (decide.BROKEN if number in SHAKEN else decide.UNCONNECTED)
+                    else (load_balancing.BROKEN if number in SHAKEN else load_balancing.UNCONNECTED)
                 )
             if self.dials.pop(transmission, None):
                 self.turn.ended(transmission, outcome, None)
@@ -99,10 +99,12 @@
         if not wanted:
             link.abort()
         elif link.transport.is_closing():
-            self.turn.ended(transmission, decide.UNSENT if self.proxied else decide.BROKEN, None)
+            self.turn.ended(
+                transmission, load_balancing.UNSENT if self.proxied else load_balancing.BROKEN, None
+            )
         elif not self.turn.wanted(transmission, now := self.clock.now()):
             link.abort()
-            self.turn.ended(transmission, decide.UNSENT, None)
+            self.turn.ended(transmission, load_balancing.UNSENT, None)
         else:
             transmission.dial_until = None
             link.begin(transmission, now)
@@ -189,7 +191,7 @@
         self.leaving(upstream)
         for transmission in [one for one in self.dials if one.upstream == upstream]:
             self.dials.pop(transmission).cancel()
-            self.turn.ended(transmission, decide.UNSENT, None)
+            self.turn.ended(transmission, load_balancing.UNSENT, None)
         self.count()
 
     def forget(self, upstream: int) -> None:
--- a/shedgrade/wire/connection.py
+++ b/shedgrade/http/connection.py
@@ -4,8 +4,8 @@
 import socket
 from collections.abc import Iterable
 
-from shedgrade.memory.flow import PRESSED
-from shedgrade.memory.ring import Ring
+from shedgrade.buffers.flow import PRESSED
+from shedgrade.buffers.ring import Ring
 
 LONGEST_HEAD = 64 * 1024
 LONGEST_BODY = 32 * 1024 * 1024
--- a/shedgrade/wire/discovery.py
+++ b/shedgrade/http/discovery.py
@@ -7,10 +7,10 @@
 import httptools
 import orjson
 
-from shedgrade import decide
-from shedgrade.log import logger
-from shedgrade.memory.upstreams import Addresses, Indices, tenths
-from shedgrade.wire.connection import Connection, MessageError
+from shedgrade import load_balancing
+from shedgrade.http.connection import Connection, MessageError
+from shedgrade.load_balancing.upstream_indices import Addresses, Indices, tenths
+from shedgrade.runtime.log import logger
 
 PATH = b"/discovery/hosts"
 WAIT = 3_000  # ms a watch may wait: what a silent one misses counts as told 6 s after it fell
@@ -25,7 +25,11 @@
 UNSOUND = 3  # answers running that are no sound list, until what is sound in the last is taken
 TURNED_AWAY = 2.0  # s at the longest where calls wait in turn and it has no list: it has too much to do
 LONGEST_LIST = 8 * 1024 * 1024  # bytes: tens of thousands of upstreams
-STATES = {"in_service": decide.READY, "terminating": decide.DRAINING, "terminated": decide.REMOVED}
+STATES = {
+    "in_service": load_balancing.READY,
+    "terminating": load_balancing.DRAINING,
+    "terminated": load_balancing.REMOVED,
+}
 
 
 class ListError(Exception):
@@ -87,7 +91,11 @@
         if whole:
             return instance
         name = instance["instanceId"]
-        if name in self.told or "hostPort" in instance or STATES[instance["lifecycle"]] == decide.READY:
+        if (
+            name in self.told
+            or "hostPort" in instance
+            or STATES[instance["lifecycle"]] == load_balancing.READY
+        ):
             return {**self.told.get(name, {}), **instance}
         return None
 
@@ -98,7 +106,7 @@
             before = self.told.get(instance["instanceId"], {})
             ends = (
                 {**before, "lifecycle": instance["lifecycle"]}
-                if STATES.get(instance.get("lifecycle"), decide.READY) != decide.READY
+                if STATES.get(instance.get("lifecycle"), load_balancing.READY) != load_balancing.READY
                 else before
             )
         except (KeyError, TypeError, AttributeError):
--- a/shedgrade/wire/listener.py
+++ b/shedgrade/http/listener.py
@@ -3,8 +3,8 @@
 import select
 import socket
 
-from shedgrade.log import logger
-from shedgrade.wire.application import ApplicationConnection
+from shedgrade.http.application import ApplicationConnection
+from shedgrade.runtime.log import logger
 
 BACKLOG = 1024  # connections that the kernel holds while the loop is busy
 AT_ONCE = 32  # connections accepted in one pass of the loop: what is open gets its turn too
--- a/shedgrade/wire/protocol.py
+++ b/shedgrade/http/protocol.py
@@ -1,6 +1,6 @@
 """What differs between the protocols that upstreams speak: one object, handed to whoever calls them."""
 
-from shedgrade.memory.in_hand import Transmission
+from shedgrade.in_flight import Transmission
 
 NOT_RUN = (503, 504)  # statuses that may say that a request was not run
 
--- a/shedgrade/httpd.py
+++ b/shedgrade/http/server.py
@@ -14,10 +14,10 @@
 import msgspec
 
 from shedgrade.findings import Finding
-from shedgrade.wire.connection import LONGEST_HEAD, Connection
-from shedgrade.wire.http import REASONS as KNOWN_REASONS
-from shedgrade.wire.http import relative
-from shedgrade.wire.listener import Listener
+from shedgrade.http.connection import LONGEST_HEAD, Connection
+from shedgrade.http.http import REASONS as KNOWN_REASONS
+from shedgrade.http.http import relative
+from shedgrade.http.listener import Listener
 
 REASONS = {
     **KNOWN_REASONS,
--- a/shedgrade/wire/upstream.py
+++ b/shedgrade/http/upstream.py
@@ -5,10 +5,9 @@
 
 import httptools
 
-from shedgrade import decide
-from shedgrade.memory.flow import PRESSED, SMALL, Flow, nothing
-from shedgrade.memory.in_hand import Answer, Transmission
-from shedgrade.wire.connection import (
+from shedgrade import load_balancing
+from shedgrade.buffers.flow import PRESSED, SMALL, Flow, nothing
+from shedgrade.http.connection import (
     BLANKS,
     LONGEST_BODY,
     LONGEST_HEAD,
@@ -17,9 +16,10 @@
     declared,
     passed_on,
 )
+from shedgrade.in_flight import Answer, Transmission
 
 if TYPE_CHECKING:
-    from shedgrade.wire.caller import Caller
+    from shedgrade.http.caller import Caller
 
 
 class UpstreamConnection(Connection):
@@ -122,7 +122,7 @@
         self.caller.closed(self)
         self.take_rest()
         # Only bytes that never left prove that it never ran; once the last may have left, a reset doesn't.
-        self.end(decide.DROPPED if self.may_have_run() else decide.BROKEN)
+        self.end(load_balancing.DROPPED if self.may_have_run() else load_balancing.BROKEN)
         self.clear()
         self.give_back()
         self.parser = None  # holds on to this connection, which would wait for the collector
@@ -155,7 +155,7 @@
 
     def end(self, outcome: int, answer: Answer | None = None) -> None:
         transmission, self.transmission = self.transmission, None
-        self.let_go(outcome == decide.COMPLETED)
+        self.let_go(outcome == load_balancing.COMPLETED)
         if transmission is not None:
             self.caller.turn.ended(transmission, outcome, answer)
 
@@ -209,7 +209,7 @@
                 # A broken answer is an error after which the RPC may have run. What comes behind a whole
                 # one leaves the answer as it is, but the connection is of no further use.
                 if not self.complete:
-                    self.end(decide.FAILED)
+                    self.end(load_balancing.FAILED)
                     self.cut()
                     self.incoming.consume(len(self.incoming))
                     break
@@ -320,7 +320,7 @@
         keep = self.whole and self.lasting and not (self.transport.is_closing() or self.ended_sending)
         if (self.status // 100 == 2 or self.status == 304) and self.sending is None:
             outcome, answer = (
-                decide.COMPLETED,
+                load_balancing.COMPLETED,
                 self.answer
                 or Answer(
                     passed_on(self.headers),
@@ -331,7 +331,7 @@
             )
         else:
             away = self.caller.protocol.turned_away(self.status, self.headers)
-            outcome, answer = decide.TURNED_AWAY if away else decide.FAILED, None
+            outcome, answer = load_balancing.TURNED_AWAY if away else load_balancing.FAILED, None
         self.caller.heard[self.upstream] = self.caller.clock.now()
         if self.caller.counted_by is not None:
             for name, value in self.headers:
--- a/shedgrade/lab/baselines.py
+++ b/shedgrade/lab/baselines.py
@@ -6,10 +6,10 @@
 
 from random import Random
 
-from shedgrade import decide
+from shedgrade import load_balancing
 
 
-class Baseline(decide.Balancer):
+class Baseline(load_balancing.Balancer):
     """The module with the choice taken out of it."""
 
     def __init__(self, settings: dict, seed: int, now: int) -> None:
@@ -17,34 +17,34 @@
         self.turn_now = 0
         self.picks = Random(f"{seed}/baseline")
 
-    def usable(self, now: int, rpc: decide.Rpc) -> list[decide.Upstream]:
+    def usable(self, now: int, rpc: load_balancing.Rpc) -> list[load_balancing.Upstream]:
         return [up for up in self.ups.values() if up.listed and up not in rpc.tries and rpc.allowed(up, now)]
 
-    def choose(self, now: int, rpc: decide.Rpc, stay: bool) -> decide.Upstream | None:
+    def choose(self, now: int, rpc: load_balancing.Rpc, stay: bool) -> load_balancing.Upstream | None:
         there = self.usable(now, rpc)
         return self.among(there) if there else None
 
-    def among(self, there: list[decide.Upstream]) -> decide.Upstream:
+    def among(self, there: list[load_balancing.Upstream]) -> load_balancing.Upstream:
         raise NotImplementedError
 
-    def hold(self, now: int, rpc: decide.Rpc, until: int) -> bool:
+    def hold(self, now: int, rpc: load_balancing.Rpc, until: int) -> bool:
         return False
 
-    def set_aside(self, now: int, up: decide.Upstream, certain: bool) -> None:
+    def set_aside(self, now: int, up: load_balancing.Upstream, certain: bool) -> None:
         return
 
 
 class RandomChoice(Baseline):
     """Any upstream, all alike."""
 
-    def among(self, there: list[decide.Upstream]) -> decide.Upstream:
+    def among(self, there: list[load_balancing.Upstream]) -> load_balancing.Upstream:
         return self.picks.choice(there)
 
 
 class Rotation(Baseline):
     """One after another over the whole list."""
 
-    def among(self, there: list[decide.Upstream]) -> decide.Upstream:
+    def among(self, there: list[load_balancing.Upstream]) -> load_balancing.Upstream:
         self.turn_now += 1
         return there[self.turn_now % len(there)]
 
@@ -52,7 +52,7 @@
 class LeastInFlight(Baseline):
     """The fewest of this sidecar's RPCs in flight; chance among equals."""
 
-    def among(self, there: list[decide.Upstream]) -> decide.Upstream:
+    def among(self, there: list[load_balancing.Upstream]) -> load_balancing.Upstream:
         least = min(up.flight for up in there)
         return self.picks.choice([up for up in there if up.flight == least])
 
--- a/shedgrade/lab/decisions.py
+++ b/shedgrade/lab/decisions.py
@@ -3,7 +3,7 @@
 import time
 from random import Random
 
-from shedgrade import decide
+from shedgrade import load_balancing
 
 
 def settings(zones: int) -> dict:
@@ -53,8 +53,10 @@
     RPCs overlap: a tenth as many as upstreams are out at any moment, four at least. Times taken are drawn.
     """
     chance = Random(seed)
-    balancer = decide.Balancer(settings(zones), seed, 0)
-    rows = [(number, number % zones, decide.READY, 0, 0, number, 1.0, 0) for number in range(upstreams)]
+    balancer = load_balancing.Balancer(settings(zones), seed, 0)
+    rows = [
+        (number, number % zones, load_balancing.READY, 0, 0, number, 1.0, 0) for number in range(upstreams)
+    ]
     balancer.list_changed(0, rows, True, True)
     now, out, most = 0, [], max(4, upstreams // 10)
     begun = time.process_time()
@@ -66,7 +68,7 @@
             out.append((rpc, now))
         if len(out) >= most:
             rpc, sent = out.pop(chance.randrange(len(out)))
-            rpc.ended(now, 0, decide.COMPLETED, max(1, min(now - sent, 500)), True)
+            rpc.ended(now, 0, load_balancing.COMPLETED, max(1, min(now - sent, 500)), True)
             rpc.decide(now)
         for rpc in balancer.due(now):
             answer = rpc.decide(now)
@@ -77,7 +79,7 @@
     begun, changes = time.process_time(), 500
     for number in range(changes):
         row = list(rows[number % upstreams])
-        row[2] = decide.DRAINING if number % 2 == 0 else decide.READY
+        row[2] = load_balancing.DRAINING if number % 2 == 0 else load_balancing.READY
         balancer.list_changed(now, [tuple(row)], False, True)
     return {
         "upstreams": upstreams,
--- a/shedgrade/lab/generator.py
+++ b/shedgrade/lab/generator.py
@@ -132,9 +132,9 @@
 
     async def tunnel(self):
         """Through a tunnel of its own, which is kept with the connection inside it."""
-        from shedgrade.tunnel import connect, socks
-        from shedgrade.tunnel.destinations import destination
-        from shedgrade.tunnel.dialler import Handshake
+        from shedgrade.sidecar.tunnel import connect, socks
+        from shedgrade.sidecar.tunnel.destinations import destination
+        from shedgrade.sidecar.tunnel.dialler import Handshake
 
         where = destination("lab.internal", 80)
         codec = (
--- a/shedgrade/lab/prepared.py
+++ b/shedgrade/lab/prepared.py
@@ -8,10 +8,10 @@
 from shedgrade.lab.faults import Machine
 from shedgrade.lab.scenario import SavedStart, Scenario
 from shedgrade.lab.upstreams import address
-from shedgrade.saved.files import Files
-from shedgrade.saved.picture import Moment
-from shedgrade.saved.store import Store
-from shedgrade.saved.wall import Wall
+from shedgrade.sidecar.endpoint_snapshot.files import Files
+from shedgrade.sidecar.endpoint_snapshot.snapshot import Moment
+from shedgrade.sidecar.endpoint_snapshot.store import Store
+from shedgrade.sidecar.endpoint_snapshot.wall_clock import Wall
 
 NOWHERE = 240  # slots from which addresses lead nowhere, or to a silent stand-in
 
--- a/shedgrade/lab/sidecar.py
+++ b/shedgrade/lab/sidecar.py
@@ -7,9 +7,9 @@
 import uvloop
 
 from shedgrade.lab.baselines import POLICIES
-from shedgrade.lifecycle.config import load
-from shedgrade.lifecycle.logs import log_to_stderr
-from shedgrade.lifecycle.sidecar import Sidecar
+from shedgrade.sidecar.lifecycle.config import load
+from shedgrade.sidecar.lifecycle.logs import log_to_stderr
+from shedgrade.sidecar.lifecycle.sidecar import Sidecar
 
 
 def main() -> None:
--- a/shedgrade/lab/system/platform.py
+++ b/shedgrade/lab/system/platform.py
@@ -6,8 +6,8 @@
 from dataclasses import dataclass
 
 from shedgrade.findings import Finding
-from shedgrade.httpd import HttpServer, Reply, Request, failure
-from shedgrade.log import logger
+from shedgrade.http.server import HttpServer, Reply, Request, failure
+from shedgrade.runtime.log import logger
 
 PAGE = 50  # entries of a page
 AVAILABLE, DRAINING = "available", "draining"
--- a/shedgrade/lab/worker.py
+++ b/shedgrade/lab/worker.py
@@ -299,7 +299,7 @@
 
     async def start(self) -> None:
         from shedgrade.lab.generator import Closed, Generator
-        from shedgrade.lab.rude import Rude
+        from shedgrade.lab.misbehaving_clients import Rude
 
         task, scenario = self.task, self.scenario
         arrivals = [msgspec.convert(one, Arrival) for one in task["arrivals"]]
--- a/shedgrade/link/__init__.py
+++ /dev/null
@@ -1,3 +0,0 @@
-"""Frames between the system's own processes, and their TCP and UDP ends."""
-
-import shedgrade.link.flatbuffers_without_numpy  # noqa: F401 - before anything here imports the library
--- a/shedgrade/decide/__init__.py
+++ b/shedgrade/load_balancing/__init__.py
@@ -23,7 +23,7 @@
 from math import inf
 
 from .balancer import HALF, Balancer
-from .listing import RECENT
+from .endpoint_list import RECENT
 from .outcomes import *
 from .rpc import Method, Rpc
 from .upstream import LONGEST, MEMORY, SECOND, Ratio, Upstream
--- a/shedgrade/decide/balancer.py
+++ b/shedgrade/load_balancing/balancer.py
@@ -5,12 +5,12 @@
 from math import inf, log
 from random import Random
 
-from .cold import Cold
-from .health import ROOM, Health
-from .held import Holding
-from .listing import Listing
-from .parts import Parts
+from .endpoint_list import Listing
+from .outlier_detection import ROOM, Health
+from .pending import Holding
 from .rpc import Method, Rpc
+from .slow_start import Cold
+from .subsetting import Parts
 from .upstream import MEMORY, SECOND, Ratio, Upstream
 from .zones import Choice, Zone
 
--- a/shedgrade/core/lasting.py
+++ b/shedgrade/load_balancing/learned_state.py
@@ -2,7 +2,7 @@
 
 from math import exp, inf
 
-from shedgrade.decide import LONGEST, RECENT, SECOND, Balancer
+from . import LONGEST, RECENT, SECOND, Balancer
 
 
 def export(balancer: Balancer, now: int) -> dict:
--- a/shedgrade/decide/health.py
+++ b/shedgrade/load_balancing/outlier_detection.py
@@ -3,7 +3,15 @@
 from heapq import heappush
 from math import exp
 
-from .outcomes import BROKEN, COMPLETED, DROPPED, FAILED, REMOVED, TIMED_OUT, UNCONNECTED
+from .outcomes import (
+    BROKEN,
+    COMPLETED,
+    DROPPED,
+    FAILED,
+    REMOVED,
+    TIMED_OUT,
+    UNCONNECTED,
+)
 from .rpc import Method, Rpc
 from .upstream import LONGEST, MEMORY, SECOND, Ratio, Upstream
 
--- a/shedgrade/decide/rpc.py
+++ b/shedgrade/load_balancing/rpc.py
@@ -3,7 +3,14 @@
 from heapq import heappush
 from math import exp
 
-from .outcomes import COMPLETED, ERRORED, EXHAUSTED, NEVER_RAN, TIMED_OUT, TURNED_AWAY
+from .outcomes import (
+    COMPLETED,
+    ERRORED,
+    EXHAUSTED,
+    NEVER_RAN,
+    TIMED_OUT,
+    TURNED_AWAY,
+)
 from .upstream import MEMORY, SECOND, Ratio, Upstream
 
 STEP = 0.1  # of a window for an end that comes at once, or takes twice as long
--- a/shedgrade/decide/parts.py
+++ b/shedgrade/load_balancing/subsetting.py
@@ -1,7 +1,6 @@
 """Parts: which upstreams of each zone a sidecar keeps to."""
 
-from shedgrade.core.dealing import dealt
-
+from .subset_assignment import dealt
 from .upstream import Upstream
 
 COVER = 5  # sidecars of its zone that keep to an upstream: each then weighs a twentieth there
--- a/shedgrade/loads/__init__.py
+++ b/shedgrade/load_reports/__init__.py
@@ -5,8 +5,8 @@
 they are missing, late or wrong, and they are forgotten when their source falls silent.
 """
 
-from shedgrade.loads.edge import LoadReporter, OthersKnown
-from shedgrade.loads.hub import LoadHub
-from shedgrade.loads.messages import LoadReport, LoadsShared, LoadsTold
+from shedgrade.load_reports.aggregator import LoadHub
+from shedgrade.load_reports.edge import LoadReporter, OthersKnown
+from shedgrade.load_reports.messages import LoadReport, LoadsShared, LoadsTold
 
 __all__ = ["LoadHub", "LoadReport", "LoadReporter", "LoadsShared", "LoadsTold", "OthersKnown"]
--- a/shedgrade/loads/hub.py
+++ b/shedgrade/load_reports/aggregator.py
@@ -3,7 +3,7 @@
 from collections import Counter
 from collections.abc import Callable, Mapping
 
-from shedgrade.loads.messages import LoadReport, Loads, LoadsShared, LoadsTold
+from shedgrade.load_reports.messages import LoadReport, Loads, LoadsShared, LoadsTold
 
 SILENT_AFTER = 1.5  # s without a report after which an edge's loads, or a member's, are forgotten
 HEARTBEAT = 0.3  # s between two words to an edge at the most, also where nothing changed
--- a/shedgrade/loads/edge.py
+++ b/shedgrade/load_reports/edge.py
@@ -1,6 +1,6 @@
 """An edge's side: when it reports its own loads, and what it believes of the others'."""
 
-from shedgrade.loads.messages import LoadReport, Loads, LoadsTold
+from shedgrade.load_reports.messages import LoadReport, Loads, LoadsTold
 
 INTERVAL = 0.1  # s between two looks at what changed: a long prompt is read for two or three of them
 WHOLE_INTERVAL = 1.0  # s between two whole reports, by which lost words are made good
--- a/shedgrade/membership/running.py
+++ b/shedgrade/membership/running.py
@@ -6,11 +6,11 @@
 
 import msgspec
 
-from shedgrade.link.address import split
-from shedgrade.link.udp import Datagrams
-from shedgrade.log import logger
 from shedgrade.membership.messages import Node
 from shedgrade.membership.view import View
+from shedgrade.peer_transport.address import split
+from shedgrade.peer_transport.udp import Datagrams
+from shedgrade.runtime.log import logger
 
 PERIOD = 2.4  # s between shuffles: word of others isn't urgent, as the core tells it too
 SOONEST = 0.001  # s to the next look at the earliest
--- a/shedgrade/membership/table.py
+++ b/shedgrade/membership/table.py
@@ -8,8 +8,16 @@
 
 import msgspec
 
-from shedgrade.link.address import split
-from shedgrade.membership.messages import LONGEST, Descriptor, Digest, Node, Rumour, Shuffle, encode
+from shedgrade.membership.messages import (
+    LONGEST,
+    Descriptor,
+    Digest,
+    Node,
+    Rumour,
+    Shuffle,
+    encode,
+)
+from shedgrade.peer_transport.address import split
 
 SUSPICION = 2.0  # s that a suspected node has to refute
 ALONE = 5  # times as long, while nobody at all is heard
--- a/shedgrade/membership/view.py
+++ b/shedgrade/membership/view.py
@@ -14,7 +14,6 @@
 
 import msgspec
 
-from shedgrade.link.address import split
 from shedgrade.membership.census import Census
 from shedgrade.membership.messages import (
     LONGEST,
@@ -34,7 +33,16 @@
     decode,
     encode,
 )
-from shedgrade.membership.table import DROPPED, LEFT, RUMOURS, Entry, Send, Table, addressable
+from shedgrade.membership.table import (
+    DROPPED,
+    LEFT,
+    RUMOURS,
+    Entry,
+    Send,
+    Table,
+    addressable,
+)
+from shedgrade.peer_transport.address import split
 
 PROMPT = 0.4  # s: a shuffle is answered in it, or others are asked
 INQUIRED = 0.6  # s that the inquiry through others takes
--- a/shedgrade/serving/__init__.py
+++ b/shedgrade/model_routing/__init__.py
@@ -6,7 +6,7 @@
 rotation are the module's own.
 """
 
-from shedgrade.serving.balancer import ServingBalancer
-from shedgrade.serving.request import IDEMPOTENT, ONCE, ServingRpc, Wants
+from shedgrade.model_routing.balancer import ServingBalancer
+from shedgrade.model_routing.request import IDEMPOTENT, ONCE, ServingRpc, Wants
 
 __all__ = ["IDEMPOTENT", "ONCE", "ServingBalancer", "ServingRpc", "Wants"]
--- a/shedgrade/serving/balancer.py
+++ b/shedgrade/model_routing/balancer.py
@@ -3,15 +3,15 @@
 from collections.abc import Mapping
 from math import inf
 
-from shedgrade.decide.balancer import Balancer
-from shedgrade.decide.rpc import Rpc
-from shedgrade.decide.upstream import SECOND, Upstream
-from shedgrade.decide.zones import Zone
-from shedgrade.serving.cold import ColdShares
-from shedgrade.serving.others import OthersLoad
-from shedgrade.serving.prefix import Prefixes
-from shedgrade.serving.repeats import Repeats
-from shedgrade.serving.request import ServingRpc, Wants
+from shedgrade.load_balancing.balancer import Balancer
+from shedgrade.load_balancing.rpc import Rpc
+from shedgrade.load_balancing.upstream import SECOND, Upstream
+from shedgrade.load_balancing.zones import Zone
+from shedgrade.model_routing.fleet_load import OthersLoad
+from shedgrade.model_routing.prefix_affinity import Prefixes
+from shedgrade.model_routing.request import ServingRpc, Wants
+from shedgrade.model_routing.retry_budget import Repeats
+from shedgrade.model_routing.slow_start import ColdShares
 
 MARGIN = 1.0  # in flight over the region's mean up to which the holder of a prompt is taken
 FAR = 2048  # tokens of shared parts: reading so many anew takes as long as the way to another region
--- a/shedgrade/serving/others.py
+++ b/shedgrade/model_routing/fleet_load.py
@@ -2,10 +2,10 @@
 
 from collections.abc import Iterator, Mapping
 
-from shedgrade.decide.outcomes import REMOVED
-from shedgrade.decide.upstream import Upstream
-from shedgrade.decide.zones import Zone
-from shedgrade.serving.request import ServingRpc
+from shedgrade.load_balancing.outcomes import REMOVED
+from shedgrade.load_balancing.upstream import Upstream
+from shedgrade.load_balancing.zones import Zone
+from shedgrade.model_routing.request import ServingRpc
 
 SLOTS_SHARE = 1 / 3  # of an upstream's slots in use on the mean, from which on a region may be dropped
 LEAST_THRESHOLD = 2.0  # requests in flight per upstream, where slots are few or not told
--- a/shedgrade/serving/prefix.py
+++ b/shedgrade/model_routing/prefix_affinity.py
@@ -8,8 +8,8 @@
 
 from zlib import crc32
 
-from shedgrade.decide.upstream import Upstream
-from shedgrade.decide.zones import Zone
+from shedgrade.load_balancing.upstream import Upstream
+from shedgrade.load_balancing.zones import Zone
 
 HOLDERS = 2  # upstreams of a region that are taken to hold the parts: the second serves the rest
 KEYS = 4096  # keys whose order is remembered
--- a/shedgrade/serving/request.py
+++ b/shedgrade/model_routing/request.py
@@ -1,10 +1,10 @@
 """The handle of one request of a client's, and what it asks of the choice."""
 
-from shedgrade.decide.outcomes import BROKEN, COMPLETED, TURNED_AWAY, UNCONNECTED, UNSENT
-from shedgrade.decide.rpc import Rpc
-from shedgrade.decide.upstream import Upstream
-from shedgrade.decide.zones import Zone
-from shedgrade.record import key_of
+from shedgrade.load_balancing.outcomes import BROKEN, COMPLETED, TURNED_AWAY, UNCONNECTED, UNSENT
+from shedgrade.load_balancing.rpc import Rpc
+from shedgrade.load_balancing.upstream import Upstream
+from shedgrade.load_balancing.zones import Zone
+from shedgrade.prefix_cache_index import key_of
 
 IDEMPOTENT, ONCE = range(2)  # the two methods: may run more than once, or at most once a try
 ARRIVED_NOT = (UNSENT, UNCONNECTED)  # outcomes after which the upstream has seen nothing of the request
--- a/shedgrade/serving/repeats.py
+++ b/shedgrade/model_routing/retry_budget.py
@@ -7,7 +7,7 @@
 
 from collections import deque
 
-from shedgrade.decide.upstream import SECOND
+from shedgrade.load_balancing.upstream import SECOND
 
 CAUTION = 0.8  # of what is allowed is used: windows slide, and counts of sidecars lag
 
--- a/shedgrade/serving/cold.py
+++ b/shedgrade/model_routing/slow_start.py
@@ -7,7 +7,7 @@
 
 from zlib import crc32
 
-from shedgrade.decide.upstream import SECOND, Upstream
+from shedgrade.load_balancing.upstream import SECOND, Upstream
 
 PART = 0.7  # of the rate is dealt: the count of sidecars lags, and sends bunch on their way
 FEW = 4  # sidecars for one cold upstream, where all, with one at once each, would be too many
--- a/shedgrade/link/peer.py
+++ b/shedgrade/peer_transport/peer.py
@@ -9,9 +9,9 @@
 import socket
 from collections.abc import Callable
 
-from shedgrade.link.address import join, split
-from shedgrade.link.frames import LONGEST, Frame, FrameError, FrameReader, encode
-from shedgrade.log import logger
+from shedgrade.peer_transport.address import join, split
+from shedgrade.peer_transport.frames import LONGEST, Frame, FrameError, FrameReader, encode
+from shedgrade.runtime.log import logger
 
 UNACKNOWLEDGED_MS = 1500  # bytes without an acknowledgement for so long: the connection is dead
 MOST_UNSENT = LONGEST  # bytes that may wait at one connection for a peer that doesn't read
--- a/shedgrade/link/tcp.py
+++ b/shedgrade/peer_transport/tcp.py
@@ -7,10 +7,10 @@
 import socket
 from collections.abc import Callable
 
-from shedgrade.link.address import split
-from shedgrade.link.frames import Frame, FrameError
-from shedgrade.link.peer import LinkError, Peer, prepare
-from shedgrade.log import logger
+from shedgrade.peer_transport.address import split
+from shedgrade.peer_transport.frames import Frame, FrameError
+from shedgrade.peer_transport.peer import LinkError, Peer, prepare
+from shedgrade.runtime.log import logger
 
 BACKLOG = 128
 DIAL = 1.0  # s that a dial may take
--- a/shedgrade/link/udp.py
+++ b/shedgrade/peer_transport/udp.py
@@ -4,8 +4,8 @@
 import socket
 from collections.abc import Callable
 
-from shedgrade.link.address import join, split
-from shedgrade.link.frames import VERSION
+from shedgrade.peer_transport.address import join, split
+from shedgrade.peer_transport.frames import VERSION
 
 LONGEST = 1200  # bytes of a body: with all headers under the smallest usual size of a packet
 MARK = bytes((VERSION,))
--- a/shedgrade/record/__init__.py
+++ b/shedgrade/prefix_cache_index/__init__.py
@@ -5,7 +5,7 @@
 told all of it anew.
 """
 
-from shedgrade.record.edge import Record
-from shedgrade.record.ledger import AskRecord, Ledger, RecordMoved, RecordRead, key_of
+from shedgrade.prefix_cache_index.edge import Record
+from shedgrade.prefix_cache_index.index import AskRecord, Ledger, RecordMoved, RecordRead, key_of
 
 __all__ = ["AskRecord", "Ledger", "Record", "RecordMoved", "RecordRead", "key_of"]
--- a/shedgrade/record/edge.py
+++ b/shedgrade/prefix_cache_index/edge.py
@@ -2,7 +2,14 @@
 
 from collections import OrderedDict
 
-from shedgrade.record.ledger import LONGEST, MOST, ONCE_MORE, STALE, Pair, RecordMoved
+from shedgrade.prefix_cache_index.index import (
+    LONGEST,
+    MOST,
+    ONCE_MORE,
+    STALE,
+    Pair,
+    RecordMoved,
+)
 
 TRUSTED = 2.0  # s since a fresh word of the core for which the record may be routed by
 
--- a/shedgrade/boot/__init__.py
+++ b/shedgrade/process_settings/__init__.py
@@ -1,9 +1,9 @@
 """Boot settings: the YAML file that the platform writes for each process, read, checked, and watched."""
 
-from shedgrade.boot.reading import SettingsError, explain, load, require
-from shedgrade.boot.reload import Reload
-from shedgrade.boot.settings import Bounds, CloudApi, Limits, Settings, Tolerated
-from shedgrade.boot.watched import Watched
+from shedgrade.process_settings.reading import SettingsError, explain, load, require
+from shedgrade.process_settings.reload import Reload
+from shedgrade.process_settings.settings import Bounds, CloudApi, Limits, Settings, Tolerated
+from shedgrade.process_settings.watched import Watched
 
 __all__ = [
     "Bounds",
--- a/shedgrade/boot/reading.py
+++ b/shedgrade/process_settings/reading.py
@@ -9,8 +9,15 @@
 
 import yaml
 
-from shedgrade.boot.settings import BOUNDS, Bounds, CloudApi, Limits, Settings, Tolerated
 from shedgrade.findings import Finding, Findings
+from shedgrade.process_settings.settings import (
+    BOUNDS,
+    Bounds,
+    CloudApi,
+    Limits,
+    Settings,
+    Tolerated,
+)
 
 VARIABLE = "SHEDGRADE_BOOT"
 Loader = getattr(yaml, "CSafeLoader", yaml.SafeLoader)
--- a/shedgrade/boot/reload.py
+++ b/shedgrade/process_settings/reload.py
@@ -3,10 +3,10 @@
 from collections.abc import Callable
 from dataclasses import fields, replace
 
-from shedgrade.boot.settings import Settings
-from shedgrade.boot.watched import Watched
 from shedgrade.findings import Finding
-from shedgrade.log import logger
+from shedgrade.process_settings.settings import Settings
+from shedgrade.process_settings.watched import Watched
+from shedgrade.runtime.log import logger
 
 LIVE = {"bounds": "timingBounds", "cloud_api": "cloudApi", "zones": "zones"}
 OTHERS = {
--- a/shedgrade/boot/watched.py
+++ b/shedgrade/process_settings/watched.py
@@ -2,9 +2,9 @@
 
 import os
 
-from shedgrade.boot.reading import VARIABLE, SettingsError, load
-from shedgrade.boot.settings import Settings
 from shedgrade.findings import Finding
+from shedgrade.process_settings.reading import VARIABLE, SettingsError, load
+from shedgrade.process_settings.settings import Settings
 
 
 class Watched:
--- a/shedgrade/boot/program.py
+++ b/shedgrade/program.py
@@ -9,11 +9,11 @@
 import uvloop
 from docopt import docopt
 
-from shedgrade.boot.reading import SettingsError, explain
-from shedgrade.boot.settings import Settings
-from shedgrade.boot.watched import Watched
-from shedgrade.log import hand
-from shedgrade.log_ring import Ring
+from shedgrade.process_settings.reading import SettingsError, explain
+from shedgrade.process_settings.settings import Settings
+from shedgrade.process_settings.watched import Watched
+from shedgrade.runtime.log import hand
+from shedgrade.runtime.log_ring import Ring
 
 EXIT_SETTINGS = 2  # exit status when the settings file is missing or not sound
 
--- a/shedgrade/replication/__init__.py
+++ b/shedgrade/replication/__init__.py
@@ -1,7 +1,7 @@
 """Control state that nothing takes: epochs, primary, backups, witnesses. Sans I/O."""
 
-from . import effects, messages
-from .effects import (
+from shedgrade.replication import effects, messages
+from shedgrade.replication.effects import (
     Answer,
     Decision,
     Elsewhere,
@@ -14,9 +14,9 @@
     Unavailable,
     Unclear,
 )
-from .member import Member
-from .messages import Message
-from .timing import Timing
+from shedgrade.replication.member import Member
+from shedgrade.replication.messages import Message
+from shedgrade.replication.timing import Timing
 
 __all__ = [
     "Answer",
--- a/shedgrade/replication/voting.py
+++ b/shedgrade/replication/acceptor.py
@@ -2,7 +2,8 @@
 
 from __future__ import annotations
 
-from .messages import (
+from shedgrade.replication.chunking import PIECE
+from shedgrade.replication.messages import (
     Ack,
     Fetch,
     HandOver,
@@ -18,7 +19,6 @@
     Transfer,
     size,
 )
-from .pieces import PIECE
 
 
 class Voting:
--- a/shedgrade/replication/candidate.py
+++ b/shedgrade/replication/candidate.py
@@ -4,7 +4,7 @@
 
 import msgspec
 
-from .messages import (
+from shedgrade.replication.messages import (
     EpochRecord,
     Fetch,
     Install,
@@ -18,7 +18,16 @@
     Transfer,
     size,
 )
-from .quorums import Groups, activated, holder_count, is_quorum, majority, may_hold, newest, next_groups
+from shedgrade.replication.quorums import (
+    Groups,
+    activated,
+    holder_count,
+    is_quorum,
+    majority,
+    may_hold,
+    newest,
+    next_groups,
+)
 
 
 class Candidate:
--- a/shedgrade/replication/change_index.py
+++ b/shedgrade/replication/change_index.py
@@ -8,7 +8,7 @@
 
 from collections import deque
 
-from .messages import Changes, Mark
+from shedgrade.replication.messages import Changes, Mark
 
 MOST_KEYS = 16_384  # beyond it the oldest are forgotten: who lags behind those gets the whole state
 MOST_EPOCHS = 1_024
--- a/shedgrade/replication/pieces.py
+++ b/shedgrade/replication/chunking.py
@@ -6,8 +6,8 @@
 
 import msgspec
 
-from . import messages as m
-from .messages import size
+from shedgrade.replication import messages as m
+from shedgrade.replication.messages import size
 
 PIECE, WINDOW, PATIENCE, PARTIAL = 32_768, 4, 3.0, 3
 MOST_WINDOW = 32  # pieces under way on a link that is long and wide
--- a/shedgrade/replication/departure.py
+++ b/shedgrade/replication/departure.py
@@ -6,9 +6,9 @@
 
 from __future__ import annotations
 
-from .effects import Answer, Left, Unavailable, Unclear
-from .messages import LeaveGranted
-from .quorums import majority
+from shedgrade.replication.effects import Answer, Left, Unavailable, Unclear
+from shedgrade.replication.messages import LeaveGranted
+from shedgrade.replication.quorums import majority
 
 NEVER = float("-inf")
 
--- a/shedgrade/replication/saving.py
+++ b/shedgrade/replication/disk_writer.py
@@ -2,7 +2,7 @@
 
 from collections.abc import Callable
 
-from .effects import Persist
+from shedgrade.replication.effects import Persist
 
 Changes = dict[str, bytes | None]
 
--- a/shedgrade/replication/member.py
+++ b/shedgrade/replication/member.py
@@ -5,19 +5,19 @@
 from collections.abc import Callable, Mapping
 from random import Random
 
-from . import messages as m
-from .candidate import Candidate
-from .departure import Departure
-from .effects import Answer, Decision, Send, State, Unavailable
-from .held import Held
-from .pieces import Pieces
-from .primary import Primary
-from .quorums import electorate, matches
-from .reconfiguration import Reconfiguration
-from .saving import Saving
-from .timing import Timing
-from .voting import Voting
-from .waiting import Waiting
+from shedgrade.replication import messages as m
+from shedgrade.replication.acceptor import Voting
+from shedgrade.replication.candidate import Candidate
+from shedgrade.replication.chunking import Pieces
+from shedgrade.replication.departure import Departure
+from shedgrade.replication.disk_writer import Saving
+from shedgrade.replication.effects import Answer, Decision, Send, State, Unavailable
+from shedgrade.replication.pending_requests import Waiting
+from shedgrade.replication.primary import Primary
+from shedgrade.replication.quorums import electorate, matches
+from shedgrade.replication.reconfiguration import Reconfiguration
+from shedgrade.replication.replica_state import Held
+from shedgrade.replication.timing import Timing
 
 NEVER = float("-inf")
 LEAST_BETWEEN_TICKS = 0.05  # s
--- a/shedgrade/replication/waiting.py
+++ b/shedgrade/replication/pending_requests.py
@@ -2,7 +2,7 @@
 
 from __future__ import annotations
 
-from .effects import Answer, Elsewhere, Unavailable, Unclear
+from shedgrade.replication.effects import Answer, Elsewhere, Unavailable, Unclear
 
 
 class Waiting:
--- a/shedgrade/replication/primary.py
+++ b/shedgrade/replication/primary.py
@@ -4,12 +4,19 @@
 
 from collections import deque
 
-from .contact import MajorityContact
-from .departure import LeaveRequests
-from .effects import Answer, Reading, Unavailable, Unclear
-from .follower import Follower, Pending
-from .held import merge
-from .messages import Ack, Heartbeat, Learn, Mark, Replicate, size
+from shedgrade.replication.contact import MajorityContact
+from shedgrade.replication.departure import LeaveRequests
+from shedgrade.replication.effects import Answer, Reading, Unavailable, Unclear
+from shedgrade.replication.follower import Follower, Pending
+from shedgrade.replication.messages import (
+    Ack,
+    Heartbeat,
+    Learn,
+    Mark,
+    Replicate,
+    size,
+)
+from shedgrade.replication.replica_state import merge
 
 OPEN_BYTES = 256 * 1024  # no further write is begun while those that are not finished have as many
 PIPELINED_BYTES = 4096  # longer finished state waits for the ack of the one before
--- a/shedgrade/replication/quorums.py
+++ b/shedgrade/replication/quorums.py
@@ -13,7 +13,7 @@
 
 import msgspec
 
-from .messages import EpochRecord, Peer
+from shedgrade.replication.messages import EpochRecord, Peer
 
 ChangeOfMembers = Callable[[tuple[Peer, ...]], tuple[Peer, ...]]
 
--- a/shedgrade/replication/reconfiguration.py
+++ b/shedgrade/replication/reconfiguration.py
@@ -2,7 +2,7 @@
 
 from __future__ import annotations
 
-from .messages import EpochRecord, Hello, Peer, Whereabouts
+from shedgrade.replication.messages import EpochRecord, Hello, Peer, Whereabouts
 
 
 class Reconfiguration:
--- a/shedgrade/replication/held.py
+++ b/shedgrade/replication/replica_state.py
@@ -7,11 +7,11 @@
 
 import msgspec
 
-from .change_index import ChangeIndex
-from .effects import Finished
-from .messages import Changes, EpochRecord, Mark, Peer
-from .quorums import newest
-from .saving import Saving
+from shedgrade.replication.change_index import ChangeIndex
+from shedgrade.replication.disk_writer import Saving
+from shedgrade.replication.effects import Finished
+from shedgrade.replication.messages import Changes, EpochRecord, Mark, Peer
+from shedgrade.replication.quorums import newest
 
 INCARNATION, PROMISE, EPOCH, PLACE, SEEDS = (
     "replication/incarnation",
--- a/shedgrade/turn.py
+++ b/shedgrade/request_dispatch.py
@@ -9,10 +9,10 @@
 from heapq import heappop, heappush
 from itertools import count
 
-from shedgrade import decide
-from shedgrade.core import lasting
-from shedgrade.log import logger
-from shedgrade.memory.in_hand import Answer, Carried, InHand, Transmission
+from shedgrade import load_balancing
+from shedgrade.in_flight import Answer, Carried, InHand, Transmission
+from shedgrade.load_balancing import learned_state
+from shedgrade.runtime.log import logger
 
 STILL = 100_000  # tenths of a ms without a byte of a long answer after which it is held to be broken
 LOOKED = 100  # tenths of a ms after which a client is looked at again: it is owed 300 ms
@@ -28,7 +28,7 @@
         self,
         loop,
         clock,
-        balancer: decide.Balancer,
+        balancer: load_balancing.Balancer,
         caller,
         names: list[str],
         budget,
@@ -93,7 +93,7 @@
         self.gather(lambda now: self.balancer.doubted(now, upstreams, ends, last))
 
     def restore(self, state: dict, age: float) -> None:
-        self.gather(lambda now: lasting.restore(self.balancer, now, state, age))
+        self.gather(lambda now: learned_state.restore(self.balancer, now, state, age))
 
     def retuned(self, settings: dict, numbers: dict[int, int]) -> None:
         """Other settings from now on; what was gathered before is decided on first. `numbers`: of the methods
@@ -116,14 +116,14 @@
         self.run()
         for carried in list(self.in_hand.carried):
             for transmission in list(carried.out.values()):
-                outcome = decide.STOPPED if self.caller.stop(transmission) else decide.UNSENT
+                outcome = load_balancing.STOPPED if self.caller.stop(transmission) else load_balancing.UNSENT
                 self.ended(transmission, outcome, None)
             self.gather(self.ask_again, carried)
         self.run()
 
     def export(self) -> dict:
         """What the decisions have learnt, as plain data."""
-        return lasting.export(self.balancer, self.clock.now())
+        return learned_state.export(self.balancer, self.clock.now())
 
     # --- the turn
 
@@ -167,7 +167,7 @@
             carried.client.errored()
         for transmission in out:
             self.caller.stop(transmission)
-            self.events.append((self.end, (transmission, decide.STOPPED, None, self.clock.now())))
+            self.events.append((self.end, (transmission, load_balancing.STOPPED, None, self.clock.now())))
         if carried.rpc is not None:
             carried.rpc.gone(self.clock.now())
 
@@ -187,7 +187,7 @@
         if self.timer is not None:
             self.timer.cancel()
             self.timer = self.timer_at = None
-        if at != decide.inf:
+        if at != load_balancing.inf:
             self.timer_at = at
             self.timer = self.loop.call_at(self.clock.on_monotonic(at), self.alarm)
 
@@ -229,10 +229,10 @@
             return  # its end was told before: what comes late reaches nobody
         del carried.out[tx]
         # A stream that was open is moved never: whatever ended it, that is its end.
-        served = (outcome == decide.COMPLETED or carried.opened) and not carried.done
+        served = (outcome == load_balancing.COMPLETED or carried.opened) and not carried.done
         if served:
             self.finish(carried)
-            whole = answer if outcome == decide.COMPLETED else None
+            whole = answer if outcome == load_balancing.COMPLETED else None
             self.actions.append((carried.client.completed, (whole,)))
         took = (at if transmission.first is None else transmission.first) - transmission.sent
         stops = carried.rpc.ended(now, tx, outcome, max(0, took), carried.done, transmission.fresh)
@@ -267,7 +267,7 @@
     def begun(self, now: int, transmission: Transmission) -> None:
         carried = transmission.carried
         if transmission.still_out() and not carried.done:
-            carried.opened, transmission.until = True, decide.inf
+            carried.opened, transmission.until = True, load_balancing.inf
             carried.rpc.started(True)
             self.actions.append((carried.client.opened, (transmission.link,)))
 
@@ -305,13 +305,13 @@
         elif not carried.done:
             self.finish(carried)
             client = carried.client
-            if what == decide.EXHAUSTED:
+            if what == load_balancing.EXHAUSTED:
                 self.actions.append((client.exhausted, (value,)))
             else:
                 self.actions.append((client.errored, ()))
 
     def limit(self, transmission: Transmission, until: float) -> None:
-        if until != decide.inf:
+        if until != load_balancing.inf:
             heappush(self.limits, (until, next(self.numbers), transmission))
 
     def finish(self, carried: Carried) -> None:
@@ -332,13 +332,13 @@
             transmission = carried.out.get(tx)
             if transmission is not None:
                 self.actions.append((self.caller.stop, (transmission,)))
-                self.events.append((self.end, (transmission, decide.STOPPED, None, now)))
+                self.events.append((self.end, (transmission, load_balancing.STOPPED, None, now)))
 
     # --- what is carried out
 
     def transmit(self, transmission: Transmission, now: int) -> None:
         if not self.wanted(transmission, now):
-            self.ended(transmission, decide.UNSENT, None)
+            self.ended(transmission, load_balancing.UNSENT, None)
             return
         self.caller.transmit(transmission, now)
         if transmission.dial_until is not None and transmission.dial_until < transmission.until:
@@ -381,7 +381,7 @@
     def open_limit(self, carried: Carried, moved: int) -> float:
         """Until when an answer that last moved then may go on: where a request has a latest moment, no
         silence ends its answer sooner."""
-        return moved + STILL if carried.latest == decide.inf else carried.latest
+        return moved + STILL if carried.latest == load_balancing.inf else carried.latest
 
     def expire(self, now: int) -> None:
         """Transmissions whose time is up, or whose connection did not come up in time."""
@@ -399,12 +399,12 @@
                 continue
             if self.caller.give_up(transmission):
                 self.caller.silent(transmission)
-                outcome = decide.TIMED_OUT
+                outcome = load_balancing.TIMED_OUT
                 logger.debug("transmission to {} timed out", upstream)
             else:
                 # A request that is still coming may be its client's to blame.
                 upstreams_part = dialling or not transmission.carried.coming
                 late = upstreams_part and now >= (transmission.dial_until or now) and not self.caller.proxied
-                outcome = decide.UNCONNECTED if late else decide.UNSENT
+                outcome = load_balancing.UNCONNECTED if late else load_balancing.UNSENT
                 logger.debug("no connection to {} in time, or not all sent", upstream)
             self.events.append((self.end, (transmission, outcome, None, now)))
--- a/shedgrade/matching/__init__.py
+++ b/shedgrade/route_matching/__init__.py
@@ -1,8 +1,8 @@
 """The tree of matchers: routes by host and path prefix, calls by method and path."""
 
-from shedgrade.matching.calls import CallTree, Match, NotAllowed, NotFound
-from shedgrade.matching.routes import RouteTree, host_name
-from shedgrade.matching.tree import MISSING, VARIABLE, Node, Tree
+from shedgrade.route_matching.calls import CallTree, Match, NotAllowed, NotFound
+from shedgrade.route_matching.routes import RouteTree, host_name
+from shedgrade.route_matching.tree import MISSING, VARIABLE, Node, Tree
 
 __all__ = [
     "MISSING",
--- a/shedgrade/matching/calls.py
+++ b/shedgrade/route_matching/calls.py
@@ -3,7 +3,7 @@
 from dataclasses import dataclass
 from typing import Any
 
-from shedgrade.matching.tree import Node, Tree
+from shedgrade.route_matching.tree import Node, Tree
 
 
 @dataclass(frozen=True, slots=True)
--- a/shedgrade/matching/routes.py
+++ b/shedgrade/route_matching/routes.py
@@ -3,7 +3,7 @@
 from collections.abc import Iterable
 from typing import Any
 
-from shedgrade.matching.tree import MISSING, Tree
+from shedgrade.route_matching.tree import MISSING, Tree
 
 
 def host_name(host: bytes) -> bytes:
--- a/shedgrade/log_ring.py
+++ b/shedgrade/runtime/log_ring.py
@@ -83,7 +83,9 @@
 
 
 class Ring:
-    """The events of one process, and a sink for `shedgrade.log.hand`: `debug` to `exception`, `bind`."""
+    """The events of one process, and a sink for `shedgrade.runtime.log.hand`: `debug` to `exception`,
+    `bind`.
+    """
 
     def __init__(
         self,
--- a/shedgrade/faults.py
+++ b/shedgrade/runtime/loop_errors.py
@@ -2,7 +2,7 @@
 
 from traceback import format_exception
 
-from shedgrade.log import logger
+from shedgrade.runtime.log import logger
 
 
 def fault(loop, context: dict) -> None:
--- /dev/null
+++ b/shedgrade/sidecar/__init__.py
@@ -0,0 +1,1 @@
+"""The sidecar, `python -m shedgrade serve`, with all that only it has."""
--- a/shedgrade/admin/front.py
+++ b/shedgrade/sidecar/admin/front.py
@@ -2,8 +2,8 @@
 
 import httptools
 
-from shedgrade.admin.calls import NoCallError, Orders, call
-from shedgrade.wire.connection import Connection
+from shedgrade.http.connection import Connection
+from shedgrade.sidecar.admin.calls import NoCallError, Orders, call
 
 MOST = 16  # connections at once: a few operators' tools, and as many that never finish
 COMES = 2.0  # s within which a call must be whole: its caller waits 1 s for the answer
--- a/shedgrade/capture/explanation.py
+++ b/shedgrade/sidecar/capture/explanation.py
@@ -2,9 +2,17 @@
 
 from types import ModuleType
 
-from shedgrade import decide
-from shedgrade.capture.replay import OF_RPC, Replay
-from shedgrade.capture.rows import DECIDE, ENDED, GONE, NOTHING, STARTED, TAKE, calls
+from shedgrade import load_balancing
+from shedgrade.sidecar.capture.replay import OF_RPC, Replay
+from shedgrade.sidecar.capture.rows import (
+    DECIDE,
+    ENDED,
+    GONE,
+    NOTHING,
+    STARTED,
+    TAKE,
+    calls,
+)
 
 OUTCOMES = (
     "unsent",
@@ -49,7 +57,7 @@
                     for number, zone in enumerate(self.zones)
                     if zone.ring
                 ]
-                if len(loads) > 1 and max(loads)[0] >= decide.THRESHOLD:
+                if len(loads) > 1 and max(loads)[0] >= load_balancing.THRESHOLD:
                     self.say(f"  zone {max(loads)[1]} is the worst at the threshold: dropped")
                 aside = [self.name(up) for up in self.ups.values() if up.aside_until]
                 if aside:
@@ -64,7 +72,7 @@
         def rotate(self, zone, now, rpc, left):
             found = super().rotate(zone, now, rpc, left)
             if found is not None:
-                bar = (zone.flight + zone.held) / max(1, len(zone.ring)) + decide.MARGIN
+                bar = (zone.flight + zone.held) / max(1, len(zone.ring)) + load_balancing.MARGIN
                 above = "" if found.flight + found.held <= bar else ": none under the mean had room"
                 self.say(
                     f"  zone {self.zones.index(zone)}: {self.name(found)} is next with room, "
@@ -103,7 +111,7 @@
 
 
 def explain(
-    records: list[dict], number: int, module: ModuleType = decide, until: float = float("inf")
+    records: list[dict], number: int, module: ModuleType = load_balancing, until: float = float("inf")
 ) -> list[str]:
     """Why one RPC went where it did."""
     replay = Replay(records, module, telling(module.Balancer), until)
@@ -130,7 +138,7 @@
                 name = replay.names.get(str(got[0]), got[0])
                 lines.extend([f"{at}: sent to {name}, for {got[1] / 10:.0f} ms", *heard])
             else:
-                said = "exhausted" if got[0] == decide.EXHAUSTED else "errored, as it may have run"
+                said = "exhausted" if got[0] == load_balancing.EXHAUSTED else "errored, as it may have run"
                 lines.extend([f"{at}: answered {said}", *heard])
         elif op == ENDED:
             lines.append(
--- a/shedgrade/capture/files.py
+++ b/shedgrade/sidecar/capture/files.py
@@ -6,8 +6,8 @@
 from collections.abc import Callable
 from pathlib import Path
 
-from shedgrade.capture.rows import KIND
-from shedgrade.core import frames
+from shedgrade import file_frames
+from shedgrade.sidecar.capture.rows import KIND
 
 FILE = 16 * 1024 * 1024  # bytes of a file that is written as it goes: then the next begins at a checkpoint
 WAITING = 8 * 1024 * 1024  # bytes that may wait for the disk
@@ -22,10 +22,10 @@
     in a
     record is read up to there."""
     try:
-        _, records, why = frames.read(path.read_bytes(), KIND)
+        _, records, why = file_frames.read(path.read_bytes(), KIND)
     except OSError as failure:
         raise CaptureError(f"{path}: {failure.strerror}") from failure
-    except frames.FormatError as wrong:
+    except file_frames.FormatError as wrong:
         raise CaptureError(f"{path}: {wrong}") from wrong
     if not any(one["k"] in ("begin", "state") for one in records):
         raise CaptureError(f"{path}: no begin and no checkpoint in it{f', {why}' if why else ''}")
@@ -125,7 +125,7 @@
         number = free_number(self.folder)
         handle = os.open(self.folder / f"capture-{number}.sgc", os.O_WRONLY | os.O_CREAT | os.O_EXCL, 0o600)
         self.file = os.fdopen(handle, "wb")
-        head = frames.header(KIND, number)
+        head = file_frames.header(KIND, number)
         self.file.write(head)
         self.size = len(head)
 
--- a/shedgrade/capture/part.py
+++ b/shedgrade/sidecar/capture/part.py
@@ -5,10 +5,10 @@
 
 from loguru import logger
 
-from shedgrade.capture.files import Writer, dump
-from shedgrade.capture.recorder import Recorder
-from shedgrade.capture.rows import Ring
-from shedgrade.lifecycle.feature import Feature
+from shedgrade.sidecar.capture.files import Writer, dump
+from shedgrade.sidecar.capture.recorder import Recorder
+from shedgrade.sidecar.capture.rows import Ring
+from shedgrade.sidecar.lifecycle.feature import Feature
 
 AGAIN = 60.0  # s between two dumps because of faults: the first tells the most
 
--- a/shedgrade/capture/recorder.py
+++ b/shedgrade/sidecar/capture/recorder.py
@@ -8,8 +8,9 @@
 from collections.abc import Callable
 from hashlib import blake2b
 
-from shedgrade import decide
-from shedgrade.capture.rows import (
+from shedgrade import load_balancing
+from shedgrade.load_balancing import learned_state
+from shedgrade.sidecar.capture.rows import (
     BATCH,
     COMING,
     DECIDE,
@@ -33,8 +34,7 @@
     YIELD,
     Ring,
 )
-from shedgrade.capture.state import freeze
-from shedgrade.core import lasting
+from shedgrade.sidecar.capture.state import freeze
 
 SECOND = 10_000
 LATE = 40  # tenths of a ms that turns may be behind: the turn's own measure ends at 50
@@ -54,7 +54,7 @@
 
     __slots__ = ("rpc", "number", "home")
 
-    def __init__(self, home: "Recorder", rpc: decide.Rpc, number: int) -> None:
+    def __init__(self, home: "Recorder", rpc: load_balancing.Rpc, number: int) -> None:
         self.home, self.rpc, self.number = home, rpc, number
 
     @property
@@ -124,7 +124,7 @@
         `write`: takes each encoded record where a disk lasts, and whether a replay may begin with it; says
         whether
         it took it."""
-        self.inner = decide.Balancer(settings, seed, now)
+        self.inner = load_balancing.Balancer(settings, seed, now)
         self.ring, self.checkpoint, self.most_rows, self.ids, self.write = (
             ring,
             checkpoint,
@@ -138,7 +138,7 @@
         self.spelled: Callable[[int], str] | None = None  # an upstream's id
         self.second, self.in_second, self.late = now, 0, 0
         self.skipping, self.skipped, self.calm_at, self.lost = False, 0, 0, False
-        self.live: dict[int, decide.Rpc] = {}  # taken, and not yet answered with nothing out
+        self.live: dict[int, load_balancing.Rpc] = {}  # taken, and not yet answered with nothing out
         self.state_at, self.look_at, self.wanted = now, 0, False
         # What changes nothing is passed on without a step between.
         inner = self.inner
@@ -280,7 +280,7 @@
         self.keep(self.now, DIVIDED, part)
 
     def restore(self, now: int, state: dict, age: float) -> None:
-        lasting.restore(self.inner, now, state, age)
+        learned_state.restore(self.inner, now, state, age)
         self.keep(now, RESTORE, state, age)
 
     def due(self, now: int):
--- a/shedgrade/capture/replay.py
+++ b/shedgrade/sidecar/capture/replay.py
@@ -9,8 +9,9 @@
 
 from msgspec import Struct
 
-from shedgrade import decide
-from shedgrade.capture.rows import (
+from shedgrade import load_balancing
+from shedgrade.load_balancing import learned_state
+from shedgrade.sidecar.capture.rows import (
     COMING,
     DECIDE,
     DIVIDED,
@@ -34,8 +35,7 @@
     YIELD,
     calls,
 )
-from shedgrade.capture.state import thaw
-from shedgrade.core import lasting
+from shedgrade.sidecar.capture.state import thaw
 
 LINGER = 10_000  # RPCs that are over and still known: more than one turn ever takes
 OF_RPC = (COMING, TAKE, DECIDE, NOTHING, ENDED, GONE, STARTED, YIELD)
@@ -69,7 +69,7 @@
     def __init__(
         self,
         records: list[dict],
-        module: ModuleType = decide,
+        module: ModuleType = load_balancing,
         kind: type | None = None,
         until: float = float("inf"),
         lenient: bool = False,
@@ -193,7 +193,7 @@
         elif op == DIVIDED:
             balancer.divided(*told)
         elif op == RESTORE:
-            lasting.restore(balancer, now, *told)
+            learned_state.restore(balancer, now, *told)
         elif op == SPAN:
             return told[2], balancer.span(*told[:2])
         elif op == LUCK:
@@ -233,8 +233,8 @@
             word
             for word, true in (
                 ("aside", up.aside_until),
-                ("draining", up.state == decide.DRAINING),
-                ("removed", up.state == decide.REMOVED),
+                ("draining", up.state == load_balancing.DRAINING),
+                ("removed", up.state == load_balancing.REMOVED),
                 ("out", up.out),
                 ("in doubt", up.doubt),
                 ("on trial", up.trial),
--- a/shedgrade/capture/rows.py
+++ b/shedgrade/sidecar/capture/rows.py
@@ -16,7 +16,7 @@
 from collections import deque
 from collections.abc import Iterator
 
-from shedgrade.core import frames
+from shedgrade import file_frames
 
 # op: (call, what it carries after the time since the row before)
 (
@@ -77,7 +77,7 @@
         self.starts = 0
 
     def add(self, record: dict) -> bytes:
-        data = frames.frame(record)
+        data = file_frames.frame(record)
         start = record["k"] in ("begin", "state")
         self.records.append((start, data))
         self.starts += start
@@ -97,7 +97,7 @@
             first = False
 
     def data(self, number: int = 0) -> bytes:
-        return frames.header(KIND, number) + b"".join(data for _, data in self.records)
+        return file_frames.header(KIND, number) + b"".join(data for _, data in self.records)
 
 
 def calls(records: list[dict]) -> Iterator[tuple[int, list]]:
--- a/shedgrade/capture/shortening.py
+++ b/shedgrade/sidecar/capture/shortening.py
@@ -4,9 +4,9 @@
 from itertools import groupby
 from types import ModuleType
 
-from shedgrade import decide
-from shedgrade.capture.replay import OF_RPC, Replay
-from shedgrade.capture.rows import (
+from shedgrade import load_balancing
+from shedgrade.sidecar.capture.replay import OF_RPC, Replay
+from shedgrade.sidecar.capture.rows import (
     DECIDE,
     ENDED,
     FAILED,
@@ -23,7 +23,7 @@
 )
 
 
-def outcome(records: list[dict], number: int, module: ModuleType = decide) -> list:
+def outcome(records: list[dict], number: int, module: ModuleType = load_balancing) -> list:
     """What became of one RPC: where it was sent, how it was answered, by a lenient replay."""
     found = []
     replay = Replay(records, module, lenient=True)
@@ -61,7 +61,7 @@
 def shorten(
     records: list[dict],
     number: int,
-    module: ModuleType = decide,
+    module: ModuleType = load_balancing,
     wanted: Callable[[list], bool] | None = None,
 ) -> list[dict]:
     """The fewest RPCs and list changes with which this one still ends as it did: halves, then quarters, and
@@ -96,7 +96,7 @@
     return rewritten(without(records, dropped), module)
 
 
-def rewritten(records: list[dict], module: ModuleType = decide) -> list[dict]:
+def rewritten(records: list[dict], module: ModuleType = load_balancing) -> list[dict]:
     """A capture whose results are what these decisions answer now: calls that can't be made are left out."""
     made: list[dict] = []
     replay = Replay(records, module, lenient=True)
--- a/shedgrade/saved/config.py
+++ b/shedgrade/sidecar/endpoint_snapshot/config.py
@@ -4,7 +4,7 @@
 
 from msgspec import Meta, Struct, field
 
-from shedgrade.saved.trust import Trusting
+from shedgrade.sidecar.endpoint_snapshot.trust import Trusting
 
 Seconds = Annotated[float, Meta(gt=0)]
 
--- a/shedgrade/saved/recovery.py
+++ b/shedgrade/sidecar/endpoint_snapshot/recovery.py
@@ -8,8 +8,8 @@
 
 from msgspec import Struct, field
 
-from shedgrade.core import frames
-from shedgrade.saved.picture import Picture
+from shedgrade import file_frames
+from shedgrade.sidecar.endpoint_snapshot.snapshot import Picture
 
 NAME = re.compile(r"(snapshot|log)-(\d{1,18})$")
 
@@ -56,18 +56,18 @@
         name = by["snapshot"][number]
         picture = Picture()
         try:
-            told, records, why = frames.read(files.read(name), frames.SNAPSHOT)
+            told, records, why = file_frames.read(files.read(name), file_frames.SNAPSHOT)
             if told != number:
-                raise frames.FormatError(f"says it is number {told}")
+                raise file_frames.FormatError(f"says it is number {told}")
             # A snapshot is written whole before it gets its name: one that is not whole is damaged.
             end = records.pop() if records else {}
             why = why or ("" if end == {"k": "end"} else "no end") or rebuild(records, picture)
             if why:
-                raise frames.FormatError(why)
-        except frames.NewerError:
+                raise file_frames.FormatError(why)
+        except file_frames.NewerError:
             found.newer.append(name)
             continue
-        except (frames.FormatError, OSError) as wrong:
+        except (file_frames.FormatError, OSError) as wrong:
             found.aside.append((name, getattr(wrong, "strerror", None) or str(wrong)))
             continue
         if picture.owner and picture.owner != owner:
@@ -83,12 +83,12 @@
         found.tail = -1
         try:
             data = files.read(name)
-            _, records, why = frames.read(data, frames.LOG)
-        except frames.NewerError:
+            _, records, why = file_frames.read(data, file_frames.LOG)
+        except file_frames.NewerError:
             found.newer.append(name)
             size = -1
             continue
-        except (frames.FormatError, OSError) as wrong:
+        except (file_frames.FormatError, OSError) as wrong:
             found.aside.append((name, getattr(wrong, "strerror", None) or str(wrong)))
             size = -1
             continue
--- a/shedgrade/saved/source.py
+++ b/shedgrade/sidecar/endpoint_snapshot/source.py
@@ -13,14 +13,14 @@
 from loguru import logger
 from msgspec import Struct, structs
 
-from shedgrade.core.learnt import from_disk, to_disk
-from shedgrade.lifecycle.config import ConfigError
-from shedgrade.saved.config import Saved
-from shedgrade.saved.files import Files, LockedError
-from shedgrade.saved.picture import age
-from shedgrade.saved.store import Store
-from shedgrade.saved.trust import AS_TOLD, CAUTIOUS, LAST, NEVER, weigh
-from shedgrade.saved.wall import Wall
+from shedgrade.sidecar.endpoint_snapshot.config import Saved
+from shedgrade.sidecar.endpoint_snapshot.files import Files, LockedError
+from shedgrade.sidecar.endpoint_snapshot.snapshot import age
+from shedgrade.sidecar.endpoint_snapshot.store import Store
+from shedgrade.sidecar.endpoint_snapshot.trust import AS_TOLD, CAUTIOUS, LAST, NEVER, weigh
+from shedgrade.sidecar.endpoint_snapshot.wall_clock import Wall
+from shedgrade.sidecar.learned_state_file import from_disk, to_disk
+from shedgrade.upstream_pool.errors import ConfigError
 
 
 class Beginning(Struct):
--- a/shedgrade/saved/store.py
+++ b/shedgrade/sidecar/endpoint_snapshot/store.py
@@ -10,9 +10,9 @@
 from collections import deque
 from collections.abc import Callable
 
-from shedgrade.core import frames
-from shedgrade.saved.picture import Moment, Picture
-from shedgrade.saved.recovery import Recovered, recover
+from shedgrade import file_frames
+from shedgrade.sidecar.endpoint_snapshot.recovery import Recovered, recover
+from shedgrade.sidecar.endpoint_snapshot.snapshot import Moment, Picture
 
 MOST_WAITING = 4 * 1024 * 1024  # bytes of records that may wait for the disk: a minute of heavy churn
 AGAIN = 5.0  # s until a disk that failed is tried again
@@ -64,7 +64,7 @@
         Whatever is wrong with the disk, it returns: with what could be read, or an empty picture.
         LockedError only.
         """
-        from shedgrade.saved.files import LockedError
+        from shedgrade.sidecar.endpoint_snapshot.files import LockedError
 
         found = Recovered(Picture())
         try:
@@ -124,7 +124,9 @@
             self.unsynced = False
         temporary, name = f"snapshot-{number}.new", f"snapshot-{number}"
         records = [*self.picture.records(self.now()), {"k": "end"}]
-        data = frames.header(frames.SNAPSHOT, number) + b"".join(frames.frame(record) for record in records)
+        data = file_frames.header(file_frames.SNAPSHOT, number) + b"".join(
+            file_frames.frame(record) for record in records
+        )
         for old in self.files.names():
             if old.endswith(".new"):
                 self.files.remove(old)
@@ -138,7 +140,7 @@
         before, self.number = self.number, number
         self.files.close(f"log-{before}")
         # A log says which one it goes on from, and how long that was: without its snapshot, a gap shows.
-        head = frames.header(frames.LOG, number) + frames.frame(
+        head = file_frames.header(file_frames.LOG, number) + file_frames.frame(
             {"k": "owner", "name": self.owner, "after": before, "size": -1 if gap else self.log_size}
         )
         self.write(f"log-{number}", head)
@@ -224,7 +226,7 @@
                     self.tell("INFO", "saved list is written again")
                 return
             if batch:
-                data = b"".join(frames.frame(record) for record in batch)
+                data = b"".join(file_frames.frame(record) for record in batch)
                 self.write(f"log-{self.number}", data)
                 self.log_size += len(data)
                 self.unsynced = True
--- a/shedgrade/saved/trust.py
+++ b/shedgrade/sidecar/endpoint_snapshot/trust.py
@@ -10,7 +10,7 @@
 
 from msgspec import Struct
 
-from shedgrade.saved.picture import Moment, Picture, age
+from shedgrade.sidecar.endpoint_snapshot.snapshot import Moment, Picture, age
 
 AS_TOLD, CAUTIOUS, LAST, NEVER = "as told", "cautious", "last resort", "never"
 
--- a/shedgrade/saved/wall.py
+++ b/shedgrade/sidecar/endpoint_snapshot/wall_clock.py
@@ -4,7 +4,7 @@
 import time
 from pathlib import Path
 
-from shedgrade.saved.picture import Moment
+from shedgrade.sidecar.endpoint_snapshot.snapshot import Moment
 
 
 class Wall:
--- a/shedgrade/lifecycle/config.py
+++ b/shedgrade/sidecar/lifecycle/config.py
@@ -5,11 +5,8 @@
 
 import orjson
 
-from shedgrade.lifecycle.shape import problem, whole
-
-
-class ConfigError(Exception):
-    """One line that says what is wrong."""
+from shedgrade.sidecar.lifecycle.shape import problem, whole
+from shedgrade.upstream_pool.errors import ConfigError
 
 
 @dataclass(frozen=True)
--- a/shedgrade/lifecycle/features.py
+++ b/shedgrade/sidecar/lifecycle/features.py
@@ -6,13 +6,13 @@
 
 import msgspec
 
-from shedgrade.capture.config import Capture
-from shedgrade.lifecycle.config import ConfigError
-from shedgrade.quota.config import Quota
-from shedgrade.quota.config import problems as quota_problems
-from shedgrade.saved.config import Saved
-from shedgrade.tunnel.config import PoolTable, ProxyTable, Tunnel, check
-from shedgrade.watch.config import Watch
+from shedgrade.sidecar.capture.config import Capture
+from shedgrade.sidecar.endpoint_snapshot.config import Saved
+from shedgrade.sidecar.quota.config import Quota
+from shedgrade.sidecar.quota.config import problems as quota_problems
+from shedgrade.sidecar.shadow_policy.config import Watch
+from shedgrade.sidecar.tunnel.config import PoolTable, ProxyTable, Tunnel, check
+from shedgrade.upstream_pool.errors import ConfigError
 
 
 class Features(msgspec.Struct, kw_only=True, forbid_unknown_fields=True):
--- a/shedgrade/lifecycle/sidecar.py
+++ b/shedgrade/sidecar/lifecycle/sidecar.py
@@ -9,21 +9,22 @@
 
 from loguru import logger
 
-from shedgrade import decide
-from shedgrade.admin.front import MOST as ADMIN_MOST
-from shedgrade.admin.front import AdminConnection, AdminFront
-from shedgrade.clock import Clock
-from shedgrade.core.front import Front
-from shedgrade.core.pool import Pool
-from shedgrade.lifecycle import early
-from shedgrade.lifecycle.config import Config, ConfigError, load
-from shedgrade.lifecycle.orders import OrderBook
-from shedgrade.lifecycle.shape import lost, tuned
-from shedgrade.lifecycle.upgrade import Upgrade
-from shedgrade.memory.budget import Budget
-from shedgrade.wire.application import ApplicationConnection
-from shedgrade.wire.discovery import ListError
-from shedgrade.wire.listener import Listener
+from shedgrade import load_balancing
+from shedgrade.buffers.budget import Budget
+from shedgrade.http.application import ApplicationConnection
+from shedgrade.http.discovery import ListError
+from shedgrade.http.listener import Listener
+from shedgrade.runtime.clock import Clock
+from shedgrade.sidecar.admin.front import MOST as ADMIN_MOST
+from shedgrade.sidecar.admin.front import AdminConnection, AdminFront
+from shedgrade.sidecar.lifecycle import early
+from shedgrade.sidecar.lifecycle.config import Config, load
+from shedgrade.sidecar.lifecycle.orders import OrderBook
+from shedgrade.sidecar.lifecycle.shape import lost, tuned
+from shedgrade.sidecar.lifecycle.upgrade import Upgrade
+from shedgrade.upstream_pool.errors import ConfigError
+from shedgrade.upstream_pool.front import Front
+from shedgrade.upstream_pool.pool import Pool
 
 KEEP_ACCEPTING = 0.5  # s after SIGTERM: new connections may still come for 0.4 s
 KEEP_IDLE = 0.4  # s after SIGTERM: a request that crosses the close of its connection comes anew, and
@@ -65,7 +66,7 @@
         self,
         config: Config,
         loop: asyncio.AbstractEventLoop,
-        decisions: type[decide.Balancer] = decide.Balancer,
+        decisions: type[load_balancing.Balancer] = load_balancing.Balancer,
     ) -> None:
         """`decisions`: the lab puts a baseline in the module's place for comparison; nothing else does."""
         self.config, self.loop = config, loop
--- a/shedgrade/lifecycle/upgrade.py
+++ b/shedgrade/sidecar/lifecycle/upgrade.py
@@ -4,8 +4,8 @@
 
 from loguru import logger
 
-from shedgrade.lifecycle.succession import Link, Rendezvous, SuccessionError, meet, rendezvous
-from shedgrade.wire.discovery import ListError
+from shedgrade.http.discovery import ListError
+from shedgrade.sidecar.lifecycle.succession import Link, Rendezvous, SuccessionError, meet, rendezvous
 
 VERSION = 1
 SERVES = 10.0  # s within which a newer process must serve: it is owed a yes within 6
@@ -70,7 +70,7 @@
             pool.listed(told["list"], asked=False)
             pool.take_over("the older process")
         if told["learnt"] is not None:
-            from shedgrade.core.learnt import from_disk
+            from shedgrade.sidecar.learned_state_file import from_disk
 
             state = from_disk(
                 told["learnt"], pool.reader.indices.by_id, list(pool.reader.zones), list(pool.reader.kinds)
@@ -153,7 +153,7 @@
         self.alone()
 
     def state(self) -> dict:
-        from shedgrade.core.learnt import to_disk
+        from shedgrade.sidecar.learned_state_file import to_disk
 
         pool, orders = self.sidecar.pool, self.sidecar.orders
         reader = pool.reader
--- a/shedgrade/quota/accounts.py
+++ b/shedgrade/sidecar/quota/accounts.py
@@ -27,7 +27,7 @@
 
 from msgspec import Struct, field
 
-from shedgrade.quota.windows import PARTS, Window
+from shedgrade.sidecar.quota.windows import PARTS, Window
 
 FLIGHT = "flight"  # the one dimension without a window: what is held now
 PAYS = 2  # a borrower pays with at most one part in two of its guarantee: it is not starved
--- a/shedgrade/quota/config.py
+++ b/shedgrade/sidecar/quota/config.py
@@ -5,8 +5,8 @@
 
 from msgspec import Meta, Struct, field
 
-from shedgrade.quota.accounts import FLIGHT, Limit, Terms
-from shedgrade.quota.tree import Node, Tree, drop
+from shedgrade.sidecar.quota.accounts import FLIGHT, Limit, Terms
+from shedgrade.sidecar.quota.tree import Node, Tree, drop
 
 Count = Annotated[int, Meta(ge=0, le=2**53)]
 OTHERS = "others"  # the leaf of unknown and missing identities, where the configuration names none
--- a/shedgrade/quota/gate.py
+++ b/shedgrade/sidecar/quota/gate.py
@@ -7,10 +7,10 @@
 from collections import Counter
 from random import Random
 
-from shedgrade.memory.in_hand import Carried
-from shedgrade.quota.config import Quota, build, renew
-from shedgrade.quota.share import Share
-from shedgrade.quota.tree import Refusal, Ticket
+from shedgrade.in_flight import Carried
+from shedgrade.sidecar.quota.config import Quota, build, renew
+from shedgrade.sidecar.quota.share import Share
+from shedgrade.sidecar.quota.tree import Refusal, Ticket
 
 SPREAD = 0.5  # of the wait: refused clients return over it, not together
 LONGEST = 600_000  # tenths of a ms that a refusal asks to stay away at the most; the settings may allow less
--- a/shedgrade/quota/part.py
+++ b/shedgrade/sidecar/quota/part.py
@@ -5,9 +5,9 @@
 
 from loguru import logger
 
-from shedgrade.lifecycle.feature import Feature
-from shedgrade.quota.gate import Gate
-from shedgrade.quota.state import export, restore
+from shedgrade.sidecar.lifecycle.feature import Feature
+from shedgrade.sidecar.quota.gate import Gate
+from shedgrade.sidecar.quota.state import export, restore
 
 KEEP = 5.0  # s between two records of what was counted and is owed
 
--- a/shedgrade/quota/state.py
+++ b/shedgrade/sidecar/quota/state.py
@@ -10,9 +10,9 @@
 import msgspec
 from msgspec import Struct
 
-from shedgrade.quota.accounts import Account, Debt
-from shedgrade.quota.tree import Node, Tree
-from shedgrade.quota.windows import PARTS
+from shedgrade.sidecar.quota.accounts import Account, Debt
+from shedgrade.sidecar.quota.tree import Node, Tree
+from shedgrade.sidecar.quota.windows import PARTS
 
 VERSION = 1
 MOST_NODES = 100_000  # nodes of which anything is kept: the file stays small, whatever names were made up
--- a/shedgrade/quota/tree.py
+++ b/shedgrade/sidecar/quota/tree.py
@@ -9,7 +9,7 @@
 
 from msgspec import Struct
 
-from shedgrade.quota.accounts import Account, Debt, Limit, Terms
+from shedgrade.sidecar.quota.accounts import Account, Debt, Limit, Terms
 
 TURNED = 64  # made leaves looked at, at most, for one to give up: work does not grow with leaves
 
--- a/shedgrade/watch/config.py
+++ b/shedgrade/sidecar/shadow_policy/config.py
@@ -4,7 +4,7 @@
 
 from msgspec import Meta, Struct, field
 
-from shedgrade.lifecycle.shape import problem
+from shedgrade.sidecar.lifecycle.shape import problem
 
 FIXED = ("methods", "zones", "az", "tick")  # what names mean, here and there: these cannot differ
 
--- a/shedgrade/watch/follower.py
+++ b/shedgrade/sidecar/shadow_policy/follower.py
@@ -4,7 +4,7 @@
 (`follow`), so that both know of the same transmissions, whatever was proposed.
 """
 
-from shedgrade import decide
+from shedgrade import load_balancing
 
 OTHER_ZONE, OTHER_UPSTREAM, OTHER_ANSWER, OTHER_ADVICE = (
     "other zone",
@@ -24,7 +24,7 @@
 SENT_NOT_HELD = "sent instead of held"
 
 
-class FollowerRpc(decide.Rpc):
+class FollowerRpc(load_balancing.Rpc):
     """Proposes, and changes nothing by it but its own rotation and luck."""
 
     __slots__ = ("proposing", "counted")
@@ -40,7 +40,7 @@
         finally:
             self.proposing = False
 
-    def transmit(self, now: int, up: decide.Upstream, repeat: bool) -> tuple[int, int]:
+    def transmit(self, now: int, up: load_balancing.Upstream, repeat: bool) -> tuple[int, int]:
         return (up.index, 0) if self.proposing else super().transmit(now, up, repeat)
 
     def finish(self) -> list[int]:
@@ -56,7 +56,7 @@
             self.finish()
 
 
-class Follower(decide.Balancer):
+class Follower(load_balancing.Balancer):
     """The decisions under the other settings."""
 
     handle = FollowerRpc
--- a/shedgrade/watch/part.py
+++ b/shedgrade/sidecar/shadow_policy/part.py
@@ -4,13 +4,13 @@
 
 from loguru import logger
 
-from shedgrade import decide
-from shedgrade.lifecycle.config import ConfigError
-from shedgrade.lifecycle.feature import Feature
-from shedgrade.lifecycle.shape import problem
-from shedgrade.watch.config import overlaid
-from shedgrade.watch.follower import Follower
-from shedgrade.watch.watched import Watched
+from shedgrade import load_balancing
+from shedgrade.sidecar.lifecycle.feature import Feature
+from shedgrade.sidecar.lifecycle.shape import problem
+from shedgrade.sidecar.shadow_policy.config import overlaid
+from shedgrade.sidecar.shadow_policy.follower import Follower
+from shedgrade.sidecar.shadow_policy.shadow import Watched
+from shedgrade.upstream_pool.errors import ConfigError
 
 SECOND = 10_000
 
@@ -20,7 +20,7 @@
 
     def __init__(self, config, path: str, inner: Callable | None = None) -> None:
         """`inner`: makes the decisions, where another part (capture) does."""
-        self.config, self.path, self.inner = config, path, inner or decide.Balancer
+        self.config, self.path, self.inner = config, path, inner or load_balancing.Balancer
         self.watched: Watched | None = None
         self.tell_at = 0
 
--- a/shedgrade/watch/watched.py
+++ b/shedgrade/sidecar/shadow_policy/shadow.py
@@ -9,8 +9,8 @@
 
 from loguru import logger
 
-from shedgrade.core import lasting
-from shedgrade.watch.follower import Follower, FollowerRpc, differs
+from shedgrade.load_balancing import learned_state
+from shedgrade.sidecar.shadow_policy.follower import Follower, FollowerRpc, differs
 
 
 class Handle:
@@ -173,9 +173,9 @@
             self.guarded(self.follower.divided, part)
 
     def restore(self, now: int, state: dict, age: float) -> None:
-        lasting.restore(self.inner, now, state, age)
+        learned_state.restore(self.inner, now, state, age)
         if self.follower is not None:
-            self.guarded(lasting.restore, self.follower, now, state, age)
+            self.guarded(learned_state.restore, self.follower, now, state, age)
 
     def wants_list(self, now: int) -> bool:
         if self.follower is not None:
--- a/shedgrade/tunnel/assemble.py
+++ b/shedgrade/sidecar/tunnel/assemble.py
@@ -7,13 +7,14 @@
 import orjson
 from loguru import logger
 
-from shedgrade.core.front import Front
-from shedgrade.core.pool import Pool
-from shedgrade.lifecycle.config import ConfigError, address
-from shedgrade.tunnel.config import MAIN, PoolTable, ProxyTable, secret, table
-from shedgrade.tunnel.dialler import Dialler, Proxy
-from shedgrade.tunnel.listener import Tunnels
-from shedgrade.wire.discovery import ListError
+from shedgrade.http.discovery import ListError
+from shedgrade.sidecar.lifecycle.config import address
+from shedgrade.sidecar.tunnel.config import MAIN, PoolTable, ProxyTable, secret, table
+from shedgrade.sidecar.tunnel.dialler import Dialler, Proxy
+from shedgrade.sidecar.tunnel.listener import Tunnels
+from shedgrade.upstream_pool.errors import ConfigError
+from shedgrade.upstream_pool.front import Front
+from shedgrade.upstream_pool.pool import Pool
 
 
 def pool_settings(main: dict, given: PoolTable) -> dict:
--- a/shedgrade/tunnel/config.py
+++ b/shedgrade/sidecar/tunnel/config.py
@@ -6,8 +6,9 @@
 
 from msgspec import Meta, Struct, field
 
-from shedgrade.lifecycle.config import ConfigError, address
-from shedgrade.tunnel import routes
+from shedgrade.sidecar.lifecycle.config import address
+from shedgrade.sidecar.tunnel import routes
+from shedgrade.upstream_pool.errors import ConfigError
 
 Ms = Annotated[float, Meta(gt=0)]
 Seconds = Annotated[float, Meta(gt=0)]
--- a/shedgrade/tunnel/connect.py
+++ b/shedgrade/sidecar/tunnel/connect.py
@@ -8,7 +8,7 @@
 import re
 from collections.abc import Callable
 
-from shedgrade.tunnel.destinations import Destination, DestinationError, authority
+from shedgrade.sidecar.tunnel.destinations import Destination, DestinationError, authority
 
 LONGEST = 16 * 1024  # bytes of a head: a tunnel's needs few
 TOKEN = re.compile(rb"[!#$%&'*+.^_`|~0-9A-Za-z-]+$")
--- a/shedgrade/tunnel/dialler.py
+++ b/shedgrade/sidecar/tunnel/dialler.py
@@ -6,9 +6,9 @@
 
 from loguru import logger
 
-from shedgrade import decide
-from shedgrade.tunnel import connect, socks
-from shedgrade.tunnel.destinations import destination
+from shedgrade import load_balancing
+from shedgrade.sidecar.tunnel import connect, socks
+from shedgrade.sidecar.tunnel.destinations import destination
 
 REST = (1.0, 8.0)  # s that a proxy which failed is left alone: doubled by each failure, to the second
 
@@ -99,14 +99,14 @@
                 made = await self.through(proxy, factory, address)
             except DialError as failure:
                 last = failure
-                if failure.outcome == decide.UNCONNECTED:
+                if failure.outcome == load_balancing.UNCONNECTED:
                     raise
                 continue
             proxy.worked()
             return made
         if self.fallback:
             return await self.loop.create_connection(factory, *address)
-        raise last or DialError(decide.UNSENT, "every proxy is left alone for now")
+        raise last or DialError(load_balancing.UNSENT, "every proxy is left alone for now")
 
     async def through(self, proxy: Proxy, factory: Callable, address: tuple[str, int]) -> tuple:
         where = destination(*address)
@@ -126,7 +126,7 @@
                 transport.abort()
             why = "no handshake in time" if isinstance(failure, TimeoutError) else str(failure)
             proxy.failed(self.loop.time(), why)
-            raise DialError(decide.UNSENT, f"proxy {proxy.name}: {why}") from failure
+            raise DialError(load_balancing.UNSENT, f"proxy {proxy.name}: {why}") from failure
         except asyncio.CancelledError:
             if transport is not None:
                 transport.abort()
@@ -135,15 +135,17 @@
             transport.abort()
             if codec.unreached:
                 proxy.worked()  # it answered: the failure is the upstream's
-                raise DialError(decide.UNCONNECTED, f"proxy {proxy.name}: {codec.failed}")
+                raise DialError(load_balancing.UNCONNECTED, f"proxy {proxy.name}: {codec.failed}")
             proxy.failed(self.loop.time(), codec.failed)
-            raise DialError(decide.UNSENT, f"proxy {proxy.name}: {codec.failed}")
+            raise DialError(load_balancing.UNSENT, f"proxy {proxy.name}: {codec.failed}")
         if codec.rest or transport.is_closing():
             # Bytes ahead of any request, or an end right behind the 200: not a connection to send anything
             # on.
             transport.abort()
             proxy.failed(self.loop.time(), "bytes or an end right behind its answer")
-            raise DialError(decide.UNSENT, f"proxy {proxy.name}: bytes or an end right behind its answer")
+            raise DialError(
+                load_balancing.UNSENT, f"proxy {proxy.name}: bytes or an end right behind its answer"
+            )
         link = factory()
         transport.set_protocol(link)
         link.connection_made(transport)
--- a/shedgrade/tunnel/listener.py
+++ b/shedgrade/sidecar/tunnel/listener.py
@@ -14,14 +14,14 @@
 
 from loguru import logger
 
-from shedgrade.core.front import Front
-from shedgrade.core.pool import Pool
-from shedgrade.memory.in_hand import Carried, Request
-from shedgrade.tunnel import connect, socks
-from shedgrade.tunnel.config import Tunnel
-from shedgrade.tunnel.relay import Side, StreamLink
-from shedgrade.tunnel.routes import INSPECTED, Table
-from shedgrade.wire.application import ApplicationConnection
+from shedgrade.http.application import ApplicationConnection
+from shedgrade.in_flight import Carried, Request
+from shedgrade.sidecar.tunnel import connect, socks
+from shedgrade.sidecar.tunnel.config import Tunnel
+from shedgrade.sidecar.tunnel.relay import Side, StreamLink
+from shedgrade.sidecar.tunnel.routes import INSPECTED, Table
+from shedgrade.upstream_pool.front import Front
+from shedgrade.upstream_pool.pool import Pool
 
 AT_ONCE = 32  # connections accepted in one pass of the loop
 LOOK = 0.25  # s between two looks at what is overdue
@@ -289,7 +289,7 @@
 
     def listen(self) -> None:
         """OSError if an address can't be listened on."""
-        from shedgrade.lifecycle.config import address
+        from shedgrade.sidecar.lifecycle.config import address
 
         for kind in ("socks", "connect"):
             text = getattr(self.config, kind)
--- a/shedgrade/tunnel/relay.py
+++ b/shedgrade/sidecar/tunnel/relay.py
@@ -114,7 +114,7 @@
         self.caller.turn.opened(transmission)
 
     def connection_lost(self, failure) -> None:
-        from shedgrade import decide
+        from shedgrade import load_balancing
 
         self.lost, self.failure = True, failure
         self.caller.closed(self)
@@ -125,7 +125,9 @@
                 del self.caller.streams[self.upstream]
         transmission, self.transmission = self.transmission, None
         if transmission is not None:
-            self.caller.turn.ended(transmission, decide.DROPPED if failure else decide.COMPLETED, None)
+            self.caller.turn.ended(
+                transmission, load_balancing.DROPPED if failure else load_balancing.COMPLETED, None
+            )
         if self.peer is not None:
             self.peer.other_lost(failure)
 
--- a/shedgrade/tunnel/routes.py
+++ b/shedgrade/sidecar/tunnel/routes.py
@@ -5,7 +5,7 @@
 
 from msgspec import Struct
 
-from shedgrade.tunnel.destinations import Destination, DestinationError, destination
+from shedgrade.sidecar.tunnel.destinations import Destination, DestinationError, destination
 
 OPAQUE, INSPECTED, REFUSE = "opaque", "inspected", "refuse"
 
--- a/shedgrade/tunnel/socks.py
+++ b/shedgrade/sidecar/tunnel/socks.py
@@ -7,7 +7,7 @@
 import ipaddress
 from collections.abc import Callable
 
-from shedgrade.tunnel.destinations import Destination, DestinationError, destination
+from shedgrade.sidecar.tunnel.destinations import Destination, DestinationError, destination
 
 VERSION, AUTH_VERSION = 5, 1
 NONE, PASSWORD, NO_METHOD = 0x00, 0x02, 0xFF
--- a/shedgrade/simulation/absence.py
+++ b/shedgrade/simulation/absence.py
@@ -12,11 +12,17 @@
 from random import Random
 from typing import NamedTuple
 
-from shedgrade.replication import Decision, Elsewhere, Member, Reading, Timing, Unavailable
-
-from .clock import Scheduler
-from .machine import Machine
-from .network import Network
+from shedgrade.replication import (
+    Decision,
+    Elsewhere,
+    Member,
+    Reading,
+    Timing,
+    Unavailable,
+)
+from shedgrade.simulation.clock import Scheduler
+from shedgrade.simulation.machine import Machine
+from shedgrade.simulation.network import Network
 
 CATCH_UP = 4.0  # seconds after its return in which a machine counts as lost
 RETRY_AFTER = 0.4  # seconds of silence
--- a/shedgrade/simulation/catch_up.py
+++ b/shedgrade/simulation/catch_up.py
@@ -10,11 +10,10 @@
 from random import Random
 
 from shedgrade.replication import Decision, Member, Timing, Unavailable
-
-from .clock import Scheduler
-from .history import History
-from .machine import Machine
-from .network import Network, bulk
+from shedgrade.simulation.clock import Scheduler
+from shedgrade.simulation.history import History
+from shedgrade.simulation.machine import Machine
+from shedgrade.simulation.network import Network, bulk
 
 BITS = 8
 MEGABIT = 1_000_000
--- a/shedgrade/simulation/checkers.py
+++ b/shedgrade/simulation/checkers.py
@@ -2,7 +2,7 @@
 
 from __future__ import annotations
 
-from .register import CONFLICT, OK, Put, chain, line
+from shedgrade.simulation.register import CONFLICT, OK, Put, chain, line
 
 SETTLE, ACK, RESTART = 4.0, 5.0, 8.0
 
--- a/shedgrade/simulation/crash_day.py
+++ b/shedgrade/simulation/crash_day.py
@@ -6,12 +6,18 @@
 from dataclasses import dataclass, field
 from random import Random
 
+from shedgrade.simulation.crash_points import (
+    Contents,
+    CrashImage,
+    Recorder,
+    disk_at,
+    disk_with,
+    survivors,
+)
+from shedgrade.simulation.disk import SimulatedDisk, SimulatedFiles
 from shedgrade.storage import Found, State, Store
 from shedgrade.storage.layout import apply
 
-from .crash_points import Contents, CrashImage, Recorder, disk_at, disk_with, survivors
-from .disk import SimulatedDisk, SimulatedFiles
-
 RESTART_EVERY = 97  # changes
 
 
--- a/shedgrade/simulation/crash_points.py
+++ b/shedgrade/simulation/crash_points.py
@@ -13,7 +13,7 @@
 from math import prod
 from random import Random
 
-from .disk import SECTOR, SimulatedDisk, SimulatedFile, put, set_length
+from shedgrade.simulation.disk import SECTOR, SimulatedDisk, SimulatedFile, put, set_length
 
 Contents = dict[str, bytes]
 Change = tuple[int, bytes | None]  # (offset, data), or (length, None)
--- a/shedgrade/simulation/nemesis.py
+++ b/shedgrade/simulation/fault_schedule.py
@@ -2,7 +2,7 @@
 
 from __future__ import annotations
 
-from .troubles import Troubles
+from shedgrade.simulation.faults import Troubles
 
 CATCH_UP = 4.0  # s after its return until a machine counts again
 
--- a/shedgrade/simulation/troubles.py
+++ b/shedgrade/simulation/faults.py
@@ -13,8 +13,7 @@
     Promise,
     Replicate,
 )
-
-from .planned import PlannedWork
+from shedgrade.simulation.planned import PlannedWork
 
 
 class Troubles(PlannedWork):
--- a/shedgrade/simulation/machine.py
+++ b/shedgrade/simulation/machine.py
@@ -4,7 +4,14 @@
 
 from random import Random
 
-from shedgrade.replication import Answer, Finished, Left, Member, Persist, Send
+from shedgrade.replication import (
+    Answer,
+    Finished,
+    Left,
+    Member,
+    Persist,
+    Send,
+)
 
 KILL_MARGIN = 1.2  # s before SIGKILL at which a process gives up waiting
 
--- a/shedgrade/simulation/operators.py
+++ b/shedgrade/simulation/operators.py
@@ -3,9 +3,8 @@
 from __future__ import annotations
 
 from shedgrade.replication import Elsewhere, Reading, Unavailable
-
-from .history import Call
-from .register import CONFLICT, OK, Count, Put
+from shedgrade.simulation.history import Call
+from shedgrade.simulation.register import CONFLICT, OK, Count, Put
 
 
 class Client:
--- a/shedgrade/simulation/system/disk.py
+++ b/shedgrade/simulation/system/disk.py
@@ -10,7 +10,7 @@
 from collections.abc import Callable, Mapping
 from random import Random
 
-from shedgrade.log import logger
+from shedgrade.runtime.log import logger
 from shedgrade.simulation.disk import SimulatedDisk
 from shedgrade.storage import Store
 
--- a/shedgrade/simulation/system/machine.py
+++ b/shedgrade/simulation/system/machine.py
@@ -7,9 +7,9 @@
 from collections.abc import Callable
 from random import Random
 
-from shedgrade.boot import Settings
 from shedgrade.controlplane.plane import ControlPlane
 from shedgrade.dataplane.plane import DataPlane
+from shedgrade.process_settings import Settings
 from shedgrade.simulation.system.disk import DiskWorker, MachineDisk
 from shedgrade.simulation.system.network import Host
 from shedgrade.simulation.system.scheduler import ProcessLoop
--- a/shedgrade/simulation/system/platform.py
+++ b/shedgrade/simulation/system/platform.py
@@ -7,8 +7,8 @@
 
 import orjson
 
-from shedgrade.httpd import HttpServer, Reply
-from shedgrade.log import logger
+from shedgrade.http.server import HttpServer, Reply
+from shedgrade.runtime.log import logger
 
 PORT = 8266
 
--- a/shedgrade/simulation/system/sockets.py
+++ b/shedgrade/simulation/system/sockets.py
@@ -118,7 +118,7 @@
 
 
 class SteadyClock:
-    """Stands for `shedgrade.clock.Clock`: the steady clock of the process that runs."""
+    """Stands for `shedgrade.runtime.clock.Clock`: the steady clock of the process that runs."""
 
     @staticmethod
     def now() -> int:
@@ -130,15 +130,15 @@
 
 
 REPLACED = (
-    ("shedgrade.link.tcp", "socket", SocketModule()),
-    ("shedgrade.link.udp", "socket", SocketModule()),
-    ("shedgrade.wire.application", "socket", SocketModule()),
-    ("shedgrade.wire.application", "fcntl", FcntlModule()),
-    ("shedgrade.wire.connection", "socket", SocketModule()),
-    ("shedgrade.wire.listener", "socket", SocketModule()),
-    ("shedgrade.wire.application", "select", SelectModule()),
-    ("shedgrade.wire.listener", "select", SelectModule()),
-    ("shedgrade.httpd", "select", SelectModule()),
+    ("shedgrade.peer_transport.tcp", "socket", SocketModule()),
+    ("shedgrade.peer_transport.udp", "socket", SocketModule()),
+    ("shedgrade.http.application", "socket", SocketModule()),
+    ("shedgrade.http.application", "fcntl", FcntlModule()),
+    ("shedgrade.http.connection", "socket", SocketModule()),
+    ("shedgrade.http.listener", "socket", SocketModule()),
+    ("shedgrade.http.application", "select", SelectModule()),
+    ("shedgrade.http.listener", "select", SelectModule()),
+    ("shedgrade.http.server", "select", SelectModule()),
     ("shedgrade.controlplane.plane", "gc", NoCollector()),
     ("shedgrade.dataplane.plane", "gc", NoCollector()),
     ("shedgrade.dataplane.plane", "Clock", SteadyClock),
--- a/shedgrade/simulation/system/world.py
+++ b/shedgrade/simulation/system/world.py
@@ -5,12 +5,12 @@
 from dataclasses import dataclass
 from random import Random
 
-from shedgrade.boot import Settings
-from shedgrade.boot.reading import check as read_settings
+from shedgrade.control_messages import ControlChange
 from shedgrade.controlplane.plane import LIST, ControlPlane
 from shedgrade.dataplane.plane import DataPlane
-from shedgrade.knowledge import ControlChange
-from shedgrade.log import hand, logger
+from shedgrade.process_settings import Settings
+from shedgrade.process_settings.reading import check as read_settings
+from shedgrade.runtime.log import hand, logger
 from shedgrade.simulation.system.caller import SILENCE, Caller
 from shedgrade.simulation.system.clients import Client
 from shedgrade.simulation.system.configurations import label_of
--- a/shedgrade/simulation/world.py
+++ b/shedgrade/simulation/world.py
@@ -5,15 +5,14 @@
 from random import Random
 
 from shedgrade.replication import Member, Timing
-
-from .checkers import check
-from .clock import Scheduler
-from .history import History
-from .machine import Machine
-from .nemesis import CATCH_UP, Nemesis
-from .network import Network
-from .operators import Counter, Operator, Reader
-from .register import decide
+from shedgrade.simulation.checkers import check
+from shedgrade.simulation.clock import Scheduler
+from shedgrade.simulation.fault_schedule import CATCH_UP, Nemesis
+from shedgrade.simulation.history import History
+from shedgrade.simulation.machine import Machine
+from shedgrade.simulation.network import Network
+from shedgrade.simulation.operators import Counter, Operator, Reader
+from shedgrade.simulation.register import decide
 
 
 class World:
--- a/shedgrade/benchlink/__main__.py
+++ b/shedgrade/simulator_adapter/__main__.py
@@ -1,6 +1,6 @@
 import sys
 
-from shedgrade.benchlink.wire import BadInputError, DecisionError, serve
+from shedgrade.simulator_adapter.wire import BadInputError, DecisionError, serve
 
 if __name__ == "__main__":
     try:
--- a/shedgrade/benchlink/wire.py
+++ b/shedgrade/simulator_adapter/wire.py
@@ -5,20 +5,20 @@
 
 import orjson
 
-from shedgrade import decide
-from shedgrade.decide import Balancer, Rpc
-from shedgrade.memory.upstreams import Indices, tenths
+from shedgrade import load_balancing
+from shedgrade.load_balancing import Balancer, Rpc
+from shedgrade.load_balancing.upstream_indices import Indices, tenths
 
-STATES = {"U": decide.READY, "L": decide.DRAINING, "D": decide.REMOVED}
+STATES = {"U": load_balancing.READY, "L": load_balancing.DRAINING, "D": load_balancing.REMOVED}
 OUTCOMES = {
-    "S": decide.COMPLETED,
-    "E": decide.FAILED,
-    "F": decide.TURNED_AWAY,
-    "T": decide.TIMED_OUT,
-    "C": decide.UNCONNECTED,
-    "R": decide.DROPPED,
-    "X": decide.STOPPED,
-    "N": decide.UNSENT,
+    "S": load_balancing.COMPLETED,
+    "E": load_balancing.FAILED,
+    "F": load_balancing.TURNED_AWAY,
+    "T": load_balancing.TIMED_OUT,
+    "C": load_balancing.UNCONNECTED,
+    "R": load_balancing.DROPPED,
+    "X": load_balancing.STOPPED,
+    "N": load_balancing.UNSENT,
 }
 NUMBER = (int, float)
 RETRY = 2  # the bit of `options` that marks a client's retry
@@ -199,7 +199,7 @@
             what, value = answer
             if what >= 0:
                 self.say(out, "hand_off", txn=rpc.tag, upstream=self.upstreams.ids[what], limit=value / 10)
-            elif what == decide.EXHAUSTED:
+            elif what == load_balancing.EXHAUSTED:
                 self.say(out, "shed", txn=rpc.tag, stay_away=value / 10)
             else:
                 self.say(out, "give_up", txn=rpc.tag)
--- a/shedgrade/storage/layout.py
+++ b/shedgrade/storage/layout.py
@@ -1,4 +1,4 @@
-"""The bytes of a slot and of a log, without I/O, in the frames of `core/frames.py`.
+"""The bytes of a slot and of a log, without I/O, in the frames of `file_frames.py`.
 
     slot   header(kind C, sequence)   one record {"n": sequence, "v": {key: bytes}}, the whole map
     log    header(kind J, base)       records {"n": sequence, "c": {key: bytes or nil}}, nil removes the key
@@ -12,10 +12,10 @@
 from dataclasses import dataclass, field
 from zlib import crc32
 
-from shedgrade.core import frames
+from shedgrade import file_frames
 
 SLOT, LOG = b"C", b"J"
-LARGEST = frames.LONGEST - 64 * 1024  # bytes of a whole map: it must fit a frame with room to spare
+LARGEST = file_frames.LONGEST - 64 * 1024  # bytes of a whole map: it must fit a frame with room to spare
 MARK = b"\x82\xa1n"  # how the payload of each record begins: a map of two, "n" first
 MOST = 2**63  # no sequence number comes near it: one that does is not ours
 
@@ -52,24 +52,24 @@
 
 
 def slot(sequence: int, values: dict[str, bytes]) -> bytes:
-    return frames.header(SLOT, sequence) + frames.frame({"n": sequence, "v": values})
+    return file_frames.header(SLOT, sequence) + file_frames.frame({"n": sequence, "v": values})
 
 
 def log(base: int) -> bytes:
     """How the log of the slot with this number begins."""
-    return frames.header(LOG, base)
+    return file_frames.header(LOG, base)
 
 
 def record(sequence: int, changes: dict[str, bytes | None]) -> bytes:
-    return frames.frame({"n": sequence, "c": changes})
+    return file_frames.frame({"n": sequence, "c": changes})
 
 
 def read_slot(data: bytes) -> Slot:
     """Raises nothing, whatever the bytes are."""
     try:
         sequence, records, reason = read(data, SLOT)
-    except frames.FormatError as wrong:
-        return Slot(reason=str(wrong), newer=isinstance(wrong, frames.NewerError))
+    except file_frames.FormatError as wrong:
+        return Slot(reason=str(wrong), newer=isinstance(wrong, file_frames.NewerError))
     if not records:
         return Slot(sequence, reason=reason or "no record")
     values = records[0].get("v")
@@ -82,8 +82,8 @@
     """Raises nothing, whatever the bytes are."""
     try:
         base, records, reason = read(data, LOG)
-    except frames.FormatError as wrong:
-        return Log(reason=str(wrong), newer=isinstance(wrong, frames.NewerError))
+    except file_frames.FormatError as wrong:
+        return Log(reason=str(wrong), newer=isinstance(wrong, file_frames.NewerError))
     found = Log(base, reason=reason)
     for one in records:
         if one.get("n") != found.last + 1 or not is_map(one.get("c"), bytes | None):
@@ -97,13 +97,13 @@
 
 def read(data: bytes, kind: bytes) -> tuple[int, list[dict], str]:
     try:
-        sequence, records, reason = frames.read(data, kind)
+        sequence, records, reason = file_frames.read(data, kind)
     except (TypeError, RecursionError) as wrong:
         # Guards against a file that another program made, with sound checksums around what is no record of
         # ours.
-        raise frames.FormatError(f"not a file of ours ({type(wrong).__name__})") from wrong
+        raise file_frames.FormatError(f"not a file of ours ({type(wrong).__name__})") from wrong
     if sequence >= MOST:
-        raise frames.FormatError("sequence number out of bounds")
+        raise file_frames.FormatError("sequence number out of bounds")
     return sequence, records, reason
 
 
@@ -115,13 +115,13 @@
 
 def beyond(data: bytes, last: int) -> int:
     """The highest sequence number over `last` of a sound record at any offset of the data, or -1."""
-    highest, offset = -1, data.find(MARK, frames.HEAD_SIZE + frames.FRAME.size)
+    highest, offset = -1, data.find(MARK, file_frames.HEAD_SIZE + file_frames.FRAME.size)
     while offset >= 0:
-        length, check = frames.FRAME.unpack_from(data, offset - frames.FRAME.size)
+        length, check = file_frames.FRAME.unpack_from(data, offset - file_frames.FRAME.size)
         payload = data[offset : offset + length]
-        if len(payload) == length and crc32(payload, crc32(frames.CHECK.pack(length))) == check:
+        if len(payload) == length and crc32(payload, crc32(file_frames.CHECK.pack(length))) == check:
             try:
-                sequence = frames.decoder.decode(payload)["n"]
+                sequence = file_frames.decoder.decode(payload)["n"]
             except (TypeError, ValueError, KeyError, RecursionError):
                 sequence = -1
             if type(sequence) is int and last < sequence < MOST:
--- a/shedgrade/core/front.py
+++ b/shedgrade/upstream_pool/front.py
@@ -5,11 +5,11 @@
 from time import monotonic
 from typing import TYPE_CHECKING
 
-from shedgrade.log import logger
-from shedgrade.memory.budget import Budget
+from shedgrade.buffers.budget import Budget
+from shedgrade.runtime.log import logger
 
 if TYPE_CHECKING:
-    from shedgrade.core.pool import Pool
+    from shedgrade.upstream_pool.pool import Pool
 
 BETWEEN = 10.0  # s between two lines about the same crowd
 CROWDED = 4  # part of the connections there is room for: calm days use a tenth, and clients,
--- a/shedgrade/core/pool.py
+++ b/shedgrade/upstream_pool/pool.py
@@ -3,15 +3,15 @@
 
 import asyncio
 
-from shedgrade import decide
-from shedgrade.clock import Clock
-from shedgrade.lifecycle.config import ConfigError
-from shedgrade.log import logger
-from shedgrade.memory.budget import Budget
-from shedgrade.memory.upstreams import tenths
-from shedgrade.turn import Turn
-from shedgrade.wire.caller import Caller
-from shedgrade.wire.discovery import DiscoveryWatch, ListReader
+from shedgrade import load_balancing
+from shedgrade.buffers.budget import Budget
+from shedgrade.http.caller import Caller
+from shedgrade.http.discovery import DiscoveryWatch, ListReader
+from shedgrade.load_balancing.upstream_indices import tenths
+from shedgrade.request_dispatch import Turn
+from shedgrade.runtime.clock import Clock
+from shedgrade.runtime.log import logger
+from shedgrade.upstream_pool.errors import ConfigError
 
 IDLE_MARGIN = 10_000  # tenths of a ms before the idle limit: the upstream's timer must not be first
 
@@ -28,7 +28,7 @@
         loop: asyncio.AbstractEventLoop,
         clock: Clock,
         budget: Budget,
-        decisions: type[decide.Balancer] = decide.Balancer,
+        decisions: type[load_balancing.Balancer] = load_balancing.Balancer,
     ) -> None:
         """ConfigError if the settings are not sound."""
         self.name, self.loop, self.clock, self.budget = name, loop, clock, budget
@@ -101,7 +101,7 @@
                 # Nor is an entry that is not sound: it would spoil the start from what was saved.
                 taken = [] if quiet else self.reader.taken
                 self.saved.told({**message, "instances": taken} if quiet or part else message)
-        leaving = [row[0] for row in rows if row[2] != decide.READY]
+        leaving = [row[0] for row in rows if row[2] != load_balancing.READY]
         self.turn.listed(rows, whole, asked)  # first: what is withdrawn is decided anew by this list
         for upstream in (*moved, *leaving):
             self.caller.withdraw(upstream)
--- a/tests/test_ring.py
+++ b/tests/buffers/test_ring.py
@@ -5,7 +5,7 @@
 from hypothesis import settings as run
 from hypothesis import strategies as st
 
-from shedgrade.memory.ring import Ring, RingFullError
+from shedgrade.buffers.ring import Ring, RingFullError
 
 STEP = st.one_of(
     st.tuples(st.just("put"), st.binary(max_size=90)),
--- a/tests/controlplane/control_net.py
+++ b/tests/controlplane/control_net.py
@@ -9,13 +9,13 @@
 from collections.abc import Callable
 from random import Random
 
-from shedgrade.arrival import ArrivalClock
-from shedgrade.controlplane.operators import Operators
+from shedgrade.controlplane.operator_api import Operators
 from shedgrade.controlplane.ordering import Ordering
 from shedgrade.controlplane.orders import make_decide
-from shedgrade.httpd import Request
-from shedgrade.link.peer import LinkError
+from shedgrade.http.server import Request
+from shedgrade.peer_transport.peer import LinkError
 from shedgrade.replication import Answer, Finished, Member, Persist, Send
+from shedgrade.runtime.stall_detection import ArrivalClock
 
 ZONES = {"hall-1": "north", "hall-2": "south", "hall-3": "south", "hall-4": "west"}
 NAMES = ("a", "b", "c")
--- a/tests/controlplane/cut_world.py
+++ b/tests/controlplane/cut_world.py
@@ -14,11 +14,11 @@
 import programs
 from controlplane.virtual_loop import VirtualLoop
 
-from shedgrade.boot.reading import check
 from shedgrade.controlplane.orders import PutConfiguration, Reply
 from shedgrade.controlplane.plane import ControlPlane
 from shedgrade.dataplane.plane import DataPlane
-from shedgrade.link.peer import LinkError
+from shedgrade.peer_transport.peer import LinkError
+from shedgrade.process_settings.reading import check
 
 APPLY = 3.0  # s, `configApplyMs` of the pages: by then an edge in touch serves a new configuration
 DRAIN = 4.0  # s, `drainMs`: by then it has the list that the platform shows
--- a/tests/controlplane/orders_model.py
+++ b/tests/controlplane/orders_model.py
@@ -16,8 +16,8 @@
 import virtual_loop
 from control_net import Call, Net
 
-from shedgrade.controlplane import accepted
-from shedgrade.controlplane.accepted import Past
+from shedgrade.controlplane import deduplication
+from shedgrade.controlplane.deduplication import Past
 from shedgrade.controlplane.orders import PatchConfiguration, PutConfiguration
 
 SECONDS = 30.0
@@ -227,7 +227,7 @@
 
 def lost_or_refused(history):
     for put in (*history.puts, *history.repeats):
-        past = accepted.past(history.state, put.version, put.content)
+        past = deduplication.past(history.state, put.version, put.content)
         if put.status == 200 and past is not Past.ACCEPTED:
             yield f"version {put.version} was acknowledged and is {past.name}"
         if put.status not in (200, None) and past is Past.ACCEPTED:
--- a/tests/controlplane/test_control_http.py
+++ b/tests/controlplane/test_control_http.py
@@ -9,9 +9,9 @@
 import pytest
 import uvloop
 
-from shedgrade import httpd
 from shedgrade.findings import Finding
-from shedgrade.httpd import HttpServer, Reply, Request, failure
+from shedgrade.http import server
+from shedgrade.http.server import HttpServer, Reply, Request, failure
 
 
 class Lines:
@@ -27,7 +27,7 @@
 class Place:
     """A server, what reached it, and what is still to be told."""
 
-    def __init__(self, loop, handle=None, most=httpd.MOST, earliest=None):
+    def __init__(self, loop, handle=None, most=server.MOST, earliest=None):
         self.loop, self.requests, self.tells, self.logger = loop, [], [], Lines()
         self.came = asyncio.Event()
         self.server = HttpServer(loop, ("127.0.0.1", 0), handle or self.keep, self.logger, most, earliest)
@@ -217,7 +217,7 @@
     (b"hello\r\n\r\n", 400),
     (b"GET / HTTP/1.1\r\nHost: h\r\nContent-Length: x\r\n\r\n", 400),
     (b"PUT / HTTP/1.1\r\nContent-Length: 3\r\nTransfer-Encoding: chunked\r\n\r\n0\r\n\r\n", 400),
-    (b"PUT / HTTP/1.1\r\nContent-Length: %d\r\n\r\n" % (httpd.LONGEST_BODY + 1), 413),
+    (b"PUT / HTTP/1.1\r\nContent-Length: %d\r\n\r\n" % (server.LONGEST_BODY + 1), 413),
     (b"GET / HTTP/1.1\r\nA: " + b"a" * (70 * 1024) + b"\r\n\r\n", 431),
     (b"GET /" + b"a" * (300 * 1024), 431),
     (b"GET / HTTP/1.1\r\n" + b"A: b\r\n" * 20_000, 431),
@@ -257,7 +257,7 @@
         reader, writer = await place.open()
         writer.write(b"PUT / HTTP/1.1\r\nHost: h\r\nTransfer-Encoding: chunked\r\n\r\n")
         chunk = b"10000\r\n" + b"a" * 0x10000 + b"\r\n"
-        for _ in range(httpd.LONGEST_BODY // 0x10000 + 1):
+        for _ in range(server.LONGEST_BODY // 0x10000 + 1):
             writer.write(chunk)
             await writer.drain()
         assert (await answered(reader))[0] == 413
@@ -266,7 +266,7 @@
 
 
 def test_a_long_body_and_a_long_answer_pass(play):
-    body = b"b" * (httpd.LONGEST_BODY - 1)
+    body = b"b" * (server.LONGEST_BODY - 1)
 
     async def story(place):
         reader, writer = await place.open()
@@ -411,9 +411,9 @@
             writer.write(begun)
             await reached(place, lambda: place.server.connections, lambda: only(place).begun)
             since = only(place).since
-            place.server.look_after(since + httpd.COMES - 0.1)
+            place.server.look_after(since + server.COMES - 0.1)
             assert not only(place).lingering
-            place.server.look_after(since + httpd.COMES + 0.1)
+            place.server.look_after(since + server.COMES + 0.1)
             status, headers, _ = await answered(reader)
             assert (status, headers[b"connection"]) == (408, b"close") and await reader.read() == b""
             writer.close()
@@ -425,17 +425,17 @@
 def test_a_body_that_moves_may_take_long(play):
     async def story(place):
         _, writer = await place.open()
-        writer.write(b"PUT / HTTP/1.1\r\nHost: h\r\nContent-Length: %d\r\n\r\n" % (3 * httpd.STEP))
+        writer.write(b"PUT / HTTP/1.1\r\nHost: h\r\nContent-Length: %d\r\n\r\n" % (3 * server.STEP))
         now = place.loop.time()
         for at in range(1, 3):
-            writer.write(b"a" * httpd.STEP)
+            writer.write(b"a" * server.STEP)
             await reached(
-                place, lambda: place.server.connections, lambda at=at: only(place).size == at * httpd.STEP
+                place, lambda: place.server.connections, lambda at=at: only(place).size == at * server.STEP
             )
-            now += httpd.COMES - 0.1
+            now += server.COMES - 0.1
             place.server.look_after(now)
-        writer.write(b"a" * httpd.STEP)
-        assert len((await place.asked()).body) == 3 * httpd.STEP
+        writer.write(b"a" * server.STEP)
+        assert len((await place.asked()).body) == 3 * server.STEP
 
     play(story)
 
@@ -444,16 +444,16 @@
     async def story(place):
         reader, writer = await place.open()
         await reached(place, lambda: place.server.connections)
-        place.server.look_after(only(place).since + httpd.IDLE - 0.1)
+        place.server.look_after(only(place).since + server.IDLE - 0.1)
         assert not only(place).transport.is_closing()
-        place.server.look_after(only(place).since + httpd.IDLE + 0.1)
+        place.server.look_after(only(place).since + server.IDLE + 0.1)
         assert await reader.read() == b""
         writer.close()
         await reached(place, lambda: not place.server.connections)
         reader, writer = await place.open()
         writer.write(b"nonsense\r\n\r\n")
         assert (await answered(reader))[0] == 400
-        place.server.look_after(only(place).since + httpd.LINGERS + 0.1)
+        place.server.look_after(only(place).since + server.LINGERS + 0.1)
         await reached(place, lambda: not place.server.connections)
 
     play(story)
@@ -472,7 +472,7 @@
         unsent, now = -1, place.loop.time()
         while connection in place.server.connections:
             if unsent == (unsent := connection.transport.get_write_buffer_size()):
-                now += httpd.TAKES + 0.1
+                now += server.TAKES + 0.1
             place.server.look_after(now)
             await next_pass(place)
 
--- a/tests/controlplane/test_cut_off_edges.py
+++ b/tests/controlplane/test_cut_off_edges.py
@@ -7,7 +7,7 @@
 from controlplane.cut_world import APPLY, CutWorld, address
 from controlplane.virtual_loop import play
 
-from shedgrade.dataplane.asking import FIRST_PATIENCE, Watcher
+from shedgrade.dataplane.control_client import FIRST_PATIENCE, Watcher
 
 ASKED = 0.3  # s in which a starting edge has asked others: three ways there and back, and its timer
 take = Watcher.take
--- a/tests/controlplane/test_cut_off_for_long.py
+++ b/tests/controlplane/test_cut_off_for_long.py
@@ -4,8 +4,8 @@
 from controlplane.cut_world import APPLY, CutWorld
 from controlplane.virtual_loop import play
 
+from shedgrade.replication.acceptor import Voting
 from shedgrade.replication.contact import MajorityContact
-from shedgrade.replication.voting import Voting
 
 CUT = 20  # s
 OLD = 0.8  # s, `asking.OLD_WORD`
--- a/tests/controlplane/test_cut_off_side.py
+++ b/tests/controlplane/test_cut_off_side.py
@@ -7,14 +7,14 @@
 import programs
 import pytest
 
-from shedgrade import knowledge
-from shedgrade.boot.reading import check
+from shedgrade import control_messages
+from shedgrade.control_messages import READY, EdgeHeard, EdgeSeen, EdgesKnown, EdgeState
 from shedgrade.controlplane.channels import KNOWLEDGE
 from shedgrade.controlplane.directory import Directory
 from shedgrade.controlplane.plane import ControlPlane
-from shedgrade.controlplane.reach import LOST, Reach
-from shedgrade.httpd import Request
-from shedgrade.knowledge import READY, EdgeHeard, EdgeSeen, EdgesKnown, EdgeState
+from shedgrade.controlplane.reachability import LOST, Reach
+from shedgrade.http.server import Request
+from shedgrade.process_settings.reading import check
 
 MEMBERS = ("a:1", "b:1", "c:1")
 EDGES = [
@@ -161,7 +161,7 @@
             return told[0].status
 
         assert (status("homed.example"), status("free.example")) == (503, 200)
-        plane.take(settings.seed_links[1], KNOWLEDGE + knowledge.encode(EdgesKnown(())), None)
+        plane.take(settings.seed_links[1], KNOWLEDGE + control_messages.encode(EdgesKnown(())), None)
         assert (status("homed.example"), status("free.example")) == (200, 200)
         plane.links.close()
 
--- a/tests/controlplane/test_delivery.py
+++ b/tests/controlplane/test_delivery.py
@@ -8,10 +8,7 @@
 import orjson
 import pytest
 
-from shedgrade import log
-from shedgrade.controlplane.delivery import WatchHub
-from shedgrade.controlplane.platform import InstanceList
-from shedgrade.knowledge import (
+from shedgrade.control_messages import (
     CLOSED,
     LEAVING,
     NEVER,
@@ -25,6 +22,9 @@
     encode,
     unpacked,
 )
+from shedgrade.controlplane.platform_poller import InstanceList
+from shedgrade.controlplane.watch_hub import WatchHub
+from shedgrade.runtime import log
 
 
 def edge(name="edge-1", life=1, state=READY) -> EdgeState:
@@ -236,7 +236,7 @@
 
 
 def test_the_number_of_parked_asks_is_bounded(monkeypatch):
-    monkeypatch.setattr("shedgrade.controlplane.delivery.MOST_PARKED", 3)
+    monkeypatch.setattr("shedgrade.controlplane.watch_hub.MOST_PARKED", 3)
     hub = WatchHub("10.1.0.14:7300", 100.0)
     clients = [Client(hub, f"edge-{number}") for number in range(4)]
     for client in clients:
--- a/tests/controlplane/test_directory.py
+++ b/tests/controlplane/test_directory.py
@@ -8,10 +8,17 @@
 from hypothesis import given
 from hypothesis import strategies as st
 
+from shedgrade.control_messages import (
+    CLOSED,
+    LEAVING,
+    NOBODY,
+    READY,
+    STARTING,
+    EdgeSeen,
+)
 from shedgrade.controlplane.directory import MOST, Directory, cover
 from shedgrade.controlplane.home_regions import ANYWHERE, NOWHERE_ELSE, HomeRegions
-from shedgrade.httpd import Request
-from shedgrade.knowledge import CLOSED, LEAVING, NOBODY, READY, STARTING, EdgeSeen
+from shedgrade.http.server import Request
 
 ZONES = {"north-a": "north", "north-b": "north", "south-a": "south"}
 
--- a/tests/controlplane/test_duties.py
+++ b/tests/controlplane/test_duties.py
@@ -8,8 +8,17 @@
 from hypothesis import given, settings
 from hypothesis import strategies as st
 
-from shedgrade.controlplane import duties as module
-from shedgrade.controlplane.duties import Ballot, Duties, Heartbeat, Lost, Message, Send, Vacated, Won
+from shedgrade.controlplane import singleton_roles as module
+from shedgrade.controlplane.singleton_roles import (
+    Ballot,
+    Duties,
+    Heartbeat,
+    Lost,
+    Message,
+    Send,
+    Vacated,
+    Won,
+)
 
 POLL = "discovery"
 BORN = 10_000_000  # tenths of a second since 1970 at the start of each play
--- a/tests/controlplane/test_operators_api.py
+++ b/tests/controlplane/test_operators_api.py
@@ -7,11 +7,11 @@
 import orjson
 import pytest
 
-import shedgrade.controlplane.operators
-from shedgrade.controlplane.operators import SOUND, Operators, version_in
+import shedgrade.controlplane.operator_api
+from shedgrade.controlplane.operator_api import SOUND, Operators, version_in
 from shedgrade.controlplane.orders import Reply as Outcome
 from shedgrade.controlplane.orders import ZoneOrder, make_decide, zone_revisions
-from shedgrade.httpd import Request
+from shedgrade.http.server import Request
 
 
 class Orders:
@@ -148,13 +148,15 @@
         None,
         None,
     ]
-    assert doctest.testmod(shedgrade.controlplane.operators).failed == 0
+    assert doctest.testmod(shedgrade.controlplane.operator_api).failed == 0
 
 
 def test_a_repeat_is_not_checked_again(place, monkeypatch):
     checks = []
-    real = shedgrade.controlplane.operators.read
-    monkeypatch.setattr(shedgrade.controlplane.operators, "read", lambda raw: checks.append(raw) or real(raw))
+    real = shedgrade.controlplane.operator_api.read
+    monkeypatch.setattr(
+        shedgrade.controlplane.operator_api, "read", lambda raw: checks.append(raw) or real(raw)
+    )
     for _ in range(3):
         assert place.call("PUT", "/configuration", configuration(7), if_match=b"0").status == 200
     assert len(checks) == 1
--- a/tests/controlplane/test_orders.py
+++ b/tests/controlplane/test_orders.py
@@ -7,7 +7,7 @@
 from hypothesis import given
 from hypothesis import strategies as st
 
-from shedgrade.controlplane import accepted
+from shedgrade.controlplane import deduplication
 from shedgrade.controlplane.channels import Outcome, Relayed, decode, encode
 from shedgrade.controlplane.orders import (
     REVISIONS,
@@ -138,13 +138,13 @@
 
 def test_of_what_is_older_than_the_record_nothing_certain_is_said(monkeypatch):
     """Neither accepted nor refused; what builds on the current version can't have been accepted before."""
-    monkeypatch.setattr(accepted, "BLOCKS", 2)
+    monkeypatch.setattr(deduplication, "BLOCKS", 2)
     state = State()
     for number in range(1, 201):
         assert state.status(put(2 * number, 2 * number - 2)) == 200
     kept = [key for key in state if key.startswith("accepted/")]
     assert len(kept) == 2
-    oldest = 2 * (192 - accepted.BLOCK_ENTRIES) + 2
+    oldest = 2 * (192 - deduplication.BLOCK_ENTRIES) + 2
     assert state.status(put(oldest, oldest - 2)) == 200
     assert state.status(put(oldest, oldest - 2, "theirs")) == 412
     assert state.status(put(oldest - 2, oldest - 4)) == 503
--- a/tests/controlplane/test_orders_model.py
+++ b/tests/controlplane/test_orders_model.py
@@ -9,9 +9,9 @@
 import orders_model
 import pytest
 
-from shedgrade.controlplane import accepted, channels, orders
-from shedgrade.controlplane.accepted import Past
+from shedgrade.controlplane import channels, deduplication, orders
 from shedgrade.controlplane.channels import Outcome
+from shedgrade.controlplane.deduplication import Past
 from shedgrade.controlplane.ordering import Submission, ZoneSubmission
 from shedgrade.replication.effects import Decision
 
@@ -79,13 +79,13 @@
 
 
 def forgotten_is_refused(monkeypatch):
-    real = accepted.past
+    real = deduplication.past
 
     def past(state, version, raw):
         newest = int(state.get("version") or 0)
         return Past.NEVER_ACCEPTED if version < newest - 4 else real(state, version, raw)
 
-    monkeypatch.setattr("shedgrade.controlplane.orders.accepted.past", past)
+    monkeypatch.setattr("shedgrade.controlplane.orders.deduplication.past", past)
 
 
 def callers_trusted_to_wait(monkeypatch):
@@ -116,12 +116,12 @@
 
 @pytest.mark.parametrize("fault", FAULTS, ids=lambda fault: fault.__name__)
 def test_planted_faults_are_found(monkeypatch, fault):
-    real = accepted.past
+    real = deduplication.past
     fault(monkeypatch)
     for seed in range(FOUND_WITHIN):
         history = orders_model.run(seed)
         with monkeypatch.context() as whole:
-            whole.setattr("shedgrade.controlplane.accepted.past", real)
+            whole.setattr("shedgrade.controlplane.deduplication.past", real)
             if orders_model.check(history):
                 return
     raise AssertionError(f"not found within {FOUND_WITHIN} seeds")
--- a/tests/controlplane/test_platform_list.py
+++ b/tests/controlplane/test_platform_list.py
@@ -9,11 +9,11 @@
 import uvloop
 from virtual_loop import play
 
-from shedgrade import log
-from shedgrade.boot import CloudApi
-from shedgrade.controlplane.platform import InstanceList, Poller
-from shedgrade.knowledge import NEVER, ListMoved, decode, encode
-from shedgrade.wire.discovery import DiscoveryConnection
+from shedgrade.control_messages import NEVER, ListMoved, decode, encode
+from shedgrade.controlplane.platform_poller import InstanceList, Poller
+from shedgrade.http.discovery import DiscoveryConnection
+from shedgrade.process_settings import CloudApi
+from shedgrade.runtime import log
 
 
 @pytest.fixture
--- a/tests/controlplane/test_poller_retarget.py
+++ b/tests/controlplane/test_poller_retarget.py
@@ -7,7 +7,7 @@
 from test_platform_list import API, Platform, entry
 from virtual_loop import play
 
-from shedgrade.controlplane.platform import InstanceList, Poller
+from shedgrade.controlplane.platform_poller import InstanceList, Poller
 
 OTHER = ("10.200.0.9", 8266)
 
--- a/tests/controlplane/test_recording.py
+++ b/tests/controlplane/test_recording.py
@@ -3,10 +3,10 @@
 from types import SimpleNamespace
 from zlib import crc32
 
-from shedgrade.controlplane.delivery import WatchHub
-from shedgrade.controlplane.recording import NOBODY, Recording
-from shedgrade.knowledge import Ask, EdgeState, decode
-from shedgrade.record import AskRecord, RecordMoved, RecordRead
+from shedgrade.control_messages import Ask, EdgeState, decode
+from shedgrade.controlplane.prefix_index_exchange import NOBODY, Recording
+from shedgrade.controlplane.watch_hub import WatchHub
+from shedgrade.prefix_cache_index import AskRecord, RecordMoved, RecordRead
 
 EDGE = EdgeState("edge-1", "10.1.0.12:8263", "north-a", "north", 1, "ready")
 
--- a/tests/controlplane/test_standstill.py
+++ b/tests/controlplane/test_standstill.py
@@ -5,7 +5,7 @@
 from controlplane.virtual_loop import play
 
 from shedgrade.controlplane.standstill import SETTLING, STANDSTILL, Standstill
-from shedgrade.httpd import Request
+from shedgrade.http.server import Request
 
 STOPPED = 20.0  # s
 
--- a/tests/controlplane/test_terms_met.py
+++ b/tests/controlplane/test_terms_met.py
@@ -4,8 +4,8 @@
 
 from test_duties import POLL, Play
 
-from shedgrade.controlplane import duties as module
-from shedgrade.controlplane.duties import Acknowledgement, Duties, Heartbeat, Send
+from shedgrade.controlplane import singleton_roles as module
+from shedgrade.controlplane.singleton_roles import Acknowledgement, Duties, Heartbeat, Send
 
 
 def test_the_holder_is_told_and_rises_above_it_without_a_gap():
--- a/tests/ctl/control_stand_in.py
+++ b/tests/ctl/control_stand_in.py
@@ -12,7 +12,7 @@
 from shedgrade.ctl.__main__ import main
 from shedgrade.ctl.caller import Caller
 from shedgrade.findings import Finding
-from shedgrade.httpd import HttpServer, Reply, failure
+from shedgrade.http.server import HttpServer, Reply, failure
 
 STATUS = {
     "node": "core-a",
--- a/tests/ctl/test_calls_on_control.py
+++ b/tests/ctl/test_calls_on_control.py
@@ -14,7 +14,7 @@
 from shedgrade.ctl.caller import LONGEST_PAUSE, SilenceError, make_caller
 from shedgrade.ctl.output import RefusedError
 from shedgrade.findings import Finding
-from shedgrade.httpd import Reply, failure
+from shedgrade.http.server import Reply, failure
 
 ROOT = Path(__file__).resolve().parents[2]
 
--- a/tests/ctl/test_deploy_lists.py
+++ b/tests/ctl/test_deploy_lists.py
@@ -6,7 +6,10 @@
 from pathlib import Path
 
 ROOT = Path(__file__).resolve().parents[2]
-OFF_DUTY = ("shedgrade/cli/lab.py", "shedgrade/cli/quota.py")  # commands that no sidecar in service runs
+OFF_DUTY = (
+    "shedgrade/cli/lab.py",
+    "shedgrade/cli/quota.py",
+)  # commands that no sidecar in service runs
 
 
 def listed() -> set[Path]:
--- a/tests/ctl/test_on_call_lines.py
+++ b/tests/ctl/test_on_call_lines.py
@@ -7,9 +7,23 @@
 import pytest
 
 ROOT = Path(__file__).resolve().parents[2]
-PACKAGES = ("controlplane", "dataplane", "link", "membership", "replication", "storage", "serving", "boot")
+PACKAGES = (
+    "controlplane",
+    "dataplane",
+    "peer_transport",
+    "membership",
+    "replication",
+    "storage",
+    "model_routing",
+    "process_settings",
+)
 FILES = [file for name in PACKAGES for file in sorted((ROOT / "shedgrade" / name).glob("*.py"))]
-FILES += [ROOT / "shedgrade/httpd.py", ROOT / "shedgrade/faults.py"]
+FILES += [ROOT / "shedgrade/http/server.py", ROOT / "shedgrade/runtime/loop_errors.py"]
+
+
+def test_the_files_are_there():
+    assert all((ROOT / "shedgrade" / name).is_dir() for name in PACKAGES)
+    assert all(file.exists() for file in FILES)
 
 
 def lines() -> list[tuple[str, str]]:
--- a/tests/ctl/test_status_call.py
+++ b/tests/ctl/test_status_call.py
@@ -3,13 +3,13 @@
 import json
 from random import Random
 
-from shedgrade.controlplane.delivery import WatchHub
-from shedgrade.controlplane.duties import Duties
-from shedgrade.controlplane.operators import Operators
-from shedgrade.controlplane.platform import InstanceList
+from shedgrade.control_messages import READY, Ask, EdgeState
+from shedgrade.controlplane.operator_api import Operators
+from shedgrade.controlplane.platform_poller import InstanceList
+from shedgrade.controlplane.singleton_roles import Duties
 from shedgrade.controlplane.status import status
-from shedgrade.httpd import Request
-from shedgrade.knowledge import READY, Ask, EdgeState
+from shedgrade.controlplane.watch_hub import WatchHub
+from shedgrade.http.server import Request
 from shedgrade.replication import Member
 
 ZONES = {"north-a": "north", "north-b": "north", "south-a": "south"}
--- a/tests/dataplane/ingress_rig.py
+++ b/tests/dataplane/ingress_rig.py
@@ -5,16 +5,16 @@
 from random import Random
 from types import SimpleNamespace
 
-from shedgrade.clock import Clock
+from shedgrade.buffers.budget import Budget
 from shedgrade.configuration import Configuration, Limits, Route, Service, Split
+from shedgrade.control_messages import Instance, ListMoved
 from shedgrade.dataplane.front import IngressFront
 from shedgrade.dataplane.ingress import IngressConnection
 from shedgrade.dataplane.routes import Routes
 from shedgrade.dataplane.service import ServicePool
 from shedgrade.dataplane.state import State
-from shedgrade.knowledge import Instance, ListMoved
-from shedgrade.memory.budget import Budget
-from shedgrade.wire.listener import Listener
+from shedgrade.http.listener import Listener
+from shedgrade.runtime.clock import Clock
 
 BOUNDS = {
     "retryBudgetRatio": 0.2,
--- a/tests/dataplane/stepped_rig.py
+++ b/tests/dataplane/stepped_rig.py
@@ -8,15 +8,15 @@
 from dataclasses import dataclass
 from types import SimpleNamespace
 
+from shedgrade.buffers.budget import Budget
+from shedgrade.control_messages import Instance
 from shedgrade.dataplane.engine import EngineConnection
 from shedgrade.dataplane.exchange import Exchange
 from shedgrade.dataplane.ingress import IngressConnection
 from shedgrade.dataplane.service import ServicePool
-from shedgrade.knowledge import Instance
-from shedgrade.memory.budget import Budget
-from shedgrade.memory.in_hand import Request
-from shedgrade.serving.repeats import Repeats
-from shedgrade.serving.request import Wants
+from shedgrade.in_flight import Request
+from shedgrade.model_routing.request import Wants
+from shedgrade.model_routing.retry_budget import Repeats
 
 WAIT = 1000  # ms that each client waits
 UPSTREAMS = 2
--- a/tests/dataplane/test_answers_in_any_order.py
+++ b/tests/dataplane/test_answers_in_any_order.py
@@ -14,7 +14,7 @@
 from shedgrade.dataplane import engine
 from shedgrade.dataplane.attribution import attribute
 from shedgrade.dataplane.engine import EngineConnection
-from shedgrade.serving.request import IDEMPOTENT, ONCE
+from shedgrade.model_routing.request import IDEMPOTENT, ONCE
 
 ASK = step("ask", st.sampled_from([IDEMPOTENT, ONCE, ONCE]), st.booleans(), st.booleans())
 SERVE = step("serve", st.sampled_from([IDEMPOTENT, ONCE]), STATUSES)
--- a/tests/dataplane/test_asking.py
+++ b/tests/dataplane/test_asking.py
@@ -8,10 +8,7 @@
 import orjson
 import pytest
 
-from shedgrade.controlplane.delivery import WatchHub
-from shedgrade.controlplane.platform import InstanceList
-from shedgrade.dataplane.asking import Watcher
-from shedgrade.knowledge import (
+from shedgrade.control_messages import (
     LEAVING,
     NEVER,
     READY,
@@ -23,6 +20,9 @@
     decode,
     encode,
 )
+from shedgrade.controlplane.platform_poller import InstanceList
+from shedgrade.controlplane.watch_hub import WatchHub
+from shedgrade.dataplane.control_client import Watcher
 
 SEEDS = ("10.1.0.14:7300", "10.2.0.41:7300", "10.3.0.12:7300")
 EDGE = EdgeState("edge-1", "10.1.0.12:8263", "north-a", "north", 5)
--- a/tests/dataplane/test_draining.py
+++ b/tests/dataplane/test_draining.py
@@ -4,6 +4,7 @@
 
 import pytest
 
+from shedgrade.control_messages import LEAVING, NOBODY, READY
 from shedgrade.dataplane.draining import (
     ENDS,
     ENDS_IN_HAND,
@@ -13,7 +14,6 @@
     WORD_HOLDS,
     Drain,
 )
-from shedgrade.knowledge import LEAVING, NOBODY, READY
 
 GRACE = 8.0
 SIGTERM = 100.0
--- a/tests/dataplane/test_exchange.py
+++ b/tests/dataplane/test_exchange.py
@@ -5,7 +5,7 @@
 import pytest
 
 from shedgrade.dataplane.exchange import TICKS, Exchange
-from shedgrade.memory.in_hand import Request
+from shedgrade.in_flight import Request
 
 NOW = 1_000_000  # tenths of a ms
 
--- a/tests/dataplane/test_in_hand_meanwhile.py
+++ b/tests/dataplane/test_in_hand_meanwhile.py
@@ -6,8 +6,8 @@
 from ingress_rig import Client, Upstream, configuration, request, route, sidecar, whole
 from test_resettled import changed
 
+from shedgrade.control_messages import ControlChange, ListMoved
 from shedgrade.dataplane.routes import Routes
-from shedgrade.knowledge import ControlChange, ListMoved
 
 
 def drop_its_route(plane):
--- a/tests/dataplane/test_ingress.py
+++ b/tests/dataplane/test_ingress.py
@@ -21,9 +21,9 @@
 )
 
 from shedgrade.configuration import Limits, Service
+from shedgrade.control_messages import ControlChange, Instance, ListMoved
 from shedgrade.dataplane.front import JUST_UP
 from shedgrade.dataplane.service_times import ENOUGH
-from shedgrade.knowledge import ControlChange, Instance, ListMoved
 
 
 def run(coroutine):
--- a/tests/dataplane/test_plane_gossip.py
+++ b/tests/dataplane/test_plane_gossip.py
@@ -5,11 +5,11 @@
 
 from ingress_rig import SETTINGS
 
-from shedgrade.dataplane.asking import MOST, Watcher
+from shedgrade.control_messages import Counts, EdgeState, Told
+from shedgrade.dataplane.control_client import MOST, Watcher
 from shedgrade.dataplane.fleet import LATELY
 from shedgrade.dataplane.plane import SILENT, DataPlane
 from shedgrade.dataplane.state import State
-from shedgrade.knowledge import Counts, EdgeState, Told
 from shedgrade.membership.messages import Node
 
 EDGE = EdgeState("edge-1", "10.1.0.12:8263", "z1", "east", 5)
--- a/tests/dataplane/test_return_tried_first.py
+++ b/tests/dataplane/test_return_tried_first.py
@@ -5,10 +5,10 @@
 
 from addresses import free_address, host_port
 
+from shedgrade.buffers.budget import Budget
+from shedgrade.control_messages import Instance
 from shedgrade.dataplane.service import PROBE_AHEAD, ServicePool
-from shedgrade.knowledge import Instance
-from shedgrade.memory.budget import Budget
-from shedgrade.serving.repeats import Repeats
+from shedgrade.model_routing.retry_budget import Repeats
 
 SECOND = 10_000
 
--- a/tests/engines/test_engine_core.py
+++ b/tests/engines/test_engine_core.py
@@ -5,7 +5,17 @@
 from hypothesis import given, settings
 from hypothesis import strategies as st
 
-from shedgrade.engines import Done, Engine, EngineSettings, Event, Fell, Late, Rejected, Started, Work
+from shedgrade.engines import (
+    Done,
+    Engine,
+    EngineSettings,
+    Event,
+    Fell,
+    Late,
+    Rejected,
+    Started,
+    Work,
+)
 
 SMALL = EngineSettings(
     slots=2,
--- a/tests/helpers.py
+++ b/tests/helpers.py
@@ -9,9 +9,9 @@
 from addresses import free_address
 from loguru import logger
 
-from shedgrade import decide
-from shedgrade.lifecycle.config import Config
-from shedgrade.lifecycle.sidecar import Sidecar
+from shedgrade import load_balancing
+from shedgrade.sidecar.lifecycle.config import Config
+from shedgrade.sidecar.lifecycle.sidecar import Sidecar
 
 
 def method(idempotency="repeatable", group="all", payoff=1.0, soft=500.0, hard=1000.0, window=300.0):
@@ -62,17 +62,17 @@
     }
 
 
-def row(up, zone=0, state=decide.READY, started=0, cell=0, size=1.0, kind=0):
+def row(up, zone=0, state=load_balancing.READY, started=0, cell=0, size=1.0, kind=0):
     return up, zone, state, started, cell, up, size, kind
 
 
 def balancer(conf, upstreams, seed=1):
     """`upstreams`: pairs of index and zone, all ready and warm."""
-    b = decide.Balancer(conf, seed, 0)
+    b = load_balancing.Balancer(conf, seed, 0)
     b.list_changed(0, [row(up, zone) for up, zone in upstreams], True, True)
     b.sums = [100.0, 150.0, 1000.0, 250.0, 1500.0]  # 1 ms whatever is in flight
     b.fit()
-    b.ends.over, b.ends.under = 100.0, 4 * decide.SECOND  # 20 a second
+    b.ends.over, b.ends.under = 100.0, 4 * load_balancing.SECOND  # 20 a second
     return b
 
 
@@ -279,15 +279,15 @@
 @contextmanager
 def outcomes():
     """Every outcome that the decisions are told, in order."""
-    ends, ended = [], decide.Rpc.ended
-    decide.Rpc.ended = lambda rpc, now, tx, outcome, *more: (
+    ends, ended = [], load_balancing.Rpc.ended
+    load_balancing.Rpc.ended = lambda rpc, now, tx, outcome, *more: (
         ends.append(outcome),
         ended(rpc, now, tx, outcome, *more),
     )[1]
     try:
         yield ends
     finally:
-        decide.Rpc.ended = ended
+        load_balancing.Rpc.ended = ended
 
 
 def on_sockets(scenario):
--- a/tests/lab/test_load.py
+++ b/tests/lab/test_load.py
@@ -7,7 +7,14 @@
 
 from shedgrade.lab import callers, trace
 from shedgrade.lab.arrivals import moments, rate, schedule, stalled
-from shedgrade.lab.scenario import Callers, Load, Method, ScenarioError, Shape, convert
+from shedgrade.lab.scenario import (
+    Callers,
+    Load,
+    Method,
+    ScenarioError,
+    Shape,
+    convert,
+)
 from shedgrade.lab.statistics import growth, interval, knee
 
 SMALL = {
--- a/tests/lab/test_run.py
+++ b/tests/lab/test_run.py
@@ -13,7 +13,14 @@
 from typer.testing import CliRunner
 
 from shedgrade.cli import app
-from shedgrade.lab import experiments, processes, report, results, runner, trace
+from shedgrade.lab import (
+    experiments,
+    processes,
+    report,
+    results,
+    runner,
+    trace,
+)
 from shedgrade.lab.arrivals import schedule, stalled
 from shedgrade.lab.processes import LabError
 from shedgrade.lab.runner import Run
--- a/tests/labsystem/test_system_clients.py
+++ b/tests/lab_system/test_system_clients.py
@@ -9,13 +9,13 @@
 import pytest
 
 from shedgrade.engines import content
-from shedgrade.httpd import HttpServer, Reply
+from shedgrade.http.server import HttpServer, Reply
 from shedgrade.lab.system import history
 from shedgrade.lab.system.clients import Clients
 from shedgrade.lab.system.demo import KINDS, configuration
 from shedgrade.lab.system.history import History
 from shedgrade.lab.system.operators import Operator
-from shedgrade.log import logger
+from shedgrade.runtime.log import logger
 
 KIND = {kind.name: replace(kind, retries=2) for kind in KINDS}
 
--- a/tests/labsystem/test_system_launcher.py
+++ b/tests/lab_system/test_system_launcher.py
@@ -7,7 +7,6 @@
 import pytest
 import yaml
 
-from shedgrade.boot import reading
 from shedgrade.engines import EngineSettings
 from shedgrade.lab.system.demo import KINDS, demo_site
 from shedgrade.lab.system.fleet import Fleet
@@ -17,6 +16,7 @@
 from shedgrade.lab.system.platform import InstanceDirectory
 from shedgrade.lab.system.site import CORE, EDGE
 from shedgrade.lab.system.world import World
+from shedgrade.process_settings import reading
 
 
 def test_each_machine_has_its_own_address_and_settings_that_a_process_takes(tmp_path):
