--- a/benchmarks/asking.py
+++ b/benchmarks/asking.py
@@ -73,20 +73,20 @@
         address = f"127.0.6.{number % 250}:{7300 + number}"
         state = EdgeState(f"edge-{number}", address, "zone-a", "region-a", number, READY)
         self.links = Links(loop, address, lambda sender, frame: None, address.partition(":")[0])
-        self.asker = Watcher(
+        self.watcher = Watcher(
             state, [f"{core}:7300" for core in streams.CORES], Random(number), loop.time(), beat=0.5
         )
 
     def pump(self) -> None:
-        effects, self.asker.effects[:] = list(self.asker.effects), []
+        effects, self.watcher.effects[:] = list(self.watcher.effects), []
         for effect in effects:
             task = self.loop.create_task(self.call(effect))
             self.tasks.add(task)
             task.add_done_callback(self.tasks.discard)
-        for update in self.asker.updates:
+        for update in self.watcher.updates:
             if isinstance(update, ListMoved):
                 self.count["whole lists" if update.whole else "deltas of the list"] += 1
-        self.asker.updates.clear()
+        self.watcher.updates.clear()
 
     async def call(self, effect) -> None:
         try:
@@ -95,20 +95,20 @@
             )
         except LinkError:
             self.count["asks without an answer"] += 1
-            self.asker.failed(self.loop.time(), effect.address, effect.number)
+            self.watcher.failed(self.loop.time(), effect.address, effect.number)
         else:
             self.count["asks answered"] += 1
             self.count["bytes told"] += len(body)
-            self.asker.answered(
+            self.watcher.answered(
                 self.loop.time(), effect.address, control_messages.decode(body[1:]), effect.number
             )
         self.pump()
 
     async def run(self) -> None:
         while True:
-            self.asker.tick(self.loop.time())
+            self.watcher.tick(self.loop.time())
             self.pump()
-            await asyncio.sleep(max(0.01, min(1.0, self.asker.wake_at() - self.loop.time())))
+            await asyncio.sleep(max(0.01, min(1.0, self.watcher.wake_at() - self.loop.time())))
 
 
 async def play(options, processes: list) -> None:
--- a/shedgrade/controlplane/platform_poller.py
+++ b/shedgrade/controlplane/platform_poller.py
@@ -23,7 +23,7 @@
     ListMoved,
     Model,
 )
-from shedgrade.http.discovery import DiscoveryConnection, ListError
+from shedgrade.http.endpoint_discovery import DiscoveryConnection, ListError
 from shedgrade.runtime.log import logger
 
 HISTORY = 256  # changes from which deltas are made; who holds less is told the whole list
--- a/shedgrade/dataplane/control_client.py
+++ b/shedgrade/dataplane/control_client.py
@@ -41,7 +41,7 @@
 ALONE = 3.0  # s without a word after which an edge may poll the platform itself
 
 
-class AskTo(msgspec.Struct, frozen=True):
+class SendWatchRequest(msgspec.Struct, frozen=True):
     """Effect: send `ask` to the link address; `failed` if no answer comes within `timeout` s. `number` may be
     handed back with what became of it."""
 
@@ -104,15 +104,15 @@
 
 
 class Watcher:
-    """Decides whom to ask. The caller carries out and empties `effects` (AskTo) and `updates`: ControlChange
-    with plain bytes, ListMoved, Counts, in the order in which they are to be applied."""
+    """Decides whom to ask. The caller carries out and empties `effects` (SendWatchRequest) and `updates`:
+    ControlChange with plain bytes, ListMoved, Counts, in the order in which they are to be applied."""
 
     def __init__(
         self, edge: EdgeState, seeds: Iterable[str], random: Random, now: float, beat: float = 1.0
     ) -> None:
         """`seeds`: link addresses of core members. `beat`: s that an ask waits where nothing is new."""
         self.edge, self.random, self.beat, self.started = edge, random, beat, now
-        self.effects: list[AskTo] = []
+        self.effects: list[SendWatchRequest] = []
         self.updates: list[ControlChange | ListMoved | Counts] = []
         self.control, self.version = (0, 0), -1
         self.upstreams = self.floor = (0, 0)  # of the list held, and below which none is taken
@@ -218,7 +218,7 @@
         return min(due if beside is None else [*due, beside[1]], default=inf)
 
     def answered(self, now: float, address: str, told: Told, number: int = 0) -> None:
-        """An answer came; `number` of its AskTo, if the caller has it."""
+        """An answer came; `number` of its SendWatchRequest, if the caller has it."""
         member = self.members.get(address)
         call = None
         if member is not None:
@@ -317,7 +317,7 @@
         member.call, member.tried_at = call, now
         member.calls.append(call)
         ask = Ask(self.edge, self.control, self.upstreams, wait, self.version, self.list_age(now))
-        self.effects.append(AskTo(member.address, ask, wait + LATE, call.number))
+        self.effects.append(SendWatchRequest(member.address, ask, wait + LATE, call.number))
 
     def ask_all(self, now: float) -> None:
         """What is withheld is handed on when every member has been asked, and has answered or failed."""
--- a/shedgrade/dataplane/engine.py
+++ b/shedgrade/dataplane/engine_connection.py
@@ -7,9 +7,9 @@
 import socket
 
 from shedgrade.dataplane.attribution import Attribution, attribute
-from shedgrade.dataplane.protocol import MISDIRECTED
+from shedgrade.dataplane.engine_protocol import MISDIRECTED
 from shedgrade.http.connection import LONGEST_HEAD, MessageError, passed_on
-from shedgrade.http.upstream import UpstreamConnection
+from shedgrade.http.upstream_connection import UpstreamConnection
 from shedgrade.in_flight import Answer, Transmission
 
 USER_TIMEOUT_MS = 1500  # without an acknowledgement of what was sent, then the kernel ends the connection
@@ -40,10 +40,10 @@
     it can belong to no other. Elsewhere it ends the request as one that may have run, and the connection.
     """
 
-    def __init__(self, caller, upstream: int, address: tuple[str, int]) -> None:
+    def __init__(self, connections, upstream: int, address: tuple[str, int]) -> None:
         self.surplus = False  # what comes now answers another request, whose time is over
         self.surplus_came = False  # at least one such answer has come on this connection
-        super().__init__(caller, upstream, address)
+        super().__init__(connections, upstream, address)
 
     def connection_made(self, transport) -> None:
         super().connection_made(transport)
@@ -53,10 +53,10 @@
         # What an earlier upstream answered tells nothing of what this one does with the request.
         transmission.carried.failure = None
         super().begin(transmission, now)
-        self.caller.request_sent(self.upstream, now)
+        self.connections.request_sent(self.upstream, now)
 
     def read(self) -> None:
-        self.caller.last_heard_at[self.upstream] = self.caller.clock.now()
+        self.connections.last_heard_at[self.upstream] = self.connections.clock.now()
         super().read()
 
     def on_headers_complete(self) -> None:
@@ -104,7 +104,7 @@
         """Takes from a `Keep-Alive` header how long the upstream keeps an idle connection, in seconds."""
         found = keep_alive and STATED_TIMEOUT.search(keep_alive)
         if found:
-            self.caller.idle_timeout_stated(int(found[1]))
+            self.connections.idle_timeout_stated(int(found[1]))
 
     def on_body(self, body: bytes) -> None:
         if self.surplus:
@@ -125,5 +125,5 @@
         if transmission is not None and self.status // 100 != 2:
             transmission.carried.failure = Answer(passed_on(self.headers), b"".join(self.body), self.status)
             if self.status == MISDIRECTED:
-                self.caller.misdirected(self.upstream)
+                self.connections.misdirected(self.upstream)
         super().finish()
--- a/shedgrade/dataplane/caller.py
+++ b/shedgrade/dataplane/engine_connection_pool.py
@@ -8,8 +8,8 @@
 from enum import Enum
 
 from shedgrade import load_balancing
-from shedgrade.dataplane.engine import EngineConnection
-from shedgrade.http.caller import OURS, Caller
+from shedgrade.dataplane.engine_connection import EngineConnection
+from shedgrade.http.connection_pool import OURS, ConnectionPool
 
 SECOND = 10_000  # in tenths of a ms
 DEFAULT_IDLE_LIMIT = 4 * SECOND  # of an idle connection whose upstream states no limit
@@ -25,7 +25,7 @@
     DARK = "dark"  # nothing answered
 
 
-class EngineCaller(Caller):
+class EngineConnectionPool(ConnectionPool):
     """`last_heard_at`: by upstream, when anything last came from it."""
 
     connection = EngineConnection
--- a/shedgrade/dataplane/protocol.py
+++ b/shedgrade/dataplane/engine_protocol.py
@@ -6,14 +6,14 @@
 REFUSALS = frozenset((400, MISDIRECTED, 429, 503))  # statuses with which `Not-Executed` may stand
 
 
-class SystemProtocol:
+class EngineProtocol:
     """`Time-Remaining` and `Target-Instance` out, `Not-Executed` back."""
 
     def __init__(self, ids: list[str]) -> None:
         """`ids`: of the upstreams, by index; a list that grows."""
         self.ids = ids
 
-    def lines(self, transmission: Transmission, wait: int) -> list[bytes]:
+    def header_lines(self, transmission: Transmission, wait: int) -> list[bytes]:
         lines = [
             b"Time-Remaining: %d\r\n" % wait,
             b"Target-Instance: %s\r\n" % self.ids[transmission.upstream].encode(),
@@ -23,7 +23,7 @@
             lines.append(b"Priority: %d\r\n" % priority)
         return lines
 
-    def turned_away(self, status: int, headers: list[tuple[bytes, bytes]]) -> bool:
+    def rejected_unprocessed(self, status: int, headers: list[tuple[bytes, bytes]]) -> bool:
         """The upstream says that it did not run the request, and never will. A failure of another status
         contradicts `Not-Executed`, and of what contradicts itself nothing is believed."""
         return (
--- a/shedgrade/dataplane/front.py
+++ b/shedgrade/dataplane/front.py
@@ -52,7 +52,7 @@
     """All services of a sidecar, where a front asks one pool for room."""
 
     def __init__(self, plane) -> None:
-        self.plane, self.turn, self.caller = plane, None, self
+        self.plane, self.turn, self.connections = plane, None, self
 
     def give_up_idle(self) -> bool:
-        return any(service.caller.give_up_idle() for service in list(self.plane.services.values()))
+        return any(service.connections.give_up_idle() for service in list(self.plane.services.values()))
--- a/shedgrade/dataplane/ingress.py
+++ b/shedgrade/dataplane/ingress.py
@@ -5,9 +5,9 @@
 from shedgrade.dataplane.exchange import TICKS, Exchange
 from shedgrade.dataplane.routes import ServedRoute, shared_parts, token_usage
 from shedgrade.dataplane.streams import ResumableStream
-from shedgrade.http.application import ApplicationConnection
 from shedgrade.http.connection import declared, passed_on
-from shedgrade.http.http import relative
+from shedgrade.http.inbound_connection import InboundConnection
+from shedgrade.http.message_grammar import relative
 from shedgrade.in_flight import Answer, Request
 from shedgrade.model_routing.request import IDEMPOTENT, Wants
 
@@ -29,7 +29,7 @@
         carried.service.turn.came(carried, here, whole)
 
 
-class IngressConnection(ApplicationConnection):
+class IngressConnection(InboundConnection):
     """One connection of a client."""
 
     small = 2 * SMALL
--- a/shedgrade/dataplane/plane.py
+++ b/shedgrade/dataplane/plane.py
@@ -18,7 +18,7 @@
     EdgeState,
     Told,
 )
-from shedgrade.dataplane.control_client import OLD_WORD, AskTo, Watcher
+from shedgrade.dataplane.control_client import OLD_WORD, SendWatchRequest, Watcher
 from shedgrade.dataplane.draining import Drain
 from shedgrade.dataplane.exchange import TICKS
 from shedgrade.dataplane.front import IngressFront
@@ -77,14 +77,14 @@
         self.links = Links(loop, settings.link_address, self.heard, settings.ip_address)
         self.reporter = LoadReporter(settings.node_name, settings.region)
         self.others = OthersKnown()
-        self.asker = Watcher(
+        self.watcher = Watcher(
             self.edge_state(),
             settings.seed_links,
             random,
             loop.time(),
             beat=min(ASK_BEAT, settings.heartbeat_ms / 1000),
         )
-        me = self.asker.edge
+        me = self.watcher.edge
         self.gossip = Gossip(
             loop,
             Node(me.name, settings.gossip_address, "edge", me.zone, me.life, front=me.front, state=me.state),
@@ -246,11 +246,11 @@
 
     def recount(self, now: float) -> None:
         """What gossip knows: edges, by which budgets are dealt, and core members where all others fail."""
-        told = self.asker.counts
+        told = self.watcher.counts
         self.state.counted(max(self.gossip.view.count("edge"), told.edges if told is not None else 0))
-        if self.asker.lost(now) > SILENT:
+        if self.watcher.lost(now) > SILENT:
             nodes = self.gossip.view.nodes()
-            self.asker.met(node.link for node in nodes if node.kind == "core" and node.link)
+            self.watcher.met(node.link for node in nodes if node.kind == "core" and node.link)
 
     # --- loads
 
@@ -262,8 +262,8 @@
         now = self.loop.time()
         if self.others.forget_if_stale(now):
             self.state.others_told({})
-        if self.asker.main is not None:
-            to = self.asker.main.address
+        if self.watcher.main is not None:
+            to = self.watcher.main.address
             report = self.reporter.report(now, to, self.state.own_loads(), len(self.others.loads))
             if report is not None:
                 self.links.send(to, KNOWLEDGE + control_messages.encode(report))
@@ -283,7 +283,7 @@
     def restate(self) -> None:
         """Says what this edge is now."""
         state = self.edge_state()
-        self.asker.changed(self.loop.time(), state)
+        self.watcher.changed(self.loop.time(), state)
         self.gossip.restate(LEAVING if state.stage else state.state)
         self.ask()
 
@@ -306,19 +306,19 @@
 
     def ask(self) -> None:
         """Carries out what the asker wants, takes what it was told, and sets the timer."""
-        effects, self.asker.effects[:] = list(self.asker.effects), []
+        effects, self.watcher.effects[:] = list(self.watcher.effects), []
         for effect in effects:
-            if isinstance(effect, AskTo):
+            if isinstance(effect, SendWatchRequest):
                 task = self.loop.create_task(self.call(effect))
                 self.tasks.add(task)
                 task.add_done_callback(self.tasks.discard)
-        updates, self.asker.updates[:] = list(self.asker.updates), []
+        updates, self.watcher.updates[:] = list(self.watcher.updates), []
         if updates:
             try:
                 self.state.apply(updates)
             except (ValueError, TypeError, AttributeError) as wrong:
                 logger.error("what the control plane told is not understood: {!r}", wrong)
-        at = self.asker.wake_at()
+        at = self.watcher.wake_at()
         if self.timer is not None:
             self.timer.cancel()
         self.timer = (
@@ -329,10 +329,10 @@
 
     def alarm(self) -> None:
         self.timer = None
-        self.asker.tick(self.loop.time())
+        self.watcher.tick(self.loop.time())
         self.ask()
 
-    async def call(self, effect: AskTo) -> None:
+    async def call(self, effect: SendWatchRequest) -> None:
         reads, beside = (), effect.ask.wait <= 0
         try:
             ask = effect.ask
@@ -349,8 +349,8 @@
                 self.record.told(self.loop.time(), told.fresh_s < OLD_WORD, told.record)
             if self.drain is not None:
                 self.drain.told(self.loop.time(), told.cover if ask.edge.stage else NOBODY)
-            self.asker.answered(self.loop.time(), effect.address, told, effect.number)
+            self.watcher.answered(self.loop.time(), effect.address, told, effect.number)
         else:
             self.record.lost(reads)
-            self.asker.failed(self.loop.time(), effect.address, effect.number)
+            self.watcher.failed(self.loop.time(), effect.address, effect.number)
         self.ask()
--- a/shedgrade/dataplane/service.py
+++ b/shedgrade/dataplane/service.py
@@ -1,11 +1,11 @@
-"""One service: its upstreams by region, their decisions, the turn and the caller."""
+"""One service: its upstreams by region, their decisions, the turn and the connections."""
 
 from collections.abc import Iterable, Mapping
 
 from shedgrade import load_balancing
 from shedgrade.control_messages import Instance
-from shedgrade.dataplane.caller import EngineCaller, Reach
-from shedgrade.dataplane.protocol import SystemProtocol
+from shedgrade.dataplane.engine_connection_pool import EngineConnectionPool, Reach
+from shedgrade.dataplane.engine_protocol import EngineProtocol
 from shedgrade.dataplane.service_times import ServiceTimes
 from shedgrade.load_balancing.upstream_indices import Addresses, Indices
 from shedgrade.model_routing.balancer import ServingBalancer
@@ -60,10 +60,12 @@
         self.states: dict[int, int] = {}
         self.probed_at: dict[int, int] = {}  # by upstream: when a connection to it was last tried
         self.tasks: set = set()
-        protocol = SystemProtocol(self.indices.ids)
-        self.caller = EngineCaller(loop, clock, self.addresses.known, budget, protocol, self.misdirected)
-        self.turn = Turn(loop, clock, self.balancer, self.caller, self.indices.ids, budget, self.forget)
-        self.caller.turn = self.turn
+        protocol = EngineProtocol(self.indices.ids)
+        self.connections = EngineConnectionPool(
+            loop, clock, self.addresses.known, budget, protocol, self.misdirected
+        )
+        self.turn = Turn(loop, clock, self.balancer, self.connections, self.indices.ids, budget, self.forget)
+        self.connections.turn = self.turn
 
     def retuned(self, cold_s: float, cold_rate: float, excess: float, slack: float) -> None:
         """As the operator's configuration says of the service, and the deployment's bounds: a cold upstream
@@ -115,7 +117,7 @@
         self.states = {row[0]: row[2] for row in rows}
         self.turn.listed(rows, True, False)
         for index in leaving:
-            self.caller.withdraw(index)
+            self.connections.withdraw(index)
 
     def ready(self) -> int:
         return sum(state == load_balancing.READY for state in self.states.values())
@@ -128,7 +130,7 @@
         up = self.balancer.ups.get(upstream)
         if up is not None:
             self.balancer.set_aside(now, up, True)
-            self.caller.forget(upstream)
+            self.connections.forget(upstream)
 
     def probe_silent(self) -> None:
         """Guards against a machine that went dark: kept connections to it stay open and say nothing. One that
@@ -136,7 +138,7 @@
         One set aside is tried so before it returns, or a client's request would pay for finding it dark."""
         now = self.clock.now()
         for index, up in list(self.balancer.ups.items()):
-            silent = up.flight and now - self.caller.silent_since(index) > SILENCE_LIMIT
+            silent = up.flight and now - self.connections.silent_since(index) > SILENCE_LIMIT
             returns = up.listed and up.aside_until and up.aside_until - now <= PROBE_AHEAD
             if (silent or returns) and now - self.probed_at.get(index, -PROBE_INTERVAL) >= PROBE_INTERVAL:
                 self.probed_at[index] = now
@@ -145,7 +147,7 @@
                 task.add_done_callback(self.tasks.discard)
 
     async def probe(self, upstream: int) -> None:
-        reach = await self.caller.probe(upstream)
+        reach = await self.connections.probe(upstream)
         if reach is not Reach.UP:
             logger.info("{} can't be reached: {}", self.indices.ids[upstream], reach.value)
             self.turn.gather(self.unreachable, upstream, reach)
@@ -158,10 +160,10 @@
         if up is not None:
             self.balancer.keep_aside(now, up)
         if reach is Reach.DARK:
-            self.caller.fail_connections(upstream)
+            self.connections.fail_connections(upstream)
 
     def forget(self, upstream: int) -> None:
         self.indices.release(upstream)
         self.addresses.known.pop(upstream, None)
         self.probed_at.pop(upstream, None)
-        self.caller.remove_upstream(upstream)
+        self.connections.remove_upstream(upstream)
--- a/shedgrade/dataplane/state.py
+++ b/shedgrade/dataplane/state.py
@@ -6,7 +6,7 @@
 
 from shedgrade.configuration import parse
 from shedgrade.control_messages import ControlChange, Counts, Instance, ListMoved, unpacked
-from shedgrade.dataplane.fleet import FleetSize
+from shedgrade.dataplane.fleet_size import FleetSize
 from shedgrade.dataplane.routes import Routes
 from shedgrade.dataplane.service import ServicePool
 from shedgrade.model_routing.retry_budget import Repeats
--- a/shedgrade/http/caller.py
+++ b/shedgrade/http/connection_pool.py
@@ -5,8 +5,8 @@
 
 from shedgrade import load_balancing
 from shedgrade.http.idle_connections import IdleConnections
-from shedgrade.http.protocol import IN_SERVICE
-from shedgrade.http.upstream import UpstreamConnection
+from shedgrade.http.upstream_connection import UpstreamConnection
+from shedgrade.http.upstream_protocol import DEADLINE_HEADER_PROTOCOL
 from shedgrade.in_flight import Transmission
 
 SETTLED = 60  # tenths of a ms: what an upstream sends behind an answer is here by then (5 plays: 1 to 4 ms)
@@ -17,10 +17,10 @@
 SHAKEN = (errno.ECONNRESET, errno.ECONNABORTED, errno.EPIPE, errno.ENOTCONN)
 
 
-class Caller:
+class ConnectionPool:
     """Carries out transmissions: finds or opens a connection, and stops what is no longer wanted."""
 
-    connection, protocol = UpstreamConnection, IN_SERVICE
+    connection, protocol = UpstreamConnection, DEADLINE_HEADER_PROTOCOL
 
     def __init__(
         self, loop, clock, addresses: dict[int, tuple[str, int]], dial_time: int, idle_limit: int, budget
--- a/shedgrade/http/application.py
+++ b/shedgrade/http/inbound_connection.py
@@ -20,7 +20,7 @@
     declared,
     passed_on,
 )
-from shedgrade.http.http import REASONS, relative
+from shedgrade.http.message_grammar import REASONS, relative
 from shedgrade.in_flight import Answer, Carried, Request
 from shedgrade.runtime.log import logger
 
@@ -36,7 +36,7 @@
 LONGEST_TIMEOUT = 3_600_000  # ms that a client may say it waits: an hour, to keep out nonsense
 
 
-class ApplicationConnection(Connection):
+class InboundConnection(Connection):
     """One connection of the application. One RPC at a time: what comes early waits in the ring."""
 
     # Bounds of what a client may send and how long it may take; another protocol sets its own.
--- a/shedgrade/http/listener.py
+++ b/shedgrade/http/listener.py
@@ -3,7 +3,7 @@
 import select
 import socket
 
-from shedgrade.http.application import ApplicationConnection
+from shedgrade.http.inbound_connection import InboundConnection
 from shedgrade.runtime.log import logger
 
 BACKLOG = 1024  # connections that the kernel holds while the loop is busy
@@ -20,7 +20,7 @@
         loop,
         front,
         address: tuple[str, int],
-        connection=ApplicationConnection,
+        connection=InboundConnection,
         shared: bool = False,
         given: socket.socket | None = None,
     ) -> None:
--- a/shedgrade/http/server.py
+++ b/shedgrade/http/server.py
@@ -15,9 +15,9 @@
 
 from shedgrade.findings import Finding
 from shedgrade.http.connection import LONGEST_HEAD, Connection
-from shedgrade.http.http import REASONS as KNOWN_REASONS
-from shedgrade.http.http import relative
 from shedgrade.http.listener import Listener
+from shedgrade.http.message_grammar import REASONS as KNOWN_REASONS
+from shedgrade.http.message_grammar import relative
 
 REASONS = {
     **KNOWN_REASONS,
--- a/shedgrade/http/upstream.py
+++ b/shedgrade/http/upstream_connection.py
@@ -1,11 +1,14 @@
 """One connection to an upstream: a transmission goes out, and its answer comes back."""
 
+import asyncio
 import select
-from typing import TYPE_CHECKING
+from collections.abc import Callable
+from typing import Protocol
 
 import httptools
 
 from shedgrade import load_balancing
+from shedgrade.buffers.budget import Budget
 from shedgrade.buffers.flow import PRESSED, SMALL, Flow, nothing
 from shedgrade.http.connection import (
     BLANKS,
@@ -16,18 +19,55 @@
     declared,
     passed_on,
 )
+from shedgrade.http.upstream_protocol import UpstreamProtocol
 from shedgrade.in_flight import Answer, Transmission
+from shedgrade.runtime.clock import Clock
 
-if TYPE_CHECKING:
-    from shedgrade.http.caller import Caller
+
+class TransmissionEvents(Protocol):
+    """Who is told what becomes of transmissions (`request_dispatch`).
+
+    Times are tenths of a ms on the clock."""
+
+    def ended(self, transmission: Transmission, outcome: int, answer: Answer | None) -> None:
+        """The transmission is over; `outcome` is one of `load_balancing`, `answer` the complete response."""
+
+    def flowing(self, transmission: Transmission, answer: Answer, answered_at: int) -> None:
+        """A response has begun that is passed on as it comes; its head was here at `answered_at`."""
+
+    def wanted(self, transmission: Transmission, now: int) -> bool:
+        """Whether a transmission whose connection has just come up is still to be sent."""
+
+    def opened(self, transmission: Transmission) -> None:
+        """The stream that the transmission asked for is open."""
+
+
+class ConnectionOwner(Protocol):
+    """What a connection uses of the pool that opened it (`connection_pool`)."""
+
+    loop: asyncio.AbstractEventLoop
+    clock: Clock
+    budget: Budget
+    protocol: UpstreamProtocol
+    turn: TransmissionEvents
+    heard: dict[int, int]
+    orphans: set["UpstreamConnection"]
+    counts_in: bytes
+    counted_by: Callable[[int, bytes], None] | None
+
+    def keep(self, link: "UpstreamConnection") -> None:
+        """Takes back a connection whose response is complete, for the next transmission."""
+
+    def closed(self, link: "UpstreamConnection") -> None:
+        """The connection is lost."""
 
 
 class UpstreamConnection(Connection):
     """One connection to an upstream; carries one transmission at a time."""
 
-    def __init__(self, caller: "Caller", upstream: int, address: tuple[str, int]) -> None:
-        super().__init__(caller.budget)
-        self.caller, self.upstream, self.address = caller, upstream, address
+    def __init__(self, connections: ConnectionOwner, upstream: int, address: tuple[str, int]) -> None:
+        super().__init__(connections.budget)
+        self.connections, self.upstream, self.address = connections, upstream, address
         self.parser = httptools.HttpResponseParser(self)
         self.transmission: Transmission | None = None
         self.whole = False  # the request's last byte has left this process
@@ -53,7 +93,7 @@
 
     def count(self, more: int) -> None:
         self.counted += more
-        self.caller.budget.bytes += more
+        self.connections.budget.bytes += more
 
     def begin(self, transmission: Transmission, now: int) -> None:
         self.transmission, transmission.link = transmission, self
@@ -64,7 +104,7 @@
         wait = transmission.carried.wait if transmission.carried.coming else (transmission.until - now) // 10
         lines = [b"%s %s HTTP/1.1\r\n" % (request.verb, request.target)]
         lines += [b"%s: %s\r\n" % pair for pair in request.headers]
-        lines += self.caller.protocol.lines(transmission, max(1, wait))
+        lines += self.connections.protocol.header_lines(transmission, max(1, wait))
         if request.flow is not None:
             lines.append(
                 b"Transfer-Encoding: chunked\r\n"
@@ -119,7 +159,7 @@
 
     def connection_lost(self, failure: Exception | None) -> None:
         self.lost, self.failed = True, failure is not None
-        self.caller.closed(self)
+        self.connections.closed(self)
         self.take_rest()
         # Only bytes that never left prove that it never ran; once the last may have left, a reset doesn't.
         self.end(load_balancing.DROPPED if self.may_have_run() else load_balancing.BROKEN)
@@ -150,14 +190,14 @@
     def moved(self) -> int:
         """When something last moved of a long answer, or waited for its client."""
         if self.reading_paused or (self.coming is not None and self.coming.full()):
-            self.heard_at = self.caller.clock.now()
+            self.heard_at = self.connections.clock.now()
         return self.heard_at
 
     def end(self, outcome: int, answer: Answer | None = None) -> None:
         transmission, self.transmission = self.transmission, None
         self.let_go(outcome == load_balancing.COMPLETED)
         if transmission is not None:
-            self.caller.turn.ended(transmission, outcome, answer)
+            self.connections.turn.ended(transmission, outcome, answer)
 
     def let_go(self, whole: bool) -> None:
         """What went through here has ended, or ends short."""
@@ -177,7 +217,7 @@
     # --- reading
 
     def read(self) -> None:
-        self.heard_at = self.caller.clock.now()
+        self.heard_at = self.connections.clock.now()
         self.feed(False)
         if self.ended_sending and not self.incoming and not self.complete:
             self.take_rest()
@@ -226,7 +266,7 @@
         if self.complete or self.coming is not None or not self.length or not self.status:
             return
         if max(self.length, self.said or 0) > SMALL or (
-            self.length > PRESSED and self.caller.budget.pressed()
+            self.length > PRESSED and self.connections.budget.pressed()
         ):
             self.pass_on()
 
@@ -248,19 +288,19 @@
     def pass_on(self) -> None:
         if self.status // 100 != 2 or self.transmission is None or self.sending is not None:
             raise MessageError("long, and for nobody")
-        budget, body, self.body = self.caller.budget, self.body, []
+        budget, body, self.body = self.connections.budget, self.body, []
         self.count(-self.counted)
         self.coming = Flow(budget, body)
         self.coming.let_go()
         self.coming.room = self.resume
         self.answer = Answer(passed_on(self.headers), b"", self.status, self.coming, self.said)
-        self.caller.turn.flowing(self.transmission, self.answer, self.answered_at)
+        self.connections.turn.flowing(self.transmission, self.answer, self.answered_at)
 
     def resume(self) -> None:
         """There is room again where a long answer goes. Not from within the taking, which may go on."""
         if not self.resuming and self.incoming:
             self.resuming = True
-            self.caller.loop.call_soon(self.go_on)
+            self.connections.loop.call_soon(self.go_on)
 
     def go_on(self) -> None:
         self.resuming = False
@@ -289,7 +329,7 @@
             self.headers = []
             return
         self.status, self.length, self.said = status, 0, declared(self.headers)
-        self.answered_at = self.caller.clock.now()
+        self.answered_at = self.connections.clock.now()
         self.framed = self.said is not None or any(
             name.lower() == b"transfer-encoding" for name, _ in self.headers
         )
@@ -330,18 +370,18 @@
                 ),
             )
         else:
-            away = self.caller.protocol.turned_away(self.status, self.headers)
+            away = self.connections.protocol.rejected_unprocessed(self.status, self.headers)
             outcome, answer = load_balancing.TURNED_AWAY if away else load_balancing.FAILED, None
-        self.caller.heard[self.upstream] = self.caller.clock.now()
-        if self.caller.counted_by is not None:
+        self.connections.heard[self.upstream] = self.connections.clock.now()
+        if self.connections.counted_by is not None:
             for name, value in self.headers:
-                if name.lower() == self.caller.counts_in:
-                    self.caller.counted_by(self.upstream, value)
+                if name.lower() == self.connections.counts_in:
+                    self.connections.counted_by(self.upstream, value)
         self.proven, self.orphan_until = True, 0
-        self.caller.orphans.discard(self)
+        self.connections.orphans.discard(self)
         self.count(-self.counted)
         if keep:
-            self.caller.keep(self)
+            self.connections.keep(self)
         else:
             self.cut()
         self.end(outcome, answer)
--- a/shedgrade/request_dispatch.py
+++ b/shedgrade/request_dispatch.py
@@ -29,12 +29,18 @@
         loop,
         clock,
         balancer: load_balancing.Balancer,
-        caller,
+        connections,
         names: list[str],
         budget,
         forget: Callable[[int], None],
     ) -> None:
-        self.loop, self.clock, self.balancer, self.caller, self.names = loop, clock, balancer, caller, names
+        self.loop, self.clock, self.balancer, self.connections, self.names = (
+            loop,
+            clock,
+            balancer,
+            connections,
+            names,
+        )
         self.forget = forget  # told of each upstream that the decisions have given up
         self.events: list[tuple] = []
         self.actions: list[tuple] = []
@@ -116,7 +122,9 @@
         self.run()
         for carried in list(self.in_hand.carried):
             for transmission in list(carried.out.values()):
-                outcome = load_balancing.STOPPED if self.caller.stop(transmission) else load_balancing.UNSENT
+                outcome = (
+                    load_balancing.STOPPED if self.connections.stop(transmission) else load_balancing.UNSENT
+                )
                 self.ended(transmission, outcome, None)
             self.gather(self.ask_again, carried)
         self.run()
@@ -166,7 +174,7 @@
         else:
             carried.client.errored()
         for transmission in out:
-            self.caller.stop(transmission)
+            self.connections.stop(transmission)
             self.events.append((self.end, (transmission, load_balancing.STOPPED, None, self.clock.now())))
         if carried.rpc is not None:
             carried.rpc.gone(self.clock.now())
@@ -240,7 +248,7 @@
         done = len(self.actions)
         self.decide(now, carried)
         if not carried.done:
-            self.actions.insert(done, (self.caller.abandon, (transmission,)))
+            self.actions.insert(done, (self.connections.abandon, (transmission,)))
 
     def come(self, now: int, carried: Carried, here: bool, whole: bool, at: int) -> None:
         if carried.done or carried.rpc is None:
@@ -284,7 +292,7 @@
     def order(self, now: int, upstream: int, out: bool, told: Callable[[], None]) -> None:
         self.balancer.ordered(now, upstream, out)
         if out:
-            self.actions.append((self.caller.withdraw, (upstream,)))
+            self.actions.append((self.connections.withdraw, (upstream,)))
         self.actions.append((told, ()))
 
     def ask_again(self, now: int, carried: Carried) -> None:
@@ -331,7 +339,7 @@
         for tx in numbers:
             transmission = carried.out.get(tx)
             if transmission is not None:
-                self.actions.append((self.caller.stop, (transmission,)))
+                self.actions.append((self.connections.stop, (transmission,)))
                 self.events.append((self.end, (transmission, load_balancing.STOPPED, None, now)))
 
     # --- what is carried out
@@ -340,7 +348,7 @@
         if not self.wanted(transmission, now):
             self.ended(transmission, load_balancing.UNSENT, None)
             return
-        self.caller.transmit(transmission, now)
+        self.connections.transmit(transmission, now)
         if transmission.dial_until is not None and transmission.dial_until < transmission.until:
             self.limit(transmission, transmission.dial_until)
 
@@ -372,7 +380,7 @@
         """
         if transmission.first is not None:
             moved = transmission.link.moved()
-        elif self.caller.in_time(transmission):
+        elif self.connections.in_time(transmission):
             moved = now  # it is its client's in this very turn
         else:
             return now
@@ -397,14 +405,18 @@
                 transmission.until = until
                 self.limit(transmission, until)
                 continue
-            if self.caller.give_up(transmission):
-                self.caller.silent(transmission)
+            if self.connections.give_up(transmission):
+                self.connections.silent(transmission)
                 outcome = load_balancing.TIMED_OUT
                 logger.debug("transmission to {} timed out", upstream)
             else:
                 # A request that is still coming may be its client's to blame.
                 upstreams_part = dialling or not transmission.carried.coming
-                late = upstreams_part and now >= (transmission.dial_until or now) and not self.caller.proxied
+                late = (
+                    upstreams_part
+                    and now >= (transmission.dial_until or now)
+                    and not self.connections.proxied
+                )
                 outcome = load_balancing.UNCONNECTED if late else load_balancing.UNSENT
                 logger.debug("no connection to {} in time, or not all sent", upstream)
             self.events.append((self.end, (transmission, outcome, None, now)))
--- a/shedgrade/sidecar/lifecycle/upgrade.py
+++ b/shedgrade/sidecar/lifecycle/upgrade.py
@@ -4,7 +4,7 @@
 
 from loguru import logger
 
-from shedgrade.http.discovery import ListError
+from shedgrade.http.endpoint_discovery import ListError
 from shedgrade.sidecar.lifecycle.succession import Link, Rendezvous, SuccessionError, meet, rendezvous
 
 VERSION = 1
--- a/shedgrade/sidecar/quota/part.py
+++ b/shedgrade/sidecar/quota/part.py
@@ -26,11 +26,14 @@
 
     def count_answers(self, quota) -> None:
         """Upstreams tell their counts in a header, where the fleet's limits are split by observation."""
-        caller = self.pool.caller
+        connections = self.pool.connections
         if quota.fleet is not None:
-            caller.counts_in, caller.counted_by = quota.fleet.header.lower().encode(), self.gate.answered
+            connections.counts_in, connections.counted_by = (
+                quota.fleet.header.lower().encode(),
+                self.gate.answered,
+            )
         else:
-            caller.counts_in, caller.counted_by = b"", None
+            connections.counts_in, connections.counted_by = b"", None
 
     def start(self) -> None:
         logger.info("quotas: {} nodes", sum(1 for _ in self.gate.tree.root.walk()))
--- a/shedgrade/sidecar/tunnel/assemble.py
+++ b/shedgrade/sidecar/tunnel/assemble.py
@@ -7,7 +7,7 @@
 import orjson
 from loguru import logger
 
-from shedgrade.http.discovery import ListError
+from shedgrade.http.endpoint_discovery import ListError
 from shedgrade.sidecar.lifecycle.config import address
 from shedgrade.sidecar.tunnel.config import MAIN, PoolTable, ProxyTable, secret, table
 from shedgrade.sidecar.tunnel.dialler import Dialler, Proxy
@@ -44,11 +44,11 @@
         self.proxies = {name: self.proxy(name, given) for name, given in features.proxies.items()}
         for name, given in features.pools.items():
             if given.proxies:
-                caller = self.pools[name].caller
-                caller.connect = Dialler(
+                connections = self.pools[name].connections
+                connections.connect = Dialler(
                     loop, [self.proxies[one] for one in given.proxies], self.own, given.direct == "fallback"
                 )
-                caller.proxied = True
+                connections.proxied = True
         self.fronts = {
             name: sidecar.front if name == MAIN else Front(loop, pool, budget, sidecar.ready, sidecar.leaving)
             for name, pool in self.pools.items()
@@ -76,7 +76,7 @@
         given = self.features.tunnel
         users = dict(secret(given.users, "tunnel.users")) if given.users else None
         for pool in self.pools.values():
-            pool.caller.stream_buffer = given.buffer
+            pool.connections.stream_buffer = given.buffer
         return Tunnels(
             self.sidecar.loop,
             given,
@@ -110,7 +110,7 @@
                 if proxy.address in own:
                     raise ConfigError(f"proxies.{proxy.name}.address: leads back to this sidecar")
             for pool in self.pools.values():
-                pool.caller.own = own
+                pool.connections.own = own
 
     @staticmethod
     def read_list(pool: Pool, path: str, key: str) -> None:
--- a/shedgrade/sidecar/tunnel/listener.py
+++ b/shedgrade/sidecar/tunnel/listener.py
@@ -14,7 +14,7 @@
 
 from loguru import logger
 
-from shedgrade.http.application import ApplicationConnection
+from shedgrade.http.inbound_connection import InboundConnection
 from shedgrade.in_flight import Carried, Request
 from shedgrade.sidecar.tunnel import connect, socks
 from shedgrade.sidecar.tunnel.config import Tunnel
@@ -110,7 +110,7 @@
         """From here on the application's own protocol is spoken, on the pool's front."""
         self.answered = True
         self.transport.write(self.codec.granted())
-        inside = ApplicationConnection(front, self.codec.user)
+        inside = InboundConnection(front, self.codec.user)
         self.tunnels.over(self)
         transport, rest = self.transport, self.codec.rest
         transport.set_protocol(inside)
@@ -348,7 +348,7 @@
 
     def grace(self, link: StreamLink) -> float:
         """Seconds after which nothing new may go to an upstream that drains."""
-        return next(pool.grace for pool in self.pools.values() if pool.caller is link.caller)
+        return next(pool.grace for pool in self.pools.values() if pool.connections is link.connections)
 
     def look(self) -> None:
         now = self.loop.time()
--- a/shedgrade/sidecar/tunnel/relay.py
+++ b/shedgrade/sidecar/tunnel/relay.py
@@ -94,9 +94,9 @@
 
     whole = True  # whatever is opened may have run, as far as anybody here can tell
 
-    def __init__(self, caller, upstream: int, address: tuple[str, int]) -> None:
-        super().__init__(caller.stream_buffer)
-        self.caller, self.upstream, self.address = caller, upstream, address
+    def __init__(self, connections, upstream: int, address: tuple[str, int]) -> None:
+        super().__init__(connections.stream_buffer)
+        self.connections, self.upstream, self.address = connections, upstream, address
         self.transmission = None
         self.draining = False
         self.failure: Exception | None = None
@@ -110,22 +110,22 @@
 
     def begin(self, transmission, now: int) -> None:
         self.transmission, transmission.link, transmission.fresh = transmission, self, True
-        self.caller.streams.setdefault(self.upstream, set()).add(self)
-        self.caller.turn.opened(transmission)
+        self.connections.streams.setdefault(self.upstream, set()).add(self)
+        self.connections.turn.opened(transmission)
 
     def connection_lost(self, failure) -> None:
         from shedgrade import load_balancing
 
         self.lost, self.failure = True, failure
-        self.caller.closed(self)
-        links = self.caller.streams.get(self.upstream)
+        self.connections.closed(self)
+        links = self.connections.streams.get(self.upstream)
         if links is not None:
             links.discard(self)
             if not links:
-                del self.caller.streams[self.upstream]
+                del self.connections.streams[self.upstream]
         transmission, self.transmission = self.transmission, None
         if transmission is not None:
-            self.caller.turn.ended(
+            self.connections.turn.ended(
                 transmission, load_balancing.DROPPED if failure else load_balancing.COMPLETED, None
             )
         if self.peer is not None:
--- a/shedgrade/upstream_pool/pool.py
+++ b/shedgrade/upstream_pool/pool.py
@@ -1,12 +1,12 @@
-"""A pool: one list of upstreams with its decisions, its turn and its caller; clock and budget are shared
+"""A pool: one list of upstreams with its decisions, its turn and its connections; clock and budget are shared
 among pools."""
 
 import asyncio
 
 from shedgrade import load_balancing
 from shedgrade.buffers.budget import Budget
-from shedgrade.http.caller import Caller
-from shedgrade.http.discovery import DiscoveryWatch, ListReader
+from shedgrade.http.connection_pool import ConnectionPool
+from shedgrade.http.endpoint_discovery import DiscoveryWatch, ListReader
 from shedgrade.load_balancing.upstream_indices import tenths
 from shedgrade.request_dispatch import Turn
 from shedgrade.runtime.clock import Clock
@@ -17,7 +17,7 @@
 
 
 class Pool:
-    """Owns the list's reader, the decisions, the turn, the caller and the watch on discovery, if it has
+    """Owns the list's reader, the decisions, the turn, the connections and the watch on discovery, if it has
     one."""
 
     def __init__(
@@ -41,10 +41,10 @@
             raise ConfigError(f"settings: {missing} is missing") from missing
         except (ArithmeticError, AttributeError, IndexError, TypeError, ValueError) as wrong:
             raise ConfigError(f"settings: a value has the wrong form ({wrong})") from wrong
-        self.caller = Caller(loop, clock, self.reader.addresses.known, dial, idle, budget)
+        self.connections = ConnectionPool(loop, clock, self.reader.addresses.known, dial, idle, budget)
         ids = self.reader.indices.ids
-        self.turn = Turn(loop, clock, self.balancer, self.caller, ids, budget, self.forget)
-        self.caller.turn = self.turn
+        self.turn = Turn(loop, clock, self.balancer, self.connections, ids, budget, self.forget)
+        self.connections.turn = self.turn
         self.watch: DiscoveryWatch | None = None
         self.watching: asyncio.Task | None = None
         self.saved = None  # a SavedList, where the list is kept on disk
@@ -75,7 +75,7 @@
             if (number := before.get(method["name"].encode())) is not None
         }
         self.turn.retuned(settings, numbers)
-        self.caller.dial_time, self.caller.idle.limit = self.take_settings(settings)
+        self.connections.dial_time, self.connections.idle.limit = self.take_settings(settings)
 
     # --- the list
 
@@ -104,7 +104,7 @@
         leaving = [row[0] for row in rows if row[2] != load_balancing.READY]
         self.turn.listed(rows, whole, asked)  # first: what is withdrawn is decided anew by this list
         for upstream in (*moved, *leaving):
-            self.caller.withdraw(upstream)
+            self.connections.withdraw(upstream)
         if (rows and not quiet) or not asked:
             logger.info(
                 "list generation {}{}: {} entries{}",
@@ -136,5 +136,5 @@
     def forget(self, upstream: int) -> None:
         """Gone, with nothing out: what is known of it would otherwise stay for good."""
         self.reader.forget(upstream)
-        self.caller.forget(upstream)
-        self.caller.heard.pop(upstream, None)
+        self.connections.forget(upstream)
+        self.connections.heard.pop(upstream, None)
--- a/tests/controlplane/test_cut_off_for_long.py
+++ b/tests/controlplane/test_cut_off_for_long.py
@@ -38,7 +38,7 @@
     cut_off = role(world, which)
     prefer(world, edge, cut_off)
     await world.run(40.0)
-    assert edge.plane.asker.main.address == cut_off.address
+    assert edge.plane.watcher.main.address == cut_off.address
     world.cut(cut_off, *world.others(cut_off), ways=ways)
     said = []
     for version in range(2, CUT + 2):
--- a/tests/controlplane/test_platform_list.py
+++ b/tests/controlplane/test_platform_list.py
@@ -11,7 +11,7 @@
 
 from shedgrade.control_messages import NEVER, ListMoved, decode, encode
 from shedgrade.controlplane.platform_poller import InstanceList, Poller
-from shedgrade.http.discovery import DiscoveryConnection
+from shedgrade.http.endpoint_discovery import DiscoveryConnection
 from shedgrade.process_settings import CloudApi
 from shedgrade.runtime import log
 
--- a/tests/dataplane/stepped_clients.py
+++ b/tests/dataplane/stepped_clients.py
@@ -141,7 +141,7 @@
             takes=lambda longest_s: True,
             returns_in=lambda: 0.0,
         )
-        self.front = IngressFront(self.loop, plane, self.pool.caller.budget, Random(7))
+        self.front = IngressFront(self.loop, plane, self.pool.connections.budget, Random(7))
 
     def body_of(self, arrival, number, status):
         path = "/" + arrival.path.split("/")[1] + "/"
--- a/tests/dataplane/stepped_rig.py
+++ b/tests/dataplane/stepped_rig.py
@@ -10,7 +10,7 @@
 
 from shedgrade.buffers.budget import Budget
 from shedgrade.control_messages import Instance
-from shedgrade.dataplane.engine import EngineConnection
+from shedgrade.dataplane.engine_connection import EngineConnection
 from shedgrade.dataplane.exchange import Exchange
 from shedgrade.dataplane.ingress import IngressConnection
 from shedgrade.dataplane.service import ServicePool
@@ -64,7 +64,7 @@
 
 
 class SteppedLoop:
-    """As much of an event loop as the turn and the caller use; time stands until it is moved."""
+    """As much of an event loop as the turn and the connection pool use; time stands until it is moved."""
 
     def __init__(self):
         self.at, self.ready = 10_000, deque()
@@ -289,9 +289,9 @@
         self.pool = ServicePool(
             "lm", {"east": 0}, "east", 7, self.loop, self.loop, budget, Repeats(0.2, 50.0, 100_000), "edge-1"
         )
-        self.pool.caller.connection = SteppedConnection
-        self.pool.caller.idle.settled = 0
-        self.pool.caller.connect = self.connect
+        self.pool.connections.connection = SteppedConnection
+        self.pool.connections.idle.settled = 0
+        self.pool.connections.connect = self.connect
         self.pool.listed(
             [
                 (Instance(f"i-{number}", "lm", f"127.0.0.1:{number + 1}", "z1", "available"), 0.0)
--- a/tests/dataplane/test_answer_table.py
+++ b/tests/dataplane/test_answer_table.py
@@ -241,7 +241,7 @@
 async def head_came(plane, cell):
     """Back once the sidecar has read the head with which the reaction began an answer."""
     await asyncio.wait_for(cell.reached.wait(), 5)
-    while not any(link.status for link in plane.services["lm"].caller.open):
+    while not any(link.status for link in plane.services["lm"].connections.open):
         await asyncio.sleep(0)
 
 
@@ -269,9 +269,9 @@
     assert cell.sent == (2 if follows == "again" else 1)
     pool = plane.services["lm"]
     index = pool.indices.by_id[cell.first]
-    while kept and not pool.caller.idle.by_upstream.get(index):
+    while kept and not pool.connections.idle.by_upstream.get(index):
         await asyncio.sleep(0)  # an answer that reaches nobody is still on its way
-    assert kept or not pool.caller.idle.by_upstream.get(index)
+    assert kept or not pool.connections.idle.by_upstream.get(index)
 
 
 def play(kind, reaction, follows, kept, data, warmed):
@@ -280,7 +280,7 @@
         upstreams = [Upstream(name, cell.script(name)) for name in ("i-1", "i-2")]
         routes = configuration(route(timeout_ms=TIMEOUT_MS, max_attempts=2, **KINDS[kind]))
         async with sidecar(routes, *upstreams, manual=True) as plane:
-            plane.services["lm"].caller.idle.settled = 0
+            plane.services["lm"].connections.idle.settled = 0
             if warmed:
                 await warm(plane, upstreams)
             answer = await outcome_of(plane, cell, data, follows in (502, 503) and waits_for(reaction))
@@ -364,13 +364,13 @@
             pool, dialled = plane.services["lm"], asyncio.Event()
 
             async def connect(factory, address):
-                pool.caller.connect = pool.caller.direct
+                pool.connections.connect = pool.connections.direct
                 dialled.set()
                 if failure is not None:
                     raise failure
                 await asyncio.Event().wait()
 
-            pool.caller.connect = connect
+            pool.connections.connect = connect
             client = await Client().open(plane)
             client.send(request())
             await asyncio.wait_for(dialled.wait(), 5)
--- a/tests/dataplane/test_answers_in_any_order.py
+++ b/tests/dataplane/test_answers_in_any_order.py
@@ -11,9 +11,9 @@
 from random_steps import STATUSES, believe_any_id, finds, holds, often, step, steps_of
 from stepped_rig import World
 
-from shedgrade.dataplane import engine
+from shedgrade.dataplane import engine_connection
 from shedgrade.dataplane.attribution import attribute
-from shedgrade.dataplane.engine import EngineConnection
+from shedgrade.dataplane.engine_connection import EngineConnection
 from shedgrade.model_routing.request import IDEMPOTENT, ONCE
 
 ASK = step("ask", st.sampled_from([IDEMPOTENT, ONCE, ONCE]), st.booleans(), st.booleans())
@@ -58,8 +58,8 @@
 
 
 PLANTED = {
-    "the id is not compared": (engine, "attribute", believe_any_id),
-    "a missing id is taken for the own one": (engine, "attribute", believe_no_id),
+    "the id is not compared": (engine_connection, "attribute", believe_any_id),
+    "a missing id is taken for the own one": (engine_connection, "attribute", believe_no_id),
     "a reset on a kept connection counts as never run": (
         EngineConnection,
         "connection_lost",
--- a/tests/dataplane/test_asking.py
+++ b/tests/dataplane/test_asking.py
@@ -68,7 +68,7 @@
         self.polls.lead(1)
         self.names = ["a", "b"]
         self.at(0.0, self.beat)
-        self.asker = Watcher(EDGE, seeds, self.random, self.now, beat=beat)
+        self.watcher = Watcher(EDGE, seeds, self.random, self.now, beat=beat)
         self.carry_out()
 
     def at(self, after: float, call, *args) -> None:
@@ -78,7 +78,7 @@
         until = self.now + seconds
         while True:
             due = [(self.events[0][0], 0)] if self.events else []
-            due.append((max(self.now, self.asker.wake_at()), 1))
+            due.append((max(self.now, self.watcher.wake_at()), 1))
             due += [(max(self.now, hub.wake_at()), address) for address, hub in self.hubs.items()]
             at, who = min(due, key=lambda pair: pair[0])
             if at > until:
@@ -88,14 +88,14 @@
                 _, _, call, args = heappop(self.events)
                 call(*args)
             elif who == 1:
-                self.asker.tick(self.now)
+                self.watcher.tick(self.now)
             else:
                 self.hubs[who].tick(self.now)
             self.carry_out()
         self.now = until
 
     def carry_out(self) -> None:
-        effects, self.asker.effects[:] = list(self.asker.effects), []
+        effects, self.watcher.effects[:] = list(self.watcher.effects), []
         for effect in effects:
             self.asked.append((self.now, effect.address, effect.ask.wait))
             self.open[effect.number] = effect
@@ -105,10 +105,10 @@
             else:
                 self.at(way, self.arrives, effect)
                 self.at(effect.timeout, self.report, effect, None)
-        for update in self.asker.updates:
+        for update in self.watcher.updates:
             self.told.append((self.now, update))
             self.apply(update)
-        self.asker.updates.clear()
+        self.watcher.updates.clear()
 
     def arrives(self, effect) -> None:
         if effect.address in self.silent:
@@ -129,9 +129,9 @@
             return
         number = [effect.number] if self.numbered else []
         if told is None:
-            self.asker.failed(self.now, effect.address, *number)
+            self.watcher.failed(self.now, effect.address, *number)
         else:
-            self.asker.answered(self.now, effect.address, told, *number)
+            self.watcher.answered(self.now, effect.address, told, *number)
 
     def apply(self, update) -> None:
         match update:
@@ -180,7 +180,7 @@
     world.run(3.0)  # the third is measured in the meantime
     world.asked.clear()
     world.run(20.0)
-    assert {address for _, address, _ in world.asked} == {world.asker.main.address}
+    assert {address for _, address, _ in world.asked} == {world.watcher.main.address}
     assert len(world.asked) == pytest.approx(20, abs=2)
 
 
@@ -193,7 +193,7 @@
     world.run(0.06)
     assert "configuration" in world.known
     world.run(1.0)
-    assert world.asker.counts.edges == 1 and world.asker.counts.members == SEEDS
+    assert world.watcher.counts.edges == 1 and world.watcher.counts.members == SEEDS
 
 
 @pytest.mark.parametrize("numbered", [True, False])
@@ -229,7 +229,7 @@
     world = World(seed)
     world.way = dict(zip(SEEDS, (0.035, 0.0009, 0.036), strict=True))
     world.run(5.0)
-    assert world.asker.main.address == SEEDS[1]
+    assert world.watcher.main.address == SEEDS[1]
     world.asked.clear()
     world.run(100.0)
     far = [address for _, address, _ in world.asked if address != SEEDS[1]]
@@ -243,15 +243,15 @@
     world = World(seed, numbered=numbered)
     world.way = dict(zip(SEEDS, (0.001, 0.035, 0.036), strict=True))
     world.run(5.0)
-    assert world.asker.main.address == SEEDS[0]
+    assert world.watcher.main.address == SEEDS[0]
     getattr(world, how).add(SEEDS[0])
     world.change(3)
     world.run(2.0)
     assert world.known["configuration"] == state(3)["configuration"]
-    assert world.asker.main.address != SEEDS[0] and world.asker.lost(world.now) < 1.2
+    assert world.watcher.main.address != SEEDS[0] and world.watcher.lost(world.now) < 1.2
     getattr(world, how).discard(SEEDS[0])
     world.run(7.0)
-    assert world.asker.main.address == SEEDS[0]
+    assert world.watcher.main.address == SEEDS[0]
 
 
 def test_dead_members_are_not_asked_all_the_time():
@@ -272,38 +272,38 @@
     world.asked.clear()
     world.run(30.0)
     assert 30 < len(world.asked) < 130
-    assert world.asker.lost(world.now) > 28 and world.known["configuration"] == state(3)["configuration"]
+    assert world.watcher.lost(world.now) > 28 and world.known["configuration"] == state(3)["configuration"]
     getattr(world, how).clear()
     world.change(4)
     world.run(1.2)
-    assert world.known["configuration"] == state(4)["configuration"] and world.asker.lost(world.now) < 1.2
+    assert world.known["configuration"] == state(4)["configuration"] and world.watcher.lost(world.now) < 1.2
 
 
 def test_the_platform_is_asked_only_when_all_are_silent_and_at_a_share():
     world = World()
     world.run(5.0)
-    assert world.asker.own_poll(world.now, 40.0) is None
+    assert world.watcher.own_poll(world.now, 40.0) is None
     world.silent.update(SEEDS)
     world.run(5.0)
-    assert world.asker.own_poll(world.now, 40.0) == 3.0
-    world.asker.counts = Counts(540, SEEDS)
-    assert world.asker.own_poll(world.now, 40.0) == pytest.approx(54.0)
+    assert world.watcher.own_poll(world.now, 40.0) == 3.0
+    world.watcher.counts = Counts(540, SEEDS)
+    assert world.watcher.own_poll(world.now, 40.0) == pytest.approx(54.0)
     assert Watcher(EDGE, SEEDS, Random(1), 0.0).own_poll(3.5, 4.0) == 3.0
 
 
 def test_an_edge_that_applied_its_own_list_is_told_the_whole_next_and_none_older():
     world = World()
     world.run(2.0)
-    held = world.asker.upstreams
+    held = world.watcher.upstreams
     world.silent.update(SEEDS)
     world.run(4.0)
     world.known["list"] = {}
-    world.asker.departed(world.now)
+    world.watcher.departed(world.now)
     moved = ListMoved(held[0], held[1] - 1, 0.5)
-    assert not world.asker.newer_list(world.now, moved)
+    assert not world.watcher.newer_list(world.now, moved)
     world.silent.clear()
     world.run(2.0)
-    assert set(world.known["list"]) == {"a", "b"} and world.asker.upstreams == held
+    assert set(world.known["list"]) == {"a", "b"} and world.watcher.upstreams == held
 
 
 @pytest.mark.parametrize("seed", range(4))
@@ -317,15 +317,15 @@
     world.change(4)
     world.run(3.0)
     assert world.known["configuration"] == state(4)["configuration"]
-    assert world.asker.main.address != SEEDS[0]
+    assert world.watcher.main.address != SEEDS[0]
     world.run(3.0)
-    assert world.asker.main.address != SEEDS[0]
+    assert world.watcher.main.address != SEEDS[0]
     world.old.clear()
     world.run(5.0)
-    assert world.asker.main.address != SEEDS[0]  # it hears the primary again, and knows less than the edge
+    assert world.watcher.main.address != SEEDS[0]  # it hears the primary again, and knows less than the edge
     world.change(5)
     world.run(40.0)
-    assert world.asker.main.address == SEEDS[0]
+    assert world.watcher.main.address == SEEDS[0]
     assert world.known["configuration"] == state(5)["configuration"]
 
 
@@ -345,9 +345,9 @@
     for numbered in (True, False):
         world = World(numbered=numbered)
         world.run(5.5)
-        main = world.asker.main
-        world.asker.changed(world.now, msgspec.structs.replace(EDGE, state=READY))
-        world.asker.changed(world.now, msgspec.structs.replace(EDGE, state=READY))
+        main = world.watcher.main
+        world.watcher.changed(world.now, msgspec.structs.replace(EDGE, state=READY))
+        world.watcher.changed(world.now, msgspec.structs.replace(EDGE, state=READY))
         world.carry_out()
         assert sum(at == world.now for at, _, _ in world.asked) == 1
         world.run(0.02)
@@ -355,17 +355,17 @@
         assert seen.ready
         for step in range(30):
             world.run(0.1 * (step % 4))
-            world.asker.changed(world.now, msgspec.structs.replace(EDGE, state=READY, in_flight=step))
+            world.watcher.changed(world.now, msgspec.structs.replace(EDGE, state=READY, in_flight=step))
             world.carry_out()
         world.run(5.0)
-        assert world.asker.main is main and main.failures == 0 and world.asker.lost(world.now) < 1.1
+        assert world.watcher.main is main and main.failures == 0 and world.watcher.lost(world.now) < 1.1
 
 
 def test_an_edge_that_leaves_tells_two():
     world = World()
     world.run(5.0)
-    world.silent.add(world.asker.main.address)
-    world.asker.changed(world.now, msgspec.structs.replace(EDGE, state=LEAVING))
+    world.silent.add(world.watcher.main.address)
+    world.watcher.changed(world.now, msgspec.structs.replace(EDGE, state=LEAVING))
     world.carry_out()
     world.run(0.1)
     assert any(
@@ -376,7 +376,7 @@
 def test_members_named_by_answers_are_asked_and_dead_seeds_no_more():
     world = World(seeds=("10.9.0.1:7300", "10.9.0.2:7300", SEEDS[0]))
     world.run(10.0)
-    assert {member.address for member in world.asker.members.values() if member.named} == set(SEEDS)
+    assert {member.address for member in world.watcher.members.values() if member.named} == set(SEEDS)
     world.asked.clear()
     world.run(40.0)
     assert not any(address.startswith("10.9") for _, address, _ in world.asked)
@@ -389,8 +389,8 @@
     world = World()
     world.run(5.0)
     broken = Told(ControlChange(9, 9, 9, b"junk", (), True), None, 1, SEEDS, 0.0, 0.0)
-    world.asker.answered(world.now, world.asker.main.address, broken)
-    assert world.asker.control == (0, 0) and not world.asker.updates
+    world.watcher.answered(world.now, world.watcher.main.address, broken)
+    assert world.watcher.control == (0, 0) and not world.watcher.updates
 
 
 def test_older_answers_and_answers_to_older_asks_change_nothing():
@@ -398,25 +398,25 @@
     world.change(3)
     world.change(3, "south-a")
     world.run(5.0)
-    asker, address = world.asker, world.asker.main.address
-    assert asker.control == (1, 2) and asker.version == 3
+    watcher, address = world.watcher, world.watcher.main.address
+    assert watcher.control == (1, 2) and watcher.version == 3
     for change in (
         ControlChange(1, 1, 2, b"old"),
         ControlChange(1, 2, 3, b"same"),
         ControlChange(0, 9, 9, b"old"),
         ControlChange(1, 3, 4, None),
     ):
-        asker.answered(world.now, address, Told(change, None, 1, SEEDS, 0.0, 0.0, 1.0))
-    assert asker.control == (1, 2) and asker.version == 3
-    term, number = asker.upstreams
+        watcher.answered(world.now, address, Told(change, None, 1, SEEDS, 0.0, 0.0, 1.0))
+    assert watcher.control == (1, 2) and watcher.version == 3
+    term, number = watcher.upstreams
     for moved in (
         ListMoved(term, number - 1, 0.0),
         ListMoved(term, number + 9, 0.0, term, number + 8),
         ListMoved(term, number, 0.0),
     ):
-        asker.answered(world.now, address, Told(None, moved, 1, SEEDS, 0.0, 0.0, 1.0))
-    assert asker.upstreams == (term, number) and not [
-        update for update in asker.updates if not isinstance(update, Counts)
+        watcher.answered(world.now, address, Told(None, moved, 1, SEEDS, 0.0, 0.0, 1.0))
+    assert watcher.upstreams == (term, number) and not [
+        update for update in watcher.updates if not isinstance(update, Counts)
     ]
 
 
@@ -424,7 +424,7 @@
     world = World()
     world.polls.lead(7)
     world.run(3.0)
-    assert world.asker.upstreams[0] == 7
+    assert world.watcher.upstreams[0] == 7
     for address, hub in world.hubs.items():
         world.lists[address] = InstanceList(lambda: world.now)
         hub.list = None
@@ -432,18 +432,18 @@
     world.polls.lead(1)
     world.names = ["z"]
     world.run(6.0)
-    assert set(world.known["list"]) == {"z"} and world.asker.list_age(world.now) < 1.5
+    assert set(world.known["list"]) == {"z"} and world.watcher.list_age(world.now) < 1.5
 
 
 def test_an_answer_that_was_long_under_way_is_as_old_as_its_ask():
     world = World()
     world.run(5.0)
-    asker, main = world.asker, world.asker.main
+    watcher, main = world.watcher, world.watcher.main
     call = main.call
     world.now += 20.0
-    asker.answered(world.now, main.address, Told(None, None, 1, SEEDS, 0.25, 0.25, 0.5), call.number)
+    watcher.answered(world.now, main.address, Told(None, None, 1, SEEDS, 0.25, 0.25, 0.5), call.number)
     assert main.stale > 15.0
-    assert [effect.ask.wait for effect in asker.effects if effect.address != main.address] == [0.0]
+    assert [effect.ask.wait for effect in watcher.effects if effect.address != main.address] == [0.0]
 
 
 def test_no_members_at_all_and_one_only():
--- a/tests/dataplane/test_clients_in_any_order.py
+++ b/tests/dataplane/test_clients_in_any_order.py
@@ -9,7 +9,7 @@
 from random_steps import COUNT, STATUSES, believe_any_id, finds, holds, often, step, steps_of
 from stepped_clients import KINDS, EdgeWorld
 
-from shedgrade.dataplane import engine
+from shedgrade.dataplane import engine_connection
 from shedgrade.dataplane.streams import ResumableStream
 
 PATHS = st.sampled_from(list(KINDS))
@@ -34,7 +34,7 @@
 
 
 PLANTED = {
-    "the id is not compared": (engine, "attribute", believe_any_id),
+    "the id is not compared": (engine_connection, "attribute", believe_any_id),
     "parts of events are passed on": (ResumableStream, "events", pass_on_parts),
 }
 
--- a/tests/dataplane/test_fleet_size.py
+++ b/tests/dataplane/test_fleet_size.py
@@ -2,7 +2,7 @@
 
 from random import Random
 
-from shedgrade.dataplane.fleet import LATELY, FleetSize
+from shedgrade.dataplane.fleet_size import LATELY, FleetSize
 
 
 def test_with_nothing_counted_there_is_this_one():
--- a/tests/dataplane/test_ingress.py
+++ b/tests/dataplane/test_ingress.py
@@ -683,9 +683,9 @@
         async with sidecar(configuration(route(route_class="safe")), Upstream("i-1", more)) as plane:
             client, _ = await answered(plane, request())
             assert client.headers["x-own"] == "kept" and "keep-alive" not in client.headers
-            assert plane.services["lm"].caller.idle.limit == 90_000
-            plane.services["lm"].caller.idle_timeout_stated(3)
-            assert plane.services["lm"].caller.idle.limit == 20_000
+            assert plane.services["lm"].connections.idle.limit == 90_000
+            plane.services["lm"].connections.idle_timeout_stated(3)
+            assert plane.services["lm"].connections.idle.limit == 20_000
 
     run(play())
 
@@ -715,10 +715,10 @@
             async def unreached(factory, address):
                 raise TimeoutError
 
-            pool.caller.connect = unreached
+            pool.connections.connect = unreached
             task = asyncio.ensure_future(pool.probe(index))
             await task
-            pool.caller.connect = pool.caller.direct
+            pool.connections.connect = pool.connections.direct
             body = await client.body()
             assert body == events(3, 4) and pool.balancer.ups[index].aside_until
 
@@ -744,7 +744,7 @@
             if refuses:
                 upstream.server.close()
             index = pool.indices.by_id["i-1"]
-            pool.caller.waiting_since[index] -= 100_000
+            pool.connections.waiting_since[index] -= 100_000
             pool.probe_silent()
             await asyncio.gather(*pool.tasks)
             pool.turn.run()
--- a/tests/dataplane/test_plane_gossip.py
+++ b/tests/dataplane/test_plane_gossip.py
@@ -7,7 +7,7 @@
 
 from shedgrade.control_messages import Counts, EdgeState, Told
 from shedgrade.dataplane.control_client import MOST, Watcher
-from shedgrade.dataplane.fleet import LATELY
+from shedgrade.dataplane.fleet_size import LATELY
 from shedgrade.dataplane.plane import SILENT, DataPlane
 from shedgrade.dataplane.state import State
 from shedgrade.membership.messages import Node
@@ -36,7 +36,7 @@
     def __init__(self, *nodes):
         self.now = 0.0
         self.state = State(SETTINGS, lambda: self.now, None)
-        self.asker = Watcher(EDGE, SEEDS, Random(1), 0.0)
+        self.watcher = Watcher(EDGE, SEEDS, Random(1), 0.0)
         self.gossip = gossip(*nodes)
 
     def at(self, now):
@@ -52,14 +52,14 @@
 def test_the_larger_of_both_counts_holds():
     plane = Plane(*edges(4))
     assert plane.at(0.0) == 4
-    plane.asker.counts = Counts(6, SEEDS)
+    plane.watcher.counts = Counts(6, SEEDS)
     assert plane.at(1.0) == 6
 
 
 def test_what_the_core_tells_holds_at_once_and_for_30_s_after_both_know_less():
     plane = Plane()
     plane.state.apply([Counts(6, SEEDS)])
-    plane.asker.counts = Counts(1, SEEDS)
+    plane.watcher.counts = Counts(1, SEEDS)
     assert plane.state.sidecars == 6
     assert plane.at(LATELY - 1) == 6
     assert plane.at(LATELY + 1) == 1
@@ -68,45 +68,45 @@
 def test_core_members_of_gossip_are_asked_only_when_nobody_answers():
     plane = Plane(Node("core-9", "10.2.0.77:7301", "core", link=FOUND), *edges(2))
     plane.at(SILENT / 2)
-    assert FOUND not in plane.asker.members
+    assert FOUND not in plane.watcher.members
     plane.at(SILENT + 0.1)
-    assert FOUND in plane.asker.members
+    assert FOUND in plane.watcher.members
 
 
-def asked(asker):
-    effects, asker.effects[:] = list(asker.effects), []
+def asked(watcher):
+    effects, watcher.effects[:] = list(watcher.effects), []
     return [effect.address for effect in effects]
 
 
 def test_while_one_that_is_named_answers_no_other_is_asked():
-    asker, now = Watcher(EDGE, SEEDS, Random(3), 0.0, beat=0.5), 0.0
-    asker.met([FOUND])
+    watcher, now = Watcher(EDGE, SEEDS, Random(3), 0.0, beat=0.5), 0.0
+    watcher.met([FOUND])
     seen = []
     while now < 120.0:
         now += 0.25
-        asker.tick(now)
-        for address in asked(asker):
+        watcher.tick(now)
+        for address in asked(watcher):
             seen.append(address)
-            asker.answered(now, address, told(1)) if address == SEEDS[1] else asker.failed(now, address)
+            watcher.answered(now, address, told(1)) if address == SEEDS[1] else watcher.failed(now, address)
     assert FOUND not in seen[3:] and SEEDS[1] in seen
 
 
 def test_when_all_that_are_named_fail_the_one_found_serves_and_names_the_next():
-    asker, now = Watcher(EDGE, SEEDS, Random(3), 0.0, beat=0.5), 0.0
-    asker.met([FOUND])
-    while asker.main is None or asker.main.address != FOUND:
+    watcher, now = Watcher(EDGE, SEEDS, Random(3), 0.0, beat=0.5), 0.0
+    watcher.met([FOUND])
+    while watcher.main is None or watcher.main.address != FOUND:
         now += 0.1
         assert now < 5.0
-        asker.tick(now)
-        for address in asked(asker):
+        watcher.tick(now)
+        for address in asked(watcher):
             if address == FOUND:
-                asker.answered(now, address, Told(None, None, 3, (FOUND,), 0.0, 0.0))
+                watcher.answered(now, address, Told(None, None, 3, (FOUND,), 0.0, 0.0))
             else:
-                asker.failed(now, address)
-    assert asker.members[FOUND].named and asker.counts == Counts(3, (FOUND,))
+                watcher.failed(now, address)
+    assert watcher.members[FOUND].named and watcher.counts == Counts(3, (FOUND,))
 
 
 def test_those_found_are_bounded():
-    asker = Watcher(EDGE, SEEDS, Random(3), 0.0)
-    asker.met(f"10.9.0.{number}:7300" for number in range(1, 200))
-    assert len(asker.members) == MOST
+    watcher = Watcher(EDGE, SEEDS, Random(3), 0.0)
+    watcher.met(f"10.9.0.{number}:7300" for number in range(1, 200))
+    assert len(watcher.members) == MOST
--- a/tests/dataplane/test_return_tried_first.py
+++ b/tests/dataplane/test_return_tried_first.py
@@ -81,7 +81,7 @@
         await asyncio.wait_for(met.wait(), 5)
         assert one.up.aside_until == until and one.ring == []
         assert await looked(one, until) == 0 and one.ring == [one.up]
-        for link in list(one.pool.caller.open):
+        for link in list(one.pool.connections.open):
             link.cut()
         server.close()
 
--- a/tests/load_balancing/test_list.py
+++ b/tests/load_balancing/test_list.py
@@ -4,7 +4,7 @@
 from helpers import settings
 
 from shedgrade import load_balancing
-from shedgrade.http.discovery import ListError, ListReader
+from shedgrade.http.endpoint_discovery import ListError, ListReader
 
 
 def told(name, lifecycle, **more):
--- a/tests/sidecar/admin/test_calls.py
+++ b/tests/sidecar/admin/test_calls.py
@@ -93,8 +93,8 @@
 @on_sockets
 async def test_what_is_being_dialled_when_its_upstream_goes_out_goes_elsewhere():
     async with Operated(serve, serve) as world:
-        caller, stuck = world.sidecar.pool.caller, asyncio.Event()
-        first, direct = [], caller.connect
+        connections, stuck = world.sidecar.pool.connections, asyncio.Event()
+        first, direct = [], connections.connect
 
         async def slow(factory, address):
             if not first:
@@ -102,7 +102,7 @@
                 await stuck.wait()
             return await direct(factory, address)
 
-        caller.connect = slow
+        connections.connect = slow
         asking = asyncio.create_task(ask(world))
         await until(lambda: first)
         number = [upstream.address for upstream in world.upstreams].index(f"{first[0][0]}:{first[0][1]}")
--- a/tests/sidecar/crossings/crossing_peers.py
+++ b/tests/sidecar/crossings/crossing_peers.py
@@ -28,15 +28,15 @@
         return answer
 
     def prepare(self):
-        caller = self.sidecar.pool.caller
-        connect = caller.connect
+        connections = self.sidecar.pool.connections
+        connect = connections.connect
 
         async def late(factory, address):
             self.dialled.append(address)
             await self.gate.wait()
             return await connect(factory, address)
 
-        caller.connect = late
+        connections.connect = late
 
     def bodies(self):
         return [body for upstream in self.upstreams for _, body in upstream.seen]
--- a/tests/sidecar/crossings/test_close.py
+++ b/tests/sidecar/crossings/test_close.py
@@ -7,7 +7,7 @@
 from crossing_peers import Crossed
 from helpers import PATIENT, message, on_sockets, read_message, request, until
 
-from shedgrade.http.caller import SETTLED
+from shedgrade.http.connection_pool import SETTLED
 from shedgrade.http.idle_connections import IdleConnections
 
 
--- a/tests/sidecar/crossings/test_customers.py
+++ b/tests/sidecar/crossings/test_customers.py
@@ -9,7 +9,7 @@
 from test_watches import Asked, quick
 
 from shedgrade import load_balancing
-from shedgrade.http import discovery
+from shedgrade.http import endpoint_discovery
 from shedgrade.sidecar.lifecycle.shape import problem, whole
 
 TENANTS = [{"name": name, "share": 0.5, "allowance_per_s": 50.0} for name in ("guild-a", "zünfte b")]
@@ -81,7 +81,7 @@
             await until(lambda: not world.sidecar.pool.balancer.ups[0].listed)
             assert world.sidecar.pool.balancer.ups[1].listed and "s-far" not in world.sidecar.pool.reader.told
             # It is asked for again before that: what was spoilt on its way comes whole.
-            assert sum("after=1&" in call for call in world.agent.calls) >= discovery.UNSOUND
+            assert sum("after=1&" in call for call in world.agent.calls) >= endpoint_discovery.UNSOUND
 
     scenario()
 
--- a/tests/sidecar/crossings/test_end.py
+++ b/tests/sidecar/crossings/test_end.py
@@ -229,15 +229,15 @@
         for client in clients:
             client.leave(True)
         await until(lambda: not world.sidecar.pool.turn.in_hand)
-        await until(lambda: not world.sidecar.pool.caller.dials)
+        await until(lambda: not world.sidecar.pool.connections.dials)
         assert budget.upstreams == 0
 
 
 @on_sockets
 async def test_a_dial_stopped_in_the_pass_in_which_it_comes_up_is_closed_and_counted():
     async with Crossed(upstreams=1, methods=[PATIENT]) as world:
-        caller = world.sidecar.pool.caller
-        direct, links = caller.direct, []
+        connections = world.sidecar.pool.connections
+        direct, links = connections.direct, []
 
         async def seen(factory, address):
             def make():
@@ -247,19 +247,21 @@
                 def up(transport):
                     made(transport)
                     links.append(link)
-                    caller.stop(next(iter(caller.dials)))  # before whoever dialled is told that it is up
+                    connections.stop(
+                        next(iter(connections.dials))
+                    )  # before whoever dialled is told that it is up
 
                 link.connection_made = up
                 return link
 
             return await direct(make, address)
 
-        caller.connect = seen
+        connections.connect = seen
         client = Client(world)
         client.send(request(b"one"))
         await until(lambda: links)
         await until(lambda: world.upstreams[0].connections == 1 and not world.upstreams[0].writers)
-        assert not (caller.open or caller.dials or world.sidecar.budget.upstreams)
+        assert not (connections.open or connections.dials or world.sidecar.budget.upstreams)
         client.leave(True)
         assert not world.bodies()
 
--- a/tests/sidecar/crossings/test_own_faults.py
+++ b/tests/sidecar/crossings/test_own_faults.py
@@ -68,7 +68,7 @@
             assert (await asking)[0] == 502
             await until(lambda: not balancer.flight)
             assert rpc.done and not carried.out
-            await until(lambda: not world.sidecar.pool.caller.open)  # it was stopped
+            await until(lambda: not world.sidecar.pool.connections.open)  # it was stopped
 
     faulty(scenario, 1)
 
--- a/tests/sidecar/crossings/test_watches.py
+++ b/tests/sidecar/crossings/test_watches.py
@@ -9,7 +9,7 @@
 from helpers import PATIENT, SILENT, Server, ask, message, method, on_sockets, request, until
 from loguru import logger
 
-from shedgrade.http import discovery
+from shedgrade.http import endpoint_discovery
 
 
 class Agent:
@@ -54,16 +54,16 @@
 
 def quick(monkeypatch):
     for name, value in (("WAIT", 200), ("SILENCE", 0.15), ("WHOLE", 0.4)):
-        monkeypatch.setattr(discovery, name, value)
+        monkeypatch.setattr(endpoint_discovery, name, value)
 
 
 def test_what_a_silent_watch_misses_is_here_before_it_counts_as_told():
     """6 s after it fell silent. It may be silent twice running, and a connect may hang between."""
-    pauses = discovery.FIRST_PAUSE + discovery.LONGEST_PAUSE
-    watch = discovery.WAIT / 1000 + discovery.SILENCE
-    assert watch + discovery.PROOF / 1000 + discovery.SILENCE + pauses < 6
+    pauses = endpoint_discovery.FIRST_PAUSE + endpoint_discovery.LONGEST_PAUSE
+    watch = endpoint_discovery.WAIT / 1000 + endpoint_discovery.SILENCE
+    assert watch + endpoint_discovery.PROOF / 1000 + endpoint_discovery.SILENCE + pauses < 6
     # Calls that may not wait, and those after a failure: noticed well within the grace of a drain and a bit.
-    assert discovery.PROOF / 1000 + discovery.SILENCE < 1.5
+    assert endpoint_discovery.PROOF / 1000 + endpoint_discovery.SILENCE < 1.5
 
 
 def test_a_watch_that_falls_silent_twice_running_is_opened_anew_each_time(monkeypatch):
@@ -78,7 +78,9 @@
             await until(lambda: not world.sidecar.pool.balancer.ups[0].listed)
             assert world.sidecar.pool.reader.version == 2
             # Those after a failure wait no longer than it takes to show that somebody is there.
-            assert all(waits(call) == discovery.PROOF for call in world.agent.calls[before + 1 : before + 3])
+            assert all(
+                waits(call) == endpoint_discovery.PROOF for call in world.agent.calls[before + 1 : before + 3]
+            )
             assert world.discovery.connections >= 3
 
     scenario()
@@ -86,7 +88,7 @@
 
 def test_a_call_that_may_not_wait_is_not_waited_for(monkeypatch):
     """After a reload the whole list is asked for; that call was given the time of a watch."""
-    monkeypatch.setattr(discovery, "SILENCE", 0.15)
+    monkeypatch.setattr(endpoint_discovery, "SILENCE", 0.15)
 
     @on_sockets
     async def scenario():
@@ -145,7 +147,7 @@
     """Calls that were given up had been served for nobody, and so nobody was: 43 of 60 sidecars had no list
     in 20 s. One that is turned away comes again the later the more often it is."""
     quick(monkeypatch)
-    monkeypatch.setattr(discovery, "IN_TURN", 5.0)
+    monkeypatch.setattr(endpoint_discovery, "IN_TURN", 5.0)
 
     @on_sockets
     async def scenario():
@@ -172,12 +174,12 @@
                 slept.append(pause)
                 await sleep(0)
 
-            monkeypatch.setattr(discovery.asyncio, "sleep", brief)
+            monkeypatch.setattr(endpoint_discovery.asyncio, "sleep", brief)
             pool.watch.span = lambda low, high: 1.0
             world.agent.answers += [message(503, b"")] * 8
             await until_ready(lambda: len(slept) >= 8, sleep)
-            monkeypatch.setattr(discovery.asyncio, "sleep", sleep)
-            assert slept == sorted(slept) and slept[-1] == discovery.TURNED_AWAY
+            monkeypatch.setattr(endpoint_discovery.asyncio, "sleep", sleep)
+            assert slept == sorted(slept) and slept[-1] == endpoint_discovery.TURNED_AWAY
 
     scenario()
 
@@ -189,7 +191,7 @@
 
 
 def test_a_connection_to_discovery_that_never_comes_up_is_given_up(monkeypatch):
-    monkeypatch.setattr(discovery, "SILENCE", 0.15)
+    monkeypatch.setattr(endpoint_discovery, "SILENCE", 0.15)
 
     @on_sockets
     async def scenario():
@@ -223,11 +225,12 @@
     async def scenario():
         async with Crossed(upstreams=2) as world:
             pool = world.sidecar.pool
-            withdraw, pool.caller.withdraw = pool.caller.withdraw, None  # what the list calls breaks
+            withdraw = pool.connections.withdraw
+            pool.connections.withdraw = None  # what the list calls breaks
             world.version += 1
             world.changes.put_nowait(json.dumps(world.list(world.entry(0, "terminating"))).encode())
             await until(lambda: pool.reader.version is None)
-            pool.caller.withdraw = withdraw
+            pool.connections.withdraw = withdraw
             watches = world.watches
             await until(lambda: world.watches > watches and pool.reader.version is not None)
             await world.tell(world.entry(1, "terminating"))
@@ -328,4 +331,4 @@
         await world.tell({**world.entry(0), "hostPort": "a..b:80"})
         async with asyncio.timeout(8):  # its client waits for 15 s
             assert (await ask(world, request(b"one")))[0] == 503
-        assert not world.sidecar.pool.caller.dials and not world.sidecar.pool.balancer.flight
+        assert not world.sidecar.pool.connections.dials and not world.sidecar.pool.balancer.flight
--- a/tests/sidecar/process/test_sockets.py
+++ b/tests/sidecar/process/test_sockets.py
@@ -37,7 +37,7 @@
 from shedgrade.buffers.budget import RESERVE
 from shedgrade.cli import app
 from shedgrade.http.idle_connections import IdleConnections
-from shedgrade.http.upstream import UpstreamConnection
+from shedgrade.http.upstream_connection import UpstreamConnection
 from shedgrade.sidecar.lifecycle.sidecar import Phase, PhaseError
 
 
@@ -65,7 +65,7 @@
 async def test_answers_are_written_once_and_connections_are_kept():
     # uvloop sends at once and then never calls resume_writing: the ring was not freed, answers came twice.
     async with World(serve) as world:
-        world.sidecar.pool.caller.idle.settled = 0
+        world.sidecar.pool.connections.idle.settled = 0
         connection = await world.connect()
         for number in range(5):
             assert (await ask(world, request(b"%d" % number), connection))[2] == b"%d" % number
@@ -154,7 +154,7 @@
     for answer, kept in ((good * 2, 0), (good + good[:40], 0), (good + b"noise", 0), (early + good, 1)):
         async with World(lambda *_, answer=answer: answer) as world:
             assert (await ask(world))[::2] == (200, b"abc")
-            assert len(world.sidecar.pool.caller.idle) == kept
+            assert len(world.sidecar.pool.connections.idle) == kept
             assert (await ask(world))[::2] == (200, b"abc")
 
 
@@ -177,7 +177,7 @@
         async with World(lambda *_, answer=answer: answer) as world:
             with outcomes() as ends:
                 assert (await ask(world))[0] == 502
-            assert ends == [load_balancing.FAILED] and not world.sidecar.pool.caller.idle
+            assert ends == [load_balancing.FAILED] and not world.sidecar.pool.connections.idle
 
 
 @on_sockets
@@ -273,14 +273,14 @@
 @on_sockets
 async def test_an_upstream_that_says_nothing_is_given_up_in_time_and_loses_its_idle_connections():
     async with World(lambda *_: SILENT if world.sent() > 2 else message()) as world:
-        caller = world.sidecar.pool.caller
+        connections = world.sidecar.pool.connections
         await ask(world)
-        first = caller.idle.oldest()
+        first = connections.idle.oldest()
         await ask(world)
-        caller.keep(first)
-        assert len(caller.idle) == 2
+        connections.keep(first)
+        assert len(connections.idle) == 2
         assert (await ask(world, request(wait=250)))[0] == 502 and world.sent() == 3
-        assert len(caller.idle) == 0
+        assert len(connections.idle) == 0
 
 
 @on_sockets
@@ -293,13 +293,13 @@
         return serve(head, body)
 
     async with World(late) as world:
-        caller = world.sidecar.pool.caller
-        caller.idle.settled = 0
-        assert (await ask(world, request(b"first", wait=250)))[0] == 502 and len(caller.orphans) == 1
-        assert not caller.idle and not world.sidecar.pool.turn.in_hand
+        connections = world.sidecar.pool.connections
+        connections.idle.settled = 0
+        assert (await ask(world, request(b"first", wait=250)))[0] == 502 and len(connections.orphans) == 1
+        assert not connections.idle and not world.sidecar.pool.turn.in_hand
         release.set()
-        await until(lambda: caller.idle)
-        assert not caller.orphans and (await ask(world))[::2] == (200, b"")
+        await until(lambda: connections.idle)
+        assert not connections.orphans and (await ask(world))[::2] == (200, b"")
         assert world.upstreams[0].connections == 1 and world.sent() == 2
 
 
@@ -319,14 +319,14 @@
             first = asyncio.create_task(ask(world, request(wait=4000)))
             await until(lambda: world.sent() == 2)
             assert ends[0] == load_balancing.TIMED_OUT
-            assert all(link.transport.is_closing() for link in world.sidecar.pool.caller.orphans)
+            assert all(link.transport.is_closing() for link in world.sidecar.pool.connections.orphans)
         assert (await first)[0] == 200
     async with World(lambda *_: SILENT) as world:
-        caller = world.sidecar.pool.caller
-        assert (await ask(world, request(wait=250)))[0] == 502 and len(caller.orphans) == 1
-        next(iter(caller.orphans)).orphan_until = 1
+        connections = world.sidecar.pool.connections
+        assert (await ask(world, request(wait=250)))[0] == 502 and len(connections.orphans) == 1
+        next(iter(connections.orphans)).orphan_until = 1
         await ask(world, request(wait=250))
-        assert len(caller.orphans) == 1 and len(caller.open) == 1
+        assert len(connections.orphans) == 1 and len(connections.open) == 1
 
 
 @on_sockets
@@ -343,7 +343,7 @@
 
     async with World(serve) as world:
         loop = world.sidecar.loop
-        world.sidecar.pool.caller.loop = SimpleNamespace(
+        world.sidecar.pool.connections.loop = SimpleNamespace(
             create_connection=broken, create_task=loop.create_task
         )
         with outcomes() as ends:
@@ -373,7 +373,7 @@
         await until(lambda: world.sent() == 1)
         poll = select.poll()
         poll.register(next(iter(world.upstreams[0].writers)).get_extra_info("socket"), select.POLLRDHUP)
-        next(iter(world.sidecar.pool.caller.open)).cut()
+        next(iter(world.sidecar.pool.connections.open)).cut()
         assert poll.poll(10_000)
         assert (await asking)[0] == 502
 
@@ -382,7 +382,7 @@
 async def test_an_idle_connection_that_the_upstream_has_closed_is_not_used():
     async with World(serve) as world:
         assert (await ask(world))[0] == 200
-        link = next(iter(world.sidecar.pool.caller.open))
+        link = next(iter(world.sidecar.pool.connections.open))
         link.transport.pause_reading()  # its end comes in, and the loop does not see it
         for writer in world.upstreams[0].writers:
             writer.close()
@@ -393,12 +393,12 @@
 @on_sockets
 async def test_a_connection_near_its_idle_limit_is_not_used():
     async with World(serve, idle_close=100.0) as world:
-        caller = world.sidecar.pool.caller
-        assert (await ask(world))[0] == 200 and len(caller.idle) == 1
+        connections = world.sidecar.pool.connections
+        assert (await ask(world))[0] == 200 and len(connections.idle) == 1
         now = world.sidecar.clock.now()
-        link = next(iter(caller.open))
-        assert caller.idle.take(0, now + 500) is None and len(caller.idle) == 1
-        assert caller.idle.stale(now + 500) == [link] and len(caller.idle) == 0
+        link = next(iter(connections.open))
+        assert connections.idle.take(0, now + 500) is None and len(connections.idle) == 1
+        assert connections.idle.stale(now + 500) == [link] and len(connections.idle) == 0
 
 
 @on_sockets
@@ -430,10 +430,10 @@
     lines = []
     sink = logger.add(lines.append, format="{message}")
     async with World(serve, serve) as world:
-        while len(world.sidecar.pool.caller.idle) < 2:
+        while len(world.sidecar.pool.connections.idle) < 2:
             await ask(world)
         await world.tell(world.entry(0, "terminating"))
-        assert len(world.sidecar.pool.caller.idle) == 1
+        assert len(world.sidecar.pool.connections.idle) == 1
         for upstream in world.upstreams:
             upstream.seen.clear()
         assert [(await ask(world))[0] for _ in range(3)] == [200] * 3 and not world.upstreams[0].seen
@@ -467,13 +467,13 @@
                     len(sidecar.pool.reader.indices.ids),
                     len(sidecar.pool.balancer.ups),
                     len(sidecar.pool.reader.addresses.known),
-                    len(sidecar.pool.caller.heard),
-                    len(sidecar.pool.caller.idle.by_upstream),
+                    len(sidecar.pool.connections.heard),
+                    len(sidecar.pool.connections.idle.by_upstream),
                 )
             )
             told = {"instanceId": f"new-{number}" if number else "s-0", "lifecycle": "terminated"}
             await world.tell(told, {**world.entry(0), "instanceId": f"new-{number + 1}"})
-            assert not sidecar.pool.caller.idle
+            assert not sidecar.pool.connections.idle
         assert kept[1:] == [(1, 2, 1, 1, 1, 1)] * 5 and world.upstreams[0].connections == 6
 
 
@@ -491,7 +491,7 @@
         await until(lambda: world.sent() == 1)
         await world.tell({**world.entry(0), "hostPort": world.upstreams[1].address})
         release.set()
-        assert (await asking)[0] == 200 and not world.sidecar.pool.caller.idle
+        assert (await asking)[0] == 200 and not world.sidecar.pool.connections.idle
         assert (await ask(world, request(name="a2")))[0] == 200 and len(world.upstreams[1].seen) == 1
 
 
@@ -574,13 +574,13 @@
 @on_sockets
 async def test_without_descriptors_idle_upstreams_go_first_and_then_nothing_is_sent():
     async with World(serve, serve) as world:
-        while len(world.sidecar.pool.caller.open) < 2:
+        while len(world.sidecar.pool.connections.open) < 2:
             assert (await ask(world))[0] == 200
         world.sidecar.budget.most = 2
         for writer in world.upstreams[0].writers | world.upstreams[1].writers:
             writer.transport.pause_reading()
         assert (await ask(world))[0] in (200, 503)
-        assert len(world.sidecar.pool.caller.open) <= 2
+        assert len(world.sidecar.pool.connections.open) <= 2
 
 
 @on_sockets
@@ -612,7 +612,7 @@
     async with World(serve) as world:
         with outcomes() as ends:
             assert (await ask(world))[0] == 200
-            link = next(iter(world.sidecar.pool.caller.open))
+            link = next(iter(world.sidecar.pool.connections.open))
             link.connection_lost(None)
             link.connection_lost(None)
             assert (await ask(world))[0] == 200
--- a/tests/sidecar/tunnel/test_tunnels.py
+++ b/tests/sidecar/tunnel/test_tunnels.py
@@ -137,24 +137,24 @@
 async def test_nothing_is_opened_for_a_tunnel_whose_client_has_reset_it_meanwhile():
     """Nothing is read from it while it waits, so the loop does not see its end."""
     async with TunnelWorld(serve) as world:
-        gate, dialled, caller = asyncio.Event(), [], world.sidecar.pool.caller
-        connect = caller.connect
+        gate, dialled, connections = asyncio.Event(), [], world.sidecar.pool.connections
+        connect = connections.connect
 
         async def late(factory, address):
             dialled.append(address)
             await gate.wait()
             return await connect(factory, address)
 
-        caller.connect = late
+        connections.connect = late
         client = socket.create_connection(world.over)
         client.send(b"CONNECT raw.internal:80 HTTP/1.1\r\nHost: raw.internal:80\r\n\r\n")
         await until(lambda: dialled)
         client.setsockopt(socket.SOL_SOCKET, socket.SO_LINGER, struct.pack("ii", 1, 0))
         client.close()
         await asyncio.sleep(0.05)
-        opened, caller.turn.opened = [], lambda transmission: opened.append(transmission)
+        opened, connections.turn.opened = [], lambda transmission: opened.append(transmission)
         gate.set()
-        await until(lambda: not caller.dials and not caller.open)
+        await until(lambda: not connections.dials and not connections.open)
         await until(lambda: not world.flight() and not world.part.tunnels.live)
         assert not opened
 
--- a/tests/system/planes_rig.py
+++ b/tests/system/planes_rig.py
@@ -282,5 +282,5 @@
     """Version 1 is acknowledged, and both edges serve by it."""
     async with running(folder) as system:
         assert await system.put(1, 0) == 200
-        await until(lambda: all(edge.ready() and edge.asker.version == 1 for edge in system.edges.values()))
+        await until(lambda: all(edge.ready() and edge.watcher.version == 1 for edge in system.edges.values()))
         yield system
