--- a/shedgrade/sidecar/quota/tree.py
+++ b/shedgrade/sidecar/quota/tree.py
@@ -244,6 +244,10 @@
     def refuse(self, now: int, node: Node, account: Account, amount: int, again: bool) -> Refusal:
         """Told to the ledger that had no room: the parent's, or where an account is full itself, its own,
         by the child on the path."""
+        for one in node.path:
+            # Entitlements and sums are read below: instalments that are over must have ended by then.
+            if one.ledger is not None:
+                one.ledger.advance(now)
         used = account.used(now)
         beside = used + amount <= account.ceiling
         if beside:
--- a/tests/sidecar/quota/test_lending.py
+++ b/tests/sidecar/quota/test_lending.py
@@ -1,7 +1,7 @@
 """Lending without I/O: against the plain model, and by what each promise says. Limits a, b, c of one
 parent."""
 
-from hypothesis import given, settings
+from hypothesis import example, given, settings
 from hypothesis import strategies as st
 from plain import Plain
 
@@ -46,8 +46,23 @@
 )
 
 
+# A refusal at the child's own ceiling at the moment at which a sibling's use leaves its window.
+USE_EXPIRES_AT_A_REFUSAL = [
+    (7, "b", 1, False),
+    (49, "a", 11, False),
+    (0, "a", 22, False),
+    (0, "a", 22, False),
+    (49, "a", 1, False),
+    (300, "a", 1, False),
+    (300, "a", 9, False),
+    (300, "a", 15, False),
+    (49, "a", 20, False),
+]
+
+
 @settings(max_examples=300, deadline=None)
 @given(EVENTS, st.sampled_from((0, 250, 1000)))
+@example(USE_EXPIRES_AT_A_REFUSAL, 0)
 def test_two_children_are_admitted_as_the_plain_model_admits_them(events, reserve):
     kinds = {"a": (100, 60), "b": (80, 40)}
     tree, nodes = build(Terms(reserve, REPAY), kinds)
@@ -119,6 +134,17 @@
     assert all(one.paid_at <= one.due for one in ledger.history)
 
 
+def test_a_refusal_at_a_full_parent_sees_that_an_instalment_has_ended():
+    tree, nodes = build(Terms(0, REPAY))
+    ledger = account(tree.root).ledger
+    assert borrow(tree, nodes["b"], 1000) == 80 and spend(tree, nodes["a"], 40, 1000) == 20
+    ends = 1000 + 2 * (LENGTH + PART)  # until then b's entitlement is 20 and a's 80
+    assert spend(tree, nodes["a"], 80, ends - PART) == 80 and spend(tree, nodes["b"], 20, ends - PART) == 20
+    refusal = tree.ask(ends + 1, nodes["b"], {"requests": 1})
+    assert refusal.short  # b uses 20 of the 40 that are its own again
+    assert not ledger.owed and ledger.recall_until == ends + 1 + LENGTH + PART
+
+
 def test_a_lender_that_wakes_gently_misses_nothing_as_the_reserve_is_there_at_once():
     tree, nodes = build(Terms(250, REPAY))
     now = 0
