--- a/benchmarks/saved.py
+++ b/benchmarks/saved.py
@@ -304,7 +304,7 @@
             text = log.read_text()
             done["starts that failed"] += process.returncode is not None or "starting to serving" not in text
             done["damaged"] += "damaged" in text
-            done["from saved"] += "list: from nothing to saved" in text
+            done["from saved"] += "endpoint list source changed previous=nothing source=saved" in text
             if process.returncode is None:
                 process.kill()
             await process.wait()
--- a/benchmarks/asking.py
+++ b/benchmarks/watching.py
@@ -1,4 +1,4 @@
-"""What edges that ask cost three core processes: `python benchmarks/asking.py [--edges N] [--upstreams N]`.
+"""What edges that ask cost three core processes: `python benchmarks/watching.py [--edges N] [--upstreams N]`.
 
 Starts three core processes and plays a platform, of whose list `--moved` entries change each time it is read,
 and edges that only ask, all in this process: how many asks, whole lists, deltas and bytes there are in the
@@ -19,7 +19,15 @@
 
 from shedgrade import control_messages
 from shedgrade.control_messages import READY, EdgeState, ListMoved
-from shedgrade.dataplane.control_client import Watcher
+from shedgrade.dataplane.control_client import (
+    ApplyUpdates,
+    RequestFailedEvent,
+    ResponseEvent,
+    SendWatchRequest,
+    TickEvent,
+    Watcher,
+)
+from shedgrade.dataplane.received_state import Update
 from shedgrade.peer_transport.peer import LinkError
 from shedgrade.peer_transport.tcp import Links
 
@@ -74,39 +82,42 @@
         state = EdgeState(f"edge-{number}", address, "zone-a", "region-a", number, READY)
         self.links = Links(loop, address, lambda sender, frame: None, address.partition(":")[0])
         self.watcher = Watcher(
-            state, [f"{core}:7300" for core in streams.CORES], Random(number), loop.time(), beat=0.5
+            state, [f"{core}:7300" for core in streams.CORES], Random(number), loop.time(), max_wait_s=0.5
         )
 
     def pump(self) -> None:
-        effects, self.watcher.effects[:] = list(self.watcher.effects), []
-        for effect in effects:
-            task = self.loop.create_task(self.call(effect))
-            self.tasks.add(task)
-            task.add_done_callback(self.tasks.discard)
-        for update in self.watcher.updates:
+        for instruction in self.watcher.take_instructions():
+            match instruction:
+                case SendWatchRequest():
+                    task = self.loop.create_task(self.call(instruction))
+                    self.tasks.add(task)
+                    task.add_done_callback(self.tasks.discard)
+                case ApplyUpdates(updates):
+                    self.count_lists(updates)
+
+    def count_lists(self, updates: tuple[Update, ...]) -> None:
+        for update in updates:
             if isinstance(update, ListMoved):
                 self.count["whole lists" if update.whole else "deltas of the list"] += 1
-        self.watcher.updates.clear()
 
-    async def call(self, effect) -> None:
+    async def call(self, sent: SendWatchRequest) -> None:
         try:
             body = await self.links.call(
-                effect.address, b"K" + control_messages.encode(effect.ask), effect.timeout
+                sent.address, b"K" + control_messages.encode(sent.request), sent.timeout_s
             )
         except LinkError:
             self.count["asks without an answer"] += 1
-            self.watcher.failed(self.loop.time(), effect.address, effect.number)
+            self.watcher.handle_event(RequestFailedEvent(self.loop.time(), sent.address, sent.number))
         else:
             self.count["asks answered"] += 1
             self.count["bytes told"] += len(body)
-            self.watcher.answered(
-                self.loop.time(), effect.address, control_messages.decode(body[1:]), effect.number
-            )
+            response = control_messages.decode(body[1:])
+            self.watcher.handle_event(ResponseEvent(self.loop.time(), sent.address, response, sent.number))
         self.pump()
 
     async def run(self) -> None:
         while True:
-            self.watcher.tick(self.loop.time())
+            self.watcher.handle_event(TickEvent(self.loop.time()))
             self.pump()
             await asyncio.sleep(max(0.01, min(1.0, self.watcher.wake_at() - self.loop.time())))
 
--- a/shedgrade/dataplane/control_client.py
+++ b/shedgrade/dataplane/control_client.py
@@ -1,9 +1,13 @@
-"""Asking: which core member an edge asks, and what it takes of the answers. Sans I/O, time is handed in.
+"""The control client of an edge: which core member it watches, and what it takes of the responses.
 
-One main member is asked over and over, each time as soon as it has answered; it answers when something moved,
-or after the beat. The nearest that answers is the main one, as told by the time its answers take beyond the
-time that they say the ask was held. Where its word is old, others are asked beside it. What is taken only
-gets newer, whoever answers.
+A pure state machine: events in (`handle_event`), instructions out (`take_instructions`). No I/O; times are
+seconds on a steady clock, handed in.
+
+One preferred member is watched by long polling: each request follows as soon as the one before is answered,
+and the member answers when something changed, or after the time that the request may wait. The closest member
+that is fresh is the preferred one, by the round trip without the time that the member held the request. Where
+its state is stale, others are probed: requests that wait for nothing. `ReceivedState` takes what is newer,
+whoever answers.
 """
 
 from collections.abc import Iterable
@@ -12,418 +16,455 @@
 
 import msgspec
 
-from shedgrade.control_messages import (
-    NEVER,
-    Ask,
-    ControlChange,
-    Counts,
-    EdgeState,
-    ListMoved,
-    Told,
-    unpacked,
+from shedgrade.control_messages import Ask, Counts, EdgeState, Told
+from shedgrade.dataplane.core_member import (
+    REQUEST_TIMEOUT_S,
+    RESEND_GAP_S,
+    CoreMember,
+    PendingRequest,
 )
+from shedgrade.dataplane.received_state import ReceivedState, Update
 from shedgrade.runtime.log import logger
 
-LATE = 0.7  # s beyond its wait after which an ask counts as failed
-OLD_WORD = 0.8  # s since a member heard the primary, beyond which others are asked too
-OLD_LIST = 2.5  # s, the same for the age of its list
-BETTER = 0.2  # s by which another's word must be fresher for it to be asked instead
-OLDER = 3.0  # s by which a list dated lower must be fresher to replace the one held
-NEARER, NEARER_BY = 0.6, 0.002  # share and s of the main member's time below which another is nearer
-GAP = 0.02  # s between two asks of the same member
-EARLY = 0.25  # s, where it answered before its time and told nothing new
-FIRST_REST, LONGEST_REST, WANTED_REST = 0.1, 5.0, 1.0  # s after a failure; the last if nobody else answers
-LOOK_ROUND = 0.5  # s between two asks beside the main member
-LOOK_AGAIN = 2.0  # s before a member that was nearer is asked again
-MEASURE_AGAIN = 30.0  # s before any member is measured again
-MOST = 32  # core members that are remembered, beside those that are named
-FIRST_PATIENCE = 0.75  # s for which an edge that holds nothing asks others before it takes an old word
-ALONE = 3.0  # s without a word after which an edge may poll the platform itself
+FRESHER_BY_S = 0.2  # by which another member must be less stale to be preferred
+EARLY_RESPONSE = 0.9  # of the time that a request may wait: a response before that is early
+EARLY_PAUSE_S = 0.25  # until the next request, where a response was early and brought nothing new
+RETRY_ALL_S = 1.0  # after a failure at which a member is tried again at the latest, where none is preferred
+STARTING_REQUESTS = 2  # members that are asked at once while none is preferred
+PROBE_INTERVAL_S = 0.5  # between two probes
+CLOSER_PROBE_INTERVAL_S = 2.0  # between two probes of a member that was closer
+MEASURE_INTERVAL_S = 30.0  # between two probes of any other member
+MAX_MEMBERS = 32  # that are remembered, beside those that are listed
+PLATFORM_POLL_AFTER_S = 3.0  # without a response, before an edge may poll the platform itself
+DEFAULT_MAX_WAIT_S = 1.0  # for which a request may wait at the preferred member
+UNMEASURED_ROUND_TRIP_S = 1.0  # by which a member ranks that was never measured
 
 
-class SendWatchRequest(msgspec.Struct, frozen=True):
-    """Effect: send `ask` to the link address; `failed` if no answer comes within `timeout` s. `number` may be
-    handed back with what became of it."""
+class EdgeChangedEvent(msgspec.Struct, frozen=True):
+    """This edge is something else now, as it is to tell the core."""
+
+    at: float
+    edge: EdgeState
+
+
+class TickEvent(msgspec.Struct, frozen=True):
+    """Time has passed; due at `wake_at`, and harmless at any time."""
+
+    at: float
+
 
+class ResponseEvent(msgspec.Struct, frozen=True):
+    """A response came from the member at `address`. `number`: of its request; 0: not known."""
+
+    at: float
     address: str
-    ask: Ask
-    timeout: float
-    number: int
+    response: Told
+    number: int = 0
+
 
+class RequestFailedEvent(msgspec.Struct, frozen=True):
+    """A request could not be sent, was cut off, or not answered in time. `number`: its number; 0: not
+    known.
+    """
 
-class Call:
-    """An ask that was handed out, until its caller said what became of it."""
+    at: float
+    address: str
+    number: int = 0
 
-    __slots__ = ("number", "at", "wait", "until")
 
-    def __init__(self, number: int, at: float, wait: float) -> None:
-        self.number, self.at, self.wait, self.until = number, at, wait, at + wait + LATE
+class MembersDiscoveredEvent(msgspec.Struct, frozen=True):
+    """Other processes speak of these core members: a last resort, when all that are listed fail."""
 
+    addresses: tuple[str, ...]
 
-class CoreMember:
-    """A core member as seen from here. `call`: its newest ask, while that is awaited."""
 
-    __slots__ = (
-        "address",
-        "order",
-        "named",
-        "call",
-        "calls",
-        "took",
-        "measured",
-        "stale",
-        "failures",
-        "rest_until",
-        "failed_at",
-        "tried_at",
-    )
+class OwnListAppliedEvent(msgspec.Struct, frozen=True):
+    """The edge has applied an endpoint list that it polled from the platform itself."""
+
+    at: float
+
+
+Event = (
+    EdgeChangedEvent
+    | TickEvent
+    | ResponseEvent
+    | RequestFailedEvent
+    | MembersDiscoveredEvent
+    | OwnListAppliedEvent
+)
+
+
+class SendWatchRequest(msgspec.Struct, frozen=True):
+    """Instruction: send `request` to the member at `address`, and report it as a ResponseEvent, or as a
+    RequestFailedEvent if none comes within `timeout_s`, with its `number`."""
+
+    address: str
+    request: Ask
+    timeout_s: float
+    number: int
+
+    @property
+    def is_probe(self) -> bool:
+        """It waits for nothing, as its member is not the preferred one."""
+        return self.request.wait <= 0
+
+
+class ApplyUpdates(msgspec.Struct, frozen=True):
+    """Instruction: apply these, in order."""
+
+    updates: tuple[Update, ...]
 
-    def __init__(self, address: str, order: float) -> None:
-        self.address, self.order, self.named = address, order, True
-        self.call: Call | None = None
-        self.calls: list[Call] = []  # all that the caller has not reported on
-        self.took: float | None = None  # s for the way there and back
-        self.measured = -inf
-        self.stale = 0.0  # s by which its word is older than it should be
-        self.failures, self.rest_until, self.failed_at, self.tried_at = 0, -inf, -inf, -inf
-
-    def reported(self, now: float, number: int, held: float | None) -> Call | None:
-        """The call that a report is about: by its number, or the one that it fits. `held`: as an answer says;
-        None if it failed."""
-        if number:
-            fits = [call for call in self.calls if call.number == number]
-        elif held is None:
-            # A call that was replaced is never answered: its time runs out while a newer one is awaited.
-            fits = [call for call in self.calls if call.until <= now + GAP][:1] or self.calls[-1:]
-        else:
-            fits = [call for call in self.calls if call.at + held <= now][-1:] or self.calls[:1]
-        for call in fits:
-            self.calls.remove(call)
-            return call
-        return None
+
+Instruction = SendWatchRequest | ApplyUpdates
+Rank = tuple[bool, bool, int, float, float]
 
 
 class Watcher:
-    """Decides whom to ask. The caller carries out and empties `effects` (SendWatchRequest) and `updates`:
-    ControlChange with plain bytes, ListMoved, Counts, in the order in which they are to be applied."""
+    """Decides which core members are sent requests, and when.
+
+    Attributes:
+        edge: this edge, as each request tells it.
+        max_wait_s: for which a request may wait at the preferred member where nothing is new.
+        received: what was taken of the responses.
+        members: the core members known, by address. Never more than MAX_MEMBERS but for those that are
+            listed, preferred or have unreported requests.
+        preferred_member: the one that is watched; one of `members`, without failures. None at the start
+            and after it has failed, until any member answers.
+        next_request_at: when the preferred member is sent the next request; means nothing while there is
+        none,
+            or its request is pending.
+        next_probe_at: before which no member is probed.
+        request_number: of the last request that was handed out; numbers only grow.
+        now: the time of the last TickEvent, or of the last event that led to a tick.
+    """
 
     def __init__(
-        self, edge: EdgeState, seeds: Iterable[str], random: Random, now: float, beat: float = 1.0
+        self,
+        edge: EdgeState,
+        seeds: Iterable[str],
+        random: Random,
+        now: float,
+        max_wait_s: float = DEFAULT_MAX_WAIT_S,
     ) -> None:
-        """`seeds`: link addresses of core members. `beat`: s that an ask waits where nothing is new."""
-        self.edge, self.random, self.beat, self.started = edge, random, beat, now
-        self.effects: list[SendWatchRequest] = []
-        self.updates: list[ControlChange | ListMoved | Counts] = []
-        self.control, self.version = (0, 0), -1
-        self.upstreams = self.floor = (0, 0)  # of the list held, and below which none is taken
-        self.known_at: float | None = None  # when the platform last said that list
-        self.counts: Counts | None = None
-        self.heard_at: float | None = None
-        self.applied = False  # any control state was handed on
-        self.withheld: list[ControlChange] = []  # the first, of old word: until others were asked
-        self.withheld_until = inf
+        """`seeds`: peer transport addresses of core members. The first instructions are there at once."""
+        self.edge = edge
+        self.max_wait_s = max_wait_s
+        self.received = ReceivedState()
         self.members: dict[str, CoreMember] = {}
-        self.main: CoreMember | None = None
-        self.now = self.next_at = self.look_at = now
-        self.number = 0
-        self.named(dict.fromkeys(seeds))
-        self.tick(now)
+        self.preferred_member: CoreMember | None = None
+        self.next_request_at = now
+        self.next_probe_at = now
+        self.request_number = 0
+        self.now = now
+        self._random = random
+        self._started_at = now
+        self._requests: list[SendWatchRequest] = []
+        self._set_listed(dict.fromkeys(seeds))
+        self._tick(now)
+
+    # --- events and instructions
+
+    def handle_event(self, event: Event) -> None:
+        """Takes one event; `take_instructions` has what follows."""
+        match event:
+            case TickEvent(at):
+                self._tick(at)
+            case ResponseEvent():
+                self._handle_response(event)
+            case RequestFailedEvent(at, address, number):
+                self._handle_failure(at, address, number)
+            case EdgeChangedEvent(at, edge):
+                self._handle_edge_change(at, edge)
+            case MembersDiscoveredEvent(addresses):
+                self._add_unlisted(addresses)
+            case OwnListAppliedEvent(at):
+                self.received.own_list_applied(at)
+
+    def take_instructions(self) -> list[Instruction]:
+        """What is to be done since the last call: requests to send, then updates to apply."""
+        instructions: list[Instruction] = [*self._requests]
+        self._requests.clear()
+        updates = self.received.updates
+        if updates:
+            instructions.append(ApplyUpdates(tuple(updates)))
+            updates.clear()
+        return instructions
+
+    def wake_at(self) -> float:
+        """When a TickEvent is due next; inf: never."""
+        due = [self.received.withheld_until]
+        due += [
+            member.pending.deadline + RESEND_GAP_S
+            for member in self.members.values()
+            if member.pending is not None
+        ]
+        due += [at for _, at in self._next_requests(self.now)]
+        probe = self._next_probe()
+        if probe is not None:
+            due.append(probe[1])
+        return min(due)
 
     # --- what is known
 
-    def lost(self, now: float) -> float:
-        """s since any core member's word."""
-        return now - (self.started if self.heard_at is None else self.heard_at)
+    def response_age_s(self, now: float) -> float:
+        """Since any core member's last response, or the start."""
+        last = self.received.last_response_at
+        return now - (self._started_at if last is None else last)
 
-    def list_age(self, now: float) -> float:
-        """s since the platform said the list held."""
-        return NEVER if self.known_at is None else max(0.0, now - self.known_at)
+    def platform_poll_interval_s(self, now: float, rate_per_s: float) -> float | None:
+        """The time between two lists that this edge may poll from the platform itself; None: it may not.
 
-    def own_poll(self, now: float, rate_per_s: float) -> float | None:
-        """s between two lists that this edge may ask the platform for itself, or None: only when all members
-        have been silent, and at its share of the rate, since all edges may be as lost."""
-        if self.lost(now) <= ALONE:
+        Only when all members have been silent, and at its share of the platform's rate, since all edges may
+        have lost the core.
+        """
+        if self.response_age_s(now) <= PLATFORM_POLL_AFTER_S:
             return None
-        return max(ALONE, 4 * max(1, self.counts.edges if self.counts else 1) / rate_per_s)
+        counts = self.received.counts
+        edges = max(1, counts.edges) if counts is not None else 1
+        return max(PLATFORM_POLL_AFTER_S, 4 * edges / rate_per_s)
+
+    def check_invariants(self) -> None:
+        """What holds between two events, see the attributes. AssertionError if something doesn't."""
+        preferred = self.preferred_member
+        if preferred is not None:
+            assert self.members.get(preferred.address) is preferred, preferred.address
+            assert preferred.failures == 0, preferred.address
+        spare = [
+            member
+            for member in self.members.values()
+            if not (member.listed or member is preferred or member.unreported)
+        ]
+        assert len(spare) <= MAX_MEMBERS, len(spare)
+        for address, member in self.members.items():
+            assert member.address == address
+            member.check_invariants()
+            assert all(request.number <= self.request_number for request in member.unreported), address
+        self.received.check_invariants()
 
-    def departed(self, now: float) -> None:
-        """The data plane has applied a list of its own from the platform: the next one told is whole."""
-        self.upstreams, self.known_at = (0, 0), now
+    # --- members
 
-    def named(self, addresses: Iterable[str]) -> None:
-        """The core members as one of them names them. Others are kept, and asked when all of these fail."""
+    def _set_listed(self, addresses: Iterable[str]) -> None:
+        """The core members as one of them lists them. Others are kept, and asked when all of these fail."""
         for member in self.members.values():
-            member.named = False
+            member.listed = False
         for address in addresses:
             if address not in self.members:
-                self.members[address] = CoreMember(address, self.random.random())
-            self.members[address].named = True
-        if len(self.members) > MOST:
+                self.members[address] = CoreMember(address, self._random.random())
+            self.members[address].listed = True
+        if len(self.members) > MAX_MEMBERS:
             self.members = {
                 address: member
                 for address, member in self.members.items()
-                if member.named or member is self.main or member.calls
+                if member.listed or member is self.preferred_member or member.unreported
             }
 
-    def met(self, addresses: Iterable[str]) -> None:
-        """Core members that only other processes speak of: asked when all that are named fail."""
+    def _add_unlisted(self, addresses: Iterable[str]) -> None:
         for address in addresses:
-            if address not in self.members and len(self.members) < MOST:
-                self.members[address] = CoreMember(address, self.random.random())
-                self.members[address].named = False
+            if address not in self.members and len(self.members) < MAX_MEMBERS:
+                self.members[address] = CoreMember(address, self._random.random(), listed=False)
 
-    # --- events
+    # --- handling of events
 
-    def changed(self, now: float, edge: EdgeState) -> None:
-        """This edge is something else now: the main member is told at once, and a second one if its end has
-        come nearer."""
+    def _handle_edge_change(self, now: float, edge: EdgeState) -> None:
+        """The preferred member is told at once, and a second one if the edge's end has come nearer."""
         if edge == self.edge:
             return
-        leaves = edge.stage > self.edge.stage
+        closer_to_end = edge.stage > self.edge.stage
         self.edge = edge
-        told = [self.main] if self.main is not None else []
-        if leaves:
-            told += sorted(
-                (member for member in self.members.values() if member is not self.main),
-                key=lambda member: self.rank(now, member),
-            )[:1]
+        told = [self.preferred_member] if self.preferred_member is not None else []
+        if closer_to_end:
+            others = [member for member in self.members.values() if member is not self.preferred_member]
+            told += sorted(others, key=self._rank)[:1]
         for member in told:
-            self.ask(now, member, self.beat if member is self.main else 0.0)
-        self.tick(now)
+            self._send_request(now, member)
+        self._tick(now)
 
-    def tick(self, now: float) -> None:
-        """Gives up asks that are late, and hands out those that are due."""
+    def _tick(self, now: float) -> None:
+        """Gives up requests whose time is up, and hands out those that are due."""
         self.now = now
         for member in self.members.values():
-            if member.call is not None and member.call.until + GAP <= now:
-                self.fail(now, member)
-            while member.calls and member.calls[0].until + 1.0 < now:
-                member.calls.pop(0)
-        for member, at in self.wanted(now):
+            if member.pending is not None and member.pending.deadline + RESEND_GAP_S <= now:
+                self._note_failure(now, member)
+            member.drop_expired(now)
+        for member, at in self._next_requests(now):
             if at <= now:
-                self.ask(now, member, self.beat if member is self.main else 0.0)
-        if self.withheld:
-            self.ask_all(now)
-        beside = self.beside(now)
-        if beside is not None and beside[1] <= now:
-            self.look_at = now + LOOK_ROUND
-            self.ask(now, beside[0], 0.0)
-
-    def wake_at(self) -> float:
-        """When `tick` is due next."""
-        due = [member.call.until + GAP for member in self.members.values() if member.call is not None]
-        due += [at for _, at in self.wanted(self.now)]
-        beside = self.beside(self.now)
-        due.append(self.withheld_until)
-        return min(due if beside is None else [*due, beside[1]], default=inf)
-
-    def answered(self, now: float, address: str, told: Told, number: int = 0) -> None:
-        """An answer came; `number` of its SendWatchRequest, if the caller has it."""
-        member = self.members.get(address)
-        call = None
+                self._send_request(now, member)
+        if self.received.withheld:
+            self._ask_all_before_release(now)
+        probe = self._next_probe()
+        if probe is not None and probe[1] <= now:
+            self.next_probe_at = now + PROBE_INTERVAL_S
+            self._send_request(now, probe[0])
+
+    def _handle_response(self, event: ResponseEvent) -> None:
+        now = event.at
+        response = event.response
+        member = self.members.get(event.address)
+        request = None
         if member is not None:
-            call = member.reported(now, number, told.held_s)
-        if call is not None:
-            told = aged(told, max(0.0, now - call.at - told.held_s))
+            request = member.match_response(now, event.number, response.held_s)
+        if request is not None:
+            response = aged(response, max(0.0, now - request.sent_at - response.held_s))
         try:
-            news = self.take(now, told)
-        except ValueError as broken:
-            # Guards against a member whose answers can't be read: another is asked.
-            logger.warning("{} tells what can't be read: {}", address, broken)
-            if member is not None and (call is member.call or member.call is None):
-                self.fail(now, member)
-            self.tick(now)
+            brought_news = self.received.take(now, response)
+        except ValueError as error:
+            # Guards against a member whose responses can't be read: another is asked.
+            logger.warning("watch response rejected", member=event.address, error=error)
+            if member is not None and (request is member.pending or member.pending is None):
+                self._note_failure(now, member)
+            self._tick(now)
             return
-        self.heard_at = now
+        self.received.last_response_at = now
         if member is not None:
-            self.measure(now, member, call, told)
-            self.choose(now, member)
-            if member is self.main:
-                early = call is not None and not news and told.held_s < 0.9 * call.wait
-                begun = now if call is None else call.at
-                self.next_at = max(begun + GAP, now + EARLY if early else now)
-        fresh = member is None or member.stale == 0 or member is self.main
-        if fresh:
-            self.count(told)
-        self.tick(now)
-
-    def failed(self, now: float, address: str, number: int = 0) -> None:
-        """An ask can't be sent, was cut, or was not answered in time."""
+            member.note_response(now, request, response.held_s, response.fresh_s, response.age_s)
+            self._prefer_if_better(now, member)
+            if member is self.preferred_member:
+                self._schedule_next_request(now, request, response, brought_news)
+        if member is None or member.staleness_s == 0 or member is self.preferred_member:
+            self._take_counts(response)
+        self._tick(now)
+
+    def _handle_failure(self, now: float, address: str, number: int) -> None:
         member = self.members.get(address)
         if member is None:
             return
-        call = member.reported(now, number, None)
-        if call is not None and call is member.call:
-            self.fail(now, member)
-        self.tick(now)
-
-    # --- whom to ask
+        request = member.match_failure(now, number)
+        if request is not None and request is member.pending:
+            self._note_failure(now, member)
+        self._tick(now)
+
+    def _note_failure(self, now: float, member: CoreMember) -> None:
+        member.note_failure(now)
+        if member is self.preferred_member:
+            self.preferred_member = None
+
+    def _take_counts(self, response: Told) -> None:
+        if response.members:
+            self._set_listed(response.members)
+        self.received.take_counts(Counts(response.edges, response.members))
+
+    # --- which member is sent a request
+
+    def _prefer_if_better(self, now: float, member: CoreMember) -> None:
+        """Prefers a member that has answered if there is none, or it is fresher, or as fresh and closer."""
+        preferred = self.preferred_member
+        if preferred is not None:
+            if member is preferred:
+                return
+            fresher = preferred.staleness_s - member.staleness_s > FRESHER_BY_S
+            as_fresh = member.staleness_s <= preferred.staleness_s
+            if not (fresher or (as_fresh and member.listed and member.closer_than(preferred))):
+                return
+        self.preferred_member = member
+        self.next_request_at = now
+
+    def _schedule_next_request(
+        self, now: float, request: PendingRequest | None, response: Told, brought_news: bool
+    ) -> None:
+        """The next request to the preferred member, which has just answered."""
+        sent_at = now if request is None else request.sent_at
+        early = request is not None and not brought_news and response.held_s < EARLY_RESPONSE * request.wait_s
+        self.next_request_at = max(sent_at + RESEND_GAP_S, now + EARLY_PAUSE_S if early else now)
 
-    def rank(self, now: float, member: CoreMember) -> tuple:
+    def _rank(self, member: CoreMember) -> Rank:
         """The lowest is asked first."""
+        round_trip_s = UNMEASURED_ROUND_TRIP_S if member.round_trip_s is None else member.round_trip_s
         return (
-            not member.named,
-            member.stale > 0,
+            not member.listed,
+            member.staleness_s > 0,
             member.failures,
-            1.0 if member.took is None else member.took,
-            member.order,
+            round_trip_s,
+            member.tie_break,
         )
 
-    def wanted(self, now: float) -> list[tuple[CoreMember, float]]:
-        """Who is to be asked, and when: the main member, or while there is none, any two."""
-        if self.main is not None:
-            return [(self.main, self.next_at)] if self.main.call is None else []
-        all_failed = all(member.failures for member in self.members.values() if member.named)
+    def _next_requests(self, now: float) -> list[tuple[CoreMember, float]]:
+        """Who is sent a request that is no probe, and when: the preferred member, or while there is none, any
+        STARTING_REQUESTS."""
+        if self.preferred_member is not None:
+            if self.preferred_member.pending is not None:
+                return []
+            return [(self.preferred_member, self.next_request_at)]
+        members = self.members.values()
+        all_listed_failed = all(member.failures for member in members if member.listed)
         idle = [
-            (max(now, min(member.rest_until, member.failed_at + WANTED_REST)), member)
-            for member in self.members.values()
-            if member.call is None and (member.named or all_failed)
+            (member, max(now, min(member.backoff_until, member.failed_at + RETRY_ALL_S)))
+            for member in members
+            if member.pending is None and (member.listed or all_listed_failed)
         ]
-        idle.sort(key=lambda pair: (pair[0], self.rank(now, pair[1])))
-        awaited = sum(member.call is not None for member in self.members.values())
-        return [(member, at) for at, member in idle[: max(0, 2 - awaited)]]
-
-    def beside(self, now: float) -> tuple[CoreMember, float] | None:
-        """Who is to be asked beside the main member, and when: one that may be fresher or nearer."""
-        if self.main is None:
+        idle.sort(key=lambda pair: (pair[1], self._rank(pair[0])))
+        pending = sum(member.pending is not None for member in members)
+        return idle[: max(0, STARTING_REQUESTS - pending)]
+
+    def _next_probe(self) -> tuple[CoreMember, float] | None:
+        """Which listed member is probed, and when: one that may be fresher or closer than the preferred
+        one.
+        """
+        if self.preferred_member is None:
             return None
-        found = []
-        for member in self.members.values():
-            if not member.named or member is self.main or member.call is not None:
-                continue
-            at = max(self.look_at, member.rest_until)
-            if self.main.stale > 0:
-                at = max(at, member.tried_at + LOOK_ROUND)
-            elif member.took is not None:
-                again = (
-                    member.tried_at + LOOK_AGAIN
-                    if self.nearer(member) and member.stale == 0
-                    else member.measured + MEASURE_AGAIN
-                )
-                at = max(at, again)
-            found.append((at, member.tried_at, member.order, member))
+        found = [
+            (self._probe_at(member), member.requested_at, member.tie_break, member)
+            for member in self.members.values()
+            if member.listed and member is not self.preferred_member and member.pending is None
+        ]
         if not found:
             return None
-        at, _, _, member = min(found, key=lambda one: one[:3])
+        at, _, _, member = min(found, key=lambda candidate: candidate[:3])
         return member, at
 
-    def nearer(self, member: CoreMember) -> bool:
-        took, main = member.took, self.main.took
-        return took is not None and main is not None and took < NEARER * main and main - took > NEARER_BY
-
-    def ask(self, now: float, member: CoreMember, wait: float) -> None:
-        self.number += 1
-        call = Call(self.number, now, wait)
-        member.call, member.tried_at = call, now
-        member.calls.append(call)
-        ask = Ask(self.edge, self.control, self.upstreams, wait, self.version, self.list_age(now))
-        self.effects.append(SendWatchRequest(member.address, ask, wait + LATE, call.number))
-
-    def ask_all(self, now: float) -> None:
-        """What is withheld is handed on when every member has been asked, and has answered or failed."""
-        asked = [member for member in self.members.values() if member.named]
+    def _probe_at(self, member: CoreMember) -> float:
+        """When `member` may be probed; at once if it was never measured."""
+        preferred = self.preferred_member
+        at = max(self.next_probe_at, member.backoff_until)
+        if preferred is None:
+            return at
+        if preferred.staleness_s > 0:
+            return max(at, member.requested_at + PROBE_INTERVAL_S)
+        if member.round_trip_s is None:
+            return at
+        if member.staleness_s == 0 and member.closer_than(preferred):
+            return max(at, member.requested_at + CLOSER_PROBE_INTERVAL_S)
+        return max(at, member.measured_at + MEASURE_INTERVAL_S)
+
+    def _send_request(self, now: float, member: CoreMember) -> None:
+        """Hands a request out: one that may wait to the preferred member, a probe to any other."""
+        wait_s = self.max_wait_s if member is self.preferred_member else 0.0
+        self.request_number += 1
+        member.add_request(now, self.request_number, wait_s)
+        received = self.received
+        request = Ask(
+            self.edge,
+            received.control,
+            received.endpoint_list,
+            wait_s,
+            received.configuration_version,
+            received.list_age_s(now),
+        )
+        self._requests.append(
+            SendWatchRequest(member.address, request, wait_s + REQUEST_TIMEOUT_S, self.request_number)
+        )
+
+    def _ask_all_before_release(self, now: float) -> None:
+        """Withheld control state is handed on once every listed member was asked, and has answered or
+        failed.
+        """
+        asked = [member for member in self.members.values() if member.listed]
         for member in asked:
-            if member.tried_at == -inf:
-                self.ask(now, member, 0.0)
-        if now >= self.withheld_until or all(member.failures or member.measured > -inf for member in asked):
-            self.release()
-
-    def release(self) -> None:
-        self.applied = True
-        self.updates += self.withheld
-        self.withheld, self.withheld_until = [], inf
-
-    def fail(self, now: float, member: CoreMember) -> None:
-        member.call = None
-        member.failures += 1
-        member.failed_at = now
-        member.rest_until = now + min(FIRST_REST * 2 ** min(member.failures - 1, 8), LONGEST_REST)
-        if member is self.main:
-            self.main = None
-
-    def measure(self, now: float, member: CoreMember, call: Call | None, told: Told) -> None:
-        member.failures, member.rest_until, member.failed_at = 0, -inf, -inf
-        member.stale = max(0.0, told.fresh_s - OLD_WORD) + max(0.0, told.age_s - OLD_LIST)
-        if call is None:
-            return
-        if call is member.call:
-            member.call = None
-        took = max(0.0, now - call.at - told.held_s)
-        member.took = took if member.took is None else min(took, (took + member.took) / 2)
-        member.measured = now
-
-    def choose(self, now: float, member: CoreMember) -> None:
-        """Makes it the main member if there is none, or it is fresher, or as fresh and nearer."""
-        main = self.main
-        if main is None or (
-            member is not main
-            and (
-                main.stale - member.stale > BETTER
-                or (member.stale <= main.stale and member.named and self.nearer(member))
-            )
+            if member.requested_at == -inf:
+                self._send_request(now, member)
+        if now >= self.received.withheld_until or all(
+            member.failures or member.measured_at > -inf for member in asked
         ):
-            self.main, self.next_at = member, now
-
-    # --- what is taken of an answer
-
-    def take(self, now: float, told: Told) -> bool:
-        """What is newer goes to `updates`; whether anything was. ValueError if it can't be read; then nothing
-        was taken."""
-        control = self.newer_control(told.control)
-        moved = told.upstreams if self.newer_list(now, told.upstreams) else None
-        if control is not None:
-            self.control, self.version = (control.epoch, control.sequence), control.version
-            self.withheld.append(control)
-            if not self.applied:
-                self.withheld_until = min(self.withheld_until, now + FIRST_PATIENCE)
-        # Guards against an edge that starts and serves by what a member behind a cut still holds.
-        if self.withheld and (self.applied or told.fresh_s <= OLD_WORD):
-            self.release()
-        if moved is not None:
-            self.upstreams = self.floor = (moved.term, moved.number)
-            self.known_at = now - moved.age_s
-            self.updates.append(moved)
-        elif (
-            told.upstreams is not None
-            and self.known_at is not None
-            and (told.upstreams.term, told.upstreams.number) == self.upstreams
-        ):
-            self.known_at = max(self.known_at, now - told.upstreams.age_s)
-        return control is not None or moved is not None
+            self.received.release_withheld()
 
-    def newer_control(self, change: ControlChange | None) -> ControlChange | None:
-        if change is None or (change.epoch, change.sequence) <= self.control:
-            return None
-        plain = unpacked(change)
-        if plain is None and change.version != self.version:
-            return None  # it goes with an older ask: what it leaves out is not what is held now
-        if change.version == self.version:
-            plain = None
-        return msgspec.structs.replace(change, configuration=plain or None, compressed=False)
-
-    def newer_list(self, now: float, moved: ListMoved | None) -> bool:
-        if moved is None or not (moved.whole or (moved.from_term, moved.from_number) == self.upstreams):
-            return False
-        version = moved.term, moved.number
-        if version > self.floor or (version == self.floor != self.upstreams):
-            return True
-        # Guards against a fleet that waits for a date which no poller reaches: see `InstanceList.newer_than`.
-        return version != self.upstreams and self.list_age(now) - moved.age_s > OLDER
-
-    def count(self, told: Told) -> None:
-        if told.members:
-            self.named(told.members)
-        counts = Counts(told.edges, told.members)
-        if counts != self.counts:
-            self.counts = counts
-            self.updates.append(counts)
-
-
-def aged(told: Told, waited: float) -> Told:
-    """As of now: it was under way, or unread, for up to `waited` s."""
-    upstreams = told.upstreams
+
+def aged(response: Told, delay_s: float) -> Told:
+    """The response as of now: it was under way, or unread, for up to `delay_s`."""
+    upstreams = response.upstreams
     if upstreams is not None:
-        upstreams = msgspec.structs.replace(upstreams, age_s=upstreams.age_s + waited)
+        upstreams = msgspec.structs.replace(upstreams, age_s=upstreams.age_s + delay_s)
     return msgspec.structs.replace(
-        told, upstreams=upstreams, fresh_s=told.fresh_s + waited, age_s=told.age_s + waited
+        response,
+        upstreams=upstreams,
+        fresh_s=response.fresh_s + delay_s,
+        age_s=response.age_s + delay_s,
     )
--- a/shedgrade/dataplane/front.py
+++ b/shedgrade/dataplane/front.py
@@ -17,7 +17,7 @@
 
     def __init__(self, loop, plane, budget, random: Random) -> None:
         self.plane, self.random, self.clock = plane, random, plane.clock
-        super().__init__(loop, Pools(plane), budget, plane.ready, plane.leaving)
+        super().__init__(loop, Pools(plane), budget, plane.ready, plane.draining)
         self.turn = Turns()
 
     @property
@@ -28,9 +28,9 @@
     def limits(self) -> Limits:
         return self.plane.routes.limits if self.plane.routes is not None else Limits()
 
-    def takes(self, longest_s: float) -> bool:
+    def accepts(self, longest_s: float) -> bool:
         """Whether a request is taken that may need so long; not all are by a process that ends."""
-        return self.plane.takes(longest_s)
+        return self.plane.accepts(longest_s)
 
     def service_of(self, route: ServedRoute):
         return self.plane.services.get(route.service(self.random)) if route.services else None
@@ -45,7 +45,7 @@
     def come_back(self) -> int:
         """Tenths of a ms after which a refused client is to try again: elsewhere, or here once the machine
         serves again, where nobody else does."""
-        return int((self.random.uniform(*BACK) + self.plane.returns_in()) * 10_000)
+        return int((self.random.uniform(*BACK) + self.plane.retry_after_s()) * 10_000)
 
 
 class Pools:
--- a/shedgrade/dataplane/ingress.py
+++ b/shedgrade/dataplane/ingress.py
@@ -91,7 +91,9 @@
             self.exhausted(front.come_back())
             return
         usage = token_usage(known.get(b"token-usage"))
-        if front.leaving() and not front.takes(min(wait / 1000, service.times.longest(route.streams, usage))):
+        if front.draining() and not front.accepts(
+            min(wait / 1000, service.times.longest(route.streams, usage))
+        ):
             self.unready()
             return
         client = ResumableStream(self, front.budget, self.resume) if route.resumable else self
--- /dev/null
+++ b/shedgrade/dataplane/load_exchange.py
@@ -0,0 +1,45 @@
+"""Tells the core what this edge has in flight at each upstream, and takes what the other edges have."""
+
+import asyncio
+from collections.abc import Callable, Mapping
+
+from shedgrade import control_messages
+from shedgrade.load_reports import LoadReporter, LoadsTold, OthersKnown
+from shedgrade.peer_transport.tcp import Links
+
+BODY_KIND = b"K"  # the first byte of a body, by which the control plane tells its kinds apart
+
+
+class LoadExchange:
+    """`own_loads()`: requests in flight here, by upstream. `apply`: is handed the other edges' sums."""
+
+    def __init__(
+        self,
+        loop: asyncio.AbstractEventLoop,
+        links: Links,
+        reporter: LoadReporter,
+        own_loads: Callable[[], dict[int, int]],
+        apply: Callable[[Mapping[int, int]], None],
+    ) -> None:
+        self.links = links
+        self._loop = loop
+        self._reporter = reporter
+        self.other_edges = OthersKnown()
+        self._own_loads = own_loads
+        self._apply = apply
+
+    def send_report(self, address: str | None) -> None:
+        """Reports to the core member at `address`, where there is one and something is to be said."""
+        now = self._loop.time()
+        if self.other_edges.forget_if_stale(now):
+            self._apply({})
+        if address is None:
+            return
+        report = self._reporter.report(now, address, self._own_loads(), len(self.other_edges.loads))
+        if report is not None:
+            self.links.send(address, BODY_KIND + control_messages.encode(report))
+
+    def take(self, loads: LoadsTold) -> None:
+        """The core has sent what the other edges have in flight."""
+        self.other_edges.take(self._loop.time(), loads)
+        self._apply(self.other_edges.loads)
--- a/shedgrade/dataplane/plane.py
+++ b/shedgrade/dataplane/plane.py
@@ -1,39 +1,34 @@
-"""The data plane of one edge machine: its parts, wired to sockets and clock, from start to end."""
+"""The data plane of one edge machine: its parts, wired to sockets and clock, from start to exit."""
 
 import asyncio
 import gc
 import signal
+from collections.abc import Callable
 from random import Random
 
 import msgspec
 
 from shedgrade import control_messages
 from shedgrade.buffers.budget import Budget
-from shedgrade.control_messages import (
-    CLOSED,
-    LEAVING,
-    NOBODY,
-    READY,
-    STARTING,
-    EdgeState,
-    Told,
-)
-from shedgrade.dataplane.control_client import OLD_WORD, SendWatchRequest, Watcher
-from shedgrade.dataplane.draining import Drain
-from shedgrade.dataplane.exchange import TICKS
+from shedgrade.control_messages import CLOSED, LEAVING, READY, STARTING, EdgeState
+from shedgrade.dataplane.control_client import EdgeChangedEvent, MembersDiscoveredEvent, Watcher
+from shedgrade.dataplane.control_exchange import ControlExchange
+from shedgrade.dataplane.exchange import TICKS, Exchange
 from shedgrade.dataplane.front import IngressFront
+from shedgrade.dataplane.graceful_shutdown import GracefulShutdown
 from shedgrade.dataplane.ingress import IngressConnection
+from shedgrade.dataplane.load_exchange import LoadExchange
+from shedgrade.dataplane.routes import Routes
 from shedgrade.dataplane.service import ServicePool
 from shedgrade.dataplane.state import State
 from shedgrade.http.listener import Listener
-from shedgrade.http.server import HttpServer, Reply
-from shedgrade.load_reports import LoadReporter, LoadsTold, OthersKnown
-from shedgrade.load_reports.edge import INTERVAL as LOAD_INTERVAL
+from shedgrade.http.server import HttpServer, Reply, Request, Tell
+from shedgrade.load_reports import LoadReporter, LoadsTold
+from shedgrade.load_reports.edge import INTERVAL as LOAD_INTERVAL_S
 from shedgrade.membership.messages import Node
 from shedgrade.membership.running import Gossip
 from shedgrade.model_routing.retry_budget import Repeats
 from shedgrade.peer_transport.address import join
-from shedgrade.peer_transport.peer import LinkError
 from shedgrade.peer_transport.tcp import Links
 from shedgrade.prefix_cache_index import Record
 from shedgrade.process_settings import Reload, Settings, Watched
@@ -41,19 +36,21 @@
 from shedgrade.runtime.log import logger
 from shedgrade.runtime.loop_errors import fault
 
-KNOWLEDGE = b"K"  # as the control plane tells its links' bodies apart
-RESERVED = 200  # descriptors that are kept for files
-ASK_BEAT = 0.5  # s that an ask waits where nothing is new: an edge that died is missed so soon
-BEAT = 0.1  # s between two looks at upstreams that have fallen silent
-RECOUNT = 1.0  # s between two looks at what gossip knows
-SILENT = 1.0  # s without a word of any core member beyond which gossip's are asked too
-LOOK_AFTER = 0.25  # s between two looks at clients' connections
-LOOK = 0.05  # s between two looks at whether all is answered
-LAST_WORD = 0.06  # s for what was said last to leave
+RESERVED_DESCRIPTORS = 200  # kept for files
+LEAST_SOCKETS = 256
+MAX_WATCH_WAIT_S = 0.5  # that a watch request waits where nothing is new: an edge that died is missed so soon
+HEALTH_CHECK_INTERVAL_S = 0.1  # between two checks for upstreams that are silent
+EDGE_COUNT_INTERVAL_S = 1.0  # between two looks at what gossip knows
+CORE_SILENT_S = 1.0  # without any core member's response, beyond which gossip's are asked too
+CLIENT_CHECK_INTERVAL_S = 0.25  # between two looks at clients' connections
+LAST_SEND_S = 0.06  # for what was said last to leave
 
 
 class DataPlane:
-    """Owns what is known, the services, the clients' side, and the asking."""
+    """Owns what is known, the services, the clients' side, and the exchange with the core.
+
+    It stands for the process where `IngressFront` and `GracefulShutdown` ask for one.
+    """
 
     def __init__(
         self,
@@ -63,26 +60,41 @@
         watched: Watched | None = None,
     ) -> None:
         """`watched`: the settings file, which may change; None: there is none."""
-        self.settings, self.loop, self.random = settings, loop, random
-        self.reload = Reload(settings, watched, self.resettled)
+        self.settings = settings
+        self.loop = loop
+        self.random = random
+        self.reload = Reload(settings, watched, self.settings_changed)
         self.clock = Clock()
-        self.budget = Budget(max(256, settings.limits.file_descriptors - RESERVED), settings.limits.memory_mb)
-        self.record = Record()
+        sockets = max(LEAST_SOCKETS, settings.limits.file_descriptors - RESERVED_DESCRIPTORS)
+        self.budget = Budget(sockets, settings.limits.memory_mb)
+        self.prefix_index = Record()
         self.state = State(settings, loop.time, self.make_pool)
-        self.state.record = self.record
+        self.state.record = self.prefix_index
+        self.shutdown = GracefulShutdown(loop, self)
         self.front = IngressFront(loop, self, self.budget, random)
-        self.life = random.getrandbits(48)
-        self.drain: Drain | None = None  # from SIGTERM on
-        self.done = asyncio.Event()
-        self.links = Links(loop, settings.link_address, self.heard, settings.ip_address)
-        self.reporter = LoadReporter(settings.node_name, settings.region)
-        self.others = OthersKnown()
+        self.incarnation = random.getrandbits(48)
+        self.links = Links(loop, settings.link_address, self.message_received, settings.ip_address)
         self.watcher = Watcher(
             self.edge_state(),
             settings.seed_links,
             random,
             loop.time(),
-            beat=min(ASK_BEAT, settings.heartbeat_ms / 1000),
+            max_wait_s=min(MAX_WATCH_WAIT_S, settings.heartbeat_ms / 1000),
+        )
+        self.control = ControlExchange(
+            loop,
+            self.links,
+            self.watcher,
+            self.prefix_index,
+            lambda updates: self.state.apply(updates),  # by name: simulations wrap it
+            self.shutdown.cover_received,
+        )
+        self.loads = LoadExchange(
+            loop,
+            self.links,
+            LoadReporter(settings.node_name, settings.region),
+            self.state.own_loads,
+            self.state.others_told,
         )
         me = self.watcher.edge
         self.gossip = Gossip(
@@ -91,46 +103,39 @@
             settings.seed_gossips,
             random,
         )
-        self.tasks: set = set()
-        self.timer, self.wake = None, float("inf")
         self.was_ready = False
-        self.recount_at = 0.0
+        self.next_edge_count_at = 0.0
 
     # --- what the front asks
 
     @property
-    def routes(self):
+    def routes(self) -> Routes | None:
+        """The routes in force."""
         return self.state.routes
 
     @property
     def services(self) -> dict[str, ServicePool]:
+        """By name."""
         return self.state.services
 
     def ready(self) -> bool:
-        return self.drain is None and self.state.ready()
+        """Whether clients are to come here."""
+        return self.shutdown.draining is None and self.state.ready()
 
-    def leaving(self) -> bool:
-        return self.drain is not None
+    def draining(self) -> bool:
+        """Whether the process was told to end."""
+        return self.shutdown.draining is not None
 
-    def takes(self, longest_s: float) -> bool:
-        """Whether a request is taken that may need so long (s)."""
-        return self.drain is None or self.drain.takes(self.loop.time(), longest_s, self.in_hand_until())
+    def accepts(self, longest_s: float) -> bool:
+        """Whether a request is accepted that may need so long."""
+        return self.shutdown.accepts(longest_s)
 
-    def returns_in(self) -> float:
-        """s until somebody serves what is refused here; 0: others do already."""
-        return 0.0 if self.drain is None else self.drain.returns_in(self.loop.time(), self.in_hand_until())
-
-    def in_hand_until(self) -> float:
-        """When all that is in hand has been answered, at the latest, on the loop's clock."""
-        now = self.clock.now()
-        latest = max((carried.may_last_until() for carried in self.in_hand()), default=now)
-        return self.loop.time() + max(0.0, latest - now) / TICKS
-
-    def in_hand(self) -> list:
-        """The exchanges that are not answered, of all services."""
-        return [carried for pool in self.services.values() for carried in pool.turn.in_hand.carried]
+    def retry_after_s(self) -> float:
+        """After which an edge serves what is rejected here; 0: others do already."""
+        return self.shutdown.retry_after_s()
 
     def make_pool(self, name: str, repeats: Repeats) -> ServicePool:
+        """The pool of a service that the configuration names for the first time."""
         settings = self.settings
         return ServicePool(
             name,
@@ -142,215 +147,152 @@
             self.budget,
             repeats,
             settings.node_name,
-            self.record,
+            self.prefix_index,
         )
 
-    # --- from start to end
+    # --- what the shutdown asks
+
+    def in_flight(self) -> list[Exchange]:
+        """The exchanges that are not answered, of all services."""
+        return [carried for pool in self.services.values() for carried in pool.turn.in_hand.carried]
+
+    def in_flight_until(self) -> float:
+        """When all that is in flight has been answered, at the latest, on the loop's clock."""
+        now = self.clock.now()
+        latest = max((exchange.may_last_until() for exchange in self.in_flight()), default=now)
+        return self.loop.time() + max(0.0, latest - now) / TICKS
+
+    def busy(self) -> bool:
+        """Whether clients are connected, or waiting to be, or requests are in flight."""
+        return bool(self.front.clients or self.listener.waiting() or self.in_flight())
+
+    def close_idle(self) -> None:
+        """Closes clients' connections without a request."""
+        self.front.close_idle()
+
+    def cancel_in_flight(self) -> int:
+        """Gives all that is in flight its final answer. Returns how many requests that were."""
+        count = len(self.in_flight())
+        for pool in self.services.values():
+            pool.turn.conclude()
+        return count
+
+    # --- from start to exit
 
     async def serve(self) -> None:
+        """Runs until the process may exit. OSError if an address can't be listened at."""
         self.loop.set_exception_handler(fault)
         for number in (signal.SIGTERM, signal.SIGINT):
-            self.loop.add_signal_handler(number, self.leave)
+            self.loop.add_signal_handler(number, self.terminate)
         self.loop.add_signal_handler(signal.SIGHUP, lambda: self.reload.look(self.loop.time(), told=True))
         listen = self.settings.listen
         self.listener = Listener(self.loop, self.front, listen["front"], IngressConnection)
-        self.readiness = HttpServer(self.loop, listen["readiness"], self.tell_ready, logger)
+        self.readiness = HttpServer(self.loop, listen["readiness"], self.answer_readiness, logger)
         await self.readiness.start()
         await self.gossip.start()
         self.listener.resume()
         gc.collect()
         gc.freeze()
-        self.ask()
-        self.beat()
-        self.look_after()
-        self.share_loads()
-        await self.done.wait()
+        self.control.run_instructions()
+        self.start_timers()
+        await self.shutdown.finished.wait()
+        self.control.stop()
         self.listener.close()
-        await asyncio.sleep(LAST_WORD)
+        await asyncio.sleep(LAST_SEND_S)
         self.gossip.close()
         self.links.close()
         self.readiness.close()
 
-    def tell_ready(self, request, tell) -> None:
+    def answer_readiness(self, request: Request, tell: Tell) -> None:
+        """`GET` of the readiness address: 200 while clients are to come here."""
         tell(Reply(200 if self.ready() else 503))
 
-    def leave(self) -> None:
-        """SIGTERM: clients are sent elsewhere, where there is somebody; `Drain` says what is still taken."""
-        if self.drain is not None:
-            return
-        now = self.loop.time()
-        self.drain = Drain(now, self.settings.bounds["graceS"])
-        logger.info("SIGTERM: ends when all is answered, within {} s", self.settings.bounds["graceS"])
-        self.restate()
-        self.loop.call_at(self.drain.ends_in_hand_at, self.conclude)
-        self.loop.call_at(self.drain.ends_at, self.finish)
-        self.look_at_end()
-
-    def look_at_end(self) -> None:
-        """Ends the process once all that was taken has been answered. A fault of our own ends no looks."""
-        if self.done.is_set():
-            return
-        self.loop.call_later(LOOK, self.look_at_end)
-        now = self.loop.time()
-        if self.drain.may_end(now):
-            self.front.close_idle()
-            if not self.busy():
-                self.finish()
+    def terminate(self) -> None:
+        """SIGTERM or SIGINT came."""
+        self.shutdown.begin(self.settings.bounds["graceS"])
+
+    def settings_changed(self, settings: Settings) -> None:
+        """The settings file was read again, and is sound."""
+        self.settings = settings
+        self.state.resettled(settings)
 
-    def finish(self) -> None:
-        """The process ends, and the directory is told."""
-        if not self.done.is_set():
-            self.done.set()
-            self.restate()
+    # --- what is due by time
 
-    def busy(self) -> bool:
-        """Clients are connected, or waiting to be, or requests are in hand."""
-        return bool(self.front.clients or self.listener.waiting() or self.in_hand())
-
-    def conclude(self) -> None:
-        """Whatever is in hand gets its final answer while that can still leave."""
-        in_hand = self.in_hand()
-        if in_hand:
-            logger.warning("{} requests are cut at the end", len(in_hand))
-        for pool in self.services.values():
-            pool.turn.conclude()
+    def start_timers(self) -> None:
+        """Does what is due by time once, and from then on again and again, until the process exits."""
+        self.repeat(HEALTH_CHECK_INTERVAL_S, self.check_health)
+        self.repeat(CLIENT_CHECK_INTERVAL_S, self.front.look_after)
+        self.repeat(LOAD_INTERVAL_S, self.report_loads)
 
-    def beat(self) -> None:
-        """What has no timer of its own. Guards against a fault of our own, which must not end all looks: the
-        next one is due before anything is done."""
-        if self.done.is_set():
+    def repeat(self, interval_s: float, action: Callable[[], None]) -> None:
+        """Does `action` now and after each interval. Guards against a fault of our own, which must not end
+        all the others: the next one is due before anything is done."""
+        if self.shutdown.finished.is_set():
             return
-        self.loop.call_later(BEAT, self.beat)
+        self.loop.call_later(interval_s, self.repeat, interval_s, action)
+        action()
+
+    def check_health(self) -> None:
+        """Upstreams that are silent, this edge's own readiness, the count of edges, the settings file."""
         now = self.loop.time()
         for pool in self.services.values():
             pool.probe_silent()
         if self.ready() != self.was_ready:
             self.was_ready = not self.was_ready
-            self.restate()
-        if now >= self.recount_at:
-            self.recount_at = now + RECOUNT
-            self.recount(now)
+            self.edge_changed()
+        if now >= self.next_edge_count_at:
+            self.next_edge_count_at = now + EDGE_COUNT_INTERVAL_S
+            self.count_edges(now)
         self.reload.look(now)
 
-    def resettled(self, settings: Settings) -> None:
-        """The settings were read anew."""
-        self.settings = settings
-        self.state.resettled(settings)
+    def count_edges(self, now: float) -> None:
+        """What gossip knows: edges, by which budgets are shared, and core members where all others fail."""
+        counts = self.watcher.received.counts
+        told = counts.edges if counts is not None else 0
+        self.state.counted(max(self.gossip.view.count("edge"), told))
+        if self.watcher.response_age_s(now) > CORE_SILENT_S:
+            found = [node.link for node in self.gossip.view.nodes() if node.kind == "core" and node.link]
+            self.watcher.handle_event(MembersDiscoveredEvent(tuple(found)))
 
-    def look_after(self) -> None:
-        """The clients' connections. A fault of our own ends no looks."""
-        if self.done.is_set():
-            return
-        self.loop.call_later(LOOK_AFTER, self.look_after)
-        self.front.look_after()
-
-    def recount(self, now: float) -> None:
-        """What gossip knows: edges, by which budgets are dealt, and core members where all others fail."""
-        told = self.watcher.counts
-        self.state.counted(max(self.gossip.view.count("edge"), told.edges if told is not None else 0))
-        if self.watcher.lost(now) > SILENT:
-            nodes = self.gossip.view.nodes()
-            self.watcher.met(node.link for node in nodes if node.kind == "core" and node.link)
-
-    # --- loads
-
-    def share_loads(self) -> None:
-        """Tells the core what is in flight here. A fault of our own ends no looks."""
-        if self.done.is_set():
-            return
-        self.loop.call_later(LOAD_INTERVAL, self.share_loads)
-        now = self.loop.time()
-        if self.others.forget_if_stale(now):
-            self.state.others_told({})
-        if self.watcher.main is not None:
-            to = self.watcher.main.address
-            report = self.reporter.report(now, to, self.state.own_loads(), len(self.others.loads))
-            if report is not None:
-                self.links.send(to, KNOWLEDGE + control_messages.encode(report))
-
-    def heard(self, sender: str, frame) -> None:
-        """A word that came unasked."""
+    def report_loads(self) -> None:
+        """Tells the core what is in flight here."""
+        preferred = self.watcher.preferred_member
+        self.loads.send_report(None if preferred is None else preferred.address)
+
+    # --- the exchange with the core
+
+    def message_received(self, sender: str, frame) -> None:
+        """A message of the core that answers no request."""
         try:
-            told = control_messages.decode(frame.body[1:])
+            message = control_messages.decode(frame.body[1:])
         except (msgspec.MsgspecError, ValueError):
             return  # of a member of another version
-        if isinstance(told, LoadsTold):
-            self.others.take(self.loop.time(), told)
-            self.state.others_told(self.others.loads)
+        if isinstance(message, LoadsTold):
+            self.loads.take(message)
 
-    # --- asking
-
-    def restate(self) -> None:
-        """Says what this edge is now."""
+    def edge_changed(self) -> None:
+        """Tells the core and gossip what this edge is now."""
         state = self.edge_state()
-        self.watcher.changed(self.loop.time(), state)
+        self.watcher.handle_event(EdgeChangedEvent(self.loop.time(), state))
         self.gossip.restate(LEAVING if state.stage else state.state)
-        self.ask()
+        if self.shutdown.finished.is_set():
+            self.control.stop()
+        self.control.run_instructions()
 
     def edge_state(self) -> EdgeState:
+        """This edge, as it tells the core."""
         settings = self.settings
         return EdgeState(
             settings.node_name,
             join(settings.listen["front"]),
             settings.zone,
             settings.region,
-            self.life,
+            self.incarnation,
             self.stage(),
         )
 
     def stage(self) -> str:
-        """Of this process's life, as the directory is told."""
-        if self.drain is not None:
-            return CLOSED if self.done.is_set() else LEAVING
+        """Of this process, as the directory shows it."""
+        if self.shutdown.draining is not None:
+            return CLOSED if self.shutdown.finished.is_set() else LEAVING
         return READY if self.state.ready() else STARTING
-
-    def ask(self) -> None:
-        """Carries out what the asker wants, takes what it was told, and sets the timer."""
-        effects, self.watcher.effects[:] = list(self.watcher.effects), []
-        for effect in effects:
-            if isinstance(effect, SendWatchRequest):
-                task = self.loop.create_task(self.call(effect))
-                self.tasks.add(task)
-                task.add_done_callback(self.tasks.discard)
-        updates, self.watcher.updates[:] = list(self.watcher.updates), []
-        if updates:
-            try:
-                self.state.apply(updates)
-            except (ValueError, TypeError, AttributeError) as wrong:
-                logger.error("what the control plane told is not understood: {!r}", wrong)
-        at = self.watcher.wake_at()
-        if self.timer is not None:
-            self.timer.cancel()
-        self.timer = (
-            self.loop.call_at(max(at, self.loop.time() + 0.001), self.alarm)
-            if (at != float("inf") and not self.done.is_set())
-            else None
-        )
-
-    def alarm(self) -> None:
-        self.timer = None
-        self.watcher.tick(self.loop.time())
-        self.ask()
-
-    async def call(self, effect: SendWatchRequest) -> None:
-        reads, beside = (), effect.ask.wait <= 0
-        try:
-            ask = effect.ask
-            if not beside:  # the record's numbers are one member's: another asked beside it tells none
-                reads = self.record.outgoing()
-                ask = msgspec.structs.replace(ask, reads=reads, record=self.record.version)
-            asked = KNOWLEDGE + control_messages.encode(ask)
-            body = await self.links.call(effect.address, asked, effect.timeout)
-            told = control_messages.decode(body[1:])
-        except (LinkError, msgspec.MsgspecError, ValueError):
-            told = None
-        if isinstance(told, Told):
-            if not beside:
-                self.record.told(self.loop.time(), told.fresh_s < OLD_WORD, told.record)
-            if self.drain is not None:
-                self.drain.told(self.loop.time(), told.cover if ask.edge.stage else NOBODY)
-            self.watcher.answered(self.loop.time(), effect.address, told, effect.number)
-        else:
-            self.record.lost(reads)
-            self.watcher.failed(self.loop.time(), effect.address, effect.number)
-        self.ask()
--- /dev/null
+++ b/shedgrade/dataplane/received_state.py
@@ -0,0 +1,160 @@
+"""What an edge has received of the core: control state, endpoint list, counts. Each only gets newer,
+whichever member a response comes from.
+
+No I/O; times are seconds on a steady clock, handed in.
+"""
+
+from math import inf
+
+import msgspec
+
+from shedgrade.control_messages import NEVER, ControlChange, Counts, ListMoved, Told, unpacked
+from shedgrade.dataplane.core_member import STALE_CONTROL_S
+
+Update = ControlChange | ListMoved | Counts
+Position = tuple[int, int]  # (epoch, sequence) of control state; (term, number) of the endpoint list
+
+NO_CONTROL: Position = (0, 0)
+NO_LIST: Position = (0, 0)
+NO_CONFIGURATION = -1
+LIST_TAKEOVER_S = 3.0  # by which a list of a lower position must be fresher to replace the one received
+FIRST_STATE_WAIT_S = 0.75  # for which an edge without state asks other members before it applies stale state
+
+
+class ReceivedState:
+    """Positions of what was received, and the updates that are to be applied.
+
+    Attributes:
+        control: position of the newest control state received, also while it is withheld.
+        configuration_version: of the configuration in it; -1 until there is one.
+        endpoint_list: position of the endpoint list received; (0, 0): none, or the edge has applied a list
+            of its own, so that the next response brings a complete one.
+        list_floor: the position below which no list is taken; that of the last list received.
+        list_known_at: when the platform last reported that list; None until there is one.
+        counts: edges and core members as the last fresh response had them; None until there is one.
+        last_response_at: of any member; None until there is one.
+        control_applied: any control state was handed on. From then on none is withheld.
+        withheld: control state of a stale member, received before any was handed on, in order. Guards
+            against an edge that starts and serves by what a member on the minority side of a partition still
+            has.
+        withheld_until: when that is handed on at the latest; inf while nothing is withheld.
+        updates: what is to be applied, in order. The owner takes them out.
+    """
+
+    __slots__ = (
+        "control",
+        "configuration_version",
+        "endpoint_list",
+        "list_floor",
+        "list_known_at",
+        "counts",
+        "last_response_at",
+        "control_applied",
+        "withheld",
+        "withheld_until",
+        "updates",
+    )
+
+    def __init__(self) -> None:
+        self.control: Position = NO_CONTROL
+        self.configuration_version = NO_CONFIGURATION
+        self.endpoint_list: Position = NO_LIST
+        self.list_floor: Position = NO_LIST
+        self.list_known_at: float | None = None
+        self.counts: Counts | None = None
+        self.last_response_at: float | None = None
+        self.control_applied = False
+        self.withheld: list[ControlChange] = []
+        self.withheld_until = inf
+        self.updates: list[Update] = []
+
+    def list_age_s(self, now: float) -> float:
+        """Since the platform reported the endpoint list received; NEVER if there is none."""
+        return NEVER if self.list_known_at is None else max(0.0, now - self.list_known_at)
+
+    def take(self, now: float, response: Told) -> bool:
+        """Moves what is newer to `updates`, and says whether anything was.
+
+        ValueError if the response can't be read; then nothing was taken.
+        """
+        control = self.newer_control(response.control)
+        listed = response.upstreams
+        newer_list = self.is_newer_list(now, listed)
+        if control is not None:
+            self.take_control(now, control)
+        if self.withheld and (self.control_applied or response.fresh_s <= STALE_CONTROL_S):
+            self.release_withheld()
+        if listed is not None and newer_list:
+            self.take_list(now, listed)
+        elif (
+            listed is not None
+            and self.list_known_at is not None
+            and (listed.term, listed.number) == self.endpoint_list
+        ):
+            self.list_known_at = max(self.list_known_at, now - listed.age_s)
+        return control is not None or newer_list
+
+    def newer_control(self, change: ControlChange | None) -> ControlChange | None:
+        """The change as it is to be applied, uncompressed; None if it is not newer, or can't be used."""
+        if change is None or (change.epoch, change.sequence) <= self.control:
+            return None
+        configuration = unpacked(change)
+        if configuration is None and change.version != self.configuration_version:
+            return None  # it answers an older request: what it leaves out is not what was received since
+        if change.version == self.configuration_version:
+            configuration = None
+        return msgspec.structs.replace(change, configuration=configuration or None, compressed=False)
+
+    def is_newer_list(self, now: float, change: ListMoved | None) -> bool:
+        """Whether the list is complete, or a delta to the one received, and newer than that."""
+        if change is None:
+            return False
+        if not (change.whole or (change.from_term, change.from_number) == self.endpoint_list):
+            return False
+        position = change.term, change.number
+        if position > self.list_floor or (position == self.list_floor != self.endpoint_list):
+            return True
+        # Guards against a fleet that waits for a position which no poller reaches: see
+        # `InstanceList.newer_than`.
+        return position != self.endpoint_list and self.list_age_s(now) - change.age_s > LIST_TAKEOVER_S
+
+    def take_control(self, now: float, change: ControlChange) -> None:
+        """Notes newer control state, which is withheld until `take` or `release_withheld` hands it on."""
+        self.control = change.epoch, change.sequence
+        self.configuration_version = change.version
+        self.withheld.append(change)
+        if not self.control_applied:
+            self.withheld_until = min(self.withheld_until, now + FIRST_STATE_WAIT_S)
+
+    def take_list(self, now: float, change: ListMoved) -> None:
+        """Hands a newer endpoint list on."""
+        self.endpoint_list = change.term, change.number
+        self.list_floor = self.endpoint_list
+        self.list_known_at = now - change.age_s
+        self.updates.append(change)
+
+    def take_counts(self, counts: Counts) -> None:
+        """Hands counts on that differ from the last ones."""
+        if counts != self.counts:
+            self.counts = counts
+            self.updates.append(counts)
+
+    def release_withheld(self) -> None:
+        """Hands on what was withheld."""
+        self.control_applied = True
+        self.updates += self.withheld
+        self.withheld = []
+        self.withheld_until = inf
+
+    def own_list_applied(self, now: float) -> None:
+        """The edge has applied a list of its own from the platform: the next one received is complete."""
+        self.endpoint_list = NO_LIST
+        self.list_known_at = now
+
+    def check_invariants(self) -> None:
+        """What holds between two events, see the class. AssertionError if something doesn't."""
+        assert not (self.withheld and self.control_applied), self.withheld
+        assert bool(self.withheld) == (self.withheld_until < inf), self.withheld_until
+        assert (self.control == NO_CONTROL) == (self.configuration_version == NO_CONFIGURATION), self.control
+        assert self.endpoint_list in (NO_LIST, self.list_floor), self.endpoint_list
+        assert self.list_known_at is not None or self.list_floor == NO_LIST, self.list_floor
--- a/shedgrade/dataplane/service.py
+++ b/shedgrade/dataplane/service.py
@@ -149,7 +149,7 @@
     async def probe(self, upstream: int) -> None:
         reach = await self.connections.probe(upstream)
         if reach is not Reach.UP:
-            logger.info("{} can't be reached: {}", self.indices.ids[upstream], reach.value)
+            logger.info("upstream unreachable", upstream=self.indices.ids[upstream], result=reach.value)
             self.turn.gather(self.unreachable, upstream, reach)
 
     def unreachable(self, now: int, upstream: int, reach: Reach) -> None:
--- a/shedgrade/dataplane/state.py
+++ b/shedgrade/dataplane/state.py
@@ -10,6 +10,7 @@
 from shedgrade.dataplane.routes import Routes
 from shedgrade.dataplane.service import ServicePool
 from shedgrade.model_routing.retry_budget import Repeats
+from shedgrade.prefix_cache_index import Record
 from shedgrade.runtime.log import logger
 
 
@@ -23,7 +24,7 @@
         self.regions = {name: number for number, name in enumerate(sorted(set(settings.zones.values())))}
         self.bounds, self.lag = settings.bounds, settings.cloud_api.max_lag_ms / 1000
         self.now, self.make_pool = now, make_pool
-        self.record = None  # of who holds which prompts' parts, if it is kept
+        self.record: Record | None = None  # of who holds which prompts' parts, if it is kept
         self.routes: Routes | None = None
         self.services: dict[str, ServicePool] = {}
         self.instances: dict[str, Instance] = {}
@@ -88,7 +89,7 @@
                 )
                 engine = service.inference_engine
                 pool.times.tokens_per_event = engine.stride if engine is not None else 1.0
-        logger.info("configuration {} is in force, {} services", routes.version, len(routes.services))
+        logger.info("configuration applied", version=routes.version, services=len(routes.services))
 
     def moved(self, change: ListMoved) -> None:
         if change.whole:
@@ -126,10 +127,8 @@
         self.bounds, self.lag = settings.bounds, settings.cloud_api.max_lag_ms / 1000
         self.zones = {zone: region for zone, region in settings.zones.items() if region in self.regions}
         if len(self.zones) < len(settings.zones):
-            logger.warning(
-                "only a start changes regions: {}",
-                ", ".join(sorted(set(settings.zones.values()) - set(self.regions))),
-            )
+            new_regions = sorted(set(settings.zones.values()) - set(self.regions))
+            logger.warning("new regions ignored until restart", regions=", ".join(new_regions))
         for pool in self.services.values():
             pool.repeats.retune(*self.repeat_bounds())
         routes, self.routes = self.routes, None
--- a/shedgrade/dataplane/streams.py
+++ b/shedgrade/dataplane/streams.py
@@ -116,7 +116,7 @@
     def broke(self) -> None:
         """It is not whole, and its client is to see that."""
         if not self.ended:
-            logger.info("a stream is cut after event {}", self.last_id)
+            logger.info("stream truncated", last_event_id=self.last_id)
             self.ended = True
             self.out.break_off()
             self.connection.completed(None)
--- a/shedgrade/http/endpoint_discovery.py
+++ b/shedgrade/http/endpoint_discovery.py
@@ -24,6 +24,7 @@
 # what it gets when an outage ends counts at once, so a call should be open by then
 UNSOUND = 3  # answers running that are no sound list, until what is sound in the last is taken
 TURNED_AWAY = 2.0  # s at the longest where calls wait in turn and it has no list: it has too much to do
+LONGEST_ENTRY_LOGGED = 200  # characters
 LONGEST_LIST = 8 * 1024 * 1024  # bytes: tens of thousands of upstreams
 STATES = {
     "in_service": load_balancing.READY,
@@ -116,7 +117,7 @@
                 self.entry(made)
                 return made
             except (ListError, KeyError, OverflowError, TypeError, ValueError, AttributeError):
-                logger.warning("an entry of the list is not sound: {:.200}", repr(instance))
+                logger.warning("endpoint list entry rejected", entry=repr(instance)[:LONGEST_ENTRY_LOGGED])
         return None
 
     def forget(self, upstream: int) -> None:
@@ -230,17 +231,17 @@
                 if not isinstance(failure, (OSError, TimeoutError, ListError)):
                     # Guards against a fault of our own: a list that nobody follows is never heard of again.
                     # What was half taken is asked for as a whole.
-                    logger.error("fault in the watch on discovery: {!r}", failure)
+                    logger.error("endpoint discovery watch failed internally", error=repr(failure))
                     self.reader.version = None
                 elif not down:
-                    logger.warning("discovery failed, the old list stays: {!r}", failure)
+                    logger.warning("endpoint discovery failed", error=repr(failure))
                 down = True
                 self.failed()
                 await asyncio.sleep(pause * self.span(0.5, 1.0))
                 pause = min(2 * pause, self.refused if isinstance(failure, ListError) else LONGEST_PAUSE)
                 continue
             if down:
-                logger.info("discovery answers again, generation {}", self.reader.version)
+                logger.info("endpoint discovery recovered", generation=self.reader.version)
             pause, down = FIRST_PAUSE, False
 
     async def once(self) -> None:
--- a/shedgrade/http/inbound_connection.py
+++ b/shedgrade/http/inbound_connection.py
@@ -137,7 +137,7 @@
         if not waits or self.gone - waits - count >= TAKEN:
             self.mark = self.gone - waits, now
         elif now - at > (TAKES if self.out is None else TAKES_LONG):
-            logger.info("an answer is cut: of {} bytes, {} were not taken", self.gone, waits)
+            logger.info("response cut, client reads too slowly", written=self.gone, unread=waits)
             self.break_off()
 
     def give_up_coming(self) -> None:
@@ -510,7 +510,7 @@
         if self.transport.is_closing():
             return
         if answer is None:
-            logger.info("an answer is cut: its upstream broke off")
+            logger.info("response cut, upstream broke off")
             self.break_off()
         elif self.out is None and not self.flushing:
             self.settled()
@@ -582,7 +582,7 @@
 
     def head(self, status: int, headers: list, framing: bytes) -> bytes:
         self.since = self.front.loop.time()
-        ending = self.front.leaving() or self.front.crowded()
+        ending = self.front.draining() or self.front.crowded()
         # Guards requests that came early: what has been sent here was taken, though it is unread.
         if ending and not (self.requests or self.begun or self.incoming or self.unread()):
             self.last = True
--- a/shedgrade/http/listener.py
+++ b/shedgrade/http/listener.py
@@ -74,7 +74,7 @@
                 # Guards against a loop that spins: what waits stays there, so it is asked again in a while.
                 if self.loop.time() >= self.told + LOG_INTERVAL:
                     self.told = self.loop.time()
-                    logger.warning("accepting failed: {}", failure.strerror)
+                    logger.warning("accepting failed", error=failure.strerror)
                 self.pause()
                 self.loop.call_later(PAUSE, self.resume)
                 return
--- a/shedgrade/sidecar/lifecycle/sidecar.py
+++ b/shedgrade/sidecar/lifecycle/sidecar.py
@@ -75,7 +75,7 @@
         self.clock = Clock()
         self.budget = Budget(config.sockets, config.memory_mb)
         self.pool = Pool("", config.settings, config.seed, loop, self.clock, self.budget, decisions)
-        self.front = Front(loop, self.pool, self.budget, self.ready, self.leaving)
+        self.front = Front(loop, self.pool, self.budget, self.ready, self.draining)
         self.parts: list = []  # what features add: started, drained and ended with the rest
         self.listener, self.last_look = None, 0.0
         self.orders = OrderBook(self)
@@ -100,7 +100,7 @@
     def ready(self) -> bool:
         return self.phase is Phase.SERVING and self.pool.listed_once
 
-    def leaving(self) -> bool:
+    def draining(self) -> bool:
         return self.phase in (Phase.STANDING_BY, Phase.DRAINING, Phase.CLOSED)
 
     def takes_clients(self) -> bool:
--- a/shedgrade/sidecar/tunnel/assemble.py
+++ b/shedgrade/sidecar/tunnel/assemble.py
@@ -50,7 +50,9 @@
                 )
                 connections.proxied = True
         self.fronts = {
-            name: sidecar.front if name == MAIN else Front(loop, pool, budget, sidecar.ready, sidecar.leaving)
+            name: sidecar.front
+            if name == MAIN
+            else Front(loop, pool, budget, sidecar.ready, sidecar.draining)
             for name, pool in self.pools.items()
         }
         self.tunnels = self.make_tunnels() if features.tunnel is not None else None
--- a/shedgrade/upstream_pool/front.py
+++ b/shedgrade/upstream_pool/front.py
@@ -28,10 +28,10 @@
         pool: "Pool",
         budget: Budget,
         ready: Callable[[], bool],
-        leaving: Callable[[], bool],
+        draining: Callable[[], bool],
     ) -> None:
         """`ready`: what `/up` answers; `leaving`: answers end their connection, as the process drains."""
-        self.loop, self.pool, self.budget, self.ready, self.leaving = loop, pool, budget, ready, leaving
+        self.loop, self.pool, self.budget, self.ready, self.draining = loop, pool, budget, ready, draining
         self.turn = pool.turn
         self.clients: dict = {}
         self.accepting: set = set()  # connections that were accepted and are being taken up
@@ -86,7 +86,7 @@
             unused.cut()
         if self.loop.time() >= self.crowd_told + BETWEEN:
             self.crowd_told = self.loop.time()
-            logger.warning("{} connections of the application: unused ones are closed", len(self.clients))
+            logger.warning("client connections over budget, closing idle ones", connections=len(self.clients))
         return unused is not None
 
     def room_for(self, count: int) -> bool:
--- a/shedgrade/upstream_pool/pool.py
+++ b/shedgrade/upstream_pool/pool.py
@@ -83,12 +83,9 @@
         """One source of the list is in charge at any moment: nothing, what was known, what was saved,
         discovery."""
         if source != self.source:
-            logger.info("list{}: from {} to {}", self.label(), self.source, source)
+            logger.info("endpoint list source changed", previous=self.source, source=source, pool=self.name)
             self.source = source
 
-    def label(self) -> str:
-        return f" of pool {self.name}" if self.name else ""
-
     def listed(self, message: object, asked: bool = True, part: bool = False) -> None:
         """ListError for what is no list; else it is in charge from the next turn on. `part`: what of it is
         sound."""
@@ -101,17 +98,17 @@
                 # Nor is an entry that is not sound: it would spoil the start from what was saved.
                 taken = [] if quiet else self.reader.taken
                 self.saved.told({**message, "instances": taken} if quiet or part else message)
-        leaving = [row[0] for row in rows if row[2] != load_balancing.READY]
+        draining = [row[0] for row in rows if row[2] != load_balancing.READY]
         self.turn.listed(rows, whole, asked)  # first: what is withdrawn is decided anew by this list
-        for upstream in (*moved, *leaving):
+        for upstream in (*moved, *draining):
             self.connections.withdraw(upstream)
         if (rows and not quiet) or not asked:
             logger.info(
-                "list generation {}{}: {} entries{}",
-                self.reader.version,
-                self.label(),
-                len(rows),
-                ", whole" * whole,
+                "endpoint list updated",
+                generation=self.reader.version,
+                entries=len(rows),
+                complete=whole,
+                pool=self.name,
             )
         self.listed_once = True
 
--- a/tests/controlplane/cut_world.py
+++ b/tests/controlplane/cut_world.py
@@ -16,7 +16,7 @@
 
 from shedgrade.controlplane.orders import PutConfiguration, Reply
 from shedgrade.controlplane.plane import ControlPlane
-from shedgrade.dataplane.plane import DataPlane
+from shedgrade.dataplane.plane import HEALTH_CHECK_INTERVAL_S, DataPlane
 from shedgrade.peer_transport.peer import LinkError
 from shedgrade.process_settings.reading import check
 
@@ -154,6 +154,8 @@
         self.loop = ProcessLoop(world.loop)
         self.plane = make(self.loop)
         self.links = self.plane.links = Links(world, self)
+        if isinstance(self.plane, DataPlane):
+            self.plane.control.links = self.plane.loads.links = self.links
 
     def arrives(self, sender: str, body: bytes, number: int, answers: bool) -> None:
         if answers:
@@ -218,8 +220,9 @@
             self, number, lambda loop: DataPlane(settings, loop, Random(self.random.getrandbits(40)))
         )
         self.edges[process.address] = process
-        process.loop.call_soon(process.plane.ask)
-        process.loop.call_soon(process.plane.beat)
+        plane = process.plane
+        process.loop.call_soon(plane.control.run_instructions)
+        process.loop.call_soon(plane.repeat, HEALTH_CHECK_INTERVAL_S, plane.check_health)
         return process
 
     def primary(self) -> Process:
--- a/tests/controlplane/test_cut_off_edges.py
+++ b/tests/controlplane/test_cut_off_edges.py
@@ -7,10 +7,10 @@
 from controlplane.cut_world import APPLY, CutWorld, address
 from controlplane.virtual_loop import play
 
-from shedgrade.dataplane.control_client import FIRST_PATIENCE, Watcher
+from shedgrade.dataplane.received_state import FIRST_STATE_WAIT_S, ReceivedState
 
 ASKED = 0.3  # s in which a starting edge has asked others: three ways there and back, and its timer
-take = Watcher.take
+take = ReceivedState.take
 
 
 async def minority_cut_off(loop, folder, cores, cut_off) -> tuple[CutWorld, list]:
@@ -74,7 +74,7 @@
         edge = SimpleNamespace(address=address(number))
         world.cut(edge, *world.others(*side))
         edge = world.start_edge(number, 1, 2, 3)
-        assert await serving(world, edge, 1) < FIRST_PATIENCE + 0.1
+        assert await serving(world, edge, 1) < FIRST_STATE_WAIT_S + 0.1
         assert edge.plane.ready()
         await world.run(5.0)
         world.heal()
@@ -90,6 +90,6 @@
 
 
 def test_one_that_takes_any_first_word_is_found(tmp_path, monkeypatch):
-    monkeypatch.setattr(Watcher, "take", believes_all)
+    monkeypatch.setattr(ReceivedState, "take", believes_all)
     with pytest.raises(AssertionError, match="serves by 1"):
         test_one_that_starts_serves_by_nothing_old_where_a_majority_can_be_asked(tmp_path, 3, 1, 0, 11)
--- a/tests/controlplane/test_cut_off_for_long.py
+++ b/tests/controlplane/test_cut_off_for_long.py
@@ -8,7 +8,7 @@
 from shedgrade.replication.contact import MajorityContact
 
 CUT = 20  # s
-OLD = 0.8  # s, `asking.OLD_WORD`
+OLD = 0.8  # s, `core_member.STALE_CONTROL_S`
 
 
 async def settled(loop, folder, cores=3) -> CutWorld:
@@ -38,7 +38,7 @@
     cut_off = role(world, which)
     prefer(world, edge, cut_off)
     await world.run(40.0)
-    assert edge.plane.watcher.main.address == cut_off.address
+    assert edge.plane.watcher.preferred_member.address == cut_off.address
     world.cut(cut_off, *world.others(cut_off), ways=ways)
     said = []
     for version in range(2, CUT + 2):
--- a/tests/dataplane/ingress_rig.py
+++ b/tests/dataplane/ingress_rig.py
@@ -133,13 +133,13 @@
     def ready(self):
         return self.state.ready()
 
-    def leaving(self):
+    def draining(self):
         return self.left
 
-    def takes(self, longest_s):
+    def accepts(self, longest_s):
         return not self.refuses
 
-    def returns_in(self):
+    def retry_after_s(self):
         return 0.0
 
 
--- a/tests/dataplane/stepped_clients.py
+++ b/tests/dataplane/stepped_clients.py
@@ -137,9 +137,9 @@
             routes=Routes(routes, {"east": 0}),
             services={"lm": self.pool},
             ready=lambda: True,
-            leaving=lambda: False,
+            draining=lambda: False,
             takes=lambda longest_s: True,
-            returns_in=lambda: 0.0,
+            retry_after_s=lambda: 0.0,
         )
         self.front = IngressFront(self.loop, plane, self.pool.connections.budget, Random(7))
 
--- a/tests/dataplane/test_asking.py
+++ b/tests/dataplane/test_control_client.py
@@ -1,4 +1,5 @@
-"""Asking: whom an edge asks, what it takes, and how soon it hears, in virtual time against real hubs."""
+"""The control client: which member an edge watches, what it takes, and how soon it hears, in virtual time
+against real hubs."""
 
 from heapq import heappop, heappush
 from itertools import count
@@ -22,7 +23,17 @@
 )
 from shedgrade.controlplane.platform_poller import InstanceList
 from shedgrade.controlplane.watch_hub import WatchHub
-from shedgrade.dataplane.control_client import Watcher
+from shedgrade.dataplane.control_client import (
+    ApplyUpdates,
+    EdgeChangedEvent,
+    MembersDiscoveredEvent,
+    OwnListAppliedEvent,
+    RequestFailedEvent,
+    ResponseEvent,
+    SendWatchRequest,
+    TickEvent,
+    Watcher,
+)
 
 SEEDS = ("10.1.0.14:7300", "10.2.0.41:7300", "10.3.0.12:7300")
 EDGE = EdgeState("edge-1", "10.1.0.12:8263", "north-a", "north", 5)
@@ -53,13 +64,13 @@
     """Core members with hubs, one edge, and a network between them. `silent`: hears and says nothing;
     `refusing`: its port is dead; `old`: does not hear the primary or of the list."""
 
-    def __init__(self, seed=1, way=0.01, seeds=SEEDS, beat=1.0, numbered=True) -> None:
+    def __init__(self, seed=1, way=0.01, seeds=SEEDS, max_wait_s=1.0, numbered=True) -> None:
         self.random, self.now, self.events, self.order = Random(seed), 100.0, [], count()
         self.way = dict.fromkeys(SEEDS, way)
         self.hubs = {address: WatchHub(address, self.now) for address in SEEDS}
         self.lists = {address: InstanceList(lambda: self.now) for address in SEEDS}
         self.silent, self.refusing, self.old = set(), set(), set()
-        self.beat_at, self.asked, self.numbered = {}, [], numbered
+        self.asked, self.numbered = [], numbered
         self.open: dict[int, object] = {}
         self.known: dict[str, object] = {}
         self.told: list[tuple[float, object]] = []
@@ -68,7 +79,7 @@
         self.polls.lead(1)
         self.names = ["a", "b"]
         self.at(0.0, self.beat)
-        self.watcher = Watcher(EDGE, seeds, self.random, self.now, beat=beat)
+        self.watcher = Watcher(EDGE, seeds, self.random, self.now, max_wait_s=max_wait_s)
         self.carry_out()
 
     def at(self, after: float, call, *args) -> None:
@@ -88,50 +99,60 @@
                 _, _, call, args = heappop(self.events)
                 call(*args)
             elif who == 1:
-                self.watcher.tick(self.now)
+                self.watcher.handle_event(TickEvent(self.now))
             else:
                 self.hubs[who].tick(self.now)
             self.carry_out()
         self.now = until
 
     def carry_out(self) -> None:
-        effects, self.watcher.effects[:] = list(self.watcher.effects), []
-        for effect in effects:
-            self.asked.append((self.now, effect.address, effect.ask.wait))
-            self.open[effect.number] = effect
-            way = self.way.get(effect.address, 0.01)
-            if effect.address not in self.hubs or effect.address in self.refusing:
-                self.at(way, self.report, effect, None)
-            else:
-                self.at(way, self.arrives, effect)
-                self.at(effect.timeout, self.report, effect, None)
-        for update in self.watcher.updates:
-            self.told.append((self.now, update))
-            self.apply(update)
-        self.watcher.updates.clear()
-
-    def arrives(self, effect) -> None:
-        if effect.address in self.silent:
+        self.watcher.check_invariants()
+        for instruction in self.watcher.take_instructions():
+            match instruction:
+                case SendWatchRequest():
+                    self.send(instruction)
+                case ApplyUpdates(updates):
+                    for update in updates:
+                        self.told.append((self.now, update))
+                        self.apply(update)
+
+    def handle(self, event) -> None:
+        self.watcher.handle_event(event)
+        self.watcher.check_invariants()
+
+    def send(self, sent) -> None:
+        assert sent.is_probe == (sent.request.wait == 0)
+        self.asked.append((self.now, sent.address, sent.request.wait))
+        self.open[sent.number] = sent
+        way = self.way.get(sent.address, 0.01)
+        if sent.address not in self.hubs or sent.address in self.refusing:
+            self.at(way, self.report, sent, None)
+        else:
+            self.at(way, self.arrives, sent)
+            self.at(sent.timeout_s, self.report, sent, None)
+
+    def arrives(self, sent) -> None:
+        if sent.address in self.silent:
             return
-        ask = decode(encode(effect.ask))
-        self.hubs[effect.address].ask(
+        ask = decode(encode(sent.request))
+        self.hubs[sent.address].ask(
             self.now,
             ask,
-            lambda told: self.at(self.way[effect.address], self.comes, effect, decode(encode(told))),
+            lambda told: self.at(self.way[sent.address], self.comes, sent, decode(encode(told))),
         )
 
-    def comes(self, effect, told) -> None:
-        if effect.address not in self.silent:
-            self.report(effect, told)
+    def comes(self, sent, told) -> None:
+        if sent.address not in self.silent:
+            self.report(sent, told)
 
-    def report(self, effect, told) -> None:
-        if self.open.pop(effect.number, None) is None:
+    def report(self, sent, told) -> None:
+        if self.open.pop(sent.number, None) is None:
             return
-        number = [effect.number] if self.numbered else []
+        number = [sent.number] if self.numbered else []
         if told is None:
-            self.watcher.failed(self.now, effect.address, *number)
+            self.handle(RequestFailedEvent(self.now, sent.address, *number))
         else:
-            self.watcher.answered(self.now, effect.address, told, *number)
+            self.handle(ResponseEvent(self.now, sent.address, told, *number))
 
     def apply(self, update) -> None:
         match update:
@@ -180,7 +201,7 @@
     world.run(3.0)  # the third is measured in the meantime
     world.asked.clear()
     world.run(20.0)
-    assert {address for _, address, _ in world.asked} == {world.watcher.main.address}
+    assert {address for _, address, _ in world.asked} == {world.watcher.preferred_member.address}
     assert len(world.asked) == pytest.approx(20, abs=2)
 
 
@@ -193,7 +214,7 @@
     world.run(0.06)
     assert "configuration" in world.known
     world.run(1.0)
-    assert world.watcher.counts.edges == 1 and world.watcher.counts.members == SEEDS
+    assert world.watcher.received.counts.edges == 1 and world.watcher.received.counts.members == SEEDS
 
 
 @pytest.mark.parametrize("numbered", [True, False])
@@ -229,7 +250,7 @@
     world = World(seed)
     world.way = dict(zip(SEEDS, (0.035, 0.0009, 0.036), strict=True))
     world.run(5.0)
-    assert world.watcher.main.address == SEEDS[1]
+    assert world.watcher.preferred_member.address == SEEDS[1]
     world.asked.clear()
     world.run(100.0)
     far = [address for _, address, _ in world.asked if address != SEEDS[1]]
@@ -243,15 +264,17 @@
     world = World(seed, numbered=numbered)
     world.way = dict(zip(SEEDS, (0.001, 0.035, 0.036), strict=True))
     world.run(5.0)
-    assert world.watcher.main.address == SEEDS[0]
+    assert world.watcher.preferred_member.address == SEEDS[0]
     getattr(world, how).add(SEEDS[0])
     world.change(3)
     world.run(2.0)
     assert world.known["configuration"] == state(3)["configuration"]
-    assert world.watcher.main.address != SEEDS[0] and world.watcher.lost(world.now) < 1.2
+    assert (
+        world.watcher.preferred_member.address != SEEDS[0] and world.watcher.response_age_s(world.now) < 1.2
+    )
     getattr(world, how).discard(SEEDS[0])
     world.run(7.0)
-    assert world.watcher.main.address == SEEDS[0]
+    assert world.watcher.preferred_member.address == SEEDS[0]
 
 
 def test_dead_members_are_not_asked_all_the_time():
@@ -272,38 +295,44 @@
     world.asked.clear()
     world.run(30.0)
     assert 30 < len(world.asked) < 130
-    assert world.watcher.lost(world.now) > 28 and world.known["configuration"] == state(3)["configuration"]
+    assert (
+        world.watcher.response_age_s(world.now) > 28
+        and world.known["configuration"] == state(3)["configuration"]
+    )
     getattr(world, how).clear()
     world.change(4)
     world.run(1.2)
-    assert world.known["configuration"] == state(4)["configuration"] and world.watcher.lost(world.now) < 1.2
+    assert (
+        world.known["configuration"] == state(4)["configuration"]
+        and world.watcher.response_age_s(world.now) < 1.2
+    )
 
 
 def test_the_platform_is_asked_only_when_all_are_silent_and_at_a_share():
     world = World()
     world.run(5.0)
-    assert world.watcher.own_poll(world.now, 40.0) is None
+    assert world.watcher.platform_poll_interval_s(world.now, 40.0) is None
     world.silent.update(SEEDS)
     world.run(5.0)
-    assert world.watcher.own_poll(world.now, 40.0) == 3.0
-    world.watcher.counts = Counts(540, SEEDS)
-    assert world.watcher.own_poll(world.now, 40.0) == pytest.approx(54.0)
-    assert Watcher(EDGE, SEEDS, Random(1), 0.0).own_poll(3.5, 4.0) == 3.0
+    assert world.watcher.platform_poll_interval_s(world.now, 40.0) == 3.0
+    world.watcher.received.counts = Counts(540, SEEDS)
+    assert world.watcher.platform_poll_interval_s(world.now, 40.0) == pytest.approx(54.0)
+    assert Watcher(EDGE, SEEDS, Random(1), 0.0).platform_poll_interval_s(3.5, 4.0) == 3.0
 
 
 def test_an_edge_that_applied_its_own_list_is_told_the_whole_next_and_none_older():
     world = World()
     world.run(2.0)
-    held = world.watcher.upstreams
+    held = world.watcher.received.endpoint_list
     world.silent.update(SEEDS)
     world.run(4.0)
     world.known["list"] = {}
-    world.watcher.departed(world.now)
+    world.handle(OwnListAppliedEvent(world.now))
     moved = ListMoved(held[0], held[1] - 1, 0.5)
-    assert not world.watcher.newer_list(world.now, moved)
+    assert not world.watcher.received.is_newer_list(world.now, moved)
     world.silent.clear()
     world.run(2.0)
-    assert set(world.known["list"]) == {"a", "b"} and world.watcher.upstreams == held
+    assert set(world.known["list"]) == {"a", "b"} and world.watcher.received.endpoint_list == held
 
 
 @pytest.mark.parametrize("seed", range(4))
@@ -317,15 +346,16 @@
     world.change(4)
     world.run(3.0)
     assert world.known["configuration"] == state(4)["configuration"]
-    assert world.watcher.main.address != SEEDS[0]
+    assert world.watcher.preferred_member.address != SEEDS[0]
     world.run(3.0)
-    assert world.watcher.main.address != SEEDS[0]
+    assert world.watcher.preferred_member.address != SEEDS[0]
     world.old.clear()
     world.run(5.0)
-    assert world.watcher.main.address != SEEDS[0]  # it hears the primary again, and knows less than the edge
+    # It hears the primary again, and knows less than the edge.
+    assert world.watcher.preferred_member.address != SEEDS[0]
     world.change(5)
     world.run(40.0)
-    assert world.watcher.main.address == SEEDS[0]
+    assert world.watcher.preferred_member.address == SEEDS[0]
     assert world.known["configuration"] == state(5)["configuration"]
 
 
@@ -345,9 +375,9 @@
     for numbered in (True, False):
         world = World(numbered=numbered)
         world.run(5.5)
-        main = world.watcher.main
-        world.watcher.changed(world.now, msgspec.structs.replace(EDGE, state=READY))
-        world.watcher.changed(world.now, msgspec.structs.replace(EDGE, state=READY))
+        main = world.watcher.preferred_member
+        world.handle(EdgeChangedEvent(world.now, msgspec.structs.replace(EDGE, state=READY)))
+        world.handle(EdgeChangedEvent(world.now, msgspec.structs.replace(EDGE, state=READY)))
         world.carry_out()
         assert sum(at == world.now for at, _, _ in world.asked) == 1
         world.run(0.02)
@@ -355,17 +385,19 @@
         assert seen.ready
         for step in range(30):
             world.run(0.1 * (step % 4))
-            world.watcher.changed(world.now, msgspec.structs.replace(EDGE, state=READY, in_flight=step))
+            changed = msgspec.structs.replace(EDGE, state=READY, in_flight=step)
+            world.handle(EdgeChangedEvent(world.now, changed))
             world.carry_out()
         world.run(5.0)
-        assert world.watcher.main is main and main.failures == 0 and world.watcher.lost(world.now) < 1.1
+        assert world.watcher.preferred_member is main and main.failures == 0
+        assert world.watcher.response_age_s(world.now) < 1.1
 
 
 def test_an_edge_that_leaves_tells_two():
     world = World()
     world.run(5.0)
-    world.silent.add(world.watcher.main.address)
-    world.watcher.changed(world.now, msgspec.structs.replace(EDGE, state=LEAVING))
+    world.silent.add(world.watcher.preferred_member.address)
+    world.handle(EdgeChangedEvent(world.now, msgspec.structs.replace(EDGE, state=LEAVING)))
     world.carry_out()
     world.run(0.1)
     assert any(
@@ -376,7 +408,7 @@
 def test_members_named_by_answers_are_asked_and_dead_seeds_no_more():
     world = World(seeds=("10.9.0.1:7300", "10.9.0.2:7300", SEEDS[0]))
     world.run(10.0)
-    assert {member.address for member in world.watcher.members.values() if member.named} == set(SEEDS)
+    assert {member.address for member in world.watcher.members.values() if member.listed} == set(SEEDS)
     world.asked.clear()
     world.run(40.0)
     assert not any(address.startswith("10.9") for _, address, _ in world.asked)
@@ -389,8 +421,8 @@
     world = World()
     world.run(5.0)
     broken = Told(ControlChange(9, 9, 9, b"junk", (), True), None, 1, SEEDS, 0.0, 0.0)
-    world.watcher.answered(world.now, world.watcher.main.address, broken)
-    assert world.watcher.control == (0, 0) and not world.watcher.updates
+    world.handle(ResponseEvent(world.now, world.watcher.preferred_member.address, broken))
+    assert world.watcher.received.control == (0, 0) and not world.watcher.received.updates
 
 
 def test_older_answers_and_answers_to_older_asks_change_nothing():
@@ -398,25 +430,25 @@
     world.change(3)
     world.change(3, "south-a")
     world.run(5.0)
-    watcher, address = world.watcher, world.watcher.main.address
-    assert watcher.control == (1, 2) and watcher.version == 3
+    watcher, address = world.watcher, world.watcher.preferred_member.address
+    assert watcher.received.control == (1, 2) and watcher.received.configuration_version == 3
     for change in (
         ControlChange(1, 1, 2, b"old"),
         ControlChange(1, 2, 3, b"same"),
         ControlChange(0, 9, 9, b"old"),
         ControlChange(1, 3, 4, None),
     ):
-        watcher.answered(world.now, address, Told(change, None, 1, SEEDS, 0.0, 0.0, 1.0))
-    assert watcher.control == (1, 2) and watcher.version == 3
-    term, number = watcher.upstreams
+        world.handle(ResponseEvent(world.now, address, Told(change, None, 1, SEEDS, 0.0, 0.0, 1.0)))
+    assert watcher.received.control == (1, 2) and watcher.received.configuration_version == 3
+    term, number = watcher.received.endpoint_list
     for moved in (
         ListMoved(term, number - 1, 0.0),
         ListMoved(term, number + 9, 0.0, term, number + 8),
         ListMoved(term, number, 0.0),
     ):
-        watcher.answered(world.now, address, Told(None, moved, 1, SEEDS, 0.0, 0.0, 1.0))
-    assert watcher.upstreams == (term, number) and not [
-        update for update in watcher.updates if not isinstance(update, Counts)
+        world.handle(ResponseEvent(world.now, address, Told(None, moved, 1, SEEDS, 0.0, 0.0, 1.0)))
+    assert watcher.received.endpoint_list == (term, number) and not [
+        update for update in watcher.received.updates if not isinstance(update, Counts)
     ]
 
 
@@ -424,7 +456,7 @@
     world = World()
     world.polls.lead(7)
     world.run(3.0)
-    assert world.watcher.upstreams[0] == 7
+    assert world.watcher.received.endpoint_list[0] == 7
     for address, hub in world.hubs.items():
         world.lists[address] = InstanceList(lambda: world.now)
         hub.list = None
@@ -432,18 +464,21 @@
     world.polls.lead(1)
     world.names = ["z"]
     world.run(6.0)
-    assert set(world.known["list"]) == {"z"} and world.watcher.list_age(world.now) < 1.5
+    assert set(world.known["list"]) == {"z"} and world.watcher.received.list_age_s(world.now) < 1.5
 
 
 def test_an_answer_that_was_long_under_way_is_as_old_as_its_ask():
     world = World()
     world.run(5.0)
-    watcher, main = world.watcher, world.watcher.main
-    call = main.call
+    watcher, main = world.watcher, world.watcher.preferred_member
+    call = main.pending
     world.now += 20.0
-    watcher.answered(world.now, main.address, Told(None, None, 1, SEEDS, 0.25, 0.25, 0.5), call.number)
-    assert main.stale > 15.0
-    assert [effect.ask.wait for effect in watcher.effects if effect.address != main.address] == [0.0]
+    world.handle(
+        ResponseEvent(world.now, main.address, Told(None, None, 1, SEEDS, 0.25, 0.25, 0.5), call.number)
+    )
+    assert main.staleness_s > 15.0
+    sent = [one for one in watcher.take_instructions() if isinstance(one, SendWatchRequest)]
+    assert [one.request.wait for one in sent if one.address != main.address] == [0.0]
 
 
 def test_no_members_at_all_and_one_only():
@@ -452,7 +487,7 @@
     world.change(3)
     world.run(0.1)
     assert "configuration" in world.known
-    assert Watcher(EDGE, SEEDS, Random(1), 0.0).list_age(5.0) == NEVER
+    assert Watcher(EDGE, SEEDS, Random(1), 0.0).received.list_age_s(5.0) == NEVER
 
 
 @pytest.mark.parametrize("seed", range(60))
@@ -485,3 +520,38 @@
     assert world.known["configuration"] == state(version // 2 + 2)["configuration"]
     assert world.known["evacuations"] == ("end",) and set(world.known["list"]) == set(world.names)
     assert len(world.asked) / (world.now - 100.0) < 8
+
+
+def test_members_that_others_speak_of_are_remembered_and_asked_only_when_all_listed_fail():
+    world = World()
+    world.run(1.0)
+    found = "10.9.0.7:7300"
+    world.handle(MembersDiscoveredEvent((found,)))
+    world.run(10.0)
+    assert not world.watcher.members[found].listed
+    assert found not in {address for _, address, _ in world.asked}
+    world.refusing.update(SEEDS)
+    world.run(5.0)
+    assert found in {address for _, address, _ in world.asked}
+
+
+@pytest.mark.parametrize(
+    "broken",
+    [
+        lambda watcher: setattr(watcher.preferred_member, "failures", 1),
+        lambda watcher: watcher.members.pop(watcher.preferred_member.address),
+        lambda watcher: watcher.preferred_member.unreported.clear(),
+        lambda watcher: setattr(watcher.received, "withheld_until", 7.0),
+        lambda watcher: setattr(watcher.received, "endpoint_list", (9, 9)),
+        lambda watcher: setattr(watcher, "request_number", 0),
+    ],
+    ids=["failed", "unknown", "pending unreported", "withheld", "list over its floor", "number"],
+)
+def test_the_check_of_invariants_finds_what_is_broken(broken):
+    world = World()
+    world.change(3)
+    world.run(5.0)
+    world.watcher.check_invariants()
+    broken(world.watcher)
+    with pytest.raises(AssertionError):
+        world.watcher.check_invariants()
--- a/tests/dataplane/test_draining.py
+++ b/tests/dataplane/test_draining.py
@@ -1,4 +1,4 @@
-"""What a process that was told to end still takes, and when it ends."""
+"""What a process that is shutting down still accepts, and when it exits."""
 
 from math import inf
 
@@ -6,75 +6,77 @@
 
 from shedgrade.control_messages import LEAVING, NOBODY, READY
 from shedgrade.dataplane.draining import (
-    ENDS,
-    ENDS_IN_HAND,
-    STARTS_AGAIN,
-    TAKES_ALL,
-    TAKES_ALL_FIRST,
-    WORD_HOLDS,
-    Drain,
+    ACCEPT_ALL_FIRST_S,
+    ACCEPT_ALL_S,
+    CANCEL_BEFORE_KILL_S,
+    COVER_VALID_S,
+    EXIT_BEFORE_KILL_S,
+    RESTART_S,
+    Draining,
 )
 
 GRACE = 8.0
 SIGTERM = 100.0
-AFTER = SIGTERM + TAKES_ALL + 0.01  # not all that comes is taken any more
+AFTER = SIGTERM + ACCEPT_ALL_S + 0.01  # not all requests are accepted any more
 
 
 @pytest.fixture
-def drain():
-    return Drain(SIGTERM, GRACE)
+def draining():
+    state = Draining(SIGTERM, GRACE)
+    yield state
+    state.check_invariants()
 
 
 @pytest.mark.parametrize("cover", [READY, NOBODY])
-def test_all_that_comes_at_first_is_taken(drain, cover):
+def test_all_requests_are_accepted_at_first(draining, cover):
     """Clients hold addresses that long, and what is cut after that counts as planned."""
-    drain.told(SIGTERM + TAKES_ALL, cover)
-    assert drain.takes(SIGTERM + TAKES_ALL, inf, SIGTERM) and not drain.takes(AFTER, inf, inf)
-    assert not drain.may_end(SIGTERM + TAKES_ALL) and drain.may_end(AFTER)
-    assert TAKES_ALL < 3.0
+    draining.cover_received(SIGTERM + ACCEPT_ALL_S, cover)
+    assert draining.accepts(SIGTERM + ACCEPT_ALL_S, inf, SIGTERM) and not draining.accepts(AFTER, inf, inf)
+    assert not draining.may_exit(SIGTERM + ACCEPT_ALL_S) and draining.may_exit(AFTER)
+    assert ACCEPT_ALL_S < 3.0
 
 
-def test_who_goes_before_others_of_its_region_makes_more_haste(drain):
+def test_a_process_that_exits_before_others_of_its_region_drains_faster(draining):
     """It is back while they still take its clients."""
-    drain.told(SIGTERM + TAKES_ALL_FIRST, LEAVING)
-    assert not drain.may_end(SIGTERM + TAKES_ALL_FIRST)
-    assert drain.may_end(SIGTERM + TAKES_ALL_FIRST + 0.01)
-    assert not drain.takes(SIGTERM + TAKES_ALL_FIRST + 0.01, inf, inf)
+    draining.cover_received(SIGTERM + ACCEPT_ALL_FIRST_S, LEAVING)
+    assert not draining.may_exit(SIGTERM + ACCEPT_ALL_FIRST_S)
+    assert draining.may_exit(SIGTERM + ACCEPT_ALL_FIRST_S + 0.01)
+    assert not draining.accepts(SIGTERM + ACCEPT_ALL_FIRST_S + 0.01, inf, inf)
 
 
-def test_then_only_what_keeps_it_no_longer_is_taken(drain):
-    assert drain.takes(AFTER, 1.5, AFTER + 1.6) and not drain.takes(AFTER, 1.5, AFTER + 1.4)
+def test_then_only_requests_that_end_before_those_in_flight_are_accepted(draining):
+    assert draining.accepts(AFTER, 1.5, AFTER + 1.6) and not draining.accepts(AFTER, 1.5, AFTER + 1.4)
 
 
-def test_nothing_is_taken_that_may_last_beyond_the_grace(drain):
-    last = SIGTERM + GRACE - ENDS_IN_HAND
-    assert drain.takes(last - 1.6, 1.5, inf) and not drain.takes(last - 1.4, 1.5, inf)
-    assert drain.ends_at == SIGTERM + GRACE - ENDS
+def test_nothing_is_accepted_that_may_last_beyond_the_grace(draining):
+    last = SIGTERM + GRACE - CANCEL_BEFORE_KILL_S
+    assert draining.accepts(last - 1.6, 1.5, inf) and not draining.accepts(last - 1.4, 1.5, inf)
+    assert draining.exit_at == SIGTERM + GRACE - EXIT_BEFORE_KILL_S
 
 
-def test_a_word_that_is_old_counts_for_nothing(drain):
+def test_cover_that_was_received_long_ago_counts_for_nothing(draining):
     """The others may have been told to end as well, and the control plane may be out of reach."""
-    assert drain.covered_by(SIGTERM) == NOBODY
-    drain.told(SIGTERM + 2.0, READY)
-    assert drain.covered_by(SIGTERM + 2.0 + WORD_HOLDS) == READY
-    assert drain.covered_by(SIGTERM + 2.01 + WORD_HOLDS) == NOBODY
+    assert draining.covered_by(SIGTERM) == NOBODY
+    draining.cover_received(SIGTERM + 2.0, READY)
+    assert draining.covered_by(SIGTERM + 2.0 + COVER_VALID_S) == READY
+    assert draining.covered_by(SIGTERM + 2.01 + COVER_VALID_S) == NOBODY
 
 
-def test_a_refused_client_is_told_when_somebody_serves_again(drain):
+def test_a_rejected_client_is_told_when_somebody_serves_again(draining):
     """Once what is in hand is answered, and the machine's next process has started."""
-    drain.told(AFTER, NOBODY)
-    assert drain.returns_in(AFTER, AFTER + 2.0) == pytest.approx(2.0 + STARTS_AGAIN)
-    assert drain.returns_in(AFTER, AFTER - 1.0) == pytest.approx(STARTS_AGAIN)
-    latest = drain.ends_in_hand_at + STARTS_AGAIN
-    assert drain.returns_in(AFTER, inf) == pytest.approx(latest - AFTER)
+    draining.cover_received(AFTER, NOBODY)
+    assert draining.retry_after_s(AFTER, AFTER + 2.0) == pytest.approx(2.0 + RESTART_S)
+    assert draining.retry_after_s(AFTER, AFTER - 1.0) == pytest.approx(RESTART_S)
+    latest = draining.cancel_at + RESTART_S
+    assert draining.retry_after_s(AFTER, inf) == pytest.approx(latest - AFTER)
 
 
 @pytest.mark.parametrize("cover", [READY, LEAVING])
-def test_a_refused_client_goes_elsewhere_at_once_where_others_serve(drain, cover):
-    drain.told(AFTER, cover)
-    assert drain.returns_in(AFTER, AFTER + 2.0) == 0.0
+def test_a_rejected_client_goes_elsewhere_at_once_where_others_serve(draining, cover):
+    draining.cover_received(AFTER, cover)
+    assert draining.retry_after_s(AFTER, AFTER + 2.0) == 0.0
 
 
-def test_a_grace_that_is_shorter_than_the_time_in_which_all_is_taken():
-    short = Drain(SIGTERM, 1.0)
-    assert SIGTERM < short.ends_in_hand_at <= short.ends_at
+def test_a_grace_that_is_shorter_than_the_time_in_which_all_is_accepted():
+    short = Draining(SIGTERM, 1.0)
+    assert SIGTERM < short.cancel_at <= short.exit_at
--- a/tests/dataplane/test_ingress.py
+++ b/tests/dataplane/test_ingress.py
@@ -644,8 +644,8 @@
             writer.write(chunk(events(2, 3)) + LAST)
 
         async with sidecar(configuration(route()), Upstream("i-1", stream)) as plane:
-            plane.left, plane.returns_in = True, lambda: 3.0
-            plane.takes = lambda longest_s: asked.append(longest_s) or longest_s <= 1.0
+            plane.left, plane.retry_after_s = True, lambda: 3.0
+            plane.accepts = lambda longest_s: asked.append(longest_s) or longest_s <= 1.0
             for number in range(ENOUGH + 1):
                 await answered(plane, request(name=f"a{number}", token_usage="10,15", wait=900))
             assert min(asked) < 0.9 and asked[0] == 0.9
--- a/tests/dataplane/test_plane_gossip.py
+++ b/tests/dataplane/test_plane_gossip.py
@@ -6,9 +6,17 @@
 from ingress_rig import SETTINGS
 
 from shedgrade.control_messages import Counts, EdgeState, Told
-from shedgrade.dataplane.control_client import MOST, Watcher
+from shedgrade.dataplane.control_client import (
+    MAX_MEMBERS,
+    MembersDiscoveredEvent,
+    RequestFailedEvent,
+    ResponseEvent,
+    SendWatchRequest,
+    TickEvent,
+    Watcher,
+)
 from shedgrade.dataplane.fleet_size import LATELY
-from shedgrade.dataplane.plane import SILENT, DataPlane
+from shedgrade.dataplane.plane import CORE_SILENT_S, DataPlane
 from shedgrade.dataplane.state import State
 from shedgrade.membership.messages import Node
 
@@ -29,9 +37,9 @@
 
 
 class Plane:
-    """As much of a data plane as `recount` needs; `now` is handed in."""
+    """As much of a data plane as `count_edges` needs; `now` is handed in."""
 
-    recount = DataPlane.recount
+    count_edges = DataPlane.count_edges
 
     def __init__(self, *nodes):
         self.now = 0.0
@@ -41,7 +49,7 @@
 
     def at(self, now):
         self.now = now
-        self.recount(now)
+        self.count_edges(now)
         return self.state.sidecars
 
 
@@ -52,14 +60,14 @@
 def test_the_larger_of_both_counts_holds():
     plane = Plane(*edges(4))
     assert plane.at(0.0) == 4
-    plane.watcher.counts = Counts(6, SEEDS)
+    plane.watcher.received.counts = Counts(6, SEEDS)
     assert plane.at(1.0) == 6
 
 
 def test_what_the_core_tells_holds_at_once_and_for_30_s_after_both_know_less():
     plane = Plane()
     plane.state.apply([Counts(6, SEEDS)])
-    plane.watcher.counts = Counts(1, SEEDS)
+    plane.watcher.received.counts = Counts(1, SEEDS)
     assert plane.state.sidecars == 6
     assert plane.at(LATELY - 1) == 6
     assert plane.at(LATELY + 1) == 1
@@ -67,46 +75,50 @@
 
 def test_core_members_of_gossip_are_asked_only_when_nobody_answers():
     plane = Plane(Node("core-9", "10.2.0.77:7301", "core", link=FOUND), *edges(2))
-    plane.at(SILENT / 2)
+    plane.at(CORE_SILENT_S / 2)
     assert FOUND not in plane.watcher.members
-    plane.at(SILENT + 0.1)
+    plane.at(CORE_SILENT_S + 0.1)
     assert FOUND in plane.watcher.members
 
 
 def asked(watcher):
-    effects, watcher.effects[:] = list(watcher.effects), []
-    return [effect.address for effect in effects]
+    watcher.check_invariants()
+    return [one.address for one in watcher.take_instructions() if isinstance(one, SendWatchRequest)]
 
 
 def test_while_one_that_is_named_answers_no_other_is_asked():
-    watcher, now = Watcher(EDGE, SEEDS, Random(3), 0.0, beat=0.5), 0.0
-    watcher.met([FOUND])
+    watcher, now = Watcher(EDGE, SEEDS, Random(3), 0.0, max_wait_s=0.5), 0.0
+    watcher.handle_event(MembersDiscoveredEvent((FOUND,)))
     seen = []
     while now < 120.0:
         now += 0.25
-        watcher.tick(now)
+        watcher.handle_event(TickEvent(now))
         for address in asked(watcher):
             seen.append(address)
-            watcher.answered(now, address, told(1)) if address == SEEDS[1] else watcher.failed(now, address)
+            if address == SEEDS[1]:
+                watcher.handle_event(ResponseEvent(now, address, told(1)))
+            else:
+                watcher.handle_event(RequestFailedEvent(now, address))
     assert FOUND not in seen[3:] and SEEDS[1] in seen
 
 
 def test_when_all_that_are_named_fail_the_one_found_serves_and_names_the_next():
-    watcher, now = Watcher(EDGE, SEEDS, Random(3), 0.0, beat=0.5), 0.0
-    watcher.met([FOUND])
-    while watcher.main is None or watcher.main.address != FOUND:
+    watcher, now = Watcher(EDGE, SEEDS, Random(3), 0.0, max_wait_s=0.5), 0.0
+    watcher.handle_event(MembersDiscoveredEvent((FOUND,)))
+    while watcher.preferred_member is None or watcher.preferred_member.address != FOUND:
         now += 0.1
         assert now < 5.0
-        watcher.tick(now)
+        watcher.handle_event(TickEvent(now))
         for address in asked(watcher):
             if address == FOUND:
-                watcher.answered(now, address, Told(None, None, 3, (FOUND,), 0.0, 0.0))
+                response = Told(None, None, 3, (FOUND,), 0.0, 0.0)
+                watcher.handle_event(ResponseEvent(now, address, response))
             else:
-                watcher.failed(now, address)
-    assert watcher.members[FOUND].named and watcher.counts == Counts(3, (FOUND,))
+                watcher.handle_event(RequestFailedEvent(now, address))
+    assert watcher.members[FOUND].listed and watcher.received.counts == Counts(3, (FOUND,))
 
 
 def test_those_found_are_bounded():
     watcher = Watcher(EDGE, SEEDS, Random(3), 0.0)
-    watcher.met(f"10.9.0.{number}:7300" for number in range(1, 200))
-    assert len(watcher.members) == MOST
+    watcher.handle_event(MembersDiscoveredEvent(tuple(f"10.9.0.{number}:7300" for number in range(1, 200))))
+    assert len(watcher.members) == MAX_MEMBERS
--- a/tests/load_balancing/test_in_memory.py
+++ b/tests/load_balancing/test_in_memory.py
@@ -242,7 +242,7 @@
         opened=lambda _: None,
         used=lambda _: None,
         room_for=lambda _: True,
-        leaving=lambda: False,
+        draining=lambda: False,
         crowded=lambda: False,
         stalled=lambda: False,
         ready=lambda: True,
--- a/tests/load_balancing/test_parts.py
+++ b/tests/load_balancing/test_parts.py
@@ -282,7 +282,7 @@
         logger.remove(sink)
         world.sidecar.pool.saved = None
     assert [len(told["instances"]) for told in kept] == [0, 0, 1]
-    assert sum("list generation" in line for line in lines) == 1
+    assert sum("endpoint list updated" in line for line in lines) == 1
 
 
 @on_sockets
--- a/tests/sidecar/crossings/test_watches.py
+++ b/tests/sidecar/crossings/test_watches.py
@@ -241,7 +241,7 @@
         asyncio.run(scenario())
     finally:
         logger.remove(sink)
-    assert len(lines) == 1 and "fault in the watch on discovery" in lines[0]
+    assert len(lines) == 1 and "endpoint discovery watch failed internally" in lines[0]
 
 
 @on_sockets
--- a/tests/sidecar/endpoint_snapshot/test_start.py
+++ b/tests/sidecar/endpoint_snapshot/test_start.py
@@ -32,6 +32,7 @@
 sys.path.insert(0, str(ROOT / "benchmarks"))
 START = ROOT / "scenarios" / "saved-start.toml"
 PLAYS = 3
+SOURCE_CHANGED = "endpoint list source changed"
 SHORT = [
     "length_s=5",
     "fleet.discovery.silent_until_s=3.5",
@@ -61,7 +62,8 @@
 def test_discovery_down_a_sidecar_serves_from_disk_then_yields_to_the_live_list(tmp_path):
     summary, log = run(tmp_path, "sidecars.saved.stale=0.5")
     assert summary["figures"]["service"] > 0.97
-    assert "list: from nothing to saved" in log and "list: from saved to discovery" in log
+    assert f"{SOURCE_CHANGED} previous=nothing source=saved" in log
+    assert f"{SOURCE_CHANGED} previous=saved source=discovery" in log
     assert "12 cautious" in log
     # What was saved and is not in the live list is gone for good, and is remembered as such.
     shown = CliRunner().invoke(app, ["saved", "show", str(tmp_path / "run/saved-0")]).output
@@ -123,7 +125,7 @@
     ]
     log = (tmp_path / "run/n0.log").read_text()
     assert len(starts) == 4 and log.count("starting to serving") == 4
-    assert "ERROR" not in log and log.count("list: from nothing to saved") == 4
+    assert "ERROR" not in log and log.count(f"{SOURCE_CHANGED} previous=nothing source=saved") == 4
 
 
 def test_a_writer_killed_at_any_moment_leaves_what_was_told(tmp_path):
--- a/tests/simulation/planted_system_faults.py
+++ b/tests/simulation/planted_system_faults.py
@@ -15,7 +15,7 @@
 from shedgrade.controlplane.ordering import Ordering, ZoneSubmission
 from shedgrade.controlplane.orders import Reply
 from shedgrade.controlplane.watch_hub import PendingWatch, WatchHub
-from shedgrade.dataplane.control_client import Watcher
+from shedgrade.dataplane.received_state import ReceivedState
 from shedgrade.replication.effects import Decision
 
 
@@ -128,8 +128,8 @@
         finally:
             self.control = before
 
-    take = Watcher.newer_control
-    monkeypatch.setattr(Watcher, "newer_control", newer_control)
+    take = ReceivedState.newer_control
+    monkeypatch.setattr(ReceivedState, "newer_control", newer_control)
     monkeypatch.setattr(WatchHub, "news", lambda self, parked: self.now - parked.at > 0.1)
     answer = WatchHub.answer
 
--- a/tests/simulation/test_edge_ends.py
+++ b/tests/simulation/test_edge_ends.py
@@ -49,7 +49,7 @@
     script.faults.terminate(edge, GRACE)
     script.run(0.05)
     answers = []
-    edge.program.tell_ready(None, answers.append)
+    edge.program.answer_readiness(None, answers.append)
     assert [answer.status for answer in answers] == [503]
     assert edge.running
     script.world.close()
@@ -96,9 +96,9 @@
     left = []
 
     def look():
-        left.append(program.in_hand_until() - program.loop.time())
+        left.append(program.in_flight_until() - program.loop.time())
         program.services["lm"].turn.in_hand.carried.add(InHand())
-        left.append(program.in_hand_until() - program.loop.time())
+        left.append(program.in_flight_until() - program.loop.time())
         program.services["lm"].turn.in_hand.carried.clear()
 
     program.loop.call_soon(look)
--- a/tests/system/planes_rig.py
+++ b/tests/system/planes_rig.py
@@ -177,6 +177,10 @@
         self.tasks[number] = self.loop.create_task(plane.serve())
         return plane
 
+    def all_received(self, version):
+        """Whether every edge has received this version of the configuration."""
+        return all(edge.watcher.received.configuration_version == version for edge in self.edges.values())
+
     async def close_core(self, number):
         """Ends it without a word to the others, as a kill would."""
         plane = self.cores.pop(number)
@@ -186,7 +190,7 @@
 
     async def close_edge(self, number):
         plane = self.edges.pop(number)
-        plane.done.set()
+        plane.shutdown.finished.set()
         await self.tasks.pop(number)
         plane.listener.close()
         for connection in list(plane.front.clients):
@@ -282,5 +286,10 @@
     """Version 1 is acknowledged, and both edges serve by it."""
     async with running(folder) as system:
         assert await system.put(1, 0) == 200
-        await until(lambda: all(edge.ready() and edge.watcher.version == 1 for edge in system.edges.values()))
+        await until(
+            lambda: all(
+                edge.ready() and edge.watcher.received.configuration_version == 1
+                for edge in system.edges.values()
+            )
+        )
         yield system
--- a/tests/system/test_planes_together.py
+++ b/tests/system/test_planes_together.py
@@ -53,7 +53,9 @@
         assert await system.put(2, 0) == 412
         assert await system.acknowledged("PUT", "/configuration", b"{}", "If-Match: 1") == 400
         assert await system.put(2, 1, timeout_ms=2000) == 200
-        await until(lambda: all(edge.watcher.version == 2 for edge in system.edges.values()))
+        await until(
+            lambda: all(edge.watcher.received.configuration_version == 2 for edge in system.edges.values())
+        )
         route = system.edges[EDGES[0]].routes.find(b"rota.example", b"/a/1")
         assert route.timeout_ms == 2000
 
@@ -89,7 +91,9 @@
         assert system.primary() != before and system.cores[system.primary()].member.epoch > epoch
         for number in system.cores:
             assert await system.read(number) == (200, configuration(2))
-        await until(lambda: all(edge.watcher.version == 2 for edge in system.edges.values()))
+        await until(
+            lambda: all(edge.watcher.received.configuration_version == 2 for edge in system.edges.values())
+        )
         for number in EDGES:
             assert await system.served(number, f"id-{number}") == (200, WHOLE)
 
@@ -164,10 +168,10 @@
 def test_terms_of_the_polled_list_go_above_what_an_edge_holds(play):
     async def story(system):
         edge = system.edges[EDGES[0]]
-        far = (edge.watcher.upstreams[0] + 2**40, 1)
-        edge.watcher.upstreams = edge.watcher.floor = far
+        far = (edge.watcher.received.endpoint_list[0] + 2**40, 1)
+        edge.watcher.received.endpoint_list = edge.watcher.received.list_floor = far
         system.upstreams.pop("hall-2").server.close()
-        await until(lambda: edge.watcher.upstreams > far)
+        await until(lambda: edge.watcher.received.endpoint_list > far)
         await until(lambda: set(edge.state.instances) == {"i-1"})
 
     play(story)
@@ -182,7 +186,9 @@
         for number in CORES:
             system.start_core(number, founding=False)
         assert await system.put(3, 2) == 200
-        await until(lambda: all(edge.watcher.version == 3 for edge in system.edges.values()))
+        await until(
+            lambda: all(edge.watcher.received.configuration_version == 3 for edge in system.edges.values())
+        )
         await system.resolved(CORES[0], BOTH)
 
     play(story)
@@ -202,20 +208,24 @@
         seen = other.services["lm"].balancer
         mark = load(one, 5)
         mine = load(other, 1)  # an edge without a request in flight asks for nothing
-        await until(lambda: other.others.loads.get(mark) == 5)
+        await until(lambda: other.loads.other_edges.loads.get(mark) == 5)
         assert sum(seen.others.values()) == 5
-        await until(lambda: one.others.loads == {mine: 1})
+        await until(lambda: one.loads.other_edges.loads == {mine: 1})
         load(one, -3)
-        await until(lambda: other.others.loads == {mark: 2})
+        await until(lambda: other.loads.other_edges.loads == {mark: 2})
 
-        gone = next(number for number, core in system.cores.items() if core.own == one.watcher.main.address)
+        gone = next(
+            number
+            for number, core in system.cores.items()
+            if core.own == one.watcher.preferred_member.address
+        )
         await system.close_core(gone)
         load(one, 5)
-        await until(lambda: other.others.loads.get(mark) == 7)
+        await until(lambda: other.loads.other_edges.loads.get(mark) == 7)
 
         for number in list(system.cores):
             await system.close_core(number)
-        await until(lambda: not other.others.loads and not seen.others)
+        await until(lambda: not other.loads.other_edges.loads and not seen.others)
         assert await system.served(EDGES[1], "id-without") == (200, WHOLE)
 
     play(story)
@@ -240,7 +250,9 @@
         )
         for _ in range(2):
             assert await system.acknowledged("PATCH", "/configuration", change, "If-Match: 1") == 200
-        await until(lambda: all(edge.watcher.version == 4 for edge in system.edges.values()))
+        await until(
+            lambda: all(edge.watcher.received.configuration_version == 4 for edge in system.edges.values())
+        )
         for edge in system.edges.values():
             assert edge.routes.find(b"rota.example", b"/a/1").timeout_ms == 1500
             assert edge.routes.find(b"rota.example", b"/new/1").timeout_ms == 4000
