--- a/tests/system/test_planes_together.py
+++ b/tests/system/test_planes_together.py
@@ -119,7 +119,7 @@
             await system.resolved(number, BOTH)
         leaving = system.edges[first]
         began = system.loop.time()
-        leaving.leave()
+        leaving.terminate()
         for number in CORES:
             await system.resolved(number, {front(second)})
         assert system.loop.time() - began < 1.0
