--- a/shedgrade/dataplane/engine_connection.py
+++ b/shedgrade/dataplane/engine_connection.py
@@ -8,7 +8,7 @@
 
 from shedgrade.dataplane.attribution import Attribution, attribute
 from shedgrade.dataplane.engine_protocol import MISDIRECTED
-from shedgrade.http.connection import LONGEST_HEAD, MessageError, passed_on
+from shedgrade.http.message_grammar import MAX_HEAD_BYTES, ResponseError, end_to_end_headers
 from shedgrade.http.upstream_connection import UpstreamConnection
 from shedgrade.in_flight import Answer, Transmission
 
@@ -71,7 +71,7 @@
             case Attribution.FOREIGN:
                 self.skip_surplus()
             case Attribution.UNKNOWN:
-                raise MessageError("an answer that nothing tells apart")
+                raise ResponseError("an answer that nothing tells apart")
             case Attribution.OWN if self.status // 100 == 2:
                 self.succeeded(known)
 
@@ -92,7 +92,7 @@
     def succeeded(self, known: dict[bytes, bytes]) -> None:
         """The head of a success has come: `known`, its headers by name in lower case."""
         if b"attempt-id" not in known or b"server-seal" not in known or b"content-encoding" in known:
-            raise MessageError("a success that is not the upstream's")
+            raise ResponseError("a success that is not the upstream's")
         if self.transmission.carried.streams and self.sending is None and not self.complete:
             self.pass_on()
 
@@ -108,7 +108,7 @@
 
     def on_body(self, body: bytes) -> None:
         if self.surplus:
-            self.head_left = LONGEST_HEAD  # the own answer's head is still to come whole
+            self.head_left = MAX_HEAD_BYTES  # the own answer's head is still to come whole
         else:
             super().on_body(body)
 
@@ -123,7 +123,9 @@
     def finish(self) -> None:
         transmission = self.transmission
         if transmission is not None and self.status // 100 != 2:
-            transmission.carried.failure = Answer(passed_on(self.headers), b"".join(self.body), self.status)
+            transmission.carried.failure = Answer(
+                end_to_end_headers(self.headers), b"".join(self.body), self.status
+            )
             if self.status == MISDIRECTED:
                 self.connections.misdirected(self.upstream)
         super().finish()
--- a/shedgrade/dataplane/front.py
+++ b/shedgrade/dataplane/front.py
@@ -39,7 +39,7 @@
         """As any front's, but for connections that have just come up: their first request is on its way."""
         now = self.loop.time()
         for connection in list(self.clients):
-            if connection.idle() and now - connection.since >= JUST_UP:
+            if connection.idle() and now - connection.waiting_since >= JUST_UP:
                 connection.end()
 
     def come_back(self) -> int:
--- a/shedgrade/dataplane/ingress.py
+++ b/shedgrade/dataplane/ingress.py
@@ -5,9 +5,8 @@
 from shedgrade.dataplane.exchange import TICKS, Exchange
 from shedgrade.dataplane.routes import ServedRoute, shared_parts, token_usage
 from shedgrade.dataplane.streams import ResumableStream
-from shedgrade.http.connection import declared, passed_on
 from shedgrade.http.inbound_connection import InboundConnection
-from shedgrade.http.message_grammar import relative
+from shedgrade.http.message_grammar import Headers, content_length, end_to_end_headers, origin_form
 from shedgrade.in_flight import Answer, Request
 from shedgrade.model_routing.request import IDEMPOTENT, Wants
 
@@ -32,34 +31,38 @@
 class IngressConnection(InboundConnection):
     """One connection of a client."""
 
-    small = 2 * SMALL
-    once = (b"attempt-id", b"time-remaining", b"host")
+    flow_above_bytes = 2 * SMALL
+    unique_headers = (b"attempt-id", b"time-remaining", b"host")
 
     def __init__(self, front) -> None:
-        self.failed: Exchange | None = None  # whose upstream's own failure the answer may be
-        self.events = 0  # of the stream that goes out
+        self.failed_exchange: Exchange | None = None  # whose upstream's own failure the answer may be
+        self.events_written = 0  # of the stream that goes out
         self.apply_limits(front.limits)
         super().__init__(front)
 
     def apply_limits(self, limits: Limits) -> None:
         """Takes over the limits of a configuration; each is a little wider than what clients are told."""
-        self.longest_head = max(LEAST_HEAD, limits.header_bytes)
-        self.longest_body = limits.body_bytes
-        self.head_time = limits.header_timeout_ms / 1000 + LIMIT_SLACK
-        self.comes = limits.idle_timeout_ms / 1000 + LIMIT_SLACK
+        self.max_head_bytes = max(LEAST_HEAD, limits.header_bytes)
+        self.max_body_bytes = limits.body_bytes
+        self.head_timeout_s = limits.header_timeout_ms / 1000 + LIMIT_SLACK
+        self.first_request_timeout_s = limits.idle_timeout_ms / 1000 + LIMIT_SLACK
 
     def on_message_begin(self) -> None:
         """Each request is held to the limits in force when it begins, also on a kept connection."""
         self.apply_limits(self.front.limits)
         super().on_message_begin()
 
-    def take(self, verb: bytes, target: bytes, headers: list, body: bytes, flow: Flow | None = None) -> None:
+    def take_request(
+        self, verb: bytes, target: bytes, headers: Headers, body: bytes, flow: Flow | None = None
+    ) -> None:
+        """Finds the route of a request and admits it, or answers it."""
         front = self.front
-        self.verb, self.old = verb, self.parser.get_http_version() == "1.0"
-        target = relative(target)
-        known = self.known(headers)
+        self.request_method = verb
+        self.http_1_0 = self.parser.get_http_version() == "1.0"
+        target = origin_form(target)
+        known = self.headers_by_name(headers)
         if known is None or not target.startswith(b"/"):
-            self.refuse(400)
+            self.reject_and_close(400)
             return
         if front.routes is None:
             self.unready()
@@ -70,14 +73,14 @@
             return
         name, wait = known.get(b"attempt-id"), told_wait(known.get(b"time-remaining"), route)
         if not name or wait is None:
-            self.refuse(400)
+            self.reject_and_close(400)
             return
         # Guards against work for nobody after a stall of our own: its client left while it waited unread.
         if front.stalled() and self.has_left():
             self.close()
             return
-        kept = [(key, value) for key, value in passed_on(headers) if key.lower() not in OWN]
-        length = None if flow is None else declared(headers)
+        kept = [(key, value) for key, value in end_to_end_headers(headers) if key.lower() not in OWN]
+        length = None if flow is None else content_length(headers)
         self.start(route, Request(name, verb, target, kept, body, flow, length), known, wait)
 
     def start(self, route: ServedRoute, request: Request, known: dict[bytes, bytes], wait: int) -> None:
@@ -98,7 +101,7 @@
             return
         client = ResumableStream(self, front.budget, self.resume) if route.resumable else self
         until = front.clock.now() + wait * 10
-        self.carried = carried = self.failed = Exchange(
+        carried = Exchange(
             client,
             request,
             service,
@@ -108,19 +111,21 @@
             until,
             usage,
         )
+        self.carried = carried
+        self.failed_exchange = carried
         if request.flow is not None:
             request.flow.lost = lambda: service.turn.came(carried, False, not carried.coming)
         service.turn.arrived(carried, route.method, wait, False)
 
     def unready(self) -> None:
         """Not served here, or not any more: nothing ran, and the next try comes on another connection."""
-        self.last = True
+        self.closing = True
         self.exhausted(self.front.come_back())
 
     def resume(self, last_id: bytes | None) -> bool:
         """A further leg of a stream whose upstream broke off. False if there is none: no time, no tries
         left, the fleet's budget is used up, or its request is not here any more."""
-        before = self.failed
+        before = self.failed_exchange
         left = (before.until - self.front.clock.now()) // 10
         tried = before.rpc.arrived if before.rpc is not None else before.wants.most
         repeats = before.service.repeats
@@ -162,30 +167,30 @@
             before.until,
             before.usage,
         )
-        self.carried = self.failed = leg
+        self.carried = self.failed_exchange = leg
         before.service.turn.arrived(leg, IDEMPOTENT, left, False)
         return True
 
     def errored(self) -> None:
         """It may have run: the upstream's own failure goes back as it came, where there is one."""
-        failure = self.failed.failure if self.failed is not None else None
+        failure = self.failed_exchange.failure if self.failed_exchange is not None else None
         if failure is not None and failure.status >= 400 and failure.status not in (408, 421, 429, 503):
             self.answer(failure.status, failure.headers, failure.body)
         else:
             self.answer(502)
 
     def flowing(self, answer: Answer) -> None:
-        self.events, self.failed.first_at = 0, self.front.clock.now()
+        self.events_written, self.failed_exchange.first_at = 0, self.front.clock.now()
         super().flowing(answer)
 
     def write(self, *pieces: bytes) -> bool:
-        if self.out is not None:
+        if self.response_flow is not None:
             # Of a chunk only the middle is the answer's.
-            self.events += pieces[len(pieces) // 2].count(EVENT_END)
+            self.events_written += pieces[len(pieces) // 2].count(EVENT_END)
         return super().write(*pieces)
 
     def completed(self, answer: Answer | None) -> None:
-        exchange, self.failed = self.failed, None
+        exchange, self.failed_exchange = self.failed_exchange, None
         if exchange is not None and answer is not None:
             self.measure(exchange)
         super().completed(answer)
@@ -199,7 +204,7 @@
             times.streamed(
                 (exchange.first_at - exchange.since) / TICKS,
                 (now - exchange.first_at) / TICKS,
-                self.events,
+                self.events_written,
                 exchange.wants.tokens,
             )
 
--- a/shedgrade/http/connection.py
+++ b/shedgrade/http/connection.py
@@ -1,64 +1,12 @@
 """What every connection has in common: a ring a direction, and the rules of their reuse."""
 
 import asyncio
-import socket
-from collections.abc import Iterable
 
 from shedgrade.buffers.flow import PRESSED
 from shedgrade.buffers.ring import Ring
+from shedgrade.http.socket_state import shut_down
 
-LONGEST_HEAD = 64 * 1024
-LONGEST_BODY = 32 * 1024 * 1024
-READ_AHEAD = 64 * 1024  # bytes that may wait to be read: parsers take what comes, so no message must fit
-# Headers that belong to one connection, or that each side writes anew.
-HOP = frozenset(
-    (
-        b"connection",
-        b"keep-alive",
-        b"proxy-connection",
-        b"te",
-        b"trailer",
-        b"transfer-encoding",
-        b"upgrade",
-        b"content-length",
-        b"expect",
-    )
-)
-BLANKS = b" \t"  # may stand round a header's value, and belong to nobody
-KNOWN_BY = frozenset(
-    (
-        b"x-request-id",
-        b"x-timeout-ms",
-        b"x-retried",
-        b"x-attrs",
-        b"x-tenant-id",
-        b"host",
-        b"attempt-id",
-        b"time-remaining",
-    )
-)
-
-
-class MessageError(Exception):
-    """A message that cannot be accepted; carries the HTTP status that says so."""
-
-
-def passed_on(headers: Iterable[tuple[bytes, bytes]]) -> list[tuple[bytes, bytes]]:
-    """What goes on to the other side: not what belongs to a connection, by its name or as `Connection` says.
-    Guards against a `Connection` that names what the RPC is known by: that goes on all the same."""
-    headers = [(name, value, name.lower()) for name, value in headers]
-    own = {
-        token.strip().lower()
-        for _, value, lower in headers
-        if lower == b"connection"
-        for token in value.split(b",")
-    } - KNOWN_BY
-    return [(name, value) for name, value, lower in headers if lower not in HOP and lower not in own]
-
-
-def declared(headers: Iterable[tuple[bytes, bytes]]) -> int | None:
-    """The length of the body that a head says, if it says one."""
-    return next((int(value) for name, value in headers if name.lower() == b"content-length"), None)
+READ_AHEAD_BYTES = 64 * 1024  # that may wait to be parsed: parsers take what comes, so no message must fit
 
 
 class Connection(asyncio.BufferedProtocol):
@@ -72,30 +20,17 @@
     def __init__(self, budget=None) -> None:
         """`budget`: of bytes, where there is one; short of them, less is read ahead."""
         self.budget = budget
-        self.incoming, self.outgoing = Ring(most=READ_AHEAD, budget=budget), Ring(budget=budget)
-        self.transport: asyncio.Transport | None = None
+        self.incoming, self.outgoing = Ring(most=READ_AHEAD_BYTES, budget=budget), Ring(budget=budget)
+        self.transport: asyncio.Transport = None  # type: ignore[assignment]  # until connection_made
         self.flushing = self.reading_paused = False
 
-    def connection_made(self, transport: asyncio.Transport) -> None:
+    def connection_made(self, transport: asyncio.Transport) -> None:  # type: ignore[override]
         self.transport = transport
         transport.set_write_buffer_limits(high=0)
 
     def cut(self) -> None:
-        """Closes at once.
-
-        Guards against two transmissions out side by side, and against bytes that still leave after a stop:
-        uvloop closes only in its next pass, after what this one writes elsewhere.
-        """
-        if self.transport.is_closing():
-            return
-        handle = socket.socket(fileno=self.transport.get_extra_info("socket").fileno())
-        try:
-            handle.shutdown(socket.SHUT_RDWR)
-        except OSError:  # it is down already
-            pass
-        finally:
-            handle.detach()
-        self.transport.abort()
+        """Closes at once, in both directions."""
+        shut_down(self.transport)
 
     def give_back(self) -> None:
         """It is lost: its rings are nobody's, though the transport may still hold views of them."""
--- a/shedgrade/http/endpoint_discovery.py
+++ b/shedgrade/http/endpoint_discovery.py
@@ -8,7 +8,8 @@
 import orjson
 
 from shedgrade import load_balancing
-from shedgrade.http.connection import Connection, MessageError
+from shedgrade.http.connection import Connection
+from shedgrade.http.message_grammar import ResponseError
 from shedgrade.load_balancing.upstream_indices import Addresses, Indices, tenths
 from shedgrade.runtime.log import logger
 
@@ -165,9 +166,9 @@
         for part in self.incoming.parts():
             try:
                 if self.answered is None:
-                    raise MessageError("bytes that nobody asked for")
+                    raise ResponseError("bytes that nobody asked for")
                 self.parser.feed_data(part)
-            except (httptools.HttpParserError, MessageError) as failure:
+            except (httptools.HttpParserError, ResponseError) as failure:
                 self.fail(ListError(f"broken answer: {failure}"))
                 self.transport.abort()
                 break
@@ -177,7 +178,7 @@
         self.body.append(body)
         self.length += len(body)
         if self.length > LONGEST_LIST:
-            raise MessageError("list too long")
+            raise ResponseError("list too long")
 
     def on_message_complete(self) -> None:
         answered, self.answered = self.answered, None
--- a/shedgrade/http/inbound_connection.py
+++ b/shedgrade/http/inbound_connection.py
@@ -1,210 +1,181 @@
-"""The application's side: HTTP/1.1 requests come in, final answers go out."""
+"""One connection of a client: HTTP/1.1 requests come in, one at a time is in hand, final responses go out."""
 
-import fcntl
+import asyncio
 import select
-import socket
-import struct
-import termios
-from collections import deque
-from urllib.parse import unquote_to_bytes
-
-import httptools
-
-from shedgrade.buffers.flow import PRESSED, SMALL, Flow, nothing
-from shedgrade.http.connection import (
-    BLANKS,
-    LONGEST_BODY,
-    LONGEST_HEAD,
-    Connection,
-    MessageError,
-    declared,
-    passed_on,
-)
-from shedgrade.http.message_grammar import REASONS, relative
-from shedgrade.in_flight import Answer, Carried, Request
+
+from shedgrade.buffers.flow import PRESSED, Flow, nothing
+from shedgrade.http.message_grammar import Headers
+from shedgrade.http.request_parser import InboundFront, RequestError
+from shedgrade.http.response_writer import ResponseWriter
+from shedgrade.http.socket_state import hangup_poll, unread_in_kernel, unsent_bytes
 from shedgrade.runtime.log import logger
 
-COMES = 2.0  # s within which a connection's first request must begin
-HEAD = 2.5  # s from its first byte within which a head must be whole: slow clients take 2
-MOVES = 2.0  # s within which so many bytes of a body must come, where they are read: slow clients
-STEP = 16 * 1024  # send four times as much
-TAKES = 5.0  # s within which an answer must be taken, or so many bytes of it
-TAKES_LONG = 20.0  # the same for a long one: at 64 kB a second a reader's kernel was seen to tell of
+PROGRESS_TIMEOUT_S = 2.0  # within which so many bytes of a body must come, where they are read: slow clients
+PROGRESS_BYTES = 16 * 1024  # send four times as much
+TAKE_TIMEOUT_S = 5.0  # within which a response must be taken, or so many bytes of it
+TAKE_LONG_TIMEOUT_S = 20.0  # the same for a long one: at 64 kB a second a reader's kernel was seen to tell of
 # room every 2 s (a probe), and one that holds more may do so later
-TAKEN = 32 * 1024  # bytes: such a reader takes more even in the shorter time
-ONCE = (b"x-request-id", b"x-timeout-ms")  # headers of which a second one makes a request ambiguous
-LONGEST_TIMEOUT = 3_600_000  # ms that a client may say it waits: an hour, to keep out nonsense
-
-
-class InboundConnection(Connection):
-    """One connection of the application. One RPC at a time: what comes early waits in the ring."""
-
-    # Bounds of what a client may send and how long it may take; another protocol sets its own.
-    small, longest_head, longest_body, comes, head_time = SMALL, LONGEST_HEAD, LONGEST_BODY, COMES, HEAD
-    once = ONCE
-
-    def __init__(self, front, who: str = "") -> None:
-        """`who`: the name under which its owner has logged in, if it has."""
-        super().__init__(front.budget)
-        self.front, self.who = front, who
-        self.parser = httptools.HttpRequestParser(self)
-        self.requests: deque = deque()  # whole requests that came early
-        self.carried: Carried | None = None
-        self.last = False  # no request after the one in hand
-        self.reading = False  # a loop of `read` is under way
-        self.begun = False  # a request has begun to come and is not whole
-        self.proven = False  # a whole request has come
-        self.since = front.loop.time()  # of what `overdue` measures: opened, begun, answered
-        self.flow: Flow | None = None  # of a long request that is still coming
-        self.out: Flow | None = None  # of a long answer that is still being written
-        self.chunked = self.answering = False  # so it is written; it has begun and its RPC has not ended
-        self.waking = False  # a pass that reads on is due
-        self.lingering = False  # all is answered, its sending has ended, not all has been taken
-        self.poll: select.poll | None = None  # for its client's end
-        self.verb, self.old = b"", False  # of the request in hand; `old`: of HTTP/1.0
-        self.mark = (0, 0.0)  # bytes that had come, or gone, and when that was looked at
-        self.came = self.gone = self.counted = 0
-        self.clear()
-
-    def clear(self) -> None:
-        self.count(-self.counted)
-        self.target, self.headers, self.body, self.length = b"", [], [], 0
-        self.headed, self.head_left, self.raw, self.expects = False, self.longest_head, 0, False
-
-    def count(self, more: int) -> None:
-        """Bytes of a body that is not whole are in the budget too."""
-        self.counted += more
-        self.front.budget.bytes += more
+TAKE_BYTES = 32 * 1024  # such a reader takes more even in the shorter time
+
+
+class InboundConnection(ResponseWriter):
+    """Requests are taken up one at a time; what comes early waits in the ring, or parsed in `requests`.
+
+    Attributes:
+        reading: a loop of `read` is under way.
+        resume_scheduled: a pass of the event loop that reads on is due.
+        poll: for the client's disconnect; None until it was looked for.
+    """
+
+    unique_headers: tuple[bytes, ...] = ()  # headers of which a second one makes a request ambiguous
+
+    def __init__(self, front: InboundFront) -> None:
+        self.reading = False
+        self.resume_scheduled = False
+        self.poll: select.poll | None = None
+        super().__init__(front)
+
+    def take_request(
+        self, verb: bytes, target: bytes, headers: Headers, body: bytes, flow: Flow | None = None
+    ) -> None:
+        """Takes up a request: admits it, or answers it. `flow`: of a long one, which is still coming."""
+        raise NotImplementedError
+
+    def headers_by_name(self, headers: Headers) -> dict[bytes, bytes] | None:
+        """Headers by name in lower case; None if one of `unique_headers` comes twice."""
+        known: dict[bytes, bytes] = {}
+        for name, value in headers:
+            name = name.lower()
+            if name in self.unique_headers and name in known:
+                return None
+            known[name] = value
+        return known
 
     # --- the connection
 
-    def connection_made(self, transport) -> None:
+    def connection_made(self, transport: asyncio.Transport) -> None:  # type: ignore[override]
+        """The connection is open."""
         super().connection_made(transport)
         self.front.opened(self)
 
     def connection_lost(self, failure: Exception | None) -> None:
-        self.last = True
-        self.requests.clear()
+        """The connection is closed: the client's end of whatever is in hand."""
+        self.closing = True
+        self.parsed_requests.clear()
         if self.carried is not None:
             self.front.turn.left(self.carried)
             self.carried = None
-        if self.flow is not None:
-            self.flow.room = nothing
-            self.flow.break_off()
-        if self.out is not None:
-            self.out.news = nothing
-            self.out.discard()
-        self.flow = self.out = None
-        self.clear()
+        if self.request_flow is not None:
+            self.request_flow.room = nothing
+            self.request_flow.break_off()
+        if self.response_flow is not None:
+            self.response_flow.news = nothing
+            self.response_flow.discard()
+        self.request_flow = None
+        self.response_flow = None
+        self.reset_request()
         self.give_back()
         self.front.closed(self)
-        self.parser = None  # holds on to this connection, which would wait for the collector
-
-    def overdue(self, now: float) -> None:
-        """Ends what has taken too long to come or to be taken, with an answer where one can still be read."""
-        if self.transport.is_closing():
-            return
-        if self.lingering and not self.unsent():
-            self.transport.close()
-        elif self.flushing or self.out is not None or self.lingering:
-            self.stuck(now)
-        elif self.flow is not None:
-            if self.stalled(now):
-                self.give_up_coming()
-        elif self.carried is not None or self.unread():
-            return
-        elif self.begun:
-            if self.stalled(now) if self.headed else now - self.since > self.head_time:
-                self.last = True
-                self.answer(408)
-        elif not self.proven and now - self.since > self.comes:
-            self.last = True
-            self.transport.close()
-
-    def stalled(self, now: float) -> bool:
-        """A body does not come on, though it would be read."""
-        count, at = self.mark
-        waits = self.flow is not None and self.flow.full()
-        if self.came - count >= STEP or waits or self.reading_paused or self.unread():
-            self.mark = self.came, now
-            return False
-        return now - at > MOVES
-
-    def stuck(self, now: float) -> None:
-        """Guards against answers that are not taken: what the client's kernel has is seen in ours."""
-        waits = self.unsent()
-        count, at = self.mark
-        if not waits or self.gone - waits - count >= TAKEN:
-            self.mark = self.gone - waits, now
-        elif now - at > (TAKES if self.out is None else TAKES_LONG):
-            logger.info("response cut, client reads too slowly", written=self.gone, unread=waits)
-            self.break_off()
-
-    def give_up_coming(self) -> None:
-        """The rest of a long request does not come: it never ran, and its client is told so if it listens."""
-        carried, self.carried, flow, self.flow = self.carried, None, self.flow, None
-        flow.room = nothing
-        flow.break_off()
-        if carried is not None:
-            self.front.turn.left(carried)
-        self.last = True
-        self.answer(408)
-
-    def break_off(self) -> None:
-        """Ends the connection so that its client sees that an answer is not whole."""
-        handle = socket.socket(fileno=self.transport.get_extra_info("socket").fileno())
-        try:
-            handle.setsockopt(socket.SOL_SOCKET, socket.SO_LINGER, struct.pack("ii", 1, 0))
-        except OSError:  # it is down already
-            pass
-        finally:
-            handle.detach()
-        self.transport.abort()
+        self.parser = None  # type: ignore[assignment]  # it holds on to this connection, which would wait for the collector
 
     def idle(self) -> bool:
-        """Between two requests, and nothing unread in the kernel either: closing now loses no request."""
-        return not (self.unanswered() or self.begun or self.incoming or self.unread())
-
-    def unread(self) -> bool:
-        """Bytes wait in the kernel."""
-        if self.transport.is_closing():
-            return True
-        handle = self.transport.get_extra_info("socket").fileno()
-        return fcntl.ioctl(handle, termios.FIONREAD, b"\0\0\0\0") != b"\0\0\0\0"
+        """Whether it is between two requests, and nothing is unread in the kernel either: closing now loses
+        no request."""
+        return not (
+            self.unanswered() or self.request_begun or self.incoming or unread_in_kernel(self.transport)
+        )
 
     def has_left(self) -> bool:
-        """Its client's end of file, or a reset, is here, be it unread in the kernel."""
+        """Whether the client has disconnected: its end of file, or a reset, may be unread in the kernel."""
         if self.transport.is_closing():
             return True
         if self.poll is None:
-            self.poll = select.poll()
-            self.poll.register(self.transport.get_extra_info("socket").fileno(), select.POLLRDHUP)
+            self.poll = hangup_poll(self.transport)
         return bool(self.poll.poll(0))
 
     def unanswered(self) -> bool:
-        """Requests that are whole and have no answer yet, or an answer that is still being written."""
+        """Whether complete requests have no response yet, or one is still being written."""
         return (
-            bool(self.requests)
+            bool(self.parsed_requests)
             or self.carried is not None
             or self.flushing
             or self.lingering
-            or not (self.flow is None and self.out is None)
+            or not (self.request_flow is None and self.response_flow is None)
         )
 
     def close(self) -> None:
-        """Its client has left."""
-        self.last = True
+        """The client has disconnected."""
+        self.closing = True
         self.transport.close()
 
     def end(self) -> None:
-        """In order: what it was answered is taken first."""
-        self.last = True
+        """Closes in order: responses are taken first."""
+        self.closing = True
         self.finish()
 
+    # --- time-outs
+
+    def check_timeouts(self, now: float) -> None:
+        """Ends what has taken too long to come or to be taken, with a response where one can still be
+        read.
+        """
+        if self.transport.is_closing():
+            return
+        if self.lingering and not unsent_bytes(self.transport):
+            self.transport.close()
+        elif self.flushing or self.response_flow is not None or self.lingering:
+            self.check_response_taken(now)
+        elif self.request_flow is not None:
+            if self.request_stalled(now):
+                self.abandon_request()
+        elif self.carried is not None or unread_in_kernel(self.transport):
+            return
+        elif self.request_begun:
+            if (
+                self.request_stalled(now)
+                if self.head_complete
+                else now - self.waiting_since > self.head_timeout_s
+            ):
+                self.closing = True
+                self.answer(408)
+        elif not self.any_request_complete and now - self.waiting_since > self.first_request_timeout_s:
+            self.closing = True
+            self.transport.close()
+
+    def request_stalled(self, now: float) -> bool:
+        """Whether a body does not come on, though it would be read."""
+        held_back = self.request_flow is not None and self.request_flow.full()
+        if (
+            self.bytes_received - self.progress_bytes >= PROGRESS_BYTES
+            or held_back
+            or self.reading_paused
+            or unread_in_kernel(self.transport)
+        ):
+            self.note_progress(self.bytes_received, now)
+            return False
+        return now - self.progress_at > PROGRESS_TIMEOUT_S
+
+    def check_response_taken(self, now: float) -> None:
+        """Guards against responses that are not taken: what the client's kernel has is seen in ours."""
+        unread = unsent_bytes(self.transport)
+        taken = self.bytes_written - unread
+        timeout_s = TAKE_TIMEOUT_S if self.response_flow is None else TAKE_LONG_TIMEOUT_S
+        if not unread or taken - self.progress_bytes >= TAKE_BYTES:
+            self.note_progress(taken, now)
+        elif now - self.progress_at > timeout_s:
+            logger.info("response cut, client reads too slowly", written=self.bytes_written, unread=unread)
+            self.break_off()
+
+    def abandon_request(self) -> None:
+        """The rest of a long request does not come: it never ran, and its client is told so if it listens."""
+        self.break_request_flow()
+        self.closing = True
+        self.answer(408)
+
     # --- reading
 
     def read(self) -> None:
-        """Goes on while nothing is in hand; an answer given meanwhile does not start a second such loop."""
+        """Goes on while nothing is in hand; a response given meanwhile does not start a second such loop."""
         if self.reading:
             return
         if self.lingering:
@@ -212,389 +183,117 @@
             return
         self.reading = True
         while True:
-            if self.flow is not None:
-                if not self.incoming or self.flow.full() or self.parser is None:
+            if self.request_flow is not None:
+                if not self.incoming or self.request_flow.full() or self.parser is None:
                     break
                 self.parse(self.incoming.parts()[0])
-            elif self.carried is not None or self.flushing or self.last or self.out is not None:
+            elif self.carried is not None or self.flushing or self.closing or self.response_flow is not None:
                 break
-            elif self.requests:
-                self.next()
+            elif self.parsed_requests:
+                self.take_next_request()
             elif self.incoming:
                 self.parse(self.incoming.parts()[0])
             else:
                 break
         self.reading = False
 
-    def buffer_updated(self, count: int) -> None:
-        self.came += count
-        super().buffer_updated(count)
-
     def parse(self, part: memoryview) -> None:
-        try:
-            if self.headed:
-                self.raw += len(part)
-            else:
-                self.head_left -= len(part)
-            self.parser.feed_data(part)
-            # Guards against trailers without end, as against a head.
-            if self.begun and self.raw > LONGEST_HEAD + 64 * self.length:
-                raise MessageError(413)
-            # Guards against a head without end: the parser would gather it until memory is gone.
-            if self.begun and not self.headed and self.head_left < 0:
-                self.requests.append(MessageError(413))
-        except MessageError as wrong:
-            self.requests.append(wrong)
-        except httptools.HttpParserUpgrade:
-            # Nothing else is spoken here: answered as a plain request, after which the connection ends.
-            self.requests[-1] = (*self.requests[-1][:-1], True)
-        except httptools.HttpParserError as failure:
-            why = failure.__context__
-            self.requests.append(why if isinstance(why, MessageError) else MessageError(400))
-            if len(self.requests) > 1:
-                # Guards against a length that is too short: what came in one piece with bytes that are no
-                # request is none either, and is not passed on.
-                self.requests = deque(
-                    [*([MessageError(400, False)] * (len(self.requests) - 1)), self.requests[-1]]
-                )
+        """Parses bytes of the incoming ring, and begins what can be begun before a request is complete."""
+        self.feed(part)
         self.used(len(part))
-        if self.flow is not None and self.requests and isinstance(self.requests[0], MessageError):
-            self.spoilt()
+        if (
+            self.request_flow is not None
+            and self.parsed_requests
+            and isinstance(self.parsed_requests[0], RequestError)
+        ):
+            self.reject_partial_request()
         elif (
-            self.begun
-            and self.headed
-            and self.flow is None
+            self.request_begun
+            and self.head_complete
+            and self.request_flow is None
             and self.carried is None
-            and not (self.requests or self.last)
+            and not (self.parsed_requests or self.closing)
         ):
-            if self.length > self.small or (self.length > PRESSED and self.front.budget.pressed()):
-                self.lengthen()
-            elif self.expects and not self.flushing:
-                self.expects = False
+            if self.length > self.flow_above_bytes or (self.length > PRESSED and self.front.budget.pressed()):
+                self.begin_flow()
+            elif self.expects_continue and not self.flushing:
+                self.expects_continue = False
                 self.write(b"HTTP/1.1 100 Continue\r\n\r\n")
 
-    def spoilt(self) -> None:
-        """A long request turns out to be none: it is not passed on to its end, so it never ran."""
-        flow, self.flow, self.begun = self.flow, None, False
-        carried, self.carried = self.carried, None
+    def reject_partial_request(self) -> None:
+        """A long request turns out to be none: it is not forwarded to its end, so it never ran."""
+        self.request_begun = False
+        in_hand = self.carried is not None
+        flow = self.break_request_flow()
+        if not in_hand and not flow.discarding:
+            return
+        if self.closing:  # it has its answer already
+            self.parsed_requests.clear()
+            if not self.flushing and self.response_flow is None:
+                self.finish()
+
+    def break_request_flow(self) -> Flow:
+        """A long request does not come to its end. Returns its flow, broken off."""
+        flow = self.request_flow
+        carried = self.carried
+        assert flow is not None
+        self.request_flow = None
+        self.carried = None
         flow.room = nothing
         flow.break_off()
         if carried is not None:
             self.front.turn.left(carried)
-        elif not flow.discarding:
-            return
-        if self.last:  # it has its answer already
-            self.requests.clear()
-            if not self.flushing and self.out is None:
-                self.finish()
+        return flow
 
-    def lengthen(self) -> None:
+    def begin_flow(self) -> None:
         """A request that is longer than is kept, or than there is room for, is taken up as it comes."""
-        body, self.body = self.body, []
-        self.count(-self.counted)
-        self.flow = flow = Flow(self.front.budget, body)
-        flow.room = self.wake
-        self.mark = self.came, self.front.loop.time()
-        if self.expects:
-            self.expects = False
-        self.take(self.parser.get_method(), self.target, self.headers, b"", flow)
-
-    def wake(self) -> None:
+        body = self.body
+        self.body = []
+        self.add_to_budget(-self.budgeted_bytes)
+        flow = Flow(self.front.budget, body)
+        self.request_flow = flow
+        flow.room = self.schedule_resume
+        self.note_progress(self.bytes_received, self.front.loop.time())
+        self.expects_continue = False
+        self.take_request(self.parser.get_method(), self.target, self.headers, b"", flow)
+
+    def schedule_resume(self) -> None:
         """A long request has room again. Not from within the taking, which may go on."""
-        if self.incoming and not self.waking:
-            self.waking = True
-            self.front.loop.call_soon(self.go_on)
+        if self.incoming and not self.resume_scheduled:
+            self.resume_scheduled = True
+            self.front.loop.call_soon(self.resume_reading)
 
-    def go_on(self) -> None:
-        self.waking = False
+    def resume_reading(self) -> None:
+        """Reads on, unless the client has left."""
+        self.resume_scheduled = False
         if self.parser is None:
             return
-        if self.flow is not None and not self.flow.discarding and self.has_left():
+        if self.request_flow is not None and not self.request_flow.discarding and self.has_left():
             # Guards against work for nobody: the rest of a long request waits here, and its client has left.
             self.close()
             return
         self.read()
 
-    def flushed(self) -> None:
-        if self.out is not None:
-            self.pump()
-        else:
-            self.settled()
-
-    def settled(self) -> None:
-        """An answer is out. A connection that ends there first lets the rest of a long request come: closing
-        would reset it, and its client might not read the answer."""
-        if self.last and self.carried is None and self.flow is None and self.out is None:
-            self.finish()
-        else:
-            self.read()
-
-    def finish(self) -> None:
-        """Nothing more is answered here.
-
-        Guards against a close that resets: on bytes that are unread, or that come later, it would throw away
-        what the client's kernel has not taken of the answer. Then only the sending ends at first.
-        """
-        if self.transport.is_closing():
-            return
-        if self.lingering or not (self.unsent() or self.unread()):
-            self.transport.close()
-        else:
-            self.lingering = True
-            self.requests.clear()
-            self.used(len(self.incoming))
-            self.transport.write_eof()
-
-    def unsent(self) -> int:
-        """Bytes that its client's kernel does not have yet."""
-        handle = self.transport.get_extra_info("socket").fileno()
-        held = int.from_bytes(fcntl.ioctl(handle, termios.TIOCOUTQ, b"\0\0\0\0"), "little")
-        return held + self.transport.get_write_buffer_size()
-
-    def next(self) -> None:
-        """Takes up the next whole request."""
-        request = self.requests.popleft()
-        if isinstance(request, MessageError):
-            self.verb = b""
-            self.last = len(request.args) < 2
-            self.answer(request.args[0])
+    def take_next_request(self) -> None:
+        """Takes up the next complete request, or answers what is none."""
+        request = self.parsed_requests.popleft()
+        if isinstance(request, RequestError):
+            self.request_method = b""
+            self.closing = request.closing
+            self.answer(request.status)
             return
-        verb, target, headers, body, self.last = request
-        self.take(verb, target, headers, body)
+        self.closing = request.closing
+        self.take_request(request.method, request.target, request.headers, request.body)
 
-    # --- what the parser calls
-
-    def grown(self, count: int, most: int, status: int) -> None:
-        self.length += count
-        if self.length > most:
-            raise MessageError(status)
-
-    def on_message_begin(self) -> None:
-        self.begun = True
-        self.since = self.front.loop.time()
-        self.clear()
-
-    def on_url(self, url: bytes) -> None:
-        self.target += url
-        self.grown(len(url), self.longest_head, 413)
-
-    def on_header(self, name: bytes, value: bytes) -> None:
-        if self.headed:  # what trails a body is not the head's
-            return
-        value = value.strip(BLANKS)
-        if name.lower() == b"expect" and value.lower() == b"100-continue":
-            self.expects = self.parser.get_http_version() != "1.0"
-        self.headers.append((name, value))
-        self.grown(len(name) + len(value), self.longest_head, 413)
-
-    def on_headers_complete(self) -> None:
-        self.length, self.headed = 0, True
-        self.mark = self.came, self.front.loop.time()
-        if (declared(self.headers) or 0) > self.longest_body:
-            raise MessageError(413)
-
-    def on_body(self, body: bytes) -> None:
-        self.grown(len(body), self.longest_body, 413)
-        if self.flow is not None:
-            self.flow.put(body)
-        else:
-            self.body.append(body)
-            self.count(len(body))
-
-    def on_message_complete(self) -> None:
-        self.begun, self.proven = False, True
-        last = not self.parser.should_keep_alive()
-        if self.flow is None:
-            self.requests.append(
-                (self.parser.get_method(), self.target, self.headers, b"".join(self.body), last)
-            )
-            self.clear()
-            return
-        flow, self.flow = self.flow, None
-        self.last = self.last or last
-        self.clear()
-        flow.room = nothing
+    def flow_complete(self, flow: Flow) -> None:
+        """The last byte of a long request has come."""
         if self.carried is not None and self.carried.request.flow is flow:
             flow.end()
             self.front.turn.came(self.carried, flow.taken is not None, True)
-        elif not self.flushing and self.out is None:
-            self.front.loop.call_soon(self.go_on_or_close)
+        elif not self.flushing and self.response_flow is None:
+            self.front.loop.call_soon(self.resume_or_close)
 
-    def go_on_or_close(self) -> None:
+    def resume_or_close(self) -> None:
         """What nobody took has come to its end."""
         if self.parser is not None and not self.flushing:
-            self.settled()
-
-    # --- RPCs
-
-    def take(self, verb: bytes, target: bytes, headers: list, body: bytes, flow: Flow | None = None) -> None:
-        self.verb, self.old = verb, self.parser.get_http_version() == "1.0"
-        target = relative(target)
-        path = target.split(b"?", 1)[0]
-        if path == b"/up":
-            self.answer(200 if self.front.ready() else 503)
-            return
-        known = self.known(headers)
-        if known is None:
-            self.refuse(400)
-            return
-        method = self.method(path.split(b"/", 2)[1] if path.startswith(b"/") else b"")
-        wait = known.get(b"x-timeout-ms", b"")
-        name = known.get(b"x-request-id")
-        if not name or not wait.isdigit() or len(wait) > 9 or not 0 < int(wait) <= LONGEST_TIMEOUT:
-            self.refuse(400)
-            return
-        if method is None:
-            self.refuse(404)
-            return
-        tenant = self.tenant(known) if self.front.tenants else 0
-        if tenant is None:
-            self.refuse(400)
-            return
-        # Guards against work for nobody after a stall of our own: the request is read before the end of its
-        # connection, whose client left meanwhile. Whatever waits longer is looked at again when it is sent.
-        if self.front.stalled() and self.has_left():
-            self.close()
-            return
-        if name in self.front.turn.in_hand.names:
-            self.refuse(409)  # somebody waits under this id: two answers could not be told apart
-            return
-        kept = [(name, value) for name, value in passed_on(headers) if name.lower() != b"x-timeout-ms"]
-        request = Request(name, verb, target, kept, body, flow, None if flow is None else declared(headers))
-        if not self.front.room_for(len(request)):
-            self.exhausted(0)
-            return
-        self.carried = carried = Carried(self, request, self.who)
-        if flow is not None:
-            flow.lost = lambda: self.front.turn.came(carried, False, not carried.coming)
-        self.front.turn.arrived(self.carried, method, int(wait), known.get(b"x-retried") == b"1", tenant)
-
-    def known(self, headers: list) -> dict[bytes, bytes] | None:
-        """By name in lower case; None if one that a request is known by comes twice."""
-        known: dict[bytes, bytes] = {}
-        for name, value in headers:
-            name = name.lower()
-            if name in self.once and name in known:
-                return None
-            known[name] = value
-        return known
-
-    def method(self, part: bytes) -> int | None:
-        """By name, as it stands or as a path has to write what may not stand in one."""
-        found = self.front.methods.get(part)
-        if found is None and b"%" in part:
-            found = self.front.methods.get(unquote_to_bytes(part))
-        return found
-
-    def tenant(self, known: dict[bytes, bytes]) -> int | None:
-        """The tenant's number, by its name in `X-Tenant-Id` or its number in `X-Attrs`, 0 where none is
-        named; None if the number is not sound."""
-        name = known.get(b"x-tenant-id")
-        if name is not None:
-            return self.front.tenant_of(name)
-        for pair in known.get(b"x-attrs", b"").split(b","):
-            name, _, value = pair.partition(b"=")
-            if name.strip() == b"project":
-                value = value.strip()
-                sound = value.isdigit() and len(value) < 6 and int(value) < self.front.tenants
-                return int(value) if sound else None
-        return 0
-
-    def completed(self, answer: Answer | None) -> None:
-        """The final answer; the end of a long one, None if it broke."""
-        if self.out is None and not self.answering:
-            self.answer(answer.status, answer.headers, answer.body, answer.length)
-            return
-        self.carried, self.answering = None, False
-        self.front.used(self)
-        if self.transport.is_closing():
-            return
-        if answer is None:
-            logger.info("response cut, upstream broke off")
-            self.break_off()
-        elif self.out is None and not self.flushing:
-            self.settled()
-
-    def flowing(self, answer: Answer) -> None:
-        """A long answer has begun."""
-        self.out, self.answering = answer.flow, True
-        self.out.news = self.pump
-        self.chunked = answer.length is None and not self.old
-        if self.verb == b"HEAD":
-            self.out.discard()
-        self.mark = self.gone, self.front.loop.time()
-        if answer.length is None and self.old:
-            self.last = True
-        framing = (
-            b"Transfer-Encoding: chunked"
-            if self.chunked
-            else (b"" if answer.length is None else b"Content-Length: %d" % answer.length)
-        )
-        if self.write(self.head(answer.status, answer.headers, framing)):
-            self.pump()
-
-    def pump(self) -> None:
-        """Writes what has come of a long answer, as far as the kernel takes it."""
-        flow = self.out
-        while flow is not None and not self.flushing and not self.transport.is_closing():
-            if flow.broken:
-                self.break_off()
-                return
-            piece = flow.take()
-            if piece:
-                self.write(*((b"%x\r\n" % len(piece), piece, b"\r\n") if self.chunked else (piece,)))
-            elif flow.ended:
-                flow.news, self.out = nothing, None
-                if (not self.chunked or self.write(b"0\r\n\r\n")) and not self.answering:
-                    self.settled()
-                return
-            else:
-                return
-
-    def exhausted(self, wait: int) -> None:
-        """A refusal: another try is harmless, after `wait` tenths of a millisecond if that is not 0."""
-        self.answer(503, [(b"Retry-After", b"%.3f" % (wait / 10_000))] if wait else [])
-
-    def errored(self) -> None:
-        self.answer(502)
-
-    def refuse(self, status: int) -> None:
-        """What cannot be used ends its connection too: the next one costs its client a new one."""
-        self.last = True
-        self.answer(status)
-
-    def answer(self, status: int, headers: list = (), body: bytes = b"", length: int | None = None) -> None:
-        self.carried = None
-        if self.flow is not None:
-            # It is answered before its end: the rest is read, as its client may send it first.
-            self.flow.discard()
-            self.last = True
-        self.front.used(self)
-        if self.transport.is_closing():
-            return
-        self.mark = self.gone, self.front.loop.time()
-        length = len(body) if length is None else length
-        framing = b"" if status in (204, 304) else b"Content-Length: %d" % length
-        if self.verb == b"HEAD":
-            body, framing = b"", framing if length else b""
-        if self.write(self.head(status, headers, framing), body):
-            self.settled() if self.flow is not None else self.flushed()
-
-    def head(self, status: int, headers: list, framing: bytes) -> bytes:
-        self.since = self.front.loop.time()
-        ending = self.front.draining() or self.front.crowded()
-        # Guards requests that came early: what has been sent here was taken, though it is unread.
-        if ending and not (self.requests or self.begun or self.incoming or self.unread()):
-            self.last = True
-        lines = [b"HTTP/1.1 %d %s\r\n" % (status, REASONS.get(status, b"OK"))]
-        lines += [b"%s: %s\r\n" % pair for pair in headers]
-        if self.last:
-            lines.append(b"Connection: close\r\n")
-        elif self.old:
-            lines.append(b"Connection: keep-alive\r\n")
-        lines.append(framing + b"\r\n\r\n" if framing else b"\r\n")
-        return b"".join(lines)
-
-    def write(self, *pieces: bytes) -> bool:
-        self.gone += sum(map(len, pieces))
-        return super().write(*pieces)
+            self.response_sent()
--- a/shedgrade/http/listener.py
+++ b/shedgrade/http/listener.py
@@ -3,7 +3,7 @@
 import select
 import socket
 
-from shedgrade.http.inbound_connection import InboundConnection
+from shedgrade.http.rpc_connection import RpcConnection
 from shedgrade.runtime.log import logger
 
 BACKLOG = 1024  # connections that the kernel holds while the loop is busy
@@ -20,7 +20,7 @@
         loop,
         front,
         address: tuple[str, int],
-        connection=InboundConnection,
+        connection=RpcConnection,
         shared: bool = False,
         given: socket.socket | None = None,
     ) -> None:
--- /dev/null
+++ b/shedgrade/http/request_parser.py
@@ -0,0 +1,269 @@
+"""The parsing half of an inbound connection: HTTP/1.1 requests, complete or as a flow, within bounds."""
+
+import asyncio
+from collections import deque
+from collections.abc import Callable
+from typing import NamedTuple, Protocol
+
+import httptools
+
+from shedgrade.buffers.budget import Budget
+from shedgrade.buffers.flow import SMALL, Flow, nothing
+from shedgrade.http.connection import Connection
+from shedgrade.http.message_grammar import (
+    MAX_BODY_BYTES,
+    MAX_HEAD_BYTES,
+    OPTIONAL_WHITESPACE,
+    Headers,
+    content_length,
+)
+from shedgrade.in_flight import Carried, InHand
+
+MAX_FRAMING_RATIO = 64  # bytes of framing for each byte of a body, beyond a head's bytes
+FIRST_REQUEST_TIMEOUT_S = 2.0  # within which a connection's first request must begin
+HEAD_TIMEOUT_S = 2.5  # from its first byte, within which a head must be complete: slow clients take 2
+
+
+class RequestError(Exception):
+    """What came is no request that can be accepted; `status` says so. `closing`: its connection closes
+    then.
+    """
+
+    def __init__(self, status: int, closing: bool = True) -> None:
+        super().__init__(status)
+        self.status = status
+        self.closing = closing
+
+
+class ParsedRequest(NamedTuple):
+    """A complete request. `closing`: its connection closes after the response."""
+
+    method: bytes
+    target: bytes
+    headers: Headers
+    body: bytes
+    closing: bool
+
+
+class RequestEvents(Protocol):
+    """Who is told of requests (`request_dispatch`)."""
+
+    in_hand: InHand
+
+    def arrived(self, carried: Carried, method: int, wait: int, retried: bool, tenant: int = 0) -> None:
+        """A request was admitted; `wait`: ms that its client waits."""
+
+    def left(self, carried: Carried) -> None:
+        """The client has disconnected, or its request does not come to its end."""
+
+    def came(self, carried: Carried, here: bool, whole: bool) -> None:
+        """More of a long request has come. `here`: all its bytes still are; `whole`: its last one has
+        come.
+        """
+
+
+class InboundFront(Protocol):
+    """What an inbound connection uses of what accepts it (`upstream_pool.front`)."""
+
+    loop: asyncio.AbstractEventLoop
+    budget: Budget
+    turn: RequestEvents
+    ready: Callable[[], bool]
+    draining: Callable[[], bool]
+
+    def opened(self, connection: object) -> None:
+        """The connection is there."""
+
+    def used(self, connection: object) -> None:
+        """A response goes out on it."""
+
+    def closed(self, connection: object) -> None:
+        """It is lost."""
+
+    def crowded(self) -> bool:
+        """Whether responses end their connections, for want of room."""
+
+    def room_for(self, count: int) -> bool:
+        """Whether a request of so many bytes may be held."""
+
+    def stalled(self) -> bool:
+        """Whether this process stood still a moment ago."""
+
+
+class RequestParser(Connection):
+    """Feeds httptools, whose callbacks gather one request after another.
+
+    Attributes:
+        parsed_requests: complete requests that wait for the one in hand, and errors to be answered, in order.
+        closing: no request is taken after the one in hand.
+        request_begun: a request has begun to come and is not complete.
+        any_request_complete: a request has been complete on this connection.
+        waiting_since: when the connection was opened, a request began, or a response began; on the loop's
+            clock.
+        request_flow: bytes of a long request, while that is still coming; None otherwise, and for requests
+        that are
+            gathered in `body`.
+        progress_bytes, progress_at: bytes that had come, or were taken, when progress was last seen; and
+        when. bytes_received: all bytes that have come.
+        budgeted_bytes: bytes of `body`, which the budget counts; 0 while `request_flow` is there.
+        target, headers, body, length: of the request that is coming; `length` counts bytes of its head until
+            `head_complete`, of its body from then on.
+        head_complete: its head is complete.
+        head_bytes_left: bytes that may still come before it is.
+        framed_bytes: bytes that have come behind it, framing included.
+        expects_continue: its client waits for `100 Continue`.
+    """
+
+    # Bounds of what a client may send and how long it may take; another protocol sets its own.
+    flow_above_bytes = SMALL
+    max_head_bytes = MAX_HEAD_BYTES
+    max_body_bytes = MAX_BODY_BYTES
+    first_request_timeout_s = FIRST_REQUEST_TIMEOUT_S
+    head_timeout_s = HEAD_TIMEOUT_S
+
+    def __init__(self, front: InboundFront) -> None:
+        super().__init__(front.budget)
+        self.front = front
+        self.parser = httptools.HttpRequestParser(self)
+        self.parsed_requests: deque[ParsedRequest | RequestError] = deque()
+        self.closing = False
+        self.request_begun = False
+        self.any_request_complete = False
+        self.waiting_since = front.loop.time()
+        self.request_flow: Flow | None = None
+        self.progress_bytes = 0
+        self.progress_at = 0.0
+        self.bytes_received = 0
+        self.budgeted_bytes = 0
+        self.reset_request()
+
+    def reset_request(self) -> None:
+        """No request has begun to come."""
+        self.add_to_budget(-self.budgeted_bytes)
+        self.target = b""
+        self.headers: Headers = []
+        self.body: list[bytes] = []
+        self.length = 0
+        self.head_complete = False
+        self.head_bytes_left = self.max_head_bytes
+        self.framed_bytes = 0
+        self.expects_continue = False
+
+    def add_to_budget(self, more: int) -> None:
+        """Bytes of a body that is not complete are in the budget too."""
+        self.budgeted_bytes += more
+        self.front.budget.bytes += more
+
+    def note_progress(self, count: int, now: float) -> None:
+        """So many bytes had come, or were taken, at `now`."""
+        self.progress_bytes = count
+        self.progress_at = now
+
+    def buffer_updated(self, count: int) -> None:
+        """Bytes have come."""
+        self.bytes_received += count
+        super().buffer_updated(count)
+
+    def feed(self, part: memoryview) -> None:
+        """Parses bytes of the incoming ring. What is no request is queued as the RequestError to answer it
+        with.
+        """
+        try:
+            if self.head_complete:
+                self.framed_bytes += len(part)
+            else:
+                self.head_bytes_left -= len(part)
+            self.parser.feed_data(part)
+            # Guards against trailers without end, as against a head.
+            if self.request_begun and self.framed_bytes > MAX_HEAD_BYTES + MAX_FRAMING_RATIO * self.length:
+                raise RequestError(413)
+            # Guards against a head without end: the parser would gather it until memory is gone.
+            if self.request_begun and not self.head_complete and self.head_bytes_left < 0:
+                self.parsed_requests.append(RequestError(413))
+        except RequestError as error:
+            self.parsed_requests.append(error)
+        except httptools.HttpParserUpgrade:
+            # Nothing else is spoken here: answered as a plain request, after which the connection ends.
+            upgrading = self.parsed_requests[-1]
+            assert isinstance(upgrading, ParsedRequest)
+            self.parsed_requests[-1] = upgrading._replace(closing=True)
+        except httptools.HttpParserError as error:
+            self.parse_failed(error)
+
+    def parse_failed(self, error: httptools.HttpParserError) -> None:
+        """Bytes that are no request, or one that a callback below has found wrong."""
+        cause = error.__context__
+        self.parsed_requests.append(cause if isinstance(cause, RequestError) else RequestError(400))
+        if len(self.parsed_requests) > 1:
+            # Guards against a length that is too short: what came in one piece with bytes that are no
+            # request is none either, and is not passed on.
+            bad = [RequestError(400, closing=False) for _ in range(len(self.parsed_requests) - 1)]
+            self.parsed_requests = deque([*bad, self.parsed_requests[-1]])
+
+    def flow_complete(self, flow: Flow) -> None:
+        """The last byte of a long request has come."""
+        raise NotImplementedError
+
+    # --- callbacks of httptools
+
+    def add_length(self, count: int, most: int, status: int) -> None:
+        """Counts bytes of the head, or of the body. RequestError if there are more than `most`."""
+        self.length += count
+        if self.length > most:
+            raise RequestError(status)
+
+    def on_message_begin(self) -> None:
+        """A request begins."""
+        self.request_begun = True
+        self.waiting_since = self.front.loop.time()
+        self.reset_request()
+
+    def on_url(self, url: bytes) -> None:
+        """A part of the target has come."""
+        self.target += url
+        self.add_length(len(url), self.max_head_bytes, 413)
+
+    def on_header(self, name: bytes, value: bytes) -> None:
+        """A header has come, or a trailer."""
+        if self.head_complete:  # what trails a body is not the head's
+            return
+        value = value.strip(OPTIONAL_WHITESPACE)
+        if name.lower() == b"expect" and value.lower() == b"100-continue":
+            self.expects_continue = self.parser.get_http_version() != "1.0"
+        self.headers.append((name, value))
+        self.add_length(len(name) + len(value), self.max_head_bytes, 413)
+
+    def on_headers_complete(self) -> None:
+        """The head is complete."""
+        self.length = 0
+        self.head_complete = True
+        self.note_progress(self.bytes_received, self.front.loop.time())
+        if (content_length(self.headers) or 0) > self.max_body_bytes:
+            raise RequestError(413)
+
+    def on_body(self, body: bytes) -> None:
+        """A part of the body has come."""
+        self.add_length(len(body), self.max_body_bytes, 413)
+        if self.request_flow is not None:
+            self.request_flow.put(body)
+        else:
+            self.body.append(body)
+            self.add_to_budget(len(body))
+
+    def on_message_complete(self) -> None:
+        """A request is complete."""
+        self.request_begun = False
+        self.any_request_complete = True
+        last = not self.parser.should_keep_alive()
+        if self.request_flow is None:
+            self.parsed_requests.append(
+                ParsedRequest(self.parser.get_method(), self.target, self.headers, b"".join(self.body), last)
+            )
+            self.reset_request()
+            return
+        flow = self.request_flow
+        self.request_flow = None
+        self.closing = self.closing or last
+        self.reset_request()
+        flow.room = nothing
+        self.flow_complete(flow)
--- a/shedgrade/http/server.py
+++ b/shedgrade/http/server.py
@@ -14,13 +14,12 @@
 import msgspec
 
 from shedgrade.findings import Finding
-from shedgrade.http.connection import LONGEST_HEAD, Connection
+from shedgrade.http.connection import Connection
 from shedgrade.http.listener import Listener
-from shedgrade.http.message_grammar import REASONS as KNOWN_REASONS
-from shedgrade.http.message_grammar import relative
+from shedgrade.http.message_grammar import MAX_HEAD_BYTES, REASON_PHRASES, origin_form
 
 REASONS = {
-    **KNOWN_REASONS,
+    **REASON_PHRASES,
     405: b"Method Not Allowed",
     412: b"Precondition Failed",
     431: b"Request Header Fields Too Large",
@@ -221,7 +220,7 @@
                 self.refuse(400, "is no request in HTTP/1.1")
         self.used(len(part))
         # Guards against a head that never ends, which the parser would gather.
-        if self.begun and not self.headed and self.raw_head > 4 * LONGEST_HEAD:
+        if self.begun and not self.headed and self.raw_head > 4 * MAX_HEAD_BYTES:
             self.refuse(431, "has too long a head")
 
     def on_message_begin(self) -> None:
@@ -237,7 +236,7 @@
         self.head_size += len(name) + len(value) + 4
         if self.headed:
             return  # a trailer, which nobody here asks for
-        if self.head_size > LONGEST_HEAD:
+        if self.head_size > MAX_HEAD_BYTES:
             self.refuse(431, "has too long a head")
             return
         name = name.lower()
@@ -247,7 +246,7 @@
     def on_headers_complete(self) -> None:
         self.headed = True
         self.since = self.server.loop.time()
-        if self.head_size > LONGEST_HEAD:
+        if self.head_size > MAX_HEAD_BYTES:
             self.refuse(431, "has too long a head")
         elif int(self.headers.get(b"content-length", b"0")) > LONGEST_BODY:
             self.refuse(413, "has too long a body")
@@ -276,7 +275,7 @@
         if self.ending:
             return
         self.begun = False
-        path, _, query = relative(self.target).partition(b"?")
+        path, _, query = origin_form(self.target).partition(b"?")
         pairs = parse_qsl(query.decode(errors="replace"), keep_blank_values=True) if query else ()
         request = Request(
             self.parser.get_method(),
--- a/shedgrade/http/upstream_connection.py
+++ b/shedgrade/http/upstream_connection.py
@@ -10,14 +10,14 @@
 from shedgrade import load_balancing
 from shedgrade.buffers.budget import Budget
 from shedgrade.buffers.flow import PRESSED, SMALL, Flow, nothing
-from shedgrade.http.connection import (
-    BLANKS,
-    LONGEST_BODY,
-    LONGEST_HEAD,
-    Connection,
-    MessageError,
-    declared,
-    passed_on,
+from shedgrade.http.connection import Connection
+from shedgrade.http.message_grammar import (
+    MAX_BODY_BYTES,
+    MAX_HEAD_BYTES,
+    OPTIONAL_WHITESPACE,
+    ResponseError,
+    content_length,
+    end_to_end_headers,
 )
 from shedgrade.http.upstream_protocol import UpstreamProtocol
 from shedgrade.in_flight import Answer, Transmission
@@ -86,7 +86,7 @@
     def clear(self) -> None:
         self.count(-self.counted)
         self.headers, self.body, self.length, self.status, self.said = [], [], 0, 0, None
-        self.head_left = LONGEST_HEAD  # bytes that may still come before the head of the answer ends
+        self.head_left = MAX_HEAD_BYTES  # bytes that may still come before the head of the answer ends
         self.raw = 0  # bytes that came behind that head
         self.complete = self.lasting = self.framed = self.bodiless = False
         self.answer: Answer | None = None  # the head of a long one
@@ -232,7 +232,7 @@
             part = self.incoming.parts()[0]
             try:
                 if (self.transmission is None and not self.orphan_until) or self.complete:
-                    raise MessageError("bytes that nobody asked for")
+                    raise ResponseError("bytes that nobody asked for")
                 if self.status:
                     self.raw += len(part)
                 else:
@@ -241,11 +241,11 @@
                 # Guards against a head, or trailers, without end: the parser would gather them until memory
                 # is gone.
                 if self.head_left < 0 and not self.status:
-                    raise MessageError("head too long")
-                if self.raw > LONGEST_HEAD + 64 * self.length:
-                    raise MessageError("more framing than body")
+                    raise ResponseError("head too long")
+                if self.raw > MAX_HEAD_BYTES + 64 * self.length:
+                    raise ResponseError("more framing than body")
                 self.lengthen()
-            except (httptools.HttpParserError, MessageError):
+            except (httptools.HttpParserError, ResponseError):
                 # A broken answer is an error after which the RPC may have run. What comes behind a whole
                 # one leaves the answer as it is, but the connection is of no further use.
                 if not self.complete:
@@ -287,13 +287,13 @@
 
     def pass_on(self) -> None:
         if self.status // 100 != 2 or self.transmission is None or self.sending is not None:
-            raise MessageError("long, and for nobody")
+            raise ResponseError("long, and for nobody")
         budget, body, self.body = self.connections.budget, self.body, []
         self.count(-self.counted)
         self.coming = Flow(budget, body)
         self.coming.let_go()
         self.coming.room = self.resume
-        self.answer = Answer(passed_on(self.headers), b"", self.status, self.coming, self.said)
+        self.answer = Answer(end_to_end_headers(self.headers), b"", self.status, self.coming, self.said)
         self.connections.turn.flowing(self.transmission, self.answer, self.answered_at)
 
     def resume(self) -> None:
@@ -310,25 +310,25 @@
     def on_message_begin(self) -> None:
         # Guards against a second copy behind an answer: its body would be added to the first one's.
         if self.complete:
-            raise MessageError("two answers")
+            raise ResponseError("two answers")
 
     def on_header(self, name: bytes, value: bytes) -> None:
         if self.status:  # what trails a body is not the head's
             return
-        value = value.strip(BLANKS)
+        value = value.strip(OPTIONAL_WHITESPACE)
         self.headers.append((name, value))
         self.length += len(name) + len(value)
-        if self.length > LONGEST_HEAD:
-            raise MessageError("head too long")
+        if self.length > MAX_HEAD_BYTES:
+            raise ResponseError("head too long")
 
     def on_headers_complete(self) -> None:
         status = self.parser.get_status_code()
         if status < 200:  # announces the answer, which follows
             if status == 101:
-                raise MessageError("nothing else is spoken here")
+                raise ResponseError("nothing else is spoken here")
             self.headers = []
             return
-        self.status, self.length, self.said = status, 0, declared(self.headers)
+        self.status, self.length, self.said = status, 0, content_length(self.headers)
         self.answered_at = self.connections.clock.now()
         self.framed = self.said is not None or any(
             name.lower() == b"transfer-encoding" for name, _ in self.headers
@@ -336,15 +336,15 @@
         if self.bodiless:
             # An answer to HEAD says the length of a body that does not follow; the parser would wait for it.
             self.complete, self.lasting = True, False
-        elif self.said is not None and self.said > LONGEST_BODY:
-            raise MessageError("body too long")
+        elif self.said is not None and self.said > MAX_BODY_BYTES:
+            raise ResponseError("body too long")
 
     def on_body(self, body: bytes) -> None:
         if self.bodiless:
             return
         self.length += len(body)
-        if self.length > LONGEST_BODY:
-            raise MessageError("body too long")
+        if self.length > MAX_BODY_BYTES:
+            raise ResponseError("body too long")
         if self.coming is not None:
             self.coming.put(body)
         else:
@@ -363,7 +363,7 @@
                 load_balancing.COMPLETED,
                 self.answer
                 or Answer(
-                    passed_on(self.headers),
+                    end_to_end_headers(self.headers),
                     b"".join(self.body),
                     self.status,
                     length=self.said if self.bodiless else None,
--- a/shedgrade/sidecar/lifecycle/sidecar.py
+++ b/shedgrade/sidecar/lifecycle/sidecar.py
@@ -12,8 +12,8 @@
 from shedgrade import load_balancing
 from shedgrade.buffers.budget import Budget
 from shedgrade.http.endpoint_discovery import ListError
-from shedgrade.http.inbound_connection import InboundConnection
 from shedgrade.http.listener import Listener
+from shedgrade.http.rpc_connection import RpcConnection
 from shedgrade.runtime.clock import Clock
 from shedgrade.sidecar.admin.front import MOST as ADMIN_MOST
 from shedgrade.sidecar.admin.front import AdminConnection, AdminFront
@@ -237,7 +237,7 @@
                 self.pool.take_over("known")
             except ListError as wrong:
                 logger.warning("the known list is of no use: {}", wrong)
-        self.listener = self.listen(self.config.listen, self.front, InboundConnection, given)
+        self.listener = self.listen(self.config.listen, self.front, RpcConnection, given)
         if self.config.admin is not None:
             self.admin = AdminFront(self.loop, self.orders)
             self.admin_listener = self.listen(self.config.admin, self.admin, AdminConnection)
--- a/shedgrade/sidecar/tunnel/listener.py
+++ b/shedgrade/sidecar/tunnel/listener.py
@@ -14,7 +14,7 @@
 
 from loguru import logger
 
-from shedgrade.http.inbound_connection import InboundConnection
+from shedgrade.http.rpc_connection import RpcConnection
 from shedgrade.in_flight import Carried, Request
 from shedgrade.sidecar.tunnel import connect, socks
 from shedgrade.sidecar.tunnel.config import Tunnel
@@ -110,7 +110,7 @@
         """From here on the application's own protocol is spoken, on the pool's front."""
         self.answered = True
         self.transport.write(self.codec.granted())
-        inside = InboundConnection(front, self.codec.user)
+        inside = RpcConnection(front, self.codec.user)
         self.tunnels.over(self)
         transport, rest = self.transport, self.codec.rest
         transport.set_protocol(inside)
--- a/shedgrade/upstream_pool/front.py
+++ b/shedgrade/upstream_pool/front.py
@@ -98,7 +98,7 @@
         self.looked = monotonic()
         now = self.loop.time()
         for connection in list(self.clients):
-            connection.overdue(now)
+            connection.check_timeouts(now)
 
     def stalled(self) -> bool:
         """This process stood still a moment ago: what is read now may have waited long for it."""
--- a/tests/dataplane/stepped_rig.py
+++ b/tests/dataplane/stepped_rig.py
@@ -240,7 +240,7 @@
 
     def __init__(self, attempt_id):
         self.attempt_id, self.finals, self.flow, self.gone = attempt_id, [], None, False
-        self.failed = None  # as in the connection that is stood in for
+        self.failed_exchange = None  # as in the connection that is stood in for
         self.got, self.head = b"", None
 
     errored = IngressConnection.errored
@@ -339,7 +339,7 @@
         exchange = Exchange(
             client, request, self.pool, Wants(most=MOST), streams, None, self.loop.now() + WAIT * 10
         )
-        client.failed = exchange
+        client.failed_exchange = exchange
         self.clients.append(client)
         self.asked.append((exchange, method))
         self.pool.turn.arrived(exchange, method, WAIT, False)
--- a/tests/dataplane/test_ingress.py
+++ b/tests/dataplane/test_ingress.py
@@ -391,7 +391,7 @@
             while not plane.front.clients:
                 await asyncio.sleep(0)
             for connection in plane.front.clients:
-                connection.overdue(plane.loop.time() + 0.8 * 9.0)
+                connection.check_timeouts(plane.loop.time() + 0.8 * 9.0)
             client.send(request(name="id-2"))
             assert await client.head() == 200 and await client.body() == b"free: 4"
 
@@ -601,7 +601,7 @@
             assert await client.head() == 200
             await client.body()
             (connection,) = plane.front.clients
-            connection.since -= JUST_UP
+            connection.waiting_since -= JUST_UP
             plane.front.close_idle()
             assert connection.transport.is_closing()
 
@@ -623,7 +623,7 @@
             async with asyncio.timeout(5):
                 await taken.wait()
             (connection,) = plane.front.clients
-            connection.since -= JUST_UP
+            connection.waiting_since -= JUST_UP
             plane.front.close_idle()
             go_on.set()
             assert await client.head() == 200 and await client.body() == b"whole"
--- a/tests/load_balancing/test_in_memory.py
+++ b/tests/load_balancing/test_in_memory.py
@@ -11,7 +11,7 @@
 
 from shedgrade import load_balancing
 from shedgrade.buffers.budget import Budget
-from shedgrade.http.inbound_connection import InboundConnection
+from shedgrade.http.rpc_connection import RpcConnection
 from shedgrade.in_flight import Answer, Carried, Request
 from shedgrade.request_dispatch import Turn
 
@@ -264,7 +264,7 @@
 )
 def test_requests_cut_anyhow_are_answered_once_each_and_in_order(bodies, cuts, slow, order):
     taken = []
-    connection = InboundConnection(sidecar(taken))
+    connection = RpcConnection(sidecar(taken))
     transport = Transport(connection)
     connection.connection_made(transport)
     stream, step, answered = b"".join(request(body) for body in bodies), 0, 0
@@ -318,7 +318,7 @@
 )
 def test_nothing_that_comes_in_gets_past_the_connection_as_an_exception(pieces):
     taken = []
-    connection = InboundConnection(sidecar(taken))
+    connection = RpcConnection(sidecar(taken))
     transport = Transport(connection)
     connection.connection_made(transport)
     for piece in pieces:
--- a/tests/sidecar/process/test_sockets.py
+++ b/tests/sidecar/process/test_sockets.py
@@ -198,10 +198,10 @@
         silent, half, used = await world.connect(), await world.connect(), await world.connect()
         assert (await ask(world, connection=used))[0] == 200
         half[1].write(request(b"x" * 9)[:-2])
-        await until(lambda: sum(one.begun for one in world.sidecar.front.clients) == 1)
+        await until(lambda: sum(one.request_begun for one in world.sidecar.front.clients) == 1)
         for one in world.sidecar.front.clients:
-            one.since -= 10
-            one.mark = (one.mark[0], one.mark[1] - 10)
+            one.waiting_since -= 10
+            one.progress_at -= 10
         assert (await silent[0].read(), (await half[0].read())[:12]) == (b"", b"HTTP/1.1 408")
         assert (await ask(world, connection=used))[0] == 200
 
@@ -446,7 +446,7 @@
             b'{"generation":9,"reset":true,"instances":[{"instanceId":7}]}',
         ):
             await world.tell_raw(wrong)
-        assert len(failures) == 4 and any("the old list stays" in line for line in lines)
+        assert len(failures) == 4 and any("endpoint discovery failed" in line for line in lines)
         assert [(await ask(world))[0] for _ in range(3)] == [200] * 3 and len(world.upstreams[1].seen) == 6
         await world.tell(world.entry(0), reset=True)  # a whole list that no longer names the other
         assert [(await ask(world))[0] for _ in range(3)] == [200] * 3 and len(world.upstreams[0].seen) == 3
@@ -536,7 +536,7 @@
         half = await world.connect()
         raw = request(b"0123456789")
         half[1].write(raw[:-5])
-        await until(lambda: any(one.begun for one in world.sidecar.front.clients))
+        await until(lambda: any(one.request_begun for one in world.sidecar.front.clients))
         world.sidecar.stop_accepting()
         assert len(world.sidecar.front.clients) == 1 and not world.serving.done()
         status, _, body = await ask(world, raw[-5:], half)
--- a/tests/sidecar/size/test_size.py
+++ b/tests/sidecar/size/test_size.py
@@ -270,7 +270,7 @@
         taker[1].transport.pause_reading()
         await asyncio.sleep(0.3)
         for one in world.sidecar.front.clients:
-            one.mark = one.came, one.mark[1] - 10
+            one.note_progress(one.bytes_received, one.progress_at - 10)
             one.front.look_after()
         for reader in ends:
             assert (await reader.read()).startswith(b"HTTP/1.1 408")
@@ -292,10 +292,10 @@
         (one,) = world.sidecar.front.clients
         await until(lambda: one.flushing)
         await asyncio.sleep(0.5)
-        one.overdue(world.sidecar.loop.time())
+        one.check_timeouts(world.sidecar.loop.time())
         assert not one.transport.is_closing()
-        one.mark = one.mark[0], one.mark[1] - 10
-        one.overdue(world.sidecar.loop.time())
+        one.progress_at -= 10
+        one.check_timeouts(world.sidecar.loop.time())
         await until(lambda: not world.sidecar.pool.turn.in_hand.carried and world.bytes_held() == 0)
         await until(lambda: world.upstreams[0].open == 0)
         writer.close()
