--- a/shedgrade/dataplane/engine_connection.py
+++ b/shedgrade/dataplane/engine_connection.py
@@ -1,6 +1,6 @@
 """One connection to an upstream that serves a model: whose answer comes on it, and what it proves.
 
-Streams are passed on as they come.
+Streams are forwarded as they come.
 """
 
 import re
@@ -34,15 +34,19 @@
 
 
 class EngineConnection(UpstreamConnection):
-    """Answers are told apart by the id that they echo; a success needs the upstream's seal.
+    """Responses are attributed by the id that they echo; a success needs the upstream's seal.
 
-    What nothing tells apart is believed only as the first answer to the first request of a connection: there
+    What can't be attributed is taken only as the first response to the first request of a connection: there
     it can belong to no other. Elsewhere it ends the request as one that may have run, and the connection.
+
+    Attributes:
+        surplus: what comes now answers another request, whose time is over.
+        surplus_came: at least one such response has come on this connection.
     """
 
     def __init__(self, connections, upstream: int, address: tuple[str, int]) -> None:
-        self.surplus = False  # what comes now answers another request, whose time is over
-        self.surplus_came = False  # at least one such answer has come on this connection
+        self.surplus = False
+        self.surplus_came = False
         super().__init__(connections, upstream, address)
 
     def connection_made(self, transport) -> None:
@@ -71,7 +75,7 @@
             case Attribution.FOREIGN:
                 self.skip_surplus()
             case Attribution.UNKNOWN:
-                raise ResponseError("an answer that nothing tells apart")
+                raise ResponseError("a response that can't be attributed")
             case Attribution.OWN if self.status // 100 == 2:
                 self.succeeded(known)
 
@@ -86,15 +90,15 @@
         Nothing is kept of its head: neither its end, nor the connection's, nor the deadline may take it for
         the answer to the request in hand.
         """
-        self.clear()
+        self.reset_response()
         self.surplus = self.surplus_came = True
 
     def succeeded(self, known: dict[bytes, bytes]) -> None:
         """The head of a success has come: `known`, its headers by name in lower case."""
         if b"attempt-id" not in known or b"server-seal" not in known or b"content-encoding" in known:
             raise ResponseError("a success that is not the upstream's")
-        if self.transmission.carried.streams and self.sending is None and not self.complete:
-            self.pass_on()
+        if self.transmission.carried.streams and self.request_flow is None and not self.complete:
+            self.forward_as_flow()
 
     def may_have_run(self) -> bool:
         """As for any upstream; and one that began an answer to part of a request may have begun on it too."""
@@ -108,7 +112,7 @@
 
     def on_body(self, body: bytes) -> None:
         if self.surplus:
-            self.head_left = MAX_HEAD_BYTES  # the own answer's head is still to come whole
+            self.head_bytes_left = MAX_HEAD_BYTES  # the own answer's head is still to come whole
         else:
             super().on_body(body)
 
@@ -117,10 +121,10 @@
             super().on_message_complete()
             return
         self.surplus = False
-        self.clear()
+        self.reset_response()
         self.bodiless = self.transmission is not None and self.transmission.carried.request.verb == b"HEAD"
 
-    def finish(self) -> None:
+    def response_complete(self) -> None:
         transmission = self.transmission
         if transmission is not None and self.status // 100 != 2:
             transmission.carried.failure = Answer(
@@ -128,4 +132,4 @@
             )
             if self.status == MISDIRECTED:
                 self.connections.misdirected(self.upstream)
-        super().finish()
+        super().response_complete()
--- a/shedgrade/dataplane/engine_connection_pool.py
+++ b/shedgrade/dataplane/engine_connection_pool.py
@@ -9,7 +9,7 @@
 
 from shedgrade import load_balancing
 from shedgrade.dataplane.engine_connection import EngineConnection
-from shedgrade.http.connection_pool import OURS, ConnectionPool
+from shedgrade.http.connection_pool import LOCAL_ERRORS, ConnectionPool
 
 SECOND = 10_000  # in tenths of a ms
 DEFAULT_IDLE_LIMIT = 4 * SECOND  # of an idle connection whose upstream states no limit
@@ -58,7 +58,7 @@
         except ConnectionError:
             return Reach.REFUSED
         except OSError as failure:  # a TimeoutError too
-            return Reach.UP if failure.errno in OURS else Reach.DARK
+            return Reach.UP if failure.errno in LOCAL_ERRORS else Reach.DARK
         if not link.lost:
             self.open.add(link)
             self.count()
@@ -69,7 +69,7 @@
         """Its machine can't be reached: whatever waits for it ends now, not when the kernel gives up."""
         self.forget(upstream)
         for link in [link for link in self.open if link.upstream == upstream]:
-            link.end(load_balancing.DROPPED if link.may_have_run() else load_balancing.BROKEN)
+            link.finish_transmission(load_balancing.DROPPED if link.may_have_run() else load_balancing.BROKEN)
             link.cut()
 
     def idle_timeout_stated(self, seconds: int) -> None:
@@ -81,5 +81,5 @@
     def remove_upstream(self, upstream: int) -> None:
         """It is forgotten, and its index may be another's."""
         self.forget(upstream)
-        for times in (self.heard, self.last_heard_at, self.waiting_since):
+        for times in (self.last_response_at, self.last_heard_at, self.waiting_since):
             times.pop(upstream, None)
--- a/shedgrade/http/connection_pool.py
+++ b/shedgrade/http/connection_pool.py
@@ -1,53 +1,92 @@
-"""Calls upstreams: finds or opens a connection for each transmission, and keeps idle ones for the next."""
+"""The connections of one pool of upstreams: finds or opens one for each transmission, and keeps idle ones.
+
+Times are tenths of a ms on the clock."""
 
 import asyncio
 import errno
+from collections.abc import Callable
 
 from shedgrade import load_balancing
+from shedgrade.buffers.budget import Budget
+from shedgrade.http.connection import Connection
 from shedgrade.http.idle_connections import IdleConnections
-from shedgrade.http.upstream_connection import UpstreamConnection
-from shedgrade.http.upstream_protocol import DEADLINE_HEADER_PROTOCOL
+from shedgrade.http.upstream_connection import TransmissionEvents, UpstreamConnection
+from shedgrade.http.upstream_protocol import DEADLINE_HEADER_PROTOCOL, UpstreamProtocol
 from shedgrade.in_flight import Transmission
+from shedgrade.runtime.clock import Clock
+
+Address = tuple[str, int]
 
-SETTLED = 60  # tenths of a ms: what an upstream sends behind an answer is here by then (5 plays: 1 to 4 ms)
+SETTLE_TIME = 60  # what an upstream sends behind a response is here by then (5 plays: 1 to 4 ms)
 # Failures to connect that are this side's own: they prove as well that nothing ran, and blame no upstream.
-OURS = (errno.EMFILE, errno.ENFILE, errno.ENOBUFS, errno.ENOMEM, errno.EADDRNOTAVAIL)
+LOCAL_ERRORS = (errno.EMFILE, errno.ENFILE, errno.ENOBUFS, errno.ENOMEM, errno.EADDRNOTAVAIL)
 
 # A connection that came up and broke: a process that is gone refuses, so this tells less of the upstream.
-SHAKEN = (errno.ECONNRESET, errno.ECONNABORTED, errno.EPIPE, errno.ENOTCONN)
+BROKEN_ERRORS = (errno.ECONNRESET, errno.ECONNABORTED, errno.EPIPE, errno.ENOTCONN)
 
 
 class ConnectionPool:
-    """Carries out transmissions: finds or opens a connection, and stops what is no longer wanted."""
-
-    connection, protocol = UpstreamConnection, DEADLINE_HEADER_PROTOCOL
+    """Carries out transmissions: finds or opens a connection, and stops what is no longer wanted.
+
+    Attributes:
+        addresses: of upstreams, by index; kept true by the owner of the endpoint list.
+        connect_timeout: after which a connection that is being opened is given up.
+        idle: connections that wait for the next transmission, in the order of their use.
+        open: all connections that are open, idle or not.
+        connecting: the transmissions for which one is being opened.
+        abandoned: connections whose transmission was given up, and whose response is still to come.
+        last_response_at: by upstream: when it last answered anything.
+        connect: how a connection is opened; a proxy's dialler replaces it. `proxied`: a slow one may then be
+            another's fault than the upstream's.
+        own_addresses: where this process listens: no connection is opened to there.
+        stream_buffer: bytes that wait in a stream's direction. `streams`: by upstream, those that are open.
+        count_header, count_received: a response's header with its upstream's own count, and who is told.
+        budgeted: connections of this pool that the budget counts: the open ones and those being opened.
+    """
+
+    connection: type[UpstreamConnection] = UpstreamConnection
+    protocol: UpstreamProtocol = DEADLINE_HEADER_PROTOCOL
+    turn: TransmissionEvents  # set by whoever owns the pool
 
     def __init__(
-        self, loop, clock, addresses: dict[int, tuple[str, int]], dial_time: int, idle_limit: int, budget
+        self,
+        loop: asyncio.AbstractEventLoop,
+        clock: Clock,
+        addresses: dict[int, Address],
+        connect_timeout: int,
+        idle_limit: int,
+        budget: Budget,
     ) -> None:
-        self.loop, self.clock, self.addresses, self.budget = loop, clock, addresses, budget
-        self.dial_time = dial_time
-        self.idle = IdleConnections(idle_limit, SETTLED)
+        """`idle_limit`: for which a connection may stand idle and still be used."""
+        self.loop = loop
+        self.clock = clock
+        self.addresses = addresses
+        self.budget = budget
+        self.connect_timeout = connect_timeout
+        self.idle: IdleConnections[UpstreamConnection] = IdleConnections(idle_limit, SETTLE_TIME)
         self.open: set[UpstreamConnection] = set()
-        self.heard: dict[int, int] = {}  # by upstream: when it last answered anything
-        self.dials: dict[Transmission, asyncio.Task] = {}
-        self.orphans: set[UpstreamConnection] = set()
-        self.turn, self.counted = None, 0
-        # How a connection is opened, and whether a slow one may be another's fault (a proxy's) than the
-        # upstream's.
-        self.connect, self.proxied = self.direct, False
-        self.own: set[tuple[str, int]] = set()  # where this process listens: nothing is dialled there
-        self.stream_buffer = 65_536  # bytes that wait in a stream's direction
-        # An answer's header with its upstream's count, and who is told.
-        self.counts_in, self.counted_by = b"", None
-        self.streams: dict[int, set] = {}  # by upstream: streams that are open there
+        self.connecting: dict[Transmission, asyncio.Task[None]] = {}
+        self.abandoned: set[UpstreamConnection] = set()
+        self.last_response_at: dict[int, int] = {}
+        self.connect = self.direct
+        self.proxied = False
+        self.own_addresses: set[Address] = set()
+        self.stream_buffer = 65_536
+        self.streams: dict[int, set] = {}
+        self.count_header = b""
+        self.count_received: Callable[[int, bytes], None] | None = None
+        self.budgeted = 0
 
     def transmit(self, transmission: Transmission, now: int) -> None:
-        for stale in (*self.idle.stale(now), *(link for link in self.orphans if link.orphan_until <= now)):
+        """Sends it on the latest used idle connection, or on a new one."""
+        for stale in (
+            *self.idle.stale(now),
+            *(link for link in self.abandoned if link.abandoned_until <= now),
+        ):
             stale.abort()
         stream = transmission.carried.request.stream
         link = None if stream else self.idle.take(transmission.upstream, now)
-        while link is not None and not link.alive():
+        while link is not None and not link.usable():
             link.abort()
             link = self.idle.take(transmission.upstream, now)
         if link is not None:
@@ -58,43 +97,37 @@
             self.turn.ended(transmission, load_balancing.UNSENT, None)
             return
         # A proxy's slowness says nothing of the upstream: its own limit ends the dial, as unsent.
-        transmission.dial_until = transmission.until + 1 if self.proxied else now + self.dial_time
-        self.dials[transmission] = self.loop.create_task(self.dial(transmission))
+        transmission.dial_until = transmission.until + 1 if self.proxied else now + self.connect_timeout
+        self.connecting[transmission] = self.loop.create_task(self.dial(transmission))
 
     def count(self) -> None:
         """Keeps the budget's sum over all pools true to what is open here."""
-        held = len(self.open) + len(self.dials)
-        self.budget.upstreams += held - self.counted
-        self.counted = held
+        held = len(self.open) + len(self.connecting)
+        self.budget.upstreams += held - self.budgeted
+        self.budgeted = held
 
-    async def direct(self, factory, address: tuple[str, int]) -> tuple:
+    async def direct(self, factory: Callable[[], Connection], address: Address) -> tuple:
+        """Opens a connection without a proxy. OSError if it can't be."""
         return await self.loop.create_connection(factory, *address)
 
     async def dial(self, transmission: Transmission) -> None:
+        """Opens a connection for a transmission, and sends it there if it is still wanted."""
         upstream = transmission.upstream
         address = self.addresses[upstream]
         stream = transmission.carried.request.stream
         try:
-            if address in self.own:
+            if address in self.own_addresses:
                 raise ConnectionRefusedError("that is this process")
             _, link = await self.connect(
                 lambda: (stream or self.connection)(self, upstream, address), address
             )
         except (OSError, RuntimeError, ValueError) as failure:  # the last: a host that is no name
-            number = getattr(failure, "errno", None)
-            outcome = getattr(failure, "outcome", None)
-            if outcome is None:
-                outcome = (
-                    load_balancing.UNSENT
-                    if number in OURS
-                    else (load_balancing.BROKEN if number in SHAKEN else load_balancing.UNCONNECTED)
-                )
-            if self.dials.pop(transmission, None):
-                self.turn.ended(transmission, outcome, None)
+            if self.connecting.pop(transmission, None):
+                self.turn.ended(transmission, connect_outcome(failure), None)
             return
         if not link.lost:
             self.open.add(link)
-        wanted = self.dials.pop(transmission, None) is not None
+        wanted = self.connecting.pop(transmission, None) is not None
         self.count()
         if not wanted:
             link.abort()
@@ -111,7 +144,7 @@
 
     def stop(self, transmission: Transmission) -> bool:
         """Stops waiting; False if it never ran: its connection was not up or not all was sent."""
-        task = self.dials.pop(transmission, None)
+        task = self.connecting.pop(transmission, None)
         if task is not None:
             task.cancel()
             self.count()
@@ -131,8 +164,8 @@
     def give_up(self, transmission: Transmission) -> bool:
         """Stops waiting, but leaves a connection open on which the whole request is the first one.
 
-        Guards against dear connections: the first request on one pays for it, in time that deadlines may not
-        have. Closed then, it is paid for again by the next request, which is late as well. Its answer
+        Guards against costly connections: the first request on one pays for it, in time that deadlines may
+        not have. Closed then, it is paid for again by the next request, which is late as well. Its answer
         reaches nobody; after it the connection is as good as any. `stop` says what is returned.
         """
         link = transmission.link
@@ -140,26 +173,27 @@
             not transmission.fresh
             or link is None
             or link.transmission is not transmission
-            or not (link.whole and link.coming is None)
+            or not (link.fully_sent and link.response_flow is None)
         ):
             return self.stop(transmission)
-        link.transmission, link.orphan_until = None, self.clock.now() + self.dial_time
-        self.orphans.add(link)
+        link.transmission, link.abandoned_until = None, self.clock.now() + self.connect_timeout
+        self.abandoned.add(link)
         return True
 
     def abandon(self, transmission: Transmission) -> None:
         """Another transmission may follow: guards against two out side by side."""
-        if transmission.link in self.orphans:
+        if transmission.link in self.abandoned:
             transmission.link.abort()
 
     def silent(self, transmission: Transmission) -> None:
         """Guards against a machine that vanished: its open connections stay silent, or are reset by a request
         that may then have run, whereas a new one that does not come up proves that nothing ran."""
-        if self.heard.get(transmission.upstream, 0) < transmission.sent:
+        if self.last_response_at.get(transmission.upstream, 0) < transmission.sent:
             self.forget(transmission.upstream)
 
     def give_up_idle(self) -> bool:
-        oldest = self.idle.oldest() or next(iter(self.orphans), None)
+        """Closes the connection that is idle for longest. Returns whether there was one."""
+        oldest = self.idle.oldest() or next(iter(self.abandoned), None)
         if oldest is not None:
             oldest.abort()
         return oldest is not None
@@ -170,6 +204,7 @@
             link.drain()
 
     def keep(self, link: UpstreamConnection) -> None:
+        """Keeps a connection whose response is complete for the next transmission."""
         # Guards against a move while it was out: this one leads to where the upstream was.
         if self.addresses.get(link.upstream) != link.address:
             link.cut()
@@ -177,9 +212,10 @@
         self.idle.put(link.upstream, link, self.clock.now())
 
     def closed(self, link: UpstreamConnection) -> None:
+        """A connection is lost."""
         self.idle.drop(link)
         self.open.discard(link)
-        self.orphans.discard(link)
+        self.abandoned.discard(link)
         self.count()
 
     def withdraw(self, upstream: int) -> None:
@@ -189,8 +225,8 @@
         """
         self.forget(upstream)
         self.leaving(upstream)
-        for transmission in [one for one in self.dials if one.upstream == upstream]:
-            self.dials.pop(transmission).cancel()
+        for transmission in [one for one in self.connecting if one.upstream == upstream]:
+            self.connecting.pop(transmission).cancel()
             self.turn.ended(transmission, load_balancing.UNSENT, None)
         self.count()
 
@@ -198,3 +234,15 @@
         """Its process is another one now, drains or is gone."""
         for link in self.idle.leave(upstream):
             link.abort()
+
+
+def connect_outcome(error: Exception) -> int:
+    """The outcome of a transmission whose connection could not be opened, one of `load_balancing`. A proxy's
+    error has its own."""
+    outcome = getattr(error, "outcome", None)
+    if outcome is not None:
+        return outcome
+    number = getattr(error, "errno", None)
+    if number in LOCAL_ERRORS:
+        return load_balancing.UNSENT
+    return load_balancing.BROKEN if number in BROKEN_ERRORS else load_balancing.UNCONNECTED
--- a/shedgrade/http/inbound_connection.py
+++ b/shedgrade/http/inbound_connection.py
@@ -76,7 +76,8 @@
         self.reset_request()
         self.give_back()
         self.front.closed(self)
-        self.parser = None  # type: ignore[assignment]  # it holds on to this connection, which would wait for the collector
+        # The parser holds on to this connection, which would wait for the collector.
+        self.parser = None  # type: ignore[assignment]
 
     def idle(self) -> bool:
         """Whether it is between two requests, and nothing is unread in the kernel either: closing now loses
--- a/shedgrade/sidecar/quota/part.py
+++ b/shedgrade/sidecar/quota/part.py
@@ -28,12 +28,12 @@
         """Upstreams tell their counts in a header, where the fleet's limits are split by observation."""
         connections = self.pool.connections
         if quota.fleet is not None:
-            connections.counts_in, connections.counted_by = (
+            connections.count_header, connections.count_received = (
                 quota.fleet.header.lower().encode(),
                 self.gate.answered,
             )
         else:
-            connections.counts_in, connections.counted_by = b"", None
+            connections.count_header, connections.count_received = b"", None
 
     def start(self) -> None:
         logger.info("quotas: {} nodes", sum(1 for _ in self.gate.tree.root.walk()))
--- a/shedgrade/sidecar/tunnel/assemble.py
+++ b/shedgrade/sidecar/tunnel/assemble.py
@@ -112,7 +112,7 @@
                 if proxy.address in own:
                     raise ConfigError(f"proxies.{proxy.name}.address: leads back to this sidecar")
             for pool in self.pools.values():
-                pool.connections.own = own
+                pool.connections.own_addresses = own
 
     @staticmethod
     def read_list(pool: Pool, path: str, key: str) -> None:
--- a/shedgrade/upstream_pool/pool.py
+++ b/shedgrade/upstream_pool/pool.py
@@ -75,7 +75,7 @@
             if (number := before.get(method["name"].encode())) is not None
         }
         self.turn.retuned(settings, numbers)
-        self.connections.dial_time, self.connections.idle.limit = self.take_settings(settings)
+        self.connections.connect_timeout, self.connections.idle.limit = self.take_settings(settings)
 
     # --- the list
 
@@ -134,4 +134,4 @@
         """Gone, with nothing out: what is known of it would otherwise stay for good."""
         self.reader.forget(upstream)
         self.connections.forget(upstream)
-        self.connections.heard.pop(upstream, None)
+        self.connections.last_response_at.pop(upstream, None)
--- a/tests/dataplane/stepped_rig.py
+++ b/tests/dataplane/stepped_rig.py
@@ -96,7 +96,7 @@
 class SteppedConnection(EngineConnection):
     """The real one, but for what it asks of a socket."""
 
-    def alive(self):
+    def usable(self):
         return not self.transport.is_closing()
 
     def cut(self):
@@ -290,7 +290,7 @@
             "lm", {"east": 0}, "east", 7, self.loop, self.loop, budget, Repeats(0.2, 50.0, 100_000), "edge-1"
         )
         self.pool.connections.connection = SteppedConnection
-        self.pool.connections.idle.settled = 0
+        self.pool.connections.idle.settle_time = 0
         self.pool.connections.connect = self.connect
         self.pool.listed(
             [
@@ -400,6 +400,7 @@
 
     def verdict(self):
         """The first broken promise, or None."""
+        self.pool.connections.idle.check_invariants()
         for client, (_, method) in zip(self.clients, self.asked, strict=True):
             wrong = self.twice(client, method) or self.misplaced(client)
             if wrong:
--- a/tests/dataplane/test_answer_table.py
+++ b/tests/dataplane/test_answer_table.py
@@ -280,7 +280,7 @@
         upstreams = [Upstream(name, cell.script(name)) for name in ("i-1", "i-2")]
         routes = configuration(route(timeout_ms=TIMEOUT_MS, max_attempts=2, **KINDS[kind]))
         async with sidecar(routes, *upstreams, manual=True) as plane:
-            plane.services["lm"].connections.idle.settled = 0
+            plane.services["lm"].connections.idle.settle_time = 0
             if warmed:
                 await warm(plane, upstreams)
             answer = await outcome_of(plane, cell, data, follows in (502, 503) and waits_for(reaction))
--- a/tests/dataplane/test_surplus_answers.py
+++ b/tests/dataplane/test_surplus_answers.py
@@ -39,7 +39,7 @@
     routes = configuration(route(**{"route_class": "unsafe", "max_attempts": 3, "timeout_ms": 1000} | told))
     async with sidecar(routes, upstream) as plane:
         pool = plane.services["lm"]
-        pool.connections.idle.settled = 0
+        pool.connections.idle.settle_time = 0
         first = await Client().open(plane)
         first.send(request(name="id-1"))
         assert await first.head() == 200 and await first.body() == b"first"
--- a/tests/sidecar/crossings/test_close.py
+++ b/tests/sidecar/crossings/test_close.py
@@ -7,7 +7,7 @@
 from crossing_peers import Crossed
 from helpers import PATIENT, message, on_sockets, read_message, request, until
 
-from shedgrade.http.connection_pool import SETTLED
+from shedgrade.http.connection_pool import SETTLE_TIME
 from shedgrade.http.idle_connections import IdleConnections
 
 
@@ -49,6 +49,6 @@
 def test_a_second_answer_that_comes_some_milliseconds_late_meets_no_request():
     """Sent on within 2 ms, a request was answered by what came behind the answer before it: 48 of 48 such
     came after 1.6 to 3.9 ms in five plays."""
-    idle = IdleConnections(150_000, SETTLED)
+    idle = IdleConnections(150_000, SETTLE_TIME)
     idle.put(0, "link", 1000)
     assert idle.take(0, 1000 + 39) is None and idle.take(0, 1000 + 100) == "link"
--- a/tests/sidecar/crossings/test_end.py
+++ b/tests/sidecar/crossings/test_end.py
@@ -229,7 +229,7 @@
         for client in clients:
             client.leave(True)
         await until(lambda: not world.sidecar.pool.turn.in_hand)
-        await until(lambda: not world.sidecar.pool.connections.dials)
+        await until(lambda: not world.sidecar.pool.connections.connecting)
         assert budget.upstreams == 0
 
 
@@ -248,7 +248,7 @@
                     made(transport)
                     links.append(link)
                     connections.stop(
-                        next(iter(connections.dials))
+                        next(iter(connections.connecting))
                     )  # before whoever dialled is told that it is up
 
                 link.connection_made = up
@@ -261,7 +261,7 @@
         client.send(request(b"one"))
         await until(lambda: links)
         await until(lambda: world.upstreams[0].connections == 1 and not world.upstreams[0].writers)
-        assert not (connections.open or connections.dials or world.sidecar.budget.upstreams)
+        assert not (connections.open or connections.connecting or world.sidecar.budget.upstreams)
         client.leave(True)
         assert not world.bodies()
 
--- a/tests/sidecar/crossings/test_left.py
+++ b/tests/sidecar/crossings/test_left.py
@@ -50,7 +50,7 @@
             gone.leave(reset)
             await until(lambda: not world.sidecar.pool.turn.in_hand)
             world.gate.set()
-            await until(lambda: not world.sidecar.pool.connections.dials)
+            await until(lambda: not world.sidecar.pool.connections.connecting)
             await world.quiet()
             assert world.bodies() == [] and not world.sidecar.pool.balancer.flight
             assert (await ask(world))[0] == 200
--- a/tests/sidecar/crossings/test_watches.py
+++ b/tests/sidecar/crossings/test_watches.py
@@ -330,4 +330,4 @@
         await world.tell({**world.entry(0), "hostPort": "a..b:80"})
         async with asyncio.timeout(8):  # its client waits for 15 s
             assert (await ask(world, request(b"one")))[0] == 503
-        assert not world.sidecar.pool.connections.dials and not world.sidecar.pool.balancer.flight
+        assert not world.sidecar.pool.connections.connecting and not world.sidecar.pool.balancer.flight
--- a/tests/sidecar/process/test_sockets.py
+++ b/tests/sidecar/process/test_sockets.py
@@ -65,7 +65,7 @@
 async def test_answers_are_written_once_and_connections_are_kept():
     # uvloop sends at once and then never calls resume_writing: the ring was not freed, answers came twice.
     async with World(serve) as world:
-        world.sidecar.pool.connections.idle.settled = 0
+        world.sidecar.pool.connections.idle.settle_time = 0
         connection = await world.connect()
         for number in range(5):
             assert (await ask(world, request(b"%d" % number), connection))[2] == b"%d" % number
@@ -162,7 +162,10 @@
     idle = IdleConnections(1000, 20)
     idle.put(0, "old", 0)
     idle.put(0, "new", 100)
-    assert idle.take(0, 119) == "old" and idle.take(0, 119) is None and idle.take(0, 120) == "new"
+    idle.check_invariants()
+    assert idle.take(0, 119) == "old" and idle.take(0, 119) is None
+    idle.check_invariants()
+    assert idle.take(0, 120) == "new"
     assert not idle.by_upstream
 
 
@@ -294,12 +297,12 @@
 
     async with World(late) as world:
         connections = world.sidecar.pool.connections
-        connections.idle.settled = 0
-        assert (await ask(world, request(b"first", wait=250)))[0] == 502 and len(connections.orphans) == 1
+        connections.idle.settle_time = 0
+        assert (await ask(world, request(b"first", wait=250)))[0] == 502 and len(connections.abandoned) == 1
         assert not connections.idle and not world.sidecar.pool.turn.in_hand
         release.set()
         await until(lambda: connections.idle)
-        assert not connections.orphans and (await ask(world))[::2] == (200, b"")
+        assert not connections.abandoned and (await ask(world))[::2] == (200, b"")
         assert world.upstreams[0].connections == 1 and world.sent() == 2
 
 
@@ -319,14 +322,14 @@
             first = asyncio.create_task(ask(world, request(wait=4000)))
             await until(lambda: world.sent() == 2)
             assert ends[0] == load_balancing.TIMED_OUT
-            assert all(link.transport.is_closing() for link in world.sidecar.pool.connections.orphans)
+            assert all(link.transport.is_closing() for link in world.sidecar.pool.connections.abandoned)
         assert (await first)[0] == 200
     async with World(lambda *_: SILENT) as world:
         connections = world.sidecar.pool.connections
-        assert (await ask(world, request(wait=250)))[0] == 502 and len(connections.orphans) == 1
-        next(iter(connections.orphans)).orphan_until = 1
+        assert (await ask(world, request(wait=250)))[0] == 502 and len(connections.abandoned) == 1
+        next(iter(connections.abandoned)).abandoned_until = 1
         await ask(world, request(wait=250))
-        assert len(connections.orphans) == 1 and len(connections.open) == 1
+        assert len(connections.abandoned) == 1 and len(connections.open) == 1
 
 
 @on_sockets
@@ -386,7 +389,7 @@
         link.transport.pause_reading()  # its end comes in, and the loop does not see it
         for writer in world.upstreams[0].writers:
             writer.close()
-        await until(lambda: not link.alive())
+        await until(lambda: not link.usable())
         assert (await ask(world))[0] == 200 and world.sent() == 2
 
 
@@ -467,7 +470,7 @@
                     len(sidecar.pool.reader.indices.ids),
                     len(sidecar.pool.balancer.ups),
                     len(sidecar.pool.reader.addresses.known),
-                    len(sidecar.pool.connections.heard),
+                    len(sidecar.pool.connections.last_response_at),
                     len(sidecar.pool.connections.idle.by_upstream),
                 )
             )
--- a/tests/sidecar/tunnel/test_tunnels.py
+++ b/tests/sidecar/tunnel/test_tunnels.py
@@ -154,7 +154,7 @@
         await asyncio.sleep(0.05)
         opened, connections.turn.opened = [], lambda transmission: opened.append(transmission)
         gate.set()
-        await until(lambda: not connections.dials and not connections.open)
+        await until(lambda: not connections.connecting and not connections.open)
         await until(lambda: not world.flight() and not world.part.tunnels.live)
         assert not opened
 
