--- a/benchmarks/system.py
+++ b/benchmarks/system.py
@@ -134,7 +134,7 @@
     log.hand(SimpleNamespace(**dict.fromkeys(log.METHODS, lambda *_: None)))
     loop, count = asyncio.new_event_loop(), options.upstreams
     state = an_edge(loop)
-    state.controlled(change(configuration(10)))
+    state.apply_control(change(configuration(10)))
     told, held = entries(count), InstanceList(lambda: 0.0)
     held.lead(1)
     print(f"core applies {count} entries of the platform: {spent(lambda: held.apply(0.0, told)):.1f} ms")
@@ -147,17 +147,15 @@
     )
     print(f"whole list decoded: {spent(lambda: control_messages.decode(raw), 3):.1f} ms")
     before = resident()
-    print(
-        f"edge takes the whole list: {spent(lambda: state.moved(control_messages.decode(raw))):.1f} ms, "
-        f"{resident() - before:.1f} MB more"
-    )
+    taken = spent(lambda: state.apply_endpoint_list(control_messages.decode(raw)))
+    print(f"edge takes the whole list: {taken:.1f} ms, {resident() - before:.1f} MB more")
     base = held.version
     told[5] = {**told[5], "state": "draining"}
     print(f"core applies one that moved: {spent(lambda: held.apply(2.0, told)):.1f} ms")
     delta = held.answer(*base, 2.0)
     small = control_messages.encode(delta)
     print(f"delta of one: {spent(lambda: held.answer(*base, 2.0), 100):.4f} ms to make, {len(small)} bytes")
-    taken = spent(lambda: state.moved(control_messages.decode(small)), 3)
+    taken = spent(lambda: state.apply_endpoint_list(control_messages.decode(small)), 3)
     print(f"edge takes a delta of one: {taken:.1f} ms")
 
 
--- a/shedgrade/dataplane/engine_connection.py
+++ b/shedgrade/dataplane/engine_connection.py
@@ -50,20 +50,24 @@
         super().__init__(connections, upstream, address)
 
     def connection_made(self, transport) -> None:
+        """The connection is open: it is probed by the kernel from now on."""
         super().connection_made(transport)
         enable_keepalive(transport)
 
     def begin(self, transmission: Transmission, now: int) -> None:
+        """Sends a request; see `UpstreamConnection.begin`."""
         # What an earlier upstream answered tells nothing of what this one does with the request.
         transmission.carried.failure = None
         super().begin(transmission, now)
         self.connections.request_sent(self.upstream, now)
 
     def read(self) -> None:
+        """Bytes have come: the upstream is not silent."""
         self.connections.last_heard_at[self.upstream] = self.connections.clock.now()
         super().read()
 
     def on_headers_complete(self) -> None:
+        """A head is complete: attributes it, and forwards the response of a stream at once."""
         super().on_headers_complete()
         if not self.status:
             return
@@ -111,12 +115,14 @@
             self.connections.idle_timeout_stated(int(found[1]))
 
     def on_body(self, body: bytes) -> None:
+        """A part of a body has come, be it of a surplus response."""
         if self.surplus:
             self.head_bytes_left = MAX_HEAD_BYTES  # the own answer's head is still to come whole
         else:
             super().on_body(body)
 
     def on_message_complete(self) -> None:
+        """A response is complete; of a surplus one, the next bytes are the own response's."""
         if not self.surplus:
             super().on_message_complete()
             return
@@ -125,6 +131,7 @@
         self.bodiless = self.transmission is not None and self.transmission.carried.request.verb == b"HEAD"
 
     def response_complete(self) -> None:
+        """A complete response is here; a failure of the upstream's own is kept for the client."""
         transmission = self.transmission
         if transmission is not None and self.status // 100 != 2:
             transmission.carried.failure = Answer(
--- a/shedgrade/dataplane/engine_protocol.py
+++ b/shedgrade/dataplane/engine_protocol.py
@@ -14,6 +14,7 @@
         self.ids = ids
 
     def header_lines(self, transmission: Transmission, wait: int) -> list[bytes]:
+        """`Time-Remaining`, `Target-Instance` and `Priority`; see `UpstreamProtocol`."""
         lines = [
             b"Time-Remaining: %d\r\n" % wait,
             b"Target-Instance: %s\r\n" % self.ids[transmission.upstream].encode(),
--- a/shedgrade/dataplane/fleet_size.py
+++ b/shedgrade/dataplane/fleet_size.py
@@ -15,11 +15,13 @@
         self.counts: deque[tuple[float, int]] = deque()  # (when, count), each count below the one before
 
     def counted(self, now: float, edges: int) -> None:
+        """So many edges are known at `now`."""
         while self.counts and self.counts[-1][1] <= edges:
             self.counts.pop()
         self.counts.append((now, edges))
 
     def largest(self, now: float) -> int:
+        """The largest count of the last LATELY seconds."""
         while self.counts and self.counts[0][0] < now - LATELY:
             self.counts.popleft()
         return max(1, self.counts[0][1]) if self.counts else 1
--- a/shedgrade/dataplane/front.py
+++ b/shedgrade/dataplane/front.py
@@ -6,6 +6,7 @@
 from shedgrade.configuration import Limits
 from shedgrade.dataplane.ingress import Turns
 from shedgrade.dataplane.routes import Routes, ServedRoute
+from shedgrade.dataplane.service import ServicePool
 from shedgrade.upstream_pool.front import Front
 
 BACK = 0.1, 0.4  # s after which a client is told to try elsewhere: spread, so they don't come together
@@ -22,17 +23,20 @@
 
     @property
     def routes(self) -> Routes | None:
+        """The routes in force; None before the first configuration."""
         return self.plane.routes
 
     @property
     def limits(self) -> Limits:
+        """The limits that clients are held to."""
         return self.plane.routes.limits if self.plane.routes is not None else Limits()
 
     def accepts(self, longest_s: float) -> bool:
         """Whether a request is taken that may need so long; not all are by a process that ends."""
         return self.plane.accepts(longest_s)
 
-    def service_of(self, route: ServedRoute):
+    def service_of(self, route: ServedRoute) -> ServicePool | None:
+        """The service that a request for the route goes to; None if there is none."""
         return self.plane.services.get(route.service(self.random)) if route.services else None
 
     def close_idle(self) -> None:
@@ -55,4 +59,5 @@
         self.plane, self.turn, self.connections = plane, None, self
 
     def give_up_idle(self) -> bool:
+        """Closes one idle connection to an upstream. Returns whether there was one."""
         return any(service.connections.give_up_idle() for service in list(self.plane.services.values()))
--- a/shedgrade/dataplane/ingress.py
+++ b/shedgrade/dataplane/ingress.py
@@ -1,6 +1,6 @@
 """The clients' side of the data plane: requests come in, are given a route, and are answered once."""
 
-from shedgrade.buffers.flow import SMALL, Flow
+from shedgrade.buffers.flow import SMALL_MESSAGE_BYTES, Flow
 from shedgrade.configuration import Limits
 from shedgrade.dataplane.exchange import TICKS, Exchange
 from shedgrade.dataplane.routes import ServedRoute, shared_parts, token_usage
@@ -22,16 +22,18 @@
     """What connections tell of an exchange, passed on to the turn that has it."""
 
     def left(self, carried: Exchange) -> None:
+        """The client has disconnected."""
         carried.service.turn.left(carried)
 
     def came(self, carried: Exchange, here: bool, whole: bool) -> None:
+        """More of a long request has come; see `RequestEvents`."""
         carried.service.turn.came(carried, here, whole)
 
 
 class IngressConnection(InboundConnection):
     """One connection of a client."""
 
-    flow_above_bytes = 2 * SMALL
+    flow_above_bytes = 2 * SMALL_MESSAGE_BYTES
     unique_headers = (b"attempt-id", b"time-remaining", b"host")
 
     def __init__(self, front) -> None:
@@ -180,16 +182,19 @@
             self.answer(502)
 
     def flowing(self, answer: Answer) -> None:
+        """A response that is forwarded as it comes has begun."""
         self.events_written, self.failed_exchange.first_at = 0, self.front.clock.now()
         super().flowing(answer)
 
     def write(self, *pieces: bytes) -> bool:
+        """As any connection's; counts the events of a stream."""
         if self.response_flow is not None:
             # Of a chunk only the middle is the answer's.
             self.events_written += pieces[len(pieces) // 2].count(EVENT_END)
         return super().write(*pieces)
 
     def completed(self, answer: Answer | None) -> None:
+        """The final response, or the end of a stream; None if it broke off."""
         exchange, self.failed_exchange = self.failed_exchange, None
         if exchange is not None and answer is not None:
             self.measure(exchange)
@@ -217,7 +222,7 @@
 
 
 def told_wait(header: bytes | None, route: ServedRoute) -> int | None:
-    """ms that the client waits, or the route allows; None if what it says is no time."""
+    """How long the client waits, or the route allows, in ms; None if what it says is no time."""
     if header is None:
         return route.timeout_ms
     whole, _, fraction = header.partition(b".")
--- a/shedgrade/dataplane/plane.py
+++ b/shedgrade/dataplane/plane.py
@@ -69,7 +69,7 @@
         self.budget = Budget(sockets, settings.limits.memory_mb)
         self.prefix_index = Record()
         self.state = State(settings, loop.time, self.make_pool)
-        self.state.record = self.prefix_index
+        self.state.prefix_index = self.prefix_index
         self.shutdown = GracefulShutdown(loop, self)
         self.front = IngressFront(loop, self, self.budget, random)
         self.incarnation = random.getrandbits(48)
@@ -94,7 +94,7 @@
             self.links,
             LoadReporter(settings.node_name, settings.region),
             self.state.own_loads,
-            self.state.others_told,
+            self.state.apply_other_loads,
         )
         me = self.watcher.edge
         self.gossip = Gossip(
@@ -214,7 +214,7 @@
     def settings_changed(self, settings: Settings) -> None:
         """The settings file was read again, and is sound."""
         self.settings = settings
-        self.state.resettled(settings)
+        self.state.settings_changed(settings)
 
     # --- what is due by time
 
@@ -249,7 +249,7 @@
         """What gossip knows: edges, by which budgets are shared, and core members where all others fail."""
         counts = self.watcher.received.counts
         told = counts.edges if counts is not None else 0
-        self.state.counted(max(self.gossip.view.count("edge"), told))
+        self.state.apply_edge_count(max(self.gossip.view.count("edge"), told))
         if self.watcher.response_age_s(now) > CORE_SILENT_S:
             found = [node.link for node in self.gossip.view.nodes() if node.kind == "core" and node.link]
             self.watcher.handle_event(MembersDiscoveredEvent(tuple(found)))
--- a/shedgrade/dataplane/routes.py
+++ b/shedgrade/dataplane/routes.py
@@ -72,6 +72,7 @@
         )
 
     def find(self, host: bytes, path: bytes) -> ServedRoute | None:
+        """The most specific route for a host and a path; None if there is none."""
         return self.tree.find(host, path)
 
 
--- a/shedgrade/dataplane/service.py
+++ b/shedgrade/dataplane/service.py
@@ -26,9 +26,11 @@
         self.record, self.loop = record, loop
 
     def holders(self, key: int) -> Mapping[int, float]:
+        """The upstreams that cache a prefix, by mark, each with the tokens of it."""
         return self.record.holders(self.loop.time(), key)
 
     def saw(self, key: int, mark: int) -> None:
+        """An upstream has read a prompt with that prefix."""
         self.record.saw(self.loop.time(), key, mark)
 
 
@@ -55,7 +57,7 @@
         self.balancer = ServingBalancer(list(regions), regions[own], seed, clock.now(), repeats, me)
         if record is not None:
             self.balancer.record = TimedRecord(record, loop)
-        self.repeats, self.cold_s = repeats, 0.0
+        self.repeats, self.slow_start_s = repeats, 0.0
         self.times = ServiceTimes()
         self.states: dict[int, int] = {}
         self.probed_at: dict[int, int] = {}  # by upstream: when a connection to it was last tried
@@ -67,17 +69,17 @@
         self.turn = Turn(loop, clock, self.balancer, self.connections, self.indices.ids, budget, self.forget)
         self.connections.turn = self.turn
 
-    def retuned(self, cold_s: float, cold_rate: float, excess: float, slack: float) -> None:
+    def apply_settings(self, cold_s: float, cold_rate: float, excess: float, slack: float) -> None:
         """As the operator's configuration says of the service, and the deployment's bounds: a cold upstream
         may get `cold_rate` x `excess` + `slack` requests within a second."""
-        self.cold_s, self.balancer.cold_rate = cold_s, cold_rate
+        self.slow_start_s, self.balancer.cold_rate = cold_s, cold_rate
         self.balancer.cold_bound = cold_rate * excess + slack if cold_rate else 0.0
 
-    def counted(self, sidecars: int) -> None:
+    def apply_edge_count(self, sidecars: int) -> None:
         """The largest count of sidecars known lately."""
         self.balancer.sidecars = self.repeats.sidecars = max(1, sidecars)
 
-    def listed(
+    def apply_endpoint_list(
         self,
         instances: Iterable[tuple[Instance, float]],
         region_of: dict[str, str],
@@ -110,7 +112,7 @@
             if self.addresses.move(index, (host, int(port))) or not ready:
                 leaving.append(index)
             if one.zone in returned:
-                cold_left = max(cold_left, self.cold_s - returned[one.zone])
+                cold_left = max(cold_left, self.slow_start_s - returned[one.zone])
             self.balancer.cold_until[index] = now + max(0, int(cold_left * 10_000))
         named = {row[0] for row in rows}
         leaving += [index for index in self.states if index not in named]
@@ -120,13 +122,15 @@
             self.connections.withdraw(index)
 
     def ready(self) -> int:
+        """How many upstreams are ready; 0: none."""
         return sum(state == load_balancing.READY for state in self.states.values())
 
     def misdirected(self, upstream: int) -> None:
         """Another incarnation is at its address: this one is gone, whatever the list says."""
-        self.turn.gather(self.replaced, upstream)
+        self.turn.gather(self.eject_replaced, upstream)
 
-    def replaced(self, now: int, upstream: int) -> None:
+    def eject_replaced(self, now: int, upstream: int) -> None:
+        """Another incarnation has an upstream's address: ejects it, and closes its idle connections."""
         up = self.balancer.ups.get(upstream)
         if up is not None:
             self.balancer.set_aside(now, up, True)
@@ -147,12 +151,15 @@
                 task.add_done_callback(self.tasks.discard)
 
     async def probe(self, upstream: int) -> None:
+        """Tries a connection to an upstream that is silent or about to return, and ejects it if none comes
+        up.
+        """
         reach = await self.connections.probe(upstream)
         if reach is not Reach.UP:
             logger.info("upstream unreachable", upstream=self.indices.ids[upstream], result=reach.value)
-            self.turn.gather(self.unreachable, upstream, reach)
+            self.turn.gather(self.eject_unreachable, upstream, reach)
 
-    def unreachable(self, now: int, upstream: int, reach: Reach) -> None:
+    def eject_unreachable(self, now: int, upstream: int, reach: Reach) -> None:
         """Nothing more goes there for a while. Requests that it has are given up only if its machine is dark:
         one at its cap of connections refuses further ones and works on, and the kernel of one whose process
         is gone resets the others by itself."""
@@ -163,6 +170,7 @@
             self.connections.fail_connections(upstream)
 
     def forget(self, upstream: int) -> None:
+        """An upstream is gone, with nothing in flight: its index is free."""
         self.indices.release(upstream)
         self.addresses.known.pop(upstream, None)
         self.probed_at.pop(upstream, None)
--- a/shedgrade/dataplane/state.py
+++ b/shedgrade/dataplane/state.py
@@ -22,66 +22,71 @@
     ) -> None:
         self.zones = settings.zones
         self.regions = {name: number for number, name in enumerate(sorted(set(settings.zones.values())))}
-        self.bounds, self.lag = settings.bounds, settings.cloud_api.max_lag_ms / 1000
+        self.bounds, self.endpoint_list_lag_s = settings.bounds, settings.cloud_api.max_lag_ms / 1000
         self.now, self.make_pool = now, make_pool
-        self.record: Record | None = None  # of who holds which prompts' parts, if it is kept
+        self.prefix_index: Record | None = None  # of who holds which prompts' parts, if it is kept
         self.routes: Routes | None = None
         self.services: dict[str, ServicePool] = {}
         self.instances: dict[str, Instance] = {}
         self.evacuated: frozenset[str] = frozenset()
-        self.cold_until: dict[str, float] = {}  # by instance, on this process's clock
-        self.returned: dict[str, float] = {}  # zones once evacuated: when that was taken back
-        self.fleet, self.sidecars = FleetSize(), 1
+        self.warming_up_until: dict[str, float] = {}  # by instance, on this process's clock
+        self.returned_at: dict[str, float] = {}  # zones once evacuated: when that was taken back
+        self.fleet_size, self.edge_count = FleetSize(), 1
 
     def apply(self, updates: Iterable[object]) -> None:
+        """Applies what the core has sent, in order. ValueError, TypeError or AttributeError for what can't be
+        used.
+        """
         for update in updates:
             match update:
                 case ControlChange():
-                    self.controlled(update)
+                    self.apply_control(update)
                 case ListMoved():
-                    self.moved(update)
+                    self.apply_endpoint_list(update)
                 case Counts(edges, _):
-                    self.counted(edges)
+                    self.apply_edge_count(edges)
 
-    def counted(self, edges: int) -> None:
+    def apply_edge_count(self, edges: int) -> None:
         """As many edges are known now, by whoever knows the most."""
         now = self.now()
-        self.fleet.counted(now, edges)
-        self.sidecars = self.fleet.largest(now)
+        self.fleet_size.counted(now, edges)
+        self.edge_count = self.fleet_size.largest(now)
         for service in self.services.values():
-            service.counted(self.sidecars)
+            service.apply_edge_count(self.edge_count)
 
     def own_loads(self) -> dict[int, int]:
         """What this sidecar has in flight, by mark of the upstream."""
         return {mark: load for pool in self.services.values() for mark, load in pool.balancer.own_loads()}
 
-    def others_told(self, loads: Mapping[int, int]) -> None:
+    def apply_other_loads(self, loads: Mapping[int, int]) -> None:
         """What other sidecars have in flight, by mark."""
         for pool in self.services.values():
             pool.balancer.others_told(loads)
 
-    def controlled(self, change: ControlChange) -> None:
+    def apply_control(self, change: ControlChange) -> None:
+        """Control state has changed: configuration, evacuated zones."""
         raw = unpacked(change)
         if raw is not None:
-            self.configured(Routes(parse(raw), self.regions))
+            self.apply_configuration(Routes(parse(raw), self.regions))
         evacuated = frozenset(change.evacuations)
         if evacuated != self.evacuated:
             for zone in self.evacuated - evacuated:
-                self.returned[zone] = self.now()
+                self.returned_at[zone] = self.now()
             self.evacuated = evacuated
-            self.relist(self.services)
+            self.update_services(self.services)
 
-    def configured(self, routes: Routes) -> None:
+    def apply_configuration(self, routes: Routes) -> None:
+        """Routes have changed: services are added, and those that changed are retuned."""
         before = self.routes.services if self.routes is not None else {}
         self.routes = routes
         for name, service in routes.services.items():
             pool = self.services.get(name)
             if pool is None:
-                pool = self.services[name] = self.make_pool(name, Repeats(*self.repeat_bounds()))
-                pool.counted(self.sidecars)
-                self.relist((name,))
+                pool = self.services[name] = self.make_pool(name, Repeats(*self.retry_budget_bounds()))
+                pool.apply_edge_count(self.edge_count)
+                self.update_services((name,))
             if before.get(name) != service:
-                pool.retuned(
+                pool.apply_settings(
                     service.cold_start_s,
                     service.cold_rate_s,
                     self.bounds["coldExcess"],
@@ -91,7 +96,8 @@
                 pool.times.tokens_per_event = engine.stride if engine is not None else 1.0
         logger.info("configuration applied", version=routes.version, services=len(routes.services))
 
-    def moved(self, change: ListMoved) -> None:
+    def apply_endpoint_list(self, change: ListMoved) -> None:
+        """The endpoint list has changed, or a complete one has come."""
         if change.whole:
             touched = {one.service for one in self.instances.values()}
             self.instances = {}
@@ -102,41 +108,44 @@
         for one in change.changed:
             # What counts down is kept as a point in time: the list may be looked at again much later.
             self.instances[one.id] = one
-            self.cold_until[one.id] = now + one.cold_left_ms / 1000
+            self.warming_up_until[one.id] = now + one.cold_left_ms / 1000
             touched.add(one.service)
-        self.cold_until = {name: until for name, until in self.cold_until.items() if name in self.instances}
-        if self.record is not None:
-            self.record.listed({crc32(name.encode()) for name in self.instances})
-        self.relist(touched)
-
-    def relist(self, names: Iterable[str]) -> None:
+        self.warming_up_until = {
+            name: until for name, until in self.warming_up_until.items() if name in self.instances
+        }
+        if self.prefix_index is not None:
+            self.prefix_index.listed({crc32(name.encode()) for name in self.instances})
+        self.update_services(touched)
+
+    def update_services(self, names: Iterable[str]) -> None:
+        """Hands the endpoint list on to these services."""
         now = self.now()
         by_service: dict[str, list[tuple[Instance, float]]] = {}
         for one in self.instances.values():
-            by_service.setdefault(one.service, []).append((one, self.cold_until[one.id] - now))
+            by_service.setdefault(one.service, []).append((one, self.warming_up_until[one.id] - now))
         for name in names:
             pool = self.services.get(name)
             if pool is not None:
                 returned = {
-                    zone: now - at for zone, at in self.returned.items() if zone not in self.evacuated
+                    zone: now - at for zone, at in self.returned_at.items() if zone not in self.evacuated
                 }
-                pool.listed(by_service.get(name, ()), self.zones, self.evacuated, returned)
+                pool.apply_endpoint_list(by_service.get(name, ()), self.zones, self.evacuated, returned)
 
-    def resettled(self, settings) -> None:
+    def settings_changed(self, settings) -> None:
         """Settings were read anew: bounds, the list's lag, zones; one of a new region waits for a start."""
-        self.bounds, self.lag = settings.bounds, settings.cloud_api.max_lag_ms / 1000
+        self.bounds, self.endpoint_list_lag_s = settings.bounds, settings.cloud_api.max_lag_ms / 1000
         self.zones = {zone: region for zone, region in settings.zones.items() if region in self.regions}
         if len(self.zones) < len(settings.zones):
             new_regions = sorted(set(settings.zones.values()) - set(self.regions))
             logger.warning("new regions ignored until restart", regions=", ".join(new_regions))
         for pool in self.services.values():
-            pool.repeats.retune(*self.repeat_bounds())
+            pool.repeats.retune(*self.retry_budget_bounds())
         routes, self.routes = self.routes, None
         if routes is not None:
-            self.configured(routes)  # every service is retuned
-        self.relist(self.services)
+            self.apply_configuration(routes)  # every service is retuned
+        self.update_services(self.services)
 
-    def repeat_bounds(self) -> tuple[float, float, int]:
+    def retry_budget_bounds(self) -> tuple[float, float, int]:
         """Ratio, slack, and window in tenths of a ms."""
         return (
             self.bounds["retryBudgetRatio"],
--- a/shedgrade/dataplane/streams.py
+++ b/shedgrade/dataplane/streams.py
@@ -31,12 +31,15 @@
     # --- what the turn tells
 
     def has_left(self) -> bool:
+        """Whether the client has disconnected."""
         return self.connection.has_left()
 
     def close(self) -> None:
+        """Closes the client's connection."""
         self.connection.close()
 
     def flowing(self, answer: Answer) -> None:
+        """A response has begun: the first one, or that of a further leg."""
         first = self.out is None
         if first:
             self.out = Flow(self.budget, [])
@@ -49,6 +52,7 @@
         self.pull()
 
     def completed(self, answer: Answer | None) -> None:
+        """The response of this leg is complete; None if it broke off: the rest is asked for elsewhere."""
         if self.out is None:
             self.connection.completed(answer)
         elif answer is not None:
@@ -60,9 +64,11 @@
                 self.broke()
 
     def exhausted(self, wait: int) -> None:
+        """No upstream takes this leg; `wait`: tenths of a ms after which a retry may succeed."""
         self.connection.exhausted(wait) if self.out is None else self.broke()
 
     def errored(self) -> None:
+        """This leg has failed, and may have run."""
         self.connection.errored() if self.out is None else self.broke()
 
     # --- the events
@@ -90,10 +96,12 @@
             self.connection.front.loop.call_soon(self.go_on)
 
     def go_on(self) -> None:
+        """Takes further bytes."""
         self.waking = False
         self.pull()
 
     def events(self, piece: bytes) -> None:
+        """Forwards complete events of a piece of the response."""
         text = self.part + piece
         whole = 0
         for end in END.finditer(text):
@@ -109,6 +117,7 @@
             self.broke()
 
     def detach(self) -> None:
+        """Nothing more is taken of this leg's response."""
         if self.source is not None:
             self.source.news = nothing
             self.source = None
--- a/shedgrade/http/connection.py
+++ b/shedgrade/http/connection.py
@@ -2,7 +2,7 @@
 
 import asyncio
 
-from shedgrade.buffers.flow import PRESSED
+from shedgrade.buffers.flow import PRESSED_QUEUE_BYTES
 from shedgrade.buffers.ring import Ring
 from shedgrade.http.socket_state import shut_down
 
@@ -20,11 +20,12 @@
     def __init__(self, budget=None) -> None:
         """`budget`: of bytes, where there is one; short of them, less is read ahead."""
         self.budget = budget
-        self.incoming, self.outgoing = Ring(most=READ_AHEAD_BYTES, budget=budget), Ring(budget=budget)
+        self.incoming, self.outgoing = Ring(max_size=READ_AHEAD_BYTES, budget=budget), Ring(budget=budget)
         self.transport: asyncio.Transport = None  # type: ignore[assignment]  # until connection_made
         self.flushing = self.reading_paused = False
 
     def connection_made(self, transport: asyncio.Transport) -> None:  # type: ignore[override]
+        """The connection is open."""
         self.transport = transport
         transport.set_write_buffer_limits(high=0)
 
@@ -41,19 +42,22 @@
     # --- reading
 
     def get_buffer(self, hint: int) -> memoryview:
+        """Where the event loop is to write what it reads."""
         return self.incoming.space()
 
     def buffer_updated(self, count: int) -> None:
+        """So many bytes have been read into that buffer."""
         self.incoming.filled(count)
         self.read()
         full = self.incoming.full() or (
-            len(self.incoming) >= PRESSED and self.budget is not None and self.budget.pressed()
+            len(self.incoming) >= PRESSED_QUEUE_BYTES and self.budget is not None and self.budget.pressed()
         )
         if full and not self.reading_paused and not self.transport.is_closing():
             self.transport.pause_reading()
             self.reading_paused = True
 
     def used(self, count: int) -> None:
+        """So many bytes of the incoming ring were parsed."""
         self.incoming.consume(count)
         if self.reading_paused and not self.transport.is_closing():
             self.transport.resume_reading()
@@ -78,9 +82,11 @@
         return True
 
     def pause_writing(self) -> None:
+        """The kernel did not take all that was written."""
         self.flushing = True
 
     def resume_writing(self) -> None:
+        """The kernel has all that was written."""
         self.flushing = False
         self.outgoing.consume(len(self.outgoing))
         self.flushed()
--- a/shedgrade/http/inbound_connection.py
+++ b/shedgrade/http/inbound_connection.py
@@ -3,7 +3,7 @@
 import asyncio
 import select
 
-from shedgrade.buffers.flow import PRESSED, Flow, nothing
+from shedgrade.buffers.flow import PRESSED_QUEUE_BYTES, Flow, nothing
 from shedgrade.http.message_grammar import Headers
 from shedgrade.http.request_parser import InboundFront, RequestError
 from shedgrade.http.response_writer import ResponseWriter
@@ -215,7 +215,9 @@
             and self.carried is None
             and not (self.parsed_requests or self.closing)
         ):
-            if self.length > self.flow_above_bytes or (self.length > PRESSED and self.front.budget.pressed()):
+            if self.length > self.flow_above_bytes or (
+                self.length > PRESSED_QUEUE_BYTES and self.front.budget.pressed()
+            ):
                 self.begin_flow()
             elif self.expects_continue and not self.flushing:
                 self.expects_continue = False
--- a/shedgrade/http/listener.py
+++ b/shedgrade/http/listener.py
@@ -42,11 +42,13 @@
         (self.pause if other else self.resume)()
 
     def resume(self) -> None:
+        """Accepts connections from now on."""
         if not self.accepting and not self.handed_over and self.socket.fileno() >= 0:
             self.accepting = True
             self.loop.add_reader(self.socket, self.accept)
 
     def pause(self) -> None:
+        """Accepts no connections until `resume`; the kernel holds those that come."""
         if self.accepting:
             self.accepting = False
             self.loop.remove_reader(self.socket)
@@ -60,6 +62,7 @@
         return bool(poll.poll(0))
 
     def accept(self) -> None:
+        """Accepts what waits, as far as there is room."""
         for _ in range(AT_ONCE):
             # Guards against a crowd: out of descriptors, the kernel's queue would be thrown away.
             if not self.front.make_room():
@@ -83,11 +86,13 @@
             task.add_done_callback(self.tasks.discard)
 
     async def take(self, connection: socket.socket) -> None:
+        """Hands an accepted connection to the event loop."""
         try:
             await self.loop.connect_accepted_socket(lambda: self.connection(self.front), connection)
         except (OSError, RuntimeError):  # it was gone before it was taken up
             connection.close()
 
     def close(self) -> None:
+        """Stops listening."""
         self.pause()
         self.socket.close()
--- a/shedgrade/http/request_parser.py
+++ b/shedgrade/http/request_parser.py
@@ -8,7 +8,7 @@
 import httptools
 
 from shedgrade.buffers.budget import Budget
-from shedgrade.buffers.flow import SMALL, Flow, nothing
+from shedgrade.buffers.flow import SMALL_MESSAGE_BYTES, Flow, nothing
 from shedgrade.http.connection import Connection
 from shedgrade.http.message_grammar import (
     MAX_BODY_BYTES,
@@ -115,7 +115,7 @@
     """
 
     # Bounds of what a client may send and how long it may take; another protocol sets its own.
-    flow_above_bytes = SMALL
+    flow_above_bytes = SMALL_MESSAGE_BYTES
     max_head_bytes = MAX_HEAD_BYTES
     max_body_bytes = MAX_BODY_BYTES
     first_request_timeout_s = FIRST_REQUEST_TIMEOUT_S
--- a/shedgrade/http/upstream_connection.py
+++ b/shedgrade/http/upstream_connection.py
@@ -9,7 +9,7 @@
 
 from shedgrade import load_balancing
 from shedgrade.buffers.budget import Budget
-from shedgrade.buffers.flow import PRESSED, SMALL, Flow, nothing
+from shedgrade.buffers.flow import PRESSED_QUEUE_BYTES, SMALL_MESSAGE_BYTES, Flow, nothing
 from shedgrade.http.connection import Connection
 from shedgrade.http.message_grammar import (
     MAX_BODY_BYTES,
@@ -332,8 +332,8 @@
         """A response that is longer than is kept, or than there is room for, is forwarded as it comes."""
         if self.complete or self.response_flow is not None or not self.length or not self.status:
             return
-        if max(self.length, self.stated_length or 0) > SMALL or (
-            self.length > PRESSED and self.connections.budget.pressed()
+        if max(self.length, self.stated_length or 0) > SMALL_MESSAGE_BYTES or (
+            self.length > PRESSED_QUEUE_BYTES and self.connections.budget.pressed()
         ):
             self.forward_as_flow()
 
@@ -348,7 +348,7 @@
             or (self.status // 100 != 2 or self.request_flow is not None or not self.fully_sent)
         ):
             return False
-        if self.stated_length is not None and self.stated_length <= SMALL:
+        if self.stated_length is not None and self.stated_length <= SMALL_MESSAGE_BYTES:
             return False
         self.forward_as_flow()
         return True
--- a/shedgrade/in_flight.py
+++ b/shedgrade/in_flight.py
@@ -109,11 +109,11 @@
         self.carried.add(carried)
         self.names.add(carried.request.name)
         self.budget.bytes += len(carried.request)
-        self.budget.asked += len(carried.request)
+        self.budget.request_bytes += len(carried.request)
 
     def remove(self, carried: Carried) -> None:
         if carried in self.carried:
             self.carried.remove(carried)
             self.names.discard(carried.request.name)
             self.budget.bytes -= len(carried.request)
-            self.budget.asked -= len(carried.request)
+            self.budget.request_bytes -= len(carried.request)
--- a/shedgrade/sidecar/lifecycle/sidecar.py
+++ b/shedgrade/sidecar/lifecycle/sidecar.py
@@ -242,7 +242,7 @@
             self.admin = AdminFront(self.loop, self.orders)
             self.admin_listener = self.listen(self.config.admin, self.admin, AdminConnection)
             self.admin_listener.resume()
-            self.budget.keep(ADMIN_MOST + 1)
+            self.budget.reserve(ADMIN_MOST + 1)
         self.pool.follow(self.config.discovery)
         for part in self.parts:
             part.start()
--- a/shedgrade/sidecar/lifecycle/upgrade.py
+++ b/shedgrade/sidecar/lifecycle/upgrade.py
@@ -125,7 +125,7 @@
                 self.newer.close()
             self.newer = link
             self.loop.call_later(SERVES, self.late, link)
-            self.told = self.sidecar.budget.held() + SLACK
+            self.told = self.sidecar.budget.connections() + SLACK
             self.sidecar.budget.cap(self.told)
             self.sidecar.pool.turn.divided(0.5)
             self.newer.send(self.state(), self.sidecar.listener.socket.fileno())
@@ -193,7 +193,7 @@
     def look_after(self) -> None:
         """The old one gives back what it no longer holds."""
         if self.newer is not None and self.replaced:
-            held = self.sidecar.budget.held()
+            held = self.sidecar.budget.connections()
             if held < self.told:
                 self.told = held
                 self.sidecar.budget.cap(held)
--- a/shedgrade/upstream_pool/front.py
+++ b/shedgrade/upstream_pool/front.py
@@ -40,10 +40,12 @@
 
     @property
     def methods(self) -> dict[bytes, int]:
+        """Numbers of methods, by name."""
         return self.pool.methods
 
     @property
     def tenants(self) -> int:
+        """How many tenants the settings name."""
         return self.pool.tenants
 
     def tenant_of(self, name: bytes) -> int:
@@ -51,6 +53,7 @@
         return self.pool.tenant_names.get(name, self.pool.tenants)
 
     def opened(self, connection) -> None:
+        """A client has connected."""
         self.clients[connection] = None
         self.budget.clients += 1
 
@@ -60,13 +63,14 @@
             self.clients[connection] = None
 
     def closed(self, connection) -> None:
+        """A client's connection is lost."""
         if self.clients.pop(connection, self) is None:
             self.budget.clients -= 1
 
     def crowded(self) -> bool:
         """Guards against connections that ask once and stay: their owners run out of connections before this
         side does, so here answers end their connection."""
-        return len(self.clients) >= self.budget.most_clients // CROWDED
+        return len(self.clients) >= self.budget.max_clients // CROWDED
 
     def make_room(self) -> bool:
         """Room for one more connection of the application: the longest unused idle one goes.
@@ -90,7 +94,8 @@
         return unused is not None
 
     def room_for(self, count: int) -> bool:
-        return self.budget.asked + count <= self.budget.most_bytes
+        """Whether a request of so many bytes may be held."""
+        return self.budget.request_bytes + count <= self.budget.max_bytes
 
     def look_after(self) -> None:
         """Guards against clients that take up room: nothing said, half a request, an answer not taken."""
--- a/shedgrade/upstream_pool/pool.py
+++ b/shedgrade/upstream_pool/pool.py
@@ -113,12 +113,14 @@
         self.listed_once = True
 
     def follow(self, address: tuple[str, int]) -> None:
+        """Watches discovery at this address."""
         self.watch = DiscoveryWatch(
             self.loop, address, self.reader, self.listed, self.turn.list_failed, self.balancer.span, self.asks
         )
         self.watching = self.loop.create_task(self.watch.run())
 
     def unfollow(self) -> None:
+        """Watches discovery no longer."""
         if self.watch is not None:
             self.watching.cancel()
             self.watch.close()
--- a/tests/buffers/test_ring.py
+++ b/tests/buffers/test_ring.py
@@ -40,9 +40,10 @@
             space[:count] = data
             ring.filled(count)
             model += data
+        ring.check_invariants()
         assert len(ring) == len(model) and b"".join(ring.parts()) == model
         assert b"".join(ring.parts(len(model) // 2)) == model[len(model) // 2 :]
         views.append((ring.parts(), model))
         assert all(b"".join(parts) == then for parts, then in views)
     ring.consume(len(model))
-    assert len(ring.store) == 16
+    assert len(ring.storage) == 16
--- a/tests/dataplane/ingress_rig.py
+++ b/tests/dataplane/ingress_rig.py
@@ -175,8 +175,8 @@
     plane = Plane(loop, ManualClock(loop) if manual else None)
     for upstream in upstreams:
         await upstream.start()
-    plane.state.configured(Routes(configured, plane.state.regions))
-    plane.state.moved(
+    plane.state.apply_configuration(Routes(configured, plane.state.regions))
+    plane.state.apply_endpoint_list(
         ListMoved(
             1,
             1,
--- a/tests/dataplane/stepped_rig.py
+++ b/tests/dataplane/stepped_rig.py
@@ -292,7 +292,7 @@
         self.pool.connections.connection = SteppedConnection
         self.pool.connections.idle.settle_time = 0
         self.pool.connections.connect = self.connect
-        self.pool.listed(
+        self.pool.apply_endpoint_list(
             [
                 (Instance(f"i-{number}", "lm", f"127.0.0.1:{number + 1}", "z1", "available"), 0.0)
                 for number in range(UPSTREAMS)
--- a/tests/dataplane/test_control_client.py
+++ b/tests/dataplane/test_control_client.py
@@ -190,7 +190,7 @@
                 hub.control(self.now, self.epoch, self.sequence, state(version, *zones))
 
 
-def test_two_are_asked_at_the_start_and_one_from_then_on():
+def test_two_members_are_asked_at_the_start_and_one_from_then_on():
     world = World()
     world.change(3)
     assert [at for at, _, _ in world.asked] == [100.0, 100.0]
@@ -218,7 +218,7 @@
 
 
 @pytest.mark.parametrize("numbered", [True, False])
-def test_what_moves_is_heard_within_one_way(numbered):
+def test_changes_are_received_within_one_way(numbered):
     world = World(numbered=numbered)
     world.run(5.3)
     world.change(3)
@@ -246,7 +246,7 @@
 
 
 @pytest.mark.parametrize("seed", range(4))
-def test_the_nearest_is_asked(seed):
+def test_the_closest_member_is_preferred(seed):
     world = World(seed)
     world.way = dict(zip(SEEDS, (0.035, 0.0009, 0.036), strict=True))
     world.run(5.0)
@@ -260,7 +260,7 @@
 @pytest.mark.parametrize("numbered", [True, False])
 @pytest.mark.parametrize("how", ["silent", "refusing"])
 @pytest.mark.parametrize("seed", range(4))
-def test_another_is_asked_when_the_main_one_dies_and_the_near_one_when_it_is_back(seed, how, numbered):
+def test_another_member_is_preferred_when_one_dies_and_the_close_one_when_it_is_back(seed, how, numbered):
     world = World(seed, numbered=numbered)
     world.way = dict(zip(SEEDS, (0.001, 0.035, 0.036), strict=True))
     world.run(5.0)
@@ -308,7 +308,7 @@
     )
 
 
-def test_the_platform_is_asked_only_when_all_are_silent_and_at_a_share():
+def test_the_platform_is_polled_only_when_all_members_are_silent_and_at_a_share_of_its_rate():
     world = World()
     world.run(5.0)
     assert world.watcher.platform_poll_interval_s(world.now, 40.0) is None
@@ -336,7 +336,7 @@
 
 
 @pytest.mark.parametrize("seed", range(4))
-def test_where_its_word_is_old_others_are_asked_and_the_fresher_one_kept(seed):
+def test_where_a_member_is_stale_others_are_probed_and_the_fresher_one_preferred(seed):
     world = World(seed)
     world.way = dict(zip(SEEDS, (0.001, 0.035, 0.036), strict=True))
     world.change(3)
@@ -359,7 +359,7 @@
     assert world.known["configuration"] == state(5)["configuration"]
 
 
-def test_all_old_are_asked_in_turn_but_not_all_the_time():
+def test_stale_members_are_probed_in_turn_but_not_all_the_time():
     world = World()
     world.change(3)
     world.run(3.0)
@@ -371,7 +371,7 @@
     assert len(world.asked) < 35
 
 
-def test_a_changed_state_is_told_at_once_and_the_replaced_ask_costs_nothing():
+def test_a_changed_edge_state_is_sent_at_once_and_the_replaced_request_costs_nothing():
     for numbered in (True, False):
         world = World(numbered=numbered)
         world.run(5.5)
@@ -393,7 +393,7 @@
         assert world.watcher.response_age_s(world.now) < 1.1
 
 
-def test_an_edge_that_leaves_tells_two():
+def test_an_edge_that_drains_tells_two_members():
     world = World()
     world.run(5.0)
     world.silent.add(world.watcher.preferred_member.address)
@@ -417,7 +417,7 @@
     assert any(address.startswith("10.9") for _, address, _ in world.asked)
 
 
-def test_an_answer_that_can_not_be_read_is_the_members_failure():
+def test_a_response_that_can_not_be_read_is_the_members_failure():
     world = World()
     world.run(5.0)
     broken = Told(ControlChange(9, 9, 9, b"junk", (), True), None, 1, SEEDS, 0.0, 0.0)
@@ -425,7 +425,7 @@
     assert world.watcher.received.control == (0, 0) and not world.watcher.received.updates
 
 
-def test_older_answers_and_answers_to_older_asks_change_nothing():
+def test_older_responses_and_responses_to_older_requests_change_nothing():
     world = World()
     world.change(3)
     world.change(3, "south-a")
@@ -452,7 +452,7 @@
     ]
 
 
-def test_a_fleet_whose_poller_began_anew_is_heard_again():
+def test_a_fleet_whose_poller_started_again_is_heard_again():
     world = World()
     world.polls.lead(7)
     world.run(3.0)
@@ -467,7 +467,7 @@
     assert set(world.known["list"]) == {"z"} and world.watcher.received.list_age_s(world.now) < 1.5
 
 
-def test_an_answer_that_was_long_under_way_is_as_old_as_its_ask():
+def test_a_response_that_was_long_under_way_is_as_old_as_its_request():
     world = World()
     world.run(5.0)
     watcher, main = world.watcher, world.watcher.preferred_member
@@ -491,7 +491,7 @@
 
 
 @pytest.mark.parametrize("seed", range(60))
-def test_any_troubles_end_in_the_newest_soon_after_them(seed):
+def test_any_faults_end_in_the_newest_state_soon_after_them(seed):
     world = World(seed, way=0.02, numbered=seed % 2 == 0)
     chance, version = Random(seed), 0
     for _ in range(60):
--- a/tests/dataplane/test_in_hand_meanwhile.py
+++ b/tests/dataplane/test_in_hand_meanwhile.py
@@ -12,27 +12,27 @@
 
 def drop_its_route(plane):
     elsewhere = configuration(route(path_prefix="/other/"), services=())
-    plane.state.configured(Routes(elsewhere, plane.state.regions))
+    plane.state.apply_configuration(Routes(elsewhere, plane.state.regions))
 
 
 def shorten_its_route(plane):
-    plane.state.configured(Routes(configuration(route(timeout_ms=1)), plane.state.regions))
+    plane.state.apply_configuration(Routes(configuration(route(timeout_ms=1)), plane.state.regions))
 
 
 def read_settings_anew(plane):
-    plane.state.resettled(changed({"retryBudgetRatio": 0.0, "retrySlack": 0}))
+    plane.state.settings_changed(changed({"retryBudgetRatio": 0.0, "retrySlack": 0}))
 
 
 def lose_its_zone(plane):
-    plane.state.resettled(changed(zones={"z2": "west"}))
+    plane.state.settings_changed(changed(zones={"z2": "west"}))
 
 
 def evacuate_its_zone(plane):
-    plane.state.controlled(ControlChange(1, 1, 7, None, ("z1",)))
+    plane.state.apply_control(ControlChange(1, 1, 7, None, ("z1",)))
 
 
 def list_it_no_more(plane):
-    plane.state.moved(ListMoved(2, 1, 0.0))
+    plane.state.apply_endpoint_list(ListMoved(2, 1, 0.0))
 
 
 @pytest.mark.parametrize(
--- a/tests/dataplane/test_ingress.py
+++ b/tests/dataplane/test_ingress.py
@@ -417,7 +417,7 @@
         east, west = Upstream("i-1", serve_all), Upstream("i-2", serve_all)
         async with sidecar(configuration(route()), east, west, zones={"i-2": "z2"}) as plane:
             plane.state.evacuated = frozenset({"z1"})
-            plane.state.relist(["lm"])
+            plane.state.update_services(["lm"])
             await asyncio.sleep(0)
             client, _ = await answered(plane, request())
         assert client.status == 200 and not east.requests
@@ -517,7 +517,7 @@
         async with sidecar(configuration(route(route_class="unsafe", max_attempts=1)), upstream) as plane:
             address = f"127.0.0.1:{server.sockets[0].getsockname()[1]}"
             other = Instance("i-2", "lm", address, "z1", "available")
-            plane.state.moved(ListMoved(2, 1, 0.0, changed=(other,)))
+            plane.state.apply_endpoint_list(ListMoved(2, 1, 0.0, changed=(other,)))
             long = 3 * 1024 * 1024
             client = await Client().open(plane)
             client.send(
@@ -766,14 +766,16 @@
             at = [state.now()]
             state.now = lambda: at[0]
             told = state.instances["i-1"]
-            state.moved(ListMoved(1, 2, 0.0, 1, 1, (msgspec.structs.replace(told, cold_left_ms=3000),)))
+            state.apply_endpoint_list(
+                ListMoved(1, 2, 0.0, 1, 1, (msgspec.structs.replace(told, cold_left_ms=3000),))
+            )
             until = pool.balancer.cold_until[index]
             at[0] += 2.0
-            state.relist(["lm"])
+            state.update_services(["lm"])
             left = pool.balancer.cold_until[index] - pool.clock.now()
             assert 9_000 <= left <= 10_000 and pool.balancer.cold_until[index] < until
             at[0] += 2.0
-            state.relist(["lm"])
+            state.update_services(["lm"])
             assert pool.balancer.cold_until[index] <= pool.clock.now()
 
     run(play())
@@ -789,11 +791,11 @@
             index = pool.indices.by_id["i-1"]
             at = [state.now()]
             state.now = lambda: at[0]
-            state.controlled(ControlChange(1, 2, 7, None, ("z1",)))
-            state.controlled(ControlChange(1, 3, 7, None, ()))
+            state.apply_control(ControlChange(1, 2, 7, None, ("z1",)))
+            state.apply_control(ControlChange(1, 3, 7, None, ()))
             assert 29_000 <= pool.balancer.cold_until[index] - pool.clock.now() <= 30_000
             at[0] += 3.1
-            state.relist(["lm"])
+            state.update_services(["lm"])
             assert pool.balancer.cold_until[index] <= pool.clock.now()
 
     run(play())
--- a/tests/dataplane/test_limits_in_force.py
+++ b/tests/dataplane/test_limits_in_force.py
@@ -24,7 +24,7 @@
             client.send(request(body=b"x" * 10))
             assert await client.head() == 200
             await client.body()
-            plane.state.configured(Routes(second, plane.state.regions))
+            plane.state.apply_configuration(Routes(second, plane.state.regions))
             client.send(request(body=b"x" * 100, name="id-2"))
             assert await client.head() == status
 
--- a/tests/dataplane/test_plane_gossip.py
+++ b/tests/dataplane/test_plane_gossip.py
@@ -50,7 +50,7 @@
     def at(self, now):
         self.now = now
         self.count_edges(now)
-        return self.state.sidecars
+        return self.state.edge_count
 
 
 def edges(count):
@@ -68,7 +68,7 @@
     plane = Plane()
     plane.state.apply([Counts(6, SEEDS)])
     plane.watcher.received.counts = Counts(1, SEEDS)
-    assert plane.state.sidecars == 6
+    assert plane.state.edge_count == 6
     assert plane.at(LATELY - 1) == 6
     assert plane.at(LATELY + 1) == 1
 
--- a/tests/dataplane/test_resettled.py
+++ b/tests/dataplane/test_resettled.py
@@ -30,11 +30,11 @@
 def test_the_budget_of_repeats_moves_with_the_bounds_and_later_services_get_it_too():
     async def story(state, pool):
         assert (pool.repeats.ratio, pool.repeats.slack, pool.repeats.window) == (0.2, 50.0, 100_000)
-        state.resettled(changed({"retryBudgetRatio": 0.5, "retrySlack": 4, "retryWindowS": 20}))
+        state.settings_changed(changed({"retryBudgetRatio": 0.5, "retrySlack": 4, "retryWindowS": 20}))
         assert (pool.repeats.ratio, pool.repeats.slack, pool.repeats.window) == (0.5, 4, 200_000)
         held = state.routes
         held.services["late"] = Service("late")
-        state.configured(held)
+        state.apply_configuration(held)
         assert state.services["late"].repeats.window == 200_000 and state.services["lm"] is pool
 
     play(story)
@@ -43,9 +43,9 @@
 def test_a_new_zone_of_a_known_region_brings_its_upstreams_at_once():
     async def story(state, pool):
         assert pool.ready() == 1  # the other stands in a zone that nobody named
-        state.resettled(changed(zones=SETTINGS.zones | {"z3": "west"}))
+        state.settings_changed(changed(zones=SETTINGS.zones | {"z3": "west"}))
         assert pool.ready() == 2
-        state.resettled(changed())
+        state.settings_changed(changed())
         assert pool.ready() == 1
 
     play(story)
@@ -53,7 +53,7 @@
 
 def test_a_zone_of_a_new_region_waits_for_a_start():
     async def story(state, pool):
-        state.resettled(changed(zones=SETTINGS.zones | {"z3": "north"}))
+        state.settings_changed(changed(zones=SETTINGS.zones | {"z3": "north"}))
         assert pool.ready() == 1 and state.zones == SETTINGS.zones and state.ready()
 
     play(story)
@@ -62,7 +62,7 @@
 def test_before_any_configuration_there_is_only_what_is_kept_for_later():
     async def story(state, pool):
         state.routes = None
-        state.resettled(changed(lag=100))
-        assert state.routes is None and state.lag == 0.1
+        state.settings_changed(changed(lag=100))
+        assert state.routes is None and state.endpoint_list_lag_s == 0.1
 
     play(story)
--- a/tests/dataplane/test_return_tried_first.py
+++ b/tests/dataplane/test_return_tried_first.py
@@ -39,7 +39,7 @@
         Repeats(0.2, 50.0, 10 * SECOND),
         "edge-1",
     )
-    pool.listed(
+    pool.apply_endpoint_list(
         [(Instance("i-1", "lm", host_port(address), "z1", "available"), 0.0)], {"z1": "east"}, frozenset(), {}
     )
     pool.turn.run()
@@ -93,7 +93,7 @@
         one = pool_of(asyncio.get_running_loop(), free_address())
         one.pool.balancer.set_aside(one.clock.at, one.up, True)
         until = one.up.aside_until
-        one.pool.listed([], {"z1": "east"}, frozenset(), {})
+        one.pool.apply_endpoint_list([], {"z1": "east"}, frozenset(), {})
         one.pool.turn.run()
         assert await looked(one, until - PROBE_AHEAD) == 0
 
--- a/tests/dataplane/test_routes_added_later.py
+++ b/tests/dataplane/test_routes_added_later.py
@@ -21,7 +21,7 @@
         old, new = route(), route(path_prefix="/b/", name="new", service="later")
         async with sidecar(configuration(old), first, later) as plane:
             both = configuration(old, new, services=("lm", "later"))
-            plane.state.configured(Routes(both, plane.state.regions))
+            plane.state.apply_configuration(Routes(both, plane.state.regions))
             for number in range(REQUESTS):
                 for path in ("/a/1", "/b/1"):
                     client = await Client().open(plane)
--- a/tests/sidecar/admin/test_upgrade.py
+++ b/tests/sidecar/admin/test_upgrade.py
@@ -76,7 +76,7 @@
                 assert new.pool.balancer.is_cold(ups[names["s-1"]], new.clock.now())
                 assert new.pool.balancer.owed == [ups[names["s-1"]]]
                 assert old.pool.balancer.part == new.pool.balancer.part == 0.5
-                assert new.budget.most + old.budget.most <= 1024
+                assert new.budget.max_connections + old.budget.max_connections <= 1024
                 assert not old.listener.accepting and not old.listener.waiting()
                 # An order at either address counts for both.
                 assert (await world.call("/-/resume"))[0] == 200
@@ -88,7 +88,7 @@
                 old.drain()
                 await until(lambda: old.phase is Phase.CLOSED)
                 await until(lambda: new.pool.balancer.part == 1.0)
-                assert new.budget.elsewhere is None
+                assert new.budget.held_elsewhere is None
                 for number in range(9):
                     assert (await ask(world, request(name=f"b{number}")))[0] == 200
 
@@ -104,7 +104,7 @@
     async with Operated(serve) as world:
         loop, old = asyncio.get_running_loop(), world.sidecar
         link, state, handle = await loop.run_in_executor(None, meet, loop, rendezvous(world.config.listen))
-        assert state["outs"] == [] and old.budget.most == old.upgrade.told
+        assert state["outs"] == [] and old.budget.max_connections == old.upgrade.told
         old.upgrade.late(link)  # it is another one that would be late
         assert old.upgrade.newer is not None
         link.send({"what": "serving"})
@@ -114,10 +114,10 @@
         assert not asking.done()
         link.close()
         handle.close()
-        assert (await asking)[0] == 200 and old.budget.most > 100 and old.pool.balancer.part == 1.0
+        assert (await asking)[0] == 200 and old.budget.max_connections > 100 and old.pool.balancer.part == 1.0
         link, _, handle = await loop.run_in_executor(None, meet, loop, rendezvous(world.config.listen))
         old.upgrade.late(old.upgrade.newer)  # it has stood still
-        assert old.upgrade.newer is None and old.budget.most > 100 and old.listener.accepting
+        assert old.upgrade.newer is None and old.budget.max_connections > 100 and old.listener.accepting
         link.close()
         handle.close()
 
--- a/tests/sidecar/crossings/test_customers.py
+++ b/tests/sidecar/crossings/test_customers.py
@@ -81,7 +81,10 @@
             await until(lambda: not world.sidecar.pool.balancer.ups[0].listed)
             assert world.sidecar.pool.balancer.ups[1].listed and "s-far" not in world.sidecar.pool.reader.told
             # It is asked for again before that: what was spoilt on its way comes whole.
-            assert sum("after=1&" in call for call in world.agent.calls) >= endpoint_discovery.UNSOUND
+            assert (
+                sum("after=1&" in call for call in world.agent.calls)
+                >= endpoint_discovery.INVALID_LISTS_BEFORE_PARTIAL
+            )
 
     scenario()
 
--- a/tests/sidecar/crossings/test_watches.py
+++ b/tests/sidecar/crossings/test_watches.py
@@ -54,17 +54,20 @@
 
 
 def quick(monkeypatch):
-    for name, value in (("WAIT", 200), ("SILENCE", 0.15), ("WHOLE", 0.4)):
+    for name, value in (("WATCH_WAIT_MS", 200), ("SILENCE_TIMEOUT_S", 0.15), ("COMPLETE_TIMEOUT_S", 0.4)):
         monkeypatch.setattr(endpoint_discovery, name, value)
 
 
 def test_what_a_silent_watch_misses_is_here_before_it_counts_as_told():
     """6 s after it fell silent. It may be silent twice running, and a connect may hang between."""
-    pauses = endpoint_discovery.FIRST_PAUSE + endpoint_discovery.LONGEST_PAUSE
-    watch = endpoint_discovery.WAIT / 1000 + endpoint_discovery.SILENCE
-    assert watch + endpoint_discovery.PROOF / 1000 + endpoint_discovery.SILENCE + pauses < 6
+    pauses = endpoint_discovery.FIRST_BACKOFF_S + endpoint_discovery.LONGEST_BACKOFF_S
+    watch = endpoint_discovery.WATCH_WAIT_MS / 1000 + endpoint_discovery.SILENCE_TIMEOUT_S
+    assert (
+        watch + endpoint_discovery.FIRST_WATCH_WAIT_MS / 1000 + endpoint_discovery.SILENCE_TIMEOUT_S + pauses
+        < 6
+    )
     # Calls that may not wait, and those after a failure: noticed well within the grace of a drain and a bit.
-    assert endpoint_discovery.PROOF / 1000 + endpoint_discovery.SILENCE < 1.5
+    assert endpoint_discovery.FIRST_WATCH_WAIT_MS / 1000 + endpoint_discovery.SILENCE_TIMEOUT_S < 1.5
 
 
 def test_a_watch_that_falls_silent_twice_running_is_opened_anew_each_time(monkeypatch):
@@ -80,7 +83,8 @@
             assert world.sidecar.pool.reader.version == 2
             # Those after a failure wait no longer than it takes to show that somebody is there.
             assert all(
-                waits(call) == endpoint_discovery.PROOF for call in world.agent.calls[before + 1 : before + 3]
+                waits(call) == endpoint_discovery.FIRST_WATCH_WAIT_MS
+                for call in world.agent.calls[before + 1 : before + 3]
             )
             assert world.discovery.connections >= 3
 
@@ -89,7 +93,7 @@
 
 def test_a_call_that_may_not_wait_is_not_waited_for(monkeypatch):
     """After a reload the whole list is asked for; that call was given the time of a watch."""
-    monkeypatch.setattr(endpoint_discovery, "SILENCE", 0.15)
+    monkeypatch.setattr(endpoint_discovery, "SILENCE_TIMEOUT_S", 0.15)
 
     @on_sockets
     async def scenario():
@@ -146,7 +150,7 @@
     """Calls that were given up had been served for nobody, and so nobody was: 43 of 60 sidecars had no list
     in 20 s. One that is turned away comes again the later the more often it is."""
     quick(monkeypatch)
-    monkeypatch.setattr(endpoint_discovery, "IN_TURN", 5.0)
+    monkeypatch.setattr(endpoint_discovery, "ON_REQUEST_TIMEOUT_S", 5.0)
 
     @on_sockets
     async def scenario():
@@ -178,7 +182,7 @@
             world.agent.answers += [message(503, b"")] * 8
             await until_ready(lambda: len(slept) >= 8, sleep)
             monkeypatch.setattr(endpoint_discovery.asyncio, "sleep", sleep)
-            assert slept == sorted(slept) and slept[-1] == endpoint_discovery.TURNED_AWAY
+            assert slept == sorted(slept) and slept[-1] == endpoint_discovery.REJECTED_BACKOFF_S
 
     scenario()
 
@@ -190,7 +194,7 @@
 
 
 def test_a_connection_to_discovery_that_never_comes_up_is_given_up(monkeypatch):
-    monkeypatch.setattr(endpoint_discovery, "SILENCE", 0.15)
+    monkeypatch.setattr(endpoint_discovery, "SILENCE_TIMEOUT_S", 0.15)
 
     @on_sockets
     async def scenario():
--- a/tests/sidecar/process/test_sockets.py
+++ b/tests/sidecar/process/test_sockets.py
@@ -244,7 +244,7 @@
                 os.kill(os.getpid(), signal.SIGHUP)
                 await until(lambda seen=seen: len(other.seen) == seen + 2)  # the whole list, and the watch
             assert old.transport.is_closing()
-            assert world.sidecar.budget.most == 300 - RESERVE
+            assert world.sidecar.budget.max_connections == 300 - RESERVE
             assert [(await ask(world))[0] for _ in range(4)] == [200] * 4 and not world.upstreams[0].seen
             other.stop()
             logger.remove(sink)
@@ -556,7 +556,7 @@
         crowd = [await world.connect() for _ in range(60)]
         assert not pauses  # what is closed makes room at once: the kernel's queue never waits for it
         assert [(await ask(world))[0] for _ in range(5)] == [200] * 5
-        assert len(world.sidecar.front.clients) <= world.sidecar.budget.most_clients
+        assert len(world.sidecar.front.clients) <= world.sidecar.budget.max_clients
         for _, writer in crowd:
             writer.close()
 
@@ -579,7 +579,7 @@
     async with World(serve, serve) as world:
         while len(world.sidecar.pool.connections.open) < 2:
             assert (await ask(world))[0] == 200
-        world.sidecar.budget.most = 2
+        world.sidecar.budget.max_connections = 2
         for writer in world.upstreams[0].writers | world.upstreams[1].writers:
             writer.transport.pause_reading()
         assert (await ask(world))[0] in (200, 503)
@@ -589,7 +589,7 @@
 @on_sockets
 async def test_requests_over_the_budget_of_bytes_are_refused_at_once():
     async with World(serve) as world:
-        world.sidecar.budget.most_bytes = 1000
+        world.sidecar.budget.max_bytes = 1000
         assert (await ask(world, request(b"x" * 2000)))[0] == 503 and world.sent() == 0
         assert (await ask(world, request(b"x")))[0] == 200
 
--- a/tests/sidecar/size/test_size.py
+++ b/tests/sidecar/size/test_size.py
@@ -13,7 +13,7 @@
 
 from shedgrade import load_balancing
 from shedgrade.buffers.budget import Budget
-from shedgrade.buffers.flow import KEPT, ROOM, Flow
+from shedgrade.buffers.flow import QUEUE_BYTES, REPLAYABLE_BYTES, Flow
 
 MEGABYTE = 1 << 20
 
@@ -508,7 +508,7 @@
         watching.cancel()
         assert [status for status, _, _ in got] == [200] * 24
         assert all(len(one) == 8 * MEGABYTE for _, _, one in got)
-        assert most[0] <= sidecar.budget.most_bytes  # 240 MB went through 4
+        assert most[0] <= sidecar.budget.max_bytes  # 240 MB went through 4
         await until(lambda: sidecar.budget.bytes == 0)
 
 
@@ -571,16 +571,20 @@
 def test_a_flow_keeps_all_until_more_than_it_keeps_has_come_and_some_was_taken():
     budget, told = Budget(100, 1), []
     flow = Flow(budget, [b"a" * 70_000])
-    flow.lost = lambda: told.append(flow.total)
-    assert flow.full() and flow.take() and flow.rewind() and flow.size == 70_000
-    assert len(flow.take()) == 32_768 and flow.size < ROOM
+    flow.lost = lambda: told.append(flow.total_bytes)
+    flow.check_invariants()
+    assert flow.full() and flow.take() and flow.rewind() and flow.queued_bytes == 70_000
+    flow.check_invariants()
+    assert len(flow.take()) == 32_768 and flow.queued_bytes < QUEUE_BYTES
     flow.put(b"b" * 30_000)
-    assert flow.rewind() and flow.size == 100_000 and not told
+    assert flow.rewind() and flow.queued_bytes == 100_000 and not told
     while flow.take():
         pass
     assert not flow.full() and budget.bytes == 100_000
-    flow.put(b"c" * KEPT)
-    assert told == [100_000 + KEPT] and not flow.rewind() and budget.bytes == KEPT
+    flow.put(b"c" * REPLAYABLE_BYTES)
+    assert told == [100_000 + REPLAYABLE_BYTES] and not flow.rewind() and budget.bytes == REPLAYABLE_BYTES
     flow.discard()
     flow.put(b"d" * 1000)
     assert not flow.full() and budget.bytes == 0 and not flow.take()
+    flow.check_invariants()
+    budget.check_invariants()
--- a/tests/simulation/test_fleet_count.py
+++ b/tests/simulation/test_fleet_count.py
@@ -19,7 +19,7 @@
     for _ in range(120):
         script.run(0.05)
         counts += [
-            (round(world.time.now, 2), machine.name, machine.program.state.sidecars)
+            (round(world.time.now, 2), machine.name, machine.program.state.edge_count)
             for machine in world.edges
             if machine.program is not None and machine.program.ready()
         ]
--- a/tests/system/test_planes_together.py
+++ b/tests/system/test_planes_together.py
@@ -74,7 +74,7 @@
             view = plane.gossip.view
             assert {node.link for node in view.nodes() if node.kind == "core"} == links
             assert view.count("edge") == len(EDGES)
-        await until(lambda: all(edge.state.sidecars == len(EDGES) for edge in system.edges.values()))
+        await until(lambda: all(edge.state.edge_count == len(EDGES) for edge in system.edges.values()))
         await until(
             lambda: all(node.state == "ready" for plane in planes for node in plane.gossip.view.nodes())
         )
@@ -131,7 +131,7 @@
             )
         )
         # Its share of the fleet's budgets is not taken over while it may still use it.
-        assert system.edges[second].state.sidecars == 2
+        assert system.edges[second].state.edge_count == 2
         await asyncio.wait_for(system.tasks[first], 10)
 
     play(story)
