--- a/shedgrade/controlplane/ordering.py
+++ b/shedgrade/controlplane/ordering.py
@@ -22,7 +22,7 @@
     zone_revisions,
 )
 from shedgrade.peer_transport.peer import LinkError
-from shedgrade.replication import Elsewhere, Member, Reading, Unavailable, Unclear
+from shedgrade.replication import Member, OutcomeUnknown, ReadResult, RedirectToPrimary, Unavailable
 
 ANSWER_TIMEOUT = 0.65  # s until a caller is told to go on: after a second of silence it does so by itself
 RELAY_TIMEOUT = 0.4  # s for the primary's answer, before it is asked again, or whoever leads by then
@@ -37,9 +37,9 @@
 
 def last_contact(member: Member, now: float) -> float:
     """When this member last knew of a primary that leads, itself included."""
-    if member.lead.active or member.hears_primary(now) or member.is_hinted(now):
+    if member.primary_role.active or member.hears_primary(now) or member.has_primary_hint(now):
         return now
-    return max(member.known_at, member.born_at, member.lead.majority_at)
+    return max(member.primary_heard_at, member.incarnation_durable_at, member.primary_role.majority_heard_at)
 
 
 @dataclass(frozen=True, slots=True)
@@ -71,18 +71,18 @@
     def decided(self, outcome: object) -> None:
         """What the member of this process said."""
         match outcome:
-            case Elsewhere(address):
+            case RedirectToPrimary(address):
                 self.ordering.spawn(self.relay(address))
             case Unavailable():
-                self.undecided(isinstance(outcome, Unclear))
-            case Reading():
+                self.undecided(isinstance(outcome, OutcomeUnknown))
+            case ReadResult():
                 self.finish(Outcome(None, channels.read_response(outcome.state)))
             case _:
                 self.concluded(Outcome(outcome))
 
     async def relay(self, address: str) -> None:
         """Asks the primary. Guards a thin link against configurations that are here already."""
-        known = self.ordering.member.finished[2] if self.order is None else {}
+        known = self.ordering.member.committed.state if self.order is None else {}
         held = channels.version_of(known)
         message = ORDERS + channels.encode(Relayed(self.order, held))
         try:
@@ -142,7 +142,7 @@
             self.finish(None)
             return
         if self.revision is None:
-            self.revision = zone_revisions(self.ordering.member.finished[2]).get(self.order.zone, 0)
+            self.revision = zone_revisions(self.ordering.member.committed.state).get(self.order.zone, 0)
         self.order = msgspec.structs.replace(self.order, revision=self.revision)
         super().attempt()
 
@@ -222,7 +222,7 @@
         """Bytes of the configuration that goes along: with the order, or with the answer to a read."""
         if isinstance(order, PutConfiguration | PatchConfiguration):
             return len(order.raw)
-        return len(self.member.finished[2].get("configuration", b"")) if order is None else 0
+        return len(self.member.committed.state.get("configuration", b"")) if order is None else 0
 
     def spawn(self, coroutine) -> None:
         """A task that is not collected before its end."""
@@ -237,9 +237,9 @@
             return
 
         def concluded(outcome: object) -> None:
-            if isinstance(outcome, Reading):
+            if isinstance(outcome, ReadResult):
                 response = Outcome(None, channels.read_response(outcome.state, message.held))
-            elif isinstance(outcome, Elsewhere | Unavailable):
+            elif isinstance(outcome, RedirectToPrimary | Unavailable):
                 response = Outcome(None)
             else:
                 response = Outcome(outcome)
--- a/shedgrade/controlplane/plane.py
+++ b/shedgrade/controlplane/plane.py
@@ -43,8 +43,8 @@
 from shedgrade.process_settings import Reload, Settings, Watched
 from shedgrade.replication import (
     Answer,
-    Finished,
-    Left,
+    Committed,
+    Exit,
     Member,
     Persist,
     Send,
@@ -273,7 +273,7 @@
 
     def contact_at(self) -> float:
         """When this member last heard the primary, or as primary was confirmed by a majority."""
-        return max(self.member.known_at, self.member.confirmed_at)
+        return max(self.member.primary_heard_at, self.member.confirmed_at)
 
     def tell_knowledge(self, message: object) -> None:
         self.tell_others(KNOWLEDGE + control_messages.encode(message))
@@ -314,9 +314,9 @@
                 self.disk.write(token, changes)
             case Answer(ticket, outcome):
                 self.ordering.answered(ticket, outcome)
-            case Finished(epoch, sequence, state):
+            case Committed(epoch, sequence, state):
                 self.hub.control(self.loop.time(), epoch, sequence, state)
-            case Left():
+            case Exit():
                 self.left.set()
 
     def carry_out_duty(self, effect: object) -> None:
@@ -392,7 +392,7 @@
             if channel != KNOWLEDGE:
                 self.reach.heard(now - unread_s, sender)
             if channel == REPLICATION:
-                self.member.unread_s = unread_s
+                self.member.receive_delay_s = unread_s
                 self.member.receive(now, sender, decode_replication(body))
                 self.hub.confirmed(self.member.confirmed_at)
             elif channel == DUTIES:
--- a/shedgrade/controlplane/status.py
+++ b/shedgrade/controlplane/status.py
@@ -27,7 +27,7 @@
         "role": member.role,
         "epoch": member.epoch,
         "primary": member.primary,
-        "finished": list(member.finished[:2]),
+        "finished": list(member.committed.position),
         "members": members(member),
         "configVersion": hub.version,
         "evacuations": list(hub.evacuations),
@@ -39,7 +39,7 @@
 
 def members(member: Member) -> list[dict]:
     """As the newest epoch known here names them; before the first one, the seeds."""
-    record = member.held.record
+    record = member.replica.epoch_config
 
     def role(incarnation: int) -> str:
         if not record.number:
--- a/shedgrade/replication/__init__.py
+++ b/shedgrade/replication/__init__.py
@@ -3,36 +3,38 @@
 from shedgrade.replication import effects, messages
 from shedgrade.replication.effects import (
     Answer,
+    Committed,
     Decision,
-    Elsewhere,
-    Finished,
-    Left,
+    Exit,
+    OutcomeUnknown,
     Persist,
-    Reading,
+    ReadResult,
+    RedirectToPrimary,
     Send,
     State,
     Unavailable,
-    Unclear,
 )
 from shedgrade.replication.member import Member
 from shedgrade.replication.messages import Message
+from shedgrade.replication.replica_state import CommittedState
 from shedgrade.replication.timing import Timing
 
 __all__ = [
     "Answer",
     "Decision",
-    "Elsewhere",
-    "Finished",
-    "Left",
+    "RedirectToPrimary",
+    "Committed",
+    "CommittedState",
+    "Exit",
     "Member",
     "Message",
     "Persist",
-    "Reading",
+    "ReadResult",
     "Send",
     "State",
     "Timing",
     "Unavailable",
-    "Unclear",
+    "OutcomeUnknown",
     "effects",
     "messages",
 ]
--- a/shedgrade/replication/candidate.py
+++ b/shedgrade/replication/candidate.py
@@ -5,7 +5,7 @@
 import msgspec
 
 from shedgrade.replication.messages import (
-    EpochRecord,
+    EpochConfig,
     Fetch,
     Install,
     Installed,
@@ -39,45 +39,57 @@
         self.number = 0
         self.promises: dict[int, Promise] = {}
         self.grants: dict[int, PreVoteReply] = {}
-        self.installed: set[int] = set()
+        self.installed_holders: set[int] = set()
         self.refusals: set[int] = set()
-        self.record: EpochRecord | None = None
+        self.epoch_config: EpochConfig | None = None
         self.change = None
         self.avoid: frozenset[int] = frozenset()
-        self.resend_at = self.since = self.prepared = self.ends = self.late_at = self.alive_at = 0.0
-        self.best: Promise | None = None
-        self.sent: dict[int, float] = {}
+        self.resend_at = self.prepared_at = self.deadline = self.replace_holders_at = self.keep_alive_at = 0.0
+        self.best_promise: Promise | None = None
+        self.install_resend_at: dict[int, float] = {}
 
     # --- begin and end
 
     def pre_vote(self, now: float) -> None:
         """Ask whether others miss the primary too: a member cut off one way must not raise the number."""
         self.begin(now, "prevote")
-        member, held = self.member, self.member.held
+        member, replica = self.member, self.member.replica
         self.grants = {
-            held.incarnation: PreVoteReply(
-                held.incarnation, held.founding, 0, True, held.promise[0], None, None
+            replica.incarnation: PreVoteReply(
+                replica.incarnation, replica.founding, 0, True, replica.promised_epoch.number, None, None
             )
         }
-        self.number = member.highest + 1
-        self.ends = now + 2 * member.timing.resend  # two that deny each other come at other times then
+        self.number = member.highest_epoch_seen + 1
+        self.deadline = (
+            now + 2 * member.timing.resend_interval_s
+        )  # two that deny each other come at other times then
         self.ask_pre_vote(now)
 
     def start(self, now: float, change=None, avoid: frozenset[int] = frozenset()) -> None:
         """Raise the number. `change`: members to new members; `avoid`: who should hold nothing."""
         self.begin(now, "promise")
-        member, held = self.member, self.member.held
+        member, replica = self.member, self.member.replica
         self.change, self.avoid = change, avoid
-        self.number = number = max(member.highest, held.promise[0], held.record.number) + 1
-        member.highest = number
+        self.number = number = (
+            max(member.highest_epoch_seen, replica.promised_epoch.number, replica.epoch_config.number) + 1
+        )
+        member.highest_epoch_seen = number
         # the own promise is synced before others are asked: a number is never used twice after a loss of
         # power
-        held.promise_to(now, number, held.incarnation, lambda at: self.promised(at, number))
+        replica.promise_to(
+            now, number, replica.incarnation, lambda at: self.on_own_promise_durable(at, number)
+        )
 
     def begin(self, now: float, phase: str) -> None:
-        self.phase, self.since, self.ends = phase, now, now + self.member.timing.election
-        self.promises, self.grants, self.installed, self.refusals, self.sent = {}, {}, set(), set(), {}
-        self.record = self.best = self.change = None
+        self.phase, self.started_at, self.deadline = phase, now, now + self.member.timing.election_timeout_s
+        self.promises, self.grants, self.installed_holders, self.refusals, self.install_resend_at = (
+            {},
+            {},
+            set(),
+            set(),
+            {},
+        )
+        self.epoch_config = self.best_promise = self.change = None
         self.avoid = frozenset()
         self.resend_at = now
 
@@ -87,116 +99,128 @@
     # --- pre-vote
 
     def ask_pre_vote(self, now: float) -> None:
-        held = self.member.held
-        self.resend_at = now + self.member.timing.resend
-        question = PreVote(held.incarnation, self.number, held.record.number, held.accepted, held.mark[1])
+        replica = self.member.replica
+        self.resend_at = now + self.member.timing.resend_interval_s
+        question = PreVote(
+            replica.incarnation,
+            self.number,
+            replica.epoch_config.number,
+            replica.accepted_epoch,
+            replica.log_position.sequence,
+        )
         self.member.broadcast(question, self.grants)
 
-    def pre_vote_reply(self, now: float, sender: str, reply: PreVoteReply) -> None:
+    def on_pre_vote_reply(self, now: float, sender: str, reply: PreVoteReply) -> None:
         member = self.member
-        member.highest = max(member.highest, reply.promised)
-        if reply.record is not None:
-            member.held.learn(now, reply.record)
+        member.highest_epoch_seen = max(member.highest_epoch_seen, reply.promised_epoch)
+        if reply.epoch_config is not None:
+            member.replica.adopt_epoch_config(now, reply.epoch_config)
         if self.phase != "prevote" or reply.number != self.number:
             return
         if not reply.granted:
             if reply.primary and reply.primary != member.address:
-                member.told_primary(now, reply.primary)
+                member.note_primary_hint(now, reply.primary)
             return
         self.grants[reply.incarnation] = reply
         voters = [
             Voter(each.incarnation, member.address_of(each.incarnation, sender), each.founding)
             for each in self.grants.values()
         ]
-        if is_quorum(member.held.record, voters):
+        if is_quorum(member.replica.epoch_config, voters):
             self.start(now)
 
     # --- prepare
 
-    def promised(self, now: float, number: int) -> None:
+    def on_own_promise_durable(self, now: float, number: int) -> None:
         """The own promise is synced."""
-        held = self.member.held
-        if self.phase != "promise" or number != self.number or held.promise != (number, held.incarnation):
+        replica = self.member.replica
+        if (
+            self.phase != "promise"
+            or number != self.number
+            or replica.promised_epoch != (number, replica.incarnation)
+        ):
             return
-        self.phase, self.prepared = "prepare", now
-        self.ends = now + self.member.timing.deaf  # who is not heard leaves it to others
-        self.promises[held.incarnation] = self.member.own_promise(number)
+        self.phase, self.prepared_at = "prepare", now
+        self.deadline = now + self.member.timing.majority_timeout_s  # who is not heard leaves it to others
+        self.promises[replica.incarnation] = self.member.own_promise(number)
         self.ask_promises(now)
-        self.choose(now)
+        self.choose_epoch(now)
 
     def ask_promises(self, now: float) -> None:
-        held = self.member.held
-        self.resend_at = now + self.member.timing.resend
-        self.member.broadcast(Prepare(held.incarnation, self.number, held.record), self.promises)
+        replica = self.member.replica
+        self.resend_at = now + self.member.timing.resend_interval_s
+        self.member.broadcast(Prepare(replica.incarnation, self.number, replica.epoch_config), self.promises)
 
-    def promise(self, now: float, promise: Promise) -> None:
+    def on_promise(self, now: float, promise: Promise) -> None:
         if self.phase not in ("prepare", "fetch", "install") or promise.number != self.number:
             return
         self.promises[promise.incarnation] = promise
         if self.phase == "prepare":
-            self.choose(now)
+            self.choose_epoch(now)
 
-    def refused(self, now: float, refusal: Refusal) -> None:
+    def on_refusal(self, now: float, refusal: Refusal) -> None:
         """Another has a higher number: leave it the way for a while."""
         if self.phase not in ("prepare", "fetch", "install") or refusal.number != self.number:
             return
         self.refusals.add(refusal.incarnation)
-        members = self.member.held.record.members
+        members = self.member.replica.epoch_config.members
         left = sum(peer.incarnation not in self.refusals for peer in members)
-        if refusal.promised > self.number or (self.phase == "prepare" and left < majority(members)):
+        if refusal.promised_epoch > self.number or (self.phase == "prepare" and left < majority(members)):
             self.member.step_down(now)
 
-    def choose(self, now: float) -> None:
+    def choose_epoch(self, now: float) -> None:
         """With a quorum: the newest state, the members, the holders."""
-        member, held = self.member, self.member.held
+        member, replica = self.member, self.member.replica
         promises = list(self.promises.values())
-        base = held.record
+        base = replica.epoch_config
         for each in promises:
-            base = newest(base, each.record)
+            base = newest(base, each.epoch_config)
         if not is_quorum(base, promises):
             return
         if self.change is None and base.active:
-            self.change = member.reconfiguration.next_lives(now, base)
-        groups = self.groups(base, promises)
-        able = [each for each in promises if may_hold(groups, each)]
-        if not any(each.incarnation == held.incarnation for each in able):
+            self.change = member.reconfiguration.replacements_of_lost_disks(now, base)
+        groups = self.member_groups(base, promises)
+        eligible = [each for each in promises if may_hold(groups, each)]
+        if not any(each.incarnation == replica.incarnation for each in eligible):
             return self.member.step_down(now)  # this process is none of the members any more
         needed = holder_count(groups, member.tolerated)
-        avoid = self.avoid | self.leaving()
-        good = [each for each in able if each.incarnation not in avoid]
-        waited = now - self.prepared >= member.timing.resend
-        if len(good) < needed.wanted and not waited and len(promises) < len(base.members):
+        avoid = self.avoid | self.leaving_voters()
+        healthy = [each for each in eligible if each.incarnation not in avoid]
+        waited = now - self.prepared_at >= member.timing.resend_interval_s
+        if len(healthy) < needed.wanted and not waited and len(promises) < len(base.members):
             return  # a better holder may answer yet
-        if len(able) < needed.least:
+        if len(eligible) < needed.least:
             return
-        best = max(promises, key=lambda p: (p.accepted, p.mark, p.incarnation == held.incarnation))
+        best = max(
+            promises, key=lambda p: (p.accepted_epoch, p.log_position, p.incarnation == replica.incarnation)
+        )
         rank = {
             each.incarnation: (
-                each.incarnation != held.incarnation,
+                each.incarnation != replica.incarnation,
                 each.incarnation in avoid,
-                each.mark != best.mark,
+                each.log_position != best.log_position,
             )
-            for each in able
+            for each in eligible
         }
-        able.sort(key=lambda each: rank[each.incarnation])
-        holders = tuple(each.incarnation for each in able[: needed.wanted])
-        self.record = EpochRecord(self.number, held.incarnation, holders, *groups, False)
-        self.best = best
-        if (best.accepted, best.mark) == (held.accepted, held.mark):
-            self.install(now, held.mark, held.state)
-        elif best.mark == held.finished[:2]:  # a witness has it in memory
-            self.install(now, best.mark, held.finished[2])
+        eligible.sort(key=lambda each: rank[each.incarnation])
+        holders = tuple(each.incarnation for each in eligible[: needed.wanted])
+        self.epoch_config = EpochConfig(self.number, replica.incarnation, holders, *groups, False)
+        self.best_promise = best
+        if (best.accepted_epoch, best.log_position) == (replica.accepted_epoch, replica.log_position):
+            self.install(now, replica.log_position, replica.state)
+        elif best.log_position == replica.committed.position:  # a witness has it in memory
+            self.install(now, best.log_position, replica.committed.state)
         else:
             self.phase, self.resend_at = "fetch", now
-            self.ends = now + member.timing.election + 8.0
+            self.deadline = now + member.timing.election_timeout_s + 8.0
             self.fetch(now)
 
-    def leaving(self) -> frozenset[int]:
+    def leaving_voters(self) -> frozenset[int]:
         """Voters other than this process that asked for their leave."""
-        own = self.member.held.incarnation
+        own = self.member.replica.incarnation
         return frozenset(who for who, each in self.promises.items() if each.leaving and who != own)
 
-    def groups(self, base: EpochRecord, promises: list[Promise]) -> Groups:
+    def member_groups(self, base: EpochConfig, promises: list[Promise]) -> Groups:
         """Members and those before, founders that were heard filled in."""
         known = dict(self.member.founders)
         known.update((each.address, each.incarnation) for each in promises if each.founding)
@@ -213,68 +237,77 @@
     # --- fetch and install
 
     def fetch(self, now: float) -> None:
-        self.resend_at = now + 4 * self.member.timing.resend
+        self.resend_at = now + 4 * self.member.timing.resend_interval_s
         self.member.send(
-            self.member.address_of(self.best.incarnation, self.best.address),
-            Fetch(self.number, self.member.held.mark, self.member.held.finished[:2]),
+            self.member.address_of(self.best_promise.incarnation, self.best_promise.address),
+            Fetch(self.number, self.member.replica.log_position, self.member.replica.committed.position),
         )
 
-    def transfer(self, now: float, transfer: Transfer) -> None:
-        if self.phase == "fetch" and transfer.number == self.number and transfer.mark == self.best.mark:
-            state = self.member.held.follow_path(transfer.base, transfer.changes)
+    def on_transfer(self, now: float, transfer: Transfer) -> None:
+        if (
+            self.phase == "fetch"
+            and transfer.number == self.number
+            and transfer.log_position == self.best_promise.log_position
+        ):
+            state = self.member.replica.apply_delta(transfer.base, transfer.changes)
             if state is not None:
-                self.install(now, transfer.mark, state)
+                self.install(now, transfer.log_position, state)
 
-    def install(self, now: float, mark, state) -> None:
-        member, held, number = self.member, self.member.held, self.number
-        self.phase, self.resend_at = "install", now + member.timing.resend
+    def install(self, now: float, position, state) -> None:
+        member, replica, number = self.member, self.member.replica, self.number
+        self.phase, self.resend_at = "install", now + member.timing.resend_interval_s
         allowed = size(state) / member.timing.bytes_per_second
-        self.ends = now + member.timing.election + allowed
-        self.late_at, self.alive_at = now + member.timing.silent + allowed, now + member.timing.heartbeat
-        if mark != held.mark:
-            member.lead.abandon(now)  # the orders decided here are not in the chain that goes on
-        held.install(
+        self.deadline = now + member.timing.election_timeout_s + allowed
+        self.replace_holders_at, self.keep_alive_at = (
+            now + member.timing.peer_timeout_s + allowed,
+            now + member.timing.heartbeat_interval_s,
+        )
+        if position != replica.log_position:
+            member.primary_role.abandon(now)  # the orders decided here are not in the chain that goes on
+        replica.install_epoch(
             now,
-            self.record,
-            mark,
+            self.epoch_config,
+            position,
             state,
-            {} if mark == held.mark else None,
-            lambda at: self.on_installed(at, Installed(held.incarnation, number)),
+            {} if position == replica.log_position else None,
+            lambda at: self.on_installed(at, Installed(replica.incarnation, number)),
         )
-        for incarnation in self.record.holders:
-            if incarnation != held.incarnation:
+        for incarnation in self.epoch_config.holders:
+            if incarnation != replica.incarnation:
                 self.send_install(now, incarnation)
 
     def send_install(self, now: float, incarnation: int) -> None:
-        held, promise = self.member.held, self.promises[incarnation]
-        # a witness has what is finished, in memory
-        base, changes = held.path(promise.mark, promise.finished)
-        wait = max(self.member.timing.resend, size(changes) / self.member.timing.bytes_per_second)
-        self.sent[incarnation] = now + wait * (2 if incarnation in self.sent else 1)
+        replica, promise = self.member.replica, self.promises[incarnation]
+        # a witness has what is committed, in memory
+        base, changes = replica.changes_to_position(promise.log_position, promise.committed)
+        wait = max(self.member.timing.resend_interval_s, size(changes) / self.member.timing.bytes_per_second)
+        self.install_resend_at[incarnation] = now + wait * (2 if incarnation in self.install_resend_at else 1)
         self.member.send(
             self.member.address_of(incarnation, promise.address),
-            Install(self.record, held.mark, base, changes),
+            Install(self.epoch_config, replica.log_position, base, changes),
         )
 
-    def on_installed(self, now: float, word: Installed) -> None:
-        if self.phase != "install" or word.number != self.number:
+    def on_installed(self, now: float, installed: Installed) -> None:
+        if self.phase != "install" or installed.number != self.number:
             return
-        self.installed.add(word.incarnation)
-        if self.installed.issuperset(self.record.holders):
-            record = self.record
+        self.installed_holders.add(installed.incarnation)
+        if self.installed_holders.issuperset(self.epoch_config.holders):
+            config = self.epoch_config
             self.stop()
-            self.member.lead.begin(now, activated(record), self.leaving())
+            self.member.primary_role.begin(now, activated(config), self.leaving_voters())
 
     # --- time
 
     def tick(self, now: float) -> None:
         if not self.phase:
             return
-        if now >= self.ends:
+        if now >= self.deadline:
             return self.stop() if self.phase == "prevote" else self.member.step_down(now)
         if self.phase == "install":
-            for incarnation in self.record.holders:
-                if incarnation not in self.installed and now >= self.sent.get(incarnation, now + 1):
+            for incarnation in self.epoch_config.holders:
+                if incarnation not in self.installed_holders and now >= self.install_resend_at.get(
+                    incarnation, now + 1
+                ):
                     self.send_install(now, incarnation)
             self.keep_alive(now)
             self.replace_late(now)
@@ -282,7 +315,7 @@
             if self.phase == "prevote":
                 self.ask_pre_vote(now)
             elif self.phase == "prepare":
-                self.choose(now)
+                self.choose_epoch(now)
                 if self.phase == "prepare":
                     self.ask_promises(now)
             elif self.phase == "fetch":
@@ -291,27 +324,29 @@
 
     def keep_alive(self, now: float) -> None:
         """A long transfer goes on: nobody else should stand meanwhile."""
-        if now >= self.alive_at:
-            self.alive_at = now + self.member.timing.heartbeat
-            held = self.member.held
-            self.member.broadcast(Prepare(held.incarnation, self.number, held.record), ())
+        if now >= self.keep_alive_at:
+            self.keep_alive_at = now + self.member.timing.heartbeat_interval_s
+            replica = self.member.replica
+            self.member.broadcast(Prepare(replica.incarnation, self.number, replica.epoch_config), ())
 
     def replace_late(self, now: float) -> None:
         """A chosen holder doesn't write: begin again with another, where there is one."""
-        late = frozenset(who for who in self.record.holders if who not in self.installed)
-        if now < self.late_at or not late:
+        late = frozenset(who for who in self.epoch_config.holders if who not in self.installed_holders)
+        if now < self.replace_holders_at or not late:
             return
-        others = [who for who in self.promises if who not in self.record.holders and who not in self.avoid]
-        if len(others) >= len(late - self.avoid) > 0 and self.member.held.incarnation not in late:
+        others = [
+            who for who in self.promises if who not in self.epoch_config.holders and who not in self.avoid
+        ]
+        if len(others) >= len(late - self.avoid) > 0 and self.member.replica.incarnation not in late:
             self.start(now, self.change, self.avoid | late)
 
     def wake_at(self) -> float:
         if not self.phase:
             return float("inf")
         if self.phase == "install":
-            late = [at for who, at in self.sent.items() if who not in self.installed]
-            return min([self.ends, self.alive_at, *late])
-        return self.ends if self.phase == "promise" else min(self.ends, self.resend_at)
+            late = [at for who, at in self.install_resend_at.items() if who not in self.installed_holders]
+            return min([self.deadline, self.keep_alive_at, *late])
+        return self.deadline if self.phase == "promise" else min(self.deadline, self.resend_at)
 
 
 class Voter:
--- a/shedgrade/replication/change_index.py
+++ b/shedgrade/replication/change_index.py
@@ -8,7 +8,7 @@
 
 from collections import deque
 
-from shedgrade.replication.messages import Changes, Mark
+from shedgrade.replication.messages import Changes, LogPosition
 
 MOST_KEYS = 16_384  # beyond it the oldest are forgotten: who lags behind those gets the whole state
 MOST_EPOCHS = 1_024
@@ -18,28 +18,28 @@
     """`floor`: the oldest position whose changes since are all known. `epochs`: (epoch, first, last sequence)
     of the chain from there on, so that a position which is not part of the chain is told from one that is."""
 
-    def __init__(self, mark: Mark):
-        self.reset(mark)
+    def __init__(self, position: LogPosition):
+        self.reset(position)
 
-    def reset(self, mark: Mark) -> None:
+    def reset(self, position: LogPosition) -> None:
         """Nothing is known but that the chain has this position."""
-        self.floor = self.last = mark
-        self.epochs: deque[tuple[int, int, int]] = deque([(*mark, mark[1])])
-        self.changed: dict[str, Mark] = {}
+        self.floor = self.last = position
+        self.epochs: deque[tuple[int, int, int]] = deque([(*position, position[1])])
+        self.changed: dict[str, LogPosition] = {}
 
-    def note(self, base: Mark, mark: Mark, changes: Changes) -> None:
-        """`changes` lead from `base` to `mark`."""
+    def note(self, base: LogPosition, position: LogPosition, changes: Changes) -> None:
+        """`changes` lead from `base` to `position`."""
         if base != self.last:
             self.reset(base)
-        self.last = mark
+        self.last = position
         epoch, first, last = self.epochs[-1]
-        if mark == (epoch, last + 1):
-            self.epochs[-1] = epoch, first, mark[1]
+        if position == (epoch, last + 1):
+            self.epochs[-1] = epoch, first, position[1]
         else:
-            self.epochs.append((*mark, mark[1]))
+            self.epochs.append((*position, position[1]))
         for key in changes:
             self.changed.pop(key, None)  # the dict stays ordered by the last change
-            self.changed[key] = mark
+            self.changed[key] = position
         self.forget()
 
     def forget(self) -> None:
@@ -47,13 +47,15 @@
             self.floor = max(self.floor, self.changed.pop(next(iter(self.changed))))
         while len(self.epochs) > MOST_EPOCHS:
             self.epochs.popleft()
-            self.floor = max(self.floor, self.epochs[0][:2])
+            self.floor = max(self.floor, LogPosition(*self.epochs[0][:2]))
 
-    def has(self, mark: Mark) -> bool:
+    def has(self, position: LogPosition) -> bool:
         """Whether the position is known to be part of the chain."""
-        return any(epoch == mark[0] and first <= mark[1] <= last for epoch, first, last in self.epochs)
+        return any(
+            epoch == position[0] and first <= position[1] <= last for epoch, first, last in self.epochs
+        )
 
-    def since(self, base: Mark, state: dict[str, bytes]) -> Changes | None:
+    def since(self, base: LogPosition, state: dict[str, bytes]) -> Changes | None:
         """What leads from `base` to `state`, whose position is not before `base`; None if that is not known.
 
         It leads there from each position between the two as well."""
--- a/shedgrade/replication/effects.py
+++ b/shedgrade/replication/effects.py
@@ -34,8 +34,8 @@
 
 
 @dataclass(slots=True)
-class Finished:
-    """A newer finished state. `epoch` is the epoch in which its last change was decided."""
+class Committed:
+    """A newer committed state. `epoch` is the epoch in which its last change was decided."""
 
     epoch: int
     sequence: int
@@ -43,7 +43,7 @@
 
 
 @dataclass(slots=True)
-class Left:
+class Exit:
     """The process may end."""
 
 
@@ -61,20 +61,20 @@
 
 
 @dataclass(slots=True)
-class Unclear(Unavailable):
+class OutcomeUnknown(Unavailable):
     """The change may have been made or may yet be: send the same again, anywhere."""
 
 
 @dataclass(slots=True)
-class Elsewhere:
+class RedirectToPrimary:
     """The primary has this link address. The same order may be sent there, whatever became of it here."""
 
     address: str
 
 
 @dataclass(slots=True)
-class Reading:
-    """The newest finished state, as confirmed after the read began."""
+class ReadResult:
+    """The newest committed state, as confirmed after the read began."""
 
     epoch: int
     sequence: int
--- a/shedgrade/replication/follower.py
+++ b/shedgrade/replication/follower.py
@@ -2,6 +2,8 @@
 
 from __future__ import annotations
 
+from shedgrade.replication.messages import LogPosition
+
 
 class Follower:
     """What the primary knows of one other process."""
@@ -10,45 +12,52 @@
         "incarnation",
         "name",
         "address",
-        "heard",
-        "round",
-        "received",
-        "durable",
-        "finished",
-        "record",
+        "last_heard_at",
+        "read_index_round",
+        "received_sequence",
+        "durable_sequence",
+        "committed",
+        "known_epoch",
         "healthy",
         "leaving",
-        "since",
-        "sent_to",
+        "known_since",
+        "sent_sequence",
         "resend_at",
-        "learn_at",
-        "learnt",
-        "misses",
-        "promised",
-        "synced",
-        "transfer",
-        "spoke_at",
+        "catch_up_due_at",
+        "catch_up_position",
+        "catch_up_retries",
+        "promised_epoch",
+        "durable_position",
+        "is_catch_up_long",
+        "last_message_at",
     )
 
     def __init__(self, incarnation: int, name: str, address: str, now: float):
         self.incarnation, self.name, self.address = incarnation, name, address
-        self.heard = self.since = self.spoke_at = now  # a new primary takes all as heard when it begins
-        self.round, self.received, self.durable = 0, -1, -1
-        self.finished, self.record = (0, 0), 0
-        self.synced = (0, 0)  # the position of the state on its disk
-        self.healthy, self.leaving, self.promised = True, False, 0
-        self.sent_to = -1  # the newest sequence sent
-        self.resend_at = self.learn_at = 0.0
-        self.learnt = (0, 0)  # the newest finished mark sent
-        self.misses = 0
-        self.transfer = False  # the newest finished state sent is long, and under way
-
-
-class Pending:
-    """An order or a read that waits for its change to be finished, or for a confirming round."""
-
-    __slots__ = ("ticket", "outcome", "sequence", "round", "read", "since")
-
-    def __init__(self, ticket, outcome, sequence, round_, read, since):
-        self.ticket, self.outcome, self.sequence, self.round = ticket, outcome, sequence, round_
-        self.read, self.since = read, since
+        self.last_heard_at = self.known_since = self.last_message_at = (
+            now  # a new primary takes all as heard when it begins
+        )
+        self.read_index_round, self.received_sequence, self.durable_sequence = 0, -1, -1
+        self.committed, self.known_epoch = LogPosition(0, 0), 0
+        self.durable_position = LogPosition(0, 0)  # the position of the state on its disk
+        self.healthy, self.leaving, self.promised_epoch = True, False, 0
+        self.sent_sequence = -1  # the newest sequence sent
+        self.resend_at = self.catch_up_due_at = 0.0
+        self.catch_up_position = LogPosition(0, 0)  # the newest committed position sent
+        self.catch_up_retries = 0
+        self.is_catch_up_long = False  # the newest committed state sent is long, and under way
+
+
+class PendingReply:
+    """An order or a read that waits for its change to be committed, or for a confirming round."""
+
+    __slots__ = ("ticket", "outcome", "sequence", "read_index_round", "is_read", "since")
+
+    def __init__(self, ticket, outcome, sequence, read_index_round, read, since):
+        self.ticket, self.outcome, self.sequence, self.read_index_round = (
+            ticket,
+            outcome,
+            sequence,
+            read_index_round,
+        )
+        self.is_read, self.since = read, since
--- a/shedgrade/replication/pending_requests.py
+++ b/shedgrade/replication/pending_requests.py
@@ -2,10 +2,10 @@
 
 from __future__ import annotations
 
-from shedgrade.replication.effects import Answer, Elsewhere, Unavailable, Unclear
+from shedgrade.replication.effects import Answer, OutcomeUnknown, RedirectToPrimary, Unavailable
 
 
-class Waiting:
+class PendingRequests:
     """Orders and reads that wait for a primary to be known."""
 
     def __init__(self, member):
@@ -13,25 +13,29 @@
         self.entries: list[tuple[float, int, object, bool, bool]] = []
 
     def add(self, now: float, ticket: int, request, *, shipped: bool = False, read: bool = False) -> None:
-        self.entries.append((now + self.member.timing.hold, ticket, request, shipped, read))
+        self.entries.append((now + self.member.timing.request_timeout_s, ticket, request, shipped, read))
 
-    def settle(self, now: float) -> None:
+    def resolve(self, now: float) -> None:
         member = self.member
         if not self.entries:
             return
         entries, self.entries = self.entries, []
         for until, ticket, request, shipped, read in entries:
-            if member.lead.active and shipped:  # deciding it again could refuse what was finished meanwhile
-                outcome = Unclear()
-            elif member.lead.active and (read or not member.departure.draining):
-                member.lead.read(now, ticket) if read else member.lead.order(now, ticket, request)
+            if (
+                member.primary_role.active and shipped
+            ):  # deciding it again could refuse what was committed meanwhile
+                outcome = OutcomeUnknown()
+            elif member.primary_role.active and (read or not member.graceful_leave.draining):
+                member.primary_role.read(now, ticket) if read else member.primary_role.order(
+                    now, ticket, request
+                )
                 continue
             elif member.hears_primary(now) and member.primary != member.address:
-                outcome = Elsewhere(member.primary)
-            elif member.is_hinted(now):
-                outcome = Elsewhere(member.primary_hint)
+                outcome = RedirectToPrimary(member.primary)
+            elif member.has_primary_hint(now):
+                outcome = RedirectToPrimary(member.primary_hint)
             elif now >= until:
-                outcome = Unclear() if shipped else Unavailable()
+                outcome = OutcomeUnknown() if shipped else Unavailable()
             else:
                 self.entries.append((until, ticket, request, shipped, read))
                 continue
--- a/shedgrade/replication/primary.py
+++ b/shedgrade/replication/primary.py
@@ -1,25 +1,25 @@
-"""The primary's part: decide, write to all holders of the epoch, confirm, tell what is finished."""
+"""The primary's part: decide, write to all holders of the epoch, confirm, tell what is committed."""
 
 from __future__ import annotations
 
 from collections import deque
 
-from shedgrade.replication.contact import MajorityContact
-from shedgrade.replication.departure import LeaveRequests
-from shedgrade.replication.effects import Answer, Reading, Unavailable, Unclear
-from shedgrade.replication.follower import Follower, Pending
+from shedgrade.replication.effects import Answer, OutcomeUnknown, ReadResult, Unavailable
+from shedgrade.replication.follower import Follower, PendingReply
+from shedgrade.replication.graceful_leave import LeaveRequests
+from shedgrade.replication.majority_contact import MajorityContact
 from shedgrade.replication.messages import (
     Ack,
+    CatchUp,
     Heartbeat,
-    Learn,
-    Mark,
+    LogPosition,
     Replicate,
     size,
 )
 from shedgrade.replication.replica_state import merge
 
-OPEN_BYTES = 256 * 1024  # no further write is begun while those that are not finished have as many
-PIPELINED_BYTES = 4096  # longer finished state waits for the ack of the one before
+MAX_IN_FLIGHT_BYTES = 256 * 1024  # no further write is begun while those that are not committed have as many
+MAX_PIPELINED_CATCH_UP_BYTES = 4096  # longer committed state waits for the ack of the one before
 
 
 class Primary:
@@ -31,67 +31,73 @@
         self.epoch = 0
         self.followers: dict[int, Follower] = {}
         self.holders: tuple[int, ...] = ()  # the other ones
-        self.pending: deque[Pending] = deque()
-        self.queue: deque[tuple[float, int, object]] = deque()
-        self.open: deque[tuple[int, dict, float]] = deque()  # not finished: sequence, changes, late after
-        self.round = self.confirmed = 0
-        self.beat_at = self.majority_at = self.began = 0.0
-        self.enough = self.complete = False
+        self.pending_replies: deque[PendingReply] = deque()
+        self.order_queue: deque[tuple[float, int, object]] = deque()
+        self.in_flight_writes: deque[tuple[int, dict, float]] = (
+            deque()
+        )  # not committed: sequence, changes, late after
+        self.read_index_round = 0
+        self.heartbeat_due_at = self.majority_heard_at = self.epoch_began_at = 0.0
+        self.has_enough_holders = self.has_all_members = False
         self.incomplete_since: float | None = None
-        self.latest: dict[str, int] = {}  # address -> the incarnation that spoke last from there
-        self.own_durable = -1
-        self.contact = MajorityContact()
-        self.leaves = LeaveRequests(self)
+        self.current_incarnations: dict[
+            str, int
+        ] = {}  # address -> the incarnation that spoke last from there
+        self.own_durable_sequence = -1
+        self.majority_contact = MajorityContact()
+        self.leave_requests = LeaveRequests(self)
 
     # --- begin and end
 
-    def begin(self, now: float, record, leaving: frozenset[int] = frozenset()) -> None:
-        """All holders have synced the epoch: what they hold is finished. `leaving`: members that asked for
+    def begin(self, now: float, config, leaving: frozenset[int] = frozenset()) -> None:
+        """All holders have synced the epoch: what they hold is committed. `leaving`: members that asked for
         their leave before."""
-        member, held = self.member, self.member.held
-        held.learn(now, record)
-        self.active, self.epoch = True, record.number
-        self.holders = tuple(each for each in record.holders if each != held.incarnation)
+        member, replica = self.member, self.member.replica
+        replica.adopt_epoch_config(now, config)
+        self.active, self.epoch = True, config.number
+        self.holders = tuple(each for each in config.holders if each != replica.incarnation)
         if self.incomplete_since is None:
             self.incomplete_since = now
-        self.enough = len(record.holders) > member.tolerated
-        self.complete = len(record.members) > 2 * member.tolerated
-        members = {peer.incarnation: peer for peer in record.members}
+        self.has_enough_holders = len(config.holders) > member.tolerated
+        self.has_all_members = len(config.members) > 2 * member.tolerated
+        members = {peer.incarnation: peer for peer in config.members}
         kept = {}
         for incarnation, old in self.followers.items():
-            if incarnation in members or now - old.heard < 5 * member.timing.hello:
+            if incarnation in members or now - old.last_heard_at < 5 * member.timing.join_request_interval_s:
                 kept[incarnation] = old
         for incarnation, peer in members.items():
-            if incarnation != held.incarnation and incarnation not in kept:
+            if incarnation != replica.incarnation and incarnation not in kept:
                 kept[incarnation] = new = Follower(incarnation, peer.name, peer.address, now)
-                new.spoke_at = member.heard_from.get(peer.address, member.born_at)
+                new.last_message_at = member.heard_from.get(peer.address, member.incarnation_durable_at)
         for incarnation, follower in kept.items():
-            follower.since, follower.round, follower.sent_to = now, 0, -1
+            follower.known_since, follower.read_index_round, follower.sent_sequence = now, 0, -1
             follower.leaving = incarnation in leaving
-            follower.received = follower.durable = -1
+            follower.received_sequence = follower.durable_sequence = -1
             if incarnation in self.holders:
-                follower.heard = now
-                follower.sent_to = follower.received = follower.durable = held.mark[1]
+                follower.last_heard_at = now
+                follower.sent_sequence = follower.received_sequence = follower.durable_sequence = (
+                    replica.log_position.sequence
+                )
         self.followers = kept
-        self.leaves.begin(leaving)
-        self.own_durable = held.mark[1]
-        self.open.clear()
-        self.majority_at = self.began = now
-        self.contact = MajorityContact(member.candidate.prepared)
-        for hello in member.reconfiguration.asked_lately(now):
-            if hello.incarnation not in kept and hello.incarnation != held.incarnation:
-                self.latest[hello.address] = hello.incarnation
-                self.followers[hello.incarnation] = Follower(
-                    hello.incarnation, hello.name, hello.address, now
+        self.leave_requests.begin(leaving)
+        self.own_durable_sequence = replica.log_position.sequence
+        self.in_flight_writes.clear()
+        self.majority_heard_at = self.epoch_began_at = now
+        self.majority_contact = MajorityContact(member.candidate.prepared_at)
+        for request in member.reconfiguration.recent_join_requests(now):
+            if request.incarnation not in kept and request.incarnation != replica.incarnation:
+                self.current_incarnations[request.address] = request.incarnation
+                self.followers[request.incarnation] = Follower(
+                    request.incarnation, request.name, request.address, now
                 )
-        held.finish(held.mark)
+        replica.commit(replica.log_position)
         member.became_primary(now)
-        self.beat(now)
-        self.settle(now)
-        self.leaves.tick(now)
-        change = member.reconfiguration.next_lives(now, record)
+        self.send_heartbeats(now)
+        self.answer_pending(now)
+        self.leave_requests.tick(now)
+        change = member.reconfiguration.replacements_of_lost_disks(now, config)
         if change is not None:  # the repair goes before orders, whose writes would hold it up
-            return member.reform(now, change, frozenset())
+            return member.reconfigure(now, change, frozenset())
         self.advance_queue(now)
 
     def pause(self) -> None:
@@ -99,357 +105,413 @@
         self.active = False
 
     def abandon(self, now: float) -> None:
-        """Another decides now. What was written may be finished by it: the answers are unclear."""
+        """Another decides now. What was written may be committed by it: the answers are unclear."""
         self.active = False
-        self.open.clear()
+        self.in_flight_writes.clear()
         self.followers = {}
         self.incomplete_since = None
-        pending, self.pending = self.pending, deque()
+        pending, self.pending_replies = self.pending_replies, deque()
         for each in pending:
-            self.member.waiting.add(now, each.ticket, None, shipped=not each.read, read=each.read)
-        queue, self.queue = self.queue, deque()
+            self.member.pending_requests.add(
+                now, each.ticket, None, shipped=not each.is_read, read=each.is_read
+            )
+        queue, self.order_queue = self.order_queue, deque()
         for _, ticket, request in queue:
-            self.member.waiting.add(now, ticket, request)
+            self.member.pending_requests.add(now, ticket, request)
 
     # --- orders
 
-    def acts(self, now: float) -> bool:
+    def may_process_orders(self, now: float) -> bool:
         """Fewer holders than may be lost and one keep nothing safe. Of fewer members than 2t + 1 no
         majority may be left: newcomers get a while to join before the first answer."""
-        return self.enough and (self.complete or now - self.incomplete_since >= self.member.timing.incomplete)
+        return self.has_enough_holders and (
+            self.has_all_members
+            or now - self.incomplete_since >= self.member.timing.incomplete_membership_timeout_s
+        )
 
     def order(self, now: float, ticket: int, request) -> None:
-        self.queue.append((now, ticket, request))
+        self.order_queue.append((now, ticket, request))
         self.advance_queue(now)
 
     def read(self, now: float, ticket: int) -> None:
-        self.pending.append(Pending(ticket, None, self.member.held.mark[1], self.next_round(now), True, now))
-        self.settle(now)
+        self.pending_replies.append(
+            PendingReply(
+                ticket,
+                None,
+                self.member.replica.log_position.sequence,
+                self.start_read_index_round(now),
+                True,
+                now,
+            )
+        )
+        self.answer_pending(now)
 
-    def next_round(self, now: float) -> int:
-        self.round += 1
+    def start_read_index_round(self, now: float) -> int:
+        self.read_index_round += 1
         for incarnation in self.holders:
-            self.heartbeat(now, self.followers[incarnation], self.round)
-        return self.round
+            self.send_heartbeat_to(now, self.followers[incarnation], self.read_index_round)
+        return self.read_index_round
 
-    def confirm_with_all(self, now: float) -> int:
+    def start_member_round(self, now: float) -> int:
         """A round that witnesses are asked for, too."""
-        round_ = self.next_round(now)
+        read_index_round = self.start_read_index_round(now)
         for incarnation, follower in self.followers.items():
-            if incarnation not in self.holders and self.member.held.names(incarnation):
-                self.heartbeat(now, follower, round_)
-        return round_
+            if incarnation not in self.holders and self.member.replica.has_member(incarnation):
+                self.send_heartbeat_to(now, follower, read_index_round)
+        return read_index_round
 
     def advance_queue(self, now: float) -> None:
-        member, held = self.member, self.member.held
-        while self.active and self.acts(now) and self.queue and self.has_room():
-            changes, state, replies = {}, held.state, []
-            while self.queue:
-                _, ticket, request = self.queue.popleft()
+        member, replica = self.member, self.member.replica
+        while self.active and self.may_process_orders(now) and self.order_queue and self.has_room():
+            changes, state, replies = {}, replica.state, []
+            while self.order_queue:
+                _, ticket, request = self.order_queue.popleft()
                 decision = member.decide(state, request)
                 replies.append((ticket, decision))
                 if decision.changes:
                     state = merge(state, decision.changes)
                     changes.update(decision.changes)
             self.write(now, changes, replies)
-        self.settle(now)
+        self.answer_pending(now)
 
     def has_room(self) -> bool:
         """Orders behind long writes wait and become one write: a key that they all change is sent once."""
         return (
-            len(self.open) < self.member.PIPELINE
-            and sum(size(changes) for _, changes, _ in self.open) < OPEN_BYTES
+            len(self.in_flight_writes) < self.member.PIPELINE
+            and sum(size(changes) for _, changes, _ in self.in_flight_writes) < MAX_IN_FLIGHT_BYTES
         )
 
     def write(self, now: float, changes, replies) -> None:
-        held = self.member.held
-        sequence = held.mark[1] + (1 if changes else 0)
-        asks = 0 if changes else self.next_round(now)
+        replica = self.member.replica
+        sequence = replica.log_position.sequence + (1 if changes else 0)
+        asks = 0 if changes else self.start_read_index_round(now)
         for ticket, decision in replies:
-            self.pending.append(Pending(ticket, decision.outcome, sequence, asks, False, now))
+            self.pending_replies.append(PendingReply(ticket, decision.outcome, sequence, asks, False, now))
         if not changes:
             return
         epoch = self.epoch
-        late = now + self.member.timing.write_patience + size(changes) / self.member.timing.bytes_per_second
-        self.open.append((sequence, changes, late))
-        held.write(now, sequence, changes, lambda at: self.own_done(at, epoch, sequence))
+        late = now + self.member.timing.write_timeout_s + size(changes) / self.member.timing.bytes_per_second
+        self.in_flight_writes.append((sequence, changes, late))
+        replica.append(now, sequence, changes, lambda at: self.on_own_write_durable(at, epoch, sequence))
         for incarnation in self.holders:
             self.replicate(now, self.followers[incarnation], sequence, changes)
 
     def replicate(self, now: float, follower: Follower, sequence: int, changes) -> None:
-        wait = self.member.timing.resend + size(changes) / self.member.timing.bytes_per_second
-        follower.sent_to = max(follower.sent_to, sequence)
+        wait = self.member.timing.resend_interval_s + size(changes) / self.member.timing.bytes_per_second
+        follower.sent_sequence = max(follower.sent_sequence, sequence)
         follower.resend_at = now + wait
-        finished = self.member.held.finished[:2]
-        self.member.send(follower.address, Replicate(self.epoch, sequence, finished, changes))
+        committed = self.member.replica.committed.position
+        self.member.send(follower.address, Replicate(self.epoch, sequence, committed, changes))
 
-    def own_done(self, now: float, epoch: int, sequence: int) -> None:
+    def on_own_write_durable(self, now: float, epoch: int, sequence: int) -> None:
         if self.active and epoch == self.epoch:
-            self.own_durable = max(self.own_durable, sequence)
-            self.advance(now)
+            self.own_durable_sequence = max(self.own_durable_sequence, sequence)
+            self.advance_commit(now)
 
-    def advance(self, now: float) -> None:
-        """What all holders have synced is finished."""
-        done = min([self.own_durable] + [self.followers[each].durable for each in self.holders])
+    def advance_commit(self, now: float) -> None:
+        """What all holders have synced is committed."""
+        done = min(
+            [self.own_durable_sequence] + [self.followers[each].durable_sequence for each in self.holders]
+        )
         moved = False
-        while self.open and self.open[0][0] <= done:
-            self.member.held.finish((self.epoch, self.open.popleft()[0]))
+        while self.in_flight_writes and self.in_flight_writes[0][0] <= done:
+            self.member.replica.commit(LogPosition(self.epoch, self.in_flight_writes.popleft()[0]))
             moved = True
         if moved:
-            self.settle(now)
-            self.tell(now)
+            self.answer_pending(now)
+            self.announce_committed(now)
             self.advance_queue(now)
 
-    def settle(self, now: float) -> None:
-        """Answer what is finished, or confirmed."""
+    def answer_pending(self, now: float) -> None:
+        """Answer what is committed, or confirmed."""
         if not self.active:
             return
-        finished = self.open[0][0] - 1 if self.open else self.member.held.mark[1]
-        confirmed = min((self.followers[each].round for each in self.holders), default=self.round)
-        while self.pending and self.pending[0].sequence <= finished and self.pending[0].round <= confirmed:
-            each = self.pending.popleft()
-            outcome = Reading(*self.member.held.finished) if each.read else each.outcome
+        committed = (
+            self.in_flight_writes[0][0] - 1
+            if self.in_flight_writes
+            else self.member.replica.log_position.sequence
+        )
+        confirmed = min(
+            (self.followers[each].read_index_round for each in self.holders), default=self.read_index_round
+        )
+        while (
+            self.pending_replies
+            and self.pending_replies[0].sequence <= committed
+            and self.pending_replies[0].read_index_round <= confirmed
+        ):
+            each = self.pending_replies.popleft()
+            outcome = ReadResult(*self.member.replica.committed) if each.is_read else each.outcome
             self.member.effects.append(Answer(each.ticket, outcome))
 
     # --- others
 
-    def beat(self, now: float) -> None:
-        """A heartbeat to all, and what is finished to who lacks it."""
-        held = self.member.held
-        self.beat_at = now + self.member.timing.heartbeat
-        self.round += 1
-        self.contact.round_sent(now, self.round)
+    def send_heartbeats(self, now: float) -> None:
+        """A heartbeat to all, and what is committed to who lacks it."""
+        replica = self.member.replica
+        self.heartbeat_due_at = now + self.member.timing.heartbeat_interval_s
+        self.read_index_round += 1
+        self.majority_contact.round_sent(now, self.read_index_round)
         self.confirm(now)
         for incarnation, follower in list(self.followers.items()):
-            if now - follower.heard > 8 * self.member.timing.hello and not held.names(incarnation):
+            if (
+                now - follower.last_heard_at > 8 * self.member.timing.join_request_interval_s
+                and not replica.has_member(incarnation)
+            ):
                 del self.followers[incarnation]  # a guest that is gone
                 continue
-            if self.latest.get(follower.address, incarnation) != incarnation:
+            if self.current_incarnations.get(follower.address, incarnation) != incarnation:
                 continue  # its disk was lost: another incarnation is there
-            self.heartbeat(now, follower, self.round)
+            self.send_heartbeat_to(now, follower, self.read_index_round)
             if incarnation not in self.holders:
-                self.teach(now, follower)
+                self.send_catch_up(now, follower)
 
-    def heartbeat(self, now: float, follower: Follower, round_: int) -> None:
-        record = None if follower.record == self.epoch else self.member.held.record
-        self.send_heartbeat(now, follower.address, round_, record)
+    def send_heartbeat_to(self, now: float, follower: Follower, read_index_round: int) -> None:
+        config = None if follower.known_epoch == self.epoch else self.member.replica.epoch_config
+        self.send_heartbeat(now, follower.address, read_index_round, config)
 
-    def send_heartbeat(self, now: float, address: str, round_: int, record) -> None:
+    def send_heartbeat(self, now: float, address: str, read_index_round: int, config) -> None:
         self.member.send(
             address,
             Heartbeat(
-                self.epoch, round_, self.member.held.finished[:2], record, now - self.contact.confirmed_at
+                self.epoch,
+                read_index_round,
+                self.member.replica.committed.position,
+                config,
+                now - self.majority_contact.confirmed_at,
             ),
         )
 
     def confirm(self, now: float) -> None:
         """Whether a majority of the members follows this primary, and as of when."""
-        members = self.member.held.record.members
-        others = [peer.incarnation for peer in members if peer.incarnation != self.member.held.incarnation]
-        self.member.confirmed(self.contact.confirm(now, others, len(members) // 2))
+        members = self.member.replica.epoch_config.members
+        others = [peer.incarnation for peer in members if peer.incarnation != self.member.replica.incarnation]
+        self.member.confirm_up_to_date(self.majority_contact.confirm(now, others, len(members) // 2))
 
-    def tell(self, now: float) -> None:
-        """What has just been finished."""
+    def announce_committed(self, now: float) -> None:
+        """What has just been committed."""
         for incarnation, follower in self.followers.items():
             if incarnation in self.holders:
-                self.heartbeat(now, follower, 0)
-            elif self.latest.get(follower.address, incarnation) == incarnation:
-                self.teach(now, follower)
+                self.send_heartbeat_to(now, follower, 0)
+            elif self.current_incarnations.get(follower.address, incarnation) == incarnation:
+                self.send_catch_up(now, follower)
 
-    def teach(self, now: float, follower: Follower) -> None:
-        """Finished state to a follower that holds none; to a silent one nothing but heartbeats.
+    def send_catch_up(self, now: float, follower: Follower) -> None:
+        """Committed state to a follower that holds none; to a silent one nothing but heartbeats.
 
         A long transfer is not begun anew for a newer position: what changed since follows its end."""
-        held, timing = self.member.held, self.member.timing
-        mark = held.finished[:2]
-        if follower.finished >= mark or now - follower.heard > timing.silent:
+        replica, timing = self.member.replica, self.member.timing
+        position = replica.committed.position
+        if follower.committed >= position or now - follower.last_heard_at > timing.peer_timeout_s:
             return
-        if now < follower.learn_at and (
-            follower.learnt == mark or (follower.transfer and follower.finished < follower.learnt)
+        if now < follower.catch_up_due_at and (
+            follower.catch_up_position == position
+            or (follower.is_catch_up_long and follower.committed < follower.catch_up_position)
         ):
             return
-        newest_first = sorted((follower.finished, follower.synced), reverse=True)
-        base, changes = held.finished_since(*newest_first)
-        follower.misses = follower.misses + 1 if follower.learnt == mark else 0
+        newest_first = sorted((follower.committed, follower.durable_position), reverse=True)
+        base, changes = replica.committed_changes_since(*newest_first)
+        follower.catch_up_retries = (
+            follower.catch_up_retries + 1 if follower.catch_up_position == position else 0
+        )
         length = size(changes)
-        wait = timing.resend + length / timing.bytes_per_second
-        follower.learnt, follower.learn_at = mark, now + wait * 2 ** min(follower.misses, 4)
-        follower.transfer = length > PIPELINED_BYTES
-        self.member.send(follower.address, Learn(self.epoch, mark, base, changes))
+        wait = timing.resend_interval_s + length / timing.bytes_per_second
+        follower.catch_up_position, follower.catch_up_due_at = (
+            position,
+            now + wait * 2 ** min(follower.catch_up_retries, 4),
+        )
+        follower.is_catch_up_long = length > MAX_PIPELINED_CATCH_UP_BYTES
+        self.member.send(follower.address, CatchUp(self.epoch, position, base, changes))
 
-    def ack(self, now: float, sender: str, ack: Ack) -> None:
+    def on_ack(self, now: float, sender: str, ack: Ack) -> None:
         member = self.member
-        member.highest = max(member.highest, ack.promised)
+        member.highest_epoch_seen = max(member.highest_epoch_seen, ack.promised_epoch)
         follower = self.followers.get(ack.incarnation)
         if follower is None:
             follower = self.followers[ack.incarnation] = Follower(ack.incarnation, ack.name, sender, now)
-        self.hears(now, follower)
-        self.locate(now, follower, sender, ack.finished)
-        follower.spoke_at = now
-        follower.record = max(follower.record, ack.record)
-        follower.synced = ack.synced
-        follower.healthy, follower.leaving, follower.promised = ack.healthy, ack.leaving, ack.promised
+        self.on_follower_heard(now, follower)
+        self.update_location(now, follower, sender, ack.committed)
+        follower.last_message_at = now
+        follower.known_epoch = max(follower.known_epoch, ack.known_epoch)
+        follower.durable_position = ack.durable_position
+        follower.healthy, follower.leaving, follower.promised_epoch = (
+            ack.healthy,
+            ack.leaving,
+            ack.promised_epoch,
+        )
         if not self.active or ack.epoch != self.epoch:
             return
-        if ack.promised <= self.epoch:
-            self.contact.round_acknowledged(ack.incarnation, ack.round)
+        if ack.promised_epoch <= self.epoch:
+            self.majority_contact.round_acknowledged(ack.incarnation, ack.read_index_round)
             self.confirm(now)
-        if ack.round > follower.round and ack.promised == self.epoch:
-            follower.round = ack.round
-            self.settle(now)
-        self.leaves.tick(now)
-        if ack.incarnation in self.holders and ack.promised == self.epoch:
-            follower.received = max(follower.received, ack.received)
-            if ack.durable > follower.durable:
-                follower.durable = ack.durable
-                self.advance(now)
+        if ack.read_index_round > follower.read_index_round and ack.promised_epoch == self.epoch:
+            follower.read_index_round = ack.read_index_round
+            self.answer_pending(now)
+        self.leave_requests.tick(now)
+        if ack.incarnation in self.holders and ack.promised_epoch == self.epoch:
+            follower.received_sequence = max(follower.received_sequence, ack.received_sequence)
+            if ack.durable_sequence > follower.durable_sequence:
+                follower.durable_sequence = ack.durable_sequence
+                self.advance_commit(now)
         elif ack.incarnation not in self.holders:
-            self.teach(now, follower)
+            self.send_catch_up(now, follower)
 
-    def hello(self, now: float, hello) -> None:
+    def on_join_request(self, now: float, request) -> None:
         """A process that doesn't hear this primary, or is new: told at once where it is."""
-        who = hello.incarnation
+        who = request.incarnation
         follower = self.followers.get(who)
         if follower is None:
-            follower = self.followers[who] = Follower(who, hello.name, hello.address, now)
-        self.locate(now, follower, hello.address, hello.finished)
-        follower.spoke_at = now
-        if hello.incarnation not in self.holders:
-            self.hears(now, follower)
-        self.send_heartbeat(now, hello.address, self.round, self.member.held.record)
-
-    def locate(self, now: float, follower: Follower, address: str, finished: Mark) -> None:
+            follower = self.followers[who] = Follower(who, request.name, request.address, now)
+        self.update_location(now, follower, request.address, request.committed)
+        follower.last_message_at = now
+        if request.incarnation not in self.holders:
+            self.on_follower_heard(now, follower)
+        self.send_heartbeat(now, request.address, self.read_index_round, self.member.replica.epoch_config)
+
+    def update_location(self, now: float, follower: Follower, address: str, committed: LogPosition) -> None:
         """Where it is and what it knows: nothing, if it was started anew or lost its disk. What is on its way
         there then begins at a position that it no longer has."""
-        before = self.latest.get(address, follower.incarnation)
-        if finished == (0, 0) < follower.finished or before != follower.incarnation:
-            self.member.pieces.cancel_state(now, address)
-            follower.learn_at = now
-        follower.address, follower.finished = address, finished
-        self.latest[address] = follower.incarnation
+        before = self.current_incarnations.get(address, follower.incarnation)
+        if committed == (0, 0) < follower.committed or before != follower.incarnation:
+            self.member.chunking.cancel_state(now, address)
+            follower.catch_up_due_at = now
+        follower.address, follower.committed = address, committed
+        self.current_incarnations[address] = follower.incarnation
 
     # --- time
 
-    def expire(self, now: float) -> None:
-        """An order is not held for ever."""
-        hold = self.member.timing.hold
-        while self.queue and now - self.queue[0][0] >= 2 * hold:
-            self.member.effects.append(Answer(self.queue.popleft()[1], Unavailable()))
-        while self.pending and now - self.pending[0].since >= 3 * hold:
-            each = self.pending.popleft()
-            self.member.effects.append(Answer(each.ticket, Unavailable() if each.read else Unclear()))
-
-    def hears(self, now: float, follower: Follower) -> None:
-        if not self.heard_lately(now, follower):
-            follower.learn_at = now  # what was sent before its silence may have been given up
-        follower.heard = now
-
-    def heard_lately(self, now: float, follower: Follower) -> bool:
-        return now - follower.heard < self.member.timing.silent
+    def expire_requests(self, now: float) -> None:
+        """An order does not wait for ever."""
+        hold = self.member.timing.request_timeout_s
+        while self.order_queue and now - self.order_queue[0][0] >= 2 * hold:
+            self.member.effects.append(Answer(self.order_queue.popleft()[1], Unavailable()))
+        while self.pending_replies and now - self.pending_replies[0].since >= 3 * hold:
+            each = self.pending_replies.popleft()
+            self.member.effects.append(
+                Answer(each.ticket, Unavailable() if each.is_read else OutcomeUnknown())
+            )
+
+    def on_follower_heard(self, now: float, follower: Follower) -> None:
+        if not self.heard_recently(now, follower):
+            follower.catch_up_due_at = now  # what was sent before its silence may have been given up
+        follower.last_heard_at = now
+
+    def heard_recently(self, now: float, follower: Follower) -> bool:
+        return now - follower.last_heard_at < self.member.timing.peer_timeout_s
 
     def tick(self, now: float) -> None:
         if not self.active:
             return
-        timing, held, record = self.member.timing, self.member.held, self.member.held.record
-        if now >= self.beat_at:
-            self.beat(now)
+        timing, replica, config = self.member.timing, self.member.replica, self.member.replica.epoch_config
+        if now >= self.heartbeat_due_at:
+            self.send_heartbeats(now)
         for incarnation in self.holders:
             follower = self.followers[incarnation]
-            lacks = follower.received < follower.sent_to and now >= follower.resend_at
-            if lacks and self.heard_lately(now, follower):
-                for sequence, changes, _ in self.open:
-                    if sequence > follower.received:
+            lacks = follower.received_sequence < follower.sent_sequence and now >= follower.resend_at
+            if lacks and self.heard_recently(now, follower):
+                for sequence, changes, _ in self.in_flight_writes:
+                    if sequence > follower.received_sequence:
                         self.replicate(now, follower, sequence, changes)
-        heard = 1 + sum(self.heard_lately(now, f) for i, f in self.followers.items() if held.names(i))
-        if heard > len(record.members) // 2:
-            self.majority_at = now
-        elif now - self.majority_at > timing.deaf - timing.silent:
-            return self.member.step_down(now)  # cut off, perhaps one way: others must be able to take over
+        heard = 1 + sum(
+            self.heard_recently(now, f) for i, f in self.followers.items() if replica.has_member(i)
+        )
+        if heard > len(config.members) // 2:
+            self.majority_heard_at = now
+        elif now - self.majority_heard_at > timing.majority_timeout_s - timing.peer_timeout_s:
+            return self.member.step_down(
+                now
+            )  # cut off, perhaps one way: others must be eligible to take over
         self.advance_queue(now)
-        self.leaves.tick(now)
-        self.mend(now)
+        self.leave_requests.tick(now)
+        self.reconfigure_if_needed(now)
 
     def has_majority(self, now: float) -> bool:
         """Whether a majority of the members was heard lately and has promised nothing higher."""
-        held = self.member.held
-        heard = [f for i, f in self.followers.items() if held.names(i) and self.heard_lately(now, f)]
-        return 1 + sum(f.promised <= self.epoch for f in heard) > len(held.record.members) // 2
+        replica = self.member.replica
+        heard = [
+            f for i, f in self.followers.items() if replica.has_member(i) and self.heard_recently(now, f)
+        ]
+        return 1 + sum(f.promised_epoch <= self.epoch for f in heard) > len(replica.epoch_config.members) // 2
 
-    def is_able(self, now: float, follower: Follower) -> bool:
-        return self.heard_lately(now, follower) and follower.healthy and not follower.leaving
+    def is_eligible(self, now: float, follower: Follower) -> bool:
+        return self.heard_recently(now, follower) and follower.healthy and not follower.leaving
 
     def may_join(self, now: float, follower: Follower) -> bool:
         """It has spoken lately, and is not the former life of a machine whose disk was lost."""
-        spoke = now - follower.spoke_at < self.member.timing.silent
-        newest = self.latest.get(follower.address) == follower.incarnation
-        return spoke and newest and self.is_able(now, follower)
+        spoke = now - follower.last_message_at < self.member.timing.peer_timeout_s
+        newest = self.current_incarnations.get(follower.address) == follower.incarnation
+        return spoke and newest and self.is_eligible(now, follower)
 
-    def ill(self, now: float, follower: Follower) -> bool:
-        """A holder that is silent, has an ill disk, or is late with a write."""
-        if not self.heard_lately(now, follower) or not follower.healthy:
+    def is_unhealthy(self, now: float, follower: Follower) -> bool:
+        """A holder that is silent, has an unhealthy disk, or is late with a write."""
+        if not self.heard_recently(now, follower) or not follower.healthy:
             return True
-        return any(sequence > follower.durable and now >= late for sequence, _, late in self.open)
+        return any(
+            sequence > follower.durable_sequence and now >= late
+            for sequence, _, late in self.in_flight_writes
+        )
 
-    def mend(self, now: float) -> None:
-        """Replace ill holders, take in newcomers, hand over when the own disk is ill."""
-        member, held = self.member, self.member.held
-        record = held.record
-        able = [
+    def reconfigure_if_needed(self, now: float) -> None:
+        """Replace unhealthy holders, take in newcomers, hand over when the own disk is unhealthy."""
+        member, replica = self.member, self.member.replica
+        config = replica.epoch_config
+        eligible = [
             each
             for each, follower in self.followers.items()
-            if held.names(each) and self.is_able(now, follower)
+            if replica.has_member(each) and self.is_eligible(now, follower)
         ]
-        ill = frozenset(each for each in self.holders if self.ill(now, self.followers[each]))
+        unhealthy = frozenset(each for each in self.holders if self.is_unhealthy(now, self.followers[each]))
         leaving = frozenset(each for each in self.holders if self.followers[each].leaving)
-        unwanted = ill | leaving
-        if not member.saving.healthy(now) and self.hand_over(now):
+        unwanted = unhealthy | leaving
+        if not member.disk_writer.is_healthy(now) and self.hand_over(now):
             return
-        if now < member.reform_at:
+        if now < member.reconfigure_at:
             return
-        wanted = max(len(record.members) // 2, member.tolerated)  # beside this process
-        good = [each for each in able if each not in unwanted]
-        change = member.reconfiguration.change(now, self, record)
-        if ill and len(good) < len(self.holders):  # one that leaves holds until another can
-            unwanted = ill
-            good += [
+        wanted = max(len(config.members) // 2, member.tolerated)  # beside this process
+        healthy = [each for each in eligible if each not in unwanted]
+        change = member.reconfiguration.change(now, self, config)
+        if unhealthy and len(healthy) < len(self.holders):  # one that leaves holds until another can
+            unwanted = unhealthy
+            healthy += [
                 each
                 for each, follower in self.followers.items()
-                if held.names(each)
-                and each not in ill
+                if replica.has_member(each)
+                and each not in unhealthy
                 and follower.leaving
                 and follower.healthy
-                and self.heard_lately(now, follower)
+                and self.heard_recently(now, follower)
             ]
         # a newcomer may become the holder that takes the place of one that leaves
         if (
-            (unwanted and len(good) >= len(self.holders))
-            or (len(self.holders) < wanted <= len(good))
-            or (change is not None and not ill)
+            (unwanted and len(healthy) >= len(self.holders))
+            or (len(self.holders) < wanted <= len(healthy))
+            or (change is not None and not unhealthy)
         ):
-            member.reform(now, change, unwanted)
+            member.reconfigure(now, change, unwanted)
 
     def hand_over(self, now: float) -> bool:
         """To the holder that has most, or else to any member."""
         member = self.member
-        heard = [f for i, f in self.followers.items() if self.is_able(now, f) and member.held.names(i)]
+        heard = [
+            f for i, f in self.followers.items() if self.is_eligible(now, f) and member.replica.has_member(i)
+        ]
         if not heard:
             return False
-        heir = max(heard, key=lambda f: (f.durable, f.incarnation in self.holders, f.heard))
+        heir = max(heard, key=lambda f: (f.durable_sequence, f.incarnation in self.holders, f.last_heard_at))
         member.hand_over(now, heir.address)
         return True
 
     def wake_at(self, now: float) -> float:
         if not self.active:
             return float("inf")
-        wake = min(self.beat_at, self.leaves.wake_at(self.member.ticked_at))
-        if self.member.reform_at > now:
-            wake = min(wake, self.member.reform_at)
-        for _, _, late in self.open:
+        wake = min(self.heartbeat_due_at, self.leave_requests.wake_at(self.member.ticked_at))
+        if self.member.reconfigure_at > now:
+            wake = min(wake, self.member.reconfigure_at)
+        for _, _, late in self.in_flight_writes:
             wake = min(wake, late) if late > now else wake
         for incarnation in self.holders:
             follower = self.followers[incarnation]
-            if follower.received < follower.sent_to and follower.resend_at > now:
+            if follower.received_sequence < follower.sent_sequence and follower.resend_at > now:
                 wake = min(wake, follower.resend_at)
-            silent = follower.heard + self.member.timing.silent
+            silent = follower.last_heard_at + self.member.timing.peer_timeout_s
             wake = min(wake, silent) if silent > now else wake
         return wake
--- a/shedgrade/replication/quorums.py
+++ b/shedgrade/replication/quorums.py
@@ -13,7 +13,7 @@
 
 import msgspec
 
-from shedgrade.replication.messages import EpochRecord, Peer
+from shedgrade.replication.messages import EpochConfig, Peer
 
 ChangeOfMembers = Callable[[tuple[Peer, ...]], tuple[Peer, ...]]
 
@@ -59,20 +59,20 @@
     return sum(any(matches(peer, v.incarnation, v.address, v.founding) for v in voters) for peer in peers)
 
 
-def is_quorum(record: EpochRecord, voters: Iterable[Voter]) -> bool:
+def is_quorum(config: EpochConfig, voters: Iterable[Voter]) -> bool:
     """A majority of the members, and of those before while the epoch is not known to be active."""
     voters = list(voters)
-    if count(record.members, voters) < majority(record.members):
+    if count(config.members, voters) < majority(config.members):
         return False
-    return record.active or count(record.before, voters) >= majority(record.before)
+    return config.active or count(config.before, voters) >= majority(config.before)
 
 
-def electorate(record: EpochRecord) -> tuple[Peer, ...]:
+def electorate(config: EpochConfig) -> tuple[Peer, ...]:
     """Whose promises count: the members, and those before while the epoch is not known to be active."""
-    return record.members if record.active else record.members + record.before
+    return config.members if config.active else config.members + config.before
 
 
-def next_groups(base: EpochRecord, change: ChangeOfMembers | None = None) -> Groups:
+def next_groups(base: EpochConfig, change: ChangeOfMembers | None = None) -> Groups:
     """The groups of an epoch made from `base`. Members change only from an epoch known to be active."""
     if not base.active:
         return Groups(base.members, base.before)
@@ -91,11 +91,11 @@
     return HolderCount(least, max(least, tolerated + 1))
 
 
-def activated(record: EpochRecord) -> EpochRecord:
-    """The record once all holders have synced the epoch: the members before bind no more."""
-    return msgspec.structs.replace(record, before=record.members, active=True)
+def activated(config: EpochConfig) -> EpochConfig:
+    """The config once all holders have synced the epoch: the members before bind no more."""
+    return msgspec.structs.replace(config, before=config.members, active=True)
 
 
-def newest(one: EpochRecord, other: EpochRecord) -> EpochRecord:
-    """The higher epoch; of the same one the record that knows it as active."""
+def newest(one: EpochConfig, other: EpochConfig) -> EpochConfig:
+    """The higher epoch; of the same one the config that knows it as active."""
     return other if (other.number, other.active) > (one.number, one.active) else one
--- a/shedgrade/replication/replica_state.py
+++ b/shedgrade/replication/replica_state.py
@@ -1,26 +1,29 @@
-"""What one member holds: its promise, the newest epoch it knows, the state and its mark, what is finished."""
+"""What one member holds: its promise, the newest epoch it knows, the state and its position, what is
+committed.
+"""
 
 from __future__ import annotations
 
 from collections import deque
 from collections.abc import Sequence
+from typing import NamedTuple
 
 import msgspec
 
 from shedgrade.replication.change_index import ChangeIndex
-from shedgrade.replication.disk_writer import Saving
-from shedgrade.replication.effects import Finished
-from shedgrade.replication.messages import Changes, EpochRecord, Mark, Peer
+from shedgrade.replication.disk_writer import DiskWriter
+from shedgrade.replication.effects import Committed
+from shedgrade.replication.messages import Changes, EpochConfig, LogPosition, Peer
 from shedgrade.replication.quorums import newest
 
-INCARNATION, PROMISE, EPOCH, PLACE, SEEDS = (
+INCARNATION_KEY, PROMISE_KEY, EPOCH_KEY, POSITION_KEY, FOUNDERS_KEY = (
     "replication/incarnation",
     "replication/promise",
     "replication/epoch",
     "replication/place",
     "replication/founding",
 )
-PREFIX = "state/"
+STATE_PREFIX = "state/"
 
 _encode = msgspec.msgpack.encode
 
@@ -41,159 +44,202 @@
     return merged
 
 
-class Held:
-    """`promise`: (number, incarnation of the candidate). `accepted`: the epoch as whose holder the state
-    was taken; 0 for a witness. `unfinished`: states after the finished one, by mark. `durable` and
-    `installed`: the mark and the epoch that are synced."""
+class PromisedEpoch(NamedTuple):
+    """The highest epoch promised, and the incarnation of the candidate it was promised to."""
 
-    def __init__(self, found, saving: Saving, effects: list, seeds: tuple[str, ...], founding: bool, random):
+    number: int
+    candidate: int
+
+
+class CommittedState(NamedTuple):
+    """A committed state and its position: the epoch that decided its last change, and that change's
+    number.
+    """
+
+    epoch: int
+    sequence: int
+    state: dict[str, bytes]
+
+    @property
+    def position(self) -> LogPosition:
+        """Where in the log the state stands."""
+        return LogPosition(self.epoch, self.sequence)
+
+
+class ReplicaState:
+    """`promised_epoch`: (number, incarnation of the candidate). `accepted`: the epoch as whose holder the
+    state was taken; 0 for a witness. `uncommitted`: states after the committed one, by position. `durable`
+    and `installed`: the position and the epoch that are synced."""
+
+    def __init__(
+        self, found, disk_writer: DiskWriter, effects: list, seeds: tuple[str, ...], founding: bool, random
+    ):
         found = found or {}
-        self.saving, self.effects = saving, effects
-        self.incarnation = _decode(found, INCARNATION, int, 0)
-        self.new = not self.incarnation
-        founders = _decode(found, SEEDS, tuple[str, ...] | None, None)
-        if self.new:
+        self.disk_writer, self.effects = disk_writer, effects
+        self.incarnation = _decode(found, INCARNATION_KEY, int, 0)
+        self.is_new = not self.incarnation
+        founders = _decode(found, FOUNDERS_KEY, tuple[str, ...] | None, None)
+        if self.is_new:
             self.incarnation = random.getrandbits(62) | 1
             founders = seeds if founding else None
         self.founding = founders is not None
-        nobody = EpochRecord(0, 0, (), tuple(Peer(0, "", seed) for seed in founders or ()), (), True)
+        nobody = EpochConfig(0, 0, (), tuple(Peer(0, "", seed) for seed in founders or ()), (), True)
         self.founders = founders
-        self.promise: tuple[int, int] = _decode(found, PROMISE, tuple[int, int], (0, 0))
-        self.record: EpochRecord = _decode(found, EPOCH, EpochRecord, nobody)
-        self.accepted, self.mark = _decode(found, PLACE, tuple[int, Mark], (0, (0, 0)))
-        self.state = {key[len(PREFIX) :]: value for key, value in found.items() if key.startswith(PREFIX)}
-        self.durable, self.installed = self.mark, self.accepted
-        self.unfinished: deque[tuple[Mark, dict[str, bytes]]] = deque([(self.mark, self.state)])
-        self.finished: tuple[int, int, dict[str, bytes]] = (0, 0, {})
-        self.index = ChangeIndex(self.mark)
-
-    def born(self, now: float, done) -> None:
+        self.promised_epoch = _decode(found, PROMISE_KEY, PromisedEpoch, PromisedEpoch(0, 0))
+        self.epoch_config: EpochConfig = _decode(found, EPOCH_KEY, EpochConfig, nobody)
+        self.accepted_epoch, self.log_position = _decode(
+            found, POSITION_KEY, tuple[int, LogPosition], (0, LogPosition(0, 0))
+        )
+        self.state = {
+            key[len(STATE_PREFIX) :]: value for key, value in found.items() if key.startswith(STATE_PREFIX)
+        }
+        self.durable_position, self.installed_epoch = self.log_position, self.accepted_epoch
+        self.uncommitted: deque[tuple[LogPosition, dict[str, bytes]]] = deque(
+            [(self.log_position, self.state)]
+        )
+        self.committed = CommittedState(0, 0, {})
+        self.change_index = ChangeIndex(self.log_position)
+
+    def persist_incarnation(self, now: float, done) -> None:
         """Before the first word: the incarnation is synced, or it could be another after a loss of power."""
-        changes: Changes = {INCARNATION: _encode(self.incarnation)}
+        changes: Changes = {INCARNATION_KEY: _encode(self.incarnation)}
         if self.founders is not None:
-            changes[SEEDS] = _encode(self.founders)
-        self.saving.save(now, changes, done)
+            changes[FOUNDERS_KEY] = _encode(self.founders)
+        self.disk_writer.save(now, changes, done)
 
-    def names(self, incarnation: int) -> bool:
-        return any(peer.incarnation == incarnation for peer in self.record.members)
+    def has_member(self, incarnation: int) -> bool:
+        return any(peer.incarnation == incarnation for peer in self.epoch_config.members)
 
     def is_holder(self) -> bool:
-        return self.incarnation in self.record.holders
+        return self.incarnation in self.epoch_config.holders
 
     def is_member(self) -> bool:
-        return self.names(self.incarnation)
+        return self.has_member(self.incarnation)
 
     def promise_to(self, now: float, number: int, candidate: int, done=None) -> None:
-        self.promise = number, candidate
-        self.saving.save(now, {PROMISE: _encode(self.promise)}, done)
+        self.promised_epoch = PromisedEpoch(number, candidate)
+        self.disk_writer.save(now, {PROMISE_KEY: _encode(self.promised_epoch)}, done)
 
-    def learn(self, now: float, record: EpochRecord) -> None:
+    def adopt_epoch_config(self, now: float, config: EpochConfig) -> None:
         """Keep a newer epoch that is known to be active (or the word that this one is)."""
-        if newest(self.record, record) is self.record:
+        if newest(self.epoch_config, config) is self.epoch_config:
             return
-        self.record = record
-        changes: Changes = {EPOCH: _encode(record)}
-        if record.number > self.promise[0]:
-            self.promise = record.number, record.primary
-            changes[PROMISE] = _encode(self.promise)
-        self.saving.save(now, changes)
-
-    def install(
+        self.epoch_config = config
+        changes: Changes = {EPOCH_KEY: _encode(config)}
+        if config.number > self.promised_epoch.number:
+            self.promised_epoch = PromisedEpoch(config.number, config.primary)
+            changes[PROMISE_KEY] = _encode(self.promised_epoch)
+        self.disk_writer.save(now, changes)
+
+    def install_epoch(
         self,
         now: float,
-        record: EpochRecord,
-        mark: Mark,
+        config: EpochConfig,
+        position: LogPosition,
         state: dict[str, bytes],
         changes: Changes | None,
         done,
     ) -> None:
         """Hold the epoch with this state. `changes` lead there from the present one (None: all)."""
-        saved: Changes = {EPOCH: _encode(record), PLACE: _encode((record.number, mark))}
-        if self.promise != (record.number, record.primary):
-            self.promise = record.number, record.primary
-            saved[PROMISE] = _encode(self.promise)
+        saved: Changes = {EPOCH_KEY: _encode(config), POSITION_KEY: _encode((config.number, position))}
+        if self.promised_epoch != (config.number, config.primary):
+            self.promised_epoch = PromisedEpoch(config.number, config.primary)
+            saved[PROMISE_KEY] = _encode(self.promised_epoch)
         if changes is None:
             for key in self.state:
                 if key not in state:
-                    saved[PREFIX + key] = None
+                    saved[STATE_PREFIX + key] = None
             changes = {key: value for key, value in state.items() if self.state.get(key) != value}
-            if mark != self.mark:
-                self.index.reset(mark)
-                self.unfinished.clear()  # also a change that no election met: it is in force nowhere
-        elif mark != self.mark:
-            self.index.note(self.mark, mark, changes)
+            if position != self.log_position:
+                self.change_index.reset(position)
+                self.uncommitted.clear()  # also a change that no election met: it is in force nowhere
+        elif position != self.log_position:
+            self.change_index.note(self.log_position, position, changes)
         for key, value in changes.items():
-            saved[PREFIX + key] = value
-        if mark != self.mark:
-            self.unfinished.append((mark, state))
-        self.record, self.accepted, self.state, self.mark = record, record.number, state, mark
+            saved[STATE_PREFIX + key] = value
+        if position != self.log_position:
+            self.uncommitted.append((position, state))
+        self.epoch_config, self.accepted_epoch, self.state, self.log_position = (
+            config,
+            config.number,
+            state,
+            position,
+        )
 
         def durable(at: float) -> None:
-            self.durable, self.installed = mark, record.number
+            self.durable_position, self.installed_epoch = position, config.number
             done(at)
 
-        self.saving.save(now, saved, durable)
+        self.disk_writer.save(now, saved, durable)
 
-    def write(self, now: float, sequence: int, changes: Changes, done) -> None:
+    def append(self, now: float, sequence: int, changes: Changes, done) -> None:
         """The next change of the epoch accepted."""
-        mark = (self.accepted, sequence)
+        position = LogPosition(self.accepted_epoch, sequence)
         self.state = merge(self.state, changes)
-        self.index.note(self.mark, mark, changes)
-        self.mark = mark
-        self.unfinished.append((mark, self.state))
-        saved = {PREFIX + key: value for key, value in changes.items()}
-        saved[PLACE] = _encode((self.accepted, mark))
+        self.change_index.note(self.log_position, position, changes)
+        self.log_position = position
+        self.uncommitted.append((position, self.state))
+        saved = {STATE_PREFIX + key: value for key, value in changes.items()}
+        saved[POSITION_KEY] = _encode((self.accepted_epoch, position))
 
         def durable(at: float) -> None:
-            self.durable = mark
+            self.durable_position = position
             done(at)
 
-        self.saving.save(now, saved, durable)
+        self.disk_writer.save(now, saved, durable)
 
-    def finished_since(self, *bases: Mark) -> tuple[Mark | None, Changes]:
-        """(base, changes from there to the finished state), the newest base that is known; or (None, all)."""
-        return self.difference([base for base in bases if base <= self.finished[:2]], self.finished[2])
+    def committed_changes_since(self, *bases: LogPosition) -> tuple[LogPosition | None, Changes]:
+        """(base, changes from there to the committed state), the newest base that is known; or (None,
+        all).
+        """
+        return self.changes_between(
+            [base for base in bases if base <= self.committed.position], self.committed.state
+        )
 
-    def path(self, *bases: Mark) -> tuple[Mark | None, Changes]:
-        """(base, changes from there to the own mark), the newest base that is known; or (None, all)."""
-        return self.difference(bases, self.state)
+    def changes_to_position(self, *bases: LogPosition) -> tuple[LogPosition | None, Changes]:
+        """(base, changes from there to the own position), the newest base that is known; or (None, all)."""
+        return self.changes_between(bases, self.state)
 
-    def difference(self, bases: Sequence[Mark], state: dict[str, bytes]) -> tuple[Mark | None, Changes]:
+    def changes_between(
+        self, bases: Sequence[LogPosition], state: dict[str, bytes]
+    ) -> tuple[LogPosition | None, Changes]:
         for base in sorted(bases, reverse=True):  # the newest leaves the least to be sent
-            changes = self.index.since(base, state)
+            changes = self.change_index.since(base, state)
             if changes is not None:
                 return base, changes
         return None, state
 
-    def follow_path(self, base: Mark | None, changes: Changes) -> dict[str, bytes] | None:
+    def apply_delta(self, base: LogPosition | None, changes: Changes) -> dict[str, bytes] | None:
         """The state that the changes lead to, None when this member doesn't have the base."""
         if base is None:
             return dict(changes)
-        if base == self.mark:
+        if base == self.log_position:
             return merge(self.state, changes)
-        return merge(self.finished[2], changes) if base == self.finished[:2] else None
+        return merge(self.committed.state, changes) if base == self.committed.position else None
 
-    def learn_finished(self, base: Mark | None, mark: Mark, changes: Changes) -> None:
-        """Take over a finished state. Changes that lead to it from `base` lead to it from each finished state
-        between the two as well."""
+    def apply_committed(self, base: LogPosition | None, position: LogPosition, changes: Changes) -> None:
+        """Take over a committed state. Changes that lead to it from `base` lead to it from each committed
+        state between the two as well."""
         if base is None:
-            self.finish_with(mark, dict(changes))
-        elif base <= self.finished[:2] <= mark:
-            self.finish_with(mark, merge(self.finished[2], changes))
-        elif base == self.mark <= mark:  # what an earlier life synced, and the primary has in its chain
-            self.finish_with(mark, merge(self.state, changes))
-
-    def finish(self, mark: Mark) -> None:
-        """What is accepted up to the mark is finished."""
+            self.commit_state(position, dict(changes))
+        elif base <= self.committed.position <= position:
+            self.commit_state(position, merge(self.committed.state, changes))
+        elif (
+            base == self.log_position <= position
+        ):  # what an earlier life synced, and the primary has in its chain
+            self.commit_state(position, merge(self.state, changes))
+
+    def commit(self, position: LogPosition) -> None:
+        """What is accepted up to the position is committed."""
         state = None
-        while self.unfinished and self.unfinished[0][0] <= mark:
-            at, state = self.unfinished.popleft()
-            if at == mark:
-                self.finish_with(mark, state)
+        while self.uncommitted and self.uncommitted[0][0] <= position:
+            at, state = self.uncommitted.popleft()
+            if at == position:
+                self.commit_state(position, state)
                 break
 
-    def finish_with(self, mark: Mark, state: dict[str, bytes]) -> None:
+    def commit_state(self, position: LogPosition, state: dict[str, bytes]) -> None:
         """Never goes back: an old primary's word may come late."""
-        if mark > self.finished[:2]:
-            self.finished = *mark, state
-            self.effects.append(Finished(*mark, state))
+        if position > self.committed.position:
+            self.committed = CommittedState(*position, state)
+            self.effects.append(Committed(*position, state))
--- a/shedgrade/replication/timing.py
+++ b/shedgrade/replication/timing.py
@@ -7,24 +7,26 @@
 class Timing:
     """All in seconds, but `bytes_per_second`. Fit for round trips up to 150 ms."""
 
-    heartbeat: float = 0.25  # from the primary to each other process
-    suspect: float = 0.55  # no word of the primary for so long: a pre-vote is asked and granted
-    stagger: float = 0.25  # from one possible candidate's turn to the next one's
-    quiet: float = 0.6  # nobody else stands for so long after a candidate was heard
-    fruitless: float = 1.0  # a candidate whose granted pre-votes led to no Prepare for so long ...
-    refused: float = 2.0  # ... is granted none for so long
-    silent: float = 0.6  # a holder that was not heard for so long is replaced
-    write_patience: float = 0.45  # so is one that has not written what it was sent
-    disk_patience: float = 0.35  # a disk that has not answered for so long is ill
-    disk_retry: float = 1.0  # after a refused write
-    deaf: float = 0.8  # a primary that hears no majority for so long steps down
-    resend: float = 0.3
-    election: float = 1.2  # an election without end is given up after this
-    founding: float = 1.0  # the founders wait so long for the last of them
-    replace: float = 1.2  # a member silent for so long gives its place to a newcomer
-    incomplete: float = 2.0  # fewer members than 2t + 1 answer no order for so long
-    hold: float = 0.8  # an order waits so long for a primary
-    hello: float = 0.5
-    leave: float = 6.8  # a process that leaves waits at most so long for its leave
-    leave_delay: float = 0.1  # before a leave is granted: all may be told to end at once
+    heartbeat_interval_s: float = 0.25  # from the primary to each other process
+    primary_timeout_s: float = 0.55  # no word of the primary for so long: a pre-vote is asked and granted
+    election_stagger_s: float = 0.25  # from one possible candidate's turn to the next one's
+    candidate_grace_s: float = 0.6  # nobody else stands for so long after a candidate was heard
+    fruitless_candidate_timeout_s: float = (
+        1.0  # a candidate whose granted pre-votes led to no Prepare for so long ...
+    )
+    fruitless_candidate_ban_s: float = 2.0  # ... is granted none for so long
+    peer_timeout_s: float = 0.6  # a holder that was not heard for so long is replaced
+    write_timeout_s: float = 0.45  # so is one that has not written what it was sent
+    disk_timeout_s: float = 0.35  # a disk that has not answered for so long is ill
+    disk_retry_interval_s: float = 1.0  # after a refused write
+    majority_timeout_s: float = 0.8  # a primary that hears no majority for so long steps down
+    resend_interval_s: float = 0.3
+    election_timeout_s: float = 1.2  # an election without end is given up after this
+    founding_timeout_s: float = 1.0  # the founders wait so long for the last of them
+    member_replacement_timeout_s: float = 1.2  # a member silent for so long gives its place to a newcomer
+    incomplete_membership_timeout_s: float = 2.0  # fewer members than 2t + 1 answer no order for so long
+    request_timeout_s: float = 0.8  # an order waits so long for a primary
+    join_request_interval_s: float = 0.5
+    leave_timeout_s: float = 6.8  # a process that leaves waits at most so long for its leave
+    leave_grant_delay_s: float = 0.1  # before a leave is granted: all may be told to end at once
     bytes_per_second: float = 250_000.0  # the slowest link that patience is reckoned for
--- a/shedgrade/simulation/absence.py
+++ b/shedgrade/simulation/absence.py
@@ -14,9 +14,9 @@
 
 from shedgrade.replication import (
     Decision,
-    Elsewhere,
     Member,
-    Reading,
+    ReadResult,
+    RedirectToPrimary,
     Timing,
     Unavailable,
 )
@@ -126,7 +126,7 @@
         run = self.run
         if attempt != self.attempt:
             return
-        if isinstance(outcome, Elsewhere):
+        if isinstance(outcome, RedirectToPrimary):
             self.attempt += 1
             run.clock.after(0.02, self.retry_at, self.attempt, run.by_address[outcome.address])
         elif outcome is None or isinstance(outcome, Unavailable):
@@ -142,7 +142,7 @@
     def done(self, outcome) -> None:
         run = self.run
         self.attempt += 1
-        if isinstance(outcome, Reading):
+        if isinstance(outcome, ReadResult):
             run.history.read(run.clock.now, self.before, outcome.state)
         else:
             run.history.acknowledged[self.client] = self.number
@@ -192,7 +192,7 @@
     def observe(self, member_class):
         def became_primary(member, now: float) -> None:
             member_class.became_primary(member, now)
-            self.history.began(self.clock.now, member.name, member.held.state)
+            self.history.began(self.clock.now, member.name, member.replica.state)
 
         return became_primary
 
@@ -306,7 +306,7 @@
         """At the end, with nothing going on, all know the newest state."""
         newest = max(self.history.states, default=(0, 0))
         return [
-            f"{machine.name} is at {machine.member.finished[:2] if machine.up else None}, not {newest}"
+            f"{machine.name} is at {machine.member.committed.position if machine.up else None}, not {newest}"
             for machine in self.machines
-            if not machine.up or machine.member.finished[:2] != newest
+            if not machine.up or machine.member.committed.position != newest
         ]
--- a/shedgrade/simulation/catch_up.py
+++ b/shedgrade/simulation/catch_up.py
@@ -171,7 +171,7 @@
         began, target = self.clock.now, self.finished()
         while self.clock.now < began + self.case.patience:
             self.step()
-            if machine.member.finished[:2] >= target:
+            if machine.member.committed.position >= target:
                 self.result.caught_up = self.clock.now - began
                 break
         self.result.sent = self.network.bytes_sent
@@ -181,12 +181,12 @@
         sent = self.network.bytes_sent
         for _ in range(500):
             self.step()
-            lag = self.finished()[1] - machine.member.finished[1]
+            lag = self.finished()[1] - machine.member.committed.sequence
             self.result.steady_lag = max(self.result.steady_lag, lag)
         self.result.sent_rate = (self.network.bytes_sent - sent) / 5.0
 
     def finished(self) -> tuple[int, int]:
-        return max(each.member.finished[:2] for each in self.machines if each.up)
+        return max(each.member.committed.position for each in self.machines if each.up)
 
     def step(self) -> None:
         self.clock.run(self.clock.now + 0.01)
@@ -199,7 +199,7 @@
 def queued_bytes(member: Member) -> int:
     """Bytes of the messages that wait at a member to be sent in pieces, each distinct value counted once."""
     values = {}
-    for queue in member.pieces.queues.values():
+    for queue in member.chunking.queues.values():
         for outgoing in queue:
             if outgoing.body is not None:
                 values[id(outgoing.body)] = len(outgoing.body)
--- a/shedgrade/simulation/machine.py
+++ b/shedgrade/simulation/machine.py
@@ -6,8 +6,8 @@
 
 from shedgrade.replication import (
     Answer,
-    Finished,
-    Left,
+    Committed,
+    Exit,
     Member,
     Persist,
     Send,
@@ -192,9 +192,9 @@
                     call = self.answers.pop(effect.ticket, None)
                     if call is not None:
                         call(effect.outcome)
-                elif kind is Finished:
+                elif kind is Committed:
                     world.history.finished(world.clock.now, self, effect)
-                elif kind is Left:
+                elif kind is Exit:
                     world.clock.after(0.0, self.left, self.generation)
                 if self.member is not member or self.frozen:  # an ambush or an answer may have ended it
                     if self.frozen:
--- a/shedgrade/simulation/network.py
+++ b/shedgrade/simulation/network.py
@@ -2,12 +2,12 @@
 
 from __future__ import annotations
 
-from shedgrade.replication.messages import Piece, size
+from shedgrade.replication.messages import Chunk, size
 
 
 def bulk(message) -> int:
     """Bytes of a message, where they count."""
-    if type(message) is Piece:
+    if type(message) is Chunk:
         return len(message.body)
     changes = getattr(message, "changes", None)
     return size(changes) if changes else 0
--- a/shedgrade/simulation/operators.py
+++ b/shedgrade/simulation/operators.py
@@ -2,7 +2,7 @@
 
 from __future__ import annotations
 
-from shedgrade.replication import Elsewhere, Reading, Unavailable
+from shedgrade.replication import ReadResult, RedirectToPrimary, Unavailable
 from shedgrade.simulation.history import Call
 from shedgrade.simulation.register import CONFLICT, OK, Count, Put
 
@@ -45,7 +45,7 @@
         if attempt != self.attempt or call is not self.current:
             return
         call.tries.append((began, self.world.clock.now, machine.name, outcome))
-        if isinstance(outcome, Elsewhere):
+        if isinstance(outcome, RedirectToPrimary):
             there = self.world.by_address.get(outcome.address)
             if there is not None and hops < 2:
                 return self.send(there, hops + 1)
@@ -84,7 +84,7 @@
             self.world.acknowledged(machine, call)
         elif call.outcome == CONFLICT:
             return self.begin(None)
-        elif isinstance(call.outcome, Reading):
+        elif isinstance(call.outcome, ReadResult):
             self.known = int(call.outcome.state.get("version", b"0"))
         self.world.clock.after(self.world.pace * self.world.random.random(), self.next)
 
--- a/shedgrade/simulation/world.py
+++ b/shedgrade/simulation/world.py
@@ -71,12 +71,12 @@
         if profile == "storm":  # no promise may hang on these
             silent, deaf = chance.choice(((0.6, 0.8), (0.6, 6.0), (3.0, 6.0))[2 * self.split :])
             self.timing = Timing(
-                suspect=chance.choice((0.35, 0.55)),
-                silent=silent,
-                deaf=deaf,
-                write_patience=10.0 if self.split else 0.45,
-                replace=chance.choice((0.3, 2.5)[self.split :]),
-                stagger=chance.choice((0.0, 0.15)),
+                primary_timeout_s=chance.choice((0.35, 0.55)),
+                peer_timeout_s=silent,
+                majority_timeout_s=deaf,
+                write_timeout_s=10.0 if self.split else 0.45,
+                member_replacement_timeout_s=chance.choice((0.3, 2.5)[self.split :]),
+                election_stagger_s=chance.choice((0.0, 0.15)),
             )
         self.nemesis = Nemesis(self)
         self.clients = [
--- a/tests/controlplane/control_net.py
+++ b/tests/controlplane/control_net.py
@@ -14,7 +14,7 @@
 from shedgrade.controlplane.orders import make_decide
 from shedgrade.http.server import Request
 from shedgrade.peer_transport.peer import LinkError
-from shedgrade.replication import Answer, Finished, Member, Persist, Send
+from shedgrade.replication import Answer, Committed, Member, Persist, Send
 from shedgrade.runtime.stall_detection import ArrivalClock
 
 ZONES = {"hall-1": "north", "hall-2": "south", "hall-3": "south", "hall-4": "west"}
@@ -114,7 +114,7 @@
                     self.loop.call_later(DISK, self.persisted, token)
                 case Answer(ticket, outcome):
                     self.ordering.answered(ticket, outcome)
-                case Finished(epoch, sequence, state):
+                case Committed(epoch, sequence, state):
                     self.net.learnt((epoch, sequence), state)
         self.pumping = False
         if self.wake is not None:
--- a/tests/controlplane/orders_model.py
+++ b/tests/controlplane/orders_model.py
@@ -194,7 +194,7 @@
         for process in net.processes.values():
             process.loop.thaw()
         await asyncio.sleep(6.0)
-        history.state = dict(net.processes[net.primary()].member.finished[2])
+        history.state = dict(net.processes[net.primary()].member.committed.state)
 
     virtual_loop.play(story)
     return history
--- a/tests/controlplane/test_cut_off_for_long.py
+++ b/tests/controlplane/test_cut_off_for_long.py
@@ -4,8 +4,8 @@
 from controlplane.cut_world import APPLY, CutWorld
 from controlplane.virtual_loop import play
 
-from shedgrade.replication.acceptor import Voting
-from shedgrade.replication.contact import MajorityContact
+from shedgrade.replication.acceptor import Acceptor
+from shedgrade.replication.majority_contact import MajorityContact
 
 CUT = 20  # s
 OLD = 0.8  # s, `asking.OLD_WORD`
@@ -67,10 +67,10 @@
 
 def heard_is_fresh(self, now, sender, beat):
     """Planted: any heartbeat counts, also at a member that is told no state."""
-    if self.follow(now, sender, beat.epoch, beat.record):
-        self.finish(beat.epoch, beat.finished)
-        self.member.confirmed(now)
-        self.ack(now, sender, beat.epoch, beat.round)
+    if self.follow_primary(now, sender, beat.epoch, beat.epoch_config):
+        self.commit(beat.epoch, beat.committed)
+        self.member.confirm_up_to_date(now)
+        self.send_ack(now, sender, beat.epoch, beat.read_index_round)
 
 
 def primary_is_fresh(self, now, others, needed):
@@ -83,7 +83,7 @@
 def test_the_checker_finds_a_follower_that_counts_any_heartbeat(tmp_path, monkeypatch, which):
     async def scene(loop):
         world = await settled(loop, tmp_path)
-        monkeypatch.setattr(Voting, "heartbeat", heard_is_fresh)
+        monkeypatch.setattr(Acceptor, "on_heartbeat", heard_is_fresh)
         await cut_off_for_long(world, next(iter(world.edges.values())), which, "out")
         assert any("counts as fresh" in wrong for wrong in world.wrong)
         assert any("serves" in wrong for wrong in world.wrong)
--- a/tests/controlplane/test_late_orders.py
+++ b/tests/controlplane/test_late_orders.py
@@ -34,7 +34,7 @@
 
 def evacuated(net):
     primary = net.processes[net.primary()]
-    return msgspec.json.decode(primary.member.finished[2].get("evacuations") or b"[]")
+    return msgspec.json.decode(primary.member.committed.state.get("evacuations") or b"[]")
 
 
 async def settled(net):
--- a/tests/controlplane/test_ordering.py
+++ b/tests/controlplane/test_ordering.py
@@ -7,6 +7,7 @@
 from control_net import Call, Net
 
 from shedgrade.controlplane import ordering
+from shedgrade.replication import CommittedState
 
 ANSWERED = 0.7  # s, the way there and back included
 
@@ -85,10 +86,10 @@
             call = get(net, name)
             assert (await answered(call))[0] == 200 and call.answer.result().body == raw
             member = net.processes[name].member
-            held, member.held.finished = member.held.finished, (0, 0, {})
+            held, member.replica.committed = member.replica.committed, CommittedState(0, 0, {})
             call = get(net, name)
             assert (await answered(call))[0] == 200 and call.answer.result().body == raw
-            member.held.finished = held
+            member.replica.committed = held
         assert [size > 100_000 for size in sizes] == [False, True] * 2
 
     play(scene)
--- a/tests/controlplane/test_orders_model.py
+++ b/tests/controlplane/test_orders_model.py
@@ -97,7 +97,7 @@
 
     def attempt(self):
         if self.order is None:
-            self.finish(Outcome(None, channels.read_response(self.ordering.member.finished[2])))
+            self.finish(Outcome(None, channels.read_response(self.ordering.member.committed.state)))
         else:
             real(self)
 
--- a/tests/replication/hand_net.py
+++ b/tests/replication/hand_net.py
@@ -4,8 +4,8 @@
 
 from shedgrade.replication import (
     Answer,
+    Committed,
     Decision,
-    Finished,
     Member,
     Persist,
     Send,
@@ -29,7 +29,7 @@
         self.writes: dict[str, list[Persist]] = {address: [] for address in self.disks}
         self.messages: list[tuple[str, str, object]] = []
         self.answers: dict[int, object] = {}
-        self.finished: dict[str, list[Finished]] = {address: [] for address in self.disks}
+        self.committed: dict[str, list[Committed]] = {address: [] for address in self.disks}
         self.drop = lambda sender, to, message: False
         self.seen: list[tuple[str, str, object]] = []
         for address in self.disks:
@@ -47,7 +47,7 @@
             now=self.now,
             decide=decide,
         )
-        self.finished[address] = []
+        self.committed[address] = []
         self.drain(address)
 
     def stop(self, address):
@@ -67,8 +67,8 @@
                     self.write(address)
             elif type(effect) is Answer:
                 self.answers[effect.ticket] = effect.outcome
-            elif type(effect) is Finished:
-                self.finished[address].append(effect)
+            elif type(effect) is Committed:
+                self.committed[address].append(effect)
 
     def write(self, address, ok=True):
         """Let the open write of a member go."""
--- a/tests/replication/quorum_model.py
+++ b/tests/replication/quorum_model.py
@@ -12,7 +12,7 @@
 from typing import NamedTuple
 
 from shedgrade.replication import quorums
-from shedgrade.replication.messages import EpochRecord, Peer
+from shedgrade.replication.messages import EpochConfig, Peer
 
 
 class Voter(NamedTuple):
@@ -83,9 +83,9 @@
     return tuple(Peer(each + 1, "", f"{each}:1") for each in bits(members))
 
 
-def record(number, members, before, active):
+def config(number, members, before, active):
     """What a process knows of an epoch; the members before bind no more once it is known to be active."""
-    known = EpochRecord(number, 0, (), peers(members), peers(before), False)
+    known = EpochConfig(number, 0, (), peers(members), peers(before), False)
     return quorums.activated(known) if active else known
 
 
@@ -111,15 +111,15 @@
 
     def quorum(self, members, before, active, promised):
         voters = [Voter(each + 1, f"{each}:1") for each in bits(promised)]
-        return self.rules.is_quorum(record(1, members, before, active), voters)
+        return self.rules.is_quorum(config(1, members, before, active), voters)
 
     def voters(self, members, before, active):
-        known = record(1, members, before, active)
+        known = config(1, members, before, active)
         return mask(each.incarnation - 1 for each in self.rules.electorate(known))
 
     def outcomes(self, members, before, active, promised, guests):
         """(members, before, holders) of all epochs that a candidate may make."""
-        base, found = record(1, members, before, active), set()
+        base, found = config(1, members, before, active), set()
         for change in self.changes(members, guests):
             groups = self.rules.next_groups(base, change)
             able = [
@@ -211,8 +211,8 @@
         epoch = state.epochs[number]
         if epoch and epoch.holders >> who & 1 and process.known[0] < number:
             installed = epoch._replace(installed=epoch.installed | 1 << who)
-            held = Process(process.kind, True, number, (number, False), number)
-            yield changed(state, epoch=(number, installed), process=(who, held))
+            replica = Process(process.kind, True, number, (number, False), number)
+            yield changed(state, epoch=(number, installed), process=(who, replica))
 
 
 def activate(state, number):
--- a/tests/replication/test_absence.py
+++ b/tests/replication/test_absence.py
@@ -24,30 +24,33 @@
 class HoldsBeforeTheTransferIsSynced(Member):
     """A holder says that it has the state before it is on its disk."""
 
-    class Voting(acceptor.Voting):
-        def install(self, now, sender, install):
-            super().install(now, sender, install)
-            held = self.member.held
-            if held.accepted == install.record.number:
-                self.member.send(sender, Installed(held.incarnation, held.accepted))
-                held.installed, held.durable = held.accepted, held.mark
-
-        def replicate(self, now, sender, write):
-            super().replicate(now, sender, write)
-            held = self.member.held
-            held.durable = held.mark
-            self.ack(now, sender, write.epoch, 0)
-
-    def make_parts(self):
-        lead, candidate, _ = super().make_parts()
-        return lead, candidate, self.Voting(self)
+    class Acceptor(acceptor.Acceptor):
+        def on_install(self, now, sender, install):
+            super().on_install(now, sender, install)
+            replica = self.member.replica
+            if replica.accepted_epoch == install.epoch_config.number:
+                self.member.send(sender, Installed(replica.incarnation, replica.accepted_epoch))
+                replica.installed_epoch, replica.durable_position = (
+                    replica.accepted_epoch,
+                    replica.log_position,
+                )
+
+        def on_replicate(self, now, sender, write):
+            super().on_replicate(now, sender, write)
+            replica = self.member.replica
+            replica.durable_position = replica.log_position
+            self.send_ack(now, sender, write.epoch, 0)
+
+    def make_roles(self):
+        primary_role, candidate, _ = super().make_roles()
+        return primary_role, candidate, self.Acceptor(self)
 
 
 class ForgetfulIndex(ChangeIndex):
     """Remembers one key of each change."""
 
-    def note(self, base, mark, changes):
-        super().note(base, mark, dict(list(changes.items())[:1]))
+    def note(self, base, position, changes):
+        super().note(base, position, dict(list(changes.items())[:1]))
 
 
 class SendsAMixOfTwoPositions(Member):
@@ -55,31 +58,31 @@
 
     def __init__(self, *args, **options):
         super().__init__(*args, **options)
-        self.held.index = ForgetfulIndex(self.held.mark)
+        self.replica.change_index = ForgetfulIndex(self.replica.log_position)
 
 
 class TellsTheNewestUnderAnOlderPosition(Member):
-    class Lead(primary.Primary):
-        def teach(self, now, follower):
-            held = self.member.held
-            finished, held.finished = held.finished, (*held.finished[:2], held.state)
-            super().teach(now, follower)
-            held.finished = finished
+    class Primary(primary.Primary):
+        def send_catch_up(self, now, follower):
+            replica = self.member.replica
+            committed, replica.committed = replica.committed, replica.committed._replace(state=replica.state)
+            super().send_catch_up(now, follower)
+            replica.committed = committed
 
-    def make_parts(self):
-        _, candidate, voters = super().make_parts()
-        return self.Lead(self), candidate, voters
+    def make_roles(self):
+        _, candidate, voters = super().make_roles()
+        return self.Primary(self), candidate, voters
 
 
 class TakesADifferenceFromAnyPosition(Member):
     def __init__(self, *args, **options):
         super().__init__(*args, **options)
-        held = self.held
+        replica = self.replica
 
-        def learn_finished(base, mark, changes):
-            held.finish_with(mark, merge(held.finished[2], changes))
+        def apply_committed(base, position, changes):
+            replica.commit_state(position, merge(replica.committed.state, changes))
 
-        held.learn_finished = learn_finished
+        replica.apply_committed = apply_committed
 
 
 class StartsFromTheOlderSlot(Machine):
--- a/tests/replication/test_calm_epoch.py
+++ b/tests/replication/test_calm_epoch.py
@@ -1,8 +1,8 @@
-"""In calm: an epoch goes on, and whoever was started anew is told what is finished."""
+"""In calm: an epoch goes on, and whoever was started anew is told what is committed."""
 
 from random import Random
 
-from shedgrade.replication import Decision, Finished, Member, Persist, Send
+from shedgrade.replication import Committed, Decision, Member, Persist, Send
 
 ADDRESSES = ("10.0.0.1:7", "10.0.0.2:7", "10.0.0.3:7")
 DELAY = 0.05
@@ -12,12 +12,12 @@
     """Three members on a sound network and sound disks."""
 
     def __init__(self):
-        self.now, self.wire, self.finished, self.epochs = 0.0, [], {}, set()
+        self.now, self.wire, self.committed, self.epochs = 0.0, [], {}, set()
         self.disks = {address: {} for address in ADDRESSES}
         self.members = {address: self.start(address, True) for address in ADDRESSES}
 
     def start(self, address, founding=False):
-        self.finished[address] = (0, 0)
+        self.committed[address] = (0, 0)
         return Member(
             f"core-{address}",
             address,
@@ -58,8 +58,8 @@
                     case Persist(token, changes):
                         self.disks[address].update(changes)
                         member.persisted(self.now, token, True)
-                    case Finished(epoch, sequence, _):
-                        self.finished[address] = (epoch, sequence)
+                    case Committed(epoch, sequence, _):
+                        self.committed[address] = (epoch, sequence)
 
     def by_role(self, role):
         return next(address for address, member in self.members.items() if member.role == role)
@@ -80,8 +80,8 @@
         core.run(3.0)
         core.members[core.by_role("primary")].order(core.now, 1, b"value")
         core.run(1.0)
-        finished = set(core.finished.values())
-        assert finished == {(1, 1)}
+        committed = set(core.committed.values())
+        assert committed == {(1, 1)}
         core.restart(core.by_role(role))
         core.run(2.0)
-        assert set(core.finished.values()) == finished
+        assert set(core.committed.values()) == committed
--- a/tests/replication/test_catch_up.py
+++ b/tests/replication/test_catch_up.py
@@ -57,57 +57,57 @@
 
 
 def test_a_transfer_is_followed_by_the_next_at_once_whichever_ack_comes_first():
-    for seed in (2, 4, 9):  # the ack of the state arrives before that of its last piece
+    for seed in (2, 4, 9):  # the ack of the state arrives before that of its last chunk
         found = play(CatchUpCase(size=2_000_000, delay=0.001, away=20, seed=seed))
         assert found.steady_lag <= 10 and found.sent_rate > 9_000_000
 
 
 def test_state_on_its_way_to_a_replica_that_was_started_anew_is_taken_out_of_the_queue():
     net = founded()
-    pieces, to = net.members[net.primary()].pieces, net.witness()
+    chunks, to = net.members[net.primary()].chunking, net.witness()
     long = {"k": bytes(100_000)}
-    pieces.send(net.now, to, messages.Learn(1, (1, 1), None, long))
-    pieces.send(net.now, to, messages.Replicate(1, 5, (0, 0), long))
-    pieces.send(net.now, to, messages.Learn(1, (1, 2), None, long))
-    pieces.cancel_state(net.now, to)
-    assert [type(each.message) for each in pieces.queues[to]] == [messages.Replicate]
-    assert pieces.queues[to][0].sent > 0
-    pieces.cancel_state(net.now, "elsewhere:1")
+    chunks.send(net.now, to, messages.CatchUp(1, (1, 1), None, long))
+    chunks.send(net.now, to, messages.Replicate(1, 5, (0, 0), long))
+    chunks.send(net.now, to, messages.CatchUp(1, (1, 2), None, long))
+    chunks.cancel_state(net.now, to)
+    assert [type(each.message) for each in chunks.queues[to]] == [messages.Replicate]
+    assert chunks.queues[to][0].sent > 0
+    chunks.cancel_state(net.now, "elsewhere:1")
 
 
 def test_finished_state_of_an_epoch_that_is_over_is_still_taken():
     net = founded()
-    witness, held = net.witness(), net.members[net.witness()].held
-    learn = messages.Learn(held.record.number - 1, (1, 1), None, {"k": b"v"})
+    witness, replica = net.witness(), net.members[net.witness()].replica
+    learn = messages.CatchUp(replica.epoch_config.number - 1, (1, 1), None, {"k": b"v"})
     net.call(witness, "receive", net.primary(), learn)
-    assert held.finished == (1, 1, {"k": b"v"})
+    assert replica.committed == (1, 1, {"k": b"v"})
 
 
 def test_changes_from_an_older_position_are_applied_and_old_ones_are_not():
     net = founded()
-    witness, held = net.witness(), net.members[net.witness()].held
-    number = held.record.number
+    witness, replica = net.witness(), net.members[net.witness()].replica
+    number = replica.epoch_config.number
 
-    def learn(base, mark, changes):
-        net.call(witness, "receive", net.primary(), messages.Learn(number, mark, base, changes))
+    def learn(base, position, changes):
+        net.call(witness, "receive", net.primary(), messages.CatchUp(number, position, base, changes))
 
     learn(None, (1, 2), {"a": b"1", "b": b"1"})
     learn((1, 1), (1, 4), {"b": b"4", "c": b"4"})
-    assert held.finished == (1, 4, {"a": b"1", "b": b"4", "c": b"4"})
+    assert replica.committed == (1, 4, {"a": b"1", "b": b"4", "c": b"4"})
     learn((1, 1), (1, 3), {"a": b"3"})
     learn((1, 5), (1, 6), {"a": b"6"})
-    assert held.finished[:2] == (1, 4)
+    assert replica.committed.position == (1, 4)
 
 
 def test_one_state_transfer_is_under_way_to_a_replica_and_an_install_takes_its_place():
     net = founded()
-    pieces, to = net.members[net.primary()].pieces, net.witness()
-    long, record = {"k": bytes(100_000)}, net.members[net.primary()].held.record
+    chunks, to = net.members[net.primary()].chunking, net.witness()
+    long, config = {"k": bytes(100_000)}, net.members[net.primary()].replica.epoch_config
     for sequence in range(1, 5):
-        pieces.send(net.now, to, messages.Learn(1, (1, sequence), None, long))
-    assert [each.message.mark for each in pieces.queues[to]] == [(1, 1), (1, 4)]
-    pieces.send(net.now, to, messages.Install(record, (1, 9), None, long))
-    assert [type(each.message) for each in pieces.queues[to]] == [messages.Install]
+        chunks.send(net.now, to, messages.CatchUp(1, (1, sequence), None, long))
+    assert [each.message.log_position for each in chunks.queues[to]] == [(1, 1), (1, 4)]
+    chunks.send(net.now, to, messages.Install(config, (1, 9), None, long))
+    assert [type(each.message) for each in chunks.queues[to]] == [messages.Install]
 
 
 def test_a_disk_ahead_of_the_finished_state_is_not_a_base_for_it():
@@ -116,13 +116,13 @@
     net.call(primary, "order", 1, ("k", b"1"))
     net.run(0.3)
     net.held_back.add(primary)
-    net.call(primary, "order", 2, ("k", b"2"))  # on the backup's disk, and not finished
+    net.call(primary, "order", 2, ("k", b"2"))  # on the backup's disk, and not committed
     net.deliver()
-    held, ahead = net.members[primary].held, net.members[backup].held
-    assert ahead.durable > held.finished[:2]
-    assert held.finished_since(ahead.durable) == (None, {"k": b"1"})
-    ahead.learn_finished(ahead.mark, held.finished[:2], {})
-    assert ahead.finished[2] == {"k": b"1"}
+    replica, ahead = net.members[primary].replica, net.members[backup].replica
+    assert ahead.durable_position > replica.committed.position
+    assert replica.committed_changes_since(ahead.durable_position) == (None, {"k": b"1"})
+    ahead.apply_committed(ahead.log_position, replica.committed.position, {})
+    assert ahead.committed.state == {"k": b"1"}
 
 
 # --- the index of changes
@@ -130,8 +130,8 @@
 
 def chain(*steps):
     index, state = ChangeIndex((0, 0)), {}
-    for base, mark, changes in steps:
-        index.note(base, mark, changes)
+    for base, position, changes in steps:
+        index.note(base, position, changes)
         state.update(changes)
     return index, {key: value for key, value in state.items() if value is not None}
 
@@ -174,7 +174,13 @@
     for machine in run.machines:
         member = machine.member
         assert run.finished()[1] > 9_000
-        assert set(member.held.index.changed) <= {"configuration"} and len(member.held.index.epochs) <= 3
-        assert len(member.held.unfinished) <= member.PIPELINE + 1 and len(member.lead.open) <= member.PIPELINE
-        assert len(member.lead.followers) <= 3 and len(member.waiting.entries) == 0
-        assert sum(len(parts) for known in member.pieces.incoming.values() for parts in known.values()) == 0
+        assert (
+            set(member.replica.change_index.changed) <= {"configuration"}
+            and len(member.replica.change_index.epochs) <= 3
+        )
+        assert (
+            len(member.replica.uncommitted) <= member.PIPELINE + 1
+            and len(member.primary_role.in_flight_writes) <= member.PIPELINE
+        )
+        assert len(member.primary_role.followers) <= 3 and len(member.pending_requests.entries) == 0
+        assert sum(len(parts) for known in member.chunking.incoming.values() for parts in known.values()) == 0
--- a/tests/replication/test_pieces.py
+++ b/tests/replication/test_chunking.py
@@ -1,4 +1,4 @@
-"""Big messages in pieces: losses, doubles, a receiver that starts anew, and the order of writes."""
+"""Big messages in chunks: losses, doubles, a receiver that starts anew, and the order of writes."""
 
 from collections import deque
 from random import Random
@@ -7,15 +7,21 @@
 from hypothesis import strategies as st
 
 from shedgrade.replication import Timing, messages
-from shedgrade.replication.chunking import MOST_WINDOW, PATIENCE, PIECE, WINDOW, Pieces
+from shedgrade.replication.chunking import (
+    CHUNK_BYTES,
+    MAX_WINDOW,
+    MIN_WINDOW,
+    TRANSFER_TIMEOUT_S,
+    ChunkedTransfers,
+)
 
 
 class End:
-    """One end of a connection: what a member gives to its pieces."""
+    """One end of a connection: what a member gives to its chunks."""
 
     def __init__(self, seed):
         self.random, self.timing, self.out = Random(seed), Timing(), deque()
-        self.pieces = Pieces(self)
+        self.chunking = ChunkedTransfers(self)
 
     def emit(self, to, message):
         self.out.append(message)
@@ -28,86 +34,86 @@
 def carry(sender, receiver, keep, seconds=60.0, twice=lambda: False):
     """Let the two talk; `keep()` says whether the next message arrives. Returns what arrived whole."""
     now, whole = 0.0, []
-    while now < seconds and (sender.out or receiver.out or sender.pieces.queues):
+    while now < seconds and (sender.out or receiver.out or sender.chunking.queues):
         for _ in range(len(sender.out)):
-            piece = sender.out.popleft()
+            chunk = sender.out.popleft()
             for _ in range(2 if twice() else 1):
                 if keep():
-                    message = receiver.pieces.piece(now, "s:1", piece)
+                    message = receiver.chunking.on_chunk(now, "s:1", chunk)
                     whole += [message] if message is not None else []
         for _ in range(len(receiver.out)):
             ack = receiver.out.popleft()
             if keep():
-                sender.pieces.ack(now, "r:1", ack)
+                sender.chunking.on_chunk_ack(now, "r:1", ack)
         now += 0.05
-        sender.pieces.tick(now)
+        sender.chunking.tick(now)
     return whole
 
 
 def test_a_big_message_arrives_whole_and_no_more_than_a_window_is_under_way():
-    sender, receiver, message = End(1), End(2), write(1, 10 * PIECE)
-    sender.pieces.send(0.0, "r:1", message)
-    assert len(sender.out) == WINDOW
+    sender, receiver, message = End(1), End(2), write(1, 10 * CHUNK_BYTES)
+    sender.chunking.send(0.0, "r:1", message)
+    assert len(sender.out) == MIN_WINDOW
     assert carry(sender, receiver, lambda: True) == [message]
-    assert not sender.pieces.queues
+    assert not sender.chunking.queues
 
 
 def test_one_that_is_under_way_is_not_sent_a_second_time():
     sender = End(1)
-    sender.pieces.send(0.0, "r:1", write(1, 10 * PIECE))
-    sender.pieces.send(0.0, "r:1", write(1, 10 * PIECE))
-    assert len(sender.pieces.queues["r:1"]) == 1
+    sender.chunking.send(0.0, "r:1", write(1, 10 * CHUNK_BYTES))
+    sender.chunking.send(0.0, "r:1", write(1, 10 * CHUNK_BYTES))
+    assert len(sender.chunking.queues["r:1"]) == 1
 
 
 def test_a_small_write_waits_behind_a_big_one_and_small_words_do_not():
     sender, receiver = End(1), End(2)
-    sender.pieces.send(0.0, "r:1", write(1, 10 * PIECE))
-    assert sender.pieces.wants("r:1", write(2, 10))
-    assert not sender.pieces.wants("r:1", messages.Heartbeat(1, 1, (0, 0), None))
-    assert not sender.pieces.wants("other:1", write(2, 10))
-    sender.pieces.send(0.0, "r:1", write(2, 10))
+    sender.chunking.send(0.0, "r:1", write(1, 10 * CHUNK_BYTES))
+    assert sender.chunking.needs_chunking("r:1", write(2, 10))
+    assert not sender.chunking.needs_chunking("r:1", messages.Heartbeat(1, 1, (0, 0), None))
+    assert not sender.chunking.needs_chunking("other:1", write(2, 10))
+    sender.chunking.send(0.0, "r:1", write(2, 10))
     assert [message.sequence for message in carry(sender, receiver, lambda: True)] == [1, 2]
 
 
 def test_a_receiver_that_starts_anew_gets_it_from_the_first_piece():
-    sender, receiver, message = End(1), End(2), write(1, 10 * PIECE)
-    sender.pieces.send(0.0, "r:1", message)
-    for _ in range(WINDOW):
-        receiver.pieces.piece(0.0, "s:1", sender.out.popleft())
+    sender, receiver, message = End(1), End(2), write(1, 10 * CHUNK_BYTES)
+    sender.chunking.send(0.0, "r:1", message)
+    for _ in range(MIN_WINDOW):
+        receiver.chunking.on_chunk(0.0, "s:1", sender.out.popleft())
     while receiver.out:
-        sender.pieces.ack(0.0, "r:1", receiver.out.popleft())
+        sender.chunking.on_chunk_ack(0.0, "r:1", receiver.out.popleft())
     assert carry(sender, End(3), lambda: True) == [message]
 
 
 def test_a_transfer_to_who_never_answers_is_given_up():
     sender = End(1)
-    sender.pieces.send(0.0, "r:1", write(1, 10 * PIECE))
+    sender.chunking.send(0.0, "r:1", write(1, 10 * CHUNK_BYTES))
     now = 0.0
-    while now <= PATIENCE:
+    while now <= TRANSFER_TIMEOUT_S:
         now += 0.1
-        sender.pieces.tick(now)
-    assert not sender.pieces.queues and len(sender.out) < 3 * WINDOW
+        sender.chunking.tick(now)
+    assert not sender.chunking.queues and len(sender.out) < 3 * MIN_WINDOW
 
 
 @settings(max_examples=60, deadline=None)
-@given(st.integers(0, 2**32), st.lists(st.integers(PIECE + 1, 6 * PIECE), min_size=1, max_size=4))
+@given(st.integers(0, 2**32), st.lists(st.integers(CHUNK_BYTES + 1, 6 * CHUNK_BYTES), min_size=1, max_size=4))
 def test_with_losses_and_doubles_each_arrives_once_and_in_order(seed, lengths):
     chance = Random(seed)
     sender, receiver = End(seed), End(seed + 1)
     sent = [write(sequence, length) for sequence, length in enumerate(lengths, 1)]
     for message in sent:
-        sender.pieces.send(0.0, "r:1", message)
+        sender.chunking.send(0.0, "r:1", message)
     got = carry(sender, receiver, lambda: chance.random() > 0.15, twice=lambda: chance.random() < 0.1)
     assert got == [message for message in sent if message in got]
-    assert got == sent or not sender.pieces.queues
+    assert got == sent or not sender.chunking.queues
 
 
 def over_a_link(piece_seconds, delay, count=60):
-    """(seconds, most pieces under way, pieces sent) of one message; a piece takes the link so long."""
+    """(seconds, most chunks under way, chunks sent) of one message; a chunk takes the link so long."""
     sender, receiver = End(1), End(2)
-    sender.pieces.send(0.0, "r:1", write(1, count * PIECE - 1000))
+    sender.chunking.send(0.0, "r:1", write(1, count * CHUNK_BYTES - 1000))
     now, free, arrivals, acks, most, sent = 0.0, 0.0, deque(), deque(), 0, 0
-    while sender.pieces.queues and now < 60.0:
+    while sender.chunking.queues and now < 60.0:
         while sender.out:
             free = max(free, now) + piece_seconds
             arrivals.append((free + delay, sender.out.popleft()))
@@ -115,28 +121,28 @@
         most = max(most, len(arrivals))
         now = min(queue[0][0] for queue in (arrivals, acks) if queue)
         while arrivals and arrivals[0][0] <= now:
-            receiver.pieces.piece(now, "s:1", arrivals.popleft()[1])
+            receiver.chunking.on_chunk(now, "s:1", arrivals.popleft()[1])
         acks.extend((now + delay, ack) for ack in receiver.out)
         receiver.out.clear()
         while acks and acks[0][0] <= now:
-            sender.pieces.ack(now, "r:1", acks.popleft()[1])
+            sender.chunking.on_chunk_ack(now, "r:1", acks.popleft()[1])
     return now, most, sent
 
 
 def test_the_window_grows_on_a_long_and_wide_link_and_not_on_a_thin_one():
     wide, most, sent = over_a_link(0.0003, 0.055)
-    assert wide < 0.8 and WINDOW < most <= MOST_WINDOW + 1 and sent <= 62
+    assert wide < 0.8 and MIN_WINDOW < most <= MAX_WINDOW + 1 and sent <= 62
     thin, most, sent = over_a_link(0.052, 0.035)
-    assert most <= WINDOW + 2 and thin < 60 * 0.056 + 0.2 and sent <= 62
+    assert most <= MIN_WINDOW + 2 and thin < 60 * 0.056 + 0.2 and sent <= 62
 
 
 def test_a_late_ack_sends_nothing_again_and_a_piece_that_goes_twice_measures_nothing():
     sender = End(1)
-    sender.pieces.send(0.0, "r:1", write(1, 60 * PIECE))
-    out = sender.pieces.queues["r:1"][0]
+    sender.chunking.send(0.0, "r:1", write(1, 60 * CHUNK_BYTES))
+    out = sender.chunking.queues["r:1"][0]
     for acknowledged in (1, 3, 2):
-        sender.pieces.ack(0.1, "r:1", messages.PieceAck(out.id, acknowledged))
-    assert out.next == 3 and [piece.index for piece in sender.out] == sorted({p.index for p in sender.out})
-    sender.pieces.tick(1.0)  # a probe: piece 3 goes a second time
-    sender.pieces.ack(1.001, "r:1", messages.PieceAck(out.id, 4))
-    assert sender.pieces.round_trips["r:1"] == 0.1 and out.window == WINDOW
+        sender.chunking.on_chunk_ack(0.1, "r:1", messages.ChunkAck(out.id, acknowledged))
+    assert out.next == 3 and [chunk.index for chunk in sender.out] == sorted({p.index for p in sender.out})
+    sender.chunking.tick(1.0)  # a probe: chunk 3 goes a second time
+    sender.chunking.on_chunk_ack(1.001, "r:1", messages.ChunkAck(out.id, 4))
+    assert sender.chunking.round_trips["r:1"] == 0.1 and out.window == MIN_WINDOW
--- a/tests/replication/test_disk_trouble.py
+++ b/tests/replication/test_disk_trouble.py
@@ -46,7 +46,7 @@
     def lose_another(self) -> None:
         """With it gone the machine that was ill is one of the two that must go on."""
         others = [machine for machine in self.machines if machine is not self.ill]
-        self.lost = next((machine for machine in others if machine.member.held.is_holder()), others[0])
+        self.lost = next((machine for machine in others if machine.member.replica.is_holder()), others[0])
         self.lost.kill(True)
 
     def next_trouble(self) -> None:
--- a/tests/replication/test_contact.py
+++ b/tests/replication/test_majority_contact.py
@@ -1,6 +1,6 @@
 """When a primary counts as confirmed by a majority."""
 
-from shedgrade.replication.contact import NEVER, ROUNDS_KEPT, MajorityContact
+from shedgrade.replication.majority_contact import NEVER, ROUNDS_KEPT, MajorityContact
 
 
 def test_confirmed_as_of_the_sending_of_what_a_majority_acknowledged():
--- a/tests/replication/test_member.py
+++ b/tests/replication/test_member.py
@@ -3,7 +3,7 @@
 import msgspec
 from hand_net import SEEDS, Net, founded
 
-from shedgrade.replication import Elsewhere, Reading, Unavailable, messages
+from shedgrade.replication import ReadResult, RedirectToPrimary, Unavailable, messages
 
 
 def sent(net, kind):
@@ -23,7 +23,7 @@
     assert net.answers == {1: None}
     holding = [address for address, disk in net.disks.items() if disk.get("state/k") == b"v"]
     assert sorted(holding) == sorted([net.primary(), net.backup()])
-    assert all(member.finished[2] == {"k": b"v"} for member in net.members.values())
+    assert all(member.committed.state == {"k": b"v"} for member in net.members.values())
 
 
 def test_no_answer_before_the_backups_disk_and_the_own_disk_have_it():
@@ -33,7 +33,7 @@
         net.held_back.add(address)
         net.call(net.primary(), "order", 1, ("k", b"v"))
         net.run(0.2)
-        assert 1 not in net.answers and not any(member.finished[2] for member in net.members.values())
+        assert 1 not in net.answers and not any(member.committed.state for member in net.members.values())
         net.held_back.clear()
         net.write(address)
         net.run(0.1)
@@ -44,8 +44,8 @@
     net = founded()
     voter, candidate = net.witness(), net.backup()
     net.held_back.add(voter)
-    held = net.members[candidate].held
-    net.call(voter, "receive", candidate, messages.Prepare(held.incarnation, 7, held.record))
+    replica = net.members[candidate].replica
+    net.call(voter, "receive", candidate, messages.Prepare(replica.incarnation, 7, replica.epoch_config))
     assert not sent(net, messages.Promise)
     net.write(voter)
     assert [promise.number for promise in sent(net, messages.Promise)] == [7]
@@ -55,23 +55,23 @@
     net = founded()
     voter, candidate = net.witness(), net.backup()
     net.held_back.add(voter)
-    held = net.members[candidate].held
-    net.call(voter, "receive", candidate, messages.Prepare(held.incarnation, 7, held.record))
+    replica = net.members[candidate].replica
+    net.call(voter, "receive", candidate, messages.Prepare(replica.incarnation, 7, replica.epoch_config))
     net.stop(voter)
     net.held_back.clear()
     net.start(voter)
-    assert net.members[voter].held.promise[0] == 1
+    assert net.members[voter].replica.promised_epoch[0] == 1
     assert not sent(net, messages.Promise)
 
 
 def test_a_holder_says_that_it_installed_an_epoch_after_its_sync():
     net = founded()
     holder = net.witness()
-    held = net.members[holder].held
-    holders = (held.record.primary, held.incarnation)
-    record = msgspec.structs.replace(held.record, number=5, holders=holders, active=False)
+    replica = net.members[holder].replica
+    holders = (replica.epoch_config.primary, replica.incarnation)
+    config = msgspec.structs.replace(replica.epoch_config, number=5, holders=holders, active=False)
     net.held_back.add(holder)
-    net.call(holder, "receive", net.primary(), messages.Install(record, (1, 1), None, {"k": b"v"}))
+    net.call(holder, "receive", net.primary(), messages.Install(config, (1, 1), None, {"k": b"v"}))
     assert not sent(net, messages.Installed)
     net.write(holder)
     assert [word.number for word in sent(net, messages.Installed)] == [5]
@@ -80,11 +80,11 @@
 def test_a_backup_that_promised_more_refuses_the_primary_of_before():
     net = founded()
     backup, primary, other = net.backup(), net.primary(), net.witness()
-    record = net.members[other].held.record
-    net.call(backup, "receive", other, messages.Prepare(net.members[other].held.incarnation, 9, record))
+    config = net.members[other].replica.epoch_config
+    net.call(backup, "receive", other, messages.Prepare(net.members[other].replica.incarnation, 9, config))
     net.messages.clear()
     net.call(backup, "receive", primary, messages.Replicate(1, 1, (0, 0), {"k": b"v"}))
-    assert [word.promised for word in sent(net, messages.Refusal)] == [9]
+    assert [word.promised_epoch for word in sent(net, messages.Refusal)] == [9]
     assert "state/k" not in net.disks[backup]
 
 
@@ -95,12 +95,12 @@
     net.disks[lost].clear()
     net.start(lost)
     net.messages.clear()
-    held = net.members[candidate].held
-    net.call(lost, "receive", candidate, messages.Prepare(held.incarnation, 7, held.record))
+    replica = net.members[candidate].replica
+    net.call(lost, "receive", candidate, messages.Prepare(replica.incarnation, 7, replica.epoch_config))
     assert not net.messages and net.members[lost].role == "blank"
     net.run(3.0)
     assert net.members[lost].role == "witness"
-    assert net.members[lost].held.incarnation in {peer.incarnation for peer in net.members[lost].members}
+    assert net.members[lost].replica.incarnation in {peer.incarnation for peer in net.members[lost].members}
 
 
 def test_nothing_is_said_before_the_incarnation_is_synced():
@@ -111,10 +111,10 @@
     net.messages.clear()
     net.start("a:1", founding=True)
     net.call("a:1", "tick")
-    net.call("a:1", "receive", "b:1", messages.Hello(5, "b", "b:1", True, 0, (0, 0)))
+    net.call("a:1", "receive", "b:1", messages.JoinRequest(5, "b", "b:1", True, 0, (0, 0)))
     assert not net.messages
     net.write("a:1")
-    assert sent(net, messages.Hello)
+    assert sent(net, messages.JoinRequest)
 
 
 def test_a_refused_write_is_tried_again_whole_and_nothing_is_said_before():
@@ -143,7 +143,7 @@
     net.drop = lambda sender, to, message: False
     net.run(2.5)
     assert net.primary() == backup
-    assert net.members[net.witness() if net.primary() != backup else backup].finished[2] == {"k": b"v"}
+    assert net.members[net.witness() if net.primary() != backup else backup].committed.state == {"k": b"v"}
 
 
 def test_an_old_primary_answers_no_read_after_another_epoch_began():
@@ -165,9 +165,9 @@
     net.run(0.4)
     net.drop = lambda sender, to, message: False
     net.run(3.0)
-    assert isinstance(net.answers[2], Unavailable | Elsewhere)
-    assert isinstance(net.answers[3], Unavailable | Elsewhere)
-    assert all(member.finished[2] == {"k": b"new"} for member in net.members.values())
+    assert isinstance(net.answers[2], Unavailable | RedirectToPrimary)
+    assert isinstance(net.answers[3], Unavailable | RedirectToPrimary)
+    assert all(member.committed.state == {"k": b"new"} for member in net.members.values())
 
 
 def test_a_read_waits_for_a_round_with_the_backups():
@@ -179,14 +179,14 @@
     assert 2 not in net.answers
     net.deliver()
     reading = net.answers[2]
-    assert isinstance(reading, Reading) and reading.state == {"k": b"v"}
+    assert isinstance(reading, ReadResult) and reading.state == {"k": b"v"}
 
 
 def test_others_say_where_the_primary_is():
     net = founded()
     net.call(net.backup(), "order", 1, ("k", b"v"))
     net.call(net.witness(), "read", 2)
-    assert net.answers == {1: Elsewhere(net.primary()), 2: Elsewhere(net.primary())}
+    assert net.answers == {1: RedirectToPrimary(net.primary()), 2: RedirectToPrimary(net.primary())}
 
 
 def test_without_a_primary_an_order_is_held_for_a_moment_only():
@@ -219,10 +219,10 @@
     net.call(net.primary(), "order", 2, ("k", b"2"))
     net.run(0.2)
     witness = net.witness()
-    net.call(witness, "receive", net.primary(), messages.Learn(1, (1, 1), None, {"k": b"1"}))
-    assert net.members[witness].finished[2] == {"k": b"2"}
-    marks = [(each.epoch, each.sequence) for each in net.finished[witness]]
-    assert marks == sorted(set(marks))
+    net.call(witness, "receive", net.primary(), messages.CatchUp(1, (1, 1), None, {"k": b"1"}))
+    assert net.members[witness].committed.state == {"k": b"2"}
+    positions = [(each.epoch, each.sequence) for each in net.committed[witness]]
+    assert positions == sorted(set(positions))
 
 
 def test_all_gone_and_back_with_their_disks_brings_the_state_back():
@@ -247,19 +247,19 @@
     net.call(net.primary(), "order", 1, ("k", b"v"))
     net.run(0.3)
     backup = net.backup()
-    before = net.members[backup].held
+    before = net.members[backup].replica
     net.stop(backup)
     net.start(backup)
-    after = net.members[backup].held
+    after = net.members[backup].replica
     for name in (
         "incarnation",
-        "promise",
-        "record",
-        "accepted",
-        "mark",
+        "promised_epoch",
+        "epoch_config",
+        "accepted_epoch",
+        "log_position",
         "state",
-        "durable",
-        "installed",
+        "durable_position",
+        "installed_epoch",
         "founding",
     ):
         assert getattr(after, name) == getattr(before, name)
@@ -290,7 +290,7 @@
     net = founded()
     backup, witness = net.backup(), net.witness()
     net.stop(net.primary())
-    hello = messages.Hello(5, "d", "d:1", False, 1, (0, 0))
+    hello = messages.JoinRequest(5, "d", "d:1", False, 1, (0, 0))
     for _ in range(150):
         net.run(0.02)
         for address in (backup, witness):
--- a/tests/replication/test_messages.py
+++ b/tests/replication/test_messages.py
@@ -6,10 +6,10 @@
 from shedgrade.replication import quorums
 
 PEER = m.Peer(7, "a", "10.0.0.1:7300")
-RECORD = m.EpochRecord(3, 7, (7, 9), (PEER, m.Peer(9, "b", "10.0.0.2:7300")), (PEER,), False)
+RECORD = m.EpochConfig(3, 7, (7, 9), (PEER, m.Peer(9, "b", "10.0.0.2:7300")), (PEER,), False)
 ALL = [
-    m.Hello(7, "a", "10.0.0.1:7300", True, 3, (1, 2)),
-    m.Whereabouts(None, RECORD),
+    m.JoinRequest(7, "a", "10.0.0.1:7300", True, 3, (1, 2)),
+    m.PrimaryHint(None, RECORD),
     m.PreVote(7, 4, 3, 2, 1),
     m.PreVoteReply(7, False, 4, True, 3, "10.0.0.1:7300", RECORD),
     m.Prepare(7, 4, RECORD),
@@ -20,13 +20,13 @@
     m.Install(RECORD, (3, 1), None, {"a": b"", "b": None}),
     m.Installed(7, 3),
     m.Replicate(3, 4, (3, 3), {"a": b"1"}),
-    m.Learn(3, (3, 1), (2, 1), {}),
+    m.CatchUp(3, (3, 1), (2, 1), {}),
     m.Heartbeat(3, 4, (3, 1), RECORD),
     m.Ack(3, 7, "a", 1, 2, 2, (3, 1), 3, 3, True, False),
     m.HandOver(3),
     m.LeaveGranted(3),
-    m.Piece(1, 0, 2, b"abc"),
-    m.PieceAck(1, 1),
+    m.Chunk(1, 0, 2, b"abc"),
+    m.ChunkAck(1, 1),
 ]
 
 
@@ -39,10 +39,10 @@
 
 def test_an_epoch_not_known_to_be_active_needs_those_before_too():
     other = m.Peer(8, "c", "10.0.0.3:7300")
-    record = m.EpochRecord(4, 7, (7, 9), (PEER, other), (PEER, m.Peer(9, "b", "b:1")), False)
-    voter = m.Hello(7, "a", "", False, 0, (0, 0)), m.Hello(8, "c", "", False, 0, (0, 0))
-    assert not quorums.is_quorum(record, voter)
-    assert quorums.is_quorum(msgspec.structs.replace(record, active=True), voter)
+    config = m.EpochConfig(4, 7, (7, 9), (PEER, other), (PEER, m.Peer(9, "b", "b:1")), False)
+    voter = m.JoinRequest(7, "a", "", False, 0, (0, 0)), m.JoinRequest(8, "c", "", False, 0, (0, 0))
+    assert not quorums.is_quorum(config, voter)
+    assert quorums.is_quorum(msgspec.structs.replace(config, active=True), voter)
 
 
 def test_a_founder_not_heard_counts_by_its_address_and_only_with_a_whole_memory():
--- a/tests/replication/test_quorums.py
+++ b/tests/replication/test_quorums.py
@@ -19,7 +19,7 @@
     return found
 
 
-def misses(model, members, guests, depth):
+def catch_up_retries(model, members, guests, depth):
     """Pairs of an election's quorum and the holders of an epoch that may act unknown to it, which don't meet.
 
     From an epoch known to be active each next one is made, and from that, while it is not known to be active,
@@ -40,7 +40,7 @@
         found += [(quorum, one) for quorum in minimal_quorums(model, new, new, True) if not quorum & one]
     if depth > 1:
         for new in {new for new, _, _ in children if new != members}:
-            found += misses(model, new, guests | members & ~new, depth - 1)
+            found += catch_up_retries(model, new, guests | members & ~new, depth - 1)
     return found
 
 
@@ -51,7 +51,7 @@
 def test_each_quorum_meets_the_holders_of_each_epoch_that_it_may_not_know(tolerated, guests, replaced, depth):
     size = 2 * tolerated + 1
     model = Model(tolerated, guests, 1, replaced=replaced)
-    assert misses(model, mask(range(size)), mask(range(size, size + guests)), depth) == []
+    assert catch_up_retries(model, mask(range(size)), mask(range(size, size + guests)), depth) == []
 
 
 @pytest.mark.parametrize(
@@ -67,7 +67,7 @@
     """A change of members is agreed by the new group alone."""
 
     is_quorum = staticmethod(
-        lambda record, voters: quorums.count(record.members, voters) >= quorums.majority(record.members)
+        lambda config, voters: quorums.count(config.members, voters) >= quorums.majority(config.members)
     )
 
 
@@ -100,7 +100,7 @@
 @pytest.mark.parametrize("rules", [NewGroupOnly, NewcomersHold, FewHolders, ChangesAgain])
 def test_a_fault_planted_in_the_rules_is_found(rules):
     model = Model(1, 2, 1, replaced=2, rules=rules)
-    assert misses(model, 0b111, 0b11000, 1)
+    assert catch_up_retries(model, 0b111, 0b11000, 1)
 
 
 def test_too_few_holders_lose_an_acknowledged_change_in_the_model():
--- a/tests/simulation/faulty_members.py
+++ b/tests/simulation/faulty_members.py
@@ -4,8 +4,9 @@
 
 from shedgrade.replication import (
     Answer,
+    CommittedState,
     Member,
-    Reading,
+    ReadResult,
     acceptor,
     candidate,
     messages,
@@ -14,113 +15,117 @@
 )
 
 
-class Parted(Member):
-    """A member whose parts can be exchanged."""
+class MemberWithRoles(Member):
+    """A member whose roles can be replaced."""
 
-    Lead, Candidate, Voting = primary.Primary, candidate.Candidate, acceptor.Voting
+    Primary = primary.Primary
+    Candidate = candidate.Candidate
+    Acceptor = acceptor.Acceptor
 
-    def __init__(self, *args, **kwargs):
-        super().__init__(*args, **kwargs)
-
-    def make_parts(self):
-        return self.Lead(self), self.Candidate(self), self.Voting(self)
+    def make_roles(self):
+        return self.Primary(self), self.Candidate(self), self.Acceptor(self)
 
 
-class AnswersAfterOwnDiskOnly(Parted):
-    class Lead(primary.Primary):
-        def advance(self, now):
+class AnswersAfterOwnDiskOnly(MemberWithRoles):
+    class Primary(primary.Primary):
+        def advance_commit(self, now):
             holders, self.holders = self.holders, ()
             try:
-                super().advance(now)
+                super().advance_commit(now)
             finally:
                 self.holders = holders
 
 
-class PromisesBeforeTheSync(Parted):
-    class Voting(acceptor.Voting):
-        def prepare(self, now, sender, prepare):
-            held = self.member.held
-            before = held.promise
-            super().prepare(now, sender, prepare)
-            if held.promise != before and held.promise == (prepare.number, prepare.incarnation):
-                self.promised(sender, prepare.number)
+class PromisesBeforeTheSync(MemberWithRoles):
+    class Acceptor(acceptor.Acceptor):
+        def on_prepare(self, now, sender, prepare):
+            replica = self.member.replica
+            before = replica.promised_epoch
+            super().on_prepare(now, sender, prepare)
+            if replica.promised_epoch != before and replica.promised_epoch == (
+                prepare.number,
+                prepare.incarnation,
+            ):
+                self.on_promise_durable(sender, prepare.number)
 
 
-class AcksBeforeTheSync(Parted):
-    class Voting(acceptor.Voting):
-        def replicate(self, now, sender, write):
-            super().replicate(now, sender, write)
-            held = self.member.held
-            if held.accepted == write.epoch and held.mark[1] >= write.sequence:
-                durable, held.durable = held.durable, held.mark
-                self.ack(now, sender, write.epoch, 0)
-                held.durable = durable
+class AcksBeforeTheSync(MemberWithRoles):
+    class Acceptor(acceptor.Acceptor):
+        def on_replicate(self, now, sender, write):
+            super().on_replicate(now, sender, write)
+            replica = self.member.replica
+            if replica.accepted_epoch == write.epoch and replica.log_position.sequence >= write.sequence:
+                durable, replica.durable_position = replica.durable_position, replica.log_position
+                self.send_ack(now, sender, write.epoch, 0)
+                replica.durable_position = durable
 
 
-class VotesThoughWiped(Parted):
-    """Takes the place that the record names for its address, though its disk was lost."""
+class VotesThoughWiped(MemberWithRoles):
+    """Takes the place that the epoch's configuration names for its address, though its disk was lost."""
 
     def receive(self, now, sender, message):
         super().receive(now, sender, message)
-        for peer in self.held.record.members:
+        for peer in self.replica.epoch_config.members:
             if peer.incarnation and peer.address == self.address:
-                self.held.incarnation = peer.incarnation
+                self.replica.incarnation = peer.incarnation
 
 
-class ReadsWithoutConfirmation(Parted):
-    class Lead(primary.Primary):
+class ReadsWithoutConfirmation(MemberWithRoles):
+    class Primary(primary.Primary):
         def read(self, now, ticket):
-            self.member.effects.append(Answer(ticket, Reading(*self.member.held.finished)))
+            self.member.effects.append(Answer(ticket, ReadResult(*self.member.replica.committed)))
 
 
-class DropsWhatItFindsUnfinished(Parted):
+class DropsWhatItFindsUnfinished(MemberWithRoles):
     """A candidate goes on from its own state only."""
 
     class Candidate(candidate.Candidate):
-        def choose(self, now):
-            held = self.member.held
+        def choose_epoch(self, now):
+            replica = self.member.replica
             for who, each in self.promises.items():
-                if who != held.incarnation:
-                    self.promises[who] = msgspec.structs.replace(each, accepted=0, mark=(0, 0))
-            super().choose(now)
+                if who != replica.incarnation:
+                    self.promises[who] = msgspec.structs.replace(
+                        each, accepted_epoch=0, log_position=messages.LogPosition(0, 0)
+                    )
+            super().choose_epoch(now)
 
 
-class FoundsAlone(Parted):
+class FoundsAlone(MemberWithRoles):
     """A founder does without the word of the others."""
 
     class Candidate(candidate.Candidate):
-        def choose(self, now):
-            if self.member.held.record.number:
-                return super().choose(now)
+        def choose_epoch(self, now):
+            if self.member.replica.epoch_config.number:
+                return super().choose_epoch(now)
             normal = candidate.is_quorum, candidate.holder_count
-            candidate.is_quorum = lambda record, voters: True
+            candidate.is_quorum = lambda config, voters: True
             candidate.holder_count = lambda groups, tolerated: quorums.HolderCount(1, 1)
             try:
-                super().choose(now)
+                super().choose_epoch(now)
             finally:
                 candidate.is_quorum, candidate.holder_count = normal
 
         def pre_vote(self, now):
-            super().pre_vote(now) if self.member.held.record.number else self.start(now)
+            super().pre_vote(now) if self.member.replica.epoch_config.number else self.start(now)
 
 
-class OldPrimaryIsNotFenced(Parted):
+class OldPrimaryIsNotFenced(MemberWithRoles):
     """A backup still acks what the primary of an epoch before sends."""
 
-    class Voting(acceptor.Voting):
-        def old(self, sender, epoch, sequence, round_):
-            held = self.member.held
-            if epoch < held.promise[0]:
+    class Acceptor(acceptor.Acceptor):
+        def ack_old_epoch(self, sender, epoch, sequence, read_index_round):
+            replica = self.member.replica
+            if epoch < replica.promised_epoch.number:
                 self.member.send(
                     sender,
                     messages.Ack(
                         epoch,
-                        held.incarnation,
+                        replica.incarnation,
                         "",
-                        round_,
+                        read_index_round,
                         sequence,
                         sequence,
-                        held.finished[:2],
+                        replica.committed.position,
                         0,
                         epoch,
                         True,
@@ -128,86 +133,86 @@
                     ),
                 )
 
-        def heartbeat(self, now, sender, beat):
-            super().heartbeat(now, sender, beat)
-            self.old(sender, beat.epoch, -1, beat.round)
+        def on_heartbeat(self, now, sender, heartbeat):
+            super().on_heartbeat(now, sender, heartbeat)
+            self.ack_old_epoch(sender, heartbeat.epoch, -1, heartbeat.read_index_round)
 
-        def replicate(self, now, sender, write):
-            super().replicate(now, sender, write)
-            self.old(sender, write.epoch, write.sequence, 0)
+        def on_replicate(self, now, sender, write):
+            super().on_replicate(now, sender, write)
+            self.ack_old_epoch(sender, write.epoch, write.sequence, 0)
 
         def refuse(self, sender, number):
-            if self.member.held.promise[0] <= number:
+            if self.member.replica.promised_epoch.number <= number:
                 super().refuse(sender, number)
 
 
-class TakesNewcomersAtOnce(Parted):
+class TakesNewcomersAtOnce(MemberWithRoles):
     """Newcomers promise and hold before it is known that the epoch that names them is active."""
 
     def is_voter(self):
         return True
 
     class Candidate(candidate.Candidate):
-        def choose(self, now):
+        def choose_epoch(self, now):
             normal = candidate.is_quorum
-            candidate.is_quorum = lambda record, voters: (
-                quorums.count(record.members, voters) >= quorums.majority(record.members)
+            candidate.is_quorum = lambda config, voters: (
+                quorums.count(config.members, voters) >= quorums.majority(config.members)
             )
             try:
-                super().choose(now)
+                super().choose_epoch(now)
             finally:
                 candidate.is_quorum = normal
 
-        def groups(self, base, promises):
-            members, _ = super().groups(base, promises)
+        def member_groups(self, base, promises):
+            members, _ = super().member_groups(base, promises)
             return quorums.Groups(members, members)
 
 
-class TellsUnfinished(Parted):
+class TellsUnfinished(MemberWithRoles):
     """The primary tells the others of a change as soon as it has decided it."""
 
-    class Lead(primary.Primary):
+    class Primary(primary.Primary):
         def write(self, now, changes, replies):
             super().write(now, changes, replies)
-            self.member.held.finish(self.member.held.mark)
+            self.member.replica.commit(self.member.replica.log_position)
 
 
-class TakesAnOlderWord(Parted):
-    """Finished state is taken over from whoever speaks last."""
+class TakesAnOlderWord(MemberWithRoles):
+    """Committed state is taken over from whoever speaks last."""
 
     def __init__(self, *args, **kwargs):
         super().__init__(*args, **kwargs)
-        held = self.held
+        replica = self.replica
 
-        def finish_with(mark, state):
-            held.finished = (0, 0, {})
-            type(held).finish_with(held, mark, state)
+        def commit_state(position, state):
+            replica.committed = CommittedState(0, 0, {})
+            type(replica).commit_state(replica, position, state)
 
-        held.finish_with = finish_with
+        replica.commit_state = commit_state
 
 
-class HoldsBeforeInstalled(Parted):
+class HoldsBeforeInstalled(MemberWithRoles):
     """A holder says that it has the state before it is synced."""
 
-    class Voting(acceptor.Voting):
-        def install(self, now, sender, install):
-            super().install(now, sender, install)
-            held = self.member.held
-            if held.accepted == install.record.number:
-                self.member.send(sender, messages.Installed(held.incarnation, held.accepted))
+    class Acceptor(acceptor.Acceptor):
+        def on_install(self, now, sender, install):
+            super().on_install(now, sender, install)
+            replica = self.member.replica
+            if replica.accepted_epoch == install.epoch_config.number:
+                self.member.send(sender, messages.Installed(replica.incarnation, replica.accepted_epoch))
 
 
-class LeavesAtOnce(Parted):
+class LeavesAtOnce(MemberWithRoles):
     """Told to end, it hands over and goes, whoever holds what it holds."""
 
     def leave(self, now, patience=None):
         super().leave(now, 0.3)
 
 
-class GrantsLeaveToHolders(Parted):
+class GrantsLeaveToHolders(MemberWithRoles):
     """The primary lets a member go though it is one of the holders."""
 
-    class Lead(primary.Primary):
+    class Primary(primary.Primary):
         def __init__(self, member):
             super().__init__(member)
-            self.leaves.may_go = lambda now, leaver: True
+            self.leave_requests.may_go = lambda now, leaver: True
--- a/tests/simulation/planted_system_faults.py
+++ b/tests/simulation/planted_system_faults.py
@@ -51,7 +51,7 @@
 
     class Unconfirmed(Ordering):
         def read(self, tell, *caller):
-            tell(dict(self.member.finished[2]))
+            tell(dict(self.member.committed.state))
 
     monkeypatch.setattr(plane, "Ordering", Unconfirmed)
 
--- a/tests/simulation/repairs.py
+++ b/tests/simulation/repairs.py
@@ -13,8 +13,8 @@
     leads = [m for m in world.machines if m.up and m.member.role == "primary"]
     if not leads:
         return False
-    record = leads[0].member.held.record
-    alive = {m.member.held.incarnation for m in world.machines if m.up}
+    record = leads[0].member.replica.epoch_config
+    alive = {m.member.replica.incarnation for m in world.machines if m.up}
     return len(record.holders) > world.tolerated and alive.issuperset(record.holders)
 
 
@@ -22,9 +22,10 @@
     """And whether every place is taken by a process that runs."""
     if not on_enough_disks(world):
         return False
-    record = next(m for m in world.machines if m.up and m.member.role == "primary").member.held.record
-    alive = {m.member.held.incarnation for m in world.machines if m.up}
-    return alive.issuperset(peer.incarnation for peer in record.members)
+    leader = next(m for m in world.machines if m.up and m.member.role == "primary")
+    config = leader.member.replica.epoch_config
+    alive = {m.member.replica.incarnation for m in world.machines if m.up}
+    return alive.issuperset(peer.incarnation for peer in config.members)
 
 
 class Repair:
--- a/tests/simulation/test_control_troubles.py
+++ b/tests/simulation/test_control_troubles.py
@@ -142,7 +142,7 @@
 
     def trouble():
         machine = who(world)
-        seen.append((machine, machine.member.held.incarnation))
+        seen.append((machine, machine.member.replica.incarnation))
         machine.kill(True)
         machine.wipe()
         world.clock.after(1.0, machine.start)
@@ -152,7 +152,7 @@
     machine, before = seen[0]
     assert wrong == [] and longest < 1.6
     assert seen[1] in ("witness", "backup", "primary")
-    assert machine.member.held.incarnation != before
+    assert machine.member.replica.incarnation != before
     assert len(primary(world).member.members) == 3
 
 
@@ -180,7 +180,7 @@
 
     def move():
         machine = witness(world)
-        moved.append((machine, machine.member.held.incarnation))
+        moved.append((machine, machine.member.replica.incarnation))
         machine.kill(True)
         world.by_address[f"{machine.address}0"] = machine
         machine.address += "0"
@@ -199,7 +199,8 @@
     spare = world.add("r1", "10.2.0.77:7300", 0.005)
     wrong, _ = play(world, 6.0, lambda: None)
     assert wrong == []
-    assert spare.member.role == "blank" and spare.member.finished[:2] == primary(world).member.finished[:2]
+    assert spare.member.role == "blank"
+    assert spare.member.committed.position == primary(world).member.committed.position
     assert not any(key.startswith("state/") for key in spare.durable)
 
 
--- a/tests/simulation/test_system_scripts.py
+++ b/tests/simulation/test_system_scripts.py
@@ -122,7 +122,7 @@
 
 def holder_beside(script, primary):
     """The machine of the primary's backup."""
-    record = primary.program.member.held.record
+    record = primary.program.member.replica.epoch_config
     hosts = [peer.address.partition(":")[0] for peer in record.members if peer.incarnation in record.holders]
     return next(
         machine for machine in script.world.cores if machine is not primary and machine.host.ip in hosts
--- a/tests/stored/struct_examples.py
+++ b/tests/stored/struct_examples.py
@@ -70,7 +70,14 @@
     "watch.config": "sidecar.shadow_policy.config",
 }
 # Name then: module and class now, for a class that has another name or module than `MODULES` tells.
-CLASSES: dict[str, str] = {}
+CLASSES: dict[str, str] = {
+    "replication.messages:EpochRecord": "replication.messages:EpochConfig",
+    "replication.messages:Hello": "replication.messages:JoinRequest",
+    "replication.messages:Learn": "replication.messages:CatchUp",
+    "replication.messages:Piece": "replication.messages:Chunk",
+    "replication.messages:PieceAck": "replication.messages:ChunkAck",
+    "replication.messages:Whereabouts": "replication.messages:PrimaryHint",
+}
 
 
 def current_class(name: str) -> type[msgspec.Struct]:
--- a/tests/stored/test_core_folder_as_found.py
+++ b/tests/stored/test_core_folder_as_found.py
@@ -16,10 +16,10 @@
 from shedgrade.controlplane.orders import make_decide, zone_revisions
 from shedgrade.replication import (
     Answer,
-    Finished,
+    Committed,
     Member,
     Persist,
-    Reading,
+    ReadResult,
     Send,
 )
 from shedgrade.storage import State, Store
@@ -96,7 +96,7 @@
                     member.persisted(self.now, effect.token, True)
                 case Answer():
                     self.answers[effect.ticket] = effect.outcome
-                case Finished():
+                case Committed():
                     self.committed[address] = effect
 
     def run(self, seconds):
@@ -165,11 +165,11 @@
     group = Group({name: load(folder) for name, folder in folders.items()}, lost)
     group.run(8.0)
     primary = group.primary
-    check_state(primary.finished[2])
+    check_state(primary.committed.state)
     primary.read(group.now, 1)
     group.drain(primary.address)
     group.run(1.0)
-    assert isinstance(group.answers[1], Reading)
+    assert isinstance(group.answers[1], ReadResult)
     check_state(group.answers[1].state)
 
 
--- a/tests/stored/test_structs_as_found.py
+++ b/tests/stored/test_structs_as_found.py
@@ -14,7 +14,39 @@
 EXAMPLES = json.loads((Path(__file__).parent.parent / "data" / "structs.json").read_text())
 
 # Name then: name of the field then: name now.
-FIELDS: dict[str, dict[str, str]] = {}
+FIELDS: dict[str, dict[str, str]] = {
+    "replication.messages:Hello": {"record": "known_epoch", "finished": "committed"},
+    "replication.messages:Whereabouts": {"record": "epoch_config"},
+    "replication.messages:PreVote": {"record": "known_epoch", "accepted": "accepted_epoch"},
+    "replication.messages:PreVoteReply": {"promised": "promised_epoch", "record": "epoch_config"},
+    "replication.messages:Prepare": {"record": "epoch_config"},
+    "replication.messages:Promise": {
+        "record": "epoch_config",
+        "accepted": "accepted_epoch",
+        "mark": "log_position",
+        "finished": "committed",
+    },
+    "replication.messages:Refusal": {"promised": "promised_epoch", "record": "epoch_config"},
+    "replication.messages:Fetch": {"mark": "log_position", "finished": "committed"},
+    "replication.messages:Transfer": {"mark": "log_position"},
+    "replication.messages:Install": {"record": "epoch_config", "mark": "log_position"},
+    "replication.messages:Replicate": {"finished": "committed"},
+    "replication.messages:Learn": {"mark": "log_position"},
+    "replication.messages:Heartbeat": {
+        "round": "read_index_round",
+        "finished": "committed",
+        "record": "epoch_config",
+    },
+    "replication.messages:Ack": {
+        "round": "read_index_round",
+        "received": "received_sequence",
+        "durable": "durable_sequence",
+        "finished": "committed",
+        "record": "known_epoch",
+        "promised": "promised_epoch",
+        "synced": "durable_position",
+    },
+}
 
 
 @pytest.mark.parametrize("name", EXAMPLES)
