--- a/shedgrade/replication/acceptor.py
+++ b/shedgrade/replication/acceptor.py
@@ -136,7 +136,8 @@
             config.number == replica.promised_epoch.number
             and config.primary != replica.promised_epoch.candidate
         ):
-            return self.refuse(sender, config.number)
+            self.refuse(sender, config.number)
+            return
         if replica.accepted_epoch == config.number and replica.epoch_config.number == config.number:
             if replica.installed_epoch == config.number:
                 member.send(sender, Installed(replica.incarnation, config.number))
--- a/shedgrade/replication/candidate.py
+++ b/shedgrade/replication/candidate.py
@@ -182,7 +182,8 @@
         groups = self.member_groups(base, promises)
         eligible = [each for each in promises if may_hold(groups, each)]
         if not any(each.incarnation == replica.incarnation for each in eligible):
-            return self.member.step_down(now)  # this process is none of the members any more
+            self.member.step_down(now)  # this process is none of the members any more
+            return
         needed = holder_count(groups, member.tolerated)
         avoid = self.avoid | self.leaving_voters()
         healthy = [each for each in eligible if each.incarnation not in avoid]
@@ -302,7 +303,8 @@
         if not self.phase:
             return
         if now >= self.deadline:
-            return self.stop() if self.phase == "prevote" else self.member.step_down(now)
+            self.stop() if self.phase == "prevote" else self.member.step_down(now)
+            return
         if self.phase == "install":
             for incarnation in self.epoch_config.holders:
                 if incarnation not in self.installed_holders and now >= self.install_resend_at.get(
--- a/shedgrade/replication/graceful_leave.py
+++ b/shedgrade/replication/graceful_leave.py
@@ -53,7 +53,8 @@
         alone = len(member.replica.epoch_config.members) == 1
         if not alone and primary_role.leave_requests.all_leave(now):
             primary_role.leave_requests.grant_all(now)
-            return self.stop(now)
+            self.stop(now)
+            return
         self.draining = alone or primary_role.leave_requests.enough_stay(now)
         if not self.draining:
             member.pending_requests.resolve(now)
--- a/shedgrade/replication/primary.py
+++ b/shedgrade/replication/primary.py
@@ -97,7 +97,8 @@
         self.leave_requests.tick(now)
         change = member.reconfiguration.replacements_of_lost_disks(now, config)
         if change is not None:  # the repair goes before orders, whose writes would hold it up
-            return member.reconfigure(now, change, frozenset())
+            member.reconfigure(now, change, frozenset())
+            return
         self.advance_queue(now)
 
     def pause(self) -> None:
