--- a/shedgrade/replication/acceptor.py
+++ b/shedgrade/replication/acceptor.py
@@ -1,16 +1,20 @@
-"""What every member does for others: promises, pre-votes, installs, writes as a backup, what it learns."""
+"""What every member does for others: promises, pre-votes, installs, writes as a backup, catching up."""
 
 from __future__ import annotations
 
+from typing import TYPE_CHECKING
+
 from shedgrade.replication.chunking import CHUNK_BYTES
 from shedgrade.replication.messages import (
     Ack,
     CatchUp,
+    EpochConfig,
     Fetch,
     HandOver,
     Heartbeat,
     Install,
     Installed,
+    LogPosition,
     Prepare,
     PreVote,
     PreVoteReply,
@@ -20,121 +24,139 @@
     size,
 )
 
+if TYPE_CHECKING:
+    from shedgrade.replication.member import Member
+
+NEVER = float("-inf")
+
 
 class Acceptor:
-    """A member's part towards candidates and the primary."""
+    """A member's part towards candidates and the primary. Times are seconds of the steady clock.
 
-    def __init__(self, member):
+    `granted_to`: the incarnation that the last pre-vote was granted to, 0 if none was; no other one is
+    granted a pre-vote before `granted_until`.
+    `first_granted`: by candidate, when it was first granted a pre-vote since a primary was heard or it sent a
+    Prepare. Empty while a primary is heard.
+    """
+
+    def __init__(self, member: Member) -> None:
+        """Of the member that answers."""
         self.member = member
-        self.granted_to, self.granted_until = 0, float("-inf")  # the last pre-vote
-        self.first_granted: dict[int, float] = {}  # by candidate, since a primary or its Prepare was heard
+        self.granted_to = 0
+        self.granted_until = NEVER
+        self.first_granted: dict[int, float] = {}
 
-    # --- candidates
+    # --- pre-votes
+
+    def on_pre_vote(self, now: float, sender: str, request: PreVote) -> None:
+        """Says whether this member misses the primary too. Binds it to nothing."""
+        member, replica = self.member, self.member.replica
+        granted = self.may_grant(now, sender, request.incarnation)
+        if granted:
+            timer = member.election_timer
+            self.granted_to = request.incarnation
+            self.granted_until = now + member.timing.resend_interval_s
+            timer.election_at = max(timer.election_at, now + member.timing.candidate_grace_s)
+            member.candidate.stop()
+        config = replica.epoch_config
+        is_news = config.active and config.number > request.known_epoch
+        reply = PreVoteReply(
+            replica.incarnation,
+            replica.founding,
+            request.number,
+            granted,
+            max(replica.promised_epoch.number, member.highest_epoch_seen),
+            member.primary if member.hears_primary(now) else None,
+            config if is_news else None,
+        )
+        member.send(sender, reply)
+
+    def may_grant(self, now: float, sender: str, candidate: int) -> bool:
+        """Whether the candidate may try for an epoch, as far as this member can tell."""
+        member, replica = self.member, self.member.replica
+        return (
+            member.is_voter()
+            and member.disk_writer.is_healthy(now)
+            and not member.is_primary_or_candidate()
+            and (not member.hears_primary(now) or candidate == replica.epoch_config.primary)
+            and (
+                now >= member.election_timer.defer_to_candidate_until
+                or candidate == replica.promised_epoch.candidate
+            )
+            and self.prefers(now, candidate, sender)
+            and not self.is_fruitless(now, candidate)
+        )
 
     def prefers(self, now: float, candidate: int, sender: str) -> bool:
-        """One pre-vote at a time, or two candidates split the promises. Of two that ask each other the
-        first in the order wins."""
+        """One pre-vote at a time, or two candidates split the promises. Of two that ask each other the first
+        in the order wins.
+        """
         member = self.member
-        if member.candidate.phase == "prevote":
-            own = member.rank(member.replica.incarnation, member.address)
-            return member.rank(candidate, sender) < own
+        if member.candidate.is_asking_pre_votes():
+            own = member.election_timer.rank(member.replica.incarnation, member.address)
+            return member.election_timer.rank(candidate, sender) < own
         return now >= self.granted_until or candidate == self.granted_to
 
     def is_fruitless(self, now: float, candidate: int) -> bool:
         """Guards against candidates that hear nobody: their pre-votes come for ever, succeed never, and keep
-        all others from an election. Each is refused for a while when its grants have led to nothing."""
+        all others from an election. Each is refused for a while when its grants have led to nothing.
+        """
+        timing = self.member.timing
         first = self.first_granted.setdefault(candidate, now)
-        if (
-            now - first
-            >= self.member.timing.fruitless_candidate_timeout_s + self.member.timing.fruitless_candidate_ban_s
-        ):
+        if now - first >= timing.fruitless_candidate_timeout_s + timing.fruitless_candidate_ban_s:
             self.first_granted[candidate] = first = now
-        return now - first >= self.member.timing.fruitless_candidate_timeout_s
+        return now - first >= timing.fruitless_candidate_timeout_s
 
-    def on_pre_vote(self, now: float, sender: str, request: PreVote) -> None:
-        member, replica = self.member, self.member.replica
-        granted = (
-            member.is_voter()
-            and member.disk_writer.is_healthy(now)
-            and not member.is_primary_or_candidate()
-            and (not member.hears_primary(now) or request.incarnation == replica.epoch_config.primary)
-            and (
-                now >= member.defer_to_candidate_until
-                or request.incarnation == replica.promised_epoch.candidate
-            )
-            and self.prefers(now, request.incarnation, sender)
-            and not self.is_fruitless(now, request.incarnation)
-        )
-        if granted:
-            self.granted_to, self.granted_until = request.incarnation, now + member.timing.resend_interval_s
-            member.election_at = max(member.election_at, now + member.timing.candidate_grace_s)
-            member.candidate.stop()
-        config = (
-            replica.epoch_config
-            if replica.epoch_config.active and replica.epoch_config.number > request.known_epoch
-            else None
-        )
-        primary = member.primary if member.hears_primary(now) else None
-        member.send(
-            sender,
-            PreVoteReply(
-                replica.incarnation,
-                replica.founding,
-                request.number,
-                granted,
-                max(replica.promised_epoch.number, member.highest_epoch_seen),
-                primary,
-                config,
-            ),
-        )
+    # --- candidates
 
     def on_prepare(self, now: float, sender: str, prepare: Prepare) -> None:
+        """Promises the candidate to accept nothing of a lower epoch, unless a higher one is promised."""
         member, replica = self.member, self.member.replica
         if prepare.epoch_config.active:
             replica.adopt_epoch_config(now, prepare.epoch_config)
         if not member.is_voter():
-            return  # a process that has forgotten, or was never named: its word must not count
+            return  # a process that has forgotten, or was never named: its promise must not count
         number, candidate = prepare.number, prepare.incarnation
         self.first_granted.pop(candidate, None)
         member.highest_epoch_seen = max(member.highest_epoch_seen, number)
         if replica.promised_epoch == (number, candidate):
             if prepare.epoch_config.number == number:
-                member.defer_to_candidate_until = (
-                    now + member.timing.candidate_grace_s
-                )  # at work, perhaps on a long transfer
+                member.election_timer.defer_to_candidate(now)  # at work, perhaps on a long transfer
             if member.durable_promise == number:
                 member.send(sender, member.own_promise(number))
         elif number > replica.promised_epoch.number:
             member.step_down(now)
-            member.defer_to_candidate_until = now + member.timing.candidate_grace_s  # let it have its try
+            member.election_timer.defer_to_candidate(now)
             replica.promise_to(now, number, candidate, lambda at: self.on_promise_durable(sender, number))
         else:
             self.refuse(sender, number)
 
     def on_promise_durable(self, sender: str, number: int) -> None:
-        replica = self.member.replica
-        if replica.promised_epoch.number == number:
-            self.member.durable_promise = number
-            self.member.send(sender, self.member.own_promise(number))
+        """A promise is synced: it may be sent, unless a higher one was given meanwhile."""
+        member = self.member
+        if member.replica.promised_epoch.number == number:
+            member.durable_promise = number
+            member.send(sender, member.own_promise(number))
 
     def refuse(self, sender: str, number: int) -> None:
+        """Tells who acts in the epoch `number` that a newer one is promised or known here."""
         replica = self.member.replica
-        self.member.send(
-            sender, Refusal(replica.incarnation, number, replica.promised_epoch.number, replica.epoch_config)
-        )
+        promised = replica.promised_epoch.number
+        self.member.send(sender, Refusal(replica.incarnation, number, promised, replica.epoch_config))
 
     def on_fetch(self, now: float, sender: str, fetch: Fetch) -> None:
+        """Sends the state to the candidate that was promised the epoch."""
         replica = self.member.replica
         if replica.promised_epoch.number != fetch.number:
             return
-        base, changes = replica.changes_to_position(fetch.log_position, fetch.committed)
+        base, changes = replica.changes_since(fetch.log_position, fetch.committed)
         self.member.send(sender, Transfer(fetch.number, replica.log_position, base, changes))
 
     def on_install(self, now: float, sender: str, install: Install) -> None:
+        """Becomes a holder of a new epoch, and says so once that is synced."""
         member, replica, config = self.member, self.member.replica, install.epoch_config
-        if config.number < replica.promised_epoch.number or (
-            config.number == replica.promised_epoch.number
-            and config.primary != replica.promised_epoch.candidate
+        if (config.number, config.primary) != replica.promised_epoch and (
+            config.number <= replica.promised_epoch.number
         ):
             self.refuse(sender, config.number)
             return
@@ -149,24 +171,27 @@
             return
         changes = install.changes if install.base == replica.log_position else None
         member.step_down(now)
-        member.last_heard_at = now
+        member.election_timer.note_heard(now)
 
-        def done(at: float) -> None:
+        def on_durable(at: float) -> None:
             member.send(sender, Installed(replica.incarnation, config.number))
 
-        replica.install_epoch(now, config, install.log_position, state, changes, done)
+        replica.install_epoch(now, config, install.log_position, state, changes, on_durable)
 
     # --- the primary
 
     def on_heartbeat(self, now: float, sender: str, heartbeat: Heartbeat) -> None:
+        """Follows the primary, and acknowledges its read-index round."""
         if self.follow_primary(now, sender, heartbeat.epoch, heartbeat.epoch_config):
             self.commit(heartbeat.epoch, heartbeat.committed)
-            # One whose word doesn't reach the primary hears heartbeats, and is told no state.
+            # One whose acks don't reach the primary hears heartbeats, and is sent no state.
             if self.member.replica.committed.position >= heartbeat.committed:
-                self.member.confirm_up_to_date(now - self.member.receive_delay_s - heartbeat.confirmed_ago)
+                sent_at = now - self.member.receive_delay_s
+                self.member.confirm_up_to_date(sent_at - heartbeat.confirmed_ago)
             self.send_ack(now, sender, heartbeat.epoch, heartbeat.read_index_round)
 
     def on_replicate(self, now: float, sender: str, write: Replicate) -> None:
+        """Writes the next change of the epoch as a backup."""
         if not self.follow_primary(now, sender, write.epoch, None):
             return
         replica = self.member.replica
@@ -176,64 +201,68 @@
             replica.append(
                 now, write.sequence, write.changes, lambda at: self.send_ack(at, sender, write.epoch, 0)
             )
-            if size(write.changes) > CHUNK_BYTES:  # dear to send again while the disk is at work
+            if size(write.changes) > CHUNK_BYTES:  # expensive to send again while the disk is at work
                 self.send_ack(now, sender, write.epoch, 0)
         else:  # a gap is filled by the primary, which hears what was received
             self.send_ack(now, sender, write.epoch, 0)
         self.commit(write.epoch, write.committed)
 
     def on_catch_up(self, now: float, sender: str, catch_up: CatchUp) -> None:
-        # what is committed stays so in each later epoch: a long transfer is not in vain when one begins
+        """Takes over the committed state. It stays committed in each later epoch: a long transfer is not in
+        vain when one begins.
+        """
         self.member.replica.apply_committed(catch_up.base, catch_up.log_position, catch_up.changes)
         if self.follow_primary(now, sender, catch_up.epoch, None):
             self.send_ack(now, sender, catch_up.epoch, 0)
 
-    def follow_primary(self, now: float, sender: str, epoch: int, config) -> bool:
+    def on_hand_over(self, now: float, sender: str, request: HandOver) -> None:
+        """The primary asks this member to take over."""
+        member = self.member
+        if request.epoch == member.replica.epoch_config.number and member.may_campaign(now):
+            member.start_election(now)
+
+    def follow_primary(self, now: float, sender: str, epoch: int, config: EpochConfig | None) -> bool:
         """Whether the sender is the primary of the newest epoch that is known here."""
         member, replica = self.member, self.member.replica
         if config is not None and config.number == epoch and epoch >= replica.promised_epoch.number:
             replica.adopt_epoch_config(now, config)
-        if epoch < replica.epoch_config.number or (
-            epoch < replica.promised_epoch.number and replica.is_member()
-        ):
+        known_epoch = replica.epoch_config.number
+        if epoch < known_epoch or (epoch < replica.promised_epoch.number and replica.is_member()):
             self.refuse(sender, epoch)
             return False
-        if epoch > replica.epoch_config.number:
-            # the config is not here yet: the ack says so, and the primary sends it
+        if epoch > known_epoch:
+            # the configuration is not here yet: the ack says so, and the primary sends it
             self.send_ack(now, sender, epoch, 0)
             return False
         if not replica.epoch_config.active and replica.accepted_epoch != epoch:
             return False
-        member.on_primary_heard(now, sender, epoch)
+        member.on_primary_heard(now, sender)
         return True
 
-    def commit(self, epoch: int, position) -> None:
+    def commit(self, epoch: int, position: LogPosition) -> None:
+        """As a holder of the epoch: the primary says that all up to the position is committed."""
         replica = self.member.replica
         if replica.accepted_epoch == epoch and position <= replica.log_position:
             replica.commit(position)
 
     def send_ack(self, now: float, sender: str, epoch: int, read_index_round: int) -> None:
+        """Tells the primary of `epoch` what this member has. `read_index_round`: 0 for none."""
         member, replica = self.member, self.member.replica
-        holder = replica.accepted_epoch == epoch and replica.promised_epoch.number == epoch
-        member.send(
-            sender,
-            Ack(
-                epoch,
-                replica.incarnation,
-                member.name,
-                read_index_round,
-                replica.log_position.sequence if holder else -1,
-                replica.durable_position.sequence if holder and replica.installed_epoch == epoch else -1,
-                replica.committed.position,
-                replica.epoch_config.number if replica.epoch_config.active else 0,
-                replica.promised_epoch.number,
-                member.disk_writer.is_healthy(now),
-                member.leaving,
-                replica.durable_position,
-            ),
+        is_holder = replica.accepted_epoch == epoch and replica.promised_epoch.number == epoch
+        is_installed = is_holder and replica.installed_epoch == epoch
+        config = replica.epoch_config
+        ack = Ack(
+            epoch,
+            replica.incarnation,
+            member.name,
+            read_index_round,
+            replica.log_position.sequence if is_holder else -1,
+            replica.durable_position.sequence if is_installed else -1,
+            replica.committed.position,
+            config.number if config.active else 0,
+            replica.promised_epoch.number,
+            member.disk_writer.is_healthy(now),
+            member.is_leaving,
+            replica.durable_position,
         )
-
-    def on_hand_over(self, now: float, sender: str, request: HandOver) -> None:
-        member = self.member
-        if request.epoch == member.replica.epoch_config.number and member.may_campaign(now):
-            member.start_election(now)
+        member.send(sender, ack)
--- a/shedgrade/replication/candidate.py
+++ b/shedgrade/replication/candidate.py
@@ -2,6 +2,9 @@
 
 from __future__ import annotations
 
+from enum import StrEnum
+from typing import TYPE_CHECKING, NamedTuple
+
 import msgspec
 
 from shedgrade.replication.messages import (
@@ -9,6 +12,7 @@
     Fetch,
     Install,
     Installed,
+    LogPosition,
     Peer,
     Prepare,
     PreVote,
@@ -19,6 +23,7 @@
     size,
 )
 from shedgrade.replication.quorums import (
+    ChangeOfMembers,
     Groups,
     activated,
     holder_count,
@@ -28,51 +33,103 @@
     newest,
     next_groups,
 )
+from shedgrade.replication.replica_state import ReplicatedState
 
+if TYPE_CHECKING:
+    from shedgrade.replication.member import Member
+
+FETCH_EXTRA_S = 8.0  # beyond the election time-out, for a long state
+NO_EPOCH = EpochConfig(0, 0, (), (), (), True)
+NOBODY: frozenset[int] = frozenset()
+
+
+class Phase(StrEnum):
+    """Where an attempt stands; `IDLE` is false."""
+
+    IDLE = ""
+    PRE_VOTE = "prevote"  # asks whether others miss the primary too; nothing is raised yet
+    PROMISE = "promise"  # the own promise is on its way to the disk
+    PREPARE = "prepare"  # asks the others for theirs
+    FETCH = "fetch"  # fetches the newest state that a promise told of
+    INSTALL = "install"  # the chosen holders write the epoch
+
+
+PREPARED = (Phase.PREPARE, Phase.FETCH, Phase.INSTALL)
 
-class Candidate:
-    """One attempt at a time. `phase`: "" (none), "prevote", "promise", "prepare", "fetch", "install"."""
 
-    def __init__(self, member):
+class Voter(NamedTuple):
+    """Who granted a pre-vote, with the address from which that came."""
+
+    incarnation: int
+    address: str
+    founding: bool
+
+
+class Candidate:
+    """One attempt at a time. Times are seconds of the steady clock.
+
+    `phase`: where the attempt stands. All that follows is of the present attempt, or of the last one while
+    the phase is `IDLE`.
+    `number`: the epoch number tried for; in `PRE_VOTE` the one that would be. Invariant: from `PROMISE` on
+    the own promise is at least that high.
+    `change`: members to new members, None for no change; `avoid`: incarnations that should hold nothing.
+    `deadline`: the attempt is given up then. `resend_at`: what was asked is asked again then.
+
+    - In `PRE_VOTE`: `grants`, the replies that granted it, by incarnation, the own one included.
+    - From `PREPARE` on: `promises` by incarnation, the own one included; `refusals`, incarnations that
+      promised a higher number; `prepared_at`, when the first Prepare went out.
+    - From `FETCH` on: `best_promise`, whose state the epoch goes on from; `epoch_config`, the epoch that is
+      made (number 0 before).
+    - In `INSTALL`: `installed_holders`, those of its holders that have written it, and `install_resend_at`,
+      when the others are sent it again; `replace_holders_at`, when one that has not written it is replaced.
+    - In `FETCH` and `INSTALL`: `keep_alive_at`, when the members are next told that the attempt goes on.
+    """
+
+    def __init__(self, member: Member) -> None:
+        """Of the member that may become the primary."""
         self.member = member
-        self.phase = ""
+        self.phase = Phase.IDLE
         self.number = 0
-        self.promises: dict[int, Promise] = {}
+        self.change: ChangeOfMembers | None = None
+        self.avoid = NOBODY
         self.grants: dict[int, PreVoteReply] = {}
-        self.installed_holders: set[int] = set()
+        self.promises: dict[int, Promise] = {}
         self.refusals: set[int] = set()
-        self.epoch_config: EpochConfig | None = None
-        self.change = None
-        self.avoid: frozenset[int] = frozenset()
-        self.resend_at = self.prepared_at = self.deadline = self.replace_holders_at = self.keep_alive_at = 0.0
         self.best_promise: Promise | None = None
+        self.epoch_config = NO_EPOCH
+        self.installed_holders: set[int] = set()
         self.install_resend_at: dict[int, float] = {}
+        self.deadline = 0.0
+        self.resend_at = 0.0
+        self.prepared_at = 0.0
+        self.replace_holders_at = 0.0
+        self.keep_alive_at = 0.0
 
     # --- begin and end
 
     def pre_vote(self, now: float) -> None:
         """Ask whether others miss the primary too: a member cut off one way must not raise the number."""
-        self.begin(now, "prevote")
+        self.begin(now, Phase.PRE_VOTE)
         member, replica = self.member, self.member.replica
-        self.grants = {
-            replica.incarnation: PreVoteReply(
-                replica.incarnation, replica.founding, 0, True, replica.promised_epoch.number, None, None
-            )
-        }
+        own_grant = PreVoteReply(
+            replica.incarnation, replica.founding, 0, True, replica.promised_epoch.number, None, None
+        )
+        self.grants = {replica.incarnation: own_grant}
         self.number = member.highest_epoch_seen + 1
-        self.deadline = (
-            now + 2 * member.timing.resend_interval_s
-        )  # two that deny each other come at other times then
+        # two that refuse each other try again at different times
+        self.deadline = now + 2 * member.timing.resend_interval_s
         self.ask_pre_vote(now)
 
-    def start(self, now: float, change=None, avoid: frozenset[int] = frozenset()) -> None:
+    def start(
+        self, now: float, change: ChangeOfMembers | None = None, avoid: frozenset[int] = NOBODY
+    ) -> None:
         """Raise the number. `change`: members to new members; `avoid`: who should hold nothing."""
-        self.begin(now, "promise")
+        self.begin(now, Phase.PROMISE)
         member, replica = self.member, self.member.replica
-        self.change, self.avoid = change, avoid
-        self.number = number = (
-            max(member.highest_epoch_seen, replica.promised_epoch.number, replica.epoch_config.number) + 1
-        )
+        self.change = change
+        self.avoid = avoid
+        known = max(member.highest_epoch_seen, replica.promised_epoch.number, replica.epoch_config.number)
+        self.number = number = known + 1
         member.highest_epoch_seen = number
         # the own promise is synced before others are asked: a number is never used twice after a loss of
         # power
@@ -80,42 +137,51 @@
             now, number, replica.incarnation, lambda at: self.on_own_promise_durable(at, number)
         )
 
-    def begin(self, now: float, phase: str) -> None:
-        self.phase, self.started_at, self.deadline = phase, now, now + self.member.timing.election_timeout_s
-        self.promises, self.grants, self.installed_holders, self.refusals, self.install_resend_at = (
-            {},
-            {},
-            set(),
-            set(),
-            {},
-        )
-        self.epoch_config = self.best_promise = self.change = None
-        self.avoid = frozenset()
+    def begin(self, now: float, phase: Phase) -> None:
+        """A new attempt: nothing of the last one counts."""
+        self.phase = phase
+        self.deadline = now + self.member.timing.election_timeout_s
         self.resend_at = now
+        self.change = None
+        self.avoid = NOBODY
+        self.grants = {}
+        self.promises = {}
+        self.refusals = set()
+        self.best_promise = None
+        self.epoch_config = NO_EPOCH
+        self.installed_holders = set()
+        self.install_resend_at = {}
 
     def stop(self) -> None:
-        self.phase = ""
+        """The attempt is over."""
+        self.phase = Phase.IDLE
 
     # --- pre-vote
 
+    def is_asking_pre_votes(self) -> bool:
+        """Whether nothing but pre-votes was asked for yet."""
+        return self.phase is Phase.PRE_VOTE
+
     def ask_pre_vote(self, now: float) -> None:
+        """Ask those who have not granted it."""
         replica = self.member.replica
         self.resend_at = now + self.member.timing.resend_interval_s
-        question = PreVote(
+        request = PreVote(
             replica.incarnation,
             self.number,
             replica.epoch_config.number,
             replica.accepted_epoch,
             replica.log_position.sequence,
         )
-        self.member.broadcast(question, self.grants)
+        self.member.broadcast(request, self.grants)
 
     def on_pre_vote_reply(self, now: float, sender: str, reply: PreVoteReply) -> None:
+        """With a quorum that grants it the number is raised."""
         member = self.member
         member.highest_epoch_seen = max(member.highest_epoch_seen, reply.promised_epoch)
         if reply.epoch_config is not None:
             member.replica.adopt_epoch_config(now, reply.epoch_config)
-        if self.phase != "prevote" or reply.number != self.number:
+        if self.phase is not Phase.PRE_VOTE or reply.number != self.number:
             return
         if not reply.granted:
             if reply.primary and reply.primary != member.address:
@@ -123,7 +189,7 @@
             return
         self.grants[reply.incarnation] = reply
         voters = [
-            Voter(each.incarnation, member.address_of(each.incarnation, sender), each.founding)
+            Voter(each.incarnation, member.peers.address_of(each.incarnation, sender), each.founding)
             for each in self.grants.values()
         ]
         if is_quorum(member.replica.epoch_config, voters):
@@ -132,44 +198,52 @@
     # --- prepare
 
     def on_own_promise_durable(self, now: float, number: int) -> None:
-        """The own promise is synced."""
+        """The own promise is synced: ask the others for theirs."""
         replica = self.member.replica
-        if (
-            self.phase != "promise"
-            or number != self.number
-            or replica.promised_epoch != (number, replica.incarnation)
-        ):
+        is_present = self.phase is Phase.PROMISE and number == self.number
+        if not is_present or replica.promised_epoch != (number, replica.incarnation):
             return
-        self.phase, self.prepared_at = "prepare", now
-        self.deadline = now + self.member.timing.majority_timeout_s  # who is not heard leaves it to others
+        self.phase = Phase.PREPARE
+        self.prepared_at = now
+        # who is not heard leaves it to others
+        self.deadline = now + self.member.timing.majority_timeout_s
         self.promises[replica.incarnation] = self.member.own_promise(number)
         self.ask_promises(now)
         self.choose_epoch(now)
 
     def ask_promises(self, now: float) -> None:
-        replica = self.member.replica
+        """Ask those who have not promised."""
         self.resend_at = now + self.member.timing.resend_interval_s
-        self.member.broadcast(Prepare(replica.incarnation, self.number, replica.epoch_config), self.promises)
+        self.member.broadcast(self.own_prepare(), self.promises)
+
+    def own_prepare(self) -> Prepare:
+        """What this attempt asks for."""
+        replica = self.member.replica
+        return Prepare(replica.incarnation, self.number, replica.epoch_config)
 
-    def on_promise(self, now: float, promise: Promise) -> None:
-        if self.phase not in ("prepare", "fetch", "install") or promise.number != self.number:
+    def on_promise(self, now: float, sender: str, promise: Promise) -> None:
+        """A member accepts nothing of a lower epoch any more."""
+        if self.phase not in PREPARED or promise.number != self.number:
             return
         self.promises[promise.incarnation] = promise
-        if self.phase == "prepare":
+        if self.phase is Phase.PREPARE:
             self.choose_epoch(now)
 
     def on_refusal(self, now: float, refusal: Refusal) -> None:
         """Another has a higher number: leave it the way for a while."""
-        if self.phase not in ("prepare", "fetch", "install") or refusal.number != self.number:
+        if self.phase not in PREPARED or refusal.number != self.number:
             return
         self.refusals.add(refusal.incarnation)
         members = self.member.replica.epoch_config.members
         left = sum(peer.incarnation not in self.refusals for peer in members)
-        if refusal.promised_epoch > self.number or (self.phase == "prepare" and left < majority(members)):
+        no_quorum_left = self.phase is Phase.PREPARE and left < majority(members)
+        if refusal.promised_epoch > self.number or no_quorum_left:
             self.member.step_down(now)
 
+    # --- the epoch that is made
+
     def choose_epoch(self, now: float) -> None:
-        """With a quorum: the newest state, the members, the holders."""
+        """With a quorum of promises: the members, the holders, and the state that they go on from."""
         member, replica = self.member, self.member.replica
         promises = list(self.promises.values())
         base = replica.epoch_config
@@ -182,177 +256,224 @@
         groups = self.member_groups(base, promises)
         eligible = [each for each in promises if may_hold(groups, each)]
         if not any(each.incarnation == replica.incarnation for each in eligible):
-            self.member.step_down(now)  # this process is none of the members any more
+            member.step_down(now)  # this process is none of the members any more
             return
+        best = max(
+            promises,
+            key=lambda each: (
+                each.accepted_epoch,
+                each.log_position,
+                each.incarnation == replica.incarnation,
+            ),
+        )
+        holders = self.choose_holders(now, groups, eligible, best, len(base.members))
+        if holders is not None:
+            self.epoch_config = EpochConfig(self.number, replica.incarnation, holders, *groups, False)
+            self.best_promise = best
+            self.go_on_from(now, best)
+
+    def choose_holders(
+        self, now: float, groups: Groups, eligible: list[Promise], best: Promise, voter_count: int
+    ) -> tuple[int, ...] | None:
+        """This process, those who need not be avoided, those whose state is as new as the best one; None if
+        there are too few, or a better one may answer yet.
+        """
+        member, own = self.member, self.member.replica.incarnation
         needed = holder_count(groups, member.tolerated)
         avoid = self.avoid | self.leaving_voters()
-        healthy = [each for each in eligible if each.incarnation not in avoid]
+        preferred = sum(each.incarnation not in avoid for each in eligible)
         waited = now - self.prepared_at >= member.timing.resend_interval_s
-        if len(healthy) < needed.wanted and not waited and len(promises) < len(base.members):
-            return  # a better holder may answer yet
+        if preferred < needed.wanted and not waited and len(self.promises) < voter_count:
+            return None
         if len(eligible) < needed.least:
-            return
-        best = max(
-            promises, key=lambda p: (p.accepted_epoch, p.log_position, p.incarnation == replica.incarnation)
-        )
-        rank = {
-            each.incarnation: (
-                each.incarnation != replica.incarnation,
+            return None
+        eligible = sorted(
+            eligible,
+            key=lambda each: (
+                each.incarnation != own,
                 each.incarnation in avoid,
                 each.log_position != best.log_position,
-            )
-            for each in eligible
-        }
-        eligible.sort(key=lambda each: rank[each.incarnation])
-        holders = tuple(each.incarnation for each in eligible[: needed.wanted])
-        self.epoch_config = EpochConfig(self.number, replica.incarnation, holders, *groups, False)
-        self.best_promise = best
+            ),
+        )
+        return tuple(each.incarnation for each in eligible[: needed.wanted])
+
+    def go_on_from(self, now: float, best: Promise) -> None:
+        """Install the epoch with the state of that promise; fetch it first if it isn't here."""
+        replica = self.member.replica
         if (best.accepted_epoch, best.log_position) == (replica.accepted_epoch, replica.log_position):
             self.install(now, replica.log_position, replica.state)
         elif best.log_position == replica.committed.position:  # a witness has it in memory
             self.install(now, best.log_position, replica.committed.state)
         else:
-            self.phase, self.resend_at = "fetch", now
-            self.deadline = now + member.timing.election_timeout_s + 8.0
-            self.fetch(now)
+            self.phase = Phase.FETCH
+            self.deadline = now + self.member.timing.election_timeout_s + FETCH_EXTRA_S
+            self.fetch(now, best)
 
     def leaving_voters(self) -> frozenset[int]:
         """Voters other than this process that asked for their leave."""
         own = self.member.replica.incarnation
-        return frozenset(who for who, each in self.promises.items() if each.leaving and who != own)
+        return frozenset(who for who, each in self.promises.items() if each.is_leaving and who != own)
 
     def member_groups(self, base: EpochConfig, promises: list[Promise]) -> Groups:
         """Members and those before, founders that were heard filled in."""
-        known = dict(self.member.founders)
+        known = dict(self.member.peers.founders)
         known.update((each.address, each.incarnation) for each in promises if each.founding)
         members = tuple(peer if peer.incarnation else self.founder(peer, known) for peer in base.members)
-        due = self.change is not None and base.number == self.change.number
-        groups = next_groups(msgspec.structs.replace(base, members=members), self.change if due else None)
+        is_due = self.change is not None and base.number == self.change.number
+        groups = next_groups(msgspec.structs.replace(base, members=members), self.change if is_due else None)
         return groups._replace(before=base.members) if base.active else groups
 
     def founder(self, peer: Peer, known: dict[str, int]) -> Peer:
         """A founder that was not heard before is filled in: the same member, by its number."""
         incarnation = known.get(peer.address, 0)
-        return Peer(incarnation, self.member.names.get(incarnation, peer.name), peer.address)
+        return Peer(incarnation, self.member.peers.names.get(incarnation, peer.name), peer.address)
 
     # --- fetch and install
 
-    def fetch(self, now: float) -> None:
+    def fetch(self, now: float, best: Promise) -> None:
+        """Ask the best promise's sender for the state, as a difference to what is here."""
+        replica = self.member.replica
         self.resend_at = now + 4 * self.member.timing.resend_interval_s
-        self.member.send(
-            self.member.address_of(self.best_promise.incarnation, self.best_promise.address),
-            Fetch(self.number, self.member.replica.log_position, self.member.replica.committed.position),
-        )
+        address = self.member.peers.address_of(best.incarnation, best.address)
+        self.member.send(address, Fetch(self.number, replica.log_position, replica.committed.position))
 
-    def on_transfer(self, now: float, transfer: Transfer) -> None:
-        if (
-            self.phase == "fetch"
-            and transfer.number == self.number
-            and transfer.log_position == self.best_promise.log_position
-        ):
-            state = self.member.replica.apply_delta(transfer.base, transfer.changes)
-            if state is not None:
-                self.install(now, transfer.log_position, state)
-
-    def install(self, now: float, position, state) -> None:
+    def on_transfer(self, now: float, sender: str, transfer: Transfer) -> None:
+        """The state that was fetched."""
+        best = self.best_promise
+        if self.phase is not Phase.FETCH or transfer.number != self.number or best is None:
+            return
+        if transfer.log_position != best.log_position:
+            return
+        state = self.member.replica.apply_delta(transfer.base, transfer.changes)
+        if state is not None:
+            self.install(now, transfer.log_position, state)
+
+    def install(self, now: float, position: LogPosition, state: ReplicatedState) -> None:
+        """Write the epoch, and have the other holders write it."""
         member, replica, number = self.member, self.member.replica, self.number
-        self.phase, self.resend_at = "install", now + member.timing.resend_interval_s
-        allowed = size(state) / member.timing.bytes_per_second
-        self.deadline = now + member.timing.election_timeout_s + allowed
-        self.replace_holders_at, self.keep_alive_at = (
-            now + member.timing.peer_timeout_s + allowed,
-            now + member.timing.heartbeat_interval_s,
-        )
-        if position != replica.log_position:
-            member.primary_role.abandon(now)  # the orders decided here are not in the chain that goes on
+        timing = member.timing
+        transfer_s = size(state) / timing.bytes_per_second
+        self.phase = Phase.INSTALL
+        self.resend_at = now + timing.resend_interval_s
+        self.deadline = now + timing.election_timeout_s + transfer_s
+        self.replace_holders_at = now + timing.peer_timeout_s + transfer_s
+        self.keep_alive_at = now + timing.heartbeat_interval_s
+        is_own_state = position == replica.log_position
+        if not is_own_state:
+            member.primary_role.abandon(now)  # the orders decided here are not in the log that goes on
         replica.install_epoch(
             now,
             self.epoch_config,
             position,
             state,
-            {} if position == replica.log_position else None,
-            lambda at: self.on_installed(at, Installed(replica.incarnation, number)),
+            {} if is_own_state else None,
+            lambda at: self.note_installed(at, replica.incarnation, number),
         )
         for incarnation in self.epoch_config.holders:
             if incarnation != replica.incarnation:
                 self.send_install(now, incarnation)
 
     def send_install(self, now: float, incarnation: int) -> None:
-        replica, promise = self.member.replica, self.promises[incarnation]
+        """The epoch for one of its holders, as a difference to what its promise told of."""
+        member, replica, promise = self.member, self.member.replica, self.promises[incarnation]
         # a witness has what is committed, in memory
-        base, changes = replica.changes_to_position(promise.log_position, promise.committed)
-        wait = max(self.member.timing.resend_interval_s, size(changes) / self.member.timing.bytes_per_second)
-        self.install_resend_at[incarnation] = now + wait * (2 if incarnation in self.install_resend_at else 1)
-        self.member.send(
-            self.member.address_of(incarnation, promise.address),
-            Install(self.epoch_config, replica.log_position, base, changes),
-        )
-
-    def on_installed(self, now: float, installed: Installed) -> None:
-        if self.phase != "install" or installed.number != self.number:
+        base, changes = replica.changes_since(promise.log_position, promise.committed)
+        wait_s = max(member.timing.resend_interval_s, size(changes) / member.timing.bytes_per_second)
+        is_resent = incarnation in self.install_resend_at
+        self.install_resend_at[incarnation] = now + wait_s * (2 if is_resent else 1)
+        address = member.peers.address_of(incarnation, promise.address)
+        member.send(address, Install(self.epoch_config, replica.log_position, base, changes))
+
+    def on_installed(self, now: float, sender: str, installed: Installed) -> None:
+        """A holder has written the epoch."""
+        self.note_installed(now, installed.incarnation, installed.number)
+
+    def note_installed(self, now: float, incarnation: int, number: int) -> None:
+        """Once all holders have, the epoch is active and this process its primary."""
+        if self.phase is not Phase.INSTALL or number != self.number:
             return
-        self.installed_holders.add(installed.incarnation)
+        self.installed_holders.add(incarnation)
         if self.installed_holders.issuperset(self.epoch_config.holders):
-            config = self.epoch_config
             self.stop()
-            self.member.primary_role.begin(now, activated(config), self.leaving_voters())
+            self.member.primary_role.begin(now, activated(self.epoch_config), self.leaving_voters())
 
     # --- time
 
     def tick(self, now: float) -> None:
+        """Ask again, replace, or give up."""
         if not self.phase:
             return
         if now >= self.deadline:
-            self.stop() if self.phase == "prevote" else self.member.step_down(now)
-            return
-        if self.phase == "install":
-            for incarnation in self.epoch_config.holders:
-                if incarnation not in self.installed_holders and now >= self.install_resend_at.get(
-                    incarnation, now + 1
-                ):
-                    self.send_install(now, incarnation)
+            self.give_up(now)
+        elif self.phase is Phase.INSTALL:
+            self.resend_installs(now)
             self.keep_alive(now)
-            self.replace_late(now)
+            self.replace_late_holders(now)
         elif now >= self.resend_at:
-            if self.phase == "prevote":
-                self.ask_pre_vote(now)
-            elif self.phase == "prepare":
-                self.choose_epoch(now)
-                if self.phase == "prepare":
-                    self.ask_promises(now)
-            elif self.phase == "fetch":
-                self.fetch(now)
-                self.keep_alive(now)
+            self.ask_again(now)
+
+    def give_up(self, now: float) -> None:
+        """The attempt took too long."""
+        if self.phase is Phase.PRE_VOTE:
+            self.stop()
+        else:
+            self.member.step_down(now)
+
+    def ask_again(self, now: float) -> None:
+        """Before the installs: what was not answered."""
+        if self.phase is Phase.PRE_VOTE:
+            self.ask_pre_vote(now)
+        elif self.phase is Phase.PREPARE:
+            self.choose_epoch(now)
+            if self.phase is Phase.PREPARE:
+                self.ask_promises(now)
+        elif self.phase is Phase.FETCH and self.best_promise is not None:
+            self.fetch(now, self.best_promise)
+            self.keep_alive(now)
+
+    def resend_installs(self, now: float) -> None:
+        """To holders that have not said that they wrote the epoch."""
+        for incarnation in self.epoch_config.holders:
+            resend_at = self.install_resend_at.get(incarnation)
+            is_due = resend_at is not None and now >= resend_at
+            if is_due and incarnation not in self.installed_holders:
+                self.send_install(now, incarnation)
 
     def keep_alive(self, now: float) -> None:
-        """A long transfer goes on: nobody else should stand meanwhile."""
+        """A long transfer goes on: nobody else should campaign meanwhile."""
         if now >= self.keep_alive_at:
             self.keep_alive_at = now + self.member.timing.heartbeat_interval_s
-            replica = self.member.replica
-            self.member.broadcast(Prepare(replica.incarnation, self.number, replica.epoch_config), ())
+            self.member.broadcast(self.own_prepare(), ())
 
-    def replace_late(self, now: float) -> None:
+    def replace_late_holders(self, now: float) -> None:
         """A chosen holder doesn't write: begin again with another, where there is one."""
-        late = frozenset(who for who in self.epoch_config.holders if who not in self.installed_holders)
+        holders = self.epoch_config.holders
+        late = frozenset(who for who in holders if who not in self.installed_holders)
         if now < self.replace_holders_at or not late:
             return
-        others = [
-            who for who in self.promises if who not in self.epoch_config.holders and who not in self.avoid
-        ]
+        others = [who for who in self.promises if who not in holders and who not in self.avoid]
         if len(others) >= len(late - self.avoid) > 0 and self.member.replica.incarnation not in late:
             self.start(now, self.change, self.avoid | late)
 
     def wake_at(self) -> float:
+        """When `tick` has something to do."""
         if not self.phase:
             return float("inf")
-        if self.phase == "install":
+        if self.phase is Phase.INSTALL:
             late = [at for who, at in self.install_resend_at.items() if who not in self.installed_holders]
             return min([self.deadline, self.keep_alive_at, *late])
-        return self.deadline if self.phase == "promise" else min(self.deadline, self.resend_at)
+        return self.deadline if self.phase is Phase.PROMISE else min(self.deadline, self.resend_at)
 
-
-class Voter:
-    __slots__ = ("incarnation", "address", "founding")
-
-    def __init__(self, incarnation: int, address: str, founding: bool):
-        self.incarnation, self.address, self.founding = incarnation, address, founding
+    def check_invariants(self) -> None:
+        """Raises AssertionError if an attribute contradicts another."""
+        replica = self.member.replica
+        if self.phase not in (Phase.IDLE, Phase.PRE_VOTE):
+            assert self.number <= replica.promised_epoch.number, "campaigns without its own promise"
+        if self.phase in PREPARED:
+            assert replica.incarnation in self.promises, "asks others for what it has not promised"
+        if self.phase in (Phase.FETCH, Phase.INSTALL):
+            assert self.best_promise is not None, "an epoch without a state to go on from"
+            assert self.epoch_config.number == self.number, "installs another epoch than it campaigns for"
+            assert replica.incarnation in self.epoch_config.holders, "a primary that holds no state"
+        if self.phase is Phase.INSTALL:
+            assert self.installed_holders <= set(self.epoch_config.holders), "installed by no holder"
--- a/shedgrade/replication/change_index.py
+++ b/shedgrade/replication/change_index.py
@@ -7,24 +7,40 @@
 from __future__ import annotations
 
 from collections import deque
+from typing import NamedTuple
 
 from shedgrade.replication.messages import Changes, LogPosition
 
-MOST_KEYS = 16_384  # beyond it the oldest are forgotten: who lags behind those gets the whole state
-MOST_EPOCHS = 1_024
+MAX_KEYS = 16_384  # beyond it the oldest are forgotten: who lags behind those gets the whole state
+MAX_EPOCHS = 1_024
+
+
+class EpochRange(NamedTuple):
+    """The changes of one epoch that are part of the chain: their first and last sequence."""
+
+    epoch: int
+    first: int
+    last: int
 
 
 class ChangeIndex:
-    """`floor`: the oldest position whose changes since are all known. `epochs`: (epoch, first, last sequence)
-    of the chain from there on, so that a position which is not part of the chain is told from one that is."""
+    """Positions of the chain, and of the last change of each key.
 
-    def __init__(self, position: LogPosition):
+    `floor`: the oldest position whose changes since are all known. `last`: the newest position.
+    `epochs`: the chain from `floor` on, oldest first, so that a position which is not part of the chain is
+    told from one that is; at most `MAX_EPOCHS`.
+    `changed`: the position of the last change by key, ordered by it; at most `MAX_KEYS`.
+    """
+
+    def __init__(self, position: LogPosition) -> None:
+        """A chain that begins at this position."""
         self.reset(position)
 
     def reset(self, position: LogPosition) -> None:
         """Nothing is known but that the chain has this position."""
-        self.floor = self.last = position
-        self.epochs: deque[tuple[int, int, int]] = deque([(*position, position[1])])
+        self.floor = position
+        self.last = position
+        self.epochs: deque[EpochRange] = deque([EpochRange(*position, position[1])])
         self.changed: dict[str, LogPosition] = {}
 
     def note(self, base: LogPosition, position: LogPosition, changes: Changes) -> None:
@@ -32,33 +48,36 @@
         if base != self.last:
             self.reset(base)
         self.last = position
-        epoch, first, last = self.epochs[-1]
-        if position == (epoch, last + 1):
-            self.epochs[-1] = epoch, first, position[1]
+        newest = self.epochs[-1]
+        if position == (newest.epoch, newest.last + 1):
+            self.epochs[-1] = EpochRange(newest.epoch, newest.first, position[1])
         else:
-            self.epochs.append((*position, position[1]))
+            self.epochs.append(EpochRange(*position, position[1]))
         for key in changes:
             self.changed.pop(key, None)  # the dict stays ordered by the last change
             self.changed[key] = position
         self.forget()
 
     def forget(self) -> None:
-        while len(self.changed) > MOST_KEYS:
+        """Drop the oldest keys and epochs beyond the bounds: the floor rises."""
+        while len(self.changed) > MAX_KEYS:
             self.floor = max(self.floor, self.changed.pop(next(iter(self.changed))))
-        while len(self.epochs) > MOST_EPOCHS:
+        while len(self.epochs) > MAX_EPOCHS:
             self.epochs.popleft()
-            self.floor = max(self.floor, LogPosition(*self.epochs[0][:2]))
+            oldest = self.epochs[0]
+            self.floor = max(self.floor, LogPosition(oldest.epoch, oldest.first))
 
     def has(self, position: LogPosition) -> bool:
         """Whether the position is known to be part of the chain."""
         return any(
-            epoch == position[0] and first <= position[1] <= last for epoch, first, last in self.epochs
+            each.epoch == position[0] and each.first <= position[1] <= each.last for each in self.epochs
         )
 
     def since(self, base: LogPosition, state: dict[str, bytes]) -> Changes | None:
         """What leads from `base` to `state`, whose position is not before `base`; None if that is not known.
 
-        It leads there from each position between the two as well."""
+        It leads there from each position between the two as well.
+        """
         if base < self.floor or not self.has(base):
             return None
         changes: Changes = {}
--- a/shedgrade/replication/effects.py
+++ b/shedgrade/replication/effects.py
@@ -1,36 +1,44 @@
-"""What a member asks of its caller, and the outcomes of orders and reads."""
+"""What a member asks of its caller (`Instruction`), and the outcomes of orders and reads.
+
+A member does no I/O: each of its calls appends instructions to `Member.effects`, and the caller carries them
+out in their order.
+"""
 
 from collections.abc import Mapping
 from dataclasses import dataclass, field
+from typing import Any
+
+from shedgrade.replication.messages import Changes, Message
 
 State = Mapping[str, bytes]
 
 
 @dataclass(slots=True)
 class Send:
-    """One message to the link address `to`. It may be lost, delayed, doubled."""
+    """One message to the link address `to`. It may be lost, delayed, duplicated."""
 
     to: str
-    message: object
+    message: Message
 
 
 @dataclass(slots=True)
 class Persist:
-    """Make `changes` durable as a whole or not at all (None: remove the key), then call `persisted` with
-    the token.
+    """Make `changes` durable as a whole or not at all (None: remove the key), then call `Member.persisted`
+    with the token.
 
-    A member has at most one of them open."""
+    A member has at most one of them open.
+    """
 
     token: int
-    changes: dict[str, bytes | None]
+    changes: Changes
 
 
 @dataclass(slots=True)
 class Answer:
-    """The outcome of the order or read with this ticket."""
+    """The outcome of the order or read with this ticket: what `decide` gave, or a class of this module."""
 
     ticket: int
-    outcome: object
+    outcome: Any
 
 
 @dataclass(slots=True)
@@ -47,17 +55,20 @@
     """The process may end."""
 
 
+Instruction = Send | Persist | Answer | Committed | Exit
+
+
 @dataclass(slots=True)
 class Decision:
     """What `decide` makes of an order; without changes the outcome tells of the newest state."""
 
-    changes: dict[str, bytes | None] = field(default_factory=dict)
-    outcome: object = None
+    changes: Changes = field(default_factory=dict)
+    outcome: Any = None
 
 
 @dataclass(slots=True)
 class Unavailable:
-    """Nothing happened: try elsewhere, or again."""
+    """Nothing happened: retry, here or elsewhere."""
 
 
 @dataclass(slots=True)
--- a/shedgrade/replication/member.py
+++ b/shedgrade/replication/member.py
@@ -1,37 +1,82 @@
-"""One member of the control state: the parts put together. Sans I/O."""
+"""One member of the control state: its roles, timers and connections put together. Sans I/O."""
 
 from __future__ import annotations
 
-from collections.abc import Callable, Mapping
+from collections.abc import Callable, Container, Mapping
+from enum import StrEnum
 from random import Random
+from typing import Any
 
 from shedgrade.replication import messages as m
 from shedgrade.replication.acceptor import Acceptor
-from shedgrade.replication.candidate import Candidate
-from shedgrade.replication.chunking import ChunkedTransfers
+from shedgrade.replication.candidate import Candidate, Phase
 from shedgrade.replication.disk_writer import DiskWriter
-from shedgrade.replication.effects import Answer, Decision, Send, State, Unavailable
+from shedgrade.replication.dispatcher import Dispatcher
+from shedgrade.replication.effects import Answer, Decision, Instruction, State, Unavailable
+from shedgrade.replication.election_timer import ElectionTimer
 from shedgrade.replication.graceful_leave import GracefulLeave
+from shedgrade.replication.peer_directory import PeerDirectory
 from shedgrade.replication.pending_requests import PendingRequests
 from shedgrade.replication.primary import Primary
-from shedgrade.replication.quorums import electorate, matches
+from shedgrade.replication.primary_monitor import PrimaryMonitor
+from shedgrade.replication.quorums import ChangeOfMembers, electorate, matches
 from shedgrade.replication.reconfiguration import Reconfiguration
 from shedgrade.replication.replica_state import CommittedState, ReplicaState
 from shedgrade.replication.timing import Timing
+from shedgrade.replication.transport import Transport
 
 NEVER = float("-inf")
-LEAST_BETWEEN_TICKS = 0.05  # s
+LEAST_BETWEEN_TICKS_S = 0.05
+NON_VOTER_TICK_S = 1.0  # a process that has no vote looks about so often
+NOBODY: frozenset[int] = frozenset()
+
+
+class Role(StrEnum):
+    """What a process is to its core, as the status page shows it."""
+
+    FOUNDING = "founding"  # one of the processes that found a core, before its first epoch
+    BLANK = "blank"  # no member of any epoch
+    WITNESS = "witness"  # votes, and holds no state on its disk
+    BACKUP = "backup"  # votes, and holds the state
+    PRIMARY = "primary"
+    CANDIDATE = "candidate"  # has raised the epoch number
 
 
 class Member:
     """A core process's part in the control state.
 
-    `address` and `seeds` are link addresses; `found` holds the durable values of an earlier life (none:
-    empty disk); `decide(state, request)` is pure and is called at the primary only. `effects` is drained by
-    the caller after each call. Source: Harp (Liskov et al., 1991) with the quorums of Vertical Paxos
-    (Lamport, Malkhi, Zhou, 2009)."""
-
-    PIPELINE, QUEUE = 16, 256
+    `address` and `seeds` are link addresses; `found` holds the durable values of an earlier incarnation
+    (none: empty disk); `decide(state, request)` is pure and is called at the primary only. The caller drains
+    `effects` after each call. Times are seconds of one steady clock. Source: Harp (Liskov et al., 1991) with
+    the quorums of Vertical Paxos (Lamport, Malkhi, Zhou, 2009).
+
+    Parts, each with one job:
+
+    - `replica`: promise, epoch, log and committed state; `disk_writer`: what of it is on its way to the disk.
+    - `primary_role`, `candidate`, `acceptor`: the roles. At most one of the first two is at work; the
+      acceptor answers others at all times.
+    - `reconfiguration`: join requests and changes of members; `graceful_leave`: a planned end.
+    - `primary_monitor`, `election_timer`: contact with the primary, and when to ask for votes.
+    - `peers`, `transport`, `dispatcher`: addresses of others, messages out, messages in.
+    - `pending_requests`: requests that came while no primary was known.
+
+    State of the member itself:
+
+    - `incarnation_durable`: the incarnation is on the disk. Before, nothing is sent and nothing is handled.
+    - `incarnation_durable_at`: when it was; the start of the process before.
+    - `durable_promise`: number of the newest promise that is on the disk, at most `replica.promised_epoch`.
+      No promise is sent before its number is here.
+    - `highest_epoch_seen`: the highest epoch number that this process used, promised or was told of. A new
+      candidate's number is above it.
+    - `confirmed_at`: at that time a majority held nothing newer than what is committed here.
+    - `receive_delay_s`: so long what is received now may have waited at this process, unread. Set by the
+      caller before `receive`.
+    - `reconfigure_at`: as primary, no further epoch is made before.
+    - `stopped`: `Exit` was given out; every later call does nothing.
+    - `now`, `ticked_at`: times of the last call, and of the last `tick`.
+    """
+
+    PIPELINE, QUEUE = 16, 256  # most writes in flight; most requests that wait
 
     def __init__(
         self,
@@ -44,213 +89,250 @@
         found: Mapping[str, bytes] | None,
         random: Random,
         now: float,
-        decide: Callable[[State, object], Decision],
+        decide: Callable[[State, Any], Decision],
         timing: Timing = Timing(),  # noqa: B008 (frozen)
-    ):
-        self.name, self.address, self.seeds, self.tolerated = name, address, tuple(seeds), tolerated
-        self.random, self.decide, self.timing = random, decide, timing
-        self.effects: list = []
+    ) -> None:
+        """`tolerated`: t, the losses at once that the state outlives; `founding`: with the other `seeds`."""
+        self.name = name
+        self.address = address
+        self.seeds = tuple(seeds)
+        self.tolerated = tolerated
+        self.random = random
+        self.decide = decide
+        self.timing = timing
+        self.effects: list[Instruction] = []
         self.disk_writer = DiskWriter(self.effects, timing.disk_timeout_s, timing.disk_retry_interval_s)
         founding = founding and address in self.seeds
         self.replica = ReplicaState(found, self.disk_writer, self.effects, self.seeds, founding, random)
+        self.peers = PeerDirectory(self.replica.incarnation, address, name, self.replica.founding)
+        self.transport = Transport(address, self.effects, self.peers, timing, random)
+        self.primary_monitor = PrimaryMonitor(address, timing)
+        self.election_timer = ElectionTimer(now, self.replica, address, timing, random)
         self.primary_role, self.candidate, self.acceptor = self.make_roles()
-        self.reconfiguration, self.pending_requests, self.chunking = (
-            Reconfiguration(self),
-            PendingRequests(self),
-            ChunkedTransfers(self),
-        )
+        self.reconfiguration = Reconfiguration(self)
+        self.pending_requests = PendingRequests(self)
+        self.graceful_leave = GracefulLeave(self)
+        self.dispatcher = Dispatcher(self)
         self.highest_epoch_seen = max(self.replica.promised_epoch.number, self.replica.epoch_config.number)
         self.durable_promise = self.replica.promised_epoch.number
-        self.addresses: dict[int, str] = {self.replica.incarnation: address}
-        self.names: dict[int, str] = {self.replica.incarnation: name}
-        self.heard_from: dict[str, float] = {}  # link address -> when it last said anything
-        self.founders: dict[str, int] = {address: self.replica.incarnation} if self.replica.founding else {}
-        self.primary: str | None = None
-        self.primary_hint: str | None = None
-        self.last_heard_at, self.election_at = now, now
-        self.primary_heard_at = self.primary_hint_at = NEVER
-        self.confirmed_at = NEVER  # as of when a majority replica nothing newer than what is committed here
-        self.receive_delay_s = 0.0  # so long what is received now may have waited at this process, unread
-        self.defer_to_candidate_until = NEVER
-        self.incarnation_durable_at = now
+        self.confirmed_at = NEVER
+        self.receive_delay_s = 0.0
         self.incarnation_durable = False
-        self.graceful_leave = GracefulLeave(self)
+        self.incarnation_durable_at = now
         self.stopped = False
         self.reconfigure_at = now
-        self.now = self.ticked_at = now
+        self.now = now
+        self.ticked_at = now
+        self.begin_call(now)
         if self.replica.is_new:
             self.replica.persist_incarnation(now, self.on_incarnation_durable)
         else:
             self.on_incarnation_durable(now)
 
     def make_roles(self) -> tuple[Primary, Candidate, Acceptor]:
+        """The roles; a test's member may have others."""
         return Primary(self), Candidate(self), Acceptor(self)
 
+    def begin_call(self, now: float) -> None:
+        """Each call of the caller comes with the time."""
+        self.now = now
+        self.transport.now = now
+
     def on_incarnation_durable(self, now: float) -> None:
         """The incarnation is synced: this process may speak."""
-        self.incarnation_durable, self.incarnation_durable_at, self.last_heard_at = True, now, now
+        self.incarnation_durable = True
+        self.incarnation_durable_at = now
+        self.election_timer.note_heard(now)
         self.reconfiguration.send_join_requests(now)
-        self.schedule_election(now)
-        if self.replica.epoch_config.primary == self.replica.incarnation and self.replica.epoch_config.number:
-            self.election_at = (
-                now + self.timing.heartbeat_interval_s / 2
-            )  # nobody else acts in the epoch that it led
+        self.election_timer.schedule(now, self.is_leaving)
+        config = self.replica.epoch_config
+        if config.primary == self.replica.incarnation and config.number:
+            # nobody else acts in the epoch that it led
+            self.election_timer.election_at = now + self.timing.heartbeat_interval_s / 2
 
-    # --- what the caller does
+    # --- called from outside
 
-    def receive(self, now: float, sender: str, message) -> None:
+    def receive(self, now: float, sender: str, message: m.Message) -> None:
         """A message from the link address `sender`."""
-        self.now = now
-        if self.incarnation_durable and not self.stopped:
-            self.heard_from[sender] = now
-            if type(message) is m.Chunk:
-                message = self.chunking.on_chunk(now, sender, message)
-                if message is None:
-                    return
-            self.HANDLERS[type(message)](self, now, sender, message)
+        self.begin_call(now)
+        if not self.incarnation_durable or self.stopped:
+            return
+        self.peers.last_message_at[sender] = now
+        if self.dispatcher.dispatch(now, sender, message):
             self.pending_requests.resolve(now)
 
     def persisted(self, now: float, token: int, ok: bool) -> None:
-        """The disk's word on the open Persist."""
-        self.now = now
+        """The outcome of the open `Persist`."""
+        self.begin_call(now)
         if not self.stopped:
             self.disk_writer.persisted(now, token, ok)
 
     def order(self, now: float, ticket: int, request: object) -> None:
-        """Answered by Answer(ticket, ...): `decide`'s outcome, Unavailable, OutcomeUnknown or
-        RedirectToPrimary.
+        """A request that may change the state.
+
+        Answered by Answer(ticket, ...): what `decide` gave, Unavailable, OutcomeUnknown or RedirectToPrimary.
         """
-        self.now = now
-        if (
-            self.stopped
-            or len(self.primary_role.order_queue) + len(self.pending_requests.entries) >= self.QUEUE
-        ):
+        self.begin_call(now)
+        waiting = len(self.primary_role.orders.queue) + len(self.pending_requests.entries)
+        if self.stopped or waiting >= self.QUEUE:
             self.effects.append(Answer(ticket, Unavailable()))
         elif self.is_primary_or_candidate() and not self.graceful_leave.draining:
-            self.primary_role.order(now, ticket, request)
+            self.primary_role.orders.order(now, ticket, request)
         else:
             self.pending_requests.add(now, ticket, request)
             self.pending_requests.resolve(now)
 
     def read(self, now: float, ticket: int) -> None:
-        """Answered by Answer(ticket, ReadResult), Unavailable or RedirectToPrimary."""
-        self.now = now
+        """A linearizable read. Answered by Answer(ticket, ReadResult), Unavailable or RedirectToPrimary."""
+        self.begin_call(now)
         if self.stopped:
             self.effects.append(Answer(ticket, Unavailable()))
         elif self.primary_role.active:
-            self.primary_role.read(now, ticket)
+            self.primary_role.orders.read(now, ticket)
         else:
-            self.pending_requests.add(now, ticket, None, read=True)
+            self.pending_requests.add(now, ticket, None, is_read=True)
             self.pending_requests.resolve(now)
 
-    def leave(self, now: float, patience: float | None = None) -> None:
-        """Serve on until the others hold what this member holds, `patience` s at most; then Exit."""
-        self.now = now
-        self.graceful_leave.request(now, self.timing.leave_timeout_s if patience is None else patience)
+    def leave(self, now: float, timeout_s: float | None = None) -> None:
+        """Serve on until the others hold what this member holds, `timeout_s` at most; then `Exit`."""
+        self.begin_call(now)
+        self.graceful_leave.request(now, self.timing.leave_timeout_s if timeout_s is None else timeout_s)
         self.tick(now)
 
     def tick(self, now: float) -> None:
         """Called when wake_at() is due, and at any other time."""
-        self.now = self.ticked_at = now
+        self.begin_call(now)
+        self.ticked_at = now
         if self.stopped:
             return
         self.disk_writer.pump(now)
         if not self.incarnation_durable:
             return
-        self.chunking.tick(now)
+        self.transport.chunking.tick(now)
         self.primary_role.tick(now)
         self.candidate.tick(now)
         if not self.primary_role.active and not self.candidate.phase:
-            if now >= self.election_at and self.may_campaign(now):
-                self.start_pre_vote(now)
-            if not self.hears_primary(now) and now >= self.reconfiguration.join_request_at:
-                self.reconfiguration.send_join_requests(now)
-        self.primary_role.expire_requests(now)
+            self.tick_as_follower(now)
+        self.primary_role.orders.expire(now)
         self.pending_requests.resolve(now)
         self.graceful_leave.tick(now)
 
+    def tick_as_follower(self, now: float) -> None:
+        """Neither primary nor candidate: ask for votes when it is time, look for the primary."""
+        if now >= self.election_timer.election_at and self.may_campaign(now):
+            self.start_pre_vote(now)
+        if not self.hears_primary(now) and now >= self.reconfiguration.join_request_at:
+            self.reconfiguration.send_join_requests(now)
+
     def wake_at(self) -> float:
         """When tick is due next."""
-        now, wake = self.now, self.disk_writer.wake_at(self.now)
-        soon = self.ticked_at + LEAST_BETWEEN_TICKS  # not after `now`, which each message moves
-        if self.incarnation_durable:
-            wake = min(
-                wake, self.primary_role.wake_at(now), self.candidate.wake_at(), self.chunking.wake_at()
-            )
-            if not self.primary_role.active:
-                if not self.candidate.phase:
-                    wake = min(wake, max(self.election_at, soon) if self.is_voter() else now + 1.0)
-                    silent = self.primary_heard_at + self.timing.primary_timeout_s
-                    wake = min(wake, max(self.reconfiguration.join_request_at, silent, soon))
-            if self.pending_requests.entries:
-                wake = min(wake, self.pending_requests.entries[0][0])
-            if self.primary_role.order_queue:
-                wake = min(wake, self.primary_role.order_queue[0][0] + 2 * self.timing.request_timeout_s)
-            if self.leaving:
-                wake = min(wake, soon)
+        wake = self.disk_writer.wake_at(self.now)
+        if not self.incarnation_durable:
+            return wake
+        wake = min(
+            wake,
+            self.primary_role.wake_at(self.now),
+            self.candidate.wake_at(),
+            self.transport.chunking.wake_at(),
+        )
+        soon = self.ticked_at + LEAST_BETWEEN_TICKS_S  # not after `now`, which each message moves
+        if not self.primary_role.active and not self.candidate.phase:
+            wake = min(wake, self.follower_wake_at(soon))
+        if self.pending_requests.entries:
+            wake = min(wake, self.pending_requests.entries[0].until)
+        wake = min(wake, self.primary_role.orders.queue_wake_at())
+        if self.is_leaving:
+            wake = min(wake, soon)
         return wake
 
+    def follower_wake_at(self, soon: float) -> float:
+        """When `tick_as_follower` is due, not before `soon`."""
+        election_at = self.now + NON_VOTER_TICK_S
+        if self.is_voter():
+            election_at = max(self.election_timer.election_at, soon)
+        timeout_at = self.primary_monitor.primary_heard_at + self.timing.primary_timeout_s
+        return min(election_at, max(self.reconfiguration.join_request_at, timeout_at, soon))
+
     # --- to be looked at
 
     @property
-    def role(self) -> str:
-        """founding, blank, witness, backup, primary or candidate."""
+    def role(self) -> Role:
+        """What this process is at the moment."""
         replica = self.replica
         if self.primary_role.active:
-            return "primary"
-        if self.candidate.phase and self.candidate.phase != "prevote":
-            return "candidate"
+            return Role.PRIMARY
+        if self.candidate.phase not in (Phase.IDLE, Phase.PRE_VOTE):
+            return Role.CANDIDATE
         if replica.epoch_config.number == 0:
-            return "founding" if replica.founding else "blank"
+            return Role.FOUNDING if replica.founding else Role.BLANK
         if not replica.is_member():
-            return "blank"
-        return "backup" if replica.incarnation in replica.epoch_config.holders else "witness"
+            return Role.BLANK
+        return Role.BACKUP if replica.is_holder() else Role.WITNESS
 
     @property
-    def leaving(self) -> bool:
+    def is_leaving(self) -> bool:
+        """Whether `leave` was called."""
         return self.graceful_leave.requested
 
     @property
     def epoch(self) -> int:
+        """Number of the newest epoch known here, 0 before the first one."""
         return self.replica.epoch_config.number
 
     @property
-    def members(self) -> tuple:
+    def members(self) -> tuple[m.Peer, ...]:
+        """As the newest epoch known here names them."""
         return self.replica.epoch_config.members
 
     @property
     def committed(self) -> CommittedState:
+        """The newest committed state known here."""
         return self.replica.committed
 
-    # --- what the parts share
+    @property
+    def primary(self) -> str | None:
+        """Link address of the primary, if it is known."""
+        return self.primary_monitor.primary
 
-    def send(self, address: str, message) -> None:
-        if self.chunking.needs_chunking(address, message):
-            self.chunking.send(self.now, address, message)
-        else:
-            self.emit(address, message)
+    @property
+    def primary_heard_at(self) -> float:
+        """When the primary was last heard."""
+        return self.primary_monitor.primary_heard_at
 
-    def emit(self, address: str, message) -> None:
-        self.effects.append(Send(address, message))
+    def hears_primary(self, now: float) -> bool:
+        """Whether the primary was heard within its time-out."""
+        return self.primary_monitor.is_heard(now)
+
+    def has_primary_hint(self, now: float) -> bool:
+        """Whether another member hears the primary, though this one doesn't."""
+        return self.primary_monitor.has_hint(now)
+
+    def check_invariants(self) -> None:
+        """Raises AssertionError if an attribute contradicts another. For tests, after any call."""
+        self.replica.check_invariants()
+        self.disk_writer.check_invariants()
+        self.primary_monitor.check_invariants()
+        self.candidate.check_invariants()
+        self.primary_role.check_invariants()
+        active = self.primary_role.active
+        assert not (active and self.candidate.phase), "primary and candidate at once"
+        assert self.incarnation_durable or not (active or self.candidate.phase), "acts before it may speak"
+        assert self.durable_promise <= self.replica.promised_epoch.number, "a durable promise never made"
+        assert not (self.stopped and active), "primary after its end"
+        assert not active or self.primary == self.address, "a primary that follows another"
 
-    def note_address(self, incarnation: int, address: str, name: str = "") -> None:
-        self.addresses[incarnation] = address
-        if name:
-            self.names[incarnation] = name
+    # --- what the parts share
 
-    def address_of(self, incarnation: int, otherwise: str) -> str:
-        return self.addresses.get(incarnation, otherwise)
+    def send(self, address: str, message: m.Message) -> None:
+        """To one link address."""
+        self.transport.send(address, message)
 
-    def broadcast(self, message, but) -> None:
-        """To the members, and to those before while the epoch isn't known to be active."""
-        config, done = self.replica.epoch_config, {self.address}
-        for peer in (*config.members, *(() if config.active else config.before)):
-            address = self.address_of(peer.incarnation, peer.address)
-            if peer.incarnation not in but and address not in done:
-                done.add(address)
-                self.send(address, message)
+    def broadcast(self, message: m.Message, but: Container[int]) -> None:
+        """To the members, and those before while the epoch isn't known to be active, without `but`."""
+        self.transport.broadcast(self.replica.epoch_config, message, but)
 
     def own_promise(self, number: int) -> m.Promise:
+        """This process's promise for the epoch `number`, which must be durable."""
         replica = self.replica
         return m.Promise(
             replica.incarnation,
@@ -261,7 +343,7 @@
             replica.accepted_epoch,
             replica.log_position,
             replica.committed.position,
-            self.leaving,
+            self.is_leaving,
         )
 
     def is_voter(self) -> bool:
@@ -275,145 +357,95 @@
         )
 
     def may_campaign(self, now: float) -> bool:
-        replica = self.replica
+        """Whether this process may ask for votes."""
         if not self.is_voter() or not self.disk_writer.is_healthy(now):
             return False
-        return replica.epoch_config.number > 0 or self.reconfiguration.founded_enough(now)
+        return self.replica.epoch_config.number > 0 or self.reconfiguration.founded_enough(now)
 
     def is_primary_or_candidate(self) -> bool:
         """As primary, or as candidate after the pre-vote."""
-        return self.primary_role.active or self.candidate.phase not in ("", "prevote")
-
-    def has_primary_hint(self, now: float) -> bool:
-        """Another member hears the primary, though this one doesn't."""
-        return (
-            self.primary_hint not in (None, self.address)
-            and now - self.primary_hint_at < 2 * self.timing.join_request_interval_s
-        )
-
-    def hears_primary(self, now: float) -> bool:
-        return self.primary is not None and now - self.primary_heard_at < self.timing.primary_timeout_s
+        return self.primary_role.active or self.candidate.phase not in (Phase.IDLE, Phase.PRE_VOTE)
 
     def confirm_up_to_date(self, at: float) -> None:
         """At that time nothing was committed anywhere that is not committed here."""
         self.confirmed_at = max(self.confirmed_at, at)
 
+    # --- contact with the primary
+
     def note_primary_hint(self, now: float, address: str) -> None:
-        """Somebody else hears the primary there. It is said hello, and doesn't count as heard."""
-        self.primary_hint_at = now
-        if address != self.primary_hint:
-            self.primary_hint = address
+        """Somebody else hears the primary there: a join request goes to it at once."""
+        if self.primary_monitor.note_hint(now, address):
             self.reconfiguration.join_request_at = min(self.reconfiguration.join_request_at, now)
 
-    def primary_lost(self, now: float) -> None:
-        """Another life of its machine has asked to join: the primary that was heard is no more."""
+    def on_primary_restarted(self, now: float) -> None:
+        """Another incarnation of its machine has asked to join: the primary that was heard is no more."""
         if not self.primary_role.active and self.primary is not None:
-            self.primary = self.primary_hint = None
-            self.last_heard_at = now - self.timing.primary_timeout_s
-            self.schedule_election(now)
+            self.primary_monitor.forget_primary()
+            self.primary_monitor.hint = None
+            self.election_timer.last_heard_at = now - self.timing.primary_timeout_s
+            self.election_timer.schedule(now, self.is_leaving)
 
-    def on_primary_heard(self, now: float, sender: str, epoch: int) -> None:
-        """A word of the primary of the newest epoch."""
+    def on_primary_heard(self, now: float, sender: str) -> None:
+        """A message of the primary of the newest epoch."""
         if self.primary_role.active or self.candidate.phase:
             self.step_down(now)
-        self.primary, self.primary_hint = sender, sender
+        self.primary_monitor.note_heard(now, sender)
         self.acceptor.first_granted.clear()
-        self.last_heard_at = self.primary_heard_at = now
-        self.schedule_election(now)
-
-    def schedule_election(self, now: float) -> None:
-        timing, replica = self.timing, self.replica
-        turn = self.rank(replica.incarnation, self.address)[0] + self.random.random() / 5
-        if self.leaving:
-            turn += len(replica.epoch_config.members)  # only if nobody else can
-        if not replica.epoch_config.number:
-            self.election_at = now + 0.4 * turn
-            return
-        self.election_at = self.last_heard_at + timing.primary_timeout_s + turn * timing.election_stagger_s
+        self.election_timer.note_heard(now)
+        self.election_timer.schedule(now, self.is_leaving)
 
-    def rank(self, who: int, address: str = "") -> tuple[int, int]:
-        """Whose turn it is to stand: backups first, in their order, then witnesses."""
-        config = self.replica.epoch_config
-        if not config.number:
-            founders = sorted(self.replica.founders or ())
-            return founders.index(address) if address in founders else len(founders), who
-        backups = [each for each in config.holders if each != config.primary]
-        witnesses = [peer.incarnation for peer in config.members if peer.incarnation not in config.holders]
-        order = [*backups, *witnesses]
-        return order.index(who) if who in order else len(order), who
+    # --- elections
 
     def start_pre_vote(self, now: float) -> None:
-        self.election_at = (
-            now
-            + 2 * self.timing.resend_interval_s
-            + (0.2 + self.random.random()) * self.timing.primary_timeout_s
-        )
+        """Ask the others whether they miss the primary too."""
+        self.election_timer.schedule_pre_vote_retry(now)
         self.candidate.pre_vote(now)
 
     def start_election(self, now: float) -> None:
+        """Become a candidate without a pre-vote."""
         if not self.primary_role.active:
-            self.primary = None
+            self.primary_monitor.forget_primary()
             self.candidate.start(now)
 
-    def reconfigure(self, now: float, change, avoid: frozenset[int]) -> None:
-        """The primary makes a new epoch with other holders or members."""
+    def reconfigure(
+        self, now: float, change: ChangeOfMembers | None = None, avoid: frozenset[int] = NOBODY
+    ) -> None:
+        """The primary makes a new epoch with other holders or members. `avoid`: who should hold nothing."""
         self.reconfigure_at = now + self.timing.election_timeout_s
         self.primary_role.pause()
         self.candidate.start(now, change, avoid)
 
     def became_primary(self, now: float) -> None:
-        self.primary, self.primary_heard_at, self.last_heard_at = self.address, now, now
+        """All holders have installed the epoch of this candidate."""
+        self.primary_monitor.note_elected(now)
+        self.election_timer.note_heard(now)
         self.reconfigure_at = now + self.timing.resend_interval_s
         self.pending_requests.resolve(now)
 
     def step_down(self, now: float) -> None:
-        """No primary and no candidate any more, until the next silence."""
+        """No primary and no candidate any more, until the next time-out."""
         self.candidate.stop()
         if self.primary == self.address:
-            self.primary = None
+            self.primary_monitor.forget_primary()
         self.primary_role.abandon(now)
-        self.last_heard_at = now
-        self.election_at = now + self.timing.primary_timeout_s * (0.5 + self.random.random())
+        self.election_timer.schedule_after_step_down(now)
 
     def hand_over(self, now: float, heir: str) -> None:
+        """Ask the member at the link address `heir` to take over, and leave it the time for it."""
         self.send(heir, m.HandOver(self.replica.epoch_config.number))
         self.step_down(now)
-        self.election_at = now + 2 * self.timing.primary_timeout_s
+        self.election_timer.election_at = now + 2 * self.timing.primary_timeout_s
 
     def on_refusal(self, now: float, sender: str, refusal: m.Refusal) -> None:
+        """Somebody has promised a higher epoch than the one this process acts in."""
         self.highest_epoch_seen = max(self.highest_epoch_seen, refusal.promised_epoch)
         if refusal.epoch_config.active:
             self.replica.adopt_epoch_config(now, refusal.epoch_config)
-        if (
-            self.primary_role.active
-            and refusal.number == self.primary_role.epoch
-            and refusal.promised_epoch > refusal.number
-        ):
-            # a member has given its word to a higher number; with the others at hand go on under a higher one
-            if self.primary_role.has_majority(now):
-                self.reconfigure(now, None, frozenset())
-            else:
-                self.step_down(now)
-        else:
+        is_own_epoch = self.primary_role.active and refusal.number == self.primary_role.epoch
+        if not is_own_epoch or refusal.promised_epoch <= refusal.number:
             self.candidate.on_refusal(now, refusal)
-
-    HANDLERS = {
-        m.JoinRequest: lambda self, now, sender, x: self.reconfiguration.on_join_request(now, sender, x),
-        m.PrimaryHint: lambda self, now, sender, x: self.reconfiguration.on_primary_hint(now, sender, x),
-        m.PreVote: lambda self, now, sender, x: self.acceptor.on_pre_vote(now, sender, x),
-        m.PreVoteReply: lambda self, now, sender, x: self.candidate.on_pre_vote_reply(now, sender, x),
-        m.Prepare: lambda self, now, sender, x: self.acceptor.on_prepare(now, sender, x),
-        m.Promise: lambda self, now, sender, x: self.candidate.on_promise(now, x),
-        m.Refusal: lambda self, now, sender, x: self.on_refusal(now, sender, x),
-        m.Fetch: lambda self, now, sender, x: self.acceptor.on_fetch(now, sender, x),
-        m.Transfer: lambda self, now, sender, x: self.candidate.on_transfer(now, x),
-        m.Install: lambda self, now, sender, x: self.acceptor.on_install(now, sender, x),
-        m.Installed: lambda self, now, sender, x: self.candidate.on_installed(now, x),
-        m.Replicate: lambda self, now, sender, x: self.acceptor.on_replicate(now, sender, x),
-        m.CatchUp: lambda self, now, sender, x: self.acceptor.on_catch_up(now, sender, x),
-        m.Heartbeat: lambda self, now, sender, x: self.acceptor.on_heartbeat(now, sender, x),
-        m.Ack: lambda self, now, sender, x: self.primary_role.on_ack(now, sender, x),
-        m.ChunkAck: lambda self, now, sender, x: self.chunking.on_chunk_ack(now, sender, x),
-        m.LeaveGranted: lambda self, now, sender, x: self.graceful_leave.on_leave_granted(now, x),
-        m.HandOver: lambda self, now, sender, x: self.acceptor.on_hand_over(now, sender, x),
-    }
+        elif self.primary_role.supervision.has_majority(now):
+            # a member has promised a higher number; with the others at hand go on under a higher one
+            self.reconfigure(now)
+        else:
+            self.step_down(now)
--- a/shedgrade/replication/messages.py
+++ b/shedgrade/replication/messages.py
@@ -1,8 +1,12 @@
-"""What members say to one another, and the config of an epoch. All are msgspec Structs. Their tags and the
-order of their fields are what members of other versions read: a class or field may be renamed, a tag may not.
+"""What members send to one another, and the configuration of an epoch. All are msgspec Structs.
 
-A position (epoch, sequence) names one change: the epoch that decided it and its place in the one chain. An
-incarnation is the number that a process draws with an empty disk; 0 is a founder that was not heard yet."""
+Their tags and the order of their fields are what members of other versions read: a class or field may be
+renamed, a tag may not, and new fields come last, with a default. `number` of a message is the epoch number
+that a candidate tries for; `epoch` is that of an epoch that exists.
+
+An incarnation is the number that a process draws with an empty disk; 0 stands for a founder that was not
+heard yet. Addresses are link addresses.
+"""
 
 from __future__ import annotations
 
@@ -10,19 +14,20 @@
 
 from msgspec import Struct
 
+Changes = dict[str, bytes | None]  # new values by key; None: the key is removed
+
 
 class LogPosition(NamedTuple):
-    """One change: the epoch that decided it, and its number in the chain of changes."""
+    """One change: the epoch that decided it, and its number in the chain of changes, which goes on over
+    epochs.
+    """
 
     epoch: int
     sequence: int
 
 
-Changes = dict[str, bytes | None]
-
-
 class Peer(Struct, frozen=True, array_like=True):
-    """A process as the config of an epoch names it; `address` is its link address."""
+    """A process as the configuration of an epoch names it."""
 
     incarnation: int
     name: str
@@ -30,9 +35,11 @@
 
 
 class EpochConfig(Struct, frozen=True, array_like=True):
-    """`holders` and `primary` are incarnations. Until it is known that all holders have it (`active`), a
-    candidate needs a majority of `members` and one of `before`: another epoch may have been made from
-    those."""
+    """Who is what in an epoch. `holders` and `primary` are incarnations.
+
+    Until it is known that all holders have it (`active`), a candidate needs a majority of `members` and one
+    of `before`: another epoch may have been made from those.
+    """
 
     number: int
     primary: int
@@ -43,7 +50,10 @@
 
 
 class JoinRequest(Struct, frozen=True, tag="Hello", array_like=True):
-    """A process that wants to join, or that lost sight of the primary."""
+    """A process that wants to join, or that lost sight of the primary.
+
+    `known_epoch`: the newest epoch that it knows; `committed`: the committed state that it has in memory.
+    """
 
     incarnation: int
     name: str
@@ -54,14 +64,17 @@
 
 
 class PrimaryHint(Struct, frozen=True, tag="Whereabouts", array_like=True):
-    """Answer to a hello by who is not the primary: what it knows."""
+    """Answer to a join request by who is not the primary: what it knows. `primary`: only if it is heard."""
 
     primary: str | None
     epoch_config: EpochConfig
 
 
 class PreVote(Struct, frozen=True, tag="PreVote", array_like=True):
-    """Would you promise? Binds nobody."""
+    """Would you promise the epoch `number`? Binds nobody.
+
+    `known_epoch`: the newest epoch that the sender knows; `accepted_epoch` and `sequence`: of its state.
+    """
 
     incarnation: int
     number: int
@@ -71,6 +84,10 @@
 
 
 class PreVoteReply(Struct, frozen=True, tag="PreVoteReply", array_like=True):
+    """`promised_epoch`: the highest epoch promised or seen. `primary`: where the sender hears one.
+    `epoch_config`: if it is newer than what the asker knows.
+    """
+
     incarnation: int
     founding: bool
     number: int
@@ -81,7 +98,7 @@
 
 
 class Prepare(Struct, frozen=True, tag="Prepare", array_like=True):
-    """Asks for a promise to accept nothing under `number` from now on."""
+    """Asks for a promise to accept nothing under `number` from now on. `epoch_config`: the newest known."""
 
     incarnation: int
     number: int
@@ -89,8 +106,11 @@
 
 
 class Promise(Struct, frozen=True, tag="Promise", array_like=True):
-    """Synced before it is sent. `accepted_epoch` is the epoch as whose holder the sender has the state at
-    `log_position`; `committed` is the committed state that it has in memory, a witness too."""
+    """Synced before it is sent.
+
+    `accepted_epoch` is the epoch as whose holder the sender has the state at `log_position`; `committed` is
+    the committed state that it has in memory, a witness too.
+    """
 
     incarnation: int
     address: str
@@ -100,11 +120,11 @@
     accepted_epoch: int
     log_position: LogPosition
     committed: LogPosition
-    leaving: bool = False
+    is_leaving: bool = False
 
 
 class Refusal(Struct, frozen=True, tag="Refusal", array_like=True):
-    """The sender has promised a higher number, or knows a newer epoch."""
+    """The sender has promised a higher epoch than `number`, or knows a newer one."""
 
     incarnation: int
     number: int
@@ -121,7 +141,7 @@
 
 
 class Transfer(Struct, frozen=True, tag="Transfer", array_like=True):
-    """With `base` the changes lead from there to `log_position`, else they are all of it."""
+    """The answer. With `base` the changes lead from there to `log_position`, else they are all of it."""
 
     number: int
     log_position: LogPosition
@@ -131,7 +151,8 @@
 
 class Install(Struct, frozen=True, tag="Install", array_like=True):
     """A new epoch for one of its holders. With `base` the changes lead from there to `log_position`, else
-    they are all of it."""
+    they are all of it.
+    """
 
     epoch_config: EpochConfig
     log_position: LogPosition
@@ -140,12 +161,14 @@
 
 
 class Installed(Struct, frozen=True, tag="Installed", array_like=True):
+    """The sender has synced the epoch `number`."""
+
     incarnation: int
     number: int
 
 
 class Replicate(Struct, frozen=True, tag="Replicate", array_like=True):
-    """One write, from the primary to a backup."""
+    """One write, from the primary to a backup. `committed`: up to where all holders have synced."""
 
     epoch: int
     sequence: int
@@ -155,7 +178,8 @@
 
 class CatchUp(Struct, frozen=True, tag="Learn", array_like=True):
     """Committed state for who holds none. With `base` the changes lead from there, and from each position of
-    the chain between the two, to `log_position`, else they are all of it."""
+    the chain between the two, to `log_position`, else they are all of it.
+    """
 
     epoch: int
     log_position: LogPosition
@@ -164,9 +188,11 @@
 
 
 class Heartbeat(Struct, frozen=True, tag="Heartbeat", array_like=True):
-    """`read_index_round` numbers the confirming rounds of the primary, 0 asks for no ack; the config goes
-    with it to who lacks it. `confirmed_ago`: s since a majority of the members confirmed that the sender is
-    the primary."""
+    """From the primary to all.
+
+    `read_index_round` numbers the rounds that confirm the primary, 0 asks for no ack; `epoch_config` goes to
+    who lacks it. `confirmed_ago`: seconds since a majority of the members confirmed the sender.
+    """
 
     epoch: int
     read_index_round: int
@@ -176,9 +202,12 @@
 
 
 class Ack(Struct, frozen=True, tag="Ack", array_like=True):
-    """The answer to Heartbeat, Replicate and CatchUp. `received_sequence` and `durable_sequence` are
-    sequences in this epoch, or -1. `durable_position`: the position of the state on the sender's disk, which
-    may be none of the chain."""
+    """The answer to Heartbeat, Replicate and CatchUp.
+
+    `received_sequence` and `durable_sequence` are of changes in this epoch, or -1. `known_epoch`: the newest
+    epoch known as active. `durable_position`: of the state on the sender's disk, which may be none of the
+    chain.
+    """
 
     epoch: int
     incarnation: int
@@ -189,8 +218,8 @@
     committed: LogPosition
     known_epoch: int
     promised_epoch: int
-    healthy: bool
-    leaving: bool
+    is_healthy: bool
+    is_leaving: bool
     durable_position: LogPosition = LogPosition(0, 0)
 
 
@@ -207,7 +236,9 @@
 
 
 class Chunk(Struct, frozen=True, tag="Piece", array_like=True):
-    """Part `index` of `count` of a message that is too big to hold up the others behind it."""
+    """Chunk `index` of `count` of a message that is too big to hold up the others behind it. `id` is drawn by
+    the sender for each message.
+    """
 
     id: int
     index: int
@@ -216,7 +247,7 @@
 
 
 class ChunkAck(Struct, frozen=True, tag="PieceAck", array_like=True):
-    """`next`: the first piece that is still lacking."""
+    """`next`: the first chunk that is still missing."""
 
     id: int
     next: int
@@ -245,6 +276,6 @@
 )
 
 
-def size(changes: Changes) -> int:
+def size(changes: Changes | dict[str, bytes]) -> int:
     """Bytes of the values."""
     return sum(len(value) for value in changes.values() if value)
--- /dev/null
+++ b/shedgrade/replication/order_pipeline.py
@@ -0,0 +1,207 @@
+"""The primary's orders and reads: decide, write to all holders, commit, answer."""
+
+from __future__ import annotations
+
+from collections import deque
+from typing import TYPE_CHECKING, NamedTuple
+
+from shedgrade.replication.effects import Answer, Decision, OutcomeUnknown, ReadResult, Unavailable
+from shedgrade.replication.follower import Follower, InFlightWrite, PendingReply, QueuedOrder
+from shedgrade.replication.messages import Changes, LogPosition, Replicate, size
+from shedgrade.replication.replica_state import merge
+
+if TYPE_CHECKING:
+    from shedgrade.replication.primary import Primary
+
+MAX_IN_FLIGHT_BYTES = 256 * 1024  # no further write is begun while those not committed have as many
+QUEUED_TIMEOUTS = 2  # an order waits for room so many times `request_timeout_s`
+REPLY_TIMEOUTS = 3  # and one that was begun, or a read, so many times
+
+
+class DecidedOrder(NamedTuple):
+    """An order and what `decide` made of it."""
+
+    ticket: int
+    decision: Decision
+
+
+class OrderPipeline:
+    """Orders and reads of one primary. Nothing is decided or answered while the primary is not active.
+
+    `queue`: orders that wait for room, or for the end of an election of this process; oldest first.
+    `in_flight`: changes of this epoch that are not committed. Invariant while the primary is active: their
+    sequences follow on one another and end at the log position.
+    `replies`: what is to be answered, in the order of its sequences and rounds.
+    `own_durable_sequence`: the newest change of this epoch on the own disk.
+    """
+
+    def __init__(self, primary: Primary) -> None:
+        """Of the primary's role of one member."""
+        self.primary = primary
+        self.member = primary.member
+        self.queue: deque[QueuedOrder] = deque()
+        self.in_flight: deque[InFlightWrite] = deque()
+        self.replies: deque[PendingReply] = deque()
+        self.own_durable_sequence = -1
+
+    def begin_epoch(self) -> None:
+        """The log as it stands is committed; nothing else is in flight."""
+        self.own_durable_sequence = self.member.replica.log_position.sequence
+        self.in_flight.clear()
+
+    def abandon(self, now: float) -> None:
+        """Another primary decides now. What was written may be committed by it: its outcome is unknown."""
+        self.in_flight.clear()
+        replies, self.replies = self.replies, deque()
+        queue, self.queue = self.queue, deque()
+        pending = self.member.pending_requests
+        for reply in replies:
+            pending.add(now, reply.ticket, None, was_replicated=not reply.is_read, is_read=reply.is_read)
+        for order in queue:
+            pending.add(now, order.ticket, order.request)
+
+    # --- orders and reads
+
+    def order(self, now: float, ticket: int, request: object) -> None:
+        """Decide it as soon as there is room."""
+        self.queue.append(QueuedOrder(now, ticket, request))
+        self.advance_queue(now)
+
+    def read(self, now: float, ticket: int) -> None:
+        """Answer with the committed state once all holders confirm a round that begins now."""
+        sequence = self.member.replica.log_position.sequence
+        read_index_round = self.primary.start_read_index_round(now)
+        self.replies.append(PendingReply(ticket, None, sequence, read_index_round, True, now))
+        self.answer(now)
+
+    def advance_queue(self, now: float) -> None:
+        """Decide what waits, all of it as one write, while there is room."""
+        member, replica = self.member, self.member.replica
+        while self.primary.may_process_orders(now) and self.queue and self.has_room():
+            changes: Changes = {}
+            state = replica.state
+            decided: list[DecidedOrder] = []
+            while self.queue:
+                order = self.queue.popleft()
+                decision = member.decide(state, order.request)
+                decided.append(DecidedOrder(order.ticket, decision))
+                if decision.changes:
+                    state = merge(state, decision.changes)
+                    changes.update(decision.changes)
+            self.write(now, changes, decided)
+        self.answer(now)
+
+    def has_room(self) -> bool:
+        """Orders behind long writes wait and become one write: a key that they all change is sent once."""
+        if len(self.in_flight) >= self.member.PIPELINE:
+            return False
+        return sum(size(write.changes) for write in self.in_flight) < MAX_IN_FLIGHT_BYTES
+
+    def write(self, now: float, changes: Changes, decided: list[DecidedOrder]) -> None:
+        """Append the changes, and answer the orders once they are committed; without changes, once a round
+        confirms that what they were decided on is the newest.
+        """
+        member, replica = self.member, self.member.replica
+        sequence = replica.log_position.sequence + (1 if changes else 0)
+        read_index_round = 0 if changes else self.primary.start_read_index_round(now)
+        for ticket, decision in decided:
+            self.replies.append(
+                PendingReply(ticket, decision.outcome, sequence, read_index_round, False, now)
+            )
+        if not changes:
+            return
+        epoch = self.primary.epoch
+        timing = member.timing
+        late_at = now + timing.write_timeout_s + size(changes) / timing.bytes_per_second
+        self.in_flight.append(InFlightWrite(sequence, changes, late_at))
+        replica.append(now, sequence, changes, lambda at: self.on_own_write_durable(at, epoch, sequence))
+        for incarnation in self.primary.holders:
+            self.replicate(now, self.primary.followers[incarnation], sequence, changes)
+
+    # --- replication and commit
+
+    def replicate(self, now: float, follower: Follower, sequence: int, changes: Changes) -> None:
+        """Send one change to a holder."""
+        timing = self.member.timing
+        follower.sent_sequence = max(follower.sent_sequence, sequence)
+        follower.resend_at = now + (timing.resend_interval_s + size(changes) / timing.bytes_per_second)
+        committed = self.member.replica.committed.position
+        self.member.send(follower.address, Replicate(self.primary.epoch, sequence, committed, changes))
+
+    def resend(self, now: float, follower: Follower) -> None:
+        """All that the holder has not received."""
+        for write in self.in_flight:
+            if write.sequence > follower.received_sequence:
+                self.replicate(now, follower, write.sequence, write.changes)
+
+    def on_own_write_durable(self, now: float, epoch: int, sequence: int) -> None:
+        """A change is on the own disk."""
+        if self.primary.active and epoch == self.primary.epoch:
+            self.own_durable_sequence = max(self.own_durable_sequence, sequence)
+            self.advance_commit(now)
+
+    def advance_commit(self, now: float) -> None:
+        """What all holders have synced is committed."""
+        primary = self.primary
+        durable = [primary.followers[each].durable_sequence for each in primary.holders]
+        done = min([self.own_durable_sequence, *durable])
+        moved = False
+        while self.in_flight and self.in_flight[0].sequence <= done:
+            write = self.in_flight.popleft()
+            self.member.replica.commit(LogPosition(primary.epoch, write.sequence))
+            moved = True
+        if moved:
+            self.answer(now)
+            primary.announce_committed(now)
+            self.advance_queue(now)
+
+    # --- answers
+
+    def answer(self, now: float) -> None:
+        """Answer what is committed, and confirmed by a round."""
+        primary, replica = self.primary, self.member.replica
+        if not primary.active:
+            return
+        committed = self.in_flight[0].sequence - 1 if self.in_flight else replica.log_position.sequence
+        confirmed = min(
+            (primary.followers[each].read_index_round for each in primary.holders),
+            default=primary.read_index_round,
+        )
+        while self.replies:
+            reply = self.replies[0]
+            if reply.sequence > committed or reply.read_index_round > confirmed:
+                break
+            self.replies.popleft()
+            outcome = ReadResult(*replica.committed) if reply.is_read else reply.outcome
+            self.member.effects.append(Answer(reply.ticket, outcome))
+
+    def expire(self, now: float) -> None:
+        """No order or read waits for ever."""
+        timeout_s = self.member.timing.request_timeout_s
+        while self.queue and now - self.queue[0].since >= QUEUED_TIMEOUTS * timeout_s:
+            self.member.effects.append(Answer(self.queue.popleft().ticket, Unavailable()))
+        while self.replies and now - self.replies[0].since >= REPLY_TIMEOUTS * timeout_s:
+            reply = self.replies.popleft()
+            outcome = Unavailable() if reply.is_read else OutcomeUnknown()
+            self.member.effects.append(Answer(reply.ticket, outcome))
+
+    # --- time
+
+    def wake_at(self, now: float) -> float:
+        """When a write that is in flight becomes late."""
+        return min((write.late_at for write in self.in_flight if write.late_at > now), default=float("inf"))
+
+    def queue_wake_at(self) -> float:
+        """When the oldest order in the queue expires."""
+        if not self.queue:
+            return float("inf")
+        return self.queue[0].since + QUEUED_TIMEOUTS * self.member.timing.request_timeout_s
+
+    def check_invariants(self) -> None:
+        """Raises AssertionError if an attribute contradicts another."""
+        if not self.primary.active or not self.in_flight:
+            return
+        sequences = [write.sequence for write in self.in_flight]
+        last = self.member.replica.log_position.sequence
+        assert sequences == list(range(last - len(sequences) + 1, last + 1)), "a gap in the writes in flight"
+        assert len(sequences) <= self.member.PIPELINE, "more writes in flight than the pipeline has"
--- a/shedgrade/replication/pending_requests.py
+++ b/shedgrade/replication/pending_requests.py
@@ -2,41 +2,81 @@
 
 from __future__ import annotations
 
+from typing import TYPE_CHECKING, NamedTuple
+
 from shedgrade.replication.effects import Answer, OutcomeUnknown, RedirectToPrimary, Unavailable
 
+if TYPE_CHECKING:
+    from shedgrade.replication.member import Member
+
+Outcome = Unavailable | OutcomeUnknown | RedirectToPrimary
+
+
+class PendingRequest(NamedTuple):
+    """An order or a read that waits until a primary is known.
+
+    `until`: seconds of the steady clock, then it is answered in any case. `was_replicated`: its change was
+    sent to others under an epoch that is over, so that it may be committed or not.
+    """
+
+    until: float
+    ticket: int
+    request: object
+    was_replicated: bool
+    is_read: bool
+
 
 class PendingRequests:
-    """Orders and reads that wait for a primary to be known."""
+    """Requests that wait for a primary to be known. `entries` are in the order of their arrival."""
 
-    def __init__(self, member):
+    def __init__(self, member: Member) -> None:
+        """Of the member that answers them."""
         self.member = member
-        self.entries: list[tuple[float, int, object, bool, bool]] = []
+        self.entries: list[PendingRequest] = []
 
-    def add(self, now: float, ticket: int, request, *, shipped: bool = False, read: bool = False) -> None:
-        self.entries.append((now + self.member.timing.request_timeout_s, ticket, request, shipped, read))
+    def add(
+        self, now: float, ticket: int, request: object, *, was_replicated: bool = False, is_read: bool = False
+    ) -> None:
+        """Keep a request for `request_timeout_s`."""
+        until = now + self.member.timing.request_timeout_s
+        self.entries.append(PendingRequest(until, ticket, request, was_replicated, is_read))
 
     def resolve(self, now: float) -> None:
-        member = self.member
+        """Process what this member can process as primary, answer what can be answered; the rest stays."""
         if not self.entries:
             return
         entries, self.entries = self.entries, []
-        for until, ticket, request, shipped, read in entries:
-            if (
-                member.primary_role.active and shipped
-            ):  # deciding it again could refuse what was committed meanwhile
-                outcome = OutcomeUnknown()
-            elif member.primary_role.active and (read or not member.graceful_leave.draining):
-                member.primary_role.read(now, ticket) if read else member.primary_role.order(
-                    now, ticket, request
-                )
+        for entry in entries:
+            if self.process(now, entry):
                 continue
-            elif member.hears_primary(now) and member.primary != member.address:
-                outcome = RedirectToPrimary(member.primary)
-            elif member.has_primary_hint(now):
-                outcome = RedirectToPrimary(member.primary_hint)
-            elif now >= until:
-                outcome = OutcomeUnknown() if shipped else Unavailable()
+            outcome = self.outcome(now, entry)
+            if outcome is None:
+                self.entries.append(entry)
             else:
-                self.entries.append((until, ticket, request, shipped, read))
-                continue
-            member.effects.append(Answer(ticket, outcome))
+                self.member.effects.append(Answer(entry.ticket, outcome))
+
+    def process(self, now: float, entry: PendingRequest) -> bool:
+        """Hand it to the primary's role of this process. Returns whether that takes it."""
+        member = self.member
+        if not member.primary_role.active or entry.was_replicated:
+            return False
+        if entry.is_read:
+            member.primary_role.orders.read(now, entry.ticket)
+            return True
+        if member.graceful_leave.draining:
+            return False
+        member.primary_role.orders.order(now, entry.ticket, entry.request)
+        return True
+
+    def outcome(self, now: float, entry: PendingRequest) -> Outcome | None:
+        """What is answered now, None: nothing yet."""
+        member, monitor = self.member, self.member.primary_monitor
+        if member.primary_role.active and entry.was_replicated:
+            return OutcomeUnknown()  # deciding it again could refuse what was committed meanwhile
+        if monitor.primary is not None and monitor.is_heard(now) and monitor.primary != member.address:
+            return RedirectToPrimary(monitor.primary)
+        if monitor.hint is not None and monitor.has_hint(now):
+            return RedirectToPrimary(monitor.hint)
+        if now >= entry.until:
+            return OutcomeUnknown() if entry.was_replicated else Unavailable()
+        return None
--- a/shedgrade/replication/quorums.py
+++ b/shedgrade/replication/quorums.py
@@ -15,15 +15,32 @@
 
 from shedgrade.replication.messages import EpochConfig, Peer
 
-ChangeOfMembers = Callable[[tuple[Peer, ...]], tuple[Peer, ...]]
+
+class ChangeOfMembers(Protocol):
+    """Members to new members. `number`: the epoch whose members it is meant for."""
+
+    @property
+    def number(self) -> int:
+        """The epoch."""
+
+    def __call__(self, members: tuple[Peer, ...]) -> tuple[Peer, ...]:
+        """The new members."""
 
 
 class Voter(Protocol):
     """Who gave a promise, or a pre-vote."""
 
-    incarnation: int
-    address: str
-    founding: bool
+    @property
+    def incarnation(self) -> int:
+        """The number of the process."""
+
+    @property
+    def address(self) -> str:
+        """Its link address."""
+
+    @property
+    def founding(self) -> bool:
+        """Whether it is one of the processes that found the core."""
 
 
 class Groups(NamedTuple):
@@ -41,6 +58,7 @@
 
 
 def majority(peers: tuple[Peer, ...]) -> int:
+    """How many of the peers outnumber the rest."""
     return len(peers) // 2 + 1
 
 
@@ -50,6 +68,7 @@
 
 
 def is_among(peers: Iterable[Peer], voter: Voter) -> bool:
+    """Whether the voter is one of the peers."""
     return any(matches(peer, voter.incarnation, voter.address, voter.founding) for peer in peers)
 
 
@@ -72,7 +91,9 @@
     return config.members if config.active else config.members + config.before
 
 
-def next_groups(base: EpochConfig, change: ChangeOfMembers | None = None) -> Groups:
+def next_groups(
+    base: EpochConfig, change: Callable[[tuple[Peer, ...]], tuple[Peer, ...]] | None = None
+) -> Groups:
     """The groups of an epoch made from `base`. Members change only from an epoch known to be active."""
     if not base.active:
         return Groups(base.members, base.before)
--- a/shedgrade/replication/reconfiguration.py
+++ b/shedgrade/replication/reconfiguration.py
@@ -2,29 +2,75 @@
 
 from __future__ import annotations
 
+from typing import TYPE_CHECKING, NamedTuple
+
+from shedgrade.replication.follower import Follower
 from shedgrade.replication.messages import EpochConfig, JoinRequest, Peer, PrimaryHint
 
+if TYPE_CHECKING:
+    from shedgrade.replication.member import Member
+    from shedgrade.replication.primary import Primary
+
+
+class Replacement(NamedTuple):
+    """A member that gives its place to another process, or to itself at another address."""
+
+    old: Peer
+    new: Peer
+
+
+class ReceivedJoinRequest(NamedTuple):
+    """A join request, and when it came."""
+
+    received_at: float
+    request: JoinRequest
+
+
+class MembershipChange:
+    """Members to new members: each old one replaced, and `added` beside all. Meant for the epoch `number`."""
+
+    __slots__ = ("number", "replaced", "added")
+
+    def __init__(self, number: int, replacements: list[Replacement], added: Peer | None = None) -> None:
+        """`number`: of the epoch whose members are changed."""
+        self.number = number
+        self.added = added
+        self.replaced = {(old.incarnation, old.address): new for old, new in replacements}
+
+    def __call__(self, members: tuple[Peer, ...]) -> tuple[Peer, ...]:
+        """The new members, in the order of the old ones."""
+        kept = tuple(self.replaced.get((peer.incarnation, peer.address), peer) for peer in members)
+        return kept if self.added is None else (*kept, self.added)
+
+
+def as_peer(follower: Follower) -> Peer:
+    """A follower as a member."""
+    return Peer(follower.incarnation, follower.name, follower.address)
+
 
 class Reconfiguration:
-    """Hellos while no primary is heard, and the next change of members that the primary should make."""
+    """Join requests while no primary is heard, and the next change of members that a primary should make.
+    Times are seconds of the steady clock.
+
+    `join_request_at`: when the next join requests go out, if no primary is heard by then.
+    `recent_requests`: by link address, the last join request from there, for `join_request_ttl_s`.
+    """
 
-    def __init__(self, member):
+    def __init__(self, member: Member) -> None:
+        """Of the member that asks, or is asked."""
         self.member = member
         self.join_request_at = 0.0
-        self.recent_requests: dict[
-            str, tuple[float, JoinRequest]
-        ] = {}  # by address: the last hello to this process
+        self.recent_requests: dict[str, ReceivedJoinRequest] = {}
+
+    # --- finding the primary
 
     def send_join_requests(self, now: float) -> None:
+        """To all addresses where a member may be."""
         member, replica = self.member, self.member.replica
         self.join_request_at = now + member.timing.join_request_interval_s
-        targets = (
-            {peer.address for peer in replica.epoch_config.members}
-            | set(member.seeds)
-            | {member.primary_hint}
-        )
-        targets |= set(replica.founders or ())
-        message = JoinRequest(
+        targets: set[str | None] = {peer.address for peer in replica.epoch_config.members}
+        targets |= {*member.seeds, *(replica.founders or ()), member.primary_monitor.hint}
+        request = JoinRequest(
             replica.incarnation,
             member.name,
             member.address,
@@ -33,58 +79,69 @@
             replica.committed.position,
         )
         for address in sorted(each for each in targets if each and each != member.address):
-            member.send(address, message)
+            member.send(address, request)
 
     def on_join_request(self, now: float, sender: str, request: JoinRequest) -> None:
+        """Another process looks for the primary: this one answers if it is the primary, or with a hint."""
         member = self.member
-        member.note_address(request.incarnation, request.address, request.name)
+        member.peers.note_address(request.incarnation, request.address, request.name)
         if request.founding:
-            member.founders[request.address] = request.incarnation
-        for address in [
-            each for each, (at, _) in self.recent_requests.items() if now - at >= self.join_request_ttl_s()
-        ]:
-            del self.recent_requests[address]
-        self.recent_requests[request.address] = now, request
-        if request.address == member.primary and request.incarnation != member.replica.epoch_config.primary:
-            member.primary_lost(now)
+            member.peers.founders[request.address] = request.incarnation
+        self.note_request(now, request)
+        config = member.replica.epoch_config
+        if request.address == member.primary and request.incarnation != config.primary:
+            member.on_primary_restarted(now)
         if member.primary_role.active:
             member.primary_role.on_join_request(now, request)
-        elif not (request.founding and member.replica.epoch_config.number == 0):
+        elif not (request.founding and member.epoch == 0):
             primary = member.primary if member.hears_primary(now) else None
-            member.send(sender, PrimaryHint(primary, member.replica.epoch_config))
+            member.send(sender, PrimaryHint(primary, config))
+
+    def note_request(self, now: float, request: JoinRequest) -> None:
+        """Remember it, and forget what is too old."""
+        ttl_s = self.join_request_ttl_s()
+        for address, received in list(self.recent_requests.items()):
+            if now - received.received_at >= ttl_s:
+                del self.recent_requests[address]
+        self.recent_requests[request.address] = ReceivedJoinRequest(now, request)
 
     def join_request_ttl_s(self) -> float:
-        """How long a hello counts, in s: the next one may be under way."""
+        """How long a join request counts: the next one may be under way."""
         return 2 * self.member.timing.join_request_interval_s
 
     def recent_join_requests(self, now: float) -> list[JoinRequest]:
-        """A new primary need not wait for the next hello of who asked while it was none."""
+        """A new primary need not wait for the next request of who asked while it was none."""
+        ttl_s = self.join_request_ttl_s()
         return [
-            request for at, request in self.recent_requests.values() if now - at < self.join_request_ttl_s()
+            received.request
+            for received in self.recent_requests.values()
+            if now - received.received_at < ttl_s
         ]
 
     def on_primary_hint(self, now: float, sender: str, hint: PrimaryHint) -> None:
-        if hint.epoch_config.active:
-            if hint.epoch_config.number > self.member.replica.epoch_config.number:
-                self.join_request_at = min(
-                    self.join_request_at, now
-                )  # there may be members who were not asked yet
-            self.member.replica.adopt_epoch_config(now, hint.epoch_config)
+        """The answer to a join request by who is not the primary."""
+        config = hint.epoch_config
+        if config.active:
+            if config.number > self.member.epoch:
+                self.join_request_at = min(self.join_request_at, now)  # members may be new who were not asked
+            self.member.replica.adopt_epoch_config(now, config)
         if hint.primary:
             self.member.note_primary_hint(now, hint.primary)
 
     def founded_enough(self, now: float) -> bool:
         """All founders were heard, or the time for it is over."""
         member = self.member
-        heard = {member.address, *member.founders} & set(member.replica.founders or ())
-        return (
-            len(heard) == len(member.replica.founders or ())
-            or now >= member.incarnation_durable_at + member.timing.founding_timeout_s
-        )
+        founders = set(member.replica.founders or ())
+        heard = {member.address, *member.peers.founders} & founders
+        over_at = member.incarnation_durable_at + member.timing.founding_timeout_s
+        return len(heard) == len(founders) or now >= over_at
+
+    # --- changes of members
 
-    def replacements_of_lost_disks(self, now: float, config: EpochConfig):
+    def replacements_of_lost_disks(self, now: float, config: EpochConfig) -> MembershipChange | None:
         """The change that a candidate makes with its first epoch: members that lost their disks and have
-        asked to join again lately."""
+        asked to join again lately.
+        """
         if not config.number:
             return None
         others = {
@@ -94,113 +151,107 @@
         }
         present = {peer.incarnation for peer in config.members}
         replaced = [
-            (others[request.address], Peer(request.incarnation, request.name, request.address))
+            Replacement(others[request.address], Peer(request.incarnation, request.name, request.address))
             for request in self.recent_join_requests(now)
             if request.address in others and request.incarnation not in present
         ]
-        return Change(config.number, replaced) if replaced else None
+        return MembershipChange(config.number, replaced) if replaced else None
 
-    def change(self, now: float, primary_role, config: EpochConfig):
-        """The next change of members as a function, or None.
+    def change(self, now: float, primary: Primary, config: EpochConfig) -> MembershipChange | None:
+        """The next change of members, or None.
 
         All replacements that are due are made at once: the quorums of both groups bind until the epoch is
-        active, whatever they have in common. Members are added one at a time."""
+        active, whatever they have in common. Members are added one at a time.
+        """
         present = {peer.incarnation for peer in config.members}
         non_members = [
             follower
-            for follower in primary_role.followers.values()
-            if follower.incarnation not in present and primary_role.may_join(now, follower)
+            for follower in primary.followers.values()
+            if follower.incarnation not in present and primary.supervision.may_join(now, follower)
         ]
         non_members.sort(key=lambda follower: follower.known_since)
-        replaced = self.returned(now, primary_role, config, non_members) + self.moved(
-            now, primary_role, config
-        )
-        taken = {new.incarnation for _, new in replaced}
-        non_members = [non_member for non_member in non_members if non_member.incarnation not in taken]
-        replaced += self.unreachable(now, primary_role, config, non_members, {id(old) for old, _ in replaced})
+        replaced = self.returned(now, primary, config, non_members) + self.moved(now, primary, config)
+        taken = {replacement.new.incarnation for replacement in replaced}
+        non_members = [each for each in non_members if each.incarnation not in taken]
+        handled = {id(replacement.old) for replacement in replaced}
+        replaced += self.unreachable(now, primary, config, non_members, handled)
         if replaced:
-            return Change(config.number, replaced)
-        return self.addition(now, primary_role, config, non_members)
+            return MembershipChange(config.number, replaced)
+        return self.addition(now, primary, config, non_members)
 
     def returned(
-        self, now: float, primary_role, config: EpochConfig, non_members: list
-    ) -> list[tuple[Peer, Peer]]:
-        """Members whose disk was lost, each with its next life: the old one will never speak again."""
-        replaced: list[tuple[Peer, Peer]] = []
+        self, now: float, primary: Primary, config: EpochConfig, non_members: list[Follower]
+    ) -> list[Replacement]:
+        """Members whose disk was lost, each with its next incarnation: the old one will never speak again."""
+        replaced: list[Replacement] = []
         others = [peer for peer in config.members if peer.incarnation != self.member.replica.incarnation]
-        for non_member in non_members:
+        for follower in non_members:
             old = next(
-                (each for each in others if self.is_former_incarnation(now, primary_role, each, non_member)),
-                None,
+                (each for each in others if self.is_former_incarnation(now, primary, each, follower)), None
             )
             if old is not None:
                 others.remove(old)
-                replaced.append((old, as_peer(non_member)))
+                replaced.append(Replacement(old, as_peer(follower)))
         return replaced
 
-    def is_former_incarnation(self, now: float, primary_role, old: Peer, non_member) -> bool:
-        """Whether the non_member is the member's machine with an empty disk, or its successor by name."""
-        if old.address == non_member.address:
+    def is_former_incarnation(self, now: float, primary: Primary, old: Peer, follower: Follower) -> bool:
+        """Whether the follower is the member's machine with an empty disk, or its successor by name."""
+        if old.address == follower.address:
             return True
-        known = primary_role.followers.get(old.incarnation)
-        silent = known is None or not primary_role.heard_recently(now, known)
-        return bool(old.name) and old.name == non_member.name and silent
+        known = primary.followers.get(old.incarnation)
+        is_silent = known is None or not primary.supervision.heard_recently(now, known)
+        return bool(old.name) and old.name == follower.name and is_silent
 
-    def moved(self, now: float, primary_role, config: EpochConfig) -> list[tuple[Peer, Peer]]:
-        """Members that speak from another address than the config names."""
+    def moved(self, now: float, primary: Primary, config: EpochConfig) -> list[Replacement]:
+        """Members that are heard from another address than the configuration names."""
         found = []
         for old in config.members:
-            follower = primary_role.followers.get(old.incarnation)
-            if follower and follower.address != old.address and primary_role.heard_recently(now, follower):
-                found.append((old, Peer(old.incarnation, old.name, follower.address)))
+            follower = primary.followers.get(old.incarnation)
+            if follower is None or follower.address == old.address:
+                continue
+            if primary.supervision.heard_recently(now, follower):
+                found.append(Replacement(old, Peer(old.incarnation, old.name, follower.address)))
         return found
 
     def unreachable(
-        self, now: float, primary_role, config: EpochConfig, non_members: list, but: set[int]
-    ) -> list[tuple[Peer, Peer]]:
-        """Members silent for long, the longest first, each with a newcomer."""
-        silent = []
-        for old in config.members:
-            if old.incarnation != self.member.replica.incarnation and id(old) not in but:
-                follower = primary_role.followers.get(old.incarnation)
-                silent.append((follower.last_message_at if follower else primary_role.epoch_began_at, old))
-        silent.sort(key=lambda each: each[0])
-        due = [
-            old
-            for last_message_at, old in silent
-            if now - last_message_at > self.member.timing.member_replacement_timeout_s
-        ]
-        return [(old, as_peer(non_member)) for old, non_member in zip(due, non_members, strict=False)]
+        self,
+        now: float,
+        primary: Primary,
+        config: EpochConfig,
+        non_members: list[Follower],
+        handled: set[int],
+    ) -> list[Replacement]:
+        """Members not heard for long, the longest first, each with a newcomer. `handled`: ids of the peers
+        that are replaced already.
+        """
+        own = self.member.replica.incarnation
+        timeout_s = self.member.timing.member_replacement_timeout_s
+
+        def last_message_at(peer: Peer) -> float:
+            follower = primary.followers.get(peer.incarnation)
+            return follower.last_message_at if follower else primary.epoch_began_at
 
-    def addition(self, now: float, primary_role, config: EpochConfig, non_members: list):
+        others = [peer for peer in config.members if peer.incarnation != own and id(peer) not in handled]
+        due = [peer for peer in others if now - last_message_at(peer) > timeout_s]
+        due.sort(key=last_message_at)
+        pairs = zip(due, non_members, strict=False)
+        return [Replacement(old, as_peer(follower)) for old, follower in pairs]
+
+    def addition(
+        self, now: float, primary: Primary, config: EpochConfig, non_members: list[Follower]
+    ) -> MembershipChange | None:
         """One member more needs a majority of holders that are members already."""
+        size = len(config.members)
+        if not non_members or size > 2 * self.member.tolerated:
+            return None
         others = [
-            primary_role.followers.get(peer.incarnation)
+            primary.followers.get(peer.incarnation)
             for peer in config.members
             if peer.incarnation != self.member.replica.incarnation
         ]
-        eligible = 1 + sum(
-            follower is not None and primary_role.is_eligible(now, follower) for follower in others
+        eligible = sum(
+            follower is not None and primary.supervision.is_eligible(now, follower) for follower in others
         )
-        size = len(config.members)
-        if non_members and size <= 2 * self.member.tolerated and eligible > (size + 1) // 2:
-            return Change(config.number, [], as_peer(non_members[0]))
-        return None
-
-
-def as_peer(follower) -> Peer:
-    return Peer(follower.incarnation, follower.name, follower.address)
-
-
-class Change:
-    """Members to new members: each (old, new) pair replaced, and `added` beside all."""
-
-    __slots__ = ("number", "replaced", "added")
-
-    def __init__(self, number: int, replaced: list[tuple[Peer, Peer]], added: Peer | None = None):
-        self.number, self.added = number, added
-        self.replaced = {(old.incarnation, old.address): new for old, new in replaced}
-
-    def __call__(self, members: tuple[Peer, ...]) -> tuple[Peer, ...]:
-        kept = tuple(self.replaced.get((peer.incarnation, peer.address), peer) for peer in members)
-        return kept if self.added is None else (*kept, self.added)
+        if 1 + eligible <= (size + 1) // 2:
+            return None
+        return MembershipChange(config.number, [], as_peer(non_members[0]))
--- a/shedgrade/replication/replica_state.py
+++ b/shedgrade/replication/replica_state.py
@@ -1,39 +1,38 @@
-"""What one member holds: its promise, the newest epoch it knows, the state and its position, what is
-committed.
-"""
+"""What one member holds: its promise, the newest epoch it knows, the log's state, what of it is committed."""
 
 from __future__ import annotations
 
 from collections import deque
-from collections.abc import Sequence
-from typing import NamedTuple
+from collections.abc import Mapping, Sequence
+from random import Random
+from typing import Any, NamedTuple
 
 import msgspec
 
 from shedgrade.replication.change_index import ChangeIndex
-from shedgrade.replication.disk_writer import DiskWriter
-from shedgrade.replication.effects import Committed
+from shedgrade.replication.disk_writer import DiskWriter, DurableCallback
+from shedgrade.replication.effects import Committed, Instruction
 from shedgrade.replication.messages import Changes, EpochConfig, LogPosition, Peer
 from shedgrade.replication.quorums import newest
 
-INCARNATION_KEY, PROMISE_KEY, EPOCH_KEY, POSITION_KEY, FOUNDERS_KEY = (
-    "replication/incarnation",
-    "replication/promise",
-    "replication/epoch",
-    "replication/place",
-    "replication/founding",
-)
+# Keys on the disk. Their names are stored: they stay, whatever the attributes are called.
+INCARNATION_KEY = "replication/incarnation"
+PROMISE_KEY = "replication/promise"
+EPOCH_KEY = "replication/epoch"
+POSITION_KEY = "replication/place"
+FOUNDERS_KEY = "replication/founding"
 STATE_PREFIX = "state/"
 
+ReplicatedState = dict[str, bytes]
 _encode = msgspec.msgpack.encode
 
 
-def _decode(found, key, kind, default):
+def _decode(found: Mapping[str, bytes], key: str, kind: Any, default: Any) -> Any:
     data = found.get(key)
     return default if data is None else msgspec.msgpack.decode(data, type=kind)
 
 
-def merge(state: dict[str, bytes], changes: Changes) -> dict[str, bytes]:
+def merge(state: ReplicatedState, changes: Changes) -> ReplicatedState:
     """A new state; the given one is left as it is."""
     merged = dict(state)
     for key, value in changes.items():
@@ -44,6 +43,11 @@
     return merged
 
 
+def as_state(changes: Changes) -> ReplicatedState:
+    """The state that the changes make of an empty one."""
+    return merge({}, changes)
+
+
 class PromisedEpoch(NamedTuple):
     """The highest epoch promised, and the incarnation of the candidate it was promised to."""
 
@@ -52,13 +56,11 @@
 
 
 class CommittedState(NamedTuple):
-    """A committed state and its position: the epoch that decided its last change, and that change's
-    number.
-    """
+    """A committed state and its position: the epoch that decided its last change, and its sequence."""
 
     epoch: int
     sequence: int
-    state: dict[str, bytes]
+    state: ReplicatedState
 
     @property
     def position(self) -> LogPosition:
@@ -66,62 +68,108 @@
         return LogPosition(self.epoch, self.sequence)
 
 
+class LogEntry(NamedTuple):
+    """The whole state as it is after the change at a position."""
+
+    position: LogPosition
+    state: ReplicatedState
+
+
 class ReplicaState:
-    """`promised_epoch`: (number, incarnation of the candidate). `accepted`: the epoch as whose holder the
-    state was taken; 0 for a witness. `uncommitted`: states after the committed one, by position. `durable`
-    and `installed`: the position and the epoch that are synced."""
+    """The durable and the volatile state of one member.
+
+    Written to the disk by each method that changes it:
+
+    - `incarnation`: the number that this process drew when its disk was empty; odd, never 0. `is_new`: drawn
+      by this process, not found on the disk.
+    - `founders`: link addresses of the processes that found the core, None if this process founds none;
+      `founding`: whether it does.
+    - `promised_epoch`: nothing of a lower epoch is accepted. Only grows.
+    - `epoch_config`: the newest epoch known, its number 0 before the first one. Only grows. Invariant: its
+      number is at most the promised one.
+    - `accepted_epoch`: the epoch as whose holder the state was taken, 0 for a witness. Invariant: at most
+      the number of `epoch_config`.
+    - `log_position`, `state`: the state as a holder, and the position of its last change. Goes back only when
+      an epoch is installed that was made without the changes dropped.
+
+    Of what is on the disk by now:
+
+    - `durable_position`, `installed_epoch`: the `log_position` and `accepted_epoch` that are synced.
+
+    In memory only:
+
+    - `committed`: the newest committed state known, also at a witness. Never goes back.
+    - `uncommitted`: the states after the committed one, oldest first. Invariant: positions grow, the last one
+      is `log_position`.
+    - `change_index`: which keys changed since when. Invariant: ends at `log_position`.
+    """
 
     def __init__(
-        self, found, disk_writer: DiskWriter, effects: list, seeds: tuple[str, ...], founding: bool, random
-    ):
+        self,
+        found: Mapping[str, bytes] | None,
+        disk_writer: DiskWriter,
+        effects: list[Instruction],
+        seeds: tuple[str, ...],
+        founding: bool,
+        random: Random,
+    ) -> None:
+        """`found`: what is on the disk; `founding` counts only if that is nothing."""
         found = found or {}
-        self.disk_writer, self.effects = disk_writer, effects
-        self.incarnation = _decode(found, INCARNATION_KEY, int, 0)
+        self.disk_writer = disk_writer
+        self.effects = effects
+        self.incarnation: int = _decode(found, INCARNATION_KEY, int, 0)
         self.is_new = not self.incarnation
         founders = _decode(found, FOUNDERS_KEY, tuple[str, ...] | None, None)
         if self.is_new:
             self.incarnation = random.getrandbits(62) | 1
             founders = seeds if founding else None
+        self.founders: tuple[str, ...] | None = founders
         self.founding = founders is not None
-        nobody = EpochConfig(0, 0, (), tuple(Peer(0, "", seed) for seed in founders or ()), (), True)
-        self.founders = founders
-        self.promised_epoch = _decode(found, PROMISE_KEY, PromisedEpoch, PromisedEpoch(0, 0))
-        self.epoch_config: EpochConfig = _decode(found, EPOCH_KEY, EpochConfig, nobody)
-        self.accepted_epoch, self.log_position = _decode(
+        no_epoch = EpochConfig(0, 0, (), tuple(Peer(0, "", seed) for seed in founders or ()), (), True)
+        self.promised_epoch: PromisedEpoch = _decode(found, PROMISE_KEY, PromisedEpoch, PromisedEpoch(0, 0))
+        self.epoch_config: EpochConfig = _decode(found, EPOCH_KEY, EpochConfig, no_epoch)
+        accepted_epoch, log_position = _decode(
             found, POSITION_KEY, tuple[int, LogPosition], (0, LogPosition(0, 0))
         )
-        self.state = {
+        self.accepted_epoch: int = accepted_epoch
+        self.log_position: LogPosition = log_position
+        self.state: ReplicatedState = {
             key[len(STATE_PREFIX) :]: value for key, value in found.items() if key.startswith(STATE_PREFIX)
         }
-        self.durable_position, self.installed_epoch = self.log_position, self.accepted_epoch
-        self.uncommitted: deque[tuple[LogPosition, dict[str, bytes]]] = deque(
-            [(self.log_position, self.state)]
-        )
+        self.durable_position = self.log_position
+        self.installed_epoch = self.accepted_epoch
+        self.uncommitted: deque[LogEntry] = deque([LogEntry(self.log_position, self.state)])
         self.committed = CommittedState(0, 0, {})
         self.change_index = ChangeIndex(self.log_position)
 
-    def persist_incarnation(self, now: float, done) -> None:
-        """Before the first word: the incarnation is synced, or it could be another after a loss of power."""
+    def persist_incarnation(self, now: float, on_durable: DurableCallback) -> None:
+        """Before the first message: else the incarnation could be another after a loss of power."""
         changes: Changes = {INCARNATION_KEY: _encode(self.incarnation)}
         if self.founders is not None:
             changes[FOUNDERS_KEY] = _encode(self.founders)
-        self.disk_writer.save(now, changes, done)
+        self.disk_writer.save(now, changes, on_durable)
 
     def has_member(self, incarnation: int) -> bool:
+        """Whether the newest epoch known names it."""
         return any(peer.incarnation == incarnation for peer in self.epoch_config.members)
 
     def is_holder(self) -> bool:
+        """Whether this process holds the state in the newest epoch known."""
         return self.incarnation in self.epoch_config.holders
 
     def is_member(self) -> bool:
+        """Whether the newest epoch known names this process."""
         return self.has_member(self.incarnation)
 
-    def promise_to(self, now: float, number: int, candidate: int, done=None) -> None:
+    def promise_to(
+        self, now: float, number: int, candidate: int, on_durable: DurableCallback | None = None
+    ) -> None:
+        """Accept nothing of a lower epoch from now on. The promise counts once `on_durable` was called."""
         self.promised_epoch = PromisedEpoch(number, candidate)
-        self.disk_writer.save(now, {PROMISE_KEY: _encode(self.promised_epoch)}, done)
+        self.disk_writer.save(now, {PROMISE_KEY: _encode(self.promised_epoch)}, on_durable)
 
     def adopt_epoch_config(self, now: float, config: EpochConfig) -> None:
-        """Keep a newer epoch that is known to be active (or the word that this one is)."""
+        """Keep a newer epoch that is known to be active (or that the one known here is)."""
         if newest(self.epoch_config, config) is self.epoch_config:
             return
         self.epoch_config = config
@@ -136,110 +184,120 @@
         now: float,
         config: EpochConfig,
         position: LogPosition,
-        state: dict[str, bytes],
+        state: ReplicatedState,
         changes: Changes | None,
-        done,
+        on_durable: DurableCallback,
     ) -> None:
-        """Hold the epoch with this state. `changes` lead there from the present one (None: all)."""
+        """Become a holder of the epoch with this state. `changes` lead there from the present one (None: all
+        of it may differ).
+        """
         saved: Changes = {EPOCH_KEY: _encode(config), POSITION_KEY: _encode((config.number, position))}
         if self.promised_epoch != (config.number, config.primary):
             self.promised_epoch = PromisedEpoch(config.number, config.primary)
             saved[PROMISE_KEY] = _encode(self.promised_epoch)
         if changes is None:
-            for key in self.state:
-                if key not in state:
-                    saved[STATE_PREFIX + key] = None
+            saved.update((STATE_PREFIX + key, None) for key in self.state if key not in state)
             changes = {key: value for key, value in state.items() if self.state.get(key) != value}
             if position != self.log_position:
                 self.change_index.reset(position)
                 self.uncommitted.clear()  # also a change that no election met: it is in force nowhere
         elif position != self.log_position:
             self.change_index.note(self.log_position, position, changes)
-        for key, value in changes.items():
-            saved[STATE_PREFIX + key] = value
+        saved.update((STATE_PREFIX + key, value) for key, value in changes.items())
         if position != self.log_position:
-            self.uncommitted.append((position, state))
-        self.epoch_config, self.accepted_epoch, self.state, self.log_position = (
-            config,
-            config.number,
-            state,
-            position,
-        )
+            self.uncommitted.append(LogEntry(position, state))
+        self.epoch_config = config
+        self.accepted_epoch = config.number
+        self.state = state
+        self.log_position = position
 
         def durable(at: float) -> None:
-            self.durable_position, self.installed_epoch = position, config.number
-            done(at)
+            self.durable_position = position
+            self.installed_epoch = config.number
+            on_durable(at)
 
         self.disk_writer.save(now, saved, durable)
 
-    def append(self, now: float, sequence: int, changes: Changes, done) -> None:
+    def append(self, now: float, sequence: int, changes: Changes, on_durable: DurableCallback) -> None:
         """The next change of the epoch accepted."""
         position = LogPosition(self.accepted_epoch, sequence)
         self.state = merge(self.state, changes)
         self.change_index.note(self.log_position, position, changes)
         self.log_position = position
-        self.uncommitted.append((position, self.state))
+        self.uncommitted.append(LogEntry(position, self.state))
         saved = {STATE_PREFIX + key: value for key, value in changes.items()}
         saved[POSITION_KEY] = _encode((self.accepted_epoch, position))
 
         def durable(at: float) -> None:
             self.durable_position = position
-            done(at)
+            on_durable(at)
 
         self.disk_writer.save(now, saved, durable)
 
+    # --- differences between states
+
     def committed_changes_since(self, *bases: LogPosition) -> tuple[LogPosition | None, Changes]:
-        """(base, changes from there to the committed state), the newest base that is known; or (None,
-        all).
-        """
-        return self.changes_between(
-            [base for base in bases if base <= self.committed.position], self.committed.state
-        )
+        """(base, changes from there to the committed state) of the newest base known; or (None, all)."""
+        usable = [base for base in bases if base <= self.committed.position]
+        return self.changes_between(usable, self.committed.state)
 
-    def changes_to_position(self, *bases: LogPosition) -> tuple[LogPosition | None, Changes]:
-        """(base, changes from there to the own position), the newest base that is known; or (None, all)."""
+    def changes_since(self, *bases: LogPosition) -> tuple[LogPosition | None, Changes]:
+        """(base, changes from there to the own log position) of the newest base known; or (None, all)."""
         return self.changes_between(bases, self.state)
 
     def changes_between(
-        self, bases: Sequence[LogPosition], state: dict[str, bytes]
+        self, bases: Sequence[LogPosition], state: ReplicatedState
     ) -> tuple[LogPosition | None, Changes]:
+        """(base, changes from there to `state`) of the newest base that is known; or (None, all)."""
         for base in sorted(bases, reverse=True):  # the newest leaves the least to be sent
             changes = self.change_index.since(base, state)
             if changes is not None:
                 return base, changes
-        return None, state
+        return None, {**state}
 
-    def apply_delta(self, base: LogPosition | None, changes: Changes) -> dict[str, bytes] | None:
+    def apply_delta(self, base: LogPosition | None, changes: Changes) -> ReplicatedState | None:
         """The state that the changes lead to, None when this member doesn't have the base."""
         if base is None:
-            return dict(changes)
+            return as_state(changes)
         if base == self.log_position:
             return merge(self.state, changes)
         return merge(self.committed.state, changes) if base == self.committed.position else None
 
+    # --- commits
+
     def apply_committed(self, base: LogPosition | None, position: LogPosition, changes: Changes) -> None:
         """Take over a committed state. Changes that lead to it from `base` lead to it from each committed
-        state between the two as well."""
+        state between the two as well.
+        """
         if base is None:
-            self.commit_state(position, dict(changes))
+            self.commit_state(position, as_state(changes))
         elif base <= self.committed.position <= position:
             self.commit_state(position, merge(self.committed.state, changes))
-        elif (
-            base == self.log_position <= position
-        ):  # what an earlier life synced, and the primary has in its chain
+        elif base == self.log_position <= position:  # synced by an earlier process, and in the primary's log
             self.commit_state(position, merge(self.state, changes))
 
     def commit(self, position: LogPosition) -> None:
         """What is accepted up to the position is committed."""
-        state = None
-        while self.uncommitted and self.uncommitted[0][0] <= position:
-            at, state = self.uncommitted.popleft()
-            if at == position:
-                self.commit_state(position, state)
+        while self.uncommitted and self.uncommitted[0].position <= position:
+            entry = self.uncommitted.popleft()
+            if entry.position == position:
+                self.commit_state(position, entry.state)
                 break
 
-    def commit_state(self, position: LogPosition, state: dict[str, bytes]) -> None:
-        """Never goes back: an old primary's word may come late."""
+    def commit_state(self, position: LogPosition, state: ReplicatedState) -> None:
+        """Never goes back: an old primary's message may come late."""
         if position > self.committed.position:
             self.committed = CommittedState(*position, state)
             self.effects.append(Committed(*position, state))
+
+    def check_invariants(self) -> None:
+        """Raises AssertionError if an attribute contradicts another."""
+        assert self.incarnation > 0, "no incarnation"
+        assert self.epoch_config.number <= self.promised_epoch.number, "an epoch above the promise"
+        assert self.accepted_epoch <= self.epoch_config.number, "accepted an epoch that is not known"
+        assert self.installed_epoch <= self.accepted_epoch, "installed an epoch that was not accepted"
+        assert self.log_position.epoch <= self.accepted_epoch, "a change of an epoch that was not accepted"
+        positions = [entry.position for entry in self.uncommitted]
+        assert positions == sorted(set(positions)), "uncommitted changes out of order"
+        assert not positions or positions[-1] == self.log_position, "the log ends elsewhere than its position"
+        assert self.change_index.last == self.log_position, "the change index ends elsewhere than the log"
--- a/shedgrade/simulation/catch_up.py
+++ b/shedgrade/simulation/catch_up.py
@@ -199,7 +199,7 @@
 def queued_bytes(member: Member) -> int:
     """Bytes of the messages that wait at a member to be sent in pieces, each distinct value counted once."""
     values = {}
-    for queue in member.chunking.queues.values():
+    for queue in member.transport.chunking.queues.values():
         for outgoing in queue:
             if outgoing.body is not None:
                 values[id(outgoing.body)] = len(outgoing.body)
--- a/shedgrade/simulation/machine.py
+++ b/shedgrade/simulation/machine.py
@@ -179,6 +179,7 @@
 
     def drain(self) -> None:
         world, member = self.world, self.member
+        member.check_invariants()
         effects = member.effects
         while effects:
             todo, effects[:] = list(effects), []
--- a/tests/replication/hand_net.py
+++ b/tests/replication/hand_net.py
@@ -57,6 +57,7 @@
 
     def drain(self, address):
         member = self.members[address]
+        member.check_invariants()
         while member.effects:
             effect = member.effects.pop(0)
             if type(effect) is Send:
--- a/tests/replication/test_catch_up.py
+++ b/tests/replication/test_catch_up.py
@@ -3,7 +3,7 @@
 from hand_net import founded
 
 from shedgrade.replication import messages
-from shedgrade.replication.change_index import MOST_EPOCHS, MOST_KEYS, ChangeIndex
+from shedgrade.replication.change_index import MAX_EPOCHS, MAX_KEYS, ChangeIndex
 from shedgrade.simulation.catch_up import CatchUpCase, CatchUpRun, play
 
 
@@ -64,7 +64,7 @@
 
 def test_state_on_its_way_to_a_replica_that_was_started_anew_is_taken_out_of_the_queue():
     net = founded()
-    chunks, to = net.members[net.primary()].chunking, net.witness()
+    chunks, to = net.members[net.primary()].transport.chunking, net.witness()
     long = {"k": bytes(100_000)}
     chunks.send(net.now, to, messages.CatchUp(1, (1, 1), None, long))
     chunks.send(net.now, to, messages.Replicate(1, 5, (0, 0), long))
@@ -101,7 +101,7 @@
 
 def test_one_state_transfer_is_under_way_to_a_replica_and_an_install_takes_its_place():
     net = founded()
-    chunks, to = net.members[net.primary()].chunking, net.witness()
+    chunks, to = net.members[net.primary()].transport.chunking, net.witness()
     long, config = {"k": bytes(100_000)}, net.members[net.primary()].replica.epoch_config
     for sequence in range(1, 5):
         chunks.send(net.now, to, messages.CatchUp(1, (1, sequence), None, long))
@@ -156,15 +156,15 @@
 
 def test_the_index_is_bounded_and_says_so_of_what_it_forgot():
     index = ChangeIndex((1, 0))
-    for at in range(MOST_KEYS + 10):
+    for at in range(MAX_KEYS + 10):
         index.note((1, at), (1, at + 1), {f"k{at}": b"x"})
-    assert len(index.changed) == MOST_KEYS
-    assert index.since((1, 9), {}) is None and len(index.since((1, 10), {})) == MOST_KEYS
+    assert len(index.changed) == MAX_KEYS
+    assert index.since((1, 9), {}) is None and len(index.since((1, 10), {})) == MAX_KEYS
     last = index.last
-    for epoch in range(2, MOST_EPOCHS + 10):
+    for epoch in range(2, MAX_EPOCHS + 10):
         index.note(last, (epoch, last[1] + 1), {"k": b"x"})
         last = index.last
-    assert len(index.epochs) == MOST_EPOCHS and index.since((1, MOST_KEYS + 10), {}) is None
+    assert len(index.epochs) == MAX_EPOCHS and index.since((1, MAX_KEYS + 10), {}) is None
 
 
 def test_the_memory_of_a_primary_is_bounded_over_ten_thousand_changes_with_a_replica_away():
@@ -180,7 +180,14 @@
         )
         assert (
             len(member.replica.uncommitted) <= member.PIPELINE + 1
-            and len(member.primary_role.in_flight_writes) <= member.PIPELINE
+            and len(member.primary_role.orders.in_flight) <= member.PIPELINE
         )
         assert len(member.primary_role.followers) <= 3 and len(member.pending_requests.entries) == 0
-        assert sum(len(parts) for known in member.chunking.incoming.values() for parts in known.values()) == 0
+        assert (
+            sum(
+                len(parts)
+                for known in member.transport.chunking.incoming.values()
+                for parts in known.values()
+            )
+            == 0
+        )
--- a/tests/replication/test_member.py
+++ b/tests/replication/test_member.py
@@ -71,7 +71,12 @@
     holders = (replica.epoch_config.primary, replica.incarnation)
     config = msgspec.structs.replace(replica.epoch_config, number=5, holders=holders, active=False)
     net.held_back.add(holder)
-    net.call(holder, "receive", net.primary(), messages.Install(config, (1, 1), None, {"k": b"v"}))
+    net.call(
+        holder,
+        "receive",
+        net.primary(),
+        messages.Install(config, messages.LogPosition(1, 1), None, {"k": b"v"}),
+    )
     assert not sent(net, messages.Installed)
     net.write(holder)
     assert [word.number for word in sent(net, messages.Installed)] == [5]
--- a/tests/simulation/faulty_members.py
+++ b/tests/simulation/faulty_members.py
@@ -10,6 +10,7 @@
     acceptor,
     candidate,
     messages,
+    order_pipeline,
     primary,
     quorums,
 )
@@ -21,19 +22,22 @@
     Primary = primary.Primary
     Candidate = candidate.Candidate
     Acceptor = acceptor.Acceptor
+    Pipeline = order_pipeline.OrderPipeline
 
     def make_roles(self):
-        return self.Primary(self), self.Candidate(self), self.Acceptor(self)
+        role = self.Primary(self)
+        role.orders = self.Pipeline(role)
+        return role, self.Candidate(self), self.Acceptor(self)
 
 
 class AnswersAfterOwnDiskOnly(MemberWithRoles):
-    class Primary(primary.Primary):
+    class Pipeline(order_pipeline.OrderPipeline):
         def advance_commit(self, now):
-            holders, self.holders = self.holders, ()
+            holders, self.primary.holders = self.primary.holders, ()
             try:
                 super().advance_commit(now)
             finally:
-                self.holders = holders
+                self.primary.holders = holders
 
 
 class PromisesBeforeTheSync(MemberWithRoles):
@@ -71,7 +75,7 @@
 
 
 class ReadsWithoutConfirmation(MemberWithRoles):
-    class Primary(primary.Primary):
+    class Pipeline(order_pipeline.OrderPipeline):
         def read(self, now, ticket):
             self.member.effects.append(Answer(ticket, ReadResult(*self.member.replica.committed)))
 
@@ -171,9 +175,9 @@
 class TellsUnfinished(MemberWithRoles):
     """The primary tells the others of a change as soon as it has decided it."""
 
-    class Primary(primary.Primary):
-        def write(self, now, changes, replies):
-            super().write(now, changes, replies)
+    class Pipeline(order_pipeline.OrderPipeline):
+        def write(self, now, changes, decided):
+            super().write(now, changes, decided)
             self.member.replica.commit(self.member.replica.log_position)
 
 
@@ -205,7 +209,7 @@
 class LeavesAtOnce(MemberWithRoles):
     """Told to end, it hands over and goes, whoever holds what it holds."""
 
-    def leave(self, now, patience=None):
+    def leave(self, now, timeout_s=None):
         super().leave(now, 0.3)
 
 
--- a/tests/stored/test_structs_as_found.py
+++ b/tests/stored/test_structs_as_found.py
@@ -25,6 +25,7 @@
         "accepted": "accepted_epoch",
         "mark": "log_position",
         "finished": "committed",
+        "leaving": "is_leaving",
     },
     "replication.messages:Refusal": {"promised": "promised_epoch", "record": "epoch_config"},
     "replication.messages:Fetch": {"mark": "log_position", "finished": "committed"},
@@ -44,6 +45,8 @@
         "finished": "committed",
         "record": "known_epoch",
         "promised": "promised_epoch",
+        "healthy": "is_healthy",
+        "leaving": "is_leaving",
         "synced": "durable_position",
     },
 }
--- a/tools/checks.py
+++ b/tools/checks.py
@@ -11,6 +11,7 @@
 DOCUMENTED = (
     "tools",
     "shedgrade/route_matching",
+    "shedgrade/replication",
 )
 TYPED = (
     "tools",
@@ -21,7 +22,7 @@
     "shedgrade/storage",
     "shedgrade/controlplane/delta.py",
     "shedgrade/controlplane/references.py",
-    "shedgrade/replication/change_index.py",
+    "shedgrade/replication",
     "shedgrade/simulation/crash_day.py",
     "shedgrade/simulation/crash_points.py",
     "shedgrade/simulation/system/clients.py",
