--- a/shedgrade/controlplane/ordering.py
+++ b/shedgrade/controlplane/ordering.py
@@ -192,7 +192,7 @@
         if order is None:
             self.member.read(now, self.last)
         else:
-            self.member.order(now, self.last, order)
+            self.member.submit(now, self.last, order)
         self.pump()
 
     def order(self, order: object, respond: Callable[[Reply | None], None], caller: Caller = ANYONE) -> None:
--- a/shedgrade/replication/__init__.py
+++ b/shedgrade/replication/__init__.py
@@ -4,7 +4,7 @@
 
 - `member`: the parts put together; `dispatcher`, `transport`, `peer_directory`: messages in and out;
   `election_timer`, `primary_monitor`, `timing`: time-outs.
-- `primary` with `order_pipeline`, `holder_supervision`, `follower`, `majority_contact`; `candidate`;
+- `primary` with `command_pipeline`, `holder_supervision`, `follower`, `majority_contact`; `candidate`;
   `acceptor`: the roles. `reconfiguration`, `graceful_leave`: who comes and goes. `pending_requests`.
 - `replica_state` with `change_index`, `disk_writer`: what a member holds, and what of it is on its disk.
 - `quorums`: the rules that safety hangs on, free of state. `messages`, `effects`, `chunking`: the formats.
--- a/shedgrade/replication/candidate.py
+++ b/shedgrade/replication/candidate.py
@@ -50,7 +50,7 @@
     PRE_VOTE = "prevote"  # asks whether others miss the primary too; nothing is raised yet
     PROMISE = "promise"  # the own promise is on its way to the disk
     PREPARE = "prepare"  # asks the others for theirs
-    FETCH = "fetch"  # fetches the newest state that a promise told of
+    FETCH = "fetch"  # fetches the newest state that a promise named
     INSTALL = "install"  # the chosen holders write the epoch
 
 
@@ -82,7 +82,7 @@
       made (number 0 before).
     - In `INSTALL`: `installed_holders`, those of its holders that have written it, and `install_resend_at`,
       when the others are sent it again; `replace_holders_at`, when one that has not written it is replaced.
-    - In `FETCH` and `INSTALL`: `keep_alive_at`, when the members are next told that the attempt goes on.
+    - In `FETCH` and `INSTALL`: `keep_alive_at`, when the members are next informed that the attempt goes on.
     """
 
     def __init__(self, member: Member) -> None:
@@ -360,7 +360,7 @@
         self.keep_alive_at = now + timing.heartbeat_interval_s
         is_own_state = position == replica.log_position
         if not is_own_state:
-            member.primary_role.abandon(now)  # the orders decided here are not in the log that goes on
+            member.primary_role.abandon(now)  # the commands decided here are not in the log that goes on
         replica.install_epoch(
             now,
             self.epoch_config,
@@ -374,7 +374,7 @@
                 self.send_install(now, incarnation)
 
     def send_install(self, now: float, incarnation: int) -> None:
-        """The epoch for one of its holders, as a difference to what its promise told of."""
+        """The epoch for one of its holders, as a difference to what its promise named."""
         member, replica, promise = self.member, self.member.replica, self.promises[incarnation]
         # a witness has what is committed, in memory
         base, changes = replica.changes_since(promise.log_position, promise.committed)
--- a/shedgrade/replication/change_index.py
+++ b/shedgrade/replication/change_index.py
@@ -1,4 +1,4 @@
-"""Which keys changed after a position of the chain, in memory bounded by the number of keys.
+"""Which keys changed after a position of the log, in memory bounded by the number of keys.
 
 For each key the position of its last change, ordered by it, as the modification revision of etcd's keys. The
 difference between a position and the present state then holds each key once, however often it was rewritten.
@@ -16,7 +16,7 @@
 
 
 class EpochRange(NamedTuple):
-    """The changes of one epoch that are part of the chain: their first and last sequence."""
+    """The changes of one epoch that are part of the log: their first and last sequence."""
 
     epoch: int
     first: int
@@ -24,20 +24,20 @@
 
 
 class ChangeIndex:
-    """Positions of the chain, and of the last change of each key.
+    """Positions of the log, and of the last change of each key.
 
     `floor`: the oldest position whose changes since are all known. `last`: the newest position.
-    `epochs`: the chain from `floor` on, oldest first, so that a position which is not part of the chain is
-    told from one that is; at most `MAX_EPOCHS`.
+    `epochs`: the log from `floor` on, oldest first, so that a position which is not part of the log is
+    distinguished from one that is; at most `MAX_EPOCHS`.
     `changed`: the position of the last change by key, ordered by it; at most `MAX_KEYS`.
     """
 
     def __init__(self, position: LogPosition) -> None:
-        """A chain that begins at this position."""
+        """A log that begins at this position."""
         self.reset(position)
 
     def reset(self, position: LogPosition) -> None:
-        """Nothing is known but that the chain has this position."""
+        """Nothing is known but that the log has this position."""
         self.floor = position
         self.last = position
         self.epochs: deque[EpochRange] = deque([EpochRange(*position, position[1])])
@@ -68,7 +68,7 @@
             self.floor = max(self.floor, LogPosition(oldest.epoch, oldest.first))
 
     def has(self, position: LogPosition) -> bool:
-        """Whether the position is known to be part of the chain."""
+        """Whether the position is known to be part of the log."""
         return any(
             each.epoch == position[0] and each.first <= position[1] <= each.last for each in self.epochs
         )
--- a/shedgrade/replication/command_pipeline.py
+++ b/shedgrade/replication/command_pipeline.py
@@ -1,4 +1,4 @@
-"""The primary's orders and reads: decide, write to all holders, commit, answer."""
+"""The primary's commands and reads: decide, write to all holders, commit, answer."""
 
 from __future__ import annotations
 
@@ -6,7 +6,7 @@
 from typing import TYPE_CHECKING, NamedTuple
 
 from shedgrade.replication.effects import Answer, Decision, OutcomeUnknown, ReadResult, Unavailable
-from shedgrade.replication.follower import Follower, InFlightWrite, PendingReply, QueuedOrder
+from shedgrade.replication.follower import Follower, InFlightWrite, PendingReply, QueuedCommand
 from shedgrade.replication.messages import Changes, LogPosition, Replicate, size
 from shedgrade.replication.replica_state import merge
 
@@ -14,21 +14,21 @@
     from shedgrade.replication.primary import Primary
 
 MAX_IN_FLIGHT_BYTES = 256 * 1024  # no further write is begun while those not committed have as many
-QUEUED_TIMEOUTS = 2  # an order waits for room so many times `request_timeout_s`
+QUEUED_TIMEOUTS = 2  # a command waits for room so many times `request_timeout_s`
 REPLY_TIMEOUTS = 3  # and one that was begun, or a read, so many times
 
 
-class DecidedOrder(NamedTuple):
-    """An order and what `decide` made of it."""
+class DecidedCommand(NamedTuple):
+    """A command and what `decide` made of it."""
 
     ticket: int
     decision: Decision
 
 
-class OrderPipeline:
-    """Orders and reads of one primary. Nothing is decided or answered while the primary is not active.
+class CommandPipeline:
+    """Commands and reads of one primary. Nothing is decided or answered while the primary is not active.
 
-    `queue`: orders that wait for room, or for the end of an election of this process; oldest first.
+    `queue`: commands that wait for room, or for the end of an election of this process; oldest first.
     `in_flight`: changes of this epoch that are not committed. Invariant while the primary is active: their
     sequences follow on one another and end at the log position.
     `replies`: what is to be answered, in the order of its sequences and rounds.
@@ -39,7 +39,7 @@
         """Of the primary's role of one member."""
         self.primary = primary
         self.member = primary.member
-        self.queue: deque[QueuedOrder] = deque()
+        self.queue: deque[QueuedCommand] = deque()
         self.in_flight: deque[InFlightWrite] = deque()
         self.replies: deque[PendingReply] = deque()
         self.own_durable_sequence = -1
@@ -57,14 +57,14 @@
         pending = self.member.pending_requests
         for reply in replies:
             pending.add(now, reply.ticket, None, was_replicated=not reply.is_read, is_read=reply.is_read)
-        for order in queue:
-            pending.add(now, order.ticket, order.request)
+        for command in queue:
+            pending.add(now, command.ticket, command.request)
 
-    # --- orders and reads
+    # --- commands and reads
 
-    def order(self, now: float, ticket: int, request: object) -> None:
+    def submit(self, now: float, ticket: int, request: object) -> None:
         """Decide it as soon as there is room."""
-        self.queue.append(QueuedOrder(now, ticket, request))
+        self.queue.append(QueuedCommand(now, ticket, request))
         self.advance_queue(now)
 
     def read(self, now: float, ticket: int) -> None:
@@ -77,14 +77,14 @@
     def advance_queue(self, now: float) -> None:
         """Decide what waits, all of it as one write, while there is room."""
         member, replica = self.member, self.member.replica
-        while self.primary.may_process_orders(now) and self.queue and self.has_room():
+        while self.primary.may_process_commands(now) and self.queue and self.has_room():
             changes: Changes = {}
             state = replica.state
-            decided: list[DecidedOrder] = []
+            decided: list[DecidedCommand] = []
             while self.queue:
-                order = self.queue.popleft()
-                decision = member.decide(state, order.request)
-                decided.append(DecidedOrder(order.ticket, decision))
+                command = self.queue.popleft()
+                decision = member.decide(state, command.request)
+                decided.append(DecidedCommand(command.ticket, decision))
                 if decision.changes:
                     state = merge(state, decision.changes)
                     changes.update(decision.changes)
@@ -92,13 +92,13 @@
         self.answer(now)
 
     def has_room(self) -> bool:
-        """Orders behind long writes wait and become one write: a key that they all change is sent once."""
-        if len(self.in_flight) >= self.member.PIPELINE:
+        """Commands behind long writes wait and become one write: a key that they all change is sent once."""
+        if len(self.in_flight) >= self.member.MAX_WRITES_IN_FLIGHT:
             return False
         return sum(size(write.changes) for write in self.in_flight) < MAX_IN_FLIGHT_BYTES
 
-    def write(self, now: float, changes: Changes, decided: list[DecidedOrder]) -> None:
-        """Append the changes, and answer the orders once they are committed; without changes, once a round
+    def write(self, now: float, changes: Changes, decided: list[DecidedCommand]) -> None:
+        """Append the changes, and answer the commands once they are committed; without changes, once a round
         confirms that what they were decided on is the newest.
         """
         member, replica = self.member, self.member.replica
@@ -176,7 +176,7 @@
             self.member.effects.append(Answer(reply.ticket, outcome))
 
     def expire(self, now: float) -> None:
-        """No order or read waits for ever."""
+        """No command or read waits for ever."""
         timeout_s = self.member.timing.request_timeout_s
         while self.queue and now - self.queue[0].since >= QUEUED_TIMEOUTS * timeout_s:
             self.member.effects.append(Answer(self.queue.popleft().ticket, Unavailable()))
@@ -192,7 +192,7 @@
         return min((write.late_at for write in self.in_flight if write.late_at > now), default=float("inf"))
 
     def queue_wake_at(self) -> float:
-        """When the oldest order in the queue expires."""
+        """When the oldest command in the queue expires."""
         if not self.queue:
             return float("inf")
         return self.queue[0].since + QUEUED_TIMEOUTS * self.member.timing.request_timeout_s
@@ -204,4 +204,6 @@
         sequences = [write.sequence for write in self.in_flight]
         last = self.member.replica.log_position.sequence
         assert sequences == list(range(last - len(sequences) + 1, last + 1)), "a gap in the writes in flight"
-        assert len(sequences) <= self.member.PIPELINE, "more writes in flight than the pipeline has"
+        assert len(sequences) <= self.member.MAX_WRITES_IN_FLIGHT, (
+            "more writes in flight than the pipeline has"
+        )
--- a/shedgrade/replication/disk_writer.py
+++ b/shedgrade/replication/disk_writer.py
@@ -12,7 +12,7 @@
 
 
 class QueuedWrite(NamedTuple):
-    """Changes that wait for the disk, and who is told when they are durable."""
+    """Changes that wait for the disk, and whom to notify when they are durable."""
 
     changes: Changes
     on_durable: DurableCallback | None
--- a/shedgrade/replication/dispatcher.py
+++ b/shedgrade/replication/dispatcher.py
@@ -12,42 +12,38 @@
 
 Handler = Callable[[float, str, Any], None]  # (now, link address of the sender, the message)
 
-
-class Dispatcher:
-    """Hands each message to the role that answers it; long ones once all their chunks are there."""
-
-    def __init__(self, member: Member) -> None:
-        """Of a member whose roles are made already."""
-        self.chunking = member.transport.chunking
-        acceptor, candidate = member.acceptor, member.candidate
-        reconfiguration = member.reconfiguration
-        self.handlers: dict[type, Handler] = {
-            m.JoinRequest: reconfiguration.on_join_request,
-            m.PrimaryHint: reconfiguration.on_primary_hint,
-            m.PreVote: acceptor.on_pre_vote,
-            m.PreVoteReply: candidate.on_pre_vote_reply,
-            m.Prepare: acceptor.on_prepare,
-            m.Promise: candidate.on_promise,
-            m.Refusal: member.on_refusal,
-            m.Fetch: acceptor.on_fetch,
-            m.Transfer: candidate.on_transfer,
-            m.Install: acceptor.on_install,
-            m.Installed: candidate.on_installed,
-            m.Replicate: acceptor.on_replicate,
-            m.CatchUp: acceptor.on_catch_up,
-            m.Heartbeat: acceptor.on_heartbeat,
-            m.Ack: member.primary_role.on_ack,
-            m.ChunkAck: self.chunking.on_chunk_ack,
-            m.LeaveGranted: member.graceful_leave.on_leave_granted,
-            m.HandOver: acceptor.on_hand_over,
-        }
-
-    def dispatch(self, now: float, sender: str, message: m.Message) -> bool:
-        """Calls the handler. Returns False for a chunk that completes no message."""
-        whole: m.Message | None = message
-        if type(message) is m.Chunk:
-            whole = self.chunking.on_chunk(now, sender, message)
-        if whole is None:
-            return False
-        self.handlers[type(whole)](now, sender, whole)
-        return True
+# By kind of message: the handler of a member. Looked up with each message, since a role may be replaced.
+HANDLERS: dict[type, Callable[[Member], Handler]] = {
+    m.JoinRequest: lambda member: member.reconfiguration.on_join_request,
+    m.PrimaryHint: lambda member: member.reconfiguration.on_primary_hint,
+    m.PreVote: lambda member: member.acceptor.on_pre_vote,
+    m.PreVoteReply: lambda member: member.candidate.on_pre_vote_reply,
+    m.Prepare: lambda member: member.acceptor.on_prepare,
+    m.Promise: lambda member: member.candidate.on_promise,
+    m.Refusal: lambda member: member.on_refusal,
+    m.Fetch: lambda member: member.acceptor.on_fetch,
+    m.Transfer: lambda member: member.candidate.on_transfer,
+    m.Install: lambda member: member.acceptor.on_install,
+    m.Installed: lambda member: member.candidate.on_installed,
+    m.Replicate: lambda member: member.acceptor.on_replicate,
+    m.CatchUp: lambda member: member.acceptor.on_catch_up,
+    m.Heartbeat: lambda member: member.acceptor.on_heartbeat,
+    m.Ack: lambda member: member.primary_role.on_ack,
+    m.ChunkAck: lambda member: member.transport.chunking.on_chunk_ack,
+    m.LeaveGranted: lambda member: member.graceful_leave.on_leave_granted,
+    m.HandOver: lambda member: member.acceptor.on_hand_over,
+}
+
+
+def dispatch(member: Member, now: float, sender: str, message: m.Message) -> bool:
+    """Hands the message to the role that answers it; a long one once all its chunks are there.
+
+    Returns False for a chunk that completes no message.
+    """
+    complete: m.Message | None = message
+    if type(message) is m.Chunk:
+        complete = member.transport.chunking.on_chunk(now, sender, message)
+    if complete is None:
+        return False
+    HANDLERS[type(complete)](member)(now, sender, complete)
+    return True
--- a/shedgrade/replication/effects.py
+++ b/shedgrade/replication/effects.py
@@ -1,4 +1,4 @@
-"""What a member asks of its caller (`Instruction`), and the outcomes of orders and reads.
+"""What a member asks of its caller (`Instruction`), and the outcomes of commands and reads.
 
 A member does no I/O: each of its calls appends instructions to `Member.effects`, and the caller carries them
 out in their order.
@@ -35,7 +35,7 @@
 
 @dataclass(slots=True)
 class Answer:
-    """The outcome of the order or read with this ticket: what `decide` gave, or a class of this module."""
+    """The outcome of the command or read with this ticket: what `decide` gave, or a class of this module."""
 
     ticket: int
     outcome: Any
@@ -60,7 +60,7 @@
 
 @dataclass(slots=True)
 class Decision:
-    """What `decide` makes of an order; without changes the outcome tells of the newest state."""
+    """What `decide` makes of a command; without changes the outcome tells of the newest state."""
 
     changes: Changes = field(default_factory=dict)
     outcome: Any = None
@@ -78,7 +78,7 @@
 
 @dataclass(slots=True)
 class RedirectToPrimary:
-    """The primary has this link address. The same order may be sent there, whatever became of it here."""
+    """The primary has this link address. The same command may be sent there, whatever became of it here."""
 
     address: str
 
--- a/shedgrade/replication/follower.py
+++ b/shedgrade/replication/follower.py
@@ -1,4 +1,4 @@
-"""What a primary remembers of the other processes, and of the orders and reads that it has not answered."""
+"""What a primary remembers of the other processes, and of the commands and reads that it has not answered."""
 
 from __future__ import annotations
 
@@ -100,10 +100,10 @@
 
 
 class PendingReply:
-    """An order or a read that waits for its change to be committed, or for a read-index round.
+    """A command or a read that waits for its change to be committed, or for a read-index round.
 
     It is answered once all changes up to `sequence` are committed and all holders have acknowledged the round
-    `read_index_round`. `outcome`: of an order. `since`: when it began to wait.
+    `read_index_round`. `outcome`: of a command. `since`: when it began to wait.
     """
 
     __slots__ = ("ticket", "outcome", "sequence", "read_index_round", "is_read", "since")
@@ -120,8 +120,8 @@
         self.since = since
 
 
-class QueuedOrder(NamedTuple):
-    """An order that waits for room in the pipeline, or for the end of an election of this process."""
+class QueuedCommand(NamedTuple):
+    """A command that waits for room in the pipeline, or for the end of an election of this process."""
 
     since: float
     ticket: int
--- a/shedgrade/replication/graceful_leave.py
+++ b/shedgrade/replication/graceful_leave.py
@@ -2,7 +2,8 @@
 
 The primary grants it once the holders of its epoch, the leaving member not counted, are a majority of the
 members, at least t, and have confirmed a round that began after the request. A primary that leaves hands
-over once that many others have confirmed such a round: its heir then makes an epoch that does without it.
+over once that many others have confirmed such a round: its successor then makes an epoch that does without
+it.
 """
 
 from __future__ import annotations
@@ -24,9 +25,9 @@
 class GracefulLeave:
     """The leaving member's side. Times are seconds of the steady clock.
 
-    `requested`: whether the process was told to end; never taken back.
+    `requested`: whether the process was asked to end; never taken back.
     `deadline`: it ends then, granted or not, since it would be killed. Meaningless before.
-    `draining`: a primary takes no more orders, since it is about to hand over.
+    `draining`: a primary takes no more commands, since it is about to hand over.
     """
 
     def __init__(self, member: Member) -> None:
@@ -76,7 +77,7 @@
         self.draining = is_alone or primary.leave_requests.enough_stay(now)
         if not self.draining:
             member.pending_requests.resolve(now)
-        elif not primary.orders.in_flight and not primary.orders.queue:
+        elif not primary.commands.in_flight and not primary.commands.queue:
             if is_alone:
                 self.stop(now)
             else:
@@ -107,8 +108,8 @@
     """The primary's side, for the length of one epoch. Times are seconds of the steady clock.
 
     `rounds`: by leaving member, the round that must be confirmed before it may go.
-    `requested_at`: when its request was first heard in this epoch; `granted_at`: when it was last told that
-    it may go.
+    `requested_at`: when its request was first heard in this epoch; `granted_at`: when it was last notified
+    that it may go.
     """
 
     def __init__(self, primary: Primary) -> None:
@@ -151,7 +152,7 @@
         return sum(supervision.is_eligible(now, each) for each in confirming) >= self.needed()
 
     def all_leave(self, now: float) -> bool:
-        """The whole core is told to end: nobody could take over, whatever is waited for."""
+        """The whole core is asked to end: nobody could take over, whatever is waited for."""
         primary, replica = self.primary, self.primary.member.replica
         others = [
             primary.followers.get(peer.incarnation)
--- a/shedgrade/replication/holder_supervision.py
+++ b/shedgrade/replication/holder_supervision.py
@@ -40,7 +40,7 @@
             return True
         return any(
             write.sequence > follower.durable_sequence and now >= write.late_at
-            for write in self.primary.orders.in_flight
+            for write in self.primary.commands.in_flight
         )
 
     def members_heard(self, now: float) -> list[Follower]:
@@ -114,7 +114,7 @@
         ]
         if not candidates:
             return False
-        heir = max(
+        successor = max(
             candidates,
             key=lambda each: (
                 each.durable_sequence,
@@ -122,5 +122,5 @@
                 each.last_heard_at,
             ),
         )
-        member.hand_over(now, heir.address)
+        member.hand_over(now, successor.address)
         return True
--- a/shedgrade/replication/member.py
+++ b/shedgrade/replication/member.py
@@ -11,7 +11,7 @@
 from shedgrade.replication.acceptor import Acceptor
 from shedgrade.replication.candidate import Candidate, Phase
 from shedgrade.replication.disk_writer import DiskWriter
-from shedgrade.replication.dispatcher import Dispatcher
+from shedgrade.replication.dispatcher import dispatch
 from shedgrade.replication.effects import Answer, Decision, Instruction, State, Unavailable
 from shedgrade.replication.election_timer import ElectionTimer
 from shedgrade.replication.graceful_leave import GracefulLeave
@@ -57,7 +57,7 @@
       acceptor answers others at all times.
     - `reconfiguration`: join requests and changes of members; `graceful_leave`: a planned end.
     - `primary_monitor`, `election_timer`: contact with the primary, and when to ask for votes.
-    - `peers`, `transport`, `dispatcher`: addresses of others, messages out, messages in.
+    - `peers`, `transport`: addresses of others, messages out; `dispatch` hands messages in to their part.
     - `pending_requests`: requests that came while no primary was known.
 
     State of the member itself:
@@ -66,7 +66,7 @@
     - `incarnation_durable_at`: when it was; the start of the process before.
     - `durable_promise`: number of the newest promise that is on the disk, at most `replica.promised_epoch`.
       No promise is sent before its number is here.
-    - `highest_epoch_seen`: the highest epoch number that this process used, promised or was told of. A new
+    - `highest_epoch_seen`: the highest epoch number that this process used, promised or learnt of. A new
       candidate's number is above it.
     - `confirmed_at`: at that time a majority held nothing newer than what is committed here.
     - `receive_delay_s`: so long what is received now may have waited at this process, unread. Set by the
@@ -76,7 +76,15 @@
     - `now`, `ticked_at`: times of the last call, and of the last `tick`.
     """
 
-    PIPELINE, QUEUE = 16, 256  # most writes in flight; most requests that wait
+    primary_role: Primary
+    candidate: Candidate
+    acceptor: Acceptor
+    transport: Transport
+    reconfiguration: Reconfiguration
+    graceful_leave: GracefulLeave
+
+    MAX_WRITES_IN_FLIGHT = 16
+    MAX_WAITING_REQUESTS = 256
 
     def __init__(
         self,
@@ -112,7 +120,6 @@
         self.reconfiguration = Reconfiguration(self)
         self.pending_requests = PendingRequests(self)
         self.graceful_leave = GracefulLeave(self)
-        self.dispatcher = Dispatcher(self)
         self.highest_epoch_seen = max(self.replica.promised_epoch.number, self.replica.epoch_config.number)
         self.durable_promise = self.replica.promised_epoch.number
         self.confirmed_at = NEVER
@@ -158,7 +165,7 @@
         if not self.incarnation_durable or self.stopped:
             return
         self.peers.last_message_at[sender] = now
-        if self.dispatcher.dispatch(now, sender, message):
+        if dispatch(self, now, sender, message):
             self.pending_requests.resolve(now)
 
     def persisted(self, now: float, token: int, ok: bool) -> None:
@@ -167,17 +174,17 @@
         if not self.stopped:
             self.disk_writer.persisted(now, token, ok)
 
-    def order(self, now: float, ticket: int, request: object) -> None:
+    def submit(self, now: float, ticket: int, request: object) -> None:
         """A request that may change the state.
 
         Answered by Answer(ticket, ...): what `decide` gave, Unavailable, OutcomeUnknown or RedirectToPrimary.
         """
         self.begin_call(now)
-        waiting = len(self.primary_role.orders.queue) + len(self.pending_requests.entries)
-        if self.stopped or waiting >= self.QUEUE:
+        waiting = len(self.primary_role.commands.queue) + len(self.pending_requests.entries)
+        if self.stopped or waiting >= self.MAX_WAITING_REQUESTS:
             self.effects.append(Answer(ticket, Unavailable()))
         elif self.is_primary_or_candidate() and not self.graceful_leave.draining:
-            self.primary_role.orders.order(now, ticket, request)
+            self.primary_role.commands.submit(now, ticket, request)
         else:
             self.pending_requests.add(now, ticket, request)
             self.pending_requests.resolve(now)
@@ -188,7 +195,7 @@
         if self.stopped:
             self.effects.append(Answer(ticket, Unavailable()))
         elif self.primary_role.active:
-            self.primary_role.orders.read(now, ticket)
+            self.primary_role.commands.read(now, ticket)
         else:
             self.pending_requests.add(now, ticket, None, is_read=True)
             self.pending_requests.resolve(now)
@@ -213,7 +220,7 @@
         self.candidate.tick(now)
         if not self.primary_role.active and not self.candidate.phase:
             self.tick_as_follower(now)
-        self.primary_role.orders.expire(now)
+        self.primary_role.commands.expire(now)
         self.pending_requests.resolve(now)
         self.graceful_leave.tick(now)
 
@@ -240,7 +247,7 @@
             wake = min(wake, self.follower_wake_at(soon))
         if self.pending_requests.entries:
             wake = min(wake, self.pending_requests.entries[0].until)
-        wake = min(wake, self.primary_role.orders.queue_wake_at())
+        wake = min(wake, self.primary_role.commands.queue_wake_at())
         if self.is_leaving:
             wake = min(wake, soon)
         return wake
@@ -430,9 +437,9 @@
         self.primary_role.abandon(now)
         self.election_timer.schedule_after_step_down(now)
 
-    def hand_over(self, now: float, heir: str) -> None:
-        """Ask the member at the link address `heir` to take over, and leave it the time for it."""
-        self.send(heir, m.HandOver(self.replica.epoch_config.number))
+    def hand_over(self, now: float, successor: str) -> None:
+        """Ask the member at the link address `successor` to take over, and leave it the time for it."""
+        self.send(successor, m.HandOver(self.replica.epoch_config.number))
         self.step_down(now)
         self.election_timer.election_at = now + 2 * self.timing.primary_timeout_s
 
--- a/shedgrade/replication/messages.py
+++ b/shedgrade/replication/messages.py
@@ -18,7 +18,7 @@
 
 
 class LogPosition(NamedTuple):
-    """One change: the epoch that decided it, and its number in the chain of changes, which goes on over
+    """One change: the epoch that decided it, and its number in the log of changes, which goes on over
     epochs.
     """
 
@@ -133,7 +133,7 @@
 
 
 class Fetch(Struct, frozen=True, tag="Fetch", array_like=True):
-    """A candidate asks for the state that a promise told of; it has those at the two positions."""
+    """A candidate asks for the state that a promise named; it has those at the two positions."""
 
     number: int
     log_position: LogPosition
@@ -178,7 +178,7 @@
 
 class CatchUp(Struct, frozen=True, tag="Learn", array_like=True):
     """Committed state for who holds none. With `base` the changes lead from there, and from each position of
-    the chain between the two, to `log_position`, else they are all of it.
+    the log between the two, to `log_position`, else they are all of it.
     """
 
     epoch: int
--- a/shedgrade/replication/peer_directory.py
+++ b/shedgrade/replication/peer_directory.py
@@ -6,8 +6,8 @@
 class PeerDirectory:
     """Processes by incarnation, and link addresses by the time of the last message.
 
-    `addresses`: link address by incarnation, as last told; holds this process from the start.
-    `names`: node name by incarnation; an incarnation whose name was never told is missing.
+    `addresses`: link address by incarnation, as last announced; holds this process from the start.
+    `names`: node name by incarnation; an incarnation whose name was never announced is missing.
     `last_message_at`: by link address, when anything at all came from there (seconds of the steady clock).
     `founders`: incarnation by link address of the founding processes that were heard, this one included
     if it is one.
@@ -21,11 +21,11 @@
         self.founders: dict[str, int] = {address: incarnation} if founding else {}
 
     def note_address(self, incarnation: int, address: str, name: str = "") -> None:
-        """A process told where it is reached, and perhaps its name."""
+        """A process announced its address, and perhaps its name."""
         self.addresses[incarnation] = address
         if name:
             self.names[incarnation] = name
 
     def address_of(self, incarnation: int, otherwise: str) -> str:
-        """The address last told, or `otherwise` if none was."""
+        """The address last announced, or `otherwise` if none was."""
         return self.addresses.get(incarnation, otherwise)
--- a/shedgrade/replication/pending_requests.py
+++ b/shedgrade/replication/pending_requests.py
@@ -1,4 +1,4 @@
-"""Orders and reads at a member that is not the primary."""
+"""Commands and reads at a member that is not the primary."""
 
 from __future__ import annotations
 
@@ -13,7 +13,7 @@
 
 
 class PendingRequest(NamedTuple):
-    """An order or a read that waits until a primary is known.
+    """A command or a read that waits until a primary is known.
 
     `until`: seconds of the steady clock, then it is answered in any case. `was_replicated`: its change was
     sent to others under an epoch that is over, so that it may be committed or not.
@@ -61,11 +61,11 @@
         if not member.primary_role.active or entry.was_replicated:
             return False
         if entry.is_read:
-            member.primary_role.orders.read(now, entry.ticket)
+            member.primary_role.commands.read(now, entry.ticket)
             return True
         if member.graceful_leave.draining:
             return False
-        member.primary_role.orders.order(now, entry.ticket, entry.request)
+        member.primary_role.commands.submit(now, entry.ticket, entry.request)
         return True
 
     def outcome(self, now: float, entry: PendingRequest) -> Outcome | None:
--- a/shedgrade/replication/primary.py
+++ b/shedgrade/replication/primary.py
@@ -4,6 +4,7 @@
 
 from typing import TYPE_CHECKING
 
+from shedgrade.replication.command_pipeline import CommandPipeline
 from shedgrade.replication.follower import Follower
 from shedgrade.replication.graceful_leave import LeaveRequests
 from shedgrade.replication.holder_supervision import HolderSupervision
@@ -17,14 +18,13 @@
     LogPosition,
     size,
 )
-from shedgrade.replication.order_pipeline import OrderPipeline
 
 if TYPE_CHECKING:
     from shedgrade.replication.member import Member
 
 MAX_PIPELINED_CATCH_UP_BYTES = 4096  # longer committed state waits for the ack of the one before
 MAX_CATCH_UP_BACKOFF = 4  # the wait for an ack of committed state doubles so many times at most
-# After a silence of so many join request intervals a process that is no member is forgotten: at the beginning
+# Not heard for so many join request intervals, a process that is no member is forgotten: at the beginning
 # of an epoch, and during it.
 FORGOTTEN_AT_BEGIN, FORGOTTEN = 5, 8
 NOBODY: frozenset[int] = frozenset()
@@ -41,7 +41,7 @@
     `followers`: by incarnation, all processes heard, members and others; empty while another leads.
     `current_incarnations`: by link address, the incarnation that was heard there last. One that is not in
     here lost its disk.
-    `orders`: orders, reads, and changes in flight. `leave_requests`: members that asked for their leave.
+    `commands`: commands, reads, and changes in flight. `leave_requests`: members that asked for their leave.
     `supervision`: health of the holders.
     `majority_contact`: when a majority last confirmed this primary.
     `read_index_round`: the newest round sent; numbers grow over epochs.
@@ -60,7 +60,7 @@
         self.followers: dict[int, Follower] = {}
         self.holders: tuple[int, ...] = ()
         self.current_incarnations: dict[str, int] = {}
-        self.orders = OrderPipeline(self)
+        self.commands = CommandPipeline(self)
         self.leave_requests = LeaveRequests(self)
         self.supervision = HolderSupervision(self)
         self.majority_contact = MajorityContact()
@@ -93,7 +93,7 @@
             if incarnation in self.holders:
                 follower.begin_as_holder(now, replica.log_position.sequence)
         self.leave_requests.begin(leaving)
-        self.orders.begin_epoch()
+        self.commands.begin_epoch()
         self.majority_heard_at = now
         self.epoch_began_at = now
         self.majority_contact = MajorityContact(member.candidate.prepared_at)
@@ -101,13 +101,13 @@
         replica.commit(replica.log_position)
         member.became_primary(now)
         self.send_heartbeats(now)
-        self.orders.answer(now)
+        self.commands.answer(now)
         self.leave_requests.tick(now)
         change = member.reconfiguration.replacements_of_lost_disks(now, config)
-        if change is not None:  # the repair goes before orders, whose writes would hold it up
+        if change is not None:  # the repair goes before commands, whose writes would hold it up
             member.reconfigure(now, change)
             return
-        self.orders.advance_queue(now)
+        self.commands.advance_queue(now)
 
     def followers_of(self, now: float, config: EpochConfig) -> dict[int, Follower]:
         """The members, and those known already, without non-members that were not heard for long."""
@@ -145,9 +145,9 @@
         self.active = False
         self.followers = {}
         self.incomplete_since = None
-        self.orders.abandon(now)
+        self.commands.abandon(now)
 
-    def may_process_orders(self, now: float) -> bool:
+    def may_process_commands(self, now: float) -> bool:
         """Fewer holders than may be lost and one keep nothing safe. Of fewer members than 2t + 1 no majority
         may be left: newcomers get a while to join before the first answer.
         """
@@ -231,7 +231,7 @@
                 self.send_catch_up(now, follower)
 
     def send_catch_up(self, now: float, follower: Follower) -> None:
-        """Committed state to a follower that holds none; to a silent one nothing but heartbeats.
+        """Committed state to a follower that holds none; to one that is not heard nothing but heartbeats.
 
         A long transfer is not begun anew for a newer position: what changed since follows its end.
         """
@@ -280,7 +280,7 @@
             self.confirm(now)
         if ack.read_index_round > follower.read_index_round and ack.promised_epoch == self.epoch:
             follower.read_index_round = ack.read_index_round
-            self.orders.answer(now)
+            self.commands.answer(now)
         self.leave_requests.tick(now)
         if ack.incarnation not in self.holders:
             self.send_catch_up(now, follower)
@@ -288,10 +288,10 @@
             follower.received_sequence = max(follower.received_sequence, ack.received_sequence)
             if ack.durable_sequence > follower.durable_sequence:
                 follower.durable_sequence = ack.durable_sequence
-                self.orders.advance_commit(now)
+                self.commands.advance_commit(now)
 
     def on_join_request(self, now: float, request: JoinRequest) -> None:
-        """A process that doesn't hear this primary, or is new: told at once where it is."""
+        """A process that doesn't hear this primary, or is new: informed at once where it is."""
         incarnation = request.incarnation
         follower = self.followers.get(incarnation)
         if follower is None:
@@ -319,7 +319,7 @@
     def on_follower_heard(self, now: float, follower: Follower) -> None:
         """It can receive what is sent to it."""
         if not self.supervision.heard_recently(now, follower):
-            follower.catch_up_due_at = now  # what was sent before its silence may have been given up
+            follower.catch_up_due_at = now  # what was sent before it was lost sight of may have been given up
         follower.last_heard_at = now
 
     # --- time
@@ -334,11 +334,11 @@
             follower = self.followers[incarnation]
             is_due = follower.lacks_writes() and now >= follower.resend_at
             if is_due and self.supervision.heard_recently(now, follower):
-                self.orders.resend(now, follower)
+                self.commands.resend(now, follower)
         if self.has_lost_majority(now):
             self.member.step_down(now)  # cut off, perhaps one way: others must be able to take over
             return
-        self.orders.advance_queue(now)
+        self.commands.advance_queue(now)
         self.leave_requests.tick(now)
         self.supervision.reconfigure_if_needed(now)
 
@@ -358,7 +358,7 @@
         wake = min(
             self.heartbeat_due_at,
             self.leave_requests.wake_at(self.member.ticked_at),
-            self.orders.wake_at(now),
+            self.commands.wake_at(now),
         )
         if self.member.reconfigure_at > now:
             wake = min(wake, self.member.reconfigure_at)
@@ -381,4 +381,4 @@
         for incarnation in self.holders:
             follower = self.followers[incarnation]
             assert follower.durable_sequence <= replica.log_position.sequence, "durable before it was sent"
-        self.orders.check_invariants()
+        self.commands.check_invariants()
--- a/shedgrade/replication/primary_monitor.py
+++ b/shedgrade/replication/primary_monitor.py
@@ -14,8 +14,8 @@
     after a step down or before the first heartbeat.
     `primary_heard_at`: when a message of the primary of the newest epoch last came, `NEVER` before.
     `hint`: an address where somebody else hears the primary; join requests go there, it doesn't count as
-    heard. None if nobody told.
-    `hint_at`: when that was last told, `NEVER` before.
+    heard. None if nobody gave one.
+    `hint_at`: when that was last given, `NEVER` before.
     Invariant: while `primary` is set, `primary_heard_at` is not `NEVER`.
     """
 
--- a/shedgrade/replication/timing.py
+++ b/shedgrade/replication/timing.py
@@ -22,9 +22,9 @@
     election_timeout_s: float = 1.2  # an election without end is given up
     founding_timeout_s: float = 1.0  # the founders wait for the last of them
     member_replacement_timeout_s: float = 1.2  # a member not heard gives its place to a newcomer
-    incomplete_membership_timeout_s: float = 2.0  # fewer members than 2t + 1 answer no order before
-    request_timeout_s: float = 0.8  # an order waits for a primary
+    incomplete_membership_timeout_s: float = 2.0  # fewer members than 2t + 1 answer no command before
+    request_timeout_s: float = 0.8  # a command waits for a primary
     join_request_interval_s: float = 0.5  # while no primary is heard
     leave_timeout_s: float = 6.8  # a process that leaves waits for its leave
-    leave_grant_delay_s: float = 0.1  # before a leave is granted: all may be told to end at once
+    leave_grant_delay_s: float = 0.1  # before a leave is granted: all may be asked to end at once
     bytes_per_second: float = 250_000.0  # the slowest link that time-outs of long messages are reckoned for
--- a/shedgrade/replication/transport.py
+++ b/shedgrade/replication/transport.py
@@ -30,7 +30,7 @@
         self.timing = timing
         self.random = random
         self.now = 0.0
-        self.chunking = ChunkedTransfers(self)
+        self.chunking: ChunkedTransfers = ChunkedTransfers(self)
 
     def send(self, address: str, message: Message) -> None:
         """One message, in chunks if it is long or must not overtake one that is."""
--- a/shedgrade/simulation/absence.py
+++ b/shedgrade/simulation/absence.py
@@ -112,7 +112,7 @@
         attempt = self.attempt
         request = None if self.reading else Write(self.client, self.number)
         machine.ask(
-            "read" if self.reading else "order",
+            "read" if self.reading else "submit",
             request,
             lambda outcome: run.clock.after(0.001, self.answered, attempt, outcome),
         )
--- a/shedgrade/simulation/catch_up.py
+++ b/shedgrade/simulation/catch_up.py
@@ -128,7 +128,7 @@
         primary = self.primary()
         self.ordered += 1
         if primary is not None:
-            primary.ask("order", self.ordered, self.answered)
+            primary.ask("submit", self.ordered, self.answered)
         self.clock.after(self.case.interval, self.order)
 
     def answered(self, outcome) -> None:
--- a/shedgrade/simulation/machine.py
+++ b/shedgrade/simulation/machine.py
@@ -146,7 +146,7 @@
             self.drain()
 
     def ask(self, kind: str, request, answer) -> None:
-        """An order ("order") or a read ("read") of a client; `answer(None)` when the process ends."""
+        """A command ("submit") or a read ("read") of a client; `answer(None)` when the process ends."""
         if self.frozen:
             self.missed.append((self.ask, (kind, request, answer)))
         elif self.member is None:
--- a/shedgrade/simulation/operators.py
+++ b/shedgrade/simulation/operators.py
@@ -34,7 +34,7 @@
             delay = 0.001 + 0.001 * self.world.random.random()
             clock.after(delay, self.answered, attempt, machine, outcome, hops, call, began)
 
-        clock.after(0.001, machine.ask, "read" if call.request is None else "order", call.request, answer)
+        clock.after(0.001, machine.ask, "read" if call.request is None else "submit", call.request, answer)
         clock.after(1.0, self.silence, attempt, machine)
 
     def silence(self, attempt: int, machine) -> None:
--- a/tests/replication/quorum_model.py
+++ b/tests/replication/quorum_model.py
@@ -90,17 +90,17 @@
 
 
 class Model:
-    """`tolerated`: t; 2t + 1 members and `guests` beside them; `epochs` are formed at most, the first one
-    among them; one replaces at most `replaced` members; `wipes` disks may be lost."""
+    """`tolerated`: t; 2t + 1 members and `non_members` beside them; at most `epochs` are formed, the first
+    one among them; one replaces at most `replaced` members; `wipes` disks may be lost."""
 
-    def __init__(self, tolerated, guests, epochs, wipes=0, replaced=1, rules=Rules):
+    def __init__(self, tolerated, non_members, epochs, wipes=0, replaced=1, rules=Rules):
         self.tolerated, self.wipes, self.replaced, self.rules = tolerated, wipes, replaced, rules
         members = 2 * tolerated + 1
         processes = [
             Process(int(each > tolerated), True, 1, (1, True), int(each <= tolerated))
             for each in range(members)
         ]
-        processes += [Process(2, True)] * guests
+        processes += [Process(2, True)] * non_members
         everyone, holders = mask(range(members)), mask(range(tolerated + 1))
         begun = Epoch(everyone, everyone, holders, 0, holders, True, True)
         self.start = State(tuple(processes), (None, begun, *(None,) * (epochs - 1)), ((),) * (epochs + 1))
@@ -117,10 +117,10 @@
         known = config(1, members, before, active)
         return mask(each.incarnation - 1 for each in self.rules.electorate(known))
 
-    def outcomes(self, members, before, active, promised, guests):
+    def outcomes(self, members, before, active, promised, non_members):
         """(members, before, holders) of all epochs that a candidate may make."""
         base, found = config(1, members, before, active), set()
-        for change in self.changes(members, guests):
+        for change in self.changes(members, non_members):
             groups = self.rules.next_groups(base, change)
             able = [
                 each for each in bits(promised) if self.rules.may_hold(groups, Voter(each + 1, f"{each}:1"))
@@ -133,12 +133,12 @@
                 )
         return sorted(found)
 
-    def changes(self, members, guests):
-        """No change, or up to `replaced` members given to guests, whoever is silent."""
+    def changes(self, members, non_members):
+        """No change, or up to `replaced` members given to non_members, whoever is silent."""
         yield None
         for count in range(1, self.replaced + 1):
             for old in combinations(bits(members), count):
-                for new in permutations(bits(guests), count):
+                for new in permutations(bits(non_members), count):
                     given = {one + 1: other for one, other in zip(old, new, strict=True)}
                     yield lambda group, given=given: tuple(
                         Peer(given[each.incarnation] + 1, "", f"{given[each.incarnation]}:1")
@@ -194,8 +194,10 @@
         if epoch is None or not self.quorum(epoch.members, epoch.before, active, promised):
             return
         parent = max(each.accepted for each in given)
-        guests = mask(who for who, each in enumerate(state.processes) if each.alive) & ~epoch.members
-        for members, before, holders in self.outcomes(epoch.members, epoch.before, active, promised, guests):
+        non_members = mask(who for who, each in enumerate(state.processes) if each.alive) & ~epoch.members
+        for members, before, holders in self.outcomes(
+            epoch.members, epoch.before, active, promised, non_members
+        ):
             formed = Epoch(members, before, holders, parent)
             yield changed(state, epoch=(number, formed), promises=(number, ()))
 
@@ -225,8 +227,8 @@
     for number in range(1, len(state.epochs)):
         epoch = state.epochs[number]
         if epoch and epoch.active and process.known < (number, True):
-            told = process._replace(known=(number, True), promised=max(process.promised, number))
-            yield changed(state, process=(who, told))
+            informed = process._replace(known=(number, True), promised=max(process.promised, number))
+            yield changed(state, process=(who, informed))
 
 
 def acts(state, number):
@@ -279,7 +281,7 @@
     """Like processes in one order."""
 
     def view(who):
-        told = tuple(
+        informed = tuple(
             (number, each.known, each.accepted)
             for number, given in enumerate(state.promises)
             for each in given
@@ -290,7 +292,7 @@
             for e in state.epochs
             if e
         )
-        return state.processes[who], parts, told
+        return state.processes[who], parts, informed
 
     order = sorted(range(len(state.processes)), key=view)
     place = [0] * len(order)
--- a/tests/replication/test_absence.py
+++ b/tests/replication/test_absence.py
@@ -46,22 +46,22 @@
         return primary_role, candidate, self.Acceptor(self)
 
 
-class ForgetfulIndex(ChangeIndex):
+class ForgetfulChangeIndex(ChangeIndex):
     """Remembers one key of each change."""
 
     def note(self, base, position, changes):
         super().note(base, position, dict(list(changes.items())[:1]))
 
 
-class SendsAMixOfTwoPositions(Member):
+class SendsDeltaThatLacksKeys(Member):
     """A difference that lacks keys: the receiver's state is of two positions."""
 
     def __init__(self, *args, **options):
         super().__init__(*args, **options)
-        self.replica.change_index = ForgetfulIndex(self.replica.log_position)
+        self.replica.change_index = ForgetfulChangeIndex(self.replica.log_position)
 
 
-class TellsTheNewestUnderAnOlderPosition(Member):
+class SendsNewestStateUnderOlderPosition(Member):
     class Primary(primary.Primary):
         def send_catch_up(self, now, follower):
             replica = self.member.replica
@@ -107,8 +107,8 @@
 
 PLANTED = [  # the fault, the seeds within which it is found
     ({"member_class": HoldsBeforeTheTransferIsSynced}, range(20)),
-    ({"member_class": SendsAMixOfTwoPositions}, range(2)),
-    ({"member_class": TellsTheNewestUnderAnOlderPosition}, range(2)),
+    ({"member_class": SendsDeltaThatLacksKeys}, range(2)),
+    ({"member_class": SendsNewestStateUnderOlderPosition}, range(2)),
     ({"member_class": TakesADifferenceFromAnyPosition}, range(2)),
     ({"machine_class": StartsFromTheOlderSlot}, range(2)),
 ]
--- a/tests/replication/test_calm_epoch.py
+++ b/tests/replication/test_calm_epoch.py
@@ -74,11 +74,11 @@
     assert sorted(member.role for member in core.members.values()) == ["backup", "primary", "witness"]
 
 
-def test_a_process_started_anew_is_told_what_is_finished():
+def test_a_process_started_anew_is_sent_what_is_committed():
     for role in ("witness", "backup"):
         core = Core()
         core.run(3.0)
-        core.members[core.by_role("primary")].order(core.now, 1, b"value")
+        core.members[core.by_role("primary")].submit(core.now, 1, b"value")
         core.run(1.0)
         committed = set(core.committed.values())
         assert committed == {(1, 1)}
--- a/tests/replication/test_catch_up.py
+++ b/tests/replication/test_catch_up.py
@@ -7,7 +7,7 @@
 from shedgrade.simulation.catch_up import CatchUpCase, CatchUpRun, play
 
 
-def test_a_replica_behind_a_thin_link_falls_no_further_behind():
+def test_a_replica_behind_a_narrow_link_falls_no_further_behind():
     found = play(CatchUpCase(size=100_000, megabits=5))
     assert found.caught_up < 1.0 and found.steady_lag <= 10
     assert found.queued < 1_000_000
@@ -75,7 +75,7 @@
     chunks.cancel_state(net.now, "elsewhere:1")
 
 
-def test_finished_state_of_an_epoch_that_is_over_is_still_taken():
+def test_committed_state_of_an_epoch_that_is_over_is_still_taken():
     net = founded()
     witness, replica = net.witness(), net.members[net.witness()].replica
     learn = messages.CatchUp(replica.epoch_config.number - 1, (1, 1), None, {"k": b"v"})
@@ -110,13 +110,13 @@
     assert [type(each.message) for each in chunks.queues[to]] == [messages.Install]
 
 
-def test_a_disk_ahead_of_the_finished_state_is_not_a_base_for_it():
+def test_a_disk_ahead_of_the_committed_state_is_not_a_base_for_it():
     net = founded()
     primary, backup = net.primary(), net.backup()
-    net.call(primary, "order", 1, ("k", b"1"))
+    net.call(primary, "submit", 1, ("k", b"1"))
     net.run(0.3)
     net.held_back.add(primary)
-    net.call(primary, "order", 2, ("k", b"2"))  # on the backup's disk, and not committed
+    net.call(primary, "submit", 2, ("k", b"2"))  # on the backup's disk, and not committed
     net.deliver()
     replica, ahead = net.members[primary].replica, net.members[backup].replica
     assert ahead.durable_position > replica.committed.position
@@ -136,7 +136,7 @@
     return index, {key: value for key, value in state.items() if value is not None}
 
 
-def test_a_key_that_was_written_often_is_sent_once_and_a_removed_one_is_told():
+def test_a_key_that_was_written_often_is_sent_once_and_a_removed_one_is_included():
     steps = [((1, at), (1, at + 1), {"often": b"%d" % at, f"k{at}": b"x"}) for at in range(1000)]
     steps[0] = ((0, 0), (1, 1), steps[0][2])
     index, state = chain(*steps, ((1, 1000), (1, 1001), {"k5": None}))
@@ -144,7 +144,7 @@
     assert index.since((1, 1001), state) == {}
 
 
-def test_a_position_that_is_not_of_the_chain_is_told_from_one_that_is():
+def test_a_position_that_is_not_of_the_chain_is_distinguished_from_one_that_is():
     index, state = chain(
         ((0, 0), (1, 1), {"a": b"1"}), ((1, 1), (1, 2), {"a": b"2"}), ((1, 2), (4, 3), {"b": b"3"})
     )
@@ -179,8 +179,8 @@
             and len(member.replica.change_index.epochs) <= 3
         )
         assert (
-            len(member.replica.uncommitted) <= member.PIPELINE + 1
-            and len(member.primary_role.orders.in_flight) <= member.PIPELINE
+            len(member.replica.uncommitted) <= member.MAX_WRITES_IN_FLIGHT + 1
+            and len(member.primary_role.commands.in_flight) <= member.MAX_WRITES_IN_FLIGHT
         )
         assert len(member.primary_role.followers) <= 3 and len(member.pending_requests.entries) == 0
         assert (
--- a/tests/replication/test_chunking.py
+++ b/tests/replication/test_chunking.py
@@ -65,7 +65,7 @@
     assert len(sender.chunking.queues["r:1"]) == 1
 
 
-def test_a_small_write_waits_behind_a_big_one_and_small_words_do_not():
+def test_a_small_write_waits_behind_a_big_one_and_short_messages_do_not():
     sender, receiver = End(1), End(2)
     sender.chunking.send(0.0, "r:1", write(1, 10 * CHUNK_BYTES))
     assert sender.chunking.needs_chunking("r:1", write(2, 10))
@@ -75,7 +75,7 @@
     assert [message.sequence for message in carry(sender, receiver, lambda: True)] == [1, 2]
 
 
-def test_a_receiver_that_starts_anew_gets_it_from_the_first_piece():
+def test_a_receiver_that_starts_anew_gets_it_from_the_first_chunk():
     sender, receiver, message = End(1), End(2), write(1, 10 * CHUNK_BYTES)
     sender.chunking.send(0.0, "r:1", message)
     for _ in range(MIN_WINDOW):
@@ -97,7 +97,7 @@
 
 @settings(max_examples=60, deadline=None)
 @given(st.integers(0, 2**32), st.lists(st.integers(CHUNK_BYTES + 1, 6 * CHUNK_BYTES), min_size=1, max_size=4))
-def test_with_losses_and_doubles_each_arrives_once_and_in_order(seed, lengths):
+def test_with_losses_and_duplicates_each_arrives_once_and_in_order(seed, lengths):
     chance = Random(seed)
     sender, receiver = End(seed), End(seed + 1)
     sent = [write(sequence, length) for sequence, length in enumerate(lengths, 1)]
@@ -129,14 +129,14 @@
     return now, most, sent
 
 
-def test_the_window_grows_on_a_long_and_wide_link_and_not_on_a_thin_one():
+def test_the_window_grows_on_a_long_and_wide_link_and_not_on_a_narrow_one():
     wide, most, sent = over_a_link(0.0003, 0.055)
     assert wide < 0.8 and MIN_WINDOW < most <= MAX_WINDOW + 1 and sent <= 62
     thin, most, sent = over_a_link(0.052, 0.035)
     assert most <= MIN_WINDOW + 2 and thin < 60 * 0.056 + 0.2 and sent <= 62
 
 
-def test_a_late_ack_sends_nothing_again_and_a_piece_that_goes_twice_measures_nothing():
+def test_a_late_ack_sends_nothing_again_and_a_chunk_that_is_sent_twice_measures_nothing():
     sender = End(1)
     sender.chunking.send(0.0, "r:1", write(1, 60 * CHUNK_BYTES))
     out = sender.chunking.queues["r:1"][0]
--- a/tests/replication/test_disk_trouble.py
+++ b/tests/replication/test_disk_trouble.py
@@ -81,7 +81,7 @@
 
 
 @pytest.mark.parametrize("kind", ["full", "hangs", "slow"])
-def test_a_disk_in_trouble_from_any_write_on_gives_its_part_away_and_counts_again(kind):
+def test_a_disk_in_trouble_from_any_write_on_gives_its_role_away_and_counts_again(kind):
     for at in (*range(7), 20, 40):
         run = TroubledRun(at, kind, at, second=at % 2 == 1)
         assert run.play() == [], (kind, at)
--- a/tests/replication/test_invariants.py
+++ b/tests/replication/test_invariants.py
@@ -12,7 +12,7 @@
 def test_a_sound_core_keeps_them_through_an_order_and_an_election():
     net = founded()
 
-    net.call(net.primary(), "order", 1, ("k", b"v"))
+    net.call(net.primary(), "submit", 1, ("k", b"v"))
     net.run(0.3)
     net.stop(net.primary())
     net.run(2.0)
@@ -86,7 +86,7 @@
 
 def leave_gap_in_flight(member):
     sequence = member.replica.log_position.sequence + 5
-    member.primary_role.orders.in_flight.append(InFlightWrite(sequence, {}, 0.0))
+    member.primary_role.commands.in_flight.append(InFlightWrite(sequence, {}, 0.0))
 
 
 def act_after_exit(member):
--- a/tests/replication/test_member.py
+++ b/tests/replication/test_member.py
@@ -18,7 +18,7 @@
 
 def test_an_order_is_on_two_disks_before_it_is_answered_and_on_no_witness():
     net = founded()
-    net.call(net.primary(), "order", 1, ("k", b"v"))
+    net.call(net.primary(), "submit", 1, ("k", b"v"))
     net.run(0.3)
     assert net.answers == {1: None}
     holding = [address for address, disk in net.disks.items() if disk.get("state/k") == b"v"]
@@ -31,7 +31,7 @@
         net = founded()
         address = getattr(net, slow)()
         net.held_back.add(address)
-        net.call(net.primary(), "order", 1, ("k", b"v"))
+        net.call(net.primary(), "submit", 1, ("k", b"v"))
         net.run(0.2)
         assert 1 not in net.answers and not any(member.committed.state for member in net.members.values())
         net.held_back.clear()
@@ -79,7 +79,7 @@
     )
     assert not sent(net, messages.Installed)
     net.write(holder)
-    assert [word.number for word in sent(net, messages.Installed)] == [5]
+    assert [message.number for message in sent(net, messages.Installed)] == [5]
 
 
 def test_a_backup_that_promised_more_refuses_the_primary_of_before():
@@ -89,7 +89,7 @@
     net.call(backup, "receive", other, messages.Prepare(net.members[other].replica.incarnation, 9, config))
     net.messages.clear()
     net.call(backup, "receive", primary, messages.Replicate(1, 1, (0, 0), {"k": b"v"}))
-    assert [word.promised_epoch for word in sent(net, messages.Refusal)] == [9]
+    assert [message.promised_epoch for message in sent(net, messages.Refusal)] == [9]
     assert "state/k" not in net.disks[backup]
 
 
@@ -108,7 +108,7 @@
     assert net.members[lost].replica.incarnation in {peer.incarnation for peer in net.members[lost].members}
 
 
-def test_nothing_is_said_before_the_incarnation_is_synced():
+def test_nothing_is_sent_before_the_incarnation_is_synced():
     net = Net(founding=True)
     net.stop("a:1")
     net.disks["a:1"].clear()
@@ -122,11 +122,11 @@
     assert sent(net, messages.JoinRequest)
 
 
-def test_a_refused_write_is_tried_again_whole_and_nothing_is_said_before():
+def test_a_refused_write_is_tried_again_whole_and_nothing_is_sent_before():
     net = founded()
     backup = net.backup()
     net.held_back.add(backup)
-    net.call(net.primary(), "order", 1, ("k", b"v"))
+    net.call(net.primary(), "submit", 1, ("k", b"v"))
     net.deliver()
     net.write(backup, ok=False)
     net.call(backup, "receive", net.primary(), messages.Replicate(1, 2, (0, 0), {"j": b"w"}))
@@ -137,11 +137,11 @@
     assert changes["state/k"] == b"v" and changes["state/j"] == b"w"
 
 
-def test_a_change_found_on_a_backup_is_finished_by_the_next_primary():
+def test_a_change_found_on_a_backup_is_committed_by_the_next_primary():
     net = founded()
     primary, backup = net.primary(), net.backup()
     net.drop = lambda sender, to, message: sender == backup and to == primary
-    net.call(primary, "order", 1, ("k", b"v"))
+    net.call(primary, "submit", 1, ("k", b"v"))
     net.deliver()
     assert 1 not in net.answers
     net.stop(primary)
@@ -161,12 +161,12 @@
     stopped = net.members.pop(old)
     net.run(2.0)
     new = net.primary()
-    net.call(new, "order", 1, ("k", b"new"))
+    net.call(new, "submit", 1, ("k", b"new"))
     net.run(0.3)
     assert 1 in net.answers
     net.members[old] = stopped
     net.call(old, "read", 2)
-    net.call(old, "order", 3, ("k", b"old"))
+    net.call(old, "submit", 3, ("k", b"old"))
     net.run(0.4)
     net.drop = lambda sender, to, message: False
     net.run(3.0)
@@ -177,7 +177,7 @@
 
 def test_a_read_waits_for_a_round_with_the_backups():
     net = founded()
-    net.call(net.primary(), "order", 1, ("k", b"v"))
+    net.call(net.primary(), "submit", 1, ("k", b"v"))
     net.run(0.2)
     net.messages.clear()
     net.call(net.primary(), "read", 2)
@@ -187,41 +187,41 @@
     assert isinstance(reading, ReadResult) and reading.state == {"k": b"v"}
 
 
-def test_others_say_where_the_primary_is():
+def test_others_redirect_to_where_the_primary_is():
     net = founded()
-    net.call(net.backup(), "order", 1, ("k", b"v"))
+    net.call(net.backup(), "submit", 1, ("k", b"v"))
     net.call(net.witness(), "read", 2)
     assert net.answers == {1: RedirectToPrimary(net.primary()), 2: RedirectToPrimary(net.primary())}
 
 
-def test_without_a_primary_an_order_is_held_for_a_moment_only():
+def test_without_a_primary_an_order_is_pending_for_a_moment_only():
     net = founded()
     witness = net.witness()
     for address in (net.primary(), net.backup()):
         net.stop(address)
     net.run(1.0)
-    net.call(witness, "order", 1, ("k", b"v"))
+    net.call(witness, "submit", 1, ("k", b"v"))
     assert not net.answers
     net.run(1.0)
     assert net.answers == {1: Unavailable()}
 
 
-def test_orders_beyond_a_bound_are_turned_away():
+def test_orders_beyond_a_bound_are_rejected():
     net = founded()
     witness = net.witness()
     for address in (net.primary(), net.backup()):
         net.stop(address)
     net.run(1.0)
     for ticket in range(300):
-        net.call(witness, "order", ticket, ("k", b"v"))
-    assert len(net.answers) == 300 - net.members[witness].QUEUE
+        net.call(witness, "submit", ticket, ("k", b"v"))
+    assert len(net.answers) == 300 - net.members[witness].MAX_WAITING_REQUESTS
 
 
-def test_late_words_of_an_old_primary_take_nothing_back():
+def test_late_messages_of_an_old_primary_revert_nothing():
     net = founded()
-    net.call(net.primary(), "order", 1, ("k", b"1"))
+    net.call(net.primary(), "submit", 1, ("k", b"1"))
     net.run(0.2)
-    net.call(net.primary(), "order", 2, ("k", b"2"))
+    net.call(net.primary(), "submit", 2, ("k", b"2"))
     net.run(0.2)
     witness = net.witness()
     net.call(witness, "receive", net.primary(), messages.CatchUp(1, (1, 1), None, {"k": b"1"}))
@@ -232,7 +232,7 @@
 
 def test_all_gone_and_back_with_their_disks_brings_the_state_back():
     net = founded()
-    net.call(net.primary(), "order", 1, ("k", b"v"))
+    net.call(net.primary(), "submit", 1, ("k", b"v"))
     net.run(0.3)
     for address in SEEDS:
         net.stop(address)
@@ -249,7 +249,7 @@
 
 def test_what_a_disk_holds_is_read_as_it_was_written():
     net = founded()
-    net.call(net.primary(), "order", 1, ("k", b"v"))
+    net.call(net.primary(), "submit", 1, ("k", b"v"))
     net.run(0.3)
     backup = net.backup()
     before = net.members[backup].replica
@@ -280,7 +280,7 @@
 
 def test_a_witness_that_becomes_a_holder_is_sent_only_what_it_has_not_in_memory():
     net = founded()
-    net.call(net.primary(), "order", 1, ("k", b"v" * 10_000))
+    net.call(net.primary(), "submit", 1, ("k", b"v" * 10_000))
     net.run(0.5)
     witness, primary = net.witness(), net.primary()
     net.seen.clear()
@@ -295,9 +295,9 @@
     net = founded()
     backup, witness = net.backup(), net.witness()
     net.stop(net.primary())
-    hello = messages.JoinRequest(5, "d", "d:1", False, 1, (0, 0))
+    request = messages.JoinRequest(5, "d", "d:1", False, 1, (0, 0))
     for _ in range(150):
         net.run(0.02)
         for address in (backup, witness):
-            net.call(address, "receive", "d:1", hello)
+            net.call(address, "receive", "d:1", request)
     assert net.primary() in (backup, witness)
--- a/tests/replication/test_quorums.py
+++ b/tests/replication/test_quorums.py
@@ -19,13 +19,13 @@
     return found
 
 
-def catch_up_retries(model, members, guests, depth):
+def quorums_missing_holders(model, members, non_members, depth):
     """Pairs of an election's quorum and the holders of an epoch that may act unknown to it, which don't meet.
 
     From an epoch known to be active each next one is made, and from that, while it is not known to be active,
     the one after it. Each quorum by any of these records must meet the holders of each of these epochs. Then
     the same from each next epoch, once that is known to be active."""
-    everyone = members | guests
+    everyone = members | non_members
     children = model.outcomes(members, members, True, everyone, everyone & ~members)
     grandchildren = {
         one for new, old, _ in children for one in model.outcomes(new, old, False, everyone, everyone & ~new)
@@ -40,27 +40,31 @@
         found += [(quorum, one) for quorum in minimal_quorums(model, new, new, True) if not quorum & one]
     if depth > 1:
         for new in {new for new, _, _ in children if new != members}:
-            found += catch_up_retries(model, new, guests | members & ~new, depth - 1)
+            found += quorums_missing_holders(model, new, non_members | members & ~new, depth - 1)
     return found
 
 
 @pytest.mark.parametrize(
-    ("tolerated", "guests", "replaced", "depth"),
+    ("tolerated", "non_members", "replaced", "depth"),
     [(1, 0, 0, 1), (1, 1, 1, 2), (1, 2, 2, 2), (2, 0, 0, 1), (2, 1, 1, 2), (2, 2, 2, 1)],
 )
-def test_each_quorum_meets_the_holders_of_each_epoch_that_it_may_not_know(tolerated, guests, replaced, depth):
+def test_each_quorum_meets_the_holders_of_each_epoch_that_it_may_not_know(
+    tolerated, non_members, replaced, depth
+):
     size = 2 * tolerated + 1
-    model = Model(tolerated, guests, 1, replaced=replaced)
-    assert catch_up_retries(model, mask(range(size)), mask(range(size, size + guests)), depth) == []
+    model = Model(tolerated, non_members, 1, replaced=replaced)
+    assert (
+        quorums_missing_holders(model, mask(range(size)), mask(range(size, size + non_members)), depth) == []
+    )
 
 
 @pytest.mark.parametrize(
-    ("tolerated", "guests", "wipes", "replaced", "states"),
+    ("tolerated", "non_members", "wipes", "replaced", "states"),
     [(1, 0, 0, 0, 1_688), (1, 1, 0, 1, 13_514), (1, 0, 1, 1, 15_235)],
 )
-def test_no_order_of_messages_loses_what_was_acknowledged(tolerated, guests, wipes, replaced, states):
+def test_no_order_of_messages_loses_what_was_acknowledged(tolerated, non_members, wipes, replaced, states):
     """Two epochs after the first, by candidates of any order."""
-    assert Model(tolerated, guests, 3, wipes, replaced).explore() == (states, None)
+    assert Model(tolerated, non_members, 3, wipes, replaced).explore() == (states, None)
 
 
 class NewGroupOnly(Rules):
@@ -100,7 +104,7 @@
 @pytest.mark.parametrize("rules", [NewGroupOnly, NewcomersHold, FewHolders, ChangesAgain])
 def test_a_fault_planted_in_the_rules_is_found(rules):
     model = Model(1, 2, 1, replaced=2, rules=rules)
-    assert catch_up_retries(model, 0b111, 0b11000, 1)
+    assert quorums_missing_holders(model, 0b111, 0b11000, 1)
 
 
 def test_too_few_holders_lose_an_acknowledged_change_in_the_model():
--- a/tests/simulation/faulty_members.py
+++ b/tests/simulation/faulty_members.py
@@ -9,8 +9,8 @@
     ReadResult,
     acceptor,
     candidate,
+    command_pipeline,
     messages,
-    order_pipeline,
     primary,
     quorums,
 )
@@ -22,16 +22,16 @@
     Primary = primary.Primary
     Candidate = candidate.Candidate
     Acceptor = acceptor.Acceptor
-    Pipeline = order_pipeline.OrderPipeline
+    Pipeline = command_pipeline.CommandPipeline
 
     def make_roles(self):
         role = self.Primary(self)
-        role.orders = self.Pipeline(role)
+        role.commands = self.Pipeline(role)
         return role, self.Candidate(self), self.Acceptor(self)
 
 
 class AnswersAfterOwnDiskOnly(MemberWithRoles):
-    class Pipeline(order_pipeline.OrderPipeline):
+    class Pipeline(command_pipeline.CommandPipeline):
         def advance_commit(self, now):
             holders, self.primary.holders = self.primary.holders, ()
             try:
@@ -64,7 +64,7 @@
                 replica.durable_position = durable
 
 
-class VotesThoughWiped(MemberWithRoles):
+class VotesAfterLosingItsDisk(MemberWithRoles):
     """Takes the place that the epoch's configuration names for its address, though its disk was lost."""
 
     def receive(self, now, sender, message):
@@ -75,12 +75,12 @@
 
 
 class ReadsWithoutConfirmation(MemberWithRoles):
-    class Pipeline(order_pipeline.OrderPipeline):
+    class Pipeline(command_pipeline.CommandPipeline):
         def read(self, now, ticket):
             self.member.effects.append(Answer(ticket, ReadResult(*self.member.replica.committed)))
 
 
-class DropsWhatItFindsUnfinished(MemberWithRoles):
+class DropsUncommittedChanges(MemberWithRoles):
     """A candidate goes on from its own state only."""
 
     class Candidate(candidate.Candidate):
@@ -150,7 +150,7 @@
                 super().refuse(sender, number)
 
 
-class TakesNewcomersAtOnce(MemberWithRoles):
+class CountsNewcomersAtOnce(MemberWithRoles):
     """Newcomers promise and hold before it is known that the epoch that names them is active."""
 
     def is_voter(self):
@@ -172,16 +172,16 @@
             return quorums.Groups(members, members)
 
 
-class TellsUnfinished(MemberWithRoles):
+class AnnouncesUncommitted(MemberWithRoles):
     """The primary tells the others of a change as soon as it has decided it."""
 
-    class Pipeline(order_pipeline.OrderPipeline):
+    class Pipeline(command_pipeline.CommandPipeline):
         def write(self, now, changes, decided):
             super().write(now, changes, decided)
             self.member.replica.commit(self.member.replica.log_position)
 
 
-class TakesAnOlderWord(MemberWithRoles):
+class AppliesOlderCommittedState(MemberWithRoles):
     """Committed state is taken over from whoever speaks last."""
 
     def __init__(self, *args, **kwargs):
@@ -195,7 +195,7 @@
         replica.commit_state = commit_state
 
 
-class HoldsBeforeInstalled(MemberWithRoles):
+class AcksInstallBeforeTheSync(MemberWithRoles):
     """A holder says that it has the state before it is synced."""
 
     class Acceptor(acceptor.Acceptor):
--- a/tests/simulation/repairs.py
+++ b/tests/simulation/repairs.py
@@ -64,7 +64,7 @@
     def send(self, put):
         up = [m for m in self.world.machines if m.up]
         leads = [m for m in up if m.member.role == "primary"]
-        (leads or up)[0].ask("order", put, lambda outcome: self.answered(put, outcome))
+        (leads or up)[0].ask("submit", put, lambda outcome: self.answered(put, outcome))
 
     def answered(self, put, outcome):
         if outcome != "ok":
--- a/tests/simulation/test_control_seeds.py
+++ b/tests/simulation/test_control_seeds.py
@@ -19,13 +19,13 @@
 PLANTED = [  # the fault, where it shows, within how many seeds
     (faulty.AnswersAfterOwnDiskOnly, "fair", 60),
     (faulty.AcksBeforeTheSync, "storm", 60),
-    (faulty.VotesThoughWiped, "members", 60),
+    (faulty.VotesAfterLosingItsDisk, "members", 60),
     (faulty.ReadsWithoutConfirmation, "storm", 60),
-    (faulty.DropsWhatItFindsUnfinished, "storm", 60),
+    (faulty.DropsUncommittedChanges, "storm", 60),
     (faulty.FoundsAlone, "fair", 60),
     (faulty.OldPrimaryIsNotFenced, "storm", 60),
-    (faulty.TellsUnfinished, "storm", 60),
-    (faulty.TakesAnOlderWord, "storm", 60),
+    (faulty.AnnouncesUncommitted, "storm", 60),
+    (faulty.AppliesOlderCommittedState, "storm", 60),
 ]
 
 
--- a/tests/simulation/test_control_troubles.py
+++ b/tests/simulation/test_control_troubles.py
@@ -216,7 +216,7 @@
             assert outcome == OK
             taken.append(world.clock.now - began)
 
-        at.ask("order", Put(number - 1, number, f"storm{number}"), answered)
+        at.ask("submit", Put(number - 1, number, f"storm{number}"), answered)
 
     for number in range(1, 101):
         world.clock.at(4.0 + 0.08 * number, order, number)
