--- a/shedgrade/replication/primary.py
+++ b/shedgrade/replication/primary.py
@@ -1,458 +1,384 @@
-"""The primary's part: decide, write to all holders of the epoch, confirm, tell what is finished."""
+"""The primary's role: heartbeats and rounds, acknowledgements, committed state for those who hold none."""
 
 from __future__ import annotations
 
-from collections import deque
+from typing import TYPE_CHECKING
 
-from shedgrade.replication.contact import MajorityContact
-from shedgrade.replication.departure import LeaveRequests
-from shedgrade.replication.effects import Answer, Reading, Unavailable, Unclear
-from shedgrade.replication.follower import Follower, Pending
+from shedgrade.replication.command_pipeline import CommandPipeline
+from shedgrade.replication.follower import Follower
+from shedgrade.replication.graceful_leave import LeaveRequests
+from shedgrade.replication.holder_supervision import HolderSupervision
+from shedgrade.replication.majority_contact import MajorityContact
 from shedgrade.replication.messages import (
     Ack,
+    CatchUp,
+    EpochConfig,
     Heartbeat,
-    Learn,
-    Mark,
-    Replicate,
+    JoinRequest,
+    LogPosition,
     size,
 )
-from shedgrade.replication.replica_state import merge
 
-OPEN_BYTES = 256 * 1024  # no further write is begun while those that are not finished have as many
-PIPELINED_BYTES = 4096  # longer finished state waits for the ack of the one before
+if TYPE_CHECKING:
+    from shedgrade.replication.member import Member
 
+MAX_PIPELINED_CATCH_UP_BYTES = 4096  # longer committed state waits for the ack of the one before
+MAX_CATCH_UP_BACKOFF = 4  # the wait for an ack of committed state doubles so many times at most
+# Not heard for so many join request intervals, a process that is no member is forgotten: at the beginning
+# of an epoch, and during it.
+FORGOTTEN_AT_BEGIN, FORGOTTEN = 5, 8
+NOBODY: frozenset[int] = frozenset()
 
-class Primary:
-    """Answers nothing while `active` is false. Orders that wait for an end of an election stay in `queue`."""
 
-    def __init__(self, member):
+class Primary:
+    """The primary's role of one member. Times are seconds of the steady clock.
+
+    `active`: whether this process is the primary of `epoch`. While it is false nothing is decided, answered
+    or sent; an election of this process itself (`pause`) keeps all else as it is.
+    `epoch`: the number of the epoch led last, 0 before the first one. Invariant while active: the state here
+    was accepted in it, and nothing higher is promised to another.
+    `holders`: incarnations of the other holders. Invariant while active: each is one of `followers`.
+    `followers`: by incarnation, all processes heard, members and others; empty while another leads.
+    `current_incarnations`: by link address, the incarnation that was heard there last. One that is not in
+    here lost its disk.
+    `commands`: commands, reads, and changes in flight. `leave_requests`: members that asked for their leave.
+    `supervision`: health of the holders.
+    `majority_contact`: when a majority last confirmed this primary.
+    `read_index_round`: the newest round sent; numbers grow over epochs.
+    `heartbeat_due_at`: of the next heartbeat to all.
+    `majority_heard_at`: when a majority of the members had been heard lately, at the last look.
+    `epoch_began_at`: when this process became the primary of `epoch`.
+    `has_enough_holders`: more than t hold the state; `has_all_members`: the epoch has 2t + 1 members.
+    `incomplete_since`: when the first of the epochs led in succession began; None while another leads.
+    """
+
+    def __init__(self, member: Member) -> None:
+        """Of the member that may become the primary."""
         self.member = member
         self.active = False
         self.epoch = 0
         self.followers: dict[int, Follower] = {}
-        self.holders: tuple[int, ...] = ()  # the other ones
-        self.pending: deque[Pending] = deque()
-        self.queue: deque[tuple[float, int, object]] = deque()
-        self.open: deque[tuple[int, dict, float]] = deque()  # not finished: sequence, changes, late after
-        self.round = self.confirmed = 0
-        self.beat_at = self.majority_at = self.began = 0.0
-        self.enough = self.complete = False
+        self.holders: tuple[int, ...] = ()
+        self.current_incarnations: dict[str, int] = {}
+        self.commands = CommandPipeline(self)
+        self.leave_requests = LeaveRequests(self)
+        self.supervision = HolderSupervision(self)
+        self.majority_contact = MajorityContact()
+        self.read_index_round = 0
+        self.heartbeat_due_at = 0.0
+        self.majority_heard_at = 0.0
+        self.epoch_began_at = 0.0
+        self.has_enough_holders = False
+        self.has_all_members = False
         self.incomplete_since: float | None = None
-        self.latest: dict[str, int] = {}  # address -> the incarnation that spoke last from there
-        self.own_durable = -1
-        self.contact = MajorityContact()
-        self.leaves = LeaveRequests(self)
 
     # --- begin and end
 
-    def begin(self, now: float, record, leaving: frozenset[int] = frozenset()) -> None:
-        """All holders have synced the epoch: what they hold is finished. `leaving`: members that asked for
-        their leave before."""
-        member, held = self.member, self.member.held
-        held.learn(now, record)
-        self.active, self.epoch = True, record.number
-        self.holders = tuple(each for each in record.holders if each != held.incarnation)
+    def begin(self, now: float, config: EpochConfig, leaving: frozenset[int] = NOBODY) -> None:
+        """All holders have synced the epoch: what they hold is committed. `leaving`: members that asked for
+        their leave before.
+        """
+        member, replica = self.member, self.member.replica
+        replica.adopt_epoch_config(now, config)
+        self.active = True
+        self.epoch = config.number
+        self.holders = tuple(each for each in config.holders if each != replica.incarnation)
         if self.incomplete_since is None:
             self.incomplete_since = now
-        self.enough = len(record.holders) > member.tolerated
-        self.complete = len(record.members) > 2 * member.tolerated
-        members = {peer.incarnation: peer for peer in record.members}
-        kept = {
-            incarnation: old
-            for incarnation, old in self.followers.items()
-            if incarnation in members or now - old.heard < 5 * member.timing.hello
+        self.has_enough_holders = len(config.holders) > member.tolerated
+        self.has_all_members = len(config.members) > 2 * member.tolerated
+        self.followers = self.followers_of(now, config)
+        for incarnation, follower in self.followers.items():
+            follower.begin_epoch(now, incarnation in leaving)
+            if incarnation in self.holders:
+                follower.begin_as_holder(now, replica.log_position.sequence)
+        self.leave_requests.begin(leaving)
+        self.commands.begin_epoch()
+        self.majority_heard_at = now
+        self.epoch_began_at = now
+        self.majority_contact = MajorityContact(member.candidate.prepared_at)
+        self.note_recent_join_requests(now)
+        replica.commit(replica.log_position)
+        member.became_primary(now)
+        self.send_heartbeats(now)
+        self.commands.answer(now)
+        self.leave_requests.tick(now)
+        change = member.reconfiguration.replacements_of_lost_disks(now, config)
+        if change is not None:  # the repair goes before commands, whose writes would hold it up
+            member.reconfigure(now, change)
+            return
+        self.commands.advance_queue(now)
+
+    def followers_of(self, now: float, config: EpochConfig) -> dict[int, Follower]:
+        """The members, and those known already, without non-members that were not heard for long."""
+        member = self.member
+        members = {peer.incarnation: peer for peer in config.members}
+        forgotten_s = FORGOTTEN_AT_BEGIN * member.timing.join_request_interval_s
+        followers = {
+            incarnation: follower
+            for incarnation, follower in self.followers.items()
+            if incarnation in members or now - follower.last_heard_at < forgotten_s
         }
         for incarnation, peer in members.items():
-            if incarnation != held.incarnation and incarnation not in kept:
-                kept[incarnation] = new = Follower(incarnation, peer.name, peer.address, now)
-                new.spoke_at = member.heard_from.get(peer.address, member.born_at)
-        for incarnation, follower in kept.items():
-            follower.since, follower.round, follower.sent_to = now, 0, -1
-            follower.leaving = incarnation in leaving
-            follower.received = follower.durable = -1
-            if incarnation in self.holders:
-                follower.heard = now
-                follower.sent_to = follower.received = follower.durable = held.mark[1]
-        self.followers = kept
-        self.leaves.begin(leaving)
-        self.own_durable = held.mark[1]
-        self.open.clear()
-        self.majority_at = self.began = now
-        self.contact = MajorityContact(member.candidate.prepared)
-        for hello in member.reconfiguration.asked_lately(now):
-            if hello.incarnation not in kept and hello.incarnation != held.incarnation:
-                self.latest[hello.address] = hello.incarnation
-                self.followers[hello.incarnation] = Follower(
-                    hello.incarnation, hello.name, hello.address, now
+            if incarnation != member.replica.incarnation and incarnation not in followers:
+                new = Follower(incarnation, peer.name, peer.address, now)
+                new.last_message_at = member.peers.last_message_at.get(
+                    peer.address, member.incarnation_durable_at
                 )
-        held.finish(held.mark)
-        member.became_primary(now)
-        self.beat(now)
-        self.settle(now)
-        self.leaves.tick(now)
-        change = member.reconfiguration.next_lives(now, record)
-        if change is not None:  # the repair goes before orders, whose writes would hold it up
-            return member.reform(now, change, frozenset())
-        self.advance_queue(now)
-        return None
+                followers[incarnation] = new
+        return followers
+
+    def note_recent_join_requests(self, now: float) -> None:
+        """Who asked to join before this process was the primary need not ask again."""
+        for request in self.member.reconfiguration.recent_join_requests(now):
+            incarnation = request.incarnation
+            if incarnation not in self.followers and incarnation != self.member.replica.incarnation:
+                self.current_incarnations[request.address] = incarnation
+                self.followers[incarnation] = Follower(incarnation, request.name, request.address, now)
 
     def pause(self) -> None:
         """An election of this process goes on; what is pending stays."""
         self.active = False
 
     def abandon(self, now: float) -> None:
-        """Another decides now. What was written may be finished by it: the answers are unclear."""
+        """Another decides now."""
         self.active = False
-        self.open.clear()
         self.followers = {}
         self.incomplete_since = None
-        pending, self.pending = self.pending, deque()
-        for each in pending:
-            self.member.waiting.add(now, each.ticket, None, shipped=not each.read, read=each.read)
-        queue, self.queue = self.queue, deque()
-        for _, ticket, request in queue:
-            self.member.waiting.add(now, ticket, request)
-
-    # --- orders
-
-    def acts(self, now: float) -> bool:
-        """Fewer holders than may be lost and one keep nothing safe. Of fewer members than 2t + 1 no
-        majority may be left: newcomers get a while to join before the first answer."""
-        return self.enough and (self.complete or now - self.incomplete_since >= self.member.timing.incomplete)
-
-    def order(self, now: float, ticket: int, request) -> None:
-        self.queue.append((now, ticket, request))
-        self.advance_queue(now)
-
-    def read(self, now: float, ticket: int) -> None:
-        self.pending.append(Pending(ticket, None, self.member.held.mark[1], self.next_round(now), True, now))
-        self.settle(now)
-
-    def next_round(self, now: float) -> int:
-        self.round += 1
-        for incarnation in self.holders:
-            self.heartbeat(now, self.followers[incarnation], self.round)
-        return self.round
+        self.commands.abandon(now)
 
-    def confirm_with_all(self, now: float) -> int:
-        """A round that witnesses are asked for, too."""
-        round_ = self.next_round(now)
-        for incarnation, follower in self.followers.items():
-            if incarnation not in self.holders and self.member.held.names(incarnation):
-                self.heartbeat(now, follower, round_)
-        return round_
-
-    def advance_queue(self, now: float) -> None:
-        member, held = self.member, self.member.held
-        while self.active and self.acts(now) and self.queue and self.has_room():
-            changes, state, replies = {}, held.state, []
-            while self.queue:
-                _, ticket, request = self.queue.popleft()
-                decision = member.decide(state, request)
-                replies.append((ticket, decision))
-                if decision.changes:
-                    state = merge(state, decision.changes)
-                    changes.update(decision.changes)
-            self.write(now, changes, replies)
-        self.settle(now)
-
-    def has_room(self) -> bool:
-        """Orders behind long writes wait and become one write: a key that they all change is sent once."""
-        return (
-            len(self.open) < self.member.PIPELINE
-            and sum(size(changes) for _, changes, _ in self.open) < OPEN_BYTES
-        )
+    def may_process_commands(self, now: float) -> bool:
+        """Fewer holders than may be lost and one keep nothing safe. Of fewer members than 2t + 1 no majority
+        may be left: newcomers get a while to join before the first answer.
+        """
+        if not self.active or not self.has_enough_holders or self.incomplete_since is None:
+            return False
+        timeout_s = self.member.timing.incomplete_membership_timeout_s
+        return self.has_all_members or now - self.incomplete_since >= timeout_s
 
-    def write(self, now: float, changes, replies) -> None:
-        held = self.member.held
-        sequence = held.mark[1] + (1 if changes else 0)
-        asks = 0 if changes else self.next_round(now)
-        for ticket, decision in replies:
-            self.pending.append(Pending(ticket, decision.outcome, sequence, asks, False, now))
-        if not changes:
-            return
-        epoch = self.epoch
-        late = now + self.member.timing.write_patience + size(changes) / self.member.timing.bytes_per_second
-        self.open.append((sequence, changes, late))
-        held.write(now, sequence, changes, lambda at: self.own_done(at, epoch, sequence))
+    # --- heartbeats and rounds
+
+    def start_read_index_round(self, now: float) -> int:
+        """A round that all holders are asked to confirm. Returns its number."""
+        self.read_index_round += 1
         for incarnation in self.holders:
-            self.replicate(now, self.followers[incarnation], sequence, changes)
-
-    def replicate(self, now: float, follower: Follower, sequence: int, changes) -> None:
-        wait = self.member.timing.resend + size(changes) / self.member.timing.bytes_per_second
-        follower.sent_to = max(follower.sent_to, sequence)
-        follower.resend_at = now + wait
-        finished = self.member.held.finished[:2]
-        self.member.send(follower.address, Replicate(self.epoch, sequence, finished, changes))
-
-    def own_done(self, now: float, epoch: int, sequence: int) -> None:
-        if self.active and epoch == self.epoch:
-            self.own_durable = max(self.own_durable, sequence)
-            self.advance(now)
-
-    def advance(self, now: float) -> None:
-        """What all holders have synced is finished."""
-        done = min([self.own_durable] + [self.followers[each].durable for each in self.holders])
-        moved = False
-        while self.open and self.open[0][0] <= done:
-            self.member.held.finish((self.epoch, self.open.popleft()[0]))
-            moved = True
-        if moved:
-            self.settle(now)
-            self.tell(now)
-            self.advance_queue(now)
-
-    def settle(self, now: float) -> None:
-        """Answer what is finished, or confirmed."""
-        if not self.active:
-            return
-        finished = self.open[0][0] - 1 if self.open else self.member.held.mark[1]
-        confirmed = min((self.followers[each].round for each in self.holders), default=self.round)
-        while self.pending and self.pending[0].sequence <= finished and self.pending[0].round <= confirmed:
-            each = self.pending.popleft()
-            outcome = Reading(*self.member.held.finished) if each.read else each.outcome
-            self.member.effects.append(Answer(each.ticket, outcome))
-
-    # --- others
-
-    def beat(self, now: float) -> None:
-        """A heartbeat to all, and what is finished to who lacks it."""
-        held = self.member.held
-        self.beat_at = now + self.member.timing.heartbeat
-        self.round += 1
-        self.contact.round_sent(now, self.round)
+            self.send_heartbeat_to(now, self.followers[incarnation], self.read_index_round)
+        return self.read_index_round
+
+    def start_member_round(self, now: float) -> int:
+        """A round that witnesses are asked to confirm, too. Returns its number."""
+        number = self.start_read_index_round(now)
+        for incarnation, follower in self.followers.items():
+            if incarnation not in self.holders and self.member.replica.has_member(incarnation):
+                self.send_heartbeat_to(now, follower, number)
+        return number
+
+    def send_heartbeats(self, now: float) -> None:
+        """A heartbeat to all, and what is committed to who lacks it."""
+        timing = self.member.timing
+        self.heartbeat_due_at = now + timing.heartbeat_interval_s
+        self.read_index_round += 1
+        self.majority_contact.round_sent(now, self.read_index_round)
         self.confirm(now)
         for incarnation, follower in list(self.followers.items()):
-            if now - follower.heard > 8 * self.member.timing.hello and not held.names(incarnation):
-                del self.followers[incarnation]  # a guest that is gone
-                continue
-            if self.latest.get(follower.address, incarnation) != incarnation:
-                continue  # its disk was lost: another incarnation is there
-            self.heartbeat(now, follower, self.round)
-            if incarnation not in self.holders:
-                self.teach(now, follower)
-
-    def heartbeat(self, now: float, follower: Follower, round_: int) -> None:
-        record = None if follower.record == self.epoch else self.member.held.record
-        self.send_heartbeat(now, follower.address, round_, record)
-
-    def send_heartbeat(self, now: float, address: str, round_: int, record) -> None:
-        self.member.send(
-            address,
-            Heartbeat(
-                self.epoch, round_, self.member.held.finished[:2], record, now - self.contact.confirmed_at
-            ),
+            silence_s = now - follower.last_heard_at
+            is_member = self.member.replica.has_member(incarnation)
+            if silence_s > FORGOTTEN * timing.join_request_interval_s and not is_member:
+                del self.followers[incarnation]
+            elif not self.has_lost_disk(follower):
+                self.send_heartbeat_to(now, follower, self.read_index_round)
+                if incarnation not in self.holders:
+                    self.send_catch_up(now, follower)
+
+    def has_lost_disk(self, follower: Follower) -> bool:
+        """Whether another incarnation was heard at its address since."""
+        current = self.current_incarnations.get(follower.address, follower.incarnation)
+        return current != follower.incarnation
+
+    def send_heartbeat_to(self, now: float, follower: Follower, read_index_round: int) -> None:
+        """With the epoch's configuration, if it lacks that."""
+        config = None if follower.known_epoch == self.epoch else self.member.replica.epoch_config
+        self.send_heartbeat(now, follower.address, read_index_round, config)
+
+    def send_heartbeat(
+        self, now: float, address: str, read_index_round: int, config: EpochConfig | None
+    ) -> None:
+        """To one link address. `read_index_round`: 0 asks for no confirmation."""
+        heartbeat = Heartbeat(
+            self.epoch,
+            read_index_round,
+            self.member.replica.committed.position,
+            config,
+            now - self.majority_contact.confirmed_at,
         )
+        self.member.send(address, heartbeat)
 
     def confirm(self, now: float) -> None:
         """Whether a majority of the members follows this primary, and as of when."""
-        members = self.member.held.record.members
-        others = [peer.incarnation for peer in members if peer.incarnation != self.member.held.incarnation]
-        self.member.confirmed(self.contact.confirm(now, others, len(members) // 2))
+        members = self.member.members
+        own = self.member.replica.incarnation
+        others = [peer.incarnation for peer in members if peer.incarnation != own]
+        self.member.confirm_up_to_date(self.majority_contact.confirm(now, others, len(members) // 2))
+
+    # --- committed state
 
-    def tell(self, now: float) -> None:
-        """What has just been finished."""
+    def announce_committed(self, now: float) -> None:
+        """What has just been committed."""
         for incarnation, follower in self.followers.items():
             if incarnation in self.holders:
-                self.heartbeat(now, follower, 0)
-            elif self.latest.get(follower.address, incarnation) == incarnation:
-                self.teach(now, follower)
-
-    def teach(self, now: float, follower: Follower) -> None:
-        """Finished state to a follower that holds none; to a silent one nothing but heartbeats.
-
-        A long transfer is not begun anew for a newer position: what changed since follows its end."""
-        held, timing = self.member.held, self.member.timing
-        mark = held.finished[:2]
-        if follower.finished >= mark or now - follower.heard > timing.silent:
+                self.send_heartbeat_to(now, follower, 0)
+            elif not self.has_lost_disk(follower):
+                self.send_catch_up(now, follower)
+
+    def send_catch_up(self, now: float, follower: Follower) -> None:
+        """Committed state to a follower that holds none; to one that is not heard nothing but heartbeats.
+
+        A long transfer is not begun anew for a newer position: what changed since follows its end.
+        """
+        replica, timing = self.member.replica, self.member.timing
+        position = replica.committed.position
+        if follower.committed >= position or now - follower.last_heard_at > timing.peer_timeout_s:
             return
-        if now < follower.learn_at and (
-            follower.learnt == mark or (follower.transfer and follower.finished < follower.learnt)
-        ):
+        is_sent = follower.catch_up_position == position
+        is_behind_transfer = follower.is_catch_up_long and follower.committed < follower.catch_up_position
+        if now < follower.catch_up_due_at and (is_sent or is_behind_transfer):
             return
-        newest_first = sorted((follower.finished, follower.synced), reverse=True)
-        base, changes = held.finished_since(*newest_first)
-        follower.misses = follower.misses + 1 if follower.learnt == mark else 0
+        newest_first = sorted((follower.committed, follower.durable_position), reverse=True)
+        base, changes = replica.committed_changes_since(*newest_first)
         length = size(changes)
-        wait = timing.resend + length / timing.bytes_per_second
-        follower.learnt, follower.learn_at = mark, now + wait * 2 ** min(follower.misses, 4)
-        follower.transfer = length > PIPELINED_BYTES
-        self.member.send(follower.address, Learn(self.epoch, mark, base, changes))
+        wait_s = timing.resend_interval_s + length / timing.bytes_per_second
+        follower.catch_up_retries = follower.catch_up_retries + 1 if is_sent else 0
+        follower.catch_up_position = position
+        follower.catch_up_due_at = now + wait_s * 2 ** min(follower.catch_up_retries, MAX_CATCH_UP_BACKOFF)
+        follower.is_catch_up_long = length > MAX_PIPELINED_CATCH_UP_BYTES
+        self.member.send(follower.address, CatchUp(self.epoch, position, base, changes))
 
-    def ack(self, now: float, sender: str, ack: Ack) -> None:
+    # --- messages of followers
+
+    def on_ack(self, now: float, sender: str, ack: Ack) -> None:
+        """A follower tells what it has, and which round reached it."""
         member = self.member
-        member.highest = max(member.highest, ack.promised)
+        member.highest_epoch_seen = max(member.highest_epoch_seen, ack.promised_epoch)
         follower = self.followers.get(ack.incarnation)
         if follower is None:
             follower = self.followers[ack.incarnation] = Follower(ack.incarnation, ack.name, sender, now)
-        self.hears(now, follower)
-        self.locate(now, follower, sender, ack.finished)
-        follower.spoke_at = now
-        follower.record = max(follower.record, ack.record)
-        follower.synced = ack.synced
-        follower.healthy, follower.leaving, follower.promised = ack.healthy, ack.leaving, ack.promised
-        if not self.active or ack.epoch != self.epoch:
-            return
-        if ack.promised <= self.epoch:
-            self.contact.round_acknowledged(ack.incarnation, ack.round)
+        self.on_follower_heard(now, follower)
+        self.update_location(now, follower, sender, ack.committed)
+        follower.last_message_at = now
+        follower.known_epoch = max(follower.known_epoch, ack.known_epoch)
+        follower.durable_position = ack.durable_position
+        follower.is_healthy = ack.is_healthy
+        follower.is_leaving = ack.is_leaving
+        follower.promised_epoch = ack.promised_epoch
+        if self.active and ack.epoch == self.epoch:
+            self.on_ack_of_epoch(now, follower, ack)
+
+    def on_ack_of_epoch(self, now: float, follower: Follower, ack: Ack) -> None:
+        """It answers a message of the present epoch: rounds and writes count."""
+        if ack.promised_epoch <= self.epoch:
+            self.majority_contact.round_acknowledged(ack.incarnation, ack.read_index_round)
             self.confirm(now)
-        if ack.round > follower.round and ack.promised == self.epoch:
-            follower.round = ack.round
-            self.settle(now)
-        self.leaves.tick(now)
-        if ack.incarnation in self.holders and ack.promised == self.epoch:
-            follower.received = max(follower.received, ack.received)
-            if ack.durable > follower.durable:
-                follower.durable = ack.durable
-                self.advance(now)
-        elif ack.incarnation not in self.holders:
-            self.teach(now, follower)
-
-    def hello(self, now: float, hello) -> None:
-        """A process that doesn't hear this primary, or is new: told at once where it is."""
-        who = hello.incarnation
-        follower = self.followers.get(who)
+        if ack.read_index_round > follower.read_index_round and ack.promised_epoch == self.epoch:
+            follower.read_index_round = ack.read_index_round
+            self.commands.answer(now)
+        self.leave_requests.tick(now)
+        if ack.incarnation not in self.holders:
+            self.send_catch_up(now, follower)
+        elif ack.promised_epoch == self.epoch:
+            follower.received_sequence = max(follower.received_sequence, ack.received_sequence)
+            if ack.durable_sequence > follower.durable_sequence:
+                follower.durable_sequence = ack.durable_sequence
+                self.commands.advance_commit(now)
+
+    def on_join_request(self, now: float, request: JoinRequest) -> None:
+        """A process that doesn't hear this primary, or is new: informed at once where it is."""
+        incarnation = request.incarnation
+        follower = self.followers.get(incarnation)
         if follower is None:
-            follower = self.followers[who] = Follower(who, hello.name, hello.address, now)
-        self.locate(now, follower, hello.address, hello.finished)
-        follower.spoke_at = now
-        if hello.incarnation not in self.holders:
-            self.hears(now, follower)
-        self.send_heartbeat(now, hello.address, self.round, self.member.held.record)
-
-    def locate(self, now: float, follower: Follower, address: str, finished: Mark) -> None:
+            follower = Follower(incarnation, request.name, request.address, now)
+            self.followers[incarnation] = follower
+        self.update_location(now, follower, request.address, request.committed)
+        follower.last_message_at = now
+        if incarnation not in self.holders:
+            self.on_follower_heard(now, follower)
+        self.send_heartbeat(now, request.address, self.read_index_round, self.member.replica.epoch_config)
+
+    def update_location(self, now: float, follower: Follower, address: str, committed: LogPosition) -> None:
         """Where it is and what it knows: nothing, if it was started anew or lost its disk. What is on its way
-        there then begins at a position that it no longer has."""
-        before = self.latest.get(address, follower.incarnation)
-        if finished == (0, 0) < follower.finished or before != follower.incarnation:
-            self.member.pieces.cancel_state(now, address)
-            follower.learn_at = now
-        follower.address, follower.finished = address, finished
-        self.latest[address] = follower.incarnation
+        there then begins at a position that it no longer has.
+        """
+        before = self.current_incarnations.get(address, follower.incarnation)
+        has_forgotten = committed == (0, 0) < follower.committed
+        if has_forgotten or before != follower.incarnation:
+            self.member.transport.chunking.cancel_state(now, address)
+            follower.catch_up_due_at = now
+        follower.address = address
+        follower.committed = committed
+        self.current_incarnations[address] = follower.incarnation
+
+    def on_follower_heard(self, now: float, follower: Follower) -> None:
+        """It can receive what is sent to it."""
+        if not self.supervision.heard_recently(now, follower):
+            follower.catch_up_due_at = now  # what was sent before it was lost sight of may have been given up
+        follower.last_heard_at = now
 
     # --- time
 
-    def expire(self, now: float) -> None:
-        """An order is not held for ever."""
-        hold = self.member.timing.hold
-        while self.queue and now - self.queue[0][0] >= 2 * hold:
-            self.member.effects.append(Answer(self.queue.popleft()[1], Unavailable()))
-        while self.pending and now - self.pending[0].since >= 3 * hold:
-            each = self.pending.popleft()
-            self.member.effects.append(Answer(each.ticket, Unavailable() if each.read else Unclear()))
-
-    def hears(self, now: float, follower: Follower) -> None:
-        if not self.heard_lately(now, follower):
-            follower.learn_at = now  # what was sent before its silence may have been given up
-        follower.heard = now
-
-    def heard_lately(self, now: float, follower: Follower) -> bool:
-        return now - follower.heard < self.member.timing.silent
-
     def tick(self, now: float) -> None:
+        """Heartbeats, what was not received, and the health of the followers."""
         if not self.active:
-            return None
-        timing, held, record = self.member.timing, self.member.held, self.member.held.record
-        if now >= self.beat_at:
-            self.beat(now)
+            return
+        if now >= self.heartbeat_due_at:
+            self.send_heartbeats(now)
         for incarnation in self.holders:
             follower = self.followers[incarnation]
-            lacks = follower.received < follower.sent_to and now >= follower.resend_at
-            if lacks and self.heard_lately(now, follower):
-                for sequence, changes, _ in self.open:
-                    if sequence > follower.received:
-                        self.replicate(now, follower, sequence, changes)
-        heard = 1 + sum(self.heard_lately(now, f) for i, f in self.followers.items() if held.names(i))
-        if heard > len(record.members) // 2:
-            self.majority_at = now
-        elif now - self.majority_at > timing.deaf - timing.silent:
-            return self.member.step_down(now)  # cut off, perhaps one way: others must be able to take over
-        self.advance_queue(now)
-        self.leaves.tick(now)
-        self.mend(now)
-        return None
-
-    def has_majority(self, now: float) -> bool:
-        """Whether a majority of the members was heard lately and has promised nothing higher."""
-        held = self.member.held
-        heard = [f for i, f in self.followers.items() if held.names(i) and self.heard_lately(now, f)]
-        return 1 + sum(f.promised <= self.epoch for f in heard) > len(held.record.members) // 2
-
-    def is_able(self, now: float, follower: Follower) -> bool:
-        return self.heard_lately(now, follower) and follower.healthy and not follower.leaving
-
-    def may_join(self, now: float, follower: Follower) -> bool:
-        """It has spoken lately, and is not the former life of a machine whose disk was lost."""
-        spoke = now - follower.spoke_at < self.member.timing.silent
-        newest = self.latest.get(follower.address) == follower.incarnation
-        return spoke and newest and self.is_able(now, follower)
-
-    def ill(self, now: float, follower: Follower) -> bool:
-        """A holder that is silent, has an ill disk, or is late with a write."""
-        if not self.heard_lately(now, follower) or not follower.healthy:
-            return True
-        return any(sequence > follower.durable and now >= late for sequence, _, late in self.open)
-
-    def mend(self, now: float) -> None:
-        """Replace ill holders, take in newcomers, hand over when the own disk is ill."""
-        member, held = self.member, self.member.held
-        record = held.record
-        able = [
-            each
-            for each, follower in self.followers.items()
-            if held.names(each) and self.is_able(now, follower)
-        ]
-        ill = frozenset(each for each in self.holders if self.ill(now, self.followers[each]))
-        leaving = frozenset(each for each in self.holders if self.followers[each].leaving)
-        unwanted = ill | leaving
-        if not member.saving.healthy(now) and self.hand_over(now):
-            return
-        if now < member.reform_at:
+            is_due = follower.lacks_writes() and now >= follower.resend_at
+            if is_due and self.supervision.heard_recently(now, follower):
+                self.commands.resend(now, follower)
+        if self.has_lost_majority(now):
+            self.member.step_down(now)  # cut off, perhaps one way: others must be able to take over
             return
-        wanted = max(len(record.members) // 2, member.tolerated)  # beside this process
-        good = [each for each in able if each not in unwanted]
-        change = member.reconfiguration.change(now, self, record)
-        if ill and len(good) < len(self.holders):  # one that leaves holds until another can
-            unwanted = ill
-            good += [
-                each
-                for each, follower in self.followers.items()
-                if held.names(each)
-                and each not in ill
-                and follower.leaving
-                and follower.healthy
-                and self.heard_lately(now, follower)
-            ]
-        # a newcomer may become the holder that takes the place of one that leaves
-        if (
-            (unwanted and len(good) >= len(self.holders))
-            or (len(self.holders) < wanted <= len(good))
-            or (change is not None and not ill)
-        ):
-            member.reform(now, change, unwanted)
-
-    def hand_over(self, now: float) -> bool:
-        """To the holder that has most, or else to any member."""
-        member = self.member
-        heard = [f for i, f in self.followers.items() if self.is_able(now, f) and member.held.names(i)]
-        if not heard:
+        self.commands.advance_queue(now)
+        self.leave_requests.tick(now)
+        self.supervision.reconfigure_if_needed(now)
+
+    def has_lost_majority(self, now: float) -> bool:
+        """Whether no majority was heard for `majority_timeout_s`."""
+        timing = self.member.timing
+        if 1 + len(self.supervision.members_heard(now)) > len(self.member.members) // 2:
+            self.majority_heard_at = now
             return False
-        heir = max(heard, key=lambda f: (f.durable, f.incarnation in self.holders, f.heard))
-        member.hand_over(now, heir.address)
-        return True
+        # a follower counts as heard for `peer_timeout_s` after its last message
+        return now - self.majority_heard_at > timing.majority_timeout_s - timing.peer_timeout_s
 
     def wake_at(self, now: float) -> float:
+        """When `tick` has something to do."""
         if not self.active:
             return float("inf")
-        wake = min(self.beat_at, self.leaves.wake_at(self.member.ticked_at))
-        if self.member.reform_at > now:
-            wake = min(wake, self.member.reform_at)
-        for _, _, late in self.open:
-            wake = min(wake, late) if late > now else wake
+        wake = min(
+            self.heartbeat_due_at,
+            self.leave_requests.wake_at(self.member.ticked_at),
+            self.commands.wake_at(now),
+        )
+        if self.member.reconfigure_at > now:
+            wake = min(wake, self.member.reconfigure_at)
         for incarnation in self.holders:
             follower = self.followers[incarnation]
-            if follower.received < follower.sent_to and follower.resend_at > now:
+            if follower.lacks_writes() and follower.resend_at > now:
                 wake = min(wake, follower.resend_at)
-            silent = follower.heard + self.member.timing.silent
-            wake = min(wake, silent) if silent > now else wake
+            timeout_at = follower.last_heard_at + self.member.timing.peer_timeout_s
+            wake = min(wake, timeout_at) if timeout_at > now else wake
         return wake
+
+    def check_invariants(self) -> None:
+        """Raises AssertionError if an attribute contradicts another."""
+        if not self.active:
+            return
+        replica = self.member.replica
+        assert replica.accepted_epoch == self.epoch, "leads an epoch whose state it doesn't hold"
+        assert self.followers.keys() >= set(self.holders), "a holder that is no follower"
+        assert replica.incarnation not in self.holders, "holds the state twice"
+        for incarnation in self.holders:
+            follower = self.followers[incarnation]
+            assert follower.durable_sequence <= replica.log_position.sequence, "durable before it was sent"
+        self.commands.check_invariants()
--- a/shedgrade/simulation/machine.py
+++ b/shedgrade/simulation/machine.py
@@ -6,8 +6,8 @@
 
 from shedgrade.replication import (
     Answer,
-    Finished,
-    Left,
+    Committed,
+    Exit,
     Member,
     Persist,
     Send,
@@ -146,7 +146,7 @@
             self.drain()
 
     def ask(self, kind: str, request, answer) -> None:
-        """An order ("order") or a read ("read") of a client; `answer(None)` when the process ends."""
+        """A command ("submit") or a read ("read") of a client; `answer(None)` when the process ends."""
         if self.frozen:
             self.missed.append((self.ask, (kind, request, answer)))
         elif self.member is None:
@@ -179,6 +179,7 @@
 
     def drain(self) -> None:
         world, member = self.world, self.member
+        member.check_invariants()
         effects = member.effects
         while effects:
             todo, effects[:] = list(effects), []
@@ -192,9 +193,9 @@
                     call = self.answers.pop(effect.ticket, None)
                     if call is not None:
                         call(effect.outcome)
-                elif kind is Finished:
+                elif kind is Committed:
                     world.history.finished(world.clock.now, self, effect)
-                elif kind is Left:
+                elif kind is Exit:
                     world.clock.after(0.0, self.left, self.generation)
                 if self.member is not member or self.frozen:  # an ambush or an answer may have ended it
                     if self.frozen:
