--- a/benchmarks/asking.py
+++ b/benchmarks/asking.py
@@ -18,7 +18,7 @@
 import uvloop
 
 from shedgrade import control_messages
-from shedgrade.control_messages import READY, EdgeState, ListMoved
+from shedgrade.control_messages import READY, EdgeStatus, EndpointUpdate
 from shedgrade.dataplane.control_client import Watcher
 from shedgrade.peer_transport.peer import LinkError
 from shedgrade.peer_transport.tcp import Links
@@ -71,7 +71,7 @@
     def __init__(self, loop, number: int, count: Counter) -> None:
         self.loop, self.count, self.tasks = loop, count, set()
         address = f"127.0.6.{number % 250}:{7300 + number}"
-        state = EdgeState(f"edge-{number}", address, "zone-a", "region-a", number, READY)
+        state = EdgeStatus(f"edge-{number}", address, "zone-a", "region-a", number, READY)
         self.links = Links(loop, address, lambda sender, frame: None, address.partition(":")[0])
         self.asker = Watcher(
             state, [f"{core}:7300" for core in streams.CORES], Random(number), loop.time(), beat=0.5
@@ -84,8 +84,8 @@
             self.tasks.add(task)
             task.add_done_callback(self.tasks.discard)
         for update in self.asker.updates:
-            if isinstance(update, ListMoved):
-                self.count["whole lists" if update.whole else "deltas of the list"] += 1
+            if isinstance(update, EndpointUpdate):
+                self.count["whole lists" if update.is_full else "deltas of the list"] += 1
         self.asker.updates.clear()
 
     async def call(self, effect) -> None:
--- a/benchmarks/system.py
+++ b/benchmarks/system.py
@@ -120,22 +120,22 @@
 
 
 def change(raw: bytes | None, sequence: int = 1, evacuations: tuple = ()):
-    from shedgrade.control_messages import ControlChange, packed
+    from shedgrade.control_messages import ControlChange, compress_configuration
 
-    whole, compressed = (None, False) if raw is None else packed(raw)
+    whole, compressed = (None, False) if raw is None else compress_configuration(raw)
     return ControlChange(1, sequence, 7, whole, evacuations, compressed)
 
 
 def measure_list(options) -> None:
     from shedgrade import control_messages
-    from shedgrade.controlplane.platform_poller import InstanceList
+    from shedgrade.controlplane.platform_poller import EndpointList
     from shedgrade.runtime import log
 
     log.hand(SimpleNamespace(**dict.fromkeys(log.METHODS, lambda *_: None)))
     loop, count = asyncio.new_event_loop(), options.upstreams
     state = an_edge(loop)
     state.controlled(change(configuration(10)))
-    told, held = entries(count), InstanceList(lambda: 0.0)
+    told, held = entries(count), EndpointList(lambda: 0.0)
     held.lead(1)
     print(f"core applies {count} entries of the platform: {spent(lambda: held.apply(0.0, told)):.1f} ms")
     print(f"core applies the same again: {spent(lambda: held.apply(1.0, told), 3):.1f} ms")
@@ -231,14 +231,14 @@
 
 def measure_hub(options) -> None:
     from shedgrade import control_messages
-    from shedgrade.control_messages import READY, Ask, EdgeState
-    from shedgrade.controlplane.platform_poller import InstanceList
+    from shedgrade.control_messages import READY, EdgeStatus, WatchRequest
+    from shedgrade.controlplane.platform_poller import EndpointList
     from shedgrade.controlplane.watch_hub import WatchHub
     from shedgrade.peer_transport import frames
 
     hub, count, out = WatchHub("10.0.0.1:7300", 0.0), options.edges, []
     hub.members(0.0, tuple(f"10.0.0.{number}:7300" for number in range(5)))
-    held = InstanceList(lambda: 0.0)
+    held = EndpointList(lambda: 0.0)
     held.lead(1)
     told = entries(options.upstreams)
     held.apply(0.0, told)
@@ -253,8 +253,8 @@
     def asks(now, sequence):
         for number in range(count):
             zone = f"zone-{number % ZONES}"
-            edge = EdgeState(f"edge-{number}", "10.1.0.12:8263", zone, "region-0", 1, READY)
-            ask = Ask(edge, (1, sequence), held.version, 1.2, sequence, 0.1)
+            edge = EdgeStatus(f"edge-{number}", "10.1.0.12:8263", zone, "region-0", 1, READY)
+            ask = WatchRequest(edge, (1, sequence), held.version, 1.2, sequence, 0.1)
             body = frames.encode("10.1.0.12:7300", 5, False, b"K" + control_messages.encode(ask))
             bodies.append(body[4:])
 
--- a/shedgrade/control_messages.py
+++ b/shedgrade/control_messages.py
@@ -1,38 +1,63 @@
-"""What edges and core members tell each other: who asks, what moved, which upstreams and edges there are.
+"""Messages between edges and core members, and among core members, of what the control plane knows.
 
-Times that travel are spans in seconds or ms as of the moment of sending, never points of a clock. Lists
-are dated by (term of the poller, its number), control state by (epoch, sequence), compared in that order.
+An edge watches one core member (`WatchRequest`, `WatchResponse`); core members exchange what they know of
+edges (`EdgeObservations`) and of the platform's endpoint list (`EndpointListRequest`, `EndpointUpdate`). The
+messages of loads and of the prefix index, which go over the same channel, are defined in their packages.
+
+On the wire each is a MessagePack array: the order of fields and the tags are part of the protocol. Times that
+travel are spans in seconds or milliseconds as of the moment of sending, never points of a clock. An endpoint
+list has the version (term of its poller, number), control state the version (epoch, sequence); versions are
+compared in that order.
 """
 
 import msgspec
 
-from shedgrade.load_reports.messages import LoadReport, LoadsShared, LoadsTold
-from shedgrade.prefix_cache_index.index import AskRecord, Pair, RecordMoved, RecordRead
+from shedgrade.load_reports.messages import LoadReport, LoadSums, LoadUpdate
+from shedgrade.prefix_cache_index.index import (
+    Pair,
+    PrefixIndexAdditions,
+    PrefixIndexRequest,
+    PrefixIndexUpdate,
+)
 
-COMPRESSED_OVER = 8 * 1024  # bytes of a configuration beyond which it travels compressed
-LONGEST_CONFIGURATION = 16 * 1024 * 1024  # bytes, plain
+COMPRESS_ABOVE_BYTES = 8 * 1024  # a longer configuration travels compressed
+MAX_CONFIGURATION_BYTES = 16 * 1024 * 1024  # uncompressed
 
-NEVER = 1e9  # s: the age of what was never known
+UNKNOWN_AGE_S = 1e9  # the age of what was never known
 
+# States of an endpoint.
 AVAILABLE, DRAINING = "available", "draining"
+
+# States of an edge.
 STARTING, READY = "starting", "ready"
-LEAVING = "leaving"  # told to end; still takes what no other edge can
-CLOSED = "closed"  # told to end; takes nothing more
-NOBODY = "nobody"  # takes over the clients of an edge that leaves
-STAGES = {LEAVING: 1, CLOSED: 2}  # of an edge's end, each final within a life; 0: none has begun
+LEAVING = "leaving"  # shutting down: still takes what no other edge can
+CLOSED = "closed"  # shutting down: takes nothing more
+SHUTDOWN_STAGES = {LEAVING: 1, CLOSED: 2}  # each final within an incarnation; a state not here: 0
+
+NO_DRAIN_TARGET = "nobody"  # no edge takes over the clients of one that shuts down
 
 
 class Model(msgspec.Struct, array_like=True, frozen=True):
-    """A model that an upstream holds, with the version of its weights."""
+    """A model that an endpoint serves; part of `Endpoint`.
+
+    name: as in routes. version: of its weights. adapters: each a name, or JSON text where the platform has
+    more than a name.
+    """
 
     name: str
     version: int
-    adapters: tuple = ()
+    adapters: tuple[str, ...] = ()
 
 
-class Instance(msgspec.Struct, array_like=True, frozen=True):
-    """One upstream of the platform's list. `id` is its incarnation, `version` that of its software.
-    `cold_left_ms`, `time_left_ms`: as of sending; 0: not cold, -1: nothing is said of its end."""
+class Endpoint(msgspec.Struct, array_like=True, frozen=True):
+    """One upstream instance of the platform's list; part of `EndpointUpdate`.
+
+    id: names this incarnation: a restarted instance has another. service: that it serves. address:
+    "host:port". zone: its failure domain. state: AVAILABLE or DRAINING. cold_left_ms: until it is warmed up,
+    as of sending; 0: it is. slots: requests that it runs at once; 0: not known. version: of its software.
+    stage: of a release, as the platform names it. models: that it holds. time_left_ms: until the platform
+    takes it away, as of sending; -1: no end is announced.
+    """
 
     id: str
     service: str
@@ -47,101 +72,132 @@
     time_left_ms: float = -1
 
 
-class ListMoved(msgspec.Struct, array_like=True, frozen=True, tag="list_moved"):
-    """The list of upstreams (term, number): whole, all in `changed`, if `from_term` is -1; else what changed
-    and who is gone since (from_term, from_number). With both the same, it only says the age of what is known:
-    `age_s` since the platform last said all of it."""
+class EndpointUpdate(msgspec.Struct, array_like=True, frozen=True, tag="list_moved"):
+    """What brings a receiver's endpoint list to the version (term, number).
+
+    From the member that polls the platform to the others after each poll; from a member to one that asked
+    with `EndpointListRequest`; and to an edge within `WatchResponse`.
+
+    term, number: the version. age_s: since the platform last confirmed the whole list. from_term,
+    from_number: the version that this is a delta to; with `from_term` -1 it is a full list, all of it in
+    `changed`. If both versions are the same, nothing changed and only the age is news. changed: endpoints
+    that are new or differ. removed: ids of those that are gone.
+    """
 
     term: int
     number: int
     age_s: float
     from_term: int = -1
     from_number: int = -1
-    changed: tuple[Instance, ...] = ()
+    changed: tuple[Endpoint, ...] = ()
     removed: tuple[str, ...] = ()
 
     @property
-    def whole(self) -> bool:
+    def is_full(self) -> bool:
+        """Whether it holds the whole list, rather than a delta."""
         return self.from_term < 0
 
 
-UpstreamsChange = ListMoved  # as an edge's asker hands it to the data plane
-
+class EndpointListRequest(msgspec.Struct, array_like=True, frozen=True, tag="ask_list"):
+    """A core member asks another for its endpoint list, which answers with `EndpointUpdate`.
 
-class AskList(msgspec.Struct, array_like=True, frozen=True, tag="ask_list"):
-    """A core member asks another for the list, and holds (term, number), known `age_s` ago."""
+    term, number: version of the list that the asking member has. age_s: since the platform confirmed it.
+    """
 
     term: int
     number: int
     age_s: float
 
 
-class EdgeState(msgspec.Struct, array_like=True, frozen=True):
-    """What an edge says of itself. `front`: "ip:port" for clients; `life`: a number drawn at its start."""
+class EdgeStatus(msgspec.Struct, array_like=True, frozen=True):
+    """What an edge says of itself; part of `WatchRequest` and `EdgeObservation`.
+
+    name: its node name. listen_address: "ip:port" for clients; empty if it takes none. zone, region: where it
+    runs. incarnation: a number drawn at its start. state: STARTING, READY, LEAVING or CLOSED. in_flight:
+    requests.
+    """
 
     name: str
-    front: str
+    listen_address: str
     zone: str
     region: str
-    life: int
+    incarnation: int
     state: str = STARTING
     in_flight: int = 0
 
     @property
     def ready(self) -> bool:
+        """Whether clients may be sent to it."""
         return self.state == READY
 
     @property
     def leaving(self) -> bool:
+        """Whether it shuts down and still takes requests."""
         return self.state == LEAVING
 
     @property
-    def stage(self) -> int:
-        """Of its end, see STAGES."""
-        return STAGES.get(self.state, 0)
+    def shutdown_stage(self) -> int:
+        """How far its shutdown has come, as in `SHUTDOWN_STAGES`; 0: none has begun."""
+        return SHUTDOWN_STAGES.get(self.state, 0)
+
 
+class EdgeRecord(EdgeStatus, array_like=True, frozen=True):
+    """An edge in the directory of one core member. Not sent.
 
-class EdgeSeen(EdgeState, array_like=True, frozen=True):
-    """`last_seen`: when a member last heard from it, on this process's clock; `ending_since`: when it was
-    first heard to be in its present stage of its end, 0 while it has not begun."""
+    last_seen: when any member last heard from it, in seconds of this process's clock. ending_since: when it
+    was first heard to be in its present stage of shutdown, on the same clock; 0 if none has begun.
+    """
 
     last_seen: float = 0.0
     ending_since: float = 0.0
 
 
-class EdgeHeard(msgspec.Struct, array_like=True, frozen=True):
-    """An edge as one member heard it `age_s` ago, in an ask that could wait `wait` s."""
+class EdgeObservation(msgspec.Struct, array_like=True, frozen=True):
+    """An edge as one core member heard it; part of `EdgeObservations`.
 
-    edge: EdgeState
+    edge: what it said. age_s: since then. wait_s: how long the watch that said so may wait for its answer, so
+    how long nothing more is to be expected of the edge.
+    """
+
+    edge: EdgeStatus
     age_s: float
-    wait: float = 0.0
+    wait_s: float = 0.0
+
 
+class EdgeObservations(msgspec.Struct, array_like=True, frozen=True, tag="edges_known"):
+    """All edges that a core member has heard from itself; sent to each other member at intervals."""
 
-class EdgesKnown(msgspec.Struct, array_like=True, frozen=True, tag="edges_known"):
-    """What one core member has heard of edges itself, for the others."""
+    edges: tuple[EdgeObservation, ...]
 
-    edges: tuple[EdgeHeard, ...]
 
+class WatchRequest(msgspec.Struct, array_like=True, frozen=True, tag="ask"):
+    """An edge asks a core member for what is newer than it has; answered with `WatchResponse`.
 
-class Ask(msgspec.Struct, array_like=True, frozen=True, tag="ask"):
-    """An edge asks for what is newer than it holds: control state (epoch, sequence) with the configuration
-    `version`, the list (term, number) known `age_s` ago. The answer may wait `wait` s if nothing is. `reads`:
-    what it saw upstreams read since its last ask; `record`: (source, number) of the record that it holds,
-    (0, -1): nothing, (-1, -1): it is not to be told."""
+    edge: the edge's own status, so that a request is its heartbeat too. control_version: (epoch, sequence) of
+    the control state that it has. endpoints_version: (term, number) of its endpoint list. wait_s: how long
+    the answer may wait if there is nothing newer. configuration_version: of the operators' configuration that
+    it has; -1: none. endpoints_age_s: since the platform confirmed the edge's list. prefix_reads: pairs that
+    it has seen since its last request. prefix_index_version: (source, number) of its prefix index; (0, -1):
+    it has none, (-1, -1): it wants none.
+    """
 
-    edge: EdgeState
-    control: tuple[int, int]
-    upstreams: tuple[int, int]
-    wait: float
-    version: int = -1
-    age_s: float = NEVER
-    reads: tuple[Pair, ...] = ()
-    record: tuple[int, int] = (-1, -1)
+    edge: EdgeStatus
+    control_version: tuple[int, int]
+    endpoints_version: tuple[int, int]
+    wait_s: float
+    configuration_version: int = -1
+    endpoints_age_s: float = UNKNOWN_AGE_S
+    prefix_reads: tuple[Pair, ...] = ()
+    prefix_index_version: tuple[int, int] = (-1, -1)
 
 
 class ControlChange(msgspec.Struct, array_like=True, frozen=True):
-    """Finished control state. `configuration`: None if it is the `version` that the asker holds; zlib's form
-    of the operator's bytes if `compressed`."""
+    """Control state that the core has committed; part of `WatchResponse`.
+
+    epoch, sequence: its version. version: of the configuration. configuration: the operator's bytes; None if
+    the receiver has that version already. evacuations: names of the zones that are evacuated. compressed:
+    `configuration` is in zlib's format.
+    """
 
     epoch: int
     sequence: int
@@ -151,69 +207,76 @@
     compressed: bool = False
 
 
-class Told(msgspec.Struct, array_like=True, frozen=True, tag="told"):
-    """The answer. `edges`: how many edges are known alive; `members`: link addresses of core members;
-    `upstreams`: what is newer, or that what the asker holds is still it, or None if neither is known;
-    `fresh_s`: since this member heard the primary; `age_s`: of its list; `held_s`: the ask waited so long.
-    `record`: what was read since, None if nothing was or this member's record is not true. `cover`: who
-    takes the clients of an asking edge that leaves: READY edges, others that are LEAVING later, or NOBODY."""
+class WatchResponse(msgspec.Struct, array_like=True, frozen=True, tag="told"):
+    """A core member's answer to an edge's `WatchRequest`.
+
+    control: None if nothing is newer than the edge's. endpoints: what is newer, or that what the edge has is
+    current; None if neither is known. edge_count: edges that are believed alive. members: link addresses of
+    the core members. primary_age_s: since this member heard the primary. endpoints_age_s: of this member's
+    endpoint list. pending_s: how long the request waited here. prefix_index: what the edge's index lacks;
+    None if that is nothing, or this member's index isn't valid. drain_target: who takes the clients of an
+    edge that shuts down: READY edges, others that are LEAVING later, or NO_DRAIN_TARGET.
+    """
 
     control: ControlChange | None
-    upstreams: ListMoved | None
-    edges: int
+    endpoints: EndpointUpdate | None
+    edge_count: int
     members: tuple[str, ...]
-    fresh_s: float
-    age_s: float
-    held_s: float = 0.0
-    record: RecordMoved | None = None
-    cover: str = READY
+    primary_age_s: float
+    endpoints_age_s: float
+    pending_s: float = 0.0
+    prefix_index: PrefixIndexUpdate | None = None
+    drain_target: str = READY
+
 
+class FleetView(msgspec.Struct, frozen=True):
+    """The size of the system as an edge knows it; handed to its data plane when it changes. Not sent.
 
-class Counts(msgspec.Struct, frozen=True):
-    """Handed to the data plane when one moves: edges known alive, and the core members."""
+    edge_count: edges that are believed alive. members: link addresses of the core members.
+    """
 
-    edges: int
+    edge_count: int
     members: tuple[str, ...]
 
 
 Message = (
-    Ask
-    | Told
-    | EdgesKnown
-    | ListMoved
-    | AskList
-    | RecordMoved
-    | RecordRead
-    | AskRecord
+    WatchRequest
+    | WatchResponse
+    | EdgeObservations
+    | EndpointUpdate
+    | EndpointListRequest
+    | PrefixIndexUpdate
+    | PrefixIndexAdditions
+    | PrefixIndexRequest
     | LoadReport
-    | LoadsTold
-    | LoadsShared
+    | LoadUpdate
+    | LoadSums
 )
 encode = msgspec.msgpack.Encoder().encode
 decode = msgspec.msgpack.Decoder(Message).decode  # msgspec.DecodeError for anything else
 
 
-def packed(configuration: bytes) -> tuple[bytes, bool]:
+def compress_configuration(configuration: bytes) -> tuple[bytes, bool]:
     """The bytes as they travel, and whether they are compressed."""
-    if len(configuration) <= COMPRESSED_OVER:
+    if len(configuration) <= COMPRESS_ABOVE_BYTES:
         return configuration, False
     import zlib
 
     return zlib.compress(configuration, 1), True
 
 
-def unpacked(change: ControlChange) -> bytes | None:
+def decompress_configuration(change: ControlChange) -> bytes | None:
     """The operator's bytes; ValueError if they are broken or longer than any configuration."""
     if change.configuration is None or not change.compressed:
         return change.configuration
     import zlib
 
-    reader = zlib.decompressobj()
+    decompressor = zlib.decompressobj()
     try:
         # Guards against a few bytes that unfold to more than the memory there is.
-        plain = reader.decompress(change.configuration, LONGEST_CONFIGURATION)
+        plain = decompressor.decompress(change.configuration, MAX_CONFIGURATION_BYTES)
     except zlib.error as failure:
         raise ValueError(f"configuration: {failure}") from failure
-    if not reader.eof:
+    if not decompressor.eof:
         raise ValueError("configuration: not whole, or too long")
     return plain
--- a/shedgrade/controlplane/directory.py
+++ b/shedgrade/controlplane/directory.py
@@ -10,7 +10,7 @@
 
 import msgspec
 
-from shedgrade.control_messages import LEAVING, NOBODY, READY, EdgeSeen, EdgeState
+from shedgrade.control_messages import LEAVING, NO_DRAIN_TARGET, READY, EdgeRecord, EdgeStatus
 from shedgrade.controlplane.home_regions import ANYWHERE, Regions
 from shedgrade.findings import Finding
 from shedgrade.http.server import Reply, Request, failure
@@ -34,7 +34,7 @@
     def handle(
         self,
         request: Request,
-        edges: Iterable[EdgeSeen],
+        edges: Iterable[EdgeRecord],
         stranded: Container[str] = frozenset(),
         homes: Callable[[str], Regions] = lambda host: ANYWHERE,
     ) -> Reply:
@@ -56,7 +56,7 @@
     def resolution(
         self,
         request: Request,
-        edges: Iterable[EdgeSeen],
+        edges: Iterable[EdgeRecord],
         stranded: Container[str],
         homes: Callable[[str], Regions],
     ) -> Reply:
@@ -71,7 +71,7 @@
         self,
         region: str,
         zone: str,
-        edges: Iterable[EdgeSeen],
+        edges: Iterable[EdgeRecord],
         homes: Callable[[], Regions] = lambda: ANYWHERE,
     ) -> Reply:
         """At most 64 of the nearest edges, drawn by chance; 503 where none may be named."""
@@ -79,13 +79,13 @@
         if not near:
             return failure(503, Finding("", "no edge that this client may be sent to is ready"))
         chosen = self.random.sample(near, MOST) if len(near) > MOST else near
-        addresses = [edge.front for edge in chosen]
+        addresses = [edge.listen_address for edge in chosen]
         return Reply(200, msgspec.json.encode({"addressList": addresses, "ttlS": self.ttl}))
 
     @staticmethod
     def nearest(
-        region: str, zone: str, edges: Iterable[EdgeSeen], homes: Callable[[], Regions]
-    ) -> list[EdgeSeen]:
+        region: str, zone: str, edges: Iterable[EdgeRecord], homes: Callable[[], Regions]
+    ) -> list[EdgeRecord]:
         """The ready edges of the client's zone; with fewer than two there, all of its region; with none
         there, all of the regions where else it may be sent. Where none is ready, those that leave last, in
         the same order; none where there are none either.
@@ -93,7 +93,7 @@
         Guards against what is known here being only a part: an answer from few edges may be poor, but it
         never names a region that a home of the host rules out.
         """
-        there = [edge for edge in edges if edge.front]
+        there = [edge for edge in edges if edge.listen_address]
         ready = [edge for edge in there if edge.ready]
         near = [edge for edge in ready if edge.zone == zone]
         if len(near) >= FEW:
@@ -110,16 +110,16 @@
         )
 
 
-def admissible(edges: list[EdgeSeen], regions: Regions) -> list[EdgeSeen]:
+def admissible(edges: list[EdgeRecord], regions: Regions) -> list[EdgeRecord]:
     """Those in regions where a client may be sent beside its own."""
     return edges if regions is ANYWHERE else [edge for edge in edges if edge.region in regions]
 
 
-def last_to_leave(edges: Iterable[EdgeSeen]) -> list[EdgeSeen]:
+def last_to_leave(edges: Iterable[EdgeRecord]) -> list[EdgeRecord]:
     """Of each region's edges that leave, those that take requests to the last. Whoever was told to end
     earlier goes first; of those that were told together half go first, so that they are back while the others
     still take what comes."""
-    by_region: dict[str, list[EdgeSeen]] = {}
+    by_region: dict[str, list[EdgeRecord]] = {}
     for edge in edges:
         if edge.leaving:
             by_region.setdefault(edge.region, []).append(edge)
@@ -133,10 +133,10 @@
     return last
 
 
-def cover(edge: EdgeState, others: Iterable[EdgeSeen], homes: Mapping[str, Regions]) -> str:
+def cover(edge: EdgeStatus, others: Iterable[EdgeRecord], homes: Mapping[str, Regions]) -> str:
     """Who takes the clients of an edge that leaves: READY edges, others of its region that are LEAVING after
-    it, or NOBODY. `homes`: by host."""
-    others = [other for other in others if other.front]
+    it, or NO_DRAIN_TARGET. `homes`: by host."""
+    others = [other for other in others if other.listen_address]
     ready = {other.region for other in others if other.ready and other.name != edge.name}
     elsewhere = bool(homes) and all(
         bool(ready) if regions is ANYWHERE else not ready.isdisjoint(regions) for regions in homes.values()
@@ -144,4 +144,4 @@
     if edge.region in ready or elsewhere:
         return READY
     last = [other.name for other in last_to_leave(others) if other.region == edge.region]
-    return NOBODY if edge.name in last or not last else LEAVING
+    return NO_DRAIN_TARGET if edge.name in last or not last else LEAVING
--- a/shedgrade/controlplane/plane.py
+++ b/shedgrade/controlplane/plane.py
@@ -12,12 +12,12 @@
 
 from shedgrade import control_messages
 from shedgrade.control_messages import (
-    Ask,
-    AskList,
-    EdgeSeen,
-    EdgesKnown,
-    EdgeState,
-    ListMoved,
+    EdgeObservations,
+    EdgeRecord,
+    EdgeStatus,
+    EndpointListRequest,
+    EndpointUpdate,
+    WatchRequest,
 )
 from shedgrade.controlplane import singleton_roles as duty
 from shedgrade.controlplane.channels import DUTIES, KNOWLEDGE, ORDERS, REPLICATION
@@ -27,19 +27,19 @@
 from shedgrade.controlplane.operator_api import Operators
 from shedgrade.controlplane.ordering import Ordering
 from shedgrade.controlplane.orders import make_decide
-from shedgrade.controlplane.platform_poller import InstanceList, Poller
-from shedgrade.controlplane.prefix_index_exchange import Recording
-from shedgrade.controlplane.reachability import Reach
+from shedgrade.controlplane.platform_poller import EndpointList, Poller
+from shedgrade.controlplane.prefix_index_exchange import PrefixIndexExchange
+from shedgrade.controlplane.reachability import ReachabilityMonitor
 from shedgrade.controlplane.standstill import Standstill
 from shedgrade.controlplane.status import status
 from shedgrade.controlplane.watch_hub import WatchHub
 from shedgrade.http.server import HttpServer
-from shedgrade.load_reports import LoadHub, LoadReport, LoadsShared
+from shedgrade.load_reports import LoadAggregator, LoadReport, LoadSums
 from shedgrade.membership.messages import Node
 from shedgrade.membership.running import Gossip
 from shedgrade.peer_transport.address import split
 from shedgrade.peer_transport.tcp import Links, LinkServer
-from shedgrade.prefix_cache_index import AskRecord, RecordMoved, RecordRead
+from shedgrade.prefix_cache_index import PrefixIndexAdditions, PrefixIndexRequest, PrefixIndexUpdate
 from shedgrade.process_settings import Reload, Settings, Watched
 from shedgrade.replication import (
     Answer,
@@ -131,16 +131,18 @@
         clock = steady_clock(loop)
         self.ordering = Ordering(loop, self.member, self.links, self.pump, clock)
         self.arrivals = ArrivalClock(loop, clock)
-        self.instances = InstanceList(loop.time)
+        self.instances = EndpointList(loop.time)
         self.poller = Poller(loop, settings.cloud_api, self.instances, self.polled, random=random)
-        self.duties = duty.Duties(
+        self.duties = duty.SingletonRoles(
             own, self.member_addresses, random, now, duties=(LIST,), floor=int(wall_clock() * 10)
         )
         self.hub = WatchHub(own, now, exchange=SPREAD, cover=self.cover)
-        self.reach = Reach(own, settings.region)
+        self.reach = ReachabilityMonitor(own, settings.region)
         self.standstill = Standstill(now)
-        self.recording = Recording(self.hub, random.getrandbits(40) + 1, founding, self.tell_knowledge)
-        self.loads = LoadHub(own)
+        self.recording = PrefixIndexExchange(
+            self.hub, random.getrandbits(40) + 1, founding, self.tell_knowledge
+        )
+        self.loads = LoadAggregator(own)
         self.gossip = Gossip(
             loop,
             Node(
@@ -323,10 +325,10 @@
         match effect:
             case duty.Send(address, message):
                 self.links.send(address, DUTIES + encode(message))
-            case duty.Won(_, term):
+            case duty.RoleAcquired(_, term):
                 logger.info("polls the platform's list, term {}", term)
                 self.poller.start(term)
-            case duty.Lost():
+            case duty.RoleLost():
                 self.poller.stop()
 
     def set_timer(self) -> None:
@@ -377,7 +379,7 @@
             del self.edge_peers[sender]
             host = split(sender)[0]
             for name, heard in list(self.hub.heard.items()):
-                if heard.own and split(heard.edge.front)[0] == host:
+                if heard.own and split(heard.edge.listen_address)[0] == host:
                     self.hub.gone(name)
 
     def came_back(self, sender: str, frame) -> None:
@@ -410,9 +412,9 @@
     def learn(self, now: float, sender: str, message: object, answer, unread_s: float = 0.0) -> None:
         """`unread_s`: the message may have waited at this process so long."""
         match message:
-            case Ask():
+            case WatchRequest():
                 # Guards against core members that all started anew: their terms go above what edges hold.
-                self.duties.met(now, LIST, message.upstreams[0])
+                self.duties.met(now, LIST, message.endpoints_version[0])
                 before = self.hub.own_version
                 self.hub.ask(
                     now, message, lambda told: answer(KNOWLEDGE + control_messages.encode(told)), unread_s
@@ -425,16 +427,16 @@
                     message,
                     lambda told: self.links.send(sender, KNOWLEDGE + control_messages.encode(told)),
                 )
-            case LoadsShared():
+            case LoadSums():
                 self.loads.shared(now, message)
-            case RecordMoved() | RecordRead() | AskRecord():
+            case PrefixIndexUpdate() | PrefixIndexAdditions() | PrefixIndexRequest():
                 self.recording.heard(now, message, lambda body: answer(KNOWLEDGE + body))
-            case EdgesKnown():
+            case EdgeObservations():
                 self.reach.heard(now - unread_s, sender)
                 self.hub.peers_edges(now, sender, message, unread_s)
-            case AskList(term, number):
+            case EndpointListRequest(term, number):
                 answer(KNOWLEDGE + control_messages.encode(self.instances.answer(term, number, now)))
-            case ListMoved():
+            case EndpointUpdate():
                 if self.instances.take(message, now, unread_s):
                     self.list_moved(now)
                 elif self.instances.lacks:
@@ -479,7 +481,7 @@
         """Where else than in their own region clients of a host may be sent."""
         return self.home_regions.of(self.hub.configuration, host)
 
-    def cover(self, edge: EdgeState, others: tuple[EdgeSeen, ...]) -> str:
+    def cover(self, edge: EdgeStatus, others: tuple[EdgeRecord, ...]) -> str:
         """Who takes the clients of an edge that leaves."""
         return cover(edge, others, self.home_regions.all(self.hub.configuration))
 
--- a/shedgrade/controlplane/platform_poller.py
+++ b/shedgrade/controlplane/platform_poller.py
@@ -17,10 +17,10 @@
 from shedgrade.control_messages import (
     AVAILABLE,
     DRAINING,
-    NEVER,
-    AskList,
-    Instance,
-    ListMoved,
+    UNKNOWN_AGE_S,
+    Endpoint,
+    EndpointListRequest,
+    EndpointUpdate,
     Model,
 )
 from shedgrade.http.discovery import DiscoveryConnection, ListError
@@ -46,7 +46,7 @@
 
     __slots__ = ("told", "cold_until", "ends_at")
 
-    def __init__(self, now: float, told: Instance) -> None:
+    def __init__(self, now: float, told: Endpoint) -> None:
         self.told = told
         self.cold_until = now + told.cold_left_ms / 1000 if told.cold_left_ms > 0 else None
         self.ends_at = now + told.time_left_ms / 1000 if told.time_left_ms >= 0 else None
@@ -59,7 +59,7 @@
             and abs(moved(now, self.ends_at, other.ends_at)) <= JUMP
         )
 
-    def at(self, now: float) -> Instance:
+    def at(self, now: float) -> Endpoint:
         """As of now."""
         if self.cold_until is None and self.ends_at is None:
             return self.told
@@ -68,7 +68,7 @@
         return msgspec.structs.replace(self.told, cold_left_ms=round(cold), time_left_ms=round(ends))
 
 
-def still(told: Instance) -> Instance:
+def still(told: Endpoint) -> Endpoint:
     return msgspec.structs.replace(told, cold_left_ms=0, time_left_ms=-1)
 
 
@@ -77,7 +77,7 @@
     return max(now, now if after is None else after) - max(now, now if before is None else before)
 
 
-class InstanceList:
+class EndpointList:
     """What is known of the platform's list. Pure: `now` is handed in, or read from the clock that was."""
 
     def __init__(self, clock: Callable[[], float] = time.monotonic) -> None:
@@ -97,12 +97,12 @@
         return self.term, self.number
 
     def age_s(self, now: float | None = None) -> float:
-        """Since the platform said what is known; NEVER if it has not."""
+        """Since the platform said what is known; UNKNOWN_AGE_S if it has not."""
         if self.known_at is None:
-            return NEVER
+            return UNKNOWN_AGE_S
         return max(0.0, (self.clock() if now is None else now) - self.known_at)
 
-    def instances(self, now: float | None = None) -> tuple[Instance, ...]:
+    def instances(self, now: float | None = None) -> tuple[Endpoint, ...]:
         """All, as of now."""
         now = self.clock() if now is None else now
         return tuple(held.at(now) for held in self.held.values())
@@ -147,7 +147,7 @@
         self.held = held
         self.term, self.number = version
 
-    def read(self, now: float, entry: object) -> Instance | None:
+    def read(self, now: float, entry: object) -> Endpoint | None:
         """An entry of the platform. If it is unsound, what was known before, draining if it says so."""
         try:
             return instance(entry)
@@ -172,9 +172,9 @@
 
     # --- between core members, and to edges
 
-    def question(self, now: float | None = None) -> AskList:
+    def question(self, now: float | None = None) -> EndpointListRequest:
         """What to ask another member with."""
-        return AskList(self.term, self.number, self.age_s(now))
+        return EndpointListRequest(self.term, self.number, self.age_s(now))
 
     def newer_than(self, term: int, number: int, age_s: float = 0.0, now: float | None = None) -> bool:
         """Whether this list should replace one that is dated so and was known `age_s` ago.
@@ -186,22 +186,22 @@
             return False
         return self.version > (term, number) or age_s - self.age_s(now) > OLDER
 
-    def answer(self, term: int, number: int, now: float | None = None) -> ListMoved:
+    def answer(self, term: int, number: int, now: float | None = None) -> EndpointUpdate:
         """What one that holds (term, number) lacks: a delta where possible, else the whole list."""
         now = self.clock() if now is None else now
         age = self.age_s(now)
         if (term, number) == self.version:
-            return ListMoved(self.term, self.number, age, term, number)
+            return EndpointUpdate(self.term, self.number, age, term, number)
         touched: set[str] = set()
         for before, ids in reversed(self.history if number else ()):  # one that holds nothing gets all
             touched |= ids
             if before == (term, number):
                 changed = tuple(self.held[name].at(now) for name in touched if name in self.held)
                 removed = tuple(name for name in touched if name not in self.held)
-                return ListMoved(self.term, self.number, age, term, number, changed, removed)
-        return ListMoved(self.term, self.number, age, changed=self.instances(now))
+                return EndpointUpdate(self.term, self.number, age, term, number, changed, removed)
+        return EndpointUpdate(self.term, self.number, age, changed=self.instances(now))
 
-    def take(self, message: ListMoved, now: float | None = None, unread_s: float = 0.0) -> bool:
+    def take(self, message: EndpointUpdate, now: float | None = None, unread_s: float = 0.0) -> bool:
         """What another member tells; whether the list moved. If it tells of a list that is newer and can't be
         made from the one held, `lacks` is set: ask with `question()`. `unread_s`: its word may have waited
         here so long."""
@@ -214,13 +214,15 @@
                 self.known_at = now - message.age_s
             self.lacks = False
             return False
-        if message.age_s >= NEVER or not (version > self.version or self.age_s(now) - message.age_s > OLDER):
+        if message.age_s >= UNKNOWN_AGE_S or not (
+            version > self.version or self.age_s(now) - message.age_s > OLDER
+        ):
             return False
-        if not message.whole and base != self.version:
+        if not message.is_full and base != self.version:
             self.lacks = True
             return False
         came = {told.id: Held(now, told) for told in message.changed}
-        if message.whole:
+        if message.is_full:
             touched = self.held.keys() | came.keys()
             held = came
         else:
@@ -231,14 +233,14 @@
         return True
 
 
-def instance(entry: dict) -> Instance:
+def instance(entry: dict) -> Endpoint:
     """An entry of the platform's list. KeyError, TypeError or ValueError if it is not sound."""
     host, colon, port = entry["address"].rpartition(":")
     if not host or not 0 < int(port) < 65536:
         raise ValueError(f"address {entry['address']!r:.60}")
     cold, left, slots = entry.get("coldLeftMs") or 0, entry.get("timeLeftMs"), entry.get("capacitySlots") or 0
     state = text(entry, "state")
-    return Instance(
+    return Endpoint(
         id=text(entry, "instanceId"),
         service=text(entry, "service"),
         address=entry["address"],
@@ -279,14 +281,14 @@
 
 
 class Poller:
-    """Keeps an `InstanceList` up to date, for as long as this process has the duty. One list replaces another
+    """Keeps an `EndpointList` up to date, for as long as this process has the duty. One list replaces another
     only when all its pages came; what fails changes nothing."""
 
     def __init__(
         self,
         loop,
         cloud_api,
-        instances: InstanceList,
+        instances: EndpointList,
         told: Callable[[bool], None],
         *,
         period: float = 0.4,
--- a/shedgrade/controlplane/prefix_index_exchange.py
+++ b/shedgrade/controlplane/prefix_index_exchange.py
@@ -4,23 +4,28 @@
 from zlib import crc32
 
 from shedgrade import control_messages
-from shedgrade.controlplane.platform_poller import InstanceList
+from shedgrade.controlplane.platform_poller import EndpointList
 from shedgrade.controlplane.watch_hub import WatchHub
-from shedgrade.prefix_cache_index import AskRecord, Ledger, RecordMoved, RecordRead
+from shedgrade.prefix_cache_index import (
+    PrefixIndex,
+    PrefixIndexAdditions,
+    PrefixIndexRequest,
+    PrefixIndexUpdate,
+)
 
 LOST = 1.0  # s without the primary after which this member counts as cut off
 ASK = 0.5  # s between two questions to the others
 NOBODY = 3.0  # s in touch without an answer after which nobody has anything to tell
 
 
-class Recording:
+class PrefixIndexExchange:
     """`tell_others(body)` reaches every other member; what comes back is handed to `heard`."""
 
     def __init__(
         self, hub: WatchHub, source: int, founding: bool, tell_others: Callable[[object], None]
     ) -> None:
         self.hub, self.tell_others = hub, tell_others
-        self.ledger = hub.ledger = Ledger(source, founding)
+        self.ledger = hub.ledger = PrefixIndex(source, founding)
         self.asked_at, self.in_touch_at = 0.0, None
 
     def beat(self, now: float, heard_at: float) -> None:
@@ -34,22 +39,22 @@
                 self.ledger.nobody()
             elif now - self.asked_at >= ASK:
                 self.asked_at = now
-                self.tell_others(AskRecord())
+                self.tell_others(PrefixIndexRequest())
         if self.hub.reads:
             pairs, self.hub.reads = tuple(self.hub.reads), []
-            self.tell_others(RecordRead(pairs))
+            self.tell_others(PrefixIndexAdditions(pairs))
 
     def heard(self, now: float, message: object, answer: Callable[[bytes], None]) -> None:
         match message:
-            case RecordRead(pairs):
+            case PrefixIndexAdditions(pairs):
                 self.ledger.read(now, pairs)
-            case RecordMoved():
+            case PrefixIndexUpdate():
                 self.ledger.take(now, message)
-            case AskRecord():
+            case PrefixIndexRequest():
                 moved = self.ledger.since(0, -1)
                 if moved is not None:
                     answer(control_messages.encode(moved))
 
-    def listed(self, instances: InstanceList) -> None:
+    def listed(self, instances: EndpointList) -> None:
         """The platform's list moved: an incarnation that is gone holds nothing."""
         self.ledger.listed({crc32(name.encode()) for name in instances.held})
--- a/shedgrade/controlplane/reachability.py
+++ b/shedgrade/controlplane/reachability.py
@@ -12,7 +12,7 @@
 LOST = 0.8  # s without a word after which another member counts as out of reach
 
 
-class Reach:
+class ReachabilityMonitor:
     """What one member hears of the others, by link address. Times are seconds of a steady clock."""
 
     def __init__(self, own: str, region: str) -> None:
--- a/shedgrade/controlplane/singleton_roles.py
+++ b/shedgrade/controlplane/singleton_roles.py
@@ -30,12 +30,12 @@
 TERM_BITS = 16  # of a term, its low bits: the candidate's mark, so no two candidates share a term
 
 
-class Ballot(msgspec.Struct, array_like=True, frozen=True, tag="ballot"):
+class VoteRequest(msgspec.Struct, array_like=True, frozen=True, tag="ballot"):
     duty: str
     term: int
 
 
-class Vote(msgspec.Struct, array_like=True, frozen=True, tag="vote"):
+class VoteResponse(msgspec.Struct, array_like=True, frozen=True, tag="vote"):
     """`term`: the ballot's. `known`: the highest term known to the voter."""
 
     duty: str
@@ -59,14 +59,14 @@
     known: int
 
 
-class Vacated(msgspec.Struct, array_like=True, frozen=True, tag="vacated"):
+class RoleReleased(msgspec.Struct, array_like=True, frozen=True, tag="vacated"):
     """The holder of `term` stopped before it said so."""
 
     duty: str
     term: int
 
 
-Message = Ballot | Vote | Heartbeat | Acknowledgement | Vacated
+Message = VoteRequest | VoteResponse | Heartbeat | Acknowledgement | RoleReleased
 
 
 class Send(msgspec.Struct, frozen=True):
@@ -74,12 +74,12 @@
     message: Message
 
 
-class Won(msgspec.Struct, frozen=True):
+class RoleAcquired(msgspec.Struct, frozen=True):
     duty: str
     term: int
 
 
-class Lost(msgspec.Struct, frozen=True):
+class RoleLost(msgspec.Struct, frozen=True):
     duty: str
     term: int
 
@@ -183,7 +183,7 @@
         self.known = self.next_term()
         self.candidacy = Candidacy(self.known, now + BALLOT, self.own)
         self.holder = ""
-        self.spread(Ballot(self.duty, self.known))
+        self.spread(VoteRequest(self.duty, self.known))
         self.count(now)
 
     def next_term(self) -> int:
@@ -233,14 +233,14 @@
         tenure.lease = max(tenure.lease, since + LEASE) if tenure.won else since + LEASE
         if not tenure.won:
             tenure.won, self.holding = True, tenure.term
-            self.effects.append(Won(self.duty, tenure.term))
+            self.effects.append(RoleAcquired(self.duty, tenure.term))
 
     def end(self, now: float) -> None:
         """The own tenure is over."""
         self.tenure = None
         self.candidacy = None
         if self.holding:
-            self.effects.append(Lost(self.duty, self.holding))
+            self.effects.append(RoleLost(self.duty, self.holding))
             self.holding = 0
         self.stand_at = now + VACANT + self.random.uniform(0, STAGGER)
 
@@ -249,7 +249,7 @@
         if self.tenure is not None:
             term = self.tenure.term
             self.end(now)
-            self.spread(Vacated(self.duty, term))
+            self.spread(RoleReleased(self.duty, term))
         self.candidacy = None
         if again is None:
             self.resigned = True
@@ -275,15 +275,15 @@
 
     def receive(self, now: float, sender: str, message: Message) -> None:
         match message:
-            case Ballot():
+            case VoteRequest():
                 self.ballot(now, sender, message.term)
-            case Vote():
+            case VoteResponse():
                 self.vote(now, sender, message)
             case Heartbeat():
                 self.heartbeat_of(now, sender, message)
             case Acknowledgement():
                 self.acknowledgement(now, sender, message)
-            case Vacated():
+            case RoleReleased():
                 self.vacated(now, sender, message.term)
 
     def ballot(self, now: float, sender: str, term: int) -> None:
@@ -305,9 +305,9 @@
             self.stand_at = max(self.stand_at, now + BALLOT + self.random.uniform(0, STAGGER))
         known = self.known
         self.known = max(known, term)
-        self.effects.append(Send(sender, Vote(self.duty, term, granted, known)))
+        self.effects.append(Send(sender, VoteResponse(self.duty, term, granted, known)))
 
-    def vote(self, now: float, sender: str, vote: Vote) -> None:
+    def vote(self, now: float, sender: str, vote: VoteResponse) -> None:
         candidacy = self.candidacy
         self.known = max(self.known, vote.known)
         if candidacy is None or candidacy.term != vote.term:
@@ -357,7 +357,7 @@
                 self.stand_at = now + self.random.uniform(0, STAGGER / 2)
 
 
-class Duties:
+class SingletonRoles:
     """All duties of one member.
 
     `address`: its link address; `members()`: the link addresses of the core members, itself included if it is
@@ -375,7 +375,7 @@
         duties: tuple[str, ...],
         floor: int = 0,
     ) -> None:
-        self.effects: list[Send | Won | Lost] = []
+        self.effects: list[Send | RoleAcquired | RoleLost] = []
         self.address = address
         self.rounds = {
             duty: Round(duty, address, members, random, now, floor, self.effects) for duty in duties
--- a/shedgrade/controlplane/status.py
+++ b/shedgrade/controlplane/status.py
@@ -2,9 +2,9 @@
 
 from collections import Counter
 
-from shedgrade.control_messages import NEVER
-from shedgrade.controlplane.platform_poller import InstanceList
-from shedgrade.controlplane.singleton_roles import Duties
+from shedgrade.control_messages import UNKNOWN_AGE_S
+from shedgrade.controlplane.platform_poller import EndpointList
+from shedgrade.controlplane.singleton_roles import SingletonRoles
 from shedgrade.controlplane.watch_hub import WatchHub
 from shedgrade.replication import Member
 
@@ -17,8 +17,8 @@
     zones: dict[str, str],
     member: Member,
     hub: WatchHub,
-    instances: InstanceList,
-    duties: Duties,
+    instances: EndpointList,
+    duties: SingletonRoles,
 ) -> dict:
     """Plain data for JSON. `configVersion` of an edge: as it holds it; None if it asks another member. The
     state of an upstream whose zone is evacuated is `evacuated`; `ageS`: None if nothing is known."""
@@ -62,18 +62,18 @@
         told.append(
             {
                 "name": name,
-                "front": heard.edge.front,
+                "front": heard.edge.listen_address,
                 "zone": heard.edge.zone,
                 "region": heard.edge.region,
                 "state": heard.edge.state,
                 "ageS": round(now - heard.at, 3),
-                "configVersion": None if parked is None else parked.ask.version,
+                "configVersion": None if parked is None else parked.ask.configuration_version,
             }
         )
     return told
 
 
-def upstreams(now: float, zones: dict[str, str], hub: WatchHub, instances: InstanceList) -> dict:
+def upstreams(now: float, zones: dict[str, str], hub: WatchHub, instances: EndpointList) -> dict:
     counts: Counter = Counter()
     for held in instances.held.values():
         one = held.told
@@ -83,7 +83,7 @@
     return {
         "term": instances.term,
         "number": instances.number,
-        "ageS": None if age >= NEVER else round(age, 3),
+        "ageS": None if age >= UNKNOWN_AGE_S else round(age, 3),
         "byRegion": [
             {"service": service, "region": region, "state": state, "count": count}
             for (service, region, state), count in sorted(counts.items())
--- a/shedgrade/controlplane/watch_hub.py
+++ b/shedgrade/controlplane/watch_hub.py
@@ -13,20 +13,20 @@
 from shedgrade.control_messages import (
     CLOSED,
     LEAVING,
-    NEVER,
     READY,
-    Ask,
+    UNKNOWN_AGE_S,
     ControlChange,
-    EdgeHeard,
-    EdgeSeen,
-    EdgesKnown,
-    EdgeState,
-    ListMoved,
-    Told,
-    packed,
+    EdgeObservation,
+    EdgeObservations,
+    EdgeRecord,
+    EdgeStatus,
+    EndpointUpdate,
+    WatchRequest,
+    WatchResponse,
+    compress_configuration,
 )
-from shedgrade.controlplane.platform_poller import InstanceList
-from shedgrade.prefix_cache_index.index import Ledger, Pair
+from shedgrade.controlplane.platform_poller import EndpointList
+from shedgrade.prefix_cache_index.index import Pair, PrefixIndex
 from shedgrade.runtime.log import logger
 
 LONGEST_WAIT = 10.0  # s that an ask may be parked, whatever it says
@@ -38,7 +38,7 @@
 LEFT = 10.0  # s in which the word of an edge that leaves goes before what others heard earlier
 
 
-Cover = Callable[[EdgeState, tuple[EdgeSeen, ...]], str]
+Cover = Callable[[EdgeStatus, tuple[EdgeRecord, ...]], str]
 
 
 class PendingWatch:
@@ -46,9 +46,9 @@
 
     __slots__ = ("ask", "reply", "at", "until")
 
-    def __init__(self, ask: Ask, reply: Callable[[Told], None], at: float) -> None:
+    def __init__(self, ask: WatchRequest, reply: Callable[[WatchResponse], None], at: float) -> None:
         self.ask, self.reply, self.at = ask, reply, at
-        self.until = at + min(max(ask.wait, 0.0), LONGEST_WAIT)
+        self.until = at + min(max(ask.wait_s, 0.0), LONGEST_WAIT)
 
 
 class Heard:
@@ -56,23 +56,26 @@
 
     __slots__ = ("edge", "at", "wait", "own")
 
-    def __init__(self, edge: EdgeState, at: float, wait: float, own: bool) -> None:
+    def __init__(self, edge: EdgeStatus, at: float, wait: float, own: bool) -> None:
         self.edge, self.at, self.wait, self.own = edge, at, wait, own
 
 
 class Ending(msgspec.Struct, frozen=True):
-    """The stage of an edge's end in one life: heard at first at `since`, and last at `at`."""
+    """The stage of an edge's end in one incarnation: heard at first at `since`, and last at `at`."""
 
-    life: int
-    stage: int
+    incarnation: int
+    shutdown_stage: int
     since: float
     at: float
 
     @classmethod
-    def after(cls, before: "Ending | None", edge: EdgeState, at: float) -> "Ending":
+    def after(cls, before: "Ending | None", edge: EdgeStatus, at: float) -> "Ending":
         """`before`: what was known of the edge's end until now."""
-        same = before is not None and (before.life, before.stage) == (edge.life, edge.stage)
-        return cls(edge.life, edge.stage, before.since if same else at, at)
+        same = before is not None and (before.incarnation, before.shutdown_stage) == (
+            edge.incarnation,
+            edge.shutdown_stage,
+        )
+        return cls(edge.incarnation, edge.shutdown_stage, before.since if same else at, at)
 
 
 class WatchHub:
@@ -83,7 +86,7 @@
     ) -> None:
         """`own`: this member's link address. `exchange`: s between two words of another member on its edges;
         so much later they may be known here. `cover(edge, others)`: who takes the clients of an edge that
-        leaves, as `Told` says it."""
+        leaves, as `WatchResponse` says it."""
         self.cover = cover
         self.own, self.now, self.exchange = own, now, exchange
         self.addresses: tuple[str, ...] = ()  # of the core members
@@ -91,15 +94,15 @@
         self.held = (0, 0)  # control state: (epoch, sequence)
         self.version, self.configuration, self.evacuations = 0, b"", ()
         self.sent: tuple[bytes, bool] | None = None  # the configuration as it travels
-        self.list: InstanceList | None = None
+        self.list: EndpointList | None = None
         self.confirmed_at = -inf  # as of when nothing newer was finished anywhere
         self.parked: dict[str, PendingWatch] = {}
         self.heard: dict[str, Heard] = {}
         self.counted = (-inf, 0)  # when, and how many edges
-        self.seen: tuple[float, tuple[EdgeSeen, ...]] | None = None  # those listed, until one changes
+        self.seen: tuple[float, tuple[EdgeRecord, ...]] | None = None  # those listed, until one changes
         self.ending: dict[str, Ending] = {}  # by name
         self.lost: dict[str, float] = {}  # by name: when its connection ended
-        self.ledger: Ledger | None = None  # the record of who holds which prompts, if kept
+        self.ledger: PrefixIndex | None = None  # the record of who holds which prompts, if kept
         self.reads: list[Pair] = []  # news of it that other members are to be told
 
     # --- what is known here
@@ -125,7 +128,7 @@
         self.configuration, self.evacuations = configuration, evacuations
         self.tell(now)
 
-    def instances(self, now: float, instances: InstanceList) -> None:
+    def instances(self, now: float, instances: EndpointList) -> None:
         """The list moved."""
         self.now, self.list = now, instances
         self.tell(now)
@@ -140,13 +143,15 @@
 
     # --- asks
 
-    def ask(self, now: float, ask: Ask, reply: Callable[[Told], None], unread_s: float = 0.0) -> None:
+    def ask(
+        self, now: float, ask: WatchRequest, reply: Callable[[WatchResponse], None], unread_s: float = 0.0
+    ) -> None:
         """Answers now if something is newer than the edge holds, else later, exactly once; not at all if the
         same edge asks again before, or is `gone`. `unread_s`: the ask may have waited here so long."""
         self.now = now
-        self.saw(Heard(ask.edge, now - unread_s, ask.wait, True))
-        if self.ledger is not None and ask.reads:
-            self.reads += self.ledger.read(now, ask.reads)
+        self.saw(Heard(ask.edge, now - unread_s, ask.wait_s, True))
+        if self.ledger is not None and ask.prefix_reads:
+            self.reads += self.ledger.read(now, ask.prefix_reads)
         parked = PendingWatch(ask, reply, now)
         self.parked.pop(ask.edge.name, None)
         if self.news(parked) or parked.until <= now or len(self.parked) >= MOST_PARKED:
@@ -172,7 +177,7 @@
         self.send(now, [parked for parked in self.parked.values() if self.news(parked)])
 
     def send(self, now: float, due: list[PendingWatch]) -> None:
-        deltas: dict[tuple[int, int], ListMoved] = {}
+        deltas: dict[tuple[int, int], EndpointUpdate] = {}
         for parked in due:
             # An edge may ask again from within its answer; that ask stays.
             if self.parked.get(parked.ask.edge.name) is parked:
@@ -180,54 +185,54 @@
             self.answer(now, parked, deltas)
 
     def news(self, parked: PendingWatch) -> bool:
-        return self.held > tuple(parked.ask.control) or self.newer_list(parked)
+        return self.held > tuple(parked.ask.control_version) or self.newer_list(parked)
 
     def newer_list(self, parked: PendingWatch) -> bool:
-        age = parked.ask.age_s + self.now - parked.at
-        return self.list is not None and self.list.newer_than(*parked.ask.upstreams, age, self.now)
+        age = parked.ask.endpoints_age_s + self.now - parked.at
+        return self.list is not None and self.list.newer_than(*parked.ask.endpoints_version, age, self.now)
 
-    def answer(self, now: float, parked: PendingWatch, deltas: dict[tuple[int, int], ListMoved]) -> None:
+    def answer(self, now: float, parked: PendingWatch, deltas: dict[tuple[int, int], EndpointUpdate]) -> None:
         ask, control, upstreams = parked.ask, None, None
-        if self.held > tuple(ask.control):
+        if self.held > tuple(ask.control_version):
             if self.sent is None:
-                self.sent = packed(self.configuration)
-            whole, compressed = (None, False) if ask.version == self.version else self.sent
+                self.sent = compress_configuration(self.configuration)
+            whole, compressed = (None, False) if ask.configuration_version == self.version else self.sent
             control = ControlChange(*self.held, self.version, whole, self.evacuations, compressed)
-        base = tuple(ask.upstreams)
+        base = tuple(ask.endpoints_version)
         same = self.list is not None and self.list.known_at is not None and self.list.version == base
         if same or self.newer_list(parked):
             upstreams = deltas.get(base)
             if upstreams is None:
                 upstreams = deltas[base] = self.list.answer(*base, now)
         # Guards against a member that was started anew and knows less than the edge: its word is no news.
-        lacks = self.confirmed_at == -inf or self.held < tuple(ask.control)
+        lacks = self.confirmed_at == -inf or self.held < tuple(ask.control_version)
         parked.reply(
-            Told(
+            WatchResponse(
                 control,
                 upstreams,
                 self.count(now),
                 self.addresses,
-                NEVER if lacks else max(0.0, now - self.confirmed_at),
-                NEVER if self.list is None else self.list.age_s(now),
+                UNKNOWN_AGE_S if lacks else max(0.0, now - self.confirmed_at),
+                UNKNOWN_AGE_S if self.list is None else self.list.age_s(now),
                 now - parked.at,
-                None if self.ledger is None else self.ledger.since(*ask.record),
+                None if self.ledger is None else self.ledger.since(*ask.prefix_index_version),
                 self.cover(ask.edge, self.edges(now)) if ask.edge.state == LEAVING else READY,
             )
         )
 
     # --- the directory of edges
 
-    def edges(self, now: float) -> tuple[EdgeSeen, ...]:
+    def edges(self, now: float) -> tuple[EdgeRecord, ...]:
         """Edges that were heard lately, by any member, and are not closed; those that leave among them."""
         self.now = now
         if self.seen is None or not 0 <= now - self.seen[0] < RECOUNT:
             self.seen = (
                 now,
                 tuple(
-                    EdgeSeen(
-                        *(getattr(heard.edge, name) for name in EdgeState.__struct_fields__),
+                    EdgeRecord(
+                        *(getattr(heard.edge, name) for name in EdgeStatus.__struct_fields__),
                         heard.at,
-                        self.ending[heard.edge.name].since if heard.edge.stage else 0.0,
+                        self.ending[heard.edge.name].since if heard.edge.shutdown_stage else 0.0,
                     )
                     for heard in self.heard.values()
                     if heard.edge.state != CLOSED and self.age(now, heard) <= UNHEARD
@@ -253,19 +258,23 @@
         self.seen = None
 
     def peers_edges(
-        self, now: float, member: str, edges: EdgesKnown | Iterable[EdgeHeard], unread_s: float = 0.0
+        self,
+        now: float,
+        member: str,
+        edges: EdgeObservations | Iterable[EdgeObservation],
+        unread_s: float = 0.0,
     ) -> None:
         """What another member has heard itself. `unread_s`: its word may have waited here so long."""
         self.now = now
-        for told in edges.edges if isinstance(edges, EdgesKnown) else edges:
-            self.saw(Heard(told.edge, now - unread_s - max(0.0, told.age_s), told.wait, False))
+        for told in edges.edges if isinstance(edges, EdgeObservations) else edges:
+            self.saw(Heard(told.edge, now - unread_s - max(0.0, told.age_s), told.wait_s, False))
 
-    def own_edges(self, now: float | None = None) -> EdgesKnown:
+    def own_edges(self, now: float | None = None) -> EdgeObservations:
         """What this member has heard itself, for the others; those that leave among them."""
         now = self.now if now is None else now
-        return EdgesKnown(
+        return EdgeObservations(
             tuple(
-                EdgeHeard(heard.edge, now - heard.at, heard.wait)
+                EdgeObservation(heard.edge, now - heard.at, heard.wait)
                 for heard in self.heard.values()
                 if heard.own and now - heard.at <= LEFT
             )
@@ -276,14 +285,21 @@
         # Guards against word that was long under way, and would bring back who has left or is gone.
         ending, known = self.ending.get(name), self.heard.get(name)
         if (
-            (ending is not None and ending.life == heard.edge.life and heard.edge.stage < ending.stage)
+            (
+                ending is not None
+                and ending.incarnation == heard.edge.incarnation
+                and heard.edge.shutdown_stage < ending.shutdown_stage
+            )
             or (not heard.own and heard.at <= self.lost.get(name, -inf))
             or (known is not None and heard.at < known.at)
         ):
             return
-        if known is None or (known.edge.life, known.edge.state) != (heard.edge.life, heard.edge.state):
+        if known is None or (known.edge.incarnation, known.edge.state) != (
+            heard.edge.incarnation,
+            heard.edge.state,
+        ):
             self.seen = None
             self.own_version += heard.own
-        if heard.edge.stage:
+        if heard.edge.shutdown_stage:
             self.ending[name] = Ending.after(ending, heard.edge, heard.at)
         self.heard[name] = heard
--- a/shedgrade/dataplane/control_client.py
+++ b/shedgrade/dataplane/control_client.py
@@ -13,14 +13,14 @@
 import msgspec
 
 from shedgrade.control_messages import (
-    NEVER,
-    Ask,
+    UNKNOWN_AGE_S,
     ControlChange,
-    Counts,
-    EdgeState,
-    ListMoved,
-    Told,
-    unpacked,
+    EdgeStatus,
+    EndpointUpdate,
+    FleetView,
+    WatchRequest,
+    WatchResponse,
+    decompress_configuration,
 )
 from shedgrade.runtime.log import logger
 
@@ -46,7 +46,7 @@
     handed back with what became of it."""
 
     address: str
-    ask: Ask
+    ask: WatchRequest
     timeout: float
     number: int
 
@@ -105,19 +105,19 @@
 
 class Watcher:
     """Decides whom to ask. The caller carries out and empties `effects` (AskTo) and `updates`: ControlChange
-    with plain bytes, ListMoved, Counts, in the order in which they are to be applied."""
+    with plain bytes, EndpointUpdate, FleetView, in the order in which they are to be applied."""
 
     def __init__(
-        self, edge: EdgeState, seeds: Iterable[str], random: Random, now: float, beat: float = 1.0
+        self, edge: EdgeStatus, seeds: Iterable[str], random: Random, now: float, beat: float = 1.0
     ) -> None:
         """`seeds`: link addresses of core members. `beat`: s that an ask waits where nothing is new."""
         self.edge, self.random, self.beat, self.started = edge, random, beat, now
         self.effects: list[AskTo] = []
-        self.updates: list[ControlChange | ListMoved | Counts] = []
+        self.updates: list[ControlChange | EndpointUpdate | FleetView] = []
         self.control, self.version = (0, 0), -1
         self.upstreams = self.floor = (0, 0)  # of the list held, and below which none is taken
         self.known_at: float | None = None  # when the platform last said that list
-        self.counts: Counts | None = None
+        self.counts: FleetView | None = None
         self.heard_at: float | None = None
         self.applied = False  # any control state was handed on
         self.withheld: list[ControlChange] = []  # the first, of old word: until others were asked
@@ -137,14 +137,14 @@
 
     def list_age(self, now: float) -> float:
         """s since the platform said the list held."""
-        return NEVER if self.known_at is None else max(0.0, now - self.known_at)
+        return UNKNOWN_AGE_S if self.known_at is None else max(0.0, now - self.known_at)
 
     def own_poll(self, now: float, rate_per_s: float) -> float | None:
         """s between two lists that this edge may ask the platform for itself, or None: only when all members
         have been silent, and at its share of the rate, since all edges may be as lost."""
         if self.lost(now) <= ALONE:
             return None
-        return max(ALONE, 4 * max(1, self.counts.edges if self.counts else 1) / rate_per_s)
+        return max(ALONE, 4 * max(1, self.counts.edge_count if self.counts else 1) / rate_per_s)
 
     def departed(self, now: float) -> None:
         """The data plane has applied a list of its own from the platform: the next one told is whole."""
@@ -174,12 +174,12 @@
 
     # --- events
 
-    def changed(self, now: float, edge: EdgeState) -> None:
+    def changed(self, now: float, edge: EdgeStatus) -> None:
         """This edge is something else now: the main member is told at once, and a second one if its end has
         come nearer."""
         if edge == self.edge:
             return
-        leaves = edge.stage > self.edge.stage
+        leaves = edge.shutdown_stage > self.edge.shutdown_stage
         self.edge = edge
         told = [self.main] if self.main is not None else []
         if leaves:
@@ -217,14 +217,14 @@
         due.append(self.withheld_until)
         return min(due if beside is None else [*due, beside[1]], default=inf)
 
-    def answered(self, now: float, address: str, told: Told, number: int = 0) -> None:
+    def answered(self, now: float, address: str, told: WatchResponse, number: int = 0) -> None:
         """An answer came; `number` of its AskTo, if the caller has it."""
         member = self.members.get(address)
         call = None
         if member is not None:
-            call = member.reported(now, number, told.held_s)
+            call = member.reported(now, number, told.pending_s)
         if call is not None:
-            told = aged(told, max(0.0, now - call.at - told.held_s))
+            told = aged(told, max(0.0, now - call.at - told.pending_s))
         try:
             news = self.take(now, told)
         except ValueError as broken:
@@ -239,7 +239,7 @@
             self.measure(now, member, call, told)
             self.choose(now, member)
             if member is self.main:
-                early = call is not None and not news and told.held_s < 0.9 * call.wait
+                early = call is not None and not news and told.pending_s < 0.9 * call.wait
                 begun = now if call is None else call.at
                 self.next_at = max(begun + GAP, now + EARLY if early else now)
         fresh = member is None or member.stale == 0 or member is self.main
@@ -316,7 +316,7 @@
         call = Call(self.number, now, wait)
         member.call, member.tried_at = call, now
         member.calls.append(call)
-        ask = Ask(self.edge, self.control, self.upstreams, wait, self.version, self.list_age(now))
+        ask = WatchRequest(self.edge, self.control, self.upstreams, wait, self.version, self.list_age(now))
         self.effects.append(AskTo(member.address, ask, wait + LATE, call.number))
 
     def ask_all(self, now: float) -> None:
@@ -341,14 +341,14 @@
         if member is self.main:
             self.main = None
 
-    def measure(self, now: float, member: CoreMember, call: Call | None, told: Told) -> None:
+    def measure(self, now: float, member: CoreMember, call: Call | None, told: WatchResponse) -> None:
         member.failures, member.rest_until, member.failed_at = 0, -inf, -inf
-        member.stale = max(0.0, told.fresh_s - OLD_WORD) + max(0.0, told.age_s - OLD_LIST)
+        member.stale = max(0.0, told.primary_age_s - OLD_WORD) + max(0.0, told.endpoints_age_s - OLD_LIST)
         if call is None:
             return
         if call is member.call:
             member.call = None
-        took = max(0.0, now - call.at - told.held_s)
+        took = max(0.0, now - call.at - told.pending_s)
         member.took = took if member.took is None else min(took, (took + member.took) / 2)
         member.measured = now
 
@@ -366,64 +366,67 @@
 
     # --- what is taken of an answer
 
-    def take(self, now: float, told: Told) -> bool:
+    def take(self, now: float, told: WatchResponse) -> bool:
         """What is newer goes to `updates`; whether anything was. ValueError if it can't be read; then nothing
         was taken."""
         control = self.newer_control(told.control)
-        moved = told.upstreams if self.newer_list(now, told.upstreams) else None
+        moved = told.endpoints if self.newer_list(now, told.endpoints) else None
         if control is not None:
             self.control, self.version = (control.epoch, control.sequence), control.version
             self.withheld.append(control)
             if not self.applied:
                 self.withheld_until = min(self.withheld_until, now + FIRST_PATIENCE)
         # Guards against an edge that starts and serves by what a member behind a cut still holds.
-        if self.withheld and (self.applied or told.fresh_s <= OLD_WORD):
+        if self.withheld and (self.applied or told.primary_age_s <= OLD_WORD):
             self.release()
         if moved is not None:
             self.upstreams = self.floor = (moved.term, moved.number)
             self.known_at = now - moved.age_s
             self.updates.append(moved)
         elif (
-            told.upstreams is not None
+            told.endpoints is not None
             and self.known_at is not None
-            and (told.upstreams.term, told.upstreams.number) == self.upstreams
+            and (told.endpoints.term, told.endpoints.number) == self.upstreams
         ):
-            self.known_at = max(self.known_at, now - told.upstreams.age_s)
+            self.known_at = max(self.known_at, now - told.endpoints.age_s)
         return control is not None or moved is not None
 
     def newer_control(self, change: ControlChange | None) -> ControlChange | None:
         if change is None or (change.epoch, change.sequence) <= self.control:
             return None
-        plain = unpacked(change)
+        plain = decompress_configuration(change)
         if plain is None and change.version != self.version:
             return None  # it goes with an older ask: what it leaves out is not what is held now
         if change.version == self.version:
             plain = None
         return msgspec.structs.replace(change, configuration=plain or None, compressed=False)
 
-    def newer_list(self, now: float, moved: ListMoved | None) -> bool:
-        if moved is None or not (moved.whole or (moved.from_term, moved.from_number) == self.upstreams):
+    def newer_list(self, now: float, moved: EndpointUpdate | None) -> bool:
+        if moved is None or not (moved.is_full or (moved.from_term, moved.from_number) == self.upstreams):
             return False
         version = moved.term, moved.number
         if version > self.floor or (version == self.floor != self.upstreams):
             return True
-        # Guards against a fleet that waits for a date which no poller reaches: see `InstanceList.newer_than`.
+        # Guards against a fleet that waits for a date which no poller reaches: see `EndpointList.newer_than`.
         return version != self.upstreams and self.list_age(now) - moved.age_s > OLDER
 
-    def count(self, told: Told) -> None:
+    def count(self, told: WatchResponse) -> None:
         if told.members:
             self.named(told.members)
-        counts = Counts(told.edges, told.members)
+        counts = FleetView(told.edge_count, told.members)
         if counts != self.counts:
             self.counts = counts
             self.updates.append(counts)
 
 
-def aged(told: Told, waited: float) -> Told:
+def aged(told: WatchResponse, waited: float) -> WatchResponse:
     """As of now: it was under way, or unread, for up to `waited` s."""
-    upstreams = told.upstreams
+    upstreams = told.endpoints
     if upstreams is not None:
         upstreams = msgspec.structs.replace(upstreams, age_s=upstreams.age_s + waited)
     return msgspec.structs.replace(
-        told, upstreams=upstreams, fresh_s=told.fresh_s + waited, age_s=told.age_s + waited
+        told,
+        endpoints=upstreams,
+        primary_age_s=told.primary_age_s + waited,
+        endpoints_age_s=told.endpoints_age_s + waited,
     )
--- a/shedgrade/dataplane/draining.py
+++ b/shedgrade/dataplane/draining.py
@@ -10,7 +10,7 @@
 
 from math import inf
 
-from shedgrade.control_messages import LEAVING, NOBODY, READY
+from shedgrade.control_messages import LEAVING, NO_DRAIN_TARGET, READY
 
 TAKES_ALL = 2.8  # s after SIGTERM in which all that comes is served: clients hold addresses so long
 TAKES_ALL_FIRST = 0.5  # the same for who goes before others that take its clients
@@ -28,16 +28,16 @@
         self.began = now
         self.ends_in_hand_at = now + max(TAKES_ALL, grace_s - ENDS_IN_HAND)
         self.ends_at = max(self.ends_in_hand_at, now + grace_s - ENDS)
-        self.cover, self.told_at = NOBODY, -inf
+        self.cover, self.told_at = NO_DRAIN_TARGET, -inf
 
     def told(self, now: float, cover: str) -> None:
         """The control plane's word on the edges that take over the clients: READY ones, others that are
-        LEAVING later, or NOBODY."""
+        LEAVING later, or NO_DRAIN_TARGET."""
         self.cover, self.told_at = cover, now
 
     def covered_by(self, now: float) -> str:
         """Guards against what is not known: without a word, or with an old one, others may have ended too."""
-        return self.cover if now - self.told_at <= WORD_HOLDS else NOBODY
+        return self.cover if now - self.told_at <= WORD_HOLDS else NO_DRAIN_TARGET
 
     def takes_all(self, now: float) -> bool:
         spent = now - self.began
--- a/shedgrade/dataplane/plane.py
+++ b/shedgrade/dataplane/plane.py
@@ -12,11 +12,11 @@
 from shedgrade.control_messages import (
     CLOSED,
     LEAVING,
-    NOBODY,
+    NO_DRAIN_TARGET,
     READY,
     STARTING,
-    EdgeState,
-    Told,
+    EdgeStatus,
+    WatchResponse,
 )
 from shedgrade.dataplane.control_client import OLD_WORD, AskTo, Watcher
 from shedgrade.dataplane.draining import Drain
@@ -27,7 +27,7 @@
 from shedgrade.dataplane.state import State
 from shedgrade.http.listener import Listener
 from shedgrade.http.server import HttpServer, Reply
-from shedgrade.load_reports import LoadReporter, LoadsTold, OthersKnown
+from shedgrade.load_reports import LoadReporter, LoadUpdate, PeerLoads
 from shedgrade.load_reports.edge import INTERVAL as LOAD_INTERVAL
 from shedgrade.membership.messages import Node
 from shedgrade.membership.running import Gossip
@@ -35,7 +35,7 @@
 from shedgrade.peer_transport.address import join
 from shedgrade.peer_transport.peer import LinkError
 from shedgrade.peer_transport.tcp import Links
-from shedgrade.prefix_cache_index import Record
+from shedgrade.prefix_cache_index import EdgePrefixIndex
 from shedgrade.process_settings import Reload, Settings, Watched
 from shedgrade.runtime.clock import Clock
 from shedgrade.runtime.log import logger
@@ -67,7 +67,7 @@
         self.reload = Reload(settings, watched, self.resettled)
         self.clock = Clock()
         self.budget = Budget(max(256, settings.limits.file_descriptors - RESERVED), settings.limits.memory_mb)
-        self.record = Record()
+        self.record = EdgePrefixIndex()
         self.state = State(settings, loop.time, self.make_pool)
         self.state.record = self.record
         self.front = IngressFront(loop, self, self.budget, random)
@@ -76,7 +76,7 @@
         self.done = asyncio.Event()
         self.links = Links(loop, settings.link_address, self.heard, settings.ip_address)
         self.reporter = LoadReporter(settings.node_name, settings.region)
-        self.others = OthersKnown()
+        self.others = PeerLoads()
         self.asker = Watcher(
             self.edge_state(),
             settings.seed_links,
@@ -87,7 +87,15 @@
         me = self.asker.edge
         self.gossip = Gossip(
             loop,
-            Node(me.name, settings.gossip_address, "edge", me.zone, me.life, front=me.front, state=me.state),
+            Node(
+                me.name,
+                settings.gossip_address,
+                "edge",
+                me.zone,
+                me.incarnation,
+                front=me.listen_address,
+                state=me.state,
+            ),
             settings.seed_gossips,
             random,
         )
@@ -247,7 +255,7 @@
     def recount(self, now: float) -> None:
         """What gossip knows: edges, by which budgets are dealt, and core members where all others fail."""
         told = self.asker.counts
-        self.state.counted(max(self.gossip.view.count("edge"), told.edges if told is not None else 0))
+        self.state.counted(max(self.gossip.view.count("edge"), told.edge_count if told is not None else 0))
         if self.asker.lost(now) > SILENT:
             nodes = self.gossip.view.nodes()
             self.asker.met(node.link for node in nodes if node.kind == "core" and node.link)
@@ -274,7 +282,7 @@
             told = control_messages.decode(frame.body[1:])
         except (msgspec.MsgspecError, ValueError):
             return  # of a member of another version
-        if isinstance(told, LoadsTold):
+        if isinstance(told, LoadUpdate):
             self.others.take(self.loop.time(), told)
             self.state.others_told(self.others.loads)
 
@@ -284,12 +292,12 @@
         """Says what this edge is now."""
         state = self.edge_state()
         self.asker.changed(self.loop.time(), state)
-        self.gossip.restate(LEAVING if state.stage else state.state)
+        self.gossip.restate(LEAVING if state.shutdown_stage else state.state)
         self.ask()
 
-    def edge_state(self) -> EdgeState:
+    def edge_state(self) -> EdgeStatus:
         settings = self.settings
-        return EdgeState(
+        return EdgeStatus(
             settings.node_name,
             join(settings.listen["front"]),
             settings.zone,
@@ -333,22 +341,26 @@
         self.ask()
 
     async def call(self, effect: AskTo) -> None:
-        reads, beside = (), effect.ask.wait <= 0
+        reads, beside = (), effect.ask.wait_s <= 0
         try:
             ask = effect.ask
             if not beside:  # the record's numbers are one member's: another asked beside it tells none
                 reads = self.record.outgoing()
-                ask = msgspec.structs.replace(ask, reads=reads, record=self.record.version)
+                ask = msgspec.structs.replace(
+                    ask, prefix_reads=reads, prefix_index_version=self.record.version
+                )
             asked = KNOWLEDGE + control_messages.encode(ask)
             body = await self.links.call(effect.address, asked, effect.timeout)
             told = control_messages.decode(body[1:])
         except (LinkError, msgspec.MsgspecError, ValueError):
             told = None
-        if isinstance(told, Told):
+        if isinstance(told, WatchResponse):
             if not beside:
-                self.record.told(self.loop.time(), told.fresh_s < OLD_WORD, told.record)
+                self.record.told(self.loop.time(), told.primary_age_s < OLD_WORD, told.prefix_index)
             if self.drain is not None:
-                self.drain.told(self.loop.time(), told.cover if ask.edge.stage else NOBODY)
+                self.drain.told(
+                    self.loop.time(), told.drain_target if ask.edge.shutdown_stage else NO_DRAIN_TARGET
+                )
             self.asker.answered(self.loop.time(), effect.address, told, effect.number)
         else:
             self.record.lost(reads)
--- a/shedgrade/dataplane/service.py
+++ b/shedgrade/dataplane/service.py
@@ -3,14 +3,14 @@
 from collections.abc import Iterable, Mapping
 
 from shedgrade import load_balancing
-from shedgrade.control_messages import Instance
+from shedgrade.control_messages import Endpoint
 from shedgrade.dataplane.caller import EngineCaller, Reach
 from shedgrade.dataplane.protocol import SystemProtocol
 from shedgrade.dataplane.service_times import ServiceTimes
 from shedgrade.load_balancing.upstream_indices import Addresses, Indices
 from shedgrade.model_routing.balancer import ServingBalancer
 from shedgrade.model_routing.retry_budget import Repeats
-from shedgrade.prefix_cache_index import Record
+from shedgrade.prefix_cache_index import EdgePrefixIndex
 from shedgrade.request_dispatch import Turn
 from shedgrade.runtime.log import logger
 
@@ -22,7 +22,7 @@
 class TimedRecord:
     """The record as the decisions read it: as of the loop's time, which they don't know."""
 
-    def __init__(self, record: Record, loop) -> None:
+    def __init__(self, record: EdgePrefixIndex, loop) -> None:
         self.record, self.loop = record, loop
 
     def holders(self, key: int) -> Mapping[int, float]:
@@ -46,7 +46,7 @@
         budget,
         repeats: Repeats,
         me: str,
-        record: Record | None = None,
+        record: EdgePrefixIndex | None = None,
     ) -> None:
         """`regions`: numbers by name; `own`: the name of this sidecar's; `me`: its name;
         `record`: of who holds which prompts' parts."""
@@ -77,7 +77,7 @@
 
     def listed(
         self,
-        instances: Iterable[tuple[Instance, float]],
+        instances: Iterable[tuple[Endpoint, float]],
         region_of: dict[str, str],
         evacuated: frozenset[str],
         returned: Mapping[str, float],
--- a/shedgrade/dataplane/state.py
+++ b/shedgrade/dataplane/state.py
@@ -5,7 +5,13 @@
 from zlib import crc32
 
 from shedgrade.configuration import parse
-from shedgrade.control_messages import ControlChange, Counts, Instance, ListMoved, unpacked
+from shedgrade.control_messages import (
+    ControlChange,
+    Endpoint,
+    EndpointUpdate,
+    FleetView,
+    decompress_configuration,
+)
 from shedgrade.dataplane.fleet import FleetSize
 from shedgrade.dataplane.routes import Routes
 from shedgrade.dataplane.service import ServicePool
@@ -26,7 +32,7 @@
         self.record = None  # of who holds which prompts' parts, if it is kept
         self.routes: Routes | None = None
         self.services: dict[str, ServicePool] = {}
-        self.instances: dict[str, Instance] = {}
+        self.instances: dict[str, Endpoint] = {}
         self.evacuated: frozenset[str] = frozenset()
         self.cold_until: dict[str, float] = {}  # by instance, on this process's clock
         self.returned: dict[str, float] = {}  # zones once evacuated: when that was taken back
@@ -37,9 +43,9 @@
             match update:
                 case ControlChange():
                     self.controlled(update)
-                case ListMoved():
+                case EndpointUpdate():
                     self.moved(update)
-                case Counts(edges, _):
+                case FleetView(edges, _):
                     self.counted(edges)
 
     def counted(self, edges: int) -> None:
@@ -60,7 +66,7 @@
             pool.balancer.others_told(loads)
 
     def controlled(self, change: ControlChange) -> None:
-        raw = unpacked(change)
+        raw = decompress_configuration(change)
         if raw is not None:
             self.configured(Routes(parse(raw), self.regions))
         evacuated = frozenset(change.evacuations)
@@ -90,8 +96,8 @@
                 pool.times.tokens_per_event = engine.stride if engine is not None else 1.0
         logger.info("configuration {} is in force, {} services", routes.version, len(routes.services))
 
-    def moved(self, change: ListMoved) -> None:
-        if change.whole:
+    def moved(self, change: EndpointUpdate) -> None:
+        if change.is_full:
             touched = {one.service for one in self.instances.values()}
             self.instances = {}
         else:
@@ -110,7 +116,7 @@
 
     def relist(self, names: Iterable[str]) -> None:
         now = self.now()
-        by_service: dict[str, list[tuple[Instance, float]]] = {}
+        by_service: dict[str, list[tuple[Endpoint, float]]] = {}
         for one in self.instances.values():
             by_service.setdefault(one.service, []).append((one, self.cold_until[one.id] - now))
         for name in names:
--- a/shedgrade/load_reports/__init__.py
+++ b/shedgrade/load_reports/__init__.py
@@ -5,8 +5,8 @@
 they are missing, late or wrong, and they are forgotten when their source falls silent.
 """
 
-from shedgrade.load_reports.aggregator import LoadHub
-from shedgrade.load_reports.edge import LoadReporter, OthersKnown
-from shedgrade.load_reports.messages import LoadReport, LoadsShared, LoadsTold
+from shedgrade.load_reports.aggregator import LoadAggregator
+from shedgrade.load_reports.edge import LoadReporter, PeerLoads
+from shedgrade.load_reports.messages import LoadReport, LoadSums, LoadUpdate
 
-__all__ = ["LoadHub", "LoadReport", "LoadReporter", "LoadsShared", "LoadsTold", "OthersKnown"]
+__all__ = ["LoadAggregator", "LoadReport", "LoadReporter", "LoadSums", "LoadUpdate", "PeerLoads"]
--- a/shedgrade/load_reports/aggregator.py
+++ b/shedgrade/load_reports/aggregator.py
@@ -3,7 +3,7 @@
 from collections import Counter
 from collections.abc import Callable, Mapping
 
-from shedgrade.load_reports.messages import LoadReport, Loads, LoadsShared, LoadsTold
+from shedgrade.load_reports.messages import LoadReport, Loads, LoadSums, LoadUpdate
 
 SILENT_AFTER = 1.5  # s without a report after which an edge's loads, or a member's, are forgotten
 HEARTBEAT = 0.3  # s between two words to an edge at the most, also where nothing changed
@@ -11,7 +11,7 @@
 WHOLE_EACH = 10  # of so many words to other members, one is whole
 MOST = 128  # loads in one word to an edge; what is left out is in the next one
 
-Send = Callable[[LoadsTold], None]
+Send = Callable[[LoadUpdate], None]
 
 
 class Source:
@@ -39,7 +39,7 @@
         self.whole = True  # is to be told all
 
 
-class LoadHub:
+class LoadAggregator:
     """`regions`: by mark, the region of each upstream on the platform's list."""
 
     def __init__(self, member: str) -> None:
@@ -64,7 +64,7 @@
         changed = self.add(source, report.loads, report.whole, self.own_sums)
         self.unshared |= changed
 
-    def shared(self, now: float, told: LoadsShared) -> None:
+    def shared(self, now: float, told: LoadSums) -> None:
         """Another member's sums."""
         source = self.members.setdefault(told.member, Source())
         source.heard_at = now
@@ -106,7 +106,7 @@
             if not (marks or source.whole or now - source.told_at >= HEARTBEAT):
                 continue
             others = {mark: self.sums[mark] - source.loads.get(mark, 0) for mark in marks}
-            told = LoadsTold(others, source.whole)
+            told = LoadUpdate(others, source.whole)
             source.unsaid -= marks
             source.whole, source.told_at = False, now
             source.words += 1
@@ -122,13 +122,13 @@
             marks = {mark for mark in source.unsaid if self.regions.get(mark) == source.near}
         return set(sorted(marks)[:MOST]) if len(marks) > MOST else set(marks)
 
-    def share(self) -> LoadsShared | None:
+    def share(self) -> LoadSums | None:
         """What the other members are to be told; None if nothing."""
         self.shares += 1
         if self.shares % WHOLE_EACH == 0 and (self.edges or self.own_sums):
             self.unshared = set()
-            return LoadsShared(self.member, dict(self.own_sums), True)
+            return LoadSums(self.member, dict(self.own_sums), True)
         if not self.unshared:
             return None
         marks, self.unshared = self.unshared, set()
-        return LoadsShared(self.member, {mark: self.own_sums[mark] for mark in marks})
+        return LoadSums(self.member, {mark: self.own_sums[mark] for mark in marks})
--- a/shedgrade/load_reports/edge.py
+++ b/shedgrade/load_reports/edge.py
@@ -1,6 +1,6 @@
 """An edge's side: when it reports its own loads, and what it believes of the others'."""
 
-from shedgrade.load_reports.messages import LoadReport, Loads, LoadsTold
+from shedgrade.load_reports.messages import LoadReport, Loads, LoadUpdate
 
 INTERVAL = 0.1  # s between two looks at what changed: a long prompt is read for two or three of them
 WHOLE_INTERVAL = 1.0  # s between two whole reports, by which lost words are made good
@@ -39,14 +39,14 @@
         return LoadReport(self.edge, self.near, changed)
 
 
-class OthersKnown:
+class PeerLoads:
     """What other edges have in flight, as the core told it lately."""
 
     def __init__(self) -> None:
         self.loads: Loads = {}
         self.heard_at = float("-inf")
 
-    def take(self, now: float, told: LoadsTold) -> None:
+    def take(self, now: float, told: LoadUpdate) -> None:
         if told.whole or now - self.heard_at > STALE_AFTER:
             self.loads = {}
         self.heard_at = now
--- a/shedgrade/load_reports/messages.py
+++ b/shedgrade/load_reports/messages.py
@@ -17,14 +17,14 @@
     whole: bool = False
 
 
-class LoadsTold(msgspec.Struct, array_like=True, frozen=True, tag="loads_told"):
+class LoadUpdate(msgspec.Struct, array_like=True, frozen=True, tag="loads_told"):
     """All other edges' loads, for one edge: those that changed since it was last told, or `whole`."""
 
     loads: Loads
     whole: bool = False
 
 
-class LoadsShared(msgspec.Struct, array_like=True, frozen=True, tag="loads_shared"):
+class LoadSums(msgspec.Struct, array_like=True, frozen=True, tag="loads_shared"):
     """The sums of the edges that report to one core member, for the other members: those that changed, or
     `whole`."""
 
--- a/shedgrade/prefix_cache_index/__init__.py
+++ b/shedgrade/prefix_cache_index/__init__.py
@@ -5,7 +5,20 @@
 told all of it anew.
 """
 
-from shedgrade.prefix_cache_index.edge import Record
-from shedgrade.prefix_cache_index.index import AskRecord, Ledger, RecordMoved, RecordRead, key_of
+from shedgrade.prefix_cache_index.edge import EdgePrefixIndex
+from shedgrade.prefix_cache_index.index import (
+    PrefixIndex,
+    PrefixIndexAdditions,
+    PrefixIndexRequest,
+    PrefixIndexUpdate,
+    key_of,
+)
 
-__all__ = ["AskRecord", "Ledger", "Record", "RecordMoved", "RecordRead", "key_of"]
+__all__ = [
+    "EdgePrefixIndex",
+    "PrefixIndex",
+    "PrefixIndexAdditions",
+    "PrefixIndexRequest",
+    "PrefixIndexUpdate",
+    "key_of",
+]
--- a/shedgrade/prefix_cache_index/edge.py
+++ b/shedgrade/prefix_cache_index/edge.py
@@ -8,13 +8,13 @@
     ONCE_MORE,
     STALE,
     Pair,
-    RecordMoved,
+    PrefixIndexUpdate,
 )
 
 TRUSTED = 2.0  # s since a fresh word of the core for which the record may be routed by
 
 
-class Record:
+class EdgePrefixIndex:
     """`holders(now, key)` is empty whenever the record may be untrue: routing then goes on without it."""
 
     def __init__(self) -> None:
@@ -61,7 +61,7 @@
         for pair in pairs:
             self.unsent.setdefault(pair, None)
 
-    def told(self, now: float, fresh: bool, moved: RecordMoved | None) -> None:
+    def told(self, now: float, fresh: bool, moved: PrefixIndexUpdate | None) -> None:
         """A word of the core; `fresh`: its member hears the primary and is not behind.
 
         Guards against a record from before a cut: after a silence it is believed again only when a member
--- a/shedgrade/prefix_cache_index/index.py
+++ b/shedgrade/prefix_cache_index/index.py
@@ -12,7 +12,7 @@
 Pair = tuple[int, int]  # (key of a prompt's shared parts, mark of an upstream's incarnation)
 
 
-class RecordMoved(msgspec.Struct, array_like=True, frozen=True, tag="record_moved"):
+class PrefixIndexUpdate(msgspec.Struct, array_like=True, frozen=True, tag="record_moved"):
     """Pairs that were read since `base`, or all if `base` is -1. `source`: of the numbers, a life of one core
     member; `number`: of the last of them. `gone`: marks of upstreams that hold nothing any more."""
 
@@ -23,13 +23,13 @@
     gone: tuple[int, ...] = ()
 
 
-class RecordRead(msgspec.Struct, array_like=True, frozen=True, tag="record_read"):
+class PrefixIndexAdditions(msgspec.Struct, array_like=True, frozen=True, tag="record_read"):
     """What the edges of one core member have seen read, for the others."""
 
     pairs: tuple[Pair, ...]
 
 
-class AskRecord(msgspec.Struct, array_like=True, frozen=True, tag="ask_record"):
+class PrefixIndexRequest(msgspec.Struct, array_like=True, frozen=True, tag="ask_record"):
     """A core member that was cut off, or has started, asks another for all that it holds."""
 
 
@@ -38,7 +38,7 @@
     return int.from_bytes(blake2b(parts, digest_size=8).digest(), "little") >> 1
 
 
-class Ledger:
+class PrefixIndex:
     """`source`: a number drawn at the start of the process, above 0. `true` is False from a cut until another
     member has told all that it holds, or nobody has anything to tell: nothing is said by it meanwhile."""
 
@@ -83,7 +83,7 @@
         """This member was cut off: what it holds may be old."""
         self.true = False
 
-    def since(self, source: int, number: int) -> RecordMoved | None:
+    def since(self, source: int, number: int) -> PrefixIndexUpdate | None:
         """What one that holds (source, number) lacks; None if that is nothing, or this record is not true."""
         if not self.true or source < 0:
             return None
@@ -97,9 +97,9 @@
                 break
             pairs.append(pair)
         gone = tuple(mark for mark, at in self.gone.items() if at > number >= 0)
-        return RecordMoved(self.source, self.number, number, tuple(reversed(pairs)), gone)
+        return PrefixIndexUpdate(self.source, self.number, number, tuple(reversed(pairs)), gone)
 
-    def take(self, now: float, told: RecordMoved) -> None:
+    def take(self, now: float, told: PrefixIndexUpdate) -> None:
         """All that another member holds, asked for after a cut: from then on this record is true."""
         if told.base < 0 and not self.true:
             self.pairs.clear()
--- a/tests/controlplane/test_cut_off_edges.py
+++ b/tests/controlplane/test_cut_off_edges.py
@@ -86,7 +86,7 @@
 
 def believes_all(self, now, told):
     """Planted: any first word is taken."""
-    return take(self, now, msgspec.structs.replace(told, fresh_s=0.0))
+    return take(self, now, msgspec.structs.replace(told, primary_age_s=0.0))
 
 
 def test_one_that_takes_any_first_word_is_found(tmp_path, monkeypatch):
--- a/tests/controlplane/test_cut_off_side.py
+++ b/tests/controlplane/test_cut_off_side.py
@@ -8,22 +8,22 @@
 import pytest
 
 from shedgrade import control_messages
-from shedgrade.control_messages import READY, EdgeHeard, EdgeSeen, EdgesKnown, EdgeState
+from shedgrade.control_messages import READY, EdgeObservation, EdgeObservations, EdgeRecord, EdgeStatus
 from shedgrade.controlplane.channels import KNOWLEDGE
 from shedgrade.controlplane.directory import Directory
 from shedgrade.controlplane.plane import ControlPlane
-from shedgrade.controlplane.reachability import LOST, Reach
+from shedgrade.controlplane.reachability import LOST, ReachabilityMonitor
 from shedgrade.http.server import Request
 from shedgrade.process_settings.reading import check
 
 MEMBERS = ("a:1", "b:1", "c:1")
 EDGES = [
-    EdgeSeen(
+    EdgeRecord(
         name=f"edge-{number}",
-        front=f"10.0.0.{number}:80",
+        listen_address=f"10.0.0.{number}:80",
         zone="south-a",
         region="south",
-        life=1,
+        incarnation=1,
         state=READY,
     )
     for number in (1, 2)
@@ -51,7 +51,7 @@
 
 @pytest.fixture
 def reach():
-    reach = Reach("a:1", "south")
+    reach = ReachabilityMonitor("a:1", "south")
     for member in MEMBERS[1:]:
         reach.heard(10.0, member)
     return reach
@@ -70,11 +70,11 @@
 
 def test_who_hears_the_primary_is_not_cut_off(reach):
     assert not reach.cut_off(20.0, MEMBERS, 19.9)
-    assert Reach("a:1", "south").cut_off(20.0, MEMBERS, float("-inf"))
+    assert ReachabilityMonitor("a:1", "south").cut_off(20.0, MEMBERS, float("-inf"))
 
 
 def test_half_is_no_majority():
-    reach = Reach("a:1", "south")
+    reach = ReachabilityMonitor("a:1", "south")
     reach.heard(10.0, "b:1")
     assert reach.cut_off(10.1, (*MEMBERS, "d:1"), 1.0)
     reach.heard(10.0, "d:1")
@@ -152,7 +152,9 @@
             ],
         )
         plane.hub.peers_edges(
-            now, "b:1", [EdgeHeard(EdgeState("edge-1", "10.0.0.1:80", "hall-1", "north", 1, READY), 0.0, 5.0)]
+            now,
+            "b:1",
+            [EdgeObservation(EdgeStatus("edge-1", "10.0.0.1:80", "hall-1", "north", 1, READY), 0.0, 5.0)],
         )
 
         def status(name):
@@ -161,7 +163,7 @@
             return told[0].status
 
         assert (status("homed.example"), status("free.example")) == (503, 200)
-        plane.take(settings.seed_links[1], KNOWLEDGE + control_messages.encode(EdgesKnown(())), None)
+        plane.take(settings.seed_links[1], KNOWLEDGE + control_messages.encode(EdgeObservations(())), None)
         assert (status("homed.example"), status("free.example")) == (200, 200)
         plane.links.close()
 
--- a/tests/controlplane/test_delivery.py
+++ b/tests/controlplane/test_delivery.py
@@ -11,24 +11,24 @@
 from shedgrade.control_messages import (
     CLOSED,
     LEAVING,
-    NEVER,
-    NOBODY,
+    NO_DRAIN_TARGET,
     READY,
-    Ask,
-    EdgeHeard,
-    EdgesKnown,
-    EdgeState,
+    UNKNOWN_AGE_S,
+    EdgeObservation,
+    EdgeObservations,
+    EdgeStatus,
+    WatchRequest,
     decode,
+    decompress_configuration,
     encode,
-    unpacked,
 )
-from shedgrade.controlplane.platform_poller import InstanceList
+from shedgrade.controlplane.platform_poller import EndpointList
 from shedgrade.controlplane.watch_hub import WatchHub
 from shedgrade.runtime import log
 
 
-def edge(name="edge-1", life=1, state=READY) -> EdgeState:
-    return EdgeState(name, "10.1.0.12:8263", "north-a", "north", life, state)
+def edge(name="edge-1", life=1, state=READY) -> EdgeStatus:
+    return EdgeStatus(name, "10.1.0.12:8263", "north-a", "north", life, state)
 
 
 def state(version: int, *zones: str, filling: int = 10) -> dict[str, bytes]:
@@ -36,9 +36,9 @@
     return {"configuration": raw, "version": b"%d" % version, "evacuations": orjson.dumps(zones)}
 
 
-def upstreams(now: float, *names: str, held: InstanceList | None = None, term=1) -> InstanceList:
+def upstreams(now: float, *names: str, held: EndpointList | None = None, term=1) -> EndpointList:
     if held is None:
-        held = InstanceList(lambda: 0.0)
+        held = EndpointList(lambda: 0.0)
         held.lead(term)
     held.apply(
         now,
@@ -63,8 +63,10 @@
     def __init__(self, hub: WatchHub, name="edge-1", life=1) -> None:
         self.hub, self.name, self.life, self.told = hub, name, life, []
 
-    def ask(self, now, control=(0, 0), held=(0, 0), wait=1.0, version=-1, state=READY, age=NEVER) -> None:
-        ask = Ask(edge(self.name, self.life, state), control, held, wait, version, age)
+    def ask(
+        self, now, control=(0, 0), held=(0, 0), wait=1.0, version=-1, state=READY, age=UNKNOWN_AGE_S
+    ) -> None:
+        ask = WatchRequest(edge(self.name, self.life, state), control, held, wait, version, age)
         self.hub.ask(now, decode(encode(ask)), lambda told: self.told.append(decode(encode(told))))
 
 
@@ -78,10 +80,12 @@
     client.ask(100.0)
     (told,) = client.told
     assert (told.control.epoch, told.control.sequence, told.control.version) == (1, 3, 7)
-    assert unpacked(told.control) == state(7)["configuration"] and told.control.evacuations == ("south-a",)
-    assert told.upstreams.whole and [one.id for one in told.upstreams.changed] == ["a", "b"]
-    assert told.members == hub.addresses and told.edges == 1
-    assert told.fresh_s == pytest.approx(0.1) and told.age_s == 0.5 and told.held_s == 0
+    assert decompress_configuration(told.control) == state(7)[
+        "configuration"
+    ] and told.control.evacuations == ("south-a",)
+    assert told.endpoints.is_full and [one.id for one in told.endpoints.changed] == ["a", "b"]
+    assert told.members == hub.addresses and told.edge_count == 1
+    assert told.primary_age_s == pytest.approx(0.1) and told.endpoints_age_s == 0.5 and told.pending_s == 0
 
 
 def test_nothing_new_is_told_after_the_beat():
@@ -94,8 +98,12 @@
     assert not client.told
     hub.tick(101.0)
     (told,) = client.told
-    assert told.control is told.upstreams is None
-    assert told.fresh_s == told.age_s == NEVER and told.held_s == 1.0 and hub.wake_at() == inf
+    assert told.control is told.endpoints is None
+    assert (
+        told.primary_age_s == told.endpoints_age_s == UNKNOWN_AGE_S
+        and told.pending_s == 1.0
+        and hub.wake_at() == inf
+    )
     client.ask(102.0, wait=0.0)
     assert len(client.told) == 2
 
@@ -110,7 +118,7 @@
     assert told.control.configuration is None and told.control.evacuations == ("south-a",)
     client.ask(100.5, (1, 4), version=7)
     hub.control(100.6, 2, 5, state(9, "south-a"))
-    assert unpacked(client.told[1].control) == state(9)["configuration"]
+    assert decompress_configuration(client.told[1].control) == state(9)["configuration"]
 
 
 def test_a_parked_ask_is_answered_when_the_list_moves():
@@ -122,8 +130,8 @@
     hub.instances(100.5, upstreams(100.5, "b", "c", held=held))
     for client in (first, second):
         (told,) = client.told
-        assert [one.id for one in told.upstreams.changed] == ["c"] and told.upstreams.removed == ("a",)
-        assert (told.upstreams.from_term, told.upstreams.from_number) == (1, 1)
+        assert [one.id for one in told.endpoints.changed] == ["c"] and told.endpoints.removed == ("a",)
+        assert (told.endpoints.from_term, told.endpoints.from_number) == (1, 1)
 
 
 def test_the_primary_may_have_been_heard_earlier():
@@ -132,7 +140,7 @@
     hub.confirmed(100.2)
     client = Client(hub)
     client.ask(101.0, wait=0.0)
-    assert client.told[0].fresh_s == 0.5
+    assert client.told[0].primary_age_s == 0.5
 
 
 def test_that_the_list_is_still_the_same_is_told_with_its_age():
@@ -141,7 +149,7 @@
     client = Client(hub)
     for held, said in (((1, 1), True), ((2, 1), False)):
         client.ask(100.0, held=held, age=0.0, wait=0.0)
-        told = client.told.pop().upstreams
+        told = client.told.pop().endpoints
         assert (told is not None) == said
         assert told is None or (told.number, told.from_number, told.age_s, told.changed) == (1, 1, 0.5, ())
 
@@ -165,9 +173,9 @@
     client = Client(hub)
     client.ask(100.0, held=(9, 4), age=2.0, wait=0.5)
     hub.tick(100.5)
-    assert client.told.pop().upstreams is None
+    assert client.told.pop().endpoints is None
     client.ask(100.0, held=(9, 4), age=4.0)
-    assert client.told.pop().upstreams.whole
+    assert client.told.pop().endpoints.is_full
 
 
 def test_a_newer_ask_of_an_edge_replaces_the_parked_one():
@@ -186,9 +194,9 @@
 
     def again(answer):
         told.append(answer)
-        hub.ask(100.5, Ask(edge(), (1, 1), (0, 0), 1.0, 1), told.append)
+        hub.ask(100.5, WatchRequest(edge(), (1, 1), (0, 0), 1.0, 1), told.append)
 
-    hub.ask(100.0, Ask(edge(), (0, 0), (0, 0), 1.0), again)
+    hub.ask(100.0, WatchRequest(edge(), (0, 0), (0, 0), 1.0), again)
     hub.control(100.5, 1, 1, state(1))
     assert len(told) == 1
     hub.tick(101.5)
@@ -205,10 +213,10 @@
     assert hub.sent is packed
     control = client.told[0].control
     assert control.compressed and len(control.configuration) < 2_000
-    assert unpacked(control) == state(1, filling=100_000)["configuration"]
+    assert decompress_configuration(control) == state(1, filling=100_000)["configuration"]
     for broken in (control.configuration[:-9], b"x" + control.configuration, b""):
         with pytest.raises(ValueError):
-            unpacked(msgspec.structs.replace(control, configuration=broken))
+            decompress_configuration(msgspec.structs.replace(control, configuration=broken))
 
 
 def test_bytes_that_unfold_to_too_much_are_refused():
@@ -217,7 +225,7 @@
     client = Client(hub)
     client.ask(100.0)
     with pytest.raises(ValueError):
-        unpacked(client.told[0].control)
+        decompress_configuration(client.told[0].control)
 
 
 @pytest.mark.parametrize(
@@ -259,7 +267,7 @@
     hub = WatchHub("10.1.0.14:7300", 100.0)
     Client(hub).ask(100.0, wait=1.0, state="starting")
     (seen,) = hub.edges(100.0)
-    assert seen.last_seen == 100.0 and not seen.ready and seen.zone == "north-a" and seen.life == 1
+    assert seen.last_seen == 100.0 and not seen.ready and seen.zone == "north-a" and seen.incarnation == 1
     Client(hub).ask(100.2, wait=1.0)
     assert hub.edges(101.6)[0].ready and listed(hub, 101.8) == []
     assert hub.count(101.8) == 1 and hub.count(104.3) == 0
@@ -269,9 +277,9 @@
     hub = WatchHub("10.1.0.14:7300", 100.0)
     hub.confirmed(100.0)
     told = []
-    hub.ask(100.1, Ask(edge(), (2, 2), (0, 0), 0.0), told.append)
-    hub.ask(100.1, Ask(edge(), (0, 0), (0, 0), 0.0), told.append)
-    assert told[0].fresh_s == NEVER and told[1].fresh_s < 1
+    hub.ask(100.1, WatchRequest(edge(), (2, 2), (0, 0), 0.0), told.append)
+    hub.ask(100.1, WatchRequest(edge(), (0, 0), (0, 0), 0.0), told.append)
+    assert told[0].primary_age_s == UNKNOWN_AGE_S and told[1].primary_age_s < 1
 
 
 @pytest.mark.parametrize("stage", [LEAVING, CLOSED])
@@ -282,7 +290,7 @@
     client.ask(100.0)
     client.ask(100.2, state=stage)
     assert stages(hub, 100.2) == [stage] * (stage == LEAVING) and hub.count(100.2) == 1
-    hub.peers_edges(100.3, "m2", [EdgeHeard(edge(), 0.0, 1.0)])
+    hub.peers_edges(100.3, "m2", [EdgeObservation(edge(), 0.0, 1.0)])
     assert stages(hub, 100.3) == [stage] * (stage == LEAVING)
     hub.control(100.5, 1, 1, state(1))
     assert len(client.told) == 1
@@ -305,7 +313,7 @@
     """Word of its last stage overtakes that of the one before."""
     hub = WatchHub("10.1.0.14:7300", 100.0)
     Client(hub).ask(100.0, state=CLOSED)
-    hub.peers_edges(100.2, "m2", [EdgeHeard(edge(state=LEAVING), 0.0, 1.0)])
+    hub.peers_edges(100.2, "m2", [EdgeObservation(edge(state=LEAVING), 0.0, 1.0)])
     assert listed(hub, 100.2) == []
 
 
@@ -314,14 +322,14 @@
 
     def cover(leaving, others):
         asked.append((leaving.name, sorted(other.name for other in others)))
-        return NOBODY
+        return NO_DRAIN_TARGET
 
     hub = WatchHub("10.1.0.14:7300", 100.0, cover=cover)
-    hub.peers_edges(100.0, "m2", [EdgeHeard(edge("edge-2"), 0.0, 1.0)])
+    hub.peers_edges(100.0, "m2", [EdgeObservation(edge("edge-2"), 0.0, 1.0)])
     told = []
-    hub.ask(100.0, Ask(edge(), (0, 0), (0, 0), 0.0), told.append)
-    hub.ask(100.0, Ask(edge(state=LEAVING), (0, 0), (0, 0), 0.0), told.append)
-    assert [one.cover for one in told] == [READY, NOBODY]
+    hub.ask(100.0, WatchRequest(edge(), (0, 0), (0, 0), 0.0), told.append)
+    hub.ask(100.0, WatchRequest(edge(state=LEAVING), (0, 0), (0, 0), 0.0), told.append)
+    assert [one.drain_target for one in told] == [READY, NO_DRAIN_TARGET]
     assert asked == [("edge-1", ["edge-1", "edge-2"])]
 
 
@@ -331,9 +339,9 @@
     client.ask(100.0)
     hub.gone("edge-1")
     assert listed(hub, 100.0) == [] and hub.wake_at() == inf
-    hub.peers_edges(101.0, "m2", [EdgeHeard(edge(), 1.5, 1.0)])
+    hub.peers_edges(101.0, "m2", [EdgeObservation(edge(), 1.5, 1.0)])
     assert listed(hub, 101.0) == []
-    hub.peers_edges(101.0, "m2", [EdgeHeard(edge(), 0.5, 1.0)])
+    hub.peers_edges(101.0, "m2", [EdgeObservation(edge(), 0.5, 1.0)])
     assert listed(hub, 101.0) == ["edge-1"]
     hub.gone("edge-1")
     client.ask(101.1)
@@ -374,7 +382,7 @@
     for life, word in ((1, "starting"), (1, "starting"), (1, READY), (1, READY), (1, LEAVING), (2, READY)):
         Client(hub, life=life).ask(101.0, state=word)
         versions.append(hub.own_version)
-    hub.peers_edges(101.0, "m2", [EdgeHeard(edge("edge-2"), 0.0, 1.0)])
+    hub.peers_edges(101.0, "m2", [EdgeObservation(edge("edge-2"), 0.0, 1.0)])
     assert versions == [1, 1, 2, 2, 3, 4] and hub.own_version == 4
 
 
@@ -386,7 +394,7 @@
     hub.gone("edge-3")
     hub.tick(140.0)
     assert not hub.heard and not hub.ending and not hub.lost and not hub.parked
-    assert hub.own_edges() == EdgesKnown(())
+    assert hub.own_edges() == EdgeObservations(())
 
 
 @pytest.mark.parametrize("seed", range(200))
@@ -415,15 +423,15 @@
                     assert (told.control.epoch, told.control.sequence) > mine[0]
                     assert (told.control.configuration is None) == (told.control.version == mine[2])
                     mine[0], mine[2] = (told.control.epoch, told.control.sequence), told.control.version
-                if told.upstreams is not None:
-                    version = told.upstreams.term, told.upstreams.number
-                    same = not (told.upstreams.whole or told.upstreams.changed or told.upstreams.removed)
+                if told.endpoints is not None:
+                    version = told.endpoints.term, told.endpoints.number
+                    same = not (told.endpoints.is_full or told.endpoints.changed or told.endpoints.removed)
                     assert version > mine[1] or (version == mine[1] and same)
                     mine[1] = version
 
             latest[name] = number
             control, list_held, version = holds[name]
-            hub.ask(now, Ask(edge(name), control, list_held, 0.5, version, 0.0), reply)
+            hub.ask(now, WatchRequest(edge(name), control, list_held, 0.5, version, 0.0), reply)
         hub.tick(now)
     hub.tick(now + 1.0)
     assert set(answers.values()) == {1}
--- a/tests/controlplane/test_directory.py
+++ b/tests/controlplane/test_directory.py
@@ -11,10 +11,10 @@
 from shedgrade.control_messages import (
     CLOSED,
     LEAVING,
-    NOBODY,
+    NO_DRAIN_TARGET,
     READY,
     STARTING,
-    EdgeSeen,
+    EdgeRecord,
 )
 from shedgrade.controlplane.directory import MOST, Directory, cover
 from shedgrade.controlplane.home_regions import ANYWHERE, NOWHERE_ELSE, HomeRegions
@@ -24,12 +24,12 @@
 
 
 def edge(number, zone="north-a", state=READY, front=True):
-    return EdgeSeen(
+    return EdgeRecord(
         name=f"edge-{number}",
-        front=f"10.0.0.{number}:80" if front else "",
+        listen_address=f"10.0.0.{number}:80" if front else "",
         zone=zone,
         region=ZONES.get(zone, ""),
-        life=1,
+        incarnation=1,
         state=state,
     )
 
@@ -187,8 +187,8 @@
     others = [edge(number, zone) for number, zone in enumerate(zones, 2)]
     leaving, later = edge(1, state=LEAVING), edge(9, "north-b", state=LEAVING)
     assert cover(leaving, [leaving, later, *others], homes) == told
-    assert cover(later, [leaving, later, *others], homes) == (READY if told == READY else NOBODY)
-    assert cover(leaving, [leaving, *others], homes) == (READY if told == READY else NOBODY)
+    assert cover(later, [leaving, later, *others], homes) == (READY if told == READY else NO_DRAIN_TARGET)
+    assert cover(leaving, [leaving, *others], homes) == (READY if told == READY else NO_DRAIN_TARGET)
 
 
 def test_who_was_told_to_end_earlier_goes_first():
@@ -197,7 +197,7 @@
         for number, since in [(2, 10.0), (1, 12.0)]
     )
     assert cover(early, [early, late], {"h": ANYWHERE}) == LEAVING
-    assert cover(late, [early, late], {"h": ANYWHERE}) == NOBODY
+    assert cover(late, [early, late], {"h": ANYWHERE}) == NO_DRAIN_TARGET
 
 
 def test_a_bounded_number_is_drawn(directory):
@@ -234,7 +234,7 @@
     if not edges:
         assert reply.status == 503
         return
-    by_front = {one.front: one for one in edges}
+    by_front = {one.listen_address: one for one in edges}
     chosen = [by_front[address] for address in orjson.loads(reply.body)["addressList"]]
     assert 0 < len(chosen) == len({one.name for one in chosen}) <= MOST
     own = [one for one in edges if one.zone == zone]
--- a/tests/controlplane/test_platform_list.py
+++ b/tests/controlplane/test_platform_list.py
@@ -9,8 +9,8 @@
 import uvloop
 from virtual_loop import play
 
-from shedgrade.control_messages import NEVER, ListMoved, decode, encode
-from shedgrade.controlplane.platform_poller import InstanceList, Poller
+from shedgrade.control_messages import UNKNOWN_AGE_S, EndpointUpdate, decode, encode
+from shedgrade.controlplane.platform_poller import EndpointList, Poller
 from shedgrade.http.discovery import DiscoveryConnection
 from shedgrade.process_settings import CloudApi
 from shedgrade.runtime import log
@@ -45,14 +45,14 @@
     } | more
 
 
-def known(entries, term=1, now=100.0) -> InstanceList:
-    held = InstanceList()
+def known(entries, term=1, now=100.0) -> EndpointList:
+    held = EndpointList()
     held.lead(term)
     held.apply(now, entries)
     return held
 
 
-def told(held: InstanceList, now: float) -> dict:
+def told(held: EndpointList, now: float) -> dict:
     return {one.id: one for one in held.instances(now)}
 
 
@@ -140,20 +140,20 @@
     answer = held.answer(1, 1, now=103.0)
     assert (answer.term, answer.number, answer.from_term, answer.from_number) == (1, 3, 1, 1)
     assert {one.id: one.cold_left_ms for one in answer.changed} == {"b": 0, "d": 2000}
-    assert answer.removed == ("c",) and answer.age_s == 1.0 and not answer.whole
-    assert held.answer(1, 3, now=103.0) == ListMoved(1, 3, 1.0, 1, 3)
-    assert held.answer(0, 7, now=103.0).whole and held.answer(1, 9, now=103.0).whole
+    assert answer.removed == ("c",) and answer.age_s == 1.0 and not answer.is_full
+    assert held.answer(1, 3, now=103.0) == EndpointUpdate(1, 3, 1.0, 1, 3)
+    assert held.answer(0, 7, now=103.0).is_full and held.answer(1, 9, now=103.0).is_full
 
 
 def test_what_is_older_than_the_history_is_told_whole():
     held = known([entry("a")])
     for number in range(300):
         held.apply(101.0 + number, [entry("a", configVersion=f"v{number + 2}")])
-    assert held.answer(1, 1).whole and not held.answer(1, 290).whole
+    assert held.answer(1, 1).is_full and not held.answer(1, 290).is_full
 
 
 def test_a_member_takes_what_it_lacks_and_passes_it_on():
-    first, second, third = known([entry("a"), entry("b", coldLeftMs=5000)]), InstanceList(), InstanceList()
+    first, second, third = known([entry("a"), entry("b", coldLeftMs=5000)]), EndpointList(), EndpointList()
     assert second.take(decode(encode(first.answer(0, 0, now=101.0))), now=201.0)
     assert second.version == (1, 1) and second.age_s(201.0) == 1.0
     assert told(second, 202.0)["b"].cold_left_ms == 3000  # 4 s were left as it was sent
@@ -161,12 +161,12 @@
     first.apply(103.0, [entry("a", state="draining"), entry("b", coldLeftMs=2000)])
     assert second.take(first.answer(1, 1, now=103.0), now=203.0)
     delta = second.answer(*third.version, now=203.0)
-    assert not delta.whole and third.take(delta, now=303.0)
+    assert not delta.is_full and third.take(delta, now=303.0)
     assert told(third, 303.0)["a"].state == "draining" and third.version == first.version
 
 
 def test_a_delta_that_does_not_fit_is_asked_for():
-    first, second = known([entry("a")]), InstanceList()
+    first, second = known([entry("a")]), EndpointList()
     second.take(first.answer(0, 0, now=100.0), now=100.0)
     for number in (2, 3):
         first.apply(100.0 + number, [entry("a", configVersion=f"v{number}")])
@@ -178,20 +178,20 @@
 
 
 def test_older_lists_are_not_taken_and_ages_only_get_better():
-    first, second = known([entry("a")]), InstanceList()
+    first, second = known([entry("a")]), EndpointList()
     old = first.answer(0, 0, now=100.0)
     first.apply(101.0, [entry("a", state="draining")])
     second.take(first.answer(0, 0, now=101.0), now=101.0)
     assert not second.take(old, now=102.0) and second.version == (1, 2) and not second.lacks
-    assert not second.take(ListMoved(1, 2, 0.2, 1, 2), now=102.0)
+    assert not second.take(EndpointUpdate(1, 2, 0.2, 1, 2), now=102.0)
     assert second.age_s(102.0) == pytest.approx(0.2)
-    second.take(ListMoved(1, 2, 5.0, 1, 2), now=102.0)
+    second.take(EndpointUpdate(1, 2, 5.0, 1, 2), now=102.0)
     assert second.age_s(102.0) == pytest.approx(0.2)
-    assert not second.take(InstanceList().answer(9, 9, now=102.0), now=102.0)  # one that knows nothing
+    assert not second.take(EndpointList().answer(9, 9, now=102.0), now=102.0)  # one that knows nothing
 
 
 def test_a_new_poller_goes_on_under_its_own_term():
-    first, second = known([entry("a")], term=3), InstanceList()
+    first, second = known([entry("a")], term=3), EndpointList()
     second.take(first.answer(0, 0, now=100.0), now=100.0)
     second.lead(4)
     assert second.version == (3, 1)
@@ -212,13 +212,13 @@
     assert member.newer_than(*edge.version, age_s=6.0, now=101.0)
     assert not edge.take(member.answer(0, 0, now=101.0), now=102.0)
     assert edge.take(member.answer(0, 0, now=101.0), now=105.0) and edge.version == (1, 1)
-    assert InstanceList().newer_than(0, 0, NEVER) is False
+    assert EndpointList().newer_than(0, 0, UNKNOWN_AGE_S) is False
 
 
 def test_any_changes_and_any_loss_of_messages_end_in_the_same_list():
     for seed in range(60):
         chance = Random(seed)
-        leader, members = known([], term=1), [InstanceList() for _ in range(3)]
+        leader, members = known([], term=1), [EndpointList() for _ in range(3)]
         now, entries = 100.0, {}
         for step in range(60):
             now += chance.random()
@@ -314,7 +314,7 @@
 
 def polling(scene, **more):
     async def run(loop):
-        platform, held, told = Platform(loop), InstanceList(loop.time), []
+        platform, held, told = Platform(loop), EndpointList(loop.time), []
         poller = Poller(loop, API, held, told.append, random=Random(1), **more)
         await scene(loop, platform, held, told, poller)
         poller.stop()
@@ -503,7 +503,7 @@
             writer.close()
 
         server = await asyncio.start_server(serve, "127.0.0.1", 0)
-        loop, held, came = asyncio.get_running_loop(), InstanceList(), asyncio.Event()
+        loop, held, came = asyncio.get_running_loop(), EndpointList(), asyncio.Event()
         api = CloudApi(server.sockets[0].getsockname(), 1000.0, 0, ())
         poller = Poller(loop, api, held, lambda changed: came.set(), connection=DiscoveryConnection)
         poller.start(term=2)
--- a/tests/controlplane/test_poller_retarget.py
+++ b/tests/controlplane/test_poller_retarget.py
@@ -7,7 +7,7 @@
 from test_platform_list import API, Platform, entry
 from virtual_loop import play
 
-from shedgrade.controlplane.platform_poller import InstanceList, Poller
+from shedgrade.controlplane.platform_poller import EndpointList, Poller
 
 OTHER = ("10.200.0.9", 8266)
 
@@ -17,7 +17,7 @@
         old, new = Platform(loop), Platform(loop)
         loop.peers = {API.address: old.connect, OTHER: new.connect}
         new.entries = [entry("z")]
-        held = InstanceList(loop.time)
+        held = EndpointList(loop.time)
         poller = Poller(loop, API, held, lambda changed: None, random=Random(1))
         poller.start(term=5)
         await scene(old, new, held, poller)
--- a/tests/controlplane/test_recording.py
+++ b/tests/controlplane/test_recording.py
@@ -3,24 +3,28 @@
 from types import SimpleNamespace
 from zlib import crc32
 
-from shedgrade.control_messages import Ask, EdgeState, decode
-from shedgrade.controlplane.prefix_index_exchange import NOBODY, Recording
+from shedgrade.control_messages import EdgeStatus, WatchRequest, decode
+from shedgrade.controlplane.prefix_index_exchange import NOBODY, PrefixIndexExchange
 from shedgrade.controlplane.watch_hub import WatchHub
-from shedgrade.prefix_cache_index import AskRecord, RecordMoved, RecordRead
+from shedgrade.prefix_cache_index import PrefixIndexAdditions, PrefixIndexRequest, PrefixIndexUpdate
 
-EDGE = EdgeState("edge-1", "10.1.0.12:8263", "north-a", "north", 1, "ready")
+EDGE = EdgeStatus("edge-1", "10.1.0.12:8263", "north-a", "north", 1, "ready")
 
 
 def member(source, founding=True):
     told = []
     hub = WatchHub(f"10.{source}.0.1:7300", 0.0)
-    return Recording(hub, source, founding, told.append), told
+    return PrefixIndexExchange(hub, source, founding, told.append), told
 
 
 def asked(recording, now, reads=(), record=(0, -1)):
     told = []
-    recording.hub.ask(now, Ask(EDGE, (0, 0), (0, 0), 0.0, reads=reads, record=record), told.append)
-    return told[0].record
+    recording.hub.ask(
+        now,
+        WatchRequest(EDGE, (0, 0), (0, 0), 0.0, prefix_reads=reads, prefix_index_version=record),
+        told.append,
+    )
+    return told[0].prefix_index
 
 
 def test_what_edges_read_is_told_to_the_others_once():
@@ -28,7 +32,7 @@
     asked(recording, 1.0, reads=((5, 11),))
     recording.beat(1.0, 1.0)
     recording.beat(1.1, 1.1)
-    assert told == [RecordRead(((5, 11),))]
+    assert told == [PrefixIndexAdditions(((5, 11),))]
     other, _ = member(2)
     other.heard(1.2, told[0], None)
     assert asked(other, 1.3).pairs == ((5, 11),)
@@ -40,11 +44,11 @@
     recording.beat(9.0, 1.0)
     assert asked(recording, 9.0) is None
     recording.beat(10.0, 10.0)
-    assert AskRecord() in told and asked(recording, 10.0) is None
+    assert PrefixIndexRequest() in told and asked(recording, 10.0) is None
     other, _ = member(2)
-    other.heard(9.5, RecordRead(((6, 12),)), None)
+    other.heard(9.5, PrefixIndexAdditions(((6, 12),)), None)
     answers = []
-    other.heard(10.1, AskRecord(), answers.append)
+    other.heard(10.1, PrefixIndexRequest(), answers.append)
     recording.heard(10.2, decode(answers[0]), None)
     assert asked(recording, 10.3).pairs == ((6, 12),)
 
@@ -52,7 +56,7 @@
 def test_one_that_is_not_true_itself_answers_nobody():
     recording, _ = member(1, founding=False)
     answers = []
-    recording.heard(1.0, AskRecord(), answers.append)
+    recording.heard(1.0, PrefixIndexRequest(), answers.append)
     assert not answers
 
 
@@ -61,7 +65,7 @@
     recording.beat(1.0, 1.0)
     assert asked(recording, 1.0) is None
     recording.beat(1.1 + NOBODY, 1.1 + NOBODY)
-    assert asked(recording, 4.2) == RecordMoved(2, 0, -1)
+    assert asked(recording, 4.2) == PrefixIndexUpdate(2, 0, -1)
 
 
 def test_an_incarnation_that_left_the_list_holds_nothing():
--- a/tests/controlplane/test_duties.py
+++ b/tests/controlplane/test_singleton_roles.py
@@ -10,14 +10,14 @@
 
 from shedgrade.controlplane import singleton_roles as module
 from shedgrade.controlplane.singleton_roles import (
-    Ballot,
-    Duties,
     Heartbeat,
-    Lost,
     Message,
+    RoleAcquired,
+    RoleLost,
+    RoleReleased,
     Send,
-    Vacated,
-    Won,
+    SingletonRoles,
+    VoteRequest,
 )
 
 POLL = "discovery"
@@ -28,7 +28,7 @@
 class Play:
     """Members, a network with one-way delays of `delay` (least, most) in s, `loss`, and cuts one way."""
 
-    kind = Duties
+    kind = SingletonRoles
     twice = 0.02  # of all messages come twice
 
     def __init__(self, seed, count=3, delay=(0.03, 0.06), loss=0.0, duties=(POLL,)):
@@ -112,7 +112,9 @@
     def terms(self, duty=POLL):
         """Checked at the end: each term is won once, and the terms won grow with time."""
         won = [
-            effect.term for _, _, effect in self.history if isinstance(effect, Won) and effect.duty == duty
+            effect.term
+            for _, _, effect in self.history
+            if isinstance(effect, RoleAcquired) and effect.duty == duty
         ]
         assert won == sorted(set(won))
         return won
@@ -244,23 +246,23 @@
         play.filled(3.0)
         play.stopped = set()
         play.run(5)
-        assert any(name == first and isinstance(effect, Lost) for _, name, effect in play.history)
+        assert any(name == first and isinstance(effect, RoleLost) for _, name, effect in play.history)
         play.terms()
 
 
 def test_a_member_that_just_started_gives_no_vote():
-    member = Duties("a:1", lambda: ("a:1", "b:1", "c:1"), Random(1), 0.0, (POLL,))
-    member.receive(0.99, "b:1", Ballot(POLL, 1 << 20))
-    member.receive(1.01, "b:1", Ballot(POLL, 2 << 20))
+    member = SingletonRoles("a:1", lambda: ("a:1", "b:1", "c:1"), Random(1), 0.0, (POLL,))
+    member.receive(0.99, "b:1", VoteRequest(POLL, 1 << 20))
+    member.receive(1.01, "b:1", VoteRequest(POLL, 2 << 20))
     assert [effect.message.granted for effect in member.effects] == [False, True]
 
 
 def test_one_vote_a_term_and_none_while_the_holder_is_heard():
-    member = Duties("a:1", lambda: ("a:1", "b:1", "c:1"), Random(1), 0.0, (POLL,))
+    member = SingletonRoles("a:1", lambda: ("a:1", "b:1", "c:1"), Random(1), 0.0, (POLL,))
 
     def granted(now, sender, term):
         member.effects.clear()
-        member.receive(now, sender, Ballot(POLL, term))
+        member.receive(now, sender, VoteRequest(POLL, term))
         return [effect.message.granted for effect in member.effects if effect.address == sender][-1]
 
     assert granted(1.0, "b:1", 1 << 20) and not granted(1.0, "c:1", 1 << 20) and granted(1.0, "b:1", 1 << 20)
@@ -286,9 +288,9 @@
 
 
 def test_an_old_heartbeat_after_the_end_of_its_term_delays_nobody():
-    member = Duties("a:1", lambda: ("a:1", "b:1", "c:1"), Random(1), 0.0, (POLL,))
+    member = SingletonRoles("a:1", lambda: ("a:1", "b:1", "c:1"), Random(1), 0.0, (POLL,))
     member.receive(2.0, "b:1", Heartbeat(POLL, 1 << 20, 1))
-    member.receive(2.1, "b:1", Vacated(POLL, 1 << 20))
+    member.receive(2.1, "b:1", RoleReleased(POLL, 1 << 20))
     member.receive(2.1, "b:1", Heartbeat(POLL, 1 << 20, 2))
     assert member.holder(POLL) is None and member.wake_at() <= 2.1 + module.STAGGER
 
@@ -355,7 +357,7 @@
         assert play.holders() == [holder] and len(play.history) == changes
 
 
-class Hasty(Duties):
+class Hasty(SingletonRoles):
     """A planted fault: votes for anyone, also while a holder is heard."""
 
     def receive(self, now, sender, message):
@@ -363,7 +365,7 @@
         super().receive(now, sender, message)
 
 
-class Clinging(Duties):
+class Clinging(SingletonRoles):
     """A planted fault: a lease that runs from the acknowledgement, and longer than others wait."""
 
     def tick(self, now):
@@ -373,7 +375,7 @@
         super().tick(now)
 
 
-class Forgetful(Duties):
+class Forgetful(SingletonRoles):
     """A planted fault: votes at once after a start, and for a lower term than before."""
 
     def receive(self, now, sender, message):
@@ -399,12 +401,12 @@
 
 MESSAGES = st.builds(
     lambda kind, term, number, known: {
-        "ballot": module.Ballot(POLL, term),
-        "vote": module.Vote(POLL, term, bool(number % 2), known),
+        "ballot": module.VoteRequest(POLL, term),
+        "vote": module.VoteResponse(POLL, term, bool(number % 2), known),
         "heartbeat": module.Heartbeat(POLL, term, number),
-        "vacated": module.Vacated(POLL, term),
+        "vacated": module.RoleReleased(POLL, term),
         "acknowledgement": module.Acknowledgement(POLL, term, number, known),
-        "other": module.Ballot("unknown", term),
+        "other": module.VoteRequest("unknown", term),
     }[kind],
     st.sampled_from(["ballot", "vote", "heartbeat", "vacated", "acknowledgement", "other"]),
     st.integers(0, 2**63),
@@ -418,7 +420,7 @@
     st.lists(st.tuples(st.floats(0, 2), st.sampled_from(["a:1", "b:1", "c:1", "z:1"]), MESSAGES), max_size=30)
 )
 def test_no_message_raises(steps):
-    member, now = Duties("a:1", lambda: ("a:1", "b:1", "c:1"), Random(1), 0.0, (POLL,)), 0.0
+    member, now = SingletonRoles("a:1", lambda: ("a:1", "b:1", "c:1"), Random(1), 0.0, (POLL,)), 0.0
     for wait, sender, message in steps:
         now += wait
         member.tick(now)
--- a/tests/controlplane/test_terms_met.py
+++ b/tests/controlplane/test_terms_met.py
@@ -2,10 +2,10 @@
 
 from random import Random
 
-from test_duties import POLL, Play
+from test_singleton_roles import POLL, Play
 
 from shedgrade.controlplane import singleton_roles as module
-from shedgrade.controlplane.singleton_roles import Acknowledgement, Duties, Heartbeat, Send
+from shedgrade.controlplane.singleton_roles import Acknowledgement, Heartbeat, Send, SingletonRoles
 
 
 def test_the_holder_is_told_and_rises_above_it_without_a_gap():
@@ -25,7 +25,7 @@
 
 
 def test_a_term_that_is_not_above_the_holders_is_told_to_nobody():
-    member = Duties("a:1", lambda: ("a:1", "b:1", "c:1"), Random(1), 0.0, (POLL,))
+    member = SingletonRoles("a:1", lambda: ("a:1", "b:1", "c:1"), Random(1), 0.0, (POLL,))
     member.met(0.5, POLL, 9 << 20)
     assert member.effects == []  # nobody holds it
     member.receive(2.0, "b:1", Heartbeat(POLL, 10 << 20, 1))
--- a/tests/ctl/test_status_call.py
+++ b/tests/ctl/test_status_call.py
@@ -3,10 +3,10 @@
 import json
 from random import Random
 
-from shedgrade.control_messages import READY, Ask, EdgeState
+from shedgrade.control_messages import READY, EdgeStatus, WatchRequest
 from shedgrade.controlplane.operator_api import Operators
-from shedgrade.controlplane.platform_poller import InstanceList
-from shedgrade.controlplane.singleton_roles import Duties
+from shedgrade.controlplane.platform_poller import EndpointList
+from shedgrade.controlplane.singleton_roles import SingletonRoles
 from shedgrade.controlplane.status import status
 from shedgrade.controlplane.watch_hub import WatchHub
 from shedgrade.http.server import Request
@@ -28,8 +28,8 @@
         now=now,
         decide=lambda state, order: None,
     )
-    hub, instances = WatchHub(OWN, now), InstanceList(lambda: now)
-    duties = Duties(OWN, lambda: (OWN,), Random(1), now, duties=("upstreams",))
+    hub, instances = WatchHub(OWN, now), EndpointList(lambda: now)
+    duties = SingletonRoles(OWN, lambda: (OWN,), Random(1), now, duties=("upstreams",))
     return member, hub, instances, duties
 
 
@@ -70,8 +70,8 @@
         ],
     )
     hub.instances(100.0, instances)
-    edge = EdgeState("edge-1", "10.1.0.12:8263", "north-a", "north", 1, READY)
-    hub.ask(100.0, Ask(edge, (4, 9), instances.version, 5.0, 7, 0.0), lambda told: None)
+    edge = EdgeStatus("edge-1", "10.1.0.12:8263", "north-a", "north", 1, READY)
+    hub.ask(100.0, WatchRequest(edge, (4, 9), instances.version, 5.0, 7, 0.0), lambda told: None)
     for step in range(30):
         duties.tick(100.0 + step / 10)
     found = told(103.0, member, hub, instances, duties)
--- a/tests/dataplane/ingress_rig.py
+++ b/tests/dataplane/ingress_rig.py
@@ -7,7 +7,7 @@
 
 from shedgrade.buffers.budget import Budget
 from shedgrade.configuration import Configuration, Limits, Route, Service, Split
-from shedgrade.control_messages import Instance, ListMoved
+from shedgrade.control_messages import Endpoint, EndpointUpdate
 from shedgrade.dataplane.front import IngressFront
 from shedgrade.dataplane.ingress import IngressConnection
 from shedgrade.dataplane.routes import Routes
@@ -177,12 +177,12 @@
         await upstream.start()
     plane.state.configured(Routes(configured, plane.state.regions))
     plane.state.moved(
-        ListMoved(
+        EndpointUpdate(
             1,
             1,
             0.0,
             changed=tuple(
-                Instance(
+                Endpoint(
                     upstream.name,
                     getattr(upstream, "service", "lm"),
                     upstream.address,
--- a/tests/dataplane/stepped_rig.py
+++ b/tests/dataplane/stepped_rig.py
@@ -9,7 +9,7 @@
 from types import SimpleNamespace
 
 from shedgrade.buffers.budget import Budget
-from shedgrade.control_messages import Instance
+from shedgrade.control_messages import Endpoint
 from shedgrade.dataplane.engine import EngineConnection
 from shedgrade.dataplane.exchange import Exchange
 from shedgrade.dataplane.ingress import IngressConnection
@@ -294,7 +294,7 @@
         self.pool.caller.connect = self.connect
         self.pool.listed(
             [
-                (Instance(f"i-{number}", "lm", f"127.0.0.1:{number + 1}", "z1", "available"), 0.0)
+                (Endpoint(f"i-{number}", "lm", f"127.0.0.1:{number + 1}", "z1", "available"), 0.0)
                 for number in range(UPSTREAMS)
             ],
             {"z1": "east"},
--- a/tests/dataplane/test_asking.py
+++ b/tests/dataplane/test_asking.py
@@ -10,22 +10,22 @@
 
 from shedgrade.control_messages import (
     LEAVING,
-    NEVER,
     READY,
+    UNKNOWN_AGE_S,
     ControlChange,
-    Counts,
-    EdgeState,
-    ListMoved,
-    Told,
+    EdgeStatus,
+    EndpointUpdate,
+    FleetView,
+    WatchResponse,
     decode,
     encode,
 )
-from shedgrade.controlplane.platform_poller import InstanceList
+from shedgrade.controlplane.platform_poller import EndpointList
 from shedgrade.controlplane.watch_hub import WatchHub
 from shedgrade.dataplane.control_client import Watcher
 
 SEEDS = ("10.1.0.14:7300", "10.2.0.41:7300", "10.3.0.12:7300")
-EDGE = EdgeState("edge-1", "10.1.0.12:8263", "north-a", "north", 5)
+EDGE = EdgeStatus("edge-1", "10.1.0.12:8263", "north-a", "north", 5)
 
 
 def state(version: int, *zones: str) -> dict[str, bytes]:
@@ -57,14 +57,14 @@
         self.random, self.now, self.events, self.order = Random(seed), 100.0, [], count()
         self.way = dict.fromkeys(SEEDS, way)
         self.hubs = {address: WatchHub(address, self.now) for address in SEEDS}
-        self.lists = {address: InstanceList(lambda: self.now) for address in SEEDS}
+        self.lists = {address: EndpointList(lambda: self.now) for address in SEEDS}
         self.silent, self.refusing, self.old = set(), set(), set()
         self.beat_at, self.asked, self.numbered = {}, [], numbered
         self.open: dict[int, object] = {}
         self.known: dict[str, object] = {}
         self.told: list[tuple[float, object]] = []
         self.epoch, self.sequence = 1, 0
-        self.polls = InstanceList(lambda: self.now)
+        self.polls = EndpointList(lambda: self.now)
         self.polls.lead(1)
         self.names = ["a", "b"]
         self.at(0.0, self.beat)
@@ -97,7 +97,7 @@
     def carry_out(self) -> None:
         effects, self.asker.effects[:] = list(self.asker.effects), []
         for effect in effects:
-            self.asked.append((self.now, effect.address, effect.ask.wait))
+            self.asked.append((self.now, effect.address, effect.ask.wait_s))
             self.open[effect.number] = effect
             way = self.way.get(effect.address, 0.01)
             if effect.address not in self.hubs or effect.address in self.refusing:
@@ -141,11 +141,11 @@
                 if update.configuration is not None:
                     self.known["configuration"] = update.configuration
                 self.known["evacuations"] = update.evacuations
-            case ListMoved():
-                held = {} if update.whole else self.known["list"]
+            case EndpointUpdate():
+                held = {} if update.is_full else self.known["list"]
                 held = {name: one for name, one in held.items() if name not in update.removed}
                 self.known["list"] = held | {one.id: one for one in update.changed}
-            case Counts():
+            case FleetView():
                 self.known["counts"] = update
 
     # --- the core
@@ -193,7 +193,7 @@
     world.run(0.06)
     assert "configuration" in world.known
     world.run(1.0)
-    assert world.asker.counts.edges == 1 and world.asker.counts.members == SEEDS
+    assert world.asker.counts.edge_count == 1 and world.asker.counts.members == SEEDS
 
 
 @pytest.mark.parametrize("numbered", [True, False])
@@ -286,7 +286,7 @@
     world.silent.update(SEEDS)
     world.run(5.0)
     assert world.asker.own_poll(world.now, 40.0) == 3.0
-    world.asker.counts = Counts(540, SEEDS)
+    world.asker.counts = FleetView(540, SEEDS)
     assert world.asker.own_poll(world.now, 40.0) == pytest.approx(54.0)
     assert Watcher(EDGE, SEEDS, Random(1), 0.0).own_poll(3.5, 4.0) == 3.0
 
@@ -299,7 +299,7 @@
     world.run(4.0)
     world.known["list"] = {}
     world.asker.departed(world.now)
-    moved = ListMoved(held[0], held[1] - 1, 0.5)
+    moved = EndpointUpdate(held[0], held[1] - 1, 0.5)
     assert not world.asker.newer_list(world.now, moved)
     world.silent.clear()
     world.run(2.0)
@@ -388,7 +388,7 @@
 def test_an_answer_that_can_not_be_read_is_the_members_failure():
     world = World()
     world.run(5.0)
-    broken = Told(ControlChange(9, 9, 9, b"junk", (), True), None, 1, SEEDS, 0.0, 0.0)
+    broken = WatchResponse(ControlChange(9, 9, 9, b"junk", (), True), None, 1, SEEDS, 0.0, 0.0)
     world.asker.answered(world.now, world.asker.main.address, broken)
     assert world.asker.control == (0, 0) and not world.asker.updates
 
@@ -406,17 +406,17 @@
         ControlChange(0, 9, 9, b"old"),
         ControlChange(1, 3, 4, None),
     ):
-        asker.answered(world.now, address, Told(change, None, 1, SEEDS, 0.0, 0.0, 1.0))
+        asker.answered(world.now, address, WatchResponse(change, None, 1, SEEDS, 0.0, 0.0, 1.0))
     assert asker.control == (1, 2) and asker.version == 3
     term, number = asker.upstreams
     for moved in (
-        ListMoved(term, number - 1, 0.0),
-        ListMoved(term, number + 9, 0.0, term, number + 8),
-        ListMoved(term, number, 0.0),
+        EndpointUpdate(term, number - 1, 0.0),
+        EndpointUpdate(term, number + 9, 0.0, term, number + 8),
+        EndpointUpdate(term, number, 0.0),
     ):
-        asker.answered(world.now, address, Told(None, moved, 1, SEEDS, 0.0, 0.0, 1.0))
+        asker.answered(world.now, address, WatchResponse(None, moved, 1, SEEDS, 0.0, 0.0, 1.0))
     assert asker.upstreams == (term, number) and not [
-        update for update in asker.updates if not isinstance(update, Counts)
+        update for update in asker.updates if not isinstance(update, FleetView)
     ]
 
 
@@ -426,9 +426,9 @@
     world.run(3.0)
     assert world.asker.upstreams[0] == 7
     for address, hub in world.hubs.items():
-        world.lists[address] = InstanceList(lambda: world.now)
+        world.lists[address] = EndpointList(lambda: world.now)
         hub.list = None
-    world.polls = InstanceList(lambda: world.now)
+    world.polls = EndpointList(lambda: world.now)
     world.polls.lead(1)
     world.names = ["z"]
     world.run(6.0)
@@ -441,9 +441,9 @@
     asker, main = world.asker, world.asker.main
     call = main.call
     world.now += 20.0
-    asker.answered(world.now, main.address, Told(None, None, 1, SEEDS, 0.25, 0.25, 0.5), call.number)
+    asker.answered(world.now, main.address, WatchResponse(None, None, 1, SEEDS, 0.25, 0.25, 0.5), call.number)
     assert main.stale > 15.0
-    assert [effect.ask.wait for effect in asker.effects if effect.address != main.address] == [0.0]
+    assert [effect.ask.wait_s for effect in asker.effects if effect.address != main.address] == [0.0]
 
 
 def test_no_members_at_all_and_one_only():
@@ -452,7 +452,7 @@
     world.change(3)
     world.run(0.1)
     assert "configuration" in world.known
-    assert Watcher(EDGE, SEEDS, Random(1), 0.0).list_age(5.0) == NEVER
+    assert Watcher(EDGE, SEEDS, Random(1), 0.0).list_age(5.0) == UNKNOWN_AGE_S
 
 
 @pytest.mark.parametrize("seed", range(60))
--- a/tests/dataplane/test_draining.py
+++ b/tests/dataplane/test_draining.py
@@ -4,7 +4,7 @@
 
 import pytest
 
-from shedgrade.control_messages import LEAVING, NOBODY, READY
+from shedgrade.control_messages import LEAVING, NO_DRAIN_TARGET, READY
 from shedgrade.dataplane.draining import (
     ENDS,
     ENDS_IN_HAND,
@@ -25,7 +25,7 @@
     return Drain(SIGTERM, GRACE)
 
 
-@pytest.mark.parametrize("cover", [READY, NOBODY])
+@pytest.mark.parametrize("cover", [READY, NO_DRAIN_TARGET])
 def test_all_that_comes_at_first_is_taken(drain, cover):
     """Clients hold addresses that long, and what is cut after that counts as planned."""
     drain.told(SIGTERM + TAKES_ALL, cover)
@@ -54,15 +54,15 @@
 
 def test_a_word_that_is_old_counts_for_nothing(drain):
     """The others may have been told to end as well, and the control plane may be out of reach."""
-    assert drain.covered_by(SIGTERM) == NOBODY
+    assert drain.covered_by(SIGTERM) == NO_DRAIN_TARGET
     drain.told(SIGTERM + 2.0, READY)
     assert drain.covered_by(SIGTERM + 2.0 + WORD_HOLDS) == READY
-    assert drain.covered_by(SIGTERM + 2.01 + WORD_HOLDS) == NOBODY
+    assert drain.covered_by(SIGTERM + 2.01 + WORD_HOLDS) == NO_DRAIN_TARGET
 
 
 def test_a_refused_client_is_told_when_somebody_serves_again(drain):
     """Once what is in hand is answered, and the machine's next process has started."""
-    drain.told(AFTER, NOBODY)
+    drain.told(AFTER, NO_DRAIN_TARGET)
     assert drain.returns_in(AFTER, AFTER + 2.0) == pytest.approx(2.0 + STARTS_AGAIN)
     assert drain.returns_in(AFTER, AFTER - 1.0) == pytest.approx(STARTS_AGAIN)
     latest = drain.ends_in_hand_at + STARTS_AGAIN
--- a/tests/dataplane/test_in_hand_meanwhile.py
+++ b/tests/dataplane/test_in_hand_meanwhile.py
@@ -6,7 +6,7 @@
 from ingress_rig import Client, Upstream, configuration, request, route, sidecar, whole
 from test_resettled import changed
 
-from shedgrade.control_messages import ControlChange, ListMoved
+from shedgrade.control_messages import ControlChange, EndpointUpdate
 from shedgrade.dataplane.routes import Routes
 
 
@@ -32,7 +32,7 @@
 
 
 def list_it_no_more(plane):
-    plane.state.moved(ListMoved(2, 1, 0.0))
+    plane.state.moved(EndpointUpdate(2, 1, 0.0))
 
 
 @pytest.mark.parametrize(
--- a/tests/dataplane/test_ingress.py
+++ b/tests/dataplane/test_ingress.py
@@ -21,7 +21,7 @@
 )
 
 from shedgrade.configuration import Limits, Service
-from shedgrade.control_messages import ControlChange, Instance, ListMoved
+from shedgrade.control_messages import ControlChange, Endpoint, EndpointUpdate
 from shedgrade.dataplane.front import JUST_UP
 from shedgrade.dataplane.service_times import ENOUGH
 
@@ -514,8 +514,8 @@
         upstream = Upstream("i-1", serve_all)
         async with sidecar(configuration(route(route_class="unsafe", max_attempts=1)), upstream) as plane:
             address = f"127.0.0.1:{server.sockets[0].getsockname()[1]}"
-            other = Instance("i-2", "lm", address, "z1", "available")
-            plane.state.moved(ListMoved(2, 1, 0.0, changed=(other,)))
+            other = Endpoint("i-2", "lm", address, "z1", "available")
+            plane.state.moved(EndpointUpdate(2, 1, 0.0, changed=(other,)))
             long = 3 * 1024 * 1024
             client = await Client().open(plane)
             client.send(
@@ -764,7 +764,7 @@
             at = [state.now()]
             state.now = lambda: at[0]
             told = state.instances["i-1"]
-            state.moved(ListMoved(1, 2, 0.0, 1, 1, (msgspec.structs.replace(told, cold_left_ms=3000),)))
+            state.moved(EndpointUpdate(1, 2, 0.0, 1, 1, (msgspec.structs.replace(told, cold_left_ms=3000),)))
             until = pool.balancer.cold_until[index]
             at[0] += 2.0
             state.relist(["lm"])
--- a/tests/dataplane/test_plane_gossip.py
+++ b/tests/dataplane/test_plane_gossip.py
@@ -5,20 +5,20 @@
 
 from ingress_rig import SETTINGS
 
-from shedgrade.control_messages import Counts, EdgeState, Told
+from shedgrade.control_messages import EdgeStatus, FleetView, WatchResponse
 from shedgrade.dataplane.control_client import MOST, Watcher
 from shedgrade.dataplane.fleet import LATELY
 from shedgrade.dataplane.plane import SILENT, DataPlane
 from shedgrade.dataplane.state import State
 from shedgrade.membership.messages import Node
 
-EDGE = EdgeState("edge-1", "10.1.0.12:8263", "z1", "east", 5)
+EDGE = EdgeStatus("edge-1", "10.1.0.12:8263", "z1", "east", 5)
 SEEDS = ("10.1.0.14:7300", "10.2.0.41:7300", "10.3.0.12:7300")
 FOUND = "10.2.0.77:7300"
 
 
 def told(edges):
-    return Told(None, None, edges, SEEDS, 0.0, 0.0)
+    return WatchResponse(None, None, edges, SEEDS, 0.0, 0.0)
 
 
 def gossip(*nodes):
@@ -52,14 +52,14 @@
 def test_the_larger_of_both_counts_holds():
     plane = Plane(*edges(4))
     assert plane.at(0.0) == 4
-    plane.asker.counts = Counts(6, SEEDS)
+    plane.asker.counts = FleetView(6, SEEDS)
     assert plane.at(1.0) == 6
 
 
 def test_what_the_core_tells_holds_at_once_and_for_30_s_after_both_know_less():
     plane = Plane()
-    plane.state.apply([Counts(6, SEEDS)])
-    plane.asker.counts = Counts(1, SEEDS)
+    plane.state.apply([FleetView(6, SEEDS)])
+    plane.asker.counts = FleetView(1, SEEDS)
     assert plane.state.sidecars == 6
     assert plane.at(LATELY - 1) == 6
     assert plane.at(LATELY + 1) == 1
@@ -100,10 +100,10 @@
         asker.tick(now)
         for address in asked(asker):
             if address == FOUND:
-                asker.answered(now, address, Told(None, None, 3, (FOUND,), 0.0, 0.0))
+                asker.answered(now, address, WatchResponse(None, None, 3, (FOUND,), 0.0, 0.0))
             else:
                 asker.failed(now, address)
-    assert asker.members[FOUND].named and asker.counts == Counts(3, (FOUND,))
+    assert asker.members[FOUND].named and asker.counts == FleetView(3, (FOUND,))
 
 
 def test_those_found_are_bounded():
--- a/tests/dataplane/test_return_tried_first.py
+++ b/tests/dataplane/test_return_tried_first.py
@@ -6,7 +6,7 @@
 from addresses import free_address, host_port
 
 from shedgrade.buffers.budget import Budget
-from shedgrade.control_messages import Instance
+from shedgrade.control_messages import Endpoint
 from shedgrade.dataplane.service import PROBE_AHEAD, ServicePool
 from shedgrade.model_routing.retry_budget import Repeats
 
@@ -40,7 +40,7 @@
         "edge-1",
     )
     pool.listed(
-        [(Instance("i-1", "lm", host_port(address), "z1", "available"), 0.0)], {"z1": "east"}, frozenset(), {}
+        [(Endpoint("i-1", "lm", host_port(address), "z1", "available"), 0.0)], {"z1": "east"}, frozenset(), {}
     )
     pool.turn.run()
     return SimpleNamespace(pool=pool, clock=clock, up=pool.balancer.ups[0], ring=pool.balancer.zones[0].ring)
--- a/tests/load_reports/test_loads.py
+++ b/tests/load_reports/test_loads.py
@@ -3,7 +3,7 @@
 from random import Random
 
 from shedgrade import control_messages
-from shedgrade.load_reports.aggregator import FAR_EACH, MOST, SILENT_AFTER, LoadHub
+from shedgrade.load_reports.aggregator import FAR_EACH, MOST, SILENT_AFTER, LoadAggregator
 from shedgrade.load_reports.edge import (
     HEARTBEAT,
     IDLE_AFTER,
@@ -11,9 +11,9 @@
     STALE_AFTER,
     WHOLE_INTERVAL,
     LoadReporter,
-    OthersKnown,
+    PeerLoads,
 )
-from shedgrade.load_reports.messages import LoadReport, LoadsShared, LoadsTold
+from shedgrade.load_reports.messages import LoadReport, LoadSums, LoadUpdate
 
 REGIONS = {mark: "north" if mark < 100 else "south" for mark in range(200)}
 
@@ -22,7 +22,7 @@
     """Members that tell each other; what each edge was told last."""
 
     def __init__(self, *names):
-        self.hubs = {name: LoadHub(name) for name in names}
+        self.hubs = {name: LoadAggregator(name) for name in names}
         self.told = {}
         for hub in self.hubs.values():
             hub.regions = REGIONS
@@ -45,7 +45,7 @@
 
     def known(self, edge, now):
         """As the edge holds it, from all that it was told."""
-        others = OthersKnown()
+        others = PeerLoads()
         for told in self.told[edge]:
             others.take(now, told)
         return others.loads
@@ -59,7 +59,7 @@
     assert core.known("one", 0.1) == {1: 2} and core.known("two", 0.1) == {1: 3, 2: 1}
     core.report(0.2, "a", "one", {1: 0, 5: 4})
     core.beat(0.2)
-    assert core.told["two"][-1] == LoadsTold({1: 0, 5: 4}) and core.known("two", 0.2) == {2: 1, 5: 4}
+    assert core.told["two"][-1] == LoadUpdate({1: 0, 5: 4}) and core.known("two", 0.2) == {2: 1, 5: 4}
 
 
 def test_members_add_what_the_others_were_told():
@@ -162,22 +162,22 @@
 
 
 def test_what_others_have_is_forgotten_when_the_core_falls_silent():
-    others = OthersKnown()
-    others.take(0.0, LoadsTold({1: 2, 2: 3}))
+    others = PeerLoads()
+    others.take(0.0, LoadUpdate({1: 2, 2: 3}))
     assert not others.forget_if_stale(STALE_AFTER) and others.loads
     assert others.forget_if_stale(STALE_AFTER + 0.1) and not others.loads
     assert not others.forget_if_stale(STALE_AFTER + 0.2)
-    others.take(5.0, LoadsTold({1: 2}))
-    others.take(9.0, LoadsTold({2: 1}))
+    others.take(5.0, LoadUpdate({1: 2}))
+    others.take(9.0, LoadUpdate({2: 1}))
     assert others.loads == {2: 1}
-    others.take(9.1, LoadsTold({3: 1}, True))
+    others.take(9.1, LoadUpdate({3: 1}, True))
     assert others.loads == {3: 1}
 
 
 def test_words_are_read_as_they_were_written():
     for word in (
         LoadReport("e", "n", {4294967295: 3}, True),
-        LoadsTold({1: 0}),
-        LoadsShared("a", {7: 70000}),
+        LoadUpdate({1: 0}),
+        LoadSums("a", {7: 70000}),
     ):
         assert control_messages.decode(control_messages.encode(word)) == word
--- a/tests/prefix_cache_index/test_record.py
+++ b/tests/prefix_cache_index/test_record.py
@@ -5,7 +5,7 @@
 from hypothesis import given
 from hypothesis import strategies as st
 
-from shedgrade.prefix_cache_index import Ledger, Record, RecordMoved, key_of
+from shedgrade.prefix_cache_index import EdgePrefixIndex, PrefixIndex, PrefixIndexUpdate, key_of
 from shedgrade.prefix_cache_index.edge import TRUSTED
 from shedgrade.prefix_cache_index.index import MOST, ONCE_MORE, STALE
 
@@ -19,7 +19,7 @@
 
 
 def test_what_one_edge_saw_another_is_told():
-    ledger, one, other = Ledger(7), Record(), Record()
+    ledger, one, other = PrefixIndex(7), EdgePrefixIndex(), EdgePrefixIndex()
     one.saw(1.0, A, 11)
     ask(1.0, ledger, one)
     ask(1.1, ledger, other)
@@ -31,7 +31,7 @@
 
 
 def test_what_is_known_is_not_told_again_for_a_while():
-    ledger, one = Ledger(7), Record()
+    ledger, one = PrefixIndex(7), EdgePrefixIndex()
     one.saw(1.0, A, 11)
     assert one.outgoing() == ((A, 11),)
     one.saw(2.0, A, 11)
@@ -42,25 +42,25 @@
 
 
 def test_what_did_not_arrive_is_told_with_the_next_ask():
-    one = Record()
+    one = EdgePrefixIndex()
     one.saw(1.0, A, 11)
     one.lost(one.outgoing())
     assert one.outgoing() == ((A, 11),)
 
 
 def test_nothing_is_believed_without_a_fresh_word():
-    record = Record()
+    record = EdgePrefixIndex()
     record.saw(1.0, A, 11)
     assert record.holders(1.0, A) == {}
-    record.told(1.0, False, RecordMoved(7, 1, -1, ((A, 11),)))
+    record.told(1.0, False, PrefixIndexUpdate(7, 1, -1, ((A, 11),)))
     assert record.holders(1.0, A) == {}
-    record.told(1.0, True, RecordMoved(7, 1, -1, ((A, 11),)))
+    record.told(1.0, True, PrefixIndexUpdate(7, 1, -1, ((A, 11),)))
     assert set(record.holders(1.0, A)) == {11}
     assert record.holders(1.0 + TRUSTED + 0.1, A) == {}
 
 
 def test_after_a_cut_an_edge_believes_nothing_until_it_was_told_all_anew():
-    ledger, record = Ledger(7), Record()
+    ledger, record = PrefixIndex(7), EdgePrefixIndex()
     ledger.read(1.0, [(A, 11), (B, 12)])
     ask(1.0, ledger, record)
     ledger.listed({12})  # 11 was lost while the edge was cut off
@@ -71,7 +71,7 @@
 
 
 def test_a_delta_after_a_cut_is_not_enough():
-    ledger, record = Ledger(7), Record()
+    ledger, record = PrefixIndex(7), EdgePrefixIndex()
     ledger.read(1.0, [(A, 11)])
     ask(1.0, ledger, record)
     before = record.version
@@ -83,7 +83,7 @@
 
 
 def test_a_member_that_was_cut_off_says_nothing_until_another_told_it_all():
-    cut, sound, record = Ledger(7), Ledger(9), Record()
+    cut, sound, record = PrefixIndex(7), PrefixIndex(9), EdgePrefixIndex()
     for ledger in (cut, sound):
         ledger.read(1.0, [(A, 11)])
     cut.cut()
@@ -96,15 +96,15 @@
 
 
 def test_all_started_anew_hold_nothing():
-    ledger = Ledger(7, true=False)
+    ledger = PrefixIndex(7, true=False)
     ledger.read(1.0, [(A, 11)])
     assert ledger.since(0, -1) is None
     ledger.nobody()
-    assert ledger.since(0, -1) == RecordMoved(8, 1, -1, ())
+    assert ledger.since(0, -1) == PrefixIndexUpdate(8, 1, -1, ())
 
 
 def test_an_incarnation_that_is_gone_holds_nothing_anywhere():
-    ledger, record = Ledger(7), Record()
+    ledger, record = PrefixIndex(7), EdgePrefixIndex()
     ledger.read(1.0, [(A, 11), (A, 12)])
     ask(1.0, ledger, record)
     ledger.listed({12})
@@ -116,7 +116,7 @@
 
 
 def test_what_was_unused_for_long_is_held_to_be_let_go():
-    ledger, record = Ledger(7), Record()
+    ledger, record = PrefixIndex(7), EdgePrefixIndex()
     ledger.read(1.0, [(A, 11)])
     ask(1.0, ledger, record)
     for second in range(2, int(STALE) + 3):
@@ -127,7 +127,7 @@
 
 
 def test_both_are_bounded():
-    ledger, record = Ledger(7), Record()
+    ledger, record = PrefixIndex(7), EdgePrefixIndex()
     pairs = [(number, 11) for number in range(MOST + 500)]
     ledger.read(1.0, pairs)
     for key, mark in pairs:
@@ -139,8 +139,8 @@
 @given(st.integers(0, 10_000))
 def test_what_an_edge_believes_is_held_by_a_living_incarnation_that_was_seen_to_read_it(seed):
     random, now = Random(seed), 0.0
-    ledgers = [Ledger(7 + number) for number in range(2)]
-    records = [Record() for _ in range(3)]
+    ledgers = [PrefixIndex(7 + number) for number in range(2)]
+    records = [EdgePrefixIndex() for _ in range(3)]
     alive, read = {11, 12, 13}, set()
     for _ in range(120):
         now += random.choice((0.1, 0.4, 0.9))
--- a/tests/simulation/test_edge_ends.py
+++ b/tests/simulation/test_edge_ends.py
@@ -2,7 +2,7 @@
 
 import pytest
 
-from shedgrade.control_messages import CLOSED, STAGES
+from shedgrade.control_messages import CLOSED, SHUTDOWN_STAGES
 from shedgrade.dataplane.exchange import TICKS
 from shedgrade.simulation.system.caller import ResponseReader
 from shedgrade.simulation.system.script import Script
@@ -80,7 +80,7 @@
     script.faults.terminate(edge, GRACE)
     assert script.run_until(lambda: not edge.running, TAKES_ALL + 0.3)
     told = [core.program.hub.ending.get(edge.name) for core in script.world.cores]
-    assert STAGES[CLOSED] in [ending.stage for ending in told if ending is not None]
+    assert SHUTDOWN_STAGES[CLOSED] in [ending.shutdown_stage for ending in told if ending is not None]
     assert script.findings() == []
 
 
--- a/tests/stored/struct_examples.py
+++ b/tests/stored/struct_examples.py
@@ -70,7 +70,25 @@
     "watch.config": "sidecar.shadow_policy.config",
 }
 # Name then: module and class now, for a class that has another name or module than `MODULES` tells.
-CLASSES: dict[str, str] = {}
+CLASSES: dict[str, str] = {
+    "controlplane.duties:Ballot": "controlplane.singleton_roles:VoteRequest",
+    "controlplane.duties:Vacated": "controlplane.singleton_roles:RoleReleased",
+    "controlplane.duties:Vote": "controlplane.singleton_roles:VoteResponse",
+    "knowledge:Ask": "control_messages:WatchRequest",
+    "knowledge:AskList": "control_messages:EndpointListRequest",
+    "knowledge:EdgeHeard": "control_messages:EdgeObservation",
+    "knowledge:EdgeSeen": "control_messages:EdgeRecord",
+    "knowledge:EdgeState": "control_messages:EdgeStatus",
+    "knowledge:EdgesKnown": "control_messages:EdgeObservations",
+    "knowledge:Instance": "control_messages:Endpoint",
+    "knowledge:ListMoved": "control_messages:EndpointUpdate",
+    "knowledge:Told": "control_messages:WatchResponse",
+    "loads.messages:LoadsShared": "load_reports.messages:LoadSums",
+    "loads.messages:LoadsTold": "load_reports.messages:LoadUpdate",
+    "record.ledger:AskRecord": "prefix_cache_index.index:PrefixIndexRequest",
+    "record.ledger:RecordMoved": "prefix_cache_index.index:PrefixIndexUpdate",
+    "record.ledger:RecordRead": "prefix_cache_index.index:PrefixIndexAdditions",
+}
 
 
 def current_class(name: str) -> type[msgspec.Struct]:
--- a/tests/stored/test_structs_as_found.py
+++ b/tests/stored/test_structs_as_found.py
@@ -14,7 +14,30 @@
 EXAMPLES = json.loads((Path(__file__).parent.parent / "data" / "structs.json").read_text())
 
 # Name then: name of the field then: name now.
-FIELDS: dict[str, dict[str, str]] = {}
+EDGE_STATUS_FIELDS = {"front": "listen_address", "life": "incarnation"}
+FIELDS: dict[str, dict[str, str]] = {
+    "knowledge:Ask": {
+        "control": "control_version",
+        "upstreams": "endpoints_version",
+        "wait": "wait_s",
+        "version": "configuration_version",
+        "age_s": "endpoints_age_s",
+        "reads": "prefix_reads",
+        "record": "prefix_index_version",
+    },
+    "knowledge:EdgeHeard": {"wait": "wait_s"},
+    "knowledge:EdgeSeen": EDGE_STATUS_FIELDS,
+    "knowledge:EdgeState": EDGE_STATUS_FIELDS,
+    "knowledge:Told": {
+        "upstreams": "endpoints",
+        "edges": "edge_count",
+        "fresh_s": "primary_age_s",
+        "age_s": "endpoints_age_s",
+        "held_s": "pending_s",
+        "record": "prefix_index",
+        "cover": "drain_target",
+    },
+}
 
 
 @pytest.mark.parametrize("name", EXAMPLES)
