--- a/benchmarks/system.py
+++ b/benchmarks/system.py
@@ -128,7 +128,7 @@
 
 def measure_list(options) -> None:
     from shedgrade import control_messages
-    from shedgrade.controlplane.platform_poller import EndpointList
+    from shedgrade.controlplane.endpoint_list import EndpointList
     from shedgrade.runtime import log
 
     log.hand(SimpleNamespace(**dict.fromkeys(log.METHODS, lambda *_: None)))
@@ -137,8 +137,8 @@
     state.controlled(change(configuration(10)))
     told, held = entries(count), EndpointList(lambda: 0.0)
     held.lead(1)
-    print(f"core applies {count} entries of the platform: {spent(lambda: held.apply(0.0, told)):.1f} ms")
-    print(f"core applies the same again: {spent(lambda: held.apply(1.0, told), 3):.1f} ms")
+    print(f"core applies {count} entries of the platform: {spent(lambda: held.apply_poll(0.0, told)):.1f} ms")
+    print(f"core applies the same again: {spent(lambda: held.apply_poll(1.0, told), 3):.1f} ms")
     whole = held.answer(0, 0, 1.0)
     raw = control_messages.encode(whole)
     print(
@@ -153,7 +153,7 @@
     )
     base = held.version
     told[5] = {**told[5], "state": "draining"}
-    print(f"core applies one that moved: {spent(lambda: held.apply(2.0, told)):.1f} ms")
+    print(f"core applies one that moved: {spent(lambda: held.apply_poll(2.0, told)):.1f} ms")
     delta = held.answer(*base, 2.0)
     small = control_messages.encode(delta)
     print(f"delta of one: {spent(lambda: held.answer(*base, 2.0), 100):.4f} ms to make, {len(small)} bytes")
@@ -232,7 +232,7 @@
 def measure_hub(options) -> None:
     from shedgrade import control_messages
     from shedgrade.control_messages import READY, EdgeStatus, WatchRequest
-    from shedgrade.controlplane.platform_poller import EndpointList
+    from shedgrade.controlplane.endpoint_list import EndpointList
     from shedgrade.controlplane.watch_hub import WatchHub
     from shedgrade.peer_transport import frames
 
@@ -241,7 +241,7 @@
     held = EndpointList(lambda: 0.0)
     held.lead(1)
     told = entries(options.upstreams)
-    held.apply(0.0, told)
+    held.apply_poll(0.0, told)
     hub.instances(0.0, held)
 
     raw = configuration(20)
@@ -283,7 +283,7 @@
     asks(0.0, 2)
     take()
     told[5] = {**told[5], "state": "draining"}
-    held.apply(1.0, told)
+    held.apply_poll(1.0, told)
     took = spent(lambda: hub.instances(1.0, held))
     print(f"a delta of one upstream told to all: {took:.1f} ms, {len(out[-1])} bytes each")
     word = control_messages.encode(hub.own_edges(1.0))
--- a/shedgrade/controlplane/plane.py
+++ b/shedgrade/controlplane/plane.py
@@ -23,11 +23,12 @@
 from shedgrade.controlplane.channels import DUTIES, KNOWLEDGE, ORDERS, REPLICATION
 from shedgrade.controlplane.directory import Directory, cover
 from shedgrade.controlplane.disk import Disk
+from shedgrade.controlplane.endpoint_list import EndpointList
 from shedgrade.controlplane.home_regions import HomeRegions, Regions
 from shedgrade.controlplane.operator_api import Operators
 from shedgrade.controlplane.ordering import Ordering
 from shedgrade.controlplane.orders import make_decide
-from shedgrade.controlplane.platform_poller import EndpointList, Poller
+from shedgrade.controlplane.platform_poller import Poller
 from shedgrade.controlplane.prefix_index_exchange import PrefixIndexExchange
 from shedgrade.controlplane.reachability import ReachabilityMonitor
 from shedgrade.controlplane.singleton_roles import SingletonRoles
@@ -217,7 +218,7 @@
     async def look(self) -> None:
         """Started anew: upstreams are known before a ballot on who polls them is over."""
         early = Poller(self.loop, self.settings.cloud_api, self.instances, self.polled, random=self.random)
-        if await early.peek():
+        if await early.poll_once():
             self.list_moved(self.loop.time())
 
     def leave(self) -> None:
@@ -238,7 +239,7 @@
         self.hub.confirmed(self.member.confirmed_at)
         self.hub.members(now, self.member_addresses())
         self.recording.beat(now, self.contact_at())
-        if self.roles.is_held(LIST) and self.poller.failed >= AGED:
+        if self.roles.is_held(LIST) and self.poller.consecutive_failures >= AGED:
             self.roles.release(now, LIST)
         if now >= self.spread_at:
             self.spread_edges(now)
@@ -436,18 +437,17 @@
                 self.reach.heard(now - unread_s, sender)
                 self.hub.peers_edges(now, sender, message, unread_s)
             case EndpointListRequest(term, number):
-                answer(KNOWLEDGE + control_messages.encode(self.instances.answer(term, number, now)))
+                answer(KNOWLEDGE + control_messages.encode(self.instances.update_since(term, number, now)))
             case EndpointUpdate():
-                if self.instances.take(message, now, unread_s):
+                if self.instances.apply_update(message, now, unread_s):
                     self.list_moved(now)
-                elif self.instances.lacks:
-                    answer(KNOWLEDGE + control_messages.encode(self.instances.question(now)))
+                elif self.instances.needs_request:
+                    answer(KNOWLEDGE + control_messages.encode(self.instances.request(now)))
 
     def list_moved(self, now: float) -> None:
         self.recording.listed(self.instances)
         self.loads.regions = {
-            crc32(one.id.encode()): self.settings.zones.get(one.zone, "")
-            for one in self.instances.instances()
+            crc32(one.id.encode()): self.settings.zones.get(one.zone, "") for one in self.instances.snapshot()
         }
         self.hub.instances(now, self.instances)
 
@@ -456,7 +456,7 @@
         now = self.loop.time()
         if changed:
             self.list_moved(now)
-        self.tell_others(KNOWLEDGE + control_messages.encode(self.instances.answer(*self.listed, now)))
+        self.tell_others(KNOWLEDGE + control_messages.encode(self.instances.update_since(*self.listed, now)))
         self.listed = self.instances.version
 
     # --- operators and clients
@@ -491,6 +491,6 @@
         zones, region = self.settings.zones, self.settings.region
         return {
             one.service
-            for one in self.instances.instances()
+            for one in self.instances.snapshot()
             if one.state == "available" and zones.get(one.zone) == region
         }
--- a/shedgrade/controlplane/prefix_index_exchange.py
+++ b/shedgrade/controlplane/prefix_index_exchange.py
@@ -4,7 +4,7 @@
 from zlib import crc32
 
 from shedgrade import control_messages
-from shedgrade.controlplane.platform_poller import EndpointList
+from shedgrade.controlplane.endpoint_list import EndpointList
 from shedgrade.controlplane.watch_hub import WatchHub
 from shedgrade.prefix_cache_index import (
     PrefixIndex,
@@ -57,4 +57,4 @@
 
     def listed(self, instances: EndpointList) -> None:
         """The platform's list moved: an incarnation that is gone holds nothing."""
-        self.ledger.listed({crc32(name.encode()) for name in instances.held})
+        self.ledger.listed({crc32(name.encode()) for name in instances.endpoints})
--- a/shedgrade/controlplane/status.py
+++ b/shedgrade/controlplane/status.py
@@ -3,7 +3,7 @@
 from collections import Counter
 
 from shedgrade.control_messages import UNKNOWN_AGE_S
-from shedgrade.controlplane.platform_poller import EndpointList
+from shedgrade.controlplane.endpoint_list import EndpointList
 from shedgrade.controlplane.role_messages import RoleHolder
 from shedgrade.controlplane.singleton_roles import SingletonRoles
 from shedgrade.controlplane.watch_hub import WatchHub
@@ -76,8 +76,8 @@
 
 def upstreams(now: float, zones: dict[str, str], hub: WatchHub, instances: EndpointList) -> dict:
     counts: Counter = Counter()
-    for held in instances.held.values():
-        one = held.told
+    for cached in instances.endpoints.values():
+        one = cached.endpoint
         state = EVACUATED if one.zone in hub.evacuations else one.state
         counts[one.service, zones.get(one.zone, ""), state] += 1
     age = instances.age_s(now)
--- a/shedgrade/controlplane/watch_hub.py
+++ b/shedgrade/controlplane/watch_hub.py
@@ -25,7 +25,7 @@
     WatchResponse,
     compress_configuration,
 )
-from shedgrade.controlplane.platform_poller import EndpointList
+from shedgrade.controlplane.endpoint_list import EndpointList
 from shedgrade.prefix_cache_index.index import Pair, PrefixIndex
 from shedgrade.runtime.log import logger
 
@@ -199,11 +199,11 @@
             whole, compressed = (None, False) if ask.configuration_version == self.version else self.sent
             control = ControlChange(*self.held, self.version, whole, self.evacuations, compressed)
         base = tuple(ask.endpoints_version)
-        same = self.list is not None and self.list.known_at is not None and self.list.version == base
+        same = self.list is not None and self.list.confirmed_at is not None and self.list.version == base
         if same or self.newer_list(parked):
             upstreams = deltas.get(base)
             if upstreams is None:
-                upstreams = deltas[base] = self.list.answer(*base, now)
+                upstreams = deltas[base] = self.list.update_since(*base, now)
         # Guards against a member that was started anew and knows less than the edge: its word is no news.
         lacks = self.confirmed_at == -inf or self.held < tuple(ask.control_version)
         parked.reply(
--- a/tests/controlplane/cut_world.py
+++ b/tests/controlplane/cut_world.py
@@ -119,13 +119,13 @@
 
 
 class Poller:
-    """In place of `platform.Poller`."""
+    """In place of `platform_poller.Poller`."""
 
     def __init__(self, world, process) -> None:
-        self.world, self.process, self.failed, self.on = world, process, 0, 0
+        self.world, self.process, self.consecutive_failures, self.on = world, process, 0, 0
 
     def start(self, term: int) -> None:
-        self.process.plane.instances.lead(term, 0)
+        self.process.plane.instances.begin_term(term, 0)
         self.on += 1
         self.poll(self.on)
 
@@ -137,11 +137,11 @@
         if on != self.on:
             return
         if (process.address, PLATFORM) in world.cuts:
-            self.failed += 1
+            self.consecutive_failures += 1
         else:
-            self.failed = 0
+            self.consecutive_failures = 0
             world.polls.append((world.loop.time(), process.address))
-            changed = process.plane.instances.apply(world.loop.time(), world.entries)
+            changed = process.plane.instances.apply_poll(world.loop.time(), world.entries)
             process.plane.polled(changed)
         process.loop.call_later(POLL, self.poll, on)
 
--- a/tests/controlplane/test_cut_off_side.py
+++ b/tests/controlplane/test_cut_off_side.py
@@ -136,7 +136,7 @@
         plane.hub.configuration = configuration(
             ("homed.example", ["south"], {"service": "big"}), ("free.example", [], {"service": "big"})
         )
-        plane.instances.apply(
+        plane.instances.apply_poll(
             now,
             [
                 {
--- a/tests/controlplane/test_delivery.py
+++ b/tests/controlplane/test_delivery.py
@@ -22,7 +22,7 @@
     decompress_configuration,
     encode,
 )
-from shedgrade.controlplane.platform_poller import EndpointList
+from shedgrade.controlplane.endpoint_list import EndpointList
 from shedgrade.controlplane.watch_hub import WatchHub
 from shedgrade.runtime import log
 
@@ -39,8 +39,8 @@
 def upstreams(now: float, *names: str, held: EndpointList | None = None, term=1) -> EndpointList:
     if held is None:
         held = EndpointList(lambda: 0.0)
-        held.lead(term)
-    held.apply(
+        held.begin_term(term)
+    held.apply_poll(
         now,
         [
             {
--- a/tests/controlplane/test_platform_list.py
+++ b/tests/controlplane/test_platform_poller.py
@@ -10,7 +10,8 @@
 from virtual_loop import play
 
 from shedgrade.control_messages import UNKNOWN_AGE_S, EndpointUpdate, decode, encode
-from shedgrade.controlplane.platform_poller import EndpointList, Poller
+from shedgrade.controlplane.endpoint_list import EndpointList
+from shedgrade.controlplane.platform_poller import Poller
 from shedgrade.http.discovery import DiscoveryConnection
 from shedgrade.process_settings import CloudApi
 from shedgrade.runtime import log
@@ -19,8 +20,8 @@
 @pytest.fixture
 def lines():
     class Sink(list):
-        def debug(self, text, *values):
-            self.append(text.format(*values))
+        def debug(self, event, **fields):
+            self.append((event, fields))
 
         info = warning = error = exception = debug
 
@@ -47,13 +48,13 @@
 
 def known(entries, term=1, now=100.0) -> EndpointList:
     held = EndpointList()
-    held.lead(term)
-    held.apply(now, entries)
+    held.begin_term(term)
+    held.apply_poll(now, entries)
     return held
 
 
 def told(held: EndpointList, now: float) -> dict:
-    return {one.id: one for one in held.instances(now)}
+    return {one.id: one for one in held.snapshot(now)}
 
 
 def test_an_entry_is_read_whole():
@@ -68,24 +69,24 @@
 def test_the_number_grows_by_one_for_each_change_and_by_none_without():
     held = known([entry("a"), entry("b")])
     assert held.version == (1, 1)
-    assert not held.apply(101.0, [entry("b"), entry("a")]) and held.version == (1, 1)
-    assert held.apply(102.0, [entry("a"), entry("b", state="draining")]) and held.version == (1, 2)
-    assert held.apply(103.0, [entry("a")]) and held.version == (1, 3)
+    assert not held.apply_poll(101.0, [entry("b"), entry("a")]) and held.version == (1, 1)
+    assert held.apply_poll(102.0, [entry("a"), entry("b", state="draining")]) and held.version == (1, 2)
+    assert held.apply_poll(103.0, [entry("a")]) and held.version == (1, 3)
     assert held.age_s(104.0) == 1.0
 
 
 def test_what_only_counts_down_is_no_change_and_is_told_as_of_now():
     held = known([entry("a", coldLeftMs=4000, timeLeftMs=20_000, state="draining")])
-    assert not held.apply(101.0, [entry("a", coldLeftMs=3100, timeLeftMs=19_200, state="draining")])
-    assert not held.apply(102.0, [entry("a", coldLeftMs=1600, timeLeftMs=18_000, state="draining")])
+    assert not held.apply_poll(101.0, [entry("a", coldLeftMs=3100, timeLeftMs=19_200, state="draining")])
+    assert not held.apply_poll(102.0, [entry("a", coldLeftMs=1600, timeLeftMs=18_000, state="draining")])
     one = told(held, 102.5)["a"]
     assert (one.cold_left_ms, one.time_left_ms) == (1500, 17_500)
-    assert not held.apply(104.0, [entry("a", coldLeftMs=0, timeLeftMs=16_000, state="draining")])
+    assert not held.apply_poll(104.0, [entry("a", coldLeftMs=0, timeLeftMs=16_000, state="draining")])
     assert told(held, 104.5)["a"].cold_left_ms == 0
-    assert held.apply(105.0, [entry("a", coldLeftMs=3000, timeLeftMs=15_000, state="draining")])
+    assert held.apply_poll(105.0, [entry("a", coldLeftMs=3000, timeLeftMs=15_000, state="draining")])
     assert told(held, 105.5)["a"].cold_left_ms == 2500
-    assert held.apply(106.0, [entry("a", coldLeftMs=2500, timeLeftMs=15_000, state="draining")])
-    assert held.apply(106.5, [entry("a", coldLeftMs=2000, timeLeftMs=2000, state="draining")])
+    assert held.apply_poll(106.0, [entry("a", coldLeftMs=2500, timeLeftMs=15_000, state="draining")])
+    assert held.apply_poll(106.5, [entry("a", coldLeftMs=2000, timeLeftMs=2000, state="draining")])
 
 
 def test_an_unsound_entry_is_left_out_and_said_once(lines):
@@ -102,22 +103,22 @@
     held = known([entry("a"), *broken])
     assert list(told(held, 100.0)) == ["a"]
     assert len(lines) == len(broken)
-    held.apply(101.0, [entry("a"), *broken])
+    held.apply_poll(101.0, [entry("a"), *broken])
     assert len(lines) == len(broken)
 
 
 def test_an_unsound_entry_of_a_known_upstream_keeps_it_and_its_end_counts(lines):
     held = known([entry("a"), entry("b", coldLeftMs=2000)])
-    assert not held.apply(101.0, [entry("a"), entry("b", address=None)])
+    assert not held.apply_poll(101.0, [entry("a"), entry("b", address=None)])
     assert told(held, 101.0)["b"].cold_left_ms == 1000
-    assert held.apply(102.0, [entry("a"), entry("b", address=None, state="draining")])
+    assert held.apply_poll(102.0, [entry("a"), entry("b", address=None, state="draining")])
     assert told(held, 102.0)["b"].state == "draining"
     assert told(held, 102.0)["b"].address == "10.128.0.9:8080"
 
 
 def test_an_answer_that_is_broken_throughout_changes_nothing(lines):
     held = known([entry("a")])
-    assert not held.apply(101.0, [entry("b", zone=3)]) and list(told(held, 101.0)) == ["a"]
+    assert not held.apply_poll(101.0, [entry("b", zone=3)]) and list(told(held, 101.0)) == ["a"]
     assert held.age_s(101.0) == 1.0
 
 
@@ -135,83 +136,85 @@
 
 def test_a_delta_says_what_changed_and_who_is_gone():
     held = known([entry("a"), entry("b"), entry("c")])
-    held.apply(101.0, [entry("a"), entry("b", state="draining"), entry("c")])
-    held.apply(102.0, [entry("a"), entry("b", state="draining"), entry("d", coldLeftMs=3000)])
-    answer = held.answer(1, 1, now=103.0)
+    held.apply_poll(101.0, [entry("a"), entry("b", state="draining"), entry("c")])
+    held.apply_poll(102.0, [entry("a"), entry("b", state="draining"), entry("d", coldLeftMs=3000)])
+    answer = held.update_since(1, 1, now=103.0)
     assert (answer.term, answer.number, answer.from_term, answer.from_number) == (1, 3, 1, 1)
     assert {one.id: one.cold_left_ms for one in answer.changed} == {"b": 0, "d": 2000}
     assert answer.removed == ("c",) and answer.age_s == 1.0 and not answer.is_full
-    assert held.answer(1, 3, now=103.0) == EndpointUpdate(1, 3, 1.0, 1, 3)
-    assert held.answer(0, 7, now=103.0).is_full and held.answer(1, 9, now=103.0).is_full
+    assert held.update_since(1, 3, now=103.0) == EndpointUpdate(1, 3, 1.0, 1, 3)
+    assert held.update_since(0, 7, now=103.0).is_full and held.update_since(1, 9, now=103.0).is_full
 
 
 def test_what_is_older_than_the_history_is_told_whole():
     held = known([entry("a")])
     for number in range(300):
-        held.apply(101.0 + number, [entry("a", configVersion=f"v{number + 2}")])
-    assert held.answer(1, 1).is_full and not held.answer(1, 290).is_full
+        held.apply_poll(101.0 + number, [entry("a", configVersion=f"v{number + 2}")])
+    assert held.update_since(1, 1).is_full and not held.update_since(1, 290).is_full
 
 
 def test_a_member_takes_what_it_lacks_and_passes_it_on():
     first, second, third = known([entry("a"), entry("b", coldLeftMs=5000)]), EndpointList(), EndpointList()
-    assert second.take(decode(encode(first.answer(0, 0, now=101.0))), now=201.0)
+    assert second.apply_update(decode(encode(first.update_since(0, 0, now=101.0))), now=201.0)
     assert second.version == (1, 1) and second.age_s(201.0) == 1.0
     assert told(second, 202.0)["b"].cold_left_ms == 3000  # 4 s were left as it was sent
-    assert third.take(second.answer(0, 0, now=202.0), now=302.0)
-    first.apply(103.0, [entry("a", state="draining"), entry("b", coldLeftMs=2000)])
-    assert second.take(first.answer(1, 1, now=103.0), now=203.0)
-    delta = second.answer(*third.version, now=203.0)
-    assert not delta.is_full and third.take(delta, now=303.0)
+    assert third.apply_update(second.update_since(0, 0, now=202.0), now=302.0)
+    first.apply_poll(103.0, [entry("a", state="draining"), entry("b", coldLeftMs=2000)])
+    assert second.apply_update(first.update_since(1, 1, now=103.0), now=203.0)
+    delta = second.update_since(*third.version, now=203.0)
+    assert not delta.is_full and third.apply_update(delta, now=303.0)
     assert told(third, 303.0)["a"].state == "draining" and third.version == first.version
 
 
 def test_a_delta_that_does_not_fit_is_asked_for():
     first, second = known([entry("a")]), EndpointList()
-    second.take(first.answer(0, 0, now=100.0), now=100.0)
+    second.apply_update(first.update_since(0, 0, now=100.0), now=100.0)
     for number in (2, 3):
-        first.apply(100.0 + number, [entry("a", configVersion=f"v{number}")])
-    assert not second.take(first.answer(1, 2, now=104.0), now=104.0) and second.lacks
-    question = decode(encode(second.question(104.0)))
+        first.apply_poll(100.0 + number, [entry("a", configVersion=f"v{number}")])
+    assert not second.apply_update(first.update_since(1, 2, now=104.0), now=104.0) and second.needs_request
+    question = decode(encode(second.request(104.0)))
     assert (question.term, question.number) == (1, 1)
-    assert second.take(first.answer(question.term, question.number, now=104.0), now=104.0)
-    assert not second.lacks and second.version == (1, 3)
+    assert second.apply_update(first.update_since(question.term, question.number, now=104.0), now=104.0)
+    assert not second.needs_request and second.version == (1, 3)
 
 
 def test_older_lists_are_not_taken_and_ages_only_get_better():
     first, second = known([entry("a")]), EndpointList()
-    old = first.answer(0, 0, now=100.0)
-    first.apply(101.0, [entry("a", state="draining")])
-    second.take(first.answer(0, 0, now=101.0), now=101.0)
-    assert not second.take(old, now=102.0) and second.version == (1, 2) and not second.lacks
-    assert not second.take(EndpointUpdate(1, 2, 0.2, 1, 2), now=102.0)
+    old = first.update_since(0, 0, now=100.0)
+    first.apply_poll(101.0, [entry("a", state="draining")])
+    second.apply_update(first.update_since(0, 0, now=101.0), now=101.0)
+    assert not second.apply_update(old, now=102.0) and second.version == (1, 2) and not second.needs_request
+    assert not second.apply_update(EndpointUpdate(1, 2, 0.2, 1, 2), now=102.0)
     assert second.age_s(102.0) == pytest.approx(0.2)
-    second.take(EndpointUpdate(1, 2, 5.0, 1, 2), now=102.0)
+    second.apply_update(EndpointUpdate(1, 2, 5.0, 1, 2), now=102.0)
     assert second.age_s(102.0) == pytest.approx(0.2)
-    assert not second.take(EndpointList().answer(9, 9, now=102.0), now=102.0)  # one that knows nothing
+    assert not second.apply_update(
+        EndpointList().update_since(9, 9, now=102.0), now=102.0
+    )  # one that knows nothing
 
 
 def test_a_new_poller_goes_on_under_its_own_term():
     first, second = known([entry("a")], term=3), EndpointList()
-    second.take(first.answer(0, 0, now=100.0), now=100.0)
-    second.lead(4)
+    second.apply_update(first.update_since(0, 0, now=100.0), now=100.0)
+    second.begin_term(4)
     assert second.version == (3, 1)
-    assert second.apply(101.0, [entry("a")]) and second.version == (4, 2)
-    assert first.take(second.answer(3, 1, now=101.0), now=101.0) and first.version == (4, 2)
-    assert not first.apply(102.0, [entry("b")]) and first.version == (4, 2)  # its own term is over
+    assert second.apply_poll(101.0, [entry("a")]) and second.version == (4, 2)
+    assert first.apply_update(second.update_since(3, 1, now=101.0), now=101.0) and first.version == (4, 2)
+    assert not first.apply_poll(102.0, [entry("b")]) and first.version == (4, 2)  # its own term is over
 
 
 def test_a_poller_whose_term_is_below_what_is_known_takes_a_higher_one():
     held = known([entry("a")], term=7)
-    held.lead(2)
-    assert held.apply(101.0, [entry("a")]) and held.version == (8, 2)
+    held.begin_term(2)
+    assert held.apply_poll(101.0, [entry("a")]) and held.version == (8, 2)
 
 
 def test_fresh_news_of_a_low_term_replace_what_nobody_polls_any_more():
     edge, member = known([entry("a"), entry("b")], term=9), known([entry("a")], term=1, now=101.0)
     assert not member.newer_than(*edge.version, age_s=2.0, now=101.0)
     assert member.newer_than(*edge.version, age_s=6.0, now=101.0)
-    assert not edge.take(member.answer(0, 0, now=101.0), now=102.0)
-    assert edge.take(member.answer(0, 0, now=101.0), now=105.0) and edge.version == (1, 1)
+    assert not edge.apply_update(member.update_since(0, 0, now=101.0), now=102.0)
+    assert edge.apply_update(member.update_since(0, 0, now=101.0), now=105.0) and edge.version == (1, 1)
     assert EndpointList().newer_than(0, 0, UNKNOWN_AGE_S) is False
 
 
@@ -231,15 +234,15 @@
                         name, state=chance.choice(["available", "draining"]), configVersion=f"v{step}"
                     )
             before = leader.version
-            leader.apply(now, deepcopy(list(entries.values())))
+            leader.apply_poll(now, deepcopy(list(entries.values())))
             for member in members:
                 if chance.random() < 0.6:
-                    member.take(leader.answer(*before, now=now), now)
-                if member.lacks and chance.random() < 0.5:
+                    member.apply_update(leader.update_since(*before, now=now), now)
+                if member.needs_request and chance.random() < 0.5:
                     other = chance.choice([leader, *members])
-                    member.take(other.answer(*member.version, now=now), now)
+                    member.apply_update(other.update_since(*member.version, now=now), now)
         for member in members:
-            member.take(leader.answer(*member.version, now=now), now)
+            member.apply_update(leader.update_since(*member.version, now=now), now)
             assert member.version == leader.version
             assert told(member, now) == told(leader, now)
 
@@ -357,7 +360,7 @@
             await asyncio.sleep(0.002)
         loop.now += 20.0
         await asyncio.sleep(0.005)
-        assert len(held.held) == 1 and 20.0 <= held.age_s() < 20.1
+        assert len(held.endpoints) == 1 and 20.0 <= held.age_s() < 20.1
 
     polling(scene)
 
@@ -367,7 +370,7 @@
         platform.entries = [entry(f"i-{number}") for number in range(700)]
         poller.start(term=1)
         await asyncio.sleep(10.0)
-        assert len(held.held) == 700 and told.count(True) == 1
+        assert len(held.endpoints) == 700 and told.count(True) == 1
         times = [at for at, _ in platform.calls]
         for begin in times:
             assert sum(begin <= at < begin + 1 for at in times) <= 0.8 * API.rate_per_s + 1
@@ -393,7 +396,7 @@
         platform.size = 2
         poller.start(term=1)
         await asyncio.sleep(0.3)
-        assert len(held.held) == 3
+        assert len(held.endpoints) == 3
         platform.entries = []
         platform.troubles = (
             [trouble] * 3
@@ -401,9 +404,9 @@
             else [(200, {"instanceList": [entry("x")], "nextToken": "p-2"}), trouble] * 2
         )
         await asyncio.sleep(0.25)
-        assert list(held.held) == ["a", "b", "c"] and told.count(True) == 1
+        assert list(held.endpoints) == ["a", "b", "c"] and told.count(True) == 1
         await asyncio.sleep(3.0)
-        assert not held.held and told.count(True) == 2
+        assert not held.endpoints and told.count(True) == 2
 
     polling(scene)
 
@@ -414,12 +417,12 @@
         platform.troubles = [None, (429, {}), None, (429, {}), (429, {})]
         poller.start(term=1)
         await asyncio.sleep(3.0)
-        assert len(held.held) == 3 and not lines and platform.connections == 1
+        assert len(held.endpoints) == 3 and not lines and platform.connections == 1
         platform.troubles = [(429, {})] * 12
         begun = len(platform.calls)
         await asyncio.sleep(4.0)
         assert len(platform.calls) - begun < 16 and platform.connections == 1
-        assert sum("did not come" in line for line in lines) == 1
+        assert [event for event, _ in lines].count("endpoint list poll failed") == 1
         await asyncio.sleep(6.0)
         assert held.age_s() < 0.6
 
@@ -433,9 +436,9 @@
         await asyncio.sleep(1.0)
         setattr(platform, how, True)
         if how == "cut":
-            poller.drop()
+            poller.drop_connection()
         await asyncio.sleep(10.0)
-        assert len(held.held) == 3 and held.age_s() > 9.0
+        assert len(held.endpoints) == 3 and held.age_s() > 9.0
         setattr(platform, how, False)
         await asyncio.sleep(2.6)
         assert held.age_s() < 0.6
@@ -444,14 +447,14 @@
     polling(scene)
 
 
-def test_a_fault_of_our_own_does_not_end_the_duty(lines):
+def test_a_fault_of_our_own_does_not_end_the_role(lines):
     async def scene(loop, platform, held, told, poller):
-        told_before, poller.told = poller.told, lambda changed: 1 / 0
+        told_before, poller.on_poll = poller.on_poll, lambda changed: 1 / 0
         poller.start(term=1)
         await asyncio.sleep(2.0)
-        poller.told = told_before
+        poller.on_poll = told_before
         await asyncio.sleep(3.0)
-        assert held.age_s() < 0.5 and told and poller.failed == 0
+        assert held.age_s() < 0.5 and told and poller.consecutive_failures == 0
 
     polling(scene)
 
@@ -459,11 +462,11 @@
 def test_one_list_at_a_start_is_dated_below_the_dutys():
     async def scene(loop, platform, held, told, poller):
         early = Poller(loop, API, held, told.append, random=Random(2))
-        assert await early.peek()
-        assert len(held.held) == 3 and held.term == 0 and len(platform.calls) == 1
+        assert await early.poll_once()
+        assert len(held.endpoints) == 3 and held.term == 0 and len(platform.calls) == 1
         poller.start(term=1)
         await asyncio.sleep(0.1)
-        assert held.term == 1 and len(held.held) == 3
+        assert held.term == 1 and len(held.endpoints) == 3
 
     polling(scene)
 
@@ -473,7 +476,7 @@
         early = Poller(loop, API, held, told.append, random=Random(2))
         poller.start(term=4)
         await asyncio.sleep(0.005)  # its answer is under way, and comes first
-        assert not await early.peek()
+        assert not await early.poll_once()
         assert held.term == 4
 
     polling(scene)
@@ -482,8 +485,8 @@
 def test_a_platform_that_is_not_there_at_a_start_is_no_fault(lines):
     async def scene(loop, platform, held, told, poller):
         platform.cut = True
-        assert not await Poller(loop, API, held, told.append, random=Random(2)).peek()
-        assert held.known_at is None
+        assert not await Poller(loop, API, held, told.append, random=Random(2)).poll_once()
+        assert held.confirmed_at is None
 
     polling(scene)
 
@@ -505,11 +508,11 @@
         server = await asyncio.start_server(serve, "127.0.0.1", 0)
         loop, held, came = asyncio.get_running_loop(), EndpointList(), asyncio.Event()
         api = CloudApi(server.sockets[0].getsockname(), 1000.0, 0, ())
-        poller = Poller(loop, api, held, lambda changed: came.set(), connection=DiscoveryConnection)
+        poller = Poller(loop, api, held, lambda changed: came.set(), connection_type=DiscoveryConnection)
         poller.start(term=2)
         async with asyncio.timeout(10):
             await came.wait()
-        assert sorted(held.held) == ["a", "b"] and held.term == 2
+        assert sorted(held.endpoints) == ["a", "b"] and held.term == 2
         poller.stop()
         server.close()
 
--- a/tests/controlplane/test_poller_retarget.py
+++ b/tests/controlplane/test_poller_retarget.py
@@ -4,10 +4,11 @@
 from dataclasses import replace
 from random import Random
 
-from test_platform_list import API, Platform, entry
+from test_platform_poller import API, Platform, entry
 from virtual_loop import play
 
-from shedgrade.controlplane.platform_poller import EndpointList, Poller
+from shedgrade.controlplane.endpoint_list import EndpointList
+from shedgrade.controlplane.platform_poller import Poller
 
 OTHER = ("10.200.0.9", 8266)
 
@@ -30,11 +31,11 @@
 def test_the_next_list_comes_from_the_new_address():
     async def scene(old, new, held, poller):
         await asyncio.sleep(1.0)
-        assert set(held.held) == {"a", "b", "c"}
+        assert set(held.endpoints) == {"a", "b", "c"}
         calls = len(old.calls)
         poller.retarget(replace(API, address=OTHER))
         await asyncio.sleep(1.0)
-        assert set(held.held) == {"z"} and len(old.calls) == calls and poller.host == b"10.200.0.9:8266"
+        assert set(held.endpoints) == {"z"} and len(old.calls) == calls and poller.host == b"10.200.0.9:8266"
 
     moving(scene)
 
@@ -43,10 +44,10 @@
     async def scene(old, new, held, poller):
         old.silent = True
         await asyncio.sleep(0.2)
-        assert old.calls and not held.held
+        assert old.calls and not held.endpoints
         poller.retarget(replace(API, address=OTHER))
         await asyncio.sleep(0.5)
-        assert set(held.held) == {"z"}
+        assert set(held.endpoints) == {"z"}
 
     moving(scene)
 
--- a/tests/controlplane/test_recording.py
+++ b/tests/controlplane/test_recording.py
@@ -71,6 +71,6 @@
 def test_an_incarnation_that_left_the_list_holds_nothing():
     recording, _ = member(1)
     asked(recording, 1.0, reads=((5, crc32(b"i-1")), (5, crc32(b"i-2"))))
-    recording.listed(SimpleNamespace(held={"i-2": None}))
+    recording.listed(SimpleNamespace(endpoints={"i-2": None}))
     moved = asked(recording, 1.1)
     assert moved.pairs == ((5, crc32(b"i-2")),)
--- a/tests/ctl/test_status_call.py
+++ b/tests/ctl/test_status_call.py
@@ -4,8 +4,8 @@
 from random import Random
 
 from shedgrade.control_messages import READY, EdgeStatus, WatchRequest
+from shedgrade.controlplane.endpoint_list import EndpointList
 from shedgrade.controlplane.operator_api import Operators
-from shedgrade.controlplane.platform_poller import EndpointList
 from shedgrade.controlplane.singleton_roles import SingletonRoles
 from shedgrade.controlplane.status import status
 from shedgrade.controlplane.watch_hub import WatchHub
@@ -53,8 +53,8 @@
 def test_edges_upstreams_and_duties_are_told():
     member, hub, instances, roles = parts()
     hub.control(100.0, 4, 9, {"configuration": b"{}", "version": b"7", "evacuations": b'["north-b"]'})
-    instances.lead(5)
-    instances.apply(
+    instances.begin_term(5)
+    instances.apply_poll(
         100.0,
         [
             {
--- a/tests/dataplane/test_asking.py
+++ b/tests/dataplane/test_asking.py
@@ -20,7 +20,7 @@
     decode,
     encode,
 )
-from shedgrade.controlplane.platform_poller import EndpointList
+from shedgrade.controlplane.endpoint_list import EndpointList
 from shedgrade.controlplane.watch_hub import WatchHub
 from shedgrade.dataplane.control_client import Watcher
 
@@ -65,7 +65,7 @@
         self.told: list[tuple[float, object]] = []
         self.epoch, self.sequence = 1, 0
         self.polls = EndpointList(lambda: self.now)
-        self.polls.lead(1)
+        self.polls.begin_term(1)
         self.names = ["a", "b"]
         self.at(0.0, self.beat)
         self.asker = Watcher(EDGE, seeds, self.random, self.now, beat=beat)
@@ -152,13 +152,13 @@
 
     def beat(self) -> None:
         """The primary's word, and the list with its age, for all that hear them."""
-        self.polls.apply(self.now, entries(*self.names))
+        self.polls.apply_poll(self.now, entries(*self.names))
         for address, hub in self.hubs.items():
             hub.members(self.now, SEEDS)
             if address not in self.old:
                 hub.confirmed(self.now)
                 held = self.lists[address]
-                if held.take(self.polls.answer(*held.version, now=self.now), now=self.now):
+                if held.apply_update(self.polls.update_since(*held.version, now=self.now), now=self.now):
                     hub.instances(self.now, held)
         self.at(0.25, self.beat)
 
@@ -422,14 +422,14 @@
 
 def test_a_fleet_whose_poller_began_anew_is_heard_again():
     world = World()
-    world.polls.lead(7)
+    world.polls.begin_term(7)
     world.run(3.0)
     assert world.asker.upstreams[0] == 7
     for address, hub in world.hubs.items():
         world.lists[address] = EndpointList(lambda: world.now)
         hub.list = None
     world.polls = EndpointList(lambda: world.now)
-    world.polls.lead(1)
+    world.polls.begin_term(1)
     world.names = ["z"]
     world.run(6.0)
     assert set(world.known["list"]) == {"z"} and world.asker.list_age(world.now) < 1.5
