--- a/shedgrade/controlplane/plane.py
+++ b/shedgrade/controlplane/plane.py
@@ -141,7 +141,7 @@
         self.hub = WatchHub(own, now, exchange=SPREAD, cover=self.cover)
         self.reach = ReachabilityMonitor(own, settings.region)
         self.standstill = Standstill(now)
-        self.recording = PrefixIndexExchange(
+        self.prefix_index = PrefixIndexExchange(
             self.hub, random.getrandbits(40) + 1, founding, self.tell_knowledge
         )
         self.loads = LoadAggregator(own)
@@ -238,7 +238,7 @@
         self.standstill.look(now)
         self.hub.confirmed(self.member.confirmed_at)
         self.hub.members(now, self.member_addresses())
-        self.recording.beat(now, self.contact_at())
+        self.prefix_index.tick(now, self.contact_at())
         if self.roles.is_held(LIST) and self.poller.consecutive_failures >= AGED:
             self.roles.release(now, LIST)
         if now >= self.spread_at:
@@ -432,7 +432,7 @@
             case LoadSums():
                 self.loads.shared(now, message)
             case PrefixIndexUpdate() | PrefixIndexAdditions() | PrefixIndexRequest():
-                self.recording.heard(now, message, lambda body: answer(KNOWLEDGE + body))
+                self.prefix_index.receive(now, message, lambda body: answer(KNOWLEDGE + body))
             case EdgeObservations():
                 self.reach.heard(now - unread_s, sender)
                 self.hub.peers_edges(now, sender, message, unread_s)
@@ -445,7 +445,7 @@
                     answer(KNOWLEDGE + control_messages.encode(self.instances.request(now)))
 
     def list_moved(self, now: float) -> None:
-        self.recording.listed(self.instances)
+        self.prefix_index.retain_endpoints(self.instances)
         self.loads.regions = {
             crc32(one.id.encode()): self.settings.zones.get(one.zone, "") for one in self.instances.snapshot()
         }
--- a/shedgrade/controlplane/prefix_index_exchange.py
+++ b/shedgrade/controlplane/prefix_index_exchange.py
@@ -1,4 +1,6 @@
-"""The record of cached prompts at one core member: true again after a cut before anything is said of it."""
+"""The prefix index of one core member: kept in step with the other members', and valid again after a cut
+before anything is said by it.
+"""
 
 from collections.abc import Callable
 from zlib import crc32
@@ -13,48 +15,75 @@
     PrefixIndexUpdate,
 )
 
-LOST = 1.0  # s without the primary after which this member counts as cut off
-ASK = 0.5  # s between two questions to the others
-NOBODY = 3.0  # s in touch without an answer after which nobody has anything to tell
+PRIMARY_TIMEOUT_S = 1.0  # without the primary after which this member counts as cut off
+REQUEST_INTERVAL_S = 0.5  # between two requests to the others
+NO_ANSWER_TIMEOUT_S = 3.0  # in touch without an answer, after which no member has an index
 
 
 class PrefixIndexExchange:
-    """`tell_others(body)` reaches every other member; what comes back is handed to `heard`."""
+    """Keeps the index, asks the others for theirs after a cut, and sends them what edges saw.
+
+    hub: through which edges report and are answered. send_to_others: reaches every other member; what comes
+    back is handed to `receive`. index: shared with the hub. requested_at: when the others were last asked.
+    in_touch_since: when the primary was heard again after a cut; None while cut off, or if there was none.
+    """
 
     def __init__(
-        self, hub: WatchHub, source: int, founding: bool, tell_others: Callable[[object], None]
+        self,
+        hub: WatchHub,
+        source: int,
+        is_founding: bool,
+        send_to_others: Callable[[PrefixIndexAdditions | PrefixIndexRequest], None],
     ) -> None:
-        self.hub, self.tell_others = hub, tell_others
-        self.ledger = hub.ledger = PrefixIndex(source, founding)
-        self.asked_at, self.in_touch_at = 0.0, None
-
-    def beat(self, now: float, heard_at: float) -> None:
-        """`heard_at`: when this member last heard the primary, or as primary was confirmed."""
-        if now - heard_at > LOST:
-            self.ledger.cut()
-            self.in_touch_at = None
-        elif not self.ledger.true:
-            self.in_touch_at = now if self.in_touch_at is None else self.in_touch_at
-            if now - self.in_touch_at > NOBODY:
-                self.ledger.nobody()
-            elif now - self.asked_at >= ASK:
-                self.asked_at = now
-                self.tell_others(PrefixIndexRequest())
+        """`source`: a number drawn at the start. `is_founding`: the core starts for the first time, so that
+        an empty index is valid.
+        """
+        self.hub = hub
+        self.send_to_others = send_to_others
+        self.index = PrefixIndex(source, is_founding)
+        hub.ledger = self.index
+        self.requested_at = 0.0
+        self.in_touch_since: float | None = None
+
+    def tick(self, now: float, primary_heard_at: float) -> None:
+        """`primary_heard_at`: when this member last heard the primary, or as primary was confirmed."""
+        if now - primary_heard_at > PRIMARY_TIMEOUT_S:
+            self.index.invalidate()
+            self.in_touch_since = None
+        elif not self.index.is_valid:
+            self.recover(now)
         if self.hub.reads:
-            pairs, self.hub.reads = tuple(self.hub.reads), []
-            self.tell_others(PrefixIndexAdditions(pairs))
+            pairs = tuple(self.hub.reads)
+            self.hub.reads = []
+            self.send_to_others(PrefixIndexAdditions(pairs))
 
-    def heard(self, now: float, message: object, answer: Callable[[bytes], None]) -> None:
+    def recover(self, now: float) -> None:
+        """In touch with the primary, the index not valid: asks the others, or starts anew if none answers."""
+        if self.in_touch_since is None:
+            self.in_touch_since = now
+        if now - self.in_touch_since > NO_ANSWER_TIMEOUT_S:
+            self.index.reset()
+        elif now - self.requested_at >= REQUEST_INTERVAL_S:
+            self.requested_at = now
+            self.send_to_others(PrefixIndexRequest())
+
+    def receive(
+        self,
+        now: float,
+        message: PrefixIndexAdditions | PrefixIndexUpdate | PrefixIndexRequest,
+        answer: Callable[[bytes], None],
+    ) -> None:
+        """A message of another member; `answer` sends an encoded message back to it."""
         match message:
             case PrefixIndexAdditions(pairs):
-                self.ledger.read(now, pairs)
+                self.index.add(now, pairs)
             case PrefixIndexUpdate():
-                self.ledger.take(now, message)
+                self.index.restore(now, message)
             case PrefixIndexRequest():
-                moved = self.ledger.since(0, -1)
-                if moved is not None:
-                    answer(control_messages.encode(moved))
+                update = self.index.update_since(0, -1)
+                if update is not None:
+                    answer(control_messages.encode(update))
 
-    def listed(self, instances: EndpointList) -> None:
-        """The platform's list moved: an incarnation that is gone holds nothing."""
-        self.ledger.listed({crc32(name.encode()) for name in instances.endpoints})
+    def retain_endpoints(self, endpoint_list: EndpointList) -> None:
+        """The endpoint list changed: an incarnation that is gone has cached nothing."""
+        self.index.retain_endpoints({crc32(name.encode()) for name in endpoint_list.endpoints})
--- a/shedgrade/controlplane/watch_hub.py
+++ b/shedgrade/controlplane/watch_hub.py
@@ -151,7 +151,7 @@
         self.now = now
         self.saw(Heard(ask.edge, now - unread_s, ask.wait_s, True))
         if self.ledger is not None and ask.prefix_reads:
-            self.reads += self.ledger.read(now, ask.prefix_reads)
+            self.reads += self.ledger.add(now, ask.prefix_reads)
         parked = PendingWatch(ask, reply, now)
         self.parked.pop(ask.edge.name, None)
         if self.news(parked) or parked.until <= now or len(self.parked) >= MOST_PARKED:
@@ -215,7 +215,7 @@
                 UNKNOWN_AGE_S if lacks else max(0.0, now - self.confirmed_at),
                 UNKNOWN_AGE_S if self.list is None else self.list.age_s(now),
                 now - parked.at,
-                None if self.ledger is None else self.ledger.since(*ask.prefix_index_version),
+                None if self.ledger is None else self.ledger.update_since(*ask.prefix_index_version),
                 self.cover(ask.edge, self.edges(now)) if ask.edge.state == LEAVING else READY,
             )
         )
--- a/shedgrade/dataplane/plane.py
+++ b/shedgrade/dataplane/plane.py
@@ -345,7 +345,7 @@
         try:
             ask = effect.ask
             if not beside:  # the record's numbers are one member's: another asked beside it tells none
-                reads = self.record.outgoing()
+                reads = self.record.take_unsent()
                 ask = msgspec.structs.replace(
                     ask, prefix_reads=reads, prefix_index_version=self.record.version
                 )
@@ -356,13 +356,13 @@
             told = None
         if isinstance(told, WatchResponse):
             if not beside:
-                self.record.told(self.loop.time(), told.primary_age_s < OLD_WORD, told.prefix_index)
+                self.record.apply_response(self.loop.time(), told.primary_age_s < OLD_WORD, told.prefix_index)
             if self.drain is not None:
                 self.drain.told(
                     self.loop.time(), told.drain_target if ask.edge.shutdown_stage else NO_DRAIN_TARGET
                 )
             self.asker.answered(self.loop.time(), effect.address, told, effect.number)
         else:
-            self.record.lost(reads)
+            self.record.restore_unsent(reads)
             self.asker.failed(self.loop.time(), effect.address, effect.number)
         self.ask()
--- a/shedgrade/dataplane/service.py
+++ b/shedgrade/dataplane/service.py
@@ -29,7 +29,7 @@
         return self.record.holders(self.loop.time(), key)
 
     def saw(self, key: int, mark: int) -> None:
-        self.record.saw(self.loop.time(), key, mark)
+        self.record.record_prefill(self.loop.time(), key, mark)
 
 
 class ServicePool:
--- a/shedgrade/dataplane/state.py
+++ b/shedgrade/dataplane/state.py
@@ -111,7 +111,7 @@
             touched.add(one.service)
         self.cold_until = {name: until for name, until in self.cold_until.items() if name in self.instances}
         if self.record is not None:
-            self.record.listed({crc32(name.encode()) for name in self.instances})
+            self.record.retain_endpoints({crc32(name.encode()) for name in self.instances})
         self.relist(touched)
 
     def relist(self, names: Iterable[str]) -> None:
--- a/shedgrade/model_routing/request.py
+++ b/shedgrade/model_routing/request.py
@@ -4,7 +4,7 @@
 from shedgrade.load_balancing.rpc import Rpc
 from shedgrade.load_balancing.upstream import Upstream
 from shedgrade.load_balancing.zones import Zone
-from shedgrade.prefix_cache_index import key_of
+from shedgrade.prefix_cache_index import prefix_key
 
 IDEMPOTENT, ONCE = range(2)  # the two methods: may run more than once, or at most once a try
 ARRIVED_NOT = (UNSENT, UNCONNECTED)  # outcomes after which the upstream has seen nothing of the request
@@ -34,7 +34,7 @@
     ) -> None:
         self.homes, self.key, self.most, self.target = homes, key, most, target
         self.avoid, self.before, self.tokens, self.shared = avoid, before, tokens, shared
-        self.kept_as = key_of(key) if key else 0  # as the record names the parts
+        self.kept_as = prefix_key(key) if key else 0  # as the record names the parts
 
 
 class ServingRpc(Rpc):
--- a/shedgrade/prefix_cache_index/__init__.py
+++ b/shedgrade/prefix_cache_index/__init__.py
@@ -1,8 +1,8 @@
-"""The shared record of which upstreams hold which prompts' parts: what edges saw read, spread by the core.
+"""The shared index of which endpoint has cached which prompt prefix: what edges saw, spread by the core.
 
-Sans I/O. It is a guess that is only trusted while its source is fresh: an upstream lets go of parts that were
-unused for long, and a new incarnation holds nothing. Whoever was cut off believes nothing of it until it was
-told all of it anew.
+Sans I/O. It is a guess that is trusted only while its source is fresh: an endpoint evicts prefixes that were
+unused for long, and a new incarnation has cached none. A process that was cut off trusts nothing of it until
+it received all of it anew.
 """
 
 from shedgrade.prefix_cache_index.edge import EdgePrefixIndex
@@ -11,7 +11,7 @@
     PrefixIndexAdditions,
     PrefixIndexRequest,
     PrefixIndexUpdate,
-    key_of,
+    prefix_key,
 )
 
 __all__ = [
@@ -20,5 +20,5 @@
     "PrefixIndexAdditions",
     "PrefixIndexRequest",
     "PrefixIndexUpdate",
-    "key_of",
+    "prefix_key",
 ]
--- a/shedgrade/prefix_cache_index/edge.py
+++ b/shedgrade/prefix_cache_index/edge.py
@@ -1,106 +1,122 @@
-"""The record as an edge uses it: what it was told, what it saw itself, and whether any may be believed."""
+"""The index as an edge uses it: what it received, what it saw itself, and whether any may be trusted."""
 
 from collections import OrderedDict
 
 from shedgrade.prefix_cache_index.index import (
-    LONGEST,
-    MOST,
-    ONCE_MORE,
-    STALE,
+    CONFIRM_AFTER_S,
+    MAX_PAIRS,
+    MAX_PAIRS_PER_MESSAGE,
+    PAIR_TTL_S,
     Pair,
     PrefixIndexUpdate,
 )
 
-TRUSTED = 2.0  # s since a fresh word of the core for which the record may be routed by
+TRUST_TIMEOUT_S = 2.0  # since a fresh answer of the core for which requests may be routed by the index
+NO_VERSION = (0, -1)  # the full index is asked for
 
 
 class EdgePrefixIndex:
-    """`holders(now, key)` is empty whenever the record may be untrue: routing then goes on without it."""
+    """The index of one edge. It is empty to its callers whenever it may be wrong: routing then goes on
+    without it.
+
+    seen_at: by prefix key, the endpoints that have cached it, each with when that was last heard of; the key
+    heard of last comes last. version: (source, number) of what was received. fresh_at: when a member that is
+    in touch with the primary last answered; None: never. unsent: pairs seen here that the core has not
+    received, oldest first. reported_at: by pair seen here, when it was last to be sent.
+    """
 
     def __init__(self) -> None:
-        self.by_key: OrderedDict[int, dict[int, float]] = OrderedDict()  # marks: when last heard of
-        self.version = (0, -1)  # (source, number) of what was told
+        self.seen_at: OrderedDict[int, dict[int, float]] = OrderedDict()
+        self.version = NO_VERSION
         self.fresh_at: float | None = None
         self.unsent: dict[Pair, None] = {}
-        self.mine: dict[Pair, float] = {}  # what was seen here: when
+        self.reported_at: dict[Pair, float] = {}
 
     def holders(self, now: float, key: int) -> dict[int, float]:
-        """Marks of the upstreams that are held to keep the parts, with when that was last heard."""
-        if self.fresh_at is None or now - self.fresh_at > TRUSTED:
+        """Hashes of the endpoints that are believed to have cached the prefix, each with when that was last
+        heard of.
+        """
+        if self.fresh_at is None or now - self.fresh_at > TRUST_TIMEOUT_S:
             return {}
-        marks = self.by_key.get(key)
-        if not marks:
+        endpoints = self.seen_at.get(key)
+        if not endpoints:
             return {}
-        return {mark: at for mark, at in marks.items() if now - at < STALE}
-
-    def saw(self, now: float, key: int, mark: int) -> None:
-        """An upstream has read the parts, as its first event shows."""
-        self.keep(now, key, mark)
-        pair = key, mark
-        if now - self.mine.get(pair, -ONCE_MORE) >= ONCE_MORE:
-            self.mine[pair] = now
+        return {endpoint: at for endpoint, at in endpoints.items() if now - at < PAIR_TTL_S}
+
+    def record_prefill(self, now: float, key: int, endpoint: int) -> None:
+        """An endpoint has read the prefix, as its first event shows, and so has cached it."""
+        self.remember(now, key, endpoint)
+        pair = key, endpoint
+        if now - self.reported_at.get(pair, -CONFIRM_AFTER_S) >= CONFIRM_AFTER_S:
+            self.reported_at[pair] = now
             self.unsent[pair] = None
-            if len(self.mine) > MOST:
-                self.mine.pop(next(iter(self.mine)))
-            if len(self.unsent) > LONGEST:
+            if len(self.reported_at) > MAX_PAIRS:
+                self.reported_at.pop(next(iter(self.reported_at)))
+            if len(self.unsent) > MAX_PAIRS_PER_MESSAGE:
                 self.unsent.pop(next(iter(self.unsent)))
 
-    def keep(self, now: float, key: int, mark: int) -> None:
-        marks = self.by_key.setdefault(key, {})
-        marks[mark] = now
-        self.by_key.move_to_end(key)
-        if len(self.by_key) > MOST:
-            self.by_key.popitem(last=False)
+    def remember(self, now: float, key: int, endpoint: int) -> None:
+        """Notes a pair, and evicts the key heard of longest ago if there are too many."""
+        endpoints = self.seen_at.setdefault(key, {})
+        endpoints[endpoint] = now
+        self.seen_at.move_to_end(key)
+        if len(self.seen_at) > MAX_PAIRS:
+            self.seen_at.popitem(last=False)
 
-    def outgoing(self) -> tuple[Pair, ...]:
-        """What the core has not been told; handed back by `lost` if it does not arrive."""
-        pairs, self.unsent = tuple(self.unsent), {}
+    def take_unsent(self) -> tuple[Pair, ...]:
+        """What the core has not received, to be sent; handed back by `restore_unsent` if it is lost."""
+        pairs = tuple(self.unsent)
+        self.unsent = {}
         return pairs
 
-    def lost(self, pairs: tuple[Pair, ...]) -> None:
+    def restore_unsent(self, pairs: tuple[Pair, ...]) -> None:
+        """They did not reach the core, and go with the next request."""
         for pair in pairs:
             self.unsent.setdefault(pair, None)
 
-    def told(self, now: float, fresh: bool, moved: PrefixIndexUpdate | None) -> None:
-        """A word of the core; `fresh`: its member hears the primary and is not behind.
+    def apply_response(self, now: float, is_fresh: bool, update: PrefixIndexUpdate | None) -> None:
+        """A core member answered; `is_fresh`: it hears the primary and is not behind.
 
-        Guards against a record from before a cut: after a silence it is believed again only when a member
-        that is fresh has told all that it holds.
+        Guards against an index from before a cut: after a time-out it is trusted again only when a member
+        that is fresh has sent its full index.
         """
-        if not fresh:
+        if not is_fresh:
             return
-        silent = self.fresh_at is None or now - self.fresh_at > TRUSTED
-        if silent and (moved is None or moved.base >= 0):
-            if self.version != (0, -1):
-                self.version = 0, -1  # asks for all of it
-            if moved is None and self.fresh_at is None:
-                self.fresh_at = now  # the core has nothing to tell: so far nothing was read
+        has_timed_out = self.fresh_at is None or now - self.fresh_at > TRUST_TIMEOUT_S
+        if has_timed_out and (update is None or update.base >= 0):
+            self.version = NO_VERSION
+            if update is None and self.fresh_at is None:
+                self.fresh_at = now  # the core has nothing to send: so far no prefix was cached
             return
         self.fresh_at = now
-        if moved is None:
-            return
-        if moved.base < 0:
-            self.by_key.clear()
-            for key, mark in self.unsent:  # seen here, and not yet told
-                self.keep(now, key, mark)
-        elif self.version != (moved.source, moved.base):
-            return  # made for an older ask
-        for mark in moved.gone:
-            self.gone(mark)
-        for key, mark in moved.pairs:
-            self.keep(now, key, mark)
-        self.version = moved.source, moved.number
-
-    def listed(self, marks: set[int]) -> None:
-        """The incarnations that exist, as this edge knows the platform's list."""
-        for mark in {mark for known in self.by_key.values() for mark in known} - marks:
-            self.gone(mark)
-
-    def gone(self, mark: int) -> None:
-        """That incarnation holds nothing any more."""
-        for key in [key for key, marks in self.by_key.items() if mark in marks]:
-            del self.by_key[key][mark]
-            if not self.by_key[key]:
-                del self.by_key[key]
-        self.mine = {pair: at for pair, at in self.mine.items() if pair[1] != mark}
-        self.unsent = {pair: None for pair in self.unsent if pair[1] != mark}
+        if update is not None:
+            self.apply_update(now, update)
+
+    def apply_update(self, now: float, update: PrefixIndexUpdate) -> None:
+        """Takes a full index, or a delta to the version that is held; another delta is left out."""
+        if update.base < 0:
+            self.seen_at.clear()
+            for key, endpoint in self.unsent:  # seen here, and not yet received by the core
+                self.remember(now, key, endpoint)
+        elif self.version != (update.source, update.base):
+            return  # made for an older request
+        for endpoint in update.removed:
+            self.forget_endpoint(endpoint)
+        for key, endpoint in update.pairs:
+            self.remember(now, key, endpoint)
+        self.version = update.source, update.number
+
+    def retain_endpoints(self, endpoints: set[int]) -> None:
+        """The endpoints that exist, as this edge knows the platform's list."""
+        known = {endpoint for seen_at in self.seen_at.values() for endpoint in seen_at}
+        for endpoint in known - endpoints:
+            self.forget_endpoint(endpoint)
+
+    def forget_endpoint(self, endpoint: int) -> None:
+        """That incarnation is gone, with all that it had cached."""
+        for key in [key for key, endpoints in self.seen_at.items() if endpoint in endpoints]:
+            del self.seen_at[key][endpoint]
+            if not self.seen_at[key]:
+                del self.seen_at[key]
+        self.reported_at = {pair: at for pair, at in self.reported_at.items() if pair[1] != endpoint}
+        self.unsent = {pair: None for pair in self.unsent if pair[1] != endpoint}
--- a/tests/model_routing/test_serving_choice.py
+++ b/tests/model_routing/test_serving_choice.py
@@ -7,7 +7,7 @@
 from shedgrade.load_balancing import outcomes
 from shedgrade.model_routing import IDEMPOTENT, ONCE, ServingBalancer, Wants
 from shedgrade.model_routing.retry_budget import Repeats
-from shedgrade.prefix_cache_index import key_of
+from shedgrade.prefix_cache_index import prefix_key
 
 SECOND = 10_000
 
@@ -183,22 +183,22 @@
 
 def test_a_long_prompt_goes_where_it_is_kept_if_the_own_region_would_read_it_anew():
     made = balancer()
-    made.record = Kept({key_of(b"aa:6000"): {1003: 0.0}})
+    made.record = Kept({prefix_key(b"aa:6000"): {1003: 0.0}})
     assert {take(made, key=b"aa:6000", tokens=8000, shared=6000)[1][0] for _ in range(2)} == {3}
     assert take(made, key=b"bb:6000", tokens=8000, shared=6000)[1][0] in (0, 1)
-    made.record.saw(key_of(b"aa:6000"), 1000)
+    made.record.saw(prefix_key(b"aa:6000"), 1000)
     assert take(made, now=1, key=b"aa:6000", tokens=8000, shared=6000)[1][0] in (0, 1)
 
 
 def test_a_short_prompt_stays_in_the_own_region():
     made = balancer()
-    made.record = Kept({key_of(b"aa:300"): {1003: 0.0}})
+    made.record = Kept({prefix_key(b"aa:300"): {1003: 0.0}})
     assert take(made, key=b"aa:300", tokens=800, shared=300)[1][0] in (0, 1)
 
 
 def test_homes_and_the_gate_bind_what_is_kept_elsewhere():
     made = balancer()
-    made.record = Kept({key_of(b"aa:6000"): {1003: 0.0}})
+    made.record = Kept({prefix_key(b"aa:6000"): {1003: 0.0}})
     wants = {"key": b"aa:6000", "tokens": 8000, "shared": 6000}
     assert take(made, homes=frozenset({0}), **wants)[1][0] in (0, 1)
     made.zones[1].flight = 4
--- a/tests/stored/test_structs_as_found.py
+++ b/tests/stored/test_structs_as_found.py
@@ -42,6 +42,7 @@
         "record": "prefix_index",
         "cover": "drain_target",
     },
+    "record.ledger:RecordMoved": {"gone": "removed"},
 }
 
 
