--- a/shedgrade/controlplane/plane.py
+++ b/shedgrade/controlplane/plane.py
@@ -253,8 +253,8 @@
             return
         self.loop.call_later(LOAD_BEAT, self.share_loads)
         self.loads.forget_silent(self.loop.time())
-        self.loads.tell_edges(self.loop.time())
-        shared = self.loads.share()
+        self.loads.send_updates(self.loop.time())
+        shared = self.loads.take_unshared()
         if shared is not None:
             self.tell_knowledge(shared)
 
@@ -424,13 +424,13 @@
                 if self.hub.own_version != before:
                     self.spread_edges(now)
             case LoadReport():
-                self.loads.reported(
+                self.loads.receive_report(
                     now,
                     message,
                     lambda told: self.links.send(sender, KNOWLEDGE + control_messages.encode(told)),
                 )
             case LoadSums():
-                self.loads.shared(now, message)
+                self.loads.receive_sums(now, message)
             case PrefixIndexUpdate() | PrefixIndexAdditions() | PrefixIndexRequest():
                 self.prefix_index.receive(now, message, lambda body: answer(KNOWLEDGE + body))
             case EdgeObservations():
--- a/shedgrade/dataplane/plane.py
+++ b/shedgrade/dataplane/plane.py
@@ -28,7 +28,7 @@
 from shedgrade.http.listener import Listener
 from shedgrade.http.server import HttpServer, Reply
 from shedgrade.load_reports import LoadReporter, LoadUpdate, PeerLoads
-from shedgrade.load_reports.edge import INTERVAL as LOAD_INTERVAL
+from shedgrade.load_reports.edge import REPORT_INTERVAL_S
 from shedgrade.membership.messages import Node
 from shedgrade.membership.running import Gossip
 from shedgrade.model_routing.retry_budget import Repeats
@@ -266,7 +266,7 @@
         """Tells the core what is in flight here. A fault of our own ends no looks."""
         if self.done.is_set():
             return
-        self.loop.call_later(LOAD_INTERVAL, self.share_loads)
+        self.loop.call_later(REPORT_INTERVAL_S, self.share_loads)
         now = self.loop.time()
         if self.others.forget_if_stale(now):
             self.state.others_told({})
@@ -283,7 +283,7 @@
         except (msgspec.MsgspecError, ValueError):
             return  # of a member of another version
         if isinstance(told, LoadUpdate):
-            self.others.take(self.loop.time(), told)
+            self.others.apply(self.loop.time(), told)
             self.state.others_told(self.others.loads)
 
     # --- asking
--- a/shedgrade/load_reports/__init__.py
+++ b/shedgrade/load_reports/__init__.py
@@ -1,8 +1,8 @@
-"""What all edges together have in flight at each upstream, shared many times a second by way of the core.
+"""What all edges together have in flight at each endpoint, exchanged many times a second through the core.
 
-Sans I/O. One edge of many sees little of what an upstream has to do; a prompt is read within some hundred ms,
-so only words that are younger than that tell where one is being read. Loads are hints: nothing breaks where
-they are missing, late or wrong, and they are forgotten when their source falls silent.
+Sans I/O. One edge of many sees little of what an endpoint has to do; a prefill takes some hundred ms, so only
+reports that are younger than that tell where one is under way. Loads are hints: nothing breaks where they are
+missing, late or wrong, and they are forgotten when their source falls silent.
 """
 
 from shedgrade.load_reports.aggregator import LoadAggregator
--- a/shedgrade/load_reports/aggregator.py
+++ b/shedgrade/load_reports/aggregator.py
@@ -2,133 +2,170 @@
 
 from collections import Counter
 from collections.abc import Callable, Mapping
+from math import inf
 
 from shedgrade.load_reports.messages import LoadReport, Loads, LoadSums, LoadUpdate
 
-SILENT_AFTER = 1.5  # s without a report after which an edge's loads, or a member's, are forgotten
-HEARTBEAT = 0.3  # s between two words to an edge at the most, also where nothing changed
-FAR_EACH = 5  # of so many words to an edge, one is of other regions' upstreams too
-WHOLE_EACH = 10  # of so many words to other members, one is whole
-MOST = 128  # loads in one word to an edge; what is left out is in the next one
+SOURCE_TIMEOUT_S = 1.5  # without a report, after which an edge's loads, or a member's, are forgotten
+HEARTBEAT_INTERVAL_S = 0.3  # between two updates to an edge at the most, also where nothing changed
+ALL_REGIONS_EVERY = 5  # of so many updates to an edge, one is of other regions' endpoints too
+FULL_SUMS_EVERY = 10  # of so many messages to other members, one is full
+MAX_LOADS_PER_UPDATE = 128  # what is left out is in the next one
 
-Send = Callable[[LoadUpdate], None]
+SendUpdate = Callable[[LoadUpdate], None]
 
 
-class Source:
-    """The loads that one edge or one member told, as this member added them to its sums."""
+class LoadSource:
+    """The loads that one edge or one member reported, as they are part of the sums here.
 
-    __slots__ = ("loads", "heard_at")
+    loads: none of them 0. heard_at: when the last report came.
+    """
+
+    __slots__ = ("heard_at", "loads")
 
     def __init__(self) -> None:
         self.loads: Loads = {}
-        self.heard_at = float("-inf")
+        self.heard_at = -inf
 
 
-class EdgeSource(Source):
-    """An edge that reports here. `unsaid`: upstreams whose loads changed since it was told of them."""
+class ReportingEdge(LoadSource):
+    """An edge that reports here.
 
-    __slots__ = ("near", "send", "unsaid", "told_at", "words", "whole")
+    home_region: whose endpoints it uses first. send: reaches it. unsent: endpoints whose loads of other edges
+    changed since it was sent them. updated_at: when the last update went to it. update_count: of them, so
+    far. needs_full_update: it is to be sent everything next.
+    """
 
-    def __init__(self) -> None:
+    __slots__ = ("home_region", "needs_full_update", "send", "unsent", "update_count", "updated_at")
+
+    def __init__(self, home_region: str, send: SendUpdate) -> None:
         super().__init__()
-        self.near = ""
-        self.send: Send | None = None
-        self.unsaid: set[int] = set()
-        self.told_at = float("-inf")
-        self.words = 0
-        self.whole = True  # is to be told all
+        self.home_region = home_region
+        self.send = send
+        self.unsent: set[int] = set()
+        self.updated_at = -inf
+        self.update_count = 0
+        self.needs_full_update = True
 
 
 class LoadAggregator:
-    """`regions`: by mark, the region of each upstream on the platform's list."""
+    """The sums of one core member. Endpoints are named by the hash of their incarnation.
+
+    member: this member's link address. edges: that report here, by name. members: the other members, by
+    address. sums: of all edges, by endpoint. own_sums: of the edges that report here. regions: of each
+    endpoint on the platform's list. unshared: endpoints whose own sums changed since the other members were
+    sent them. share_count: looks at what to send them, so far.
+    """
 
     def __init__(self, member: str) -> None:
         self.member = member
-        self.edges: dict[str, EdgeSource] = {}
-        self.members: dict[str, Source] = {}
+        self.edges: dict[str, ReportingEdge] = {}
+        self.members: dict[str, LoadSource] = {}
         self.sums: Counter[int] = Counter()
-        self.own_sums: Counter[int] = Counter()  # of the edges that report here
+        self.own_sums: Counter[int] = Counter()
         self.regions: Mapping[int, str] = {}
-        self.unshared: set[int] = set()  # upstreams whose own sums the other members have not been told
-        self.shares = 0
-
-    # --- what is heard
-
-    def reported(self, now: float, report: LoadReport, send: Send) -> None:
-        """`send` reaches the edge."""
-        source = self.edges.get(report.edge)
-        if source is None:
-            source = self.edges[report.edge] = EdgeSource()
-        source.heard_at, source.near, source.send = now, report.near, send
-        source.whole = source.whole or report.whole
-        changed = self.add(source, report.loads, report.whole, self.own_sums)
-        self.unshared |= changed
-
-    def shared(self, now: float, told: LoadSums) -> None:
-        """Another member's sums."""
-        source = self.members.setdefault(told.member, Source())
+        self.unshared: set[int] = set()
+        self.share_count = 0
+
+    # --- received
+
+    def receive_report(self, now: float, report: LoadReport, send: SendUpdate) -> None:
+        """An edge reported its loads; `send` reaches it."""
+        edge = self.edges.get(report.edge)
+        if edge is None:
+            edge = self.edges[report.edge] = ReportingEdge(report.home_region, send)
+        edge.heard_at = now
+        edge.home_region = report.home_region
+        edge.send = send
+        edge.needs_full_update = edge.needs_full_update or report.is_full
+        self.unshared |= self.replace_loads(edge, report.loads, report.is_full, self.own_sums)
+
+    def receive_sums(self, now: float, message: LoadSums) -> None:
+        """Another member sent the sums of its edges."""
+        source = self.members.setdefault(message.member, LoadSource())
         source.heard_at = now
-        self.add(source, told.loads, told.whole)
-
-    def add(self, source: Source, loads: Loads, whole: bool, also: Counter[int] | None = None) -> set[int]:
-        """Replaces what the source told before; the marks whose load is another now."""
-        after = loads if whole else {**source.loads, **loads}
-        marks = source.loads.keys() | loads.keys() if whole else loads.keys()
-        changed = {mark for mark in marks if source.loads.get(mark, 0) != after.get(mark, 0)}
-        for mark in changed:
-            more = after.get(mark, 0) - source.loads.get(mark, 0)
-            for sums in (self.sums, also):
-                if sums is not None:
-                    sums[mark] += more
-                    if not sums[mark]:
-                        del sums[mark]
-        source.loads = {mark: load for mark, load in after.items() if load}
+        self.replace_loads(source, message.loads, message.is_full)
+
+    def replace_loads(
+        self, source: LoadSource, loads: Loads, is_full: bool, also: Counter[int] | None = None
+    ) -> set[int]:
+        """Replaces what the source reported before, in the sums and in `also`. Returns the endpoints whose
+        load is another now.
+        """
+        after = loads if is_full else {**source.loads, **loads}
+        endpoints = source.loads.keys() | loads.keys() if is_full else loads.keys()
+        changed = {
+            endpoint for endpoint in endpoints if source.loads.get(endpoint, 0) != after.get(endpoint, 0)
+        }
+        for endpoint in changed:
+            difference = after.get(endpoint, 0) - source.loads.get(endpoint, 0)
+            add_to_sum(self.sums, endpoint, difference)
+            if also is not None:
+                add_to_sum(also, endpoint, difference)
+        source.loads = {endpoint: load for endpoint, load in after.items() if load}
         for edge in self.edges.values():
             if edge is not source:
-                edge.unsaid |= changed
+                edge.unsent |= changed
         return changed
 
     def forget_silent(self, now: float) -> None:
-        """Whoever has not been heard of for a while has nothing in flight, as far as is known."""
-        for name in [name for name, one in self.edges.items() if now - one.heard_at > SILENT_AFTER]:
-            self.unshared |= self.add(self.edges[name], {}, True, self.own_sums)
+        """Whoever has not been heard from for a while has nothing in flight, as far as is known."""
+        for name in [name for name, edge in self.edges.items() if now - edge.heard_at > SOURCE_TIMEOUT_S]:
+            self.unshared |= self.replace_loads(self.edges[name], {}, True, self.own_sums)
             del self.edges[name]
-        for name in [name for name, one in self.members.items() if now - one.heard_at > SILENT_AFTER]:
-            self.add(self.members[name], {}, True)
+        for name in [name for name, peer in self.members.items() if now - peer.heard_at > SOURCE_TIMEOUT_S]:
+            self.replace_loads(self.members[name], {}, True)
             del self.members[name]
 
-    # --- what is told
+    # --- sent
 
-    def tell_edges(self, now: float) -> None:
-        """Each edge learns what changed of the others' loads: near ones always, far ones now and then."""
-        for source in self.edges.values():
-            marks = self.to_tell(source)
-            if not (marks or source.whole or now - source.told_at >= HEARTBEAT):
+    def send_updates(self, now: float) -> None:
+        """Sends each edge what changed of the others' loads: of its home region always, of other regions now
+        and then.
+        """
+        for edge in self.edges.values():
+            endpoints = self.endpoints_to_send(edge)
+            is_due = now - edge.updated_at >= HEARTBEAT_INTERVAL_S
+            if not (endpoints or edge.needs_full_update or is_due):
                 continue
-            others = {mark: self.sums[mark] - source.loads.get(mark, 0) for mark in marks}
-            told = LoadUpdate(others, source.whole)
-            source.unsaid -= marks
-            source.whole, source.told_at = False, now
-            source.words += 1
-            source.send(told)
-
-    def to_tell(self, source: EdgeSource) -> set[int]:
-        if source.whole:
-            source.unsaid = set()
-            return {mark for mark, load in self.sums.items() if load != source.loads.get(mark, 0)}
-        if source.words % FAR_EACH == 0:
-            marks = source.unsaid
+            others = {endpoint: self.sums[endpoint] - edge.loads.get(endpoint, 0) for endpoint in endpoints}
+            update = LoadUpdate(others, edge.needs_full_update)
+            edge.unsent -= endpoints
+            edge.needs_full_update = False
+            edge.updated_at = now
+            edge.update_count += 1
+            edge.send(update)
+
+    def endpoints_to_send(self, edge: ReportingEdge) -> set[int]:
+        """The endpoints that the next update of that edge is about."""
+        if edge.needs_full_update:
+            edge.unsent = set()
+            return {endpoint for endpoint, load in self.sums.items() if load != edge.loads.get(endpoint, 0)}
+        if edge.update_count % ALL_REGIONS_EVERY == 0:
+            endpoints = edge.unsent
         else:
-            marks = {mark for mark in source.unsaid if self.regions.get(mark) == source.near}
-        return set(sorted(marks)[:MOST]) if len(marks) > MOST else set(marks)
-
-    def share(self) -> LoadSums | None:
-        """What the other members are to be told; None if nothing."""
-        self.shares += 1
-        if self.shares % WHOLE_EACH == 0 and (self.edges or self.own_sums):
+            endpoints = {
+                endpoint for endpoint in edge.unsent if self.regions.get(endpoint) == edge.home_region
+            }
+        if len(endpoints) > MAX_LOADS_PER_UPDATE:
+            return set(sorted(endpoints)[:MAX_LOADS_PER_UPDATE])
+        return set(endpoints)
+
+    def take_unshared(self) -> LoadSums | None:
+        """What the other members are to be sent now; None if nothing."""
+        self.share_count += 1
+        if self.share_count % FULL_SUMS_EVERY == 0 and (self.edges or self.own_sums):
             self.unshared = set()
             return LoadSums(self.member, dict(self.own_sums), True)
         if not self.unshared:
             return None
-        marks, self.unshared = self.unshared, set()
-        return LoadSums(self.member, {mark: self.own_sums[mark] for mark in marks})
+        endpoints = self.unshared
+        self.unshared = set()
+        return LoadSums(self.member, {endpoint: self.own_sums[endpoint] for endpoint in endpoints})
+
+
+def add_to_sum(sums: Counter[int], endpoint: int, difference: int) -> None:
+    """Adds to an endpoint's sum; one that is 0 is not kept."""
+    sums[endpoint] += difference
+    if not sums[endpoint]:
+        del sums[endpoint]
--- a/shedgrade/load_reports/messages.py
+++ b/shedgrade/load_reports/messages.py
@@ -1,33 +1,44 @@
-"""What edges and core members tell each other of loads. One way each; a word that is lost is made good by
-the next whole one."""
+"""Messages of loads between edges and core members. Each goes one way, without an answer; a message that is
+lost is made good by the next full one.
+"""
 
 import msgspec
 
 Loads = dict[int, int]
-"""By mark of an upstream's incarnation: requests in flight, and what their unread prompts weigh."""
+"""By hash of an endpoint's incarnation: requests in flight there, and the weight of their prompts that wait
+for prefill."""
 
 
 class LoadReport(msgspec.Struct, array_like=True, frozen=True, tag="load_report"):
-    """An edge's own loads: those that changed since its last report (0: none any more), or `whole`. `near`:
-    the region whose upstreams it uses first."""
+    """From an edge to the core member that it watches: its own loads.
+
+    edge: its node name. home_region: whose endpoints it uses first. loads: those that changed since its last
+    report (0: none any more), or all. is_full: whether it is all.
+    """
 
     edge: str
-    near: str
+    home_region: str
     loads: Loads
-    whole: bool = False
+    is_full: bool = False
 
 
 class LoadUpdate(msgspec.Struct, array_like=True, frozen=True, tag="loads_told"):
-    """All other edges' loads, for one edge: those that changed since it was last told, or `whole`."""
+    """From a core member to an edge that reports to it: the sums of all other edges' loads.
+
+    loads: those that changed since the last update (0: none any more), or all. is_full: whether it is all.
+    """
 
     loads: Loads
-    whole: bool = False
+    is_full: bool = False
 
 
 class LoadSums(msgspec.Struct, array_like=True, frozen=True, tag="loads_shared"):
-    """The sums of the edges that report to one core member, for the other members: those that changed, or
-    `whole`."""
+    """From a core member to all others: the sums of the loads of the edges that report to it.
+
+    member: its link address. loads: those that changed since the last message (0: none any more), or all.
+    is_full: whether it is all.
+    """
 
     member: str
     loads: Loads
-    whole: bool = False
+    is_full: bool = False
--- a/tests/prefix_cache_index/test_prefix_index.py
+++ b/tests/prefix_cache_index/test_prefix_index.py
@@ -1,4 +1,4 @@
-"""The index of which endpoint has cached which prefix: spread, bounded, and valid again before it is trusted."""
+"""The index of which endpoint cached which prefix: spread, bounded, and valid again before it is trusted."""
 
 from random import Random
 
--- a/tests/stored/test_structs_as_found.py
+++ b/tests/stored/test_structs_as_found.py
@@ -42,6 +42,9 @@
         "record": "prefix_index",
         "cover": "drain_target",
     },
+    "loads.messages:LoadReport": {"near": "home_region", "whole": "is_full"},
+    "loads.messages:LoadsShared": {"whole": "is_full"},
+    "loads.messages:LoadsTold": {"whole": "is_full"},
     "record.ledger:RecordMoved": {"gone": "removed"},
 }
 
