--- a/shedgrade/controlplane/directory.py
+++ b/shedgrade/controlplane/directory.py
@@ -16,18 +16,33 @@
 from shedgrade.http.server import Reply, Request, failure
 from shedgrade.route_matching.calls import CallTree, Match, NotAllowed
 
-MOST = 64  # addresses that an answer may hold
-FEW = 2  # edges below which a zone's own are not enough: one of them may have died
-TOGETHER = 0.5  # s between two edges' ends that count as one
-TTL = 1  # s that an answer counts
+MAX_ADDRESSES = 64  # in an answer
+MIN_ZONE_EDGES = 2  # below which a zone's own edges are not enough: one of them may have died
+SAME_TIME_S = 0.5  # between the beginnings of two edges' shutdowns that count as one
+TTL_S = 1  # for which clients may use an answer
+
+
+class Resolution(msgspec.Struct, frozen=True, rename="camel"):
+    """The answer, as `addressList` and `ttlS`: addresses of edges, "ip:port", and for how long they may be
+    used, in seconds.
+    """
+
+    address_list: list[str]
+    ttl_s: float
 
 
 class Directory:
-    """Answers `GET /resolution` from the edges that are known."""
+    """Answers `GET /resolution` from the edges that are known.
+
+    zones: their regions. random: draws the edges of an answer. ttl_s: for which clients may use an answer.
+    calls: the HTTP calls that are answered.
+    """
 
     def __init__(self, zones: Mapping[str, str], random: Random, bounds: Mapping[str, float]) -> None:
         """`zones`: their regions; `bounds`: `ttl_max_s`, above which no answer counts."""
-        self.zones, self.random, self.ttl = zones, random, min(TTL, bounds["ttl_max_s"])
+        self.zones = zones
+        self.random = random
+        self.ttl_s = min(TTL_S, bounds["ttl_max_s"])
         self.calls = CallTree()
         self.calls.add(b"GET", b"/resolution", self.resolution)
 
@@ -40,7 +55,8 @@
     ) -> Reply:
         """`edges`: those heard lately that are not closed. `stranded`: hosts, in lower case, that these edges
         can't serve while they are cut off. `homes(host)`: where else than in its own region a client may be
-        sent, asked for only where that region has no ready edge."""
+        sent, asked for only where that region has no ready edge.
+        """
         match self.calls.find(request.method, request.path):
             case Match(call):
                 return call(request, edges, stranded, homes)
@@ -60,6 +76,7 @@
         stranded: Container[str],
         homes: Callable[[str], Regions],
     ) -> Reply:
+        """`GET /resolution`; parameters as of `handle`."""
         host = request.query.get("name", "")
         if host.lower() in stranded:
             # Guards against clients kept on the small side of a cut: after a failure they ask another.
@@ -78,9 +95,9 @@
         near = self.nearest(region or self.zones.get(zone, ""), zone, edges, homes)
         if not near:
             return failure(503, Finding("", "no edge that this client may be sent to is ready"))
-        chosen = self.random.sample(near, MOST) if len(near) > MOST else near
+        chosen = self.random.sample(near, MAX_ADDRESSES) if len(near) > MAX_ADDRESSES else near
         addresses = [edge.listen_address for edge in chosen]
-        return Reply(200, msgspec.json.encode({"addressList": addresses, "ttlS": self.ttl}))
+        return Reply(200, msgspec.json.encode(Resolution(addresses, self.ttl_s)))
 
     @staticmethod
     def nearest(
@@ -96,7 +113,7 @@
         there = [edge for edge in edges if edge.listen_address]
         ready = [edge for edge in there if edge.ready]
         near = [edge for edge in ready if edge.zone == zone]
-        if len(near) >= FEW:
+        if len(near) >= MIN_ZONE_EDGES:
             return near
         near = [edge for edge in ready if edge.zone == zone or edge.region == region]
         if near:
@@ -112,36 +129,39 @@
 
 def admissible(edges: list[EdgeRecord], regions: Regions) -> list[EdgeRecord]:
     """Those in regions where a client may be sent beside its own."""
-    return edges if regions is ANYWHERE else [edge for edge in edges if edge.region in regions]
+    return edges if regions is None else [edge for edge in edges if edge.region in regions]
 
 
 def last_to_leave(edges: Iterable[EdgeRecord]) -> list[EdgeRecord]:
     """Of each region's edges that leave, those that take requests to the last. Whoever was told to end
     earlier goes first; of those that were told together half go first, so that they are back while the others
-    still take what comes."""
+    still take what comes.
+    """
     by_region: dict[str, list[EdgeRecord]] = {}
     for edge in edges:
         if edge.leaving:
             by_region.setdefault(edge.region, []).append(edge)
-    last = []
+    last: list[EdgeRecord] = []
     for leaving in by_region.values():
         since = max(edge.ending_since for edge in leaving)
         together = sorted(
-            (edge for edge in leaving if since - edge.ending_since <= TOGETHER), key=lambda edge: edge.name
+            (edge for edge in leaving if since - edge.ending_since <= SAME_TIME_S), key=lambda edge: edge.name
         )
         last += together[len(together) // 2 :]
     return last
 
 
-def cover(edge: EdgeStatus, others: Iterable[EdgeRecord], homes: Mapping[str, Regions]) -> str:
+def drain_target(edge: EdgeStatus, others: Iterable[EdgeRecord], homes: Mapping[str, Regions]) -> str:
     """Who takes the clients of an edge that leaves: READY edges, others of its region that are LEAVING after
-    it, or NO_DRAIN_TARGET. `homes`: by host."""
+    it, or NO_DRAIN_TARGET. `homes`: by host.
+    """
     others = [other for other in others if other.listen_address]
-    ready = {other.region for other in others if other.ready and other.name != edge.name}
-    elsewhere = bool(homes) and all(
-        bool(ready) if regions is ANYWHERE else not ready.isdisjoint(regions) for regions in homes.values()
+    ready_regions = {other.region for other in others if other.ready and other.name != edge.name}
+    has_ready_homes = bool(homes) and all(
+        bool(ready_regions) if regions is None else not ready_regions.isdisjoint(regions)
+        for regions in homes.values()
     )
-    if edge.region in ready or elsewhere:
+    if edge.region in ready_regions or has_ready_homes:
         return READY
-    last = [other.name for other in last_to_leave(others) if other.region == edge.region]
-    return NO_DRAIN_TARGET if edge.name in last or not last else LEAVING
+    last_names = [other.name for other in last_to_leave(others) if other.region == edge.region]
+    return NO_DRAIN_TARGET if edge.name in last_names or not last_names else LEAVING
--- a/shedgrade/controlplane/operator_api.py
+++ b/shedgrade/controlplane/operator_api.py
@@ -4,7 +4,7 @@
 call; only what depends on the newest state is decided at the primary.
 """
 
-from collections.abc import Callable
+from collections.abc import Callable, Mapping
 from urllib.parse import unquote
 
 import msgspec
@@ -50,7 +50,7 @@
     said of it here.
     `status()` gives plain data; without it there is no such call."""
 
-    def __init__(self, orders, status: Callable[[], dict] | None = None) -> None:
+    def __init__(self, orders, status: Callable[[], Mapping[str, object]] | None = None) -> None:
         self.orders, self.status, self.calls = orders, status, CallTree()
         # Versions of changes found sound here, by their kind and digest.
         self.sound: dict[tuple[type[ConfigurationOrder], bytes], int] = {}
--- a/shedgrade/controlplane/plane.py
+++ b/shedgrade/controlplane/plane.py
@@ -21,7 +21,7 @@
 )
 from shedgrade.controlplane import role_messages
 from shedgrade.controlplane.channels import DUTIES, KNOWLEDGE, ORDERS, REPLICATION
-from shedgrade.controlplane.directory import Directory, cover
+from shedgrade.controlplane.directory import Directory, drain_target
 from shedgrade.controlplane.disk import Disk
 from shedgrade.controlplane.endpoint_list import EndpointList
 from shedgrade.controlplane.home_regions import HomeRegions, Regions
@@ -33,7 +33,7 @@
 from shedgrade.controlplane.reachability import ReachabilityMonitor
 from shedgrade.controlplane.singleton_roles import SingletonRoles
 from shedgrade.controlplane.standstill import Standstill
-from shedgrade.controlplane.status import status
+from shedgrade.controlplane.status import Status, status
 from shedgrade.controlplane.watch_hub import WatchHub
 from shedgrade.http.server import HttpServer
 from shedgrade.load_reports import LoadAggregator, LoadReport, LoadSums
@@ -252,7 +252,7 @@
         if self.left.is_set():
             return
         self.loop.call_later(LOAD_BEAT, self.share_loads)
-        self.loads.forget_silent(self.loop.time())
+        self.loads.expire_sources(self.loop.time())
         self.loads.send_updates(self.loop.time())
         shared = self.loads.take_unshared()
         if shared is not None:
@@ -461,7 +461,7 @@
 
     # --- operators and clients
 
-    def status(self) -> dict:
+    def status(self) -> Status:
         return status(
             self.loop.time(),
             self.settings.node_name,
@@ -474,17 +474,17 @@
 
     def resolve(self, request, tell) -> None:
         now, stranded = self.loop.time(), frozenset()
-        if self.reach.cut_off(now, self.member_addresses(), self.contact_at()):
-            stranded = self.reach.stranded(self.hub.configuration, self.served_here())
+        if self.reach.is_cut_off(now, self.member_addresses(), self.contact_at()):
+            stranded = self.reach.stranded_hosts(self.hub.configuration, self.served_here())
         tell(self.directory.handle(request, self.hub.edges(now), stranded, self.homes_of))
 
     def homes_of(self, host: str) -> Regions:
         """Where else than in their own region clients of a host may be sent."""
-        return self.home_regions.of(self.hub.configuration, host)
+        return self.home_regions.of_host(self.hub.configuration, host)
 
     def cover(self, edge: EdgeStatus, others: tuple[EdgeRecord, ...]) -> str:
         """Who takes the clients of an edge that leaves."""
-        return cover(edge, others, self.home_regions.all(self.hub.configuration))
+        return drain_target(edge, others, self.home_regions.of_all_hosts(self.hub.configuration))
 
     def served_here(self) -> set[str]:
         """Services with a ready upstream in the own region."""
--- a/shedgrade/controlplane/reachability.py
+++ b/shedgrade/controlplane/reachability.py
@@ -7,46 +7,84 @@
 from collections.abc import Iterable
 from math import inf
 
+import msgspec
+
 from shedgrade.configuration import parse
 
-LOST = 0.8  # s without a word after which another member counts as out of reach
+MEMBER_TIMEOUT_S = 0.8  # without a message after which another member counts as unreachable
+
+
+class RouteNeeds(msgspec.Struct, frozen=True):
+    """What a route needs so that one region can serve it by itself.
+
+    host: in lower case. is_at_home: whether this region is one of its homes, or it has none. services: that
+    have a share of its requests.
+    """
+
+    host: str
+    is_at_home: bool
+    services: frozenset[str]
 
 
 class ReachabilityMonitor:
-    """What one member hears of the others, by link address. Times are seconds of a steady clock."""
+    """What one member hears of the others, by link address. Times are seconds of a steady clock.
+
+    own_address: this member's. region: where it runs. last_heard_at: of each other member. configuration: the
+    one that `routes` are of; None before the first.
+    """
 
-    def __init__(self, own: str, region: str) -> None:
-        self.own, self.region = own, region
-        self.at: dict[str, float] = {}  # when each other member was last heard
-        self.read: bytes | None = None  # the configuration that `routes` are of
-        self.routes: list[tuple[str, bool, frozenset[str]]] = []  # host, may be served here, its services
+    def __init__(self, own_address: str, region: str) -> None:
+        self.own_address = own_address
+        self.region = region
+        self.last_heard_at: dict[str, float] = {}
+        self.configuration: bytes | None = None
+        self.routes: list[RouteNeeds] = []
 
     def heard(self, now: float, member: str) -> None:
-        self.at[member] = now
+        """A message of that member came."""
+        self.last_heard_at[member] = now
 
-    def cut_off(self, now: float, members: Iterable[str], contact_at: float) -> bool:
-        """Neither the primary nor a majority, with this member, was heard lately. While a primary is voted
-        for, a majority is. `contact_at`: when this member last heard the primary, or was confirmed as one."""
-        if now - contact_at <= LOST:
+    def is_cut_off(self, now: float, members: Iterable[str], primary_heard_at: float) -> bool:
+        """Whether neither the primary nor a majority, with this member, was heard lately. While a primary is
+        elected, a majority is. `primary_heard_at`: when this member last heard the primary, or was confirmed
+        as one.
+        """
+        if now - primary_heard_at <= MEMBER_TIMEOUT_S:
             return False
         members = tuple(members)
-        self.at = {member: self.at[member] for member in members if member in self.at}
-        near = sum(member == self.own or now - self.at.get(member, -inf) <= LOST for member in members)
-        return 2 * near <= len(members)
+        self.last_heard_at = {
+            member: self.last_heard_at[member] for member in members if member in self.last_heard_at
+        }
+        reachable = sum(self.is_reachable(now, member) for member in members)
+        return 2 * reachable <= len(members)
 
-    def stranded(self, configuration: bytes, here: Iterable[str]) -> frozenset[str]:
+    def is_reachable(self, now: float, member: str) -> bool:
+        """Whether that member was heard lately, or is this one."""
+        if member == self.own_address:
+            return True
+        return now - self.last_heard_at.get(member, -inf) <= MEMBER_TIMEOUT_S
+
+    def stranded_hosts(self, configuration: bytes, local_services: Iterable[str]) -> frozenset[str]:
         """Hosts with a route that the own region can't serve by itself: it is none of the route's homes, or
-        has no upstream of its services. `here`: services with a ready upstream in the own region."""
-        if configuration is not self.read:
-            self.read, self.routes = configuration, []
-            for route in parse(configuration).routes if configuration else ():
-                homes, weights = route.home_regions, route.weights()
-                self.routes.append(
-                    (
-                        route.host.lower(),
-                        not homes or self.region in homes,
-                        frozenset(name for name in weights if weights[name] > 0),
-                    )
-                )
-        here = frozenset(here)
-        return frozenset(host for host, at_home, services in self.routes if not (at_home and services & here))
+        has no endpoint of its services. `local_services`: those with a ready endpoint in the own region.
+        """
+        if configuration is not self.configuration:
+            self.configuration = configuration
+            self.routes = self.read_routes(configuration)
+        local = frozenset(local_services)
+        return frozenset(
+            route.host for route in self.routes if not (route.is_at_home and route.services & local)
+        )
+
+    def read_routes(self, configuration: bytes) -> list[RouteNeeds]:
+        """What each route of that configuration needs; none before the first configuration."""
+        if not configuration:
+            return []
+        return [
+            RouteNeeds(
+                route.host.lower(),
+                not route.home_regions or self.region in route.home_regions,
+                frozenset(service for service, weight in route.weights().items() if weight > 0),
+            )
+            for route in parse(configuration).routes
+        ]
--- a/shedgrade/controlplane/role_election.py
+++ b/shedgrade/controlplane/role_election.py
@@ -9,7 +9,7 @@
 member's own steady clock; messages carry none.
 
 Nothing is kept on disk. A member that starts may have forgotten its votes and acknowledgements, so for
-STARTUP_SILENCE_S, longer than any lease, it gives none. Terms grow beyond all that a majority knows; the
+STARTUP_VOTE_DELAY_S, longer than any lease, it gives none. Terms grow beyond all that a majority knows; the
 `floor`, which grows faster than elections are held, and `observe_term` keep them growing over members that
 start anew.
 """
@@ -37,7 +37,7 @@
 LEASE_S = 0.7  # from the sending of a heartbeat that a majority acknowledged
 VOTE_WITHHELD_S = 0.8  # no vote for another for so long after a holder was heard
 HOLDER_TIMEOUT_S = 0.9  # no holder heard for so long: the role is vacant
-STARTUP_SILENCE_S = 1.0  # no vote and no acknowledgement so soon after the start
+STARTUP_VOTE_DELAY_S = 1.0  # no vote and no acknowledgement so soon after the start
 CAMPAIGN_JITTER_S = 0.3  # the most that chance puts between two candidates of one vacancy
 ELECTION_TIMEOUT_S = 0.4  # a candidacy without a majority is given up after it
 MAX_BACKOFF_S = 1.6  # between candidacies that nobody answered
@@ -102,7 +102,7 @@
     members: returns the link addresses of the members that vote, this one among them if it is one.
     random: source of the jitter.
     instructions: what the caller is to carry out; shared with the elections of other roles.
-    started_at: when this process began; for STARTUP_SILENCE_S after it no vote is given.
+    started_at: when this process began; for STARTUP_VOTE_DELAY_S after it no vote is given.
     term_floor: no vote is given for a term up to it, since a process before this one may have given one.
     highest_term: met in any message. Never falls; at least `term_floor`, and at least the term of a candidacy
         or leadership.
@@ -149,7 +149,7 @@
         self.leadership: Leadership | None = None
         self.held_term = 0
         self.backoff_s = 0.0
-        self.campaign_at = now + STARTUP_SILENCE_S + random.uniform(0, CAMPAIGN_JITTER_S)
+        self.campaign_at = now + STARTUP_VOTE_DELAY_S + random.uniform(0, CAMPAIGN_JITTER_S)
         self.has_resigned = False
 
     def check_invariants(self) -> None:
@@ -387,7 +387,7 @@
 
     def may_vote(self, now: float, sender: str, term: int) -> bool:
         """Whether the sender may have this member's vote in that term."""
-        if sender not in self.members() or now < self.started_at + STARTUP_SILENCE_S:
+        if sender not in self.members() or now < self.started_at + STARTUP_VOTE_DELAY_S:
             return False
         if self.leadership is not None or (self.is_holder_alive(now) and sender != self.holder):
             return False
@@ -416,7 +416,7 @@
         own_term = self.leadership.term if self.leadership is not None else 0
         if not is_stale and own_term <= term:
             self.follow(now, sender, term)
-        if now < self.started_at + STARTUP_SILENCE_S:
+        if now < self.started_at + STARTUP_VOTE_DELAY_S:
             return
         bound_to = max(self.voted_term, self.released_term) if is_stale else max(own_term, term)
         self.highest_term = max(self.highest_term, term)
--- a/shedgrade/controlplane/status.py
+++ b/shedgrade/controlplane/status.py
@@ -1,6 +1,11 @@
-"""What one core member knows, for `GET /status`. All from memory, so it is answered in any state."""
+"""What one core member knows, for `GET /status`. All from memory, so it is answered in any state.
+
+The keys are those of the operators' page: they stay, whatever the names inside are.
+"""
 
 from collections import Counter
+from collections.abc import Mapping
+from typing import TypedDict
 
 from shedgrade.control_messages import UNKNOWN_AGE_S
 from shedgrade.controlplane.endpoint_list import EndpointList
@@ -12,33 +17,93 @@
 EVACUATED = "evacuated"
 
 
+class MemberStatus(TypedDict):
+    """A core member. `role`: `primary`, `backup`, `witness`, or `seed` before the first epoch."""
+
+    name: str
+    address: str
+    role: str
+
+
+class EdgeEntry(TypedDict):
+    """An edge. `configVersion`: as it holds it; None if it asks another member."""
+
+    name: str
+    front: str
+    zone: str
+    region: str
+    state: str
+    ageS: float
+    configVersion: int | None
+
+
+class EndpointCount(TypedDict):
+    """How many endpoints of a service are in that state in a region."""
+
+    service: str
+    region: str
+    state: str
+    count: int
+
+
+class EndpointListStatus(TypedDict):
+    """The platform's list. `ageS`: None if nothing is known."""
+
+    term: int
+    number: int
+    ageS: float | None
+    byRegion: list[EndpointCount]
+
+
+class HolderStatus(TypedDict):
+    """Who holds a singleton role."""
+
+    address: str
+    term: int
+
+
+class Status(TypedDict):
+    """The answer to `GET /status`. `duties`: the singleton roles, None where no holder is known."""
+
+    node: str
+    role: str
+    epoch: int
+    primary: str | None
+    finished: list[int]
+    members: list[MemberStatus]
+    configVersion: int
+    evacuations: list[str]
+    edges: list[EdgeEntry]
+    upstreams: EndpointListStatus
+    duties: dict[str, HolderStatus | None]
+
+
 def status(
     now: float,
     node: str,
-    zones: dict[str, str],
+    zones: Mapping[str, str],
     member: Member,
     hub: WatchHub,
-    instances: EndpointList,
+    endpoint_list: EndpointList,
     roles: SingletonRoles,
-) -> dict:
-    """Plain data for JSON. `configVersion` of an edge: as it holds it; None if it asks another member. The
-    state of an upstream whose zone is evacuated is `evacuated`; `ageS`: None if nothing is known."""
+) -> Status:
+    """`zones`: their regions."""
     return {
         "node": node,
         "role": member.role,
         "epoch": member.epoch,
         "primary": member.primary,
         "finished": list(member.finished[:2]),
-        "members": members(member),
+        "members": member_statuses(member),
         "configVersion": hub.version,
         "evacuations": list(hub.evacuations),
-        "edges": edges(now, hub),
-        "upstreams": upstreams(now, zones, hub, instances),
-        "duties": {name: duty(roles.holder(name, now)) for name in roles.elections},
+        "edges": edge_entries(now, hub),
+        "upstreams": endpoint_list_status(now, zones, hub, endpoint_list),
+        "duties": {role: holder_status(roles.holder(role, now)) for role in roles.elections},
     }
 
 
-def members(member: Member) -> list[dict]:
+def member_statuses(member: Member) -> list[MemberStatus]:
     """As the newest epoch known here names them; before the first one, the seeds."""
     record = member.held.record
 
@@ -55,12 +120,12 @@
     ]
 
 
-def edges(now: float, hub: WatchHub) -> list[dict]:
+def edge_entries(now: float, hub: WatchHub) -> list[EdgeEntry]:
     """All that are remembered, those that leave or fell silent among them."""
-    told = []
+    entries: list[EdgeEntry] = []
     for name, heard in sorted(hub.heard.items()):
-        parked = hub.parked.get(name)
-        told.append(
+        pending = hub.parked.get(name)
+        entries.append(
             {
                 "name": name,
                 "front": heard.edge.listen_address,
@@ -68,23 +133,28 @@
                 "region": heard.edge.region,
                 "state": heard.edge.state,
                 "ageS": round(now - heard.at, 3),
-                "configVersion": None if parked is None else parked.ask.configuration_version,
+                "configVersion": None if pending is None else pending.ask.configuration_version,
             }
         )
-    return told
+    return entries
 
 
-def upstreams(now: float, zones: dict[str, str], hub: WatchHub, instances: EndpointList) -> dict:
-    counts: Counter = Counter()
-    for cached in instances.endpoints.values():
-        one = cached.endpoint
-        state = EVACUATED if one.zone in hub.evacuations else one.state
-        counts[one.service, zones.get(one.zone, ""), state] += 1
-    age = instances.age_s(now)
+def endpoint_list_status(
+    now: float, zones: Mapping[str, str], hub: WatchHub, endpoint_list: EndpointList
+) -> EndpointListStatus:
+    """The list's version and age, and its endpoints counted by service, region and state. That of an endpoint
+    whose zone is evacuated is EVACUATED.
+    """
+    counts: Counter[tuple[str, str, str]] = Counter()
+    for cached in endpoint_list.endpoints.values():
+        endpoint = cached.endpoint
+        state = EVACUATED if endpoint.zone in hub.evacuations else endpoint.state
+        counts[endpoint.service, zones.get(endpoint.zone, ""), state] += 1
+    age_s = endpoint_list.age_s(now)
     return {
-        "term": instances.term,
-        "number": instances.number,
-        "ageS": None if age >= UNKNOWN_AGE_S else round(age, 3),
+        "term": endpoint_list.term,
+        "number": endpoint_list.number,
+        "ageS": None if age_s >= UNKNOWN_AGE_S else round(age_s, 3),
         "byRegion": [
             {"service": service, "region": region, "state": state, "count": count}
             for (service, region, state), count in sorted(counts.items())
@@ -92,5 +162,6 @@
     }
 
 
-def duty(holder: RoleHolder | None) -> dict | None:
+def holder_status(holder: RoleHolder | None) -> HolderStatus | None:
+    """None: not known."""
     return None if holder is None else {"address": holder.address, "term": holder.term}
--- a/shedgrade/dataplane/service.py
+++ b/shedgrade/dataplane/service.py
@@ -26,7 +26,7 @@
         self.record, self.loop = record, loop
 
     def holders(self, key: int) -> Mapping[int, float]:
-        return self.record.holders(self.loop.time(), key)
+        return self.record.endpoints_caching(self.loop.time(), key)
 
     def saw(self, key: int, mark: int) -> None:
         self.record.record_prefill(self.loop.time(), key, mark)
--- a/shedgrade/load_reports/aggregator.py
+++ b/shedgrade/load_reports/aggregator.py
@@ -18,14 +18,14 @@
 class LoadSource:
     """The loads that one edge or one member reported, as they are part of the sums here.
 
-    loads: none of them 0. heard_at: when the last report came.
+    loads: none of them 0. last_report_at: when the last report came.
     """
 
-    __slots__ = ("heard_at", "loads")
+    __slots__ = ("last_report_at", "loads")
 
     def __init__(self) -> None:
         self.loads: Loads = {}
-        self.heard_at = -inf
+        self.last_report_at = -inf
 
 
 class ReportingEdge(LoadSource):
@@ -74,7 +74,7 @@
         edge = self.edges.get(report.edge)
         if edge is None:
             edge = self.edges[report.edge] = ReportingEdge(report.home_region, send)
-        edge.heard_at = now
+        edge.last_report_at = now
         edge.home_region = report.home_region
         edge.send = send
         edge.needs_full_update = edge.needs_full_update or report.is_full
@@ -83,7 +83,7 @@
     def receive_sums(self, now: float, message: LoadSums) -> None:
         """Another member sent the sums of its edges."""
         source = self.members.setdefault(message.member, LoadSource())
-        source.heard_at = now
+        source.last_report_at = now
         self.replace_loads(source, message.loads, message.is_full)
 
     def replace_loads(
@@ -108,12 +108,16 @@
                 edge.unsent |= changed
         return changed
 
-    def forget_silent(self, now: float) -> None:
+    def expire_sources(self, now: float) -> None:
         """Whoever has not been heard from for a while has nothing in flight, as far as is known."""
-        for name in [name for name, edge in self.edges.items() if now - edge.heard_at > SOURCE_TIMEOUT_S]:
+        for name in [
+            name for name, edge in self.edges.items() if now - edge.last_report_at > SOURCE_TIMEOUT_S
+        ]:
             self.unshared |= self.replace_loads(self.edges[name], {}, True, self.own_sums)
             del self.edges[name]
-        for name in [name for name, peer in self.members.items() if now - peer.heard_at > SOURCE_TIMEOUT_S]:
+        for name in [
+            name for name, peer in self.members.items() if now - peer.last_report_at > SOURCE_TIMEOUT_S
+        ]:
             self.replace_loads(self.members[name], {}, True)
             del self.members[name]
 
--- a/shedgrade/prefix_cache_index/edge.py
+++ b/shedgrade/prefix_cache_index/edge.py
@@ -32,7 +32,7 @@
         self.unsent: dict[Pair, None] = {}
         self.reported_at: dict[Pair, float] = {}
 
-    def holders(self, now: float, key: int) -> dict[int, float]:
+    def endpoints_caching(self, now: float, key: int) -> dict[int, float]:
         """Hashes of the endpoints that are believed to have cached the prefix, each with when that was last
         heard of.
         """
--- a/shedgrade/prefix_cache_index/index.py
+++ b/shedgrade/prefix_cache_index/index.py
@@ -66,19 +66,19 @@
 
     def add(self, now: float, pairs: Iterable[Pair]) -> tuple[Pair, ...]:
         """Adds what an edge, or another member, has seen. Returns those that are news, for the others."""
-        news: list[Pair] = []
+        added: list[Pair] = []
         for pair in pairs:
             known = self.pairs.get(pair)
             # Guards against a message that was long under way: an endpoint that is gone has cached nothing.
-            is_gone = self.known_endpoints is not None and pair[1] not in self.known_endpoints
-            if is_gone or (known is not None and now - known[1] < CONFIRM_AFTER_S):
+            is_removed = self.known_endpoints is not None and pair[1] not in self.known_endpoints
+            if is_removed or (known is not None and now - known[1] < CONFIRM_AFTER_S):
                 continue
             self.number += 1
             self.pairs[pair] = self.number, now
             self.pairs.move_to_end(pair)
-            news.append(pair)
+            added.append(pair)
         self.evict(now)
-        return tuple(news)
+        return tuple(added)
 
     def evict(self, now: float) -> None:
         """Drops pairs that are too old or too many."""
--- a/tests/controlplane/test_cut_off_side.py
+++ b/tests/controlplane/test_cut_off_side.py
@@ -12,7 +12,7 @@
 from shedgrade.controlplane.channels import KNOWLEDGE
 from shedgrade.controlplane.directory import Directory
 from shedgrade.controlplane.plane import ControlPlane
-from shedgrade.controlplane.reachability import LOST, ReachabilityMonitor
+from shedgrade.controlplane.reachability import MEMBER_TIMEOUT_S, ReachabilityMonitor
 from shedgrade.http.server import Request
 from shedgrade.process_settings.reading import check
 
@@ -58,27 +58,27 @@
 
 
 def test_who_hears_nobody_is_cut_off_after_a_while(reach):
-    assert not reach.cut_off(9.9 + LOST, MEMBERS, 9.0)
-    assert reach.cut_off(10.1 + LOST, MEMBERS, 9.0)
+    assert not reach.is_cut_off(9.9 + MEMBER_TIMEOUT_S, MEMBERS, 9.0)
+    assert reach.is_cut_off(10.1 + MEMBER_TIMEOUT_S, MEMBERS, 9.0)
 
 
 def test_a_majority_that_votes_is_not_cut_off(reach):
     """Its primary died: what the two that are left say to each other tells that from a cut."""
     reach.heard(10.6, "b:1")
-    assert not reach.cut_off(11.3, MEMBERS, 10.0)
+    assert not reach.is_cut_off(11.3, MEMBERS, 10.0)
 
 
 def test_who_hears_the_primary_is_not_cut_off(reach):
-    assert not reach.cut_off(20.0, MEMBERS, 19.9)
-    assert ReachabilityMonitor("a:1", "south").cut_off(20.0, MEMBERS, float("-inf"))
+    assert not reach.is_cut_off(20.0, MEMBERS, 19.9)
+    assert ReachabilityMonitor("a:1", "south").is_cut_off(20.0, MEMBERS, float("-inf"))
 
 
 def test_half_is_no_majority():
     reach = ReachabilityMonitor("a:1", "south")
     reach.heard(10.0, "b:1")
-    assert reach.cut_off(10.1, (*MEMBERS, "d:1"), 1.0)
+    assert reach.is_cut_off(10.1, (*MEMBERS, "d:1"), 1.0)
     reach.heard(10.0, "d:1")
-    assert not reach.cut_off(10.1, (*MEMBERS, "d:1"), 1.0)
+    assert not reach.is_cut_off(10.1, (*MEMBERS, "d:1"), 1.0)
 
 
 def test_a_host_is_stranded_by_one_route_that_is_at_home_elsewhere(reach):
@@ -88,7 +88,7 @@
         ("both.example", ["north", "south"], {"service": "big"}),
         ("free.example", [], {"service": "big"}),
     )
-    assert reach.stranded(raw, ["big"]) == {"homed.example"}
+    assert reach.stranded_hosts(raw, ["big"]) == {"homed.example"}
 
 
 def test_a_host_is_stranded_where_its_services_have_no_upstream(reach):
@@ -101,17 +101,17 @@
             {"weightedSplit": [{"service": "big", "weight": 1}, {"service": "small", "weight": 9}]},
         ),
     )
-    assert reach.stranded(raw, ["big"]) == {"two.example"}
-    assert reach.stranded(raw, []) == {"one.example", "two.example", "split.example"}
+    assert reach.stranded_hosts(raw, ["big"]) == {"two.example"}
+    assert reach.stranded_hosts(raw, []) == {"one.example", "two.example", "split.example"}
 
 
 def test_nothing_is_stranded_while_no_configuration_is_known(reach):
-    assert reach.stranded(b"", []) == frozenset()
+    assert reach.stranded_hosts(b"", []) == frozenset()
 
 
 def test_another_configuration_is_read_anew(reach):
-    assert reach.stranded(configuration(("one.example", ["north"], {"service": "big"})), ["big"])
-    assert not reach.stranded(configuration(("one.example", ["south"], {"service": "big"})), ["big"])
+    assert reach.stranded_hosts(configuration(("one.example", ["north"], {"service": "big"})), ["big"])
+    assert not reach.stranded_hosts(configuration(("one.example", ["south"], {"service": "big"})), ["big"])
 
 
 def test_the_directory_sends_on_who_asks_for_a_stranded_host():
--- a/tests/controlplane/test_directory.py
+++ b/tests/controlplane/test_directory.py
@@ -16,7 +16,7 @@
     STARTING,
     EdgeRecord,
 )
-from shedgrade.controlplane.directory import MOST, Directory, cover
+from shedgrade.controlplane.directory import MAX_ADDRESSES, Directory, drain_target
 from shedgrade.controlplane.home_regions import ANYWHERE, NOWHERE_ELSE, HomeRegions
 from shedgrade.http.server import Request
 
@@ -82,11 +82,13 @@
     )
     homes = HomeRegions()
     reply = directory.handle(
-        Request(b"GET", b"/resolution", query), edges, homes=lambda host: homes.of(configuration, host)
+        Request(b"GET", b"/resolution", query), edges, homes=lambda host: homes.of_host(configuration, host)
     )
     assert orjson.loads(reply.body)["addressList"] == ["10.0.0.1:80", "10.0.0.2:80"]
     elsewhere = directory.handle(
-        Request(b"GET", b"/resolution", query), edges[2:], homes=lambda host: homes.of(configuration, host)
+        Request(b"GET", b"/resolution", query),
+        edges[2:],
+        homes=lambda host: homes.of_host(configuration, host),
     )
     assert elsewhere.status == 503
 
@@ -102,14 +104,16 @@
     )
     homes = HomeRegions()
     for raw, name in [(b"", "rota.example"), (configuration, "other.example")]:
-        assert homes.of(raw, name) == NOWHERE_ELSE
+        assert homes.of_host(raw, name) == NOWHERE_ELSE
         query = {"name": name, "region": "north", "zone": "north-a"}
         for edges, status in [([edge(3, "north-b")], 200), ([edge(4, "south-a")], 503)]:
             reply = directory.handle(
-                Request(b"GET", b"/resolution", query), edges, homes=lambda host, raw=raw: homes.of(raw, host)
+                Request(b"GET", b"/resolution", query),
+                edges,
+                homes=lambda host, raw=raw: homes.of_host(raw, host),
             )
             assert reply.status == status
-    assert homes.of(configuration, "Rota.Example") is ANYWHERE
+    assert homes.of_host(configuration, "Rota.Example") is ANYWHERE
 
 
 def test_homes_that_no_two_routes_share_leave_the_clients_own_region():
@@ -120,7 +124,7 @@
             "routeList": [route("/a/", ["north"]), route("/b/", ["south"])],
         }
     )
-    assert HomeRegions().of(configuration, "rota.example") == NOWHERE_ELSE
+    assert HomeRegions().of_host(configuration, "rota.example") == NOWHERE_ELSE
 
 
 def route(path, homes):
@@ -186,9 +190,11 @@
 def test_an_edge_that_leaves_learns_who_takes_its_clients(homes, zones, told):
     others = [edge(number, zone) for number, zone in enumerate(zones, 2)]
     leaving, later = edge(1, state=LEAVING), edge(9, "north-b", state=LEAVING)
-    assert cover(leaving, [leaving, later, *others], homes) == told
-    assert cover(later, [leaving, later, *others], homes) == (READY if told == READY else NO_DRAIN_TARGET)
-    assert cover(leaving, [leaving, *others], homes) == (READY if told == READY else NO_DRAIN_TARGET)
+    assert drain_target(leaving, [leaving, later, *others], homes) == told
+    assert drain_target(later, [leaving, later, *others], homes) == (
+        READY if told == READY else NO_DRAIN_TARGET
+    )
+    assert drain_target(leaving, [leaving, *others], homes) == (READY if told == READY else NO_DRAIN_TARGET)
 
 
 def test_who_was_told_to_end_earlier_goes_first():
@@ -196,14 +202,14 @@
         msgspec.structs.replace(edge(number, state=LEAVING), ending_since=since)
         for number, since in [(2, 10.0), (1, 12.0)]
     )
-    assert cover(early, [early, late], {"h": ANYWHERE}) == LEAVING
-    assert cover(late, [early, late], {"h": ANYWHERE}) == NO_DRAIN_TARGET
+    assert drain_target(early, [early, late], {"h": ANYWHERE}) == LEAVING
+    assert drain_target(late, [early, late], {"h": ANYWHERE}) == NO_DRAIN_TARGET
 
 
 def test_a_bounded_number_is_drawn(directory):
     edges = [edge(number) for number in range(1, 200)]
     first, second = resolved(directory, edges), resolved(directory, edges)
-    assert len(set(first)) == len(set(second)) == MOST and set(first) != set(second)
+    assert len(set(first)) == len(set(second)) == MAX_ADDRESSES and set(first) != set(second)
 
 
 def test_no_edge_that_is_ready(directory):
@@ -236,7 +242,7 @@
         return
     by_front = {one.listen_address: one for one in edges}
     chosen = [by_front[address] for address in orjson.loads(reply.body)["addressList"]]
-    assert 0 < len(chosen) == len({one.name for one in chosen}) <= MOST
+    assert 0 < len(chosen) == len({one.name for one in chosen}) <= MAX_ADDRESSES
     own = [one for one in edges if one.zone == zone]
     if len(own) > 1:
         assert all(one.zone == zone for one in chosen)
--- a/tests/load_reports/test_load_reports.py
+++ b/tests/load_reports/test_load_reports.py
@@ -41,7 +41,7 @@
 
     def beat(self, now, lost=lambda: False):
         for name, aggregator in self.aggregators.items():
-            aggregator.forget_silent(now)
+            aggregator.expire_sources(now)
             aggregator.send_updates(now)
             shared = aggregator.take_unshared()
             for other, peer in self.aggregators.items():
@@ -119,7 +119,7 @@
     core.report(0.0, "a", "one", {1: 3}, True)
     core.beat(0.1)
     assert core.aggregators["b"].sums == {1: 3}
-    core.aggregators["b"].forget_silent(0.2 + SOURCE_TIMEOUT_S)
+    core.aggregators["b"].expire_sources(0.2 + SOURCE_TIMEOUT_S)
     assert not core.aggregators["b"].sums
 
 
--- a/tests/prefix_cache_index/test_prefix_index.py
+++ b/tests/prefix_cache_index/test_prefix_index.py
@@ -23,11 +23,11 @@
     one.record_prefill(1.0, A, 11)
     ask(1.0, index, one)
     ask(1.1, index, other)
-    assert set(other.holders(1.2, A)) == {11} and other.holders(1.2, B) == {}
+    assert set(other.endpoints_caching(1.2, A)) == {11} and other.endpoints_caching(1.2, B) == {}
     other.record_prefill(1.3, A, 12)
     ask(1.4, index, other)
     ask(1.5, index, one)
-    assert set(one.holders(1.5, A)) == {11, 12}
+    assert set(one.endpoints_caching(1.5, A)) == {11, 12}
 
 
 def test_what_is_known_is_not_told_again_for_a_while():
@@ -51,12 +51,12 @@
 def test_nothing_is_believed_without_a_fresh_word():
     edge = EdgePrefixIndex()
     edge.record_prefill(1.0, A, 11)
-    assert edge.holders(1.0, A) == {}
+    assert edge.endpoints_caching(1.0, A) == {}
     edge.apply_response(1.0, False, PrefixIndexUpdate(7, 1, -1, ((A, 11),)))
-    assert edge.holders(1.0, A) == {}
+    assert edge.endpoints_caching(1.0, A) == {}
     edge.apply_response(1.0, True, PrefixIndexUpdate(7, 1, -1, ((A, 11),)))
-    assert set(edge.holders(1.0, A)) == {11}
-    assert edge.holders(1.0 + TRUST_TIMEOUT_S + 0.1, A) == {}
+    assert set(edge.endpoints_caching(1.0, A)) == {11}
+    assert edge.endpoints_caching(1.0 + TRUST_TIMEOUT_S + 0.1, A) == {}
 
 
 def test_after_a_cut_an_edge_believes_nothing_until_it_was_told_all_anew():
@@ -65,9 +65,9 @@
     ask(1.0, index, edge)
     index.retain_endpoints({12})  # 11 was lost while the edge was cut off
     edge.apply_response(9.0, True, None)  # the first word: nothing new by the old number
-    assert edge.holders(9.0, A) == {} and edge.version == (0, -1)
+    assert edge.endpoints_caching(9.0, A) == {} and edge.version == (0, -1)
     ask(9.1, index, edge)
-    assert edge.holders(9.1, A) == {} and set(edge.holders(9.1, B)) == {12}
+    assert edge.endpoints_caching(9.1, A) == {} and set(edge.endpoints_caching(9.1, B)) == {12}
 
 
 def test_a_delta_after_a_cut_is_not_enough():
@@ -77,9 +77,9 @@
     before = edge.version
     index.add(8.0, [(B, 12)])
     edge.apply_response(9.0, True, index.update_since(*before))
-    assert edge.holders(9.0, A) == {} and edge.holders(9.0, B) == {}
+    assert edge.endpoints_caching(9.0, A) == {} and edge.endpoints_caching(9.0, B) == {}
     ask(9.1, index, edge)
-    assert set(edge.holders(9.1, A)) == {11} and set(edge.holders(9.1, B)) == {12}
+    assert set(edge.endpoints_caching(9.1, A)) == {11} and set(edge.endpoints_caching(9.1, B)) == {12}
 
 
 def test_a_member_that_was_cut_off_says_nothing_until_another_told_it_all():
@@ -92,7 +92,7 @@
     assert cut.update_since(0, -1) is None and cut.update_since(7, 1) is None
     cut.restore(5.0, sound.update_since(0, -1))
     edge.apply_response(5.0, True, cut.update_since(7, 1))  # numbers from before the cut: told whole
-    assert edge.holders(5.0, A) == {} and set(edge.holders(5.0, B)) == {12}
+    assert edge.endpoints_caching(5.0, A) == {} and set(edge.endpoints_caching(5.0, B)) == {12}
 
 
 def test_all_started_anew_hold_nothing():
@@ -109,7 +109,7 @@
     ask(1.0, index, edge)
     index.retain_endpoints({12})
     ask(1.5, index, edge)
-    assert set(edge.holders(1.5, A)) == {12}
+    assert set(edge.endpoints_caching(1.5, A)) == {12}
     assert not index.add(2.0, [(A, 11)])  # a word that was long under way
     index.retain_endpoints({11, 12})  # the list had lacked it for a moment
     assert index.add(2.0, [(A, 11)])
@@ -121,7 +121,7 @@
     ask(1.0, index, edge)
     for second in range(2, int(PAIR_TTL_S) + 3):
         ask(float(second), index, edge)
-    assert edge.holders(PAIR_TTL_S + 2.5, A) == {}
+    assert edge.endpoints_caching(PAIR_TTL_S + 2.5, A) == {}
     index.add(PAIR_TTL_S + 2.5, [(B, 12)])
     assert (A, 11) not in index.pairs
 
@@ -171,5 +171,5 @@
         ask(now + 10, indexes[0], edge)
         ask(now + 10.1, indexes[0], edge)
         for key in (A, B):
-            for endpoint in edge.holders(now + 10.2, key):
+            for endpoint in edge.endpoints_caching(now + 10.2, key):
                 assert endpoint in alive and (key, endpoint) in read
