--- a/tests/controlplane/test_directory.py
+++ b/tests/controlplane/test_directory.py
@@ -49,6 +49,12 @@
     return [int(address.rpartition(":")[0].rpartition(".")[2]) for address in told["addressList"]]
 
 
+def test_an_answer_has_these_bytes(directory):
+    query = {"name": "h", "region": "north", "zone": "north-a"}
+    reply = directory.handle(Request(b"GET", b"/resolution", query), [edge(1), edge(2)])
+    assert reply.body == b'{"addressList":["10.0.0.1:80","10.0.0.2:80"],"ttlS":1}'
+
+
 def test_clients_go_to_their_own_zone(directory):
     edges = [edge(1), edge(2), edge(3, "north-b"), edge(4, "south-a")]
     assert resolved(directory, edges) == [1, 2]
