--- a/shedgrade/controlplane/plane.py
+++ b/shedgrade/controlplane/plane.py
@@ -12,34 +12,36 @@
 
 from shedgrade import control_messages
 from shedgrade.control_messages import (
-    Ask,
-    AskList,
-    EdgeSeen,
-    EdgesKnown,
-    EdgeState,
-    ListMoved,
+    EdgeObservations,
+    EdgeRecord,
+    EdgeStatus,
+    EndpointListRequest,
+    EndpointUpdate,
+    WatchRequest,
 )
-from shedgrade.controlplane import singleton_roles as duty
+from shedgrade.controlplane import role_messages
 from shedgrade.controlplane.channels import DUTIES, KNOWLEDGE, ORDERS, REPLICATION
-from shedgrade.controlplane.directory import Directory, cover
+from shedgrade.controlplane.directory import Directory, drain_target
 from shedgrade.controlplane.disk import Disk
+from shedgrade.controlplane.endpoint_list import EndpointList
 from shedgrade.controlplane.home_regions import HomeRegions, Regions
 from shedgrade.controlplane.operator_api import Operators
 from shedgrade.controlplane.ordering import Ordering
 from shedgrade.controlplane.orders import make_decide
-from shedgrade.controlplane.platform_poller import InstanceList, Poller
-from shedgrade.controlplane.prefix_index_exchange import Recording
-from shedgrade.controlplane.reachability import Reach
+from shedgrade.controlplane.platform_poller import Poller
+from shedgrade.controlplane.prefix_index_exchange import PrefixIndexExchange
+from shedgrade.controlplane.reachability import ReachabilityMonitor
+from shedgrade.controlplane.singleton_roles import SingletonRoles
 from shedgrade.controlplane.standstill import Standstill
-from shedgrade.controlplane.status import status
+from shedgrade.controlplane.status import Status, status
 from shedgrade.controlplane.watch_hub import WatchHub
 from shedgrade.http.server import HttpServer
-from shedgrade.load_reports import LoadHub, LoadReport, LoadsShared
+from shedgrade.load_reports import LoadAggregator, LoadReport, LoadSums
 from shedgrade.membership.messages import Node
 from shedgrade.membership.running import Gossip
 from shedgrade.peer_transport.address import split
 from shedgrade.peer_transport.tcp import Links, LinkServer
-from shedgrade.prefix_cache_index import AskRecord, RecordMoved, RecordRead
+from shedgrade.prefix_cache_index import PrefixIndexAdditions, PrefixIndexRequest, PrefixIndexUpdate
 from shedgrade.process_settings import Reload, Settings, Watched
 from shedgrade.replication import (
     Answer,
@@ -55,17 +57,17 @@
 from shedgrade.runtime.stall_detection import ArrivalClock, steady_clock
 from shedgrade.storage import Found, Store
 
-LIST = "upstreams"  # the duty of polling the platform's list
+LIST = "upstreams"  # the role of polling the platform's list
 BEAT = 0.25  # s between two looks at what has no timer of its own
 SPREAD = 0.5  # s between two words to other members about the edges heard here
 LEAVES = 0.2  # s for what was said last to leave
 KILL_MARGIN = 1.0  # s before SIGKILL at which this process ends, whatever it still waits for
 RELOAD = 0.2  # s before a disk that can't be read is tried again
 LOAD_BEAT = 0.1  # s between two words to edges and members about what edges have in flight
-AGED = 3  # beats without a list from the platform after which its holder gives the duty up
+AGED = 3  # beats without a list from the platform after which its holder gives the role up
 
 encode = msgspec.msgpack.Encoder().encode
-decode_duties = msgspec.msgpack.Decoder(duty.Message).decode
+decode_role_message = msgspec.msgpack.Decoder(role_messages.Message).decode
 decode_replication = msgspec.msgpack.Decoder(messages.Message).decode
 
 
@@ -89,7 +91,7 @@
 
 
 class ControlPlane:
-    """Owns the member of the control state, the hub, the list, the duties, and all their sockets."""
+    """Owns the member of the control state, the hub, the list, the roles, and all their sockets."""
 
     def __init__(
         self,
@@ -131,16 +133,18 @@
         clock = steady_clock(loop)
         self.ordering = Ordering(loop, self.member, self.links, self.pump, clock)
         self.arrivals = ArrivalClock(loop, clock)
-        self.instances = InstanceList(loop.time)
+        self.instances = EndpointList(loop.time)
         self.poller = Poller(loop, settings.cloud_api, self.instances, self.polled, random=random)
-        self.duties = duty.Duties(
-            own, self.member_addresses, random, now, duties=(LIST,), floor=int(wall_clock() * 10)
+        self.roles = SingletonRoles(
+            own, self.member_addresses, random, now, roles=(LIST,), floor=int(wall_clock() * 10)
         )
         self.hub = WatchHub(own, now, exchange=SPREAD, cover=self.cover)
-        self.reach = Reach(own, settings.region)
+        self.reach = ReachabilityMonitor(own, settings.region)
         self.standstill = Standstill(now)
-        self.recording = Recording(self.hub, random.getrandbits(40) + 1, founding, self.tell_knowledge)
-        self.loads = LoadHub(own)
+        self.prefix_index = PrefixIndexExchange(
+            self.hub, random.getrandbits(40) + 1, founding, self.tell_knowledge
+        )
+        self.loads = LoadAggregator(own)
         self.gossip = Gossip(
             loop,
             Node(
@@ -214,13 +218,13 @@
     async def look(self) -> None:
         """Started anew: upstreams are known before a ballot on who polls them is over."""
         early = Poller(self.loop, self.settings.cloud_api, self.instances, self.polled, random=self.random)
-        if await early.peek():
+        if await early.poll_once():
             self.list_moved(self.loop.time())
 
     def leave(self) -> None:
         """SIGTERM: serves on until the others hold what this member holds, within the grace; then ends."""
         now = self.loop.time()
-        self.duties.resign(now)
+        self.roles.resign(now)
         self.member.leave(now, leave_patience(self.settings.bounds["graceS"]))
         self.pump()
 
@@ -234,9 +238,9 @@
         self.standstill.look(now)
         self.hub.confirmed(self.member.confirmed_at)
         self.hub.members(now, self.member_addresses())
-        self.recording.beat(now, self.contact_at())
-        if self.duties.held(LIST) and self.poller.failed >= AGED:
-            self.duties.vacate(now, LIST)
+        self.prefix_index.tick(now, self.contact_at())
+        if self.roles.is_held(LIST) and self.poller.consecutive_failures >= AGED:
+            self.roles.release(now, LIST)
         if now >= self.spread_at:
             self.spread_edges(now)
         self.hub.tick(now)
@@ -248,9 +252,9 @@
         if self.left.is_set():
             return
         self.loop.call_later(LOAD_BEAT, self.share_loads)
-        self.loads.forget_silent(self.loop.time())
-        self.loads.tell_edges(self.loop.time())
-        shared = self.loads.share()
+        self.loads.expire_sources(self.loop.time())
+        self.loads.send_updates(self.loop.time())
+        shared = self.loads.take_unshared()
         if shared is not None:
             self.tell_knowledge(shared)
 
@@ -283,7 +287,7 @@
             if address != self.own:
                 self.links.send(address, body)
 
-    # --- the member and the duties
+    # --- the member and the roles
 
     def persisted(self, token: int, ok: bool) -> None:
         self.member.persisted(self.loop.time(), token, ok)
@@ -295,13 +299,13 @@
             return
         self.pumping = True
         try:
-            while self.member.effects or self.duties.effects:
+            while self.member.effects or self.roles.instructions:
                 effects, self.member.effects[:] = list(self.member.effects), []
                 for effect in effects:
                     self.carry_out(effect)
-                effects, self.duties.effects[:] = list(self.duties.effects), []
+                effects, self.roles.instructions[:] = list(self.roles.instructions), []
                 for effect in effects:
-                    self.carry_out_duty(effect)
+                    self.carry_out_role(effect)
         finally:
             self.pumping = False
         self.set_timer()
@@ -319,18 +323,18 @@
             case Exit():
                 self.left.set()
 
-    def carry_out_duty(self, effect: object) -> None:
+    def carry_out_role(self, effect: object) -> None:
         match effect:
-            case duty.Send(address, message):
+            case role_messages.Send(address, message):
                 self.links.send(address, DUTIES + encode(message))
-            case duty.Won(_, term):
+            case role_messages.RoleAcquired(_, term):
                 logger.info("polls the platform's list, term {}", term)
                 self.poller.start(term)
-            case duty.Lost():
+            case role_messages.RoleLost():
                 self.poller.stop()
 
     def set_timer(self) -> None:
-        at = min(self.member.wake_at(), self.duties.wake_at(), self.hub.wake_at())
+        at = min(self.member.wake_at(), self.roles.wake_at(), self.hub.wake_at())
         if self.timer is not None:
             if at == self.wake:
                 return
@@ -345,7 +349,7 @@
         now = self.loop.time()
         try:
             self.member.tick(now)
-            self.duties.tick(now)
+            self.roles.tick(now)
             self.hub.tick(now)
             self.pump()
         finally:
@@ -377,7 +381,7 @@
             del self.edge_peers[sender]
             host = split(sender)[0]
             for name, heard in list(self.hub.heard.items()):
-                if heard.own and split(heard.edge.front)[0] == host:
+                if heard.own and split(heard.edge.listen_address)[0] == host:
                     self.hub.gone(name)
 
     def came_back(self, sender: str, frame) -> None:
@@ -396,7 +400,7 @@
                 self.member.receive(now, sender, decode_replication(body))
                 self.hub.confirmed(self.member.confirmed_at)
             elif channel == DUTIES:
-                self.duties.receive(now, sender, decode_duties(body))
+                self.roles.receive(now, sender, decode_role_message(body))
             elif channel == KNOWLEDGE:
                 self.learn(now, sender, control_messages.decode(body), answer, unread_s)
             elif channel == ORDERS:
@@ -410,9 +414,9 @@
     def learn(self, now: float, sender: str, message: object, answer, unread_s: float = 0.0) -> None:
         """`unread_s`: the message may have waited at this process so long."""
         match message:
-            case Ask():
+            case WatchRequest():
                 # Guards against core members that all started anew: their terms go above what edges hold.
-                self.duties.met(now, LIST, message.upstreams[0])
+                self.roles.observe_term(now, LIST, message.endpoints_version[0])
                 before = self.hub.own_version
                 self.hub.ask(
                     now, message, lambda told: answer(KNOWLEDGE + control_messages.encode(told)), unread_s
@@ -420,31 +424,30 @@
                 if self.hub.own_version != before:
                     self.spread_edges(now)
             case LoadReport():
-                self.loads.reported(
+                self.loads.receive_report(
                     now,
                     message,
                     lambda told: self.links.send(sender, KNOWLEDGE + control_messages.encode(told)),
                 )
-            case LoadsShared():
-                self.loads.shared(now, message)
-            case RecordMoved() | RecordRead() | AskRecord():
-                self.recording.heard(now, message, lambda body: answer(KNOWLEDGE + body))
-            case EdgesKnown():
+            case LoadSums():
+                self.loads.receive_sums(now, message)
+            case PrefixIndexUpdate() | PrefixIndexAdditions() | PrefixIndexRequest():
+                self.prefix_index.receive(now, message, lambda body: answer(KNOWLEDGE + body))
+            case EdgeObservations():
                 self.reach.heard(now - unread_s, sender)
                 self.hub.peers_edges(now, sender, message, unread_s)
-            case AskList(term, number):
-                answer(KNOWLEDGE + control_messages.encode(self.instances.answer(term, number, now)))
-            case ListMoved():
-                if self.instances.take(message, now, unread_s):
+            case EndpointListRequest(term, number):
+                answer(KNOWLEDGE + control_messages.encode(self.instances.update_since(term, number, now)))
+            case EndpointUpdate():
+                if self.instances.apply_update(message, now, unread_s):
                     self.list_moved(now)
-                elif self.instances.lacks:
-                    answer(KNOWLEDGE + control_messages.encode(self.instances.question(now)))
+                elif self.instances.needs_request:
+                    answer(KNOWLEDGE + control_messages.encode(self.instances.request(now)))
 
     def list_moved(self, now: float) -> None:
-        self.recording.listed(self.instances)
+        self.prefix_index.retain_endpoints(self.instances)
         self.loads.regions = {
-            crc32(one.id.encode()): self.settings.zones.get(one.zone, "")
-            for one in self.instances.instances()
+            crc32(one.id.encode()): self.settings.zones.get(one.zone, "") for one in self.instances.snapshot()
         }
         self.hub.instances(now, self.instances)
 
@@ -453,12 +456,12 @@
         now = self.loop.time()
         if changed:
             self.list_moved(now)
-        self.tell_others(KNOWLEDGE + control_messages.encode(self.instances.answer(*self.listed, now)))
+        self.tell_others(KNOWLEDGE + control_messages.encode(self.instances.update_since(*self.listed, now)))
         self.listed = self.instances.version
 
     # --- operators and clients
 
-    def status(self) -> dict:
+    def status(self) -> Status:
         return status(
             self.loop.time(),
             self.settings.node_name,
@@ -466,28 +469,28 @@
             self.member,
             self.hub,
             self.instances,
-            self.duties,
+            self.roles,
         )
 
     def resolve(self, request, tell) -> None:
         now, stranded = self.loop.time(), frozenset()
-        if self.reach.cut_off(now, self.member_addresses(), self.contact_at()):
-            stranded = self.reach.stranded(self.hub.configuration, self.served_here())
+        if self.reach.is_cut_off(now, self.member_addresses(), self.contact_at()):
+            stranded = self.reach.stranded_hosts(self.hub.configuration, self.served_here())
         tell(self.directory.handle(request, self.hub.edges(now), stranded, self.homes_of))
 
     def homes_of(self, host: str) -> Regions:
         """Where else than in their own region clients of a host may be sent."""
-        return self.home_regions.of(self.hub.configuration, host)
+        return self.home_regions.of_host(self.hub.configuration, host)
 
-    def cover(self, edge: EdgeState, others: tuple[EdgeSeen, ...]) -> str:
+    def cover(self, edge: EdgeStatus, others: tuple[EdgeRecord, ...]) -> str:
         """Who takes the clients of an edge that leaves."""
-        return cover(edge, others, self.home_regions.all(self.hub.configuration))
+        return drain_target(edge, others, self.home_regions.of_all_hosts(self.hub.configuration))
 
     def served_here(self) -> set[str]:
         """Services with a ready upstream in the own region."""
         zones, region = self.settings.zones, self.settings.region
         return {
             one.service
-            for one in self.instances.instances()
+            for one in self.instances.snapshot()
             if one.state == "available" and zones.get(one.zone) == region
         }
--- a/tests/stored/struct_examples.py
+++ b/tests/stored/struct_examples.py
@@ -56,7 +56,7 @@
 # Module then: module now. A module that is not here is where it was.
 MODULES = {
     "capture.config": "sidecar.capture.config",
-    "controlplane.duties": "controlplane.singleton_roles",
+    "controlplane.duties": "controlplane.role_messages",
     "core.learnt": "sidecar.learned_state_file",
     "knowledge": "control_messages",
     "lifecycle.features": "sidecar.lifecycle.features",
@@ -77,6 +77,23 @@
     "replication.messages:Piece": "replication.messages:Chunk",
     "replication.messages:PieceAck": "replication.messages:ChunkAck",
     "replication.messages:Whereabouts": "replication.messages:PrimaryHint",
+    "controlplane.duties:Ballot": "controlplane.role_messages:VoteRequest",
+    "controlplane.duties:Vacated": "controlplane.role_messages:RoleReleased",
+    "controlplane.duties:Vote": "controlplane.role_messages:VoteResponse",
+    "knowledge:Ask": "control_messages:WatchRequest",
+    "knowledge:AskList": "control_messages:EndpointListRequest",
+    "knowledge:EdgeHeard": "control_messages:EdgeObservation",
+    "knowledge:EdgeSeen": "control_messages:EdgeRecord",
+    "knowledge:EdgeState": "control_messages:EdgeStatus",
+    "knowledge:EdgesKnown": "control_messages:EdgeObservations",
+    "knowledge:Instance": "control_messages:Endpoint",
+    "knowledge:ListMoved": "control_messages:EndpointUpdate",
+    "knowledge:Told": "control_messages:WatchResponse",
+    "loads.messages:LoadsShared": "load_reports.messages:LoadSums",
+    "loads.messages:LoadsTold": "load_reports.messages:LoadUpdate",
+    "record.ledger:AskRecord": "prefix_cache_index.index:PrefixIndexRequest",
+    "record.ledger:RecordMoved": "prefix_cache_index.index:PrefixIndexUpdate",
+    "record.ledger:RecordRead": "prefix_cache_index.index:PrefixIndexAdditions",
 }
 
 
--- a/tests/stored/test_structs_as_found.py
+++ b/tests/stored/test_structs_as_found.py
@@ -14,6 +14,7 @@
 EXAMPLES = json.loads((Path(__file__).parent.parent / "data" / "structs.json").read_text())
 
 # Name then: name of the field then: name now.
+EDGE_STATUS_FIELDS = {"front": "listen_address", "life": "incarnation"}
 FIELDS: dict[str, dict[str, str]] = {
     "replication.messages:Hello": {"record": "known_epoch", "finished": "committed"},
     "replication.messages:Whereabouts": {"record": "epoch_config"},
@@ -49,6 +50,36 @@
         "leaving": "is_leaving",
         "synced": "durable_position",
     },
+    "controlplane.duties:Acknowledgement": {"duty": "role", "known": "highest_term"},
+    "controlplane.duties:Ballot": {"duty": "role"},
+    "controlplane.duties:Heartbeat": {"duty": "role"},
+    "controlplane.duties:Vacated": {"duty": "role"},
+    "controlplane.duties:Vote": {"duty": "role", "known": "highest_term"},
+    "knowledge:Ask": {
+        "control": "control_version",
+        "upstreams": "endpoints_version",
+        "wait": "wait_s",
+        "version": "configuration_version",
+        "age_s": "endpoints_age_s",
+        "reads": "prefix_reads",
+        "record": "prefix_index_version",
+    },
+    "knowledge:EdgeHeard": {"wait": "wait_s"},
+    "knowledge:EdgeSeen": EDGE_STATUS_FIELDS,
+    "knowledge:EdgeState": EDGE_STATUS_FIELDS,
+    "knowledge:Told": {
+        "upstreams": "endpoints",
+        "edges": "edge_count",
+        "fresh_s": "primary_age_s",
+        "age_s": "endpoints_age_s",
+        "held_s": "pending_s",
+        "record": "prefix_index",
+        "cover": "drain_target",
+    },
+    "loads.messages:LoadReport": {"near": "home_region", "whole": "is_full"},
+    "loads.messages:LoadsShared": {"whole": "is_full"},
+    "loads.messages:LoadsTold": {"whole": "is_full"},
+    "record.ledger:RecordMoved": {"gone": "removed"},
 }
 
 
