--- a/benchmarks/asking.py
+++ b/benchmarks/asking.py
@@ -20,8 +20,8 @@
 from shedgrade import control_messages
 from shedgrade.control_messages import READY, EdgeState, ListMoved
 from shedgrade.dataplane.control_client import Watcher
-from shedgrade.peer_transport.peer import LinkError
-from shedgrade.peer_transport.tcp import Links
+from shedgrade.peer_transport.connection import PeerCallError
+from shedgrade.peer_transport.tcp import PeerConnectionPool
 
 SPAN = 5  # s of each measurement
 PAGE = 50  # entries
@@ -72,7 +72,7 @@
         self.loop, self.count, self.tasks = loop, count, set()
         address = f"127.0.6.{number % 250}:{7300 + number}"
         state = EdgeState(f"edge-{number}", address, "zone-a", "region-a", number, READY)
-        self.links = Links(loop, address, lambda sender, frame: None, address.partition(":")[0])
+        self.links = PeerConnectionPool(loop, address, lambda sender, frame: None, address.partition(":")[0])
         self.asker = Watcher(
             state, [f"{core}:7300" for core in streams.CORES], Random(number), loop.time(), beat=0.5
         )
@@ -93,7 +93,7 @@
             body = await self.links.call(
                 effect.address, b"K" + control_messages.encode(effect.ask), effect.timeout
             )
-        except LinkError:
+        except PeerCallError:
             self.count["asks without an answer"] += 1
             self.asker.failed(self.loop.time(), effect.address, effect.number)
         else:
--- a/benchmarks/system.py
+++ b/benchmarks/system.py
@@ -106,10 +106,12 @@
     from shedgrade.buffers.budget import Budget
     from shedgrade.dataplane.service import ServicePool
     from shedgrade.dataplane.state import State
-    from shedgrade.process_settings.settings import Bounds
+    from shedgrade.process_settings.settings import TimingBounds
     from shedgrade.runtime.clock import Clock
 
-    settings = SimpleNamespace(zones=zones(), bounds=Bounds({}), cloud_api=SimpleNamespace(max_lag_ms=800))
+    settings = SimpleNamespace(
+        zones=zones(), bounds=TimingBounds({}), cloud_api=SimpleNamespace(max_lag_ms=800)
+    )
     clock, budget = Clock(), Budget(4000, 300)
 
     def make_pool(name, repeats):
@@ -131,7 +133,7 @@
     from shedgrade.controlplane.platform_poller import InstanceList
     from shedgrade.runtime import log
 
-    log.hand(SimpleNamespace(**dict.fromkeys(log.METHODS, lambda *_: None)))
+    log.set_sink(SimpleNamespace(**dict.fromkeys(log.METHODS, lambda *_: None)))
     loop, count = asyncio.new_event_loop(), options.upstreams
     state = an_edge(loop)
     state.controlled(change(configuration(10)))
@@ -293,7 +295,7 @@
 
 def measure_views(options) -> None:
     from shedgrade.membership.messages import Node
-    from shedgrade.membership.view import View
+    from shedgrade.membership.view import PartialView
 
     random, count, seconds = Random(1), options.edges, 30
     nodes = [
@@ -309,9 +311,9 @@
         for number in range(count)
     ]
     before = resident()
-    views = {node.address: View(node, Random(random.random()), 0.0) for node in nodes}
+    views = {node.address: PartialView(node, Random(random.random()), 0.0) for node in nodes}
     for view in views.values():
-        view.know(nodes[:3])
+        view.add_contacts(nodes[:3])
     sent = bytes_sent = 0
     begun = process_time()
     for step in range(seconds * 20):
@@ -326,8 +328,8 @@
         while busy:
             met = []
             for view in busy:
-                effects, view.effects[:] = list(view.effects), []
-                for effect in effects:
+                instructions, view.instructions[:] = list(view.instructions), []
+                for effect in instructions:
                     sent, bytes_sent = sent + 1, bytes_sent + len(effect.body)
                     if effect.address in views:
                         views[effect.address].receive(now, view.table.me.address, effect.body)
--- a/shedgrade/controlplane/operator_api.py
+++ b/shedgrade/controlplane/operator_api.py
@@ -23,7 +23,7 @@
     Return,
 )
 from shedgrade.findings import Finding
-from shedgrade.http.server import Reply, Request, Tell, failure
+from shedgrade.http.server import Reply, Request, Respond, failure
 from shedgrade.route_matching.calls import CallTree, Match, NotAllowed
 
 AGAIN = ((b"Retry-After", b"0.2"),)
@@ -65,7 +65,7 @@
         ):
             self.calls.add(method, pattern, call)
 
-    def handle(self, request: Request, tell: Tell) -> None:
+    def handle(self, request: Request, tell: Respond) -> None:
         match self.calls.find(request.method, request.path):
             case Match(call, arguments):
                 call(request, tell, *arguments)
@@ -80,7 +80,7 @@
             case _:
                 tell(failure(404, Finding("request", "no such call")))
 
-    def order(self, order: Order, request: Request, tell: Tell) -> None:
+    def order(self, order: Order, request: Request, tell: Respond) -> None:
         def told(reply) -> None:
             if reply is None:
                 tell(UNAVAILABLE)
@@ -92,13 +92,13 @@
 
         self.orders.order(order, told, caller_of(request))
 
-    def put(self, request: Request, tell: Tell) -> None:
+    def put(self, request: Request, tell: Respond) -> None:
         def check() -> Result[int, tuple[Finding, ...]]:
             return read(request.body).map(lambda configuration: configuration.version)
 
         self.configure(PutConfiguration, check, request, tell)
 
-    def patch(self, request: Request, tell: Tell) -> None:
+    def patch(self, request: Request, tell: Respond) -> None:
         self.configure(PatchConfiguration, lambda: read_delta(request.body), request, tell)
 
     def configure(
@@ -106,7 +106,7 @@
         kind: type[ConfigurationOrder],
         check: Callable[[], Result[int, tuple[Finding, ...]]],
         request: Request,
-        tell: Tell,
+        tell: Respond,
     ) -> None:
         """Orders the change if it is sound. `check`: its version, or what is wrong with it."""
         base = version_in(request.headers.get(b"if-match", b""))
@@ -130,7 +130,7 @@
         else:
             self.order(kind(base, version, request.body), request, tell)
 
-    def get(self, request: Request, tell: Tell) -> None:
+    def get(self, request: Request, tell: Respond) -> None:
         def told(state) -> None:
             if state is None:
                 tell(UNAVAILABLE)
@@ -141,12 +141,12 @@
 
         self.orders.read(told, caller_of(request))
 
-    def evacuate(self, request: Request, tell: Tell, zone: bytes) -> None:
+    def evacuate(self, request: Request, tell: Respond, zone: bytes) -> None:
         self.order(Evacuate(unquote(zone, errors="replace")), request, tell)
 
-    def take_back(self, request: Request, tell: Tell, zone: bytes) -> None:
+    def take_back(self, request: Request, tell: Respond, zone: bytes) -> None:
         self.order(Return(unquote(zone, errors="replace")), request, tell)
 
-    def tell_status(self, request: Request, tell: Tell) -> None:
+    def tell_status(self, request: Request, tell: Respond) -> None:
         """From this member's memory, also where there is no primary."""
         tell(Reply(200, msgspec.json.encode(self.status())))
--- a/shedgrade/controlplane/ordering.py
+++ b/shedgrade/controlplane/ordering.py
@@ -21,7 +21,7 @@
     ZoneOrder,
     zone_revisions,
 )
-from shedgrade.peer_transport.peer import LinkError
+from shedgrade.peer_transport.connection import PeerCallError
 from shedgrade.replication import Elsewhere, Member, Reading, Unavailable, Unclear
 
 ANSWER_TIMEOUT = 0.65  # s until a caller is told to go on: after a second of silence it does so by itself
@@ -88,7 +88,7 @@
         try:
             body = await self.ordering.links.call(address, message, RELAY_TIMEOUT + self.extra)
             outcome = channels.decode(body[1:])
-        except (LinkError, msgspec.DecodeError, ValueError):
+        except (PeerCallError, msgspec.DecodeError, ValueError):
             outcome = None
         if isinstance(outcome, Outcome) and (outcome.reply is not None or outcome.state is not None):
             if outcome.state is not None and held and channels.version_of(outcome.state) == held:
--- a/shedgrade/controlplane/plane.py
+++ b/shedgrade/controlplane/plane.py
@@ -35,12 +35,12 @@
 from shedgrade.controlplane.watch_hub import WatchHub
 from shedgrade.http.server import HttpServer
 from shedgrade.load_reports import LoadHub, LoadReport, LoadsShared
+from shedgrade.membership.gossip import Gossip
 from shedgrade.membership.messages import Node
-from shedgrade.membership.running import Gossip
-from shedgrade.peer_transport.address import split
-from shedgrade.peer_transport.tcp import Links, LinkServer
+from shedgrade.peer_transport.address import parse_address
+from shedgrade.peer_transport.tcp import PeerConnectionPool, PeerServer
 from shedgrade.prefix_cache_index import AskRecord, RecordMoved, RecordRead
-from shedgrade.process_settings import Reload, Settings, Watched
+from shedgrade.process_settings import Settings, SettingsFileWatcher, SettingsReloader
 from shedgrade.replication import (
     Answer,
     Finished,
@@ -51,9 +51,9 @@
     messages,
 )
 from shedgrade.runtime.log import logger
-from shedgrade.runtime.loop_errors import fault
+from shedgrade.runtime.loop_errors import log_uncaught
 from shedgrade.runtime.stall_detection import ArrivalClock, steady_clock
-from shedgrade.storage import Found, Store
+from shedgrade.storage import LoadResult, Store
 
 LIST = "upstreams"  # the duty of polling the platform's list
 BEAT = 0.25  # s between two looks at what has no timer of its own
@@ -74,7 +74,7 @@
     return max(grace / 2, grace - LEAVES - KILL_MARGIN)
 
 
-def loaded(store: Store, wait: Callable[[float], None] = sleep) -> Found:
+def loaded(store: Store, wait: Callable[[float], None] = sleep) -> LoadResult:
     """What the disk holds. Guards against a disk in trouble at the start: nothing is served before it is
     read, and a process that ends is started again into the same trouble."""
     told = False
@@ -96,7 +96,7 @@
         settings: Settings,
         loop: asyncio.AbstractEventLoop,
         random: Random,
-        watched: Watched | None = None,
+        watched: SettingsFileWatcher | None = None,
         *,
         files=None,
         make_disk: Callable[..., Disk] = Disk,
@@ -124,8 +124,8 @@
             now=now,
             decide=make_decide(settings.zones),
         )
-        self.links = Links(loop, own, self.came_back, settings.ip_address, self.heard)
-        self.server = LinkServer(
+        self.links = PeerConnectionPool(loop, own, self.came_back, settings.ip_address, self.heard)
+        self.server = PeerServer(
             loop, (settings.ip_address, settings.internal_ports[0]), own, self.heard, self.links.adopt
         )
         clock = steady_clock(loop)
@@ -158,7 +158,7 @@
         self.operators = Operators(self.ordering, self.status)
         self.directory = Directory(settings.zones, random, settings.bounds)
         self.home_regions = HomeRegions()
-        self.reload = Reload(settings, watched, self.resettled)
+        self.reload = SettingsReloader(settings, watched, self.resettled)
         self.http: list[HttpServer] = []
         self.timer = None
         self.wake = float("inf")
@@ -170,10 +170,10 @@
     # --- from start to end
 
     async def serve(self) -> None:
-        self.loop.set_exception_handler(fault)
+        self.loop.set_exception_handler(log_uncaught)
         for number in (signal.SIGTERM, signal.SIGINT):
             self.loop.add_signal_handler(number, self.leave)
-        self.loop.add_signal_handler(signal.SIGHUP, lambda: self.reload.look(self.loop.time(), told=True))
+        self.loop.add_signal_handler(signal.SIGHUP, lambda: self.reload.poll(self.loop.time(), forced=True))
         self.disk.start()
         await self.server.start()
         await self.gossip.start()
@@ -200,7 +200,7 @@
         if not self.settings.initial_start:
             self.looking = self.loop.create_task(self.look())
         await self.left.wait()
-        self.gossip.restate("leaving")
+        self.gossip.announce_state("leaving")
         await asyncio.sleep(LEAVES)
         for server in self.http:
             server.close()
@@ -241,7 +241,7 @@
             self.spread_edges(now)
         self.hub.tick(now)
         self.pump()
-        self.reload.look(now)
+        self.reload.poll(now)
 
     def share_loads(self) -> None:
         """What edges have in flight. A fault of our own ends no looks."""
@@ -375,9 +375,9 @@
     def lost(self, peer, sender: str) -> None:
         if self.edge_peers.get(sender) is peer:
             del self.edge_peers[sender]
-            host = split(sender)[0]
+            host = parse_address(sender)[0]
             for name, heard in list(self.hub.heard.items()):
-                if heard.own and split(heard.edge.front)[0] == host:
+                if heard.own and parse_address(heard.edge.front)[0] == host:
                     self.hub.gone(name)
 
     def came_back(self, sender: str, frame) -> None:
--- a/shedgrade/ctl/files.py
+++ b/shedgrade/ctl/files.py
@@ -14,7 +14,7 @@
 def storage(options, output: Output) -> int:
     from shedgrade.storage.check import report
     from shedgrade.storage.files import Files
-    from shedgrade.storage.recovery import State, recover
+    from shedgrade.storage.recovery import StoreState, recover
 
     folder = options["FOLDER"]
     if not Path(folder).is_dir():
@@ -33,12 +33,12 @@
             "findings": [str(finding) for finding in found.findings],
         },
     )
-    return 1 if found.state is State.DAMAGED else 0
+    return 1 if found.state is StoreState.DAMAGED else 0
 
 
 def settings(options, output: Output) -> int:
     from shedgrade.process_settings import SettingsError, load
-    from shedgrade.process_settings.reading import VARIABLE
+    from shedgrade.process_settings.validation import VARIABLE
 
     path = options["FILE"] or os.environ.get(VARIABLE, "")
     if not Path(path).is_file():
--- a/shedgrade/dataplane/plane.py
+++ b/shedgrade/dataplane/plane.py
@@ -29,17 +29,17 @@
 from shedgrade.http.server import HttpServer, Reply
 from shedgrade.load_reports import LoadReporter, LoadsTold, OthersKnown
 from shedgrade.load_reports.edge import INTERVAL as LOAD_INTERVAL
+from shedgrade.membership.gossip import Gossip
 from shedgrade.membership.messages import Node
-from shedgrade.membership.running import Gossip
 from shedgrade.model_routing.retry_budget import Repeats
-from shedgrade.peer_transport.address import join
-from shedgrade.peer_transport.peer import LinkError
-from shedgrade.peer_transport.tcp import Links
+from shedgrade.peer_transport.address import format_address
+from shedgrade.peer_transport.connection import PeerCallError
+from shedgrade.peer_transport.tcp import PeerConnectionPool
 from shedgrade.prefix_cache_index import Record
-from shedgrade.process_settings import Reload, Settings, Watched
+from shedgrade.process_settings import Settings, SettingsFileWatcher, SettingsReloader
 from shedgrade.runtime.clock import Clock
 from shedgrade.runtime.log import logger
-from shedgrade.runtime.loop_errors import fault
+from shedgrade.runtime.loop_errors import log_uncaught
 
 KNOWLEDGE = b"K"  # as the control plane tells its links' bodies apart
 RESERVED = 200  # descriptors that are kept for files
@@ -60,11 +60,11 @@
         settings: Settings,
         loop: asyncio.AbstractEventLoop,
         random: Random,
-        watched: Watched | None = None,
+        watched: SettingsFileWatcher | None = None,
     ) -> None:
         """`watched`: the settings file, which may change; None: there is none."""
         self.settings, self.loop, self.random = settings, loop, random
-        self.reload = Reload(settings, watched, self.resettled)
+        self.reload = SettingsReloader(settings, watched, self.resettled)
         self.clock = Clock()
         self.budget = Budget(max(256, settings.limits.file_descriptors - RESERVED), settings.limits.memory_mb)
         self.record = Record()
@@ -74,7 +74,7 @@
         self.life = random.getrandbits(48)
         self.drain: Drain | None = None  # from SIGTERM on
         self.done = asyncio.Event()
-        self.links = Links(loop, settings.link_address, self.heard, settings.ip_address)
+        self.links = PeerConnectionPool(loop, settings.link_address, self.heard, settings.ip_address)
         self.reporter = LoadReporter(settings.node_name, settings.region)
         self.others = OthersKnown()
         self.asker = Watcher(
@@ -148,10 +148,10 @@
     # --- from start to end
 
     async def serve(self) -> None:
-        self.loop.set_exception_handler(fault)
+        self.loop.set_exception_handler(log_uncaught)
         for number in (signal.SIGTERM, signal.SIGINT):
             self.loop.add_signal_handler(number, self.leave)
-        self.loop.add_signal_handler(signal.SIGHUP, lambda: self.reload.look(self.loop.time(), told=True))
+        self.loop.add_signal_handler(signal.SIGHUP, lambda: self.reload.poll(self.loop.time(), forced=True))
         listen = self.settings.listen
         self.listener = Listener(self.loop, self.front, listen["front"], IngressConnection)
         self.readiness = HttpServer(self.loop, listen["readiness"], self.tell_ready, logger)
@@ -230,7 +230,7 @@
         if now >= self.recount_at:
             self.recount_at = now + RECOUNT
             self.recount(now)
-        self.reload.look(now)
+        self.reload.poll(now)
 
     def resettled(self, settings: Settings) -> None:
         """The settings were read anew."""
@@ -284,14 +284,14 @@
         """Says what this edge is now."""
         state = self.edge_state()
         self.asker.changed(self.loop.time(), state)
-        self.gossip.restate(LEAVING if state.stage else state.state)
+        self.gossip.announce_state(LEAVING if state.stage else state.state)
         self.ask()
 
     def edge_state(self) -> EdgeState:
         settings = self.settings
         return EdgeState(
             settings.node_name,
-            join(settings.listen["front"]),
+            format_address(settings.listen["front"]),
             settings.zone,
             settings.region,
             self.life,
@@ -342,7 +342,7 @@
             asked = KNOWLEDGE + control_messages.encode(ask)
             body = await self.links.call(effect.address, asked, effect.timeout)
             told = control_messages.decode(body[1:])
-        except (LinkError, msgspec.MsgspecError, ValueError):
+        except (PeerCallError, msgspec.MsgspecError, ValueError):
             told = None
         if isinstance(told, Told):
             if not beside:
--- a/shedgrade/file_frames.py
+++ b/shedgrade/file_frames.py
@@ -29,7 +29,7 @@
     """What is wrong with a file, in a few words."""
 
 
-class NewerError(FormatError):
+class NewerVersionError(FormatError):
     """Written by a later version: left as it is, not read."""
 
 
@@ -59,7 +59,7 @@
     if CHECK.unpack_from(data, HEAD.size)[0] != crc32(data[: HEAD.size]):
         raise FormatError("header damaged")
     if version > VERSION:
-        raise NewerError(f"format {version} is newer than {VERSION}")
+        raise NewerVersionError(f"format {version} is newer than {VERSION}")
     records, place, why = [], HEAD_SIZE, ""
     while place < len(data):
         if len(data) - place < FRAME.size:
--- a/shedgrade/http/server.py
+++ b/shedgrade/http/server.py
@@ -67,8 +67,8 @@
     content_type: bytes = JSON
 
 
-Tell = Callable[[Reply], None]
-Handle = Callable[[Request, Tell], None]
+Respond = Callable[[Reply], None]
+Handle = Callable[[Request, Respond], None]
 
 
 def failure(status: int, *findings: Finding, headers: tuple[tuple[bytes, bytes], ...] = ()) -> Reply:
--- a/shedgrade/membership/running.py
+++ b/shedgrade/membership/gossip.py
@@ -7,9 +7,9 @@
 import msgspec
 
 from shedgrade.membership.messages import Node
-from shedgrade.membership.view import View
-from shedgrade.peer_transport.address import split
-from shedgrade.peer_transport.udp import Datagrams
+from shedgrade.membership.view import PartialView
+from shedgrade.peer_transport.address import parse_address
+from shedgrade.peer_transport.udp import DatagramEndpoint
 from shedgrade.runtime.log import logger
 
 PERIOD = 2.4  # s between shuffles: word of others isn't urgent, as the core tells it too
@@ -25,9 +25,9 @@
     ) -> None:
         """`contacts`: UDP addresses "ip:port" of whoever may know others."""
         self.loop = loop
-        self.view = View(me, random, loop.time(), period=PERIOD)
-        self.view.know(Node("", address) for address in contacts)
-        self.datagrams = Datagrams(loop, split(me.address), self.heard)
+        self.view = PartialView(me, random, loop.time(), period=PERIOD)
+        self.view.add_contacts(Node("", address) for address in contacts)
+        self.datagrams = DatagramEndpoint(loop, parse_address(me.address), self.heard)
         self.timer: asyncio.TimerHandle | None = None
         self.wake = float("inf")
         self.running = False
@@ -42,7 +42,7 @@
         self.running = True
         self.look()
 
-    def restate(self, state: str) -> None:
+    def announce_state(self, state: str) -> None:
         """The own node's state; "leaving" is said to all neighbours, and nothing more after it."""
         if state == "leaving":
             self.view.leave(self.loop.time())
@@ -67,10 +67,10 @@
 
     def carry_out(self) -> None:
         """Sends what the view asks for, and sets the one timer."""
-        effects, self.view.effects[:] = list(self.view.effects), []
-        for effect in effects:
+        instructions, self.view.instructions[:] = list(self.view.instructions), []
+        for instruction in instructions:
             try:
-                self.datagrams.send(effect.address, effect.body)
+                self.datagrams.send(instruction.address, instruction.body)
             except (OSError, ValueError):
                 # Guards against an address that others told and no datagram can be sent to.
                 continue
--- a/shedgrade/membership/messages.py
+++ b/shedgrade/membership/messages.py
@@ -48,7 +48,7 @@
     age: int
 
 
-class Shuffle(msgspec.Struct, array_like=True, frozen=True, tag="shuffle"):
+class ShuffleRequest(msgspec.Struct, array_like=True, frozen=True, tag="shuffle"):
     number: int
     sender: Descriptor
     entries: list[Descriptor]
@@ -56,7 +56,7 @@
     digests: list[Digest] = []
 
 
-class Shuffled(msgspec.Struct, array_like=True, frozen=True, tag="shuffled"):
+class ShuffleResponse(msgspec.Struct, array_like=True, frozen=True, tag="shuffled"):
     """The answer: as many of the other's own entries."""
 
     number: int
@@ -72,39 +72,48 @@
     rumours: list[Rumour]
 
 
-class Pong(msgspec.Struct, array_like=True, frozen=True, tag="pong"):
+class Ack(msgspec.Struct, array_like=True, frozen=True, tag="pong"):
     number: int
     sender: Descriptor
 
 
-class Inquiry(msgspec.Struct, array_like=True, frozen=True, tag="inquiry"):
+class IndirectPing(msgspec.Struct, array_like=True, frozen=True, tag="inquiry"):
     """Asks the receiver to ping `address` and to tell what came."""
 
     number: int
     address: str
 
 
-class Finding(msgspec.Struct, array_like=True, frozen=True, tag="finding"):
+class IndirectAck(msgspec.Struct, array_like=True, frozen=True, tag="finding"):
     """The inquired one answered: as it described itself."""
 
     number: int
     found: Descriptor
 
 
-class Notice(msgspec.Struct, array_like=True, frozen=True, tag="notice"):
+class MembershipUpdate(msgspec.Struct, array_like=True, frozen=True, tag="notice"):
     """Told without being asked: of itself, or of what became of nodes."""
 
     entries: list[Descriptor]
     rumours: list[Rumour]
 
 
-class Query(msgspec.Struct, array_like=True, frozen=True, tag="query"):
+class DescriptorRequest(msgspec.Struct, array_like=True, frozen=True, tag="query"):
     """Asks for the descriptors of marks in a digest; a notice answers."""
 
     marks: list[int]
 
 
-Message = Query | Shuffle | Shuffled | Ping | Pong | Inquiry | Finding | Notice
+Message = (
+    DescriptorRequest
+    | ShuffleRequest
+    | ShuffleResponse
+    | Ping
+    | Ack
+    | IndirectPing
+    | IndirectAck
+    | MembershipUpdate
+)
 
 encode = msgspec.msgpack.Encoder().encode
 decode = msgspec.msgpack.Decoder(Message).decode
--- a/shedgrade/membership/census.py
+++ b/shedgrade/membership/population.py
@@ -11,7 +11,7 @@
 WINDOW = 30.0  # s
 
 
-class Census:
+class PopulationEstimator:
     """Names met lately, with their kinds. Holds one entry a name met within the window."""
 
     def __init__(self) -> None:
--- a/shedgrade/membership/table.py
+++ b/shedgrade/membership/table.py
@@ -14,10 +14,10 @@
     Digest,
     Node,
     Rumour,
-    Shuffle,
+    ShuffleRequest,
     encode,
 )
-from shedgrade.peer_transport.address import split
+from shedgrade.peer_transport.address import parse_address
 
 SUSPICION = 2.0  # s that a suspected node has to refute
 ALONE = 5  # times as long, while nobody at all is heard
@@ -72,7 +72,7 @@
 
     def name_myself(self, me: Node) -> None:
         descriptor = Descriptor(me, self.incarnation)
-        if len(encode(Shuffle(2**32, descriptor, [descriptor], []))) > LONGEST:
+        if len(encode(ShuffleRequest(2**32, descriptor, [descriptor], []))) > LONGEST:
             raise ValueError("a node's names are too long for a datagram")
         self.me = me
 
@@ -261,13 +261,13 @@
 def addressable(address: str) -> bool:
     """Guards against a datagram that names what no datagram can be sent to."""
     try:
-        split(address)
+        parse_address(address)
     except ValueError:
         return False
     return True
 
 
-class Send(msgspec.Struct, frozen=True):
+class SendDatagram(msgspec.Struct, frozen=True):
     """A datagram to be sent; `body` is at most 1200 bytes."""
 
     address: str
--- a/shedgrade/membership/view.py
+++ b/shedgrade/membership/view.py
@@ -14,35 +14,35 @@
 
 import msgspec
 
-from shedgrade.membership.census import Census
 from shedgrade.membership.messages import (
     LONGEST,
+    Ack,
     Descriptor,
+    DescriptorRequest,
     Digest,
-    Finding,
-    Inquiry,
+    IndirectAck,
+    IndirectPing,
+    MembershipUpdate,
     Message,
     Node,
-    Notice,
     Ping,
-    Pong,
-    Query,
     Rumour,
-    Shuffle,
-    Shuffled,
+    ShuffleRequest,
+    ShuffleResponse,
     decode,
     encode,
 )
+from shedgrade.membership.population import PopulationEstimator
 from shedgrade.membership.table import (
     DROPPED,
     LEFT,
     RUMOURS,
     Entry,
-    Send,
+    SendDatagram,
     Table,
     addressable,
 )
-from shedgrade.peer_transport.address import split
+from shedgrade.peer_transport.address import parse_address
 
 PROMPT = 0.4  # s: a shuffle is answered in it, or others are asked
 INQUIRED = 0.6  # s that the inquiry through others takes
@@ -66,7 +66,7 @@
         self.since, self.until, self.inquired = now, now + PROMPT, False
 
 
-class View:
+class PartialView:
     """One member's view. `size`: most neighbours; `shuffle`: entries exchanged; `period`: s between shuffles.
 
     Effects (Send) gather in `effects`; the caller takes them out after each call and calls `tick` when
@@ -79,8 +79,8 @@
     ) -> None:
         self.random, self.length, self.period = random, shuffle, period
         self.table = Table(me, random, now, size)
-        self.census = Census()
-        self.effects: list[Send] = []
+        self.census = PopulationEstimator()
+        self.instructions: list[SendDatagram] = []
         self.contacts: dict[str, float] = {}  # addresses learnt elsewhere: when one spoke of them last
         self.pending: dict[int, Pending] = {}
         self.relays: dict[int, tuple[str, int, float]] = {}  # own number: asker, its number, until
@@ -115,12 +115,12 @@
 
     # what is told from outside
 
-    def know(self, nodes: Iterable[Node]) -> None:
+    def add_contacts(self, nodes: Iterable[Node]) -> None:
         """Contacts learnt elsewhere. With a name they enter the view if it has room; by an address alone they
         are only asked. ValueError: an address that is none."""
         table = self.table
         for node in nodes:
-            split(node.address)
+            parse_address(node.address)
             if node.address == table.me.address or node.name == table.me.name:
                 continue
             self.contacts.setdefault(node.address, float("-inf"))
@@ -192,7 +192,9 @@
         else:
             return
         self.number += 1
-        sent = self.exchange(address, Shuffle, self.number, self.table.some(now, self.length - 1, name), [])
+        sent = self.exchange(
+            address, ShuffleRequest, self.number, self.table.some(now, self.length - 1, name), []
+        )
         self.pending[self.number] = Pending(name, address, incarnation, sent, now)
 
     def ping_lost(self, now: float) -> None:
@@ -221,14 +223,14 @@
                 other for other in table.entries.values() if other is not entry and other.drop_at is None
             ]
             for helper in self.random.sample(others, min(HELPERS, len(others))):
-                self.send(helper.node.address, Inquiry(number, pending.address))
+                self.send(helper.node.address, IndirectPing(number, pending.address))
             pending.inquired, pending.until = True, now + INQUIRED
             self.shuffle_at = now  # guards against many dead at once, each of which would take a period
         else:
             del self.pending[number]
             if table.heard >= pending.since:
                 table.suspect(now, entry)
-                self.send(pending.address, Notice([], table.about(pending.name)))
+                self.send(pending.address, MembershipUpdate([], table.about(pending.name)))
             else:
                 table.suspect_alone(now, entry)
 
@@ -244,38 +246,38 @@
             return
         self.table.heard = now
         if self.left:
-            if isinstance(message, Shuffle | Ping):
+            if isinstance(message, ShuffleRequest | Ping):
                 self.send(sender, self.farewell())
             return
         match message:
-            case Shuffle():
+            case ShuffleRequest():
                 self.shuffled(now, sender, message)
-            case Shuffled():
+            case ShuffleResponse():
                 self.answered(now, sender, message)
             case Ping():
                 self.pinged(now, sender, message)
-            case Pong():
+            case Ack():
                 self.ponged(now, message)
-            case Inquiry():
+            case IndirectPing():
                 self.inquire(now, sender, message)
-            case Finding():
+            case IndirectAck():
                 self.pending.pop(message.number, None)
                 self.table.learn(now, message.found, [])
                 self.contradict(now, message.found.node.address, message.found)
-            case Notice():
+            case MembershipUpdate():
                 self.noticed(now, sender, message)
-            case Query():
+            case DescriptorRequest():
                 self.tell(sender, self.table.marked(now, message.marks[: self.length]))
 
-    def shuffled(self, now: float, sender: str, message: Shuffle) -> None:
+    def shuffled(self, now: float, sender: str, message: ShuffleRequest) -> None:
         name = message.sender.node.name
         self.hear(now, message.rumours)
         some = self.table.some(now, self.length, name)
-        room = self.exchange(sender, Shuffled, message.number, some, self.table.about(name))
+        room = self.exchange(sender, ShuffleResponse, message.number, some, self.table.about(name))
         self.take_in(now, sender, message, room)
         self.contradict(now, sender, message.sender)
 
-    def answered(self, now: float, sender: str, message: Shuffled) -> None:
+    def answered(self, now: float, sender: str, message: ShuffleResponse) -> None:
         self.hear(now, message.rumours)
         pending = self.pending.pop(message.number, None)
         if pending is None:  # late, or a stranger's: worth knowing, but no entry gives way to it
@@ -288,7 +290,9 @@
             entry.heard = now  # whatever its incarnation: else it would be the next partner for ever
         self.take_in(now, sender, message, [pending.name, *pending.sent])
 
-    def take_in(self, now: float, sender: str, message: Shuffle | Shuffled, room: list[str]) -> None:
+    def take_in(
+        self, now: float, sender: str, message: ShuffleRequest | ShuffleResponse, room: list[str]
+    ) -> None:
         table, found = self.table, [message.sender, *message.entries[: self.length]]
         self.learn(now, found, room)
         for descriptor in found:
@@ -304,24 +308,24 @@
         )
         wanted = table.compare(now, message.digests[: self.length])
         if wanted:
-            self.send(sender, Query(wanted))
+            self.send(sender, DescriptorRequest(wanted))
 
     def pinged(self, now: float, sender: str, message: Ping) -> None:
         self.hear(now, message.rumours)
         self.table.learn(now, message.sender, [])
-        self.send(sender, Pong(message.number, self.table.own()))
+        self.send(sender, Ack(message.number, self.table.own()))
         self.contradict(now, sender, message.sender)
 
-    def ponged(self, now: float, message: Pong) -> None:
+    def ponged(self, now: float, message: Ack) -> None:
         relay = self.relays.pop(message.number, None)
         if relay is None:  # one that was dropped, or a contact: it is to be a neighbour
             self.table.learn(now, message.sender, None)
             return
         self.table.learn(now, message.sender, [])
         if now < relay[2]:
-            self.send(relay[0], Finding(relay[1], message.sender))
+            self.send(relay[0], IndirectAck(relay[1], message.sender))
 
-    def inquire(self, now: float, sender: str, message: Inquiry) -> None:
+    def inquire(self, now: float, sender: str, message: IndirectPing) -> None:
         if not addressable(message.address):
             return
         for number, relay in tuple(self.relays.items()):
@@ -329,18 +333,18 @@
                 del self.relays[number]
         self.relays[self.ping(message.address, [])] = (sender, message.number, now + INQUIRED)
 
-    def noticed(self, now: float, sender: str, message: Notice) -> None:
+    def noticed(self, now: float, sender: str, message: MembershipUpdate) -> None:
         before = self.table.incarnation
         self.hear(now, message.rumours)
         self.learn(now, message.entries[: self.length], [])
         if self.table.incarnation != before:
-            self.send(sender, Notice([self.table.own()], []))
+            self.send(sender, MembershipUpdate([self.table.own()], []))
 
     def contradict(self, now: float, sender: str, said: Descriptor) -> None:
         """Tells one that is believed dead, suspected or another, so that it refutes."""
         entries, rumours = self.table.wrong(now, said)
         if (entries or rumours) and addressable(sender):
-            self.send(sender, Notice(entries, rumours))
+            self.send(sender, MembershipUpdate(entries, rumours))
 
     def learn(self, now: float, found: list[Descriptor], room: list[str]) -> None:
         returned = [each.node for each in found if self.table.returned(now, each)]
@@ -363,8 +367,8 @@
 
     # what is sent
 
-    def farewell(self) -> Notice:
-        return Notice([], [Rumour(self.table.me.name, self.table.incarnation, LEFT)])
+    def farewell(self) -> MembershipUpdate:
+        return MembershipUpdate([], [Rumour(self.table.me.name, self.table.incarnation, LEFT)])
 
     def ping(self, address: str, rumours: list[Rumour]) -> int:
         self.number += 1
@@ -374,9 +378,9 @@
     def tell(self, address: str, entries: list[Descriptor]) -> None:
         while entries:
             fit = len(entries)
-            while fit > 1 and len(encode(Notice(entries[:fit], []))) > LONGEST:
+            while fit > 1 and len(encode(MembershipUpdate(entries[:fit], []))) > LONGEST:
                 fit -= 1
-            self.send(address, Notice(entries[:fit], []))
+            self.send(address, MembershipUpdate(entries[:fit], []))
             entries = entries[fit:]
 
     def exchange(
@@ -392,8 +396,8 @@
         while len(body := encode(kind(number, self.table.own(), entries, rumours, digests))) > LONGEST:
             entries, rumours = (entries[:-1], rumours) if entries else (entries, rumours[:-1])
         self.table.told(rumours)
-        self.effects.append(Send(address, body))
+        self.instructions.append(SendDatagram(address, body))
         return [entry.node.name for entry in entries]
 
     def send(self, address: str, message: Message) -> None:
-        self.effects.append(Send(address, encode(message)))
+        self.instructions.append(SendDatagram(address, encode(message)))
--- a/shedgrade/peer_transport/address.py
+++ b/shedgrade/peer_transport/address.py
@@ -1,7 +1,7 @@
 """Addresses as they are written: "ip:port"."""
 
 
-def split(address: str) -> tuple[str, int]:
+def parse_address(address: str) -> tuple[str, int]:
     """The host and the port of "ip:port". ValueError if it is none."""
     host, _, port = address.rpartition(":")
     if not host or not port.isascii() or not port.isdigit() or not 0 < int(port) < 65536:
@@ -9,6 +9,6 @@
     return host, int(port)
 
 
-def join(pair: tuple) -> str:
+def format_address(pair: tuple) -> str:
     """ "ip:port" of a pair as sockets give it."""
     return f"{pair[0]}:{pair[1]}"
--- a/shedgrade/peer_transport/peer.py
+++ b/shedgrade/peer_transport/connection.py
@@ -9,7 +9,7 @@
 import socket
 from collections.abc import Callable
 
-from shedgrade.peer_transport.address import join, split
+from shedgrade.peer_transport.address import format_address, parse_address
 from shedgrade.peer_transport.frames import LONGEST, Frame, FrameError, FrameReader, encode
 from shedgrade.runtime.log import logger
 
@@ -25,7 +25,7 @@
 )
 
 
-class LinkError(TimeoutError):
+class PeerCallError(TimeoutError):
     """A call that got no answer: refused, cut off, or not in time."""
 
 
@@ -35,7 +35,7 @@
         handle.setsockopt(level, option, value)
 
 
-class Peer(asyncio.Protocol):
+class PeerConnection(asyncio.Protocol):
     """Either end of one connection.
 
     `own`: this process's link address; `handle(peer, frame)` gets every frame but answers to own calls.
@@ -45,7 +45,7 @@
     """
 
     def __init__(
-        self, loop: asyncio.AbstractEventLoop, own: str, handle: Callable[["Peer", Frame], None]
+        self, loop: asyncio.AbstractEventLoop, own: str, handle: Callable[["PeerConnection", Frame], None]
     ) -> None:
         self.loop, self.own, self.handle = loop, own, handle
         self.reader = FrameReader()
@@ -90,7 +90,7 @@
         calls, self.calls = self.calls, {}
         for waiting in calls.values():
             if not waiting.done():
-                waiting.set_exception(LinkError("the connection was lost"))
+                waiting.set_exception(PeerCallError("the connection was lost"))
         callbacks, self.on_close = self.on_close, []
         for callback in callbacks:
             callback()
@@ -108,9 +108,11 @@
         self.transport.write(data)
 
     def ask(self, body: bytes, answer: asyncio.Future) -> int:
-        """Sends a call; `answer` gets the body that answers it, or a LinkError. Returns the call's number."""
+        """Sends a call; `answer` gets the body that answers it, or a PeerCallError. Returns the call's
+        number.
+        """
         if self.closed:
-            answer.set_exception(LinkError("the connection was lost"))
+            answer.set_exception(PeerCallError("the connection was lost"))
             return 0
         self.last_call += 1
         self.calls[self.last_call] = answer
@@ -121,7 +123,7 @@
     def names(self, sender: str) -> bool:
         """Takes the other side's name for itself; cut if it is no address, since answers would go there."""
         try:
-            split(sender)
+            parse_address(sender)
         except ValueError as error:
             logger.warning(
                 "link: {} names a sender that can't be, its connection is closed: {}", self.name(), str(error)
@@ -132,7 +134,7 @@
         return True
 
     def name(self) -> str:
-        return self.sender or join(self.transport.get_extra_info("peername") or ("?", 0))
+        return self.sender or format_address(self.transport.get_extra_info("peername") or ("?", 0))
 
     def cut(self) -> None:
         """Closes at once; what waits to be sent is lost."""
--- a/shedgrade/peer_transport/tcp.py
+++ b/shedgrade/peer_transport/tcp.py
@@ -7,9 +7,9 @@
 import socket
 from collections.abc import Callable
 
-from shedgrade.peer_transport.address import split
+from shedgrade.peer_transport.address import parse_address
+from shedgrade.peer_transport.connection import PeerCallError, PeerConnection, prepare
 from shedgrade.peer_transport.frames import Frame, FrameError
-from shedgrade.peer_transport.peer import LinkError, Peer, prepare
 from shedgrade.runtime.log import logger
 
 BACKLOG = 128
@@ -19,7 +19,7 @@
 MOST_WAITING, MOST_WAITING_BYTES = 256, 4 * 1024 * 1024  # frames that wait for a dial, an address
 
 
-class LinkServer:
+class PeerServer:
     """Takes connections at `address`. A handle answers a call by `peer.send(body, frame.number, True)`."""
 
     def __init__(
@@ -27,13 +27,13 @@
         loop: asyncio.AbstractEventLoop,
         address: tuple[str, int],
         own: str,
-        handle: Callable[[Peer, Frame], None],
-        adopt: Callable[[Peer], None] | None = None,
+        handle: Callable[[PeerConnection, Frame], None],
+        adopt: Callable[[PeerConnection], None] | None = None,
     ) -> None:
-        """`adopt`: told of each connection once its sender is known; see `Links.adopt`."""
+        """`adopt`: told of each connection once its sender is known; see `PeerConnectionPool.adopt`."""
         self.loop, self.address, self.own = loop, address, own
         self.given, self.adopt = handle, adopt
-        self.peers: set[Peer] = set()
+        self.peers: set[PeerConnection] = set()
         self.server: asyncio.Server | None = None
 
     async def start(self) -> None:
@@ -48,13 +48,13 @@
             handle.close()
             raise
 
-    def accepted(self) -> Peer:
-        peer = Peer(self.loop, self.own, self.handle)
+    def accepted(self) -> PeerConnection:
+        peer = PeerConnection(self.loop, self.own, self.handle)
         self.peers.add(peer)
         peer.on_close.append(lambda: self.peers.discard(peer))
         return peer
 
-    def handle(self, peer: Peer, frame: Frame) -> None:
+    def handle(self, peer: PeerConnection, frame: Frame) -> None:
         if self.adopt is not None and peer.frames == 1:
             self.adopt(peer)
         self.given(peer, frame)
@@ -73,8 +73,8 @@
     __slots__ = ("peer", "adopted", "dial", "waiting", "waiting_bytes", "pause", "not_before")
 
     def __init__(self) -> None:
-        self.peer: Peer | None = None
-        self.adopted: Peer | None = None
+        self.peer: PeerConnection | None = None
+        self.adopted: PeerConnection | None = None
         self.dial: asyncio.Task | None = None
         self.waiting: list[tuple[bytes, asyncio.Future | None]] = []
         self.waiting_bytes = 0
@@ -82,7 +82,7 @@
         self.not_before = 0.0
 
 
-class Links:
+class PeerConnectionPool:
     """Sends to link addresses. One connection an address is kept, or one that came in from it is used.
 
     `handle(sender, frame)` gets the frames that come back over own connections, answers to own calls aside.
@@ -96,7 +96,7 @@
         own: str,
         handle: Callable[[str, Frame], None],
         local_host: str,
-        called: Callable[[Peer, Frame], None] | None = None,
+        called: Callable[[PeerConnection, Frame], None] | None = None,
     ) -> None:
         self.loop, self.own, self.given, self.local_host = loop, own, handle, local_host
         self.called = called
@@ -108,7 +108,7 @@
         self.forward(address, body, None)
 
     async def call(self, address: str, body: bytes, timeout: float) -> bytes:
-        """The body that answers. LinkError: no answer within `timeout` seconds, or none can come."""
+        """The body that answers. PeerCallError: no answer within `timeout` seconds, or none can come."""
         answer = self.loop.create_future()
         expiry = self.loop.call_later(timeout, expire, answer)
         try:
@@ -118,7 +118,7 @@
             expiry.cancel()
             answer.cancel()
 
-    def adopt(self, peer: Peer) -> None:
+    def adopt(self, peer: PeerConnection) -> None:
         """An incoming connection whose frames name their sender: used for sending to that address while it is
         open and was heard from lately, so two processes need one connection and not two."""
         if not peer.sender or peer.closed or self.closed:
@@ -130,7 +130,7 @@
         self.flush(route, peer)  # one that returned comes to us while our dial still hangs
 
     def close(self) -> None:
-        """Cuts own connections; calls under way end with a LinkError."""
+        """Cuts own connections; calls under way end with a PeerCallError."""
         self.closed = True
         for route in self.routes.values():
             if route.dial is not None:
@@ -145,7 +145,7 @@
             route = self.routes[address] = Route()
         return route
 
-    def abandon(self, address: str, peer: Peer) -> None:
+    def abandon(self, address: str, peer: PeerConnection) -> None:
         route = self.routes.get(address)
         if route is None:
             return
@@ -160,7 +160,7 @@
 
     def forward(self, address: str, body: bytes, answer: asyncio.Future | None) -> None:
         try:
-            where = split(address)
+            where = parse_address(address)
         except ValueError as error:  # guards against what a stranger said its address was
             logger.error("link: not sent: {}", str(error))
             refuse(answer, str(error))
@@ -184,7 +184,7 @@
             if route.dial is None:
                 route.dial = self.loop.create_task(self.connect(address, where, route))
 
-    def hand(self, peer: Peer, body: bytes, answer: asyncio.Future | None) -> None:
+    def hand(self, peer: PeerConnection, body: bytes, answer: asyncio.Future | None) -> None:
         try:
             if answer is None:
                 peer.send(body)
@@ -203,7 +203,7 @@
             async with asyncio.timeout(DIAL):
                 await self.loop.sock_connect(handle, where)
                 _, peer = await self.loop.create_connection(
-                    lambda: Peer(self.loop, self.own, self.handle), sock=handle
+                    lambda: PeerConnection(self.loop, self.own, self.handle), sock=handle
                 )
         except OSError:  # a TimeoutError too
             handle.close()
@@ -218,7 +218,7 @@
         peer.on_close.append(lambda: self.abandon(address, peer))
         self.flush(route, peer)
 
-    def flush(self, route: Route, peer: Peer) -> None:
+    def flush(self, route: Route, peer: PeerConnection) -> None:
         waiting, route.waiting, route.waiting_bytes = route.waiting, [], 0
         for body, answer in waiting:
             self.hand(peer, body, answer)
@@ -233,7 +233,7 @@
         for _, answer in waiting:
             refuse(answer, why)
 
-    def handle(self, peer: Peer, frame: Frame) -> None:
+    def handle(self, peer: PeerConnection, frame: Frame) -> None:
         if frame.number and self.called is not None:
             self.called(peer, frame)
         else:
@@ -242,9 +242,9 @@
 
 def expire(answer: asyncio.Future) -> None:
     if not answer.done():
-        answer.set_exception(LinkError("no answer in time"))
+        answer.set_exception(PeerCallError("no answer in time"))
 
 
 def refuse(answer: asyncio.Future | None, why: str) -> None:
     if answer is not None and not answer.done():
-        answer.set_exception(LinkError(why))
+        answer.set_exception(PeerCallError(why))
--- a/shedgrade/peer_transport/udp.py
+++ b/shedgrade/peer_transport/udp.py
@@ -4,14 +4,14 @@
 import socket
 from collections.abc import Callable
 
-from shedgrade.peer_transport.address import join, split
+from shedgrade.peer_transport.address import format_address, parse_address
 from shedgrade.peer_transport.frames import VERSION
 
 LONGEST = 1200  # bytes of a body: with all headers under the smallest usual size of a packet
 MARK = bytes((VERSION,))
 
 
-class Datagrams(asyncio.DatagramProtocol):
+class DatagramEndpoint(asyncio.DatagramProtocol):
     """One socket at `address`; `handle(sender, body)` gets what comes, `sender` as "ip:port".
 
     A body travels behind one byte, the version; a datagram of another version, or over the bound, is ignored.
@@ -39,7 +39,7 @@
 
     def datagram_received(self, data: bytes, sender: tuple) -> None:
         if data[:1] == MARK and len(data) <= 1 + LONGEST:
-            self.handle(join(sender), data[1:])
+            self.handle(format_address(sender), data[1:])
 
     def error_received(self, error: OSError) -> None:
         """A dead port was reported, or the link is full: datagrams may be lost, so this is nothing new."""
@@ -48,7 +48,7 @@
         """Dropped before the start and after the end. ValueError: no address, or a body that is too long."""
         if len(body) > LONGEST:
             raise ValueError(f"a body of {len(body)} bytes is too long for a datagram")
-        where = split(address)
+        where = parse_address(address)
         if self.transport is not None and not self.transport.is_closing():
             self.transport.sendto(MARK + body, where)
 
--- a/shedgrade/process_settings/__init__.py
+++ b/shedgrade/process_settings/__init__.py
@@ -1,19 +1,19 @@
 """Boot settings: the YAML file that the platform writes for each process, read, checked, and watched."""
 
-from shedgrade.process_settings.reading import SettingsError, explain, load, require
-from shedgrade.process_settings.reload import Reload
-from shedgrade.process_settings.settings import Bounds, CloudApi, Limits, Settings, Tolerated
-from shedgrade.process_settings.watched import Watched
+from shedgrade.process_settings.file_watcher import SettingsFileWatcher
+from shedgrade.process_settings.reloader import SettingsReloader
+from shedgrade.process_settings.settings import CloudApi, Limits, Settings, TimingBounds, ToleratedLosses
+from shedgrade.process_settings.validation import SettingsError, explain, load, require
 
 __all__ = [
-    "Bounds",
+    "TimingBounds",
     "CloudApi",
     "Limits",
-    "Reload",
+    "SettingsReloader",
     "Settings",
     "SettingsError",
-    "Tolerated",
-    "Watched",
+    "ToleratedLosses",
+    "SettingsFileWatcher",
     "explain",
     "load",
     "require",
--- a/shedgrade/process_settings/watched.py
+++ b/shedgrade/process_settings/file_watcher.py
@@ -3,12 +3,12 @@
 import os
 
 from shedgrade.findings import Finding
-from shedgrade.process_settings.reading import VARIABLE, SettingsError, load
 from shedgrade.process_settings.settings import Settings
+from shedgrade.process_settings.validation import VARIABLE, SettingsError, load
 
 
-class Watched:
-    """Follows one settings file. The caller looks once a second, and with `told=True` on SIGHUP."""
+class SettingsFileWatcher:
+    """Follows one settings file. The caller looks once a second, and with `forced=True` on SIGHUP."""
 
     def __init__(self, path: str | None = None, settings: Settings | None = None) -> None:
         """`settings`: as they were loaded; None: they are loaded here, SettingsError if that fails."""
@@ -18,11 +18,11 @@
         self.settings = load(self.path) if settings is None else settings
         self.reported: tuple[Finding, ...] = ()
 
-    def changed(self, told: bool = False) -> Settings | tuple[Finding, ...] | None:
+    def changed(self, forced: bool = False) -> Settings | tuple[Finding, ...] | None:
         """New settings, which `settings` holds from now on; or the findings that keep the old ones in force,
         said once; or None if nothing changed."""
         stamp = self.look()
-        if stamp == self.stamp and not told:
+        if stamp == self.stamp and not forced:
             return None
         # The stamp was taken before the read: what is written meanwhile is seen at the next look.
         self.stamp = stamp
@@ -31,7 +31,7 @@
         except SettingsError as failure:
             # Guards against a file that is half written, gone for a moment, or wrong: the old settings stay.
             said, self.reported = self.reported, failure.findings
-            return failure.findings if failure.findings != said or told else None
+            return failure.findings if failure.findings != said or forced else None
         self.reported = ()
         if settings == self.settings:
             return None
--- a/shedgrade/process_settings/reload.py
+++ b/shedgrade/process_settings/reloader.py
@@ -4,8 +4,8 @@
 from dataclasses import fields, replace
 
 from shedgrade.findings import Finding
+from shedgrade.process_settings.file_watcher import SettingsFileWatcher
 from shedgrade.process_settings.settings import Settings
-from shedgrade.process_settings.watched import Watched
 from shedgrade.runtime.log import logger
 
 LIVE = {"bounds": "timingBounds", "cloud_api": "cloudApi", "zones": "zones"}
@@ -18,26 +18,26 @@
 EVERY = 1.0  # s between two looks at the file
 
 
-class Reload:
+class SettingsReloader:
     """`settings`: those in force. `apply(settings)` is called when what is LIVE of them moved.
 
-    Sans I/O but for the look at the file; the caller calls `look` often, and with `told=True` on SIGHUP.
+    Sans I/O but for the look at the file; the caller calls `look` often, and with `forced=True` on SIGHUP.
     """
 
     def __init__(
-        self, settings: Settings, watched: Watched | None, apply: Callable[[Settings], None]
+        self, settings: Settings, watched: SettingsFileWatcher | None, apply: Callable[[Settings], None]
     ) -> None:
         """`watched`: None where there is no file."""
         self.settings, self.watched, self.apply = settings, watched, apply
         self.look_at = 0.0
 
-    def look(self, now: float, told: bool = False) -> None:
-        if self.watched is None or (now < self.look_at and not told):
+    def poll(self, now: float, forced: bool = False) -> None:
+        if self.watched is None or (now < self.look_at and not forced):
             return
         self.look_at = now + EVERY
-        match self.watched.changed(told):
+        match self.watched.changed(forced):
             case Settings() as settings:
-                self.take(settings, told)
+                self.take(settings, forced)
             case tuple() as findings:
                 self.refuse(findings)
 
@@ -45,7 +45,7 @@
         for finding in findings:
             logger.warning("the old settings stay in force: {}", str(finding))
 
-    def take(self, settings: Settings, told: bool) -> None:
+    def take(self, settings: Settings, forced: bool) -> None:
         moved = [
             field.name
             for field in fields(Settings)
@@ -55,7 +55,7 @@
         waits = [name for name in moved if name not in LIVE]
         now = ", ".join(LIVE[name] for name in live) or "nothing"
         later = ", ".join(map(in_file, waits)) or "nothing"
-        if told and waits:  # an operator who signals is told at once
+        if forced and waits:  # an operator who signals is told at once
             logger.warning("settings are read anew: {} in force; only a start changes {}", now, later)
         else:
             logger.info("settings are read anew: {} in force; only a start changes {}", now, later)
--- a/shedgrade/process_settings/settings.py
+++ b/shedgrade/process_settings/settings.py
@@ -30,7 +30,7 @@
 }
 
 
-class Bounds(dict):
+class TimingBounds(dict):
     """`timingBounds` by the names in the file, each a number or a bool; `BOUNDS` fill what it leaves out.
     A name in the language's own case is found too: `drain_ms` is `drainMs`. KeyError for others."""
 
@@ -58,7 +58,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Tolerated:
+class ToleratedLosses:
     """How many of each may be lost at once; machines: of those whose loss is counted."""
 
     machines: int
@@ -98,8 +98,8 @@
     data_dir: str | None
     heartbeat_ms: float
     active_contracts: tuple[str, ...]
-    tolerated: Tolerated
-    bounds: Bounds
+    tolerated: ToleratedLosses
+    bounds: TimingBounds
     cloud_api: CloudApi
 
     @property
--- a/shedgrade/process_settings/reading.py
+++ b/shedgrade/process_settings/validation.py
@@ -12,11 +12,11 @@
 from shedgrade.findings import Finding, Findings
 from shedgrade.process_settings.settings import (
     BOUNDS,
-    Bounds,
     CloudApi,
     Limits,
     Settings,
-    Tolerated,
+    TimingBounds,
+    ToleratedLosses,
 )
 
 VARIABLE = "SHEDGRADE_BOOT"
@@ -60,7 +60,7 @@
         raise SettingsError([Finding(path + line, problem)]) from failure
     if not isinstance(told, dict):
         raise SettingsError([Finding(path, "is no mapping of names to values")])
-    return check(told)
+    return validate(told)
 
 
 def require(settings: Settings, listen: Iterable[str] = (), disk: bool = False) -> None:
@@ -75,7 +75,7 @@
         raise SettingsError(found)
 
 
-def check(told: dict) -> Settings:
+def validate(told: dict) -> Settings:
     """Settings from the fields as in the file; unknown ones are ignored. SettingsError as for `load`."""
     found = Findings()
     top = Fields(told, "", found)
@@ -110,13 +110,13 @@
         data_dir=top.take("dataDir", text, None),
         heartbeat_ms=top.take("heartbeatMs", above(0), 1000.0),
         active_contracts=top.take("activeContracts", several(text), ()),
-        tolerated=Tolerated(
+        tolerated=ToleratedLosses(
             *(
                 tolerated.take(name, whole(0), REQUIRED if name == "machines" else 0)
                 for name in ("machines", "zones", "regions")
             )
         ),
-        bounds=Bounds(bounds(top.inner("timingBounds"))),
+        bounds=TimingBounds(bounds(top.inner("timingBounds"))),
         cloud_api=CloudApi(
             address=cloud.take("address", address, REQUIRED),
             rate_per_s=cloud.take("ratePerS", above(0), REQUIRED),
--- a/shedgrade/program.py
+++ b/shedgrade/program.py
@@ -9,11 +9,11 @@
 import uvloop
 from docopt import docopt
 
-from shedgrade.process_settings.reading import SettingsError, explain
+from shedgrade.process_settings.file_watcher import SettingsFileWatcher
 from shedgrade.process_settings.settings import Settings
-from shedgrade.process_settings.watched import Watched
-from shedgrade.runtime.log import hand
-from shedgrade.runtime.log_ring import Ring
+from shedgrade.process_settings.validation import SettingsError, explain
+from shedgrade.runtime.log import set_sink
+from shedgrade.runtime.log_ring import LogRingBuffer
 
 EXIT_SETTINGS = 2  # exit status when the settings file is missing or not sound
 
@@ -25,7 +25,7 @@
         """Runs from start to end; returns when the process may exit."""
 
 
-PlaneClass = Callable[[Settings, asyncio.AbstractEventLoop, Random, Watched], Plane]
+PlaneClass = Callable[[Settings, asyncio.AbstractEventLoop, Random, SettingsFileWatcher], Plane]
 
 
 def run_program(
@@ -38,14 +38,14 @@
     """
     options = docopt(usage, arguments)
     try:
-        watched = Watched(options["--settings"])
+        watched = SettingsFileWatcher(options["--settings"])
         settings = watched.settings
         check(settings)
     except SettingsError as error:
         print(explain(error), file=sys.stderr)
         return EXIT_SETTINGS
-    ring = Ring(settings.node_name)
-    hand(ring)
+    ring = LogRingBuffer(settings.node_name)
+    set_sink(ring)
     plane_class = load_plane()
 
     async def run() -> None:
--- a/shedgrade/runtime/log.py
+++ b/shedgrade/runtime/log.py
@@ -11,7 +11,7 @@
     Its methods are the sink's own bound methods, so a sink that looks at its caller's frame sees the caller.
     """
 
-    def hand(self, sink: object) -> None:
+    def set_sink(self, sink: object) -> None:
         """`sink` has METHODS, called as `info(text, *values)` with the text as in `str.format`. None: loguru
         again, from the next use on. AttributeError if a method is missing; the old sink stays then."""
         methods = {} if sink is None else {name: getattr(sink, name) for name in METHODS}
@@ -24,9 +24,9 @@
             raise AttributeError(name)
         from loguru import logger as loguru
 
-        self.hand(loguru)
+        self.set_sink(loguru)
         return self.__dict__[name]
 
 
 logger = Logger()
-hand = logger.hand
+set_sink = logger.set_sink
--- a/shedgrade/runtime/log_ring.py
+++ b/shedgrade/runtime/log_ring.py
@@ -82,7 +82,7 @@
         self._proxy_to_logger("error", text, values=values, **more)
 
 
-class Ring:
+class LogRingBuffer:
     """The events of one process, and a sink for `shedgrade.runtime.log.hand`: `debug` to `exception`,
     `bind`.
     """
--- a/shedgrade/runtime/loop_errors.py
+++ b/shedgrade/runtime/loop_errors.py
@@ -5,7 +5,7 @@
 from shedgrade.runtime.log import logger
 
 
-def fault(loop, context: dict) -> None:
+def log_uncaught(loop, context: dict) -> None:
     """The handler of an event loop's exceptions."""
     failure = context.get("exception")
     trace = "".join(format_exception(failure)) if failure is not None else ""
--- a/shedgrade/sidecar/endpoint_snapshot/recovery.py
+++ b/shedgrade/sidecar/endpoint_snapshot/recovery.py
@@ -64,7 +64,7 @@
             why = why or ("" if end == {"k": "end"} else "no end") or rebuild(records, picture)
             if why:
                 raise file_frames.FormatError(why)
-        except file_frames.NewerError:
+        except file_frames.NewerVersionError:
             found.newer.append(name)
             continue
         except (file_frames.FormatError, OSError) as wrong:
@@ -84,7 +84,7 @@
         try:
             data = files.read(name)
             _, records, why = file_frames.read(data, file_frames.LOG)
-        except file_frames.NewerError:
+        except file_frames.NewerVersionError:
             found.newer.append(name)
             size = -1
             continue
--- a/shedgrade/simulation/crash_day.py
+++ b/shedgrade/simulation/crash_day.py
@@ -15,7 +15,7 @@
     survivors,
 )
 from shedgrade.simulation.disk import SimulatedDisk, SimulatedFiles
-from shedgrade.storage import Found, State, Store
+from shedgrade.storage import LoadResult, Store, StoreState
 from shedgrade.storage.layout import apply
 
 RESTART_EVERY = 97  # changes
@@ -146,13 +146,13 @@
         disk = disk_with(contents)
         found = self.make_store(disk.files).load()
         wrong = self.wrong_state(found, step)
-        if wrong or found.state is not State.SOUND:
+        if wrong or found.state is not StoreState.SOUND:
             return wrong
         again = self.make_store(disk.files).load()
         return None if again.values == found.values else "a second start finds another state"
 
-    def wrong_state(self, found: Found, step: int) -> str | None:
-        if found.state is not State.SOUND:
+    def wrong_state(self, found: LoadResult, step: int) -> str | None:
+        if found.state is not StoreState.SOUND:
             return None if step == 0 and not found.values else f"{found.state}"
         if found.values in self.expected[step : step + 2]:
             return None
--- a/shedgrade/simulation/system/world.py
+++ b/shedgrade/simulation/system/world.py
@@ -9,8 +9,8 @@
 from shedgrade.controlplane.plane import LIST, ControlPlane
 from shedgrade.dataplane.plane import DataPlane
 from shedgrade.process_settings import Settings
-from shedgrade.process_settings.reading import check as read_settings
-from shedgrade.runtime.log import hand, logger
+from shedgrade.process_settings.validation import validate as read_settings
+from shedgrade.runtime.log import logger, set_sink
 from shedgrade.simulation.system.caller import SILENCE, Caller
 from shedgrade.simulation.system.clients import Client
 from shedgrade.simulation.system.configurations import label_of
@@ -354,7 +354,7 @@
         """Plays up to that virtual time (s)."""
         before = dict(logger.__dict__)
         if not self.log:
-            hand(Silent())
+            set_sink(Silent())
         try:
             with installed():
                 self.time.run(until)
--- a/shedgrade/storage/check.py
+++ b/shedgrade/storage/check.py
@@ -3,7 +3,7 @@
 from pathlib import Path
 
 from shedgrade.storage.files import Files
-from shedgrade.storage.recovery import NOT_THERE, Recovered, State, recover
+from shedgrade.storage.recovery import NOT_THERE, Recovered, StoreState, recover
 
 
 def report(folder: str | Path) -> list[str]:
@@ -41,13 +41,13 @@
 
 
 def used(found: Recovered, letter: str) -> bool:
-    return found.state is State.SOUND and found.used == letter
+    return found.state is StoreState.SOUND and found.used == letter
 
 
 def verdict(found: Recovered) -> str:
-    if found.state is State.EMPTY:
+    if found.state is StoreState.EMPTY:
         return "empty: no file of control state; a first start, or a disk that was lost"
-    if found.state is State.DAMAGED:
+    if found.state is StoreState.DAMAGED:
         return "damaged: what was written last cannot be read; the member starts without memory"
     sizes = ", ".join(f"{key} {len(value)} bytes" for key, value in sorted(found.values.items()))
     return f"sound: number {found.sequence}, from slot-{found.used}: {sizes or 'no keys'}"
--- a/shedgrade/storage/layout.py
+++ b/shedgrade/storage/layout.py
@@ -69,7 +69,7 @@
     try:
         sequence, records, reason = read(data, SLOT)
     except file_frames.FormatError as wrong:
-        return Slot(reason=str(wrong), newer=isinstance(wrong, file_frames.NewerError))
+        return Slot(reason=str(wrong), newer=isinstance(wrong, file_frames.NewerVersionError))
     if not records:
         return Slot(sequence, reason=reason or "no record")
     values = records[0].get("v")
@@ -83,7 +83,7 @@
     try:
         base, records, reason = read(data, LOG)
     except file_frames.FormatError as wrong:
-        return Log(reason=str(wrong), newer=isinstance(wrong, file_frames.NewerError))
+        return Log(reason=str(wrong), newer=isinstance(wrong, file_frames.NewerVersionError))
     found = Log(base, reason=reason)
     for one in records:
         if one.get("n") != found.last + 1 or not is_map(one.get("c"), bytes | None):
--- a/shedgrade/storage/recovery.py
+++ b/shedgrade/storage/recovery.py
@@ -11,7 +11,7 @@
 NOT_THERE = "not there"
 
 
-class State(StrEnum):
+class StoreState(StrEnum):
     """`EMPTY`: no file of ours. `SOUND`: the values are the last ones written. `DAMAGED`: files are there,
     but what was written last cannot be read: neither a first start nor a member that remembers.
     """
@@ -30,7 +30,7 @@
     format. `sizes`: bytes of our files, by name.
     """
 
-    state: State = State.EMPTY
+    state: StoreState = StoreState.EMPTY
     values: dict[str, bytes] = field(default_factory=dict)
     findings: list[Finding] = field(default_factory=list)
     used: str = ""
@@ -74,7 +74,7 @@
     for letter, slot in slots.items():
         if slot.values is None and slot.reason not in (NOT_THERE, "empty"):
             found.findings.append(Finding(f"slot-{letter}", slot.reason))
-    found.state = State.DAMAGED
+    found.state = StoreState.DAMAGED
     sound = [letter for letter, slot in slots.items() if slot.values is not None]
     if sound:
         use(found, max(sound, key=lambda letter: slots[letter].sequence), logged)
@@ -98,6 +98,6 @@
         text = f"{logged} was written once, only {found.sequence} can be read"
         found.findings.append(Finding("slots", text))
     elif not found.newer:
-        found.state, found.values = State.SOUND, dict(slot.values or {})
+        found.state, found.values = StoreState.SOUND, dict(slot.values or {})
         for change in changes:
             layout.apply(found.values, change)
--- a/shedgrade/storage/store.py
+++ b/shedgrade/storage/store.py
@@ -9,17 +9,17 @@
 from shedgrade.findings import Finding
 from shedgrade.storage import layout
 from shedgrade.storage.files import Files
-from shedgrade.storage.recovery import NAMES, OTHER, State, recover
+from shedgrade.storage.recovery import NAMES, OTHER, StoreState, recover
 
 LEAST_LOG = 64 * 1024  # bytes under which a log is not worth folding into a slot
 MOST_RECORDS = 1024  # of one log, so that reading it at a start stays short
 
 
 @dataclass(frozen=True, slots=True)
-class Found:
+class LoadResult:
     """What `load` found. `values`: empty unless the state is sound. `findings`: what was not in order."""
 
-    state: State
+    state: StoreState
     values: dict[str, bytes]
     findings: tuple[Finding, ...] = ()
 
@@ -40,7 +40,7 @@
         self.slot_size = self.log_size = self.records = 0
         self.weight = 0  # bytes that the whole map takes at most
 
-    def load(self) -> Found:
+    def load(self) -> LoadResult:
         """What the last writes left, durable before it is told.
 
         OSError: the disk cannot be read, or takes neither a write nor a sync; nothing is known, to be tried
@@ -51,7 +51,7 @@
         found = recover(self.files)
         self.values, self.sequence, self.newer = dict(found.values), found.highest, found.newer
         self.weight = sum(layout.weight(key, value) for key, value in self.values.items())
-        self.used, self.confirmed = found.used or "b", found.state is not State.SOUND
+        self.used, self.confirmed = found.used or "b", found.state is not StoreState.SOUND
         if not self.confirmed:
             try:
                 self.settle()
@@ -59,7 +59,7 @@
                 # A full disk still tells what it holds; what failed to sync before is in doubt until a write.
                 self.sync_used()
         self.loaded = True
-        return Found(found.state, found.values, tuple(found.findings))
+        return LoadResult(found.state, found.values, tuple(found.findings))
 
     def settle(self) -> None:
         """The state that was read is the one that stays: confirmed, then folded into the other slot, where a
--- a/tests/controlplane/control_net.py
+++ b/tests/controlplane/control_net.py
@@ -13,7 +13,7 @@
 from shedgrade.controlplane.ordering import Ordering
 from shedgrade.controlplane.orders import make_decide
 from shedgrade.http.server import Request
-from shedgrade.peer_transport.peer import LinkError
+from shedgrade.peer_transport.connection import PeerCallError
 from shedgrade.replication import Answer, Finished, Member, Persist, Send
 from shedgrade.runtime.stall_detection import ArrivalClock
 
@@ -140,7 +140,7 @@
         self.last_call += 1
         number, answer = self.last_call, self.net.loop.create_future()
         self.calls[number] = lambda body: answer.done() or answer.set_result(body)
-        self.loop.call_later(timeout, lambda: answer.done() or answer.set_exception(LinkError("late")))
+        self.loop.call_later(timeout, lambda: answer.done() or answer.set_exception(PeerCallError("late")))
         self.net.frame(self.name, address[0], lambda other: other.relayed(self.name, number, body))
         try:
             return await answer
--- a/tests/controlplane/cut_world.py
+++ b/tests/controlplane/cut_world.py
@@ -17,8 +17,8 @@
 from shedgrade.controlplane.orders import PutConfiguration, Reply
 from shedgrade.controlplane.plane import ControlPlane
 from shedgrade.dataplane.plane import DataPlane
-from shedgrade.peer_transport.peer import LinkError
-from shedgrade.process_settings.reading import check
+from shedgrade.peer_transport.connection import PeerCallError
+from shedgrade.process_settings.validation import validate
 
 APPLY = 3.0  # s, `configApplyMs` of the pages: by then an edge in touch serves a new configuration
 DRAIN = 4.0  # s, `drainMs`: by then it has the list that the platform shows
@@ -89,7 +89,7 @@
 
 
 class Links:
-    """In place of `link.tcp.Links`: frames go over the world's network."""
+    """In place of `peer_transport.tcp.PeerConnectionPool`: frames go over the world's network."""
 
     def __init__(self, world, process) -> None:
         self.world, self.process, self.numbers, self.calls = world, process, count(1), {}
@@ -107,7 +107,7 @@
     def expire(self, number: int) -> None:
         answer = self.calls.pop(number, None)
         if answer is not None and not answer.done():
-            answer.set_exception(LinkError("no answer in time"))
+            answer.set_exception(PeerCallError("no answer in time"))
 
     def answered(self, number: int, body: bytes) -> None:
         answer = self.calls.pop(number, None)
@@ -192,7 +192,7 @@
     # --- processes
 
     def add_core(self, number: int) -> Process:
-        settings = check(
+        settings = validate(
             programs.core(
                 number, self.folder / f"core-{number}", toleratedLosses={"machines": self.tolerated}
             )
@@ -213,7 +213,9 @@
 
     def start_edge(self, number: int, *cores: int) -> Process:
         """An edge whose settings name these core members."""
-        settings = check(programs.edge(number, seedNodes=[f"{programs.NET}.{core}:8262" for core in cores]))
+        settings = validate(
+            programs.edge(number, seedNodes=[f"{programs.NET}.{core}:8262" for core in cores])
+        )
         process = Process(
             self, number, lambda loop: DataPlane(settings, loop, Random(self.random.getrandbits(40)))
         )
--- a/tests/controlplane/test_cut_off_side.py
+++ b/tests/controlplane/test_cut_off_side.py
@@ -14,7 +14,7 @@
 from shedgrade.controlplane.plane import ControlPlane
 from shedgrade.controlplane.reachability import LOST, Reach
 from shedgrade.http.server import Request
-from shedgrade.process_settings.reading import check
+from shedgrade.process_settings.validation import validate
 
 MEMBERS = ("a:1", "b:1", "c:1")
 EDGES = [
@@ -130,7 +130,7 @@
 
     async def story():
         loop = asyncio.get_running_loop()
-        settings = check(programs.core(1, tmp_path / "data"))
+        settings = validate(programs.core(1, tmp_path / "data"))
         plane = ControlPlane(settings, loop, Random(1))
         now = loop.time()
         plane.hub.configuration = configuration(
--- a/tests/controlplane/test_delivery.py
+++ b/tests/controlplane/test_delivery.py
@@ -225,13 +225,13 @@
 )
 def test_a_state_that_can_not_be_read_leaves_the_last_one(broken):
     lines = []
-    log.hand(SimpleNamespace(**{name: lambda text, *values: lines.append(text) for name in log.METHODS}))
+    log.set_sink(SimpleNamespace(**{name: lambda text, *values: lines.append(text) for name in log.METHODS}))
     try:
         hub = WatchHub("10.1.0.14:7300", 100.0)
         hub.control(100.0, 1, 1, state(1))
         hub.control(100.0, 1, 2, state(2) | broken)
     finally:
-        log.hand(None)
+        log.set_sink(None)
     assert hub.held == (1, 1) and hub.version == 1 and len(lines) == 1
 
 
--- a/tests/controlplane/test_disk_at_start.py
+++ b/tests/controlplane/test_disk_at_start.py
@@ -1,7 +1,7 @@
 """A disk in trouble when a core process starts: it is tried again, and the process doesn't end."""
 
 from shedgrade.controlplane.plane import loaded
-from shedgrade.storage import Found
+from shedgrade.storage import LoadResult
 
 
 class Troubled:
@@ -12,7 +12,7 @@
         if self.failures:
             self.failures -= 1
             raise OSError(5, "Input/output error")
-        return Found("sound", {"key": b"value"}, ())
+        return LoadResult("sound", {"key": b"value"}, ())
 
 
 def test_a_disk_in_trouble_is_tried_again():
--- a/tests/controlplane/test_ordering.py
+++ b/tests/controlplane/test_ordering.py
@@ -162,7 +162,7 @@
         async def slow(process, address, body, timeout):
             assert timeout > 1.0
             await asyncio.sleep(1.0)
-            raise ordering.LinkError("late")
+            raise ordering.PeerCallError("late")
 
         primary = net.primary()
         name = others(net, primary)[0]
--- a/tests/controlplane/test_platform_list.py
+++ b/tests/controlplane/test_platform_list.py
@@ -25,9 +25,9 @@
         info = warning = error = exception = debug
 
     sink = Sink()
-    log.hand(sink)
+    log.set_sink(sink)
     yield sink
-    log.hand(None)
+    log.set_sink(None)
 
 
 def entry(name: str, **more) -> dict:
--- a/tests/lab_system/test_system_launcher.py
+++ b/tests/lab_system/test_system_launcher.py
@@ -16,7 +16,7 @@
 from shedgrade.lab.system.platform import InstanceDirectory
 from shedgrade.lab.system.site import CORE, EDGE
 from shedgrade.lab.system.world import World
-from shedgrade.process_settings import reading
+from shedgrade.process_settings import validation
 
 
 def test_each_machine_has_its_own_address_and_settings_that_a_process_takes(tmp_path):
@@ -26,7 +26,7 @@
     for machine in machines:
         path = tmp_path / f"{machine.name}.yaml"
         site.write(machine, path, tmp_path if machine.kind == CORE else None, True)
-        settings = reading.check(yaml.safe_load(path.read_text()))
+        settings = validation.validate(yaml.safe_load(path.read_text()))
         assert settings.node_name == machine.name and settings.initial_start
         assert settings.seeds == tuple(site.control()) and settings.tolerated.machines == 1
         assert set(settings.listen) == (
--- a/tests/membership/test_gossip_running.py
+++ b/tests/membership/test_gossip_running.py
@@ -9,8 +9,8 @@
 import uvloop
 from addresses import free_address, host_port
 
-from shedgrade.membership.messages import Node, Notice, Rumour, encode
-from shedgrade.membership.running import Gossip
+from shedgrade.membership.gossip import Gossip
+from shedgrade.membership.messages import MembershipUpdate, Node, Rumour, encode
 from shedgrade.runtime import log
 
 MOST = 10.0  # s that a condition may take
@@ -67,7 +67,7 @@
         try:
             await until(lambda: all(len(names(each)) == 4 for each in running))
             assert [each.view.count("edge") for each in running] == [3] * 4
-            running[3].restate("leaving")
+            running[3].announce_state("leaving")
             await until(lambda: all("edge-3" not in names(each) for each in running[:3]))
             assert running[0].view.count("edge") == 2
         finally:
@@ -85,7 +85,7 @@
             await each.start()
         try:
             await until(lambda: len(names(running[0])) == 2)
-            running[1].restate("ready")
+            running[1].announce_state("ready")
             await until(lambda: [each.state for each in running[0].view.nodes()] == ["ready", "ready"])
         finally:
             for each in running:
@@ -97,7 +97,7 @@
 def test_an_address_that_is_taken_is_said_and_the_process_goes_on(play):
     async def story():
         me, lines = node("edge-1"), []
-        log.hand(
+        log.set_sink(
             SimpleNamespace(
                 **dict.fromkeys(log.METHODS, lambda text, *values: lines.append(text.format(*values)))
             )
@@ -106,13 +106,13 @@
         try:
             await first.start()
             await second.start()
-            second.restate("ready")
+            second.announce_state("ready")
             assert len(lines) == 1 and lines[0].startswith(f"no gossip at {me.address}")
             second.close()
             first.close()
             await until(lambda: free(me.address))
         finally:
-            log.hand(None)
+            log.set_sink(None)
 
     play(story)
 
@@ -121,12 +121,14 @@
     async def story():
         core = node("core-1", "core")
         running = gossip(core)
-        running.view.know([Node("edge-1", "127.0.0.1\0:7301", "edge"), Node("edge-2", "127.0.0.1:9", "edge")])
+        running.view.add_contacts(
+            [Node("edge-1", "127.0.0.1\0:7301", "edge"), Node("edge-2", "127.0.0.1:9", "edge")]
+        )
         await running.start()
         try:
-            running.heard("127.0.0.1:9", encode(Notice([], [Rumour("edge-1", 5, "suspected")])))
-            running.restate("leaving")
-            assert not running.view.effects
+            running.heard("127.0.0.1:9", encode(MembershipUpdate([], [Rumour("edge-1", 5, "suspected")])))
+            running.announce_state("leaving")
+            assert not running.view.instructions
         finally:
             running.close()
 
--- a/tests/membership/test_view.py
+++ b/tests/membership/test_view.py
@@ -9,17 +9,17 @@
 from hypothesis import given, settings
 from hypothesis import strategies as st
 
-from shedgrade.membership import census, messages, table
+from shedgrade.membership import messages, population, table
 from shedgrade.membership.messages import (
+    Ack,
     Descriptor,
+    MembershipUpdate,
     Node,
-    Notice,
     Ping,
-    Pong,
     Rumour,
-    Shuffle,
+    ShuffleRequest,
 )
-from shedgrade.membership.view import View
+from shedgrade.membership.view import PartialView
 
 SEEDS = 3
 
@@ -58,8 +58,8 @@
         heapq.heappush(self.events, (at, self.turn, *event))
 
     def start(self, me):
-        view = self.views[me.address] = View(me, Random(self.random.random()), self.now)
-        view.know(self.seeds)
+        view = self.views[me.address] = PartialView(me, Random(self.random.random()), self.now)
+        view.add_contacts(self.seeds)
         self.wakes.pop(me.address, None)
         self.after(me.address)
 
@@ -69,18 +69,18 @@
     def after(self, address):
         """Takes the effects and sets the next waking."""
         view = self.views[address]
-        for effect in view.effects:
-            assert len(effect.body) <= 1200
+        for instruction in view.instructions:
+            assert len(instruction.body) <= 1200
             self.sent += 1
-            self.bytes += len(effect.body)
-            if self.random.random() >= self.loss and not self.parted(address, effect.address):
+            self.bytes += len(instruction.body)
+            if self.random.random() >= self.loss and not self.parted(address, instruction.address):
                 self.push(
                     self.now + self.random.uniform(*self.delay),
                     "deliver",
-                    effect.address,
-                    (address, effect.body),
+                    instruction.address,
+                    (address, instruction.body),
                 )
-        view.effects.clear()
+        view.instructions.clear()
         at = view.wake_at()
         if at < self.wakes.get(address, float("inf")):
             self.wakes[address] = at
@@ -421,12 +421,12 @@
 
 def test_what_is_too_long_is_refused():
     with pytest.raises(ValueError):
-        View(node(1, state="x" * 600), Random(1), 0.0)
-    view = View(node(1), Random(1), 0.0)
+        PartialView(node(1, state="x" * 600), Random(1), 0.0)
+    view = PartialView(node(1), Random(1), 0.0)
     with pytest.raises(ValueError):
         view.update(node(1, state="x" * 600))
     with pytest.raises(ValueError):
-        view.know([Node("", "no address")])
+        view.add_contacts([Node("", "no address")])
 
 
 def test_long_names_still_fit_a_datagram():
@@ -438,9 +438,9 @@
 
 
 def test_the_census_solves_for_the_number_of_nodes():
-    assert doctest.testmod(census) == (0, 2)
+    assert doctest.testmod(population) == (0, 2)
     for total in (50, 500):
-        random, counted = Random(total), census.Census()
+        random, counted = Random(total), population.PopulationEstimator()
         for turn in range(60):
             counted.sample(turn / 2, [(f"n{random.randrange(total)}", "edge") for _ in range(10)])
         assert abs(counted.count("edge") - total) < 0.15 * total and counted.count("core") == 0
@@ -468,14 +468,14 @@
 MARKS = st.one_of(NAMES.map(table.mark), st.integers(0, 2**32))
 DIGESTS = st.lists(st.builds(messages.Digest, MARKS, INCARNATIONS, st.integers(-5, 2**60)))
 SAID = st.one_of(
-    st.builds(Shuffle, NUMBERS, FOUND, st.lists(FOUND), TOLD),
-    st.builds(messages.Shuffled, NUMBERS, FOUND, st.lists(FOUND), TOLD, DIGESTS),
-    st.builds(messages.Query, st.lists(MARKS)),
+    st.builds(ShuffleRequest, NUMBERS, FOUND, st.lists(FOUND), TOLD),
+    st.builds(messages.ShuffleResponse, NUMBERS, FOUND, st.lists(FOUND), TOLD, DIGESTS),
+    st.builds(messages.DescriptorRequest, st.lists(MARKS)),
     st.builds(Ping, NUMBERS, FOUND, TOLD),
-    st.builds(Pong, NUMBERS, FOUND),
-    st.builds(messages.Inquiry, NUMBERS, ADDRESSES),
-    st.builds(messages.Finding, NUMBERS, FOUND),
-    st.builds(Notice, st.lists(FOUND), TOLD),
+    st.builds(Ack, NUMBERS, FOUND),
+    st.builds(messages.IndirectPing, NUMBERS, ADDRESSES),
+    st.builds(messages.IndirectAck, NUMBERS, FOUND),
+    st.builds(MembershipUpdate, st.lists(FOUND), TOLD),
 ).map(messages.encode)
 
 
@@ -491,13 +491,13 @@
     )
 )
 def test_no_message_raises_and_all_that_is_sent_can_be(steps):
-    view, now = View(node(0), Random(1), 0.0), 0.0
-    view.know([Node("", node(i).address) for i in range(5)])
+    view, now = PartialView(node(0), Random(1), 0.0), 0.0
+    view.add_contacts([Node("", node(i).address) for i in range(5)])
     for wait, sender, body in steps:
         now += wait
         view.tick(now)
         view.receive(now, sender, body)
-        for effect in view.effects:
-            assert len(effect.body) <= 1200 and table.addressable(effect.address)
-        view.effects.clear()
+        for instruction in view.instructions:
+            assert len(instruction.body) <= 1200 and table.addressable(instruction.address)
+        view.instructions.clear()
         assert len(view.nodes()) <= 17 and view.wake_at() >= now - 1e-9 or view.left
--- a/tests/peer_transport/test_calls_adopted.py
+++ b/tests/peer_transport/test_calls_adopted.py
@@ -6,7 +6,7 @@
 import uvloop
 from test_ends import HOST, OTHER, End
 
-from shedgrade.peer_transport.tcp import LinkError, Links
+from shedgrade.peer_transport.tcp import PeerCallError, PeerConnectionPool
 
 
 @pytest.fixture(params=["asyncio", "uvloop"])
@@ -18,7 +18,7 @@
             loop = asyncio.get_running_loop()
             first, second = End(loop, HOST), End(loop, OTHER)
             if answers:
-                first.links = Links(loop, first.address, first.come_back, HOST, first.taken)
+                first.links = PeerConnectionPool(loop, first.address, first.come_back, HOST, first.taken)
             await first.server.start()
             await second.server.start()
             try:
@@ -67,7 +67,7 @@
 
 def test_an_end_that_takes_no_calls_there_hands_them_on_unanswered(play):
     async def story(first, second):
-        with pytest.raises(LinkError):
+        with pytest.raises(PeerCallError):
             await second.links.call(first.address, b"one", 0.05)
         assert await asyncio.wait_for(first.got.get(), 5) == (second.address, b"one")
 
--- a/tests/peer_transport/test_ends.py
+++ b/tests/peer_transport/test_ends.py
@@ -8,12 +8,11 @@
 import uvloop
 from addresses import free_port
 
-from shedgrade.peer_transport import peer as peers
-from shedgrade.peer_transport import tcp
-from shedgrade.peer_transport.address import join
+from shedgrade.peer_transport import connection, tcp
+from shedgrade.peer_transport.address import format_address
 from shedgrade.peer_transport.frames import encode
-from shedgrade.peer_transport.tcp import LinkError, Links, LinkServer
-from shedgrade.peer_transport.udp import LONGEST, Datagrams
+from shedgrade.peer_transport.tcp import PeerCallError, PeerConnectionPool, PeerServer
+from shedgrade.peer_transport.udp import LONGEST, DatagramEndpoint
 from shedgrade.runtime import log
 
 HOST, OTHER = addresses.HOST, f"{addresses.NETWORK}.251"
@@ -24,10 +23,10 @@
 
     def __init__(self, loop, host, port=None):
         self.where = (host, port or free_port())
-        self.address = join(self.where)
+        self.address = format_address(self.where)
         self.got = asyncio.Queue()
-        self.links = Links(loop, self.address, self.come_back, host)
-        self.server = LinkServer(loop, self.where, self.address, self.taken, self.links.adopt)
+        self.links = PeerConnectionPool(loop, self.address, self.come_back, host)
+        self.server = PeerServer(loop, self.where, self.address, self.taken, self.links.adopt)
 
     def come_back(self, sender, frame):
         self.got.put_nowait((sender, frame.body))
@@ -59,9 +58,9 @@
 @pytest.fixture
 def lines():
     sink = Lines()
-    log.hand(sink)
+    log.set_sink(sink)
     yield sink.lines
-    log.hand(None)
+    log.set_sink(None)
 
 
 @pytest.fixture(params=["asyncio", "uvloop"])
@@ -138,7 +137,7 @@
 
 def test_a_refused_dial_ends_its_calls_and_the_next_one_waits(play):
     async def scene(loop, one, two):
-        with pytest.raises(LinkError):
+        with pytest.raises(PeerCallError):
             await one.links.call(two.address, b"x", 5)
         route = one.links.routes[two.address]
         assert route.pause == tcp.FIRST_PAUSE and route.not_before > loop.time() and not route.waiting
@@ -158,7 +157,7 @@
 def test_a_call_without_an_answer_ends_in_time_and_leaves_nothing(play):
     async def scene(loop, one, two):
         await two.server.start()
-        with pytest.raises(LinkError):
+        with pytest.raises(PeerCallError):
             await one.links.call(two.address, b"mute", 0.05)
         assert await one.links.call(two.address, b"x", 5) == b"echo x"
         assert not one.links.routes[two.address].peer.calls
@@ -174,7 +173,7 @@
         assert await one.links.call(two.address, b"y", 5) == b"echo y"
         for peer in tuple(two.server.peers):
             peer.cut()
-        with pytest.raises(LinkError):
+        with pytest.raises(PeerCallError):
             await call
         assert await one.links.call(two.address, b"z", 5) == b"echo z"
 
@@ -193,7 +192,7 @@
             for _ in range(tcp.MOST_WAITING):
                 one.links.send(two.address, b"x")
             route = one.links.routes[two.address]
-            with pytest.raises(LinkError):
+            with pytest.raises(PeerCallError):
                 await one.links.call(two.address, b"too many", 5)
             await route.dial
             assert not route.waiting and route.peer is None and route.pause == tcp.FIRST_PAUSE
@@ -231,7 +230,7 @@
         assert len(lines) == 1 and "nobody" in lines[0]
         assert await two.got.get() == ("10.0.0.1:1", b"taken") and two.got.empty()
         two.links.send("nobody", b"x")
-        with pytest.raises(LinkError):
+        with pytest.raises(PeerCallError):
             await two.links.call("nobody", b"x", 5)
 
     play(scene)
@@ -257,7 +256,7 @@
 
 def test_a_peer_that_does_not_read_is_cut(play, lines, monkeypatch):
     async def scene(loop, one, two):
-        monkeypatch.setattr(peers, "MOST_UNSENT", 200_000)
+        monkeypatch.setattr(connection, "MOST_UNSENT", 200_000)
         await two.server.start()
         reader, writer = await asyncio.open_connection(*two.where, limit=1)
         writer.write(encode("10.0.0.1:1", 0, False, b"hello"))
@@ -282,7 +281,7 @@
         await one.links.call(two.address, b"x", 5)
         for peer in (one.links.routes[two.address].peer, *two.server.peers):
             handle = peer.transport.get_extra_info("socket")
-            for level, option, value in peers.OPTIONS:
+            for level, option, value in connection.OPTIONS:
                 assert handle.getsockopt(level, option) == value
 
     play(scene)
@@ -292,21 +291,22 @@
     async def scene(loop, one, two):
         got = asyncio.Queue()
         ends = [
-            Datagrams(loop, (host, free_port()), lambda *it: got.put_nowait(it)) for host in (HOST, OTHER)
+            DatagramEndpoint(loop, (host, free_port()), lambda *it: got.put_nowait(it))
+            for host in (HOST, OTHER)
         ]
-        ends[0].send(join(ends[1].address), b"before the start")
+        ends[0].send(format_address(ends[1].address), b"before the start")
         for end in ends:
             await end.start()
         with socket.socket(socket.AF_INET, socket.SOCK_DGRAM) as stranger:
             stranger.sendto(b"", ends[1].address)
             stranger.sendto(b"\x07strange", ends[1].address)
             stranger.sendto(b"\x01" + bytes(LONGEST + 1), ends[1].address)
-        ends[0].send(join(ends[1].address), bytes(LONGEST))
-        assert await got.get() == (join(ends[0].address), bytes(LONGEST))
-        ends[1].send(join(ends[0].address), b"")
-        assert await got.get() == (join(ends[1].address), b"")
+        ends[0].send(format_address(ends[1].address), bytes(LONGEST))
+        assert await got.get() == (format_address(ends[0].address), bytes(LONGEST))
+        ends[1].send(format_address(ends[0].address), b"")
+        assert await got.get() == (format_address(ends[1].address), b"")
         with pytest.raises(ValueError):
-            ends[0].send(join(ends[1].address), bytes(LONGEST + 1))
+            ends[0].send(format_address(ends[1].address), bytes(LONGEST + 1))
         for end in ends:
             end.close()
         assert got.empty()
--- a/tests/peer_transport/test_frames.py
+++ b/tests/peer_transport/test_frames.py
@@ -90,8 +90,8 @@
 
 
 def test_addresses_are_split_and_joined():
-    assert address.split("10.0.0.1:7300") == ("10.0.0.1", 7300)
-    assert address.join(("10.0.0.1", 7300)) == "10.0.0.1:7300"
+    assert address.parse_address("10.0.0.1:7300") == ("10.0.0.1", 7300)
+    assert address.format_address(("10.0.0.1", 7300)) == "10.0.0.1:7300"
     for wrong in ("", "10.0.0.1", ":1", "10.0.0.1:", "1.0.0.1:0", "10.0.0.1:65536", "1.0.0.1:x", "1.0.0.1:²"):
         with pytest.raises(ValueError):
-            address.split(wrong)
+            address.parse_address(wrong)
--- a/tests/process_settings/test_boot_settings.py
+++ b/tests/process_settings/test_boot_settings.py
@@ -9,8 +9,8 @@
 import pytest
 import yaml
 
-from shedgrade.process_settings import SettingsError, Watched, explain, load
-from shedgrade.process_settings.reading import check
+from shedgrade.process_settings import SettingsError, SettingsFileWatcher, explain, load
+from shedgrade.process_settings.validation import validate
 
 TOLD = {
     "nodeName": "edge-1",
@@ -59,7 +59,7 @@
 
 def findings(told: dict) -> list[str]:
     with pytest.raises(SettingsError) as caught:
-        check(told)
+        validate(told)
     return [str(finding) for finding in caught.value.findings]
 
 
@@ -79,18 +79,18 @@
 
 
 def test_addresses_of_our_own_are_made_from_the_internal_ports():
-    settings = check(TOLD)
+    settings = validate(TOLD)
     assert settings.link_address == "10.1.0.12:7300"
     assert settings.gossip_address == "10.1.0.12:7301"
     assert settings.seed_links == ("10.1.0.14:7300", "10.2.0.41:7300")
 
 
 def test_bounds_have_defaults_and_are_found_in_either_case():
-    bounds = check(TOLD).bounds
+    bounds = validate(TOLD).bounds
     assert bounds["drainMs"] == bounds["drain_ms"] == 4500
     assert bounds["pass_ms"] == 600 and bounds["cold"] is True
     assert bounds["graceS"] == 8
-    assert check(without("timingBounds")).bounds["retrySlack"] == 0
+    assert validate(without("timingBounds")).bounds["retrySlack"] == 0
     with pytest.raises(KeyError):
         bounds["no_such_ms"]
 
@@ -114,7 +114,7 @@
     ],
 )
 def test_what_may_be_left_out(name):
-    settings = check(without(name))
+    settings = validate(without(name))
     assert settings.region == "north"
     assert settings.loss_counted is False
 
@@ -172,7 +172,7 @@
 
 
 def test_a_bound_that_nobody_uses_may_be_anything():
-    assert "other" not in check(changed("timingBounds.other", "soon")).bounds
+    assert "other" not in validate(changed("timingBounds.other", "soon")).bounds
 
 
 def test_all_findings_are_reported_together_and_one_a_line():
@@ -180,7 +180,7 @@
     told["ipAddress"], told["cloudApi"]["address"] = 1, "nowhere"
     del told["nodeName"]
     with pytest.raises(SettingsError) as caught:
-        check(told)
+        validate(told)
     lines = explain(caught.value).splitlines()
     assert len(lines) == len(caught.value.findings) == 4
     assert all(line.startswith("settings: ") for line in lines)
@@ -233,7 +233,7 @@
             else:
                 told[name] = chance.choice(values)
         try:
-            check(told)
+            validate(told)
         except SettingsError as failure:
             assert failure.findings
 
@@ -249,14 +249,14 @@
 def test_a_change_is_seen_with_and_without_a_signal(tmp_path):
     path = tmp_path / "local.yaml"
     write(path, TOLD, 10)
-    watched = Watched(str(path))
-    assert watched.changed() is None and watched.changed(told=True) is None
+    watched = SettingsFileWatcher(str(path))
+    assert watched.changed() is None and watched.changed(forced=True) is None
     write(path, changed("timingBounds.drainMs", 3000), 20)
     settings = watched.changed()
     assert settings.bounds["drainMs"] == 3000 and watched.settings is settings
     write(path, changed("timingBounds.drainMs", 5000), 20)  # the very same time and length
     os.utime(path, ns=(20, 20))
-    assert watched.changed(told=True).bounds["drainMs"] == 5000
+    assert watched.changed(forced=True).bounds["drainMs"] == 5000
     assert watched.changed() is None
 
 
@@ -265,13 +265,13 @@
     write(path, TOLD, 10)
     settings = load(str(path))
     write(path, changed("heartbeatMs", 900), 20)
-    assert Watched(str(path), settings).changed().heartbeat_ms == 900
+    assert SettingsFileWatcher(str(path), settings).changed().heartbeat_ms == 900
 
 
 def test_bad_settings_are_told_once_and_the_old_ones_stay(tmp_path):
     path = tmp_path / "local.yaml"
     write(path, TOLD, 10)
-    watched = Watched(str(path))
+    watched = SettingsFileWatcher(str(path))
     write(path, changed("zone", "east-a"), 20)
     told = watched.changed()
     assert [str(finding) for finding in told] == ["zone: 'east-a' is not in zones"]
--- a/tests/process_settings/test_reload.py
+++ b/tests/process_settings/test_reload.py
@@ -9,11 +9,11 @@
 from test_boot_settings import TOLD
 
 from shedgrade.process_settings import (
-    Reload,
     SettingsError,
-    Watched,
+    SettingsFileWatcher,
+    SettingsReloader,
     load,
-    reload,
+    reloader,
     require,
 )
 from shedgrade.runtime import log
@@ -27,9 +27,9 @@
     def sink(level):
         return lambda text, *values: said.append(f"{level} {text.format(*values)}")
 
-    log.hand(SimpleNamespace(**{level: sink(level) for level in log.METHODS}))
+    log.set_sink(SimpleNamespace(**{level: sink(level) for level in log.METHODS}))
     yield said
-    log.hand(None)
+    log.set_sink(None)
 
 
 class Process:
@@ -38,8 +38,8 @@
     def __init__(self, path):
         self.path, self.told, self.applied, self.now = path, deepcopy(TOLD), [], 0.0
         self.write()
-        watched = Watched(str(path))
-        self.reload = Reload(watched.settings, watched, self.applied.append)
+        watched = SettingsFileWatcher(str(path))
+        self.reload = SettingsReloader(watched.settings, watched, self.applied.append)
 
     def write(self, text=None):
         """Renamed into place, as a file that is written whole is."""
@@ -47,9 +47,9 @@
         new.write_text(yaml.safe_dump(self.told) if text is None else text)
         new.rename(self.path)
 
-    def look(self, told=False):
-        self.now += reload.EVERY
-        self.reload.look(self.now, told)
+    def look(self, forced=False):
+        self.now += reloader.EVERY
+        self.reload.poll(self.now, forced)
         return self.applied
 
 
@@ -59,7 +59,7 @@
 
 
 def test_an_unchanged_file_says_nothing(process, lines):
-    assert process.look() == process.look(told=True) == lines == []
+    assert process.look() == process.look(forced=True) == lines == []
 
 
 def test_bounds_the_platforms_address_and_zones_hold_without_a_signal(process, lines):
@@ -81,7 +81,7 @@
     process.told.update(nodeName="edge-9", seedNodes=["10.1.0.77:8262"], internalPortRange=[7400, 7415])
     process.told["timingBounds"]["drainMs"] = 700
     process.write()
-    [settings] = process.look(told=True)
+    [settings] = process.look(forced=True)
     assert (settings.node_name, settings.internal_ports) == ("edge-1", (7300, 7315))
     assert settings.seeds == ("10.1.0.14:8262", "10.2.0.41:8262") and settings.bounds["drain_ms"] == 700
     assert lines == [
@@ -120,15 +120,15 @@
     process.look()
     process.told["timingBounds"]["drainMs"] = 700
     process.write()
-    process.reload.look(process.now + 0.1)
+    process.reload.poll(process.now + 0.1)
     assert not process.applied
-    process.reload.look(process.now + 0.2, told=True)
+    process.reload.poll(process.now + 0.2, forced=True)
     assert len(process.applied) == 1
 
 
 def test_without_a_file_there_is_nothing_to_look_at(process, lines):
-    idle = Reload(process.reload.settings, None, process.applied.append)
-    idle.look(9.0, told=True)
+    idle = SettingsReloader(process.reload.settings, None, process.applied.append)
+    idle.poll(9.0, forced=True)
     assert process.applied == lines == []
 
 
@@ -145,4 +145,4 @@
 
 
 def test_doctests():
-    assert doctest.testmod(reload).failed == 0
+    assert doctest.testmod(reloader).failed == 0
--- a/tests/runtime/test_log_ring.py
+++ b/tests/runtime/test_log_ring.py
@@ -11,7 +11,7 @@
 from loguru import logger as loguru
 
 from shedgrade.runtime import log
-from shedgrade.runtime.log_ring import EVERY, MOST, Ring
+from shedgrade.runtime.log_ring import EVERY, MOST, LogRingBuffer
 
 
 class Times:
@@ -29,14 +29,14 @@
 
 @pytest.fixture
 def ring(times):
-    return Ring("edge-1", io.StringIO(), size=8, clock=lambda: 1000.0 + times.now, steady=times)
+    return LogRingBuffer("edge-1", io.StringIO(), size=8, clock=lambda: 1000.0 + times.now, steady=times)
 
 
-def lines(ring: Ring) -> list[dict]:
+def lines(ring: LogRingBuffer) -> list[dict]:
     return [orjson.loads(line) for line in ring.stream.getvalue().split("\n")[:-1]]
 
 
-def texts(ring: Ring) -> list[str]:
+def texts(ring: LogRingBuffer) -> list[str]:
     return [line["text"] for line in lines(ring)]
 
 
@@ -93,7 +93,7 @@
 
 
 def test_one_write_is_bounded(times):
-    ring = Ring("edge-of-the-far-north-1" * 4, io.StringIO(), steady=times)
+    ring = LogRingBuffer("edge-of-the-far-north-1" * 4, io.StringIO(), steady=times)
     for number in range(500):
         ring.info("{} {}", number, "x" * 190)
     ring.warning("end")
@@ -163,7 +163,7 @@
 )
 def test_any_events_are_written_as_json_and_each_at_most_once(events):
     times = Times()
-    ring = Ring("p", io.StringIO(), size=5, steady=times)
+    ring = LogRingBuffer("p", io.StringIO(), size=5, steady=times)
     for level, text, values, more, after in events:
         times.now += after
         getattr(ring, level)(text, *values, **more)
@@ -179,11 +179,11 @@
 @pytest.fixture
 def handed():
     yield
-    log.hand(None)
+    log.set_sink(None)
 
 
 def test_lines_go_to_the_sink_that_was_handed_in(handed, ring):
-    log.hand(ring)
+    log.set_sink(ring)
     assert log.logger.info == ring.info
     log.logger.info("step {}", 1)
     log.logger.warning("end")
@@ -191,9 +191,9 @@
 
 
 def test_a_sink_that_lacks_a_method_is_not_taken(handed, ring):
-    log.hand(ring)
+    log.set_sink(ring)
     with pytest.raises(AttributeError):
-        log.hand(object())
+        log.set_sink(object())
     log.logger.warning("still here")
     assert texts(ring) == ["still here"]
     with pytest.raises(AttributeError):
@@ -201,7 +201,7 @@
 
 
 def test_with_nothing_handed_in_loguru_sees_the_true_caller(handed):
-    log.hand(None)
+    log.set_sink(None)
     records = []
     number = loguru.add(lambda message: records.append(message.record), level="DEBUG")
     try:
@@ -220,9 +220,9 @@
     [
         ("from shedgrade.runtime.log import logger", "loguru structlog"),
         (
-            "from shedgrade.runtime.log import hand\n"
-            "from shedgrade.runtime.log_ring import Ring\n"
-            "hand(Ring())",
+            "from shedgrade.runtime.log import set_sink\n"
+            "from shedgrade.runtime.log_ring import LogRingBuffer\n"
+            "set_sink(LogRingBuffer())",
             "loguru rich pygments",
         ),
     ],
--- a/tests/storage/test_slots.py
+++ b/tests/storage/test_slots.py
@@ -8,7 +8,7 @@
 from hypothesis import strategies as st
 
 from shedgrade.simulation.disk import SimulatedDisk
-from shedgrade.storage import State, Store, layout, store
+from shedgrade.storage import Store, StoreState, layout, store
 
 KEYS = st.sampled_from(["configuration", "version", "evacuations", "epoch"])
 LONG = st.integers(0, 3000).map(lambda size: bytes([size % 251]) * size)
@@ -45,13 +45,13 @@
         self.store = Store("simulated", files=self.disk.files)
         found = self.store.load()
         if self.written:
-            assert found.state is State.SOUND, found
-        elif found.state is not State.SOUND:
+            assert found.state is StoreState.SOUND, found
+        elif found.state is not StoreState.SOUND:
             assert found.values == {}
         assert found.values in self.possible, (found, self.possible)
         self.base = found.values
         self.doubted &= not self.store.appending  # what a load has written anew is sure
-        if found.state is State.SOUND and not self.doubted:
+        if found.state is StoreState.SOUND and not self.doubted:
             self.possible, self.written = [self.base], True
 
     def after(self, group):
@@ -134,7 +134,7 @@
         self.disk.wipe()
         self.written, self.possible, self.doubted = False, [{}], False
         self.start()
-        assert self.store.load().state is State.EMPTY
+        assert self.store.load().state is StoreState.EMPTY
 
     def step(self, kind, *rest):
         getattr(self, kind.replace(" ", "_"))(*rest)
@@ -212,4 +212,4 @@
             world = World(seed)
             world.power({"a": b"1" * 900}, cut)
             states.add((world.store.load().state, bool(world.base)))
-    assert states == {(State.EMPTY, False), (State.DAMAGED, False), (State.SOUND, True)}
+    assert states == {(StoreState.EMPTY, False), (StoreState.DAMAGED, False), (StoreState.SOUND, True)}
--- a/tests/storage/test_storage_damage.py
+++ b/tests/storage/test_storage_damage.py
@@ -8,7 +8,7 @@
 
 from shedgrade import file_frames
 from shedgrade.simulation.disk import SimulatedDisk
-from shedgrade.storage import State, Store, layout
+from shedgrade.storage import Store, StoreState, layout
 from shedgrade.storage.recovery import NAMES, recover
 
 
@@ -55,7 +55,7 @@
     assert used == "b" and layout.read_slot(contents["slot-a"]).values
     for at in range(len(contents["slot-b"])):
         _, found = load({**contents, "slot-b": flipped(contents["slot-b"], at)})
-        assert (found.state, found.values) == (State.DAMAGED, {})
+        assert (found.state, found.values) == (StoreState.DAMAGED, {})
         assert any(finding.place == "slot-b" for finding in found.findings)
 
 
@@ -64,10 +64,10 @@
     log = contents["log-a"]
     last = log.rindex(layout.MARK) - file_frames.FRAME.size
     for at in range(file_frames.HEAD_SIZE, last):
-        assert load({**contents, "log-a": flipped(log, at)})[1].state is State.DAMAGED
+        assert load({**contents, "log-a": flipped(log, at)})[1].state is StoreState.DAMAGED
     for at in range(last, len(log)):
         _, found = load({**contents, "log-a": flipped(log, at)})
-        assert found.state is State.SOUND and found.values["version"] == b"2"
+        assert found.state is StoreState.SOUND and found.values["version"] == b"2"
         assert [finding.place for finding in found.findings] == ["log-a"]
 
 
@@ -89,20 +89,20 @@
 )
 def test_files_of_ours_that_hold_nothing_readable_are_damage_and_are_written_again(contents):
     store, found = load(contents)
-    assert (found.state, found.values) == (State.DAMAGED, {}) and found.findings
+    assert (found.state, found.values) == (StoreState.DAMAGED, {}) and found.findings
     store.write({"a": b"new"})
     assert store.load().values == {"a": b"new"}
     store.write({"b": b"2"})
     store.write({"b": b"3"})
     again = store.load()
-    assert (again.state, again.values) == (State.SOUND, {"a": b"new", "b": b"3"})
+    assert (again.state, again.values) == (StoreState.SOUND, {"a": b"new", "b": b"3"})
 
 
 def test_after_damage_a_new_state_wins_over_all_that_lay_there():
     contents = written(writes=30, folds=2).contents()
     for name in ("slot-a", "slot-b"):
         store, found = load({**contents, "slot-b": b"rot", name: b"rot"})
-        assert found.state is State.DAMAGED
+        assert found.state is StoreState.DAMAGED
         store.write({"a": b"new"})
         assert store.load().values == {"a": b"new"}
 
@@ -113,7 +113,7 @@
     monkeypatch.undo()
     contents = {**written(writes=3).contents(), "slot-b": later}
     store, found = load(contents)
-    assert found.state is State.DAMAGED
+    assert found.state is StoreState.DAMAGED
     with pytest.raises(OSError, match="later version"):
         store.write({"a": b"1"})
     assert store.files.read("slot-b") == later
@@ -124,14 +124,14 @@
     torn = layout.slot(6, {"version": b"5"})
     for size in range(len(torn)):
         _, found = load({**contents, "slot-b": torn[:size]})
-        assert found.state is State.SOUND and found.values["version"] == b"4"
+        assert found.state is StoreState.SOUND and found.values["version"] == b"4"
     assert load({**contents, "slot-b": torn})[1].values == {"version": b"5"}
 
 
 def test_a_log_of_an_earlier_slot_is_left_alone():
     contents = written(writes=3).contents()
     _, found = load({**contents, "slot-a": layout.slot(20, {"version": b"20"})})
-    assert (found.state, found.values, found.findings) == (State.SOUND, {"version": b"20"}, ())
+    assert (found.state, found.values, found.findings) == (StoreState.SOUND, {"version": b"20"}, ())
 
 
 EDITS = st.lists(
@@ -159,10 +159,10 @@
             "drop": old[:at] + old[at + 9 :],
         }[kind]
     store, found = load(contents)
-    assert (found.state is State.EMPTY) == (not contents)
+    assert (found.state is StoreState.EMPTY) == (not contents)
     versions = [b"%d" % number for number in range(writes)]
     assert found.values == {} or found.values["version"] in versions
-    assert (found.state is State.SOUND) or found.values == {}
+    assert (found.state is StoreState.SOUND) or found.values == {}
     store.write({"after": b"1"})
     assert store.load().values == {**found.values, "after": b"1"}
 
--- a/tests/storage/test_store_calls.py
+++ b/tests/storage/test_store_calls.py
@@ -8,7 +8,7 @@
 import pytest
 
 from shedgrade.simulation.disk import SimulatedDisk
-from shedgrade.storage import State, Store, layout, recovery, store
+from shedgrade.storage import Store, StoreState, layout, recovery, store
 from shedgrade.storage.files import Files
 
 
@@ -25,13 +25,13 @@
 def test_a_folder_that_is_not_there_is_empty_and_is_made_by_the_first_write(tmp_path):
     folder = tmp_path / "deep" / "control"
     one = Store(folder)
-    assert one.load().state is State.EMPTY and one.load().state == "empty" and not folder.exists()
+    assert one.load().state is StoreState.EMPTY and one.load().state == "empty" and not folder.exists()
     one.write({"configuration": b"c", "version": b"7"})
     one.write({"version": b"8", "configuration": None})
     one.close()
     assert sorted(os.listdir(folder)) == ["log-a", "log-b", "slot-a", "slot-b"]
     found = Store(folder).load()
-    assert (found.state, found.values, found.findings) == (State.SOUND, {"version": b"8"}, ())
+    assert (found.state, found.values, found.findings) == (StoreState.SOUND, {"version": b"8"}, ())
 
 
 def test_values_come_back_from_a_real_folder_over_many_slots_and_starts(tmp_path):
@@ -51,7 +51,7 @@
 
 def test_other_files_in_the_folder_are_not_ours(tmp_path):
     (tmp_path / "lost+found").write_bytes(b"x")
-    assert Store(tmp_path).load().state is State.EMPTY
+    assert Store(tmp_path).load().state is StoreState.EMPTY
 
 
 def test_values_of_four_megabytes_are_kept_and_their_disk_is_bounded(tmp_path):
@@ -195,7 +195,7 @@
         disk.trouble = None
         disk.power_loss(Random(seed))
         found = again(disk)
-        assert found.state is State.SOUND and found.values["a"] in (b"1" * 2000, b"2" * 2000)
+        assert found.state is StoreState.SOUND and found.values["a"] in (b"1" * 2000, b"2" * 2000)
 
 
 def test_what_a_load_did_not_tell_never_comes_back():
@@ -292,4 +292,4 @@
 
 def test_names_that_others_use_stay():
     assert recovery.NAMES == ("slot-a", "log-a", "slot-b", "log-b")
-    assert [str(state) for state in State] == ["empty", "sound", "damaged"]
+    assert [str(state) for state in StoreState] == ["empty", "sound", "damaged"]
--- a/tests/stored/struct_examples.py
+++ b/tests/stored/struct_examples.py
@@ -70,7 +70,15 @@
     "watch.config": "sidecar.shadow_policy.config",
 }
 # Name then: module and class now, for a class that has another name or module than `MODULES` tells.
-CLASSES: dict[str, str] = {}
+CLASSES: dict[str, str] = {
+    "membership.messages:Finding": "membership.messages:IndirectAck",
+    "membership.messages:Inquiry": "membership.messages:IndirectPing",
+    "membership.messages:Notice": "membership.messages:MembershipUpdate",
+    "membership.messages:Pong": "membership.messages:Ack",
+    "membership.messages:Query": "membership.messages:DescriptorRequest",
+    "membership.messages:Shuffle": "membership.messages:ShuffleRequest",
+    "membership.messages:Shuffled": "membership.messages:ShuffleResponse",
+}
 
 
 def current_class(name: str) -> type[msgspec.Struct]:
--- a/tests/stored/test_core_folder_as_found.py
+++ b/tests/stored/test_core_folder_as_found.py
@@ -22,7 +22,7 @@
     Reading,
     Send,
 )
-from shedgrade.storage import State, Store
+from shedgrade.storage import Store, StoreState
 
 DATA = Path(__file__).parent.parent / "data" / "core"
 NAMES = ("core-1", "core-2", "core-3")
@@ -57,7 +57,7 @@
     store = Store(folder)
     found = store.load()
     store.close()
-    assert found.state is State.SOUND
+    assert found.state is StoreState.SOUND
     return found.values
 
 
