--- a/benchmarks/crash_points.py
+++ b/benchmarks/crash_points.py
@@ -20,7 +20,7 @@
     parser.add_argument("--records", type=int, default=16, help="of one log, so that slots change often")
     parser.add_argument("--second-every", type=int, default=1, help="contents left with a second loss")
     options = parser.parse_args()
-    store.MOST_RECORDS = options.records
+    store.MAX_LOG_RECORDS = options.records
     began = time.perf_counter()
     report = CrashDay(options.changes, options.second_every).play()
     for finding in report.wrong[:20]:
--- a/shedgrade/ctl/files.py
+++ b/shedgrade/ctl/files.py
@@ -27,8 +27,8 @@
         lines,
         {
             "state": str(found.state),
-            "number": found.sequence,
-            "slot": found.used,
+            "number": found.lsn,
+            "slot": found.active_slot,
             "keys": {key: len(value) for key, value in sorted(found.values.items())},
             "findings": [str(finding) for finding in found.findings],
         },
--- a/shedgrade/file_frames.py
+++ b/shedgrade/file_frames.py
@@ -1,89 +1,141 @@
-"""The format on disk, without I/O: a file is a header and framed records, each with its length and checksum.
+"""The record format of files, without I/O: a file is a header and framed records, each with length and
+checksum.
 
-    header   b"SHEDGRADE" kind(1: S snapshot, L log) version(u16) number(u64) check(u32)
-    record   length(u32) check(u32) payload(MessagePack), little-endian; the check covers length and payload
+    header   b"SHEDGRADE" kind(1: S snapshot, L log) version(u16) number(u64) checksum(u32)
+    record   length(u32) checksum(u32) payload(MessagePack), little-endian; CRC-32 of length and payload
 
-Readers take the version they know and older ones, refuse newer ones, and stop at the first record that is not
-sound. What is behind it is told, never guessed at.
+Readers take the version they know and older ones, refuse newer ones, and stop at the first damaged record.
+What is behind it is reported as damage and not interpreted.
 """
 
+from enum import StrEnum
 from struct import Struct
+from typing import Any, NamedTuple
 from zlib import crc32
 
 import msgspec
 
 VERSION = 1
 MAGIC = b"SHEDGRADE"
-HEAD = Struct("<9scHQ")  # magic, kind, version, number
-FRAME = Struct("<II")  # length, check
-CHECK = Struct("<I")
-HEAD_SIZE = HEAD.size + CHECK.size
+HEADER = Struct("<9scHQ")  # magic, kind, version, number
+RECORD_PREFIX = Struct("<II")  # length, checksum
+CHECKSUM = Struct("<I")
+HEADER_BYTES = HEADER.size + CHECKSUM.size
 SNAPSHOT, LOG = b"S", b"L"
-LONGEST = 16 * 1024 * 1024  # bytes of one record: tens of thousands of rows in one
+MAX_RECORD_BYTES = 16 * 1024 * 1024  # tens of thousands of rows in one
+
+Record = dict[Any, Any]  # a MessagePack map, whose keys and values are for its reader to check
 
 encoder = msgspec.msgpack.Encoder()
 decoder = msgspec.msgpack.Decoder()
 
 
 class FormatError(Exception):
-    """What is wrong with a file, in a few words."""
+    """Not even the header of a file can be used; the text says why in a few words."""
 
 
 class NewerVersionError(FormatError):
-    """Written by a later version: left as it is, not read."""
+    """The file was written by a later version of the format: it is left as it is, and not read."""
+
+    def __init__(self, version: int, supported: int) -> None:
+        super().__init__(f"format {version} is newer than {supported}")
+        self.version = version
+        self.supported = supported
+
+
+class RecordDamage(StrEnum):
+    """Why a record can't be read. `TORN`: the file ends within it, as after a write that was interrupted."""
+
+    TORN = "torn"
+    LENGTH = "a length out of bounds"
+    CHECKSUM = "checksum"
+    ENCODING = "no MessagePack"
+    NOT_A_MAP = "no record"
+
+
+class RecordError(Exception):
+    """A record can't be read: `damage` says why, `offset` is its first byte in the file."""
+
+    def __init__(self, damage: RecordDamage, offset: int) -> None:
+        super().__init__(f"{damage} at byte {offset}")
+        self.damage = damage
+        self.offset = offset
+
+
+class FileContent(NamedTuple):
+    """What a file holds. `number`: of its header; `records`: those before the first damaged one; `damage`:
+    why reading stopped before the end, with the offset; "" if it did not."""
+
+    number: int
+    records: list[Record]
+    damage: str
 
 
 def header(kind: bytes, number: int) -> bytes:
-    head = HEAD.pack(MAGIC, kind, VERSION, number)
-    return head + CHECK.pack(crc32(head))
+    """The first bytes of a file. `kind`: one byte; `number`: what the owner of the file counts it by."""
+    head = HEADER.pack(MAGIC, kind, VERSION, number)
+    return head + CHECKSUM.pack(crc32(head))
 
 
-def frame(record: dict) -> bytes:
+def frame(record: Record) -> bytes:
+    """One record with its length and checksum, as it is appended to a file."""
     payload = encoder.encode(record)
-    length = CHECK.pack(len(payload))
-    return length + CHECK.pack(crc32(payload, crc32(length))) + payload
+    length = CHECKSUM.pack(len(payload))
+    return length + CHECKSUM.pack(crc32(payload, crc32(length))) + payload
 
 
-def read(data: bytes, kind: bytes) -> tuple[int, list[dict], str]:
-    """The file's number, its sound records, and why reading stopped before the end ("" if it did not).
+def read(data: bytes, kind: bytes) -> FileContent:
+    """The content of a whole file of this kind.
 
-    Raises FormatError if not even the header is sound, NewerError if the version is later than ours.
+    FormatError if not even the header is sound, NewerVersionError if the version is later than VERSION.
     """
+    number = read_header(data, kind)
+    records: list[Record] = []
+    offset = HEADER_BYTES
+    while offset < len(data):
+        try:
+            record, offset = read_record(data, offset)
+        except RecordError as error:
+            return FileContent(number, records, str(error))
+        records.append(record)
+    return FileContent(number, records, "")
+
+
+def read_header(data: bytes, kind: bytes) -> int:
+    """The number in the header of a file of this kind. Errors as for `read`."""
     if not data:
         raise FormatError("empty")
-    if len(data) < HEAD_SIZE:
+    if len(data) < HEADER_BYTES:
         raise FormatError("shorter than a header")
-    magic, found, version, number = HEAD.unpack_from(data)
-    if magic != MAGIC or found != kind:
+    magic, found_kind, version, number = HEADER.unpack_from(data)
+    if magic != MAGIC or found_kind != kind:
         raise FormatError("not a file of this kind")
-    if CHECK.unpack_from(data, HEAD.size)[0] != crc32(data[: HEAD.size]):
+    if CHECKSUM.unpack_from(data, HEADER.size)[0] != crc32(data[: HEADER.size]):
         raise FormatError("header damaged")
     if version > VERSION:
-        raise NewerVersionError(f"format {version} is newer than {VERSION}")
-    records, place, why = [], HEAD_SIZE, ""
-    while place < len(data):
-        if len(data) - place < FRAME.size:
-            why = "torn"
-            break
-        length, check = FRAME.unpack_from(data, place)
-        payload = data[place + FRAME.size : place + FRAME.size + length]
-        if length > LONGEST or not length:
-            why = "no record" if not length else "a length out of bounds"
-            break
-        if len(payload) < length:
-            why = "torn"
-            break
-        if crc32(payload, crc32(data[place : place + 4])) != check:
-            why = "checksum"
-            break
-        try:
-            record = decoder.decode(payload)
-        except msgspec.DecodeError:
-            why = "no MessagePack"
-            break
-        if type(record) is not dict:
-            why = "no record"
-            break
-        records.append(record)
-        place += FRAME.size + length
-    return number, records, f"{why} at byte {place}" if why else ""
+        raise NewerVersionError(version, VERSION)
+    return number
+
+
+def read_record(data: bytes, offset: int) -> tuple[Record, int]:
+    """The record that begins at `offset`, and the offset behind it. RecordError if it is damaged."""
+    if len(data) - offset < RECORD_PREFIX.size:
+        raise RecordError(RecordDamage.TORN, offset)
+    length, checksum = RECORD_PREFIX.unpack_from(data, offset)
+    if not length:
+        raise RecordError(RecordDamage.NOT_A_MAP, offset)
+    if length > MAX_RECORD_BYTES:
+        raise RecordError(RecordDamage.LENGTH, offset)
+    begin = offset + RECORD_PREFIX.size
+    payload = data[begin : begin + length]
+    if len(payload) < length:
+        raise RecordError(RecordDamage.TORN, offset)
+    if crc32(payload, crc32(data[offset : offset + CHECKSUM.size])) != checksum:
+        raise RecordError(RecordDamage.CHECKSUM, offset)
+    try:
+        record = decoder.decode(payload)
+    except msgspec.DecodeError as error:
+        raise RecordError(RecordDamage.ENCODING, offset) from error
+    if type(record) is not dict:
+        raise RecordError(RecordDamage.NOT_A_MAP, offset)
+    return record, begin + length
--- a/shedgrade/simulation/crash_day.py
+++ b/shedgrade/simulation/crash_day.py
@@ -16,7 +16,7 @@
 )
 from shedgrade.simulation.disk import SimulatedDisk, SimulatedFiles
 from shedgrade.storage import LoadResult, Store, StoreState
-from shedgrade.storage.layout import apply
+from shedgrade.storage.layout import apply_changes
 
 RESTART_EVERY = 97  # changes
 
@@ -40,7 +40,7 @@
     found: list[dict[str, bytes]] = [{}]
     for number in range(1, changes + 1):
         values = dict(found[-1])
-        apply(values, group(number))
+        apply_changes(values, group(number))
         found.append(values)
     return found
 
--- a/shedgrade/storage/check.py
+++ b/shedgrade/storage/check.py
@@ -3,51 +3,62 @@
 from pathlib import Path
 
 from shedgrade.storage.files import Files
-from shedgrade.storage.recovery import NOT_THERE, Recovered, StoreState, recover
+from shedgrade.storage.layout import UNKNOWN_LSN
+from shedgrade.storage.recovery import EMPTY, MISSING, RecoveredFolder, StoreState, recover
 
 
-def report(folder: str | Path) -> list[str]:
+def report(path: str | Path) -> list[str]:
     """A line a file, a line a finding, and at last what a start would use. OSError if it cannot be read."""
-    found = recover(Files(folder))
+    folder = recover(Files(path))
     lines = []
     for letter in ("a", "b"):
-        lines += [slot_line(found, letter), log_line(found, letter)]
-    lines += [f"finding: {finding}" for finding in found.findings]
-    return [*lines, verdict(found)]
+        lines += [slot_line(folder, letter), log_line(folder, letter)]
+    lines += [f"finding: {finding}" for finding in folder.findings]
+    return [*lines, verdict(folder)]
 
 
-def slot_line(found: Recovered, letter: str) -> str:
-    name, slot = f"slot-{letter}", found.slots[letter]
-    if slot.reason == NOT_THERE:
-        return f"{name}: {NOT_THERE}"
-    number = f"number {slot.sequence}, " if slot.sequence >= 0 else ""
+def slot_line(folder: RecoveredFolder, letter: str) -> str:
+    """What one slot holds, and whether a start would use it."""
+    name, slot = f"slot-{letter}", folder.slots[letter]
+    if slot.damage == MISSING:
+        return f"{name}: {MISSING}"
+    number = f"number {slot.lsn}, " if slot.lsn != UNKNOWN_LSN else ""
+    size = folder.file_sizes[name]
     if slot.values is None:
-        return f"{name}: {number}{found.sizes[name]} bytes, not sound: {slot.reason}"
-    keys = f"{len(slot.values)} keys, " + ("used" if used(found, letter) else "not used")
-    return f"{name}: {number}{found.sizes[name]} bytes, sound, {keys}"
+        return f"{name}: {number}{size} bytes, not sound: {slot.damage}"
+    use = "used" if is_used(folder, letter) else "not used"
+    return f"{name}: {number}{size} bytes, sound, {len(slot.values)} keys, {use}"
 
 
-def log_line(found: Recovered, letter: str) -> str:
-    name, log = f"log-{letter}", found.logs[letter]
-    if log.reason in (NOT_THERE, "empty"):
-        return f"{name}: {log.reason}"
-    size = f"{found.sizes[name]} bytes"
-    if log.base < 0:
-        return f"{name}: {size}, not sound: {log.reason}"
-    goes_on = log.base == found.slots[letter].sequence
-    use = "of an earlier slot, not used" if not goes_on else "used" if used(found, letter) else "not used"
-    sound = f"sound up to there: {log.reason}" if log.reason else "sound"
-    return f"{name}: from number {log.base} to {log.last}, {size}, {len(log.changes)} records, {sound}, {use}"
+def log_line(folder: RecoveredFolder, letter: str) -> str:
+    """What one log holds, and whether a start would use it."""
+    name, log = f"log-{letter}", folder.logs[letter]
+    if log.damage in (MISSING, EMPTY):
+        return f"{name}: {log.damage}"
+    size = folder.file_sizes[name]
+    if log.base_lsn == UNKNOWN_LSN:
+        return f"{name}: {size} bytes, not sound: {log.damage}"
+    if log.base_lsn != folder.slots[letter].lsn:
+        use = "of an earlier slot, not used"
+    else:
+        use = "used" if is_used(folder, letter) else "not used"
+    sound = f"sound up to there: {log.damage}" if log.damage else "sound"
+    return (
+        f"{name}: from number {log.base_lsn} to {log.last_lsn}, {size} bytes, {len(log.changes)} records, "
+        f"{sound}, {use}"
+    )
 
 
-def used(found: Recovered, letter: str) -> bool:
-    return found.state is StoreState.SOUND and found.used == letter
+def is_used(folder: RecoveredFolder, letter: str) -> bool:
+    """Whether a start would take its values from this slot."""
+    return folder.state is StoreState.SOUND and folder.active_slot == letter
 
 
-def verdict(found: Recovered) -> str:
-    if found.state is StoreState.EMPTY:
+def verdict(folder: RecoveredFolder) -> str:
+    """What a start would use, in one line."""
+    if folder.state is StoreState.EMPTY:
         return "empty: no file of control state; a first start, or a disk that was lost"
-    if found.state is StoreState.DAMAGED:
+    if folder.state is StoreState.DAMAGED:
         return "damaged: what was written last cannot be read; the member starts without memory"
-    sizes = ", ".join(f"{key} {len(value)} bytes" for key, value in sorted(found.values.items()))
-    return f"sound: number {found.sequence}, from slot-{found.used}: {sizes or 'no keys'}"
+    sizes = ", ".join(f"{key} {len(value)} bytes" for key, value in sorted(folder.values.items()))
+    return f"sound: number {folder.lsn}, from slot-{folder.active_slot}: {sizes or 'no keys'}"
--- a/shedgrade/storage/files.py
+++ b/shedgrade/storage/files.py
@@ -1,8 +1,41 @@
-"""The file operations that the store needs, on the OS; the simulation hands in a disk of its own."""
+"""The file operations that the store needs, on the OS; the simulation supplies a disk of its own."""
 
 import contextlib
 import os
 from pathlib import Path
+from typing import Protocol
+
+
+class Folder(Protocol):
+    """What reading a folder needs. OSError from any call is the caller's to handle."""
+
+    def names(self) -> list[str]:
+        """All names in the folder, sorted; none if there is no folder."""
+
+    def read(self, name: str) -> bytes:
+        """The content of a file."""
+
+
+class WritableFolder(Folder, Protocol):
+    """What the store needs; `Files` documents each call."""
+
+    def make(self) -> None:
+        """Makes the folder, durably."""
+
+    def write(self, name: str, offset: int, data: bytes, /) -> None:
+        """Writes into a file, which is made if it is missing."""
+
+    def truncate(self, name: str, size: int) -> None:
+        """Sets a file's size."""
+
+    def sync(self, name: str) -> None:
+        """Makes a file's content durable."""
+
+    def sync_folder(self) -> None:
+        """Makes the folder's names durable."""
+
+    def close(self) -> None:
+        """Closes what is open."""
 
 
 class Files:
@@ -10,18 +43,18 @@
 
     def __init__(self, folder: str | Path) -> None:
         self.folder = Path(folder)
-        self.handles: dict[str, int] = {}
+        self.descriptors: dict[str, int] = {}
 
     def make(self) -> None:
         """Makes the folder and those above it; each that is new is synced into the one above."""
         missing = []
-        place = self.folder
-        while not place.is_dir():
-            missing.append(place)
-            place = place.parent
-        for place in reversed(missing):
-            place.mkdir(mode=0o700, exist_ok=True)
-            sync_folder(place.parent)
+        folder = self.folder
+        while not folder.is_dir():
+            missing.append(folder)
+            folder = folder.parent
+        for folder in reversed(missing):
+            folder.mkdir(mode=0o700, exist_ok=True)
+            sync_folder(folder.parent)
 
     def names(self) -> list[str]:
         """All names in the folder, sorted; none if there is no folder."""
@@ -31,43 +64,50 @@
             return []
 
     def read(self, name: str) -> bytes:
+        """The content of a file."""
         return (self.folder / name).read_bytes()
 
-    def write(self, name: str, place: int, data: bytes) -> None:
-        """Writes at byte `place`, and makes the file if it is not there. It may fail half-way."""
-        handle, view = self.handle(name), memoryview(data)
+    def write(self, name: str, offset: int, data: bytes) -> None:
+        """Writes from byte `offset` on, and makes the file if it is missing. It may fail half-way."""
+        descriptor = self.descriptor(name)
+        view = memoryview(data)
         while view:
-            written = os.pwrite(handle, view, place)
-            place, view = place + written, view[written:]
+            written = os.pwrite(descriptor, view, offset)
+            offset += written
+            view = view[written:]
 
     def truncate(self, name: str, size: int) -> None:
-        os.ftruncate(self.handle(name), size)
+        """Sets the file's size in bytes."""
+        os.ftruncate(self.descriptor(name), size)
 
     def sync(self, name: str) -> None:
         """Durable when it returns: the bytes and the size of the file, not yet its name."""
-        os.fdatasync(self.handle(name))
+        os.fdatasync(self.descriptor(name))
 
     def sync_folder(self) -> None:
         """Durable when it returns: which names the folder has."""
         sync_folder(self.folder)
 
     def close(self) -> None:
-        while self.handles:
-            _, handle = self.handles.popitem()
-            with contextlib.suppress(OSError):  # an error of close tells nothing that a sync has not told
-                os.close(handle)
-
-    def handle(self, name: str) -> int:
-        handle = self.handles.get(name)
-        if handle is None:
+        """Closes all files. An error of it says nothing that a sync has not said, and is ignored."""
+        while self.descriptors:
+            _, descriptor = self.descriptors.popitem()
+            with contextlib.suppress(OSError):
+                os.close(descriptor)
+
+    def descriptor(self, name: str) -> int:
+        """The file's descriptor for writing, opened when first asked for."""
+        descriptor = self.descriptors.get(name)
+        if descriptor is None:
             flags = os.O_WRONLY | os.O_CREAT | os.O_CLOEXEC
-            handle = self.handles[name] = os.open(self.folder / name, flags, 0o600)
-        return handle
+            descriptor = self.descriptors[name] = os.open(self.folder / name, flags, 0o600)
+        return descriptor
 
 
 def sync_folder(folder: Path) -> None:
-    handle = os.open(folder, os.O_RDONLY | os.O_DIRECTORY | os.O_CLOEXEC)
+    """Durable when it returns: which names that folder has."""
+    descriptor = os.open(folder, os.O_RDONLY | os.O_DIRECTORY | os.O_CLOEXEC)
     try:
-        os.fsync(handle)
+        os.fsync(descriptor)
     finally:
-        os.close(handle)
+        os.close(descriptor)
--- a/shedgrade/storage/layout.py
+++ b/shedgrade/storage/layout.py
@@ -1,12 +1,12 @@
-"""The bytes of a slot and of a log, without I/O, in the frames of `file_frames.py`.
+"""The bytes of a snapshot slot and of its write-ahead log, without I/O, in the frames of `file_frames.py`.
 
-    slot   header(kind C, sequence)   one record {"n": sequence, "v": {key: bytes}}, the whole map
-    log    header(kind J, base)       records {"n": sequence, "c": {key: bytes or nil}}, nil removes the key
+    slot   header(kind C, LSN)        one record {"n": LSN, "v": {key: bytes}}, the whole map
+    log    header(kind J, base LSN)   records {"n": LSN, "c": {key: bytes or nil}}, nil removes the key
 
-`sequence`: the log sequence number (LSN) of a write. Each write that is tried gets one and none is given
-twice, so bytes of two writes that got mixed on disk never pass for one: a slot's record has the number of its
-header; a log's records count up by one from its base, the number of its slot. What stands behind a slot's
-record, or behind the first record of a log that is not sound, is left over from before.
+LSN: the log sequence number of a write. Each write that is tried gets one and none is given twice, so bytes
+of two writes that got mixed on disk never pass for one: a slot's record has the LSN of its header; a log's
+records count up by one from its base, the LSN of its slot. What stands behind a slot's record, or behind the
+first damaged record of a log, is left over from before.
 """
 
 from dataclasses import dataclass, field
@@ -14,128 +14,156 @@
 
 from shedgrade import file_frames
 
-SLOT, LOG = b"C", b"J"
-LARGEST = file_frames.LONGEST - 64 * 1024  # bytes of a whole map: it must fit a frame with room to spare
-MARK = b"\x82\xa1n"  # how the payload of each record begins: a map of two, "n" first
-MOST = 2**63  # no sequence number comes near it: one that does is not ours
+SLOT_KIND, LOG_KIND = b"C", b"J"
+MAX_MAP_BYTES = file_frames.MAX_RECORD_BYTES - 64 * 1024  # of a whole map: it must fit one record with room
+PAYLOAD_START = b"\x82\xa1n"  # how the payload of each record begins: a map of two, "n" first
+LSN_LIMIT = 2**63  # no LSN comes near it: a file with a higher one is not ours
+UNKNOWN_LSN = -1
+
+Changes = dict[str, bytes | None]  # None: the key is removed
 
 
 @dataclass(slots=True)
-class Slot:
-    """`values` is None if the slot cannot be used; `reason` says why not. `sequence`: -1 if not known."""
+class SlotContent:
+    """A snapshot slot as it was read.
+
+    `lsn`: of the write that the snapshot includes last, UNKNOWN_LSN if the header is damaged. `values`: None
+    if the slot can't be used; `damage` says why then. `newer_version`: written by a later version of the
+    format.
+    """
 
-    sequence: int = -1
+    lsn: int = UNKNOWN_LSN
     values: dict[str, bytes] | None = None
-    reason: str = ""
-    newer: bool = False
+    damage: str = ""
+    newer_version: bool = False
 
 
 @dataclass(slots=True)
-class Log:
-    """`base`: the number of its slot, -1 if not known. `changes`: those that are sound and in order.
-
-    `reason`: what stopped the reading before the end, "" if nothing did. `beyond`: the highest sequence
-    number found behind that place, -1 if none is over the last: what lies between was damaged, as no write
-    begins before the one before it is synced.
+class LogContent:
+    """A write-ahead log as it was read.
+
+    `base_lsn`: of its slot, UNKNOWN_LSN if the header is damaged. `changes`: those of the records that are
+    sound and in order. `damage`: what stopped the reading before the end, "" if nothing did.
+    `lsn_behind_damage`: the highest LSN of a sound record behind that place, UNKNOWN_LSN if none is over the
+    last: what lies between was damaged later, as no write begins before the one before it is synced.
+    `newer_version`: as of a slot.
     """
 
-    base: int = -1
-    changes: list[dict[str, bytes | None]] = field(default_factory=list)
-    reason: str = ""
-    beyond: int = -1
-    newer: bool = False
+    base_lsn: int = UNKNOWN_LSN
+    changes: list[Changes] = field(default_factory=list)
+    damage: str = ""
+    lsn_behind_damage: int = UNKNOWN_LSN
+    newer_version: bool = False
 
     @property
-    def last(self) -> int:
-        """The sequence number of the last sound record, the base if there is none."""
-        return self.base + len(self.changes)
+    def last_lsn(self) -> int:
+        """The LSN of the last sound record, the base if there is none."""
+        return self.base_lsn + len(self.changes)
 
 
-def slot(sequence: int, values: dict[str, bytes]) -> bytes:
-    return file_frames.header(SLOT, sequence) + file_frames.frame({"n": sequence, "v": values})
+def encode_slot(lsn: int, values: dict[str, bytes]) -> bytes:
+    """A whole slot file."""
+    return file_frames.header(SLOT_KIND, lsn) + file_frames.frame({"n": lsn, "v": values})
 
 
-def log(base: int) -> bytes:
-    """How the log of the slot with this number begins."""
-    return file_frames.header(LOG, base)
+def encode_log_header(base_lsn: int) -> bytes:
+    """How the log of the slot with this LSN begins."""
+    return file_frames.header(LOG_KIND, base_lsn)
 
 
-def record(sequence: int, changes: dict[str, bytes | None]) -> bytes:
-    return file_frames.frame({"n": sequence, "c": changes})
+def encode_log_record(lsn: int, changes: Changes) -> bytes:
+    """One write, as it is appended to a log."""
+    return file_frames.frame({"n": lsn, "c": changes})
 
 
-def read_slot(data: bytes) -> Slot:
-    """Raises nothing, whatever the bytes are."""
+def decode_slot(data: bytes) -> SlotContent:
+    """The content of a slot file. Raises nothing, whatever the bytes are."""
     try:
-        sequence, records, reason = read(data, SLOT)
-    except file_frames.FormatError as wrong:
-        return Slot(reason=str(wrong), newer=isinstance(wrong, file_frames.NewerVersionError))
+        lsn, records, damage = read_file(data, SLOT_KIND)
+    except file_frames.FormatError as error:
+        return SlotContent(damage=str(error), newer_version=is_newer_version(error))
     if not records:
-        return Slot(sequence, reason=reason or "no record")
+        return SlotContent(lsn, damage=damage or "no record")
     values = records[0].get("v")
-    if records[0].get("n") != sequence or not is_map(values, bytes):
-        return Slot(sequence, reason="header and content are of two writes")
-    return Slot(sequence, values)
+    if records[0].get("n") != lsn or not is_map(values, bytes):
+        return SlotContent(lsn, damage="header and content are of two writes")
+    return SlotContent(lsn, values)
 
 
-def read_log(data: bytes) -> Log:
-    """Raises nothing, whatever the bytes are."""
+def decode_log(data: bytes) -> LogContent:
+    """The content of a log file. Raises nothing, whatever the bytes are."""
     try:
-        base, records, reason = read(data, LOG)
-    except file_frames.FormatError as wrong:
-        return Log(reason=str(wrong), newer=isinstance(wrong, file_frames.NewerVersionError))
-    found = Log(base, reason=reason)
-    for one in records:
-        if one.get("n") != found.last + 1 or not is_map(one.get("c"), bytes | None):
-            found.reason = f"what follows {found.last} is not the next record"
+        base_lsn, records, damage = read_file(data, LOG_KIND)
+    except file_frames.FormatError as error:
+        return LogContent(damage=str(error), newer_version=is_newer_version(error))
+    log = LogContent(base_lsn, damage=damage)
+    for record in records:
+        if record.get("n") != log.last_lsn + 1 or not is_map(record.get("c"), bytes | None):
+            log.damage = f"what follows {log.last_lsn} is not the next record"
             break
-        found.changes.append(one["c"])
-    if found.reason:
-        found.beyond = beyond(data, found.last)
-    return found
+        log.changes.append(record["c"])
+    if log.damage:
+        log.lsn_behind_damage = highest_lsn_anywhere(data, log.last_lsn)
+    return log
 
 
-def read(data: bytes, kind: bytes) -> tuple[int, list[dict], str]:
+def read_file(data: bytes, kind: bytes) -> file_frames.FileContent:
+    """The file's LSN and records. FormatError if the header is damaged, or the file is another program's."""
     try:
-        sequence, records, reason = file_frames.read(data, kind)
-    except (TypeError, RecursionError) as wrong:
+        content = file_frames.read(data, kind)
+    except (TypeError, RecursionError) as error:
         # Guards against a file that another program made, with sound checksums around what is no record of
         # ours.
-        raise file_frames.FormatError(f"not a file of ours ({type(wrong).__name__})") from wrong
-    if sequence >= MOST:
+        raise file_frames.FormatError(f"not a file of ours ({type(error).__name__})") from error
+    if content.number >= LSN_LIMIT:
         raise file_frames.FormatError("sequence number out of bounds")
-    return sequence, records, reason
+    return content
+
 
+def is_newer_version(error: file_frames.FormatError) -> bool:
+    """Whether the file was refused for its version alone."""
+    return isinstance(error, file_frames.NewerVersionError)
 
-def is_map(found: object, kind) -> bool:
-    return type(found) is dict and all(
-        type(key) is str and isinstance(value, kind) for key, value in found.items()
+
+def is_map(value: object, kind: object) -> bool:
+    """Whether `value` is a map of strings to values of `kind`, a class or a union of classes."""
+    return type(value) is dict and all(
+        type(key) is str and isinstance(item, kind)  # type: ignore[arg-type]
+        for key, item in value.items()
     )
 
 
-def beyond(data: bytes, last: int) -> int:
-    """The highest sequence number over `last` of a sound record at any offset of the data, or -1."""
-    highest, offset = -1, data.find(MARK, file_frames.HEAD_SIZE + file_frames.FRAME.size)
+def highest_lsn_anywhere(data: bytes, last_lsn: int) -> int:
+    """The highest LSN over `last_lsn` of a sound record at any offset of the data, or UNKNOWN_LSN."""
+    prefix = file_frames.RECORD_PREFIX
+    highest, offset = UNKNOWN_LSN, data.find(PAYLOAD_START, file_frames.HEADER_BYTES + prefix.size)
     while offset >= 0:
-        length, check = file_frames.FRAME.unpack_from(data, offset - file_frames.FRAME.size)
+        length, checksum = prefix.unpack_from(data, offset - prefix.size)
         payload = data[offset : offset + length]
-        if len(payload) == length and crc32(payload, crc32(file_frames.CHECK.pack(length))) == check:
-            try:
-                sequence = file_frames.decoder.decode(payload)["n"]
-            except (TypeError, ValueError, KeyError, RecursionError):
-                sequence = -1
-            if type(sequence) is int and last < sequence < MOST:
-                highest = max(highest, sequence)
-        offset = data.find(MARK, offset + 1)
+        if len(payload) == length and crc32(payload, crc32(file_frames.CHECKSUM.pack(length))) == checksum:
+            lsn = lsn_of_payload(payload)
+            if last_lsn < lsn < LSN_LIMIT:
+                highest = max(highest, lsn)
+        offset = data.find(PAYLOAD_START, offset + 1)
     return highest
 
 
-def weight(key: str, value: bytes | None) -> int:
-    """Bytes that the entry takes in a slot at most; None: not there."""
+def lsn_of_payload(payload: bytes) -> int:
+    """The LSN in a record's payload, UNKNOWN_LSN if it is no record of ours."""
+    try:
+        lsn = file_frames.decoder.decode(payload)["n"]
+    except (TypeError, ValueError, KeyError, RecursionError):
+        return UNKNOWN_LSN
+    return lsn if type(lsn) is int else UNKNOWN_LSN
+
+
+def entry_bytes(key: str, value: bytes | None) -> int:
+    """Bytes that the entry takes in a slot at most; 0 for None, which is no entry."""
     return 0 if value is None else 4 * len(key) + len(value) + 16
 
 
-def apply(values: dict[str, bytes], changes: dict[str, bytes | None]) -> None:
+def apply_changes(values: dict[str, bytes], changes: Changes) -> None:
+    """Applies one write to the map."""
     for key, value in changes.items():
         if value is None:
             values.pop(key, None)
--- a/shedgrade/storage/recovery.py
+++ b/shedgrade/storage/recovery.py
@@ -1,14 +1,16 @@
-"""From what lies in a folder to the state it holds. Only reads; `Store` and `storage check` use it."""
+"""From the files in a folder to the state they hold. Only reads; `Store` and `storage check` use it."""
 
 from dataclasses import dataclass, field
 from enum import StrEnum
 
 from shedgrade.findings import Finding
 from shedgrade.storage import layout
+from shedgrade.storage.files import Folder
 
-OTHER = {"a": "b", "b": "a"}
-NAMES = ("slot-a", "log-a", "slot-b", "log-b")
-NOT_THERE = "not there"
+OTHER_SLOT = {"a": "b", "b": "a"}
+FILE_NAMES = ("slot-a", "log-a", "slot-b", "log-b")
+MISSING = "not there"
+EMPTY = "empty"
 
 
 class StoreState(StrEnum):
@@ -22,82 +24,89 @@
 
 
 @dataclass(slots=True)
-class Recovered:
+class RecoveredFolder:
     """What a folder holds.
 
-    `values`: empty unless sound. `used`: "a" or "b", the slot in use; "" if none can be read. `sequence`: of
-    the values. `highest`: no file has a sequence number over it. `newer`: a file is of a later version of the
-    format. `sizes`: bytes of our files, by name.
+    `values`: empty unless the state is SOUND. `active_slot`: "a" or "b", whose snapshot and log are in use;
+    "" if none can be read. `lsn`: of the last write in the values. `highest_lsn`: no file has an LSN over it.
+    `newer_version`: a file is of a later version of the format. `file_sizes`: bytes of our files, by name.
     """
 
     state: StoreState = StoreState.EMPTY
     values: dict[str, bytes] = field(default_factory=dict)
     findings: list[Finding] = field(default_factory=list)
-    used: str = ""
-    sequence: int = 0
-    highest: int = 0
-    newer: bool = False
-    sizes: dict[str, int] = field(default_factory=dict)
-    slots: dict[str, layout.Slot] = field(default_factory=dict)
-    logs: dict[str, layout.Log] = field(default_factory=dict)
+    active_slot: str = ""
+    lsn: int = 0
+    highest_lsn: int = 0
+    newer_version: bool = False
+    file_sizes: dict[str, int] = field(default_factory=dict)
+    slots: dict[str, layout.SlotContent] = field(default_factory=dict)
+    logs: dict[str, layout.LogContent] = field(default_factory=dict)
 
 
-def recover(files) -> Recovered:
+def recover(files: Folder) -> RecoveredFolder:
     """Reads the folder. OSError if the disk cannot be read; nothing else, whatever the files hold."""
-    found, there = Recovered(), set(files.names()).intersection(NAMES)
-    for letter in OTHER:
-        found.slots[letter], found.logs[letter] = layout.Slot(reason=NOT_THERE), layout.Log(reason=NOT_THERE)
-        slot, log = f"slot-{letter}", f"log-{letter}"
-        if slot in there:
-            data = files.read(slot)
-            found.sizes[slot], found.slots[letter] = len(data), layout.read_slot(data)
-        if log in there:
-            data = files.read(log)
-            found.sizes[log], found.logs[letter] = len(data), layout.read_log(data)
-    if there:
-        decide(found)
-    return found
-
-
-def decide(found: Recovered) -> None:
-    """The newer sound slot wins, with the records of its own log.
-
-    It is damaged all the same if a log has a higher number: a log begins only after its slot is synced, and a
-    record is written only after the one before it is. A write in flight leaves one torn record at the end, or
-    a torn slot beside a log of before; what shows more than that was once promised, and is lost.
+    folder = RecoveredFolder()
+    present = set(files.names()).intersection(FILE_NAMES)
+    for letter in OTHER_SLOT:
+        folder.slots[letter] = layout.SlotContent(damage=MISSING)
+        folder.logs[letter] = layout.LogContent(damage=MISSING)
+        slot_name, log_name = f"slot-{letter}", f"log-{letter}"
+        if slot_name in present:
+            data = files.read(slot_name)
+            folder.file_sizes[slot_name] = len(data)
+            folder.slots[letter] = layout.decode_slot(data)
+        if log_name in present:
+            data = files.read(log_name)
+            folder.file_sizes[log_name] = len(data)
+            folder.logs[letter] = layout.decode_log(data)
+    if present:
+        select_state(folder)
+    return folder
+
+
+def select_state(folder: RecoveredFolder) -> None:
+    """The sound slot with the higher LSN wins, with the records of its own log.
+
+    The state is DAMAGED all the same if a log has a higher LSN: a log begins only after its slot is synced,
+    and a record is written only after the one before it is. A write in flight leaves one torn record at the
+    end, or a torn slot beside the log of the other one; what shows more than that was acknowledged once, and
+    is lost.
     """
-    slots, logs = found.slots, found.logs
-    newer_slot = any(slot.newer for slot in slots.values())
-    found.newer = newer_slot or any(log.newer for log in logs.values())
-    logged = max(max(log.last, log.beyond) for log in logs.values())
-    found.highest = max(0, logged, *(slot.sequence for slot in slots.values()))
+    slots, logs = folder.slots, folder.logs
+    newer_slot = any(slot.newer_version for slot in slots.values())
+    folder.newer_version = newer_slot or any(log.newer_version for log in logs.values())
+    highest_logged = max(max(log.last_lsn, log.lsn_behind_damage) for log in logs.values())
+    folder.highest_lsn = max(0, highest_logged, *(slot.lsn for slot in slots.values()))
     for letter, slot in slots.items():
-        if slot.values is None and slot.reason not in (NOT_THERE, "empty"):
-            found.findings.append(Finding(f"slot-{letter}", slot.reason))
-    found.state = StoreState.DAMAGED
+        if slot.values is None and slot.damage not in (MISSING, EMPTY):
+            folder.findings.append(Finding(f"slot-{letter}", slot.damage))
+    folder.state = StoreState.DAMAGED
     sound = [letter for letter, slot in slots.items() if slot.values is not None]
     if sound:
-        use(found, max(sound, key=lambda letter: slots[letter].sequence), logged)
+        replay_log(folder, max(sound, key=lambda letter: slots[letter].lsn), highest_logged)
     else:
-        found.findings.append(Finding("slots", "none can be read"))
-    if found.newer:
-        found.findings.append(Finding("slots", "a file is of a later version and is not written over"))
-
-
-def use(found: Recovered, letter: str, logged: int) -> None:
-    """Takes the values of this slot and of its log, unless a log has shown a number beyond them."""
-    slot, log = found.slots[letter], found.logs[letter]
-    found.used, found.sequence = letter, slot.sequence
-    changes = []
-    if log.base == slot.sequence:
+        folder.findings.append(Finding("slots", "none can be read"))
+    if folder.newer_version:
+        folder.findings.append(Finding("slots", "a file is of a later version and is not written over"))
+
+
+def replay_log(folder: RecoveredFolder, letter: str, highest_logged: int) -> None:
+    """Makes this slot the active one and applies its log, unless a log has shown an LSN beyond both."""
+    slot, log = folder.slots[letter], folder.logs[letter]
+    folder.active_slot = letter
+    folder.lsn = slot.lsn
+    changes: list[layout.Changes] = []
+    if log.base_lsn == slot.lsn:
         changes = log.changes
-        found.sequence += len(changes)
-        if log.reason:
-            found.findings.append(Finding(f"log-{letter}", f"{log.reason}; used up to {log.last}"))
-    if logged > found.sequence:
-        text = f"{logged} was written once, only {found.sequence} can be read"
-        found.findings.append(Finding("slots", text))
-    elif not found.newer:
-        found.state, found.values = StoreState.SOUND, dict(slot.values or {})
+        folder.lsn += len(changes)
+        if log.damage:
+            folder.findings.append(Finding(f"log-{letter}", f"{log.damage}; used up to {log.last_lsn}"))
+    if highest_logged > folder.lsn:
+        text = f"{highest_logged} was written once, only {folder.lsn} can be read"
+        folder.findings.append(Finding("slots", text))
+    elif not folder.newer_version:
+        folder.state = StoreState.SOUND
+        folder.values = dict(slot.values or {})
         for change in changes:
-            layout.apply(found.values, change)
+            layout.apply_changes(folder.values, change)
--- a/tests/sidecar/endpoint_snapshot/test_store.py
+++ b/tests/sidecar/endpoint_snapshot/test_store.py
@@ -169,8 +169,8 @@
     assert not found.picture.rows and "belongs to 'n1'" in found.said
     assert "snapshot-1.damaged" in other.files.names() or "snapshot-2.damaged" in other.files.names()
     newer = bytearray(file_frames.header(file_frames.SNAPSHOT, 9))
-    head = file_frames.HEAD.pack(file_frames.MAGIC, file_frames.SNAPSHOT, file_frames.VERSION + 1, 9)
-    newer = head + file_frames.CHECK.pack(file_frames.crc32(head))
+    head = file_frames.HEADER.pack(file_frames.MAGIC, file_frames.SNAPSHOT, file_frames.VERSION + 1, 9)
+    newer = head + file_frames.CHECKSUM.pack(file_frames.crc32(head))
     left = MemoryDisk({**disk.data, "snapshot-9": newer, "notes.txt": b"mine"})
     store = Store(left, "n1", lambda: at(9))
     found = store.open()
--- a/tests/storage/test_bounds.py
+++ b/tests/storage/test_bounds.py
@@ -24,7 +24,7 @@
 
 def largest_bound(whole, record):
     """Two slots and two logs, each log as long as its slot or the least, and one record."""
-    log = max(store.LEAST_LOG, whole) + record
+    log = max(store.MIN_LOG_BYTES, whole) + record
     return 2 * whole + 2 * log + 1024
 
 
@@ -85,4 +85,4 @@
     for number in range(50):
         one.write({f"k{number % 7}": bytes(number * 10), f"k{number % 5}": None})
     expected = sum(4 * len(key) + len(value) + 16 for key, value in one.values.items())
-    assert one.weight == expected
+    assert one.map_bytes == expected
--- a/tests/storage/test_crash_points.py
+++ b/tests/storage/test_crash_points.py
@@ -15,7 +15,7 @@
 @pytest.fixture(autouse=True)
 def short_logs(monkeypatch):
     """Slots change often in a short day."""
-    monkeypatch.setattr(store, "MOST_RECORDS", 16)
+    monkeypatch.setattr(store, "MAX_LOG_RECORDS", 16)
 
 
 def test_at_every_loss_of_power_in_500_changes_the_last_acknowledged_state_or_the_next_is_found():
@@ -25,44 +25,44 @@
 
 
 class SyncsNoRecord(Store):
-    def append(self, group):
+    def append_record(self, group):
         sync, self.files.sync = self.files.sync, lambda name: None
         try:
-            return super().append(group)
+            return super().append_record(group)
         finally:
             self.files.sync = sync
 
 
 class SyncsNoSlot(Store):
-    def fold(self, values):
+    def write_snapshot(self, values):
         sync, self.files.sync = self.files.sync, lambda name: None
         try:
-            return super().fold(values)
+            return super().write_snapshot(values)
         finally:
             self.files.sync = sync
 
 
 class SyncsNoFolder(Store):
-    def fold(self, values):
+    def write_snapshot(self, values):
         sync, self.files.sync_folder = self.files.sync_folder, lambda: None
         try:
-            return super().fold(values)
+            return super().write_snapshot(values)
         finally:
             self.files.sync_folder = sync
 
 
 class WritesOverTheSlotInUse(Store):
-    def fold(self, values):
-        if self.named:
-            self.used = recovery.OTHER[self.used]
-        return super().fold(values)
+    def write_snapshot(self, values):
+        if self.files_named:
+            self.active_slot = recovery.OTHER_SLOT[self.active_slot]
+        return super().write_snapshot(values)
 
 
 class TellsBeforeItIsDurable(Store):
     """A load that trusts what it reads."""
 
-    def settle(self):
-        self.confirmed = True
+    def make_durable(self):
+        self.active_synced = True
 
 
 @pytest.mark.parametrize(
@@ -74,31 +74,31 @@
 
 
 def test_a_recovery_that_prefers_the_older_slot_is_found(monkeypatch):
-    decide = recovery.decide
+    select_state = recovery.select_state
 
     def older(found):
         sound = [letter for letter, slot in found.slots.items() if slot.values is not None]
         if len(sound) == 2:
-            newer = max(sound, key=lambda letter: found.slots[letter].sequence)
+            newer = max(sound, key=lambda letter: found.slots[letter].lsn)
             found.slots[newer].values = None
             for log in found.logs.values():
-                log.changes, log.beyond = [], -1
-        decide(found)
+                log.changes, log.lsn_behind_damage = [], -1
+        select_state(found)
 
-    monkeypatch.setattr(recovery, "decide", older)
+    monkeypatch.setattr(recovery, "select_state", older)
     assert CrashDay(100, second_every=20).play(to_first_finding=True).wrong
 
 
 def test_a_recovery_that_takes_a_log_of_another_slot_is_found(monkeypatch):
-    decide = recovery.decide
+    select_state = recovery.select_state
 
     def mixed(found):
         for letter, log in found.logs.items():
-            if log.base >= 0:
-                log.base = found.slots[letter].sequence
-        decide(found)
+            if log.base_lsn >= 0:
+                log.base_lsn = found.slots[letter].lsn
+        select_state(found)
 
-    monkeypatch.setattr(recovery, "decide", mixed)
+    monkeypatch.setattr(recovery, "select_state", mixed)
     assert CrashDay(100, second_every=20).play(to_first_finding=True).wrong
 
 
--- a/tests/storage/test_slots.py
+++ b/tests/storage/test_slots.py
@@ -44,13 +44,14 @@
     def start(self):
         self.store = Store("simulated", files=self.disk.files)
         found = self.store.load()
+        self.store.check_invariants()
         if self.written:
             assert found.state is StoreState.SOUND, found
         elif found.state is not StoreState.SOUND:
             assert found.values == {}
         assert found.values in self.possible, (found, self.possible)
         self.base = found.values
-        self.doubted &= not self.store.appending  # what a load has written anew is sure
+        self.doubted &= not self.store.can_append  # what a load has written anew is sure
         if found.state is StoreState.SOUND and not self.doubted:
             self.possible, self.written = [self.base], True
 
@@ -61,6 +62,7 @@
     def write(self, group):
         values = self.after(group)
         self.store.write(group)
+        self.store.check_invariants()
         self.base, self.possible, self.written, self.doubted = values, [values], True, False
 
     def full(self, group):
@@ -73,6 +75,7 @@
             self.write(group)
         except (OSError, EndError):
             self.possible.append(self.after(group))
+        self.store.check_invariants()
 
     def troubled(self, error, group, calls):
         left = [calls]
@@ -158,11 +161,11 @@
 @settings(max_examples=200, deadline=None)
 @given(st.integers(0, 2**32), st.lists(STEPS, max_size=40), st.integers(1, 4))
 def test_the_same_with_logs_so_short_that_slots_change_all_the_time(seed, steps, records):
-    most, store.MOST_RECORDS = store.MOST_RECORDS, records
+    most, store.MAX_LOG_RECORDS = store.MAX_LOG_RECORDS, records
     try:
         play(seed, steps)
     finally:
-        store.MOST_RECORDS = most
+        store.MAX_LOG_RECORDS = most
 
 
 def each_cut(calls, groups, seeds=range(40)):
@@ -192,14 +195,14 @@
 
 
 def test_records_of_an_earlier_log_behind_a_new_first_one_are_not_taken_for_its_own(monkeypatch):
-    monkeypatch.setattr(store, "MOST_RECORDS", 3)
+    monkeypatch.setattr(store, "MAX_LOG_RECORDS", 3)
     groups = [{key: b"%d" % number} for number, key in enumerate("abcdefgh")]  # each a record of one size
     cleared, found = [dict.fromkeys("abcdefgh")], set()
     for seed in range(60):
         world = World(seed)
         for group in [*groups, *cleared]:  # slot-a, its log, slot-b, its log, slot-a: empty
             world.write(group)
-        assert layout.read_log(world.disk.contents()["log-a"]).last < world.store.sequence
+        assert layout.decode_log(world.disk.contents()["log-a"]).last_lsn < world.store.lsn
         world.power({"z": b"9"}, 2)  # the first record of log-a: all is written, nothing synced
         found.add(tuple(world.base.items()))
     assert found == {(), (("z", b"9"),)}
--- a/tests/storage/test_storage_damage.py
+++ b/tests/storage/test_storage_damage.py
@@ -9,7 +9,7 @@
 from shedgrade import file_frames
 from shedgrade.simulation.disk import SimulatedDisk
 from shedgrade.storage import Store, StoreState, layout
-from shedgrade.storage.recovery import NAMES, recover
+from shedgrade.storage.recovery import FILE_NAMES, recover
 
 
 class Folder:
@@ -51,8 +51,8 @@
 
 def test_a_slot_that_rotted_under_its_log_is_damage_and_not_the_slot_of_before():
     contents = written(writes=5, folds=2).contents()
-    used = recover(Folder(contents)).used
-    assert used == "b" and layout.read_slot(contents["slot-a"]).values
+    used = recover(Folder(contents)).active_slot
+    assert used == "b" and layout.decode_slot(contents["slot-a"]).values
     for at in range(len(contents["slot-b"])):
         _, found = load({**contents, "slot-b": flipped(contents["slot-b"], at)})
         assert (found.state, found.values) == (StoreState.DAMAGED, {})
@@ -62,8 +62,8 @@
 def test_a_record_that_rotted_before_others_is_damage_and_the_last_one_is_a_torn_tail():
     contents = written(writes=4).contents()
     log = contents["log-a"]
-    last = log.rindex(layout.MARK) - file_frames.FRAME.size
-    for at in range(file_frames.HEAD_SIZE, last):
+    last = log.rindex(layout.PAYLOAD_START) - file_frames.RECORD_PREFIX.size
+    for at in range(file_frames.HEADER_BYTES, last):
         assert load({**contents, "log-a": flipped(log, at)})[1].state is StoreState.DAMAGED
     for at in range(last, len(log)):
         _, found = load({**contents, "log-a": flipped(log, at)})
@@ -75,16 +75,16 @@
     "contents",
     [
         {"slot-a": b""},
-        dict.fromkeys(NAMES, b""),
+        dict.fromkeys(FILE_NAMES, b""),
         {"log-b": b""},
         {"slot-a": b"what is this"},
-        {"log-a": layout.log(4) + layout.record(5, {"a": b"1"})},
+        {"log-a": layout.encode_log_header(4) + layout.encode_log_record(5, {"a": b"1"})},
         {"slot-a": file_frames.header(file_frames.SNAPSHOT, 1) + file_frames.frame({"n": 1, "v": {}})},
-        {"slot-a": layout.slot(3, {"a": "text"})},
-        {"slot-a": layout.slot(3, ["a"])},
-        {"slot-a": file_frames.header(layout.SLOT, 3) + file_frames.frame({"n": 2, "v": {}})},
-        {"slot-a": file_frames.header(layout.SLOT, 3) + file_frames.frame({1: 2})},
-        {"slot-a": layout.slot(layout.MOST, {})},
+        {"slot-a": layout.encode_slot(3, {"a": "text"})},
+        {"slot-a": layout.encode_slot(3, ["a"])},
+        {"slot-a": file_frames.header(layout.SLOT_KIND, 3) + file_frames.frame({"n": 2, "v": {}})},
+        {"slot-a": file_frames.header(layout.SLOT_KIND, 3) + file_frames.frame({1: 2})},
+        {"slot-a": layout.encode_slot(layout.LSN_LIMIT, {})},
     ],
 )
 def test_files_of_ours_that_hold_nothing_readable_are_damage_and_are_written_again(contents):
@@ -109,7 +109,7 @@
 
 def test_a_file_of_a_later_version_is_neither_read_nor_written_over(monkeypatch):
     monkeypatch.setattr(file_frames, "VERSION", file_frames.VERSION + 1)
-    later = layout.slot(9, {"a": b"later"})
+    later = layout.encode_slot(9, {"a": b"later"})
     monkeypatch.undo()
     contents = {**written(writes=3).contents(), "slot-b": later}
     store, found = load(contents)
@@ -121,7 +121,7 @@
 
 def test_a_torn_slot_beside_a_sound_one_with_its_log_is_a_write_in_flight():
     contents = written(writes=5).contents()
-    torn = layout.slot(6, {"version": b"5"})
+    torn = layout.encode_slot(6, {"version": b"5"})
     for size in range(len(torn)):
         _, found = load({**contents, "slot-b": torn[:size]})
         assert found.state is StoreState.SOUND and found.values["version"] == b"4"
@@ -130,13 +130,13 @@
 
 def test_a_log_of_an_earlier_slot_is_left_alone():
     contents = written(writes=3).contents()
-    _, found = load({**contents, "slot-a": layout.slot(20, {"version": b"20"})})
+    _, found = load({**contents, "slot-a": layout.encode_slot(20, {"version": b"20"})})
     assert (found.state, found.values, found.findings) == (StoreState.SOUND, {"version": b"20"}, ())
 
 
 EDITS = st.lists(
     st.tuples(
-        st.sampled_from(NAMES),
+        st.sampled_from(FILE_NAMES),
         st.integers(0, 400),
         st.binary(max_size=30),
         st.sampled_from(["put", "cut", "insert", "drop", "all"]),
@@ -177,19 +177,23 @@
 @settings(max_examples=300, deadline=None)
 @given(st.binary(max_size=200), ANYTHING, st.integers(0, 2**64 - 1))
 def test_readers_raise_nothing_on_any_bytes_with_sound_checksums_or_without(tail, payload, sequence):
-    for head in (file_frames.header(layout.SLOT, sequence), file_frames.header(layout.LOG, sequence), b""):
+    for head in (
+        file_frames.header(layout.SLOT_KIND, sequence),
+        file_frames.header(layout.LOG_KIND, sequence),
+        b"",
+    ):
         for body in (
             tail,
             file_frames.frame(payload),
             file_frames.frame({"n": sequence, "c": payload, "v": payload}),
         ):
-            for read in (layout.read_slot, layout.read_log):
-                assert not read(head + body + tail).newer
+            for read in (layout.decode_slot, layout.decode_log):
+                assert not read(head + body + tail).newer_version
 
 
 def test_a_record_nested_without_end_raises_nothing():
     payload = b"\x82\xa1n" + b"\x91" * 100_000
-    sized = file_frames.CHECK.pack(len(payload))
-    framed = sized + file_frames.CHECK.pack(file_frames.crc32(payload, file_frames.crc32(sized))) + payload
-    assert layout.read_slot(file_frames.header(layout.SLOT, 1) + framed).values is None
-    assert layout.read_log(layout.log(1) + b"torn" + framed).beyond == -1
+    sized = file_frames.CHECKSUM.pack(len(payload))
+    framed = sized + file_frames.CHECKSUM.pack(file_frames.crc32(payload, file_frames.crc32(sized))) + payload
+    assert layout.decode_slot(file_frames.header(layout.SLOT_KIND, 1) + framed).values is None
+    assert layout.decode_log(layout.encode_log_header(1) + b"torn" + framed).lsn_behind_damage == -1
--- a/tests/storage/test_store_calls.py
+++ b/tests/storage/test_store_calls.py
@@ -7,6 +7,7 @@
 
 import pytest
 
+from shedgrade import file_frames
 from shedgrade.simulation.disk import SimulatedDisk
 from shedgrade.storage import Store, StoreState, layout, recovery, store
 from shedgrade.storage.files import Files
@@ -69,12 +70,12 @@
     one.load()
     one.write({"a": b"1"})
     assert disk.syncs == 2  # the slot, the folder
-    for number in range(store.MOST_RECORDS):
+    for number in range(store.MAX_LOG_RECORDS):
         one.write({"a": b"%d" % number})
-    assert disk.syncs == 2 + store.MOST_RECORDS
+    assert disk.syncs == 2 + store.MAX_LOG_RECORDS
     slots = disk.contents()["slot-b"]
     one.write({"a": b"folded"})
-    assert slots == b"" and disk.contents()["slot-b"] and disk.syncs == 3 + store.MOST_RECORDS
+    assert slots == b"" and disk.contents()["slot-b"] and disk.syncs == 3 + store.MAX_LOG_RECORDS
     assert again(disk).values == {"a": b"folded"}
 
 
@@ -82,7 +83,7 @@
     disk, one = simulated()
     for number in range(300):
         one.write({"a": bytes(1000), "n": b"%d" % number})
-        assert all(len(data) <= store.LEAST_LOG + 2000 for data in disk.contents().values())
+        assert all(len(data) <= store.MIN_LOG_BYTES + 2000 for data in disk.contents().values())
     assert again(disk).values["n"] == b"299"
 
 
@@ -125,7 +126,7 @@
     with pytest.raises(OSError):
         one.write({"a": b"2"})
     disk.trouble = None
-    assert layout.read_log(disk.contents()["log-a"]).changes == [{"a": b"2"}]
+    assert layout.decode_log(disk.contents()["log-a"]).changes == [{"a": b"2"}]
     one.write({"b": b"3"})
     assert again(disk).values == {"a": b"1", "b": b"3"}
 
@@ -257,10 +258,10 @@
     one.write({"a": b"1"})
     before = disk.contents()
     with pytest.raises(OSError) as refused:
-        one.write({"b": bytes(layout.LARGEST)})
+        one.write({"b": bytes(layout.MAX_MAP_BYTES)})
     assert refused.value.errno == errno.EFBIG and disk.contents() == before
-    one.write({"b": bytes(layout.LARGEST - 100)})
-    assert len(again(disk).values["b"]) == layout.LARGEST - 100
+    one.write({"b": bytes(layout.MAX_MAP_BYTES - 100)})
+    assert len(again(disk).values["b"]) == layout.MAX_MAP_BYTES - 100
 
 
 @pytest.mark.parametrize("changes", [{1: b"x"}, {"a": 5}, {"a": "text"}])
@@ -291,5 +292,36 @@
 
 
 def test_names_that_others_use_stay():
-    assert recovery.NAMES == ("slot-a", "log-a", "slot-b", "log-b")
+    assert recovery.FILE_NAMES == ("slot-a", "log-a", "slot-b", "log-b")
     assert [str(state) for state in StoreState] == ["empty", "sound", "damaged"]
+
+
+@pytest.mark.parametrize(
+    ("attribute", "value"), [("active_slot", "c"), ("map_bytes", 1), ("base_lsn", 99), ("files_named", False)]
+)
+def test_a_broken_invariant_is_found(attribute, value):
+    one = Store("simulated", files=SimulatedDisk(Random(1)).files)
+    one.load()
+    one.write({"a": b"1"})
+    one.check_invariants()
+    setattr(one, attribute, value)
+    with pytest.raises(AssertionError):
+        one.check_invariants()
+
+
+def test_a_file_of_a_later_version_is_named_with_both_versions(monkeypatch):
+    monkeypatch.setattr(file_frames, "VERSION", 3)
+    later = file_frames.header(file_frames.SNAPSHOT, 1)
+    monkeypatch.undo()
+    with pytest.raises(file_frames.NewerVersionError) as error:
+        file_frames.read(later, file_frames.SNAPSHOT)
+    assert (error.value.version, error.value.supported) == (3, 1)
+
+
+def test_a_damaged_record_is_named_with_its_kind_and_offset():
+    data = file_frames.header(file_frames.LOG, 1) + file_frames.frame({"n": 1})
+    with pytest.raises(file_frames.RecordError) as error:
+        file_frames.read_record(data[:-1], file_frames.HEADER_BYTES)
+    assert error.value.damage is file_frames.RecordDamage.TORN
+    assert error.value.offset == file_frames.HEADER_BYTES
+    assert file_frames.read(data[:-1], file_frames.LOG).damage == f"torn at byte {file_frames.HEADER_BYTES}"
--- a/tools/checks.py
+++ b/tools/checks.py
@@ -10,10 +10,13 @@
 
 DOCUMENTED = (
     "tools",
+    "shedgrade/file_frames.py",
+    "shedgrade/storage",
     "shedgrade/route_matching",
 )
 TYPED = (
     "tools",
+    "shedgrade/file_frames.py",
     "shedgrade/findings.py",
     "shedgrade/runtime/log.py",
     "shedgrade/route_matching",
