--- a/shedgrade/dataplane/plane.py
+++ b/shedgrade/dataplane/plane.py
@@ -87,7 +87,15 @@
         me = self.asker.edge
         self.gossip = Gossip(
             loop,
-            Node(me.name, settings.gossip_address, "edge", me.zone, me.life, front=me.front, state=me.state),
+            Node(
+                me.name,
+                settings.gossip_address,
+                "edge",
+                me.zone,
+                me.life,
+                front_address=me.front,
+                state=me.state,
+            ),
             settings.seed_gossips,
             random,
         )
@@ -250,7 +258,7 @@
         self.state.counted(max(self.gossip.view.count("edge"), told.edges if told is not None else 0))
         if self.asker.lost(now) > SILENT:
             nodes = self.gossip.view.nodes()
-            self.asker.met(node.link for node in nodes if node.kind == "core" and node.link)
+            self.asker.met(node.link_address for node in nodes if node.kind == "core" and node.link_address)
 
     # --- loads
 
--- a/shedgrade/membership/__init__.py
+++ b/shedgrade/membership/__init__.py
@@ -1,1 +1,1 @@
-"""Who else is there: partial views that are shuffled between neighbours. No I/O, time handed in."""
+"""Which other members there are: partial views, shuffled between neighbours (gossip)."""
--- /dev/null
+++ b/shedgrade/membership/fitting.py
@@ -0,0 +1,51 @@
+"""Messages cut to what fits one datagram."""
+
+from collections.abc import Iterator
+from dataclasses import dataclass
+
+from shedgrade.membership.messages import (
+    MAX_MESSAGE_BYTES,
+    Descriptor,
+    MembershipUpdate,
+    Rumour,
+    ShuffleRequest,
+    ShuffleResponse,
+    encode,
+)
+from shedgrade.membership.table import Sample
+
+
+@dataclass(frozen=True, slots=True)
+class FittedShuffle:
+    """An encoded shuffle, and what of the sample and the rumours it carries."""
+
+    body: bytes
+    descriptors: list[Descriptor]
+    rumours: list[Rumour]
+
+
+def fit_shuffle(
+    kind: type[ShuffleRequest] | type[ShuffleResponse],
+    number: int,
+    sender: Descriptor,
+    sample: Sample,
+    rumours: list[Rumour],
+) -> FittedShuffle:
+    """A shuffle of this kind: descriptors that don't fit are left out, the last ones first, then rumours."""
+    descriptors = sample.descriptors
+    while len(body := encode(kind(number, sender, descriptors, rumours, sample.digests))) > MAX_MESSAGE_BYTES:
+        if descriptors:
+            descriptors = descriptors[:-1]
+        else:
+            rumours = rumours[:-1]
+    return FittedShuffle(body, descriptors, rumours)
+
+
+def split_updates(descriptors: list[Descriptor]) -> Iterator[MembershipUpdate]:
+    """Updates that together carry all of the descriptors."""
+    while descriptors:
+        count = len(descriptors)
+        while count > 1 and len(encode(MembershipUpdate(descriptors[:count], []))) > MAX_MESSAGE_BYTES:
+            count -= 1
+        yield MembershipUpdate(descriptors[:count], [])
+        descriptors = descriptors[count:]
--- a/shedgrade/membership/gossip.py
+++ b/shedgrade/membership/gossip.py
@@ -1,4 +1,4 @@
-"""One process's view at its UDP address: datagrams carried, its timer on the loop."""
+"""One process's view at its UDP address: carries datagrams, and keeps the view's timer on the loop."""
 
 import asyncio
 from collections.abc import Iterable
@@ -12,38 +12,46 @@
 from shedgrade.peer_transport.udp import DatagramEndpoint
 from shedgrade.runtime.log import logger
 
-PERIOD = 2.4  # s between shuffles: word of others isn't urgent, as the core tells it too
-SOONEST = 0.001  # s to the next look at the earliest
+PERIOD_S = 2.4  # between shuffles: word of others isn't urgent, as the core tells it too
+MIN_TIMER_S = 0.001  # to the next tick at the earliest
 
 
 class Gossip:
     """`start` opens the socket; before it, after `close`, and where the address can't be had, nothing is sent
-    or heard. ValueError: a node or contact that can't be told in a datagram."""
+    or received. ValueError: a node or contact that doesn't fit a datagram.
+
+    Attributes:
+        view: the state machine.
+        timer: the one call of `on_timer` that is set, None if there is none.
+        timer_at: when it is due, as the view asked for it.
+        is_running: from a `start` that got the address to `close`.
+    """
 
     def __init__(
         self, loop: asyncio.AbstractEventLoop, me: Node, contacts: Iterable[str], random: Random
     ) -> None:
         """`contacts`: UDP addresses "ip:port" of whoever may know others."""
         self.loop = loop
-        self.view = PartialView(me, random, loop.time(), period=PERIOD)
+        self.view = PartialView(me, random, loop.time(), period=PERIOD_S)
         self.view.add_contacts(Node("", address) for address in contacts)
-        self.datagrams = DatagramEndpoint(loop, parse_address(me.address), self.heard)
+        self.datagrams = DatagramEndpoint(loop, parse_address(me.address), self.on_datagram)
         self.timer: asyncio.TimerHandle | None = None
-        self.wake = float("inf")
-        self.running = False
+        self.timer_at = float("inf")
+        self.is_running = False
 
     async def start(self) -> None:
+        """Opens the socket; logs a warning if the address can't be had."""
         try:
             await self.datagrams.start()
-        except OSError as failure:
-            # Guards against an end of the process for what the core tells too.
-            logger.warning("no gossip at {}: {}", self.view.table.me.address, str(failure))
+        except OSError as error:
+            # Guards against an end of the process: the core tells it of others too.
+            logger.warning("gossip socket not opened", address=self.view.table.me.address, error=str(error))
             return
-        self.running = True
-        self.look()
+        self.is_running = True
+        self.on_timer()
 
     def announce_state(self, state: str) -> None:
-        """The own node's state; "leaving" is said to all neighbours, and nothing more after it."""
+        """The own node's state; "leaving" is sent to all neighbours, and nothing more after it."""
         if state == "leaving":
             self.view.leave(self.loop.time())
         else:
@@ -51,35 +59,43 @@
         self.carry_out()
 
     def close(self) -> None:
-        self.running = False
+        """Closes the socket; nothing is sent or received any more."""
+        self.is_running = False
         if self.timer is not None:
             self.timer.cancel()
         self.datagrams.close()
 
-    def heard(self, sender: str, body: bytes) -> None:
+    def on_datagram(self, sender: str, body: bytes) -> None:
+        """Passes a datagram to the view."""
         self.view.receive(self.loop.time(), sender, body)
         self.carry_out()
 
-    def look(self) -> None:
+    def on_timer(self) -> None:
+        """Something of the view is due."""
         self.timer = None
         self.view.tick(self.loop.time())
         self.carry_out()
 
     def carry_out(self) -> None:
-        """Sends what the view asks for, and sets the one timer."""
-        instructions, self.view.instructions[:] = list(self.view.instructions), []
+        """Sends what the view asks for, and sets the timer."""
+        instructions = list(self.view.instructions)
+        self.view.instructions.clear()
         for instruction in instructions:
             try:
                 self.datagrams.send(instruction.address, instruction.body)
             except (OSError, ValueError):
                 # Guards against an address that others told and no datagram can be sent to.
                 continue
-        at = self.view.wake_at()
+        self.set_timer()
+
+    def set_timer(self) -> None:
+        """Sets the timer to when the view is due; leaves it if that hasn't changed."""
+        due_at = self.view.wake_at()
         if self.timer is not None:
-            if at == self.wake:
+            if due_at == self.timer_at:
                 return
             self.timer.cancel()
             self.timer = None
-        if self.running and at != float("inf"):
-            self.wake = at
-            self.timer = self.loop.call_at(max(at, self.loop.time() + SOONEST), self.look)
+        if self.is_running and due_at != float("inf"):
+            self.timer_at = due_at
+            self.timer = self.loop.call_at(max(due_at, self.loop.time() + MIN_TIMER_S), self.on_timer)
--- a/shedgrade/membership/table.py
+++ b/shedgrade/membership/table.py
@@ -1,15 +1,15 @@
-"""What a member believes of others: its neighbours, whom it suspects, who is gone, and what it tells of them.
+"""What a member believes of others: its neighbours, whom it suspects, who departed, and the rumours it
+spreads.
 
 Suspicion and incarnations as in SWIM (Das, Gupta, Motivala, 2002). Times are seconds of the caller's clock.
 """
 
+from dataclasses import dataclass
 from random import Random
 from zlib import crc32
 
-import msgspec
-
 from shedgrade.membership.messages import (
-    LONGEST,
+    MAX_MESSAGE_BYTES,
     Descriptor,
     Digest,
     Node,
@@ -19,256 +19,372 @@
 )
 from shedgrade.peer_transport.address import parse_address
 
-SUSPICION = 2.0  # s that a suspected node has to refute
-ALONE = 5  # times as long, while nobody at all is heard
-REMEMBERED = 90.0  # s that a node is known to have been dropped or have left
-MOST_GONE = 256
-AFTER = 1.0  # s after its end at which one must have been heard to be back: ages lag by hops
-NEW = 10.0  # s that a descriptor is passed on whole, though the view has room
-RUMOUR_SENDS = 8  # messages that carry a rumour
-RUMOURS = 6  # in one message
+SUSPICION_TIMEOUT_S = 2.0  # that a suspected node has to refute
+ISOLATED_FACTOR = 5  # times as long, while nobody at all is heard
+DEPARTED_MEMORY_S = 90.0  # that a node is known to have been dropped or have left
+MAX_DEPARTED = 256
+RETURN_MARGIN_S = 1.0  # after its end at which a node must have been heard to be back: ages lag by hops
+NEW_DESCRIPTOR_S = 10.0  # that a descriptor is passed on whole, though the view has room
+SENDS_PER_RUMOUR = 8  # messages that carry a rumour
+MAX_RUMOURS_SENT = 6  # in one message
 SUSPECTED, DROPPED, LEFT = "suspected", "dropped", "left"
 
 
 class Entry:
-    """A neighbour. `heard`: when it was last known to be alive; `since`: when its descriptor was learnt;
-    `drop_at`: set while it is suspected."""
-
-    __slots__ = ("node", "mark", "incarnation", "heard", "since", "drop_at")
-
-    def __init__(self, node: Node, incarnation: int, heard: float, now: float) -> None:
-        self.node, self.incarnation, self.heard, self.since = node, incarnation, heard, now
-        self.mark = mark(node.name)
+    """A neighbour.
+
+    Attributes:
+        node: as its newest incarnation described itself.
+        name_hash: by which digests name it.
+        incarnation: the highest that was heard of; -1 for a node learnt elsewhere.
+        last_alive_at: when it was last known to be alive, by itself or by others.
+        learnt_at: when this description was learnt.
+        drop_at: when it is dropped unless it refutes; None unless it is suspected.
+    """
+
+    __slots__ = ("node", "name_hash", "incarnation", "last_alive_at", "learnt_at", "drop_at")
+
+    def __init__(self, node: Node, incarnation: int, last_alive_at: float, now: float) -> None:
+        self.node = node
+        self.name_hash = hash_name(node.name)
+        self.incarnation = incarnation
+        self.last_alive_at = last_alive_at
+        self.learnt_at = now
         self.drop_at: float | None = None
 
     def descriptor(self, now: float) -> Descriptor:
-        return Descriptor(self.node, self.incarnation, max(0, int((now - self.heard) * 1000)))
+        """The entry as it is passed on."""
+        return Descriptor(self.node, self.incarnation, self.age_ms(now))
 
     def digest(self, now: float) -> Digest:
-        return Digest(self.mark, self.incarnation, max(0, int((now - self.heard) * 1000)))
+        """What stands for the descriptor where the other side knows it."""
+        return Digest(self.name_hash, self.incarnation, self.age_ms(now))
+
+    def age_ms(self, now: float) -> int:
+        """Milliseconds since the node was known to be alive."""
+        return max(0, int((now - self.last_alive_at) * 1000))
+
+
+class Departed:
+    """A node that was dropped or has left, in an incarnation: only a higher one of it is believed.
+
+    `status`: DROPPED or LEFT; `at`: when this member learnt of it.
+    """
+
+    __slots__ = ("node", "incarnation", "status", "at")
+
+    def __init__(self, node: Node, incarnation: int, status: str, at: float) -> None:
+        self.node = node
+        self.incarnation = incarnation
+        self.status = status
+        self.at = at
 
 
-class Gone:
-    """One that was dropped or has left, in an incarnation: only a higher one of it is believed."""
+class SpreadingRumour:
+    """A rumour that is still sent. `sends_left`: messages that will carry it, at least one."""
 
-    __slots__ = ("node", "incarnation", "fate", "at")
+    __slots__ = ("rumour", "sends_left")
 
-    def __init__(self, node: Node, incarnation: int, fate: str, at: float) -> None:
-        self.node, self.incarnation, self.fate, self.at = node, incarnation, fate, at
+    def __init__(self, rumour: Rumour) -> None:
+        self.rumour = rumour
+        self.sends_left = SENDS_PER_RUMOUR
+
+
+@dataclass(frozen=True, slots=True)
+class Sample:
+    """Entries to pass on: new ones as descriptors, old ones as digests."""
+
+    descriptors: list[Descriptor]
+    digests: list[Digest]
+
+
+@dataclass(frozen=True, slots=True)
+class Corrections:
+    """What a node should be told of itself, so that it refutes."""
+
+    descriptors: list[Descriptor]
+    rumours: list[Rumour]
 
 
 class Table:
-    """At most `size` entries. `heard`: when anybody was heard last. ValueError: `me` is too long."""
+    """The beliefs of one member. ValueError: `me` is too long for a datagram.
+
+    Attributes:
+        me: the own node, as it is described to others.
+        incarnation: the own one, raised to refute and with each change of `me`; never falls.
+        size: the most entries.
+        last_heard_at: when any datagram came last; the start, before the first.
+        entries: neighbours by name, alive or suspected. Never this member; never one in `departed`.
+        departed: by name, oldest first, at most MAX_DEPARTED.
+        rumours: what is still spread, by the name of the node, the next to be sent first.
+    """
 
     def __init__(self, me: Node, random: Random, now: float, size: int) -> None:
-        self.random, self.size, self.heard = random, size, now
+        self.random = random
+        self.size = size
+        self.last_heard_at = now
         self.incarnation = 0
         self.entries: dict[str, Entry] = {}
-        self.gone: dict[str, Gone] = {}
-        self.rumours: dict[str, tuple[Rumour, int]] = {}  # name: what is told of it, and how often yet
-        self.name_myself(me)
-
-    # of itself
-
-    def name_myself(self, me: Node) -> None:
+        self.departed: dict[str, Departed] = {}
+        self.rumours: dict[str, SpreadingRumour] = {}
+        self.set_own_node(me)
+
+    def check_invariants(self) -> None:
+        """AssertionError if an attribute breaks what the class says of it. For tests and the simulation."""
+        assert self.incarnation >= 0
+        assert len(self.entries) <= self.size
+        assert len(self.departed) <= MAX_DEPARTED
+        assert self.me.name not in self.entries
+        assert not self.entries.keys() & self.departed.keys()
+        for name, entry in self.entries.items():
+            assert name
+            assert name == entry.node.name
+            assert entry.name_hash == hash_name(name)
+            assert entry.node.address != self.me.address
+        for name, departed in self.departed.items():
+            assert name == departed.node.name
+            assert departed.status in (DROPPED, LEFT)
+        for name, spreading in self.rumours.items():
+            assert name == spreading.rumour.name
+            assert 1 <= spreading.sends_left <= SENDS_PER_RUMOUR
+
+    # --- the own node
+
+    def set_own_node(self, me: Node) -> None:
+        """Describes this member from now on. ValueError: too long for a datagram."""
         descriptor = Descriptor(me, self.incarnation)
-        if len(encode(ShuffleRequest(2**32, descriptor, [descriptor], []))) > LONGEST:
+        if len(encode(ShuffleRequest(2**32, descriptor, [descriptor], []))) > MAX_MESSAGE_BYTES:
             raise ValueError("a node's names are too long for a datagram")
         self.me = me
 
-    def own(self) -> Descriptor:
+    def own_descriptor(self) -> Descriptor:
+        """This member, as it describes itself."""
         return Descriptor(self.me, self.incarnation)
 
     def refute(self, incarnation: int) -> None:
-        """Something wrong is believed of this member in `incarnation`."""
+        """Something wrong is believed of this member in `incarnation`: it takes a higher one."""
         if incarnation >= self.incarnation and self.me.state != "leaving":
             self.incarnation = incarnation + 1
 
-    # of others
+    # --- beliefs of others
 
-    def learn(self, now: float, found: Descriptor, room: list[str] | None) -> None:
-        """Takes in a descriptor. `room`: entries that may give way to a new one, the first ones first;
-        None: any may."""
-        node = found.node
+    def merge_descriptor(self, now: float, descriptor: Descriptor, replaceable: list[str] | None) -> None:
+        """Takes in a descriptor. `replaceable`: names of entries that may give way to a new one, the first
+        ones first; None: any may."""
+        node = descriptor.node
         if node.name == self.me.name:
-            # An earlier life, a state that is past, or a rumour of an earlier life put on this one.
-            if node != self.me or found.incarnation > self.incarnation:
-                self.refute(found.incarnation)
+            # An earlier process, a state that is past, or a rumour of an earlier process put on this one.
+            if node != self.me or descriptor.incarnation > self.incarnation:
+                self.refute(descriptor.incarnation)
             return
-        if not node.name or node.address == self.me.address or not addressable(node.address):
+        if not node.name or node.address == self.me.address or not is_address(node.address):
             return
-        gone, entry = self.gone.get(node.name), self.entries.get(node.name)
-        if gone is not None and found.incarnation <= gone.incarnation:
+        departed, entry = self.departed.get(node.name), self.entries.get(node.name)
+        if departed is not None and descriptor.incarnation <= departed.incarnation:
             return
-        heard = now - max(0, found.age) / 1000
+        last_alive_at = alive_at(now, descriptor.age_ms)
         if entry is None:
-            if self.make_room(room):
-                self.gone.pop(node.name, None)
-                self.entries[node.name] = Entry(node, found.incarnation, heard, now)
-        elif found.incarnation > entry.incarnation:
-            entry.node, entry.incarnation, entry.heard = node, found.incarnation, heard
-            entry.since, entry.drop_at = now, None
+            if self.make_room(replaceable):
+                self.departed.pop(node.name, None)
+                self.entries[node.name] = Entry(node, descriptor.incarnation, last_alive_at, now)
+        elif descriptor.incarnation > entry.incarnation:
+            entry.node = node
+            entry.incarnation = descriptor.incarnation
+            entry.last_alive_at = last_alive_at
+            entry.learnt_at = now
+            entry.drop_at = None
             self.rumours.pop(node.name, None)
-        elif found.incarnation == entry.incarnation:
-            entry.heard = max(entry.heard, heard)
+        elif descriptor.incarnation == entry.incarnation:
+            entry.last_alive_at = max(entry.last_alive_at, last_alive_at)
 
-    def make_room(self, room: list[str] | None) -> bool:
+    def make_room(self, replaceable: list[str] | None) -> bool:
+        """Whether one more entry fits; removes one that is replaceable if it must."""
         if len(self.entries) < self.size:
             return True
-        if room is None:
+        if replaceable is None:
             del self.entries[self.random.choice(list(self.entries))]
             return True
-        while room:
-            if self.entries.pop(room.pop(0), None) is not None:
+        while replaceable:
+            if self.entries.pop(replaceable.pop(0), None) is not None:
                 return True
         return False
 
-    def hear(self, now: float, rumour: Rumour) -> None:
+    def apply_rumour(self, now: float, rumour: Rumour) -> None:
+        """Believes a rumour unless a higher incarnation is known; refutes one about this member."""
         if rumour.name == self.me.name:
             self.refute(rumour.incarnation)
             return
-        entry, gone = self.entries.get(rumour.name), self.gone.get(rumour.name)
+        entry, departed = self.entries.get(rumour.name), self.departed.get(rumour.name)
         if entry is None:
-            if rumour.fate in (LEFT, DROPPED) and (gone is None or gone.incarnation < rumour.incarnation):
-                self.bury(now, Node(rumour.name, ""), rumour.incarnation, rumour.fate)
+            newer = departed is None or departed.incarnation < rumour.incarnation
+            if rumour.status in (LEFT, DROPPED) and newer:
+                self.add_departed(now, Node(rumour.name, ""), rumour.incarnation, rumour.status)
                 self.spread(rumour)
         elif rumour.incarnation >= entry.incarnation:
             entry.incarnation = rumour.incarnation
-            if rumour.fate == LEFT or (rumour.fate == DROPPED and entry.drop_at is not None):
-                self.drop(now, entry, rumour.fate)
+            if rumour.status == LEFT or (rumour.status == DROPPED and entry.drop_at is not None):
+                self.drop(now, entry, rumour.status)
             else:  # another's word alone drops nobody: it may itself have been cut off
                 self.suspect(now, entry)
 
     def suspect(self, now: float, entry: Entry) -> None:
+        """The node is dropped after the suspicion time-out unless it refutes; the rumour is spread."""
         if entry.drop_at is None:
-            entry.drop_at = now + SUSPICION
+            entry.drop_at = now + SUSPICION_TIMEOUT_S
             self.spread(Rumour(entry.node.name, entry.incarnation, SUSPECTED))
 
-    def suspect_alone(self, now: float, entry: Entry) -> None:
-        """Guards against one that is itself cut off and calls all others dead: it waits, and tells nobody."""
+    def suspect_while_isolated(self, now: float, entry: Entry) -> None:
+        """Guards against a member that is itself cut off and takes all others for dead: it waits longer, and
+        spreads no rumour."""
         if entry.drop_at is None:
-            entry.drop_at = now + ALONE * SUSPICION
+            entry.drop_at = now + ISOLATED_FACTOR * SUSPICION_TIMEOUT_S
 
-    def drop_overdue(self, now: float) -> None:
+    def drop_unrefuted(self, now: float) -> None:
+        """Drops the suspected nodes whose time-out is over."""
         for entry in tuple(self.entries.values()):
             if entry.drop_at is not None and now >= entry.drop_at:
                 self.drop(now, entry, DROPPED)
 
-    def drop(self, now: float, entry: Entry, fate: str) -> None:
+    def drop(self, now: float, entry: Entry, status: str) -> None:
+        """The neighbour is gone; the rumour is spread unless this member may be the one that is cut off."""
         del self.entries[entry.node.name]
-        self.bury(now, entry.node, entry.incarnation, fate)
-        if self.heard >= now - SUSPICION:
-            self.spread(Rumour(entry.node.name, entry.incarnation, fate))
-
-    def bury(self, now: float, node: Node, incarnation: int, fate: str) -> None:
-        self.gone.pop(node.name, None)
-        while len(self.gone) >= MOST_GONE:
-            del self.gone[next(iter(self.gone))]
-        self.gone[node.name] = Gone(node, incarnation, fate, now)
+        self.add_departed(now, entry.node, entry.incarnation, status)
+        if self.last_heard_at >= now - SUSPICION_TIMEOUT_S:
+            self.spread(Rumour(entry.node.name, entry.incarnation, status))
+
+    def add_departed(self, now: float, node: Node, incarnation: int, status: str) -> None:
+        """Remembers a departed node; the oldest is forgotten if there are too many."""
+        self.departed.pop(node.name, None)
+        while len(self.departed) >= MAX_DEPARTED:
+            del self.departed[next(iter(self.departed))]
+        self.departed[node.name] = Departed(node, incarnation, status, now)
+
+    def dropped_nodes(self, now: float) -> list[Node]:
+        """Who was dropped and may come back. Forgets who departed long ago."""
+        self.departed = {
+            name: departed
+            for name, departed in self.departed.items()
+            if now < departed.at + DEPARTED_MEMORY_S
+        }
+        return [
+            departed.node
+            for departed in self.departed.values()
+            if departed.status == DROPPED and departed.node.address
+        ]
 
-    def lost(self, now: float) -> list[Node]:
-        """Who was dropped and may come back. Forgets who is gone for long."""
-        self.gone = {name: gone for name, gone in self.gone.items() if now < gone.at + REMEMBERED}
-        return [gone.node for gone in self.gone.values() if gone.fate == DROPPED and gone.node.address]
+    def may_have_returned(self, now: float, descriptor: Descriptor) -> bool:
+        """Whether a departed node was heard since, in an incarnation that can't be believed: it may be
+        back.
+        """
+        departed = self.departed.get(descriptor.node.name)
+        return (
+            departed is not None
+            and descriptor.node.name not in self.entries
+            and descriptor.incarnation <= departed.incarnation
+            and alive_at(now, descriptor.age_ms) > departed.at + RETURN_MARGIN_S
+            and is_address(descriptor.node.address)
+        )
 
-    # what is told
+    # --- what is sent to others
 
     def spread(self, rumour: Rumour) -> None:
+        """The rumour goes with the next messages; an earlier one about the same node doesn't any more."""
         self.rumours.pop(rumour.name, None)
-        self.rumours[rumour.name] = (rumour, RUMOUR_SENDS)
+        self.rumours[rumour.name] = SpreadingRumour(rumour)
 
-    def news(self) -> list[Rumour]:
-        return [rumour for rumour, _ in list(self.rumours.values())[:RUMOURS]]
+    def next_rumours(self) -> list[Rumour]:
+        """Those that the next message carries."""
+        return [spreading.rumour for spreading in list(self.rumours.values())[:MAX_RUMOURS_SENT]]
 
-    def told(self, rumours: list[Rumour]) -> None:
+    def count_sends(self, rumours: list[Rumour]) -> None:
         """These went out once more; the next message begins with others."""
         for rumour in rumours:
-            held, left = self.rumours.pop(rumour.name, (rumour, 0))
-            if left > 1:
-                self.rumours[rumour.name] = (held, left - 1)
-
-    def about(self, name: str) -> list[Rumour]:
-        """What the named one should know is believed of it, so that it can refute."""
-        gone, entry = self.gone.get(name), self.entries.get(name)
+            spreading = self.rumours.pop(rumour.name, None)
+            if spreading is not None and spreading.sends_left > 1:
+                spreading.sends_left -= 1
+                self.rumours[rumour.name] = spreading
+
+    def rumours_about(self, name: str) -> list[Rumour]:
+        """What the named node should know is believed of it, so that it can refute."""
+        departed, entry = self.departed.get(name), self.entries.get(name)
         if entry is not None and entry.drop_at is not None:
             return [Rumour(name, entry.incarnation, SUSPECTED)]
-        if entry is None and gone is not None:
-            return [Rumour(name, gone.incarnation, gone.fate)]
+        if entry is None and departed is not None:
+            return [Rumour(name, departed.incarnation, departed.status)]
         return []
 
-    def wrong(self, now: float, said: Descriptor) -> tuple[list[Descriptor], list[Rumour]]:
-        """What is believed of one that says otherwise of itself in an incarnation that isn't above it."""
-        rumours = [each for each in self.about(said.node.name) if each.incarnation >= said.incarnation]
+    def corrections(self, now: float, said: Descriptor) -> Corrections:
+        """What is believed of a node that says otherwise of itself in an incarnation that isn't higher."""
+        rumours = [
+            rumour for rumour in self.rumours_about(said.node.name) if rumour.incarnation >= said.incarnation
+        ]
         entry = self.entries.get(said.node.name)
         if entry is None or entry.incarnation < said.incarnation:
-            return [], rumours
+            return Corrections([], rumours)
         if entry.incarnation == said.incarnation and entry.node == said.node:
-            return [], rumours
-        return [entry.descriptor(now)], rumours
-
-    def some(self, now: float, most: int, but: str) -> tuple[list[Descriptor], list[Digest]]:
-        """Entries to pass on. While the view has room all know all, most likely: digests do for old ones."""
-        entries = [entry for name, entry in self.entries.items() if name != but and entry.drop_at is None]
-        entries = self.random.sample(entries, min(most, len(entries)))
-        old = [entry for entry in entries if now >= entry.since + NEW and len(self.entries) < self.size]
-        return (
+            return Corrections([], rumours)
+        return Corrections([entry.descriptor(now)], rumours)
+
+    def sample(self, now: float, count: int, excluded: str) -> Sample:
+        """At most `count` entries to pass on, drawn at random, none suspected and none named `excluded`.
+
+        While the view has room, all know all, most likely: digests do for old entries then.
+        """
+        entries = [
+            entry for name, entry in self.entries.items() if name != excluded and entry.drop_at is None
+        ]
+        entries = self.random.sample(entries, min(count, len(entries)))
+        has_room = len(self.entries) < self.size
+        old = [entry for entry in entries if now >= entry.learnt_at + NEW_DESCRIPTOR_S and has_room]
+        return Sample(
             [entry.descriptor(now) for entry in entries if entry not in old],
             [entry.digest(now) for entry in old],
         )
 
-    def compare(self, now: float, digests: list[Digest]) -> list[int]:
-        """Takes the ages of digests in; returns the marks of which more is to be learnt."""
-        entries = {entry.mark: entry for entry in self.entries.values()}
-        gone = {mark(name): gone for name, gone in self.gone.items()}
+    def merge_digests(self, now: float, digests: list[Digest]) -> list[int]:
+        """Takes in the ages of digests; returns the name hashes whose descriptors are to be asked for."""
+        entries = {entry.name_hash: entry for entry in self.entries.values()}
+        departed_by_hash = {hash_name(name): departed for name, departed in self.departed.items()}
         wanted = []
         for digest in digests:
-            heard = now - max(0, digest.age) / 1000
-            entry, buried = entries.get(digest.mark), gone.get(digest.mark)
+            last_alive_at = alive_at(now, digest.age_ms)
+            entry, departed = entries.get(digest.name_hash), departed_by_hash.get(digest.name_hash)
             if entry is not None and entry.incarnation == digest.incarnation:
-                entry.heard = max(entry.heard, heard)
+                entry.last_alive_at = max(entry.last_alive_at, last_alive_at)
             elif entry is not None:
                 if digest.incarnation > entry.incarnation:
-                    wanted.append(digest.mark)
-            elif digest.mark != mark(self.me.name) and (
-                buried is None or digest.incarnation > buried.incarnation or heard > buried.at + AFTER
+                    wanted.append(digest.name_hash)
+            elif digest.name_hash != hash_name(self.me.name) and (
+                departed is None
+                or digest.incarnation > departed.incarnation
+                or last_alive_at > departed.at + RETURN_MARGIN_S
             ):
-                wanted.append(digest.mark)
+                wanted.append(digest.name_hash)
         return wanted
 
-    def returned(self, now: float, found: Descriptor) -> bool:
-        """One that is gone here was heard since, in an incarnation that can't be believed: it may be back."""
-        gone = self.gone.get(found.node.name)
-        return (
-            gone is not None
-            and found.node.name not in self.entries
-            and found.incarnation <= gone.incarnation
-            and now - max(0, found.age) / 1000 > gone.at + AFTER
-            and addressable(found.node.address)
-        )
-
-    def marked(self, now: float, marks: list[int]) -> list[Descriptor]:
+    def descriptors_of(self, now: float, name_hashes: list[int]) -> list[Descriptor]:
+        """The descriptors behind digests, those of suspected nodes left out."""
         return [
             entry.descriptor(now)
             for entry in self.entries.values()
-            if entry.mark in marks and entry.drop_at is None
+            if entry.name_hash in name_hashes and entry.drop_at is None
         ]
 
 
-def mark(name: str) -> int:
+def alive_at(now: float, age_ms: int) -> float:
+    """When a node was alive that had this age; ages from the network may be negative."""
+    return now - max(0, age_ms) / 1000
+
+
+def hash_name(name: str) -> int:
+    """By which a digest names a node: CRC-32 of its name."""
     return crc32(name.encode())
 
 
-def addressable(address: str) -> bool:
+def is_address(address: str) -> bool:
     """Guards against a datagram that names what no datagram can be sent to."""
     try:
         parse_address(address)
     except ValueError:
         return False
     return True
-
-
-class SendDatagram(msgspec.Struct, frozen=True):
-    """A datagram to be sent; `body` is at most 1200 bytes."""
-
-    address: str
-    body: bytes
--- a/tests/dataplane/test_plane_gossip.py
+++ b/tests/dataplane/test_plane_gossip.py
@@ -66,7 +66,7 @@
 
 
 def test_core_members_of_gossip_are_asked_only_when_nobody_answers():
-    plane = Plane(Node("core-9", "10.2.0.77:7301", "core", link=FOUND), *edges(2))
+    plane = Plane(Node("core-9", "10.2.0.77:7301", "core", link_address=FOUND), *edges(2))
     plane.at(SILENT / 2)
     assert FOUND not in plane.asker.members
     plane.at(SILENT + 0.1)
--- a/tests/membership/test_gossip_running.py
+++ b/tests/membership/test_gossip_running.py
@@ -99,7 +99,7 @@
         me, lines = node("edge-1"), []
         log.set_sink(
             SimpleNamespace(
-                **dict.fromkeys(log.METHODS, lambda text, *values: lines.append(text.format(*values)))
+                **dict.fromkeys(log.METHODS, lambda event, **fields: lines.append((event, fields)))
             )
         )
         first, second = gossip(me), gossip(me)
@@ -107,7 +107,10 @@
             await first.start()
             await second.start()
             second.announce_state("ready")
-            assert len(lines) == 1 and lines[0].startswith(f"no gossip at {me.address}")
+            [(event, fields)] = lines
+            assert event == "gossip socket not opened"
+            assert fields["address"] == me.address
+            assert "in use" in fields["error"]
             second.close()
             first.close()
             await until(lambda: free(me.address))
@@ -126,7 +129,9 @@
         )
         await running.start()
         try:
-            running.heard("127.0.0.1:9", encode(MembershipUpdate([], [Rumour("edge-1", 5, "suspected")])))
+            running.on_datagram(
+                "127.0.0.1:9", encode(MembershipUpdate([], [Rumour("edge-1", 5, "suspected")]))
+            )
             running.announce_state("leaving")
             assert not running.view.instructions
         finally:
--- a/tests/membership/test_view.py
+++ b/tests/membership/test_view.py
@@ -19,7 +19,7 @@
     Rumour,
     ShuffleRequest,
 )
-from shedgrade.membership.view import PartialView
+from shedgrade.membership.view import PartialView, PendingShuffle
 
 SEEDS = 3
 
@@ -67,7 +67,7 @@
         del self.views[address]
 
     def after(self, address):
-        """Takes the effects and sets the next waking."""
+        """Takes the instructions and sets the next waking."""
         view = self.views[address]
         for instruction in view.instructions:
             assert len(instruction.body) <= 1200
@@ -81,6 +81,7 @@
                     (address, instruction.body),
                 )
         view.instructions.clear()
+        view.check_invariants()
         at = view.wake_at()
         if at < self.wakes.get(address, float("inf")):
             self.wakes[address] = at
@@ -318,10 +319,10 @@
         network.run(0.4)
         assert network.holders(leaver.name) == [leaver.address]
         network.run(2)
-        network.start(msgspec.structs.replace(leaver, life=2000))
+        network.start(msgspec.structs.replace(leaver, boot_id=2000))
         assert network.run(10, network.whole) is not None
         assert all(
-            leaver.name not in {each.name for each in view.nodes() if each.life != 2000}
+            leaver.name not in {each.name for each in view.nodes() if each.boot_id != 2000}
             for view in network.views.values()
         )
 
@@ -343,7 +344,7 @@
     changed = msgspec.structs.replace(node(5), state="starting")
     network.views[changed.address].update(changed)
     assert network.run(10, known_to_all(network, changed)) is not None
-    again = msgspec.structs.replace(node(5), life=7)
+    again = msgspec.structs.replace(node(5), boot_id=7)
     network.start(again)
     assert network.run(10, known_to_all(network, again)) is not None
 
@@ -380,7 +381,7 @@
         match network.random.randrange(7):
             case 0 if one in network.views:
                 network.kill(one)
-            case 1 if one in network.views and not network.views[one].left:
+            case 1 if one in network.views and not network.views[one].has_left:
                 network.views[one].leave(network.now)
                 network.after(one)
                 network.run(0.1)
@@ -401,7 +402,7 @@
         if down and network.random.random() < 0.4:
             lives += 1
             again = next(each for each in map(node, range(9)) if each.address == down[0])
-            network.start(msgspec.structs.replace(again, life=lives))
+            network.start(msgspec.structs.replace(again, boot_id=lives))
     network.parted, network.stopped, network.loss = (lambda a, b: False), set(), 0.01
     for address in everyone:
         if address not in network.views:
@@ -437,14 +438,14 @@
     assert network.run(20, network.whole) is not None
 
 
-def test_the_census_solves_for_the_number_of_nodes():
+def test_the_estimator_solves_for_the_number_of_nodes():
     assert doctest.testmod(population) == (0, 2)
     for total in (50, 500):
         random, counted = Random(total), population.PopulationEstimator()
         for turn in range(60):
             counted.sample(turn / 2, [(f"n{random.randrange(total)}", "edge") for _ in range(10)])
         assert abs(counted.count("edge") - total) < 0.15 * total and counted.count("core") == 0
-        counted.remove(next(iter(counted.met)))
+        counted.remove(next(iter(counted.sightings)))
         counted.sample(1000.0, [("n1", "core")] * 3)
         assert (counted.count("core"), counted.count("edge")) == (1, 0)
 
@@ -462,15 +463,15 @@
 )
 INCARNATIONS = st.one_of(st.integers(-1, 5), st.just(2**62))
 FOUND = st.builds(Descriptor, NODES, INCARNATIONS, st.integers(-5, 2**60))
-FATES = st.sampled_from(["suspected", "dropped", "left", "?"])
-TOLD = st.lists(st.builds(Rumour, NAMES, INCARNATIONS, FATES))
+STATUSES = st.sampled_from(["suspected", "dropped", "left", "?"])
+TOLD = st.lists(st.builds(Rumour, NAMES, INCARNATIONS, STATUSES))
 NUMBERS = st.integers(0, 9)
-MARKS = st.one_of(NAMES.map(table.mark), st.integers(0, 2**32))
-DIGESTS = st.lists(st.builds(messages.Digest, MARKS, INCARNATIONS, st.integers(-5, 2**60)))
+NAME_HASHES = st.one_of(NAMES.map(table.hash_name), st.integers(0, 2**32))
+DIGESTS = st.lists(st.builds(messages.Digest, NAME_HASHES, INCARNATIONS, st.integers(-5, 2**60)))
 SAID = st.one_of(
     st.builds(ShuffleRequest, NUMBERS, FOUND, st.lists(FOUND), TOLD),
     st.builds(messages.ShuffleResponse, NUMBERS, FOUND, st.lists(FOUND), TOLD, DIGESTS),
-    st.builds(messages.DescriptorRequest, st.lists(MARKS)),
+    st.builds(messages.DescriptorRequest, st.lists(NAME_HASHES)),
     st.builds(Ping, NUMBERS, FOUND, TOLD),
     st.builds(Ack, NUMBERS, FOUND),
     st.builds(messages.IndirectPing, NUMBERS, ADDRESSES),
@@ -498,6 +499,39 @@
         view.tick(now)
         view.receive(now, sender, body)
         for instruction in view.instructions:
-            assert len(instruction.body) <= 1200 and table.addressable(instruction.address)
+            assert len(instruction.body) <= 1200 and table.is_address(instruction.address)
         view.instructions.clear()
-        assert (len(view.nodes()) <= 17 and view.wake_at() >= now - 1e-9) or view.left
+        view.check_invariants()
+        assert (len(view.nodes()) <= 17 and view.wake_at() >= now - 1e-9) or view.has_left
+
+
+def break_size(view):
+    view.table.size = 1
+
+
+def break_names(view):
+    entry = next(iter(view.table.entries.values()))
+    view.table.departed[entry.node.name] = table.Departed(entry.node, 0, table.LEFT, 0.0)
+
+
+def break_rumours(view):
+    view.table.spread(Rumour("edge", 1, "left"))
+    view.table.rumours["edge"].sends_left = 0
+
+
+def break_pending(view):
+    view.pending_shuffles[99] = PendingShuffle("x", "10.0.0.1:7301", 0, [], 0.0)
+
+
+def break_leaving(view):
+    view.has_left = True
+
+
+@pytest.mark.parametrize("fault", [break_size, break_names, break_rumours, break_pending, break_leaving])
+def test_a_broken_invariant_is_found(fault):
+    view = PartialView(node(0), Random(1), 0.0)
+    view.add_contacts([node(1), node(2)])
+    view.check_invariants()
+    fault(view)
+    with pytest.raises(AssertionError):
+        view.check_invariants()
--- a/tests/stored/test_structs_as_found.py
+++ b/tests/stored/test_structs_as_found.py
@@ -14,7 +14,14 @@
 EXAMPLES = json.loads((Path(__file__).parent.parent / "data" / "structs.json").read_text())
 
 # Name then: name of the field then: name now.
-FIELDS: dict[str, dict[str, str]] = {}
+FIELDS: dict[str, dict[str, str]] = {
+    "membership.messages:Descriptor": {"age": "age_ms"},
+    "membership.messages:Digest": {"mark": "name_hash", "age": "age_ms"},
+    "membership.messages:Finding": {"found": "descriptor"},
+    "membership.messages:Node": {"life": "boot_id", "link": "link_address", "front": "front_address"},
+    "membership.messages:Query": {"marks": "name_hashes"},
+    "membership.messages:Rumour": {"fate": "status"},
+}
 
 
 @pytest.mark.parametrize("name", EXAMPLES)
--- a/tests/system/test_planes_together.py
+++ b/tests/system/test_planes_together.py
@@ -70,7 +70,7 @@
         links = {f"{NET}.{number}:7300" for number in CORES}
         for plane in planes:
             view = plane.gossip.view
-            assert {node.link for node in view.nodes() if node.kind == "core"} == links
+            assert {node.link_address for node in view.nodes() if node.kind == "core"} == links
             assert view.count("edge") == len(EDGES)
         await until(lambda: all(edge.state.sidecars == len(EDGES) for edge in system.edges.values()))
         await until(
--- a/tools/checks.py
+++ b/tools/checks.py
@@ -12,6 +12,7 @@
     "tools",
     "shedgrade/file_frames.py",
     "shedgrade/storage",
+    "shedgrade/membership",
     "shedgrade/route_matching",
 )
 TYPED = (
