--- a/shedgrade/peer_transport/address.py
+++ b/shedgrade/peer_transport/address.py
@@ -9,6 +9,6 @@
     return host, int(port)
 
 
-def format_address(pair: tuple) -> str:
-    """ "ip:port" of a pair as sockets give it."""
+def format_address(pair: tuple[str, int]) -> str:
+    """The "ip:port" of a pair as IPv4 sockets give it."""
     return f"{pair[0]}:{pair[1]}"
--- a/shedgrade/peer_transport/frames.py
+++ b/shedgrade/peer_transport/frames.py
@@ -12,37 +12,42 @@
 from flatbuffers.table import Table
 
 VERSION = 1
-LONGEST = 8 * 1024 * 1024  # bytes of one frame, its length left out
-LONGEST_SENDER = 64  # bytes
-ROOM = 128  # bytes of a table without its body and sender
+MAX_FRAME_BYTES = 8 * 1024 * 1024  # its length left out
+MAX_SENDER_BYTES = 64
+TABLE_BYTES = 128  # of a table without its body and sender, at most
+MAX_BODY_BYTES = MAX_FRAME_BYTES - 2 * TABLE_BYTES
 LENGTH = Struct("<I")
 FIELD_VERSION, FIELD_NUMBER, FIELD_ANSWERS, FIELD_SENDER, FIELD_BODY = range(5)
 
 
 class FrameError(Exception):
-    """What is wrong with a frame, in a few words."""
+    """A frame that can't be read or written; the text says why in a few words."""
 
 
 class Frame:
-    """One frame. `sender`: link address "ip:port"; `number`: of a call, 0: none; `answers`: is its answer."""
+    """One frame. `sender`: link address "ip:port"; `number`: of the call that it makes or answers, 0 if none;
+    `is_response`: whether it answers."""
 
-    __slots__ = ("sender", "number", "answers", "body")
+    __slots__ = ("sender", "number", "is_response", "body")
 
-    def __init__(self, sender: str, number: int, answers: bool, body: bytes) -> None:
-        self.sender, self.number, self.answers, self.body = sender, number, answers, body
+    def __init__(self, sender: str, number: int, is_response: bool, body: bytes) -> None:
+        self.sender = sender
+        self.number = number
+        self.is_response = is_response
+        self.body = body
 
     def __repr__(self) -> str:
-        return f"Frame({self.sender!r}, {self.number}, {self.answers}, {len(self.body)} bytes)"
+        return f"Frame({self.sender!r}, {self.number}, {self.is_response}, {len(self.body)} bytes)"
 
 
-def encode(sender: str, number: int, answers: bool, body: bytes) -> bytes:
+def encode(sender: str, number: int, is_response: bool, body: bytes) -> bytes:
     """The frame with its length before it. FrameError: the body or the sender is too long."""
     name = sender.encode()
-    if len(name) > LONGEST_SENDER:
+    if len(name) > MAX_SENDER_BYTES:
         raise FrameError("the sender's address is too long")
-    if len(body) > LONGEST - 2 * ROOM:
+    if len(body) > MAX_BODY_BYTES:
         raise FrameError(f"a body of {len(body)} bytes is too long")
-    builder = Builder(len(body) + len(name) + ROOM)
+    builder = Builder(len(body) + len(name) + TABLE_BYTES)
     body_at = builder.CreateByteVector(body)
     sender_at = builder.CreateString(name)
     builder.StartObject(5)
@@ -50,7 +55,7 @@
     builder.PrependUOffsetTRelativeSlot(FIELD_SENDER, sender_at, 0)
     builder.PrependUOffsetTRelativeSlot(FIELD_BODY, body_at, 0)
     builder.PrependUint8Slot(FIELD_VERSION, VERSION, 0)
-    builder.PrependBoolSlot(FIELD_ANSWERS, answers, False)
+    builder.PrependBoolSlot(FIELD_ANSWERS, is_response, False)
     builder.FinishSizePrefixed(builder.EndObject())
     return bytes(builder.Output())
 
@@ -62,25 +67,27 @@
     """
     try:
         table = Table(data, types.UOffsetTFlags.py_type(LENGTH.unpack_from(data)[0]))
-        version = scalar(table, FIELD_VERSION, types.Uint8Flags)
+        version = read_scalar(table, FIELD_VERSION, types.Uint8Flags)
         if version != VERSION:
             raise FrameError(f"version {version} is unknown here")
-        number = scalar(table, FIELD_NUMBER, types.Uint64Flags)
-        answers = bool(scalar(table, FIELD_ANSWERS, types.BoolFlags))
-        sender = vector(table, FIELD_SENDER)
-        if len(sender) > LONGEST_SENDER:
+        number = read_scalar(table, FIELD_NUMBER, types.Uint64Flags)
+        is_response = bool(read_scalar(table, FIELD_ANSWERS, types.BoolFlags))
+        sender = read_vector(table, FIELD_SENDER)
+        if len(sender) > MAX_SENDER_BYTES:
             raise FrameError("the sender's address is too long")
-        return Frame(sender.decode(), number, answers, vector(table, FIELD_BODY))
+        return Frame(sender.decode(), number, is_response, read_vector(table, FIELD_BODY))
     except (StructError, TypeError, ValueError, OverflowError, IndexError) as error:
         raise FrameError(f"not a frame: {error}") from None
 
 
-def scalar(table: Table, field: int, flags: type) -> int:
+def read_scalar(table: Table, field: int, flags: type) -> int:
+    """A number of the table, 0 if it is left out."""
     offset = table.Offset(4 + 2 * field)
     return table.Get(flags, table.Pos + offset) if offset else 0
 
 
-def vector(table: Table, field: int) -> bytes:
+def read_vector(table: Table, field: int) -> bytes:
+    """The bytes of a vector or string of the table, empty if it is left out. FrameError: it isn't inside."""
     offset = table.Offset(4 + 2 * field)
     if not offset:
         return b""
@@ -92,30 +99,37 @@
 
 
 class FrameReader:
-    """Cuts a stream into frames. Holds at most one frame that is not whole yet."""
+    """Cuts a stream into frames.
+
+    `unread`: the bytes of at most one frame that is not complete; `is_broken`: something that is no frame
+    came.
+    """
 
     def __init__(self) -> None:
-        self.held = bytearray()
-        self.broken = False
+        self.unread = bytearray()
+        self.is_broken = False
 
     def feed(self, data: bytes) -> list[Frame]:
-        """The frames that `data` makes whole, in order. FrameError on nonsense, and ever after."""
-        if self.broken:
+        """The frames that `data` completes, in order. FrameError on anything else, and ever after."""
+        if self.is_broken:
             raise FrameError("the stream broke before")
-        held, frames, at = self.held, [], 0
-        held += data
+        unread = self.unread
+        frames = []
+        begin = 0
+        unread += data
         try:
-            while len(held) - at >= LENGTH.size:
-                (length,) = LENGTH.unpack_from(held, at)
-                if length > LONGEST:
+            while len(unread) - begin >= LENGTH.size:
+                (length,) = LENGTH.unpack_from(unread, begin)
+                if length > MAX_FRAME_BYTES:
                     raise FrameError(f"a frame of {length} bytes is too long")
-                end = at + LENGTH.size + length
-                if len(held) < end:
+                end = begin + LENGTH.size + length
+                if len(unread) < end:
                     break
-                frames.append(decode(bytes(memoryview(held)[at + LENGTH.size : end])))
-                at = end
+                frames.append(decode(bytes(memoryview(unread)[begin + LENGTH.size : end])))
+                begin = end
         except FrameError:
-            self.broken, self.held = True, bytearray()
+            self.is_broken = True
+            self.unread = bytearray()
             raise
-        del held[:at]
+        del unread[:begin]
         return frames
--- a/tests/peer_transport/test_calls_adopted.py
+++ b/tests/peer_transport/test_calls_adopted.py
@@ -13,11 +13,11 @@
 def play(request):
     """Two ends; the first has dialled the second, which adopted that connection."""
 
-    def run(story, answers=True):
+    def run(story, is_response=True):
         async def whole():
             loop = asyncio.get_running_loop()
             first, second = End(loop, HOST), End(loop, OTHER)
-            if answers:
+            if is_response:
                 first.links = PeerConnectionPool(loop, first.address, first.come_back, HOST, first.taken)
             await first.server.start()
             await second.server.start()
@@ -40,7 +40,7 @@
 def test_a_call_over_it_is_answered(play):
     async def story(first, second):
         assert await second.links.call(first.address, b"one", 5) == b"echo one"
-        assert second.links.routes[first.address].peer is None  # nobody dialled
+        assert second.links.routes[first.address].connection is None  # nobody dialled
 
     play(story)
 
@@ -71,4 +71,4 @@
             await second.links.call(first.address, b"one", 0.05)
         assert await asyncio.wait_for(first.got.get(), 5) == (second.address, b"one")
 
-    play(story, answers=False)
+    play(story, is_response=False)
--- a/tests/peer_transport/test_ends.py
+++ b/tests/peer_transport/test_ends.py
@@ -13,7 +13,7 @@
 from shedgrade.peer_transport.address import format_address
 from shedgrade.peer_transport.frames import encode
 from shedgrade.peer_transport.tcp import PeerCallError, PeerConnectionPool, PeerServer
-from shedgrade.peer_transport.udp import LONGEST, DatagramEndpoint
+from shedgrade.peer_transport.udp import MAX_BODY_BYTES, DatagramEndpoint
 from shedgrade.runtime import log
 
 HOST, OTHER = addresses.HOST, f"{addresses.NETWORK}.251"
@@ -35,7 +35,7 @@
     def taken(self, peer, frame):
         if frame.number:
             if frame.body != b"mute":
-                peer.send(b"echo " + frame.body, frame.number, answers=True)
+                peer.send(b"echo " + frame.body, frame.number, is_response=True)
         else:
             self.got.put_nowait((frame.sender, frame.body))
 
@@ -50,8 +50,8 @@
     def __init__(self):
         self.lines = []
 
-    def info(self, text, *values):
-        self.lines.append(text.format(*values))
+    def info(self, event, **fields):
+        self.lines.append((event, fields))
 
     debug = warning = error = exception = info
 
@@ -90,11 +90,11 @@
     async def scene(loop, one, two):
         await two.server.start()
         answers = await asyncio.gather(*(one.links.call(two.address, str(i).encode(), 5) for i in range(50)))
-        assert answers == [b"echo %d" % i for i in range(50)] and len(two.server.peers) == 1
-        [incoming] = two.server.peers
+        assert answers == [b"echo %d" % i for i in range(50)] and len(two.server.connections) == 1
+        [incoming] = two.server.connections
         assert incoming.sender == one.address
         assert incoming.transport.get_extra_info("peername")[0] == HOST
-        assert not one.links.routes[two.address].peer.calls
+        assert not one.links.routes[two.address].connection.pending_calls
 
     play(scene)
 
@@ -117,7 +117,7 @@
         assert await two.got.get() == (one.address, b"hello")
         two.links.send(one.address, b"back")
         assert await one.got.get() == (two.address, b"back")
-        assert not one.server.peers and two.links.routes[one.address].peer is None
+        assert not one.server.connections and two.links.routes[one.address].connection is None
 
     play(scene)
 
@@ -128,10 +128,10 @@
         await two.server.start()
         one.links.send(two.address, b"hello")
         await two.got.get()
-        monkeypatch.setattr(tcp, "LATELY", 0.0)
+        monkeypatch.setattr(tcp, "ADOPTED_FRESH_S", 0.0)
         two.links.send(one.address, b"back")
         assert await one.got.get() == (two.address, b"back")
-        assert len(one.server.peers) == 1
+        assert len(one.server.connections) == 1
 
     play(scene)
 
@@ -141,14 +141,14 @@
         with pytest.raises(PeerCallError):
             await one.links.call(two.address, b"x", 5)
         route = one.links.routes[two.address]
-        assert route.pause == tcp.FIRST_PAUSE and route.not_before > loop.time() and not route.waiting
+        assert route.backoff_s == tcp.MIN_BACKOFF_S and route.retry_at > loop.time() and not route.queue
         with pytest.raises(TimeoutError):  # within the pause: told at once
             await one.links.call(two.address, b"x", 5)
-        assert route.dial is None
+        assert route.connecting is None
         for _ in range(5):
-            one.links.failed(route)
-        assert route.pause == tcp.LONGEST_PAUSE
-        route.not_before = 0.0
+            one.links.back_off(route)
+        assert route.backoff_s == tcp.MAX_BACKOFF_S
+        route.retry_at = 0.0
         await two.server.start()
         assert await one.links.call(two.address, b"x", 5) == b"echo x"
 
@@ -161,7 +161,7 @@
         with pytest.raises(PeerCallError):
             await one.links.call(two.address, b"mute", 0.05)
         assert await one.links.call(two.address, b"x", 5) == b"echo x"
-        assert not one.links.routes[two.address].peer.calls
+        assert not one.links.routes[two.address].connection.pending_calls
 
     play(scene)
 
@@ -172,8 +172,8 @@
         assert await one.links.call(two.address, b"x", 5) == b"echo x"
         call = loop.create_task(one.links.call(two.address, b"mute", 9))
         assert await one.links.call(two.address, b"y", 5) == b"echo y"
-        for peer in tuple(two.server.peers):
-            peer.cut()
+        for peer in tuple(two.server.connections):
+            peer.abort()
         with pytest.raises(PeerCallError):
             await call
         assert await one.links.call(two.address, b"z", 5) == b"echo z"
@@ -183,20 +183,20 @@
 
 def test_a_dial_that_hangs_is_given_up_and_what_waits_is_bounded(play, monkeypatch):
     async def scene(loop, one, two):
-        monkeypatch.setattr(tcp, "DIAL", 0.05)
+        monkeypatch.setattr(tcp, "CONNECT_TIMEOUT_S", 0.05)
         with socket.socket() as full, socket.socket() as first, socket.socket() as second:
             full.bind(two.where)
             full.listen(0)  # full from the second connection on: a dial hears nothing
             for handle in (first, second):
                 handle.setblocking(False)
                 handle.connect_ex(two.where)
-            for _ in range(tcp.MOST_WAITING):
+            for _ in range(tcp.MAX_QUEUED_FRAMES):
                 one.links.send(two.address, b"x")
             route = one.links.routes[two.address]
             with pytest.raises(PeerCallError):
                 await one.links.call(two.address, b"too many", 5)
-            await route.dial
-            assert not route.waiting and route.peer is None and route.pause == tcp.FIRST_PAUSE
+            await route.connecting
+            assert not route.queue and route.connection is None and route.backoff_s == tcp.MIN_BACKOFF_S
 
     play(scene)
 
@@ -210,7 +210,9 @@
         with contextlib.suppress(ConnectionResetError):
             assert await reader.read() == b""
         writer.close()
-        assert len(lines) == 1 and "is closed" in lines[0]
+        [(event, fields)] = lines
+        assert event == "peer connection closed: invalid frame"
+        assert fields["peer"].startswith("127.") and "too long" in fields["error"]
         assert await one.links.call(two.address, b"x", 5) == b"echo x"
 
     play(scene)
@@ -224,7 +226,8 @@
         with contextlib.suppress(ConnectionResetError):
             assert await reader.read() == b""
         writer.close()
-        assert len(lines) == 1 and "nobody" in lines[0]
+        [(event, fields)] = lines
+        assert event == "peer connection closed: invalid sender address" and "nobody" in fields["error"]
         assert await two.got.get() == ("10.0.0.1:1", b"taken") and two.got.empty()
         two.links.send("nobody", b"x")
         with pytest.raises(PeerCallError):
@@ -243,7 +246,7 @@
                 handle.setblocking(False)
                 handle.connect_ex(two.where)
             one.links.send(two.address, b"held")
-            assert one.links.routes[two.address].dial is not None
+            assert one.links.routes[two.address].connecting is not None
             two.links.send(one.address, b"back again")
             assert await one.got.get() == (two.address, b"back again")
             assert await two.got.get() == (one.address, b"held")
@@ -253,20 +256,20 @@
 
 def test_a_peer_that_does_not_read_is_cut(play, lines, monkeypatch):
     async def scene(loop, one, two):
-        monkeypatch.setattr(connection, "MOST_UNSENT", 200_000)
+        monkeypatch.setattr(connection, "MAX_UNSENT_BYTES", 200_000)
         await two.server.start()
         reader, writer = await asyncio.open_connection(*two.where, limit=1)
         writer.write(encode("10.0.0.1:1", 0, False, b"hello"))
         assert await two.got.get() == ("10.0.0.1:1", b"hello")
-        [peer] = two.server.peers
+        [peer] = two.server.connections
         gone = loop.create_future()
         peer.on_close.append(lambda: gone.set_result(None))
         for _ in range(10_000):
-            if peer.closed:
+            if peer.is_closed:
                 break
             peer.send(bytes(50_000))
         await gone
-        assert peer.closed and "doesn't read" in lines[0]
+        assert peer.is_closed and lines[0][0] == "peer connection closed: send buffer full"
         writer.close()
 
     play(scene)
@@ -276,9 +279,9 @@
     async def scene(loop, one, two):
         await two.server.start()
         await one.links.call(two.address, b"x", 5)
-        for peer in (one.links.routes[two.address].peer, *two.server.peers):
+        for peer in (one.links.routes[two.address].connection, *two.server.connections):
             handle = peer.transport.get_extra_info("socket")
-            for level, option, value in connection.OPTIONS:
+            for level, option, value in connection.SOCKET_OPTIONS:
                 assert handle.getsockopt(level, option) == value
 
     play(scene)
@@ -297,13 +300,13 @@
         with socket.socket(socket.AF_INET, socket.SOCK_DGRAM) as stranger:
             stranger.sendto(b"", ends[1].address)
             stranger.sendto(b"\x07strange", ends[1].address)
-            stranger.sendto(b"\x01" + bytes(LONGEST + 1), ends[1].address)
-        ends[0].send(format_address(ends[1].address), bytes(LONGEST))
-        assert await got.get() == (format_address(ends[0].address), bytes(LONGEST))
+            stranger.sendto(b"\x01" + bytes(MAX_BODY_BYTES + 1), ends[1].address)
+        ends[0].send(format_address(ends[1].address), bytes(MAX_BODY_BYTES))
+        assert await got.get() == (format_address(ends[0].address), bytes(MAX_BODY_BYTES))
         ends[1].send(format_address(ends[0].address), b"")
         assert await got.get() == (format_address(ends[1].address), b"")
         with pytest.raises(ValueError):
-            ends[0].send(format_address(ends[1].address), bytes(LONGEST + 1))
+            ends[0].send(format_address(ends[1].address), bytes(MAX_BODY_BYTES + 1))
         for end in ends:
             end.close()
         assert got.empty()
--- a/tests/peer_transport/test_frames.py
+++ b/tests/peer_transport/test_frames.py
@@ -13,7 +13,7 @@
 
 
 def parts(frame):
-    return frame.sender, frame.number, frame.answers, frame.body
+    return frame.sender, frame.number, frame.is_response, frame.body
 
 
 @given(st.lists(FRAME, max_size=6), st.lists(st.integers(1, 97), min_size=1))
@@ -24,7 +24,7 @@
         step = steps[turn % len(steps)]
         got += reader.feed(stream[at : at + step])
         at, turn = at + step, turn + 1
-    assert [parts(frame) for frame in got] == sent and not reader.held
+    assert [parts(frame) for frame in got] == sent and not reader.unread
 
 
 @given(st.binary(max_size=400))
@@ -74,17 +74,17 @@
 def test_a_frame_over_the_bound_is_refused_before_it_is_held():
     reader = FrameReader()
     with pytest.raises(FrameError):
-        reader.feed((frames.LONGEST + 1).to_bytes(4, "little"))
+        reader.feed((frames.MAX_FRAME_BYTES + 1).to_bytes(4, "little"))
     with pytest.raises(FrameError):
         reader.feed(encode("10.0.0.1:7300", 0, False, b""))
     with pytest.raises(FrameError):
-        encode("10.0.0.1:7300", 0, False, bytes(frames.LONGEST))
+        encode("10.0.0.1:7300", 0, False, bytes(frames.MAX_FRAME_BYTES))
     with pytest.raises(FrameError):
         encode("1" * 65, 0, False, b"")
 
 
 def test_the_longest_body_passes():
-    body = bytes(frames.LONGEST - 2 * frames.ROOM)
+    body = bytes(frames.MAX_FRAME_BYTES - 2 * frames.TABLE_BYTES)
     [frame] = FrameReader().feed(encode("255.255.255.255:65535", 2**64 - 1, True, body))
     assert frame.body == body
 
--- a/tools/checks.py
+++ b/tools/checks.py
@@ -13,6 +13,7 @@
     "shedgrade/file_frames.py",
     "shedgrade/storage",
     "shedgrade/membership",
+    "shedgrade/peer_transport",
     "shedgrade/route_matching",
 )
 TYPED = (
@@ -22,6 +23,7 @@
     "shedgrade/runtime/log.py",
     "shedgrade/route_matching",
     "shedgrade/membership",
+    "shedgrade/peer_transport",
     "shedgrade/storage",
     "shedgrade/controlplane/delta.py",
     "shedgrade/controlplane/references.py",
