--- a/tests/runtime/test_log_ring.py
+++ b/tests/runtime/test_log_ring.py
@@ -11,7 +11,8 @@
 from loguru import logger as loguru
 
 from shedgrade.runtime import log
-from shedgrade.runtime.log_ring import EVERY, MOST, LogRingBuffer
+from shedgrade.runtime.log_ring import MAX_WRITE_BYTES, WRITE_INTERVAL_S, LogRingBuffer
+from shedgrade.runtime.loop_errors import log_uncaught
 
 
 class Times:
@@ -29,7 +30,9 @@
 
 @pytest.fixture
 def ring(times):
-    return LogRingBuffer("edge-1", io.StringIO(), size=8, clock=lambda: 1000.0 + times.now, steady=times)
+    return LogRingBuffer(
+        "edge-1", io.StringIO(), size=8, clock=lambda: 1000.0 + times.now, steady_clock=times
+    )
 
 
 def lines(ring: LogRingBuffer) -> list[dict]:
@@ -62,16 +65,49 @@
     }
 
 
+def test_fields_are_keys_of_their_own_and_replace_no_fixed_one(ring):
+    ring.info("polled", attempt=3, error=None, zones=["a"], values=1, fields=2, event="e", level="mine")
+    ring.warning("endpoint list poll failed", error=OSError("refused"))
+    first, second = lines(ring)
+    assert first == {
+        "at": 1050.0,
+        "level": "info",
+        "text": "polled",
+        "process": "edge-1",
+        "attempt": 3,
+        "error": None,
+        "zones": "['a']",
+        "values": 1,
+        "fields": 2,
+        "event": "e",
+    }
+    assert second["text"] == "endpoint list poll failed" and second["error"] == "OSError('refused')"
+
+
+def test_an_uncaught_exception_of_the_loop_is_an_error_with_its_trace(ring):
+    log.set_sink(ring)
+    try:
+        log_uncaught(None, {"message": "Exception in callback", "exception": KeyError("zone")})
+        log_uncaught(None, {"message": "Task was destroyed"})
+    finally:
+        log.set_sink(None)
+    [line] = lines(ring)
+    assert (line["level"], line["text"]) == ("error", "uncaught exception in event loop")
+    assert (line["message"], line["error"]) == ("Exception in callback", "KeyError('zone')")
+    assert "KeyError: 'zone'" in line["trace"]
+    assert [event.fields["error"] for event in ring.events] == ["KeyError('zone')", "None"]
+
+
 def test_writes_are_spaced_and_what_was_held_back_comes_with_the_next(ring, times):
     ring.warning("a")
     ring.error("b")
     ring.info("c")
     assert texts(ring) == ["a"]
-    times.now += EVERY
+    times.now += WRITE_INTERVAL_S
     ring.info("d")
     assert texts(ring) == ["a", "b", "c", "d"] and ring.writes == 2
     ring.info("e")
-    times.now += EVERY
+    times.now += WRITE_INTERVAL_S
     ring.info("f")
     assert texts(ring) == ["a", "b", "c", "d"]
     ring.warning("g")
@@ -87,17 +123,17 @@
         ring.info("{}", number)
     ring.warning("now")
     assert texts(ring) == ["13 earlier events are left out", *map(str, range(13, 20)), "now"]
-    times.now += EVERY
+    times.now += WRITE_INTERVAL_S
     ring.warning("again")
     assert texts(ring)[-1:] == ["again"] and len(texts(ring)) == 10
 
 
 def test_one_write_is_bounded(times):
-    ring = LogRingBuffer("edge-of-the-far-north-1" * 4, io.StringIO(), steady=times)
+    ring = LogRingBuffer("edge-of-the-far-north-1" * 4, io.StringIO(), steady_clock=times)
     for number in range(500):
         ring.info("{} {}", number, "x" * 190)
     ring.warning("end")
-    assert len(ring.stream.getvalue()) <= MOST
+    assert len(ring.stream.getvalue()) <= MAX_WRITE_BYTES
     said = texts(ring)
     assert said[-1] == "end" and said[-2].startswith("499 ")
     assert said[0].endswith(" earlier events are left out")
@@ -163,14 +199,14 @@
 )
 def test_any_events_are_written_as_json_and_each_at_most_once(events):
     times = Times()
-    ring = LogRingBuffer("p", io.StringIO(), size=5, steady=times)
+    ring = LogRingBuffer("p", io.StringIO(), size=5, steady_clock=times)
     for level, text, values, more, after in events:
         times.now += after
         getattr(ring, level)(text, *values, **more)
     ring.flush()
     written = lines(ring)
     assert len(written) <= len(events) + ring.writes
-    assert ring.writes <= 2 + (times.now - 50.0) / EVERY
+    assert ring.writes <= 2 + (times.now - 50.0) / WRITE_INTERVAL_S
 
 
 # --- the logger that is handed in
