--- a/shedgrade/controlplane/configuration.py
+++ b/shedgrade/controlplane/configuration.py
@@ -103,9 +103,9 @@
 
 def model(model_class: type, value: object, place: str, findings: Findings) -> Any:
     """The model, None if something in it is a finding."""
-    before = len(findings) + findings.left_out
+    before = len(findings) + findings.omitted
     sound = checked(model_class, value, place, findings)
-    if len(findings) + findings.left_out > before:
+    if len(findings) + findings.omitted > before:
         return None
     try:
         return from_dict(model_class, sound)
--- a/shedgrade/ctl/files.py
+++ b/shedgrade/ctl/files.py
@@ -37,12 +37,13 @@
 
 
 def settings(options, output: Output) -> int:
-    from shedgrade.process_settings import SettingsError, load
-    from shedgrade.process_settings.validation import VARIABLE
+    from shedgrade.process_settings import SETTINGS_VARIABLE, SettingsError, load
 
-    path = options["FILE"] or os.environ.get(VARIABLE, "")
+    path = options["FILE"] or os.environ.get(SETTINGS_VARIABLE, "")
     if not Path(path).is_file():
-        raise InputError(Finding(path or VARIABLE, "is no file" if path else "names no settings file"))
+        raise InputError(
+            Finding(path or SETTINGS_VARIABLE, "is no file" if path else "names no settings file")
+        )
     try:
         found = load(path)
     except SettingsError as wrong:
--- a/shedgrade/findings.py
+++ b/shedgrade/findings.py
@@ -3,7 +3,7 @@
 from collections.abc import Iterator
 from dataclasses import dataclass
 
-MOST = 100  # findings that one report holds: more tell nobody more
+MAX_FINDINGS = 100  # that one report holds: more help nobody
 
 
 @dataclass(frozen=True, slots=True)
@@ -18,7 +18,9 @@
 
 
 class Findings:
-    """Collects findings in the order in which they were met, at most `most`; the rest are only counted.
+    """Collects findings in the order in which they were met, at most `limit`; the rest are only counted.
+
+    `kept`: the findings; `limit`; `omitted`: how many were added beyond it.
 
     >>> findings = Findings()
     >>> findings.add("limits.bodyBytes", "is no number")
@@ -26,23 +28,27 @@
     (['limits.bodyBytes: is no number'], 1)
     """
 
-    __slots__ = ("kept", "most", "left_out")
+    __slots__ = ("kept", "limit", "omitted")
 
-    def __init__(self, most: int = MOST) -> None:
+    def __init__(self, limit: int = MAX_FINDINGS) -> None:
         self.kept: list[Finding] = []
-        self.most, self.left_out = most, 0
+        self.limit = limit
+        self.omitted = 0
 
     def add(self, place: str, text: str) -> None:
-        if len(self.kept) < self.most:
+        """Adds a finding, or counts it if the limit is reached."""
+        if len(self.kept) < self.limit:
             self.kept.append(Finding(place, text))
         else:
-            self.left_out += 1
+            self.omitted += 1
 
     def all(self) -> tuple[Finding, ...]:
+        """Those that are kept."""
         return tuple(self.kept)
 
     def full(self) -> bool:
-        return len(self.kept) >= self.most
+        """Whether further findings are only counted."""
+        return len(self.kept) >= self.limit
 
     def __iter__(self) -> Iterator[Finding]:
         return iter(self.kept)
--- a/shedgrade/process_settings/__init__.py
+++ b/shedgrade/process_settings/__init__.py
@@ -1,20 +1,24 @@
-"""Boot settings: the YAML file that the platform writes for each process, read, checked, and watched."""
+"""Settings of a process: the YAML file that the platform writes for it, loaded, validated, and watched."""
 
+from shedgrade.process_settings.errors import SettingsError, explain
 from shedgrade.process_settings.file_watcher import SettingsFileWatcher
+from shedgrade.process_settings.loading import SETTINGS_VARIABLE, load
 from shedgrade.process_settings.reloader import SettingsReloader
 from shedgrade.process_settings.settings import CloudApi, Limits, Settings, TimingBounds, ToleratedLosses
-from shedgrade.process_settings.validation import SettingsError, explain, load, require
+from shedgrade.process_settings.validation import require, validate
 
 __all__ = [
-    "TimingBounds",
+    "SETTINGS_VARIABLE",
     "CloudApi",
     "Limits",
-    "SettingsReloader",
     "Settings",
     "SettingsError",
-    "ToleratedLosses",
     "SettingsFileWatcher",
+    "SettingsReloader",
+    "TimingBounds",
+    "ToleratedLosses",
     "explain",
     "load",
     "require",
+    "validate",
 ]
--- a/shedgrade/process_settings/reloader.py
+++ b/shedgrade/process_settings/reloader.py
@@ -1,4 +1,4 @@
-"""Settings that are read anew while the process runs: what of them holds from then on, and what does not."""
+"""Settings that are read again while the process runs: which of them take effect then, and which do not."""
 
 from collections.abc import Callable
 from dataclasses import fields, replace
@@ -8,69 +8,78 @@
 from shedgrade.process_settings.settings import Settings
 from shedgrade.runtime.log import logger
 
-LIVE = {"bounds": "timingBounds", "cloud_api": "cloudApi", "zones": "zones"}
-OTHERS = {
+LIVE_FIELDS = {"bounds": "timingBounds", "cloud_api": "cloudApi", "zones": "zones"}
+RENAMED_FIELDS = {
     "internal_ports": "internalPortRange",
     "listen": "listenAddresses",
     "seeds": "seedNodes",
     "tolerated": "toleratedLosses",
 }  # as the file names them
-EVERY = 1.0  # s between two looks at the file
+POLL_INTERVAL_S = 1.0
 
 
 class SettingsReloader:
-    """`settings`: those in force. `apply(settings)` is called when what is LIVE of them moved.
+    """Sans I/O but for the look at the file; the caller calls `poll` often, and with `forced=True` on SIGHUP.
 
-    Sans I/O but for the look at the file; the caller calls `look` often, and with `forced=True` on SIGHUP.
+    Attributes:
+        settings: those in force.
+        watcher: of the file; None where there is none.
+        apply: called with the settings in force when some of LIVE_FIELDS changed.
+        next_poll_at: before it the file is not looked at unless it is forced.
     """
 
     def __init__(
-        self, settings: Settings, watched: SettingsFileWatcher | None, apply: Callable[[Settings], None]
+        self, settings: Settings, watcher: SettingsFileWatcher | None, apply: Callable[[Settings], None]
     ) -> None:
-        """`watched`: None where there is no file."""
-        self.settings, self.watched, self.apply = settings, watched, apply
-        self.look_at = 0.0
+        self.settings = settings
+        self.watcher = watcher
+        self.apply = apply
+        self.next_poll_at = 0.0
 
     def poll(self, now: float, forced: bool = False) -> None:
-        if self.watched is None or (now < self.look_at and not forced):
+        """Looks at the file, once in POLL_INTERVAL_S or when forced. `now`: seconds of any steady clock."""
+        if self.watcher is None or (now < self.next_poll_at and not forced):
             return
-        self.look_at = now + EVERY
-        match self.watched.changed(forced):
+        self.next_poll_at = now + POLL_INTERVAL_S
+        match self.watcher.changed(forced):
             case Settings() as settings:
-                self.take(settings, forced)
+                self.accept(settings, forced)
             case tuple() as findings:
-                self.refuse(findings)
+                self.reject(findings)
 
-    def refuse(self, findings: tuple[Finding, ...]) -> None:
+    def reject(self, findings: tuple[Finding, ...]) -> None:
+        """The old settings stay in force."""
         for finding in findings:
-            logger.warning("the old settings stay in force: {}", str(finding))
+            logger.warning("settings reload rejected", place=finding.place, finding=finding.text)
 
-    def take(self, settings: Settings, forced: bool) -> None:
-        moved = [
+    def accept(self, settings: Settings, forced: bool) -> None:
+        """Puts the live fields in force, and logs which fields need a restart."""
+        changed = [
             field.name
             for field in fields(Settings)
             if getattr(settings, field.name) != getattr(self.settings, field.name)
         ]
-        live = [name for name in moved if name in LIVE]
-        waits = [name for name in moved if name not in LIVE]
-        now = ", ".join(LIVE[name] for name in live) or "nothing"
-        later = ", ".join(map(in_file, waits)) or "nothing"
-        if forced and waits:  # an operator who signals is told at once
-            logger.warning("settings are read anew: {} in force; only a start changes {}", now, later)
-        else:
-            logger.info("settings are read anew: {} in force; only a start changes {}", now, later)
+        live = [name for name in changed if name in LIVE_FIELDS]
+        needs_restart = [name for name in changed if name not in LIVE_FIELDS]
+        # An operator who signals is warned at once.
+        log = logger.warning if forced and needs_restart else logger.info
+        log(
+            "settings reloaded",
+            in_force=", ".join(LIVE_FIELDS[name] for name in live),
+            needs_restart=", ".join(map(name_in_file, needs_restart)),
+        )
         if live:
             self.settings = replace(self.settings, **{name: getattr(settings, name) for name in live})
             self.apply(self.settings)
 
 
-def in_file(name: str) -> str:
+def name_in_file(name: str) -> str:
     """The name of a field in the settings file.
 
-    >>> in_file("node_name"), in_file("seeds")
+    >>> name_in_file("node_name"), name_in_file("seeds")
     ('nodeName', 'seedNodes')
     """
-    if name in OTHERS:
-        return OTHERS[name]
-    first, *more = name.split("_")
-    return first + "".join(word.capitalize() for word in more)
+    if name in RENAMED_FIELDS:
+        return RENAMED_FIELDS[name]
+    first, *rest = name.split("_")
+    return first + "".join(word.capitalize() for word in rest)
--- a/shedgrade/process_settings/settings.py
+++ b/shedgrade/process_settings/settings.py
@@ -1,11 +1,11 @@
-"""What a process is told at its start. Source: the operators' DEPLOY, "Settings of a process"."""
+"""The settings of a process, typed. Source: the operators' DEPLOY, "Settings of a process"."""
 
 import re
 from collections.abc import Mapping
 from dataclasses import dataclass
 
-# Used where `timingBounds` leaves one out. Spans of rules are the usual ones; what is an allowance is none.
-BOUNDS = {
+# Used where `timingBounds` leaves one out. Times are those that the operators usually set; an allowance is 0.
+DEFAULT_BOUNDS: dict[str, float] = {
     "seedLagS": 3,
     "reuseAfterS": 2,
     "contactMs": 4000,
@@ -30,15 +30,18 @@
 }
 
 
-class TimingBounds(dict):
-    """`timingBounds` by the names in the file, each a number or a bool; `BOUNDS` fill what it leaves out.
+class TimingBounds(dict[str, float]):
+    """`timingBounds` by the names in the file, each a number or a bool; DEFAULT_BOUNDS fill what it leaves
+    out.
+
     A name in the language's own case is found too: `drain_ms` is `drainMs`. KeyError for others."""
 
-    def __init__(self, told: Mapping[str, float]) -> None:
-        super().__init__(BOUNDS)
-        self.update(told)
+    def __init__(self, bounds: Mapping[str, float]) -> None:
+        super().__init__(DEFAULT_BOUNDS)
+        self.update(bounds)
 
     def __missing__(self, name: str) -> float:
+        """The bound in the file's case. KeyError: there is none."""
         camel = re.sub("_([a-z])", lambda found: found[1].upper(), name)
         if camel == name or camel not in self:
             raise KeyError(name)
@@ -47,7 +50,11 @@
 
 @dataclass(frozen=True, slots=True)
 class Limits:
-    """Of this process: `cpu_share` of a core, `cores` times as fast; `link_mbps` in Mbit/s. 0 MB: no disk."""
+    """What the process may use.
+
+    `cpu_share`: of a core; `cores`: by how much that core is faster than one of the common machines;
+    `memory_mb`; `file_descriptors`; `link_mbps`: Mbit/s; `disk_mb`: 0 if it has no disk.
+    """
 
     cpu_share: float
     cores: int
@@ -68,18 +75,25 @@
 
 @dataclass(frozen=True, slots=True)
 class CloudApi:
-    """The platform's list: `address` (host, port), calls a second of all processes, its lag in ms."""
+    """The platform's list of upstreams. `address`: host and port; `rate_per_s`: calls of all processes
+    together; `max_lag_ms`: by which it may be late; `duty_list`: unused here, as the file has it."""
 
     address: tuple[str, int]
     rate_per_s: float
     max_lag_ms: float
-    duty_list: tuple
+    duty_list: tuple[object, ...]
 
 
 @dataclass(frozen=True, slots=True)
 class Settings:
-    """Addresses under `listen` by what is served there; `seeds` are control addresses, "ip:port";
-    `zones` maps each to its region; `internal_ports` are the first and the last that are free for us."""
+    """All settings of a process. The file's names are those of its fields in camel case, but for those that
+    `reloader.RENAMED_FIELDS` lists.
+
+    `listen`: addresses by what is served there; `seeds`: control addresses, "ip:port"; `zones`: each zone's
+    region; `internal_ports`: the first and the last that are free for the system's own use; `initial_start`:
+    the system is started for the first time; `loss_counted`: whether the loss of this machine counts among
+    the tolerated ones; `data_dir`: None if it has no disk; `bounds`: of times that the operators promise.
+    """
 
     node_name: str
     role: str
--- a/shedgrade/process_settings/validation.py
+++ b/shedgrade/process_settings/validation.py
@@ -1,280 +1,171 @@
-"""Reads the settings file and checks all of it; what is wrong is reported together, each with its place.
+"""Checks all of the settings at once; what is wrong is reported together, each finding with its place.
 
-PyYAML and plain checks, no pyserde: an edge would keep its 10 MB (more where NumPy is installed) for one
-read, taking the modules out again frees next to none of it, and it stops at the first thing wrong.
+Plain checks, no pyserde: an edge would keep its 10 MB (more where NumPy is installed) for one read, taking
+the modules out again frees next to none of it, and it stops at the first thing wrong.
 """
 
-import os
-from collections.abc import Callable, Iterable
+from collections.abc import Iterable, Mapping
+from typing import Any, TypeVar, cast
 
-import yaml
-
-from shedgrade.findings import Finding, Findings
+from shedgrade.findings import Findings
+from shedgrade.process_settings.errors import InvalidValueError, SettingsError
 from shedgrade.process_settings.settings import (
-    BOUNDS,
+    DEFAULT_BOUNDS,
     CloudApi,
     Limits,
     Settings,
     TimingBounds,
     ToleratedLosses,
 )
+from shedgrade.process_settings.validators import (
+    Validator,
+    above,
+    address,
+    address_as_text,
+    anything,
+    at_least,
+    bound,
+    flag,
+    host,
+    mapping_of,
+    port_range,
+    sequence_of,
+    text,
+    whole,
+)
 
-VARIABLE = "SHEDGRADE_BOOT"
-Loader = getattr(yaml, "CSafeLoader", yaml.SafeLoader)
-REQUIRED = object()
-MOST = 1e15  # numbers are below it: all that is computed with them stays whole
-
-
-class SettingsError(Exception):
-    """The settings can't be used; `findings` say why, all together."""
-
-    def __init__(self, findings: Iterable[Finding]) -> None:
-        self.findings = tuple(findings)
-        super().__init__("; ".join(map(str, self.findings)))
-
-
-class WrongValueError(Exception):
-    """One value has the wrong form; its text says which is asked for."""
+T = TypeVar("T")
+D = TypeVar("D")
 
 
-def explain(error: SettingsError) -> str:
-    """One line a finding, for stderr; the command ends with status 2 then."""
-    return "\n".join(f"settings: {finding}" for finding in error.findings)
+class Section:
+    """One mapping of the file. What is taken out of it is checked; what is wrong is added to the findings.
 
+    `values`: as the file has them; `path`: "" or the section's name with a dot behind it.
+    """
 
-def load(path: str | None = None) -> Settings:
-    """The settings in the YAML file at `path`, or in the one that SHEDGRADE_BOOT names. SettingsError with
-    all findings if it can't be read or something in it is missing, of a wrong type, or out of range."""
-    path = path or os.environ.get(VARIABLE)
-    if not path:
-        raise SettingsError([Finding(VARIABLE, "names no settings file")])
-    try:
-        with open(path, "rb") as file:
-            told = yaml.load(file, Loader)
-    except OSError as failure:
-        raise SettingsError([Finding(path, failure.strerror or repr(failure))]) from failure
-    except (yaml.YAMLError, ValueError, RecursionError) as failure:
-        mark = getattr(failure, "problem_mark", None)
-        line = f", line {mark.line + 1}" if mark else ""
-        problem = getattr(failure, "problem", None) or "is no YAML"
-        raise SettingsError([Finding(path + line, problem)]) from failure
-    if not isinstance(told, dict):
-        raise SettingsError([Finding(path, "is no mapping of names to values")])
-    return validate(told)
+    def __init__(self, values: Mapping[Any, object], path: str, findings: Findings) -> None:
+        self.values = values
+        self.path = path
+        self.findings = findings
 
+    def section(self, name: str) -> "Section":
+        """The mapping under `name`; an empty one if it is left out or none."""
+        values = self.values.get(name)
+        if values is not None and not isinstance(values, dict):
+            self.findings.add(self.path + name, "is no mapping")
+        return Section(values if isinstance(values, dict) else {}, f"{self.path}{name}.", self.findings)
 
-def require(settings: Settings, listen: Iterable[str] = (), disk: bool = False) -> None:
-    """SettingsError if a program's addresses to listen on, by their names, or its disk are left out."""
-    found = Findings()
-    for name in listen:
-        if name not in settings.listen:
-            found.add(f"listenAddresses.{name}", "is missing")
-    if disk and settings.data_dir is None:
-        found.add("dataDir", "is missing")
-    if found:
-        raise SettingsError(found)
+    def required(self, name: str, validator: Validator[T]) -> T:
+        """The value; a finding if it is left out or null."""
+        value = self.values.get(name)
+        if value is None:
+            self.findings.add(self.path + name, "is missing")
+            return cast(T, None)  # nobody uses it: the findings end in a SettingsError
+        return self.checked(name, validator, value)
 
+    def optional(self, name: str, validator: Validator[T], default: D) -> T | D:
+        """The value; the default if it is left out or null."""
+        value = self.values.get(name)
+        return default if value is None else self.checked(name, validator, value)
 
-def validate(told: dict) -> Settings:
-    """Settings from the fields as in the file; unknown ones are ignored. SettingsError as for `load`."""
-    found = Findings()
-    top = Fields(told, "", found)
-    zones = top.take("zones", mapping_of(text), REQUIRED)
-    zone = top.take("zone", text, REQUIRED)
+    def checked(self, name: str, validator: Validator[T], value: object) -> T:
+        """The value as the validator returns it; a finding if it is invalid."""
+        try:
+            return validator(value)
+        except InvalidValueError as error:
+            self.findings.add(f"{self.path}{name}{error.path}", error.text)
+            return cast(T, None)  # as above
+
+
+def validate(document: Mapping[Any, object]) -> Settings:
+    """Settings from the names and values of the file; unknown names are ignored. SettingsError with all
+    findings if something is missing, of a wrong type, or out of range."""
+    findings = Findings()
+    top = Section(document, "", findings)
+    zones = top.required("zones", mapping_of(text))
+    zone = top.required("zone", text)
     if zones is not None and zone is not None and zone not in zones:
-        found.add("zone", f"{zone!r} is not in zones")
-    limits, tolerated, cloud = (top.inner(name) for name in ("limits", "toleratedLosses", "cloudApi"))
+        findings.add("zone", f"{zone!r} is not in zones")
     settings = Settings(
-        node_name=top.take("nodeName", text, REQUIRED),
-        role=top.take("role", text, ""),
-        machine_class=top.take("machineClass", text, ""),
-        served_roles=top.take("servedRoles", several(text), REQUIRED),
-        ip_address=top.take("ipAddress", host, REQUIRED),
+        node_name=top.required("nodeName", text),
+        role=top.optional("role", text, ""),
+        machine_class=top.optional("machineClass", text, ""),
+        served_roles=top.required("servedRoles", sequence_of(text)),
+        ip_address=top.required("ipAddress", host),
         zone=zone,
-        region=top.take("region", text, (zones or {}).get(zone, "")),
+        region=top.optional("region", text, (zones or {}).get(zone, "")),
         zones=zones,
-        listen=top.take("listenAddresses", mapping_of(address), {}),
-        internal_ports=top.take("internalPortRange", ports, REQUIRED),
-        seeds=top.take("seedNodes", several(address_as_text), REQUIRED),
-        # Without these, nothing is founded a second time and no disk is counted on.
-        initial_start=top.take("initialStart", flag, False),
-        loss_counted=top.take("lossCounted", flag, False),
-        limits=Limits(
-            cpu_share=limits.take("cpuShare", above(0), 1.0),
-            cores=limits.take("cores", whole(1), 1),
-            memory_mb=limits.take("memoryMb", whole(1), REQUIRED),
-            file_descriptors=limits.take("fileDescriptors", whole(1), REQUIRED),
-            link_mbps=limits.take("linkMbps", above(0), 1000.0),
-            disk_mb=limits.take("diskMb", whole(0), 0),
-        ),
-        data_dir=top.take("dataDir", text, None),
-        heartbeat_ms=top.take("heartbeatMs", above(0), 1000.0),
-        active_contracts=top.take("activeContracts", several(text), ()),
-        tolerated=ToleratedLosses(
-            *(
-                tolerated.take(name, whole(0), REQUIRED if name == "machines" else 0)
-                for name in ("machines", "zones", "regions")
-            )
-        ),
-        bounds=TimingBounds(bounds(top.inner("timingBounds"))),
-        cloud_api=CloudApi(
-            address=cloud.take("address", address, REQUIRED),
-            rate_per_s=cloud.take("ratePerS", above(0), REQUIRED),
-            max_lag_ms=cloud.take("maxLagMs", at_least(0), 0.0),
-            duty_list=cloud.take("dutyList", several(anything), ()),
-        ),
+        listen=top.optional("listenAddresses", mapping_of(address), {}),
+        internal_ports=top.required("internalPortRange", port_range),
+        seeds=top.required("seedNodes", sequence_of(address_as_text)),
+        # Without these, no cluster is founded a second time and no disk is counted on.
+        initial_start=top.optional("initialStart", flag, False),
+        loss_counted=top.optional("lossCounted", flag, False),
+        limits=validate_limits(top.section("limits")),
+        data_dir=top.optional("dataDir", text, None),
+        heartbeat_ms=top.optional("heartbeatMs", above(0), 1000.0),
+        active_contracts=top.optional("activeContracts", sequence_of(text), ()),
+        tolerated=validate_tolerated_losses(top.section("toleratedLosses")),
+        bounds=TimingBounds(validate_bounds(top.section("timingBounds"))),
+        cloud_api=validate_cloud_api(top.section("cloudApi")),
     )
-    if found:
-        raise SettingsError(found)
+    if findings:
+        raise SettingsError(findings)
     return settings
 
 
-class Fields:
-    """One mapping of the file; what is taken out of it is checked, and what is wrong goes to the findings."""
-
-    def __init__(self, told: dict, place: str, found: Findings) -> None:
-        self.told, self.place, self.found = told, place, found
-
-    def inner(self, name: str) -> "Fields":
-        """The mapping under `name`; an empty one if it is left out."""
-        told = self.told.get(name)
-        if told is not None and not isinstance(told, dict):
-            self.found.add(self.place + name, "is no mapping")
-        return Fields(told if isinstance(told, dict) else {}, f"{self.place}{name}.", self.found)
-
-    def take(self, name: str, read: Callable, default: object) -> object:
-        """The value as `read` makes it; `default` if it is left out or null, None if something is wrong."""
-        value = self.told.get(name)
-        if value is None:
-            if default is not REQUIRED:
-                return default
-            self.found.add(self.place + name, "is missing")
-            return None
-        try:
-            return read(value)
-        except WrongValueError as wrong:
-            inside, text = wrong.args if len(wrong.args) == 2 else ("", wrong.args[0])
-            self.found.add(f"{self.place}{name}{inside}", text)
-            return None
-
-
-def bounds(fields: Fields) -> dict[str, float]:
-    """Numbers and bools by name. What we don't use is left out if it is neither."""
-    return {
-        name: value
-        for name in fields.told
-        if isinstance(name, str)
-        if (value := fields.take(name, bound if name in BOUNDS else anything, None)) is not None
-        and isinstance(value, (bool, int, float))
-    }
-
-
-# --- one value each: what it is made to, or WrongValueError
-
-
-def anything(value: object) -> object:
-    return value
-
-
-def text(value: object) -> str:
-    if not isinstance(value, str) or not value:
-        raise WrongValueError(f"{value!r:.100} is no text")
-    return value
-
-
-def flag(value: object) -> bool:
-    if not isinstance(value, bool):
-        raise WrongValueError(f"{value!r:.100} is neither true nor false")
-    return value
-
-
-def number(value: object) -> int | float:
-    if isinstance(value, bool) or not isinstance(value, (int, float)) or not abs(value) <= MOST:
-        raise WrongValueError(f"{value!r:.100} is no number")
-    return value
-
-
-def bound(value: object) -> bool | int | float:
-    """A bound that is used: true, false, or a number from 0 up."""
-    return value if isinstance(value, bool) else at_least(0)(value)
-
-
-def above(least: float) -> Callable:
-    def read(value: object) -> float:
-        if number(value) <= least:
-            raise WrongValueError(f"{value!r} is not above {least}")
-        return float(value)
-
-    return read
-
-
-def at_least(least: float) -> Callable:
-    def read(value: object) -> int | float:
-        if number(value) < least:
-            raise WrongValueError(f"{value!r} is below {least}")
-        return value
-
-    return read
-
-
-def whole(least: int) -> Callable:
-    def read(value: object) -> int:
-        if number(value) != int(value):
-            raise WrongValueError(f"{value!r} is no whole number")
-        return int(at_least(least)(value))
-
-    return read
-
-
-def host(value: object) -> str:
-    """An IPv4 address by numbers: there are no name look-ups."""
-    parts = text(value).split(".")
-    if len(parts) != 4 or not all(part.isdecimal() and part.isascii() and int(part) < 256 for part in parts):
-        raise WrongValueError(f"{value!r:.100} is no IPv4 address")
-    return value
-
-
-def address(value: object) -> tuple[str, int]:
-    before, colon, port = text(value).rpartition(":")
-    if not colon or not (port.isdecimal() and port.isascii() and 0 < int(port) < 65536):
-        raise WrongValueError(f"{value!r:.100} is no host:port")
-    return host(before), int(port)
-
-
-def address_as_text(value: object) -> str:
-    return "{}:{}".format(*address(value))
-
-
-def ports(value: object) -> tuple[int, int]:
-    """The first and the last; two are needed at the least, one for TCP and one for UDP."""
-    if not isinstance(value, list) or len(value) != 2:
-        raise WrongValueError(f"{value!r:.100} is no pair of ports")
-    first, last = (whole(1)(port) for port in value)
-    if last > 65535 or last <= first:
-        raise WrongValueError(f"{first} to {last} are not two ports or more")
-    return first, last
-
-
-def several(read: Callable) -> Callable:
-    def read_all(value: object) -> tuple:
-        if not isinstance(value, list):
-            raise WrongValueError(f"{value!r:.100} is no list")
-        return tuple(placed(read, item, f"[{number}]") for number, item in enumerate(value))
+def validate_limits(section: Section) -> Limits:
+    """What the process may use."""
+    return Limits(
+        cpu_share=section.optional("cpuShare", above(0), 1.0),
+        cores=section.optional("cores", whole(1), 1),
+        memory_mb=section.required("memoryMb", whole(1)),
+        file_descriptors=section.required("fileDescriptors", whole(1)),
+        link_mbps=section.optional("linkMbps", above(0), 1000.0),
+        disk_mb=section.optional("diskMb", whole(0), 0),
+    )
 
-    return read_all
 
+def validate_tolerated_losses(section: Section) -> ToleratedLosses:
+    """How much may be lost at once."""
+    return ToleratedLosses(
+        machines=section.required("machines", whole(0)),
+        zones=section.optional("zones", whole(0), 0),
+        regions=section.optional("regions", whole(0), 0),
+    )
 
-def mapping_of(read: Callable) -> Callable:
-    def read_all(value: object) -> dict:
-        if not isinstance(value, dict):
-            raise WrongValueError(f"{value!r:.100} is no mapping")
-        return {placed(text, name, ""): placed(read, item, f".{name}") for name, item in value.items()}
 
-    return read_all
+def validate_bounds(section: Section) -> dict[str, float]:
+    """Numbers and flags by name. A bound that isn't in DEFAULT_BOUNDS is left out if it is neither."""
+    bounds: dict[str, float] = {}
+    for name in section.values:
+        if not isinstance(name, str):
+            continue
+        validator: Validator[object] = bound if name in DEFAULT_BOUNDS else anything
+        value = section.optional(name, validator, None)
+        if isinstance(value, (bool, int, float)):
+            bounds[name] = value
+    return bounds
+
+
+def validate_cloud_api(section: Section) -> CloudApi:
+    """The platform's list of upstreams."""
+    return CloudApi(
+        address=section.required("address", address),
+        rate_per_s=section.required("ratePerS", above(0)),
+        max_lag_ms=section.optional("maxLagMs", at_least(0), 0.0),
+        duty_list=section.optional("dutyList", sequence_of(anything), ()),
+    )
 
 
-def placed(read: Callable, value: object, place: str) -> object:
-    try:
-        return read(value)
-    except WrongValueError as wrong:
-        raise WrongValueError(place, wrong.args[-1]) from None
+def require(settings: Settings, listen: Iterable[str] = (), disk: bool = False) -> None:
+    """SettingsError if a program's addresses to listen on, by their names, or its disk are left out."""
+    findings = Findings()
+    for name in listen:
+        if name not in settings.listen:
+            findings.add(f"listenAddresses.{name}", "is missing")
+    if disk and settings.data_dir is None:
+        findings.add("dataDir", "is missing")
+    if findings:
+        raise SettingsError(findings)
--- /dev/null
+++ b/shedgrade/process_settings/validators.py
@@ -0,0 +1,146 @@
+"""Validators of single values: each returns the value as the program uses it, or raises InvalidValueError."""
+
+from collections.abc import Callable
+from typing import TypeVar
+
+from shedgrade.process_settings.errors import InvalidValueError
+
+MAX_NUMBER = 1e15  # all that is computed with smaller ones stays exact
+
+T = TypeVar("T")
+Validator = Callable[[object], T]
+
+
+def anything(value: object) -> object:
+    """The value as it is."""
+    return value
+
+
+def text(value: object) -> str:
+    """A string that isn't empty."""
+    if not isinstance(value, str) or not value:
+        raise InvalidValueError(f"{value!r:.100} is no text")
+    return value
+
+
+def flag(value: object) -> bool:
+    """True or false."""
+    if not isinstance(value, bool):
+        raise InvalidValueError(f"{value!r:.100} is neither true nor false")
+    return value
+
+
+def number(value: object) -> int | float:
+    """A finite number within MAX_NUMBER, as it is written."""
+    if isinstance(value, bool) or not isinstance(value, (int, float)) or not abs(value) <= MAX_NUMBER:
+        raise InvalidValueError(f"{value!r:.100} is no number")
+    return value
+
+
+def bound(value: object) -> bool | int | float:
+    """A timing bound that is used: true, false, or a number from 0 up."""
+    return value if isinstance(value, bool) else at_least(0)(value)
+
+
+def above(minimum: float) -> Validator[float]:
+    """A number over the minimum."""
+
+    def validate_above(value: object) -> float:
+        if number(value) <= minimum:
+            raise InvalidValueError(f"{value!r} is not above {minimum}")
+        return float(number(value))
+
+    return validate_above
+
+
+def at_least(minimum: float) -> Validator[int | float]:
+    """A number from the minimum up."""
+
+    def validate_at_least(value: object) -> int | float:
+        checked = number(value)
+        if checked < minimum:
+            raise InvalidValueError(f"{value!r} is below {minimum}")
+        return checked
+
+    return validate_at_least
+
+
+def whole(minimum: int) -> Validator[int]:
+    """A whole number from the minimum up."""
+
+    def validate_whole(value: object) -> int:
+        checked = number(value)
+        if checked != int(checked):
+            raise InvalidValueError(f"{value!r} is no whole number")
+        return int(at_least(minimum)(checked))
+
+    return validate_whole
+
+
+def is_decimal(part: str) -> bool:
+    """Whether it consists of ASCII digits."""
+    return part.isdecimal() and part.isascii()
+
+
+def host(value: object) -> str:
+    """An IPv4 address by numbers: there are no name look-ups."""
+    checked = text(value)
+    parts = checked.split(".")
+    if len(parts) != 4 or not all(is_decimal(part) and int(part) < 256 for part in parts):
+        raise InvalidValueError(f"{value!r:.100} is no IPv4 address")
+    return checked
+
+
+def address(value: object) -> tuple[str, int]:
+    """A host and a port, written "host:port"."""
+    before, colon, port = text(value).rpartition(":")
+    if not colon or not (is_decimal(port) and 0 < int(port) < 65536):
+        raise InvalidValueError(f"{value!r:.100} is no host:port")
+    return host(before), int(port)
+
+
+def address_as_text(value: object) -> str:
+    """A host and a port, as they are written."""
+    return "{}:{}".format(*address(value))
+
+
+def port_range(value: object) -> tuple[int, int]:
+    """The first and the last; two are needed at the least, one for TCP and one for UDP."""
+    if not isinstance(value, list) or len(value) != 2:
+        raise InvalidValueError(f"{value!r:.100} is no pair of ports")
+    first, last = (whole(1)(port) for port in value)
+    if last > 65535 or last <= first:
+        raise InvalidValueError(f"{first} to {last} are not two ports or more")
+    return first, last
+
+
+def sequence_of(validate_item: Validator[T]) -> Validator[tuple[T, ...]]:
+    """A list of such values."""
+
+    def validate_sequence(value: object) -> tuple[T, ...]:
+        if not isinstance(value, list):
+            raise InvalidValueError(f"{value!r:.100} is no list")
+        return tuple(at_path(validate_item, item, f"[{index}]") for index, item in enumerate(value))
+
+    return validate_sequence
+
+
+def mapping_of(validate_item: Validator[T]) -> Validator[dict[str, T]]:
+    """A mapping of texts to such values."""
+
+    def validate_mapping(value: object) -> dict[str, T]:
+        if not isinstance(value, dict):
+            raise InvalidValueError(f"{value!r:.100} is no mapping")
+        return {
+            at_path(text, name, ""): at_path(validate_item, item, f".{name}") for name, item in value.items()
+        }
+
+    return validate_mapping
+
+
+def at_path(validate_item: Validator[T], value: object, path: str) -> T:
+    """Validates a value inside another one, whose error names the path then."""
+    try:
+        return validate_item(value)
+    except InvalidValueError as error:
+        raise InvalidValueError(error.text, path) from None
--- a/shedgrade/program.py
+++ b/shedgrade/program.py
@@ -9,9 +9,9 @@
 import uvloop
 from docopt import docopt
 
+from shedgrade.process_settings.errors import SettingsError, explain
 from shedgrade.process_settings.file_watcher import SettingsFileWatcher
 from shedgrade.process_settings.settings import Settings
-from shedgrade.process_settings.validation import SettingsError, explain
 from shedgrade.runtime.log import set_sink
 from shedgrade.runtime.log_ring import LogRingBuffer
 
@@ -34,26 +34,26 @@
     """Runs one plane to its end and returns the process's exit status.
 
     `usage`: docopt's text, with the option `--settings`. `check(settings)` raises SettingsError if this
-    program lacks something in them. `load_plane()` imports the plane's class, after the log is set up.
+    program misses something in them. `load_plane()` imports the plane's class, after the log is set up.
     """
     options = docopt(usage, arguments)
     try:
-        watched = SettingsFileWatcher(options["--settings"])
-        settings = watched.settings
+        watcher = SettingsFileWatcher(options["--settings"])
+        settings = watcher.settings
         check(settings)
     except SettingsError as error:
         print(explain(error), file=sys.stderr)
         return EXIT_SETTINGS
-    ring = LogRingBuffer(settings.node_name)
-    set_sink(ring)
+    log_buffer = LogRingBuffer(settings.node_name)
+    set_sink(log_buffer)
     plane_class = load_plane()
 
     async def run() -> None:
-        plane = plane_class(settings, asyncio.get_running_loop(), SystemRandom(), watched)
+        plane = plane_class(settings, asyncio.get_running_loop(), SystemRandom(), watcher)
         await plane.serve()
 
     try:
         uvloop.run(run())
     finally:
-        ring.flush()
+        log_buffer.flush()
     return 0
--- a/tests/controlplane/cut_world.py
+++ b/tests/controlplane/cut_world.py
@@ -18,7 +18,7 @@
 from shedgrade.controlplane.plane import ControlPlane
 from shedgrade.dataplane.plane import DataPlane
 from shedgrade.peer_transport.connection import PeerCallError
-from shedgrade.process_settings.validation import validate
+from shedgrade.process_settings import validate
 
 APPLY = 3.0  # s, `configApplyMs` of the pages: by then an edge in touch serves a new configuration
 DRAIN = 4.0  # s, `drainMs`: by then it has the list that the platform shows
--- a/tests/controlplane/test_configuration.py
+++ b/tests/controlplane/test_configuration.py
@@ -12,7 +12,7 @@
 
 from shedgrade.configuration import NO_BOUND, Configuration, Limits, Split, parse
 from shedgrade.controlplane.configuration import read, told
-from shedgrade.findings import MOST
+from shedgrade.findings import MAX_FINDINGS
 
 # As PROTOCOL shows one.
 EXAMPLE = {
@@ -317,7 +317,7 @@
 
 def test_no_more_findings_than_anybody_reads():
     data = changed(("routeList", [{"host": 1, "pathPrefix": 2} for _ in range(500)]))
-    assert len(found(data)) == MOST
+    assert len(found(data)) == MAX_FINDINGS
 
 
 def test_findings_are_told_as_json():
@@ -352,7 +352,7 @@
     if result.is_ok():
         assert parse(raw) == result.ok
     else:
-        assert 0 < len(result.error) <= MOST
+        assert 0 < len(result.error) <= MAX_FINDINGS
 
 
 @given(st.binary(max_size=64))
--- a/tests/controlplane/test_control_program_start.py
+++ b/tests/controlplane/test_control_program_start.py
@@ -39,11 +39,12 @@
             assert (await programs.http(host, 8264, target="/resolution?region=north&zone=hall-1"))[0] == 503
             programs.write(path, programs.core(1, tmp_path / "data", cloudApi={"ratePerS": 5}))
             process.send_signal(signal.SIGHUP)
-            await programs.said(process, "the old settings stay in force: cloudApi.address")
+            line = await programs.said(process, "settings reload rejected")
+            assert json.loads(line)["place"] == "cloudApi.address"
             programs.write(path, programs.core(1, tmp_path / "data", seedNodes=[f"{programs.NET}.7:8262"]))
             process.send_signal(signal.SIGHUP)
             process.send_signal(signal.SIGTERM)
             left, status = await programs.rest(process)
-            assert status == 0 and "only a start changes seedNodes" in left
+            assert status == 0 and '"needs_restart":"seedNodes"' in left
 
     run(story())
--- a/tests/controlplane/test_cut_off_side.py
+++ b/tests/controlplane/test_cut_off_side.py
@@ -14,7 +14,7 @@
 from shedgrade.controlplane.plane import ControlPlane
 from shedgrade.controlplane.reachability import LOST, Reach
 from shedgrade.http.server import Request
-from shedgrade.process_settings.validation import validate
+from shedgrade.process_settings import validate
 
 MEMBERS = ("a:1", "b:1", "c:1")
 EDGES = [
--- a/tests/dataplane/test_program_start.py
+++ b/tests/dataplane/test_program_start.py
@@ -65,13 +65,13 @@
             assert (await programs.http(host, 8268))[0] == 503
             programs.write(path, programs.edge(zones=[]))
             process.send_signal(signal.SIGHUP)
-            line = await programs.said(process, "the old settings stay in force: zones")
-            assert json.loads(line)["process"] == "edge-9"
+            line = json.loads(await programs.said(process, "settings reload rejected"))
+            assert (line["process"], line["place"]) == ("edge-9", "zones")
             # Within the ring's pause between writes: only the end of the process writes it.
             programs.write(path, programs.edge(seedNodes=[f"{programs.NET}.7:8262"]))
             process.send_signal(signal.SIGHUP)
             process.send_signal(signal.SIGTERM)
             left, status = await programs.rest(process)
-            assert status == 0 and "only a start changes seedNodes" in left
+            assert status == 0 and '"needs_restart":"seedNodes"' in left
 
     run(story())
--- a/tests/process_settings/test_boot_settings.py
+++ b/tests/process_settings/test_boot_settings.py
@@ -9,8 +9,7 @@
 import pytest
 import yaml
 
-from shedgrade.process_settings import SettingsError, SettingsFileWatcher, explain, load
-from shedgrade.process_settings.validation import validate
+from shedgrade.process_settings import SettingsError, SettingsFileWatcher, explain, load, validate
 
 TOLD = {
     "nodeName": "edge-1",
--- a/tests/process_settings/test_reload.py
+++ b/tests/process_settings/test_reload.py
@@ -21,11 +21,11 @@
 
 @pytest.fixture
 def lines():
-    """What is logged, each with its level before it."""
+    """What is logged: its level, its event, its fields."""
     said = []
 
     def sink(level):
-        return lambda text, *values: said.append(f"{level} {text.format(*values)}")
+        return lambda event, **fields: said.append((level, event, fields))
 
     log.set_sink(SimpleNamespace(**{level: sink(level) for level in log.METHODS}))
     yield said
@@ -48,7 +48,7 @@
         new.rename(self.path)
 
     def look(self, forced=False):
-        self.now += reloader.EVERY
+        self.now += reloader.POLL_INTERVAL_S
         self.reload.poll(self.now, forced)
         return self.applied
 
@@ -70,9 +70,8 @@
     [settings] = process.look()
     assert settings.bounds["drain_ms"] == 700 and settings.zones["south-b"] == "south"
     assert settings.cloud_api.address == ("10.200.0.9", 8266) and settings.cloud_api.rate_per_s == 12.5
-    assert lines == [
-        "info settings are read anew: zones, timingBounds, cloudApi in force; only a start changes nothing"
-    ]
+    fields = {"in_force": "zones, timingBounds, cloudApi", "needs_restart": ""}
+    assert lines == [("info", "settings reloaded", fields)]
     process.look()
     assert len(process.applied) == 1
 
@@ -84,18 +83,16 @@
     [settings] = process.look(forced=True)
     assert (settings.node_name, settings.internal_ports) == ("edge-1", (7300, 7315))
     assert settings.seeds == ("10.1.0.14:8262", "10.2.0.41:8262") and settings.bounds["drain_ms"] == 700
-    assert lines == [
-        "warning settings are read anew: timingBounds in force; "
-        "only a start changes nodeName, internalPortRange, seedNodes"
-    ]
+    fields = {"in_force": "timingBounds", "needs_restart": "nodeName, internalPortRange, seedNodes"}
+    assert lines == [("warning", "settings reloaded", fields)]
 
 
 def test_without_a_signal_what_waits_for_a_start_is_no_warning(process, lines):
     process.told["initialStart"] = False
     process.write()
-    assert process.look() == [] and lines == [
-        "info settings are read anew: nothing in force; only a start changes initialStart"
-    ]
+    assert process.look() == []
+    fields = {"in_force": "", "needs_restart": "initialStart"}
+    assert lines == [("info", "settings reloaded", fields)]
 
 
 def test_a_bad_file_is_told_once_a_line_a_finding_and_the_old_stays(process, lines):
@@ -103,10 +100,10 @@
     process.told["zones"] = 5
     process.write()
     assert process.look() == process.look() == []
-    assert len(lines) == 2 and all(
-        line.startswith("warning the old settings stay in force: ") for line in lines
-    )
-    assert "timingBounds.drainMs" in lines[1] and process.reload.settings.bounds["drain_ms"] == 4500
+    assert len(lines) == 2
+    assert all(line[:2] == ("warning", "settings reload rejected") for line in lines)
+    assert lines[1][2] == {"place": "timingBounds.drainMs", "finding": "'soon' is no number"}
+    assert process.reload.settings.bounds["drain_ms"] == 4500
     process.write("{ half a fi")
     process.look()
     assert len(lines) == 3
--- a/tests/route_matching/test_matching.py
+++ b/tests/route_matching/test_matching.py
@@ -161,11 +161,11 @@
 
 
 def test_findings_are_bounded_and_the_rest_counted():
-    findings = Findings(most=2)
+    findings = Findings(limit=2)
     for at in range(3):
         findings.add(f"at[{at}]", "is wrong")
     assert findings.all() == (Finding("at[0]", "is wrong"), Finding("at[1]", "is wrong"))
-    assert findings.left_out == 1 and findings.full() and len(findings) == 2
+    assert findings.omitted == 1 and findings.full() and len(findings) == 2
     assert str(findings.all()[0]) == "at[0]: is wrong"
 
 
--- a/tests/system/planes_rig.py
+++ b/tests/system/planes_rig.py
@@ -20,7 +20,7 @@
 from shedgrade.controlplane.plane import ControlPlane
 from shedgrade.dataplane.plane import DataPlane
 from shedgrade.http.server import HttpServer, Reply
-from shedgrade.process_settings.validation import validate
+from shedgrade.process_settings import validate
 from shedgrade.runtime.log import logger
 
 CORES, EDGES = (1, 2, 3), (11, 12)
