--- a/shedgrade/simulation/system/sockets.py
+++ b/shedgrade/simulation/system/sockets.py
@@ -139,6 +139,7 @@
     ("shedgrade.http.application", "select", SelectModule()),
     ("shedgrade.http.listener", "select", SelectModule()),
     ("shedgrade.http.server", "select", SelectModule()),
+    ("shedgrade.http.server_connection", "select", SelectModule()),
     ("shedgrade.controlplane.plane", "gc", NoCollector()),
     ("shedgrade.dataplane.plane", "gc", NoCollector()),
     ("shedgrade.dataplane.plane", "Clock", SteadyClock),
--- a/tests/controlplane/test_control_http.py
+++ b/tests/controlplane/test_control_http.py
@@ -10,7 +10,7 @@
 import uvloop
 
 from shedgrade.findings import Finding
-from shedgrade.http import server
+from shedgrade.http import server, server_connection
 from shedgrade.http.server import HttpServer, Reply, Request, failure
 
 
@@ -20,17 +20,19 @@
     def __init__(self):
         self.lines = []
 
-    def exception(self, text, *values):
-        self.lines.append(text.format(*values))
+    def exception(self, event, **fields):
+        self.lines.append((event, fields))
 
 
 class Place:
     """A server, what reached it, and what is still to be told."""
 
-    def __init__(self, loop, handle=None, most=server.MOST, earliest=None):
+    def __init__(self, loop, handle=None, max_connections=server.MAX_CONNECTIONS, earliest=None):
         self.loop, self.requests, self.tells, self.logger = loop, [], [], Lines()
         self.came = asyncio.Event()
-        self.server = HttpServer(loop, ("127.0.0.1", 0), handle or self.keep, self.logger, most, earliest)
+        self.server = HttpServer(
+            loop, ("127.0.0.1", 0), handle or self.keep, self.logger, max_connections, earliest
+        )
 
     def keep(self, request, tell):
         self.requests.append(request)
@@ -155,7 +157,7 @@
                 socket.SOL_SOCKET, socket.SO_LINGER, struct.pack("ii", 1, 0)
             )
         writer.transport.abort()
-        await reached(place, lambda: connection.ended or connection.parser is None)
+        await reached(place, lambda: connection.client_finished or connection.parser is None)
         for _ in range(2):
             place.tells[0](Reply(200, b"to nobody"))
         await reached(place, lambda: not place.server.connections)
@@ -180,7 +182,8 @@
             writer.write(b"GET /x HTTP/1.1\r\nHost: h\r\n\r\n")
             status, _, body = await answered(reader)
             assert status == 500 and b"secret" not in body and orjson.loads(body)["findings"]
-        assert len(place.logger.lines) == 2 and "/x" in place.logger.lines[0]
+        line = ("call handler failed", {"method": "GET", "path": "/x"})
+        assert place.logger.lines == [line, line]
 
     play(story, fails)
 
@@ -217,7 +220,7 @@
     (b"hello\r\n\r\n", 400),
     (b"GET / HTTP/1.1\r\nHost: h\r\nContent-Length: x\r\n\r\n", 400),
     (b"PUT / HTTP/1.1\r\nContent-Length: 3\r\nTransfer-Encoding: chunked\r\n\r\n0\r\n\r\n", 400),
-    (b"PUT / HTTP/1.1\r\nContent-Length: %d\r\n\r\n" % (server.LONGEST_BODY + 1), 413),
+    (b"PUT / HTTP/1.1\r\nContent-Length: %d\r\n\r\n" % (server_connection.MAX_BODY_BYTES + 1), 413),
     (b"GET / HTTP/1.1\r\nA: " + b"a" * (70 * 1024) + b"\r\n\r\n", 431),
     (b"GET /" + b"a" * (300 * 1024), 431),
     (b"GET / HTTP/1.1\r\n" + b"A: b\r\n" * 20_000, 431),
@@ -257,7 +260,7 @@
         reader, writer = await place.open()
         writer.write(b"PUT / HTTP/1.1\r\nHost: h\r\nTransfer-Encoding: chunked\r\n\r\n")
         chunk = b"10000\r\n" + b"a" * 0x10000 + b"\r\n"
-        for _ in range(server.LONGEST_BODY // 0x10000 + 1):
+        for _ in range(server_connection.MAX_BODY_BYTES // 0x10000 + 1):
             writer.write(chunk)
             await writer.drain()
         assert (await answered(reader))[0] == 413
@@ -266,7 +269,7 @@
 
 
 def test_a_long_body_and_a_long_answer_pass(play):
-    body = b"b" * (server.LONGEST_BODY - 1)
+    body = b"b" * (server_connection.MAX_BODY_BYTES - 1)
 
     async def story(place):
         reader, writer = await place.open()
@@ -323,7 +326,7 @@
         reader, writer = await place.open()
         for at in range(3):
             writer.write(b"GET /%d HTTP/1.1\r\n" % at)
-            await reached(place, lambda: next(iter(place.server.connections)).begun)
+            await reached(place, lambda: next(iter(place.server.connections)).has_begun)
             begun = next(iter(place.server.connections)).arrived_after
             writer.write(b"Host: h\r\n\r\n")
             assert (await place.asked(at + 1)).arrived_after == begun
@@ -409,11 +412,11 @@
         for begun in (b"GET / HT", b"PUT / HTTP/1.1\r\nHost: h\r\nContent-Length: 9\r\n\r\nabc"):
             reader, writer = await place.open()
             writer.write(begun)
-            await reached(place, lambda: place.server.connections, lambda: only(place).begun)
-            since = only(place).since
-            place.server.look_after(since + server.COMES - 0.1)
-            assert not only(place).lingering
-            place.server.look_after(since + server.COMES + 0.1)
+            await reached(place, lambda: place.server.connections, lambda: only(place).has_begun)
+            since = only(place).state_since
+            place.server.check_timeouts(since + server_connection.REQUEST_TIMEOUT_S - 0.1)
+            assert not only(place).is_lingering
+            place.server.check_timeouts(since + server_connection.REQUEST_TIMEOUT_S + 0.1)
             status, headers, _ = await answered(reader)
             assert (status, headers[b"connection"]) == (408, b"close") and await reader.read() == b""
             writer.close()
@@ -425,17 +428,22 @@
 def test_a_body_that_moves_may_take_long(play):
     async def story(place):
         _, writer = await place.open()
-        writer.write(b"PUT / HTTP/1.1\r\nHost: h\r\nContent-Length: %d\r\n\r\n" % (3 * server.STEP))
+        writer.write(
+            b"PUT / HTTP/1.1\r\nHost: h\r\nContent-Length: %d\r\n\r\n"
+            % (3 * server_connection.BODY_STEP_BYTES)
+        )
         now = place.loop.time()
         for at in range(1, 3):
-            writer.write(b"a" * server.STEP)
+            writer.write(b"a" * server_connection.BODY_STEP_BYTES)
             await reached(
-                place, lambda: place.server.connections, lambda at=at: only(place).size == at * server.STEP
+                place,
+                lambda: place.server.connections,
+                lambda at=at: only(place).body_bytes == at * server_connection.BODY_STEP_BYTES,
             )
-            now += server.COMES - 0.1
-            place.server.look_after(now)
-        writer.write(b"a" * server.STEP)
-        assert len((await place.asked()).body) == 3 * server.STEP
+            now += server_connection.REQUEST_TIMEOUT_S - 0.1
+            place.server.check_timeouts(now)
+        writer.write(b"a" * server_connection.BODY_STEP_BYTES)
+        assert len((await place.asked()).body) == 3 * server_connection.BODY_STEP_BYTES
 
     play(story)
 
@@ -444,16 +452,16 @@
     async def story(place):
         reader, writer = await place.open()
         await reached(place, lambda: place.server.connections)
-        place.server.look_after(only(place).since + server.IDLE - 0.1)
+        place.server.check_timeouts(only(place).state_since + server_connection.IDLE_TIMEOUT_S - 0.1)
         assert not only(place).transport.is_closing()
-        place.server.look_after(only(place).since + server.IDLE + 0.1)
+        place.server.check_timeouts(only(place).state_since + server_connection.IDLE_TIMEOUT_S + 0.1)
         assert await reader.read() == b""
         writer.close()
         await reached(place, lambda: not place.server.connections)
         reader, writer = await place.open()
         writer.write(b"nonsense\r\n\r\n")
         assert (await answered(reader))[0] == 400
-        place.server.look_after(only(place).since + server.LINGERS + 0.1)
+        place.server.check_timeouts(only(place).state_since + server_connection.LINGER_TIMEOUT_S + 0.1)
         await reached(place, lambda: not place.server.connections)
 
     play(story)
@@ -472,8 +480,8 @@
         unsent, now = -1, place.loop.time()
         while connection in place.server.connections:
             if unsent == (unsent := connection.transport.get_write_buffer_size()):
-                now += server.TAKES + 0.1
-            place.server.look_after(now)
+                now += server_connection.WRITE_TIMEOUT_S + 0.1
+            place.server.check_timeouts(now)
             await next_pass(place)
 
     play(story)
@@ -495,7 +503,7 @@
         assert (await answered(ends[0][0]))[2] == b"done"
         assert (await place.asked(3)).path == b"/third"
 
-    play(story, most=2)
+    play(story, max_connections=2)
 
 
 def test_whoever_stops_answers_what_was_asked(play):
--- a/tests/ctl/control_stand_in.py
+++ b/tests/ctl/control_stand_in.py
@@ -75,7 +75,7 @@
 
 
 class Quiet:
-    def exception(self, text, *values):
+    def exception(self, event, **fields):
         raise AssertionError(text.format(*values))
 
 
--- a/tests/ctl/test_on_call_lines.py
+++ b/tests/ctl/test_on_call_lines.py
@@ -18,7 +18,7 @@
     "process_settings",
 )
 FILES = [file for name in PACKAGES for file in sorted((ROOT / "shedgrade" / name).glob("*.py"))]
-FILES += [ROOT / "shedgrade/http/server.py", ROOT / "shedgrade/runtime/loop_errors.py"]
+FILES += [ROOT / "shedgrade/http/server_connection.py", ROOT / "shedgrade/runtime/loop_errors.py"]
 
 
 def test_the_files_are_there():
