--- a/tests/ctl/control_stand_in.py
+++ b/tests/ctl/control_stand_in.py
@@ -76,7 +76,7 @@
 
 class Quiet:
     def exception(self, event, **fields):
-        raise AssertionError(text.format(*values))
+        raise AssertionError(event, fields)
 
 
 class Control:
