--- a/shedgrade/ctl/__main__.py
+++ b/shedgrade/ctl/__main__.py
@@ -46,50 +46,59 @@
 """
 
 import sys
-from collections.abc import Mapping
-
-DONE, REFUSED, USAGE, SILENT = range(4)
-
-
-def group(options: Mapping[str, object]):
-    """The module of the command that was given; only that one is imported."""
-    if options["config"]:
-        from shedgrade.ctl import config as commands
-    elif options["evacuate"] or options["return"]:
-        from shedgrade.ctl import zones as commands
-    elif options["status"]:
-        from shedgrade.ctl import status as commands
-    elif options["explain"]:
-        from shedgrade.ctl import explain as commands
-    else:
-        from shedgrade.ctl import files as commands
-    return commands
-
-
-def main(arguments: list[str], out=None, caller=None) -> int:
-    """The exit code. `out`: text stream for what is asked for; `caller`: made from the options if None."""
+from collections.abc import Callable
+from importlib import import_module
+from typing import TYPE_CHECKING, TextIO
+
+from shedgrade.ctl.options import CommandFunction, ExitCode, Options
+
+if TYPE_CHECKING:
+    from shedgrade.ctl.client import ControlClient
+
+# Command words: the function that runs them. Only the module of the command that was given is imported.
+COMMANDS = {
+    "config get": "config:get",
+    "config put": "config:put",
+    "config patch": "config:patch",
+    "config check": "config:check",
+    "config diff": "config:diff",
+    "evacuate": "zones:evacuate",
+    "return": "zones:return_zone",
+    "status": "status:status",
+    "explain": "explain:explain",
+    "storage check": "local_checks:check_storage",
+    "settings check": "local_checks:check_settings",
+}
+
+
+def find_command(words: str) -> CommandFunction:
+    """The function that runs a command of COMMANDS."""
+    module, _, function = COMMANDS[words].partition(":")
+    return getattr(import_module(f"shedgrade.ctl.{module}"), function)
+
+
+def main(
+    arguments: list[str], out: TextIO | None = None, connect: "Callable[[], ControlClient] | None" = None
+) -> ExitCode:
+    """The exit code. `out`: text stream for what is asked for; `connect`: makes the client of the control
+    plane, from the options if None."""
     from docopt import DocoptExit, docopt
 
-    from shedgrade.ctl.caller import SilenceError, make_caller
-    from shedgrade.ctl.output import InputError, Output, RefusedError
+    from shedgrade.ctl.client import make_client
+    from shedgrade.ctl.output import CommandError, Output
 
     try:
-        options = docopt(__doc__, arguments)
+        options = Options.from_docopt(docopt(__doc__, arguments), COMMANDS)
     except DocoptExit as wrong:  # its own exit code would be 1, which says something else here
         print(wrong, file=sys.stderr)
-        return USAGE
-    output = Output(out or sys.stdout, options["--json"])
+        return ExitCode.USAGE
+    output = Output(out or sys.stdout, options.json)
+    command = find_command(options.command)
     try:
-        return group(options).run(options, output, caller or (lambda: make_caller(options)))
-    except InputError as wrong:
-        output.findings(wrong.findings)
-        return USAGE
-    except RefusedError as refused:
-        output.findings(refused.findings)
-        return REFUSED
-    except SilenceError as silence:
-        output.findings(silence.findings)
-        return SILENT
+        return command(options, output, connect or (lambda: make_client(options)))
+    except CommandError as error:
+        output.show_findings(error.findings)
+        return error.exit_code
 
 
 def run() -> None:
--- a/shedgrade/ctl/config.py
+++ b/shedgrade/ctl/config.py
@@ -1,116 +1,117 @@
 """`config get|put|patch|check|diff`."""
 
 import json
+from collections.abc import Callable
 
 from shedgrade.configuration import Configuration
-from shedgrade.ctl.diff import difference
-from shedgrade.ctl.output import InputError, Output, RefusedError, content
+from shedgrade.ctl.client import ControlClient
+from shedgrade.ctl.differences import describe_differences
+from shedgrade.ctl.options import ExitCode, Options
+from shedgrade.ctl.output import InputError, Output, RejectedError, read_file
 from shedgrade.findings import Finding
 
 PATH = "/configuration"
 
+Connect = Callable[[], ControlClient]
 
-def run(options, output: Output, caller) -> int:
-    if options["get"]:
-        return get(output, caller())
-    if options["put"]:
-        return put(options, output, caller())
-    if options["patch"]:
-        return patch(options, output, caller())
-    if options["check"]:
-        return check(options, output)
-    return diff(options, output, caller)
 
-
-def get(output: Output, caller) -> int:
+def get(_: Options, output: Output, connect: Connect) -> ExitCode:
     """Byte for byte, so that it can be changed and put again."""
-    output.out.write(caller.call("GET", PATH).body.decode())
-    return 0
+    output.out.write(connect().call("GET", PATH).body.decode())
+    return ExitCode.DONE
 
 
-def put(options, output: Output, caller) -> int:
-    raw = content(options["FILE"])
-    new = sound(raw)  # guards against a round to the control plane that can only end with a refusal
-    return send("PUT", raw, new.version, options["--base"], output, caller)
+def put(options: Options, output: Output, connect: Connect) -> ExitCode:
+    """Makes a configuration the newest one."""
+    client = connect()
+    raw = read_file(options.file)
+    new = parse_sound(raw)  # guards against a call that can only end with a refusal
+    return send("PUT", raw, new.version, options.base, output, client)
 
 
-def patch(options, output: Output, caller) -> int:
+def patch(options: Options, output: Output, connect: Connect) -> ExitCode:
     """What it builds on is known to the control plane alone, which checks the rest."""
-    from shedgrade.controlplane.delta import read_delta  # late: it takes up pyserde
+    from shedgrade.controlplane.delta import read_delta  # late: it imports pyserde
 
-    raw = content(options["FILE"])
+    client = connect()
+    raw = read_file(options.file)
     found = read_delta(raw)
     if found.is_error():
-        raise RefusedError(*found.error)
-    return send("PATCH", raw, found.ok, options["--base"], output, caller)
+        raise RejectedError(*found.error)
+    return send("PATCH", raw, found.ok, options.base, output, client)
 
 
-def send(method: str, raw: bytes, version: int, base: str | None, output: Output, caller) -> int:
-    """Sent again unchanged when no clear answer comes: whoever has taken it says so."""
+def send(
+    method: str, raw: bytes, version: int, base: str | None, output: Output, client: ControlClient
+) -> ExitCode:
+    """Sent again unchanged when no clear answer comes: a member that has taken it says so."""
     if base is not None and not base.isdigit():
         raise InputError(Finding("--base", f"{base!r} is no version"))
     if base is None:
-        base = str(version_in_force(caller))
-    caller.call(method, PATH, raw, {"If-Match": base})
-    output.tell(
+        base = str(version_in_force(client))
+    client.call(method, PATH, raw, {"If-Match": base})
+    output.show(
         [f"version {version} is taken, on top of {base}"], {"configVersion": version, "base": int(base)}
     )
-    return 0
+    return ExitCode.DONE
 
 
-def check(options, output: Output) -> int:
-    new = sound(content(options["FILE"]))
+def check(options: Options, output: Output, _: Connect) -> ExitCode:
+    """Checks a configuration without a running system."""
+    new = parse_sound(read_file(options.file))
     routes, services = len(new.routes), len(new.services)
-    output.tell(
+    output.show(
         [f"sound: version {new.version}, {routes} routes, {services} services"],
         {"configVersion": new.version, "routes": routes, "services": services},
     )
-    return 0
+    return ExitCode.DONE
 
 
-def diff(options, output: Output, caller) -> int:
-    raw = content(options["FILE"])
-    new = sound(raw)
-    old_raw = content(options["--against"]) if options["--against"] is not None else in_force(caller())
-    old = Configuration(0, [], []) if old_raw is None else sound(old_raw)
-    if options["--patch"]:
+def diff(options: Options, output: Output, connect: Connect) -> ExitCode:
+    """What a configuration would change."""
+    raw = read_file(options.file)
+    new = parse_sound(raw)
+    old_raw = in_force(connect()) if options.against is None else read_file(options.against)
+    old = Configuration(0, [], []) if old_raw is None else parse_sound(old_raw)
+    if options.patch:
         return print_patch(old_raw, raw, output)
-    found = difference(old, new)
-    output.tell(found or ["nothing moves"], {"from": old.version, "to": new.version, "moves": found})
-    return 0
+    found = describe_differences(old, new)
+    output.show(found or ["nothing moves"], {"from": old.version, "to": new.version, "moves": found})
+    return ExitCode.DONE
 
 
-def print_patch(old: bytes | None, new: bytes, output: Output) -> int:
+def print_patch(old: bytes | None, new: bytes, output: Output) -> ExitCode:
     """Byte for byte, so that it can be sent."""
     from shedgrade.controlplane.delta import EMPTY, make_delta
 
     found = make_delta(old or EMPTY, new)
     if found.is_error():
-        raise RefusedError(*found.error)
+        raise RejectedError(*found.error)
     output.out.write(found.ok.decode() + "\n")
-    return 0
+    return ExitCode.DONE
 
 
-def sound(raw: bytes) -> Configuration:
-    """RefusedError with all findings if it is not."""
-    from shedgrade.controlplane.configuration import read  # late: it takes up pyserde
+def parse_sound(raw: bytes) -> Configuration:
+    """The configuration. RejectedError with all findings if it is not sound."""
+    from shedgrade.controlplane.configuration import read  # late: it imports pyserde
 
     found = read(raw)
     if found.is_error():
-        raise RefusedError(*found.error)
+        raise RejectedError(*found.error)
     return found.ok
 
 
-def in_force(caller) -> bytes | None:
+def in_force(client: ControlClient) -> bytes | None:
     """The newest configuration's bytes; None if none was put yet."""
     try:
-        return caller.call("GET", PATH).body
-    except RefusedError as refused:
-        if any(finding.place == "configuration" for finding in refused.findings):
+        return client.call("GET", PATH).body
+    except RejectedError as error:
+        if any(finding.place == "configuration" for finding in error.findings):
             return None
         raise
 
 
-def version_in_force(caller) -> int:
-    raw = in_force(caller)
+def version_in_force(client: ControlClient) -> int:
+    """The newest configuration's version; 0 if none was put yet."""
+    raw = in_force(client)
     return 0 if raw is None else int(json.loads(raw)["configVersion"])
--- a/shedgrade/ctl/explain.py
+++ b/shedgrade/ctl/explain.py
@@ -1,29 +1,36 @@
 """`explain HOST PATH`: the route of a request, and where it may go, as the data plane decides."""
 
 import json
+from collections.abc import Callable
 
 from shedgrade.configuration import Route, parse
+from shedgrade.ctl.client import ControlClient
 from shedgrade.ctl.config import in_force
-from shedgrade.ctl.output import Output, RefusedError
+from shedgrade.ctl.options import ExitCode, Options
+from shedgrade.ctl.output import Output, RejectedError
+from shedgrade.ctl.status import StatusDocument
 from shedgrade.findings import Finding
 from shedgrade.route_matching.routes import RouteTree
 
+CountByRegion = dict[str, int]
 
-def run(options, output: Output, caller) -> int:
-    calls = caller()
-    raw = in_force(calls)
+
+def explain(options: Options, output: Output, connect: Callable[[], ControlClient]) -> ExitCode:
+    """RejectedError if no configuration was put, or the request has no route."""
+    client = connect()
+    raw = in_force(client)
     if raw is None:
-        raise RefusedError(Finding("configuration", "none was put yet"))
+        raise RejectedError(Finding("configuration", "none was put yet"))
     configuration = parse(raw)
     tree = RouteTree(
         (route.host.encode(), route.path_prefix.encode(), route) for route in configuration.routes
     )
-    host, path = options["HOST"], options["PATH"].split("?", 1)[0]
+    host, path = options.host, options.path.split("?", 1)[0]
     route = tree.find(host.encode(), path.encode())
     if route is None:
-        raise RefusedError(Finding(f"{host}{path}", "has no route, so the answer is 404"))
-    status = json.loads(calls.call("GET", "/status").body)
-    known = regions(status, route)
+        raise RejectedError(Finding(f"{host}{path}", "has no route, so the answer is 404"))
+    status = json.loads(client.call("GET", "/status").body)
+    upstreams = count_upstreams(status, route)
     data = {
         "configVersion": configuration.version,
         "route": route.name,
@@ -32,26 +39,36 @@
         "routeClass": route.route_class,
         "repeatable": route.repeatable(),
         "maxAttempts": route.max_attempts,
-        "weights": {name: weight for name, weight in route.weights().items() if weight > 0},
+        "weights": positive_weights(route),
         "homeRegions": route.home_regions,
         "evacuations": status["evacuations"],
-        "upstreams": known,
+        "upstreams": upstreams,
     }
-    output.tell(words(configuration.version, route, status, known, options["--region"]), data)
-    return 0
+    lines = describe_route(configuration.version, route)
+    lines += describe_services(route, upstreams, options.region)
+    if status["evacuations"]:
+        lines.append(f"evacuated zones get nothing: {', '.join(status['evacuations'])}")
+    output.show(lines, data)
+    return ExitCode.DONE
+
 
+def positive_weights(route: Route) -> dict[str, float]:
+    """The services that may get requests of the route, with their weights."""
+    return {name: weight for name, weight in route.weights().items() if weight > 0}
 
-def regions(status: dict, route: Route) -> dict[str, dict[str, int]]:
-    """By service and region: upstreams that may get requests, those of evacuated zones left out."""
-    found: dict[str, dict[str, int]] = {name: {} for name, weight in route.weights().items() if weight > 0}
-    for one in status["upstreams"]["byRegion"]:
-        if one["service"] in found and one["state"] == "available":
-            by_region = found[one["service"]]
-            by_region[one["region"]] = by_region.get(one["region"], 0) + one["count"]
-    return found
 
+def count_upstreams(status: StatusDocument, route: Route) -> dict[str, CountByRegion]:
+    """By service: upstreams that may get requests, those of evacuated zones left out."""
+    counts: dict[str, CountByRegion] = {name: {} for name in positive_weights(route)}
+    for group in status["upstreams"]["byRegion"]:
+        if group["service"] in counts and group["state"] == "available":
+            by_region = counts[group["service"]]
+            by_region[group["region"]] = by_region.get(group["region"], 0) + group["count"]
+    return counts
 
-def words(version: int, route: Route, status: dict, known: dict, own: str | None) -> list[str]:
+
+def describe_route(version: int, route: Route) -> list[str]:
+    """The route that was found, and how often a request of it may be sent."""
     lines = [
         f"configuration {version}: route {route.name or 'without a name'}, "
         f"{route.host}{route.path_prefix}, the longest prefix of that host",
@@ -62,41 +79,45 @@
     ]
     if route.session_affinity:
         lines.append("goes to an upstream that holds its prompt's shared parts, if not well above the mean")
-    weights = {name: weight for name, weight in route.weights().items() if weight > 0}
-    whole = sum(weights.values())
+    return lines
+
+
+def describe_services(route: Route, upstreams: dict[str, CountByRegion], own_region: str | None) -> list[str]:
+    """Each service with its part of the requests and its regions."""
+    weights = positive_weights(route)
+    total = sum(weights.values())
+    lines = []
     for name, weight in weights.items():
-        lines.append(f"{100 * weight / whole:.3g}% to service {name}:")
-        lines += reach(route, known[name], own)
-    if status["evacuations"]:
-        lines.append(f"evacuated zones get nothing: {', '.join(status['evacuations'])}")
+        lines.append(f"{100 * weight / total:.3g}% to service {name}:")
+        lines += describe_regions(route, upstreams[name], own_region)
     return lines
 
 
-def reach(route: Route, by_region: dict[str, int], own: str | None) -> list[str]:
-    """The regions of one service in the order in which they are looked at."""
+def describe_regions(route: Route, by_region: CountByRegion, own_region: str | None) -> list[str]:
+    """The regions of one service in the order in which they are looked at. `own_region`: where the request
+    comes in; None: not given."""
     homes = set(route.home_regions)
     allowed = {region: count for region, count in sorted(by_region.items()) if not homes or region in homes}
     if not allowed:
         return ["  no upstream may serve it now: 503 with when to come back"]
     lines = []
-    if own is not None and own in allowed:
-        lines.append(f"  {own}, its own region, first: {allowed.pop(own)} upstreams in rotation")
-        rest = "if that is at the threshold, or has no room: "
+    if own_region is None:
+        otherwise = "the own region first; if it is at the threshold, or has no room: "
+    elif own_region in allowed:
+        count = allowed.pop(own_region)
+        lines.append(f"  {own_region}, its own region, first: {count} upstreams in rotation")
+        otherwise = "if that is at the threshold, or has no room: "
     else:
-        rest = "" if own is None else f"{own} may not serve it, so "
-        if own is None:
-            rest = "the own region first; if it is at the threshold, or has no room: "
-    whole = sum(allowed.values())
-    if whole:
-        lines.append(
-            "  "
-            + rest
-            + "drawn by upstream count from "
-            + ", ".join(
-                f"{region} ({count}, {100 * count / whole:.3g}%)" for region, count in allowed.items()
-            )
-        )
-    left_out = [region for region in sorted(by_region) if homes and region not in homes]
-    if left_out:
-        lines.append(f"  not at home there: {', '.join(left_out)}")
+        otherwise = f"{own_region} may not serve it, so "
+    if sum(allowed.values()):
+        lines.append(f"  {otherwise}drawn by upstream count from {format_shares(allowed)}")
+    excluded = [region for region in sorted(by_region) if homes and region not in homes]
+    if excluded:
+        lines.append(f"  not at home there: {', '.join(excluded)}")
     return lines
+
+
+def format_shares(by_region: CountByRegion) -> str:
+    """Each region with its count and its fraction."""
+    total = sum(by_region.values())
+    return ", ".join(f"{region} ({count}, {100 * count / total:.3g}%)" for region, count in by_region.items())
--- a/shedgrade/ctl/output.py
+++ b/shedgrade/ctl/output.py
@@ -2,67 +2,84 @@
 
 import json
 import sys
-from collections.abc import Iterable
+from collections.abc import Iterable, Sequence
 from pathlib import Path
 from typing import Any, TextIO
 
+from shedgrade.ctl.options import ExitCode
 from shedgrade.findings import Finding
 
 
-class EndError(Exception):
-    """Ends a command; `findings` say why."""
+class CommandError(Exception):
+    """Ends a command; `findings` say why, `exit_code` is the process's."""
+
+    exit_code = ExitCode.REFUSED
 
     def __init__(self, *findings: Finding) -> None:
         self.findings = findings
         super().__init__("; ".join(map(str, findings)))
 
 
-class InputError(EndError):
+class InputError(CommandError):
     """What the command was given can't be used."""
 
+    exit_code = ExitCode.USAGE
+
 
-class RefusedError(EndError):
+class RejectedError(CommandError):
     """The control plane refused, or what was checked is not sound."""
 
+    exit_code = ExitCode.REFUSED
+
+
+class NoAnswerError(CommandError):
+    """No control address gave a clear answer by the deadline."""
+
+    exit_code = ExitCode.NO_ANSWER
+
 
 class Output:
     """`out`: where what was asked for goes; findings go to stderr unless JSON is asked for."""
 
     def __init__(self, out: TextIO, as_json: bool) -> None:
-        self.out, self.as_json = out, as_json
+        self.out = out
+        self.as_json = as_json
 
-    def tell(self, words: Iterable[str], data: Any) -> None:
+    def show(self, lines: Iterable[str], data: Any) -> None:
+        """Prints the lines; with `--json` the data, which says the same."""
         if self.as_json:
             print(json.dumps(data, ensure_ascii=False), file=self.out)
         else:
-            for line in words:
+            for line in lines:
                 print(line, file=self.out)
 
-    def findings(self, findings: Iterable[Finding]) -> None:
+    def show_findings(self, findings: Iterable[Finding]) -> None:
+        """Prints what was wrong."""
         if self.as_json:
-            told = [{"place": finding.place, "text": finding.text} for finding in findings]
-            print(json.dumps({"findings": told}, ensure_ascii=False), file=self.out)
+            items = [{"place": finding.place, "text": finding.text} for finding in findings]
+            print(json.dumps({"findings": items}, ensure_ascii=False), file=self.out)
         else:
             for finding in findings:
                 print(str(finding) if finding.place else finding.text, file=sys.stderr)
 
 
-def content(path: str) -> bytes:
+def read_file(path: str) -> bytes:
     """A file's bytes; `-` is stdin. InputError if it can't be read."""
     try:
         return sys.stdin.buffer.read() if path == "-" else Path(path).read_bytes()
-    except OSError as failure:
-        raise InputError(Finding(path, failure.strerror or repr(failure))) from failure
+    except OSError as error:
+        raise InputError(Finding(path, error.strerror or repr(error))) from error
 
 
-def table(head: tuple[str, ...], rows: Iterable[tuple]) -> list[str]:
+def format_table(head: Sequence[str], rows: Iterable[Sequence[object]]) -> list[str]:
     """Lines with columns under their heads.
 
-    >>> table(("a", "b"), [("long", 1)])
+    >>> format_table(("a", "b"), [("long", 1)])
     ['a     b', 'long  1']
     """
-    told = [head, *(tuple(map(str, row)) for row in rows)]
-    widths = [max(len(row[column]) for row in told) for column in range(len(head))]
+    cells = [list(head), *([str(cell) for cell in row] for row in rows)]
+    widths = [max(len(row[column]) for row in cells) for column in range(len(head))]
     return [
-        "  ".join(cell.ljust(width) for cell, width in zip(row, widths, strict=True)).rstrip() for row in told
+        "  ".join(cell.ljust(width) for cell, width in zip(row, widths, strict=True)).rstrip()
+        for row in cells
     ]
--- a/shedgrade/ctl/status.py
+++ b/shedgrade/ctl/status.py
@@ -1,57 +1,89 @@
 """`status`: what one core member knows, and what its control state is."""
 
 import json
+from collections.abc import Callable
+from typing import Any
 
-from shedgrade.ctl.output import Output, table
+from shedgrade.ctl.client import ControlClient
+from shedgrade.ctl.options import ExitCode, Options
+from shedgrade.ctl.output import Output, format_table
 
+StatusDocument = dict[str, Any]  # the body of GET /status, as the operators' PROTOCOL has it
 
-def run(options, output: Output, caller) -> int:
-    data = json.loads(caller().call("GET", "/status").body)
-    output.tell(words(data), data)
-    return 0
 
+def status(_: Options, output: Output, connect: Callable[[], ControlClient]) -> ExitCode:
+    """Prints the status of the first member that answers."""
+    document = json.loads(connect().call("GET", "/status").body)
+    output.show(describe_status(document), document)
+    return ExitCode.DONE
 
-def words(data: dict) -> list[str]:
-    epoch, sequence = data["finished"]
-    primary = data["primary"] or "not known"
-    lines = [
-        f"{data['node']}: {data['role']} in epoch {data['epoch']}, primary {primary}",
-        f"control state {epoch}.{sequence}, configuration version {data['configVersion']}, "
-        f"evacuated: {', '.join(data['evacuations']) or 'none'}",
+
+def describe_status(document: StatusDocument) -> list[str]:
+    """The whole of it, in tables."""
+    return [
+        *describe_control_state(document),
         "",
-    ]
-    lines += table(
-        ("member", "role", "address"), [(one["name"], one["role"], one["address"]) for one in data["members"]]
-    )
-    lines += [
+        *describe_members(document),
+        "",
+        *describe_edges(document),
         "",
-        *table(
-            ("edge", "state", "zone", "region", "heard s ago", "version"),
-            [
-                (
-                    one["name"],
-                    one["state"],
-                    one["zone"],
-                    one["region"],
-                    f"{one['ageS']:.1f}",
-                    "?" if one["configVersion"] is None else one["configVersion"],
-                )
-                for one in data["edges"]
-            ],
-        ),
+        *describe_upstreams(document),
+        "",
+        *describe_duties(document),
+    ]
+
+
+def describe_control_state(document: StatusDocument) -> list[str]:
+    """The member that answers, and the newest state that it knows."""
+    epoch, sequence = document["finished"]
+    primary = document["primary"] or "not known"
+    return [
+        f"{document['node']}: {document['role']} in epoch {document['epoch']}, primary {primary}",
+        f"control state {epoch}.{sequence}, configuration version {document['configVersion']}, "
+        f"evacuated: {', '.join(document['evacuations']) or 'none'}",
     ]
-    upstreams = data["upstreams"]
+
+
+def describe_members(document: StatusDocument) -> list[str]:
+    """The members of the epoch."""
+    rows = [(member["name"], member["role"], member["address"]) for member in document["members"]]
+    return format_table(("member", "role", "address"), rows)
+
+
+def describe_edges(document: StatusDocument) -> list[str]:
+    """The edges that were heard lately."""
+    head = ("edge", "state", "zone", "region", "heard s ago", "version")
+    rows = [
+        (
+            edge["name"],
+            edge["state"],
+            edge["zone"],
+            edge["region"],
+            f"{edge['ageS']:.1f}",
+            "?" if edge["configVersion"] is None else edge["configVersion"],
+        )
+        for edge in document["edges"]
+    ]
+    return format_table(head, rows)
+
+
+def describe_upstreams(document: StatusDocument) -> list[str]:
+    """The list of upstreams, counted by service, region and state."""
+    upstreams = document["upstreams"]
     age = "never told" if upstreams["ageS"] is None else f"{upstreams['ageS']:.1f} s old"
-    lines += [
-        "",
+    rows = [
+        (group["service"], group["region"], group["state"], group["count"]) for group in upstreams["byRegion"]
+    ]
+    return [
         f"list of upstreams {upstreams['term']}.{upstreams['number']}, {age}",
-        *table(
-            ("service", "region", "state", "upstreams"),
-            [(one["service"], one["region"], one["state"], one["count"]) for one in upstreams["byRegion"]],
-        ),
-        "",
+        *format_table(("service", "region", "state", "upstreams"), rows),
     ]
-    for name, holder in data["duties"].items():
+
+
+def describe_duties(document: StatusDocument) -> list[str]:
+    """Which member has each singleton role."""
+    lines = []
+    for name, holder in document["duties"].items():
         known = f"{holder['address']}, term {holder['term']}" if holder else "vacant, or not known"
         lines.append(f"duty {name}: {known}")
     return lines
--- a/shedgrade/ctl/zones.py
+++ b/shedgrade/ctl/zones.py
@@ -1,14 +1,30 @@
-"""`evacuate ZONE` and `return ZONE`."""
+"""`evacuate ZONE` and `return ZONE`. Sent twice they are the same: either may be sent until one answers."""
 
+from collections.abc import Callable
 from urllib.parse import quote
 
+from shedgrade.ctl.client import ControlClient
+from shedgrade.ctl.options import ExitCode, Options
 from shedgrade.ctl.output import Output
 
+Connect = Callable[[], ControlClient]
 
-def run(options, output: Output, caller) -> int:
-    zone, back = options["ZONE"], options["return"]
-    # Said twice it is the same: it may be sent again until one answers.
-    caller().call("DELETE" if back else "POST", f"/evacuation/{quote(zone, safe='')}")
-    words = f"{zone} takes requests again" if back else f"{zone} is evacuated: nothing new is sent there"
-    output.tell([words], {"zone": zone, "evacuated": not back})
-    return 0
+
+def evacuate(options: Options, output: Output, connect: Connect) -> ExitCode:
+    """Nothing more is sent to the upstreams of the zone."""
+    connect().call("POST", evacuation_path(options.zone))
+    text = f"{options.zone} is evacuated: nothing new is sent there"
+    output.show([text], {"zone": options.zone, "evacuated": True})
+    return ExitCode.DONE
+
+
+def return_zone(options: Options, output: Output, connect: Connect) -> ExitCode:
+    """Takes an evacuation back."""
+    connect().call("DELETE", evacuation_path(options.zone))
+    output.show([f"{options.zone} takes requests again"], {"zone": options.zone, "evacuated": False})
+    return ExitCode.DONE
+
+
+def evacuation_path(zone: str) -> str:
+    """The path of the zone's evacuation."""
+    return f"/evacuation/{quote(zone, safe='')}"
--- a/tests/ctl/control_stand_in.py
+++ b/tests/ctl/control_stand_in.py
@@ -10,7 +10,7 @@
 from shedgrade.controlplane.configuration import read, told
 from shedgrade.controlplane.delta import apply_delta, read_delta
 from shedgrade.ctl.__main__ import main
-from shedgrade.ctl.caller import Caller
+from shedgrade.ctl.client import ControlClient
 from shedgrade.findings import Finding
 from shedgrade.http.server import HttpServer, Reply, failure
 
@@ -173,14 +173,21 @@
         self.now += seconds
 
 
-def caller(addresses, deadline=10.0, time=None, silence=20.0) -> Caller:
-    """`silence` is long, so that a slow machine is not taken for a silent one."""
+def client(addresses, deadline=10.0, time=None, answer_timeout_s=20.0) -> ControlClient:
+    """`answer_timeout_s` is long, so that a slow machine is not taken for a silent one."""
     time = time or Time()
-    return Caller(addresses, deadline, random=Random(1), clock=time.clock, pause=time.pause, silence=silence)
+    return ControlClient(
+        addresses,
+        deadline,
+        random=Random(1),
+        clock=time.clock,
+        pause=time.pause,
+        answer_timeout_s=answer_timeout_s,
+    )
 
 
-def run(*arguments: str, caller=None) -> tuple[int, str]:
+def run(*arguments: str, client=None) -> tuple[int, str]:
     """Exit code and what was printed."""
     out = io.StringIO()
-    code = main(list(arguments), out, None if caller is None else lambda: caller)
+    code = main(list(arguments), out, None if client is None else lambda: client)
     return code, out.getvalue()
--- a/tests/ctl/test_commands.py
+++ b/tests/ctl/test_commands.py
@@ -1,11 +1,15 @@
 """What each command of the operators' command line prints, and its exit code."""
 
 import json
+import re
 
 import pytest
 import yaml
-from control_stand_in import STATUS, Control, caller, configuration, route, run, serving
+from control_stand_in import STATUS, Control, client, configuration, route, run, serving
 
+from shedgrade.ctl.__main__ import COMMANDS, find_command
+from shedgrade.ctl.__main__ import __doc__ as usage
+from shedgrade.ctl.options import ExitCode
 from shedgrade.storage import Store
 
 
@@ -16,7 +20,7 @@
     with serving(stand_in) as addresses:
 
         def command(*arguments):
-            return run(*arguments, f"--control={addresses[0]}", caller=caller(addresses))
+            return run(*arguments, f"--control={addresses[0]}", client=client(addresses))
 
         command.control = stand_in
         yield command
@@ -232,3 +236,21 @@
     told = capsys.readouterr().err
     assert "zone" in told and "ipAddress" in told
     assert run("settings", "check", "no-such-file")[0] == 2
+
+
+def test_each_command_of_the_usage_has_a_function_and_no_other():
+    words = {
+        " ".join(re.match(r"(?:[a-z]+ ?)+", line)[0].split())
+        for line in re.findall(r"^  shedgrade\.ctl ([a-z].*)$", usage, re.MULTILINE)
+    }
+    assert words == set(COMMANDS)
+    assert all(callable(find_command(command)) for command in COMMANDS)
+
+
+def test_exit_codes_are_those_of_the_usage():
+    assert [(code.name, code.value) for code in ExitCode] == [
+        ("DONE", 0),
+        ("REFUSED", 1),
+        ("USAGE", 2),
+        ("NO_ANSWER", 3),
+    ]
--- a/tests/ctl/test_pages_of_loss.py
+++ b/tests/ctl/test_pages_of_loss.py
@@ -18,7 +18,7 @@
 from control_stand_in import configuration
 
 from shedgrade.ctl.__main__ import main
-from shedgrade.ctl.caller import Caller
+from shedgrade.ctl.client import ControlClient
 
 ROOT = Path(__file__).resolve().parents[2]
 NAMES = ("core-1", "core-2", "core-3")
@@ -84,7 +84,7 @@
 
     def run(self, *arguments: str, addresses=None, deadline=DEADLINE) -> tuple[int, str]:
         out = io.StringIO()
-        used = Caller(addresses or self.addresses, deadline, random=Random())
+        used = ControlClient(addresses or self.addresses, deadline, random=Random())
         return main(list(arguments), out, lambda: used), out.getvalue()
 
     def status(self, *addresses: str) -> dict:
--- a/tools/checks.py
+++ b/tools/checks.py
@@ -13,6 +13,7 @@
     "shedgrade/file_frames.py",
     "shedgrade/storage",
     "shedgrade/membership",
+    "shedgrade/ctl",
     "shedgrade/findings.py",
     "shedgrade/http/server.py",
     "shedgrade/http/server_connection.py",
@@ -28,6 +29,7 @@
 )
 TYPED = (
     "tools",
+    "shedgrade/ctl",
     "shedgrade/file_frames.py",
     "shedgrade/findings.py",
     "shedgrade/runtime/clock.py",
