--- a/shedgrade/route_matching/calls.py
+++ b/shedgrade/route_matching/calls.py
@@ -1,7 +1,7 @@
 """Calls by method and path, whose segments may be variable: those of operators and of the directory."""
 
 from dataclasses import dataclass
-from typing import Any
+from typing import Any, NamedTuple
 
 from shedgrade.route_matching.tree import Node, Tree
 
@@ -26,6 +26,14 @@
     allowed: tuple[bytes, ...]
 
 
+class Candidate(NamedTuple):
+    """A node that matches the first `depth` segments of a path, with the arguments among them."""
+
+    node: Node
+    depth: int
+    arguments: tuple[bytes, ...]
+
+
 class CallTree(Tree):
     """A literal segment goes before a variable one, unless the method is allowed by the latter only."""
 
@@ -45,20 +53,20 @@
             return NotFound()
         segments = path[1:].split(b"/") if path != b"/" else []
         allowed: set[bytes] = set()
-        open_: list[tuple[Node, int, tuple[bytes, ...]]] = [(root, 0, ())]
-        while open_:
-            node, at, arguments = open_.pop()
-            if at == len(segments):
+        candidates = [Candidate(root, 0, ())]
+        while candidates:
+            node, depth, arguments = candidates.pop()
+            if depth == len(segments):
                 if node.values is None:
                     continue
                 if method in node.values:
                     return Match(node.values[method], arguments)
                 allowed.update(node.values)
                 continue
-            segment = segments[at]
+            segment = segments[depth]
             if node.variable is not None and segment:
-                open_.append((node.variable, at + 1, (*arguments, segment)))
+                candidates.append(Candidate(node.variable, depth + 1, (*arguments, segment)))
             literal = None if node.children is None else node.children.get(segment)
             if literal is not None:
-                open_.append((literal, at + 1, arguments))
+                candidates.append(Candidate(literal, depth + 1, arguments))
         return NotAllowed(tuple(sorted(allowed))) if allowed else NotFound()
