--- a/benchmarks/system.py
+++ b/benchmarks/system.py
@@ -133,7 +133,7 @@
     from shedgrade.controlplane.platform_poller import InstanceList
     from shedgrade.runtime import log
 
-    log.set_sink(SimpleNamespace(**dict.fromkeys(log.METHODS, lambda *_: None)))
+    log.set_sink(SimpleNamespace(**dict.fromkeys(log.METHODS, lambda *_, **__: None)))
     loop, count = asyncio.new_event_loop(), options.upstreams
     state = an_edge(loop)
     state.controlled(change(configuration(10)))
