--- a/shedgrade/http/server.py
+++ b/shedgrade/http/server.py
@@ -62,6 +62,14 @@
         self.listener = Listener(self.loop, self, self.address, HttpConnection)
         self.listener.resume()
 
+    def check_invariants(self) -> None:
+        """AssertionError if a connection breaks its invariants, or none of their time-outs would be
+        checked.
+        """
+        assert self.timer is not None or not self.connections or self.is_draining
+        for connection in self.connections:
+            connection.check_invariants()
+
     @property
     def port(self) -> int:
         """On which it listens: the kernel's choice, where the address has 0."""
--- a/shedgrade/http/server_connection.py
+++ b/shedgrade/http/server_connection.py
@@ -110,6 +110,22 @@
         self.head_bytes = 0
         self.raw_head_bytes = 0
 
+    def check_invariants(self) -> None:
+        """AssertionError if an attribute breaks what the class says of it. For tests and the simulation."""
+        assert all(queued.keeps_alive for queued in list(self.queue)[:-1])
+        if self.queue and not self.queue[-1].keeps_alive:
+            assert self.stops_parsing
+        if self.current is not None:
+            assert self.request_number > 0
+            assert not self.is_lingering
+        if self.is_lingering:
+            assert self.stops_parsing
+            assert self.closes_after_reply
+        if not self.has_begun:
+            assert not self.body_bytes
+            assert not self.body_parts
+        assert self.body_bytes <= MAX_BODY_BYTES or self.stops_parsing
+
     # --- the connection
 
     def connection_made(self, transport: asyncio.Transport) -> None:
--- a/shedgrade/peer_transport/connection.py
+++ b/shedgrade/peer_transport/connection.py
@@ -69,6 +69,14 @@
         self.pending_calls: dict[int, BytesFuture] = {}
         self.last_call = 0
 
+    def check_invariants(self) -> None:
+        """AssertionError if an attribute breaks what the class says of it. For tests and the simulation."""
+        assert all(0 < number <= self.last_call for number in self.pending_calls)
+        assert self.opened_at <= self.last_heard_at
+        if self.frames_received:
+            assert self.sender
+            assert self.transport is not None
+
     # --- called by the event loop
 
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
--- a/shedgrade/peer_transport/tcp.py
+++ b/shedgrade/peer_transport/tcp.py
@@ -109,6 +109,13 @@
         self.backoff_s = 0.0
         self.retry_at = 0.0
 
+    def check_invariants(self) -> None:
+        """AssertionError if an attribute breaks what the class says of it. For tests and the simulation."""
+        assert self.queued_bytes == sum(len(frame.body) for frame in self.queue)
+        assert len(self.queue) <= MAX_QUEUED_FRAMES
+        assert not self.queue or self.connecting is not None
+        assert 0 <= self.backoff_s <= MAX_BACKOFF_S
+
     def has_room(self, body: bytes) -> bool:
         """Whether the body may wait. The first one may, whatever its length."""
         if len(self.queue) >= MAX_QUEUED_FRAMES:
@@ -156,6 +163,16 @@
         self.routes: dict[str, Route] = {}
         self.is_closed = False
 
+    def check_invariants(self) -> None:
+        """AssertionError if an attribute of a route or an open connection breaks what its class says of it,
+        or something waits after `close`. For tests and the simulation."""
+        for route in self.routes.values():
+            route.check_invariants()
+            assert not (self.is_closed and route.queue)
+            for connection in (route.connection, route.adopted):
+                if connection is not None:
+                    connection.check_invariants()
+
     def send(self, address: str, body: bytes) -> None:
         """One way; dropped if it can't go."""
         self.forward(address, QueuedFrame(body, None))
--- a/tests/controlplane/test_control_http.py
+++ b/tests/controlplane/test_control_http.py
@@ -60,6 +60,7 @@
             try:
                 return await asyncio.wait_for(story(place), 20)
             finally:
+                place.server.check_invariants()
                 place.server.close()
 
         new = uvloop.new_event_loop if request.param == "uvloop" else asyncio.new_event_loop
@@ -401,6 +402,7 @@
     """Passes of the loop until all hold; `play` bounds the time."""
     while not all(condition() for condition in conditions):
         await next_pass(place)
+        place.server.check_invariants()
 
 
 def only(place):
@@ -539,3 +541,21 @@
     reply = failure(400, Finding("limits", "is no object"), headers=((b"Retry-After", b"1"),))
     assert orjson.loads(reply.body) == {"findings": [{"place": "limits", "text": "is no object"}]}
     assert (reply.status, reply.headers) == (400, ((b"Retry-After", b"1"),))
+
+
+@pytest.mark.parametrize(
+    ("attribute", "value"),
+    [("is_lingering", True), ("body_bytes", 1), ("current", Request(b"GET", b"/"))],
+)
+def test_a_broken_invariant_is_found(play, attribute, value):
+    async def story(place):
+        _, writer = await place.open()
+        await reached(place, lambda: place.server.connections)
+        before = getattr(only(place), attribute)
+        setattr(only(place), attribute, value)
+        with pytest.raises(AssertionError):
+            place.server.check_invariants()
+        setattr(only(place), attribute, before)
+        writer.close()
+
+    play(story)
--- a/tests/peer_transport/test_ends.py
+++ b/tests/peer_transport/test_ends.py
@@ -76,8 +76,10 @@
                 async with asyncio.timeout(10):
                     await scene(loop, one, two)
             finally:
-                one.close()
-                two.close()
+                for end in (one, two):
+                    end.links.check_invariants()
+                    end.close()
+                    end.links.check_invariants()
 
         new_loop = uvloop.new_event_loop if request.param == "uvloop" else asyncio.new_event_loop
         with asyncio.Runner(loop_factory=new_loop) as runner:
@@ -312,3 +314,32 @@
         assert got.empty()
 
     play(scene)
+
+
+def break_queue(pool, route):
+    route.queued_bytes = 1
+
+
+def break_backoff(pool, route):
+    route.backoff_s = 60.0
+
+
+def break_calls(pool, route):
+    route.connection.pending_calls[99] = None
+
+
+def break_closed(pool, route):
+    pool.is_closed = True
+    route.connecting = True
+    route.queue.append(tcp.QueuedFrame(b"", None))
+
+
+@pytest.mark.parametrize("fault", [break_queue, break_backoff, break_calls, break_closed])
+def test_a_broken_invariant_is_found(fault):
+    pool = PeerConnectionPool(None, f"{HOST}:7300", print, HOST)
+    route = pool.route_to(f"{OTHER}:7300")
+    route.connection = connection.PeerConnection(None, f"{HOST}:7300", print)
+    pool.check_invariants()
+    fault(pool, route)
+    with pytest.raises(AssertionError):
+        pool.check_invariants()
