--- a/shedgrade/process_settings/validation.py
+++ b/shedgrade/process_settings/validation.py
@@ -27,11 +27,11 @@
     bound,
     flag,
     host,
+    integer,
     mapping_of,
     port_range,
     sequence_of,
     text,
-    whole,
 )
 
 T = TypeVar("T")
@@ -119,20 +119,20 @@
     """What the process may use."""
     return Limits(
         cpu_share=section.optional("cpuShare", above(0), 1.0),
-        cores=section.optional("cores", whole(1), 1),
-        memory_mb=section.required("memoryMb", whole(1)),
-        file_descriptors=section.required("fileDescriptors", whole(1)),
+        cores=section.optional("cores", integer(1), 1),
+        memory_mb=section.required("memoryMb", integer(1)),
+        file_descriptors=section.required("fileDescriptors", integer(1)),
         link_mbps=section.optional("linkMbps", above(0), 1000.0),
-        disk_mb=section.optional("diskMb", whole(0), 0),
+        disk_mb=section.optional("diskMb", integer(0), 0),
     )
 
 
 def validate_tolerated_losses(section: Section) -> ToleratedLosses:
     """How much may be lost at once."""
     return ToleratedLosses(
-        machines=section.required("machines", whole(0)),
-        zones=section.optional("zones", whole(0), 0),
-        regions=section.optional("regions", whole(0), 0),
+        machines=section.required("machines", integer(0)),
+        zones=section.optional("zones", integer(0), 0),
+        regions=section.optional("regions", integer(0), 0),
     )
 
 
--- a/shedgrade/process_settings/validators.py
+++ b/shedgrade/process_settings/validators.py
@@ -65,16 +65,16 @@
     return validate_at_least
 
 
-def whole(minimum: int) -> Validator[int]:
+def integer(minimum: int) -> Validator[int]:
     """A whole number from the minimum up."""
 
-    def validate_whole(value: object) -> int:
+    def validate_integer(value: object) -> int:
         checked = number(value)
         if checked != int(checked):
             raise InvalidValueError(f"{value!r} is no whole number")
         return int(at_least(minimum)(checked))
 
-    return validate_whole
+    return validate_integer
 
 
 def is_decimal(part: str) -> bool:
@@ -108,7 +108,7 @@
     """The first and the last; two are needed at the least, one for TCP and one for UDP."""
     if not isinstance(value, list) or len(value) != 2:
         raise InvalidValueError(f"{value!r:.100} is no pair of ports")
-    first, last = (whole(1)(port) for port in value)
+    first, last = (integer(1)(port) for port in value)
     if last > 65535 or last <= first:
         raise InvalidValueError(f"{first} to {last} are not two ports or more")
     return first, last
--- a/tests/peer_transport/test_calls_adopted.py
+++ b/tests/peer_transport/test_adopted_connections.py
@@ -4,7 +4,7 @@
 
 import pytest
 import uvloop
-from test_ends import HOST, OTHER, End
+from test_connections import HOST, OTHER, End
 
 from shedgrade.peer_transport.tcp import PeerCallError, PeerConnectionPool
 
--- a/tests/process_settings/test_reload.py
+++ b/tests/process_settings/test_settings_reloader.py
@@ -6,7 +6,7 @@
 
 import pytest
 import yaml
-from test_boot_settings import TOLD
+from test_settings_validation import TOLD
 
 from shedgrade.process_settings import (
     SettingsError,
