--- a/tests/membership/test_partial_view.py
+++ b/tests/membership/test_partial_view.py
@@ -462,21 +462,21 @@
     state=st.sampled_from(["ready", "leaving", ""]),
 )
 INCARNATIONS = st.one_of(st.integers(-1, 5), st.just(2**62))
-FOUND = st.builds(Descriptor, NODES, INCARNATIONS, st.integers(-5, 2**60))
+DESCRIPTORS = st.builds(Descriptor, NODES, INCARNATIONS, st.integers(-5, 2**60))
 STATUSES = st.sampled_from(["suspected", "dropped", "left", "?"])
-TOLD = st.lists(st.builds(Rumour, NAMES, INCARNATIONS, STATUSES))
+RUMOURS = st.lists(st.builds(Rumour, NAMES, INCARNATIONS, STATUSES))
 NUMBERS = st.integers(0, 9)
 NAME_HASHES = st.one_of(NAMES.map(table.hash_name), st.integers(0, 2**32))
 DIGESTS = st.lists(st.builds(messages.Digest, NAME_HASHES, INCARNATIONS, st.integers(-5, 2**60)))
-SAID = st.one_of(
-    st.builds(ShuffleRequest, NUMBERS, FOUND, st.lists(FOUND), TOLD),
-    st.builds(messages.ShuffleResponse, NUMBERS, FOUND, st.lists(FOUND), TOLD, DIGESTS),
+ENCODED_MESSAGES = st.one_of(
+    st.builds(ShuffleRequest, NUMBERS, DESCRIPTORS, st.lists(DESCRIPTORS), RUMOURS),
+    st.builds(messages.ShuffleResponse, NUMBERS, DESCRIPTORS, st.lists(DESCRIPTORS), RUMOURS, DIGESTS),
     st.builds(messages.DescriptorRequest, st.lists(NAME_HASHES)),
-    st.builds(Ping, NUMBERS, FOUND, TOLD),
-    st.builds(Ack, NUMBERS, FOUND),
+    st.builds(Ping, NUMBERS, DESCRIPTORS, RUMOURS),
+    st.builds(Ack, NUMBERS, DESCRIPTORS),
     st.builds(messages.IndirectPing, NUMBERS, ADDRESSES),
-    st.builds(messages.IndirectAck, NUMBERS, FOUND),
-    st.builds(MembershipUpdate, st.lists(FOUND), TOLD),
+    st.builds(messages.IndirectAck, NUMBERS, DESCRIPTORS),
+    st.builds(MembershipUpdate, st.lists(DESCRIPTORS), RUMOURS),
 ).map(messages.encode)
 
 
@@ -486,7 +486,7 @@
         st.tuples(
             st.floats(0, 3),
             st.sampled_from([node(i).address for i in range(5)]),
-            st.one_of(SAID, st.binary(max_size=60)),
+            st.one_of(ENCODED_MESSAGES, st.binary(max_size=60)),
         ),
         max_size=25,
     )
--- a/tests/process_settings/test_settings_reloader.py
+++ b/tests/process_settings/test_settings_reloader.py
@@ -6,7 +6,7 @@
 
 import pytest
 import yaml
-from test_settings_validation import TOLD
+from test_settings_validation import DOCUMENT
 
 from shedgrade.process_settings import (
     SettingsError,
@@ -36,15 +36,15 @@
     """Settings in a file, and one that follows them."""
 
     def __init__(self, path):
-        self.path, self.told, self.applied, self.now = path, deepcopy(TOLD), [], 0.0
+        self.path, self.document, self.applied, self.now = path, deepcopy(DOCUMENT), [], 0.0
         self.write()
-        watched = SettingsFileWatcher(str(path))
-        self.reload = SettingsReloader(watched.settings, watched, self.applied.append)
+        watcher = SettingsFileWatcher(str(path))
+        self.reload = SettingsReloader(watcher.settings, watcher, self.applied.append)
 
     def write(self, text=None):
         """Renamed into place, as a file that is written whole is."""
         new = self.path.with_suffix(".new")
-        new.write_text(yaml.safe_dump(self.told) if text is None else text)
+        new.write_text(yaml.safe_dump(self.document) if text is None else text)
         new.rename(self.path)
 
     def look(self, forced=False):
@@ -63,9 +63,9 @@
 
 
 def test_bounds_the_platforms_address_and_zones_hold_without_a_signal(process, lines):
-    process.told["timingBounds"]["drainMs"] = 700
-    process.told["cloudApi"].update(address="10.200.0.9:8266", ratePerS=12.5)
-    process.told["zones"]["south-b"] = "south"
+    process.document["timingBounds"]["drainMs"] = 700
+    process.document["cloudApi"].update(address="10.200.0.9:8266", ratePerS=12.5)
+    process.document["zones"]["south-b"] = "south"
     process.write()
     [settings] = process.look()
     assert settings.bounds["drain_ms"] == 700 and settings.zones["south-b"] == "south"
@@ -77,8 +77,8 @@
 
 
 def test_what_only_a_start_changes_is_named_as_in_the_file_and_stays(process, lines):
-    process.told.update(nodeName="edge-9", seedNodes=["10.1.0.77:8262"], internalPortRange=[7400, 7415])
-    process.told["timingBounds"]["drainMs"] = 700
+    process.document.update(nodeName="edge-9", seedNodes=["10.1.0.77:8262"], internalPortRange=[7400, 7415])
+    process.document["timingBounds"]["drainMs"] = 700
     process.write()
     [settings] = process.look(forced=True)
     assert (settings.node_name, settings.internal_ports) == ("edge-1", (7300, 7315))
@@ -88,7 +88,7 @@
 
 
 def test_without_a_signal_what_waits_for_a_start_is_no_warning(process, lines):
-    process.told["initialStart"] = False
+    process.document["initialStart"] = False
     process.write()
     assert process.look() == []
     fields = {"in_force": "", "needs_restart": "initialStart"}
@@ -96,8 +96,8 @@
 
 
 def test_a_bad_file_is_told_once_a_line_a_finding_and_the_old_stays(process, lines):
-    process.told["timingBounds"]["drainMs"] = "soon"
-    process.told["zones"] = 5
+    process.document["timingBounds"]["drainMs"] = "soon"
+    process.document["zones"] = 5
     process.write()
     assert process.look() == process.look() == []
     assert len(lines) == 2
@@ -107,15 +107,15 @@
     process.write("{ half a fi")
     process.look()
     assert len(lines) == 3
-    process.told = deepcopy(TOLD)
-    process.told["timingBounds"]["drainMs"] = 900
+    process.document = deepcopy(DOCUMENT)
+    process.document["timingBounds"]["drainMs"] = 900
     process.write()
     assert process.look()[0].bounds["drain_ms"] == 900
 
 
 def test_the_file_is_looked_at_once_a_second_or_as_told(process, lines):
     process.look()
-    process.told["timingBounds"]["drainMs"] = 700
+    process.document["timingBounds"]["drainMs"] = 700
     process.write()
     process.reload.poll(process.now + 0.1)
     assert not process.applied
--- a/tests/process_settings/test_settings_validation.py
+++ b/tests/process_settings/test_settings_validation.py
@@ -11,7 +11,7 @@
 
 from shedgrade.process_settings import SettingsError, SettingsFileWatcher, explain, load, validate
 
-TOLD = {
+DOCUMENT = {
     "nodeName": "edge-1",
     "role": "proxy",
     "machineClass": "edge",
@@ -48,23 +48,23 @@
 
 
 def changed(path: str, value: object) -> dict:
-    told = deepcopy(TOLD)
-    inner, *names = told, *path.split(".")
+    document = deepcopy(DOCUMENT)
+    inner, *names = document, *path.split(".")
     for name in names[:-1]:
         inner = inner[name]
     inner[names[-1]] = value
-    return told
+    return document
 
 
-def findings(told: dict) -> list[str]:
+def findings(document: dict) -> list[str]:
     with pytest.raises(SettingsError) as caught:
-        validate(told)
+        validate(document)
     return [str(finding) for finding in caught.value.findings]
 
 
 def test_all_fields_are_read_from_the_file_that_the_environment_names(tmp_path, monkeypatch):
     path = tmp_path / "local.yaml"
-    path.write_text(yaml.safe_dump(TOLD))
+    path.write_text(yaml.safe_dump(DOCUMENT))
     monkeypatch.setenv("SHEDGRADE_BOOT", str(path))
     settings = load()
     assert settings == load(str(path))
@@ -78,14 +78,14 @@
 
 
 def test_addresses_of_our_own_are_made_from_the_internal_ports():
-    settings = validate(TOLD)
+    settings = validate(DOCUMENT)
     assert settings.link_address == "10.1.0.12:7300"
     assert settings.gossip_address == "10.1.0.12:7301"
     assert settings.seed_links == ("10.1.0.14:7300", "10.2.0.41:7300")
 
 
 def test_bounds_have_defaults_and_are_found_in_either_case():
-    bounds = validate(TOLD).bounds
+    bounds = validate(DOCUMENT).bounds
     assert bounds["drainMs"] == bounds["drain_ms"] == 4500
     assert bounds["pass_ms"] == 600 and bounds["cold"] is True
     assert bounds["graceS"] == 8
@@ -140,7 +140,7 @@
 
 
 @pytest.mark.parametrize(
-    ("path", "value", "said"),
+    ("path", "value", "expected"),
     [
         ("zone", "east-a", "zone: 'east-a' is not in zones"),
         ("nodeName", 7, "nodeName: 7 is no text"),
@@ -165,9 +165,9 @@
         ("toleratedLosses.machines", -1, "toleratedLosses.machines: -1 is below 0"),
     ],
 )
-def test_what_is_wrong_is_told_with_its_place(path, value, said):
-    told = changed(path, value)
-    assert said in findings(told)
+def test_what_is_wrong_is_reported_with_its_place(path, value, expected):
+    document = changed(path, value)
+    assert expected in findings(document)
 
 
 def test_a_bound_that_nobody_uses_may_be_anything():
@@ -175,11 +175,11 @@
 
 
 def test_all_findings_are_reported_together_and_one_a_line():
-    told = changed("zone", "east-a")
-    told["ipAddress"], told["cloudApi"]["address"] = 1, "nowhere"
-    del told["nodeName"]
+    document = changed("zone", "east-a")
+    document["ipAddress"], document["cloudApi"]["address"] = 1, "nowhere"
+    del document["nodeName"]
     with pytest.raises(SettingsError) as caught:
-        validate(told)
+        validate(document)
     lines = explain(caught.value).splitlines()
     assert len(lines) == len(caught.value.findings) == 4
     assert all(line.startswith("settings: ") for line in lines)
@@ -224,15 +224,15 @@
         b"x",
     ]
     for _ in range(2_000):
-        told = deepcopy(TOLD)
+        document = deepcopy(DOCUMENT)
         for _ in range(chance.randint(1, 4)):
-            name = chance.choice(list(told))
-            if isinstance(told[name], dict) and told[name] and chance.random() < 0.5:
-                told[name][chance.choice(list(told[name]))] = chance.choice(values)
+            name = chance.choice(list(document))
+            if isinstance(document[name], dict) and document[name] and chance.random() < 0.5:
+                document[name][chance.choice(list(document[name]))] = chance.choice(values)
             else:
-                told[name] = chance.choice(values)
+                document[name] = chance.choice(values)
         try:
-            validate(told)
+            validate(document)
         except SettingsError as failure:
             assert failure.findings
 
@@ -240,28 +240,28 @@
 # --- while the process runs
 
 
-def write(path, told: dict, at: int) -> None:
-    path.write_text(yaml.safe_dump(told))
+def write(path, document: dict, at: int) -> None:
+    path.write_text(yaml.safe_dump(document))
     os.utime(path, ns=(at, at))
 
 
 def test_a_change_is_seen_with_and_without_a_signal(tmp_path):
     path = tmp_path / "local.yaml"
-    write(path, TOLD, 10)
-    watched = SettingsFileWatcher(str(path))
-    assert watched.changed() is None and watched.changed(forced=True) is None
+    write(path, DOCUMENT, 10)
+    watcher = SettingsFileWatcher(str(path))
+    assert watcher.changed() is None and watcher.changed(forced=True) is None
     write(path, changed("timingBounds.drainMs", 3000), 20)
-    settings = watched.changed()
-    assert settings.bounds["drainMs"] == 3000 and watched.settings is settings
+    settings = watcher.changed()
+    assert settings.bounds["drainMs"] == 3000 and watcher.settings is settings
     write(path, changed("timingBounds.drainMs", 5000), 20)  # the very same time and length
     os.utime(path, ns=(20, 20))
-    assert watched.changed(forced=True).bounds["drainMs"] == 5000
-    assert watched.changed() is None
+    assert watcher.changed(forced=True).bounds["drainMs"] == 5000
+    assert watcher.changed() is None
 
 
 def test_a_file_that_changed_between_loading_and_watching_is_read_again(tmp_path):
     path = tmp_path / "local.yaml"
-    write(path, TOLD, 10)
+    write(path, DOCUMENT, 10)
     settings = load(str(path))
     write(path, changed("heartbeatMs", 900), 20)
     assert SettingsFileWatcher(str(path), settings).changed().heartbeat_ms == 900
@@ -269,19 +269,19 @@
 
 def test_bad_settings_are_told_once_and_the_old_ones_stay(tmp_path):
     path = tmp_path / "local.yaml"
-    write(path, TOLD, 10)
-    watched = SettingsFileWatcher(str(path))
+    write(path, DOCUMENT, 10)
+    watcher = SettingsFileWatcher(str(path))
     write(path, changed("zone", "east-a"), 20)
-    told = watched.changed()
-    assert [str(finding) for finding in told] == ["zone: 'east-a' is not in zones"]
-    assert watched.settings.zone == "north-a"
-    assert watched.changed() is None
+    document = watcher.changed()
+    assert [str(finding) for finding in document] == ["zone: 'east-a' is not in zones"]
+    assert watcher.settings.zone == "north-a"
+    assert watcher.changed() is None
     path.unlink()
-    assert watched.changed() and watched.changed() is None
-    write(path, TOLD, 30)
-    assert watched.changed() is None and watched.settings.zone == "north-a"
+    assert watcher.changed() and watcher.changed() is None
+    write(path, DOCUMENT, 30)
+    assert watcher.changed() is None and watcher.settings.zone == "north-a"
     write(path, changed("zone", "east-a"), 40)
-    assert watched.changed()  # wrong once more, and said once more
+    assert watcher.changed()  # wrong once more, and said once more
 
 
 def test_an_edge_reads_its_settings_without_pyserde():
--- a/tests/storage/test_crash_points.py
+++ b/tests/storage/test_crash_points.py
@@ -51,14 +51,14 @@
             self.files.sync_folder = sync
 
 
-class WritesOverTheSlotInUse(Store):
+class OverwritesActiveSlot(Store):
     def write_snapshot(self, values):
         if self.files_named:
             self.active_slot = recovery.OTHER_SLOT[self.active_slot]
         return super().write_snapshot(values)
 
 
-class TellsBeforeItIsDurable(Store):
+class AcknowledgesBeforeDurable(Store):
     """A load that trusts what it reads."""
 
     def make_durable(self):
@@ -66,7 +66,7 @@
 
 
 @pytest.mark.parametrize(
-    "faulty", [SyncsNoRecord, SyncsNoSlot, SyncsNoFolder, WritesOverTheSlotInUse, TellsBeforeItIsDurable]
+    "faulty", [SyncsNoRecord, SyncsNoSlot, SyncsNoFolder, OverwritesActiveSlot, AcknowledgesBeforeDurable]
 )
 def test_a_fault_planted_in_the_store_is_found(faulty):
     day = CrashDay(100, second_every=20, make_store=lambda files: faulty("simulated", files=files))
