--- /dev/null
+++ b/shedgrade/process_settings/reloader.py
@@ -0,0 +1,85 @@
+"""Settings that are read again while the process runs: which of them take effect then, and which do not."""
+
+from collections.abc import Callable
+from dataclasses import fields, replace
+
+from shedgrade.findings import Finding
+from shedgrade.process_settings.file_watcher import SettingsFileWatcher
+from shedgrade.process_settings.settings import Settings
+from shedgrade.runtime.log import logger
+
+LIVE_FIELDS = {"bounds": "timingBounds", "cloud_api": "cloudApi", "zones": "zones"}
+RENAMED_FIELDS = {
+    "internal_ports": "internalPortRange",
+    "listen": "listenAddresses",
+    "seeds": "seedNodes",
+    "tolerated": "toleratedLosses",
+}  # as the file names them
+POLL_INTERVAL_S = 1.0
+
+
+class SettingsReloader:
+    """Sans I/O but for the look at the file; the caller calls `poll` often, and with `forced=True` on SIGHUP.
+
+    Attributes:
+        settings: those in force.
+        watcher: of the file; None where there is none.
+        apply: called with the settings in force when some of LIVE_FIELDS changed.
+        next_poll_at: before it the file is not looked at unless it is forced.
+    """
+
+    def __init__(
+        self, settings: Settings, watcher: SettingsFileWatcher | None, apply: Callable[[Settings], None]
+    ) -> None:
+        self.settings = settings
+        self.watcher = watcher
+        self.apply = apply
+        self.next_poll_at = 0.0
+
+    def poll(self, now: float, forced: bool = False) -> None:
+        """Looks at the file, once in POLL_INTERVAL_S or when forced. `now`: seconds of any steady clock."""
+        if self.watcher is None or (now < self.next_poll_at and not forced):
+            return
+        self.next_poll_at = now + POLL_INTERVAL_S
+        match self.watcher.changed(forced):
+            case Settings() as settings:
+                self.accept(settings, forced)
+            case tuple() as findings:
+                self.reject(findings)
+
+    def reject(self, findings: tuple[Finding, ...]) -> None:
+        """The old settings stay in force."""
+        for finding in findings:
+            logger.warning("settings reload rejected", place=finding.place, finding=finding.text)
+
+    def accept(self, settings: Settings, forced: bool) -> None:
+        """Puts the live fields in force, and logs which fields need a restart."""
+        changed = [
+            field.name
+            for field in fields(Settings)
+            if getattr(settings, field.name) != getattr(self.settings, field.name)
+        ]
+        live = [name for name in changed if name in LIVE_FIELDS]
+        needs_restart = [name for name in changed if name not in LIVE_FIELDS]
+        # An operator who signals is warned at once.
+        log = logger.warning if forced and needs_restart else logger.info
+        log(
+            "settings reloaded",
+            in_force=", ".join(LIVE_FIELDS[name] for name in live),
+            needs_restart=", ".join(map(name_in_file, needs_restart)),
+        )
+        if live:
+            self.settings = replace(self.settings, **{name: getattr(settings, name) for name in live})
+            self.apply(self.settings)
+
+
+def name_in_file(name: str) -> str:
+    """The name of a field in the settings file.
+
+    >>> name_in_file("node_name"), name_in_file("seeds")
+    ('nodeName', 'seedNodes')
+    """
+    if name in RENAMED_FIELDS:
+        return RENAMED_FIELDS[name]
+    first, *rest = name.split("_")
+    return first + "".join(word.capitalize() for word in rest)
--- a/tests/storage/test_store_calls.py
+++ b/tests/storage/test_store_calls.py
@@ -7,8 +7,9 @@
 
 import pytest
 
+from shedgrade import file_frames
 from shedgrade.simulation.disk import SimulatedDisk
-from shedgrade.storage import State, Store, layout, recovery, store
+from shedgrade.storage import Store, StoreState, layout, recovery, store
 from shedgrade.storage.files import Files
 
 
@@ -25,13 +26,13 @@
 def test_a_folder_that_is_not_there_is_empty_and_is_made_by_the_first_write(tmp_path):
     folder = tmp_path / "deep" / "control"
     one = Store(folder)
-    assert one.load().state is State.EMPTY and one.load().state == "empty" and not folder.exists()
+    assert one.load().state is StoreState.EMPTY and one.load().state == "empty" and not folder.exists()
     one.write({"configuration": b"c", "version": b"7"})
     one.write({"version": b"8", "configuration": None})
     one.close()
     assert sorted(os.listdir(folder)) == ["log-a", "log-b", "slot-a", "slot-b"]
     found = Store(folder).load()
-    assert (found.state, found.values, found.findings) == (State.SOUND, {"version": b"8"}, ())
+    assert (found.state, found.values, found.findings) == (StoreState.SOUND, {"version": b"8"}, ())
 
 
 def test_values_come_back_from_a_real_folder_over_many_slots_and_starts(tmp_path):
@@ -51,7 +52,7 @@
 
 def test_other_files_in_the_folder_are_not_ours(tmp_path):
     (tmp_path / "lost+found").write_bytes(b"x")
-    assert Store(tmp_path).load().state is State.EMPTY
+    assert Store(tmp_path).load().state is StoreState.EMPTY
 
 
 def test_values_of_four_megabytes_are_kept_and_their_disk_is_bounded(tmp_path):
@@ -69,12 +70,12 @@
     one.load()
     one.write({"a": b"1"})
     assert disk.syncs == 2  # the slot, the folder
-    for number in range(store.MOST_RECORDS):
+    for number in range(store.MAX_LOG_RECORDS):
         one.write({"a": b"%d" % number})
-    assert disk.syncs == 2 + store.MOST_RECORDS
+    assert disk.syncs == 2 + store.MAX_LOG_RECORDS
     slots = disk.contents()["slot-b"]
     one.write({"a": b"folded"})
-    assert slots == b"" and disk.contents()["slot-b"] and disk.syncs == 3 + store.MOST_RECORDS
+    assert slots == b"" and disk.contents()["slot-b"] and disk.syncs == 3 + store.MAX_LOG_RECORDS
     assert again(disk).values == {"a": b"folded"}
 
 
@@ -82,7 +83,7 @@
     disk, one = simulated()
     for number in range(300):
         one.write({"a": bytes(1000), "n": b"%d" % number})
-        assert all(len(data) <= store.LEAST_LOG + 2000 for data in disk.contents().values())
+        assert all(len(data) <= store.MIN_LOG_BYTES + 2000 for data in disk.contents().values())
     assert again(disk).values["n"] == b"299"
 
 
@@ -125,7 +126,7 @@
     with pytest.raises(OSError):
         one.write({"a": b"2"})
     disk.trouble = None
-    assert layout.read_log(disk.contents()["log-a"]).changes == [{"a": b"2"}]
+    assert layout.decode_log(disk.contents()["log-a"]).changes == [{"a": b"2"}]
     one.write({"b": b"3"})
     assert again(disk).values == {"a": b"1", "b": b"3"}
 
@@ -195,7 +196,7 @@
         disk.trouble = None
         disk.power_loss(Random(seed))
         found = again(disk)
-        assert found.state is State.SOUND and found.values["a"] in (b"1" * 2000, b"2" * 2000)
+        assert found.state is StoreState.SOUND and found.values["a"] in (b"1" * 2000, b"2" * 2000)
 
 
 def test_what_a_load_did_not_tell_never_comes_back():
@@ -257,10 +258,10 @@
     one.write({"a": b"1"})
     before = disk.contents()
     with pytest.raises(OSError) as refused:
-        one.write({"b": bytes(layout.LARGEST)})
+        one.write({"b": bytes(layout.MAX_MAP_BYTES)})
     assert refused.value.errno == errno.EFBIG and disk.contents() == before
-    one.write({"b": bytes(layout.LARGEST - 100)})
-    assert len(again(disk).values["b"]) == layout.LARGEST - 100
+    one.write({"b": bytes(layout.MAX_MAP_BYTES - 100)})
+    assert len(again(disk).values["b"]) == layout.MAX_MAP_BYTES - 100
 
 
 @pytest.mark.parametrize("changes", [{1: b"x"}, {"a": 5}, {"a": "text"}])
@@ -291,5 +292,36 @@
 
 
 def test_names_that_others_use_stay():
-    assert recovery.NAMES == ("slot-a", "log-a", "slot-b", "log-b")
-    assert [str(state) for state in State] == ["empty", "sound", "damaged"]
+    assert recovery.FILE_NAMES == ("slot-a", "log-a", "slot-b", "log-b")
+    assert [str(state) for state in StoreState] == ["empty", "sound", "damaged"]
+
+
+@pytest.mark.parametrize(
+    ("attribute", "value"), [("active_slot", "c"), ("map_bytes", 1), ("base_lsn", 99), ("files_named", False)]
+)
+def test_a_broken_invariant_is_found(attribute, value):
+    one = Store("simulated", files=SimulatedDisk(Random(1)).files)
+    one.load()
+    one.write({"a": b"1"})
+    one.check_invariants()
+    setattr(one, attribute, value)
+    with pytest.raises(AssertionError):
+        one.check_invariants()
+
+
+def test_a_file_of_a_later_version_is_named_with_both_versions(monkeypatch):
+    monkeypatch.setattr(file_frames, "VERSION", 3)
+    later = file_frames.header(file_frames.SNAPSHOT, 1)
+    monkeypatch.undo()
+    with pytest.raises(file_frames.NewerVersionError) as error:
+        file_frames.read(later, file_frames.SNAPSHOT)
+    assert (error.value.version, error.value.supported) == (3, 1)
+
+
+def test_a_damaged_record_is_named_with_its_kind_and_offset():
+    data = file_frames.header(file_frames.LOG, 1) + file_frames.frame({"n": 1})
+    with pytest.raises(file_frames.RecordError) as error:
+        file_frames.read_record(data[:-1], file_frames.HEADER_BYTES)
+    assert error.value.damage is file_frames.RecordDamage.TORN
+    assert error.value.offset == file_frames.HEADER_BYTES
+    assert file_frames.read(data[:-1], file_frames.LOG).damage == f"torn at byte {file_frames.HEADER_BYTES}"
--- a/tests/stored/struct_examples.py
+++ b/tests/stored/struct_examples.py
@@ -94,6 +94,13 @@
     "record.ledger:AskRecord": "prefix_cache_index.index:PrefixIndexRequest",
     "record.ledger:RecordMoved": "prefix_cache_index.index:PrefixIndexUpdate",
     "record.ledger:RecordRead": "prefix_cache_index.index:PrefixIndexAdditions",
+    "membership.messages:Finding": "membership.messages:IndirectAck",
+    "membership.messages:Inquiry": "membership.messages:IndirectPing",
+    "membership.messages:Notice": "membership.messages:MembershipUpdate",
+    "membership.messages:Pong": "membership.messages:Ack",
+    "membership.messages:Query": "membership.messages:DescriptorRequest",
+    "membership.messages:Shuffle": "membership.messages:ShuffleRequest",
+    "membership.messages:Shuffled": "membership.messages:ShuffleResponse",
 }
 
 
--- a/tests/stored/test_structs_as_found.py
+++ b/tests/stored/test_structs_as_found.py
@@ -80,6 +80,12 @@
     "loads.messages:LoadsShared": {"whole": "is_full"},
     "loads.messages:LoadsTold": {"whole": "is_full"},
     "record.ledger:RecordMoved": {"gone": "removed"},
+    "membership.messages:Descriptor": {"age": "age_ms"},
+    "membership.messages:Digest": {"mark": "name_hash", "age": "age_ms"},
+    "membership.messages:Finding": {"found": "descriptor"},
+    "membership.messages:Node": {"life": "boot_id", "link": "link_address", "front": "front_address"},
+    "membership.messages:Query": {"marks": "name_hashes"},
+    "membership.messages:Rumour": {"fate": "status"},
 }
 
 
