--- a/shedgrade/controlplane/channels.py
+++ b/shedgrade/controlplane/channels.py
@@ -1,42 +1,48 @@
-"""What core members and edges say over one link, told apart by the body's first byte."""
+"""Channels of one link between core members and edges, told apart by the first byte of a message's body.
+
+The messages of the channel of commands are defined here; those of the others are in `replication.messages`,
+`control_messages` and `singleton_roles`.
+"""
 
 from collections.abc import Mapping
 
 import msgspec
 
-from shedgrade.controlplane.orders import Conflict, Order, Reply
-
-REPLICATION, KNOWLEDGE, DUTIES, ORDERS = b"R", b"K", b"D", b"O"
+from shedgrade.controlplane.commands import Command, CommandReply, RevisionConflict
+from shedgrade.controlplane.state_keys import CONFIGURATION, VERSION, configuration_version
 
+REPLICATION = b"R"
+KNOWLEDGE = b"K"  # control messages: watches, endpoint lists, edges, loads, prefix index
+DUTIES = b"D"  # singleton roles
+ORDERS = b"O"  # commands that are forwarded to the primary
 
-class Relayed(msgspec.Struct, array_like=True, frozen=True, tag="relayed"):
-    """An order that another member took, for the primary. `order`: None for a read. `held`: the version of
-    the configuration that the other member holds, finished; it needs not be sent again."""
 
-    order: Order | None
-    held: int = 0
+class ForwardedRequest(msgspec.Struct, array_like=True, frozen=True, tag="relayed"):
+    """A command, or a read (`command` is None), that another member forwards to the primary.
 
+    `held_version`: version of the committed configuration that the sender has; it need not be sent again.
+    """
 
-class Outcome(msgspec.Struct, array_like=True, frozen=True, tag="outcome"):
-    """What became of it. `reply`: None if it can't be said here. `state`: of a read, its configuration."""
+    command: Command | None
+    held_version: int = 0
 
-    reply: Reply | Conflict | None
-    state: dict[str, bytes] | None = None
 
+class ForwardedResponse(msgspec.Struct, array_like=True, frozen=True, tag="outcome"):
+    """The outcome of a command or read. `reply`: of a command, None if it can't be told here. `state`: of a
+    read, as `read_response` selects it."""
 
-def version_of(state: Mapping[str, bytes]) -> int:
-    """0 if there is no configuration yet."""
-    return int(state.get("version") or 0)
+    reply: CommandReply | RevisionConflict | None
+    state: dict[str, bytes] | None = None
 
 
-def read_response(state: Mapping[str, bytes], held: int = 0) -> dict[str, bytes]:
-    """What a read is answered with: the version of the configuration and, unless that is `held`, its bytes;
-    none of the record of those before it. One number never stands for two configurations."""
-    response = {key: state[key] for key in ("version", "configuration") if key in state}
-    if held and version_of(state) == held:
-        del response["configuration"]
+def read_response(state: Mapping[str, bytes], held_version: int = 0) -> dict[str, bytes]:
+    """What a read returns: the version of the configuration and its bytes, without the record of accepted
+    changes. The bytes are left out if their version is `held_version`: a version identifies its content."""
+    response = {key: state[key] for key in (VERSION, CONFIGURATION) if key in state}
+    if held_version and configuration_version(state) == held_version:
+        del response[CONFIGURATION]
     return response
 
 
 encode = msgspec.msgpack.Encoder().encode
-decode = msgspec.msgpack.Decoder(Relayed | Outcome).decode
+decode = msgspec.msgpack.Decoder(ForwardedRequest | ForwardedResponse).decode
--- /dev/null
+++ b/shedgrade/controlplane/command_router.py
@@ -0,0 +1,304 @@
+"""Routes operators' commands and reads to the primary and their outcomes back, whichever member got them.
+
+Commands for zones carry the zone's revision (`commands.py`). That revision must have been current at a moment
+when the caller was still waiting: then whatever that caller, or one who knows its outcome, commands later is
+newer. So it is read only within `ANSWER_TIMEOUT_S` of the earliest time at which the call can have arrived,
+by this process's steady clock alone, and only while the caller has not closed its connection.
+"""
+
+import asyncio
+from collections.abc import Callable, Coroutine
+from dataclasses import dataclass
+from typing import Protocol
+
+import msgspec
+
+from shedgrade.controlplane import channels
+from shedgrade.controlplane.channels import ORDERS, ForwardedRequest, ForwardedResponse
+from shedgrade.controlplane.commands import (
+    Command,
+    CommandReply,
+    PatchConfiguration,
+    PutConfiguration,
+    RevisionConflict,
+    ZoneCommand,
+    zone_revisions,
+)
+from shedgrade.controlplane.state_keys import CONFIGURATION, configuration_version
+from shedgrade.peer_transport.peer import LinkError
+from shedgrade.replication import Elsewhere, Member, Reading, Unavailable, Unclear
+
+# Until a caller is told to try elsewhere; after a second of silence it does so by itself.
+ANSWER_TIMEOUT_S = 0.65
+# For the primary's response, before it, or whoever is primary by then, is asked again.
+FORWARD_TIMEOUT_S = 0.4
+RETRY_DELAY_S = 0.05  # before the next attempt
+NO_PRIMARY_TIMEOUT_S = 2.0  # without a primary, after which calls are rejected at once: nobody took over
+SLOWEST_BYTES_PER_SECOND = 250_000  # of a large body, as in replication: callers wait longer then
+CLOSE_DELAY_S = 0.1  # after a zone's command was read, within which the end of its connection may follow:
+# both come together, or a round trip apart, when a partition between caller and member ends
+
+MemberOutcome = CommandReply | RevisionConflict | Elsewhere | Unavailable | Reading
+OnMemberOutcome = Callable[[MemberOutcome], None]
+RespondToRead = Callable[[dict[str, bytes] | None], None]
+RespondToCommand = Callable[[CommandReply | None], None]
+Respond = Callable[[ForwardedResponse | None], None]
+
+
+class PeerCalls(Protocol):
+    """Calls to other members over their links."""
+
+    async def call(self, address: str, body: bytes, timeout: float) -> bytes:
+        """The response's body. `timeout` in s; LinkError if none came."""
+
+
+def last_contact(member: Member, now: float) -> float:
+    """When this member last knew of an active primary, itself included; `now` if it knows of one."""
+    if member.lead.active or member.hears_primary(now) or member.is_hinted(now):
+        return now
+    return max(member.known_at, member.born_at, member.lead.majority_at)
+
+
+@dataclass(frozen=True, slots=True)
+class Caller:
+    """Who waits for a response. `arrived_after`: the steady time before which nothing of its call had come
+    (None: it comes now); `gone()`: whether it has closed its connection, as far as that is known here."""
+
+    arrived_after: float | None = None
+    gone: Callable[[], bool] = lambda: False
+
+
+ANYONE = Caller()
+
+
+class PendingCommand:
+    """One command, or a read (`command` is None), from its arrival here until its caller has a response.
+
+    Attributes: `extra_wait_s`: added to time-outs for a large body; `finished`: the caller has its response,
+    after which nothing more is sent; `timer`: gives up after the answer time-out, cancelled once finished.
+    """
+
+    def __init__(
+        self, router: "CommandRouter", command: Command | None, respond: Respond, caller: Caller
+    ) -> None:
+        self.router = router
+        self.command = command
+        self.respond = respond
+        self.caller = caller
+        self.loop = router.loop
+        self.extra_wait_s = router.body_size(command) / SLOWEST_BYTES_PER_SECOND
+        self.finished = False
+        self.timer = self.loop.call_later(ANSWER_TIMEOUT_S + self.extra_wait_s, self.finish, None)
+
+    def attempt(self) -> None:
+        """Hands the command to the member of this process."""
+        if not self.finished:
+            self.router.hand_to_member(self.command, self.on_member_outcome)
+
+    def on_member_outcome(self, outcome: MemberOutcome) -> None:
+        """The member of this process decided, or can't."""
+        match outcome:
+            case Elsewhere(address):
+                self.router.spawn(self.forward(address))
+            case Unavailable():
+                self.on_no_decision(isinstance(outcome, Unclear))
+            case Reading():
+                self.finish(ForwardedResponse(None, channels.read_response(outcome.state)))
+            case _:
+                self.on_decision(ForwardedResponse(outcome))
+
+    async def forward(self, address: str) -> None:
+        """Asks the primary. Guards a slow link against configurations that are here already."""
+        known = self.router.member.finished[2] if self.command is None else {}
+        held_version = configuration_version(known)
+        request = ORDERS + channels.encode(ForwardedRequest(self.command, held_version))
+        try:
+            body = await self.router.links.call(address, request, FORWARD_TIMEOUT_S + self.extra_wait_s)
+            response = channels.decode(body[1:])
+        except (LinkError, msgspec.DecodeError, ValueError):
+            response = None
+        if not isinstance(response, ForwardedResponse) or (response.reply is None and response.state is None):
+            self.on_no_decision(True)
+            return
+        if (
+            response.state is not None
+            and held_version
+            and configuration_version(response.state) == held_version
+        ):
+            response = ForwardedResponse(None, channels.read_response(known))
+        self.on_decision(response)
+
+    def on_decision(self, response: ForwardedResponse) -> None:
+        """The primary decided."""
+        self.finish(response)
+
+    def on_no_decision(self, maybe_applied: bool) -> None:
+        """The last attempt had no outcome; `maybe_applied`: it may yet be carried out."""
+        if self.caller.gone():
+            self.finish(None)
+        elif not self.finished:
+            self.loop.call_later(RETRY_DELAY_S, self.attempt)
+
+    def finish(self, response: ForwardedResponse | None) -> None:
+        """Responds to the caller, once. None: nothing can be said of the command here."""
+        if not self.finished:
+            self.finished = True
+            self.timer.cancel()
+            self.respond(response)
+
+
+class PendingZoneCommand(PendingCommand):
+    """A command for a zone, from its arrival here until its caller has a response.
+
+    Attributes: `trusted_until`: steady time after which the caller may have gone on elsewhere; `revision`:
+    the zone's, None until it was read while the caller waited; `maybe_applied`: an earlier attempt may yet be
+    carried out, so a conflict is no proof that nothing was done.
+    """
+
+    def __init__(
+        self, router: "CommandRouter", command: ZoneCommand, respond: Respond, caller: Caller
+    ) -> None:
+        super().__init__(router, command, respond, caller)
+        arrived = caller.arrived_after if caller.arrived_after is not None else router.clock()
+        self.trusted_until = arrived + ANSWER_TIMEOUT_S
+        self.revision: int | None = None
+        self.maybe_applied = False
+
+    def start(self) -> None:
+        """Begins, once the end of the caller's connection would have been seen."""
+        if self.caller_is_waiting():
+            self.loop.call_later(CLOSE_DELAY_S, self.attempt)
+        else:
+            self.finish(None)
+
+    def caller_is_waiting(self) -> bool:
+        """Whether the caller surely waits yet, so that what is known now is no newer than its command."""
+        return self.router.clock() < self.trusted_until and not self.caller.gone()
+
+    def attempt(self) -> None:
+        if self.finished:
+            return
+        if not self.caller_is_waiting():
+            self.finish(None)
+            return
+        if self.revision is None:
+            self.revision = zone_revisions(self.router.member.finished[2]).get(self.command.zone, 0)
+        self.command = msgspec.structs.replace(self.command, revision=self.revision)
+        super().attempt()
+
+    def on_decision(self, response: ForwardedResponse) -> None:
+        if not isinstance(response.reply, RevisionConflict):
+            self.finish(response)
+        elif self.maybe_applied:
+            # An attempt may have been carried out, and a newer command after it.
+            self.finish(None)
+        else:
+            self.revision = response.reply.revision
+            self.attempt()
+
+    def on_no_decision(self, maybe_applied: bool) -> None:
+        self.maybe_applied = self.maybe_applied or maybe_applied
+        super().on_no_decision(maybe_applied)
+
+
+class CommandRouter:
+    """Hands commands and reads to the member of this process, and forwards to the primary what belongs there.
+
+    `links`: calls to other members. `pump()`: carries out what the member asks for. `clock`: a steady clock
+    in s that is read anew at each call, the loop's if None.
+
+    Attributes: `on_outcomes`: by ticket, who waits for the member's outcome; a ticket is removed with its
+    outcome. `last_ticket`: the highest given; tickets are never used twice.
+    """
+
+    def __init__(
+        self,
+        loop: asyncio.AbstractEventLoop,
+        member: Member,
+        links: PeerCalls,
+        pump: Callable[[], None],
+        clock: Callable[[], float] | None = None,
+    ) -> None:
+        self.loop = loop
+        self.member = member
+        self.links = links
+        self.pump = pump
+        self.clock = clock or loop.time
+        self.on_outcomes: dict[int, OnMemberOutcome] = {}
+        self.last_ticket = 0
+        self.tasks: set[asyncio.Task[None]] = set()
+
+    def check_invariants(self) -> None:
+        """AssertionError if a ticket waits that was not given yet."""
+        assert all(0 < ticket <= self.last_ticket for ticket in self.on_outcomes), "unknown ticket"
+
+    def submit(self, command: Command, respond: RespondToCommand, caller: Caller = ANYONE) -> None:
+        """`respond` gets the decision's reply, or None: nothing can be said of the command, and the caller is
+        to send it again, to any member; a change that was accepted before is recognized then."""
+
+        def on_response(response: ForwardedResponse | None) -> None:
+            respond(response.reply if response is not None else None)
+
+        self.follow(command, on_response, caller)
+
+    def read(self, respond: RespondToRead, caller: Caller = ANYONE) -> None:
+        """`respond` gets the newest committed configuration (`channels.read_response`), confirmed after this
+        call, or None."""
+        self.follow(None, lambda response: respond(response.state if response is not None else None), caller)
+
+    def follow(self, command: Command | None, respond: Respond, caller: Caller) -> None:
+        """Follows a command, or a read (None), until its caller has a response."""
+        now = self.loop.time()
+        if now - last_contact(self.member, now) > NO_PRIMARY_TIMEOUT_S:
+            respond(None)
+        elif isinstance(command, ZoneCommand):
+            PendingZoneCommand(self, command, respond, caller).start()
+        else:
+            PendingCommand(self, command, respond, caller).attempt()
+
+    def hand_to_member(self, command: Command | None, on_outcome: OnMemberOutcome) -> None:
+        """Hands a command, or a read (None), to the member of this process."""
+        self.last_ticket += 1
+        self.on_outcomes[self.last_ticket] = on_outcome
+        now = self.loop.time()
+        if command is None:
+            self.member.read(now, self.last_ticket)
+        else:
+            self.member.order(now, self.last_ticket, command)
+        self.pump()
+
+    def on_member_outcome(self, ticket: int, outcome: MemberOutcome) -> None:
+        """The member's outcome of a command or read."""
+        on_outcome = self.on_outcomes.pop(ticket, None)
+        if on_outcome is not None:
+            on_outcome(outcome)
+
+    def body_size(self, command: Command | None) -> int:
+        """Bytes of the configuration that goes along: with the command, or with the response to a read."""
+        if isinstance(command, PutConfiguration | PatchConfiguration):
+            return len(command.raw)
+        return len(self.member.finished[2].get(CONFIGURATION, b"")) if command is None else 0
+
+    def spawn(self, coroutine: Coroutine[None, None, None]) -> None:
+        """Runs a task that is not garbage-collected before its end."""
+        task = self.loop.create_task(coroutine)
+        self.tasks.add(task)
+        task.add_done_callback(self.tasks.discard)
+
+    def on_forwarded(self, body: bytes, respond: Callable[[bytes], None]) -> None:
+        """A command or read that another member forwarded; `respond` sends a body back to it."""
+        request = channels.decode(body)
+        if not isinstance(request, ForwardedRequest):
+            return
+
+        def on_outcome(outcome: MemberOutcome) -> None:
+            if isinstance(outcome, Reading):
+                state = channels.read_response(outcome.state, request.held_version)
+                response = ForwardedResponse(None, state)
+            elif isinstance(outcome, Elsewhere | Unavailable):
+                response = ForwardedResponse(None)
+            else:
+                response = ForwardedResponse(outcome)
+            respond(ORDERS + channels.encode(response))
+
+        self.hand_to_member(request.command, on_outcome)
--- a/shedgrade/controlplane/deduplication.py
+++ b/shedgrade/controlplane/deduplication.py
@@ -1,10 +1,12 @@
-"""Which configurations were accepted, kept within the control state so that a resend is told the same again.
+"""Deduplication of commands: which configurations were accepted, recorded within the control state itself.
 
-Versions rise with each accepted configuration, so the record is a sequence that only grows: blocks of
-entries (version and digest) in order. A change rewrites the newest block only, and a lookup is a binary
-search. Beyond `BLOCKS` the oldest are dropped; of versions that old nothing certain is known.
+A caller that sends an accepted change again gets the same reply. Versions rise with each accepted change, so
+the record is an append-only sequence: blocks of entries (version and digest) in order. A change rewrites the
+newest block only, and a lookup is a binary search. Beyond `BLOCKS` the oldest are dropped; nothing certain is
+known of versions that old.
 
-Keys: `accepted` holds the number of entries ever written (decimal), `accepted/K` the entries of block K.
+Keys (`state_keys.py`): ACCEPTED_COUNT holds the number of entries ever written (decimal), ACCEPTED_BLOCK the
+entries of one block.
 """
 
 from collections.abc import Mapping
@@ -12,16 +14,16 @@
 from hashlib import blake2b
 from struct import Struct
 
-COUNT = "accepted"
-BLOCK = "accepted/{}"
+from shedgrade.controlplane.state_keys import ACCEPTED_BLOCK, ACCEPTED_COUNT, configuration_version
+
 BLOCK_ENTRIES = 32  # entries of one block: at most 640 bytes are rewritten by a change
 BLOCKS = 1024  # blocks that are kept: 32,768 configurations in 655 KB
 DIGEST_BYTES = 12
 ENTRY = Struct(f">Q{DIGEST_BYTES}s")  # version, digest
 
 
-class Past(Enum):
-    """What the record says of a configuration."""
+class AcceptanceStatus(Enum):
+    """What the record knows of a change."""
 
     ACCEPTED = auto()
     NEVER_ACCEPTED = auto()
@@ -29,12 +31,13 @@
 
 
 def digest(raw: bytes) -> bytes:
+    """Of a change's content, as entries have it (BLAKE2b, RFC 7693)."""
     return blake2b(raw, digest_size=DIGEST_BYTES).digest()
 
 
 def count(state: Mapping[str, bytes]) -> int:
     """Entries ever written."""
-    return int(state.get(COUNT) or 0)
+    return int(state.get(ACCEPTED_COUNT) or 0)
 
 
 def oldest_block(entries: int) -> int:
@@ -44,17 +47,18 @@
 
 
 def first_version(state: Mapping[str, bytes], block: int) -> int:
-    return ENTRY.unpack_from(state[BLOCK.format(block)])[0]
+    """The version of a block's first entry. KeyError if the block is not kept."""
+    return ENTRY.unpack_from(state[ACCEPTED_BLOCK.format(block)])[0]
 
 
-def past(state: Mapping[str, bytes], version: int, raw: bytes) -> Past:
-    """Whether the configuration with this version and content was accepted, by the newest `state`."""
-    if version > int(state.get("version") or 0):
-        return Past.NEVER_ACCEPTED
+def acceptance_status(state: Mapping[str, bytes], version: int, raw: bytes) -> AcceptanceStatus:
+    """Whether the change with this version and content was accepted, by the newest `state`."""
+    if version > configuration_version(state):
+        return AcceptanceStatus.NEVER_ACCEPTED
     entries = count(state)
     oldest = low = oldest_block(entries)
     if not entries or version < first_version(state, oldest):
-        return Past.FORGOTTEN if oldest or not entries else Past.NEVER_ACCEPTED
+        return AcceptanceStatus.FORGOTTEN if oldest or not entries else AcceptanceStatus.NEVER_ACCEPTED
     high = (entries - 1) // BLOCK_ENTRIES
     while low < high:
         middle = (low + high + 1) // 2
@@ -63,21 +67,21 @@
         else:
             high = middle - 1
     wanted = (version, digest(raw))
-    found = wanted in ENTRY.iter_unpack(state[BLOCK.format(low)])
-    return Past.ACCEPTED if found else Past.NEVER_ACCEPTED
+    found = wanted in ENTRY.iter_unpack(state[ACCEPTED_BLOCK.format(low)])
+    return AcceptanceStatus.ACCEPTED if found else AcceptanceStatus.NEVER_ACCEPTED
 
 
 def record(state: Mapping[str, bytes], version: int, raw: bytes) -> dict[str, bytes | None]:
     """The changes of the state that add an accepted configuration; its version is above all before."""
     entries = count(state)
-    block, place = divmod(entries, BLOCK_ENTRIES)
-    key = BLOCK.format(block)
-    before = state.get(key, b"") if place else b""
+    block, position = divmod(entries, BLOCK_ENTRIES)
+    key = ACCEPTED_BLOCK.format(block)
+    before = state.get(key, b"") if position else b""
     changes: dict[str, bytes | None] = {
-        COUNT: b"%d" % (entries + 1),
+        ACCEPTED_COUNT: b"%d" % (entries + 1),
         key: before + ENTRY.pack(version, digest(raw)),
     }
     dropped = oldest_block(entries + 1) - 1
-    if BLOCK.format(dropped) in state:
-        changes[BLOCK.format(dropped)] = None
+    if ACCEPTED_BLOCK.format(dropped) in state:
+        changes[ACCEPTED_BLOCK.format(dropped)] = None
     return changes
--- a/shedgrade/controlplane/disk.py
+++ b/shedgrade/controlplane/disk_thread.py
@@ -11,7 +11,7 @@
 from shedgrade.storage import Store
 
 
-class Disk:
+class DiskThread:
     """Writes one after another. `done(token, ok)` is called on the loop once each is durable, or refused."""
 
     def __init__(self, loop, store: Store, done: Callable[[int, bool], None]) -> None:
--- a/shedgrade/controlplane/operator_api.py
+++ b/shedgrade/controlplane/operator_api.py
@@ -4,31 +4,56 @@
 call; only what depends on the newest state is decided at the primary.
 """
 
-from collections.abc import Callable
+from collections.abc import Callable, Mapping
+from dataclasses import dataclass
+from typing import Any, Protocol
 from urllib.parse import unquote
 
 import msgspec
-from expression import Result
-
-from shedgrade.controlplane.configuration import read
-from shedgrade.controlplane.deduplication import digest
-from shedgrade.controlplane.delta import read_delta
-from shedgrade.controlplane.ordering import Caller
-from shedgrade.controlplane.orders import (
-    ConfigurationOrder,
+from expression import Ok, Result
+
+from shedgrade.controlplane.command_router import Caller, RespondToCommand, RespondToRead
+from shedgrade.controlplane.commands import (
+    CancelEvacuation,
+    Command,
+    CommandReply,
+    ConfigurationCommand,
     Evacuate,
-    Order,
     PatchConfiguration,
     PutConfiguration,
-    Return,
 )
+from shedgrade.controlplane.configuration import read
+from shedgrade.controlplane.deduplication import digest
+from shedgrade.controlplane.delta import read_delta
+from shedgrade.controlplane.state_keys import CONFIGURATION
 from shedgrade.findings import Finding
-from shedgrade.http.server import Reply, Request, Tell, failure
+from shedgrade.http.server import Reply, Request, failure
 from shedgrade.route_matching.calls import CallTree, Match, NotAllowed
 
-AGAIN = ((b"Retry-After", b"0.2"),)
-SOUND = 8  # configurations whose check is remembered, as their callers send them again
-UNAVAILABLE = failure(503, Finding("", "the control state is not to be had here"), headers=AGAIN)
+RETRY_AFTER = ((b"Retry-After", b"0.2"),)  # s
+CHECKED_CHANGES = 8  # sound changes that are remembered: callers send them again
+UNAVAILABLE = failure(503, Finding("", "the control state is not to be had here"), headers=RETRY_AFTER)
+
+Findings = tuple[Finding, ...]
+Respond = Callable[[Reply], None]
+
+
+class Router(Protocol):
+    """The way to the primary, as `CommandRouter`. None as a response: nothing can be said here."""
+
+    def submit(self, command: Command, respond: RespondToCommand, caller: Caller) -> None:
+        """`respond` gets the outcome of the command."""
+
+    def read(self, respond: RespondToRead, caller: Caller) -> None:
+        """`respond` gets the newest committed state."""
+
+
+@dataclass(frozen=True, slots=True)
+class ChangeKey:
+    """Identifies a change of the configuration by the kind of its command and the digest of its content."""
+
+    kind: type[ConfigurationCommand]
+    digest: bytes
 
 
 def version_in(header: bytes) -> int | None:
@@ -42,111 +67,133 @@
 
 
 def caller_of(request: Request) -> Caller:
+    """Who waits for the response to this request."""
     return Caller(request.arrived_after, request.caller_gone)
 
 
-class Operators:
-    """`orders` has `order(order, tell, caller)` and `read(tell, caller)`; None told means: nothing can be
-    said of it here.
-    `status()` gives plain data; without it there is no such call."""
+def http_reply(reply: CommandReply) -> Reply:
+    """The outcome of a command as an HTTP response."""
+    if reply.status == 200:
+        return Reply(200)
+    headers = RETRY_AFTER if reply.status == 503 else ()
+    return failure(reply.status, Finding(reply.place, reply.text), *reply.further, headers=headers)
+
+
+def read_version(raw: bytes) -> Result[int, Findings]:
+    """The version of a sound configuration, or what is wrong with it."""
+    return read(raw).map(lambda configuration: configuration.version)
+
+
+class OperatorApi:
+    """Dispatches the operators' calls by method and path.
 
-    def __init__(self, orders, status: Callable[[], dict] | None = None) -> None:
-        self.orders, self.status, self.calls = orders, status, CallTree()
-        # Versions of changes found sound here, by their kind and digest.
-        self.sound: dict[tuple[type[ConfigurationOrder], bytes], int] = {}
+    Attributes: `checked`: versions of changes that were found sound here, the oldest first; at most
+    CHECKED_CHANGES.
+    """
+
+    def __init__(self, router: Router, status: Callable[[], Mapping[str, Any]] | None = None) -> None:
+        """`status()` returns plain data for JSON; without it there is no such call."""
+        self.router = router
+        self.status = status
+        self.calls = CallTree()
+        self.checked: dict[ChangeKey, int] = {}
         if status is not None:
-            self.calls.add(b"GET", b"/status", self.tell_status)
+            self.calls.add(b"GET", b"/status", self.get_status)
         for method, pattern, call in (
-            (b"PUT", b"/configuration", self.put),
-            (b"PATCH", b"/configuration", self.patch),
-            (b"GET", b"/configuration", self.get),
+            (b"PUT", b"/configuration", self.put_configuration),
+            (b"PATCH", b"/configuration", self.patch_configuration),
+            (b"GET", b"/configuration", self.get_configuration),
             (b"POST", b"/evacuation/{}", self.evacuate),
-            (b"DELETE", b"/evacuation/{}", self.take_back),
+            (b"DELETE", b"/evacuation/{}", self.cancel_evacuation),
         ):
             self.calls.add(method, pattern, call)
 
-    def handle(self, request: Request, tell: Tell) -> None:
+    def handle(self, request: Request, respond: Respond) -> None:
+        """Responds to one request, now or when the primary has decided."""
         match self.calls.find(request.method, request.path):
             case Match(call, arguments):
-                call(request, tell, *arguments)
+                call(request, respond, *arguments)
             case NotAllowed(allowed):
-                tell(
-                    failure(
-                        405,
-                        Finding("request", "this verb is none of the call's"),
-                        headers=((b"Allow", b", ".join(allowed)),),
-                    )
-                )
+                finding = Finding("request", "this verb is none of the call's")
+                respond(failure(405, finding, headers=((b"Allow", b", ".join(allowed)),)))
             case _:
-                tell(failure(404, Finding("request", "no such call")))
-
-    def order(self, order: Order, request: Request, tell: Tell) -> None:
-        def told(reply) -> None:
-            if reply is None:
-                tell(UNAVAILABLE)
-            elif reply.status == 200:
-                tell(Reply(200))
-            else:
-                headers = AGAIN if reply.status == 503 else ()
-                tell(failure(reply.status, Finding(reply.place, reply.text), *reply.further, headers=headers))
+                respond(failure(404, Finding("request", "no such call")))
 
-        self.orders.order(order, told, caller_of(request))
+    def submit(self, command: Command, request: Request, respond: Respond) -> None:
+        """Submits a command and responds with its outcome."""
 
-    def put(self, request: Request, tell: Tell) -> None:
-        def check() -> Result[int, tuple[Finding, ...]]:
-            return read(request.body).map(lambda configuration: configuration.version)
+        def on_reply(reply: CommandReply | None) -> None:
+            respond(UNAVAILABLE if reply is None else http_reply(reply))
 
-        self.configure(PutConfiguration, check, request, tell)
+        self.router.submit(command, on_reply, caller_of(request))
 
-    def patch(self, request: Request, tell: Tell) -> None:
-        self.configure(PatchConfiguration, lambda: read_delta(request.body), request, tell)
+    def put_configuration(self, request: Request, respond: Respond) -> None:
+        """PUT /configuration: replaces it."""
+        self.change_configuration(PutConfiguration, read_version, request, respond)
 
-    def configure(
+    def patch_configuration(self, request: Request, respond: Respond) -> None:
+        """PATCH /configuration: adds, replaces and removes named items."""
+        self.change_configuration(PatchConfiguration, read_delta, request, respond)
+
+    def change_configuration(
         self,
-        kind: type[ConfigurationOrder],
-        check: Callable[[], Result[int, tuple[Finding, ...]]],
+        kind: type[ConfigurationCommand],
+        check: Callable[[bytes], Result[int, Findings]],
         request: Request,
-        tell: Tell,
+        respond: Respond,
     ) -> None:
-        """Orders the change if it is sound. `check`: its version, or what is wrong with it."""
+        """Submits the change if it is sound. `check(raw)`: its version, or what is wrong with it."""
         base = version_in(request.headers.get(b"if-match", b""))
-        findings = (
-            ()
-            if base is not None
-            else (Finding("If-Match", "is to say the version that this one builds on, or 0"),)
-        )
-        key = kind, digest(request.body)
-        version = self.sound.get(key)
-        if version is None:
-            checked = check()
-            if checked.is_error():
-                findings += checked.error
-            else:
-                version = self.sound[key] = checked.ok
-                if len(self.sound) > SOUND:
-                    del self.sound[next(iter(self.sound))]
+        findings: Findings = ()
+        if base is None:
+            findings = (Finding("If-Match", "is to say the version that this one builds on, or 0"),)
+        version = self.checked_version(kind, check, request.body)
+        if version.is_error():
+            findings += version.error
         if findings:
-            tell(failure(400, *findings))
+            respond(failure(400, *findings))
         else:
-            self.order(kind(base, version, request.body), request, tell)
+            self.submit(kind(base, version.ok, request.body), request, respond)
 
-    def get(self, request: Request, tell: Tell) -> None:
-        def told(state) -> None:
+    def checked_version(
+        self,
+        kind: type[ConfigurationCommand],
+        check: Callable[[bytes], Result[int, Findings]],
+        raw: bytes,
+    ) -> Result[int, Findings]:
+        """As `check(raw)`, which is not repeated for the newest changes that were found sound."""
+        key = ChangeKey(kind, digest(raw))
+        known = self.checked.get(key)
+        if known is not None:
+            return Ok(known)
+        version = check(raw)
+        if version.is_ok():
+            self.checked[key] = version.ok
+            if len(self.checked) > CHECKED_CHANGES:
+                del self.checked[next(iter(self.checked))]
+        return version
+
+    def get_configuration(self, request: Request, respond: Respond) -> None:
+        """GET /configuration: the newest committed one, byte by byte."""
+
+        def on_state(state: Mapping[str, bytes] | None) -> None:
             if state is None:
-                tell(UNAVAILABLE)
-            elif not state.get("configuration"):
-                tell(failure(404, Finding("configuration", "none was put yet")))
+                respond(UNAVAILABLE)
+            elif not state.get(CONFIGURATION):
+                respond(failure(404, Finding("configuration", "none was put yet")))
             else:
-                tell(Reply(200, state["configuration"]))
+                respond(Reply(200, state[CONFIGURATION]))
 
-        self.orders.read(told, caller_of(request))
+        self.router.read(on_state, caller_of(request))
 
-    def evacuate(self, request: Request, tell: Tell, zone: bytes) -> None:
-        self.order(Evacuate(unquote(zone, errors="replace")), request, tell)
+    def evacuate(self, request: Request, respond: Respond, zone: bytes) -> None:
+        """POST /evacuation/ZONE."""
+        self.submit(Evacuate(unquote(zone, errors="replace")), request, respond)
 
-    def take_back(self, request: Request, tell: Tell, zone: bytes) -> None:
-        self.order(Return(unquote(zone, errors="replace")), request, tell)
+    def cancel_evacuation(self, request: Request, respond: Respond, zone: bytes) -> None:
+        """DELETE /evacuation/ZONE."""
+        self.submit(CancelEvacuation(unquote(zone, errors="replace")), request, respond)
 
-    def tell_status(self, request: Request, tell: Tell) -> None:
-        """From this member's memory, also where there is no primary."""
-        tell(Reply(200, msgspec.json.encode(self.status())))
+    def get_status(self, request: Request, respond: Respond) -> None:
+        """GET /status: from this member's memory, also where there is no primary."""
+        respond(Reply(200, msgspec.json.encode(self.status())))
--- a/shedgrade/controlplane/plane.py
+++ b/shedgrade/controlplane/plane.py
@@ -21,16 +21,15 @@
 )
 from shedgrade.controlplane import singleton_roles as duty
 from shedgrade.controlplane.channels import DUTIES, KNOWLEDGE, ORDERS, REPLICATION
+from shedgrade.controlplane.command_router import CommandRouter
+from shedgrade.controlplane.commands import make_decide
 from shedgrade.controlplane.directory import Directory, cover
-from shedgrade.controlplane.disk import Disk
+from shedgrade.controlplane.disk_thread import DiskThread
 from shedgrade.controlplane.home_regions import HomeRegions, Regions
-from shedgrade.controlplane.operator_api import Operators
-from shedgrade.controlplane.ordering import Ordering
-from shedgrade.controlplane.orders import make_decide
+from shedgrade.controlplane.operator_api import OperatorApi
 from shedgrade.controlplane.platform_poller import InstanceList, Poller
 from shedgrade.controlplane.prefix_index_exchange import Recording
 from shedgrade.controlplane.reachability import Reach
-from shedgrade.controlplane.standstill import Standstill
 from shedgrade.controlplane.status import status
 from shedgrade.controlplane.watch_hub import WatchHub
 from shedgrade.http.server import HttpServer
@@ -52,7 +51,7 @@
 )
 from shedgrade.runtime.log import logger
 from shedgrade.runtime.loop_errors import fault
-from shedgrade.runtime.stall_detection import ArrivalClock, steady_clock
+from shedgrade.runtime.stall_detection import ArrivalClock, StallDetector, steady_clock
 from shedgrade.storage import Found, Store
 
 LIST = "upstreams"  # the duty of polling the platform's list
@@ -99,11 +98,11 @@
         watched: Watched | None = None,
         *,
         files=None,
-        make_disk: Callable[..., Disk] = Disk,
+        make_disk: Callable[..., DiskThread] = DiskThread,
         wall_clock: Callable[[], float] = time,
     ) -> None:
         """`watched`: the settings file, which may change; None: there is none. A simulated machine hands in
-        `files` (as `storage.files.Files`), `make_disk` (as `Disk`) and `wall_clock` (s since 1970)."""
+        `files` (as `storage.files.Files`), `make_disk` (as `DiskThread`) and `wall_clock` (s since 1970)."""
         self.settings, self.loop, self.random = settings, loop, random
         own = self.own = settings.link_address
         now = loop.time()
@@ -129,7 +128,7 @@
             loop, (settings.ip_address, settings.internal_ports[0]), own, self.heard, self.links.adopt
         )
         clock = steady_clock(loop)
-        self.ordering = Ordering(loop, self.member, self.links, self.pump, clock)
+        self.command_router = CommandRouter(loop, self.member, self.links, self.pump, clock)
         self.arrivals = ArrivalClock(loop, clock)
         self.instances = InstanceList(loop.time)
         self.poller = Poller(loop, settings.cloud_api, self.instances, self.polled, random=random)
@@ -138,7 +137,7 @@
         )
         self.hub = WatchHub(own, now, exchange=SPREAD, cover=self.cover)
         self.reach = Reach(own, settings.region)
-        self.standstill = Standstill(now)
+        self.stalls = StallDetector(now)
         self.recording = Recording(self.hub, random.getrandbits(40) + 1, founding, self.tell_knowledge)
         self.loads = LoadHub(own)
         self.gossip = Gossip(
@@ -155,7 +154,7 @@
             random,
         )
         self.edge_peers: dict[str, object] = {}  # by an edge's link address: where it asks
-        self.operators = Operators(self.ordering, self.status)
+        self.operator_api = OperatorApi(self.command_router, self.status)
         self.directory = Directory(settings.zones, random, settings.bounds)
         self.home_regions = HomeRegions()
         self.reload = Reload(settings, watched, self.resettled)
@@ -183,7 +182,7 @@
                 HttpServer(
                     self.loop,
                     listen["control"],
-                    self.operators.handle,
+                    self.operator_api.handle,
                     logger,
                     earliest=self.arrivals.earliest,
                 )
@@ -231,7 +230,7 @@
             return
         self.loop.call_later(BEAT, self.beat)
         now = self.loop.time()
-        self.standstill.look(now)
+        self.stalls.observe(now)
         self.hub.confirmed(self.member.confirmed_at)
         self.hub.members(now, self.member_addresses())
         self.recording.beat(now, self.contact_at())
@@ -313,7 +312,7 @@
             case Persist(token, changes):
                 self.disk.write(token, changes)
             case Answer(ticket, outcome):
-                self.ordering.answered(ticket, outcome)
+                self.command_router.on_member_outcome(ticket, outcome)
             case Finished(epoch, sequence, state):
                 self.hub.control(self.loop.time(), epoch, sequence, state)
             case Left():
@@ -386,8 +385,8 @@
     def take(self, sender: str, body: bytes, answer) -> None:
         channel, body = body[:1], body[1:]
         now = self.loop.time()
-        self.standstill.look(now)
-        unread_s = self.standstill.unread_s(now)
+        self.stalls.observe(now)
+        unread_s = self.stalls.unread_s(now)
         try:
             if channel != KNOWLEDGE:
                 self.reach.heard(now - unread_s, sender)
@@ -400,7 +399,7 @@
             elif channel == KNOWLEDGE:
                 self.learn(now, sender, control_messages.decode(body), answer, unread_s)
             elif channel == ORDERS:
-                self.ordering.relayed(body, answer)
+                self.command_router.on_forwarded(body, answer)
         except msgspec.MsgspecError as wrong:
             # Guards against a process of another version: what it says is left out, and said once in the
             # ring.
--- a/shedgrade/runtime/stall_detection.py
+++ b/shedgrade/runtime/stall_detection.py
@@ -1,9 +1,13 @@
-"""When a request that is read now can have come at the earliest: a process that stood still reads old ones.
+"""Detects that this process stalled, and how old what it reads afterwards may be.
 
-A request waits unread in the kernel while its process is stopped, or is held up by a long step of its loop,
-and looks like a new one afterwards. `ArrivalClock` ticks on the loop; a tick that comes late tells that the
-loop stood still, and whatever is read soon after may be as old as the last tick before. Only the own steady
-clock is used, which goes on while the process is stopped.
+While a process is stopped (SIGSTOP, a frozen machine), or is held up by a long step of its loop, requests and
+frames wait unread in the kernel's buffers, and look like new ones afterwards. Only the own steady clock is
+used, which goes on while the process is stopped. Two detectors, with constants of their own:
+
+- `ArrivalClock` runs a timer on the loop and detects short stalls, also those of one loop step. It dates
+  requests: a lower bound of the time at which one that is read now can have arrived.
+- `StallDetector` is told of every event, does no I/O and detects long stalls. It dates frames of other
+  processes: an upper bound of how long one that is read now may have waited.
 """
 
 import asyncio
@@ -12,7 +16,7 @@
 
 import uvloop
 
-TICK = 0.1  # s between two ticks
+TICK = 0.1  # s between two ticks of the `ArrivalClock`
 LATE = 0.15  # s by which a tick may be late in a process that runs
 SETTLING = 0.25  # s after a late tick within which what came meanwhile has been read
 
@@ -57,3 +61,40 @@
     def earliest(self) -> float:
         """No byte that is read now came before this time, but on a connection that was not being read."""
         return self.before_stall if self.settling() else self.tick_before
+
+
+STALL_THRESHOLD_S = 0.75  # between two events that counts as a stall; callers look every 0.25 s at least
+FRAMES_SETTLING_S = 0.5  # after a stall in which frames may still be read that came before its end
+
+
+class StallDetector:
+    """Times are seconds of this process's steady clock, which goes on while it is stopped.
+
+    Attributes: `last_event_at`: never falls; `stall_s`: length of the last stall, added to the one before if
+    that had not settled; `stall_ended_at`: minus infinity before the first stall, never above
+    `last_event_at`.
+    """
+
+    def __init__(self, now: float) -> None:
+        self.last_event_at = now
+        self.stall_s = 0.0
+        self.stall_ended_at = float("-inf")
+
+    def observe(self, now: float) -> None:
+        """Called with every event, and steadily."""
+        gap = now - self.last_event_at
+        if gap > STALL_THRESHOLD_S:
+            self.stall_s = gap + self.unread_s(self.last_event_at)
+            self.stall_ended_at = now
+        self.last_event_at = now
+
+    def unread_s(self, now: float) -> float:
+        """For how long, at most, a frame that is read now may have waited unread; 0 if there was no stall."""
+        if now >= self.stall_ended_at + FRAMES_SETTLING_S:
+            return 0.0
+        return self.stall_s + now - self.stall_ended_at
+
+    def check_invariants(self) -> None:
+        """AssertionError if the attributes contradict each other."""
+        assert self.stall_ended_at <= self.last_event_at, "a stall ends with the event that shows it"
+        assert self.stall_s == 0.0 or self.stall_s > STALL_THRESHOLD_S, "a stall is longer than its threshold"
--- a/shedgrade/simulation/system/disk.py
+++ b/shedgrade/simulation/system/disk.py
@@ -44,7 +44,7 @@
 
 
 class DiskWorker:
-    """Stands for `controlplane.disk.Disk`: in place of a thread, events of virtual time."""
+    """Stands for `controlplane.disk_thread.DiskThread`: in place of a thread, events of virtual time."""
 
     def __init__(
         self, machine_disk: MachineDisk, loop, store: Store, done: Callable[[int, bool], None]
--- a/tests/controlplane/orders_model.py
+++ b/tests/controlplane/commands_model.py
@@ -17,8 +17,8 @@
 from control_net import Call, Net
 
 from shedgrade.controlplane import deduplication
-from shedgrade.controlplane.deduplication import Past
-from shedgrade.controlplane.orders import PatchConfiguration, PutConfiguration
+from shedgrade.controlplane.commands import PatchConfiguration, PutConfiguration
+from shedgrade.controlplane.deduplication import AcceptanceStatus
 
 SECONDS = 30.0
 WRITERS = 4  # operators of configurations, and beside them one for each zone: eight at once
@@ -61,7 +61,7 @@
 
     puts: list[Sent] = field(default_factory=list)
     repeats: list[Sent] = field(default_factory=list)
-    zone_orders: list[Sent] = field(default_factory=list)
+    zone_commands: list[Sent] = field(default_factory=list)
     reads: list[Read] = field(default_factory=list)
     zones: dict[str, list[tuple[float, bool]]] = field(default_factory=lambda: defaultdict(list))
     state: dict[str, bytes] = field(default_factory=dict)
@@ -140,7 +140,7 @@
         while True:
             evacuates = evacuates != (self.random.random() < 0.8)
             sent = Sent(self.net.loop.time(), zone=zone, evacuates=evacuates)
-            self.history.zone_orders.append(sent)
+            self.history.zone_commands.append(sent)
             within = self.random.choice((GIVES_UP, SILENCE))  # at times it thinks better of it
             await self.give(sent, "POST" if sent.evacuates else "DELETE", f"/evacuation/{zone}", within)
             await asyncio.sleep(self.random.choice((0.0, self.random.expovariate(1.0))))
@@ -227,10 +227,10 @@
 
 def lost_or_refused(history):
     for put in (*history.puts, *history.repeats):
-        past = deduplication.past(history.state, put.version, put.content)
-        if put.status == 200 and past is not Past.ACCEPTED:
-            yield f"version {put.version} was acknowledged and is {past.name}"
-        if put.status not in (200, None) and past is Past.ACCEPTED:
+        acceptance_status = deduplication.acceptance_status(history.state, put.version, put.content)
+        if put.status == 200 and acceptance_status is not AcceptanceStatus.ACCEPTED:
+            yield f"version {put.version} was acknowledged and is {acceptance_status.name}"
+        if put.status not in (200, None) and acceptance_status is AcceptanceStatus.ACCEPTED:
             yield f"version {put.version} was answered {put.status} and is in force"
     for repeat in history.repeats:
         if repeat.status not in (200, None):
@@ -249,8 +249,8 @@
 
 def undone(history):
     for zone in ZONES:
-        orders = [each for each in history.zone_orders if each.zone == zone]
-        for each, after in zip(orders, [*orders[1:], None], strict=True):
+        commands = [each for each in history.zone_commands if each.zone == zone]
+        for each, after in zip(commands, [*commands[1:], None], strict=True):
             if each.status != 200:
                 continue
             for at, evacuated in history.zones[zone]:
--- a/tests/controlplane/control_net.py
+++ b/tests/controlplane/control_net.py
@@ -1,4 +1,5 @@
-"""Core members with their real `Member`, `Ordering` and `Operators` on an asyncio loop of virtual time.
+"""Core members with their real `Member`, `CommandRouter` and `OperatorApi` on an asyncio loop of virtual
+time.
 
 Frames between members and requests of callers have delays; a `Process` may be stopped and thawed (what came
 meanwhile lies unread in its buffers, its timers are late), and links may be cut: what was under way is held
@@ -9,9 +10,9 @@
 from collections.abc import Callable
 from random import Random
 
-from shedgrade.controlplane.operator_api import Operators
-from shedgrade.controlplane.ordering import Ordering
-from shedgrade.controlplane.orders import make_decide
+from shedgrade.controlplane.command_router import CommandRouter
+from shedgrade.controlplane.commands import make_decide
+from shedgrade.controlplane.operator_api import OperatorApi
 from shedgrade.http.server import Request
 from shedgrade.peer_transport.peer import LinkError
 from shedgrade.replication import Answer, Finished, Member, Persist, Send
@@ -72,7 +73,7 @@
 
 
 class Process:
-    """One core process. `links` of its `Ordering` is itself."""
+    """One core process. `links` of its `CommandRouter` is itself."""
 
     def __init__(self, net, name):
         self.net, self.name, self.address = net, name, f"{name}:1"
@@ -91,8 +92,8 @@
             now=net.loop.time(),
             decide=net.decide,
         )
-        self.ordering = Ordering(self.loop, self.member, self, self.pump)
-        self.operators = Operators(self.ordering)
+        self.command_router = CommandRouter(self.loop, self.member, self, self.pump)
+        self.operator_api = OperatorApi(self.command_router)
         self.arrivals = ArrivalClock(self.loop, self.loop.time)
         self.arrivals.start()
         self.pump()
@@ -113,7 +114,7 @@
                     self.disk.update(changes)
                     self.loop.call_later(DISK, self.persisted, token)
                 case Answer(ticket, outcome):
-                    self.ordering.answered(ticket, outcome)
+                    self.command_router.on_member_outcome(ticket, outcome)
                 case Finished(epoch, sequence, state):
                     self.net.learnt((epoch, sequence), state)
         self.pumping = False
@@ -141,14 +142,14 @@
         number, answer = self.last_call, self.net.loop.create_future()
         self.calls[number] = lambda body: answer.done() or answer.set_result(body)
         self.loop.call_later(timeout, lambda: answer.done() or answer.set_exception(LinkError("late")))
-        self.net.frame(self.name, address[0], lambda other: other.relayed(self.name, number, body))
+        self.net.frame(self.name, address[0], lambda other: other.forwarded(self.name, number, body))
         try:
             return await answer
         finally:
             del self.calls[number]
 
-    def relayed(self, sender, number, body):
-        self.ordering.relayed(
+    def forwarded(self, sender, number, body):
+        self.command_router.on_forwarded(
             body[1:],
             lambda said: self.net.frame(
                 self.name, sender, lambda other: other.calls.get(number, lambda said: None)(said)
@@ -227,7 +228,7 @@
 
     def read(self, request):
         request.arrived_after = self.process.arrivals.earliest()
-        self.process.operators.handle(request, self.told)
+        self.process.operator_api.handle(request, self.told)
 
     def told(self, reply):
         def came():
--- a/tests/controlplane/cut_world.py
+++ b/tests/controlplane/cut_world.py
@@ -14,7 +14,7 @@
 import programs
 from controlplane.virtual_loop import VirtualLoop
 
-from shedgrade.controlplane.orders import PutConfiguration, Reply
+from shedgrade.controlplane.commands import CommandReply, PutConfiguration
 from shedgrade.controlplane.plane import ControlPlane
 from shedgrade.dataplane.plane import DataPlane
 from shedgrade.peer_transport.peer import LinkError
@@ -201,7 +201,7 @@
             self, number, lambda loop: ControlPlane(settings, loop, Random(self.random.getrandbits(40)))
         )
         plane = process.plane
-        plane.ordering.links = process.links
+        plane.command_router.links = process.links
         plane.poller = Poller(self, process)
         plane.disk = SimpleNamespace(
             write=lambda token, changes: process.loop.call_soon(plane.persisted, token, True),
@@ -287,11 +287,11 @@
             assert self.loop.time() < until, f"version {version} is never acknowledged"
             for core in at or tuple(self.cores.values()):
                 answer = self.loop.create_future()
-                core.plane.ordering.order(
+                core.plane.command_router.submit(
                     order, lambda reply, answer=answer: None if answer.done() else answer.set_result(reply)
                 )
                 await asyncio.wait((answer,), timeout=1.0)
-                if answer.done() and answer.result() == Reply(200):
+                if answer.done() and answer.result() == CommandReply(200):
                     self.taken.append((self.loop.time(), version))
                     return
                 await self.run(0.05)
--- a/tests/controlplane/test_ordering.py
+++ b/tests/controlplane/test_command_router.py
@@ -6,7 +6,7 @@
 import virtual_loop
 from control_net import Call, Net
 
-from shedgrade.controlplane import ordering
+from shedgrade.controlplane import command_router
 
 ANSWERED = 0.7  # s, the way there and back included
 
@@ -77,8 +77,8 @@
         await asyncio.sleep(1.0)
         sizes = []
         primary = net.processes[net.primary()]
-        relayed = primary.ordering.relayed
-        primary.ordering.relayed = lambda body, answer: relayed(
+        forwarded = primary.command_router.on_forwarded
+        primary.command_router.on_forwarded = lambda body, answer: forwarded(
             body, lambda said: (sizes.append(len(said)), answer(said))
         )
         for name in others(net, net.primary()):
@@ -123,7 +123,7 @@
     async def scene(net):
         for name in net.processes:
             net.cut(*((name, other) for other in others(net, name)))
-            await asyncio.sleep(ordering.NO_PRIMARY_TIMEOUT + 1.5)
+            await asyncio.sleep(command_router.NO_PRIMARY_TIMEOUT_S + 1.5)
             for call in (get(net, name), put(net, name, 7, 0)):
                 status, seconds = await answered(call)
                 assert status == 503 and seconds < 2.5 * net.delay
@@ -162,7 +162,7 @@
         async def slow(process, address, body, timeout):
             assert timeout > 1.0
             await asyncio.sleep(1.0)
-            raise ordering.LinkError("late")
+            raise command_router.LinkError("late")
 
         primary = net.primary()
         name = others(net, primary)[0]
--- a/tests/controlplane/test_orders.py
+++ b/tests/controlplane/test_commands.py
@@ -8,17 +8,17 @@
 from hypothesis import strategies as st
 
 from shedgrade.controlplane import deduplication
-from shedgrade.controlplane.channels import Outcome, Relayed, decode, encode
-from shedgrade.controlplane.orders import (
-    REVISIONS,
-    Conflict,
+from shedgrade.controlplane.channels import ForwardedRequest, ForwardedResponse, decode, encode
+from shedgrade.controlplane.commands import (
+    CancelEvacuation,
+    CommandReply,
     Evacuate,
     PatchConfiguration,
     PutConfiguration,
-    Reply,
-    Return,
+    RevisionConflict,
     make_decide,
 )
+from shedgrade.controlplane.state_keys import EVACUATION_REVISIONS
 from shedgrade.replication.effects import Decision
 
 decide = make_decide({"north-a": "north", "south-a": "south"})
@@ -53,8 +53,8 @@
 class State(dict):
     """Control state to which orders are applied in turn."""
 
-    def status(self, order):
-        decision = decide(self, order)
+    def status(self, command):
+        decision = decide(self, command)
         for key, value in decision.changes.items():
             if value is None:
                 del self[key]
@@ -80,7 +80,7 @@
 def test_what_is_said_again_has_been_taken():
     state = State()
     first, second = put(3, 0), put(7, 3)
-    assert [state.status(order) for order in (first, first, second, second, first)] == [200] * 5
+    assert [state.status(command) for command in (first, first, second, second, first)] == [200] * 5
     assert state.version() == 7
     spaced = PutConfiguration(3, 7, b'{ "routeList": [0],\n"configVersion": 7 }')
     assert state.status(spaced) == 200 and state["configuration"] == second.raw
@@ -91,7 +91,7 @@
     state.status(put(3, 0))
     assert decide(state, put(3, 0)).changes == {}
     assert decide(state, put(9, 1)).changes == {}
-    assert decide(state, Return("north-a")).changes.keys() == {REVISIONS}
+    assert decide(state, CancelEvacuation("north-a")).changes.keys() == {EVACUATION_REVISIONS}
 
 
 def test_two_with_the_same_number_are_not_both_taken():
@@ -106,9 +106,9 @@
 def test_a_refusal_says_where_and_why():
     state = State()
     state.status(put(3, 0))
-    assert decide(state, put(9, 1)).outcome == Reply(412, "version 3 is in place", "If-Match")
-    assert decide(state, put(2, 3)).outcome == Reply(400, "is not above 3", "configVersion")
-    assert decide(state, Evacuate("west")).outcome == Reply(404, "no such zone", "west")
+    assert decide(state, put(9, 1)).outcome == CommandReply(412, "version 3 is in place", "If-Match")
+    assert decide(state, put(2, 3)).outcome == CommandReply(400, "is not above 3", "configVersion")
+    assert decide(state, Evacuate("west")).outcome == CommandReply(404, "no such zone", "west")
 
 
 def test_what_was_accepted_is_acknowledged_again_after_thousands_of_changes():
@@ -165,10 +165,10 @@
     assert state.status(Evacuate("south-a")) == 200
     assert state.status(Evacuate("north-a")) == 200
     assert state["evacuations"] == b'["north-a","south-a"]'
-    assert decide(state, Evacuate("north-a")).changes.keys() == {REVISIONS}
-    assert state.status(Return("south-a", 1)) == 200 and state["evacuations"] == b'["north-a"]'
-    assert state.status(Return("south-a")) == 200 and state["evacuations"] == b'["north-a"]'
-    assert state.status(Evacuate("west")) == 404 and state.status(Return("west")) == 404
+    assert decide(state, Evacuate("north-a")).changes.keys() == {EVACUATION_REVISIONS}
+    assert state.status(CancelEvacuation("south-a", 1)) == 200 and state["evacuations"] == b'["north-a"]'
+    assert state.status(CancelEvacuation("south-a")) == 200 and state["evacuations"] == b'["north-a"]'
+    assert state.status(Evacuate("west")) == 404 and state.status(CancelEvacuation("west")) == 404
     assert state.status(put(3, 0)) == 200 and state["evacuations"] == b'["north-a"]'
 
 
@@ -177,19 +177,19 @@
     state = State()
     late = Evacuate("north-a", 0)
     assert state.status(Evacuate("south-a")) == 200
-    assert state.status(Return("north-a", 0)) == 200  # nothing to do, and newer than the late one
-    assert decide(state, late) == Decision({}, Conflict(1))
+    assert state.status(CancelEvacuation("north-a", 0)) == 200  # nothing to do, and newer than the late one
+    assert decide(state, late) == Decision({}, RevisionConflict(1))
     assert state.status(Evacuate("north-a", 1)) == 200
-    assert decide(state, Return("north-a", 1)) == Decision({}, Conflict(2))
+    assert decide(state, CancelEvacuation("north-a", 1)) == Decision({}, RevisionConflict(2))
     assert state.status(late) == 200 and state["evacuations"] == b'["north-a","south-a"]'
-    assert decide(state, Return("north-a", 2)) == Decision({}, Conflict(3))
-    assert state.status(Return("north-a", 3)) == 200 and state["evacuations"] == b'["south-a"]'
-    assert state.status(Return("south-a", 1)) == 200 and state["evacuations"] == b"[]"
+    assert decide(state, CancelEvacuation("north-a", 2)) == Decision({}, RevisionConflict(3))
+    assert state.status(CancelEvacuation("north-a", 3)) == 200 and state["evacuations"] == b'["south-a"]'
+    assert state.status(CancelEvacuation("south-a", 1)) == 200 and state["evacuations"] == b"[]"
 
 
 def test_a_zone_that_settings_name_no_more_can_be_taken_back():
     state = State({"evacuations": b'["gone"]'})
-    assert state.status(Return("gone")) == 200 and state["evacuations"] == b"[]"
+    assert state.status(CancelEvacuation("gone")) == 200 and state["evacuations"] == b"[]"
 
 
 def test_what_is_no_order_is_a_fault():
@@ -198,17 +198,17 @@
 
 
 @given(st.lists(st.tuples(st.integers(1, 6), st.integers(0, 6), st.integers(0, 1)), max_size=30))
-def test_taken_versions_form_one_chain(orders):
+def test_taken_versions_form_one_chain(commands):
     """Whatever is sent in whatever order: each version that is taken builds on the one before and rises, and
     an acknowledged one is acknowledged again."""
     state, chain = State(), [0]
     acknowledged = set()
-    for version, base, content in orders:
-        order = put(version, base, content)
+    for version, base, content in commands:
+        command = put(version, base, content)
         before = state.version()
-        status = state.status(order)
+        status = state.status(command)
         if state.version() != before:
-            assert status == 200 and base == before < version and state["configuration"] == order.raw
+            assert status == 200 and base == before < version and state["configuration"] == command.raw
             chain.append(version)
             assert (version, 1 - content) not in acknowledged
         if status == 200:
@@ -218,11 +218,13 @@
     assert all(state.status(put(version, 99, content)) == 200 for version, content in acknowledged)
 
 
-@pytest.mark.parametrize("order", [put(3, 0), put(3, None), Evacuate("north-a"), Return("north-a"), None])
-def test_orders_and_replies_travel(order):
-    assert decode(encode(Relayed(order))) == Relayed(order)
-    for reply in (Reply(412, "another", "If-Match"), Conflict(3), None):
-        outcome = Outcome(reply, {"version": b"3"})
+@pytest.mark.parametrize(
+    "command", [put(3, 0), put(3, None), Evacuate("north-a"), CancelEvacuation("north-a"), None]
+)
+def test_orders_and_replies_travel(command):
+    assert decode(encode(ForwardedRequest(command))) == ForwardedRequest(command)
+    for reply in (CommandReply(412, "another", "If-Match"), RevisionConflict(3), None):
+        outcome = ForwardedResponse(reply, {"version": b"3"})
         assert decode(encode(outcome)) == outcome
 
 
--- a/tests/controlplane/test_disk_thread.py
+++ b/tests/controlplane/test_disk_thread.py
@@ -5,7 +5,7 @@
 
 import pytest
 
-from shedgrade.controlplane.disk import Disk
+from shedgrade.controlplane.disk_thread import DiskThread
 from shedgrade.storage import Store
 
 WRITES = 300
@@ -31,7 +31,7 @@
             if len(told) == WRITES:
                 all_told.set()
 
-        disk = Disk(loop, store, done)
+        disk = DiskThread(loop, store, done)
         disk.start()
         for number in range(WRITES):
             disk.write(number, {"number": b"%d" % number})
--- a/tests/controlplane/test_late_orders.py
+++ b/tests/controlplane/test_late_commands.py
@@ -7,8 +7,8 @@
 import virtual_loop
 from control_net import Call, Net
 
-from shedgrade.controlplane import ordering, orders
-from shedgrade.controlplane.ordering import Ordering, ZoneSubmission
+from shedgrade.controlplane import command_router, commands
+from shedgrade.controlplane.command_router import CommandRouter, PendingZoneCommand
 from shedgrade.replication.effects import Decision
 
 ZONE = "/evacuation/hall-2"
@@ -133,8 +133,10 @@
         name = by_role(net, "backup")
         submissions = []
         process = net.processes[name]
-        real = process.ordering.ask
-        process.ordering.ask = lambda order, told: submissions.append(net.loop.time()) or real(order, told)
+        real = process.command_router.hand_to_member
+        process.command_router.hand_to_member = lambda command, told: (
+            submissions.append(net.loop.time()) or real(command, told)
+        )
         for other in net.processes:
             if other != name:
                 net.processes[other].loop.stop()
@@ -155,7 +157,7 @@
         for turn in range(12):
             name = "abc"[turn % 3]
             seconds = await given(net, name, ("POST", "DELETE")[turn % 2])
-            assert seconds < ordering.CLOSE_DELAY + 12 * net.delay
+            assert seconds < command_router.CLOSE_DELAY_S + 12 * net.delay
             assert evacuated(net) == (["hall-2"] if turn % 2 == 0 else [])
 
     play(scene, delay=0.03)
@@ -177,16 +179,16 @@
 
 def unconditional(monkeypatch):
     """An order builds on nothing."""
-    real = orders.make_decide
+    real = commands.make_decide
 
     def make(zones):
         decide = real(zones)
 
-        def blind(state, order):
-            if isinstance(order, orders.ZoneOrder):
-                current = orders.zone_revisions(state).get(order.zone, 0)
-                order = msgspec.structs.replace(order, revision=current)
-            return decide(state, order)
+        def blind(state, command):
+            if isinstance(command, commands.ZoneCommand):
+                current = commands.zone_revisions(state).get(command.zone, 0)
+                command = msgspec.structs.replace(command, revision=current)
+            return decide(state, command)
 
         return blind
 
@@ -195,30 +197,32 @@
 
 def of_any_age(monkeypatch):
     """A member trusts what it reads to be new, and its caller to be there."""
-    monkeypatch.setattr(ZoneSubmission, "waited_for", lambda self: True)
+    monkeypatch.setattr(PendingZoneCommand, "caller_is_waiting", lambda self: True)
 
 
 def deaf_to_ends(monkeypatch):
     """A member doesn't look whether its caller is there."""
-    real = Ordering.order
+    real = CommandRouter.submit
     monkeypatch.setattr(
-        Ordering,
-        "order",
-        lambda self, order, tell, caller: real(self, order, tell, ordering.Caller(caller.arrived_after)),
+        CommandRouter,
+        "submit",
+        lambda self, command, tell, caller: real(
+            self, command, tell, command_router.Caller(caller.arrived_after)
+        ),
     )
 
 
-def idle_orders_keep_the_revision(state, order, decide):
-    decision = decide(state, order)
+def idle_orders_keep_the_revision(state, command, decide):
+    decision = decide(state, command)
     return decision if "evacuations" in decision.changes else Decision({}, decision.outcome)
 
 
 def test_a_planted_fault_in_orders_that_change_nothing_is_found(monkeypatch):
-    real = orders.make_decide
+    real = commands.make_decide
 
     def make(zones):
         decide = real(zones)
-        return lambda state, order: idle_orders_keep_the_revision(state, order, decide)
+        return lambda state, command: idle_orders_keep_the_revision(state, command, decide)
 
     monkeypatch.setattr("control_net.make_decide", make)
     wrong = []
--- a/tests/controlplane/test_operators_api.py
+++ b/tests/controlplane/test_operator_api.py
@@ -8,33 +8,32 @@
 import pytest
 
 import shedgrade.controlplane.operator_api
-from shedgrade.controlplane.operator_api import SOUND, Operators, version_in
-from shedgrade.controlplane.orders import Reply as Outcome
-from shedgrade.controlplane.orders import ZoneOrder, make_decide, zone_revisions
+from shedgrade.controlplane.commands import CommandReply, ZoneCommand, make_decide, zone_revisions
+from shedgrade.controlplane.operator_api import CHECKED_CHANGES, OperatorApi, version_in
 from shedgrade.http.server import Request
 
 
-class Orders:
+class DecidingRouter:
     """Decides at once; `there`: whether a primary is to be had."""
 
     def __init__(self):
         self.state, self.there, self.seen = {}, True, []
         self.decide = make_decide({"north-a": "north", "söuth": "south"})
 
-    def order(self, order, tell, caller):
-        order = self.on_newest(order)
-        self.seen.append(order)
+    def submit(self, command, tell, caller):
+        command = self.on_newest(command)
+        self.seen.append(command)
         if not self.there:
             tell(None)
             return
-        decision = self.decide(self.state, order)
+        decision = self.decide(self.state, command)
         self.state.update(decision.changes)
         tell(decision.outcome)
 
-    def on_newest(self, order):
-        if not isinstance(order, ZoneOrder):
-            return order
-        return msgspec.structs.replace(order, revision=zone_revisions(self.state).get(order.zone, 0))
+    def on_newest(self, command):
+        if not isinstance(command, ZoneCommand):
+            return command
+        return msgspec.structs.replace(command, revision=zone_revisions(self.state).get(command.zone, 0))
 
     def read(self, tell, caller):
         tell(self.state if self.there else None)
@@ -42,8 +41,8 @@
 
 @pytest.fixture
 def place():
-    orders = Orders()
-    operators = Operators(orders, lambda: {"role": "primary"})
+    router = DecidingRouter()
+    operators = OperatorApi(router, lambda: {"role": "primary"})
 
     def call(method, path, body=b"", **headers):
         replies = []
@@ -52,7 +51,7 @@
         (reply,) = replies
         return reply
 
-    return SimpleNamespace(orders=orders, operators=operators, call=call)
+    return SimpleNamespace(router=router, operators=operators, call=call)
 
 
 def configuration(version, **more):
@@ -112,7 +111,7 @@
     reply = place.call("PATCH", "/configuration", b'{"configVersion": 0, "remove": {"limits": []}}')
     assert reply.status == 400
     assert [where for where, _ in found(reply)] == ["If-Match", "configVersion", "remove.limits"]
-    assert place.orders.seen == []
+    assert place.router.seen == []
 
 
 def test_a_body_found_sound_as_a_whole_is_not_taken_for_a_part(place):
@@ -126,7 +125,7 @@
     assert reply.status == 400
     assert [where for where, _ in found(reply)] == ["routeList[0].timeoutMs", "routeList[0].service"]
     assert place.call("PUT", "/configuration", b"", if_match=b"0").status == 400
-    assert place.orders.seen == []
+    assert place.router.seen == []
 
 
 @pytest.mark.parametrize(
@@ -134,7 +133,7 @@
 )
 def test_the_version_it_builds_on_must_be_said(place, header):
     reply = place.call("PUT", "/configuration", configuration(7), **header)
-    assert reply.status == 400 and found(reply)[0][0] == "If-Match" and place.orders.seen == []
+    assert reply.status == 400 and found(reply)[0][0] == "If-Match" and place.router.seen == []
     reply = place.call("PUT", "/configuration", configuration(7, timeoutMs=0), **header)
     assert [where for where, _ in found(reply)] == ["If-Match", "routeList[0].timeoutMs"]
 
@@ -165,15 +164,15 @@
     assert len(checks) == 3
     for version in range(8, 40):
         place.call("PUT", "/configuration", configuration(version), if_match=b"%d" % (version - 1))
-    assert len(place.operators.sound) == SOUND
+    assert len(place.operators.checked) == CHECKED_CHANGES
 
 
 def test_zones_are_emptied_by_name(place):
     assert place.call("POST", "/evacuation/north-a").status == 200
     assert place.call("POST", "/evacuation/s%C3%B6uth").status == 200
-    assert orjson.loads(place.orders.state["evacuations"]) == ["north-a", "söuth"]
+    assert orjson.loads(place.router.state["evacuations"]) == ["north-a", "söuth"]
     assert place.call("DELETE", "/evacuation/north-a").status == 200
-    assert orjson.loads(place.orders.state["evacuations"]) == ["söuth"]
+    assert orjson.loads(place.router.state["evacuations"]) == ["söuth"]
     reply = place.call("POST", "/evacuation/west")
     assert reply.status == 404 and found(reply) == [("west", "no such zone")]
     assert place.call("POST", "/evacuation/%ff").status == 404
@@ -188,7 +187,7 @@
 
 
 def test_without_a_primary_callers_are_told_to_come_again(place):
-    place.orders.there = False
+    place.router.there = False
     for call in (
         ("PUT", "/configuration", configuration(7)),
         ("PATCH", "/configuration", b'{"configVersion": 7}'),
@@ -202,12 +201,12 @@
 
 
 def test_a_status_of_the_decision_is_passed_on(place):
-    place.orders.order = lambda order, tell, caller: tell(Outcome(409, "a reason", "there"))
+    place.router.submit = lambda command, tell, caller: tell(CommandReply(409, "a reason", "there"))
     reply = place.call("POST", "/evacuation/north-a")
     assert reply.status == 409 and found(reply) == [("there", "a reason")]
 
 
 def test_without_a_status_there_is_no_such_call():
     replies = []
-    Operators(Orders()).handle(Request(b"GET", b"/status"), replies.append)
+    OperatorApi(DecidingRouter()).handle(Request(b"GET", b"/status"), replies.append)
     assert replies[0].status == 404
--- a/tests/controlplane/test_standstill.py
+++ b/tests/controlplane/test_stalled_process.py
@@ -4,29 +4,33 @@
 from controlplane.cut_world import CutWorld
 from controlplane.virtual_loop import play
 
-from shedgrade.controlplane.standstill import SETTLING, STANDSTILL, Standstill
 from shedgrade.http.server import Request
+from shedgrade.runtime.stall_detection import FRAMES_SETTLING_S, STALL_THRESHOLD_S, StallDetector
 
 STOPPED = 20.0  # s
 
 
-def test_what_is_read_after_a_standstill_may_be_as_old_as_that():
-    look = Standstill(10.0)
-    for now in (10.25, 10.5, 10.5 + STANDSTILL):
-        look.look(now)
-        assert look.unread_s(now) == 0
-    look.look(31.25)
-    assert look.unread_s(31.25) == 20.0 and look.unread_s(31.5) == 20.25
-    look.look(31.25 + SETTLING)
-    assert look.unread_s(31.25 + SETTLING) == 0
+def test_what_is_read_after_a_stall_may_be_as_old_as_that():
+    detector = StallDetector(10.0)
+    for now in (10.25, 10.5, 10.5 + STALL_THRESHOLD_S):
+        detector.observe(now)
+        detector.check_invariants()
+        assert detector.unread_s(now) == 0
+    detector.observe(31.25)
+    detector.check_invariants()
+    assert detector.unread_s(31.25) == 20.0 and detector.unread_s(31.5) == 20.25
+    detector.observe(31.25 + FRAMES_SETTLING_S)
+    detector.check_invariants()
+    assert detector.unread_s(31.25 + FRAMES_SETTLING_S) == 0
 
 
-def test_a_second_standstill_right_after_the_first_adds_to_it():
-    look = Standstill(10.0)
-    look.look(20.0)
-    look.look(20.25)
-    look.look(22.25)
-    assert look.unread_s(22.25) == 12.25
+def test_a_second_stall_right_after_the_first_adds_to_it():
+    detector = StallDetector(10.0)
+    detector.observe(20.0)
+    detector.observe(20.25)
+    detector.observe(22.25)
+    detector.check_invariants()
+    assert detector.unread_s(22.25) == 12.25
 
 
 def named(core) -> list[str] | int:
--- a/tests/ctl/test_status_call.py
+++ b/tests/ctl/test_status_call.py
@@ -4,7 +4,7 @@
 from random import Random
 
 from shedgrade.control_messages import READY, Ask, EdgeState
-from shedgrade.controlplane.operator_api import Operators
+from shedgrade.controlplane.operator_api import OperatorApi
 from shedgrade.controlplane.platform_poller import InstanceList
 from shedgrade.controlplane.singleton_roles import Duties
 from shedgrade.controlplane.status import status
@@ -34,7 +34,7 @@
 
 
 def told(now, member, hub, instances, duties):
-    given = Operators(None, lambda: status(now, "core-a", ZONES, member, hub, instances, duties))
+    given = OperatorApi(None, lambda: status(now, "core-a", ZONES, member, hub, instances, duties))
     replies = []
     given.handle(Request(b"GET", b"/status"), replies.append)
     assert replies[0].status == 200
@@ -98,5 +98,5 @@
 
 def test_without_a_status_there_is_no_such_call():
     replies = []
-    Operators(None).handle(Request(b"GET", b"/status"), replies.append)
+    OperatorApi(None).handle(Request(b"GET", b"/status"), replies.append)
     assert replies[0].status == 404
--- a/tests/simulation/planted_system_faults.py
+++ b/tests/simulation/planted_system_faults.py
@@ -4,16 +4,16 @@
 from faulty_members import AnswersAfterOwnDiskOnly
 
 from shedgrade.controlplane import (
+    commands,
     directory,
     home_regions,
-    orders,
     plane,
     singleton_roles,
     watch_hub,
 )
-from shedgrade.controlplane.deduplication import Past
-from shedgrade.controlplane.ordering import Ordering, ZoneSubmission
-from shedgrade.controlplane.orders import Reply
+from shedgrade.controlplane.command_router import CommandRouter, PendingZoneCommand
+from shedgrade.controlplane.commands import CommandReply
+from shedgrade.controlplane.deduplication import AcceptanceStatus
 from shedgrade.controlplane.watch_hub import PendingWatch, WatchHub
 from shedgrade.dataplane.control_client import Watcher
 from shedgrade.replication.effects import Decision
@@ -21,7 +21,11 @@
 
 def remembers_only_the_newest(monkeypatch):
     """What was accepted is forgotten with the next change."""
-    monkeypatch.setattr(orders.deduplication, "past", lambda state, version, raw: Past.NEVER_ACCEPTED)
+    monkeypatch.setattr(
+        commands.deduplication,
+        "acceptance_status",
+        lambda state, version, raw: AcceptanceStatus.NEVER_ACCEPTED,
+    )
 
 
 def any_region_where_no_home_is_ready(monkeypatch):
@@ -49,44 +53,46 @@
 def reads_without_confirmation(monkeypatch):
     """A read is answered from the member's own memory."""
 
-    class Unconfirmed(Ordering):
+    class Unconfirmed(CommandRouter):
         def read(self, tell, *caller):
             tell(dict(self.member.finished[2]))
 
-    monkeypatch.setattr(plane, "Ordering", Unconfirmed)
+    monkeypatch.setattr(plane, "CommandRouter", Unconfirmed)
 
 
 def late_orders_are_carried_out(monkeypatch):
     """An order for a zone is carried out whatever was ordered since, and whoever waits for it."""
-    make_decide = orders.make_decide
+    make_decide = commands.make_decide
 
     def make(zones):
         decide = make_decide(zones)
 
-        def careless(state, order):
-            if not isinstance(order, orders.ZoneOrder):
-                return decide(state, order)
-            current = orders.zone_revisions(state).get(order.zone, 0)
-            return decide(state, type(order)(order.zone, current))
+        def careless(state, command):
+            if not isinstance(command, commands.ZoneCommand):
+                return decide(state, command)
+            current = commands.zone_revisions(state).get(command.zone, 0)
+            return decide(state, type(command)(command.zone, current))
 
         return careless
 
     monkeypatch.setattr(plane, "make_decide", make)
-    monkeypatch.setattr(ZoneSubmission, "waited_for", lambda self: True)
+    monkeypatch.setattr(PendingZoneCommand, "caller_is_waiting", lambda self: True)
 
 
 def two_on_one_base(monkeypatch):
     """A change is taken though another took its base."""
-    make_decide = orders.make_decide
+    make_decide = commands.make_decide
 
     def make(zones):
         decide = make_decide(zones)
 
-        def careless(state, order):
-            decision = decide(state, order)
-            raced = isinstance(order, orders.PutConfiguration) and decision.outcome.status == 412
-            if raced and order.version > int(state.get("version") or 0):
-                return Decision({"configuration": order.raw, "version": b"%d" % order.version}, Reply(200))
+        def careless(state, command):
+            decision = decide(state, command)
+            raced = isinstance(command, commands.PutConfiguration) and decision.outcome.status == 412
+            if raced and command.version > int(state.get("version") or 0):
+                return Decision(
+                    {"configuration": command.raw, "version": b"%d" % command.version}, CommandReply(200)
+                )
             return decision
 
         return careless
--- a/tests/stored/struct_examples.py
+++ b/tests/stored/struct_examples.py
@@ -57,6 +57,7 @@
 MODULES = {
     "capture.config": "sidecar.capture.config",
     "controlplane.duties": "controlplane.singleton_roles",
+    "controlplane.orders": "controlplane.commands",
     "core.learnt": "sidecar.learned_state_file",
     "knowledge": "control_messages",
     "lifecycle.features": "sidecar.lifecycle.features",
@@ -70,7 +71,13 @@
     "watch.config": "sidecar.shadow_policy.config",
 }
 # Name then: module and class now, for a class that has another name or module than `MODULES` tells.
-CLASSES: dict[str, str] = {}
+CLASSES: dict[str, str] = {
+    "controlplane.channels:Outcome": "controlplane.channels:ForwardedResponse",
+    "controlplane.channels:Relayed": "controlplane.channels:ForwardedRequest",
+    "controlplane.orders:Conflict": "controlplane.commands:RevisionConflict",
+    "controlplane.orders:Reply": "controlplane.commands:CommandReply",
+    "controlplane.orders:Return": "controlplane.commands:CancelEvacuation",
+}
 
 
 def current_class(name: str) -> type[msgspec.Struct]:
--- a/tests/stored/test_core_folder_as_found.py
+++ b/tests/stored/test_core_folder_as_found.py
@@ -12,8 +12,8 @@
 import pytest
 
 from shedgrade.controlplane import deduplication
+from shedgrade.controlplane.commands import make_decide, zone_revisions
 from shedgrade.controlplane.configuration import read
-from shedgrade.controlplane.orders import make_decide, zone_revisions
 from shedgrade.replication import (
     Answer,
     Finished,
@@ -157,7 +157,10 @@
     assert zone_revisions(state) == {"hall-2": 1, "hall-3": 2}
     assert deduplication.count(state) == 4
     for version in (1, 2, 3, 4):
-        assert deduplication.past(state, version, b"something else") is deduplication.Past.NEVER_ACCEPTED
+        assert (
+            deduplication.acceptance_status(state, version, b"something else")
+            is deduplication.AcceptanceStatus.NEVER_ACCEPTED
+        )
 
 
 @pytest.mark.parametrize("lost", [(), ("core-1",), ("core-2",), ("core-3",)])
--- a/tests/stored/test_structs_as_found.py
+++ b/tests/stored/test_structs_as_found.py
@@ -14,7 +14,9 @@
 EXAMPLES = json.loads((Path(__file__).parent.parent / "data" / "structs.json").read_text())
 
 # Name then: name of the field then: name now.
-FIELDS: dict[str, dict[str, str]] = {}
+FIELDS: dict[str, dict[str, str]] = {
+    "controlplane.channels:Relayed": {"order": "command", "held": "held_version"},
+}
 
 
 @pytest.mark.parametrize("name", EXAMPLES)
