--- a/benchmarks/system.py
+++ b/benchmarks/system.py
@@ -236,19 +236,19 @@
     from shedgrade.controlplane.watch_hub import WatchHub
     from shedgrade.peer_transport import frames
 
-    hub, count, out = WatchHub("10.0.0.1:7300", 0.0), options.edges, []
-    hub.members(0.0, tuple(f"10.0.0.{number}:7300" for number in range(5)))
+    hub, count, out = WatchHub(0.0), options.edges, []
+    hub.set_members(0.0, tuple(f"10.0.0.{number}:7300" for number in range(5)))
     held = InstanceList(lambda: 0.0)
     held.lead(1)
     told = entries(options.upstreams)
     held.apply(0.0, told)
-    hub.instances(0.0, held)
+    hub.set_endpoint_list(0.0, held)
 
     raw = configuration(20)
 
     def control(sequence):
         state = {"configuration": raw, "version": b"%d" % sequence, "evacuations": b"[]"}
-        hub.control(0.0, 1, sequence, state)
+        hub.apply_control_state(0.0, 1, sequence, state)
 
     def asks(now, sequence):
         for number in range(count):
@@ -268,7 +268,7 @@
 
     def take():
         for body in bodies:
-            hub.ask(0.1, control_messages.decode(frames.decode(body).body[1:]), answer)
+            hub.watch(0.1, control_messages.decode(frames.decode(body).body[1:]), answer)
 
     print(
         f"{count} asks read and parked: {spent(take) / count * 1000:.0f} us each, "
@@ -284,10 +284,10 @@
     take()
     told[5] = {**told[5], "state": "draining"}
     held.apply(1.0, told)
-    took = spent(lambda: hub.instances(1.0, held))
+    took = spent(lambda: hub.set_endpoint_list(1.0, held))
     print(f"a delta of one upstream told to all: {took:.1f} ms, {len(out[-1])} bytes each")
-    word = control_messages.encode(hub.own_edges(1.0))
-    took = spent(lambda: control_messages.encode(hub.own_edges(1.0)))
+    word = control_messages.encode(hub.edges.own_edges(1.0))
+    took = spent(lambda: control_messages.encode(hub.edges.own_edges(1.0)))
     print(f"word to another member of {count} edges: {took:.1f} ms, {len(word)} bytes")
 
 
--- a/shedgrade/controlplane/plane.py
+++ b/shedgrade/controlplane/plane.py
@@ -135,7 +135,7 @@
         self.duties = duty.Duties(
             own, self.member_addresses, random, now, duties=(LIST,), floor=int(wall_clock() * 10)
         )
-        self.hub = WatchHub(own, now, exchange=SPREAD, cover=self.cover)
+        self.hub = WatchHub(now, exchange_interval_s=SPREAD, cover=self.cover)
         self.reach = Reach(own, settings.region)
         self.stalls = StallDetector(now)
         self.recording = Recording(self.hub, random.getrandbits(40) + 1, founding, self.tell_knowledge)
@@ -231,8 +231,8 @@
         self.loop.call_later(BEAT, self.beat)
         now = self.loop.time()
         self.stalls.observe(now)
-        self.hub.confirmed(self.member.confirmed_at)
-        self.hub.members(now, self.member_addresses())
+        self.hub.set_confirmed_at(self.member.confirmed_at)
+        self.hub.set_members(now, self.member_addresses())
         self.recording.beat(now, self.contact_at())
         if self.duties.held(LIST) and self.poller.failed >= AGED:
             self.duties.vacate(now, LIST)
@@ -262,7 +262,7 @@
 
     def spread_edges(self, now: float) -> None:
         self.spread_at = now + SPREAD
-        known = self.hub.own_edges(now)
+        known = self.hub.edges.own_edges(now)
         if known.edges:
             self.tell_others(KNOWLEDGE + control_messages.encode(known))
 
@@ -314,7 +314,7 @@
             case Answer(ticket, outcome):
                 self.command_router.on_member_outcome(ticket, outcome)
             case Finished(epoch, sequence, state):
-                self.hub.control(self.loop.time(), epoch, sequence, state)
+                self.hub.apply_control_state(self.loop.time(), epoch, sequence, state)
             case Left():
                 self.left.set()
 
@@ -375,9 +375,9 @@
         if self.edge_peers.get(sender) is peer:
             del self.edge_peers[sender]
             host = split(sender)[0]
-            for name, heard in list(self.hub.heard.items()):
+            for name, heard in list(self.hub.edges.records.items()):
                 if heard.own and split(heard.edge.front)[0] == host:
-                    self.hub.gone(name)
+                    self.hub.edge_disconnected(name)
 
     def came_back(self, sender: str, frame) -> None:
         self.take(sender, frame.body, lambda body: self.links.send(sender, body))
@@ -393,7 +393,7 @@
             if channel == REPLICATION:
                 self.member.unread_s = unread_s
                 self.member.receive(now, sender, decode_replication(body))
-                self.hub.confirmed(self.member.confirmed_at)
+                self.hub.set_confirmed_at(self.member.confirmed_at)
             elif channel == DUTIES:
                 self.duties.receive(now, sender, decode_duties(body))
             elif channel == KNOWLEDGE:
@@ -412,11 +412,11 @@
             case Ask():
                 # Guards against core members that all started anew: their terms go above what edges hold.
                 self.duties.met(now, LIST, message.upstreams[0])
-                before = self.hub.own_version
-                self.hub.ask(
+                before = self.hub.edges.own_version
+                self.hub.watch(
                     now, message, lambda told: answer(KNOWLEDGE + control_messages.encode(told)), unread_s
                 )
-                if self.hub.own_version != before:
+                if self.hub.edges.own_version != before:
                     self.spread_edges(now)
             case LoadReport():
                 self.loads.reported(
@@ -430,7 +430,7 @@
                 self.recording.heard(now, message, lambda body: answer(KNOWLEDGE + body))
             case EdgesKnown():
                 self.reach.heard(now - unread_s, sender)
-                self.hub.peers_edges(now, sender, message, unread_s)
+                self.hub.update_edges(now, message, unread_s)
             case AskList(term, number):
                 answer(KNOWLEDGE + control_messages.encode(self.instances.answer(term, number, now)))
             case ListMoved():
@@ -445,7 +445,7 @@
             crc32(one.id.encode()): self.settings.zones.get(one.zone, "")
             for one in self.instances.instances()
         }
-        self.hub.instances(now, self.instances)
+        self.hub.set_endpoint_list(now, self.instances)
 
     def polled(self, changed: bool) -> None:
         """This process polls, and a whole list has come."""
@@ -472,7 +472,7 @@
         now, stranded = self.loop.time(), frozenset()
         if self.reach.cut_off(now, self.member_addresses(), self.contact_at()):
             stranded = self.reach.stranded(self.hub.configuration, self.served_here())
-        tell(self.directory.handle(request, self.hub.edges(now), stranded, self.homes_of))
+        tell(self.directory.handle(request, self.hub.listed_edges(now), stranded, self.homes_of))
 
     def homes_of(self, host: str) -> Regions:
         """Where else than in their own region clients of a host may be sent."""
--- a/shedgrade/controlplane/prefix_index_exchange.py
+++ b/shedgrade/controlplane/prefix_index_exchange.py
@@ -20,7 +20,7 @@
         self, hub: WatchHub, source: int, founding: bool, tell_others: Callable[[object], None]
     ) -> None:
         self.hub, self.tell_others = hub, tell_others
-        self.ledger = hub.ledger = Ledger(source, founding)
+        self.ledger = hub.prefix_index = Ledger(source, founding)
         self.asked_at, self.in_touch_at = 0.0, None
 
     def beat(self, now: float, heard_at: float) -> None:
@@ -35,8 +35,8 @@
             elif now - self.asked_at >= ASK:
                 self.asked_at = now
                 self.tell_others(AskRecord())
-        if self.hub.reads:
-            pairs, self.hub.reads = tuple(self.hub.reads), []
+        if self.hub.unsent_prefix_reads:
+            pairs, self.hub.unsent_prefix_reads = tuple(self.hub.unsent_prefix_reads), []
             self.tell_others(RecordRead(pairs))
 
     def heard(self, now: float, message: object, answer: Callable[[bytes], None]) -> None:
--- a/shedgrade/controlplane/status.py
+++ b/shedgrade/controlplane/status.py
@@ -57,8 +57,8 @@
 def edges(now: float, hub: WatchHub) -> list[dict]:
     """All that are remembered, those that leave or fell silent among them."""
     told = []
-    for name, heard in sorted(hub.heard.items()):
-        parked = hub.parked.get(name)
+    for name, heard in sorted(hub.edges.records.items()):
+        pending = hub.pending.get(name)
         told.append(
             {
                 "name": name,
@@ -67,7 +67,7 @@
                 "region": heard.edge.region,
                 "state": heard.edge.state,
                 "ageS": round(now - heard.at, 3),
-                "configVersion": None if parked is None else parked.ask.version,
+                "configVersion": None if pending is None else pending.request.version,
             }
         )
     return told
--- a/shedgrade/controlplane/watch_hub.py
+++ b/shedgrade/controlplane/watch_hub.py
@@ -1,17 +1,17 @@
-"""Delivery: edges ask with the versions they hold, and are answered when one moves, or after a beat.
+"""Watches of edges on control state and endpoint list: each is answered when something newer is known.
 
-Sans I/O: time is handed in, answers go out by the `reply` that came with an ask. An ask is its edge's
-heartbeat, so the directory of edges is kept here too, merged from what each core member has heard itself.
+An edge's watch request names the versions that it holds. It is answered at once if something is newer, else
+when something moves or its wait is over. It is the edge's heartbeat too (`edge_table.py`).
+
+Sans I/O: time is handed in, responses go out by the `respond` that came with a request.
 """
 
 from collections.abc import Callable, Iterable, Mapping
 from math import inf
 
-import msgspec
 import orjson
 
 from shedgrade.control_messages import (
-    CLOSED,
     LEAVING,
     NEVER,
     READY,
@@ -25,265 +25,228 @@
     Told,
     packed,
 )
+from shedgrade.controlplane.edge_table import EdgeRecord, EdgeTable
 from shedgrade.controlplane.platform_poller import InstanceList
+from shedgrade.controlplane.state_keys import CONFIGURATION, EVACUATIONS, configuration_version
 from shedgrade.prefix_cache_index.index import Ledger, Pair
 from shedgrade.runtime.log import logger
 
-LONGEST_WAIT = 10.0  # s that an ask may be parked, whatever it says
-MOST_PARKED = 4096  # asks; beyond it they are answered at once
-UNHEARD = 0.5  # s beyond its wait after which an edge is not listed
-COUNTED = 3.0  # s beyond its wait in which an edge still counts: shares dealt by a low count add up
-RECOUNT = 0.1  # s between two looks at all edges: each answer carries their count
-FORGOTTEN = 30.0  # s after which nothing is known of an edge
-LEFT = 10.0  # s in which the word of an edge that leaves goes before what others heard earlier
-
+MAX_WAIT_S = 10.0  # that a watch may be pending, whatever it asks for
+MAX_PENDING_WATCHES = 4096  # beyond it watches are answered at once
 
 Cover = Callable[[EdgeState, tuple[EdgeSeen, ...]], str]
+Respond = Callable[[Told], None]
+Deltas = dict[tuple[int, int], ListMoved]  # by the version of the list from which they lead
 
 
 class PendingWatch:
-    """An ask that waits for something newer."""
-
-    __slots__ = ("ask", "reply", "at", "until")
-
-    def __init__(self, ask: Ask, reply: Callable[[Told], None], at: float) -> None:
-        self.ask, self.reply, self.at = ask, reply, at
-        self.until = at + min(max(ask.wait, 0.0), LONGEST_WAIT)
-
-
-class Heard:
-    """An edge as it was last heard, by this member (`own`) or by another."""
+    """A watch that came `at` that time and waits for something newer, at most until `deadline`."""
 
-    __slots__ = ("edge", "at", "wait", "own")
+    __slots__ = ("request", "respond", "at", "deadline")
 
-    def __init__(self, edge: EdgeState, at: float, wait: float, own: bool) -> None:
-        self.edge, self.at, self.wait, self.own = edge, at, wait, own
-
-
-class Ending(msgspec.Struct, frozen=True):
-    """The stage of an edge's end in one life: heard at first at `since`, and last at `at`."""
-
-    life: int
-    stage: int
-    since: float
-    at: float
-
-    @classmethod
-    def after(cls, before: "Ending | None", edge: EdgeState, at: float) -> "Ending":
-        """`before`: what was known of the edge's end until now."""
-        same = before is not None and (before.life, before.stage) == (edge.life, edge.stage)
-        return cls(edge.life, edge.stage, before.since if same else at, at)
+    def __init__(self, request: Ask, respond: Respond, at: float) -> None:
+        self.request = request
+        self.respond = respond
+        self.at = at
+        self.deadline = at + min(max(request.wait, 0.0), MAX_WAIT_S)
 
 
 class WatchHub:
-    """Answers the asks of edges from what this core member knows."""
+    """Answers the watches of edges from what this core member knows.
+
+    Attributes:
+        now: of the newest call.
+        member_addresses: link addresses of the core members, this one among them; empty until told.
+        control_position: (epoch, sequence) of the control state here; never falls. `version`,
+            `configuration` and `evacuations` are those of this state.
+        packed_configuration: the configuration as it is sent, made with the first watch that needs it.
+        endpoint_list: None until the first one is known.
+        confirmed_at: when no newer state was committed anywhere, as far as is known; never falls.
+        pending: by edge, the one watch that is not answered yet.
+        edges: the edges that were heard.
+        prefix_index: which upstream caches which prompt prefixes, None if it is not kept.
+        unsent_prefix_reads: news of it that other members are to be told.
+    """
 
     def __init__(
-        self, own: str, now: float, *, exchange: float = 0.5, cover: Cover = lambda edge, others: READY
+        self,
+        now: float,
+        *,
+        exchange_interval_s: float = 0.5,
+        cover: Cover = lambda edge, others: READY,
     ) -> None:
-        """`own`: this member's link address. `exchange`: s between two words of another member on its edges;
-        so much later they may be known here. `cover(edge, others)`: who takes the clients of an edge that
-        leaves, as `Told` says it."""
+        """`exchange_interval_s`: between two reports of another member on its edges. `cover(edge, others)`:
+        who takes the clients of an edge that leaves, as the response names it."""
         self.cover = cover
-        self.own, self.now, self.exchange = own, now, exchange
-        self.addresses: tuple[str, ...] = ()  # of the core members
-        self.own_version = 0  # grows when an edge heard here changed what it is
-        self.held = (0, 0)  # control state: (epoch, sequence)
-        self.version, self.configuration, self.evacuations = 0, b"", ()
-        self.sent: tuple[bytes, bool] | None = None  # the configuration as it travels
-        self.list: InstanceList | None = None
-        self.confirmed_at = -inf  # as of when nothing newer was finished anywhere
-        self.parked: dict[str, PendingWatch] = {}
-        self.heard: dict[str, Heard] = {}
-        self.counted = (-inf, 0)  # when, and how many edges
-        self.seen: tuple[float, tuple[EdgeSeen, ...]] | None = None  # those listed, until one changes
-        self.ending: dict[str, Ending] = {}  # by name
-        self.lost: dict[str, float] = {}  # by name: when its connection ended
-        self.ledger: Ledger | None = None  # the record of who holds which prompts, if kept
-        self.reads: list[Pair] = []  # news of it that other members are to be told
+        self.now = now
+        self.member_addresses: tuple[str, ...] = ()
+        self.control_position = (0, 0)
+        self.version = 0
+        self.configuration = b""
+        self.evacuations: tuple[str, ...] = ()
+        self.packed_configuration: tuple[bytes, bool] | None = None
+        self.endpoint_list: InstanceList | None = None
+        self.confirmed_at = -inf
+        self.pending: dict[str, PendingWatch] = {}
+        self.edges = EdgeTable(exchange_interval_s)
+        self.prefix_index: Ledger | None = None
+        self.unsent_prefix_reads: list[Pair] = []
+
+    def check_invariants(self) -> None:
+        """AssertionError if the attributes contradict each other."""
+        for name, watch in self.pending.items():
+            assert watch.request.edge.name == name, f"a watch of {watch.request.edge.name} pends as {name}"
+            assert watch.at <= watch.deadline <= watch.at + MAX_WAIT_S, f"{name} waits too long"
+        assert len(self.pending) <= MAX_PENDING_WATCHES, "too many watches are pending"
+        self.edges.check_invariants()
 
     # --- what is known here
 
-    def control(self, now: float, epoch: int, sequence: int, state: Mapping[str, bytes]) -> None:
-        """Finished control state; what is not newer is ignored."""
+    def apply_control_state(self, now: float, epoch: int, sequence: int, state: Mapping[str, bytes]) -> None:
+        """Takes committed control state; what is not newer is ignored."""
         self.now = now
-        if (epoch, sequence) <= self.held:
+        if (epoch, sequence) <= self.control_position:
             return
         try:
-            version = int(state.get("version") or 0)
-            evacuations = tuple(orjson.loads(state.get("evacuations") or b"[]"))
+            version = configuration_version(state)
+            evacuations = tuple(orjson.loads(state.get(EVACUATIONS) or b"[]"))
             if not all(isinstance(zone, str) for zone in evacuations):
                 raise ValueError("evacuations are no list of zones")
         except (ValueError, TypeError) as wrong:
-            # Guards against a state of another make: edges go on with the last one that could be read.
-            logger.error("control state {}.{} can't be read: {!r}", epoch, sequence, wrong)
+            # Guards against a state of another version: edges go on with the last one that could be read.
+            logger.error("control state decode failed", epoch=epoch, sequence=sequence, error=repr(wrong))
             return
-        configuration = state.get("configuration") or b""
+        configuration = state.get(CONFIGURATION) or b""
         if configuration != self.configuration:
-            self.sent = None
-        self.held, self.version = (epoch, sequence), version
-        self.configuration, self.evacuations = configuration, evacuations
-        self.tell(now)
-
-    def instances(self, now: float, instances: InstanceList) -> None:
+            self.packed_configuration = None
+        self.control_position = (epoch, sequence)
+        self.version = version
+        self.configuration = configuration
+        self.evacuations = evacuations
+        self.notify(now)
+
+    def set_endpoint_list(self, now: float, endpoint_list: InstanceList) -> None:
         """The list moved."""
-        self.now, self.list = now, instances
-        self.tell(now)
+        self.now = now
+        self.endpoint_list = endpoint_list
+        self.notify(now)
 
-    def confirmed(self, at: float) -> None:
+    def set_confirmed_at(self, at: float) -> None:
         """At that time a majority of the core held nothing newer than this member, as `replication` says."""
         self.confirmed_at = max(self.confirmed_at, at)
 
-    def members(self, now: float, addresses: tuple[str, ...]) -> None:
+    def set_members(self, now: float, addresses: tuple[str, ...]) -> None:
         """Link addresses of the core members, this one among them."""
-        self.now, self.addresses = max(self.now, now), addresses
+        self.now = max(self.now, now)
+        self.member_addresses = addresses
 
-    # --- asks
+    # --- watches
 
-    def ask(self, now: float, ask: Ask, reply: Callable[[Told], None], unread_s: float = 0.0) -> None:
+    def watch(self, now: float, request: Ask, respond: Respond, unread_s: float = 0.0) -> None:
         """Answers now if something is newer than the edge holds, else later, exactly once; not at all if the
-        same edge asks again before, or is `gone`. `unread_s`: the ask may have waited here so long."""
+        same edge asks again before, or is disconnected. `unread_s`: the request may have waited here so
+        long."""
         self.now = now
-        self.saw(Heard(ask.edge, now - unread_s, ask.wait, True))
-        if self.ledger is not None and ask.reads:
-            self.reads += self.ledger.read(now, ask.reads)
-        parked = PendingWatch(ask, reply, now)
-        self.parked.pop(ask.edge.name, None)
-        if self.news(parked) or parked.until <= now or len(self.parked) >= MOST_PARKED:
-            self.answer(now, parked, {})
+        self.edges.update(EdgeRecord(request.edge, now - unread_s, request.wait, True))
+        if self.prefix_index is not None and request.reads:
+            self.unsent_prefix_reads += self.prefix_index.read(now, request.reads)
+        watch = PendingWatch(request, respond, now)
+        self.pending.pop(request.edge.name, None)
+        if self.has_update(watch) or watch.deadline <= now or len(self.pending) >= MAX_PENDING_WATCHES:
+            self.answer(now, watch, {})
         else:
-            self.parked[ask.edge.name] = parked
+            self.pending[request.edge.name] = watch
 
     def tick(self, now: float) -> None:
-        """Answers the asks that waited long enough, and forgets edges that are long gone."""
+        """Answers the watches whose wait is over, and forgets edges that are long gone."""
         self.now = now
-        self.send(now, [parked for parked in self.parked.values() if parked.until <= now])
-        for name in [name for name, heard in self.heard.items() if now - heard.at > FORGOTTEN]:
-            del self.heard[name]
-        for name in [name for name, ending in self.ending.items() if now - ending.at > LEFT]:
-            del self.ending[name]
-        for name in [name for name, at in self.lost.items() if now - at > FORGOTTEN]:
-            del self.lost[name]
+        self.answer_all(now, [watch for watch in self.pending.values() if watch.deadline <= now])
+        self.edges.forget(now)
 
     def wake_at(self) -> float:
-        return min((parked.until for parked in self.parked.values()), default=inf)
-
-    def tell(self, now: float) -> None:
-        self.send(now, [parked for parked in self.parked.values() if self.news(parked)])
-
-    def send(self, now: float, due: list[PendingWatch]) -> None:
-        deltas: dict[tuple[int, int], ListMoved] = {}
-        for parked in due:
-            # An edge may ask again from within its answer; that ask stays.
-            if self.parked.get(parked.ask.edge.name) is parked:
-                del self.parked[parked.ask.edge.name]
-            self.answer(now, parked, deltas)
-
-    def news(self, parked: PendingWatch) -> bool:
-        return self.held > tuple(parked.ask.control) or self.newer_list(parked)
-
-    def newer_list(self, parked: PendingWatch) -> bool:
-        age = parked.ask.age_s + self.now - parked.at
-        return self.list is not None and self.list.newer_than(*parked.ask.upstreams, age, self.now)
-
-    def answer(self, now: float, parked: PendingWatch, deltas: dict[tuple[int, int], ListMoved]) -> None:
-        ask, control, upstreams = parked.ask, None, None
-        if self.held > tuple(ask.control):
-            if self.sent is None:
-                self.sent = packed(self.configuration)
-            whole, compressed = (None, False) if ask.version == self.version else self.sent
-            control = ControlChange(*self.held, self.version, whole, self.evacuations, compressed)
-        base = tuple(ask.upstreams)
-        same = self.list is not None and self.list.known_at is not None and self.list.version == base
-        if same or self.newer_list(parked):
-            upstreams = deltas.get(base)
-            if upstreams is None:
-                upstreams = deltas[base] = self.list.answer(*base, now)
-        # Guards against a member that was started anew and knows less than the edge: its word is no news.
-        lacks = self.confirmed_at == -inf or self.held < tuple(ask.control)
-        parked.reply(
+        """When `tick` is due next; infinity if nothing waits."""
+        return min((watch.deadline for watch in self.pending.values()), default=inf)
+
+    def notify(self, now: float) -> None:
+        """Answers the watches for which something is newer."""
+        self.answer_all(now, [watch for watch in self.pending.values() if self.has_update(watch)])
+
+    def answer_all(self, now: float, due: list[PendingWatch]) -> None:
+        """Answers these watches; equal deltas are made once."""
+        deltas: Deltas = {}
+        for watch in due:
+            # An edge may send its next watch from within its response; that one stays.
+            if self.pending.get(watch.request.edge.name) is watch:
+                del self.pending[watch.request.edge.name]
+            self.answer(now, watch, deltas)
+
+    def has_update(self, watch: PendingWatch) -> bool:
+        """Something is newer than what the edge holds."""
+        return self.control_position > tuple(watch.request.control) or self.has_newer_list(watch)
+
+    def has_newer_list(self, watch: PendingWatch) -> bool:
+        """The list, or its age, is newer than what the edge holds."""
+        age_s = watch.request.age_s + self.now - watch.at
+        return self.endpoint_list is not None and self.endpoint_list.newer_than(
+            *watch.request.upstreams, age_s, self.now
+        )
+
+    def answer(self, now: float, watch: PendingWatch, deltas: Deltas) -> None:
+        """Sends the response to one watch. `deltas`: those made before, taken from and added to."""
+        request = watch.request
+        # Guards against a member that was started anew and knows less than the edge: its word is not fresh.
+        lacks = self.confirmed_at == -inf or self.control_position < tuple(request.control)
+        watch.respond(
             Told(
-                control,
-                upstreams,
-                self.count(now),
-                self.addresses,
+                self.control_change(request),
+                self.list_change(now, watch, deltas),
+                self.edges.count(now),
+                self.member_addresses,
                 NEVER if lacks else max(0.0, now - self.confirmed_at),
-                NEVER if self.list is None else self.list.age_s(now),
-                now - parked.at,
-                None if self.ledger is None else self.ledger.since(*ask.record),
-                self.cover(ask.edge, self.edges(now)) if ask.edge.state == LEAVING else READY,
+                NEVER if self.endpoint_list is None else self.endpoint_list.age_s(now),
+                now - watch.at,
+                None if self.prefix_index is None else self.prefix_index.since(*request.record),
+                self.cover(request.edge, self.listed_edges(now)) if request.edge.state == LEAVING else READY,
             )
         )
 
-    # --- the directory of edges
-
-    def edges(self, now: float) -> tuple[EdgeSeen, ...]:
-        """Edges that were heard lately, by any member, and are not closed; those that leave among them."""
+    def control_change(self, request: Ask) -> ControlChange | None:
+        """The control state, if it is newer than what the edge holds."""
+        if self.control_position <= tuple(request.control):
+            return None
+        if self.packed_configuration is None:
+            self.packed_configuration = packed(self.configuration)
+        raw, compressed = (None, False) if request.version == self.version else self.packed_configuration
+        return ControlChange(*self.control_position, self.version, raw, self.evacuations, compressed)
+
+    def list_change(self, now: float, watch: PendingWatch, deltas: Deltas) -> ListMoved | None:
+        """What moved in the list, or its new age; None if the edge's list is newer or none is known."""
+        known = self.endpoint_list
+        base = tuple(watch.request.upstreams)
+        same = known is not None and known.known_at is not None and known.version == base
+        if not same and not self.has_newer_list(watch):
+            return None
+        change = deltas.get(base)
+        if change is None:
+            change = deltas[base] = known.answer(*base, now)
+        return change
+
+    # --- edges
+
+    def listed_edges(self, now: float) -> tuple[EdgeSeen, ...]:
+        """Edges that were heard lately and are not closed."""
         self.now = now
-        if self.seen is None or not 0 <= now - self.seen[0] < RECOUNT:
-            self.seen = (
-                now,
-                tuple(
-                    EdgeSeen(
-                        *(getattr(heard.edge, name) for name in EdgeState.__struct_fields__),
-                        heard.at,
-                        self.ending[heard.edge.name].since if heard.edge.stage else 0.0,
-                    )
-                    for heard in self.heard.values()
-                    if heard.edge.state != CLOSED and self.age(now, heard) <= UNHEARD
-                ),
-            )
-        return self.seen[1]
-
-    def count(self, now: float) -> int:
-        """Edges that may still send requests, those that leave among them."""
-        if not 0 <= now - self.counted[0] < RECOUNT:
-            self.counted = now, sum(self.age(now, heard) <= COUNTED for heard in self.heard.values())
-        return self.counted[1]
+        return self.edges.listed(now)
 
-    def age(self, now: float, heard: Heard) -> float:
-        """s beyond the time at which its next word was due here."""
-        return now - heard.at - heard.wait - (0.0 if heard.own else self.exchange)
-
-    def gone(self, name: str) -> None:
+    def edge_disconnected(self, name: str) -> None:
         """Its connection ended: it is not listed until it is heard again, here or elsewhere."""
-        self.parked.pop(name, None)
-        self.lost[name] = self.now
-        self.heard.pop(name, None)
-        self.seen = None
+        self.pending.pop(name, None)
+        self.edges.disconnected(self.now, name)
 
-    def peers_edges(
-        self, now: float, member: str, edges: EdgesKnown | Iterable[EdgeHeard], unread_s: float = 0.0
+    def update_edges(
+        self, now: float, edges: EdgesKnown | Iterable[EdgeHeard], unread_s: float = 0.0
     ) -> None:
         """What another member has heard itself. `unread_s`: its word may have waited here so long."""
         self.now = now
-        for told in edges.edges if isinstance(edges, EdgesKnown) else edges:
-            self.saw(Heard(told.edge, now - unread_s - max(0.0, told.age_s), told.wait, False))
-
-    def own_edges(self, now: float | None = None) -> EdgesKnown:
-        """What this member has heard itself, for the others; those that leave among them."""
-        now = self.now if now is None else now
-        return EdgesKnown(
-            tuple(
-                EdgeHeard(heard.edge, now - heard.at, heard.wait)
-                for heard in self.heard.values()
-                if heard.own and now - heard.at <= LEFT
-            )
-        )
-
-    def saw(self, heard: Heard) -> None:
-        name = heard.edge.name
-        # Guards against word that was long under way, and would bring back who has left or is gone.
-        ending, known = self.ending.get(name), self.heard.get(name)
-        if (
-            (ending is not None and ending.life == heard.edge.life and heard.edge.stage < ending.stage)
-            or (not heard.own and heard.at <= self.lost.get(name, -inf))
-            or (known is not None and heard.at < known.at)
-        ):
-            return
-        if known is None or (known.edge.life, known.edge.state) != (heard.edge.life, heard.edge.state):
-            self.seen = None
-            self.own_version += heard.own
-        if heard.edge.stage:
-            self.ending[name] = Ending.after(ending, heard.edge, heard.at)
-        self.heard[name] = heard
+        heard = edges.edges if isinstance(edges, EdgesKnown) else edges
+        self.edges.update_from_member(now, heard, unread_s)
--- a/shedgrade/simulation/system/world.py
+++ b/shedgrade/simulation/system/world.py
@@ -243,13 +243,13 @@
     # --- what is seen
 
     def observe_core(self, machine: Machine, plane: ControlPlane) -> None:
-        take = plane.hub.control
+        take = plane.hub.apply_control_state
 
         def control(now, epoch, sequence, state) -> None:
             self.saw_finished(machine, (epoch, sequence), state)
             take(now, epoch, sequence, state)
 
-        plane.hub.control = control
+        plane.hub.apply_control_state = control
 
     def saw_finished(self, machine: Machine, position: tuple[int, int], state) -> None:
         configuration, zones = state.get("configuration") or b"", state.get("evacuations") or b"[]"
--- a/tests/controlplane/test_cut_off_side.py
+++ b/tests/controlplane/test_cut_off_side.py
@@ -151,8 +151,8 @@
                 }
             ],
         )
-        plane.hub.peers_edges(
-            now, "b:1", [EdgeHeard(EdgeState("edge-1", "10.0.0.1:80", "hall-1", "north", 1, READY), 0.0, 5.0)]
+        plane.hub.update_edges(
+            now, [EdgeHeard(EdgeState("edge-1", "10.0.0.1:80", "hall-1", "north", 1, READY), 0.0, 5.0)]
         )
 
         def status(name):
--- a/tests/controlplane/test_recording.py
+++ b/tests/controlplane/test_recording.py
@@ -13,13 +13,13 @@
 
 def member(source, founding=True):
     told = []
-    hub = WatchHub(f"10.{source}.0.1:7300", 0.0)
+    hub = WatchHub(0.0)
     return Recording(hub, source, founding, told.append), told
 
 
 def asked(recording, now, reads=(), record=(0, -1)):
     told = []
-    recording.hub.ask(now, Ask(EDGE, (0, 0), (0, 0), 0.0, reads=reads, record=record), told.append)
+    recording.hub.watch(now, Ask(EDGE, (0, 0), (0, 0), 0.0, reads=reads, record=record), told.append)
     return told[0].record
 
 
--- a/tests/ctl/test_status_call.py
+++ b/tests/ctl/test_status_call.py
@@ -28,7 +28,7 @@
         now=now,
         decide=lambda state, order: None,
     )
-    hub, instances = WatchHub(OWN, now), InstanceList(lambda: now)
+    hub, instances = WatchHub(now), InstanceList(lambda: now)
     duties = Duties(OWN, lambda: (OWN,), Random(1), now, duties=("upstreams",))
     return member, hub, instances, duties
 
@@ -52,7 +52,9 @@
 
 def test_edges_upstreams_and_duties_are_told():
     member, hub, instances, duties = parts()
-    hub.control(100.0, 4, 9, {"configuration": b"{}", "version": b"7", "evacuations": b'["north-b"]'})
+    hub.apply_control_state(
+        100.0, 4, 9, {"configuration": b"{}", "version": b"7", "evacuations": b'["north-b"]'}
+    )
     instances.lead(5)
     instances.apply(
         100.0,
@@ -69,9 +71,9 @@
             for number in range(2)
         ],
     )
-    hub.instances(100.0, instances)
+    hub.set_endpoint_list(100.0, instances)
     edge = EdgeState("edge-1", "10.1.0.12:8263", "north-a", "north", 1, READY)
-    hub.ask(100.0, Ask(edge, (4, 9), instances.version, 5.0, 7, 0.0), lambda told: None)
+    hub.watch(100.0, Ask(edge, (4, 9), instances.version, 5.0, 7, 0.0), lambda told: None)
     for step in range(30):
         duties.tick(100.0 + step / 10)
     found = told(103.0, member, hub, instances, duties)
--- a/tests/dataplane/test_asking.py
+++ b/tests/dataplane/test_asking.py
@@ -56,7 +56,7 @@
     def __init__(self, seed=1, way=0.01, seeds=SEEDS, beat=1.0, numbered=True) -> None:
         self.random, self.now, self.events, self.order = Random(seed), 100.0, [], count()
         self.way = dict.fromkeys(SEEDS, way)
-        self.hubs = {address: WatchHub(address, self.now) for address in SEEDS}
+        self.hubs = {address: WatchHub(self.now) for address in SEEDS}
         self.lists = {address: InstanceList(lambda: self.now) for address in SEEDS}
         self.silent, self.refusing, self.old = set(), set(), set()
         self.beat_at, self.asked, self.numbered = {}, [], numbered
@@ -114,7 +114,7 @@
         if effect.address in self.silent:
             return
         ask = decode(encode(effect.ask))
-        self.hubs[effect.address].ask(
+        self.hubs[effect.address].watch(
             self.now,
             ask,
             lambda told: self.at(self.way[effect.address], self.comes, effect, decode(encode(told))),
@@ -154,19 +154,19 @@
         """The primary's word, and the list with its age, for all that hear them."""
         self.polls.apply(self.now, entries(*self.names))
         for address, hub in self.hubs.items():
-            hub.members(self.now, SEEDS)
+            hub.set_members(self.now, SEEDS)
             if address not in self.old:
-                hub.confirmed(self.now)
+                hub.set_confirmed_at(self.now)
                 held = self.lists[address]
                 if held.take(self.polls.answer(*held.version, now=self.now), now=self.now):
-                    hub.instances(self.now, held)
+                    hub.set_endpoint_list(self.now, held)
         self.at(0.25, self.beat)
 
     def change(self, version: int, *zones: str) -> None:
         self.sequence += 1
         for address, hub in self.hubs.items():
             if address not in self.old:
-                hub.control(self.now, self.epoch, self.sequence, state(version, *zones))
+                hub.apply_control_state(self.now, self.epoch, self.sequence, state(version, *zones))
 
 
 def test_two_are_asked_at_the_start_and_one_from_then_on():
@@ -351,7 +351,7 @@
         world.carry_out()
         assert sum(at == world.now for at, _, _ in world.asked) == 1
         world.run(0.02)
-        (seen,) = world.hubs[main.address].edges(world.now)
+        (seen,) = world.hubs[main.address].listed_edges(world.now)
         assert seen.ready
         for step in range(30):
             world.run(0.1 * (step % 4))
@@ -369,7 +369,9 @@
     world.carry_out()
     world.run(0.1)
     assert any(
-        heard.edge.state == LEAVING for hub in world.hubs.values() for heard in hub.own_edges(world.now).edges
+        heard.edge.state == LEAVING
+        for hub in world.hubs.values()
+        for heard in hub.edges.own_edges(world.now).edges
     )
 
 
@@ -427,7 +429,7 @@
     assert world.asker.upstreams[0] == 7
     for address, hub in world.hubs.items():
         world.lists[address] = InstanceList(lambda: world.now)
-        hub.list = None
+        hub.endpoint_list = None
     world.polls = InstanceList(lambda: world.now)
     world.polls.lead(1)
     world.names = ["z"]
@@ -480,7 +482,7 @@
     missed, world.old = world.old, set()
     world.change(version // 2 + 2, "end")
     for address in missed:
-        assert world.hubs[address].held == (world.epoch, world.sequence)
+        assert world.hubs[address].control_position == (world.epoch, world.sequence)
     world.run(2.5)
     assert world.known["configuration"] == state(version // 2 + 2)["configuration"]
     assert world.known["evacuations"] == ("end",) and set(world.known["list"]) == set(world.names)
--- a/tests/simulation/planted_system_faults.py
+++ b/tests/simulation/planted_system_faults.py
@@ -6,10 +6,10 @@
 from shedgrade.controlplane import (
     commands,
     directory,
+    edge_table,
     home_regions,
     plane,
     singleton_roles,
-    watch_hub,
 )
 from shedgrade.controlplane.command_router import CommandRouter, PendingZoneCommand
 from shedgrade.controlplane.commands import CommandReply
@@ -44,10 +44,10 @@
 
 def edges_are_listed_for_ever(monkeypatch):
     """Whoever was ready once is named, also long after it has ended."""
-    monkeypatch.setattr(watch_hub, "UNHEARD", 1e9)
-    monkeypatch.setattr(watch_hub, "FORGOTTEN", 1e9)
-    monkeypatch.setattr(watch_hub, "CLOSED", "")
-    monkeypatch.setattr(WatchHub, "gone", lambda self, name: self.parked.pop(name, None))
+    monkeypatch.setattr(edge_table, "LISTED_GRACE_S", 1e9)
+    monkeypatch.setattr(edge_table, "FORGET_AFTER_S", 1e9)
+    monkeypatch.setattr(edge_table, "CLOSED", "")
+    monkeypatch.setattr(WatchHub, "edge_disconnected", lambda self, name: self.pending.pop(name, None))
 
 
 def reads_without_confirmation(monkeypatch):
@@ -104,12 +104,12 @@
     """A member that lost its primary says that its word is fresh, so edges stay with it."""
 
     class Confident(WatchHub):
-        def answer(self, now, parked, deltas):
-            before, self.primary_at = self.primary_at, now
+        def answer(self, now, watch, deltas):
+            before, self.confirmed_at = self.confirmed_at, now
             try:
-                super().answer(now, parked, deltas)
+                super().answer(now, watch, deltas)
             finally:
-                self.primary_at = before
+                self.confirmed_at = before
 
     monkeypatch.setattr(plane, "WatchHub", Confident)
 
@@ -136,11 +136,11 @@
 
     take = Watcher.newer_control
     monkeypatch.setattr(Watcher, "newer_control", newer_control)
-    monkeypatch.setattr(WatchHub, "news", lambda self, parked: self.now - parked.at > 0.1)
+    monkeypatch.setattr(WatchHub, "has_update", lambda self, watch: self.now - watch.at > 0.1)
     answer = WatchHub.answer
 
-    def answer_always(self, now, parked, deltas):
-        ask = msgspec.structs.replace(parked.ask, control=(-1, -1), version=-1)
-        answer(self, now, PendingWatch(ask, parked.reply, parked.at), deltas)
+    def answer_always(self, now, watch, deltas):
+        request = msgspec.structs.replace(watch.request, control=(-1, -1), version=-1)
+        answer(self, now, PendingWatch(request, watch.respond, watch.at), deltas)
 
     monkeypatch.setattr(WatchHub, "answer", answer_always)
--- a/tests/simulation/test_edge_ends.py
+++ b/tests/simulation/test_edge_ends.py
@@ -79,7 +79,7 @@
     edge = script.world.edges[0]
     script.faults.terminate(edge, GRACE)
     assert script.run_until(lambda: not edge.running, TAKES_ALL + 0.3)
-    told = [core.program.hub.ending.get(edge.name) for core in script.world.cores]
+    told = [core.program.hub.edges.shutdown_stages.get(edge.name) for core in script.world.cores]
     assert STAGES[CLOSED] in [ending.stage for ending in told if ending is not None]
     assert script.findings() == []
 
--- a/tests/simulation/test_killed_at_once.py
+++ b/tests/simulation/test_killed_at_once.py
@@ -38,13 +38,13 @@
 @pytest.mark.parametrize("with_core", [False, True])
 def test_a_herd_that_starts_together_storms_neither_core_nor_platform(with_core, monkeypatch):
     asked = []
-    real = WatchHub.ask
+    real = WatchHub.watch
 
-    def ask(self, now, message, reply, unread_s=0.0):
+    def watch(self, now, request, respond, unread_s=0.0):
         asked.append(now)
-        real(self, now, message, reply, unread_s)
+        real(self, now, request, respond, unread_s)
 
-    monkeypatch.setattr(WatchHub, "ask", ask)
+    monkeypatch.setattr(WatchHub, "watch", watch)
     script = Script(seed=4, tolerated=1, edges=16)
     script.until_ready()
     script.run(2.0)
