--- a/shedgrade/controlplane/edge_table.py
+++ b/shedgrade/controlplane/edge_table.py
@@ -8,7 +8,7 @@
 
 import msgspec
 
-from shedgrade.control_messages import CLOSED, EdgeHeard, EdgeSeen, EdgesKnown, EdgeState
+from shedgrade.control_messages import CLOSED, EdgeObservation, EdgeObservations, EdgeRecord, EdgeStatus
 
 LISTED_GRACE_S = 0.5  # beyond its wait, after which an edge is not listed
 COUNTED_GRACE_S = 3.0  # beyond its wait, in which an edge still counts: shares dealt by a low count add up
@@ -17,12 +17,12 @@
 SHUTDOWN_REMEMBERED_S = 10.0  # in which a later stage of a shutdown overrides what others heard earlier
 
 
-class EdgeRecord:
+class HeardEdge:
     """An edge as it was last heard: by this member (`own`) or by another; it may be silent for `wait` s."""
 
     __slots__ = ("edge", "at", "wait", "own")
 
-    def __init__(self, edge: EdgeState, at: float, wait: float, own: bool) -> None:
+    def __init__(self, edge: EdgeStatus, at: float, wait: float, own: bool) -> None:
         self.edge = edge
         self.at = at
         self.wait = wait
@@ -32,23 +32,26 @@
 class ShutdownStage(msgspec.Struct, frozen=True):
     """The stage of the shutdown of one incarnation of an edge: heard first at `since`, and last at `at`."""
 
-    life: int
-    stage: int
+    incarnation: int
+    shutdown_stage: int
     since: float
     at: float
 
     @classmethod
-    def after(cls, before: "ShutdownStage | None", edge: EdgeState, at: float) -> "ShutdownStage":
+    def after(cls, before: "ShutdownStage | None", edge: EdgeStatus, at: float) -> "ShutdownStage":
         """`before`: what was known of the edge's shutdown until now."""
-        same = before is not None and (before.life, before.stage) == (edge.life, edge.stage)
-        return cls(edge.life, edge.stage, before.since if same else at, at)
+        same = before is not None and (before.incarnation, before.shutdown_stage) == (
+            edge.incarnation,
+            edge.shutdown_stage,
+        )
+        return cls(edge.incarnation, edge.shutdown_stage, before.since if same else at, at)
 
 
 class EdgeListing(msgspec.Struct, frozen=True):
     """The edges that were listed `at` that time."""
 
     at: float
-    edges: tuple[EdgeSeen, ...]
+    edges: tuple[EdgeRecord, ...]
 
 
 class EdgeCount(msgspec.Struct, frozen=True):
@@ -73,7 +76,7 @@
 
     def __init__(self, exchange_interval_s: float) -> None:
         self.exchange_interval_s = exchange_interval_s
-        self.records: dict[str, EdgeRecord] = {}
+        self.records: dict[str, HeardEdge] = {}
         self.shutdown_stages: dict[str, ShutdownStage] = {}
         self.disconnected_at: dict[str, float] = {}
         self.own_version = 0
@@ -85,35 +88,42 @@
         for name, record in self.records.items():
             assert record.edge.name == name, f"{name} is recorded as {record.edge.name}"
             stage = self.shutdown_stages.get(name)
-            if stage is not None and stage.life == record.edge.life:
-                assert record.edge.stage >= stage.stage, f"{name} went back in its shutdown"
+            if stage is not None and stage.incarnation == record.edge.incarnation:
+                assert record.edge.shutdown_stage >= stage.shutdown_stage, f"{name} went back in its shutdown"
         for name, stage in self.shutdown_stages.items():
             assert stage.since <= stage.at, f"{name} was in its stage before it was first heard there"
 
-    def update(self, record: EdgeRecord) -> None:
+    def update(self, record: HeardEdge) -> None:
         """Takes word of an edge, unless newer is known."""
         name = record.edge.name
         # Guards against word that was long under way, and would bring back who has left or is gone.
         stage = self.shutdown_stages.get(name)
         known = self.records.get(name)
         if (
-            (stage is not None and stage.life == record.edge.life and record.edge.stage < stage.stage)
+            (
+                stage is not None
+                and stage.incarnation == record.edge.incarnation
+                and record.edge.shutdown_stage < stage.shutdown_stage
+            )
             or (not record.own and record.at <= self.disconnected_at.get(name, -inf))
             or (known is not None and record.at < known.at)
         ):
             return
-        if known is None or (known.edge.life, known.edge.state) != (record.edge.life, record.edge.state):
+        if known is None or (known.edge.incarnation, known.edge.state) != (
+            record.edge.incarnation,
+            record.edge.state,
+        ):
             self.listing = None
             self.own_version += record.own
-        if record.edge.stage:
+        if record.edge.shutdown_stage:
             self.shutdown_stages[name] = ShutdownStage.after(stage, record.edge, record.at)
         self.records[name] = record
 
-    def update_from_member(self, now: float, edges: Iterable[EdgeHeard], unread_s: float) -> None:
+    def update_from_member(self, now: float, edges: Iterable[EdgeObservation], unread_s: float) -> None:
         """What another member has heard itself. `unread_s`: its word may have waited here so long."""
         for heard in edges:
             at = now - unread_s - max(0.0, heard.age_s)
-            self.update(EdgeRecord(heard.edge, at, heard.wait, False))
+            self.update(HeardEdge(heard.edge, at, heard.wait_s, False))
 
     def disconnected(self, now: float, name: str) -> None:
         """Its connection ended: it is not listed until it is heard again, here or elsewhere."""
@@ -132,11 +142,11 @@
         for name in [name for name, at in self.disconnected_at.items() if now - at > FORGET_AFTER_S]:
             del self.disconnected_at[name]
 
-    def overdue_s(self, now: float, record: EdgeRecord) -> float:
+    def overdue_s(self, now: float, record: HeardEdge) -> float:
         """Beyond the time at which its next word was due here; negative before."""
         return now - record.at - record.wait - (0.0 if record.own else self.exchange_interval_s)
 
-    def listed(self, now: float) -> tuple[EdgeSeen, ...]:
+    def listed(self, now: float) -> tuple[EdgeRecord, ...]:
         """Edges that were heard lately, by any member, and are not closed; those that leave among them."""
         if self.listing is None or not 0 <= now - self.listing.at < REFRESH_INTERVAL_S:
             edges = tuple(
@@ -147,13 +157,13 @@
             self.listing = EdgeListing(now, edges)
         return self.listing.edges
 
-    def seen(self, record: EdgeRecord) -> EdgeSeen:
+    def seen(self, record: HeardEdge) -> EdgeRecord:
         """An edge with the times at which it was heard."""
         edge = record.edge
-        return EdgeSeen(
-            *(getattr(edge, name) for name in EdgeState.__struct_fields__),
+        return EdgeRecord(
+            *(getattr(edge, name) for name in EdgeStatus.__struct_fields__),
             record.at,
-            self.shutdown_stages[edge.name].since if edge.stage else 0.0,
+            self.shutdown_stages[edge.name].since if edge.shutdown_stage else 0.0,
         )
 
     def count(self, now: float) -> int:
@@ -163,11 +173,11 @@
             self.counting = EdgeCount(now, counted)
         return self.counting.edges
 
-    def own_edges(self, now: float) -> EdgesKnown:
+    def own_edges(self, now: float) -> EdgeObservations:
         """What this member has heard itself, for the others; those that leave among them."""
-        return EdgesKnown(
+        return EdgeObservations(
             tuple(
-                EdgeHeard(record.edge, now - record.at, record.wait)
+                EdgeObservation(record.edge, now - record.at, record.wait)
                 for record in self.records.values()
                 if record.own and now - record.at <= SHUTDOWN_REMEMBERED_S
             )
--- a/shedgrade/controlplane/watch_hub.py
+++ b/shedgrade/controlplane/watch_hub.py
@@ -13,30 +13,30 @@
 
 from shedgrade.control_messages import (
     LEAVING,
-    NEVER,
     READY,
-    Ask,
+    UNKNOWN_AGE_S,
     ControlChange,
-    EdgeHeard,
-    EdgeSeen,
-    EdgesKnown,
-    EdgeState,
-    ListMoved,
-    Told,
-    packed,
+    EdgeObservation,
+    EdgeObservations,
+    EdgeRecord,
+    EdgeStatus,
+    EndpointUpdate,
+    WatchRequest,
+    WatchResponse,
+    compress_configuration,
 )
-from shedgrade.controlplane.edge_table import EdgeRecord, EdgeTable
-from shedgrade.controlplane.platform_poller import InstanceList
+from shedgrade.controlplane.edge_table import EdgeTable, HeardEdge
+from shedgrade.controlplane.platform_poller import EndpointList
 from shedgrade.controlplane.state_keys import CONFIGURATION, EVACUATIONS, configuration_version
-from shedgrade.prefix_cache_index.index import Ledger, Pair
+from shedgrade.prefix_cache_index.index import Pair, PrefixIndex
 from shedgrade.runtime.log import logger
 
 MAX_WAIT_S = 10.0  # that a watch may be pending, whatever it asks for
 MAX_PENDING_WATCHES = 4096  # beyond it watches are answered at once
 
-Cover = Callable[[EdgeState, tuple[EdgeSeen, ...]], str]
-Respond = Callable[[Told], None]
-Deltas = dict[tuple[int, int], ListMoved]  # by the version of the list from which they lead
+Cover = Callable[[EdgeStatus, tuple[EdgeRecord, ...]], str]
+Respond = Callable[[WatchResponse], None]
+Deltas = dict[tuple[int, int], EndpointUpdate]  # by the version of the list from which they lead
 
 
 class PendingWatch:
@@ -44,11 +44,11 @@
 
     __slots__ = ("request", "respond", "at", "deadline")
 
-    def __init__(self, request: Ask, respond: Respond, at: float) -> None:
+    def __init__(self, request: WatchRequest, respond: Respond, at: float) -> None:
         self.request = request
         self.respond = respond
         self.at = at
-        self.deadline = at + min(max(request.wait, 0.0), MAX_WAIT_S)
+        self.deadline = at + min(max(request.wait_s, 0.0), MAX_WAIT_S)
 
 
 class WatchHub:
@@ -85,11 +85,11 @@
         self.configuration = b""
         self.evacuations: tuple[str, ...] = ()
         self.packed_configuration: tuple[bytes, bool] | None = None
-        self.endpoint_list: InstanceList | None = None
+        self.endpoint_list: EndpointList | None = None
         self.confirmed_at = -inf
         self.pending: dict[str, PendingWatch] = {}
         self.edges = EdgeTable(exchange_interval_s)
-        self.prefix_index: Ledger | None = None
+        self.prefix_index: PrefixIndex | None = None
         self.unsent_prefix_reads: list[Pair] = []
 
     def check_invariants(self) -> None:
@@ -125,7 +125,7 @@
         self.evacuations = evacuations
         self.notify(now)
 
-    def set_endpoint_list(self, now: float, endpoint_list: InstanceList) -> None:
+    def set_endpoint_list(self, now: float, endpoint_list: EndpointList) -> None:
         """The list moved."""
         self.now = now
         self.endpoint_list = endpoint_list
@@ -142,14 +142,14 @@
 
     # --- watches
 
-    def watch(self, now: float, request: Ask, respond: Respond, unread_s: float = 0.0) -> None:
+    def watch(self, now: float, request: WatchRequest, respond: Respond, unread_s: float = 0.0) -> None:
         """Answers now if something is newer than the edge holds, else later, exactly once; not at all if the
         same edge asks again before, or is disconnected. `unread_s`: the request may have waited here so
         long."""
         self.now = now
-        self.edges.update(EdgeRecord(request.edge, now - unread_s, request.wait, True))
-        if self.prefix_index is not None and request.reads:
-            self.unsent_prefix_reads += self.prefix_index.read(now, request.reads)
+        self.edges.update(HeardEdge(request.edge, now - unread_s, request.wait_s, True))
+        if self.prefix_index is not None and request.prefix_reads:
+            self.unsent_prefix_reads += self.prefix_index.read(now, request.prefix_reads)
         watch = PendingWatch(request, respond, now)
         self.pending.pop(request.edge.name, None)
         if self.has_update(watch) or watch.deadline <= now or len(self.pending) >= MAX_PENDING_WATCHES:
@@ -182,47 +182,49 @@
 
     def has_update(self, watch: PendingWatch) -> bool:
         """Something is newer than what the edge holds."""
-        return self.control_position > tuple(watch.request.control) or self.has_newer_list(watch)
+        return self.control_position > tuple(watch.request.control_version) or self.has_newer_list(watch)
 
     def has_newer_list(self, watch: PendingWatch) -> bool:
         """The list, or its age, is newer than what the edge holds."""
-        age_s = watch.request.age_s + self.now - watch.at
+        age_s = watch.request.endpoints_age_s + self.now - watch.at
         return self.endpoint_list is not None and self.endpoint_list.newer_than(
-            *watch.request.upstreams, age_s, self.now
+            *watch.request.endpoints_version, age_s, self.now
         )
 
     def answer(self, now: float, watch: PendingWatch, deltas: Deltas) -> None:
         """Sends the response to one watch. `deltas`: those made before, taken from and added to."""
         request = watch.request
         # Guards against a member that was started anew and knows less than the edge: its word is not fresh.
-        lacks = self.confirmed_at == -inf or self.control_position < tuple(request.control)
+        lacks = self.confirmed_at == -inf or self.control_position < tuple(request.control_version)
         watch.respond(
-            Told(
+            WatchResponse(
                 self.control_change(request),
                 self.list_change(now, watch, deltas),
                 self.edges.count(now),
                 self.member_addresses,
-                NEVER if lacks else max(0.0, now - self.confirmed_at),
-                NEVER if self.endpoint_list is None else self.endpoint_list.age_s(now),
+                UNKNOWN_AGE_S if lacks else max(0.0, now - self.confirmed_at),
+                UNKNOWN_AGE_S if self.endpoint_list is None else self.endpoint_list.age_s(now),
                 now - watch.at,
-                None if self.prefix_index is None else self.prefix_index.since(*request.record),
+                None if self.prefix_index is None else self.prefix_index.since(*request.prefix_index_version),
                 self.cover(request.edge, self.listed_edges(now)) if request.edge.state == LEAVING else READY,
             )
         )
 
-    def control_change(self, request: Ask) -> ControlChange | None:
+    def control_change(self, request: WatchRequest) -> ControlChange | None:
         """The control state, if it is newer than what the edge holds."""
-        if self.control_position <= tuple(request.control):
+        if self.control_position <= tuple(request.control_version):
             return None
         if self.packed_configuration is None:
-            self.packed_configuration = packed(self.configuration)
-        raw, compressed = (None, False) if request.version == self.version else self.packed_configuration
+            self.packed_configuration = compress_configuration(self.configuration)
+        raw, compressed = (
+            (None, False) if request.configuration_version == self.version else self.packed_configuration
+        )
         return ControlChange(*self.control_position, self.version, raw, self.evacuations, compressed)
 
-    def list_change(self, now: float, watch: PendingWatch, deltas: Deltas) -> ListMoved | None:
+    def list_change(self, now: float, watch: PendingWatch, deltas: Deltas) -> EndpointUpdate | None:
         """What moved in the list, or its new age; None if the edge's list is newer or none is known."""
         known = self.endpoint_list
-        base = tuple(watch.request.upstreams)
+        base = tuple(watch.request.endpoints_version)
         same = known is not None and known.known_at is not None and known.version == base
         if not same and not self.has_newer_list(watch):
             return None
@@ -233,7 +235,7 @@
 
     # --- edges
 
-    def listed_edges(self, now: float) -> tuple[EdgeSeen, ...]:
+    def listed_edges(self, now: float) -> tuple[EdgeRecord, ...]:
         """Edges that were heard lately and are not closed."""
         self.now = now
         return self.edges.listed(now)
@@ -244,9 +246,9 @@
         self.edges.disconnected(self.now, name)
 
     def update_edges(
-        self, now: float, edges: EdgesKnown | Iterable[EdgeHeard], unread_s: float = 0.0
+        self, now: float, edges: EdgeObservations | Iterable[EdgeObservation], unread_s: float = 0.0
     ) -> None:
         """What another member has heard itself. `unread_s`: its word may have waited here so long."""
         self.now = now
-        heard = edges.edges if isinstance(edges, EdgesKnown) else edges
+        heard = edges.edges if isinstance(edges, EdgeObservations) else edges
         self.edges.update_from_member(now, heard, unread_s)
