--- a/shedgrade/controlplane/command_router.py
+++ b/shedgrade/controlplane/command_router.py
@@ -25,7 +25,7 @@
     zone_revisions,
 )
 from shedgrade.controlplane.state_keys import CONFIGURATION, configuration_version
-from shedgrade.peer_transport.peer import LinkError
+from shedgrade.peer_transport.connection import PeerCallError
 from shedgrade.replication import Elsewhere, Member, Reading, Unavailable, Unclear
 
 # Until a caller is told to try elsewhere; after a second of silence it does so by itself.
@@ -49,7 +49,7 @@
     """Calls to other members over their links."""
 
     async def call(self, address: str, body: bytes, timeout: float) -> bytes:
-        """The response's body. `timeout` in s; LinkError if none came."""
+        """The response's body. `timeout` in s; PeerCallError if none came."""
 
 
 def last_contact(member: Member, now: float) -> float:
@@ -115,7 +115,7 @@
         try:
             body = await self.router.links.call(address, request, FORWARD_TIMEOUT_S + self.extra_wait_s)
             response = channels.decode(body[1:])
-        except (LinkError, msgspec.DecodeError, ValueError):
+        except (PeerCallError, msgspec.DecodeError, ValueError):
             response = None
         if not isinstance(response, ForwardedResponse) or (response.reply is None and response.state is None):
             self.on_no_decision(True)
--- a/shedgrade/controlplane/operator_api.py
+++ b/shedgrade/controlplane/operator_api.py
@@ -27,7 +27,7 @@
 from shedgrade.controlplane.delta import read_delta
 from shedgrade.controlplane.state_keys import CONFIGURATION
 from shedgrade.findings import Finding
-from shedgrade.http.server import Reply, Request, failure
+from shedgrade.http.server import Reply, Request, Respond, failure
 from shedgrade.route_matching.calls import CallTree, Match, NotAllowed
 
 RETRY_AFTER = ((b"Retry-After", b"0.2"),)  # s
@@ -35,7 +35,6 @@
 UNAVAILABLE = failure(503, Finding("", "the control state is not to be had here"), headers=RETRY_AFTER)
 
 Findings = tuple[Finding, ...]
-Respond = Callable[[Reply], None]
 
 
 class Router(Protocol):
--- a/tests/controlplane/test_watch_hub.py
+++ b/tests/controlplane/test_watch_hub.py
@@ -238,7 +238,7 @@
 )
 def test_a_state_that_can_not_be_read_leaves_the_last_one(broken):
     lines = []
-    log.hand(
+    log.set_sink(
         SimpleNamespace(**{name: lambda text, **fields: lines.append((text, fields)) for name in log.METHODS})
     )
     try:
@@ -246,7 +246,7 @@
         hub.apply_control_state(100.0, 1, 1, state(1))
         hub.apply_control_state(100.0, 1, 2, state(2) | broken)
     finally:
-        log.hand(None)
+        log.set_sink(None)
     assert hub.control_position == (1, 1) and hub.version == 1
     ((text, fields),) = lines
     assert text == "control state decode failed" and (fields["epoch"], fields["sequence"]) == (1, 2)
