--- a/tests/stored/test_structs_as_found.py
+++ b/tests/stored/test_structs_as_found.py
@@ -17,6 +17,11 @@
 EDGE_STATUS_FIELDS = {"front": "listen_address", "life": "incarnation"}
 FIELDS: dict[str, dict[str, str]] = {
     "controlplane.channels:Relayed": {"order": "command", "held": "held_version"},
+    "controlplane.duties:Acknowledgement": {"duty": "role", "known": "highest_term"},
+    "controlplane.duties:Ballot": {"duty": "role"},
+    "controlplane.duties:Heartbeat": {"duty": "role"},
+    "controlplane.duties:Vacated": {"duty": "role"},
+    "controlplane.duties:Vote": {"duty": "role", "known": "highest_term"},
     "knowledge:Ask": {
         "control": "control_version",
         "upstreams": "endpoints_version",
