--- a/shedgrade/controlplane/command_router.py
+++ b/shedgrade/controlplane/command_router.py
@@ -26,7 +26,7 @@
 )
 from shedgrade.controlplane.state_keys import CONFIGURATION, configuration_version
 from shedgrade.peer_transport.connection import PeerCallError
-from shedgrade.replication import Elsewhere, Member, Reading, Unavailable, Unclear
+from shedgrade.replication import Member, OutcomeUnknown, ReadResult, RedirectToPrimary, Unavailable
 
 # Until a caller is told to try elsewhere; after a second of silence it does so by itself.
 ANSWER_TIMEOUT_S = 0.65
@@ -38,7 +38,7 @@
 CLOSE_DELAY_S = 0.1  # after a zone's command was read, within which the end of its connection may follow:
 # both come together, or a round trip apart, when a partition between caller and member ends
 
-MemberOutcome = CommandReply | RevisionConflict | Elsewhere | Unavailable | Reading
+MemberOutcome = CommandReply | RevisionConflict | RedirectToPrimary | Unavailable | ReadResult
 OnMemberOutcome = Callable[[MemberOutcome], None]
 RespondToRead = Callable[[dict[str, bytes] | None], None]
 RespondToCommand = Callable[[CommandReply | None], None]
@@ -54,9 +54,9 @@
 
 def last_contact(member: Member, now: float) -> float:
     """When this member last knew of an active primary, itself included; `now` if it knows of one."""
-    if member.lead.active or member.hears_primary(now) or member.is_hinted(now):
+    if member.primary_role.active or member.hears_primary(now) or member.has_primary_hint(now):
         return now
-    return max(member.known_at, member.born_at, member.lead.majority_at)
+    return max(member.primary_heard_at, member.incarnation_durable_at, member.primary_role.majority_heard_at)
 
 
 @dataclass(frozen=True, slots=True)
@@ -98,18 +98,18 @@
     def on_member_outcome(self, outcome: MemberOutcome) -> None:
         """The member of this process decided, or can't."""
         match outcome:
-            case Elsewhere(address):
+            case RedirectToPrimary(address):
                 self.router.spawn(self.forward(address))
             case Unavailable():
-                self.on_no_decision(isinstance(outcome, Unclear))
-            case Reading():
+                self.on_no_decision(isinstance(outcome, OutcomeUnknown))
+            case ReadResult():
                 self.finish(ForwardedResponse(None, channels.read_response(outcome.state)))
             case _:
                 self.on_decision(ForwardedResponse(outcome))
 
     async def forward(self, address: str) -> None:
         """Asks the primary. Guards a slow link against configurations that are here already."""
-        known = self.router.member.finished[2] if self.command is None else {}
+        known = self.router.member.committed.state if self.command is None else {}
         held_version = configuration_version(known)
         request = ORDERS + channels.encode(ForwardedRequest(self.command, held_version))
         try:
@@ -182,7 +182,7 @@
             self.finish(None)
             return
         if self.revision is None:
-            self.revision = zone_revisions(self.router.member.finished[2]).get(self.command.zone, 0)
+            self.revision = zone_revisions(self.router.member.committed.state).get(self.command.zone, 0)
         self.command = msgspec.structs.replace(self.command, revision=self.revision)
         super().attempt()
 
@@ -277,7 +277,7 @@
         """Bytes of the configuration that goes along: with the command, or with the response to a read."""
         if isinstance(command, PutConfiguration | PatchConfiguration):
             return len(command.raw)
-        return len(self.member.finished[2].get(CONFIGURATION, b"")) if command is None else 0
+        return len(self.member.committed.state.get(CONFIGURATION, b"")) if command is None else 0
 
     def spawn(self, coroutine: Coroutine[None, None, None]) -> None:
         """Runs a task that is not garbage-collected before its end."""
@@ -292,10 +292,10 @@
             return
 
         def on_outcome(outcome: MemberOutcome) -> None:
-            if isinstance(outcome, Reading):
+            if isinstance(outcome, ReadResult):
                 state = channels.read_response(outcome.state, request.held_version)
                 response = ForwardedResponse(None, state)
-            elif isinstance(outcome, Elsewhere | Unavailable):
+            elif isinstance(outcome, RedirectToPrimary | Unavailable):
                 response = ForwardedResponse(None)
             else:
                 response = ForwardedResponse(outcome)
--- a/tests/controlplane/control_net.py
+++ b/tests/controlplane/control_net.py
@@ -15,7 +15,7 @@
 from shedgrade.controlplane.operator_api import OperatorApi
 from shedgrade.http.server import Request
 from shedgrade.peer_transport.connection import PeerCallError
-from shedgrade.replication import Answer, Finished, Member, Persist, Send
+from shedgrade.replication import Answer, Committed, Member, Persist, Send
 from shedgrade.runtime.stall_detection import ArrivalClock
 
 ZONES = {"hall-1": "north", "hall-2": "south", "hall-3": "south", "hall-4": "west"}
@@ -115,7 +115,7 @@
                     self.loop.call_later(DISK, self.persisted, token)
                 case Answer(ticket, outcome):
                     self.command_router.on_member_outcome(ticket, outcome)
-                case Finished(epoch, sequence, state):
+                case Committed(epoch, sequence, state):
                     self.net.learnt((epoch, sequence), state)
         self.pumping = False
         if self.wake is not None:
--- a/tests/controlplane/test_commands_model.py
+++ b/tests/controlplane/test_commands_model.py
@@ -99,7 +99,7 @@
 
     def attempt(self):
         if self.command is None:
-            self.finish(ForwardedResponse(None, channels.read_response(self.router.member.finished[2])))
+            self.finish(ForwardedResponse(None, channels.read_response(self.router.member.committed.state)))
         else:
             real(self)
 
--- a/tests/simulation/planted_system_faults.py
+++ b/tests/simulation/planted_system_faults.py
@@ -55,7 +55,7 @@
 
     class Unconfirmed(CommandRouter):
         def read(self, tell, *caller):
-            tell(dict(self.member.finished[2]))
+            tell(dict(self.member.committed.state))
 
     monkeypatch.setattr(plane, "CommandRouter", Unconfirmed)
 
--- a/tests/stored/struct_examples.py
+++ b/tests/stored/struct_examples.py
@@ -101,6 +101,12 @@
     "record.ledger:AskRecord": "prefix_cache_index.index:PrefixIndexRequest",
     "record.ledger:RecordMoved": "prefix_cache_index.index:PrefixIndexUpdate",
     "record.ledger:RecordRead": "prefix_cache_index.index:PrefixIndexAdditions",
+    "replication.messages:EpochRecord": "replication.messages:EpochConfig",
+    "replication.messages:Hello": "replication.messages:JoinRequest",
+    "replication.messages:Learn": "replication.messages:CatchUp",
+    "replication.messages:Piece": "replication.messages:Chunk",
+    "replication.messages:PieceAck": "replication.messages:ChunkAck",
+    "replication.messages:Whereabouts": "replication.messages:PrimaryHint",
 }
 
 
