--- /dev/null
+++ b/shedgrade/controlplane/directory_service.py
@@ -0,0 +1,65 @@
+"""Resolution of hosts to edges, `GET /resolution`: what this member knows, handed to the `Directory`."""
+
+import asyncio
+from collections.abc import Callable
+from random import Random
+
+from shedgrade.control_messages import EdgeRecord, EdgeStatus
+from shedgrade.controlplane.directory import Directory, cover
+from shedgrade.controlplane.endpoint_list_sync import EndpointListSync
+from shedgrade.controlplane.home_regions import HomeRegions, Regions
+from shedgrade.controlplane.reachability import ReachabilityMonitor
+from shedgrade.controlplane.watch_hub import WatchHub
+from shedgrade.http.server import Request, Respond
+from shedgrade.process_settings import Settings
+
+
+class DirectoryService:
+    """`members()`: link addresses of the core members. `contact_at()`: when this member last heard the
+    primary, or was confirmed as primary, on the loop's clock."""
+
+    def __init__(
+        self,
+        loop: asyncio.AbstractEventLoop,
+        settings: Settings,
+        random: Random,
+        endpoint_sync: EndpointListSync,
+        reachability: ReachabilityMonitor,
+        members: Callable[[], tuple[str, ...]],
+        contact_at: Callable[[], float],
+    ) -> None:
+        self.loop = loop
+        self.random = random
+        self.endpoint_sync = endpoint_sync
+        self.reachability = reachability
+        self.members = members
+        self.contact_at = contact_at
+        self.home_regions = HomeRegions()
+        self.apply_settings(settings)
+
+    def connect(self, hub: WatchHub) -> None:
+        """Names the hub whose edges are resolved; called before anything else."""
+        self.hub = hub
+
+    def apply_settings(self, settings: Settings) -> None:
+        """The settings were reloaded."""
+        self.region = settings.region
+        self.directory = Directory(settings.zones, self.random, settings.bounds)
+
+    def resolve(self, request: Request, respond: Respond) -> None:
+        """Responds with the edges to which the client may be sent."""
+        now = self.loop.time()
+        stranded: frozenset[str] = frozenset()
+        if self.reachability.cut_off(now, self.members(), self.contact_at()):
+            services = self.endpoint_sync.services_in(self.region)
+            stranded = self.reachability.stranded(self.hub.configuration, services)
+        edges = self.hub.listed_edges(now)
+        respond(self.directory.handle(request, edges, stranded, self.homes_of))
+
+    def homes_of(self, host: str) -> Regions:
+        """Where else than in their own region clients of a host may be sent."""
+        return self.home_regions.of(self.hub.configuration, host)
+
+    def cover(self, edge: EdgeStatus, others: tuple[EdgeRecord, ...]) -> str:
+        """Who takes the clients of an edge that leaves."""
+        return cover(edge, others, self.home_regions.all(self.hub.configuration))
--- /dev/null
+++ b/shedgrade/controlplane/endpoint_list_sync.py
@@ -0,0 +1,101 @@
+"""Keeps the endpoint list of this member: polled from the platform, or received from a member that polls."""
+
+import asyncio
+from collections.abc import Mapping
+from random import Random
+from zlib import crc32
+
+from shedgrade.control_messages import AVAILABLE, EndpointUpdate
+from shedgrade.controlplane.peer_messenger import PeerMessenger
+from shedgrade.controlplane.platform_poller import EndpointList, Poller
+from shedgrade.controlplane.prefix_index_exchange import PrefixIndexExchange
+from shedgrade.controlplane.watch_hub import WatchHub
+from shedgrade.load_reports import LoadAggregator
+from shedgrade.process_settings import Settings
+
+ENDPOINT_LIST_ROLE = "upstreams"  # the role of polling the platform's list; the name is sent
+MAX_FAILED_POLLS = 3  # in sequence, after which the holder of the role releases it
+
+
+class EndpointListSync:
+    """Attributes: `zones`: region by zone, of the settings in force; `sent_version`: version of the list that
+    the other members were sent last by this one, (0, 0) before."""
+
+    def __init__(
+        self,
+        loop: asyncio.AbstractEventLoop,
+        settings: Settings,
+        random: Random,
+        endpoint_list: EndpointList,
+        messenger: PeerMessenger,
+    ) -> None:
+        self.loop = loop
+        self.zones: Mapping[str, str] = settings.zones
+        self.random = random
+        self.endpoint_list = endpoint_list
+        self.messenger = messenger
+        self.poller = Poller(loop, settings.cloud_api, endpoint_list, self.on_polled, random=random)
+        self.sent_version = (0, 0)
+
+    def connect(self, hub: WatchHub, prefix_exchange: PrefixIndexExchange, loads: LoadAggregator) -> None:
+        """Names those who are told of a changed list; called before anything else."""
+        self.hub = hub
+        self.prefix_exchange = prefix_exchange
+        self.loads = loads
+
+    def apply_settings(self, settings: Settings) -> None:
+        """The settings were reloaded."""
+        self.zones = settings.zones
+        self.poller.retarget(settings.cloud_api)
+
+    def start(self, term: int) -> None:
+        """This member polls the platform from now on."""
+        self.poller.start(term)
+
+    def stop(self) -> None:
+        """It polls no more."""
+        self.poller.stop()
+
+    @property
+    def has_failed(self) -> bool:
+        """Whether polls failed so often that another member should try."""
+        return self.poller.failed >= MAX_FAILED_POLLS
+
+    async def load_at_start(self, settings: Settings) -> None:
+        """One poll of a member that is started again: endpoints are known before the election is over."""
+        poller = Poller(self.loop, settings.cloud_api, self.endpoint_list, self.on_polled, random=self.random)
+        if await poller.peek():
+            self.on_changed(self.loop.time())
+
+    def on_polled(self, changed: bool) -> None:
+        """This process polls, and a full list has come."""
+        now = self.loop.time()
+        if changed:
+            self.on_changed(now)
+        self.messenger.broadcast_control(self.endpoint_list.answer(*self.sent_version, now))
+        self.sent_version = self.endpoint_list.version
+
+    def on_update(self, now: float, update: EndpointUpdate, unread_s: float) -> bool:
+        """An update from another member, which may have waited here for `unread_s`. Whether the list that it
+        builds on is lacking here and must be asked for."""
+        if self.endpoint_list.take(update, now, unread_s):
+            self.on_changed(now)
+            return False
+        return self.endpoint_list.lacks
+
+    def on_changed(self, now: float) -> None:
+        """Hands the changed list to all that depend on it."""
+        self.prefix_exchange.listed(self.endpoint_list)
+        self.loads.regions = {
+            crc32(endpoint.id.encode()): self.zones.get(endpoint.zone, "")
+            for endpoint in self.endpoint_list.instances()
+        }
+        self.hub.set_endpoint_list(now, self.endpoint_list)
+
+    def services_in(self, region: str) -> set[str]:
+        """Services with an available endpoint in the region."""
+        return {
+            endpoint.service
+            for endpoint in self.endpoint_list.instances()
+            if endpoint.state == AVAILABLE and self.zones.get(endpoint.zone) == region
+        }
--- /dev/null
+++ b/shedgrade/controlplane/message_dispatcher.py
@@ -0,0 +1,173 @@
+"""Dispatches what other processes send to the parts of a core member, by channel and kind of message."""
+
+import asyncio
+from collections.abc import Callable
+
+import msgspec
+
+from shedgrade import control_messages
+from shedgrade.control_messages import (
+    EdgeObservations,
+    EndpointListRequest,
+    EndpointUpdate,
+    WatchRequest,
+)
+from shedgrade.controlplane import role_messages
+from shedgrade.controlplane.channels import DUTIES, KNOWLEDGE, ORDERS, REPLICATION
+from shedgrade.controlplane.command_router import CommandRouter
+from shedgrade.controlplane.endpoint_list_sync import ENDPOINT_LIST_ROLE, EndpointListSync
+from shedgrade.controlplane.peer_messenger import PeerMessenger, control_body
+from shedgrade.controlplane.prefix_index_exchange import PrefixIndexExchange
+from shedgrade.controlplane.reachability import ReachabilityMonitor
+from shedgrade.controlplane.singleton_roles import SingletonRoles
+from shedgrade.controlplane.watch_hub import WatchHub
+from shedgrade.load_reports import LoadAggregator, LoadReport, LoadSums
+from shedgrade.peer_transport.address import parse_address
+from shedgrade.peer_transport.connection import PeerConnection
+from shedgrade.peer_transport.frames import Frame
+from shedgrade.prefix_cache_index import PrefixIndexAdditions, PrefixIndexRequest, PrefixIndexUpdate
+from shedgrade.replication import Member, messages
+from shedgrade.runtime.log import logger
+from shedgrade.runtime.stall_detection import StallDetector
+
+decode_role_message = msgspec.msgpack.Decoder(role_messages.Message).decode
+decode_replication = msgspec.msgpack.Decoder(messages.Message).decode
+
+Respond = Callable[[bytes], None]
+
+
+class MessageDispatcher:
+    """Attributes: `edge_connections`: by an edge's link address, the connection on which it watches; removed
+    when that ends."""
+
+    def __init__(
+        self,
+        loop: asyncio.AbstractEventLoop,
+        *,
+        member: Member,
+        roles: SingletonRoles,
+        hub: WatchHub,
+        router: CommandRouter,
+        endpoint_sync: EndpointListSync,
+        prefix_exchange: PrefixIndexExchange,
+        loads: LoadAggregator,
+        reachability: ReachabilityMonitor,
+        stalls: StallDetector,
+        messenger: PeerMessenger,
+        run_state_machines: Callable[[], None],
+        report_edges: Callable[[float], None],
+    ) -> None:
+        """`run_state_machines()` is called after each message; `report_edges(now)` when an edge that is heard
+        here has changed."""
+        self.loop = loop
+        self.member = member
+        self.roles = roles
+        self.hub = hub
+        self.router = router
+        self.endpoint_sync = endpoint_sync
+        self.prefix_exchange = prefix_exchange
+        self.loads = loads
+        self.reachability = reachability
+        self.stalls = stalls
+        self.messenger = messenger
+        self.run_state_machines = run_state_machines
+        self.report_edges = report_edges
+        self.edge_connections: dict[str, PeerConnection] = {}
+
+    # --- frames
+
+    def on_frame(self, connection: PeerConnection, frame: Frame) -> None:
+        """A frame on a connection that came in; its response goes back on it."""
+        if frame.body[:1] == KNOWLEDGE and frame.number:
+            self.track_edge(connection, frame.sender)
+
+        def respond(body: bytes) -> None:
+            if frame.number:
+                connection.send(body, frame.number, True)
+            else:
+                self.messenger.links.send(frame.sender, body)
+
+        self.dispatch(frame.sender, frame.body, respond)
+
+    def on_frame_of_own_connection(self, sender: str, frame: Frame) -> None:
+        """A frame that came back on a connection that this process opened."""
+        self.dispatch(sender, frame.body, lambda body: self.messenger.links.send(sender, body))
+
+    def track_edge(self, connection: PeerConnection, sender: str) -> None:
+        """Guards against clients sent to an edge that died: its connection ends before its next watch is
+        due."""
+        if self.edge_connections.get(sender) is not connection:
+            self.edge_connections[sender] = connection
+            connection.on_close.append(lambda: self.on_edge_disconnected(connection, sender))
+
+    def on_edge_disconnected(self, connection: PeerConnection, sender: str) -> None:
+        """The edges of that machine that were heard here are listed no more, until they are heard again."""
+        if self.edge_connections.get(sender) is not connection:
+            return
+        del self.edge_connections[sender]
+        host = parse_address(sender)[0]
+        for name, record in list(self.hub.edges.records.items()):
+            if record.own and parse_address(record.edge.listen_address)[0] == host:
+                self.hub.edge_disconnected(name)
+
+    # --- messages
+
+    def dispatch(self, sender: str, body: bytes, respond: Respond) -> None:
+        """A message from a process with that link address."""
+        channel, body = body[:1], body[1:]
+        now = self.loop.time()
+        self.stalls.observe(now)
+        unread_s = self.stalls.unread_s(now)
+        try:
+            if channel != KNOWLEDGE:
+                self.reachability.heard(now - unread_s, sender)
+            if channel == REPLICATION:
+                self.member.receive_delay_s = unread_s
+                self.member.receive(now, sender, decode_replication(body))
+                self.hub.set_confirmed_at(self.member.confirmed_at)
+            elif channel == DUTIES:
+                self.roles.receive(now, sender, decode_role_message(body))
+            elif channel == KNOWLEDGE:
+                self.on_control_message(now, sender, control_messages.decode(body), respond, unread_s)
+            elif channel == ORDERS:
+                self.router.on_forwarded(body, respond)
+        except msgspec.MsgspecError as wrong:
+            # Guards against a process of another version: what it says is left out, and logged.
+            logger.warning("message decode failed", sender=sender, error=str(wrong))
+        self.run_state_machines()
+
+    def on_control_message(
+        self,
+        now: float,
+        sender: str,
+        message: control_messages.Message,
+        respond: Respond,
+        unread_s: float,
+    ) -> None:
+        """`unread_s`: the message may have waited at this process so long."""
+        match message:
+            case WatchRequest():
+                self.on_watch(now, message, respond, unread_s)
+            case LoadReport():
+                self.loads.reported(now, message, lambda update: self.messenger.send_control(sender, update))
+            case LoadSums():
+                self.loads.shared(now, message)
+            case PrefixIndexUpdate() | PrefixIndexAdditions() | PrefixIndexRequest():
+                self.prefix_exchange.heard(now, message, lambda body: respond(KNOWLEDGE + body))
+            case EdgeObservations():
+                self.reachability.heard(now - unread_s, sender)
+                self.hub.update_edges(now, message, unread_s)
+            case EndpointListRequest(term, number):
+                respond(control_body(self.endpoint_sync.endpoint_list.answer(term, number, now)))
+            case EndpointUpdate():
+                if self.endpoint_sync.on_update(now, message, unread_s):
+                    respond(control_body(self.endpoint_sync.endpoint_list.question(now)))
+
+    def on_watch(self, now: float, request: WatchRequest, respond: Respond, unread_s: float) -> None:
+        """A watch of an edge, which is its heartbeat too."""
+        # Guards against core members that all started anew: their terms go above what edges hold.
+        self.roles.observe_term(now, ENDPOINT_LIST_ROLE, request.endpoints_version[0])
+        before = self.hub.edges.own_version
+        self.hub.watch(now, request, lambda response: respond(control_body(response)), unread_s)
+        if self.hub.edges.own_version != before:
+            self.report_edges(now)
--- /dev/null
+++ b/shedgrade/controlplane/peer_messenger.py
@@ -0,0 +1,51 @@
+"""Sends messages of each channel to core members and edges."""
+
+from collections.abc import Callable
+from typing import Protocol
+
+import msgspec
+
+from shedgrade import control_messages
+from shedgrade.controlplane.channels import DUTIES, KNOWLEDGE, REPLICATION
+
+encode = msgspec.msgpack.Encoder().encode
+
+
+class Links(Protocol):
+    """Links to other processes, by their link address."""
+
+    def send(self, address: str, body: bytes) -> None:
+        """Sends without an answer; may be lost."""
+
+
+class PeerMessenger:
+    """`members()`: the link addresses of the core members, this one among them."""
+
+    def __init__(self, links: Links, own_address: str, members: Callable[[], tuple[str, ...]]) -> None:
+        self.links = links
+        self.own_address = own_address
+        self.members = members
+
+    def send_replication(self, address: str, message: msgspec.Struct) -> None:
+        """A message of the replication protocol."""
+        self.links.send(address, REPLICATION + encode(message))
+
+    def send_role_message(self, address: str, message: msgspec.Struct) -> None:
+        """A message of the election of singleton roles."""
+        self.links.send(address, DUTIES + encode(message))
+
+    def send_control(self, address: str, message: msgspec.Struct) -> None:
+        """A control message to one process."""
+        self.links.send(address, control_body(message))
+
+    def broadcast_control(self, message: msgspec.Struct) -> None:
+        """A control message to all other core members."""
+        body = control_body(message)
+        for address in self.members():
+            if address != self.own_address:
+                self.links.send(address, body)
+
+
+def control_body(message: msgspec.Struct) -> bytes:
+    """The body of a control message, with its channel."""
+    return KNOWLEDGE + control_messages.encode(message)
--- a/shedgrade/controlplane/plane.py
+++ b/shedgrade/controlplane/plane.py
@@ -1,95 +1,58 @@
-"""The control plane of one core machine: its parts, wired to sockets, disk and clock."""
+"""The control plane of one core machine: its parts made and wired to each other, from start to shutdown."""
 
 import asyncio
 import gc
 import signal
 from collections.abc import Callable
 from random import Random
-from time import sleep, time
-from zlib import crc32
-
-import msgspec
-
-from shedgrade import control_messages
-from shedgrade.control_messages import (
-    EdgeObservations,
-    EdgeRecord,
-    EdgeStatus,
-    EndpointListRequest,
-    EndpointUpdate,
-    WatchRequest,
-)
-from shedgrade.controlplane import role_messages
-from shedgrade.controlplane.channels import DUTIES, KNOWLEDGE, ORDERS, REPLICATION
+from time import time
+
 from shedgrade.controlplane.command_router import CommandRouter
 from shedgrade.controlplane.commands import make_decide
-from shedgrade.controlplane.directory import Directory, cover
-from shedgrade.controlplane.disk_thread import DiskThread
-from shedgrade.controlplane.home_regions import HomeRegions, Regions
+from shedgrade.controlplane.directory_service import DirectoryService
+from shedgrade.controlplane.disk_thread import DiskThread, load_store
+from shedgrade.controlplane.endpoint_list_sync import ENDPOINT_LIST_ROLE, EndpointListSync
+from shedgrade.controlplane.message_dispatcher import MessageDispatcher
 from shedgrade.controlplane.operator_api import OperatorApi
-from shedgrade.controlplane.platform_poller import EndpointList, Poller
+from shedgrade.controlplane.peer_messenger import PeerMessenger
+from shedgrade.controlplane.periodic_tasks import EDGE_REPORT_INTERVAL_S, PeriodicTasks
+from shedgrade.controlplane.platform_poller import EndpointList
 from shedgrade.controlplane.prefix_index_exchange import PrefixIndexExchange
 from shedgrade.controlplane.reachability import ReachabilityMonitor
 from shedgrade.controlplane.singleton_roles import SingletonRoles
+from shedgrade.controlplane.state_machine_driver import StateMachineDriver
 from shedgrade.controlplane.status import status
 from shedgrade.controlplane.watch_hub import WatchHub
 from shedgrade.http.server import HttpServer
-from shedgrade.load_reports import LoadAggregator, LoadReport, LoadSums
+from shedgrade.load_reports import LoadAggregator
 from shedgrade.membership.gossip import Gossip
 from shedgrade.membership.messages import Node
-from shedgrade.peer_transport.address import parse_address
+from shedgrade.peer_transport.connection import PeerConnection
+from shedgrade.peer_transport.frames import Frame
 from shedgrade.peer_transport.tcp import PeerConnectionPool, PeerServer
-from shedgrade.prefix_cache_index import PrefixIndexAdditions, PrefixIndexRequest, PrefixIndexUpdate
 from shedgrade.process_settings import Settings, SettingsFileWatcher, SettingsReloader
-from shedgrade.replication import (
-    Answer,
-    Committed,
-    Exit,
-    Member,
-    Persist,
-    Send,
-    messages,
-)
+from shedgrade.replication import Member
 from shedgrade.runtime.log import logger
 from shedgrade.runtime.loop_errors import log_uncaught
 from shedgrade.runtime.stall_detection import ArrivalClock, StallDetector, steady_clock
 from shedgrade.storage import LoadResult, Store
+from shedgrade.storage.files import Files
 
-LIST = "upstreams"  # the role of polling the platform's list
-BEAT = 0.25  # s between two looks at what has no timer of its own
-SPREAD = 0.5  # s between two words to other members about the edges heard here
-LEAVES = 0.2  # s for what was said last to leave
-KILL_MARGIN = 1.0  # s before SIGKILL at which this process ends, whatever it still waits for
-RELOAD = 0.2  # s before a disk that can't be read is tried again
-LOAD_BEAT = 0.1  # s between two words to edges and members about what edges have in flight
-AGED = 3  # beats without a list from the platform after which its holder gives the role up
-
-encode = msgspec.msgpack.Encoder().encode
-decode_role_message = msgspec.msgpack.Decoder(role_messages.Message).decode
-decode_replication = msgspec.msgpack.Decoder(messages.Message).decode
-
+LINGER_S = 0.2  # from the end of the state machines to that of the process, for the last messages to leave
+KILL_MARGIN_S = 1.0  # before SIGKILL at which this process ends, whatever it still waits for
 
-def leave_patience(grace: float) -> float:
-    """How long a process that is told to end may wait for the others, of `grace` s until SIGKILL."""
-    return max(grace / 2, grace - LEAVES - KILL_MARGIN)
 
-
-def loaded(store: Store, wait: Callable[[float], None] = sleep) -> LoadResult:
-    """What the disk holds. Guards against a disk in trouble at the start: nothing is served before it is
-    read, and a process that ends is started again into the same trouble."""
-    told = False
-    while True:
-        try:
-            return store.load()
-        except OSError as failure:
-            if not told:
-                logger.warning("the disk can't be read yet: {}", failure.strerror or failure)
-            told = True
-            wait(RELOAD)
+def leave_timeout_s(grace_s: float) -> float:
+    """How long a process that is told to end may wait for the others, of `grace_s` until SIGKILL."""
+    return max(grace_s / 2, grace_s - LINGER_S - KILL_MARGIN_S)
 
 
 class ControlPlane:
-    """Owns the member of the control state, the hub, the list, the roles, and all their sockets."""
+    """Makes the parts of a core member, starts them, and closes them when the member may exit.
+
+    The parts know each other only as their constructors say: `driver` runs the state machines (`member`,
+    `roles`, `hub`), `dispatcher` hands them what others send, `periodic_tasks` what is due at intervals.
+    """
 
     def __init__(
         self,
@@ -98,398 +61,267 @@
         random: Random,
         watched: SettingsFileWatcher | None = None,
         *,
-        files=None,
+        files: Files | None = None,
         make_disk: Callable[..., DiskThread] = DiskThread,
         wall_clock: Callable[[], float] = time,
     ) -> None:
         """`watched`: the settings file, which may change; None: there is none. A simulated machine hands in
-        `files` (as `storage.files.Files`), `make_disk` (as `DiskThread`) and `wall_clock` (s since 1970)."""
-        self.settings, self.loop, self.random = settings, loop, random
-        own = self.own = settings.link_address
-        now = loop.time()
+        `files`, `make_disk` (as `DiskThread`) and `wall_clock` (s since 1970)."""
+        self.settings = settings
+        self.loop = loop
+        self.random = random
+        self.own = settings.link_address
         self.store = Store(settings.data_dir, files)
-        found = loaded(self.store)
+        found = load_store(self.store)
         for finding in found.findings:
-            logger.warning("disk: {}", finding)
-        self.disk = make_disk(loop, self.store, self.persisted)
-        founding = settings.initial_start and found.state == "empty"
+            logger.warning("disk finding", finding=str(finding))
+        self.disk = make_disk(loop, self.store, self.on_persisted)
+        self.founding = settings.initial_start and found.state == "empty"
+        self.make_replication(found)
+        self.make_links()
+        self.make_endpoint_list(wall_clock)
+        self.make_hub()
+        self.make_gossip()
+        self.make_services(watched)
+        self.make_driver()
+
+    # --- assembly, in an order that `random` depends on
+
+    def make_replication(self, found: LoadResult) -> None:
+        """The member of the group that replicates the control state."""
+        settings = self.settings
         self.member = Member(
             settings.node_name,
-            own,
-            founding=founding,
+            self.own,
+            founding=self.founding,
             seeds=settings.seed_links,
             tolerated=settings.tolerated.machines,
             found=found.values or None,
-            random=random,
-            now=now,
+            random=self.random,
+            now=self.loop.time(),
             decide=make_decide(settings.zones),
         )
-        self.links = PeerConnectionPool(loop, own, self.came_back, settings.ip_address, self.heard)
-        self.server = PeerServer(
-            loop, (settings.ip_address, settings.internal_ports[0]), own, self.heard, self.links.adopt
+
+    def make_links(self) -> None:
+        """Links to other processes, and the way of commands over them."""
+        settings = self.settings
+        self.links = PeerConnectionPool(
+            self.loop, self.own, self.on_frame_of_own_connection, settings.ip_address, self.on_frame
+        )
+        listen_at = (settings.ip_address, settings.internal_ports[0])
+        self.server = PeerServer(self.loop, listen_at, self.own, self.on_frame, self.links.adopt)
+        self.messenger = PeerMessenger(self.links, self.own, self.member_addresses)
+        clock = steady_clock(self.loop)
+        self.command_router = CommandRouter(
+            self.loop, self.member, self.links, self.run_state_machines, clock
+        )
+        self.arrivals = ArrivalClock(self.loop, clock)
+        self.stalls = StallDetector(self.loop.time())
+
+    def make_endpoint_list(self, wall_clock: Callable[[], float]) -> None:
+        """The platform's list, and the election of the member that polls it."""
+        self.endpoint_list = EndpointList(self.loop.time)
+        self.endpoint_sync = EndpointListSync(
+            self.loop, self.settings, self.random, self.endpoint_list, self.messenger
         )
-        clock = steady_clock(loop)
-        self.command_router = CommandRouter(loop, self.member, self.links, self.pump, clock)
-        self.arrivals = ArrivalClock(loop, clock)
-        self.instances = EndpointList(loop.time)
-        self.poller = Poller(loop, settings.cloud_api, self.instances, self.polled, random=random)
         self.roles = SingletonRoles(
-            own, self.member_addresses, random, now, roles=(LIST,), floor=int(wall_clock() * 10)
+            self.own,
+            self.member_addresses,
+            self.random,
+            self.loop.time(),
+            roles=(ENDPOINT_LIST_ROLE,),
+            floor=int(wall_clock() * 10),
         )
-        self.hub = WatchHub(now, exchange_interval_s=SPREAD, cover=self.cover)
-        self.reach = ReachabilityMonitor(own, settings.region)
-        self.stalls = StallDetector(now)
-        self.recording = PrefixIndexExchange(
-            self.hub, random.getrandbits(40) + 1, founding, self.tell_knowledge
+
+    def make_hub(self) -> None:
+        """What edges are told, and how clients find them."""
+        self.reachability = ReachabilityMonitor(self.own, self.settings.region)
+        self.directory_service = DirectoryService(
+            self.loop,
+            self.settings,
+            self.random,
+            self.endpoint_sync,
+            self.reachability,
+            self.member_addresses,
+            self.contact_at,
+        )
+        self.hub = WatchHub(
+            self.loop.time(),
+            exchange_interval_s=EDGE_REPORT_INTERVAL_S,
+            cover=self.directory_service.cover,
         )
-        self.loads = LoadAggregator(own)
-        self.gossip = Gossip(
-            loop,
-            Node(
-                settings.node_name,
-                settings.gossip_address,
-                "core",
-                settings.zone,
-                random.getrandbits(48),
-                own,
-            ),
-            settings.seed_gossips,
-            random,
+        self.directory_service.connect(self.hub)
+        self.prefix_exchange = PrefixIndexExchange(
+            self.hub, self.random.getrandbits(40) + 1, self.founding, self.messenger.broadcast_control
+        )
+        self.loads = LoadAggregator(self.own)
+        self.endpoint_sync.connect(self.hub, self.prefix_exchange, self.loads)
+
+    def make_gossip(self) -> None:
+        """This process among all those of the system."""
+        settings = self.settings
+        node = Node(
+            settings.node_name,
+            settings.gossip_address,
+            "core",
+            settings.zone,
+            self.random.getrandbits(48),
+            self.own,
         )
-        self.edge_peers: dict[str, object] = {}  # by an edge's link address: where it asks
+        self.gossip = Gossip(self.loop, node, settings.seed_gossips, self.random)
+
+    def make_services(self, watched: SettingsFileWatcher | None) -> None:
+        """HTTP for operators and clients, and reloads of the settings."""
         self.operator_api = OperatorApi(self.command_router, self.status)
-        self.directory = Directory(settings.zones, random, settings.bounds)
-        self.home_regions = HomeRegions()
-        self.reload = SettingsReloader(settings, watched, self.resettled)
         self.http: list[HttpServer] = []
-        self.timer = None
-        self.wake = float("inf")
-        self.spread_at = 0.0
-        self.listed = (0, 0)  # version of the list that others were told
-        self.pumping = False
-        self.left = asyncio.Event()
+        self.reloader = SettingsReloader(self.settings, watched, self.apply_settings)
+
+    def make_driver(self) -> None:
+        """What runs the state machines: with instructions, messages and time."""
+        self.driver = StateMachineDriver(
+            self.loop,
+            self.member,
+            self.roles,
+            self.hub,
+            self.messenger,
+            self.endpoint_sync,
+            self.command_router,
+            lambda token, changes: self.disk.write(token, changes),
+        )
+        self.periodic_tasks = PeriodicTasks(
+            self.loop,
+            member=self.member,
+            roles=self.roles,
+            hub=self.hub,
+            driver=self.driver,
+            endpoint_sync=self.endpoint_sync,
+            prefix_exchange=self.prefix_exchange,
+            loads=self.loads,
+            stalls=self.stalls,
+            messenger=self.messenger,
+            reloader=self.reloader,
+            contact_at=self.contact_at,
+        )
+        self.dispatcher = MessageDispatcher(
+            self.loop,
+            member=self.member,
+            roles=self.roles,
+            hub=self.hub,
+            router=self.command_router,
+            endpoint_sync=self.endpoint_sync,
+            prefix_exchange=self.prefix_exchange,
+            loads=self.loads,
+            reachability=self.reachability,
+            stalls=self.stalls,
+            messenger=self.messenger,
+            run_state_machines=self.driver.run,
+            report_edges=self.periodic_tasks.report_edges,
+        )
+
+    # --- for parts that are made before those that they call
+
+    def on_persisted(self, token: int, succeeded: bool) -> None:
+        """The disk has made changes durable, or refused them."""
+        self.driver.on_persisted(token, succeeded)
+
+    def run_state_machines(self) -> None:
+        """Carries out what the state machines ask for."""
+        self.driver.run()
+
+    def on_frame(self, connection: PeerConnection, frame: Frame) -> None:
+        """A frame on a connection that another process opened."""
+        self.dispatcher.on_frame(connection, frame)
+
+    def on_frame_of_own_connection(self, sender: str, frame: Frame) -> None:
+        """A frame on a connection that this process opened."""
+        self.dispatcher.on_frame_of_own_connection(sender, frame)
+
+    # --- what several parts ask
+
+    def member_addresses(self) -> tuple[str, ...]:
+        """Link addresses of the members that the newest epoch names; before that, the seeds."""
+        return tuple(peer.address for peer in self.member.members) or self.settings.seed_links
+
+    def contact_at(self) -> float:
+        """When this member last heard the primary, or as primary was confirmed by a majority."""
+        return max(self.member.primary_heard_at, self.member.confirmed_at)
+
+    def status(self) -> dict:
+        """Plain data for `GET /status`."""
+        return status(
+            self.loop.time(),
+            self.settings.node_name,
+            self.settings.zones,
+            self.member,
+            self.hub,
+            self.endpoint_list,
+            self.roles,
+        )
 
-    # --- from start to end
+    # --- from start to shutdown
 
     async def serve(self) -> None:
+        """Runs until the process was told to end and may exit."""
+        self.handle_signals()
+        await self.start()
+        await self.driver.may_exit.wait()
+        await self.stop()
+
+    def handle_signals(self) -> None:
+        """SIGTERM and SIGINT end the process, SIGHUP reloads its settings."""
         self.loop.set_exception_handler(log_uncaught)
         for number in (signal.SIGTERM, signal.SIGINT):
             self.loop.add_signal_handler(number, self.leave)
-        self.loop.add_signal_handler(signal.SIGHUP, lambda: self.reload.poll(self.loop.time(), forced=True))
+        self.loop.add_signal_handler(signal.SIGHUP, lambda: self.reloader.poll(self.loop.time(), forced=True))
+
+    async def start(self) -> None:
+        """Opens disk and sockets, and begins what is periodic."""
         self.disk.start()
         await self.server.start()
         await self.gossip.start()
         listen = self.settings.listen
         if "control" in listen:
-            self.http.append(
-                HttpServer(
-                    self.loop,
-                    listen["control"],
-                    self.operator_api.handle,
-                    logger,
-                    earliest=self.arrivals.earliest,
-                )
-            )
+            handle = self.operator_api.handle
+            earliest = self.arrivals.earliest
+            self.http.append(HttpServer(self.loop, listen["control"], handle, logger, earliest=earliest))
         if "directory" in listen:
-            self.http.append(HttpServer(self.loop, listen["directory"], self.resolve, logger))
+            handle = self.directory_service.resolve
+            self.http.append(HttpServer(self.loop, listen["directory"], handle, logger))
         for server in self.http:
             await server.start()
+        # What was made until now lives as long as the process: the collector need not look at it again.
         gc.collect()
         gc.freeze()
-        self.beat()
-        self.share_loads()
+        self.periodic_tasks.run_maintenance()
+        self.periodic_tasks.report_loads()
         self.arrivals.start()
         if not self.settings.initial_start:
-            self.looking = self.loop.create_task(self.look())
-        await self.left.wait()
+            load = self.endpoint_sync.load_at_start(self.settings)
+            self.loading = self.loop.create_task(load)
+
+    async def stop(self) -> None:
+        """Closes everything, once the last messages have left."""
         self.gossip.announce_state("leaving")
-        await asyncio.sleep(LEAVES)
+        await asyncio.sleep(LINGER_S)
         for server in self.http:
             server.close()
         self.arrivals.close()
-        self.poller.stop()
+        self.endpoint_sync.stop()
         self.gossip.close()
         self.links.close()
         self.server.close()
         self.disk.close()
 
-    async def look(self) -> None:
-        """Started anew: upstreams are known before a ballot on who polls them is over."""
-        early = Poller(self.loop, self.settings.cloud_api, self.instances, self.polled, random=self.random)
-        if await early.peek():
-            self.list_moved(self.loop.time())
-
     def leave(self) -> None:
         """SIGTERM: serves on until the others hold what this member holds, within the grace; then ends."""
         now = self.loop.time()
         self.roles.resign(now)
-        self.member.leave(now, leave_patience(self.settings.bounds["graceS"]))
-        self.pump()
-
-    def beat(self) -> None:
-        """What has no timer of its own. Guards against a fault of our own, which must not end all looks: the
-        next one is due before anything is done."""
-        if self.left.is_set():
-            return
-        self.loop.call_later(BEAT, self.beat)
-        now = self.loop.time()
-        self.stalls.observe(now)
-        self.hub.set_confirmed_at(self.member.confirmed_at)
-        self.hub.set_members(now, self.member_addresses())
-        self.recording.beat(now, self.contact_at())
-        if self.roles.is_held(LIST) and self.poller.failed >= AGED:
-            self.roles.release(now, LIST)
-        if now >= self.spread_at:
-            self.spread_edges(now)
-        self.hub.tick(now)
-        self.pump()
-        self.reload.poll(now)
-
-    def share_loads(self) -> None:
-        """What edges have in flight. A fault of our own ends no looks."""
-        if self.left.is_set():
-            return
-        self.loop.call_later(LOAD_BEAT, self.share_loads)
-        self.loads.forget_silent(self.loop.time())
-        self.loads.tell_edges(self.loop.time())
-        shared = self.loads.share()
-        if shared is not None:
-            self.tell_knowledge(shared)
-
-    def resettled(self, settings: Settings) -> None:
-        """The settings were read anew."""
+        self.member.leave(now, leave_timeout_s(self.settings.bounds["graceS"]))
+        self.driver.run()
+
+    def apply_settings(self, settings: Settings) -> None:
+        """The settings were reloaded."""
         self.settings = settings
         self.member.decide = make_decide(settings.zones)
-        self.directory = Directory(settings.zones, self.random, settings.bounds)
-        self.poller.retarget(settings.cloud_api)
-
-    def spread_edges(self, now: float) -> None:
-        self.spread_at = now + SPREAD
-        known = self.hub.edges.own_edges(now)
-        if known.edges:
-            self.tell_others(KNOWLEDGE + control_messages.encode(known))
-
-    def member_addresses(self) -> tuple[str, ...]:
-        """Link addresses of the members that the newest epoch names; before that, the seeds."""
-        return tuple(peer.address for peer in self.member.members) or self.settings.seed_links
-
-    def contact_at(self) -> float:
-        """When this member last heard the primary, or as primary was confirmed by a majority."""
-        return max(self.member.primary_heard_at, self.member.confirmed_at)
-
-    def tell_knowledge(self, message: object) -> None:
-        self.tell_others(KNOWLEDGE + control_messages.encode(message))
-
-    def tell_others(self, body: bytes) -> None:
-        for address in self.member_addresses():
-            if address != self.own:
-                self.links.send(address, body)
-
-    # --- the member and the roles
-
-    def persisted(self, token: int, ok: bool) -> None:
-        self.member.persisted(self.loop.time(), token, ok)
-        self.pump()
-
-    def pump(self) -> None:
-        """Carries out what the state machines ask for, and sets the one timer."""
-        if self.pumping:
-            return
-        self.pumping = True
-        try:
-            while self.member.effects or self.roles.instructions:
-                effects, self.member.effects[:] = list(self.member.effects), []
-                for effect in effects:
-                    self.carry_out(effect)
-                effects, self.roles.instructions[:] = list(self.roles.instructions), []
-                for effect in effects:
-                    self.carry_out_role(effect)
-        finally:
-            self.pumping = False
-        self.set_timer()
-
-    def carry_out(self, effect: object) -> None:
-        match effect:
-            case Send(to, message):
-                self.links.send(to, REPLICATION + encode(message))
-            case Persist(token, changes):
-                self.disk.write(token, changes)
-            case Answer(ticket, outcome):
-                self.command_router.on_member_outcome(ticket, outcome)
-            case Committed(epoch, sequence, state):
-                self.hub.apply_control_state(self.loop.time(), epoch, sequence, state)
-            case Exit():
-                self.left.set()
-
-    def carry_out_role(self, effect: object) -> None:
-        match effect:
-            case role_messages.Send(address, message):
-                self.links.send(address, DUTIES + encode(message))
-            case role_messages.RoleAcquired(_, term):
-                logger.info("polls the platform's list, term {}", term)
-                self.poller.start(term)
-            case role_messages.RoleLost():
-                self.poller.stop()
-
-    def set_timer(self) -> None:
-        at = min(self.member.wake_at(), self.roles.wake_at(), self.hub.wake_at())
-        if self.timer is not None:
-            if at == self.wake:
-                return
-            self.timer.cancel()
-            self.timer = None
-        self.wake = at
-        if at != float("inf") and not self.left.is_set():
-            self.timer = self.loop.call_at(max(at, self.loop.time() + 0.001), self.alarm)
-
-    def alarm(self) -> None:
-        self.timer = None
-        now = self.loop.time()
-        try:
-            self.member.tick(now)
-            self.roles.tick(now)
-            self.hub.tick(now)
-            self.pump()
-        finally:
-            if self.timer is None:  # a fault of our own must not stop the clock of all the rest
-                self.set_timer()
-
-    # --- what comes over the link
-
-    def heard(self, peer, frame) -> None:
-        """A frame on a connection that came in; its answer goes back on it."""
-        if frame.body[:1] == KNOWLEDGE and frame.number:
-            self.follow(peer, frame.sender)
-        self.take(
-            frame.sender,
-            frame.body,
-            lambda body: (
-                peer.send(body, frame.number, True) if frame.number else self.links.send(frame.sender, body)
-            ),
-        )
-
-    def follow(self, peer, sender: str) -> None:
-        """Guards against clients sent to an edge that died: its connection ends before its word is due."""
-        if self.edge_peers.get(sender) is not peer:
-            self.edge_peers[sender] = peer
-            peer.on_close.append(lambda: self.lost(peer, sender))
-
-    def lost(self, peer, sender: str) -> None:
-        if self.edge_peers.get(sender) is peer:
-            del self.edge_peers[sender]
-            host = parse_address(sender)[0]
-            for name, heard in list(self.hub.edges.records.items()):
-                if heard.own and parse_address(heard.edge.listen_address)[0] == host:
-                    self.hub.edge_disconnected(name)
-
-    def came_back(self, sender: str, frame) -> None:
-        self.take(sender, frame.body, lambda body: self.links.send(sender, body))
-
-    def take(self, sender: str, body: bytes, answer) -> None:
-        channel, body = body[:1], body[1:]
-        now = self.loop.time()
-        self.stalls.observe(now)
-        unread_s = self.stalls.unread_s(now)
-        try:
-            if channel != KNOWLEDGE:
-                self.reach.heard(now - unread_s, sender)
-            if channel == REPLICATION:
-                self.member.receive_delay_s = unread_s
-                self.member.receive(now, sender, decode_replication(body))
-                self.hub.set_confirmed_at(self.member.confirmed_at)
-            elif channel == DUTIES:
-                self.roles.receive(now, sender, decode_role_message(body))
-            elif channel == KNOWLEDGE:
-                self.learn(now, sender, control_messages.decode(body), answer, unread_s)
-            elif channel == ORDERS:
-                self.command_router.on_forwarded(body, answer)
-        except msgspec.MsgspecError as wrong:
-            # Guards against a process of another version: what it says is left out, and said once in the
-            # ring.
-            logger.warning("{} says what is not understood: {}", sender, wrong)
-        self.pump()
-
-    def learn(self, now: float, sender: str, message: object, answer, unread_s: float = 0.0) -> None:
-        """`unread_s`: the message may have waited at this process so long."""
-        match message:
-            case WatchRequest():
-                # Guards against core members that all started anew: their terms go above what edges hold.
-                self.roles.observe_term(now, LIST, message.endpoints_version[0])
-                before = self.hub.edges.own_version
-                self.hub.watch(
-                    now, message, lambda told: answer(KNOWLEDGE + control_messages.encode(told)), unread_s
-                )
-                if self.hub.edges.own_version != before:
-                    self.spread_edges(now)
-            case LoadReport():
-                self.loads.reported(
-                    now,
-                    message,
-                    lambda told: self.links.send(sender, KNOWLEDGE + control_messages.encode(told)),
-                )
-            case LoadSums():
-                self.loads.shared(now, message)
-            case PrefixIndexUpdate() | PrefixIndexAdditions() | PrefixIndexRequest():
-                self.recording.heard(now, message, lambda body: answer(KNOWLEDGE + body))
-            case EdgeObservations():
-                self.reach.heard(now - unread_s, sender)
-                self.hub.update_edges(now, message, unread_s)
-            case EndpointListRequest(term, number):
-                answer(KNOWLEDGE + control_messages.encode(self.instances.answer(term, number, now)))
-            case EndpointUpdate():
-                if self.instances.take(message, now, unread_s):
-                    self.list_moved(now)
-                elif self.instances.lacks:
-                    answer(KNOWLEDGE + control_messages.encode(self.instances.question(now)))
-
-    def list_moved(self, now: float) -> None:
-        self.recording.listed(self.instances)
-        self.loads.regions = {
-            crc32(one.id.encode()): self.settings.zones.get(one.zone, "")
-            for one in self.instances.instances()
-        }
-        self.hub.set_endpoint_list(now, self.instances)
-
-    def polled(self, changed: bool) -> None:
-        """This process polls, and a whole list has come."""
-        now = self.loop.time()
-        if changed:
-            self.list_moved(now)
-        self.tell_others(KNOWLEDGE + control_messages.encode(self.instances.answer(*self.listed, now)))
-        self.listed = self.instances.version
-
-    # --- operators and clients
-
-    def status(self) -> dict:
-        return status(
-            self.loop.time(),
-            self.settings.node_name,
-            self.settings.zones,
-            self.member,
-            self.hub,
-            self.instances,
-            self.roles,
-        )
-
-    def resolve(self, request, tell) -> None:
-        now, stranded = self.loop.time(), frozenset()
-        if self.reach.cut_off(now, self.member_addresses(), self.contact_at()):
-            stranded = self.reach.stranded(self.hub.configuration, self.served_here())
-        tell(self.directory.handle(request, self.hub.listed_edges(now), stranded, self.homes_of))
-
-    def homes_of(self, host: str) -> Regions:
-        """Where else than in their own region clients of a host may be sent."""
-        return self.home_regions.of(self.hub.configuration, host)
-
-    def cover(self, edge: EdgeStatus, others: tuple[EdgeRecord, ...]) -> str:
-        """Who takes the clients of an edge that leaves."""
-        return cover(edge, others, self.home_regions.all(self.hub.configuration))
-
-    def served_here(self) -> set[str]:
-        """Services with a ready upstream in the own region."""
-        zones, region = self.settings.zones, self.settings.region
-        return {
-            one.service
-            for one in self.instances.instances()
-            if one.state == "available" and zones.get(one.zone) == region
-        }
+        self.directory_service.apply_settings(settings)
+        self.endpoint_sync.apply_settings(settings)
--- /dev/null
+++ b/shedgrade/controlplane/state_machine_driver.py
@@ -0,0 +1,128 @@
+"""Drives the state machines of one core member: carries out their instructions and wakes them in time."""
+
+import asyncio
+from collections.abc import Callable, Mapping
+from math import inf
+
+from shedgrade.controlplane import role_messages
+from shedgrade.controlplane.command_router import CommandRouter
+from shedgrade.controlplane.endpoint_list_sync import EndpointListSync
+from shedgrade.controlplane.peer_messenger import PeerMessenger
+from shedgrade.controlplane.singleton_roles import SingletonRoles
+from shedgrade.controlplane.watch_hub import WatchHub
+from shedgrade.replication import Answer, Committed, Exit, Member, Persist, Send
+from shedgrade.runtime.log import logger
+
+Effect = Send | Persist | Answer | Committed | Exit
+
+SHORTEST_DELAY_S = 0.001  # of the timer, also where something is due already
+
+WriteToDisk = Callable[[int, Mapping[str, bytes | None]], None]  # token, changes
+
+
+class StateMachineDriver:
+    """Runs the replication member, the singleton roles and the watch hub.
+
+    Attributes:
+        may_exit: set once the member has left its group, after which no timer is set.
+        running: instructions are being carried out; what they add is carried out by the same call.
+        timer: of the earliest moment at which a state machine is due, `wake_at` on the loop's clock; None if
+            nothing is due, and while its callback runs.
+    """
+
+    def __init__(
+        self,
+        loop: asyncio.AbstractEventLoop,
+        member: Member,
+        roles: SingletonRoles,
+        hub: WatchHub,
+        messenger: PeerMessenger,
+        endpoint_sync: EndpointListSync,
+        router: CommandRouter,
+        write_to_disk: WriteToDisk,
+    ) -> None:
+        """`write_to_disk` makes changes durable and calls `on_persisted` with their token afterwards."""
+        self.loop = loop
+        self.member = member
+        self.roles = roles
+        self.hub = hub
+        self.messenger = messenger
+        self.endpoint_sync = endpoint_sync
+        self.write_to_disk = write_to_disk
+        self.router = router
+        self.may_exit = asyncio.Event()
+        self.running = False
+        self.timer: asyncio.TimerHandle | None = None
+        self.wake_at = inf
+
+    def on_persisted(self, token: int, succeeded: bool) -> None:
+        """The disk has made these changes durable, or refused them."""
+        self.member.persisted(self.loop.time(), token, succeeded)
+        self.run()
+
+    def run(self) -> None:
+        """Carries out what the state machines ask for, and sets the timer."""
+        if self.running:
+            return
+        self.running = True
+        try:
+            while self.member.effects or self.roles.instructions:
+                effects, self.member.effects[:] = list(self.member.effects), []
+                for effect in effects:
+                    self.carry_out(effect)
+                instructions, self.roles.instructions[:] = list(self.roles.instructions), []
+                for instruction in instructions:
+                    self.carry_out_for_role(instruction)
+        finally:
+            self.running = False
+        self.set_timer()
+
+    def carry_out(self, effect: Effect) -> None:
+        """One instruction of the replication member."""
+        match effect:
+            case Send(address, message):
+                self.messenger.send_replication(address, message)
+            case Persist(token, changes):
+                self.write_to_disk(token, changes)
+            case Answer(ticket, outcome):
+                self.router.on_member_outcome(ticket, outcome)
+            case Committed(epoch, sequence, state):
+                self.hub.apply_control_state(self.loop.time(), epoch, sequence, state)
+            case Exit():
+                self.may_exit.set()
+
+    def carry_out_for_role(self, instruction: role_messages.Instruction) -> None:
+        """One instruction of the singleton roles; the only role is to poll the platform's endpoint list."""
+        match instruction:
+            case role_messages.Send(address, message):
+                self.messenger.send_role_message(address, message)
+            case role_messages.RoleAcquired(_, term):
+                logger.info("endpoint list poller started", term=term)
+                self.endpoint_sync.start(term)
+            case role_messages.RoleLost():
+                self.endpoint_sync.stop()
+
+    def set_timer(self) -> None:
+        """Replaces the timer if something else is due first."""
+        at = min(self.member.wake_at(), self.roles.wake_at(), self.hub.wake_at())
+        if self.timer is not None:
+            if at == self.wake_at:
+                return
+            self.timer.cancel()
+            self.timer = None
+        self.wake_at = at
+        if at != inf and not self.may_exit.is_set():
+            self.timer = self.loop.call_at(max(at, self.loop.time() + SHORTEST_DELAY_S), self.on_timer)
+
+    def on_timer(self) -> None:
+        """Something is due."""
+        self.timer = None
+        now = self.loop.time()
+        try:
+            self.member.tick(now)
+            self.roles.tick(now)
+            self.hub.tick(now)
+            self.run()
+        finally:
+            if self.timer is None:  # a fault of our own must not stop the clock of all the rest
+                self.set_timer()
--- a/shedgrade/simulation/system/disk.py
+++ b/shedgrade/simulation/system/disk.py
@@ -81,7 +81,7 @@
             self.store.write(changes)
             succeeded = True
         except OSError as failure:
-            logger.warning("the disk refuses: {}", failure.strerror or failure)
+            logger.warning("disk write failed", error=failure.strerror or str(failure))
             succeeded = False
         self.busy = False
         self.loop.call_soon_threadsafe(self.done, token, succeeded)
--- a/shedgrade/simulation/system/world.py
+++ b/shedgrade/simulation/system/world.py
@@ -6,7 +6,8 @@
 from random import Random
 
 from shedgrade.control_messages import ControlChange
-from shedgrade.controlplane.plane import LIST, ControlPlane
+from shedgrade.controlplane.endpoint_list_sync import ENDPOINT_LIST_ROLE
+from shedgrade.controlplane.plane import ControlPlane
 from shedgrade.dataplane.plane import DataPlane
 from shedgrade.process_settings import Settings
 from shedgrade.process_settings.validation import validate as read_settings
@@ -308,7 +309,7 @@
             for machine in self.cores
             if machine.program is not None
             and not machine.stopped
-            and machine.program.roles.is_held(LIST, machine.loop.time())
+            and machine.program.roles.is_held(ENDPOINT_LIST_ROLE, machine.loop.time())
         ]
         if len(holders) > 1:
             self.history.wrong.append(f"two hold the duty at {self.time.now:.3f}: {holders}")
--- a/tests/controlplane/cut_world.py
+++ b/tests/controlplane/cut_world.py
@@ -125,7 +125,7 @@
         self.world, self.process, self.failed, self.on = world, process, 0, 0
 
     def start(self, term: int) -> None:
-        self.process.plane.instances.lead(term, 0)
+        self.process.plane.endpoint_list.lead(term, 0)
         self.on += 1
         self.poll(self.on)
 
@@ -141,8 +141,8 @@
         else:
             self.failed = 0
             world.polls.append((world.loop.time(), process.address))
-            changed = process.plane.instances.apply(world.loop.time(), world.entries)
-            process.plane.polled(changed)
+            changed = process.plane.endpoint_list.apply(world.loop.time(), world.entries)
+            process.plane.endpoint_sync.on_polled(changed)
         process.loop.call_later(POLL, self.poll, on)
 
 
@@ -159,7 +159,7 @@
         if answers:
             self.links.answered(number, body)
         else:
-            self.plane.take(
+            self.plane.dispatcher.dispatch(
                 sender, body, lambda told: self.world.carry(self, sender, told, number, number > 0)
             )
 
@@ -201,14 +201,14 @@
             self, number, lambda loop: ControlPlane(settings, loop, Random(self.random.getrandbits(40)))
         )
         plane = process.plane
-        plane.command_router.links = process.links
-        plane.poller = Poller(self, process)
+        plane.command_router.links = plane.messenger.links = process.links
+        plane.endpoint_sync.poller = Poller(self, process)
         plane.disk = SimpleNamespace(
-            write=lambda token, changes: process.loop.call_soon(plane.persisted, token, True),
+            write=lambda token, changes: process.loop.call_soon(plane.on_persisted, token, True),
             close=lambda: None,
         )
         self.cores[process.address] = process
-        process.loop.call_soon(plane.beat)
+        process.loop.call_soon(plane.periodic_tasks.run_maintenance)
         return process
 
     def start_edge(self, number: int, *cores: int) -> Process:
--- a/tests/controlplane/test_cut_off_side.py
+++ b/tests/controlplane/test_cut_off_side.py
@@ -136,7 +136,7 @@
         plane.hub.configuration = configuration(
             ("homed.example", ["south"], {"service": "big"}), ("free.example", [], {"service": "big"})
         )
-        plane.instances.apply(
+        plane.endpoint_list.apply(
             now,
             [
                 {
@@ -157,11 +157,15 @@
 
         def status(name):
             told = []
-            plane.resolve(Request(b"GET", b"/resolution", {"name": name, "zone": "hall-1"}), told.append)
+            plane.directory_service.resolve(
+                Request(b"GET", b"/resolution", {"name": name, "zone": "hall-1"}), told.append
+            )
             return told[0].status
 
         assert (status("homed.example"), status("free.example")) == (503, 200)
-        plane.take(settings.seed_links[1], KNOWLEDGE + control_messages.encode(EdgeObservations(())), None)
+        plane.dispatcher.dispatch(
+            settings.seed_links[1], KNOWLEDGE + control_messages.encode(EdgeObservations(())), None
+        )
         assert (status("homed.example"), status("free.example")) == (200, 200)
         plane.links.close()
 
--- a/tests/controlplane/test_disk_at_start.py
+++ b/tests/controlplane/test_disk_at_start.py
@@ -1,6 +1,6 @@
 """A disk in trouble when a core process starts: it is tried again, and the process doesn't end."""
 
-from shedgrade.controlplane.plane import loaded
+from shedgrade.controlplane.disk_thread import load_store
 from shedgrade.storage import LoadResult
 
 
@@ -17,5 +17,5 @@
 
 def test_a_disk_in_trouble_is_tried_again():
     waits = []
-    found = loaded(Troubled(3), waits.append)
+    found = load_store(Troubled(3), waits.append)
     assert found.values == {"key": b"value"} and len(waits) == 3
--- a/tests/controlplane/test_stalled_process.py
+++ b/tests/controlplane/test_stalled_process.py
@@ -36,7 +36,9 @@
 def named(core) -> list[str] | int:
     """What its directory answers: addresses, or the status of a refusal."""
     told = []
-    core.plane.resolve(Request(b"GET", b"/resolution", {"name": "a.example", "zone": "hall-1"}), told.append)
+    core.plane.directory_service.resolve(
+        Request(b"GET", b"/resolution", {"name": "a.example", "zone": "hall-1"}), told.append
+    )
     return told[0].status
 
 
@@ -65,7 +67,7 @@
         stopped.loop.thaw()
         for _ in range(20):
             assert world.fresh_s(stopped) >= loop.time() - begun
-            assert stopped.plane.instances.age_s(loop.time()) >= loop.time() - begun
+            assert stopped.plane.endpoint_list.age_s(loop.time()) >= loop.time() - begun
             assert named(stopped) == 503
             await world.run(0.1)
         world.heal()
--- a/tests/system/planes_rig.py
+++ b/tests/system/planes_rig.py
@@ -180,7 +180,7 @@
     async def close_core(self, number):
         """Ends it without a word to the others, as a kill would."""
         plane = self.cores.pop(number)
-        plane.left.set()
+        plane.driver.may_exit.set()
         await self.tasks.pop(number)
         return plane
 
