--- a/benchmarks/system.py
+++ b/benchmarks/system.py
@@ -189,11 +189,11 @@
         for _ in range(20_000)
     ]
     print(f"a route found: {spent(lambda: [routes.find(*one) for one in asked]) / 20:.2f} us")
-    from shedgrade.controlplane.configuration import read
+    from shedgrade.controlplane.configuration_validation import read_configuration
 
     before = resident()
     print(
-        f"core reads and checks it: {spent(lambda: made.append(read(raw))):.1f} ms, "
+        f"core reads and checks it: {spent(lambda: made.append(read_configuration(raw))):.1f} ms, "
         f"{resident() - before:.1f} MB more"
     )
 
--- a/shedgrade/configuration.py
+++ b/shedgrade/configuration.py
@@ -1,23 +1,27 @@
-"""The operator's configuration: its models, and reading of bytes that have been checked already.
+"""The operators' configuration: its models, and parsing of bytes that were validated before.
 
-Source: PROTOCOL, "The operator's API". The control plane checks (`shedgrade.controlplane.configuration`, by
-pyserde); data planes get only what was checked, and read it here without pyserde, whose import alone costs
-them time and memory. A field's name on the wire stands in its metadata, under the key that pyserde looks at.
+Source: PROTOCOL, "The operator's API". The control plane validates with pyserde
+(`controlplane.configuration_validation`); data planes get only what is valid, and parse it here without
+pyserde, whose import alone costs them time and memory. A field's name on the wire stands in its metadata,
+under the key that pyserde looks at.
 """
 
-from dataclasses import MISSING, dataclass, field, fields
+from dataclasses import MISSING, Field, dataclass, field, fields
 from functools import cache
 from typing import Any
 
 import msgspec
 
-SAFE, UNSAFE, STREAMING = "safe", "unsafe", "streaming"
-NO_BOUND = 1 << 30  # where the operator says none
+# Classes of routes, as on the wire.
+SAFE = "safe"  # idempotent
+UNSAFE = "unsafe"
+STREAMING = "streaming"
+UNLIMITED = 1 << 30  # where the operator sets no bound
 
 
 def wire(name: str, kind: object, **default: Any) -> Any:
-    """A field called `name` on the wire. `kind`: str, int, float or bool, a model, or a list of one of them;
-    an absent field, or a null, has the default, and is a finding where there is none."""
+    """Declares a field that is called `name` on the wire. `kind`: str, int, float, bool, a model, or a list
+    with one of them. A field that is absent or null has the default; without one that is a finding."""
     return field(metadata={"serde_rename": name, "kind": kind}, **default)
 
 
@@ -31,11 +35,12 @@
 
 @dataclass(frozen=True, slots=True)
 class Route:
-    """Where requests for a host and a path go, and what may be done with them; times in ms.
+    """Where requests for a host and a path go, and how they may be handled; times in ms.
 
-    `route_class`: SAFE, UNSAFE or STREAMING; a word not known here is to be treated as UNSAFE. `priority`: 0
-    is the most urgent. `gap_aim_ms`: of streams, the longest pause between events of an answer in time; 0:
-    none told. `rate_per_s`: 0: none told.
+    `route_class`: SAFE, UNSAFE or STREAMING; any other is treated as UNSAFE. `timeout_ms`: of a request with
+    all its attempts. `target_ms`: the latency target of a response. `priority`: 0 is the most urgent.
+    `event_gap_target_ms`: of streams, the latency target between two events; 0: none. `home_regions`: the
+    only regions in which the route may be served; empty: all. `rate_per_s`: the expected rate; 0: not known.
     """
 
     host: str = wire("host", str)
@@ -50,21 +55,21 @@
     max_attempts: int = wire("maxAttempts", int, default=1)
     session_affinity: bool = wire("sessionAffinity", bool, default=False)
     resumable: bool = wire("resumable", bool, default=False)
-    gap_aim_ms: float = wire("gap_aim_ms", float, default=0)
+    event_gap_target_ms: float = wire("gap_aim_ms", float, default=0)
     home_regions: list[str] = wire("homeRegions", [str], default_factory=list)
     rate_per_s: float = wire("ratePerS", float, default=0)
 
     def weights(self) -> dict[str, float]:
         """The services that requests may go to, with their weights; a service of weight 0 gets none."""
         if not self.weighted_split:
-            return {self.service: 1}
+            return {self.service: 1}  # type: ignore[dict-item]  # validated: without a split it has a service
         weights: dict[str, float] = {}
         for split in self.weighted_split:
             weights[split.service] = weights.get(split.service, 0) + split.weight
         return weights
 
-    def repeatable(self) -> bool:
-        """A try may be sent to a second upstream after the first may have run it."""
+    def is_idempotent(self) -> bool:
+        """Whether a request may be retried at another upstream after the first may have executed it."""
         return self.route_class == SAFE or (self.route_class == STREAMING and self.resumable)
 
 
@@ -77,8 +82,9 @@
 
 @dataclass(frozen=True, slots=True)
 class InferenceEngine:
-    """What a service's upstreams are where they run a language model. `kv_bytes`: of a token; `stride`:
-    tokens that an event of a stream holds; 0: not told."""
+    """The engine of a service whose upstreams run a language model. `capacity_slots`: requests that run at
+    once; `kv_capacity_tokens`: size of the KV cache; `kv_bytes`: of one token there; `stride`: tokens in one
+    event of a stream. 0: not known."""
 
     capacity_slots: int = wire("capacitySlots", int, default=0)
     kv_capacity_tokens: int = wire("kvCapacityTokens", int, default=0)
@@ -90,12 +96,13 @@
 
 @dataclass(frozen=True, slots=True)
 class Service:
-    """Upstreams that are alike. `max_connections`: an upstream accepts from all callers together; a cold one
-    bears `cold_rate_s` requests a second for `cold_start_s` seconds, 0: it is never cold."""
+    """Upstreams that are interchangeable. `max_connections`: that one upstream accepts from all callers
+    together. A new upstream warms up (slow start): it bears `cold_rate_s` requests a second for
+    `cold_start_s` seconds; 0: it needs no warm-up."""
 
     name: str = wire("name", str)
     health_path: str = wire("healthPath", str, default="/health")
-    max_connections: int = wire("maxConnections", int, default=NO_BOUND)
+    max_connections: int = wire("maxConnections", int, default=UNLIMITED)
     protocol: str = wire("protocol", str, default="h1")
     tls: bool = wire("tls", bool, default=False)
     cold_start_s: float = wire("coldStartS", float, default=0)
@@ -115,7 +122,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Configuration:
-    """A complete configuration; `version` rises by uneven steps."""
+    """A complete configuration; `version` rises with each change, not always by one."""
 
     version: int = wire("configVersion", int)
     routes: list[Route] = wire("routeList", [Route])
@@ -124,9 +131,9 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Field:
-    """Of a model, as `wire` told it. `nested`: the model that it holds, or holds a list of; `required`: it
-    has no default."""
+class FieldLayout:
+    """A field of a model as `wire` declared it. `attribute`: its name in Python, `name`: on the wire.
+    `nested`: the model that it holds, or holds a list of. `required`: it has no default."""
 
     attribute: str
     name: str
@@ -136,21 +143,22 @@
 
 
 @cache
-def layout(model: type) -> tuple[Field, ...]:
+def layout(model: type) -> tuple[FieldLayout, ...]:
     """The fields of one of the models above."""
 
-    def described(one) -> Field:
+    def field_layout(one: Field[Any]) -> FieldLayout:
+        """Of one field, from its metadata."""
         kind = one.metadata["kind"]
         inner = kind[0] if isinstance(kind, list) else kind
         nested = inner if inner not in (str, int, float, bool) else None
         required = one.default is MISSING and one.default_factory is MISSING
-        return Field(one.name, one.metadata["serde_rename"], kind, nested, required)
+        return FieldLayout(one.name, one.metadata["serde_rename"], kind, nested, required)
 
-    return tuple(described(one) for one in fields(model))
+    return tuple(field_layout(one) for one in fields(model))
 
 
 def build(model: type, data: dict[str, Any]) -> Any:
-    """A model from what JSON said of it; what is not known is left out. Only for what was checked."""
+    """A model from a decoded JSON object that was validated; fields that are not known are left out."""
     values = {}
     for one in layout(model):
         value = data.get(one.name)
@@ -158,7 +166,7 @@
             continue
         if one.nested is not None:
             value = (
-                [build(one.nested, part) for part in value]
+                [build(one.nested, element) for element in value]
                 if isinstance(value, list)
                 else build(one.nested, value)
             )
@@ -169,6 +177,6 @@
 
 
 def parse(raw: bytes) -> Configuration:
-    """The configuration in bytes that a control plane has checked. Raises ValueError,
-    TypeError or AttributeError on some others, of which they say only that they are none."""
+    """The configuration in bytes that a control plane has validated. ValueError, TypeError or AttributeError
+    for some others, without saying what is wrong in them."""
     return build(Configuration, msgspec.json.decode(raw))
--- a/shedgrade/controlplane/delta.py
+++ b/shedgrade/controlplane/delta.py
@@ -16,16 +16,20 @@
 from expression import Error, Ok, Result
 
 from shedgrade.configuration import Route, Service
-from shedgrade.controlplane.configuration import Checks, check_version, model, plain
+from shedgrade.controlplane.configuration_validation import ElementChecks, check_version, make_model, scalar
 from shedgrade.controlplane.references import References
 from shedgrade.findings import Finding, Findings
 
-VERSION, ROUTES, SERVICES = "configVersion", "routeList", "serviceList"
-ADD, REMOVE = "addModify", "remove"
+# Names on the wire.
+VERSION = "configVersion"
+ROUTES = "routeList"
+SERVICES = "serviceList"
+ADD = "addModify"
+REMOVE = "remove"
 MODELS: dict[str, type] = {ROUTES: Route, SERVICES: Service}
 EMPTY = b'{"routeList":[],"serviceList":[]}'  # what the first configuration builds on
 
-Refused = tuple[Finding, ...]
+Rejection = tuple[Finding, ...]
 
 
 class Named(msgspec.Struct):
@@ -66,12 +70,12 @@
 
 name_of = msgspec.json.Decoder(Named).decode
 route_fields = msgspec.json.Decoder(RouteFields).decode
-whole_fields = msgspec.json.Decoder(dict[str, msgspec.Raw]).decode
+top_level_fields = msgspec.json.Decoder(dict[str, msgspec.Raw]).decode
 items_of = msgspec.json.Decoder(list[msgspec.Raw]).decode
 delta_of = msgspec.json.Decoder(Delta).decode
 
 
-def read_delta(raw: bytes) -> Result[int, Refused]:
+def read_delta(raw: bytes) -> Result[int, Rejection]:
     """The version that the delta makes, or what is wrong with it whatever it builds on. Never raises."""
     try:
         data = msgspec.json.decode(raw)
@@ -81,30 +85,30 @@
     if not isinstance(data, dict):
         return Error((Finding("", "is no object"),))
     version = check_version(data.get(VERSION), findings)
-    added = read_part(data, ADD, findings)
-    removed = read_part(data, REMOVE, findings)
+    added = read_lists(data, ADD, findings)
+    removed = read_lists(data, REMOVE, findings)
     names: dict[str, dict[str, str]] = {one: {} for one in MODELS}  # by list and name: where it was met
-    checks = Checks(findings, ())
-    for called, values in added.items():
+    checks = ElementChecks(findings, ())
+    for list_name, values in added.items():
         for at, value in enumerate(values):
-            place = f"{ADD}.{called}[{at}]"
-            item = model(MODELS[called], value, place, findings)
+            place = f"{ADD}.{list_name}[{at}]"
+            item = make_model(MODELS[list_name], value, place, findings)
             if item is not None:
-                note_name(names[called], item.name, place, findings)
-                if called == ROUTES:
-                    checks.own_values(item, place)
-    for called, values in removed.items():
+                check_name(names[list_name], item.name, place, findings)
+                if list_name == ROUTES:
+                    checks.check_values(item, place)
+    for list_name, values in removed.items():
         for at, value in enumerate(values):
-            place = f"{REMOVE}.{called}[{at}]"
-            name = plain(str, value, place, findings)
+            place = f"{REMOVE}.{list_name}[{at}]"
+            name = scalar(str, value, place, findings)
             if name is not None:
-                note_name(names[called], name, place, findings)
+                check_name(names[list_name], name, place, findings)
     if version is None or len(findings):
         return Error(findings.all())
     return Ok(version)
 
 
-def read_part(data: dict[str, Any], part: str, findings: Findings) -> dict[str, list[Any]]:
+def read_lists(data: dict[str, Any], part: str, findings: Findings) -> dict[str, list[Any]]:
     """The lists under `addModify` or `remove`, by their names; what is none of them is a finding."""
     lists = data.get(part)
     if lists is None:
@@ -113,17 +117,17 @@
         findings.add(part, "is not an object")
         return {}
     sound = {}
-    for called, values in lists.items():
-        if called not in MODELS:
-            findings.add(f"{part}.{called}", "is no list of named items")
+    for list_name, values in lists.items():
+        if list_name not in MODELS:
+            findings.add(f"{part}.{list_name}", "is no list of named items")
         elif values is not None and not isinstance(values, list):
-            findings.add(f"{part}.{called}", "is not a list")
+            findings.add(f"{part}.{list_name}", "is not a list")
         else:
-            sound[called] = values or []
+            sound[list_name] = values or []
     return sound
 
 
-def note_name(met: dict[str, str], name: str, place: str, findings: Findings) -> None:
+def check_name(met: dict[str, str], name: str, place: str, findings: Findings) -> None:
     """Each item is named, and once: added twice, or added and removed, it would be unclear what holds."""
     if not name:
         findings.add(f"{place}.name" if place.startswith(ADD) else place, "is missing")
@@ -133,88 +137,90 @@
         findings.add(place, f"{name!r} also stands at {first}")
 
 
-def apply_delta(whole: bytes, raw: bytes, version: int) -> Result[bytes, Refused]:
+def apply_delta(configuration: bytes, raw: bytes, version: int) -> Result[bytes, Rejection]:
     """The configuration `version` that a sound delta makes of the whole one that it builds on, or what is
-    wrong between its items. A name that is to be removed and is not there changes nothing."""
+    wrong between its items. Removing a name that does not exist changes nothing."""
     delta = delta_of(raw)
-    fields = whole_fields(whole)
+    fields = top_level_fields(configuration)
     fields[VERSION] = msgspec.Raw(b"%d" % version)
     merged = {}
-    for called in MODELS:
-        known = items_of(fields[called]) if called in fields else []
-        added = (delta.addModify or {}).get(called) or []
-        removed = (delta.remove or {}).get(called) or []
-        merged[called] = merge(called, known, added, frozenset(removed))
-        fields[called] = msgspec.Raw(msgspec.json.encode([item.raw for item in merged[called]]))
+    for list_name in MODELS:
+        known = items_of(fields[list_name]) if list_name in fields else []
+        added = (delta.addModify or {}).get(list_name) or []
+        removed = (delta.remove or {}).get(list_name) or []
+        merged[list_name] = merge(list_name, known, added, frozenset(removed))
+        fields[list_name] = msgspec.Raw(msgspec.json.encode([item.raw for item in merged[list_name]]))
     findings = check_references(merged[ROUTES], merged[SERVICES])
     return Error(findings) if findings else Ok(msgspec.json.encode(fields))
 
 
 def merge(
-    called: str, known: list[msgspec.Raw], added: list[msgspec.Raw], removed: frozenset[str]
+    list_name: str, known: list[msgspec.Raw], added: list[msgspec.Raw], removed: frozenset[str]
 ) -> list[Item]:
     """Replaced items keep their places, new ones come at the end."""
     new = {}
     for at, raw in enumerate(added):
         name = name_of(raw).name
-        new[name] = Item(name, raw, f"{ADD}.{called}[{at}]")
+        new[name] = Item(name, raw, f"{ADD}.{list_name}[{at}]")
     items = []
     for at, raw in enumerate(known):
         name = name_of(raw).name
         if name and name in removed:
             continue
-        items.append(new.pop(name) if name in new else Item(name, raw, f"{called}[{at}]"))
+        items.append(new.pop(name) if name in new else Item(name, raw, f"{list_name}[{at}]"))
     return items + list(new.values())
 
 
-def check_references(routes: list[Item], services: list[Item]) -> Refused:
+def check_references(routes: list[Item], services: list[Item]) -> Rejection:
     """Findings at items of the delta where one of them is to blame: those that were there come first."""
     findings = Findings()
     references = References(findings, frozenset(item.name for item in services))
     for item in sorted(services, key=is_of_delta):
-        references.service(item, item.place)
+        references.add_service(item, item.place)
     for item in sorted(routes, key=is_of_delta):
-        references.route(route_fields(item.raw), item.place)
+        references.add_route(route_fields(item.raw), item.place)
     return findings.all()
 
 
 def is_of_delta(item: Item) -> bool:
+    """Whether the delta added or replaced it."""
     return item.place.startswith(ADD)
 
 
-def make_delta(old: bytes, new: bytes) -> Result[bytes, Refused]:
+def make_delta(old: bytes, new: bytes) -> Result[bytes, Rejection]:
     """The delta that makes the sound configuration `new` of the sound one `old`, or what it can't express."""
     findings = Findings()
-    before, after = whole_fields(old), whole_fields(new)
-    for called in sorted((before.keys() | after.keys()) - {VERSION, *MODELS}):
-        if said(before.get(called)) != said(after.get(called)):
-            findings.add(called, "moves, and a change of named items cannot say so")
+    before, after = top_level_fields(old), top_level_fields(new)
+    for list_name in sorted((before.keys() | after.keys()) - {VERSION, *MODELS}):
+        if decoded(before.get(list_name)) != decoded(after.get(list_name)):
+            findings.add(list_name, "moves, and a change of named items cannot say so")
     added: dict[str, list[msgspec.Raw]] = {}
     removed: dict[str, list[str]] = {}
-    for called in MODELS:
-        then = by_name(items_of(before[called]), called, findings)
-        now = by_name(items_of(after[called]), called, findings)
-        moved = [raw for name, raw in now.items() if name not in then or said(then[name]) != said(raw)]
+    for list_name in MODELS:
+        then = by_name(items_of(before[list_name]), list_name, findings)
+        now = by_name(items_of(after[list_name]), list_name, findings)
+        moved = [raw for name, raw in now.items() if name not in then or decoded(then[name]) != decoded(raw)]
         gone = [name for name in then if name not in now]
         if moved:
-            added[called] = moved
+            added[list_name] = moved
         if gone:
-            removed[called] = gone
+            removed[list_name] = gone
     if len(findings):
         return Error(findings.all())
     return Ok(msgspec.json.encode({VERSION: after[VERSION], ADD: added, REMOVE: removed}))
 
 
-def said(raw: msgspec.Raw | None) -> Any:
-    """What the bytes say, however they are written."""
+def decoded(raw: msgspec.Raw | None) -> Any:
+    """The JSON value, however it is formatted; None if the field is absent."""
     return None if raw is None else msgspec.json.decode(raw)
 
 
-def by_name(items: Iterable[msgspec.Raw], called: str, findings: Findings) -> dict[str, msgspec.Raw]:
+def by_name(items: Iterable[msgspec.Raw], list_name: str, findings: Findings) -> dict[str, msgspec.Raw]:
+    """Items by their names; one without a name of its own is a finding."""
     found: dict[str, msgspec.Raw] = {}
     for at, raw in enumerate(items):
         name = name_of(raw).name
         if not name or name in found:
-            findings.add(f"{called}[{at}].name", "does not tell it from the others")
+            findings.add(f"{list_name}[{at}].name", "does not tell it from the others")
         found[name] = raw
     return found
--- a/shedgrade/controlplane/operator_api.py
+++ b/shedgrade/controlplane/operator_api.py
@@ -22,7 +22,7 @@
     PatchConfiguration,
     PutConfiguration,
 )
-from shedgrade.controlplane.configuration import read
+from shedgrade.controlplane.configuration_validation import read_configuration
 from shedgrade.controlplane.deduplication import digest
 from shedgrade.controlplane.delta import read_delta
 from shedgrade.controlplane.state_keys import CONFIGURATION
@@ -80,7 +80,7 @@
 
 def read_version(raw: bytes) -> Result[int, Findings]:
     """The version of a sound configuration, or what is wrong with it."""
-    return read(raw).map(lambda configuration: configuration.version)
+    return read_configuration(raw).map(lambda configuration: configuration.version)
 
 
 class OperatorApi:
--- a/shedgrade/controlplane/references.py
+++ b/shedgrade/controlplane/references.py
@@ -1,4 +1,4 @@
-"""What the elements of one configuration have to do with one another.
+"""Checks of the references between the elements of one configuration.
 
 Elements are whatever has the attributes that are read here: the models of `shedgrade.configuration`, or the
 few fields that `delta.py` reads of each. Source: PROTOCOL, "The operator's API".
@@ -44,24 +44,28 @@
 
     def __init__(self, findings: Findings, services: Container[str]) -> None:
         """`services`: the names of all services, also of those that are shown later."""
-        self.findings, self.services = findings, services
-        self.names: dict[str, str] = {}  # of services: where each was met
-        self.prefixes: dict[tuple[str, str], str] = {}  # host and prefix: where they were met
-
-    def service(self, service: NamedService, place: str) -> None:
-        first = self.names.setdefault(service.name, place)
+        self.findings = findings
+        self.services = services
+        self.service_places: dict[str, str] = {}  # by name
+        self.route_places: dict[tuple[str, str], str] = {}  # by host in lower case and prefix
+
+    def add_service(self, service: NamedService, place: str) -> None:
+        """A service; its name must be its own."""
+        first = self.service_places.setdefault(service.name, place)
         if first != place:
             self.findings.add(f"{place}.name", f"{service.name!r} is also the name of {first}")
 
-    def route(self, route: RouteReferences, place: str) -> None:
-        first = self.prefixes.setdefault((route.host.lower(), route.path_prefix), place)
+    def add_route(self, route: RouteReferences, place: str) -> None:
+        """A route; host and prefix must be its own, and the services to which it leads must exist."""
+        first = self.route_places.setdefault((route.host.lower(), route.path_prefix), place)
         if first != place:
             self.findings.add(place, f"has the host and the prefix of {first}")
         if route.service is not None:
-            self.known(route.service, f"{place}.service")
+            self.check_known(route.service, f"{place}.service")
         for at, split in enumerate(route.weighted_split or ()):
-            self.known(split.service, f"{place}.weightedSplit[{at}].service")
+            self.check_known(split.service, f"{place}.weightedSplit[{at}].service")
 
-    def known(self, service: str, place: str) -> None:
+    def check_known(self, service: str, place: str) -> None:
+        """A service must exist."""
         if service not in self.services:
             self.findings.add(place, f"{service!r} is not in serviceList")
--- a/shedgrade/ctl/config.py
+++ b/shedgrade/ctl/config.py
@@ -93,9 +93,11 @@
 
 def sound(raw: bytes) -> Configuration:
     """RefusedError with all findings if it is not."""
-    from shedgrade.controlplane.configuration import read  # late: it takes up pyserde
+    from shedgrade.controlplane.configuration_validation import (
+        read_configuration,
+    )  # late: it takes up pyserde
 
-    found = read(raw)
+    found = read_configuration(raw)
     if found.is_error():
         raise RefusedError(*found.error)
     return found.ok
--- a/shedgrade/ctl/diff.py
+++ b/shedgrade/ctl/diff.py
@@ -2,9 +2,9 @@
 
 from dataclasses import fields
 
-from shedgrade.configuration import NO_BOUND, Configuration, Route
+from shedgrade.configuration import UNLIMITED, Configuration, Route
 
-TIMES = (("timeout_ms", "time-out"), ("target_ms", "target"), ("gap_aim_ms", "pause between events"))
+TIMES = (("timeout_ms", "time-out"), ("target_ms", "target"), ("event_gap_target_ms", "pause between events"))
 
 
 def difference(old: Configuration, new: Configuration) -> list[str]:
@@ -86,7 +86,7 @@
 
 
 def shown(value: object) -> object:
-    if value == NO_BOUND:
+    if value == UNLIMITED:
         return "no bound"
     if isinstance(value, list):
         return ", ".join(map(str, value)) or "none"
--- a/shedgrade/ctl/explain.py
+++ b/shedgrade/ctl/explain.py
@@ -30,7 +30,7 @@
         "host": route.host,
         "pathPrefix": route.path_prefix,
         "routeClass": route.route_class,
-        "repeatable": route.repeatable(),
+        "repeatable": route.is_idempotent(),
         "maxAttempts": route.max_attempts,
         "weights": {name: weight for name, weight in route.weights().items() if weight > 0},
         "homeRegions": route.home_regions,
@@ -57,7 +57,7 @@
         f"{route.host}{route.path_prefix}, the longest prefix of that host",
         f"{route.route_class}, priority {route.priority}, target {route.target_ms:g} ms, "
         f"time-out {route.timeout_ms:g} ms",
-        "may run more than once" if route.repeatable() else "runs at most once a try",
+        "may run more than once" if route.is_idempotent() else "runs at most once a try",
         f"one try is sent to {max(1, route.max_attempts)} upstreams at the most",
     ]
     if route.session_affinity:
--- a/shedgrade/dataplane/routes.py
+++ b/shedgrade/dataplane/routes.py
@@ -33,7 +33,7 @@
     def __init__(self, route: Route, regions: dict[str, int]) -> None:
         self.route = route
         self.streams = route.route_class == STREAMING
-        self.method = IDEMPOTENT if route.repeatable() else ONCE
+        self.method = IDEMPOTENT if route.is_idempotent() else ONCE
         self.resumable = self.streams and route.resumable
         self.homes = (
             frozenset(regions[name] for name in route.home_regions if name in regions)
--- a/tests/controlplane/test_configuration.py
+++ b/tests/controlplane/test_configuration_validation.py
@@ -10,8 +10,8 @@
 from hypothesis import given
 from hypothesis import strategies as st
 
-from shedgrade.configuration import NO_BOUND, Configuration, Limits, Split, parse
-from shedgrade.controlplane.configuration import read, told
+from shedgrade.configuration import UNLIMITED, Configuration, Limits, Split, parse
+from shedgrade.controlplane.configuration_validation import encode_findings, read_configuration
 from shedgrade.findings import MOST
 
 # As PROTOCOL shows one.
@@ -100,14 +100,14 @@
 
 def found(data):
     """The findings, as text, in what should not be taken."""
-    result = read(data if isinstance(data, bytes) else orjson.dumps(data))
+    result = read_configuration(data if isinstance(data, bytes) else orjson.dumps(data))
     assert result.is_error()
     return [str(finding) for finding in result.error]
 
 
 def taken(data) -> Configuration:
     raw = orjson.dumps(data)
-    result = read(raw)
+    result = read_configuration(raw)
     assert result.is_ok(), result.error
     assert parse(raw) == result.ok
     return result.ok
@@ -119,10 +119,11 @@
     first, second = configuration.routes
     assert (first.host, first.path_prefix, first.route_class) == ("ficu95.example", "/lohu930/", "streaming")
     assert first.weights() == {"huvo11a": 90, "wuno96b": 10}
-    assert (first.timeout_ms, first.target_ms, first.priority, first.gap_aim_ms) == (4000, 800, 1, 600)
+    assert (first.timeout_ms, first.target_ms, first.priority) == (4000, 800, 1)
+    assert first.event_gap_target_ms == 600
     assert second.weights() == {"huvo11a": 1} and second.max_attempts == 2
     assert second.home_regions == ["capetown", "gauteng"]
-    assert second.repeatable() and not first.repeatable()
+    assert second.is_idempotent() and not first.is_idempotent()
     engine = configuration.services[0].inference_engine
     assert (engine.capacity_slots, engine.kv_capacity_tokens, engine.stride) == (64, 256325, 8)
     assert [model.name for model in engine.model_list] == ["m"]
@@ -151,7 +152,7 @@
     route, service = configuration.routes[0], configuration.services[0]
     assert (route.name, route.route_class, route.home_regions, route.max_attempts) == ("", "unsafe", [], 1)
     assert route.timeout_ms > 0 and route.weights() == {"s": 1}
-    assert (service.max_connections, service.health_path) == (NO_BOUND, "/health")
+    assert (service.max_connections, service.health_path) == (UNLIMITED, "/health")
     assert configuration.limits == Limits()
 
 
@@ -258,7 +259,7 @@
     """Nothing goes by it, and the operators' pages don't call it invalid: a refusal would break a rule."""
     told = copy.deepcopy(EXAMPLE)
     told["routeList"][1]["name"] = told["routeList"][0]["name"]
-    assert len(read(orjson.dumps(told)).ok.routes) == len(EXAMPLE["routeList"])
+    assert len(read_configuration(orjson.dumps(told)).ok.routes) == len(EXAMPLE["routeList"])
 
 
 def test_hosts_differ_by_more_than_case():
@@ -320,8 +321,9 @@
     assert len(found(data)) == MOST
 
 
-def test_findings_are_told_as_json():
-    assert orjson.loads(told(read(b"[]").error)) == {"findings": [{"place": "", "text": "is no object"}]}
+def test_findings_are_encoded_as_json():
+    findings = read_configuration(b"[]").error
+    assert orjson.loads(encode_findings(findings)) == {"findings": [{"place": "", "text": "is no object"}]}
 
 
 WORD = st.text(max_size=5)
@@ -348,7 +350,7 @@
         raw = orjson.dumps(data)
     except (TypeError, orjson.JSONEncodeError):  # integers that JSON here cannot hold
         return
-    result = read(raw)
+    result = read_configuration(raw)
     if result.is_ok():
         assert parse(raw) == result.ok
     else:
@@ -357,14 +359,14 @@
 
 @given(st.binary(max_size=64))
 def test_any_bytes_are_read_without_an_exception(raw):
-    assert read(raw).is_error()
+    assert read_configuration(raw).is_error()
 
 
 def test_no_array_library_is_loaded_for_the_check():
     """NumPy stays importable for others, but the control plane's process has none of it."""
     program = (
-        "import sys; from shedgrade.controlplane.configuration import read;"
-        "assert read(sys.stdin.buffer.read()).is_ok();"
+        "import sys; from shedgrade.controlplane.configuration_validation import read_configuration;"
+        "assert read_configuration(sys.stdin.buffer.read()).is_ok();"
         "assert not [name for name in sys.modules if name.partition('.')[0] == 'numpy']"
     )
     subprocess.run(
--- a/tests/controlplane/test_delta.py
+++ b/tests/controlplane/test_delta.py
@@ -3,7 +3,7 @@
 import orjson
 import pytest
 
-from shedgrade.controlplane.configuration import read
+from shedgrade.controlplane.configuration_validation import read_configuration
 from shedgrade.controlplane.delta import EMPTY, apply_delta, make_delta, read_delta
 
 
@@ -46,7 +46,7 @@
         "configVersion": 9,
         "routeList": [route("b", timeoutMs=9), route("new", service="t")],
     }
-    assert read(result.ok).ok.version == 9
+    assert read_configuration(result.ok).ok.version == 9
 
 
 def test_what_is_not_touched_stays_to_the_byte():
@@ -60,7 +60,7 @@
 
 def test_the_first_configuration_may_be_made_of_items_alone():
     parts = {"addModify": {"routeList": [route("a")], "serviceList": [{"name": "s"}]}}
-    assert read(applied(parts, EMPTY).ok).ok.routes[0].name == "a"
+    assert read_configuration(applied(parts, EMPTY).ok).ok.routes[0].name == "a"
 
 
 @pytest.mark.parametrize(
--- a/tests/controlplane/test_operator_api.py
+++ b/tests/controlplane/test_operator_api.py
@@ -152,9 +152,9 @@
 
 def test_a_repeat_is_not_checked_again(place, monkeypatch):
     checks = []
-    real = shedgrade.controlplane.operator_api.read
+    real = shedgrade.controlplane.operator_api.read_configuration
     monkeypatch.setattr(
-        shedgrade.controlplane.operator_api, "read", lambda raw: checks.append(raw) or real(raw)
+        shedgrade.controlplane.operator_api, "read_configuration", lambda raw: checks.append(raw) or real(raw)
     )
     for _ in range(3):
         assert place.call("PUT", "/configuration", configuration(7), if_match=b"0").status == 200
--- a/tests/ctl/control_stand_in.py
+++ b/tests/ctl/control_stand_in.py
@@ -7,7 +7,7 @@
 from contextlib import contextmanager
 from random import Random
 
-from shedgrade.controlplane.configuration import read, told
+from shedgrade.controlplane.configuration_validation import encode_findings, read_configuration
 from shedgrade.controlplane.delta import apply_delta, read_delta
 from shedgrade.ctl.__main__ import main
 from shedgrade.ctl.caller import Caller
@@ -114,9 +114,9 @@
         body = request.body
         if method == b"PATCH":
             body = apply_delta(self.raw, body, read_delta(body).ok).ok
-        checked = read(body)
+        checked = read_configuration(body)
         if checked.is_error():
-            return Reply(400, told(checked.error))
+            return Reply(400, encode_findings(checked.error))
         current = 0 if self.raw is None else json.loads(self.raw)["configVersion"]
         if body == self.raw:
             return Reply(200)
--- a/tests/stored/test_core_folder_as_found.py
+++ b/tests/stored/test_core_folder_as_found.py
@@ -13,7 +13,7 @@
 
 from shedgrade.controlplane import deduplication
 from shedgrade.controlplane.commands import make_decide, zone_revisions
-from shedgrade.controlplane.configuration import read
+from shedgrade.controlplane.configuration_validation import read_configuration
 from shedgrade.replication import (
     Answer,
     Committed,
@@ -149,7 +149,7 @@
 
 def check_state(state):
     assert state["version"] == b"4"
-    configuration = read(state["configuration"]).ok
+    configuration = read_configuration(state["configuration"]).ok
     assert configuration.version == 4
     assert [(route.name, route.timeout_ms) for route in configuration.routes] == [("chat", 5000)]
     assert [service.name for service in configuration.services] == ["rota-lm", "rota-small"]
