--- a/tests/simulation/test_looks_go_on.py
+++ b/tests/simulation/test_looks_go_on.py
@@ -46,7 +46,7 @@
     [
         ("edges", "front", "look_after"),
         ("edges", "gossip.view", "count"),
-        ("cores", "recording", "beat"),
+        ("cores", "prefix_exchange", "beat"),
     ],
 )
 def test_a_look_that_fails_once_comes_again(kind, part, name, scripted):
