--- a/shedgrade/controlplane/command_router.py
+++ b/shedgrade/controlplane/command_router.py
@@ -150,15 +150,16 @@
 class PendingZoneCommand(PendingCommand):
     """A command for a zone, from its arrival here until its caller has a response.
 
-    Attributes: `trusted_until`: steady time after which the caller may have gone on elsewhere; `revision`:
-    the zone's, None until it was read while the caller waited; `maybe_applied`: an earlier attempt may yet be
-    carried out, so a conflict is no proof that nothing was done.
+    Attributes: `zone_command`: as it came; `trusted_until`: steady time after which the caller may have gone
+    on elsewhere; `revision`: the zone's, None until it was read while the caller waited; `maybe_applied`: an
+    earlier attempt may yet be carried out, so a conflict is no proof that nothing was done.
     """
 
     def __init__(
         self, router: "CommandRouter", command: ZoneCommand, respond: Respond, caller: Caller
     ) -> None:
         super().__init__(router, command, respond, caller)
+        self.zone_command = command
         arrived = caller.arrived_after if caller.arrived_after is not None else router.clock()
         self.trusted_until = arrived + ANSWER_TIMEOUT_S
         self.revision: int | None = None
@@ -182,8 +183,8 @@
             self.finish(None)
             return
         if self.revision is None:
-            self.revision = zone_revisions(self.router.member.committed.state).get(self.command.zone, 0)
-        self.command = msgspec.structs.replace(self.command, revision=self.revision)
+            self.revision = zone_revisions(self.router.member.committed.state).get(self.zone_command.zone, 0)
+        self.command = msgspec.structs.replace(self.zone_command, revision=self.revision)
         super().attempt()
 
     def on_decision(self, response: ForwardedResponse) -> None:
@@ -237,7 +238,9 @@
         to send it again, to any member; a change that was accepted before is recognized then."""
 
         def on_response(response: ForwardedResponse | None) -> None:
-            respond(response.reply if response is not None else None)
+            reply = response.reply if response is not None else None
+            # A conflict of revisions ends at the pending command, which tries again or gives up.
+            respond(reply if isinstance(reply, CommandReply) else None)
 
         self.follow(command, on_response, caller)
 
--- a/shedgrade/controlplane/commands.py
+++ b/shedgrade/controlplane/commands.py
@@ -148,7 +148,7 @@
     if configuration.is_error():
         first, *further = configuration.error
         return Decision({}, CommandReply(400, first.text, first.place, tuple(further)))
-    changes = {
+    changes: dict[str, bytes | None] = {
         CONFIGURATION: configuration.ok,
         VERSION: b"%d" % command.version,
         **deduplication.record(state, command.version, command.content),
@@ -170,7 +170,9 @@
         return Decision({}, RevisionConflict(current))
     # Guards against an opposite command that is still on its way: one that changes nothing also makes those
     # obsolete that were known before it.
-    changes = {EVACUATION_REVISIONS: msgspec.json.encode({**revisions, zone: current + 1})}
+    changes: dict[str, bytes | None] = {
+        EVACUATION_REVISIONS: msgspec.json.encode({**revisions, zone: current + 1})
+    }
     if changes_zone:
         changes[EVACUATIONS] = msgspec.json.encode(sorted(evacuated ^ {zone}))
     return Decision(changes, CommandReply(200))
--- a/shedgrade/controlplane/edge_table.py
+++ b/shedgrade/controlplane/edge_table.py
@@ -40,11 +40,10 @@
     @classmethod
     def after(cls, before: "ShutdownStage | None", edge: EdgeStatus, at: float) -> "ShutdownStage":
         """`before`: what was known of the edge's shutdown until now."""
-        same = before is not None and (before.incarnation, before.shutdown_stage) == (
-            edge.incarnation,
-            edge.shutdown_stage,
-        )
-        return cls(edge.incarnation, edge.shutdown_stage, before.since if same else at, at)
+        since = at
+        if before is not None and before.incarnation == edge.incarnation:
+            since = before.since if before.shutdown_stage == edge.shutdown_stage else at
+        return cls(edge.incarnation, edge.shutdown_stage, since, at)
 
 
 class EdgeListing(msgspec.Struct, frozen=True):
@@ -160,11 +159,8 @@
     def seen(self, record: HeardEdge) -> EdgeRecord:
         """An edge with the times at which it was heard."""
         edge = record.edge
-        return EdgeRecord(
-            *(getattr(edge, name) for name in EdgeStatus.__struct_fields__),
-            record.at,
-            self.shutdown_stages[edge.name].since if edge.shutdown_stage else 0.0,
-        )
+        since = self.shutdown_stages[edge.name].since if edge.shutdown_stage else 0.0
+        return EdgeRecord(*msgspec.structs.astuple(edge), record.at, since)  # type: ignore[call-arg]
 
     def count(self, now: float) -> int:
         """Edges that may still send requests, those that leave among them."""
--- a/shedgrade/controlplane/endpoint_list_sync.py
+++ b/shedgrade/controlplane/endpoint_list_sync.py
@@ -6,8 +6,9 @@
 from zlib import crc32
 
 from shedgrade.control_messages import AVAILABLE, EndpointUpdate
+from shedgrade.controlplane.endpoint_list import EndpointList
 from shedgrade.controlplane.peer_messenger import PeerMessenger
-from shedgrade.controlplane.platform_poller import EndpointList, Poller
+from shedgrade.controlplane.platform_poller import Poller
 from shedgrade.controlplane.prefix_index_exchange import PrefixIndexExchange
 from shedgrade.controlplane.watch_hub import WatchHub
 from shedgrade.load_reports import LoadAggregator
@@ -59,12 +60,12 @@
     @property
     def has_failed(self) -> bool:
         """Whether polls failed so often that another member should try."""
-        return self.poller.failed >= MAX_FAILED_POLLS
+        return self.poller.consecutive_failures >= MAX_FAILED_POLLS
 
     async def load_at_start(self, settings: Settings) -> None:
         """One poll of a member that is started again: endpoints are known before the election is over."""
         poller = Poller(self.loop, settings.cloud_api, self.endpoint_list, self.on_polled, random=self.random)
-        if await poller.peek():
+        if await poller.poll_once():
             self.on_changed(self.loop.time())
 
     def on_polled(self, changed: bool) -> None:
@@ -72,23 +73,23 @@
         now = self.loop.time()
         if changed:
             self.on_changed(now)
-        self.messenger.broadcast_control(self.endpoint_list.answer(*self.sent_version, now))
+        self.messenger.broadcast_control(self.endpoint_list.update_since(*self.sent_version, now))
         self.sent_version = self.endpoint_list.version
 
     def on_update(self, now: float, update: EndpointUpdate, unread_s: float) -> bool:
         """An update from another member, which may have waited here for `unread_s`. Whether the list that it
         builds on is lacking here and must be asked for."""
-        if self.endpoint_list.take(update, now, unread_s):
+        if self.endpoint_list.apply_update(update, now, unread_s):
             self.on_changed(now)
             return False
-        return self.endpoint_list.lacks
+        return self.endpoint_list.needs_request
 
     def on_changed(self, now: float) -> None:
         """Hands the changed list to all that depend on it."""
-        self.prefix_exchange.listed(self.endpoint_list)
+        self.prefix_exchange.retain_endpoints(self.endpoint_list)
         self.loads.regions = {
             crc32(endpoint.id.encode()): self.zones.get(endpoint.zone, "")
-            for endpoint in self.endpoint_list.instances()
+            for endpoint in self.endpoint_list.snapshot()
         }
         self.hub.set_endpoint_list(now, self.endpoint_list)
 
@@ -96,6 +97,6 @@
         """Services with an available endpoint in the region."""
         return {
             endpoint.service
-            for endpoint in self.endpoint_list.instances()
+            for endpoint in self.endpoint_list.snapshot()
             if endpoint.state == AVAILABLE and self.zones.get(endpoint.zone) == region
         }
--- a/shedgrade/controlplane/message_dispatcher.py
+++ b/shedgrade/controlplane/message_dispatcher.py
@@ -149,19 +149,21 @@
             case WatchRequest():
                 self.on_watch(now, message, respond, unread_s)
             case LoadReport():
-                self.loads.reported(now, message, lambda update: self.messenger.send_control(sender, update))
+                self.loads.receive_report(
+                    now, message, lambda update: self.messenger.send_control(sender, update)
+                )
             case LoadSums():
-                self.loads.shared(now, message)
+                self.loads.receive_sums(now, message)
             case PrefixIndexUpdate() | PrefixIndexAdditions() | PrefixIndexRequest():
-                self.prefix_exchange.heard(now, message, lambda body: respond(KNOWLEDGE + body))
+                self.prefix_exchange.receive(now, message, lambda body: respond(KNOWLEDGE + body))
             case EdgeObservations():
                 self.reachability.heard(now - unread_s, sender)
                 self.hub.update_edges(now, message, unread_s)
             case EndpointListRequest(term, number):
-                respond(control_body(self.endpoint_sync.endpoint_list.answer(term, number, now)))
+                respond(control_body(self.endpoint_sync.endpoint_list.update_since(term, number, now)))
             case EndpointUpdate():
                 if self.endpoint_sync.on_update(now, message, unread_s):
-                    respond(control_body(self.endpoint_sync.endpoint_list.question(now)))
+                    respond(control_body(self.endpoint_sync.endpoint_list.request(now)))
 
     def on_watch(self, now: float, request: WatchRequest, respond: Respond, unread_s: float) -> None:
         """A watch of an edge, which is its heartbeat too."""
--- a/shedgrade/controlplane/operator_api.py
+++ b/shedgrade/controlplane/operator_api.py
@@ -195,4 +195,5 @@
 
     def get_status(self, request: Request, respond: Respond) -> None:
         """GET /status: from this member's memory, also where there is no primary."""
+        assert self.status is not None  # the call is there only with it
         respond(Reply(200, msgspec.json.encode(self.status())))
--- a/shedgrade/controlplane/periodic_tasks.py
+++ b/shedgrade/controlplane/periodic_tasks.py
@@ -65,7 +65,7 @@
         self.stalls.observe(now)
         self.hub.set_confirmed_at(self.member.confirmed_at)
         self.hub.set_members(now, self.messenger.members())
-        self.prefix_exchange.beat(now, self.contact_at())
+        self.prefix_exchange.tick(now, self.contact_at())
         if self.roles.is_held(ENDPOINT_LIST_ROLE) and self.endpoint_sync.has_failed:
             self.roles.release(now, ENDPOINT_LIST_ROLE)
         if now >= self.edge_report_at:
@@ -87,7 +87,7 @@
             return
         self.loop.call_later(LOAD_REPORT_INTERVAL_S, self.report_loads)
         self.loads.forget_silent(self.loop.time())
-        self.loads.tell_edges(self.loop.time())
-        sums = self.loads.share()
+        self.loads.send_updates(self.loop.time())
+        sums = self.loads.take_unshared()
         if sums is not None:
             self.messenger.broadcast_control(sums)
--- a/shedgrade/controlplane/plane.py
+++ b/shedgrade/controlplane/plane.py
@@ -11,12 +11,12 @@
 from shedgrade.controlplane.commands import make_decide
 from shedgrade.controlplane.directory_service import DirectoryService
 from shedgrade.controlplane.disk_thread import DiskThread, load_store
+from shedgrade.controlplane.endpoint_list import EndpointList
 from shedgrade.controlplane.endpoint_list_sync import ENDPOINT_LIST_ROLE, EndpointListSync
 from shedgrade.controlplane.message_dispatcher import MessageDispatcher
 from shedgrade.controlplane.operator_api import OperatorApi
 from shedgrade.controlplane.peer_messenger import PeerMessenger
 from shedgrade.controlplane.periodic_tasks import EDGE_REPORT_INTERVAL_S, PeriodicTasks
-from shedgrade.controlplane.platform_poller import EndpointList
 from shedgrade.controlplane.prefix_index_exchange import PrefixIndexExchange
 from shedgrade.controlplane.reachability import ReachabilityMonitor
 from shedgrade.controlplane.singleton_roles import SingletonRoles
--- a/shedgrade/controlplane/serde_without_numpy.py
+++ b/shedgrade/controlplane/serde_without_numpy.py
@@ -15,7 +15,7 @@
 if ABSENT in sys.modules:
     serde = import_module("serde")  # NumPy is loaded already: nothing is gained by leaving it out
 else:
-    sys.modules[ABSENT] = None
+    sys.modules[ABSENT] = None  # type: ignore[assignment]  # as the import system has it
     try:
         import_module("serde.numpy")
     finally:
--- a/shedgrade/controlplane/watch_hub.py
+++ b/shedgrade/controlplane/watch_hub.py
@@ -26,7 +26,7 @@
     compress_configuration,
 )
 from shedgrade.controlplane.edge_table import EdgeTable, HeardEdge
-from shedgrade.controlplane.platform_poller import EndpointList
+from shedgrade.controlplane.endpoint_list import EndpointList
 from shedgrade.controlplane.state_keys import CONFIGURATION, EVACUATIONS, configuration_version
 from shedgrade.prefix_cache_index.index import Pair, PrefixIndex
 from shedgrade.runtime.log import logger
@@ -149,7 +149,7 @@
         self.now = now
         self.edges.update(HeardEdge(request.edge, now - unread_s, request.wait_s, True))
         if self.prefix_index is not None and request.prefix_reads:
-            self.unsent_prefix_reads += self.prefix_index.read(now, request.prefix_reads)
+            self.unsent_prefix_reads += self.prefix_index.add(now, request.prefix_reads)
         watch = PendingWatch(request, respond, now)
         self.pending.pop(request.edge.name, None)
         if self.has_update(watch) or watch.deadline <= now or len(self.pending) >= MAX_PENDING_WATCHES:
@@ -205,7 +205,9 @@
                 UNKNOWN_AGE_S if lacks else max(0.0, now - self.confirmed_at),
                 UNKNOWN_AGE_S if self.endpoint_list is None else self.endpoint_list.age_s(now),
                 now - watch.at,
-                None if self.prefix_index is None else self.prefix_index.since(*request.prefix_index_version),
+                None
+                if self.prefix_index is None
+                else self.prefix_index.update_since(*request.prefix_index_version),
                 self.cover(request.edge, self.listed_edges(now)) if request.edge.state == LEAVING else READY,
             )
         )
@@ -224,13 +226,16 @@
     def list_change(self, now: float, watch: PendingWatch, deltas: Deltas) -> EndpointUpdate | None:
         """What moved in the list, or its new age; None if the edge's list is newer or none is known."""
         known = self.endpoint_list
-        base = tuple(watch.request.endpoints_version)
-        same = known is not None and known.known_at is not None and known.version == base
+        if known is None:
+            return None
+        term, number = watch.request.endpoints_version
+        base = (term, number)
+        same = known.confirmed_at is not None and known.version == base
         if not same and not self.has_newer_list(watch):
             return None
         change = deltas.get(base)
         if change is None:
-            change = deltas[base] = known.answer(*base, now)
+            change = deltas[base] = known.update_since(term, number, now)
         return change
 
     # --- edges
--- a/shedgrade/dataplane/plane.py
+++ b/shedgrade/dataplane/plane.py
@@ -28,7 +28,7 @@
 from shedgrade.http.listener import Listener
 from shedgrade.http.server import HttpServer, Reply
 from shedgrade.load_reports import LoadReporter, LoadUpdate, PeerLoads
-from shedgrade.load_reports.edge import INTERVAL as LOAD_INTERVAL
+from shedgrade.load_reports.edge import REPORT_INTERVAL_S
 from shedgrade.membership.gossip import Gossip
 from shedgrade.membership.messages import Node
 from shedgrade.model_routing.retry_budget import Repeats
@@ -266,7 +266,7 @@
         """Tells the core what is in flight here. A fault of our own ends no looks."""
         if self.done.is_set():
             return
-        self.loop.call_later(LOAD_INTERVAL, self.share_loads)
+        self.loop.call_later(REPORT_INTERVAL_S, self.share_loads)
         now = self.loop.time()
         if self.others.forget_if_stale(now):
             self.state.others_told({})
@@ -283,7 +283,7 @@
         except (msgspec.MsgspecError, ValueError):
             return  # of a member of another version
         if isinstance(told, LoadUpdate):
-            self.others.take(self.loop.time(), told)
+            self.others.apply(self.loop.time(), told)
             self.state.others_told(self.others.loads)
 
     # --- asking
@@ -345,7 +345,7 @@
         try:
             ask = effect.ask
             if not beside:  # the record's numbers are one member's: another asked beside it tells none
-                reads = self.record.outgoing()
+                reads = self.record.take_unsent()
                 ask = msgspec.structs.replace(
                     ask, prefix_reads=reads, prefix_index_version=self.record.version
                 )
@@ -356,13 +356,13 @@
             told = None
         if isinstance(told, WatchResponse):
             if not beside:
-                self.record.told(self.loop.time(), told.primary_age_s < OLD_WORD, told.prefix_index)
+                self.record.apply_response(self.loop.time(), told.primary_age_s < OLD_WORD, told.prefix_index)
             if self.drain is not None:
                 self.drain.told(
                     self.loop.time(), told.drain_target if ask.edge.shutdown_stage else NO_DRAIN_TARGET
                 )
             self.asker.answered(self.loop.time(), effect.address, told, effect.number)
         else:
-            self.record.lost(reads)
+            self.record.restore_unsent(reads)
             self.asker.failed(self.loop.time(), effect.address, effect.number)
         self.ask()
--- a/shedgrade/runtime/stall_detection.py
+++ b/shedgrade/runtime/stall_detection.py
@@ -33,7 +33,7 @@
         self.loop, self.clock = loop, clock
         self.last_tick = self.tick_before = clock()
         self.before_stall = self.settled_at = self.last_tick
-        self.timer = None
+        self.timer: asyncio.TimerHandle | None = None
 
     def start(self) -> None:
         """Begins to tick; before that, nothing is known of stalls."""
--- a/tests/ctl/test_status_call.py
+++ b/tests/ctl/test_status_call.py
@@ -4,8 +4,8 @@
 from random import Random
 
 from shedgrade.control_messages import READY, EdgeStatus, WatchRequest
+from shedgrade.controlplane.endpoint_list import EndpointList
 from shedgrade.controlplane.operator_api import OperatorApi
-from shedgrade.controlplane.platform_poller import EndpointList
 from shedgrade.controlplane.singleton_roles import SingletonRoles
 from shedgrade.controlplane.status import status
 from shedgrade.controlplane.watch_hub import WatchHub
@@ -55,8 +55,8 @@
     hub.apply_control_state(
         100.0, 4, 9, {"configuration": b"{}", "version": b"7", "evacuations": b'["north-b"]'}
     )
-    instances.lead(5)
-    instances.apply(
+    instances.begin_term(5)
+    instances.apply_poll(
         100.0,
         [
             {
--- a/tests/stored/test_structs_as_found.py
+++ b/tests/stored/test_structs_as_found.py
@@ -74,6 +74,10 @@
         "promised": "promised_epoch",
         "synced": "durable_position",
     },
+    "loads.messages:LoadReport": {"near": "home_region", "whole": "is_full"},
+    "loads.messages:LoadsShared": {"whole": "is_full"},
+    "loads.messages:LoadsTold": {"whole": "is_full"},
+    "record.ledger:RecordMoved": {"gone": "removed"},
 }
 
 
