--- a/shedgrade/controlplane/channels.py
+++ b/shedgrade/controlplane/channels.py
@@ -11,10 +11,10 @@
 from shedgrade.controlplane.commands import Command, CommandReply, RevisionConflict
 from shedgrade.controlplane.state_keys import CONFIGURATION, VERSION, configuration_version
 
-REPLICATION = b"R"
-KNOWLEDGE = b"K"  # control messages: watches, endpoint lists, edges, loads, prefix index
-DUTIES = b"D"  # singleton roles
-ORDERS = b"O"  # commands that are forwarded to the primary
+REPLICATION_CHANNEL = b"R"
+CONTROL_CHANNEL = b"K"  # control messages: watches, endpoint lists, edges, loads, prefix index
+ROLE_CHANNEL = b"D"  # singleton roles
+COMMAND_CHANNEL = b"O"  # commands that are forwarded to the primary
 
 
 class ForwardedRequest(msgspec.Struct, array_like=True, frozen=True, tag="relayed"):
--- a/shedgrade/controlplane/command_router.py
+++ b/shedgrade/controlplane/command_router.py
@@ -14,7 +14,7 @@
 import msgspec
 
 from shedgrade.controlplane import channels
-from shedgrade.controlplane.channels import ORDERS, ForwardedRequest, ForwardedResponse
+from shedgrade.controlplane.channels import COMMAND_CHANNEL, ForwardedRequest, ForwardedResponse
 from shedgrade.controlplane.commands import (
     Command,
     CommandReply,
@@ -111,7 +111,7 @@
         """Asks the primary. Guards a slow link against configurations that are here already."""
         known = self.router.member.committed.state if self.command is None else {}
         held_version = configuration_version(known)
-        request = ORDERS + channels.encode(ForwardedRequest(self.command, held_version))
+        request = COMMAND_CHANNEL + channels.encode(ForwardedRequest(self.command, held_version))
         try:
             body = await self.router.links.call(address, request, FORWARD_TIMEOUT_S + self.extra_wait_s)
             response = channels.decode(body[1:])
@@ -177,6 +177,7 @@
         return self.router.clock() < self.trusted_until and not self.caller.gone()
 
     def attempt(self) -> None:
+        """As the base; gives up once the caller may have gone on elsewhere."""
         if self.finished:
             return
         if not self.caller_is_waiting():
@@ -188,6 +189,7 @@
         super().attempt()
 
     def on_decision(self, response: ForwardedResponse) -> None:
+        """Tries again on the newer revision, where no earlier attempt can be what made it."""
         if not isinstance(response.reply, RevisionConflict):
             self.finish(response)
         elif self.maybe_applied:
@@ -198,6 +200,7 @@
             self.attempt()
 
     def on_no_decision(self, maybe_applied: bool) -> None:
+        """As the base, and remembers that an attempt may yet be carried out."""
         self.maybe_applied = self.maybe_applied or maybe_applied
         super().on_no_decision(maybe_applied)
 
@@ -302,6 +305,6 @@
                 response = ForwardedResponse(None)
             else:
                 response = ForwardedResponse(outcome)
-            respond(ORDERS + channels.encode(response))
+            respond(COMMAND_CHANNEL + channels.encode(response))
 
         self.hand_to_member(request.command, on_outcome)
--- a/shedgrade/controlplane/message_dispatcher.py
+++ b/shedgrade/controlplane/message_dispatcher.py
@@ -13,7 +13,12 @@
     WatchRequest,
 )
 from shedgrade.controlplane import role_messages
-from shedgrade.controlplane.channels import DUTIES, KNOWLEDGE, ORDERS, REPLICATION
+from shedgrade.controlplane.channels import (
+    COMMAND_CHANNEL,
+    CONTROL_CHANNEL,
+    REPLICATION_CHANNEL,
+    ROLE_CHANNEL,
+)
 from shedgrade.controlplane.command_router import CommandRouter
 from shedgrade.controlplane.endpoint_list_sync import ENDPOINT_LIST_ROLE, EndpointListSync
 from shedgrade.controlplane.peer_messenger import PeerMessenger, control_body
@@ -78,7 +83,7 @@
 
     def on_frame(self, connection: PeerConnection, frame: Frame) -> None:
         """A frame on a connection that came in; its response goes back on it."""
-        if frame.body[:1] == KNOWLEDGE and frame.number:
+        if frame.body[:1] == CONTROL_CHANNEL and frame.number:
             self.track_edge(connection, frame.sender)
 
         def respond(body: bytes) -> None:
@@ -119,17 +124,17 @@
         self.stalls.observe(now)
         unread_s = self.stalls.unread_s(now)
         try:
-            if channel != KNOWLEDGE:
+            if channel != CONTROL_CHANNEL:
                 self.reachability.heard(now - unread_s, sender)
-            if channel == REPLICATION:
+            if channel == REPLICATION_CHANNEL:
                 self.member.receive_delay_s = unread_s
                 self.member.receive(now, sender, decode_replication(body))
                 self.hub.set_confirmed_at(self.member.confirmed_at)
-            elif channel == DUTIES:
+            elif channel == ROLE_CHANNEL:
                 self.roles.receive(now, sender, decode_role_message(body))
-            elif channel == KNOWLEDGE:
+            elif channel == CONTROL_CHANNEL:
                 self.on_control_message(now, sender, control_messages.decode(body), respond, unread_s)
-            elif channel == ORDERS:
+            elif channel == COMMAND_CHANNEL:
                 self.router.on_forwarded(body, respond)
         except msgspec.MsgspecError as wrong:
             # Guards against a process of another version: what it says is left out, and logged.
@@ -155,7 +160,7 @@
             case LoadSums():
                 self.loads.receive_sums(now, message)
             case PrefixIndexUpdate() | PrefixIndexAdditions() | PrefixIndexRequest():
-                self.prefix_exchange.receive(now, message, lambda body: respond(KNOWLEDGE + body))
+                self.prefix_exchange.receive(now, message, lambda body: respond(CONTROL_CHANNEL + body))
             case EdgeObservations():
                 self.reachability.heard(now - unread_s, sender)
                 self.hub.update_edges(now, message, unread_s)
--- a/shedgrade/controlplane/peer_messenger.py
+++ b/shedgrade/controlplane/peer_messenger.py
@@ -6,7 +6,7 @@
 import msgspec
 
 from shedgrade import control_messages
-from shedgrade.controlplane.channels import DUTIES, KNOWLEDGE, REPLICATION
+from shedgrade.controlplane.channels import CONTROL_CHANNEL, REPLICATION_CHANNEL, ROLE_CHANNEL
 
 encode = msgspec.msgpack.Encoder().encode
 
@@ -28,11 +28,11 @@
 
     def send_replication(self, address: str, message: msgspec.Struct) -> None:
         """A message of the replication protocol."""
-        self.links.send(address, REPLICATION + encode(message))
+        self.links.send(address, REPLICATION_CHANNEL + encode(message))
 
     def send_role_message(self, address: str, message: msgspec.Struct) -> None:
         """A message of the election of singleton roles."""
-        self.links.send(address, DUTIES + encode(message))
+        self.links.send(address, ROLE_CHANNEL + encode(message))
 
     def send_control(self, address: str, message: msgspec.Struct) -> None:
         """A control message to one process."""
@@ -48,4 +48,4 @@
 
 def control_body(message: msgspec.Struct) -> bytes:
     """The body of a control message, with its channel."""
-    return KNOWLEDGE + control_messages.encode(message)
+    return CONTROL_CHANNEL + control_messages.encode(message)
--- a/shedgrade/controlplane/references.py
+++ b/shedgrade/controlplane/references.py
@@ -16,27 +16,42 @@
     """Of a service: its name."""
 
     @property
-    def name(self) -> str: ...
+    def name(self) -> str:
+        """By which routes refer to it."""
+        ...
 
 
 class SplitTarget(Protocol):
     """Of a split: the service that gets a part of a route's requests."""
 
     @property
-    def service(self) -> str: ...
+    def service(self) -> str:
+        """Its name."""
+        ...
 
 
 class RouteReferences(Protocol):
     """Of a route: where it is found, and the services to which it leads."""
 
     @property
-    def host(self) -> str: ...
+    def host(self) -> str:
+        """Of the requests, in any case."""
+        ...
+
     @property
-    def path_prefix(self) -> str: ...
+    def path_prefix(self) -> str:
+        """Of the requests' paths."""
+        ...
+
     @property
-    def service(self) -> str | None: ...
+    def service(self) -> str | None:
+        """Its name, None if there is a split."""
+        ...
+
     @property
-    def weighted_split(self) -> Sequence[SplitTarget] | None: ...
+    def weighted_split(self) -> Sequence[SplitTarget] | None:
+        """The services among which requests are split."""
+        ...
 
 
 class References:
--- a/tests/controlplane/control_net.py
+++ b/tests/controlplane/control_net.py
@@ -118,6 +118,7 @@
                 case Committed(epoch, sequence, state):
                     self.net.learnt((epoch, sequence), state)
         self.pumping = False
+        self.command_router.check_invariants()
         if self.wake is not None:
             self.wake.cancel()
         delay = max(self.member.wake_at() - self.loop.time(), 0.001)
--- a/tests/controlplane/cut_world.py
+++ b/tests/controlplane/cut_world.py
@@ -318,6 +318,8 @@
         now = self.loop.time()
         for core in self.cores.values():
             hub = core.plane.hub
+            hub.check_invariants()
+            core.plane.stalls.check_invariants()
             due = max((version for at, version in self.taken if at <= hub.confirmed_at), default=0)
             if hub.version < due:
                 self.wrong.append(
--- a/tests/controlplane/test_cut_off_side.py
+++ b/tests/controlplane/test_cut_off_side.py
@@ -9,7 +9,7 @@
 
 from shedgrade import control_messages
 from shedgrade.control_messages import READY, EdgeObservation, EdgeObservations, EdgeRecord, EdgeStatus
-from shedgrade.controlplane.channels import KNOWLEDGE
+from shedgrade.controlplane.channels import CONTROL_CHANNEL
 from shedgrade.controlplane.directory import Directory
 from shedgrade.controlplane.plane import ControlPlane
 from shedgrade.controlplane.reachability import LOST, ReachabilityMonitor
@@ -164,7 +164,7 @@
 
         assert (status("homed.example"), status("free.example")) == (503, 200)
         plane.dispatcher.dispatch(
-            settings.seed_links[1], KNOWLEDGE + control_messages.encode(EdgeObservations(())), None
+            settings.seed_links[1], CONTROL_CHANNEL + control_messages.encode(EdgeObservations(())), None
         )
         assert (status("homed.example"), status("free.example")) == (200, 200)
         plane.links.close()
