--- a/shedgrade/controlplane/directory_service.py
+++ b/shedgrade/controlplane/directory_service.py
@@ -5,7 +5,7 @@
 from random import Random
 
 from shedgrade.control_messages import EdgeRecord, EdgeStatus
-from shedgrade.controlplane.directory import Directory, cover
+from shedgrade.controlplane.directory import Directory, drain_target
 from shedgrade.controlplane.endpoint_list_sync import EndpointListSync
 from shedgrade.controlplane.home_regions import HomeRegions, Regions
 from shedgrade.controlplane.reachability import ReachabilityMonitor
@@ -50,16 +50,16 @@
         """Responds with the edges to which the client may be sent."""
         now = self.loop.time()
         stranded: frozenset[str] = frozenset()
-        if self.reachability.cut_off(now, self.members(), self.contact_at()):
+        if self.reachability.is_cut_off(now, self.members(), self.contact_at()):
             services = self.endpoint_sync.services_in(self.region)
-            stranded = self.reachability.stranded(self.hub.configuration, services)
+            stranded = self.reachability.stranded_hosts(self.hub.configuration, services)
         edges = self.hub.listed_edges(now)
         respond(self.directory.handle(request, edges, stranded, self.homes_of))
 
     def homes_of(self, host: str) -> Regions:
         """Where else than in their own region clients of a host may be sent."""
-        return self.home_regions.of(self.hub.configuration, host)
+        return self.home_regions.of_host(self.hub.configuration, host)
 
     def cover(self, edge: EdgeStatus, others: tuple[EdgeRecord, ...]) -> str:
         """Who takes the clients of an edge that leaves."""
-        return cover(edge, others, self.home_regions.all(self.hub.configuration))
+        return drain_target(edge, others, self.home_regions.of_all_hosts(self.hub.configuration))
--- a/shedgrade/controlplane/periodic_tasks.py
+++ b/shedgrade/controlplane/periodic_tasks.py
@@ -86,7 +86,7 @@
         if self.driver.may_exit.is_set():
             return
         self.loop.call_later(LOAD_REPORT_INTERVAL_S, self.report_loads)
-        self.loads.forget_silent(self.loop.time())
+        self.loads.expire_sources(self.loop.time())
         self.loads.send_updates(self.loop.time())
         sums = self.loads.take_unshared()
         if sums is not None:
--- a/shedgrade/controlplane/plane.py
+++ b/shedgrade/controlplane/plane.py
@@ -21,7 +21,7 @@
 from shedgrade.controlplane.reachability import ReachabilityMonitor
 from shedgrade.controlplane.singleton_roles import SingletonRoles
 from shedgrade.controlplane.state_machine_driver import StateMachineDriver
-from shedgrade.controlplane.status import status
+from shedgrade.controlplane.status import Status, status
 from shedgrade.controlplane.watch_hub import WatchHub
 from shedgrade.http.server import HttpServer
 from shedgrade.load_reports import LoadAggregator
@@ -246,7 +246,7 @@
         """When this member last heard the primary, or as primary was confirmed by a majority."""
         return max(self.member.primary_heard_at, self.member.confirmed_at)
 
-    def status(self) -> dict:
+    def status(self) -> Status:
         """Plain data for `GET /status`."""
         return status(
             self.loop.time(),
