--- a/shedgrade/controlplane/command_router.py
+++ b/shedgrade/controlplane/command_router.py
@@ -270,7 +270,7 @@
         if command is None:
             self.member.read(now, self.last_ticket)
         else:
-            self.member.order(now, self.last_ticket, command)
+            self.member.submit(now, self.last_ticket, command)
         self.pump()
 
     def on_member_outcome(self, ticket: int, outcome: MemberOutcome) -> None:
--- a/shedgrade/simulation/catch_up.py
+++ b/shedgrade/simulation/catch_up.py
@@ -128,7 +128,7 @@
         primary = self.primary()
         self.ordered += 1
         if primary is not None:
-            primary.ask("order", self.ordered, self.answered)
+            primary.ask("submit", self.ordered, self.answered)
         self.clock.after(self.case.interval, self.order)
 
     def answered(self, outcome) -> None:
@@ -199,7 +199,7 @@
 def queued_bytes(member: Member) -> int:
     """Bytes of the messages that wait at a member to be sent in pieces, each distinct value counted once."""
     values = {}
-    for queue in member.chunking.queues.values():
+    for queue in member.transport.chunking.queues.values():
         for outgoing in queue:
             if outgoing.body is not None:
                 values[id(outgoing.body)] = len(outgoing.body)
--- a/tests/simulation/faulty_members.py
+++ b/tests/simulation/faulty_members.py
@@ -9,6 +9,7 @@
     ReadResult,
     acceptor,
     candidate,
+    command_pipeline,
     messages,
     primary,
     quorums,
@@ -21,19 +22,22 @@
     Primary = primary.Primary
     Candidate = candidate.Candidate
     Acceptor = acceptor.Acceptor
+    Pipeline = command_pipeline.CommandPipeline
 
     def make_roles(self):
-        return self.Primary(self), self.Candidate(self), self.Acceptor(self)
+        role = self.Primary(self)
+        role.commands = self.Pipeline(role)
+        return role, self.Candidate(self), self.Acceptor(self)
 
 
 class AnswersAfterOwnDiskOnly(MemberWithRoles):
-    class Primary(primary.Primary):
+    class Pipeline(command_pipeline.CommandPipeline):
         def advance_commit(self, now):
-            holders, self.holders = self.holders, ()
+            holders, self.primary.holders = self.primary.holders, ()
             try:
                 super().advance_commit(now)
             finally:
-                self.holders = holders
+                self.primary.holders = holders
 
 
 class PromisesBeforeTheSync(MemberWithRoles):
@@ -60,7 +64,7 @@
                 replica.durable_position = durable
 
 
-class VotesThoughWiped(MemberWithRoles):
+class VotesAfterLosingItsDisk(MemberWithRoles):
     """Takes the place that the epoch's configuration names for its address, though its disk was lost."""
 
     def receive(self, now, sender, message):
@@ -71,12 +75,12 @@
 
 
 class ReadsWithoutConfirmation(MemberWithRoles):
-    class Primary(primary.Primary):
+    class Pipeline(command_pipeline.CommandPipeline):
         def read(self, now, ticket):
             self.member.effects.append(Answer(ticket, ReadResult(*self.member.replica.committed)))
 
 
-class DropsWhatItFindsUnfinished(MemberWithRoles):
+class DropsUncommittedChanges(MemberWithRoles):
     """A candidate goes on from its own state only."""
 
     class Candidate(candidate.Candidate):
@@ -146,7 +150,7 @@
                 super().refuse(sender, number)
 
 
-class TakesNewcomersAtOnce(MemberWithRoles):
+class CountsNewcomersAtOnce(MemberWithRoles):
     """Newcomers promise and hold before it is known that the epoch that names them is active."""
 
     def is_voter(self):
@@ -168,16 +172,16 @@
             return quorums.Groups(members, members)
 
 
-class TellsUnfinished(MemberWithRoles):
+class AnnouncesUncommitted(MemberWithRoles):
     """The primary tells the others of a change as soon as it has decided it."""
 
-    class Primary(primary.Primary):
-        def write(self, now, changes, replies):
-            super().write(now, changes, replies)
+    class Pipeline(command_pipeline.CommandPipeline):
+        def write(self, now, changes, decided):
+            super().write(now, changes, decided)
             self.member.replica.commit(self.member.replica.log_position)
 
 
-class TakesAnOlderWord(MemberWithRoles):
+class AppliesOlderCommittedState(MemberWithRoles):
     """Committed state is taken over from whoever speaks last."""
 
     def __init__(self, *args, **kwargs):
@@ -191,7 +195,7 @@
         replica.commit_state = commit_state
 
 
-class HoldsBeforeInstalled(MemberWithRoles):
+class AcksInstallBeforeTheSync(MemberWithRoles):
     """A holder says that it has the state before it is synced."""
 
     class Acceptor(acceptor.Acceptor):
@@ -205,7 +209,7 @@
 class LeavesAtOnce(MemberWithRoles):
     """Told to end, it hands over and goes, whoever holds what it holds."""
 
-    def leave(self, now, patience=None):
+    def leave(self, now, timeout_s=None):
         super().leave(now, 0.3)
 
 
--- a/tools/checks.py
+++ b/tools/checks.py
@@ -17,6 +17,7 @@
     "shedgrade/control_messages.py",
     "shedgrade/prefix_cache_index",
     "shedgrade/load_reports",
+    "shedgrade/replication",
 )
 TYPED = (
     "tools",
@@ -58,7 +59,7 @@
     "shedgrade/controlplane/role_messages.py",
     "shedgrade/controlplane/singleton_roles.py",
     "shedgrade/controlplane/status.py",
-    "shedgrade/replication/change_index.py",
+    "shedgrade/replication",
     "shedgrade/simulation/crash_day.py",
     "shedgrade/simulation/crash_points.py",
     "shedgrade/simulation/system/clients.py",
