--- a/benchmarks/system.py
+++ b/benchmarks/system.py
@@ -138,7 +138,7 @@
     state = an_edge(loop)
     state.controlled(change(configuration(10)))
     told, held = entries(count), EndpointList(lambda: 0.0)
-    held.lead(1)
+    held.begin_term(1)
     print(f"core applies {count} entries of the platform: {spent(lambda: held.apply_poll(0.0, told)):.1f} ms")
     print(f"core applies the same again: {spent(lambda: held.apply_poll(1.0, told), 3):.1f} ms")
     whole = held.answer(0, 0, 1.0)
@@ -189,11 +189,11 @@
         for _ in range(20_000)
     ]
     print(f"a route found: {spent(lambda: [routes.find(*one) for one in asked]) / 20:.2f} us")
-    from shedgrade.controlplane.configuration import read
+    from shedgrade.controlplane.configuration_validation import read_configuration
 
     before = resident()
     print(
-        f"core reads and checks it: {spent(lambda: made.append(read(raw))):.1f} ms, "
+        f"core reads and checks it: {spent(lambda: made.append(read_configuration(raw))):.1f} ms, "
         f"{resident() - before:.1f} MB more"
     )
 
@@ -238,19 +238,19 @@
     from shedgrade.controlplane.watch_hub import WatchHub
     from shedgrade.peer_transport import frames
 
-    hub, count, out = WatchHub("10.0.0.1:7300", 0.0), options.edges, []
-    hub.members(0.0, tuple(f"10.0.0.{number}:7300" for number in range(5)))
+    hub, count, out = WatchHub(0.0), options.edges, []
+    hub.set_members(0.0, tuple(f"10.0.0.{number}:7300" for number in range(5)))
     held = EndpointList(lambda: 0.0)
-    held.lead(1)
+    held.begin_term(1)
     told = entries(options.upstreams)
     held.apply_poll(0.0, told)
-    hub.instances(0.0, held)
+    hub.set_endpoint_list(0.0, held)
 
     raw = configuration(20)
 
     def control(sequence):
         state = {"configuration": raw, "version": b"%d" % sequence, "evacuations": b"[]"}
-        hub.control(0.0, 1, sequence, state)
+        hub.apply_control_state(0.0, 1, sequence, state)
 
     def asks(now, sequence):
         for number in range(count):
@@ -270,7 +270,7 @@
 
     def take():
         for body in bodies:
-            hub.ask(0.1, control_messages.decode(frames.decode(body).body[1:]), answer)
+            hub.watch(0.1, control_messages.decode(frames.decode(body).body[1:]), answer)
 
     print(
         f"{count} asks read and parked: {spent(take) / count * 1000:.0f} us each, "
@@ -286,10 +286,10 @@
     take()
     told[5] = {**told[5], "state": "draining"}
     held.apply_poll(1.0, told)
-    took = spent(lambda: hub.instances(1.0, held))
+    took = spent(lambda: hub.set_endpoint_list(1.0, held))
     print(f"a delta of one upstream told to all: {took:.1f} ms, {len(out[-1])} bytes each")
-    word = control_messages.encode(hub.own_edges(1.0))
-    took = spent(lambda: control_messages.encode(hub.own_edges(1.0)))
+    word = control_messages.encode(hub.edges.own_edges(1.0))
+    took = spent(lambda: control_messages.encode(hub.edges.own_edges(1.0)))
     print(f"word to another member of {count} edges: {took:.1f} ms, {len(word)} bytes")
 
 
--- a/shedgrade/controlplane/prefix_index_exchange.py
+++ b/shedgrade/controlplane/prefix_index_exchange.py
@@ -41,7 +41,7 @@
         self.hub = hub
         self.send_to_others = send_to_others
         self.index = PrefixIndex(source, is_founding)
-        hub.ledger = self.index
+        hub.prefix_index = self.index
         self.requested_at = 0.0
         self.in_touch_since: float | None = None
 
@@ -52,9 +52,9 @@
             self.in_touch_since = None
         elif not self.index.is_valid:
             self.recover(now)
-        if self.hub.reads:
-            pairs = tuple(self.hub.reads)
-            self.hub.reads = []
+        if self.hub.unsent_prefix_reads:
+            pairs = tuple(self.hub.unsent_prefix_reads)
+            self.hub.unsent_prefix_reads = []
             self.send_to_others(PrefixIndexAdditions(pairs))
 
     def recover(self, now: float) -> None:
--- a/shedgrade/controlplane/status.py
+++ b/shedgrade/controlplane/status.py
@@ -123,8 +123,8 @@
 def edge_entries(now: float, hub: WatchHub) -> list[EdgeEntry]:
     """All that are remembered, those that leave or fell silent among them."""
     entries: list[EdgeEntry] = []
-    for name, heard in sorted(hub.heard.items()):
-        pending = hub.parked.get(name)
+    for name, heard in sorted(hub.edges.records.items()):
+        pending = hub.pending.get(name)
         entries.append(
             {
                 "name": name,
@@ -133,7 +133,7 @@
                 "region": heard.edge.region,
                 "state": heard.edge.state,
                 "ageS": round(now - heard.at, 3),
-                "configVersion": None if pending is None else pending.ask.configuration_version,
+                "configVersion": None if pending is None else pending.request.configuration_version,
             }
         )
     return entries
--- a/shedgrade/ctl/config.py
+++ b/shedgrade/ctl/config.py
@@ -93,9 +93,10 @@
 
 def parse_sound(raw: bytes) -> Configuration:
     """The configuration. RejectedError with all findings if it is not sound."""
-    from shedgrade.controlplane.configuration import read  # late: it imports pyserde
+    # Imported late: it imports pyserde.
+    from shedgrade.controlplane.configuration_validation import read_configuration
 
-    found = read(raw)
+    found = read_configuration(raw)
     if found.is_error():
         raise RejectedError(*found.error)
     return found.ok
--- a/shedgrade/ctl/differences.py
+++ b/shedgrade/ctl/differences.py
@@ -4,9 +4,9 @@
 from dataclasses import fields
 from typing import Any, NamedTuple
 
-from shedgrade.configuration import NO_BOUND, Configuration, Route
+from shedgrade.configuration import UNLIMITED, Configuration, Route
 
-TIME_LABELS = {"timeout_ms": "time-out", "target_ms": "target", "gap_aim_ms": "pause between events"}
+TIME_LABELS = {"timeout_ms": "time-out", "target_ms": "target", "event_gap_target_ms": "pause between events"}
 DESCRIBED_ELSEWHERE = ("service", "weighted_split", "host")  # by the split, or the route's name
 
 
@@ -108,7 +108,7 @@
 
 def format_value(value: Any) -> Any:
     """The value of a field, in words where it stands for none."""
-    if value == NO_BOUND:
+    if value == UNLIMITED:
         return "no bound"
     if isinstance(value, list):
         return ", ".join(map(str, value)) or "none"
--- a/shedgrade/ctl/explain.py
+++ b/shedgrade/ctl/explain.py
@@ -37,7 +37,7 @@
         "host": route.host,
         "pathPrefix": route.path_prefix,
         "routeClass": route.route_class,
-        "repeatable": route.repeatable(),
+        "repeatable": route.is_idempotent(),
         "maxAttempts": route.max_attempts,
         "weights": positive_weights(route),
         "homeRegions": route.home_regions,
@@ -74,7 +74,7 @@
         f"{route.host}{route.path_prefix}, the longest prefix of that host",
         f"{route.route_class}, priority {route.priority}, target {route.target_ms:g} ms, "
         f"time-out {route.timeout_ms:g} ms",
-        "may run more than once" if route.repeatable() else "runs at most once a try",
+        "may run more than once" if route.is_idempotent() else "runs at most once a try",
         f"one try is sent to {max(1, route.max_attempts)} upstreams at the most",
     ]
     if route.session_affinity:
--- a/shedgrade/simulation/system/world.py
+++ b/shedgrade/simulation/system/world.py
@@ -6,7 +6,8 @@
 from random import Random
 
 from shedgrade.control_messages import ControlChange
-from shedgrade.controlplane.plane import LIST, ControlPlane
+from shedgrade.controlplane.endpoint_list_sync import ENDPOINT_LIST_ROLE
+from shedgrade.controlplane.plane import ControlPlane
 from shedgrade.dataplane.plane import DataPlane
 from shedgrade.process_settings import Settings
 from shedgrade.process_settings.validation import validate as read_settings
@@ -243,13 +244,13 @@
     # --- what is seen
 
     def observe_core(self, machine: Machine, plane: ControlPlane) -> None:
-        take = plane.hub.control
+        take = plane.hub.apply_control_state
 
         def control(now, epoch, sequence, state) -> None:
             self.saw_finished(machine, (epoch, sequence), state)
             take(now, epoch, sequence, state)
 
-        plane.hub.control = control
+        plane.hub.apply_control_state = control
 
     def saw_finished(self, machine: Machine, position: tuple[int, int], state) -> None:
         configuration, zones = state.get("configuration") or b"", state.get("evacuations") or b"[]"
@@ -308,7 +309,7 @@
             for machine in self.cores
             if machine.program is not None
             and not machine.stopped
-            and machine.program.roles.is_held(LIST, machine.loop.time())
+            and machine.program.roles.is_held(ENDPOINT_LIST_ROLE, machine.loop.time())
         ]
         if len(holders) > 1:
             self.history.wrong.append(f"two hold the duty at {self.time.now:.3f}: {holders}")
--- a/tests/controlplane/test_cut_off_side.py
+++ b/tests/controlplane/test_cut_off_side.py
@@ -9,7 +9,7 @@
 
 from shedgrade import control_messages
 from shedgrade.control_messages import READY, EdgeObservation, EdgeObservations, EdgeRecord, EdgeStatus
-from shedgrade.controlplane.channels import KNOWLEDGE
+from shedgrade.controlplane.channels import CONTROL_CHANNEL
 from shedgrade.controlplane.directory import Directory
 from shedgrade.controlplane.plane import ControlPlane
 from shedgrade.controlplane.reachability import MEMBER_TIMEOUT_S, ReachabilityMonitor
@@ -136,7 +136,7 @@
         plane.hub.configuration = configuration(
             ("homed.example", ["south"], {"service": "big"}), ("free.example", [], {"service": "big"})
         )
-        plane.instances.apply_poll(
+        plane.endpoint_list.apply_poll(
             now,
             [
                 {
@@ -151,19 +151,21 @@
                 }
             ],
         )
-        plane.hub.peers_edges(
-            now,
-            "b:1",
-            [EdgeObservation(EdgeStatus("edge-1", "10.0.0.1:80", "hall-1", "north", 1, READY), 0.0, 5.0)],
+        plane.hub.update_edges(
+            now, [EdgeObservation(EdgeStatus("edge-1", "10.0.0.1:80", "hall-1", "north", 1, READY), 0.0, 5.0)]
         )
 
         def status(name):
             told = []
-            plane.resolve(Request(b"GET", b"/resolution", {"name": name, "zone": "hall-1"}), told.append)
+            plane.directory_service.resolve(
+                Request(b"GET", b"/resolution", {"name": name, "zone": "hall-1"}), told.append
+            )
             return told[0].status
 
         assert (status("homed.example"), status("free.example")) == (503, 200)
-        plane.take(settings.seed_links[1], KNOWLEDGE + control_messages.encode(EdgeObservations(())), None)
+        plane.dispatcher.dispatch(
+            settings.seed_links[1], CONTROL_CHANNEL + control_messages.encode(EdgeObservations(())), None
+        )
         assert (status("homed.example"), status("free.example")) == (200, 200)
         plane.links.close()
 
--- a/tests/controlplane/test_prefix_index_exchange.py
+++ b/tests/controlplane/test_prefix_index_exchange.py
@@ -13,13 +13,13 @@
 
 def member(source, founding=True):
     told = []
-    hub = WatchHub(f"10.{source}.0.1:7300", 0.0)
+    hub = WatchHub(0.0)
     return PrefixIndexExchange(hub, source, founding, told.append), told
 
 
 def asked(exchange, now, reads=(), version=(0, -1)):
     told = []
-    exchange.hub.ask(
+    exchange.hub.watch(
         now,
         WatchRequest(EDGE, (0, 0), (0, 0), 0.0, prefix_reads=reads, prefix_index_version=version),
         told.append,
--- a/tests/stored/struct_examples.py
+++ b/tests/stored/struct_examples.py
@@ -57,6 +57,7 @@
 MODULES = {
     "capture.config": "sidecar.capture.config",
     "controlplane.duties": "controlplane.role_messages",
+    "controlplane.orders": "controlplane.commands",
     "core.learnt": "sidecar.learned_state_file",
     "knowledge": "control_messages",
     "lifecycle.features": "sidecar.lifecycle.features",
@@ -77,9 +78,14 @@
     "replication.messages:Piece": "replication.messages:Chunk",
     "replication.messages:PieceAck": "replication.messages:ChunkAck",
     "replication.messages:Whereabouts": "replication.messages:PrimaryHint",
+    "controlplane.channels:Outcome": "controlplane.channels:ForwardedResponse",
+    "controlplane.channels:Relayed": "controlplane.channels:ForwardedRequest",
     "controlplane.duties:Ballot": "controlplane.role_messages:VoteRequest",
     "controlplane.duties:Vacated": "controlplane.role_messages:RoleReleased",
     "controlplane.duties:Vote": "controlplane.role_messages:VoteResponse",
+    "controlplane.orders:Conflict": "controlplane.commands:RevisionConflict",
+    "controlplane.orders:Reply": "controlplane.commands:CommandReply",
+    "controlplane.orders:Return": "controlplane.commands:CancelEvacuation",
     "knowledge:Ask": "control_messages:WatchRequest",
     "knowledge:AskList": "control_messages:EndpointListRequest",
     "knowledge:EdgeHeard": "control_messages:EdgeObservation",
@@ -91,9 +97,6 @@
     "knowledge:Told": "control_messages:WatchResponse",
     "loads.messages:LoadsShared": "load_reports.messages:LoadSums",
     "loads.messages:LoadsTold": "load_reports.messages:LoadUpdate",
-    "record.ledger:AskRecord": "prefix_cache_index.index:PrefixIndexRequest",
-    "record.ledger:RecordMoved": "prefix_cache_index.index:PrefixIndexUpdate",
-    "record.ledger:RecordRead": "prefix_cache_index.index:PrefixIndexAdditions",
     "membership.messages:Finding": "membership.messages:IndirectAck",
     "membership.messages:Inquiry": "membership.messages:IndirectPing",
     "membership.messages:Notice": "membership.messages:MembershipUpdate",
@@ -101,6 +104,9 @@
     "membership.messages:Query": "membership.messages:DescriptorRequest",
     "membership.messages:Shuffle": "membership.messages:ShuffleRequest",
     "membership.messages:Shuffled": "membership.messages:ShuffleResponse",
+    "record.ledger:AskRecord": "prefix_cache_index.index:PrefixIndexRequest",
+    "record.ledger:RecordMoved": "prefix_cache_index.index:PrefixIndexUpdate",
+    "record.ledger:RecordRead": "prefix_cache_index.index:PrefixIndexAdditions",
 }
 
 
--- a/tests/stored/test_core_folder_as_found.py
+++ b/tests/stored/test_core_folder_as_found.py
@@ -12,8 +12,8 @@
 import pytest
 
 from shedgrade.controlplane import deduplication
-from shedgrade.controlplane.configuration import read
-from shedgrade.controlplane.orders import make_decide, zone_revisions
+from shedgrade.controlplane.commands import make_decide, zone_revisions
+from shedgrade.controlplane.configuration_validation import read_configuration
 from shedgrade.replication import (
     Answer,
     Committed,
@@ -149,7 +149,7 @@
 
 def check_state(state):
     assert state["version"] == b"4"
-    configuration = read(state["configuration"]).ok
+    configuration = read_configuration(state["configuration"]).ok
     assert configuration.version == 4
     assert [(route.name, route.timeout_ms) for route in configuration.routes] == [("chat", 5000)]
     assert [service.name for service in configuration.services] == ["rota-lm", "rota-small"]
@@ -157,7 +157,10 @@
     assert zone_revisions(state) == {"hall-2": 1, "hall-3": 2}
     assert deduplication.count(state) == 4
     for version in (1, 2, 3, 4):
-        assert deduplication.past(state, version, b"something else") is deduplication.Past.NEVER_ACCEPTED
+        assert (
+            deduplication.acceptance_status(state, version, b"something else")
+            is deduplication.AcceptanceStatus.NEVER_ACCEPTED
+        )
 
 
 @pytest.mark.parametrize("lost", [(), ("core-1",), ("core-2",), ("core-3",)])
