--- a/tools/checks.py
+++ b/tools/checks.py
@@ -72,7 +72,6 @@
     "shedgrade/controlplane/role_messages.py",
     "shedgrade/controlplane/singleton_roles.py",
     "shedgrade/controlplane/status.py",
-    "shedgrade/replication/change_index.py",
     "shedgrade/simulation/crash_day.py",
     "shedgrade/simulation/crash_points.py",
     "shedgrade/simulation/system/clients.py",
