--- a/benchmarks/saved.py
+++ b/benchmarks/saved.py
@@ -295,14 +295,14 @@
                 )
             until = time.monotonic() + 30
             while (
-                b"starting to serving" not in log.read_bytes()
+                b"after=serving" not in log.read_bytes()
                 and process.returncode is None
                 and (time.monotonic() < until)
             ):
                 await asyncio.sleep(0.02)
             await asyncio.sleep(chance.uniform(0.0, 0.5))
             text = log.read_text()
-            done["starts that failed"] += process.returncode is not None or "starting to serving" not in text
+            done["starts that failed"] += process.returncode is not None or "after=serving" not in text
             done["damaged"] += "damaged" in text
             done["from saved"] += "list: from nothing to saved" in text
             if process.returncode is None:
--- a/shedgrade/__main__.py
+++ b/shedgrade/__main__.py
@@ -1,9 +1,9 @@
 """python -m shedgrade"""
 
-from shedgrade.sidecar.lifecycle.early import unheard
+from shedgrade.sidecar.lifecycle.reload_signal import ignore_reload_signal
 
 if __name__ == "__main__":
-    unheard()  # before the rest is imported, which takes a while
+    ignore_reload_signal()  # before the rest is imported, which takes a while
 
 from shedgrade.cli import app
 
--- a/shedgrade/cli/__init__.py
+++ b/shedgrade/cli/__init__.py
@@ -9,9 +9,9 @@
 import uvloop
 
 from shedgrade import __version__
-from shedgrade.sidecar.lifecycle.config import Config, load
-from shedgrade.sidecar.lifecycle.early import noted
+from shedgrade.sidecar.lifecycle.config import Config, load_config
 from shedgrade.sidecar.lifecycle.logs import log_to_stderr
+from shedgrade.sidecar.lifecycle.reload_signal import record_reload_signal
 from shedgrade.sidecar.lifecycle.sidecar import Sidecar
 from shedgrade.upstream_pool.errors import ConfigError
 
@@ -64,7 +64,7 @@
         sidecar = Sidecar(config, loop, parts[-1].decisions)
         for part in parts:
             part.join(sidecar)
-    sidecar.recheck = lambda names: load_features(path, names)
+    sidecar.load_features = lambda names: load_features(path, names)
     if features.saved is not None:
         from shedgrade.sidecar.endpoint_snapshot.source import SavedList
 
@@ -72,11 +72,11 @@
     if features.quota is not None:
         from shedgrade.sidecar.quota.feature import QuotaFeature
 
-        sidecar.parts.append(QuotaFeature(sidecar, features.quota))
+        sidecar.features.append(QuotaFeature(sidecar, features.quota))
     if features.tunnel is not None or features.pools:
         from shedgrade.sidecar.tunnel.assemble import TunnelPart
 
-        sidecar.parts.append(TunnelPart(sidecar, features))
+        sidecar.features.append(TunnelPart(sidecar, features))
     return sidecar
 
 
@@ -89,11 +89,11 @@
 ) -> None:
     """Run one sidecar until SIGTERM."""
     start_log(log_level, log_format)
-    noted()
+    record_reload_signal()
 
     async def run() -> None:
         loop = asyncio.get_running_loop()
-        await with_features(load(config and str(config)), features, loop).serve()
+        await with_features(load_config(config and str(config)), features, loop).serve()
 
     try:
         uvloop.run(run())
@@ -115,7 +115,7 @@
     start_log("INFO", log_format)
 
     async def check() -> Sidecar:
-        return with_features(load(config and str(config)), features, asyncio.get_running_loop())
+        return with_features(load_config(config and str(config)), features, asyncio.get_running_loop())
 
     try:
         sidecar = asyncio.run(check())
--- a/shedgrade/lab/sidecar.py
+++ b/shedgrade/lab/sidecar.py
@@ -7,7 +7,7 @@
 import uvloop
 
 from shedgrade.lab.baselines import POLICIES
-from shedgrade.sidecar.lifecycle.config import load
+from shedgrade.sidecar.lifecycle.config import load_config
 from shedgrade.sidecar.lifecycle.logs import log_to_stderr
 from shedgrade.sidecar.lifecycle.sidecar import Sidecar
 
@@ -16,7 +16,7 @@
     log_to_stderr("INFO", "text")
 
     async def run() -> None:
-        await Sidecar(load(), asyncio.get_running_loop(), POLICIES[sys.argv[1]]).serve()
+        await Sidecar(load_config(), asyncio.get_running_loop(), POLICIES[sys.argv[1]]).serve()
 
     uvloop.run(run())
 
--- a/shedgrade/sidecar/capture/part.py
+++ b/shedgrade/sidecar/capture/part.py
@@ -42,13 +42,13 @@
         ids = sidecar.pool.reader.indices.ids
         self.recorder.spelled = lambda index: ids[index]
         sidecar.pool.turn.watchers = (*sidecar.pool.turn.watchers, self.recorder)
-        sidecar.parts.append(self)
+        sidecar.features.append(self)
 
     # --- the sidecar's life
 
     def start(self) -> None:
         self.sidecar.loop.add_signal_handler(signal.SIGUSR1, self.write, "asked for")
-        self.sink = logger.add(self.heard, level="ERROR", format="{message}")
+        self.sink = logger.add(self.heard, level="ERROR", format="{message} {extra}")
         if self.config.continuous:
             self.writer = Writer(self.folder, self.config.keep_mb * 2**20, logger.warning)
             for start, data in self.recorder.ring.records:
@@ -88,7 +88,7 @@
         else:
             logger.info("capture written, {}: {}", why, done.result())
 
-    def look_after(self) -> None:
+    def tick(self) -> None:
         if self.writer is not None and self.writer.full():
             self.recorder.wanted = True  # the next file begins with a checkpoint
 
--- a/shedgrade/sidecar/lifecycle/config.py
+++ b/shedgrade/sidecar/lifecycle/config.py
@@ -2,66 +2,85 @@
 
 import os
 from dataclasses import dataclass, field
+from typing import Any
 
 import orjson
 
-from shedgrade.sidecar.lifecycle.shape import problem, whole
+from shedgrade.sidecar.lifecycle.settings_checks import completeness_problem, shape_problem
 from shedgrade.upstream_pool.errors import ConfigError
 
+Address = tuple[str, int]  # host and port
+
+CONFIG_VARIABLE = "GW_CONFIG"  # names the file where the command line does not
+ADMIN_VARIABLE = "GW_ADMIN_ADDR"  # the operators' address where the file has none
+DEFAULT_MEMORY_MB = 192
+DEFAULT_SOCKETS = 1024
+READ_AT_START_ONLY = ("known", "seed")
+
 
 @dataclass(frozen=True)
 class Config:
+    """One configuration file."""
+
     name: str
-    listen: tuple[str, int]
-    discovery: tuple[str, int]
+    listen: Address
+    discovery: Address
     seed: int
     memory_mb: int
-    sockets: int
-    known: dict | None
-    settings: dict
+    sockets: int  # descriptors that the process may hold
+    known: dict[str, Any] | None  # the first list of upstreams, in discovery's form
+    settings: dict[str, Any]
     path: str = ""
-    admin: tuple[str, int] | None = None  # the operators' address, where one is told
-    told: dict = field(default_factory=dict)  # the file as it is, but for what only a start looks at
+    admin: Address | None = None  # the operators' address, where there is one
+    contents: dict[str, Any] = field(default_factory=dict)  # the file, without what only a start looks at
 
 
-def address(text: object, what: str) -> tuple[str, int]:
+def parse_address(text: object, what: str) -> Address:
+    """ConfigError, which begins with `what`, if the text is not host:port."""
     host, _, port = str(text).rpartition(":")
     if not host or not port.isdigit() or not 0 < int(port) < 65536:
         raise ConfigError(f"{what}: {text!r} is not host:port")
     return host.strip("[]"), int(port)
 
 
-def load(path: str | None = None) -> Config:
-    path = path or os.environ.get("GW_CONFIG")
+def load_config(path: str | None = None) -> Config:
+    """Reads and checks the file, or the one that the environment names. ConfigError: one line on the first
+    thing that is wrong."""
+    path = path or os.environ.get(CONFIG_VARIABLE)
     if not path:
-        raise ConfigError("no configuration: GW_CONFIG is not set and no file was named")
+        raise ConfigError(f"no configuration: {CONFIG_VARIABLE} is not set and no file was named")
     try:
         with open(path, "rb") as file:
-            text = orjson.loads(file.read())
+            contents = orjson.loads(file.read())
     except OSError as failure:
         raise ConfigError(f"{path}: {failure.strerror}") from failure
-    except orjson.JSONDecodeError as wrong:
-        raise ConfigError(f"{path}: not JSON ({wrong})") from wrong
+    except orjson.JSONDecodeError as error:
+        raise ConfigError(f"{path}: not JSON ({error})") from error
     try:
-        limits = text.get("limits", {})
-        wrong = problem(text["settings"]) or whole(text["settings"])
-        if wrong is not None:
-            raise ConfigError(f"{path}: {wrong}")
-        admin = text.get("admin_addr", os.environ.get("GW_ADMIN_ADDR"))
-        return Config(
-            str(text.get("name", "")),
-            address(text["listen"], "listen"),
-            address(text["discovery"], "discovery"),
-            int(text.get("seed", "0"), 16),
-            int(limits.get("memory_mb", 192)),
-            int(limits.get("sockets", 1024)),
-            text.get("known"),
-            text["settings"],
-            path,
-            None if admin is None else address(admin, f"{path}: admin_addr"),
-            {key: value for key, value in text.items() if key not in ("known", "seed")},
-        )
+        return parse_config(path, contents)
     except KeyError as missing:
         raise ConfigError(f"{path}: {missing} is missing") from missing
-    except (AttributeError, TypeError, ValueError) as wrong:
-        raise ConfigError(f"{path}: a value has the wrong form ({wrong})") from wrong
+    except (AttributeError, TypeError, ValueError) as error:
+        raise ConfigError(f"{path}: a value has the wrong form ({error})") from error
+
+
+def parse_config(path: str, contents: Any) -> Config:
+    """ConfigError, KeyError, AttributeError, TypeError or ValueError for what is no configuration."""
+    limits = contents.get("limits", {})
+    problem = shape_problem(contents["settings"]) or completeness_problem(contents["settings"])
+    if problem is not None:
+        raise ConfigError(f"{path}: {problem}")
+    admin = contents.get("admin_addr", os.environ.get(ADMIN_VARIABLE))
+    return Config(
+        name=str(contents.get("name", "")),
+        listen=parse_address(contents["listen"], "listen"),
+        discovery=parse_address(contents["discovery"], "discovery"),
+        seed=int(contents.get("seed", "0"), 16),
+        memory_mb=int(limits.get("memory_mb", DEFAULT_MEMORY_MB)),
+        sockets=int(limits.get("sockets", DEFAULT_SOCKETS)),
+        known=contents.get("known"),
+        settings=contents["settings"],
+        path=path,
+        admin=None if admin is None else parse_address(admin, f"{path}: admin_addr"),
+        contents={key: value for key, value in contents.items() if key not in READ_AT_START_ONLY},
+    )
--- a/shedgrade/sidecar/lifecycle/features.py
+++ b/shedgrade/sidecar/lifecycle/features.py
@@ -2,6 +2,8 @@
 is named."""
 
 import tomllib
+from collections.abc import Iterator
+from collections.abc import Set as AbstractSet
 from pathlib import Path
 
 import msgspec
@@ -27,34 +29,51 @@
     proxies: dict[str, ProxyTable] = msgspec.field(default_factory=dict)
 
 
-def load_features(path: str | Path, methods: set[str] = frozenset()) -> Features:
-    """`methods`: names of the platform's own. Reads and checks the whole file. ConfigError: one line with
+def load_features(path: str | Path, methods: AbstractSet[str] = frozenset()) -> Features:
+    """Reads and checks the whole file. `methods`: names of the platform's own. ConfigError: one line with
     file, key, what was found and what is allowed."""
+    features = parse(path, read(path))
+    for key, reason in problems(features):
+        raise ConfigError(f"{path}: {key}: {reason}")
     try:
-        tree = tomllib.loads(Path(path).read_text(encoding="utf-8"))
+        check(features.tunnel, features.pools, features.proxies, set(methods))
+    except ConfigError as error:
+        raise ConfigError(f"{path}: {error}") from error
+    return features
+
+
+def read(path: str | Path) -> dict[str, object]:
+    """The file's tables. ConfigError if it is not there or not TOML."""
+    try:
+        return tomllib.loads(Path(path).read_text(encoding="utf-8"))
     except OSError as failure:
         raise ConfigError(f"{path}: {failure.strerror}") from failure
-    except (tomllib.TOMLDecodeError, UnicodeDecodeError) as wrong:
-        raise ConfigError(f"{path}: not TOML: {wrong}") from wrong
+    except (tomllib.TOMLDecodeError, UnicodeDecodeError) as error:
+        raise ConfigError(f"{path}: not TOML: {error}") from error
+
+
+def parse(path: str | Path, tables: dict[str, object]) -> Features:
+    """ConfigError for unknown keys and values of the wrong type."""
     try:
-        features = msgspec.convert(tree, Features)
-    except msgspec.ValidationError as wrong:
-        what, _, where = str(wrong).partition(" - at `")
-        raise ConfigError(f"{path}: {where.rstrip('`').removeprefix('$.') or 'file'}: {what}") from wrong
+        return msgspec.convert(tables, Features)
+    except msgspec.ValidationError as error:
+        reason, _, place = str(error).partition(" - at `")
+        key = place.rstrip("`").removeprefix("$.") or "file"
+        raise ConfigError(f"{path}: {key}: {reason}") from error
+
+
+def problems(features: Features) -> Iterator[tuple[str, str]]:
+    """(key, reason) of what types alone do not show."""
     if features.saved is not None:
-        for key, reason in features.saved.problems():
-            raise ConfigError(f"{path}: saved.{key}: {reason}")
+        yield from prefixed("saved", features.saved.problems())
     if features.capture is not None:
-        for key, reason in features.capture.problems():
-            raise ConfigError(f"{path}: capture.{key}: {reason}")
+        yield from prefixed("capture", features.capture.problems())
     if features.watch is not None:
-        for key, reason in features.watch.problems():
-            raise ConfigError(f"{path}: watch.{key}: {reason}")
+        yield from prefixed("watch", features.watch.problems())
     if features.quota is not None:
-        for key, reason in quota_problems(features.quota):
-            raise ConfigError(f"{path}: quota.{key}: {reason}")
-    try:
-        check(features.tunnel, features.pools, features.proxies, set(methods))
-    except ConfigError as wrong:
-        raise ConfigError(f"{path}: {wrong}") from wrong
-    return features
+        yield from prefixed("quota", quota_problems(features.quota))
+
+
+def prefixed(table: str, found: Iterator[tuple[str, str]]) -> Iterator[tuple[str, str]]:
+    """The keys with their table's name."""
+    return ((f"{table}.{key}", reason) for key, reason in found)
--- /dev/null
+++ b/shedgrade/sidecar/lifecycle/operator_orders.py
@@ -0,0 +1,75 @@
+"""What the operators have ordered, kept for as long as the sidecar runs."""
+
+from collections.abc import Callable
+from typing import TYPE_CHECKING
+
+from loguru import logger
+
+if TYPE_CHECKING:
+    from shedgrade.sidecar.lifecycle.sidecar import Sidecar
+
+Reply = Callable[[bool, str], None]  # (whether it was done, why in a few words), called once
+
+
+class OperatorOrders:
+    """Carries the operators' calls out, here and in the other process of a hot restart.
+
+    Attributes:
+        disabled: ids of the upstreams that get nothing. Kept outside the list: it may drop, move or restart
+            an upstream, which stays disabled until it is enabled.
+    """
+
+    def __init__(self, sidecar: "Sidecar") -> None:
+        self.sidecar = sidecar
+        self.disabled: set[str] = set()
+
+    def ready(self) -> bool:
+        """This process accepts clients, with a list in hand."""
+        return self.sidecar.accepts_clients()
+
+    def disable(self, name: str, reply: Reply) -> None:
+        """Nothing more goes to this upstream."""
+        self.change(name, True, reply)
+
+    def enable(self, name: str, reply: Reply) -> None:
+        """This upstream is back, warming up."""
+        self.change(name, False, reply)
+
+    def change(self, name: str, disable: bool, reply: Reply) -> None:
+        """Disables or enables an upstream that is known, here and in the other process."""
+        if name not in self.disabled and name not in self.sidecar.pool.reader.indices.by_id:
+            reply(False, "no upstream has that id")
+            return
+        if disable and name not in self.disabled:
+            logger.info("upstream disabled by operator", upstream=name)
+        elif not disable and name in self.disabled:
+            logger.info("upstream enabled by operator", upstream=name)
+        self.sidecar.hot_restart.send_order("out" if disable else "back", name)
+        self.apply(name, disable, reply)
+
+    def apply(self, name: str, disable: bool, reply: Reply) -> None:
+        """Disables or enables an upstream here; `reply` once the balancer has it."""
+        pool = self.sidecar.pool
+        (self.disabled.add if disable else self.disabled.discard)(name)
+        text = "nothing more goes there" if disable else "it is back, as cold"
+        pool.turn.ordered(pool.reader.indices.index(name), disable, lambda: reply(True, text))
+
+    def apply_remote(self, call: str, name: str) -> None:
+        """An order that came to the other process of a hot restart: out, back, drain or resume."""
+        if call in ("out", "back"):
+            self.apply(name, call == "out", lambda done, text: None)
+        elif call == "drain":
+            self.sidecar.stand_by()
+        else:
+            self.sidecar.resume()
+
+    def drain(self) -> tuple[bool, str]:
+        """The sidecar gives its clients up until it resumes."""
+        self.sidecar.hot_restart.send_order("drain")
+        return self.sidecar.stand_by(), "standing by"
+
+    def resume(self) -> tuple[bool, str]:
+        """The end of the drain."""
+        self.sidecar.hot_restart.send_order("resume")
+        done = self.sidecar.resume()
+        return done, "serving" if done else "it ends"
--- /dev/null
+++ b/shedgrade/sidecar/lifecycle/shutdown.py
@@ -0,0 +1,90 @@
+"""The end of a sidecar after SIGTERM: what it still accepts, until when, and what it cuts at last.
+
+The times follow from what clients and the platform do: new connections may come for 0.4 s after SIGTERM, and
+SIGKILL comes 0.7 s after the longest hard deadline at the soonest.
+"""
+
+import asyncio
+from typing import TYPE_CHECKING
+
+from loguru import logger
+
+from shedgrade.sidecar.lifecycle.phases import Phase
+
+if TYPE_CHECKING:
+    from shedgrade.sidecar.lifecycle.sidecar import Sidecar
+
+KEEP_ACCEPTING_S = 0.5  # after SIGTERM
+# After SIGTERM: a request that crosses the close of its connection comes anew, and is to find somebody who
+# still accepts.
+KEEP_IDLE_S = 0.4
+CONCLUDE_AFTER_S = 0.6  # beyond the longest hard deadline: what is left is answered and cut
+LAST_ANSWERS_S = 0.06  # that such last answers have to leave
+POLL_INTERVAL_S = 0.05  # between two looks at whether all is answered and closed
+
+
+class Shutdown:
+    """Drains the sidecar and sets `done` once nothing is left, or the last moment has come.
+
+    Attributes:
+        done: set when the process may exit.
+        conclude_at: when the rest is cut, by the loop's clock; 0 before SIGTERM. It never moves: SIGKILL was
+            set when SIGTERM was sent.
+    """
+
+    def __init__(self, sidecar: "Sidecar") -> None:
+        self.sidecar = sidecar
+        self.loop = sidecar.loop
+        self.done = asyncio.Event()
+        self.conclude_at = 0.0
+
+    def begin(self) -> None:
+        """SIGTERM came; a second one changes nothing."""
+        sidecar = self.sidecar
+        if sidecar.phase in (Phase.SERVING, Phase.STANDING_BY):
+            sidecar.standby.end()
+            sidecar.enter(Phase.DRAINING)
+            self.conclude_at = self.loop.time() + sidecar.pool.longest + CONCLUDE_AFTER_S
+            self.loop.call_later(KEEP_IDLE_S, sidecar.front.close_idle)
+            self.loop.call_later(KEEP_ACCEPTING_S, self.stop_accepting)
+            self.loop.call_at(self.conclude_at, self.conclude)
+
+    def stop_accepting(self) -> None:
+        """Closes the listeners, once no connection waits to be accepted."""
+        sidecar = self.sidecar
+        if sidecar.listener.waiting() or any(one.has_pending_connections() for one in sidecar.features):
+            self.loop.call_later(POLL_INTERVAL_S, self.stop_accepting)
+            return
+        sidecar.listener.close()
+        for feature in sidecar.features:
+            feature.stop_accepting()
+        self.close_idle()
+
+    def close_idle(self) -> None:
+        """Closes what is idle until nothing is left."""
+        self.sidecar.close_idle()
+        if self.in_flight():
+            self.loop.call_later(POLL_INTERVAL_S, self.close_idle)
+        else:
+            self.done.set()
+
+    def in_flight(self) -> int:
+        """Connections and requests that are still to end."""
+        sidecar = self.sidecar
+        own = len(sidecar.front.clients) + len(sidecar.pool.turn.in_hand)
+        return own + sum(feature.in_flight() for feature in sidecar.features)
+
+    def conclude(self) -> None:
+        """Whatever is left at the end gets its final answer while that can still leave."""
+        if self.done.is_set():
+            return
+        sidecar = self.sidecar
+        pools = [sidecar.pool, *(pool for feature in sidecar.features for pool in feature.own_pools())]
+        logger.warning(
+            "connections cut at shutdown",
+            connections=len(sidecar.front.clients),
+            requests_answered=sum(len(pool.turn.in_hand) for pool in pools),
+        )
+        for pool in pools:
+            pool.turn.conclude()
+        self.loop.call_later(LAST_ANSWERS_S, self.done.set)
--- a/shedgrade/sidecar/quota/feature.py
+++ b/shedgrade/sidecar/quota/feature.py
@@ -53,7 +53,7 @@
         else:
             logger.info("saved quota state restored", counted=restored.counted, owed=restored.owed)
 
-    def renew(self, features: "Features | None") -> None:
+    def reload(self, features: "Features | None") -> None:
         """A reload that was checked. Taking the whole table away is for a start."""
         self.update_methods()
         if features is not None and features.quota is not None:
@@ -74,8 +74,8 @@
         }
         self.gate.payoffs_alike = len({method["payoff"] for method in self.methods}) < 2
 
-    def look_after(self) -> None:
-        """Once a second: the fleet's share; saves and logs every SAVE_INTERVAL_S."""
+    def tick(self) -> None:
+        """Now and then: the fleet's share; saves and logs every SAVE_INTERVAL_S."""
         self.gate.refresh_share(wall_clock_ms() * 10, len(self.pool.balancer.ups))
         now = time.monotonic()
         if now < self.saved_at + SAVE_INTERVAL_S:
--- a/shedgrade/sidecar/shadow_policy/config.py
+++ b/shedgrade/sidecar/shadow_policy/config.py
@@ -4,7 +4,7 @@
 
 from msgspec import Meta, Struct, field
 
-from shedgrade.sidecar.lifecycle.shape import problem
+from shedgrade.sidecar.lifecycle.settings_checks import shape_problem
 
 FIXED = ("methods", "zones", "az", "tick")  # what names mean, here and there: these cannot differ
 
@@ -31,7 +31,7 @@
             if key in self.settings:
                 yield f"settings.{key}", "can't differ from the platform's: remove it"
         # What the platform says is not known here: numbers that hang together are checked at the start.
-        wrong = problem({"balancers": 2**31, **self.settings})
+        wrong = shape_problem({"balancers": 2**31, **self.settings})
         if wrong is not None:
             key, _, reason = wrong.partition(": ")
             yield key, reason
--- a/shedgrade/sidecar/shadow_policy/part.py
+++ b/shedgrade/sidecar/shadow_policy/part.py
@@ -6,7 +6,7 @@
 
 from shedgrade import load_balancing
 from shedgrade.sidecar.lifecycle.feature import Feature
-from shedgrade.sidecar.lifecycle.shape import problem
+from shedgrade.sidecar.lifecycle.settings_checks import shape_problem
 from shedgrade.sidecar.shadow_policy.config import overlaid
 from shedgrade.sidecar.shadow_policy.follower import Follower
 from shedgrade.sidecar.shadow_policy.shadow import Watched
@@ -27,7 +27,7 @@
     def decisions(self, settings: dict, seed: int, now: int) -> Watched:
         """As a Balancer is made. Only the platform's own pool is watched."""
         other = overlaid(settings, self.config.settings)
-        wrong = problem(other)
+        wrong = shape_problem(other)
         if wrong is None:
             try:
                 Follower(other, seed, now)
@@ -47,7 +47,7 @@
 
     def join(self, sidecar) -> None:
         sidecar.pool.turn.watchers = (*sidecar.pool.turn.watchers, self)
-        sidecar.parts.append(self)
+        sidecar.features.append(self)
 
     def after_turn(self, now: int, late: int) -> None:
         if now >= self.tell_at:
--- a/shedgrade/sidecar/tunnel/assemble.py
+++ b/shedgrade/sidecar/tunnel/assemble.py
@@ -8,7 +8,8 @@
 from loguru import logger
 
 from shedgrade.http.discovery import ListError
-from shedgrade.sidecar.lifecycle.config import address
+from shedgrade.sidecar.lifecycle.config import parse_address
+from shedgrade.sidecar.lifecycle.feature import Feature
 from shedgrade.sidecar.tunnel.config import MAIN, PoolTable, ProxyTable, secret, table
 from shedgrade.sidecar.tunnel.dialler import Dialler, Proxy
 from shedgrade.sidecar.tunnel.listener import Tunnels
@@ -24,7 +25,7 @@
     return {**main, "methods": methods, "zones": zones, "az": main["az"] if main["az"] < len(zones) else 0}
 
 
-class TunnelPart:
+class TunnelPart(Feature):
     """What the features file adds beside the platform's own front; Sidecar starts, drains and ends it."""
 
     def __init__(self, sidecar, features) -> None:
@@ -50,7 +51,9 @@
                 )
                 caller.proxied = True
         self.fronts = {
-            name: sidecar.front if name == MAIN else Front(loop, pool, budget, sidecar.ready, sidecar.leaving)
+            name: sidecar.front
+            if name == MAIN
+            else Front(loop, pool, budget, sidecar.is_ready, sidecar.is_draining)
             for name, pool in self.pools.items()
         }
         self.tunnels = self.make_tunnels() if features.tunnel is not None else None
@@ -61,7 +64,7 @@
         return Proxy(
             name,
             given.kind,
-            address(given.address, f"proxies.{name}.address"),
+            parse_address(given.address, f"proxies.{name}.address"),
             login,
             given.handshake_ms / 1000,
         )
@@ -99,7 +102,7 @@
             if given.file:
                 self.read_list(pool, given.file, f"pools.{name}.file")
             else:
-                pool.follow(address(given.discovery, f"pools.{name}.discovery"))
+                pool.follow(parse_address(given.discovery, f"pools.{name}.discovery"))
         if self.tunnels is not None:
             try:
                 self.tunnels.listen()
@@ -122,7 +125,7 @@
             raise ConfigError(f"{key}: {path}: no list ({wrong})") from wrong
         pool.take_over("file")
 
-    def renew(self, features) -> None:
+    def reload(self, features) -> None:
         """A reload that was checked: routes and limits of tunnels hold at once, the rest is for a start."""
         for name, given in self.features.pools.items():
             if name != MAIN:
@@ -135,12 +138,12 @@
         if later:
             logger.info("only a start changes {}", ", ".join(later))
 
-    def look_after(self) -> None:
+    def tick(self) -> None:
         for name, front in self.fronts.items():
             if name != MAIN:
                 front.look_after()
 
-    def waiting(self) -> bool:
+    def has_pending_connections(self) -> bool:
         return self.tunnels is not None and self.tunnels.waiting()
 
     def stop_accepting(self) -> None:
@@ -153,7 +156,7 @@
             if name != MAIN:
                 front.close_idle()
 
-    def busy(self) -> int:
+    def in_flight(self) -> int:
         """Connections and RPCs that are still to end."""
         found = sum(
             len(self.fronts[name].clients) + len(pool.turn.in_hand)
@@ -162,6 +165,9 @@
         )
         return found + (len(self.tunnels.live) if self.tunnels is not None else 0)
 
+    def own_pools(self) -> list[Pool]:
+        return [pool for name, pool in self.pools.items() if name != MAIN]
+
     def close(self) -> None:
         if self.tunnels is not None:
             self.tunnels.close()
--- a/shedgrade/sidecar/tunnel/config.py
+++ b/shedgrade/sidecar/tunnel/config.py
@@ -6,7 +6,7 @@
 
 from msgspec import Meta, Struct, field
 
-from shedgrade.sidecar.lifecycle.config import address
+from shedgrade.sidecar.lifecycle.config import parse_address
 from shedgrade.sidecar.tunnel import routes
 from shedgrade.upstream_pool.errors import ConfigError
 
@@ -143,7 +143,7 @@
 ) -> None:
     """What no single table shows. ConfigError: key and reason."""
     for name, one in proxies.items():
-        address(one.address, f"proxies.{name}.address")
+        parse_address(one.address, f"proxies.{name}.address")
         if one.login:
             secret(one.login, f"proxies.{name}.login")
     for name, pool in pools.items():
@@ -160,7 +160,7 @@
         if bool(pool.discovery) == bool(pool.file):
             raise ConfigError(f"{key}: one of discovery and file must say who is in it")
         if pool.discovery:
-            address(pool.discovery, f"{key}.discovery")
+            parse_address(pool.discovery, f"{key}.discovery")
         if pool.methods is None:
             raise ConfigError(f"{key}.methods: missing")
         given = [method.name for method in pool.methods]
@@ -171,7 +171,7 @@
             raise ConfigError("tunnel: neither socks nor connect says where to listen")
         for key in ("socks", "connect"):
             if getattr(tunnel, key):
-                address(getattr(tunnel, key), f"tunnel.{key}")
+                parse_address(getattr(tunnel, key), f"tunnel.{key}")
         if tunnel.users:
             secret(tunnel.users, "tunnel.users")
         known = {
--- a/shedgrade/sidecar/tunnel/listener.py
+++ b/shedgrade/sidecar/tunnel/listener.py
@@ -289,12 +289,12 @@
 
     def listen(self) -> None:
         """OSError if an address can't be listened on."""
-        from shedgrade.sidecar.lifecycle.config import address
+        from shedgrade.sidecar.lifecycle.config import parse_address
 
         for kind in ("socks", "connect"):
             text = getattr(self.config, kind)
             if text:
-                place = address(text, kind)
+                place = parse_address(text, kind)
                 family = socket.AF_INET6 if ":" in place[0] else socket.AF_INET
                 made = socket.create_server(place, family=family, backlog=1024)
                 made.setblocking(False)
--- a/tools/checks.py
+++ b/tools/checks.py
@@ -10,6 +10,8 @@
 
 DOCUMENTED = (
     "tools",
+    "shedgrade/sidecar/admin",
+    "shedgrade/sidecar/lifecycle",
     "shedgrade/sidecar/quota",
     "shedgrade/route_matching",
 )
@@ -19,6 +21,8 @@
     "shedgrade/runtime/log.py",
     "shedgrade/route_matching",
     "shedgrade/membership",
+    "shedgrade/sidecar/admin",
+    "shedgrade/sidecar/lifecycle",
     "shedgrade/sidecar/quota",
     "shedgrade/storage",
     "shedgrade/controlplane/delta.py",
