--- a/benchmarks/saved.py
+++ b/benchmarks/saved.py
@@ -25,11 +25,11 @@
 from shedgrade.sidecar.endpoint_snapshot.config import Saved
 from shedgrade.sidecar.endpoint_snapshot.files import Files
 from shedgrade.sidecar.endpoint_snapshot.recovery import recover
-from shedgrade.sidecar.endpoint_snapshot.snapshot import Picture
+from shedgrade.sidecar.endpoint_snapshot.snapshot import Snapshot
 from shedgrade.sidecar.endpoint_snapshot.source import SavedList
 from shedgrade.sidecar.endpoint_snapshot.store import Store
-from shedgrade.sidecar.endpoint_snapshot.trust import Trusting, weigh
-from shedgrade.sidecar.endpoint_snapshot.wall_clock import Wall
+from shedgrade.sidecar.endpoint_snapshot.trust import Trusting, assess
+from shedgrade.sidecar.endpoint_snapshot.wall_clock import WallClock
 
 SETTINGS = {"zones": ["a", "b"], "shapes": ["std"]}
 
@@ -49,7 +49,7 @@
 
 def stream(seed: int, rows: int = 50):
     """Records without end: a whole list, then changes, removals and additions."""
-    chance, wall, generation, number = Random(seed), Wall(), 1, rows
+    chance, wall, generation, number = Random(seed), WallClock(), 1, rows
     alive = list(range(rows))
     fields = msgspec.structs.astuple(wall.now())
     yield {"k": "list", "rows": [entry(one) for one in alive], "whole": True, "generation": 1, "at": fields}
@@ -62,14 +62,14 @@
         yield {"k": "list", "rows": told, "whole": False, "generation": generation, "at": fields}
 
 
-def told(picture: Picture) -> tuple:
-    return picture.generation, frozenset(picture.rows)
+def told(snapshot: Snapshot) -> tuple:
+    return snapshot.generation, frozenset(snapshot.endpoints)
 
 
 def kills(count: int, folder: Path, most: float = 0.02, seed: int = 1) -> dict:
     """Forks a writer, kills it after a random time, recovers, and looks whether that was told; so many
     times."""
-    chance, wall = Random(seed), Wall()
+    chance, wall = Random(seed), WallClock()
     worst, furthest = 0.0, 0
     for number in range(count):
         child = os.fork()
@@ -90,20 +90,20 @@
         files = Files(folder)
         found = recover(files, "n1") if folder.exists() else None
         worst = max(worst, time.perf_counter() - begun)
-        if found is None or not found.picture.generation:
+        if found is None or not found.snapshot.generation:
             continue
-        furthest = max(furthest, found.picture.generation)
+        furthest = max(furthest, found.snapshot.generation)
         # What was found is what some writer told at some moment: its own stream up to that generation.
         for writer in range(number, -1, -1):
-            picture = Picture()
+            snapshot = Snapshot()
             for record in stream(writer):
-                picture.apply(record)
-                if picture.generation >= found.picture.generation:
+                snapshot.apply(record)
+                if snapshot.generation >= found.snapshot.generation:
                     break
-            if told(picture) == told(found.picture):
+            if told(snapshot) == told(found.snapshot):
                 break
         else:
-            raise AssertionError(f"kill {number}: generation {found.picture.generation} was never told")
+            raise AssertionError(f"kill {number}: generation {found.snapshot.generation} was never told")
         sizes = sum(path.stat().st_size for path in folder.iterdir())
     return {
         "kills": count,
@@ -119,7 +119,7 @@
     async def scene() -> dict:
         saved = SavedList(Saved(folder=str(folder), sync=sync), "n1", SETTINGS)
         saved.open()
-        saved.begin()
+        saved.initial_list()
         saved.start()
         records = stream(1, rows)
         cpu, begun, told_at, count = time.process_time(), time.monotonic(), 0.0, 0
@@ -127,12 +127,12 @@
         while (now := time.monotonic() - begun) < seconds:
             record = next(records)
             at = time.thread_time()
-            saved.told(
+            saved.save_list(
                 {"generation": record["generation"], "reset": record["whole"], "instances": record["rows"]}
             )
             if now >= told_at:
                 told_at += 10
-                saved.keep(
+                saved.save_learned(
                     {
                         "v": 1,
                         "sums": [1.0] * 5,
@@ -163,10 +163,10 @@
 
 def startup(rows: int, folder: Path) -> dict:
     """From a folder of so many rows to a list that can be handed over."""
-    wall = Wall()
+    wall = WallClock()
     store = Store(Files(folder), "n1", wall.now, "never")
     store.open()
-    store.take(
+    store.write_batch(
         [
             {
                 "k": "list",
@@ -182,7 +182,7 @@
     begun = time.perf_counter()
     found = recover(Files(folder), "n1")
     read = time.perf_counter() - begun
-    verdicts = weigh(found.picture, wall.now(), Trusting())
+    verdicts = assess(found.snapshot, wall.now(), Trusting())
     weighed = time.perf_counter() - begun - read
     begun = time.perf_counter()
     again = Store(Files(folder), "n1", wall.now)
@@ -309,8 +309,8 @@
                 process.kill()
             await process.wait()
             done["kills"] += 1
-            picture = recover(Files(folder), f"n{number}").picture
-            done["rows never told"] += bool(set(picture.rows) - told)
+            snapshot = recover(Files(folder), f"n{number}").snapshot
+            done["rows never told"] += bool(set(snapshot.endpoints) - told)
 
     task = asyncio.create_task(churn())
     await asyncio.gather(*(lane(number) for number in range(lanes)))
@@ -336,14 +336,14 @@
         files = SlowFiles(folder)
         saved = SavedList(Saved(folder=str(folder), sync="always"), "n1", SETTINGS, files=files)
         saved.open()
-        saved.begin()
+        saved.initial_list()
         saved.start()
         files.slow = True
         records, worst, begun, count = stream(1, 200), 0.0, time.monotonic(), 0
         while time.monotonic() - begun < seconds:
             record = next(records)
             at = time.monotonic()
-            saved.told(
+            saved.save_list(
                 {"generation": record["generation"], "reset": record["whole"], "instances": record["rows"]}
             )
             await asyncio.sleep(0.001)
--- a/shedgrade/cli/saved.py
+++ b/shedgrade/cli/saved.py
@@ -9,10 +9,10 @@
 from shedgrade.cli import fail
 from shedgrade.sidecar.endpoint_snapshot.files import Files, LockedError
 from shedgrade.sidecar.endpoint_snapshot.recovery import Recovered, recover
-from shedgrade.sidecar.endpoint_snapshot.snapshot import age
-from shedgrade.sidecar.endpoint_snapshot.store import Store
-from shedgrade.sidecar.endpoint_snapshot.trust import Trusting, weigh
-from shedgrade.sidecar.endpoint_snapshot.wall_clock import Wall
+from shedgrade.sidecar.endpoint_snapshot.snapshot import age_s
+from shedgrade.sidecar.endpoint_snapshot.store import Store, StoreEvent
+from shedgrade.sidecar.endpoint_snapshot.trust import Trusting, assess
+from shedgrade.sidecar.endpoint_snapshot.wall_clock import WallClock
 
 app = typer.Typer(
     help="Folders in which sidecars keep their lists.",
@@ -54,18 +54,18 @@
 def show(folder: Folder, owner: Owner = "") -> None:
     """What a start would find: each row with its age and the way it would be used."""
     found = read(folder, owner)
-    picture, now = found.picture, Wall().now()
-    confirmed = f"{age(picture.confirmed, now):.0f} s ago" if picture.confirmed else "never"
-    learnt = f"saved {age(picture.state_at, now):.0f} s ago" if picture.state_at else "none"
+    snapshot, now = found.snapshot, WallClock().now()
+    confirmed = f"{age_s(snapshot.confirmed_at, now):.0f} s ago" if snapshot.confirmed_at else "never"
+    learned = f"saved {age_s(snapshot.learned_at, now):.0f} s ago" if snapshot.learned_at else "none"
     print(
-        f"owner {picture.owner or '-'}, generation {picture.generation}, confirmed {confirmed}, "
-        f"{len(picture.rows)} rows, {len(picture.gone)} removals remembered, learnt: {learnt}"
+        f"owner {snapshot.owner or '-'}, generation {snapshot.generation}, confirmed {confirmed}, "
+        f"{len(snapshot.endpoints)} rows, {len(snapshot.removed)} removals remembered, learnt: {learned}"
     )
-    for verdict in weigh(picture, now, Trusting()):
-        told = verdict.told
+    for verdict in assess(snapshot, now, Trusting()):
+        entry = verdict.entry
         print(
-            f"{told['instanceId']}  {told.get('hostPort', '-')}  {told.get('zone', '-')}  "
-            f"{told.get('lifecycle', '-')}  {verdict.age:.0f} s  {verdict.way}"
+            f"{entry['instanceId']}  {entry.get('hostPort', '-')}  {entry.get('zone', '-')}  "
+            f"{entry.get('lifecycle', '-')}  {verdict.age_s:.0f} s  {verdict.level}"
         )
 
 
@@ -73,17 +73,22 @@
 def check(folder: Folder, owner: Owner = "") -> None:
     """Reads everything; exit 0 if all is sound, 1 with a line for each file that is not. Changes nothing."""
     found = read(folder, owner)
-    for name, why in found.aside:
-        print(f"{name}: {why}")
+    for damaged in found.damaged:
+        print(f"{damaged.name}: {damaged.reason}")
     for name in found.newer:
         print(f"{name}: of a newer version")
     kept = [name for name in os.listdir(folder) if ".damaged" in name]
     print(
-        f"{folder}: {found.records} records, {len(found.picture.rows)} rows, {len(found.aside)} files "
-        "damaged, "
+        f"{folder}: {found.records} records, {len(found.snapshot.endpoints)} rows, "
+        f"{len(found.damaged)} files damaged, "
         f"{len(kept)} set aside earlier"
     )
-    raise typer.Exit(1 if found.aside or found.newer else 0)
+    raise typer.Exit(1 if found.damaged or found.newer else 0)
+
+
+def print_event(event: StoreEvent) -> None:
+    """What the store has to say, for whoever called."""
+    print(f"{event.event}: {event.error}" if event.error else event.event)
 
 
 @app.command()
@@ -93,11 +98,11 @@
     if not folder.is_dir():
         fail(ValueError(f"{folder}: no such folder"))
     before = sum((folder / name).stat().st_size for name in files.names())
-    store = Store(files, owner or owner_of(files), Wall().now, tell=lambda level, line: print(line))
+    store = Store(files, owner or owner_of(files), WallClock().now, report=print_event)
     try:
         store.open()
         if not store.broken:
-            store.begin()
+            store.begin_files()
     except LockedError as locked:
         fail(locked)
     except OSError as failure:
--- a/shedgrade/lab/prepared.py
+++ b/shedgrade/lab/prepared.py
@@ -11,7 +11,7 @@
 from shedgrade.sidecar.endpoint_snapshot.files import Files
 from shedgrade.sidecar.endpoint_snapshot.snapshot import Moment
 from shedgrade.sidecar.endpoint_snapshot.store import Store
-from shedgrade.sidecar.endpoint_snapshot.wall_clock import Wall
+from shedgrade.sidecar.endpoint_snapshot.wall_clock import WallClock
 
 NOWHERE = 240  # slots from which addresses lead nowhere, or to a silent stand-in
 
@@ -92,13 +92,13 @@
     scenario: Scenario, number: int, named: list[tuple[str, int, int]], port: int, folder: Path
 ) -> None:
     """The folder of one sidecar, as it would have been left `age_s` ago."""
-    saved, now = scenario.sidecars.saved, Wall().now()
+    saved, now = scenario.sidecars.saved, WallClock().now()
     back = round(saved.age_s * 1000)
-    then = Moment(now.wall - back, now.boot, now.since - back)
+    then = Moment(now.wall_ms - back, now.boot_id, now.since_boot_ms - back)
     zone = scenario.fleet.zones.index(scenario.zone_of(number))
     store = Store(Files(folder), f"n{number}", lambda: then, "never")
     store.open()
-    at = [then.wall, then.boot, then.since]
+    at = [then.wall_ms, then.boot_id, then.since_boot_ms]
     told = [entry(scenario, name, group, slot, port, zone) for name, group, slot in named]
-    store.take([{"k": "list", "rows": told, "whole": True, "generation": 7, "at": at}], False)
+    store.write_batch([{"k": "list", "rows": told, "whole": True, "generation": 7, "at": at}], False)
     store.close()
--- a/shedgrade/sidecar/endpoint_snapshot/__init__.py
+++ b/shedgrade/sidecar/endpoint_snapshot/__init__.py
@@ -1,2 +1,1 @@
-"""What a sidecar keeps on disk of the list and its own picture, and how far it trusts that at the next
-start."""
+"""The list of upstreams and what was learned of them on disk, and how far that is trusted at a start."""
--- a/shedgrade/sidecar/endpoint_snapshot/config.py
+++ b/shedgrade/sidecar/endpoint_snapshot/config.py
@@ -1,5 +1,6 @@
 """The table `[saved]` of the features file."""
 
+from collections.abc import Iterator
 from typing import Annotated, Literal
 
 from msgspec import Meta, Struct, field
@@ -13,8 +14,8 @@
     """`folder`: of this sidecar alone, kept across restarts; made if it is not there, mode 700.
 
     `sync`: when what was written is forced to the disk: always (each batch), interval (every `sync_s`
-    seconds at most), never. `state_s`: how often what was learnt is saved, in seconds. `trust`: how far
-    saved rows are used.
+    seconds at most), never. `state_s`: how often what was learned is saved, in seconds. `trust`: how far
+    saved endpoints are used.
     """
 
     folder: str
@@ -23,7 +24,7 @@
     state_s: Seconds = 10.0
     trust: Trusting = field(default_factory=Trusting)
 
-    def problems(self):
+    def problems(self) -> Iterator[tuple[str, str]]:
         """Yields (key, reason) of what types alone do not show."""
         if not self.folder:
             yield "folder", "is empty"
--- a/shedgrade/sidecar/endpoint_snapshot/files.py
+++ b/shedgrade/sidecar/endpoint_snapshot/files.py
@@ -19,6 +19,7 @@
         self.lock_handle: int | None = None
 
     def make(self) -> None:
+        """Makes the folder, for this user only, if it is not there."""
         self.folder.mkdir(mode=0o700, parents=True, exist_ok=True)
 
     def foreign(self) -> str:
@@ -31,6 +32,7 @@
         return ""
 
     def lock(self) -> None:
+        """LockedError if another process has the folder."""
         handle = os.open(self.folder / "lock", os.O_RDWR | os.O_CREAT | os.O_CLOEXEC, 0o600)
         try:
             fcntl.flock(handle, fcntl.LOCK_EX | fcntl.LOCK_NB)
@@ -40,14 +42,15 @@
         self.lock_handle = handle
 
     def names(self) -> list[str]:
+        """Of all files in the folder."""
         return sorted(os.listdir(self.folder))
 
     def read(self, name: str) -> bytes:
+        """The whole file."""
         return (self.folder / name).read_bytes()
 
     def append(self, name: str, data: bytes) -> None:
-        """Opens at the first call, then writes to the end; a short write raises nothing and is gone on
-        with."""
+        """Opens at the first call, then writes to the end; a short write is gone on with."""
         handle = self.handles.get(name)
         if handle is None:
             flags = os.O_WRONLY | os.O_CREAT | os.O_APPEND | os.O_CLOEXEC
@@ -57,20 +60,25 @@
             view = view[os.write(handle, view) :]
 
     def sync(self, name: str) -> None:
+        """Forces what was appended to the disk."""
         os.fsync(self.handles[name])
 
     def close(self, name: str) -> None:
+        """Nothing more is appended to this file."""
         handle = self.handles.pop(name, None)
         if handle is not None:
             os.close(handle)
 
     def rename(self, old: str, new: str) -> None:
+        """Takes the place of a file of that name, if there is one."""
         os.rename(self.folder / old, self.folder / new)
 
     def remove(self, name: str) -> None:
+        """The file is no more."""
         os.unlink(self.folder / name)
 
     def sync_folder(self) -> None:
+        """Forces renames and removals to the disk."""
         handle = os.open(self.folder, os.O_RDONLY | os.O_DIRECTORY)
         try:
             os.fsync(handle)
@@ -78,6 +86,7 @@
             os.close(handle)
 
     def release(self) -> None:
+        """Closes all files and gives the folder up."""
         for name in list(self.handles):
             with contextlib.suppress(OSError):
                 self.close(name)
--- a/shedgrade/sidecar/endpoint_snapshot/trust.py
+++ b/shedgrade/sidecar/endpoint_snapshot/trust.py
@@ -1,25 +1,31 @@
-"""How far each saved row is trusted at a start, without I/O: a pure function of the picture, its age and
-settings.
-
-Four ways, from most to least:
-  AS_TOLD   confirmed seconds ago: used as discovery said.
-  CAUTIOUS  older: one RPC at a time until it has shown itself sound, as an upstream that returns.
-  LAST      very old: used only when nothing else is left, one at a time, then as CAUTIOUS once it has
-  answered. NEVER     draining, removed, or its address told to another since: never used as ready.
+"""How far each saved endpoint is trusted at a start, without I/O: a pure function of the snapshot, its age
+and settings.
+
+Four levels, from most to least:
+  AS_TOLD      confirmed seconds ago: used as discovery said.
+  CAUTIOUS     older: one request at a time until it has shown itself sound, as an upstream that returns.
+  LAST_RESORT  very old: used only when nothing else is left, one at a time, then as CAUTIOUS once it has
+               answered.
+  NEVER        draining, removed, or its address given to another since: never used as ready.
 """
 
+from math import inf
+
 from msgspec import Struct
 
-from shedgrade.sidecar.endpoint_snapshot.snapshot import Moment, Picture, age
+from shedgrade.sidecar.endpoint_snapshot.snapshot import Entry, Moment, Snapshot, age_s
 
-AS_TOLD, CAUTIOUS, LAST, NEVER = "as told", "cautious", "last resort", "never"
+AS_TOLD = "as told"
+CAUTIOUS = "cautious"
+LAST_RESORT = "last resort"
+NEVER = "never"
 
 
 class Trusting(Struct, kw_only=True, forbid_unknown_fields=True):
-    """Ages in seconds. `as_told_s`: a quiet list is confirmed every 20 s, when a watch ends; with a
-    restart's few seconds on top, 30. `cautious_s`: an hour, the span of a release day. `ends`: answers that
-    an upstream must give before it gets more than one RPC at a time: three in a row are no luck. `blind`:
-    all as told (for comparison).
+    """Ages in seconds; the table `[saved.trust]`. `as_told_s`: a quiet list is confirmed every 20 s, when a
+    watch ends; with a restart's few seconds on top, 30. `cautious_s`: an hour, the span of a release day.
+    `ends`: answers that an upstream must give before it gets more than one request at a time: three in a row
+    are no luck. `blind`: all as told (for comparison).
     """
 
     as_told_s: float = 30.0
@@ -29,41 +35,45 @@
 
 
 class Verdict(Struct):
-    """One saved row, what it is to be used as, and how long ago discovery confirmed it (s)."""
-
-    told: dict
-    way: str
-    age: float
-
-
-def weigh(picture: Picture, now: Moment, trusting: Trusting) -> list[Verdict]:
-    """Every saved row with the way it may be used, in the order in which they were saved."""
-    # A whole list, or an answer that nothing has changed, confirms all rows; a change confirms its own.
-    whole = age(picture.confirmed, now) if picture.confirmed is not None else float("inf")
-    latest: dict[str, tuple[Moment, str]] = {}
-    for name, row in picture.rows.items():
-        place = row.told.get("hostPort", "")
-        # Of two rows at one address the one told later has it.
-        if place not in latest or newer(row.confirmed, latest[place][0]):
-            latest[place] = row.confirmed, name
+    """One saved endpoint, how far it is trusted, and how long ago discovery confirmed it."""
+
+    entry: Entry
+    level: str
+    age_s: float
+
+
+def assess(snapshot: Snapshot, now: Moment, trusting: Trusting) -> list[Verdict]:
+    """Every saved endpoint with its level, in the order in which they were saved."""
+    # A complete list, or an answer that nothing has changed, confirms all; a change confirms its own.
+    list_age_s = age_s(snapshot.confirmed_at, now) if snapshot.confirmed_at is not None else inf
+    holders = address_holders(snapshot)
     found = []
-    for name, row in picture.rows.items():
-        since = min(whole, age(row.confirmed, now))
-        if (
-            row.state != "in_service"
-            or name in picture.gone
-            or latest[row.told.get("hostPort", "")][1] != name
-        ):
-            way = NEVER
-        elif trusting.blind or since <= trusting.as_told_s:
-            way = AS_TOLD
+    for name, endpoint in snapshot.endpoints.items():
+        confirmed_s = min(list_age_s, age_s(endpoint.confirmed_at, now))
+        usable = endpoint.lifecycle == "in_service" and name not in snapshot.removed
+        if not usable or holders[endpoint.entry.get("hostPort", "")] != name:
+            level = NEVER
+        elif trusting.blind or confirmed_s <= trusting.as_told_s:
+            level = AS_TOLD
         else:
-            way = CAUTIOUS if since <= trusting.cautious_s else LAST
-        found.append(Verdict(row.told, way, since))
+            level = CAUTIOUS if confirmed_s <= trusting.cautious_s else LAST_RESORT
+        found.append(Verdict(endpoint.entry, level, confirmed_s))
     return found
 
 
-def newer(one: Moment, other: Moment) -> bool:
-    if one.boot and one.boot == other.boot:
-        return one.since >= other.since
-    return one.wall >= other.wall
+def address_holders(snapshot: Snapshot) -> dict[str, str]:
+    """By address, the id that has it: of two endpoints at one address the one described later."""
+    holders: dict[str, str] = {}
+    for name, endpoint in snapshot.endpoints.items():
+        address = endpoint.entry.get("hostPort", "")
+        known = holders.get(address)
+        if known is None or is_newer(endpoint.confirmed_at, snapshot.endpoints[known].confirmed_at):
+            holders[address] = name
+    return holders
+
+
+def is_newer(one: Moment, other: Moment) -> bool:
+    """Whether it is not before the other, by the boot's clock where both have the same."""
+    if one.boot_id and one.boot_id == other.boot_id:
+        return one.since_boot_ms >= other.since_boot_ms
+    return one.wall_ms >= other.wall_ms
--- a/shedgrade/sidecar/endpoint_snapshot/wall_clock.py
+++ b/shedgrade/sidecar/endpoint_snapshot/wall_clock.py
@@ -6,17 +6,19 @@
 
 from shedgrade.sidecar.endpoint_snapshot.snapshot import Moment
 
+BOOT_ID = Path("/proc/sys/kernel/random/boot_id")
 
-class Wall:
+
+class WallClock:
     """Reads both. Where the kernel does not name its boot, only the wall clock is left."""
 
     def __init__(self) -> None:
         try:
-            self.boot = Path("/proc/sys/kernel/random/boot_id").read_text().strip()
+            self.boot_id = BOOT_ID.read_text().strip()
         except OSError:
-            self.boot = ""
+            self.boot_id = ""
 
     def now(self) -> Moment:
-        return Moment(
-            time.time_ns() // 1_000_000, self.boot, time.clock_gettime_ns(time.CLOCK_BOOTTIME) // 1_000_000
-        )
+        """This moment by both."""
+        since_boot_ms = time.clock_gettime_ns(time.CLOCK_BOOTTIME) // 1_000_000
+        return Moment(time.time_ns() // 1_000_000, self.boot_id, since_boot_ms)
--- a/shedgrade/sidecar/lifecycle/sidecar.py
+++ b/shedgrade/sidecar/lifecycle/sidecar.py
@@ -245,22 +245,22 @@
     def start_from_saved(self, saved: "SavedList") -> None:
         """What was saved, as far as it can be trusted; the whole live list is asked for first and ends it."""
         pool = self.pool
-        beginning = saved.begin()
+        initial = saved.initial_list()
         try:
-            if beginning is not None:
-                pool.listed(beginning.message, asked=False)
+            if initial is not None:
+                pool.listed(initial.message, asked=False)
         except ListError as error:  # zones that the settings no longer have, for one
             logger.warning("saved endpoint list rejected", error=str(error))
-            beginning = None
-        if beginning is not None:
+            initial = None
+        if initial is not None:
             pool.take_over("saved")
             indices = pool.reader.indices.by_id
-            for way, names in beginning.doubts.items():
+            for level, names in initial.doubted.items():
                 rows = [indices[name] for name in names]
-                pool.turn.doubted(rows, saved.config.trust.ends, way == "last resort")
-            learned = saved.learnt(beginning, indices)
+                pool.turn.doubted(rows, saved.config.trust.ends, level == "last resort")
+            learned = saved.learned_state(initial, indices)
             if learned is not None:
-                pool.turn.restore(learned, beginning.state_age)
+                pool.turn.restore(learned, initial.learned_age_s)
             pool.reader.version = None
         saved.start()
         self.save_learned(saved)
@@ -270,5 +270,5 @@
         if self.phase is Phase.CLOSED:
             return
         if self.pool.source == "discovery":
-            saved.keep(self.pool.turn.export(), self.pool.reader.indices.ids)
+            saved.save_learned(self.pool.turn.export(), self.pool.reader.indices.ids)
         self.loop.call_later(saved.config.state_s, self.save_learned, saved)
--- a/shedgrade/sidecar/quota/feature.py
+++ b/shedgrade/sidecar/quota/feature.py
@@ -44,9 +44,9 @@
         """Takes over what was saved."""
         logger.info("quotas in force", nodes=sum(1 for _ in self.gate.tree.root.walk()))
         saved = self.pool.saved
-        if saved is None or saved.recovered.picture.quota is None:
+        if saved is None or saved.recovered.snapshot.quota is None:
             return
-        state = saved.recovered.picture.quota
+        state = saved.recovered.snapshot.quota
         restored = restore(self.gate.tree, state, self.pool.clock.now(), wall_clock_ms())
         if restored.problem:
             logger.warning("saved quota state not used", error=restored.problem)
@@ -96,7 +96,7 @@
     def save(self) -> None:
         """Hands the counts to the saved list, if there is one."""
         if self.pool.saved is not None:
-            self.pool.saved.keep_quota(export(self.gate.tree, self.pool.clock.now(), wall_clock_ms()))
+            self.pool.saved.save_quota(export(self.gate.tree, self.pool.clock.now(), wall_clock_ms()))
 
     def close(self) -> None:
         """The sidecar ends: saves, and logs debts and refusals."""
--- a/shedgrade/upstream_pool/pool.py
+++ b/shedgrade/upstream_pool/pool.py
@@ -100,7 +100,7 @@
                 # Guards the disk: weights that move with load are of no use after a restart.
                 # Nor is an entry that is not sound: it would spoil the start from what was saved.
                 taken = [] if quiet else self.reader.taken
-                self.saved.told({**message, "instances": taken} if quiet or part else message)
+                self.saved.save_list({**message, "instances": taken} if quiet or part else message)
         leaving = [row[0] for row in rows if row[2] != load_balancing.READY]
         self.turn.listed(rows, whole, asked)  # first: what is withdrawn is decided anew by this list
         for upstream in (*moved, *leaving):
--- a/tests/sidecar/endpoint_snapshot/test_start.py
+++ b/tests/sidecar/endpoint_snapshot/test_start.py
@@ -23,7 +23,7 @@
 from shedgrade.sidecar.endpoint_snapshot.snapshot import Moment
 from shedgrade.sidecar.endpoint_snapshot.source import SavedList
 from shedgrade.sidecar.endpoint_snapshot.store import Store
-from shedgrade.sidecar.endpoint_snapshot.wall_clock import Wall
+from shedgrade.sidecar.endpoint_snapshot.wall_clock import WallClock
 from shedgrade.sidecar.lifecycle.features import load_features
 from shedgrade.upstream_pool.errors import ConfigError
 
@@ -62,7 +62,7 @@
     summary, log = run(tmp_path, "sidecars.saved.stale=0.5")
     assert summary["figures"]["service"] > 0.97
     assert "list: from nothing to saved" in log and "list: from saved to discovery" in log
-    assert "12 cautious" in log
+    assert "cautious=12" in log
     # What was saved and is not in the live list is gone for good, and is remembered as such.
     shown = CliRunner().invoke(app, ["saved", "show", str(tmp_path / "run/saved-0")]).output
     assert "12 rows, 6 removals remembered" in shown and "gone-" not in shown and "as told" in shown
@@ -81,7 +81,7 @@
         "sidecars.saved.cold=true",
         "callers.backoff=exponential",
     )
-    assert "WARNING saved list" in log and "12 last resort" in log
+    assert "WARNING saved endpoint list used" in log and "last_resort=12" in log
     assert summary["figures"]["service"] > 0.9 and summary["figures"]["fell"] == 0
 
 
@@ -164,7 +164,10 @@
         stderr=subprocess.PIPE,
         text=True,
     )
-    awaited, late = {"goes on without", "after=serving"}, threading.Timer(20, process.kill)
+    awaited, late = (
+        {"saved endpoint list cannot be written", "after=serving"},
+        threading.Timer(20, process.kill),
+    )
     late.start()
     try:
         for line in process.stderr:
@@ -245,18 +248,18 @@
         return await self.answer(self)
 
     def prepare(self):
-        now = Wall().now()
-        then = Moment(now.wall - 120_000, now.boot, now.since - 120_000)
+        now = WallClock().now()
+        then = Moment(now.wall_ms - 120_000, now.boot_id, now.since_boot_ms - 120_000)
         store = Store(Files(self.folder), "n", lambda: then, "never")
         store.open()
-        store.take(
+        store.write_batch(
             [
                 {
                     "k": "list",
                     "rows": [self.entry(number) for number in range(len(self.upstreams))],
                     "whole": True,
                     "generation": 7,
-                    "at": [then.wall, then.boot, then.since],
+                    "at": [then.wall_ms, then.boot_id, then.since_boot_ms],
                 }
             ],
             False,
--- a/tests/sidecar/endpoint_snapshot/test_store.py
+++ b/tests/sidecar/endpoint_snapshot/test_store.py
@@ -12,7 +12,7 @@
 from shedgrade import file_frames
 from shedgrade.sidecar.endpoint_snapshot.files import Files, LockedError
 from shedgrade.sidecar.endpoint_snapshot.recovery import recover
-from shedgrade.sidecar.endpoint_snapshot.snapshot import Moment, Picture
+from shedgrade.sidecar.endpoint_snapshot.snapshot import Moment, Snapshot
 from shedgrade.sidecar.endpoint_snapshot.store import Store
 
 
@@ -37,7 +37,7 @@
         "rows": list(rows),
         "whole": whole,
         "generation": generation or second,
-        "at": [at(second).wall, "boot", at(second).since],
+        "at": [at(second).wall_ms, "boot", at(second).since_boot_ms],
     }
 
 
@@ -51,16 +51,21 @@
 ]
 
 
-def told(picture):
-    return ({name: row.state for name, row in picture.rows.items()}, set(picture.gone), picture.generation)
+def told(snapshot):
+    return (
+        {name: row.lifecycle for name, row in snapshot.endpoints.items()},
+        set(snapshot.removed),
+        snapshot.generation,
+    )
 
 
-def pictures():
-    """Every picture that the stream passes through, the empty one first."""
-    picture, found = Picture(), [told(Picture())]
+def snapshots():
+    """Every snapshot that the stream passes through, the empty one first."""
+    snapshot, found = Snapshot(), [told(Snapshot())]
     for record in STREAM:
-        picture.apply(record)
-        found.append(told(picture))
+        snapshot.apply(record)
+        snapshot.check_invariants()
+        found.append(told(snapshot))
     return found
 
 
@@ -68,9 +73,9 @@
     store = Store(disk, "n1", lambda: at(9), sync)
     store.open()
     for number, record in enumerate(STREAM):
-        store.take([record], False)
+        store.write_batch([record], False)
         if number == compact_after:
-            store.begin()
+            store.begin_files()
     return store
 
 
@@ -79,13 +84,17 @@
     written(disk)
     for _ in range(3):
         found = Store(MemoryDisk(disk.data), "n1", lambda: at(9)).open()
-        assert told(found.picture) == pictures()[-1] and not found.said and found.picture.state == {"v": 1}
+        assert (
+            told(found.snapshot) == snapshots()[-1]
+            and not found.summary()
+            and found.snapshot.learned == {"v": 1}
+        )
         disk = MemoryDisk(disk.data)
 
 
 @pytest.mark.parametrize("sync", ["always", "never"])
 def test_killed_at_every_byte_recovery_finds_a_picture_that_was_told(sync):
-    disk, known, count = MemoryDisk(), pictures(), 0
+    disk, known, count = MemoryDisk(), snapshots(), 0
     written(disk, sync, compact_after=3)
     for upto, op in enumerate(disk.ops):
         size = len(op[2]) if op[0] == "append" else 1
@@ -93,34 +102,34 @@
         for partial in range(size):
             left = MemoryDisk(disk.killed(upto, partial))
             found = recover(left, "n1")
-            place = known.index(told(found.picture))
+            place = known.index(told(found.snapshot))
             newest = max(newest or 0, place)
             count += 1
-        # A kill loses nothing whose write was whole: the picture never goes back by more than the one in
+        # A kill loses nothing whose write was whole: the snapshot never goes back by more than the one in
         # hand.
         whole = sum(1 for done in disk.ops[:upto] if done[0] == "append" and done[1].startswith("log"))
         assert newest >= min(len(known) - 1, max(0, whole - 3)), (upto, newest, whole)
         again = Store(MemoryDisk(disk.killed(upto, size // 2)), "n1", lambda: at(9))
         again.open()
         assert not again.broken
-        again.take([listed(50, entry("u9"), whole=True)], False)
-        assert told(recover(again.files, "n1").picture)[0] == {"u9": "in_service"}
+        again.write_batch([listed(50, entry("u9"), whole=True)], False)
+        assert told(recover(again.files, "n1").snapshot)[0] == {"u9": "in_service"}
     assert count > 1000
 
 
 @pytest.mark.parametrize("sync", ["always", "interval", "never"])
 def test_after_a_power_cut_at_every_write_with_unsynced_ones_lost_in_any_way(sync):
-    disk, known, count = MemoryDisk(), pictures(), 0
+    disk, known, count = MemoryDisk(), snapshots(), 0
     written(disk, sync, compact_after=2)
     synced = 0
     for upto in range(len(disk.ops) + 1):
         last = disk.ops[upto - 1] if upto else ("start", "")
         if sync == "always" and last[0] == "sync" and last[1].startswith("log"):
             log = disk.killed(upto, None)
-            synced = max(synced, known.index(told(recover(MemoryDisk(log), "n1").picture)))
+            synced = max(synced, known.index(told(recover(MemoryDisk(log), "n1").snapshot)))
         for left in disk.powered_off(upto):
             found = recover(MemoryDisk(left), "n1")
-            place = known.index(told(found.picture))
+            place = known.index(told(found.snapshot))
             if sync == "always":
                 assert place >= synced, (upto, place, synced)
             count += 1
@@ -128,7 +137,7 @@
 
 
 def test_damage_anywhere_in_any_file_leaves_a_picture_that_was_told_and_is_set_aside():
-    disk, known = MemoryDisk(), pictures()
+    disk, known = MemoryDisk(), snapshots()
     written(disk, compact_after=3)
     files = {name: bytes(data) for name, data in disk.data.items()}
     for name, data in files.items():
@@ -141,10 +150,10 @@
                 left = MemoryDisk({**files, name: harm})
                 store = Store(left, "n1", lambda: at(9))
                 found = store.open()
-                assert told(found.picture) in known
-                if found.aside:
-                    assert any(other.startswith(f"{name}.damaged") for other in left.data) and found.said
-    assert told(Store(MemoryDisk(files), "n1", lambda: at(9)).open().picture) == known[-1]
+                assert told(found.snapshot) in known
+                if found.damaged:
+                    assert any(other.startswith(f"{name}.damaged") for other in left.data) and found.summary()
+    assert told(Store(MemoryDisk(files), "n1", lambda: at(9)).open().snapshot) == known[-1]
 
 
 def test_a_gap_between_logs_shows_and_nothing_is_built_on_it():
@@ -155,10 +164,10 @@
     # The newest snapshot is damaged, and the log before it lost its last record at a clean boundary.
     _, records, _ = file_frames.read(disk.read("log-1"), file_frames.LOG)
     cut = bytes(disk.data["log-1"])[: -len(file_frames.frame(records[-1]))]
-    picture = recover(MemoryDisk({**disk.data, "snapshot-2": b"x", "log-1": cut}), "n1").picture
-    assert told(picture) == pictures()[3]  # log-2 is not applied: it lacks what went before
-    picture = recover(MemoryDisk({**disk.data, "snapshot-2": b"x"}), "n1").picture
-    assert told(picture) == pictures()[-1]  # whole, it goes on from the log before
+    snapshot = recover(MemoryDisk({**disk.data, "snapshot-2": b"x", "log-1": cut}), "n1").snapshot
+    assert told(snapshot) == snapshots()[3]  # log-2 is not applied: it lacks what went before
+    snapshot = recover(MemoryDisk({**disk.data, "snapshot-2": b"x"}), "n1").snapshot
+    assert told(snapshot) == snapshots()[-1]  # whole, it goes on from the log before
 
 
 def test_other_owners_newer_versions_and_strange_files_are_left_as_they_are():
@@ -166,7 +175,7 @@
     written(disk)
     other = Store(MemoryDisk(disk.data), "n2", lambda: at(9))
     found = other.open()
-    assert not found.picture.rows and "belongs to 'n1'" in found.said
+    assert not found.snapshot.endpoints and "belongs to 'n1'" in found.summary()
     assert "snapshot-1.damaged" in other.files.names() or "snapshot-2.damaged" in other.files.names()
     newer = bytearray(file_frames.header(file_frames.SNAPSHOT, 9))
     head = file_frames.HEAD.pack(file_frames.MAGIC, file_frames.SNAPSHOT, file_frames.VERSION + 1, 9)
@@ -174,7 +183,7 @@
     left = MemoryDisk({**disk.data, "snapshot-9": newer, "notes.txt": b"mine"})
     store = Store(left, "n1", lambda: at(9))
     found = store.open()
-    assert told(found.picture) == pictures()[-1] and "newer version" in found.said
+    assert told(found.snapshot) == snapshots()[-1] and "newer version" in found.summary()
     assert left.read("snapshot-9") == newer and left.read("notes.txt") == b"mine" and store.number == 10
 
 
@@ -186,28 +195,34 @@
         file_frames.frame({"k": "surprise"}) + file_frames.frame(listed(90, whole=True)),
     )
     found = recover(disk, "n1")
-    assert told(found.picture) == pictures()[-1] and "not one of ours" in found.aside[0][1]
+    assert told(found.snapshot) == snapshots()[-1] and "not one of ours" in found.damaged[0][1]
 
 
 def test_a_disk_that_fails_and_comes_back_gets_a_whole_snapshot_and_one_line_each():
     lines = []
     disk = MemoryDisk()
-    store = Store(disk, "n1", lambda: at(9), "always", tell=lambda level, line: lines.append(line))
+    store = Store(
+        disk,
+        "n1",
+        lambda: at(9),
+        "always",
+        report=lambda event: lines.append(f"{event.event}: {event.error}"),
+    )
     store.open()
-    store.take(STREAM[:2], False)
+    store.write_batch(STREAM[:2], False)
     for number in (errno.ENOSPC, errno.EIO, errno.EROFS):
         disk.fail = OSError(number, os.strerror(number))
-        store.take([STREAM[2]], False)
-        store.take([STREAM[3]], False)
+        store.write_batch([STREAM[2]], False)
+        store.write_batch([STREAM[3]], False)
     assert len(lines) == 1 and "No space left" in lines[0] and store.broken
     disk.fail = None
-    store.take(STREAM[4:], False)
-    assert lines[1:] == ["saved list is written again"]
-    assert told(recover(disk, "n1").picture) == pictures()[-1]
+    store.write_batch(STREAM[4:], False)
+    assert lines[1:] == ["saved endpoint list written again: "]
+    assert told(recover(disk, "n1").snapshot) == snapshots()[-1]
 
 
 def test_a_slow_disk_holds_nobody_and_what_is_dropped_is_made_up_for(monkeypatch):
-    monkeypatch.setattr("shedgrade.sidecar.endpoint_snapshot.store.MOST_WAITING", 3000)
+    monkeypatch.setattr("shedgrade.sidecar.endpoint_snapshot.store.MAX_QUEUED_BYTES", 3000)
     gate, stuck, disk = threading.Event(), threading.Event(), MemoryDisk()
     store = Store(disk, "n1", lambda: at(9), "always")
     store.open()
@@ -220,22 +235,22 @@
     begun = time.monotonic()
     for number in range(1000):
         store.put(listed(20 + number, entry("u6")))
-    assert time.monotonic() - begun < 5 and len(store.waiting) < 20 and store.lost
+    assert time.monotonic() - begun < 5 and len(store.queue) < 20 and store.lost
     gate.set()
     store.close(20)
     assert not store.thread.is_alive()
-    assert set(told(recover(disk, "n1").picture)[0]) == {"u6", "u7"}
+    assert set(told(recover(disk, "n1").snapshot)[0]) == {"u6", "u7"}
 
 
 def test_the_log_is_compacted_and_the_folder_stays_small(monkeypatch):
-    monkeypatch.setattr("shedgrade.sidecar.endpoint_snapshot.store.LEAST_LOG", 2000)
+    monkeypatch.setattr("shedgrade.sidecar.endpoint_snapshot.store.MIN_COMPACTED_BYTES", 2000)
     disk = MemoryDisk()
     store = Store(disk, "n1", lambda: at(9), "never")
     store.open()
     for number in range(2000):
-        store.take([listed(number + 1, entry(f"u{number % 5}"))], False)
+        store.write_batch([listed(number + 1, entry(f"u{number % 5}"))], False)
     assert store.number > 10 and len(disk.data) == 4 and sum(map(len, disk.data.values())) < 20_000
-    assert len(recover(disk, "n1").picture.rows) == 5
+    assert len(recover(disk, "n1").snapshot.endpoints) == 5
 
 
 def test_a_real_folder_is_private_locked_and_goes_on_read_only(tmp_path):
@@ -251,21 +266,26 @@
         Store(Files(folder), "n1", lambda: at(9)).open()
     store.close()
     again = Store(Files(folder), "n1", lambda: at(9))
-    assert told(again.open().picture) == pictures()[-1]
+    assert told(again.open().snapshot) == snapshots()[-1]
     again.close()
     lines = []
     folder.chmod(0o777)
-    loose = Store(Files(folder), "n1", lambda: at(9), tell=lambda level, line: lines.append(line))
-    assert not loose.open().picture.rows and "written by others" in lines[0]
-    loose.take([STREAM[0]], False)  # nothing is written to it, nothing is raised
+    loose = Store(
+        Files(folder), "n1", lambda: at(9), report=lambda event: lines.append(f"{event.event}: {event.error}")
+    )
+    assert not loose.open().snapshot.endpoints and "written by others" in lines[0]
+    loose.write_batch([STREAM[0]], False)  # nothing is written to it, nothing is raised
 
 
 def test_a_folder_that_cannot_be_made_or_is_a_file_starts_all_the_same(tmp_path):
     (tmp_path / "file").write_text("")
     lines = []
     store = Store(
-        Files(tmp_path / "file" / "n1"), "n1", lambda: at(9), tell=lambda level, line: lines.append(line)
+        Files(tmp_path / "file" / "n1"),
+        "n1",
+        lambda: at(9),
+        report=lambda event: lines.append(f"{event.event}: {event.error}"),
     )
-    assert not store.open().picture.rows and len(lines) >= 1
-    store.take([STREAM[0]], False)
+    assert not store.open().snapshot.endpoints and len(lines) >= 1
+    store.write_batch([STREAM[0]], False)
     assert store.broken
--- a/tests/sidecar/endpoint_snapshot/test_trust.py
+++ b/tests/sidecar/endpoint_snapshot/test_trust.py
@@ -8,14 +8,14 @@
 
 from shedgrade import load_balancing
 from shedgrade.load_balancing import learned_state
-from shedgrade.sidecar.endpoint_snapshot.snapshot import Moment, Picture, age
+from shedgrade.sidecar.endpoint_snapshot.snapshot import Moment, Snapshot, age_s
 from shedgrade.sidecar.endpoint_snapshot.trust import (
     AS_TOLD,
     CAUTIOUS,
-    LAST,
+    LAST_RESORT,
     NEVER,
     Trusting,
-    weigh,
+    assess,
 )
 from shedgrade.sidecar.learned_state_file import from_disk, to_disk
 
@@ -26,65 +26,65 @@
     return Moment(10**12 + round((second if wall is None else wall) * 1000), boot, round(second * 1000))
 
 
-def picture(*rows, at=0, gone=()):
-    found = Picture()
-    found.listed(
+def snapshot(*rows, at=0, gone=()):
+    found = Snapshot()
+    found.apply_list(
         [{"instanceId": name, "hostPort": place, "lifecycle": state} for name, place, state in rows],
         True,
         7,
         now(at),
     )
     for name in gone:
-        found.gone[name] = now(at)
+        found.removed[name] = now(at)
     return found
 
 
 def ways(*args, **more):
-    return {verdict.told["instanceId"]: verdict.way for verdict in weigh(*args, **more)}
+    return {verdict.entry["instanceId"]: verdict.level for verdict in assess(*args, **more)}
 
 
 def test_trust_falls_with_age():
-    saved = picture(("u1", "a:1", "in_service"))
+    saved = snapshot(("u1", "a:1", "in_service"))
     for second, way in (
         (0, AS_TOLD),
         (30, AS_TOLD),
         (31, CAUTIOUS),
         (HOUR, CAUTIOUS),
-        (HOUR + 1, LAST),
-        (90 * HOUR, LAST),
+        (HOUR + 1, LAST_RESORT),
+        (90 * HOUR, LAST_RESORT),
     ):
         assert ways(saved, now(second), Trusting()) == {"u1": way}
     assert ways(saved, now(90 * HOUR), Trusting(blind=True)) == {"u1": AS_TOLD}
 
 
 def test_an_answer_without_changes_confirms_every_row_and_a_change_its_own():
-    saved = picture(("u1", "a:1", "in_service"), ("u2", "a:2", "in_service"))
+    saved = snapshot(("u1", "a:1", "in_service"), ("u2", "a:2", "in_service"))
     saved.confirm(now(500), 8)
     assert ways(saved, now(520), Trusting()) == {"u1": AS_TOLD, "u2": AS_TOLD}
 
 
 def test_draining_removed_and_overtaken_rows_are_never_used():
-    saved = picture(
+    saved = snapshot(
         ("u1", "a:1", "terminating"), ("u2", "a:2", "in_service"), ("u3", "a:3", "in_service"), gone=["u3"]
     )
-    saved.listed([{"instanceId": "u4", "hostPort": "a:2", "lifecycle": "in_service"}], False, 8, now(5))
+    saved.apply_list([{"instanceId": "u4", "hostPort": "a:2", "lifecycle": "in_service"}], False, 8, now(5))
     for trusting in (Trusting(), Trusting(blind=True)):
         assert ways(saved, now(6), trusting) == {"u1": NEVER, "u2": NEVER, "u3": NEVER, "u4": AS_TOLD}
 
 
 def test_the_wall_clock_may_jump():
     # Within one boot its own clock counts, whichever way the wall clock went.
-    assert age(now(0), now(40, wall=-5000)) == 40 and age(now(0), now(40, wall=90_000)) == 40
+    assert age_s(now(0), now(40, wall=-5000)) == 40 and age_s(now(0), now(40, wall=90_000)) == 40
     # Across boots the wall clock is all there is: one that went back tells nothing, which is not "fresh".
-    assert age(now(0), now(3, "other", wall=50)) == 50 and age(now(0), now(3, "other", wall=-50)) == inf
-    saved = picture(("u1", "a:1", "in_service"))
-    assert ways(saved, now(3, "other", wall=-50), Trusting()) == {"u1": LAST}
+    assert age_s(now(0), now(3, "other", wall=50)) == 50 and age_s(now(0), now(3, "other", wall=-50)) == inf
+    saved = snapshot(("u1", "a:1", "in_service"))
+    assert ways(saved, now(3, "other", wall=-50), Trusting()) == {"u1": LAST_RESORT}
 
 
 @given(st.floats(0, 1e6), st.floats(0, 1e6))
 def test_an_older_picture_is_never_trusted_more(one, other):
-    order = [AS_TOLD, CAUTIOUS, LAST]
-    saved = picture(("u1", "a:1", "in_service"))
+    order = [AS_TOLD, CAUTIOUS, LAST_RESORT]
+    saved = snapshot(("u1", "a:1", "in_service"))
     found = [order.index(ways(saved, now(second), Trusting())["u1"]) for second in sorted((one, other))]
     assert found == sorted(found)
 
--- a/tests/stored/test_sidecar_files_as_found.py
+++ b/tests/stored/test_sidecar_files_as_found.py
@@ -62,26 +62,26 @@
     folder = tmp_path / "saved"
     shutil.copytree(DATA / "saved", folder)
     found = recover(Files(folder), "n1")
-    assert (found.number, found.aside, found.newer, found.said) == (3, [], [], "")
-    picture = found.picture
-    assert {name: row.state for name, row in picture.rows.items()} == {
+    assert (found.number, found.damaged, found.newer, found.summary()) == (3, [], [], "")
+    snapshot = found.snapshot
+    assert {name: row.lifecycle for name, row in snapshot.endpoints.items()} == {
         "u1": "terminating",
         "u3": "in_service",
         "u4": "in_service",
         "u5": "in_service",
     }
-    assert picture.gone == {"u2": Moment(1_004_000, "boot", 4000)}
-    assert (picture.generation, picture.owner) == (7, "n1")
-    assert picture.confirmed == Moment(1_007_000, "boot", 7000)
-    assert picture.state == json.loads((DATA / "learnt.json").read_text())
-    assert picture.quota == json.loads((DATA / "quota.json").read_text())
+    assert snapshot.removed == {"u2": Moment(1_004_000, "boot", 4000)}
+    assert (snapshot.generation, snapshot.owner) == (7, "n1")
+    assert snapshot.confirmed_at == Moment(1_007_000, "boot", 7000)
+    assert snapshot.learned == json.loads((DATA / "learnt.json").read_text())
+    assert snapshot.quota == json.loads((DATA / "quota.json").read_text())
 
 
 def test_a_store_goes_on_from_the_saved_endpoint_list(tmp_path):
     folder = tmp_path / "saved"
     shutil.copytree(DATA / "saved", folder)
     store = Store(Files(folder), "n1", lambda: Moment(1_020_000, "boot", 20_000), "always")
-    assert sorted(store.open().picture.rows) == ["u1", "u3", "u4", "u5"]
+    assert sorted(store.open().snapshot.endpoints) == ["u1", "u3", "u4", "u5"]
     store.close()
 
 
@@ -120,9 +120,9 @@
 
 def test_a_snapshot_is_written_in_the_records_of_an_earlier_program():
     _, records, _ = file_frames.read((DATA / "saved" / "snapshot-3").read_bytes(), file_frames.SNAPSHOT)
-    picture = recover(Files(DATA / "saved"), "n1").picture
-    picture.confirm(Moment(1_006_000, "boot", 6000), 6)  # as it stood when the snapshot was written
-    again = [json.loads(json.dumps(record)) for record in picture.records(Moment(1_020_000))]
+    snapshot = recover(Files(DATA / "saved"), "n1").snapshot
+    snapshot.confirm(Moment(1_006_000, "boot", 6000), 6)  # as it stood when the snapshot was written
+    again = [json.loads(json.dumps(record)) for record in snapshot.records(Moment(1_020_000))]
     assert [*again, {"k": "end"}] == records
 
 
--- a/tools/checks.py
+++ b/tools/checks.py
@@ -11,6 +11,7 @@
 DOCUMENTED = (
     "tools",
     "shedgrade/sidecar/admin",
+    "shedgrade/sidecar/endpoint_snapshot",
     "shedgrade/sidecar/learned_state_file.py",
     "shedgrade/sidecar/lifecycle",
     "shedgrade/sidecar/quota",
@@ -23,6 +24,7 @@
     "shedgrade/route_matching",
     "shedgrade/membership",
     "shedgrade/sidecar/admin",
+    "shedgrade/sidecar/endpoint_snapshot",
     "shedgrade/sidecar/learned_state_file.py",
     "shedgrade/sidecar/lifecycle",
     "shedgrade/sidecar/quota",
