--- a/shedgrade/cli/__init__.py
+++ b/shedgrade/cli/__init__.py
@@ -3,7 +3,7 @@
 import asyncio
 import sys
 from pathlib import Path
-from typing import Annotated
+from typing import Annotated, NoReturn
 
 import typer
 import uvloop
@@ -29,12 +29,14 @@
 LogFormat = Annotated[str, typer.Option(help="text or json.")]
 
 
-def fail(wrong: Exception) -> None:
-    print(f"shedgrade: {' '.join(str(wrong).split())}", file=sys.stderr)
+def fail(error: Exception) -> NoReturn:
+    """One line on standard error, and exit 2."""
+    print(f"shedgrade: {' '.join(str(error).split())}", file=sys.stderr)
     raise typer.Exit(2)
 
 
 def start_log(level: str, form: str) -> None:
+    """Sends the log to standard error; exit 2 for a level or form that there is not."""
     try:
         log_to_stderr(level, form)
     except ValueError as wrong:
--- a/shedgrade/cli/lab.py
+++ b/shedgrade/cli/lab.py
@@ -32,6 +32,7 @@
 
 
 def read(path: Path, sets: list[str] | None) -> Scenario:
+    """A scenario with its changes; exit 2 if it is not sound."""
     try:
         return load_scenario(path, sets or [])
     except ScenarioError as wrong:
@@ -45,6 +46,7 @@
 
 
 def line_by_line(line: str) -> None:
+    """A progress line in the log."""
     logger.info("{}", line)
 
 
@@ -89,6 +91,7 @@
 
 
 def variants(first: Path, second: Path | None, sets: tuple, checkouts: tuple) -> list[tuple[str, Scenario]]:
+    """A and B of a comparison, each with its own changes and checkout."""
     paths = first, second or first
     found = [read(path, own) for path, own in zip(paths, sets, strict=True)]
     for scenario, checkout in zip(found, checkouts, strict=True):
--- a/shedgrade/cli/quota.py
+++ b/shedgrade/cli/quota.py
@@ -1,9 +1,10 @@
 """`shedgrade quota check|explain`."""
 
+from collections.abc import Iterator
 from heapq import heappop, heappush
 from itertools import count
 from pathlib import Path
-from typing import Annotated
+from typing import TYPE_CHECKING, Annotated
 
 import typer
 
@@ -13,9 +14,13 @@
 from shedgrade.sidecar.quota.config import Quota
 from shedgrade.sidecar.quota.gate import Gate
 from shedgrade.sidecar.quota.limits import Limit
-from shedgrade.sidecar.quota.tree import Ticket
+from shedgrade.sidecar.quota.repayment import Debt
+from shedgrade.sidecar.quota.tree import Node, Refusal, Ticket
 from shedgrade.upstream_pool.errors import ConfigError
 
+if TYPE_CHECKING:
+    from shedgrade.lab.trace import Row
+
 app = typer.Typer(
     help="Nested quotas of a features file.",
     no_args_is_help=True,
@@ -26,6 +31,7 @@
 
 
 def read(path: Path) -> Quota:
+    """The table of a features file; exit 2 if there is none."""
     try:
         quota = load_features(path).quota
     except ConfigError as wrong:
@@ -36,6 +42,7 @@
 
 
 def spell(limit: Limit) -> str:
+    """A limit's dimension and window."""
     return f"{limit.dimension}{f' in {limit.window / 10_000:g} s' if limit.window else ''}"
 
 
@@ -62,12 +69,12 @@
 def rights(account: Account, now: int) -> str:
     """Where it stands among its siblings."""
     parts = [f"used {account.used(now)} of {account.ceiling}"]
-    if account.parent is not None:
+    pool = account.pool
+    if account.parent is not None and pool is not None:
         if account.guarantee:
             parts.append(f"its own {account.entitlement()}")
         if account.debt:
             parts.append(f"owes {account.debt}")
-        pool = account.pool
         parts.append(
             f"{account.parent.name} {account.parent.used(now)} of {account.parent.ceiling}, "
             f"{pool.unused - account.unused} left to siblings"
@@ -95,46 +102,61 @@
     gate = Gate(read(path), 0)
     try:
         rows = read_trace(trace)
-    except ScenarioError as wrong:
-        fail(wrong)
-    waiting, admitted, order = [], 0, count()
+    except ScenarioError as error:
+        fail(error)
+    admitted = sum(play(gate, sorted(rows, key=lambda row: row.at_ms), who))
+    print(f"{admitted} of {len(rows)} admitted")
+    for node in gate.tree.root.walk():
+        for account in node.accounts.values():
+            if account.children_pool is not None:
+                for debt in account.children_pool.repayment.history:
+                    print(describe_debt(debt, account.limit))
 
-    def names(text: str) -> list[str]:
-        found = [name for name in text.split("/") if name]
-        return found if len(found) == len(gate.identity_names) else []
 
-    for row in sorted(rows, key=lambda one: one.at_ms):
+def play(gate: Gate, rows: list["Row"], who: str) -> Iterator[bool]:
+    """Asks for each row in turn, and prints and yields whether it was admitted; what was admitted settles
+    when its work is done."""
+    running: list[tuple[int, int, Ticket, int]] = []  # end, order, ticket, work; a heap
+    order = count()
+    for row in rows:
         now = round(row.at_ms * 10)
-        while waiting and waiting[0][0] <= now:
-            end, _, ticket, work = heappop(waiting)
+        while running and running[0][0] <= now:
+            end, _, ticket, work = heappop(running)
             ticket.settle(end, {"work": work})
-        origin = row.who
-        leaf = gate.tree.find(now, names(origin or who), gate.default_leaf)
+        leaf = gate.tree.find(now, identity(gate, row.who or who), gate.default_leaf)
         work = max(1, round(row.work_ms or gate.quota.estimate_ms))
-        got = gate.tree.admit(
-            now, leaf, {"requests": 1, "work": round(gate.quota.estimate_ms)}, is_retry=bool(row.retry_of)
-        )
-        if isinstance(got, Ticket):
-            admitted += 1
-            heappush(waiting, (now + work * 10, next(order), got, work))
+        amounts = {"requests": 1, "work": round(gate.quota.estimate_ms)}
+        result = gate.tree.admit(now, leaf, amounts, is_retry=bool(row.retry_of))
+        if isinstance(result, Ticket):
+            heappush(running, (now + work * 10, next(order), result, work))
             print(f"{row.at_ms:.0f} ms {row.id}: admitted as {leaf.full_name()}")
-            continue
-        account = next((one for one in leaf.path if one.name == got.node and one.limit == got.limit), None)
-        when = f"; room at {got.retry_at / 10:.0f} ms" if got.retry_at is not None else ""
-        why = "among its siblings" if got.by_siblings else "itself full"
-        called = ", within its own: what was lent is called back" if got.within_entitlement else ""
-        where = rights(account, now) if account is not None else ""
-        print(
-            f"{row.at_ms:.0f} ms {row.id}: refused by {got.node}: {spell(got.limit)}, ceiling "
-            f"{got.limit.ceiling}, {why}{called}: {where}{when}"
-        )
-    print(f"{admitted} of {len(rows)} admitted")
-    for node in gate.tree.root.walk():
-        for account in node.accounts.values():
-            for debt in account.children_pool.repayment.history if account.children_pool is not None else ():
-                paid = debt.paid_at
-                end = f"repaid at {paid / 10:.0f} ms" if paid is not None else "not yet repaid"
-                print(
-                    f"{debt.at / 10:.0f} ms: {debt.borrower} owes {debt.lender} {debt.amount} "
-                    f"{spell(account.limit)}, due {debt.due / 10:.0f} ms, {end}"
-                )
+        else:
+            print(f"{row.at_ms:.0f} ms {row.id}: {describe_refusal(result, leaf, now)}")
+        yield isinstance(result, Ticket)
+
+
+def identity(gate: Gate, text: str) -> list[str]:
+    """ORG/CHAIN/STORE as names; [] if there are more or fewer than the table has."""
+    names = [name for name in text.split("/") if name]
+    return names if len(names) == len(gate.identity_names) else []
+
+
+def describe_refusal(refusal: Refusal, leaf: Node, now: int) -> str:
+    """Which limit refused, why, where the node stands, and when there may be room."""
+    limit = refusal.limit
+    account = next((one for one in leaf.path if one.name == refusal.node and one.limit == limit), None)
+    when = f"; room at {refusal.retry_at / 10:.0f} ms" if refusal.retry_at is not None else ""
+    why = "among its siblings" if refusal.by_siblings else "itself full"
+    recall = ", within its own: what was lent is called back" if refusal.within_entitlement else ""
+    where = rights(account, now) if account is not None else ""
+    return f"refused by {refusal.node}: {spell(limit)}, ceiling {limit.ceiling}, {why}{recall}: {where}{when}"
+
+
+def describe_debt(debt: Debt, limit: Limit) -> str:
+    """Who owes whom how much, until when, and whether it was repaid."""
+    paid = debt.paid_at
+    end = f"repaid at {paid / 10:.0f} ms" if paid is not None else "not yet repaid"
+    return (
+        f"{debt.at / 10:.0f} ms: {debt.borrower} owes {debt.lender} {debt.amount} {spell(limit)}, "
+        f"due {debt.due / 10:.0f} ms, {end}"
+    )
--- a/shedgrade/cli/saved.py
+++ b/shedgrade/cli/saved.py
@@ -43,6 +43,7 @@
 
 
 def read(folder: Path, owner: str) -> Recovered:
+    """What a start would find; exit 2 if the folder can't be read."""
     files = Files(folder)
     try:
         return recover(files, owner or owner_of(files))
