--- a/benchmarks/saved.py
+++ b/benchmarks/saved.py
@@ -154,7 +154,7 @@
             "changes/s": round(count / seconds, 1),
             "cpu ms/s, all": round(spent / seconds * 1000, 2),
             "of it on the loop's thread": round(loop_cpu / seconds * 1000, 3),
-            "bytes/s": round(saved.store.written / seconds),
+            "bytes/s": round(saved.store.bytes_written / seconds),
             "writes/s": round(saved.store.writes / seconds, 1),
         }
 
