--- a/benchmarks/system.py
+++ b/benchmarks/system.py
@@ -106,10 +106,12 @@
     from shedgrade.buffers.budget import Budget
     from shedgrade.dataplane.service import ServicePool
     from shedgrade.dataplane.state import State
-    from shedgrade.process_settings.settings import Bounds
+    from shedgrade.process_settings.settings import TimingBounds
     from shedgrade.runtime.clock import Clock
 
-    settings = SimpleNamespace(zones=zones(), bounds=Bounds({}), cloud_api=SimpleNamespace(max_lag_ms=800))
+    settings = SimpleNamespace(
+        zones=zones(), bounds=TimingBounds({}), cloud_api=SimpleNamespace(max_lag_ms=800)
+    )
     clock, budget = Clock(), Budget(4000, 300)
 
     def make_pool(name, repeats):
@@ -120,25 +122,25 @@
 
 
 def change(raw: bytes | None, sequence: int = 1, evacuations: tuple = ()):
-    from shedgrade.control_messages import ControlChange, packed
+    from shedgrade.control_messages import ControlChange, compress_configuration
 
-    whole, compressed = (None, False) if raw is None else packed(raw)
+    whole, compressed = (None, False) if raw is None else compress_configuration(raw)
     return ControlChange(1, sequence, 7, whole, evacuations, compressed)
 
 
 def measure_list(options) -> None:
     from shedgrade import control_messages
-    from shedgrade.controlplane.platform_poller import InstanceList
+    from shedgrade.controlplane.endpoint_list import EndpointList
     from shedgrade.runtime import log
 
-    log.hand(SimpleNamespace(**dict.fromkeys(log.METHODS, lambda *_: None)))
+    log.set_sink(SimpleNamespace(**dict.fromkeys(log.METHODS, lambda *_, **__: None)))
     loop, count = asyncio.new_event_loop(), options.upstreams
     state = an_edge(loop)
     state.controlled(change(configuration(10)))
-    told, held = entries(count), InstanceList(lambda: 0.0)
+    told, held = entries(count), EndpointList(lambda: 0.0)
     held.lead(1)
-    print(f"core applies {count} entries of the platform: {spent(lambda: held.apply(0.0, told)):.1f} ms")
-    print(f"core applies the same again: {spent(lambda: held.apply(1.0, told), 3):.1f} ms")
+    print(f"core applies {count} entries of the platform: {spent(lambda: held.apply_poll(0.0, told)):.1f} ms")
+    print(f"core applies the same again: {spent(lambda: held.apply_poll(1.0, told), 3):.1f} ms")
     whole = held.answer(0, 0, 1.0)
     raw = control_messages.encode(whole)
     print(
@@ -153,7 +155,7 @@
     )
     base = held.version
     told[5] = {**told[5], "state": "draining"}
-    print(f"core applies one that moved: {spent(lambda: held.apply(2.0, told)):.1f} ms")
+    print(f"core applies one that moved: {spent(lambda: held.apply_poll(2.0, told)):.1f} ms")
     delta = held.answer(*base, 2.0)
     small = control_messages.encode(delta)
     print(f"delta of one: {spent(lambda: held.answer(*base, 2.0), 100):.4f} ms to make, {len(small)} bytes")
@@ -231,17 +233,17 @@
 
 def measure_hub(options) -> None:
     from shedgrade import control_messages
-    from shedgrade.control_messages import READY, Ask, EdgeState
-    from shedgrade.controlplane.platform_poller import InstanceList
+    from shedgrade.control_messages import READY, EdgeStatus, WatchRequest
+    from shedgrade.controlplane.endpoint_list import EndpointList
     from shedgrade.controlplane.watch_hub import WatchHub
     from shedgrade.peer_transport import frames
 
     hub, count, out = WatchHub("10.0.0.1:7300", 0.0), options.edges, []
     hub.members(0.0, tuple(f"10.0.0.{number}:7300" for number in range(5)))
-    held = InstanceList(lambda: 0.0)
+    held = EndpointList(lambda: 0.0)
     held.lead(1)
     told = entries(options.upstreams)
-    held.apply(0.0, told)
+    held.apply_poll(0.0, told)
     hub.instances(0.0, held)
 
     raw = configuration(20)
@@ -253,8 +255,8 @@
     def asks(now, sequence):
         for number in range(count):
             zone = f"zone-{number % ZONES}"
-            edge = EdgeState(f"edge-{number}", "10.1.0.12:8263", zone, "region-0", 1, READY)
-            ask = Ask(edge, (1, sequence), held.version, 1.2, sequence, 0.1)
+            edge = EdgeStatus(f"edge-{number}", "10.1.0.12:8263", zone, "region-0", 1, READY)
+            ask = WatchRequest(edge, (1, sequence), held.version, 1.2, sequence, 0.1)
             body = frames.encode("10.1.0.12:7300", 5, False, b"K" + control_messages.encode(ask))
             bodies.append(body[4:])
 
@@ -283,7 +285,7 @@
     asks(0.0, 2)
     take()
     told[5] = {**told[5], "state": "draining"}
-    held.apply(1.0, told)
+    held.apply_poll(1.0, told)
     took = spent(lambda: hub.instances(1.0, held))
     print(f"a delta of one upstream told to all: {took:.1f} ms, {len(out[-1])} bytes each")
     word = control_messages.encode(hub.own_edges(1.0))
@@ -293,7 +295,7 @@
 
 def measure_views(options) -> None:
     from shedgrade.membership.messages import Node
-    from shedgrade.membership.view import View
+    from shedgrade.membership.view import PartialView
 
     random, count, seconds = Random(1), options.edges, 30
     nodes = [
@@ -309,9 +311,9 @@
         for number in range(count)
     ]
     before = resident()
-    views = {node.address: View(node, Random(random.random()), 0.0) for node in nodes}
+    views = {node.address: PartialView(node, Random(random.random()), 0.0) for node in nodes}
     for view in views.values():
-        view.know(nodes[:3])
+        view.add_contacts(nodes[:3])
     sent = bytes_sent = 0
     begun = process_time()
     for step in range(seconds * 20):
@@ -326,8 +328,8 @@
         while busy:
             met = []
             for view in busy:
-                effects, view.effects[:] = list(view.effects), []
-                for effect in effects:
+                instructions, view.instructions[:] = list(view.instructions), []
+                for effect in instructions:
                     sent, bytes_sent = sent + 1, bytes_sent + len(effect.body)
                     if effect.address in views:
                         views[effect.address].receive(now, view.table.me.address, effect.body)
--- a/shedgrade/sidecar/endpoint_snapshot/recovery.py
+++ b/shedgrade/sidecar/endpoint_snapshot/recovery.py
@@ -107,7 +107,7 @@
             reason = reason or ("" if end == END else "no end") or rebuild(records, snapshot)
             if reason:
                 raise file_frames.FormatError(reason)
-        except file_frames.NewerError:
+        except file_frames.NewerVersionError:
             self.found.newer.append(name)
             return False
         except (file_frames.FormatError, OSError) as error:
@@ -127,7 +127,7 @@
         try:
             data = self.files.read(name)
             _, records, reason = file_frames.read(data, file_frames.LOG)
-        except file_frames.NewerError:
+        except file_frames.NewerVersionError:
             self.found.newer.append(name)
             return UNKNOWN
         except (file_frames.FormatError, OSError) as error:
--- a/shedgrade/simulation/system/world.py
+++ b/shedgrade/simulation/system/world.py
@@ -9,8 +9,8 @@
 from shedgrade.controlplane.plane import LIST, ControlPlane
 from shedgrade.dataplane.plane import DataPlane
 from shedgrade.process_settings import Settings
-from shedgrade.process_settings.reading import check as read_settings
-from shedgrade.runtime.log import hand, logger
+from shedgrade.process_settings.validation import validate as read_settings
+from shedgrade.runtime.log import logger, set_sink
 from shedgrade.simulation.system.caller import SILENCE, Caller
 from shedgrade.simulation.system.clients import Client
 from shedgrade.simulation.system.configurations import label_of
@@ -308,7 +308,7 @@
             for machine in self.cores
             if machine.program is not None
             and not machine.stopped
-            and machine.program.duties.held(LIST, machine.loop.time())
+            and machine.program.roles.is_held(LIST, machine.loop.time())
         ]
         if len(holders) > 1:
             self.history.wrong.append(f"two hold the duty at {self.time.now:.3f}: {holders}")
@@ -354,7 +354,7 @@
         """Plays up to that virtual time (s)."""
         before = dict(logger.__dict__)
         if not self.log:
-            hand(Silent())
+            set_sink(Silent())
         try:
             with installed():
                 self.time.run(until)
--- a/tests/controlplane/control_net.py
+++ b/tests/controlplane/control_net.py
@@ -13,8 +13,8 @@
 from shedgrade.controlplane.ordering import Ordering
 from shedgrade.controlplane.orders import make_decide
 from shedgrade.http.server import Request
-from shedgrade.peer_transport.peer import LinkError
-from shedgrade.replication import Answer, Finished, Member, Persist, Send
+from shedgrade.peer_transport.connection import PeerCallError
+from shedgrade.replication import Answer, Committed, Member, Persist, Send
 from shedgrade.runtime.stall_detection import ArrivalClock
 
 ZONES = {"hall-1": "north", "hall-2": "south", "hall-3": "south", "hall-4": "west"}
@@ -114,7 +114,7 @@
                     self.loop.call_later(DISK, self.persisted, token)
                 case Answer(ticket, outcome):
                     self.ordering.answered(ticket, outcome)
-                case Finished(epoch, sequence, state):
+                case Committed(epoch, sequence, state):
                     self.net.learnt((epoch, sequence), state)
         self.pumping = False
         if self.wake is not None:
@@ -140,7 +140,7 @@
         self.last_call += 1
         number, answer = self.last_call, self.net.loop.create_future()
         self.calls[number] = lambda body: answer.done() or answer.set_result(body)
-        self.loop.call_later(timeout, lambda: answer.done() or answer.set_exception(LinkError("late")))
+        self.loop.call_later(timeout, lambda: answer.done() or answer.set_exception(PeerCallError("late")))
         self.net.frame(self.name, address[0], lambda other: other.relayed(self.name, number, body))
         try:
             return await answer
