--- a/benchmarks/watching.py
+++ b/benchmarks/watching.py
@@ -18,7 +18,7 @@
 import uvloop
 
 from shedgrade import control_messages
-from shedgrade.control_messages import READY, EdgeState, ListMoved
+from shedgrade.control_messages import READY, EdgeStatus, EndpointUpdate
 from shedgrade.dataplane.control_client import (
     ApplyUpdates,
     RequestFailedEvent,
@@ -28,8 +28,8 @@
     Watcher,
 )
 from shedgrade.dataplane.received_state import Update
-from shedgrade.peer_transport.peer import LinkError
-from shedgrade.peer_transport.tcp import Links
+from shedgrade.peer_transport.connection import PeerCallError
+from shedgrade.peer_transport.tcp import PeerConnectionPool
 
 SPAN = 5  # s of each measurement
 PAGE = 50  # entries
@@ -79,8 +79,8 @@
     def __init__(self, loop, number: int, count: Counter) -> None:
         self.loop, self.count, self.tasks = loop, count, set()
         address = f"127.0.6.{number % 250}:{7300 + number}"
-        state = EdgeState(f"edge-{number}", address, "zone-a", "region-a", number, READY)
-        self.links = Links(loop, address, lambda sender, frame: None, address.partition(":")[0])
+        state = EdgeStatus(f"edge-{number}", address, "zone-a", "region-a", number, READY)
+        self.links = PeerConnectionPool(loop, address, lambda sender, frame: None, address.partition(":")[0])
         self.watcher = Watcher(
             state, [f"{core}:7300" for core in streams.CORES], Random(number), loop.time(), max_wait_s=0.5
         )
@@ -97,15 +97,15 @@
 
     def count_lists(self, updates: tuple[Update, ...]) -> None:
         for update in updates:
-            if isinstance(update, ListMoved):
-                self.count["whole lists" if update.whole else "deltas of the list"] += 1
+            if isinstance(update, EndpointUpdate):
+                self.count["whole lists" if update.is_full else "deltas of the list"] += 1
 
     async def call(self, sent: SendWatchRequest) -> None:
         try:
             body = await self.links.call(
                 sent.address, b"K" + control_messages.encode(sent.request), sent.timeout_s
             )
-        except LinkError:
+        except PeerCallError:
             self.count["asks without an answer"] += 1
             self.watcher.handle_event(RequestFailedEvent(self.loop.time(), sent.address, sent.number))
         else:
--- a/shedgrade/cli/__init__.py
+++ b/shedgrade/cli/__init__.py
@@ -3,15 +3,15 @@
 import asyncio
 import sys
 from pathlib import Path
-from typing import Annotated
+from typing import Annotated, NoReturn
 
 import typer
 import uvloop
 
 from shedgrade import __version__
-from shedgrade.sidecar.lifecycle.config import Config, load
-from shedgrade.sidecar.lifecycle.early import noted
+from shedgrade.sidecar.lifecycle.config import Config, load_config
 from shedgrade.sidecar.lifecycle.logs import log_to_stderr
+from shedgrade.sidecar.lifecycle.reload_signal import record_reload_signal
 from shedgrade.sidecar.lifecycle.sidecar import Sidecar
 from shedgrade.upstream_pool.errors import ConfigError
 
@@ -29,12 +29,14 @@
 LogFormat = Annotated[str, typer.Option(help="text or json.")]
 
 
-def fail(wrong: Exception) -> None:
-    print(f"shedgrade: {' '.join(str(wrong).split())}", file=sys.stderr)
+def fail(error: Exception) -> NoReturn:
+    """One line on standard error, and exit 2."""
+    print(f"shedgrade: {' '.join(str(error).split())}", file=sys.stderr)
     raise typer.Exit(2)
 
 
 def start_log(level: str, form: str) -> None:
+    """Sends the log to standard error; exit 2 for a level or form that there is not."""
     try:
         log_to_stderr(level, form)
     except ValueError as wrong:
@@ -64,19 +66,19 @@
         sidecar = Sidecar(config, loop, parts[-1].decisions)
         for part in parts:
             part.join(sidecar)
-    sidecar.recheck = lambda names: load_features(path, names)
+    sidecar.load_features = lambda names: load_features(path, names)
     if features.saved is not None:
         from shedgrade.sidecar.endpoint_snapshot.source import SavedList
 
         sidecar.pool.saved = SavedList(features.saved, config.name, config.settings)
     if features.quota is not None:
-        from shedgrade.sidecar.quota.part import QuotaPart
+        from shedgrade.sidecar.quota.feature import QuotaFeature
 
-        sidecar.parts.append(QuotaPart(sidecar, features))
+        sidecar.features.append(QuotaFeature(sidecar, features.quota))
     if features.tunnel is not None or features.pools:
         from shedgrade.sidecar.tunnel.assemble import TunnelPart
 
-        sidecar.parts.append(TunnelPart(sidecar, features))
+        sidecar.features.append(TunnelPart(sidecar, features))
     return sidecar
 
 
@@ -89,11 +91,11 @@
 ) -> None:
     """Run one sidecar until SIGTERM."""
     start_log(log_level, log_format)
-    noted()
+    record_reload_signal()
 
     async def run() -> None:
         loop = asyncio.get_running_loop()
-        await with_features(load(config and str(config)), features, loop).serve()
+        await with_features(load_config(config and str(config)), features, loop).serve()
 
     try:
         uvloop.run(run())
@@ -115,7 +117,7 @@
     start_log("INFO", log_format)
 
     async def check() -> Sidecar:
-        return with_features(load(config and str(config)), features, asyncio.get_running_loop())
+        return with_features(load_config(config and str(config)), features, asyncio.get_running_loop())
 
     try:
         sidecar = asyncio.run(check())
--- a/shedgrade/dataplane/control_client.py
+++ b/shedgrade/dataplane/control_client.py
@@ -16,7 +16,7 @@
 
 import msgspec
 
-from shedgrade.control_messages import Ask, Counts, EdgeState, Told
+from shedgrade.control_messages import EdgeStatus, FleetView, WatchRequest, WatchResponse
 from shedgrade.dataplane.core_member import (
     REQUEST_TIMEOUT_S,
     RESEND_GAP_S,
@@ -44,7 +44,7 @@
     """This edge is something else now, as it is to tell the core."""
 
     at: float
-    edge: EdgeState
+    edge: EdgeStatus
 
 
 class TickEvent(msgspec.Struct, frozen=True):
@@ -58,7 +58,7 @@
 
     at: float
     address: str
-    response: Told
+    response: WatchResponse
     number: int = 0
 
 
@@ -99,14 +99,14 @@
     RequestFailedEvent if none comes within `timeout_s`, with its `number`."""
 
     address: str
-    request: Ask
+    request: WatchRequest
     timeout_s: float
     number: int
 
     @property
     def is_probe(self) -> bool:
         """It waits for nothing, as its member is not the preferred one."""
-        return self.request.wait <= 0
+        return self.request.wait_s <= 0
 
 
 class ApplyUpdates(msgspec.Struct, frozen=True):
@@ -140,7 +140,7 @@
 
     def __init__(
         self,
-        edge: EdgeState,
+        edge: EdgeStatus,
         seeds: Iterable[str],
         random: Random,
         now: float,
@@ -220,7 +220,7 @@
         if self.response_age_s(now) <= PLATFORM_POLL_AFTER_S:
             return None
         counts = self.received.counts
-        edges = max(1, counts.edges) if counts is not None else 1
+        edges = max(1, counts.edge_count) if counts is not None else 1
         return max(PLATFORM_POLL_AFTER_S, 4 * edges / rate_per_s)
 
     def check_invariants(self) -> None:
@@ -265,11 +265,11 @@
 
     # --- handling of events
 
-    def _handle_edge_change(self, now: float, edge: EdgeState) -> None:
+    def _handle_edge_change(self, now: float, edge: EdgeStatus) -> None:
         """The preferred member is told at once, and a second one if the edge's end has come nearer."""
         if edge == self.edge:
             return
-        closer_to_end = edge.stage > self.edge.stage
+        closer_to_end = edge.shutdown_stage > self.edge.shutdown_stage
         self.edge = edge
         told = [self.preferred_member] if self.preferred_member is not None else []
         if closer_to_end:
@@ -302,9 +302,9 @@
         member = self.members.get(event.address)
         request = None
         if member is not None:
-            request = member.match_response(now, event.number, response.held_s)
+            request = member.match_response(now, event.number, response.pending_s)
         if request is not None:
-            response = aged(response, max(0.0, now - request.sent_at - response.held_s))
+            response = aged(response, max(0.0, now - request.sent_at - response.pending_s))
         try:
             brought_news = self.received.take(now, response)
         except ValueError as error:
@@ -316,7 +316,9 @@
             return
         self.received.last_response_at = now
         if member is not None:
-            member.note_response(now, request, response.held_s, response.fresh_s, response.age_s)
+            member.note_response(
+                now, request, response.pending_s, response.primary_age_s, response.endpoints_age_s
+            )
             self._prefer_if_better(now, member)
             if member is self.preferred_member:
                 self._schedule_next_request(now, request, response, brought_news)
@@ -338,10 +340,10 @@
         if member is self.preferred_member:
             self.preferred_member = None
 
-    def _take_counts(self, response: Told) -> None:
+    def _take_counts(self, response: WatchResponse) -> None:
         if response.members:
             self._set_listed(response.members)
-        self.received.take_counts(Counts(response.edges, response.members))
+        self.received.take_counts(FleetView(response.edge_count, response.members))
 
     # --- which member is sent a request
 
@@ -359,11 +361,13 @@
         self.next_request_at = now
 
     def _schedule_next_request(
-        self, now: float, request: PendingRequest | None, response: Told, brought_news: bool
+        self, now: float, request: PendingRequest | None, response: WatchResponse, brought_news: bool
     ) -> None:
         """The next request to the preferred member, which has just answered."""
         sent_at = now if request is None else request.sent_at
-        early = request is not None and not brought_news and response.held_s < EARLY_RESPONSE * request.wait_s
+        early = (
+            request is not None and not brought_news and response.pending_s < EARLY_RESPONSE * request.wait_s
+        )
         self.next_request_at = max(sent_at + RESEND_GAP_S, now + EARLY_PAUSE_S if early else now)
 
     def _rank(self, member: CoreMember) -> Rank:
@@ -431,7 +435,7 @@
         self.request_number += 1
         member.add_request(now, self.request_number, wait_s)
         received = self.received
-        request = Ask(
+        request = WatchRequest(
             self.edge,
             received.control,
             received.endpoint_list,
@@ -457,14 +461,14 @@
             self.received.release_withheld()
 
 
-def aged(response: Told, delay_s: float) -> Told:
+def aged(response: WatchResponse, delay_s: float) -> WatchResponse:
     """The response as of now: it was under way, or unread, for up to `delay_s`."""
-    upstreams = response.upstreams
-    if upstreams is not None:
-        upstreams = msgspec.structs.replace(upstreams, age_s=upstreams.age_s + delay_s)
+    endpoints = response.endpoints
+    if endpoints is not None:
+        endpoints = msgspec.structs.replace(endpoints, age_s=endpoints.age_s + delay_s)
     return msgspec.structs.replace(
         response,
-        upstreams=upstreams,
-        fresh_s=response.fresh_s + delay_s,
-        age_s=response.age_s + delay_s,
+        endpoints=endpoints,
+        primary_age_s=response.primary_age_s + delay_s,
+        endpoints_age_s=response.endpoints_age_s + delay_s,
     )
--- a/shedgrade/dataplane/control_exchange.py
+++ b/shedgrade/dataplane/control_exchange.py
@@ -7,7 +7,7 @@
 import msgspec
 
 from shedgrade import control_messages
-from shedgrade.control_messages import NOBODY, Told
+from shedgrade.control_messages import NO_DRAIN_TARGET, WatchResponse
 from shedgrade.dataplane.control_client import (
     ApplyUpdates,
     RequestFailedEvent,
@@ -18,9 +18,9 @@
 )
 from shedgrade.dataplane.core_member import STALE_CONTROL_S
 from shedgrade.dataplane.received_state import Update
-from shedgrade.peer_transport.peer import LinkError
-from shedgrade.peer_transport.tcp import Links
-from shedgrade.prefix_cache_index import Record
+from shedgrade.peer_transport.connection import PeerCallError
+from shedgrade.peer_transport.tcp import PeerConnectionPool
+from shedgrade.prefix_cache_index import EdgePrefixIndex
 from shedgrade.runtime.log import logger
 
 BODY_KIND = b"K"  # the first byte of a body, by which the control plane tells its kinds apart
@@ -31,15 +31,16 @@
     """One edge's exchange with the core, over `links`.
 
     `apply`: is handed what is to be applied, in order. `cover_received`: is told which edges take over the
-    clients of this one, as each response says; NOBODY where the request did not say that this edge leaves.
+    clients of this one, as each response says; NO_DRAIN_TARGET where the request did not say that this edge
+    leaves.
     """
 
     def __init__(
         self,
         loop: asyncio.AbstractEventLoop,
-        links: Links,
+        links: PeerConnectionPool,
         watcher: Watcher,
-        prefix_index: Record,
+        prefix_index: EdgePrefixIndex,
         apply: Callable[[tuple[Update, ...]], None],
         cover_received: Callable[[str], None],
     ) -> None:
@@ -98,22 +99,26 @@
         if not instruction.is_probe:
             # Versions of the prefix cache index are one member's own: a probe of another member asks for
             # none.
-            reads = self._prefix_index.outgoing()
-            request = msgspec.structs.replace(request, reads=reads, record=self._prefix_index.version)
+            reads = self._prefix_index.take_unsent()
+            request = msgspec.structs.replace(
+                request, prefix_reads=reads, prefix_index_version=self._prefix_index.version
+            )
         try:
             body = await self.links.call(
                 address, BODY_KIND + control_messages.encode(request), instruction.timeout_s
             )
             response = control_messages.decode(body[1:])
-        except (LinkError, msgspec.MsgspecError, ValueError):
+        except (PeerCallError, msgspec.MsgspecError, ValueError):
             response = None
         now = self._loop.time()
-        if isinstance(response, Told):
+        if isinstance(response, WatchResponse):
             if not instruction.is_probe:
-                self._prefix_index.told(now, response.fresh_s < STALE_CONTROL_S, response.record)
-            self._cover_received(response.cover if request.edge.stage else NOBODY)
+                self._prefix_index.apply_response(
+                    now, response.primary_age_s < STALE_CONTROL_S, response.prefix_index
+                )
+            self._cover_received(response.drain_target if request.edge.shutdown_stage else NO_DRAIN_TARGET)
             self.watcher.handle_event(ResponseEvent(now, address, response, instruction.number))
         else:
-            self._prefix_index.lost(reads)
+            self._prefix_index.restore_unsent(reads)
             self.watcher.handle_event(RequestFailedEvent(now, address, instruction.number))
         self.run_instructions()
--- a/shedgrade/dataplane/draining.py
+++ b/shedgrade/dataplane/draining.py
@@ -12,7 +12,7 @@
 
 from math import inf
 
-from shedgrade.control_messages import LEAVING, NOBODY, READY
+from shedgrade.control_messages import LEAVING, NO_DRAIN_TARGET, READY
 
 ACCEPT_ALL_S = 2.8  # after SIGTERM, in which all requests are accepted: clients keep addresses so long
 ACCEPT_ALL_FIRST_S = 0.5  # the same for a process that exits before others that take over its clients
@@ -31,7 +31,7 @@
             accepted.
         exit_at: when the process exits at the latest; not before `cancel_at`.
         cover: which edges take over the clients, as the control plane said last: READY ones, others that are
-            LEAVING later, or NOBODY.
+            LEAVING later, or NO_DRAIN_TARGET.
         cover_received_at: when it said so; -inf: never.
     """
 
@@ -40,7 +40,7 @@
         self.started_at = now
         self.cancel_at = now + max(ACCEPT_ALL_S, grace_s - CANCEL_BEFORE_KILL_S)
         self.exit_at = max(self.cancel_at, now + grace_s - EXIT_BEFORE_KILL_S)
-        self.cover = NOBODY
+        self.cover = NO_DRAIN_TARGET
         self.cover_received_at = -inf
 
     def cover_received(self, now: float, cover: str) -> None:
@@ -53,7 +53,7 @@
 
         Guards against what is not known: without a word, or with an old one, others may have exited too.
         """
-        return self.cover if now - self.cover_received_at <= COVER_VALID_S else NOBODY
+        return self.cover if now - self.cover_received_at <= COVER_VALID_S else NO_DRAIN_TARGET
 
     def accepts_all(self, now: float) -> bool:
         """Whether all requests are still accepted."""
@@ -78,5 +78,5 @@
     def check_invariants(self) -> None:
         """What holds at any time, see the class. AssertionError if something doesn't."""
         assert self.started_at + ACCEPT_ALL_S <= self.cancel_at <= self.exit_at, self.exit_at
-        assert self.cover in (READY, LEAVING, NOBODY), self.cover
-        assert self.cover == NOBODY or self.cover_received_at > -inf
+        assert self.cover in (READY, LEAVING, NO_DRAIN_TARGET), self.cover
+        assert self.cover == NO_DRAIN_TARGET or self.cover_received_at > -inf
--- a/shedgrade/dataplane/load_exchange.py
+++ b/shedgrade/dataplane/load_exchange.py
@@ -4,8 +4,8 @@
 from collections.abc import Callable, Mapping
 
 from shedgrade import control_messages
-from shedgrade.load_reports import LoadReporter, LoadsTold, OthersKnown
-from shedgrade.peer_transport.tcp import Links
+from shedgrade.load_reports import LoadReporter, LoadUpdate, PeerLoads
+from shedgrade.peer_transport.tcp import PeerConnectionPool
 
 BODY_KIND = b"K"  # the first byte of a body, by which the control plane tells its kinds apart
 
@@ -16,7 +16,7 @@
     def __init__(
         self,
         loop: asyncio.AbstractEventLoop,
-        links: Links,
+        links: PeerConnectionPool,
         reporter: LoadReporter,
         own_loads: Callable[[], dict[int, int]],
         apply: Callable[[Mapping[int, int]], None],
@@ -24,7 +24,7 @@
         self.links = links
         self._loop = loop
         self._reporter = reporter
-        self.other_edges = OthersKnown()
+        self.other_edges = PeerLoads()
         self._own_loads = own_loads
         self._apply = apply
 
@@ -39,7 +39,7 @@
         if report is not None:
             self.links.send(address, BODY_KIND + control_messages.encode(report))
 
-    def take(self, loads: LoadsTold) -> None:
+    def take(self, loads: LoadUpdate) -> None:
         """The core has sent what the other edges have in flight."""
-        self.other_edges.take(self._loop.time(), loads)
+        self.other_edges.apply(self._loop.time(), loads)
         self._apply(self.other_edges.loads)
--- a/shedgrade/dataplane/plane.py
+++ b/shedgrade/dataplane/plane.py
@@ -10,7 +10,7 @@
 
 from shedgrade import control_messages
 from shedgrade.buffers.budget import Budget
-from shedgrade.control_messages import CLOSED, LEAVING, READY, STARTING, EdgeState
+from shedgrade.control_messages import CLOSED, LEAVING, READY, STARTING, EdgeStatus
 from shedgrade.dataplane.control_client import EdgeChangedEvent, MembersDiscoveredEvent, Watcher
 from shedgrade.dataplane.control_exchange import ControlExchange
 from shedgrade.dataplane.exchange import TICKS, Exchange
@@ -22,19 +22,19 @@
 from shedgrade.dataplane.service import ServicePool
 from shedgrade.dataplane.state import State
 from shedgrade.http.listener import Listener
-from shedgrade.http.server import HttpServer, Reply, Request, Tell
-from shedgrade.load_reports import LoadReporter, LoadsTold
-from shedgrade.load_reports.edge import INTERVAL as LOAD_INTERVAL_S
+from shedgrade.http.server import HttpServer, Reply, Request, Respond
+from shedgrade.load_reports import LoadReporter, LoadUpdate
+from shedgrade.load_reports.edge import REPORT_INTERVAL_S
+from shedgrade.membership.gossip import Gossip
 from shedgrade.membership.messages import Node
-from shedgrade.membership.running import Gossip
 from shedgrade.model_routing.retry_budget import Repeats
-from shedgrade.peer_transport.address import join
-from shedgrade.peer_transport.tcp import Links
-from shedgrade.prefix_cache_index import Record
-from shedgrade.process_settings import Reload, Settings, Watched
+from shedgrade.peer_transport.address import format_address
+from shedgrade.peer_transport.tcp import PeerConnectionPool
+from shedgrade.prefix_cache_index import EdgePrefixIndex
+from shedgrade.process_settings import Settings, SettingsFileWatcher, SettingsReloader
 from shedgrade.runtime.clock import Clock
 from shedgrade.runtime.log import logger
-from shedgrade.runtime.loop_errors import fault
+from shedgrade.runtime.loop_errors import log_uncaught
 
 RESERVED_DESCRIPTORS = 200  # kept for files
 LEAST_SOCKETS = 256
@@ -57,23 +57,25 @@
         settings: Settings,
         loop: asyncio.AbstractEventLoop,
         random: Random,
-        watched: Watched | None = None,
+        watched: SettingsFileWatcher | None = None,
     ) -> None:
         """`watched`: the settings file, which may change; None: there is none."""
         self.settings = settings
         self.loop = loop
         self.random = random
-        self.reload = Reload(settings, watched, self.settings_changed)
+        self.reload = SettingsReloader(settings, watched, self.settings_changed)
         self.clock = Clock()
         sockets = max(LEAST_SOCKETS, settings.limits.file_descriptors - RESERVED_DESCRIPTORS)
         self.budget = Budget(sockets, settings.limits.memory_mb)
-        self.prefix_index = Record()
+        self.prefix_index = EdgePrefixIndex()
         self.state = State(settings, loop.time, self.make_pool)
         self.state.prefix_index = self.prefix_index
         self.shutdown = GracefulShutdown(loop, self)
         self.front = IngressFront(loop, self, self.budget, random)
         self.incarnation = random.getrandbits(48)
-        self.links = Links(loop, settings.link_address, self.message_received, settings.ip_address)
+        self.links = PeerConnectionPool(
+            loop, settings.link_address, self.message_received, settings.ip_address
+        )
         self.watcher = Watcher(
             self.edge_state(),
             settings.seed_links,
@@ -99,7 +101,15 @@
         me = self.watcher.edge
         self.gossip = Gossip(
             loop,
-            Node(me.name, settings.gossip_address, "edge", me.zone, me.life, front=me.front, state=me.state),
+            Node(
+                me.name,
+                settings.gossip_address,
+                "edge",
+                me.zone,
+                me.incarnation,
+                front_address=me.listen_address,
+                state=me.state,
+            ),
             settings.seed_gossips,
             random,
         )
@@ -181,10 +191,10 @@
 
     async def serve(self) -> None:
         """Runs until the process may exit. OSError if an address can't be listened at."""
-        self.loop.set_exception_handler(fault)
+        self.loop.set_exception_handler(log_uncaught)
         for number in (signal.SIGTERM, signal.SIGINT):
             self.loop.add_signal_handler(number, self.terminate)
-        self.loop.add_signal_handler(signal.SIGHUP, lambda: self.reload.look(self.loop.time(), told=True))
+        self.loop.add_signal_handler(signal.SIGHUP, lambda: self.reload.poll(self.loop.time(), forced=True))
         listen = self.settings.listen
         self.listener = Listener(self.loop, self.front, listen["front"], IngressConnection)
         self.readiness = HttpServer(self.loop, listen["readiness"], self.answer_readiness, logger)
@@ -203,7 +213,7 @@
         self.links.close()
         self.readiness.close()
 
-    def answer_readiness(self, request: Request, tell: Tell) -> None:
+    def answer_readiness(self, request: Request, tell: Respond) -> None:
         """`GET` of the readiness address: 200 while clients are to come here."""
         tell(Reply(200 if self.ready() else 503))
 
@@ -221,8 +231,8 @@
     def start_timers(self) -> None:
         """Does what is due by time once, and from then on again and again, until the process exits."""
         self.repeat(HEALTH_CHECK_INTERVAL_S, self.check_health)
-        self.repeat(CLIENT_CHECK_INTERVAL_S, self.front.look_after)
-        self.repeat(LOAD_INTERVAL_S, self.report_loads)
+        self.repeat(CLIENT_CHECK_INTERVAL_S, lambda: self.front.look_after())  # by name: simulations wrap it
+        self.repeat(REPORT_INTERVAL_S, self.report_loads)
 
     def repeat(self, interval_s: float, action: Callable[[], None]) -> None:
         """Does `action` now and after each interval. Guards against a fault of our own, which must not end
@@ -243,15 +253,19 @@
         if now >= self.next_edge_count_at:
             self.next_edge_count_at = now + EDGE_COUNT_INTERVAL_S
             self.count_edges(now)
-        self.reload.look(now)
+        self.reload.poll(now)
 
     def count_edges(self, now: float) -> None:
         """What gossip knows: edges, by which budgets are shared, and core members where all others fail."""
         counts = self.watcher.received.counts
-        told = counts.edges if counts is not None else 0
+        told = counts.edge_count if counts is not None else 0
         self.state.apply_edge_count(max(self.gossip.view.count("edge"), told))
         if self.watcher.response_age_s(now) > CORE_SILENT_S:
-            found = [node.link for node in self.gossip.view.nodes() if node.kind == "core" and node.link]
+            found = [
+                node.link_address
+                for node in self.gossip.view.nodes()
+                if node.kind == "core" and node.link_address
+            ]
             self.watcher.handle_event(MembersDiscoveredEvent(tuple(found)))
 
     def report_loads(self) -> None:
@@ -267,24 +281,24 @@
             message = control_messages.decode(frame.body[1:])
         except (msgspec.MsgspecError, ValueError):
             return  # of a member of another version
-        if isinstance(message, LoadsTold):
+        if isinstance(message, LoadUpdate):
             self.loads.take(message)
 
     def edge_changed(self) -> None:
         """Tells the core and gossip what this edge is now."""
         state = self.edge_state()
         self.watcher.handle_event(EdgeChangedEvent(self.loop.time(), state))
-        self.gossip.restate(LEAVING if state.stage else state.state)
+        self.gossip.announce_state(LEAVING if state.shutdown_stage else state.state)
         if self.shutdown.finished.is_set():
             self.control.stop()
         self.control.run_instructions()
 
-    def edge_state(self) -> EdgeState:
+    def edge_state(self) -> EdgeStatus:
         """This edge, as it tells the core."""
         settings = self.settings
-        return EdgeState(
+        return EdgeStatus(
             settings.node_name,
-            join(settings.listen["front"]),
+            format_address(settings.listen["front"]),
             settings.zone,
             settings.region,
             self.incarnation,
--- a/shedgrade/dataplane/received_state.py
+++ b/shedgrade/dataplane/received_state.py
@@ -8,10 +8,17 @@
 
 import msgspec
 
-from shedgrade.control_messages import NEVER, ControlChange, Counts, ListMoved, Told, unpacked
+from shedgrade.control_messages import (
+    UNKNOWN_AGE_S,
+    ControlChange,
+    EndpointUpdate,
+    FleetView,
+    WatchResponse,
+    decompress_configuration,
+)
 from shedgrade.dataplane.core_member import STALE_CONTROL_S
 
-Update = ControlChange | ListMoved | Counts
+Update = ControlChange | EndpointUpdate | FleetView
 Position = tuple[int, int]  # (epoch, sequence) of control state; (term, number) of the endpoint list
 
 NO_CONTROL: Position = (0, 0)
@@ -61,7 +68,7 @@
         self.endpoint_list: Position = NO_LIST
         self.list_floor: Position = NO_LIST
         self.list_known_at: float | None = None
-        self.counts: Counts | None = None
+        self.counts: FleetView | None = None
         self.last_response_at: float | None = None
         self.control_applied = False
         self.withheld: list[ControlChange] = []
@@ -69,20 +76,20 @@
         self.updates: list[Update] = []
 
     def list_age_s(self, now: float) -> float:
-        """Since the platform reported the endpoint list received; NEVER if there is none."""
-        return NEVER if self.list_known_at is None else max(0.0, now - self.list_known_at)
+        """Since the platform reported the endpoint list received; UNKNOWN_AGE_S if there is none."""
+        return UNKNOWN_AGE_S if self.list_known_at is None else max(0.0, now - self.list_known_at)
 
-    def take(self, now: float, response: Told) -> bool:
+    def take(self, now: float, response: WatchResponse) -> bool:
         """Moves what is newer to `updates`, and says whether anything was.
 
         ValueError if the response can't be read; then nothing was taken.
         """
         control = self.newer_control(response.control)
-        listed = response.upstreams
+        listed = response.endpoints
         newer_list = self.is_newer_list(now, listed)
         if control is not None:
             self.take_control(now, control)
-        if self.withheld and (self.control_applied or response.fresh_s <= STALE_CONTROL_S):
+        if self.withheld and (self.control_applied or response.primary_age_s <= STALE_CONTROL_S):
             self.release_withheld()
         if listed is not None and newer_list:
             self.take_list(now, listed)
@@ -98,24 +105,24 @@
         """The change as it is to be applied, uncompressed; None if it is not newer, or can't be used."""
         if change is None or (change.epoch, change.sequence) <= self.control:
             return None
-        configuration = unpacked(change)
+        configuration = decompress_configuration(change)
         if configuration is None and change.version != self.configuration_version:
             return None  # it answers an older request: what it leaves out is not what was received since
         if change.version == self.configuration_version:
             configuration = None
         return msgspec.structs.replace(change, configuration=configuration or None, compressed=False)
 
-    def is_newer_list(self, now: float, change: ListMoved | None) -> bool:
+    def is_newer_list(self, now: float, change: EndpointUpdate | None) -> bool:
         """Whether the list is complete, or a delta to the one received, and newer than that."""
         if change is None:
             return False
-        if not (change.whole or (change.from_term, change.from_number) == self.endpoint_list):
+        if not (change.is_full or (change.from_term, change.from_number) == self.endpoint_list):
             return False
         position = change.term, change.number
         if position > self.list_floor or (position == self.list_floor != self.endpoint_list):
             return True
         # Guards against a fleet that waits for a position which no poller reaches: see
-        # `InstanceList.newer_than`.
+        # `EndpointList.newer_than`.
         return position != self.endpoint_list and self.list_age_s(now) - change.age_s > LIST_TAKEOVER_S
 
     def take_control(self, now: float, change: ControlChange) -> None:
@@ -126,14 +133,14 @@
         if not self.control_applied:
             self.withheld_until = min(self.withheld_until, now + FIRST_STATE_WAIT_S)
 
-    def take_list(self, now: float, change: ListMoved) -> None:
+    def take_list(self, now: float, change: EndpointUpdate) -> None:
         """Hands a newer endpoint list on."""
         self.endpoint_list = change.term, change.number
         self.list_floor = self.endpoint_list
         self.list_known_at = now - change.age_s
         self.updates.append(change)
 
-    def take_counts(self, counts: Counts) -> None:
+    def take_counts(self, counts: FleetView) -> None:
         """Hands counts on that differ from the last ones."""
         if counts != self.counts:
             self.counts = counts
--- a/shedgrade/dataplane/state.py
+++ b/shedgrade/dataplane/state.py
@@ -5,12 +5,18 @@
 from zlib import crc32
 
 from shedgrade.configuration import parse
-from shedgrade.control_messages import ControlChange, Counts, Instance, ListMoved, unpacked
+from shedgrade.control_messages import (
+    ControlChange,
+    Endpoint,
+    EndpointUpdate,
+    FleetView,
+    decompress_configuration,
+)
 from shedgrade.dataplane.fleet_size import FleetSize
 from shedgrade.dataplane.routes import Routes
 from shedgrade.dataplane.service import ServicePool
 from shedgrade.model_routing.retry_budget import Repeats
-from shedgrade.prefix_cache_index import Record
+from shedgrade.prefix_cache_index import EdgePrefixIndex
 from shedgrade.runtime.log import logger
 
 
@@ -24,10 +30,10 @@
         self.regions = {name: number for number, name in enumerate(sorted(set(settings.zones.values())))}
         self.bounds, self.endpoint_list_lag_s = settings.bounds, settings.cloud_api.max_lag_ms / 1000
         self.now, self.make_pool = now, make_pool
-        self.prefix_index: Record | None = None  # of who holds which prompts' parts, if it is kept
+        self.prefix_index: EdgePrefixIndex | None = None  # of who holds which prompts' parts, if it is kept
         self.routes: Routes | None = None
         self.services: dict[str, ServicePool] = {}
-        self.instances: dict[str, Instance] = {}
+        self.instances: dict[str, Endpoint] = {}
         self.evacuated: frozenset[str] = frozenset()
         self.warming_up_until: dict[str, float] = {}  # by instance, on this process's clock
         self.returned_at: dict[str, float] = {}  # zones once evacuated: when that was taken back
@@ -41,9 +47,9 @@
             match update:
                 case ControlChange():
                     self.apply_control(update)
-                case ListMoved():
+                case EndpointUpdate():
                     self.apply_endpoint_list(update)
-                case Counts(edges, _):
+                case FleetView(edges, _):
                     self.apply_edge_count(edges)
 
     def apply_edge_count(self, edges: int) -> None:
@@ -65,7 +71,7 @@
 
     def apply_control(self, change: ControlChange) -> None:
         """Control state has changed: configuration, evacuated zones."""
-        raw = unpacked(change)
+        raw = decompress_configuration(change)
         if raw is not None:
             self.apply_configuration(Routes(parse(raw), self.regions))
         evacuated = frozenset(change.evacuations)
@@ -96,9 +102,9 @@
                 pool.times.tokens_per_event = engine.stride if engine is not None else 1.0
         logger.info("configuration applied", version=routes.version, services=len(routes.services))
 
-    def apply_endpoint_list(self, change: ListMoved) -> None:
+    def apply_endpoint_list(self, change: EndpointUpdate) -> None:
         """The endpoint list has changed, or a complete one has come."""
-        if change.whole:
+        if change.is_full:
             touched = {one.service for one in self.instances.values()}
             self.instances = {}
         else:
@@ -114,13 +120,13 @@
             name: until for name, until in self.warming_up_until.items() if name in self.instances
         }
         if self.prefix_index is not None:
-            self.prefix_index.listed({crc32(name.encode()) for name in self.instances})
+            self.prefix_index.retain_endpoints({crc32(name.encode()) for name in self.instances})
         self.update_services(touched)
 
     def update_services(self, names: Iterable[str]) -> None:
         """Hands the endpoint list on to these services."""
         now = self.now()
-        by_service: dict[str, list[tuple[Instance, float]]] = {}
+        by_service: dict[str, list[tuple[Endpoint, float]]] = {}
         for one in self.instances.values():
             by_service.setdefault(one.service, []).append((one, self.warming_up_until[one.id] - now))
         for name in names:
--- /dev/null
+++ b/shedgrade/process_settings/validation.py
@@ -0,0 +1,171 @@
+"""Checks all of the settings at once; what is wrong is reported together, each finding with its place.
+
+Plain checks, no pyserde: an edge would keep its 10 MB (more where NumPy is installed) for one read, taking
+the modules out again frees next to none of it, and it stops at the first thing wrong.
+"""
+
+from collections.abc import Iterable, Mapping
+from typing import Any, TypeVar, cast
+
+from shedgrade.findings import Findings
+from shedgrade.process_settings.errors import InvalidValueError, SettingsError
+from shedgrade.process_settings.settings import (
+    DEFAULT_BOUNDS,
+    CloudApi,
+    Limits,
+    Settings,
+    TimingBounds,
+    ToleratedLosses,
+)
+from shedgrade.process_settings.validators import (
+    Validator,
+    above,
+    address,
+    address_as_text,
+    anything,
+    at_least,
+    bound,
+    flag,
+    host,
+    integer,
+    mapping_of,
+    port_range,
+    sequence_of,
+    text,
+)
+
+T = TypeVar("T")
+D = TypeVar("D")
+
+
+class Section:
+    """One mapping of the file. What is taken out of it is checked; what is wrong is added to the findings.
+
+    `values`: as the file has them; `path`: "" or the section's name with a dot behind it.
+    """
+
+    def __init__(self, values: Mapping[Any, object], path: str, findings: Findings) -> None:
+        self.values = values
+        self.path = path
+        self.findings = findings
+
+    def section(self, name: str) -> "Section":
+        """The mapping under `name`; an empty one if it is left out or none."""
+        values = self.values.get(name)
+        if values is not None and not isinstance(values, dict):
+            self.findings.add(self.path + name, "is no mapping")
+        return Section(values if isinstance(values, dict) else {}, f"{self.path}{name}.", self.findings)
+
+    def required(self, name: str, validator: Validator[T]) -> T:
+        """The value; a finding if it is left out or null."""
+        value = self.values.get(name)
+        if value is None:
+            self.findings.add(self.path + name, "is missing")
+            return cast(T, None)  # nobody uses it: the findings end in a SettingsError
+        return self.checked(name, validator, value)
+
+    def optional(self, name: str, validator: Validator[T], default: D) -> T | D:
+        """The value; the default if it is left out or null."""
+        value = self.values.get(name)
+        return default if value is None else self.checked(name, validator, value)
+
+    def checked(self, name: str, validator: Validator[T], value: object) -> T:
+        """The value as the validator returns it; a finding if it is invalid."""
+        try:
+            return validator(value)
+        except InvalidValueError as error:
+            self.findings.add(f"{self.path}{name}{error.path}", error.text)
+            return cast(T, None)  # as above
+
+
+def validate(document: Mapping[Any, object]) -> Settings:
+    """Settings from the names and values of the file; unknown names are ignored. SettingsError with all
+    findings if something is missing, of a wrong type, or out of range."""
+    findings = Findings()
+    top = Section(document, "", findings)
+    zones = top.required("zones", mapping_of(text))
+    zone = top.required("zone", text)
+    if zones is not None and zone is not None and zone not in zones:
+        findings.add("zone", f"{zone!r} is not in zones")
+    settings = Settings(
+        node_name=top.required("nodeName", text),
+        role=top.optional("role", text, ""),
+        machine_class=top.optional("machineClass", text, ""),
+        served_roles=top.required("servedRoles", sequence_of(text)),
+        ip_address=top.required("ipAddress", host),
+        zone=zone,
+        region=top.optional("region", text, (zones or {}).get(zone, "")),
+        zones=zones,
+        listen=top.optional("listenAddresses", mapping_of(address), {}),
+        internal_ports=top.required("internalPortRange", port_range),
+        seeds=top.required("seedNodes", sequence_of(address_as_text)),
+        # Without these, no cluster is founded a second time and no disk is counted on.
+        initial_start=top.optional("initialStart", flag, False),
+        loss_counted=top.optional("lossCounted", flag, False),
+        limits=validate_limits(top.section("limits")),
+        data_dir=top.optional("dataDir", text, None),
+        heartbeat_ms=top.optional("heartbeatMs", above(0), 1000.0),
+        active_contracts=top.optional("activeContracts", sequence_of(text), ()),
+        tolerated=validate_tolerated_losses(top.section("toleratedLosses")),
+        bounds=TimingBounds(validate_bounds(top.section("timingBounds"))),
+        cloud_api=validate_cloud_api(top.section("cloudApi")),
+    )
+    if findings:
+        raise SettingsError(findings)
+    return settings
+
+
+def validate_limits(section: Section) -> Limits:
+    """What the process may use."""
+    return Limits(
+        cpu_share=section.optional("cpuShare", above(0), 1.0),
+        cores=section.optional("cores", integer(1), 1),
+        memory_mb=section.required("memoryMb", integer(1)),
+        file_descriptors=section.required("fileDescriptors", integer(1)),
+        link_mbps=section.optional("linkMbps", above(0), 1000.0),
+        disk_mb=section.optional("diskMb", integer(0), 0),
+    )
+
+
+def validate_tolerated_losses(section: Section) -> ToleratedLosses:
+    """How much may be lost at once."""
+    return ToleratedLosses(
+        machines=section.required("machines", integer(0)),
+        zones=section.optional("zones", integer(0), 0),
+        regions=section.optional("regions", integer(0), 0),
+    )
+
+
+def validate_bounds(section: Section) -> dict[str, float]:
+    """Numbers and flags by name. A bound that isn't in DEFAULT_BOUNDS is left out if it is neither."""
+    bounds: dict[str, float] = {}
+    for name in section.values:
+        if not isinstance(name, str):
+            continue
+        validator: Validator[object] = bound if name in DEFAULT_BOUNDS else anything
+        value = section.optional(name, validator, None)
+        if isinstance(value, (bool, int, float)):
+            bounds[name] = value
+    return bounds
+
+
+def validate_cloud_api(section: Section) -> CloudApi:
+    """The platform's list of upstreams."""
+    return CloudApi(
+        address=section.required("address", address),
+        rate_per_s=section.required("ratePerS", above(0)),
+        max_lag_ms=section.optional("maxLagMs", at_least(0), 0.0),
+        duty_list=section.optional("dutyList", sequence_of(anything), ()),
+    )
+
+
+def require(settings: Settings, listen: Iterable[str] = (), disk: bool = False) -> None:
+    """SettingsError if a program's addresses to listen on, by their names, or its disk are left out."""
+    findings = Findings()
+    for name in listen:
+        if name not in settings.listen:
+            findings.add(f"listenAddresses.{name}", "is missing")
+    if disk and settings.data_dir is None:
+        findings.add("dataDir", "is missing")
+    if findings:
+        raise SettingsError(findings)
--- a/shedgrade/replication/messages.py
+++ b/shedgrade/replication/messages.py
@@ -1,29 +1,45 @@
-"""What members say to one another, and the record of an epoch. All are msgspec Structs. Their tags and the
-order of their fields are what members of other versions read: a class or field may be renamed, a tag may not.
+"""What members send to one another, and the configuration of an epoch. All are msgspec Structs.
 
-A mark (epoch, sequence) names one change: the epoch that decided it and its place in the one chain. An
-incarnation is the number that a process draws with an empty disk; 0 is a founder that was not heard yet."""
+Their tags and the order of their fields are what members of other versions read: a class or field may be
+renamed, a tag may not, and new fields come last, with a default. `number` of a message is the epoch number
+that a candidate tries for; `epoch` is that of an epoch that exists.
+
+An incarnation is the number that a process draws with an empty disk; 0 stands for a founder that was not
+heard yet. Addresses are link addresses.
+"""
 
 from __future__ import annotations
 
+from typing import NamedTuple
+
 from msgspec import Struct
 
-Mark = tuple[int, int]
-Changes = dict[str, bytes | None]
+Changes = dict[str, bytes | None]  # new values by key; None: the key is removed
+
+
+class LogPosition(NamedTuple):
+    """One change: the epoch that decided it, and its number in the log of changes, which goes on over
+    epochs.
+    """
+
+    epoch: int
+    sequence: int
 
 
 class Peer(Struct, frozen=True, array_like=True):
-    """A process as the record of an epoch names it; `address` is its link address."""
+    """A process as the configuration of an epoch names it."""
 
     incarnation: int
     name: str
     address: str
 
 
-class EpochRecord(Struct, frozen=True, array_like=True):
-    """`holders` and `primary` are incarnations. Until it is known that all holders have it (`active`), a
-    candidate needs a majority of `members` and one of `before`: another epoch may have been made from
-    those."""
+class EpochConfig(Struct, frozen=True, array_like=True):
+    """Who is what in an epoch. `holders` and `primary` are incarnations.
+
+    Until it is known that all holders have it (`active`), a candidate needs a majority of `members` and one
+    of `before`: another epoch may have been made from those.
+    """
 
     number: int
     primary: int
@@ -33,155 +49,178 @@
     active: bool
 
 
-class Hello(Struct, frozen=True, tag="Hello", array_like=True):
-    """A process that wants to join, or that lost sight of the primary."""
+class JoinRequest(Struct, frozen=True, tag="Hello", array_like=True):
+    """A process that wants to join, or that lost sight of the primary.
+
+    `known_epoch`: the newest epoch that it knows; `committed`: the committed state that it has in memory.
+    """
 
     incarnation: int
     name: str
     address: str
     founding: bool
-    record: int
-    finished: Mark
+    known_epoch: int
+    committed: LogPosition
 
 
-class Whereabouts(Struct, frozen=True, tag="Whereabouts", array_like=True):
-    """Answer to a hello by who is not the primary: what it knows."""
+class PrimaryHint(Struct, frozen=True, tag="Whereabouts", array_like=True):
+    """Answer to a join request by who is not the primary: what it knows. `primary`: only if it is heard."""
 
     primary: str | None
-    record: EpochRecord
+    epoch_config: EpochConfig
 
 
 class PreVote(Struct, frozen=True, tag="PreVote", array_like=True):
-    """Would you promise? Binds nobody."""
+    """Would you promise the epoch `number`? Binds nobody.
+
+    `known_epoch`: the newest epoch that the sender knows; `accepted_epoch` and `sequence`: of its state.
+    """
 
     incarnation: int
     number: int
-    record: int
-    accepted: int
+    known_epoch: int
+    accepted_epoch: int
     sequence: int
 
 
 class PreVoteReply(Struct, frozen=True, tag="PreVoteReply", array_like=True):
+    """`promised_epoch`: the highest epoch promised or seen. `primary`: where the sender hears one.
+    `epoch_config`: if it is newer than what the asker knows.
+    """
+
     incarnation: int
     founding: bool
     number: int
     granted: bool
-    promised: int
+    promised_epoch: int
     primary: str | None
-    record: EpochRecord | None
+    epoch_config: EpochConfig | None
 
 
 class Prepare(Struct, frozen=True, tag="Prepare", array_like=True):
-    """Asks for a promise to accept nothing under `number` from now on."""
+    """Asks for a promise to accept nothing under `number` from now on. `epoch_config`: the newest known."""
 
     incarnation: int
     number: int
-    record: EpochRecord
+    epoch_config: EpochConfig
 
 
 class Promise(Struct, frozen=True, tag="Promise", array_like=True):
-    """Synced before it is sent. `accepted` is the epoch as whose holder the sender has the state at `mark`;
-    `finished` is the finished state that it has in memory, a witness too."""
+    """Synced before it is sent.
+
+    `accepted_epoch` is the epoch as whose holder the sender has the state at `log_position`; `committed` is
+    the committed state that it has in memory, a witness too.
+    """
 
     incarnation: int
     address: str
     founding: bool
     number: int
-    record: EpochRecord
-    accepted: int
-    mark: Mark
-    finished: Mark
-    leaving: bool = False
+    epoch_config: EpochConfig
+    accepted_epoch: int
+    log_position: LogPosition
+    committed: LogPosition
+    is_leaving: bool = False
 
 
 class Refusal(Struct, frozen=True, tag="Refusal", array_like=True):
-    """The sender has promised a higher number, or knows a newer epoch."""
+    """The sender has promised a higher epoch than `number`, or knows a newer one."""
 
     incarnation: int
     number: int
-    promised: int
-    record: EpochRecord
+    promised_epoch: int
+    epoch_config: EpochConfig
 
 
 class Fetch(Struct, frozen=True, tag="Fetch", array_like=True):
-    """A candidate asks for the state that a promise told of; it has those at the two marks."""
+    """A candidate asks for the state that a promise named; it has those at the two positions."""
 
     number: int
-    mark: Mark
-    finished: Mark
+    log_position: LogPosition
+    committed: LogPosition
 
 
 class Transfer(Struct, frozen=True, tag="Transfer", array_like=True):
-    """With `base` the changes lead from there to `mark`, else they are all of it."""
+    """The answer. With `base` the changes lead from there to `log_position`, else they are all of it."""
 
     number: int
-    mark: Mark
-    base: Mark | None
+    log_position: LogPosition
+    base: LogPosition | None
     changes: Changes
 
 
 class Install(Struct, frozen=True, tag="Install", array_like=True):
-    """A new epoch for one of its holders. With `base` the changes lead from there to `mark`, else they are
-    all of it."""
+    """A new epoch for one of its holders. With `base` the changes lead from there to `log_position`, else
+    they are all of it.
+    """
 
-    record: EpochRecord
-    mark: Mark
-    base: Mark | None
+    epoch_config: EpochConfig
+    log_position: LogPosition
+    base: LogPosition | None
     changes: Changes
 
 
 class Installed(Struct, frozen=True, tag="Installed", array_like=True):
+    """The sender has synced the epoch `number`."""
+
     incarnation: int
     number: int
 
 
 class Replicate(Struct, frozen=True, tag="Replicate", array_like=True):
-    """One write, from the primary to a backup."""
+    """One write, from the primary to a backup. `committed`: up to where all holders have synced."""
 
     epoch: int
     sequence: int
-    finished: Mark
+    committed: LogPosition
     changes: Changes
 
 
-class Learn(Struct, frozen=True, tag="Learn", array_like=True):
-    """Finished state for who holds none. With `base` the changes lead from there, and from each position of
-    the chain between the two, to `mark`, else they are all of it."""
+class CatchUp(Struct, frozen=True, tag="Learn", array_like=True):
+    """Committed state for who holds none. With `base` the changes lead from there, and from each position of
+    the log between the two, to `log_position`, else they are all of it.
+    """
 
     epoch: int
-    mark: Mark
-    base: Mark | None
+    log_position: LogPosition
+    base: LogPosition | None
     changes: Changes
 
 
 class Heartbeat(Struct, frozen=True, tag="Heartbeat", array_like=True):
-    """`round` numbers the confirming rounds of the primary, 0 asks for no ack; the record goes with it to
-    who lacks it. `confirmed_ago`: s since a majority of the members confirmed that the sender is the
-    primary."""
+    """From the primary to all.
+
+    `read_index_round` numbers the rounds that confirm the primary, 0 asks for no ack; `epoch_config` goes to
+    who lacks it. `confirmed_ago`: seconds since a majority of the members confirmed the sender.
+    """
 
     epoch: int
-    round: int
-    finished: Mark
-    record: EpochRecord | None
+    read_index_round: int
+    committed: LogPosition
+    epoch_config: EpochConfig | None
     confirmed_ago: float = 0.0
 
 
 class Ack(Struct, frozen=True, tag="Ack", array_like=True):
-    """The answer to Heartbeat, Replicate and Learn. `received` and `durable` are sequences in this epoch,
-    or -1. `synced`: the position of the state on the sender's disk, which may be none of the chain."""
+    """The answer to Heartbeat, Replicate and CatchUp.
+
+    `received_sequence` and `durable_sequence` are of changes in this epoch, or -1. `known_epoch`: the newest
+    epoch known as active. `durable_position`: of the state on the sender's disk, which may be none of the
+    chain.
+    """
 
     epoch: int
     incarnation: int
     name: str
-    round: int
-    received: int
-    durable: int
-    finished: Mark
-    record: int
-    promised: int
-    healthy: bool
-    leaving: bool
-    synced: Mark = (0, 0)
+    read_index_round: int
+    received_sequence: int
+    durable_sequence: int
+    committed: LogPosition
+    known_epoch: int
+    promised_epoch: int
+    is_healthy: bool
+    is_leaving: bool
+    durable_position: LogPosition = LogPosition(0, 0)
 
 
 class HandOver(Struct, frozen=True, tag="HandOver", array_like=True):
@@ -196,8 +235,10 @@
     epoch: int
 
 
-class Piece(Struct, frozen=True, tag="Piece", array_like=True):
-    """Part `index` of `count` of a message that is too big to hold up the others behind it."""
+class Chunk(Struct, frozen=True, tag="Piece", array_like=True):
+    """Chunk `index` of `count` of a message that is too big to hold up the others behind it. `id` is drawn by
+    the sender for each message.
+    """
 
     id: int
     index: int
@@ -205,16 +246,16 @@
     body: bytes
 
 
-class PieceAck(Struct, frozen=True, tag="PieceAck", array_like=True):
-    """`next`: the first piece that is still lacking."""
+class ChunkAck(Struct, frozen=True, tag="PieceAck", array_like=True):
+    """`next`: the first chunk that is still missing."""
 
     id: int
     next: int
 
 
 Message = (
-    Hello
-    | Whereabouts
+    JoinRequest
+    | PrimaryHint
     | PreVote
     | PreVoteReply
     | Prepare
@@ -225,16 +266,16 @@
     | Install
     | Installed
     | Replicate
-    | Learn
+    | CatchUp
     | Heartbeat
     | Ack
     | HandOver
     | LeaveGranted
-    | Piece
-    | PieceAck
+    | Chunk
+    | ChunkAck
 )
 
 
-def size(changes: Changes) -> int:
+def size(changes: Changes | dict[str, bytes]) -> int:
     """Bytes of the values."""
     return sum(len(value) for value in changes.values() if value)
--- a/shedgrade/simulation/operators.py
+++ b/shedgrade/simulation/operators.py
@@ -2,7 +2,7 @@
 
 from __future__ import annotations
 
-from shedgrade.replication import Elsewhere, Reading, Unavailable
+from shedgrade.replication import ReadResult, RedirectToPrimary, Unavailable
 from shedgrade.simulation.history import Call
 from shedgrade.simulation.register import CONFLICT, OK, Count, Put
 
@@ -34,7 +34,7 @@
             delay = 0.001 + 0.001 * self.world.random.random()
             clock.after(delay, self.answered, attempt, machine, outcome, hops, call, began)
 
-        clock.after(0.001, machine.ask, "read" if call.request is None else "order", call.request, answer)
+        clock.after(0.001, machine.ask, "read" if call.request is None else "submit", call.request, answer)
         clock.after(1.0, self.silence, attempt, machine)
 
     def silence(self, attempt: int, machine) -> None:
@@ -45,7 +45,7 @@
         if attempt != self.attempt or call is not self.current:
             return None
         call.tries.append((began, self.world.clock.now, machine.name, outcome))
-        if isinstance(outcome, Elsewhere):
+        if isinstance(outcome, RedirectToPrimary):
             there = self.world.by_address.get(outcome.address)
             if there is not None and hops < 2:
                 return self.send(there, hops + 1)
@@ -85,7 +85,7 @@
             self.world.acknowledged(machine, call)
         elif call.outcome == CONFLICT:
             return self.begin(None)
-        elif isinstance(call.outcome, Reading):
+        elif isinstance(call.outcome, ReadResult):
             self.known = int(call.outcome.state.get("version", b"0"))
         self.world.clock.after(self.world.pace * self.world.random.random(), self.next)
         return None
--- a/shedgrade/simulation/system/disk.py
+++ b/shedgrade/simulation/system/disk.py
@@ -44,7 +44,7 @@
 
 
 class DiskWorker:
-    """Stands for `controlplane.disk.Disk`: in place of a thread, events of virtual time."""
+    """Stands for `controlplane.disk_thread.DiskThread`: in place of a thread, events of virtual time."""
 
     def __init__(
         self, machine_disk: MachineDisk, loop, store: Store, done: Callable[[int, bool], None]
@@ -81,7 +81,7 @@
             self.store.write(changes)
             succeeded = True
         except OSError as failure:
-            logger.warning("the disk refuses: {}", failure.strerror or failure)
+            logger.warning("disk write failed", error=failure.strerror or str(failure))
             succeeded = False
         self.busy = False
         self.loop.call_soon_threadsafe(self.done, token, succeeded)
--- a/shedgrade/simulation/system/sockets.py
+++ b/shedgrade/simulation/system/sockets.py
@@ -138,6 +138,7 @@
     ("shedgrade.http.socket_state", "select", SelectModule()),
     ("shedgrade.http.listener", "select", SelectModule()),
     ("shedgrade.http.server", "select", SelectModule()),
+    ("shedgrade.http.server_connection", "select", SelectModule()),
     ("shedgrade.controlplane.plane", "gc", NoCollector()),
     ("shedgrade.dataplane.plane", "gc", NoCollector()),
     ("shedgrade.dataplane.plane", "Clock", SteadyClock),
--- a/shedgrade/simulation/system/world.py
+++ b/shedgrade/simulation/system/world.py
@@ -6,11 +6,12 @@
 from random import Random
 
 from shedgrade.control_messages import ControlChange
-from shedgrade.controlplane.plane import LIST, ControlPlane
+from shedgrade.controlplane.endpoint_list_sync import ENDPOINT_LIST_ROLE
+from shedgrade.controlplane.plane import ControlPlane
 from shedgrade.dataplane.plane import DataPlane
 from shedgrade.process_settings import Settings
-from shedgrade.process_settings.reading import check as read_settings
-from shedgrade.runtime.log import hand, logger
+from shedgrade.process_settings.validation import validate as read_settings
+from shedgrade.runtime.log import logger, set_sink
 from shedgrade.simulation.system.caller import SILENCE, Caller
 from shedgrade.simulation.system.clients import Client
 from shedgrade.simulation.system.configurations import label_of
@@ -243,13 +244,13 @@
     # --- what is seen
 
     def observe_core(self, machine: Machine, plane: ControlPlane) -> None:
-        take = plane.hub.control
+        take = plane.hub.apply_control_state
 
         def control(now, epoch, sequence, state) -> None:
             self.saw_finished(machine, (epoch, sequence), state)
             take(now, epoch, sequence, state)
 
-        plane.hub.control = control
+        plane.hub.apply_control_state = control
 
     def saw_finished(self, machine: Machine, position: tuple[int, int], state) -> None:
         configuration, zones = state.get("configuration") or b"", state.get("evacuations") or b"[]"
@@ -308,7 +309,7 @@
             for machine in self.cores
             if machine.program is not None
             and not machine.stopped
-            and machine.program.duties.held(LIST, machine.loop.time())
+            and machine.program.roles.is_held(ENDPOINT_LIST_ROLE, machine.loop.time())
         ]
         if len(holders) > 1:
             self.history.wrong.append(f"two hold the duty at {self.time.now:.3f}: {holders}")
@@ -354,7 +355,7 @@
         """Plays up to that virtual time (s)."""
         before = dict(logger.__dict__)
         if not self.log:
-            hand(Silent())
+            set_sink(Silent())
         try:
             with installed():
                 self.time.run(until)
--- a/tests/dataplane/test_draining.py
+++ b/tests/dataplane/test_draining.py
@@ -4,7 +4,7 @@
 
 import pytest
 
-from shedgrade.control_messages import LEAVING, NOBODY, READY
+from shedgrade.control_messages import LEAVING, NO_DRAIN_TARGET, READY
 from shedgrade.dataplane.draining import (
     ACCEPT_ALL_FIRST_S,
     ACCEPT_ALL_S,
@@ -27,7 +27,7 @@
     state.check_invariants()
 
 
-@pytest.mark.parametrize("cover", [READY, NOBODY])
+@pytest.mark.parametrize("cover", [READY, NO_DRAIN_TARGET])
 def test_all_requests_are_accepted_at_first(draining, cover):
     """Clients hold addresses that long, and what is cut after that counts as planned."""
     draining.cover_received(SIGTERM + ACCEPT_ALL_S, cover)
@@ -56,15 +56,15 @@
 
 def test_cover_that_was_received_long_ago_counts_for_nothing(draining):
     """The others may have been told to end as well, and the control plane may be out of reach."""
-    assert draining.covered_by(SIGTERM) == NOBODY
+    assert draining.covered_by(SIGTERM) == NO_DRAIN_TARGET
     draining.cover_received(SIGTERM + 2.0, READY)
     assert draining.covered_by(SIGTERM + 2.0 + COVER_VALID_S) == READY
-    assert draining.covered_by(SIGTERM + 2.01 + COVER_VALID_S) == NOBODY
+    assert draining.covered_by(SIGTERM + 2.01 + COVER_VALID_S) == NO_DRAIN_TARGET
 
 
 def test_a_rejected_client_is_told_when_somebody_serves_again(draining):
     """Once what is in hand is answered, and the machine's next process has started."""
-    draining.cover_received(AFTER, NOBODY)
+    draining.cover_received(AFTER, NO_DRAIN_TARGET)
     assert draining.retry_after_s(AFTER, AFTER + 2.0) == pytest.approx(2.0 + RESTART_S)
     assert draining.retry_after_s(AFTER, AFTER - 1.0) == pytest.approx(RESTART_S)
     latest = draining.cancel_at + RESTART_S
--- a/tests/dataplane/test_plane_gossip.py
+++ b/tests/dataplane/test_plane_gossip.py
@@ -5,7 +5,7 @@
 
 from ingress_rig import SETTINGS
 
-from shedgrade.control_messages import Counts, EdgeState, Told
+from shedgrade.control_messages import EdgeStatus, FleetView, WatchResponse
 from shedgrade.dataplane.control_client import (
     MAX_MEMBERS,
     MembersDiscoveredEvent,
@@ -20,13 +20,13 @@
 from shedgrade.dataplane.state import State
 from shedgrade.membership.messages import Node
 
-EDGE = EdgeState("edge-1", "10.1.0.12:8263", "z1", "east", 5)
+EDGE = EdgeStatus("edge-1", "10.1.0.12:8263", "z1", "east", 5)
 SEEDS = ("10.1.0.14:7300", "10.2.0.41:7300", "10.3.0.12:7300")
 FOUND = "10.2.0.77:7300"
 
 
 def told(edges):
-    return Told(None, None, edges, SEEDS, 0.0, 0.0)
+    return WatchResponse(None, None, edges, SEEDS, 0.0, 0.0)
 
 
 def gossip(*nodes):
@@ -60,21 +60,21 @@
 def test_the_larger_of_both_counts_holds():
     plane = Plane(*edges(4))
     assert plane.at(0.0) == 4
-    plane.watcher.received.counts = Counts(6, SEEDS)
+    plane.watcher.received.counts = FleetView(6, SEEDS)
     assert plane.at(1.0) == 6
 
 
 def test_what_the_core_tells_holds_at_once_and_for_30_s_after_both_know_less():
     plane = Plane()
-    plane.state.apply([Counts(6, SEEDS)])
-    plane.watcher.received.counts = Counts(1, SEEDS)
+    plane.state.apply([FleetView(6, SEEDS)])
+    plane.watcher.received.counts = FleetView(1, SEEDS)
     assert plane.state.edge_count == 6
     assert plane.at(LATELY - 1) == 6
     assert plane.at(LATELY + 1) == 1
 
 
 def test_core_members_of_gossip_are_asked_only_when_nobody_answers():
-    plane = Plane(Node("core-9", "10.2.0.77:7301", "core", link=FOUND), *edges(2))
+    plane = Plane(Node("core-9", "10.2.0.77:7301", "core", link_address=FOUND), *edges(2))
     plane.at(CORE_SILENT_S / 2)
     assert FOUND not in plane.watcher.members
     plane.at(CORE_SILENT_S + 0.1)
@@ -111,11 +111,11 @@
         watcher.handle_event(TickEvent(now))
         for address in asked(watcher):
             if address == FOUND:
-                response = Told(None, None, 3, (FOUND,), 0.0, 0.0)
+                response = WatchResponse(None, None, 3, (FOUND,), 0.0, 0.0)
                 watcher.handle_event(ResponseEvent(now, address, response))
             else:
                 watcher.handle_event(RequestFailedEvent(now, address))
-    assert watcher.members[FOUND].listed and watcher.received.counts == Counts(3, (FOUND,))
+    assert watcher.members[FOUND].listed and watcher.received.counts == FleetView(3, (FOUND,))
 
 
 def test_those_found_are_bounded():
--- a/tests/dataplane/test_control_client.py
+++ b/tests/dataplane/test_watcher.py
@@ -11,17 +11,17 @@
 
 from shedgrade.control_messages import (
     LEAVING,
-    NEVER,
     READY,
+    UNKNOWN_AGE_S,
     ControlChange,
-    Counts,
-    EdgeState,
-    ListMoved,
-    Told,
+    EdgeStatus,
+    EndpointUpdate,
+    FleetView,
+    WatchResponse,
     decode,
     encode,
 )
-from shedgrade.controlplane.platform_poller import InstanceList
+from shedgrade.controlplane.endpoint_list import EndpointList
 from shedgrade.controlplane.watch_hub import WatchHub
 from shedgrade.dataplane.control_client import (
     ApplyUpdates,
@@ -36,7 +36,7 @@
 )
 
 SEEDS = ("10.1.0.14:7300", "10.2.0.41:7300", "10.3.0.12:7300")
-EDGE = EdgeState("edge-1", "10.1.0.12:8263", "north-a", "north", 5)
+EDGE = EdgeStatus("edge-1", "10.1.0.12:8263", "north-a", "north", 5)
 
 
 def state(version: int, *zones: str) -> dict[str, bytes]:
@@ -67,16 +67,16 @@
     def __init__(self, seed=1, way=0.01, seeds=SEEDS, max_wait_s=1.0, numbered=True) -> None:
         self.random, self.now, self.events, self.order = Random(seed), 100.0, [], count()
         self.way = dict.fromkeys(SEEDS, way)
-        self.hubs = {address: WatchHub(address, self.now) for address in SEEDS}
-        self.lists = {address: InstanceList(lambda: self.now) for address in SEEDS}
+        self.hubs = {address: WatchHub(self.now) for address in SEEDS}
+        self.lists = {address: EndpointList(lambda: self.now) for address in SEEDS}
         self.silent, self.refusing, self.old = set(), set(), set()
         self.asked, self.numbered = [], numbered
         self.open: dict[int, object] = {}
         self.known: dict[str, object] = {}
         self.told: list[tuple[float, object]] = []
         self.epoch, self.sequence = 1, 0
-        self.polls = InstanceList(lambda: self.now)
-        self.polls.lead(1)
+        self.polls = EndpointList(lambda: self.now)
+        self.polls.begin_term(1)
         self.names = ["a", "b"]
         self.at(0.0, self.beat)
         self.watcher = Watcher(EDGE, seeds, self.random, self.now, max_wait_s=max_wait_s)
@@ -121,8 +121,8 @@
         self.watcher.check_invariants()
 
     def send(self, sent) -> None:
-        assert sent.is_probe == (sent.request.wait == 0)
-        self.asked.append((self.now, sent.address, sent.request.wait))
+        assert sent.is_probe == (sent.request.wait_s == 0)
+        self.asked.append((self.now, sent.address, sent.request.wait_s))
         self.open[sent.number] = sent
         way = self.way.get(sent.address, 0.01)
         if sent.address not in self.hubs or sent.address in self.refusing:
@@ -135,7 +135,7 @@
         if sent.address in self.silent:
             return
         ask = decode(encode(sent.request))
-        self.hubs[sent.address].ask(
+        self.hubs[sent.address].watch(
             self.now,
             ask,
             lambda told: self.at(self.way[sent.address], self.comes, sent, decode(encode(told))),
@@ -162,32 +162,32 @@
                 if update.configuration is not None:
                     self.known["configuration"] = update.configuration
                 self.known["evacuations"] = update.evacuations
-            case ListMoved():
-                held = {} if update.whole else self.known["list"]
+            case EndpointUpdate():
+                held = {} if update.is_full else self.known["list"]
                 held = {name: one for name, one in held.items() if name not in update.removed}
                 self.known["list"] = held | {one.id: one for one in update.changed}
-            case Counts():
+            case FleetView():
                 self.known["counts"] = update
 
     # --- the core
 
     def beat(self) -> None:
         """The primary's word, and the list with its age, for all that hear them."""
-        self.polls.apply(self.now, entries(*self.names))
+        self.polls.apply_poll(self.now, entries(*self.names))
         for address, hub in self.hubs.items():
-            hub.members(self.now, SEEDS)
+            hub.set_members(self.now, SEEDS)
             if address not in self.old:
-                hub.confirmed(self.now)
+                hub.set_confirmed_at(self.now)
                 held = self.lists[address]
-                if held.take(self.polls.answer(*held.version, now=self.now), now=self.now):
-                    hub.instances(self.now, held)
+                if held.apply_update(self.polls.update_since(*held.version, now=self.now), now=self.now):
+                    hub.set_endpoint_list(self.now, held)
         self.at(0.25, self.beat)
 
     def change(self, version: int, *zones: str) -> None:
         self.sequence += 1
         for address, hub in self.hubs.items():
             if address not in self.old:
-                hub.control(self.now, self.epoch, self.sequence, state(version, *zones))
+                hub.apply_control_state(self.now, self.epoch, self.sequence, state(version, *zones))
 
 
 def test_two_members_are_asked_at_the_start_and_one_from_then_on():
@@ -214,7 +214,7 @@
     world.run(0.06)
     assert "configuration" in world.known
     world.run(1.0)
-    assert world.watcher.received.counts.edges == 1 and world.watcher.received.counts.members == SEEDS
+    assert world.watcher.received.counts.edge_count == 1 and world.watcher.received.counts.members == SEEDS
 
 
 @pytest.mark.parametrize("numbered", [True, False])
@@ -315,7 +315,7 @@
     world.silent.update(SEEDS)
     world.run(5.0)
     assert world.watcher.platform_poll_interval_s(world.now, 40.0) == 3.0
-    world.watcher.received.counts = Counts(540, SEEDS)
+    world.watcher.received.counts = FleetView(540, SEEDS)
     assert world.watcher.platform_poll_interval_s(world.now, 40.0) == pytest.approx(54.0)
     assert Watcher(EDGE, SEEDS, Random(1), 0.0).platform_poll_interval_s(3.5, 4.0) == 3.0
 
@@ -328,7 +328,7 @@
     world.run(4.0)
     world.known["list"] = {}
     world.handle(OwnListAppliedEvent(world.now))
-    moved = ListMoved(held[0], held[1] - 1, 0.5)
+    moved = EndpointUpdate(held[0], held[1] - 1, 0.5)
     assert not world.watcher.received.is_newer_list(world.now, moved)
     world.silent.clear()
     world.run(2.0)
@@ -381,7 +381,7 @@
         world.carry_out()
         assert sum(at == world.now for at, _, _ in world.asked) == 1
         world.run(0.02)
-        (seen,) = world.hubs[main.address].edges(world.now)
+        (seen,) = world.hubs[main.address].listed_edges(world.now)
         assert seen.ready
         for step in range(30):
             world.run(0.1 * (step % 4))
@@ -401,7 +401,9 @@
     world.carry_out()
     world.run(0.1)
     assert any(
-        heard.edge.state == LEAVING for hub in world.hubs.values() for heard in hub.own_edges(world.now).edges
+        heard.edge.state == LEAVING
+        for hub in world.hubs.values()
+        for heard in hub.edges.own_edges(world.now).edges
     )
 
 
@@ -420,7 +422,7 @@
 def test_a_response_that_can_not_be_read_is_the_members_failure():
     world = World()
     world.run(5.0)
-    broken = Told(ControlChange(9, 9, 9, b"junk", (), True), None, 1, SEEDS, 0.0, 0.0)
+    broken = WatchResponse(ControlChange(9, 9, 9, b"junk", (), True), None, 1, SEEDS, 0.0, 0.0)
     world.handle(ResponseEvent(world.now, world.watcher.preferred_member.address, broken))
     assert world.watcher.received.control == (0, 0) and not world.watcher.received.updates
 
@@ -438,30 +440,30 @@
         ControlChange(0, 9, 9, b"old"),
         ControlChange(1, 3, 4, None),
     ):
-        world.handle(ResponseEvent(world.now, address, Told(change, None, 1, SEEDS, 0.0, 0.0, 1.0)))
+        world.handle(ResponseEvent(world.now, address, WatchResponse(change, None, 1, SEEDS, 0.0, 0.0, 1.0)))
     assert watcher.received.control == (1, 2) and watcher.received.configuration_version == 3
     term, number = watcher.received.endpoint_list
     for moved in (
-        ListMoved(term, number - 1, 0.0),
-        ListMoved(term, number + 9, 0.0, term, number + 8),
-        ListMoved(term, number, 0.0),
+        EndpointUpdate(term, number - 1, 0.0),
+        EndpointUpdate(term, number + 9, 0.0, term, number + 8),
+        EndpointUpdate(term, number, 0.0),
     ):
-        world.handle(ResponseEvent(world.now, address, Told(None, moved, 1, SEEDS, 0.0, 0.0, 1.0)))
+        world.handle(ResponseEvent(world.now, address, WatchResponse(None, moved, 1, SEEDS, 0.0, 0.0, 1.0)))
     assert watcher.received.endpoint_list == (term, number) and not [
-        update for update in watcher.received.updates if not isinstance(update, Counts)
+        update for update in watcher.received.updates if not isinstance(update, FleetView)
     ]
 
 
 def test_a_fleet_whose_poller_started_again_is_heard_again():
     world = World()
-    world.polls.lead(7)
+    world.polls.begin_term(7)
     world.run(3.0)
     assert world.watcher.received.endpoint_list[0] == 7
     for address, hub in world.hubs.items():
-        world.lists[address] = InstanceList(lambda: world.now)
-        hub.list = None
-    world.polls = InstanceList(lambda: world.now)
-    world.polls.lead(1)
+        world.lists[address] = EndpointList(lambda: world.now)
+        hub.endpoint_list = None
+    world.polls = EndpointList(lambda: world.now)
+    world.polls.begin_term(1)
     world.names = ["z"]
     world.run(6.0)
     assert set(world.known["list"]) == {"z"} and world.watcher.received.list_age_s(world.now) < 1.5
@@ -474,11 +476,13 @@
     call = main.pending
     world.now += 20.0
     world.handle(
-        ResponseEvent(world.now, main.address, Told(None, None, 1, SEEDS, 0.25, 0.25, 0.5), call.number)
+        ResponseEvent(
+            world.now, main.address, WatchResponse(None, None, 1, SEEDS, 0.25, 0.25, 0.5), call.number
+        )
     )
     assert main.staleness_s > 15.0
     sent = [one for one in watcher.take_instructions() if isinstance(one, SendWatchRequest)]
-    assert [one.request.wait for one in sent if one.address != main.address] == [0.0]
+    assert [one.request.wait_s for one in sent if one.address != main.address] == [0.0]
 
 
 def test_no_members_at_all_and_one_only():
@@ -487,7 +491,7 @@
     world.change(3)
     world.run(0.1)
     assert "configuration" in world.known
-    assert Watcher(EDGE, SEEDS, Random(1), 0.0).received.list_age_s(5.0) == NEVER
+    assert Watcher(EDGE, SEEDS, Random(1), 0.0).received.list_age_s(5.0) == UNKNOWN_AGE_S
 
 
 @pytest.mark.parametrize("seed", range(60))
@@ -515,7 +519,7 @@
     missed, world.old = world.old, set()
     world.change(version // 2 + 2, "end")
     for address in missed:
-        assert world.hubs[address].held == (world.epoch, world.sequence)
+        assert world.hubs[address].control_position == (world.epoch, world.sequence)
     world.run(2.5)
     assert world.known["configuration"] == state(version // 2 + 2)["configuration"]
     assert world.known["evacuations"] == ("end",) and set(world.known["list"]) == set(world.names)
--- a/tests/peer_transport/test_calls_adopted.py
+++ b/tests/peer_transport/test_adopted_connections.py
@@ -4,21 +4,21 @@
 
 import pytest
 import uvloop
-from test_ends import HOST, OTHER, End
+from test_connections import HOST, OTHER, End
 
-from shedgrade.peer_transport.tcp import LinkError, Links
+from shedgrade.peer_transport.tcp import PeerCallError, PeerConnectionPool
 
 
 @pytest.fixture(params=["asyncio", "uvloop"])
 def play(request):
     """Two ends; the first has dialled the second, which adopted that connection."""
 
-    def run(story, answers=True):
+    def run(story, is_response=True):
         async def whole():
             loop = asyncio.get_running_loop()
             first, second = End(loop, HOST), End(loop, OTHER)
-            if answers:
-                first.links = Links(loop, first.address, first.come_back, HOST, first.taken)
+            if is_response:
+                first.links = PeerConnectionPool(loop, first.address, first.come_back, HOST, first.taken)
             await first.server.start()
             await second.server.start()
             try:
@@ -40,7 +40,7 @@
 def test_a_call_over_it_is_answered(play):
     async def story(first, second):
         assert await second.links.call(first.address, b"one", 5) == b"echo one"
-        assert second.links.routes[first.address].peer is None  # nobody dialled
+        assert second.links.routes[first.address].connection is None  # nobody dialled
 
     play(story)
 
@@ -67,8 +67,8 @@
 
 def test_an_end_that_takes_no_calls_there_hands_them_on_unanswered(play):
     async def story(first, second):
-        with pytest.raises(LinkError):
+        with pytest.raises(PeerCallError):
             await second.links.call(first.address, b"one", 0.05)
         assert await asyncio.wait_for(first.got.get(), 5) == (second.address, b"one")
 
-    play(story, answers=False)
+    play(story, is_response=False)
--- a/tests/replication/test_member.py
+++ b/tests/replication/test_member.py
@@ -3,7 +3,7 @@
 import msgspec
 from hand_net import SEEDS, Net, founded
 
-from shedgrade.replication import Elsewhere, Reading, Unavailable, messages
+from shedgrade.replication import ReadResult, RedirectToPrimary, Unavailable, messages
 
 
 def sent(net, kind):
@@ -18,12 +18,12 @@
 
 def test_an_order_is_on_two_disks_before_it_is_answered_and_on_no_witness():
     net = founded()
-    net.call(net.primary(), "order", 1, ("k", b"v"))
+    net.call(net.primary(), "submit", 1, ("k", b"v"))
     net.run(0.3)
     assert net.answers == {1: None}
     holding = [address for address, disk in net.disks.items() if disk.get("state/k") == b"v"]
     assert sorted(holding) == sorted([net.primary(), net.backup()])
-    assert all(member.finished[2] == {"k": b"v"} for member in net.members.values())
+    assert all(member.committed.state == {"k": b"v"} for member in net.members.values())
 
 
 def test_no_answer_before_the_backups_disk_and_the_own_disk_have_it():
@@ -31,9 +31,9 @@
         net = founded()
         address = getattr(net, slow)()
         net.held_back.add(address)
-        net.call(net.primary(), "order", 1, ("k", b"v"))
+        net.call(net.primary(), "submit", 1, ("k", b"v"))
         net.run(0.2)
-        assert 1 not in net.answers and not any(member.finished[2] for member in net.members.values())
+        assert 1 not in net.answers and not any(member.committed.state for member in net.members.values())
         net.held_back.clear()
         net.write(address)
         net.run(0.1)
@@ -44,8 +44,8 @@
     net = founded()
     voter, candidate = net.witness(), net.backup()
     net.held_back.add(voter)
-    held = net.members[candidate].held
-    net.call(voter, "receive", candidate, messages.Prepare(held.incarnation, 7, held.record))
+    replica = net.members[candidate].replica
+    net.call(voter, "receive", candidate, messages.Prepare(replica.incarnation, 7, replica.epoch_config))
     assert not sent(net, messages.Promise)
     net.write(voter)
     assert [promise.number for promise in sent(net, messages.Promise)] == [7]
@@ -55,36 +55,41 @@
     net = founded()
     voter, candidate = net.witness(), net.backup()
     net.held_back.add(voter)
-    held = net.members[candidate].held
-    net.call(voter, "receive", candidate, messages.Prepare(held.incarnation, 7, held.record))
+    replica = net.members[candidate].replica
+    net.call(voter, "receive", candidate, messages.Prepare(replica.incarnation, 7, replica.epoch_config))
     net.stop(voter)
     net.held_back.clear()
     net.start(voter)
-    assert net.members[voter].held.promise[0] == 1
+    assert net.members[voter].replica.promised_epoch[0] == 1
     assert not sent(net, messages.Promise)
 
 
 def test_a_holder_says_that_it_installed_an_epoch_after_its_sync():
     net = founded()
     holder = net.witness()
-    held = net.members[holder].held
-    holders = (held.record.primary, held.incarnation)
-    record = msgspec.structs.replace(held.record, number=5, holders=holders, active=False)
+    replica = net.members[holder].replica
+    holders = (replica.epoch_config.primary, replica.incarnation)
+    config = msgspec.structs.replace(replica.epoch_config, number=5, holders=holders, active=False)
     net.held_back.add(holder)
-    net.call(holder, "receive", net.primary(), messages.Install(record, (1, 1), None, {"k": b"v"}))
+    net.call(
+        holder,
+        "receive",
+        net.primary(),
+        messages.Install(config, messages.LogPosition(1, 1), None, {"k": b"v"}),
+    )
     assert not sent(net, messages.Installed)
     net.write(holder)
-    assert [word.number for word in sent(net, messages.Installed)] == [5]
+    assert [message.number for message in sent(net, messages.Installed)] == [5]
 
 
 def test_a_backup_that_promised_more_refuses_the_primary_of_before():
     net = founded()
     backup, primary, other = net.backup(), net.primary(), net.witness()
-    record = net.members[other].held.record
-    net.call(backup, "receive", other, messages.Prepare(net.members[other].held.incarnation, 9, record))
+    config = net.members[other].replica.epoch_config
+    net.call(backup, "receive", other, messages.Prepare(net.members[other].replica.incarnation, 9, config))
     net.messages.clear()
     net.call(backup, "receive", primary, messages.Replicate(1, 1, (0, 0), {"k": b"v"}))
-    assert [word.promised for word in sent(net, messages.Refusal)] == [9]
+    assert [message.promised_epoch for message in sent(net, messages.Refusal)] == [9]
     assert "state/k" not in net.disks[backup]
 
 
@@ -95,15 +100,15 @@
     net.disks[lost].clear()
     net.start(lost)
     net.messages.clear()
-    held = net.members[candidate].held
-    net.call(lost, "receive", candidate, messages.Prepare(held.incarnation, 7, held.record))
+    replica = net.members[candidate].replica
+    net.call(lost, "receive", candidate, messages.Prepare(replica.incarnation, 7, replica.epoch_config))
     assert not net.messages and net.members[lost].role == "blank"
     net.run(3.0)
     assert net.members[lost].role == "witness"
-    assert net.members[lost].held.incarnation in {peer.incarnation for peer in net.members[lost].members}
+    assert net.members[lost].replica.incarnation in {peer.incarnation for peer in net.members[lost].members}
 
 
-def test_nothing_is_said_before_the_incarnation_is_synced():
+def test_nothing_is_sent_before_the_incarnation_is_synced():
     net = Net(founding=True)
     net.stop("a:1")
     net.disks["a:1"].clear()
@@ -111,17 +116,17 @@
     net.messages.clear()
     net.start("a:1", founding=True)
     net.call("a:1", "tick")
-    net.call("a:1", "receive", "b:1", messages.Hello(5, "b", "b:1", True, 0, (0, 0)))
+    net.call("a:1", "receive", "b:1", messages.JoinRequest(5, "b", "b:1", True, 0, (0, 0)))
     assert not net.messages
     net.write("a:1")
-    assert sent(net, messages.Hello)
+    assert sent(net, messages.JoinRequest)
 
 
-def test_a_refused_write_is_tried_again_whole_and_nothing_is_said_before():
+def test_a_refused_write_is_tried_again_whole_and_nothing_is_sent_before():
     net = founded()
     backup = net.backup()
     net.held_back.add(backup)
-    net.call(net.primary(), "order", 1, ("k", b"v"))
+    net.call(net.primary(), "submit", 1, ("k", b"v"))
     net.deliver()
     net.write(backup, ok=False)
     net.call(backup, "receive", net.primary(), messages.Replicate(1, 2, (0, 0), {"j": b"w"}))
@@ -132,18 +137,18 @@
     assert changes["state/k"] == b"v" and changes["state/j"] == b"w"
 
 
-def test_a_change_found_on_a_backup_is_finished_by_the_next_primary():
+def test_a_change_found_on_a_backup_is_committed_by_the_next_primary():
     net = founded()
     primary, backup = net.primary(), net.backup()
     net.drop = lambda sender, to, message: sender == backup and to == primary
-    net.call(primary, "order", 1, ("k", b"v"))
+    net.call(primary, "submit", 1, ("k", b"v"))
     net.deliver()
     assert 1 not in net.answers
     net.stop(primary)
     net.drop = lambda sender, to, message: False
     net.run(2.5)
     assert net.primary() == backup
-    assert net.members[net.witness() if net.primary() != backup else backup].finished[2] == {"k": b"v"}
+    assert net.members[net.witness() if net.primary() != backup else backup].committed.state == {"k": b"v"}
 
 
 def test_an_old_primary_answers_no_read_after_another_epoch_began():
@@ -156,78 +161,78 @@
     stopped = net.members.pop(old)
     net.run(2.0)
     new = net.primary()
-    net.call(new, "order", 1, ("k", b"new"))
+    net.call(new, "submit", 1, ("k", b"new"))
     net.run(0.3)
     assert 1 in net.answers
     net.members[old] = stopped
     net.call(old, "read", 2)
-    net.call(old, "order", 3, ("k", b"old"))
+    net.call(old, "submit", 3, ("k", b"old"))
     net.run(0.4)
     net.drop = lambda sender, to, message: False
     net.run(3.0)
-    assert isinstance(net.answers[2], Unavailable | Elsewhere)
-    assert isinstance(net.answers[3], Unavailable | Elsewhere)
-    assert all(member.finished[2] == {"k": b"new"} for member in net.members.values())
+    assert isinstance(net.answers[2], Unavailable | RedirectToPrimary)
+    assert isinstance(net.answers[3], Unavailable | RedirectToPrimary)
+    assert all(member.committed.state == {"k": b"new"} for member in net.members.values())
 
 
 def test_a_read_waits_for_a_round_with_the_backups():
     net = founded()
-    net.call(net.primary(), "order", 1, ("k", b"v"))
+    net.call(net.primary(), "submit", 1, ("k", b"v"))
     net.run(0.2)
     net.messages.clear()
     net.call(net.primary(), "read", 2)
     assert 2 not in net.answers
     net.deliver()
     reading = net.answers[2]
-    assert isinstance(reading, Reading) and reading.state == {"k": b"v"}
+    assert isinstance(reading, ReadResult) and reading.state == {"k": b"v"}
 
 
-def test_others_say_where_the_primary_is():
+def test_others_redirect_to_where_the_primary_is():
     net = founded()
-    net.call(net.backup(), "order", 1, ("k", b"v"))
+    net.call(net.backup(), "submit", 1, ("k", b"v"))
     net.call(net.witness(), "read", 2)
-    assert net.answers == {1: Elsewhere(net.primary()), 2: Elsewhere(net.primary())}
+    assert net.answers == {1: RedirectToPrimary(net.primary()), 2: RedirectToPrimary(net.primary())}
 
 
-def test_without_a_primary_an_order_is_held_for_a_moment_only():
+def test_without_a_primary_an_order_is_pending_for_a_moment_only():
     net = founded()
     witness = net.witness()
     for address in (net.primary(), net.backup()):
         net.stop(address)
     net.run(1.0)
-    net.call(witness, "order", 1, ("k", b"v"))
+    net.call(witness, "submit", 1, ("k", b"v"))
     assert not net.answers
     net.run(1.0)
     assert net.answers == {1: Unavailable()}
 
 
-def test_orders_beyond_a_bound_are_turned_away():
+def test_orders_beyond_a_bound_are_rejected():
     net = founded()
     witness = net.witness()
     for address in (net.primary(), net.backup()):
         net.stop(address)
     net.run(1.0)
     for ticket in range(300):
-        net.call(witness, "order", ticket, ("k", b"v"))
-    assert len(net.answers) == 300 - net.members[witness].QUEUE
+        net.call(witness, "submit", ticket, ("k", b"v"))
+    assert len(net.answers) == 300 - net.members[witness].MAX_WAITING_REQUESTS
 
 
-def test_late_words_of_an_old_primary_take_nothing_back():
+def test_late_messages_of_an_old_primary_revert_nothing():
     net = founded()
-    net.call(net.primary(), "order", 1, ("k", b"1"))
+    net.call(net.primary(), "submit", 1, ("k", b"1"))
     net.run(0.2)
-    net.call(net.primary(), "order", 2, ("k", b"2"))
+    net.call(net.primary(), "submit", 2, ("k", b"2"))
     net.run(0.2)
     witness = net.witness()
-    net.call(witness, "receive", net.primary(), messages.Learn(1, (1, 1), None, {"k": b"1"}))
-    assert net.members[witness].finished[2] == {"k": b"2"}
-    marks = [(each.epoch, each.sequence) for each in net.finished[witness]]
-    assert marks == sorted(set(marks))
+    net.call(witness, "receive", net.primary(), messages.CatchUp(1, (1, 1), None, {"k": b"1"}))
+    assert net.members[witness].committed.state == {"k": b"2"}
+    positions = [(each.epoch, each.sequence) for each in net.committed[witness]]
+    assert positions == sorted(set(positions))
 
 
 def test_all_gone_and_back_with_their_disks_brings_the_state_back():
     net = founded()
-    net.call(net.primary(), "order", 1, ("k", b"v"))
+    net.call(net.primary(), "submit", 1, ("k", b"v"))
     net.run(0.3)
     for address in SEEDS:
         net.stop(address)
@@ -244,22 +249,22 @@
 
 def test_what_a_disk_holds_is_read_as_it_was_written():
     net = founded()
-    net.call(net.primary(), "order", 1, ("k", b"v"))
+    net.call(net.primary(), "submit", 1, ("k", b"v"))
     net.run(0.3)
     backup = net.backup()
-    before = net.members[backup].held
+    before = net.members[backup].replica
     net.stop(backup)
     net.start(backup)
-    after = net.members[backup].held
+    after = net.members[backup].replica
     for name in (
         "incarnation",
-        "promise",
-        "record",
-        "accepted",
-        "mark",
+        "promised_epoch",
+        "epoch_config",
+        "accepted_epoch",
+        "log_position",
         "state",
-        "durable",
-        "installed",
+        "durable_position",
+        "installed_epoch",
         "founding",
     ):
         assert getattr(after, name) == getattr(before, name)
@@ -275,7 +280,7 @@
 
 def test_a_witness_that_becomes_a_holder_is_sent_only_what_it_has_not_in_memory():
     net = founded()
-    net.call(net.primary(), "order", 1, ("k", b"v" * 10_000))
+    net.call(net.primary(), "submit", 1, ("k", b"v" * 10_000))
     net.run(0.5)
     witness, primary = net.witness(), net.primary()
     net.seen.clear()
@@ -290,9 +295,9 @@
     net = founded()
     backup, witness = net.backup(), net.witness()
     net.stop(net.primary())
-    hello = messages.Hello(5, "d", "d:1", False, 1, (0, 0))
+    request = messages.JoinRequest(5, "d", "d:1", False, 1, (0, 0))
     for _ in range(150):
         net.run(0.02)
         for address in (backup, witness):
-            net.call(address, "receive", "d:1", hello)
+            net.call(address, "receive", "d:1", request)
     assert net.primary() in (backup, witness)
