--- a/benchmarks/capture.py
+++ b/benchmarks/capture.py
@@ -78,17 +78,17 @@
     for number in range(rpcs):
         now += 5
         carried = SimpleNamespace(request=SimpleNamespace(name=b"%d" % number), rpc=None)
-        carried.rpc = balancer.take(now, 0, now + 12_000, False, carried)
+        carried.rpc = balancer.admit(now, 0, now + 12_000, False, carried)
         answer = carried.rpc.decide(now)
         if answer is not None and answer[0] >= 0:
             out.append((now + chance.randrange(50, 300), carried))
         while out and (out[0][0] <= now or len(out) > upstreams):
             _, ended = out.pop(0)
-            ended.rpc.ended(now, 0, load_balancing.COMPLETED, 200, True)
+            ended.rpc.attempt_finished(now, 0, load_balancing.COMPLETED, 200, True)
             ended.rpc.decide(now)
         for rpc in balancer.due(now):
             rpc.tag.rpc.decide(now)
-        balancer.released()
+        balancer.take_released()
         if hasattr(balancer, "after_turn"):
             balancer.after_turn(now, 0)
     return (time.process_time() - begun) / rpcs * 1e6
--- a/benchmarks/choice.py
+++ b/benchmarks/choice.py
@@ -138,12 +138,12 @@
 
     def edge(self, number: int) -> ServingBalancer:
         repeats = Repeats(0.2, 100.0, 10 * TICKS)
-        repeats.sidecars = self.edges
+        repeats.sidecar_count = self.edges
         seed, own = self.random.getrandbits(32), number % len(self.names)
         balancer = ServingBalancer(self.names, own, seed, 0, repeats, f"edge-{number}")
-        balancer.sidecars = self.edges
-        balancer.record = self.told
-        balancer.sized(self.settings.slots)
+        balancer.sidecar_count = self.edges
+        balancer.prefix_index = self.told
+        balancer.set_slots(self.settings.slots)
         return balancer
 
     def relist(self, now: float) -> None:
@@ -190,13 +190,15 @@
                 case ("ended", one, outcome):
                     self.ended(now, one, outcome)
                 case ("started", one):
-                    one.rpc.started(False)
+                    one.rpc.response_started(False)
                 case ("load",):
                     self.share_loads(now)
                     self.at(now + LOAD_BEAT, what)
                 case ("told", sums, own):
                     for balancer, mine in zip(self.balancers, own, strict=True):
-                        balancer.others_told({mark: load - mine.get(mark, 0) for mark, load in sums.items()})
+                        balancer.update_remote_loads(
+                            {mark: load - mine.get(mark, 0) for mark, load in sums.items()}
+                        )
                 case ("out" | "back", event):
                     first = sum(
                         self.regions[name] for name in self.names[: self.names.index(event["region"])]
@@ -255,7 +257,7 @@
             index = self.best(now, region, one)
         else:
             balancer = self.balancers[edge]
-            one.rpc = balancer.take(
+            one.rpc = balancer.admit(
                 int(now * TICKS),
                 IDEMPOTENT if kind.resumable else ONCE,
                 int((now + kind.deadline_s) * TICKS),
@@ -283,7 +285,7 @@
             waits = max(0, len(engine.jobs) + 1 - self.settings.slots)
             return 2 * far + (unread + ahead) / self.settings.prefill_per_s + 0.01 * len(engine.jobs) + waits
 
-        homes = one.wants.homes
+        homes = one.wants.home_regions
         return min(
             (
                 index
@@ -352,7 +354,7 @@
 
     def ended(self, now: float, one: Try, outcome: int) -> None:
         ticks = int(now * TICKS)
-        one.rpc.ended(ticks, 0, outcome, ticks - int(one.came * TICKS), False)
+        one.rpc.attempt_finished(ticks, 0, outcome, ticks - int(one.came * TICKS), False)
         one.rpc.finish()
 
     # --- what edges know of each other
--- a/benchmarks/move.py
+++ b/benchmarks/move.py
@@ -93,9 +93,9 @@
             for _ in range(200):
                 state[0] += 1000
                 carried = SimpleNamespace(rpc=None)
-                carried.rpc = b.take(state[0], 0, state[0] + 9000, False, carried)
-                if carried.rpc.decide(state[0]) is not None and carried.rpc.out:
-                    carried.rpc.ended(state[0] + 200, 0, load_balancing.COMPLETED, 200, True)
+                carried.rpc = b.admit(state[0], 0, state[0] + 9000, False, carried)
+                if carried.rpc.decide(state[0]) is not None and carried.rpc.outstanding:
+                    carried.rpc.attempt_finished(state[0] + 200, 0, load_balancing.COMPLETED, 200, True)
                 for _ in b.due(state[0] + 200):
                     pass
 
--- a/benchmarks/parts.py
+++ b/benchmarks/parts.py
@@ -36,9 +36,9 @@
     balancer = load_balancing.Balancer({**conf, "balancers": sidecars, "prices": {"handshake": 0.08}}, 1, 0)
     balancer.list_changed(0, told, True, True)
     for number in numbers or range(sidecars):
-        balancer.own, balancer.number = number % ZONES, number
-        balancer.deal()
-        kept.append({up.index for zone in balancer.zones for up in zone.part})
+        balancer.own_zone, balancer.sidecar_number = number % ZONES, number
+        balancer.assign_subset()
+        kept.append({up.index for zone in balancer.zones for up in zone.subset})
     return kept
 
 
@@ -58,7 +58,7 @@
     balancer.list_changed(0, told, True, True)
     begun = time.perf_counter()
     for _ in range(5):
-        balancer.deal()
+        balancer.assign_subset()
     took = (time.perf_counter() - begun) / 5 * 1e3
     return (
         f"{sidecars} x {upstreams}: {min(met)}, {fmean(met):.1f}, {max(met)} sidecars an upstream, "
--- a/benchmarks/system.py
+++ b/benchmarks/system.py
@@ -217,7 +217,7 @@
             def one(b=balancer, random=random, flight=flight, tags=tags):
                 nonlocal now
                 now += 5
-                rpc = b.take(now, IDEMPOTENT, now + 100_000, False, random.choice(tags), 0)
+                rpc = b.admit(now, IDEMPOTENT, now + 100_000, False, random.choice(tags), 0)
                 rpc.decide(now)
                 flight.append(rpc)
                 if len(flight) > 60:
--- a/shedgrade/dataplane/exchange.py
+++ b/shedgrade/dataplane/exchange.py
@@ -45,5 +45,5 @@
     def latest(self) -> int:
         """When it is ended, whatever still comes: upstreams stop at its time, and what they sent by then is
         here. The time of a long request counts from its last byte, once that has come."""
-        end = self.until if self.rpc is None else max(self.until, self.rpc.end)
+        end = self.until if self.rpc is None else max(self.until, self.rpc.answer_by)
         return end + OVERTIME
--- a/shedgrade/dataplane/ingress.py
+++ b/shedgrade/dataplane/ingress.py
@@ -120,35 +120,35 @@
         left, the fleet's budget is used up, or its request is not here any more."""
         before = self.failed
         left = (before.until - self.front.clock.now()) // 10
-        tried = before.rpc.arrived if before.rpc is not None else before.wants.most
+        tried = before.rpc.attempts_arrived if before.rpc is not None else before.wants.max_attempts
         repeats = before.service.repeats
         if (
             self.transport is None
             or self.transport.is_closing()
             or left < LEAST_LEFT
             or (
-                tried >= before.wants.most
+                tried >= before.wants.max_attempts
                 or before.request.flow is not None
-                or not repeats.allowed(self.front.clock.now())
+                or not repeats.allows_retry(self.front.clock.now())
             )
         ):
             return False
         wants, request = before.wants, before.request
-        ran_on = {up.index for up in before.rpc.tries}
+        ran_on = {up.index for up in before.rpc.attempts}
         headers = [pair for pair in request.headers if pair[0].lower() != b"last-event-id"]
         if last_id is None:
             headers = request.headers
         else:
             headers.append((b"Last-Event-Id", last_id))
         again = Wants(
-            wants.homes,
-            wants.key,
-            wants.most,
-            wants.target,
-            wants.avoid | ran_on,
+            wants.home_regions,
+            wants.prefix_key,
+            wants.max_attempts,
+            wants.latency_target,
+            wants.excluded_upstreams | ran_on,
             tried,
-            wants.tokens,
-            wants.shared,
+            wants.prompt_tokens,
+            wants.prefix_tokens,
         )
         leg = Exchange(
             before.client,
@@ -198,7 +198,7 @@
                 (exchange.first_at - exchange.since) / TICKS,
                 (now - exchange.first_at) / TICKS,
                 self.events,
-                exchange.wants.tokens,
+                exchange.wants.prompt_tokens,
             )
 
 
--- a/shedgrade/dataplane/service.py
+++ b/shedgrade/dataplane/service.py
@@ -54,7 +54,7 @@
         self.indices, self.addresses = Indices(), Addresses()
         self.balancer = ServingBalancer(list(regions), regions[own], seed, clock.now(), repeats, me)
         if record is not None:
-            self.balancer.record = TimedRecord(record, loop)
+            self.balancer.prefix_index = TimedRecord(record, loop)
         self.repeats, self.cold_s = repeats, 0.0
         self.times = ServiceTimes()
         self.states: dict[int, int] = {}
@@ -68,12 +68,12 @@
     def retuned(self, cold_s: float, cold_rate: float, excess: float, slack: float) -> None:
         """As the operator's configuration says of the service, and the deployment's bounds: a cold upstream
         may get `cold_rate` x `excess` + `slack` requests within a second."""
-        self.cold_s, self.balancer.cold_rate = cold_s, cold_rate
-        self.balancer.cold_bound = cold_rate * excess + slack if cold_rate else 0.0
+        self.cold_s, self.balancer.slow_start_rate = cold_s, cold_rate
+        self.balancer.slow_start_bound = cold_rate * excess + slack if cold_rate else 0.0
 
     def counted(self, sidecars: int) -> None:
         """The largest count of sidecars known lately."""
-        self.balancer.sidecars = self.repeats.sidecars = max(1, sidecars)
+        self.balancer.sidecar_count = self.repeats.sidecar_count = max(1, sidecars)
 
     def listed(
         self,
@@ -87,7 +87,7 @@
         then on, as it may be, whatever the list that lags says."""
         now, rows, leaving = self.clock.now(), [], []
         instances = list(instances)
-        self.balancer.sized(min((one.slots for one, _ in instances if one.slots > 0), default=0))
+        self.balancer.set_slots(min((one.slots for one, _ in instances if one.slots > 0), default=0))
         for one, cold_left in instances:
             region = region_of.get(one.zone)
             host, _, port = one.address.rpartition(":")
@@ -109,7 +109,7 @@
                 leaving.append(index)
             if one.zone in returned:
                 cold_left = max(cold_left, self.cold_s - returned[one.zone])
-            self.balancer.cold_until[index] = now + max(0, int(cold_left * 10_000))
+            self.balancer.warming_up_until[index] = now + max(0, int(cold_left * 10_000))
         named = {row[0] for row in rows}
         leaving += [index for index in self.states if index not in named]
         self.states = {row[0]: row[2] for row in rows}
@@ -125,9 +125,9 @@
         self.turn.gather(self.replaced, upstream)
 
     def replaced(self, now: int, upstream: int) -> None:
-        up = self.balancer.ups.get(upstream)
+        up = self.balancer.upstreams.get(upstream)
         if up is not None:
-            self.balancer.set_aside(now, up, True)
+            self.balancer.eject(now, up, True)
             self.caller.forget(upstream)
 
     def probe_silent(self) -> None:
@@ -135,9 +135,9 @@
         is only slow, with long prompts before ours, still takes a connection; one that is dark takes none.
         One set aside is tried so before it returns, or a client's request would pay for finding it dark."""
         now = self.clock.now()
-        for index, up in list(self.balancer.ups.items()):
-            silent = up.flight and now - self.caller.silent_since(index) > SILENCE_LIMIT
-            returns = up.listed and up.aside_until and up.aside_until - now <= PROBE_AHEAD
+        for index, up in list(self.balancer.upstreams.items()):
+            silent = up.in_flight and now - self.caller.silent_since(index) > SILENCE_LIMIT
+            returns = up.listed and up.ejected_until and up.ejected_until - now <= PROBE_AHEAD
             if (silent or returns) and now - self.probed_at.get(index, -PROBE_INTERVAL) >= PROBE_INTERVAL:
                 self.probed_at[index] = now
                 task = self.loop.create_task(self.probe(index))
@@ -154,9 +154,9 @@
         """Nothing more goes there for a while. Requests that it has are given up only if its machine is dark:
         one at its cap of connections refuses further ones and works on, and the kernel of one whose process
         is gone resets the others by itself."""
-        up = self.balancer.ups.get(upstream)
+        up = self.balancer.upstreams.get(upstream)
         if up is not None:
-            self.balancer.keep_aside(now, up)
+            self.balancer.extend_ejection(now, up)
         if reach is Reach.DARK:
             self.caller.fail_connections(upstream)
 
--- a/shedgrade/dataplane/state.py
+++ b/shedgrade/dataplane/state.py
@@ -57,7 +57,7 @@
     def others_told(self, loads: Mapping[int, int]) -> None:
         """What other sidecars have in flight, by mark."""
         for pool in self.services.values():
-            pool.balancer.others_told(loads)
+            pool.balancer.update_remote_loads(loads)
 
     def controlled(self, change: ControlChange) -> None:
         raw = unpacked(change)
--- a/shedgrade/lab/baselines.py
+++ b/shedgrade/lab/baselines.py
@@ -18,19 +18,25 @@
         self.picks = Random(f"{seed}/baseline")
 
     def usable(self, now: int, rpc: load_balancing.Rpc) -> list[load_balancing.Upstream]:
-        return [up for up in self.ups.values() if up.listed and up not in rpc.tries and rpc.allowed(up, now)]
-
-    def choose(self, now: int, rpc: load_balancing.Rpc, stay: bool) -> load_balancing.Upstream | None:
+        return [
+            up
+            for up in self.upstreams.values()
+            if up.listed and up not in rpc.attempts and rpc.may_send_to(up, now)
+        ]
+
+    def choose_upstream(
+        self, now: int, rpc: load_balancing.Rpc, stay: bool
+    ) -> load_balancing.Upstream | None:
         there = self.usable(now, rpc)
         return self.among(there) if there else None
 
     def among(self, there: list[load_balancing.Upstream]) -> load_balancing.Upstream:
         raise NotImplementedError
 
-    def hold(self, now: int, rpc: load_balancing.Rpc, until: int) -> bool:
+    def enqueue(self, now: int, rpc: load_balancing.Rpc, until: int) -> bool:
         return False
 
-    def set_aside(self, now: int, up: load_balancing.Upstream, certain: bool) -> None:
+    def eject(self, now: int, up: load_balancing.Upstream, certain: bool) -> None:
         return
 
 
@@ -53,8 +59,8 @@
     """The fewest of this sidecar's RPCs in flight; chance among equals."""
 
     def among(self, there: list[load_balancing.Upstream]) -> load_balancing.Upstream:
-        least = min(up.flight for up in there)
-        return self.picks.choice([up for up in there if up.flight == least])
+        least = min(up.in_flight for up in there)
+        return self.picks.choice([up for up in there if up.in_flight == least])
 
 
 POLICIES = {"random": RandomChoice, "rotation": Rotation, "least": LeastInFlight}
--- a/shedgrade/lab/decisions.py
+++ b/shedgrade/lab/decisions.py
@@ -62,19 +62,19 @@
     begun = time.process_time()
     for _ in range(rpcs):
         now += 10
-        rpc = balancer.take(now, 0, now + 12_000)
+        rpc = balancer.admit(now, 0, now + 12_000)
         answer = rpc.decide(now)
         if answer is not None and answer[0] >= 0:
             out.append((rpc, now))
         if len(out) >= most:
             rpc, sent = out.pop(chance.randrange(len(out)))
-            rpc.ended(now, 0, load_balancing.COMPLETED, max(1, min(now - sent, 500)), True)
+            rpc.attempt_finished(now, 0, load_balancing.COMPLETED, max(1, min(now - sent, 500)), True)
             rpc.decide(now)
         for rpc in balancer.due(now):
             answer = rpc.decide(now)
             if answer is not None and answer[0] >= 0:
                 out.append((rpc, now))
-        balancer.released()
+        balancer.take_released()
     each = (time.process_time() - begun) / rpcs * 1e6
     begun, changes = time.process_time(), 500
     for number in range(changes):
--- a/shedgrade/load_balancing/balancer.py
+++ b/shedgrade/load_balancing/balancer.py
@@ -19,102 +19,132 @@
 
 
 class Balancer(Listing, Parts, Choice, Cold, Health, Holding):
-    handle = Rpc
+    rpc_class = Rpc
 
     def __init__(self, settings: dict, seed: int, now: int) -> None:
         random = Random(seed)
-        self.chance, self.span, self.pick = random.random, random.uniform, random.choices
+        self.random, self.uniform, self.choices = random.random, random.uniform, random.choices
         limits = settings["limits"]
-        self.own = settings["az"]
-        self.shared, self.keeps = limits.get("multiplex", 1) > 1, False
-        self.live = settings.get("weight_kind") == "live"
-        self.nominal: dict[int, float] = {}  # by kind: the size of an idle one, where sizes move with load
+        self.own_zone = settings["az"]
+        self.connections_multiplexed, self.uses_subset = limits.get("multiplex", 1) > 1, False
+        self.capacity_follows_load = settings.get("weight_kind") == "live"
+        self.nominal_capacity: dict[
+            int, float
+        ] = {}  # by kind: the size of an idle one, where sizes move with load
         self.methods: list[Method] = []
         self.zones: list[Zone] = []
-        self.retuned(settings)
-        self.asks = settings["membership_mode"] == "on_request"
-        self.following, self.pending, self.ask_at, self.ask_wait = False, False, now, SECOND
-        self.ups: dict[int, Upstream] = {}
-        self.latent: dict[int, Upstream] = {}  # in doubt so far that they are used as a last resort only
-        self.left: list[int] = []  # given up, and not yet asked for by `released`
-        self.owed: list[Upstream] = []  # put back by the operators, and not used since
-        self.part = 1.0  # of what cold upstreams may get: another process has the rest
-        self.ready = self.aside = 0  # upstreams ready, and of these set aside
-        self.sizes = 0.0  # the sum of what the list says of their sizes
-        self.kinds: dict[int, list] = {}  # by kind of upstream: took, foreseen, since when
-        self.memory, self.ends = MEMORY, Ratio(1.0, now)  # of those that took an upstream's time, over time
-        self.zones = [Zone(self.chance()) for _ in settings["zones"]]
-        self.alarms, self.held, self.count, self.flight, self.spare = [], [], count().__next__, 0, 5.0
+        self.update_settings(settings)
+        self.subscribes_to_list = settings["membership_mode"] == "on_request"
+        self.list_subscribed, self.list_requested, self.list_request_at, self.list_request_backoff = (
+            False,
+            False,
+            now,
+            SECOND,
+        )
+        self.upstreams: dict[int, Upstream] = {}
+        self.last_resort_upstreams: dict[
+            int, Upstream
+        ] = {}  # in doubt so far that they are used as a last resort only
+        self.released_indices: list[int] = []  # given up, and not yet asked for by `released`
+        self.reinstated: list[Upstream] = []  # put back by the operators, and not used since
+        self.slow_start_share = 1.0  # of what cold upstreams may get: another process has the rest
+        self.ready_count = self.ejected_count = 0  # upstreams ready, and of these set aside
+        self.total_capacity = 0.0  # the sum of what the list says of their sizes
+        self.hardware_durations: dict[int, list] = {}  # by kind of upstream: took, foreseen, since when
+        self.decay_time, self.finish_rate = (
+            MEMORY,
+            Ratio(1.0, now),
+        )  # of those that took an upstream's time, over time
+        self.zones = [Zone(self.random()) for _ in settings["zones"]]
+        self.timers, self.queue, self.next_sequence, self.in_flight, self.retry_tokens = (
+            [],
+            [],
+            count().__next__,
+            0,
+            5.0,
+        )
         # Time taken against own RPCs in flight at the upstream, over all of them, as sums of a fitted line.
         # Until something is seen, an upstream is believed to finish two at once in the room there is.
-        soft = ROOM * self.shortest
-        self.sums, self.stamp = [1.0, 2.0, soft, 4.0, 2 * soft], now
-        self.fit()
+        soft = ROOM * self.shortest_soft_deadline
+        self.latency_sums, self.latency_sums_at = [1.0, 2.0, soft, 4.0, 2 * soft], now
+        self.fit_latency()
 
-    def retuned(self, settings: dict) -> None:
+    def update_settings(self, settings: dict) -> None:
         """May come while RPCs are in hand, which keep their method; fewer transmissions bind at once."""
         limits, rules = settings["limits"], settings["rules"]
-        self.most, self.parallel, self.cancelling = (
+        self.max_attempts, self.hedging, self.cancels_attempts = (
             limits["most_transmissions"],
             limits["parallel_tries"],
             limits["cancelling"],
         )
-        self.longest_wait = int(limits["max_retry_after"] * 10) if limits["retry_after"] else 0
-        self.slack = 2 * int(settings["tick"] * 10)
-        self.stay_open = rules.get("dropped_stay_open", False)
-        self.cold, self.cold_from = rules["cold"] * 10, rules["cold_from"]
-        self.fall_multiple, self.ask_every = rules["fall_multiple"], int(rules["ask_every"] * 10)
+        self.max_retry_after = int(limits["max_retry_after"] * 10) if limits["retry_after"] else 0
+        self.deadline_margin = 2 * int(settings["tick"] * 10)
+        self.keeps_delisted = rules.get("dropped_stay_open", False)
+        self.slow_start_period, self.slow_start_floor = rules["cold"] * 10, rules["cold_from"]
+        self.slow_start_headroom, self.list_request_interval = (
+            rules["fall_multiple"],
+            int(rules["ask_every"] * 10),
+        )
         prices = settings["prices"]
-        self.cross_price = prices.get("cross_zone", 0.0)
+        self.cross_zone_price = prices.get("cross_zone", 0.0)
         # Where connections are shared, or new ones have a price, each sidecar keeps to a part of each zone.
-        dear = self.shared or prices.get("handshake", 0.0) + prices.get("connection", 0.0) > 0
-        self.sidecars, self.number = settings["balancers"], settings.get("my_number", 0)
-        self.keeps = dear and self.sidecars > 1
+        dear = (
+            self.connections_multiplexed or prices.get("handshake", 0.0) + prices.get("connection", 0.0) > 0
+        )
+        self.sidecar_count, self.sidecar_number = settings["balancers"], settings.get("my_number", 0)
+        self.uses_subset = dear and self.sidecar_count > 1
         for zone in self.zones:
-            zone.moved = True
-        self.relisted()
+            zone.changed = True
+        self.list_updated()
         # By tenant: RPCs within MEMORY that are its share here, as all sidecars get alike, and those seen.
-        self.shares = [
-            SPARE_SHARE * tenant["allowance_per_s"] * MEMORY / SECOND / self.sidecars + 3
+        self.tenant_shares = [
+            SPARE_SHARE * tenant["allowance_per_s"] * MEMORY / SECOND / self.sidecar_count + 3
             for tenant in settings.get("customers", ())
         ]
-        self.fails = [Ratio() for _ in self.shares]
-        self.seen, self.excess = [(0.0, 0)] * len(self.shares), settings.get("excess_payoff", 1.0)
+        self.tenant_failures = [Ratio() for _ in self.tenant_shares]
+        self.tenant_counts, self.excess_payoff = (
+            [(0.0, 0)] * len(self.tenant_shares),
+            settings.get("excess_payoff", 1.0),
+        )
         # Where more than a few late ones cost, windows aim at what leaves three times the allowed share late.
         mix = settings.get("objective_mix", {})
         late = 3 * mix.get("miss_allowed", 0.0) if mix.get("slow_end", 0.0) > 0 else 0.0
-        self.aim = HALF * min(1.0, log(1 / 7) / log(late)) if 0 < late < 1 else HALF
+        self.latency_target = HALF * min(1.0, log(1 / 7) / log(late)) if 0 < late < 1 else HALF
         top = max((m["payoff"] for m in settings["methods"]), default=1)
         self.mean_payoff = sum(m["payoff"] for m in settings["methods"]) / len(settings["methods"]) or 1.0
-        kept = {method.name: method.patience for method in self.methods}
-        self.methods = [Method(m, top, self.most, kept.get(m.get("name"), 0)) for m in settings["methods"]]
-        self.shortest = max(1, min(m.soft for m in self.methods) - self.slack)
+        kept = {method.name: method.longest_timeout for method in self.methods}
+        self.methods = [
+            Method(m, top, self.max_attempts, kept.get(m.get("name"), 0)) for m in settings["methods"]
+        ]
+        self.shortest_soft_deadline = max(
+            1, min(m.soft_deadline for m in self.methods) - self.deadline_margin
+        )
 
-    def take(
+    def admit(
         self, now: int, method: int, give_up_at: int, retry: bool = False, tag: object = None, tenant: int = 0
     ) -> Rpc:
         # One further transmission for ten RPCs: enough for single faults, too little for a storm.
-        self.spare = min(10.0, self.spare + 0.1)
-        return self.handle(self, self.methods[method], now, give_up_at, retry, tag, tenant)
+        self.retry_tokens = min(10.0, self.retry_tokens + 0.1)
+        return self.rpc_class(self, self.methods[method], now, give_up_at, retry, tag, tenant)
 
     def due(self, now: int):
         """Yields the handles that should be asked again, each before the next is looked for."""
-        while self.alarms and self.alarms[0][0] <= now:
-            rpc = heappop(self.alarms)[2]
-            if isinstance(rpc, Upstream):
-                if 0 < rpc.aside_until <= now:
-                    self.back(rpc)
-            elif not rpc.done:
-                yield rpc
-        while self.held:
-            rpc = self.held[0][3]
+        while self.timers and self.timers[0][0] <= now:
+            timed = heappop(self.timers)[2]
+            if isinstance(timed, Upstream):
+                if 0 < timed.ejected_until <= now:
+                    self.readmit(timed)
+            elif not timed.done:
+                yield timed
+        while self.queue:
+            rpc = self.queue[0][3]
             yield rpc
-            if rpc.held is not None:
+            if rpc.queue_entry is not None:
                 return
 
     def wake_at(self) -> float:
         """When `due` or `wants_list` has something at the latest, if nothing else happens."""
-        at = self.alarms[0][0] if self.alarms else inf
-        if self.asks and not self.following and not self.pending:
-            at = min(at, self.ask_at)
+        at = self.timers[0][0] if self.timers else inf
+        if self.subscribes_to_list and not self.list_subscribed and not self.list_requested:
+            at = min(at, self.list_request_at)
         return at
--- a/shedgrade/load_balancing/learned_state.py
+++ b/shedgrade/load_balancing/learned_state.py
@@ -11,16 +11,29 @@
         balancer = balancer.inner
     return {
         "v": 1,
-        "sums": balancer.sums,
-        "memory": balancer.memory,
-        "kinds": [[kind, took, alike] for kind, (took, alike, _) in balancer.kinds.items()],
-        "windows": [None if zone.window == inf else zone.window for zone in balancer.zones],
+        "sums": balancer.latency_sums,
+        "memory": balancer.decay_time,
+        "kinds": [[kind, took, alike] for kind, (took, alike, _) in balancer.hardware_durations.items()],
+        "windows": [
+            None if zone.concurrency_limit == inf else zone.concurrency_limit for zone in balancer.zones
+        ],
         "ups": [
-            [up.index, up.took, up.foreseen, up.good, up.bad, (now - up.stamp) / SECOND]
-            for up in balancer.ups.values()
-            if up.took or up.bad
+            [
+                up.index,
+                up.observed_duration,
+                up.foreseen_duration,
+                up.successes,
+                up.failures,
+                (now - up.decayed_at) / SECOND,
+            ]
+            for up in balancer.upstreams.values()
+            if up.observed_duration or up.failures
+        ],
+        "used": [
+            [up.index, up.reinstated_at, up.last_used_at]
+            for up in balancer.upstreams.values()
+            if up.last_used_at > 0
         ],
-        "used": [[up.index, up.back_at, up.used] for up in balancer.ups.values() if up.used > 0],
     }
 
 
@@ -34,23 +47,33 @@
         return
     keep = exp(-age * SECOND / LONGEST)
     part = max(keep, 1 / max(1.0, state["sums"][0]))  # one end's worth stays: better than a belief
-    balancer.sums, balancer.stamp = [total * part for total in state["sums"]], now
-    balancer.memory = balancer.ends.under = state["memory"]
-    balancer.ends.over, balancer.ends.stamp = balancer.sums[0], now  # it is the same traffic
-    balancer.kinds = {kind: [took * keep, alike * keep, now] for kind, took, alike in state["kinds"]}
-    balancer.fit()
+    balancer.latency_sums, balancer.latency_sums_at = [total * part for total in state["sums"]], now
+    balancer.decay_time = balancer.finish_rate.denominator = state["memory"]
+    balancer.finish_rate.numerator, balancer.finish_rate.decayed_at = (
+        balancer.latency_sums[0],
+        now,
+    )  # it is the same traffic
+    balancer.hardware_durations = {
+        kind: [took * keep, alike * keep, now] for kind, took, alike in state["kinds"]
+    }
+    balancer.fit_latency()
     for zone, window in zip(balancer.zones, state["windows"], strict=True):
         if window is not None and age * SECOND < LONGEST:
-            zone.window = window
+            zone.concurrency_limit = window
     for index, took, foreseen, good, bad, since in state["ups"]:
-        if up := balancer.ups.get(index):
-            left = exp(-(age + since) * SECOND / balancer.memory)
-            up.took, up.foreseen, up.good, up.bad = took * left, foreseen * left, good * left, bad * left
-            up.stamp = now
+        if up := balancer.upstreams.get(index):
+            left = exp(-(age + since) * SECOND / balancer.decay_time)
+            up.observed_duration, up.foreseen_duration, up.successes, up.failures = (
+                took * left,
+                foreseen * left,
+                good * left,
+                bad * left,
+            )
+            up.decayed_at = now
     for index, back_at, used in state.get("used", ()):
-        if up := balancer.ups.get(index):
-            up.started, up.back_at, up.used = max(up.started, back_at), back_at, used
+        if up := balancer.upstreams.get(index):
+            up.started_at, up.reinstated_at, up.last_used_at = max(up.started_at, back_at), back_at, used
             if 0 < back_at - used < RECENT:
-                balancer.owed.append(up)
-    for up in balancer.ups.values():
-        up.cold_turns, up.cold_stamp = 0.0, now  # whoever sent before had them
+                balancer.reinstated.append(up)
+    for up in balancer.upstreams.values():
+        up.slow_start_credit, up.slow_start_updated_at = 0.0, now  # whoever sent before had them
--- a/shedgrade/load_balancing/outlier_detection.py
+++ b/shedgrade/load_balancing/outlier_detection.py
@@ -24,134 +24,163 @@
 
 
 class Health:
-    def room(self, up: Upstream, now: int, left: int, expected: float) -> bool:
+    def has_capacity(self, up: Upstream, now: int, left: int, expected: float) -> bool:
         """Guards against crowding: one more only if it is expected back well within the time left."""
-        if (up.trial and up.flight) or (self.is_cold(up, now) and not self.cold_room(up, now)):
+        if (up.half_open and up.in_flight) or (
+            self.is_warming_up(up, now) and not self.has_slow_start_credit(up, now)
+        ):
             return False
-        return expected <= (min(left, self.shortest) * ROOM if up.flight else left)
+        return expected <= (min(left, self.shortest_soft_deadline) * ROOM if up.in_flight else left)
 
-    def fit(self) -> None:
+    def fit_latency(self) -> None:
         """The line through what transmissions took at each number in flight."""
-        ends, crowd, took, square, both = self.sums
+        ends, crowd, took, square, both = self.latency_sums
         # The origin counts as one more point, so a balancer that only ever has one in flight assumes a queue.
         spread = (ends + 1) * square - crowd * crowd
         slope = ((ends + 1) * both - crowd * took) / spread if spread > 0 else 0.0
-        self.slope = min(max(slope, QUEUED * took / crowd), took / crowd)
-        self.base = (took - self.slope * crowd) / ends
+        self.latency_slope = min(max(slope, QUEUED * took / crowd), took / crowd)
+        self.latency_base = (took - self.latency_slope * crowd) / ends
 
-    def usual(self, up: Upstream, crowd: int) -> float:
+    def baseline_duration(self, up: Upstream, crowd: int) -> float:
         """The time foreseen for a warm upstream of its size and kind, whatever itself has shown."""
         return (
-            (self.base + self.slope * crowd)
-            * self.kind_factor(up)
-            * self.sizes
-            / (max(1, self.ready) * up.size)
+            (self.latency_base + self.latency_slope * crowd)
+            * self.hardware_factor(up)
+            * self.total_capacity
+            / (max(1, self.ready_count) * up.capacity)
         )
 
-    def kind_factor(self, up: Upstream) -> float:
+    def hardware_factor(self, up: Upstream) -> float:
         """Guards against too little evidence: what one upstream shows is held true of all of its kind."""
-        kind = self.kinds.get(up.kind)
-        alike = self.base + self.slope
+        kind = self.hardware_durations.get(up.hardware)
+        alike = self.latency_base + self.latency_slope
         return (kind[0] + alike) / (kind[1] + alike) if kind else 1.0
 
-    def expected(self, up: Upstream, now: int) -> float:
+    def expected_duration(self, up: Upstream, now: int) -> float:
         """How long one more transmission would take there; with one usual RPC added for lack of evidence."""
-        up.fade(now, self.memory)
-        alike = self.base + self.slope
-        slowness = (up.took + alike) / (up.foreseen + alike)
-        return slowness * self.usual(up, up.flight + up.crowd + 1)
+        up.decay(now, self.decay_time)
+        alike = self.latency_base + self.latency_slope
+        slowness = (up.observed_duration + alike) / (up.foreseen_duration + alike)
+        return slowness * self.baseline_duration(up, up.in_flight + up.reported_load + 1)
 
-    def typical(self) -> float:
-        return self.sums[2] / self.sums[0]
+    def typical_duration(self) -> float:
+        return self.latency_sums[2] / self.latency_sums[0]
 
-    def drag(self, method: Method) -> float:
+    def method_slowness(self, method: Method) -> float:
         """Over 1: its RPCs take that much longer wherever they go: no crowd, and no upstream, is to blame."""
         rest = [other for other in self.methods if other is not method]
-        usual = sum(other.pace.over / other.soft for other in rest)
-        if not usual or not method.pace.under:
+        usual = sum(other.relative_duration.numerator / other.soft_deadline for other in rest)
+        if not usual or not method.relative_duration.denominator:
             return 1.0
-        usual /= sum(other.pace.under for other in rest)
-        return max(1.0, method.pace.of(self.typical()) / method.soft / (DRAG * usual))
+        usual /= sum(other.relative_duration.denominator for other in rest)
+        return max(
+            1.0,
+            method.relative_duration.estimate(self.typical_duration())
+            / method.soft_deadline
+            / (DRAG * usual),
+        )
 
-    def follows(self, rpc: Rpc) -> bool:
+    def failure_follows_request(self, rpc: Rpc) -> bool:
         """Failures follow its sort of RPC: its method or its tenant fails wherever it goes, others do not."""
 
         def beyond(own: Ratio, sorts: list[Ratio]) -> bool:
             rest = [sort for sort in sorts if sort is not own]
-            usual = sum(sort.over for sort in rest) / (1 + sum(sort.under for sort in rest))
-            return len(rest) > 0 and own.of(ENOUGH / 3, 0.0) > FOLLOWS[1] + FOLLOWS[0] * usual
+            usual = sum(sort.numerator for sort in rest) / (1 + sum(sort.denominator for sort in rest))
+            return len(rest) > 0 and own.estimate(ENOUGH / 3, 0.0) > FOLLOWS[1] + FOLLOWS[0] * usual
 
-        return beyond(rpc.method.fails, [method.fails for method in self.methods]) or any(
-            beyond(own, self.fails) for own in self.fails[rpc.tenant : rpc.tenant + 1]
+        return beyond(rpc.method.failure_ratio, [method.failure_ratio for method in self.methods]) or any(
+            beyond(own, self.tenant_failures) for own in self.tenant_failures[rpc.tenant : rpc.tenant + 1]
         )
 
-    def settle(self, up: Upstream, outcome: int, took: int, crowd: int) -> None:
+    def update_probation(self, up: Upstream, outcome: int, took: int, crowd: int) -> None:
         """An end at an upstream in doubt: it is like all others once it has shown itself sound."""
         if outcome == COMPLETED:
-            up.doubt -= took <= USUAL * self.usual(up, crowd)
-            if self.latent.pop(up.index, None):
-                self.back(up)
-        elif up.index in self.latent:
-            up.aside_until += 1  # the others in doubt come first
-
-    def measure(self, now: int, up: Upstream, took: int, crowd: int, rpc: Rpc) -> None:
-        usual = self.usual(up, crowd)
-        pace = max(0.1, rpc.method.pace.of(3 * self.typical())) if len(self.methods) > 1 else 1.0
-        rpc.method.pace.add(now, took, usual)
+            up.probation_successes -= took <= USUAL * self.baseline_duration(up, crowd)
+            if self.last_resort_upstreams.pop(up.index, None):
+                self.readmit(up)
+        elif up.index in self.last_resort_upstreams:
+            up.ejected_until += 1  # the others in doubt come first
+
+    def record_duration(self, now: int, up: Upstream, took: int, crowd: int, rpc: Rpc) -> None:
+        usual = self.baseline_duration(up, crowd)
+        pace = (
+            max(0.1, rpc.method.relative_duration.estimate(3 * self.typical_duration()))
+            if len(self.methods) > 1
+            else 1.0
+        )
+        rpc.method.relative_duration.add(now, took, usual)
         usual *= pace
-        up.took, up.foreseen = up.took + took, up.foreseen + usual
-        alike = usual / self.kind_factor(up)
-        kind = self.kinds.setdefault(up.kind, [0.0, 0.0, now])
+        up.observed_duration, up.foreseen_duration = up.observed_duration + took, up.foreseen_duration + usual
+        alike = usual / self.hardware_factor(up)
+        kind = self.hardware_durations.setdefault(up.hardware, [0.0, 0.0, now])
         keep = exp((kind[2] - now) / LONGEST)
-        self.kinds[up.kind] = [kind[0] * keep + took, kind[1] * keep + alike, now]
-        level = took * (self.base + self.slope * crowd) / alike  # at one of the mean size, warm
-        keep = exp((self.stamp - now) / self.memory)
+        self.hardware_durations[up.hardware] = [kind[0] * keep + took, kind[1] * keep + alike, now]
+        level = (
+            took * (self.latency_base + self.latency_slope * crowd) / alike
+        )  # at one of the mean size, warm
+        keep = exp((self.latency_sums_at - now) / self.decay_time)
         seen = (1, crowd, level, crowd * crowd, crowd * level)
-        self.sums, self.stamp = [old * keep + new for old, new in zip(self.sums, seen, strict=True)], now
+        self.latency_sums, self.latency_sums_at = (
+            [old * keep + new for old, new in zip(self.latency_sums, seen, strict=True)],
+            now,
+        )
         # A light balancer remembers longer, until it has seen enough.
-        few = self.sums[0] < ENOUGH
-        self.memory = min(LONGEST, self.memory * 1.1) if few else max(MEMORY, self.memory / 1.1)
-        self.fit()
-
-    def learn(self, now: int, up: Upstream, outcome: int, took: int, crowd: int, fresh: bool, rpc: Rpc):
-        up.fade(now, self.memory)
-        self.ends.add(now, outcome in (COMPLETED, TIMED_OUT), now - self.ends.stamp, self.memory)
-        if up.doubt:
-            self.settle(up, outcome, took, crowd)
+        few = self.latency_sums[0] < ENOUGH
+        self.decay_time = min(LONGEST, self.decay_time * 1.1) if few else max(MEMORY, self.decay_time / 1.1)
+        self.fit_latency()
+
+    def record_outcome(
+        self, now: int, up: Upstream, outcome: int, took: int, crowd: int, fresh: bool, rpc: Rpc
+    ):
+        up.decay(now, self.decay_time)
+        self.finish_rate.add(
+            now, outcome in (COMPLETED, TIMED_OUT), now - self.finish_rate.decayed_at, self.decay_time
+        )
+        if up.probation_successes:
+            self.update_probation(up, outcome, took, crowd)
         # Guards against dear connections, of which a first RPC tells. Nothing ready: no mean size to go by.
-        if outcome in (COMPLETED, TIMED_OUT) and not fresh and self.usual(up, crowd) > 0:
-            self.measure(now, up, took, crowd, rpc)
+        if outcome in (COMPLETED, TIMED_OUT) and not fresh and self.baseline_duration(up, crowd) > 0:
+            self.record_duration(now, up, took, crowd, rpc)
         if outcome in (COMPLETED, FAILED):
-            for sort in (rpc.method.fails, *self.fails[rpc.tenant : rpc.tenant + 1]):
+            for sort in (rpc.method.failure_ratio, *self.tenant_failures[rpc.tenant : rpc.tenant + 1]):
                 sort.add(now, float(outcome == FAILED), 1.0)
         if outcome == COMPLETED:
-            up.good += 1
-            up.trial = up.doubt > 0
-        elif outcome == TIMED_OUT and self.drag(rpc.method) > 1 or outcome == FAILED and self.follows(rpc):
+            up.successes += 1
+            up.half_open = up.probation_successes > 0
+        elif (
+            outcome == TIMED_OUT
+            and self.method_slowness(rpc.method) > 1
+            or outcome == FAILED
+            and self.failure_follows_request(rpc)
+        ):
             return  # it follows the RPC, and is not held against the upstream
         elif outcome in (FAILED, TIMED_OUT, DROPPED, BROKEN):
-            up.bad += 0.5 if fresh and outcome == TIMED_OUT else 1.0
+            up.failures += 0.5 if fresh and outcome == TIMED_OUT else 1.0
         # Guards against instant connect failures, fast errors and hangs drawing turns: two bad ends that
         # outweigh the good ones, or one connection refused, set an upstream aside; one that broke tells less.
-        if outcome == UNCONNECTED or up.bad > max(1.5, up.good) or (up.trial and outcome != COMPLETED):
-            self.set_aside(now, up, outcome == UNCONNECTED)
-
-    def set_aside(self, now: int, up: Upstream, certain: bool) -> None:
-        if not up.listed or up.aside_until:
+        if (
+            outcome == UNCONNECTED
+            or up.failures > max(1.5, up.successes)
+            or (up.half_open and outcome != COMPLETED)
+        ):
+            self.eject(now, up, outcome == UNCONNECTED)
+
+    def eject(self, now: int, up: Upstream, certain: bool) -> None:
+        if not up.listed or up.ejected_until:
             return
-        if up.dropped:
-            self.relist(up, up.zone, REMOVED)
-            return self.relisted()
+        if up.delisted:
+            self.update_entry(up, up.zone, REMOVED)
+            return self.list_updated()
         # Guards against a fault of our own side, or of all at once: at most half is set aside on suspicion.
-        if not certain and 2 * (self.aside + 1) > self.ready:
+        if not certain and 2 * (self.ejected_count + 1) > self.ready_count:
             return
-        up.aside_until = now + int(self.span(2, 3) * SECOND)
-        up.trial, up.good, up.bad = True, 0.0, 0.0
-        self.aside += 1
-        self.rotation(up, False)
-        heappush(self.alarms, (up.aside_until, self.count(), up))
-
-    def back(self, up: Upstream) -> None:
-        up.aside_until = 0
-        self.aside -= up.listed
-        self.rotation(up, up.listed)
+        up.ejected_until = now + int(self.uniform(2, 3) * SECOND)
+        up.half_open, up.successes, up.failures = True, 0.0, 0.0
+        self.ejected_count += 1
+        self.set_in_rotation(up, False)
+        heappush(self.timers, (up.ejected_until, self.next_sequence(), up))
+
+    def readmit(self, up: Upstream) -> None:
+        up.ejected_until = 0
+        self.ejected_count -= up.listed
+        self.set_in_rotation(up, up.listed)
--- a/shedgrade/load_balancing/rpc.py
+++ b/shedgrade/load_balancing/rpc.py
@@ -23,57 +23,62 @@
 
     __slots__ = (
         "name",
-        "soft",
-        "hard",
+        "soft_deadline",
+        "hard_deadline",
         "payoff",
-        "late",
-        "retriable",
-        "deduped",
-        "group",
-        "window",
-        "further",
-        "patience",
-        "pace",
-        "fails",
+        "overdue_payoff",
+        "idempotent",
+        "deduplicated",
+        "dedup_scope",
+        "dedup_window",
+        "max_retries",
+        "longest_timeout",
+        "relative_duration",
+        "failure_ratio",
     )
 
     def __init__(self, settings: dict, top_payoff: float, most: int, patience: int) -> None:
         self.name = settings.get("name")
-        self.soft, self.hard = (max(1, int(settings[key] * 10)) for key in ("soft_deadline", "hard_deadline"))
-        self.patience = patience  # the longest that a client has been seen to wait for one try
-        self.pace, self.fails = Ratio(), Ratio()  # time taken over that of any method; failed over ended
-        self.payoff, self.late = settings["payoff"], settings["overdue_payoff"]
-        self.retriable = settings["idempotency"] == "repeatable"
-        self.deduped = settings["idempotency"] == "by_key"
-        self.group = settings["group"] if self.deduped else "all"
-        self.window = int(settings["repeat_window"] * 10) if self.deduped else 0
+        self.soft_deadline, self.hard_deadline = (
+            max(1, int(settings[key] * 10)) for key in ("soft_deadline", "hard_deadline")
+        )
+        self.longest_timeout = patience  # the longest that a client has been seen to wait for one try
+        self.relative_duration, self.failure_ratio = (
+            Ratio(),
+            Ratio(),
+        )  # time taken over that of any method; failed over ended
+        self.payoff, self.overdue_payoff = settings["payoff"], settings["overdue_payoff"]
+        self.idempotent = settings["idempotency"] == "repeatable"
+        self.deduplicated = settings["idempotency"] == "by_key"
+        self.dedup_scope = settings["group"] if self.deduplicated else "all"
+        self.dedup_window = int(settings["repeat_window"] * 10) if self.deduplicated else 0
         # Further transmissions after one that may have run go by payoff: the dearest method may use all left.
-        self.further = max(1, round((most - 1) * self.payoff / top_payoff)) if top_payoff else 1
+        self.max_retries = max(1, round((most - 1) * self.payoff / top_payoff)) if top_payoff else 1
 
 
 class Rpc:
     """One RPC taken; what happens to it later is a call on this handle. `tag` is the caller's mark."""
 
     __slots__ = (
-        "home",
+        "balancer",
         "tag",
         "method",
-        "come",
-        "soft_end",
-        "end",
-        "tries",
-        "sent",
-        "out",
-        "repeats",
-        "again_at",
-        "held",
+        "arrived_at",
+        "soft_deadline_at",
+        "answer_by",
+        "attempts",
+        "sent_at",
+        "outstanding",
+        "retries",
+        "hedge_at",
+        "queue_entry",
         "done",
-        "turned",
-        "luck",
+        "overtaken",
+        "admission_draw",
         "payoff",
-        "lasting",
-        "here",
-        "turned_away",
+        "long_lived",
+        "body_buffered",
+        "rejecting_zones",
         "tenant",
     )
 
@@ -87,169 +92,192 @@
         tag: object,
         tenant: int,
     ) -> None:
-        self.home, self.method, self.tag, self.tenant = home, method, tag, tenant
-        self.timed(now, give_up_at, retry)
-        self.tries, self.sent, self.out = [], [], {}  # by transmission: upstream; when, None: it never ran
-        self.repeats, self.again_at, self.held, self.done = 0, None, None, False
+        self.balancer, self.method, self.tag, self.tenant = home, method, tag, tenant
+        self.set_deadlines(now, give_up_at, retry)
+        self.attempts, self.sent_at, self.outstanding = (
+            [],
+            [],
+            {},
+        )  # by transmission: upstream; when, None: it never ran
+        self.retries, self.hedge_at, self.queue_entry, self.done = 0, None, None, False
         # An open stream; overtaken while held, to be told at once; a long request with all its bytes here.
-        self.lasting, self.turned, self.here = False, False, None
-        self.payoff, self.turned_away = method.payoff * home.worth(now, tenant), []
-        self.luck = home.draw(self.payoff)
+        self.long_lived, self.overtaken, self.body_buffered = False, False, None
+        self.payoff, self.rejecting_zones = method.payoff * home.payoff_factor(now, tenant), []
+        self.admission_draw = home.draw_for_payoff(self.payoff)
 
-    def timed(self, now: int, give_up_at: int, retry: bool = False) -> None:
-        home, method = self.home, self.method
+    def set_deadlines(self, now: int, give_up_at: int, retry: bool = False) -> None:
+        home, method = self.balancer, self.method
         # Guards against work for nobody: a marked retry that the hard deadline cuts short tells when its
         # first try came, and the soft deadline runs from there. A sixteenth less is the lateness of a loop.
-        method.patience = max(method.patience, give_up_at - now)
-        cut = retry and give_up_at - now < method.patience - max(home.slack, method.patience // 16)
-        self.come = now = min(now, give_up_at - method.hard) if cut else now
+        method.longest_timeout = max(method.longest_timeout, give_up_at - now)
+        cut = retry and give_up_at - now < method.longest_timeout - max(
+            home.deadline_margin, method.longest_timeout // 16
+        )
+        self.arrived_at = now = min(now, give_up_at - method.hard_deadline) if cut else now
         # An answer is wanted two ticks early, so that a time-out is still answered before the deadline.
-        self.soft_end = min(now + method.soft, give_up_at) - home.slack
-        self.end = give_up_at - home.slack if method.late else self.soft_end
+        self.soft_deadline_at = min(now + method.soft_deadline, give_up_at) - home.deadline_margin
+        self.answer_by = give_up_at - home.deadline_margin if method.overdue_payoff else self.soft_deadline_at
 
-    def coming(self, now: int, give_up_at: int, here: bool, whole: bool) -> int:
+    def body_received(self, now: int, give_up_at: int, here: bool, whole: bool) -> int:
         """A long request's time counts from its last byte; its new limit. Not all `here`, it goes no more."""
-        self.here = here
-        self.timed(now, give_up_at)
-        self.lasts(not whole)  # an upstream begins it once it is whole
-        return max(1, self.end - now)
+        self.body_buffered = here
+        self.set_deadlines(now, give_up_at)
+        self.set_long_lived(not whole)  # an upstream begins it once it is whole
+        return max(1, self.answer_by - now)
 
-    def first_run(self) -> int | None:
+    def first_possibly_executed(self) -> int | None:
         """The first transmission that may have run, those still out included."""
-        return next((tx for tx, at in enumerate(self.sent) if at is not None), None)
+        return next((tx for tx, at in enumerate(self.sent_at) if at is not None), None)
 
-    def reaches(self, zone: "Zone") -> bool:  # noqa: F821
-        return bool(zone.ring)
+    def may_use_zone(self, zone: "Zone") -> bool:  # noqa: F821
+        return bool(zone.rotation)
 
-    def allowed(self, up: Upstream, now: int) -> bool:
+    def may_send_to(self, up: Upstream, now: int) -> bool:
         """Rule 2, no effect twice: what may have run goes again only where its method permits."""
-        method, first = self.method, self.first_run()
-        if first is None or method.retriable:
+        method, first = self.method, self.first_possibly_executed()
+        if first is None or method.idempotent:
             return True
-        if not method.deduped or now > self.sent[first] + method.window:
+        if not method.deduplicated or now > self.sent_at[first] + method.dedup_window:
             return False
-        ran_on = self.tries[first]
-        if method.group == "zone":
+        ran_on = self.attempts[first]
+        if method.dedup_scope == "zone":
             return up.zone == ran_on.zone
-        return method.group == "all" or up.cell == ran_on.cell
+        return method.dedup_scope == "all" or up.cell == ran_on.cell
 
-    def final(self, now: int) -> tuple[int, int]:
+    def final_answer(self, now: int) -> tuple[int, int]:
         """Exhausted tells the client that another try is harmless; where that is not certain, errored."""
         self.finish()
         method = self.method
-        if method.retriable or self.first_run() is None or (method.deduped and method.group == "all"):
-            return EXHAUSTED, self.home.retry_after(now, self)
+        if (
+            method.idempotent
+            or self.first_possibly_executed() is None
+            or (method.deduplicated and method.dedup_scope == "all")
+        ):
+            return EXHAUSTED, self.balancer.retry_after(now, self)
         return ERRORED, 0
 
     def finish(self) -> list[int]:
         """No more answers; returns the transmissions still out, which nobody waits for any longer."""
         self.done = True
-        self.home.unhold(self)
-        return list(self.out) if self.home.cancelling else []
+        self.balancer.dequeue(self)
+        return list(self.outstanding) if self.balancer.cancels_attempts else []
 
     def decide(self, now: int) -> tuple[int, int] | None:
-        home, method = self.home, self.method
-        if self.done or (self.out and not (self.again_at is not None and now >= self.again_at)):
+        home, method = self.balancer, self.method
+        if self.done or (self.outstanding and not (self.hedge_at is not None and now >= self.hedge_at)):
             return None
-        repeat = self.first_run() is not None
-        self.again_at = None
+        repeat = self.first_possibly_executed() is not None
+        self.hedge_at = None
         if (
-            self.turned
-            or now >= self.end
-            or len(self.tries) >= home.most
-            or (self.here is False and self.tries)
+            self.overtaken
+            or now >= self.answer_by
+            or len(self.attempts) >= home.max_attempts
+            or (self.body_buffered is False and self.attempts)
             or (
                 repeat
                 and not (
-                    (method.retriable or method.deduped)
-                    and self.repeats < method.further
-                    and home.spare >= 1
-                    and not home.follows(self)
+                    (method.idempotent or method.deduplicated)
+                    and self.retries < method.max_retries
+                    and home.retry_tokens >= 1
+                    and not home.failure_follows_request(self)
                 )
             )
         ):
-            return None if self.out else self.final(now)
+            return None if self.outstanding else self.final_answer(now)
         # Crossing has a price, so the own zone gets that share of the soft deadline to make room first, or a
         # quarter of what the soft deadline leaves beside the usual time.
-        stay = self.come + int(max(home.cross_price * method.soft, (method.soft - home.typical()) / 4))
-        up = home.choose(now, self, now < stay)
-        if up is None and now < stay and not self.out:
-            if home.hold(now, self, stay):
+        stay = self.arrived_at + int(
+            max(
+                home.cross_zone_price * method.soft_deadline,
+                (method.soft_deadline - home.typical_duration()) / 4,
+            )
+        )
+        up = home.choose_upstream(now, self, now < stay)
+        if up is None and now < stay and not self.outstanding:
+            if home.enqueue(now, self, stay):
                 return None
-            up = home.choose(now, self, False)
+            up = home.choose_upstream(now, self, False)
         if up is not None:
             return self.transmit(now, up, repeat)
-        if self.out or home.hold(now, self, now):
+        if self.outstanding or home.enqueue(now, self, now):
             return None
-        return self.final(now)
+        return self.final_answer(now)
 
     def transmit(self, now: int, up: Upstream, repeat: bool) -> tuple[int, int]:
-        home, method = self.home, self.method
-        home.unhold(self)
-        if not self.tries and home.drag(method) > 1:
-            self.lasting = True  # it will hold its place for long, as an open stream does
+        home, method = self.balancer, self.method
+        home.dequeue(self)
+        if not self.attempts and home.method_slowness(method) > 1:
+            self.long_lived = True  # it will hold its place for long, as an open stream does
         if repeat:
-            self.repeats += 1
-            home.spare -= 1
-        limit = self.end - now
-        if (method.retriable or method.deduped) and len(self.tries) + 1 < home.most and home.spare >= 1:
+            self.retries += 1
+            home.retry_tokens -= 1
+        limit = self.answer_by - now
+        if (
+            (method.idempotent or method.deduplicated)
+            and len(self.attempts) + 1 < home.max_attempts
+            and home.retry_tokens >= 1
+        ):
             # Guards against a hang: a second upstream gets its chance while the soft deadline can be met.
-            patience = int(max(3 * home.expected(up, now), (self.soft_end - now) // 2))
-            if now + patience + home.typical() < self.soft_end:
-                if home.parallel and self.here is None:
-                    self.again_at = now + patience
-                    heappush(home.alarms, (self.again_at, home.count(), self))
-                elif up.bad > up.good:
+            patience = int(max(3 * home.expected_duration(up, now), (self.soft_deadline_at - now) // 2))
+            if now + patience + home.typical_duration() < self.soft_deadline_at:
+                if home.hedging and self.body_buffered is None:
+                    self.hedge_at = now + patience
+                    heappush(home.timers, (self.hedge_at, home.next_sequence(), self))
+                elif up.failures > up.successes:
                     # Only where more has failed than completed lately: elsewhere the work cut off is lost.
                     limit = min(limit, patience)
-        home.count_in(up, 1 - self.lasting, int(self.lasting))
-        self.out[len(self.tries)] = max(1, up.flight) + up.crowd
-        up.used = now
-        self.tries.append(up)
-        self.sent.append(now)
+        home.add_load(up, 1 - self.long_lived, int(self.long_lived))
+        self.outstanding[len(self.attempts)] = max(1, up.in_flight) + up.reported_load
+        up.last_used_at = now
+        self.attempts.append(up)
+        self.sent_at.append(now)
         return up.index, max(1, limit)
 
-    def ended(self, now: int, tx: int, outcome: int, took: int, settled: bool, fresh=False) -> list[int]:
-        home, up = self.home, self.tries[tx]
+    def attempt_finished(
+        self, now: int, tx: int, outcome: int, took: int, settled: bool, fresh=False
+    ) -> list[int]:
+        home, up = self.balancer, self.attempts[tx]
         zone = home.zones[up.zone]
-        crowd = self.out.pop(tx)
-        home.count_in(up, self.lasting - 1, -self.lasting)
+        crowd = self.outstanding.pop(tx)
+        home.add_load(up, self.long_lived - 1, -self.long_lived)
         # Guards against windows that lag: where ends are rare, each counts for more, as if all came in step.
-        gain = min(5.0, 0.3 + 3 * (now - zone.last_end) / SECOND)
-        zone.last_end = now
+        gain = min(5.0, 0.3 + 3 * (now - zone.last_finished_at) / SECOND)
+        zone.last_finished_at = now
         if outcome in (TIMED_OUT, COMPLETED) and not fresh:
-            drag = home.drag(self.method)
+            drag = home.method_slowness(self.method)
             if outcome == COMPLETED:
-                over = min(1.0, took / drag / (home.aim * self.method.soft) - 1)
-                zone.late.add(now, over > 0, 1.0, MEMORY)
+                over = min(1.0, took / drag / (home.latency_target * self.method.soft_deadline) - 1)
+                zone.late_ratio.add(now, over > 0, 1.0, MEMORY)
             else:
-                over = (drag == 1) * 2.0 * zone.late.of(1.0)
+                over = (drag == 1) * 2.0 * zone.late_ratio.estimate(1.0)
             # Slow among sound ones is an upstream's own fault, not the crowd's.
-            if over > 0 and home.expected(up, now) <= 1.2 * zone.usual:
-                zone.window = max(0.1, zone.window * exp(-STEP * over * gain))
-                zone.opening = False
-            elif over < 0 and zone.flight + 1 >= zone.window:
-                if zone.opening:
-                    zone.window += OPENING
-                zone.window *= max(GROW if zone.window > 1 else 1.0, exp(-STEP * over * gain))
-        home.learn(now, up, outcome, took, crowd, fresh, self)
-        home.release(up)
-        self.turned_away += [zone] * (outcome == TURNED_AWAY)
+            if over > 0 and home.expected_duration(up, now) <= 1.2 * zone.typical_duration:
+                zone.concurrency_limit = max(0.1, zone.concurrency_limit * exp(-STEP * over * gain))
+                zone.limit_ramping = False
+            elif over < 0 and zone.in_flight + 1 >= zone.concurrency_limit:
+                if zone.limit_ramping:
+                    zone.concurrency_limit += OPENING
+                zone.concurrency_limit *= max(
+                    GROW if zone.concurrency_limit > 1 else 1.0, exp(-STEP * over * gain)
+                )
+        home.record_outcome(now, up, outcome, took, crowd, fresh, self)
+        home.release_if_unused(up)
+        self.rejecting_zones += [zone] * (outcome == TURNED_AWAY)
         if outcome in NEVER_RAN:
-            self.sent[tx] = None
+            self.sent_at[tx] = None
         return self.finish() if settled and not self.done else []
 
-    def started(self, lasting: bool = False) -> None:
+    def response_started(self, lasting: bool = False) -> None:
         """A streamed answer has begun: this transmission is the client's now, and no other may follow."""
-        self.again_at = None
-        self.lasts(lasting or self.lasting)
+        self.hedge_at = None
+        self.set_long_lived(lasting or self.long_lived)
 
-    def lasts(self, lasting: bool) -> None:
+    def set_long_lived(self, lasting: bool) -> None:
         """An open stream, idle or slow, is held, for passing over: no work in flight, and in no window."""
-        if lasting != self.lasting:
-            self.lasting = lasting
-            for tx in self.out:
-                self.home.count_in(self.tries[tx], 1 - 2 * lasting, 2 * lasting - 1)
+        if lasting != self.long_lived:
+            self.long_lived = lasting
+            for tx in self.outstanding:
+                self.balancer.add_load(self.attempts[tx], 1 - 2 * lasting, 2 * lasting - 1)
 
-    def gone(self, now: int) -> list[int]:
+    def client_disconnected(self, now: int) -> list[int]:
         return self.finish()
--- a/shedgrade/load_balancing/subsetting.py
+++ b/shedgrade/load_balancing/subsetting.py
@@ -10,32 +10,32 @@
 
 
 class Parts:
-    def kept(self, up: Upstream) -> bool:
-        part = self.zones[up.zone].part
+    def in_subset(self, up: Upstream) -> bool:
+        part = self.zones[up.zone].subset
         return part is None or up in part
 
-    def deal(self) -> None:
+    def assign_subset(self) -> None:
         """Guards against hundreds of sidecars with a connection each to every upstream: it takes so many."""
-        ups = [up for up in self.ups.values() if up.listed]
-        rows, zones = sorted((up.mark or 0, up.size, up.zone, up.index) for up in ups), len(self.zones)
-        near, far = ([row for row in rows if (row[2] == self.own) is here] for here in (True, False))
-        number, count, kept = self.number % MOST, min(self.sidecars, MOST), []
-        if self.keeps and rows:
-            least, mean = SHARED if self.shared else LONE
+        ups = [up for up in self.upstreams.values() if up.listed]
+        rows, zones = sorted((up.id_hash or 0, up.capacity, up.zone, up.index) for up in ups), len(self.zones)
+        near, far = ([row for row in rows if (row[2] == self.own_zone) is here] for here in (True, False))
+        number, count, kept = self.sidecar_number % MOST, min(self.sidecar_count, MOST), []
+        if self.uses_subset and rows:
+            least, mean = SHARED if self.connections_multiplexed else LONE
             mine, each = max(1.0, count / zones), COVER * len(rows) / count
             cover = min(mine, max(COVER, mean * mine / max(1, len(near))))
             other = max(FAR[1], min(each, zones - 1), each * (zones - 1) / 2 / zones) * count / len(rows)
-            self.zones[self.own].share = cover * len(near) / mine
+            self.zones[self.own_zone].mean_subset_size = cover * len(near) / mine
             kept = [
-                self.ups[row[3]]
+                self.upstreams[row[3]]
                 for rows, far, least in ((near, 0.0, least), (far, other, FAR[0]))
                 for row in sorted(dealt(rows, zones, number, count, cover, far, least))
             ]
         for place, zone in enumerate(self.zones):
-            zone.ready = sum(up.zone == place for up in ups)
-            part = [up for up in kept if up.zone == place] if self.keeps else None
-            if part != zone.part:
-                zone.part, zone.ring = part, [up for up in zone.ring if part is None or up in part]
+            zone.ready_count = sum(up.zone == place for up in ups)
+            part = [up for up in kept if up.zone == place] if self.uses_subset else None
+            if part != zone.subset:
+                zone.subset, zone.rotation = part, [up for up in zone.rotation if part is None or up in part]
                 for up in ups if part is None else part:
                     if up.zone == place:
-                        self.rotation(up, not up.aside_until)
+                        self.set_in_rotation(up, not up.ejected_until)
--- a/shedgrade/load_balancing/upstream.py
+++ b/shedgrade/load_balancing/upstream.py
@@ -17,68 +17,83 @@
         "zone",
         "cell",
         "state",
-        "started",
-        "flight",
-        "mark",
-        "took",
-        "foreseen",
-        "good",
-        "bad",
-        "stamp",
-        "aside_until",
-        "trial",
-        "size",
-        "kind",
-        "turns",
+        "started_at",
+        "in_flight",
+        "id_hash",
+        "observed_duration",
+        "foreseen_duration",
+        "successes",
+        "failures",
+        "decayed_at",
+        "ejected_until",
+        "half_open",
+        "capacity",
+        "hardware",
+        "rotation_credit",
         "listed",
-        "cold_turns",
-        "cold_stamp",
-        "doubt",
-        "held",
-        "crowd",
-        "out",
-        "told",
-        "back_at",
-        "used",
-        "dropped",
+        "slow_start_credit",
+        "slow_start_updated_at",
+        "probation_successes",
+        "background_load",
+        "reported_load",
+        "withdrawn",
+        "listed_start",
+        "reinstated_at",
+        "last_used_at",
+        "delisted",
     )
 
     def __init__(self, index: int, turns: float) -> None:
         self.index, self.zone, self.cell, self.state = index, None, 0, REMOVED
-        self.started = self.flight = 0
-        self.out, self.dropped, self.back_at = False, False, 0  # by operators; by the list; put back at
-        self.told, self.used = 0, -LONGEST  # its start as the list tells it; when it was last sent to
-        self.mark, self.size, self.kind, self.listed = None, 1.0, None, False
-        self.crowd = 0.0  # RPCs held a core, as the list tells by its size
-        self.held = 0  # streams that are open there: they load it, but are no work in flight
-        self.doubt = 0  # good ends it still owes before it gets more than one RPC at a time
-        self.turns = self.cold_turns = turns
-        self.forget()
+        self.started_at = self.in_flight = 0
+        self.withdrawn, self.delisted, self.reinstated_at = (
+            False,
+            False,
+            0,
+        )  # by operators; by the list; put back at
+        self.listed_start, self.last_used_at = (
+            0,
+            -LONGEST,
+        )  # its start as the list tells it; when it was last sent to
+        self.id_hash, self.capacity, self.hardware, self.listed = None, 1.0, None, False
+        self.reported_load = 0.0  # RPCs held a core, as the list tells by its size
+        self.background_load = 0  # streams that are open there: they load it, but are no work in flight
+        self.probation_successes = 0  # good ends it still owes before it gets more than one RPC at a time
+        self.rotation_credit = self.slow_start_credit = turns
+        self.reset_health()
 
-    def forget(self) -> None:
+    def reset_health(self) -> None:
         """Health of an earlier process says nothing of the next one."""
-        self.took = self.foreseen = self.good = self.bad = 0.0
-        self.stamp = self.aside_until = self.cold_stamp = 0
-        self.trial = False
+        self.observed_duration = self.foreseen_duration = self.successes = self.failures = 0.0
+        self.decayed_at = self.ejected_until = self.slow_start_updated_at = 0
+        self.half_open = False
 
-    def fade(self, now: int, memory: float) -> None:
-        if now > self.stamp:
-            keep = exp((self.stamp - now) / memory)
-            self.took, self.foreseen, self.stamp = self.took * keep, self.foreseen * keep, now
-            self.good, self.bad = self.good * keep, self.bad * keep
+    def decay(self, now: int, memory: float) -> None:
+        if now > self.decayed_at:
+            keep = exp((self.decayed_at - now) / memory)
+            self.observed_duration, self.foreseen_duration, self.decayed_at = (
+                self.observed_duration * keep,
+                self.foreseen_duration * keep,
+                now,
+            )
+            self.successes, self.failures = self.successes * keep, self.failures * keep
 
 
 class Ratio:
     """Two sums that fade, and their ratio with evidence worth `prior` for the usual one."""
 
-    __slots__ = ("over", "under", "stamp")
+    __slots__ = ("numerator", "denominator", "decayed_at")
 
     def __init__(self, over: float = 0.0, now: int = 0) -> None:
-        self.over, self.under, self.stamp = over, 0.0, now
+        self.numerator, self.denominator, self.decayed_at = over, 0.0, now
 
     def add(self, now: int, over: float, under: float, memory: float = LONGEST) -> None:
-        keep = exp((self.stamp - now) / memory)
-        self.over, self.under, self.stamp = self.over * keep + over, self.under * keep + under, now
+        keep = exp((self.decayed_at - now) / memory)
+        self.numerator, self.denominator, self.decayed_at = (
+            self.numerator * keep + over,
+            self.denominator * keep + under,
+            now,
+        )
 
-    def of(self, prior: float, usual: float = 1.0) -> float:
-        return (self.over + usual * prior) / (self.under + prior)
+    def estimate(self, prior: float, usual: float = 1.0) -> float:
+        return (self.numerator + usual * prior) / (self.denominator + prior)
--- a/shedgrade/load_balancing/zones.py
+++ b/shedgrade/load_balancing/zones.py
@@ -17,145 +17,174 @@
     """The rotation of one zone: `ring`, of its `ready` or its `part`; `crowd` as the list tells."""
 
     __slots__ = (
-        "ring",
-        "ready",
-        "part",
-        "turn",
-        "flight",
-        "window",
-        "usual",
-        "last_end",
-        "read",
-        "held",
-        "moved",
-        "opening",
-        "crowd",
-        "late",
-        "share",
+        "rotation",
+        "ready_count",
+        "subset",
+        "next_position",
+        "in_flight",
+        "concurrency_limit",
+        "typical_duration",
+        "last_finished_at",
+        "limit_read_at",
+        "background_load",
+        "changed",
+        "limit_ramping",
+        "reported_load",
+        "late_ratio",
+        "mean_subset_size",
         "number",
     )
 
     def __init__(self, turn: float) -> None:
-        self.ring, self.turn, self.flight, self.window, self.usual = [], turn, 0, inf, 0.0
-        self.ready = self.last_end = self.read = self.held = 0
-        self.part, self.moved, self.opening, self.crowd, self.late = None, False, True, 0.0, Ratio()
-        self.share = 0.0  # upstreams of it that a sidecar keeps to on the mean
+        self.rotation, self.next_position, self.in_flight, self.concurrency_limit, self.typical_duration = (
+            [],
+            turn,
+            0,
+            inf,
+            0.0,
+        )
+        self.ready_count = self.last_finished_at = self.limit_read_at = self.background_load = 0
+        self.subset, self.changed, self.limit_ramping, self.reported_load, self.late_ratio = (
+            None,
+            False,
+            True,
+            0.0,
+            Ratio(),
+        )
+        self.mean_subset_size = 0.0  # upstreams of it that a sidecar keeps to on the mean
 
-    def full(self, rpc: Rpc) -> bool:
+    def is_full(self, rpc: Rpc) -> bool:
         """A window between two counts admits that part of the RPCs, each by its own luck; what the list tells
         is held there cuts it, where the time foreseen at the mean passes the soft deadline."""
-        window = self.window
-        if self.crowd:
-            window *= min(1.0, rpc.method.soft / (rpc.home.base + rpc.home.slope * (1 + self.crowd))) ** 2
-            window *= max(1.0, min(2.0, CALM / self.crowd))
-        return self.flight + rpc.luck >= window
+        window = self.concurrency_limit
+        if self.reported_load:
+            window *= (
+                min(
+                    1.0,
+                    rpc.method.soft_deadline
+                    / (rpc.balancer.latency_base + rpc.balancer.latency_slope * (1 + self.reported_load)),
+                )
+                ** 2
+            )
+            window *= max(1.0, min(2.0, CALM / self.reported_load))
+        return self.in_flight + rpc.admission_draw >= window
 
 
 class Choice:
-    threshold = THRESHOLD
+    drop_threshold = THRESHOLD
 
-    def choose(self, now: int, rpc: Rpc, stay: bool) -> Upstream | None:
+    def choose_upstream(self, now: int, rpc: Rpc, stay: bool) -> Upstream | None:
         """The design's path: drop the worst zone at the threshold; own zone first, else a draw; rotation."""
-        for up in self.owed:
+        for up in self.reinstated:
             if (
                 up.listed
-                and self.kept(up)
-                and up not in rpc.tries
-                and rpc.allowed(up, now)
-                and self.room(up, now, rpc.soft_end - now, self.expected(up, now))
+                and self.in_subset(up)
+                and up not in rpc.attempts
+                and rpc.may_send_to(up, now)
+                and self.has_capacity(up, now, rpc.soft_deadline_at - now, self.expected_duration(up, now))
             ):
                 # Guards against an upstream that is put back and never met again, by a light sidecar or from
                 # another zone: one RPC, within the budget of cold ones, shows that it is well.
-                self.owed.remove(up)
-                return self.chosen(up, now)
-        worst, most, open_zones = None, self.threshold, []
+                self.reinstated.remove(up)
+                return self.charge_slow_start(up, now)
+        worst, most, open_zones = None, self.drop_threshold, []
         for zone in self.zones:
-            if rpc.reaches(zone):
-                if zone.window < 1:
+            if rpc.may_use_zone(zone):
+                if zone.concurrency_limit < 1:
                     # What holds back some of all RPCs fades when nothing confirms it.
-                    zone.window **= exp((zone.read - now) / LONGEST)
-                zone.read = now
+                    zone.concurrency_limit **= exp((zone.limit_read_at - now) / LONGEST)
+                zone.limit_read_at = now
                 open_zones.append(zone)
-                load = zone.flight / len(zone.ring)
+                load = zone.in_flight / len(zone.rotation)
                 if load >= most and (worst is None or load > most):
                     worst, most = zone, load
         if worst is not None and len(open_zones) > 1:
             open_zones.remove(worst)
-        open_zones = [zone for zone in open_zones if zone not in rpc.turned_away] or open_zones
-        own = self.zones[self.own]
-        left = rpc.soft_end - now if not rpc.method.late else rpc.end - now
+        open_zones = [zone for zone in open_zones if zone not in rpc.rejecting_zones] or open_zones
+        own = self.zones[self.own_zone]
+        left = rpc.soft_deadline_at - now if not rpc.method.overdue_payoff else rpc.answer_by - now
         if own in open_zones:
-            up = self.rotate(own, now, rpc, left)
+            up = self.next_in_rotation(own, now, rpc, left)
             if up is not None:
                 return up
-            if stay and own.window >= 1:
+            if stay and own.concurrency_limit >= 1:
                 return None
             open_zones.remove(own)
         # A zone without room is left out and the draw repeated.
         while open_zones:
-            sizes = [zone.ready if self.keeps else len(zone.ring) for zone in open_zones]
-            zone = self.pick(open_zones, sizes)[0]
-            up = self.rotate(zone, now, rpc, left)
+            sizes = [zone.ready_count if self.uses_subset else len(zone.rotation) for zone in open_zones]
+            zone = self.choices(open_zones, sizes)[0]
+            up = self.next_in_rotation(zone, now, rpc, left)
             if up is not None:
                 return up
             open_zones.remove(zone)
-        if worst is not None and worst.ring:
-            return self.rotate(worst, now, rpc, left)
-        if self.latent and not rpc.out and not any(up.flight for up in self.latent.values()):
+        if worst is not None and worst.rotation:
+            return self.next_in_rotation(worst, now, rpc, left)
+        if (
+            self.last_resort_upstreams
+            and not rpc.outstanding
+            and not any(up.in_flight for up in self.last_resort_upstreams.values())
+        ):
             return self.last_resort(now, rpc)
-        held_back = any(zone.ring and zone.full(rpc) for zone in self.zones)
-        return None if self.flight or rpc.out or held_back else self.last_resort(now, rpc)
+        held_back = any(zone.rotation and zone.is_full(rpc) for zone in self.zones)
+        return None if self.in_flight or rpc.outstanding or held_back else self.last_resort(now, rpc)
 
-    def rotate(self, zone: Zone, now: int, rpc: Rpc, left: int) -> Upstream | None:
+    def next_in_rotation(self, zone: Zone, now: int, rpc: Rpc, left: int) -> Upstream | None:
         """The next in rotation that is not well above the mean, then any that has room."""
-        if not zone.ring or zone.full(rpc):
+        if not zone.rotation or zone.is_full(rpc):
             return None
-        ring, size = zone.ring, len(zone.ring)
-        start = int(zone.turn * size) if isinstance(zone.turn, float) else zone.turn % size
-        bar, over = (zone.flight + zone.held) / size + MARGIN, None
+        ring, size = zone.rotation, len(zone.rotation)
+        start = (
+            int(zone.next_position * size)
+            if isinstance(zone.next_position, float)
+            else zone.next_position % size
+        )
+        bar, over = (zone.in_flight + zone.background_load) / size + MARGIN, None
         for step in range(min(size, VISITS)):
             up = ring[(start + step) % size]
-            if up in rpc.tries or not rpc.allowed(up, now):
+            if up in rpc.attempts or not rpc.may_send_to(up, now):
                 continue
-            expected = self.expected(up, now)
-            zone.usual += (expected - zone.usual) / size if zone.usual else expected
-            if not self.room(up, now, left, expected):
+            expected = self.expected_duration(up, now)
+            zone.typical_duration += (
+                (expected - zone.typical_duration) / size if zone.typical_duration else expected
+            )
+            if not self.has_capacity(up, now, left, expected):
                 continue
             # Guards against mixed speeds: over time, too, an upstream well above the mean is passed over, so
             # that a slow one gets the fewer turns the longer it takes, and the dear, with most to lose, go
             # elsewhere. What is quick enough takes every turn.
-            swift = max(EASY * self.shortest, SWIFT * zone.usual)
-            up.turns += 1.0 if expected <= swift else (swift / expected) ** 2
+            swift = max(EASY * self.shortest_soft_deadline, SWIFT * zone.typical_duration)
+            up.rotation_credit += 1.0 if expected <= swift else (swift / expected) ** 2
             if (
-                up.flight + up.held <= bar
-                and up.turns >= 1
+                up.in_flight + up.background_load <= bar
+                and up.rotation_credit >= 1
                 and (expected <= swift or rpc.payoff <= self.mean_payoff)
             ):
-                up.turns -= 1
-                zone.turn = (start + step + 1) % size
-                return self.chosen(up, now)
+                up.rotation_credit -= 1
+                zone.next_position = (start + step + 1) % size
+                return self.charge_slow_start(up, now)
             over = over or up
-        return over and self.chosen(over, now)
+        return over and self.charge_slow_start(over, now)
 
-    def chosen(self, up: Upstream, now: int) -> Upstream:
-        if self.is_cold(up, now):
-            up.cold_turns -= 1
+    def charge_slow_start(self, up: Upstream, now: int) -> Upstream:
+        if self.is_warming_up(up, now):
+            up.slow_start_credit -= 1
         return up
 
     def last_resort(self, now: int, rpc: Rpc) -> Upstream | None:
         """Nothing eligible, nothing out to wait for: the ready upstream that returns first, one at a time."""
-        best, ups = None, list((self.latent or self.ups).values())
-        start = int(self.chance() * len(ups))
+        best, ups = None, list((self.last_resort_upstreams or self.upstreams).values())
+        start = int(self.random() * len(ups))
         # From a random place, or all balancers would fall on the same one.
         for up in ups[start:] + ups[:start]:
             if (
                 up.listed
-                and not up.flight
-                and self.kept(up)
-                and up not in rpc.tries
-                and (rpc.allowed(up, now))
-                and (best is None or up.aside_until < best.aside_until)
-                and (not self.is_cold(up, now) or self.cold_room(up, now))
+                and not up.in_flight
+                and self.in_subset(up)
+                and up not in rpc.attempts
+                and (rpc.may_send_to(up, now))
+                and (best is None or up.ejected_until < best.ejected_until)
+                and (not self.is_warming_up(up, now) or self.has_slow_start_credit(up, now))
             ):
                 best = up
-        return best and self.chosen(best, now)
+        return best and self.charge_slow_start(best, now)
--- a/shedgrade/model_routing/balancer.py
+++ b/shedgrade/model_routing/balancer.py
@@ -67,114 +67,127 @@
     """`decide.Balancer` for streams of a model: no windows and no times foreseen, as an upstream's batch
     takes what comes; places are kept until a stream ends."""
 
-    handle = ServingRpc
+    rpc_class = ServingRpc
 
     def __init__(
         self, regions: list[str], own: int, seed: int, now: int, repeats: Repeats, name: str = ""
     ) -> None:
-        self.cold_until: dict[int, int] = {}  # by upstream, as the list tells
-        self.others: dict[int, int] = {}
-        self.prefixes, self.repeats, self.name = Prefixes(), repeats, name
-        self.record = NoRecord()
+        self.warming_up_until: dict[int, int] = {}  # by upstream, as the list tells
+        self.remote_loads: dict[int, int] = {}
+        self.prefix_affinity, self.retry_budget, self.name = Prefixes(), repeats, name
+        self.prefix_index = NoRecord()
         super().__init__(settings(regions, own), seed, now)
         for number, zone in enumerate(self.zones):
             zone.number = number
 
-    def relisted(self) -> None:
-        super().relisted()
-        self.prefixes.moved()
+    def list_updated(self) -> None:
+        super().list_updated()
+        self.prefix_affinity.rotation_changed()
         for zone in self.zones:
-            zone.window = inf
+            zone.concurrency_limit = inf
 
-    def choose(self, now: int, rpc: ServingRpc, stay: bool) -> Upstream | None:
+    def choose_upstream(self, now: int, rpc: ServingRpc, stay: bool) -> Upstream | None:
         """Guards against a refusal while something could be tried: what returns first, one request at a
         time."""
-        up = self.kept_elsewhere(now, rpc)
+        up = self.prefix_holder_elsewhere(now, rpc)
         if up is None:
-            rpc.dropped = self.crowded(rpc)
-            up = super().choose(now, rpc, stay)
-            if up is None and rpc.dropped is not None:
-                rpc.dropped = None
-                up = super().choose(now, rpc, stay)
+            rpc.overloaded_region = self.overloaded_region(rpc)
+            up = super().choose_upstream(now, rpc, stay)
+            if up is None and rpc.overloaded_region is not None:
+                rpc.overloaded_region = None
+                up = super().choose_upstream(now, rpc, stay)
         return up or self.last_resort(now, rpc)
 
-    def kept_elsewhere(self, now: int, rpc: ServingRpc) -> Upstream | None:
+    def prefix_holder_elsewhere(self, now: int, rpc: ServingRpc) -> Upstream | None:
         """The own region gives way to one upstream of another: the one on record as holding a long prompt's
         shared parts, which the own region would read anew. It must be of a region that the gate lets stay,
         and not be well above that region's mean."""
         wants: Wants = rpc.tag.wants
-        if wants.shared < FAR or rpc.tries:
+        if wants.prefix_tokens < FAR or rpc.attempts:
             return None
-        held = self.record.holders(wants.kept_as)
+        held = self.prefix_index.holders(wants.prefix_id)
         if not held:
             return None
-        own, best = self.zones[self.own], None
-        if rpc.reaches(own) and any(up.mark in held for up in own.ring):
+        own, best = self.zones[self.own_zone], None
+        if rpc.may_use_zone(own) and any(up.id_hash in held for up in own.rotation):
             return None
         for zone in self.zones:
-            if zone is own or not rpc.reaches(zone) or zone.flight / len(zone.ring) >= self.threshold:
+            if (
+                zone is own
+                or not rpc.may_use_zone(zone)
+                or zone.in_flight / len(zone.rotation) >= self.drop_threshold
+            ):
                 continue
-            bar = self.bar(zone, wants)
-            for up in zone.ring:
+            bar = self.admission_threshold(zone, wants)
+            for up in zone.rotation:
                 if (
-                    up.mark in held
-                    and up.flight + up.held <= bar
-                    and rpc.allowed(up, now)
-                    and self.room(up, now, 0, 1.0)
-                    and (best is None or up.flight + up.held < best.flight + best.held)
+                    up.id_hash in held
+                    and up.in_flight + up.background_load <= bar
+                    and rpc.may_send_to(up, now)
+                    and self.has_capacity(up, now, 0, 1.0)
+                    and (
+                        best is None
+                        or up.in_flight + up.background_load < best.in_flight + best.background_load
+                    )
                 ):
                     best = up
-        return best and self.chosen(best, now)
+        return best and self.charge_slow_start(best, now)
 
-    def bar(self, zone: Zone, wants: Wants) -> float:
+    def admission_threshold(self, zone: Zone, wants: Wants) -> float:
         """In flight at which one that keeps a prompt's shared parts is still taken: what the mean has, and
         what reading them anew elsewhere would weigh."""
-        return self.load_of(zone) + MARGIN + wants.shared / UNIT
+        return self.mean_load(zone) + MARGIN + wants.prefix_tokens / UNIT
 
-    def unread(self, up: Upstream, wants: Wants) -> int:
+    def prefill_load(self, up: Upstream, wants: Wants) -> int:
         """What reading its prompt there weighs, beside its place in flight, until its first event."""
-        kept = wants.shared if wants.key and up.mark in self.record.holders(wants.kept_as) else 0
-        return max(0, min(HEAVIEST, (wants.tokens - kept) // UNIT))
-
-    def room(self, up: Upstream, now: int, left: int, expected: float) -> bool:
-        return not (up.trial and up.flight) and (not self.is_cold(up, now) or self.cold_room(up, now))
-
-    def expected(self, up: Upstream, now: int) -> float:
-        up.fade(now, self.memory)
+        kept = (
+            wants.prefix_tokens
+            if wants.prefix_key and up.id_hash in self.prefix_index.holders(wants.prefix_id)
+            else 0
+        )
+        return max(0, min(HEAVIEST, (wants.prompt_tokens - kept) // UNIT))
+
+    def has_capacity(self, up: Upstream, now: int, left: int, expected: float) -> bool:
+        return not (up.half_open and up.in_flight) and (
+            not self.is_warming_up(up, now) or self.has_slow_start_credit(up, now)
+        )
+
+    def expected_duration(self, up: Upstream, now: int) -> float:
+        up.decay(now, self.decay_time)
         return 1.0  # every upstream takes all its turns; in flight tells which are passed over
 
-    def keep_aside(self, now: int, up: Upstream) -> None:
+    def extend_ejection(self, now: int, up: Upstream) -> None:
         """It can't be reached: it is set aside, or stays so for a whole span from now."""
-        if up.aside_until and up.listed:
-            self.back(up)
-        self.set_aside(now, up, True)
+        if up.ejected_until and up.listed:
+            self.readmit(up)
+        self.eject(now, up, True)
 
-    def measure(self, now: int, up: Upstream, took: int, crowd: int, rpc: Rpc) -> None:
+    def record_duration(self, now: int, up: Upstream, took: int, crowd: int, rpc: Rpc) -> None:
         """Times of streams follow their lengths, not their upstreams: nothing is learnt of them."""
 
-    def rotate(self, zone: Zone, now: int, rpc: ServingRpc, left: int) -> Upstream | None:
+    def next_in_rotation(self, zone: Zone, now: int, rpc: ServingRpc, left: int) -> Upstream | None:
         wants: Wants = rpc.tag.wants
-        if wants.key and len(zone.ring) > 1:
-            bar = self.bar(zone, wants)
-            held = self.record.holders(wants.kept_as)
-            known = [up for up in zone.ring if up.mark in held] if held else ()
-            for up in (*known, *self.prefixes.holders(zone, wants.key)):
+        if wants.prefix_key and len(zone.rotation) > 1:
+            bar = self.admission_threshold(zone, wants)
+            held = self.prefix_index.holders(wants.prefix_id)
+            known = [up for up in zone.rotation if up.id_hash in held] if held else ()
+            for up in (*known, *self.prefix_affinity.holders(zone, wants.prefix_key)):
                 if (
-                    up.flight + up.held <= bar
-                    and up not in rpc.tries
-                    and rpc.allowed(up, now)
-                    and self.room(up, now, left, 1.0)
+                    up.in_flight + up.background_load <= bar
+                    and up not in rpc.attempts
+                    and rpc.may_send_to(up, now)
+                    and self.has_capacity(up, now, left, 1.0)
                 ):
-                    return self.chosen(up, now)
-        return super().rotate(zone, now, rpc, left)
+                    return self.charge_slow_start(up, now)
+        return super().next_in_rotation(zone, now, rpc, left)
 
     def served(self, now: int, up: Upstream, wants: Wants) -> None:
         """A request ended well there."""
 
     def retry_after(self, now: int, rpc: ServingRpc) -> int:
-        return int(self.span(*BACK) * SECOND)
+        return int(self.uniform(*BACK) * SECOND)
 
-    def release(self, up: Upstream) -> None:
-        super().release(up)
-        if up.index not in self.ups:
-            self.cold_until.pop(up.index, None)
+    def release_if_unused(self, up: Upstream) -> None:
+        super().release_if_unused(up)
+        if up.index not in self.upstreams:
+            self.warming_up_until.pop(up.index, None)
--- a/shedgrade/model_routing/fleet_load.py
+++ b/shedgrade/model_routing/fleet_load.py
@@ -20,57 +20,57 @@
     same gate is applied to what all of them have in flight together.
     """
 
-    others: dict[int, int]  # by upstream
+    remote_loads: dict[int, int]  # by upstream
     slots = 0  # requests that an upstream works on at a time; 0: not told
-    threshold = LEAST_THRESHOLD  # of the mechanism's gate
+    drop_threshold = LEAST_THRESHOLD  # of the mechanism's gate
 
-    def sized(self, slots: int) -> None:
+    def set_slots(self, slots: int) -> None:
         """So many requests each upstream works on at a time; 0: not told."""
         self.slots = slots
-        self.threshold = max(LEAST_THRESHOLD, SLOTS_SHARE * slots)
+        self.drop_threshold = max(LEAST_THRESHOLD, SLOTS_SHARE * slots)
 
     def own_loads(self) -> Iterator[tuple[int, int]]:
         """By mark, what this edge has in flight, with the weight of prompts that are not read yet."""
-        for up in self.ups.values():
-            load = up.flight + up.held - self.others.get(up.index, 0)
-            if load > 0 and up.mark is not None:
-                yield up.mark, load
+        for up in self.upstreams.values():
+            load = up.in_flight + up.background_load - self.remote_loads.get(up.index, 0)
+            if load > 0 and up.id_hash is not None:
+                yield up.id_hash, load
 
-    def others_told(self, loads: Mapping[int, int]) -> None:
+    def update_remote_loads(self, loads: Mapping[int, int]) -> None:
         """`loads`: by mark, all that other edges have in flight there; none where it is not named."""
-        for up in self.ups.values():
-            self.set_others(up, loads.get(up.mark, 0) if up.listed else 0)
+        for up in self.upstreams.values():
+            self.set_remote_load(up, loads.get(up.id_hash, 0) if up.listed else 0)
 
-    def set_others(self, up: Upstream, load: int) -> None:
-        before = self.others.pop(up.index, 0)
+    def set_remote_load(self, up: Upstream, load: int) -> None:
+        before = self.remote_loads.pop(up.index, 0)
         if load:
-            self.others[up.index] = load
+            self.remote_loads[up.index] = load
         if load != before:
-            self.count_in(up, 0, load - before)
+            self.add_load(up, 0, load - before)
 
-    def release(self, up: Upstream) -> None:
+    def release_if_unused(self, up: Upstream) -> None:
         """What others still have at one that is gone is no reason to remember it."""
         if up.state == REMOVED and up.zone is not None:
-            self.set_others(up, 0)
-        super().release(up)
+            self.set_remote_load(up, 0)
+        super().release_if_unused(up)
 
-    def load_of(self, zone: Zone) -> float:
+    def mean_load(self, zone: Zone) -> float:
         """Requests in flight per ready upstream of a region, of all edges."""
-        return (zone.flight + zone.held) / len(zone.ring)
+        return (zone.in_flight + zone.background_load) / len(zone.rotation)
 
-    def crowded(self, rpc: ServingRpc) -> int | None:
+    def overloaded_region(self, rpc: ServingRpc) -> int | None:
         """The worst region by what all edges have in flight per ready upstream, if that is at the threshold
         and another one is much better.
 
         Each request has a threshold of its own, between the gate's and twice that: guards against a fleet
         that leaves a region all at once, and all at once comes back.
         """
-        if not self.slots or not self.others:
+        if not self.slots or not self.remote_loads:
             return None
-        zones = [zone for zone in self.zones if rpc.reaches(zone)]
+        zones = [zone for zone in self.zones if rpc.may_use_zone(zone)]
         if len(zones) < 2:
             return None
-        worst = max(zones, key=self.load_of)
-        load, least = self.load_of(worst), min(self.load_of(zone) for zone in zones)
-        crowded = load >= self.threshold * (1.0 + self.chance())
+        worst = max(zones, key=self.mean_load)
+        load, least = self.mean_load(worst), min(self.mean_load(zone) for zone in zones)
+        crowded = load >= self.drop_threshold * (1.0 + self.random())
         return worst.number if crowded and load >= RELIEF * least else None
--- a/shedgrade/model_routing/prefix_affinity.py
+++ b/shedgrade/model_routing/prefix_affinity.py
@@ -23,16 +23,16 @@
     """Orders upstreams by key; an order holds until the region's rotation changes."""
 
     def __init__(self) -> None:
-        self.orders: dict[tuple[int, bytes], tuple[Upstream, ...]] = {}
+        self.rankings: dict[tuple[int, bytes], tuple[Upstream, ...]] = {}
 
-    def moved(self) -> None:
-        self.orders.clear()
+    def rotation_changed(self) -> None:
+        self.rankings.clear()
 
     def holders(self, zone: Zone, key: bytes) -> tuple[Upstream, ...]:
-        order = self.orders.get((zone.number, key))
-        if order is None or any(up not in zone.ring for up in order):
-            if len(self.orders) >= KEYS:
-                self.orders.clear()
-            ranked = sorted(zone.ring, key=lambda up: weigh(key, up.mark or 0), reverse=True)
-            order = self.orders[zone.number, key] = tuple(ranked[:HOLDERS])
+        order = self.rankings.get((zone.number, key))
+        if order is None or any(up not in zone.rotation for up in order):
+            if len(self.rankings) >= KEYS:
+                self.rankings.clear()
+            ranked = sorted(zone.rotation, key=lambda up: weigh(key, up.id_hash or 0), reverse=True)
+            order = self.rankings[zone.number, key] = tuple(ranked[:HOLDERS])
         return order
--- a/shedgrade/model_routing/request.py
+++ b/shedgrade/model_routing/request.py
@@ -19,7 +19,17 @@
     legs of the same stream ran on. `before`: to how many they went.
     """
 
-    __slots__ = ("homes", "key", "most", "target", "avoid", "before", "tokens", "shared", "kept_as")
+    __slots__ = (
+        "home_regions",
+        "prefix_key",
+        "max_attempts",
+        "latency_target",
+        "excluded_upstreams",
+        "earlier_attempts",
+        "prompt_tokens",
+        "prefix_tokens",
+        "prefix_id",
+    )
 
     def __init__(
         self,
@@ -32,92 +42,103 @@
         tokens: int = 0,
         shared: int = 0,
     ) -> None:
-        self.homes, self.key, self.most, self.target = homes, key, most, target
-        self.avoid, self.before, self.tokens, self.shared = avoid, before, tokens, shared
-        self.kept_as = key_of(key) if key else 0  # as the record names the parts
+        self.home_regions, self.prefix_key, self.max_attempts, self.latency_target = homes, key, most, target
+        self.excluded_upstreams, self.earlier_attempts, self.prompt_tokens, self.prefix_tokens = (
+            avoid,
+            before,
+            tokens,
+            shared,
+        )
+        self.prefix_id = key_of(key) if key else 0  # as the record names the parts
 
 
 class ServingRpc(Rpc):
     """Goes again only after what proves that it did not run, or where it may run again, within the fleet's
     budget."""
 
-    __slots__ = ("arrived", "refused", "reading", "dropped")
+    __slots__ = ("attempts_arrived", "rejections", "prefill_load", "overloaded_region")
 
     def __init__(
         self, home, method, now: int, give_up_at: int, retry: bool, tag: object, tenant: int
     ) -> None:
-        self.arrived, self.refused, self.reading = tag.wants.before, 0, 0
-        self.dropped: int | None = None  # the region that all edges together crowd
+        self.attempts_arrived, self.rejections, self.prefill_load = tag.wants.earlier_attempts, 0, 0
+        self.overloaded_region: int | None = None  # the region that all edges together crowd
         super().__init__(home, method, now, give_up_at, retry, tag, tenant)
 
-    def timed(self, now: int, give_up_at: int, retry: bool = False) -> None:
-        self.come = now
-        self.soft_end = min(now + self.tag.wants.target, give_up_at)
-        self.end = give_up_at - self.home.slack
+    def set_deadlines(self, now: int, give_up_at: int, retry: bool = False) -> None:
+        self.arrived_at = now
+        self.soft_deadline_at = min(now + self.tag.wants.latency_target, give_up_at)
+        self.answer_by = give_up_at - self.balancer.deadline_margin
 
-    def reaches(self, zone: Zone) -> bool:
-        homes = self.tag.wants.homes
-        return bool(zone.ring) and zone.number != self.dropped and (homes is None or zone.number in homes)
+    def may_use_zone(self, zone: Zone) -> bool:
+        homes = self.tag.wants.home_regions
+        return (
+            bool(zone.rotation)
+            and zone.number != self.overloaded_region
+            and (homes is None or zone.number in homes)
+        )
 
-    def allowed(self, up: Upstream, now: int) -> bool:
+    def may_send_to(self, up: Upstream, now: int) -> bool:
         wants = self.tag.wants
         return (
-            (wants.homes is None or up.zone in wants.homes)
-            and up.index not in wants.avoid
-            and (super().allowed(up, now))
+            (wants.home_regions is None or up.zone in wants.home_regions)
+            and up.index not in wants.excluded_upstreams
+            and (super().may_send_to(up, now))
         )
 
     def decide(self, now: int) -> tuple[int, int] | None:
-        home = self.home
-        if self.done or self.out:
+        home = self.balancer
+        if self.done or self.outstanding:
             return None
-        repeat = self.arrived > 0
+        repeat = self.attempts_arrived > 0
         if (
-            now >= self.end
-            or self.arrived >= self.tag.wants.most
-            or len(self.tries) >= home.most
-            or (self.here is False and self.tries)
-            or (self.first_run() is not None and not self.method.retriable)
-            or (repeat and not home.repeats.allowed(now))
+            now >= self.answer_by
+            or self.attempts_arrived >= self.tag.wants.max_attempts
+            or len(self.attempts) >= home.max_attempts
+            or (self.body_buffered is False and self.attempts)
+            or (self.first_possibly_executed() is not None and not self.method.idempotent)
+            or (repeat and not home.retry_budget.allows_retry(now))
         ):
-            return self.final(now)
-        up = home.choose(now, self, False)
-        return self.final(now) if up is None else self.transmit(now, up, repeat)
+            return self.final_answer(now)
+        up = home.choose_upstream(now, self, False)
+        return self.final_answer(now) if up is None else self.transmit(now, up, repeat)
 
     def transmit(self, now: int, up: Upstream, repeat: bool) -> tuple[int, int]:
-        home = self.home
-        home.repeats.sent(now, repeat)
-        self.arrived += 1
-        self.reading = home.unread(up, self.tag.wants)
-        home.count_in(up, 1, self.reading)
-        self.out[len(self.tries)] = max(1, up.flight)
-        up.used = now
-        self.tries.append(up)
-        self.sent.append(now)
-        return up.index, max(1, self.end - now)
-
-    def ended(self, now: int, tx: int, outcome: int, took: int, settled: bool, fresh=False) -> list[int]:
-        self.read(tx)
+        home = self.balancer
+        home.retry_budget.record_sent(now, repeat)
+        self.attempts_arrived += 1
+        self.prefill_load = home.prefill_load(up, self.tag.wants)
+        home.add_load(up, 1, self.prefill_load)
+        self.outstanding[len(self.attempts)] = max(1, up.in_flight)
+        up.last_used_at = now
+        self.attempts.append(up)
+        self.sent_at.append(now)
+        return up.index, max(1, self.answer_by - now)
+
+    def attempt_finished(
+        self, now: int, tx: int, outcome: int, took: int, settled: bool, fresh=False
+    ) -> list[int]:
+        self.prefill_finished(tx)
         if outcome in ARRIVED_NOT:
-            self.arrived -= 1
-            self.home.repeats.took_back(now, self.arrived > 0)
+            self.attempts_arrived -= 1
+            self.balancer.retry_budget.record_not_arrived(now, self.attempts_arrived > 0)
         elif outcome in (TURNED_AWAY, BROKEN):
-            self.refused += 1
+            self.rejections += 1
         elif outcome == COMPLETED:
-            self.home.served(now, self.tries[tx], self.tag.wants)
-        return super().ended(now, tx, outcome, took, settled, fresh)
+            self.balancer.served(now, self.attempts[tx], self.tag.wants)
+        return super().attempt_finished(now, tx, outcome, took, settled, fresh)
 
-    def read(self, tx: int) -> None:
+    def prefill_finished(self, tx: int) -> None:
         """Its prompt has been read there, or is read no more."""
-        if self.reading:
-            self.home.count_in(self.tries[tx], 0, -self.reading)
-            self.reading = 0
+        if self.prefill_load:
+            self.balancer.add_load(self.attempts[tx], 0, -self.prefill_load)
+            self.prefill_load = 0
 
-    def started(self, lasting: bool = False) -> None:
+    def response_started(self, lasting: bool = False) -> None:
         """A stream keeps a place of its upstream until it ends: it stays in flight, as a send adds one and
         only its outcome takes it off."""
-        self.again_at = None
-        for tx in self.out:
-            self.read(tx)
-            if self.tag.wants.key:
-                self.home.record.saw(self.tag.wants.kept_as, self.tries[tx].mark)
+        self.hedge_at = None
+        for tx in self.outstanding:
+            self.prefill_finished(tx)
+            if self.tag.wants.prefix_key:
+                self.balancer.prefix_index.saw(self.tag.wants.prefix_id, self.attempts[tx].id_hash)
--- a/shedgrade/model_routing/retry_budget.py
+++ b/shedgrade/model_routing/retry_budget.py
@@ -17,10 +17,10 @@
 
     def __init__(self, ratio: float, slack: float, window: int) -> None:
         self.ratio, self.slack, self.window = ratio, slack, max(SECOND, window)
-        self.sidecars = 1
-        self.step = self.window // 10
+        self.sidecar_count = 1
+        self.slot_length = self.window // 10
         self.counts: deque[list[int]] = deque()  # [tenth, requests, repeats], the oldest first
-        self.requests = self.repeats = 0
+        self.requests = self.retries = 0
 
     def retune(self, ratio: float, slack: float, window: int) -> None:
         """Other bounds, as of a start. With another window, repeats so far go on counting and requests don't:
@@ -28,35 +28,35 @@
         self.ratio, self.slack, window = ratio, slack, max(SECOND, window)
         if window == self.window:
             return
-        newest = self.counts[-1][0] * self.step if self.counts else 0
-        self.window, self.step, self.requests = window, window // 10, 0
-        self.counts = deque([[newest // self.step, 0, self.repeats]])
+        newest = self.counts[-1][0] * self.slot_length if self.counts else 0
+        self.window, self.slot_length, self.requests = window, window // 10, 0
+        self.counts = deque([[newest // self.slot_length, 0, self.retries]])
 
-    def look(self, now: int) -> None:
-        tenth = now // self.step
+    def advance(self, now: int) -> None:
+        tenth = now // self.slot_length
         while self.counts and self.counts[0][0] < tenth - 10:
             _, requests, repeats = self.counts.popleft()
             self.requests -= requests
-            self.repeats -= repeats
+            self.retries -= repeats
         if not self.counts or self.counts[-1][0] != tenth:
             self.counts.append([tenth, 0, 0])
 
-    def count(self, now: int, requests: int, repeats: int) -> None:
-        self.look(now)
+    def add(self, now: int, requests: int, repeats: int) -> None:
+        self.advance(now)
         self.counts[-1][1] += requests
         self.counts[-1][2] += repeats
         self.requests += requests
-        self.repeats += repeats
+        self.retries += repeats
 
-    def sent(self, now: int, repeat: bool) -> None:
-        self.count(now, int(not repeat), int(repeat))
+    def record_sent(self, now: int, repeat: bool) -> None:
+        self.add(now, int(not repeat), int(repeat))
 
-    def took_back(self, now: int, repeat: bool) -> None:
+    def record_not_arrived(self, now: int, repeat: bool) -> None:
         """It never arrived: it counts as neither."""
-        self.count(now, -int(not repeat), -int(repeat))
+        self.add(now, -int(not repeat), -int(repeat))
 
-    def allowed(self, now: int) -> bool:
+    def allows_retry(self, now: int) -> bool:
         """One more repeat keeps this sidecar within its share."""
-        self.look(now)
-        share = self.ratio * max(0, self.requests) + self.slack / max(1, self.sidecars)
-        return self.repeats + 1 <= CAUTION * share
+        self.advance(now)
+        share = self.ratio * max(0, self.requests) + self.slack / max(1, self.sidecar_count)
+        return self.retries + 1 <= CAUTION * share
--- a/shedgrade/model_routing/slow_start.py
+++ b/shedgrade/model_routing/slow_start.py
@@ -17,24 +17,29 @@
     """The part of `decide.Cold` that differs: who is cold is told by the list, for how long and at what
     rate."""
 
-    cold_rate = 0.0  # requests a second that a cold upstream bears, all sidecars together
-    cold_bound = 0.0  # the most that it may get within any second
+    slow_start_rate = 0.0  # requests a second that a cold upstream bears, all sidecars together
+    slow_start_bound = 0.0  # the most that it may get within any second
     sidecars, name = 1, ""  # the largest count of sidecars known lately; this one's name
 
-    def is_cold(self, up: Upstream, now: int) -> bool:
-        return now < self.cold_until.get(up.index, 0)
+    def is_warming_up(self, up: Upstream, now: int) -> bool:
+        return now < self.warming_up_until.get(up.index, 0)
 
-    def cold_share(self, up: Upstream) -> float:
+    def slow_start_rate_share(self, up: Upstream) -> float:
         """Requests a second that this sidecar may send it."""
-        if self.sidecars <= max(FEW, self.cold_bound - PART * self.cold_rate) or not self.cold_rate:
-            return PART * self.cold_rate / max(1, self.sidecars)
-        chosen = crc32(b"%d:%s" % (up.mark or 0, self.name.encode())) / 2**32 < FEW / self.sidecars
-        return PART * self.cold_rate / FEW if chosen else 0.0
-
-    def cold_room(self, up: Upstream, now: int) -> bool:
-        if not self.cold_rate:
+        if (
+            self.sidecar_count <= max(FEW, self.slow_start_bound - PART * self.slow_start_rate)
+            or not self.slow_start_rate
+        ):
+            return PART * self.slow_start_rate / max(1, self.sidecar_count)
+        chosen = crc32(b"%d:%s" % (up.id_hash or 0, self.name.encode())) / 2**32 < FEW / self.sidecar_count
+        return PART * self.slow_start_rate / FEW if chosen else 0.0
+
+    def has_slow_start_credit(self, up: Upstream, now: int) -> bool:
+        if not self.slow_start_rate:
             return True  # no bound is told
-        since = max(0, now - up.cold_stamp) if up.cold_stamp else 0
-        up.cold_turns = min(1.0, up.cold_turns + since / SECOND * self.cold_share(up))
-        up.cold_stamp = now
-        return up.cold_turns >= 1
+        since = max(0, now - up.slow_start_updated_at) if up.slow_start_updated_at else 0
+        up.slow_start_credit = min(
+            1.0, up.slow_start_credit + since / SECOND * self.slow_start_rate_share(up)
+        )
+        up.slow_start_updated_at = now
+        return up.slow_start_credit >= 1
--- a/shedgrade/request_dispatch.py
+++ b/shedgrade/request_dispatch.py
@@ -90,7 +90,7 @@
         self.gather(lambda now: self.balancer.list_failed(now))
 
     def doubted(self, upstreams: list[int], ends: int, last: bool) -> None:
-        self.gather(lambda now: self.balancer.doubted(now, upstreams, ends, last))
+        self.gather(lambda now: self.balancer.mark_unverified(now, upstreams, ends, last))
 
     def restore(self, state: dict, age: float) -> None:
         self.gather(lambda now: learned_state.restore(self.balancer, now, state, age))
@@ -99,7 +99,7 @@
         """Other settings from now on; what was gathered before is decided on first. `numbers`: of the methods
         that stay, the new by the old."""
         self.run()
-        self.balancer.retuned(settings)
+        self.balancer.update_settings(settings)
         for carried in self.in_hand.carried:
             carried.tickets = tuple(
                 (gate, ticket, numbers.get(method, -1), at) for gate, ticket, method, at in carried.tickets
@@ -108,7 +108,7 @@
 
     def divided(self, part: float) -> None:
         """Of what cold upstreams may get, this much is this process's: an upgrade has two."""
-        self.gather(lambda now: self.balancer.divided(part))
+        self.gather(lambda now: self.balancer.set_slow_start_share(part))
 
     def conclude(self) -> None:
         """The process ends now: whatever is in hand gets its final answer, and nothing more is sent."""
@@ -140,7 +140,7 @@
             for call, args in actions:
                 self.guarded(call, *args)
         # Only now that nothing gathered names an upstream by its index may the index be another's.
-        for upstream in self.balancer.released():
+        for upstream in self.balancer.take_released():
             self.forget(upstream)
         self.set_timer()
         for watcher in self.watchers:
@@ -169,7 +169,7 @@
             self.caller.stop(transmission)
             self.events.append((self.end, (transmission, load_balancing.STOPPED, None, self.clock.now())))
         if carried.rpc is not None:
-            carried.rpc.gone(self.clock.now())
+            carried.rpc.client_disconnected(self.clock.now())
 
     def due(self, now: int) -> None:
         for rpc in self.balancer.due(now):
@@ -210,17 +210,17 @@
             return
         carried.looked = now
         for gate in self.gates:
-            got = gate.enter(now, carried, method, retry, self.balancer.luck(method))
+            got = gate.enter(now, carried, method, retry, self.balancer.draw_admission(method))
             if isinstance(got, int):
                 self.finish(carried)
-                wait = min(got, self.balancer.longest_wait)
+                wait = min(got, self.balancer.max_retry_after)
                 self.actions.append((carried.client.exhausted, (wait,)))
                 return
             carried.tickets = (*carried.tickets, (gate, got, method, now))
         allowance = ALLOWANCE + int(self.lag)
-        carried.rpc = self.balancer.take(now, method, give_up_at - allowance, retry, carried, tenant)
+        carried.rpc = self.balancer.admit(now, method, give_up_at - allowance, retry, carried, tenant)
         if carried.coming:
-            carried.rpc.coming(now, give_up_at - allowance, True, False)
+            carried.rpc.body_received(now, give_up_at - allowance, True, False)
         self.decide(now, carried)
 
     def end(self, now: int, transmission: Transmission, outcome: int, answer: Answer | None, at: int) -> None:
@@ -235,7 +235,7 @@
             whole = answer if outcome == load_balancing.COMPLETED else None
             self.actions.append((carried.client.completed, (whole,)))
         took = (at if transmission.first is None else transmission.first) - transmission.sent
-        stops = carried.rpc.ended(now, tx, outcome, max(0, took), carried.done, transmission.fresh)
+        stops = carried.rpc.attempt_finished(now, tx, outcome, max(0, took), carried.done, transmission.fresh)
         self.stop(now, carried, stops)
         done = len(self.actions)
         self.decide(now, carried)
@@ -245,7 +245,9 @@
     def come(self, now: int, carried: Carried, here: bool, whole: bool, at: int) -> None:
         if carried.done or carried.rpc is None:
             return
-        limit = carried.rpc.coming(now, at + carried.wait * 10 - ALLOWANCE - int(self.lag), here, whole)
+        limit = carried.rpc.body_received(
+            now, at + carried.wait * 10 - ALLOWANCE - int(self.lag), here, whole
+        )
         if whole:
             carried.coming = False
             for transmission in carried.out.values():
@@ -260,7 +262,7 @@
         carried.opened, carried.coming = True, False
         transmission.first, transmission.until = at, self.open_limit(carried, now)
         self.limit(transmission, transmission.until)
-        carried.rpc.started(True)
+        carried.rpc.response_started(True)
         self.stop(now, carried, [tx for tx in carried.out if tx != transmission.tx])
         self.actions.append((carried.client.flowing, (answer,)))
 
@@ -268,7 +270,7 @@
         carried = transmission.carried
         if transmission.still_out() and not carried.done:
             carried.opened, transmission.until = True, load_balancing.inf
-            carried.rpc.started(True)
+            carried.rpc.response_started(True)
             self.actions.append((carried.client.opened, (transmission.link,)))
 
     def gone(self, now: int, carried: Carried) -> None:
@@ -276,13 +278,13 @@
             return
         self.finish(carried)
         if carried.rpc is not None:
-            self.stop(now, carried, carried.rpc.gone(now))
+            self.stop(now, carried, carried.rpc.client_disconnected(now))
 
     def list_changed(self, now: int, rows: list, whole: bool, asked: bool) -> None:
         self.balancer.list_changed(now, rows, whole, asked)
 
     def order(self, now: int, upstream: int, out: bool, told: Callable[[], None]) -> None:
-        self.balancer.ordered(now, upstream, out)
+        self.balancer.set_withdrawn(now, upstream, out)
         if out:
             self.actions.append((self.caller.withdraw, (upstream,)))
         self.actions.append((told, ()))
@@ -298,7 +300,7 @@
         what, value = answer
         if what >= 0:
             until = carried.latest if carried.coming else now + value
-            transmission = Transmission(carried, len(carried.rpc.tries) - 1, what, now, until)
+            transmission = Transmission(carried, len(carried.rpc.attempts) - 1, what, now, until)
             carried.out[transmission.tx] = transmission
             self.limit(transmission, until)
             self.actions.append((self.transmit, (transmission, now)))
@@ -322,8 +324,8 @@
         tickets, carried.tickets = carried.tickets, ()
         if tickets:
             now = self.clock.now()
-            ran = carried.rpc is not None and carried.rpc.first_run() is not None
-            sent = carried.rpc.sent[carried.rpc.first_run()] if ran else now
+            ran = carried.rpc is not None and carried.rpc.first_possibly_executed() is not None
+            sent = carried.rpc.sent_at[carried.rpc.first_possibly_executed()] if ran else now
             for gate, ticket, method, _ in tickets:
                 gate.leave(now, ticket, method, ran, now - sent)
 
@@ -354,7 +356,7 @@
         carried = transmission.carried
         if carried.done or not transmission.still_out() or now >= transmission.until:
             return False
-        up = self.balancer.ups.get(transmission.upstream)
+        up = self.balancer.upstreams.get(transmission.upstream)
         if up is None or not up.listed:
             return False
         if now - carried.looked > LOOKED:
--- a/shedgrade/sidecar/capture/explanation.py
+++ b/shedgrade/sidecar/capture/explanation.py
@@ -41,54 +41,59 @@
         def name(self, up: object) -> str:
             return self.names.get(str(up.index), str(up.index))
 
-        def choose(self, now, rpc, stay):
+        def choose_upstream(self, now, rpc, stay):
             if self.lines is not None:
                 self.say(
                     "  zones: "
                     + "; ".join(
-                        f"{number}{'*' * (number == self.own)} {zone.flight} in flight on {len(zone.ring)}, "
-                        f"window {zone.window:.1f}"
-                        f"{', full for its luck' if zone.ring and zone.full(rpc) else ''}"
+                        f"{number}{'*' * (number == self.own_zone)} {zone.in_flight} in flight "
+                        f"on {len(zone.rotation)}, "
+                        f"window {zone.concurrency_limit:.1f}"
+                        f"{', full for its luck' if zone.rotation and zone.is_full(rpc) else ''}"
                         for number, zone in enumerate(self.zones)
                     )
                 )
                 loads = [
-                    (zone.flight / len(zone.ring), number)
+                    (zone.in_flight / len(zone.rotation), number)
                     for number, zone in enumerate(self.zones)
-                    if zone.ring
+                    if zone.rotation
                 ]
                 if len(loads) > 1 and max(loads)[0] >= load_balancing.THRESHOLD:
                     self.say(f"  zone {max(loads)[1]} is the worst at the threshold: dropped")
-                aside = [self.name(up) for up in self.ups.values() if up.aside_until]
+                aside = [self.name(up) for up in self.upstreams.values() if up.ejected_until]
                 if aside:
                     self.say(f"  aside: {', '.join(aside[:8])}{' ...' if len(aside) > 8 else ''}")
-            found = super().choose(now, rpc, stay)
+            found = super().choose_upstream(now, rpc, stay)
             if found is None:
                 self.say(
                     "  no upstream has room for it" + (": the own zone may make room yet" if stay else "")
                 )
             return found
 
-        def rotate(self, zone, now, rpc, left):
-            found = super().rotate(zone, now, rpc, left)
+        def next_in_rotation(self, zone, now, rpc, left):
+            found = super().next_in_rotation(zone, now, rpc, left)
             if found is not None:
-                bar = (zone.flight + zone.held) / max(1, len(zone.ring)) + load_balancing.MARGIN
-                above = "" if found.flight + found.held <= bar else ": none under the mean had room"
+                bar = (zone.in_flight + zone.background_load) / max(
+                    1, len(zone.rotation)
+                ) + load_balancing.MARGIN
+                above = (
+                    "" if found.in_flight + found.background_load <= bar else ": none under the mean had room"
+                )
                 self.say(
                     f"  zone {self.zones.index(zone)}: {self.name(found)} is next with room, "
-                    f"{found.flight} in flight there{above}"
+                    f"{found.in_flight} in flight there{above}"
                 )
             return found
 
-        def room(self, up, now, left, expected):
-            found = super().room(up, now, left, expected)
+        def has_capacity(self, up, now, left, expected):
+            found = super().has_capacity(up, now, left, expected)
             if not found:
                 why = (
                     "on trial, with one out"
-                    if up.trial and up.flight
+                    if up.half_open and up.in_flight
                     else (
                         "cold, its part is used up"
-                        if self.is_cold(up, now)
+                        if self.is_warming_up(up, now)
                         else f"{expected / 10:.0f} ms foreseen of {left / 10:.0f} left"
                     )
                 )
@@ -100,8 +105,8 @@
             self.say(f"  last resort: {self.name(found) if found is not None else 'nobody'}")
             return found
 
-        def hold(self, now, rpc, until):
-            found = super().hold(now, rpc, until)
+        def enqueue(self, now, rpc, until):
+            found = super().enqueue(now, rpc, until)
             self.say(
                 "  held: an end should come in time" if found else "  not held: no end would come in time"
             )
--- a/shedgrade/sidecar/capture/recorder.py
+++ b/shedgrade/sidecar/capture/recorder.py
@@ -52,56 +52,56 @@
 class Handle:
     """An RPC as the turn holds it."""
 
-    __slots__ = ("rpc", "number", "home")
+    __slots__ = ("rpc", "number", "recorder")
 
-    def __init__(self, home: "Recorder", rpc: load_balancing.Rpc, number: int) -> None:
-        self.home, self.rpc, self.number = home, rpc, number
+    def __init__(self, recorder: "Recorder", rpc: load_balancing.Rpc, number: int) -> None:
+        self.recorder, self.rpc, self.number = recorder, rpc, number
 
     @property
-    def tries(self) -> list:
-        return self.rpc.tries
+    def attempts(self) -> list:
+        return self.rpc.attempts
 
     @property
-    def sent(self) -> list:
-        return self.rpc.sent
+    def sent_at(self) -> list:
+        return self.rpc.sent_at
 
-    def first_run(self) -> int | None:
-        return self.rpc.first_run()
+    def first_possibly_executed(self) -> int | None:
+        return self.rpc.first_possibly_executed()
 
     def decide(self, now: int) -> tuple[int, int] | None:
         answer = self.rpc.decide(now)
         if answer is None:
             if not self.rpc.done:  # one that is done is only asked in vain
-                self.home.keep(now, NOTHING, self.number)
+                self.recorder.keep(now, NOTHING, self.number)
         else:
-            self.home.keep(now, DECIDE, self.number, *answer)
+            self.recorder.keep(now, DECIDE, self.number, *answer)
             self.over()
         return answer
 
     def over(self) -> None:
-        if self.rpc.done and not self.rpc.out:
-            self.home.live.pop(self.number, None)
+        if self.rpc.done and not self.rpc.outstanding:
+            self.recorder.live.pop(self.number, None)
 
-    def ended(
+    def attempt_finished(
         self, now: int, tx: int, outcome: int, took: int, settled: bool, fresh: bool = False
     ) -> list[int]:
-        stops = self.rpc.ended(now, tx, outcome, took, settled, fresh)
-        self.home.keep(now, ENDED, self.number, tx, outcome, took, settled, fresh, stops)
+        stops = self.rpc.attempt_finished(now, tx, outcome, took, settled, fresh)
+        self.recorder.keep(now, ENDED, self.number, tx, outcome, took, settled, fresh, stops)
         self.over()
         return stops
 
-    def started(self, lasting: bool = False) -> None:
-        self.rpc.started(lasting)
-        self.home.keep(self.home.now, STARTED, self.number, lasting)
+    def response_started(self, lasting: bool = False) -> None:
+        self.rpc.response_started(lasting)
+        self.recorder.keep(self.recorder.now, STARTED, self.number, lasting)
 
-    def coming(self, now: int, give_up_at: int, here: bool, whole: bool) -> int:
-        limit = self.rpc.coming(now, give_up_at, here, whole)
-        self.home.keep(now, COMING, self.number, give_up_at - now, here, whole, limit)
+    def body_received(self, now: int, give_up_at: int, here: bool, whole: bool) -> int:
+        limit = self.rpc.body_received(now, give_up_at, here, whole)
+        self.recorder.keep(now, COMING, self.number, give_up_at - now, here, whole, limit)
         return limit
 
-    def gone(self, now: int) -> list[int]:
-        stops = self.rpc.gone(now)
-        self.home.keep(now, GONE, self.number, stops)
+    def client_disconnected(self, now: int) -> list[int]:
+        stops = self.rpc.client_disconnected(now)
+        self.recorder.keep(now, GONE, self.number, stops)
         self.over()
         return stops
 
@@ -142,8 +142,8 @@
         self.state_at, self.look_at, self.wanted = now, 0, False
         # What changes nothing is passed on without a step between.
         inner = self.inner
-        self.wake_at, self.longest_wait = inner.wake_at, inner.longest_wait
-        if not self.inner.asks:
+        self.wake_at, self.max_retry_after = inner.wake_at, inner.max_retry_after
+        if not self.inner.subscribes_to_list:
             self.wants_list = self.inner.wants_list
         self.add({"k": "begin", "v": 1, "settings": settings, "seed": seed, "now": now})
 
@@ -204,7 +204,9 @@
         self.flush()
         self.state_at, self.wanted = now, False
         names = (
-            {str(index): self.spelled(index) for index in self.inner.ups} if self.spelled is not None else {}
+            {str(index): self.spelled(index) for index in self.inner.upstreams}
+            if self.spelled is not None
+            else {}
         )
         self.add(
             {
@@ -222,10 +224,10 @@
     # --- the calls
 
     @property
-    def ups(self) -> dict:
-        return self.inner.ups
+    def upstreams(self) -> dict:
+        return self.inner.upstreams
 
-    def take(
+    def admit(
         self,
         now: int,
         method: int,
@@ -234,7 +236,7 @@
         tag: object = None,
         tenant: int = 0,
     ) -> Handle:
-        rpc = self.inner.take(now, method, give_up_at, retry, tag, tenant)
+        rpc = self.inner.admit(now, method, give_up_at, retry, tag, tenant)
         self.numbers += 1
         name = tag.request.name if self.ids != "none" else b""
         self.keep(
@@ -262,21 +264,21 @@
         self.inner.list_failed(now)
         self.keep(now, FAILED)
 
-    def doubted(self, now: int, upstreams: list[int], ends: int, last: bool) -> None:
-        self.inner.doubted(now, upstreams, ends, last)
+    def mark_unverified(self, now: int, upstreams: list[int], ends: int, last: bool) -> None:
+        self.inner.mark_unverified(now, upstreams, ends, last)
         self.keep(now, DOUBT, upstreams, ends, last)
 
-    def ordered(self, now: int, upstream: int, out: bool) -> None:
-        self.inner.ordered(now, upstream, out)
+    def set_withdrawn(self, now: int, upstream: int, out: bool) -> None:
+        self.inner.set_withdrawn(now, upstream, out)
         self.keep(now, ORDERED, upstream, out)
 
-    def retuned(self, settings: dict) -> None:
-        self.inner.retuned(settings)
-        self.longest_wait = self.inner.longest_wait
+    def update_settings(self, settings: dict) -> None:
+        self.inner.update_settings(settings)
+        self.max_retry_after = self.inner.max_retry_after
         self.keep(self.now, RETUNED, settings)
 
-    def divided(self, part: float) -> None:
-        self.inner.divided(part)
+    def set_slow_start_share(self, part: float) -> None:
+        self.inner.set_slow_start_share(part)
         self.keep(self.now, DIVIDED, part)
 
     def restore(self, now: int, state: dict, age: float) -> None:
@@ -286,7 +288,7 @@
     def due(self, now: int):
         inner = self.inner
         at = inner.wake_at()
-        if at > now and not inner.held:
+        if at > now and not inner.queue:
             return ()  # nothing is looked at there, either
         return self.told_due(now, at)
 
@@ -305,19 +307,19 @@
             self.keep(now, WANTS, True)
         return answer
 
-    def released(self) -> list[int]:
-        upstreams = self.inner.released()
+    def take_released(self) -> list[int]:
+        upstreams = self.inner.take_released()
         if upstreams:
             self.keep(self.now, RELEASED, upstreams)
         return upstreams
 
-    def span(self, low: float, high: float) -> float:
+    def uniform(self, low: float, high: float) -> float:
         """The one draw that is made from outside: how long discovery is left alone."""
-        drawn = self.inner.span(low, high)
+        drawn = self.inner.uniform(low, high)
         self.keep(self.now, SPAN, low, high, drawn)
         return drawn
 
-    def luck(self, method: int) -> float:
-        drawn = self.inner.luck(method)
+    def draw_admission(self, method: int) -> float:
+        drawn = self.inner.draw_admission(method)
         self.keep(self.now, LUCK, method, drawn)
         return drawn
--- a/shedgrade/sidecar/capture/replay.py
+++ b/shedgrade/sidecar/capture/replay.py
@@ -135,7 +135,7 @@
     def over(self, number: int) -> None:
         """Done, with nothing out: it may still be asked in the same turn, so it goes only a while later."""
         rpc = self.rpcs[number]
-        if rpc.done and not rpc.out:
+        if rpc.done and not rpc.outstanding:
             self.ending.append(number)
             if len(self.ending) > LINGER:
                 self.rpcs.pop(self.ending.popleft(), None)
@@ -145,7 +145,7 @@
         balancer, op, told = self.balancer, row[0], row[2:]
         if op == TAKE:
             number, method, wait, retry, _, *tenant = told  # captures before the tenant end with the name
-            self.rpcs[number] = balancer.take(now, method, now + wait, retry, number, *tenant)
+            self.rpcs[number] = balancer.admit(now, method, now + wait, retry, number, *tenant)
             return None, None
         if op == DECIDE:
             answer = self.rpc(told[0]).decide(now)
@@ -156,21 +156,21 @@
         if op == ENDED:
             number, tx, outcome, took, settled, fresh, stops = told
             rpc = self.rpc(number)
-            if tx not in rpc.out:
+            if tx not in rpc.outstanding:
                 raise MissingError(f"transmission {tx} of RPC {number}")
-            got = rpc.ended(now, tx, outcome, took, settled, fresh)
+            got = rpc.attempt_finished(now, tx, outcome, took, settled, fresh)
             self.over(number)
             return stops, got
         if op == GONE:
             rpc = self.rpc(told[0])
-            got = rpc.gone(now)
+            got = rpc.client_disconnected(now)
             self.over(told[0])
             return told[1], got
         if op == COMING:
             number, wait, here, whole, limit = told
-            return limit, self.rpc(number).coming(now, now + wait, here, whole)
+            return limit, self.rpc(number).body_received(now, now + wait, here, whole)
         if op == STARTED:
-            self.rpc(told[0]).started(told[1])
+            self.rpc(told[0]).response_started(told[1])
             return None, None
         if op in (YIELD, OVER):
             if self.due is None:
@@ -184,24 +184,24 @@
         elif op == FAILED:
             balancer.list_failed(now)
         elif op == DOUBT:
-            balancer.doubted(now, *told)
+            balancer.mark_unverified(now, *told)
         elif op == ORDERED:
-            balancer.ordered(now, *told)
+            balancer.set_withdrawn(now, *told)
         elif op == RETUNED:
-            balancer.retuned(told[0])
+            balancer.update_settings(told[0])
             self.settings = told[0]
         elif op == DIVIDED:
-            balancer.divided(*told)
+            balancer.set_slow_start_share(*told)
         elif op == RESTORE:
             learned_state.restore(balancer, now, *told)
         elif op == SPAN:
-            return told[2], balancer.span(*told[:2])
+            return told[2], balancer.uniform(*told[:2])
         elif op == LUCK:
-            return told[1], balancer.luck(told[0])
+            return told[1], balancer.draw_admission(told[0])
         elif op == WANTS:
             return told[0], balancer.wants_list(now)
         elif op == RELEASED:
-            return told[0], balancer.released()
+            return told[0], balancer.take_released()
         else:
             raise MissingError(f"call {op}")
         return None, None
@@ -223,24 +223,25 @@
     """The state in words: zones with their load, upstreams that are not as usual."""
     lines = []
     for number, zone in enumerate(balancer.zones):
-        load = zone.flight / len(zone.ring) if zone.ring else 0.0
+        load = zone.in_flight / len(zone.rotation) if zone.rotation else 0.0
         lines.append(
-            f"zone {number}{' (own)' if number == balancer.own else ''}: {len(zone.ring)} in rotation, "
-            f"{zone.flight} in flight, {zone.held} held, {load:.2f} a server, window {zone.window:.1f}"
+            f"zone {number}{' (own)' if number == balancer.own_zone else ''}: "
+            f"{len(zone.rotation)} in rotation, {zone.in_flight} in flight, {zone.background_load} held, "
+            f"{load:.2f} a server, window {zone.concurrency_limit:.1f}"
         )
-    for index, up in balancer.ups.items():
+    for index, up in balancer.upstreams.items():
         odd = [
             word
             for word, true in (
-                ("aside", up.aside_until),
+                ("aside", up.ejected_until),
                 ("draining", up.state == load_balancing.DRAINING),
                 ("removed", up.state == load_balancing.REMOVED),
-                ("out", up.out),
-                ("in doubt", up.doubt),
-                ("on trial", up.trial),
+                ("out", up.withdrawn),
+                ("in doubt", up.probation_successes),
+                ("on trial", up.half_open),
             )
             if true
         ]
         if odd:
-            lines.append(f"{names.get(str(index), index)}: {', '.join(odd)}, {up.flight} in flight")
+            lines.append(f"{names.get(str(index), index)}: {', '.join(odd)}, {up.in_flight} in flight")
     return lines
--- a/shedgrade/sidecar/capture/state.py
+++ b/shedgrade/sidecar/capture/state.py
@@ -13,9 +13,10 @@
 from random import Random
 from types import ModuleType
 
+from shedgrade.sidecar.capture.stored_names import ATTRIBUTES, CLASSES, STORED_ATTRIBUTES, STORED_CLASSES
+
 VERSION = 6  # of the decisions' fields: what was frozen of others can't be gone on with
-CLASSES = ("Upstream", "Zone", "Method", "Ratio", "Rpc")
-DRAWS = {"chance": "random", "span": "uniform", "pick": "choices"}  # the balancer's draws from its one Random
+DRAWS = {"chance": "random", "span": "uniform", "pick": "choices"}  # stored name: draw from the one Random
 
 
 class StateError(Exception):
@@ -46,15 +47,18 @@
             known = places[id(thing)] = len(rows)
             rows.append([])
             told = {}
-            for name in type(thing).__slots__:
-                value = getattr(thing, name, UNSET)
+            cls = STORED_CLASSES[type(thing).__name__]
+            stored_names = STORED_ATTRIBUTES[cls]
+            for attribute in type(thing).__slots__:
+                value = getattr(thing, attribute, UNSET)
+                name = stored_names.get(attribute, attribute)
                 if type(value) in PLAIN:
                     told[name] = number(value) if name == "tag" else value
                 elif name == "tag":
                     told[name] = number(value)
                 elif value is not UNSET and name != "home":
                     told[name] = spell(value)
-            rows[known] = [type(thing).__name__, told]
+            rows[known] = [cls, told]
         return known
 
     def spell(value: object) -> object:
@@ -67,12 +71,14 @@
             return ["t", [spell(one) for one in value]]
         if kind is dict:
             return ["d", [[spell(key), spell(one)] for key, one in value.items()]]
-        if kind.__name__ in CLASSES:
+        if kind.__name__ in STORED_CLASSES:
             return ["o", place(value)]
         raise StateError(f"a {kind.__name__} has no form here")
 
     told = {}
-    for name, value in fields(balancer).items():
+    stored_names = STORED_ATTRIBUTES["Balancer"]
+    for attribute, value in fields(balancer).items():
+        name = stored_names.get(attribute, attribute)
         if name in DRAWS:
             told[name] = None
         elif name == "count":
@@ -81,7 +87,7 @@
             told[name] = spell(value)
     for rpc in rpcs:
         place(rpc)
-    version, words, gauss = balancer.chance.__self__.getstate()
+    version, words, gauss = balancer.random.__self__.getstate()
     return {"v": VERSION, "balancer": told, "rows": rows, "random": [version, list(words), gauss]}
 
 
@@ -100,7 +106,7 @@
     for name, _ in state["rows"]:
         if name not in CLASSES:
             raise StateError(f"an object {name!r} is not known")
-        cls = getattr(module, name)
+        cls = getattr(module, CLASSES[name])
         made.append(cls.__new__(cls))
 
     def read(value: object) -> object:
@@ -116,22 +122,25 @@
     balancer = kind.__new__(kind)
     rpcs = {}
     for thing, (name, told) in zip(made, state["rows"], strict=True):
-        known = set(type(thing).__slots__) - {"home"}
+        attributes, stored_names = ATTRIBUTES[name], STORED_ATTRIBUTES[name]
+        known = {stored_names.get(slot, slot) for slot in type(thing).__slots__} - {"home"}
         if not set(told) <= known or not told:
             raise StateError(f"{name} has other fields there: {sorted(set(told) - known)}")
         for field, value in told.items():
-            setattr(thing, field, value if field == "tag" else read(value))
+            setattr(thing, attributes.get(field, field), value if field == "tag" else read(value))
         if name == "Rpc":
-            thing.home = balancer
+            thing.balancer = balancer
             rpcs[thing.tag] = thing
     version, words, gauss = state["random"]
     random = Random()
     random.setstate((version, tuple(words), gauss))
+    attributes = ATTRIBUTES["Balancer"]
     for name, value in state["balancer"].items():
+        attribute = attributes.get(name, name)
         if name in DRAWS:
-            setattr(balancer, name, getattr(random, DRAWS[name]))
+            setattr(balancer, attribute, getattr(random, DRAWS[name]))
         elif name == "count":
-            balancer.count = count(value).__next__
+            setattr(balancer, attribute, count(value).__next__)
         else:
-            setattr(balancer, name, read(value))
+            setattr(balancer, attribute, read(value))
     return balancer, rpcs
--- a/shedgrade/sidecar/quota/part.py
+++ b/shedgrade/sidecar/quota/part.py
@@ -69,7 +69,7 @@
         self.gate.alike = len({method["payoff"] for method in self.methods}) < 2
 
     def look_after(self) -> None:
-        self.gate.look(self.wall() * 10, len(self.pool.balancer.ups))
+        self.gate.look(self.wall() * 10, len(self.pool.balancer.upstreams))
         now = time.monotonic()
         if now >= self.kept_at + KEEP:
             self.kept_at = now
--- a/shedgrade/sidecar/shadow_policy/follower.py
+++ b/shedgrade/sidecar/shadow_policy/follower.py
@@ -27,31 +27,31 @@
 class FollowerRpc(load_balancing.Rpc):
     """Proposes, and changes nothing by it but its own rotation and luck."""
 
-    __slots__ = ("proposing", "counted")
+    __slots__ = ("is_proposing", "counted_kinds")
 
     def __init__(self, *args) -> None:
-        self.proposing, self.counted = False, set()
+        self.is_proposing, self.counted_kinds = False, set()
         super().__init__(*args)
 
     def propose(self, now: int) -> tuple[int, int] | None:
-        self.proposing = True
+        self.is_proposing = True
         try:
             return self.decide(now)
         finally:
-            self.proposing = False
+            self.is_proposing = False
 
     def transmit(self, now: int, up: load_balancing.Upstream, repeat: bool) -> tuple[int, int]:
-        return (up.index, 0) if self.proposing else super().transmit(now, up, repeat)
+        return (up.index, 0) if self.is_proposing else super().transmit(now, up, repeat)
 
     def finish(self) -> list[int]:
-        return [] if self.proposing else super().finish()
+        return [] if self.is_proposing else super().finish()
 
     def follow(self, now: int, answer: tuple[int, int] | None) -> None:
         """What was really decided."""
         if answer is None:
             return
         if answer[0] >= 0:
-            self.transmit(now, self.home.ups[answer[0]], self.first_run() is not None)
+            self.transmit(now, self.balancer.upstreams[answer[0]], self.first_possibly_executed() is not None)
         else:
             self.finish()
 
@@ -59,7 +59,7 @@
 class Follower(load_balancing.Balancer):
     """The decisions under the other settings."""
 
-    handle = FollowerRpc
+    rpc_class = FollowerRpc
 
 
 def differs(rpc: FollowerRpc, real: tuple | None, there: tuple | None) -> str | None:
@@ -71,9 +71,9 @@
     if sent and would:
         if real[0] == there[0]:
             return None
-        ups = rpc.home.ups
+        ups = rpc.balancer.upstreams
         return OTHER_UPSTREAM if ups[real[0]].zone == ups[there[0]].zone else OTHER_ZONE
-    if rpc.tries and (sent or would):
+    if rpc.attempts and (sent or would):
         return NO_FURTHER if sent else FURTHER
     if sent:
         return HELD if there is None else NOT_SENT
--- a/shedgrade/sidecar/shadow_policy/shadow.py
+++ b/shedgrade/sidecar/shadow_policy/shadow.py
@@ -16,10 +16,10 @@
 class Handle:
     """An RPC as the turn holds it; whatever is asked of it beyond the calls below is the decisions' own."""
 
-    __slots__ = ("rpc", "home", "shadow")
+    __slots__ = ("rpc", "owner", "shadow")
 
-    def __init__(self, home: "Watched", rpc: object, shadow: FollowerRpc | None) -> None:
-        self.home, self.rpc, self.shadow = home, rpc, shadow
+    def __init__(self, owner: "Watched", rpc: object, shadow: FollowerRpc | None) -> None:
+        self.owner, self.rpc, self.shadow = owner, rpc, shadow
 
     def __getattr__(self, name: str) -> object:
         return getattr(self.rpc, name)
@@ -27,32 +27,32 @@
     def decide(self, now: int) -> tuple[int, int] | None:
         answer = self.rpc.decide(now)
         if self.shadow is not None:
-            self.home.guarded(self.home.compare, now, self.shadow, answer)
+            self.owner.guarded(self.owner.compare, now, self.shadow, answer)
         return answer
 
-    def ended(
+    def attempt_finished(
         self, now: int, tx: int, outcome: int, took: int, settled: bool, fresh: bool = False
     ) -> list[int]:
-        stops = self.rpc.ended(now, tx, outcome, took, settled, fresh)
+        stops = self.rpc.attempt_finished(now, tx, outcome, took, settled, fresh)
         if self.shadow is not None:
-            self.home.guarded(self.shadow.ended, now, tx, outcome, took, settled, fresh)
+            self.owner.guarded(self.shadow.attempt_finished, now, tx, outcome, took, settled, fresh)
         return stops
 
-    def started(self, lasting: bool = False) -> None:
-        self.rpc.started(lasting)
+    def response_started(self, lasting: bool = False) -> None:
+        self.rpc.response_started(lasting)
         if self.shadow is not None:
-            self.home.guarded(self.shadow.started, lasting)
+            self.owner.guarded(self.shadow.response_started, lasting)
 
-    def coming(self, now: int, give_up_at: int, here: bool, whole: bool) -> int:
-        limit = self.rpc.coming(now, give_up_at, here, whole)
+    def body_received(self, now: int, give_up_at: int, here: bool, whole: bool) -> int:
+        limit = self.rpc.body_received(now, give_up_at, here, whole)
         if self.shadow is not None:
-            self.home.guarded(self.shadow.coming, now, give_up_at, here, whole)
+            self.owner.guarded(self.shadow.body_received, now, give_up_at, here, whole)
         return limit
 
-    def gone(self, now: int) -> list[int]:
-        stops = self.rpc.gone(now)
+    def client_disconnected(self, now: int) -> list[int]:
+        stops = self.rpc.client_disconnected(now)
         if self.shadow is not None:
-            self.home.guarded(self.shadow.gone, now)
+            self.owner.guarded(self.shadow.client_disconnected, now)
         return stops
 
 
@@ -100,22 +100,22 @@
 
     def count(self, shadow: FollowerRpc, kind: str | None) -> None:
         """Each kind once an RPC: what is held is asked again and again."""
-        if kind is not None and kind not in shadow.counted:
-            shadow.counted.add(kind)
+        if kind is not None and kind not in shadow.counted_kinds:
+            shadow.counted_kinds.add(kind)
             self.counts[kind] += 1
 
     # --- the calls
 
-    def take(
+    def admit(
         self, now: int, method: int, give_up_at: int, retry: bool = False, tag: object = None, tenant: int = 0
     ) -> Handle:
-        rpc = self.inner.take(now, method, give_up_at, retry, tag, tenant)
+        rpc = self.inner.admit(now, method, give_up_at, retry, tag, tenant)
         self.rpcs += 1
         shadow = self.guarded(self.take_too, now, method, give_up_at, retry, tenant)
         return Handle(self, rpc, shadow)
 
     def take_too(self, now: int, method: int, give_up_at: int, retry: bool, tenant: int) -> FollowerRpc:
-        return self.follower.take(now, method, give_up_at, retry, None, tenant)
+        return self.follower.admit(now, method, give_up_at, retry, None, tenant)
 
     def due(self, now: int):
         """Both go through what is due side by side; what only the follower would ask again is compared with
@@ -132,7 +132,7 @@
         shadow = next(theirs, None)
         if shadow is None or shadow is wanted:
             return False
-        if shadow.held is not None and wanted is None:
+        if shadow.queue_entry is not None and wanted is None:
             # It goes on naming the first that is held for as long as that has not been answered.
             self.count(shadow, differs(shadow, None, shadow.propose(now)))
             return False
@@ -149,28 +149,28 @@
         if self.follower is not None:
             self.guarded(self.follower.list_failed, now)
 
-    def doubted(self, now: int, upstreams: list[int], ends: int, last: bool) -> None:
-        self.inner.doubted(now, upstreams, ends, last)
+    def mark_unverified(self, now: int, upstreams: list[int], ends: int, last: bool) -> None:
+        self.inner.mark_unverified(now, upstreams, ends, last)
         if self.follower is not None:
-            self.guarded(self.follower.doubted, now, upstreams, ends, last)
+            self.guarded(self.follower.mark_unverified, now, upstreams, ends, last)
 
-    def ordered(self, now: int, upstream: int, out: bool) -> None:
-        self.inner.ordered(now, upstream, out)
+    def set_withdrawn(self, now: int, upstream: int, out: bool) -> None:
+        self.inner.set_withdrawn(now, upstream, out)
         if self.follower is not None:
-            self.guarded(self.follower.ordered, now, upstream, out)
+            self.guarded(self.follower.set_withdrawn, now, upstream, out)
 
-    def retuned(self, settings: dict) -> None:
-        self.inner.retuned(settings)
+    def update_settings(self, settings: dict) -> None:
+        self.inner.update_settings(settings)
         if self.follower is not None:
             self.guarded(self.follow_settings, settings)
 
     def follow_settings(self, settings: dict) -> None:
-        self.follower.retuned(self.overlay(settings))
+        self.follower.update_settings(self.overlay(settings))
 
-    def divided(self, part: float) -> None:
-        self.inner.divided(part)
+    def set_slow_start_share(self, part: float) -> None:
+        self.inner.set_slow_start_share(part)
         if self.follower is not None:
-            self.guarded(self.follower.divided, part)
+            self.guarded(self.follower.set_slow_start_share, part)
 
     def restore(self, now: int, state: dict, age: float) -> None:
         learned_state.restore(self.inner, now, state, age)
@@ -182,21 +182,21 @@
             self.guarded(self.follower.wants_list, now)
         return self.inner.wants_list(now)
 
-    def released(self) -> list[int]:
+    def take_released(self) -> list[int]:
         if self.follower is not None:
-            self.guarded(self.follower.released)
-        return self.inner.released()
+            self.guarded(self.follower.take_released)
+        return self.inner.take_released()
 
-    def luck(self, method: int) -> float:
+    def draw_admission(self, method: int) -> float:
         """Drawn there too, or chance would part the two for good."""
         if self.follower is not None:
-            self.guarded(self.follower.luck, method)
-        return self.inner.luck(method)
+            self.guarded(self.follower.draw_admission, method)
+        return self.inner.draw_admission(method)
 
-    def span(self, low: float, high: float) -> float:
+    def uniform(self, low: float, high: float) -> float:
         if self.follower is not None:
-            self.guarded(self.follower.span, low, high)
-        return self.inner.span(low, high)
+            self.guarded(self.follower.uniform, low, high)
+        return self.inner.uniform(low, high)
 
     def line(self) -> str:
         """What was counted, for the log."""
--- a/shedgrade/simulator_adapter/wire.py
+++ b/shedgrade/simulator_adapter/wire.py
@@ -140,7 +140,7 @@
         txn = event["txn"]
         if txn in self.rpcs:
             raise BadInputError("txn", f"{txn} was submitted before")
-        rpc = self.rpcs[txn] = self.balancer.take(
+        rpc = self.rpcs[txn] = self.balancer.admit(
             now,
             index_below(event, "profile", self.methods),
             floor(event["not_after"] * 10),
@@ -154,11 +154,11 @@
         rpc, tx, outcome = self.rpc(event), optional(event, "copy", (int,), 0), OUTCOMES.get(event["how"])
         if outcome is None:
             raise BadInputError("how", f"{event['how']!r} is unknown")
-        if tx not in rpc.out:
+        if tx not in rpc.outstanding:
             raise BadInputError("copy", f"transmission {tx} of {rpc.tag} is not out")
         self.stop(
             rpc,
-            rpc.ended(
+            rpc.attempt_finished(
                 now, tx, outcome, tenths(optional(event, "duration", NUMBER, 0)), event.get("settled") is True
             ),
             out,
@@ -168,7 +168,7 @@
     def abandoned(self, event: dict, now: int, lists: dict, out: list) -> None:
         rpc = self.rpcs.get(event["txn"])
         if rpc is not None:
-            self.stop(rpc, rpc.gone(now), out)
+            self.stop(rpc, rpc.client_disconnected(now), out)
             self.answer_for(rpc, now, out)
 
     def alarm(self, event: dict, now: int, lists: dict, out: list) -> None:
@@ -179,7 +179,7 @@
         raise BadInputError("upstream", f"{event['upstream']!r} was not polled")
 
     def accepted(self, event: dict, now: int, lists: dict, out: list) -> None:
-        self.rpc(event).started()
+        self.rpc(event).response_started()
 
     def inbox(self, event: dict, now: int, lists: dict, out: list) -> None:
         """Sidecars tell each other nothing: what an older build told is of no use."""
@@ -203,7 +203,7 @@
                 self.say(out, "shed", txn=rpc.tag, stay_away=value / 10)
             else:
                 self.say(out, "give_up", txn=rpc.tag)
-        if rpc.done and not rpc.out:
+        if rpc.done and not rpc.outstanding:
             self.rpcs.pop(rpc.tag, None)
 
     def close_batch(self, now: int, out: list) -> None:
@@ -212,7 +212,7 @@
             self.answer_for(rpc, now, out)
         if balancer.wants_list(now):
             self.say(out, "follow", active=True)
-        for index in balancer.released():
+        for index in balancer.take_released():
             self.upstreams.release(index)
         wake = balancer.wake_at()
         if wake < self.armed:
--- a/shedgrade/upstream_pool/pool.py
+++ b/shedgrade/upstream_pool/pool.py
@@ -117,7 +117,13 @@
 
     def follow(self, address: tuple[str, int]) -> None:
         self.watch = DiscoveryWatch(
-            self.loop, address, self.reader, self.listed, self.turn.list_failed, self.balancer.span, self.asks
+            self.loop,
+            address,
+            self.reader,
+            self.listed,
+            self.turn.list_failed,
+            self.balancer.uniform,
+            self.asks,
         )
         self.watching = self.loop.create_task(self.watch.run())
 
--- a/tests/dataplane/test_ingress.py
+++ b/tests/dataplane/test_ingress.py
@@ -251,7 +251,7 @@
             plane.clock.advance(250, pool)
             with pytest.raises((asyncio.IncompleteReadError, ConnectionError)):
                 await client.body()
-            assert not pool.turn.in_hand and not pool.balancer.flight
+            assert not pool.turn.in_hand and not pool.balancer.in_flight
 
     run(play())
 
@@ -345,7 +345,7 @@
                 await client.chunk()
                 client.writer.transport.abort()
                 await asyncio.wait_for(ended.wait(), 5)
-                assert not plane.services["lm"].balancer.flight
+                assert not plane.services["lm"].balancer.in_flight
 
     run(play())
 
@@ -371,7 +371,7 @@
             await asyncio.wait_for(reached.wait(), 5)
             client.writer.close()
             await asyncio.wait_for(ended.wait(), 0.5)
-            assert not plane.services["lm"].balancer.flight and not plane.services["lm"].turn.in_hand
+            assert not plane.services["lm"].balancer.in_flight and not plane.services["lm"].turn.in_hand
 
     run(play())
 
@@ -720,7 +720,7 @@
             await task
             pool.caller.connect = pool.caller.direct
             body = await client.body()
-            assert body == events(3, 4) and pool.balancer.ups[index].aside_until
+            assert body == events(3, 4) and pool.balancer.upstreams[index].ejected_until
 
     run(play())
 
@@ -750,7 +750,7 @@
             pool.turn.run()
             go_on.set()
             assert await client.head() == 200 and await client.body() == b"free: 4"
-        assert bool(pool.balancer.ups[index].aside_until) == refuses
+        assert bool(pool.balancer.upstreams[index].ejected_until) == refuses
 
     run(play())
 
@@ -765,14 +765,14 @@
             state.now = lambda: at[0]
             told = state.instances["i-1"]
             state.moved(ListMoved(1, 2, 0.0, 1, 1, (msgspec.structs.replace(told, cold_left_ms=3000),)))
-            until = pool.balancer.cold_until[index]
+            until = pool.balancer.warming_up_until[index]
             at[0] += 2.0
             state.relist(["lm"])
-            left = pool.balancer.cold_until[index] - pool.clock.now()
-            assert 9_000 <= left <= 10_000 and pool.balancer.cold_until[index] < until
+            left = pool.balancer.warming_up_until[index] - pool.clock.now()
+            assert 9_000 <= left <= 10_000 and pool.balancer.warming_up_until[index] < until
             at[0] += 2.0
             state.relist(["lm"])
-            assert pool.balancer.cold_until[index] <= pool.clock.now()
+            assert pool.balancer.warming_up_until[index] <= pool.clock.now()
 
     run(play())
 
@@ -789,9 +789,9 @@
             state.now = lambda: at[0]
             state.controlled(ControlChange(1, 2, 7, None, ("z1",)))
             state.controlled(ControlChange(1, 3, 7, None, ()))
-            assert 29_000 <= pool.balancer.cold_until[index] - pool.clock.now() <= 30_000
+            assert 29_000 <= pool.balancer.warming_up_until[index] - pool.clock.now() <= 30_000
             at[0] += 3.1
             state.relist(["lm"])
-            assert pool.balancer.cold_until[index] <= pool.clock.now()
+            assert pool.balancer.warming_up_until[index] <= pool.clock.now()
 
     run(play())
--- a/tests/dataplane/test_return_tried_first.py
+++ b/tests/dataplane/test_return_tried_first.py
@@ -43,7 +43,9 @@
         [(Instance("i-1", "lm", host_port(address), "z1", "available"), 0.0)], {"z1": "east"}, frozenset(), {}
     )
     pool.turn.run()
-    return SimpleNamespace(pool=pool, clock=clock, up=pool.balancer.ups[0], ring=pool.balancer.zones[0].ring)
+    return SimpleNamespace(
+        pool=pool, clock=clock, up=pool.balancer.upstreams[0], ring=pool.balancer.zones[0].rotation
+    )
 
 
 async def looked(one, at):
@@ -60,11 +62,11 @@
 def test_one_that_is_still_out_of_reach_stays_aside():
     async def story():
         one = pool_of(asyncio.get_running_loop(), free_address())
-        one.pool.balancer.set_aside(one.clock.at, one.up, True)
-        until = one.up.aside_until
+        one.pool.balancer.eject(one.clock.at, one.up, True)
+        until = one.up.ejected_until
         assert await looked(one, until - PROBE_AHEAD - 1) == 0
         assert await looked(one, until - PROBE_AHEAD) == 1
-        assert one.up.aside_until >= one.clock.at + 2 * SECOND and one.ring == []
+        assert one.up.ejected_until >= one.clock.at + 2 * SECOND and one.ring == []
         assert await looked(one, until) == 0 and one.ring == []
 
     asyncio.run(story())
@@ -75,11 +77,11 @@
         met = asyncio.Event()
         server = await asyncio.start_server(lambda reader, writer: met.set(), "127.0.0.1", 0)
         one = pool_of(asyncio.get_running_loop(), server.sockets[0].getsockname())
-        one.pool.balancer.set_aside(one.clock.at, one.up, True)
-        until = one.up.aside_until
+        one.pool.balancer.eject(one.clock.at, one.up, True)
+        until = one.up.ejected_until
         assert await looked(one, until - PROBE_AHEAD) == 1
         await asyncio.wait_for(met.wait(), 5)
-        assert one.up.aside_until == until and one.ring == []
+        assert one.up.ejected_until == until and one.ring == []
         assert await looked(one, until) == 0 and one.ring == [one.up]
         for link in list(one.pool.caller.open):
             link.cut()
@@ -91,8 +93,8 @@
 def test_one_that_left_the_list_is_not_tried():
     async def story():
         one = pool_of(asyncio.get_running_loop(), free_address())
-        one.pool.balancer.set_aside(one.clock.at, one.up, True)
-        until = one.up.aside_until
+        one.pool.balancer.eject(one.clock.at, one.up, True)
+        until = one.up.ejected_until
         one.pool.listed([], {"z1": "east"}, frozenset(), {})
         one.pool.turn.run()
         assert await looked(one, until - PROBE_AHEAD) == 0
--- a/tests/helpers.py
+++ b/tests/helpers.py
@@ -70,9 +70,9 @@
     """`upstreams`: pairs of index and zone, all ready and warm."""
     b = load_balancing.Balancer(conf, seed, 0)
     b.list_changed(0, [row(up, zone) for up, zone in upstreams], True, True)
-    b.sums = [100.0, 150.0, 1000.0, 250.0, 1500.0]  # 1 ms whatever is in flight
-    b.fit()
-    b.ends.over, b.ends.under = 100.0, 4 * load_balancing.SECOND  # 20 a second
+    b.latency_sums = [100.0, 150.0, 1000.0, 250.0, 1500.0]  # 1 ms whatever is in flight
+    b.fit_latency()
+    b.finish_rate.numerator, b.finish_rate.denominator = 100.0, 4 * load_balancing.SECOND  # 20 a second
     return b
 
 
@@ -279,15 +279,15 @@
 @contextmanager
 def outcomes():
     """Every outcome that the decisions are told, in order."""
-    ends, ended = [], load_balancing.Rpc.ended
-    load_balancing.Rpc.ended = lambda rpc, now, tx, outcome, *more: (
+    ends, ended = [], load_balancing.Rpc.attempt_finished
+    load_balancing.Rpc.attempt_finished = lambda rpc, now, tx, outcome, *more: (
         ends.append(outcome),
         ended(rpc, now, tx, outcome, *more),
     )[1]
     try:
         yield ends
     finally:
-        load_balancing.Rpc.ended = ended
+        load_balancing.Rpc.attempt_finished = ended
 
 
 def on_sockets(scenario):
--- a/tests/load_balancing/test_guards.py
+++ b/tests/load_balancing/test_guards.py
@@ -9,20 +9,20 @@
 
 
 def send(b, now=0, number=0, patience=9000):
-    rpc = b.take(now, number, now + patience)
+    rpc = b.admit(now, number, now + patience)
     return rpc, rpc.decide(now)
 
 
 def test_a_refused_connection_sets_aside_for_two_to_three_seconds_and_returns_one_at_a_time():
     b = balancer(settings(), [(0, 0), (1, 0)])
     rpc, (up, _) = send(b)
-    rpc.ended(10, 0, load_balancing.UNCONNECTED, 10, False)
+    rpc.attempt_finished(10, 0, load_balancing.UNCONNECTED, 10, False)
     assert rpc.decide(10)[0] == 1 - up
     assert {send(b, 10)[1][0] for _ in range(2)} == {1 - up}
-    back = b.ups[up].aside_until
+    back = b.upstreams[up].ejected_until
     assert 20000 <= back - 10 <= 30000
     assert list(b.due(back)) == []
-    b.zones[0].window = 99
+    b.zones[0].concurrency_limit = 99
     assert [send(b, back)[1][0] for _ in range(6)].count(up) == 1
 
 
@@ -31,24 +31,24 @@
     for now in range(40):
         rpc, answer = send(b, now)
         if answer[0] >= 0:
-            rpc.ended(now, 0, load_balancing.FAILED, 1, False)
+            rpc.attempt_finished(now, 0, load_balancing.FAILED, 1, False)
             rpc.decide(now)
-    assert sum(up.aside_until > 40 for up in b.ups.values()) == 2
+    assert sum(up.ejected_until > 40 for up in b.upstreams.values()) == 2
 
 
 def test_late_ends_shrink_the_window_of_their_zone_only_where_the_upstream_is_ordinary():
     for worse in (1.0, 2.0):
         b = balancer(settings(zones=2), [(0, 0), (1, 0), (2, 1)])
-        b.zones[0].window = b.zones[1].window = 9.0
+        b.zones[0].concurrency_limit = b.zones[1].concurrency_limit = 9.0
         rpc, _ = send(b)
-        rpc.tries[0].took, rpc.tries[0].foreseen = worse * 1e6, 1e6
-        rpc.ended(4000, 0, load_balancing.TIMED_OUT, 4000, False)
-        assert (b.zones[0].window < 9.0) == (worse == 1.0) and b.zones[1].window == 9.0
+        rpc.attempts[0].observed_duration, rpc.attempts[0].foreseen_duration = worse * 1e6, 1e6
+        rpc.attempt_finished(4000, 0, load_balancing.TIMED_OUT, 4000, False)
+        assert (b.zones[0].concurrency_limit < 9.0) == (worse == 1.0) and b.zones[1].concurrency_limit == 9.0
 
 
 def test_a_full_own_zone_is_waited_for_and_then_left_for_another():
     b = balancer(settings(zones=2, prices={"cross_zone": 0.4}), [(0, 0), (1, 1)])
-    b.zones[0].window = 1.0
+    b.zones[0].concurrency_limit = 1.0
     assert send(b)[1][0] == 0
     rpc, answer = send(b)
     assert answer is None and b.wake_at() == 2000
@@ -57,13 +57,13 @@
 
 def test_the_dearest_is_held_first_and_hopeless_ones_are_exhausted_at_once():
     b = balancer(settings([method(payoff=1.0), method(payoff=5.0)]), ONE)
-    b.zones[0].window = 1.0
+    b.zones[0].concurrency_limit = 1.0
     out, _ = send(b)
     cheap, dear = send(b)[0], send(b, 0, 1)[0]
     assert [rpc for rpc in (cheap, dear) if rpc.done] == []
-    out.ended(20, 0, load_balancing.COMPLETED, 20, True)
+    out.attempt_finished(20, 0, load_balancing.COMPLETED, 20, True)
     assert next(b.due(20)) is dear and dear.decide(20)[0] == 0
-    b.zones[0].window, b.sums = 1.0, [100.0, 100.0, 400000.0, 100.0, 400000.0]
+    b.zones[0].concurrency_limit, b.latency_sums = 1.0, [100.0, 100.0, 400000.0, 100.0, 400000.0]
     assert send(b, 20)[1][0] == load_balancing.EXHAUSTED
 
 
@@ -71,12 +71,12 @@
     conf = settings(balancers=4)
     b = balancer(conf, [])
     b.list_changed(50000, [row(0, started=50000)], True, True)
-    b.zones[0].window, sends = 99.0, []
+    b.zones[0].concurrency_limit, sends = 99.0, []
     for now in range(50000, 150000, 20):
         rpc, answer = send(b, now)
         if answer is not None and answer[0] == 0:
             sends.append(now)
-            rpc.ended(now, 0, load_balancing.COMPLETED, 10, True)
+            rpc.attempt_finished(now, 0, load_balancing.COMPLETED, 10, True)
     span, rules, rate = 20000, conf["rules"], 1.5 / 10  # one RPC a 10/1.5 tenths of a ms, as learned
     for at in sends:
         share = rules["cold_from"] + (1 - rules["cold_from"]) * min(1.0, (at + span - 50000) / 100000)
@@ -89,7 +89,7 @@
     conf, sends, rate = settings([method("once")], balancers=200), [], 0
     fleet = [balancer(conf, [(up, 0) for up in range(20)], seed) for seed in range(200)]
     for b in fleet:
-        b.sums = [part / 100 for part in b.sums]
+        b.latency_sums = [part / 100 for part in b.latency_sums]
     for now in range(100, 150000, 100):  # one RPC a second each, cold from 50000 on
         for b in fleet[now // 100 % 100 :: 100]:
             if 50000 <= now < 60000:
@@ -98,7 +98,7 @@
             if answer[0] >= 0:
                 rate += now < 50000
                 sends += [now] if answer[0] == 0 and now >= 50000 else []
-                rpc.ended(now, 0, load_balancing.COMPLETED, 10, True)
+                rpc.attempt_finished(now, 0, load_balancing.COMPLETED, 10, True)
     warm = rate / 20 / 5  # a second, at a warm upstream
     for second in range(2, 10):
         share = 0.2 + 0.8 * second / 10
@@ -111,8 +111,8 @@
     picks = set()
     for seed in range(20):
         b = balancer(settings(), [(up, 0) for up in range(8)], seed)
-        for up in b.ups.values():
-            b.set_aside(0, up, True)
+        for up in b.upstreams.values():
+            b.eject(0, up, True)
         picks.add(send(b)[1][0])
     assert len(picks) > 4
 
@@ -120,27 +120,27 @@
 def test_slow_kinds_get_fewer_turns_also_at_upstreams_never_met():
     b = balancer(settings([method("once", soft=100.0)]), [])
     b.list_changed(0, [row(up, kind=up % 2) for up in range(20)], True, True)
-    b.zones[0].window, picks = 99.0, []
+    b.zones[0].concurrency_limit, picks = 99.0, []
     for now in range(0, 20000, 100):
         rpc, (up, _) = send(b, now, 0, 5000)
         picks.append(up)
-        rpc.ended(now, 0, load_balancing.COMPLETED, 300 if up % 2 else 100, True)
+        rpc.attempt_finished(now, 0, load_balancing.COMPLETED, 300 if up % 2 else 100, True)
     slow = sum(up % 2 for up in picks[60:])
     assert 5 < slow < len(picks[60:]) / 3 and len(set(picks)) == 20
 
 
 def test_a_window_below_one_admits_its_part_and_fades_when_nothing_confirms_it():
     b = balancer(settings([method("once")], zones=2), [(0, 0), (1, 1)])
-    b.zones[0].window, sent = 0.5, []
+    b.zones[0].concurrency_limit, sent = 0.5, []
     for now in range(200):
         rpc, (up, _) = send(b, now)
         sent.append(up)
-        rpc.ended(now, 0, load_balancing.DROPPED, 1, False)
+        rpc.attempt_finished(now, 0, load_balancing.DROPPED, 1, False)
         rpc.decide(now)
-        b.ups[up].bad = 0.0
+        b.upstreams[up].failures = 0.0
     assert 60 < sent.count(0) < 140
     send(b, 600000)
-    assert b.zones[0].window > 0.9
+    assert b.zones[0].concurrency_limit > 0.9
 
 
 def test_a_failed_call_for_the_list_is_repeated_within_what_is_allowed():
@@ -160,9 +160,9 @@
 def test_a_restarted_upstream_starts_with_no_history():
     b = balancer(settings(), ONE)
     rpc, _ = send(b)
-    rpc.ended(5, 0, load_balancing.UNCONNECTED, 5, False)
+    rpc.attempt_finished(5, 0, load_balancing.UNCONNECTED, 5, False)
     b.list_changed(9, [row(0, started=8)], False, True)
-    assert b.zones[0].ring == [b.ups[0]] and not b.ups[0].trial
+    assert b.zones[0].rotation == [b.upstreams[0]] and not b.upstreams[0].half_open
 
 
 def test_a_slow_retriable_rpc_gets_a_second_copy_and_the_loser_is_stopped():
@@ -172,21 +172,21 @@
     assert 0 < at < 9000
     (again,) = list(b.due(at))
     assert again is rpc and rpc.decide(at)[0] == 1 - first
-    assert rpc.ended(at + 9, 1, load_balancing.COMPLETED, 9, True) == [0]
+    assert rpc.attempt_finished(at + 9, 1, load_balancing.COMPLETED, 9, True) == [0]
 
 
 def test_without_parallel_tries_a_limit_before_the_soft_deadline_only_where_more_fails_than_completes():
     b = balancer(settings([method(soft=900.0)]), ONE)
     rpc, (_, limit) = send(b)
     assert limit == 9000 - 20
-    rpc.ended(5, 0, load_balancing.TIMED_OUT, 5, False)
+    rpc.attempt_finished(5, 0, load_balancing.TIMED_OUT, 5, False)
     assert rpc.decide(5)[0] == load_balancing.EXHAUSTED
     assert send(b, 5)[1][1] < 5000
 
 
 def test_a_held_rpc_that_is_overtaken_past_its_time_is_exhausted_at_once():
     b = balancer(settings([method(payoff=1.0), method(payoff=5.0)]), ONE)
-    b.zones[0].window, b.sums = 1.0, [100.0, 100.0, 80000.0, 100.0, 80000.0]
+    b.zones[0].concurrency_limit, b.latency_sums = 1.0, [100.0, 100.0, 80000.0, 100.0, 80000.0]
     send(b)
     cheap, answer = send(b)
     assert answer is None and list(b.due(0)) == [cheap] and not cheap.done
@@ -198,61 +198,66 @@
 def test_no_second_copy_follows_a_streamed_answer_that_has_begun():
     b = balancer(settings([method(soft=900.0)], limits={"parallel_tries": True}), [(0, 0), (1, 0)])
     rpc, _ = send(b)
-    rpc.started()
+    rpc.response_started()
     at = b.wake_at()
     assert [r.decide(at) for r in b.due(at)] == [None]
 
 
 def test_what_is_gone_with_nothing_out_is_forgotten_and_its_index_inherits_nothing():
     b = balancer(settings([method("once", soft=5000.0, hard=5000.0)]), [(0, 0), (1, 0)])
-    rpc = b.take(0, 0, 40000)
+    rpc = b.admit(0, 0, 40000)
     up, _ = rpc.decide(0)
-    b.ups[up].bad, b.ups[1 - up].bad = 7.0, 7.0
+    b.upstreams[up].failures, b.upstreams[1 - up].failures = 7.0, 7.0
     b.list_changed(1, [row(up, state=load_balancing.REMOVED)], False, True)
-    assert b.released() == [] and up in b.ups  # its RPC is still out
-    rpc.ended(2, 0, load_balancing.COMPLETED, 2, True)
-    assert b.released() == [up] and list(b.ups) == [1 - up] and b.zones[0].flight == 0
+    assert b.take_released() == [] and up in b.upstreams  # its RPC is still out
+    rpc.attempt_finished(2, 0, load_balancing.COMPLETED, 2, True)
+    assert b.take_released() == [up] and list(b.upstreams) == [1 - up] and b.zones[0].in_flight == 0
     b.list_changed(3, [row(up)], True, True)  # whole: the other is gone, and this one is a new one
-    assert b.released() == [1 - up] and list(b.ups) == [up] and b.ups[up].bad == 0
+    assert b.take_released() == [1 - up] and list(b.upstreams) == [up] and b.upstreams[up].failures == 0
     b.list_changed(
         4, [row(up, state=load_balancing.REMOVED), row(up), row(9, state=load_balancing.REMOVED)], False, True
     )
-    assert b.released() == [9] and b.zones[0].ring == [b.ups[up]] and b.ready == 1
+    assert b.take_released() == [9] and b.zones[0].rotation == [b.upstreams[up]] and b.ready_count == 1
 
 
 def test_one_connection_that_broke_sets_nobody_aside_and_its_rpc_goes_elsewhere():
     # Resets of new connections all over the fleet had set eight of twelve aside, one reset each.
     b = balancer(settings([method("once")]), [(up, 0) for up in range(4)])
-    rpc = b.take(0, 0, 9000)
+    rpc = b.admit(0, 0, 9000)
     first = rpc.decide(0)[0]
-    rpc.ended(1, 0, load_balancing.BROKEN, 1, False)
-    assert not b.aside and rpc.decide(1)[0] != first
+    rpc.attempt_finished(1, 0, load_balancing.BROKEN, 1, False)
+    assert not b.ejected_count and rpc.decide(1)[0] != first
     for _ in range(2):
-        b.learn(2, b.ups[first], load_balancing.BROKEN, 1, 1, False, rpc)
-    assert b.ups[first].aside_until and b.aside == 1
+        b.record_outcome(2, b.upstreams[first], load_balancing.BROKEN, 1, 1, False, rpc)
+    assert b.upstreams[first].ejected_until and b.ejected_count == 1
 
 
 def test_what_a_first_request_on_its_connection_takes_is_not_held_against_its_upstream():
     # Connections cost most of the soft deadline: windows shrank and sound upstreams went aside.
     b = balancer(settings([method("once", soft=150.0, hard=400.0)]), [(0, 0), (1, 0)])
-    window, sums, kinds = b.zones[0].window, b.sums, dict(b.kinds)
+    window, sums, kinds = b.zones[0].concurrency_limit, b.latency_sums, dict(b.hardware_durations)
     for now in range(0, 300, 100):
-        rpc = b.take(now, 0, now + 4000)
+        rpc = b.admit(now, 0, now + 4000)
         rpc.decide(now)
-        rpc.ended(now + 90, 0, load_balancing.TIMED_OUT, 1480, True, True)
-    assert (b.zones[0].window, b.sums, b.kinds, b.aside) == (window, sums, kinds, 0)
+        rpc.attempt_finished(now + 90, 0, load_balancing.TIMED_OUT, 1480, True, True)
+    assert (b.zones[0].concurrency_limit, b.latency_sums, b.hardware_durations, b.ejected_count) == (
+        window,
+        sums,
+        kinds,
+        0,
+    )
     for _ in range(3):
-        b.learn(400, b.ups[0], load_balancing.TIMED_OUT, 1480, 1, True, rpc)
-    assert b.aside == 1  # one that never answers is still found out
+        b.record_outcome(400, b.upstreams[0], load_balancing.TIMED_OUT, 1480, 1, True, rpc)
+    assert b.ejected_count == 1  # one that never answers is still found out
 
 
 def test_an_rpc_that_was_turned_away_in_its_zone_goes_to_another_one_next():
     # A zone that is short turned the same RPC away until it had no transmission left, while others had room.
     b = balancer(settings([method("once")], zones=3), [(up, up // 3) for up in range(9)])
     rpc, (first, _) = send(b)
-    rpc.ended(10, 0, load_balancing.TURNED_AWAY, 10, False)
+    rpc.attempt_finished(10, 0, load_balancing.TURNED_AWAY, 10, False)
     second, _ = rpc.decide(10)
-    rpc.ended(20, 1, load_balancing.TURNED_AWAY, 10, False)
+    rpc.attempt_finished(20, 1, load_balancing.TURNED_AWAY, 10, False)
     third, _ = rpc.decide(20)
     assert first < 3 and {second // 3, third // 3} == {1, 2}
     assert send(b, 30)[1][0] < 3  # another RPC begins in its own zone
@@ -263,14 +268,14 @@
     left = {}
     for quick in (True, False):
         b = balancer(settings(), [(up, 0) for up in range(8)])
-        b.zones[0].window = 9.0
+        b.zones[0].concurrency_limit = 9.0
         for step in range(20):
             rpc, _ = send(b, 1000 * step)
-            rpc.ended(1000 * step + 9, 0, load_balancing.COMPLETED, 9 if quick else 4900, True)
-        before = b.zones[0].window
+            rpc.attempt_finished(1000 * step + 9, 0, load_balancing.COMPLETED, 9 if quick else 4900, True)
+        before = b.zones[0].concurrency_limit
         rpc, _ = send(b, 30_000)
-        rpc.ended(34_000, 0, load_balancing.TIMED_OUT, 4000, False)
-        left[quick] = b.zones[0].window / before
+        rpc.attempt_finished(34_000, 0, load_balancing.TIMED_OUT, 4000, False)
+        left[quick] = b.zones[0].concurrency_limit / before
     assert left[True] > 0.9 and left[False] < 0.9
 
 
@@ -278,9 +283,11 @@
     """So many RPCs one after another; the answers after the first transmission."""
     told = []
     for step in range(count):
-        rpc = b.take(now + step, number, now + step + 20_000, tenant=tenant)
+        rpc = b.admit(now + step, number, now + step + 20_000, tenant=tenant)
         if (rpc.decide(now + step) or (-1,))[0] >= 0:
-            rpc.ended(now + step, len(rpc.tries) - 1, outcome, took, outcome == load_balancing.COMPLETED)
+            rpc.attempt_finished(
+                now + step, len(rpc.attempts) - 1, outcome, took, outcome == load_balancing.COMPLETED
+            )
             told.append(rpc.decide(now + step))
     return told
 
@@ -291,17 +298,17 @@
     b = balancer(settings(methods), [(up, 0) for up in range(6)])
     for step in range(60):
         ends(b, 1000 * step, step % 2, load_balancing.COMPLETED, 600)
-    window = b.zones[0].window
+    window = b.zones[0].concurrency_limit
     for step in range(60, 140):
         ends(b, 1000 * step, 0, load_balancing.COMPLETED, 600)
         ends(b, 1000 * step, 1, load_balancing.TIMED_OUT if step % 2 else load_balancing.COMPLETED, 9000)
-    assert b.drag(b.methods[1]) > 1 and b.drag(b.methods[0]) == 1
-    assert b.zones[0].window > 0.6 * window and not b.aside
-    rpc = b.take(140_000, 1, 160_000)
-    flight = b.zones[0].flight
-    assert rpc.decide(140_000)[0] >= 0 and b.zones[0].flight == flight and b.zones[0].held == 1
-    rpc.ended(150_000, 0, load_balancing.COMPLETED, 10_000, True)
-    assert b.zones[0].flight == flight and b.zones[0].held == 0
+    assert b.method_slowness(b.methods[1]) > 1 and b.method_slowness(b.methods[0]) == 1
+    assert b.zones[0].concurrency_limit > 0.6 * window and not b.ejected_count
+    rpc = b.admit(140_000, 1, 160_000)
+    flight = b.zones[0].in_flight
+    assert rpc.decide(140_000)[0] >= 0 and b.zones[0].in_flight == flight and b.zones[0].background_load == 1
+    rpc.attempt_finished(150_000, 0, load_balancing.COMPLETED, 10_000, True)
+    assert b.zones[0].in_flight == flight and b.zones[0].background_load == 0
 
 
 def test_what_fails_wherever_it_goes_costs_one_transmission_and_no_upstream():
@@ -314,10 +321,10 @@
     for step in range(40, 100):
         ends(b, 1000 * step, 0, load_balancing.COMPLETED, 60)
         told.append(ends(b, 1000 * step, 0, load_balancing.FAILED, 60, tenant=1))
-    assert not b.aside and all(answer[0][0] == load_balancing.EXHAUSTED for answer in told[30:])
-    rpc = b.take(100_000, 0, 120_000)
+    assert not b.ejected_count and all(answer[0][0] == load_balancing.EXHAUSTED for answer in told[30:])
+    rpc = b.admit(100_000, 0, 120_000)
     rpc.decide(100_000)
-    rpc.ended(100_001, 0, load_balancing.FAILED, 60, False)
+    rpc.attempt_finished(100_001, 0, load_balancing.FAILED, 60, False)
     assert rpc.decide(100_001)[0] >= 0  # what fails of another tenant may go again
 
 
@@ -326,22 +333,22 @@
     b = balancer(settings(customers=customers), [(up, 0) for up in range(6)])
     for step in range(40):
         ends(b, step, 0, load_balancing.FAILED, 60, tenant=step % 2)
-    assert b.aside == 3
+    assert b.ejected_count == 3
 
 
 def test_a_start_is_over_in_seconds_where_nothing_comes_late():
     b = balancer(settings(balancers=100), [(up, 0) for up in range(6)])
-    assert b.zones[0].window == 1
+    assert b.zones[0].concurrency_limit == 1
     for step in range(40):
-        out = [send(b, 100 * step)[0] for _ in range(int(b.zones[0].window) + 5)]
-        for rpc in [one for one in out if one.out]:
-            rpc.ended(100 * step + 50, 0, load_balancing.COMPLETED, 50, True)
-    assert b.zones[0].window > 4
+        out = [send(b, 100 * step)[0] for _ in range(int(b.zones[0].concurrency_limit) + 5)]
+        for rpc in [one for one in out if one.outstanding]:
+            rpc.attempt_finished(100 * step + 50, 0, load_balancing.COMPLETED, 50, True)
+    assert b.zones[0].concurrency_limit > 4
 
 
 def test_windows_aim_lower_where_more_than_a_few_late_ones_cost():
     aims = [
-        balancer(settings(objective_mix=mix), ONE).aim
+        balancer(settings(objective_mix=mix), ONE).latency_target
         for mix in (
             {},
             {"slow_end": 0.3},
@@ -361,16 +368,16 @@
             1, [row(0, state=load_balancing.REMOVED), row(1, state=load_balancing.DRAINING)], False, True
         )
         b.list_changed(2, [row(1, state=load_balancing.REMOVED), row(2), row(3)], True, True)
-        b.zones[0].window = 99.0
+        b.zones[0].concurrency_limit = 99.0
         used = {send(b, 3)[1][0] for _ in range(12)}
         assert used == ({0, 2, 3} if stay else {2, 3})
         if stay:
-            b.learn(5, b.ups[0], load_balancing.UNCONNECTED, 1, 1, False, send(b, 4)[0])
-            b.ups[0].flight = 0
-            b.release(b.ups[0])
-            assert 0 not in b.ups and not any(up.index == 0 for up in b.zones[0].ring)
+            b.record_outcome(5, b.upstreams[0], load_balancing.UNCONNECTED, 1, 1, False, send(b, 4)[0])
+            b.upstreams[0].in_flight = 0
+            b.release_if_unused(b.upstreams[0])
+            assert 0 not in b.upstreams and not any(up.index == 0 for up in b.zones[0].rotation)
             b.list_changed(6, [row(0, started=6)], False, True)  # the list names it again
-            assert b.ups[0].listed and not b.ups[0].dropped
+            assert b.upstreams[0].listed and not b.upstreams[0].delisted
 
 
 def test_an_end_after_the_last_upstream_drained_is_an_end_like_any():
@@ -382,34 +389,34 @@
             1, [row(0, state=load_balancing.DRAINING), row(1, state=load_balancing.DRAINING)], False, True
         )
         for rpc in out:
-            assert rpc.ended(5, 0, load_balancing.COMPLETED, 5, True) == [] and rpc.done
-        assert b.flight == 0 and all(up.flight == 0 for up in b.ups.values())
+            assert rpc.attempt_finished(5, 0, load_balancing.COMPLETED, 5, True) == [] and rpc.done
+        assert b.in_flight == 0 and all(up.in_flight == 0 for up in b.upstreams.values())
 
 
 def test_a_marked_retry_told_a_few_ms_late_by_a_busy_loop_is_not_taken_for_one_cut_by_its_hard_deadline():
     for late, refused in ((50, False), (1000, True)):
         b = balancer(settings([method(soft=2000.0, hard=3000.0)], tick=1.0), ONE)
         first, _ = send(b, 0, 0, 8000)
-        first.ended(7000, 0, load_balancing.TIMED_OUT, 7000, True, True)
-        answer = b.take(9000, 0, 9000 + 8000 - late, True).decide(9000)
+        first.attempt_finished(7000, 0, load_balancing.TIMED_OUT, 7000, True, True)
+        answer = b.admit(9000, 0, 9000 + 8000 - late, True).decide(9000)
         assert (answer[0] < 0) == refused
 
 
 def test_what_is_dear_passes_over_the_slow_while_something_quick_has_room():
     b = balancer(settings([method(payoff=1.0), method(payoff=5.0)]), [(up, 0) for up in range(4)])
-    b.zones[0].window = 99.0
-    for up in b.ups.values():  # two are far slower than the other two, and slow for the soft deadline
-        up.took, up.foreseen, up.stamp = (2.5e7 if up.index < 2 else 1e6), 1e5, 0
+    b.zones[0].concurrency_limit = 99.0
+    for up in b.upstreams.values():  # two are far slower than the other two, and slow for the soft deadline
+        up.observed_duration, up.foreseen_duration, up.decayed_at = (2.5e7 if up.index < 2 else 1e6), 1e5, 0
     sent = {0: [], 1: []}
     for now in range(60):
         number = now % 2
         rpc, (up, _) = send(b, 0, number)
         sent[number].append(up)
-        b.count_in(rpc.tries[0], -1, 0)
+        b.add_load(rpc.attempts[0], -1, 0)
     assert set(sent[1]) <= {2, 3} and {0, 1} & set(sent[0])
     for up in (2, 3):
-        b.count_in(b.ups[up], 200, 0)
-    b.zones[0].window = 999.0
+        b.add_load(b.upstreams[up], 200, 0)
+    b.zones[0].concurrency_limit = 999.0
     assert send(b, 0, 1)[1][0] in (0, 1)  # the quick have no room: a slow one is better than none
 
 
@@ -420,11 +427,13 @@
         cold = 0
         for step in range(80):  # 40 a second for 2 s: 8 an upstream and second, at 0.2 and more of it
             now = step * 250 + 1
-            rpc = b.take(now, 0, now + 9000)
+            rpc = b.admit(now, 0, now + 9000)
             rpc.decide(now)
-            for tx, up in enumerate(rpc.tries):
+            for tx, up in enumerate(rpc.attempts):
                 cold += up.index == 9
-                rpc.ended(now + 100, tx, load_balancing.COMPLETED, 100, True, step % every == every - 1)
+                rpc.attempt_finished(
+                    now + 100, tx, load_balancing.COMPLETED, 100, True, step % every == every - 1
+                )
         assert 6 <= cold <= 3 * 0.4 * 8 * 2 + 1
 
 
@@ -433,13 +442,16 @@
     b = load_balancing.Balancer(settings(), 1, 1000)
     b.list_changed(1000, [row(up) for up in range(4)] + [row(9, started=1000)], True, True)
     learned_state.restore(b, 1000, learned_state.export(older, 1000), 0.0)
-    assert b.cold_room(
-        b.ups[9], 1000 + 2 * load_balancing.SECOND
+    assert b.has_slow_start_credit(
+        b.upstreams[9], 1000 + 2 * load_balancing.SECOND
     )  # 20 a second over five, of which 0.2 at least
 
 
 def test_the_first_second_counts_against_own_pace_at_a_start_only():
     b = balancer(settings(), [(up, 0) for up in range(4)])
     b.list_changed(0, [row(9, started=1)], False, True)
-    b.ends.under, b.ups[9].cold_turns = 5 * load_balancing.SECOND, 0.0  # 20 a second over five
-    assert b.cold_room(b.ups[9], 55 * load_balancing.SECOND // 100)
+    b.finish_rate.denominator, b.upstreams[9].slow_start_credit = (
+        5 * load_balancing.SECOND,
+        0.0,
+    )  # 20 a second over five
+    assert b.has_slow_start_credit(b.upstreams[9], 55 * load_balancing.SECOND // 100)
--- a/tests/load_balancing/test_in_memory.py
+++ b/tests/load_balancing/test_in_memory.py
@@ -135,13 +135,13 @@
 
 
 def live(conf, steps):
-    day, ended = Day(conf), load_balancing.Rpc.ended
+    day, ended = Day(conf), load_balancing.Rpc.attempt_finished
 
     def counted(rpc, now, tx, *more):
         day.told[rpc, tx] += 1
         return ended(rpc, now, tx, *more)
 
-    load_balancing.Rpc.ended = counted
+    load_balancing.Rpc.attempt_finished = counted
     try:
         for what, a, b in steps:
             if what == "take":
@@ -166,16 +166,16 @@
         day.loop.run()
         day.loop.wait(day.loop.time + 40_000)
     finally:
-        load_balancing.Rpc.ended = ended
+        load_balancing.Rpc.attempt_finished = ended
     assert all(carried.client.finals or carried.client.left for carried, _ in day.carried)
     assert len(day.turn.in_hand) == day.turn.in_hand.budget.bytes == 0
     assert all(
         day.told[carried.rpc, tx] == 1
         for carried, _ in day.carried
         if carried.rpc
-        for tx in range(len(carried.rpc.tries))
+        for tx in range(len(carried.rpc.attempts))
     )
-    assert day.balancer.flight == day.wrong == 0 and set(day.told.values()) <= {1}
+    assert day.balancer.in_flight == day.wrong == 0 and set(day.told.values()) <= {1}
 
 
 PAIR = socket.socketpair()
