--- a/tests/load_balancing/test_parts.py
+++ b/tests/load_balancing/test_parts.py
@@ -37,20 +37,20 @@
     for number in range(300):
         b = sidecar(number, 300, fleet(60), own=number % 2)
         near, far = b.zones[number % 2], b.zones[1 - number % 2]
-        assert 1 <= len(near.part) <= 4 and len(far.part) <= 3 and set(near.ring) == set(near.part)
-        for up in near.part:
+        assert 1 <= len(near.subset) <= 4 and len(far.subset) <= 3 and set(near.rotation) == set(near.subset)
+        for up in near.subset:
             kept[up.index] += 1
     assert max(kept.values()) - min(kept.values()) <= 1
 
 
 def test_a_small_fleet_is_kept_to_whole_and_a_big_upstream_by_more_sidecars():
-    assert len(sidecar(0, 3, fleet(6)).zones[0].part) == 3
+    assert len(sidecar(0, 3, fleet(6)).zones[0].subset) == 3
     rows = [(*one[:6], 4.0 if one[0] == 0 else 1.0, 0) for one in fleet(20, zones=1)]
     count = sum(
-        any(up.index == 0 for up in sidecar(number, 100, rows, zones=1).zones[0].part)
+        any(up.index == 0 for up in sidecar(number, 100, rows, zones=1).zones[0].subset)
         for number in range(100)
     )
-    even = 100 * len(sidecar(0, 100, rows, zones=1).zones[0].part) / 20
+    even = 100 * len(sidecar(0, 100, rows, zones=1).zones[0].subset) / 20
     assert count > 2 * even
 
 
@@ -58,29 +58,29 @@
     moved = 0
     for number in range(200):
         b = sidecar(number, 200, fleet(40, zones=1), zones=1)
-        before = set(b.zones[0].part)
+        before = set(b.zones[0].subset)
         b.list_changed(1, [row(7, state=load_balancing.REMOVED)], False, True)
         gone = {up for up in before if up.index == 7}
-        moved += bool(set(b.zones[0].part) - before) and not gone
-        assert not any(up.index == 7 for up in b.zones[0].ring)
+        moved += bool(set(b.zones[0].subset) - before) and not gone
+        assert not any(up.index == 7 for up in b.zones[0].rotation)
     assert moved < 200 / 2
 
 
 def test_without_shared_connections_or_alone_every_upstream_is_in_rotation():
     for limits, sidecars in (({}, 300), (SHARED, 1)):
         b = balancer(settings(limits=limits, balancers=sidecars), [(up, 0) for up in range(20)])
-        assert len(b.zones[0].ring) == 20 and b.zones[0].part is None
+        assert len(b.zones[0].rotation) == 20 and b.zones[0].subset is None
 
 
 def test_the_last_resort_opens_no_connection_beyond_the_part():
     # With all of its part refusing, a sidecar went through the whole fleet and filled every table.
     b = sidecar(0, 750, fleet(64, zones=4), zones=4)
-    kept = {up.index for zone in b.zones for up in zone.part}
+    kept = {up.index for zone in b.zones for up in zone.subset}
     for index in kept:
-        b.set_aside(0, b.ups[index], True)
+        b.eject(0, b.upstreams[index], True)
     sent = set()
     for number in range(30):
-        answer = b.take(number, 0, 9000).decide(number)
+        answer = b.admit(number, 0, 9000).decide(number)
         if answer and answer[0] >= 0:
             sent.add(answer[0])
     assert sent <= kept and len(kept) <= 2
@@ -94,49 +94,51 @@
 
 def test_a_size_that_load_lowers_keeps_what_its_kind_has_at_rest_and_tells_what_is_held():
     b = live([(0, 2.0, 0), (1, 1.5, 1), (2, 0.5, 0)])
-    assert [b.ups[up].size for up in range(3)] == [2.0, 1.5, 2.0] and b.sizes == 5.5
+    assert [b.upstreams[up].capacity for up in range(3)] == [2.0, 1.5, 2.0] and b.total_capacity == 5.5
     for step in range(30):
         live([(0, 2.0, 0), (1, 1.5, 1), (2, 0.5, 0)], step, b)
-    assert [round(b.ups[up].crowd, 3) for up in range(3)] == [0.0, 0.0, 3.0]
-    assert round(b.zones[0].crowd, 3) == 1.0
+    assert [round(b.upstreams[up].reported_load, 3) for up in range(3)] == [0.0, 0.0, 3.0]
+    assert round(b.zones[0].reported_load, 3) == 1.0
     live([(2, 2.0, 0)], 40, b)  # one renewal is chance: it moves the figure by a part
-    assert 1.0 < b.ups[2].crowd < 2.0 and b.sizes == 5.5
+    assert 1.0 < b.upstreams[2].reported_load < 2.0 and b.total_capacity == 5.5
     live([(1, 0.0, 1)], 41, b)  # no size is no load
-    assert b.ups[1].crowd == 0.0
+    assert b.upstreams[1].reported_load == 0.0
 
 
 def test_what_the_list_tells_is_held_there_makes_an_upstream_slower_in_foresight():
     b = live([(0, 1.0, 0), (1, 1.0, 0)])
-    calm = b.expected(b.ups[0], 0)
+    calm = b.expected_duration(b.upstreams[0], 0)
     for step in range(10):
         live([(0, 0.2, 0)], step, b)
-    assert b.expected(b.ups[0], 1) > 2 * calm and isclose(b.expected(b.ups[1], 1), calm)
+    assert b.expected_duration(b.upstreams[0], 1) > 2 * calm and isclose(
+        b.expected_duration(b.upstreams[1], 1), calm
+    )
 
 
 def test_a_zone_that_the_list_tells_is_crowded_takes_fewer():
     # A quarter of the upstreams died; a light sidecar's own ends told of the crowd when the rest had choked.
     b = live([(up, 1.0, 0) for up in range(4)])
-    b.sums = [100.0, 150.0, 40_000.0, 250.0, 60_000.0]
-    b.fit()
-    rpc = b.take(0, 0, 9000)
-    rpc.luck, b.zones[0].window = 0.9, 1.0
-    assert not b.zones[0].full(rpc)
+    b.latency_sums = [100.0, 150.0, 40_000.0, 250.0, 60_000.0]
+    b.fit_latency()
+    rpc = b.admit(0, 0, 9000)
+    rpc.admission_draw, b.zones[0].concurrency_limit = 0.9, 1.0
+    assert not b.zones[0].is_full(rpc)
     for step in range(10):
         live([(up, 0.02, 0) for up in range(4)], step, b)
-    assert b.zones[0].full(rpc)
+    assert b.zones[0].is_full(rpc)
 
 
 def test_a_zone_that_the_list_tells_is_nearly_idle_takes_more_at_once():
     # A window near one refused a fortieth of a quiet day: one in flight left no time to wait.
     b = live([(up, 1.0, 0) for up in range(4)])
-    rpc = b.take(0, 0, 9000)
-    rpc.luck, b.zones[0].window, b.zones[0].flight = 0.2, 1.0, 1
+    rpc = b.admit(0, 0, 9000)
+    rpc.admission_draw, b.zones[0].concurrency_limit, b.zones[0].in_flight = 0.2, 1.0, 1
     for step in range(10):
         live([(up, 0.6, 0) for up in range(4)], step, b)
-    assert 0.5 < b.zones[0].crowd < 0.75 and not b.zones[0].full(rpc)
+    assert 0.5 < b.zones[0].reported_load < 0.75 and not b.zones[0].is_full(rpc)
     for step in range(20):
         live([(up, 0.33, 0) for up in range(4)], step, b)
-    assert b.zones[0].full(rpc)
+    assert b.zones[0].is_full(rpc)
 
 
 def test_what_a_tenant_sends_beyond_its_share_is_worth_little():
@@ -145,12 +147,12 @@
     # 30 a second of the first, 10 of the second, over 20 s.
     worth = {0: 1.0, 1: 1.0}
     for step in range(600):
-        worth[0] = b.take(step * 333, 0, 10**9, tenant=0).payoff
+        worth[0] = b.admit(step * 333, 0, 10**9, tenant=0).payoff
         if step % 3 == 0:
-            worth[1] = b.take(step * 333, 0, 10**9, tenant=1).payoff
+            worth[1] = b.admit(step * 333, 0, 10**9, tenant=1).payoff
     assert worth[1] == 1.0 and 0.4 < worth[0] < 0.6
-    assert b.take(300_000, 0, 10**9, tenant=0).payoff == 1.0  # long quiet: its share is its own again
-    assert b.take(0, 0, 9000, tenant=7).payoff == 1.0
+    assert b.admit(300_000, 0, 10**9, tenant=0).payoff == 1.0  # long quiet: its share is its own again
+    assert b.admit(0, 0, 9000, tenant=7).payoff == 1.0
 
 
 def test_lucks_of_a_tenant_beyond_its_share_lie_above_those_within():
@@ -159,7 +161,7 @@
     lucks = {0: [], 1: []}
     for step in range(400):
         for tenant in (0, 1):
-            lucks[tenant].append(b.take(step * 100, 0, 10**9, tenant=tenant).luck)
+            lucks[tenant].append(b.admit(step * 100, 0, 10**9, tenant=tenant).admission_draw)
     assert sum(lucks[0][50:]) > 1.4 * sum(lucks[1][50:])
 
 
@@ -172,13 +174,13 @@
         )
         told, out = [], []
         for step in range(400):
-            rpc = b.take(step * 40, step % 2, step * 40 + 9000)
+            rpc = b.admit(step * 40, step % 2, step * 40 + 9000)
             told.append(rpc.decide(step * 40))
             out.append(rpc)
             for rpc in out[-6:-3]:
-                if rpc.out:
+                if rpc.outstanding:
                     how = load_balancing.COMPLETED if step % 9 else load_balancing.FAILED
-                    rpc.ended(step * 40, 0, how, 60 + step % 50, True)
+                    rpc.attempt_finished(step * 40, 0, how, 60 + step % 50, True)
         return told
 
     defaults = {
@@ -257,7 +259,7 @@
         for number, attributes in enumerate(("project=1", "work_hint=3, project=1", "work_hint=2")):
             raw = request(b"x", "/m/1", 9000, f"r{number}", f"X-Attrs: {attributes}")
             assert (await ask(world, raw))[0] == 200
-        seen = [round(count, 1) for count, _ in world.sidecar.pool.balancer.seen]
+        seen = [round(count, 1) for count, _ in world.sidecar.pool.balancer.tenant_counts]
         assert seen == [1.0, 2.0]
         for bad in ("project=2", "project=-1", "project=x", "project="):
             assert (await ask(world, request(b"x", "/m/1", 9000, "bad", f"X-Attrs: {bad}")))[0] == 400
@@ -277,7 +279,7 @@
         world.sidecar.pool.saved = type("Saved", (), {"told": lambda _, told: kept.append(told)})()
         await world.tell(world.entry(0, weight=1.0), world.entry(1, weight=1.0))  # they had none before
         await world.tell(world.entry(0, weight=0.25), world.entry(1, weight=1.0))
-        assert world.sidecar.pool.balancer.ups[0].crowd > 1.0
+        assert world.sidecar.pool.balancer.upstreams[0].reported_load > 1.0
         await world.tell(world.entry(1, "terminating", weight=1.0))
         logger.remove(sink)
         world.sidecar.pool.saved = None
@@ -309,25 +311,25 @@
     sent, keeping = [], 0
     for number in range(60):
         b = sidecar(number, 60, fleet(12), own=number % 2)
-        b.sums, b.ends.over, b.ends.under = (
+        b.latency_sums, b.finish_rate.numerator, b.finish_rate.denominator = (
             [10.0, 10.0, 10_000.0, 10.0, 10_000.0],
             10.0,
             4 * load_balancing.SECOND,
         )
-        b.fit()
+        b.fit_latency()
         start = 20 * load_balancing.SECOND
         (row0,) = [one for one in fleet(12) if one[0] == 0]
-        b.ends.stamp = start
+        b.finish_rate.decayed_at = start
         b.list_changed(start, [(*row0[:3], start, *row0[4:])], False, True)
-        up = b.ups[0]
-        if b.own != 0 or up not in b.zones[0].part:
+        up = b.upstreams[0]
+        if b.own_zone != 0 or up not in b.zones[0].subset:
             continue
         keeping += 1
         for step in range(1, 201):  # its whole traffic would go there, for 10 s
             now = start + step * load_balancing.SECOND // 20
-            b.ends.stamp = now
-            if b.is_cold(up, now) and b.cold_room(up, now):
-                b.chosen(up, now)
+            b.finish_rate.decayed_at = now
+            if b.is_warming_up(up, now) and b.has_slow_start_credit(up, now):
+                b.charge_slow_start(up, now)
                 sent.append(step / 20)
     assert keeping >= 4 and len(sent) > 30  # and it is not left idle
     for begin in range(9):
@@ -343,8 +345,8 @@
     conf = settings(zones=zones, az=own, balancers=sidecars, my_number=number, prices={"handshake": price})
     b = load_balancing.Balancer(conf, number, 0)
     b.list_changed(0, rows, True, True)
-    b.sums = [100.0, 150.0, 60_000.0, 250.0, 90_000.0]
-    b.fit()
+    b.latency_sums = [100.0, 150.0, 60_000.0, 250.0, 90_000.0]
+    b.fit_latency()
     return b
 
 
@@ -352,12 +354,14 @@
     """Upstreams sent to by a light sidecar, one RPC after another; those in `bad` refuse."""
     used, done = [], 0
     for step in range(count):
-        rpc = b.take(step * 1000, 0, step * 1000 + 9000)
+        rpc = b.admit(step * 1000, 0, step * 1000 + 9000)
         answer = rpc.decide(step * 1000)
         while answer and answer[0] >= 0:
             used.append(answer[0])
             how = load_balancing.UNCONNECTED if answer[0] in bad else load_balancing.COMPLETED
-            rpc.ended(step * 1000 + 1, len(rpc.tries) - 1, how, 600, how == load_balancing.COMPLETED)
+            rpc.attempt_finished(
+                step * 1000 + 1, len(rpc.attempts) - 1, how, 600, how == load_balancing.COMPLETED
+            )
             done += how == load_balancing.COMPLETED
             answer = rpc.decide(step * 1000 + 1)
     return used, done
@@ -369,7 +373,7 @@
     for number in range(200):
         b = priced(number, 200, fleet(100, 4), own=number % 4)
         used, _ = met(b, 20)
-        assert 3 <= len(b.zones[b.own].part) <= 8 and len(set(used)) <= 8
+        assert 3 <= len(b.zones[b.own_zone].subset) <= 8 and len(set(used)) <= 8
         for up in set(used):
             kept[up] += 1
         for up in used:
@@ -380,26 +384,26 @@
 
 def test_a_part_with_two_bad_upstreams_still_serves_and_one_that_is_replaced_is_dealt_anew():
     b = priced(7, 200, fleet(100, 4))
-    bad = {up.index for up in b.zones[0].part[:2]}
+    bad = {up.index for up in b.zones[0].subset[:2]}
     used, done = met(b, 100, bad)
     assert done == 100 and len([up for up in used if up in bad]) < 20
     fresh = [(up + 1000, *one[1:]) for up, one in enumerate(fleet(100, 4))]
     b.list_changed(10**6, fresh, True, True)
-    assert 3 <= len(b.zones[0].part) <= 5 and all(up.index >= 1000 for up in b.zones[0].ring)
-    assert b.zones[0].ring == b.zones[0].part
+    assert 3 <= len(b.zones[0].subset) <= 5 and all(up.index >= 1000 for up in b.zones[0].rotation)
+    assert b.zones[0].rotation == b.zones[0].subset
 
 
 def test_a_price_that_comes_or_goes_at_a_reload_moves_the_parts():
     b = priced(7, 200, fleet(100, 4), price=0.0)
-    assert b.zones[0].part is None and len(b.zones[0].ring) == 25
+    assert b.zones[0].subset is None and len(b.zones[0].rotation) == 25
     conf = settings(zones=4, balancers=200, my_number=7, prices={"connection": 0.03})
-    b.retuned(conf)
-    assert 3 <= len(b.zones[0].ring) <= 5
-    b.retuned(settings(zones=4, balancers=200, my_number=7))
-    assert b.zones[0].part is None and len(b.zones[0].ring) == 25
+    b.update_settings(conf)
+    assert 3 <= len(b.zones[0].rotation) <= 5
+    b.update_settings(settings(zones=4, balancers=200, my_number=7))
+    assert b.zones[0].subset is None and len(b.zones[0].rotation) == 25
 
 
 def test_few_sidecars_keep_to_the_whole_of_their_zone_also_where_connections_have_a_price():
     for sidecars in (3, 8):
         b = priced(1, sidecars, fleet(12, 4))
-        assert len(b.zones[0].ring) == 3
+        assert len(b.zones[0].rotation) == 3
--- a/tests/load_balancing/test_rules.py
+++ b/tests/load_balancing/test_rules.py
@@ -61,11 +61,11 @@
         self.state = {up: load_balancing.READY for up, _ in UPSTREAMS}
         self.outs = set()  # what operators have taken out, whatever the list says
         for up, _ in UPSTREAMS:
-            self.b.ups[up].cell = up % 2
+            self.b.upstreams[up].cell = up % 2
 
     def answer(self, rpc, model):
-        for up in self.b.ups.values():
-            assert rpc.allowed(up, self.now) == model.may_repeat(self.now, up.zone, up.cell)
+        for up in self.b.upstreams.values():
+            assert rpc.may_send_to(up, self.now) == model.may_repeat(self.now, up.zone, up.cell)
         answer = rpc.decide(self.now)
         if answer is None:
             return
@@ -93,7 +93,7 @@
     def take(self, number, patience):
         deadline = self.now + patience
         model = Model(self.conf, number, deadline)
-        rpc = self.b.take(self.now, number, deadline)
+        rpc = self.b.admit(self.now, number, deadline)
         self.rpcs.append((rpc, model))
         self.answer(rpc, model)
 
@@ -102,7 +102,7 @@
         send["how"] = how
         settled = bool(model.finals) or how == load_balancing.COMPLETED
         model.finals = model.finals or int(settled)
-        for number in rpc.ended(self.now, tx, how, self.now - send["at"], settled):
+        for number in rpc.attempt_finished(self.now, tx, how, self.now - send["at"], settled):
             assert model.sends[number]["how"] is None
         self.answer(rpc, model)
 
@@ -130,17 +130,22 @@
         models = dict(self.rpcs)
         for rpc in self.b.due(self.now):
             self.answer(rpc, models[rpc])
-        for up in self.b.ups.values():
-            assert up.flight or up.state != load_balancing.REMOVED or up.index in self.outs or up.back_at
+        for up in self.b.upstreams.values():
+            assert (
+                up.in_flight
+                or up.state != load_balancing.REMOVED
+                or up.index in self.outs
+                or up.reinstated_at
+            )
             out = sum(send["up"] == up.index for _, m in self.rpcs for send in m.out())
-            assert up.flight + up.held == out  # held: of a method that drags
+            assert up.in_flight + up.background_load == out  # held: of a method that drags
 
     def order(self, up, out):
         (self.outs.add if out else self.outs.discard)(up)
-        cold = out or up not in self.outs and up in self.b.ups and self.b.ups[up].out
-        self.b.ordered(self.now, up, out)
+        cold = out or up not in self.outs and up in self.b.upstreams and self.b.upstreams[up].withdrawn
+        self.b.set_withdrawn(self.now, up, out)
         if cold and not out and self.now:
-            assert self.b.is_cold(self.b.ups[up], self.now)
+            assert self.b.is_warming_up(self.b.upstreams[up], self.now)
 
     def retune(self, most):
         """Other methods under the same numbers; RPCs in hand keep theirs, fewer transmissions bind them."""
@@ -149,7 +154,7 @@
             "methods": self.conf["methods"][1:] + self.conf["methods"][:1],
             "limits": {**self.conf["limits"], "most_transmissions": most},
         }
-        self.b.retuned(self.conf)
+        self.b.update_settings(self.conf)
 
     def relist(self, up, state):
         self.state[up] = state
--- a/tests/model_routing/test_repeats_retuned.py
+++ b/tests/model_routing/test_repeats_retuned.py
@@ -8,10 +8,10 @@
 
 def used_up(repeats, now, requests=100):
     for _ in range(requests):
-        repeats.sent(now, False)
+        repeats.record_sent(now, False)
     count = 0
-    while repeats.allowed(now):
-        repeats.sent(now, True)
+    while repeats.allows_retry(now):
+        repeats.record_sent(now, True)
         count += 1
     return count
 
@@ -22,21 +22,21 @@
     repeats.retune(0.5, 50, 10 * SECOND)
     assert used_up(repeats, 0, 0) == int(CAUTION * 100) - int(CAUTION * 70)
     repeats.retune(0.0, 0, 10 * SECOND)
-    assert not repeats.allowed(0)
+    assert not repeats.allows_retry(0)
 
 
 def test_with_a_longer_window_what_was_repeated_goes_on_counting():
     repeats = Repeats(0.0, 10, 10 * SECOND)
     assert used_up(repeats, 5 * SECOND) == 8
     repeats.retune(0.0, 10, 20 * SECOND)
-    assert not repeats.allowed(24 * SECOND) and repeats.allowed(28 * SECOND)
+    assert not repeats.allows_retry(24 * SECOND) and repeats.allows_retry(28 * SECOND)
 
 
 def test_with_a_shorter_window_it_is_forgotten_sooner():
     repeats = Repeats(0.0, 10, 20 * SECOND)
     assert used_up(repeats, 5 * SECOND) == 8
     repeats.retune(0.0, 10, 2 * SECOND)
-    assert not repeats.allowed(6 * SECOND) and repeats.allowed(8 * SECOND)
+    assert not repeats.allows_retry(6 * SECOND) and repeats.allows_retry(8 * SECOND)
 
 
 def test_sums_never_fall_below_none_however_often_it_is_retuned():
@@ -44,9 +44,9 @@
         random, repeats, now = Random(seed), Repeats(0.2, 20, 10 * SECOND), 0
         for _ in range(400):
             now += random.randrange(SECOND)
-            repeats.sent(now, random.random() < 0.3)
+            repeats.record_sent(now, random.random() < 0.3)
             if random.random() < 0.05:
                 repeats.retune(random.random(), random.randrange(50), random.randrange(1, 30) * SECOND)
-        assert repeats.requests >= 0 and repeats.repeats >= 0
-        repeats.look(now + 100 * SECOND)
-        assert (repeats.requests, repeats.repeats) == (0, 0)
+        assert repeats.requests >= 0 and repeats.retries >= 0
+        repeats.advance(now + 100 * SECOND)
+        assert (repeats.requests, repeats.retries) == (0, 0)
--- a/tests/model_routing/test_serving_choice.py
+++ b/tests/model_routing/test_serving_choice.py
@@ -22,7 +22,7 @@
 
 
 def take(made, now=0, method=IDEMPOTENT, give_up_at=50_000, **wants):
-    rpc = made.take(now, method, give_up_at, False, SimpleNamespace(wants=Wants(**wants)), 0)
+    rpc = made.admit(now, method, give_up_at, False, SimpleNamespace(wants=Wants(**wants)), 0)
     return rpc, rpc.decide(now)
 
 
@@ -53,42 +53,42 @@
 def test_what_may_have_run_once_goes_nowhere_else(outcome):
     made = balancer()
     rpc, _ = take(made, method=ONCE, most=3)
-    rpc.ended(100, 0, outcome, 100, False)
+    rpc.attempt_finished(100, 0, outcome, 100, False)
     assert rpc.decide(100) == (outcomes.ERRORED, 0)
 
 
 def test_what_never_ran_goes_elsewhere_within_its_attempts():
     made = balancer()
     rpc, (first, _) = take(made, method=ONCE, most=2)
-    rpc.ended(100, 0, outcomes.TURNED_AWAY, 100, False)
+    rpc.attempt_finished(100, 0, outcomes.TURNED_AWAY, 100, False)
     second, _ = rpc.decide(100)
     assert second != first
-    rpc.ended(200, 1, outcomes.TURNED_AWAY, 100, False)
+    rpc.attempt_finished(200, 1, outcomes.TURNED_AWAY, 100, False)
     assert rpc.decide(200)[0] == outcomes.EXHAUSTED
 
 
 def test_a_connection_that_never_came_up_is_no_attempt():
     made = balancer()
     rpc, _ = take(made, method=ONCE, most=1)
-    rpc.ended(100, 0, outcomes.UNCONNECTED, 100, False)
+    rpc.attempt_finished(100, 0, outcomes.UNCONNECTED, 100, False)
     assert rpc.decide(100)[0] >= 0
-    assert made.repeats.repeats == 0
+    assert made.retry_budget.retries == 0
 
 
 def test_a_broken_stream_that_may_run_again_does():
     made = balancer()
     rpc, (first, _) = take(made, most=2)
-    rpc.ended(100, 0, outcomes.DROPPED, 100, False)
+    rpc.attempt_finished(100, 0, outcomes.DROPPED, 100, False)
     assert rpc.decide(100)[0] not in (first, outcomes.ERRORED, outcomes.EXHAUSTED)
 
 
 def test_the_fleets_budget_binds():
     made = balancer(slack=12.0, ratio=0.0)
-    made.repeats.sidecars = 6
+    made.retry_budget.sidecar_count = 6
     gone_again = 0
     for number in range(20):
         rpc, _ = take(made, now=number, most=2)
-        rpc.ended(number, 0, outcomes.DROPPED, 1, False)
+        rpc.attempt_finished(number, 0, outcomes.DROPPED, 1, False)
         gone_again += rpc.decide(number)[0] >= 0
     assert gone_again == 1  # a sixth of 12, four fifths of it
 
@@ -102,10 +102,10 @@
 def test_a_stream_stays_in_flight_until_it_ends():
     made = balancer()
     rpc, (index, _) = take(made)
-    rpc.started(True)
-    assert made.ups[index].flight == 1
-    rpc.ended(5000, 0, outcomes.COMPLETED, 10, True)
-    assert made.ups[index].flight == 0
+    rpc.response_started(True)
+    assert made.upstreams[index].in_flight == 1
+    rpc.attempt_finished(5000, 0, outcomes.COMPLETED, 10, True)
+    assert made.upstreams[index].in_flight == 0
 
 
 def test_sidecars_together_keep_to_a_cold_upstreams_rate():
@@ -113,12 +113,12 @@
         sent = []
         for number in range(sidecars):
             made = balancer(ups=((0, 0),), name=f"edge-{number}")
-            made.sidecars, made.cold_rate, made.cold_until[0] = sidecars, 6.0, 4 * SECOND
+            made.sidecar_count, made.slow_start_rate, made.warming_up_until[0] = sidecars, 6.0, 4 * SECOND
             for now in range(1, 3 * SECOND, 200):
                 rpc, (what, _) = take(made, now=now)
                 if what >= 0:
                     sent.append(now)
-                    rpc.ended(now, 0, outcomes.COMPLETED, 1, True)
+                    rpc.attempt_finished(now, 0, outcomes.COMPLETED, 1, True)
         worst = max((sum(start <= at < start + SECOND for at in sent) for start in sent), default=0)
         assert worst <= 6 * 1.5 + 5, (sidecars, worst)
 
@@ -133,24 +133,24 @@
     made = balancer(ups=tuple((index, 0) for index in range(6)))
     taken = [take(made, key=b"aa:100")[1][0] for _ in range(12)]
     assert len(set(taken)) == 6
-    assert max(made.ups[index].flight for index in taken) <= 4
+    assert max(made.upstreams[index].in_flight for index in taken) <= 4
 
 
 def test_an_upstream_that_is_set_aside_gets_nothing_and_the_rest_serve():
     made = balancer()
-    made.set_aside(0, made.ups[0], True)
+    made.eject(0, made.upstreams[0], True)
     assert 0 not in {take(made)[1][0] for _ in range(6)}
 
 
 def test_a_prompt_that_is_being_read_is_passed_over_until_its_first_event():
     made = balancer(ups=((0, 0), (1, 0), (2, 0)))
     rpc, (reads, _) = take(made, tokens=8 * 2048)
-    assert made.ups[reads].held == 8
+    assert made.upstreams[reads].background_load == 8
     assert reads not in {take(made, tokens=100)[1][0] for _ in range(4)}
-    rpc.started(True)
-    assert made.ups[reads].held == 0 and made.ups[reads].flight == 1
-    rpc.ended(900, 0, outcomes.COMPLETED, 10, True)
-    assert (made.ups[reads].held, made.ups[reads].flight) == (0, 0)
+    rpc.response_started(True)
+    assert made.upstreams[reads].background_load == 0 and made.upstreams[reads].in_flight == 1
+    rpc.attempt_finished(900, 0, outcomes.COMPLETED, 10, True)
+    assert (made.upstreams[reads].background_load, made.upstreams[reads].in_flight) == (0, 0)
 
 
 class Kept(dict):
@@ -165,43 +165,43 @@
 
 def test_what_was_read_there_weighs_no_more():
     made = balancer(ups=((0, 0), (1, 0)))
-    made.record = Kept()
+    made.prefix_index = Kept()
     rpc, (reads, _) = take(made, key=b"aa:6000", tokens=8000, shared=6000)
-    assert made.ups[reads].held == 3
-    rpc.started(True)
-    rpc.ended(900, 0, outcomes.COMPLETED, 10, True)
+    assert made.upstreams[reads].background_load == 3
+    rpc.response_started(True)
+    rpc.attempt_finished(900, 0, outcomes.COMPLETED, 10, True)
     _, (again, _) = take(made, now=1000, key=b"aa:6000", tokens=8000, shared=6000)
-    assert again == reads and made.ups[reads].held == 0
+    assert again == reads and made.upstreams[reads].background_load == 0
 
 
 def test_a_try_that_never_began_leaves_nothing_behind():
     made = balancer()
     rpc, (reads, _) = take(made, method=ONCE, tokens=50_000)
-    rpc.ended(900, 0, outcomes.UNCONNECTED, 10, True)
-    assert all((up.held, up.flight) == (0, 0) for up in made.ups.values())
+    rpc.attempt_finished(900, 0, outcomes.UNCONNECTED, 10, True)
+    assert all((up.background_load, up.in_flight) == (0, 0) for up in made.upstreams.values())
 
 
 def test_a_long_prompt_goes_where_it_is_kept_if_the_own_region_would_read_it_anew():
     made = balancer()
-    made.record = Kept({key_of(b"aa:6000"): {1003: 0.0}})
+    made.prefix_index = Kept({key_of(b"aa:6000"): {1003: 0.0}})
     assert {take(made, key=b"aa:6000", tokens=8000, shared=6000)[1][0] for _ in range(2)} == {3}
     assert take(made, key=b"bb:6000", tokens=8000, shared=6000)[1][0] in (0, 1)
-    made.record.saw(key_of(b"aa:6000"), 1000)
+    made.prefix_index.saw(key_of(b"aa:6000"), 1000)
     assert take(made, now=1, key=b"aa:6000", tokens=8000, shared=6000)[1][0] in (0, 1)
 
 
 def test_a_short_prompt_stays_in_the_own_region():
     made = balancer()
-    made.record = Kept({key_of(b"aa:300"): {1003: 0.0}})
+    made.prefix_index = Kept({key_of(b"aa:300"): {1003: 0.0}})
     assert take(made, key=b"aa:300", tokens=800, shared=300)[1][0] in (0, 1)
 
 
 def test_homes_and_the_gate_bind_what_is_kept_elsewhere():
     made = balancer()
-    made.record = Kept({key_of(b"aa:6000"): {1003: 0.0}})
+    made.prefix_index = Kept({key_of(b"aa:6000"): {1003: 0.0}})
     wants = {"key": b"aa:6000", "tokens": 8000, "shared": 6000}
     assert take(made, homes=frozenset({0}), **wants)[1][0] in (0, 1)
-    made.zones[1].flight = 4
+    made.zones[1].in_flight = 4
     assert take(made, **wants)[1][0] in (0, 1)
 
 
@@ -210,7 +210,7 @@
 
 def busy(made, **loads):
     """Others have so much in flight, by upstream."""
-    made.others_told({1000 + int(name[1:]): load for name, load in loads.items()})
+    made.update_remote_loads({1000 + int(name[1:]): load for name, load in loads.items()})
 
 
 def test_one_that_others_load_well_above_the_mean_is_passed_over():
@@ -218,7 +218,7 @@
     busy(made, u0=5)
     assert {take(made)[1][0] for _ in range(4)} == {1, 2}
     busy(made)
-    assert made.zones[0].held == made.ups[0].held == 0
+    assert made.zones[0].background_load == made.upstreams[0].background_load == 0
 
 
 def test_the_holder_of_a_prompt_is_passed_over_where_others_load_it():
@@ -230,7 +230,7 @@
 
 def test_a_region_that_all_edges_together_crowd_is_dropped():
     made = balancer(own=0)
-    made.sized(16)
+    made.set_slots(16)
     busy(made, u0=16, u1=16, u2=1)
     assert {take(made)[1][0] for _ in range(8)} <= {2, 3}
     busy(made, u0=5, u1=5)  # under a third of the slots
@@ -240,41 +240,41 @@
 def test_the_threshold_grows_with_the_slots_of_upstreams():
     """Two requests are much to one that works on six at a time, and nothing to one that works on 64."""
     made = balancer()
-    made.sized(64)
+    made.set_slots(64)
     assert {take(made)[1][0] for _ in range(40)} == {0, 1}
     assert {take(made)[1][0] for _ in range(10)} >= {2, 3}
     made = balancer()
-    made.sized(6)
+    made.set_slots(6)
     assert {take(made)[1][0] for _ in range(4)} == {0, 1} and take(made)[1][0] in (2, 3)
 
 
 def test_a_crowded_region_is_kept_to_where_the_others_are_little_better():
     made = balancer(own=0)
-    made.sized(16)
+    made.set_slots(16)
     busy(made, u0=16, u1=16, u2=13, u3=13)
     assert {take(made)[1][0] for _ in range(3)} <= {0, 1}
 
 
 def test_between_a_third_of_the_slots_and_two_a_part_goes_elsewhere():
     made = balancer(own=0)
-    made.sized(16)
+    made.set_slots(16)
     regions = []
     for number in range(200):
         busy(made, u0=8, u1=8)
         rpc, (index, _) = take(made, now=number)
         regions.append(index // 2)
-        rpc.ended(number, 0, outcomes.COMPLETED, 1, False)
+        rpc.attempt_finished(number, 0, outcomes.COMPLETED, 1, False)
         rpc.finish()
     assert 60 < sum(regions) < 140
 
 
 def test_where_all_regions_are_crowded_requests_are_still_served():
     made = balancer(own=0)
-    made.sized(4)
+    made.set_slots(4)
     busy(made, u0=40, u1=40, u2=50, u3=50)
     assert take(made)[1][0] in (0, 1)
     only = balancer(ups=((0, 0), (1, 0)))
-    only.sized(4)
+    only.set_slots(4)
     busy(only, u0=40, u1=40)
     assert take(only)[1][0] in (0, 1)
 
@@ -283,7 +283,7 @@
     made = balancer(own=0)
     busy(made, u0=90, u1=90)
     assert take(made)[1][0] in (0, 1)
-    made.sized(16)
+    made.set_slots(16)
     busy(made)
     assert take(made)[1][0] in (0, 1)
 
@@ -300,9 +300,9 @@
     busy(made, u0=7, u1=2)
     rows = [(index, region, outcomes.READY, 0, 0, 1000 + index, 1.0, 0) for index, region in ((1, 0), (2, 1))]
     made.list_changed(10, rows, True, False)
-    assert made.released() and made.zones[0].held == 2
+    assert made.take_released() and made.zones[0].background_load == 2
     busy(made)
-    assert made.zones[0].held == made.zones[1].held == 0
+    assert made.zones[0].background_load == made.zones[1].background_load == 0
 
 
 def test_a_busy_holder_is_kept_to_while_reading_anew_would_weigh_more():
--- a/tests/sidecar/admin/test_calls.py
+++ b/tests/sidecar/admin/test_calls.py
@@ -70,11 +70,11 @@
             assert (await ask(world, request(name=f"b{number}")))[0] == 200
         assert len(world.upstreams[0].seen) == before and not world.upstreams[0].writers
         assert (await world.call("/-/upstreams/s-0/enable"))[0] == 200
-        up = world.sidecar.pool.balancer.ups[world.sidecar.pool.reader.indices.by_id["s-0"]]
-        assert up.listed and world.sidecar.pool.balancer.is_cold(up, world.sidecar.clock.now())
+        up = world.sidecar.pool.balancer.upstreams[world.sidecar.pool.reader.indices.by_id["s-0"]]
+        assert up.listed and world.sidecar.pool.balancer.is_warming_up(up, world.sidecar.clock.now())
         await world.tell(world.entry(0, startedAtMs=6))  # long ago: it is cold whatever the list says
-        assert up.listed and world.sidecar.pool.balancer.is_cold(up, world.sidecar.clock.now())
-        up.cold_turns = 1
+        assert up.listed and world.sidecar.pool.balancer.is_warming_up(up, world.sidecar.clock.now())
+        up.slow_start_credit = 1
         assert (await ask(world, request(name="c")))[0] == 200
         assert len(world.upstreams[0].seen) == before + 1  # it was in use before, so it is met at once
 
@@ -86,7 +86,7 @@
             assert (await world.call(f"/-/upstreams/s-{number}/disable"))[0] == 200
         assert (await ask(world))[0] == 503 and not world.sent()
         assert (await world.call("/-/upstreams/s-1/enable"))[0] == 200
-        world.sidecar.pool.balancer.ups[1].cold_turns = 1
+        world.sidecar.pool.balancer.upstreams[1].slow_start_credit = 1
         assert (await ask(world))[0] == 200
 
 
--- a/tests/sidecar/admin/test_settings.py
+++ b/tests/sidecar/admin/test_settings.py
@@ -63,15 +63,15 @@
             conf["limits"]["most_transmissions"] = 1
             reloads(world, tmp_path, conf)
             b = world.sidecar.pool.balancer
-            assert b.most == 1 and [one.name for one in b.methods] == ["fresh", "m"]
-            assert all(not one.rpc.method.retriable for one in world.sidecar.pool.turn.in_hand.carried)
+            assert b.max_attempts == 1 and [one.name for one in b.methods] == ["fresh", "m"]
+            assert all(not one.rpc.method.idempotent for one in world.sidecar.pool.turn.in_hand.carried)
             assert (await ask(world, request(target="/old/1", name="b")))[0] == 404
             release.set()
             assert [(await asking)[0] for asking in held] == [200, 200]
             for name in ("fresh", "m"):
                 assert (await ask(world, request(target=f"/{name}/1", name=name + "2")))[0] == 200
             reloads(world, tmp_path, {**conf, "az": 0, "zones": ["0", "1"], "tick": 5.0})
-            assert len(b.zones) == 1 and b.slack == 100  # zones are for a start, the tick is not
+            assert len(b.zones) == 1 and b.deadline_margin == 100  # zones are for a start, the tick is not
 
     scenario()
 
@@ -79,14 +79,17 @@
 def test_fewer_transmissions_bind_at_once_and_what_was_learnt_stays():
     conf = settings([method("repeatable"), {**method(), "name": "n"}], limits={"most_transmissions": 3})
     b = balancer(conf, [(0, 0), (1, 0), (2, 0)])
-    rpc = b.take(0, 0, 10_000)
+    rpc = b.admit(0, 0, 10_000)
     assert rpc.decide(0)[0] >= 0
-    rpc.ended(10, 0, load_balancing.UNSENT, 10, False)
-    patience, sums = b.methods[0].patience, list(b.sums)
+    rpc.attempt_finished(10, 0, load_balancing.UNSENT, 10, False)
+    patience, sums = b.methods[0].longest_timeout, list(b.latency_sums)
     limits = {**conf["limits"], "most_transmissions": 1}
-    b.retuned({**conf, "methods": conf["methods"][::-1], "limits": limits})
+    b.update_settings({**conf, "methods": conf["methods"][::-1], "limits": limits})
     assert rpc.decide(10) == (load_balancing.EXHAUSTED, 9990)  # one was made, and only one is allowed now
-    assert b.methods[1].patience == patience > 0 == b.methods[0].patience and b.sums == sums
+    assert (
+        b.methods[1].longest_timeout == patience > 0 == b.methods[0].longest_timeout
+        and b.latency_sums == sums
+    )
 
 
 BAD = [None, "", "5", 0, -1, True, float("inf")]
@@ -204,5 +207,5 @@
             await asyncio.sleep(0)
         pool.retuned({**world.conf, "methods": [named("n", hard_deadline=5.0), named("x")]})
         (rpc,) = (carried.rpc for carried in pool.turn.in_hand.carried)
-        assert rpc.method.name == "n" and rpc.method.hard == 200_000
+        assert rpc.method.name == "n" and rpc.method.hard_deadline == 200_000
         connection[1].close()
--- a/tests/sidecar/admin/test_upgrade.py
+++ b/tests/sidecar/admin/test_upgrade.py
@@ -70,12 +70,12 @@
             async with newcomer(world) as new:
                 await until(lambda: old.upgrade.replaced)
                 assert new.orders.outs == {"s-0"} and new.phase is Phase.STANDING_BY
-                ups = new.pool.balancer.ups
+                ups = new.pool.balancer.upstreams
                 names = new.pool.reader.indices.by_id
                 assert not ups[names["s-0"]].listed and ups[names["s-2"]].listed
-                assert new.pool.balancer.is_cold(ups[names["s-1"]], new.clock.now())
-                assert new.pool.balancer.owed == [ups[names["s-1"]]]
-                assert old.pool.balancer.part == new.pool.balancer.part == 0.5
+                assert new.pool.balancer.is_warming_up(ups[names["s-1"]], new.clock.now())
+                assert new.pool.balancer.reinstated == [ups[names["s-1"]]]
+                assert old.pool.balancer.slow_start_share == new.pool.balancer.slow_start_share == 0.5
                 assert new.budget.most + old.budget.most <= 1024
                 assert not old.listener.accepting and not old.listener.waiting()
                 # An order at either address counts for both.
@@ -87,7 +87,7 @@
                 assert old.phase is Phase.SERVING
                 old.drain()
                 await until(lambda: old.phase is Phase.CLOSED)
-                await until(lambda: new.pool.balancer.part == 1.0)
+                await until(lambda: new.pool.balancer.slow_start_share == 1.0)
                 assert new.budget.elsewhere is None
                 for number in range(9):
                     assert (await ask(world, request(name=f"b{number}")))[0] == 200
@@ -114,7 +114,9 @@
         assert not asking.done()
         link.close()
         handle.close()
-        assert (await asking)[0] == 200 and old.budget.most > 100 and old.pool.balancer.part == 1.0
+        assert (
+            (await asking)[0] == 200 and old.budget.most > 100 and old.pool.balancer.slow_start_share == 1.0
+        )
         link, _, handle = await loop.run_in_executor(None, meet, loop, rendezvous(world.config.listen))
         old.upgrade.late(old.upgrade.newer)  # it has stood still
         assert old.upgrade.newer is None and old.budget.most > 100 and old.listener.accepting
--- a/tests/sidecar/capture/capture_world.py
+++ b/tests/sidecar/capture/capture_world.py
@@ -33,7 +33,7 @@
             self.out.append(
                 (
                     self.now + min(took, answer[1]),
-                    len(carried.rpc.tries) - 1,
+                    len(carried.rpc.attempts) - 1,
                     carried,
                     load_balancing.TIMED_OUT
                     if took >= answer[1]
@@ -48,22 +48,22 @@
         chance, balancer = self.chance, self.balancer
         for _ in range(chance.choice((0, 1, 1, 3, 12))):
             carried = SimpleNamespace(request=SimpleNamespace(name=b"id-%d" % len(self.taken)), rpc=None)
-            carried.rpc = balancer.take(self.now, chance.randrange(3), self.now + 9000, False, carried)
+            carried.rpc = balancer.admit(self.now, chance.randrange(3), self.now + 9000, False, carried)
             self.taken.append(carried)
             self.act(carried, carried.rpc.decide(self.now))
         for end in [one for one in self.out if one[0] <= self.now]:
             self.out.remove(end)
             at, tx, carried, what = end
-            if tx in carried.rpc.rpc.out:
+            if tx in carried.rpc.rpc.outstanding:
                 done = what == load_balancing.COMPLETED
-                for stopped in carried.rpc.ended(self.now, tx, what, 20, done):
-                    carried.rpc.ended(self.now, stopped, load_balancing.STOPPED, 20, True)
+                for stopped in carried.rpc.attempt_finished(self.now, tx, what, 20, done):
+                    carried.rpc.attempt_finished(self.now, stopped, load_balancing.STOPPED, 20, True)
                 self.act(carried, carried.rpc.decide(self.now))
         if chance.random() < 0.02 and self.taken:
             gone = chance.choice(self.taken[-20:])
             if not gone.rpc.rpc.done:
-                for stopped in gone.rpc.gone(self.now):
-                    gone.rpc.ended(self.now, stopped, load_balancing.STOPPED, 5, True)
+                for stopped in gone.rpc.client_disconnected(self.now):
+                    gone.rpc.attempt_finished(self.now, stopped, load_balancing.STOPPED, 5, True)
         if chance.random() < 0.05:
             up = chance.randrange(8)
             state = chance.choice(
@@ -72,11 +72,11 @@
             balancer.list_changed(self.now, [row(up, up % 2, state, started=self.now - 500)], False, True)
         if chance.random() < 0.01:
             balancer.list_failed(self.now)
-            balancer.span(0.5, 1.0)
-            balancer.luck(1)
+            balancer.uniform(0.5, 1.0)
+            balancer.draw_admission(1)
         for rpc in balancer.due(self.now):
             self.act(rpc.tag, rpc.tag.rpc.decide(self.now))
-        balancer.released()
+        balancer.take_released()
 
     def run(self, turns, late=0):
         for _ in range(turns):
--- a/tests/sidecar/capture/test_operating.py
+++ b/tests/sidecar/capture/test_operating.py
@@ -25,19 +25,19 @@
     for now, step in enumerate(("rpc", "out", "rpc", "long", "divide", "tune", "rpc", "back", "rpc", "rpc")):
         now *= 100
         if step in ("out", "back"):
-            b.ordered(now, 1, step == "out")
+            b.set_withdrawn(now, 1, step == "out")
         elif step == "divide":
-            b.divided(0.5)
+            b.set_slow_start_share(0.5)
         elif step == "tune":
-            b.retuned({**conf, "methods": [method("repeatable")], "tick": 5.0})
+            b.update_settings({**conf, "methods": [method("repeatable")], "tick": 5.0})
         else:
-            rpc = b.take(now, 0, now + 80_000, False, tag(b"%d" % now))
+            rpc = b.admit(now, 0, now + 80_000, False, tag(b"%d" % now))
             if step == "long":
-                rpc.coming(now, now + 80_000, True, False)
+                rpc.body_received(now, now + 80_000, True, False)
             found.append(rpc.decide(now))
             if step == "long":
-                found.append(rpc.coming(now + 50, now + 80_050, False, True))
-            found.append(rpc.ended(now + 60, 0, load_balancing.COMPLETED, 60, True))
+                found.append(rpc.body_received(now + 50, now + 80_050, False, True))
+            found.append(rpc.attempt_finished(now + 60, 0, load_balancing.COMPLETED, 60, True))
     return found
 
 
@@ -49,7 +49,7 @@
     _, records, _ = file_frames.read(ring.data(), b"C")
     replay = Replay(records)
     assert list(replay.run()) == [] and replay.calls > 20 and replay.left_out == 0
-    assert replay.settings["tick"] == 5.0 and replay.balancer.part == 0.5
+    assert replay.settings["tick"] == 5.0 and replay.balancer.slow_start_share == 0.5
 
 
 def test_a_follower_is_told_of_the_same_and_its_own_settings_stay():
@@ -62,6 +62,9 @@
     )
     alone = load_balancing.Balancer(conf, 7, 0)
     assert happen(watched) == happen(alone)
-    assert watched.follower is not None and watched.follower.most == 1 < watched.inner.most
-    assert watched.follower.slack == watched.inner.slack == 100 and watched.follower.part == 0.5
-    assert watched.follower.ups[1].back_at == alone.ups[1].back_at > 0
+    assert watched.follower is not None and watched.follower.max_attempts == 1 < watched.inner.max_attempts
+    assert (
+        watched.follower.deadline_margin == watched.inner.deadline_margin == 100
+        and watched.follower.slow_start_share == 0.5
+    )
+    assert watched.follower.upstreams[1].reinstated_at == alone.upstreams[1].reinstated_at > 0
--- a/tests/sidecar/capture/test_replay.py
+++ b/tests/sidecar/capture/test_replay.py
@@ -68,12 +68,12 @@
     world = World(3)
     for number in range(2000):
         carried = SimpleNamespace(request=SimpleNamespace(name=b"%d" % number), rpc=None)
-        carried.rpc = world.balancer.take(world.now, number % 3, world.now + 9000, False, carried)
+        carried.rpc = world.balancer.admit(world.now, number % 3, world.now + 9000, False, carried)
         world.act(carried, carried.rpc.decide(world.now))
     world.balancer.save(world.now)
     state = world.records()[-1]["state"]
     balancer, rpcs = thaw(state, load_balancing)
-    assert len(rpcs) == len(world.balancer.live) and balancer.flight == world.balancer.inner.flight
+    assert len(rpcs) == len(world.balancer.live) and balancer.in_flight == world.balancer.inner.in_flight
     again = freeze(balancer, lambda tag: tag, rpcs.values())
     assert sorted(map(repr, again["rows"][0][1])) == sorted(map(repr, state["rows"][0][1]))
     with pytest.raises(StateError):
--- a/tests/sidecar/crossings/test_customers.py
+++ b/tests/sidecar/crossings/test_customers.py
@@ -24,8 +24,8 @@
             conf = {**world.conf, "customers": TENANTS}
             world.sidecar.pool.retuned(conf)
             balancer, tenants = world.sidecar.pool.balancer, []
-            take = balancer.take
-            balancer.take = lambda now, method, at, retry, tag, tenant: (
+            take = balancer.admit
+            balancer.admit = lambda now, method, at, retry, tag, tenant: (
                 tenants.append(tenant),
                 take(now, method, at, retry, tag, tenant),
             )[1]
@@ -78,8 +78,11 @@
             change = world.listing(far, 7, {}, world.entry(0, "terminating"), generation=2)
             world.agent.answers += [change] * 12
             await until(lambda: world.sidecar.pool.reader.version == 2)
-            await until(lambda: not world.sidecar.pool.balancer.ups[0].listed)
-            assert world.sidecar.pool.balancer.ups[1].listed and "s-far" not in world.sidecar.pool.reader.told
+            await until(lambda: not world.sidecar.pool.balancer.upstreams[0].listed)
+            assert (
+                world.sidecar.pool.balancer.upstreams[1].listed
+                and "s-far" not in world.sidecar.pool.reader.told
+            )
             # It is asked for again before that: what was spoilt on its way comes whole.
             assert sum("after=1&" in call for call in world.agent.calls) >= discovery.UNSOUND
 
@@ -99,7 +102,7 @@
             )
             world.agent.answers += [change] * 12
             await until(lambda: world.sidecar.pool.reader.version == 2)
-            await until(lambda: not world.sidecar.pool.balancer.ups[0].listed)
+            await until(lambda: not world.sidecar.pool.balancer.upstreams[0].listed)
             assert (await ask(world, request(b"one")))[0] == 200 and not world.upstreams[0].seen
 
     scenario()
@@ -120,8 +123,8 @@
             )
             world.agent.answers += [change] * 12
             await until(lambda: world.sidecar.pool.reader.version == 2)
-            await until(lambda: not world.sidecar.pool.balancer.ups[1].listed)
-            assert world.sidecar.pool.balancer.ups[0].listed
+            await until(lambda: not world.sidecar.pool.balancer.upstreams[1].listed)
+            assert world.sidecar.pool.balancer.upstreams[0].listed
             assert (await ask(world, request(b"one")))[0] == 200 and not world.upstreams[1].seen
 
     scenario()
@@ -193,7 +196,7 @@
         now += chance.randrange(400)
         what = chance.random()
         if what < 0.5:
-            rpc = balancer.take(
+            rpc = balancer.admit(
                 now,
                 chance.randrange(len(methods)),
                 now + pick((0, 1, 10, 5000, 30000)),
@@ -205,11 +208,11 @@
             rpc.decide(now)
         elif what < 0.85 and taken:
             rpc = pick(taken)
-            if rpc.out:
+            if rpc.outstanding:
                 outcome = chance.randrange(9)
-                rpc.ended(
+                rpc.attempt_finished(
                     now,
-                    pick(list(rpc.out)),
+                    pick(list(rpc.outstanding)),
                     outcome,
                     chance.randrange(5000),
                     outcome == load_balancing.COMPLETED and not rpc.done,
@@ -220,7 +223,7 @@
             change = row(chance.randrange(8), chance.randrange(zones), chance.randrange(3), pick((0, now)))
             balancer.list_changed(now, [change], False, True)
         elif what < 0.92:
-            balancer.retuned(conf)
+            balancer.update_settings(conf)
         for rpc in balancer.due(now):
             rpc.decide(now)
         balancer.wake_at()
--- a/tests/sidecar/crossings/test_end.py
+++ b/tests/sidecar/crossings/test_end.py
@@ -313,6 +313,6 @@
         pool.listed(world.list(world.entry(0)))
         host, port = other.address.split(":")
         pool.move((host, int(port)))
-        await until(lambda: not pool.balancer.ups[0].listed)
+        await until(lambda: not pool.balancer.upstreams[0].listed)
         assert (await ask(world, request(b"one")))[0] == 200 and world.upstreams[1].seen
         other.stop()
--- a/tests/sidecar/crossings/test_left.py
+++ b/tests/sidecar/crossings/test_left.py
@@ -30,7 +30,7 @@
             await until(lambda: b"stays" in world.bodies())
             await world.quiet()
             assert world.bodies() == [b"stays"]
-            assert not world.sidecar.pool.balancer.flight
+            assert not world.sidecar.pool.balancer.in_flight
             stays.leave(False)
 
     scenario()
@@ -52,7 +52,7 @@
             world.gate.set()
             await until(lambda: not world.sidecar.pool.caller.dials)
             await world.quiet()
-            assert world.bodies() == [] and not world.sidecar.pool.balancer.flight
+            assert world.bodies() == [] and not world.sidecar.pool.balancer.in_flight
             assert (await ask(world))[0] == 200
 
     scenario()
@@ -134,17 +134,17 @@
             world.release.clear()
             first = asyncio.create_task(ask(world, request(b"first", name="f")))
             await until(lambda: world.sent() == 21)
-            balancer.choose, choose = lambda now, rpc, stay: None, balancer.choose
+            balancer.choose_upstream, choose = lambda now, rpc, stay: None, balancer.choose_upstream
             gone = Client(world)
             await gone.flood(world, request(b"gone", name="g"))
-            await until(lambda: balancer.held)
+            await until(lambda: balancer.queue)
             gone.leave(reset)
             await asyncio.sleep(0.05)
-            balancer.choose = choose
+            balancer.choose_upstream = choose
             world.release.set()
             assert (await first)[0] == 200
             await world.quiet()
-            assert set(world.bodies()) == {b"first"} and not balancer.flight
+            assert set(world.bodies()) == {b"first"} and not balancer.in_flight
 
     scenario()
 
@@ -163,7 +163,7 @@
                 for writer in list(upstream.writers):
                     writer.transport.abort()
             await world.quiet()
-            assert world.bodies() == [b"gone"] and not world.sidecar.pool.balancer.flight
+            assert world.bodies() == [b"gone"] and not world.sidecar.pool.balancer.in_flight
 
     scenario()
 
@@ -208,7 +208,7 @@
             world.gate.set()
             await until(lambda: not world.sidecar.pool.turn.in_hand)
             await world.quiet()
-            assert world.bodies() == [] and not world.sidecar.pool.balancer.flight
+            assert world.bodies() == [] and not world.sidecar.pool.balancer.in_flight
 
     scenario()
 
@@ -217,8 +217,8 @@
 async def test_nothing_is_held_against_an_upstream_for_it():
     async with Crossed(cancelling=False) as world:
         told = []
-        ended, load_balancing.Rpc.ended = (
-            load_balancing.Rpc.ended,
+        ended, load_balancing.Rpc.attempt_finished = (
+            load_balancing.Rpc.attempt_finished,
             lambda rpc, now, tx, outcome, *more: (told.append(outcome), ended(rpc, now, tx, outcome, *more))[
                 1
             ],
@@ -234,4 +234,4 @@
             await until(lambda: told)
             assert told == [load_balancing.UNSENT]
         finally:
-            load_balancing.Rpc.ended = ended
+            load_balancing.Rpc.attempt_finished = ended
--- a/tests/sidecar/crossings/test_own_faults.py
+++ b/tests/sidecar/crossings/test_own_faults.py
@@ -37,21 +37,21 @@
             await warm(world)
             first = asyncio.create_task(ask(world, request(b"first", name="f")))
             await until(lambda: world.sent() == 21)
-            balancer.choose, choose = lambda now, rpc, stay: None, balancer.choose
+            balancer.choose_upstream, choose = lambda now, rpc, stay: None, balancer.choose_upstream
             rest = [asyncio.create_task(ask(world, request(b"h", name=name))) for name in ("h1", "h2", "h3")]
-            await until(lambda: len(balancer.held) == 3)
-            poor = balancer.held[0][3]
+            await until(lambda: len(balancer.queue) == 3)
+            poor = balancer.queue[0][3]
 
             def broken(now, rpc, stay):
                 if rpc is poor:
                     raise ZeroDivisionError
                 return choose(now, rpc, stay)
 
-            balancer.choose = broken
+            balancer.choose_upstream = broken
             world.release.set()
             answers = sorted([(await one)[0] for one in (first, *rest)])
             assert answers == [200, 200, 200, 502]
-            assert not balancer.held and not balancer.flight and not world.sidecar.pool.turn.in_hand
+            assert not balancer.queue and not balancer.in_flight and not world.sidecar.pool.turn.in_hand
 
     faulty(scenario, 1)
 
@@ -66,7 +66,7 @@
             rpc, carried.rpc = carried.rpc, Broken(carried.rpc)
             world.sidecar.pool.turn.gather(world.sidecar.pool.turn.decide, carried)
             assert (await asking)[0] == 502
-            await until(lambda: not balancer.flight)
+            await until(lambda: not balancer.in_flight)
             assert rpc.done and not carried.out
             await until(lambda: not world.sidecar.pool.caller.open)  # it was stopped
 
--- a/tests/sidecar/crossings/test_watches.py
+++ b/tests/sidecar/crossings/test_watches.py
@@ -75,7 +75,7 @@
             drained = world.listing(world.entry(0, "terminating"), generation=2)
             world.agent.answers += [SILENT, SILENT, drained]
             before = len(world.agent.calls)
-            await until(lambda: not world.sidecar.pool.balancer.ups[0].listed)
+            await until(lambda: not world.sidecar.pool.balancer.upstreams[0].listed)
             assert world.sidecar.pool.reader.version == 2
             # Those after a failure wait no longer than it takes to show that somebody is there.
             assert all(waits(call) == discovery.PROOF for call in world.agent.calls[before + 1 : before + 3])
@@ -231,7 +231,7 @@
             watches = world.watches
             await until(lambda: world.watches > watches and pool.reader.version is not None)
             await world.tell(world.entry(1, "terminating"))
-            assert not pool.balancer.ups[1].listed
+            assert not pool.balancer.upstreams[1].listed
 
     lines = []
     sink = logger.add(lines.append, level="ERROR", format="{message}")
@@ -256,7 +256,7 @@
         world.gate.set()
         assert (await asking)[0] == 200
         assert not world.upstreams[drained].seen and world.upstreams[1 - drained].seen
-        assert not world.sidecar.pool.balancer.flight
+        assert not world.sidecar.pool.balancer.in_flight
 
 
 @on_sockets
@@ -328,4 +328,4 @@
         await world.tell({**world.entry(0), "hostPort": "a..b:80"})
         async with asyncio.timeout(8):  # its client waits for 15 s
             assert (await ask(world, request(b"one")))[0] == 503
-        assert not world.sidecar.pool.caller.dials and not world.sidecar.pool.balancer.flight
+        assert not world.sidecar.pool.caller.dials and not world.sidecar.pool.balancer.in_flight
--- a/tests/sidecar/endpoint_snapshot/test_start.py
+++ b/tests/sidecar/endpoint_snapshot/test_start.py
@@ -284,15 +284,17 @@
             pool = world.sidecar.pool
             for number in range(2):  # until then the saved rows serve, one RPC at a time each
                 assert (await ask(world, request(name=f"a{number}")))[0] == 200
-            assert pool.source == "saved" and all(up.doubt for up in pool.balancer.ups.values())
+            assert pool.source == "saved" and all(
+                up.probation_successes for up in pool.balancer.upstreams.values()
+            )
             world.gate.set()
-            await until(lambda: pool.source == "discovery" and pool.balancer.ready == (what != "empty"))
+            await until(lambda: pool.source == "discovery" and pool.balancer.ready_count == (what != "empty"))
             before = len(world.upstreams[0].seen)
             for number in range(4):
                 assert (await ask(world, request(name=f"b{number}")))[0] == (503 if what == "empty" else 200)
             assert len(world.upstreams[0].seen) == before
             assert "s-0" not in pool.reader.indices.by_id and not any(
-                up.doubt for up in pool.balancer.ups.values()
+                up.probation_successes for up in pool.balancer.upstreams.values()
             )
 
     scene()
--- a/tests/sidecar/endpoint_snapshot/test_trust.py
+++ b/tests/sidecar/endpoint_snapshot/test_trust.py
@@ -109,65 +109,72 @@
 
 def sent(b, now, count):
     """So many RPCs taken at one moment: the upstreams they went to, and their handles."""
-    rpcs = [b.take(now, 0, now + 9000) for _ in range(count)]
+    rpcs = [b.admit(now, 0, now + 9000) for _ in range(count)]
     found = [(rpc, rpc.decide(now)) for rpc in rpcs]
     return [(rpc, answer[0]) for rpc, answer in found if answer is not None and answer[0] >= 0]
 
 
 def test_in_doubt_an_upstream_gets_one_at_a_time_until_it_has_ended_well_often_enough():
     b = started()
-    b.doubted(0, [0, 1, 2, 3], 2, False)
+    b.mark_unverified(0, [0, 1, 2, 3], 2, False)
     out = sent(b, 0, 12)
     assert sorted(up for _, up in out) == [0, 1, 2, 3]
     for number in range(2):
         for rpc, _ in out:
-            rpc.ended(100 * (number + 1), 0, load_balancing.COMPLETED, 10, True)
+            rpc.attempt_finished(100 * (number + 1), 0, load_balancing.COMPLETED, 10, True)
         out = sent(b, 100 * (number + 1), 12)
         assert (len(out) == 4) == (number == 0)
 
 
 def test_slow_ends_do_not_settle_a_doubt():
     b = started()
-    b.doubted(0, [0, 1, 2, 3], 1, False)
+    b.mark_unverified(0, [0, 1, 2, 3], 1, False)
     for rpc, up in sent(b, 0, 4):
-        rpc.ended(100, 0, load_balancing.COMPLETED, 10 if up else 80, True)
-    assert [b.ups[up].doubt for up in range(4)] == [1, 0, 0, 0]
+        rpc.attempt_finished(100, 0, load_balancing.COMPLETED, 10 if up else 80, True)
+    assert [b.upstreams[up].probation_successes for up in range(4)] == [1, 0, 0, 0]
 
 
 def test_a_last_resort_waits_aside_is_tried_one_by_one_and_joins_once_it_has_answered():
     b = started()
-    b.doubted(0, [0, 1, 2, 3], 1, True)
-    assert not b.zones[0].ring and b.aside == 4
+    b.mark_unverified(0, [0, 1, 2, 3], 1, True)
+    assert not b.zones[0].rotation and b.ejected_count == 4
     out = sent(b, 0, 6)
     assert len(out) == 1
     rpc, first = out[0]
-    rpc.ended(50, 0, load_balancing.UNCONNECTED, 0, False)
+    rpc.attempt_finished(50, 0, load_balancing.UNCONNECTED, 0, False)
     again = rpc.decide(50)
     assert again[0] >= 0 and again[0] != first  # refused: the next in doubt, not the same again
-    rpc.ended(80, 1, load_balancing.COMPLETED, 10, True)
-    assert [up.index for up in b.zones[0].ring] == [again[0]] and b.aside == 3
+    rpc.attempt_finished(80, 1, load_balancing.COMPLETED, 10, True)
+    assert [up.index for up in b.zones[0].rotation] == [again[0]] and b.ejected_count == 3
     assert len(sent(b, 90, 3)) >= 2  # that one, and beside it the next in doubt
-    assert first in b.latent
+    assert first in b.last_resort_upstreams
 
 
 def test_what_is_sound_is_used_before_a_last_resort():
     b = started()
-    b.doubted(0, [2, 3], 1, True)
+    b.mark_unverified(0, [2, 3], 1, True)
     assert {up for _, up in sent(b, 0, 2)} <= {0, 1}
 
 
 def test_discovery_itself_settles_every_doubt_and_what_it_does_not_name_goes():
     b = started()
-    b.doubted(0, [0, 1], 3, False)
-    b.doubted(0, [2, 3], 3, True)
+    b.mark_unverified(0, [0, 1], 3, False)
+    b.mark_unverified(0, [2, 3], 3, True)
     out = sent(b, 0, 8)
     rpc = out[0][0]
     b.list_changed(10, [row(0, 0), row(2, 0)], True, True)
-    assert not b.latent and [one.index for one in b.zones[0].ring] == [0, 2] and b.aside == 0 and b.ready == 2
-    assert all(not one.trial and not one.doubt for one in b.ups.values() if one.listed)
-    rpc.ended(20, 0, load_balancing.DROPPED, 10, False)  # in hand at the hand-over: rule 2 holds as ever
+    assert (
+        not b.last_resort_upstreams
+        and [one.index for one in b.zones[0].rotation] == [0, 2]
+        and b.ejected_count == 0
+        and b.ready_count == 2
+    )
+    assert all(not one.half_open and not one.probation_successes for one in b.upstreams.values() if one.listed)
+    rpc.attempt_finished(
+        20, 0, load_balancing.DROPPED, 10, False
+    )  # in hand at the hand-over: rule 2 holds as ever
     assert rpc.decide(20) == (load_balancing.ERRORED, 0)
-    assert set(b.released()) == {1, 3} - {up for _, up in out[1:]}
+    assert set(b.take_released()) == {1, 3} - {up for _, up in out[1:]}
 
 
 def test_a_herd_spreads():
@@ -177,7 +184,7 @@
     for seed in range(400):
         b = load_balancing.Balancer(settings([ONCE]), seed, 0)
         b.list_changed(0, [row(up, 0) for up in range(20)], True, False)
-        b.doubted(0, list(range(20)), 3, seed % 2 == 0)
+        b.mark_unverified(0, list(range(20)), 3, seed % 2 == 0)
         hits[sent(b, 0, 1)[0][1]] += 1
     assert max(hits) < 45  # 20 expected each; chance alone stays under 40 nearly always
 
@@ -186,7 +193,7 @@
     b, ids = started(), ["s0", "s1", "s2", "s3"]
     for step in range(200):
         for rpc, up in sent(b, step * 100, 2):
-            rpc.ended(step * 100 + 50, 0, load_balancing.COMPLETED, 40 if up == 3 else 10, True)
+            rpc.attempt_finished(step * 100 + 50, 0, load_balancing.COMPLETED, 40 if up == 3 else 10, True)
     saved = to_disk(learned_state.export(b, 20_000), ids, ["0"], ["k"])
     # Other indices after the restart: s3 is now 0.
     known = {"s3": 0, "s1": 1, "new": 2}
@@ -198,15 +205,18 @@
         return fresh
 
     soon, late = restored(1), restored(3600)
-    assert soon.expected(soon.ups[0], 0) > 1.5 * soon.expected(soon.ups[1], 0)
-    assert late.sums[0] < 1.1 and abs(late.expected(late.ups[0], 0) / late.expected(late.ups[1], 0) - 1) < 0.1
-    assert soon.zones[0].window == b.zones[0].window and late.zones[0].window != b.zones[0].window
+    assert soon.expected_duration(soon.upstreams[0], 0) > 1.5 * soon.expected_duration(soon.upstreams[1], 0)
+    assert late.latency_sums[0] < 1.1 and abs(late.expected_duration(late.upstreams[0], 0) / late.expected_duration(late.upstreams[1], 0) - 1) < 0.1
+    assert (
+        soon.zones[0].concurrency_limit == b.zones[0].concurrency_limit
+        and late.zones[0].concurrency_limit != b.zones[0].concurrency_limit
+    )
 
 
 def test_a_state_that_is_not_sound_is_left_out_whole():
     b = started()
     for rpc, _ in sent(b, 0, 2):
-        rpc.ended(50, 0, load_balancing.COMPLETED, 10, True)
+        rpc.attempt_finished(50, 0, load_balancing.COMPLETED, 10, True)
     good = to_disk(learned_state.export(b, 100), ["s0", "s1", "s2", "s3"], ["0"], ["k"])
     assert from_disk(good, {}, ["0"], ["k"])["ups"] == []
     assert from_disk({**good, "late": 0.1}, {}, ["0"], ["k"])["ups"] == []  # as older files have it
@@ -229,12 +239,12 @@
     b = started(2)
     for number in range(200):
         ((rpc, up),) = sent(b, number, 1)
-        rpc.started(True)
+        rpc.response_started(True)
         b.list_changed(number, [row(0, 0), row(1, 0)], False, True)
-    held = [b.ups[up].held for up in range(2)]
-    assert sum(held) == b.zones[0].held == 200 and abs(held[0] - held[1]) <= 1 and b.flight == 0
+    held = [b.upstreams[up].background_load for up in range(2)]
+    assert sum(held) == b.zones[0].background_load == 200 and abs(held[0] - held[1]) <= 1 and b.in_flight == 0
     assert len(sent(b, 300, 2)) == 2  # as if nothing were open
-    rpc.ended(400, 0, load_balancing.DROPPED, 400, True, True)
-    assert b.zones[0].held == 199 and rpc.decide(400) is None
+    rpc.attempt_finished(400, 0, load_balancing.DROPPED, 400, True, True)
+    assert b.zones[0].background_load == 199 and rpc.decide(400) is None
     b.list_changed(500, [row(0, 0, load_balancing.REMOVED)], False, True)
-    assert 0 in b.ups  # its streams are still open: its index is not free
+    assert 0 in b.upstreams  # its streams are still open: its index is not free
--- a/tests/sidecar/process/test_sockets.py
+++ b/tests/sidecar/process/test_sockets.py
@@ -311,10 +311,13 @@
         return SILENT if world.sent() < 2 else message()
 
     async with World(silent_once, silent_once, methods=methods) as world:
-        world.sidecar.pool.balancer.sums = [100.0, 150.0, 1000.0, 250.0, 1500.0]
-        world.sidecar.pool.balancer.fit()
-        for up in world.sidecar.pool.balancer.ups.values():
-            up.bad, up.stamp = 1.0, world.sidecar.clock.now()  # so that the first gets part of the time
+        world.sidecar.pool.balancer.latency_sums = [100.0, 150.0, 1000.0, 250.0, 1500.0]
+        world.sidecar.pool.balancer.fit_latency()
+        for up in world.sidecar.pool.balancer.upstreams.values():
+            up.failures, up.decayed_at = (
+                1.0,
+                world.sidecar.clock.now(),
+            )  # so that the first gets part of the time
         with outcomes() as ends:
             first = asyncio.create_task(ask(world, request(wait=4000)))
             await until(lambda: world.sent() == 2)
@@ -465,7 +468,7 @@
                 (
                     len(sidecar.pool.reader.told),
                     len(sidecar.pool.reader.indices.ids),
-                    len(sidecar.pool.balancer.ups),
+                    len(sidecar.pool.balancer.upstreams),
                     len(sidecar.pool.reader.addresses.known),
                     len(sidecar.pool.caller.heard),
                     len(sidecar.pool.caller.idle.by_upstream),
@@ -598,9 +601,12 @@
     @on_sockets
     async def scenario():
         async with World(serve) as world:
-            world.sidecar.pool.balancer.choose, whole = broken, world.sidecar.pool.balancer.choose
+            world.sidecar.pool.balancer.choose_upstream, whole = (
+                broken,
+                world.sidecar.pool.balancer.choose_upstream,
+            )
             assert (await ask(world))[0] == 502
-            world.sidecar.pool.balancer.choose = whole
+            world.sidecar.pool.balancer.choose_upstream = whole
             assert (await ask(world))[0] == 200
 
     with pytest.raises(AssertionError, match="fault in take: ZeroDivisionError"):
--- a/tests/sidecar/shadow_policy/test_watch.py
+++ b/tests/sidecar/shadow_policy/test_watch.py
@@ -50,31 +50,33 @@
                     + (load_balancing.TURNED_AWAY, load_balancing.FAILED, load_balancing.UNCONNECTED)
                 )
             )
-            self.out.append((self.now + min(took, answer[1]), len(carried.rpc.tries) - 1, carried, what))
+            self.out.append((self.now + min(took, answer[1]), len(carried.rpc.attempts) - 1, carried, what))
 
     def turn(self):
         for _ in range(self.chance.choice((0, 1, 1, self.busy))):
             carried = SimpleNamespace(rpc=None)
             number, tenant = self.chance.randrange(3), self.chance.choice((0, 0, 0, 1))
-            carried.rpc = self.watched.take(self.now, number, self.now + 9000, False, carried, tenant)
+            carried.rpc = self.watched.admit(self.now, number, self.now + 9000, False, carried, tenant)
             self.act(carried, carried.rpc.decide(self.now))
         for end in [one for one in self.out if one[0] <= self.now]:
             self.out.remove(end)
             _, tx, carried, what = end
-            if tx in carried.rpc.rpc.out:
-                for stopped in carried.rpc.ended(self.now, tx, what, 20, what == load_balancing.COMPLETED):
-                    carried.rpc.ended(self.now, stopped, load_balancing.STOPPED, 20, True)
+            if tx in carried.rpc.rpc.outstanding:
+                for stopped in carried.rpc.attempt_finished(
+                    self.now, tx, what, 20, what == load_balancing.COMPLETED
+                ):
+                    carried.rpc.attempt_finished(self.now, stopped, load_balancing.STOPPED, 20, True)
                 self.act(carried, carried.rpc.decide(self.now))
         if self.chance.random() < 0.05:
             up = self.chance.randrange(10)
             state = self.chance.choice((load_balancing.READY,) * 2 + (load_balancing.DRAINING,))
             self.watched.list_changed(self.now, [row(up, up % 2, state, self.now - 500)], False, True)
         if self.chance.random() < 0.05:
-            self.watched.luck(1)
-            self.watched.span(0.5, 1.0)
+            self.watched.draw_admission(1)
+            self.watched.uniform(0.5, 1.0)
         for rpc in self.watched.due(self.now):
             self.act(rpc.tag, rpc.tag.rpc.decide(self.now))
-        self.watched.released()
+        self.watched.take_released()
         self.now += self.chance.choice((10, 50, 200))
 
     def run(self, turns=1500):
@@ -120,7 +122,7 @@
 def test_each_pair_of_answers_has_its_kind():
     follower = Follower(settings(zones=2), 1, 0)
     follower.list_changed(0, [row(up, up // 2) for up in range(4)], True, True)
-    rpc = follower.take(0, 0, 9000)
+    rpc = follower.admit(0, 0, 9000)
     sent, final, errored = (0, 50), (load_balancing.EXHAUSTED, 100), (load_balancing.ERRORED, 0)
     pairs = {
         (sent, (0, 9)): None,
@@ -138,12 +140,12 @@
         (final, (load_balancing.EXHAUSTED, 7)): "other advice",
     }
     assert {pair: differs(rpc, *pair) for pair in pairs} == pairs
-    rpc.tries.append(None)
+    rpc.attempts.append(None)
     assert differs(rpc, None, sent) == "another transmission"
     assert differs(rpc, sent, None) == differs(rpc, sent, final) == "no other transmission"
 
 
-@pytest.mark.parametrize("where", ["take", "list_changed", "due", "luck"])
+@pytest.mark.parametrize("where", ["admit", "list_changed", "due", "draw_admission"])
 def test_a_fault_of_the_follower_is_logged_once_and_changes_nothing(where, monkeypatch):
     lines = []
     sink = logger.add(lines.append, level="WARNING", format="{message}")
--- a/tests/sidecar/size/test_size.py
+++ b/tests/sidecar/size/test_size.py
@@ -115,13 +115,13 @@
 
     async with Sized(slow) as world:
         asking = asyncio.create_task(exchange(world, post("Content-Length: 0", wait=300)))
-        up = world.sidecar.pool.balancer.ups[0]
+        up = world.sidecar.pool.balancer.upstreams[0]
         await asyncio.sleep(0.6)
-        assert up.flight + up.held == 1
+        assert up.in_flight + up.background_load == 1
         status, _, body = await asking
         assert status == 200 and body == pattern(100_000)
-        await until(lambda: up.flight == 0)
-        assert up.took < 5000  # what is learnt is the time to the first bytes
+        await until(lambda: up.in_flight == 0)
+        assert up.observed_duration < 5000  # what is learnt is the time to the first bytes
 
 
 @on_sockets
@@ -487,10 +487,10 @@
 
     async with Sized(long, long, long, pace=4e6) as world:
         world.sidecar.budget.limit(1024, 24)
-        world.sidecar.pool.balancer.sums = [100.0, 150.0, 10.0, 250.0, 15.0]
-        world.sidecar.pool.balancer.fit()
+        world.sidecar.pool.balancer.latency_sums = [100.0, 150.0, 10.0, 250.0, 15.0]
+        world.sidecar.pool.balancer.fit_latency()
         for zone in world.sidecar.pool.balancer.zones:
-            zone.window = 1000.0
+            zone.concurrency_limit = 1000.0
         most, sidecar = [0], world.sidecar
         body = b"x" * (2 * MEGABYTE)
 
--- a/tests/sidecar/tunnel/test_tunnels.py
+++ b/tests/sidecar/tunnel/test_tunnels.py
@@ -78,7 +78,7 @@
 
     def flight(self):
         balancer = self.sidecar.pool.balancer
-        return balancer.flight + sum(zone.held for zone in balancer.zones)
+        return balancer.in_flight + sum(zone.background_load for zone in balancer.zones)
 
 
 KINDS = ("socks", "connect")
@@ -396,7 +396,7 @@
                 for number in range(6):
                     status = (await ask(world, request(b"x", name=f"r{number}")))[0]
                     assert status == 200 or how == "reset", (how, number)
-            assert world.sidecar.pool.balancer.aside == 0
+            assert world.sidecar.pool.balancer.ejected_count == 0
             assert set(ends) <= {load_balancing.COMPLETED, load_balancing.UNSENT} | (
                 {load_balancing.DROPPED} if how == "reset" else set()
             )
@@ -415,7 +415,7 @@
             with outcomes() as ends:
                 status = (await ask(world))[0]
             assert status == 503 and set(ends) == {load_balancing.UNCONNECTED} and world.sent() == 0
-            assert world.sidecar.pool.balancer.aside >= 1
+            assert world.sidecar.pool.balancer.ejected_count >= 1
         proxy.stop()
 
 
@@ -438,7 +438,7 @@
         begun = time.monotonic()
         assert (await ask(world, request(wait=1000)))[0] == 503  # never ran: trying again is harmless
         assert time.monotonic() - begun < 3 and world.sent() == 0
-        assert world.sidecar.pool.balancer.aside == 0
+        assert world.sidecar.pool.balancer.ejected_count == 0
     for proxy in proxies:
         proxy.stop()
 
--- a/tests/stored/test_sidecar_files_as_found.py
+++ b/tests/stored/test_sidecar_files_as_found.py
@@ -56,6 +56,8 @@
         by_class = {name: sorted(fields) for name, fields in expected["rows"]}
         assert {name: sorted(fields) for name, fields in again["rows"]} == by_class
         assert len(again["rows"]) == len(expected["rows"])
+        orders = {name: list(fields) for name, fields in expected["rows"]}
+        assert {name: list(fields) for name, fields in again["rows"]} == orders
 
 
 def test_the_saved_endpoint_list_comes_back(tmp_path):
--- a/tests/system/test_planes_together.py
+++ b/tests/system/test_planes_together.py
@@ -193,8 +193,8 @@
 
     def load(edge, change):
         balancer = edge.services["lm"].balancer
-        balancer.count_in(balancer.ups[0], change, 0)
-        return balancer.ups[0].mark
+        balancer.add_load(balancer.upstreams[0], change, 0)
+        return balancer.upstreams[0].id_hash
 
     async def story(system):
         one, other = (system.edges[number] for number in EDGES)
@@ -203,7 +203,7 @@
         mark = load(one, 5)
         mine = load(other, 1)  # an edge without a request in flight asks for nothing
         await until(lambda: other.others.loads.get(mark) == 5)
-        assert sum(seen.others.values()) == 5
+        assert sum(seen.remote_loads.values()) == 5
         await until(lambda: one.others.loads == {mine: 1})
         load(one, -3)
         await until(lambda: other.others.loads == {mark: 2})
@@ -215,7 +215,7 @@
 
         for number in list(system.cores):
             await system.close_core(number)
-        await until(lambda: not other.others.loads and not seen.others)
+        await until(lambda: not other.others.loads and not seen.remote_loads)
         assert await system.served(EDGES[1], "id-without") == (200, WHOLE)
 
     play(story)
