--- a/shedgrade/load_balancing/learned_state.py
+++ b/shedgrade/load_balancing/learned_state.py
@@ -42,17 +42,16 @@
     checked its form. Windows hold for as long as a trouble lasts, and are then found anew. What stands before
     the decisions (capture, watch) takes it in its own `restore`, and hands it on."""
     if hasattr(balancer, "restore"):
-        return balancer.restore(now, state, age)
+        balancer.restore(now, state, age)
+        return
     if state["v"] != 1:
         return
     keep = exp(-age * SECOND / LONGEST)
     part = max(keep, 1 / max(1.0, state["sums"][0]))  # one end's worth stays: better than a belief
     balancer.latency_sums, balancer.latency_sums_at = [total * part for total in state["sums"]], now
     balancer.decay_time = balancer.finish_rate.denominator = state["memory"]
-    balancer.finish_rate.numerator, balancer.finish_rate.decayed_at = (
-        balancer.latency_sums[0],
-        now,
-    )  # it is the same traffic
+    balancer.finish_rate.numerator = balancer.latency_sums[0]  # it is the same traffic
+    balancer.finish_rate.decayed_at = now
     balancer.hardware_durations = {
         kind: [took * keep, alike * keep, now] for kind, took, alike in state["kinds"]
     }
@@ -63,12 +62,10 @@
     for index, took, foreseen, good, bad, since in state["ups"]:
         if up := balancer.upstreams.get(index):
             left = exp(-(age + since) * SECOND / balancer.decay_time)
-            up.observed_duration, up.foreseen_duration, up.successes, up.failures = (
-                took * left,
-                foreseen * left,
-                good * left,
-                bad * left,
-            )
+            up.observed_duration = took * left
+            up.foreseen_duration = foreseen * left
+            up.successes = good * left
+            up.failures = bad * left
             up.decayed_at = now
     for index, back_at, used in state.get("used", ()):
         if up := balancer.upstreams.get(index):
--- a/shedgrade/load_balancing/outlier_detection.py
+++ b/shedgrade/load_balancing/outlier_detection.py
@@ -147,11 +147,8 @@
         if outcome == COMPLETED:
             up.successes += 1
             up.half_open = up.probation_successes > 0
-        elif (
-            outcome == TIMED_OUT
-            and self.method_slowness(rpc.method) > 1
-            or outcome == FAILED
-            and self.failure_follows_request(rpc)
+        elif (outcome == TIMED_OUT and self.method_slowness(rpc.method) > 1) or (
+            outcome == FAILED and self.failure_follows_request(rpc)
         ):
             return  # it follows the RPC, and is not held against the upstream
         elif outcome in (FAILED, TIMED_OUT, DROPPED, BROKEN):
@@ -170,7 +167,8 @@
             return
         if up.delisted:
             self.update_entry(up, up.zone, REMOVED)
-            return self.list_updated()
+            self.list_updated()
+            return
         # Guards against a fault of our own side, or of all at once: at most half is set aside on suspicion.
         if not certain and 2 * (self.ejected_count + 1) > self.ready_count:
             return
--- a/tests/sidecar/endpoint_snapshot/test_trust.py
+++ b/tests/sidecar/endpoint_snapshot/test_trust.py
@@ -169,7 +169,9 @@
         and b.ejected_count == 0
         and b.ready_count == 2
     )
-    assert all(not one.half_open and not one.probation_successes for one in b.upstreams.values() if one.listed)
+    assert all(
+        not one.half_open and not one.probation_successes for one in b.upstreams.values() if one.listed
+    )
     rpc.attempt_finished(
         20, 0, load_balancing.DROPPED, 10, False
     )  # in hand at the hand-over: rule 2 holds as ever
@@ -206,7 +208,13 @@
 
     soon, late = restored(1), restored(3600)
     assert soon.expected_duration(soon.upstreams[0], 0) > 1.5 * soon.expected_duration(soon.upstreams[1], 0)
-    assert late.latency_sums[0] < 1.1 and abs(late.expected_duration(late.upstreams[0], 0) / late.expected_duration(late.upstreams[1], 0) - 1) < 0.1
+    assert (
+        late.latency_sums[0] < 1.1
+        and abs(
+            late.expected_duration(late.upstreams[0], 0) / late.expected_duration(late.upstreams[1], 0) - 1
+        )
+        < 0.1
+    )
     assert (
         soon.zones[0].concurrency_limit == b.zones[0].concurrency_limit
         and late.zones[0].concurrency_limit != b.zones[0].concurrency_limit
