--- a/shedgrade/cli/replay.py
+++ b/shedgrade/cli/replay.py
@@ -1,8 +1,6 @@
 """`shedgrade replay FILE`."""
 
 import base64
-import importlib.util
-import sys
 import time
 from pathlib import Path
 from types import ModuleType
@@ -14,6 +12,7 @@
 from shedgrade.cli import fail
 from shedgrade.sidecar.capture.explanation import explain, find
 from shedgrade.sidecar.capture.files import CaptureError, load
+from shedgrade.sidecar.capture.older_decisions import find_decisions, load_decisions
 from shedgrade.sidecar.capture.recorder import short
 from shedgrade.sidecar.capture.replay import Replay
 from shedgrade.sidecar.capture.rows import KIND
@@ -44,18 +43,10 @@
 
 def other(checkout: Path) -> ModuleType:
     """Another version's decisions, beside ours."""
-    path = checkout
-    if checkout.is_dir():  # a package, as now, or a single file, as it once was; or the package itself
-        places = ("shedgrade/load_balancing/__init__.py", "shedgrade/load_balancing.py", "__init__.py")
-        path = next((checkout / place for place in places if (checkout / place).is_file()), checkout)
-    whole = [str(path.parent)] if path.name == "__init__.py" else None
-    spec = importlib.util.spec_from_file_location("other_decide", path, submodule_search_locations=whole)
-    if spec is None or not path.is_file():
+    path = find_decisions(checkout)
+    if path is None:
         fail(ValueError(f"{checkout}: no shedgrade/load_balancing there"))
-    module = importlib.util.module_from_spec(spec)
-    sys.modules["other_decide"] = module
-    spec.loader.exec_module(module)
-    return module
+    return load_decisions(path)
 
 
 def number_of(records: list[dict], text: str) -> int:
--- a/shedgrade/sidecar/capture/explanation.py
+++ b/shedgrade/sidecar/capture/explanation.py
@@ -3,6 +3,7 @@
 from types import ModuleType
 
 from shedgrade import load_balancing
+from shedgrade.sidecar.capture.older_decisions import METHODS
 from shedgrade.sidecar.capture.replay import OF_RPC, Replay
 from shedgrade.sidecar.capture.rows import (
     DECIDE,
@@ -112,6 +113,9 @@
             )
             return found
 
+    for older, present in METHODS["Balancer"].items():
+        if present in vars(Telling) and hasattr(base, older):
+            setattr(Telling, older, getattr(Telling, present))  # what older decisions call themselves
     return Telling
 
 
