--- a/benchmarks/choice.py
+++ b/benchmarks/choice.py
@@ -349,7 +349,7 @@
         if one.rpc is not None:
             self.at(
                 now + one.far,
-                ("ended", one, load_balancing.COMPLETED if whole else load_balancing.TURNED_AWAY),
+                ("ended", one, load_balancing.COMPLETED if whole else load_balancing.REJECTED),
             )
 
     def ended(self, now: float, one: Try, outcome: int) -> None:
--- a/shedgrade/http/upstream.py
+++ b/shedgrade/http/upstream.py
@@ -338,7 +338,7 @@
             )
         else:
             away = self.caller.protocol.turned_away(self.status, self.headers)
-            outcome, answer = load_balancing.TURNED_AWAY if away else load_balancing.FAILED, None
+            outcome, answer = load_balancing.REJECTED if away else load_balancing.FAILED, None
         self.caller.heard[self.upstream] = self.caller.clock.now()
         if self.caller.counted_by is not None:
             for name, value in self.headers:
--- a/shedgrade/in_flight.py
+++ b/shedgrade/in_flight.py
@@ -20,8 +20,13 @@
         length: int | None = None,
     ) -> None:
         """`flow`: what comes of a long body, of `length` bytes if that was said."""
-        self.name, self.verb, self.target, self.headers, self.body = name, verb, target, headers, body
-        self.flow, self.length = flow, length
+        self.name = name
+        self.verb = verb
+        self.target = target
+        self.headers = headers
+        self.body = body
+        self.flow = flow
+        self.length = length
 
     def __len__(self) -> int:
         return len(self.target) + len(self.body) + sum(len(name) + len(value) for name, value in self.headers)
@@ -41,7 +46,11 @@
         length: int | None = None,
     ) -> None:
         """`length`: of a body that comes as a flow, or that a HEAD does not bring, where it was said."""
-        self.headers, self.body, self.status, self.flow, self.length = headers, body, status, flow, length
+        self.headers = headers
+        self.body = body
+        self.status = status
+        self.flow = flow
+        self.length = length
 
 
 class ActiveRequest:
@@ -70,8 +79,12 @@
 
     def __init__(self, client: object, request: Request, who: str = "") -> None:
         """`who`: the name under which its connection has logged in, if it has."""
-        self.client, self.request, self.client_name = client, request, who
-        self.rpc, self.done, self.stream_is_open = None, False, False
+        self.client = client
+        self.request = request
+        self.client_name = who
+        self.rpc = None
+        self.done = False
+        self.stream_is_open = False
         self.is_body_incomplete = request.flow is not None  # its last byte is not here
         self.timeout_ms = 0  # ms that the client waits, from its last byte
         self.client_checked_at = 0  # when its client was last seen to be there
@@ -95,9 +108,15 @@
     )
 
     def __init__(self, active_request: ActiveRequest, tx: int, upstream: int, sent: int, until: int) -> None:
-        self.active_request, self.attempt, self.upstream = active_request, tx, upstream
-        self.sent_at, self.expires_at, self.connect_expires_at = sent, until, None
-        self.link, self.first_on_connection = None, False  # fresh: the first on its connection
+        self.active_request = active_request
+        self.attempt = tx
+        self.upstream = upstream
+        self.sent_at = sent
+        self.expires_at = until
+        self.connect_expires_at = None
+        # fresh: the first on its connection
+        self.link = None
+        self.first_on_connection = False
         self.response_began_at: int | None = None  # when a long answer began to be passed on
 
     def still_out(self) -> bool:
@@ -109,19 +128,22 @@
     """All RPCs in hand, and the bytes that they hold."""
 
     def __init__(self, budget) -> None:
-        self.budget, self.requests = budget, set()
+        self.budget = budget
+        self.requests = set()
         self.request_ids: set[bytes] = set()  # the ids under which clients wait
 
     def __len__(self) -> int:
         return len(self.requests)
 
     def add(self, active_request: ActiveRequest) -> None:
+        """Registers a request and counts its bytes in the budget."""
         self.requests.add(active_request)
         self.request_ids.add(active_request.request.name)
         self.budget.bytes += len(active_request.request)
         self.budget.asked += len(active_request.request)
 
     def remove(self, active_request: ActiveRequest) -> None:
+        """Forgets a request and gives its bytes back; nothing if it is not registered."""
         if active_request in self.requests:
             self.requests.remove(active_request)
             self.request_ids.discard(active_request.request.name)
--- a/shedgrade/load_balancing/__init__.py
+++ b/shedgrade/load_balancing/__init__.py
@@ -22,9 +22,9 @@
 
 from math import inf
 
-from .balancer import HALF, Balancer
-from .endpoint_list import RECENT
+from .balancer import LATENCY_TARGET_SHARE, Balancer
+from .endpoint_list import RECENTLY_USED
 from .outcomes import *
 from .rpc import Method, Rpc
-from .upstream import LONGEST, MEMORY, SECOND, DecayingRatio, Upstream
-from .zones import MARGIN, THRESHOLD, Zone
+from .upstream import DECAY_TIME, MAX_DECAY_TIME, SECOND, DecayingRatio, Upstream
+from .zones import DROP_THRESHOLD, LOAD_MARGIN, Zone
--- a/shedgrade/load_balancing/balancer.py
+++ b/shedgrade/load_balancing/balancer.py
@@ -6,27 +6,34 @@
 from random import Random
 
 from .endpoint_list import EndpointList
-from .outlier_detection import ROOM, OutlierDetection
+from .outlier_detection import CAPACITY_SHARE, OutlierDetection
 from .pending import PendingRequests
 from .rpc import Method, Rpc
 from .slow_start import SlowStart
 from .subsetting import Subsetting
-from .upstream import MEMORY, SECOND, DecayingRatio, Upstream
+from .upstream import DECAY_TIME, SECOND, DecayingRatio, Upstream
 from .zones import Zone, ZoneSelectionPolicy
 
-HALF = 0.6  # of the soft deadline: windows hold the mean time there, with one end in seven late
-SPARE_SHARE = 1.2  # of a tenant's even share is let pass, and three RPCs: chance seldom brings more
+LATENCY_TARGET_SHARE = (
+    0.6  # of the soft deadline: windows hold the mean time there, with one end in seven late
+)
+TENANT_SHARE_SLACK = 1.2  # of a tenant's even share is let pass, and three RPCs: chance seldom brings more
 
 
 class Balancer(EndpointList, Subsetting, ZoneSelectionPolicy, SlowStart, OutlierDetection, PendingRequests):
+    """All decisions of one process for one list of upstreams; see the package's doc comment for the calls."""
+
     rpc_class = Rpc
 
     def __init__(self, settings: dict, seed: int, now: int) -> None:
         random = Random(seed)
-        self.random, self.uniform, self.choices = random.random, random.uniform, random.choices
+        self.random = random.random
+        self.uniform = random.uniform
+        self.choices = random.choices
         limits = settings["limits"]
         self.own_zone = settings["az"]
-        self.connections_multiplexed, self.uses_subset = limits.get("multiplex", 1) > 1, False
+        self.connections_multiplexed = limits.get("multiplex", 1) > 1
+        self.uses_subset = False
         self.capacity_follows_load = settings.get("weight_kind") == "live"
         self.nominal_capacity: dict[
             int, float
@@ -35,12 +42,10 @@
         self.zones: list[Zone] = []
         self.update_settings(settings)
         self.subscribes_to_list = settings["membership_mode"] == "on_request"
-        self.list_subscribed, self.list_requested, self.list_request_at, self.list_request_backoff = (
-            False,
-            False,
-            now,
-            SECOND,
-        )
+        self.list_subscribed = False
+        self.list_requested = False
+        self.list_request_at = now
+        self.list_request_backoff = SECOND
         self.upstreams: dict[int, Upstream] = {}
         self.last_resort_upstreams: dict[
             int, Upstream
@@ -51,65 +56,61 @@
         self.ready_count = self.ejected_count = 0  # upstreams ready, and of these set aside
         self.total_capacity = 0.0  # the sum of what the list says of their sizes
         self.hardware_durations: dict[int, list] = {}  # by kind of upstream: took, foreseen, since when
-        self.decay_time, self.finish_rate = (
-            MEMORY,
-            DecayingRatio(1.0, now),
-        )  # of those that took an upstream's time, over time
+        # of those that took an upstream's time, over time
+        self.decay_time = DECAY_TIME
+        self.finish_rate = DecayingRatio(1.0, now)
         self.zones = [Zone(self.random()) for _ in settings["zones"]]
-        self.timers, self.queue, self.next_sequence, self.in_flight, self.retry_tokens = (
-            [],
-            [],
-            count().__next__,
-            0,
-            5.0,
-        )
+        self.timers = []
+        self.queue = []
+        self.next_sequence = count().__next__
+        self.in_flight = 0
+        self.retry_tokens = 5.0
         # Time taken against own RPCs in flight at the upstream, over all of them, as sums of a fitted line.
         # Until something is seen, an upstream is believed to finish two at once in the room there is.
-        soft = ROOM * self.shortest_soft_deadline
-        self.latency_sums, self.latency_sums_at = [1.0, 2.0, soft, 4.0, 2 * soft], now
+        soft = CAPACITY_SHARE * self.shortest_soft_deadline
+        self.latency_sums = [1.0, 2.0, soft, 4.0, 2 * soft]
+        self.latency_sums_at = now
         self.fit_latency()
 
     def update_settings(self, settings: dict) -> None:
         """May come while RPCs are in hand, which keep their method; fewer transmissions bind at once."""
         limits, rules = settings["limits"], settings["rules"]
-        self.max_attempts, self.hedging, self.cancels_attempts = (
-            limits["most_transmissions"],
-            limits["parallel_tries"],
-            limits["cancelling"],
-        )
+        self.max_attempts = limits["most_transmissions"]
+        self.hedging = limits["parallel_tries"]
+        self.cancels_attempts = limits["cancelling"]
         self.max_retry_after = int(limits["max_retry_after"] * 10) if limits["retry_after"] else 0
         self.deadline_margin = 2 * int(settings["tick"] * 10)
         self.keeps_delisted = rules.get("dropped_stay_open", False)
-        self.slow_start_period, self.slow_start_floor = rules["cold"] * 10, rules["cold_from"]
-        self.slow_start_headroom, self.list_request_interval = (
-            rules["fall_multiple"],
-            int(rules["ask_every"] * 10),
-        )
+        self.slow_start_period = rules["cold"] * 10
+        self.slow_start_floor = rules["cold_from"]
+        self.slow_start_headroom = rules["fall_multiple"]
+        self.list_request_interval = int(rules["ask_every"] * 10)
         prices = settings["prices"]
         self.cross_zone_price = prices.get("cross_zone", 0.0)
         # Where connections are shared, or new ones have a price, each sidecar keeps to a part of each zone.
         dear = (
             self.connections_multiplexed or prices.get("handshake", 0.0) + prices.get("connection", 0.0) > 0
         )
-        self.sidecar_count, self.sidecar_number = settings["balancers"], settings.get("my_number", 0)
+        self.sidecar_count = settings["balancers"]
+        self.sidecar_number = settings.get("my_number", 0)
         self.uses_subset = dear and self.sidecar_count > 1
         for zone in self.zones:
             zone.changed = True
         self.list_updated()
         # By tenant: RPCs within MEMORY that are its share here, as all sidecars get alike, and those seen.
         self.tenant_shares = [
-            SPARE_SHARE * tenant["allowance_per_s"] * MEMORY / SECOND / self.sidecar_count + 3
+            TENANT_SHARE_SLACK * tenant["allowance_per_s"] * DECAY_TIME / SECOND / self.sidecar_count + 3
             for tenant in settings.get("customers", ())
         ]
         self.tenant_failures = [DecayingRatio() for _ in self.tenant_shares]
-        self.tenant_counts, self.excess_payoff = (
-            [(0.0, 0)] * len(self.tenant_shares),
-            settings.get("excess_payoff", 1.0),
-        )
+        self.tenant_counts = [(0.0, 0)] * len(self.tenant_shares)
+        self.excess_payoff = settings.get("excess_payoff", 1.0)
         # Where more than a few late ones cost, windows aim at what leaves three times the allowed share late.
         mix = settings.get("objective_mix", {})
         late = 3 * mix.get("miss_allowed", 0.0) if mix.get("slow_end", 0.0) > 0 else 0.0
-        self.latency_target = HALF * min(1.0, log(1 / 7) / log(late)) if 0 < late < 1 else HALF
+        self.latency_target = (
+            LATENCY_TARGET_SHARE * min(1.0, log(1 / 7) / log(late)) if 0 < late < 1 else LATENCY_TARGET_SHARE
+        )
         top = max((m["payoff"] for m in settings["methods"]), default=1)
         self.mean_payoff = sum(m["payoff"] for m in settings["methods"]) / len(settings["methods"]) or 1.0
         kept = {method.name: method.longest_timeout for method in self.methods}
@@ -121,11 +122,12 @@
         )
 
     def admit(
-        self, now: int, method: int, give_up_at: int, retry: bool = False, tag: object = None, tenant: int = 0
+        self, now: int, method: int, deadline: int, retry: bool = False, tag: object = None, tenant: int = 0
     ) -> Rpc:
+        """The handle of a new request. `deadline`: when its client gives up, on the callers' clock."""
         # One further transmission for ten RPCs: enough for single faults, too little for a storm.
         self.retry_tokens = min(10.0, self.retry_tokens + 0.1)
-        return self.rpc_class(self, self.methods[method], now, give_up_at, retry, tag, tenant)
+        return self.rpc_class(self, self.methods[method], now, deadline, retry, tag, tenant)
 
     def due(self, now: int):
         """Yields the handles that should be asked again, each before the next is looked for."""
--- a/shedgrade/load_balancing/endpoint_list.py
+++ b/shedgrade/load_balancing/endpoint_list.py
@@ -4,159 +4,185 @@
 
 from .outcomes import READY, REMOVED
 from .upstream import SECOND, Upstream
-from .zones import THRESHOLD
+from .zones import DROP_THRESHOLD
 
-RECENT = 60 * SECOND  # sent to within this, an upstream is in use: maintenance takes seconds to a minute
-LATENT = 10**9 * SECOND  # aside until it has answered: longer than any process runs
-SMOOTH = 0.4  # of a renewal counts at once: a single one is chance, three or four are not
+RECENTLY_USED = (
+    60 * SECOND
+)  # sent to within this, an upstream is in use: maintenance takes seconds to a minute
+LAST_RESORT_EJECTION = 10**9 * SECOND  # aside until it has answered: longer than any process runs
+LOAD_SMOOTHING = 0.4  # of a renewal counts at once: a single one is chance, three or four are not
 
 
 class EndpointList:
+    """Keeps the list of upstreams, their states and the counts over it."""
+
     def list_changed(self, now: int, rows: list, whole: bool, asked: bool) -> None:
+        """Takes rows of the list. `whole`: upstreams that no row names are gone; `asked`: it answers a
+        request for the list.
+        """
         if asked:
             self.list_requested, self.list_subscribed, self.list_request_backoff = False, True, SECOND
         if whole:
             named = {row[0] for row in rows}
-            for up in [
-                up
-                for index, up in self.upstreams.items()
-                if index not in named and not self.stays_while_delisted(up)
+            for upstream in [
+                upstream
+                for index, upstream in self.upstreams.items()
+                if index not in named and not self.stays_while_delisted(upstream)
             ]:
-                up.reinstated_at *= now - up.reinstated_at < self.slow_start_period
-                self.update_entry(up, up.zone, REMOVED)
-                self.release_if_unused(up)
+                upstream.reinstated_at *= now - upstream.reinstated_at < self.slow_start_period
+                self.update_entry(upstream, upstream.zone, REMOVED)
+                self.release_if_unused(upstream)
         for index, zone, state, started, cell, mark, size, kind in rows:
-            up = self.upstreams.get(index) or self.upstreams.setdefault(index, Upstream(index, self.random()))
-            if state == REMOVED and self.stays_while_delisted(up):
+            upstream = self.upstreams.get(index) or self.upstreams.setdefault(
+                index, Upstream(index, self.random())
+            )
+            if state == REMOVED and self.stays_while_delisted(upstream):
                 continue
-            if started != up.listed_start:
-                self.update_entry(up, up.zone, REMOVED)
-                up.reset_health()
-                up.slow_start_credit = self.random()
-            up.cell, up.listed_start, up.id_hash, up.hardware, up.delisted = cell, started, mark, kind, False
-            up.started_at = max(started, up.reinstated_at)
+            if started != upstream.listed_start:
+                self.update_entry(upstream, upstream.zone, REMOVED)
+                upstream.reset_health()
+                upstream.slow_start_credit = self.random()
+            upstream.cell, upstream.listed_start, upstream.id_hash, upstream.hardware, upstream.delisted = (
+                cell,
+                started,
+                mark,
+                kind,
+                False,
+            )
+            upstream.started_at = max(started, upstream.reinstated_at)
             if self.capacity_follows_load and size > 0:
                 # Load moves the size that the list tells; that of its kind at rest stays.
                 self.nominal_capacity[kind] = nominal = max(size, self.nominal_capacity.get(kind, size))
-                up.reported_load, size = (
-                    up.reported_load + SMOOTH * (nominal / size - 1 - up.reported_load),
+                upstream.reported_load, size = (
+                    upstream.reported_load + LOAD_SMOOTHING * (nominal / size - 1 - upstream.reported_load),
                     nominal,
                 )
-            if asked and up.probation_successes:
+            if asked and upstream.probation_successes:
                 # Discovery itself names it: what an older source left in doubt is settled.
-                up.probation_successes, up.half_open = 0, False
+                upstream.probation_successes, upstream.half_open = 0, False
                 if self.last_resort_upstreams.pop(index, None):
-                    self.readmit(up)
-            self.update_entry(up, zone, state, size)
-            self.release_if_unused(up)
+                    self.readmit(upstream)
+            self.update_entry(upstream, zone, state, size)
+            self.release_if_unused(upstream)
         self.list_updated()
 
-    def stays_while_delisted(self, up: Upstream) -> bool:
+    def stays_while_delisted(self, upstream: Upstream) -> bool:
         """Where only draining binds, one that was ready stays, one RPC at a time at first, until it fails."""
-        if self.keeps_delisted and up.listed and not up.delisted:
-            up.delisted = up.half_open = True
-        return up.delisted and up.listed
+        if self.keeps_delisted and upstream.listed and not upstream.delisted:
+            upstream.delisted = upstream.half_open = True
+        return upstream.delisted and upstream.listed
 
-    def set_withdrawn(self, now: int, upstream: int, out: bool) -> None:
+    def set_withdrawn(self, now: int, index: int, withdrawn: bool) -> None:
         """Taken out, it counts as draining; put back, as cold whatever the list says, and as unknown."""
-        up = self.upstreams.get(upstream) or self.upstreams.setdefault(
-            upstream, Upstream(upstream, self.random())
+        upstream = self.upstreams.get(index) or self.upstreams.setdefault(
+            index, Upstream(index, self.random())
         )
-        self.reinstated = [one for one in self.reinstated if one is not up]
-        if out != up.withdrawn:
-            up.withdrawn = out
-            if not out:
-                up.reset_health()
-                self.last_resort_upstreams.pop(upstream, None)
-                up.probation_successes, up.slow_start_credit, up.started_at, up.reinstated_at = (
-                    0,
-                    self.random(),
-                    now,
-                    now,
-                )
-                if now - up.last_used_at < RECENT:
-                    self.reinstated.append(up)
-            self.update_entry(up, up.zone, up.state)
+        self.reinstated = [one for one in self.reinstated if one is not upstream]
+        if withdrawn != upstream.withdrawn:
+            upstream.withdrawn = withdrawn
+            if not withdrawn:
+                upstream.reset_health()
+                self.last_resort_upstreams.pop(index, None)
+                upstream.probation_successes = 0
+                upstream.slow_start_credit = self.random()
+                upstream.started_at = now
+                upstream.reinstated_at = now
+                if now - upstream.last_used_at < RECENTLY_USED:
+                    self.reinstated.append(upstream)
+            self.update_entry(upstream, upstream.zone, upstream.state)
             self.list_updated()
-        self.release_if_unused(up)
+        self.release_if_unused(upstream)
 
     def list_updated(self) -> None:
+        """Brings subsets, reported loads and first limits of the zones in step with the list."""
         if any(zone.changed for zone in self.zones):
             self.assign_subset()
         for zone in self.zones:
             zone.changed = False
             if self.capacity_follows_load and zone.ready_count:
                 held = [
-                    up.reported_load
-                    for up in self.upstreams.values()
-                    if up.listed and self.zones[up.zone] is zone
+                    upstream.reported_load
+                    for upstream in self.upstreams.values()
+                    if upstream.listed and self.zones[upstream.zone] is zone
                 ]
                 zone.reported_load = sum(held) / zone.ready_count
             if zone.concurrency_limit == inf and zone.rotation:
-                zone.concurrency_limit = max(1.0, THRESHOLD * len(zone.rotation) / self.sidecar_count)
+                zone.concurrency_limit = max(1.0, DROP_THRESHOLD * len(zone.rotation) / self.sidecar_count)
 
-    def update_entry(self, up: Upstream, zone: int | None, state: int, size: float | None = None) -> None:
+    def update_entry(
+        self, upstream: Upstream, zone: int | None, state: int, size: float | None = None
+    ) -> None:
         """A change in the list costs what changed: rotations lose and gain just the upstreams it names."""
-        listed = state == READY and not up.withdrawn
+        available = state == READY and not upstream.withdrawn
         self.ready_count, self.total_capacity = (
-            self.ready_count - up.listed,
-            self.total_capacity - up.capacity * up.listed,
+            self.ready_count - upstream.listed,
+            self.total_capacity - upstream.capacity * upstream.listed,
         )
-        self.ejected_count -= bool(up.ejected_until) * up.listed
-        for number in {up.zone, zone} - {None}:
+        self.ejected_count -= bool(upstream.ejected_until) * upstream.listed
+        for number in {upstream.zone, zone} - {None}:
             place = self.zones[number]
-            place.changed |= up.zone != zone or up.listed != listed or up.capacity != (size or up.capacity)
-        if up.zone != zone:
-            self.set_in_rotation(up, False)
-            if up.zone is not None:
-                self.zones[up.zone].in_flight -= up.in_flight
-                self.zones[up.zone].background_load -= up.background_load
-            self.zones[zone].in_flight += up.in_flight
-            self.zones[zone].background_load += up.background_load
-            up.zone = zone
-        up.capacity, up.state, up.listed = size or up.capacity, state, listed
+            place.changed |= (
+                upstream.zone != zone
+                or upstream.listed != available
+                or upstream.capacity != (size or upstream.capacity)
+            )
+        if upstream.zone != zone:
+            self.set_in_rotation(upstream, False)
+            if upstream.zone is not None:
+                self.zones[upstream.zone].in_flight -= upstream.in_flight
+                self.zones[upstream.zone].background_load -= upstream.background_load
+            self.zones[zone].in_flight += upstream.in_flight
+            self.zones[zone].background_load += upstream.background_load
+            upstream.zone = zone
+        upstream.capacity, upstream.state, upstream.listed = size or upstream.capacity, state, available
         self.ready_count, self.total_capacity = (
-            self.ready_count + listed,
-            self.total_capacity + up.capacity * listed,
+            self.ready_count + available,
+            self.total_capacity + upstream.capacity * available,
         )
-        self.ejected_count += bool(up.ejected_until) * listed
-        self.set_in_rotation(up, up.listed and not up.ejected_until)
-
-    def set_in_rotation(self, up: Upstream, wanted: bool) -> None:
-        zone = self.zones[up.zone] if up.zone is not None else None
-        if zone is not None and (up in zone.rotation) != (
-            wanted and (zone.subset is None or up in zone.subset)
+        self.ejected_count += bool(upstream.ejected_until) * available
+        self.set_in_rotation(upstream, upstream.listed and not upstream.ejected_until)
+
+    def set_in_rotation(self, upstream: Upstream, wanted: bool) -> None:
+        """Puts an upstream into its zone's rotation, or takes it out."""
+        zone = self.zones[upstream.zone] if upstream.zone is not None else None
+        if zone is not None and (upstream in zone.rotation) != (
+            wanted and (zone.subset is None or upstream in zone.subset)
         ):
-            (zone.rotation.append if wanted else zone.rotation.remove)(up)
+            (zone.rotation.append if wanted else zone.rotation.remove)(upstream)
 
-    def release_if_unused(self, up: Upstream) -> None:
+    def release_if_unused(self, upstream: Upstream) -> None:
         """What is gone with nothing out leaves memory: its index may be another's, which inherits nothing."""
         if (
-            up.state == REMOVED
-            and self.upstreams.get(up.index) is up
-            and not (up.in_flight or up.background_load or up.withdrawn or up.reinstated_at)
+            upstream.state == REMOVED
+            and self.upstreams.get(upstream.index) is upstream
+            and not (
+                upstream.in_flight or upstream.background_load or upstream.withdrawn or upstream.reinstated_at
+            )
         ):  # back: it is cold when it is listed again
-            del self.upstreams[up.index]
-            self.last_resort_upstreams.pop(up.index, None)
-            self.released_indices.append(up.index)
+            del self.upstreams[upstream.index]
+            self.last_resort_upstreams.pop(upstream.index, None)
+            self.released_indices.append(upstream.index)
 
     def take_released(self) -> list[int]:
         """Upstreams given up since the last call, unless they have come again."""
-        left, self.released_indices = (
+        remaining, self.released_indices = (
             [index for index in self.released_indices if index not in self.upstreams],
             [],
         )
-        return left
+        return remaining
 
     def mark_unverified(self, now: int, upstreams: list[int], ends: int, last: bool) -> None:
         """Guards against a list older than discovery's: each may be gone, another's or cold. One RPC at a
         time until so many end well and as quickly as usual; with `last` aside until all else is full."""
-        for up in (self.upstreams[index] for index in upstreams):
-            up.probation_successes, up.half_open = ends, True
-            if last and up.listed and not up.ejected_until:
-                up.ejected_until, self.last_resort_upstreams[up.index] = now + LATENT, up
+        for upstream in (self.upstreams[index] for index in upstreams):
+            upstream.probation_successes, upstream.half_open = ends, True
+            if last and upstream.listed and not upstream.ejected_until:
+                upstream.ejected_until, self.last_resort_upstreams[upstream.index] = (
+                    now + LAST_RESORT_EJECTION,
+                    upstream,
+                )
                 self.ejected_count += 1
-                self.set_in_rotation(up, False)
+                self.set_in_rotation(upstream, False)
 
     def list_failed(self, now: int) -> None:
         """The subscription broke or a call failed: ask again soon, then less often, within what is set."""
@@ -165,6 +191,7 @@
         self.list_request_backoff = min(2 * self.list_request_backoff, self.list_request_interval // 2)
 
     def wants_list(self, now: int) -> bool:
+        """True if the list is to be requested now; a request is then pending."""
         if (
             not self.subscribes_to_list
             or self.list_subscribed
@@ -175,7 +202,8 @@
         self.list_requested = True
         return True
 
-    def add_load(self, up: Upstream, flight: int, held: int) -> None:
-        for place in (up, self.zones[up.zone]):
+    def add_load(self, upstream: Upstream, flight: int, held: int) -> None:
+        """Adds to the requests in flight and to the background load of an upstream and its zone."""
+        for place in (upstream, self.zones[upstream.zone]):
             place.in_flight, place.background_load = place.in_flight + flight, place.background_load + held
         self.in_flight += flight
--- a/shedgrade/load_balancing/learned_state.py
+++ b/shedgrade/load_balancing/learned_state.py
@@ -2,7 +2,7 @@
 
 from math import exp, inf
 
-from . import LONGEST, RECENT, SECOND, Balancer
+from . import MAX_DECAY_TIME, RECENTLY_USED, SECOND, Balancer
 
 
 def export(balancer: Balancer, now: int) -> dict:
@@ -13,26 +13,28 @@
         "v": 1,
         "sums": balancer.latency_sums,
         "memory": balancer.decay_time,
-        "kinds": [[kind, took, alike] for kind, (took, alike, _) in balancer.hardware_durations.items()],
+        "kinds": [
+            [kind, duration, alike] for kind, (duration, alike, _) in balancer.hardware_durations.items()
+        ],
         "windows": [
             None if zone.concurrency_limit == inf else zone.concurrency_limit for zone in balancer.zones
         ],
         "ups": [
             [
-                up.index,
-                up.observed_duration,
-                up.foreseen_duration,
-                up.successes,
-                up.failures,
-                (now - up.decayed_at) / SECOND,
+                upstream.index,
+                upstream.observed_duration,
+                upstream.foreseen_duration,
+                upstream.successes,
+                upstream.failures,
+                (now - upstream.decayed_at) / SECOND,
             ]
-            for up in balancer.upstreams.values()
-            if up.observed_duration or up.failures
+            for upstream in balancer.upstreams.values()
+            if upstream.observed_duration or upstream.failures
         ],
         "used": [
-            [up.index, up.reinstated_at, up.last_used_at]
-            for up in balancer.upstreams.values()
-            if up.last_used_at > 0
+            [upstream.index, upstream.reinstated_at, upstream.last_used_at]
+            for upstream in balancer.upstreams.values()
+            if upstream.last_used_at > 0
         ],
     }
 
@@ -46,31 +48,35 @@
         return
     if state["v"] != 1:
         return
-    keep = exp(-age * SECOND / LONGEST)
+    keep = exp(-age * SECOND / MAX_DECAY_TIME)
     part = max(keep, 1 / max(1.0, state["sums"][0]))  # one end's worth stays: better than a belief
     balancer.latency_sums, balancer.latency_sums_at = [total * part for total in state["sums"]], now
     balancer.decay_time = balancer.finish_rate.denominator = state["memory"]
     balancer.finish_rate.numerator = balancer.latency_sums[0]  # it is the same traffic
     balancer.finish_rate.decayed_at = now
     balancer.hardware_durations = {
-        kind: [took * keep, alike * keep, now] for kind, took, alike in state["kinds"]
+        kind: [duration * keep, alike * keep, now] for kind, duration, alike in state["kinds"]
     }
     balancer.fit_latency()
     for zone, window in zip(balancer.zones, state["windows"], strict=True):
-        if window is not None and age * SECOND < LONGEST:
+        if window is not None and age * SECOND < MAX_DECAY_TIME:
             zone.concurrency_limit = window
-    for index, took, foreseen, good, bad, since in state["ups"]:
-        if up := balancer.upstreams.get(index):
-            left = exp(-(age + since) * SECOND / balancer.decay_time)
-            up.observed_duration = took * left
-            up.foreseen_duration = foreseen * left
-            up.successes = good * left
-            up.failures = bad * left
-            up.decayed_at = now
+    for index, duration, foreseen, good, bad, since in state["ups"]:
+        if upstream := balancer.upstreams.get(index):
+            remaining = exp(-(age + since) * SECOND / balancer.decay_time)
+            upstream.observed_duration = duration * remaining
+            upstream.foreseen_duration = foreseen * remaining
+            upstream.successes = good * remaining
+            upstream.failures = bad * remaining
+            upstream.decayed_at = now
     for index, back_at, used in state.get("used", ()):
-        if up := balancer.upstreams.get(index):
-            up.started_at, up.reinstated_at, up.last_used_at = max(up.started_at, back_at), back_at, used
-            if 0 < back_at - used < RECENT:
-                balancer.reinstated.append(up)
-    for up in balancer.upstreams.values():
-        up.slow_start_credit, up.slow_start_updated_at = 0.0, now  # whoever sent before had them
+        if upstream := balancer.upstreams.get(index):
+            upstream.started_at, upstream.reinstated_at, upstream.last_used_at = (
+                max(upstream.started_at, back_at),
+                back_at,
+                used,
+            )
+            if 0 < back_at - used < RECENTLY_USED:
+                balancer.reinstated.append(upstream)
+    for upstream in balancer.upstreams.values():
+        upstream.slow_start_credit, upstream.slow_start_updated_at = 0.0, now  # whoever sent before had them
--- a/shedgrade/load_balancing/pending.py
+++ b/shedgrade/load_balancing/pending.py
@@ -5,17 +5,20 @@
 from math import exp
 
 from .rpc import Rpc
-from .upstream import MEMORY
+from .upstream import DECAY_TIME
 
-WAIT = 0.5  # of the pace at which transmissions end is counted on: most waits end well
+QUEUE_PACE_SHARE = 0.5  # of the pace at which transmissions end is counted on: most waits end well
 
 
 class PendingRequests:
+    """The queue of requests that wait for capacity, the most valuable first."""
+
     def draw_for_payoff(self, payoff: float) -> float:
         """What a window holds back is rather the cheap: from 0 to 1, rather low for the dear."""
         return self.random() ** (payoff / self.mean_payoff)
 
     def draw_admission(self, method: int) -> float:
+        """A draw by which a gate before the decisions gives up cheap requests first."""
         return self.draw_for_payoff(self.methods[method].payoff)
 
     def enqueue(self, now: int, rpc: Rpc, until: int) -> bool:
@@ -30,7 +33,7 @@
         place = (-rpc.payoff, self.next_sequence(), last, rpc)
         ahead = bisect_left(self.queue, place) + 1
         # What is overtaken is told at once rather than left to sit until its time is up.
-        pace = WAIT * self.in_flight / typical
+        pace = QUEUE_PACE_SHARE * self.in_flight / typical
         if not self.in_flight or now + ahead / pace > last:
             return False
         rpc.queue_entry = place
@@ -46,6 +49,7 @@
         return True
 
     def dequeue(self, rpc: Rpc) -> None:
+        """Takes a request out of the queue; nothing if it is not in it."""
         if rpc.queue_entry is not None:
             del self.queue[bisect_left(self.queue, rpc.queue_entry)]
             rpc.queue_entry = None
@@ -59,7 +63,7 @@
         if tenant >= len(self.tenant_shares):
             return 1.0
         seen, at = self.tenant_counts[tenant]
-        seen = seen * exp((at - now) / MEMORY) + 1
+        seen = seen * exp((at - now) / DECAY_TIME) + 1
         self.tenant_counts[tenant] = seen, now
         part = min(1.0, self.tenant_shares[tenant] / seen)
         return part + (1 - part) * self.excess_payoff
--- a/shedgrade/load_balancing/rpc.py
+++ b/shedgrade/load_balancing/rpc.py
@@ -8,14 +8,14 @@
     ERRORED,
     EXHAUSTED,
     NEVER_RAN,
+    REJECTED,
     TIMED_OUT,
-    TURNED_AWAY,
 )
-from .upstream import MEMORY, SECOND, DecayingRatio, Upstream
+from .upstream import DECAY_TIME, SECOND, DecayingRatio, Upstream
 
-STEP = 0.1  # of a window for an end that comes at once, or takes twice as long
-OPENING = 0.4  # RPCs that a window gains an end until the first late one: a start is over in seconds
-GROW = 1.05  # of a window for any end in time, or those of busy balancers would lag
+LIMIT_STEP = 0.1  # of a window for an end that comes at once, or takes twice as long
+RAMP_STEP = 0.4  # RPCs that a window gains an end until the first late one: a start is over in seconds
+MIN_LIMIT_GROWTH = 1.05  # of a window for any end in time, or those of busy balancers would lag
 
 
 class Method:
@@ -43,11 +43,11 @@
             max(1, int(settings[key] * 10)) for key in ("soft_deadline", "hard_deadline")
         )
         self.longest_timeout = patience  # the longest that a client has been seen to wait for one try
-        self.relative_duration, self.failure_ratio = (
-            DecayingRatio(),
-            DecayingRatio(),
-        )  # time taken over that of any method; failed over ended
-        self.payoff, self.overdue_payoff = settings["payoff"], settings["overdue_payoff"]
+        # time taken over that of any method; failed over ended
+        self.relative_duration = DecayingRatio()
+        self.failure_ratio = DecayingRatio()
+        self.payoff = settings["payoff"]
+        self.overdue_payoff = settings["overdue_payoff"]
         self.idempotent = settings["idempotency"] == "repeatable"
         self.deduplicated = settings["idempotency"] == "by_key"
         self.dedup_scope = settings["group"] if self.deduplicated else "all"
@@ -84,55 +84,67 @@
 
     def __init__(
         self,
-        home: "Balancer",  # noqa: F821 (that module imports this one)
+        balancer: "Balancer",  # noqa: F821 (that module imports this one)
         method: Method,
         now: int,
-        give_up_at: int,
+        deadline: int,
         retry: bool,
         tag: object,
         tenant: int,
     ) -> None:
-        self.balancer, self.method, self.tag, self.tenant = home, method, tag, tenant
-        self.set_deadlines(now, give_up_at, retry)
-        self.attempts, self.sent_at, self.outstanding = (
-            [],
-            [],
-            {},
-        )  # by transmission: upstream; when, None: it never ran
-        self.retries, self.hedge_at, self.queue_entry, self.done = 0, None, None, False
+        self.balancer = balancer
+        self.method = method
+        self.tag = tag
+        self.tenant = tenant
+        self.set_deadlines(now, deadline, retry)
+        # by transmission: upstream; when, None: it never ran
+        self.attempts = []
+        self.sent_at = []
+        self.outstanding = {}
+        self.retries = 0
+        self.hedge_at = None
+        self.queue_entry = None
+        self.done = False
         # An open stream; overtaken while held, to be told at once; a long request with all its bytes here.
-        self.long_lived, self.overtaken, self.body_buffered = False, False, None
-        self.payoff, self.rejecting_zones = method.payoff * home.payoff_factor(now, tenant), []
-        self.admission_draw = home.draw_for_payoff(self.payoff)
+        self.long_lived = False
+        self.overtaken = False
+        self.body_buffered = None
+        self.payoff = method.payoff * balancer.payoff_factor(now, tenant)
+        self.rejecting_zones = []
+        self.admission_draw = balancer.draw_for_payoff(self.payoff)
 
-    def set_deadlines(self, now: int, give_up_at: int, retry: bool = False) -> None:
-        home, method = self.balancer, self.method
+    def set_deadlines(self, now: int, deadline: int, retry: bool = False) -> None:
+        """Sets the moments that the client's deadline and the method's settings imply."""
+        balancer, method = self.balancer, self.method
         # Guards against work for nobody: a marked retry that the hard deadline cuts short tells when its
         # first try came, and the soft deadline runs from there. A sixteenth less is the lateness of a loop.
-        method.longest_timeout = max(method.longest_timeout, give_up_at - now)
-        cut = retry and give_up_at - now < method.longest_timeout - max(
-            home.deadline_margin, method.longest_timeout // 16
+        method.longest_timeout = max(method.longest_timeout, deadline - now)
+        cut = retry and deadline - now < method.longest_timeout - max(
+            balancer.deadline_margin, method.longest_timeout // 16
         )
-        self.arrived_at = now = min(now, give_up_at - method.hard_deadline) if cut else now
+        self.arrived_at = now = min(now, deadline - method.hard_deadline) if cut else now
         # An answer is wanted two ticks early, so that a time-out is still answered before the deadline.
-        self.soft_deadline_at = min(now + method.soft_deadline, give_up_at) - home.deadline_margin
-        self.answer_by = give_up_at - home.deadline_margin if method.overdue_payoff else self.soft_deadline_at
+        self.soft_deadline_at = min(now + method.soft_deadline, deadline) - balancer.deadline_margin
+        self.answer_by = (
+            deadline - balancer.deadline_margin if method.overdue_payoff else self.soft_deadline_at
+        )
 
-    def body_received(self, now: int, give_up_at: int, here: bool, whole: bool) -> int:
+    def body_received(self, now: int, deadline: int, here: bool, whole: bool) -> int:
         """A long request's time counts from its last byte; its new limit. Not all `here`, it goes no more."""
         self.body_buffered = here
-        self.set_deadlines(now, give_up_at)
+        self.set_deadlines(now, deadline)
         self.set_long_lived(not whole)  # an upstream begins it once it is whole
         return max(1, self.answer_by - now)
 
     def first_possibly_executed(self) -> int | None:
         """The first transmission that may have run, those still out included."""
-        return next((tx for tx, at in enumerate(self.sent_at) if at is not None), None)
+        return next((attempt for attempt, at in enumerate(self.sent_at) if at is not None), None)
 
     def may_use_zone(self, zone: "Zone") -> bool:  # noqa: F821
+        """Whether an upstream of this zone may be chosen."""
         return bool(zone.rotation)
 
-    def may_send_to(self, up: Upstream, now: int) -> bool:
+    def may_send_to(self, upstream: Upstream, now: int) -> bool:
         """Rule 2, no effect twice: what may have run goes again only where its method permits."""
         method, first = self.method, self.first_possibly_executed()
         if first is None or method.idempotent:
@@ -141,8 +153,8 @@
             return False
         ran_on = self.attempts[first]
         if method.dedup_scope == "zone":
-            return up.zone == ran_on.zone
-        return method.dedup_scope == "all" or up.cell == ran_on.cell
+            return upstream.zone == ran_on.zone
+        return method.dedup_scope == "all" or upstream.cell == ran_on.cell
 
     def final_answer(self, now: int) -> tuple[int, int]:
         """Exhausted tells the client that another try is harmless; where that is not certain, errored."""
@@ -163,7 +175,10 @@
         return list(self.outstanding) if self.balancer.cancels_attempts else []
 
     def decide(self, now: int) -> tuple[int, int] | None:
-        home, method = self.balancer, self.method
+        """What to do now: None for nothing, (upstream, limit) to transmit, (EXHAUSTED, wait) or (ERRORED, 0)
+        as the final answer.
+        """
+        balancer, method = self.balancer, self.method
         if self.done or (self.outstanding and not (self.hedge_at is not None and now >= self.hedge_at)):
             return None
         repeat = self.first_possibly_executed() is not None
@@ -171,113 +186,118 @@
         if (
             self.overtaken
             or now >= self.answer_by
-            or len(self.attempts) >= home.max_attempts
+            or len(self.attempts) >= balancer.max_attempts
             or (self.body_buffered is False and self.attempts)
             or (
                 repeat
                 and not (
                     (method.idempotent or method.deduplicated)
                     and self.retries < method.max_retries
-                    and home.retry_tokens >= 1
-                    and not home.failure_follows_request(self)
+                    and balancer.retry_tokens >= 1
+                    and not balancer.failure_follows_request(self)
                 )
             )
         ):
             return None if self.outstanding else self.final_answer(now)
         # Crossing has a price, so the own zone gets that share of the soft deadline to make room first, or a
         # quarter of what the soft deadline leaves beside the usual time.
-        stay = self.arrived_at + int(
+        prefer_own_zone = self.arrived_at + int(
             max(
-                home.cross_zone_price * method.soft_deadline,
-                (method.soft_deadline - home.typical_duration()) / 4,
+                balancer.cross_zone_price * method.soft_deadline,
+                (method.soft_deadline - balancer.typical_duration()) / 4,
             )
         )
-        up = home.choose_upstream(now, self, now < stay)
-        if up is None and now < stay and not self.outstanding:
-            if home.enqueue(now, self, stay):
+        upstream = balancer.choose_upstream(now, self, now < prefer_own_zone)
+        if upstream is None and now < prefer_own_zone and not self.outstanding:
+            if balancer.enqueue(now, self, prefer_own_zone):
                 return None
-            up = home.choose_upstream(now, self, False)
-        if up is not None:
-            return self.transmit(now, up, repeat)
-        if self.outstanding or home.enqueue(now, self, now):
+            upstream = balancer.choose_upstream(now, self, False)
+        if upstream is not None:
+            return self.transmit(now, upstream, repeat)
+        if self.outstanding or balancer.enqueue(now, self, now):
             return None
         return self.final_answer(now)
 
-    def transmit(self, now: int, up: Upstream, repeat: bool) -> tuple[int, int]:
-        home, method = self.balancer, self.method
-        home.dequeue(self)
-        if not self.attempts and home.method_slowness(method) > 1:
+    def transmit(self, now: int, upstream: Upstream, repeat: bool) -> tuple[int, int]:
+        """Registers an attempt at the upstream; returns its index and the time limit."""
+        balancer, method = self.balancer, self.method
+        balancer.dequeue(self)
+        if not self.attempts and balancer.method_slowness(method) > 1:
             self.long_lived = True  # it will hold its place for long, as an open stream does
         if repeat:
             self.retries += 1
-            home.retry_tokens -= 1
+            balancer.retry_tokens -= 1
         limit = self.answer_by - now
         if (
             (method.idempotent or method.deduplicated)
-            and len(self.attempts) + 1 < home.max_attempts
-            and home.retry_tokens >= 1
+            and len(self.attempts) + 1 < balancer.max_attempts
+            and balancer.retry_tokens >= 1
         ):
             # Guards against a hang: a second upstream gets its chance while the soft deadline can be met.
-            patience = int(max(3 * home.expected_duration(up, now), (self.soft_deadline_at - now) // 2))
-            if now + patience + home.typical_duration() < self.soft_deadline_at:
-                if home.hedging and self.body_buffered is None:
+            patience = int(
+                max(3 * balancer.expected_duration(upstream, now), (self.soft_deadline_at - now) // 2)
+            )
+            if now + patience + balancer.typical_duration() < self.soft_deadline_at:
+                if balancer.hedging and self.body_buffered is None:
                     self.hedge_at = now + patience
-                    heappush(home.timers, (self.hedge_at, home.next_sequence(), self))
-                elif up.failures > up.successes:
+                    heappush(balancer.timers, (self.hedge_at, balancer.next_sequence(), self))
+                elif upstream.failures > upstream.successes:
                     # Only where more has failed than completed lately: elsewhere the work cut off is lost.
                     limit = min(limit, patience)
-        home.add_load(up, 1 - self.long_lived, int(self.long_lived))
-        self.outstanding[len(self.attempts)] = max(1, up.in_flight) + up.reported_load
-        up.last_used_at = now
-        self.attempts.append(up)
+        balancer.add_load(upstream, 1 - self.long_lived, int(self.long_lived))
+        self.outstanding[len(self.attempts)] = max(1, upstream.in_flight) + upstream.reported_load
+        upstream.last_used_at = now
+        self.attempts.append(upstream)
         self.sent_at.append(now)
-        return up.index, max(1, limit)
+        return upstream.index, max(1, limit)
 
     def attempt_finished(
-        self, now: int, tx: int, outcome: int, took: int, settled: bool, fresh=False
+        self, now: int, attempt: int, outcome: int, duration: int, answered: bool, first_on_connection=False
     ) -> list[int]:
-        home, up = self.balancer, self.attempts[tx]
-        zone = home.zones[up.zone]
-        crowd = self.outstanding.pop(tx)
-        home.add_load(up, self.long_lived - 1, -self.long_lived)
+        """An attempt has ended; returns the attempts to stop. `answered`: its client has its answer."""
+        balancer, upstream = self.balancer, self.attempts[attempt]
+        zone = balancer.zones[upstream.zone]
+        concurrency = self.outstanding.pop(attempt)
+        balancer.add_load(upstream, self.long_lived - 1, -self.long_lived)
         # Guards against windows that lag: where ends are rare, each counts for more, as if all came in step.
         gain = min(5.0, 0.3 + 3 * (now - zone.last_finished_at) / SECOND)
         zone.last_finished_at = now
-        if outcome in (TIMED_OUT, COMPLETED) and not fresh:
-            drag = home.method_slowness(self.method)
+        if outcome in (TIMED_OUT, COMPLETED) and not first_on_connection:
+            drag = balancer.method_slowness(self.method)
             if outcome == COMPLETED:
-                over = min(1.0, took / drag / (home.latency_target * self.method.soft_deadline) - 1)
-                zone.late_ratio.add(now, over > 0, 1.0, MEMORY)
+                over = min(1.0, duration / drag / (balancer.latency_target * self.method.soft_deadline) - 1)
+                zone.late_ratio.add(now, over > 0, 1.0, DECAY_TIME)
             else:
                 over = (drag == 1) * 2.0 * zone.late_ratio.estimate(1.0)
             # Slow among sound ones is an upstream's own fault, not the crowd's.
-            if over > 0 and home.expected_duration(up, now) <= 1.2 * zone.typical_duration:
-                zone.concurrency_limit = max(0.1, zone.concurrency_limit * exp(-STEP * over * gain))
+            if over > 0 and balancer.expected_duration(upstream, now) <= 1.2 * zone.typical_duration:
+                zone.concurrency_limit = max(0.1, zone.concurrency_limit * exp(-LIMIT_STEP * over * gain))
                 zone.limit_ramping = False
             elif over < 0 and zone.in_flight + 1 >= zone.concurrency_limit:
                 if zone.limit_ramping:
-                    zone.concurrency_limit += OPENING
+                    zone.concurrency_limit += RAMP_STEP
                 zone.concurrency_limit *= max(
-                    GROW if zone.concurrency_limit > 1 else 1.0, exp(-STEP * over * gain)
+                    MIN_LIMIT_GROWTH if zone.concurrency_limit > 1 else 1.0, exp(-LIMIT_STEP * over * gain)
                 )
-        home.record_outcome(now, up, outcome, took, crowd, fresh, self)
-        home.release_if_unused(up)
-        self.rejecting_zones += [zone] * (outcome == TURNED_AWAY)
+        balancer.record_outcome(now, upstream, outcome, duration, concurrency, first_on_connection, self)
+        balancer.release_if_unused(upstream)
+        self.rejecting_zones += [zone] * (outcome == REJECTED)
         if outcome in NEVER_RAN:
-            self.sent_at[tx] = None
-        return self.finish() if settled and not self.done else []
+            self.sent_at[attempt] = None
+        return self.finish() if answered and not self.done else []
 
-    def response_started(self, lasting: bool = False) -> None:
+    def response_started(self, long_lived: bool = False) -> None:
         """A streamed answer has begun: this transmission is the client's now, and no other may follow."""
         self.hedge_at = None
-        self.set_long_lived(lasting or self.long_lived)
+        self.set_long_lived(long_lived or self.long_lived)
 
-    def set_long_lived(self, lasting: bool) -> None:
+    def set_long_lived(self, long_lived: bool) -> None:
         """An open stream, idle or slow, is held, for passing over: no work in flight, and in no window."""
-        if lasting != self.long_lived:
-            self.long_lived = lasting
-            for tx in self.outstanding:
-                self.balancer.add_load(self.attempts[tx], 1 - 2 * lasting, 2 * lasting - 1)
+        if long_lived != self.long_lived:
+            self.long_lived = long_lived
+            for attempt in self.outstanding:
+                self.balancer.add_load(self.attempts[attempt], 1 - 2 * long_lived, 2 * long_lived - 1)
 
     def client_disconnected(self, now: int) -> list[int]:
+        """The client has left; returns the attempts to stop."""
         return self.finish()
--- a/shedgrade/load_balancing/slow_start.py
+++ b/shedgrade/load_balancing/slow_start.py
@@ -4,11 +4,13 @@
 
 
 class SlowStart:
+    """Bounds what upstreams that have just started are sent."""
+
     def set_slow_start_share(self, part: float) -> None:
         """Guards against an upgrade, whose two processes would each send a cold upstream the whole share."""
         self.slow_start_share = part
 
-    def has_slow_start_credit(self, up: Upstream, now: int) -> bool:
+    def has_slow_start_credit(self, upstream: Upstream, now: int) -> bool:
         """Rule 4: a cold upstream gets its part of what this balancer sends, so that all keep to theirs."""
         # By own traffic, as it ends at a warm upstream of like size and kind: hundreds of even parts would
         # mostly lie unused. Over the time there was, or a restart of all has no part. 3/4 of it, for chance.
@@ -19,23 +21,30 @@
         )
         rate *= (
             (self.latency_base + self.latency_slope)
-            / self.baseline_duration(up, 1)
-            * self.slow_start_fraction(up, now)
+            / self.baseline_duration(upstream, 1)
+            * self.slow_start_fraction(upstream, now)
             * self.slow_start_share
         )
-        zone = self.zones[up.zone]
+        zone = self.zones[upstream.zone]
         if zone.subset:
             part = max(zone.mean_subset_size, len(zone.subset))
-            rate *= zone.ready_count / part * (len(self.zones) if up.zone == self.own_zone else 1)
-        since = now - max(up.slow_start_updated_at, up.started_at)
-        up.slow_start_credit = min(1.0, up.slow_start_credit + since * rate * 0.75 * self.slow_start_headroom)
-        up.slow_start_updated_at = now
-        return up.slow_start_credit >= 1
+            rate *= zone.ready_count / part * (len(self.zones) if upstream.zone == self.own_zone else 1)
+        since = now - max(upstream.slow_start_updated_at, upstream.started_at)
+        upstream.slow_start_credit = min(
+            1.0, upstream.slow_start_credit + since * rate * 0.75 * self.slow_start_headroom
+        )
+        upstream.slow_start_updated_at = now
+        return upstream.slow_start_credit >= 1
 
-    def slow_start_fraction(self, up: Upstream, now: int) -> float:
+    def slow_start_fraction(self, upstream: Upstream, now: int) -> float:
         """The least part of its capacity that an upstream has, as stated."""
-        grown = max(0, now - up.started_at) / self.slow_start_period if self.is_warming_up(up, now) else 1.0
+        grown = (
+            max(0, now - upstream.started_at) / self.slow_start_period
+            if self.is_warming_up(upstream, now)
+            else 1.0
+        )
         return self.slow_start_floor + (1 - self.slow_start_floor) * grown
 
-    def is_warming_up(self, up: Upstream, now: int) -> bool:
-        return up.started_at > 0 and now - up.started_at < self.slow_start_period
+    def is_warming_up(self, upstream: Upstream, now: int) -> bool:
+        """Whether it started less than the slow start period ago."""
+        return upstream.started_at > 0 and now - upstream.started_at < self.slow_start_period
--- a/shedgrade/load_balancing/subsetting.py
+++ b/shedgrade/load_balancing/subsetting.py
@@ -3,39 +3,55 @@
 from .subset_assignment import dealt
 from .upstream import Upstream
 
-COVER = 5  # sidecars of its zone that keep to an upstream: each then weighs a twentieth there
-SHARED, LONE = (1, 1.2), (3, 3.4)  # of its zone, least and mean: LONE where a connection carries one RPC
-FAR = (1, 1.2)  # of all other zones together, least and mean
-MOST = 30_000  # sidecars that are told apart: with more, some have the same part
+SIDECARS_PER_UPSTREAM = 5  # sidecars of its zone that keep to an upstream: each then weighs a twentieth there
+MULTIPLEXED_CONNECTIONS, EXCLUSIVE_CONNECTIONS = (
+    (1, 1.2),
+    (3, 3.4),
+)  # of its zone, least and mean: LONE where a connection carries one RPC
+OTHER_ZONES = (1, 1.2)  # of all other zones together, least and mean
+MAX_SIDECARS = 30_000  # sidecars that are told apart: with more, some have the same part
 
 
 class Subsetting:
-    def in_subset(self, up: Upstream) -> bool:
-        part = self.zones[up.zone].subset
-        return part is None or up in part
+    """Keeps each process to a subset of the upstreams of each zone."""
+
+    def in_subset(self, upstream: Upstream) -> bool:
+        """Whether this process may send to the upstream."""
+        part = self.zones[upstream.zone].subset
+        return part is None or upstream in part
 
     def assign_subset(self) -> None:
         """Guards against hundreds of sidecars with a connection each to every upstream: it takes so many."""
-        ups = [up for up in self.upstreams.values() if up.listed]
-        rows, zones = sorted((up.id_hash or 0, up.capacity, up.zone, up.index) for up in ups), len(self.zones)
+        ups = [upstream for upstream in self.upstreams.values() if upstream.listed]
+        rows, zones = (
+            sorted(
+                (upstream.id_hash or 0, upstream.capacity, upstream.zone, upstream.index) for upstream in ups
+            ),
+            len(self.zones),
+        )
         near, far = ([row for row in rows if (row[2] == self.own_zone) is here] for here in (True, False))
-        number, count, kept = self.sidecar_number % MOST, min(self.sidecar_count, MOST), []
+        number, count, kept = self.sidecar_number % MAX_SIDECARS, min(self.sidecar_count, MAX_SIDECARS), []
         if self.uses_subset and rows:
-            least, mean = SHARED if self.connections_multiplexed else LONE
-            mine, each = max(1.0, count / zones), COVER * len(rows) / count
-            cover = min(mine, max(COVER, mean * mine / max(1, len(near))))
-            other = max(FAR[1], min(each, zones - 1), each * (zones - 1) / 2 / zones) * count / len(rows)
+            least, mean = MULTIPLEXED_CONNECTIONS if self.connections_multiplexed else EXCLUSIVE_CONNECTIONS
+            mine, each = max(1.0, count / zones), SIDECARS_PER_UPSTREAM * len(rows) / count
+            cover = min(mine, max(SIDECARS_PER_UPSTREAM, mean * mine / max(1, len(near))))
+            other = (
+                max(OTHER_ZONES[1], min(each, zones - 1), each * (zones - 1) / 2 / zones) * count / len(rows)
+            )
             self.zones[self.own_zone].mean_subset_size = cover * len(near) / mine
             kept = [
                 self.upstreams[row[3]]
-                for rows, far, least in ((near, 0.0, least), (far, other, FAR[0]))
+                for rows, far, least in ((near, 0.0, least), (far, other, OTHER_ZONES[0]))
                 for row in sorted(dealt(rows, zones, number, count, cover, far, least))
             ]
         for place, zone in enumerate(self.zones):
-            zone.ready_count = sum(up.zone == place for up in ups)
-            part = [up for up in kept if up.zone == place] if self.uses_subset else None
+            zone.ready_count = sum(upstream.zone == place for upstream in ups)
+            part = [upstream for upstream in kept if upstream.zone == place] if self.uses_subset else None
             if part != zone.subset:
-                zone.subset, zone.rotation = part, [up for up in zone.rotation if part is None or up in part]
-                for up in ups if part is None else part:
-                    if up.zone == place:
-                        self.set_in_rotation(up, not up.ejected_until)
+                zone.subset, zone.rotation = (
+                    part,
+                    [upstream for upstream in zone.rotation if part is None or upstream in part],
+                )
+                for upstream in ups if part is None else part:
+                    if upstream.zone == place:
+                        self.set_in_rotation(upstream, not upstream.ejected_until)
--- a/shedgrade/load_balancing/upstream.py
+++ b/shedgrade/load_balancing/upstream.py
@@ -5,8 +5,10 @@
 from .outcomes import REMOVED
 
 SECOND = 10_000
-MEMORY = 5 * SECOND  # measures fade over 5 s: hundreds of RPCs of a busy balancer
-LONGEST = 30 * SECOND  # or, for a light one, over what brings ENOUGH ends, up to the length of a trouble
+DECAY_TIME = 5 * SECOND  # measures fade over 5 s: hundreds of RPCs of a busy balancer
+MAX_DECAY_TIME = (
+    30 * SECOND
+)  # or, for a light one, over what brings ENOUGH ends, up to the length of a trouble
 
 
 class Upstream:
@@ -44,18 +46,22 @@
     )
 
     def __init__(self, index: int, turns: float) -> None:
-        self.index, self.zone, self.cell, self.state = index, None, 0, REMOVED
+        self.index = index
+        self.zone = None
+        self.cell = 0
+        self.state = REMOVED
         self.started_at = self.in_flight = 0
-        self.withdrawn, self.delisted, self.reinstated_at = (
-            False,
-            False,
-            0,
-        )  # by operators; by the list; put back at
-        self.listed_start, self.last_used_at = (
-            0,
-            -LONGEST,
-        )  # its start as the list tells it; when it was last sent to
-        self.id_hash, self.capacity, self.hardware, self.listed = None, 1.0, None, False
+        # by operators; by the list; put back at
+        self.withdrawn = False
+        self.delisted = False
+        self.reinstated_at = 0
+        # its start as the list tells it; when it was last sent to
+        self.listed_start = 0
+        self.last_used_at = -MAX_DECAY_TIME
+        self.id_hash = None
+        self.capacity = 1.0
+        self.hardware = None
+        self.listed = False
         self.reported_load = 0.0  # RPCs held a core, as the list tells by its size
         self.background_load = 0  # streams that are open there: they load it, but are no work in flight
         self.probation_successes = 0  # good ends it still owes before it gets more than one RPC at a time
@@ -69,6 +75,7 @@
         self.half_open = False
 
     def decay(self, now: int, memory: float) -> None:
+        """Lets older evidence weigh less: by a factor of e in each `memory` tenths of a millisecond."""
         if now > self.decayed_at:
             keep = exp((self.decayed_at - now) / memory)
             self.observed_duration, self.foreseen_duration, self.decayed_at = (
@@ -85,9 +92,12 @@
     __slots__ = ("numerator", "denominator", "decayed_at")
 
     def __init__(self, over: float = 0.0, now: int = 0) -> None:
-        self.numerator, self.denominator, self.decayed_at = over, 0.0, now
+        self.numerator = over
+        self.denominator = 0.0
+        self.decayed_at = now
 
-    def add(self, now: int, over: float, under: float, memory: float = LONGEST) -> None:
+    def add(self, now: int, over: float, under: float, memory: float = MAX_DECAY_TIME) -> None:
+        """Adds to both sums, after they have decayed up to now."""
         keep = exp((self.decayed_at - now) / memory)
         self.numerator, self.denominator, self.decayed_at = (
             self.numerator * keep + over,
@@ -96,4 +106,5 @@
         )
 
     def estimate(self, prior: float, usual: float = 1.0) -> float:
+        """The ratio, with `prior` of evidence for `usual` added."""
         return (self.numerator + usual * prior) / (self.denominator + prior)
--- a/shedgrade/load_balancing/upstream_indices.py
+++ b/shedgrade/load_balancing/upstream_indices.py
@@ -17,6 +17,7 @@
         self.free: list[int] = []
 
     def index(self, name: str) -> int:
+        """The index of an upstream's id; a new one for an id not seen."""
         index = self.by_id.get(name)
         if index is None:
             if self.free:
@@ -29,6 +30,7 @@
         return index
 
     def release(self, index: int) -> str:
+        """Frees an index; returns the id that had it."""
         name = self.ids[index]
         del self.by_id[name]
         self.free.append(index)
--- a/shedgrade/model_routing/balancer.py
+++ b/shedgrade/model_routing/balancer.py
@@ -13,12 +13,19 @@
 from shedgrade.model_routing.retry_budget import RetryBudget
 from shedgrade.model_routing.slow_start import SlowStartShares
 
-MARGIN = 1.0  # in flight over the region's mean up to which the holder of a prompt is taken
-FAR = 2048  # tokens of shared parts: reading so many anew takes as long as the way to another region
-UNIT = 2048  # tokens of a prompt that weigh as much as a request in flight while they are read
-HEAVIEST = 16  # requests in flight that one prompt may weigh
-MOST = 6  # transmissions of one try, those included that never arrived
-BACK = 0.25, 0.75  # s after which a client is told to come back: spread, so that they don't come together
+LOAD_MARGIN = 1.0  # in flight over the region's mean up to which the holder of a prompt is taken
+FAR_PREFIX_TOKENS = (
+    2048  # tokens of shared parts: reading so many anew takes as long as the way to another region
+)
+TOKENS_PER_LOAD_UNIT = (
+    2048  # tokens of a prompt that weigh as much as a request in flight while they are read
+)
+MAX_PREFILL_LOAD = 16  # requests in flight that one prompt may weigh
+MAX_TRANSMISSIONS = 6  # transmissions of one try, those included that never arrived
+RETRY_AFTER_RANGE_S = (
+    0.25,
+    0.75,
+)  # s after which a client is told to come back: spread, so that they don't come together
 
 
 def settings(regions: list[str], own: int) -> dict:
@@ -43,7 +50,7 @@
             {**method, "name": "once", "idempotency": "never"},
         ],
         "limits": {
-            "most_transmissions": MOST,
+            "most_transmissions": MAX_TRANSMISSIONS,
             "parallel_tries": False,
             "cancelling": True,
             "retry_after": True,
@@ -57,6 +64,7 @@
     """Where no record is kept: nothing is held anywhere."""
 
     def holders(self, key: int) -> Mapping[int, float]:
+        """No upstream holds any prefix."""
         return {}
 
     def saw(self, key: int, mark: int) -> None:
@@ -74,42 +82,45 @@
     ) -> None:
         self.warming_up_until: dict[int, int] = {}  # by upstream, as the list tells
         self.remote_loads: dict[int, int] = {}
-        self.prefix_affinity, self.retry_budget, self.name = PrefixAffinity(), repeats, name
+        self.prefix_affinity = PrefixAffinity()
+        self.retry_budget = repeats
+        self.name = name
         self.prefix_index = NoPrefixIndex()
         super().__init__(settings(regions, own), seed, now)
         for number, zone in enumerate(self.zones):
             zone.number = number
 
     def list_updated(self) -> None:
+        """As the mechanism does, without its limits on concurrency."""
         super().list_updated()
         self.prefix_affinity.rotation_changed()
         for zone in self.zones:
             zone.concurrency_limit = inf
 
-    def choose_upstream(self, now: int, rpc: ServingRpc, stay: bool) -> Upstream | None:
+    def choose_upstream(self, now: int, rpc: ServingRpc, prefer_own_zone: bool) -> Upstream | None:
         """Guards against a refusal while something could be tried: what returns first, one request at a
         time."""
-        up = self.prefix_holder_elsewhere(now, rpc)
-        if up is None:
+        upstream = self.prefix_holder_elsewhere(now, rpc)
+        if upstream is None:
             rpc.overloaded_region = self.overloaded_region(rpc)
-            up = super().choose_upstream(now, rpc, stay)
-            if up is None and rpc.overloaded_region is not None:
+            upstream = super().choose_upstream(now, rpc, prefer_own_zone)
+            if upstream is None and rpc.overloaded_region is not None:
                 rpc.overloaded_region = None
-                up = super().choose_upstream(now, rpc, stay)
-        return up or self.last_resort(now, rpc)
+                upstream = super().choose_upstream(now, rpc, prefer_own_zone)
+        return upstream or self.last_resort(now, rpc)
 
     def prefix_holder_elsewhere(self, now: int, rpc: ServingRpc) -> Upstream | None:
         """The own region gives way to one upstream of another: the one on record as holding a long prompt's
         shared parts, which the own region would read anew. It must be of a region that the gate lets stay,
         and not be well above that region's mean."""
         wants: RoutingConstraints = rpc.tag.wants
-        if wants.prefix_tokens < FAR or rpc.attempts:
+        if wants.prefix_tokens < FAR_PREFIX_TOKENS or rpc.attempts:
             return None
         held = self.prefix_index.holders(wants.prefix_id)
         if not held:
             return None
         own, best = self.zones[self.own_zone], None
-        if rpc.may_use_zone(own) and any(up.id_hash in held for up in own.rotation):
+        if rpc.may_use_zone(own) and any(upstream.id_hash in held for upstream in own.rotation):
             return None
         for zone in self.zones:
             if (
@@ -118,76 +129,84 @@
                 or zone.in_flight / len(zone.rotation) >= self.drop_threshold
             ):
                 continue
-            bar = self.admission_threshold(zone, wants)
-            for up in zone.rotation:
+            load_limit = self.admission_threshold(zone, wants)
+            for upstream in zone.rotation:
                 if (
-                    up.id_hash in held
-                    and up.in_flight + up.background_load <= bar
-                    and rpc.may_send_to(up, now)
-                    and self.has_capacity(up, now, 0, 1.0)
+                    upstream.id_hash in held
+                    and upstream.in_flight + upstream.background_load <= load_limit
+                    and rpc.may_send_to(upstream, now)
+                    and self.has_capacity(upstream, now, 0, 1.0)
                     and (
                         best is None
-                        or up.in_flight + up.background_load < best.in_flight + best.background_load
+                        or upstream.in_flight + upstream.background_load
+                        < best.in_flight + best.background_load
                     )
                 ):
-                    best = up
+                    best = upstream
         return best and self.charge_slow_start(best, now)
 
     def admission_threshold(self, zone: Zone, wants: RoutingConstraints) -> float:
         """In flight at which one that keeps a prompt's shared parts is still taken: what the mean has, and
         what reading them anew elsewhere would weigh."""
-        return self.mean_load(zone) + MARGIN + wants.prefix_tokens / UNIT
+        return self.mean_load(zone) + LOAD_MARGIN + wants.prefix_tokens / TOKENS_PER_LOAD_UNIT
 
-    def prefill_load(self, up: Upstream, wants: RoutingConstraints) -> int:
+    def prefill_load(self, upstream: Upstream, wants: RoutingConstraints) -> int:
         """What reading its prompt there weighs, beside its place in flight, until its first event."""
         kept = (
             wants.prefix_tokens
-            if wants.prefix_key and up.id_hash in self.prefix_index.holders(wants.prefix_id)
+            if wants.prefix_key and upstream.id_hash in self.prefix_index.holders(wants.prefix_id)
             else 0
         )
-        return max(0, min(HEAVIEST, (wants.prompt_tokens - kept) // UNIT))
+        return max(0, min(MAX_PREFILL_LOAD, (wants.prompt_tokens - kept) // TOKENS_PER_LOAD_UNIT))
 
-    def has_capacity(self, up: Upstream, now: int, left: int, expected: float) -> bool:
-        return not (up.half_open and up.in_flight) and (
-            not self.is_warming_up(up, now) or self.has_slow_start_credit(up, now)
+    def has_capacity(self, upstream: Upstream, now: int, remaining: int, expected: float) -> bool:
+        """A stream has no duration to foresee: only half-open and warming upstreams are bounded."""
+        return not (upstream.half_open and upstream.in_flight) and (
+            not self.is_warming_up(upstream, now) or self.has_slow_start_credit(upstream, now)
         )
 
-    def expected_duration(self, up: Upstream, now: int) -> float:
-        up.decay(now, self.decay_time)
+    def expected_duration(self, upstream: Upstream, now: int) -> float:
+        """One for every upstream."""
+        upstream.decay(now, self.decay_time)
         return 1.0  # every upstream takes all its turns; in flight tells which are passed over
 
-    def extend_ejection(self, now: int, up: Upstream) -> None:
+    def extend_ejection(self, now: int, upstream: Upstream) -> None:
         """It can't be reached: it is set aside, or stays so for a whole span from now."""
-        if up.ejected_until and up.listed:
-            self.readmit(up)
-        self.eject(now, up, True)
+        if upstream.ejected_until and upstream.listed:
+            self.readmit(upstream)
+        self.eject(now, upstream, True)
 
-    def record_duration(self, now: int, up: Upstream, took: int, crowd: int, rpc: Rpc) -> None:
+    def record_duration(
+        self, now: int, upstream: Upstream, duration: int, concurrency: int, rpc: Rpc
+    ) -> None:
         """Times of streams follow their lengths, not their upstreams: nothing is learnt of them."""
 
-    def next_in_rotation(self, zone: Zone, now: int, rpc: ServingRpc, left: int) -> Upstream | None:
+    def next_in_rotation(self, zone: Zone, now: int, rpc: ServingRpc, remaining: int) -> Upstream | None:
+        """An upstream that holds the prompt's prefix goes before the next in rotation."""
         wants: RoutingConstraints = rpc.tag.wants
         if wants.prefix_key and len(zone.rotation) > 1:
-            bar = self.admission_threshold(zone, wants)
+            load_limit = self.admission_threshold(zone, wants)
             held = self.prefix_index.holders(wants.prefix_id)
-            known = [up for up in zone.rotation if up.id_hash in held] if held else ()
-            for up in (*known, *self.prefix_affinity.holders(zone, wants.prefix_key)):
+            known = [upstream for upstream in zone.rotation if upstream.id_hash in held] if held else ()
+            for upstream in (*known, *self.prefix_affinity.holders(zone, wants.prefix_key)):
                 if (
-                    up.in_flight + up.background_load <= bar
-                    and up not in rpc.attempts
-                    and rpc.may_send_to(up, now)
-                    and self.has_capacity(up, now, left, 1.0)
+                    upstream.in_flight + upstream.background_load <= load_limit
+                    and upstream not in rpc.attempts
+                    and rpc.may_send_to(upstream, now)
+                    and self.has_capacity(upstream, now, remaining, 1.0)
                 ):
-                    return self.charge_slow_start(up, now)
-        return super().next_in_rotation(zone, now, rpc, left)
+                    return self.charge_slow_start(upstream, now)
+        return super().next_in_rotation(zone, now, rpc, remaining)
 
-    def served(self, now: int, up: Upstream, wants: RoutingConstraints) -> None:
+    def served(self, now: int, upstream: Upstream, wants: RoutingConstraints) -> None:
         """A request ended well there."""
 
     def retry_after(self, now: int, rpc: ServingRpc) -> int:
-        return int(self.uniform(*BACK) * SECOND)
-
-    def release_if_unused(self, up: Upstream) -> None:
-        super().release_if_unused(up)
-        if up.index not in self.upstreams:
-            self.warming_up_until.pop(up.index, None)
+        """When a refused client may come back, spread at random."""
+        return int(self.uniform(*RETRY_AFTER_RANGE_S) * SECOND)
+
+    def release_if_unused(self, upstream: Upstream) -> None:
+        """Forgets until when it was warming up, too."""
+        super().release_if_unused(upstream)
+        if upstream.index not in self.upstreams:
+            self.warming_up_until.pop(upstream.index, None)
--- a/shedgrade/model_routing/fleet_load.py
+++ b/shedgrade/model_routing/fleet_load.py
@@ -31,28 +31,29 @@
 
     def own_loads(self) -> Iterator[tuple[int, int]]:
         """By mark, what this edge has in flight, with the weight of prompts that are not read yet."""
-        for up in self.upstreams.values():
-            load = up.in_flight + up.background_load - self.remote_loads.get(up.index, 0)
-            if load > 0 and up.id_hash is not None:
-                yield up.id_hash, load
+        for upstream in self.upstreams.values():
+            load = upstream.in_flight + upstream.background_load - self.remote_loads.get(upstream.index, 0)
+            if load > 0 and upstream.id_hash is not None:
+                yield upstream.id_hash, load
 
     def update_remote_loads(self, loads: Mapping[int, int]) -> None:
         """`loads`: by mark, all that other edges have in flight there; none where it is not named."""
-        for up in self.upstreams.values():
-            self.set_remote_load(up, loads.get(up.id_hash, 0) if up.listed else 0)
+        for upstream in self.upstreams.values():
+            self.set_remote_load(upstream, loads.get(upstream.id_hash, 0) if upstream.listed else 0)
 
-    def set_remote_load(self, up: Upstream, load: int) -> None:
-        before = self.remote_loads.pop(up.index, 0)
+    def set_remote_load(self, upstream: Upstream, load: int) -> None:
+        """Replaces what other edges have in flight at one upstream."""
+        before = self.remote_loads.pop(upstream.index, 0)
         if load:
-            self.remote_loads[up.index] = load
+            self.remote_loads[upstream.index] = load
         if load != before:
-            self.add_load(up, 0, load - before)
+            self.add_load(upstream, 0, load - before)
 
-    def release_if_unused(self, up: Upstream) -> None:
+    def release_if_unused(self, upstream: Upstream) -> None:
         """What others still have at one that is gone is no reason to remember it."""
-        if up.state == REMOVED and up.zone is not None:
-            self.set_remote_load(up, 0)
-        super().release_if_unused(up)
+        if upstream.state == REMOVED and upstream.zone is not None:
+            self.set_remote_load(upstream, 0)
+        super().release_if_unused(upstream)
 
     def mean_load(self, zone: Zone) -> float:
         """Requests in flight per ready upstream of a region, of all edges."""
--- a/shedgrade/model_routing/request.py
+++ b/shedgrade/model_routing/request.py
@@ -1,13 +1,13 @@
 """The handle of one request of a client's, and what it asks of the choice."""
 
-from shedgrade.load_balancing.outcomes import BROKEN, COMPLETED, TURNED_AWAY, UNCONNECTED, UNSENT
+from shedgrade.load_balancing.outcomes import BROKEN, COMPLETED, REJECTED, UNCONNECTED, UNSENT
 from shedgrade.load_balancing.rpc import Rpc
 from shedgrade.load_balancing.upstream import Upstream
 from shedgrade.load_balancing.zones import Zone
 from shedgrade.prefix_cache_index import key_of
 
 IDEMPOTENT, ONCE = range(2)  # the two methods: may run more than once, or at most once a try
-ARRIVED_NOT = (UNSENT, UNCONNECTED)  # outcomes after which the upstream has seen nothing of the request
+NOT_DELIVERED = (UNSENT, UNCONNECTED)  # outcomes after which the upstream has seen nothing of the request
 
 
 class RoutingConstraints:
@@ -42,13 +42,14 @@
         tokens: int = 0,
         shared: int = 0,
     ) -> None:
-        self.home_regions, self.prefix_key, self.max_attempts, self.latency_target = homes, key, most, target
-        self.excluded_upstreams, self.earlier_attempts, self.prompt_tokens, self.prefix_tokens = (
-            avoid,
-            before,
-            tokens,
-            shared,
-        )
+        self.home_regions = homes
+        self.prefix_key = key
+        self.max_attempts = most
+        self.latency_target = target
+        self.excluded_upstreams = avoid
+        self.earlier_attempts = before
+        self.prompt_tokens = tokens
+        self.prefix_tokens = shared
         self.prefix_id = key_of(key) if key else 0  # as the record names the parts
 
 
@@ -59,18 +60,22 @@
     __slots__ = ("attempts_arrived", "rejections", "prefill_load", "overloaded_region")
 
     def __init__(
-        self, home, method, now: int, give_up_at: int, retry: bool, tag: object, tenant: int
+        self, balancer, method, now: int, deadline: int, retry: bool, tag: object, tenant: int
     ) -> None:
-        self.attempts_arrived, self.rejections, self.prefill_load = tag.wants.earlier_attempts, 0, 0
+        self.attempts_arrived = tag.wants.earlier_attempts
+        self.rejections = 0
+        self.prefill_load = 0
         self.overloaded_region: int | None = None  # the region that all edges together crowd
-        super().__init__(home, method, now, give_up_at, retry, tag, tenant)
+        super().__init__(balancer, method, now, deadline, retry, tag, tenant)
 
-    def set_deadlines(self, now: int, give_up_at: int, retry: bool = False) -> None:
+    def set_deadlines(self, now: int, deadline: int, retry: bool = False) -> None:
+        """The latency target takes the soft deadline's place."""
         self.arrived_at = now
-        self.soft_deadline_at = min(now + self.tag.wants.latency_target, give_up_at)
-        self.answer_by = give_up_at - self.balancer.deadline_margin
+        self.soft_deadline_at = min(now + self.tag.wants.latency_target, deadline)
+        self.answer_by = deadline - self.balancer.deadline_margin
 
     def may_use_zone(self, zone: Zone) -> bool:
+        """Only home regions, and not the one that the fleet overloads."""
         homes = self.tag.wants.home_regions
         return (
             bool(zone.rotation)
@@ -78,67 +83,71 @@
             and (homes is None or zone.number in homes)
         )
 
-    def may_send_to(self, up: Upstream, now: int) -> bool:
+    def may_send_to(self, upstream: Upstream, now: int) -> bool:
+        """Only in home regions, and not where earlier legs of the stream ran."""
         wants = self.tag.wants
         return (
-            (wants.home_regions is None or up.zone in wants.home_regions)
-            and up.index not in wants.excluded_upstreams
-            and (super().may_send_to(up, now))
+            (wants.home_regions is None or upstream.zone in wants.home_regions)
+            and upstream.index not in wants.excluded_upstreams
+            and (super().may_send_to(upstream, now))
         )
 
     def decide(self, now: int) -> tuple[int, int] | None:
-        home = self.balancer
+        """As `Rpc.decide`; nothing is queued, and a retry needs room in the fleet's budget."""
+        balancer = self.balancer
         if self.done or self.outstanding:
             return None
         repeat = self.attempts_arrived > 0
         if (
             now >= self.answer_by
             or self.attempts_arrived >= self.tag.wants.max_attempts
-            or len(self.attempts) >= home.max_attempts
+            or len(self.attempts) >= balancer.max_attempts
             or (self.body_buffered is False and self.attempts)
             or (self.first_possibly_executed() is not None and not self.method.idempotent)
-            or (repeat and not home.retry_budget.allows_retry(now))
+            or (repeat and not balancer.retry_budget.allows_retry(now))
         ):
             return self.final_answer(now)
-        up = home.choose_upstream(now, self, False)
-        return self.final_answer(now) if up is None else self.transmit(now, up, repeat)
+        upstream = balancer.choose_upstream(now, self, False)
+        return self.final_answer(now) if upstream is None else self.transmit(now, upstream, repeat)
 
-    def transmit(self, now: int, up: Upstream, repeat: bool) -> tuple[int, int]:
-        home = self.balancer
-        home.retry_budget.record_sent(now, repeat)
+    def transmit(self, now: int, upstream: Upstream, repeat: bool) -> tuple[int, int]:
+        """Registers an attempt, with the load of its prefill."""
+        balancer = self.balancer
+        balancer.retry_budget.record_sent(now, repeat)
         self.attempts_arrived += 1
-        self.prefill_load = home.prefill_load(up, self.tag.wants)
-        home.add_load(up, 1, self.prefill_load)
-        self.outstanding[len(self.attempts)] = max(1, up.in_flight)
-        up.last_used_at = now
-        self.attempts.append(up)
+        self.prefill_load = balancer.prefill_load(upstream, self.tag.wants)
+        balancer.add_load(upstream, 1, self.prefill_load)
+        self.outstanding[len(self.attempts)] = max(1, upstream.in_flight)
+        upstream.last_used_at = now
+        self.attempts.append(upstream)
         self.sent_at.append(now)
-        return up.index, max(1, self.answer_by - now)
+        return upstream.index, max(1, self.answer_by - now)
 
     def attempt_finished(
-        self, now: int, tx: int, outcome: int, took: int, settled: bool, fresh=False
+        self, now: int, attempt: int, outcome: int, duration: int, answered: bool, first_on_connection=False
     ) -> list[int]:
-        self.prefill_finished(tx)
-        if outcome in ARRIVED_NOT:
+        """As `Rpc.attempt_finished`, with the fleet's retry budget kept."""
+        self.prefill_finished(attempt)
+        if outcome in NOT_DELIVERED:
             self.attempts_arrived -= 1
             self.balancer.retry_budget.record_not_arrived(now, self.attempts_arrived > 0)
-        elif outcome in (TURNED_AWAY, BROKEN):
+        elif outcome in (REJECTED, BROKEN):
             self.rejections += 1
         elif outcome == COMPLETED:
-            self.balancer.served(now, self.attempts[tx], self.tag.wants)
-        return super().attempt_finished(now, tx, outcome, took, settled, fresh)
+            self.balancer.served(now, self.attempts[attempt], self.tag.wants)
+        return super().attempt_finished(now, attempt, outcome, duration, answered, first_on_connection)
 
-    def prefill_finished(self, tx: int) -> None:
+    def prefill_finished(self, attempt: int) -> None:
         """Its prompt has been read there, or is read no more."""
         if self.prefill_load:
-            self.balancer.add_load(self.attempts[tx], 0, -self.prefill_load)
+            self.balancer.add_load(self.attempts[attempt], 0, -self.prefill_load)
             self.prefill_load = 0
 
-    def response_started(self, lasting: bool = False) -> None:
+    def response_started(self, long_lived: bool = False) -> None:
         """A stream keeps a place of its upstream until it ends: it stays in flight, as a send adds one and
         only its outcome takes it off."""
         self.hedge_at = None
-        for tx in self.outstanding:
-            self.prefill_finished(tx)
+        for attempt in self.outstanding:
+            self.prefill_finished(attempt)
             if self.tag.wants.prefix_key:
-                self.balancer.prefix_index.saw(self.tag.wants.prefix_id, self.attempts[tx].id_hash)
+                self.balancer.prefix_index.saw(self.tag.wants.prefix_id, self.attempts[attempt].id_hash)
--- a/shedgrade/model_routing/retry_budget.py
+++ b/shedgrade/model_routing/retry_budget.py
@@ -9,14 +9,16 @@
 
 from shedgrade.load_balancing.upstream import SECOND
 
-CAUTION = 0.8  # of what is allowed is used: windows slide, and counts of sidecars lag
+BUDGET_SHARE_USED = 0.8  # of what is allowed is used: windows slide, and counts of sidecars lag
 
 
 class RetryBudget:
     """Counts by tenth of a window; `ratio` and `slack` as told, `window` in tenths of a ms."""
 
     def __init__(self, ratio: float, slack: float, window: int) -> None:
-        self.ratio, self.slack, self.window = ratio, slack, max(SECOND, window)
+        self.ratio = ratio
+        self.slack = slack
+        self.window = max(SECOND, window)
         self.sidecar_count = 1
         self.slot_length = self.window // 10
         self.counts: deque[list[int]] = deque()  # [tenth, requests, repeats], the oldest first
@@ -33,6 +35,7 @@
         self.counts = deque([[newest // self.slot_length, 0, self.retries]])
 
     def advance(self, now: int) -> None:
+        """Drops the counts that have left the window."""
         tenth = now // self.slot_length
         while self.counts and self.counts[0][0] < tenth - 10:
             _, requests, repeats = self.counts.popleft()
@@ -42,6 +45,7 @@
             self.counts.append([tenth, 0, 0])
 
     def add(self, now: int, requests: int, repeats: int) -> None:
+        """Adds to the counts of the newest slot."""
         self.advance(now)
         self.counts[-1][1] += requests
         self.counts[-1][2] += repeats
@@ -49,6 +53,7 @@
         self.retries += repeats
 
     def record_sent(self, now: int, repeat: bool) -> None:
+        """An attempt was sent: a first one or a retry."""
         self.add(now, int(not repeat), int(repeat))
 
     def record_not_arrived(self, now: int, repeat: bool) -> None:
@@ -59,4 +64,4 @@
         """One more repeat keeps this sidecar within its share."""
         self.advance(now)
         share = self.ratio * max(0, self.requests) + self.slack / max(1, self.sidecar_count)
-        return self.retries + 1 <= CAUTION * share
+        return self.retries + 1 <= BUDGET_SHARE_USED * share
--- a/shedgrade/model_routing/slow_start.py
+++ b/shedgrade/model_routing/slow_start.py
@@ -9,8 +9,10 @@
 
 from shedgrade.load_balancing.upstream import SECOND, Upstream
 
-PART = 0.7  # of the rate is dealt: the count of sidecars lags, and sends bunch on their way
-FEW = 4  # sidecars for one cold upstream, where all, with one at once each, would be too many
+DEALT_SHARE = 0.7  # of the rate is dealt: the count of sidecars lags, and sends bunch on their way
+SENDERS_PER_UPSTREAM = (
+    4  # sidecars for one cold upstream, where all, with one at once each, would be too many
+)
 
 
 class SlowStartShares:
@@ -21,25 +23,31 @@
     slow_start_bound = 0.0  # the most that it may get within any second
     sidecars, name = 1, ""  # the largest count of sidecars known lately; this one's name
 
-    def is_warming_up(self, up: Upstream, now: int) -> bool:
-        return now < self.warming_up_until.get(up.index, 0)
+    def is_warming_up(self, upstream: Upstream, now: int) -> bool:
+        """Whether the list says that it is still warming up."""
+        return now < self.warming_up_until.get(upstream.index, 0)
 
-    def slow_start_rate_share(self, up: Upstream) -> float:
+    def slow_start_rate_share(self, upstream: Upstream) -> float:
         """Requests a second that this sidecar may send it."""
         if (
-            self.sidecar_count <= max(FEW, self.slow_start_bound - PART * self.slow_start_rate)
+            self.sidecar_count
+            <= max(SENDERS_PER_UPSTREAM, self.slow_start_bound - DEALT_SHARE * self.slow_start_rate)
             or not self.slow_start_rate
         ):
-            return PART * self.slow_start_rate / max(1, self.sidecar_count)
-        chosen = crc32(b"%d:%s" % (up.id_hash or 0, self.name.encode())) / 2**32 < FEW / self.sidecar_count
-        return PART * self.slow_start_rate / FEW if chosen else 0.0
+            return DEALT_SHARE * self.slow_start_rate / max(1, self.sidecar_count)
+        chosen = (
+            crc32(b"%d:%s" % (upstream.id_hash or 0, self.name.encode())) / 2**32
+            < SENDERS_PER_UPSTREAM / self.sidecar_count
+        )
+        return DEALT_SHARE * self.slow_start_rate / SENDERS_PER_UPSTREAM if chosen else 0.0
 
-    def has_slow_start_credit(self, up: Upstream, now: int) -> bool:
+    def has_slow_start_credit(self, upstream: Upstream, now: int) -> bool:
+        """Whether this edge's share of its rate lets one more request through now."""
         if not self.slow_start_rate:
             return True  # no bound is told
-        since = max(0, now - up.slow_start_updated_at) if up.slow_start_updated_at else 0
-        up.slow_start_credit = min(
-            1.0, up.slow_start_credit + since / SECOND * self.slow_start_rate_share(up)
+        since = max(0, now - upstream.slow_start_updated_at) if upstream.slow_start_updated_at else 0
+        upstream.slow_start_credit = min(
+            1.0, upstream.slow_start_credit + since / SECOND * self.slow_start_rate_share(upstream)
         )
-        up.slow_start_updated_at = now
-        return up.slow_start_credit >= 1
+        upstream.slow_start_updated_at = now
+        return upstream.slow_start_credit >= 1
--- a/shedgrade/request_dispatch.py
+++ b/shedgrade/request_dispatch.py
@@ -34,7 +34,11 @@
         budget,
         forget: Callable[[int], None],
     ) -> None:
-        self.loop, self.clock, self.balancer, self.caller, self.names = loop, clock, balancer, caller, names
+        self.loop = loop
+        self.clock = clock
+        self.balancer = balancer
+        self.caller = caller
+        self.names = names
         self.release_upstream = forget  # told of each upstream that the decisions have given up
         self.events: list[tuple] = []
         self.actions: list[tuple] = []
@@ -43,13 +47,16 @@
         self.observers: tuple = ()  # what is told that a turn is over
         self.expiries: list[tuple] = []  # (when, number, transmission): when its time is up
         self.sequence = count()
-        self.timer, self.timer_at, self.scheduled = None, None, False
+        self.timer = None
+        self.timer_at = None
+        self.scheduled = False
         self.lag = 0.0  # how late turns have been lately, tenths of a millisecond
         self.concluding = False  # the process ends now: finals only
 
     # --- gathering: called by connections, discovery and the timer
 
     def gather(self, call: Callable, *args) -> None:
+        """Queues a call for the next pass, which passes the time as its first argument."""
         self.events.append((call, args))
         if not self.scheduled:
             self.scheduled = True
@@ -58,12 +65,14 @@
     def submit(
         self, active_request: ActiveRequest, method: int, wait: int, retry: bool, tenant: int = 0
     ) -> None:
+        """A request has come. `wait`: ms that its client waits for the answer."""
         self.active_requests.add(active_request)
         active_request.timeout_ms = wait
         at = self.clock.now()
         self.gather(self.on_submitted, active_request, method, at + wait * 10, retry, tenant)
 
     def attempt_finished(self, transmission: Transmission, outcome: int, answer: Answer | None) -> None:
+        """An attempt has ended, with its answer if there is one."""
         self.gather(self.on_attempt_finished, transmission, outcome, answer, self.clock.now())
 
     def body_received(self, active_request: ActiveRequest, here: bool, whole: bool) -> None:
@@ -79,9 +88,11 @@
         self.gather(self.on_stream_opened, transmission)
 
     def client_disconnected(self, active_request: ActiveRequest) -> None:
+        """The request's client has left."""
         self.gather(self.on_client_disconnected, active_request)
 
     def list_changed(self, rows: list, whole: bool, asked: bool) -> None:
+        """Rows of the endpoint list, as `Balancer.list_changed` takes them."""
         self.gather(self.on_list_changed, rows, whole, asked)
 
     def set_withdrawn(self, upstream: int, out: bool, told: Callable[[], None]) -> None:
@@ -89,12 +100,15 @@
         self.gather(self.on_withdrawn_changed, upstream, out, told)
 
     def list_failed(self) -> None:
+        """Endpoint discovery failed."""
         self.gather(lambda now: self.balancer.list_failed(now))
 
     def mark_unverified(self, upstreams: list[int], ends: int, last: bool) -> None:
+        """Upstreams that an older source than discovery names."""
         self.gather(lambda now: self.balancer.mark_unverified(now, upstreams, ends, last))
 
     def restore(self, state: dict, age: float) -> None:
+        """Takes over what an earlier process learnt, `age` seconds ago."""
         self.gather(lambda now: learned_state.restore(self.balancer, now, state, age))
 
     def update_settings(self, settings: dict, numbers: dict[int, int]) -> None:
@@ -131,6 +145,7 @@
     # --- the turn
 
     def run(self) -> None:
+        """One pass: expired limits, all gathered events, due decisions, then the actions."""
         self.scheduled = False
         now = self.clock.now()
         self.expire(now)
@@ -178,11 +193,13 @@
             active_request.rpc.client_disconnected(self.clock.now())
 
     def decide_due(self, now: int) -> None:
+        """Asks every request again whose time has come."""
         for rpc in self.balancer.due(now):
             self.guarded(self.decide, now, rpc.tag)
         self.balancer.wants_list(now)  # the watch always follows on by itself
 
     def set_timer(self) -> None:
+        """Moves the one timer to the earliest moment that anything waits for."""
         at = self.balancer.wake_at()
         while self.expiries and not self.expiries[0][2].still_out():
             heappop(self.expiries)
@@ -198,6 +215,7 @@
             self.timer = self.loop.call_at(self.clock.on_monotonic(at), self.alarm)
 
     def alarm(self) -> None:
+        """The timer has fired: measures how late, and runs a pass."""
         self.lag = max(self.lag * 0.99, min(MOST_ALLOWED, self.clock.now() - self.timer_at))
         self.timer = self.timer_at = None
         self.gather(lambda now: None)
@@ -213,6 +231,7 @@
         retry: bool,
         tenant: int = 0,
     ) -> None:
+        """Asks the gates, then admits the request to the decisions."""
         if active_request.done:
             return
         if active_request.client.has_left():
@@ -240,6 +259,7 @@
     def on_attempt_finished(
         self, now: int, transmission: Transmission, outcome: int, answer: Answer | None, at: int
     ) -> None:
+        """Tells the decisions and, where it was served, the client."""
         active_request, tx = transmission.active_request, transmission.attempt
         if not transmission.still_out():
             return  # its end was told before: what comes late reaches nobody
@@ -267,6 +287,7 @@
     def on_body_received(
         self, now: int, active_request: ActiveRequest, here: bool, whole: bool, at: int
     ) -> None:
+        """More of a long request's body came; the last byte starts the attempts' time limit."""
         if active_request.done or active_request.rpc is None:
             return
         limit = active_request.rpc.body_received(
@@ -280,6 +301,7 @@
                     self.add_expiry(transmission, transmission.expires_at)
 
     def on_response_started(self, now: int, transmission: Transmission, answer: Answer, at: int) -> None:
+        """A long answer has begun: it is the client's, and all other attempts stop."""
         active_request = transmission.active_request
         if not transmission.still_out() or active_request.done:
             return
@@ -296,6 +318,7 @@
         self.actions.append((active_request.client.flowing, (answer,)))
 
     def on_stream_opened(self, now: int, transmission: Transmission) -> None:
+        """A stream's connection is up: it lasts as long as both sides want."""
         active_request = transmission.active_request
         if transmission.still_out() and not active_request.done:
             active_request.stream_is_open, transmission.expires_at = True, load_balancing.inf
@@ -303,6 +326,7 @@
             self.actions.append((active_request.client.opened, (transmission.link,)))
 
     def on_client_disconnected(self, now: int, active_request: ActiveRequest) -> None:
+        """Nobody waits: the request ends and its attempts stop."""
         if active_request.done:
             return
         self.finish(active_request)
@@ -310,19 +334,23 @@
             self.stop(now, active_request, active_request.rpc.client_disconnected(now))
 
     def on_list_changed(self, now: int, rows: list, whole: bool, asked: bool) -> None:
+        """Hands rows of the list to the decisions."""
         self.balancer.list_changed(now, rows, whole, asked)
 
     def on_withdrawn_changed(self, now: int, upstream: int, out: bool, told: Callable[[], None]) -> None:
+        """Hands an operator's order to the decisions, and says when it is in force."""
         self.balancer.set_withdrawn(now, upstream, out)
         if out:
             self.actions.append((self.caller.withdraw, (upstream,)))
         self.actions.append((told, ()))
 
     def on_final_answer_due(self, now: int, active_request: ActiveRequest) -> None:
+        """Asks for the final answer of a request that is not answered yet."""
         if not active_request.done:
             self.decide(now, active_request)
 
     def decide(self, now: int, active_request: ActiveRequest) -> None:
+        """Carries out what the decisions say of a request now."""
         answer = active_request.rpc.decide(now + OVER * self.concluding)
         if answer is None:
             return
@@ -344,10 +372,12 @@
                 self.actions.append((client.errored, ()))
 
     def add_expiry(self, transmission: Transmission, until: float) -> None:
+        """Looks at the attempt again at that moment, if it is finite."""
         if until != load_balancing.inf:
             heappush(self.expiries, (until, next(self.sequence), transmission))
 
     def finish(self, active_request: ActiveRequest) -> None:
+        """The request has its answer, or nobody waits for it: its memory and gate tickets are given back."""
         active_request.done = True
         self.active_requests.remove(active_request)
         if active_request.request.flow is not None:
@@ -361,6 +391,7 @@
                 gate.leave(now, ticket, method, ran, now - sent)
 
     def stop(self, now: int, active_request: ActiveRequest, numbers: list[int]) -> None:
+        """Stops these attempts of a request."""
         for tx in numbers:
             transmission = active_request.transmissions.get(tx)
             if transmission is not None:
@@ -372,6 +403,7 @@
     # --- what is carried out
 
     def transmit(self, transmission: Transmission, now: int) -> None:
+        """Hands an attempt to the caller, unless there is no reason for it any more."""
         if not self.may_still_send(transmission, now):
             self.attempt_finished(transmission, load_balancing.UNSENT, None)
             return
--- a/shedgrade/sidecar/capture/explanation.py
+++ b/shedgrade/sidecar/capture/explanation.py
@@ -59,7 +59,7 @@
                     for number, zone in enumerate(self.zones)
                     if zone.rotation
                 ]
-                if len(loads) > 1 and max(loads)[0] >= load_balancing.THRESHOLD:
+                if len(loads) > 1 and max(loads)[0] >= load_balancing.DROP_THRESHOLD:
                     self.say(f"  zone {max(loads)[1]} is the worst at the threshold: dropped")
                 aside = [self.name(up) for up in self.upstreams.values() if up.ejected_until]
                 if aside:
@@ -76,7 +76,7 @@
             if found is not None:
                 bar = (zone.in_flight + zone.background_load) / max(
                     1, len(zone.rotation)
-                ) + load_balancing.MARGIN
+                ) + load_balancing.LOAD_MARGIN
                 above = (
                     "" if found.in_flight + found.background_load <= bar else ": none under the mean had room"
                 )
--- a/shedgrade/sidecar/capture/files.py
+++ b/shedgrade/sidecar/capture/files.py
@@ -33,10 +33,12 @@
 
 
 def make(folder: Path) -> None:
+    """Makes the folder of captures, readable by its owner alone."""
     folder.mkdir(mode=0o700, parents=True, exist_ok=True)
 
 
 def free_number(folder: Path) -> int:
+    """The number after the highest of the captures there."""
     found = [
         int(path.stem.partition("-")[2])
         for path in folder.glob("capture-*.sgc")
@@ -62,7 +64,9 @@
     bytes."""
 
     def __init__(self, folder: Path, keep: int, tell: Callable[[str], None]) -> None:
-        self.folder, self.keep, self.tell = folder, keep, tell
+        self.folder = folder
+        self.keep = keep
+        self.tell = tell
         self.waiting: deque[tuple[bytes, bool]] = deque()
         self.waiting_bytes = self.size = 0
         self.lock = threading.Condition()
@@ -86,6 +90,7 @@
         return self.size >= FILE
 
     def run(self) -> None:
+        """The thread: writes what waits until the end."""
         while True:
             with self.lock:
                 while not self.waiting and not self.ending:
@@ -114,6 +119,7 @@
                 return
 
     def next(self) -> None:
+        """Begins the next file, and removes the oldest ones over the limit."""
         if self.file is not None:
             self.file.close()
         make(self.folder)
@@ -130,6 +136,7 @@
         self.size = len(head)
 
     def close(self, limit: float = 2.0) -> None:
+        """Waits up to `limit` seconds for what is still to be written."""
         with self.lock:
             self.ending = True
             self.lock.notify()
--- a/shedgrade/sidecar/capture/part.py
+++ b/shedgrade/sidecar/capture/part.py
@@ -28,7 +28,8 @@
     """Made before the sidecar, as it makes what stands in the decisions' place (`decisions`)."""
 
     def __init__(self, config) -> None:
-        self.config, self.folder = config, Path(config.folder)
+        self.config = config
+        self.folder = Path(config.folder)
         self.recorder: Recorder | None = None
         self.writer: Writer | None = None
         self.sidecar = self.sink = None
@@ -49,6 +50,7 @@
         return self.recorder
 
     def join(self, sidecar) -> None:
+        """Takes its place in the sidecar, as an observer of dispatch passes."""
         self.sidecar = sidecar
         ids = sidecar.pool.reader.indices.ids
         self.recorder.spelled = lambda index: ids[index]
@@ -58,6 +60,7 @@
     # --- the sidecar's life
 
     def start(self) -> None:
+        """Installs the signal handler and the sink for faults; starts the writer."""
         self.sidecar.loop.add_signal_handler(signal.SIGUSR1, self.write, "asked for")
         self.sink = logger.add(self.heard, level="ERROR", format=format_event)
         if self.config.continuous:
@@ -94,6 +97,7 @@
         task.add_done_callback(lambda done: self.written(done, why))
 
     def written(self, done, why: str) -> None:
+        """The dump has ended: tells how."""
         self.dumping = False
         if done.cancelled():
             return
@@ -104,10 +108,12 @@
             logger.info("capture written", reason=why, path=str(done.result()))
 
     def look_after(self) -> None:
+        """Asks for a checkpoint where the next file is due."""
         if self.writer is not None and self.writer.full():
             self.recorder.wanted = True  # the next file begins with a checkpoint
 
     def close(self) -> None:
+        """Writes what is left and tells the totals."""
         if self.sink is not None:
             logger.remove(self.sink)
         if self.writer is not None:
--- a/shedgrade/sidecar/capture/recorder.py
+++ b/shedgrade/sidecar/capture/recorder.py
@@ -55,20 +55,26 @@
     __slots__ = ("rpc", "number", "recorder")
 
     def __init__(self, recorder: "Recorder", rpc: load_balancing.Rpc, number: int) -> None:
-        self.recorder, self.rpc, self.number = recorder, rpc, number
+        self.recorder = recorder
+        self.rpc = rpc
+        self.number = number
 
     @property
     def attempts(self) -> list:
+        """As of the request."""
         return self.rpc.attempts
 
     @property
     def sent_at(self) -> list:
+        """As of the request."""
         return self.rpc.sent_at
 
     def first_possibly_executed(self) -> int | None:
+        """As of the request."""
         return self.rpc.first_possibly_executed()
 
     def decide(self, now: int) -> tuple[int, int] | None:
+        """Decides, and records the answer."""
         answer = self.rpc.decide(now)
         if answer is None:
             if not self.rpc.done:  # one that is done is only asked in vain
@@ -79,27 +85,32 @@
         return answer
 
     def over(self) -> None:
+        """Forgets a request that is done with nothing outstanding."""
         if self.rpc.done and not self.rpc.outstanding:
             self.recorder.live.pop(self.number, None)
 
     def attempt_finished(
         self, now: int, tx: int, outcome: int, took: int, settled: bool, fresh: bool = False
     ) -> list[int]:
+        """Passed on, and recorded with what it returns."""
         stops = self.rpc.attempt_finished(now, tx, outcome, took, settled, fresh)
         self.recorder.keep(now, ENDED, self.number, tx, outcome, took, settled, fresh, stops)
         self.over()
         return stops
 
     def response_started(self, lasting: bool = False) -> None:
+        """Passed on and recorded."""
         self.rpc.response_started(lasting)
         self.recorder.keep(self.recorder.now, STARTED, self.number, lasting)
 
     def body_received(self, now: int, give_up_at: int, here: bool, whole: bool) -> int:
+        """Passed on, and recorded with its limit."""
         limit = self.rpc.body_received(now, give_up_at, here, whole)
         self.recorder.keep(now, COMING, self.number, give_up_at - now, here, whole, limit)
         return limit
 
     def client_disconnected(self, now: int) -> list[int]:
+        """Passed on, and recorded with what it returns."""
         stops = self.rpc.client_disconnected(now)
         self.recorder.keep(now, GONE, self.number, stops)
         self.over()
@@ -125,24 +136,30 @@
         whether
         it took it."""
         self.inner = load_balancing.Balancer(settings, seed, now)
-        self.ring, self.checkpoint, self.most_rows, self.ids, self.write = (
-            ring,
-            checkpoint,
-            most_rows,
-            ids,
-            write,
-        )
+        self.ring = ring
+        self.checkpoint = checkpoint
+        self.most_rows = most_rows
+        self.ids = ids
+        self.write = write
         self.now = self.last = self.base = now
         self.rows: list[tuple] = []
         self.numbers = 0
         self.spelled: Callable[[int], str] | None = None  # an upstream's id
-        self.second, self.in_second, self.late = now, 0, 0
-        self.skipping, self.skipped, self.calm_at, self.lost = False, 0, 0, False
+        self.second = now
+        self.in_second = 0
+        self.late = 0
+        self.skipping = False
+        self.skipped = 0
+        self.calm_at = 0
+        self.lost = False
         self.live: dict[int, load_balancing.Rpc] = {}  # taken, and not yet answered with nothing out
-        self.state_at, self.look_at, self.wanted = now, 0, False
+        self.state_at = now
+        self.look_at = 0
+        self.wanted = False
         # What changes nothing is passed on without a step between.
         inner = self.inner
-        self.wake_at, self.max_retry_after = inner.wake_at, inner.max_retry_after
+        self.wake_at = inner.wake_at
+        self.max_retry_after = inner.max_retry_after
         if not self.inner.subscribes_to_list:
             self.wants_list = self.inner.wants_list
         self.add({"k": "begin", "v": 1, "settings": settings, "seed": seed, "now": now})
@@ -150,11 +167,13 @@
     # --- keeping
 
     def add(self, record: dict) -> None:
+        """Keeps a record in the ring, and hands it to the writer if there is one."""
         data = self.ring.add(record)
         if self.write is not None and not self.write(data, record["k"] in ("begin", "state")):
             self.lost = True
 
     def keep(self, now: int, op: int, *values: object) -> None:
+        """Keeps one call: its op, the time since the call before and its values."""
         self.now = now
         if self.skipping:
             self.skipped += 1
@@ -165,6 +184,7 @@
             self.flush()
 
     def flush(self) -> None:
+        """Makes a record of the calls kept since the last one."""
         if self.rows:
             self.add({"k": "rows", "now": self.base, "r": self.rows})
             self.in_second += len(self.rows)
@@ -218,6 +238,7 @@
         )
 
     def fault(self, what: str) -> None:
+        """Records that a fault of the program was logged here."""
         self.flush()
         self.add({"k": "fault", "now": self.now, "what": what})
 
@@ -225,6 +246,7 @@
 
     @property
     def upstreams(self) -> dict:
+        """Upstreams by index."""
         return self.inner.upstreams
 
     def admit(
@@ -236,6 +258,7 @@
         tag: object = None,
         tenant: int = 0,
     ) -> Handle:
+        """Passed on, and recorded with the request's number."""
         rpc = self.inner.admit(now, method, give_up_at, retry, tag, tenant)
         self.numbers += 1
         name = tag.request.name if self.ids != "none" else b""
@@ -253,6 +276,7 @@
         return Handle(self, rpc, self.numbers)
 
     def list_changed(self, now: int, rows: list, whole: bool, asked: bool) -> None:
+        """Passed on and recorded."""
         rows = list(rows)
         self.inner.list_changed(now, rows, whole, asked)
         if self.spelled is not None and rows and not self.skipping:
@@ -261,31 +285,38 @@
         self.keep(now, LIST, rows, whole, asked)
 
     def list_failed(self, now: int) -> None:
+        """Passed on and recorded."""
         self.inner.list_failed(now)
         self.keep(now, FAILED)
 
     def mark_unverified(self, now: int, upstreams: list[int], ends: int, last: bool) -> None:
+        """Passed on and recorded."""
         self.inner.mark_unverified(now, upstreams, ends, last)
         self.keep(now, DOUBT, upstreams, ends, last)
 
     def set_withdrawn(self, now: int, upstream: int, out: bool) -> None:
+        """Passed on and recorded."""
         self.inner.set_withdrawn(now, upstream, out)
         self.keep(now, ORDERED, upstream, out)
 
     def update_settings(self, settings: dict) -> None:
+        """Passed on and recorded."""
         self.inner.update_settings(settings)
         self.max_retry_after = self.inner.max_retry_after
         self.keep(self.now, RETUNED, settings)
 
     def set_slow_start_share(self, part: float) -> None:
+        """Passed on and recorded."""
         self.inner.set_slow_start_share(part)
         self.keep(self.now, DIVIDED, part)
 
     def restore(self, now: int, state: dict, age: float) -> None:
+        """Passed on and recorded."""
         learned_state.restore(self.inner, now, state, age)
         self.keep(now, RESTORE, state, age)
 
     def due(self, now: int):
+        """The requests to ask again; recorded where there are any."""
         inner = self.inner
         at = inner.wake_at()
         if at > now and not inner.queue:
@@ -293,6 +324,7 @@
         return self.told_due(now, at)
 
     def told_due(self, now: int, at: float):
+        """The requests to ask again, each recorded."""
         told = False
         for rpc in self.inner.due(now):
             told = True
@@ -302,12 +334,14 @@
             self.keep(now, OVER)
 
     def wants_list(self, now: int) -> bool:
+        """Passed on; recorded where it is True."""
         answer = self.inner.wants_list(now)
         if answer:
             self.keep(now, WANTS, True)
         return answer
 
     def take_released(self) -> list[int]:
+        """Passed on; recorded where there are any."""
         upstreams = self.inner.take_released()
         if upstreams:
             self.keep(self.now, RELEASED, upstreams)
@@ -320,6 +354,7 @@
         return drawn
 
     def draw_admission(self, method: int) -> float:
+        """Passed on, and recorded with the draw."""
         drawn = self.inner.draw_admission(method)
         self.keep(self.now, LUCK, method, drawn)
         return drawn
--- a/shedgrade/sidecar/capture/replay.py
+++ b/shedgrade/sidecar/capture/replay.py
@@ -76,13 +76,22 @@
     ) -> None:
         """`kind`: a subclass of the module's Balancer; `until`: tenths of a ms; `lenient`: goes on past
         differences, leaving out calls on transmissions that now do not exist. StateError from `run`."""
-        self.records, self.module, self.kind, self.until, self.lenient = records, module, kind, until, lenient
-        self.balancer, self.rpcs, self.names, self.settings = None, {}, {}, {}
-        self.due, self.ending = None, deque()
+        self.records = records
+        self.module = module
+        self.kind = kind
+        self.until = until
+        self.lenient = lenient
+        self.balancer = None
+        self.rpcs = {}
+        self.names = {}
+        self.settings = {}
+        self.due = None
+        self.ending = deque()
         self.calls = self.gaps = self.left_out = 0
         self.watch: Callable[[int, list, object], None] | None = None
 
     def run(self) -> Iterator[Difference]:
+        """Makes all calls; yields each answer that differs, and ends at the first unless lenient."""
         for now, row in calls(self.records):
             if now > self.until:
                 return
@@ -109,6 +118,7 @@
                     return
 
     def record(self, record: dict) -> None:
+        """Takes a record that is no batch of calls."""
         kind = record["k"]
         if kind == "begin":
             self.settings = record["settings"]
@@ -128,6 +138,7 @@
             self.names |= record["names"]
 
     def rpc(self, number: int) -> object:
+        """The request of that number. MissingError if there is none."""
         if number not in self.rpcs:
             raise MissingError(f"RPC {number}")
         return self.rpcs[number]
@@ -207,6 +218,7 @@
         return None, None
 
     def differs(self, now: int, row: list, told: object, got: object) -> Difference:
+        """The difference between two answers, with the state beside it."""
         number = row[2] if row[0] in OF_RPC else None
         return Difference(
             self.calls,
--- a/shedgrade/sidecar/capture/rows.py
+++ b/shedgrade/sidecar/capture/rows.py
@@ -72,11 +72,14 @@
     oldest record kept is always one that a replay may begin at."""
 
     def __init__(self, most: int) -> None:
-        self.most, self.size, self.dropped = most, 0, 0
+        self.most = most
+        self.size = 0
+        self.dropped = 0
         self.records: deque[tuple[bool, bytes]] = deque()
         self.starts = 0
 
     def add(self, record: dict) -> bytes:
+        """Encodes and keeps a record, dropping the oldest ones over the limit; returns its bytes."""
         data = file_frames.frame(record)
         start = record["k"] in ("begin", "state")
         self.records.append((start, data))
@@ -97,6 +100,7 @@
             first = False
 
     def data(self, number: int = 0) -> bytes:
+        """All that is kept, as the bytes of a file."""
         return file_frames.header(KIND, number) + b"".join(data for _, data in self.records)
 
 
--- a/shedgrade/sidecar/capture/state.py
+++ b/shedgrade/sidecar/capture/state.py
@@ -100,6 +100,7 @@
 
 
 def put_back(state: dict, module: ModuleType, kind: type) -> tuple[object, dict[int, object]]:
+    """As `thaw`, with the errors of a state that does not fit as they are."""
     if state["v"] != VERSION:
         raise StateError(f"state of version {state['v']}")
     made = []
--- a/shedgrade/sidecar/shadow_policy/follower.py
+++ b/shedgrade/sidecar/shadow_policy/follower.py
@@ -30,10 +30,12 @@
     __slots__ = ("is_proposing", "counted_kinds")
 
     def __init__(self, *args) -> None:
-        self.is_proposing, self.counted_kinds = False, set()
+        self.is_proposing = False
+        self.counted_kinds = set()
         super().__init__(*args)
 
     def propose(self, now: int) -> tuple[int, int] | None:
+        """What it would decide now; nothing is done."""
         self.is_proposing = True
         try:
             return self.decide(now)
@@ -41,9 +43,11 @@
             self.is_proposing = False
 
     def transmit(self, now: int, up: load_balancing.Upstream, repeat: bool) -> tuple[int, int]:
+        """An attempt that is only proposed is not registered."""
         return (up.index, 0) if self.is_proposing else super().transmit(now, up, repeat)
 
     def finish(self) -> list[int]:
+        """A proposal ends nothing."""
         return [] if self.is_proposing else super().finish()
 
     def follow(self, now: int, answer: tuple[int, int] | None) -> None:
--- a/shedgrade/sidecar/shadow_policy/part.py
+++ b/shedgrade/sidecar/shadow_policy/part.py
@@ -20,7 +20,9 @@
 
     def __init__(self, config, path: str, inner: Callable | None = None) -> None:
         """`inner`: makes the decisions, where another part (capture) does."""
-        self.config, self.path, self.inner = config, path, inner or load_balancing.Balancer
+        self.config = config
+        self.path = path
+        self.inner = inner or load_balancing.Balancer
         self.watched: Watched | None = None
         self.tell_at = 0
 
@@ -46,10 +48,12 @@
         return self.watched
 
     def join(self, sidecar) -> None:
+        """Takes its place in the sidecar, as an observer of dispatch passes."""
         sidecar.pool.dispatcher.observers = (*sidecar.pool.dispatcher.observers, self)
         sidecar.parts.append(self)
 
     def after_turn(self, now: int, late: int) -> None:
+        """Tells the differences so far, at most each `every_s`."""
         if now >= self.tell_at:
             self.tell_at = now + int(self.config.every_s * SECOND)
             logger.info("shadow policy compared", differences=self.watched.line())
@@ -57,7 +61,9 @@
     # --- the sidecar's life
 
     def start(self) -> None:
+        """Tells that the comparison is on."""
         logger.info("shadow policy started", settings=len(self.config.settings))
 
     def close(self) -> None:
+        """Tells the differences of the whole run."""
         logger.info("shadow policy compared", differences=self.watched.line())
--- a/shedgrade/sidecar/shadow_policy/shadow.py
+++ b/shedgrade/sidecar/shadow_policy/shadow.py
@@ -19,12 +19,15 @@
     __slots__ = ("rpc", "owner", "shadow")
 
     def __init__(self, owner: "Watched", rpc: object, shadow: FollowerRpc | None) -> None:
-        self.owner, self.rpc, self.shadow = owner, rpc, shadow
+        self.owner = owner
+        self.rpc = rpc
+        self.shadow = shadow
 
     def __getattr__(self, name: str) -> object:
         return getattr(self.rpc, name)
 
     def decide(self, now: int) -> tuple[int, int] | None:
+        """Decides, then compares with what the follower would have done."""
         answer = self.rpc.decide(now)
         if self.shadow is not None:
             self.owner.guarded(self.owner.compare, now, self.shadow, answer)
@@ -33,23 +36,27 @@
     def attempt_finished(
         self, now: int, tx: int, outcome: int, took: int, settled: bool, fresh: bool = False
     ) -> list[int]:
+        """Passed on, then told to the follower."""
         stops = self.rpc.attempt_finished(now, tx, outcome, took, settled, fresh)
         if self.shadow is not None:
             self.owner.guarded(self.shadow.attempt_finished, now, tx, outcome, took, settled, fresh)
         return stops
 
     def response_started(self, lasting: bool = False) -> None:
+        """Passed on, then told to the follower."""
         self.rpc.response_started(lasting)
         if self.shadow is not None:
             self.owner.guarded(self.shadow.response_started, lasting)
 
     def body_received(self, now: int, give_up_at: int, here: bool, whole: bool) -> int:
+        """Passed on, then told to the follower."""
         limit = self.rpc.body_received(now, give_up_at, here, whole)
         if self.shadow is not None:
             self.owner.guarded(self.shadow.body_received, now, give_up_at, here, whole)
         return limit
 
     def client_disconnected(self, now: int) -> list[int]:
+        """Passed on, then told to the follower."""
         stops = self.rpc.client_disconnected(now)
         if self.shadow is not None:
             self.owner.guarded(self.shadow.client_disconnected, now)
@@ -64,7 +71,8 @@
     ) -> None:
         """`inner`: the decisions; `follower`: makes those under the other settings; `overlay`: what those are
         for the platform's settings."""
-        self.inner, self.overlay = inner, overlay
+        self.inner = inner
+        self.overlay = overlay
         self.follower: Follower | None = None
         self.counts: Counter[str] = Counter()
         self.rpcs = 0
@@ -74,12 +82,14 @@
         return getattr(self.inner, name)
 
     def begin(self, follower: Callable[[], Follower]) -> None:
+        """Makes the follower; without one nothing is compared."""
         try:
             self.follower = follower()
         except Exception as failure:
             self.drop(failure)
 
     def drop(self, failure: Exception) -> None:
+        """Goes on without a follower after its fault, which is logged."""
         self.follower = None
         logger.warning("shadow policy failed", error=repr(failure))
 
@@ -94,6 +104,7 @@
             return None
 
     def compare(self, now: int, shadow: FollowerRpc, answer: tuple[int, int] | None) -> None:
+        """Counts a difference, then does to the follower what was really decided."""
         kind = differs(shadow, answer, shadow.propose(now))
         self.count(shadow, kind)
         shadow.follow(now, answer)
@@ -109,12 +120,14 @@
     def admit(
         self, now: int, method: int, give_up_at: int, retry: bool = False, tag: object = None, tenant: int = 0
     ) -> Handle:
+        """Passed on; the follower admits the request too."""
         rpc = self.inner.admit(now, method, give_up_at, retry, tag, tenant)
         self.rpcs += 1
         shadow = self.guarded(self.take_too, now, method, give_up_at, retry, tenant)
         return Handle(self, rpc, shadow)
 
     def take_too(self, now: int, method: int, give_up_at: int, retry: bool, tenant: int) -> FollowerRpc:
+        """Admits the request to the follower."""
         return self.follower.admit(now, method, give_up_at, retry, None, tenant)
 
     def due(self, now: int):
@@ -140,49 +153,59 @@
         return True
 
     def list_changed(self, now: int, rows: list, whole: bool, asked: bool) -> None:
+        """Passed on, then told to the follower."""
         self.inner.list_changed(now, rows, whole, asked)
         if self.follower is not None:
             self.guarded(self.follower.list_changed, now, rows, whole, asked)
 
     def list_failed(self, now: int) -> None:
+        """Passed on, then told to the follower."""
         self.inner.list_failed(now)
         if self.follower is not None:
             self.guarded(self.follower.list_failed, now)
 
     def mark_unverified(self, now: int, upstreams: list[int], ends: int, last: bool) -> None:
+        """Passed on, then told to the follower."""
         self.inner.mark_unverified(now, upstreams, ends, last)
         if self.follower is not None:
             self.guarded(self.follower.mark_unverified, now, upstreams, ends, last)
 
     def set_withdrawn(self, now: int, upstream: int, out: bool) -> None:
+        """Passed on, then told to the follower."""
         self.inner.set_withdrawn(now, upstream, out)
         if self.follower is not None:
             self.guarded(self.follower.set_withdrawn, now, upstream, out)
 
     def update_settings(self, settings: dict) -> None:
+        """Passed on, then told to the follower."""
         self.inner.update_settings(settings)
         if self.follower is not None:
             self.guarded(self.follow_settings, settings)
 
     def follow_settings(self, settings: dict) -> None:
+        """Gives the follower the new settings with its own differences."""
         self.follower.update_settings(self.overlay(settings))
 
     def set_slow_start_share(self, part: float) -> None:
+        """Passed on, then told to the follower."""
         self.inner.set_slow_start_share(part)
         if self.follower is not None:
             self.guarded(self.follower.set_slow_start_share, part)
 
     def restore(self, now: int, state: dict, age: float) -> None:
+        """Passed on, then told to the follower."""
         learned_state.restore(self.inner, now, state, age)
         if self.follower is not None:
             self.guarded(learned_state.restore, self.follower, now, state, age)
 
     def wants_list(self, now: int) -> bool:
+        """Passed on, then told to the follower."""
         if self.follower is not None:
             self.guarded(self.follower.wants_list, now)
         return self.inner.wants_list(now)
 
     def take_released(self) -> list[int]:
+        """Passed on, then told to the follower."""
         if self.follower is not None:
             self.guarded(self.follower.take_released)
         return self.inner.take_released()
@@ -194,6 +217,7 @@
         return self.inner.draw_admission(method)
 
     def uniform(self, low: float, high: float) -> float:
+        """Drawn there too, or chance would part the two for good."""
         if self.follower is not None:
             self.guarded(self.follower.uniform, low, high)
         return self.inner.uniform(low, high)
--- a/shedgrade/simulator_adapter/wire.py
+++ b/shedgrade/simulator_adapter/wire.py
@@ -13,7 +13,7 @@
 OUTCOMES = {
     "S": load_balancing.COMPLETED,
     "E": load_balancing.FAILED,
-    "F": load_balancing.TURNED_AWAY,
+    "F": load_balancing.REJECTED,
     "T": load_balancing.TIMED_OUT,
     "C": load_balancing.UNCONNECTED,
     "R": load_balancing.DROPPED,
@@ -46,7 +46,9 @@
     """A line that is not of this protocol: tells the line, the field and the reason."""
 
     def __init__(self, field: str, reason: str) -> None:
-        self.line, self.field, self.reason = 0, field, reason
+        self.line = 0
+        self.field = field
+        self.reason = reason
 
     def __str__(self) -> str:
         return f"line {self.line}: {self.field}: {self.reason}"
@@ -60,6 +62,7 @@
 
 
 def check(message: dict, fields: tuple, where: str = "") -> None:
+    """BadInputError if a field is missing or has another type."""
     for name, types in fields:
         if name not in message:
             raise BadInputError(where + name, "missing")
@@ -68,6 +71,7 @@
 
 
 def optional(message: dict, name: str, types: tuple, default):
+    """The field's value, or the default. BadInputError for another type."""
     value = message.get(name)
     if value is None:
         return default
@@ -77,6 +81,7 @@
 
 
 def index_below(message: dict, name: str, size: int) -> int:
+    """The field as an index below `size`. BadInputError if it is outside."""
     value = optional(message, name, (int,), 0)
     if not 0 <= value < size:
         raise BadInputError(name, f"{value} is outside the settings' list of {size}")
@@ -90,7 +95,8 @@
         self.number = number
         try:
             self.balancer = Balancer(event["conf"], event["prng"], now)
-            self.methods, self.zones = len(event["conf"]["methods"]), len(event["conf"]["zones"])
+            self.methods = len(event["conf"]["methods"])
+            self.zones = len(event["conf"]["zones"])
             self.tenants = max(1, len(event["conf"].get("customers", ())))
         except KeyError as missing:
             raise BadInputError("conf", f"setting {missing} is missing") from missing
@@ -101,6 +107,7 @@
         self.armed = inf
 
     def rpc(self, event: dict) -> Rpc:
+        """The event's request. BadInputError if it is not known."""
         rpc = self.rpcs.get(event["txn"])
         if rpc is None:
             raise BadInputError("txn", f"{event['txn']} was never submitted to sidecar {self.number}")
@@ -109,6 +116,7 @@
     # --- events
 
     def discovery(self, event: dict, now: int, lists: dict, out: list) -> None:
+        """A list of upstreams came, or the call for it failed."""
         kind = event["kind"]
         if kind == "X":
             self.balancer.list_failed(now)
@@ -137,6 +145,7 @@
         self.balancer.list_changed(now, rows, kind != "D", kind != "C")
 
     def submit(self, event: dict, now: int, lists: dict, out: list) -> None:
+        """A request came."""
         txn = event["txn"]
         if txn in self.rpcs:
             raise BadInputError("txn", f"{txn} was submitted before")
@@ -151,6 +160,7 @@
         self.answer_for(rpc, now, out)
 
     def answer(self, event: dict, now: int, lists: dict, out: list) -> None:
+        """A transmission ended."""
         rpc, tx, outcome = self.rpc(event), optional(event, "copy", (int,), 0), OUTCOMES.get(event["how"])
         if outcome is None:
             raise BadInputError("how", f"{event['how']!r} is unknown")
@@ -166,12 +176,14 @@
         self.answer_for(rpc, now, out)
 
     def abandoned(self, event: dict, now: int, lists: dict, out: list) -> None:
+        """A client left."""
         rpc = self.rpcs.get(event["txn"])
         if rpc is not None:
             self.stop(rpc, rpc.client_disconnected(now), out)
             self.answer_for(rpc, now, out)
 
     def alarm(self, event: dict, now: int, lists: dict, out: list) -> None:
+        """The timer that was asked for fired."""
         self.armed = inf
 
     def echo(self, event: dict, now: int, lists: dict, out: list) -> None:
@@ -179,6 +191,7 @@
         raise BadInputError("upstream", f"{event['upstream']!r} was not polled")
 
     def accepted(self, event: dict, now: int, lists: dict, out: list) -> None:
+        """A streamed answer began."""
         self.rpc(event).response_started()
 
     def inbox(self, event: dict, now: int, lists: dict, out: list) -> None:
@@ -187,13 +200,16 @@
     # --- answers
 
     def say(self, out: list, verb: str, **fields) -> None:
+        """Appends one line of the wire."""
         out.append(orjson.dumps({"verb": verb, "sidecar_id": self.number, **fields}))
 
     def stop(self, rpc: Rpc, numbers: list, out: list) -> None:
+        """Tells which transmissions to stop."""
         for tx in numbers:
             self.say(out, "stop_attempt", txn=rpc.tag, copy=tx)
 
     def answer_for(self, rpc: Rpc, now: int, out: list) -> None:
+        """Tells what the decisions say of a request now."""
         answer = rpc.decide(now)
         if answer is not None:
             what, value = answer
@@ -207,6 +223,7 @@
             self.rpcs.pop(rpc.tag, None)
 
     def close_batch(self, now: int, out: list) -> None:
+        """After all events of a batch: due requests, the list, the timer."""
         balancer = self.balancer
         for rpc in balancer.due(now):
             self.answer_for(rpc, now, out)
@@ -235,6 +252,7 @@
         self.now = 0
 
     def event(self, verb: str, event: dict, touched: dict, out: list) -> None:
+        """Hands an event to its instance."""
         if verb == "register":
             for row in event["rows"]:
                 if type(row) is not dict:
@@ -258,6 +276,7 @@
 
 
 def guarded(number: int, call, *args) -> None:
+    """Calls; what goes wrong in the decisions is a DecisionError."""
     try:
         call(*args)
     except BadInputError:
@@ -267,6 +286,7 @@
 
 
 def serve(source: BinaryIO, sink: BinaryIO) -> None:
+    """Reads events up to the end of the input. BadInputError for what is no such line."""
     link, line_number = Link(), 0
     seq, touched, out = None, {}, []
     for line in source:
@@ -310,6 +330,7 @@
 
 
 def reply(sink: BinaryIO, out: list, seq: int) -> None:
+    """Sends the answers of one batch."""
     out.append(orjson.dumps({"verb": "yield", "seq": seq}, option=orjson.OPT_APPEND_NEWLINE))
     sink.write(b"\n".join(out))
     sink.flush()
--- a/tests/load_balancing/test_guards.py
+++ b/tests/load_balancing/test_guards.py
@@ -255,9 +255,9 @@
     # A zone that is short turned the same RPC away until it had no transmission left, while others had room.
     b = balancer(settings([method("once")], zones=3), [(up, up // 3) for up in range(9)])
     rpc, (first, _) = send(b)
-    rpc.attempt_finished(10, 0, load_balancing.TURNED_AWAY, 10, False)
+    rpc.attempt_finished(10, 0, load_balancing.REJECTED, 10, False)
     second, _ = rpc.decide(10)
-    rpc.attempt_finished(20, 1, load_balancing.TURNED_AWAY, 10, False)
+    rpc.attempt_finished(20, 1, load_balancing.REJECTED, 10, False)
     third, _ = rpc.decide(20)
     assert first < 3 and {second // 3, third // 3} == {1, 2}
     assert send(b, 30)[1][0] < 3  # another RPC begins in its own zone
@@ -356,7 +356,7 @@
             {"slow_end": 0.3, "miss_allowed": 1},
         )
     ]
-    assert aims[0] == aims[1] == aims[3] == load_balancing.HALF and 0.3 < aims[2] < 0.36
+    assert aims[0] == aims[1] == aims[3] == load_balancing.LATENCY_TARGET_SHARE and 0.3 < aims[2] < 0.36
 
 
 def test_where_only_draining_binds_what_the_list_lacks_is_used_until_it_fails():
--- a/tests/load_balancing/test_rules.py
+++ b/tests/load_balancing/test_rules.py
@@ -10,7 +10,7 @@
 PROVED = {
     load_balancing.UNSENT,
     load_balancing.UNCONNECTED,
-    load_balancing.TURNED_AWAY,
+    load_balancing.REJECTED,
     load_balancing.BROKEN,
 }
 METHODS = [method("repeatable", payoff=3.0), method("once", soft=300.0)] + [
--- a/tests/model_routing/test_repeats_retuned.py
+++ b/tests/model_routing/test_repeats_retuned.py
@@ -3,7 +3,7 @@
 from random import Random
 
 from shedgrade.load_balancing.upstream import SECOND
-from shedgrade.model_routing.retry_budget import CAUTION, RetryBudget
+from shedgrade.model_routing.retry_budget import BUDGET_SHARE_USED, RetryBudget
 
 
 def used_up(repeats, now, requests=100):
@@ -18,9 +18,9 @@
 
 def test_ratio_and_slack_hold_at_once():
     repeats = RetryBudget(0.2, 50, 10 * SECOND)
-    assert used_up(repeats, 0) == int(CAUTION * 70)
+    assert used_up(repeats, 0) == int(BUDGET_SHARE_USED * 70)
     repeats.retune(0.5, 50, 10 * SECOND)
-    assert used_up(repeats, 0, 0) == int(CAUTION * 100) - int(CAUTION * 70)
+    assert used_up(repeats, 0, 0) == int(BUDGET_SHARE_USED * 100) - int(BUDGET_SHARE_USED * 70)
     repeats.retune(0.0, 0, 10 * SECOND)
     assert not repeats.allows_retry(0)
 
--- a/tests/model_routing/test_serving_choice.py
+++ b/tests/model_routing/test_serving_choice.py
@@ -60,10 +60,10 @@
 def test_what_never_ran_goes_elsewhere_within_its_attempts():
     made = balancer()
     rpc, (first, _) = take(made, method=ONCE, most=2)
-    rpc.attempt_finished(100, 0, outcomes.TURNED_AWAY, 100, False)
+    rpc.attempt_finished(100, 0, outcomes.REJECTED, 100, False)
     second, _ = rpc.decide(100)
     assert second != first
-    rpc.attempt_finished(200, 1, outcomes.TURNED_AWAY, 100, False)
+    rpc.attempt_finished(200, 1, outcomes.REJECTED, 100, False)
     assert rpc.decide(200)[0] == outcomes.EXHAUSTED
 
 
--- a/tests/sidecar/capture/capture_world.py
+++ b/tests/sidecar/capture/capture_world.py
@@ -39,7 +39,7 @@
                     if took >= answer[1]
                     else self.chance.choice(
                         (load_balancing.COMPLETED,) * 12
-                        + (load_balancing.TURNED_AWAY, load_balancing.FAILED, load_balancing.DROPPED)
+                        + (load_balancing.REJECTED, load_balancing.FAILED, load_balancing.DROPPED)
                     ),
                 )
             )
--- a/tests/sidecar/capture/test_part.py
+++ b/tests/sidecar/capture/test_part.py
@@ -108,7 +108,7 @@
 
     shutil.copytree(Path(load_balancing.__file__).parent, tmp_path / "decide")
     zones = tmp_path / "decide/zones.py"
-    zones.write_text(zones.read_text().replace("MARGIN = 0.5 ", "MARGIN = -9.0 "))
+    zones.write_text(zones.read_text().replace("LOAD_MARGIN = 0.5 ", "LOAD_MARGIN = -9.0 "))
     from capture_world import capture
 
     path = tmp_path / "c.sgc"
--- a/tests/sidecar/capture/test_replay.py
+++ b/tests/sidecar/capture/test_replay.py
@@ -87,7 +87,7 @@
 def test_the_first_decision_that_differs_is_named_with_the_state_beside_it(monkeypatch):
     world = World(5)
     records = world.run(400)
-    monkeypatch.setattr(zones, "MARGIN", -5.0)
+    monkeypatch.setattr(zones, "LOAD_MARGIN", -5.0)
     found = list(Replay(records).run())
     assert len(found) == 1 and found[0].rpc and found[0].told != found[0].got
     assert any(line.startswith("zone 0 (own)") for line in found[0].state)
--- a/tests/sidecar/shadow_policy/test_watch.py
+++ b/tests/sidecar/shadow_policy/test_watch.py
@@ -47,7 +47,7 @@
                 if took >= answer[1]
                 else self.chance.choice(
                     (load_balancing.COMPLETED,) * 9
-                    + (load_balancing.TURNED_AWAY, load_balancing.FAILED, load_balancing.UNCONNECTED)
+                    + (load_balancing.REJECTED, load_balancing.FAILED, load_balancing.UNCONNECTED)
                 )
             )
             self.out.append(
