--- a/shedgrade/load_balancing/balancer.py
+++ b/shedgrade/load_balancing/balancer.py
@@ -2,7 +2,8 @@
 
 from heapq import heappop
 from itertools import count
-from math import inf, log
+from math import inf, isclose, log
+from operator import itemgetter
 from random import Random
 
 from .endpoint_list import EndpointList
@@ -97,7 +98,7 @@
         for zone in self.zones:
             zone.changed = True
         self.list_updated()
-        # By tenant: RPCs within MEMORY that are its share here, as all sidecars get alike, and those seen.
+        # By tenant: RPCs within DECAY_TIME that are its share here, as all sidecars get alike, and seen ones.
         self.tenant_shares = [
             TENANT_SHARE_SLACK * tenant["allowance_per_s"] * DECAY_TIME / SECOND / self.sidecar_count + 3
             for tenant in settings.get("customers", ())
@@ -150,3 +151,26 @@
         if self.subscribes_to_list and not self.list_subscribed and not self.list_requested:
             at = min(at, self.list_request_at)
         return at
+
+    def check_invariants(self) -> None:
+        """AssertionError if counts and rotations do not agree with the upstreams. It looks at all of them."""
+        upstreams = self.upstreams.values()
+        listed = [upstream for upstream in upstreams if upstream.listed]
+        assert self.ready_count == len(listed)
+        assert self.ejected_count == sum(bool(upstream.ejected_until) for upstream in listed)
+        assert isclose(self.total_capacity, sum(upstream.capacity for upstream in listed), abs_tol=1e-6)
+        assert self.in_flight == sum(upstream.in_flight for upstream in upstreams)
+        assert all(index == upstream.index for index, upstream in self.upstreams.items())
+        for number, zone in enumerate(self.zones):
+            members = [upstream for upstream in upstreams if upstream.zone == number]
+            assert zone.in_flight == sum(upstream.in_flight for upstream in members)
+            assert zone.background_load == sum(upstream.background_load for upstream in members)
+            usable = {
+                upstream.index
+                for upstream in members
+                if upstream.listed and not upstream.ejected_until and self.in_subset(upstream)
+            }
+            assert len(zone.rotation) == len(usable)
+            assert {upstream.index for upstream in zone.rotation} == usable
+        assert self.queue == sorted(self.queue, key=itemgetter(0, 1))
+        assert all(entry[3].queue_entry is entry for entry in self.queue)
--- a/shedgrade/load_balancing/outlier_detection.py
+++ b/shedgrade/load_balancing/outlier_detection.py
@@ -24,10 +24,8 @@
     0.5  # of the time taken is held to be queueing at least: guards against crowds not yet met
 )
 SLOW_METHOD_FACTOR = 2.0  # times the part of its soft deadline that others take: a method drags by itself
-REQUEST_FAILURE_FACTOR = (
-    3.0,
-    0.05,
-)  # times the failures of others, and so much more: they follow the sort of RPC
+REQUEST_FAILURE_FACTOR = 3.0  # times the failures of others, and so much more
+REQUEST_FAILURE_EXCESS = 0.05  # of what ended: then failures follow the sort of request
 
 
 class OutlierDetection:
@@ -100,11 +98,8 @@
         def beyond(own: DecayingRatio, sorts: list[DecayingRatio]) -> bool:
             rest = [sort for sort in sorts if sort is not own]
             usual = sum(sort.numerator for sort in rest) / (1 + sum(sort.denominator for sort in rest))
-            return (
-                len(rest) > 0
-                and own.estimate(ENOUGH_SAMPLES / 3, 0.0)
-                > REQUEST_FAILURE_FACTOR[1] + REQUEST_FAILURE_FACTOR[0] * usual
-            )
+            limit = REQUEST_FAILURE_EXCESS + REQUEST_FAILURE_FACTOR * usual
+            return len(rest) > 0 and own.estimate(ENOUGH_SAMPLES / 3, 0.0) > limit
 
         return beyond(rpc.method.failure_ratio, [method.failure_ratio for method in self.methods]) or any(
             beyond(own, self.tenant_failures) for own in self.tenant_failures[rpc.tenant : rpc.tenant + 1]
--- a/shedgrade/load_balancing/slow_start.py
+++ b/shedgrade/load_balancing/slow_start.py
@@ -1,4 +1,4 @@
-"""Cold upstreams: what all sidecars together may send them."""
+"""Slow start: what all processes together may send an upstream that has just started."""
 
 from .upstream import SECOND, Upstream
 
--- a/shedgrade/load_balancing/subsetting.py
+++ b/shedgrade/load_balancing/subsetting.py
@@ -1,4 +1,8 @@
-"""Parts: which upstreams of each zone a sidecar keeps to."""
+"""Subsetting: which upstreams of each zone a process connects to.
+
+As in deterministic subsetting (Site Reliability Engineering, chapter 20), each process works its own subset
+out alone; `subset_assignment` says how.
+"""
 
 from .subset_assignment import dealt
 from .upstream import Upstream
@@ -7,7 +11,7 @@
 MULTIPLEXED_CONNECTIONS, EXCLUSIVE_CONNECTIONS = (
     (1, 1.2),
     (3, 3.4),
-)  # of its zone, least and mean: LONE where a connection carries one RPC
+)  # of its zone, least and mean
 OTHER_ZONES = (1, 1.2)  # of all other zones together, least and mean
 MAX_SIDECARS = 30_000  # sidecars that are told apart: with more, some have the same part
 
--- a/shedgrade/load_balancing/upstream.py
+++ b/shedgrade/load_balancing/upstream.py
@@ -8,7 +8,7 @@
 DECAY_TIME = 5 * SECOND  # measures fade over 5 s: hundreds of RPCs of a busy balancer
 MAX_DECAY_TIME = (
     30 * SECOND
-)  # or, for a light one, over what brings ENOUGH ends, up to the length of a trouble
+)  # or, for a light one, over what brings enough samples, up to the length of a trouble
 
 
 class Upstream:
--- a/tests/load_balancing/test_mechanism.py
+++ b/tests/load_balancing/test_mechanism.py
@@ -2,6 +2,7 @@
 
 from collections import Counter
 
+import pytest
 from helpers import balancer, method, row, settings
 
 from shedgrade import load_balancing
@@ -54,3 +55,11 @@
     assert b.admit(5500, 0, 10000, True).decide(5500)[0] == load_balancing.EXHAUSTED
     assert b.admit(5500, 0, 10000, False).decide(5500)[0] == 0
     assert b.admit(5500, 0, 11500, True).decide(5500)[0] == 0
+
+
+def test_invariants_hold_until_a_count_is_wrong():
+    b = balancer(settings(zones=2), [(0, 0), (1, 1)])
+    b.check_invariants()
+    b.zones[0].in_flight += 1
+    with pytest.raises(AssertionError):
+        b.check_invariants()
--- a/tests/load_balancing/test_rules.py
+++ b/tests/load_balancing/test_rules.py
@@ -205,5 +205,7 @@
                 rpc, model, tx = out[a % len(out)]
                 day.end(rpc, model, tx, load_balancing.STOPPED if model.finals else b)
         day.ask()
+        day.b.check_invariants()
     day.pass_time(day.now + 13000)
+    day.b.check_invariants()
     assert all(model.finals == 1 and not model.out() for _, model in day.rpcs)
