--- a/shedgrade/load_balancing/rpc.py
+++ b/shedgrade/load_balancing/rpc.py
@@ -57,7 +57,18 @@
 
 
 class Rpc:
-    """One RPC taken; what happens to it later is a call on this handle. `tag` is the caller's mark."""
+    """One request; what happens to it later is a call on this handle. `tag` is the caller's own.
+
+    `arrived_at`, `soft_deadline_at`, `answer_by`: when it came, is worth less, and must be answered.
+    `attempts` and `sent_at`, by attempt: its upstream, and when it was sent, None if it never ran;
+    `outstanding`: of those still out, the requests in flight there when it was sent. `retries`: attempts
+    after one that may have run. `hedge_at`: when a second attempt may go beside the first, None for never.
+    `queue_entry`: its place in the queue, None while it does not wait; `overtaken`: dearer ones took its
+    place, so it ends at once. `admission_draw`: from 0 to 1, compared with the fraction of a concurrency
+    limit. `payoff`: what an answer is worth. `long_lived`: it counts as background load. `body_buffered`: all
+    bytes of a long request are here still, None for a short one. `rejecting_zones`: where an upstream
+    rejected it. `done`: it has its final answer. A request in the queue has nothing outstanding.
+    """
 
     __slots__ = (
         "balancer",
--- a/shedgrade/load_balancing/upstream.py
+++ b/shedgrade/load_balancing/upstream.py
@@ -12,7 +12,23 @@
 
 
 class Upstream:
-    """One server as this balancer has seen it."""
+    """One server as this balancer has seen it. Times are in tenths of a millisecond.
+
+    From the list: `index`; `zone`, None until it is listed; `cell`, its failure domain for retries; `state`,
+    one of READY, DRAINING, REMOVED; `listed_start` and `started_at`, when it started as the list tells and as
+    slow start counts; `id_hash`, the same in all processes; `capacity`; `hardware`, its class;
+    `reported_load`, requests a core. `listed`: READY and not `withdrawn` by operators. `reinstated_at`: when
+    operators put it back, 0 for never. `delisted`: gone from the list, and used until it fails.
+
+    Load: `in_flight`, `background_load` (open streams, other edges' requests), `last_used_at`.
+
+    Health, decaying since `decayed_at`: `observed_duration` over `foreseen_duration` is how slow it is;
+    `successes`, `failures`. `ejected_until`: not in rotation until then, 0 for not ejected. `half_open`: one
+    request at a time until one ends well. `probation_successes`: good ends still owed before it is trusted.
+
+    Shares: `rotation_credit`, from 1 on it takes its turn; `slow_start_credit`, at most 1, as of
+    `slow_start_updated_at`: from 1 on it may be sent a request while it warms up.
+    """
 
     __slots__ = (
         "index",
--- a/shedgrade/load_balancing/zones.py
+++ b/shedgrade/load_balancing/zones.py
@@ -14,7 +14,17 @@
 
 
 class Zone:
-    """The rotation of one zone: `ring`, of its `ready` or its `part`; `crowd` as the list tells."""
+    """The rotation and the concurrency limit of one zone. Times are in tenths of a millisecond.
+
+    `rotation`: its usable upstreams, in order; `next_position`: the index of the next one, a fraction until
+    the first choice. `ready_count`: all that are ready; `subset`: those that this process keeps to, None for
+    all; `mean_subset_size`. `in_flight`, `background_load`: sums over its upstreams. `concurrency_limit`:
+    requests in flight from which on it takes no more, inf until it is first listed; `limit_ramping` until the
+    first late end; `limit_read_at`, `last_finished_at`: when it was last read and an attempt last ended.
+    `typical_duration`: the mean foreseen over the rotation. `reported_load`: requests a core, as the list
+    tells. `late_ratio`: late ends over ends. `changed`: the subset is to be assigned again. `number`: a
+    region's, in model routing.
+    """
 
     __slots__ = (
         "rotation",
