--- a/shedgrade/load_balancing/endpoint_list.py
+++ b/shedgrade/load_balancing/endpoint_list.py
@@ -3,6 +3,7 @@
 from math import inf
 
 from .outcomes import READY, REMOVED
+from .state import BalancerState
 from .upstream import SECOND, Upstream
 from .zones import DROP_THRESHOLD
 
@@ -13,7 +14,7 @@
 LOAD_SMOOTHING = 0.4  # of a renewal counts at once: a single one is chance, three or four are not
 
 
-class EndpointList:
+class EndpointList(BalancerState):
     """Keeps the list of upstreams, their states and the counts over it."""
 
     def list_changed(self, now: int, rows: list, whole: bool, asked: bool) -> None:
--- a/shedgrade/load_balancing/outlier_detection.py
+++ b/shedgrade/load_balancing/outlier_detection.py
@@ -13,6 +13,7 @@
     UNCONNECTED,
 )
 from .rpc import Method, Rpc
+from .state import BalancerState
 from .upstream import DECAY_TIME, MAX_DECAY_TIME, SECOND, DecayingRatio, Upstream
 
 ENOUGH_SAMPLES = 30  # ends: a mean of so many is within a fifth
@@ -28,7 +29,7 @@
 REQUEST_FAILURE_EXCESS = 0.05  # of what ended: then failures follow the sort of request
 
 
-class OutlierDetection:
+class OutlierDetection(BalancerState):
     """Estimates durations, and ejects upstreams that fail or refuse."""
 
     def has_capacity(self, upstream: Upstream, now: int, remaining: int, expected: float) -> bool:
--- a/shedgrade/load_balancing/pending.py
+++ b/shedgrade/load_balancing/pending.py
@@ -5,12 +5,13 @@
 from math import exp
 
 from .rpc import Rpc
+from .state import BalancerState
 from .upstream import DECAY_TIME
 
 QUEUE_PACE_SHARE = 0.5  # of the pace at which transmissions end is counted on: most waits end well
 
 
-class PendingRequests:
+class PendingRequests(BalancerState):
     """The queue of requests that wait for capacity, the most valuable first."""
 
     def draw_for_payoff(self, payoff: float) -> float:
--- a/shedgrade/load_balancing/slow_start.py
+++ b/shedgrade/load_balancing/slow_start.py
@@ -1,9 +1,10 @@
 """Slow start: what all processes together may send an upstream that has just started."""
 
+from .state import BalancerState
 from .upstream import SECOND, Upstream
 
 
-class SlowStart:
+class SlowStart(BalancerState):
     """Bounds what upstreams that have just started are sent."""
 
     def set_slow_start_share(self, part: float) -> None:
--- a/shedgrade/load_balancing/subsetting.py
+++ b/shedgrade/load_balancing/subsetting.py
@@ -4,6 +4,7 @@
 out alone; `subset_assignment` says how.
 """
 
+from .state import BalancerState
 from .subset_assignment import dealt
 from .upstream import Upstream
 
@@ -16,7 +17,7 @@
 MAX_SIDECARS = 30_000  # sidecars that are told apart: with more, some have the same part
 
 
-class Subsetting:
+class Subsetting(BalancerState):
     """Keeps each process to a subset of the upstreams of each zone."""
 
     def in_subset(self, upstream: Upstream) -> bool:
--- a/shedgrade/load_balancing/zones.py
+++ b/shedgrade/load_balancing/zones.py
@@ -3,6 +3,7 @@
 from math import exp, inf
 
 from .rpc import Rpc
+from .state import BalancerState
 from .upstream import MAX_DECAY_TIME, DecayingRatio, Upstream
 
 DROP_THRESHOLD = 3.0  # in flight per ready upstream at which a zone may be dropped: 2 to 4 make little odds
@@ -76,7 +77,7 @@
         return self.in_flight + rpc.admission_draw >= window
 
 
-class ZoneSelectionPolicy:
+class ZoneSelectionPolicy(BalancerState):
     """Chooses a zone and the next upstream in its rotation."""
 
     drop_threshold = DROP_THRESHOLD
