--- a/shedgrade/load_balancing/balancer.py
+++ b/shedgrade/load_balancing/balancer.py
@@ -1,5 +1,6 @@
 """The decisions of one sidecar, put together."""
 
+from collections.abc import Iterator
 from heapq import heappop
 from itertools import count
 from math import inf, isclose, log
@@ -130,7 +131,7 @@
         self.retry_tokens = min(10.0, self.retry_tokens + 0.1)
         return self.rpc_class(self, self.methods[method], now, deadline, retry, tag, tenant)
 
-    def due(self, now: int):
+    def due(self, now: int) -> Iterator[Rpc]:
         """Yields the handles that should be asked again, each before the next is looked for."""
         while self.timers and self.timers[0][0] <= now:
             timed = heappop(self.timers)[2]
--- a/shedgrade/load_balancing/outlier_detection.py
+++ b/shedgrade/load_balancing/outlier_detection.py
@@ -162,7 +162,7 @@
         concurrency: int,
         first_on_connection: bool,
         rpc: Rpc,
-    ):
+    ) -> None:
         """Learns from the end of an attempt, and ejects its upstream where the evidence is enough."""
         upstream.decay(now, self.decay_time)
         self.finish_rate.add(
--- a/shedgrade/sidecar/capture/config.py
+++ b/shedgrade/sidecar/capture/config.py
@@ -1,5 +1,6 @@
 """The table `[capture]` of the features file."""
 
+from collections.abc import Iterator
 from typing import Annotated, Literal
 
 from msgspec import Meta, Struct
@@ -22,7 +23,7 @@
     continuous: bool = False
     keep_mb: Annotated[int, Meta(ge=32)] = 256
 
-    def problems(self):
+    def problems(self) -> Iterator[tuple[str, str]]:
         """Yields (key, reason) of what types alone do not show."""
         if not self.folder:
             yield "folder", "is empty"
--- a/shedgrade/sidecar/capture/explanation.py
+++ b/shedgrade/sidecar/capture/explanation.py
@@ -42,7 +42,9 @@
         def name(self, up: object) -> str:
             return self.names.get(str(up.index), str(up.index))
 
-        def choose_upstream(self, now, rpc, stay):
+        def choose_upstream(
+            self, now: int, rpc: load_balancing.Rpc, stay: bool
+        ) -> load_balancing.Upstream | None:
             if self.lines is not None:
                 self.say(
                     "  zones: "
@@ -71,7 +73,9 @@
                 )
             return found
 
-        def next_in_rotation(self, zone, now, rpc, left):
+        def next_in_rotation(
+            self, zone: load_balancing.Zone, now: int, rpc: load_balancing.Rpc, left: int
+        ) -> load_balancing.Upstream | None:
             found = super().next_in_rotation(zone, now, rpc, left)
             if found is not None:
                 bar = (zone.in_flight + zone.background_load) / max(
@@ -86,7 +90,7 @@
                 )
             return found
 
-        def has_capacity(self, up, now, left, expected):
+        def has_capacity(self, up: load_balancing.Upstream, now: int, left: int, expected: float) -> bool:
             found = super().has_capacity(up, now, left, expected)
             if not found:
                 why = (
@@ -101,12 +105,12 @@
                 self.say(f"  {self.name(up)} passed over: {why}")
             return found
 
-        def last_resort(self, now, rpc):
+        def last_resort(self, now: int, rpc: load_balancing.Rpc) -> load_balancing.Upstream | None:
             found = super().last_resort(now, rpc)
             self.say(f"  last resort: {self.name(found) if found is not None else 'nobody'}")
             return found
 
-        def enqueue(self, now, rpc, until):
+        def enqueue(self, now: int, rpc: load_balancing.Rpc, until: int) -> bool:
             found = super().enqueue(now, rpc, until)
             self.say(
                 "  held: an end should come in time" if found else "  not held: no end would come in time"
--- a/shedgrade/sidecar/capture/recorder.py
+++ b/shedgrade/sidecar/capture/recorder.py
@@ -5,7 +5,7 @@
 late, nothing is kept, a gap says so, and a checkpoint follows once it is calm again.
 """
 
-from collections.abc import Callable
+from collections.abc import Callable, Iterable, Iterator
 from hashlib import blake2b
 
 from shedgrade import load_balancing
@@ -315,7 +315,7 @@
         learned_state.restore(self.inner, now, state, age)
         self.keep(now, RESTORE, state, age)
 
-    def due(self, now: int):
+    def due(self, now: int) -> Iterable[load_balancing.Rpc]:
         """The requests to ask again; recorded where there are any."""
         inner = self.inner
         at = inner.wake_at()
@@ -323,7 +323,7 @@
             return ()  # nothing is looked at there, either
         return self.told_due(now, at)
 
-    def told_due(self, now: int, at: float):
+    def told_due(self, now: int, at: float) -> Iterator[load_balancing.Rpc]:
         """The requests to ask again, each recorded."""
         told = False
         for rpc in self.inner.due(now):
--- a/shedgrade/sidecar/shadow_policy/config.py
+++ b/shedgrade/sidecar/shadow_policy/config.py
@@ -1,5 +1,6 @@
 """The table `[watch]` of the features file."""
 
+from collections.abc import Iterator
 from typing import Annotated
 
 from msgspec import Meta, Struct, field
@@ -25,7 +26,7 @@
     settings: dict = field(default_factory=dict)
     every_s: Annotated[float, Meta(ge=1, le=86_400)] = 60.0
 
-    def problems(self):
+    def problems(self) -> Iterator[tuple[str, str]]:
         """Yields (key, reason) of what types alone do not show."""
         for key in FIXED:
             if key in self.settings:
--- a/shedgrade/sidecar/shadow_policy/shadow.py
+++ b/shedgrade/sidecar/shadow_policy/shadow.py
@@ -5,10 +5,11 @@
 """
 
 from collections import Counter
-from collections.abc import Callable
+from collections.abc import Callable, Iterator
 
 from loguru import logger
 
+from shedgrade import load_balancing
 from shedgrade.load_balancing import learned_state
 from shedgrade.sidecar.shadow_policy.follower import Follower, FollowerRpc, differs
 
@@ -130,7 +131,7 @@
         """Admits the request to the follower."""
         return self.follower.admit(now, method, give_up_at, retry, None, tenant)
 
-    def due(self, now: int):
+    def due(self, now: int) -> Iterator[load_balancing.Rpc]:
         """Both go through what is due side by side; what only the follower would ask again is compared with
         nothing."""
         theirs = self.guarded(self.follower.due, now) if self.follower is not None else None
--- a/shedgrade/simulator_adapter/__main__.py
+++ b/shedgrade/simulator_adapter/__main__.py
@@ -1,3 +1,5 @@
+"""`python -m shedgrade.simulator_adapter`: the decisions on the wire of the operators' simulator."""
+
 import sys
 
 from shedgrade.simulator_adapter.wire import BadInputError, DecisionError, serve
--- a/shedgrade/simulator_adapter/wire.py
+++ b/shedgrade/simulator_adapter/wire.py
@@ -1,7 +1,7 @@
 """The batch protocol on a pair of byte streams."""
 
 from math import ceil, floor, inf
-from typing import BinaryIO
+from typing import Any, BinaryIO
 
 import orjson
 
@@ -70,7 +70,7 @@
             raise BadInputError(where + name, f"is of type {type(message[name]).__name__}")
 
 
-def optional(message: dict, name: str, types: tuple, default):
+def optional(message: dict, name: str, types: tuple, default: Any) -> Any:
     """The field's value, or the default. BadInputError for another type."""
     value = message.get(name)
     if value is None:
--- a/tools/checks.py
+++ b/tools/checks.py
@@ -9,6 +9,13 @@
 import sys
 
 DOCUMENTED = (
+    "shedgrade/in_flight.py",
+    "shedgrade/load_balancing",
+    "shedgrade/model_routing",
+    "shedgrade/request_dispatch.py",
+    "shedgrade/sidecar/capture",
+    "shedgrade/sidecar/shadow_policy",
+    "shedgrade/simulator_adapter",
     "tools",
     "shedgrade/route_matching",
 )
