--- a/benchmarks/move.py
+++ b/benchmarks/move.py
@@ -18,7 +18,7 @@
 
 from shedgrade import load_balancing
 from shedgrade.sidecar.shadow_policy.config import Watch
-from shedgrade.sidecar.shadow_policy.part import WatchPart
+from shedgrade.sidecar.shadow_policy.part import ShadowPolicyPart
 
 SIDECARS, ZONES = 300, 4
 
@@ -83,7 +83,7 @@
 def watch():
     def world(watched):
         if watched:
-            b = WatchPart(Watch(settings={"limits": {"multiplex": 1}}), "f").decisions(conf(), 1, 0)
+            b = ShadowPolicyPart(Watch(settings={"limits": {"multiplex": 1}}), "f").decisions(conf(), 1, 0)
         else:
             b = load_balancing.Balancer(conf(), 1, 0)
         b.list_changed(0, rows(66, Random(1)), True, True)
--- a/shedgrade/cli/__init__.py
+++ b/shedgrade/cli/__init__.py
@@ -56,9 +56,9 @@
         part = CapturePart(features.capture)
         parts.append(part)
     if features.watch is not None:
-        from shedgrade.sidecar.shadow_policy.part import WatchPart
+        from shedgrade.sidecar.shadow_policy.part import ShadowPolicyPart
 
-        parts.append(WatchPart(features.watch, str(path), parts[0].decisions if parts else None))
+        parts.append(ShadowPolicyPart(features.watch, str(path), parts[0].decisions if parts else None))
     if parts:
         # The outermost stands in the decisions' place and makes the one within it.
         sidecar = Sidecar(config, loop, parts[-1].decisions)
--- a/shedgrade/sidecar/capture/explanation.py
+++ b/shedgrade/sidecar/capture/explanation.py
@@ -28,10 +28,10 @@
 )
 
 
-def telling(base: type) -> type:
+def narrating(base: type) -> type:
     """A Balancer that tells what it weighs while `lines` is a list; it decides as its base does."""
 
-    class Telling(base):
+    class NarratingBalancer(base):
         lines: list | None = None
         names: dict = {}
 
@@ -118,16 +118,18 @@
             return found
 
     for older, present in METHODS["Balancer"].items():
-        if present in vars(Telling) and hasattr(base, older):
-            setattr(Telling, older, getattr(Telling, present))  # what older decisions call themselves
-    return Telling
+        if present in vars(NarratingBalancer) and hasattr(base, older):
+            setattr(
+                NarratingBalancer, older, getattr(NarratingBalancer, present)
+            )  # what older decisions call themselves
+    return NarratingBalancer
 
 
 def explain(
     records: list[dict], number: int, module: ModuleType = load_balancing, until: float = float("inf")
 ) -> list[str]:
     """Why one RPC went where it did."""
-    replay = Replay(records, module, telling(module.Balancer), until)
+    replay = Replay(records, module, narrating(module.Balancer), until)
     lines: list[str] = []
     begun = [0]
 
--- a/shedgrade/sidecar/capture/recorder.py
+++ b/shedgrade/sidecar/capture/recorder.py
@@ -49,7 +49,7 @@
     return blake2b(name, digest_size=8).digest()
 
 
-class Handle:
+class RecordedRpc:
     """An RPC as the turn holds it."""
 
     __slots__ = ("rpc", "number", "recorder")
@@ -257,7 +257,7 @@
         retry: bool = False,
         tag: object = None,
         tenant: int = 0,
-    ) -> Handle:
+    ) -> RecordedRpc:
         """Passed on, and recorded with the request's number."""
         rpc = self.inner.admit(now, method, give_up_at, retry, tag, tenant)
         self.numbers += 1
@@ -273,7 +273,7 @@
             tenant,
         )
         self.live[self.numbers] = rpc
-        return Handle(self, rpc, self.numbers)
+        return RecordedRpc(self, rpc, self.numbers)
 
     def list_changed(self, now: int, rows: list, whole: bool, asked: bool) -> None:
         """Passed on and recorded."""
--- a/shedgrade/sidecar/shadow_policy/part.py
+++ b/shedgrade/sidecar/shadow_policy/part.py
@@ -9,13 +9,13 @@
 from shedgrade.sidecar.lifecycle.shape import problem
 from shedgrade.sidecar.shadow_policy.config import overlaid
 from shedgrade.sidecar.shadow_policy.follower import Follower
-from shedgrade.sidecar.shadow_policy.shadow import Watched
+from shedgrade.sidecar.shadow_policy.shadow import ShadowedBalancer
 from shedgrade.upstream_pool.errors import ConfigError
 
 SECOND = 10_000
 
 
-class WatchPart(Feature):
+class ShadowPolicyPart(Feature):
     """Made before the sidecar, as it makes what stands in the decisions' place (`decisions`)."""
 
     def __init__(self, config, path: str, inner: Callable | None = None) -> None:
@@ -23,10 +23,10 @@
         self.config = config
         self.path = path
         self.inner = inner or load_balancing.Balancer
-        self.watched: Watched | None = None
+        self.watched: ShadowedBalancer | None = None
         self.tell_at = 0
 
-    def decisions(self, settings: dict, seed: int, now: int) -> Watched:
+    def decisions(self, settings: dict, seed: int, now: int) -> ShadowedBalancer:
         """As a Balancer is made. Only the platform's own pool is watched."""
         other = overlaid(settings, self.config.settings)
         wrong = problem(other)
@@ -40,7 +40,7 @@
         if wrong is not None:
             raise ConfigError(f"{self.path}: watch.{wrong}")
         self.tell_at = now + int(self.config.every_s * SECOND)
-        self.watched = Watched(
+        self.watched = ShadowedBalancer(
             self.inner(settings, seed, now),
             lambda: Follower(other, seed, now),
             lambda fresh: overlaid(fresh, self.config.settings),
--- a/shedgrade/sidecar/shadow_policy/shadow.py
+++ b/shedgrade/sidecar/shadow_policy/shadow.py
@@ -14,12 +14,12 @@
 from shedgrade.sidecar.shadow_policy.follower import Follower, FollowerRpc, differs
 
 
-class Handle:
+class ShadowedRpc:
     """An RPC as the turn holds it; whatever is asked of it beyond the calls below is the decisions' own."""
 
     __slots__ = ("rpc", "owner", "shadow")
 
-    def __init__(self, owner: "Watched", rpc: object, shadow: FollowerRpc | None) -> None:
+    def __init__(self, owner: "ShadowedBalancer", rpc: object, shadow: FollowerRpc | None) -> None:
         self.owner = owner
         self.rpc = rpc
         self.shadow = shadow
@@ -64,7 +64,7 @@
         return stops
 
 
-class Watched:
+class ShadowedBalancer:
     """In the place of a Balancer: the same calls, the same answers."""
 
     def __init__(
@@ -120,14 +120,16 @@
 
     def admit(
         self, now: int, method: int, give_up_at: int, retry: bool = False, tag: object = None, tenant: int = 0
-    ) -> Handle:
+    ) -> ShadowedRpc:
         """Passed on; the follower admits the request too."""
         rpc = self.inner.admit(now, method, give_up_at, retry, tag, tenant)
         self.rpcs += 1
-        shadow = self.guarded(self.take_too, now, method, give_up_at, retry, tenant)
-        return Handle(self, rpc, shadow)
+        shadow = self.guarded(self.admit_to_follower, now, method, give_up_at, retry, tenant)
+        return ShadowedRpc(self, rpc, shadow)
 
-    def take_too(self, now: int, method: int, give_up_at: int, retry: bool, tenant: int) -> FollowerRpc:
+    def admit_to_follower(
+        self, now: int, method: int, give_up_at: int, retry: bool, tenant: int
+    ) -> FollowerRpc:
         """Admits the request to the follower."""
         return self.follower.admit(now, method, give_up_at, retry, None, tenant)
 
--- a/tests/sidecar/capture/test_operating.py
+++ b/tests/sidecar/capture/test_operating.py
@@ -10,7 +10,7 @@
 from shedgrade.sidecar.capture.rows import Ring
 from shedgrade.sidecar.shadow_policy.config import overlaid
 from shedgrade.sidecar.shadow_policy.follower import Follower
-from shedgrade.sidecar.shadow_policy.shadow import Watched
+from shedgrade.sidecar.shadow_policy.shadow import ShadowedBalancer
 
 
 def tag(name):
@@ -55,7 +55,7 @@
 def test_a_follower_is_told_of_the_same_and_its_own_settings_stay():
     conf = settings([method("once", soft=9e3, hard=9e3)])
     over = {"limits": {"most_transmissions": 1}}
-    watched = Watched(
+    watched = ShadowedBalancer(
         load_balancing.Balancer(conf, 7, 0),
         lambda: Follower(overlaid(conf, over), 7, 0),
         lambda fresh: overlaid(fresh, over),
--- a/tests/sidecar/crossings/test_watches.py
+++ b/tests/sidecar/crossings/test_watches.py
@@ -176,7 +176,7 @@
             world.agent.answers += [message(503, b"")] * 8
             await until_ready(lambda: len(slept) >= 8, sleep)
             monkeypatch.setattr(discovery.asyncio, "sleep", sleep)
-            assert slept == sorted(slept) and slept[-1] == discovery.REJECTED
+            assert slept == sorted(slept) and slept[-1] == discovery.TURNED_AWAY
 
     scenario()
 
--- a/tests/sidecar/shadow_policy/test_watch.py
+++ b/tests/sidecar/shadow_policy/test_watch.py
@@ -21,7 +21,7 @@
 from shedgrade.sidecar.lifecycle.sidecar import Sidecar
 from shedgrade.sidecar.shadow_policy.config import Watch
 from shedgrade.sidecar.shadow_policy.follower import Follower, differs
-from shedgrade.sidecar.shadow_policy.part import WatchPart
+from shedgrade.sidecar.shadow_policy.part import ShadowPolicyPart
 from shedgrade.upstream_pool.errors import ConfigError
 
 METHODS = [method("once"), method(payoff=3.0), method("by_key", "zone", payoff=0.5)]
@@ -33,7 +33,7 @@
     def __init__(self, seed, over, busy=4, **more):
         self.chance, self.now = Random(seed), 100
         self.conf = settings(METHODS, zones=2, balancers=20, **more)
-        self.part = WatchPart(Watch(settings=over), "features")
+        self.part = ShadowPolicyPart(Watch(settings=over), "features")
         self.watched = self.part.decisions(self.conf, seed, self.now)
         self.watched.list_changed(self.now, [row(up, up % 2) for up in range(8)], True, True)
         self.out, self.answers, self.busy = [], [], busy
@@ -177,7 +177,7 @@
     """The sidecar is made anew with the follower beside the decisions, as `serve` does."""
 
     def prepare(self):
-        self.part = WatchPart(Watch(settings=self.over, every_s=1.0), "features")
+        self.part = ShadowPolicyPart(Watch(settings=self.over, every_s=1.0), "features")
         before = self.sidecar
         self.sidecar = Sidecar(before.config, before.loop, self.part.decisions)
         self.part.join(self.sidecar)
