--- a/shedgrade/dataplane/service.py
+++ b/shedgrade/dataplane/service.py
@@ -9,9 +9,9 @@
 from shedgrade.dataplane.service_times import ServiceTimes
 from shedgrade.load_balancing.upstream_indices import Addresses, Indices
 from shedgrade.model_routing.balancer import ServingBalancer
-from shedgrade.model_routing.retry_budget import Repeats
+from shedgrade.model_routing.retry_budget import RetryBudget
 from shedgrade.prefix_cache_index import EdgePrefixIndex
-from shedgrade.request_dispatch import Turn
+from shedgrade.request_dispatch import Dispatcher
 from shedgrade.runtime.log import logger
 
 SILENCE_LIMIT = 4_000  # tenths of a ms without a byte from an upstream that has requests in flight
@@ -44,7 +44,7 @@
         loop,
         clock,
         budget,
-        repeats: Repeats,
+        repeats: RetryBudget,
         me: str,
         record: EdgePrefixIndex | None = None,
     ) -> None:
@@ -54,7 +54,7 @@
         self.indices, self.addresses = Indices(), Addresses()
         self.balancer = ServingBalancer(list(regions), regions[own], seed, clock.now(), repeats, me)
         if record is not None:
-            self.balancer.record = TimedRecord(record, loop)
+            self.balancer.prefix_index = TimedRecord(record, loop)
         self.repeats, self.cold_s = repeats, 0.0
         self.times = ServiceTimes()
         self.states: dict[int, int] = {}
@@ -62,18 +62,20 @@
         self.tasks: set = set()
         protocol = SystemProtocol(self.indices.ids)
         self.caller = EngineCaller(loop, clock, self.addresses.known, budget, protocol, self.misdirected)
-        self.turn = Turn(loop, clock, self.balancer, self.caller, self.indices.ids, budget, self.forget)
-        self.caller.turn = self.turn
+        self.dispatcher = Dispatcher(
+            loop, clock, self.balancer, self.caller, self.indices.ids, budget, self.forget
+        )
+        self.caller.dispatcher = self.dispatcher
 
     def retuned(self, cold_s: float, cold_rate: float, excess: float, slack: float) -> None:
         """As the operator's configuration says of the service, and the deployment's bounds: a cold upstream
         may get `cold_rate` x `excess` + `slack` requests within a second."""
-        self.cold_s, self.balancer.cold_rate = cold_s, cold_rate
-        self.balancer.cold_bound = cold_rate * excess + slack if cold_rate else 0.0
+        self.cold_s, self.balancer.slow_start_rate = cold_s, cold_rate
+        self.balancer.slow_start_bound = cold_rate * excess + slack if cold_rate else 0.0
 
     def counted(self, sidecars: int) -> None:
         """The largest count of sidecars known lately."""
-        self.balancer.sidecars = self.repeats.sidecars = max(1, sidecars)
+        self.balancer.sidecar_count = self.repeats.sidecar_count = max(1, sidecars)
 
     def listed(
         self,
@@ -87,7 +89,7 @@
         then on, as it may be, whatever the list that lags says."""
         now, rows, leaving = self.clock.now(), [], []
         instances = list(instances)
-        self.balancer.sized(min((one.slots for one, _ in instances if one.slots > 0), default=0))
+        self.balancer.set_slots(min((one.slots for one, _ in instances if one.slots > 0), default=0))
         for one, cold_left in instances:
             region = region_of.get(one.zone)
             host, _, port = one.address.rpartition(":")
@@ -109,11 +111,11 @@
                 leaving.append(index)
             if one.zone in returned:
                 cold_left = max(cold_left, self.cold_s - returned[one.zone])
-            self.balancer.cold_until[index] = now + max(0, int(cold_left * 10_000))
+            self.balancer.warming_up_until[index] = now + max(0, int(cold_left * 10_000))
         named = {row[0] for row in rows}
         leaving += [index for index in self.states if index not in named]
         self.states = {row[0]: row[2] for row in rows}
-        self.turn.listed(rows, True, False)
+        self.dispatcher.list_changed(rows, True, False)
         for index in leaving:
             self.caller.withdraw(index)
 
@@ -122,12 +124,12 @@
 
     def misdirected(self, upstream: int) -> None:
         """Another incarnation is at its address: this one is gone, whatever the list says."""
-        self.turn.gather(self.replaced, upstream)
+        self.dispatcher.gather(self.replaced, upstream)
 
     def replaced(self, now: int, upstream: int) -> None:
-        up = self.balancer.ups.get(upstream)
+        up = self.balancer.upstreams.get(upstream)
         if up is not None:
-            self.balancer.set_aside(now, up, True)
+            self.balancer.eject(now, up, True)
             self.caller.forget(upstream)
 
     def probe_silent(self) -> None:
@@ -135,9 +137,9 @@
         is only slow, with long prompts before ours, still takes a connection; one that is dark takes none.
         One set aside is tried so before it returns, or a client's request would pay for finding it dark."""
         now = self.clock.now()
-        for index, up in list(self.balancer.ups.items()):
-            silent = up.flight and now - self.caller.silent_since(index) > SILENCE_LIMIT
-            returns = up.listed and up.aside_until and up.aside_until - now <= PROBE_AHEAD
+        for index, up in list(self.balancer.upstreams.items()):
+            silent = up.in_flight and now - self.caller.silent_since(index) > SILENCE_LIMIT
+            returns = up.listed and up.ejected_until and up.ejected_until - now <= PROBE_AHEAD
             if (silent or returns) and now - self.probed_at.get(index, -PROBE_INTERVAL) >= PROBE_INTERVAL:
                 self.probed_at[index] = now
                 task = self.loop.create_task(self.probe(index))
@@ -148,15 +150,15 @@
         reach = await self.caller.probe(upstream)
         if reach is not Reach.UP:
             logger.info("{} can't be reached: {}", self.indices.ids[upstream], reach.value)
-            self.turn.gather(self.unreachable, upstream, reach)
+            self.dispatcher.gather(self.unreachable, upstream, reach)
 
     def unreachable(self, now: int, upstream: int, reach: Reach) -> None:
         """Nothing more goes there for a while. Requests that it has are given up only if its machine is dark:
         one at its cap of connections refuses further ones and works on, and the kernel of one whose process
         is gone resets the others by itself."""
-        up = self.balancer.ups.get(upstream)
+        up = self.balancer.upstreams.get(upstream)
         if up is not None:
-            self.balancer.keep_aside(now, up)
+            self.balancer.extend_ejection(now, up)
         if reach is Reach.DARK:
             self.caller.fail_connections(upstream)
 
--- a/shedgrade/load_balancing/learned_state.py
+++ b/shedgrade/load_balancing/learned_state.py
@@ -2,7 +2,7 @@
 
 from math import exp, inf
 
-from . import LONGEST, RECENT, SECOND, Balancer
+from . import MAX_DECAY_TIME, RECENTLY_USED, SECOND, Balancer
 
 
 def export(balancer: Balancer, now: int) -> dict:
@@ -11,16 +11,31 @@
         balancer = balancer.inner
     return {
         "v": 1,
-        "sums": balancer.sums,
-        "memory": balancer.memory,
-        "kinds": [[kind, took, alike] for kind, (took, alike, _) in balancer.kinds.items()],
-        "windows": [None if zone.window == inf else zone.window for zone in balancer.zones],
+        "sums": balancer.latency_sums,
+        "memory": balancer.decay_time,
+        "kinds": [
+            [kind, duration, alike] for kind, (duration, alike, _) in balancer.hardware_durations.items()
+        ],
+        "windows": [
+            None if zone.concurrency_limit == inf else zone.concurrency_limit for zone in balancer.zones
+        ],
         "ups": [
-            [up.index, up.took, up.foreseen, up.good, up.bad, (now - up.stamp) / SECOND]
-            for up in balancer.ups.values()
-            if up.took or up.bad
+            [
+                upstream.index,
+                upstream.observed_duration,
+                upstream.foreseen_duration,
+                upstream.successes,
+                upstream.failures,
+                (now - upstream.decayed_at) / SECOND,
+            ]
+            for upstream in balancer.upstreams.values()
+            if upstream.observed_duration or upstream.failures
+        ],
+        "used": [
+            [upstream.index, upstream.reinstated_at, upstream.last_used_at]
+            for upstream in balancer.upstreams.values()
+            if upstream.last_used_at > 0
         ],
-        "used": [[up.index, up.back_at, up.used] for up in balancer.ups.values() if up.used > 0],
     }
 
 
@@ -29,29 +44,39 @@
     checked its form. Windows hold for as long as a trouble lasts, and are then found anew. What stands before
     the decisions (capture, watch) takes it in its own `restore`, and hands it on."""
     if hasattr(balancer, "restore"):
-        return balancer.restore(now, state, age)
+        balancer.restore(now, state, age)
+        return
     if state["v"] != 1:
-        return None
-    keep = exp(-age * SECOND / LONGEST)
+        return
+    keep = exp(-age * SECOND / MAX_DECAY_TIME)
     part = max(keep, 1 / max(1.0, state["sums"][0]))  # one end's worth stays: better than a belief
-    balancer.sums, balancer.stamp = [total * part for total in state["sums"]], now
-    balancer.memory = balancer.ends.under = state["memory"]
-    balancer.ends.over, balancer.ends.stamp = balancer.sums[0], now  # it is the same traffic
-    balancer.kinds = {kind: [took * keep, alike * keep, now] for kind, took, alike in state["kinds"]}
-    balancer.fit()
+    balancer.latency_sums, balancer.latency_sums_at = [total * part for total in state["sums"]], now
+    balancer.decay_time = balancer.finish_rate.denominator = state["memory"]
+    balancer.finish_rate.numerator = balancer.latency_sums[0]  # it is the same traffic
+    balancer.finish_rate.decayed_at = now
+    balancer.hardware_durations = {
+        kind: [duration * keep, alike * keep, now] for kind, duration, alike in state["kinds"]
+    }
+    balancer.fit_latency()
     for zone, window in zip(balancer.zones, state["windows"], strict=True):
-        if window is not None and age * SECOND < LONGEST:
-            zone.window = window
-    for index, took, foreseen, good, bad, since in state["ups"]:
-        if up := balancer.ups.get(index):
-            left = exp(-(age + since) * SECOND / balancer.memory)
-            up.took, up.foreseen, up.good, up.bad = took * left, foreseen * left, good * left, bad * left
-            up.stamp = now
+        if window is not None and age * SECOND < MAX_DECAY_TIME:
+            zone.concurrency_limit = window
+    for index, duration, foreseen, good, bad, since in state["ups"]:
+        if upstream := balancer.upstreams.get(index):
+            remaining = exp(-(age + since) * SECOND / balancer.decay_time)
+            upstream.observed_duration = duration * remaining
+            upstream.foreseen_duration = foreseen * remaining
+            upstream.successes = good * remaining
+            upstream.failures = bad * remaining
+            upstream.decayed_at = now
     for index, back_at, used in state.get("used", ()):
-        if up := balancer.ups.get(index):
-            up.started, up.back_at, up.used = max(up.started, back_at), back_at, used
-            if 0 < back_at - used < RECENT:
-                balancer.owed.append(up)
-    for up in balancer.ups.values():
-        up.cold_turns, up.cold_stamp = 0.0, now  # whoever sent before had them
-    return None
+        if upstream := balancer.upstreams.get(index):
+            upstream.started_at, upstream.reinstated_at, upstream.last_used_at = (
+                max(upstream.started_at, back_at),
+                back_at,
+                used,
+            )
+            if 0 < back_at - used < RECENTLY_USED:
+                balancer.reinstated.append(upstream)
+    for upstream in balancer.upstreams.values():
+        upstream.slow_start_credit, upstream.slow_start_updated_at = 0.0, now  # whoever sent before had them
--- a/shedgrade/load_balancing/rpc.py
+++ b/shedgrade/load_balancing/rpc.py
@@ -8,14 +8,14 @@
     ERRORED,
     EXHAUSTED,
     NEVER_RAN,
+    REJECTED,
     TIMED_OUT,
-    TURNED_AWAY,
 )
-from .upstream import MEMORY, SECOND, Ratio, Upstream
+from .upstream import DECAY_TIME, SECOND, DecayingRatio, Upstream
 
-STEP = 0.1  # of a window for an end that comes at once, or takes twice as long
-OPENING = 0.4  # RPCs that a window gains an end until the first late one: a start is over in seconds
-GROW = 1.05  # of a window for any end in time, or those of busy balancers would lag
+LIMIT_STEP = 0.1  # of a window for an end that comes at once, or takes twice as long
+RAMP_STEP = 0.4  # RPCs that a window gains an end until the first late one: a start is over in seconds
+MIN_LIMIT_GROWTH = 1.05  # of a window for any end in time, or those of busy balancers would lag
 
 
 class Method:
@@ -23,233 +23,292 @@
 
     __slots__ = (
         "name",
-        "soft",
-        "hard",
+        "soft_deadline",
+        "hard_deadline",
         "payoff",
-        "late",
-        "retriable",
-        "deduped",
-        "group",
-        "window",
-        "further",
-        "patience",
-        "pace",
-        "fails",
+        "overdue_payoff",
+        "idempotent",
+        "deduplicated",
+        "dedup_scope",
+        "dedup_window",
+        "max_retries",
+        "longest_timeout",
+        "relative_duration",
+        "failure_ratio",
     )
 
     def __init__(self, settings: dict, top_payoff: float, most: int, patience: int) -> None:
         self.name = settings.get("name")
-        self.soft, self.hard = (max(1, int(settings[key] * 10)) for key in ("soft_deadline", "hard_deadline"))
-        self.patience = patience  # the longest that a client has been seen to wait for one try
-        self.pace, self.fails = Ratio(), Ratio()  # time taken over that of any method; failed over ended
-        self.payoff, self.late = settings["payoff"], settings["overdue_payoff"]
-        self.retriable = settings["idempotency"] == "repeatable"
-        self.deduped = settings["idempotency"] == "by_key"
-        self.group = settings["group"] if self.deduped else "all"
-        self.window = int(settings["repeat_window"] * 10) if self.deduped else 0
+        self.soft_deadline, self.hard_deadline = (
+            max(1, int(settings[key] * 10)) for key in ("soft_deadline", "hard_deadline")
+        )
+        self.longest_timeout = patience  # the longest that a client has been seen to wait for one try
+        # time taken over that of any method; failed over ended
+        self.relative_duration = DecayingRatio()
+        self.failure_ratio = DecayingRatio()
+        self.payoff = settings["payoff"]
+        self.overdue_payoff = settings["overdue_payoff"]
+        self.idempotent = settings["idempotency"] == "repeatable"
+        self.deduplicated = settings["idempotency"] == "by_key"
+        self.dedup_scope = settings["group"] if self.deduplicated else "all"
+        self.dedup_window = int(settings["repeat_window"] * 10) if self.deduplicated else 0
         # Further transmissions after one that may have run go by payoff: the dearest method may use all left.
-        self.further = max(1, round((most - 1) * self.payoff / top_payoff)) if top_payoff else 1
+        self.max_retries = max(1, round((most - 1) * self.payoff / top_payoff)) if top_payoff else 1
 
 
 class Rpc:
-    """One RPC taken; what happens to it later is a call on this handle. `tag` is the caller's mark."""
+    """One request; what happens to it later is a call on this handle. `tag` is the caller's own.
+
+    `arrived_at`, `soft_deadline_at`, `answer_by`: when it came, is worth less, and must be answered.
+    `attempts` and `sent_at`, by attempt: its upstream, and when it was sent, None if it never ran;
+    `outstanding`: of those still out, the requests in flight there when it was sent. `retries`: attempts
+    after one that may have run. `hedge_at`: when a second attempt may go beside the first, None for never.
+    `queue_entry`: its place in the queue, None while it does not wait; `overtaken`: dearer ones took its
+    place, so it ends at once. `admission_draw`: from 0 to 1, compared with the fraction of a concurrency
+    limit. `payoff`: what an answer is worth. `long_lived`: it counts as background load. `body_buffered`: all
+    bytes of a long request are here still, None for a short one. `rejecting_zones`: where an upstream
+    rejected it. `done`: it has its final answer. A request in the queue has nothing outstanding.
+    """
 
     __slots__ = (
-        "home",
+        "balancer",
         "tag",
         "method",
-        "come",
-        "soft_end",
-        "end",
-        "tries",
-        "sent",
-        "out",
-        "repeats",
-        "again_at",
-        "held",
+        "arrived_at",
+        "soft_deadline_at",
+        "answer_by",
+        "attempts",
+        "sent_at",
+        "outstanding",
+        "retries",
+        "hedge_at",
+        "queue_entry",
         "done",
-        "turned",
-        "luck",
+        "overtaken",
+        "admission_draw",
         "payoff",
-        "lasting",
-        "here",
-        "turned_away",
+        "long_lived",
+        "body_buffered",
+        "rejecting_zones",
         "tenant",
     )
 
     def __init__(
         self,
-        home: "Balancer",  # noqa: F821 (that module imports this one)
+        balancer: "Balancer",  # noqa: F821 (that module imports this one)
         method: Method,
         now: int,
-        give_up_at: int,
+        deadline: int,
         retry: bool,
         tag: object,
         tenant: int,
     ) -> None:
-        self.home, self.method, self.tag, self.tenant = home, method, tag, tenant
-        self.timed(now, give_up_at, retry)
-        self.tries, self.sent, self.out = [], [], {}  # by transmission: upstream; when, None: it never ran
-        self.repeats, self.again_at, self.held, self.done = 0, None, None, False
+        self.balancer = balancer
+        self.method = method
+        self.tag = tag
+        self.tenant = tenant
+        self.set_deadlines(now, deadline, retry)
+        # by transmission: upstream; when, None: it never ran
+        self.attempts = []
+        self.sent_at = []
+        self.outstanding = {}
+        self.retries = 0
+        self.hedge_at = None
+        self.queue_entry = None
+        self.done = False
         # An open stream; overtaken while held, to be told at once; a long request with all its bytes here.
-        self.lasting, self.turned, self.here = False, False, None
-        self.payoff, self.turned_away = method.payoff * home.worth(now, tenant), []
-        self.luck = home.draw(self.payoff)
+        self.long_lived = False
+        self.overtaken = False
+        self.body_buffered = None
+        self.payoff = method.payoff * balancer.payoff_factor(now, tenant)
+        self.rejecting_zones = []
+        self.admission_draw = balancer.draw_for_payoff(self.payoff)
 
-    def timed(self, now: int, give_up_at: int, retry: bool = False) -> None:
-        home, method = self.home, self.method
+    def set_deadlines(self, now: int, deadline: int, retry: bool = False) -> None:
+        """Sets the moments that the client's deadline and the method's settings imply."""
+        balancer, method = self.balancer, self.method
         # Guards against work for nobody: a marked retry that the hard deadline cuts short tells when its
         # first try came, and the soft deadline runs from there. A sixteenth less is the lateness of a loop.
-        method.patience = max(method.patience, give_up_at - now)
-        cut = retry and give_up_at - now < method.patience - max(home.slack, method.patience // 16)
-        self.come = now = min(now, give_up_at - method.hard) if cut else now
+        method.longest_timeout = max(method.longest_timeout, deadline - now)
+        cut = retry and deadline - now < method.longest_timeout - max(
+            balancer.deadline_margin, method.longest_timeout // 16
+        )
+        self.arrived_at = now = min(now, deadline - method.hard_deadline) if cut else now
         # An answer is wanted two ticks early, so that a time-out is still answered before the deadline.
-        self.soft_end = min(now + method.soft, give_up_at) - home.slack
-        self.end = give_up_at - home.slack if method.late else self.soft_end
+        self.soft_deadline_at = min(now + method.soft_deadline, deadline) - balancer.deadline_margin
+        self.answer_by = (
+            deadline - balancer.deadline_margin if method.overdue_payoff else self.soft_deadline_at
+        )
 
-    def coming(self, now: int, give_up_at: int, here: bool, whole: bool) -> int:
+    def body_received(self, now: int, deadline: int, here: bool, whole: bool) -> int:
         """A long request's time counts from its last byte; its new limit. Not all `here`, it goes no more."""
-        self.here = here
-        self.timed(now, give_up_at)
-        self.lasts(not whole)  # an upstream begins it once it is whole
-        return max(1, self.end - now)
+        self.body_buffered = here
+        self.set_deadlines(now, deadline)
+        self.set_long_lived(not whole)  # an upstream begins it once it is whole
+        return max(1, self.answer_by - now)
 
-    def first_run(self) -> int | None:
+    def first_possibly_executed(self) -> int | None:
         """The first transmission that may have run, those still out included."""
-        return next((tx for tx, at in enumerate(self.sent) if at is not None), None)
+        return next((attempt for attempt, at in enumerate(self.sent_at) if at is not None), None)
 
-    def reaches(self, zone: "Zone") -> bool:  # noqa: F821
-        return bool(zone.ring)
+    def may_use_zone(self, zone: "Zone") -> bool:  # noqa: F821
+        """Whether an upstream of this zone may be chosen."""
+        return bool(zone.rotation)
 
-    def allowed(self, up: Upstream, now: int) -> bool:
+    def may_send_to(self, upstream: Upstream, now: int) -> bool:
         """Rule 2, no effect twice: what may have run goes again only where its method permits."""
-        method, first = self.method, self.first_run()
-        if first is None or method.retriable:
+        method, first = self.method, self.first_possibly_executed()
+        if first is None or method.idempotent:
             return True
-        if not method.deduped or now > self.sent[first] + method.window:
+        if not method.deduplicated or now > self.sent_at[first] + method.dedup_window:
             return False
-        ran_on = self.tries[first]
-        if method.group == "zone":
-            return up.zone == ran_on.zone
-        return method.group == "all" or up.cell == ran_on.cell
+        ran_on = self.attempts[first]
+        if method.dedup_scope == "zone":
+            return upstream.zone == ran_on.zone
+        return method.dedup_scope == "all" or upstream.cell == ran_on.cell
 
-    def final(self, now: int) -> tuple[int, int]:
+    def final_answer(self, now: int) -> tuple[int, int]:
         """Exhausted tells the client that another try is harmless; where that is not certain, errored."""
         self.finish()
         method = self.method
-        if method.retriable or self.first_run() is None or (method.deduped and method.group == "all"):
-            return EXHAUSTED, self.home.retry_after(now, self)
+        if (
+            method.idempotent
+            or self.first_possibly_executed() is None
+            or (method.deduplicated and method.dedup_scope == "all")
+        ):
+            return EXHAUSTED, self.balancer.retry_after(now, self)
         return ERRORED, 0
 
     def finish(self) -> list[int]:
         """No more answers; returns the transmissions still out, which nobody waits for any longer."""
         self.done = True
-        self.home.unhold(self)
-        return list(self.out) if self.home.cancelling else []
+        self.balancer.dequeue(self)
+        return list(self.outstanding) if self.balancer.cancels_attempts else []
 
     def decide(self, now: int) -> tuple[int, int] | None:
-        home, method = self.home, self.method
-        if self.done or (self.out and not (self.again_at is not None and now >= self.again_at)):
+        """What to do now: None for nothing, (upstream, limit) to transmit, (EXHAUSTED, wait) or (ERRORED, 0)
+        as the final answer.
+        """
+        balancer, method = self.balancer, self.method
+        if self.done or (self.outstanding and not (self.hedge_at is not None and now >= self.hedge_at)):
             return None
-        repeat = self.first_run() is not None
-        self.again_at = None
+        repeat = self.first_possibly_executed() is not None
+        self.hedge_at = None
         if (
-            self.turned
-            or now >= self.end
-            or len(self.tries) >= home.most
-            or (self.here is False and self.tries)
+            self.overtaken
+            or now >= self.answer_by
+            or len(self.attempts) >= balancer.max_attempts
+            or (self.body_buffered is False and self.attempts)
             or (
                 repeat
                 and not (
-                    (method.retriable or method.deduped)
-                    and self.repeats < method.further
-                    and home.spare >= 1
-                    and not home.follows(self)
+                    (method.idempotent or method.deduplicated)
+                    and self.retries < method.max_retries
+                    and balancer.retry_tokens >= 1
+                    and not balancer.failure_follows_request(self)
                 )
             )
         ):
-            return None if self.out else self.final(now)
+            return None if self.outstanding else self.final_answer(now)
         # Crossing has a price, so the own zone gets that share of the soft deadline to make room first, or a
         # quarter of what the soft deadline leaves beside the usual time.
-        stay = self.come + int(max(home.cross_price * method.soft, (method.soft - home.typical()) / 4))
-        up = home.choose(now, self, now < stay)
-        if up is None and now < stay and not self.out:
-            if home.hold(now, self, stay):
+        prefer_own_zone = self.arrived_at + int(
+            max(
+                balancer.cross_zone_price * method.soft_deadline,
+                (method.soft_deadline - balancer.typical_duration()) / 4,
+            )
+        )
+        upstream = balancer.choose_upstream(now, self, now < prefer_own_zone)
+        if upstream is None and now < prefer_own_zone and not self.outstanding:
+            if balancer.enqueue(now, self, prefer_own_zone):
                 return None
-            up = home.choose(now, self, False)
-        if up is not None:
-            return self.transmit(now, up, repeat)
-        if self.out or home.hold(now, self, now):
+            upstream = balancer.choose_upstream(now, self, False)
+        if upstream is not None:
+            return self.transmit(now, upstream, repeat)
+        if self.outstanding or balancer.enqueue(now, self, now):
             return None
-        return self.final(now)
+        return self.final_answer(now)
 
-    def transmit(self, now: int, up: Upstream, repeat: bool) -> tuple[int, int]:
-        home, method = self.home, self.method
-        home.unhold(self)
-        if not self.tries and home.drag(method) > 1:
-            self.lasting = True  # it will hold its place for long, as an open stream does
+    def transmit(self, now: int, upstream: Upstream, repeat: bool) -> tuple[int, int]:
+        """Registers an attempt at the upstream; returns its index and the time limit."""
+        balancer, method = self.balancer, self.method
+        balancer.dequeue(self)
+        if not self.attempts and balancer.method_slowness(method) > 1:
+            self.long_lived = True  # it will hold its place for long, as an open stream does
         if repeat:
-            self.repeats += 1
-            home.spare -= 1
-        limit = self.end - now
-        if (method.retriable or method.deduped) and len(self.tries) + 1 < home.most and home.spare >= 1:
+            self.retries += 1
+            balancer.retry_tokens -= 1
+        limit = self.answer_by - now
+        if (
+            (method.idempotent or method.deduplicated)
+            and len(self.attempts) + 1 < balancer.max_attempts
+            and balancer.retry_tokens >= 1
+        ):
             # Guards against a hang: a second upstream gets its chance while the soft deadline can be met.
-            patience = int(max(3 * home.expected(up, now), (self.soft_end - now) // 2))
-            if now + patience + home.typical() < self.soft_end:
-                if home.parallel and self.here is None:
-                    self.again_at = now + patience
-                    heappush(home.alarms, (self.again_at, home.count(), self))
-                elif up.bad > up.good:
+            patience = int(
+                max(3 * balancer.expected_duration(upstream, now), (self.soft_deadline_at - now) // 2)
+            )
+            if now + patience + balancer.typical_duration() < self.soft_deadline_at:
+                if balancer.hedging and self.body_buffered is None:
+                    self.hedge_at = now + patience
+                    heappush(balancer.timers, (self.hedge_at, balancer.next_sequence(), self))
+                elif upstream.failures > upstream.successes:
                     # Only where more has failed than completed lately: elsewhere the work cut off is lost.
                     limit = min(limit, patience)
-        home.count_in(up, 1 - self.lasting, int(self.lasting))
-        self.out[len(self.tries)] = max(1, up.flight) + up.crowd
-        up.used = now
-        self.tries.append(up)
-        self.sent.append(now)
-        return up.index, max(1, limit)
-
-    def ended(self, now: int, tx: int, outcome: int, took: int, settled: bool, fresh=False) -> list[int]:
-        home, up = self.home, self.tries[tx]
-        zone = home.zones[up.zone]
-        crowd = self.out.pop(tx)
-        home.count_in(up, self.lasting - 1, -self.lasting)
+        balancer.add_load(upstream, 1 - self.long_lived, int(self.long_lived))
+        self.outstanding[len(self.attempts)] = max(1, upstream.in_flight) + upstream.reported_load
+        upstream.last_used_at = now
+        self.attempts.append(upstream)
+        self.sent_at.append(now)
+        return upstream.index, max(1, limit)
+
+    def attempt_finished(
+        self, now: int, attempt: int, outcome: int, duration: int, answered: bool, first_on_connection=False
+    ) -> list[int]:
+        """An attempt has ended; returns the attempts to stop. `answered`: its client has its answer."""
+        balancer, upstream = self.balancer, self.attempts[attempt]
+        zone = balancer.zones[upstream.zone]
+        concurrency = self.outstanding.pop(attempt)
+        balancer.add_load(upstream, self.long_lived - 1, -self.long_lived)
         # Guards against windows that lag: where ends are rare, each counts for more, as if all came in step.
-        gain = min(5.0, 0.3 + 3 * (now - zone.last_end) / SECOND)
-        zone.last_end = now
-        if outcome in (TIMED_OUT, COMPLETED) and not fresh:
-            drag = home.drag(self.method)
+        gain = min(5.0, 0.3 + 3 * (now - zone.last_finished_at) / SECOND)
+        zone.last_finished_at = now
+        if outcome in (TIMED_OUT, COMPLETED) and not first_on_connection:
+            drag = balancer.method_slowness(self.method)
             if outcome == COMPLETED:
-                over = min(1.0, took / drag / (home.aim * self.method.soft) - 1)
-                zone.late.add(now, over > 0, 1.0, MEMORY)
+                over = min(1.0, duration / drag / (balancer.latency_target * self.method.soft_deadline) - 1)
+                zone.late_ratio.add(now, over > 0, 1.0, DECAY_TIME)
             else:
-                over = (drag == 1) * 2.0 * zone.late.of(1.0)
+                over = (drag == 1) * 2.0 * zone.late_ratio.estimate(1.0)
             # Slow among sound ones is an upstream's own fault, not the crowd's.
-            if over > 0 and home.expected(up, now) <= 1.2 * zone.usual:
-                zone.window = max(0.1, zone.window * exp(-STEP * over * gain))
-                zone.opening = False
-            elif over < 0 and zone.flight + 1 >= zone.window:
-                if zone.opening:
-                    zone.window += OPENING
-                zone.window *= max(GROW if zone.window > 1 else 1.0, exp(-STEP * over * gain))
-        home.learn(now, up, outcome, took, crowd, fresh, self)
-        home.release(up)
-        self.turned_away += [zone] * (outcome == TURNED_AWAY)
+            if over > 0 and balancer.expected_duration(upstream, now) <= 1.2 * zone.typical_duration:
+                zone.concurrency_limit = max(0.1, zone.concurrency_limit * exp(-LIMIT_STEP * over * gain))
+                zone.limit_ramping = False
+            elif over < 0 and zone.in_flight + 1 >= zone.concurrency_limit:
+                if zone.limit_ramping:
+                    zone.concurrency_limit += RAMP_STEP
+                zone.concurrency_limit *= max(
+                    MIN_LIMIT_GROWTH if zone.concurrency_limit > 1 else 1.0, exp(-LIMIT_STEP * over * gain)
+                )
+        balancer.record_outcome(now, upstream, outcome, duration, concurrency, first_on_connection, self)
+        balancer.release_if_unused(upstream)
+        self.rejecting_zones += [zone] * (outcome == REJECTED)
         if outcome in NEVER_RAN:
-            self.sent[tx] = None
-        return self.finish() if settled and not self.done else []
+            self.sent_at[attempt] = None
+        return self.finish() if answered and not self.done else []
 
-    def started(self, lasting: bool = False) -> None:
+    def response_started(self, long_lived: bool = False) -> None:
         """A streamed answer has begun: this transmission is the client's now, and no other may follow."""
-        self.again_at = None
-        self.lasts(lasting or self.lasting)
+        self.hedge_at = None
+        self.set_long_lived(long_lived or self.long_lived)
 
-    def lasts(self, lasting: bool) -> None:
+    def set_long_lived(self, long_lived: bool) -> None:
         """An open stream, idle or slow, is held, for passing over: no work in flight, and in no window."""
-        if lasting != self.lasting:
-            self.lasting = lasting
-            for tx in self.out:
-                self.home.count_in(self.tries[tx], 1 - 2 * lasting, 2 * lasting - 1)
+        if long_lived != self.long_lived:
+            self.long_lived = long_lived
+            for attempt in self.outstanding:
+                self.balancer.add_load(self.attempts[attempt], 1 - 2 * long_lived, 2 * long_lived - 1)
 
-    def gone(self, now: int) -> list[int]:
+    def client_disconnected(self, now: int) -> list[int]:
+        """The client has left; returns the attempts to stop."""
         return self.finish()
--- a/shedgrade/load_balancing/subsetting.py
+++ b/shedgrade/load_balancing/subsetting.py
@@ -1,41 +1,62 @@
-"""Parts: which upstreams of each zone a sidecar keeps to."""
+"""Subsetting: which upstreams of each zone a process connects to.
 
+As in deterministic subsetting (Site Reliability Engineering, chapter 20), each process works its own subset
+out alone; `subset_assignment` says how.
+"""
+
+from .state import BalancerState
 from .subset_assignment import dealt
 from .upstream import Upstream
 
-COVER = 5  # sidecars of its zone that keep to an upstream: each then weighs a twentieth there
-SHARED, LONE = (1, 1.2), (3, 3.4)  # of its zone, least and mean: LONE where a connection carries one RPC
-FAR = (1, 1.2)  # of all other zones together, least and mean
-MOST = 30_000  # sidecars that are told apart: with more, some have the same part
+SIDECARS_PER_UPSTREAM = 5  # sidecars of its zone that keep to an upstream: each then weighs a twentieth there
+MULTIPLEXED_CONNECTIONS, EXCLUSIVE_CONNECTIONS = (
+    (1, 1.2),
+    (3, 3.4),
+)  # of its zone, least and mean
+OTHER_ZONES = (1, 1.2)  # of all other zones together, least and mean
+MAX_SIDECARS = 30_000  # sidecars that are told apart: with more, some have the same part
+
 
+class Subsetting(BalancerState):
+    """Keeps each process to a subset of the upstreams of each zone."""
 
-class Parts:
-    def kept(self, up: Upstream) -> bool:
-        part = self.zones[up.zone].part
-        return part is None or up in part
+    def in_subset(self, upstream: Upstream) -> bool:
+        """Whether this process may send to the upstream."""
+        part = self.zones[upstream.zone].subset
+        return part is None or upstream in part
 
-    def deal(self) -> None:
+    def assign_subset(self) -> None:
         """Guards against hundreds of sidecars with a connection each to every upstream: it takes so many."""
-        ups = [up for up in self.ups.values() if up.listed]
-        rows, zones = sorted((up.mark or 0, up.size, up.zone, up.index) for up in ups), len(self.zones)
-        near, far = ([row for row in rows if (row[2] == self.own) is here] for here in (True, False))
-        number, count, kept = self.number % MOST, min(self.sidecars, MOST), []
-        if self.keeps and rows:
-            least, mean = SHARED if self.shared else LONE
-            mine, each = max(1.0, count / zones), COVER * len(rows) / count
-            cover = min(mine, max(COVER, mean * mine / max(1, len(near))))
-            other = max(FAR[1], min(each, zones - 1), each * (zones - 1) / 2 / zones) * count / len(rows)
-            self.zones[self.own].share = cover * len(near) / mine
+        ups = [upstream for upstream in self.upstreams.values() if upstream.listed]
+        rows, zones = (
+            sorted(
+                (upstream.id_hash or 0, upstream.capacity, upstream.zone, upstream.index) for upstream in ups
+            ),
+            len(self.zones),
+        )
+        near, far = ([row for row in rows if (row[2] == self.own_zone) is here] for here in (True, False))
+        number, count, kept = self.sidecar_number % MAX_SIDECARS, min(self.sidecar_count, MAX_SIDECARS), []
+        if self.uses_subset and rows:
+            least, mean = MULTIPLEXED_CONNECTIONS if self.connections_multiplexed else EXCLUSIVE_CONNECTIONS
+            mine, each = max(1.0, count / zones), SIDECARS_PER_UPSTREAM * len(rows) / count
+            cover = min(mine, max(SIDECARS_PER_UPSTREAM, mean * mine / max(1, len(near))))
+            other = (
+                max(OTHER_ZONES[1], min(each, zones - 1), each * (zones - 1) / 2 / zones) * count / len(rows)
+            )
+            self.zones[self.own_zone].mean_subset_size = cover * len(near) / mine
             kept = [
-                self.ups[row[3]]
-                for rows, far, least in ((near, 0.0, least), (far, other, FAR[0]))
+                self.upstreams[row[3]]
+                for rows, far, least in ((near, 0.0, least), (far, other, OTHER_ZONES[0]))
                 for row in sorted(dealt(rows, zones, number, count, cover, far, least))
             ]
         for place, zone in enumerate(self.zones):
-            zone.ready = sum(up.zone == place for up in ups)
-            part = [up for up in kept if up.zone == place] if self.keeps else None
-            if part != zone.part:
-                zone.part, zone.ring = part, [up for up in zone.ring if part is None or up in part]
-                for up in ups if part is None else part:
-                    if up.zone == place:
-                        self.rotation(up, not up.aside_until)
+            zone.ready_count = sum(upstream.zone == place for upstream in ups)
+            part = [upstream for upstream in kept if upstream.zone == place] if self.uses_subset else None
+            if part != zone.subset:
+                zone.subset, zone.rotation = (
+                    part,
+                    [upstream for upstream in zone.rotation if part is None or upstream in part],
+                )
+                for upstream in ups if part is None else part:
+                    if upstream.zone == place:
+                        self.set_in_rotation(upstream, not upstream.ejected_until)
--- a/shedgrade/sidecar/capture/recorder.py
+++ b/shedgrade/sidecar/capture/recorder.py
@@ -5,7 +5,7 @@
 late, nothing is kept, a gap says so, and a checkpoint follows once it is calm again.
 """
 
-from collections.abc import Callable
+from collections.abc import Callable, Iterable, Iterator
 from hashlib import blake2b
 
 from shedgrade import load_balancing
@@ -49,59 +49,70 @@
     return blake2b(name, digest_size=8).digest()
 
 
-class Handle:
+class RecordedRpc:
     """An RPC as the turn holds it."""
 
-    __slots__ = ("rpc", "number", "home")
+    __slots__ = ("rpc", "number", "recorder")
 
-    def __init__(self, home: "Recorder", rpc: load_balancing.Rpc, number: int) -> None:
-        self.home, self.rpc, self.number = home, rpc, number
+    def __init__(self, recorder: "Recorder", rpc: load_balancing.Rpc, number: int) -> None:
+        self.recorder = recorder
+        self.rpc = rpc
+        self.number = number
 
     @property
-    def tries(self) -> list:
-        return self.rpc.tries
+    def attempts(self) -> list:
+        """As of the request."""
+        return self.rpc.attempts
 
     @property
-    def sent(self) -> list:
-        return self.rpc.sent
+    def sent_at(self) -> list:
+        """As of the request."""
+        return self.rpc.sent_at
 
-    def first_run(self) -> int | None:
-        return self.rpc.first_run()
+    def first_possibly_executed(self) -> int | None:
+        """As of the request."""
+        return self.rpc.first_possibly_executed()
 
     def decide(self, now: int) -> tuple[int, int] | None:
+        """Decides, and records the answer."""
         answer = self.rpc.decide(now)
         if answer is None:
             if not self.rpc.done:  # one that is done is only asked in vain
-                self.home.keep(now, NOTHING, self.number)
+                self.recorder.keep(now, NOTHING, self.number)
         else:
-            self.home.keep(now, DECIDE, self.number, *answer)
+            self.recorder.keep(now, DECIDE, self.number, *answer)
             self.over()
         return answer
 
     def over(self) -> None:
-        if self.rpc.done and not self.rpc.out:
-            self.home.live.pop(self.number, None)
+        """Forgets a request that is done with nothing outstanding."""
+        if self.rpc.done and not self.rpc.outstanding:
+            self.recorder.live.pop(self.number, None)
 
-    def ended(
+    def attempt_finished(
         self, now: int, tx: int, outcome: int, took: int, settled: bool, fresh: bool = False
     ) -> list[int]:
-        stops = self.rpc.ended(now, tx, outcome, took, settled, fresh)
-        self.home.keep(now, ENDED, self.number, tx, outcome, took, settled, fresh, stops)
+        """Passed on, and recorded with what it returns."""
+        stops = self.rpc.attempt_finished(now, tx, outcome, took, settled, fresh)
+        self.recorder.keep(now, ENDED, self.number, tx, outcome, took, settled, fresh, stops)
         self.over()
         return stops
 
-    def started(self, lasting: bool = False) -> None:
-        self.rpc.started(lasting)
-        self.home.keep(self.home.now, STARTED, self.number, lasting)
+    def response_started(self, lasting: bool = False) -> None:
+        """Passed on and recorded."""
+        self.rpc.response_started(lasting)
+        self.recorder.keep(self.recorder.now, STARTED, self.number, lasting)
 
-    def coming(self, now: int, give_up_at: int, here: bool, whole: bool) -> int:
-        limit = self.rpc.coming(now, give_up_at, here, whole)
-        self.home.keep(now, COMING, self.number, give_up_at - now, here, whole, limit)
+    def body_received(self, now: int, give_up_at: int, here: bool, whole: bool) -> int:
+        """Passed on, and recorded with its limit."""
+        limit = self.rpc.body_received(now, give_up_at, here, whole)
+        self.recorder.keep(now, COMING, self.number, give_up_at - now, here, whole, limit)
         return limit
 
-    def gone(self, now: int) -> list[int]:
-        stops = self.rpc.gone(now)
-        self.home.keep(now, GONE, self.number, stops)
+    def client_disconnected(self, now: int) -> list[int]:
+        """Passed on, and recorded with what it returns."""
+        stops = self.rpc.client_disconnected(now)
+        self.recorder.keep(now, GONE, self.number, stops)
         self.over()
         return stops
 
@@ -125,36 +136,44 @@
         whether
         it took it."""
         self.inner = load_balancing.Balancer(settings, seed, now)
-        self.ring, self.checkpoint, self.most_rows, self.ids, self.write = (
-            ring,
-            checkpoint,
-            most_rows,
-            ids,
-            write,
-        )
+        self.ring = ring
+        self.checkpoint = checkpoint
+        self.most_rows = most_rows
+        self.ids = ids
+        self.write = write
         self.now = self.last = self.base = now
         self.rows: list[tuple] = []
         self.numbers = 0
         self.spelled: Callable[[int], str] | None = None  # an upstream's id
-        self.second, self.in_second, self.late = now, 0, 0
-        self.skipping, self.skipped, self.calm_at, self.lost = False, 0, 0, False
+        self.second = now
+        self.in_second = 0
+        self.late = 0
+        self.skipping = False
+        self.skipped = 0
+        self.calm_at = 0
+        self.lost = False
         self.live: dict[int, load_balancing.Rpc] = {}  # taken, and not yet answered with nothing out
-        self.state_at, self.look_at, self.wanted = now, 0, False
+        self.state_at = now
+        self.look_at = 0
+        self.wanted = False
         # What changes nothing is passed on without a step between.
         inner = self.inner
-        self.wake_at, self.longest_wait = inner.wake_at, inner.longest_wait
-        if not self.inner.asks:
+        self.wake_at = inner.wake_at
+        self.max_retry_after = inner.max_retry_after
+        if not self.inner.subscribes_to_list:
             self.wants_list = self.inner.wants_list
         self.add({"k": "begin", "v": 1, "settings": settings, "seed": seed, "now": now})
 
     # --- keeping
 
     def add(self, record: dict) -> None:
+        """Keeps a record in the ring, and hands it to the writer if there is one."""
         data = self.ring.add(record)
         if self.write is not None and not self.write(data, record["k"] in ("begin", "state")):
             self.lost = True
 
     def keep(self, now: int, op: int, *values: object) -> None:
+        """Keeps one call: its op, the time since the call before and its values."""
         self.now = now
         if self.skipping:
             self.skipped += 1
@@ -165,6 +184,7 @@
             self.flush()
 
     def flush(self) -> None:
+        """Makes a record of the calls kept since the last one."""
         if self.rows:
             self.add({"k": "rows", "now": self.base, "r": self.rows})
             self.in_second += len(self.rows)
@@ -204,7 +224,9 @@
         self.flush()
         self.state_at, self.wanted = now, False
         names = (
-            {str(index): self.spelled(index) for index in self.inner.ups} if self.spelled is not None else {}
+            {str(index): self.spelled(index) for index in self.inner.upstreams}
+            if self.spelled is not None
+            else {}
         )
         self.add(
             {
@@ -216,16 +238,18 @@
         )
 
     def fault(self, what: str) -> None:
+        """Records that a fault of the program was logged here."""
         self.flush()
         self.add({"k": "fault", "now": self.now, "what": what})
 
     # --- the calls
 
     @property
-    def ups(self) -> dict:
-        return self.inner.ups
+    def upstreams(self) -> dict:
+        """Upstreams by index."""
+        return self.inner.upstreams
 
-    def take(
+    def admit(
         self,
         now: int,
         method: int,
@@ -233,8 +257,9 @@
         retry: bool = False,
         tag: object = None,
         tenant: int = 0,
-    ) -> Handle:
-        rpc = self.inner.take(now, method, give_up_at, retry, tag, tenant)
+    ) -> RecordedRpc:
+        """Passed on, and recorded with the request's number."""
+        rpc = self.inner.admit(now, method, give_up_at, retry, tag, tenant)
         self.numbers += 1
         name = tag.request.name if self.ids != "none" else b""
         self.keep(
@@ -248,9 +273,10 @@
             tenant,
         )
         self.live[self.numbers] = rpc
-        return Handle(self, rpc, self.numbers)
+        return RecordedRpc(self, rpc, self.numbers)
 
     def list_changed(self, now: int, rows: list, whole: bool, asked: bool) -> None:
+        """Passed on and recorded."""
         rows = list(rows)
         self.inner.list_changed(now, rows, whole, asked)
         if self.spelled is not None and rows and not self.skipping:
@@ -259,38 +285,46 @@
         self.keep(now, LIST, rows, whole, asked)
 
     def list_failed(self, now: int) -> None:
+        """Passed on and recorded."""
         self.inner.list_failed(now)
         self.keep(now, FAILED)
 
-    def doubted(self, now: int, upstreams: list[int], ends: int, last: bool) -> None:
-        self.inner.doubted(now, upstreams, ends, last)
+    def mark_unverified(self, now: int, upstreams: list[int], ends: int, last: bool) -> None:
+        """Passed on and recorded."""
+        self.inner.mark_unverified(now, upstreams, ends, last)
         self.keep(now, DOUBT, upstreams, ends, last)
 
-    def ordered(self, now: int, upstream: int, out: bool) -> None:
-        self.inner.ordered(now, upstream, out)
+    def set_withdrawn(self, now: int, upstream: int, out: bool) -> None:
+        """Passed on and recorded."""
+        self.inner.set_withdrawn(now, upstream, out)
         self.keep(now, ORDERED, upstream, out)
 
-    def retuned(self, settings: dict) -> None:
-        self.inner.retuned(settings)
-        self.longest_wait = self.inner.longest_wait
+    def update_settings(self, settings: dict) -> None:
+        """Passed on and recorded."""
+        self.inner.update_settings(settings)
+        self.max_retry_after = self.inner.max_retry_after
         self.keep(self.now, RETUNED, settings)
 
-    def divided(self, part: float) -> None:
-        self.inner.divided(part)
+    def set_slow_start_share(self, part: float) -> None:
+        """Passed on and recorded."""
+        self.inner.set_slow_start_share(part)
         self.keep(self.now, DIVIDED, part)
 
     def restore(self, now: int, state: dict, age: float) -> None:
+        """Passed on and recorded."""
         learned_state.restore(self.inner, now, state, age)
         self.keep(now, RESTORE, state, age)
 
-    def due(self, now: int):
+    def due(self, now: int) -> Iterable[load_balancing.Rpc]:
+        """The requests to ask again; recorded where there are any."""
         inner = self.inner
         at = inner.wake_at()
-        if at > now and not inner.held:
+        if at > now and not inner.queue:
             return ()  # nothing is looked at there, either
         return self.told_due(now, at)
 
-    def told_due(self, now: int, at: float):
+    def told_due(self, now: int, at: float) -> Iterator[load_balancing.Rpc]:
+        """The requests to ask again, each recorded."""
         told = False
         for rpc in self.inner.due(now):
             told = True
@@ -300,24 +334,27 @@
             self.keep(now, OVER)
 
     def wants_list(self, now: int) -> bool:
+        """Passed on; recorded where it is True."""
         answer = self.inner.wants_list(now)
         if answer:
             self.keep(now, WANTS, True)
         return answer
 
-    def released(self) -> list[int]:
-        upstreams = self.inner.released()
+    def take_released(self) -> list[int]:
+        """Passed on; recorded where there are any."""
+        upstreams = self.inner.take_released()
         if upstreams:
             self.keep(self.now, RELEASED, upstreams)
         return upstreams
 
-    def span(self, low: float, high: float) -> float:
+    def uniform(self, low: float, high: float) -> float:
         """The one draw that is made from outside: how long discovery is left alone."""
-        drawn = self.inner.span(low, high)
+        drawn = self.inner.uniform(low, high)
         self.keep(self.now, SPAN, low, high, drawn)
         return drawn
 
-    def luck(self, method: int) -> float:
-        drawn = self.inner.luck(method)
+    def draw_admission(self, method: int) -> float:
+        """Passed on, and recorded with the draw."""
+        drawn = self.inner.draw_admission(method)
         self.keep(self.now, LUCK, method, drawn)
         return drawn
--- a/shedgrade/sidecar/lifecycle/hot_restart.py
+++ b/shedgrade/sidecar/lifecycle/hot_restart.py
@@ -92,9 +92,9 @@
             self.restore_learned(state.learned)
         for name in state.disabled:
             sidecar.orders.disabled.add(name)
-            pool.turn.ordered(pool.reader.indices.index(name), True, lambda: None)
-        pool.turn.divided(0.5)
-        pool.turn.run()
+            pool.dispatcher.set_withdrawn(pool.reader.indices.index(name), True, lambda: None)
+        pool.dispatcher.set_slow_start_share(0.5)
+        pool.dispatcher.run()
         sidecar.budget.share(state.descriptors)
         self.starts_standing_by = state.standing_by
 
@@ -106,7 +106,7 @@
         reader = pool.reader
         learned = from_disk(stored, reader.indices.by_id, list(reader.zones), list(reader.kinds))
         if learned is not None:
-            pool.turn.restore(learned, 0.0)
+            pool.dispatcher.restore(learned, 0.0)
 
     def start_serving(self) -> None:
         """This process accepts clients: the older one need not, and the next one may come."""
@@ -168,7 +168,7 @@
         self.loop.call_later(READY_TIMEOUT_S, self.on_ready_timeout, link)
         self.descriptors_stated = self.sidecar.budget.held() + SPARE_DESCRIPTORS
         self.sidecar.budget.cap(self.descriptors_stated)
-        self.sidecar.pool.turn.divided(0.5)
+        self.sidecar.pool.dispatcher.set_slow_start_share(0.5)
         link.send(self.state().to_message(), self.sidecar.listener.socket.fileno())
 
     def on_ready_timeout(self, link: HandoverLink) -> None:
@@ -200,7 +200,9 @@
                 "reset": True,
                 "instances": list(reader.told.values()),
             }
-        learned = to_disk(pool.turn.export(), reader.indices.ids, list(reader.zones), list(reader.kinds))
+        learned = to_disk(
+            pool.dispatcher.export(), reader.indices.ids, list(reader.zones), list(reader.kinds)
+        )
         return HandoverState(
             disabled=sorted(self.sidecar.orders.disabled),
             standing_by=self.sidecar.is_standing_by(),
@@ -230,7 +232,7 @@
     def take_whole_budget(self) -> None:
         """There is no other process: everything is this one's again."""
         self.sidecar.budget.share(None)
-        self.sidecar.pool.turn.divided(1.0)
+        self.sidecar.pool.dispatcher.set_slow_start_share(1.0)
 
     def tick(self) -> None:
         """Now and then: the older one gives back the descriptors that it no longer holds."""
--- a/shedgrade/sidecar/quota/feature.py
+++ b/shedgrade/sidecar/quota/feature.py
@@ -28,7 +28,7 @@
         self.methods = sidecar.config.settings["methods"]
         payoffs = tuple(method["payoff"] for method in self.methods)
         self.gate = Gate(quota, sidecar.config.seed, payoffs)
-        self.pool.turn.gates = (*self.pool.turn.gates, self.gate)
+        self.pool.dispatcher.gates = (*self.pool.dispatcher.gates, self.gate)
         self.saved_at = time.monotonic()
         self.refusals_logged = 0
         self.update_count_header(quota)
@@ -76,7 +76,7 @@
 
     def tick(self) -> None:
         """Now and then: the fleet's share; saves and logs every SAVE_INTERVAL_S."""
-        self.gate.refresh_share(wall_clock_ms() * 10, len(self.pool.balancer.ups))
+        self.gate.refresh_share(wall_clock_ms() * 10, len(self.pool.balancer.upstreams))
         now = time.monotonic()
         if now < self.saved_at + SAVE_INTERVAL_S:
             return
--- a/tests/sidecar/crossings/test_watches.py
+++ b/tests/sidecar/crossings/test_watches.py
@@ -76,7 +76,7 @@
             drained = world.listing(world.entry(0, "terminating"), generation=2)
             world.agent.answers += [SILENT, SILENT, drained]
             before = len(world.agent.calls)
-            await until(lambda: not world.sidecar.pool.balancer.ups[0].listed)
+            await until(lambda: not world.sidecar.pool.balancer.upstreams[0].listed)
             assert world.sidecar.pool.reader.version == 2
             # Those after a failure wait no longer than it takes to show that somebody is there.
             assert all(waits(call) == discovery.PROOF for call in world.agent.calls[before + 1 : before + 3])
@@ -230,7 +230,7 @@
             watches = world.watches
             await until(lambda: world.watches > watches and pool.reader.version is not None)
             await world.tell(world.entry(1, "terminating"))
-            assert not pool.balancer.ups[1].listed
+            assert not pool.balancer.upstreams[1].listed
 
     lines = []
     sink = logger.add(lines.append, level="ERROR", format="{message}")
@@ -255,7 +255,7 @@
         world.gate.set()
         assert (await asking)[0] == 200
         assert not world.upstreams[drained].seen and world.upstreams[1 - drained].seen
-        assert not world.sidecar.pool.balancer.flight
+        assert not world.sidecar.pool.balancer.in_flight
 
 
 @on_sockets
@@ -285,19 +285,19 @@
             client = Client(world)
             await until(lambda front=front: front.clients)
             link = next(iter(front.clients))
-            decide, chosen = pool.turn.decide, []
+            decide, chosen = pool.dispatcher.decide, []
 
-            def seen(now, carried, decide=decide, chosen=chosen):
-                decide(now, carried)
-                chosen.extend(one.upstream for one in carried.out.values())
+            def seen(now, active_request, decide=decide, chosen=chosen):
+                decide(now, active_request)
+                chosen.extend(one.upstream for one in active_request.transmissions.values())
 
-            pool.turn.decide = seen
+            pool.dispatcher.decide = seen
             raw = request(b"one")
             link.get_buffer(len(raw))[: len(raw)] = raw
             link.buffer_updated(len(raw))
             world.version += 1
             pool.listed(world.list(world.entry(drained, "terminating")))
-            await until(lambda world=world, pool=pool: world.bodies() and not pool.turn.in_hand)
+            await until(lambda world=world, pool=pool: world.bodies() and not pool.dispatcher.active_requests)
             assert not world.upstreams[drained].seen and world.upstreams[1 - drained].seen
             assert chosen[-1] == 1 - drained
             met += chosen[0] == drained
@@ -312,11 +312,11 @@
         world.gate.clear()
         asking = asyncio.create_task(ask(world, request(b"one", wait=200)))
         await until(lambda: world.dialled)
-        expire, pool.turn.expire = pool.turn.expire, lambda now: None  # the turn is late
+        expire, pool.dispatcher.expire = pool.dispatcher.expire, lambda now: None  # the turn is late
         await asyncio.sleep(0.25)
         world.gate.set()
         status, _, _ = await asking
-        pool.turn.expire = expire
+        pool.dispatcher.expire = expire
         assert status == 503 and not world.bodies()
 
 
@@ -327,4 +327,4 @@
         await world.tell({**world.entry(0), "hostPort": "a..b:80"})
         async with asyncio.timeout(8):  # its client waits for 15 s
             assert (await ask(world, request(b"one")))[0] == 503
-        assert not world.sidecar.pool.caller.dials and not world.sidecar.pool.balancer.flight
+        assert not world.sidecar.pool.caller.dials and not world.sidecar.pool.balancer.in_flight
--- a/tests/sidecar/process/test_sockets.py
+++ b/tests/sidecar/process/test_sockets.py
@@ -188,7 +188,7 @@
         await until(lambda: world.sent() == 1)
         assert (await ask(world))[0] == 409 and world.sent() == 1
         waiting[1].close()
-        await until(lambda: not world.sidecar.pool.turn.in_hand.names)
+        await until(lambda: not world.sidecar.pool.dispatcher.active_requests.request_ids)
         assert (await ask(world))[0] == 200
 
 
@@ -296,7 +296,7 @@
         caller = world.sidecar.pool.caller
         caller.idle.settled = 0
         assert (await ask(world, request(b"first", wait=250)))[0] == 502 and len(caller.orphans) == 1
-        assert not caller.idle and not world.sidecar.pool.turn.in_hand
+        assert not caller.idle and not world.sidecar.pool.dispatcher.active_requests
         release.set()
         await until(lambda: caller.idle)
         assert not caller.orphans and (await ask(world))[::2] == (200, b"")
@@ -311,10 +311,13 @@
         return SILENT if world.sent() < 2 else message()
 
     async with World(silent_once, silent_once, methods=methods) as world:
-        world.sidecar.pool.balancer.sums = [100.0, 150.0, 1000.0, 250.0, 1500.0]
-        world.sidecar.pool.balancer.fit()
-        for up in world.sidecar.pool.balancer.ups.values():
-            up.bad, up.stamp = 1.0, world.sidecar.clock.now()  # so that the first gets part of the time
+        world.sidecar.pool.balancer.latency_sums = [100.0, 150.0, 1000.0, 250.0, 1500.0]
+        world.sidecar.pool.balancer.fit_latency()
+        for up in world.sidecar.pool.balancer.upstreams.values():
+            up.failures, up.decayed_at = (
+                1.0,
+                world.sidecar.clock.now(),
+            )  # so that the first gets part of the time
         with outcomes() as ends:
             first = asyncio.create_task(ask(world, request(wait=4000)))
             await until(lambda: world.sent() == 2)
@@ -409,7 +412,7 @@
         await until(lambda: world.sent() == 1)
         writer.close()
         await until(lambda: not world.upstreams[0].writers)
-        assert len(world.sidecar.pool.turn.in_hand) == 0 and world.sidecar.budget.bytes == 0
+        assert len(world.sidecar.pool.dispatcher.active_requests) == 0 and world.sidecar.budget.bytes == 0
         assert (await ask(world))[0] == 200
 
 
@@ -465,7 +468,7 @@
                 (
                     len(sidecar.pool.reader.told),
                     len(sidecar.pool.reader.indices.ids),
-                    len(sidecar.pool.balancer.ups),
+                    len(sidecar.pool.balancer.upstreams),
                     len(sidecar.pool.reader.addresses.known),
                     len(sidecar.pool.caller.heard),
                     len(sidecar.pool.caller.idle.by_upstream),
@@ -598,12 +601,15 @@
     @on_sockets
     async def scenario():
         async with World(serve) as world:
-            world.sidecar.pool.balancer.choose, whole = broken, world.sidecar.pool.balancer.choose
+            world.sidecar.pool.balancer.choose_upstream, whole = (
+                broken,
+                world.sidecar.pool.balancer.choose_upstream,
+            )
             assert (await ask(world))[0] == 502
-            world.sidecar.pool.balancer.choose = whole
+            world.sidecar.pool.balancer.choose_upstream = whole
             assert (await ask(world))[0] == 200
 
-    with pytest.raises(AssertionError, match="fault in take: ZeroDivisionError"):
+    with pytest.raises(AssertionError, match="dispatch step failed .*on_submitted.*ZeroDivisionError"):
         scenario()
 
 
--- a/tests/sidecar/shadow_policy/test_watch.py
+++ b/tests/sidecar/shadow_policy/test_watch.py
@@ -21,7 +21,7 @@
 from shedgrade.sidecar.lifecycle.sidecar import Sidecar
 from shedgrade.sidecar.shadow_policy.config import Watch
 from shedgrade.sidecar.shadow_policy.follower import Follower, differs
-from shedgrade.sidecar.shadow_policy.part import WatchPart
+from shedgrade.sidecar.shadow_policy.part import ShadowPolicyPart
 from shedgrade.upstream_pool.errors import ConfigError
 
 METHODS = [method("once"), method(payoff=3.0), method("by_key", "zone", payoff=0.5)]
@@ -33,12 +33,12 @@
     def __init__(self, seed, over, busy=4, **more):
         self.chance, self.now = Random(seed), 100
         self.conf = settings(METHODS, zones=2, balancers=20, **more)
-        self.part = WatchPart(Watch(settings=over), "features")
+        self.part = ShadowPolicyPart(Watch(settings=over), "features")
         self.watched = self.part.decisions(self.conf, seed, self.now)
         self.watched.list_changed(self.now, [row(up, up % 2) for up in range(8)], True, True)
         self.out, self.answers, self.busy = [], [], busy
 
-    def act(self, carried, answer):
+    def act(self, active_request, answer):
         self.answers.append(answer)
         if answer is not None and answer[0] >= 0:
             took = self.chance.choice((5, 20, 60, 300, 2500, answer[1]))
@@ -47,34 +47,40 @@
                 if took >= answer[1]
                 else self.chance.choice(
                     (load_balancing.COMPLETED,) * 9
-                    + (load_balancing.TURNED_AWAY, load_balancing.FAILED, load_balancing.UNCONNECTED)
+                    + (load_balancing.REJECTED, load_balancing.FAILED, load_balancing.UNCONNECTED)
                 )
             )
-            self.out.append((self.now + min(took, answer[1]), len(carried.rpc.tries) - 1, carried, what))
+            self.out.append(
+                (self.now + min(took, answer[1]), len(active_request.rpc.attempts) - 1, active_request, what)
+            )
 
     def turn(self):
         for _ in range(self.chance.choice((0, 1, 1, self.busy))):
-            carried = SimpleNamespace(rpc=None)
+            active_request = SimpleNamespace(rpc=None)
             number, tenant = self.chance.randrange(3), self.chance.choice((0, 0, 0, 1))
-            carried.rpc = self.watched.take(self.now, number, self.now + 9000, False, carried, tenant)
-            self.act(carried, carried.rpc.decide(self.now))
+            active_request.rpc = self.watched.admit(
+                self.now, number, self.now + 9000, False, active_request, tenant
+            )
+            self.act(active_request, active_request.rpc.decide(self.now))
         for end in [one for one in self.out if one[0] <= self.now]:
             self.out.remove(end)
-            _, tx, carried, what = end
-            if tx in carried.rpc.rpc.out:
-                for stopped in carried.rpc.ended(self.now, tx, what, 20, what == load_balancing.COMPLETED):
-                    carried.rpc.ended(self.now, stopped, load_balancing.STOPPED, 20, True)
-                self.act(carried, carried.rpc.decide(self.now))
+            _, tx, active_request, what = end
+            if tx in active_request.rpc.rpc.outstanding:
+                for stopped in active_request.rpc.attempt_finished(
+                    self.now, tx, what, 20, what == load_balancing.COMPLETED
+                ):
+                    active_request.rpc.attempt_finished(self.now, stopped, load_balancing.STOPPED, 20, True)
+                self.act(active_request, active_request.rpc.decide(self.now))
         if self.chance.random() < 0.05:
             up = self.chance.randrange(10)
             state = self.chance.choice((load_balancing.READY,) * 2 + (load_balancing.DRAINING,))
             self.watched.list_changed(self.now, [row(up, up % 2, state, self.now - 500)], False, True)
         if self.chance.random() < 0.05:
-            self.watched.luck(1)
-            self.watched.span(0.5, 1.0)
+            self.watched.draw_admission(1)
+            self.watched.uniform(0.5, 1.0)
         for rpc in self.watched.due(self.now):
             self.act(rpc.tag, rpc.tag.rpc.decide(self.now))
-        self.watched.released()
+        self.watched.take_released()
         self.now += self.chance.choice((10, 50, 200))
 
     def run(self, turns=1500):
@@ -120,7 +126,7 @@
 def test_each_pair_of_answers_has_its_kind():
     follower = Follower(settings(zones=2), 1, 0)
     follower.list_changed(0, [row(up, up // 2) for up in range(4)], True, True)
-    rpc = follower.take(0, 0, 9000)
+    rpc = follower.admit(0, 0, 9000)
     sent, final, errored = (0, 50), (load_balancing.EXHAUSTED, 100), (load_balancing.ERRORED, 0)
     pairs = {
         (sent, (0, 9)): None,
@@ -138,15 +144,15 @@
         (final, (load_balancing.EXHAUSTED, 7)): "other advice",
     }
     assert {pair: differs(rpc, *pair) for pair in pairs} == pairs
-    rpc.tries.append(None)
+    rpc.attempts.append(None)
     assert differs(rpc, None, sent) == "another transmission"
     assert differs(rpc, sent, None) == differs(rpc, sent, final) == "no other transmission"
 
 
-@pytest.mark.parametrize("where", ["take", "list_changed", "due", "luck"])
+@pytest.mark.parametrize("where", ["admit", "list_changed", "due", "draw_admission"])
 def test_a_fault_of_the_follower_is_logged_once_and_changes_nothing(where, monkeypatch):
     lines = []
-    sink = logger.add(lines.append, level="WARNING", format="{message}")
+    sink = logger.add(lines.append, level="WARNING", format="{message} {extra}")
     day, plain = Day(3, {}), Day(3, {})
     plain.watched.follower = None
 
@@ -171,7 +177,7 @@
     """The sidecar is made anew with the follower beside the decisions, as `serve` does."""
 
     def prepare(self):
-        self.part = WatchPart(Watch(settings=self.over, every_s=1.0), "features")
+        self.part = ShadowPolicyPart(Watch(settings=self.over, every_s=1.0), "features")
         before = self.sidecar
         self.sidecar = Sidecar(before.config, before.loop, self.part.decisions)
         self.part.join(self.sidecar)
@@ -196,13 +202,13 @@
                 assert (await ask(world, request(b"x", name=f"s{number}")))[0] == 200
             assert world.sidecar.pool.balancer.follower is not None
 
-    sink = logger.add(lines.append, level="INFO", format="{message}")
+    sink = logger.add(lines.append, level="INFO", format="{message} {extra}")
     try:
         scene()
     finally:
         logger.remove(sink)
-    last = [line for line in lines if line.startswith("watching: ")][-1]
-    assert "watching: 80 RPCs, " in last
+    last = [line for line in lines if line.startswith("shadow policy compared ")][-1]
+    assert "'differences': '80 RPCs, " in last
     assert ("other upstream" in last) if over else ("no difference" in last)
 
 
--- a/tools/checks.py
+++ b/tools/checks.py
@@ -2,7 +2,13 @@
 
 Usage: python -m tools.checks
 
-A package that is finished is added to `DOCUMENTED: tuple[str, ...] = (
+A package that is finished is added to `DOCUMENTED` and `TYPED`; the lists only grow.
+"""
+
+import subprocess
+import sys
+
+DOCUMENTED: tuple[str, ...] = (
     "shedgrade/configuration.py",
     "shedgrade/control_messages.py",
     "shedgrade/controlplane",
@@ -12,13 +18,17 @@
     "shedgrade/http/server.py",
     "shedgrade/http/server_connection.py",
     "shedgrade/http/server_messages.py",
+    "shedgrade/in_flight.py",
+    "shedgrade/load_balancing",
     "shedgrade/load_reports",
     "shedgrade/membership",
+    "shedgrade/model_routing",
     "shedgrade/peer_transport",
     "shedgrade/prefix_cache_index",
     "shedgrade/process_settings",
     "shedgrade/program.py",
     "shedgrade/replication",
+    "shedgrade/request_dispatch.py",
     "shedgrade/route_matching",
     "shedgrade/runtime/clock.py",
     "shedgrade/runtime/log.py",
@@ -26,10 +36,13 @@
     "shedgrade/runtime/loop_errors.py",
     "shedgrade/runtime/stall_detection.py",
     "shedgrade/sidecar/admin",
+    "shedgrade/sidecar/capture",
     "shedgrade/sidecar/endpoint_snapshot",
     "shedgrade/sidecar/learned_state_file.py",
     "shedgrade/sidecar/lifecycle",
     "shedgrade/sidecar/quota",
+    "shedgrade/sidecar/shadow_policy",
+    "shedgrade/simulator_adapter",
     "shedgrade/storage",
     "tools",
 )
