--- a/shedgrade/dataplane/attribution.py
+++ b/shedgrade/dataplane/attribution.py
@@ -1,8 +1,8 @@
 """Which request an upstream's answer belongs to, told by the id that it echoes and by what the connection
-has carried.
+has active_request.
 
 An upstream echoes `Attempt-Id`. A surplus answer may come late, in the place where the next one is due, so
-on a connection that has carried another request an answer without an id may belong to either of them.
+on a connection that has active_request another request an answer without an id may belong to either of them.
 """
 
 from collections.abc import Iterable
@@ -22,7 +22,7 @@
 def attribute(headers: Iterable[tuple[bytes, bytes]], attempt_id: bytes, sole_request: bool) -> Attribution:
     """Attributes an answer with these headers to the request `attempt_id` in hand, or not.
 
-    `sole_request`: the connection has carried no other request, and no surplus answer has come on it.
+    `sole_request`: the connection has active_request no other request, and no surplus answer has come on it.
 
     >>> attribute([(b"Attempt-Id", b"x")], b"x", sole_request=False)
     <Attribution.OWN: 'own'>
--- a/shedgrade/dataplane/engine_connection.py
+++ b/shedgrade/dataplane/engine_connection.py
@@ -57,7 +57,7 @@
     def begin(self, transmission: Transmission, now: int) -> None:
         """Sends a request; see `UpstreamConnection.begin`."""
         # What an earlier upstream answered tells nothing of what this one does with the request.
-        transmission.carried.failure = None
+        transmission.active_request.failure = None
         super().begin(transmission, now)
         self.connections.request_sent(self.upstream, now)
 
@@ -85,8 +85,8 @@
 
     def attribution(self) -> Attribution:
         """Whose answer it is whose head has come."""
-        sole_request = self.transmission.fresh and not self.surplus_came
-        return attribute(self.headers, self.transmission.carried.request.name, sole_request)
+        sole_request = self.transmission.first_on_connection and not self.surplus_came
+        return attribute(self.headers, self.transmission.active_request.request.name, sole_request)
 
     def skip_surplus(self) -> None:
         """Guards against a second answer that is late: it comes where the next one is due.
@@ -101,7 +101,7 @@
         """The head of a success has come: `known`, its headers by name in lower case."""
         if b"attempt-id" not in known or b"server-seal" not in known or b"content-encoding" in known:
             raise ResponseError("a success that is not the upstream's")
-        if self.transmission.carried.streams and self.request_flow is None and not self.complete:
+        if self.transmission.active_request.streams and self.request_flow is None and not self.complete:
             self.forward_as_flow()
 
     def may_have_run(self) -> bool:
@@ -128,13 +128,15 @@
             return
         self.surplus = False
         self.reset_response()
-        self.bodiless = self.transmission is not None and self.transmission.carried.request.verb == b"HEAD"
+        self.bodiless = (
+            self.transmission is not None and self.transmission.active_request.request.verb == b"HEAD"
+        )
 
     def response_complete(self) -> None:
         """A complete response is here; a failure of the upstream's own is kept for the client."""
         transmission = self.transmission
         if transmission is not None and self.status // 100 != 2:
-            transmission.carried.failure = Answer(
+            transmission.active_request.failure = Answer(
                 end_to_end_headers(self.headers), b"".join(self.body), self.status
             )
             if self.status == MISDIRECTED:
--- a/shedgrade/dataplane/engine_protocol.py
+++ b/shedgrade/dataplane/engine_protocol.py
@@ -19,7 +19,7 @@
             b"Time-Remaining: %d\r\n" % wait,
             b"Target-Instance: %s\r\n" % self.ids[transmission.upstream].encode(),
         ]
-        priority = transmission.carried.priority
+        priority = transmission.active_request.priority
         if priority is not None:
             lines.append(b"Priority: %d\r\n" % priority)
         return lines
--- a/shedgrade/dataplane/front.py
+++ b/shedgrade/dataplane/front.py
@@ -4,7 +4,7 @@
 from random import Random
 
 from shedgrade.configuration import Limits
-from shedgrade.dataplane.ingress import Turns
+from shedgrade.dataplane.ingress import ServiceDispatchers
 from shedgrade.dataplane.routes import Routes, ServedRoute
 from shedgrade.dataplane.service import ServicePool
 from shedgrade.upstream_pool.front import Front
@@ -19,7 +19,7 @@
     def __init__(self, loop, plane, budget, random: Random) -> None:
         self.plane, self.random, self.clock = plane, random, plane.clock
         super().__init__(loop, Pools(plane), budget, plane.ready, plane.draining)
-        self.turn = Turns()
+        self.dispatcher = ServiceDispatchers()
 
     @property
     def routes(self) -> Routes | None:
@@ -56,7 +56,7 @@
     """All services of a sidecar, where a front asks one pool for room."""
 
     def __init__(self, plane) -> None:
-        self.plane, self.turn, self.connections = plane, None, self
+        self.plane, self.dispatcher, self.connections = plane, None, self
 
     def give_up_idle(self) -> bool:
         """Closes one idle connection to an upstream. Returns whether there was one."""
--- a/shedgrade/dataplane/ingress.py
+++ b/shedgrade/dataplane/ingress.py
@@ -8,7 +8,7 @@
 from shedgrade.http.inbound_connection import InboundConnection
 from shedgrade.http.message_grammar import Headers, content_length, end_to_end_headers, origin_form
 from shedgrade.in_flight import Answer, Request
-from shedgrade.model_routing.request import IDEMPOTENT, Wants
+from shedgrade.model_routing.request import IDEMPOTENT, RoutingConstraints
 
 OWN = frozenset((b"time-remaining", b"target-instance", b"priority"))  # written anew for each upstream
 LEAST_LEFT = 50  # ms: with less left no further leg of a stream is worth its upstream's work
@@ -18,16 +18,16 @@
 LIMIT_SLACK = 0.5  # s beyond a configured time-out, for what is under way
 
 
-class Turns:
+class ServiceDispatchers:
     """What connections tell of an exchange, passed on to the turn that has it."""
 
-    def left(self, carried: Exchange) -> None:
+    def client_disconnected(self, active_request: Exchange) -> None:
         """The client has disconnected."""
-        carried.service.turn.left(carried)
+        active_request.service.dispatcher.client_disconnected(active_request)
 
-    def came(self, carried: Exchange, here: bool, whole: bool) -> None:
+    def body_received(self, active_request: Exchange, here: bool, whole: bool) -> None:
         """More of a long request has come; see `RequestEvents`."""
-        carried.service.turn.came(carried, here, whole)
+        active_request.service.dispatcher.body_received(active_request, here, whole)
 
 
 class IngressConnection(InboundConnection):
@@ -103,7 +103,7 @@
             return
         client = ResumableStream(self, front.budget, self.resume) if route.resumable else self
         until = front.clock.now() + wait * 10
-        carried = Exchange(
+        active_request = Exchange(
             client,
             request,
             service,
@@ -113,11 +113,13 @@
             until,
             usage,
         )
-        self.carried = carried
-        self.failed_exchange = carried
+        self.active_request = active_request
+        self.failed_exchange = active_request
         if request.flow is not None:
-            request.flow.lost = lambda: service.turn.came(carried, False, not carried.coming)
-        service.turn.arrived(carried, route.method, wait, False)
+            request.flow.lost = lambda: service.dispatcher.body_received(
+                active_request, False, not active_request.is_body_incomplete
+            )
+        service.dispatcher.submit(active_request, route.method, wait, False)
 
     def unready(self) -> None:
         """Not served here, or not any more: nothing ran, and the next try comes on another connection."""
@@ -129,35 +131,35 @@
         left, the fleet's budget is used up, or its request is not here any more."""
         before = self.failed_exchange
         left = (before.until - self.front.clock.now()) // 10
-        tried = before.rpc.arrived if before.rpc is not None else before.wants.most
+        tried = before.rpc.attempts_arrived if before.rpc is not None else before.wants.max_attempts
         repeats = before.service.repeats
         if (
             self.transport is None
             or self.transport.is_closing()
             or left < LEAST_LEFT
             or (
-                tried >= before.wants.most
+                tried >= before.wants.max_attempts
                 or before.request.flow is not None
-                or not repeats.allowed(self.front.clock.now())
+                or not repeats.allows_retry(self.front.clock.now())
             )
         ):
             return False
         wants, request = before.wants, before.request
-        ran_on = {up.index for up in before.rpc.tries}
+        ran_on = {up.index for up in before.rpc.attempts}
         headers = [pair for pair in request.headers if pair[0].lower() != b"last-event-id"]
         if last_id is None:
             headers = request.headers
         else:
             headers.append((b"Last-Event-Id", last_id))
-        again = Wants(
-            wants.homes,
-            wants.key,
-            wants.most,
-            wants.target,
-            wants.avoid | ran_on,
+        again = RoutingConstraints(
+            wants.home_regions,
+            wants.prefix_key,
+            wants.max_attempts,
+            wants.latency_target,
+            wants.excluded_upstreams | ran_on,
             tried,
-            wants.tokens,
-            wants.shared,
+            wants.prompt_tokens,
+            wants.prefix_tokens,
         )
         leg = Exchange(
             before.client,
@@ -169,8 +171,8 @@
             before.until,
             before.usage,
         )
-        self.carried = self.failed_exchange = leg
-        before.service.turn.arrived(leg, IDEMPOTENT, left, False)
+        self.active_request = self.failed_exchange = leg
+        before.service.dispatcher.submit(leg, IDEMPOTENT, left, False)
         return True
 
     def errored(self) -> None:
@@ -210,15 +212,15 @@
                 (exchange.first_at - exchange.since) / TICKS,
                 (now - exchange.first_at) / TICKS,
                 self.events_written,
-                exchange.wants.tokens,
+                exchange.wants.prompt_tokens,
             )
 
 
-def wants_of(route: ServedRoute, known: dict[bytes, bytes], tokens: int) -> Wants:
+def wants_of(route: ServedRoute, known: dict[bytes, bytes], tokens: int) -> RoutingConstraints:
     """What a route and a request's headers, by name in lower case, ask of the choice of an upstream;
     `tokens`: of its prompt."""
     key, shared = shared_parts(known.get(b"prompt-prefix")) if route.route.session_affinity else (b"", 0)
-    return Wants(route.homes, key, route.most, route.target, tokens=tokens, shared=shared)
+    return RoutingConstraints(route.homes, key, route.most, route.target, tokens=tokens, shared=shared)
 
 
 def told_wait(header: bytes | None, route: ServedRoute) -> int | None:
--- a/shedgrade/dataplane/plane.py
+++ b/shedgrade/dataplane/plane.py
@@ -27,7 +27,7 @@
 from shedgrade.load_reports.edge import REPORT_INTERVAL_S
 from shedgrade.membership.gossip import Gossip
 from shedgrade.membership.messages import Node
-from shedgrade.model_routing.retry_budget import Repeats
+from shedgrade.model_routing.retry_budget import RetryBudget
 from shedgrade.peer_transport.address import format_address
 from shedgrade.peer_transport.tcp import PeerConnectionPool
 from shedgrade.prefix_cache_index import EdgePrefixIndex
@@ -144,7 +144,7 @@
         """After which an edge serves what is rejected here; 0: others do already."""
         return self.shutdown.retry_after_s()
 
-    def make_pool(self, name: str, repeats: Repeats) -> ServicePool:
+    def make_pool(self, name: str, repeats: RetryBudget) -> ServicePool:
         """The pool of a service that the configuration names for the first time."""
         settings = self.settings
         return ServicePool(
@@ -164,7 +164,11 @@
 
     def in_flight(self) -> list[Exchange]:
         """The exchanges that are not answered, of all services."""
-        return [carried for pool in self.services.values() for carried in pool.turn.in_hand.carried]
+        return [
+            active_request
+            for pool in self.services.values()
+            for active_request in pool.dispatcher.active_requests.requests
+        ]
 
     def in_flight_until(self) -> float:
         """When all that is in flight has been answered, at the latest, on the loop's clock."""
@@ -184,7 +188,7 @@
         """Gives all that is in flight its final answer. Returns how many requests that were."""
         count = len(self.in_flight())
         for pool in self.services.values():
-            pool.turn.conclude()
+            pool.dispatcher.conclude()
         return count
 
     # --- from start to exit
--- a/shedgrade/dataplane/state.py
+++ b/shedgrade/dataplane/state.py
@@ -15,7 +15,7 @@
 from shedgrade.dataplane.fleet_size import FleetSize
 from shedgrade.dataplane.routes import Routes
 from shedgrade.dataplane.service import ServicePool
-from shedgrade.model_routing.retry_budget import Repeats
+from shedgrade.model_routing.retry_budget import RetryBudget
 from shedgrade.prefix_cache_index import EdgePrefixIndex
 from shedgrade.runtime.log import logger
 
@@ -24,7 +24,7 @@
     """`make_pool(name, repeats)` makes a service's pool. Applied whole or not at all."""
 
     def __init__(
-        self, settings, now: Callable[[], float], make_pool: Callable[[str, Repeats], ServicePool]
+        self, settings, now: Callable[[], float], make_pool: Callable[[str, RetryBudget], ServicePool]
     ) -> None:
         self.zones = settings.zones
         self.regions = {name: number for number, name in enumerate(sorted(set(settings.zones.values())))}
@@ -67,7 +67,7 @@
     def apply_other_loads(self, loads: Mapping[int, int]) -> None:
         """What other sidecars have in flight, by mark."""
         for pool in self.services.values():
-            pool.balancer.others_told(loads)
+            pool.balancer.update_remote_loads(loads)
 
     def apply_control(self, change: ControlChange) -> None:
         """Control state has changed: configuration, evacuated zones."""
@@ -88,7 +88,7 @@
         for name, service in routes.services.items():
             pool = self.services.get(name)
             if pool is None:
-                pool = self.services[name] = self.make_pool(name, Repeats(*self.retry_budget_bounds()))
+                pool = self.services[name] = self.make_pool(name, RetryBudget(*self.retry_budget_bounds()))
                 pool.apply_edge_count(self.edge_count)
                 self.update_services((name,))
             if before.get(name) != service:
--- a/shedgrade/http/connection_pool.py
+++ b/shedgrade/http/connection_pool.py
@@ -46,7 +46,7 @@
 
     connection: type[UpstreamConnection] = UpstreamConnection
     protocol: UpstreamProtocol = DEADLINE_HEADER_PROTOCOL
-    turn: TransmissionEvents  # set by whoever owns the pool
+    dispatcher: TransmissionEvents  # set by whoever owns the pool
 
     def __init__(
         self,
@@ -84,7 +84,7 @@
             *(link for link in self.abandoned if link.abandoned_until <= now),
         ):
             stale.abort()
-        stream = transmission.carried.request.stream
+        stream = transmission.active_request.request.stream
         link = None if stream else self.idle.take(transmission.upstream, now)
         while link is not None and not link.usable():
             link.abort()
@@ -94,10 +94,12 @@
             return
         self.count()
         if self.budget.full() and not self.give_up_idle():
-            self.turn.ended(transmission, load_balancing.UNSENT, None)
+            self.dispatcher.attempt_finished(transmission, load_balancing.UNSENT, None)
             return
         # A proxy's slowness says nothing of the upstream: its own limit ends the dial, as unsent.
-        transmission.dial_until = transmission.until + 1 if self.proxied else now + self.connect_timeout
+        transmission.connect_expires_at = (
+            transmission.expires_at + 1 if self.proxied else now + self.connect_timeout
+        )
         self.connecting[transmission] = self.loop.create_task(self.dial(transmission))
 
     def count(self) -> None:
@@ -114,7 +116,7 @@
         """Opens a connection for a transmission, and sends it there if it is still wanted."""
         upstream = transmission.upstream
         address = self.addresses[upstream]
-        stream = transmission.carried.request.stream
+        stream = transmission.active_request.request.stream
         try:
             if address in self.own_addresses:
                 raise ConnectionRefusedError("that is this process")
@@ -123,7 +125,7 @@
             )
         except (OSError, RuntimeError, ValueError) as failure:  # the last: a host that is no name
             if self.connecting.pop(transmission, None):
-                self.turn.ended(transmission, connect_outcome(failure), None)
+                self.dispatcher.attempt_finished(transmission, connect_outcome(failure), None)
             return
         if not link.lost:
             self.open.add(link)
@@ -132,14 +134,14 @@
         if not wanted:
             link.abort()
         elif link.transport.is_closing():
-            self.turn.ended(
+            self.dispatcher.attempt_finished(
                 transmission, load_balancing.UNSENT if self.proxied else load_balancing.BROKEN, None
             )
-        elif not self.turn.wanted(transmission, now := self.clock.now()):
+        elif not self.dispatcher.may_still_send(transmission, now := self.clock.now()):
             link.abort()
-            self.turn.ended(transmission, load_balancing.UNSENT, None)
+            self.dispatcher.attempt_finished(transmission, load_balancing.UNSENT, None)
         else:
-            transmission.dial_until = None
+            transmission.connect_expires_at = None
             link.begin(transmission, now)
 
     def stop(self, transmission: Transmission) -> bool:
@@ -170,7 +172,7 @@
         """
         link = transmission.link
         if (
-            not transmission.fresh
+            not transmission.first_on_connection
             or link is None
             or link.transmission is not transmission
             or not (link.fully_sent and link.response_flow is None)
@@ -188,7 +190,7 @@
     def silent(self, transmission: Transmission) -> None:
         """Guards against a machine that vanished: its open connections stay silent, or are reset by a request
         that may then have run, whereas a new one that does not come up proves that nothing ran."""
-        if self.last_response_at.get(transmission.upstream, 0) < transmission.sent:
+        if self.last_response_at.get(transmission.upstream, 0) < transmission.sent_at:
             self.forget(transmission.upstream)
 
     def give_up_idle(self) -> bool:
@@ -227,7 +229,7 @@
         self.leaving(upstream)
         for transmission in [one for one in self.connecting if one.upstream == upstream]:
             self.connecting.pop(transmission).cancel()
-            self.turn.ended(transmission, load_balancing.UNSENT, None)
+            self.dispatcher.attempt_finished(transmission, load_balancing.UNSENT, None)
         self.count()
 
     def forget(self, upstream: int) -> None:
--- a/shedgrade/http/inbound_connection.py
+++ b/shedgrade/http/inbound_connection.py
@@ -62,9 +62,9 @@
         """The connection is closed: the client's end of whatever is in hand."""
         self.closing = True
         self.parsed_requests.clear()
-        if self.carried is not None:
-            self.front.turn.left(self.carried)
-            self.carried = None
+        if self.active_request is not None:
+            self.front.dispatcher.client_disconnected(self.active_request)
+            self.active_request = None
         if self.request_flow is not None:
             self.request_flow.room = nothing
             self.request_flow.break_off()
@@ -98,7 +98,7 @@
         """Whether complete requests have no response yet, or one is still being written."""
         return (
             bool(self.parsed_requests)
-            or self.carried is not None
+            or self.active_request is not None
             or self.flushing
             or self.lingering
             or not (self.request_flow is None and self.response_flow is None)
@@ -129,7 +129,7 @@
         elif self.request_flow is not None:
             if self.request_stalled(now):
                 self.abandon_request()
-        elif self.carried is not None or unread_in_kernel(self.transport):
+        elif self.active_request is not None or unread_in_kernel(self.transport):
             return
         elif self.request_begun:
             if (
@@ -188,7 +188,12 @@
                 if not self.incoming or self.request_flow.full() or self.parser is None:
                     break
                 self.parse(self.incoming.parts()[0])
-            elif self.carried is not None or self.flushing or self.closing or self.response_flow is not None:
+            elif (
+                self.active_request is not None
+                or self.flushing
+                or self.closing
+                or self.response_flow is not None
+            ):
                 break
             elif self.parsed_requests:
                 self.take_next_request()
@@ -212,7 +217,7 @@
             self.request_begun
             and self.head_complete
             and self.request_flow is None
-            and self.carried is None
+            and self.active_request is None
             and not (self.parsed_requests or self.closing)
         ):
             if self.length > self.flow_above_bytes or (
@@ -226,7 +231,7 @@
     def reject_partial_request(self) -> None:
         """A long request turns out to be none: it is not forwarded to its end, so it never ran."""
         self.request_begun = False
-        in_hand = self.carried is not None
+        in_hand = self.active_request is not None
         flow = self.break_request_flow()
         if not in_hand and not flow.discarding:
             return
@@ -238,14 +243,14 @@
     def break_request_flow(self) -> Flow:
         """A long request does not come to its end. Returns its flow, broken off."""
         flow = self.request_flow
-        carried = self.carried
+        active_request = self.active_request
         assert flow is not None
         self.request_flow = None
-        self.carried = None
+        self.active_request = None
         flow.room = nothing
         flow.break_off()
-        if carried is not None:
-            self.front.turn.left(carried)
+        if active_request is not None:
+            self.front.dispatcher.client_disconnected(active_request)
         return flow
 
     def begin_flow(self) -> None:
@@ -290,9 +295,9 @@
 
     def flow_complete(self, flow: Flow) -> None:
         """The last byte of a long request has come."""
-        if self.carried is not None and self.carried.request.flow is flow:
+        if self.active_request is not None and self.active_request.request.flow is flow:
             flow.end()
-            self.front.turn.came(self.carried, flow.taken is not None, True)
+            self.front.dispatcher.body_received(self.active_request, flow.taken is not None, True)
         elif not self.flushing and self.response_flow is None:
             self.front.loop.call_soon(self.resume_or_close)
 
--- a/shedgrade/http/request_parser.py
+++ b/shedgrade/http/request_parser.py
@@ -17,7 +17,7 @@
     Headers,
     content_length,
 )
-from shedgrade.in_flight import Carried, InHand
+from shedgrade.in_flight import ActiveRequest, ActiveRequests
 
 MAX_FRAMING_RATIO = 64  # bytes of framing for each byte of a body, beyond a head's bytes
 FIRST_REQUEST_TIMEOUT_S = 2.0  # within which a connection's first request must begin
@@ -48,15 +48,17 @@
 class RequestEvents(Protocol):
     """Who is told of requests (`request_dispatch`)."""
 
-    in_hand: InHand
+    active_requests: ActiveRequests
 
-    def arrived(self, carried: Carried, method: int, wait: int, retried: bool, tenant: int = 0) -> None:
+    def submit(
+        self, active_request: ActiveRequest, method: int, wait: int, retried: bool, tenant: int = 0
+    ) -> None:
         """A request was admitted; `wait`: ms that its client waits."""
 
-    def left(self, carried: Carried) -> None:
+    def client_disconnected(self, active_request: ActiveRequest) -> None:
         """The client has disconnected, or its request does not come to its end."""
 
-    def came(self, carried: Carried, here: bool, whole: bool) -> None:
+    def body_received(self, active_request: ActiveRequest, here: bool, whole: bool) -> None:
         """More of a long request has come. `here`: all its bytes still are; `whole`: its last one has
         come.
         """
@@ -67,7 +69,7 @@
 
     loop: asyncio.AbstractEventLoop
     budget: Budget
-    turn: RequestEvents
+    dispatcher: RequestEvents
     ready: Callable[[], bool]
     draining: Callable[[], bool]
 
--- a/shedgrade/http/response_writer.py
+++ b/shedgrade/http/response_writer.py
@@ -6,7 +6,7 @@
 from shedgrade.http.message_grammar import REASON_PHRASES
 from shedgrade.http.request_parser import InboundFront, RequestParser
 from shedgrade.http.socket_state import reset, unread_in_kernel, unsent_bytes
-from shedgrade.in_flight import Answer, Carried
+from shedgrade.in_flight import ActiveRequest, Answer
 from shedgrade.runtime.log import logger
 
 
@@ -15,7 +15,7 @@
     response.
 
     Attributes:
-        carried: the request in hand; None between two, and from the response on unless that is a flow.
+        active_request: the request in hand; None between two, and from the response on unless that is a flow.
         response_flow: the flow of a long response, while that is being written.
         responding: a long response has begun, and `completed` was not called for its end.
         chunked: a long response is written in chunks.
@@ -26,7 +26,7 @@
     """
 
     def __init__(self, front: InboundFront) -> None:
-        self.carried: Carried | None = None
+        self.active_request: ActiveRequest | None = None
         self.response_flow: Flow | None = None
         self.chunked = False
         self.responding = False
@@ -42,7 +42,7 @@
             assert answer is not None  # only a response that has begun can break off
             self.answer(answer.status, answer.headers, answer.body, answer.length)
             return
-        self.carried = None
+        self.active_request = None
         self.responding = False
         self.front.used(self)
         if self.transport.is_closing():
@@ -100,7 +100,12 @@
     def response_sent(self) -> None:
         """A response is out. A connection that ends there first lets the rest of a long request come: closing
         would reset it, and its client might not read the response."""
-        if self.closing and self.carried is None and self.request_flow is None and self.response_flow is None:
+        if (
+            self.closing
+            and self.active_request is None
+            and self.request_flow is None
+            and self.response_flow is None
+        ):
             self.finish()
         else:
             self.read()
@@ -150,7 +155,7 @@
         length: int | None = None,
     ) -> None:
         """Writes a complete response. `length`: of the body that a response to HEAD does not bring."""
-        self.carried = None
+        self.active_request = None
         if self.request_flow is not None:
             # It is answered before it is complete: the rest is read, as its client may send it first.
             self.request_flow.discard()
--- a/shedgrade/http/rpc_connection.py
+++ b/shedgrade/http/rpc_connection.py
@@ -7,7 +7,7 @@
 from shedgrade.http.inbound_connection import InboundConnection
 from shedgrade.http.message_grammar import Headers, content_length, end_to_end_headers, origin_form
 from shedgrade.http.request_parser import InboundFront
-from shedgrade.in_flight import Carried, Request
+from shedgrade.in_flight import ActiveRequest, Request
 
 MAX_TIMEOUT_MS = 3_600_000  # that a client may say it waits: an hour, to keep out nonsense
 
@@ -80,17 +80,19 @@
         if self.front.stalled() and self.has_left():
             self.close()
             return
-        if request.name in self.front.turn.in_hand.names:
+        if request.name in self.front.dispatcher.active_requests.request_ids:
             self.reject_and_close(409)  # somebody waits under this id: two answers could not be told apart
             return
         if not self.front.room_for(len(request)):
             self.exhausted(0)
             return
-        carried = Carried(self, request, self.user)
-        self.carried = carried
+        active_request = ActiveRequest(self, request, self.user)
+        self.active_request = active_request
         if request.flow is not None:
-            request.flow.lost = lambda: self.front.turn.came(carried, False, not carried.coming)
-        self.front.turn.arrived(carried, method, wait_ms, retried, tenant)
+            request.flow.lost = lambda: self.front.dispatcher.body_received(
+                active_request, False, not active_request.is_body_incomplete
+            )
+        self.front.dispatcher.submit(active_request, method, wait_ms, retried, tenant)
 
     def method(self, part: bytes) -> int | None:
         """The number of a method by its name, as it stands or percent-encoded (RFC 3986, section 2.1)."""
--- a/shedgrade/http/upstream_connection.py
+++ b/shedgrade/http/upstream_connection.py
@@ -30,13 +30,13 @@
 
     Times are tenths of a ms on the clock."""
 
-    def ended(self, transmission: Transmission, outcome: int, answer: Answer | None) -> None:
+    def attempt_finished(self, transmission: Transmission, outcome: int, answer: Answer | None) -> None:
         """The transmission is over; `outcome` is one of `load_balancing`, `answer` the complete response."""
 
-    def flowing(self, transmission: Transmission, answer: Answer, answered_at: int) -> None:
+    def response_started(self, transmission: Transmission, answer: Answer, answered_at: int) -> None:
         """A response has begun that is passed on as it comes; its head was here at `answered_at`."""
 
-    def wanted(self, transmission: Transmission, now: int) -> bool:
+    def may_still_send(self, transmission: Transmission, now: int) -> bool:
         """Whether a transmission whose connection has just come up is still to be sent."""
 
     def opened(self, transmission: Transmission) -> None:
@@ -50,7 +50,7 @@
     clock: Clock
     budget: Budget
     protocol: UpstreamProtocol
-    turn: TransmissionEvents
+    dispatcher: TransmissionEvents
     last_response_at: dict[int, int]
     abandoned: set["UpstreamConnection"]
     count_header: bytes
@@ -67,7 +67,7 @@
     """One connection to an upstream; carries one transmission at a time.
 
     Attributes:
-        transmission: the one that is carried; None between two, and once it was given up.
+        transmission: the one that is active_request; None between two, and once it was given up.
         fully_sent: the last byte of its request has left this process.
         request_flow: what is still to come of a long request; None otherwise.
         response_flow: where a long response goes; None while the response is gathered in `body`.
@@ -142,12 +142,16 @@
         """Sends a request. Its time counts from now; of one that is still coming, from its last byte."""
         self.transmission = transmission
         transmission.link = self
-        transmission.fresh = not self.any_response_complete
+        transmission.first_on_connection = not self.any_response_complete
         self.reset_response()
-        carried = transmission.carried
-        request = carried.request
+        active_request = transmission.active_request
+        request = active_request.request
         self.bodiless = request.verb == b"HEAD"
-        wait = carried.wait if carried.coming else (transmission.until - now) // 10
+        wait = (
+            active_request.timeout_ms
+            if active_request.is_body_incomplete
+            else (transmission.expires_at - now) // 10
+        )
         lines = [b"%s %s HTTP/1.1\r\n" % (request.verb, request.target)]
         lines += [b"%s: %s\r\n" % pair for pair in request.headers]
         lines += self.connections.protocol.header_lines(transmission, max(1, wait))
@@ -187,7 +191,7 @@
     def send_flow(self) -> None:
         """Writes what has come of a long request, as far as the kernel takes it."""
         flow = self.request_flow
-        chunked = self.transmission is not None and self.transmission.carried.request.length is None
+        chunked = self.transmission is not None and self.transmission.active_request.request.length is None
         while flow is not None and flow is self.request_flow and not self.flushing:
             if flow.broken or flow.discarding or self.transmission is None:
                 self.cut()
@@ -259,7 +263,7 @@
         self.transmission = None
         self.end_flows(outcome == load_balancing.COMPLETED)
         if transmission is not None:
-            self.connections.turn.ended(transmission, outcome, answer)
+            self.connections.dispatcher.attempt_finished(transmission, outcome, answer)
 
     def end_flows(self, complete: bool) -> None:
         """What went through here is complete, or breaks off."""
@@ -366,7 +370,7 @@
         flow.room = self.schedule_resume
         headers = end_to_end_headers(self.headers)
         self.answer = Answer(headers, b"", self.status, flow, self.stated_length)
-        self.connections.turn.flowing(self.transmission, self.answer, self.head_received_at)
+        self.connections.dispatcher.response_started(self.transmission, self.answer, self.head_received_at)
 
     def schedule_resume(self) -> None:
         """There is room again where a long response goes. Not from within the taking, which may go on."""
@@ -473,7 +477,7 @@
         if (self.status // 100 == 2 or self.status == 304) and self.request_flow is None:
             return load_balancing.COMPLETED
         if self.connections.protocol.rejected_unprocessed(self.status, self.headers):
-            return load_balancing.TURNED_AWAY
+            return load_balancing.REJECTED
         return load_balancing.FAILED
 
     def report_count(self, counted_by: Callable[[int, bytes], None]) -> None:
--- a/shedgrade/load_balancing/balancer.py
+++ b/shedgrade/load_balancing/balancer.py
@@ -1,120 +1,177 @@
 """The decisions of one sidecar, put together."""
 
+from collections.abc import Iterator
 from heapq import heappop
 from itertools import count
-from math import inf, log
+from math import inf, isclose, log
+from operator import itemgetter
 from random import Random
 
-from .endpoint_list import Listing
-from .outlier_detection import ROOM, Health
-from .pending import Holding
+from .endpoint_list import EndpointList
+from .outlier_detection import CAPACITY_SHARE, OutlierDetection
+from .pending import PendingRequests
 from .rpc import Method, Rpc
-from .slow_start import Cold
-from .subsetting import Parts
-from .upstream import MEMORY, SECOND, Ratio, Upstream
-from .zones import Choice, Zone
+from .slow_start import SlowStart
+from .subsetting import Subsetting
+from .upstream import DECAY_TIME, SECOND, DecayingRatio, Upstream
+from .zones import Zone, ZoneSelectionPolicy
 
-HALF = 0.6  # of the soft deadline: windows hold the mean time there, with one end in seven late
-SPARE_SHARE = 1.2  # of a tenant's even share is let pass, and three RPCs: chance seldom brings more
+LATENCY_TARGET_SHARE = (
+    0.6  # of the soft deadline: windows hold the mean time there, with one end in seven late
+)
+TENANT_SHARE_SLACK = 1.2  # of a tenant's even share is let pass, and three RPCs: chance seldom brings more
 
 
-class Balancer(Listing, Parts, Choice, Cold, Health, Holding):
-    handle = Rpc
+class Balancer(EndpointList, Subsetting, ZoneSelectionPolicy, SlowStart, OutlierDetection, PendingRequests):
+    """All decisions of one process for one list of upstreams; see the package's doc comment for the calls."""
+
+    rpc_class = Rpc
 
     def __init__(self, settings: dict, seed: int, now: int) -> None:
         random = Random(seed)
-        self.chance, self.span, self.pick = random.random, random.uniform, random.choices
+        self.random = random.random
+        self.uniform = random.uniform
+        self.choices = random.choices
         limits = settings["limits"]
-        self.own = settings["az"]
-        self.shared, self.keeps = limits.get("multiplex", 1) > 1, False
-        self.live = settings.get("weight_kind") == "live"
-        self.nominal: dict[int, float] = {}  # by kind: the size of an idle one, where sizes move with load
+        self.own_zone = settings["az"]
+        self.connections_multiplexed = limits.get("multiplex", 1) > 1
+        self.uses_subset = False
+        self.capacity_follows_load = settings.get("weight_kind") == "live"
+        self.nominal_capacity: dict[
+            int, float
+        ] = {}  # by kind: the size of an idle one, where sizes move with load
         self.methods: list[Method] = []
         self.zones: list[Zone] = []
-        self.retuned(settings)
-        self.asks = settings["membership_mode"] == "on_request"
-        self.following, self.pending, self.ask_at, self.ask_wait = False, False, now, SECOND
-        self.ups: dict[int, Upstream] = {}
-        self.latent: dict[int, Upstream] = {}  # in doubt so far that they are used as a last resort only
-        self.left: list[int] = []  # given up, and not yet asked for by `released`
-        self.owed: list[Upstream] = []  # put back by the operators, and not used since
-        self.part = 1.0  # of what cold upstreams may get: another process has the rest
-        self.ready = self.aside = 0  # upstreams ready, and of these set aside
-        self.sizes = 0.0  # the sum of what the list says of their sizes
-        self.kinds: dict[int, list] = {}  # by kind of upstream: took, foreseen, since when
-        self.memory, self.ends = MEMORY, Ratio(1.0, now)  # of those that took an upstream's time, over time
-        self.zones = [Zone(self.chance()) for _ in settings["zones"]]
-        self.alarms, self.held, self.count, self.flight, self.spare = [], [], count().__next__, 0, 5.0
+        self.update_settings(settings)
+        self.subscribes_to_list = settings["membership_mode"] == "on_request"
+        self.list_subscribed = False
+        self.list_requested = False
+        self.list_request_at = now
+        self.list_request_backoff = SECOND
+        self.upstreams: dict[int, Upstream] = {}
+        self.last_resort_upstreams: dict[
+            int, Upstream
+        ] = {}  # in doubt so far that they are used as a last resort only
+        self.released_indices: list[int] = []  # given up, and not yet asked for by `released`
+        self.reinstated: list[Upstream] = []  # put back by the operators, and not used since
+        self.slow_start_share = 1.0  # of what cold upstreams may get: another process has the rest
+        self.ready_count = self.ejected_count = 0  # upstreams ready, and of these set aside
+        self.total_capacity = 0.0  # the sum of what the list says of their sizes
+        self.hardware_durations: dict[int, list] = {}  # by kind of upstream: took, foreseen, since when
+        # of those that took an upstream's time, over time
+        self.decay_time = DECAY_TIME
+        self.finish_rate = DecayingRatio(1.0, now)
+        self.zones = [Zone(self.random()) for _ in settings["zones"]]
+        self.timers = []
+        self.queue = []
+        self.next_sequence = count().__next__
+        self.in_flight = 0
+        self.retry_tokens = 5.0
         # Time taken against own RPCs in flight at the upstream, over all of them, as sums of a fitted line.
         # Until something is seen, an upstream is believed to finish two at once in the room there is.
-        soft = ROOM * self.shortest
-        self.sums, self.stamp = [1.0, 2.0, soft, 4.0, 2 * soft], now
-        self.fit()
+        soft = CAPACITY_SHARE * self.shortest_soft_deadline
+        self.latency_sums = [1.0, 2.0, soft, 4.0, 2 * soft]
+        self.latency_sums_at = now
+        self.fit_latency()
 
-    def retuned(self, settings: dict) -> None:
+    def update_settings(self, settings: dict) -> None:
         """May come while RPCs are in hand, which keep their method; fewer transmissions bind at once."""
         limits, rules = settings["limits"], settings["rules"]
-        self.most, self.parallel, self.cancelling = (
-            limits["most_transmissions"],
-            limits["parallel_tries"],
-            limits["cancelling"],
-        )
-        self.longest_wait = int(limits["max_retry_after"] * 10) if limits["retry_after"] else 0
-        self.slack = 2 * int(settings["tick"] * 10)
-        self.stay_open = rules.get("dropped_stay_open", False)
-        self.cold, self.cold_from = rules["cold"] * 10, rules["cold_from"]
-        self.fall_multiple, self.ask_every = rules["fall_multiple"], int(rules["ask_every"] * 10)
+        self.max_attempts = limits["most_transmissions"]
+        self.hedging = limits["parallel_tries"]
+        self.cancels_attempts = limits["cancelling"]
+        self.max_retry_after = int(limits["max_retry_after"] * 10) if limits["retry_after"] else 0
+        self.deadline_margin = 2 * int(settings["tick"] * 10)
+        self.keeps_delisted = rules.get("dropped_stay_open", False)
+        self.slow_start_period = rules["cold"] * 10
+        self.slow_start_floor = rules["cold_from"]
+        self.slow_start_headroom = rules["fall_multiple"]
+        self.list_request_interval = int(rules["ask_every"] * 10)
         prices = settings["prices"]
-        self.cross_price = prices.get("cross_zone", 0.0)
+        self.cross_zone_price = prices.get("cross_zone", 0.0)
         # Where connections are shared, or new ones have a price, each sidecar keeps to a part of each zone.
-        dear = self.shared or prices.get("handshake", 0.0) + prices.get("connection", 0.0) > 0
-        self.sidecars, self.number = settings["balancers"], settings.get("my_number", 0)
-        self.keeps = dear and self.sidecars > 1
+        dear = (
+            self.connections_multiplexed or prices.get("handshake", 0.0) + prices.get("connection", 0.0) > 0
+        )
+        self.sidecar_count = settings["balancers"]
+        self.sidecar_number = settings.get("my_number", 0)
+        self.uses_subset = dear and self.sidecar_count > 1
         for zone in self.zones:
-            zone.moved = True
-        self.relisted()
-        # By tenant: RPCs within MEMORY that are its share here, as all sidecars get alike, and those seen.
-        self.shares = [
-            SPARE_SHARE * tenant["allowance_per_s"] * MEMORY / SECOND / self.sidecars + 3
+            zone.changed = True
+        self.list_updated()
+        # By tenant: RPCs within DECAY_TIME that are its share here, as all sidecars get alike, and seen ones.
+        self.tenant_shares = [
+            TENANT_SHARE_SLACK * tenant["allowance_per_s"] * DECAY_TIME / SECOND / self.sidecar_count + 3
             for tenant in settings.get("customers", ())
         ]
-        self.fails = [Ratio() for _ in self.shares]
-        self.seen, self.excess = [(0.0, 0)] * len(self.shares), settings.get("excess_payoff", 1.0)
+        self.tenant_failures = [DecayingRatio() for _ in self.tenant_shares]
+        self.tenant_counts = [(0.0, 0)] * len(self.tenant_shares)
+        self.excess_payoff = settings.get("excess_payoff", 1.0)
         # Where more than a few late ones cost, windows aim at what leaves three times the allowed share late.
         mix = settings.get("objective_mix", {})
         late = 3 * mix.get("miss_allowed", 0.0) if mix.get("slow_end", 0.0) > 0 else 0.0
-        self.aim = HALF * min(1.0, log(1 / 7) / log(late)) if 0 < late < 1 else HALF
+        self.latency_target = (
+            LATENCY_TARGET_SHARE * min(1.0, log(1 / 7) / log(late)) if 0 < late < 1 else LATENCY_TARGET_SHARE
+        )
         top = max((m["payoff"] for m in settings["methods"]), default=1)
         self.mean_payoff = sum(m["payoff"] for m in settings["methods"]) / len(settings["methods"]) or 1.0
-        kept = {method.name: method.patience for method in self.methods}
-        self.methods = [Method(m, top, self.most, kept.get(m.get("name"), 0)) for m in settings["methods"]]
-        self.shortest = max(1, min(m.soft for m in self.methods) - self.slack)
+        kept = {method.name: method.longest_timeout for method in self.methods}
+        self.methods = [
+            Method(m, top, self.max_attempts, kept.get(m.get("name"), 0)) for m in settings["methods"]
+        ]
+        self.shortest_soft_deadline = max(
+            1, min(m.soft_deadline for m in self.methods) - self.deadline_margin
+        )
 
-    def take(
-        self, now: int, method: int, give_up_at: int, retry: bool = False, tag: object = None, tenant: int = 0
+    def admit(
+        self, now: int, method: int, deadline: int, retry: bool = False, tag: object = None, tenant: int = 0
     ) -> Rpc:
+        """The handle of a new request. `deadline`: when its client gives up, on the callers' clock."""
         # One further transmission for ten RPCs: enough for single faults, too little for a storm.
-        self.spare = min(10.0, self.spare + 0.1)
-        return self.handle(self, self.methods[method], now, give_up_at, retry, tag, tenant)
+        self.retry_tokens = min(10.0, self.retry_tokens + 0.1)
+        return self.rpc_class(self, self.methods[method], now, deadline, retry, tag, tenant)
 
-    def due(self, now: int):
+    def due(self, now: int) -> Iterator[Rpc]:
         """Yields the handles that should be asked again, each before the next is looked for."""
-        while self.alarms and self.alarms[0][0] <= now:
-            rpc = heappop(self.alarms)[2]
-            if isinstance(rpc, Upstream):
-                if 0 < rpc.aside_until <= now:
-                    self.back(rpc)
-            elif not rpc.done:
-                yield rpc
-        while self.held:
-            rpc = self.held[0][3]
+        while self.timers and self.timers[0][0] <= now:
+            timed = heappop(self.timers)[2]
+            if isinstance(timed, Upstream):
+                if 0 < timed.ejected_until <= now:
+                    self.readmit(timed)
+            elif not timed.done:
+                yield timed
+        while self.queue:
+            rpc = self.queue[0][3]
             yield rpc
-            if rpc.held is not None:
+            if rpc.queue_entry is not None:
                 return
 
     def wake_at(self) -> float:
         """When `due` or `wants_list` has something at the latest, if nothing else happens."""
-        at = self.alarms[0][0] if self.alarms else inf
-        if self.asks and not self.following and not self.pending:
-            at = min(at, self.ask_at)
+        at = self.timers[0][0] if self.timers else inf
+        if self.subscribes_to_list and not self.list_subscribed and not self.list_requested:
+            at = min(at, self.list_request_at)
         return at
+
+    def check_invariants(self) -> None:
+        """AssertionError if counts and rotations do not agree with the upstreams. It looks at all of them."""
+        upstreams = self.upstreams.values()
+        listed = [upstream for upstream in upstreams if upstream.listed]
+        assert self.ready_count == len(listed)
+        assert self.ejected_count == sum(bool(upstream.ejected_until) for upstream in listed)
+        assert isclose(self.total_capacity, sum(upstream.capacity for upstream in listed), abs_tol=1e-6)
+        assert self.in_flight == sum(upstream.in_flight for upstream in upstreams)
+        assert all(index == upstream.index for index, upstream in self.upstreams.items())
+        for number, zone in enumerate(self.zones):
+            members = [upstream for upstream in upstreams if upstream.zone == number]
+            assert zone.in_flight == sum(upstream.in_flight for upstream in members)
+            assert zone.background_load == sum(upstream.background_load for upstream in members)
+            usable = {
+                upstream.index
+                for upstream in members
+                if upstream.listed and not upstream.ejected_until and self.in_subset(upstream)
+            }
+            assert len(zone.rotation) == len(usable)
+            assert {upstream.index for upstream in zone.rotation} == usable
+        assert self.queue == sorted(self.queue, key=itemgetter(0, 1))
+        assert all(entry[3].queue_entry is entry for entry in self.queue)
--- a/shedgrade/load_balancing/outlier_detection.py
+++ b/shedgrade/load_balancing/outlier_detection.py
@@ -13,148 +13,210 @@
     UNCONNECTED,
 )
 from .rpc import Method, Rpc
-from .upstream import LONGEST, MEMORY, SECOND, Ratio, Upstream
+from .state import BalancerState
+from .upstream import DECAY_TIME, MAX_DECAY_TIME, SECOND, DecayingRatio, Upstream
 
-ENOUGH = 30  # ends: a mean of so many is within a fifth
-USUAL = 2.0  # times the usual: a cold upstream is slower, chance alone seldom is, three times over
-ROOM = 0.6  # an upstream takes one more while this much of the time left is expected to do for it
-QUEUED = 0.5  # of the time taken is held to be queueing at least: guards against crowds not yet met
-DRAG = 2.0  # times the part of its soft deadline that others take: a method drags by itself
-FOLLOWS = 3.0, 0.05  # times the failures of others, and so much more: they follow the sort of RPC
+ENOUGH_SAMPLES = 30  # ends: a mean of so many is within a fifth
+PROBATION_SLOWDOWN = (
+    2.0  # times the usual: a cold upstream is slower, chance alone seldom is, three times over
+)
+CAPACITY_SHARE = 0.6  # an upstream takes one more while this much of the time left is expected to do for it
+MIN_QUEUEING_SHARE = (
+    0.5  # of the time taken is held to be queueing at least: guards against crowds not yet met
+)
+SLOW_METHOD_FACTOR = 2.0  # times the part of its soft deadline that others take: a method drags by itself
+REQUEST_FAILURE_FACTOR = 3.0  # times the failures of others, and so much more
+REQUEST_FAILURE_EXCESS = 0.05  # of what ended: then failures follow the sort of request
 
 
-class Health:
-    def room(self, up: Upstream, now: int, left: int, expected: float) -> bool:
+class OutlierDetection(BalancerState):
+    """Estimates durations, and ejects upstreams that fail or refuse."""
+
+    def has_capacity(self, upstream: Upstream, now: int, remaining: int, expected: float) -> bool:
         """Guards against crowding: one more only if it is expected back well within the time left."""
-        if (up.trial and up.flight) or (self.is_cold(up, now) and not self.cold_room(up, now)):
+        if (upstream.half_open and upstream.in_flight) or (
+            self.is_warming_up(upstream, now) and not self.has_slow_start_credit(upstream, now)
+        ):
             return False
-        return expected <= (min(left, self.shortest) * ROOM if up.flight else left)
+        return expected <= (
+            min(remaining, self.shortest_soft_deadline) * CAPACITY_SHARE if upstream.in_flight else remaining
+        )
 
-    def fit(self) -> None:
+    def fit_latency(self) -> None:
         """The line through what transmissions took at each number in flight."""
-        ends, crowd, took, square, both = self.sums
+        ends, concurrency, duration, square, both = self.latency_sums
         # The origin counts as one more point, so a balancer that only ever has one in flight assumes a queue.
-        spread = (ends + 1) * square - crowd * crowd
-        slope = ((ends + 1) * both - crowd * took) / spread if spread > 0 else 0.0
-        self.slope = min(max(slope, QUEUED * took / crowd), took / crowd)
-        self.base = (took - self.slope * crowd) / ends
+        spread = (ends + 1) * square - concurrency * concurrency
+        slope = ((ends + 1) * both - concurrency * duration) / spread if spread > 0 else 0.0
+        self.latency_slope = min(
+            max(slope, MIN_QUEUEING_SHARE * duration / concurrency), duration / concurrency
+        )
+        self.latency_base = (duration - self.latency_slope * concurrency) / ends
 
-    def usual(self, up: Upstream, crowd: int) -> float:
+    def baseline_duration(self, upstream: Upstream, concurrency: int) -> float:
         """The time foreseen for a warm upstream of its size and kind, whatever itself has shown."""
         return (
-            (self.base + self.slope * crowd)
-            * self.kind_factor(up)
-            * self.sizes
-            / (max(1, self.ready) * up.size)
+            (self.latency_base + self.latency_slope * concurrency)
+            * self.hardware_factor(upstream)
+            * self.total_capacity
+            / (max(1, self.ready_count) * upstream.capacity)
         )
 
-    def kind_factor(self, up: Upstream) -> float:
+    def hardware_factor(self, upstream: Upstream) -> float:
         """Guards against too little evidence: what one upstream shows is held true of all of its kind."""
-        kind = self.kinds.get(up.kind)
-        alike = self.base + self.slope
+        kind = self.hardware_durations.get(upstream.hardware)
+        alike = self.latency_base + self.latency_slope
         return (kind[0] + alike) / (kind[1] + alike) if kind else 1.0
 
-    def expected(self, up: Upstream, now: int) -> float:
+    def expected_duration(self, upstream: Upstream, now: int) -> float:
         """How long one more transmission would take there; with one usual RPC added for lack of evidence."""
-        up.fade(now, self.memory)
-        alike = self.base + self.slope
-        slowness = (up.took + alike) / (up.foreseen + alike)
-        return slowness * self.usual(up, up.flight + up.crowd + 1)
+        upstream.decay(now, self.decay_time)
+        alike = self.latency_base + self.latency_slope
+        slowness = (upstream.observed_duration + alike) / (upstream.foreseen_duration + alike)
+        return slowness * self.baseline_duration(upstream, upstream.in_flight + upstream.reported_load + 1)
 
-    def typical(self) -> float:
-        return self.sums[2] / self.sums[0]
+    def typical_duration(self) -> float:
+        """The mean duration of an attempt lately, in tenths of a millisecond."""
+        return self.latency_sums[2] / self.latency_sums[0]
 
-    def drag(self, method: Method) -> float:
+    def method_slowness(self, method: Method) -> float:
         """Over 1: its RPCs take that much longer wherever they go: no crowd, and no upstream, is to blame."""
         rest = [other for other in self.methods if other is not method]
-        usual = sum(other.pace.over / other.soft for other in rest)
-        if not usual or not method.pace.under:
+        usual = sum(other.relative_duration.numerator / other.soft_deadline for other in rest)
+        if not usual or not method.relative_duration.denominator:
             return 1.0
-        usual /= sum(other.pace.under for other in rest)
-        return max(1.0, method.pace.of(self.typical()) / method.soft / (DRAG * usual))
+        usual /= sum(other.relative_duration.denominator for other in rest)
+        return max(
+            1.0,
+            method.relative_duration.estimate(self.typical_duration())
+            / method.soft_deadline
+            / (SLOW_METHOD_FACTOR * usual),
+        )
 
-    def follows(self, rpc: Rpc) -> bool:
+    def failure_follows_request(self, rpc: Rpc) -> bool:
         """Failures follow its sort of RPC: its method or its tenant fails wherever it goes, others do not."""
 
-        def beyond(own: Ratio, sorts: list[Ratio]) -> bool:
+        def beyond(own: DecayingRatio, sorts: list[DecayingRatio]) -> bool:
             rest = [sort for sort in sorts if sort is not own]
-            usual = sum(sort.over for sort in rest) / (1 + sum(sort.under for sort in rest))
-            return len(rest) > 0 and own.of(ENOUGH / 3, 0.0) > FOLLOWS[1] + FOLLOWS[0] * usual
+            usual = sum(sort.numerator for sort in rest) / (1 + sum(sort.denominator for sort in rest))
+            limit = REQUEST_FAILURE_EXCESS + REQUEST_FAILURE_FACTOR * usual
+            return len(rest) > 0 and own.estimate(ENOUGH_SAMPLES / 3, 0.0) > limit
 
-        return beyond(rpc.method.fails, [method.fails for method in self.methods]) or any(
-            beyond(own, self.fails) for own in self.fails[rpc.tenant : rpc.tenant + 1]
+        return beyond(rpc.method.failure_ratio, [method.failure_ratio for method in self.methods]) or any(
+            beyond(own, self.tenant_failures) for own in self.tenant_failures[rpc.tenant : rpc.tenant + 1]
         )
 
-    def settle(self, up: Upstream, outcome: int, took: int, crowd: int) -> None:
+    def update_probation(self, upstream: Upstream, outcome: int, duration: int, concurrency: int) -> None:
         """An end at an upstream in doubt: it is like all others once it has shown itself sound."""
         if outcome == COMPLETED:
-            up.doubt -= took <= USUAL * self.usual(up, crowd)
-            if self.latent.pop(up.index, None):
-                self.back(up)
-        elif up.index in self.latent:
-            up.aside_until += 1  # the others in doubt come first
-
-    def measure(self, now: int, up: Upstream, took: int, crowd: int, rpc: Rpc) -> None:
-        usual = self.usual(up, crowd)
-        pace = max(0.1, rpc.method.pace.of(3 * self.typical())) if len(self.methods) > 1 else 1.0
-        rpc.method.pace.add(now, took, usual)
+            upstream.probation_successes -= duration <= PROBATION_SLOWDOWN * self.baseline_duration(
+                upstream, concurrency
+            )
+            if self.last_resort_upstreams.pop(upstream.index, None):
+                self.readmit(upstream)
+        elif upstream.index in self.last_resort_upstreams:
+            upstream.ejected_until += 1  # the others in doubt come first
+
+    def record_duration(
+        self, now: int, upstream: Upstream, duration: int, concurrency: int, rpc: Rpc
+    ) -> None:
+        """Adds a duration to the sums of its upstream, hardware class and method, and to the fitted line."""
+        usual = self.baseline_duration(upstream, concurrency)
+        pace = (
+            max(0.1, rpc.method.relative_duration.estimate(3 * self.typical_duration()))
+            if len(self.methods) > 1
+            else 1.0
+        )
+        rpc.method.relative_duration.add(now, duration, usual)
         usual *= pace
-        up.took, up.foreseen = up.took + took, up.foreseen + usual
-        alike = usual / self.kind_factor(up)
-        kind = self.kinds.setdefault(up.kind, [0.0, 0.0, now])
-        keep = exp((kind[2] - now) / LONGEST)
-        self.kinds[up.kind] = [kind[0] * keep + took, kind[1] * keep + alike, now]
-        level = took * (self.base + self.slope * crowd) / alike  # at one of the mean size, warm
-        keep = exp((self.stamp - now) / self.memory)
-        seen = (1, crowd, level, crowd * crowd, crowd * level)
-        self.sums, self.stamp = [old * keep + new for old, new in zip(self.sums, seen, strict=True)], now
+        upstream.observed_duration, upstream.foreseen_duration = (
+            upstream.observed_duration + duration,
+            upstream.foreseen_duration + usual,
+        )
+        alike = usual / self.hardware_factor(upstream)
+        kind = self.hardware_durations.setdefault(upstream.hardware, [0.0, 0.0, now])
+        keep = exp((kind[2] - now) / MAX_DECAY_TIME)
+        self.hardware_durations[upstream.hardware] = [kind[0] * keep + duration, kind[1] * keep + alike, now]
+        level = (
+            duration * (self.latency_base + self.latency_slope * concurrency) / alike
+        )  # at one of the mean size, warm
+        keep = exp((self.latency_sums_at - now) / self.decay_time)
+        seen = (1, concurrency, level, concurrency * concurrency, concurrency * level)
+        self.latency_sums, self.latency_sums_at = (
+            [old * keep + new for old, new in zip(self.latency_sums, seen, strict=True)],
+            now,
+        )
         # A light balancer remembers longer, until it has seen enough.
-        few = self.sums[0] < ENOUGH
-        self.memory = min(LONGEST, self.memory * 1.1) if few else max(MEMORY, self.memory / 1.1)
-        self.fit()
-
-    def learn(self, now: int, up: Upstream, outcome: int, took: int, crowd: int, fresh: bool, rpc: Rpc):
-        up.fade(now, self.memory)
-        self.ends.add(now, outcome in (COMPLETED, TIMED_OUT), now - self.ends.stamp, self.memory)
-        if up.doubt:
-            self.settle(up, outcome, took, crowd)
+        few = self.latency_sums[0] < ENOUGH_SAMPLES
+        self.decay_time = (
+            min(MAX_DECAY_TIME, self.decay_time * 1.1) if few else max(DECAY_TIME, self.decay_time / 1.1)
+        )
+        self.fit_latency()
+
+    def record_outcome(
+        self,
+        now: int,
+        upstream: Upstream,
+        outcome: int,
+        duration: int,
+        concurrency: int,
+        first_on_connection: bool,
+        rpc: Rpc,
+    ) -> None:
+        """Learns from the end of an attempt, and ejects its upstream where the evidence is enough."""
+        upstream.decay(now, self.decay_time)
+        self.finish_rate.add(
+            now, outcome in (COMPLETED, TIMED_OUT), now - self.finish_rate.decayed_at, self.decay_time
+        )
+        if upstream.probation_successes:
+            self.update_probation(upstream, outcome, duration, concurrency)
         # Guards against dear connections, of which a first RPC tells. Nothing ready: no mean size to go by.
-        if outcome in (COMPLETED, TIMED_OUT) and not fresh and self.usual(up, crowd) > 0:
-            self.measure(now, up, took, crowd, rpc)
+        if (
+            outcome in (COMPLETED, TIMED_OUT)
+            and not first_on_connection
+            and self.baseline_duration(upstream, concurrency) > 0
+        ):
+            self.record_duration(now, upstream, duration, concurrency, rpc)
         if outcome in (COMPLETED, FAILED):
-            for sort in (rpc.method.fails, *self.fails[rpc.tenant : rpc.tenant + 1]):
+            for sort in (rpc.method.failure_ratio, *self.tenant_failures[rpc.tenant : rpc.tenant + 1]):
                 sort.add(now, float(outcome == FAILED), 1.0)
         if outcome == COMPLETED:
-            up.good += 1
-            up.trial = up.doubt > 0
-        elif (outcome == TIMED_OUT and self.drag(rpc.method) > 1) or (
-            outcome == FAILED and self.follows(rpc)
+            upstream.successes += 1
+            upstream.half_open = upstream.probation_successes > 0
+        elif (outcome == TIMED_OUT and self.method_slowness(rpc.method) > 1) or (
+            outcome == FAILED and self.failure_follows_request(rpc)
         ):
             return  # it follows the RPC, and is not held against the upstream
         elif outcome in (FAILED, TIMED_OUT, DROPPED, BROKEN):
-            up.bad += 0.5 if fresh and outcome == TIMED_OUT else 1.0
+            upstream.failures += 0.5 if first_on_connection and outcome == TIMED_OUT else 1.0
         # Guards against instant connect failures, fast errors and hangs drawing turns: two bad ends that
         # outweigh the good ones, or one connection refused, set an upstream aside; one that broke tells less.
-        if outcome == UNCONNECTED or up.bad > max(1.5, up.good) or (up.trial and outcome != COMPLETED):
-            self.set_aside(now, up, outcome == UNCONNECTED)
-
-    def set_aside(self, now: int, up: Upstream, certain: bool) -> None:
-        if not up.listed or up.aside_until:
-            return None
-        if up.dropped:
-            self.relist(up, up.zone, REMOVED)
-            return self.relisted()
+        if (
+            outcome == UNCONNECTED
+            or upstream.failures > max(1.5, upstream.successes)
+            or (upstream.half_open and outcome != COMPLETED)
+        ):
+            self.eject(now, upstream, outcome == UNCONNECTED)
+
+    def eject(self, now: int, upstream: Upstream, certain: bool) -> None:
+        """Takes an upstream out of rotation for 2 to 3 s. `certain`: the connection was refused."""
+        if not upstream.listed or upstream.ejected_until:
+            return
+        if upstream.delisted:
+            self.update_entry(upstream, upstream.zone, REMOVED)
+            self.list_updated()
+            return
         # Guards against a fault of our own side, or of all at once: at most half is set aside on suspicion.
-        if not certain and 2 * (self.aside + 1) > self.ready:
-            return None
-        up.aside_until = now + int(self.span(2, 3) * SECOND)
-        up.trial, up.good, up.bad = True, 0.0, 0.0
-        self.aside += 1
-        self.rotation(up, False)
-        heappush(self.alarms, (up.aside_until, self.count(), up))
-        return None
-
-    def back(self, up: Upstream) -> None:
-        up.aside_until = 0
-        self.aside -= up.listed
-        self.rotation(up, up.listed)
+        if not certain and 2 * (self.ejected_count + 1) > self.ready_count:
+            return
+        upstream.ejected_until = now + int(self.uniform(2, 3) * SECOND)
+        upstream.half_open, upstream.successes, upstream.failures = True, 0.0, 0.0
+        self.ejected_count += 1
+        self.set_in_rotation(upstream, False)
+        heappush(self.timers, (upstream.ejected_until, self.next_sequence(), upstream))
+
+    def readmit(self, upstream: Upstream) -> None:
+        """Puts an ejected upstream back into rotation."""
+        upstream.ejected_until = 0
+        self.ejected_count -= upstream.listed
+        self.set_in_rotation(upstream, upstream.listed)
--- a/shedgrade/sidecar/capture/explanation.py
+++ b/shedgrade/sidecar/capture/explanation.py
@@ -3,6 +3,7 @@
 from types import ModuleType
 
 from shedgrade import load_balancing
+from shedgrade.sidecar.capture.older_decisions import METHODS
 from shedgrade.sidecar.capture.replay import OF_RPC, Replay
 from shedgrade.sidecar.capture.rows import (
     DECIDE,
@@ -27,10 +28,10 @@
 )
 
 
-def telling(base: type) -> type:
+def narrating(base: type) -> type:
     """A Balancer that tells what it weighs while `lines` is a list; it decides as its base does."""
 
-    class Telling(base):
+    class NarratingBalancer(base):
         lines: list | None = None
         names: dict = {}
 
@@ -41,80 +42,94 @@
         def name(self, up: object) -> str:
             return self.names.get(str(up.index), str(up.index))
 
-        def choose(self, now, rpc, stay):
+        def choose_upstream(
+            self, now: int, rpc: load_balancing.Rpc, stay: bool
+        ) -> load_balancing.Upstream | None:
             if self.lines is not None:
                 self.say(
                     "  zones: "
                     + "; ".join(
-                        f"{number}{'*' * (number == self.own)} {zone.flight} in flight on {len(zone.ring)}, "
-                        f"window {zone.window:.1f}"
-                        f"{', full for its luck' if zone.ring and zone.full(rpc) else ''}"
+                        f"{number}{'*' * (number == self.own_zone)} {zone.in_flight} in flight "
+                        f"on {len(zone.rotation)}, "
+                        f"window {zone.concurrency_limit:.1f}"
+                        f"{', full for its luck' if zone.rotation and zone.is_full(rpc) else ''}"
                         for number, zone in enumerate(self.zones)
                     )
                 )
                 loads = [
-                    (zone.flight / len(zone.ring), number)
+                    (zone.in_flight / len(zone.rotation), number)
                     for number, zone in enumerate(self.zones)
-                    if zone.ring
+                    if zone.rotation
                 ]
-                if len(loads) > 1 and max(loads)[0] >= load_balancing.THRESHOLD:
+                if len(loads) > 1 and max(loads)[0] >= load_balancing.DROP_THRESHOLD:
                     self.say(f"  zone {max(loads)[1]} is the worst at the threshold: dropped")
-                aside = [self.name(up) for up in self.ups.values() if up.aside_until]
+                aside = [self.name(up) for up in self.upstreams.values() if up.ejected_until]
                 if aside:
                     self.say(f"  aside: {', '.join(aside[:8])}{' ...' if len(aside) > 8 else ''}")
-            found = super().choose(now, rpc, stay)
+            found = super().choose_upstream(now, rpc, stay)
             if found is None:
                 self.say(
                     "  no upstream has room for it" + (": the own zone may make room yet" if stay else "")
                 )
             return found
 
-        def rotate(self, zone, now, rpc, left):
-            found = super().rotate(zone, now, rpc, left)
+        def next_in_rotation(
+            self, zone: load_balancing.Zone, now: int, rpc: load_balancing.Rpc, left: int
+        ) -> load_balancing.Upstream | None:
+            found = super().next_in_rotation(zone, now, rpc, left)
             if found is not None:
-                bar = (zone.flight + zone.held) / max(1, len(zone.ring)) + load_balancing.MARGIN
-                above = "" if found.flight + found.held <= bar else ": none under the mean had room"
+                bar = (zone.in_flight + zone.background_load) / max(
+                    1, len(zone.rotation)
+                ) + load_balancing.LOAD_MARGIN
+                above = (
+                    "" if found.in_flight + found.background_load <= bar else ": none under the mean had room"
+                )
                 self.say(
                     f"  zone {self.zones.index(zone)}: {self.name(found)} is next with room, "
-                    f"{found.flight} in flight there{above}"
+                    f"{found.in_flight} in flight there{above}"
                 )
             return found
 
-        def room(self, up, now, left, expected):
-            found = super().room(up, now, left, expected)
+        def has_capacity(self, up: load_balancing.Upstream, now: int, left: int, expected: float) -> bool:
+            found = super().has_capacity(up, now, left, expected)
             if not found:
                 why = (
                     "on trial, with one out"
-                    if up.trial and up.flight
+                    if up.half_open and up.in_flight
                     else (
                         "cold, its part is used up"
-                        if self.is_cold(up, now)
+                        if self.is_warming_up(up, now)
                         else f"{expected / 10:.0f} ms foreseen of {left / 10:.0f} left"
                     )
                 )
                 self.say(f"  {self.name(up)} passed over: {why}")
             return found
 
-        def last_resort(self, now, rpc):
+        def last_resort(self, now: int, rpc: load_balancing.Rpc) -> load_balancing.Upstream | None:
             found = super().last_resort(now, rpc)
             self.say(f"  last resort: {self.name(found) if found is not None else 'nobody'}")
             return found
 
-        def hold(self, now, rpc, until):
-            found = super().hold(now, rpc, until)
+        def enqueue(self, now: int, rpc: load_balancing.Rpc, until: int) -> bool:
+            found = super().enqueue(now, rpc, until)
             self.say(
                 "  held: an end should come in time" if found else "  not held: no end would come in time"
             )
             return found
 
-    return Telling
+    for older, present in METHODS["Balancer"].items():
+        if present in vars(NarratingBalancer) and hasattr(base, older):
+            setattr(
+                NarratingBalancer, older, getattr(NarratingBalancer, present)
+            )  # what older decisions call themselves
+    return NarratingBalancer
 
 
 def explain(
     records: list[dict], number: int, module: ModuleType = load_balancing, until: float = float("inf")
 ) -> list[str]:
     """Why one RPC went where it did."""
-    replay = Replay(records, module, telling(module.Balancer), until)
+    replay = Replay(records, module, narrating(module.Balancer), until)
     lines: list[str] = []
     begun = [0]
 
--- a/shedgrade/sidecar/lifecycle/operator_orders.py
+++ b/shedgrade/sidecar/lifecycle/operator_orders.py
@@ -52,7 +52,7 @@
         pool = self.sidecar.pool
         (self.disabled.add if disable else self.disabled.discard)(name)
         text = "nothing more goes there" if disable else "it is back, as cold"
-        pool.turn.ordered(pool.reader.indices.index(name), disable, lambda: reply(True, text))
+        pool.dispatcher.set_withdrawn(pool.reader.indices.index(name), disable, lambda: reply(True, text))
 
     def apply_remote(self, call: str, name: str) -> None:
         """An order that came to the other process of a hot restart: out, back, drain or resume."""
--- a/shedgrade/sidecar/lifecycle/shutdown.py
+++ b/shedgrade/sidecar/lifecycle/shutdown.py
@@ -71,7 +71,7 @@
     def in_flight(self) -> int:
         """Connections and requests that are still to end."""
         sidecar = self.sidecar
-        own = len(sidecar.front.clients) + len(sidecar.pool.turn.in_hand)
+        own = len(sidecar.front.clients) + len(sidecar.pool.dispatcher.active_requests)
         return own + sum(feature.in_flight() for feature in sidecar.features)
 
     def conclude(self) -> None:
@@ -83,8 +83,8 @@
         logger.warning(
             "connections cut at shutdown",
             connections=len(sidecar.front.clients),
-            requests_answered=sum(len(pool.turn.in_hand) for pool in pools),
+            requests_answered=sum(len(pool.dispatcher.active_requests) for pool in pools),
         )
         for pool in pools:
-            pool.turn.conclude()
+            pool.dispatcher.conclude()
         self.loop.call_later(LAST_ANSWERS_S, self.done.set)
--- a/shedgrade/sidecar/lifecycle/sidecar.py
+++ b/shedgrade/sidecar/lifecycle/sidecar.py
@@ -84,7 +84,7 @@
             sidecar=self.config.name,
             before=self.phase.value,
             after=phase.value,
-            in_flight=len(self.pool.turn.in_hand),
+            in_flight=len(self.pool.dispatcher.active_requests),
         )
         self.phase = phase
 
@@ -257,10 +257,10 @@
             indices = pool.reader.indices.by_id
             for level, names in initial.doubted.items():
                 rows = [indices[name] for name in names]
-                pool.turn.doubted(rows, saved.config.trust.ends, level == "last resort")
+                pool.dispatcher.mark_unverified(rows, saved.config.trust.ends, level == "last resort")
             learned = saved.learned_state(initial, indices)
             if learned is not None:
-                pool.turn.restore(learned, initial.learned_age_s)
+                pool.dispatcher.restore(learned, initial.learned_age_s)
             pool.reader.version = None
         saved.start()
         self.save_learned(saved)
@@ -270,5 +270,5 @@
         if self.phase is Phase.CLOSED:
             return
         if self.pool.source == "discovery":
-            saved.save_learned(self.pool.turn.export(), self.pool.reader.indices.ids)
+            saved.save_learned(self.pool.dispatcher.export(), self.pool.reader.indices.ids)
         self.loop.call_later(saved.config.state_s, self.save_learned, saved)
--- a/shedgrade/sidecar/quota/gate.py
+++ b/shedgrade/sidecar/quota/gate.py
@@ -7,7 +7,7 @@
 from collections import Counter
 from random import Random
 
-from shedgrade.in_flight import Carried
+from shedgrade.in_flight import ActiveRequest
 from shedgrade.sidecar.quota.builder import build_tree, update_tree
 from shedgrade.sidecar.quota.config import Quota
 from shedgrade.sidecar.quota.fleet_share import FleetShare
@@ -69,12 +69,16 @@
 
     # --- requests
 
-    def identity(self, carried: Carried) -> list[str]:
+    def identity(self, active_request: ActiveRequest) -> list[str]:
         """Who is asking, from the outermost name to the leaf; [] if any of them is missing."""
         found: list[bytes]
-        headers = carried.request.headers
+        headers = active_request.request.headers
         if self.quota.source == "login":
-            found = [name.encode() for name in carried.who.split("/")] if carried.who else []
+            found = (
+                [name.encode() for name in active_request.client_name.split("/")]
+                if active_request.client_name
+                else []
+            )
             if len(found) != len(self.identity_names):
                 return []
         elif self.quota.source == "header":
@@ -86,10 +90,12 @@
             found = [attributes.get(name, b"") for name in self.identity_names]
         return [value.decode("latin-1") for value in found] if all(found) else []
 
-    def enter(self, now: int, carried: Carried, method: int, is_retry: bool, luck: float) -> Ticket | int:
+    def enter(
+        self, now: int, active_request: ActiveRequest, method: int, is_retry: bool, luck: float
+    ) -> Ticket | int:
         """A ticket, or tenths of a millisecond to stay away. `is_retry`: the client marks it so; `luck`: the
         balancer's draw, by which the cheap are given up first."""
-        leaf = self.tree.find(now, self.identity(carried), self.default_leaf)
+        leaf = self.tree.find(now, self.identity(active_request), self.default_leaf)
         work = max(1, round(self.estimates.get(method, self.quota.estimate_ms)))
         luck = 0.0 if self.payoffs_alike else luck
         result = self.tree.admit(now, leaf, {"requests": 1, "work": work}, luck, is_retry)
@@ -118,7 +124,7 @@
     # --- the fleet
 
     def record_answer(self, upstream: int, count: bytes) -> None:
-        """An upstream's answer carried its count; what is no count is not looked at."""
+        """An upstream's answer active_request its count; what is no count is not looked at."""
         if self.share is not None and count.isdigit() and len(count) <= MAX_COUNT_DIGITS:
             self.share.record_answer(upstream, int(count))
 
--- a/shedgrade/sidecar/shadow_policy/part.py
+++ b/shedgrade/sidecar/shadow_policy/part.py
@@ -9,22 +9,24 @@
 from shedgrade.sidecar.lifecycle.settings_checks import shape_problem
 from shedgrade.sidecar.shadow_policy.config import overlaid
 from shedgrade.sidecar.shadow_policy.follower import Follower
-from shedgrade.sidecar.shadow_policy.shadow import Watched
+from shedgrade.sidecar.shadow_policy.shadow import ShadowedBalancer
 from shedgrade.upstream_pool.errors import ConfigError
 
 SECOND = 10_000
 
 
-class WatchPart(Feature):
+class ShadowPolicyPart(Feature):
     """Made before the sidecar, as it makes what stands in the decisions' place (`decisions`)."""
 
     def __init__(self, config, path: str, inner: Callable | None = None) -> None:
         """`inner`: makes the decisions, where another part (capture) does."""
-        self.config, self.path, self.inner = config, path, inner or load_balancing.Balancer
-        self.watched: Watched | None = None
+        self.config = config
+        self.path = path
+        self.inner = inner or load_balancing.Balancer
+        self.watched: ShadowedBalancer | None = None
         self.tell_at = 0
 
-    def decisions(self, settings: dict, seed: int, now: int) -> Watched:
+    def decisions(self, settings: dict, seed: int, now: int) -> ShadowedBalancer:
         """As a Balancer is made. Only the platform's own pool is watched."""
         other = overlaid(settings, self.config.settings)
         wrong = shape_problem(other)
@@ -38,7 +40,7 @@
         if wrong is not None:
             raise ConfigError(f"{self.path}: watch.{wrong}")
         self.tell_at = now + int(self.config.every_s * SECOND)
-        self.watched = Watched(
+        self.watched = ShadowedBalancer(
             self.inner(settings, seed, now),
             lambda: Follower(other, seed, now),
             lambda fresh: overlaid(fresh, self.config.settings),
@@ -46,18 +48,22 @@
         return self.watched
 
     def join(self, sidecar) -> None:
-        sidecar.pool.turn.watchers = (*sidecar.pool.turn.watchers, self)
+        """Takes its place in the sidecar, as an observer of dispatch passes."""
+        sidecar.pool.dispatcher.observers = (*sidecar.pool.dispatcher.observers, self)
         sidecar.features.append(self)
 
     def after_turn(self, now: int, late: int) -> None:
+        """Tells the differences so far, at most each `every_s`."""
         if now >= self.tell_at:
             self.tell_at = now + int(self.config.every_s * SECOND)
-            logger.info("watching: {}", self.watched.line())
+            logger.info("shadow policy compared", differences=self.watched.line())
 
     # --- the sidecar's life
 
     def start(self) -> None:
-        logger.info("watching is on, {} settings differ", len(self.config.settings))
+        """Tells that the comparison is on."""
+        logger.info("shadow policy started", settings=len(self.config.settings))
 
     def close(self) -> None:
-        logger.info("watching: {}", self.watched.line())
+        """Tells the differences of the whole run."""
+        logger.info("shadow policy compared", differences=self.watched.line())
--- a/tests/sidecar/capture/test_part.py
+++ b/tests/sidecar/capture/test_part.py
@@ -108,7 +108,7 @@
 
     shutil.copytree(Path(load_balancing.__file__).parent, tmp_path / "decide")
     zones = tmp_path / "decide/zones.py"
-    zones.write_text(zones.read_text().replace("MARGIN = 0.5 ", "MARGIN = -9.0 "))
+    zones.write_text(zones.read_text().replace("LOAD_MARGIN = 0.5 ", "LOAD_MARGIN = -9.0 "))
     from capture_world import capture
 
     path = tmp_path / "c.sgc"
@@ -155,7 +155,7 @@
         pass
     writer.put(data, True)
     writer.close()
-    assert len(told) == 1 and "cannot be written" in told[0]
+    assert len(told) == 1 and "Not a directory" in told[0]
     assert not writer.put(data, False)
 
 
--- a/tests/sidecar/size/test_size.py
+++ b/tests/sidecar/size/test_size.py
@@ -81,7 +81,9 @@
         with pytest.raises((asyncio.IncompleteReadError, ConnectionError)):  # no last chunk
             await read_body(reader, headers)
         writer.close()
-        await until(lambda: world.bytes_held() == 0 and not world.sidecar.pool.turn.in_hand.carried)
+        await until(
+            lambda: world.bytes_held() == 0 and not world.sidecar.pool.dispatcher.active_requests.requests
+        )
 
 
 @on_sockets
@@ -102,7 +104,10 @@
                 with pytest.raises((asyncio.IncompleteReadError, ConnectionError)):
                     await exchange(world, post("Content-Length: 0", target=target, name=target))
                 await until(lambda ends=ends: ends)
-                assert ends == [load_balancing.DROPPED] and not world.sidecar.pool.turn.in_hand.carried
+                assert (
+                    ends == [load_balancing.DROPPED]
+                    and not world.sidecar.pool.dispatcher.active_requests.requests
+                )
 
 
 @on_sockets
@@ -115,13 +120,13 @@
 
     async with Sized(slow) as world:
         asking = asyncio.create_task(exchange(world, post("Content-Length: 0", wait=300)))
-        up = world.sidecar.pool.balancer.ups[0]
+        up = world.sidecar.pool.balancer.upstreams[0]
         await asyncio.sleep(0.6)
-        assert up.flight + up.held == 1
+        assert up.in_flight + up.background_load == 1
         status, _, body = await asking
         assert status == 200 and body == pattern(100_000)
-        await until(lambda: up.flight == 0)
-        assert up.took < 5000  # what is learnt is the time to the first bytes
+        await until(lambda: up.in_flight == 0)
+        assert up.observed_duration < 5000  # what is learnt is the time to the first bytes
 
 
 @on_sockets
@@ -160,14 +165,17 @@
 @on_sockets
 async def test_a_long_answer_that_goes_on_in_the_pass_in_which_its_time_is_up_goes_on():
     async with Sized(echo) as world:
-        turn, flowing = world.sidecar.pool.turn, world.sidecar.pool.turn.flowing
+        dispatcher, response_started = (
+            world.sidecar.pool.dispatcher,
+            world.sidecar.pool.dispatcher.response_started,
+        )
 
         def just_in_time(transmission, answer, at):
-            transmission.until = world.sidecar.clock.now()
-            turn.limit(transmission, transmission.until)
-            flowing(transmission, answer, at)
+            transmission.expires_at = world.sidecar.clock.now()
+            dispatcher.add_expiry(transmission, transmission.expires_at)
+            response_started(transmission, answer, at)
 
-        turn.flowing = just_in_time
+        dispatcher.response_started = just_in_time
         body = pattern(300_000)
         status, _, got = await exchange(world, post("Content-Length: 300000") + body)
         assert (status, got) == (200, body)
@@ -239,7 +247,9 @@
         await until(lambda: world.upstreams[0].open == 1)
         writer.close()
         await until(lambda: world.upstreams[0].open == 0)
-        await until(lambda: world.bytes_held() == 0 and not world.sidecar.pool.turn.in_hand.carried)
+        await until(
+            lambda: world.bytes_held() == 0 and not world.sidecar.pool.dispatcher.active_requests.requests
+        )
         assert not world.upstreams[0].seen
 
 
@@ -296,7 +306,9 @@
         assert not one.transport.is_closing()
         one.progress_at -= 10
         one.check_timeouts(world.sidecar.loop.time())
-        await until(lambda: not world.sidecar.pool.turn.in_hand.carried and world.bytes_held() == 0)
+        await until(
+            lambda: not world.sidecar.pool.dispatcher.active_requests.requests and world.bytes_held() == 0
+        )
         await until(lambda: world.upstreams[0].open == 0)
         writer.close()
 
@@ -487,10 +499,10 @@
 
     async with Sized(long, long, long, pace=4e6) as world:
         world.sidecar.budget.limit(1024, 24)
-        world.sidecar.pool.balancer.sums = [100.0, 150.0, 10.0, 250.0, 15.0]
-        world.sidecar.pool.balancer.fit()
+        world.sidecar.pool.balancer.latency_sums = [100.0, 150.0, 10.0, 250.0, 15.0]
+        world.sidecar.pool.balancer.fit_latency()
         for zone in world.sidecar.pool.balancer.zones:
-            zone.window = 1000.0
+            zone.concurrency_limit = 1000.0
         most, sidecar = [0], world.sidecar
         body = b"x" * (2 * MEGABYTE)
 
