--- a/benchmarks/system.py
+++ b/benchmarks/system.py
@@ -141,7 +141,7 @@
     held.begin_term(1)
     print(f"core applies {count} entries of the platform: {spent(lambda: held.apply_poll(0.0, told)):.1f} ms")
     print(f"core applies the same again: {spent(lambda: held.apply_poll(1.0, told), 3):.1f} ms")
-    whole = held.answer(0, 0, 1.0)
+    whole = held.update_since(0, 0, 1.0)
     raw = control_messages.encode(whole)
     print(
         f"whole list encoded: {spent(lambda: control_messages.encode(whole), 3):.1f} ms, {len(raw)} bytes, "
@@ -154,9 +154,11 @@
     base = held.version
     told[5] = {**told[5], "state": "draining"}
     print(f"core applies one that moved: {spent(lambda: held.apply_poll(2.0, told)):.1f} ms")
-    delta = held.answer(*base, 2.0)
+    delta = held.update_since(*base, 2.0)
     small = control_messages.encode(delta)
-    print(f"delta of one: {spent(lambda: held.answer(*base, 2.0), 100):.4f} ms to make, {len(small)} bytes")
+    print(
+        f"delta of one: {spent(lambda: held.update_since(*base, 2.0), 100):.4f} ms to make, {len(small)} bytes"
+    )
     taken = spent(lambda: state.apply_endpoint_list(control_messages.decode(small)), 3)
     print(f"edge takes a delta of one: {taken:.1f} ms")
 
@@ -221,7 +223,7 @@
                 rpc.decide(now)
                 flight.append(rpc)
                 if len(flight) > 60:
-                    flight.pop(random.randrange(60)).ended(now, 0, COMPLETED, 1000, True)
+                    flight.pop(random.randrange(60)).attempt_finished(now, 0, COMPLETED, 1000, True)
 
             spent(one, 5000)
             print(
