--- a/benchmarks/system.py
+++ b/benchmarks/system.py
@@ -156,9 +156,8 @@
     print(f"core applies one that moved: {spent(lambda: held.apply_poll(2.0, told)):.1f} ms")
     delta = held.update_since(*base, 2.0)
     small = control_messages.encode(delta)
-    print(
-        f"delta of one: {spent(lambda: held.update_since(*base, 2.0), 100):.4f} ms to make, {len(small)} bytes"
-    )
+    made = spent(lambda: held.update_since(*base, 2.0), 100)
+    print(f"delta of one: {made:.4f} ms to make, {len(small)} bytes")
     taken = spent(lambda: state.apply_endpoint_list(control_messages.decode(small)), 3)
     print(f"edge takes a delta of one: {taken:.1f} ms")
 
