--- a/shedgrade/sidecar/tunnel/assemble.py
+++ b/shedgrade/sidecar/tunnel/assemble.py
@@ -136,7 +136,7 @@
         elif self.tunnels is not None:
             self.tunnels.renew(features.tunnel, self.routes(features))
         if later:
-            logger.info("only a start changes {}", ", ".join(later))
+            logger.info("restart needed for tunnel settings", names=", ".join(later))
 
     def tick(self) -> None:
         for name, front in self.fronts.items():
@@ -173,7 +173,7 @@
             self.tunnels.close()
             moved, refused = self.tunnels.bytes_moved, dict(self.tunnels.refused)
             logger.info(
-                "tunnels: {} inspected, {} bytes relayed, refused {}", self.tunnels.inspected, moved, refused
+                "tunnel totals", inspected=self.tunnels.inspected, bytes_relayed=moved, refused=refused
             )
         for name, pool in self.pools.items():
             if name != MAIN:
--- a/shedgrade/sidecar/tunnel/dialler.py
+++ b/shedgrade/sidecar/tunnel/dialler.py
@@ -36,13 +36,13 @@
         row."""
         if now >= self.aside_until:
             if not self.failures:
-                logger.warning("proxy {} failed, left alone for now: {}", self.name, why)
+                logger.warning("proxy failed, ejected for now", proxy=self.name, error=why)
             self.failures += 1
             self.aside_until = now + min(REST[1], REST[0] * 2 ** (self.failures - 1))
 
     def worked(self) -> None:
         if self.failures:
-            logger.info("proxy {} works again", self.name)
+            logger.info("proxy recovered", proxy=self.name)
         self.failures, self.aside_until = 0, 0.0
 
 
--- a/shedgrade/sidecar/tunnel/listener.py
+++ b/shedgrade/sidecar/tunnel/listener.py
@@ -316,7 +316,7 @@
             except (BlockingIOError, ConnectionAbortedError):
                 return
             except OSError as failure:
-                logger.warning("accepting tunnels failed: {}", failure.strerror)
+                logger.warning("accepting tunnels failed", error=failure.strerror)
                 return
             # Guards plain RPCs: tunnels have a number of their own, and never the last descriptors.
             if len(self.live) + len(self.taking) >= self.config.most or self.budget.full(8):
@@ -324,7 +324,7 @@
                 connection.close()
                 if self.loop.time() >= self.full_told + BETWEEN:
                     self.full_told = self.loop.time()
-                    logger.warning("{} tunnels: no room for more, new ones are closed", len(self.live))
+                    logger.warning("tunnel limit reached, new tunnels closed", tunnels=len(self.live))
                 continue
             task = self.loop.create_task(self.take(connection, kind))
             self.taking.add(task)
