--- a/shedgrade/http/listener.py
+++ b/shedgrade/http/listener.py
@@ -3,7 +3,7 @@
 import select
 import socket
 
-from shedgrade.http.application import ApplicationConnection
+from shedgrade.http.rpc_connection import RpcConnection
 from shedgrade.runtime.log import logger
 
 BACKLOG = 1024  # connections that the kernel holds while the loop is busy
@@ -20,7 +20,7 @@
         loop,
         front,
         address: tuple[str, int],
-        connection=ApplicationConnection,
+        connection=RpcConnection,
         shared: bool = False,
         given: socket.socket | None = None,
     ) -> None:
@@ -42,11 +42,13 @@
         (self.pause if other else self.resume)()
 
     def resume(self) -> None:
+        """Accepts connections from now on."""
         if not self.accepting and not self.handed_over and self.socket.fileno() >= 0:
             self.accepting = True
             self.loop.add_reader(self.socket, self.accept)
 
     def pause(self) -> None:
+        """Accepts no connections until `resume`; the kernel holds those that come."""
         if self.accepting:
             self.accepting = False
             self.loop.remove_reader(self.socket)
@@ -60,6 +62,7 @@
         return bool(poll.poll(0))
 
     def accept(self) -> None:
+        """Accepts what waits, as far as there is room."""
         for _ in range(AT_ONCE):
             # Guards against a crowd: out of descriptors, the kernel's queue would be thrown away.
             if not self.front.make_room():
@@ -74,7 +77,7 @@
                 # Guards against a loop that spins: what waits stays there, so it is asked again in a while.
                 if self.loop.time() >= self.told + LOG_INTERVAL:
                     self.told = self.loop.time()
-                    logger.warning("accepting failed: {}", failure.strerror)
+                    logger.warning("accepting failed", error=failure.strerror)
                 self.pause()
                 self.loop.call_later(PAUSE, self.resume)
                 return
@@ -83,11 +86,13 @@
             task.add_done_callback(self.tasks.discard)
 
     async def take(self, connection: socket.socket) -> None:
+        """Hands an accepted connection to the event loop."""
         try:
             await self.loop.connect_accepted_socket(lambda: self.connection(self.front), connection)
         except (OSError, RuntimeError):  # it was gone before it was taken up
             connection.close()
 
     def close(self) -> None:
+        """Stops listening."""
         self.pause()
         self.socket.close()
--- a/shedgrade/http/server_connection.py
+++ b/shedgrade/http/server_connection.py
@@ -13,9 +13,9 @@
 import httptools
 
 from shedgrade.findings import Finding
-from shedgrade.http.connection import LONGEST_HEAD, Connection
-from shedgrade.http.http import REASONS as COMMON_REASONS
-from shedgrade.http.http import relative
+from shedgrade.http.connection import Connection
+from shedgrade.http.message_grammar import MAX_HEAD_BYTES, origin_form
+from shedgrade.http.message_grammar import REASON_PHRASES as COMMON_REASONS
 from shedgrade.http.server_messages import Reply, Request, failure, rejection
 
 if TYPE_CHECKING:
@@ -29,7 +29,7 @@
     500: b"Internal Server Error",
 }
 MAX_BODY_BYTES = 8 * 1024 * 1024
-MAX_RAW_HEAD_BYTES = 4 * LONGEST_HEAD  # as it came, with what the parser has not passed on
+MAX_RAW_HEAD_BYTES = 4 * MAX_HEAD_BYTES  # as it came, with what the parser has not passed on
 IDLE_TIMEOUT_S = 30.0  # for the next request
 REQUEST_TIMEOUT_S = 10.0  # for the head, and from then on for each BODY_STEP_BYTES of the body
 BODY_STEP_BYTES = 64 * 1024
@@ -274,7 +274,7 @@
         self.head_bytes += len(name) + len(value) + 4
         if self.head_complete:
             return  # a trailer, which nobody here asks for
-        if self.head_bytes > LONGEST_HEAD:
+        if self.head_bytes > MAX_HEAD_BYTES:
             self.reject(431, "has too long a head")
             return
         name = name.lower()
@@ -285,7 +285,7 @@
         """Called by the parser."""
         self.head_complete = True
         self.state_since = self.server.loop.time()
-        if self.head_bytes > LONGEST_HEAD:
+        if self.head_bytes > MAX_HEAD_BYTES:
             self.reject(431, "has too long a head")
         elif int(self.headers.get(b"content-length", b"0")) > MAX_BODY_BYTES:
             self.reject(413, "has too long a body")
@@ -316,7 +316,7 @@
         if self.stops_parsing:
             return
         self.has_begun = False
-        path, _, query = relative(self.target).partition(b"?")
+        path, _, query = origin_form(self.target).partition(b"?")
         pairs = parse_qsl(query.decode(errors="replace"), keep_blank_values=True) if query else ()
         request = Request(
             self.parser.get_method(),
--- a/shedgrade/sidecar/lifecycle/hot_restart.py
+++ b/shedgrade/sidecar/lifecycle/hot_restart.py
@@ -10,7 +10,7 @@
 
 from loguru import logger
 
-from shedgrade.http.discovery import ListError
+from shedgrade.http.endpoint_discovery import ListError
 from shedgrade.sidecar.lifecycle.hot_restart_link import (
     VERSION,
     HandoverLink,
@@ -166,7 +166,7 @@
             self.newer.close()
         self.newer = link
         self.loop.call_later(READY_TIMEOUT_S, self.on_ready_timeout, link)
-        self.descriptors_stated = self.sidecar.budget.held() + SPARE_DESCRIPTORS
+        self.descriptors_stated = self.sidecar.budget.connections() + SPARE_DESCRIPTORS
         self.sidecar.budget.cap(self.descriptors_stated)
         self.sidecar.pool.dispatcher.set_slow_start_share(0.5)
         link.send(self.state().to_message(), self.sidecar.listener.socket.fileno())
@@ -237,7 +237,7 @@
     def tick(self) -> None:
         """Now and then: the older one gives back the descriptors that it no longer holds."""
         if self.newer is not None and self.newer_accepts:
-            held = self.sidecar.budget.held()
+            held = self.sidecar.budget.connections()
             if held < self.descriptors_stated:
                 self.descriptors_stated = held
                 self.sidecar.budget.cap(held)
--- a/shedgrade/sidecar/lifecycle/sidecar.py
+++ b/shedgrade/sidecar/lifecycle/sidecar.py
@@ -11,9 +11,9 @@
 
 from shedgrade import load_balancing
 from shedgrade.buffers.budget import Budget
-from shedgrade.http.application import ApplicationConnection
-from shedgrade.http.discovery import ListError
+from shedgrade.http.endpoint_discovery import ListError
 from shedgrade.http.listener import Listener
+from shedgrade.http.rpc_connection import RpcConnection
 from shedgrade.runtime.clock import Clock
 from shedgrade.sidecar.admin.front import MAX_CONNECTIONS, AdminConnection, AdminFront
 from shedgrade.sidecar.lifecycle import reload, reload_signal
@@ -149,7 +149,7 @@
             self.start_from_saved(self.pool.saved)
         listening_socket = self.hot_restart.take_over()
         self.start_from_configured()
-        self.listener = self.listen(self.config.listen, self.front, ApplicationConnection, listening_socket)
+        self.listener = self.listen(self.config.listen, self.front, RpcConnection, listening_socket)
         self.start_admin()
         self.pool.follow(self.config.discovery)
         for feature in self.features:
@@ -216,7 +216,7 @@
         self.admin = AdminFront(self.loop, self.orders)
         self.admin_listener = self.listen(self.config.admin, self.admin, AdminConnection)
         self.admin_listener.resume()
-        self.budget.keep(MAX_CONNECTIONS + 1)
+        self.budget.reserve(MAX_CONNECTIONS + 1)
 
     def tick(self) -> None:
         """Now and then: clients that are overdue, and whatever features look at."""
--- a/shedgrade/upstream_pool/front.py
+++ b/shedgrade/upstream_pool/front.py
@@ -28,10 +28,10 @@
         pool: "Pool",
         budget: Budget,
         ready: Callable[[], bool],
-        leaving: Callable[[], bool],
+        draining: Callable[[], bool],
     ) -> None:
         """`ready`: what `/up` answers; `leaving`: answers end their connection, as the process drains."""
-        self.loop, self.pool, self.budget, self.ready, self.leaving = loop, pool, budget, ready, leaving
+        self.loop, self.pool, self.budget, self.ready, self.draining = loop, pool, budget, ready, draining
         self.dispatcher = pool.dispatcher
         self.clients: dict = {}
         self.accepting: set = set()  # connections that were accepted and are being taken up
@@ -40,10 +40,12 @@
 
     @property
     def methods(self) -> dict[bytes, int]:
+        """Numbers of methods, by name."""
         return self.pool.methods
 
     @property
     def tenants(self) -> int:
+        """How many tenants the settings name."""
         return self.pool.tenants
 
     def tenant_of(self, name: bytes) -> int:
@@ -51,6 +53,7 @@
         return self.pool.tenant_names.get(name, self.pool.tenants)
 
     def opened(self, connection) -> None:
+        """A client has connected."""
         self.clients[connection] = None
         self.budget.clients += 1
 
@@ -60,13 +63,14 @@
             self.clients[connection] = None
 
     def closed(self, connection) -> None:
+        """A client's connection is lost."""
         if self.clients.pop(connection, self) is None:
             self.budget.clients -= 1
 
     def crowded(self) -> bool:
         """Guards against connections that ask once and stay: their owners run out of connections before this
         side does, so here answers end their connection."""
-        return len(self.clients) >= self.budget.most_clients // CROWDED
+        return len(self.clients) >= self.budget.max_clients // CROWDED
 
     def make_room(self) -> bool:
         """Room for one more connection of the application: the longest unused idle one goes.
@@ -76,7 +80,7 @@
         """
         if not self.budget.full_of_clients(len(self.accepting)):
             return True
-        if self.budget.full(len(self.accepting)) and self.pool.caller.give_up_idle():
+        if self.budget.full(len(self.accepting)) and self.pool.connections.give_up_idle():
             return True
         unused = next((one for one in self.clients if one.idle()), None) or next(
             (one for one in self.clients if not one.unanswered() and not one.unread()), None
@@ -86,11 +90,12 @@
             unused.cut()
         if self.loop.time() >= self.crowd_told + BETWEEN:
             self.crowd_told = self.loop.time()
-            logger.warning("{} connections of the application: unused ones are closed", len(self.clients))
+            logger.warning("client connections over budget, closing idle ones", connections=len(self.clients))
         return unused is not None
 
     def room_for(self, count: int) -> bool:
-        return self.budget.asked + count <= self.budget.most_bytes
+        """Whether a request of so many bytes may be held."""
+        return self.budget.request_bytes + count <= self.budget.max_bytes
 
     def look_after(self) -> None:
         """Guards against clients that take up room: nothing said, half a request, an answer not taken."""
@@ -98,7 +103,7 @@
         self.looked = monotonic()
         now = self.loop.time()
         for connection in list(self.clients):
-            connection.overdue(now)
+            connection.check_timeouts(now)
 
     def stalled(self) -> bool:
         """This process stood still a moment ago: what is read now may have waited long for it."""
--- a/tests/dataplane/stepped_clients.py
+++ b/tests/dataplane/stepped_clients.py
@@ -137,11 +137,11 @@
             routes=Routes(routes, {"east": 0}),
             services={"lm": self.pool},
             ready=lambda: True,
-            leaving=lambda: False,
+            draining=lambda: False,
             takes=lambda longest_s: True,
-            returns_in=lambda: 0.0,
+            retry_after_s=lambda: 0.0,
         )
-        self.front = IngressFront(self.loop, plane, self.pool.caller.budget, Random(7))
+        self.front = IngressFront(self.loop, plane, self.pool.connections.budget, Random(7))
 
     def body_of(self, arrival, number, status):
         path = "/" + arrival.path.split("/")[1] + "/"
--- a/tests/dataplane/test_ingress.py
+++ b/tests/dataplane/test_ingress.py
@@ -394,7 +394,7 @@
             while not plane.front.clients:
                 await asyncio.sleep(0)
             for connection in plane.front.clients:
-                connection.overdue(plane.loop.time() + 0.8 * 9.0)
+                connection.check_timeouts(plane.loop.time() + 0.8 * 9.0)
             client.send(request(name="id-2"))
             assert await client.head() == 200 and await client.body() == b"free: 4"
 
@@ -420,7 +420,7 @@
         east, west = Upstream("i-1", serve_all), Upstream("i-2", serve_all)
         async with sidecar(configuration(route()), east, west, zones={"i-2": "z2"}) as plane:
             plane.state.evacuated = frozenset({"z1"})
-            plane.state.relist(["lm"])
+            plane.state.update_services(["lm"])
             await asyncio.sleep(0)
             client, _ = await answered(plane, request())
         assert client.status == 200 and not east.requests
@@ -520,7 +520,7 @@
         async with sidecar(configuration(route(route_class="unsafe", max_attempts=1)), upstream) as plane:
             address = f"127.0.0.1:{server.sockets[0].getsockname()[1]}"
             other = Endpoint("i-2", "lm", address, "z1", "available")
-            plane.state.moved(EndpointUpdate(2, 1, 0.0, changed=(other,)))
+            plane.state.apply_endpoint_list(EndpointUpdate(2, 1, 0.0, changed=(other,)))
             long = 3 * 1024 * 1024
             client = await Client().open(plane)
             client.send(
@@ -604,7 +604,7 @@
             assert await client.head() == 200
             await client.body()
             (connection,) = plane.front.clients
-            connection.since -= JUST_UP
+            connection.waiting_since -= JUST_UP
             plane.front.close_idle()
             assert connection.transport.is_closing()
 
@@ -626,7 +626,7 @@
             async with asyncio.timeout(5):
                 await taken.wait()
             (connection,) = plane.front.clients
-            connection.since -= JUST_UP
+            connection.waiting_since -= JUST_UP
             plane.front.close_idle()
             go_on.set()
             assert await client.head() == 200 and await client.body() == b"whole"
@@ -647,8 +647,8 @@
             writer.write(chunk(events(2, 3)) + LAST)
 
         async with sidecar(configuration(route()), Upstream("i-1", stream)) as plane:
-            plane.left, plane.returns_in = True, lambda: 3.0
-            plane.takes = lambda longest_s: asked.append(longest_s) or longest_s <= 1.0
+            plane.left, plane.retry_after_s = True, lambda: 3.0
+            plane.accepts = lambda longest_s: asked.append(longest_s) or longest_s <= 1.0
             for number in range(ENOUGH + 1):
                 await answered(plane, request(name=f"a{number}", token_usage="10,15", wait=900))
             assert min(asked) < 0.9 and asked[0] == 0.9
@@ -688,9 +688,9 @@
         async with sidecar(configuration(route(route_class="safe")), Upstream("i-1", more)) as plane:
             client, _ = await answered(plane, request())
             assert client.headers["x-own"] == "kept" and "keep-alive" not in client.headers
-            assert plane.services["lm"].caller.idle.limit == 90_000
-            plane.services["lm"].caller.idle_timeout_stated(3)
-            assert plane.services["lm"].caller.idle.limit == 20_000
+            assert plane.services["lm"].connections.idle.limit == 90_000
+            plane.services["lm"].connections.idle_timeout_stated(3)
+            assert plane.services["lm"].connections.idle.limit == 20_000
 
     run(play())
 
@@ -720,10 +720,10 @@
             async def unreached(factory, address):
                 raise TimeoutError
 
-            pool.caller.connect = unreached
+            pool.connections.connect = unreached
             task = asyncio.ensure_future(pool.probe(index))
             await task
-            pool.caller.connect = pool.caller.direct
+            pool.connections.connect = pool.connections.direct
             body = await client.body()
             assert body == events(3, 4) and pool.balancer.upstreams[index].ejected_until
 
@@ -749,7 +749,7 @@
             if refuses:
                 upstream.server.close()
             index = pool.indices.by_id["i-1"]
-            pool.caller.waiting_since[index] -= 100_000
+            pool.connections.waiting_since[index] -= 100_000
             pool.probe_silent()
             await asyncio.gather(*pool.tasks)
             pool.dispatcher.run()
@@ -769,14 +769,16 @@
             at = [state.now()]
             state.now = lambda: at[0]
             told = state.instances["i-1"]
-            state.moved(EndpointUpdate(1, 2, 0.0, 1, 1, (msgspec.structs.replace(told, cold_left_ms=3000),)))
+            state.apply_endpoint_list(
+                EndpointUpdate(1, 2, 0.0, 1, 1, (msgspec.structs.replace(told, cold_left_ms=3000),))
+            )
             until = pool.balancer.warming_up_until[index]
             at[0] += 2.0
-            state.relist(["lm"])
+            state.update_services(["lm"])
             left = pool.balancer.warming_up_until[index] - pool.clock.now()
             assert 9_000 <= left <= 10_000 and pool.balancer.warming_up_until[index] < until
             at[0] += 2.0
-            state.relist(["lm"])
+            state.update_services(["lm"])
             assert pool.balancer.warming_up_until[index] <= pool.clock.now()
 
     run(play())
@@ -792,11 +794,11 @@
             index = pool.indices.by_id["i-1"]
             at = [state.now()]
             state.now = lambda: at[0]
-            state.controlled(ControlChange(1, 2, 7, None, ("z1",)))
-            state.controlled(ControlChange(1, 3, 7, None, ()))
+            state.apply_control(ControlChange(1, 2, 7, None, ("z1",)))
+            state.apply_control(ControlChange(1, 3, 7, None, ()))
             assert 29_000 <= pool.balancer.warming_up_until[index] - pool.clock.now() <= 30_000
             at[0] += 3.1
-            state.relist(["lm"])
+            state.update_services(["lm"])
             assert pool.balancer.warming_up_until[index] <= pool.clock.now()
 
     run(play())
--- a/tests/dataplane/test_asking.py
+++ b/tests/dataplane/test_watcher.py
@@ -1,4 +1,5 @@
-"""Asking: whom an edge asks, what it takes, and how soon it hears, in virtual time against real hubs."""
+"""The control client: which member an edge watches, what it takes, and how soon it hears, in virtual time
+against real hubs."""
 
 from heapq import heappop, heappush
 from itertools import count
@@ -22,7 +23,17 @@
 )
 from shedgrade.controlplane.endpoint_list import EndpointList
 from shedgrade.controlplane.watch_hub import WatchHub
-from shedgrade.dataplane.control_client import Watcher
+from shedgrade.dataplane.control_client import (
+    ApplyUpdates,
+    EdgeChangedEvent,
+    MembersDiscoveredEvent,
+    OwnListAppliedEvent,
+    RequestFailedEvent,
+    ResponseEvent,
+    SendWatchRequest,
+    TickEvent,
+    Watcher,
+)
 
 SEEDS = ("10.1.0.14:7300", "10.2.0.41:7300", "10.3.0.12:7300")
 EDGE = EdgeStatus("edge-1", "10.1.0.12:8263", "north-a", "north", 5)
@@ -53,13 +64,13 @@
     """Core members with hubs, one edge, and a network between them. `silent`: hears and says nothing;
     `refusing`: its port is dead; `old`: does not hear the primary or of the list."""
 
-    def __init__(self, seed=1, way=0.01, seeds=SEEDS, beat=1.0, numbered=True) -> None:
+    def __init__(self, seed=1, way=0.01, seeds=SEEDS, max_wait_s=1.0, numbered=True) -> None:
         self.random, self.now, self.events, self.order = Random(seed), 100.0, [], count()
         self.way = dict.fromkeys(SEEDS, way)
         self.hubs = {address: WatchHub(self.now) for address in SEEDS}
         self.lists = {address: EndpointList(lambda: self.now) for address in SEEDS}
         self.silent, self.refusing, self.old = set(), set(), set()
-        self.beat_at, self.asked, self.numbered = {}, [], numbered
+        self.asked, self.numbered = [], numbered
         self.open: dict[int, object] = {}
         self.known: dict[str, object] = {}
         self.told: list[tuple[float, object]] = []
@@ -68,7 +79,7 @@
         self.polls.begin_term(1)
         self.names = ["a", "b"]
         self.at(0.0, self.beat)
-        self.asker = Watcher(EDGE, seeds, self.random, self.now, beat=beat)
+        self.watcher = Watcher(EDGE, seeds, self.random, self.now, max_wait_s=max_wait_s)
         self.carry_out()
 
     def at(self, after: float, call, *args) -> None:
@@ -78,7 +89,7 @@
         until = self.now + seconds
         while True:
             due = [(self.events[0][0], 0)] if self.events else []
-            due.append((max(self.now, self.asker.wake_at()), 1))
+            due.append((max(self.now, self.watcher.wake_at()), 1))
             due += [(max(self.now, hub.wake_at()), address) for address, hub in self.hubs.items()]
             at, who = min(due, key=lambda pair: pair[0])
             if at > until:
@@ -88,50 +99,60 @@
                 _, _, call, args = heappop(self.events)
                 call(*args)
             elif who == 1:
-                self.asker.tick(self.now)
+                self.watcher.handle_event(TickEvent(self.now))
             else:
                 self.hubs[who].tick(self.now)
             self.carry_out()
         self.now = until
 
     def carry_out(self) -> None:
-        effects, self.asker.effects[:] = list(self.asker.effects), []
-        for effect in effects:
-            self.asked.append((self.now, effect.address, effect.ask.wait_s))
-            self.open[effect.number] = effect
-            way = self.way.get(effect.address, 0.01)
-            if effect.address not in self.hubs or effect.address in self.refusing:
-                self.at(way, self.report, effect, None)
-            else:
-                self.at(way, self.arrives, effect)
-                self.at(effect.timeout, self.report, effect, None)
-        for update in self.asker.updates:
-            self.told.append((self.now, update))
-            self.apply(update)
-        self.asker.updates.clear()
-
-    def arrives(self, effect) -> None:
-        if effect.address in self.silent:
+        self.watcher.check_invariants()
+        for instruction in self.watcher.take_instructions():
+            match instruction:
+                case SendWatchRequest():
+                    self.send(instruction)
+                case ApplyUpdates(updates):
+                    for update in updates:
+                        self.told.append((self.now, update))
+                        self.apply(update)
+
+    def handle(self, event) -> None:
+        self.watcher.handle_event(event)
+        self.watcher.check_invariants()
+
+    def send(self, sent) -> None:
+        assert sent.is_probe == (sent.request.wait_s == 0)
+        self.asked.append((self.now, sent.address, sent.request.wait_s))
+        self.open[sent.number] = sent
+        way = self.way.get(sent.address, 0.01)
+        if sent.address not in self.hubs or sent.address in self.refusing:
+            self.at(way, self.report, sent, None)
+        else:
+            self.at(way, self.arrives, sent)
+            self.at(sent.timeout_s, self.report, sent, None)
+
+    def arrives(self, sent) -> None:
+        if sent.address in self.silent:
             return
-        ask = decode(encode(effect.ask))
-        self.hubs[effect.address].watch(
+        ask = decode(encode(sent.request))
+        self.hubs[sent.address].watch(
             self.now,
             ask,
-            lambda told: self.at(self.way[effect.address], self.comes, effect, decode(encode(told))),
+            lambda told: self.at(self.way[sent.address], self.comes, sent, decode(encode(told))),
         )
 
-    def comes(self, effect, told) -> None:
-        if effect.address not in self.silent:
-            self.report(effect, told)
+    def comes(self, sent, told) -> None:
+        if sent.address not in self.silent:
+            self.report(sent, told)
 
-    def report(self, effect, told) -> None:
-        if self.open.pop(effect.number, None) is None:
+    def report(self, sent, told) -> None:
+        if self.open.pop(sent.number, None) is None:
             return
-        number = [effect.number] if self.numbered else []
+        number = [sent.number] if self.numbered else []
         if told is None:
-            self.asker.failed(self.now, effect.address, *number)
+            self.handle(RequestFailedEvent(self.now, sent.address, *number))
         else:
-            self.asker.answered(self.now, effect.address, told, *number)
+            self.handle(ResponseEvent(self.now, sent.address, told, *number))
 
     def apply(self, update) -> None:
         match update:
@@ -169,7 +190,7 @@
                 hub.apply_control_state(self.now, self.epoch, self.sequence, state(version, *zones))
 
 
-def test_two_are_asked_at_the_start_and_one_from_then_on():
+def test_two_members_are_asked_at_the_start_and_one_from_then_on():
     world = World()
     world.change(3)
     assert [at for at, _, _ in world.asked] == [100.0, 100.0]
@@ -180,7 +201,7 @@
     world.run(3.0)  # the third is measured in the meantime
     world.asked.clear()
     world.run(20.0)
-    assert {address for _, address, _ in world.asked} == {world.asker.main.address}
+    assert {address for _, address, _ in world.asked} == {world.watcher.preferred_member.address}
     assert len(world.asked) == pytest.approx(20, abs=2)
 
 
@@ -193,11 +214,11 @@
     world.run(0.06)
     assert "configuration" in world.known
     world.run(1.0)
-    assert world.asker.counts.edge_count == 1 and world.asker.counts.members == SEEDS
+    assert world.watcher.received.counts.edge_count == 1 and world.watcher.received.counts.members == SEEDS
 
 
 @pytest.mark.parametrize("numbered", [True, False])
-def test_what_moves_is_heard_within_one_way(numbered):
+def test_changes_are_received_within_one_way(numbered):
     world = World(numbered=numbered)
     world.run(5.3)
     world.change(3)
@@ -225,11 +246,11 @@
 
 
 @pytest.mark.parametrize("seed", range(4))
-def test_the_nearest_is_asked(seed):
+def test_the_closest_member_is_preferred(seed):
     world = World(seed)
     world.way = dict(zip(SEEDS, (0.035, 0.0009, 0.036), strict=True))
     world.run(5.0)
-    assert world.asker.main.address == SEEDS[1]
+    assert world.watcher.preferred_member.address == SEEDS[1]
     world.asked.clear()
     world.run(100.0)
     far = [address for _, address, _ in world.asked if address != SEEDS[1]]
@@ -239,19 +260,21 @@
 @pytest.mark.parametrize("numbered", [True, False])
 @pytest.mark.parametrize("how", ["silent", "refusing"])
 @pytest.mark.parametrize("seed", range(4))
-def test_another_is_asked_when_the_main_one_dies_and_the_near_one_when_it_is_back(seed, how, numbered):
+def test_another_member_is_preferred_when_one_dies_and_the_close_one_when_it_is_back(seed, how, numbered):
     world = World(seed, numbered=numbered)
     world.way = dict(zip(SEEDS, (0.001, 0.035, 0.036), strict=True))
     world.run(5.0)
-    assert world.asker.main.address == SEEDS[0]
+    assert world.watcher.preferred_member.address == SEEDS[0]
     getattr(world, how).add(SEEDS[0])
     world.change(3)
     world.run(2.0)
     assert world.known["configuration"] == state(3)["configuration"]
-    assert world.asker.main.address != SEEDS[0] and world.asker.lost(world.now) < 1.2
+    assert (
+        world.watcher.preferred_member.address != SEEDS[0] and world.watcher.response_age_s(world.now) < 1.2
+    )
     getattr(world, how).discard(SEEDS[0])
     world.run(7.0)
-    assert world.asker.main.address == SEEDS[0]
+    assert world.watcher.preferred_member.address == SEEDS[0]
 
 
 def test_dead_members_are_not_asked_all_the_time():
@@ -272,42 +295,48 @@
     world.asked.clear()
     world.run(30.0)
     assert 30 < len(world.asked) < 130
-    assert world.asker.lost(world.now) > 28 and world.known["configuration"] == state(3)["configuration"]
+    assert (
+        world.watcher.response_age_s(world.now) > 28
+        and world.known["configuration"] == state(3)["configuration"]
+    )
     getattr(world, how).clear()
     world.change(4)
     world.run(1.2)
-    assert world.known["configuration"] == state(4)["configuration"] and world.asker.lost(world.now) < 1.2
+    assert (
+        world.known["configuration"] == state(4)["configuration"]
+        and world.watcher.response_age_s(world.now) < 1.2
+    )
 
 
-def test_the_platform_is_asked_only_when_all_are_silent_and_at_a_share():
+def test_the_platform_is_polled_only_when_all_members_are_silent_and_at_a_share_of_its_rate():
     world = World()
     world.run(5.0)
-    assert world.asker.own_poll(world.now, 40.0) is None
+    assert world.watcher.platform_poll_interval_s(world.now, 40.0) is None
     world.silent.update(SEEDS)
     world.run(5.0)
-    assert world.asker.own_poll(world.now, 40.0) == 3.0
-    world.asker.counts = FleetView(540, SEEDS)
-    assert world.asker.own_poll(world.now, 40.0) == pytest.approx(54.0)
-    assert Watcher(EDGE, SEEDS, Random(1), 0.0).own_poll(3.5, 4.0) == 3.0
+    assert world.watcher.platform_poll_interval_s(world.now, 40.0) == 3.0
+    world.watcher.received.counts = FleetView(540, SEEDS)
+    assert world.watcher.platform_poll_interval_s(world.now, 40.0) == pytest.approx(54.0)
+    assert Watcher(EDGE, SEEDS, Random(1), 0.0).platform_poll_interval_s(3.5, 4.0) == 3.0
 
 
 def test_an_edge_that_applied_its_own_list_is_told_the_whole_next_and_none_older():
     world = World()
     world.run(2.0)
-    held = world.asker.upstreams
+    held = world.watcher.received.endpoint_list
     world.silent.update(SEEDS)
     world.run(4.0)
     world.known["list"] = {}
-    world.asker.departed(world.now)
+    world.handle(OwnListAppliedEvent(world.now))
     moved = EndpointUpdate(held[0], held[1] - 1, 0.5)
-    assert not world.asker.newer_list(world.now, moved)
+    assert not world.watcher.received.is_newer_list(world.now, moved)
     world.silent.clear()
     world.run(2.0)
-    assert set(world.known["list"]) == {"a", "b"} and world.asker.upstreams == held
+    assert set(world.known["list"]) == {"a", "b"} and world.watcher.received.endpoint_list == held
 
 
 @pytest.mark.parametrize("seed", range(4))
-def test_where_its_word_is_old_others_are_asked_and_the_fresher_one_kept(seed):
+def test_where_a_member_is_stale_others_are_probed_and_the_fresher_one_preferred(seed):
     world = World(seed)
     world.way = dict(zip(SEEDS, (0.001, 0.035, 0.036), strict=True))
     world.change(3)
@@ -317,19 +346,20 @@
     world.change(4)
     world.run(3.0)
     assert world.known["configuration"] == state(4)["configuration"]
-    assert world.asker.main.address != SEEDS[0]
+    assert world.watcher.preferred_member.address != SEEDS[0]
     world.run(3.0)
-    assert world.asker.main.address != SEEDS[0]
+    assert world.watcher.preferred_member.address != SEEDS[0]
     world.old.clear()
     world.run(5.0)
-    assert world.asker.main.address != SEEDS[0]  # it hears the primary again, and knows less than the edge
+    # It hears the primary again, and knows less than the edge.
+    assert world.watcher.preferred_member.address != SEEDS[0]
     world.change(5)
     world.run(40.0)
-    assert world.asker.main.address == SEEDS[0]
+    assert world.watcher.preferred_member.address == SEEDS[0]
     assert world.known["configuration"] == state(5)["configuration"]
 
 
-def test_all_old_are_asked_in_turn_but_not_all_the_time():
+def test_stale_members_are_probed_in_turn_but_not_all_the_time():
     world = World()
     world.change(3)
     world.run(3.0)
@@ -341,13 +371,13 @@
     assert len(world.asked) < 35
 
 
-def test_a_changed_state_is_told_at_once_and_the_replaced_ask_costs_nothing():
+def test_a_changed_edge_state_is_sent_at_once_and_the_replaced_request_costs_nothing():
     for numbered in (True, False):
         world = World(numbered=numbered)
         world.run(5.5)
-        main = world.asker.main
-        world.asker.changed(world.now, msgspec.structs.replace(EDGE, state=READY))
-        world.asker.changed(world.now, msgspec.structs.replace(EDGE, state=READY))
+        main = world.watcher.preferred_member
+        world.handle(EdgeChangedEvent(world.now, msgspec.structs.replace(EDGE, state=READY)))
+        world.handle(EdgeChangedEvent(world.now, msgspec.structs.replace(EDGE, state=READY)))
         world.carry_out()
         assert sum(at == world.now for at, _, _ in world.asked) == 1
         world.run(0.02)
@@ -355,17 +385,19 @@
         assert seen.ready
         for step in range(30):
             world.run(0.1 * (step % 4))
-            world.asker.changed(world.now, msgspec.structs.replace(EDGE, state=READY, in_flight=step))
+            changed = msgspec.structs.replace(EDGE, state=READY, in_flight=step)
+            world.handle(EdgeChangedEvent(world.now, changed))
             world.carry_out()
         world.run(5.0)
-        assert world.asker.main is main and main.failures == 0 and world.asker.lost(world.now) < 1.1
+        assert world.watcher.preferred_member is main and main.failures == 0
+        assert world.watcher.response_age_s(world.now) < 1.1
 
 
-def test_an_edge_that_leaves_tells_two():
+def test_an_edge_that_drains_tells_two_members():
     world = World()
     world.run(5.0)
-    world.silent.add(world.asker.main.address)
-    world.asker.changed(world.now, msgspec.structs.replace(EDGE, state=LEAVING))
+    world.silent.add(world.watcher.preferred_member.address)
+    world.handle(EdgeChangedEvent(world.now, msgspec.structs.replace(EDGE, state=LEAVING)))
     world.carry_out()
     world.run(0.1)
     assert any(
@@ -378,7 +410,7 @@
 def test_members_named_by_answers_are_asked_and_dead_seeds_no_more():
     world = World(seeds=("10.9.0.1:7300", "10.9.0.2:7300", SEEDS[0]))
     world.run(10.0)
-    assert {member.address for member in world.asker.members.values() if member.named} == set(SEEDS)
+    assert {member.address for member in world.watcher.members.values() if member.listed} == set(SEEDS)
     world.asked.clear()
     world.run(40.0)
     assert not any(address.startswith("10.9") for _, address, _ in world.asked)
@@ -387,46 +419,46 @@
     assert any(address.startswith("10.9") for _, address, _ in world.asked)
 
 
-def test_an_answer_that_can_not_be_read_is_the_members_failure():
+def test_a_response_that_can_not_be_read_is_the_members_failure():
     world = World()
     world.run(5.0)
     broken = WatchResponse(ControlChange(9, 9, 9, b"junk", (), True), None, 1, SEEDS, 0.0, 0.0)
-    world.asker.answered(world.now, world.asker.main.address, broken)
-    assert world.asker.control == (0, 0) and not world.asker.updates
+    world.handle(ResponseEvent(world.now, world.watcher.preferred_member.address, broken))
+    assert world.watcher.received.control == (0, 0) and not world.watcher.received.updates
 
 
-def test_older_answers_and_answers_to_older_asks_change_nothing():
+def test_older_responses_and_responses_to_older_requests_change_nothing():
     world = World()
     world.change(3)
     world.change(3, "south-a")
     world.run(5.0)
-    asker, address = world.asker, world.asker.main.address
-    assert asker.control == (1, 2) and asker.version == 3
+    watcher, address = world.watcher, world.watcher.preferred_member.address
+    assert watcher.received.control == (1, 2) and watcher.received.configuration_version == 3
     for change in (
         ControlChange(1, 1, 2, b"old"),
         ControlChange(1, 2, 3, b"same"),
         ControlChange(0, 9, 9, b"old"),
         ControlChange(1, 3, 4, None),
     ):
-        asker.answered(world.now, address, WatchResponse(change, None, 1, SEEDS, 0.0, 0.0, 1.0))
-    assert asker.control == (1, 2) and asker.version == 3
-    term, number = asker.upstreams
+        world.handle(ResponseEvent(world.now, address, WatchResponse(change, None, 1, SEEDS, 0.0, 0.0, 1.0)))
+    assert watcher.received.control == (1, 2) and watcher.received.configuration_version == 3
+    term, number = watcher.received.endpoint_list
     for moved in (
         EndpointUpdate(term, number - 1, 0.0),
         EndpointUpdate(term, number + 9, 0.0, term, number + 8),
         EndpointUpdate(term, number, 0.0),
     ):
-        asker.answered(world.now, address, WatchResponse(None, moved, 1, SEEDS, 0.0, 0.0, 1.0))
-    assert asker.upstreams == (term, number) and not [
-        update for update in asker.updates if not isinstance(update, FleetView)
+        world.handle(ResponseEvent(world.now, address, WatchResponse(None, moved, 1, SEEDS, 0.0, 0.0, 1.0)))
+    assert watcher.received.endpoint_list == (term, number) and not [
+        update for update in watcher.received.updates if not isinstance(update, FleetView)
     ]
 
 
-def test_a_fleet_whose_poller_began_anew_is_heard_again():
+def test_a_fleet_whose_poller_started_again_is_heard_again():
     world = World()
     world.polls.begin_term(7)
     world.run(3.0)
-    assert world.asker.upstreams[0] == 7
+    assert world.watcher.received.endpoint_list[0] == 7
     for address, hub in world.hubs.items():
         world.lists[address] = EndpointList(lambda: world.now)
         hub.endpoint_list = None
@@ -434,18 +466,23 @@
     world.polls.begin_term(1)
     world.names = ["z"]
     world.run(6.0)
-    assert set(world.known["list"]) == {"z"} and world.asker.list_age(world.now) < 1.5
+    assert set(world.known["list"]) == {"z"} and world.watcher.received.list_age_s(world.now) < 1.5
 
 
-def test_an_answer_that_was_long_under_way_is_as_old_as_its_ask():
+def test_a_response_that_was_long_under_way_is_as_old_as_its_request():
     world = World()
     world.run(5.0)
-    asker, main = world.asker, world.asker.main
-    call = main.call
+    watcher, main = world.watcher, world.watcher.preferred_member
+    call = main.pending
     world.now += 20.0
-    asker.answered(world.now, main.address, WatchResponse(None, None, 1, SEEDS, 0.25, 0.25, 0.5), call.number)
-    assert main.stale > 15.0
-    assert [effect.ask.wait_s for effect in asker.effects if effect.address != main.address] == [0.0]
+    world.handle(
+        ResponseEvent(
+            world.now, main.address, WatchResponse(None, None, 1, SEEDS, 0.25, 0.25, 0.5), call.number
+        )
+    )
+    assert main.staleness_s > 15.0
+    sent = [one for one in watcher.take_instructions() if isinstance(one, SendWatchRequest)]
+    assert [one.request.wait_s for one in sent if one.address != main.address] == [0.0]
 
 
 def test_no_members_at_all_and_one_only():
@@ -454,11 +491,11 @@
     world.change(3)
     world.run(0.1)
     assert "configuration" in world.known
-    assert Watcher(EDGE, SEEDS, Random(1), 0.0).list_age(5.0) == UNKNOWN_AGE_S
+    assert Watcher(EDGE, SEEDS, Random(1), 0.0).received.list_age_s(5.0) == UNKNOWN_AGE_S
 
 
 @pytest.mark.parametrize("seed", range(60))
-def test_any_troubles_end_in_the_newest_soon_after_them(seed):
+def test_any_faults_end_in_the_newest_state_soon_after_them(seed):
     world = World(seed, way=0.02, numbered=seed % 2 == 0)
     chance, version = Random(seed), 0
     for _ in range(60):
@@ -487,3 +524,38 @@
     assert world.known["configuration"] == state(version // 2 + 2)["configuration"]
     assert world.known["evacuations"] == ("end",) and set(world.known["list"]) == set(world.names)
     assert len(world.asked) / (world.now - 100.0) < 8
+
+
+def test_members_that_others_speak_of_are_remembered_and_asked_only_when_all_listed_fail():
+    world = World()
+    world.run(1.0)
+    found = "10.9.0.7:7300"
+    world.handle(MembersDiscoveredEvent((found,)))
+    world.run(10.0)
+    assert not world.watcher.members[found].listed
+    assert found not in {address for _, address, _ in world.asked}
+    world.refusing.update(SEEDS)
+    world.run(5.0)
+    assert found in {address for _, address, _ in world.asked}
+
+
+@pytest.mark.parametrize(
+    "broken",
+    [
+        lambda watcher: setattr(watcher.preferred_member, "failures", 1),
+        lambda watcher: watcher.members.pop(watcher.preferred_member.address),
+        lambda watcher: watcher.preferred_member.unreported.clear(),
+        lambda watcher: setattr(watcher.received, "withheld_until", 7.0),
+        lambda watcher: setattr(watcher.received, "endpoint_list", (9, 9)),
+        lambda watcher: setattr(watcher, "request_number", 0),
+    ],
+    ids=["failed", "unknown", "pending unreported", "withheld", "list over its floor", "number"],
+)
+def test_the_check_of_invariants_finds_what_is_broken(broken):
+    world = World()
+    world.change(3)
+    world.run(5.0)
+    world.watcher.check_invariants()
+    broken(world.watcher)
+    with pytest.raises(AssertionError):
+        world.watcher.check_invariants()
--- a/tests/sidecar/crossings/test_customers.py
+++ b/tests/sidecar/crossings/test_customers.py
@@ -9,7 +9,7 @@
 from test_watches import Asked, quick
 
 from shedgrade import load_balancing
-from shedgrade.http import discovery
+from shedgrade.http import endpoint_discovery
 from shedgrade.sidecar.lifecycle.settings_checks import completeness_problem, shape_problem
 
 TENANTS = [{"name": name, "share": 0.5, "allowance_per_s": 50.0} for name in ("guild-a", "zünfte b")]
@@ -84,7 +84,10 @@
                 and "s-far" not in world.sidecar.pool.reader.told
             )
             # It is asked for again before that: what was spoilt on its way comes whole.
-            assert sum("after=1&" in call for call in world.agent.calls) >= discovery.UNSOUND
+            assert (
+                sum("after=1&" in call for call in world.agent.calls)
+                >= endpoint_discovery.INVALID_LISTS_BEFORE_PARTIAL
+            )
 
     scenario()
 
--- a/tests/simulation/planted_system_faults.py
+++ b/tests/simulation/planted_system_faults.py
@@ -15,7 +15,7 @@
 from shedgrade.controlplane.commands import CommandReply
 from shedgrade.controlplane.deduplication import AcceptanceStatus
 from shedgrade.controlplane.watch_hub import PendingWatch, WatchHub
-from shedgrade.dataplane.control_client import Watcher
+from shedgrade.dataplane.received_state import ReceivedState
 from shedgrade.replication.effects import Decision
 
 
@@ -136,8 +136,8 @@
         finally:
             self.control = before
 
-    take = Watcher.newer_control
-    monkeypatch.setattr(Watcher, "newer_control", newer_control)
+    take = ReceivedState.newer_control
+    monkeypatch.setattr(ReceivedState, "newer_control", newer_control)
     monkeypatch.setattr(WatchHub, "has_update", lambda self, watch: self.now - watch.at > 0.1)
     answer = WatchHub.answer
 
