--- a/shedgrade/controlplane/platform_poller.py
+++ b/shedgrade/controlplane/platform_poller.py
@@ -13,7 +13,7 @@
 import orjson
 
 from shedgrade.controlplane.endpoint_list import EndpointList, PlatformEntry
-from shedgrade.http.endpoint_discovery import DiscoveryConnection, ListError
+from shedgrade.http.discovery_connection import DiscoveryConnection, ListError
 from shedgrade.process_settings import CloudApi
 from shedgrade.runtime.log import logger
 
--- a/shedgrade/http/endpoint_discovery.py
+++ b/shedgrade/http/endpoint_discovery.py
@@ -4,12 +4,10 @@
 from collections.abc import Callable
 from math import inf
 
-import httptools
 import orjson
 
 from shedgrade import load_balancing
-from shedgrade.http.connection import Connection
-from shedgrade.http.message_grammar import ResponseError
+from shedgrade.http.discovery_connection import DiscoveryConnection, ListError
 from shedgrade.load_balancing.upstream_indices import Addresses, Indices, tenths
 from shedgrade.runtime.log import logger
 
@@ -32,7 +30,6 @@
     2.0  # s at the longest where calls wait in turn and it has no list: it has too much to do
 )
 MAX_ENTRY_LOGGED = 200  # characters
-MAX_LIST_BYTES = 8 * 1024 * 1024  # bytes: tens of thousands of upstreams
 STATE_BY_LIFECYCLE = {
     "in_service": load_balancing.READY,
     "terminating": load_balancing.DRAINING,
@@ -40,10 +37,6 @@
 }
 
 
-class ListError(Exception):
-    """An answer that is no list of upstreams."""
-
-
 class ListReader:
     """Turns what discovery says into rows for the decisions and addresses for the connections."""
 
@@ -163,60 +156,6 @@
         )
 
 
-class DiscoveryConnection(Connection):
-    """One connection to discovery; one call at a time."""
-
-    def __init__(self) -> None:
-        super().__init__()
-        self.response: asyncio.Future | None = None
-        self.heard: float | None = None  # when bytes of this answer last came, on the loop's clock
-
-    def call(self, target: bytes, host: bytes, answered: asyncio.Future) -> None:
-        """Sends a GET; `answered` gets (status, body), or an exception."""
-        self.response, self.body, self.length, self.heard = answered, [], 0, None
-        self.parser = httptools.HttpResponseParser(self)
-        self.write(b"GET %s HTTP/1.1\r\nHost: %s\r\nAccept: application/json\r\n\r\n" % (target, host))
-
-    def read(self) -> None:
-        """Bytes have come."""
-        self.heard = asyncio.get_running_loop().time()
-        for part in self.incoming.parts():
-            try:
-                if self.response is None:
-                    raise ResponseError("bytes that nobody asked for")
-                self.parser.feed_data(part)
-            except (httptools.HttpParserError, ResponseError) as failure:
-                self.fail(ListError(f"broken answer: {failure}"))
-                self.transport.abort()
-                break
-        self.incoming.consume(len(self.incoming))
-
-    def on_body(self, body: bytes) -> None:
-        """A part of the body has come. ResponseError if the list is too long."""
-        self.body.append(body)
-        self.length += len(body)
-        if self.length > MAX_LIST_BYTES:
-            raise ResponseError("list too long")
-
-    def on_message_complete(self) -> None:
-        """The response is complete."""
-        answered, self.response = self.response, None
-        if not self.parser.should_keep_alive():
-            self.transport.close()
-        if answered is not None and not answered.done():
-            answered.set_result((self.parser.get_status_code(), b"".join(self.body)))
-
-    def fail(self, failure: Exception) -> None:
-        """The call that is pending has failed."""
-        answered, self.response = self.response, None
-        if answered is not None and not answered.done():
-            answered.set_exception(failure)
-
-    def connection_lost(self, failure: Exception | None) -> None:
-        """The connection is closed."""
-        self.fail(ConnectionError("connection lost"))
-
-
 class DiscoveryWatch:
     """Keeps the list up to date for as long as the sidecar runs."""
 
--- a/shedgrade/sidecar/lifecycle/hot_restart.py
+++ b/shedgrade/sidecar/lifecycle/hot_restart.py
@@ -10,7 +10,7 @@
 
 from loguru import logger
 
-from shedgrade.http.endpoint_discovery import ListError
+from shedgrade.http.discovery_connection import ListError
 from shedgrade.sidecar.lifecycle.hot_restart_link import (
     VERSION,
     HandoverLink,
--- a/shedgrade/sidecar/lifecycle/sidecar.py
+++ b/shedgrade/sidecar/lifecycle/sidecar.py
@@ -11,7 +11,7 @@
 
 from shedgrade import load_balancing
 from shedgrade.buffers.budget import Budget
-from shedgrade.http.endpoint_discovery import ListError
+from shedgrade.http.discovery_connection import ListError
 from shedgrade.http.listener import Listener
 from shedgrade.http.rpc_connection import RpcConnection
 from shedgrade.runtime.clock import Clock
--- a/shedgrade/sidecar/tunnel/assemble.py
+++ b/shedgrade/sidecar/tunnel/assemble.py
@@ -7,7 +7,7 @@
 import orjson
 from loguru import logger
 
-from shedgrade.http.endpoint_discovery import ListError
+from shedgrade.http.discovery_connection import ListError
 from shedgrade.sidecar.lifecycle.config import parse_address
 from shedgrade.sidecar.lifecycle.feature import Feature
 from shedgrade.sidecar.tunnel.config import MAIN, PoolTable, ProxyTable, secret, table
--- a/tests/controlplane/test_platform_poller.py
+++ b/tests/controlplane/test_platform_poller.py
@@ -12,7 +12,7 @@
 from shedgrade.control_messages import UNKNOWN_AGE_S, EndpointUpdate, decode, encode
 from shedgrade.controlplane.endpoint_list import EndpointList
 from shedgrade.controlplane.platform_poller import Poller
-from shedgrade.http.endpoint_discovery import DiscoveryConnection
+from shedgrade.http.discovery_connection import DiscoveryConnection
 from shedgrade.process_settings import CloudApi
 from shedgrade.runtime import log
 
--- a/tools/checks.py
+++ b/tools/checks.py
@@ -19,6 +19,7 @@
     "shedgrade/findings.py",
     "shedgrade/http/connection.py",
     "shedgrade/http/connection_pool.py",
+    "shedgrade/http/discovery_connection.py",
     "shedgrade/http/endpoint_discovery.py",
     "shedgrade/http/idle_connections.py",
     "shedgrade/http/inbound_connection.py",
