--- a/benchmarks/absence.py
+++ b/benchmarks/absence.py
@@ -11,14 +11,14 @@
 
 sys.path.insert(0, str(Path(__file__).parent.parent))
 
-from shedgrade.simulation.absence import AbsenceRun
+from shedgrade.simulation.replica_outages import ReplicaOutageRun
 
 
 def play(job: tuple[int, int]) -> tuple[int, list[str], int]:
     """(seed, findings, acknowledged changes)"""
     seed, tolerated = job
     try:
-        run = AbsenceRun(seed, tolerated)
+        run = ReplicaOutageRun(seed, tolerated)
         return seed, run.play(), sum(run.history.acknowledged)
     except Exception:  # a seed that raises is a finding like others
         return seed, [traceback.format_exc()], 0
--- a/benchmarks/catch_up.py
+++ b/benchmarks/catch_up.py
@@ -21,7 +21,7 @@
         f"{case.size // 1000} KB",
         f"{case.megabits:g} Mbit/s",
         f"{1000 * case.delay:g} ms",
-        f"{case.away}",
+        f"{case.missed}",
         "wiped" if case.wiped else "whole",
         "cut" if case.cut_after is not None else "no cut",
         time,
@@ -60,14 +60,14 @@
             megabits=megabits,
             delay=delay,
             before=options.before,
-            away=away,
+            missed=missed,
             wiped=options.wiped,
             cut_after=options.cut,
             interval=options.interval,
             keys=options.keys,
             all_links=options.all_links,
         )
-        for size, megabits, delay, away in itertools.product(
+        for size, megabits, delay, missed in itertools.product(
             options.sizes, options.megabits, options.delays, options.away
         )
     ]
--- a/benchmarks/crash_points.py
+++ b/benchmarks/crash_points.py
@@ -10,7 +10,7 @@
 
 sys.path.insert(0, str(Path(__file__).parent.parent))
 
-from shedgrade.simulation.crash_day import CrashDay
+from shedgrade.simulation.crash_enumeration import CrashEnumeration
 from shedgrade.storage import store
 
 
@@ -22,15 +22,15 @@
     options = parser.parse_args()
     store.MOST_RECORDS = options.records
     began = time.perf_counter()
-    report = CrashDay(options.changes, options.second_every).play()
-    for finding in report.wrong[:20]:
+    report = CrashEnumeration(options.changes, options.second_every).play()
+    for finding in report.violations[:20]:
         print(finding)
     took = time.perf_counter() - began
     print(
         f"{options.changes} changes: {report.first} losses of power, {report.second} second ones in a "
-        f"recovery, {report.deaths} deaths of the process, {len(report.wrong)} findings, {took:.1f} s"
+        f"recovery, {report.deaths} deaths of the process, {len(report.violations)} findings, {took:.1f} s"
     )
-    sys.exit(bool(report.wrong))
+    sys.exit(bool(report.violations))
 
 
 if __name__ == "__main__":
--- a/benchmarks/replication_seeds.py
+++ b/benchmarks/replication_seeds.py
@@ -11,29 +11,33 @@
 
 sys.path.insert(0, str(Path(__file__).parent.parent))
 
-from shedgrade.simulation.checkers import stretches
+from shedgrade.simulation.checkers import STABLE_AFTER_S, stable_spans
+from shedgrade.simulation.cluster import SimulatedCluster
 from shedgrade.simulation.register import OK
-from shedgrade.simulation.world import World
 
 
 def play(job):
     """(seed, findings, times from a primary's death to the next acknowledgement, times to acknowledge)"""
     seed, tolerated, profile = job
     try:
-        world = World(seed, tolerated, profile)
-        wrong = world.wrong()
+        cluster = SimulatedCluster(seed, tolerated, profile)
+        wrong = cluster.run_and_check()
     except Exception:  # a seed that raises is a finding like others
         return seed, [traceback.format_exc()], [], []
-    history = world.history
-    acks = sorted((call.ended, call.began) for call in history.calls if call.request and call.outcome == OK)
+    history = cluster.history
+    acks = sorted(
+        (call.completed_at, call.invoked_at)
+        for call in history.operations
+        if call.request and call.outcome == OK
+    )
     deaths = [
         next((ended - death for ended, _ in acks if ended > death), 99.0)
-        for death in history.deaths
+        for death in history.primary_deaths
         if death + 6 < history.end
     ]
     calm = [
         ended - began
-        for start, stop in stretches(history, history.end)
+        for start, stop in stable_spans(history.unstable_spans, history.end, STABLE_AFTER_S)
         for ended, began in acks
         if began >= start and ended <= stop
     ]
--- a/shedgrade/simulation/catch_up.py
+++ b/shedgrade/simulation/catch_up.py
@@ -1,4 +1,4 @@
-"""How a replica that was away catches up while changes go on: time, bytes sent to it, memory at the primary.
+"""How a replica that was down catches up while changes go on: time, bytes sent to it, memory at the primary.
 
 One core of three machines in virtual time. A client orders changes at a steady rate, whether or not the ones
 before are acknowledged; one machine is down for a number of changes, comes back with its disk or without, and
@@ -6,18 +6,25 @@
 
 from __future__ import annotations
 
+from collections.abc import Mapping
 from dataclasses import dataclass, replace
 from random import Random
+from typing import Any
 
-from shedgrade.replication import Decision, Member, Timing, Unavailable
+from shedgrade.replication import Decision, Member, Timing
 from shedgrade.simulation.clock import Scheduler
-from shedgrade.simulation.history import History
+from shedgrade.simulation.history import History, LoggedEvent, Position
 from shedgrade.simulation.machine import Machine
-from shedgrade.simulation.network import Network, bulk
+from shedgrade.simulation.network import Deliver, Network, payload_bytes
 
 BITS = 8
 MEGABIT = 1_000_000
-SMALL_MESSAGE = 100  # bytes that a message without bulk is counted as
+SMALL_MESSAGE = 100  # bytes that a message is counted as, beside its payload
+FAST_LINK_MEGABITS = 1000.0
+FOUNDING_S = 3.0  # before the first change
+STEP_S = 0.01  # between two looks at the members
+STEADY_S = 5.0  # after which the lag is measured, and for which
+STEADY_STEPS = 500
 
 
 @dataclass(frozen=True)
@@ -34,7 +41,7 @@
     megabits: float = 86.0
     delay: float = 0.035
     before: int = 0
-    away: int = 100
+    missed: int = 100
     wiped: bool = False
     cut_after: float | None = None
     cut_seconds: float = 2.0
@@ -42,7 +49,7 @@
     all_links: bool = False
     loss: float = 0.0
     patience: float = 60.0
-    was: str = "witness"
+    role: str = "witness"
     seed: int = 1
 
 
@@ -62,62 +69,84 @@
     acknowledged: float = 0.0
 
 
-class Links(Network):
-    """Each link with its own bandwidth; counts the bytes sent to one address."""
+class MeasuredNetwork(Network):
+    """Each link with its own bandwidth; counts the bytes sent to one address.
 
-    def __init__(self, *args, rate, counted: str, **options):
-        super().__init__(*args, **options)
-        self.rate, self.counted, self.bytes_sent = rate, counted, 0
+    Attributes:
+        case: the bandwidths.
+        counted: the address of the returning machine, "" before it is known.
+        bytes_sent: to that address.
+        losing: addresses whose links lose every message.
+    """
+
+    def __init__(self, case: CatchUpCase, clock: Scheduler, random: Random, deliver: Deliver) -> None:
+        super().__init__(
+            clock,
+            random,
+            deliver,
+            between_s=case.delay,
+            within_s=case.delay,
+            held_share=0.0,
+            loss=case.loss,
+        )
+        self.case = case
+        self.counted = ""
+        self.bytes_sent = 0
         self.losing: set[str] = set()
 
-    def send(self, sender: str, to: str, message) -> None:
-        if to == self.counted:
-            self.bytes_sent += bulk(message) + SMALL_MESSAGE
-        if self.losing & {sender, to}:
+    def send(self, sender: str, receiver: str, message: object) -> None:
+        """As on any network, with the link's own bandwidth."""
+        if receiver == self.counted:
+            self.bytes_sent += payload_bytes(message) + SMALL_MESSAGE
+        if self.losing & {sender, receiver}:
             return
-        self.bandwidth = self.rate(sender, to)
-        super().send(sender, to, message)
+        self.bandwidth = self.link_bandwidth(sender, receiver)
+        super().send(sender, receiver, message)
+
+    def link_bandwidth(self, sender: str, receiver: str) -> float:
+        """Bytes a second of one link."""
+        is_slow = self.case.all_links or self.counted in (sender, receiver)
+        return (self.case.megabits if is_slow else FAST_LINK_MEGABITS) * MEGABIT / BITS
 
 
 class CatchUpRun:
-    """Plays one case. Has what `Machine` needs of a world."""
-
-    def __init__(self, case: CatchUpCase, member_class=Member):
-        self.case, self.member_class = case, member_class
-        self.random, self.clock, self.history = Random(case.seed), Scheduler(), History()
-        self.tolerated, self.timing, self.tickets = 1, Timing(), 0
-        self.seeds = ("10.1.0.1:7300", "10.2.0.1:7300", "10.3.0.1:7300")
-        self.network = Links(
-            self.clock,
-            self.random,
-            self.deliver,
-            between=case.delay,
-            within=case.delay,
-            held_up=0.0,
-            loss=case.loss,
-            rate=self.rate,
-            counted="",
-        )
+    """Plays one case; the environment of its machines.
+
+    Attributes:
+        ordered, acknowledged: how many changes.
+        result: what was measured so far.
+    """
+
+    def __init__(self, case: CatchUpCase, member_class: type[Member] = Member) -> None:
+        self.case = case
+        self.member_class = member_class
+        self.random = Random(case.seed)
+        self.clock = Scheduler()
+        self.history = History()
+        self.tolerated = 1
+        self.timing = Timing()
+        self.tickets = 0
+        self.seeds: tuple[str, ...] = ("10.1.0.1:7300", "10.2.0.1:7300", "10.3.0.1:7300")
+        self.network = MeasuredNetwork(case, self.clock, self.random, self.deliver)
         self.machines = [Machine(self, f"m{at}", address, f"r{at}") for at, address in enumerate(self.seeds)]
         self.by_address = {machine.address: machine for machine in self.machines}
         self.network.region = {machine.address: machine.region for machine in self.machines}
-        self.ordered = self.acknowledged = 0
+        self.ordered = 0
+        self.acknowledged = 0
         self.result = CatchUpResult()
-        self.returned: Machine | None = None
-
-    def log(self, what: str, who: str = "") -> None:
-        self.history.events.append((self.clock.now, what, who))
 
-    def deliver(self, sender: str, to: str, message) -> None:
-        self.by_address[to].receive(sender, message)
+    def log(self, event: str, subject: str = "") -> None:
+        """Adds a line to the trace."""
+        self.history.events.append(LoggedEvent(self.clock.now, event, subject))
 
-    def rate(self, sender: str, to: str) -> float:
-        """Bytes a second of one link."""
-        thin = self.case.all_links or self.network.counted in (sender, to)
-        return (self.case.megabits if thin else 1000.0) * MEGABIT / BITS
+    def deliver(self, sender: str, receiver: str, message: object) -> None:
+        """A message arrives at an address."""
+        self.by_address[receiver].receive(sender, message)
 
-    def decide(self, state, number: int) -> Decision:
-        changes = {"configuration": number.to_bytes(8, "big") + bytes(self.case.size - 8)}
+    def decide(self, state: Mapping[str, bytes], number: int) -> Decision:
+        """Each change replaces the configuration; where the case says so it adds a small key."""
+        configuration = number.to_bytes(8, "big") + bytes(self.case.size - 8)
+        changes: dict[str, bytes | None] = {"configuration": configuration}
         if self.case.keys:
             changes[f"taken/{number}"] = b"%020d" % number
         return Decision(changes, number)
@@ -125,41 +154,46 @@
     # --- the client
 
     def order(self) -> None:
+        """Orders the next change of the primary, if there is one, and schedules the one after."""
         primary = self.primary()
         self.ordered += 1
         if primary is not None:
-            primary.ask("order", self.ordered, self.answered)
+            primary.submit_order(self.ordered, self.answered)
         self.clock.after(self.case.interval, self.order)
 
-    def answered(self, outcome) -> None:
-        if outcome is not None and not isinstance(outcome, Unavailable) and type(outcome) is int:
+    def answered(self, outcome: object) -> None:
+        """The outcome of an acknowledged change is its number."""
+        if type(outcome) is int:
             self.acknowledged += 1
 
     def primary(self) -> Machine | None:
-        return next((each for each in self.machines if each.up and each.member.role == "primary"), None)
+        """The machine whose member acts as primary."""
+        return next((m for m in self.machines if m.up and m.running_member.role == "primary"), None)
 
     # --- the run
 
     def play(self) -> CatchUpResult:
+        """The whole run: changes, the outage, the return, and the time after."""
         case, clock = self.case, self.clock
         for machine in self.machines:
             machine.start(True)
-        clock.run(3.0)
+        clock.run(FOUNDING_S)
         self.order()
-        clock.run(3.0 + case.before * case.interval)
-        machine = next(each for each in self.machines if each.member.role == case.was)
-        machine.kill(True)
+        clock.run(FOUNDING_S + case.before * case.interval)
+        machine = next(each for each in self.machines if each.running_member.role == case.role)
+        machine.lose_power()
         if case.wiped:
             machine.wipe()
         self.network.counted = machine.address
-        clock.run(clock.now + case.away * case.interval)
-        self.come_back(machine)
-        self.watch_until_caught_up(machine)
-        self.watch_steady(machine)
+        clock.run(clock.now + case.missed * case.interval)
+        self.restart(machine)
+        self.run_until_caught_up(machine)
+        self.measure_steady_lag(machine)
         self.result.acknowledged = self.acknowledged / self.ordered
         return self.result
 
-    def come_back(self, machine: Machine) -> None:
+    def restart(self, machine: Machine) -> None:
+        """The machine returns; where the case says so its links lose everything for a while."""
         self.network.bytes_sent = 0
         machine.start()
         if self.case.cut_after is not None:
@@ -167,38 +201,41 @@
             until = self.case.cut_after + self.case.cut_seconds
             self.clock.after(until, self.network.losing.discard, machine.address)
 
-    def watch_until_caught_up(self, machine: Machine) -> None:
-        began, target = self.clock.now, self.finished()
-        while self.clock.now < began + self.case.patience:
+    def run_until_caught_up(self, machine: Machine) -> None:
+        """Until the machine has what was committed at its return, or patience is over."""
+        returned_at, target = self.clock.now, self.committed()
+        while self.clock.now < returned_at + self.case.patience:
             self.step()
-            if machine.member.finished[:2] >= target:
-                self.result.caught_up = self.clock.now - began
+            if machine.running_member.finished[:2] >= target:
+                self.result.caught_up = self.clock.now - returned_at
                 break
         self.result.sent = self.network.bytes_sent
 
-    def watch_steady(self, machine: Machine) -> None:
-        self.clock.run(self.clock.now + 5.0)
+    def measure_steady_lag(self, machine: Machine) -> None:
+        """How far the machine is behind, and what is sent to it, once it has caught up."""
+        self.clock.run(self.clock.now + STEADY_S)
         sent = self.network.bytes_sent
-        for _ in range(500):
+        for _ in range(STEADY_STEPS):
             self.step()
-            lag = self.finished()[1] - machine.member.finished[1]
+            lag = self.committed()[1] - machine.running_member.finished[1]
             self.result.steady_lag = max(self.result.steady_lag, lag)
-        self.result.sent_rate = (self.network.bytes_sent - sent) / 5.0
+        self.result.sent_rate = (self.network.bytes_sent - sent) / STEADY_S
 
-    def finished(self) -> tuple[int, int]:
-        return max(each.member.finished[:2] for each in self.machines if each.up)
+    def committed(self) -> Position:
+        """The newest committed position that any member knows."""
+        return max(machine.running_member.finished[:2] for machine in self.machines if machine.up)
 
     def step(self) -> None:
-        self.clock.run(self.clock.now + 0.01)
+        """Plays a moment, and looks how much waits to be sent."""
+        self.clock.run(self.clock.now + STEP_S)
         for machine in self.machines:
-            if machine.up:
-                queued = queued_bytes(machine.member)
-                self.result.queued = max(self.result.queued, queued)
+            if machine.member is not None:
+                self.result.queued = max(self.result.queued, queued_bytes(machine.member))
 
 
 def queued_bytes(member: Member) -> int:
     """Bytes of the messages that wait at a member to be sent in pieces, each distinct value counted once."""
-    values = {}
+    values: dict[int, int] = {}
     for queue in member.pieces.queues.values():
         for outgoing in queue:
             if outgoing.body is not None:
@@ -207,5 +244,6 @@
     return sum(values.values())
 
 
-def play(case: CatchUpCase, **options) -> CatchUpResult:
+def play(case: CatchUpCase, **options: Any) -> CatchUpResult:
+    """Plays a case; `options` replace fields of it."""
     return CatchUpRun(replace(case, **options)).play()
--- a/shedgrade/simulation/checkers.py
+++ b/shedgrade/simulation/checkers.py
@@ -1,117 +1,180 @@
-"""Whether a history kept every promise. Each check returns what it found wrong, as text."""
+"""Checkers of a history. Each returns the violations that it found, as text.
+
+The operations are on one register with compare-and-set, so linearizability comes down to what is checked
+here: committed states form one chain, acknowledged changes are in it, refused ones are not, and no read
+returns a state older than what had completed before it was invoked.
+"""
 
 from __future__ import annotations
 
-from shedgrade.simulation.register import CONFLICT, OK, Put, chain, line
+from collections.abc import Iterable
+
+from shedgrade.replication import Reading
+from shedgrade.simulation.history import History, Operation, TimeSpan
+from shedgrade.simulation.register import CONFLICT, OK, Count, Put, change_line, change_lines, changes_in
 
-SETTLE, ACK, RESTART = 4.0, 5.0, 8.0
+STABLE_AFTER_S = 4.0  # without a fault, until the core counts as stable
+ACKNOWLEDGE_WITHIN_S = 5.0  # of a request while the core is stable
+RESTART_WITHIN_S = 8.0  # from all machines up again to the next acknowledgement
 
 
-def check(history, timely: bool = True) -> list[str]:
-    wrong = list(history.wrong)
-    wrong += one_chain(history)
-    wrong += acknowledged(history)
-    wrong += reads(history)
+def check(history: History, timely: bool = True) -> list[str]:
+    """All violations of a history. `timely`: time limits are checked too."""
+    violations = list(history.violations)
+    violations += check_single_chain(history)
+    violations += check_outcomes(history)
+    violations += check_reads(history)
     if timely:
-        wrong += in_time(history)
-        wrong += after_restarts(history)
-    return wrong
-
-
-def one_chain(history) -> list[str]:
-    """All finished states, by mark, are prefixes of one chain; each change is built on the one before."""
-    wrong, last, counter = [], b"", 0
-    for mark in sorted(history.states):
-        taken, count = history.states[mark]
-        if not taken.startswith(last):
-            wrong.append(f"the chain breaks at {mark}: {last[-60:]!r} and {taken[-60:]!r}")
-        if count < counter:
-            wrong.append(f"the counter goes back at {mark}")
-        last, counter = taken, count
+        violations += check_latency(history)
+        violations += check_restart_times(history)
+    return violations
+
+
+def check_single_chain(history: History) -> list[str]:
+    """All committed states are prefixes of one chain; each change is built on the one before."""
+    violations: list[str] = []
+    chain = b""
+    counter = 0
+    for position in sorted(history.states):
+        state = history.states[position]
+        if not state.changes.startswith(chain):
+            violations.append(f"the chain breaks at {position}: {chain[-60:]!r} and {state.changes[-60:]!r}")
+        if state.counter < counter:
+            violations.append(f"the counter goes back at {position}")
+        chain, counter = state.changes, state.counter
+    return violations + check_versions(chain)
+
+
+def check_versions(chain: bytes) -> list[str]:
+    """Each change of a chain names the version before it as its base, and a newer one as its own."""
+    violations: list[str] = []
     version = 0
-    for each in last.decode().split("\n")[:-1]:
-        base, after, _ = each.split()
-        if int(base) != version or int(after) <= version:
-            wrong.append(f"change {each!r} on top of {version}")
-        version = int(after)
-    return wrong
-
-
-def acknowledged(history) -> list[str]:
-    """What was acknowledged is in the chain, what was refused is not; each place was given once."""
-    taken = {each for states in history.states.values() for each in states[0].decode().split("\n")[:-1]}
-    final = set(history.states[max(history.states)][0].decode().split("\n")[:-1]) if history.states else set()
-    wrong, bases = [], {}
-    for call in history.calls:
-        if type(call.request) is not Put:
+    for line in change_lines(chain):
+        base, new_version, _ = line.split()
+        if int(base) != version or int(new_version) <= version:
+            violations.append(f"change {line!r} on top of {version}")
+        version = int(new_version)
+    return violations
+
+
+def check_outcomes(history: History) -> list[str]:
+    """What was acknowledged is in the chain, what was refused is not; each base was given once."""
+    committed = {line for state in history.states.values() for line in change_lines(state.changes)}
+    final: set[str] = set()
+    if history.states:
+        final.update(change_lines(history.states[max(history.states)].changes))
+    violations: list[str] = []
+    by_base: dict[int, str] = {}
+    for operation in history.operations:
+        put = operation.request
+        if not isinstance(put, Put):
             continue
-        mine = line(call.request)
-        if call.outcome == OK:
-            if mine not in final:
-                wrong.append(f"acknowledged and lost: {mine!r}")
-            if bases.setdefault(call.request.base, mine) != mine:
-                wrong.append(f"two acknowledged on {call.request.base}")
-        elif call.outcome == CONFLICT and mine in taken:
-            wrong.append(f"refused and in force: {mine!r}")
-    return wrong
-
-
-def reads(history) -> list[str]:
-    """A read tells of everything that was acknowledged, or read, before it began; so does a conflict."""
-    wrong: list[str] = []
-    ended = sorted((call for call in history.calls if call.outcome is not None), key=lambda c: c.ended)
-    done, low, count, most = 0, None, 0, 0
-    for call in sorted((call for call in ended if call.request is None), key=lambda c: c.began):
-        while done < len(ended) and ended[done].ended < call.began:
-            before = ended[done]
-            done += 1
-            if before.request is None:
-                most = max(most, len(chain(before.outcome.state)))
-                count = max(count, int(before.outcome.state.get("counter", b"0")))
-            elif before.outcome == OK:
-                if type(before.request) is Put:
-                    low = max(low or 0, before.request.version)
-                else:
-                    count = max(count, before.request.number)
-        state = call.outcome.state
-        if low is not None and int(state.get("version", b"0")) < low or len(chain(state)) < most:
-            wrong.append(f"an old read at {call.began:.3f}: {state.get('version')} after {low}")
-        if int(state.get("counter", b"0")) < count:
-            wrong.append(f"an old counter read at {call.began:.3f}")
-    return wrong
-
-
-def stretches(history, end: float) -> list[tuple[float, float]]:
-    """Spans throughout which the core was stable: no trouble, and none within SETTLE before."""
-    spans, at = [], 0.0
-    for start, stop in sorted(history.trouble):
-        if start > at:
-            spans.append((at, start))
-        at = max(at, stop + SETTLE)
-    if end > at:
-        spans.append((at, end))
+        line = change_line(put)
+        if operation.outcome == OK:
+            if line not in final:
+                violations.append(f"acknowledged and lost: {line!r}")
+            if by_base.setdefault(put.base, line) != line:
+                violations.append(f"two acknowledged on {put.base}")
+        elif operation.outcome == CONFLICT and line in committed:
+            violations.append(f"refused and in force: {line!r}")
+    return violations
+
+
+class KnownState:
+    """The least that a read must return: what completed operations have acknowledged or read.
+
+    `version`: of the newest acknowledged configuration, None before the first; `changes`: the most changes
+    that were read; `counter`: the highest counter that was acknowledged or read.
+    """
+
+    def __init__(self) -> None:
+        self.version: int | None = None
+        self.changes = 0
+        self.counter = 0
+
+    def add(self, operation: Operation) -> None:
+        """Takes in an operation that has completed."""
+        if isinstance(operation.outcome, Reading):
+            state = operation.outcome.state
+            self.changes = max(self.changes, len(changes_in(state)))
+            self.counter = max(self.counter, int(state.get("counter", b"0")))
+        elif operation.outcome == OK and isinstance(operation.request, Put):
+            self.version = max(self.version or 0, operation.request.version)
+        elif operation.outcome == OK and isinstance(operation.request, Count):
+            self.counter = max(self.counter, operation.request.number)
+
+    def check_read(self, operation: Operation, reading: Reading) -> list[str]:
+        """Violations by a read that was invoked after all of this was known."""
+        violations: list[str] = []
+        state = reading.state
+        is_older = self.version is not None and int(state.get("version", b"0")) < self.version
+        if is_older or len(changes_in(state)) < self.changes:
+            violations.append(
+                f"an old read at {operation.invoked_at:.3f}: {state.get('version')!r} after {self.version}"
+            )
+        if int(state.get("counter", b"0")) < self.counter:
+            violations.append(f"an old counter read at {operation.invoked_at:.3f}")
+        return violations
+
+
+def check_reads(history: History) -> list[str]:
+    """A read returns everything that was acknowledged, or read, before it was invoked."""
+    violations: list[str] = []
+    completed = [operation for operation in history.operations if operation.outcome is not None]
+    completed.sort(key=lambda operation: operation.completed_at)
+    reads = [operation for operation in completed if operation.request is None]
+    reads.sort(key=lambda operation: operation.invoked_at)
+    known = KnownState()
+    taken_in = 0
+    for read in reads:
+        while taken_in < len(completed) and completed[taken_in].completed_at < read.invoked_at:
+            known.add(completed[taken_in])
+            taken_in += 1
+        if isinstance(read.outcome, Reading):
+            violations += known.check_read(read, read.outcome)
+    return violations
+
+
+def stable_spans(unstable: Iterable[TimeSpan], end: float, stable_after_s: float) -> list[TimeSpan]:
+    """Spans up to `end` (s) throughout which no fault was active, nor any within `stable_after_s` before."""
+    spans: list[TimeSpan] = []
+    stable_since = 0.0
+    for start, stop in sorted(unstable):
+        if start > stable_since:
+            spans.append(TimeSpan(stable_since, start))
+        stable_since = max(stable_since, stop + stable_after_s)
+    if end > stable_since:
+        spans.append(TimeSpan(stable_since, end))
     return spans
 
 
-def in_time(history) -> list[str]:
-    """No order waits for longer than ACK within a stretch in which the core was stable."""
-    wrong = []
-    for start, stop in stretches(history, history.end):
-        for call in history.calls:
-            span = min(call.ended, stop) - max(call.began, start)
-            if span > ACK:
-                since = max(call.began, start)
-                wrong.append(f"{call.request} of {call.began:.3f} waits {span:.2f} s from {since:.3f}")
-    return wrong
-
-
-def after_restarts(history) -> list[str]:
-    """An order is acknowledged within RESTART of the moment when all machines are up again."""
-    wrong = []
-    for at in history.restarts:
-        until = at + RESTART
-        if until > history.end or any(start < until and stop > at for start, stop in history.trouble):
+def check_latency(history: History) -> list[str]:
+    """No request waits for longer than ACKNOWLEDGE_WITHIN_S while the core is stable."""
+    violations: list[str] = []
+    for start, end in stable_spans(history.unstable_spans, history.end, STABLE_AFTER_S):
+        for operation in history.operations:
+            since = max(operation.invoked_at, start)
+            waited = min(operation.completed_at, end) - since
+            if waited > ACKNOWLEDGE_WITHIN_S:
+                violations.append(
+                    f"{operation.request} of {operation.invoked_at:.3f} waits {waited:.2f} s from {since:.3f}"
+                )
+    return violations
+
+
+def check_restart_times(history: History) -> list[str]:
+    """A request is acknowledged within RESTART_WITHIN_S of the moment when all machines are up again."""
+    violations: list[str] = []
+    for restart in history.total_restarts:
+        until = restart + RESTART_WITHIN_S
+        disturbed = any(start < until and end > restart for start, end in history.unstable_spans)
+        if until > history.end or disturbed:
             continue
-        if not any(at <= call.ended <= at + RESTART and call.outcome == OK for call in history.calls):
-            wrong.append(f"nothing acknowledged within {RESTART} s of the restart at {at:.3f}")
-    return wrong
+        if not any(
+            restart <= operation.completed_at <= until and operation.outcome == OK
+            for operation in history.operations
+        ):
+            violations.append(
+                f"nothing acknowledged within {RESTART_WITHIN_S} s of the restart at {restart:.3f}"
+            )
+    return violations
--- /dev/null
+++ b/shedgrade/simulation/clients.py
@@ -0,0 +1,189 @@
+"""Clients of the control state: operators that race, one that raises a counter, readers.
+
+Each has one operation at a time, and sends it again unchanged, to one machine after the other, until its
+outcome is clear.
+"""
+
+from __future__ import annotations
+
+from typing import TYPE_CHECKING
+
+from shedgrade.replication import Elsewhere, Reading, Unavailable
+from shedgrade.simulation.history import ClientAttempt, Operation
+from shedgrade.simulation.register import CONFLICT, OK, Count, Put, Request
+
+if TYPE_CHECKING:
+    from shedgrade.simulation.cluster import SimulatedCluster
+    from shedgrade.simulation.machine import Machine
+
+REQUEST_DELAY_S = 0.001
+ATTEMPT_TIMEOUT_S = 1.0
+FIRST_BACKOFF_S = 0.05
+LONGEST_BACKOFF_S = 0.5
+BACKOFF_FACTOR = 1.6
+MOST_REDIRECTS = 2
+SAME_MACHINE_SHARE = 0.6  # of operations that go to the machine that completed the last one
+
+
+class Client:
+    """Sends one operation at a time.
+
+    Attributes:
+        current: the operation under way, None between two.
+        attempt: number of the attempt under way; answers to earlier ones are ignored.
+        backoff_s: until the next retry, seconds.
+        last_machine: the one that completed the last operation.
+        stopped: no further operation is begun.
+    """
+
+    def __init__(self, cluster: SimulatedCluster, name: str) -> None:
+        self.cluster = cluster
+        self.name = name
+        self.current: Operation | None = None
+        self.last_machine: Machine | None = None
+        self.attempt = 0
+        self.backoff_s = FIRST_BACKOFF_S
+        self.stopped = False
+
+    def next(self) -> None:
+        """Begins the next operation, unless the client is stopped."""
+        raise NotImplementedError
+
+    def completed(self, operation: Operation, machine: Machine) -> None:
+        """An operation has completed; the next one is to be scheduled."""
+        raise NotImplementedError
+
+    def begin(self, request: Request | None) -> None:
+        """Invokes an operation; None is a read."""
+        self.current = Operation(request, self.cluster.clock.now)
+        self.cluster.history.operations.append(self.current)
+        self.backoff_s = FIRST_BACKOFF_S
+        machines = self.cluster.machines
+        last = self.last_machine
+        if last is not None and last in machines and self.cluster.random.random() < SAME_MACHINE_SHARE:
+            self.send(last)
+        else:
+            self.send(self.cluster.random.choice(machines))
+
+    def send(self, machine: Machine, redirects: int = 0) -> None:
+        """One attempt of the operation under way."""
+        operation = self.current
+        if operation is None:
+            return
+        self.attempt += 1
+        attempt = self.attempt
+        clock = self.cluster.clock
+        invoked_at = clock.now
+
+        def on_outcome(outcome: object) -> None:
+            delay = REQUEST_DELAY_S + 0.001 * self.cluster.random.random()
+            clock.after(delay, answered, outcome)
+
+        def answered(outcome: object) -> None:
+            if attempt == self.attempt and operation is self.current:
+                operation.attempts.append(ClientAttempt(invoked_at, clock.now, machine.name, outcome))
+                self.answered(operation, machine, outcome, redirects)
+
+        if operation.request is None:
+            clock.after(REQUEST_DELAY_S, machine.submit_read, on_outcome)
+        else:
+            clock.after(REQUEST_DELAY_S, machine.submit_order, operation.request, on_outcome)
+        clock.after(ATTEMPT_TIMEOUT_S, self.attempt_timed_out, attempt, machine)
+
+    def attempt_timed_out(self, attempt: int, machine: Machine) -> None:
+        """There was no answer in time."""
+        if attempt == self.attempt and self.current is not None:
+            self.retry(machine)
+
+    def answered(self, operation: Operation, machine: Machine, outcome: object, redirects: int) -> None:
+        """A machine has answered the attempt under way."""
+        if isinstance(outcome, Elsewhere):
+            target = self.cluster.by_address.get(outcome.address)
+            if target is not None and redirects < MOST_REDIRECTS:
+                self.send(target, redirects + 1)
+            else:
+                self.retry(machine)
+            return
+        if outcome is None or isinstance(outcome, Unavailable):
+            self.retry(machine)
+            return
+        operation.completed_at = self.cluster.clock.now
+        operation.outcome = outcome
+        self.current = None
+        self.attempt += 1
+        self.last_machine = machine
+        self.completed(operation, machine)
+
+    def retry(self, machine: Machine) -> None:
+        """After a growing backoff the operation is sent to another machine."""
+        self.attempt += 1
+        others = [each for each in self.cluster.machines if each is not machine] or [machine]
+        self.backoff_s = min(self.backoff_s * BACKOFF_FACTOR, LONGEST_BACKOFF_S)
+        target = self.cluster.random.choice(others)
+        self.cluster.clock.after(self.backoff_s, self.send_retry, self.attempt, target)
+
+    def send_retry(self, attempt: int, machine: Machine) -> None:
+        """Sends the retry, unless the operation has gone on meanwhile."""
+        if attempt == self.attempt:
+            self.send(machine)
+
+    def schedule_next(self, factor: float = 1.0) -> None:
+        """The next operation begins after a random pause of `factor` times the cluster's pace at most."""
+        self.cluster.clock.after(factor * self.cluster.pace * self.cluster.random.random(), self.next)
+
+
+class OperatorClient(Client):
+    """Puts configurations on top of the newest version that it knows, and reads after a conflict."""
+
+    known_version = 0
+
+    def next(self) -> None:
+        """Puts the next configuration."""
+        if self.stopped:
+            return
+        cluster = self.cluster
+        cluster.payloads += 1
+        version = self.known_version + cluster.random.randint(1, 3)
+        self.begin(Put(self.known_version, version, f"{self.name}{cluster.payloads}"))
+
+    def completed(self, operation: Operation, machine: Machine) -> None:
+        """Takes in the version that the operation has set or read."""
+        if isinstance(operation.request, Put) and operation.outcome == OK:
+            self.known_version = operation.request.version
+            self.cluster.acknowledged(machine)
+        elif operation.outcome == CONFLICT:
+            self.begin(None)
+            return
+        elif isinstance(operation.outcome, Reading):
+            self.known_version = int(operation.outcome.state.get("version", b"0"))
+        self.schedule_next()
+
+
+class CounterClient(Client):
+    """Raises the counter step by step."""
+
+    number = 0
+
+    def next(self) -> None:
+        """Raises the counter by one."""
+        if not self.stopped:
+            self.number += 1
+            self.begin(Count(self.number))
+
+    def completed(self, operation: Operation, machine: Machine) -> None:
+        """Goes on after twice the usual pause."""
+        self.cluster.acknowledged(machine)
+        self.schedule_next(2)
+
+
+class ReaderClient(Client):
+    """Reads again and again."""
+
+    def next(self) -> None:
+        """Reads once more."""
+        if not self.stopped:
+            self.begin(None)
+
+    def completed(self, operation: Operation, machine: Machine) -> None:
+        """Goes on after the usual pause."""
+        self.schedule_next()
--- a/shedgrade/simulation/crash_points.py
+++ b/shedgrade/simulation/crash_points.py
@@ -3,7 +3,8 @@
 A `CrashImage` is what a disk holds for certain and what is still in doubt at one moment. `survivors` lists
 the contents that a power loss at that moment may leave: each later write and change of length present,
 missing or torn, whatever became of the others; each file that was made without a sync of it and of its folder
-kept or lost by itself."""
+kept or lost by itself.
+"""
 
 from __future__ import annotations
 
@@ -13,10 +14,10 @@
 from math import prod
 from random import Random
 
-from shedgrade.simulation.disk import SECTOR, SimulatedDisk, SimulatedFile, put, set_length
+from shedgrade.simulation.disk import Change, SimulatedDisk, SimulatedFile, apply_change, sectors_of
 
 Contents = dict[str, bytes]
-Change = tuple[int, bytes | None]  # (offset, data), or (length, None)
+Outcome = list[Change]  # the parts of a pending change that reach the disk
 MOST_COMBINATIONS = 4_096  # of the changes in doubt of one file; a store that syncs each write has far fewer
 
 
@@ -42,60 +43,66 @@
 class Recorder:
     """Takes an image before each operation that changes the disk."""
 
-    def __init__(self, disk: SimulatedDisk):
-        self.disk, self.step = disk, 0
+    def __init__(self, disk: SimulatedDisk) -> None:
+        self.disk = disk
+        self.step = 0
         self.images: list[CrashImage] = []
-        disk.trouble = self.take
+        disk.on_operation = self.record_image
 
-    def take(self, operation: str, name: str) -> None:
+    def record_image(self, operation: str, name: str) -> None:
+        """Called by the disk before each operation."""
         files = {
-            each: FileImage(bytes(file.durable), tuple(file.pending), file.named and file.synced)
-            for each, file in self.disk.held.items()
+            each: FileImage(bytes(file.durable), tuple(file.pending), file.is_certain)
+            for each, file in self.disk.files_by_name.items()
         }
         self.images.append(CrashImage(files, operation, self.step))
 
     def stop(self) -> list[CrashImage]:
-        self.disk.trouble = None
+        """Takes no more images, and returns those that were taken."""
+        self.disk.on_operation = None
         return self.images
 
 
 def survivors(image: CrashImage) -> Iterator[Contents]:
     """All different contents of the folder that a power loss may leave."""
     names = list(image.files)
-    for chosen in product(*(remains(image.files[name]) for name in names)):
+    for chosen in product(*(contents_of(image.files[name]) for name in names)):
         yield {name: content for name, content in zip(names, chosen, strict=True) if content is not None}
 
 
-def remains(file: FileImage) -> list[bytes | None]:
+def contents_of(file: FileImage) -> list[bytes | None]:
+    """All different contents that a power loss may leave of one file; None: the file is gone."""
     found: dict[bytes | None, None] = {} if file.certain else {None: None}
-    for parts in combinations([ways(offset, data) for offset, data in file.pending]):
+    for parts in combinations([outcomes_of(*change) for change in file.pending]):
         content = bytearray(file.durable)
         for part in parts:
-            for offset, data in part:
-                set_length(content, offset) if data is None else put(content, offset, data)
+            for change in part:
+                apply_change(content, change)
         found[bytes(content)] = None
     return list(found)
 
 
-def combinations(choices: list[list]) -> Iterator[tuple]:
-    """Every combination; of too many, those in which one differs from the others, all whole or gone."""
+def combinations(choices: list[list[Outcome]]) -> Iterator[tuple[Outcome, ...]]:
+    """Every combination; of too many, those in which one differs from the others, all complete or gone."""
     if prod(len(each) for each in choices) <= MOST_COMBINATIONS:
         yield from product(*choices)
         return
-    for others in (0, 1):  # whole, missing
-        for at, each in enumerate(choices):
-            for way in each:
-                yield tuple(way if at == place else choice[others] for place, choice in enumerate(choices))
+    for others in (0, 1):  # complete, missing
+        for at, outcomes in enumerate(choices):
+            for outcome in outcomes:
+                yield tuple(
+                    outcome if at == index else choice[others] for index, choice in enumerate(choices)
+                )
 
 
-def ways(offset: int, data: bytes | None) -> list[list[Change]]:
+def outcomes_of(offset: int, data: bytes | None) -> list[Outcome]:
     """What may become of one pending change: parts of it that reach the disk."""
-    whole: list[Change] = [(offset, data)]
+    complete: Outcome = [(offset, data)]
     if data is None:
-        return [whole, []]
+        return [complete, []]
     prefixes = sorted({1, 8, 16, len(data) // 2, len(data) - 1} & set(range(1, len(data))))
-    sectors = split(offset, data)
-    found: list[list[Change]] = [whole, []]
+    sectors: Outcome = list(sectors_of(offset, data))
+    found: list[Outcome] = [complete, []]
     found += [[(offset, data[:length])] for length in prefixes]
     if len(sectors) > 1:
         found += [sectors[:at] + sectors[at + 1 :] for at in range(len(sectors))]
@@ -104,27 +111,16 @@
     return found
 
 
-def split(offset: int, data: bytes) -> list[Change]:
-    """The write cut at the bounds of sectors."""
-    parts: list[Change] = []
-    at = 0
-    while at < len(data):
-        end = min(len(data), at + SECTOR - (offset + at) % SECTOR)
-        parts.append((offset + at, data[at:end]))
-        at = end
-    return parts
-
-
 def disk_at(image: CrashImage) -> SimulatedDisk:
     """The disk at that moment, as a process finds it that starts after the death of the one before."""
     disk = SimulatedDisk(Random(0))
     for name, image_of_file in image.files.items():
-        file = disk.held[name] = SimulatedFile()
+        file = disk.files_by_name[name] = SimulatedFile()
         file.durable[:] = file.cache[:] = image_of_file.durable
         file.pending = list(image_of_file.pending)
-        file.named = file.synced = image_of_file.certain
-        for offset, data in file.pending:
-            set_length(file.cache, offset) if data is None else put(file.cache, offset, data)
+        file.has_durable_name = file.has_durable_contents = image_of_file.certain
+        for change in file.pending:
+            apply_change(file.cache, change)
     return disk
 
 
--- a/shedgrade/simulation/faults.py
+++ b/shedgrade/simulation/faults.py
@@ -1,7 +1,14 @@
-"""What can go wrong with a core, one method a kind. `nemesis` says when, and what may be lost at once."""
+"""Faults of a simulated core's processes, disks, power and links, one method a kind.
+
+`fault_schedule` says when they are injected.
+"""
 
 from __future__ import annotations
 
+from collections.abc import Callable, Iterable
+from functools import partial
+from typing import TYPE_CHECKING
+
 from shedgrade.replication.messages import (
     Ack,
     Fetch,
@@ -13,305 +20,357 @@
     Promise,
     Replicate,
 )
-from shedgrade.simulation.planned import PlannedWork
+from shedgrade.simulation.history import TimeSpan
+from shedgrade.simulation.maintenance_faults import MaintenanceFaults
+
+if TYPE_CHECKING:
+    from shedgrade.simulation.machine import Machine
+
+MachinePair = tuple["Machine", "Machine"]  # (sender, receiver): one direction of a link
+
+TARGETED_MESSAGES = (Prepare, Promise, Install, Installed, Replicate, Ack, Heartbeat, Fetch, HandOver)
+PRIMARY_DOWN_S = 3.0  # in the profile "deaths"
 
 
-class Troubles(PlannedWork):
-    """Needs what Nemesis has: world, clock, random, pick, lose, lost, for_a_while, some."""
+class Faults(MaintenanceFaults):
+    """Each method injects one fault, unless the profile forbids it now."""
 
-    def node_kill(self, power: bool = False) -> None:
-        machine = self.pick()
+    # --- processes and power
+
+    def kill_machine(self) -> None:
+        """A process is killed, and starts again soon."""
+        machine = self.pick_machine()
+        if machine is not None:
+            down = 0.1 + 0.5 * self.random.random()
+            self.mark_lost(machine, down)
+            machine.kill()
+            self.clock.after(down, machine.start)
+
+    def power_off(self) -> None:
+        """A machine loses power for a while."""
+        machine = self.pick_machine()
         if machine is not None:
-            down = self.some() if power else 0.1 + 0.5 * self.random.random()
-            self.lose(machine, down)
-            machine.kill(power)
+            down = self.random_duration()
+            self.mark_lost(machine, down)
+            machine.lose_power()
             self.clock.after(down, machine.start)
 
-    def deaths(self) -> None:
+    def kill_primary_repeatedly(self) -> None:
         """The primary loses power, again and again, with time to recover between."""
-        primaries = [m for m in self.world.machines if m.up and m.member.role == "primary"]
+        primaries = self.primaries()
         if primaries and not self.stopped:
             machine = self.random.choice(primaries)
-            self.lose(machine, 3.0)
-            self.world.history.deaths.append(self.clock.now)
-            machine.kill(True)
-            self.clock.after(3.0, machine.start)
-        self.clock.after(7.0 + 2 * self.random.random(), self.deaths)
+            self.mark_lost(machine, PRIMARY_DOWN_S)
+            self.cluster.history.primary_deaths.append(self.clock.now)
+            machine.lose_power()
+            self.clock.after(PRIMARY_DOWN_S, machine.start)
+        self.clock.after(7.0 + 2 * self.random.random(), self.kill_primary_repeatedly)
 
-    def power_off(self) -> None:
-        self.node_kill(True)
+    def primaries(self) -> list[Machine]:
+        """Machines whose members act as primary."""
+        return [m for m in self.cluster.machines if m.up and m.running_member.role == "primary"]
 
     def wipe(self) -> None:
-        machine = self.pick()
+        """A machine loses its disk."""
+        machine = self.pick_machine()
         if machine is not None:
-            self.wiped(machine, self.some())
-
-    def wiped(self, machine, down: float) -> None:
-        self.lose(machine, down)
-        machine.kill(True)
-        machine.wipe()
-        self.world.log("wiped", machine.name)
-        self.clock.after(down, machine.start)
-
-    def after_ack_kill(self) -> None:
-        def strike(machine) -> None:
-            machine = self.pick(machine)
+            self.wipe_machine(machine, self.random_duration())
+
+    def freeze(self) -> None:
+        """A process stands still for a while (SIGSTOP)."""
+        machine = self.pick_machine()
+        if machine is not None and not machine.frozen:
+            seconds = self.random_duration()
+            self.mark_lost(machine, seconds)
+            self.cluster.log(f"freeze {seconds:.2f}", machine.name)
+            machine.freeze()
+            self.undo_after(seconds, machine.thaw)
+
+    # --- right after an acknowledgement
+
+    def power_off_after_acknowledgement(self) -> None:
+        """The machine that acknowledges the next request loses power right after."""
+
+        def inject(acknowledging: Machine) -> None:
+            machine = self.pick_machine(acknowledging)
             if machine is not None and not self.stopped:
-                self.lose(machine, 2.0)
-                self.clock.after(0.004 * self.random.random(), machine.kill, True)
+                self.mark_lost(machine, 2.0)
+                self.clock.after(0.004 * self.random.random(), machine.lose_power)
                 self.clock.after(2.0, machine.start)
 
-        self.world.on_ack = strike
+        self.cluster.on_acknowledged = inject
+
+    def wipe_after_acknowledgement(self) -> None:
+        """The machine that acknowledges the next request, or another, loses its disk right after."""
 
-    def after_ack_wipe(self) -> None:
-        def strike(machine) -> None:
-            machine = self.pick(machine if self.random.random() < 0.6 else None)
+        def inject(acknowledging: Machine) -> None:
+            machine = self.pick_machine(acknowledging if self.random.random() < 0.6 else None)
             if machine is not None and not self.stopped:
-                self.wiped(machine, 0.3 + 2 * self.random.random())
+                self.wipe_machine(machine, 0.3 + 2 * self.random.random())
 
-        self.world.on_ack = strike
+        self.cluster.on_acknowledged = inject
 
-    def freeze(self) -> None:
-        machine = self.pick()
-        if machine is not None and not machine.frozen:
-            seconds = self.some()
-            self.lose(machine, seconds)
-            self.world.log(f"freeze {seconds:.2f}", machine.name)
-            machine.freeze(True)
-            self.for_a_while(seconds, lambda: machine.freeze(False))
-
-    def disk_full(self) -> None:
-        machine = self.pick()
-        if machine is not None and not machine.full:
-            seconds = self.some()
-            self.lose(machine, seconds)
-            self.world.log(f"disk full {seconds:.2f}", machine.name)
-            machine.full = True
-
-            def undo() -> None:
-                machine.full = False
-
-            self.for_a_while(seconds, undo)
-
-    def disk_stall(self) -> None:
-        machine = self.pick()
-        if machine is not None and not machine.stalled:
-            seconds = self.some()
-            self.lose(machine, seconds)
-            self.world.log(f"disk stalls {seconds:.2f}", machine.name)
-            machine.stall(True)
-            self.for_a_while(seconds, lambda: machine.stall(False))
-
-    def disk_slow(self) -> None:
-        machine = self.pick()
-        if machine is not None and machine.sync == machine.usual_sync:
-            seconds = self.some()
-            self.lose(machine, seconds)
-            machine.sync = machine.usual_sync * self.random.choice((10, 40, 150))
-            self.world.log(f"disk slow {machine.sync:.2f} for {seconds:.2f}", machine.name)
-
-            def undo() -> None:
-                machine.sync = machine.usual_sync
-
-            self.for_a_while(seconds, undo)
-
-    def link_slow(self) -> None:
-        machine, network = self.pick(), self.world.network
-        if machine is not None and machine.address not in network.slow:
-            seconds = self.some()
-            self.lose(machine, seconds)
-            network.slow[machine.address] = self.random.choice((0.05, 0.3, 1.0))
-            self.world.log(f"slow {network.slow[machine.address]} for {seconds:.2f}", machine.name)
-            self.for_a_while(seconds, lambda: network.slow.pop(machine.address, None))
-
-    def core_cut(self, one_way: bool = False) -> None:
-        """One machine from all others."""
-        machine = self.pick()
+    def power_off_all_after_acknowledgement(self) -> None:
+        """All lose power right after the next acknowledgement."""
+
+        def inject(acknowledging: Machine) -> None:
+            if not self.stopped:
+                self.power_off_all()
+
+        self.cluster.on_acknowledged = inject
+
+    def wipe_some_and_power_off_all(self) -> None:
+        """Right after an acknowledgement as many as tolerated lose their disks, all others their power."""
+
+        def inject(acknowledging: Machine) -> None:
+            if self.stopped or not self.may_lose_several():
+                return
+            wiped = self.choose_to_wipe(acknowledging)
+            self.cluster.log("wipe and power", " ".join(machine.name for machine in wiped))
+            self.restart_all(lambda machine: self.lose_power_and_wipe(machine, wiped))
+
+        if self.cluster.bounded:
+            self.cluster.on_acknowledged = inject
+
+    def choose_to_wipe(self, acknowledging: Machine) -> list[Machine]:
+        """As many machines as tolerated, the one that acknowledged among them more often than not."""
+        cluster = self.cluster
+        others = [machine for machine in cluster.machines if machine is not acknowledging]
+        self.random.shuffle(others)
+        if self.random.random() < 0.4 or acknowledging not in cluster.machines:
+            return others[: cluster.tolerated]
+        return [acknowledging, *others[: cluster.tolerated - 1]]
+
+    @staticmethod
+    def lose_power_and_wipe(machine: Machine, wiped: list[Machine]) -> None:
+        """A machine loses power, and its disk if it is one of `wiped`."""
+        machine.lose_power()
+        if machine in wiped:
+            machine.wipe()
+
+    # --- all at once
+
+    def power_off_all(self) -> None:
+        """All lose power, and come back in any order."""
+        if self.may_lose_several():
+            self.restart_all(lambda machine: machine.lose_power())
+
+    def kill_all(self) -> None:
+        """All processes are killed, and come back in any order."""
+        if self.may_lose_several():
+            self.restart_all(lambda machine: machine.kill())
+
+    def restart_all(self, end_process: Callable[[Machine], None]) -> None:
+        """Each machine's process ends by `end_process` and starts again after a time of its own."""
+        last = 0.0
+        for machine in self.cluster.machines:
+            end_process(machine)
+            down = 0.5 + 2 * self.random.random()
+            last = max(last, down)
+            self.mark_lost(machine, down)
+            self.clock.after(down, machine.start)
+        self.cluster.history.total_restarts.append(self.clock.now + last)
+
+    # --- disks
+
+    def fill_disk(self) -> None:
+        """A disk refuses writes for a while."""
+        machine = self.pick_machine()
+        if machine is not None and not machine.disk_full:
+            seconds = self.random_duration()
+            self.mark_lost(machine, seconds)
+            self.cluster.log(f"disk full {seconds:.2f}", machine.name)
+            machine.disk_full = True
+            self.undo_after(seconds, lambda: setattr(machine, "disk_full", False))
+
+    def stall_disk(self) -> None:
+        """A disk's writes hang for a while."""
+        machine = self.pick_machine()
+        if machine is not None and not machine.disk_stalled:
+            seconds = self.random_duration()
+            self.mark_lost(machine, seconds)
+            self.cluster.log(f"disk stalls {seconds:.2f}", machine.name)
+            machine.set_disk_stalled(True)
+            self.undo_after(seconds, lambda: machine.set_disk_stalled(False))
+
+    def slow_disk(self) -> None:
+        """A disk's writes take many times as long for a while."""
+        machine = self.pick_machine()
+        if machine is not None and machine.sync_s == machine.usual_sync_s:
+            seconds = self.random_duration()
+            self.mark_lost(machine, seconds)
+            machine.sync_s = machine.usual_sync_s * self.random.choice((10, 40, 150))
+            self.cluster.log(f"disk slow {machine.sync_s:.2f} for {seconds:.2f}", machine.name)
+            self.undo_after(seconds, lambda: setattr(machine, "sync_s", machine.usual_sync_s))
+
+    # --- links
+
+    def slow_links(self) -> None:
+        """All links of a machine take longer for a while."""
+        machine, network = self.pick_machine(), self.cluster.network
+        if machine is not None and machine.address not in network.extra_delay_s:
+            seconds = self.random_duration()
+            self.mark_lost(machine, seconds)
+            delay = network.extra_delay_s[machine.address] = self.random.choice((0.05, 0.3, 1.0))
+            self.cluster.log(f"slow {delay} for {seconds:.2f}", machine.name)
+            self.undo_after(seconds, lambda: network.extra_delay_s.pop(machine.address, None))
+
+    def isolate_machine(self) -> None:
+        """One machine is cut off from all others."""
+        self.cut_off_machine(one_way=False)
+
+    def isolate_machine_one_way(self) -> None:
+        """One machine no longer hears the others, or they no longer hear it."""
+        self.cut_off_machine(one_way=True)
+
+    def cut_off_machine(self, *, one_way: bool) -> None:
+        """Blocks the links between one machine and all others."""
+        machine = self.pick_machine()
         if machine is None:
             return
-        out = self.random.random() < 0.5
+        outgoing = self.random.random() < 0.5
         pairs = [
-            (a, b)
-            for other in self.world.machines
+            (sender, receiver)
+            for other in self.cluster.machines
             if other is not machine
-            for a, b in ((machine, other), (other, machine))
-            if not one_way or (a is machine) == out
+            for sender, receiver in ((machine, other), (other, machine))
+            if not one_way or (sender is machine) == outgoing
         ]
-        self.cut(machine, pairs)
+        self.block_links(machine, pairs)
 
-    def core_cut_one_way(self) -> None:
-        self.core_cut(True)
-
-    def isolate(self) -> None:
-        """The primary from the others, while clients reach it."""
-        machine = self.pick()
-        primaries = [m for m in self.world.machines if m.up and m.member.role == "primary"]
+    def isolate_primary(self) -> None:
+        """The primary is cut off from the others, or no longer hears them, while clients reach it. At times
+        one of the others stays in touch."""
+        machine = self.pick_machine()
+        primaries = self.primaries()
         if machine is None or not primaries:
             return
-        machine = self.random.choice(primaries)
-        others = [other for other in self.world.machines if other is not machine]
-        kept = self.random.choice(others) if others and self.random.random() < 0.3 else None
-        out = self.random.random() < 0.6
-        self.cut(
-            machine,
-            [
-                pair
-                for other in others
-                if other is not kept
-                for pair in ((machine, other), (other, machine))
-                if out or pair[0] is other
-            ],
-            self.random.choice((0.9, 1.5, 3.0, 5.0)),
-        )
-
-    def link_cut(self) -> None:
-        """One link between two machines, both ways or one way. The one machine counts as lost."""
-        machine = self.pick()
-        others = [other for other in self.world.machines if other is not machine]
+        primary = self.random.choice(primaries)
+        others = [other for other in self.cluster.machines if other is not primary]
+        in_touch = self.random.choice(others) if others and self.random.random() < 0.3 else None
+        both_ways = self.random.random() < 0.6
+        pairs = [
+            pair
+            for other in others
+            if other is not in_touch
+            for pair in ((primary, other), (other, primary))
+            if both_ways or pair[0] is other
+        ]
+        self.block_links(primary, pairs, self.random.choice((0.9, 1.5, 3.0, 5.0)))
+
+    def block_one_link(self) -> None:
+        """The link between two machines is blocked, both ways or one way. One of the two counts as lost."""
+        machine = self.pick_machine()
+        others = [other for other in self.cluster.machines if other is not machine]
         if machine is None or not others:
             return
         other = self.random.choice(others)
         pairs = [(machine, other), (other, machine)]
-        self.cut(machine, pairs if self.random.random() < 0.5 else [self.random.choice(pairs)])
+        self.block_links(machine, pairs if self.random.random() < 0.5 else [self.random.choice(pairs)])
 
-    def region_cut(self) -> None:
-        """A region from the others; each machine there counts."""
+    def isolate_region(self) -> None:
+        """A region is cut off from the others; each machine there counts as lost."""
         region = self.random.choice(("r0", "r1", "r2"))
-        inside = [m for m in self.world.machines if m.region == region and m.up]
-        lost = self.lost() | {m.name for m in inside}
-        if self.world.bounded and len(lost) > self.world.tolerated:
+        inside = [machine for machine in self.cluster.machines if machine.region == region and machine.up]
+        lost = self.lost_machines() | {machine.name for machine in inside}
+        if self.cluster.bounded and len(lost) > self.cluster.tolerated:
             return
         one_way = self.random.random() < 0.4
         pairs = [
-            (a, b)
-            for m in inside
-            for other in self.world.machines
+            (sender, receiver)
+            for machine in inside
+            for other in self.cluster.machines
             if other.region != region
-            for a, b in ((m, other), (other, m))
-            if not one_way or a is m
+            for sender, receiver in ((machine, other), (other, machine))
+            if not one_way or sender is machine
         ]
-        seconds = self.some()
+        seconds = self.random_duration()
         for machine in inside:
-            self.lose(machine, seconds)
-        self.cut(None, pairs, seconds)
+            self.mark_lost(machine, seconds)
+        self.block_links(None, pairs, seconds)
 
-    def partition(self) -> None:
-        """Two sides, drawn machine by machine, spares among them."""
-        sides: tuple[list, list] = [], []
-        for machine in self.world.machines:
+    def partition_at_random(self) -> None:
+        """A partition in two sides, drawn machine by machine, spares among them."""
+        sides: tuple[list[Machine], list[Machine]] = [], []
+        for machine in self.cluster.machines:
             self.random.choice(sides).append(machine)
-        pairs = [pair for a in sides[0] for b in sides[1] for pair in ((a, b), (b, a))]
+        pairs = [pair for one in sides[0] for other in sides[1] for pair in ((one, other), (other, one))]
         if pairs:
-            self.cut(None, pairs, self.random.choice((1.5, 3.0, 5.0)))
-
-    def cut(self, machine, pairs, seconds: float | None = None) -> None:
-        seconds = seconds or self.some()
-        network, pairs = self.world.network, [(a.address, b.address) for a, b in pairs]
-        if machine is not None:
-            self.lose(machine, seconds)
-        self.world.log(
-            f"cut {seconds:.2f}",
-            " ".join(f"{self.world.by_address[a].name}>{self.world.by_address[b].name}" for a, b in pairs),
-        )
-        for pair in pairs:
-            network.cut(*pair)
-        self.for_a_while(seconds, lambda: [network.join(*pair) for pair in pairs])
-
-    def founding_trouble(self) -> None:
+            self.block_links(None, pairs, self.random.choice((1.5, 3.0, 5.0)))
+
+    def block_links(
+        self, lost: Machine | None, pairs: Iterable[MachinePair], seconds: float | None = None
+    ) -> None:
+        """Blocks these directions for `seconds`, by default a random duration. `lost`: the machine that
+        counts as lost, None for none."""
+        seconds = seconds or self.random_duration()
+        pairs = list(pairs)
+        network = self.cluster.network
+        if lost is not None:
+            self.mark_lost(lost, seconds)
+        subject = " ".join(f"{sender.name}>{receiver.name}" for sender, receiver in pairs)
+        self.cluster.log(f"cut {seconds:.2f}", subject)
+        links = [(sender.address, receiver.address) for sender, receiver in pairs]
+        for link in links:
+            network.block(*link)
+        self.undo_after(seconds, partial(network.unblock_all, links))
+
+    def partition_founders(self) -> None:
         """Founders that do not hear each other at first."""
-        addresses = [machine.address for machine in self.world.machines[:3]]
-        pairs = [(a, b) for a in addresses for b in addresses if a != b and self.random.random() < 0.6]
+        network = self.cluster.network
+        addresses = [machine.address for machine in self.cluster.machines[:3]]
+        links = [(a, b) for a in addresses for b in addresses if a != b and self.random.random() < 0.6]
         seconds = 4 * self.random.random()
-        self.world.history.trouble.append((0.0, seconds))
-        for pair in pairs:
-            self.world.network.cut(*pair)
-        self.for_a_while(seconds, lambda: [self.world.network.join(*pair) for pair in pairs])
-
-    def ambush(self) -> None:
-        """Strike at the sender or receiver of the next message of a kind that matters."""
-        kind = self.random.choice(self.KINDS)
+        self.cluster.history.unstable_spans.append(TimeSpan(0.0, seconds))
+        for link in links:
+            network.block(*link)
+        self.undo_after(seconds, partial(network.unblock_all, links))
+
+    # --- at a message
+
+    def fail_around_message(self) -> None:
+        """The sender or receiver of a coming message fails about when it is sent: the kinds of messages by
+        which the protocol decides something are where a crash may hurt."""
+        kind = self.random.choice(TARGETED_MESSAGES)
         skip = self.random.randint(0, 3)
 
-        def look(sender: str, to: str, message) -> None:
+        def look(sender: str, receiver: str, message: object) -> None:
             nonlocal skip
             if type(message) is not kind or self.stopped:
                 return
             skip -= 1
             if skip < 0:
-                self.world.network.ambush = None
-                ends = [self.world.by_address.get(each) for each in (sender, to)]
-                self.random.shuffle(ends)
-                two = self.world.profile == "storm" and self.random.random() < 0.4
-                for machine in ends if two else ends[:1]:
-                    delay = self.random.choice((0.0, 0.002, 0.01, 0.07, 0.3)) * self.random.random()
-                    self.clock.after(delay, self.strike, machine, kind.__name__)
-                if self.random.random() < 0.5:
-                    self.ambush()
-
-        self.world.network.ambush = look
-
-    def strike(self, machine, why: str) -> None:
-        if machine is None or self.stopped or self.pick(machine) is not machine:
+                self.cluster.network.on_send = None
+                self.fail_ends_of_message(sender, receiver, kind.__name__)
+
+        self.cluster.network.on_send = look
+
+    def fail_ends_of_message(self, sender: str, receiver: str, kind: str) -> None:
+        """One of the two fails, or both in a storm; half of the time another message is targeted then."""
+        ends = [self.cluster.by_address.get(address) for address in (sender, receiver)]
+        self.random.shuffle(ends)
+        both = self.cluster.profile == "storm" and self.random.random() < 0.4
+        for machine in ends if both else ends[:1]:
+            delay = self.random.choice((0.0, 0.002, 0.01, 0.07, 0.3)) * self.random.random()
+            self.clock.after(delay, self.fail_machine, machine, kind)
+        if self.random.random() < 0.5:
+            self.fail_around_message()
+
+    def fail_machine(self, machine: Machine | None, reason: str) -> None:
+        """A machine loses power, is frozen or its process killed, if it may be lost now."""
+        if machine is None or self.stopped or self.pick_machine(machine) is not machine:
             return
         seconds = self.random.choice((0.1, 0.3, 0.8, 1.2, 3.0)) * (0.5 + self.random.random())
-        self.lose(machine, seconds)
+        self.mark_lost(machine, seconds)
         how = self.random.choice(("power", "freeze", "kill"))
-        self.world.log(f"ambush at {why}: {how} {seconds:.2f}", machine.name)
-        if how == "freeze" and not machine.frozen:
-            machine.freeze(True)
-            self.for_a_while(seconds, lambda: machine.freeze(False))
-        elif how != "freeze":
-            machine.kill(how == "power")
-            self.clock.after(seconds, machine.start)
-
-    KINDS = (Prepare, Promise, Install, Installed, Replicate, Ack, Heartbeat, Fetch, HandOver)
-
-    def all_power(self, power: bool = True) -> None:
-        """All lose power, or all processes are killed, and come back in any order."""
-        world = self.world
-        if world.bounded and self.lost():
+        self.cluster.log(f"fault at {reason}: {how} {seconds:.2f}", machine.name)
+        if how == "freeze":
+            if not machine.frozen:
+                machine.freeze()
+                self.undo_after(seconds, machine.thaw)
             return
-        last = 0.0
-        for machine in world.machines:
-            machine.kill(power)
-            back = 0.5 + 2 * self.random.random()
-            last = max(last, back)
-            self.lose(machine, back)
-            self.clock.after(back, machine.start)
-        world.history.restarts.append(self.clock.now + last)
-
-    def all_killed(self) -> None:
-        self.all_power(False)
-
-    def after_ack_power(self) -> None:
-        """All lose power right after an acknowledgement."""
-        self.world.on_ack = lambda machine: self.stopped or self.all_power()
-
-    def wipe_and_power(self) -> None:
-        """Right after an acknowledgement as many as tolerated lose their disks, all others their power."""
-
-        def strike(machine) -> None:
-            world = self.world
-            if self.stopped or (world.bounded and self.lost()):
-                return
-            others = [m for m in world.machines if m is not machine]
-            self.random.shuffle(others)
-            wiped = (
-                others[: world.tolerated]
-                if self.random.random() < 0.4 or machine not in world.machines
-                else [machine, *others[: world.tolerated - 1]]
-            )
-            world.log("wipe and power", " ".join(m.name for m in wiped))
-            last = 0.0
-            for each in world.machines:
-                each.kill(True)
-                if each in wiped:
-                    each.wipe()
-                back = 0.5 + 2 * self.random.random()
-                last = max(last, back)
-                self.lose(each, back)
-                self.clock.after(back, each.start)
-            world.history.restarts.append(self.clock.now + last)
-
-        if self.world.bounded:
-            self.world.on_ack = strike
+        if how == "power":
+            machine.lose_power()
+        else:
+            machine.kill()
+        self.clock.after(seconds, machine.start)
--- a/shedgrade/simulation/machine.py
+++ b/shedgrade/simulation/machine.py
@@ -1,7 +1,9 @@
-"""A simulated core machine: a member's process, its disk at the level of whole writes, its power."""
+"""A simulated core machine: the process of a member, its disk at the level of whole writes, its power."""
 
 from __future__ import annotations
 
+from collections.abc import Callable, Mapping
+from functools import partial
 from random import Random
 
 from shedgrade.replication import (
@@ -12,96 +14,186 @@
     Persist,
     Send,
 )
+from shedgrade.simulation.environment import Environment
 
-KILL_MARGIN = 1.2  # s before SIGKILL at which a process gives up waiting
+EXIT_MARGIN_S = 1.2  # before SIGKILL, at which a process gives up waiting
+LOCAL_CALL_S = 0.001  # from the end of a process until its callers see their connections closed
+LEAST_TICK_DELAY_S = 0.0005
+TICK_JITTER_S = 0.001
+NEVER = float("inf")
+
+OutcomeCallback = Callable[[object], object]  # an outcome, or None if the process ended without one
 
 
 class Machine:
-    """`world` has clock, random, network, seeds, tolerated, decide, history and member_class."""
+    """One machine of the core, with the process of a member on it.
+
+    A process runs, is frozen (SIGSTOP: calls and messages are deferred), or is down (`member` is None).
+
+    Attributes:
+        seeds: the founding machines' addresses in this machine's settings.
+        durable: what is synced to disk; outlives processes and losses of power.
+        unsynced_write: the write under way, None if there is none. After a crash it is on disk or not.
+        member: the process's member, None while no process runs.
+        generation: counts starts and ends of processes; events of an earlier generation are ignored.
+        next_tick_at: virtual time of the earliest tick that is scheduled, infinite if none is.
+        frozen: the process is stopped; only while one runs.
+        deferred_calls: what a frozen process will do once it is thawed, in order. Empty unless frozen.
+        sync_s: mean time of a write, seconds; `usual_sync_s`: without faults.
+        disk_stalled: writes hang. `disk_full`: writes fail.
+        callbacks: of requests under way, by ticket.
+        on_exit: called once when a process that was terminated has ended.
+        committed: position of the newest committed state that the process reported; (0, 0) after a start.
+        clock_offset: reading of the machine's steady clock at virtual time 0; no two machines agree.
+    """
 
-    def __init__(self, world, name: str, address: str, region: str):
-        self.world, self.name, self.address, self.region = world, name, address, region
-        self.seeds: tuple[str, ...] = world.seeds
+    def __init__(self, environment: Environment, name: str, address: str, region: str) -> None:
+        self.environment = environment
+        self.name = name
+        self.address = address
+        self.region = region
+        self.seeds: tuple[str, ...] = environment.seeds
         self.durable: dict[str, bytes] = {}
-        self.open: tuple[int, dict] | None = None  # the write that is not synced yet
+        self.unsynced_write: Persist | None = None
         self.member: Member | None = None
         self.generation = 0
-        self.wake = float("inf")
+        self.next_tick_at = NEVER
         self.frozen = False
-        self.missed: list = []
-        self.sync, self.stalled, self.full = 0.005, False, False
-        self.answers: dict[int, object] = {}  # ticket -> callback(outcome)
-        self.ended = None  # called when a process that was told to end is gone
-        self.finished = (0, 0)
-        self.offset = world.random.random() * 1e5  # steady clocks have nothing in common
+        self.deferred_calls: list[Callable[[], None]] = []
+        self.sync_s = 0.005
+        self.usual_sync_s = self.sync_s
+        self.disk_stalled = False
+        self.disk_full = False
+        self.callbacks: dict[int, OutcomeCallback] = {}
+        self.on_exit: Callable[[], None] | None = None
+        self.committed = (0, 0)
+        self.clock_offset = environment.random.random() * 1e5
 
     @property
     def up(self) -> bool:
+        """Whether a process runs; it may be frozen."""
         return self.member is not None
 
+    @property
+    def steady_now(self) -> float:
+        """The reading of the machine's steady clock, seconds."""
+        return self.environment.clock.now + self.clock_offset
+
+    @property
+    def running_member(self) -> Member:
+        """The member of a process that is known to run."""
+        assert self.member is not None, f"no process runs on {self.name}"
+        return self.member
+
+    def check_invariants(self) -> None:
+        """AssertionError if the attributes contradict each other."""
+        if self.member is None:
+            assert not self.frozen, "frozen without a process"
+            assert self.unsynced_write is None, "a write under way without a process"
+            assert not self.callbacks, "callers wait for a process that has ended"
+        assert self.frozen or not self.deferred_calls, "calls are deferred, and the process runs"
+
     # --- process and power
 
     def start(self, founding: bool = False) -> None:
-        world = self.world
+        """Starts a process if none runs. `founding`: at the first start of the whole core."""
         if self.member is not None:
             return
+        environment = self.environment
         self.generation += 1
-        self.finished, self.wake = (0, 0), float("inf")
-        self.member = world.member_class(
+        self.committed = (0, 0)
+        self.next_tick_at = NEVER
+        self.member = environment.member_class(
             self.name,
             self.address,
             founding=founding,
             seeds=self.seeds,
-            tolerated=world.tolerated,
+            tolerated=environment.tolerated,
             found=dict(self.durable),
-            random=Random(world.random.getrandbits(64)),
-            now=world.clock.now + self.offset,
-            decide=world.decide,
-            timing=world.timing,
+            random=Random(environment.random.getrandbits(64)),
+            now=self.steady_now,
+            decide=environment.decide,
+            timing=environment.timing,
         )
-        world.log("start", self.name)
-        self.drain()
+        environment.log("start", self.name)
+        self.run_effects()
 
-    def kill(self, power: bool = False) -> None:
-        """The process ends; without power, callers are not told."""
+    def kill(self) -> None:
+        """SIGKILL: the process ends, and its callers see their connections closed."""
         if self.member is None:
             return
-        self.world.log("power" if power else "kill", self.name)
-        self.member, self.frozen, self.missed = None, False, []
-        ended, self.ended = self.ended, None
-        if ended is not None:
-            self.world.clock.after(0.0, ended)
+        self.environment.log("kill", self.name)
+        for callback in self.end_process():
+            self.environment.clock.after(LOCAL_CALL_S, callback, None)
+
+    def lose_power(self) -> None:
+        """The process ends; callers are told nothing, and what the kernel held is lost."""
+        if self.member is None:
+            return
+        self.environment.log("power", self.name)
+        self.end_process()
+        self.environment.network.drop_held_messages(self.address)
+
+    def end_process(self) -> list[OutcomeCallback]:
+        """Ends the process that runs; returns the callbacks of its open requests."""
+        self.member = None
+        self.frozen = False
+        self.deferred_calls = []
+        on_exit, self.on_exit = self.on_exit, None
+        if on_exit is not None:
+            self.environment.clock.after(0.0, on_exit)
         self.generation += 1
-        if self.open is not None and self.world.random.random() < 0.5:
-            # what was not synced may be there or not
-            self.apply(self.open[1])
-        self.open = None
-        if power:
-            self.world.network.reset(self.address)
-        answers, self.answers = self.answers, {}
-        if not power:
-            for call in answers.values():
-                self.world.clock.after(0.001, call, None)
-
-    def terminate(self, grace: float, ended) -> None:
-        """SIGTERM, and SIGKILL after `grace` s; `ended()` is called once, when the process is gone."""
-        self.ended = ended
-        if not self.frozen:
-            self.call("leave", grace - KILL_MARGIN)
+        if self.unsynced_write is not None and self.environment.random.random() < 0.5:
+            self.apply(self.unsynced_write.changes)
+        self.unsynced_write = None
+        callbacks = list(self.callbacks.values())
+        self.callbacks = {}
+        return callbacks
+
+    def terminate(self, grace_s: float, on_exit: Callable[[], None]) -> None:
+        """SIGTERM, and SIGKILL after `grace_s`; `on_exit()` is called once, when the process has ended."""
+        self.on_exit = on_exit
+        if self.frozen:
+            self.deferred_calls.append(partial(self.leave, grace_s - EXIT_MARGIN_S))
         else:
-            self.missed.append((self.call, ("leave", grace - KILL_MARGIN)))
-        self.world.clock.after(grace, self.killed_late, self.generation)
+            self.leave(grace_s - EXIT_MARGIN_S)
+        self.environment.clock.after(grace_s, self.kill_generation, self.generation)
+
+    def leave(self, patience_s: float) -> None:
+        """The member is told to leave the core, within `patience_s`."""
+        if self.member is not None:
+            self.member.leave(self.steady_now, patience_s)
+            self.run_effects()
 
-    def killed_late(self, generation: int) -> None:
+    def kill_generation(self, generation: int) -> None:
+        """Kills the process of that generation, if it still runs."""
         if generation == self.generation:
             self.kill()
 
     def wipe(self) -> None:
-        self.durable, self.open = {}, None
+        """The disk is replaced by an empty one."""
+        self.durable = {}
+        self.unsynced_write = None
+
+    def freeze(self) -> None:
+        """SIGSTOP: the process stands still; what it would receive is deferred."""
+        if self.member is not None:
+            self.frozen = True
+
+    def thaw(self) -> None:
+        """SIGCONT: the process does what was deferred, then goes on."""
+        if self.member is None:
+            return
+        self.frozen = False
+        deferred_calls, self.deferred_calls = self.deferred_calls, []
+        for call in deferred_calls:
+            call()
+        self.tick(self.generation)
 
     # --- the disk
 
-    def apply(self, changes: dict) -> None:
+    def apply(self, changes: Mapping[str, bytes | None]) -> None:
+        """Changes become durable; None removes a key."""
         for key, value in changes.items():
             if value is None:
                 self.durable.pop(key, None)
@@ -109,103 +201,121 @@
                 self.durable[key] = value
 
     def persist(self, effect: Persist) -> None:
-        assert self.open is None, "one write at a time"
-        self.open = effect.token, effect.changes
-        if not self.stalled:
-            delay = self.sync * (0.5 + self.world.random.random())
-            self.world.clock.after(delay, self.synced, self.generation, effect.token)
-
-    def synced(self, generation: int, token: int) -> None:
-        if generation != self.generation or self.open is None or self.open[0] != token or self.stalled:
+        """Begins a write. A member has one under way at the most."""
+        assert self.unsynced_write is None, "one write at a time"
+        self.unsynced_write = effect
+        if not self.disk_stalled:
+            delay = self.sync_s * (0.5 + self.environment.random.random())
+            self.environment.clock.after(delay, self.finish_write, self.generation, effect.token)
+
+    def finish_write(self, generation: int, token: int) -> None:
+        """The write is on disk, or has failed as the disk is full; the member is told."""
+        write = self.unsynced_write
+        if generation != self.generation or write is None or write.token != token or self.disk_stalled:
             return
         if self.frozen:
-            self.missed.append((self.synced, (generation, token)))
+            self.deferred_calls.append(partial(self.finish_write, generation, token))
             return
-        changes, self.open = self.open[1], None
-        if not self.full:
-            self.apply(changes)
-        self.call("persisted", token, not self.full)
-
-    def stall(self, on: bool) -> None:
-        self.stalled = on
-        if not on and self.open is not None:
-            self.world.clock.after(0.001, self.synced, self.generation, self.open[0])
+        self.unsynced_write = None
+        if not self.disk_full:
+            self.apply(write.changes)
+        self.running_member.persisted(self.steady_now, token, not self.disk_full)
+        self.run_effects()
 
-    # --- calls
+    def set_disk_stalled(self, stalled: bool) -> None:
+        """Writes hang until this is called with False; then the one under way ends."""
+        self.disk_stalled = stalled
+        if not stalled and self.unsynced_write is not None:
+            self.environment.clock.after(
+                LOCAL_CALL_S, self.finish_write, self.generation, self.unsynced_write.token
+            )
 
-    def call(self, name: str, *args) -> None:
-        if self.member is not None:
-            getattr(self.member, name)(self.world.clock.now + self.offset, *args)
-            self.drain()
+    # --- what reaches the member
 
-    def receive(self, sender: str, message) -> None:
+    def receive(self, sender: str, message: object) -> None:
+        """A message from the address `sender`. It is lost while no process runs."""
         if self.frozen:
-            self.missed.append((self.receive, (sender, message)))
+            self.deferred_calls.append(partial(self.receive, sender, message))
         elif self.member is not None:
-            self.member.receive(self.world.clock.now + self.offset, sender, message)
-            self.drain()
+            self.member.receive(self.steady_now, sender, message)
+            self.run_effects()
 
-    def ask(self, kind: str, request, answer) -> None:
-        """An order ("order") or a read ("read") of a client; `answer(None)` when the process ends."""
+    def submit_order(self, request: object, on_outcome: OutcomeCallback) -> None:
+        """A client's request to change the state."""
         if self.frozen:
-            self.missed.append((self.ask, (kind, request, answer)))
+            self.deferred_calls.append(partial(self.submit_order, request, on_outcome))
         elif self.member is None:
-            self.world.clock.after(0.001, answer, None)
+            self.environment.clock.after(LOCAL_CALL_S, on_outcome, None)
         else:
-            self.world.tickets += 1
-            self.answers[self.world.tickets] = answer
-            self.call(kind, self.world.tickets, *(() if kind == "read" else (request,)))
+            self.member.order(self.steady_now, self.new_ticket(on_outcome), request)
+            self.run_effects()
 
-    def freeze(self, on: bool) -> None:
-        if self.member is None:
-            return
-        self.frozen = on
-        if not on:
-            missed, self.missed = self.missed, []
-            for call, args in missed:
-                call(*args)
-            self.tick(self.generation)
+    def submit_read(self, on_outcome: OutcomeCallback) -> None:
+        """A client's request to read the state."""
+        if self.frozen:
+            self.deferred_calls.append(partial(self.submit_read, on_outcome))
+        elif self.member is None:
+            self.environment.clock.after(LOCAL_CALL_S, on_outcome, None)
+        else:
+            self.member.read(self.steady_now, self.new_ticket(on_outcome))
+            self.run_effects()
+
+    def new_ticket(self, on_outcome: OutcomeCallback) -> int:
+        """A number for a request, under which its outcome is called back."""
+        self.environment.tickets += 1
+        self.callbacks[self.environment.tickets] = on_outcome
+        return self.environment.tickets
 
     def tick(self, generation: int) -> None:
+        """A timer of the member is due."""
         if generation != self.generation or self.member is None or self.frozen:
             return
-        now = self.world.clock.now
-        if now >= self.wake:
-            self.wake = float("inf")
-        now += self.offset
+        if self.environment.clock.now >= self.next_tick_at:
+            self.next_tick_at = NEVER
+        now = self.steady_now
         if now >= self.member.wake_at():
             self.member.tick(now)
-        self.drain()
+        self.run_effects()
+
+    # --- what the member wants
 
-    def drain(self) -> None:
-        world, member = self.world, self.member
+    def run_effects(self) -> None:
+        """Carries out what the member wants done, and schedules its next tick."""
+        member = self.running_member
         effects = member.effects
         while effects:
             todo, effects[:] = list(effects), []
             for effect in todo:
-                kind = type(effect)
-                if kind is Send:
-                    world.network.send(self.address, effect.to, effect.message)
-                elif kind is Persist:
-                    self.persist(effect)
-                elif kind is Answer:
-                    call = self.answers.pop(effect.ticket, None)
-                    if call is not None:
-                        call(effect.outcome)
-                elif kind is Finished:
-                    world.history.finished(world.clock.now, self, effect)
-                elif kind is Left:
-                    world.clock.after(0.0, self.left, self.generation)
-                if self.member is not member or self.frozen:  # an ambush or an answer may have ended it
-                    if self.frozen:
-                        self.missed.append((self.drain, ()))
-                        effects[:0] = todo[todo.index(effect) + 1 :]
+                self.run_effect(effect)
+                if self.member is not member:  # a fault or a callback has ended the process
                     return
-        wake = max(member.wake_at() - self.offset, world.clock.now + 0.0005)
-        if wake < self.wake:
-            self.wake = wake
-            world.clock.at(wake + 0.001 * world.random.random(), self.tick, self.generation)
+                if self.frozen:
+                    self.deferred_calls.append(self.run_effects)
+                    effects[:0] = todo[todo.index(effect) + 1 :]
+                    return
+        self.schedule_tick(member)
 
-    def left(self, generation: int) -> None:
-        if generation == self.generation:
-            self.kill()
+    def run_effect(self, effect: object) -> None:
+        """Carries out one effect."""
+        environment = self.environment
+        if isinstance(effect, Send):
+            environment.network.send(self.address, effect.to, effect.message)
+        elif isinstance(effect, Persist):
+            self.persist(effect)
+        elif isinstance(effect, Answer):
+            callback = self.callbacks.pop(effect.ticket, None)
+            if callback is not None:
+                callback(effect.outcome)
+        elif isinstance(effect, Finished):
+            environment.history.record_committed(environment.clock.now, self, effect)
+        elif isinstance(effect, Left):
+            environment.clock.after(0.0, self.kill_generation, self.generation)
+
+    def schedule_tick(self, member: Member) -> None:
+        """The member is called again when its next timer is due."""
+        environment = self.environment
+        wake_at = max(member.wake_at() - self.clock_offset, environment.clock.now + LEAST_TICK_DELAY_S)
+        if wake_at < self.next_tick_at:
+            self.next_tick_at = wake_at
+            jitter = TICK_JITTER_S * environment.random.random()
+            environment.clock.at(wake_at + jitter, self.tick, self.generation)
--- /dev/null
+++ b/shedgrade/simulation/replica_outages.py
@@ -0,0 +1,395 @@
+"""Replicas that are down for hundreds of changes, by seed; no primary begins with less than was acknowledged.
+
+One core of 2t + 1 machines in virtual time, clients that order changes one after the other, and a plan of
+outages within what is tolerated: at most t machines are down or catching up at once, each for up to a
+thousand changes; it returns with its disk, with an empty one, or with the disk that it had before it was
+emptied. All power may be lost in between. The clients' numbers only grow, so a state shows what it lacks.
+"""
+
+from __future__ import annotations
+
+from collections.abc import Callable, Mapping
+from random import Random
+from typing import NamedTuple
+
+from shedgrade.replication import (
+    Decision,
+    Elsewhere,
+    Finished,
+    Member,
+    Reading,
+    Timing,
+    Unavailable,
+)
+from shedgrade.simulation.clock import Scheduler
+from shedgrade.simulation.history import LoggedEvent, Position
+from shedgrade.simulation.machine import Machine
+from shedgrade.simulation.network import Network
+
+CATCH_UP_S = 4.0  # after its return, in which a machine counts as lost
+ATTEMPT_TIMEOUT_S = 0.4
+REDIRECT_DELAY_S = 0.02
+RETRY_DELAY_S = 0.05
+RESTART_S = 0.5  # with another disk
+CLIENTS = 4
+KEPT_CHANGES = 200  # keys of each client in the state
+
+Numbers = tuple[int, ...]  # the last order of each client
+
+
+class Write(NamedTuple):
+    """Order `number` of one client; numbers count up, and an order is sent until it is acknowledged."""
+
+    client: int
+    number: int
+
+
+class StateSummary(NamedTuple):
+    """What tells two states apart: the last orders in it, and how many keys it has."""
+
+    numbers: Numbers
+    keys: int
+
+
+def last_key(client: int) -> str:
+    """The key of a client's last order."""
+    return f"last/{client}"
+
+
+def last_numbers(state: Mapping[str, bytes]) -> Numbers:
+    """The last order of each client that the state has."""
+    return tuple(int(state.get(last_key(client), b"0")) for client in range(CLIENTS))
+
+
+def is_behind(numbers: Numbers, required: Numbers) -> bool:
+    """Whether an order of `required` is missing."""
+    return any(has < needed for has, needed in zip(numbers, required, strict=True))
+
+
+class OutageHistory:
+    """What members and clients observed, checked as it comes.
+
+    Attributes:
+        violations: what was found wrong, as text.
+        states: a summary of each committed state, by position.
+        acknowledged: the last acknowledged order of each client.
+        events: the trace.
+    """
+
+    def __init__(self) -> None:
+        self.violations: list[str] = []
+        self.states: dict[Position, StateSummary] = {}
+        self.acknowledged = [0] * CLIENTS
+        self.events: list[LoggedEvent] = []
+
+    def record_committed(self, now: float, machine: Machine, committed: Finished) -> None:
+        """A member reports a committed state: there is one at each position, whichever member reports it."""
+        position = (committed.epoch, committed.sequence)
+        summary = StateSummary(last_numbers(committed.state), len(committed.state))
+        if self.states.setdefault(position, summary) != summary:
+            self.violations.append(f"{machine.name} has another state at {position}, {now:.3f} s")
+
+    def primary_began(self, now: float, name: str, state: Mapping[str, bytes]) -> None:
+        """A primary begins; its state has all that was acknowledged."""
+        numbers = last_numbers(state)
+        if is_behind(numbers, tuple(self.acknowledged)):
+            self.violations.append(
+                f"{name} leads with {numbers}, acknowledged {self.acknowledged}, {now:.3f} s"
+            )
+
+    def read_completed(self, now: float, required: Numbers, state: Mapping[str, bytes]) -> None:
+        """A read has completed; its state has all that was acknowledged before it was invoked."""
+        numbers = last_numbers(state)
+        if is_behind(numbers, required):
+            self.violations.append(f"a read returns {numbers} after {required}, {now:.3f} s")
+
+    def check_chain(self) -> list[str]:
+        """Nothing that a position has is missing at a later one, nor what was acknowledged at the end."""
+        violations: list[str] = []
+        before: Numbers = (0,) * CLIENTS
+        for position in sorted(self.states):
+            numbers = self.states[position].numbers
+            if is_behind(numbers, before):
+                violations.append(f"{position} lacks what was there before")
+            before = numbers
+        if is_behind(before, tuple(self.acknowledged)):
+            violations.append(f"the end has {before}, acknowledged {self.acknowledged}")
+        return violations
+
+
+class WriteClient:
+    """Orders one change after the other, and reads at times.
+
+    Attributes:
+        number: of the last order; `attempt`: of the last attempt, answers to others are ignored.
+        target: the machine that the last attempt went to.
+        is_reading: the operation under way is a read.
+        required: what had been acknowledged when it was invoked.
+        stopped: no further operation is begun.
+    """
+
+    def __init__(self, run: ReplicaOutageRun, client: int) -> None:
+        self.run = run
+        self.client = client
+        self.number = 0
+        self.attempt = 0
+        self.target: Machine | None = None
+        self.is_reading = False
+        self.required: Numbers = (0,) * CLIENTS
+        self.stopped = False
+
+    def next(self) -> None:
+        """Begins the next operation: an order, or one time in ten a read."""
+        if self.stopped:
+            return
+        self.required = tuple(self.run.history.acknowledged)
+        self.is_reading = self.run.random.random() < 0.1
+        self.number += not self.is_reading
+        self.send(self.target)
+
+    def send(self, machine: Machine | None) -> None:
+        """One attempt, at `machine` or a random one."""
+        run = self.run
+        self.attempt += 1
+        self.target = machine = machine or run.random.choice(run.machines)
+        attempt = self.attempt
+
+        def on_outcome(outcome: object) -> None:
+            run.clock.after(0.001, self.answered, attempt, outcome)
+
+        if self.is_reading:
+            machine.submit_read(on_outcome)
+        else:
+            machine.submit_order(Write(self.client, self.number), on_outcome)
+        run.clock.after(ATTEMPT_TIMEOUT_S, self.retry, attempt)
+
+    def retry(self, attempt: int) -> None:
+        """Sends the operation to a random machine, unless it has gone on meanwhile."""
+        if attempt == self.attempt:
+            self.send(None)
+
+    def answered(self, attempt: int, outcome: object) -> None:
+        """An attempt was answered."""
+        run = self.run
+        if attempt != self.attempt:
+            return
+        if isinstance(outcome, Elsewhere):
+            self.attempt += 1
+            target = run.by_address[outcome.address]
+            run.clock.after(REDIRECT_DELAY_S, self.retry_at, self.attempt, target)
+        elif outcome is None or isinstance(outcome, Unavailable):
+            self.attempt += 1
+            run.clock.after(RETRY_DELAY_S, self.retry, self.attempt)
+        else:
+            self.completed(outcome)
+
+    def retry_at(self, attempt: int, machine: Machine) -> None:
+        """Follows a redirect, unless the operation has gone on meanwhile."""
+        if attempt == self.attempt:
+            self.send(machine)
+
+    def completed(self, outcome: object) -> None:
+        """The operation has completed; the next one begins after a random pause."""
+        run = self.run
+        self.attempt += 1
+        if isinstance(outcome, Reading):
+            run.history.read_completed(run.clock.now, self.required, outcome.state)
+        else:
+            run.history.acknowledged[self.client] = self.number
+            run.acknowledged()
+        run.clock.after(run.pace * run.random.random(), self.next)
+
+
+def observed(member_class: type[Member], clock: Scheduler, history: OutageHistory) -> type[Member]:
+    """The member class, with each beginning of a primary recorded."""
+
+    def became_primary(member: Member, now: float) -> None:
+        member_class.became_primary(member, now)
+        history.primary_began(clock.now, member.name, member.held.state)
+
+    return type("Observed", (member_class,), {"became_primary": became_primary})
+
+
+class ReplicaOutageRun:
+    """One run by its seed; the environment of its machines.
+
+    Attributes:
+        RECOVERY_S: seconds after the plan in which all return and catch up.
+        length: seconds of virtual time with outages.
+        pace: longest pause of a client between two operations, seconds.
+        padding: bytes of the configuration that every fifth order replaces.
+        lost_until: virtual time until which a machine counts as lost, by name.
+        recovering: the plan is over; nothing more fails.
+        after_next_acknowledgement: a fault to be injected right then.
+    """
+
+    RECOVERY_S = 35.0
+
+    def __init__(
+        self,
+        seed: int,
+        tolerated: int = 1,
+        member_class: type[Member] = Member,
+        machine_class: type[Machine] = Machine,
+        length: float = 45.0,
+    ) -> None:
+        self.seed = seed
+        self.tolerated = tolerated
+        self.length = length
+        self.random = Random(seed)
+        self.clock = Scheduler()
+        self.history = OutageHistory()
+        self.timing = Timing()
+        self.tickets = 0
+        self.pace = 0.06
+        self.member_class = observed(member_class, self.clock, self.history)
+        count = 2 * tolerated + 1
+        addresses = tuple(f"10.{at + 1}.0.1:7300" for at in range(count))
+        self.seeds = addresses[:3]
+        delay = self.random.choice((0.0005, 0.02, 0.055))
+        self.network = Network(
+            self.clock,
+            self.random,
+            self.deliver,
+            between_s=delay,
+            bandwidth=self.random.choice((0.0, 625_000.0)),
+        )
+        self.machines = [
+            machine_class(self, f"m{at}", address, f"r{at}") for at, address in enumerate(addresses)
+        ]
+        self.by_address = {machine.address: machine for machine in self.machines}
+        sync_s = self.random.choice((0.005, 0.03, 0.08))
+        for machine in self.machines:
+            machine.sync_s = sync_s
+        self.network.region = {machine.address: machine.region for machine in self.machines}
+        self.padding = self.random.choice((100, 100, 20_000, 60_000))
+        self.clients = [WriteClient(self, client) for client in range(CLIENTS)]
+        self.lost_until: dict[str, float] = {}
+        self.recovering = False
+        self.after_next_acknowledgement: Callable[[], None] | None = None
+
+    def log(self, event: str, subject: str = "") -> None:
+        """Adds a line to the trace."""
+        self.history.events.append(LoggedEvent(self.clock.now, event, subject))
+
+    def deliver(self, sender: str, receiver: str, message: object) -> None:
+        """A message arrives at an address."""
+        self.by_address[receiver].receive(sender, message)
+
+    def decide(self, state: Mapping[str, bytes], request: Write) -> Decision:
+        """An order sets its client's last number and a key of its own; some replace the configuration."""
+        key = last_key(request.client)
+        if int(state.get(key, b"0")) >= request.number:
+            return Decision({}, True)
+        number = b"%d" % request.number
+        recent = f"taken/{request.client}/{request.number % KEPT_CHANGES}"
+        changes: dict[str, bytes | None] = {key: number, recent: number}
+        if request.number % 5 == 0:
+            changes["configuration"] = number + bytes(self.padding)
+            changes[f"taken/{request.client}/{(request.number - 100) % KEPT_CHANGES}"] = None
+        return Decision(changes, True)
+
+    # --- the plan
+
+    def next_fault(self) -> None:
+        """Injects a fault, or arms one for the next acknowledgement, and schedules the next."""
+        if self.recovering:
+            return
+        free, allowed = self.may_be_lost()
+        chance = self.random.random()
+        if chance < 0.3:
+            self.after_next_acknowledgement = self.lose_all_power
+        elif chance < 0.6:
+            self.after_next_acknowledgement = self.lose_power_and_disks
+        elif allowed > 0 and free:
+            for machine in self.random.sample(free, min(len(free), self.random.randint(1, allowed))):
+                self.take_down(machine)
+        self.clock.after(self.random.choice((0.3, 2.0, 6.0)), self.next_fault)
+
+    def may_be_lost(self) -> tuple[list[Machine], int]:
+        """Machines that are neither down nor catching up, and how many of them may be lost now."""
+        lost = [name for name, until in self.lost_until.items() if until > self.clock.now]
+        free = [machine for machine in self.machines if machine.name not in lost and machine.up]
+        return free, self.tolerated - len(lost)
+
+    def take_down(self, machine: Machine) -> None:
+        """For a second to some twenty; a thousand changes are made in the longest."""
+        down = self.random.choice((0.7, 3.0, 8.0, 20.0))
+        disk = self.random.choice(("whole", "whole", "wiped", "old disk"))
+        self.log(f"down {down} {disk}", machine.name)
+        if self.random.random() < 0.7:
+            machine.lose_power()
+        else:
+            machine.kill()
+        old_disk = dict(machine.durable)
+        if disk != "whole":
+            machine.wipe()
+        self.lost_until[machine.name] = self.clock.now + down + CATCH_UP_S
+        self.clock.after(down, self.restart, machine)
+        if disk == "old disk":
+            exchange_after = down + CATCH_UP_S + self.random.random() * 4
+            until = self.clock.now + exchange_after + RESTART_S + CATCH_UP_S
+            self.lost_until[machine.name] = until
+            self.clock.after(exchange_after, self.exchange_disk, machine, old_disk)
+
+    def exchange_disk(self, machine: Machine, old_disk: dict[str, bytes]) -> None:
+        """The disk of before it was emptied is put back: an old incarnation with an old state."""
+        self.log("old disk", machine.name)
+        machine.lose_power()
+        machine.wipe()
+        machine.durable = dict(old_disk)
+        self.clock.after(RESTART_S, self.restart, machine)
+
+    def restart(self, machine: Machine) -> None:
+        """The machine starts, unless it is up."""
+        machine.start()
+
+    def lose_power_and_disks(self) -> None:
+        """As many as tolerated lose their disks, the primary first, while all others lose power."""
+        free, allowed = self.may_be_lost()
+        free.sort(key=lambda machine: machine.running_member.role != "primary")
+        self.lose_all_power()
+        for machine in free[: max(0, allowed)]:
+            self.log("wiped", machine.name)
+            machine.wipe()
+            self.lost_until[machine.name] = self.clock.now + 1.5 + CATCH_UP_S
+
+    def acknowledged(self) -> None:
+        """An order was acknowledged; some faults are injected right then."""
+        if self.after_next_acknowledgement is not None and not self.recovering:
+            inject, self.after_next_acknowledgement = self.after_next_acknowledgement, None
+            inject()
+
+    def lose_all_power(self) -> None:
+        """Those that are down stay down; all others return in any order."""
+        self.log("all power")
+        for machine in self.machines:
+            if machine.up:
+                machine.lose_power()
+                self.clock.after(0.5 + self.random.random(), machine.start)
+
+    # --- the run
+
+    def play(self) -> list[str]:
+        """The whole run; returns the violations that were found."""
+        for machine in self.machines:
+            machine.start(machine.address in self.seeds)
+        for client in self.clients:
+            self.clock.after(1.0, client.next)
+        self.clock.at(5.0, self.next_fault)
+        self.clock.run(self.length)
+        self.recovering = True
+        self.clock.run(self.length + self.RECOVERY_S)
+        for client in self.clients:
+            client.stopped = True
+        self.clock.run(self.clock.now + 3.0)
+        return self.history.violations + self.history.check_chain() + self.not_caught_up()
+
+    def not_caught_up(self) -> list[str]:
+        """At the end, with nothing going on, all members know the newest state."""
+        newest = max(self.history.states, default=(0, 0))
+        positions = {
+            machine.name: machine.member.finished[:2] if machine.member is not None else None
+            for machine in self.machines
+        }
+        return [f"{name} is at {at}, not {newest}" for name, at in positions.items() if at != newest]
--- a/shedgrade/simulation/system/disk.py
+++ b/shedgrade/simulation/system/disk.py
@@ -99,13 +99,13 @@
                 raise CrashError
             left -= 1
 
-        before, disk.files.trouble = disk.files.trouble, strike
+        before, disk.files.on_operation = disk.files.on_operation, strike
         try:
             self.store.write(self.queue[0][1])
         except (CrashError, OSError):
             pass
         finally:
-            disk.files.trouble = before
+            disk.files.on_operation = before
 
     def close(self) -> None:
         self.queue.clear()
--- a/tests/replication/test_absence.py
+++ b/tests/replication/test_absence.py
@@ -7,15 +7,15 @@
 from shedgrade.replication.change_index import ChangeIndex
 from shedgrade.replication.messages import Installed
 from shedgrade.replication.replica_state import merge
-from shedgrade.simulation.absence import AbsenceRun
 from shedgrade.simulation.machine import Machine
+from shedgrade.simulation.replica_outages import ReplicaOutageRun
 
 
 @pytest.mark.parametrize(("tolerated", "seeds"), [(1, range(4)), (2, range(1, 2))])
 def test_seeds_without_findings(tolerated, seeds):
     changes = []
     for seed in seeds:
-        run = AbsenceRun(seed, tolerated)
+        run = ReplicaOutageRun(seed, tolerated)
         assert run.play() == [], seed
         changes.append(sum(run.history.acknowledged))
     assert max(changes) > 2_000
@@ -95,10 +95,10 @@
         self.writes += 1
         super().apply(changes)
 
-    def kill(self, power=False):
+    def lose_power(self):
         was_up = self.up
-        super().kill(power)
-        if power and was_up:
+        super().lose_power()
+        if was_up:
             self.durable = dict(self.older)
 
 
@@ -113,4 +113,4 @@
 
 @pytest.mark.parametrize(("planted", "seeds"), PLANTED)
 def test_a_planted_fault_is_found(planted, seeds):
-    assert any(AbsenceRun(seed, 1, length=25.0, **planted).play() for seed in seeds)
+    assert any(ReplicaOutageRun(seed, 1, length=25.0, **planted).play() for seed in seeds)
--- a/tests/replication/test_catch_up.py
+++ b/tests/replication/test_catch_up.py
@@ -38,27 +38,27 @@
 
 
 def test_a_disk_that_came_back_is_sent_only_the_keys_that_differ():
-    few = play(CatchUpCase(keys=True, before=1000, away=10, was="backup"))
-    many = play(CatchUpCase(keys=True, before=1000, away=100, was="backup"))
+    few = play(CatchUpCase(keys=True, before=1000, missed=10, role="backup"))
+    many = play(CatchUpCase(keys=True, before=1000, missed=100, role="backup"))
     assert few.sent < 4_000 and many.sent < 8_000
-    wiped = play(CatchUpCase(keys=True, before=1000, away=10, was="backup", wiped=True))
+    wiped = play(CatchUpCase(keys=True, before=1000, missed=10, role="backup", wiped=True))
     assert wiped.sent > 20_000
 
 
 def test_a_whole_state_is_sent_once_while_small_changes_go_on():
-    found = play(CatchUpCase(keys=True, away=1000, interval=0.05, delay=0.055))
+    found = play(CatchUpCase(keys=True, missed=1000, interval=0.05, delay=0.055))
     assert found.caught_up < 1.0 and found.sent < 25_000
 
 
 def test_a_replica_that_goes_in_the_middle_of_a_transfer_gets_another_from_the_position_that_it_has():
     for size, delay in ((2_000_000, 0.001), (300_000, 0.055)):
-        found = play(CatchUpCase(size=size, delay=delay, before=20, away=10))
+        found = play(CatchUpCase(size=size, delay=delay, before=20, missed=10))
         assert found.caught_up < 1.0 and found.sent < 1.2 * size
 
 
 def test_a_transfer_is_followed_by_the_next_at_once_whichever_ack_comes_first():
     for seed in (2, 4, 9):  # the ack of the state arrives before that of its last piece
-        found = play(CatchUpCase(size=2_000_000, delay=0.001, away=20, seed=seed))
+        found = play(CatchUpCase(size=2_000_000, delay=0.001, missed=20, seed=seed))
         assert found.steady_lag <= 10 and found.sent_rate > 9_000_000
 
 
@@ -168,12 +168,12 @@
 
 
 def test_the_memory_of_a_primary_is_bounded_over_ten_thousand_changes_with_a_replica_away():
-    run = CatchUpRun(CatchUpCase(size=100, interval=0.01, away=10_000, delay=0.001))
+    run = CatchUpRun(CatchUpCase(size=100, interval=0.01, missed=10_000, delay=0.001))
     found = run.play()
     assert found.caught_up < 1.0 and found.acknowledged > 0.99
     for machine in run.machines:
         member = machine.member
-        assert run.finished()[1] > 9_000
+        assert run.committed()[1] > 9_000
         assert set(member.held.index.changed) <= {"configuration"} and len(member.held.index.epochs) <= 3
         assert len(member.held.unfinished) <= member.PIPELINE + 1 and len(member.lead.open) <= member.PIPELINE
         assert len(member.lead.followers) <= 3 and len(member.waiting.entries) == 0
--- a/tests/replication/test_disk_trouble.py
+++ b/tests/replication/test_disk_trouble.py
@@ -3,24 +3,24 @@
 
 import pytest
 
-from shedgrade.simulation.absence import AbsenceRun
 from shedgrade.simulation.machine import Machine
+from shedgrade.simulation.replica_outages import ReplicaOutageRun
 
 TROUBLE_SECONDS, CATCH_UP = 3.0, 4.0
 SLOW_SYNC = 0.6  # seconds a write
 WORST_GAP = 2.5  # seconds between two acknowledgements while one of three machines gives its part away
 
 
-class TroubledRun(AbsenceRun):
+class TroubledRun(ReplicaOutageRun):
     """The disk of the machine that is the first (`second`: the second) to come to its write `at` falls ill
     then; once it is well for CATCH_UP seconds, another holder loses power for good."""
 
-    SETTLE = 6.0
+    RECOVERY_S = 6.0
 
     def __init__(self, seed: int, kind: str, at: int, second: bool):
         super().__init__(seed, 1, machine_class=CountingMachine, length=14.0)
         self.pace, self.padding = 0.1, 100
-        self.network.between, self.network.bandwidth = 0.02, 0.0
+        self.network.between_s, self.network.bandwidth = 0.02, 0.0
         self.kind, self.at, self.skip = kind, at, second
         self.began: float | None = None
         self.acks: list[float] = []
@@ -30,26 +30,26 @@
         if writes == self.at and self.began is None and self.skip:
             self.skip = False
         elif writes == self.at and self.began is None:
-            self.began, self.ill, self.usual_sync = self.clock.now, machine, machine.sync
+            self.began, self.ill, self.usual_sync_s = self.clock.now, machine, machine.sync_s
             self.set_trouble(True)
             self.clock.after(TROUBLE_SECONDS, self.set_trouble, False)
             self.clock.after(TROUBLE_SECONDS + CATCH_UP, self.lose_another)
 
     def set_trouble(self, on: bool) -> None:
         if self.kind == "full":
-            self.ill.full = on
+            self.ill.disk_full = on
         elif self.kind == "hangs":
-            self.ill.stall(on)
+            self.ill.set_disk_stalled(on)
         else:
-            self.ill.sync = SLOW_SYNC if on else self.usual_sync
+            self.ill.sync_s = SLOW_SYNC if on else self.usual_sync_s
 
     def lose_another(self) -> None:
         """With it gone the machine that was ill is one of the two that must go on."""
         others = [machine for machine in self.machines if machine is not self.ill]
         self.lost = next((machine for machine in others if machine.member.held.is_holder()), others[0])
-        self.lost.kill(True)
+        self.lost.lose_power()
 
-    def next_trouble(self) -> None:
+    def next_fault(self) -> None:
         """No other plan."""
 
     def play(self) -> list[str]:
@@ -75,7 +75,7 @@
 
     def persist(self, effect):
         super_persist = super().persist
-        self.world.count(self, self.writes)
+        self.environment.count(self, self.writes)
         self.writes += 1
         super_persist(effect)
 
--- a/tests/simulation/repairs.py
+++ b/tests/simulation/repairs.py
@@ -1,6 +1,6 @@
 """How long a core is short of a copy or of a member after a loss, in simulated time."""
 
-from test_control_troubles import backup, core, primary, witness
+from test_control_faults import backup, core, primary, witness
 
 from shedgrade.simulation.register import Put
 
@@ -8,22 +8,22 @@
 STEP = 0.005  # s between two looks
 
 
-def on_enough_disks(world):
+def on_enough_disks(cluster):
     """Whether t + 1 processes that run hold an epoch that is known to be active."""
-    leads = [m for m in world.machines if m.up and m.member.role == "primary"]
+    leads = [m for m in cluster.machines if m.up and m.member.role == "primary"]
     if not leads:
         return False
     record = leads[0].member.held.record
-    alive = {m.member.held.incarnation for m in world.machines if m.up}
-    return len(record.holders) > world.tolerated and alive.issuperset(record.holders)
+    alive = {m.member.held.incarnation for m in cluster.machines if m.up}
+    return len(record.holders) > cluster.tolerated and alive.issuperset(record.holders)
 
 
-def whole(world):
+def whole(cluster):
     """And whether every place is taken by a process that runs."""
-    if not on_enough_disks(world):
+    if not on_enough_disks(cluster):
         return False
-    record = next(m for m in world.machines if m.up and m.member.role == "primary").member.held.record
-    alive = {m.member.held.incarnation for m in world.machines if m.up}
+    record = next(m for m in cluster.machines if m.up and m.member.role == "primary").member.held.record
+    alive = {m.member.held.incarnation for m in cluster.machines if m.up}
     return alive.issuperset(peer.incarnation for peer in record.members)
 
 
@@ -43,17 +43,17 @@
         successor=False,
         seed=1,
     ):
-        self.world = world = core(seed, tolerated, between, pace=1e9)
-        world.network.bandwidth = bandwidth
+        self.cluster = cluster = core(seed, tolerated, between, pace=1e9)
+        cluster.network.bandwidth = bandwidth
         self.roles, self.down, self.successor = roles, down, successor
         self.lost_at = self.started_at = self.copied = self.counted = None
-        world.padding, world.decide = size, world.padded
+        cluster.padding, cluster.decide = size, cluster.decide_padded
         self.busy, self.version, self.taken = busy, 0, 0
-        for machine in world.machines:
-            world.clock.at(0.3 * world.random.random(), machine.start, True)
-        world.clock.at(3.0, self.order)
-        world.clock.at(6.0, self.lose)
-        world.clock.run(6.0 + down + 12.0)
+        for machine in cluster.machines:
+            cluster.clock.at(0.3 * cluster.random.random(), machine.start, True)
+        cluster.clock.at(3.0, self.order)
+        cluster.clock.at(6.0, self.lose)
+        cluster.clock.run(6.0 + down + 12.0)
 
     def order(self):
         """Configurations of this size, each sent when the one before is answered."""
@@ -61,40 +61,42 @@
         self.send(Put(self.version - 1, self.version, "x"))
 
     def send(self, put):
-        up = [m for m in self.world.machines if m.up]
+        up = [m for m in self.cluster.machines if m.up]
         leads = [m for m in up if m.member.role == "primary"]
-        (leads or up)[0].ask("order", put, lambda outcome: self.answered(put, outcome))
+        (leads or up)[0].submit_order(put, lambda outcome: self.answered(put, outcome))
 
     def answered(self, put, outcome):
         if outcome != "ok":
-            self.world.clock.after(0.05, self.send, put)
+            self.cluster.clock.after(0.05, self.send, put)
             return
         self.taken += 1
         if self.busy or self.version < 3:
-            self.world.clock.after(0.2, self.order)
+            self.cluster.clock.after(0.2, self.order)
 
     def lose(self):
-        world = self.world
-        self.lost_at, self.started_at = world.clock.now, world.clock.now + self.down
+        cluster = self.cluster
+        self.lost_at, self.started_at = cluster.clock.now, cluster.clock.now + self.down
         lost = []
         for role in self.roles:
-            lost.append(next(m for m in world.machines if m.up and m.member.role == role and m not in lost))
+            lost.append(next(m for m in cluster.machines if m.up and m.member.role == role and m not in lost))
         for machine in lost:
-            machine.kill(True)
+            machine.lose_power()
             if self.successor:
-                world.machines.remove(machine)
-                machine = world.add(machine.region, machine.address.replace(".0.", ".9."), machine.usual_sync)
+                cluster.machines.remove(machine)
+                machine = cluster.add(
+                    machine.region, machine.address.replace(".0.", ".9."), machine.usual_sync_s
+                )
             else:
                 machine.wipe()
-            world.clock.after(self.down, machine.start)
+            cluster.clock.after(self.down, machine.start)
         self.look()
 
     def look(self):
-        world = self.world
-        now = world.clock.now
-        if self.copied is None and on_enough_disks(world):
+        cluster = self.cluster
+        now = cluster.clock.now
+        if self.copied is None and on_enough_disks(cluster):
             self.copied = now - self.lost_at
-        if self.counted is None and now > self.started_at and whole(world):
+        if self.counted is None and now > self.started_at and whole(cluster):
             self.counted = now - self.started_at
         if self.copied is None or self.counted is None:
-            world.clock.after(STEP, self.look)
+            cluster.clock.after(STEP, self.look)
--- /dev/null
+++ b/tests/simulation/test_control_faults.py
@@ -0,0 +1,266 @@
+"""One trouble at a time: how long no order is acknowledged, and who holds what afterwards."""
+
+import pytest
+
+from shedgrade.simulation import register
+from shedgrade.simulation.checkers import check
+from shedgrade.simulation.cluster import SimulatedCluster
+from shedgrade.simulation.register import OK, Put
+
+
+def core(seed=1, tolerated=1, between=0.055, pace=0.05):
+    """A calm core across regions with busy clients, and no machine beyond the places."""
+    cluster = SimulatedCluster(seed, tolerated, "calm", length=16.0)
+    for machine in cluster.machines[2 * tolerated + 1 :]:
+        cluster.machines.remove(machine)
+        del cluster.by_address[machine.address]
+    for machine in cluster.machines:
+        machine.sync_s = machine.usual_sync_s = 0.005
+    network = cluster.network
+    network.between_s, network.jitter, network.bandwidth = between, 0.1, 0.0
+    cluster.pace, cluster.padding, cluster.decide = pace, 0, register.decide
+    return cluster
+
+
+def primary(cluster):
+    return next(m for m in cluster.machines if m.up and m.member.role == "primary")
+
+
+def backup(cluster):
+    return next(m for m in cluster.machines if m.up and m.member.role == "backup")
+
+
+def witness(cluster):
+    return next(m for m in cluster.machines if m.up and m.member.role == "witness")
+
+
+def both_ways(a, others):
+    return [pair for other in others for pair in ((a, other), (other, a))]
+
+
+def others_of(cluster, machine):
+    return [each for each in cluster.machines if each is not machine]
+
+
+def play(cluster, at, trouble):
+    """(findings, longest time between two acknowledgements after `at`)"""
+    cluster.clock.at(at, trouble)
+    history = cluster.play()
+    ends = sorted(
+        call.completed_at
+        for call in history.operations
+        if call.request and call.outcome == OK and at <= call.completed_at < 16
+    )
+    return check(history), max(b - a for a, b in zip([at, *ends], ends, strict=False))
+
+
+def cut(cluster, pairs, seconds=4.0):
+    cluster.fault_schedule.block_links(None, list(pairs), seconds)
+
+
+CUTS = {
+    "the primary from all": lambda w: both_ways(primary(w), others_of(w, primary(w))),
+    "the primary is not heard": lambda w: [(primary(w), other) for other in others_of(w, primary(w))],
+    "the primary hears nobody": lambda w: [(other, primary(w)) for other in others_of(w, primary(w))],
+    "the primary and a backup": lambda w: both_ways(primary(w), [backup(w)]),
+    "a backup is not heard by the primary": lambda w: [(backup(w), primary(w))],
+    "a backup does not hear the primary": lambda w: [(primary(w), backup(w))],
+    "a backup from all": lambda w: both_ways(backup(w), others_of(w, backup(w))),
+}
+
+
+@pytest.mark.parametrize("tolerated", [1, 2])
+@pytest.mark.parametrize("name", CUTS)
+def test_a_cut_keeps_orders_waiting_for_less_than_two_and_a_half_seconds(name, tolerated):
+    cluster = core(tolerated=tolerated)
+    wrong, longest = play(cluster, 6.0, lambda: cut(cluster, CUTS[name](cluster)))
+    assert wrong == [] and longest < 2.5
+
+
+def test_a_witness_cut_off_one_way_disturbs_nobody():
+    for out in (False, True):
+        cluster = core()
+        epochs = []
+
+        def trouble(cluster=cluster, epochs=epochs, out=out):
+            epochs.append(primary(cluster).member.epoch)
+            cut(
+                cluster,
+                [
+                    (a, b)
+                    for a, b in both_ways(witness(cluster), others_of(cluster, witness(cluster)))
+                    if (a.member.role == "witness") == out
+                ],
+            )
+
+        wrong, longest = play(cluster, 6.0, trouble)
+        assert wrong == [] and longest < 1.2
+        assert primary(cluster).member.epoch == epochs[0]
+
+
+@pytest.mark.parametrize("tolerated", [1, 2])
+def test_a_dead_primary_is_followed_within_a_second_and_a_half(tolerated):
+    for seed in range(3):
+        cluster = core(seed, tolerated)
+        wrong, longest = play(cluster, 6.0, lambda w=cluster: primary(w).lose_power())
+        assert wrong == [] or all("waits" not in each for each in wrong)
+        assert longest < 1.5
+
+
+def test_a_primary_that_is_told_to_end_hands_over_first():
+    cluster = core()
+    wrong, longest = play(cluster, 6.0, lambda: cluster.fault_schedule.terminate(primary(cluster), None))
+    assert wrong == [] and longest < 0.8
+
+
+def test_a_backup_that_is_told_to_end_is_replaced_before_it_goes():
+    cluster = core()
+    wrong, longest = play(cluster, 6.0, lambda: cluster.fault_schedule.terminate(backup(cluster), None))
+    assert wrong == [] and longest < 0.8
+
+
+@pytest.mark.parametrize("who", [primary, backup])
+@pytest.mark.parametrize("how", ["stall", "full"])
+def test_an_ill_disk_gives_its_part_to_another(who, how):
+    cluster = core()
+
+    def trouble():
+        machine = who(cluster)
+        if how == "stall":
+            machine.set_disk_stalled(True)
+            cluster.clock.after(4.0, machine.set_disk_stalled, False)
+        else:
+            machine.disk_full = True
+            cluster.clock.after(4.0, setattr, machine, "disk_full", False)
+
+    wrong, longest = play(cluster, 6.0, trouble)
+    assert wrong == [] and longest < 1.6
+
+
+@pytest.mark.parametrize("who", [primary, backup, witness])
+def test_a_wiped_member_is_a_member_again_as_another_incarnation(who):
+    cluster = core()
+    seen = []
+
+    def trouble():
+        machine = who(cluster)
+        seen.append((machine, machine.member.held.incarnation))
+        machine.lose_power()
+        machine.wipe()
+        cluster.clock.after(1.0, machine.start)
+        cluster.clock.after(5.0, lambda: seen.append(machine.member.role))
+
+    wrong, longest = play(cluster, 6.0, trouble)
+    machine, before = seen[0]
+    assert wrong == [] and longest < 1.6
+    assert seen[1] in ("witness", "backup", "primary")
+    assert machine.member.held.incarnation != before
+    assert len(primary(cluster).member.members) == 3
+
+
+def test_a_spare_takes_the_place_of_a_machine_that_is_gone():
+    cluster = core()
+    gone = []
+
+    def trouble():
+        machine = witness(cluster)
+        gone.append(machine.name)
+        machine.lose_power()
+        cluster.machines.remove(machine)
+        spare = cluster.add("r1", "10.2.0.77:7300", 0.005)
+        cluster.clock.after(0.5, spare.start)
+
+    wrong, _ = play(cluster, 6.0, trouble)
+    assert wrong == []
+    names = {peer.name for peer in primary(cluster).member.members}
+    assert len(names) == 3 and gone[0] not in names
+
+
+def test_a_member_that_comes_back_at_another_address_stays_a_member():
+    cluster = core()
+    moved = []
+
+    def move():
+        machine = witness(cluster)
+        moved.append((machine, machine.member.held.incarnation))
+        machine.lose_power()
+        cluster.by_address[f"{machine.address}0"] = machine
+        machine.address += "0"
+        cluster.network.region[machine.address] = machine.region
+        machine.start()
+
+    wrong, longest = play(cluster, 6.0, move)
+    machine, incarnation = moved[0]
+    assert wrong == [] and longest < 1.2
+    named = {peer.address: peer.incarnation for peer in primary(cluster).member.members}
+    assert named[machine.address] == incarnation and len(named) == 3
+
+
+def test_a_machine_beyond_the_places_is_told_what_is_finished_and_holds_nothing():
+    cluster = core()
+    spare = cluster.add("r1", "10.2.0.77:7300", 0.005)
+    wrong, _ = play(cluster, 6.0, lambda: None)
+    assert wrong == []
+    assert spare.member.role == "blank" and spare.member.finished[:2] == primary(cluster).member.finished[:2]
+    assert not any(key.startswith("state/") for key in spare.durable)
+
+
+def test_a_change_every_eighty_milliseconds_is_acknowledged_in_time():
+    cluster = core(pace=1e9)
+    taken = []
+
+    def order(number):
+        began = cluster.clock.now
+        at = primary(cluster)
+
+        def answered(outcome):
+            assert outcome == OK
+            taken.append(cluster.clock.now - began)
+
+        at.submit_order(Put(number - 1, number, f"storm{number}"), answered)
+
+    for number in range(1, 101):
+        cluster.clock.at(4.0 + 0.08 * number, order, number)
+    for client in cluster.clients:
+        client.stopped = True
+    cluster.play()
+    assert len(taken) == 100 and max(taken) < 0.3
+
+
+def test_founders_found_once_though_the_first_messages_are_lost():
+    for seed in range(8):
+        cluster = core(seed)
+        addresses = [machine.address for machine in cluster.machines]
+        for a in addresses:
+            for b in addresses:
+                if a != b and cluster.random.random() < 0.7:
+                    cluster.network.block(a, b)
+                    cluster.clock.at(3.0 * cluster.random.random(), cluster.network.unblock, a, b)
+        history = cluster.play()
+        assert history.violations == [] and cluster.history.states
+        assert [each for each in check(history, timely=False)] == []
+
+
+def test_two_founders_of_three_go_on_without_the_third():
+    cluster = core()
+    late = cluster.machines[1]
+    cluster.clock.at(0.0, setattr, late, "start", lambda founding=False: None)
+    cluster.clock.at(8.0, lambda: (delattr(late, "start"), late.start(True)))
+    history = cluster.play()
+    assert check(history, timely=False) == []
+    assert any(call.outcome == OK and call.completed_at < 3.0 for call in history.operations if call.request)
+    assert late.member.role in ("witness", "backup", "primary")
+
+
+@pytest.mark.parametrize("tolerated", [1, 2])
+def test_a_wiped_disk_and_all_power_lost_after_an_acknowledgement_lose_nothing(tolerated):
+    for seed in range(4):
+        cluster = core(seed, tolerated)
+
+        def trouble(cluster=cluster):
+            cluster.bounded = True
+            cluster.fault_schedule.wipe_some_and_power_off_all()
+
+        wrong, _ = play(cluster, 6.0, trouble)
+        assert wrong == []
+        assert cluster.history.total_restarts
--- a/tests/simulation/test_control_seeds.py
+++ b/tests/simulation/test_control_seeds.py
@@ -4,7 +4,7 @@
 import faulty_members as faulty
 import pytest
 
-from shedgrade.simulation.world import World
+from shedgrade.simulation.cluster import SimulatedCluster
 
 
 @pytest.mark.parametrize("tolerated", [1, 2])
@@ -13,7 +13,7 @@
 )
 def test_seeds_without_findings(profile, seeds, tolerated):
     for seed in range(seeds):
-        assert World(seed, tolerated, profile).wrong() == [], seed
+        assert SimulatedCluster(seed, tolerated, profile).run_and_check() == [], seed
 
 
 PLANTED = [  # the fault, where it shows, within how many seeds
@@ -44,10 +44,10 @@
     assert any(
         is_safety(finding)
         for seed in range(seeds)
-        for finding in World(seed, 1, profile, member_class).wrong()
+        for finding in SimulatedCluster(seed, 1, profile, member_class).run_and_check()
     )
 
 
 @pytest.mark.parametrize(("member_class", "profile", "seeds"), STUCK)
 def test_a_fault_that_loses_the_majority_is_found(member_class, profile, seeds):
-    assert any(World(seed, 1, profile, member_class).wrong() for seed in range(seeds))
+    assert any(SimulatedCluster(seed, 1, profile, member_class).run_and_check() for seed in range(seeds))
--- a/tests/simulation/test_repair_time.py
+++ b/tests/simulation/test_repair_time.py
@@ -31,7 +31,7 @@
         super().__init__(*args, **kwargs)
 
     def look(self):
-        for machine in self.world.machines:
+        for machine in self.cluster.machines:
             if machine.up and machine.member.role == "primary":
                 members = {peer.incarnation for peer in machine.member.members}
                 if not self.seen or self.seen[-1] != members:
--- a/tests/storage/test_bounds.py
+++ b/tests/storage/test_bounds.py
@@ -19,7 +19,7 @@
 
 def size_on_disk(disk):
     """A file is never shorter in the cache than what is synced of it, but while it is cut."""
-    return sum(max(len(file.cache), len(file.durable)) for file in disk.held.values())
+    return sum(max(len(file.cache), len(file.durable)) for file in disk.files_by_name.values())
 
 
 def largest_bound(whole, record):
@@ -44,7 +44,7 @@
     whole = sum(len(key) + len(value) + 8 for key, value in one.values.items())
     assert size_on_disk(disk) <= largest_bound(whole, 200)
     # each change about 100 bytes; a slot with all keys is written once in 1,024 changes or a log as long
-    assert disk.written < CHANGES * 400
+    assert disk.bytes_written < CHANGES * 400
     assert len(recovery.recover(disk.files).values) == CHANGES + 1
 
 
--- a/tests/storage/test_crash_points.py
+++ b/tests/storage/test_crash_points.py
@@ -6,7 +6,7 @@
 
 import pytest
 
-from shedgrade.simulation.crash_day import CrashDay
+from shedgrade.simulation.crash_enumeration import CrashEnumeration
 from shedgrade.simulation.crash_points import CrashImage, FileImage, survivors
 from shedgrade.simulation.disk import SECTOR
 from shedgrade.storage import Store, recovery, store
@@ -19,8 +19,8 @@
 
 
 def test_at_every_loss_of_power_in_500_changes_the_last_acknowledged_state_or_the_next_is_found():
-    report = CrashDay(500, second_every=20).play()
-    assert report.wrong == []
+    report = CrashEnumeration(500, second_every=20).play()
+    assert report.violations == []
     assert report.first > 5_000 and report.second > 2_500 and report.deaths > 500
 
 
@@ -69,8 +69,8 @@
     "faulty", [SyncsNoRecord, SyncsNoSlot, SyncsNoFolder, WritesOverTheSlotInUse, TellsBeforeItIsDurable]
 )
 def test_a_fault_planted_in_the_store_is_found(faulty):
-    day = CrashDay(100, second_every=20, make_store=lambda files: faulty("simulated", files=files))
-    assert day.play(to_first_finding=True).wrong
+    day = CrashEnumeration(100, second_every=20, make_store=lambda files: faulty("simulated", files=files))
+    assert day.play(to_first_finding=True).violations
 
 
 def test_a_recovery_that_prefers_the_older_slot_is_found(monkeypatch):
@@ -86,7 +86,7 @@
         decide(found)
 
     monkeypatch.setattr(recovery, "decide", older)
-    assert CrashDay(100, second_every=20).play(to_first_finding=True).wrong
+    assert CrashEnumeration(100, second_every=20).play(to_first_finding=True).violations
 
 
 def test_a_recovery_that_takes_a_log_of_another_slot_is_found(monkeypatch):
@@ -99,7 +99,7 @@
         decide(found)
 
     monkeypatch.setattr(recovery, "decide", mixed)
-    assert CrashDay(100, second_every=20).play(to_first_finding=True).wrong
+    assert CrashEnumeration(100, second_every=20).play(to_first_finding=True).violations
 
 
 def test_survivors_are_all_ways_of_each_later_write_and_each_new_file():
--- a/tests/storage/test_simulated_disk.py
+++ b/tests/storage/test_simulated_disk.py
@@ -98,10 +98,10 @@
         def trouble(operation, name):
             raise OSError(errno.EIO, "sync")
 
-        disk.trouble = trouble
+        disk.on_operation = trouble
         with pytest.raises(OSError):
             files.sync("x")
-        disk.trouble = None
+        disk.on_operation = None
         assert files.read("x") == b"1000"
         files.write("x", 3, b"2")
         files.sync("x")
--- a/tests/storage/test_slots.py
+++ b/tests/storage/test_slots.py
@@ -28,7 +28,7 @@
     """The process ends here."""
 
 
-class World:
+class SimulatedCluster:
     """A store on a simulated disk, beside what it may hold.
 
     `base`: what the store goes on from. `possible`: what a loss of power may leave. `doubted`: a sync
@@ -84,9 +84,9 @@
                     self.doubted = True
                 raise error
 
-        self.disk.trouble = trouble
+        self.disk.on_operation = trouble
         self.attempt(group)
-        self.disk.trouble = None
+        self.disk.on_operation = None
 
     def refused(self, group, calls):
         self.troubled(OSError(errno.EIO, "refused"), group, calls)
@@ -108,10 +108,10 @@
             if left[0] < 0:
                 raise EndError
 
-        self.disk.trouble = trouble
+        self.disk.on_operation = trouble
         with contextlib.suppress(EndError):
             self.start()
-        self.disk.trouble = None
+        self.disk.on_operation = None
         if power:
             self.power_loss()
         else:
@@ -141,7 +141,7 @@
 
 
 def play(seed, steps):
-    world = World(seed)
+    world = SimulatedCluster(seed)
     for step in steps:
         world.step(*step)
     world.write({"last": b"word"})
@@ -170,7 +170,7 @@
     found = set()
     for seed in seeds:
         for cut in range(calls):
-            world = World(seed)
+            world = SimulatedCluster(seed)
             for group in groups[:-1]:
                 world.write(group)
             world.power(groups[-1], cut)
@@ -196,7 +196,7 @@
     groups = [{key: b"%d" % number} for number, key in enumerate("abcdefgh")]  # each a record of one size
     cleared, found = [dict.fromkeys("abcdefgh")], set()
     for seed in range(60):
-        world = World(seed)
+        world = SimulatedCluster(seed)
         for group in [*groups, *cleared]:  # slot-a, its log, slot-b, its log, slot-a: empty
             world.write(group)
         assert layout.read_log(world.disk.contents()["log-a"]).last < world.store.sequence
@@ -209,7 +209,7 @@
     states = set()
     for seed in range(60):
         for cut in range(12):
-            world = World(seed)
+            world = SimulatedCluster(seed)
             world.power({"a": b"1" * 900}, cut)
             states.add((world.store.load().state, bool(world.base)))
     assert states == {(State.EMPTY, False), (State.DAMAGED, False), (State.SOUND, True)}
--- a/tests/storage/test_store_calls.py
+++ b/tests/storage/test_store_calls.py
@@ -121,10 +121,10 @@
         if operation == "sync":
             raise OSError(errno.EIO, "sync")
 
-    disk.trouble = trouble
+    disk.on_operation = trouble
     with pytest.raises(OSError):
         one.write({"a": b"2"})
-    disk.trouble = None
+    disk.on_operation = None
     assert layout.read_log(disk.contents()["log-a"]).changes == [{"a": b"2"}]
     one.write({"b": b"3"})
     assert again(disk).values == {"a": b"1", "b": b"3"}
@@ -139,10 +139,10 @@
             if operation == "sync":
                 raise KeyboardInterrupt
 
-        disk.trouble = trouble
+        disk.on_operation = trouble
         with pytest.raises(KeyboardInterrupt):
             one.write({"a": b"2"})
-        disk.trouble, disk.full = None, seed % 2 == 0  # a full disk is synced, another is written anew
+        disk.on_operation, disk.full = None, seed % 2 == 0  # a full disk is synced, another is written anew
         assert Store("simulated", files=disk.files).load().values == {"a": b"2"}
         disk.power_loss(Random(seed))
         assert again(disk).values == {"a": b"2"}
@@ -157,10 +157,10 @@
             if operation == "sync":
                 raise OSError(errno.EIO, "sync")
 
-        disk.trouble = trouble
+        disk.on_operation = trouble
         with pytest.raises(OSError):
             one.write({"a": b"2"})
-        disk.trouble = None
+        disk.on_operation = None
         assert Store("simulated", files=disk.files).load().values == {"a": b"2"}
         disk.power_loss(Random(seed))
         assert again(disk).values == {"a": b"2"}
@@ -175,11 +175,11 @@
             if operation == "sync":
                 raise OSError(errno.EIO, "sync")
 
-        disk.trouble = trouble
+        disk.on_operation = trouble
         for _ in range(2):  # the log, then slot-b: whole to read, and on disk whatever came of it
             with pytest.raises(OSError):
                 one.write({"a": b"2" * 2000})
-        disk.trouble, disk.full = None, seed % 2 == 0
+        disk.on_operation, disk.full = None, seed % 2 == 0
         two, left = Store("simulated", files=disk.files), [seed % 7]
         two.load()
         disk.full = False
@@ -189,10 +189,10 @@
             if left[0] < 0:
                 raise KeyboardInterrupt
 
-        disk.trouble = ending
+        disk.on_operation = ending
         with contextlib.suppress(KeyboardInterrupt):
             two.write({"b": b"3"})
-        disk.trouble = None
+        disk.on_operation = None
         disk.power_loss(Random(seed))
         found = again(disk)
         assert found.state is State.SOUND and found.values["a"] in (b"1" * 2000, b"2" * 2000)
@@ -210,14 +210,14 @@
             if operation == ("sync" if kind is OSError else "write"):
                 raise kind
 
-        disk.trouble = trouble
+        disk.on_operation = trouble
         for value in (b"2", b"3"):  # to the log, then to the other slot: either may be whole on disk
             with pytest.raises(OSError):
                 one.write({"a": value})
-        disk.trouble = lambda operation, name: trouble(operation, name, KeyboardInterrupt)
+        disk.on_operation = lambda operation, name: trouble(operation, name, KeyboardInterrupt)
         with pytest.raises(KeyboardInterrupt):  # over a part of that slot, and not synced
             one.write({"b": b"4" * 900})
-        disk.trouble = None
+        disk.on_operation = None
         told = Store("simulated", files=disk.files).load().values
         disk.power_loss(Random(seed))
         assert again(disk).values == told
@@ -230,13 +230,13 @@
     def trouble(operation, name):
         raise OSError(errno.EIO, "gone")
 
-    disk.trouble = trouble
+    disk.on_operation = trouble
     two = Store("simulated", files=disk.files)
     with pytest.raises(OSError):
         two.load()
     with pytest.raises(OSError):
         two.write({"a": b"2"})
-    disk.trouble = None
+    disk.on_operation = None
     two.write({"b": b"3"})
     assert again(disk).values == {"a": b"1", "b": b"3"}
 
--- a/tools/checks.py
+++ b/tools/checks.py
@@ -17,7 +17,7 @@
     "shedgrade/controlplane/delta.py",
     "shedgrade/controlplane/references.py",
     "shedgrade/replication/change_index.py",
-    "shedgrade/simulation/crash_day.py",
+    "shedgrade/simulation/crash_enumeration.py",
     "shedgrade/simulation/crash_points.py",
     "shedgrade/simulation/system/clients.py",
     "shedgrade/simulation/system/directory_checkers.py",
