--- a/shedgrade/simulation/system/__main__.py
+++ b/shedgrade/simulation/system/__main__.py
@@ -20,7 +20,7 @@
 
 from docopt import docopt
 
-from shedgrade.simulation.system.seeds import Job, play_all
+from shedgrade.simulation.system.seed_runner import SeedJob, run_seeds
 
 
 def main() -> int:
@@ -32,12 +32,12 @@
     first, _, last = options["--seeds"].partition(":")
     tolerated, profile, length = int(options["--tolerated"]), options["--profile"], float(options["--length"])
     jobs = [
-        Job(seed, tolerated, profile, length, options["--trace"], options["--log"])
+        SeedJob(seed, tolerated, profile, length, options["--trace"], options["--log"])
         for seed in range(int(first), int(last))
     ]
-    begun, failed, calls, taken = time.perf_counter(), 0, 0, []
-    for result in play_all(jobs, 1 if options["--trace"] else int(options["--jobs"])):
-        calls += result.calls
+    begun, failed, operations, taken = time.perf_counter(), 0, 0, []
+    for result in run_seeds(jobs, 1 if options["--trace"] else int(options["--jobs"])):
+        operations += result.operations
         taken.append(result.seconds)
         if result.findings:
             failed += 1
@@ -49,7 +49,7 @@
             )
     print(
         f"{len(jobs)} seeds of {profile}, t = {tolerated}, {length:.0f} s: {failed} with findings, "
-        f"{calls} calls, {time.perf_counter() - begun:.0f} s, {sum(taken) / len(taken):.2f} s a day, "
+        f"{operations} calls, {time.perf_counter() - begun:.0f} s, {sum(taken) / len(taken):.2f} s a day, "
         f"the longest {max(taken):.2f} s"
     )
     return 1 if failed else 0
--- a/shedgrade/simulation/system/caller.py
+++ b/shedgrade/simulation/system/caller.py
@@ -9,28 +9,36 @@
 
 import asyncio
 from collections.abc import Callable
-from dataclasses import dataclass
+from dataclasses import dataclass, replace
 from random import Random
+from typing import NamedTuple
 
 import httptools
 
-from shedgrade.simulation.system.history import Attempt, Call
+from shedgrade.simulation.system.history import Attempt, Operation
+from shedgrade.simulation.system.process_loop import ProcessLoop
 
-SILENCE = 1.0  # s without an answer after which a caller goes on
-PER_MEGABYTE = 2.0  # s more for each megabyte of a body
-FIRST_PAUSE, LONGEST_PAUSE = 0.05, 1.0
-REDIRECTS = 2
-AGAIN = frozenset((408, 429))
+ATTEMPT_TIMEOUT_S = 1.0  # without an answer, after which a caller goes on
+MEGABYTE_TIMEOUT_S = 2.0  # more for each megabyte of a body
+FIRST_BACKOFF_S, LONGEST_BACKOFF_S = 0.05, 1.0
+BACKOFF_FACTOR = 1.6
+MOST_REDIRECTS = 2
+TEMPORARY_REDIRECT = 307
+RETRYABLE = frozenset((408, 429))  # and all 5xx
 FINAL = frozenset((400, 409, 412, 413, 422))
-OTHER_TRIES = 3  # of any other 4xx
+MOST_OTHER_REJECTIONS = 3  # attempts that may get any other 4xx
 
 
-Member = tuple[str, str]  # a core member's name and IP
+class MemberAddress(NamedTuple):
+    """A core member, as it stands in an operator's list."""
+
+    name: str
+    ip: str
 
 
 @dataclass(frozen=True, slots=True)
 class Request:
-    """`target`: the path; `version`: for If-Match, None: none is sent."""
+    """`target`: the path; `base`: for If-Match, None: none is sent."""
 
     method: str
     target: str
@@ -38,6 +46,7 @@
     base: int | None = None
 
     def encoded(self, host: str) -> bytes:
+        """As HTTP/1.1."""
         lines = [
             f"{self.method} {self.target} HTTP/1.1",
             f"Host: {host}",
@@ -56,120 +65,144 @@
     body: bytes
     location: str = ""
 
+    @property
+    def is_retryable(self) -> bool:
+        """It leaves open whether the request was carried out, or asks for another attempt."""
+        return self.status >= 500 or self.status in RETRYABLE
+
+    @property
+    def is_final(self) -> bool:
+        """Another attempt would get the same answer."""
+        return self.status in FINAL or not 400 <= self.status < 500
+
 
 class ResponseReader(asyncio.Protocol):
-    """Reads one answer into `answer`, a future."""
+    """Reads one answer into `answer`. `on_data` is called whenever bytes come."""
 
     def __init__(self, loop: asyncio.AbstractEventLoop) -> None:
-        self.answer = loop.create_future()
+        self.answer: asyncio.Future[Response] = loop.create_future()
         self.parser = httptools.HttpResponseParser(self)
-        self.pieces: list[bytes] = []
+        self.body: list[bytes] = []
         self.location = ""
         self.on_data: Callable[[], None] = lambda: None
 
-    def connection_made(self, transport) -> None:
-        self.transport = transport
-
     def data_received(self, data: bytes) -> None:
+        """Bytes of the answer."""
         self.on_data()
         try:
             self.parser.feed_data(data)
-        except httptools.HttpParserError as wrong:
-            self.fail(ConnectionError(f"no HTTP: {wrong}"))
+        except httptools.HttpParserError as failure:
+            self.fail(ConnectionError(f"no HTTP: {failure}"))
 
     def on_header(self, name: bytes, value: bytes) -> None:
+        """Called by the parser."""
         if name.lower() == b"location":
             self.location = value.decode()
 
     def on_body(self, body: bytes) -> None:
-        self.pieces.append(body)
+        """Called by the parser."""
+        self.body.append(body)
 
     def on_message_complete(self) -> None:
+        """Called by the parser: the answer is complete."""
         if not self.answer.done():
             self.answer.set_result(
-                Response(self.parser.get_status_code(), b"".join(self.pieces), self.location)
+                Response(self.parser.get_status_code(), b"".join(self.body), self.location)
             )
 
     def connection_lost(self, error: Exception | None) -> None:
+        """The connection has ended; without a complete answer this is a failure."""
         self.fail(error or ConnectionError("closed"))
 
     def fail(self, failure: Exception) -> None:
+        """No answer will come."""
         if not self.answer.done():
             self.answer.set_exception(failure)
 
 
 class Caller:
-    """Carries out calls for one operator. `members()`: (name, ip) of the members in its list, and `port`."""
+    """Carries out the calls of one operator.
+
+    Attributes:
+        members: the core members in the operator's list.
+        port: of the members' HTTP interface.
+        answers_lost: the share of answers that never come.
+        timeout_s: without an answer, after which an attempt is given up.
+    """
 
     def __init__(
         self,
-        loop,
+        loop: ProcessLoop,
         name: str,
-        members: Callable[[], list[Member]],
+        members: Callable[[], list[MemberAddress]],
         port: int,
         random: Random,
         answers_lost: float = 0.0,
-        silence_s: float = SILENCE,
+        timeout_s: float = ATTEMPT_TIMEOUT_S,
     ) -> None:
-        """`answers_lost`: the share of answers that never come."""
-        self.loop, self.name, self.members, self.port = loop, name, members, port
-        self.random, self.answers_lost, self.silence_s = random, answers_lost, silence_s
+        self.loop = loop
+        self.name = name
+        self.members = members
+        self.port = port
+        self.random = random
+        self.answers_lost = answers_lost
+        self.timeout_s = timeout_s
 
     async def call(
-        self, call: Call, request: Request, until: float, first: Member | None = None
+        self, operation: Operation, request: Request, until: float, first: MemberAddress | None = None
     ) -> Response | None:
-        """Sends it until there is a clear answer, at the loop's time `until` at the latest."""
-        pause, last, others = FIRST_PAUSE, None, 0
+        """Sends a request until there is a clear answer, at the loop's time `until` at the latest."""
+        backoff = FIRST_BACKOFF_S
+        last: MemberAddress | None = None
+        rejections = 0
         while self.loop.time() < until:
             members = self.members()
             choices = [member for member in members if member != last] or members
             member, first = first or self.random.choice(choices), None
-            response = await self.follow(call, request, member)
-            if response is not None and not self.unclear(response.status):
-                if response.status in FINAL or not 400 <= response.status < 500:
+            response = await self.follow(operation, request, member)
+            if response is not None and not response.is_retryable:
+                if response.is_final:
                     return response
-                others += 1
-                if others >= OTHER_TRIES:
+                rejections += 1
+                if rejections >= MOST_OTHER_REJECTIONS:
                     return response
             last = member
-            await asyncio.sleep(pause * self.random.uniform(0.5, 1.0))
-            pause = min(1.6 * pause, LONGEST_PAUSE)
+            await asyncio.sleep(backoff * self.random.uniform(0.5, 1.0))
+            backoff = min(BACKOFF_FACTOR * backoff, LONGEST_BACKOFF_S)
         return None
 
-    @staticmethod
-    def unclear(status: int) -> bool:
-        return status >= 500 or status in AGAIN
-
-    async def follow(self, call: Call, request: Request, member: Member) -> Response | None:
+    async def follow(self, operation: Operation, request: Request, member: MemberAddress) -> Response | None:
+        """Sends a request to a member, and to where that redirects it."""
         name, ip = member
         port = self.port
-        target = request
-        for _ in range(1 + REDIRECTS):
-            response = await self.attempt(call, target, name, ip, port)
-            if response is None or response.status != 307:
+        for _ in range(1 + MOST_REDIRECTS):
+            response = await self.attempt(operation, request, name, ip, port)
+            if response is None or response.status != TEMPORARY_REDIRECT:
                 return response
             host, _, path = response.location.removeprefix("http://").partition("/")
             ip, _, number = host.partition(":")
             port = int(number or 80)
-            name = next((known for known, address in self.members() if address == ip), ip)
-            target = Request(request.method, "/" + path, request.body, request.base)
+            name = next((known.name for known in self.members() if known.ip == ip), ip)
+            request = replace(request, target="/" + path)
         return None
 
-    async def attempt(self, call: Call, request: Request, name: str, ip: str, port: int) -> Response | None:
-        """One try. None: failed, silent, or its answer was lost."""
+    async def attempt(
+        self, operation: Operation, request: Request, name: str, ip: str, port: int
+    ) -> Response | None:
+        """One attempt at one member. None: it failed, timed out, or its answer was lost."""
         time = self.loop.virtual_time
         attempt = Attempt(name, time.now)
-        call.attempts.append(attempt)
-        silence = self.silence_s + PER_MEGABYTE * len(request.body) / 1e6
-        transport = None
+        operation.attempts.append(attempt)
+        timeout = self.timeout_s + MEGABYTE_TIMEOUT_S * len(request.body) / 1e6
+        transport: asyncio.Transport | None = None
         try:
-            async with asyncio.timeout(silence) as patience:
+            async with asyncio.timeout(timeout) as deadline:
                 transport, reader = await self.loop.create_connection(
                     lambda: ResponseReader(self.loop), ip, port
                 )
-                reader.on_data = lambda: patience.reschedule(self.loop.time() + self.silence_s)
+                reader.on_data = lambda: deadline.reschedule(self.loop.time() + self.timeout_s)
                 transport.write(request.encoded(ip))
-                response = await reader.answer
+                response: Response = await reader.answer
                 if self.random.random() < self.answers_lost:
                     attempt.failure = "answer lost"
                     if self.random.random() < 0.5:
@@ -181,6 +214,6 @@
             attempt.failure = attempt.failure or type(failure).__name__
             return None
         finally:
-            attempt.ended = time.now
+            attempt.completed_at = time.now
             if transport is not None:
                 transport.close()
--- a/shedgrade/simulation/system/configurations.py
+++ b/shedgrade/simulation/system/configurations.py
@@ -11,7 +11,7 @@
 VERSION = re.compile(rb'"configVersion":(\d+)')
 
 
-def first_route(label: str) -> dict:
+def first_route(label: str) -> dict[str, object]:
     """The route that every configuration has; it bears the label, in a field that nobody knows."""
     return {
         "label": label,
@@ -35,7 +35,7 @@
 def configuration(version: int, label: str, padding: int = 0, homes: tuple[str, ...] = ()) -> bytes:
     """A valid configuration; `padding`: bytes that it is longer by, in a field that nobody knows; `homes`:
     home regions of a second route, which is there only with them."""
-    at_home = (
+    home_routes = (
         [
             {
                 "name": "home",
@@ -56,7 +56,7 @@
     return orjson.dumps(
         {
             "configVersion": version,
-            "routeList": [first_route(label), *at_home],
+            "routeList": [first_route(label), *home_routes],
             "padding": "x" * padding,
             "serviceList": [
                 {
@@ -86,5 +86,6 @@
 
 
 def version_of(configuration: bytes) -> int:
+    """The version; 0 if there is no configuration."""
     found = VERSION.search(configuration[:200])
     return int(found[1]) if found else 0
--- a/shedgrade/simulation/system/disk.py
+++ b/shedgrade/simulation/system/disk.py
@@ -9,29 +9,49 @@
 from collections import deque
 from collections.abc import Callable, Mapping
 from random import Random
+from typing import NamedTuple
 
 from shedgrade.runtime.log import logger
 from shedgrade.simulation.disk import SimulatedDisk
+from shedgrade.simulation.system.process_loop import ProcessLoop
 from shedgrade.storage import Store
 
-MOST_OPERATIONS = 8  # of one write after which a crash strikes, at the most
+WriteDone = Callable[[int, bool], None]  # (token, whether the write succeeded)
+
+MOST_OPERATIONS = 8  # of a write that are done before a crash, at the most
 
 
 class CrashError(BaseException):
     """The process ends here."""
 
 
+class QueuedWrite(NamedTuple):
+    """Changes that are to be made durable together; None removes a key."""
+
+    token: int
+    changes: Mapping[str, bytes | None]
+
+
 class MachineDisk:
-    """The files of one machine, and how fast they are. `slowness` multiplies `latency_s`, the time of a usual
-    write; nothing is written while it is `stalled`."""
+    """The files of one machine, and how fast they are.
+
+    Attributes:
+        latency_s: mean time of a usual write.
+        slowness: multiplies it; 1.0 without faults.
+        stalled: writes hang.
+        worker: of the process that runs, None while none does.
+    """
 
     def __init__(self, random: Random, latency_s: float) -> None:
-        self.random, self.latency_s = random, latency_s
+        self.random = random
+        self.latency_s = latency_s
         self.files = SimulatedDisk(random)
-        self.slowness, self.stalled = 1.0, False
+        self.slowness = 1.0
+        self.stalled = False
         self.worker: DiskWorker | None = None
 
-    def stall(self, stalled: bool) -> None:
+    def set_stalled(self, stalled: bool) -> None:
+        """Writes hang until this is called with False."""
         self.stalled = stalled
         if not stalled and self.worker is not None:
             self.worker.begin()
@@ -44,24 +64,37 @@
 
 
 class DiskWorker:
-    """Stands for `controlplane.disk.Disk`: in place of a thread, events of virtual time."""
-
-    def __init__(
-        self, machine_disk: MachineDisk, loop, store: Store, done: Callable[[int, bool], None]
-    ) -> None:
-        self.machine_disk, self.loop, self.store, self.done = machine_disk, loop, store, done
-        self.queue: deque[tuple[int, Mapping[str, bytes | None]]] = deque()
+    """Stands for `controlplane.disk.Disk`: in place of a thread, events of virtual time.
+
+    Attributes:
+        queue: writes that are not done yet; the first is under way while `busy`.
+        busy: a write is under way.
+    """
+
+    def __init__(self, machine_disk: MachineDisk, loop: ProcessLoop, store: Store, done: WriteDone) -> None:
+        """`done(token, succeeded)` is called on the loop after each write."""
+        self.machine_disk = machine_disk
+        self.loop = loop
+        self.store = store
+        self.done = done
+        self.queue: deque[QueuedWrite] = deque()
         self.busy = False
         machine_disk.worker = self
 
     def start(self) -> None:
         """Nothing to start: there is no thread."""
 
+    def check_invariants(self) -> None:
+        """AssertionError if the attributes contradict each other."""
+        assert not self.busy or self.queue, "a write is under way, and none is queued"
+
     def write(self, token: int, changes: Mapping[str, bytes | None]) -> None:
-        self.queue.append((token, changes))
+        """Queues a write."""
+        self.queue.append(QueuedWrite(token, changes))
         self.begin()
 
     def begin(self) -> None:
+        """Begins the next write, if the disk is free."""
         disk = self.machine_disk
         if self.busy or disk.stalled or not self.queue or disk.worker is not self:
             return
@@ -70,6 +103,7 @@
         self.loop.virtual_time.after(delay, self.finish)
 
     def finish(self) -> None:
+        """The write under way is done."""
         disk = self.machine_disk
         if disk.worker is not self:
             return
@@ -81,31 +115,33 @@
             self.store.write(changes)
             succeeded = True
         except OSError as failure:
-            logger.warning("the disk refuses: {}", failure.strerror or failure)
+            logger.warning("disk write failed", error=failure.strerror or str(failure))
             succeeded = False
         self.busy = False
         self.loop.call_soon_threadsafe(self.done, token, succeeded)
         self.begin()
 
     def crash(self) -> None:
+        """The process ends: the write under way is done up to some operation on files."""
         disk = self.machine_disk
         if not self.queue or not self.busy:
             return
         left = disk.random.randint(0, MOST_OPERATIONS)
 
-        def strike(operation: str, name: str) -> None:
+        def crash_at(operation: str, name: str) -> None:
             nonlocal left
             if left == 0:
                 raise CrashError
             left -= 1
 
-        before, disk.files.on_operation = disk.files.on_operation, strike
+        before, disk.files.on_operation = disk.files.on_operation, crash_at
         try:
-            self.store.write(self.queue[0][1])
+            self.store.write(self.queue[0].changes)
         except (CrashError, OSError):
             pass
         finally:
             disk.files.on_operation = before
 
     def close(self) -> None:
+        """Nothing more is written."""
         self.queue.clear()
--- /dev/null
+++ b/shedgrade/simulation/system/edge_checkers.py
@@ -0,0 +1,61 @@
+"""Checkers of what edges had in force. Each returns violations, as text."""
+
+from __future__ import annotations
+
+from collections.abc import Iterable
+
+from shedgrade.simulation.system.history import CommittedState, EdgeView, History, OperationKind
+
+STABLE_AFTER_S = 4.0  # in touch, until an edge is held to what it must learn
+APPLY_WITHIN_S = 9.0  # an edge in touch has what was acknowledged, also beside an unstable core
+
+
+def check_edges(history: History) -> list[str]:
+    """Within one process, an edge's control state only gets newer, and so do its configurations."""
+    violations: list[str] = []
+    last: dict[tuple[str, int], EdgeView] = {}
+    for view in history.views:
+        before = last.get((view.edge, view.incarnation))
+        if before is not None and (view.position <= before.position or view.version < before.version):
+            violations.append(
+                f"{view.edge} goes back at {view.at:.3f}: {before.position} {before.version}, "
+                f"then {view.position} {view.version}"
+            )
+        last[view.edge, view.incarnation] = view
+    return violations
+
+
+def check_edges_in_time(history: History) -> list[str]:
+    """An edge that is in touch has what was acknowledged within APPLY_WITHIN_S."""
+    violations: list[str] = []
+    views: dict[str, list[EdgeView]] = {}
+    for view in history.views:
+        views.setdefault(view.edge, []).append(view)
+    acknowledged = [
+        operation
+        for operation in history.operations
+        if operation.kind is OperationKind.PUT and operation.acknowledged
+    ]
+    for edge, spans in history.out_of_touch.items():
+        for operation in acknowledged:
+            start = operation.completed_at - STABLE_AFTER_S
+            end = operation.completed_at + APPLY_WITHIN_S
+            if end > history.end or any(span.start < end and span.end > start for span in spans):
+                continue
+            if not any(view.version >= operation.version and view.at <= end for view in views.get(edge, ())):
+                violations.append(
+                    f"{edge} has not learnt {operation.version}, acknowledged at "
+                    f"{operation.completed_at:.3f}, by {end:.3f}"
+                )
+    return violations
+
+
+def check_edges_at_end(history: History, edges: Iterable[str], final: CommittedState) -> list[str]:
+    """Every edge has the last committed state at the end."""
+    violations: list[str] = []
+    last = {view.edge: view for view in history.views}
+    for edge in edges:
+        view = last.get(edge)
+        if view is None or (view.version, frozenset(view.evacuations)) != (final.version, final.evacuations):
+            violations.append(f"{edge} never learns {final.position} {final.version}, it has {view}")
+    return violations
--- a/shedgrade/simulation/system/faults.py
+++ b/shedgrade/simulation/system/faults.py
@@ -1,177 +1,177 @@
-"""What can go wrong with machines, disks, links and clocks, one method a kind. Each ends by itself.
+"""Faults of machines, disks, links and clocks, one method a kind. Each ends by itself.
 
-A scripted run calls these at exact times; `schedule.FaultSchedule` calls them by seed.
+A scripted run injects them at exact times; `fault_schedule.FaultSchedule` injects them by seed.
 """
 
 from __future__ import annotations
 
 from collections.abc import Callable, Iterable
+from typing import Any
 
 from shedgrade.simulation.system.machine import Machine
+from shedgrade.simulation.system.simulated_system import GRACE_S, SimulatedSystem
 
-Pair = tuple[str, str]  # (sender's IP, receiver's IP)
+Path = tuple[str, str]  # (sender's IP, receiver's IP): one direction
+AnyMachine = Machine[Any]
 
 
 class Faults:
-    """Faults of one world. `active` holds what ends faults that last; `end_all` ends them now."""
+    """Faults of one system. `undo_calls`: what ends those that last; each is called once."""
 
-    def __init__(self, world) -> None:
-        self.world, self.time, self.network = world, world.time, world.network
-        self.active: list[Callable[[], None]] = []
+    def __init__(self, system: SimulatedSystem) -> None:
+        self.system = system
+        self.time = system.time
+        self.network = system.network
+        self.undo_calls: list[Callable[[], None]] = []
 
-    def lasting(self, seconds: float, undo: Callable[[], None]) -> None:
+    def undo_after(self, seconds: float, undo: Callable[[], object]) -> None:
         """Calls `undo` once: after the time, or when all faults end."""
 
         def once() -> None:
-            if once in self.active:
-                self.active.remove(once)
+            if once in self.undo_calls:
+                self.undo_calls.remove(once)
                 undo()
 
-        self.active.append(once)
+        self.undo_calls.append(once)
         self.time.after(seconds, once)
 
     def end_all(self) -> None:
         """Every fault ends, and every machine runs."""
-        for undo in list(self.active):
+        for undo in list(self.undo_calls):
             undo()
-        for machine in self.world.machines():
+        for machine in self.system.machines():
             machine.power_up()
             machine.thaw()
 
-    def note(self, what: str, who: str) -> None:
-        self.world.history.note(what, who)
+    def log_event(self, event: str, subject: str) -> None:
+        """Adds a line to the trace."""
+        self.system.history.log(event, subject)
 
     # --- processes and power
 
-    def stop(self, machine: Machine, seconds: float) -> None:
+    def stop(self, machine: AnyMachine, seconds: float) -> None:
         """SIGSTOP, and SIGCONT after the time."""
-        if machine.running and not machine.stopped:
+        if machine.responsive:
             loop = machine.loop
             machine.stop()
-            self.lasting(seconds, lambda: machine.thaw() if machine.loop is loop else None)
+            self.undo_after(seconds, lambda: machine.thaw() if machine.loop is loop else None)
 
-    def kill(self, machine: Machine, seconds: float) -> None:
+    def kill(self, machine: AnyMachine, seconds: float) -> None:
         """SIGKILL, and a start after the time."""
         machine.kill()
-        self.lasting(seconds, machine.start)
+        self.undo_after(seconds, machine.start)
 
-    def power_off(self, machine: Machine, seconds: float) -> None:
+    def power_off(self, machine: AnyMachine, seconds: float) -> None:
+        """Power is lost, and comes back after the time."""
         machine.lose_power()
-        self.lasting(seconds, machine.power_up)
+        self.undo_after(seconds, machine.power_up)
 
-    def wipe(self, machine: Machine, seconds: float) -> None:
-        """Power is lost, and it comes back with an empty disk."""
+    def wipe(self, machine: AnyMachine, seconds: float) -> None:
+        """Power is lost, and comes back with an empty disk."""
         machine.lose_power()
         machine.wipe()
-        self.lasting(seconds, machine.power_up)
+        self.undo_after(seconds, machine.power_up)
 
-    def terminate(self, machine: Machine, grace_s: float = 8.0, away_s: float = 0.0) -> None:
-        """SIGTERM; the platform starts it again when it has ended, and `away_s` have passed."""
-        machine.terminate(grace_s, away_s)
+    def terminate(self, machine: AnyMachine, grace_s: float = GRACE_S, down_s: float = 0.0) -> None:
+        """SIGTERM; the platform starts the process again when it has ended, and `down_s` have passed."""
+        machine.terminate(grace_s, down_s)
 
-    def all_power(
-        self, machines: Iterable[Machine], seconds: Callable[[], float], wiped: Iterable[Machine] = ()
+    def power_off_all(
+        self, machines: Iterable[AnyMachine], seconds: Callable[[], float], wiped: Iterable[AnyMachine] = ()
     ) -> None:
         """All lose power at once, those `wiped` their disks too; each returns after a time of its own."""
         wiped = tuple(wiped)
         for machine in machines:
             (self.wipe if machine in wiped else self.power_off)(machine, seconds())
 
-    def all_killed(self, machines: Iterable[Machine], seconds: Callable[[], float]) -> None:
+    def kill_all(self, machines: Iterable[AnyMachine], seconds: Callable[[], float]) -> None:
+        """All processes are killed at once; each starts again after a time of its own."""
         for machine in machines:
             self.kill(machine, seconds())
 
     # --- links
 
-    def cut(self, pairs: Iterable[Pair], seconds: float) -> None:
+    def block_paths(self, paths: Iterable[Path], seconds: float) -> None:
         """These directions are silent; what TCP has under way comes late."""
-        pairs = tuple(pairs)
-        self.note(f"cut for {seconds:.2f}", " ".join(f"{sender}>{receiver}" for sender, receiver in pairs))
-        for pair in pairs:
-            self.network.cut(*pair)
+        paths = tuple(paths)
+        subject = " ".join(f"{sender}>{receiver}" for sender, receiver in paths)
+        self.log_event(f"cut for {seconds:.2f}", subject)
+        for path in paths:
+            self.network.block(*path)
 
-        def join() -> None:
-            self.note("joined", " ".join(f"{sender}>{receiver}" for sender, receiver in pairs))
-            for pair in pairs:
-                self.network.join(*pair)
+        def unblock() -> None:
+            self.log_event("joined", subject)
+            for path in paths:
+                self.network.unblock(*path)
 
-        self.lasting(seconds, join)
+        self.undo_after(seconds, unblock)
 
     def isolate(
         self,
-        machine: Machine,
+        machine: AnyMachine,
         seconds: float,
         *,
-        others: Iterable[Machine] | None = None,
+        others: Iterable[AnyMachine] | None = None,
         outgoing: bool = True,
         incoming: bool = True,
     ) -> None:
-        """Cuts it off from `others`, by default all other core machines; operators still reach it."""
+        """Cuts a machine off from `others`, by default all other core machines; operators still reach it."""
         own = machine.host.ip
-        others = [
-            other.host.ip
-            for other in (self.world.cores if others is None else others)
-            if other is not machine
-        ]
-        pairs = [(own, other) for other in others if outgoing]
-        self.cut(pairs + [(other, own) for other in others if incoming], seconds)
+        targets = self.system.cores if others is None else others
+        ips = [other.host.ip for other in targets if other is not machine]
+        paths = [(own, ip) for ip in ips if outgoing]
+        self.block_paths(paths + [(ip, own) for ip in ips if incoming], seconds)
 
-    def split(self, inside: Iterable[str], seconds: float, one_way: bool = False) -> None:
+    def partition(self, inside: Iterable[str], seconds: float, one_way: bool = False) -> None:
         """Hosts inside from all others, by IP; `one_way`: only what they send is lost."""
         inside = set(inside)
-        pairs = [
-            pair
-            for one in sorted(inside)
+        paths = [
+            path
+            for ip in sorted(inside)
             for other in self.network.hosts
             if other not in inside
-            for pair in ((one, other), (other, one))
+            for path in ((ip, other), (other, ip))
         ]
-        self.cut([pair for pair in pairs if not one_way or pair[0] in inside], seconds)
+        self.block_paths([path for path in paths if not one_way or path[0] in inside], seconds)
 
-    def slow_link(self, machine: Machine, seconds: float, more_s: float) -> None:
-        """Its links take so much longer."""
-        machine.host.slow_s += more_s
-        self.note(f"slow by {more_s} for {seconds:.2f}", machine.name)
+    def slow_link(self, machine: AnyMachine, seconds: float, extra_delay_s: float) -> None:
+        """All paths of a machine take so much longer."""
+        machine.host.extra_delay_s += extra_delay_s
+        self.log_event(f"slow by {extra_delay_s} for {seconds:.2f}", machine.name)
 
         def undo() -> None:
-            machine.host.slow_s -= more_s
+            machine.host.extra_delay_s -= extra_delay_s
 
-        self.lasting(seconds, undo)
+        self.undo_after(seconds, undo)
 
-    def reset_connections(self, machine: Machine) -> None:
-        """All its connections are reset."""
-        self.note("connections reset", machine.name)
+    def reset_connections(self, machine: AnyMachine) -> None:
+        """All connections of a machine are reset."""
+        self.log_event("connections reset", machine.name)
         for connection in list(self.network.connections):
             if machine.host in (connection.near.host, connection.far.host):
-                connection.reset_arrives(connection.near)
-                connection.reset_arrives(connection.far)
+                connection.reset_both()
 
     # --- disks and clocks
 
-    def disk_stall(self, machine: Machine, seconds: float) -> None:
-        self.note(f"disk stalls for {seconds:.2f}", machine.name)
-        machine.disk.stall(True)
-        self.lasting(seconds, lambda: machine.disk.stall(False))
+    def stall_disk(self, machine: AnyMachine, seconds: float) -> None:
+        """A disk's writes hang."""
+        self.log_event(f"disk stalls for {seconds:.2f}", machine.name)
+        machine.disk.set_stalled(True)
+        self.undo_after(seconds, lambda: machine.disk.set_stalled(False))
 
-    def disk_slow(self, machine: Machine, seconds: float, slowness: float) -> None:
-        self.note(f"disk slow by {slowness:.0f} for {seconds:.2f}", machine.name)
+    def slow_disk(self, machine: AnyMachine, seconds: float, slowness: float) -> None:
+        """A disk's writes take `slowness` times as long."""
+        self.log_event(f"disk slow by {slowness:.0f} for {seconds:.2f}", machine.name)
         machine.disk.slowness = slowness
+        self.undo_after(seconds, lambda: setattr(machine.disk, "slowness", 1.0))
 
-        def undo() -> None:
-            machine.disk.slowness = 1.0
-
-        self.lasting(seconds, undo)
-
-    def disk_full(self, machine: Machine, seconds: float) -> None:
-        self.note(f"disk full for {seconds:.2f}", machine.name)
+    def fill_disk(self, machine: AnyMachine, seconds: float) -> None:
+        """A disk refuses writes."""
+        self.log_event(f"disk full for {seconds:.2f}", machine.name)
         machine.disk.files.full = True
+        self.undo_after(seconds, lambda: setattr(machine.disk.files, "full", False))
 
-        def undo() -> None:
-            machine.disk.files.full = False
-
-        self.lasting(seconds, undo)
-
-    def clock_step(self, machine: Machine, step_s: float) -> None:
-        """Its time of day moves; its steady clock goes on."""
-        self.note(f"clock steps by {step_s:.1f}", machine.name)
+    def step_clock(self, machine: AnyMachine, step_s: float) -> None:
+        """A machine's time of day moves; its steady clock goes on."""
+        self.log_event(f"clock steps by {step_s:.1f}", machine.name)
         machine.clock_skew += step_s
--- a/shedgrade/simulation/system/machine.py
+++ b/shedgrade/simulation/system/machine.py
@@ -1,48 +1,77 @@
-"""Simulated machines and the processes on them: started, stopped, thawed, killed, without power, with new
-disks."""
+"""Simulated machines and the processes on them: started, stopped, killed, without power, with new disks."""
 
 from __future__ import annotations
 
+import asyncio
 import signal
 from collections.abc import Callable
 from random import Random
+from typing import TYPE_CHECKING, Any, Generic, Protocol, TypeVar
 
 from shedgrade.controlplane.plane import ControlPlane
 from shedgrade.dataplane.plane import DataPlane
 from shedgrade.process_settings import Settings
-from shedgrade.simulation.system.disk import DiskWorker, MachineDisk
-from shedgrade.simulation.system.network import Host
-from shedgrade.simulation.system.scheduler import ProcessLoop
+from shedgrade.simulation.system.disk import DiskWorker, MachineDisk, WriteDone
+from shedgrade.simulation.system.host import Host
+from shedgrade.simulation.system.process_loop import ProcessLoop, new_process_loop
+from shedgrade.storage import Store
+
+if TYPE_CHECKING:
+    from shedgrade.simulation.system.simulated_system import SimulatedSystem
 
 EPOCH = 1_790_000_000.0  # the time of day, s since 1970, when virtual time is 0
-START_AGAIN = 0.3  # s until the platform starts a process that ended
+RESTART_DELAY_S = 0.3  # until the platform starts a process again that has ended
+
+
+class Program(Protocol):
+    """What runs on a machine."""
+
+    async def serve(self) -> None:
+        """Serves until the program ends by itself."""
+
+
+ProgramT = TypeVar("ProgramT", bound=Program)
 
 
-class Machine:
-    """One machine and its process. `make_program(loop, machine)` gives what has `serve()`.
+class Machine(Generic[ProgramT]):
+    """One machine and its process. `make_program(loop, machine)` makes the program.
 
-    To be looked at: `program` and `loop` of the process that runs, `founding` (its next start is the first of
-    the whole system), `faults` (exceptions that its processes did not catch).
+    A process runs, is stopped (SIGSTOP), or there is none (`loop` is None).
+
+    Attributes:
+        program: of the process that runs; None while there is none, and until its first event has run.
+        loop: the event loop of that process, None while there is none.
+        founding: the next start is the first of the whole system.
+        clock_skew: seconds by which the time of day is wrong.
+        incarnation: counts the starts of processes.
+        restarts: the platform starts a process again when it ends.
+        down_until: virtual time before which it does not.
+        faults: contexts of exceptions that processes which have ended did not catch.
     """
 
     def __init__(
         self,
-        world,
+        system: SimulatedSystem,
         name: str,
         host: Host,
-        make_program: Callable[[ProcessLoop, Machine], object],
+        make_program: Callable[[ProcessLoop, Machine[ProgramT]], ProgramT],
         disk: MachineDisk | None = None,
     ) -> None:
-        self.world, self.name, self.host, self.make_program, self.disk = world, name, host, make_program, disk
-        self.random = Random(world.random.getrandbits(64))
-        self.program: object | None = None
+        self.system = system
+        self.name = name
+        self.host = host
+        self.make_program = make_program
+        self.machine_disk = disk
+        self.random = Random(system.random.getrandbits(64))
+        self.program: ProgramT | None = None
         self.loop: ProcessLoop | None = None
+        self.serving: asyncio.Task[None] | None = None
         self.founding = False
-        self.clock_skew = 0.0  # s by which its time of day is wrong
-        self.lives = 0
-        self.restarts = True  # the platform starts it again when it ends
-        self.away_until = 0.0  # virtual time before which it does not
-        self.faults: list[dict] = []
+        self.clock_skew = 0.0
+        self.incarnation = 0
+        self.restarts = True
+        self.down_until = 0.0
+        self.faults: list[dict[str, Any]] = []
 
     @property
     def running(self) -> bool:
@@ -51,94 +80,122 @@
 
     @property
     def stopped(self) -> bool:
+        """A process is there, and stands still."""
         return self.loop is not None and self.loop.stopped
 
-    def note(self, what: str) -> None:
-        self.world.history.note(what, self.name)
+    @property
+    def responsive(self) -> bool:
+        """A process is there, and does not stand still."""
+        return self.loop is not None and not self.loop.stopped
+
+    @property
+    def disk(self) -> MachineDisk:
+        """The disk of a machine that has one."""
+        assert self.machine_disk is not None, f"{self.name} has no disk"
+        return self.machine_disk
+
+    def check_invariants(self) -> None:
+        """AssertionError if the attributes contradict each other."""
+        if self.loop is None:
+            assert self.program is None, "a program without a process"
+        else:
+            assert self.host.powered, "a process on a machine without power"
+            assert self.loop.alive, "the process has ended, and its machine does not know"
+
+    def log_event(self, event: str) -> None:
+        """Adds a line about this machine to the trace."""
+        self.system.history.log(event, self.name)
 
     def time_of_day(self) -> float:
-        return EPOCH + self.world.time.now + self.clock_skew
+        """Seconds since 1970, as the machine's clock shows them."""
+        return EPOCH + self.system.time.now + self.clock_skew
 
     # --- its process
 
     def start(self) -> None:
+        """Starts a process, if there is power and none runs."""
         if self.running or not self.host.powered:
             return
-        self.lives += 1
+        self.incarnation += 1
         offset = self.random.uniform(10.0, 1e5)
-        loop = self.loop = ProcessLoop(self.world.time, self.world.network, self.host, offset)
-        self.note("start")
-        loop.call_soon(self.boot, loop)
-        self.world.network.on_change()
+        loop = self.loop = new_process_loop(self.system.time, self.system.network, self.host, offset)
+        self.log_event("start")
+        loop.call_soon(self.run_program, loop)
+        self.system.network.on_change()
 
-    def boot(self, loop: ProcessLoop) -> None:
+    def run_program(self, loop: ProcessLoop) -> None:
+        """The first event of a process."""
         self.program = self.make_program(loop, self)
-        task = loop.create_task(self.program.serve())
-        task.add_done_callback(lambda done: self.served(loop, done))
-        self.serving = task
+        self.serving = loop.create_task(self.program.serve())
+        self.serving.add_done_callback(lambda done: self.program_ended(loop, done))
 
-    def served(self, loop: ProcessLoop, task) -> None:
+    def program_ended(self, loop: ProcessLoop, task: asyncio.Future[None]) -> None:
         """The program came to its end by itself."""
         if loop is not self.loop:
             return
         if not task.cancelled() and task.exception() is not None:
             loop.call_exception_handler({"message": "the program ended", "exception": task.exception()})
-        self.note("ended")
+        self.log_event("ended")
         self.kill()
         if self.restarts:
-            self.start_again()
+            self.schedule_restart()
 
-    def start_again(self) -> None:
+    def schedule_restart(self) -> None:
         """The platform's part, once the process has ended."""
-        self.world.time.after(max(START_AGAIN, self.away_until - self.world.time.now), self.start)
+        delay = max(RESTART_DELAY_S, self.down_until - self.system.time.now)
+        self.system.time.after(delay, self.start)
 
-    def terminate(self, grace_s: float, away_s: float = 0.0) -> None:
-        """SIGTERM, and SIGKILL after the grace if it has not ended by then. The platform starts it again no
-        sooner than `away_s` after the SIGTERM, however soon it ends."""
-        if not self.running or signal.SIGTERM not in self.loop.signal_handlers:
-            return
-        self.away_until = self.world.time.now + away_s
-        self.note("SIGTERM")
+    def terminate(self, grace_s: float, down_s: float = 0.0) -> None:
+        """SIGTERM, and SIGKILL after the grace if the process has not ended by then. The platform starts it
+        again no sooner than `down_s` after the SIGTERM, however soon it ends."""
         loop = self.loop
+        if loop is None or signal.SIGTERM not in loop.signal_handlers:
+            return
+        self.down_until = self.system.time.now + down_s
+        self.log_event("SIGTERM")
         loop.signal(signal.SIGTERM)
-        self.world.time.after(grace_s, self.kill_if, loop)
+        self.system.time.after(grace_s, self.kill_after_grace, loop)
 
-    def kill_if(self, loop: ProcessLoop) -> None:
+    def kill_after_grace(self, loop: ProcessLoop) -> None:
+        """SIGKILL for a process that has not ended in its grace."""
         if self.loop is loop:
             self.kill()
             if self.restarts:
-                self.start_again()
+                self.schedule_restart()
 
     def kill(self) -> None:
         """SIGKILL. The kernel closes what was open; files stay as they are."""
-        if not self.running:
+        if self.loop is None:
             return
-        self.note("kill")
-        loop = self.end_process()
+        self.log_event("kill")
+        loop = self.end_process(self.loop)
         for handle in list(loop.sockets):
             handle.close()
 
-    def end_process(self) -> ProcessLoop:
-        loop, self.loop, self.program = self.loop, None, None
+    def end_process(self, loop: ProcessLoop) -> ProcessLoop:
+        """The process is gone; returns its loop, whose sockets are still open."""
+        self.loop = None
+        self.program = None
         self.faults += loop.faults
         loop.end()
-        if self.disk is not None:
-            self.disk.crash()
-        self.world.network.on_change()
+        if self.machine_disk is not None:
+            self.machine_disk.crash()
+        self.system.network.on_change()
         return loop
 
     def stop(self) -> None:
         """SIGSTOP: nothing runs; its kernel takes in what comes."""
-        if self.running and not self.stopped:
-            self.note("stop")
+        if self.loop is not None and not self.loop.stopped:
+            self.log_event("stop")
             self.loop.stop_process()
-            self.world.network.on_change()
+            self.system.network.on_change()
 
     def thaw(self) -> None:
-        if self.running and self.stopped:
-            self.note("thaw")
+        """SIGCONT."""
+        if self.loop is not None and self.loop.stopped:
+            self.log_event("thaw")
             self.loop.thaw(io_first=self.random.random() < 0.5)
-            self.world.network.on_change()
+            self.system.network.on_change()
 
     # --- power and disk
 
@@ -146,39 +203,38 @@
         """The process ends, nobody is told, and what was not synced may be gone."""
         if not self.host.powered:
             return
-        self.note("power lost")
-        if self.running:
-            loop = self.end_process()
+        self.log_event("power lost")
+        if self.loop is not None:
+            loop = self.end_process(self.loop)
             for handle in list(loop.sockets):
                 handle.lose_power()
         self.host.powered = False
-        self.host.listening.clear()
-        self.host.datagrams.clear()
-        if self.disk is not None:
-            self.disk.files.power_loss(self.random)
+        if self.machine_disk is not None:
+            self.machine_disk.files.power_loss(self.random)
 
     def power_up(self) -> None:
+        """Power is back, and a process starts."""
         if not self.host.powered:
-            self.note("power")
+            self.log_event("power")
             self.host.powered = True
         self.start()
 
     def wipe(self) -> None:
-        """The disk is another one, empty. Only without a process."""
-        self.note("wipe")
+        """The disk is replaced by an empty one. Only without a process."""
+        self.log_event("wipe")
         self.disk.files.wipe()
         self.founding = False
 
 
 def control_plane(
-    settings: Callable[[Machine], Settings], program_class: type[ControlPlane] = ControlPlane
-) -> Callable[[ProcessLoop, Machine], ControlPlane]:
+    settings: Callable[[Machine[ControlPlane]], Settings], program_class: type[ControlPlane] = ControlPlane
+) -> Callable[[ProcessLoop, Machine[ControlPlane]], ControlPlane]:
     """Makes the real control plane of a core machine, on its simulated disk."""
 
-    def make(loop: ProcessLoop, machine: Machine) -> ControlPlane:
+    def make(loop: ProcessLoop, machine: Machine[ControlPlane]) -> ControlPlane:
         disk = machine.disk
 
-        def make_disk(loop, store, done) -> DiskWorker:
+        def make_disk(loop: ProcessLoop, store: Store, done: WriteDone) -> DiskWorker:
             return DiskWorker(disk, loop, store, done)
 
         return program_class(
@@ -186,7 +242,7 @@
             loop,
             Random(machine.random.getrandbits(64)),
             files=disk.files.files,
-            make_disk=make_disk,
+            make_disk=make_disk,  # type: ignore[arg-type] # stands for controlplane.disk.Disk
             wall_clock=machine.time_of_day,
         )
 
@@ -194,11 +250,11 @@
 
 
 def data_plane(
-    settings: Callable[[Machine], Settings], program_class: type[DataPlane] = DataPlane
-) -> Callable[[ProcessLoop, Machine], DataPlane]:
+    settings: Callable[[Machine[DataPlane]], Settings], program_class: type[DataPlane] = DataPlane
+) -> Callable[[ProcessLoop, Machine[DataPlane]], DataPlane]:
     """Makes the real data plane of an edge machine."""
 
-    def make(loop: ProcessLoop, machine: Machine) -> DataPlane:
+    def make(loop: ProcessLoop, machine: Machine[DataPlane]) -> DataPlane:
         return program_class(settings(machine), loop, Random(machine.random.getrandbits(64)))
 
     return make
--- a/shedgrade/simulation/system/platform.py
+++ b/shedgrade/simulation/system/platform.py
@@ -3,27 +3,34 @@
 from __future__ import annotations
 
 import asyncio
+from collections.abc import Callable
 from random import Random
 
 import orjson
 
 from shedgrade.http.server import HttpServer, Reply
 from shedgrade.runtime.log import logger
+from shedgrade.simulation.system.process_loop import ProcessLoop
 
 PORT = 8266
+CHANGE_SHARE = 0.05  # of the polls before which an instance changes its state
 
 
 class PlatformList:
-    """Serves `GET /instances`. An instance changes its state now and then; `calls` counts."""
+    """Serves `GET /instances`. An instance changes its state now and then; `polls` counts requests."""
 
-    def __init__(self, loop, ip: str, zones: list[str], random: Random, per_zone: int = 2) -> None:
-        self.loop, self.random = loop, random
+    def __init__(
+        self, loop: ProcessLoop, ip: str, zones: list[str], random: Random, per_zone: int = 2
+    ) -> None:
+        self.loop = loop
+        self.random = random
         self.server = HttpServer(loop, (ip, PORT), self.handle, logger)
         self.instances = [self.instance(zone, number) for zone in zones for number in range(per_zone)]
-        self.calls = 0
+        self.polls = 0
 
     @staticmethod
-    def instance(zone: str, number: int) -> dict:
+    def instance(zone: str, number: int) -> dict[str, object]:
+        """An instance as the platform's list has it."""
         return {
             "instanceId": f"i-{zone}-{number}",
             "service": "lm",
@@ -35,13 +42,15 @@
             "coldLeftMs": 0,
         }
 
-    def handle(self, request, tell) -> None:
-        self.calls += 1
-        if self.random.random() < 0.05:
+    def handle(self, request: object, respond: Callable[[Reply], None]) -> None:
+        """Answers a request with the whole list."""
+        self.polls += 1
+        if self.random.random() < CHANGE_SHARE:
             one = self.random.choice(self.instances)
             one["state"] = "draining" if one["state"] == "available" else "available"
-        tell(Reply(200, orjson.dumps({"instanceList": self.instances, "nextToken": None})))
+        respond(Reply(200, orjson.dumps({"instanceList": self.instances, "nextToken": None})))
 
     async def serve(self) -> None:
+        """Serves until the process ends."""
         await self.server.start()
         await asyncio.Event().wait()
--- a/shedgrade/simulation/system/seeds.py
+++ b/shedgrade/simulation/system/seed_runner.py
@@ -8,11 +8,11 @@
 from concurrent.futures import ProcessPoolExecutor
 from dataclasses import dataclass
 
-from shedgrade.simulation.system.day import Day
+from shedgrade.simulation.system.simulation_run import SimulationRun
 
 
 @dataclass(frozen=True, slots=True)
-class Job:
+class SeedJob:
     """A day to be played. `length`: s of virtual time with faults."""
 
     seed: int
@@ -24,28 +24,29 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Result:
-    """What came of it; `seconds`: real ones."""
+class SeedResult:
+    """What came of a job. `operations`: how many were invoked; `seconds`: real ones."""
 
-    job: Job
+    job: SeedJob
     findings: list[str]
-    calls: int
+    operations: int
     seconds: float
 
 
-def play(job: Job) -> Result:
+def run_seed(job: SeedJob) -> SeedResult:
     """One day. A seed that raises is a finding like others."""
-    begun, calls = time.perf_counter(), 0
+    begun = time.perf_counter()
+    operations = 0
     try:
-        day = Day(job.seed, job.tolerated, job.profile, job.length, trace=job.trace, log=job.log)
+        day = SimulationRun(job.seed, job.tolerated, job.profile, job.length, trace=job.trace, log=job.log)
         findings = day.play()
-        calls = len(day.world.history.calls)
-    except Exception:
+        operations = len(day.system.history.operations)
+    except Exception:  # at the border of a seed: the others go on
         findings = [traceback.format_exc()]
-    return Result(job, findings, calls, time.perf_counter() - begun)
+    return SeedResult(job, findings, operations, time.perf_counter() - begun)
 
 
-def play_all(jobs: Iterable[Job], processes: int) -> Iterator[Result]:
+def run_seeds(jobs: Iterable[SeedJob], processes: int) -> Iterator[SeedResult]:
     """All days, in the order of the jobs."""
     with ProcessPoolExecutor(processes) as pool:
-        yield from pool.map(play, jobs, chunksize=2)
+        yield from pool.map(run_seed, jobs, chunksize=2)
--- /dev/null
+++ b/shedgrade/simulation/system/simulated_system.py
@@ -0,0 +1,414 @@
+"""A simulated system: real control planes and data planes, operators, the platform's list, and a network."""
+
+from __future__ import annotations
+
+from collections.abc import Callable, Iterable, Mapping
+from dataclasses import dataclass
+from random import Random
+from typing import Any
+
+from shedgrade.control_messages import ControlChange
+from shedgrade.controlplane.plane import LIST, ControlPlane
+from shedgrade.dataplane.plane import DataPlane
+from shedgrade.process_settings import Settings
+from shedgrade.process_settings.reading import check as read_settings
+from shedgrade.runtime.log import hand, logger
+from shedgrade.simulation.system.caller import ATTEMPT_TIMEOUT_S, Caller, MemberAddress
+from shedgrade.simulation.system.clients import Client
+from shedgrade.simulation.system.configurations import label_of
+from shedgrade.simulation.system.disk import MachineDisk
+from shedgrade.simulation.system.history import CommittedState, EdgeView, History, Operation, Position
+from shedgrade.simulation.system.host import Host
+from shedgrade.simulation.system.machine import Machine, control_plane, data_plane
+from shedgrade.simulation.system.network import Network
+from shedgrade.simulation.system.operators import Operator
+from shedgrade.simulation.system.patched_modules import patched_modules
+from shedgrade.simulation.system.platform import PORT, PlatformList
+from shedgrade.simulation.system.process_loop import ProcessLoop, new_process_loop
+from shedgrade.simulation.system.reachability import ReachabilityMonitor
+from shedgrade.simulation.system.virtual_time import VirtualTime
+
+CONTROL, DIRECTORY, FRONT, READINESS, LINK = 8262, 8264, 8263, 8268, 7300  # ports
+PLATFORM_IP = "10.200.0.4"
+SAMPLE_S = 0.05  # between two looks at who holds the lease of the poller
+GRACE_S = 8.0  # from SIGTERM to SIGKILL
+START_WITHIN_S = 0.3  # all machines
+
+
+@dataclass(frozen=True, slots=True)
+class SystemParameters:
+    """What a day is made of. Times in s, sizes in bytes, `bandwidth` in bytes a second (0: unlimited).
+
+    Attributes:
+        tolerated: machines lost at once that every promise outlives; the core has twice as many and one.
+        edges, operators, clients: how many; clients look their host up, in the regions by turns.
+        at_once: operations that an operator has under way at the most.
+        length: of the day, with faults.
+        between: one-way delay between regions; `jitter`: share of it that is added at random, at most.
+        window: of a TCP connection.
+        disk_latency: mean time of a write.
+        padding: bytes by which configurations are longer.
+        pace: mean pause of an operator between two operations.
+        answers_lost, datagram_loss: probabilities.
+        silence: without an answer, after which an operator sends again.
+        zones: how many; at least 3.
+        homes: home regions of one of the routes.
+        control_plane, data_plane: the programs under test.
+    """
+
+    tolerated: int = 1
+    edges: int = 2
+    operators: int = 2
+    at_once: int = 4
+    length: float = 20.0
+    between: float = 0.02
+    jitter: float = 0.1
+    bandwidth: float = 0.0
+    window: int = 128 * 1024
+    disk_latency: float = 0.005
+    padding: int = 0
+    pace: float = 0.4
+    answers_lost: float = 0.0
+    silence: float = ATTEMPT_TIMEOUT_S
+    datagram_loss: float = 0.02
+    zones: int = 3
+    clients: int = 0
+    homes: tuple[str, ...] = ()
+    control_plane: type[ControlPlane] = ControlPlane
+    data_plane: type[DataPlane] = DataPlane
+
+
+DEFAULT_PARAMETERS = SystemParameters()
+
+
+class DiscardingLogger:
+    """Takes the programs' log lines and keeps none."""
+
+    def __getattr__(self, name: str) -> Callable[..., None]:
+        return lambda *args, **more: None
+
+
+class SimulatedSystem:
+    """All machines of one day. Drive it by `run(until)`; everything that is called goes through `time`.
+
+    Attributes:
+        cores, edges: machines by their order; `platform`: the one with the platform's list.
+        operators, clients: what sends requests.
+        zones: region by zone.
+        seeds: addresses of the founding core members.
+        committed_states: control states by their position, as any member reported them.
+        on_acknowledged: called once with the next operation that is acknowledged.
+    """
+
+    def __init__(
+        self,
+        seed: int,
+        parameters: SystemParameters = DEFAULT_PARAMETERS,
+        *,
+        trace: bool = False,
+        log: bool = False,
+    ) -> None:
+        """`trace`: events are printed; `log`: so are the programs' log lines. The order of the draws is
+        fixed: a seed stands for the same history for good."""
+        self.seed = seed
+        self.parameters = parameters
+        self.random = Random(seed)
+        self.time = VirtualTime()
+        self.history = History(self.time)
+        self.history.trace = trace
+        self.log = log
+        self.network = Network(
+            self.time,
+            Random(self.random.getrandbits(64)),
+            between_s=parameters.between,
+            jitter=parameters.jitter,
+            window=parameters.window,
+            datagram_loss=parameters.datagram_loss,
+        )
+        self.zones = {f"hall-{number + 1}": self.region(number) for number in range(parameters.zones)}
+        self.committed_states: dict[Position, CommittedState] = {}
+        self.on_acknowledged: Callable[[Operation], None] | None = None
+        self.cores: list[Machine[ControlPlane]] = []
+        self.edges: list[Machine[DataPlane]] = []
+        self.reachability = ReachabilityMonitor(self)
+        self.network.on_change = self.reachability.update
+        self.seeds = [f"{self.core_ip(number)}:{CONTROL}" for number in range(3)]
+        for number in range(2 * parameters.tolerated + 1):
+            self.cores.append(self.make_core(number))
+        for number in range(parameters.edges):
+            self.edges.append(self.make_edge(number))
+        self.platform = self.make_platform()
+        self.operators = [self.make_operator(number) for number in range(parameters.operators)]
+        self.clients = [self.make_client(number) for number in range(parameters.clients)]
+
+    # --- addresses and settings
+
+    @staticmethod
+    def core_ip(number: int) -> str:
+        """The address of a core machine, from 0."""
+        return f"10.{number % 3 + 1}.0.{number + 1}"
+
+    @staticmethod
+    def region(number: int) -> str:
+        """The region of the machine, operator, client or zone of that number."""
+        return f"region-{number % 3 + 1}"
+
+    def zone_of(self, region: str) -> str:
+        """The first zone of a region."""
+        return next(zone for zone, its_region in self.zones.items() if its_region == region)
+
+    def settings(self, machine: Machine[Any], role: str, listen: Mapping[str, int], **more: Any) -> Settings:
+        """A process's settings, as its file would give them."""
+        ip, region = machine.host.ip, machine.host.region
+        return read_settings(
+            {
+                "nodeName": machine.name,
+                "role": role,
+                "machineClass": role,
+                "servedRoles": [],
+                "ipAddress": ip,
+                "zone": self.zone_of(region),
+                "region": region,
+                "zones": self.zones,
+                "listenAddresses": {name: f"{ip}:{port}" for name, port in listen.items()},
+                "internalPortRange": [LINK, LINK + 15],
+                "seedNodes": self.seeds,
+                "limits": {"memoryMb": 300, "fileDescriptors": 4100},
+                "toleratedLosses": {"machines": self.parameters.tolerated},
+                "timingBounds": {"graceS": GRACE_S},
+                "cloudApi": {"address": f"{PLATFORM_IP}:{PORT}", "ratePerS": 40.0, "maxLagMs": 100},
+                **more,
+            }
+        )
+
+    def core_settings(self, machine: Machine[ControlPlane]) -> Settings:
+        """Of a control plane."""
+        listen = {"control": CONTROL, "directory": DIRECTORY}
+        return self.settings(machine, "core", listen, dataDir="/data", initialStart=machine.founding)
+
+    def edge_settings(self, machine: Machine[DataPlane]) -> Settings:
+        """Of a data plane."""
+        return self.settings(machine, "edge", {"front": FRONT, "readiness": READINESS}, initialStart=False)
+
+    # --- machines, operators, clients
+
+    def make_core(self, number: int) -> Machine[ControlPlane]:
+        """A core machine that has never been started."""
+        host = Host(self.core_ip(number), self.region(number), self.parameters.bandwidth)
+        self.network.add(host)
+        make = control_plane(self.core_settings, self.parameters.control_plane)
+
+        def make_observed(loop: ProcessLoop, machine: Machine[ControlPlane]) -> ControlPlane:
+            plane = make(loop, machine)
+            self.observe_core(machine, plane)
+            return plane
+
+        disk = MachineDisk(Random(self.random.getrandbits(64)), self.parameters.disk_latency)
+        machine = Machine(self, f"core-{number + 1}", host, make_observed, disk)
+        machine.founding = True
+        return machine
+
+    def make_edge(self, number: int) -> Machine[DataPlane]:
+        """An edge machine that has never been started."""
+        host = self.network.add(Host(f"10.{number % 3 + 1}.1.{number + 1}", self.region(number)))
+        make = data_plane(self.edge_settings, self.parameters.data_plane)
+
+        def make_observed(loop: ProcessLoop, machine: Machine[DataPlane]) -> DataPlane:
+            plane = make(loop, machine)
+            self.observe_edge(machine, plane)
+            return plane
+
+        return Machine(self, f"edge-{number + 1}", host, make_observed)
+
+    def make_platform(self) -> Machine[PlatformList]:
+        """The machine with the platform's list."""
+        host = self.network.add(Host(PLATFORM_IP, "platform"))
+        random = Random(self.random.getrandbits(64))
+
+        def make(loop: ProcessLoop, machine: Machine[PlatformList]) -> PlatformList:
+            return PlatformList(loop, PLATFORM_IP, list(self.zones), random)
+
+        return Machine(self, "platform", host, make)
+
+    def make_operator(self, number: int) -> Operator:
+        """An operator, with zones of its own."""
+        parameters = self.parameters
+        name = f"operator-{number + 1}"
+        host = self.network.add(Host(f"10.{number % 3 + 1}.9.{number + 1}", self.region(number)))
+        loop = new_process_loop(self.time, self.network, host)
+        random = Random(self.random.getrandbits(64))
+        caller = Caller(
+            loop, name, self.members, CONTROL, random, parameters.answers_lost, parameters.silence
+        )
+        zones = tuple(list(self.zones)[number :: parameters.operators])
+        return Operator(
+            self, name, loop, random, zones, caller, parameters.pace, parameters.padding, parameters.at_once
+        )
+
+    def make_client(self, number: int) -> Client:
+        """A client of the directories."""
+        region = self.region(number)
+        host = self.network.add(Host(f"10.{number % 3 + 1}.8.{number + 1}", region))
+        loop = new_process_loop(self.time, self.network, host)
+        random = Random(self.random.getrandbits(64))
+        zone = self.zone_of(region)
+        return Client(self, f"client-{number + 1}", loop, zone, region, DIRECTORY, random)
+
+    def machines(self) -> list[Machine[Any]]:
+        """All that may fail."""
+        return [*self.cores, *self.edges, self.platform]
+
+    def members(self) -> list[MemberAddress]:
+        """Members as operators find them in their list: all, also those that are down."""
+        return [MemberAddress(machine.name, machine.host.ip) for machine in self.cores]
+
+    def primary(self) -> Machine[ControlPlane] | None:
+        """The core machine that acts as primary, and is not stopped; of several the newest."""
+        newest, newest_epoch = None, -1
+        for machine in self.cores:
+            program = machine.program
+            if program is None or machine.stopped or program.member.role != "primary":
+                continue
+            if program.member.epoch > newest_epoch:
+                newest, newest_epoch = machine, program.member.epoch
+        return newest
+
+    # --- what is observed
+
+    def observe_core(self, machine: Machine[ControlPlane], plane: ControlPlane) -> None:
+        """Records what a control plane's member reports as committed."""
+        take_control = plane.hub.control
+
+        def control(now: float, epoch: int, sequence: int, state: Mapping[str, bytes]) -> None:
+            self.record_committed(machine, (epoch, sequence), state)
+            take_control(now, epoch, sequence, state)
+
+        setattr(plane.hub, "control", control)  # noqa: B010 (the type checker refuses a method's name)
+
+    def record_committed(
+        self, machine: Machine[ControlPlane], position: Position, state: Mapping[str, bytes]
+    ) -> None:
+        """A member reports a committed state: there is one at each position, whichever member reports it."""
+        zones = state.get("evacuations") or b"[]"
+        committed = CommittedState(
+            position,
+            int(state.get("version") or 0),
+            label_of(state.get("configuration") or b""),
+            frozenset(zone for zone in self.zones if f'"{zone}"'.encode() in zones),
+            self.time.now,
+        )
+        known = self.committed_states.get(position)
+        if known is None:
+            self.committed_states[position] = committed
+            evacuations = sorted(committed.evacuations)
+            self.history.log(
+                f"finished {position} {committed.version} {committed.key} {evacuations}", machine.name
+            )
+        elif not known.is_same_state(committed):
+            self.history.violations.append(
+                f"two states at {position}: {known} and {committed} at {machine.name}"
+            )
+
+    def observe_edge(self, machine: Machine[DataPlane], plane: DataPlane) -> None:
+        """Records what an edge has in force."""
+        apply = plane.state.apply
+        key = ""
+
+        def applied(updates: Iterable[object]) -> None:
+            nonlocal key
+            updates = list(updates)
+            apply(updates)
+            for update in updates:
+                if isinstance(update, ControlChange):
+                    if update.configuration:
+                        key = label_of(update.configuration)
+                    self.record_edge_view(machine, update, key)
+
+        setattr(plane.state, "apply", applied)  # noqa: B010 (the type checker refuses a method's name)
+
+    def record_edge_view(self, machine: Machine[DataPlane], change: ControlChange, key: str) -> None:
+        """An edge has applied a control state, with the configuration of that key."""
+        position = change.epoch, change.sequence
+        evacuations = tuple(change.evacuations)
+        view = EdgeView(
+            self.time.now, machine.name, machine.incarnation, position, change.version, key, evacuations
+        )
+        self.history.views.append(view)
+        self.history.log(f"learns {position} {change.version} {key} {list(evacuations)}", machine.name)
+
+    def acknowledged(self, operation: Operation) -> None:
+        """A change or an order was acknowledged; some faults are injected right then."""
+        if self.on_acknowledged is not None:
+            inject, self.on_acknowledged = self.on_acknowledged, None
+            inject(operation)
+
+    def check_poller(self) -> None:
+        """At most one core machine holds the lease for polling the platform's list."""
+        holders = [
+            machine.name
+            for machine in self.cores
+            if machine.loop is not None
+            and machine.program is not None
+            and not machine.stopped
+            and machine.program.duties.held(LIST, machine.loop.time())
+        ]
+        if len(holders) > 1:
+            self.history.violations.append(f"two hold the duty at {self.time.now:.3f}: {holders}")
+        self.time.after(SAMPLE_S, self.check_poller)
+
+    def faults(self) -> list[str]:
+        """Exceptions that no program caught."""
+        found: list[str] = []
+        for machine in self.machines():
+            contexts = machine.faults + (machine.loop.faults if machine.loop else [])
+            found += [
+                f"fault at {machine.name}: {context.get('message')}: {context.get('exception')!r}"
+                for context in contexts
+            ]
+        for loop in self.caller_loops():
+            found += [f"fault of the simulation: {context!r}" for context in loop.faults]
+        return found
+
+    def caller_loops(self) -> list[ProcessLoop]:
+        """The event loops of operators and clients."""
+        return [operator.loop for operator in self.operators] + [client.loop for client in self.clients]
+
+    def check_invariants(self) -> None:
+        """AssertionError if a machine, the network or a program contradicts itself."""
+        for machine in self.machines():
+            machine.check_invariants()
+        self.network.check_invariants()
+
+    # --- time
+
+    def start(self) -> None:
+        """Everything starts within START_WITHIN_S, operators and clients a little later."""
+        self.platform.start()
+        starting: list[Machine[Any]] = [*self.cores, *self.edges]
+        for machine in starting:
+            self.time.after(START_WITHIN_S * self.random.random(), machine.start)
+        for operator in self.operators:
+            self.time.after(0.5 + self.random.random(), operator.loop.call_soon, operator.start)
+        for client in self.clients:
+            self.time.after(0.5 + self.random.random(), client.loop.call_soon, client.start)
+        self.check_poller()
+
+    def run(self, until: float) -> None:
+        """Plays up to that virtual time (s)."""
+        before = dict(logger.__dict__)
+        if not self.log:
+            hand(DiscardingLogger())
+        try:
+            with patched_modules():
+                self.time.run(until)
+        finally:
+            logger.__dict__.clear()
+            logger.__dict__.update(before)
+
+    def close(self) -> None:
+        """All processes are gone; what they leave runs no more."""
+        for machine in self.machines():
+            if machine.loop is not None:
+                machine.loop.end()
+        for loop in self.caller_loops():
+            loop.end()
--- /dev/null
+++ b/shedgrade/simulation/system/simulation_run.py
@@ -0,0 +1,105 @@
+"""A day by seed: its parameters are drawn, faults are injected and ended, and the history is checked."""
+
+from __future__ import annotations
+
+from dataclasses import replace
+from random import Random
+from typing import Any
+
+from shedgrade.simulation.history import TimeSpan
+from shedgrade.simulation.system.checkers import check
+from shedgrade.simulation.system.fault_schedule import FaultSchedule
+from shedgrade.simulation.system.faults import Faults
+from shedgrade.simulation.system.simulated_system import START_WITHIN_S, SimulatedSystem, SystemParameters
+
+PROFILES = ("calm", "fair", "planned", "storm")
+HOMES = ("region-1", "region-2")  # of one route, in days with planned stops
+RECOVERY_S = 9.0  # after the last fault, in which orders go on
+LAST_OPERATIONS_S = 15.0  # after which every operation has completed, at the latest
+LEARN_S = 3.0  # after the last answer, in which edges learn it
+KILOBYTE = 1024
+MEGABIT = 125_000  # bytes a second
+
+
+def draw_parameters(seed: int, tolerated: int, profile: str, length: float = 20.0) -> SystemParameters:
+    """The parameters of a seed's day."""
+    random = Random(f"{seed} {tolerated} {profile}")
+    padding = random.choice((0, 0, 0, 0, 20, 100, 500, 2000)) * KILOBYTE
+    bandwidth = random.choice((0.0, 0.0, 1000.0, 100.0, 20.0, 5.0)) * MEGABIT
+    if padding > 100 * KILOBYTE and 0.0 < bandwidth < 100 * MEGABIT:
+        bandwidth = 100.0 * MEGABIT  # each change is sent to every member and edge
+    window = 4096 if padding > 100 * KILOBYTE else random.choice((128, 512, 4096))
+    lookups: dict[str, Any] = {"edges": 6, "clients": 6, "homes": HOMES} if profile == "planned" else {}
+    return replace(
+        SystemParameters(
+            tolerated=tolerated,
+            length=length,
+            edges=random.choice((2, 3)),
+            operators=random.choice((1, 2, 2, 3) if padding <= 100 * KILOBYTE else (1, 2)),
+            at_once=random.choice((3, 4, 8)) if padding <= 100 * KILOBYTE else 3,
+            between=random.choice((0.0001, 0.005, 0.02, 0.035, 0.055)),
+            jitter=random.choice((0.02, 0.1, 0.5)),
+            bandwidth=bandwidth,
+            padding=padding,
+            window=window * KILOBYTE,
+            disk_latency=random.choice((0.001, 0.005, 0.02)),
+            pace=random.choice((0.1, 0.4, 1.0)) if padding < 100 * KILOBYTE else 2.0,
+            answers_lost=random.choice((0.0, 0.0, 0.1, 0.4, 0.7)),
+            datagram_loss=random.choice((0.0, 0.02, 0.2)),
+        ),
+        **lookups,
+    )
+
+
+class SimulationRun:
+    """One seed's day. `world` may be looked at afterwards."""
+
+    def __init__(
+        self,
+        seed: int,
+        tolerated: int = 1,
+        profile: str = "fair",
+        length: float = 20.0,
+        *,
+        trace: bool = False,
+        log: bool = False,
+        **changes: Any,
+    ) -> None:
+        """`changes` replace fields of the drawn parameters."""
+        self.profile = profile
+        self.parameters = replace(draw_parameters(seed, tolerated, profile, length), **changes)
+        self.system = SimulatedSystem(seed, self.parameters, trace=trace, log=log)
+        self.faults = Faults(self.system)
+        self.schedule = FaultSchedule(self.system, self.faults, profile, Random(self.system.random.random()))
+
+    def play(self) -> list[str]:
+        """Start, faults, recovery, the last operations. Returns the violations that were found."""
+        system, length = self.system, self.parameters.length
+        try:
+            system.history.unstable_spans.append(TimeSpan(0.0, START_WITHIN_S))
+            system.start()
+            if self.profile != "calm":
+                first = system.random.uniform(1.5, 4.0)
+                system.time.at(first, self.schedule.next)
+            system.run(length)
+            self.schedule.end()
+            system.run(length + RECOVERY_S)
+            for operator in system.operators:
+                operator.stopped, operator.caller.answers_lost = True, 0.0
+            for client in system.clients:
+                client.stopped = True
+            until = length + RECOVERY_S + LAST_OPERATIONS_S
+            while system.time.now < until and not all(one.finished for one in system.operators):
+                system.run(system.time.now + 0.5)
+            system.run(system.time.now + LEARN_S)
+            system.history.end = system.time.now
+            return check(system, self.timely())
+        finally:
+            system.close()
+
+    def timely(self) -> bool:
+        """Times are checked only where answers come and links carry what is sent."""
+        parameters = self.parameters
+        return (
+            self.profile != "storm" and not parameters.answers_lost and parameters.padding <= 100 * KILOBYTE
+        )
--- a/tests/simulation/test_beyond_tolerated.py
+++ b/tests/simulation/test_beyond_tolerated.py
@@ -7,7 +7,7 @@
 
 import pytest
 
-from shedgrade.simulation.system.history import Kind
+from shedgrade.simulation.system.history import OperationKind
 from shedgrade.simulation.system.script import Script
 
 RECOVERS = 12.0  # s
@@ -21,7 +21,7 @@
 
 def read_everywhere(script):
     """Reads at each member, once."""
-    return [script.call(script.operator.get(first=script.member(machine))) for machine in script.world.cores]
+    return [script.call(script.operator.get(first=script.member(machine))) for machine in script.system.cores]
 
 
 @pytest.mark.parametrize(("tolerated", "half"), [(1, 1), (1, 2), (2, 2), (2, 3)])
@@ -30,9 +30,9 @@
     """`half` members with the primary on one side; clients, operators and edges reach both."""
     script = Script(seed=seed, tolerated=tolerated, edges=3)
     script.until_ready()
-    world, primary = script.world, script.world.primary()
-    near = [primary, *[core for core in world.cores if core is not primary][: half - 1]]
-    far = [core for core in world.cores if core not in near]
+    system, primary = script.system, script.system.primary()
+    near = [primary, *[core for core in system.cores if core is not primary][: half - 1]]
+    far = [core for core in system.cores if core not in near]
     for machine in near:
         script.faults.isolate(machine, 8.0, others=far)
     for _ in range(7):
@@ -44,8 +44,8 @@
     assert script.run_until(lambda: change.acknowledged, RECOVERS)
     read_everywhere(script)
     script.run(4.0)
-    reads = [call for call in world.history.calls if call.kind is Kind.GET]
-    assert len(reads) >= 9 * len(world.cores)
+    reads = [call for call in system.history.operations if call.kind is OperationKind.GET]
+    assert len(reads) >= 9 * len(system.cores)
     assert script.everywhere(2)
     assert script.findings() == []
 
@@ -57,14 +57,14 @@
     the member whose disk goes. Links and disks are slow, so that little has come further than it must."""
     script = Script(seed=seed, edges=3, disk_latency=0.02, between=0.055)
     script.until_ready()
-    world, random = script.world, script.world.random
+    system, random = script.system, script.system.random
 
     def strike(call):
-        for machine in (*world.cores, *world.edges, world.platform):
-            fault = script.faults.wipe if machine is world.cores[number] else script.faults.power_off
+        for machine in (*system.cores, *system.edges, system.platform):
+            fault = script.faults.wipe if machine is system.cores[number] else script.faults.power_off
             fault(machine, random.uniform(0.5, 2.5))
 
-    world.on_acknowledged = strike
+    system.on_acknowledged = strike
     changed(script, 1, 2)
     read = script.call(script.operator.get())
     assert script.run_until(lambda: read.status is not None, RECOVERS)
@@ -80,7 +80,7 @@
     script = Script(seed=seed)
     script.until_ready()
     changed(script, 1, 2)
-    away = script.world.random.sample(script.world.cores, 2)
+    away = script.system.random.sample(script.system.cores, 2)
     script.faults.power_off(away[0], 4.0)
     script.faults.power_off(away[1], 5.0)
     for _ in range(6):
--- a/tests/simulation/test_directory_homes.py
+++ b/tests/simulation/test_directory_homes.py
@@ -18,40 +18,42 @@
 
 
 def edges_of(script, *regions):
-    return [machine for machine in script.world.edges if machine.host.region in regions]
+    return [machine for machine in script.system.edges if machine.host.region in regions]
 
 
 def answers(script, region, since):
     """What the clients of a region were answered from then on."""
-    return [one for one in script.world.history.resolutions if one.region == region and one.began >= since]
+    return [
+        one for one in script.system.history.resolutions if one.region == region and one.invoked_at >= since
+    ]
 
 
 @pytest.mark.parametrize("apart", [0.0, 0.3, 1.5])
 def test_with_all_edges_of_the_home_regions_stopped_nobody_is_sent_abroad(apart):
     """The operators' day: both home regions are stopped as planned, beside each other."""
     script = system(3)
-    began = script.world.time.now
+    began = script.system.time.now
     for order, region in enumerate(HOMES):
         for machine in edges_of(script, region):
             script.at(order * apart, script.faults.terminate, machine, GRACE, AWAY)
     script.run(AWAY + apart + 3.0)
     for region in HOMES:
         assert answers(script, region, began)
-    assert any(one.addresses for one in answers(script, "region-1", script.world.time.now - 1.0))
+    assert any(one.addresses for one in answers(script, "region-1", script.system.time.now - 1.0))
     assert script.findings() == []
 
 
 def test_half_of_a_region_that_is_stopped_whole_is_back_while_the_other_half_still_serves():
     """There is always somebody, though all edges of both home regions are told to end together."""
     script = system(4)
-    began = script.world.time.now
+    began = script.system.time.now
     for machine in edges_of(script, *HOMES):
         script.faults.terminate(machine, GRACE)
     script.run(8.0)
     for region in HOMES:
         named = answers(script, region, began)
         assert named and all(one.addresses for one in named)
-    assert all(machine.lives == 2 for machine in edges_of(script, *HOMES))
+    assert all(machine.incarnation == 2 for machine in edges_of(script, *HOMES))
     assert script.findings() == []
 
 
@@ -60,7 +62,7 @@
     script = system(seed)
     for machine in edges_of(script, *HOMES):
         script.faults.terminate(machine, GRACE, AWAY)
-    script.at(3.5, script.faults.all_killed, script.world.cores, lambda: 0.3)
+    script.at(3.5, script.faults.kill_all, script.system.cores, lambda: 0.3)
     script.run(AWAY + 4.0)
     return script.findings()
 
@@ -78,7 +80,7 @@
 
 def killed_for_long():
     script = system(5)
-    script.faults.kill(script.world.edges[0], 12.0)
+    script.faults.kill(script.system.edges[0], 12.0)
     script.run(14.0)
     return script.findings()
 
--- a/tests/simulation/test_edge_ends.py
+++ b/tests/simulation/test_edge_ends.py
@@ -6,7 +6,7 @@
 from shedgrade.dataplane.exchange import TICKS
 from shedgrade.simulation.system.caller import ResponseReader
 from shedgrade.simulation.system.script import Script
-from shedgrade.simulation.system.world import FRONT
+from shedgrade.simulation.system.simulated_system import FRONT
 
 GRACE = 8.0  # s from SIGTERM to SIGKILL
 TAKES_ALL = 3.0  # s after SIGTERM in which all that comes is taken, a little more
@@ -31,7 +31,7 @@
     script = Script(seed=1, edges=4)
     script.until_ready()
     script.run(1.0)
-    edge = script.world.edges[0]
+    edge = script.system.edges[0]
     script.faults.terminate(edge, GRACE)
     script.run(2.4)
     half_a_request(script, edge, held_s)
@@ -44,7 +44,7 @@
     script = Script(seed=2, edges=4)
     script.until_ready()
     script.run(1.0)
-    edge = script.world.edges[0]
+    edge = script.system.edges[0]
     assert edge.program.ready()
     script.faults.terminate(edge, GRACE)
     script.run(0.05)
@@ -52,14 +52,14 @@
     edge.program.tell_ready(None, answers.append)
     assert [answer.status for answer in answers] == [503]
     assert edge.running
-    script.world.close()
+    script.system.close()
 
 
 def test_an_edge_whose_looks_at_its_end_all_fail_ends_by_itself_before_it_is_killed():
     script = Script(seed=2, edges=4)
     script.until_ready()
     script.run(1.0)
-    edge = script.world.edges[0]
+    edge = script.system.edges[0]
 
     def broken():
         raise RuntimeError("planted")
@@ -67,19 +67,19 @@
     edge.program.busy = broken
     script.faults.terminate(edge, GRACE)
     script.run(GRACE - 0.1)
-    noted = [what for _, what, who in script.world.history.events if who == edge.name]
+    noted = [what for _, what, who in script.system.history.events if who == edge.name]
     assert "ended" in noted and not edge.running
-    script.world.close()
+    script.system.close()
 
 
 def test_the_directory_is_told_that_an_edge_has_closed():
     script = Script(seed=2, edges=4)
     script.until_ready()
     script.run(1.0)
-    edge = script.world.edges[0]
+    edge = script.system.edges[0]
     script.faults.terminate(edge, GRACE)
     assert script.run_until(lambda: not edge.running, TAKES_ALL + 0.3)
-    told = [core.program.hub.ending.get(edge.name) for core in script.world.cores]
+    told = [core.program.hub.ending.get(edge.name) for core in script.system.cores]
     assert STAGES[CLOSED] in [ending.stage for ending in told if ending is not None]
     assert script.findings() == []
 
@@ -92,7 +92,7 @@
     script = Script(seed=2, edges=4)
     script.until_ready()
     script.run(1.0)
-    program = script.world.edges[0].program
+    program = script.system.edges[0].program
     left = []
 
     def look():
@@ -111,7 +111,7 @@
     script = Script(seed=2, edges=4)
     script.until_ready()
     script.run(1.0)
-    edge = script.world.edges[0]
+    edge = script.system.edges[0]
     script.faults.terminate(edge, GRACE)
     assert script.run_until(lambda: not edge.running, TAKES_ALL + 0.3)
     assert script.findings() == []
--- a/tests/simulation/test_fleet_count.py
+++ b/tests/simulation/test_fleet_count.py
@@ -13,14 +13,14 @@
     script = Script(seed=seed, edges=EDGES)
     script.until_ready()
     script.run(2.0)
-    random, world = script.world.random, script.world
-    script.faults.all_killed([*world.cores, *world.edges], lambda: random.uniform(0.1, 0.6))
+    random, system = script.system.random, script.system
+    script.faults.kill_all([*system.cores, *system.edges], lambda: random.uniform(0.1, 0.6))
     counts = []
     for _ in range(120):
         script.run(0.05)
         counts += [
-            (round(world.time.now, 2), machine.name, machine.program.state.sidecars)
-            for machine in world.edges
+            (round(system.time.now, 2), machine.name, machine.program.state.sidecars)
+            for machine in system.edges
             if machine.program is not None and machine.program.ready()
         ]
     assert len(counts) > EDGES * 60
--- a/tests/simulation/test_killed_at_once.py
+++ b/tests/simulation/test_killed_at_once.py
@@ -20,16 +20,16 @@
 def test_the_whole_core_is_killed_right_after_a_change_of_either_sort(seed, tolerated):
     script = Script(seed=seed, tolerated=tolerated, edges=4)
     script.until_ready()
-    world, random = script.world, script.world.random
+    system, random = script.system, script.system.random
     for version in range(2, 6):
-        script.operator.made = version  # every third change is of named items
+        script.operator.changes_made = version  # every third change is of named items
         change = script.call(script.operator.put(version - 1, version, f"change-{version}"))
         assert script.run_until(lambda change=change: change.acknowledged, RECOVERS)
-        script.faults.all_killed(world.cores, lambda: random.uniform(0.2, 0.9))
+        script.faults.kill_all(system.cores, lambda: random.uniform(0.2, 0.9))
         read = script.call(script.operator.get())
         assert script.run_until(lambda read=read: read.status == 200, RECOVERS)
         assert (read.body_version, read.body_key) == (version, f"change-{version}")
-    assert any(call.delta for call in world.history.calls)
+    assert any(call.delta for call in system.history.operations)
     assert script.run_until(lambda: script.everywhere(5), RECOVERS)
     script.run(4.0)
     assert script.findings() == []
@@ -48,18 +48,18 @@
     script = Script(seed=4, tolerated=1, edges=16)
     script.until_ready()
     script.run(2.0)
-    world = script.world
-    herd = [*world.edges[:12], *(world.cores if with_core else [])]
-    listed = world.platform.program.calls
+    system = script.system
+    herd = [*system.edges[:12], *(system.cores if with_core else [])]
+    listed = system.platform.program.polls
     asked.clear()
-    script.faults.all_killed(herd, lambda: 0.5)
+    script.faults.kill_all(herd, lambda: 0.5)
     script.run(0.5)
     assert script.run_until(
-        lambda: all(edge.running and edge.program.ready() for edge in world.edges), READY_AGAIN
+        lambda: all(edge.running and edge.program.ready() for edge in system.edges), READY_AGAIN
     )
     script.run(READY_AGAIN)
     seconds = 0.5 + 2 * READY_AGAIN
-    assert len(asked) <= len(world.edges) * ASKS_PER_EDGE
-    settings = world.cores[0].program.settings
-    assert world.platform.program.calls - listed <= settings.cloud_api.rate_per_s * seconds
+    assert len(asked) <= len(system.edges) * ASKS_PER_EDGE
+    settings = system.cores[0].program.settings
+    assert system.platform.program.polls - listed <= settings.cloud_api.rate_per_s * seconds
     assert script.findings() == []
--- a/tests/simulation/test_long_orders.py
+++ b/tests/simulation/test_long_orders.py
@@ -12,7 +12,7 @@
     script.until_ready()
     script.run(5.0)
     refused = 0
-    for number, machine in enumerate(script.world.cores, start=1):
+    for number, machine in enumerate(script.system.cores, start=1):
         change = script.call(
             script.operator.put(number, number + 1, f"change-{number}", first=script.member(machine))
         )
--- a/tests/simulation/test_looks_go_on.py
+++ b/tests/simulation/test_looks_go_on.py
@@ -18,7 +18,7 @@
 
     yield make
     for script in made:
-        script.world.close()
+        script.system.close()
 
 
 class PlantedError(Exception):
@@ -52,7 +52,7 @@
 def test_a_look_that_fails_once_comes_again(kind, part, name, scripted):
     script = scripted(seed=1)
     script.until_ready()
-    machine = getattr(script.world, kind)[0]
+    machine = getattr(script.system, kind)[0]
     calls = once(attrgetter(part)(machine.program), name)
     script.run(4.0)
     assert len(calls) >= 2
@@ -63,7 +63,7 @@
     script = scripted(seed=2, edges=4)
     script.until_ready()
     script.run(1.0)
-    edge = script.world.edges[0]
+    edge = script.system.edges[0]
     script.faults.terminate(edge)
     once(edge.program, "busy")
     assert script.run_until(lambda: not edge.running, 4.0)
--- a/tests/simulation/test_system_faults.py
+++ b/tests/simulation/test_system_faults.py
@@ -3,10 +3,10 @@
 import planted_system_faults as planted
 import pytest
 
-from shedgrade.simulation.system.day import Day
+from shedgrade.simulation.system.simulation_run import SimulationRun
 
 SLOW = {"disk_latency": 0.02, "between": 0.055}  # s: what is not yet at a backup stays so for longer
-PLANTED = [  # the fault, the profile in which it shows, within how many seeds, what is said, shape
+PLANTED = [  # the fault, the profile in which it shows, within how many seeds, what is said, parameters
     (planted.remembers_only_the_newest, "fair", 10, "taken and refused", {}),
     (planted.reads_without_confirmation, "fair", 10, "an old read", {}),
     (planted.late_orders_are_carried_out, "storm", 20, "late", {}),
@@ -19,11 +19,11 @@
 ]
 
 
-@pytest.mark.parametrize(("plant", "profile", "seeds", "says", "shape"), PLANTED)
-def test_a_planted_fault_is_found(plant, profile, seeds, says, shape, monkeypatch):
+@pytest.mark.parametrize(("plant", "profile", "seeds", "says", "parameters"), PLANTED)
+def test_a_planted_fault_is_found(plant, profile, seeds, says, parameters, monkeypatch):
     plant(monkeypatch)
     for seed in range(seeds):
-        found = Day(seed, 1, profile, padding=0, pace=0.2, **shape).play()
+        found = SimulationRun(seed, 1, profile, padding=0, pace=0.2, **parameters).play()
         if any(says in finding for finding in found):
             return
     pytest.fail(f"not found within {seeds} seeds")
--- a/tests/simulation/test_system_scripts.py
+++ b/tests/simulation/test_system_scripts.py
@@ -3,10 +3,10 @@
 import planted_system_faults as planted
 import pytest
 
-from shedgrade.simulation.system.history import Kind
+from shedgrade.simulation.system.history import OperationKind
 from shedgrade.simulation.system.script import Script
 
-OPPOSITE = {Kind.EVACUATE: Kind.RETURN, Kind.RETURN: Kind.EVACUATE}
+OPPOSITE = {OperationKind.EVACUATE: OperationKind.RETURN, OperationKind.RETURN: OperationKind.EVACUATE}
 
 
 def late_order(kind, number):
@@ -14,11 +14,11 @@
     then the member goes on."""
     script = Script(seed=3)
     script.until_ready()
-    if kind is Kind.RETURN:
-        before = script.call(script.operator.order_zone(Kind.EVACUATE, "hall-2"))
+    if kind is OperationKind.RETURN:
+        before = script.call(script.operator.order_zone(OperationKind.EVACUATE, "hall-2"))
         script.run(1.0)
         assert before.acknowledged
-    machine = script.world.cores[number]
+    machine = script.system.cores[number]
     script.faults.stop(machine, 6.0)
     held_up = script.call(script.operator.order_zone(kind, "hall-2", script.member(machine)))
     assert script.run_until(lambda: held_up.acknowledged, 6.0)
@@ -33,7 +33,7 @@
 @pytest.mark.parametrize("kind", OPPOSITE)
 def test_an_order_read_late_by_a_thawed_member_undoes_nothing(kind, number):
     evacuated, findings = late_order(kind, number)
-    assert evacuated == (kind is Kind.RETURN)
+    assert evacuated == (kind is OperationKind.RETURN)
     assert findings == []
 
 
@@ -47,7 +47,7 @@
 def test_a_primary_cut_off_for_twenty_seconds_confirms_nothing_and_the_others_go_on():
     script = Script(seed=5, edges=3)
     script.until_ready()
-    primary = script.world.primary()
+    primary = script.system.primary()
     script.faults.isolate(primary, 20.0)
     change = script.call(script.operator.put(1, 2, "second", first=script.member(primary)))
     script.run(8.0)
@@ -55,7 +55,7 @@
     read = script.call(script.operator.get(first=script.member(primary)))
     script.run(3.0)
     assert read.attempts[0].status == 503
-    assert read.attempts[0].ended - read.attempts[0].began < 0.7
+    assert read.attempts[0].completed_at - read.attempts[0].invoked_at < 0.7
     assert (read.status, read.body_version) == (200, 2)
     assert script.everywhere(2)
     script.run(20.0)
@@ -66,7 +66,7 @@
     planted.reads_without_confirmation(monkeypatch)
     script = Script(seed=5)
     script.until_ready()
-    machine = script.world.cores[1]
+    machine = script.system.cores[1]
     script.faults.isolate(machine, 5.0)
     script.run(1.0)
     read = script.call(script.operator.get(first=script.member(machine)))
@@ -78,16 +78,16 @@
 def test_an_edge_that_starts_behind_the_cut_learns_the_newest_once_it_reaches_others():
     script = Script(seed=6)
     script.until_ready()
-    world = script.world
-    alone, edge = world.primary(), world.edges[0]
-    others = [machine for machine in world.cores if machine is not alone]
+    system = script.system
+    alone, edge = system.primary(), system.edges[0]
+    others = [machine for machine in system.cores if machine is not alone]
     script.faults.isolate(alone, 20.0)
     change = script.call(script.operator.put(1, 2, "second", first=script.member(others[0])))
     assert script.run_until(lambda: change.acknowledged, 8.0)
     script.faults.isolate(edge, 4.0, others=others)
     script.faults.kill(edge, 0.3)
     script.run(6.5)
-    assert world.history.views[-1].version == 2 and script.everywhere(2)
+    assert system.history.views[-1].version == 2 and script.everywhere(2)
     script.run(16.0)
     assert script.findings() == []
 
@@ -100,7 +100,7 @@
     script.until_ready()
     change = script.call(script.operator.put(1, 2, "second"))
     assert script.run_until(lambda: change.acknowledged, 3.0)
-    primary = script.world.primary()
+    primary = script.system.primary()
     backup = holder_beside(script, primary)
     backup.kill()
     backup.wipe()
@@ -125,5 +125,5 @@
     record = primary.program.member.held.record
     hosts = [peer.address.partition(":")[0] for peer in record.members if peer.incarnation in record.holders]
     return next(
-        machine for machine in script.world.cores if machine is not primary and machine.host.ip in hosts
+        machine for machine in script.system.cores if machine is not primary and machine.host.ip in hosts
     )
--- a/tests/simulation/test_system_seeds.py
+++ b/tests/simulation/test_system_seeds.py
@@ -2,7 +2,7 @@
 
 import pytest
 
-from shedgrade.simulation.system.seeds import Job, play_all
+from shedgrade.simulation.system.seed_runner import SeedJob, run_seeds
 
 PROCESSES = 3
 LENGTH = 8.0  # s of virtual time with faults
@@ -21,6 +21,6 @@
     ],
 )
 def test_seeds_without_findings(profile, tolerated, seeds):
-    jobs = [Job(seed, tolerated, profile, LENGTH) for seed in range(seeds)]
-    found = {result.job.seed: result.findings for result in play_all(jobs, PROCESSES) if result.findings}
+    jobs = [SeedJob(seed, tolerated, profile, LENGTH) for seed in range(seeds)]
+    found = {result.job.seed: result.findings for result in run_seeds(jobs, PROCESSES) if result.findings}
     assert found == {}
--- a/tests/simulation/test_system_world.py
+++ b/tests/simulation/test_system_world.py
@@ -2,8 +2,8 @@
 
 import pytest
 
-from shedgrade.simulation.system.history import Kind
-from shedgrade.simulation.system.world import Shape, SystemWorld
+from shedgrade.simulation.system.history import OperationKind
+from shedgrade.simulation.system.simulated_system import SimulatedSystem, SystemParameters
 
 
 @pytest.fixture
@@ -11,27 +11,31 @@
     """Plays a calm day by seed."""
     played = []
 
-    def play(seed, length=6.0, **shape):
-        world = SystemWorld(seed, Shape(**shape))
-        played.append(world)
-        world.start()
-        world.run(length)
-        return world
+    def play(seed, length=6.0, **parameters):
+        system = SimulatedSystem(seed, SystemParameters(**parameters))
+        played.append(system)
+        system.start()
+        system.run(length)
+        return system
 
     yield play
-    for world in played:
-        world.close()
+    for system in played:
+        system.close()
 
 
 def test_a_change_is_acknowledged_read_back_and_in_force_at_the_edges(day):
-    world = day(1)
-    changes = [call for call in world.history.calls if call.kind is Kind.PUT and call.acknowledged]
-    reads = [call for call in world.history.calls if call.kind is Kind.GET and call.status == 200]
+    system = day(1)
+    changes = [
+        call for call in system.history.operations if call.kind is OperationKind.PUT and call.acknowledged
+    ]
+    reads = [
+        call for call in system.history.operations if call.kind is OperationKind.GET and call.status == 200
+    ]
     assert len(changes) > 5 and len(reads) > 5
     newest = max(changes, key=lambda call: call.version)
-    seen = {view.edge for view in world.history.views if view.key == newest.key}
+    seen = {view.edge for view in system.history.views if view.key == newest.key}
     assert seen == {"edge-1", "edge-2"}
-    assert world.faults() == [] and world.history.wrong == []
+    assert system.faults() == [] and system.history.violations == []
 
 
 def test_one_seed_gives_one_history(day):
