--- a/shedgrade/simulation/fault_injector.py
+++ b/shedgrade/simulation/fault_injector.py
@@ -52,7 +52,7 @@
         cluster = self.cluster
         lost = self.lost_machines()
         free = [machine for machine in cluster.machines if machine.name not in lost and machine.up]
-        if cluster.bounded and len(lost) >= cluster.tolerated or not free:
+        if (cluster.bounded and len(lost) >= cluster.tolerated) or not free:
             return None
         if preferred is not None and preferred in free:
             return preferred
--- a/shedgrade/simulation/system/checkers.py
+++ b/shedgrade/simulation/system/checkers.py
@@ -69,15 +69,13 @@
 
 def check_isolated_members(history: History) -> list[str]:
     """A member confirms nothing in a request that began and ended while it reached no majority."""
-    violations: list[str] = []
-    for operation in history.operations:
-        for attempt in operation.attempts:
-            if attempt.status is not None and 200 <= attempt.status < 300 and is_isolated(history, attempt):
-                violations.append(
-                    f"{attempt.member}, alone, answers {operation.kind} with {attempt.status} at "
-                    f"{attempt.completed_at:.3f}"
-                )
-    return violations
+    return [
+        f"{attempt.member}, alone, answers {operation.kind} with {attempt.status} at "
+        f"{attempt.completed_at:.3f}"
+        for operation in history.operations
+        for attempt in operation.attempts
+        if attempt.status is not None and 200 <= attempt.status < 300 and is_isolated(history, attempt)
+    ]
 
 
 def is_isolated(history: History, attempt: Attempt) -> bool:
--- a/tests/simulation/test_control_faults.py
+++ b/tests/simulation/test_control_faults.py
@@ -238,7 +238,7 @@
                     cluster.clock.at(3.0 * cluster.random.random(), cluster.network.unblock, a, b)
         history = cluster.play()
         assert history.violations == [] and cluster.history.states
-        assert [each for each in check(history, timely=False)] == []
+        assert check(history, timely=False) == []
 
 
 def test_two_founders_of_three_go_on_without_the_third():
