--- a/shedgrade/dataplane/engine.py
+++ b/shedgrade/dataplane/engine_connection.py
@@ -1,15 +1,15 @@
 """One connection to an upstream that serves a model: whose answer comes on it, and what it proves.
 
-Streams are passed on as they come.
+Streams are forwarded as they come.
 """
 
 import re
 import socket
 
 from shedgrade.dataplane.attribution import Attribution, attribute
-from shedgrade.dataplane.protocol import MISDIRECTED
-from shedgrade.http.connection import LONGEST_HEAD, MessageError, passed_on
-from shedgrade.http.upstream import UpstreamConnection
+from shedgrade.dataplane.engine_protocol import MISDIRECTED
+from shedgrade.http.message_grammar import MAX_HEAD_BYTES, ResponseError, end_to_end_headers
+from shedgrade.http.upstream_connection import UpstreamConnection
 from shedgrade.in_flight import Answer, Transmission
 
 USER_TIMEOUT_MS = 1500  # without an acknowledgement of what was sent, then the kernel ends the connection
@@ -34,32 +34,40 @@
 
 
 class EngineConnection(UpstreamConnection):
-    """Answers are told apart by the id that they echo; a success needs the upstream's seal.
+    """Responses are attributed by the id that they echo; a success needs the upstream's seal.
 
-    What nothing tells apart is believed only as the first answer to the first request of a connection: there
+    What can't be attributed is taken only as the first response to the first request of a connection: there
     it can belong to no other. Elsewhere it ends the request as one that may have run, and the connection.
+
+    Attributes:
+        surplus: what comes now answers another request, whose time is over.
+        surplus_came: at least one such response has come on this connection.
     """
 
-    def __init__(self, caller, upstream: int, address: tuple[str, int]) -> None:
-        self.surplus = False  # what comes now answers another request, whose time is over
-        self.surplus_came = False  # at least one such answer has come on this connection
-        super().__init__(caller, upstream, address)
+    def __init__(self, connections, upstream: int, address: tuple[str, int]) -> None:
+        self.surplus = False
+        self.surplus_came = False
+        super().__init__(connections, upstream, address)
 
     def connection_made(self, transport) -> None:
+        """The connection is open: it is probed by the kernel from now on."""
         super().connection_made(transport)
         enable_keepalive(transport)
 
     def begin(self, transmission: Transmission, now: int) -> None:
+        """Sends a request; see `UpstreamConnection.begin`."""
         # What an earlier upstream answered tells nothing of what this one does with the request.
         transmission.active_request.failure = None
         super().begin(transmission, now)
-        self.caller.request_sent(self.upstream, now)
+        self.connections.request_sent(self.upstream, now)
 
     def read(self) -> None:
-        self.caller.last_heard_at[self.upstream] = self.caller.clock.now()
+        """Bytes have come: the upstream is not silent."""
+        self.connections.last_heard_at[self.upstream] = self.connections.clock.now()
         super().read()
 
     def on_headers_complete(self) -> None:
+        """A head is complete: attributes it, and forwards the response of a stream at once."""
         super().on_headers_complete()
         if not self.status:
             return
@@ -71,7 +79,7 @@
             case Attribution.FOREIGN:
                 self.skip_surplus()
             case Attribution.UNKNOWN:
-                raise MessageError("an answer that nothing tells apart")
+                raise ResponseError("a response that can't be attributed")
             case Attribution.OWN if self.status // 100 == 2:
                 self.succeeded(known)
 
@@ -86,15 +94,15 @@
         Nothing is kept of its head: neither its end, nor the connection's, nor the deadline may take it for
         the answer to the request in hand.
         """
-        self.clear()
+        self.reset_response()
         self.surplus = self.surplus_came = True
 
     def succeeded(self, known: dict[bytes, bytes]) -> None:
         """The head of a success has come: `known`, its headers by name in lower case."""
         if b"attempt-id" not in known or b"server-seal" not in known or b"content-encoding" in known:
-            raise MessageError("a success that is not the upstream's")
-        if self.transmission.active_request.streams and self.sending is None and not self.complete:
-            self.pass_on()
+            raise ResponseError("a success that is not the upstream's")
+        if self.transmission.active_request.streams and self.request_flow is None and not self.complete:
+            self.forward_as_flow()
 
     def may_have_run(self) -> bool:
         """As for any upstream; and one that began an answer to part of a request may have begun on it too."""
@@ -104,30 +112,33 @@
         """Takes from a `Keep-Alive` header how long the upstream keeps an idle connection, in seconds."""
         found = keep_alive and STATED_TIMEOUT.search(keep_alive)
         if found:
-            self.caller.idle_timeout_stated(int(found[1]))
+            self.connections.idle_timeout_stated(int(found[1]))
 
     def on_body(self, body: bytes) -> None:
+        """A part of a body has come, be it of a surplus response."""
         if self.surplus:
-            self.head_left = LONGEST_HEAD  # the own answer's head is still to come whole
+            self.head_bytes_left = MAX_HEAD_BYTES  # the own answer's head is still to come whole
         else:
             super().on_body(body)
 
     def on_message_complete(self) -> None:
+        """A response is complete; of a surplus one, the next bytes are the own response's."""
         if not self.surplus:
             super().on_message_complete()
             return
         self.surplus = False
-        self.clear()
+        self.reset_response()
         self.bodiless = (
             self.transmission is not None and self.transmission.active_request.request.verb == b"HEAD"
         )
 
-    def finish(self) -> None:
+    def response_complete(self) -> None:
+        """A complete response is here; a failure of the upstream's own is kept for the client."""
         transmission = self.transmission
         if transmission is not None and self.status // 100 != 2:
             transmission.active_request.failure = Answer(
-                passed_on(self.headers), b"".join(self.body), self.status
+                end_to_end_headers(self.headers), b"".join(self.body), self.status
             )
             if self.status == MISDIRECTED:
-                self.caller.misdirected(self.upstream)
-        super().finish()
+                self.connections.misdirected(self.upstream)
+        super().response_complete()
--- a/shedgrade/dataplane/ingress.py
+++ b/shedgrade/dataplane/ingress.py
@@ -1,13 +1,12 @@
 """The clients' side of the data plane: requests come in, are given a route, and are answered once."""
 
-from shedgrade.buffers.flow import SMALL, Flow
+from shedgrade.buffers.flow import SMALL_MESSAGE_BYTES, Flow
 from shedgrade.configuration import Limits
 from shedgrade.dataplane.exchange import TICKS, Exchange
 from shedgrade.dataplane.routes import ServedRoute, shared_parts, token_usage
 from shedgrade.dataplane.streams import ResumableStream
-from shedgrade.http.application import ApplicationConnection
-from shedgrade.http.connection import declared, passed_on
-from shedgrade.http.http import relative
+from shedgrade.http.inbound_connection import InboundConnection
+from shedgrade.http.message_grammar import Headers, content_length, end_to_end_headers, origin_form
 from shedgrade.in_flight import Answer, Request
 from shedgrade.model_routing.request import IDEMPOTENT, RoutingConstraints
 
@@ -23,43 +22,49 @@
     """What connections tell of an exchange, passed on to the turn that has it."""
 
     def client_disconnected(self, active_request: Exchange) -> None:
+        """The client has disconnected."""
         active_request.service.dispatcher.client_disconnected(active_request)
 
     def body_received(self, active_request: Exchange, here: bool, whole: bool) -> None:
+        """More of a long request has come; see `RequestEvents`."""
         active_request.service.dispatcher.body_received(active_request, here, whole)
 
 
-class IngressConnection(ApplicationConnection):
+class IngressConnection(InboundConnection):
     """One connection of a client."""
 
-    small = 2 * SMALL
-    once = (b"attempt-id", b"time-remaining", b"host")
+    flow_above_bytes = 2 * SMALL_MESSAGE_BYTES
+    unique_headers = (b"attempt-id", b"time-remaining", b"host")
 
     def __init__(self, front) -> None:
-        self.failed: Exchange | None = None  # whose upstream's own failure the answer may be
-        self.events = 0  # of the stream that goes out
+        self.failed_exchange: Exchange | None = None  # whose upstream's own failure the answer may be
+        self.events_written = 0  # of the stream that goes out
         self.apply_limits(front.limits)
         super().__init__(front)
 
     def apply_limits(self, limits: Limits) -> None:
         """Takes over the limits of a configuration; each is a little wider than what clients are told."""
-        self.longest_head = max(LEAST_HEAD, limits.header_bytes)
-        self.longest_body = limits.body_bytes
-        self.head_time = limits.header_timeout_ms / 1000 + LIMIT_SLACK
-        self.comes = limits.idle_timeout_ms / 1000 + LIMIT_SLACK
+        self.max_head_bytes = max(LEAST_HEAD, limits.header_bytes)
+        self.max_body_bytes = limits.body_bytes
+        self.head_timeout_s = limits.header_timeout_ms / 1000 + LIMIT_SLACK
+        self.first_request_timeout_s = limits.idle_timeout_ms / 1000 + LIMIT_SLACK
 
     def on_message_begin(self) -> None:
         """Each request is held to the limits in force when it begins, also on a kept connection."""
         self.apply_limits(self.front.limits)
         super().on_message_begin()
 
-    def take(self, verb: bytes, target: bytes, headers: list, body: bytes, flow: Flow | None = None) -> None:
+    def take_request(
+        self, verb: bytes, target: bytes, headers: Headers, body: bytes, flow: Flow | None = None
+    ) -> None:
+        """Finds the route of a request and admits it, or answers it."""
         front = self.front
-        self.verb, self.old = verb, self.parser.get_http_version() == "1.0"
-        target = relative(target)
-        known = self.known(headers)
+        self.request_method = verb
+        self.http_1_0 = self.parser.get_http_version() == "1.0"
+        target = origin_form(target)
+        known = self.headers_by_name(headers)
         if known is None or not target.startswith(b"/"):
-            self.refuse(400)
+            self.reject_and_close(400)
             return
         if front.routes is None:
             self.unready()
@@ -70,14 +75,14 @@
             return
         name, wait = known.get(b"attempt-id"), told_wait(known.get(b"time-remaining"), route)
         if not name or wait is None:
-            self.refuse(400)
+            self.reject_and_close(400)
             return
         # Guards against work for nobody after a stall of our own: its client left while it waited unread.
         if front.stalled() and self.has_left():
             self.close()
             return
-        kept = [(key, value) for key, value in passed_on(headers) if key.lower() not in OWN]
-        length = None if flow is None else declared(headers)
+        kept = [(key, value) for key, value in end_to_end_headers(headers) if key.lower() not in OWN]
+        length = None if flow is None else content_length(headers)
         self.start(route, Request(name, verb, target, kept, body, flow, length), known, wait)
 
     def start(self, route: ServedRoute, request: Request, known: dict[bytes, bytes], wait: int) -> None:
@@ -91,12 +96,14 @@
             self.exhausted(front.come_back())
             return
         usage = token_usage(known.get(b"token-usage"))
-        if front.leaving() and not front.takes(min(wait / 1000, service.times.longest(route.streams, usage))):
+        if front.draining() and not front.accepts(
+            min(wait / 1000, service.times.longest(route.streams, usage))
+        ):
             self.unready()
             return
         client = ResumableStream(self, front.budget, self.resume) if route.resumable else self
         until = front.clock.now() + wait * 10
-        self.active_request = active_request = self.failed = Exchange(
+        active_request = Exchange(
             client,
             request,
             service,
@@ -106,6 +113,8 @@
             until,
             usage,
         )
+        self.active_request = active_request
+        self.failed_exchange = active_request
         if request.flow is not None:
             request.flow.lost = lambda: service.dispatcher.body_received(
                 active_request, False, not active_request.is_body_incomplete
@@ -114,13 +123,13 @@
 
     def unready(self) -> None:
         """Not served here, or not any more: nothing ran, and the next try comes on another connection."""
-        self.last = True
+        self.closing = True
         self.exhausted(self.front.come_back())
 
     def resume(self, last_id: bytes | None) -> bool:
         """A further leg of a stream whose upstream broke off. False if there is none: no time, no tries
         left, the fleet's budget is used up, or its request is not here any more."""
-        before = self.failed
+        before = self.failed_exchange
         left = (before.until - self.front.clock.now()) // 10
         tried = before.rpc.attempts_arrived if before.rpc is not None else before.wants.max_attempts
         repeats = before.service.repeats
@@ -162,30 +171,33 @@
             before.until,
             before.usage,
         )
-        self.active_request = self.failed = leg
+        self.active_request = self.failed_exchange = leg
         before.service.dispatcher.submit(leg, IDEMPOTENT, left, False)
         return True
 
     def errored(self) -> None:
         """It may have run: the upstream's own failure goes back as it came, where there is one."""
-        failure = self.failed.failure if self.failed is not None else None
+        failure = self.failed_exchange.failure if self.failed_exchange is not None else None
         if failure is not None and failure.status >= 400 and failure.status not in (408, 421, 429, 503):
             self.answer(failure.status, failure.headers, failure.body)
         else:
             self.answer(502)
 
     def flowing(self, answer: Answer) -> None:
-        self.events, self.failed.first_at = 0, self.front.clock.now()
+        """A response that is forwarded as it comes has begun."""
+        self.events_written, self.failed_exchange.first_at = 0, self.front.clock.now()
         super().flowing(answer)
 
     def write(self, *pieces: bytes) -> bool:
-        if self.out is not None:
+        """As any connection's; counts the events of a stream."""
+        if self.response_flow is not None:
             # Of a chunk only the middle is the answer's.
-            self.events += pieces[len(pieces) // 2].count(EVENT_END)
+            self.events_written += pieces[len(pieces) // 2].count(EVENT_END)
         return super().write(*pieces)
 
     def completed(self, answer: Answer | None) -> None:
-        exchange, self.failed = self.failed, None
+        """The final response, or the end of a stream; None if it broke off."""
+        exchange, self.failed_exchange = self.failed_exchange, None
         if exchange is not None and answer is not None:
             self.measure(exchange)
         super().completed(answer)
@@ -199,7 +211,7 @@
             times.streamed(
                 (exchange.first_at - exchange.since) / TICKS,
                 (now - exchange.first_at) / TICKS,
-                self.events,
+                self.events_written,
                 exchange.wants.prompt_tokens,
             )
 
@@ -212,7 +224,7 @@
 
 
 def told_wait(header: bytes | None, route: ServedRoute) -> int | None:
-    """ms that the client waits, or the route allows; None if what it says is no time."""
+    """How long the client waits, or the route allows, in ms; None if what it says is no time."""
     if header is None:
         return route.timeout_ms
     whole, _, fraction = header.partition(b".")
--- a/shedgrade/in_flight.py
+++ b/shedgrade/in_flight.py
@@ -140,7 +140,7 @@
         self.requests.add(active_request)
         self.request_ids.add(active_request.request.name)
         self.budget.bytes += len(active_request.request)
-        self.budget.asked += len(active_request.request)
+        self.budget.request_bytes += len(active_request.request)
 
     def remove(self, active_request: ActiveRequest) -> None:
         """Forgets a request and gives its bytes back; nothing if it is not registered."""
@@ -148,4 +148,4 @@
             self.requests.remove(active_request)
             self.request_ids.discard(active_request.request.name)
             self.budget.bytes -= len(active_request.request)
-            self.budget.asked -= len(active_request.request)
+            self.budget.request_bytes -= len(active_request.request)
--- a/shedgrade/request_dispatch.py
+++ b/shedgrade/request_dispatch.py
@@ -29,7 +29,7 @@
         loop,
         clock,
         balancer: load_balancing.Balancer,
-        caller,
+        connections,
         names: list[str],
         budget,
         forget: Callable[[int], None],
@@ -37,7 +37,7 @@
         self.loop = loop
         self.clock = clock
         self.balancer = balancer
-        self.caller = caller
+        self.connections = connections
         self.names = names
         self.release_upstream = forget  # told of each upstream that the decisions have given up
         self.events: list[tuple] = []
@@ -133,7 +133,9 @@
         self.run()
         for active_request in list(self.active_requests.requests):
             for transmission in list(active_request.transmissions.values()):
-                outcome = load_balancing.STOPPED if self.caller.stop(transmission) else load_balancing.UNSENT
+                outcome = (
+                    load_balancing.STOPPED if self.connections.stop(transmission) else load_balancing.UNSENT
+                )
                 self.attempt_finished(transmission, outcome, None)
             self.gather(self.on_final_answer_due, active_request)
         self.run()
@@ -185,7 +187,7 @@
         else:
             active_request.client.errored()
         for transmission in out:
-            self.caller.stop(transmission)
+            self.connections.stop(transmission)
             self.events.append(
                 (self.on_attempt_finished, (transmission, load_balancing.STOPPED, None, self.clock.now()))
             )
@@ -282,7 +284,7 @@
         done = len(self.actions)
         self.decide(now, active_request)
         if not active_request.done:
-            self.actions.insert(done, (self.caller.abandon, (transmission,)))
+            self.actions.insert(done, (self.connections.abandon, (transmission,)))
 
     def on_body_received(
         self, now: int, active_request: ActiveRequest, here: bool, whole: bool, at: int
@@ -341,7 +343,7 @@
         """Hands an operator's order to the decisions, and says when it is in force."""
         self.balancer.set_withdrawn(now, upstream, out)
         if out:
-            self.actions.append((self.caller.withdraw, (upstream,)))
+            self.actions.append((self.connections.withdraw, (upstream,)))
         self.actions.append((told, ()))
 
     def on_final_answer_due(self, now: int, active_request: ActiveRequest) -> None:
@@ -395,7 +397,7 @@
         for tx in numbers:
             transmission = active_request.transmissions.get(tx)
             if transmission is not None:
-                self.actions.append((self.caller.stop, (transmission,)))
+                self.actions.append((self.connections.stop, (transmission,)))
                 self.events.append(
                     (self.on_attempt_finished, (transmission, load_balancing.STOPPED, None, now))
                 )
@@ -403,11 +405,11 @@
     # --- what is carried out
 
     def transmit(self, transmission: Transmission, now: int) -> None:
-        """Hands an attempt to the caller, unless there is no reason for it any more."""
+        """Hands an attempt to the connections, unless there is no reason for it any more."""
         if not self.may_still_send(transmission, now):
             self.attempt_finished(transmission, load_balancing.UNSENT, None)
             return
-        self.caller.transmit(transmission, now)
+        self.connections.transmit(transmission, now)
         if (
             transmission.connect_expires_at is not None
             and transmission.connect_expires_at < transmission.expires_at
@@ -442,7 +444,7 @@
         """
         if transmission.response_began_at is not None:
             moved = transmission.link.moved()
-        elif self.caller.in_time(transmission):
+        elif self.connections.in_time(transmission):
             moved = now  # it is its client's in this very turn
         else:
             return now
@@ -467,8 +469,8 @@
                 transmission.expires_at = until
                 self.add_expiry(transmission, until)
                 continue
-            if self.caller.give_up(transmission):
-                self.caller.silent(transmission)
+            if self.connections.give_up(transmission):
+                self.connections.silent(transmission)
                 outcome = load_balancing.TIMED_OUT
                 logger.debug("attempt timed out", upstream=upstream)
             else:
@@ -477,7 +479,7 @@
                 late = (
                     upstreams_part
                     and now >= (transmission.connect_expires_at or now)
-                    and not self.caller.proxied
+                    and not self.connections.proxied
                 )
                 outcome = load_balancing.UNCONNECTED if late else load_balancing.UNSENT
                 logger.debug("attempt not sent in time", upstream=upstream)
--- a/shedgrade/sidecar/quota/feature.py
+++ b/shedgrade/sidecar/quota/feature.py
@@ -35,10 +35,10 @@
 
     def update_count_header(self, quota: Quota) -> None:
         """Upstreams send their counts in a header, where the fleet's limits are split by observation."""
-        caller: Any = self.pool.caller  # which is not typed yet
+        connections: Any = self.pool.connections  # which is not typed yet
         fleet = quota.fleet
-        caller.counts_in = fleet.header.lower().encode() if fleet is not None else b""
-        caller.counted_by = self.gate.record_answer if fleet is not None else None
+        connections.count_header = fleet.header.lower().encode() if fleet is not None else b""
+        connections.count_received = self.gate.record_answer if fleet is not None else None
 
     def start(self) -> None:
         """Takes over what was saved."""
--- a/shedgrade/upstream_pool/pool.py
+++ b/shedgrade/upstream_pool/pool.py
@@ -1,12 +1,12 @@
-"""A pool: one list of upstreams with its decisions, its turn and its caller; clock and budget are shared
+"""A pool: one list of upstreams with its decisions, its turn and its connections; clock and budget are shared
 among pools."""
 
 import asyncio
 
 from shedgrade import load_balancing
 from shedgrade.buffers.budget import Budget
-from shedgrade.http.caller import Caller
-from shedgrade.http.discovery import DiscoveryWatch, ListReader
+from shedgrade.http.connection_pool import ConnectionPool
+from shedgrade.http.endpoint_discovery import DiscoveryWatch, ListReader
 from shedgrade.load_balancing.upstream_indices import tenths
 from shedgrade.request_dispatch import Dispatcher
 from shedgrade.runtime.clock import Clock
@@ -17,7 +17,7 @@
 
 
 class Pool:
-    """Owns the list's reader, the decisions, the turn, the caller and the watch on discovery, if it has
+    """Owns the list's reader, the decisions, the turn, the connections and the watch on discovery, if it has
     one."""
 
     def __init__(
@@ -41,10 +41,10 @@
             raise ConfigError(f"settings: {missing} is missing") from missing
         except (ArithmeticError, AttributeError, IndexError, TypeError, ValueError) as wrong:
             raise ConfigError(f"settings: a value has the wrong form ({wrong})") from wrong
-        self.caller = Caller(loop, clock, self.reader.addresses.known, dial, idle, budget)
+        self.connections = ConnectionPool(loop, clock, self.reader.addresses.known, dial, idle, budget)
         ids = self.reader.indices.ids
-        self.dispatcher = Dispatcher(loop, clock, self.balancer, self.caller, ids, budget, self.forget)
-        self.caller.dispatcher = self.dispatcher
+        self.dispatcher = Dispatcher(loop, clock, self.balancer, self.connections, ids, budget, self.forget)
+        self.connections.dispatcher = self.dispatcher
         self.watch: DiscoveryWatch | None = None
         self.watching: asyncio.Task | None = None
         self.saved = None  # a SavedList, where the list is kept on disk
@@ -75,7 +75,7 @@
             if (number := before.get(method["name"].encode())) is not None
         }
         self.dispatcher.update_settings(settings, numbers)
-        self.caller.dial_time, self.caller.idle.limit = self.take_settings(settings)
+        self.connections.connect_timeout, self.connections.idle.limit = self.take_settings(settings)
 
     # --- the list
 
@@ -83,12 +83,9 @@
         """One source of the list is in charge at any moment: nothing, what was known, what was saved,
         discovery."""
         if source != self.source:
-            logger.info("list{}: from {} to {}", self.label(), self.source, source)
+            logger.info("endpoint list source changed", previous=self.source, source=source, pool=self.name)
             self.source = source
 
-    def label(self) -> str:
-        return f" of pool {self.name}" if self.name else ""
-
     def listed(self, message: object, asked: bool = True, part: bool = False) -> None:
         """ListError for what is no list; else it is in charge from the next turn on. `part`: what of it is
         sound."""
@@ -101,23 +98,24 @@
                 # Nor is an entry that is not sound: it would spoil the start from what was saved.
                 taken = [] if quiet else self.reader.taken
                 self.saved.save_list({**message, "instances": taken} if quiet or part else message)
-        leaving = [row[0] for row in rows if row[2] != load_balancing.READY]
+        draining = [row[0] for row in rows if row[2] != load_balancing.READY]
         self.dispatcher.list_changed(
             rows, whole, asked
         )  # first: what is withdrawn is decided anew by this list
-        for upstream in (*moved, *leaving):
-            self.caller.withdraw(upstream)
+        for upstream in (*moved, *draining):
+            self.connections.withdraw(upstream)
         if (rows and not quiet) or not asked:
             logger.info(
-                "list generation {}{}: {} entries{}",
-                self.reader.version,
-                self.label(),
-                len(rows),
-                ", whole" * whole,
+                "endpoint list updated",
+                generation=self.reader.version,
+                entries=len(rows),
+                complete=whole,
+                pool=self.name,
             )
         self.listed_once = True
 
     def follow(self, address: tuple[str, int]) -> None:
+        """Watches discovery at this address."""
         self.watch = DiscoveryWatch(
             self.loop,
             address,
@@ -130,6 +128,7 @@
         self.watching = self.loop.create_task(self.watch.run())
 
     def unfollow(self) -> None:
+        """Watches discovery no longer."""
         if self.watch is not None:
             self.watching.cancel()
             self.watch.close()
@@ -144,5 +143,5 @@
     def forget(self, upstream: int) -> None:
         """Gone, with nothing out: what is known of it would otherwise stay for good."""
         self.reader.forget(upstream)
-        self.caller.forget(upstream)
-        self.caller.heard.pop(upstream, None)
+        self.connections.forget(upstream)
+        self.connections.last_response_at.pop(upstream, None)
--- a/tests/dataplane/ingress_rig.py
+++ b/tests/dataplane/ingress_rig.py
@@ -133,13 +133,13 @@
     def ready(self):
         return self.state.ready()
 
-    def leaving(self):
+    def draining(self):
         return self.left
 
-    def takes(self, longest_s):
+    def accepts(self, longest_s):
         return not self.refuses
 
-    def returns_in(self):
+    def retry_after_s(self):
         return 0.0
 
 
@@ -175,8 +175,8 @@
     plane = Plane(loop, ManualClock(loop) if manual else None)
     for upstream in upstreams:
         await upstream.start()
-    plane.state.configured(Routes(configured, plane.state.regions))
-    plane.state.moved(
+    plane.state.apply_configuration(Routes(configured, plane.state.regions))
+    plane.state.apply_endpoint_list(
         EndpointUpdate(
             1,
             1,
--- a/tests/dataplane/stepped_rig.py
+++ b/tests/dataplane/stepped_rig.py
@@ -10,7 +10,7 @@
 
 from shedgrade.buffers.budget import Budget
 from shedgrade.control_messages import Endpoint
-from shedgrade.dataplane.engine import EngineConnection
+from shedgrade.dataplane.engine_connection import EngineConnection
 from shedgrade.dataplane.exchange import Exchange
 from shedgrade.dataplane.ingress import IngressConnection
 from shedgrade.dataplane.service import ServicePool
@@ -64,7 +64,7 @@
 
 
 class SteppedLoop:
-    """As much of an event loop as the turn and the caller use; time stands until it is moved."""
+    """As much of an event loop as the turn and the connection pool use; time stands until it is moved."""
 
     def __init__(self):
         self.at, self.ready = 10_000, deque()
@@ -96,7 +96,7 @@
 class SteppedConnection(EngineConnection):
     """The real one, but for what it asks of a socket."""
 
-    def alive(self):
+    def usable(self):
         return not self.transport.is_closing()
 
     def cut(self):
@@ -240,7 +240,7 @@
 
     def __init__(self, attempt_id):
         self.attempt_id, self.finals, self.flow, self.gone = attempt_id, [], None, False
-        self.failed = None  # as in the connection that is stood in for
+        self.failed_exchange = None  # as in the connection that is stood in for
         self.got, self.head = b"", None
 
     errored = IngressConnection.errored
@@ -297,10 +297,10 @@
             RetryBudget(0.2, 50.0, 100_000),
             "edge-1",
         )
-        self.pool.caller.connection = SteppedConnection
-        self.pool.caller.idle.settled = 0
-        self.pool.caller.connect = self.connect
-        self.pool.listed(
+        self.pool.connections.connection = SteppedConnection
+        self.pool.connections.idle.settle_time = 0
+        self.pool.connections.connect = self.connect
+        self.pool.apply_endpoint_list(
             [
                 (Endpoint(f"i-{number}", "lm", f"127.0.0.1:{number + 1}", "z1", "available"), 0.0)
                 for number in range(UPSTREAMS)
@@ -353,7 +353,7 @@
             None,
             self.loop.now() + WAIT * 10,
         )
-        client.failed = exchange
+        client.failed_exchange = exchange
         self.clients.append(client)
         self.asked.append((exchange, method))
         self.pool.dispatcher.submit(exchange, method, WAIT, False)
@@ -414,6 +414,7 @@
 
     def verdict(self):
         """The first broken promise, or None."""
+        self.pool.connections.idle.check_invariants()
         for client, (_, method) in zip(self.clients, self.asked, strict=True):
             wrong = self.twice(client, method) or self.misplaced(client)
             if wrong:
--- a/tests/dataplane/test_return_tried_first.py
+++ b/tests/dataplane/test_return_tried_first.py
@@ -39,7 +39,7 @@
         RetryBudget(0.2, 50.0, 10 * SECOND),
         "edge-1",
     )
-    pool.listed(
+    pool.apply_endpoint_list(
         [(Endpoint("i-1", "lm", host_port(address), "z1", "available"), 0.0)], {"z1": "east"}, frozenset(), {}
     )
     pool.dispatcher.run()
@@ -83,7 +83,7 @@
         await asyncio.wait_for(met.wait(), 5)
         assert one.up.ejected_until == until and one.ring == []
         assert await looked(one, until) == 0 and one.ring == [one.up]
-        for link in list(one.pool.caller.open):
+        for link in list(one.pool.connections.open):
             link.cut()
         server.close()
 
@@ -95,7 +95,7 @@
         one = pool_of(asyncio.get_running_loop(), free_address())
         one.pool.balancer.eject(one.clock.at, one.up, True)
         until = one.up.ejected_until
-        one.pool.listed([], {"z1": "east"}, frozenset(), {})
+        one.pool.apply_endpoint_list([], {"z1": "east"}, frozenset(), {})
         one.pool.dispatcher.run()
         assert await looked(one, until - PROBE_AHEAD) == 0
 
--- a/tests/load_balancing/test_in_memory.py
+++ b/tests/load_balancing/test_in_memory.py
@@ -11,7 +11,7 @@
 
 from shedgrade import load_balancing
 from shedgrade.buffers.budget import Budget
-from shedgrade.http.application import ApplicationConnection
+from shedgrade.http.rpc_connection import RpcConnection
 from shedgrade.in_flight import ActiveRequest, Answer, Request
 from shedgrade.request_dispatch import Dispatcher
 
@@ -246,7 +246,7 @@
         opened=lambda _: None,
         used=lambda _: None,
         room_for=lambda _: True,
-        leaving=lambda: False,
+        draining=lambda: False,
         crowded=lambda: False,
         stalled=lambda: False,
         ready=lambda: True,
@@ -268,7 +268,7 @@
 )
 def test_requests_cut_anyhow_are_answered_once_each_and_in_order(bodies, cuts, slow, order):
     taken = []
-    connection = ApplicationConnection(sidecar(taken))
+    connection = RpcConnection(sidecar(taken))
     transport = Transport(connection)
     connection.connection_made(transport)
     stream, step, answered = b"".join(request(body) for body in bodies), 0, 0
@@ -322,7 +322,7 @@
 )
 def test_nothing_that_comes_in_gets_past_the_connection_as_an_exception(pieces):
     taken = []
-    connection = ApplicationConnection(sidecar(taken))
+    connection = RpcConnection(sidecar(taken))
     transport = Transport(connection)
     connection.connection_made(transport)
     for piece in pieces:
--- a/tests/sidecar/admin/test_upgrade.py
+++ b/tests/sidecar/admin/test_upgrade.py
@@ -79,7 +79,7 @@
                 assert new.pool.balancer.is_warming_up(ups[names["s-1"]], new.clock.now())
                 assert new.pool.balancer.reinstated == [ups[names["s-1"]]]
                 assert old.pool.balancer.slow_start_share == new.pool.balancer.slow_start_share == 0.5
-                assert new.budget.most + old.budget.most <= 1024
+                assert new.budget.max_connections + old.budget.max_connections <= 1024
                 assert not old.listener.accepting and not old.listener.waiting()
                 # An order at either address counts for both.
                 assert (await world.call("/-/resume"))[0] == 200
@@ -91,7 +91,7 @@
                 old.drain()
                 await until(lambda: old.phase is Phase.CLOSED)
                 await until(lambda: new.pool.balancer.slow_start_share == 1.0)
-                assert new.budget.elsewhere is None
+                assert new.budget.held_elsewhere is None
                 for number in range(9):
                     assert (await ask(world, request(name=f"b{number}")))[0] == 200
 
@@ -109,7 +109,7 @@
         link, state, handle = await loop.run_in_executor(
             None, connect_to_older, loop, handover_path(world.config.listen)
         )
-        assert state.disabled == [] and old.budget.most == old.hot_restart.descriptors_stated
+        assert state.disabled == [] and old.budget.max_connections == old.hot_restart.descriptors_stated
         old.hot_restart.on_ready_timeout(link)  # it is another one that would be late
         assert old.hot_restart.newer is not None
         link.send({"what": "serving"})
@@ -120,14 +120,16 @@
         link.close()
         handle.close()
         assert (
-            (await asking)[0] == 200 and old.budget.most > 100 and old.pool.balancer.slow_start_share == 1.0
+            (await asking)[0] == 200
+            and old.budget.max_connections > 100
+            and old.pool.balancer.slow_start_share == 1.0
         )
         link, _, handle = await loop.run_in_executor(
             None, connect_to_older, loop, handover_path(world.config.listen)
         )
         old.check_invariants()
         old.hot_restart.on_ready_timeout(old.hot_restart.newer)  # it has stood still
-        assert old.hot_restart.newer is None and old.budget.most > 100 and old.listener.accepting
+        assert old.hot_restart.newer is None and old.budget.max_connections > 100 and old.listener.accepting
         link.close()
         handle.close()
 
