--- a/shedgrade/controlplane/plane.py
+++ b/shedgrade/controlplane/plane.py
@@ -36,7 +36,7 @@
 from shedgrade.runtime.loop_errors import log_uncaught
 from shedgrade.runtime.stall_detection import ArrivalClock, StallDetector, steady_clock
 from shedgrade.storage import LoadResult, Store
-from shedgrade.storage.files import Files
+from shedgrade.storage.files import WritableFolder
 
 LINGER_S = 0.2  # from the end of the state machines to that of the process, for the last messages to leave
 KILL_MARGIN_S = 1.0  # before SIGKILL at which this process ends, whatever it still waits for
@@ -61,7 +61,7 @@
         random: Random,
         watched: SettingsFileWatcher | None = None,
         *,
-        files: Files | None = None,
+        files: WritableFolder | None = None,
         make_disk: Callable[..., DiskThread] = DiskThread,
         wall_clock: Callable[[], float] = time,
     ) -> None:
--- a/tests/storage/test_store_random_walks.py
+++ b/tests/storage/test_store_random_walks.py
@@ -28,7 +28,7 @@
     """The process ends here."""
 
 
-class World:
+class StoreModel:
     """A store on a simulated disk, beside what it may hold.
 
     `base`: what the store goes on from. `possible`: what a loss of power may leave. `doubted`: a sync
@@ -87,9 +87,9 @@
                     self.doubted = True
                 raise error
 
-        self.disk.trouble = trouble
+        self.disk.on_operation = trouble
         self.attempt(group)
-        self.disk.trouble = None
+        self.disk.on_operation = None
 
     def refused(self, group, calls):
         self.troubled(OSError(errno.EIO, "refused"), group, calls)
@@ -111,10 +111,10 @@
             if left[0] < 0:
                 raise EndError
 
-        self.disk.trouble = trouble
+        self.disk.on_operation = trouble
         with contextlib.suppress(EndError):
             self.start()
-        self.disk.trouble = None
+        self.disk.on_operation = None
         if power:
             self.power_loss()
         else:
@@ -144,11 +144,11 @@
 
 
 def play(seed, steps):
-    world = World(seed)
+    model = StoreModel(seed)
     for step in steps:
-        world.step(*step)
-    world.write({"last": b"word"})
-    world.power_loss()
+        model.step(*step)
+    model.write({"last": b"word"})
+    model.power_loss()
 
 
 @settings(max_examples=400, deadline=None)
@@ -173,11 +173,11 @@
     found = set()
     for seed in seeds:
         for cut in range(calls):
-            world = World(seed)
+            model = StoreModel(seed)
             for group in groups[:-1]:
-                world.write(group)
-            world.power(groups[-1], cut)
-            found.add(tuple(sorted(world.base.items())))
+                model.write(group)
+            model.power(groups[-1], cut)
+            found.add(tuple(sorted(model.base.items())))
     return found
 
 
@@ -199,12 +199,12 @@
     groups = [{key: b"%d" % number} for number, key in enumerate("abcdefgh")]  # each a record of one size
     cleared, found = [dict.fromkeys("abcdefgh")], set()
     for seed in range(60):
-        world = World(seed)
+        model = StoreModel(seed)
         for group in [*groups, *cleared]:  # slot-a, its log, slot-b, its log, slot-a: empty
-            world.write(group)
-        assert layout.decode_log(world.disk.contents()["log-a"]).last_lsn < world.store.lsn
-        world.power({"z": b"9"}, 2)  # the first record of log-a: all is written, nothing synced
-        found.add(tuple(world.base.items()))
+            model.write(group)
+        assert layout.decode_log(model.disk.contents()["log-a"]).last_lsn < model.store.lsn
+        model.power({"z": b"9"}, 2)  # the first record of log-a: all is written, nothing synced
+        found.add(tuple(model.base.items()))
     assert found == {(), (("z", b"9"),)}
 
 
@@ -212,7 +212,7 @@
     states = set()
     for seed in range(60):
         for cut in range(12):
-            world = World(seed)
-            world.power({"a": b"1" * 900}, cut)
-            states.add((world.store.load().state, bool(world.base)))
+            model = StoreModel(seed)
+            model.power({"a": b"1" * 900}, cut)
+            states.add((model.store.load().state, bool(model.base)))
     assert states == {(StoreState.EMPTY, False), (StoreState.DAMAGED, False), (StoreState.SOUND, True)}
