--- a/shedgrade/replication/__init__.py
+++ b/shedgrade/replication/__init__.py
@@ -1,13 +1,16 @@
-"""Replicated control state: epochs, primary, backups, witnesses. Sans I/O.
+"""Replicated control state: epochs with one primary, backups and witnesses. Sans I/O.
 
-A `Member` is told of messages, written changes and the time, and gives out `Instruction`s. Its modules:
+The caller passes a `Member` received messages, outcomes of disk writes and the time, and carries out the
+`Instruction`s that it returns. Modules:
 
-- `member`: the parts put together; `dispatcher`, `transport`, `peer_directory`: messages in and out;
+- `member`: assembles the parts. `dispatcher`, `transport`, `peer_directory`: incoming and outgoing messages.
   `election_timer`, `primary_monitor`, `timing`: time-outs.
-- `primary` with `command_pipeline`, `holder_supervision`, `follower`, `majority_contact`; `candidate`;
-  `acceptor`: the roles. `reconfiguration`, `graceful_leave`: who comes and goes. `pending_requests`.
-- `replica_state` with `change_index`, `disk_writer`: what a member holds, and what of it is on its disk.
-- `quorums`: the rules that safety hangs on, free of state. `messages`, `effects`, `chunking`: the formats.
+- Roles: `primary` with `command_pipeline`, `holder_supervision`, `follower` and `majority_contact`;
+  `candidate`; `acceptor`. `reconfiguration`, `graceful_leave`: members that join and leave.
+  `pending_requests`: requests that wait for a primary.
+- `replica_state` with `change_index` and `disk_writer`: the state of a member, in memory and on its disk.
+- `quorums`: the quorum rules that safety depends on, as pure functions. `messages`, `effects`, `chunking`:
+  message and instruction types, and the transfer of long messages in chunks.
 """
 
 from shedgrade.replication import effects, messages
--- a/shedgrade/replication/dispatcher.py
+++ b/shedgrade/replication/dispatcher.py
@@ -1,4 +1,4 @@
-"""Which handler each kind of message goes to."""
+"""Dispatches each received message to its handler by type."""
 
 from __future__ import annotations
 
@@ -10,9 +10,9 @@
 if TYPE_CHECKING:
     from shedgrade.replication.member import Member
 
-Handler = Callable[[float, str, Any], None]  # (now, link address of the sender, the message)
+Handler = Callable[[float, str, Any], None]  # arguments: now, link address of the sender, message
 
-# By kind of message: the handler of a member. Looked up with each message, since a role may be replaced.
+# Getters of a member's handler, by message type. Called for each message, since a role may be replaced.
 HANDLERS: dict[type, Callable[[Member], Handler]] = {
     m.JoinRequest: lambda member: member.reconfiguration.on_join_request,
     m.PrimaryHint: lambda member: member.reconfiguration.on_primary_hint,
@@ -36,7 +36,7 @@
 
 
 def dispatch(member: Member, now: float, sender: str, message: m.Message) -> bool:
-    """Hands the message to the role that answers it; a long one once all its chunks are there.
+    """Passes the message to its handler; a chunked message once all its chunks have arrived.
 
     Returns False for a chunk that completes no message.
     """
--- a/shedgrade/replication/effects.py
+++ b/shedgrade/replication/effects.py
@@ -1,7 +1,7 @@
-"""What a member asks of its caller (`Instruction`), and the outcomes of commands and reads.
+"""Instructions from a member to its caller, and the outcomes of commands and reads.
 
-A member does no I/O: each of its calls appends instructions to `Member.effects`, and the caller carries them
-out in their order.
+A member does no I/O: its calls append instructions to `Member.effects`, and the caller carries them out in
+order.
 """
 
 from collections.abc import Mapping
@@ -15,7 +15,7 @@
 
 @dataclass(slots=True)
 class Send:
-    """One message to the link address `to`. It may be lost, delayed, duplicated."""
+    """Send one message to the link address `to`. It may be lost, delayed or duplicated."""
 
     to: str
     message: Message
@@ -23,10 +23,9 @@
 
 @dataclass(slots=True)
 class Persist:
-    """Make `changes` durable as a whole or not at all (None: remove the key), then call `Member.persisted`
-    with the token.
+    """Write `changes` atomically and durably (None: remove the key), then call `Member.persisted`.
 
-    A member has at most one of them open.
+    A member has at most one `Persist` outstanding.
     """
 
     token: int
@@ -35,7 +34,7 @@
 
 @dataclass(slots=True)
 class Answer:
-    """The outcome of the command or read with this ticket: what `decide` gave, or a class of this module."""
+    """Outcome of the command or read `ticket`: the one that `decide` returned, or a class of this module."""
 
     ticket: int
     outcome: Any
@@ -43,7 +42,7 @@
 
 @dataclass(slots=True)
 class Committed:
-    """A newer committed state. `epoch` is the epoch in which its last change was decided."""
+    """The committed state has advanced. `epoch`, `sequence`: log position of its last change."""
 
     epoch: int
     sequence: int
@@ -52,7 +51,7 @@
 
 @dataclass(slots=True)
 class Exit:
-    """The process may end."""
+    """The member has left, and the process may exit."""
 
 
 Instruction = Send | Persist | Answer | Committed | Exit
@@ -60,7 +59,10 @@
 
 @dataclass(slots=True)
 class Decision:
-    """What `decide` makes of a command; without changes the outcome tells of the newest state."""
+    """Result of `decide` for a command.
+
+    Without `changes`, `outcome` is answered once the state that it was decided on is confirmed as the newest.
+    """
 
     changes: Changes = field(default_factory=dict)
     outcome: Any = None
@@ -68,24 +70,24 @@
 
 @dataclass(slots=True)
 class Unavailable:
-    """Nothing happened: retry, here or elsewhere."""
+    """The request had no effect; the client may retry it here or at another process."""
 
 
 @dataclass(slots=True)
 class OutcomeUnknown(Unavailable):
-    """The change may have been made or may yet be: send the same again, anywhere."""
+    """The change may have been made or may still be made; the client may retry the same request anywhere."""
 
 
 @dataclass(slots=True)
 class RedirectToPrimary:
-    """The primary has this link address. The same command may be sent there, whatever became of it here."""
+    """Link address of the primary. The same command may be sent there, whatever its outcome here was."""
 
     address: str
 
 
 @dataclass(slots=True)
 class ReadResult:
-    """The newest committed state, as confirmed after the read began."""
+    """The newest committed state, confirmed by a round that began after the read arrived."""
 
     epoch: int
     sequence: int
--- a/shedgrade/replication/election_timer.py
+++ b/shedgrade/replication/election_timer.py
@@ -1,4 +1,4 @@
-"""When a member that hears no primary asks for votes: in turn, so that elections rarely collide."""
+"""Election time-outs of members that hear no primary, staggered so that elections rarely collide."""
 
 from __future__ import annotations
 
@@ -8,26 +8,24 @@
 from shedgrade.replication.timing import Timing
 
 NEVER = float("-inf")
-FOUNDING_STAGGER_S = 0.4  # from one founder's turn to the next one's
-JITTERS_PER_TURN = 5  # at most a fifth of a turn is added at random
-PRE_VOTE_RETRY_JITTER = 0.2  # at least so much of `primary_timeout_s` between two pre-votes
+FOUNDING_STAGGER_S = 0.4  # between the turns of two successive founders
+JITTERS_PER_TURN = 5  # the random delay is at most 1/5 of a turn
+PRE_VOTE_RETRY_JITTER = 0.2  # minimum delay between two pre-votes, as a fraction of `primary_timeout_s`
 
 
 class ElectionTimer:
     """The election time-out of one member. Times are seconds of the steady clock.
 
-    `election_at`: not before that time this member starts a pre-vote. Meaningless while it is the primary
-    or a candidate.
-    `last_heard_at`: when a primary was last followed, or the last attempt ended; the time-out counts from
-    there.
-    `defer_to_candidate_until`: another candidate was granted a promise and is left to finish; no pre-vote of
-    a third one is granted before.
+    `election_at`: the member starts no pre-vote before. Has no meaning while it is primary or candidate.
+    `last_heard_at`: when a primary was last heard or the last attempt ended; start of the time-out.
+    `defer_to_candidate_until`: no other candidate is granted a pre-vote before, so that the one that was
+    given a promise can finish.
     """
 
     def __init__(
         self, now: float, replica: ReplicaState, address: str, timing: Timing, random: Random
     ) -> None:
-        """Of the member whose state is `replica`, at its start."""
+        """`replica`: state of the member, `address`: its link address, `now`: its start."""
         self.replica = replica
         self.address = address
         self.timing = timing
@@ -37,11 +35,11 @@
         self.defer_to_candidate_until = NEVER
 
     def schedule(self, now: float, is_leaving: bool) -> None:
-        """After the time-out, when it is this member's turn; one that leaves comes after all others."""
+        """Sets `election_at` to this member's turn after the time-out. A leaving member comes last."""
         replica = self.replica
         turn = self.rank(replica.incarnation, self.address)[0] + self.random.random() / JITTERS_PER_TURN
         if is_leaving:
-            turn += len(replica.epoch_config.members)  # only if nobody else can
+            turn += len(replica.epoch_config.members)  # campaigns only if no other member does
         if not replica.epoch_config.number:
             self.election_at = now + FOUNDING_STAGGER_S * turn
             return
@@ -49,26 +47,28 @@
         self.election_at = timeout_at + turn * self.timing.election_stagger_s
 
     def schedule_pre_vote_retry(self, now: float) -> None:
-        """A pre-vote begins: if it fails, the next one comes after a random pause."""
+        """Sets `election_at` for the next pre-vote in case the one that begins now fails, with jitter."""
         jitter = PRE_VOTE_RETRY_JITTER + self.random.random()
         self.election_at = now + 2 * self.timing.resend_interval_s + jitter * self.timing.primary_timeout_s
 
     def schedule_after_step_down(self, now: float) -> None:
-        """The attempt or the epoch of this member is over: the others go first."""
+        """Delays this member's next election once its attempt or epoch has ended: others go first."""
         self.last_heard_at = now
         self.election_at = now + self.timing.primary_timeout_s * (0.5 + self.random.random())
 
     def note_heard(self, now: float) -> None:
-        """A primary was heard, or installs an epoch here."""
+        """Restarts the time-out: a primary was heard, or a candidate installs an epoch here."""
         self.last_heard_at = now
 
     def defer_to_candidate(self, now: float) -> None:
-        """Another candidate is at work: let it finish."""
+        """Lets a candidate finish: no other one is granted a pre-vote for `candidate_grace_s`."""
         self.defer_to_candidate_until = now + self.timing.candidate_grace_s
 
     def rank(self, incarnation: int, address: str = "") -> tuple[int, int]:
-        """Whose turn it is: backups first, in their order, then witnesses; of a core not founded yet, the
-        founders by address. The incarnation decides between equals.
+        """Returns the turn of a member and, to break ties, its incarnation.
+
+        Backups come first, in the order of `holders`, then witnesses, then all others. Before the first epoch
+        the founders take turns in the order of their addresses.
         """
         config = self.replica.epoch_config
         if not config.number:
--- a/shedgrade/replication/follower.py
+++ b/shedgrade/replication/follower.py
@@ -1,4 +1,4 @@
-"""What a primary remembers of the other processes, and of the commands and reads that it has not answered."""
+"""Records of a primary: the other processes, and commands, reads and writes that are not completed."""
 
 from __future__ import annotations
 
@@ -8,27 +8,32 @@
 
 
 class Follower:
-    """What the primary knows of one other process. Times are seconds of the steady clock.
-
-    `incarnation`, `name`, `address`: who it is, and where it was last heard.
-    `last_heard_at`: when it last acknowledged a message, or asked to join and holds no state of this epoch.
-    A new primary takes all as heard when it begins.
-    `last_message_at`: when any message of it came; not reset by a new epoch.
-    `known_since`: when it was first heard, at the earliest the beginning of the epoch.
+    """The primary's record of one other process. Times are seconds of the steady clock.
+
+    `incarnation`, `name`: identity of the process.
+    `address`: link address from which it was last heard.
+    `last_heard_at`: when it last acknowledged a message or, unless it is a holder, asked to join. A new
+    primary counts all members as heard when its epoch begins.
+    `last_message_at`: when any message from it last arrived; not reset by a new epoch.
+    `known_since`: when it was first heard, but not before the epoch began.
     `read_index_round`: the newest round that it acknowledged without having promised a higher epoch.
     `acknowledged_round`: the newest round of this epoch that it acknowledged, whatever it has promised.
-    `known_epoch`: the newest epoch whose configuration it has, active.
+    `known_epoch`: the newest epoch that it knows to be active.
     `promised_epoch`: the epoch number that it promised last.
-    `is_healthy`, `is_leaving`: its disk works; it asked for its leave.
-
-    Of a holder, in this epoch (-1: nothing):
-    `sent_sequence` >= `received_sequence` >= `durable_sequence`, of changes.
-    `resend_at`: what it did not receive is sent again then.
-
-    Of a process that holds nothing:
-    `committed`: the committed state that it has in memory; `durable_position`: of the state on its disk.
-    `catch_up_position`: the newest committed position sent, and `catch_up_due_at`: when it is sent again,
-    after `catch_up_retries` attempts in vain. `is_catch_up_long`: that transfer is long, and under way.
+    `is_healthy`: whether its disk works.
+    `is_leaving`: whether it has asked to leave.
+
+    For a holder, sequence numbers of changes in this epoch (-1: none):
+    `sent_sequence` >= `received_sequence` >= `durable_sequence`: last change sent, received and synced.
+    `resend_at`: when changes that were not received are sent again.
+
+    For a process that is not a holder:
+    `committed`: position of the committed state that it has in memory.
+    `durable_position`: position of the state on its disk.
+    `catch_up_position`: the newest committed position sent to it.
+    `catch_up_due_at`: when that is sent again, with backoff.
+    `catch_up_retries`: number of retries so far without an acknowledgement.
+    `is_catch_up_long`: whether the transfer is too long for a newer one to be sent before its ack.
     """
 
     __slots__ = (
@@ -57,7 +62,7 @@
     )
 
     def __init__(self, incarnation: int, name: str, address: str, now: float) -> None:
-        """A process of which nothing is known but that it is there."""
+        """A process of which only its identity and address are known."""
         self.incarnation = incarnation
         self.name = name
         self.address = address
@@ -82,7 +87,7 @@
         self.is_catch_up_long = False
 
     def begin_epoch(self, now: float, is_leaving: bool) -> None:
-        """Nothing of the epochs before counts."""
+        """Resets all that belongs to an earlier epoch."""
         self.known_since = now
         self.read_index_round = 0
         self.acknowledged_round = 0
@@ -92,22 +97,24 @@
         self.is_leaving = is_leaving
 
     def begin_as_holder(self, now: float, sequence: int) -> None:
-        """It has synced the epoch, whose state stands at `sequence`."""
+        """Records that this holder has synced the epoch, whose state is at `sequence`."""
         self.last_heard_at = now
         self.sent_sequence = sequence
         self.received_sequence = sequence
         self.durable_sequence = sequence
 
     def lacks_writes(self) -> bool:
-        """Whether something that was sent was not received."""
+        """Whether changes that were sent have not been received."""
         return self.received_sequence < self.sent_sequence
 
 
 class PendingReply:
-    """A command or a read that waits for its change to be committed, or for a read-index round.
+    """A command or read whose answer waits for a commit or for a read-index round.
 
-    It is answered once all changes up to `sequence` are committed and all holders have acknowledged the round
-    `read_index_round`. `outcome`: of a command. `since`: when it began to wait.
+    `sequence`, `read_index_round`: it is answered once all changes up to `sequence` are committed and all
+    holders have acknowledged that round.
+    `outcome`: the outcome of a command, None for a read.
+    `since`: when it began to wait, in seconds of the steady clock.
     """
 
     __slots__ = ("ticket", "outcome", "sequence", "read_index_round", "is_read", "since")
@@ -115,7 +122,7 @@
     def __init__(
         self, ticket: int, outcome: Any, sequence: int, read_index_round: int, is_read: bool, since: float
     ) -> None:
-        """`outcome` is None for a read."""
+        """`outcome`: None for a read."""
         self.ticket = ticket
         self.outcome = outcome
         self.sequence = sequence
@@ -125,7 +132,7 @@
 
 
 class QueuedCommand(NamedTuple):
-    """A command that waits for room in the pipeline, or for the end of an election of this process."""
+    """A command that waits for room in the pipeline, or for the end of this process's own election."""
 
     since: float
     ticket: int
@@ -133,7 +140,7 @@
 
 
 class InFlightWrite(NamedTuple):
-    """A change that is not committed. A holder that has not written it at `late_at` is unhealthy."""
+    """A change that is not committed. A holder that has not synced it by `late_at` counts as unhealthy."""
 
     sequence: int
     changes: Changes
--- a/shedgrade/replication/messages.py
+++ b/shedgrade/replication/messages.py
@@ -1,11 +1,11 @@
-"""What members send to one another, and the configuration of an epoch. All are msgspec Structs.
+"""Messages between members, and the configuration of an epoch. All are msgspec Structs.
 
-Their tags and the order of their fields are what members of other versions read: a class or field may be
-renamed, a tag may not, and new fields come last, with a default. `number` of a message is the epoch number
-that a candidate tries for; `epoch` is that of an epoch that exists.
+Members of other versions rely on the tags and on the order of the fields: a class or field may be renamed, a
+tag may not, and a new field comes last and has a default. In a message, `number` is the epoch number that a
+candidate campaigns for; `epoch` is the number of an epoch that exists.
 
-An incarnation is the number that a process draws with an empty disk; 0 stands for a founder that was not
-heard yet. Addresses are link addresses.
+An incarnation is a number that a process draws at random when it starts with an empty disk; 0 stands for a
+founder whose incarnation is not known yet. Addresses are link addresses.
 """
 
 from __future__ import annotations
@@ -18,8 +18,9 @@
 
 
 class LogPosition(NamedTuple):
-    """One change: the epoch that decided it, and its number in the log of changes, which goes on over
-    epochs.
+    """Position of one change in the log: the epoch in which it was decided, and its sequence number.
+
+    Sequence numbers continue across epochs.
     """
 
     epoch: int
@@ -27,7 +28,7 @@
 
 
 class Peer(Struct, frozen=True, array_like=True):
-    """A process as the configuration of an epoch names it."""
+    """A process as it is listed in the configuration of an epoch."""
 
     incarnation: int
     name: str
@@ -35,10 +36,10 @@
 
 
 class EpochConfig(Struct, frozen=True, array_like=True):
-    """Who is what in an epoch. `holders` and `primary` are incarnations.
+    """Members, holders and primary of an epoch. `holders` and `primary` are incarnations.
 
-    Until it is known that all holders have it (`active`), a candidate needs a majority of `members` and one
-    of `before`: another epoch may have been made from those.
+    `active`: whether all holders are known to have installed the epoch. Until then a candidate needs a
+    majority of `members` and one of `before`, since another epoch may have been formed from `before`.
     """
 
     number: int
@@ -50,9 +51,10 @@
 
 
 class JoinRequest(Struct, frozen=True, tag="Hello", array_like=True):
-    """A process that wants to join, or that lost sight of the primary.
+    """Sent by a process that wants to join, or that no longer hears the primary.
 
-    `known_epoch`: the newest epoch that it knows; `committed`: the committed state that it has in memory.
+    `known_epoch`: the newest epoch that it knows.
+    `committed`: position of the committed state that it has in memory.
     """
 
     incarnation: int
@@ -64,16 +66,21 @@
 
 
 class PrimaryHint(Struct, frozen=True, tag="Whereabouts", array_like=True):
-    """Answer to a join request by who is not the primary: what it knows. `primary`: only if it is heard."""
+    """Reply to a join request from a process that is not the primary.
+
+    `primary`: link address of the primary if the sender hears it, else None.
+    `epoch_config`: the newest one that the sender knows.
+    """
 
     primary: str | None
     epoch_config: EpochConfig
 
 
 class PreVote(Struct, frozen=True, tag="PreVote", array_like=True):
-    """Would you promise the epoch `number`? Binds nobody.
+    """Asks whether the receiver would promise the epoch `number`. A grant is not binding.
 
-    `known_epoch`: the newest epoch that the sender knows; `accepted_epoch` and `sequence`: of its state.
+    `known_epoch`: the newest epoch that the sender knows.
+    `accepted_epoch`, `sequence`: accepted epoch and log sequence of the sender's state.
     """
 
     incarnation: int
@@ -84,8 +91,12 @@
 
 
 class PreVoteReply(Struct, frozen=True, tag="PreVoteReply", array_like=True):
-    """`promised_epoch`: the highest epoch promised or seen. `primary`: where the sender hears one.
-    `epoch_config`: if it is newer than what the asker knows.
+    """Reply to a pre-vote request.
+
+    `promised_epoch`: the highest epoch number that the sender has promised or seen.
+    `primary`: link address of the primary if the sender hears it, else None.
+    `epoch_config`: the newest one that the sender knows, if it is active and newer than `known_epoch` of the
+    request.
     """
 
     incarnation: int
@@ -98,7 +109,10 @@
 
 
 class Prepare(Struct, frozen=True, tag="Prepare", array_like=True):
-    """Asks for a promise to accept nothing under `number` from now on. `epoch_config`: the newest known."""
+    """Asks for a promise to accept nothing of an epoch below `number` from now on.
+
+    `epoch_config`: the newest one that the candidate knows.
+    """
 
     incarnation: int
     number: int
@@ -106,10 +120,10 @@
 
 
 class Promise(Struct, frozen=True, tag="Promise", array_like=True):
-    """Synced before it is sent.
+    """Reply to `Prepare`, sent once the promise is synced.
 
-    `accepted_epoch` is the epoch as whose holder the sender has the state at `log_position`; `committed` is
-    the committed state that it has in memory, a witness too.
+    `accepted_epoch`: the epoch in which the sender, as a holder, accepted the state at `log_position`.
+    `committed`: position of the committed state that the sender has in memory; a witness has one too.
     """
 
     incarnation: int
@@ -124,7 +138,7 @@
 
 
 class Refusal(Struct, frozen=True, tag="Refusal", array_like=True):
-    """The sender has promised a higher epoch than `number`, or knows a newer one."""
+    """Rejects a message: its sender has promised a higher epoch than `number`, or knows a newer one."""
 
     incarnation: int
     number: int
@@ -133,7 +147,10 @@
 
 
 class Fetch(Struct, frozen=True, tag="Fetch", array_like=True):
-    """A candidate asks for the state that a promise named; it has those at the two positions."""
+    """A candidate requests the state that a promise named.
+
+    `log_position`, `committed`: positions of the two states that the candidate has itself.
+    """
 
     number: int
     log_position: LogPosition
@@ -141,7 +158,10 @@
 
 
 class Transfer(Struct, frozen=True, tag="Transfer", array_like=True):
-    """The answer. With `base` the changes lead from there to `log_position`, else they are all of it."""
+    """Reply to `Fetch`.
+
+    With `base` the changes lead from there to `log_position`, else they are the whole state.
+    """
 
     number: int
     log_position: LogPosition
@@ -150,8 +170,9 @@
 
 
 class Install(Struct, frozen=True, tag="Install", array_like=True):
-    """A new epoch for one of its holders. With `base` the changes lead from there to `log_position`, else
-    they are all of it.
+    """A new epoch, sent to one of its holders.
+
+    With `base` the changes lead from there to `log_position`, else they are the whole state.
     """
 
     epoch_config: EpochConfig
@@ -168,7 +189,7 @@
 
 
 class Replicate(Struct, frozen=True, tag="Replicate", array_like=True):
-    """One write, from the primary to a backup. `committed`: up to where all holders have synced."""
+    """One write, from the primary to a backup. `committed`: all holders have synced up to that position."""
 
     epoch: int
     sequence: int
@@ -177,8 +198,10 @@
 
 
 class CatchUp(Struct, frozen=True, tag="Learn", array_like=True):
-    """Committed state for who holds none. With `base` the changes lead from there, and from each position of
-    the log between the two, to `log_position`, else they are all of it.
+    """Committed state for a process that is not a holder.
+
+    With `base` the changes lead to `log_position` from there, and from each log position between the two;
+    else they are the whole state.
     """
 
     epoch: int
@@ -188,12 +211,13 @@
 
 
 class Heartbeat(Struct, frozen=True, tag="Heartbeat", array_like=True):
-    """From the primary to all.
+    """Sent by the primary to all followers.
 
-    `read_index_round` numbers the rounds that confirm the primary, 0 asks for no ack; `epoch_config` goes to
-    who lacks it. `confirmed_ago`: seconds since a majority of the members confirmed the sender.
-    `acknowledged_round`: the newest round of this epoch whose ack of the receiver has come, 0 if none has; -1
-    from a primary of an older version, which doesn't say.
+    `read_index_round`: number of a round that confirms the primary; 0 requests no confirmation.
+    `epoch_config`: only for a receiver that lacks it.
+    `confirmed_ago`: seconds since a majority of the members confirmed the sender.
+    `acknowledged_round`: the newest round of this epoch that the receiver has acknowledged, as far as the
+    primary knows; 0 if none; -1 from a primary of an older version, which doesn't send it.
     """
 
     epoch: int
@@ -205,11 +229,11 @@
 
 
 class Ack(Struct, frozen=True, tag="Ack", array_like=True):
-    """The answer to Heartbeat, Replicate and CatchUp.
+    """Reply to Heartbeat, Replicate and CatchUp.
 
-    `received_sequence` and `durable_sequence` are of changes in this epoch, or -1. `known_epoch`: the newest
-    epoch known as active. `durable_position`: of the state on the sender's disk, which may be none of the
-    chain.
+    `received_sequence`, `durable_sequence`: last change of this epoch received and synced, or -1.
+    `known_epoch`: the newest epoch that the sender knows to be active.
+    `durable_position`: position of the state on the sender's disk, which need not be part of the log.
     """
 
     epoch: int
@@ -233,14 +257,15 @@
 
 
 class LeaveGranted(Struct, frozen=True, tag="LeaveGranted", array_like=True):
-    """The primary of `epoch` can do without the receiver, which has asked for its leave."""
+    """The primary of `epoch` allows the receiver, which has asked to leave, to exit."""
 
     epoch: int
 
 
 class Chunk(Struct, frozen=True, tag="Piece", array_like=True):
-    """Chunk `index` of `count` of a message that is too big to hold up the others behind it. `id` is drawn by
-    the sender for each message.
+    """Chunk `index` of `count` of a long message, which is split so as not to delay the messages behind it.
+
+    `id`: drawn at random by the sender for each message.
     """
 
     id: int
@@ -250,7 +275,7 @@
 
 
 class ChunkAck(Struct, frozen=True, tag="PieceAck", array_like=True):
-    """`next`: the first chunk that is still missing."""
+    """Acknowledges the chunks before `next`, the first one that is still missing."""
 
     id: int
     next: int
@@ -280,5 +305,5 @@
 
 
 def size(changes: Changes | dict[str, bytes]) -> int:
-    """Bytes of the values."""
+    """Returns the total length of the values in bytes."""
     return sum(len(value) for value in changes.values() if value)
--- a/shedgrade/replication/quorums.py
+++ b/shedgrade/replication/quorums.py
@@ -1,9 +1,9 @@
-"""Which members must agree: the quorum rules of elections and of changes of members, free of state and time.
+"""Quorum rules of elections and membership changes, as pure functions.
 
 Joint consensus as in Raft (Ongaro and Ousterhout, 2014) with the holders of Vertical Paxos (Lamport, Malkhi
-and Zhou, 2009): an epoch that changes the members binds majorities of both groups until it is known to be
-active, and its holders are members of both. `tests/replication/test_quorums.py` enumerates what these
-functions allow.
+and Zhou, 2009): an epoch that changes the members needs majorities of the old and the new group until it is
+known to be active, and its holders are members of both. `tests/replication/test_quorums.py` enumerates what
+these functions allow.
 """
 
 from __future__ import annotations
@@ -17,53 +17,56 @@
 
 
 class ChangeOfMembers(Protocol):
-    """Members to new members. `number`: the epoch whose members it is meant for."""
+    """Returns the new members for the members of an epoch."""
 
     @property
     def number(self) -> int:
-        """The epoch."""
+        """Number of the epoch whose members the change applies to."""
 
     def __call__(self, members: tuple[Peer, ...]) -> tuple[Peer, ...]:
-        """The new members."""
+        """Returns the new members."""
 
 
 class Voter(Protocol):
-    """Who gave a promise, or a pre-vote."""
+    """A process that gave a promise or granted a pre-vote."""
 
     @property
     def incarnation(self) -> int:
-        """The number of the process."""
+        """The incarnation of the process."""
 
     @property
     def address(self) -> str:
-        """Its link address."""
+        """The link address of the process."""
 
     @property
     def founding(self) -> bool:
-        """Whether it is one of the processes that found the core."""
+        """Whether it is one of the founders of the core."""
 
 
 class Groups(NamedTuple):
-    """The members of a new epoch, and of the last one that is known to have been active."""
+    """The members of a new epoch, and those of the last epoch that is known to have been active."""
 
     members: tuple[Peer, ...]
     before: tuple[Peer, ...]
 
 
 class HolderCount(NamedTuple):
-    """How many holders an epoch must have, and should have."""
+    """The minimum number of holders of an epoch, and the number to aim for."""
 
     least: int
     wanted: int
 
 
 def majority(peers: tuple[Peer, ...]) -> int:
-    """How many of the peers outnumber the rest."""
+    """Returns the size of a majority of the peers."""
     return len(peers) // 2 + 1
 
 
 def matches(peer: Peer, incarnation: int, address: str, founding: bool) -> bool:
-    """Whether the voter is this member. A founder, whose memory is whole, is known by its address too."""
+    """Whether the voter is this member.
+
+    A founder that has kept its disk (`founding`) matches by address while its incarnation is not known.
+    """
     return peer.incarnation == incarnation or (not peer.incarnation and founding and peer.address == address)
 
 
@@ -73,13 +76,13 @@
 
 
 def count(peers: tuple[Peer, ...], voters: Iterable[Voter]) -> int:
-    """How many of the peers are among the voters."""
+    """Returns how many of the peers are among the voters."""
     voters = list(voters)
     return sum(any(matches(peer, v.incarnation, v.address, v.founding) for v in voters) for peer in peers)
 
 
 def is_quorum(config: EpochConfig, voters: Iterable[Voter]) -> bool:
-    """A majority of the members, and of those before while the epoch is not known to be active."""
+    """Whether the voters are a majority of the members, and of those before unless `config` is active."""
     voters = list(voters)
     if count(config.members, voters) < majority(config.members):
         return False
@@ -87,36 +90,43 @@
 
 
 def electorate(config: EpochConfig) -> tuple[Peer, ...]:
-    """Whose promises count: the members, and those before while the epoch is not known to be active."""
+    """Returns the peers whose promises count: the members, and those before unless `config` is active."""
     return config.members if config.active else config.members + config.before
 
 
 def next_groups(
     base: EpochConfig, change: Callable[[tuple[Peer, ...]], tuple[Peer, ...]] | None = None
 ) -> Groups:
-    """The groups of an epoch made from `base`. Members change only from an epoch known to be active."""
+    """Returns the groups of an epoch formed from `base`.
+
+    The members change only if `base` is known to be active.
+    """
     if not base.active:
         return Groups(base.members, base.before)
     return Groups(base.members if change is None else change(base.members), base.members)
 
 
 def may_hold(groups: Groups, voter: Voter) -> bool:
-    """A holder is a member of both groups, so that each majority of either meets a majority of holders."""
+    """Whether the voter is a member of both groups, as a holder must be.
+
+    The holders are at least a majority of each group (see `holder_count`): each majority of either group then
+    contains a holder.
+    """
     named = any(peer.incarnation == voter.incarnation for peer in groups.members)
     return named and is_among(groups.before, voter)
 
 
 def holder_count(groups: Groups, tolerated: int) -> HolderCount:
-    """`tolerated`: t, the losses at once that the state must outlive."""
+    """Returns the holder counts. `tolerated`: t, the number of simultaneous losses the state must survive."""
     least = max(majority(groups.members), majority(groups.before))
     return HolderCount(least, max(least, tolerated + 1))
 
 
 def activated(config: EpochConfig) -> EpochConfig:
-    """The config once all holders have synced the epoch: the members before bind no more."""
+    """Returns the configuration for when all holders have synced the epoch: `before` no longer counts."""
     return msgspec.structs.replace(config, before=config.members, active=True)
 
 
 def newest(one: EpochConfig, other: EpochConfig) -> EpochConfig:
-    """The higher epoch; of the same one the config that knows it as active."""
+    """Returns the configuration of the higher epoch or, of the same epoch, the one known to be active."""
     return other if (other.number, other.active) > (one.number, one.active) else one
--- a/shedgrade/replication/transport.py
+++ b/shedgrade/replication/transport.py
@@ -1,4 +1,4 @@
-"""How a member's messages leave it: whole, in chunks if they are long, or to every member."""
+"""Outgoing messages of a member: whole, in chunks, or to all members."""
 
 from __future__ import annotations
 
@@ -15,15 +15,15 @@
 class Transport:
     """Turns messages into `Send` instructions.
 
-    `now`: the time of the call that is being handled, in seconds of the steady clock; set by the member at
-    the start of each call, so that `send` need not be given it.
-    `chunking`: the long messages under way, both ways.
+    `now`: time of the current call, in seconds of the steady clock. The member sets it at the start of each
+    call, so that `send` doesn't take it as an argument.
+    `chunking`: chunked transfers in progress, sent and received.
     """
 
     def __init__(
         self, address: str, effects: list[Instruction], peers: PeerDirectory, timing: Timing, random: Random
     ) -> None:
-        """`address`: of this process; it sends itself nothing."""
+        """`address`: link address of this process, which sends nothing to itself."""
         self.address = address
         self.effects = effects
         self.peers = peers
@@ -33,20 +33,20 @@
         self.chunking: ChunkedTransfers = ChunkedTransfers(self)
 
     def send(self, address: str, message: Message) -> None:
-        """One message, in chunks if it is long or must not overtake one that is."""
+        """Sends one message, in chunks if it is long or must not overtake a chunked one."""
         if self.chunking.needs_chunking(address, message):
             self.chunking.send(self.now, address, message)
         else:
             self.emit(address, message)
 
     def emit(self, address: str, message: Message) -> None:
-        """One message as it is."""
+        """Sends one message without chunking."""
         self.effects.append(Send(address, message))
 
     def broadcast(self, config: EpochConfig, message: Message, but: Container[int]) -> None:
-        """To the members, and to those of the epoch before while `config` isn't known to be active.
+        """Sends to the members, and to the members before while `config` is not known to be active.
 
-        `but`: incarnations that are left out.
+        `but`: incarnations that are skipped.
         """
         done = {self.address}
         for peer in (*config.members, *(() if config.active else config.before)):
