--- a/shedgrade/replication/acceptor.py
+++ b/shedgrade/replication/acceptor.py
@@ -1,4 +1,4 @@
-"""What every member does for others: promises, pre-votes, installs, writes as a backup, catching up."""
+"""The acceptor role of every member: pre-votes, promises, installs, replicated writes and catch-up."""
 
 from __future__ import annotations
 
@@ -32,17 +32,17 @@
 
 
 class Acceptor:
-    """A member's part towards candidates and the primary. Times are seconds of the steady clock.
+    """Answers candidates and the primary on behalf of one member. Times are seconds of the steady clock.
 
-    `granted_to`: the incarnation that the last pre-vote was granted to, 0 if none was; no other one is
-    granted a pre-vote before `granted_until`.
-    `first_granted`: by candidate, when it was first granted a pre-vote since a primary was heard or it sent a
-    Prepare. Empty while a primary is heard.
-    `acknowledgement_times`: of the rounds of the primary that is followed.
+    `granted_to`: incarnation of the candidate whose pre-vote was granted last, 0 if none was.
+    `granted_until`: before that time no other candidate is granted a pre-vote.
+    `first_granted`: by candidate, when it was first granted a pre-vote since a primary was heard or since its
+    last Prepare. Empty while a primary is heard.
+    `acknowledgement_times`: when the rounds of the current primary were acknowledged.
     """
 
     def __init__(self, member: Member) -> None:
-        """Of the member that answers."""
+        """`member`: the member on whose behalf this role answers."""
         self.member = member
         self.granted_to = 0
         self.granted_until = NEVER
@@ -52,7 +52,9 @@
     # --- pre-votes
 
     def on_pre_vote(self, now: float, sender: str, request: PreVote) -> None:
-        """Says whether this member misses the primary too. Binds it to nothing."""
+        """Replies whether this member has lost the primary too. A grant is not binding, but it delays this
+        member's own election.
+        """
         member, replica = self.member, self.member.replica
         granted = self.may_grant(now, sender, request.incarnation)
         if granted:
@@ -75,7 +77,7 @@
         member.send(sender, reply)
 
     def may_grant(self, now: float, sender: str, candidate: int) -> bool:
-        """Whether the candidate may try for an epoch, as far as this member can tell."""
+        """Whether this member agrees that the candidate may campaign for an epoch."""
         member, replica = self.member, self.member.replica
         return (
             member.is_voter()
@@ -91,8 +93,9 @@
         )
 
     def prefers(self, now: float, candidate: int, sender: str) -> bool:
-        """One pre-vote at a time, or two candidates split the promises. Of two that ask each other the first
-        in the order wins.
+        """Grants one candidate at a time, since two would split the promises.
+
+        Of two candidates that ask each other, the one with the lower rank wins.
         """
         member = self.member
         if member.candidate.is_asking_pre_votes():
@@ -101,8 +104,10 @@
         return now >= self.granted_until or candidate == self.granted_to
 
     def is_fruitless(self, now: float, candidate: int) -> bool:
-        """Guards against candidates that hear nobody: their pre-votes come for ever, succeed never, and keep
-        all others from an election. Each is refused for a while when its grants have led to nothing.
+        """Whether the candidate was granted pre-votes for `fruitless_candidate_timeout_s` without a Prepare.
+
+        Such a candidate receives no messages: its pre-votes go on for ever without success and prevent an
+        election by any other member. It is refused for `fruitless_candidate_ban_s`.
         """
         timing = self.member.timing
         first = self.first_granted.setdefault(candidate, now)
@@ -113,18 +118,19 @@
     # --- candidates
 
     def on_prepare(self, now: float, sender: str, prepare: Prepare) -> None:
-        """Promises the candidate to accept nothing of a lower epoch, unless a higher one is promised."""
+        """Promises the candidate to accept nothing of a lower epoch, unless a higher one was promised."""
         member, replica = self.member, self.member.replica
         if prepare.epoch_config.active:
             member.learn_epoch(now, prepare.epoch_config)
         if not member.is_voter():
-            return  # a process that has forgotten, or was never named: its promise must not count
+            return  # the promise of a process that lost its state or was never a member must not count
         number, candidate = prepare.number, prepare.incarnation
         self.first_granted.pop(candidate, None)
         member.highest_epoch_seen = max(member.highest_epoch_seen, number)
         if replica.promised_epoch == (number, candidate):
             if prepare.epoch_config.number == number:
-                member.election_timer.defer_to_candidate(now)  # at work, perhaps on a long transfer
+                # the candidate is still active, perhaps in a long transfer
+                member.election_timer.defer_to_candidate(now)
             if member.durable_promise == number:
                 member.send(sender, member.own_promise(number))
         elif number > replica.promised_epoch.number:
@@ -135,20 +141,20 @@
             self.refuse(sender, number)
 
     def on_promise_durable(self, sender: str, number: int) -> None:
-        """A promise is synced: it may be sent, unless a higher one was given meanwhile."""
+        """Sends a promise once it is synced, unless a higher one was given in the meantime."""
         member = self.member
         if member.replica.promised_epoch.number == number:
             member.durable_promise = number
             member.send(sender, member.own_promise(number))
 
     def refuse(self, sender: str, number: int) -> None:
-        """Tells who acts in the epoch `number` that a newer one is promised or known here."""
+        """Tells the sender of a message of epoch `number` that a higher one is promised or known here."""
         replica = self.member.replica
         promised = replica.promised_epoch.number
         self.member.send(sender, Refusal(replica.incarnation, number, promised, replica.epoch_config))
 
     def on_fetch(self, now: float, sender: str, fetch: Fetch) -> None:
-        """Sends the state to the candidate that was promised the epoch."""
+        """Sends the state to the candidate to which the epoch was promised."""
         replica = self.member.replica
         if replica.promised_epoch.number != fetch.number:
             return
@@ -156,7 +162,7 @@
         self.member.send(sender, Transfer(fetch.number, replica.log_position, base, changes))
 
     def on_install(self, now: float, sender: str, install: Install) -> None:
-        """Becomes a holder of a new epoch, and says so once that is synced."""
+        """Becomes a holder of a new epoch, and replies once the epoch is synced."""
         member, replica, config = self.member, self.member.replica, install.epoch_config
         if (config.number, config.primary) != replica.promised_epoch and (
             config.number <= replica.promised_epoch.number
@@ -184,25 +190,27 @@
     # --- the primary
 
     def on_heartbeat(self, now: float, sender: str, heartbeat: Heartbeat) -> None:
-        """Follows the primary, and acknowledges its read-index round."""
+        """Follows the primary and acknowledges its read-index round."""
         if self.follow_primary(now, sender, heartbeat.epoch, heartbeat.epoch_config):
             self.commit(heartbeat.epoch, heartbeat.committed)
-            # One whose acks don't reach the primary hears heartbeats, and is sent no state.
+            # A member whose acks don't reach the primary still hears heartbeats, but is sent no state.
             if self.member.replica.committed.position >= heartbeat.committed:
                 self.member.confirm_up_to_date(self.sent_after(now, heartbeat) - heartbeat.confirmed_ago)
             self.send_ack(now, sender, heartbeat.epoch, heartbeat.read_index_round)
             self.acknowledgement_times.note(now, heartbeat.epoch, heartbeat.read_index_round)
 
     def sent_after(self, now: float, heartbeat: Heartbeat) -> float:
-        """The heartbeat was not sent before that time. Of an older version's, which doesn't say what reached
-        its sender, it is the time of arrival: its time under way is not told.
+        """Returns a time before which the heartbeat was not sent.
+
+        A primary of an older version doesn't send `acknowledged_round`: the time of arrival stands in for
+        it, although the time that the heartbeat was under way is unknown.
         """
         if heartbeat.acknowledged_round < 0:
             return now - self.member.receive_delay_s
         return self.acknowledgement_times.sent_after(heartbeat.epoch, heartbeat.acknowledged_round)
 
     def on_replicate(self, now: float, sender: str, write: Replicate) -> None:
-        """Writes the next change of the epoch as a backup."""
+        """Appends the next change of the epoch, as a backup."""
         if not self.follow_primary(now, sender, write.epoch, None):
             return
         replica = self.member.replica
@@ -212,28 +220,30 @@
             replica.append(
                 now, write.sequence, write.changes, lambda at: self.send_ack(at, sender, write.epoch, 0)
             )
-            if size(write.changes) > CHUNK_BYTES:  # expensive to send again while the disk is at work
+            # acknowledged before the sync too, since a long write is expensive to send again
+            if size(write.changes) > CHUNK_BYTES:
                 self.send_ack(now, sender, write.epoch, 0)
-        else:  # a gap is filled by the primary, which hears what was received
+        else:  # the ack tells the primary what was received, and it fills the gap
             self.send_ack(now, sender, write.epoch, 0)
         self.commit(write.epoch, write.committed)
 
     def on_catch_up(self, now: float, sender: str, catch_up: CatchUp) -> None:
-        """Takes over the committed state. It stays committed in each later epoch: a long transfer is not in
-        vain when one begins.
+        """Applies committed state, also if a newer epoch has begun.
+
+        What is committed stays committed in each later epoch, so a long transfer remains useful then.
         """
         self.member.replica.apply_committed(catch_up.base, catch_up.log_position, catch_up.changes)
         if self.follow_primary(now, sender, catch_up.epoch, None):
             self.send_ack(now, sender, catch_up.epoch, 0)
 
     def on_hand_over(self, now: float, sender: str, request: HandOver) -> None:
-        """The primary asks this member to take over."""
+        """Starts an election, as the primary has asked this member to take over."""
         member = self.member
         if request.epoch == member.replica.epoch_config.number and member.may_campaign(now):
             member.start_election(now)
 
     def follow_primary(self, now: float, sender: str, epoch: int, config: EpochConfig | None) -> bool:
-        """Whether the sender is the primary of the newest epoch that is known here."""
+        """Whether the sender is the primary of the newest epoch known here. If so, it counts as heard."""
         member, replica = self.member, self.member.replica
         if config is not None and config.number == epoch and epoch >= replica.promised_epoch.number:
             replica.adopt_epoch_config(now, config)
@@ -242,7 +252,7 @@
             self.refuse(sender, epoch)
             return False
         if epoch > known_epoch:
-            # the configuration is not here yet: the ack says so, and the primary sends it
+            # the configuration is missing here: the ack says so, and the primary sends it
             self.send_ack(now, sender, epoch, 0)
             return False
         if not replica.epoch_config.active and replica.accepted_epoch != epoch:
@@ -251,13 +261,13 @@
         return True
 
     def commit(self, epoch: int, position: LogPosition) -> None:
-        """As a holder of the epoch: the primary says that all up to the position is committed."""
+        """As a holder of the epoch, marks all changes up to the position as committed."""
         replica = self.member.replica
         if replica.accepted_epoch == epoch and position <= replica.log_position:
             replica.commit(position)
 
     def send_ack(self, now: float, sender: str, epoch: int, read_index_round: int) -> None:
-        """Tells the primary of `epoch` what this member has. `read_index_round`: 0 for none."""
+        """Reports the state of this member to the primary of `epoch`. `read_index_round`: 0 for none."""
         member, replica = self.member, self.member.replica
         is_holder = replica.accepted_epoch == epoch and replica.promised_epoch.number == epoch
         is_installed = is_holder and replica.installed_epoch == epoch
--- a/shedgrade/replication/candidate.py
+++ b/shedgrade/replication/candidate.py
@@ -1,4 +1,4 @@
-"""A candidate's way to a new epoch: pre-vote, own promise, prepare, fetch, install."""
+"""The candidate role: pre-vote, own promise, prepare, fetch and install of a new epoch."""
 
 from __future__ import annotations
 
@@ -38,27 +38,27 @@
 if TYPE_CHECKING:
     from shedgrade.replication.member import Member
 
-FETCH_EXTRA_S = 8.0  # beyond the election time-out, for a long state
+FETCH_EXTRA_S = 8.0  # added to the election time-out, for the transfer of a large state
 NO_EPOCH = EpochConfig(0, 0, (), (), (), True)
 NOBODY: frozenset[int] = frozenset()
 
 
 class Phase(StrEnum):
-    """Where an attempt stands; `IDLE` is false."""
+    """Phase of an attempt; `IDLE` is falsy."""
 
     IDLE = ""
-    PRE_VOTE = "prevote"  # asks whether others miss the primary too; nothing is raised yet
-    PROMISE = "promise"  # the own promise is on its way to the disk
-    PREPARE = "prepare"  # asks the others for theirs
+    PRE_VOTE = "prevote"  # asks whether others have lost the primary too; the epoch number isn't raised yet
+    PROMISE = "promise"  # writes its own promise to disk
+    PREPARE = "prepare"  # asks the others for promises
     FETCH = "fetch"  # fetches the newest state that a promise named
-    INSTALL = "install"  # the chosen holders write the epoch
+    INSTALL = "install"  # waits for the chosen holders to write the epoch
 
 
 PREPARED = (Phase.PREPARE, Phase.FETCH, Phase.INSTALL)
 
 
 class Voter(NamedTuple):
-    """Who granted a pre-vote, with the address from which that came."""
+    """A process that granted a pre-vote. `address`: link address from which the grant came."""
 
     incarnation: int
     address: str
@@ -66,27 +66,41 @@
 
 
 class Candidate:
-    """One attempt at a time. Times are seconds of the steady clock.
-
-    `phase`: where the attempt stands. All that follows is of the present attempt, or of the last one while
-    the phase is `IDLE`.
-    `number`: the epoch number tried for; in `PRE_VOTE` the one that would be. Invariant: from `PROMISE` on
-    the own promise is at least that high.
-    `change`: members to new members, None for no change; `avoid`: incarnations that should hold nothing.
-    `deadline`: the attempt is given up then. `resend_at`: what was asked is asked again then.
-
-    - In `PRE_VOTE`: `grants`, the replies that granted it, by incarnation, the own one included.
-    - From `PREPARE` on: `promises` by incarnation, the own one included; `refusals`, incarnations that
-      promised a higher number; `prepared_at`, when the first Prepare went out.
-    - From `FETCH` on: `best_promise`, whose state the epoch goes on from; `epoch_config`, the epoch that is
-      made (number 0 before).
-    - In `INSTALL`: `installed_holders`, those of its holders that have written it, and `install_resend_at`,
-      when the others are sent it again; `replace_holders_at`, when one that has not written it is replaced.
-    - In `FETCH` and `INSTALL`: `keep_alive_at`, when the members are next informed that the attempt goes on.
+    """Campaigns for a new epoch, one attempt at a time. Times are seconds of the steady clock.
+
+    The attributes describe the current attempt, or the last one while the phase is `IDLE`.
+
+    `phase`: the phase of the attempt.
+    `number`: the epoch number campaigned for; in `PRE_VOTE` the number that would be. Invariant: from
+    `PROMISE` on this member's own promise is at least that high.
+    `change`: a function from the members to the new members, None for no change.
+    `avoid`: incarnations that should not become holders.
+    `deadline`: when the attempt is abandoned.
+    `resend_at`: when unanswered requests are sent again.
+
+    In `PRE_VOTE`:
+    `grants`: replies that granted the pre-vote, by incarnation, including its own.
+
+    From `PREPARE` on:
+    `promises`: promises by incarnation, including its own.
+    `refusals`: incarnations that promised a higher number.
+    `prepared_at`: when the first Prepare was sent.
+
+    From `FETCH` on:
+    `best_promise`: the promise whose state the new epoch continues from.
+    `epoch_config`: the new epoch (number 0 before).
+
+    In `INSTALL`:
+    `installed_holders`: holders that have written the epoch.
+    `install_resend_at`: by incarnation, when the epoch is sent again to the other holders.
+    `replace_holders_at`: when holders that have not written the epoch are replaced.
+
+    In `FETCH` and `INSTALL`:
+    `keep_alive_at`: when the members are next told that the attempt is still active.
     """
 
     def __init__(self, member: Member) -> None:
-        """Of the member that may become the primary."""
+        """`member`: the member that may become the primary."""
         self.member = member
         self.phase = Phase.IDLE
         self.number = 0
@@ -108,7 +122,10 @@
     # --- begin and end
 
     def pre_vote(self, now: float) -> None:
-        """Ask whether others miss the primary too: a member cut off one way must not raise the number."""
+        """Asks whether others have lost the primary too.
+
+        A member whose link fails in one direction must not raise the epoch number.
+        """
         self.begin(now, Phase.PRE_VOTE)
         member, replica = self.member, self.member.replica
         own_grant = PreVoteReply(
@@ -116,14 +133,18 @@
         )
         self.grants = {replica.incarnation: own_grant}
         self.number = member.highest_epoch_seen + 1
-        # two that refuse each other try again at different times
+        # random retry times separate two candidates that refuse each other
         self.deadline = now + 2 * member.timing.resend_interval_s
         self.ask_pre_vote(now)
 
     def start(
         self, now: float, change: ChangeOfMembers | None = None, avoid: frozenset[int] = NOBODY
     ) -> None:
-        """Raise the number. `change`: members to new members; `avoid`: who should hold nothing."""
+        """Raises the epoch number and writes its own promise.
+
+        `change`: a function from the members to the new members; `avoid`: incarnations that should not become
+        holders.
+        """
         self.begin(now, Phase.PROMISE)
         member, replica = self.member, self.member.replica
         self.change = change
@@ -131,14 +152,13 @@
         known = max(member.highest_epoch_seen, replica.promised_epoch.number, replica.epoch_config.number)
         self.number = number = known + 1
         member.highest_epoch_seen = number
-        # the own promise is synced before others are asked: a number is never used twice after a loss of
-        # power
+        # synced before others are asked, so that no number is used twice after a loss of power
         replica.promise_to(
             now, number, replica.incarnation, lambda at: self.on_own_promise_durable(at, number)
         )
 
     def begin(self, now: float, phase: Phase) -> None:
-        """A new attempt: nothing of the last one counts."""
+        """Resets all attributes for a new attempt."""
         self.phase = phase
         self.deadline = now + self.member.timing.election_timeout_s
         self.resend_at = now
@@ -153,17 +173,17 @@
         self.install_resend_at = {}
 
     def stop(self) -> None:
-        """The attempt is over."""
+        """Ends the attempt."""
         self.phase = Phase.IDLE
 
     # --- pre-vote
 
     def is_asking_pre_votes(self) -> bool:
-        """Whether nothing but pre-votes was asked for yet."""
+        """Whether the attempt is still in the pre-vote."""
         return self.phase is Phase.PRE_VOTE
 
     def ask_pre_vote(self, now: float) -> None:
-        """Ask those who have not granted it."""
+        """Asks all voters that have not granted the pre-vote."""
         replica = self.member.replica
         self.resend_at = now + self.member.timing.resend_interval_s
         request = PreVote(
@@ -176,7 +196,7 @@
         self.member.broadcast(request, self.grants)
 
     def on_pre_vote_reply(self, now: float, sender: str, reply: PreVoteReply) -> None:
-        """With a quorum that grants it the number is raised."""
+        """Counts a grant; with a quorum of grants the epoch number is raised."""
         member = self.member
         member.highest_epoch_seen = max(member.highest_epoch_seen, reply.promised_epoch)
         if reply.epoch_config is not None:
@@ -198,31 +218,31 @@
     # --- prepare
 
     def on_own_promise_durable(self, now: float, number: int) -> None:
-        """The own promise is synced: ask the others for theirs."""
+        """Asks the others for promises, now that its own is synced."""
         replica = self.member.replica
         is_present = self.phase is Phase.PROMISE and number == self.number
         if not is_present or replica.promised_epoch != (number, replica.incarnation):
             return
         self.phase = Phase.PREPARE
         self.prepared_at = now
-        # who is not heard leaves it to others
+        # a candidate that receives no messages leaves the election to others
         self.deadline = now + self.member.timing.majority_timeout_s
         self.promises[replica.incarnation] = self.member.own_promise(number)
         self.ask_promises(now)
         self.choose_epoch(now)
 
     def ask_promises(self, now: float) -> None:
-        """Ask those who have not promised."""
+        """Asks all voters that have not promised."""
         self.resend_at = now + self.member.timing.resend_interval_s
         self.member.broadcast(self.own_prepare(), self.promises)
 
     def own_prepare(self) -> Prepare:
-        """What this attempt asks for."""
+        """Returns the request for promises of this attempt."""
         replica = self.member.replica
         return Prepare(replica.incarnation, self.number, replica.epoch_config)
 
     def on_promise(self, now: float, sender: str, promise: Promise) -> None:
-        """A member accepts nothing of a lower epoch any more."""
+        """Counts a promise of a member to accept nothing of a lower epoch."""
         if self.phase not in PREPARED or promise.number != self.number:
             return
         self.promises[promise.incarnation] = promise
@@ -230,7 +250,7 @@
             self.choose_epoch(now)
 
     def on_refusal(self, now: float, refusal: Refusal) -> None:
-        """Another has a higher number: leave it the way for a while."""
+        """Steps down if the refusal names a higher number, or if too few members are left for a quorum."""
         if self.phase not in PREPARED or refusal.number != self.number:
             return
         self.refusals.add(refusal.incarnation)
@@ -243,7 +263,7 @@
     # --- the epoch that is made
 
     def choose_epoch(self, now: float) -> None:
-        """With a quorum of promises: the members, the holders, and the state that they go on from."""
+        """With a quorum of promises, chooses the members, the holders and the state of the new epoch."""
         member, replica = self.member, self.member.replica
         promises = list(self.promises.values())
         base = replica.epoch_config
@@ -256,7 +276,7 @@
         groups = self.member_groups(base, promises)
         eligible = [each for each in promises if may_hold(groups, each)]
         if not any(each.incarnation == replica.incarnation for each in eligible):
-            member.step_down(now)  # this process is none of the members any more
+            member.step_down(now)  # this process is no longer a member
             return
         best = max(
             promises,
@@ -275,8 +295,9 @@
     def choose_holders(
         self, now: float, groups: Groups, eligible: list[Promise], best: Promise, voter_count: int
     ) -> tuple[int, ...] | None:
-        """This process, those who need not be avoided, those whose state is as new as the best one; None if
-        there are too few, or a better one may answer yet.
+        """Returns this process, then members not in `avoid`, then members whose state is as new as the best.
+
+        Returns None if there are too few, or if a better one may still answer.
         """
         member, own = self.member, self.member.replica.incarnation
         needed = holder_count(groups, member.tolerated)
@@ -298,11 +319,11 @@
         return tuple(each.incarnation for each in eligible[: needed.wanted])
 
     def go_on_from(self, now: float, best: Promise) -> None:
-        """Install the epoch with the state of that promise; fetch it first if it isn't here."""
+        """Installs the epoch with the state of the promise `best`, after fetching it if it isn't here."""
         replica = self.member.replica
         if (best.accepted_epoch, best.log_position) == (replica.accepted_epoch, replica.log_position):
             self.install(now, replica.log_position, replica.state)
-        elif best.log_position == replica.committed.position:  # a witness has it in memory
+        elif best.log_position == replica.committed.position:  # a witness has this state in memory
             self.install(now, best.log_position, replica.committed.state)
         else:
             self.phase = Phase.FETCH
@@ -310,12 +331,12 @@
             self.fetch(now, best)
 
     def leaving_voters(self) -> frozenset[int]:
-        """Voters other than this process that asked for their leave."""
+        """Returns the voters other than this process that have asked to leave."""
         own = self.member.replica.incarnation
         return frozenset(who for who, each in self.promises.items() if each.is_leaving and who != own)
 
     def member_groups(self, base: EpochConfig, promises: list[Promise]) -> Groups:
-        """Members and those before, founders that were heard filled in."""
+        """Returns the members of the new epoch and those before, with incarnations of founders filled in."""
         known = dict(self.member.peers.founders)
         known.update((each.address, each.incarnation) for each in promises if each.founding)
         members = tuple(peer if peer.incarnation else self.founder(peer, known) for peer in base.members)
@@ -324,21 +345,21 @@
         return groups._replace(before=base.members) if base.active else groups
 
     def founder(self, peer: Peer, known: dict[str, int]) -> Peer:
-        """A founder that was not heard before is filled in: the same member, by its number."""
+        """Returns the founder with its incarnation if it was heard: the same member, now with its number."""
         incarnation = known.get(peer.address, 0)
         return Peer(incarnation, self.member.peers.names.get(incarnation, peer.name), peer.address)
 
     # --- fetch and install
 
     def fetch(self, now: float, best: Promise) -> None:
-        """Ask the best promise's sender for the state, as a difference to what is here."""
+        """Requests the state from the sender of the promise `best`, as a difference to the state here."""
         replica = self.member.replica
         self.resend_at = now + 4 * self.member.timing.resend_interval_s
         address = self.member.peers.address_of(best.incarnation, best.address)
         self.member.send(address, Fetch(self.number, replica.log_position, replica.committed.position))
 
     def on_transfer(self, now: float, sender: str, transfer: Transfer) -> None:
-        """The state that was fetched."""
+        """Installs the epoch with the fetched state."""
         best = self.best_promise
         if self.phase is not Phase.FETCH or transfer.number != self.number or best is None:
             return
@@ -349,7 +370,7 @@
             self.install(now, transfer.log_position, state)
 
     def install(self, now: float, position: LogPosition, state: ReplicatedState) -> None:
-        """Write the epoch, and have the other holders write it."""
+        """Writes the epoch and sends it to the other holders."""
         member, replica, number = self.member, self.member.replica, self.number
         timing = member.timing
         transfer_s = size(state) / timing.bytes_per_second
@@ -360,7 +381,8 @@
         self.keep_alive_at = now + timing.heartbeat_interval_s
         is_own_state = position == replica.log_position
         if not is_own_state:
-            member.primary_role.abandon(now)  # the commands decided here are not in the log that goes on
+            # the commands decided here are not in the log that the epoch continues
+            member.primary_role.abandon(now)
         replica.install_epoch(
             now,
             self.epoch_config,
@@ -374,9 +396,9 @@
                 self.send_install(now, incarnation)
 
     def send_install(self, now: float, incarnation: int) -> None:
-        """The epoch for one of its holders, as a difference to what its promise named."""
+        """Sends the epoch to a holder, as a difference to the state that its promise named."""
         member, replica, promise = self.member, self.member.replica, self.promises[incarnation]
-        # a witness has what is committed, in memory
+        # a witness has the committed state in memory
         base, changes = replica.changes_since(promise.log_position, promise.committed)
         wait_s = max(member.timing.resend_interval_s, size(changes) / member.timing.bytes_per_second)
         is_resent = incarnation in self.install_resend_at
@@ -385,11 +407,11 @@
         member.send(address, Install(self.epoch_config, replica.log_position, base, changes))
 
     def on_installed(self, now: float, sender: str, installed: Installed) -> None:
-        """A holder has written the epoch."""
+        """Records that a holder has written the epoch."""
         self.note_installed(now, installed.incarnation, installed.number)
 
     def note_installed(self, now: float, incarnation: int, number: int) -> None:
-        """Once all holders have, the epoch is active and this process its primary."""
+        """Once all holders have written the epoch, makes it active and this process its primary."""
         if self.phase is not Phase.INSTALL or number != self.number:
             return
         self.installed_holders.add(incarnation)
@@ -400,7 +422,7 @@
     # --- time
 
     def tick(self, now: float) -> None:
-        """Ask again, replace, or give up."""
+        """Resends requests, replaces holders or abandons the attempt, as the time requires."""
         if not self.phase:
             return
         if now >= self.deadline:
@@ -413,14 +435,14 @@
             self.ask_again(now)
 
     def give_up(self, now: float) -> None:
-        """The attempt took too long."""
+        """Abandons an attempt that took too long."""
         if self.phase is Phase.PRE_VOTE:
             self.stop()
         else:
             self.member.step_down(now)
 
     def ask_again(self, now: float) -> None:
-        """Before the installs: what was not answered."""
+        """Resends the unanswered requests of the phases before `INSTALL`."""
         if self.phase is Phase.PRE_VOTE:
             self.ask_pre_vote(now)
         elif self.phase is Phase.PREPARE:
@@ -432,7 +454,7 @@
             self.keep_alive(now)
 
     def resend_installs(self, now: float) -> None:
-        """To holders that have not said that they wrote the epoch."""
+        """Resends the epoch to holders that have not confirmed that they wrote it."""
         for incarnation in self.epoch_config.holders:
             resend_at = self.install_resend_at.get(incarnation)
             is_due = resend_at is not None and now >= resend_at
@@ -440,13 +462,13 @@
                 self.send_install(now, incarnation)
 
     def keep_alive(self, now: float) -> None:
-        """A long transfer goes on: nobody else should campaign meanwhile."""
+        """Tells the members that a long transfer is still active, so that no other one campaigns."""
         if now >= self.keep_alive_at:
             self.keep_alive_at = now + self.member.timing.heartbeat_interval_s
             self.member.broadcast(self.own_prepare(), ())
 
     def replace_late_holders(self, now: float) -> None:
-        """A chosen holder doesn't write: begin again with another, where there is one."""
+        """Restarts with other holders if a chosen one doesn't write the epoch and enough others promised."""
         holders = self.epoch_config.holders
         late = frozenset(who for who in holders if who not in self.installed_holders)
         if now < self.replace_holders_at or not late:
@@ -456,7 +478,7 @@
             self.start(now, self.change, self.avoid | late)
 
     def wake_at(self) -> float:
-        """When `tick` has something to do."""
+        """Returns when `tick` is due next."""
         if not self.phase:
             return float("inf")
         if self.phase is Phase.INSTALL:
--- a/shedgrade/replication/member.py
+++ b/shedgrade/replication/member.py
@@ -1,4 +1,4 @@
-"""One member of the control state: its roles, timers and connections put together. Sans I/O."""
+"""One member of the replicated control state: assembles its roles, timers and connections. Sans I/O."""
 
 from __future__ import annotations
 
@@ -27,52 +27,52 @@
 
 NEVER = float("-inf")
 LEAST_BETWEEN_TICKS_S = 0.05
-NON_VOTER_TICK_S = 1.0  # a process that has no vote looks about so often
+NON_VOTER_TICK_S = 1.0  # between ticks of a process without a vote
 NOBODY: frozenset[int] = frozenset()
 
 
 class Role(StrEnum):
-    """What a process is to its core, as the status page shows it."""
+    """Role of a process in its core, as the status page shows it."""
 
-    FOUNDING = "founding"  # one of the processes that found a core, before its first epoch
-    BLANK = "blank"  # no member of any epoch
-    WITNESS = "witness"  # votes, and holds no state on its disk
-    BACKUP = "backup"  # votes, and holds the state
+    FOUNDING = "founding"  # a founder of the core, before the first epoch
+    BLANK = "blank"  # not a member of any known epoch
+    WITNESS = "witness"  # votes, but stores no state on its disk
+    BACKUP = "backup"  # votes and stores the state
     PRIMARY = "primary"
     CANDIDATE = "candidate"  # has raised the epoch number
 
 
 class Member:
-    """A core process's part in the control state.
+    """A core process's participation in the replicated control state.
 
     `address` and `seeds` are link addresses; `found` holds the durable values of an earlier incarnation
-    (none: empty disk); `decide(state, request)` is pure and is called at the primary only. The caller drains
-    `effects` after each call. Times are seconds of one steady clock. Source: Harp (Liskov et al., 1991) with
-    the quorums of Vertical Paxos (Lamport, Malkhi, Zhou, 2009).
-
-    Parts, each with one job:
-
-    - `replica`: promise, epoch, log and committed state; `disk_writer`: what of it is on its way to the disk.
-    - `primary_role`, `candidate`, `acceptor`: the roles. At most one of the first two is at work; the
-      acceptor answers others at all times.
-    - `reconfiguration`: join requests and changes of members; `graceful_leave`: a planned end.
-    - `primary_monitor`, `election_timer`: contact with the primary, and when to ask for votes.
-    - `peers`, `transport`: addresses of others, messages out; `dispatch` hands messages in to their part.
-    - `pending_requests`: requests that came while no primary was known.
-
-    State of the member itself:
-
-    - `incarnation_durable`: the incarnation is on the disk. Before, nothing is sent and nothing is handled.
-    - `incarnation_durable_at`: when it was; the start of the process before.
-    - `durable_promise`: number of the newest promise that is on the disk, at most `replica.promised_epoch`.
-      No promise is sent before its number is here.
+    (None or empty: empty disk); `decide(state, request)` is pure and is called at the primary only. The
+    caller drains `effects` after each call. Times are seconds of one steady clock. Source: Harp (Liskov et
+    al., 1991) with the quorums of Vertical Paxos (Lamport, Malkhi, Zhou, 2009).
+
+    Parts:
+
+    - `replica`: promise, epoch, log and committed state; `disk_writer`: writes of these to the disk.
+    - `primary_role`, `candidate`, `acceptor`: the roles. At most one of the first two is active; the acceptor
+      answers others at all times.
+    - `reconfiguration`: join requests and membership changes; `graceful_leave`: planned exits.
+    - `primary_monitor`, `election_timer`: contact with the primary, and when to start an election.
+    - `peers`, `transport`: addresses of others, outgoing messages; `dispatch` passes incoming messages on.
+    - `pending_requests`: requests received while no primary was known.
+
+    Attributes of the member itself:
+
+    - `incarnation_durable`: whether the incarnation is on the disk. Until then nothing is sent or handled.
+    - `incarnation_durable_at`: when it was written; until then, the start of the process.
+    - `durable_promise`: number of the newest promise on the disk, at most `replica.promised_epoch`. A promise
+      is sent only once its number is here.
     - `highest_epoch_seen`: the highest epoch number that this process used, promised or learnt of. A new
       candidate's number is above it.
-    - `confirmed_at`: at that time a majority held nothing newer than what is committed here.
-    - `receive_delay_s`: so long what is received now may have waited at this process, unread. Set by the
+    - `confirmed_at`: as of that time a majority held nothing newer than what is committed here.
+    - `receive_delay_s`: how long a message may have waited unread at this process, in seconds. Set by the
       caller before `receive`.
-    - `reconfigure_at`: as primary, no further epoch is made before.
-    - `stopped`: `Exit` was given out; every later call does nothing.
+    - `reconfigure_at`: as primary, no further epoch is formed before that time.
+    - `stopped`: `Exit` was emitted; every later call does nothing.
     - `now`, `ticked_at`: times of the last call, and of the last `tick`.
     """
 
@@ -100,7 +100,10 @@
         decide: Callable[[State, Any], Decision],
         timing: Timing = Timing(),  # noqa: B008 (frozen)
     ) -> None:
-        """`tolerated`: t, the losses at once that the state outlives; `founding`: with the other `seeds`."""
+        """`tolerated`: t, the number of simultaneous losses that the state survives.
+
+        `founding`: whether this process founds the core with the other `seeds`.
+        """
         self.name = name
         self.address = address
         self.seeds = tuple(seeds)
@@ -137,16 +140,16 @@
             self.on_incarnation_durable(now)
 
     def make_roles(self) -> tuple[Primary, Candidate, Acceptor]:
-        """The roles; a test's member may have others."""
+        """Creates the roles; tests override this to replace them."""
         return Primary(self), Candidate(self), Acceptor(self)
 
     def begin_call(self, now: float) -> None:
-        """Each call of the caller comes with the time."""
+        """Sets the time of the current call."""
         self.now = now
         self.transport.now = now
 
     def on_incarnation_durable(self, now: float) -> None:
-        """The incarnation is synced: this process may speak."""
+        """Starts to send messages, since the incarnation is synced."""
         self.incarnation_durable = True
         self.incarnation_durable_at = now
         self.election_timer.note_heard(now)
@@ -154,13 +157,13 @@
         self.election_timer.schedule(now, self.is_leaving)
         config = self.replica.epoch_config
         if config.primary == self.replica.incarnation and config.number:
-            # nobody else acts in the epoch that it led
+            # no other process is primary of the epoch that it led
             self.election_timer.election_at = now + self.timing.heartbeat_interval_s / 2
 
-    # --- called from outside
+    # --- calls by the caller
 
     def receive(self, now: float, sender: str, message: m.Message) -> None:
-        """A message from the link address `sender`."""
+        """Handles a message from the link address `sender`."""
         self.begin_call(now)
         if not self.incarnation_durable or self.stopped:
             return
@@ -169,13 +172,13 @@
             self.pending_requests.resolve(now)
 
     def persisted(self, now: float, token: int, ok: bool) -> None:
-        """The outcome of the open `Persist`."""
+        """Handles the outcome of the outstanding `Persist`."""
         self.begin_call(now)
         if not self.stopped:
             self.disk_writer.persisted(now, token, ok)
 
     def submit(self, now: float, ticket: int, request: object) -> None:
-        """A request that may change the state.
+        """Handles a request that may change the state.
 
         Answered by Answer(ticket, ...): what `decide` gave, Unavailable, OutcomeUnknown or RedirectToPrimary.
         """
@@ -190,7 +193,10 @@
             self.pending_requests.resolve(now)
 
     def read(self, now: float, ticket: int) -> None:
-        """A linearizable read. Answered by Answer(ticket, ReadResult), Unavailable or RedirectToPrimary."""
+        """Starts a linearizable read, answered by Answer(ticket, ...).
+
+        The outcome is ReadResult, Unavailable or RedirectToPrimary.
+        """
         self.begin_call(now)
         if self.stopped:
             self.effects.append(Answer(ticket, Unavailable()))
@@ -201,13 +207,13 @@
             self.pending_requests.resolve(now)
 
     def leave(self, now: float, timeout_s: float | None = None) -> None:
-        """Serve on until the others hold what this member holds, `timeout_s` at most; then `Exit`."""
+        """Serves until the others hold what this member holds, `timeout_s` at most, then emits `Exit`."""
         self.begin_call(now)
         self.graceful_leave.request(now, self.timing.leave_timeout_s if timeout_s is None else timeout_s)
         self.tick(now)
 
     def tick(self, now: float) -> None:
-        """Called when wake_at() is due, and at any other time."""
+        """Handles all time-outs that have passed. Called when `wake_at` is due, and at any other time."""
         self.begin_call(now)
         self.ticked_at = now
         if self.stopped:
@@ -225,14 +231,14 @@
         self.graceful_leave.tick(now)
 
     def tick_as_follower(self, now: float) -> None:
-        """Neither primary nor candidate: ask for votes when it is time, look for the primary."""
+        """As neither primary nor candidate: starts a pre-vote or sends join requests if either is due."""
         if now >= self.election_timer.election_at and self.may_campaign(now):
             self.start_pre_vote(now)
         if not self.hears_primary(now) and now >= self.reconfiguration.join_request_at:
             self.reconfiguration.send_join_requests(now)
 
     def wake_at(self) -> float:
-        """When tick is due next."""
+        """Returns when `tick` is due next."""
         wake = self.disk_writer.wake_at(self.now)
         if not self.incarnation_durable:
             return wake
@@ -242,7 +248,8 @@
             self.candidate.wake_at(),
             self.transport.chunking.wake_at(),
         )
-        soon = self.ticked_at + LEAST_BETWEEN_TICKS_S  # not after `now`, which each message moves
+        # relative to the last tick, since each message moves `now`
+        soon = self.ticked_at + LEAST_BETWEEN_TICKS_S
         if not self.primary_role.active and not self.candidate.phase:
             wake = min(wake, self.follower_wake_at(soon))
         if self.pending_requests.entries:
@@ -253,18 +260,18 @@
         return wake
 
     def follower_wake_at(self, soon: float) -> float:
-        """When `tick_as_follower` is due, not before `soon`."""
+        """Returns when `tick_as_follower` is due, not before `soon`."""
         election_at = self.now + NON_VOTER_TICK_S
         if self.is_voter():
             election_at = max(self.election_timer.election_at, soon)
         timeout_at = self.primary_monitor.primary_heard_at + self.timing.primary_timeout_s
         return min(election_at, max(self.reconfiguration.join_request_at, timeout_at, soon))
 
-    # --- to be looked at
+    # --- status
 
     @property
     def role(self) -> Role:
-        """What this process is at the moment."""
+        """Current role of this process."""
         replica = self.replica
         if self.primary_role.active:
             return Role.PRIMARY
@@ -283,12 +290,12 @@
 
     @property
     def epoch(self) -> int:
-        """Number of the newest epoch known here, 0 before the first one."""
+        """Number of the newest epoch known here; 0 before the first one."""
         return self.replica.epoch_config.number
 
     @property
     def members(self) -> tuple[m.Peer, ...]:
-        """As the newest epoch known here names them."""
+        """Members of the newest epoch known here."""
         return self.replica.epoch_config.members
 
     @property
@@ -298,20 +305,20 @@
 
     @property
     def primary(self) -> str | None:
-        """Link address of the primary, if it is known."""
+        """Link address of the primary, None if it is unknown."""
         return self.primary_monitor.primary
 
     @property
     def primary_heard_at(self) -> float:
-        """When the primary was last heard."""
+        """When the primary of the newest epoch was last heard."""
         return self.primary_monitor.primary_heard_at
 
     def hears_primary(self, now: float) -> bool:
-        """Whether the primary was heard within its time-out."""
+        """Whether the primary was heard within `primary_timeout_s`."""
         return self.primary_monitor.is_heard(now)
 
     def has_primary_hint(self, now: float) -> bool:
-        """Whether another member hears the primary, though this one doesn't."""
+        """Whether another member recently reported hearing the primary."""
         return self.primary_monitor.has_hint(now)
 
     def check_invariants(self) -> None:
@@ -328,18 +335,21 @@
         assert not (self.stopped and active), "primary after its end"
         assert not active or self.primary == self.address, "a primary that follows another"
 
-    # --- what the parts share
+    # --- shared by the parts
 
     def send(self, address: str, message: m.Message) -> None:
-        """To one link address."""
+        """Sends a message to one link address."""
         self.transport.send(address, message)
 
     def broadcast(self, message: m.Message, but: Container[int]) -> None:
-        """To the members, and those before while the epoch isn't known to be active, without `but`."""
+        """Sends to the members, and to those before while the epoch is not known to be active.
+
+        `but`: incarnations that are skipped.
+        """
         self.transport.broadcast(self.replica.epoch_config, message, but)
 
     def own_promise(self, number: int) -> m.Promise:
-        """This process's promise for the epoch `number`, which must be durable."""
+        """Returns this process's promise for the epoch `number`, which must be durable."""
         replica = self.replica
         return m.Promise(
             replica.incarnation,
@@ -354,7 +364,7 @@
         )
 
     def is_voter(self) -> bool:
-        """Named by the newest epoch known, or by the one before while that is not known to be active."""
+        """Whether this process is in the electorate of the newest epoch known, or founds the first one."""
         replica = self.replica
         if replica.founding and not replica.epoch_config.number:
             return True
@@ -364,22 +374,23 @@
         )
 
     def may_campaign(self, now: float) -> bool:
-        """Whether this process may ask for votes."""
+        """Whether this process may start an election."""
         if not self.is_voter() or not self.disk_writer.is_healthy(now):
             return False
         return self.replica.epoch_config.number > 0 or self.reconfiguration.founded_enough(now)
 
     def is_primary_or_candidate(self) -> bool:
-        """As primary, or as candidate after the pre-vote."""
+        """Whether this process is the primary, or a candidate past the pre-vote."""
         return self.primary_role.active or self.candidate.phase not in (Phase.IDLE, Phase.PRE_VOTE)
 
     def confirm_up_to_date(self, at: float) -> None:
-        """At that time nothing was committed anywhere that is not committed here."""
+        """Records that at time `at` nothing was committed anywhere that is not committed here."""
         self.confirmed_at = max(self.confirmed_at, at)
 
     def learn_epoch(self, now: float, config: m.EpochConfig) -> None:
-        """Another process knows this active epoch. One that acts in an older epoch, as primary or candidate,
-        acts no more: its own members and promises would be those of the newer one.
+        """Adopts an active epoch that another process knows.
+
+        A primary or candidate of an older epoch steps down: its members and promises are outdated.
         """
         if self.is_primary_or_candidate():
             own = self.primary_role.epoch if self.primary_role.active else self.candidate.number
@@ -390,12 +401,12 @@
     # --- contact with the primary
 
     def note_primary_hint(self, now: float, address: str) -> None:
-        """Somebody else hears the primary there: a join request goes to it at once."""
+        """Records where another member hears the primary; a join request goes to a new address at once."""
         if self.primary_monitor.note_hint(now, address):
             self.reconfiguration.join_request_at = min(self.reconfiguration.join_request_at, now)
 
     def on_primary_restarted(self, now: float) -> None:
-        """Another incarnation of its machine has asked to join: the primary that was heard is no more."""
+        """Forgets the primary, which has lost its disk: a new incarnation asked to join from its address."""
         if not self.primary_role.active and self.primary is not None:
             self.primary_monitor.forget_primary()
             self.primary_monitor.hint = None
@@ -403,7 +414,7 @@
             self.election_timer.schedule(now, self.is_leaving)
 
     def on_primary_heard(self, now: float, sender: str) -> None:
-        """A message of the primary of the newest epoch."""
+        """Follows the primary of the newest epoch, which has sent a message."""
         if self.primary_role.active or self.candidate.phase:
             self.step_down(now)
         self.primary_monitor.note_heard(now, sender)
@@ -414,12 +425,12 @@
     # --- elections
 
     def start_pre_vote(self, now: float) -> None:
-        """Ask the others whether they miss the primary too."""
+        """Asks the others whether they have lost the primary too."""
         self.election_timer.schedule_pre_vote_retry(now)
         self.candidate.pre_vote(now)
 
     def start_election(self, now: float) -> None:
-        """Become a candidate without a pre-vote."""
+        """Becomes a candidate without a pre-vote."""
         if not self.primary_role.active:
             self.primary_monitor.forget_primary()
             self.candidate.start(now)
@@ -427,20 +438,23 @@
     def reconfigure(
         self, now: float, change: ChangeOfMembers | None = None, avoid: frozenset[int] = NOBODY
     ) -> None:
-        """The primary makes a new epoch with other holders or members. `avoid`: who should hold nothing."""
+        """As primary, forms a new epoch with other holders or members.
+
+        `avoid`: incarnations that should not become holders.
+        """
         self.reconfigure_at = now + self.timing.election_timeout_s
         self.primary_role.pause()
         self.candidate.start(now, change, avoid)
 
     def became_primary(self, now: float) -> None:
-        """All holders have installed the epoch of this candidate."""
+        """Called when all holders have installed the epoch of this candidate."""
         self.primary_monitor.note_elected(now)
         self.election_timer.note_heard(now)
         self.reconfigure_at = now + self.timing.resend_interval_s
         self.pending_requests.resolve(now)
 
     def step_down(self, now: float) -> None:
-        """No primary and no candidate any more, until the next time-out."""
+        """Ceases to be primary or candidate, until the next time-out."""
         self.candidate.stop()
         if self.primary == self.address:
             self.primary_monitor.forget_primary()
@@ -448,13 +462,13 @@
         self.election_timer.schedule_after_step_down(now)
 
     def hand_over(self, now: float, successor: str) -> None:
-        """Ask the member at the link address `successor` to take over, and leave it the time for it."""
+        """Asks the member at the link address `successor` to take over, and leaves it time to do so."""
         self.send(successor, m.HandOver(self.replica.epoch_config.number))
         self.step_down(now)
         self.election_timer.election_at = now + 2 * self.timing.primary_timeout_s
 
     def on_refusal(self, now: float, sender: str, refusal: m.Refusal) -> None:
-        """Somebody has promised a higher epoch than the one this process acts in."""
+        """Another member has promised a higher epoch than the one in which this process is active."""
         self.highest_epoch_seen = max(self.highest_epoch_seen, refusal.promised_epoch)
         if refusal.epoch_config.active:
             self.learn_epoch(now, refusal.epoch_config)
@@ -462,7 +476,7 @@
         if not is_own_epoch or refusal.promised_epoch <= refusal.number:
             self.candidate.on_refusal(now, refusal)
         elif self.primary_role.supervision.has_majority(now):
-            # a member has promised a higher number; with the others at hand go on under a higher one
+            # a member has promised a higher number: with the remaining majority, continue under a higher one
             self.reconfigure(now)
         else:
             self.step_down(now)
--- a/shedgrade/replication/primary.py
+++ b/shedgrade/replication/primary.py
@@ -1,4 +1,4 @@
-"""The primary's role: heartbeats and rounds, acknowledgements, committed state for those who hold none."""
+"""The primary role: heartbeats and rounds, acknowledgements, catch-up of processes that are not holders."""
 
 from __future__ import annotations
 
@@ -22,38 +22,41 @@
 if TYPE_CHECKING:
     from shedgrade.replication.member import Member
 
-MAX_PIPELINED_CATCH_UP_BYTES = 4096  # longer committed state waits for the ack of the one before
-MAX_CATCH_UP_BACKOFF = 4  # the wait for an ack of committed state doubles so many times at most
-# Not heard for so many join request intervals, a process that is no member is forgotten: at the beginning
-# of an epoch, and during it.
+MAX_PIPELINED_CATCH_UP_BYTES = 4096  # larger committed state waits for the ack of the previous one
+MAX_CATCH_UP_BACKOFF = 4  # maximum number of times that the wait for an ack of committed state doubles
+# A non-member is forgotten after this many join request intervals of silence: at the beginning of an epoch,
+# and during it.
 FORGOTTEN_AT_BEGIN, FORGOTTEN = 5, 8
 NOBODY: frozenset[int] = frozenset()
 
 
 class Primary:
-    """The primary's role of one member. Times are seconds of the steady clock.
+    """The primary role of one member. Times are seconds of the steady clock.
 
-    `active`: whether this process is the primary of `epoch`. While it is false nothing is decided, answered
-    or sent; an election of this process itself (`pause`) keeps all else as it is.
-    `epoch`: the number of the epoch led last, 0 before the first one. Invariant while active: the state here
-    was accepted in it, and nothing higher is promised to another.
+    `active`: whether this process is the primary of `epoch`. While it is false no command is decided or
+    answered and nothing is sent; all else is kept during an election of this process itself (`pause`).
+    `epoch`: number of the epoch that this process led last, 0 before the first one. Invariant while active:
+    the state here was accepted in it, and no higher epoch was promised to another.
     `holders`: incarnations of the other holders. Invariant while active: each is one of `followers`.
-    `followers`: by incarnation, all processes heard, members and others; empty while another leads.
-    `current_incarnations`: by link address, the incarnation that was heard there last. One that is not in
-    here lost its disk.
-    `commands`: commands, reads, and changes in flight. `leave_requests`: members that asked for their leave.
+    `followers`: by incarnation, all processes heard, members and others; empty while another one leads.
+    `current_incarnations`: by link address, the incarnation that was last heard there. A follower whose
+    address maps to another incarnation has lost its disk.
+    `commands`: commands, reads, and changes in flight.
+    `leave_requests`: members that have asked to leave.
     `supervision`: health of the holders.
     `majority_contact`: when a majority last confirmed this primary.
-    `read_index_round`: the newest round sent; numbers grow over epochs.
-    `heartbeat_due_at`: of the next heartbeat to all.
-    `majority_heard_at`: when a majority of the members had been heard lately, at the last look.
+    `read_index_round`: number of the newest round sent; increases across epochs.
+    `heartbeat_due_at`: when the next heartbeat is sent to all followers.
+    `majority_heard_at`: when the last check found that a majority of the members was heard recently.
     `epoch_began_at`: when this process became the primary of `epoch`.
-    `has_enough_holders`: more than t hold the state; `has_all_members`: the epoch has 2t + 1 members.
-    `incomplete_since`: when the first of the epochs led in succession began; None while another leads.
+    `has_enough_holders`: whether more than t members hold the state.
+    `has_all_members`: whether the epoch has at least 2t + 1 members.
+    `incomplete_since`: when this process became the primary, over all its consecutive epochs; None while
+    another one leads.
     """
 
     def __init__(self, member: Member) -> None:
-        """Of the member that may become the primary."""
+        """`member`: the member that may become the primary."""
         self.member = member
         self.active = False
         self.epoch = 0
@@ -75,8 +78,9 @@
     # --- begin and end
 
     def begin(self, now: float, config: EpochConfig, leaving: frozenset[int] = NOBODY) -> None:
-        """All holders have synced the epoch: what they hold is committed. `leaving`: members that asked for
-        their leave before.
+        """Becomes the primary once all holders have synced the epoch: the state that they hold is committed.
+
+        `leaving`: members that asked to leave before the epoch.
         """
         member, replica = self.member, self.member.replica
         replica.adopt_epoch_config(now, config)
@@ -104,13 +108,14 @@
         self.commands.answer(now)
         self.leave_requests.tick(now)
         change = member.reconfiguration.replacements_of_lost_disks(now, config)
-        if change is not None:  # the repair goes before commands, whose writes would hold it up
+        # members are replaced before commands are decided, whose writes would delay that
+        if change is not None:
             member.reconfigure(now, change)
             return
         self.commands.advance_queue(now)
 
     def followers_of(self, now: float, config: EpochConfig) -> dict[int, Follower]:
-        """The members, and those known already, without non-members that were not heard for long."""
+        """Returns the members and the followers known before, without non-members silent for too long."""
         member = self.member
         members = {peer.incarnation: peer for peer in config.members}
         forgotten_s = FORGOTTEN_AT_BEGIN * member.timing.join_request_interval_s
@@ -129,7 +134,7 @@
         return followers
 
     def note_recent_join_requests(self, now: float) -> None:
-        """Who asked to join before this process was the primary need not ask again."""
+        """Adds processes that asked to join before this process was the primary as followers."""
         for request in self.member.reconfiguration.recent_join_requests(now):
             incarnation = request.incarnation
             if incarnation not in self.followers and incarnation != self.member.replica.incarnation:
@@ -137,19 +142,21 @@
                 self.followers[incarnation] = Follower(incarnation, request.name, request.address, now)
 
     def pause(self) -> None:
-        """An election of this process goes on; what is pending stays."""
+        """Suspends the role during an election of this process; pending commands and reads are kept."""
         self.active = False
 
     def abandon(self, now: float) -> None:
-        """Another decides now."""
+        """Gives up the role, since another primary decides now."""
         self.active = False
         self.followers = {}
         self.incomplete_since = None
         self.commands.abandon(now)
 
     def may_process_commands(self, now: float) -> bool:
-        """Fewer holders than may be lost and one keep nothing safe. Of fewer members than 2t + 1 no majority
-        may be left: newcomers get a while to join before the first answer.
+        """Whether commands may be decided.
+
+        The state is safe only with more than t holders. With fewer than 2t + 1 members, t losses may leave no
+        majority, so newcomers get `incomplete_membership_timeout_s` to join before the first command.
         """
         if not self.active or not self.has_enough_holders or self.incomplete_since is None:
             return False
@@ -159,14 +166,14 @@
     # --- heartbeats and rounds
 
     def start_read_index_round(self, now: float) -> int:
-        """A round that all holders are asked to confirm. Returns its number."""
+        """Asks all holders to confirm a new round. Returns its number."""
         self.read_index_round += 1
         for incarnation in self.holders:
             self.send_heartbeat_to(now, self.followers[incarnation], self.read_index_round)
         return self.read_index_round
 
     def start_member_round(self, now: float) -> int:
-        """A round that witnesses are asked to confirm, too. Returns its number."""
+        """Asks all members, including witnesses, to confirm a new round. Returns its number."""
         number = self.start_read_index_round(now)
         for incarnation, follower in self.followers.items():
             if incarnation not in self.holders and self.member.replica.has_member(incarnation):
@@ -174,7 +181,7 @@
         return number
 
     def send_heartbeats(self, now: float) -> None:
-        """A heartbeat to all, and what is committed to who lacks it."""
+        """Sends a heartbeat to all followers, and committed state to those that lack it."""
         timing = self.member.timing
         self.heartbeat_due_at = now + timing.heartbeat_interval_s
         self.read_index_round += 1
@@ -191,19 +198,19 @@
                     self.send_catch_up(now, follower)
 
     def has_lost_disk(self, follower: Follower) -> bool:
-        """Whether another incarnation was heard at its address since."""
+        """Whether another incarnation has since been heard at the follower's address."""
         current = self.current_incarnations.get(follower.address, follower.incarnation)
         return current != follower.incarnation
 
     def send_heartbeat_to(self, now: float, follower: Follower, read_index_round: int) -> None:
-        """With the epoch's configuration, if it lacks that."""
+        """Sends a heartbeat, with the epoch's configuration if the follower lacks it."""
         config = None if follower.known_epoch == self.epoch else self.member.replica.epoch_config
         self.send_heartbeat(now, follower, follower.address, read_index_round, config)
 
     def send_heartbeat(
         self, now: float, follower: Follower, address: str, read_index_round: int, config: EpochConfig | None
     ) -> None:
-        """To a follower at that link address. `read_index_round`: 0 asks for no confirmation."""
+        """Sends a heartbeat to a follower at `address`. `read_index_round`: 0 requests no confirmation."""
         heartbeat = Heartbeat(
             self.epoch,
             read_index_round,
@@ -215,7 +222,7 @@
         self.member.send(address, heartbeat)
 
     def confirm(self, now: float) -> None:
-        """Whether a majority of the members follows this primary, and as of when."""
+        """Updates as of when a majority of the members confirmed this primary."""
         members = self.member.members
         own = self.member.replica.incarnation
         others = [peer.incarnation for peer in members if peer.incarnation != own]
@@ -224,7 +231,7 @@
     # --- committed state
 
     def announce_committed(self, now: float) -> None:
-        """What has just been committed."""
+        """Tells all followers of newly committed changes."""
         for incarnation, follower in self.followers.items():
             if incarnation in self.holders:
                 self.send_heartbeat_to(now, follower, 0)
@@ -232,9 +239,9 @@
                 self.send_catch_up(now, follower)
 
     def send_catch_up(self, now: float, follower: Follower) -> None:
-        """Committed state to a follower that holds none; to one that is not heard nothing but heartbeats.
+        """Sends committed state to a follower that is not a holder, unless it was not heard recently.
 
-        A long transfer is not begun anew for a newer position: what changed since follows its end.
+        A long transfer is not restarted for a newer position: the later changes are sent once it ends.
         """
         replica, timing = self.member.replica, self.member.timing
         position = replica.committed.position
@@ -257,7 +264,7 @@
     # --- messages of followers
 
     def on_ack(self, now: float, sender: str, ack: Ack) -> None:
-        """A follower tells what it has, and which round reached it."""
+        """Updates the record of a follower from its acknowledgement."""
         member = self.member
         member.highest_epoch_seen = max(member.highest_epoch_seen, ack.promised_epoch)
         follower = self.followers.get(ack.incarnation)
@@ -275,14 +282,15 @@
             self.on_ack_of_epoch(now, follower, ack)
 
     def on_ack_of_epoch(self, now: float, follower: Follower, ack: Ack) -> None:
-        """It answers a message of the present epoch: rounds and writes count."""
+        """Counts rounds and writes acknowledged in the current epoch."""
         if ack.promised_epoch <= self.epoch:
             self.majority_contact.round_acknowledged(ack.incarnation, ack.read_index_round)
             self.confirm(now)
         if ack.read_index_round > follower.acknowledged_round:
             is_first = not follower.acknowledged_round
             follower.acknowledged_round = ack.read_index_round
-            if is_first:  # it can't tell how old a heartbeat is before it hears of its own ack
+            # a follower can't tell the age of a heartbeat until it knows which of its acks has arrived
+            if is_first:
                 self.send_heartbeat_to(now, follower, 0)
         if ack.read_index_round > follower.read_index_round and ack.promised_epoch == self.epoch:
             follower.read_index_round = ack.read_index_round
@@ -297,7 +305,7 @@
                 self.commands.advance_commit(now)
 
     def on_join_request(self, now: float, request: JoinRequest) -> None:
-        """A process that doesn't hear this primary, or is new: informed at once where it is."""
+        """Answers a process that is new or doesn't hear this primary with a heartbeat at once."""
         incarnation = request.incarnation
         follower = self.followers.get(incarnation)
         if follower is None:
@@ -311,8 +319,10 @@
         self.send_heartbeat(now, follower, request.address, self.read_index_round, config)
 
     def update_location(self, now: float, follower: Follower, address: str, committed: LogPosition) -> None:
-        """Where it is and what it knows: nothing, if it was started anew or lost its disk. What is on its way
-        there then begins at a position that it no longer has.
+        """Updates the address of a follower and the committed position that it has.
+
+        If it restarted or lost its disk it has nothing: transfers under way to it then begin at a position
+        that it no longer has, and are cancelled.
         """
         before = self.current_incarnations.get(address, follower.incarnation)
         has_forgotten = committed == (0, 0) < follower.committed
@@ -324,15 +334,15 @@
         self.current_incarnations[address] = follower.incarnation
 
     def on_follower_heard(self, now: float, follower: Follower) -> None:
-        """It can receive what is sent to it."""
+        """Records that the follower can receive messages."""
         if not self.supervision.heard_recently(now, follower):
-            follower.catch_up_due_at = now  # what was sent before it was lost sight of may have been given up
+            follower.catch_up_due_at = now  # a transfer begun before its silence may have been given up
         follower.last_heard_at = now
 
     # --- time
 
     def tick(self, now: float) -> None:
-        """Heartbeats, what was not received, and the health of the followers."""
+        """Sends heartbeats, resends writes, checks for a majority and supervises the holders."""
         if not self.active:
             return
         if now >= self.heartbeat_due_at:
@@ -343,14 +353,15 @@
             if is_due and self.supervision.heard_recently(now, follower):
                 self.commands.resend(now, follower)
         if self.has_lost_majority(now):
-            self.member.step_down(now)  # cut off, perhaps one way: others must be able to take over
+            # the link may have failed in one direction only: others must be able to take over
+            self.member.step_down(now)
             return
         self.commands.advance_queue(now)
         self.leave_requests.tick(now)
         self.supervision.reconfigure_if_needed(now)
 
     def has_lost_majority(self, now: float) -> bool:
-        """Whether no majority was heard for `majority_timeout_s`."""
+        """Whether no majority of the members was heard for `majority_timeout_s`."""
         timing = self.member.timing
         if 1 + len(self.supervision.members_heard(now)) > len(self.member.members) // 2:
             self.majority_heard_at = now
@@ -359,7 +370,7 @@
         return now - self.majority_heard_at > timing.majority_timeout_s - timing.peer_timeout_s
 
     def wake_at(self, now: float) -> float:
-        """When `tick` has something to do."""
+        """Returns when `tick` is due next."""
         if not self.active:
             return float("inf")
         wake = min(
