--- a/tests/replication/hand_net.py
+++ b/tests/replication/hand_net.py
@@ -1,4 +1,4 @@
-"""Members on a net that a test moves by hand: messages and writes wait until they are let go."""
+"""A network of members that a test controls: messages and disk writes wait until the test releases them."""
 
 from random import Random
 
@@ -15,7 +15,7 @@
 
 
 def decide(state, request):
-    """A request is (key, value); the outcome tells what was there before."""
+    """Handles a request (key, value). The outcome is the previous value."""
     key, value = request
     return Decision({key: value}, state.get(key))
 
@@ -25,7 +25,7 @@
         self.now, self.tolerated = 0.0, tolerated
         self.disks = {f"{name}:1": {} for name in names}
         self.members: dict[str, Member] = {}
-        self.held_back: set[str] = set()  # whose writes wait
+        self.held_back: set[str] = set()  # addresses of members whose disk writes wait
         self.writes: dict[str, list[Persist]] = {address: [] for address in self.disks}
         self.messages: list[tuple[str, str, object]] = []
         self.answers: dict[int, object] = {}
@@ -51,7 +51,7 @@
         self.drain(address)
 
     def stop(self, address):
-        """The process ends; what waits for its disk is not written."""
+        """Ends the process; its pending disk writes are lost."""
         self.members.pop(address)
         self.writes[address].clear()
 
@@ -72,7 +72,7 @@
                 self.committed[address].append(effect)
 
     def write(self, address, ok=True):
-        """Let the open write of a member go."""
+        """Completes the oldest pending disk write of a member."""
         effect = self.writes[address].pop(0)
         if ok:
             disk = self.disks[address]
@@ -86,7 +86,7 @@
         self.drain(address)
 
     def deliver(self):
-        """All messages that are under way, and those that they bring about."""
+        """Delivers all messages under way, and those sent in response."""
         while self.messages:
             sender, to, message = self.messages.pop(0)
             if to in self.members and not self.drop(sender, to, message):
--- a/tests/replication/quorum_model.py
+++ b/tests/replication/quorum_model.py
@@ -1,10 +1,14 @@
-"""All that elections, changes of members, lost disks and late messages can bring about, by enumeration.
+"""Enumerates all outcomes of elections, membership changes, lost disks and late messages.
 
-A state is what a few processes have promised, know and hold, and the epochs that were formed. Every message
-may come at any time or never: a promise carries what its sender knew then, also if that is wiped before the
-candidate uses it. Which steps are allowed is decided by `replication.quorums` alone. Sets of processes are
-bit masks. Two states that differ by the names of like processes count once; and a candidate uses all the
-promises that were given to it, since one that it leaves out would only bind its giver."""
+A state consists of what a few processes have promised, know and hold, and of the epochs formed. Every message
+may arrive at any time or never: a promise carries what its sender knew when it was sent, even if the sender's
+disk is wiped before the candidate uses it. `replication.quorums` alone decides which steps are allowed. Sets
+of processes are bit masks.
+
+Two reductions of the state space: states that differ only by a permutation of equivalent processes count
+once, and a candidate uses all promises given to it, since a promise that it left out would only bind the
+process that gave it.
+"""
 
 from collections import deque
 from functools import lru_cache
@@ -22,8 +26,12 @@
 
 
 class Process(NamedTuple):
-    """`known`: (epoch, whether it is known to be active); (0, True): none. `accepted`: the epoch that it
-    holds, 0 for none. `kind`: processes of one kind are alike at the start."""
+    """One process.
+
+    `kind`: processes of one kind are equivalent at the start.
+    `known`: (epoch, whether it is known to be active); (0, True) for none.
+    `accepted`: the epoch whose state the process holds, 0 for none.
+    """
 
     kind: int
     alive: bool
@@ -33,8 +41,12 @@
 
 
 class Epoch(NamedTuple):
-    """`parent`: the epoch from whose state it goes on. `installed`: holders that said they have synced it.
-    `acked`: it may have acknowledged changes."""
+    """One epoch.
+
+    `parent`: the epoch whose state it continues.
+    `installed`: holders that have reported the epoch as synced.
+    `acked`: whether it may have acknowledged changes.
+    """
 
     members: int
     before: int
@@ -46,7 +58,7 @@
 
 
 class Given(NamedTuple):
-    """A promise as it was sent."""
+    """A promise as it was sent: the state of its sender at that time."""
 
     process: int
     known: tuple[int, bool]
@@ -54,7 +66,10 @@
 
 
 class State(NamedTuple):
-    """Processes in order of their bits; epochs and promises by number (0 and 1: the first epoch's)."""
+    """Processes are ordered by bit; epochs and promises are indexed by number.
+
+    Index 0 stands for no epoch, index 1 for the first one.
+    """
 
     processes: tuple[Process, ...]
     epochs: tuple[Epoch | None, ...]
@@ -62,7 +77,7 @@
 
 
 class Rules:
-    """The functions under test; a subclass plants a fault."""
+    """The functions under test. Subclasses inject faults."""
 
     is_quorum = staticmethod(quorums.is_quorum)
     electorate = staticmethod(quorums.electorate)
@@ -84,14 +99,20 @@
 
 
 def config(number, members, before, active):
-    """What a process knows of an epoch; the members before bind no more once it is known to be active."""
+    """The configuration as a process knows it; once active, the members before no longer count."""
     known = EpochConfig(number, 0, (), peers(members), peers(before), False)
     return quorums.activated(known) if active else known
 
 
 class Model:
-    """`tolerated`: t; 2t + 1 members and `non_members` beside them; at most `epochs` are formed, the first
-    one among them; one replaces at most `replaced` members; `wipes` disks may be lost."""
+    """The state space for 2t + 1 members.
+
+    `tolerated`: t.
+    `non_members`: number of further processes.
+    `epochs`: maximum number of epochs, including the first one.
+    `replaced`: maximum number of members replaced by one epoch.
+    `wipes`: maximum number of disks lost.
+    """
 
     def __init__(self, tolerated, non_members, epochs, wipes=0, replaced=1, rules=Rules):
         self.tolerated, self.wipes, self.replaced, self.rules = tolerated, wipes, replaced, rules
@@ -107,7 +128,7 @@
         self.quorum, self.voters = lru_cache(None)(self.quorum), lru_cache(None)(self.voters)
         self.outcomes = lru_cache(None)(self.outcomes)
 
-    # --- the rules, by masks
+    # --- the rules, on bit masks
 
     def quorum(self, members, before, active, promised):
         voters = [Voter(each + 1, f"{each}:1") for each in bits(promised)]
@@ -118,7 +139,7 @@
         return mask(each.incarnation - 1 for each in self.rules.electorate(known))
 
     def outcomes(self, members, before, active, promised, non_members):
-        """(members, before, holders) of all epochs that a candidate may make."""
+        """Returns (members, before, holders) of all epochs that a candidate may form."""
         base, found = config(1, members, before, active), set()
         for change in self.changes(members, non_members):
             groups = self.rules.next_groups(base, change)
@@ -134,7 +155,10 @@
         return sorted(found)
 
     def changes(self, members, non_members):
-        """No change, or up to `replaced` members given to non_members, whoever is silent."""
+        """Yields no change, and each replacement of up to `replaced` members by non-members.
+
+        Any member may be replaced, whether it is silent or not.
+        """
         yield None
         for count in range(1, self.replaced + 1):
             for old in combinations(bits(members), count):
@@ -150,7 +174,7 @@
     # --- the search
 
     def explore(self, most=10_000_000):
-        """(states, the first broken promise or None)"""
+        """Returns the number of states, and the first violation found or None."""
         seen, todo = {self.start}, deque([self.start])
         while todo and len(seen) < most:
             for following in self.steps(todo.popleft()):
@@ -202,7 +226,7 @@
             yield changed(state, epoch=(number, formed), promises=(number, ()))
 
     def wipe(self, state, who, process):
-        """Its disk is lost: this incarnation is no more, and a newcomer stands in its place."""
+        """Loses a disk: the incarnation is gone, and a new process takes its place."""
         if process.known[0] and sum(not each.alive for each in state.processes) < self.wipes:
             following = changed(state, process=(who, Process(3, False)))
             yield following._replace(processes=(*following.processes, Process(2, True)))
@@ -246,7 +270,7 @@
 
 
 def line(state, number):
-    """The epochs whose states an epoch goes on from."""
+    """Returns an epoch and its ancestors, whose state it continues."""
     numbers = set()
     while number:
         numbers.add(number)
@@ -255,7 +279,11 @@
 
 
 def broken(state):
-    """An active epoch that lacks what an earlier one acknowledged, or beside which an earlier one acts."""
+    """Returns a violation or None.
+
+    A violation is an active epoch that lacks changes acknowledged by an earlier one, or beside which the
+    holders of an earlier one still confirm changes.
+    """
     for later, epoch in enumerate(state.epochs):
         if epoch and epoch.active:
             for earlier in range(1, later):
@@ -268,7 +296,7 @@
 
 
 def changed(state, process=None, epoch=None, promises=None):
-    """The state with one process, epoch and set of promises exchanged, each given with its number."""
+    """Returns the state with one process, epoch or set of promises replaced, each given as (index, value)."""
     return State(
         *(
             old if new is None else (*old[: new[0]], new[1], *old[new[0] + 1 :])
@@ -278,7 +306,7 @@
 
 
 def canonical(state):
-    """Like processes in one order."""
+    """Returns the state with equivalent processes in a fixed order."""
 
     def view(who):
         informed = tuple(
--- a/tests/replication/test_absence.py
+++ b/tests/replication/test_absence.py
@@ -1,5 +1,7 @@
-"""Replicas away for up to thousands of changes, by seed: none leads with old state, all catch up; and faults
-planted in members, their snapshots and their disks are found, each within the seeds that stand beside it."""
+"""Replicas that are absent for up to thousands of changes: none leads with old state, and all catch up.
+
+Faults injected into members, their snapshots and their disks are found within the seeds listed in `PLANTED`.
+"""
 
 import pytest
 
@@ -22,7 +24,7 @@
 
 
 class HoldsBeforeTheTransferIsSynced(Member):
-    """A holder says that it has the state before it is on its disk."""
+    """A holder that reports the state as installed before it is on its disk."""
 
     class Acceptor(acceptor.Acceptor):
         def on_install(self, now, sender, install):
@@ -47,14 +49,14 @@
 
 
 class ForgetfulChangeIndex(ChangeIndex):
-    """Remembers one key of each change."""
+    """Records only one key of each change."""
 
     def note(self, base, position, changes):
         super().note(base, position, dict(list(changes.items())[:1]))
 
 
 class SendsDeltaThatLacksKeys(Member):
-    """A difference that lacks keys: the receiver's state is of two positions."""
+    """Sends a difference that lacks keys, so that the receiver mixes the states of two positions."""
 
     def __init__(self, *args, **options):
         super().__init__(*args, **options)
@@ -62,6 +64,8 @@
 
 
 class SendsNewestStateUnderOlderPosition(Member):
+    """Sends the newest state, which has uncommitted changes, under the committed position."""
+
     class Primary(primary.Primary):
         def send_catch_up(self, now, follower):
             replica = self.member.replica
@@ -75,6 +79,8 @@
 
 
 class TakesADifferenceFromAnyPosition(Member):
+    """Applies a difference without checking that its base is the position it has."""
+
     def __init__(self, *args, **options):
         super().__init__(*args, **options)
         replica = self.replica
@@ -86,7 +92,7 @@
 
 
 class StartsFromTheOlderSlot(Machine):
-    """After a loss of power the recovery takes the slot of before."""
+    """A disk that after a power loss recovers an older slot."""
 
     def __init__(self, *args):
         super().__init__(*args)
@@ -105,7 +111,7 @@
             self.durable = dict(self.older)
 
 
-PLANTED = [  # the fault, the seeds within which it is found
+PLANTED = [  # (injected fault, seeds within which it is found)
     ({"member_class": HoldsBeforeTheTransferIsSynced}, range(20)),
     ({"member_class": SendsDeltaThatLacksKeys}, range(2)),
     ({"member_class": SendsNewestStateUnderOlderPosition}, range(2)),
--- a/tests/replication/test_calm_epoch.py
+++ b/tests/replication/test_calm_epoch.py
@@ -1,4 +1,4 @@
-"""In calm: an epoch goes on, and whoever was started anew is told what is committed."""
+"""Without faults an epoch lasts, and a process that restarts receives the committed state."""
 
 from random import Random
 
@@ -9,7 +9,7 @@
 
 
 class Core:
-    """Three members on a sound network and sound disks."""
+    """Three members on a network and disks without faults."""
 
     def __init__(self):
         self.now, self.wire, self.committed, self.epochs = 0.0, [], {}, set()
--- a/tests/replication/test_invariants.py
+++ b/tests/replication/test_invariants.py
@@ -1,4 +1,4 @@
-"""`check_invariants` of a member and its parts: silent in a sound core, loud for each contradiction."""
+"""`check_invariants` of a member and its parts: passes in a correct core, raises for each contradiction."""
 
 import msgspec
 import pytest
--- a/tests/replication/test_majority_contact.py
+++ b/tests/replication/test_majority_contact.py
@@ -1,4 +1,4 @@
-"""When a primary counts as confirmed by a majority."""
+"""When a primary counts as confirmed by a majority of the members."""
 
 from shedgrade.replication.majority_contact import NEVER, ROUNDS_KEPT, MajorityContact
 
@@ -9,10 +9,10 @@
         contact.round_sent(at, number)
     contact.round_acknowledged(7, 3)
     assert contact.confirm(12.5, (7, 8, 9, 6), 2) == 10.0
-    contact.round_acknowledged(8, 2)  # a round between the heartbeats, sent after the first
+    contact.round_acknowledged(8, 2)  # a round between heartbeats, sent after round 1
     assert contact.confirm(12.6, (7, 8, 9, 6), 2) == 11.0
     contact.round_acknowledged(8, 1)
-    contact.round_acknowledged(5, 3)  # none of the members
+    contact.round_acknowledged(5, 3)  # not a member
     assert contact.confirm(12.7, (7, 8, 9, 6), 2) == 11.0
 
 
--- a/tests/replication/test_member.py
+++ b/tests/replication/test_member.py
@@ -1,4 +1,4 @@
-"""What a member says, and when: each promise after its sync, and nothing that it may have forgotten."""
+"""What a member sends and when: a promise only after its sync, and nothing that a restart could lose."""
 
 import msgspec
 import pytest
@@ -177,8 +177,9 @@
     old = net.primary()
     net.drop = lambda sender, to, message: old in (sender, to)
     until = net.now + 0.5
-    while net.now < until:  # its clock stands still, the others go on
+    while net.now < until:
         net.run(0.01)
+    # the clock of the old primary stands still while the others go on
     stopped = net.members.pop(old)
     net.run(2.0)
     new = net.primary()
@@ -233,7 +234,7 @@
 
 
 def test_a_follower_dates_a_heartbeat_from_before_its_sender_had_the_last_acknowledgement():
-    """However long it was under way: heartbeats held up for two seconds make nobody fresh."""
+    """A heartbeat may be under way for any time: one delayed by two seconds makes no state up to date."""
     net = founded()
     net.run(0.5)
     held_up = []
@@ -267,7 +268,7 @@
 
 
 def newer_epoch(net, address):
-    """An active epoch after the one that this member leads, of another primary."""
+    """Returns an active epoch after the one that this member leads, with another primary."""
     replica = net.members[address].replica
     other = next(who for who in replica.epoch_config.holders if who != replica.incarnation)
     return msgspec.structs.replace(replica.epoch_config, number=5, primary=other)
@@ -351,7 +352,7 @@
         net.stop(address)
     net.start("c:1")
     net.run(3.0)
-    assert net.members["c:1"].role != "primary"  # alone it is no majority
+    assert net.members["c:1"].role != "primary"  # a single member is not a majority
     net.start("a:1")
     net.start("b:1")
     net.run(3.0)
@@ -422,7 +423,7 @@
 
 @pytest.mark.parametrize(("age_s", "healthy"), [(0.1, True), (1.0, False)])
 def test_a_write_behind_a_gap_is_acknowledged_up_to_the_gap(age_s, healthy):
-    """With the health of a disk that has been at work on the write before for so long."""
+    """The ack carries the health of a disk that has been writing the previous change for `age_s`."""
     net = founded()
     primary, backup = net.primary(), net.backup()
     net.held_back.add(backup)
--- a/tests/replication/test_member_parts.py
+++ b/tests/replication/test_member_parts.py
@@ -1,4 +1,4 @@
-"""Parts of a member that need no net: contact with the primary, election turns, addresses, messages out."""
+"""Parts of a member that need no network: primary monitor, election timer, peer directory and transport."""
 
 from random import Random
 
@@ -19,7 +19,7 @@
 
 
 class Replica:
-    """What the timer reads of a member's state."""
+    """The attributes of a replica that the election timer reads."""
 
     def __init__(self, incarnation, config, founders=None):
         self.incarnation, self.epoch_config, self.founders = incarnation, config, founders
--- a/tests/replication/test_messages.py
+++ b/tests/replication/test_messages.py
@@ -1,4 +1,4 @@
-"""Each message survives its way over the wire."""
+"""Each message decodes to what was encoded; quorums of epochs that are not active, and founders as voters."""
 
 import msgspec
 
--- a/tests/replication/test_quorum_rules.py
+++ b/tests/replication/test_quorum_rules.py
@@ -1,4 +1,4 @@
-"""The quorum rules one by one: who counts, who may hold the state, which configuration is the newer one."""
+"""The quorum rules one by one: whose promises count, who may be a holder, which configuration is newer."""
 
 import msgspec
 import pytest
@@ -28,7 +28,7 @@
 
 
 def as_voter(peer):
-    """A peer that gives its vote."""
+    """Returns the peer as a voter."""
     return Voter(peer.incarnation, peer.address, False)
 
 
--- a/tests/replication/test_quorums.py
+++ b/tests/replication/test_quorums.py
@@ -1,4 +1,4 @@
-"""The quorum rules: what they allow keeps every acknowledged change, shown by enumeration."""
+"""The quorum rules lose no acknowledged change, as the enumeration of all outcomes shows."""
 
 from itertools import combinations
 
@@ -20,11 +20,13 @@
 
 
 def quorums_missing_holders(model, members, non_members, depth):
-    """Pairs of an election's quorum and the holders of an epoch that may act unknown to it, which don't meet.
+    """Returns pairs of an election quorum and of the holders of an epoch unknown to it that don't intersect.
 
-    From an epoch known to be active each next one is made, and from that, while it is not known to be active,
-    the one after it. Each quorum by any of these records must meet the holders of each of these epochs. Then
-    the same from each next epoch, once that is known to be active."""
+    From an epoch known to be active the next epochs (children) are formed, and from each of these, while it
+    is not known to be active, further ones (grandchildren). Each quorum of any of these configurations must
+    intersect the holders of each of these epochs. The same is checked from each child, once that is known to
+    be active.
+    """
     everyone = members | non_members
     children = model.outcomes(members, members, True, everyone, everyone & ~members)
     grandchildren = {
@@ -36,7 +38,8 @@
     for new, old in groups:
         voting.update(minimal_quorums(model, new, old, False))
     found = [(quorum, one) for quorum in voting for one in holders if not quorum & one]
-    for new, _, one in children:  # and those who know the next epoch as active meet its holders
+    # quorums of processes that know the child as active intersect its holders too
+    for new, _, one in children:
         found += [(quorum, one) for quorum in minimal_quorums(model, new, new, True) if not quorum & one]
     if depth > 1:
         for new in {new for new, _, _ in children if new != members}:
@@ -63,12 +66,12 @@
     [(1, 0, 0, 0, 1_688), (1, 1, 0, 1, 13_514), (1, 0, 1, 1, 15_235)],
 )
 def test_no_order_of_messages_loses_what_was_acknowledged(tolerated, non_members, wipes, replaced, states):
-    """Two epochs after the first, by candidates of any order."""
+    """Explores two epochs after the first, formed by candidates in any order."""
     assert Model(tolerated, non_members, 3, wipes, replaced).explore() == (states, None)
 
 
 class NewGroupOnly(Rules):
-    """A change of members is agreed by the new group alone."""
+    """Only the new group agrees to a membership change."""
 
     is_quorum = staticmethod(
         lambda config, voters: quorums.count(config.members, voters) >= quorums.majority(config.members)
@@ -76,7 +79,7 @@
 
 
 class NewcomersHold(Rules):
-    """Holders need not be members before."""
+    """Holders need not be members of the previous epoch."""
 
     may_hold = staticmethod(
         lambda groups, voter: any(each.incarnation == voter.incarnation for each in groups.members)
@@ -84,7 +87,7 @@
 
 
 class FewHolders(Rules):
-    """One holder less than a majority."""
+    """Requires one holder fewer than a majority."""
 
     holder_count = staticmethod(
         lambda groups, tolerated: quorums.HolderCount(quorums.majority(groups.members) - 1, tolerated)
@@ -92,7 +95,7 @@
 
 
 class ChangesAgain(Rules):
-    """Members change from an epoch that is not known to be active."""
+    """Changes members from an epoch that is not known to be active."""
 
     next_groups = staticmethod(
         lambda base, change=None: quorums.Groups(
