--- a/shedgrade/replication/candidate.py
+++ b/shedgrade/replication/candidate.py
@@ -492,10 +492,14 @@
         if self.phase not in (Phase.IDLE, Phase.PRE_VOTE):
             assert self.number <= replica.promised_epoch.number, "campaigns without its own promise"
         if self.phase in PREPARED:
-            assert replica.incarnation in self.promises, "asks others for what it has not promised"
+            assert replica.incarnation in self.promises, "requests promises without its own"
         if self.phase in (Phase.FETCH, Phase.INSTALL):
-            assert self.best_promise is not None, "an epoch without a state to go on from"
+            assert self.best_promise is not None, "an epoch without a state to continue from"
             assert self.epoch_config.number == self.number, "installs another epoch than it campaigns for"
-            assert replica.incarnation in self.epoch_config.holders, "a primary that holds no state"
+            assert replica.incarnation in self.epoch_config.holders, (
+                "a candidate that is not a holder of its epoch"
+            )
         if self.phase is Phase.INSTALL:
-            assert self.installed_holders <= set(self.epoch_config.holders), "installed by no holder"
+            assert self.installed_holders <= set(self.epoch_config.holders), (
+                "installed by a process that is not a holder"
+            )
--- a/shedgrade/replication/member.py
+++ b/shedgrade/replication/member.py
@@ -330,9 +330,13 @@
         self.primary_role.check_invariants()
         active = self.primary_role.active
         assert not (active and self.candidate.phase), "primary and candidate at once"
-        assert self.incarnation_durable or not (active or self.candidate.phase), "acts before it may speak"
-        assert self.durable_promise <= self.replica.promised_epoch.number, "a durable promise never made"
-        assert not (self.stopped and active), "primary after its end"
+        assert self.incarnation_durable or not (active or self.candidate.phase), (
+            "active before its incarnation is durable"
+        )
+        assert self.durable_promise <= self.replica.promised_epoch.number, (
+            "a durable promise above the promised epoch"
+        )
+        assert not (self.stopped and active), "primary after its exit"
         assert not active or self.primary == self.address, "a primary that follows another"
 
     # --- shared by the parts
--- a/shedgrade/replication/primary.py
+++ b/shedgrade/replication/primary.py
@@ -395,9 +395,11 @@
         replica = self.member.replica
         assert replica.accepted_epoch == self.epoch, "leads an epoch whose state it doesn't hold"
         assert replica.epoch_config.number == self.epoch, "leads an epoch older than one that it knows"
-        assert self.followers.keys() >= set(self.holders), "a holder that is no follower"
-        assert replica.incarnation not in self.holders, "holds the state twice"
+        assert self.followers.keys() >= set(self.holders), "a holder without a follower record"
+        assert replica.incarnation not in self.holders, "lists itself among the other holders"
         for incarnation in self.holders:
             follower = self.followers[incarnation]
-            assert follower.durable_sequence <= replica.log_position.sequence, "durable before it was sent"
+            assert follower.durable_sequence <= replica.log_position.sequence, (
+                "a durable write beyond the end of the log"
+            )
         self.commands.check_invariants()
