--- a/shedgrade/replication/acceptor.py
+++ b/shedgrade/replication/acceptor.py
@@ -98,7 +98,7 @@
         Of two candidates that ask each other, the one with the lower rank wins.
         """
         member = self.member
-        if member.candidate.is_asking_pre_votes():
+        if member.candidate.is_in_pre_vote():
             own = member.election_timer.rank(member.replica.incarnation, member.address)
             return member.election_timer.rank(candidate, sender) < own
         return now >= self.granted_until or candidate == self.granted_to
--- a/shedgrade/replication/candidate.py
+++ b/shedgrade/replication/candidate.py
@@ -54,7 +54,7 @@
     INSTALL = "install"  # waits for the chosen holders to write the epoch
 
 
-PREPARED = (Phase.PREPARE, Phase.FETCH, Phase.INSTALL)
+PHASES_AFTER_PROMISE = (Phase.PREPARE, Phase.FETCH, Phase.INSTALL)
 
 
 class Voter(NamedTuple):
@@ -135,7 +135,7 @@
         self.number = member.highest_epoch_seen + 1
         # random retry times separate two candidates that refuse each other
         self.deadline = now + 2 * member.timing.resend_interval_s
-        self.ask_pre_vote(now)
+        self.request_pre_votes(now)
 
     def start(
         self, now: float, change: ChangeOfMembers | None = None, avoid: frozenset[int] = NOBODY
@@ -178,11 +178,11 @@
 
     # --- pre-vote
 
-    def is_asking_pre_votes(self) -> bool:
+    def is_in_pre_vote(self) -> bool:
         """Whether the attempt is still in the pre-vote."""
         return self.phase is Phase.PRE_VOTE
 
-    def ask_pre_vote(self, now: float) -> None:
+    def request_pre_votes(self, now: float) -> None:
         """Asks all voters that have not granted the pre-vote."""
         replica = self.member.replica
         self.resend_at = now + self.member.timing.resend_interval_s
@@ -228,10 +228,10 @@
         # a candidate that receives no messages leaves the election to others
         self.deadline = now + self.member.timing.majority_timeout_s
         self.promises[replica.incarnation] = self.member.own_promise(number)
-        self.ask_promises(now)
+        self.request_promises(now)
         self.choose_epoch(now)
 
-    def ask_promises(self, now: float) -> None:
+    def request_promises(self, now: float) -> None:
         """Asks all voters that have not promised."""
         self.resend_at = now + self.member.timing.resend_interval_s
         self.member.broadcast(self.own_prepare(), self.promises)
@@ -243,7 +243,7 @@
 
     def on_promise(self, now: float, sender: str, promise: Promise) -> None:
         """Counts a promise of a member to accept nothing of a lower epoch."""
-        if self.phase not in PREPARED or promise.number != self.number:
+        if self.phase not in PHASES_AFTER_PROMISE or promise.number != self.number:
             return
         self.promises[promise.incarnation] = promise
         if self.phase is Phase.PREPARE:
@@ -251,7 +251,7 @@
 
     def on_refusal(self, now: float, refusal: Refusal) -> None:
         """Steps down if the refusal names a higher number, or if too few members are left for a quorum."""
-        if self.phase not in PREPARED or refusal.number != self.number:
+        if self.phase not in PHASES_AFTER_PROMISE or refusal.number != self.number:
             return
         self.refusals.add(refusal.incarnation)
         members = self.member.replica.epoch_config.members
@@ -290,7 +290,7 @@
         if holders is not None:
             self.epoch_config = EpochConfig(self.number, replica.incarnation, holders, *groups, False)
             self.best_promise = best
-            self.go_on_from(now, best)
+            self.install_or_fetch(now, best)
 
     def choose_holders(
         self, now: float, groups: Groups, eligible: list[Promise], best: Promise, voter_count: int
@@ -318,7 +318,7 @@
         )
         return tuple(each.incarnation for each in eligible[: needed.wanted])
 
-    def go_on_from(self, now: float, best: Promise) -> None:
+    def install_or_fetch(self, now: float, best: Promise) -> None:
         """Installs the epoch with the state of the promise `best`, after fetching it if it isn't here."""
         replica = self.member.replica
         if (best.accepted_epoch, best.log_position) == (replica.accepted_epoch, replica.log_position):
@@ -432,7 +432,7 @@
             self.keep_alive(now)
             self.replace_late_holders(now)
         elif now >= self.resend_at:
-            self.ask_again(now)
+            self.resend_requests(now)
 
     def give_up(self, now: float) -> None:
         """Abandons an attempt that took too long."""
@@ -441,14 +441,14 @@
         else:
             self.member.step_down(now)
 
-    def ask_again(self, now: float) -> None:
+    def resend_requests(self, now: float) -> None:
         """Resends the unanswered requests of the phases before `INSTALL`."""
         if self.phase is Phase.PRE_VOTE:
-            self.ask_pre_vote(now)
+            self.request_pre_votes(now)
         elif self.phase is Phase.PREPARE:
             self.choose_epoch(now)
             if self.phase is Phase.PREPARE:
-                self.ask_promises(now)
+                self.request_promises(now)
         elif self.phase is Phase.FETCH and self.best_promise is not None:
             self.fetch(now, self.best_promise)
             self.keep_alive(now)
@@ -491,7 +491,7 @@
         replica = self.member.replica
         if self.phase not in (Phase.IDLE, Phase.PRE_VOTE):
             assert self.number <= replica.promised_epoch.number, "campaigns without its own promise"
-        if self.phase in PREPARED:
+        if self.phase in PHASES_AFTER_PROMISE:
             assert replica.incarnation in self.promises, "requests promises without its own"
         if self.phase in (Phase.FETCH, Phase.INSTALL):
             assert self.best_promise is not None, "an epoch without a state to continue from"
