--- a/shedgrade/replication/acceptor.py
+++ b/shedgrade/replication/acceptor.py
@@ -36,8 +36,8 @@
 
     `granted_to`: incarnation of the candidate whose pre-vote was granted last, 0 if none was.
     `granted_until`: before that time no other candidate is granted a pre-vote.
-    `first_granted`: by candidate, when it was first granted a pre-vote since a primary was heard or since its
-    last Prepare. Empty while a primary is heard.
+    `first_granted_at`: by candidate, when it was first granted a pre-vote since a primary was heard or since
+    its last Prepare. Empty while a primary is heard.
     `acknowledgement_times`: when the rounds of the current primary were acknowledged.
     """
 
@@ -46,7 +46,7 @@
         self.member = member
         self.granted_to = 0
         self.granted_until = NEVER
-        self.first_granted: dict[int, float] = {}
+        self.first_granted_at: dict[int, float] = {}
         self.acknowledgement_times = AcknowledgementTimes()
 
     # --- pre-votes
@@ -88,11 +88,11 @@
                 now >= member.election_timer.defer_to_candidate_until
                 or candidate == replica.promised_epoch.candidate
             )
-            and self.prefers(now, candidate, sender)
+            and self.is_preferred(now, candidate, sender)
             and not self.is_fruitless(now, candidate)
         )
 
-    def prefers(self, now: float, candidate: int, sender: str) -> bool:
+    def is_preferred(self, now: float, candidate: int, sender: str) -> bool:
         """Grants one candidate at a time, since two would split the promises.
 
         Of two candidates that ask each other, the one with the lower rank wins.
@@ -110,9 +110,9 @@
         election by any other member. It is refused for `fruitless_candidate_ban_s`.
         """
         timing = self.member.timing
-        first = self.first_granted.setdefault(candidate, now)
+        first = self.first_granted_at.setdefault(candidate, now)
         if now - first >= timing.fruitless_candidate_timeout_s + timing.fruitless_candidate_ban_s:
-            self.first_granted[candidate] = first = now
+            self.first_granted_at[candidate] = first = now
         return now - first >= timing.fruitless_candidate_timeout_s
 
     # --- candidates
@@ -125,7 +125,7 @@
         if not member.is_voter():
             return  # the promise of a process that lost its state or was never a member must not count
         number, candidate = prepare.number, prepare.incarnation
-        self.first_granted.pop(candidate, None)
+        self.first_granted_at.pop(candidate, None)
         member.highest_epoch_seen = max(member.highest_epoch_seen, number)
         if replica.promised_epoch == (number, candidate):
             if prepare.epoch_config.number == number:
--- a/shedgrade/replication/candidate.py
+++ b/shedgrade/replication/candidate.py
@@ -40,7 +40,7 @@
 
 FETCH_EXTRA_S = 8.0  # added to the election time-out, for the transfer of a large state
 NO_EPOCH = EpochConfig(0, 0, (), (), (), True)
-NOBODY: frozenset[int] = frozenset()
+NO_INCARNATIONS: frozenset[int] = frozenset()
 
 
 class Phase(StrEnum):
@@ -105,7 +105,7 @@
         self.phase = Phase.IDLE
         self.number = 0
         self.change: ChangeOfMembers | None = None
-        self.avoid = NOBODY
+        self.avoid = NO_INCARNATIONS
         self.grants: dict[int, PreVoteReply] = {}
         self.promises: dict[int, Promise] = {}
         self.refusals: set[int] = set()
@@ -138,7 +138,7 @@
         self.request_pre_votes(now)
 
     def start(
-        self, now: float, change: ChangeOfMembers | None = None, avoid: frozenset[int] = NOBODY
+        self, now: float, change: ChangeOfMembers | None = None, avoid: frozenset[int] = NO_INCARNATIONS
     ) -> None:
         """Raises the epoch number and writes its own promise.
 
@@ -163,7 +163,7 @@
         self.deadline = now + self.member.timing.election_timeout_s
         self.resend_at = now
         self.change = None
-        self.avoid = NOBODY
+        self.avoid = NO_INCARNATIONS
         self.grants = {}
         self.promises = {}
         self.refusals = set()
--- a/shedgrade/replication/member.py
+++ b/shedgrade/replication/member.py
@@ -26,9 +26,9 @@
 from shedgrade.replication.transport import Transport
 
 NEVER = float("-inf")
-LEAST_BETWEEN_TICKS_S = 0.05
+MIN_TICK_INTERVAL_S = 0.05
 NON_VOTER_TICK_S = 1.0  # between ticks of a process without a vote
-NOBODY: frozenset[int] = frozenset()
+NO_INCARNATIONS: frozenset[int] = frozenset()
 
 
 class Role(StrEnum):
@@ -249,23 +249,23 @@
             self.transport.chunking.wake_at(),
         )
         # relative to the last tick, since each message moves `now`
-        soon = self.ticked_at + LEAST_BETWEEN_TICKS_S
+        earliest = self.ticked_at + MIN_TICK_INTERVAL_S
         if not self.primary_role.active and not self.candidate.phase:
-            wake = min(wake, self.follower_wake_at(soon))
+            wake = min(wake, self.follower_wake_at(earliest))
         if self.pending_requests.entries:
             wake = min(wake, self.pending_requests.entries[0].until)
         wake = min(wake, self.primary_role.commands.queue_wake_at())
         if self.is_leaving:
-            wake = min(wake, soon)
+            wake = min(wake, earliest)
         return wake
 
-    def follower_wake_at(self, soon: float) -> float:
-        """Returns when `tick_as_follower` is due, not before `soon`."""
+    def follower_wake_at(self, earliest: float) -> float:
+        """Returns when `tick_as_follower` is due, not before `earliest`."""
         election_at = self.now + NON_VOTER_TICK_S
         if self.is_voter():
-            election_at = max(self.election_timer.election_at, soon)
+            election_at = max(self.election_timer.election_at, earliest)
         timeout_at = self.primary_monitor.primary_heard_at + self.timing.primary_timeout_s
-        return min(election_at, max(self.reconfiguration.join_request_at, timeout_at, soon))
+        return min(election_at, max(self.reconfiguration.join_request_at, timeout_at, earliest))
 
     # --- status
 
@@ -422,7 +422,7 @@
         if self.primary_role.active or self.candidate.phase:
             self.step_down(now)
         self.primary_monitor.note_heard(now, sender)
-        self.acceptor.first_granted.clear()
+        self.acceptor.first_granted_at.clear()
         self.election_timer.note_heard(now)
         self.election_timer.schedule(now, self.is_leaving)
 
@@ -440,7 +440,7 @@
             self.candidate.start(now)
 
     def reconfigure(
-        self, now: float, change: ChangeOfMembers | None = None, avoid: frozenset[int] = NOBODY
+        self, now: float, change: ChangeOfMembers | None = None, avoid: frozenset[int] = NO_INCARNATIONS
     ) -> None:
         """As primary, forms a new epoch with other holders or members.
 
--- a/shedgrade/replication/primary.py
+++ b/shedgrade/replication/primary.py
@@ -26,8 +26,8 @@
 MAX_CATCH_UP_BACKOFF = 4  # maximum number of times that the wait for an ack of committed state doubles
 # A non-member is forgotten after this many join request intervals of silence: at the beginning of an epoch,
 # and during it.
-FORGOTTEN_AT_BEGIN, FORGOTTEN = 5, 8
-NOBODY: frozenset[int] = frozenset()
+FORGET_INTERVALS_AT_EPOCH_START, FORGET_INTERVALS = 5, 8
+NO_INCARNATIONS: frozenset[int] = frozenset()
 
 
 class Primary:
@@ -77,7 +77,7 @@
 
     # --- begin and end
 
-    def begin(self, now: float, config: EpochConfig, leaving: frozenset[int] = NOBODY) -> None:
+    def begin(self, now: float, config: EpochConfig, leaving: frozenset[int] = NO_INCARNATIONS) -> None:
         """Becomes the primary once all holders have synced the epoch: the state that they hold is committed.
 
         `leaving`: members that asked to leave before the epoch.
@@ -91,7 +91,7 @@
             self.incomplete_since = now
         self.has_enough_holders = len(config.holders) > member.tolerated
         self.has_all_members = len(config.members) > 2 * member.tolerated
-        self.followers = self.followers_of(now, config)
+        self.followers = self.followers_for_epoch(now, config)
         for incarnation, follower in self.followers.items():
             follower.begin_epoch(now, incarnation in leaving)
             if incarnation in self.holders:
@@ -114,15 +114,15 @@
             return
         self.commands.advance_queue(now)
 
-    def followers_of(self, now: float, config: EpochConfig) -> dict[int, Follower]:
+    def followers_for_epoch(self, now: float, config: EpochConfig) -> dict[int, Follower]:
         """Returns the members and the followers known before, without non-members silent for too long."""
         member = self.member
         members = {peer.incarnation: peer for peer in config.members}
-        forgotten_s = FORGOTTEN_AT_BEGIN * member.timing.join_request_interval_s
+        forget_after_s = FORGET_INTERVALS_AT_EPOCH_START * member.timing.join_request_interval_s
         followers = {
             incarnation: follower
             for incarnation, follower in self.followers.items()
-            if incarnation in members or now - follower.last_heard_at < forgotten_s
+            if incarnation in members or now - follower.last_heard_at < forget_after_s
         }
         for incarnation, peer in members.items():
             if incarnation != member.replica.incarnation and incarnation not in followers:
@@ -190,7 +190,7 @@
         for incarnation, follower in list(self.followers.items()):
             silence_s = now - follower.last_heard_at
             is_member = self.member.replica.has_member(incarnation)
-            if silence_s > FORGOTTEN * timing.join_request_interval_s and not is_member:
+            if silence_s > FORGET_INTERVALS * timing.join_request_interval_s and not is_member:
                 del self.followers[incarnation]
             elif not self.has_lost_disk(follower):
                 self.send_heartbeat_to(now, follower, self.read_index_round)
@@ -271,7 +271,7 @@
         if follower is None:
             follower = self.followers[ack.incarnation] = Follower(ack.incarnation, ack.name, sender, now)
         self.on_follower_heard(now, follower)
-        self.update_location(now, follower, sender, ack.committed)
+        self.update_address_and_position(now, follower, sender, ack.committed)
         follower.last_message_at = now
         follower.known_epoch = max(follower.known_epoch, ack.known_epoch)
         follower.durable_position = ack.durable_position
@@ -311,22 +311,24 @@
         if follower is None:
             follower = Follower(incarnation, request.name, request.address, now)
             self.followers[incarnation] = follower
-        self.update_location(now, follower, request.address, request.committed)
+        self.update_address_and_position(now, follower, request.address, request.committed)
         follower.last_message_at = now
         if incarnation not in self.holders:
             self.on_follower_heard(now, follower)
         config = self.member.replica.epoch_config
         self.send_heartbeat(now, follower, request.address, self.read_index_round, config)
 
-    def update_location(self, now: float, follower: Follower, address: str, committed: LogPosition) -> None:
+    def update_address_and_position(
+        self, now: float, follower: Follower, address: str, committed: LogPosition
+    ) -> None:
         """Updates the address of a follower and the committed position that it has.
 
         If it restarted or lost its disk it has nothing: transfers under way to it then begin at a position
         that it no longer has, and are cancelled.
         """
-        before = self.current_incarnations.get(address, follower.incarnation)
-        has_forgotten = committed == (0, 0) < follower.committed
-        if has_forgotten or before != follower.incarnation:
+        previous = self.current_incarnations.get(address, follower.incarnation)
+        has_lost_state = committed == (0, 0) < follower.committed
+        if has_lost_state or previous != follower.incarnation:
             self.member.transport.chunking.cancel_state(now, address)
             follower.catch_up_due_at = now
         follower.address = address
