--- a/shedgrade/replication/majority_contact.py
+++ b/shedgrade/replication/majority_contact.py
@@ -18,25 +18,25 @@
     Times are seconds of the primary's own steady clock; members are identified by incarnation.
 
     `confirmed_at`: the latest time as of which a majority confirmed the primary. Never decreases.
-    `sent`: (number, time) of the newest heartbeat rounds, oldest first.
-    `acknowledged`: by member, send time of the newest round that it acknowledged.
+    `sent_rounds`: (number, time) of the newest heartbeat rounds, oldest first.
+    `acknowledged_sent_at`: by member, send time of the newest round that it acknowledged.
     """
 
-    def __init__(self, began: float = NEVER) -> None:
-        """`began`: the time as of which the epoch itself was confirmed."""
-        self.confirmed_at = began
-        self.sent: deque[tuple[int, float]] = deque(maxlen=ROUNDS_KEPT)
-        self.acknowledged: dict[int, float] = {}
+    def __init__(self, epoch_confirmed_at: float = NEVER) -> None:
+        """`epoch_confirmed_at`: the time as of which the epoch itself was confirmed."""
+        self.confirmed_at = epoch_confirmed_at
+        self.sent_rounds: deque[tuple[int, float]] = deque(maxlen=ROUNDS_KEPT)
+        self.acknowledged_sent_at: dict[int, float] = {}
 
-    def round_sent(self, now: float, number: int) -> None:
+    def record_round_sent(self, now: float, number: int) -> None:
         """Records the send time of a heartbeat round. Numbers increase."""
-        self.sent.append((number, now))
+        self.sent_rounds.append((number, now))
 
-    def round_acknowledged(self, member: int, number: int) -> None:
+    def record_acknowledgement(self, member: int, number: int) -> None:
         """Records an acknowledgement. `number`: the newest round received, also one between heartbeats."""
-        for sent, at in reversed(self.sent):
+        for sent, at in reversed(self.sent_rounds):
             if sent <= number:
-                self.acknowledged[member] = max(at, self.acknowledged.get(member, NEVER))
+                self.acknowledged_sent_at[member] = max(at, self.acknowledged_sent_at.get(member, NEVER))
                 return
 
     def confirm(self, now: float, others: Iterable[int], needed: int) -> float:
@@ -45,7 +45,7 @@
         `others`: the members other than the primary.
         `needed`: how many of them form a majority together with the primary.
         """
-        times = sorted((self.acknowledged.get(member, NEVER) for member in others), reverse=True)
+        times = sorted((self.acknowledged_sent_at.get(member, NEVER) for member in others), reverse=True)
         newest = now if needed == 0 else times[needed - 1] if needed <= len(times) else NEVER
         self.confirmed_at = max(self.confirmed_at, newest)
         return self.confirmed_at
--- a/shedgrade/replication/primary.py
+++ b/shedgrade/replication/primary.py
@@ -185,7 +185,7 @@
         timing = self.member.timing
         self.heartbeat_due_at = now + timing.heartbeat_interval_s
         self.read_index_round += 1
-        self.majority_contact.round_sent(now, self.read_index_round)
+        self.majority_contact.record_round_sent(now, self.read_index_round)
         self.confirm(now)
         for incarnation, follower in list(self.followers.items()):
             silence_s = now - follower.last_heard_at
@@ -284,7 +284,7 @@
     def on_ack_of_epoch(self, now: float, follower: Follower, ack: Ack) -> None:
         """Counts rounds and writes acknowledged in the current epoch."""
         if ack.promised_epoch <= self.epoch:
-            self.majority_contact.round_acknowledged(ack.incarnation, ack.read_index_round)
+            self.majority_contact.record_acknowledgement(ack.incarnation, ack.read_index_round)
             self.confirm(now)
         if ack.read_index_round > follower.acknowledged_round:
             is_first = not follower.acknowledged_round
