--- a/shedgrade/replication/election_timer.py
+++ b/shedgrade/replication/election_timer.py
@@ -9,8 +9,8 @@
 
 NEVER = float("-inf")
 FOUNDING_STAGGER_S = 0.4  # between the turns of two successive founders
-JITTERS_PER_TURN = 5  # the random delay is at most 1/5 of a turn
-PRE_VOTE_RETRY_JITTER = 0.2  # minimum delay between two pre-votes, as a fraction of `primary_timeout_s`
+TURN_JITTER_DIVISOR = 5  # the random delay is at most 1/5 of a turn
+MIN_PRE_VOTE_RETRY_JITTER = 0.2  # minimum delay between two pre-votes, as a fraction of `primary_timeout_s`
 
 
 class ElectionTimer:
@@ -37,7 +37,7 @@
     def schedule(self, now: float, is_leaving: bool) -> None:
         """Sets `election_at` to this member's turn after the time-out. A leaving member comes last."""
         replica = self.replica
-        turn = self.rank(replica.incarnation, self.address)[0] + self.random.random() / JITTERS_PER_TURN
+        turn = self.rank(replica.incarnation, self.address)[0] + self.random.random() / TURN_JITTER_DIVISOR
         if is_leaving:
             turn += len(replica.epoch_config.members)  # campaigns only if no other member does
         if not replica.epoch_config.number:
@@ -48,7 +48,7 @@
 
     def schedule_pre_vote_retry(self, now: float) -> None:
         """Sets `election_at` for the next pre-vote in case the one that begins now fails, with jitter."""
-        jitter = PRE_VOTE_RETRY_JITTER + self.random.random()
+        jitter = MIN_PRE_VOTE_RETRY_JITTER + self.random.random()
         self.election_at = now + 2 * self.timing.resend_interval_s + jitter * self.timing.primary_timeout_s
 
     def schedule_after_step_down(self, now: float) -> None:
--- a/tests/replication/test_member_parts.py
+++ b/tests/replication/test_member_parts.py
@@ -6,7 +6,7 @@
 
 from shedgrade.replication import quorums
 from shedgrade.replication.effects import Send
-from shedgrade.replication.election_timer import JITTERS_PER_TURN, ElectionTimer
+from shedgrade.replication.election_timer import TURN_JITTER_DIVISOR, ElectionTimer
 from shedgrade.replication.messages import EpochConfig, HandOver, Peer
 from shedgrade.replication.peer_directory import PeerDirectory
 from shedgrade.replication.primary_monitor import PrimaryMonitor
@@ -81,7 +81,7 @@
     elections.schedule(10.0, False)
 
     earliest = 10.0 + TIMING.primary_timeout_s + turn * TIMING.election_stagger_s
-    assert earliest <= elections.election_at <= earliest + TIMING.election_stagger_s / JITTERS_PER_TURN
+    assert earliest <= elections.election_at <= earliest + TIMING.election_stagger_s / TURN_JITTER_DIVISOR
 
 
 def test_a_member_that_leaves_comes_after_all_others():
