--- a/shedgrade/replication/candidate.py
+++ b/shedgrade/replication/candidate.py
@@ -23,8 +23,8 @@
     size,
 )
 from shedgrade.replication.quorums import (
-    ChangeOfMembers,
     Groups,
+    MembershipChangeProtocol,
     activated,
     holder_count,
     is_quorum,
@@ -104,7 +104,7 @@
         self.member = member
         self.phase = Phase.IDLE
         self.number = 0
-        self.change: ChangeOfMembers | None = None
+        self.change: MembershipChangeProtocol | None = None
         self.avoid = NO_INCARNATIONS
         self.grants: dict[int, PreVoteReply] = {}
         self.promises: dict[int, Promise] = {}
@@ -138,7 +138,10 @@
         self.request_pre_votes(now)
 
     def start(
-        self, now: float, change: ChangeOfMembers | None = None, avoid: frozenset[int] = NO_INCARNATIONS
+        self,
+        now: float,
+        change: MembershipChangeProtocol | None = None,
+        avoid: frozenset[int] = NO_INCARNATIONS,
     ) -> None:
         """Raises the epoch number and writes its own promise.
 
@@ -304,9 +307,9 @@
         avoid = self.avoid | self.leaving_voters()
         preferred = sum(each.incarnation not in avoid for each in eligible)
         waited = now - self.prepared_at >= member.timing.resend_interval_s
-        if preferred < needed.wanted and not waited and len(self.promises) < voter_count:
+        if preferred < needed.target and not waited and len(self.promises) < voter_count:
             return None
-        if len(eligible) < needed.least:
+        if len(eligible) < needed.minimum:
             return None
         eligible = sorted(
             eligible,
@@ -316,7 +319,7 @@
                 each.log_position != best.log_position,
             ),
         )
-        return tuple(each.incarnation for each in eligible[: needed.wanted])
+        return tuple(each.incarnation for each in eligible[: needed.target])
 
     def install_or_fetch(self, now: float, best: Promise) -> None:
         """Installs the epoch with the state of the promise `best`, after fetching it if it isn't here."""
--- a/shedgrade/replication/member.py
+++ b/shedgrade/replication/member.py
@@ -19,7 +19,7 @@
 from shedgrade.replication.pending_requests import PendingRequests
 from shedgrade.replication.primary import Primary
 from shedgrade.replication.primary_monitor import PrimaryMonitor
-from shedgrade.replication.quorums import ChangeOfMembers, electorate, matches
+from shedgrade.replication.quorums import MembershipChangeProtocol, electorate, matches
 from shedgrade.replication.reconfiguration import Reconfiguration
 from shedgrade.replication.replica_state import CommittedState, ReplicaState
 from shedgrade.replication.timing import Timing
@@ -440,7 +440,10 @@
             self.candidate.start(now)
 
     def reconfigure(
-        self, now: float, change: ChangeOfMembers | None = None, avoid: frozenset[int] = NO_INCARNATIONS
+        self,
+        now: float,
+        change: MembershipChangeProtocol | None = None,
+        avoid: frozenset[int] = NO_INCARNATIONS,
     ) -> None:
         """As primary, forms a new epoch with other holders or members.
 
--- a/shedgrade/replication/quorums.py
+++ b/shedgrade/replication/quorums.py
@@ -16,7 +16,7 @@
 from shedgrade.replication.messages import EpochConfig, Peer
 
 
-class ChangeOfMembers(Protocol):
+class MembershipChangeProtocol(Protocol):
     """Returns the new members for the members of an epoch."""
 
     @property
@@ -53,8 +53,8 @@
 class HolderCount(NamedTuple):
     """The minimum number of holders of an epoch, and the number to aim for."""
 
-    least: int
-    wanted: int
+    minimum: int
+    target: int
 
 
 def majority(peers: tuple[Peer, ...]) -> int:
@@ -118,8 +118,8 @@
 
 def holder_count(groups: Groups, tolerated: int) -> HolderCount:
     """Returns the holder counts. `tolerated`: t, the number of simultaneous losses the state must survive."""
-    least = max(majority(groups.members), majority(groups.before))
-    return HolderCount(least, max(least, tolerated + 1))
+    minimum = max(majority(groups.members), majority(groups.before))
+    return HolderCount(minimum, max(minimum, tolerated + 1))
 
 
 def activated(config: EpochConfig) -> EpochConfig:
--- a/tests/replication/quorum_model.py
+++ b/tests/replication/quorum_model.py
@@ -147,10 +147,10 @@
                 each for each in bits(promised) if self.rules.may_hold(groups, Voter(each + 1, f"{each}:1"))
             ]
             needed = self.rules.holder_count(groups, self.tolerated)
-            if len(able) >= needed.least:
+            if len(able) >= needed.minimum:
                 new, old = (mask(each.incarnation - 1 for each in group) for group in groups)
                 found.update(
-                    (new, old, mask(holders)) for holders in combinations(able, min(len(able), needed.wanted))
+                    (new, old, mask(holders)) for holders in combinations(able, min(len(able), needed.target))
                 )
         return sorted(found)
 
