--- a/tests/replication/test_absence.py
+++ b/tests/replication/test_absence.py
@@ -121,5 +121,5 @@
 
 
 @pytest.mark.parametrize(("planted", "seeds"), PLANTED)
-def test_a_planted_fault_is_found(planted, seeds):
+def test_an_injected_fault_is_found(planted, seeds):
     assert any(ReplicaOutageRun(seed, 1, length=25.0, **planted).play() for seed in seeds)
--- a/tests/replication/test_calm_epoch.py
+++ b/tests/replication/test_calm_epoch.py
@@ -65,7 +65,7 @@
         return next(address for address, member in self.members.items() if member.role == role)
 
 
-def test_an_epoch_without_orders_lasts():
+def test_an_epoch_without_commands_lasts():
     core = Core()
     core.run(3.0)
     core.epochs.clear()
@@ -74,7 +74,7 @@
     assert sorted(member.role for member in core.members.values()) == ["backup", "primary", "witness"]
 
 
-def test_a_process_started_anew_is_sent_what_is_committed():
+def test_a_restarted_process_is_sent_the_committed_state():
     for role in ("witness", "backup"):
         core = Core()
         core.run(3.0)
--- a/tests/replication/test_invariants.py
+++ b/tests/replication/test_invariants.py
@@ -10,7 +10,7 @@
 from shedgrade.replication.replica_state import LogEntry, PromisedEpoch
 
 
-def test_a_sound_core_keeps_them_through_an_order_and_an_election():
+def test_a_correct_core_keeps_them_through_a_command_and_an_election():
     net = founded()
 
     net.call(net.primary(), "submit", 1, ("k", b"v"))
--- a/tests/replication/test_member.py
+++ b/tests/replication/test_member.py
@@ -17,7 +17,7 @@
     assert {member.epoch for member in net.members.values()} == {1}
 
 
-def test_an_order_is_on_two_disks_before_it_is_answered_and_on_no_witness():
+def test_a_command_is_on_two_disks_before_it_is_answered_and_on_no_witness():
     net = founded()
     net.call(net.primary(), "submit", 1, ("k", b"v"))
     net.run(0.3)
@@ -27,7 +27,7 @@
     assert all(member.committed.state == {"k": b"v"} for member in net.members.values())
 
 
-def test_no_answer_before_the_backups_disk_and_the_own_disk_have_it():
+def test_no_answer_before_the_disks_of_the_backup_and_the_primary_have_the_change():
     for slow in ("backup", "primary"):
         net = founded()
         address = getattr(net, slow)()
@@ -65,7 +65,7 @@
     assert not sent(net, messages.Promise)
 
 
-def test_a_holder_says_that_it_installed_an_epoch_after_its_sync():
+def test_a_holder_reports_an_epoch_as_installed_after_its_sync():
     net = founded()
     holder = net.witness()
     replica = net.members[holder].replica
@@ -83,7 +83,7 @@
     assert [message.number for message in sent(net, messages.Installed)] == [5]
 
 
-def test_a_backup_that_promised_more_refuses_the_primary_of_before():
+def test_a_backup_that_promised_a_higher_epoch_refuses_the_old_primary():
     net = founded()
     backup, primary, other = net.backup(), net.primary(), net.witness()
     config = net.members[other].replica.epoch_config
@@ -143,7 +143,7 @@
     assert sent(net, messages.JoinRequest)
 
 
-def test_a_refused_write_is_tried_again_whole_and_nothing_is_sent_before():
+def test_a_failed_disk_write_is_retried_as_a_whole_and_nothing_is_sent_before():
     net = founded()
     backup = net.backup()
     net.held_back.add(backup)
@@ -218,7 +218,7 @@
     assert net.answers == {1: "refused"}
 
 
-def test_all_that_a_backup_did_not_receive_is_sent_again():
+def test_changes_that_a_backup_did_not_receive_are_sent_again():
     net = founded()
     primary, backup = net.primary(), net.backup()
     net.drop = lambda sender, to, message: to == backup and type(message) is messages.Replicate
@@ -282,7 +282,7 @@
 
 
 @pytest.mark.parametrize("source", LEARNT_FROM)
-def test_a_primary_that_learns_of_a_newer_active_epoch_acts_no_more(source):
+def test_a_primary_that_learns_of_a_newer_active_epoch_steps_down(source):
     net = founded()
     primary, witness = net.primary(), net.witness()
     message = LEARNT_FROM[source](newer_epoch(net, primary), net.members[witness].replica.incarnation)
@@ -301,14 +301,14 @@
     assert member.epoch == 5 and not member.is_primary_or_candidate()
 
 
-def test_others_redirect_to_where_the_primary_is():
+def test_other_members_redirect_to_the_primary():
     net = founded()
     net.call(net.backup(), "submit", 1, ("k", b"v"))
     net.call(net.witness(), "read", 2)
     assert net.answers == {1: RedirectToPrimary(net.primary()), 2: RedirectToPrimary(net.primary())}
 
 
-def test_without_a_primary_an_order_is_pending_for_a_moment_only():
+def test_without_a_primary_a_command_is_pending_for_a_limited_time():
     net = founded()
     witness = net.witness()
     for address in (net.primary(), net.backup()):
@@ -320,7 +320,7 @@
     assert net.answers == {1: Unavailable()}
 
 
-def test_orders_beyond_a_bound_are_rejected():
+def test_commands_beyond_a_limit_are_rejected():
     net = founded()
     witness = net.witness()
     for address in (net.primary(), net.backup()):
@@ -344,7 +344,7 @@
     assert positions == sorted(set(positions))
 
 
-def test_all_gone_and_back_with_their_disks_brings_the_state_back():
+def test_a_restart_of_all_members_with_their_disks_restores_the_state():
     net = founded()
     net.call(net.primary(), "submit", 1, ("k", b"v"))
     net.run(0.3)
@@ -361,7 +361,7 @@
     assert net.answers[2].state == {"k": b"v"}
 
 
-def test_what_a_disk_holds_is_read_as_it_was_written():
+def test_a_restart_reads_the_state_that_was_written():
     net = founded()
     net.call(net.primary(), "submit", 1, ("k", b"v"))
     net.run(0.3)
@@ -384,7 +384,7 @@
         assert getattr(after, name) == getattr(before, name)
 
 
-def test_an_idle_core_says_little():
+def test_an_idle_core_sends_few_messages():
     net = founded()
     net.seen.clear()
     net.run(10.0)
@@ -392,7 +392,7 @@
     assert len(net.seen) <= 2 * 2 * 41 and body < 20_000
 
 
-def test_a_witness_that_becomes_a_holder_is_sent_only_what_it_has_not_in_memory():
+def test_a_witness_that_becomes_a_holder_is_sent_only_what_it_lacks_in_memory():
     net = founded()
     net.call(net.primary(), "submit", 1, ("k", b"v" * 10_000))
     net.run(0.5)
@@ -405,7 +405,7 @@
     assert [(each.base, each.changes) for each in installs] == [((1, 1), {})]
 
 
-def test_messages_that_come_all_the_time_put_off_no_election():
+def test_a_constant_stream_of_messages_delays_no_election():
     net = founded()
     backup, witness = net.backup(), net.witness()
     net.stop(net.primary())
@@ -436,7 +436,7 @@
     assert ack.is_healthy is healthy and net.members[backup].replica.state == {"k": b"v"}
 
 
-def test_a_write_tells_what_is_committed():
+def test_a_write_carries_the_committed_position():
     net = founded()
     primary, backup = net.primary(), net.backup()
     net.call(backup, "receive", primary, messages.Replicate(1, 1, (0, 0), {"k": b"1"}))
@@ -454,7 +454,7 @@
     assert isinstance(net.answers[1], ReadResult | Unavailable | RedirectToPrimary)
 
 
-def test_a_long_write_is_acknowledged_when_it_has_come_and_when_it_is_synced():
+def test_a_long_write_is_acknowledged_when_received_and_when_synced():
     net = founded()
     primary, backup = net.primary(), net.backup()
     net.held_back.add(backup)
@@ -469,7 +469,7 @@
     assert (to, ack.epoch, ack.read_index_round, ack.durable_sequence) == (primary, 1, 0, 1)
 
 
-def test_a_refusal_names_the_epoch_that_is_refused_and_what_is_promised():
+def test_a_refusal_names_the_refused_epoch_and_the_promised_one():
     net = founded()
     backup, primary, other = net.backup(), net.primary(), net.witness()
     replica = net.members[backup].replica
@@ -484,7 +484,7 @@
     assert refusal == messages.Refusal(replica.incarnation, 8, 9, replica.epoch_config)
 
 
-def test_committed_state_is_taken_from_the_base_that_is_named():
+def test_committed_changes_are_applied_to_the_named_base():
     net = founded()
     for ticket in (1, 2):
         net.call(net.primary(), "submit", ticket, (f"k{ticket}", b"v"))
--- a/tests/replication/test_member_parts.py
+++ b/tests/replication/test_member_parts.py
@@ -47,7 +47,7 @@
     assert not monitor.has_hint(5.5 + 2 * TIMING.join_request_interval_s)
 
 
-def test_a_voter_is_known_by_its_incarnation_and_a_founder_not_heard_yet_by_its_address():
+def test_a_voter_matches_by_incarnation_and_a_founder_not_heard_yet_by_address():
     member, founder = Peer(7, "a", "a:1"), Peer(0, "", "b:1")
     assert quorums.matches(member, 7, "elsewhere:1", False)
     assert not quorums.matches(member, 8, "a:1", False) and not quorums.matches(member, 8, "a:1", True)
@@ -55,13 +55,13 @@
     assert not quorums.matches(founder, 9, "b:1", False) and not quorums.matches(founder, 9, "c:1", True)
 
 
-def test_a_hint_at_the_own_address_is_none():
+def test_a_hint_of_its_own_address_is_ignored():
     monitor = PrimaryMonitor("a:1", TIMING)
     monitor.note_hint(5.0, "a:1")
     assert not monitor.has_hint(5.0)
 
 
-def test_backups_come_before_witnesses_and_strangers_last():
+def test_backups_come_before_witnesses_and_non_members_last():
     ranks = [timer(1).rank(incarnation) for incarnation in (2, 3, 1, 99)]
     assert ranks == [(0, 2), (1, 3), (2, 1), (2, 99)]
 
@@ -91,7 +91,7 @@
     assert leaving.election_at - staying.election_at == pytest.approx(3 * TIMING.election_stagger_s)
 
 
-def test_the_directory_knows_the_last_address_and_keeps_a_name_that_is_not_told_again():
+def test_the_directory_knows_the_last_address_and_keeps_a_name_that_is_not_given_again():
     peers = PeerDirectory(1, "a:1", "a", True)
 
     peers.note_address(2, "b:1", "b")
@@ -112,7 +112,7 @@
     assert effects == [Send(address, HandOver(5)) for address in reached]
 
 
-def test_a_broadcast_leaves_out_who_is_named_and_uses_the_last_address():
+def test_a_broadcast_skips_excluded_members_and_uses_the_last_address():
     effects = []
     peers = PeerDirectory(1, "a:1", "a", False)
     peers.note_address(3, "c:2")
--- a/tests/replication/test_messages.py
+++ b/tests/replication/test_messages.py
@@ -30,14 +30,14 @@
 ]
 
 
-def test_every_message_is_read_as_it_was_written():
+def test_every_message_decodes_to_what_was_encoded():
     decoder = msgspec.msgpack.Decoder(m.Message)
     assert {type(each) for each in ALL} == set(m.Message.__args__)
     for each in ALL:
         assert decoder.decode(msgspec.msgpack.encode(each)) == each
 
 
-def test_an_epoch_not_known_to_be_active_needs_those_before_too():
+def test_an_epoch_not_known_to_be_active_needs_a_majority_of_the_members_before_too():
     other = m.Peer(8, "c", "10.0.0.3:7300")
     config = m.EpochConfig(4, 7, (7, 9), (PEER, other), (PEER, m.Peer(9, "b", "b:1")), False)
     voter = m.JoinRequest(7, "a", "", False, 0, (0, 0)), m.JoinRequest(8, "c", "", False, 0, (0, 0))
@@ -45,7 +45,7 @@
     assert quorums.is_quorum(msgspec.structs.replace(config, active=True), voter)
 
 
-def test_a_founder_not_heard_counts_by_its_address_and_only_with_a_whole_memory():
+def test_a_founder_not_heard_matches_by_address_and_only_if_it_kept_its_disk():
     nobody = m.Peer(0, "", "a:1")
     assert quorums.matches(nobody, 5, "a:1", True)
     assert not quorums.matches(nobody, 5, "a:1", False)
--- a/tests/replication/test_quorums.py
+++ b/tests/replication/test_quorums.py
@@ -51,7 +51,7 @@
     ("tolerated", "non_members", "replaced", "depth"),
     [(1, 0, 0, 1), (1, 1, 1, 2), (1, 2, 2, 2), (2, 0, 0, 1), (2, 1, 1, 2), (2, 2, 2, 1)],
 )
-def test_each_quorum_meets_the_holders_of_each_epoch_that_it_may_not_know(
+def test_each_quorum_intersects_the_holders_of_each_epoch_that_it_may_not_know(
     tolerated, non_members, replaced, depth
 ):
     size = 2 * tolerated + 1
@@ -65,7 +65,7 @@
     ("tolerated", "non_members", "wipes", "replaced", "states"),
     [(1, 0, 0, 0, 1_688), (1, 1, 0, 1, 13_514), (1, 0, 1, 1, 15_235)],
 )
-def test_no_order_of_messages_loses_what_was_acknowledged(tolerated, non_members, wipes, replaced, states):
+def test_no_order_of_messages_loses_an_acknowledged_change(tolerated, non_members, wipes, replaced, states):
     """Explores two epochs after the first, formed by candidates in any order."""
     assert Model(tolerated, non_members, 3, wipes, replaced).explore() == (states, None)
 
@@ -105,7 +105,7 @@
 
 
 @pytest.mark.parametrize("rules", [NewGroupOnly, NewcomersHold, FewHolders, ChangesAgain])
-def test_a_fault_planted_in_the_rules_is_found(rules):
+def test_a_fault_injected_into_the_rules_is_found(rules):
     model = Model(1, 2, 1, replaced=2, rules=rules)
     assert quorums_missing_holders(model, 0b111, 0b11000, 1)
 
