--- a/tests/replication/quorum_model.py
+++ b/tests/replication/quorum_model.py
@@ -57,7 +57,7 @@
     acked: bool = False
 
 
-class Given(NamedTuple):
+class GivenPromise(NamedTuple):
     """A promise as it was sent: the state of its sender at that time."""
 
     process: int
@@ -73,7 +73,7 @@
 
     processes: tuple[Process, ...]
     epochs: tuple[Epoch | None, ...]
-    promises: tuple[tuple[Given, ...], ...]
+    promises: tuple[tuple[GivenPromise, ...], ...]
 
 
 class Rules:
@@ -123,8 +123,10 @@
         ]
         processes += [Process(2, True)] * non_members
         everyone, holders = mask(range(members)), mask(range(tolerated + 1))
-        begun = Epoch(everyone, everyone, holders, 0, holders, True, True)
-        self.start = State(tuple(processes), (None, begun, *(None,) * (epochs - 1)), ((),) * (epochs + 1))
+        first_epoch = Epoch(everyone, everyone, holders, 0, holders, True, True)
+        self.start = State(
+            tuple(processes), (None, first_epoch, *(None,) * (epochs - 1)), ((),) * (epochs + 1)
+        )
         self.quorum, self.voters = lru_cache(None)(self.quorum), lru_cache(None)(self.voters)
         self.outcomes = lru_cache(None)(self.outcomes)
 
@@ -143,14 +145,15 @@
         base, found = config(1, members, before, active), set()
         for change in self.changes(members, non_members):
             groups = self.rules.next_groups(base, change)
-            able = [
+            eligible = [
                 each for each in bits(promised) if self.rules.may_hold(groups, Voter(each + 1, f"{each}:1"))
             ]
             needed = self.rules.holder_count(groups, self.tolerated)
-            if len(able) >= needed.minimum:
+            if len(eligible) >= needed.minimum:
                 new, old = (mask(each.incarnation - 1 for each in group) for group in groups)
                 found.update(
-                    (new, old, mask(holders)) for holders in combinations(able, min(len(able), needed.target))
+                    (new, old, mask(holders))
+                    for holders in combinations(eligible, min(len(eligible), needed.target))
                 )
         return sorted(found)
 
@@ -173,18 +176,18 @@
 
     # --- the search
 
-    def explore(self, most=10_000_000):
+    def explore(self, max_states=10_000_000):
         """Returns the number of states, and the first violation found or None."""
-        seen, todo = {self.start}, deque([self.start])
-        while todo and len(seen) < most:
-            for following in self.steps(todo.popleft()):
-                following = canonical(acknowledge(following))
-                if following not in seen:
-                    seen.add(following)
-                    wrong = broken(following)
-                    if wrong:
-                        return len(seen), wrong
-                    todo.append(following)
+        seen, queue = {self.start}, deque([self.start])
+        while queue and len(seen) < max_states:
+            for successor in self.steps(queue.popleft()):
+                successor = canonical(acknowledge(successor))
+                if successor not in seen:
+                    seen.add(successor)
+                    violation = find_violation(successor)
+                    if violation:
+                        return len(seen), violation
+                    queue.append(successor)
         return len(seen), None
 
     def steps(self, state):
@@ -207,9 +210,11 @@
             return
         for number in range(process.promised + 1, len(state.epochs)):
             if state.epochs[number] is None:
-                given = tuple(sorted((*state.promises[number], Given(who, process.known, process.accepted))))
+                given = tuple(
+                    sorted((*state.promises[number], GivenPromise(who, process.known, process.accepted)))
+                )
                 bound = process._replace(promised=number)
-                yield changed(state, process=(who, bound), promises=(number, given))
+                yield with_changes(state, process=(who, bound), promises=(number, given))
 
     def form(self, state, number):
         given = state.promises[number]
@@ -223,13 +228,13 @@
             epoch.members, epoch.before, active, promised, non_members
         ):
             formed = Epoch(members, before, holders, parent)
-            yield changed(state, epoch=(number, formed), promises=(number, ()))
+            yield with_changes(state, epoch=(number, formed), promises=(number, ()))
 
     def wipe(self, state, who, process):
         """Loses a disk: the incarnation is gone, and a new process takes its place."""
         if process.known[0] and sum(not each.alive for each in state.processes) < self.wipes:
-            following = changed(state, process=(who, Process(3, False)))
-            yield following._replace(processes=(*following.processes, Process(2, True)))
+            successor = with_changes(state, process=(who, Process(3, False)))
+            yield successor._replace(processes=(*successor.processes, Process(2, True)))
 
 
 def install(state, who, process):
@@ -238,13 +243,13 @@
         if epoch and epoch.holders >> who & 1 and process.known[0] < number:
             installed = epoch._replace(installed=epoch.installed | 1 << who)
             replica = Process(process.kind, True, number, (number, False), number)
-            yield changed(state, epoch=(number, installed), process=(who, replica))
+            yield with_changes(state, epoch=(number, installed), process=(who, replica))
 
 
 def activate(state, number):
     epoch = state.epochs[number]
     if not epoch.active and epoch.installed == epoch.holders:
-        yield changed(state, epoch=(number, epoch._replace(active=True)))
+        yield with_changes(state, epoch=(number, epoch._replace(active=True)))
 
 
 def learn(state, who, process):
@@ -252,10 +257,10 @@
         epoch = state.epochs[number]
         if epoch and epoch.active and process.known < (number, True):
             informed = process._replace(known=(number, True), promised=max(process.promised, number))
-            yield changed(state, process=(who, informed))
+            yield with_changes(state, process=(who, informed))
 
 
-def acts(state, number):
+def may_confirm_changes(state, number):
     """Whether all holders of an active epoch would still confirm a change."""
     epoch = state.epochs[number]
     holders = [state.processes[each] for each in bits(epoch.holders)]
@@ -264,12 +269,12 @@
 
 def acknowledge(state):
     for number, epoch in enumerate(state.epochs):
-        if epoch and not epoch.acked and acts(state, number):
-            state = changed(state, epoch=(number, epoch._replace(acked=True)))
+        if epoch and not epoch.acked and may_confirm_changes(state, number):
+            state = with_changes(state, epoch=(number, epoch._replace(acked=True)))
     return state
 
 
-def line(state, number):
+def ancestors(state, number):
     """Returns an epoch and its ancestors, whose state it continues."""
     numbers = set()
     while number:
@@ -278,7 +283,7 @@
     return numbers
 
 
-def broken(state):
+def find_violation(state):
     """Returns a violation or None.
 
     A violation is an active epoch that lacks changes acknowledged by an earlier one, or beside which the
@@ -288,14 +293,14 @@
         if epoch and epoch.active:
             for earlier in range(1, later):
                 one = state.epochs[earlier]
-                if one and one.acked and earlier not in line(state, later):
+                if one and one.acked and earlier not in ancestors(state, later):
                     return f"{later} {epoch} lacks {earlier} {one}"
-                if one and acts(state, earlier):
-                    return f"{earlier} {one} still acts beside {later} {epoch}"
+                if one and may_confirm_changes(state, earlier):
+                    return f"{earlier} {one} still confirms changes beside {later} {epoch}"
     return None
 
 
-def changed(state, process=None, epoch=None, promises=None):
+def with_changes(state, process=None, epoch=None, promises=None):
     """Returns the state with one process, epoch or set of promises replaced, each given as (index, value)."""
     return State(
         *(
@@ -323,27 +328,27 @@
         return state.processes[who], parts, informed
 
     order = sorted(range(len(state.processes)), key=view)
-    place = [0] * len(order)
+    new_index = [0] * len(order)
     for at, who in enumerate(order):
-        place[who] = at
-    if place == list(range(len(order))):
+        new_index[who] = at
+    if new_index == list(range(len(order))):
         return state
 
-    def moved(members):
-        return mask(place[each] for each in bits(members))
+    def permuted(members):
+        return mask(new_index[each] for each in bits(members))
 
     epochs = tuple(
         e
         and e._replace(
-            members=moved(e.members),
-            before=moved(e.before),
-            holders=moved(e.holders),
-            installed=moved(e.installed),
+            members=permuted(e.members),
+            before=permuted(e.before),
+            holders=permuted(e.holders),
+            installed=permuted(e.installed),
         )
         for e in state.epochs
     )
     promises = tuple(
-        tuple(sorted(each._replace(process=place[each.process]) for each in given))
+        tuple(sorted(each._replace(process=new_index[each.process]) for each in given))
         for given in state.promises
     )
     return State(tuple(state.processes[who] for who in order), epochs, promises)
--- a/tests/replication/test_quorums.py
+++ b/tests/replication/test_quorums.py
@@ -111,5 +111,5 @@
 
 
 def test_too_few_holders_lose_an_acknowledged_change_in_the_model():
-    _, wrong = Model(1, 1, 3, rules=FewHolders).explore()
-    assert "lacks" in wrong
+    _, violation = Model(1, 1, 3, rules=FewHolders).explore()
+    assert "lacks" in violation
