--- a/tests/replication/test_absence.py
+++ b/tests/replication/test_absence.py
@@ -1,6 +1,6 @@
 """Replicas that are absent for up to thousands of changes: none leads with old state, and all catch up.
 
-Faults injected into members, their snapshots and their disks are found within the seeds listed in `PLANTED`.
+`INJECTED_FAULTS` lists faults of members, snapshots and disks, and the seeds within which each is found.
 """
 
 import pytest
@@ -23,7 +23,7 @@
     assert max(changes) > 2_000
 
 
-class HoldsBeforeTheTransferIsSynced(Member):
+class AcknowledgesBeforeTheSync(Member):
     """A holder that reports the state as installed before it is on its disk."""
 
     class Acceptor(acceptor.Acceptor):
@@ -48,19 +48,19 @@
         return primary_role, candidate, self.Acceptor(self)
 
 
-class ForgetfulChangeIndex(ChangeIndex):
+class IncompleteChangeIndex(ChangeIndex):
     """Records only one key of each change."""
 
     def note(self, base, position, changes):
         super().note(base, position, dict(list(changes.items())[:1]))
 
 
-class SendsDeltaThatLacksKeys(Member):
+class SendsIncompleteDelta(Member):
     """Sends a difference that lacks keys, so that the receiver mixes the states of two positions."""
 
     def __init__(self, *args, **options):
         super().__init__(*args, **options)
-        self.replica.change_index = ForgetfulChangeIndex(self.replica.log_position)
+        self.replica.change_index = IncompleteChangeIndex(self.replica.log_position)
 
 
 class SendsNewestStateUnderOlderPosition(Member):
@@ -78,7 +78,7 @@
         return self.Primary(self), candidate, voters
 
 
-class TakesADifferenceFromAnyPosition(Member):
+class AppliesDeltaFromAnyPosition(Member):
     """Applies a difference without checking that its base is the position it has."""
 
     def __init__(self, *args, **options):
@@ -91,7 +91,7 @@
         replica.apply_committed = apply_committed
 
 
-class StartsFromTheOlderSlot(Machine):
+class RecoversFromTheOlderSlot(Machine):
     """A disk that after a power loss recovers an older slot."""
 
     def __init__(self, *args):
@@ -111,15 +111,15 @@
             self.durable = dict(self.older)
 
 
-PLANTED = [  # (injected fault, seeds within which it is found)
-    ({"member_class": HoldsBeforeTheTransferIsSynced}, range(20)),
-    ({"member_class": SendsDeltaThatLacksKeys}, range(2)),
+INJECTED_FAULTS = [  # (injected fault, seeds within which it is found)
+    ({"member_class": AcknowledgesBeforeTheSync}, range(20)),
+    ({"member_class": SendsIncompleteDelta}, range(2)),
     ({"member_class": SendsNewestStateUnderOlderPosition}, range(2)),
-    ({"member_class": TakesADifferenceFromAnyPosition}, range(4)),
-    ({"machine_class": StartsFromTheOlderSlot}, range(2)),
+    ({"member_class": AppliesDeltaFromAnyPosition}, range(4)),
+    ({"machine_class": RecoversFromTheOlderSlot}, range(2)),
 ]
 
 
-@pytest.mark.parametrize(("planted", "seeds"), PLANTED)
-def test_an_injected_fault_is_found(planted, seeds):
-    assert any(ReplicaOutageRun(seed, 1, length=25.0, **planted).play() for seed in seeds)
+@pytest.mark.parametrize(("injected", "seeds"), INJECTED_FAULTS)
+def test_an_injected_fault_is_found(injected, seeds):
+    assert any(ReplicaOutageRun(seed, 1, length=25.0, **injected).play() for seed in seeds)
