--- a/tests/replication/test_calm_epoch.py
+++ b/tests/replication/test_calm_epoch.py
@@ -12,7 +12,7 @@
     """Three members on a network and disks without faults."""
 
     def __init__(self):
-        self.now, self.wire, self.committed, self.epochs = 0.0, [], {}, set()
+        self.now, self.in_flight, self.committed, self.epochs = 0.0, [], {}, set()
         self.disks = {address: {} for address in ADDRESSES}
         self.members = {address: self.start(address, True) for address in ADDRESSES}
 
@@ -27,7 +27,7 @@
             found=dict(self.disks[address]) or None,
             random=Random(address),
             now=self.now,
-            decide=lambda state, order: Decision({"key": order}, order),
+            decide=lambda state, command: Decision({"key": command}, command),
         )
 
     def restart(self, address):
@@ -38,8 +38,8 @@
         while self.now < until:
             for address, member in self.members.items():
                 self.carry_out(address, member)
-            due = [one for one in self.wire if one[0] <= self.now]
-            self.wire = [one for one in self.wire if one[0] > self.now]
+            due = [one for one in self.in_flight if one[0] <= self.now]
+            self.in_flight = [one for one in self.in_flight if one[0] > self.now]
             for _, sender, to, message in due:
                 self.members[to].receive(self.now, sender, message)
             for member in self.members.values():
@@ -54,7 +54,7 @@
             for effect in effects:
                 match effect:
                     case Send(to, message):
-                        self.wire.append((self.now + DELAY, address, to, message))
+                        self.in_flight.append((self.now + DELAY, address, to, message))
                     case Persist(token, changes):
                         self.disks[address].update(changes)
                         member.persisted(self.now, token, True)
--- a/tests/replication/test_invariants.py
+++ b/tests/replication/test_invariants.py
@@ -94,7 +94,7 @@
     member.stopped = True
 
 
-def speak_before_durable(member):
+def be_active_before_durable(member):
     member.incarnation_durable = False
 
 
@@ -132,7 +132,7 @@
     "a durable write beyond the end of the log": trust_write_never_sent,
     "a gap in the writes in flight": leave_gap_in_flight,
     "primary after its exit": act_after_exit,
-    "active before its incarnation is durable": speak_before_durable,
+    "active before its incarnation is durable": be_active_before_durable,
     "a primary that was never heard": follow_primary_never_heard,
     "changes wait for nothing": forget_queued_writes,
 }
--- a/tests/replication/test_member.py
+++ b/tests/replication/test_member.py
@@ -237,23 +237,23 @@
     """A heartbeat may be under way for any time: one delayed by two seconds makes no state up to date."""
     net = founded()
     net.run(0.5)
-    held_up = []
+    delayed = []
 
-    def hold_up(sender, to, message):
+    def delay_heartbeat(sender, to, message):
         if sender == net.primary() and to == witness and type(message) is messages.Heartbeat:
-            held_up.append(message)
+            delayed.append(message)
             return True
         return False
 
     witness = net.witness()
     member, primary = net.members[witness], net.primary()
-    net.drop, cut_at = hold_up, net.now
+    net.drop, cut_at = delay_heartbeat, net.now
     net.run(0.3)
     net.drop = lambda sender, to, message: to == witness or sender == witness
     net.run(1.7)
-    for heartbeat in held_up:
+    for heartbeat in delayed:
         net.call(witness, "receive", primary, heartbeat)
-    assert held_up and net.now - cut_at >= 2.0
+    assert delayed and net.now - cut_at >= 2.0
     assert cut_at - 1.0 < member.confirmed_at <= cut_at
 
 
@@ -274,18 +274,18 @@
     return msgspec.structs.replace(replica.epoch_config, number=5, primary=other)
 
 
-LEARNT_FROM = {
+NEWER_EPOCH_SOURCES = {
     "a hint": lambda config, who: messages.PrimaryHint(None, config),
     "a candidate": lambda config, who: messages.Prepare(who, 6, config),
     "a refusal": lambda config, who: messages.Refusal(who, 1, 5, config),
 }
 
 
-@pytest.mark.parametrize("source", LEARNT_FROM)
+@pytest.mark.parametrize("source", NEWER_EPOCH_SOURCES)
 def test_a_primary_that_learns_of_a_newer_active_epoch_steps_down(source):
     net = founded()
     primary, witness = net.primary(), net.witness()
-    message = LEARNT_FROM[source](newer_epoch(net, primary), net.members[witness].replica.incarnation)
+    message = NEWER_EPOCH_SOURCES[source](newer_epoch(net, primary), net.members[witness].replica.incarnation)
     net.call(primary, "receive", witness, message)
     member = net.members[primary]
     assert member.epoch == 5 and not member.is_primary_or_candidate()
@@ -504,14 +504,14 @@
     primary, backup = net.primary(), net.backup()
     net.held_back.add(backup)
     member = net.members[primary]
-    most = member.MAX_WRITES_IN_FLIGHT
-    for ticket in range(most + 3):
+    limit = member.MAX_WRITES_IN_FLIGHT
+    for ticket in range(limit + 3):
         net.call(primary, "submit", ticket, (f"k{ticket}", b"v"))
     pipeline = member.primary_role.commands
-    assert len(pipeline.in_flight) == most and len(pipeline.queue) == 3
+    assert len(pipeline.in_flight) == limit and len(pipeline.queue) == 3
     net.held_back.clear()
     net.run(0.2)
-    assert len(net.answers) == most + 3 and not pipeline.queue
+    assert len(net.answers) == limit + 3 and not pipeline.queue
 
 
 def test_a_long_write_has_longer_until_it_is_late_and_is_sent_again_later():
