--- a/shedgrade/replication/acceptor.py
+++ b/shedgrade/replication/acceptor.py
@@ -64,7 +64,7 @@
             timer.election_at = max(timer.election_at, now + member.timing.candidate_grace_s)
             member.candidate.stop()
         config = replica.epoch_config
-        is_news = config.active and config.number > request.known_epoch
+        is_newer = config.active and config.number > request.known_epoch
         reply = PreVoteReply(
             replica.incarnation,
             replica.founding,
@@ -72,7 +72,7 @@
             granted,
             max(replica.promised_epoch.number, member.highest_epoch_seen),
             member.primary if member.hears_primary(now) else None,
-            config if is_news else None,
+            config if is_newer else None,
         )
         member.send(sender, reply)
 
--- a/shedgrade/replication/candidate.py
+++ b/shedgrade/replication/candidate.py
@@ -258,9 +258,9 @@
             return
         self.refusals.add(refusal.incarnation)
         members = self.member.replica.epoch_config.members
-        left = sum(peer.incarnation not in self.refusals for peer in members)
-        no_quorum_left = self.phase is Phase.PREPARE and left < majority(members)
-        if refusal.promised_epoch > self.number or no_quorum_left:
+        remaining = sum(peer.incarnation not in self.refusals for peer in members)
+        is_quorum_lost = self.phase is Phase.PREPARE and remaining < majority(members)
+        if refusal.promised_epoch > self.number or is_quorum_lost:
             self.member.step_down(now)
 
     # --- the epoch that is made
@@ -306,8 +306,8 @@
         needed = holder_count(groups, member.tolerated)
         avoid = self.avoid | self.leaving_voters()
         preferred = sum(each.incarnation not in avoid for each in eligible)
-        waited = now - self.prepared_at >= member.timing.resend_interval_s
-        if preferred < needed.target and not waited and len(self.promises) < voter_count:
+        has_waited = now - self.prepared_at >= member.timing.resend_interval_s
+        if preferred < needed.target and not has_waited and len(self.promises) < voter_count:
             return None
         if len(eligible) < needed.minimum:
             return None
@@ -336,7 +336,11 @@
     def leaving_voters(self) -> frozenset[int]:
         """Returns the voters other than this process that have asked to leave."""
         own = self.member.replica.incarnation
-        return frozenset(who for who, each in self.promises.items() if each.is_leaving and who != own)
+        return frozenset(
+            incarnation
+            for incarnation, each in self.promises.items()
+            if each.is_leaving and incarnation != own
+        )
 
     def member_groups(self, base: EpochConfig, promises: list[Promise]) -> Groups:
         """Returns the members of the new epoch and those before, with incarnations of founders filled in."""
@@ -473,10 +477,14 @@
     def replace_late_holders(self, now: float) -> None:
         """Restarts with other holders if a chosen one doesn't write the epoch and enough others promised."""
         holders = self.epoch_config.holders
-        late = frozenset(who for who in holders if who not in self.installed_holders)
+        late = frozenset(incarnation for incarnation in holders if incarnation not in self.installed_holders)
         if now < self.replace_holders_at or not late:
             return
-        others = [who for who in self.promises if who not in holders and who not in self.avoid]
+        others = [
+            incarnation
+            for incarnation in self.promises
+            if incarnation not in holders and incarnation not in self.avoid
+        ]
         if len(others) >= len(late - self.avoid) > 0 and self.member.replica.incarnation not in late:
             self.start(now, self.change, self.avoid | late)
 
@@ -485,7 +493,11 @@
         if not self.phase:
             return float("inf")
         if self.phase is Phase.INSTALL:
-            late = [at for who, at in self.install_resend_at.items() if who not in self.installed_holders]
+            late = [
+                at
+                for incarnation, at in self.install_resend_at.items()
+                if incarnation not in self.installed_holders
+            ]
             return min([self.deadline, self.keep_alive_at, *late])
         return self.deadline if self.phase is Phase.PROMISE else min(self.deadline, self.resend_at)
 
--- a/shedgrade/replication/member.py
+++ b/shedgrade/replication/member.py
@@ -345,12 +345,12 @@
         """Sends a message to one link address."""
         self.transport.send(address, message)
 
-    def broadcast(self, message: m.Message, but: Container[int]) -> None:
+    def broadcast(self, message: m.Message, skipped: Container[int]) -> None:
         """Sends to the members, and to those before while the epoch is not known to be active.
 
-        `but`: incarnations that are skipped.
+        `skipped`: incarnations that receive nothing.
         """
-        self.transport.broadcast(self.replica.epoch_config, message, but)
+        self.transport.broadcast(self.replica.epoch_config, message, skipped)
 
     def own_promise(self, number: int) -> m.Promise:
         """Returns this process's promise for the epoch `number`, which must be durable."""
--- a/shedgrade/replication/quorums.py
+++ b/shedgrade/replication/quorums.py
@@ -112,8 +112,8 @@
     The holders are at least a majority of each group (see `holder_count`): each majority of either group then
     contains a holder.
     """
-    named = any(peer.incarnation == voter.incarnation for peer in groups.members)
-    return named and is_among(groups.before, voter)
+    is_member = any(peer.incarnation == voter.incarnation for peer in groups.members)
+    return is_member and is_among(groups.before, voter)
 
 
 def holder_count(groups: Groups, tolerated: int) -> HolderCount:
--- a/shedgrade/replication/transport.py
+++ b/shedgrade/replication/transport.py
@@ -43,14 +43,14 @@
         """Sends one message without chunking."""
         self.effects.append(Send(address, message))
 
-    def broadcast(self, config: EpochConfig, message: Message, but: Container[int]) -> None:
+    def broadcast(self, config: EpochConfig, message: Message, skipped: Container[int]) -> None:
         """Sends to the members, and to the members before while `config` is not known to be active.
 
-        `but`: incarnations that are skipped.
+        `skipped`: incarnations that receive nothing.
         """
         done = {self.address}
         for peer in (*config.members, *(() if config.active else config.before)):
             address = self.peers.address_of(peer.incarnation, peer.address)
-            if peer.incarnation not in but and address not in done:
+            if peer.incarnation not in skipped and address not in done:
                 done.add(address)
                 self.send(address, message)
--- a/tests/replication/quorum_model.py
+++ b/tests/replication/quorum_model.py
@@ -191,30 +191,30 @@
         return len(seen), None
 
     def steps(self, state):
-        for who, process in enumerate(state.processes):
+        for index, process in enumerate(state.processes):
             if process.alive:
-                yield from self.promise(state, who, process)
-                yield from install(state, who, process)
-                yield from learn(state, who, process)
-                yield from self.wipe(state, who, process)
+                yield from self.promise(state, index, process)
+                yield from install(state, index, process)
+                yield from learn(state, index, process)
+                yield from self.wipe(state, index, process)
         for number in range(2, len(state.epochs)):
             if state.epochs[number] is None:
                 yield from self.form(state, number)
             else:
                 yield from activate(state, number)
 
-    def promise(self, state, who, process):
+    def promise(self, state, index, process):
         number, active = process.known
         epoch = state.epochs[number]
-        if epoch is None or not self.voters(epoch.members, epoch.before, active) >> who & 1:
+        if epoch is None or not self.voters(epoch.members, epoch.before, active) >> index & 1:
             return
         for number in range(process.promised + 1, len(state.epochs)):
             if state.epochs[number] is None:
                 given = tuple(
-                    sorted((*state.promises[number], GivenPromise(who, process.known, process.accepted)))
+                    sorted((*state.promises[number], GivenPromise(index, process.known, process.accepted)))
                 )
                 bound = process._replace(promised=number)
-                yield with_changes(state, process=(who, bound), promises=(number, given))
+                yield with_changes(state, process=(index, bound), promises=(number, given))
 
     def form(self, state, number):
         given = state.promises[number]
@@ -223,27 +223,27 @@
         if epoch is None or not self.quorum(epoch.members, epoch.before, active, promised):
             return
         parent = max(each.accepted for each in given)
-        non_members = mask(who for who, each in enumerate(state.processes) if each.alive) & ~epoch.members
+        non_members = mask(index for index, each in enumerate(state.processes) if each.alive) & ~epoch.members
         for members, before, holders in self.outcomes(
             epoch.members, epoch.before, active, promised, non_members
         ):
             formed = Epoch(members, before, holders, parent)
             yield with_changes(state, epoch=(number, formed), promises=(number, ()))
 
-    def wipe(self, state, who, process):
+    def wipe(self, state, index, process):
         """Loses a disk: the incarnation is gone, and a new process takes its place."""
         if process.known[0] and sum(not each.alive for each in state.processes) < self.wipes:
-            successor = with_changes(state, process=(who, Process(3, False)))
+            successor = with_changes(state, process=(index, Process(3, False)))
             yield successor._replace(processes=(*successor.processes, Process(2, True)))
 
 
-def install(state, who, process):
+def install(state, index, process):
     for number in range(max(process.promised, 2), len(state.epochs)):
         epoch = state.epochs[number]
-        if epoch and epoch.holders >> who & 1 and process.known[0] < number:
-            installed = epoch._replace(installed=epoch.installed | 1 << who)
+        if epoch and epoch.holders >> index & 1 and process.known[0] < number:
+            installed = epoch._replace(installed=epoch.installed | 1 << index)
             replica = Process(process.kind, True, number, (number, False), number)
-            yield with_changes(state, epoch=(number, installed), process=(who, replica))
+            yield with_changes(state, epoch=(number, installed), process=(index, replica))
 
 
 def activate(state, number):
@@ -252,12 +252,12 @@
         yield with_changes(state, epoch=(number, epoch._replace(active=True)))
 
 
-def learn(state, who, process):
+def learn(state, index, process):
     for number in range(1, len(state.epochs)):
         epoch = state.epochs[number]
         if epoch and epoch.active and process.known < (number, True):
             informed = process._replace(known=(number, True), promised=max(process.promised, number))
-            yield with_changes(state, process=(who, informed))
+            yield with_changes(state, process=(index, informed))
 
 
 def may_confirm_changes(state, number):
@@ -313,24 +313,24 @@
 def canonical(state):
     """Returns the state with equivalent processes in a fixed order."""
 
-    def view(who):
+    def view(index):
         informed = tuple(
             (number, each.known, each.accepted)
             for number, given in enumerate(state.promises)
             for each in given
-            if each.process == who
+            if each.process == index
         )
         parts = tuple(
-            tuple(group >> who & 1 for group in (e.members, e.before, e.holders, e.installed))
+            tuple(group >> index & 1 for group in (e.members, e.before, e.holders, e.installed))
             for e in state.epochs
             if e
         )
-        return state.processes[who], parts, informed
+        return state.processes[index], parts, informed
 
     order = sorted(range(len(state.processes)), key=view)
     new_index = [0] * len(order)
-    for at, who in enumerate(order):
-        new_index[who] = at
+    for at, index in enumerate(order):
+        new_index[index] = at
     if new_index == list(range(len(order))):
         return state
 
@@ -351,4 +351,4 @@
         tuple(sorted(each._replace(process=new_index[each.process]) for each in given))
         for given in state.promises
     )
-    return State(tuple(state.processes[who] for who in order), epochs, promises)
+    return State(tuple(state.processes[index] for index in order), epochs, promises)
--- a/tests/replication/test_member.py
+++ b/tests/replication/test_member.py
@@ -270,14 +270,16 @@
 def newer_epoch(net, address):
     """Returns an active epoch after the one that this member leads, with another primary."""
     replica = net.members[address].replica
-    other = next(who for who in replica.epoch_config.holders if who != replica.incarnation)
+    other = next(
+        incarnation for incarnation in replica.epoch_config.holders if incarnation != replica.incarnation
+    )
     return msgspec.structs.replace(replica.epoch_config, number=5, primary=other)
 
 
 NEWER_EPOCH_SOURCES = {
-    "a hint": lambda config, who: messages.PrimaryHint(None, config),
-    "a candidate": lambda config, who: messages.Prepare(who, 6, config),
-    "a refusal": lambda config, who: messages.Refusal(who, 1, 5, config),
+    "a hint": lambda config, incarnation: messages.PrimaryHint(None, config),
+    "a candidate": lambda config, incarnation: messages.Prepare(incarnation, 6, config),
+    "a refusal": lambda config, incarnation: messages.Refusal(incarnation, 1, 5, config),
 }
 
 
