--- a/shedgrade/replication/messages.py
+++ b/shedgrade/replication/messages.py
@@ -38,6 +38,7 @@
 class EpochConfig(Struct, frozen=True, array_like=True):
     """Members, holders and primary of an epoch. `holders` and `primary` are incarnations.
 
+    `before`: the members of the last epoch that is known to have been active.
     `active`: whether all holders are known to have installed the epoch. Until then a candidate needs a
     majority of `members` and one of `before`, since another epoch may have been formed from `before`.
     """
--- a/shedgrade/replication/timing.py
+++ b/shedgrade/replication/timing.py
@@ -22,7 +22,7 @@
     election_timeout_s: float = 1.2  # an election that takes longer is abandoned
     founding_timeout_s: float = 1.0  # how long founding waits for the last founders
     member_replacement_timeout_s: float = 1.2  # silence of a member before a newcomer replaces it
-    incomplete_membership_timeout_s: float = 2.0  # below 2t + 1 members no command is decided before
+    incomplete_membership_timeout_s: float = 2.0  # before fewer than 2t + 1 members decide commands
     request_timeout_s: float = 0.8  # how long a command waits for a primary
     join_request_interval_s: float = 0.5  # between join requests while no primary is heard
     leave_timeout_s: float = 6.8  # how long a leaving process waits for permission
