--- a/tests/replication/quorum_model.py
+++ b/tests/replication/quorum_model.py
@@ -1,10 +1,14 @@
-"""All that elections, changes of members, lost disks and late messages can bring about, by enumeration.
+"""Enumerates all outcomes of elections, membership changes, lost disks and late messages.
 
-A state is what a few processes have promised, know and hold, and the epochs that were formed. Every message
-may come at any time or never: a promise carries what its sender knew then, also if that is wiped before the
-candidate uses it. Which steps are allowed is decided by `replication.quorums` alone. Sets of processes are
-bit masks. Two states that differ by the names of like processes count once; and a candidate uses all the
-promises that were given to it, since one that it leaves out would only bind its giver."""
+A state consists of what a few processes have promised, know and hold, and of the epochs formed. Every message
+may arrive at any time or never: a promise carries what its sender knew when it was sent, even if the sender's
+disk is wiped before the candidate uses it. `replication.quorums` alone decides which steps are allowed. Sets
+of processes are bit masks.
+
+Two reductions of the state space: states that differ only by a permutation of equivalent processes count
+once, and a candidate uses all promises given to it, since a promise that it left out would only bind the
+process that gave it.
+"""
 
 from collections import deque
 from functools import lru_cache
@@ -22,8 +26,12 @@
 
 
 class Process(NamedTuple):
-    """`known`: (epoch, whether it is known to be active); (0, True): none. `accepted`: the epoch that it
-    holds, 0 for none. `kind`: processes of one kind are alike at the start."""
+    """One process.
+
+    `kind`: processes of one kind are equivalent at the start.
+    `known`: (epoch, whether it is known to be active); (0, True) for none.
+    `accepted`: the epoch whose state the process holds, 0 for none.
+    """
 
     kind: int
     alive: bool
@@ -33,8 +41,12 @@
 
 
 class Epoch(NamedTuple):
-    """`parent`: the epoch from whose state it goes on. `installed`: holders that said they have synced it.
-    `acked`: it may have acknowledged changes."""
+    """One epoch.
+
+    `parent`: the epoch whose state it continues.
+    `installed`: holders that have reported the epoch as synced.
+    `acked`: whether it may have acknowledged changes.
+    """
 
     members: int
     before: int
@@ -45,8 +57,8 @@
     acked: bool = False
 
 
-class Given(NamedTuple):
-    """A promise as it was sent."""
+class GivenPromise(NamedTuple):
+    """A promise as it was sent: the state of its sender at that time."""
 
     process: int
     known: tuple[int, bool]
@@ -54,15 +66,18 @@
 
 
 class State(NamedTuple):
-    """Processes in order of their bits; epochs and promises by number (0 and 1: the first epoch's)."""
+    """Processes are ordered by bit; epochs and promises are indexed by number.
+
+    Index 0 stands for no epoch, index 1 for the first one.
+    """
 
     processes: tuple[Process, ...]
     epochs: tuple[Epoch | None, ...]
-    promises: tuple[tuple[Given, ...], ...]
+    promises: tuple[tuple[GivenPromise, ...], ...]
 
 
 class Rules:
-    """The functions under test; a subclass plants a fault."""
+    """The functions under test. Subclasses inject faults."""
 
     is_quorum = staticmethod(quorums.is_quorum)
     electorate = staticmethod(quorums.electorate)
@@ -84,14 +99,20 @@
 
 
 def config(number, members, before, active):
-    """What a process knows of an epoch; the members before bind no more once it is known to be active."""
+    """The configuration as a process knows it; once active, the members before no longer count."""
     known = EpochConfig(number, 0, (), peers(members), peers(before), False)
     return quorums.activated(known) if active else known
 
 
 class Model:
-    """`tolerated`: t; 2t + 1 members and `non_members` beside them; at most `epochs` are formed, the first
-    one among them; one replaces at most `replaced` members; `wipes` disks may be lost."""
+    """The state space for 2t + 1 members.
+
+    `tolerated`: t.
+    `non_members`: number of further processes.
+    `epochs`: maximum number of epochs, including the first one.
+    `replaced`: maximum number of members replaced by one epoch.
+    `wipes`: maximum number of disks lost.
+    """
 
     def __init__(self, tolerated, non_members, epochs, wipes=0, replaced=1, rules=Rules):
         self.tolerated, self.wipes, self.replaced, self.rules = tolerated, wipes, replaced, rules
@@ -102,12 +123,14 @@
         ]
         processes += [Process(2, True)] * non_members
         everyone, holders = mask(range(members)), mask(range(tolerated + 1))
-        begun = Epoch(everyone, everyone, holders, 0, holders, True, True)
-        self.start = State(tuple(processes), (None, begun, *(None,) * (epochs - 1)), ((),) * (epochs + 1))
+        first_epoch = Epoch(everyone, everyone, holders, 0, holders, True, True)
+        self.start = State(
+            tuple(processes), (None, first_epoch, *(None,) * (epochs - 1)), ((),) * (epochs + 1)
+        )
         self.quorum, self.voters = lru_cache(None)(self.quorum), lru_cache(None)(self.voters)
         self.outcomes = lru_cache(None)(self.outcomes)
 
-    # --- the rules, by masks
+    # --- the rules, on bit masks
 
     def quorum(self, members, before, active, promised):
         voters = [Voter(each + 1, f"{each}:1") for each in bits(promised)]
@@ -118,23 +141,27 @@
         return mask(each.incarnation - 1 for each in self.rules.electorate(known))
 
     def outcomes(self, members, before, active, promised, non_members):
-        """(members, before, holders) of all epochs that a candidate may make."""
+        """Returns (members, before, holders) of all epochs that a candidate may form."""
         base, found = config(1, members, before, active), set()
         for change in self.changes(members, non_members):
             groups = self.rules.next_groups(base, change)
-            able = [
+            eligible = [
                 each for each in bits(promised) if self.rules.may_hold(groups, Voter(each + 1, f"{each}:1"))
             ]
             needed = self.rules.holder_count(groups, self.tolerated)
-            if len(able) >= needed.least:
+            if len(eligible) >= needed.minimum:
                 new, old = (mask(each.incarnation - 1 for each in group) for group in groups)
                 found.update(
-                    (new, old, mask(holders)) for holders in combinations(able, min(len(able), needed.wanted))
+                    (new, old, mask(holders))
+                    for holders in combinations(eligible, min(len(eligible), needed.target))
                 )
         return sorted(found)
 
     def changes(self, members, non_members):
-        """No change, or up to `replaced` members given to non_members, whoever is silent."""
+        """Yields no change, and each replacement of up to `replaced` members by non-members.
+
+        Any member may be replaced, whether it is silent or not.
+        """
         yield None
         for count in range(1, self.replaced + 1):
             for old in combinations(bits(members), count):
@@ -149,43 +176,45 @@
 
     # --- the search
 
-    def explore(self, most=10_000_000):
-        """(states, the first broken promise or None)"""
-        seen, todo = {self.start}, deque([self.start])
-        while todo and len(seen) < most:
-            for following in self.steps(todo.popleft()):
-                following = canonical(acknowledge(following))
-                if following not in seen:
-                    seen.add(following)
-                    wrong = broken(following)
-                    if wrong:
-                        return len(seen), wrong
-                    todo.append(following)
+    def explore(self, max_states=10_000_000):
+        """Returns the number of states, and the first violation found or None."""
+        seen, queue = {self.start}, deque([self.start])
+        while queue and len(seen) < max_states:
+            for successor in self.steps(queue.popleft()):
+                successor = canonical(acknowledge(successor))
+                if successor not in seen:
+                    seen.add(successor)
+                    violation = find_violation(successor)
+                    if violation:
+                        return len(seen), violation
+                    queue.append(successor)
         return len(seen), None
 
     def steps(self, state):
-        for who, process in enumerate(state.processes):
+        for index, process in enumerate(state.processes):
             if process.alive:
-                yield from self.promise(state, who, process)
-                yield from install(state, who, process)
-                yield from learn(state, who, process)
-                yield from self.wipe(state, who, process)
+                yield from self.promise(state, index, process)
+                yield from install(state, index, process)
+                yield from learn(state, index, process)
+                yield from self.wipe(state, index, process)
         for number in range(2, len(state.epochs)):
             if state.epochs[number] is None:
                 yield from self.form(state, number)
             else:
                 yield from activate(state, number)
 
-    def promise(self, state, who, process):
+    def promise(self, state, index, process):
         number, active = process.known
         epoch = state.epochs[number]
-        if epoch is None or not self.voters(epoch.members, epoch.before, active) >> who & 1:
+        if epoch is None or not self.voters(epoch.members, epoch.before, active) >> index & 1:
             return
         for number in range(process.promised + 1, len(state.epochs)):
             if state.epochs[number] is None:
-                given = tuple(sorted((*state.promises[number], Given(who, process.known, process.accepted))))
+                given = tuple(
+                    sorted((*state.promises[number], GivenPromise(index, process.known, process.accepted)))
+                )
                 bound = process._replace(promised=number)
-                yield changed(state, process=(who, bound), promises=(number, given))
+                yield with_changes(state, process=(index, bound), promises=(number, given))
 
     def form(self, state, number):
         given = state.promises[number]
@@ -194,44 +223,44 @@
         if epoch is None or not self.quorum(epoch.members, epoch.before, active, promised):
             return
         parent = max(each.accepted for each in given)
-        non_members = mask(who for who, each in enumerate(state.processes) if each.alive) & ~epoch.members
+        non_members = mask(index for index, each in enumerate(state.processes) if each.alive) & ~epoch.members
         for members, before, holders in self.outcomes(
             epoch.members, epoch.before, active, promised, non_members
         ):
             formed = Epoch(members, before, holders, parent)
-            yield changed(state, epoch=(number, formed), promises=(number, ()))
+            yield with_changes(state, epoch=(number, formed), promises=(number, ()))
 
-    def wipe(self, state, who, process):
-        """Its disk is lost: this incarnation is no more, and a newcomer stands in its place."""
+    def wipe(self, state, index, process):
+        """Loses a disk: the incarnation is gone, and a new process takes its place."""
         if process.known[0] and sum(not each.alive for each in state.processes) < self.wipes:
-            following = changed(state, process=(who, Process(3, False)))
-            yield following._replace(processes=(*following.processes, Process(2, True)))
+            successor = with_changes(state, process=(index, Process(3, False)))
+            yield successor._replace(processes=(*successor.processes, Process(2, True)))
 
 
-def install(state, who, process):
+def install(state, index, process):
     for number in range(max(process.promised, 2), len(state.epochs)):
         epoch = state.epochs[number]
-        if epoch and epoch.holders >> who & 1 and process.known[0] < number:
-            installed = epoch._replace(installed=epoch.installed | 1 << who)
+        if epoch and epoch.holders >> index & 1 and process.known[0] < number:
+            installed = epoch._replace(installed=epoch.installed | 1 << index)
             replica = Process(process.kind, True, number, (number, False), number)
-            yield changed(state, epoch=(number, installed), process=(who, replica))
+            yield with_changes(state, epoch=(number, installed), process=(index, replica))
 
 
 def activate(state, number):
     epoch = state.epochs[number]
     if not epoch.active and epoch.installed == epoch.holders:
-        yield changed(state, epoch=(number, epoch._replace(active=True)))
+        yield with_changes(state, epoch=(number, epoch._replace(active=True)))
 
 
-def learn(state, who, process):
+def learn(state, index, process):
     for number in range(1, len(state.epochs)):
         epoch = state.epochs[number]
         if epoch and epoch.active and process.known < (number, True):
             informed = process._replace(known=(number, True), promised=max(process.promised, number))
-            yield changed(state, process=(who, informed))
+            yield with_changes(state, process=(index, informed))
 
 
-def acts(state, number):
+def may_confirm_changes(state, number):
     """Whether all holders of an active epoch would still confirm a change."""
     epoch = state.epochs[number]
     holders = [state.processes[each] for each in bits(epoch.holders)]
@@ -240,13 +269,13 @@
 
 def acknowledge(state):
     for number, epoch in enumerate(state.epochs):
-        if epoch and not epoch.acked and acts(state, number):
-            state = changed(state, epoch=(number, epoch._replace(acked=True)))
+        if epoch and not epoch.acked and may_confirm_changes(state, number):
+            state = with_changes(state, epoch=(number, epoch._replace(acked=True)))
     return state
 
 
-def line(state, number):
-    """The epochs whose states an epoch goes on from."""
+def ancestors(state, number):
+    """Returns an epoch and its ancestors, whose state it continues."""
     numbers = set()
     while number:
         numbers.add(number)
@@ -254,21 +283,25 @@
     return numbers
 
 
-def broken(state):
-    """An active epoch that lacks what an earlier one acknowledged, or beside which an earlier one acts."""
+def find_violation(state):
+    """Returns a violation or None.
+
+    A violation is an active epoch that lacks changes acknowledged by an earlier one, or beside which the
+    holders of an earlier one still confirm changes.
+    """
     for later, epoch in enumerate(state.epochs):
         if epoch and epoch.active:
             for earlier in range(1, later):
                 one = state.epochs[earlier]
-                if one and one.acked and earlier not in line(state, later):
+                if one and one.acked and earlier not in ancestors(state, later):
                     return f"{later} {epoch} lacks {earlier} {one}"
-                if one and acts(state, earlier):
-                    return f"{earlier} {one} still acts beside {later} {epoch}"
+                if one and may_confirm_changes(state, earlier):
+                    return f"{earlier} {one} still confirms changes beside {later} {epoch}"
     return None
 
 
-def changed(state, process=None, epoch=None, promises=None):
-    """The state with one process, epoch and set of promises exchanged, each given with its number."""
+def with_changes(state, process=None, epoch=None, promises=None):
+    """Returns the state with one process, epoch or set of promises replaced, each given as (index, value)."""
     return State(
         *(
             old if new is None else (*old[: new[0]], new[1], *old[new[0] + 1 :])
@@ -278,44 +311,44 @@
 
 
 def canonical(state):
-    """Like processes in one order."""
+    """Returns the state with equivalent processes in a fixed order."""
 
-    def view(who):
+    def view(index):
         informed = tuple(
             (number, each.known, each.accepted)
             for number, given in enumerate(state.promises)
             for each in given
-            if each.process == who
+            if each.process == index
         )
         parts = tuple(
-            tuple(group >> who & 1 for group in (e.members, e.before, e.holders, e.installed))
+            tuple(group >> index & 1 for group in (e.members, e.before, e.holders, e.installed))
             for e in state.epochs
             if e
         )
-        return state.processes[who], parts, informed
+        return state.processes[index], parts, informed
 
     order = sorted(range(len(state.processes)), key=view)
-    place = [0] * len(order)
-    for at, who in enumerate(order):
-        place[who] = at
-    if place == list(range(len(order))):
+    new_index = [0] * len(order)
+    for at, index in enumerate(order):
+        new_index[index] = at
+    if new_index == list(range(len(order))):
         return state
 
-    def moved(members):
-        return mask(place[each] for each in bits(members))
+    def permuted(members):
+        return mask(new_index[each] for each in bits(members))
 
     epochs = tuple(
         e
         and e._replace(
-            members=moved(e.members),
-            before=moved(e.before),
-            holders=moved(e.holders),
-            installed=moved(e.installed),
+            members=permuted(e.members),
+            before=permuted(e.before),
+            holders=permuted(e.holders),
+            installed=permuted(e.installed),
         )
         for e in state.epochs
     )
     promises = tuple(
-        tuple(sorted(each._replace(process=place[each.process]) for each in given))
+        tuple(sorted(each._replace(process=new_index[each.process]) for each in given))
         for given in state.promises
     )
-    return State(tuple(state.processes[who] for who in order), epochs, promises)
+    return State(tuple(state.processes[index] for index in order), epochs, promises)
--- a/tests/replication/test_absence.py
+++ b/tests/replication/test_absence.py
@@ -1,5 +1,7 @@
-"""Replicas away for up to thousands of changes, by seed: none leads with old state, all catch up; and faults
-planted in members, their snapshots and their disks are found, each within the seeds that stand beside it."""
+"""Replicas that are absent for up to thousands of changes: none leads with old state, and all catch up.
+
+`INJECTED_FAULTS` lists faults of members, snapshots and disks, and the seeds within which each is found.
+"""
 
 import pytest
 
@@ -21,8 +23,8 @@
     assert max(changes) > 2_000
 
 
-class HoldsBeforeTheTransferIsSynced(Member):
-    """A holder says that it has the state before it is on its disk."""
+class AcknowledgesBeforeTheSync(Member):
+    """A holder that reports the state as installed before it is on its disk."""
 
     class Acceptor(acceptor.Acceptor):
         def on_install(self, now, sender, install):
@@ -46,22 +48,24 @@
         return primary_role, candidate, self.Acceptor(self)
 
 
-class ForgetfulChangeIndex(ChangeIndex):
-    """Remembers one key of each change."""
+class IncompleteChangeIndex(ChangeIndex):
+    """Records only one key of each change."""
 
     def note(self, base, position, changes):
         super().note(base, position, dict(list(changes.items())[:1]))
 
 
-class SendsDeltaThatLacksKeys(Member):
-    """A difference that lacks keys: the receiver's state is of two positions."""
+class SendsIncompleteDelta(Member):
+    """Sends a difference that lacks keys, so that the receiver mixes the states of two positions."""
 
     def __init__(self, *args, **options):
         super().__init__(*args, **options)
-        self.replica.change_index = ForgetfulChangeIndex(self.replica.log_position)
+        self.replica.change_index = IncompleteChangeIndex(self.replica.log_position)
 
 
 class SendsNewestStateUnderOlderPosition(Member):
+    """Sends the newest state, which has uncommitted changes, under the committed position."""
+
     class Primary(primary.Primary):
         def send_catch_up(self, now, follower):
             replica = self.member.replica
@@ -74,7 +78,9 @@
         return self.Primary(self), candidate, voters
 
 
-class TakesADifferenceFromAnyPosition(Member):
+class AppliesDeltaFromAnyPosition(Member):
+    """Applies a difference without checking that its base is the position it has."""
+
     def __init__(self, *args, **options):
         super().__init__(*args, **options)
         replica = self.replica
@@ -85,8 +91,8 @@
         replica.apply_committed = apply_committed
 
 
-class StartsFromTheOlderSlot(Machine):
-    """After a loss of power the recovery takes the slot of before."""
+class RecoversFromTheOlderSlot(Machine):
+    """A disk that after a power loss recovers an older slot."""
 
     def __init__(self, *args):
         super().__init__(*args)
@@ -105,15 +111,15 @@
             self.durable = dict(self.older)
 
 
-PLANTED = [  # the fault, the seeds within which it is found
-    ({"member_class": HoldsBeforeTheTransferIsSynced}, range(20)),
-    ({"member_class": SendsDeltaThatLacksKeys}, range(2)),
+INJECTED_FAULTS = [  # (injected fault, seeds within which it is found)
+    ({"member_class": AcknowledgesBeforeTheSync}, range(20)),
+    ({"member_class": SendsIncompleteDelta}, range(2)),
     ({"member_class": SendsNewestStateUnderOlderPosition}, range(2)),
-    ({"member_class": TakesADifferenceFromAnyPosition}, range(4)),
-    ({"machine_class": StartsFromTheOlderSlot}, range(2)),
+    ({"member_class": AppliesDeltaFromAnyPosition}, range(4)),
+    ({"machine_class": RecoversFromTheOlderSlot}, range(2)),
 ]
 
 
-@pytest.mark.parametrize(("planted", "seeds"), PLANTED)
-def test_a_planted_fault_is_found(planted, seeds):
-    assert any(ReplicaOutageRun(seed, 1, length=25.0, **planted).play() for seed in seeds)
+@pytest.mark.parametrize(("injected", "seeds"), INJECTED_FAULTS)
+def test_an_injected_fault_is_found(injected, seeds):
+    assert any(ReplicaOutageRun(seed, 1, length=25.0, **injected).play() for seed in seeds)
--- a/tests/replication/test_invariants.py
+++ b/tests/replication/test_invariants.py
@@ -1,4 +1,4 @@
-"""`check_invariants` of a member and its parts: silent in a sound core, loud for each contradiction."""
+"""`check_invariants` of a member and its parts: passes in a correct core, raises for each contradiction."""
 
 import msgspec
 import pytest
@@ -10,7 +10,7 @@
 from shedgrade.replication.replica_state import LogEntry, PromisedEpoch
 
 
-def test_a_sound_core_keeps_them_through_an_order_and_an_election():
+def test_a_correct_core_keeps_them_through_a_command_and_an_election():
     net = founded()
 
     net.call(net.primary(), "submit", 1, ("k", b"v"))
@@ -94,7 +94,7 @@
     member.stopped = True
 
 
-def speak_before_durable(member):
+def be_active_before_durable(member):
     member.incarnation_durable = False
 
 
@@ -122,17 +122,17 @@
     "uncommitted changes out of order": disorder_log,
     "the log ends elsewhere than its position": lose_end_of_log,
     "the change index ends elsewhere than the log": lag_change_index,
-    "a durable promise never made": send_promise_never_made,
+    "a durable promise above the promised epoch": send_promise_never_made,
     "primary and candidate at once": campaign_as_primary,
     "a primary that follows another": follow_another_as_primary,
     "leads an epoch whose state it doesn't hold": lead_without_holding,
     "leads an epoch older than one that it knows": know_newer_epoch,
-    "a holder that is no follower": lose_holder,
-    "holds the state twice": hold_twice,
-    "durable before it was sent": trust_write_never_sent,
+    "a holder without a follower record": lose_holder,
+    "lists itself among the other holders": hold_twice,
+    "a durable write beyond the end of the log": trust_write_never_sent,
     "a gap in the writes in flight": leave_gap_in_flight,
-    "primary after its end": act_after_exit,
-    "acts before it may speak": speak_before_durable,
+    "primary after its exit": act_after_exit,
+    "active before its incarnation is durable": be_active_before_durable,
     "a primary that was never heard": follow_primary_never_heard,
     "changes wait for nothing": forget_queued_writes,
 }
@@ -154,8 +154,8 @@
     ("phase", "text"),
     [
         (Phase.PROMISE, "campaigns without its own promise"),
-        (Phase.PREPARE, "asks others for what it has not promised"),
-        (Phase.INSTALL, "an epoch without a state to go on from"),
+        (Phase.PREPARE, "requests promises without its own"),
+        (Phase.INSTALL, "an epoch without a state to continue from"),
     ],
 )
 def test_a_campaign_that_lacks_its_beginning_is_found(phase, text):
