--- a/shedgrade/controlplane/command_router.py
+++ b/shedgrade/controlplane/command_router.py
@@ -1,9 +1,10 @@
-"""Routes operators' commands and reads to the primary and their outcomes back, whichever member got them.
+"""Routes operators' commands and reads to the primary and returns their outcomes, whichever member got them.
 
 Commands for zones carry the zone's revision (`commands.py`). That revision must have been current at a moment
-when the caller was still waiting: then whatever that caller, or one who knows its outcome, commands later is
-newer. So it is read only within `ANSWER_TIMEOUT_S` of the earliest time at which the call can have arrived,
-by this process's steady clock alone, and only while the caller has not closed its connection.
+when the caller was still waiting. Then every command that this caller, or anyone who knows its outcome, sends
+later builds on a newer revision. The router therefore reads the revision only within `ANSWER_TIMEOUT_S` of
+the earliest time at which the call can have arrived, by this process's steady clock alone, and only while the
+caller has not closed its connection.
 """
 
 import asyncio
@@ -28,15 +29,17 @@
 from shedgrade.peer_transport.connection import PeerCallError
 from shedgrade.replication import Member, OutcomeUnknown, ReadResult, RedirectToPrimary, Unavailable
 
-# Until a caller is told to try elsewhere; after a second of silence it does so by itself.
+# After this time the caller is told to try another member; after 1 s without a response it does so by itself.
 ANSWER_TIMEOUT_S = 0.65
-# For the primary's response, before it, or whoever is primary by then, is asked again.
+# Time limit for the primary's response. Then the request is sent again, to the member that is primary then.
 FORWARD_TIMEOUT_S = 0.4
 RETRY_DELAY_S = 0.05  # before the next attempt
-NO_PRIMARY_TIMEOUT_S = 2.0  # without a primary, after which calls are rejected at once: nobody took over
-SLOWEST_BYTES_PER_SECOND = 250_000  # of a large body, as in replication: callers wait longer then
-CLOSE_DELAY_S = 0.1  # after a zone's command was read, within which the end of its connection may follow:
-# both come together, or a round trip apart, when a partition between caller and member ends
+# After this time without a primary, calls are rejected at once: no member took over.
+NO_PRIMARY_TIMEOUT_S = 2.0
+SLOWEST_BYTES_PER_SECOND = 250_000  # of a large body, as in replication; extends the time limits
+# Delay between reading a zone's command and the first attempt, in which the end of its connection may arrive:
+# when a partition between caller and member ends, both arrive together or a round trip apart.
+CLOSE_DELAY_S = 0.1
 
 MemberOutcome = CommandReply | RevisionConflict | RedirectToPrimary | Unavailable | ReadResult
 OnMemberOutcome = Callable[[MemberOutcome], None]
@@ -49,7 +52,7 @@
     """Calls to other members over their links."""
 
     async def call(self, address: str, body: bytes, timeout: float) -> bytes:
-        """The response's body. `timeout` in s; PeerCallError if none came."""
+        """Returns the body of the response. `timeout` in s. Raises PeerCallError if there is no response."""
 
 
 def last_contact(member: Member, now: float) -> float:
@@ -61,8 +64,13 @@
 
 @dataclass(frozen=True, slots=True)
 class Caller:
-    """Who waits for a response. `arrived_after`: the steady time before which nothing of its call had come
-    (None: it comes now); `gone()`: whether it has closed its connection, as far as that is known here."""
+    """The client that waits for a response.
+
+    Attributes:
+        arrived_after: time on the steady clock before which no byte of the call had arrived; None if the call
+            arrives now.
+        gone: returns whether this process has seen the client close its connection.
+    """
 
     arrived_after: float | None = None
     gone: Callable[[], bool] = lambda: False
@@ -72,10 +80,12 @@
 
 
 class PendingCommand:
-    """One command, or a read (`command` is None), from its arrival here until its caller has a response.
+    """A command, or a read (`command` is None), from its arrival here until its caller has a response.
 
-    Attributes: `extra_wait_s`: added to time-outs for a large body; `finished`: the caller has its response,
-    after which nothing more is sent; `timer`: gives up after the answer time-out, cancelled once finished.
+    Attributes:
+        extra_wait_s: time added to the time limits for a large body.
+        finished: the caller has its response; nothing more is sent.
+        timer: ends the command without a decision after the time limit; cancelled once finished.
     """
 
     def __init__(
@@ -91,12 +101,12 @@
         self.timer = self.loop.call_later(ANSWER_TIMEOUT_S + self.extra_wait_s, self.finish, None)
 
     def attempt(self) -> None:
-        """Hands the command to the member of this process."""
+        """Submits the command to the member of this process."""
         if not self.finished:
             self.router.hand_to_member(self.command, self.on_member_outcome)
 
     def on_member_outcome(self, outcome: MemberOutcome) -> None:
-        """The member of this process decided, or can't."""
+        """Handles the outcome from the member of this process: a decision, a redirect, or no decision."""
         match outcome:
             case RedirectToPrimary(address):
                 self.router.spawn(self.forward(address))
@@ -108,7 +118,8 @@
                 self.on_decision(ForwardedResponse(outcome))
 
     async def forward(self, address: str) -> None:
-        """Asks the primary. Guards a slow link against configurations that are here already."""
+        """Sends the command or read to the primary. A read names the version that this member holds, so that
+        a slow link does not carry a configuration that is here already."""
         known = self.router.member.committed.state if self.command is None else {}
         held_version = configuration_version(known)
         request = COMMAND_CHANNEL + channels.encode(ForwardedRequest(self.command, held_version))
@@ -129,18 +140,19 @@
         self.on_decision(response)
 
     def on_decision(self, response: ForwardedResponse) -> None:
-        """The primary decided."""
+        """Handles a decision of the primary."""
         self.finish(response)
 
     def on_no_decision(self, maybe_applied: bool) -> None:
-        """The last attempt had no outcome; `maybe_applied`: it may yet be carried out."""
+        """Schedules the next attempt after one without an outcome, unless the caller has gone.
+        `maybe_applied`: the command may still be applied."""
         if self.caller.gone():
             self.finish(None)
         elif not self.finished:
             self.loop.call_later(RETRY_DELAY_S, self.attempt)
 
     def finish(self, response: ForwardedResponse | None) -> None:
-        """Responds to the caller, once. None: nothing can be said of the command here."""
+        """Responds to the caller, once. None: this member can't tell the outcome of the command."""
         if not self.finished:
             self.finished = True
             self.timer.cancel()
@@ -150,9 +162,12 @@
 class PendingZoneCommand(PendingCommand):
     """A command for a zone, from its arrival here until its caller has a response.
 
-    Attributes: `zone_command`: as it came; `trusted_until`: steady time after which the caller may have gone
-    on elsewhere; `revision`: the zone's, None until it was read while the caller waited; `maybe_applied`: an
-    earlier attempt may yet be carried out, so a conflict is no proof that nothing was done.
+    Attributes:
+        zone_command: the command as it was received.
+        trusted_until: time on the steady clock after which the caller may have moved on to another member.
+        revision: the zone's revision; None until it was read while the caller waited.
+        maybe_applied: an earlier attempt may have been or may still be applied, so a conflict does not prove
+            that nothing was changed.
     """
 
     def __init__(
@@ -166,18 +181,19 @@
         self.maybe_applied = False
 
     def start(self) -> None:
-        """Begins, once the end of the caller's connection would have been seen."""
+        """Schedules the first attempt, after the time in which the end of the connection would arrive."""
         if self.caller_is_waiting():
             self.loop.call_later(CLOSE_DELAY_S, self.attempt)
         else:
             self.finish(None)
 
     def caller_is_waiting(self) -> bool:
-        """Whether the caller surely waits yet, so that what is known now is no newer than its command."""
+        """Whether the caller is certainly still waiting, so that the state known now is no newer than its
+        command."""
         return self.router.clock() < self.trusted_until and not self.caller.gone()
 
     def attempt(self) -> None:
-        """As the base; gives up once the caller may have gone on elsewhere."""
+        """Submits the command with the zone's revision; gives up once the caller may have moved on."""
         if self.finished:
             return
         if not self.caller_is_waiting():
@@ -189,30 +205,32 @@
         super().attempt()
 
     def on_decision(self, response: ForwardedResponse) -> None:
-        """Tries again on the newer revision, where no earlier attempt can be what made it."""
+        """Retries with the newer revision after a conflict, unless an earlier attempt may have caused it."""
         if not isinstance(response.reply, RevisionConflict):
             self.finish(response)
         elif self.maybe_applied:
-            # An attempt may have been carried out, and a newer command after it.
+            # An earlier attempt may have been applied, and a newer command after it.
             self.finish(None)
         else:
             self.revision = response.reply.revision
             self.attempt()
 
     def on_no_decision(self, maybe_applied: bool) -> None:
-        """As the base, and remembers that an attempt may yet be carried out."""
+        """Schedules the next attempt and remembers whether this one may still be applied."""
         self.maybe_applied = self.maybe_applied or maybe_applied
         super().on_no_decision(maybe_applied)
 
 
 class CommandRouter:
-    """Hands commands and reads to the member of this process, and forwards to the primary what belongs there.
+    """Submits commands and reads to the member of this process and forwards them to the primary.
 
-    `links`: calls to other members. `pump()`: carries out what the member asks for. `clock`: a steady clock
-    in s that is read anew at each call, the loop's if None.
+    `links`: calls to other members. `pump()`: carries out the effects that the member requests. `clock`:
+    returns the current time of a steady clock in s; None: the loop's clock.
 
-    Attributes: `on_outcomes`: by ticket, who waits for the member's outcome; a ticket is removed with its
-    outcome. `last_ticket`: the highest given; tickets are never used twice.
+    Attributes:
+        on_outcomes: callback for the member's outcome by ticket; removed when the outcome arrives.
+        last_ticket: the highest ticket used; a ticket is never used twice.
+        tasks: running tasks, referenced here so that they are not garbage-collected.
     """
 
     def __init__(
@@ -233,27 +251,27 @@
         self.tasks: set[asyncio.Task[None]] = set()
 
     def check_invariants(self) -> None:
-        """AssertionError if a ticket waits that was not given yet."""
+        """Raises AssertionError if there is a callback for a ticket that was never used."""
         assert all(0 < ticket <= self.last_ticket for ticket in self.on_outcomes), "unknown ticket"
 
     def submit(self, command: Command, respond: RespondToCommand, caller: Caller = ANYONE) -> None:
-        """`respond` gets the decision's reply, or None: nothing can be said of the command, and the caller is
-        to send it again, to any member; a change that was accepted before is recognized then."""
+        """Calls `respond` with the decision's reply. None: the outcome is unknown here, and the caller has to
+        send the command again, to any member; a change that was accepted before is recognized then."""
 
         def on_response(response: ForwardedResponse | None) -> None:
             reply = response.reply if response is not None else None
-            # A conflict of revisions ends at the pending command, which tries again or gives up.
+            # A RevisionConflict stays within PendingZoneCommand, which retries or gives up.
             respond(reply if isinstance(reply, CommandReply) else None)
 
         self.follow(command, on_response, caller)
 
     def read(self, respond: RespondToRead, caller: Caller = ANYONE) -> None:
-        """`respond` gets the newest committed configuration (`channels.read_response`), confirmed after this
-        call, or None."""
+        """Calls `respond` with the newest committed configuration (`channels.read_response`), confirmed after
+        this call, or with None if it is not available."""
         self.follow(None, lambda response: respond(response.state if response is not None else None), caller)
 
     def follow(self, command: Command | None, respond: Respond, caller: Caller) -> None:
-        """Follows a command, or a read (None), until its caller has a response."""
+        """Processes a command, or a read (None), until its caller has a response."""
         now = self.loop.time()
         if now - last_contact(self.member, now) > NO_PRIMARY_TIMEOUT_S:
             respond(None)
@@ -263,7 +281,7 @@
             PendingCommand(self, command, respond, caller).attempt()
 
     def hand_to_member(self, command: Command | None, on_outcome: OnMemberOutcome) -> None:
-        """Hands a command, or a read (None), to the member of this process."""
+        """Submits a command, or a read (None), to the member of this process."""
         self.last_ticket += 1
         self.on_outcomes[self.last_ticket] = on_outcome
         now = self.loop.time()
@@ -274,25 +292,25 @@
         self.pump()
 
     def on_member_outcome(self, ticket: int, outcome: MemberOutcome) -> None:
-        """The member's outcome of a command or read."""
+        """Passes the member's outcome of a command or read to the callback of its ticket."""
         on_outcome = self.on_outcomes.pop(ticket, None)
         if on_outcome is not None:
             on_outcome(outcome)
 
     def body_size(self, command: Command | None) -> int:
-        """Bytes of the configuration that goes along: with the command, or with the response to a read."""
+        """Size in bytes of the configuration that is sent: in the command, or in the response to a read."""
         if isinstance(command, PutConfiguration | PatchConfiguration):
             return len(command.raw)
         return len(self.member.committed.state.get(CONFIGURATION, b"")) if command is None else 0
 
     def spawn(self, coroutine: Coroutine[None, None, None]) -> None:
-        """Runs a task that is not garbage-collected before its end."""
+        """Runs a coroutine as a task and keeps a reference to it until it ends."""
         task = self.loop.create_task(coroutine)
         self.tasks.add(task)
         task.add_done_callback(self.tasks.discard)
 
     def on_forwarded(self, body: bytes, respond: Callable[[bytes], None]) -> None:
-        """A command or read that another member forwarded; `respond` sends a body back to it."""
+        """Handles a command or read that another member forwarded; `respond` sends a body back to it."""
         request = channels.decode(body)
         if not isinstance(request, ForwardedRequest):
             return
--- a/shedgrade/controlplane/commands.py
+++ b/shedgrade/controlplane/commands.py
@@ -3,9 +3,9 @@
 This is the state machine of the replicated log: `make_decide` returns the function with which the primary
 turns a command into changes of the state (keys: `state_keys.py`) and an outcome.
 
-A command for a zone is a conditional write: it carries the zone's revision that the member which received it
-knew while its caller was waiting, and changes nothing once another command for that zone was acknowledged
-since. A command that is delayed on its way therefore never undoes a newer one.
+A command for a zone is a conditional write. The member that receives the command adds the zone's revision
+that it knows while the caller is waiting. The command changes nothing if another command for that zone was
+acknowledged since, so a delayed command never undoes a newer one.
 
 Source: PROTOCOL, "The operator's API".
 """
@@ -30,8 +30,13 @@
 
 
 class PutConfiguration(msgspec.Struct, array_like=True, frozen=True, tag="put"):
-    """Replaces the configuration. Its content has been checked. `base`: the version it builds on, None if the
-    caller did not say."""
+    """Replaces the configuration. The member that received the command has validated its content.
+
+    Attributes:
+        base: version that the command builds on; None if the caller did not give one.
+        version: version of the new configuration.
+        raw: the new configuration as JSON.
+    """
 
     base: int | None
     version: int
@@ -44,8 +49,14 @@
 
 
 class PatchConfiguration(msgspec.Struct, array_like=True, frozen=True, tag="patch"):
-    """Changes named items of the configuration (`delta.py`). Its items have been checked, each by itself.
-    `base`: the version it builds on, None if the caller did not say."""
+    """Changes named items of the configuration (`delta.py`). The member that received the command has
+    validated each item by itself.
+
+    Attributes:
+        base: version that the command builds on; None if the caller did not give one.
+        version: version of the resulting configuration.
+        raw: the delta as JSON.
+    """
 
     base: int | None
     version: int
@@ -53,19 +64,21 @@
 
     @property
     def content(self) -> bytes:
-        """The bytes by which the record of accepted changes identifies this change; never those of a PUT."""
+        """The bytes by which the record of accepted changes identifies this change; they never equal those of
+        a PUT."""
         return b"PATCH " + self.raw
 
 
 class Evacuate(msgspec.Struct, array_like=True, frozen=True, tag="evacuate"):
-    """No further requests go to the upstreams of a zone. `revision`: of the zone, on which this builds."""
+    """Stops sending requests to the upstreams of a zone. `revision`: the zone's revision that the command
+    builds on."""
 
     zone: str
     revision: int = 0
 
 
 class CancelEvacuation(msgspec.Struct, array_like=True, frozen=True, tag="return"):
-    """Withdraws the evacuation of a zone. `revision`: of the zone, on which this builds."""
+    """Withdraws the evacuation of a zone. `revision`: the zone's revision that the command builds on."""
 
     zone: str
     revision: int = 0
@@ -77,8 +90,14 @@
 
 
 class CommandReply(msgspec.Struct, array_like=True, frozen=True, tag="reply"):
-    """The outcome for the caller. `status`: of HTTP; `text`: what is wrong; `place`: the field or header that
-    is wrong, empty if none is; `further`: more findings."""
+    """The outcome for the caller.
+
+    Attributes:
+        status: HTTP status.
+        text: what is wrong; empty if nothing is.
+        place: the field or header that is wrong; empty if none is.
+        further: findings beyond the first.
+    """
 
     status: int
     text: str = ""
@@ -87,7 +106,7 @@
 
 
 class RevisionConflict(msgspec.Struct, array_like=True, frozen=True, tag="conflict"):
-    """Nothing was changed: the zone's `revision` is not the one on which the command builds."""
+    """Nothing was changed: the command does not build on the zone's current `revision`."""
 
     revision: int
 
@@ -96,7 +115,7 @@
 
 
 def zone_revisions(state: Mapping[str, bytes]) -> dict[str, int]:
-    """By zone: how many commands for it were acknowledged. Zones without any are absent."""
+    """The number of acknowledged commands by zone. Zones without any are absent."""
     return msgspec.json.decode(state.get(EVACUATION_REVISIONS) or b"{}")
 
 
@@ -106,14 +125,14 @@
 
 
 def is_same_json(one: bytes, other: bytes) -> bool:
-    """Whether both are the same JSON value, however it is formatted."""
+    """Whether both are the same JSON value, whatever their formatting."""
     return one == other or msgspec.json.decode(one) == msgspec.json.decode(other)
 
 
 def resulting_configuration(
     state: Mapping[str, bytes], command: ConfigurationCommand
 ) -> Result[bytes, tuple[Finding, ...]]:
-    """The configuration after the command, applied to the newest state; or why it can't be applied."""
+    """The configuration after the command is applied to the newest state, or why it can't be applied."""
     if isinstance(command, PutConfiguration):
         return Ok(command.raw)
     return apply_delta(state.get(CONFIGURATION) or EMPTY, command.raw, command.version)
@@ -122,8 +141,9 @@
 def is_already_applied(
     state: Mapping[str, bytes], command: ConfigurationCommand, status: AcceptanceStatus
 ) -> bool:
-    """Whether the command was accepted before: its caller got no clear answer and sends it again, perhaps
-    after further versions. A PUT of what is in force counts too."""
+    """Whether the command was accepted before. A caller that got no clear response sends its command again,
+    perhaps after further versions were accepted. A PUT of the configuration in force counts as accepted too.
+    """
     return status is AcceptanceStatus.ACCEPTED or (
         isinstance(command, PutConfiguration)
         and command.version == configuration_version(state)
@@ -137,7 +157,7 @@
     status = deduplication.acceptance_status(state, command.version, command.content)
     if is_already_applied(state, command, status):
         return Decision({}, CommandReply(200))
-    # A command that builds on the current version was not accepted before: its version would be above that.
+    # A command that builds on the current version was not accepted before, as that would have raised it.
     if status is AcceptanceStatus.FORGOTTEN and command.base != current:
         return Decision({}, CommandReply(503, "too old to say whether it was accepted", "configVersion"))
     if command.base != current:
@@ -157,10 +177,10 @@
 
 
 def decide_evacuation(state: Mapping[str, bytes], command: ZoneCommand, zones: Container[str]) -> Decision:
-    """The outcome of a command for a zone. `zones`: those of the settings."""
+    """The outcome of a command for a zone. `zones`: zones of the settings."""
     zone = command.zone
     evacuated = evacuated_zones(state)
-    # An evacuation may still be withdrawn after the zone has left the settings.
+    # An evacuation can still be withdrawn after the zone was removed from the settings.
     if zone not in zones and zone not in evacuated:
         return Decision({}, CommandReply(404, "no such zone", zone))
     revisions = zone_revisions(state)
@@ -168,8 +188,8 @@
     changes_zone = (zone in evacuated) != isinstance(command, Evacuate)
     if changes_zone and command.revision != current:
         return Decision({}, RevisionConflict(current))
-    # Guards against an opposite command that is still on its way: one that changes nothing also makes those
-    # obsolete that were known before it.
+    # Guards against an opposite command that is still in flight: a command that changes nothing also makes
+    # commands obsolete that build on an earlier revision.
     changes: dict[str, bytes | None] = {
         EVACUATION_REVISIONS: msgspec.json.encode({**revisions, zone: current + 1})
     }
@@ -179,8 +199,8 @@
 
 
 def make_decide(zones: Container[str]) -> Decide:
-    """`decide(state, command)` for a deployment with these zones. The outcome of a decision is a
-    CommandReply, or a RevisionConflict; TypeError for what is no command."""
+    """Returns `decide(state, command)` for a deployment with these zones. The outcome of a decision is a
+    CommandReply or a RevisionConflict. `decide` raises TypeError if `command` is not a Command."""
 
     def decide(state: Mapping[str, bytes], command: Command) -> Decision:
         match command:
@@ -188,6 +208,6 @@
                 return decide_configuration(state, command)
             case Evacuate() | CancelEvacuation():
                 return decide_evacuation(state, command, zones)
-        raise TypeError(f"no command: {command!r}")
+        raise TypeError(f"not a command: {command!r}")
 
     return decide
--- a/shedgrade/controlplane/deduplication.py
+++ b/shedgrade/controlplane/deduplication.py
@@ -1,9 +1,9 @@
-"""Deduplication of commands: which configurations were accepted, recorded within the control state itself.
+"""Deduplication of commands: a record of the accepted configurations within the control state itself.
 
 A caller that sends an accepted change again gets the same reply. Versions rise with each accepted change, so
 the record is an append-only sequence: blocks of entries (version and digest) in order. A change rewrites the
-newest block only, and a lookup is a binary search. Beyond `BLOCKS` the oldest are dropped; nothing certain is
-known of versions that old.
+newest block only, and a lookup is a binary search. Beyond `BLOCKS` the oldest blocks are dropped; whether
+a version of a dropped block was accepted is unknown.
 
 Keys (`state_keys.py`): ACCEPTED_COUNT holds the number of entries ever written (decimal), ACCEPTED_BLOCK the
 entries of one block.
@@ -16,7 +16,7 @@
 
 from shedgrade.controlplane.state_keys import ACCEPTED_BLOCK, ACCEPTED_COUNT, configuration_version
 
-BLOCK_ENTRIES = 32  # entries of one block: at most 640 bytes are rewritten by a change
+BLOCK_ENTRIES = 32  # entries of one block: a change rewrites at most 640 bytes
 BLOCKS = 1024  # blocks that are kept: 32,768 configurations in 655 KB
 DIGEST_BYTES = 12
 ENTRY = Struct(f">Q{DIGEST_BYTES}s")  # version, digest
@@ -27,32 +27,32 @@
 
     ACCEPTED = auto()
     NEVER_ACCEPTED = auto()
-    FORGOTTEN = auto()  # older than the record: it may have been accepted
+    FORGOTTEN = auto()  # older than the record: the change may have been accepted
 
 
 def digest(raw: bytes) -> bytes:
-    """Of a change's content, as entries have it (BLAKE2b, RFC 7693)."""
+    """The digest of a change's content, as stored in the entries (BLAKE2b, RFC 7693)."""
     return blake2b(raw, digest_size=DIGEST_BYTES).digest()
 
 
 def count(state: Mapping[str, bytes]) -> int:
-    """Entries ever written."""
+    """The number of entries ever written."""
     return int(state.get(ACCEPTED_COUNT) or 0)
 
 
 def oldest_block(entries: int) -> int:
-    """The number of the oldest block kept, when so many entries were written."""
+    """The number of the oldest block that is kept after `entries` entries were written."""
     newest = max(entries - 1, 0) // BLOCK_ENTRIES
     return max(newest - BLOCKS + 1, 0)
 
 
 def first_version(state: Mapping[str, bytes], block: int) -> int:
-    """The version of a block's first entry. KeyError if the block is not kept."""
+    """The version of a block's first entry. Raises KeyError if the block is not kept."""
     return ENTRY.unpack_from(state[ACCEPTED_BLOCK.format(block)])[0]
 
 
 def acceptance_status(state: Mapping[str, bytes], version: int, raw: bytes) -> AcceptanceStatus:
-    """Whether the change with this version and content was accepted, by the newest `state`."""
+    """Whether the change with this version and content was accepted, according to the newest `state`."""
     if version > configuration_version(state):
         return AcceptanceStatus.NEVER_ACCEPTED
     entries = count(state)
@@ -72,7 +72,7 @@
 
 
 def record(state: Mapping[str, bytes], version: int, raw: bytes) -> dict[str, bytes | None]:
-    """The changes of the state that add an accepted configuration; its version is above all before."""
+    """The changes of the state that record an accepted change; its version must be above all recorded."""
     entries = count(state)
     block, position = divmod(entries, BLOCK_ENTRIES)
     key = ACCEPTED_BLOCK.format(block)
--- a/shedgrade/controlplane/references.py
+++ b/shedgrade/controlplane/references.py
@@ -1,7 +1,9 @@
 """Checks of the references between the elements of one configuration.
 
-Elements are whatever has the attributes that are read here: the models of `shedgrade.configuration`, or the
-few fields that `delta.py` reads of each. Source: PROTOCOL, "The operator's API".
+The protocols below name the attributes that are read of an element. Elements are models of
+`shedgrade.configuration`, or the few fields that `delta.py` decodes of each.
+
+Source: PROTOCOL, "The operator's API".
 """
 
 from __future__ import annotations
@@ -13,39 +15,39 @@
 
 
 class NamedService(Protocol):
-    """Of a service: its name."""
+    """A service, of which only the name is read."""
 
     @property
     def name(self) -> str:
-        """By which routes refer to it."""
+        """The name by which routes refer to the service."""
         ...
 
 
 class SplitTarget(Protocol):
-    """Of a split: the service that gets a part of a route's requests."""
+    """A split: the service that gets a part of a route's requests."""
 
     @property
     def service(self) -> str:
-        """Its name."""
+        """The name of the service."""
         ...
 
 
 class RouteReferences(Protocol):
-    """Of a route: where it is found, and the services to which it leads."""
+    """A route: its match criteria, and the services that it refers to."""
 
     @property
     def host(self) -> str:
-        """Of the requests, in any case."""
+        """The host of matching requests; case is ignored."""
         ...
 
     @property
     def path_prefix(self) -> str:
-        """Of the requests' paths."""
+        """The prefix of the paths of matching requests."""
         ...
 
     @property
     def service(self) -> str | None:
-        """Its name, None if there is a split."""
+        """The name of the service; may be None if the route has a split."""
         ...
 
     @property
@@ -55,23 +57,23 @@
 
 
 class References:
-    """Checks each element against those that it has seen before; each is to be shown once, with its place."""
+    """Checks each element against those added before. Each element must be added once, with its place."""
 
     def __init__(self, findings: Findings, services: Container[str]) -> None:
-        """`services`: the names of all services, also of those that are shown later."""
+        """`services`: the names of all services, also of those that are added later."""
         self.findings = findings
         self.services = services
         self.service_places: dict[str, str] = {}  # by name
         self.route_places: dict[tuple[str, str], str] = {}  # by host in lower case and prefix
 
     def add_service(self, service: NamedService, place: str) -> None:
-        """A service; its name must be its own."""
+        """Adds a service; its name must be unique."""
         first = self.service_places.setdefault(service.name, place)
         if first != place:
             self.findings.add(f"{place}.name", f"{service.name!r} is also the name of {first}")
 
     def add_route(self, route: RouteReferences, place: str) -> None:
-        """A route; host and prefix must be its own, and the services to which it leads must exist."""
+        """Adds a route; its host and prefix must be unique, and the services that it refers to must exist."""
         first = self.route_places.setdefault((route.host.lower(), route.path_prefix), place)
         if first != place:
             self.findings.add(place, f"has the host and the prefix of {first}")
@@ -81,6 +83,6 @@
             self.check_known(split.service, f"{place}.weightedSplit[{at}].service")
 
     def check_known(self, service: str, place: str) -> None:
-        """A service must exist."""
+        """Adds a finding if the service does not exist."""
         if service not in self.services:
             self.findings.add(place, f"{service!r} is not in serviceList")
