--- a/shedgrade/controlplane/configuration_validation.py
+++ b/shedgrade/controlplane/configuration_validation.py
@@ -1,11 +1,11 @@
-"""Validation of the operators' configurations; all that is wrong is reported together.
+"""Validation of the operators' configurations; all findings are reported together.
 
-Source: PROTOCOL, "The operator's API". Only what is named invalid there, or what no data plane could use, is
-rejected: rejecting a valid configuration breaks a rule.
+Source: PROTOCOL, "The operator's API". A configuration is rejected only for what is named invalid there, or
+what no data plane could use: rejecting a valid configuration violates the protocol.
 
-pyserde makes the models. It stops at the first wrong field, takes a string for a list and true for a number,
-and leaves nulls where a default is meant. So `valid_fields` looks at the decoded JSON first, and hands on
-what is valid.
+pyserde makes the models. It stops at the first wrong field, accepts a string for a list and true for a
+number, and keeps nulls where a default is meant. `valid_fields` therefore checks the decoded JSON first and
+passes only the valid fields to pyserde.
 """
 
 from collections.abc import Callable, Container
@@ -32,22 +32,22 @@
 for _model in (Split, Route, Model, InferenceEngine, Service, Limits):
     deserialize(_model, type_check=disabled)
 
-VERSION_LIMIT = 1 << 63  # a version is below it, so that it fits all formats in which it is sent and stored
+VERSION_LIMIT = 1 << 63  # exclusive; lower versions fit all formats in which they are sent and stored
 KIND_NAMES = {str: "a string", int: "a whole number", float: "a number", bool: "true or false"}
 
 AnyModel = TypeVar("AnyModel")
 
 
 def read_configuration(raw: bytes) -> Result[Configuration, tuple[Finding, ...]]:
-    """The configuration in these bytes, or at most a hundred findings, in the order of its fields. Never
+    """The configuration in these bytes, or at most a hundred findings in the order of its fields. Never
     raises."""
     try:
-        data = msgspec.json.decode(raw)  # as data planes do: what they can't read must not be accepted
+        data = msgspec.json.decode(raw)  # the decoder of the data planes: reject JSON that they can't decode
     except (msgspec.DecodeError, ValueError, RecursionError) as wrong:
         return Error((Finding("", f"cannot be read: {wrong}"),))
     findings = Findings()
     if not isinstance(data, dict):
-        return Error((Finding("", "is no object"),))
+        return Error((Finding("", "is not an object"),))
     version = check_version(data.get("configVersion"), findings)
     routes, services, limits = (top_level_field(field, data, findings) for field in layout(Configuration)[1:])
     checks = ElementChecks(findings, service_names(services))
@@ -60,13 +60,13 @@
 
 
 def service_names(services: list[Any] | None) -> set[str]:
-    """The names of all services, also of those in which something else is wrong."""
+    """The names of all services, also of those that have findings."""
     names = (service.get("name") for service in services or () if isinstance(service, dict))
     return {name for name in names if isinstance(name, str)}
 
 
 def check_version(value: Any, findings: Findings) -> int | None:
-    """The version of a configuration, or of a change of it; None, with a finding, if it is none."""
+    """The version of a configuration or of a delta; None, with a finding, if it is not a valid version."""
     if value is None:
         findings.add("configVersion", "is missing")
         return None
@@ -99,10 +99,10 @@
     findings: Findings,
     check: Callable[[AnyModel, str], None],
 ) -> list[AnyModel]:
-    """The models of a list's elements that are valid by themselves; `check` sees each with its place."""
+    """The models of a list's elements that are valid by themselves. Calls `check` with each and its place."""
     found = []
     for index, value in enumerate(values or ()):
-        if findings.full():  # guards against a long response to a long configuration that is all wrong
+        if findings.full():  # guards against a long response to a long configuration that is wrong throughout
             break
         place = f"{list_name}[{index}]"
         element = make_model(model_class, value, place, findings)
@@ -113,20 +113,20 @@
 
 
 def make_model(model_class: type[AnyModel], value: Any, place: str, findings: Findings) -> AnyModel | None:
-    """The model, None if something in it is a finding."""
+    """The model; None if there are findings in the value."""
     before = len(findings) + findings.omitted
     fields = valid_fields(model_class, value, place, findings)
     if len(findings) + findings.omitted > before:
         return None
     try:
         return from_dict(model_class, fields)
-    except SerdeError as wrong:  # guards against a value that only pyserde finds wrong
+    except SerdeError as wrong:  # guards against a value that pyserde rejects and `valid_fields` accepts
         findings.add(place, str(wrong))
         return None
 
 
 def valid_fields(model_class: type, value: Any, place: str, findings: Findings) -> dict[str, Any] | None:
-    """The fields of a model that are known and not null; what is wrong in them is added to the findings."""
+    """The fields of a model that are known and not null. Adds findings for those that are wrong."""
     if not isinstance(value, dict):
         findings.add(place, "is not an object")
         return None
@@ -153,7 +153,8 @@
 
 
 def valid_list(field: FieldLayout, kind: Any, value: Any, place: str, findings: Findings) -> list[Any] | None:
-    """The elements of a field that holds a list, None if it is no list. `kind`: of its elements."""
+    """The elements of a field that holds a list; None, with a finding, if the value is not a list. `kind`:
+    type of the elements."""
     if not isinstance(value, list):
         findings.add(place, "is not a list")
         return None
@@ -164,8 +165,8 @@
 
 
 def scalar(kind: Any, value: Any, place: str, findings: Findings) -> Any:
-    """A string, a number or a boolean; None, with a finding, if it is not of the kind. A whole number may be
-    written as 5.0 too."""
+    """A string, a number or a boolean; None, with a finding, if the value is not of this kind. A whole number
+    may also be written as 5.0."""
     found = type(value)
     if found is kind or (kind is float and found is int):
         return value
@@ -176,24 +177,24 @@
 
 
 class ElementChecks:
-    """Checks what makes an element unusable by itself, and its references to the others."""
+    """Checks the values of each element and its references to other elements."""
 
     def __init__(self, findings: Findings, services: Container[str]) -> None:
-        """`services`: the names of all services, also of those in which something else is wrong."""
+        """`services`: the names of all services, also of those that have findings."""
         self.findings = findings
         self.references = References(findings, services)
 
     def check_service(self, service: Service, place: str) -> None:
-        """One of the services; each is to be checked once."""
+        """Checks a service; must be called once for each."""
         self.references.add_service(service, place)
 
     def check_route(self, route: Route, place: str) -> None:
-        """One of the routes; each is to be checked once."""
+        """Checks a route; must be called once for each."""
         self.check_values(route, place)
         self.references.add_route(route, place)
 
     def check_values(self, route: Route, place: str) -> None:
-        """The values of a route, whatever the other elements are."""
+        """Checks the values of a route that don't depend on other elements."""
         add = self.findings.add
         prefix = route.path_prefix
         if not (prefix.startswith("/") and prefix.endswith("/")):
@@ -211,5 +212,5 @@
 
 
 def encode_findings(findings: tuple[Finding, ...]) -> bytes:
-    """The JSON in which a caller gets findings."""
+    """The findings as the JSON body of a response."""
     return msgspec.json.encode({"findings": findings})
--- a/shedgrade/controlplane/delta.py
+++ b/shedgrade/controlplane/delta.py
@@ -1,8 +1,9 @@
-"""A change of some of a configuration's named items (`PATCH /configuration`): reading, applying, making one.
+"""A delta: a change of some named items of a configuration (`PATCH /configuration`).
 
-Items are merged as the bytes in which they came, so fields that are not known here stay. Whoever receives a
-delta checks its items, each by itself; the primary, which knows what the delta builds on, checks what all
-items have to do with one another. That costs little more than finding the names in what is there already.
+This module validates, applies and makes deltas. Items are merged as the bytes that were received, so fields
+that are unknown here are kept. The member that receives a delta validates each item by itself; the primary,
+which knows the configuration that the delta builds on, checks the references between all items. That check
+costs little more than finding the names in the existing configuration.
 
 Source: PROTOCOL with LATER, "The operator's API".
 """
@@ -27,25 +28,25 @@
 ADD = "addModify"
 REMOVE = "remove"
 MODELS: dict[str, type] = {ROUTES: Route, SERVICES: Service}
-EMPTY = b'{"routeList":[],"serviceList":[]}'  # what the first configuration builds on
+EMPTY = b'{"routeList":[],"serviceList":[]}'  # base of the first configuration
 
 Rejection = tuple[Finding, ...]
 
 
 class Named(msgspec.Struct):
-    """Of an item: its name, by which it is replaced or removed."""
+    """The name of an item, by which it is replaced or removed."""
 
     name: str = ""
 
 
 class SplitFields(msgspec.Struct):
-    """Of a split: what `References` looks at."""
+    """The fields of a split that `References` reads."""
 
     service: str
 
 
 class RouteFields(msgspec.Struct, rename="camel"):
-    """Of a route: what `References` looks at."""
+    """The fields of a route that `References` reads."""
 
     host: str
     path_prefix: str
@@ -54,14 +55,14 @@
 
 
 class Delta(msgspec.Struct):
-    """A delta that `read_delta` found sound, its items as they came."""
+    """A delta that `read_delta` found valid, with its items as they were received."""
 
     addModify: dict[str, list[msgspec.Raw] | None] | None = None  # noqa: N815 (as on the wire)
     remove: dict[str, list[str] | None] | None = None
 
 
 class Item(msgspec.Struct):
-    """One item of a merged list. `place`: where it stands in the delta, or in what that builds on."""
+    """One item of a merged list. `place`: its place in the delta, or in the configuration it builds on."""
 
     name: str
     raw: msgspec.Raw
@@ -76,18 +77,18 @@
 
 
 def read_delta(raw: bytes) -> Result[int, Rejection]:
-    """The version that the delta makes, or what is wrong with it whatever it builds on. Never raises."""
+    """The version that the delta makes, or the findings that don't depend on its base. Never raises."""
     try:
         data = msgspec.json.decode(raw)
     except (msgspec.DecodeError, ValueError, RecursionError) as wrong:
         return Error((Finding("", f"cannot be read: {wrong}"),))
     findings = Findings()
     if not isinstance(data, dict):
-        return Error((Finding("", "is no object"),))
+        return Error((Finding("", "is not an object"),))
     version = check_version(data.get(VERSION), findings)
     added = read_lists(data, ADD, findings)
     removed = read_lists(data, REMOVE, findings)
-    names: dict[str, dict[str, str]] = {one: {} for one in MODELS}  # by list and name: where it was met
+    names: dict[str, dict[str, str]] = {one: {} for one in MODELS}  # by list and name: its first place
     checks = ElementChecks(findings, ())
     for list_name, values in added.items():
         for at, value in enumerate(values):
@@ -109,7 +110,7 @@
 
 
 def read_lists(data: dict[str, Any], part: str, findings: Findings) -> dict[str, list[Any]]:
-    """The lists under `addModify` or `remove`, by their names; what is none of them is a finding."""
+    """The lists under `addModify` or `remove` by their names; adds a finding for any other value."""
     lists = data.get(part)
     if lists is None:
         return {}
@@ -119,7 +120,7 @@
     sound = {}
     for list_name, values in lists.items():
         if list_name not in MODELS:
-            findings.add(f"{part}.{list_name}", "is no list of named items")
+            findings.add(f"{part}.{list_name}", "is not a list of named items")
         elif values is not None and not isinstance(values, list):
             findings.add(f"{part}.{list_name}", "is not a list")
         else:
@@ -128,18 +129,19 @@
 
 
 def check_name(met: dict[str, str], name: str, place: str, findings: Findings) -> None:
-    """Each item is named, and once: added twice, or added and removed, it would be unclear what holds."""
+    """Checks that an item has a name and occurs once in the delta: adding an item twice, or adding and
+    removing it, is ambiguous."""
     if not name:
         findings.add(f"{place}.name" if place.startswith(ADD) else place, "is missing")
         return
     first = met.setdefault(name, place)
     if first != place:
-        findings.add(place, f"{name!r} also stands at {first}")
+        findings.add(place, f"{name!r} is also at {first}")
 
 
 def apply_delta(configuration: bytes, raw: bytes, version: int) -> Result[bytes, Rejection]:
-    """The configuration `version` that a sound delta makes of the whole one that it builds on, or what is
-    wrong between its items. Removing a name that does not exist changes nothing."""
+    """The configuration, with this version, after a valid delta is applied to its base, or the findings in
+    the references between items. Removing a name that does not exist changes nothing."""
     delta = delta_of(raw)
     fields = top_level_fields(configuration)
     fields[VERSION] = msgspec.Raw(b"%d" % version)
@@ -157,7 +159,7 @@
 def merge(
     list_name: str, known: list[msgspec.Raw], added: list[msgspec.Raw], removed: frozenset[str]
 ) -> list[Item]:
-    """Replaced items keep their places, new ones come at the end."""
+    """Merges the items of a list: replaced items keep their positions, new ones are appended."""
     new = {}
     for at, raw in enumerate(added):
         name = name_of(raw).name
@@ -172,7 +174,8 @@
 
 
 def check_references(routes: list[Item], services: list[Item]) -> Rejection:
-    """Findings at items of the delta where one of them is to blame: those that were there come first."""
+    """Checks the references between all items. The items of the base are added first, so that a duplicate is
+    reported at the item of the delta."""
     findings = Findings()
     references = References(findings, frozenset(item.name for item in services))
     for item in sorted(services, key=is_of_delta):
@@ -183,17 +186,18 @@
 
 
 def is_of_delta(item: Item) -> bool:
-    """Whether the delta added or replaced it."""
+    """Whether the delta added or replaced the item."""
     return item.place.startswith(ADD)
 
 
 def make_delta(old: bytes, new: bytes) -> Result[bytes, Rejection]:
-    """The delta that makes the sound configuration `new` of the sound one `old`, or what it can't express."""
+    """The delta that turns the valid configuration `old` into the valid `new`, or the differences that a
+    delta can't express."""
     findings = Findings()
     before, after = top_level_fields(old), top_level_fields(new)
     for list_name in sorted((before.keys() | after.keys()) - {VERSION, *MODELS}):
         if decoded(before.get(list_name)) != decoded(after.get(list_name)):
-            findings.add(list_name, "moves, and a change of named items cannot say so")
+            findings.add(list_name, "differs, which a change of named items cannot express")
     added: dict[str, list[msgspec.Raw]] = {}
     removed: dict[str, list[str]] = {}
     for list_name in MODELS:
@@ -211,16 +215,16 @@
 
 
 def decoded(raw: msgspec.Raw | None) -> Any:
-    """The JSON value, however it is formatted; None if the field is absent."""
+    """The JSON value, whatever its formatting; None if the field is absent."""
     return None if raw is None else msgspec.json.decode(raw)
 
 
 def by_name(items: Iterable[msgspec.Raw], list_name: str, findings: Findings) -> dict[str, msgspec.Raw]:
-    """Items by their names; one without a name of its own is a finding."""
+    """Items by their names; adds a finding for an item whose name is missing or not unique."""
     found: dict[str, msgspec.Raw] = {}
     for at, raw in enumerate(items):
         name = name_of(raw).name
         if not name or name in found:
-            findings.add(f"{list_name}[{at}].name", "does not tell it from the others")
+            findings.add(f"{list_name}[{at}].name", "is missing or not unique")
         found[name] = raw
     return found
