--- a/shedgrade/controlplane/endpoint_list.py
+++ b/shedgrade/controlplane/endpoint_list.py
@@ -1,8 +1,8 @@
 """The platform's list of endpoints (upstream instances) as one core member knows it, with its age. No I/O.
 
-Source: the operators' PROTOCOL, "Service discovery". One process polls the platform and all core members hold
-its list. A list has the version (term of the poller, number); a change adds one to the number. What only
-counts down is no change: it is kept as a point on our own clock.
+Source: the operators' PROTOCOL, "Service discovery". One process polls the platform, and all core members
+hold its list. A list has the version (term of the poller, number); each change adds one to the number.
+Countdowns in the entries are stored as times on our own clock, so that passing time is not a change.
 """
 
 import time
@@ -24,25 +24,27 @@
 )
 from shedgrade.runtime.log import logger
 
-MAX_HISTORY = 256  # changes from which deltas are made; a receiver that holds less is sent the full list
-COUNTDOWN_TOLERANCE_S = 1.0  # by which a time that is left may differ from before: lag and delay
-WARM_UP_EXTENSION_S = 0.3  # the same for an endpoint that stays cold for longer: that is passed on sooner
-STALE_BY_S = 3.0  # by which a list of a higher version must be older for one of a lower to replace it
-MAX_REPORTED = 1024  # invalid entries that are remembered, so that each is logged once
+MAX_HISTORY = 256  # changes from which deltas are made; a receiver with an older list is sent the full one
+COUNTDOWN_TOLERANCE_S = 1.0  # by which an end may shift without being a change: lag and delay
+WARM_UP_EXTENSION_S = 0.3  # the same for a later end of a warm-up, which is to be passed on sooner
+STALE_BY_S = 3.0  # a list of a lower version replaces one of a higher version that is older by more than this
+MAX_REPORTED = 1024  # faults that are remembered, so that each is logged once
 MAX_LOGGED_CHARACTERS = 300  # of an invalid entry
-MAX_COUNT = 1e12  # of ms or slots in an entry
+MAX_COUNT = 1e12  # exclusive limit of ms or slots in an entry
 
 Version = tuple[int, int]
-"""(term, number) of a list; compared in that order."""
+"""(term, number) of a list; compared in this order."""
 PlatformEntry = dict[str, Any]
-"""One instance as the platform describes it: a JSON object, not yet checked."""
+"""One instance as the platform describes it: a JSON object that is not validated yet."""
 
 
 class CachedEndpoint:
-    """An endpoint in the list, with its countdowns as points on our clock.
+    """An endpoint in the list, with its countdowns as times on our clock.
 
-    endpoint: as it was received. warm_at: when it is warmed up; None if it is. removal_at: when the platform
-    takes it away; None if no end is announced.
+    Attributes:
+        endpoint: as it was received.
+        warm_at: time at which it is warmed up; None if it is.
+        removal_at: time at which the platform removes it; None if no removal is announced.
     """
 
     __slots__ = ("endpoint", "removal_at", "warm_at")
@@ -53,7 +55,7 @@
         self.removal_at = now + endpoint.time_left_ms / 1000 if endpoint.time_left_ms >= 0 else None
 
     def is_same(self, now: float, other: "CachedEndpoint") -> bool:
-        """Whether `other`, received at `now`, differs by nothing but the time that has passed."""
+        """Whether `other`, received at `now`, differs in nothing but the time that has passed."""
         return (
             without_countdowns(self.endpoint) == without_countdowns(other.endpoint)
             and -COUNTDOWN_TOLERANCE_S <= end_shift_s(now, self.warm_at, other.warm_at) <= WARM_UP_EXTENSION_S
@@ -61,7 +63,7 @@
         )
 
     def at(self, now: float) -> Endpoint:
-        """The endpoint with its countdowns as of now."""
+        """The endpoint with its countdowns as of `now`."""
         if self.warm_at is None and self.removal_at is None:
             return self.endpoint
         cold_ms = 0 if self.warm_at is None else max(0.0, self.warm_at - now) * 1000
@@ -72,24 +74,28 @@
 
 
 def without_countdowns(endpoint: Endpoint) -> Endpoint:
-    """The endpoint without what changes as time passes."""
+    """The endpoint without the fields that change as time passes."""
     return msgspec.structs.replace(endpoint, cold_left_ms=0, time_left_ms=-1)
 
 
 def end_shift_s(now: float, before: float | None, after: float | None) -> float:
-    """By how many seconds an end moved; one that is past, or was never announced, counts as now."""
+    """By how many seconds an end moved. An end that is past or was never announced counts as `now`."""
     return max(now, now if after is None else after) - max(now, now if before is None else before)
 
 
 class EndpointList:
-    """The list, its version and its age. `now` is handed in, or read from the clock that was.
-
-    clock: seconds that only grow. term, number: the version; (0, 0) while nothing is known. own_term: under
-    which this process polls the platform; None while it does not. skipped_numbers: left out at the next
-    change. confirmed_at: when the platform last confirmed the whole list; None if it never did. endpoints: by
-    id. history: for each of the newest changes the version before it, and the ids that it changed or removed.
-    needs_request: a newer list exists and can be had only by asking for it. reported: invalid entries that
-    were logged, oldest first.
+    """The list, its version and its age. Methods with an optional `now` read the clock if it is None.
+
+    Attributes:
+        clock: returns seconds that never fall.
+        term, number: the version; (0, 0) while nothing is known.
+        own_term: the term under which this process polls the platform; None while it does not.
+        skipped_numbers: how many numbers the next change leaves out.
+        confirmed_at: when the platform last confirmed the whole list; None if it never did.
+        endpoints: by id.
+        history: for each of the newest changes the version before it, and the ids that it changed or removed.
+        needs_request: a newer list exists, and has to be requested.
+        reported: faults of invalid entries that were logged, oldest first.
     """
 
     def __init__(self, clock: Callable[[], float] = time.monotonic) -> None:
@@ -110,40 +116,40 @@
         return self.term, self.number
 
     def age_s(self, now: float | None = None) -> float:
-        """Since the platform confirmed the list; UNKNOWN_AGE_S if it never did."""
+        """Time in s since the platform confirmed the list; UNKNOWN_AGE_S if it never did."""
         if self.confirmed_at is None:
             return UNKNOWN_AGE_S
         return max(0.0, (self.clock() if now is None else now) - self.confirmed_at)
 
     def snapshot(self, now: float | None = None) -> tuple[Endpoint, ...]:
-        """All endpoints, with their countdowns as of now."""
+        """All endpoints, with their countdowns as of `now`."""
         now = self.clock() if now is None else now
         return tuple(cached.at(now) for cached in self.endpoints.values())
 
     # --- from the platform
 
     def begin_term(self, term: int, skipped_numbers: int = 0) -> None:
-        """This process polls from now on, under a term that nobody else has. The next list has that term,
-        even if nothing changed; its number leaves out `skipped_numbers` others.
+        """Starts polling by this process under a term that no other process has. The next list gets this
+        term, even if nothing changed, and its number leaves out `skipped_numbers` others.
         """
         self.own_term = term if term >= self.term else self.term + 1
         self.skipped_numbers = skipped_numbers
 
     def end_term(self) -> None:
-        """This process polls no more."""
+        """Ends polling by this process."""
         self.own_term = None
 
     def apply_poll(self, now: float, entries: list[PlatformEntry], requested_at: float | None = None) -> bool:
-        """Takes a full list of the platform, requested at `requested_at`; invalid entries are left out.
-        Returns whether anything changed.
+        """Replaces the list with a full list of the platform, requested at `requested_at`; invalid entries
+        are left out. Returns whether anything changed.
         """
         term = self.term if self.own_term is None else self.own_term
         if term < self.term:
-            return False  # another polls under a newer term: nobody would take a list of ours
+            return False  # another process polls under a newer term, and no member would accept our list
         received = self.parse_entries(now, entries)
         if entries and not received:
-            return False  # guards against an answer that is broken throughout: it would take all away
-        # Guards against an answer that waited unread while this process stood still.
+            return False  # guards against a response with invalid entries only: it would remove all endpoints
+        # Guards against a response that waited unread while this process was stopped.
         self.confirmed_at = now if requested_at is None else requested_at
         touched = {name for name in self.endpoints if name not in received}
         for name, new in received.items():
@@ -158,23 +164,25 @@
         return True
 
     def advance(self, version: Version, endpoints: dict[str, CachedEndpoint], touched: set[str]) -> None:
-        """Replaces the list; `touched`: ids that differ from the one before, or are gone."""
+        """Replaces the list. `touched`: ids of endpoints that differ from those in the list before, or are
+        gone."""
         self.history.append((self.version, frozenset(touched)))
         self.endpoints = endpoints
         self.term, self.number = version
 
     def parse_entries(self, now: float, entries: list[PlatformEntry]) -> dict[str, CachedEndpoint]:
-        """The valid entries, by id."""
+        """The valid entries as endpoints, by id."""
         received: dict[str, CachedEndpoint] = {}
         for entry in entries:
             endpoint = self.parse_or_keep(now, entry)
-            # Guards against an instance that moves between two pages as it changes: its end counts.
+            # Guards against an instance that moves between two pages as it changes: the draining one counts.
             if endpoint is not None and (endpoint.id not in received or endpoint.state != AVAILABLE):
                 received[endpoint.id] = CachedEndpoint(now, endpoint)
         return received
 
     def parse_or_keep(self, now: float, entry: PlatformEntry) -> Endpoint | None:
-        """An entry of the platform. If it is invalid, what was known before, draining if it says so."""
+        """The endpoint of an entry. If the entry is invalid, the endpoint known before, draining if the entry
+        says so; None if there is none."""
         try:
             return parse_endpoint(entry)
         except (KeyError, TypeError, ValueError, AttributeError, OverflowError) as error:
@@ -183,14 +191,14 @@
             cached = self.endpoints.get(name) if isinstance(name, str) else None
             if cached is None:
                 return None
-            # Guards against one broken field that would take a working upstream away, or keep a leaving one.
+            # Guards against one invalid field that would remove a working upstream or keep a leaving one.
             state = entry.get("state")
             is_leaving = isinstance(state, str) and state != AVAILABLE
             kept_state = DRAINING if is_leaving else cached.endpoint.state
             return msgspec.structs.replace(cached.at(now), state=kept_state)
 
     def report_invalid(self, name: str, error: Exception, entry: PlatformEntry) -> None:
-        """Logs an invalid entry, once an entry and fault."""
+        """Logs an invalid entry, once for each entry and fault."""
         fault = f"{name}: {error!r}"
         if fault in self.reported:
             return
@@ -204,29 +212,27 @@
     # --- between core members, and to edges
 
     def request(self, now: float | None = None) -> EndpointListRequest:
-        """What to ask another member with."""
+        """The request for the list, to send to another member."""
         return EndpointListRequest(self.term, self.number, self.age_s(now))
 
     def newer_than(self, term: int, number: int, age_s: float = 0.0, now: float | None = None) -> bool:
-        """Whether this list should replace one of that version that was confirmed `age_s` ago.
+        """Whether this list should replace one of the given version that was confirmed `age_s` ago.
 
         Guards against a fleet that waits for a term which no poller reaches, after all core members lost
-        theirs at once: what the platform confirmed well later is newer, whatever its version.
+        their lists at once: a list that the platform confirmed much later is newer, whatever its version.
         """
         if self.confirmed_at is None or self.version == (term, number):
             return False
         return self.version > (term, number) or age_s - self.age_s(now) > STALE_BY_S
 
     def update_since(self, term: int, number: int, now: float | None = None) -> EndpointUpdate:
-        """What a receiver with the version (term, number) lacks: a delta where possible, else the full
-        list.
-        """
+        """The update for a receiver with this version: a delta if possible, else the full list."""
         now = self.clock() if now is None else now
         age_s = self.age_s(now)
         if (term, number) == self.version:
             return EndpointUpdate(self.term, self.number, age_s, term, number)
         touched: set[str] = set()
-        for before, ids in reversed(self.history if number else ()):  # one that holds nothing gets all
+        for before, ids in reversed(self.history if number else ()):  # number 0: the receiver has no list
             touched |= ids
             if before == (term, number):
                 changed = tuple(self.endpoints[name].at(now) for name in touched if name in self.endpoints)
@@ -235,10 +241,10 @@
         return EndpointUpdate(self.term, self.number, age_s, changed=self.snapshot(now))
 
     def apply_update(self, message: EndpointUpdate, now: float | None = None, unread_s: float = 0.0) -> bool:
-        """Takes what another member sent; returns whether the list changed.
+        """Applies an update of another member. Returns whether the list changed.
 
-        If it tells of a list that is newer and can't be made from this one, `needs_request` is set: ask with
-        `request()`. `unread_s`: the message may have waited here so long.
+        Sets `needs_request` if the update belongs to a newer list but is a delta from another version than
+        this list's: the caller sends `request()`. `unread_s`: time that the message may have waited here.
         """
         now = self.clock() if now is None else now
         age_s = message.age_s + unread_s
@@ -269,10 +275,11 @@
 
 
 def parse_endpoint(entry: PlatformEntry) -> Endpoint:
-    """An entry of the platform's list. KeyError, TypeError or ValueError if it is invalid."""
+    """The endpoint of an entry of the platform's list. Raises KeyError, TypeError, ValueError, AttributeError
+    or OverflowError if the entry is invalid."""
     host, _, port = entry["address"].rpartition(":")
     if not host or not 0 < int(port) < 65536:
-        raise ValueError(f"address {entry['address']!r:.60}")
+        raise ValueError(f"invalid address {entry['address']!r:.60}")
     cold_left_ms = entry.get("coldLeftMs") or 0
     time_left_ms = entry.get("timeLeftMs")
     slots = entry.get("capacitySlots") or 0
@@ -293,27 +300,27 @@
 
 
 def parse_model(entry: PlatformEntry) -> Model:
-    """One of an entry's `modelList`."""
+    """One model of an entry's `modelList`."""
     adapters = entry.get("adapterList") or ()
     version = int(entry.get("configVersion") or 0)
     return Model(required_text(entry, "name"), version, tuple(map(adapter_name, adapters)))
 
 
 def adapter_name(value: Any) -> str:
-    """A name as it stands; anything else as its JSON text."""
+    """The adapter's name if the value is a string, else the JSON text of the value."""
     return value if isinstance(value, str) else orjson.dumps(value).decode()
 
 
 def required_text(entry: PlatformEntry, key: str) -> str:
-    """The text under that key. KeyError if it is missing, TypeError if it is no text or empty."""
+    """The string under that key. Raises KeyError if it is missing, TypeError if it is no string or empty."""
     value = entry[key]
     if type(value) is not str or not value:
-        raise TypeError(f"{key} is no text")
+        raise TypeError(f"{key} is not a non-empty string")
     return value
 
 
 def checked_count(value: Any) -> float:
-    """A number of ms or slots; ValueError or TypeError if it can be none."""
+    """A number of ms or slots. Raises ValueError or TypeError for any other value."""
     if isinstance(value, bool) or not 0 <= value < MAX_COUNT:
-        raise ValueError(f"{value!r:.60} is no span or count")
+        raise ValueError(f"{value!r:.60} is not a valid duration or count")
     return value
--- a/shedgrade/controlplane/endpoint_list_sync.py
+++ b/shedgrade/controlplane/endpoint_list_sync.py
@@ -1,4 +1,4 @@
-"""Keeps the endpoint list of this member: polled from the platform, or received from a member that polls."""
+"""Keeps this member's endpoint list current: polls the platform, or applies updates of other members."""
 
 import asyncio
 from collections.abc import Mapping
@@ -15,12 +15,16 @@
 from shedgrade.process_settings import Settings
 
 ENDPOINT_LIST_ROLE = "upstreams"  # the role of polling the platform's list; the name is sent
-MAX_FAILED_POLLS = 3  # in sequence, after which the holder of the role releases it
+MAX_FAILED_POLLS = 3  # in a row, after which the holder of the role releases it
 
 
 class EndpointListSync:
-    """Attributes: `zones`: region by zone, of the settings in force; `sent_version`: version of the list that
-    the other members were sent last by this one, (0, 0) before."""
+    """Keeps the endpoint list current and passes changes on.
+
+    Attributes:
+        zones: region by zone, from the settings in force.
+        sent_version: version of the list that this member last sent to the others; (0, 0) before.
+    """
 
     def __init__(
         self,
@@ -39,22 +43,22 @@
         self.sent_version = (0, 0)
 
     def connect(self, hub: WatchHub, prefix_exchange: PrefixIndexExchange, loads: LoadAggregator) -> None:
-        """Names those who are told of a changed list; called before anything else."""
+        """Sets the objects that are told of a changed list; must be called before any other method."""
         self.hub = hub
         self.prefix_exchange = prefix_exchange
         self.loads = loads
 
     def apply_settings(self, settings: Settings) -> None:
-        """The settings were reloaded."""
+        """Applies reloaded settings."""
         self.zones = settings.zones
         self.poller.retarget(settings.cloud_api)
 
     def start(self, term: int) -> None:
-        """This member polls the platform from now on."""
+        """Starts polling the platform, as holder of the role in `term`."""
         self.poller.start(term)
 
     def stop(self) -> None:
-        """It polls no more."""
+        """Stops polling the platform."""
         self.poller.stop()
 
     @property
@@ -63,13 +67,13 @@
         return self.poller.consecutive_failures >= MAX_FAILED_POLLS
 
     async def load_at_start(self, settings: Settings) -> None:
-        """One poll of a member that is started again: endpoints are known before the election is over."""
+        """Polls once when a member restarts, so that endpoints are known before the election is over."""
         poller = Poller(self.loop, settings.cloud_api, self.endpoint_list, self.on_polled, random=self.random)
         if await poller.poll_once():
             self.on_changed(self.loop.time())
 
     def on_polled(self, changed: bool) -> None:
-        """This process polls, and a full list has come."""
+        """Handles a complete list that this process polled."""
         now = self.loop.time()
         if changed:
             self.on_changed(now)
@@ -77,15 +81,15 @@
         self.sent_version = self.endpoint_list.version
 
     def on_update(self, now: float, update: EndpointUpdate, unread_s: float) -> bool:
-        """An update from another member, which may have waited here for `unread_s`. Whether the list that it
-        builds on is lacking here and must be asked for."""
+        """Applies an update of another member, which may have waited here for `unread_s`. Returns whether the
+        full list must be requested, because the list that the update builds on is missing here."""
         if self.endpoint_list.apply_update(update, now, unread_s):
             self.on_changed(now)
             return False
         return self.endpoint_list.needs_request
 
     def on_changed(self, now: float) -> None:
-        """Hands the changed list to all that depend on it."""
+        """Passes the changed list to all components that depend on it."""
         self.prefix_exchange.retain_endpoints(self.endpoint_list)
         self.loads.regions = {
             crc32(endpoint.id.encode()): self.zones.get(endpoint.zone, "")
--- a/shedgrade/controlplane/platform_poller.py
+++ b/shedgrade/controlplane/platform_poller.py
@@ -1,7 +1,7 @@
-"""Polls the platform for its list of endpoints, for the one core member that holds this role.
+"""Polls the platform for its list of endpoints; runs on the one core member that holds this role.
 
-Source: the operators' PROTOCOL, "Service discovery": the list comes in pages over HTTP, at a rate that all
-processes share; a call beyond it is answered 429.
+Source: the operators' PROTOCOL, "Service discovery": the list comes in pages over HTTP. All processes share a
+rate limit; the platform rejects calls beyond it with 429.
 """
 
 import asyncio
@@ -18,29 +18,34 @@
 from shedgrade.runtime.log import logger
 
 PERIOD_S = 0.4  # from the start of one list to the next
-IDLE_TIMEOUT_S = 1.0  # without a byte, or a connection, after which the platform counts as silent
-ANSWER_TIMEOUT_S = 4.0  # within which an answer must be complete, however slowly it comes
-RATE_SHARE = 0.8  # of the platform's rate that is used at the most: others may call it too
-MAX_PAGES = 1000  # that one list may have
-MAX_SKIPPED_NUMBERS = 2**20  # of versions that a new poller leaves out
-PAGE_ATTEMPTS = 3  # of one page that is rejected for the rate
-MIN_RETRY_PAUSE_S = 0.25  # before a page that was rejected is asked for again
+IDLE_TIMEOUT_S = 1.0  # time limit for a connection, and for the next byte of a response
+ANSWER_TIMEOUT_S = 4.0  # time limit for a complete response, even if bytes keep arriving
+RATE_SHARE = 0.8  # maximum share of the platform's rate limit that is used: others may call it too
+MAX_PAGES = 1000  # of one list
+MAX_SKIPPED_NUMBERS = 2**20  # upper limit of the version numbers that a new poller leaves out
+PAGE_ATTEMPTS = 3  # for one page while it is rejected with 429
+MIN_RETRY_PAUSE_S = 0.25  # before a rejected page is requested again
 FIRST_BACKOFF_S = 0.1  # before the next list after a failure; doubled with each further one
 MAX_BACKOFF_S = 1.0
 PATH = b"/instances"
 
 
 class RateError(Exception):
-    """The platform takes no more calls for now."""
+    """The platform rejects calls because of its rate limit."""
 
 
 class Poller:
-    """Keeps an `EndpointList` up to date, for as long as this process holds the role. One list replaces
-    another only when all its pages came; what fails changes nothing.
-
-    task: that polls; None while stopped. connection: to the platform; None while there is none. api, host:
-    whom to call. call_gap_s: between two calls. call_count: since the start of the process.
-    consecutive_failures: newest lists in a row that did not come.
+    """Keeps an `EndpointList` current while this process holds the role. A list replaces the one before only
+    if all of its pages arrived; a failed poll changes nothing.
+
+    Attributes:
+        task: the polling task; None while stopped.
+        connection: connection to the platform; None while there is none.
+        api: settings of the platform's API.
+        host: value of the Host header.
+        call_gap_s: time between two calls.
+        call_count: calls since the start of the process.
+        consecutive_failures: failed polls since the last success.
     """
 
     def __init__(
@@ -54,9 +59,14 @@
         random: Random | None = None,
         connection_type: type[DiscoveryConnection] = DiscoveryConnection,
     ) -> None:
-        """`random`: seeded anew at each start. `on_poll` is called after each complete list, with whether it
-        changed. `period_s`: from the start of one list to the next; longer where its pages would exceed the
-        rate.
+        """Args:
+        loop: the event loop.
+        cloud_api: settings of the platform's API.
+        endpoint_list: the list to keep current.
+        on_poll: called after each complete list with whether the list changed.
+        period_s: time from the start of one list to the next; longer if its pages would exceed the rate.
+        random: source of jitter and skipped numbers; must have another seed at each start.
+        connection_type: class of the connection to the platform.
         """
         self.loop = loop
         self.endpoint_list = endpoint_list
@@ -72,7 +82,7 @@
         self.retarget(cloud_api)
 
     def retarget(self, cloud_api: CloudApi) -> None:
-        """The settings were read anew; they hold from the next call on."""
+        """Applies reloaded settings from the next call on."""
         self.api = cloud_api
         host = "{}:{}".format(*cloud_api.address).encode()
         if self.connection is not None and host != self.host:
@@ -81,10 +91,11 @@
         self.call_gap_s = 1 / (RATE_SHARE * cloud_api.rate_per_s)
 
     def start(self, term: int | None = None) -> None:
-        """`term`: of the role; the list's version has it, and its numbers leap by chance.
+        """Starts polling. `term`: of the role; the list's version gets it, and skips a random count of
+        numbers.
 
-        Guards against two lists of one version: when all core members start anew, so may the terms, and edges
-        still have what was given that version before.
+        Guards against two different lists of the same version: if all core members restart, the terms may
+        start again, while edges still hold lists with versions given before.
         """
         if term is not None:
             self.endpoint_list.begin_term(term, self.random.randrange(MAX_SKIPPED_NUMBERS))
@@ -92,7 +103,7 @@
             self.task = self.loop.create_task(self.run())
 
     def stop(self) -> None:
-        """This process does not hold the role any more."""
+        """Stops polling, because this process no longer holds the role."""
         if self.task is not None:
             self.task.cancel()
             self.task = None
@@ -100,17 +111,17 @@
         self.drop_connection()
 
     def drop_connection(self) -> None:
-        """Closes the connection to the platform at once; the next call opens another."""
+        """Closes the connection to the platform at once; the next call opens a new one."""
         if self.connection is not None:
             abort(self.connection)
             self.connection = None
 
     async def poll_once(self) -> bool:
-        """One list, asked for whoever holds the role; returns whether it came. For a poller that is not
-        started.
+        """Polls one list, whoever holds the role. Returns whether it was applied. Only for a poller that is
+        not started.
 
-        Guards against a system that comes back as a whole and would wait for an election before it knows an
-        upstream: what is seen so has a lower version than all that the role's holder says.
+        Guards against a system that restarts as a whole and would know no upstream until an election is over.
+        The list applied here has a lower version than any list of the role's holder.
         """
         started_at = self.loop.time()
         try:
@@ -121,7 +132,7 @@
         finally:
             self.drop_connection()
         if self.endpoint_list.confirmed_at is not None:
-            return False  # the role was acquired meanwhile, or another member sent its list
+            return False  # this process acquired the role meanwhile, or another member sent its list
         self.endpoint_list.apply_poll(self.loop.time(), entries, started_at)
         return True
 
@@ -136,7 +147,7 @@
                 has_changed = self.endpoint_list.apply_poll(self.loop.time(), entries, started_at)
                 self.on_poll(has_changed)
             except Exception as error:
-                # A fault of our own is met like the platform's: the role goes on, the next list is complete.
+                # An internal fault is handled like one of the platform: polling goes on with the next list.
                 self.record_failure(error)
                 await asyncio.sleep(backoff_s * self.random.uniform(0.5, 1.0))
                 backoff_s = min(2 * backoff_s, MAX_BACKOFF_S)
@@ -149,7 +160,7 @@
             await asyncio.sleep(max(0.0, started_at + spacing_s - self.loop.time()))
 
     def record_failure(self, error: Exception) -> None:
-        """A list did not come: logged once an outage."""
+        """Counts a failed poll and logs the first of an outage."""
         if not isinstance(error, RateError):
             self.drop_connection()
         if not self.consecutive_failures:
@@ -157,26 +168,27 @@
         self.consecutive_failures += 1
 
     async def fetch_list(self) -> list[PlatformEntry]:
-        """The entries of all pages. ListError, OSError, TimeoutError or RateError if one does not come."""
+        """The entries of all pages. Raises ListError, OSError, TimeoutError or RateError if a page fails."""
         entries: list[PlatformEntry] = []
         token: str | None = None
         tokens_seen: set[str] = set()
         while True:
             message = await self.fetch_page(token)
             if not isinstance(message, dict) or not isinstance(message.get("instanceList"), list):
-                raise ListError("the answer holds no list")
+                raise ListError("the response has no instanceList")
             entries += message["instanceList"]
             token = message.get("nextToken")
             if token is None or token == "":
                 return entries
-            # Guards against pages that lead in a circle.
+            # Guards against pages that form a cycle.
             if not isinstance(token, str) or token in tokens_seen or len(tokens_seen) >= MAX_PAGES:
-                raise ListError(f"nextToken {token!r:.60}")
+                raise ListError(f"invalid nextToken {token!r:.60}")
             tokens_seen.add(token)
             await asyncio.sleep(self.call_gap_s)
 
     async def fetch_page(self, token: str | None) -> Any:
-        """A page's JSON, not yet checked; `token` names the page, None: the first. Errors as `fetch_list`."""
+        """The JSON of a page, not yet validated. `token`: of the page; None: the first page. Raises as
+        `fetch_list`."""
         target = PATH if token is None else PATH + b"?pageToken=" + quote(token, safe="").encode()
         for attempt in range(1, PAGE_ATTEMPTS + 1):
             status, body = await self.call(target)
@@ -192,7 +204,8 @@
         raise RateError("429")
 
     async def call(self, target: bytes) -> tuple[int, bytes]:
-        """Status and body. TimeoutError if the answer does not begin in time, falls silent, or never ends."""
+        """Status and body of the response. Raises TimeoutError if the response does not begin in time,
+        stalls, or does not end in time."""
         self.call_count += 1
         connection = await self.connect()
         answered: asyncio.Future[tuple[int, bytes]] = self.loop.create_future()
@@ -203,14 +216,14 @@
                 idle_until = (connection.heard or asked_at) + IDLE_TIMEOUT_S
                 left_s = min(idle_until, asked_at + ANSWER_TIMEOUT_S) - self.loop.time()
                 if left_s <= 0:
-                    raise TimeoutError("the platform is silent")
+                    raise TimeoutError("the platform did not respond in time")
                 await asyncio.wait((answered,), timeout=left_s)
             return answered.result()
         finally:
             answered.cancel()
 
     async def connect(self) -> DiscoveryConnection:
-        """The connection, opened if there is none that lives. TimeoutError or OSError if it can't be."""
+        """The open connection, a new one if necessary. Raises TimeoutError or OSError if it can't open."""
         if self.connection is None or not is_open(self.connection):
             self.connection = None
             async with asyncio.timeout(IDLE_TIMEOUT_S):
@@ -221,11 +234,11 @@
 
 
 def is_open(connection: DiscoveryConnection) -> bool:
-    """Whether a call can be sent on it."""
+    """Whether a call can be sent on the connection."""
     return connection.transport is not None and not connection.transport.is_closing()
 
 
 def abort(connection: DiscoveryConnection) -> None:
-    """Closes it at once; a call under way fails."""
+    """Closes the connection at once; a call in progress fails."""
     if connection.transport is not None:
         connection.transport.abort()
