--- a/shedgrade/controlplane/delta.py
+++ b/shedgrade/controlplane/delta.py
@@ -33,7 +33,7 @@
 Rejection = tuple[Finding, ...]
 
 
-class Named(msgspec.Struct):
+class ItemName(msgspec.Struct):
     """The name of an item, by which it is replaced or removed."""
 
     name: str = ""
@@ -69,11 +69,11 @@
     place: str
 
 
-name_of = msgspec.json.Decoder(Named).decode
-route_fields = msgspec.json.Decoder(RouteFields).decode
-top_level_fields = msgspec.json.Decoder(dict[str, msgspec.Raw]).decode
-items_of = msgspec.json.Decoder(list[msgspec.Raw]).decode
-delta_of = msgspec.json.Decoder(Delta).decode
+decode_name = msgspec.json.Decoder(ItemName).decode
+decode_route_fields = msgspec.json.Decoder(RouteFields).decode
+decode_top_level_fields = msgspec.json.Decoder(dict[str, msgspec.Raw]).decode
+decode_items = msgspec.json.Decoder(list[msgspec.Raw]).decode
+decode_delta = msgspec.json.Decoder(Delta).decode
 
 
 def read_delta(raw: bytes) -> Result[int, Rejection]:
@@ -88,7 +88,8 @@
     version = check_version(data.get(VERSION), findings)
     added = read_lists(data, ADD, findings)
     removed = read_lists(data, REMOVE, findings)
-    names: dict[str, dict[str, str]] = {one: {} for one in MODELS}  # by list and name: its first place
+    # The first place of each name, by list and name.
+    names: dict[str, dict[str, str]] = {list_name: {} for list_name in MODELS}
     checks = ElementChecks(findings, ())
     for list_name, values in added.items():
         for at, value in enumerate(values):
@@ -128,13 +129,13 @@
     return sound
 
 
-def check_name(met: dict[str, str], name: str, place: str, findings: Findings) -> None:
+def check_name(first_places: dict[str, str], name: str, place: str, findings: Findings) -> None:
     """Checks that an item has a name and occurs once in the delta: adding an item twice, or adding and
     removing it, is ambiguous."""
     if not name:
         findings.add(f"{place}.name" if place.startswith(ADD) else place, "is missing")
         return
-    first = met.setdefault(name, place)
+    first = first_places.setdefault(name, place)
     if first != place:
         findings.add(place, f"{name!r} is also at {first}")
 
@@ -142,12 +143,12 @@
 def apply_delta(configuration: bytes, raw: bytes, version: int) -> Result[bytes, Rejection]:
     """The configuration, with this version, after a valid delta is applied to its base, or the findings in
     the references between items. Removing a name that does not exist changes nothing."""
-    delta = delta_of(raw)
-    fields = top_level_fields(configuration)
+    delta = decode_delta(raw)
+    fields = decode_top_level_fields(configuration)
     fields[VERSION] = msgspec.Raw(b"%d" % version)
     merged = {}
     for list_name in MODELS:
-        known = items_of(fields[list_name]) if list_name in fields else []
+        known = decode_items(fields[list_name]) if list_name in fields else []
         added = (delta.addModify or {}).get(list_name) or []
         removed = (delta.remove or {}).get(list_name) or []
         merged[list_name] = merge(list_name, known, added, frozenset(removed))
@@ -162,11 +163,11 @@
     """Merges the items of a list: replaced items keep their positions, new ones are appended."""
     new = {}
     for at, raw in enumerate(added):
-        name = name_of(raw).name
+        name = decode_name(raw).name
         new[name] = Item(name, raw, f"{ADD}.{list_name}[{at}]")
     items = []
     for at, raw in enumerate(known):
-        name = name_of(raw).name
+        name = decode_name(raw).name
         if name and name in removed:
             continue
         items.append(new.pop(name) if name in new else Item(name, raw, f"{list_name}[{at}]"))
@@ -178,14 +179,14 @@
     reported at the item of the delta."""
     findings = Findings()
     references = References(findings, frozenset(item.name for item in services))
-    for item in sorted(services, key=is_of_delta):
+    for item in sorted(services, key=is_from_delta):
         references.add_service(item, item.place)
-    for item in sorted(routes, key=is_of_delta):
-        references.add_route(route_fields(item.raw), item.place)
+    for item in sorted(routes, key=is_from_delta):
+        references.add_route(decode_route_fields(item.raw), item.place)
     return findings.all()
 
 
-def is_of_delta(item: Item) -> bool:
+def is_from_delta(item: Item) -> bool:
     """Whether the delta added or replaced the item."""
     return item.place.startswith(ADD)
 
@@ -194,36 +195,40 @@
     """The delta that turns the valid configuration `old` into the valid `new`, or the differences that a
     delta can't express."""
     findings = Findings()
-    before, after = top_level_fields(old), top_level_fields(new)
+    before, after = decode_top_level_fields(old), decode_top_level_fields(new)
     for list_name in sorted((before.keys() | after.keys()) - {VERSION, *MODELS}):
-        if decoded(before.get(list_name)) != decoded(after.get(list_name)):
+        if decode_value(before.get(list_name)) != decode_value(after.get(list_name)):
             findings.add(list_name, "differs, which a change of named items cannot express")
     added: dict[str, list[msgspec.Raw]] = {}
     removed: dict[str, list[str]] = {}
     for list_name in MODELS:
-        then = by_name(items_of(before[list_name]), list_name, findings)
-        now = by_name(items_of(after[list_name]), list_name, findings)
-        moved = [raw for name, raw in now.items() if name not in then or decoded(then[name]) != decoded(raw)]
-        gone = [name for name in then if name not in now]
-        if moved:
-            added[list_name] = moved
-        if gone:
-            removed[list_name] = gone
+        old_items = index_by_name(decode_items(before[list_name]), list_name, findings)
+        new_items = index_by_name(decode_items(after[list_name]), list_name, findings)
+        changed = [
+            raw
+            for name, raw in new_items.items()
+            if name not in old_items or decode_value(old_items[name]) != decode_value(raw)
+        ]
+        missing = [name for name in old_items if name not in new_items]
+        if changed:
+            added[list_name] = changed
+        if missing:
+            removed[list_name] = missing
     if len(findings):
         return Error(findings.all())
     return Ok(msgspec.json.encode({VERSION: after[VERSION], ADD: added, REMOVE: removed}))
 
 
-def decoded(raw: msgspec.Raw | None) -> Any:
+def decode_value(raw: msgspec.Raw | None) -> Any:
     """The JSON value, whatever its formatting; None if the field is absent."""
     return None if raw is None else msgspec.json.decode(raw)
 
 
-def by_name(items: Iterable[msgspec.Raw], list_name: str, findings: Findings) -> dict[str, msgspec.Raw]:
+def index_by_name(items: Iterable[msgspec.Raw], list_name: str, findings: Findings) -> dict[str, msgspec.Raw]:
     """Items by their names; adds a finding for an item whose name is missing or not unique."""
     found: dict[str, msgspec.Raw] = {}
     for at, raw in enumerate(items):
-        name = name_of(raw).name
+        name = decode_name(raw).name
         if not name or name in found:
             findings.add(f"{list_name}[{at}].name", "is missing or not unique")
         found[name] = raw
