--- a/shedgrade/controlplane/commands.py
+++ b/shedgrade/controlplane/commands.py
@@ -171,7 +171,7 @@
     changes: dict[str, bytes | None] = {
         CONFIGURATION: configuration.ok,
         VERSION: b"%d" % command.version,
-        **deduplication.record(state, command.version, command.content),
+        **deduplication.record_acceptance(state, command.version, command.content),
     }
     return Decision(changes, CommandReply(200))
 
--- a/shedgrade/controlplane/deduplication.py
+++ b/shedgrade/controlplane/deduplication.py
@@ -2,7 +2,7 @@
 
 A caller that sends an accepted change again gets the same reply. Versions rise with each accepted change, so
 the record is an append-only sequence: blocks of entries (version and digest) in order. A change rewrites the
-newest block only, and a lookup is a binary search. Beyond `BLOCKS` the oldest blocks are dropped; whether
+newest block only, and a lookup is a binary search. Beyond `MAX_BLOCKS` the oldest blocks are dropped; whether
 a version of a dropped block was accepted is unknown.
 
 Keys (`state_keys.py`): ACCEPTED_COUNT holds the number of entries ever written (decimal), ACCEPTED_BLOCK the
@@ -17,7 +17,7 @@
 from shedgrade.controlplane.state_keys import ACCEPTED_BLOCK, ACCEPTED_COUNT, configuration_version
 
 BLOCK_ENTRIES = 32  # entries of one block: a change rewrites at most 640 bytes
-BLOCKS = 1024  # blocks that are kept: 32,768 configurations in 655 KB
+MAX_BLOCKS = 1024  # 32,768 configurations in 655 KB
 DIGEST_BYTES = 12
 ENTRY = Struct(f">Q{DIGEST_BYTES}s")  # version, digest
 
@@ -43,7 +43,7 @@
 def oldest_block(entries: int) -> int:
     """The number of the oldest block that is kept after `entries` entries were written."""
     newest = max(entries - 1, 0) // BLOCK_ENTRIES
-    return max(newest - BLOCKS + 1, 0)
+    return max(newest - MAX_BLOCKS + 1, 0)
 
 
 def first_version(state: Mapping[str, bytes], block: int) -> int:
@@ -71,7 +71,7 @@
     return AcceptanceStatus.ACCEPTED if found else AcceptanceStatus.NEVER_ACCEPTED
 
 
-def record(state: Mapping[str, bytes], version: int, raw: bytes) -> dict[str, bytes | None]:
+def record_acceptance(state: Mapping[str, bytes], version: int, raw: bytes) -> dict[str, bytes | None]:
     """The changes of the state that record an accepted change; its version must be above all recorded."""
     entries = count(state)
     block, position = divmod(entries, BLOCK_ENTRIES)
--- a/tests/controlplane/test_command_decisions.py
+++ b/tests/controlplane/test_command_decisions.py
@@ -139,7 +139,7 @@
 
 def test_of_what_is_older_than_the_record_nothing_certain_is_said(monkeypatch):
     """Neither accepted nor refused; what builds on the current version can't have been accepted before."""
-    monkeypatch.setattr(deduplication, "BLOCKS", 2)
+    monkeypatch.setattr(deduplication, "MAX_BLOCKS", 2)
     state = State()
     for number in range(1, 201):
         assert state.status(put(2 * number, 2 * number - 2)) == 200
