--- a/shedgrade/controlplane/command_router.py
+++ b/shedgrade/controlplane/command_router.py
@@ -2,7 +2,7 @@
 
 Commands for zones carry the zone's revision (`commands.py`). That revision must have been current at a moment
 when the caller was still waiting. Then every command that this caller, or anyone who knows its outcome, sends
-later builds on a newer revision. The router therefore reads the revision only within `ANSWER_TIMEOUT_S` of
+later builds on a newer revision. The router therefore reads the revision only within `RESPONSE_TIMEOUT_S` of
 the earliest time at which the call can have arrived, by this process's steady clock alone, and only while the
 caller has not closed its connection.
 """
@@ -30,7 +30,7 @@
 from shedgrade.replication import Member, OutcomeUnknown, ReadResult, RedirectToPrimary, Unavailable
 
 # After this time the caller is told to try another member; after 1 s without a response it does so by itself.
-ANSWER_TIMEOUT_S = 0.65
+RESPONSE_TIMEOUT_S = 0.65
 # Time limit for the primary's response. Then the request is sent again, to the member that is primary then.
 FORWARD_TIMEOUT_S = 0.4
 RETRY_DELAY_S = 0.05  # before the next attempt
@@ -69,14 +69,14 @@
     Attributes:
         arrived_after: time on the steady clock before which no byte of the call had arrived; None if the call
             arrives now.
-        gone: returns whether this process has seen the client close its connection.
+        is_gone: returns whether this process has seen the client close its connection.
     """
 
     arrived_after: float | None = None
-    gone: Callable[[], bool] = lambda: False
+    is_gone: Callable[[], bool] = lambda: False
 
 
-ANYONE = Caller()
+UNKNOWN_CALLER = Caller()
 
 
 class PendingCommand:
@@ -98,12 +98,12 @@
         self.loop = router.loop
         self.extra_wait_s = router.body_size(command) / SLOWEST_BYTES_PER_SECOND
         self.finished = False
-        self.timer = self.loop.call_later(ANSWER_TIMEOUT_S + self.extra_wait_s, self.finish, None)
+        self.timer = self.loop.call_later(RESPONSE_TIMEOUT_S + self.extra_wait_s, self.finish, None)
 
     def attempt(self) -> None:
         """Submits the command to the member of this process."""
         if not self.finished:
-            self.router.hand_to_member(self.command, self.on_member_outcome)
+            self.router.submit_to_member(self.command, self.on_member_outcome)
 
     def on_member_outcome(self, outcome: MemberOutcome) -> None:
         """Handles the outcome from the member of this process: a decision, a redirect, or no decision."""
@@ -146,7 +146,7 @@
     def on_no_decision(self, maybe_applied: bool) -> None:
         """Schedules the next attempt after one without an outcome, unless the caller has gone.
         `maybe_applied`: the command may still be applied."""
-        if self.caller.gone():
+        if self.caller.is_gone():
             self.finish(None)
         elif not self.finished:
             self.loop.call_later(RETRY_DELAY_S, self.attempt)
@@ -176,7 +176,7 @@
         super().__init__(router, command, respond, caller)
         self.zone_command = command
         arrived = caller.arrived_after if caller.arrived_after is not None else router.clock()
-        self.trusted_until = arrived + ANSWER_TIMEOUT_S
+        self.trusted_until = arrived + RESPONSE_TIMEOUT_S
         self.revision: int | None = None
         self.maybe_applied = False
 
@@ -190,7 +190,7 @@
     def caller_is_waiting(self) -> bool:
         """Whether the caller is certainly still waiting, so that the state known now is no newer than its
         command."""
-        return self.router.clock() < self.trusted_until and not self.caller.gone()
+        return self.router.clock() < self.trusted_until and not self.caller.is_gone()
 
     def attempt(self) -> None:
         """Submits the command with the zone's revision; gives up once the caller may have moved on."""
@@ -254,7 +254,7 @@
         """Raises AssertionError if there is a callback for a ticket that was never used."""
         assert all(0 < ticket <= self.last_ticket for ticket in self.on_outcomes), "unknown ticket"
 
-    def submit(self, command: Command, respond: RespondToCommand, caller: Caller = ANYONE) -> None:
+    def submit(self, command: Command, respond: RespondToCommand, caller: Caller = UNKNOWN_CALLER) -> None:
         """Calls `respond` with the decision's reply. None: the outcome is unknown here, and the caller has to
         send the command again, to any member; a change that was accepted before is recognized then."""
 
@@ -263,15 +263,17 @@
             # A RevisionConflict stays within PendingZoneCommand, which retries or gives up.
             respond(reply if isinstance(reply, CommandReply) else None)
 
-        self.follow(command, on_response, caller)
+        self.start_pending(command, on_response, caller)
 
-    def read(self, respond: RespondToRead, caller: Caller = ANYONE) -> None:
+    def read(self, respond: RespondToRead, caller: Caller = UNKNOWN_CALLER) -> None:
         """Calls `respond` with the newest committed configuration (`channels.read_response`), confirmed after
         this call, or with None if it is not available."""
-        self.follow(None, lambda response: respond(response.state if response is not None else None), caller)
+        self.start_pending(
+            None, lambda response: respond(response.state if response is not None else None), caller
+        )
 
-    def follow(self, command: Command | None, respond: Respond, caller: Caller) -> None:
-        """Processes a command, or a read (None), until its caller has a response."""
+    def start_pending(self, command: Command | None, respond: Respond, caller: Caller) -> None:
+        """Starts a command, or a read (None), which is pending until its caller has a response."""
         now = self.loop.time()
         if now - last_contact(self.member, now) > NO_PRIMARY_TIMEOUT_S:
             respond(None)
@@ -280,7 +282,7 @@
         else:
             PendingCommand(self, command, respond, caller).attempt()
 
-    def hand_to_member(self, command: Command | None, on_outcome: OnMemberOutcome) -> None:
+    def submit_to_member(self, command: Command | None, on_outcome: OnMemberOutcome) -> None:
         """Submits a command, or a read (None), to the member of this process."""
         self.last_ticket += 1
         self.on_outcomes[self.last_ticket] = on_outcome
@@ -325,4 +327,4 @@
                 response = ForwardedResponse(outcome)
             respond(COMMAND_CHANNEL + channels.encode(response))
 
-        self.hand_to_member(request.command, on_outcome)
+        self.submit_to_member(request.command, on_outcome)
--- a/tests/controlplane/test_late_commands.py
+++ b/tests/controlplane/test_late_commands.py
@@ -133,8 +133,8 @@
         name = by_role(net, "backup")
         submissions = []
         process = net.processes[name]
-        real = process.command_router.hand_to_member
-        process.command_router.hand_to_member = lambda command, told: (
+        real = process.command_router.submit_to_member
+        process.command_router.submit_to_member = lambda command, told: (
             submissions.append(net.loop.time()) or real(command, told)
         )
         for other in net.processes:
