--- a/shedgrade/controlplane/directory.py
+++ b/shedgrade/controlplane/directory.py
@@ -18,7 +18,7 @@
 
 MAX_ADDRESSES = 64  # in a response
 MIN_ZONE_EDGES = 2  # with fewer edges in the zone the region's edges are added: one edge may have failed
-SAME_TIME_S = 0.5  # shutdowns that begin at most this long after each other count as simultaneous
+SIMULTANEOUS_SHUTDOWN_S = 0.5  # shutdowns that begin at most this long after each other count as simultaneous
 TTL_S = 1  # time for which clients may use a response
 
 
@@ -104,10 +104,12 @@
         homes: Callable[[], Regions] = lambda: ANYWHERE,
     ) -> Reply:
         """Returns at most 64 of the nearest edges, drawn at random; 503 if no edge is admissible."""
-        near = self.nearest(region or self.zones.get(zone, ""), zone, edges, homes)
-        if not near:
+        candidates = self.nearest(region or self.zones.get(zone, ""), zone, edges, homes)
+        if not candidates:
             return failure(503, Finding("", "no edge that this client may be sent to is ready"))
-        chosen = self.random.sample(near, MAX_ADDRESSES) if len(near) > MAX_ADDRESSES else near
+        chosen = (
+            self.random.sample(candidates, MAX_ADDRESSES) if len(candidates) > MAX_ADDRESSES else candidates
+        )
         addresses = [edge.listen_address for edge in chosen]
         return Reply(200, msgspec.json.encode(Resolution(addresses, self.ttl_s)))
 
@@ -119,23 +121,23 @@
         none, all of the other regions to which the client may be sent. If none of these is ready, the edges
         that shut down last, in the same order of regions. Empty if there are none either.
 
-        Guards against incomplete knowledge of this member: a response from few edges may not be the nearest
-        ones, but it never names a region that the home regions of the host exclude.
+        Guards against incomplete knowledge of this member: with few known edges a response may not name the
+        nearest ones, but it never names a region that the home regions of the host exclude.
         """
-        there = [edge for edge in edges if edge.listen_address]
-        ready = [edge for edge in there if edge.ready]
-        near = [edge for edge in ready if edge.zone == zone]
-        if len(near) >= MIN_ZONE_EDGES:
-            return near
-        near = [edge for edge in ready if edge.zone == zone or edge.region == region]
-        if near:
-            return near
-        elsewhere = homes()
-        last = last_to_leave(there)
+        with_address = [edge for edge in edges if edge.listen_address]
+        ready = [edge for edge in with_address if edge.ready]
+        candidates = [edge for edge in ready if edge.zone == zone]
+        if len(candidates) >= MIN_ZONE_EDGES:
+            return candidates
+        candidates = [edge for edge in ready if edge.zone == zone or edge.region == region]
+        if candidates:
+            return candidates
+        other_regions = homes()
+        last = last_leaving_edges(with_address)
         return (
-            admissible(ready, elsewhere)
+            admissible(ready, other_regions)
             or [edge for edge in last if edge.zone == zone or edge.region == region]
-            or admissible(last, elsewhere)
+            or admissible(last, other_regions)
         )
 
 
@@ -144,7 +146,7 @@
     return edges if regions is None else [edge for edge in edges if edge.region in regions]
 
 
-def last_to_leave(edges: Iterable[EdgeRecord]) -> list[EdgeRecord]:
+def last_leaving_edges(edges: Iterable[EdgeRecord]) -> list[EdgeRecord]:
     """The leaving edges of each region that accept requests the longest. Edges whose shutdown began earlier
     stop first. Of edges whose shutdowns began simultaneously half stop first, so that these have restarted
     while the others still accept requests.
@@ -156,10 +158,11 @@
     last: list[EdgeRecord] = []
     for leaving in by_region.values():
         since = max(edge.ending_since for edge in leaving)
-        together = sorted(
-            (edge for edge in leaving if since - edge.ending_since <= SAME_TIME_S), key=lambda edge: edge.name
+        simultaneous = sorted(
+            (edge for edge in leaving if since - edge.ending_since <= SIMULTANEOUS_SHUTDOWN_S),
+            key=lambda edge: edge.name,
         )
-        last += together[len(together) // 2 :]
+        last += simultaneous[len(simultaneous) // 2 :]
     return last
 
 
@@ -175,5 +178,5 @@
     )
     if edge.region in ready_regions or has_ready_homes:
         return READY
-    last_names = [other.name for other in last_to_leave(others) if other.region == edge.region]
+    last_names = [other.name for other in last_leaving_edges(others) if other.region == edge.region]
     return NO_DRAIN_TARGET if edge.name in last_names or not last_names else LEAVING
