--- a/shedgrade/controlplane/edge_table.py
+++ b/shedgrade/controlplane/edge_table.py
@@ -157,14 +157,14 @@
         """Edges that any member heard lately and that are not closed, including those that leave."""
         if self.listing is None or not 0 <= now - self.listing.at < REFRESH_INTERVAL_S:
             edges = tuple(
-                self.seen(record)
+                self.edge_record(record)
                 for record in self.records.values()
                 if record.edge.state != CLOSED and self.overdue_s(now, record) <= LISTED_GRACE_S
             )
             self.listing = EdgeListing(now, edges)
         return self.listing.edges
 
-    def seen(self, record: HeardEdge) -> EdgeRecord:
+    def edge_record(self, record: HeardEdge) -> EdgeRecord:
         """An edge with the times at which it was heard and at which its shutdown stage began."""
         edge = record.edge
         since = self.shutdown_stages[edge.name].since if edge.shutdown_stage else 0.0
--- a/shedgrade/controlplane/endpoint_list.py
+++ b/shedgrade/controlplane/endpoint_list.py
@@ -54,7 +54,7 @@
         self.warm_at = now + endpoint.cold_left_ms / 1000 if endpoint.cold_left_ms > 0 else None
         self.removal_at = now + endpoint.time_left_ms / 1000 if endpoint.time_left_ms >= 0 else None
 
-    def is_same(self, now: float, other: "CachedEndpoint") -> bool:
+    def is_unchanged(self, now: float, other: "CachedEndpoint") -> bool:
         """Whether `other`, received at `now`, differs in nothing but the time that has passed."""
         return (
             without_countdowns(self.endpoint) == without_countdowns(other.endpoint)
@@ -153,7 +153,7 @@
         self.confirmed_at = now if requested_at is None else requested_at
         touched = {name for name in self.endpoints if name not in received}
         for name, new in received.items():
-            if name not in self.endpoints or not self.endpoints[name].is_same(now, new):
+            if name not in self.endpoints or not self.endpoints[name].is_unchanged(now, new):
                 touched.add(name)
         if not touched and term == self.term and self.number:
             return False
--- a/shedgrade/controlplane/serde_without_numpy.py
+++ b/shedgrade/controlplane/serde_without_numpy.py
@@ -10,16 +10,16 @@
 import sys
 from importlib import import_module
 
-ABSENT = "numpy"
+NUMPY = "numpy"
 
-if ABSENT in sys.modules:
+if NUMPY in sys.modules:
     serde = import_module("serde")  # NumPy is loaded already: leaving it out saves nothing
 else:
-    sys.modules[ABSENT] = None  # type: ignore[assignment]  # marks a missing module for the import system
+    sys.modules[NUMPY] = None  # type: ignore[assignment]  # marks a missing module for the import system
     try:
         import_module("serde.numpy")
     finally:
-        del sys.modules[ABSENT]
+        del sys.modules[NUMPY]
     serde = import_module("serde")
 
 SerdeError, deserialize, disabled, from_dict = (
