--- a/shedgrade/controlplane/operator_api.py
+++ b/shedgrade/controlplane/operator_api.py
@@ -55,10 +55,10 @@
     digest: bytes
 
 
-def version_in(header: bytes) -> int | None:
+def if_match_version(header: bytes) -> int | None:
     """The version in an `If-Match` header, which may be an entity tag; None if it is not a number.
 
-    >>> version_in(b'5'), version_in(b'W/"5"'), version_in(b'*')
+    >>> if_match_version(b'5'), if_match_version(b'W/"5"'), if_match_version(b'*')
     (5, 5, None)
     """
     digits = header.strip().removeprefix(b"W/").strip(b'"')
@@ -142,7 +142,7 @@
         respond: Respond,
     ) -> None:
         """Submits the change if it is valid. `check(raw)`: returns its version, or its findings."""
-        base = version_in(request.headers.get(b"if-match", b""))
+        base = if_match_version(request.headers.get(b"if-match", b""))
         findings: Findings = ()
         if base is None:
             findings = (Finding("If-Match", "must name the version that this change builds on, or 0"),)
--- a/tests/controlplane/test_operator_api.py
+++ b/tests/controlplane/test_operator_api.py
@@ -9,7 +9,7 @@
 
 import shedgrade.controlplane.operator_api
 from shedgrade.controlplane.commands import CommandReply, ZoneCommand, make_decide, zone_revisions
-from shedgrade.controlplane.operator_api import CHECKED_CHANGES, OperatorApi, version_in
+from shedgrade.controlplane.operator_api import CHECKED_CHANGES, OperatorApi, if_match_version
 from shedgrade.http.server import Request
 
 
@@ -139,7 +139,7 @@
 
 
 def test_versions_may_be_written_as_entity_tags():
-    assert [version_in(header) for header in (b"5", b' "5" ', b'W/"5"', b"-5", b"5.0", b"")] == [
+    assert [if_match_version(header) for header in (b"5", b' "5" ', b'W/"5"', b"-5", b"5.0", b"")] == [
         5,
         5,
         5,
