--- a/shedgrade/controlplane/platform_poller.py
+++ b/shedgrade/controlplane/platform_poller.py
@@ -19,7 +19,7 @@
 
 PERIOD_S = 0.4  # from the start of one list to the next
 IDLE_TIMEOUT_S = 1.0  # time limit for a connection, and for the next byte of a response
-ANSWER_TIMEOUT_S = 4.0  # time limit for a complete response, even if bytes keep arriving
+RESPONSE_TIMEOUT_S = 4.0  # time limit for a complete response, even if bytes keep arriving
 RATE_SHARE = 0.8  # maximum share of the platform's rate limit that is used: others may call it too
 MAX_PAGES = 1000  # of one list
 MAX_SKIPPED_NUMBERS = 2**20  # upper limit of the version numbers that a new poller leaves out
@@ -208,19 +208,19 @@
         stalls, or does not end in time."""
         self.call_count += 1
         connection = await self.connect()
-        answered: asyncio.Future[tuple[int, bytes]] = self.loop.create_future()
-        connection.call(target, self.host, answered)
-        asked_at = self.loop.time()
+        response: asyncio.Future[tuple[int, bytes]] = self.loop.create_future()
+        connection.call(target, self.host, response)
+        sent_at = self.loop.time()
         try:
-            while not answered.done():
-                idle_until = (connection.heard or asked_at) + IDLE_TIMEOUT_S
-                left_s = min(idle_until, asked_at + ANSWER_TIMEOUT_S) - self.loop.time()
-                if left_s <= 0:
+            while not response.done():
+                idle_deadline = (connection.heard or sent_at) + IDLE_TIMEOUT_S
+                remaining_s = min(idle_deadline, sent_at + RESPONSE_TIMEOUT_S) - self.loop.time()
+                if remaining_s <= 0:
                     raise TimeoutError("the platform did not respond in time")
-                await asyncio.wait((answered,), timeout=left_s)
-            return answered.result()
+                await asyncio.wait((response,), timeout=remaining_s)
+            return response.result()
         finally:
-            answered.cancel()
+            response.cancel()
 
     async def connect(self) -> DiscoveryConnection:
         """The open connection, a new one if necessary. Raises TimeoutError or OSError if it can't open."""
