--- a/tests/controlplane/commands_model.py
+++ b/tests/controlplane/commands_model.py
@@ -1,10 +1,10 @@
-"""Operators that order all at once, over real members in virtual time: lost answers, stops and cuts.
+"""Concurrent operators of real members in virtual time: lost responses, stopped processes, partitions.
 
-`run(seed)` plays `SECONDS` and gives a `History`; `check(history)` lists what it breaks. The rules: one
-winner for each base and for each number; what was accepted is acknowledged again or left unclear, what was
-refused is never in force; reads are not older than what was acknowledged before them; between the
-acknowledgement of an order for a zone and the sending of the next one for that zone, the zone does not
-change.
+`run(seed)` simulates `SECONDS` and returns a `History`; `check(history)` returns violations of these rules:
+one configuration wins for each base and for each version; an accepted command is acknowledged again or its
+outcome stays unclear, and a rejected one is never in force; reads are not older than what was acknowledged
+before them; a zone does not change between the acknowledgement of a command for it and the sending of the
+next one.
 """
 
 import asyncio
@@ -21,16 +21,16 @@
 from shedgrade.controlplane.deduplication import AcceptanceStatus
 
 SECONDS = 30.0
-WRITERS = 4  # operators of configurations, and beside them one for each zone: eight at once
+WRITERS = 4  # operators of configurations; one more for each zone makes eight at once
 ZONES = ("hall-1", "hall-2", "hall-3", "hall-4")
 LOST_ANSWERS = (0.0, 0.3, 0.7)
-SILENCE = 1.0  # s after which a caller goes on elsewhere
-GIVES_UP = 8.0  # s after which an order is left unclear
+SILENCE = 1.0  # s without a response, after which a caller tries another member
+GIVES_UP = 8.0  # s after which the caller gives up and the outcome stays unclear
 
 
 @dataclass
 class Sent:
-    """One order and what its caller learnt. `status`: None if it gave up."""
+    """One command and its outcome. `status`: HTTP status; None if the caller gave up."""
 
     sent_at: float
     base: int = 0
@@ -44,7 +44,7 @@
 
     @property
     def content(self):
-        """As the record of accepted changes tells it apart."""
+        """The bytes by which the record of accepted changes identifies this command."""
         kind = PutConfiguration if self.method == "PUT" else PatchConfiguration
         return kind(self.base, self.version, self.raw).content
 
@@ -57,7 +57,7 @@
 
 @dataclass
 class History:
-    """`zones`: by zone, what was finished when: (s, evacuated). `state`: finished in the end."""
+    """`zones`: by zone, the committed changes as (s, evacuated). `state`: committed at the end."""
 
     puts: list[Sent] = field(default_factory=list)
     repeats: list[Sent] = field(default_factory=list)
@@ -76,7 +76,7 @@
         self.net, self.name, self.random, self.history = net, name, random, history
 
     async def ask(self, method, path, body=b"", base=None, within=GIVES_UP):
-        """The first clear answer, from any member; None if there is none in time."""
+        """The first clear response from any member; None if there is none in time."""
         pause, until = 0.05, self.net.loop.time() + within
         while self.net.loop.time() < until:
             call = Call(self.net, self.name, self.random.choice("abc"), method, path, body, base)
@@ -103,7 +103,7 @@
         return version
 
     async def write(self):
-        """Configurations on top of what is read, by numbers that others may pick too."""
+        """Writes configurations that build on what was read; other operators may choose the same versions."""
         while True:
             base = await self.read()
             if base is not None:
@@ -126,7 +126,7 @@
             await self.repeat()
 
     async def repeat(self):
-        """Some order of before comes once more, as it was."""
+        """Sometimes sends an acknowledged command again, unchanged."""
         acknowledged = [put for put in self.history.puts if put.status == 200]
         if acknowledged and self.random.random() < 0.5:
             before = self.random.choice(acknowledged)
@@ -135,20 +135,20 @@
             await self.give(sent, sent.method, "/configuration")
 
     async def empty(self, zone):
-        """A zone is evacuated and taken back, an order after the other, some followed by a while of calm."""
+        """Evacuates a zone and withdraws that, one command after another, some followed by a pause."""
         evacuates = False
         while True:
             evacuates = evacuates != (self.random.random() < 0.8)
             sent = Sent(self.net.loop.time(), zone=zone, evacuates=evacuates)
             self.history.zone_commands.append(sent)
-            within = self.random.choice((GIVES_UP, SILENCE))  # at times it thinks better of it
+            within = self.random.choice((GIVES_UP, SILENCE))  # at times it gives up after the first attempt
             await self.give(sent, "POST" if sent.evacuates else "DELETE", f"/evacuation/{zone}", within)
             await asyncio.sleep(self.random.choice((0.0, self.random.expovariate(1.0))))
 
 
 async def trouble(net, random):
-    """One member at a time stands still, or is cut off from the others, from one of them, from callers, or
-    from callers and one other."""
+    """Stops one member at a time, or partitions it from the others, from one of them, from the callers, or
+    from the callers and one other."""
     while True:
         await asyncio.sleep(random.expovariate(1.0))
         name = random.choice("abc")
@@ -201,7 +201,7 @@
 
 
 def note(history, now, state):
-    """A newer state is finished."""
+    """Records the zones that change with a newly committed state."""
     known = msgspec.json.decode(state.get("evacuations") or b"[]")
     for zone in ZONES:
         changes = history.zones[zone]
@@ -234,7 +234,7 @@
             yield f"version {put.version} was answered {put.status} and is in force"
     for repeat in history.repeats:
         if repeat.status not in (200, None):
-            yield f"version {repeat.version} was acknowledged, and refused with {repeat.status} later"
+            yield f"version {repeat.version} was acknowledged, and rejected with {repeat.status} later"
 
 
 def old_reads(history):
@@ -255,4 +255,4 @@
                 continue
             for at, evacuated in history.zones[zone]:
                 if each.ended_at < at and (after is None or at < after.sent_at):
-                    yield f"{zone} {'evacuated' if evacuated else 'taken back'} at {at:.2f} by nobody"
+                    yield f"{zone} {'evacuated' if evacuated else 'returned'} at {at:.2f} without a command"
--- a/tests/controlplane/test_command_decisions.py
+++ b/tests/controlplane/test_command_decisions.py
@@ -1,4 +1,4 @@
-"""The operators' orders as they are decided, alone and in races."""
+"""Decisions on operators' commands, alone and in races."""
 
 from itertools import pairwise
 
@@ -29,7 +29,7 @@
 
 
 def whole(version, base, *names):
-    """A configuration with a route for each name."""
+    """A PUT of a configuration with a route for each name."""
     routes = [{"name": name, "host": "h", "pathPrefix": f"/{name}/", "service": "s"} for name in names]
     raw = orjson.dumps({"configVersion": version, "routeList": routes, "serviceList": [{"name": "s"}]})
     return PutConfiguration(base, version, raw)
@@ -51,7 +51,7 @@
 
 
 class State(dict):
-    """Control state to which orders are applied in turn."""
+    """Control state to which commands are applied in turn."""
 
     def status(self, command):
         decision = decide(self, command)
@@ -113,7 +113,8 @@
 
 
 def test_what_was_accepted_is_acknowledged_again_after_thousands_of_changes():
-    """With uneven steps; what lost or has another content is refused, whatever it built on."""
+    """With uneven steps between versions. A change that lost, or has another content, is rejected whatever it
+    builds on."""
     state, versions = State(), [0]
     for number in range(3000):
         versions.append(versions[-1] + 1 + number % 7)
@@ -138,7 +139,8 @@
 
 
 def test_of_what_is_older_than_the_record_nothing_certain_is_said(monkeypatch):
-    """Neither accepted nor refused; what builds on the current version can't have been accepted before."""
+    """It is neither accepted nor rejected. A change that builds on the current version was not accepted
+    before."""
     monkeypatch.setattr(deduplication, "MAX_BLOCKS", 2)
     state = State()
     for number in range(1, 201):
@@ -174,7 +176,8 @@
 
 
 def test_an_order_for_a_zone_builds_on_what_was_known_when_it_was_given():
-    """Neither undoes a newer one, nor one that found done what it asked for; other zones don't matter."""
+    """No command undoes a newer one, not even a newer one that changed nothing; commands for other zones
+    don't matter."""
     state = State()
     late = Evacuate("north-a", 0)
     assert state.status(Evacuate("south-a")) == 200
@@ -200,8 +203,8 @@
 
 @given(st.lists(st.tuples(st.integers(1, 6), st.integers(0, 6), st.integers(0, 1)), max_size=30))
 def test_taken_versions_form_one_chain(commands):
-    """Whatever is sent in whatever order: each version that is taken builds on the one before and rises, and
-    an acknowledged one is acknowledged again."""
+    """Whatever commands are sent in whatever order: each accepted version is above the one before and builds
+    on it, and an acknowledged command is acknowledged again."""
     state, chain = State(), [0]
     acknowledged = set()
     for version, base, content in commands:
@@ -242,7 +245,7 @@
 
 
 def test_a_change_of_named_items_is_acknowledged_again_when_it_is_sent_again():
-    """Also after later changes, of either sort; another change with its number or its bytes is not."""
+    """Also after later changes of either kind; another change with its version or its bytes is not."""
     state, first = State(), patch(5, 3, add=["c"])
     state.status(whole(3, 0, "a"))
     assert [state.status(first), state.status(first)] == [200, 200]
--- a/tests/controlplane/test_command_router.py
+++ b/tests/controlplane/test_command_router.py
@@ -1,4 +1,4 @@
-"""Orders and reads at any member of three: answered in time, whatever the others do."""
+"""Commands and reads at any of three members get a response in time, whatever the others do."""
 
 import asyncio
 
@@ -9,7 +9,7 @@
 from shedgrade.controlplane import command_router
 from shedgrade.replication import CommittedState
 
-ANSWERED = 0.7  # s, the way there and back included
+ANSWERED = 0.7  # s from sending to response, both ways included
 
 
 def configuration(version, content=""):
@@ -31,14 +31,14 @@
 
 
 async def settled(net):
-    """A primary leads and all three are members."""
+    """Waits until there is a primary and all three are members."""
     while net.primary() is None or len(net.processes[net.primary()].member.members) < 3:
         await asyncio.sleep(0.05)
     await asyncio.sleep(1.0)
 
 
 async def answered(call, within=3.0):
-    """Status and s from sending to answer."""
+    """Status, and s from sending to response."""
     reply = await asyncio.wait_for(call.answer, within)
     return reply.status, call.answered_at - call.sent_at
 
@@ -70,7 +70,7 @@
 
 
 def test_a_read_at_another_member_carries_no_configuration_that_is_there_already():
-    """What the primary answers is small once its state is known there, and whole before."""
+    """The primary's response is small if the member holds the primary's state already, and full otherwise."""
 
     async def scene(net):
         raw = configuration(1, "x" * 100_000)
@@ -96,7 +96,7 @@
 
 
 def test_a_member_alone_says_so_before_its_caller_goes_on():
-    """Each of the three in turn, at any moment after its two others fell silent."""
+    """For each of the three members in turn, at any moment after the two others were stopped."""
 
     async def scene(net):
         await answered(put(net, "a", 1, 0))
@@ -136,8 +136,8 @@
 
 
 def test_a_take_over_is_waited_for_as_long_as_the_caller_listens():
-    """Sent at any moment after the primary died, to either of those left: the first call that is not answered
-    with success is told so in time, and once another leads every call succeeds."""
+    """Reads are sent at any moment after the primary was stopped, to the two remaining members in turn. A
+    call without success gets its 503 in time, and calls succeed once there is a new primary."""
 
     async def scene(net):
         first = net.primary()
@@ -152,7 +152,7 @@
             if status != 503:
                 done.append(call.sent_at - died)
         assert calls[-1].sent_at - died > 1.0 and len(done) > 20
-        # held, and answered with success, although sent before another led
+        # A call sent before there was a new primary was held and succeeded.
         assert min(done) < 0.9
 
     play(scene)
--- a/tests/controlplane/test_commands_model.py
+++ b/tests/controlplane/test_commands_model.py
@@ -1,4 +1,4 @@
-"""Operators ordering all at once, seeds of `commands_model.py`; faults planted that it must find.
+"""Seeds of `commands_model.py`, and planted faults that it must find.
 
 Many seeds: `SEEDS=1000 python -m pytest -q tests/controlplane/test_commands_model.py`.
 """
@@ -34,14 +34,14 @@
 
 
 def on_current(state, command):
-    """The order, as if it had built on the newest state."""
+    """The command, changed as if it built on the newest state."""
     if not isinstance(command, commands.ZoneCommand):
         return msgspec.structs.replace(command, base=int(state.get("version") or 0))
     return msgspec.structs.replace(command, revision=commands.zone_revisions(state).get(command.zone, 0))
 
 
 def decides(monkeypatch, change):
-    """Deciding goes by way of `change(state, order, decide)`."""
+    """Replaces deciding by `change(state, command, decide)`."""
     real = commands.make_decide
 
     def make(zones):
--- a/tests/controlplane/test_configuration_validation.py
+++ b/tests/controlplane/test_configuration_validation.py
@@ -1,4 +1,4 @@
-"""Configurations: what is read from them, what is invalid, and where it is said to be so."""
+"""Configurations: what is read from them, what is invalid, and the places of the findings."""
 
 import copy
 import subprocess
@@ -14,7 +14,7 @@
 from shedgrade.controlplane.configuration_validation import encode_findings, read_configuration
 from shedgrade.findings import MAX_FINDINGS
 
-# As PROTOCOL shows one.
+# The example in PROTOCOL.
 EXAMPLE = {
     "configVersion": 7,
     "routeList": [
@@ -82,7 +82,7 @@
 
 
 def changed(*changes):
-    """The example with changes made in it: (path of keys..., value); `del` as the value takes it away."""
+    """The example with changes: (path of keys..., value); the value `del_` deletes the key."""
     data = copy.deepcopy(EXAMPLE)
     for *path, last, value in changes:
         inner = data
@@ -99,7 +99,7 @@
 
 
 def found(data):
-    """The findings, as text, in what should not be taken."""
+    """The findings, as text, in a configuration that must be rejected."""
     result = read_configuration(data if isinstance(data, bytes) else orjson.dumps(data))
     assert result.is_error()
     return [str(finding) for finding in result.error]
@@ -256,7 +256,8 @@
 
 
 def test_two_routes_may_share_a_name():
-    """Nothing goes by it, and the operators' pages don't call it invalid: a refusal would break a rule."""
+    """Names of routes are not used, and the operators' pages don't call this invalid: a rejection would
+    violate the protocol."""
     told = copy.deepcopy(EXAMPLE)
     told["routeList"][1]["name"] = told["routeList"][0]["name"]
     assert len(read_configuration(orjson.dumps(told)).ok.routes) == len(EXAMPLE["routeList"])
@@ -350,7 +351,7 @@
     data = changed((*place, value))
     try:
         raw = orjson.dumps(data)
-    except (TypeError, orjson.JSONEncodeError):  # integers that JSON here cannot hold
+    except (TypeError, orjson.JSONEncodeError):  # integers that orjson can't encode
         return
     result = read_configuration(raw)
     if result.is_ok():
@@ -365,7 +366,7 @@
 
 
 def test_no_array_library_is_loaded_for_the_check():
-    """NumPy stays importable for others, but the control plane's process has none of it."""
+    """NumPy stays importable for others, but the control plane's process does not load it."""
     program = (
         "import sys; from shedgrade.controlplane.configuration_validation import read_configuration;"
         "assert read_configuration(sys.stdin.buffer.read()).is_ok();"
--- a/tests/controlplane/test_delta.py
+++ b/tests/controlplane/test_delta.py
@@ -1,4 +1,4 @@
-"""Changes of named items: what they make of what they build on, what is invalid, and where that is said."""
+"""Changes of named items: their result, and the places of findings in invalid ones."""
 
 import orjson
 import pytest
--- a/tests/controlplane/test_directory.py
+++ b/tests/controlplane/test_directory.py
@@ -1,4 +1,4 @@
-"""The directory: which edges clients are sent to."""
+"""The directory: to which edges clients are sent."""
 
 from random import Random
 
@@ -40,7 +40,7 @@
 
 
 def resolved(directory, edges, region="north", zone="north-a"):
-    """The numbers of the edges in an answer."""
+    """The numbers of the edges in a response."""
     query = {"name": "h", "region": region, "zone": zone}
     reply = directory.handle(Request(b"GET", b"/resolution", query), edges)
     assert reply.status == 200 and reply.content_type == b"application/json"
@@ -75,8 +75,8 @@
 
 
 def test_without_edges_in_the_region_only_those_of_the_home_regions_are_named(directory):
-    """All edges of a client's region may be stopped at once as planned, and those of the homes beside them:
-    then nobody may be named, and any other region would break the rule on homes."""
+    """All edges of a client's region and of the host's home regions may be stopped at once as planned. Then
+    no edge may be named: any other region would violate the rule on home regions."""
     edges = [edge(1), edge(2, "north-b"), edge(4, "south-a")]
     query = {"name": "Rota.Example", "region": "west", "zone": "west-a"}
     configuration = orjson.dumps(
@@ -100,7 +100,7 @@
 
 
 def test_a_host_that_is_not_known_is_served_in_its_clients_own_region_only(directory):
-    """A member that has just started holds no configuration, and one that lags may lack a host."""
+    """A member that has just started holds no configuration, and one that lags behind may lack a host."""
     configuration = orjson.dumps(
         {
             "configVersion": 1,
@@ -158,7 +158,7 @@
 
 
 def test_edges_that_leave_are_named_only_where_none_is_ready(directory):
-    """First those of the client's region, then those of the homes; one that is closed never."""
+    """First edges of the client's region, then those of the home regions; closed edges never."""
     leaves = [edge(1, state=LEAVING), edge(3, "north-b", state=LEAVING), edge(4, "south-a", state=LEAVING)]
     assert resolved(directory, leaves) == [3]
     assert resolved(directory, [*leaves, edge(5, "south-a")]) == [5]
@@ -171,7 +171,7 @@
 
 
 def test_of_edges_that_leave_those_told_last_are_named(directory):
-    """They still take what is longer."""
+    """Those edges accept requests the longest."""
     leaves = [
         msgspec.structs.replace(edge(number, state=LEAVING), ending_since=since)
         for number, since in [(1, 10.0), (2, 12.0), (3, 12.3)]
--- a/tests/controlplane/test_late_commands.py
+++ b/tests/controlplane/test_late_commands.py
@@ -1,4 +1,4 @@
-"""Orders for zones that come late: never undoing a newer one, wherever they were held up."""
+"""Commands for zones that are delayed, wherever they are held up, never undo a newer one."""
 
 import asyncio
 
@@ -12,7 +12,7 @@
 from shedgrade.replication.effects import Decision
 
 ZONE = "/evacuation/hall-2"
-SILENCE = 1.0  # s after which a caller goes on
+SILENCE = 1.0  # s without a response, after which a caller tries another member
 
 
 def ask(net, name, method, caller="operator"):
@@ -20,7 +20,7 @@
 
 
 async def given(net, name, method, caller="operator"):
-    """Sent until it is acknowledged, as an operator does; s that it took."""
+    """Sends the command until it is acknowledged, as an operator does; returns the s that this took."""
     begun = net.loop.time()
     while True:
         call = ask(net, name, method, caller)
@@ -48,8 +48,9 @@
 
 
 async def superseded(net, name, late, hold, let_go):
-    """`late` is sent to the member and held up; its caller goes on elsewhere, then gives the opposite order;
-    then the late one is let go. The zones evacuated in the end, and those by the last acknowledged order."""
+    """`late` is sent to the member and held up. Its caller moves on to another member and then sends the
+    opposite command; then `late` is released. Returns the zones evacuated in the end, and those according to
+    the last acknowledged command."""
     opposite = "DELETE" if late == "POST" else "POST"
     if late == "DELETE":
         await given(net, name, "POST")
@@ -103,8 +104,8 @@
 
 
 async def thought_better(net, late):
-    """The late order is the only one of its kind: the newer one finds done what it asks for. Whether the
-    late one was carried out in the end."""
+    """The late command is the only one of its kind; the newer one changes nothing, because the zone is in the
+    wanted state already. Returns whether the late one was applied in the end."""
     name, other = by_role(net, "witness"), by_role(net, "primary")
     if late == "DELETE":
         await given(net, other, "POST")
@@ -127,7 +128,7 @@
 
 
 def test_nothing_is_followed_up_for_a_caller_that_has_gone():
-    """Its member has no primary; the caller leaves, and a newer order is given before the member has one."""
+    """The member has no primary; the caller leaves and a newer command is sent before the member has one."""
 
     async def scene(net):
         name = by_role(net, "backup")
@@ -151,7 +152,7 @@
 
 
 def test_in_calm_orders_are_acknowledged_at_once_wherever_they_come():
-    """Each by another member than the one before, some of which did not hear of that yet."""
+    """Each command goes to another member than the one before; some of these don't know of that one yet."""
 
     async def scene(net):
         for turn in range(12):
@@ -178,7 +179,7 @@
 
 
 def unconditional(monkeypatch):
-    """An order builds on nothing."""
+    """A command builds on no revision."""
     real = commands.make_decide
 
     def make(zones):
@@ -196,12 +197,12 @@
 
 
 def of_any_age(monkeypatch):
-    """A member trusts what it reads to be new, and its caller to be there."""
+    """A member trusts that its state is new and that the caller is waiting."""
     monkeypatch.setattr(PendingZoneCommand, "caller_is_waiting", lambda self: True)
 
 
 def deaf_to_ends(monkeypatch):
-    """A member doesn't look whether its caller is there."""
+    """A member does not check whether its caller has closed the connection."""
     real = CommandRouter.submit
     monkeypatch.setattr(
         CommandRouter,
--- a/tests/controlplane/test_operator_api.py
+++ b/tests/controlplane/test_operator_api.py
@@ -1,4 +1,4 @@
-"""The operators' calls, from requests to replies, on a control state that is a plain dict."""
+"""The operators' calls, from requests to responses, on a control state that is a plain dict."""
 
 import doctest
 from types import SimpleNamespace
@@ -14,7 +14,7 @@
 
 
 class DecidingRouter:
-    """Decides at once; `there`: whether a primary is to be had."""
+    """Decides at once. `there`: whether a primary is available."""
 
     def __init__(self):
         self.state, self.there, self.seen = {}, True, []
--- a/tests/controlplane/test_platform_poller.py
+++ b/tests/controlplane/test_platform_poller.py
@@ -157,7 +157,7 @@
     first, second, third = known([entry("a"), entry("b", coldLeftMs=5000)]), EndpointList(), EndpointList()
     assert second.apply_update(decode(encode(first.update_since(0, 0, now=101.0))), now=201.0)
     assert second.version == (1, 1) and second.age_s(201.0) == 1.0
-    assert told(second, 202.0)["b"].cold_left_ms == 3000  # 4 s were left as it was sent
+    assert told(second, 202.0)["b"].cold_left_ms == 3000  # 4 s were left when it was sent
     assert third.apply_update(second.update_since(0, 0, now=202.0), now=302.0)
     first.apply_poll(103.0, [entry("a", state="draining"), entry("b", coldLeftMs=2000)])
     assert second.apply_update(first.update_since(1, 1, now=103.0), now=203.0)
@@ -190,7 +190,7 @@
     assert second.age_s(102.0) == pytest.approx(0.2)
     assert not second.apply_update(
         EndpointList().update_since(9, 9, now=102.0), now=102.0
-    )  # one that knows nothing
+    )  # from a member that knows no list
 
 
 def test_a_new_poller_goes_on_under_its_own_term():
@@ -200,7 +200,7 @@
     assert second.version == (3, 1)
     assert second.apply_poll(101.0, [entry("a")]) and second.version == (4, 2)
     assert first.apply_update(second.update_since(3, 1, now=101.0), now=101.0) and first.version == (4, 2)
-    assert not first.apply_poll(102.0, [entry("b")]) and first.version == (4, 2)  # its own term is over
+    assert not first.apply_poll(102.0, [entry("b")]) and first.version == (4, 2)  # its own term has ended
 
 
 def test_a_poller_whose_term_is_below_what_is_known_takes_a_higher_one():
@@ -253,7 +253,7 @@
 
 
 class Platform:
-    """The far end: pages of a list, with troubles on order. One transport a connection."""
+    """A platform that serves pages of a list, with faults as configured; one transport a connection."""
 
     def __init__(self, loop) -> None:
         self.loop, self.entries, self.size = loop, [entry("a"), entry("b"), entry("c")], 50
@@ -349,7 +349,7 @@
 
 
 def test_a_list_is_as_old_as_its_call():
-    """This process stands still between the call and the answer: the loop's clock leaps, as after SIGCONT."""
+    """This process is stopped between call and response: the loop's clock jumps, as after SIGCONT."""
 
     async def scene(loop, platform, held, told, poller):
         poller.start(term=5)
@@ -475,7 +475,7 @@
     async def scene(loop, platform, held, told, poller):
         early = Poller(loop, API, held, told.append, random=Random(2))
         poller.start(term=4)
-        await asyncio.sleep(0.005)  # its answer is under way, and comes first
+        await asyncio.sleep(0.005)  # its response is under way and arrives first
         assert not await early.poll_once()
         assert held.term == 4
 
--- a/tests/controlplane/test_poller_retarget.py
+++ b/tests/controlplane/test_poller_retarget.py
@@ -1,4 +1,4 @@
-"""A poller whose platform moves, as settings that are read anew say."""
+"""A poller after the platform's address or rate limit changed in reloaded settings."""
 
 import asyncio
 from dataclasses import replace
