--- a/tests/controlplane/commands_model.py
+++ b/tests/controlplane/commands_model.py
@@ -1,10 +1,10 @@
 """Concurrent operators of real members in virtual time: lost responses, stopped processes, partitions.
 
-`run(seed)` simulates `SECONDS` and returns a `History`; `check(history)` returns violations of these rules:
-one configuration wins for each base and for each version; an accepted command is acknowledged again or its
-outcome stays unclear, and a rejected one is never in force; reads are not older than what was acknowledged
-before them; a zone does not change between the acknowledgement of a command for it and the sending of the
-next one.
+`run(seed)` simulates `DURATION_S` seconds and returns a `History`; `check(history)` returns violations of
+these rules: one configuration wins for each base and for each version; an accepted command is acknowledged
+again or its outcome stays unclear, and a rejected one is never in force; reads are not older than what was
+acknowledged before them; a zone does not change between the acknowledgement of a command for it and the
+sending of the next one.
 """
 
 import asyncio
@@ -20,16 +20,16 @@
 from shedgrade.controlplane.commands import PatchConfiguration, PutConfiguration
 from shedgrade.controlplane.deduplication import AcceptanceStatus
 
-SECONDS = 30.0
+DURATION_S = 30.0
 WRITERS = 4  # operators of configurations; one more for each zone makes eight at once
 ZONES = ("hall-1", "hall-2", "hall-3", "hall-4")
-LOST_ANSWERS = (0.0, 0.3, 0.7)
-SILENCE = 1.0  # s without a response, after which a caller tries another member
-GIVES_UP = 8.0  # s after which the caller gives up and the outcome stays unclear
+RESPONSE_LOSS_RATES = (0.0, 0.3, 0.7)  # shares of responses that are lost
+ATTEMPT_TIMEOUT_S = 1.0  # without a response, after which a caller tries another member
+GIVE_UP_S = 8.0  # after which the caller gives up and the outcome stays unclear
 
 
 @dataclass
-class Sent:
+class SentCommand:
     """One command and its outcome. `status`: HTTP status; None if the caller gave up."""
 
     sent_at: float
@@ -59,9 +59,9 @@
 class History:
     """`zones`: by zone, the committed changes as (s, evacuated). `state`: committed at the end."""
 
-    puts: list[Sent] = field(default_factory=list)
-    repeats: list[Sent] = field(default_factory=list)
-    zone_commands: list[Sent] = field(default_factory=list)
+    puts: list[SentCommand] = field(default_factory=list)
+    repeats: list[SentCommand] = field(default_factory=list)
+    zone_commands: list[SentCommand] = field(default_factory=list)
     reads: list[Read] = field(default_factory=list)
     zones: dict[str, list[tuple[float, bool]]] = field(default_factory=lambda: defaultdict(list))
     state: dict[str, bytes] = field(default_factory=dict)
@@ -75,12 +75,12 @@
     def __init__(self, net, name, random, history):
         self.net, self.name, self.random, self.history = net, name, random, history
 
-    async def ask(self, method, path, body=b"", base=None, within=GIVES_UP):
+    async def request(self, method, path, body=b"", base=None, within=GIVE_UP_S):
         """The first clear response from any member; None if there is none in time."""
         pause, until = 0.05, self.net.loop.time() + within
         while self.net.loop.time() < until:
             call = Call(self.net, self.name, self.random.choice("abc"), method, path, body, base)
-            await asyncio.wait([call.answer], timeout=SILENCE)
+            await asyncio.wait([call.answer], timeout=ATTEMPT_TIMEOUT_S)
             call.close()
             if call.answer.done() and call.answer.result().status < 500:
                 return call.answer.result()
@@ -88,21 +88,21 @@
             pause = min(2 * pause, 0.5)
         return None
 
-    async def give(self, sent, method, path, within=GIVES_UP):
-        reply = await self.ask(method, path, sent.raw, sent.base if sent.raw else None, within)
+    async def send(self, sent, method, path, within=GIVE_UP_S):
+        reply = await self.request(method, path, sent.raw, sent.base if sent.raw else None, within)
         sent.ended_at = self.net.loop.time()
         sent.status = reply.status if reply is not None else None
 
     async def read(self):
         begun = self.net.loop.time()
-        reply = await self.ask("GET", "/configuration")
+        reply = await self.request("GET", "/configuration")
         if reply is None:
             return None
         version = version_of(reply.body) if reply.status == 200 else 0
         self.history.reads.append(Read(begun, version))
         return version
 
-    async def write(self):
+    async def write_configurations(self):
         """Writes configurations that build on what was read; other operators may choose the same versions."""
         while True:
             base = await self.read()
@@ -120,9 +120,9 @@
                         },
                     )
                 raw = msgspec.json.encode({"configVersion": version, **content})
-                sent = Sent(self.net.loop.time(), base, version, raw, method)
+                sent = SentCommand(self.net.loop.time(), base, version, raw, method)
                 self.history.puts.append(sent)
-                await self.give(sent, method, "/configuration")
+                await self.send(sent, method, "/configuration")
             await self.repeat()
 
     async def repeat(self):
@@ -130,23 +130,24 @@
         acknowledged = [put for put in self.history.puts if put.status == 200]
         if acknowledged and self.random.random() < 0.5:
             before = self.random.choice(acknowledged)
-            sent = Sent(self.net.loop.time(), before.base, before.version, before.raw, before.method)
+            sent = SentCommand(self.net.loop.time(), before.base, before.version, before.raw, before.method)
             self.history.repeats.append(sent)
-            await self.give(sent, sent.method, "/configuration")
+            await self.send(sent, sent.method, "/configuration")
 
-    async def empty(self, zone):
+    async def change_zone(self, zone):
         """Evacuates a zone and withdraws that, one command after another, some followed by a pause."""
         evacuates = False
         while True:
             evacuates = evacuates != (self.random.random() < 0.8)
-            sent = Sent(self.net.loop.time(), zone=zone, evacuates=evacuates)
+            sent = SentCommand(self.net.loop.time(), zone=zone, evacuates=evacuates)
             self.history.zone_commands.append(sent)
-            within = self.random.choice((GIVES_UP, SILENCE))  # at times it gives up after the first attempt
-            await self.give(sent, "POST" if sent.evacuates else "DELETE", f"/evacuation/{zone}", within)
+            # With the lower limit the operator gives up after the first attempt.
+            within = self.random.choice((GIVE_UP_S, ATTEMPT_TIMEOUT_S))
+            await self.send(sent, "POST" if sent.evacuates else "DELETE", f"/evacuation/{zone}", within)
             await asyncio.sleep(self.random.choice((0.0, self.random.expovariate(1.0))))
 
 
-async def trouble(net, random):
+async def inject_faults(net, random):
     """Stops one member at a time, or partitions it from the others, from one of them, from the callers, or
     from the callers and one other."""
     while True:
@@ -169,22 +170,23 @@
         net.heal()
 
 
-def run(seed, seconds=SECONDS):
+def run(seed, seconds=DURATION_S):
     history = History()
 
-    async def story(loop):
+    async def scenario(loop):
         random = Random(seed)
         net = Net(loop, seed, delay=random.choice((0.002, 0.02, 0.05)))
-        net.finished = lambda state: note(history, loop.time(), state)
+        net.finished = lambda state: record_zone_changes(history, loop.time(), state)
         while net.primary() is None:
             await asyncio.sleep(0.1)
-        lost = random.choice(LOST_ANSWERS)
+        lost = random.choice(RESPONSE_LOSS_RATES)
         net.loses = lambda: random.random() < lost
         operators = [
-            Operator(net, f"operator-{number}", random, history).write() for number in range(WRITERS)
+            Operator(net, f"operator-{number}", random, history).write_configurations()
+            for number in range(WRITERS)
         ]
-        operators += [Operator(net, zone, random, history).empty(zone) for zone in ZONES]
-        tasks = [loop.create_task(one) for one in (*operators, trouble(net, random))]
+        operators += [Operator(net, zone, random, history).change_zone(zone) for zone in ZONES]
+        tasks = [loop.create_task(one) for one in (*operators, inject_faults(net, random))]
         done, _ = await asyncio.wait(tasks, timeout=seconds)
         for task in done:
             task.result()
@@ -196,11 +198,11 @@
         await asyncio.sleep(6.0)
         history.state = dict(net.processes[net.primary()].member.committed.state)
 
-    virtual_loop.play(story)
+    virtual_loop.play(scenario)
     return history
 
 
-def note(history, now, state):
+def record_zone_changes(history, now, state):
     """Records the zones that change with a newly committed state."""
     known = msgspec.json.decode(state.get("evacuations") or b"[]")
     for zone in ZONES:
@@ -210,10 +212,15 @@
 
 
 def check(history):
-    return [*two_winners(history), *lost_or_refused(history), *old_reads(history), *undone(history)]
+    return [
+        *multiple_winners(history),
+        *wrong_outcomes(history),
+        *stale_reads(history),
+        *unexplained_zone_changes(history),
+    ]
 
 
-def two_winners(history):
+def multiple_winners(history):
     by_base, by_number = defaultdict(set), defaultdict(set)
     for put in history.puts:
         if put.status == 200:
@@ -225,7 +232,7 @@
                 yield f"{called} {key} has {len(contents)} winners"
 
 
-def lost_or_refused(history):
+def wrong_outcomes(history):
     for put in (*history.puts, *history.repeats):
         acceptance_status = deduplication.acceptance_status(history.state, put.version, put.content)
         if put.status == 200 and acceptance_status is not AcceptanceStatus.ACCEPTED:
@@ -237,7 +244,7 @@
             yield f"version {repeat.version} was acknowledged, and rejected with {repeat.status} later"
 
 
-def old_reads(history):
+def stale_reads(history):
     for read in history.reads:
         newest = max(
             (put.version for put in history.puts if put.status == 200 and put.ended_at < read.begun_at),
@@ -247,7 +254,7 @@
             yield f"read {read.version} after {newest} was acknowledged"
 
 
-def undone(history):
+def unexplained_zone_changes(history):
     for zone in ZONES:
         commands = [each for each in history.zone_commands if each.zone == zone]
         for each, after in zip(commands, [*commands[1:], None], strict=True):
--- a/tests/controlplane/test_commands_model.py
+++ b/tests/controlplane/test_commands_model.py
@@ -16,31 +16,31 @@
 from shedgrade.replication.effects import Decision
 
 SEEDS = int(os.environ.get("SEEDS", "12"))
-FOUND_WITHIN = 24  # seeds
+MAX_SEEDS = 24  # within which each planted fault must be found
 
 
 @pytest.mark.parametrize("seed", range(SEEDS))
-def test_nothing_is_broken(seed):
+def test_no_rule_is_violated(seed):
     history = commands_model.run(seed)
     assert commands_model.check(history) == []
     assert sum(put.status == 200 for put in history.puts) > 2
 
 
-def test_the_same_seed_plays_the_same():
+def test_the_same_seed_gives_the_same_history():
     assert commands_model.run(7) == commands_model.run(7)
 
 
 # --- planted faults
 
 
-def on_current(state, command):
+def rebased_on_current(state, command):
     """The command, changed as if it built on the newest state."""
     if not isinstance(command, commands.ZoneCommand):
         return msgspec.structs.replace(command, base=int(state.get("version") or 0))
     return msgspec.structs.replace(command, revision=commands.zone_revisions(state).get(command.zone, 0))
 
 
-def decides(monkeypatch, change):
+def replace_decide(monkeypatch, change):
     """Replaces deciding by `change(state, command, decide)`."""
     real = commands.make_decide
 
@@ -52,24 +52,26 @@
 
 
 def base_not_compared(monkeypatch):
-    decides(
+    replace_decide(
         monkeypatch,
         lambda state, command, decide: decide(
-            state, command if isinstance(command, commands.ZoneCommand) else on_current(state, command)
+            state,
+            command if isinstance(command, commands.ZoneCommand) else rebased_on_current(state, command),
         ),
     )
 
 
 def zones_unconditional(monkeypatch):
-    decides(
+    replace_decide(
         monkeypatch,
         lambda state, command, decide: decide(
-            state, on_current(state, command) if isinstance(command, commands.ZoneCommand) else command
+            state,
+            rebased_on_current(state, command) if isinstance(command, commands.ZoneCommand) else command,
         ),
     )
 
 
-def known_by_number_alone(monkeypatch):
+def identified_by_version_alone(monkeypatch):
     def change(state, command, decide):
         if not isinstance(command, commands.ZoneCommand) and command.version == int(
             state.get("version") or 0
@@ -77,10 +79,10 @@
             return Decision({}, commands.CommandReply(200))
         return decide(state, command)
 
-    decides(monkeypatch, change)
+    replace_decide(monkeypatch, change)
 
 
-def forgotten_is_refused(monkeypatch):
+def forgotten_is_rejected(monkeypatch):
     real = deduplication.acceptance_status
 
     def acceptance_status(state, version, raw):
@@ -109,8 +111,8 @@
 FAULTS = (
     base_not_compared,
     zones_unconditional,
-    known_by_number_alone,
-    forgotten_is_refused,
+    identified_by_version_alone,
+    forgotten_is_rejected,
     callers_trusted_to_wait,
     reads_from_memory,
 )
@@ -120,10 +122,10 @@
 def test_planted_faults_are_found(monkeypatch, fault):
     real = deduplication.acceptance_status
     fault(monkeypatch)
-    for seed in range(FOUND_WITHIN):
+    for seed in range(MAX_SEEDS):
         history = commands_model.run(seed)
         with monkeypatch.context() as whole:
             whole.setattr("shedgrade.controlplane.deduplication.acceptance_status", real)
             if commands_model.check(history):
                 return
-    raise AssertionError(f"not found within {FOUND_WITHIN} seeds")
+    raise AssertionError(f"not found within {MAX_SEEDS} seeds")
