--- a/tests/controlplane/test_command_decisions.py
+++ b/tests/controlplane/test_command_decisions.py
@@ -28,7 +28,7 @@
     return PutConfiguration(base, version, orjson.dumps({"configVersion": version, "routeList": [content]}))
 
 
-def whole(version, base, *names):
+def put_routes(version, base, *names):
     """A PUT of a configuration with a route for each name."""
     routes = [{"name": name, "host": "h", "pathPrefix": f"/{name}/", "service": "s"} for name in names]
     raw = orjson.dumps({"configVersion": version, "routeList": routes, "serviceList": [{"name": "s"}]})
@@ -66,7 +66,7 @@
         return int(self.get("version", 0))
 
 
-def test_versions_build_on_the_current_one():
+def test_a_configuration_must_build_on_the_current_version():
     state = State()
     assert state.status(put(3, 0)) == 200 and state.version() == 3
     assert state.status(put(7, 3)) == 200 and state["configuration"] == put(7, 3).raw
@@ -77,7 +77,7 @@
     assert state.status(PutConfiguration(None, 9, b"{}")) == 412
 
 
-def test_what_is_said_again_has_been_taken():
+def test_a_repeated_configuration_is_acknowledged_again():
     state = State()
     first, second = put(3, 0), put(7, 3)
     assert [state.status(command) for command in (first, first, second, second, first)] == [200] * 5
@@ -94,7 +94,7 @@
     assert decide(state, CancelEvacuation("north-a")).changes.keys() == {EVACUATION_REVISIONS}
 
 
-def test_two_with_the_same_number_are_not_both_taken():
+def test_only_one_of_two_contents_with_one_version_is_accepted():
     state = State()
     assert state.status(put(3, 0, "mine")) == 200
     assert state.status(put(3, 0, "theirs")) == 412
@@ -103,7 +103,7 @@
     assert state.status(put(3, 0, "mine")) == 200
 
 
-def test_a_refusal_says_where_and_why():
+def test_a_rejection_names_the_place_and_the_reason():
     state = State()
     state.status(put(3, 0))
     assert decide(state, put(9, 1)).outcome == CommandReply(412, "version 3 is in place", "If-Match")
@@ -112,7 +112,7 @@
     assert decide(state, Evacuate("west")).outcome == CommandReply(404, "no such zone", "west")
 
 
-def test_what_was_accepted_is_acknowledged_again_after_thousands_of_changes():
+def test_an_accepted_change_is_acknowledged_again_after_thousands_of_changes():
     """With uneven steps between versions. A change that lost, or has another content, is rejected whatever it
     builds on."""
     state, versions = State(), [0]
@@ -127,7 +127,7 @@
     assert state.version() == versions[-1]
 
 
-def test_a_change_does_not_cost_more_with_each_before_it():
+def test_the_size_of_a_change_does_not_grow_with_the_number_of_changes():
     state, sizes = State(), []
     for version in range(1, 2000):
         changes = decide(state, put(version, version - 1)).changes
@@ -138,7 +138,7 @@
     assert sum(map(len, state.values())) < 21 * 2000 + 1000
 
 
-def test_of_what_is_older_than_the_record_nothing_certain_is_said(monkeypatch):
+def test_the_outcome_of_a_change_older_than_the_record_is_unknown(monkeypatch):
     """It is neither accepted nor rejected. A change that builds on the current version was not accepted
     before."""
     monkeypatch.setattr(deduplication, "MAX_BLOCKS", 2)
@@ -155,7 +155,7 @@
     assert state.status(put(399, 398)) == 412 and state.version() == 400
 
 
-def test_a_state_written_before_the_record_began_refuses_nothing_that_may_be_in_it():
+def test_a_state_without_a_record_rejects_no_change_that_it_may_contain():
     state = State({"configuration": put(7, 3).raw, "version": b"7"})
     assert state.status(put(7, 3)) == 200
     assert state.status(put(3, 0)) == 503
@@ -163,7 +163,7 @@
     assert state.status(put(9, 7, "theirs")) == 412
 
 
-def test_zones_are_emptied_and_taken_back():
+def test_zones_are_evacuated_and_evacuations_are_cancelled():
     state = State()
     assert state.status(Evacuate("south-a")) == 200
     assert state.status(Evacuate("north-a")) == 200
@@ -175,7 +175,7 @@
     assert state.status(put(3, 0)) == 200 and state["evacuations"] == b'["north-a"]'
 
 
-def test_an_order_for_a_zone_builds_on_what_was_known_when_it_was_given():
+def test_a_zone_command_builds_on_the_revision_known_when_it_was_sent():
     """No command undoes a newer one, not even a newer one that changed nothing; commands for other zones
     don't matter."""
     state = State()
@@ -191,18 +191,18 @@
     assert state.status(CancelEvacuation("south-a", 1)) == 200 and state["evacuations"] == b"[]"
 
 
-def test_a_zone_that_settings_name_no_more_can_be_taken_back():
+def test_the_evacuation_of_a_zone_removed_from_the_settings_can_be_cancelled():
     state = State({"evacuations": b'["gone"]'})
     assert state.status(CancelEvacuation("gone")) == 200 and state["evacuations"] == b"[]"
 
 
-def test_what_is_no_order_is_a_fault():
+def test_an_object_that_is_not_a_command_raises_type_error():
     with pytest.raises(TypeError):
         decide({}, object())
 
 
 @given(st.lists(st.tuples(st.integers(1, 6), st.integers(0, 6), st.integers(0, 1)), max_size=30))
-def test_taken_versions_form_one_chain(commands):
+def test_accepted_versions_form_one_chain(commands):
     """Whatever commands are sent in whatever order: each accepted version is above the one before and builds
     on it, and an acknowledged command is acknowledged again."""
     state, chain = State(), [0]
@@ -225,16 +225,16 @@
 @pytest.mark.parametrize(
     "command", [put(3, 0), put(3, None), Evacuate("north-a"), CancelEvacuation("north-a"), None]
 )
-def test_orders_and_replies_travel(command):
+def test_commands_and_replies_survive_encoding(command):
     assert decode(encode(ForwardedRequest(command))) == ForwardedRequest(command)
     for reply in (CommandReply(412, "another", "If-Match"), RevisionConflict(3), None):
         outcome = ForwardedResponse(reply, {"version": b"3"})
         assert decode(encode(outcome)) == outcome
 
 
-def test_a_change_of_named_items_is_one_change_with_one_number():
+def test_a_patch_is_one_change_with_one_version():
     state = State()
-    assert state.status(whole(3, 0, "a", "b")) == 200
+    assert state.status(put_routes(3, 0, "a", "b")) == 200
     assert state.status(patch(5, 3, add=["c"], remove=["a"])) == 200
     held = orjson.loads(state["configuration"])
     assert state.version() == held["configVersion"] == 5
@@ -244,31 +244,31 @@
     assert state.version() == 5
 
 
-def test_a_change_of_named_items_is_acknowledged_again_when_it_is_sent_again():
+def test_a_repeated_patch_is_acknowledged_again():
     """Also after later changes of either kind; another change with its version or its bytes is not."""
     state, first = State(), patch(5, 3, add=["c"])
-    state.status(whole(3, 0, "a"))
+    state.status(put_routes(3, 0, "a"))
     assert [state.status(first), state.status(first)] == [200, 200]
     assert state.status(patch(5, 3, add=["d"])) == 412
     assert state.status(PutConfiguration(3, 5, first.raw)) == 412
-    assert state.status(whole(7, 5, "z")) == 200 and state.status(patch(9, 7, add=["y"])) == 200
+    assert state.status(put_routes(7, 5, "z")) == 200 and state.status(patch(9, 7, add=["y"])) == 200
     assert state.status(first) == 200 and decide(state, first).changes == {}
     assert [route["name"] for route in orjson.loads(state["configuration"])["routeList"]] == ["z", "y"]
 
 
-def test_one_of_two_wins_when_a_whole_and_a_part_race_on_one_number():
+def test_one_wins_when_a_put_and_a_patch_race_for_one_version():
     for winner, loser in (
-        (whole(5, 3, "z"), patch(5, 3, add=["c"])),
-        (patch(5, 3, add=["c"]), whole(5, 3, "z")),
+        (put_routes(5, 3, "z"), patch(5, 3, add=["c"])),
+        (patch(5, 3, add=["c"]), put_routes(5, 3, "z")),
     ):
         state = State()
-        state.status(whole(3, 0, "a"))
+        state.status(put_routes(3, 0, "a"))
         assert [state.status(winner), state.status(loser), state.status(winner)] == [200, 412, 200]
 
 
-def test_what_does_not_fit_what_is_in_place_changes_nothing_and_all_of_it_is_told():
+def test_a_patch_with_invalid_references_changes_nothing_and_reports_all():
     state = State()
-    state.status(whole(3, 0, "a"))
+    state.status(put_routes(3, 0, "a"))
     reply = decide(state, patch(5, 3, add=["c", "d"], service="none")).outcome
     assert (reply.status, reply.place) == (400, "addModify.routeList[0].service")
     assert [finding.place for finding in reply.further] == ["addModify.routeList[1].service"]
--- a/tests/controlplane/test_late_commands.py
+++ b/tests/controlplane/test_late_commands.py
@@ -12,19 +12,19 @@
 from shedgrade.replication.effects import Decision
 
 ZONE = "/evacuation/hall-2"
-SILENCE = 1.0  # s without a response, after which a caller tries another member
+ATTEMPT_TIMEOUT_S = 1.0  # s without a response, after which a caller tries another member
 
 
 def ask(net, name, method, caller="operator"):
     return Call(net, caller, name, method, ZONE)
 
 
-async def given(net, name, method, caller="operator"):
+async def send_until_acknowledged(net, name, method, caller="operator"):
     """Sends the command until it is acknowledged, as an operator does; returns the s that this took."""
     begun = net.loop.time()
     while True:
         call = ask(net, name, method, caller)
-        done, _ = await asyncio.wait([call.answer], timeout=SILENCE)
+        done, _ = await asyncio.wait([call.answer], timeout=ATTEMPT_TIMEOUT_S)
         if done and call.answer.result().status == 200:
             return net.loop.time() - begun
         call.close()
@@ -37,7 +37,7 @@
     return msgspec.json.decode(primary.member.committed.state.get("evacuations") or b"[]")
 
 
-async def settled(net):
+async def wait_until_ready(net):
     while net.primary() is None or len(net.processes[net.primary()].member.members) < 3:
         await asyncio.sleep(0.05)
     await asyncio.sleep(1.0)
@@ -47,21 +47,21 @@
     return next(name for name, process in net.processes.items() if process.member.role == role)
 
 
-async def superseded(net, name, late, hold, let_go):
+async def run_superseded(net, name, late, hold, release):
     """`late` is sent to the member and held up. Its caller moves on to another member and then sends the
     opposite command; then `late` is released. Returns the zones evacuated in the end, and those according to
     the last acknowledged command."""
     opposite = "DELETE" if late == "POST" else "POST"
     if late == "DELETE":
-        await given(net, name, "POST")
+        await send_until_acknowledged(net, name, "POST")
     hold()
     call = ask(net, name, late)
-    await asyncio.sleep(SILENCE)
+    await asyncio.sleep(ATTEMPT_TIMEOUT_S)
     call.close()
     other = next(one for one in net.processes if one != name and not net.processes[one].loop.stopped)
-    await given(net, other, late, "operator elsewhere")
-    await given(net, other, opposite, "operator elsewhere")
-    let_go()
+    await send_until_acknowledged(net, other, late, "operator elsewhere")
+    await send_until_acknowledged(net, other, opposite, "operator elsewhere")
+    release()
     await asyncio.sleep(4.0)
     return evacuated(net), ["hall-2"] if opposite == "POST" else []
 
@@ -78,65 +78,65 @@
     return lambda: net.cut(*((name, other) for other in net.processes if other != name)), net.heal
 
 
-def play(scene, **options):
-    async def story(loop):
+def play(scenario, **options):
+    async def run(loop):
         net = Net(loop, **options)
-        await settled(net)
-        await scene(net)
+        await wait_until_ready(net)
+        await scenario(net)
 
-    virtual_loop.play(story)
+    virtual_loop.play(run)
 
 
 ROLES = ("primary", "backup", "witness")
-WAYS = (stopped, cut_from_caller, cut_from_members)
+HOLDS = (stopped, cut_from_caller, cut_from_members)
 
 
 @pytest.mark.parametrize("late", ["POST", "DELETE"])
 @pytest.mark.parametrize("role", ROLES)
-@pytest.mark.parametrize("held", WAYS, ids=lambda way: way.__name__)
-def test_an_order_that_was_held_up_undoes_no_newer_one(held, role, late):
-    async def scene(net):
+@pytest.mark.parametrize("held", HOLDS, ids=lambda hold: hold.__name__)
+def test_a_delayed_command_undoes_no_newer_one(held, role, late):
+    async def scenario(net):
         name = by_role(net, role)
-        found, acknowledged = await superseded(net, name, late, *held(net, name))
+        found, acknowledged = await run_superseded(net, name, late, *held(net, name))
         assert found == acknowledged
 
-    play(scene)
+    play(scenario)
 
 
-async def thought_better(net, late):
+async def late_applied_after_no_op(net, late):
     """The late command is the only one of its kind; the newer one changes nothing, because the zone is in the
     wanted state already. Returns whether the late one was applied in the end."""
     name, other = by_role(net, "witness"), by_role(net, "primary")
     if late == "DELETE":
-        await given(net, other, "POST")
+        await send_until_acknowledged(net, other, "POST")
     net.cut((name, other))
     call = ask(net, name, late)
-    await asyncio.sleep(SILENCE)
+    await asyncio.sleep(ATTEMPT_TIMEOUT_S)
     call.close()
-    await given(net, other, "DELETE" if late == "POST" else "POST", "operator elsewhere")
+    await send_until_acknowledged(net, other, "DELETE" if late == "POST" else "POST", "operator elsewhere")
     net.heal()
     await asyncio.sleep(4.0)
     return evacuated(net) == (["hall-2"] if late == "POST" else [])
 
 
 @pytest.mark.parametrize("late", ["POST", "DELETE"])
-def test_an_order_that_changes_nothing_makes_older_ones_obsolete_too(late):
-    async def scene(net):
-        assert not await thought_better(net, late)
+def test_a_command_that_changes_nothing_makes_older_ones_obsolete_too(late):
+    async def scenario(net):
+        assert not await late_applied_after_no_op(net, late)
 
-    play(scene)
+    play(scenario)
 
 
-def test_nothing_is_followed_up_for_a_caller_that_has_gone():
+def test_no_command_is_submitted_for_a_caller_that_has_gone():
     """The member has no primary; the caller leaves and a newer command is sent before the member has one."""
 
-    async def scene(net):
+    async def scenario(net):
         name = by_role(net, "backup")
         submissions = []
         process = net.processes[name]
         real = process.command_router.submit_to_member
-        process.command_router.submit_to_member = lambda command, told: (
-            submissions.append(net.loop.time()) or real(command, told)
+        process.command_router.submit_to_member = lambda command, on_outcome: (
+            submissions.append(net.loop.time()) or real(command, on_outcome)
         )
         for other in net.processes:
             if other != name:
@@ -148,31 +148,31 @@
         await asyncio.sleep(2.0)
         assert submissions == []
 
-    play(scene)
+    play(scenario)
 
 
-def test_in_calm_orders_are_acknowledged_at_once_wherever_they_come():
+def test_without_faults_commands_are_acknowledged_at_once_by_any_member():
     """Each command goes to another member than the one before; some of these don't know of that one yet."""
 
-    async def scene(net):
+    async def scenario(net):
         for turn in range(12):
             name = "abc"[turn % 3]
-            seconds = await given(net, name, ("POST", "DELETE")[turn % 2])
+            seconds = await send_until_acknowledged(net, name, ("POST", "DELETE")[turn % 2])
             assert seconds < command_router.CLOSE_DELAY_S + 12 * net.delay
             assert evacuated(net) == (["hall-2"] if turn % 2 == 0 else [])
 
-    play(scene, delay=0.03)
+    play(scenario, delay=0.03)
 
 
-def test_the_same_order_may_be_sent_to_all_at_once():
-    async def scene(net):
+def test_the_same_command_may_be_sent_to_all_members_at_once():
+    async def scenario(net):
         for method in ("POST", "DELETE", "POST"):
             calls = [ask(net, name, method) for name in net.processes for _ in range(3)]
             await asyncio.sleep(0.6)
             assert [call.answer.result().status for call in calls] == [200] * 9
         assert evacuated(net) == ["hall-2"]
 
-    play(scene)
+    play(scenario)
 
 
 # --- planted faults, each of which one of the tests above must find
@@ -196,42 +196,42 @@
     monkeypatch.setattr("control_net.make_decide", make)
 
 
-def of_any_age(monkeypatch):
+def callers_trusted_to_wait(monkeypatch):
     """A member trusts that its state is new and that the caller is waiting."""
     monkeypatch.setattr(PendingZoneCommand, "caller_is_waiting", lambda self: True)
 
 
-def deaf_to_ends(monkeypatch):
+def closed_connections_ignored(monkeypatch):
     """A member does not check whether its caller has closed the connection."""
     real = CommandRouter.submit
     monkeypatch.setattr(
         CommandRouter,
         "submit",
-        lambda self, command, tell, caller: real(
-            self, command, tell, command_router.Caller(caller.arrived_after)
+        lambda self, command, respond, caller: real(
+            self, command, respond, command_router.Caller(caller.arrived_after)
         ),
     )
 
 
-def idle_orders_keep_the_revision(state, command, decide):
+def unchanged_zone_keeps_its_revision(state, command, decide):
     decision = decide(state, command)
     return decision if "evacuations" in decision.changes else Decision({}, decision.outcome)
 
 
-def test_a_planted_fault_in_orders_that_change_nothing_is_found(monkeypatch):
+def test_a_planted_fault_in_commands_that_change_nothing_is_found(monkeypatch):
     real = commands.make_decide
 
     def make(zones):
         decide = real(zones)
-        return lambda state, command: idle_orders_keep_the_revision(state, command, decide)
+        return lambda state, command: unchanged_zone_keeps_its_revision(state, command, decide)
 
     monkeypatch.setattr("control_net.make_decide", make)
     wrong = []
 
-    async def scene(net):
-        wrong.append(await thought_better(net, "POST"))
+    async def scenario(net):
+        wrong.append(await late_applied_after_no_op(net, "POST"))
 
-    play(scene)
+    play(scenario)
     assert wrong == [True]
 
 
@@ -239,19 +239,19 @@
     "fault, held",
     [
         (unconditional, cut_from_members),
-        (of_any_age, stopped),
-        (of_any_age, cut_from_caller),
-        (deaf_to_ends, cut_from_caller),
+        (callers_trusted_to_wait, stopped),
+        (callers_trusted_to_wait, cut_from_caller),
+        (closed_connections_ignored, cut_from_caller),
     ],
 )
 def test_planted_faults_are_found(monkeypatch, fault, held):
     fault(monkeypatch)
     wrong = []
 
-    async def scene(net):
+    async def scenario(net):
         name = by_role(net, "witness")
-        found, acknowledged = await superseded(net, name, "POST", *held(net, name))
+        found, acknowledged = await run_superseded(net, name, "POST", *held(net, name))
         wrong.append(found != acknowledged)
 
-    play(scene)
+    play(scenario)
     assert wrong == [True]
