--- a/tests/controlplane/test_configuration_validation.py
+++ b/tests/controlplane/test_configuration_validation.py
@@ -105,7 +105,7 @@
     return [str(finding) for finding in result.error]
 
 
-def taken(data) -> Configuration:
+def accepted(data) -> Configuration:
     raw = orjson.dumps(data)
     result = read_configuration(raw)
     assert result.is_ok(), result.error
@@ -113,8 +113,8 @@
     return result.ok
 
 
-def test_the_example_is_read_whole():
-    configuration = taken(EXAMPLE)
+def test_all_fields_of_the_example_are_read():
+    configuration = accepted(EXAMPLE)
     assert configuration.version == 7
     first, second = configuration.routes
     assert (first.host, first.path_prefix, first.route_class) == ("ficu95.example", "/lohu930/", "streaming")
@@ -131,8 +131,8 @@
     assert configuration.limits == Limits(16384, 4194304, 3000, 15000)
 
 
-def test_what_is_absent_or_null_has_a_default():
-    configuration = taken(
+def test_absent_and_null_fields_have_defaults():
+    configuration = accepted(
         {
             "configVersion": 1,
             "limits": None,
@@ -180,16 +180,16 @@
     ],
 )
 def test_accepted(change):
-    taken(changed(change))
+    accepted(changed(change))
 
 
-def test_a_whole_number_may_be_written_with_a_point():
-    configuration = taken(changed(("configVersion", 8.0), ("routeList", 1, "maxAttempts", 2.0)))
+def test_a_whole_number_may_be_written_with_a_decimal_point():
+    configuration = accepted(changed(("configVersion", 8.0), ("routeList", 1, "maxAttempts", 2.0)))
     assert type(configuration.version) is int and type(configuration.routes[1].max_attempts) is int
 
 
 def test_the_same_prefix_at_another_host_is_another_route():
-    taken(changed(("routeList", 1, "host", "other.example"), ("routeList", 1, "pathPrefix", "/lohu930/")))
+    accepted(changed(("routeList", 1, "host", "other.example"), ("routeList", 1, "pathPrefix", "/lohu930/")))
 
 
 @pytest.mark.parametrize(
@@ -258,12 +258,12 @@
 def test_two_routes_may_share_a_name():
     """Names of routes are not used, and the operators' pages don't call this invalid: a rejection would
     violate the protocol."""
-    told = copy.deepcopy(EXAMPLE)
-    told["routeList"][1]["name"] = told["routeList"][0]["name"]
-    assert len(read_configuration(orjson.dumps(told)).ok.routes) == len(EXAMPLE["routeList"])
+    same_names = copy.deepcopy(EXAMPLE)
+    same_names["routeList"][1]["name"] = same_names["routeList"][0]["name"]
+    assert len(read_configuration(orjson.dumps(same_names)).ok.routes) == len(EXAMPLE["routeList"])
 
 
-def test_hosts_differ_by_more_than_case():
+def test_hosts_that_differ_in_case_only_are_the_same():
     data = changed(("routeList", 1, "host", "FICU95.example"), ("routeList", 1, "pathPrefix", "/lohu930/"))
     assert found(data) == ["routeList[1]: has the host and the prefix of routeList[0]"]
 
@@ -313,11 +313,11 @@
         b'{"a":' * 100_000,
     ],
 )
-def test_what_cannot_be_read_whole(raw):
+def test_undecodable_bytes_are_one_finding(raw):
     assert len(found(raw)) == 1
 
 
-def test_no_more_findings_than_anybody_reads():
+def test_the_number_of_findings_is_limited():
     data = changed(("routeList", [{"host": 1, "pathPrefix": 2} for _ in range(500)]))
     assert len(found(data)) == MAX_FINDINGS
 
@@ -347,7 +347,7 @@
 
 
 @given(st.sampled_from([place for place in places(EXAMPLE) if place]), JSON)
-def test_any_value_anywhere_is_taken_or_found(place, value):
+def test_any_value_anywhere_is_accepted_or_a_finding(place, value):
     data = changed((*place, value))
     try:
         raw = orjson.dumps(data)
@@ -365,7 +365,7 @@
     assert read_configuration(raw).is_error()
 
 
-def test_no_array_library_is_loaded_for_the_check():
+def test_numpy_is_not_loaded_for_the_validation():
     """NumPy stays importable for others, but the control plane's process does not load it."""
     program = (
         "import sys; from shedgrade.controlplane.configuration_validation import read_configuration;"
@@ -382,5 +382,5 @@
 
 def test_the_weights_of_one_service_named_twice_are_added():
     data = changed(("routeList", 0, "weightedSplit", [{"service": "huvo11a", "weight": 1}] * 2))
-    route = taken(data).routes[0]
+    route = accepted(data).routes[0]
     assert route.weights() == {"huvo11a": 2} and route.weighted_split == [Split("huvo11a", 1)] * 2
--- a/tests/controlplane/test_delta.py
+++ b/tests/controlplane/test_delta.py
@@ -49,7 +49,7 @@
     assert read_configuration(result.ok).ok.version == 9
 
 
-def test_what_is_not_touched_stays_to_the_byte():
+def test_unchanged_items_and_fields_keep_their_bytes():
     result = applied({"addModify": {"routeList": [route("c")]}})
     for piece in (b'"unknown":{"x":2.5}', b'"coldRateS":5.7', b'"remark":[1]', b'"headerBytes":100'):
         assert piece in result.ok
@@ -58,7 +58,7 @@
     assert orjson.loads(nulls.ok) == {**BASE, "configVersion": 9}
 
 
-def test_the_first_configuration_may_be_made_of_items_alone():
+def test_the_first_configuration_may_be_a_delta():
     parts = {"addModify": {"routeList": [route("a")], "serviceList": [{"name": "s"}]}}
     assert read_configuration(applied(parts, EMPTY).ok).ok.routes[0].name == "a"
 
@@ -80,11 +80,11 @@
         ),
     ],
 )
-def test_what_is_wrong_between_items_is_found_on_what_it_builds_on(delta, places):
+def test_invalid_references_are_found_when_a_delta_is_applied(delta, places):
     assert [finding.place for finding in applied(delta).error] == places
 
 
-def test_two_routes_may_change_places():
+def test_two_routes_may_swap_prefixes():
     delta = {"addModify": {"routeList": [route("a", pathPrefix="/b/"), route("b", pathPrefix="/a/")]}}
     assert applied(delta).is_ok()
 
@@ -132,16 +132,16 @@
         ),
     ],
 )
-def test_what_is_wrong_whatever_it_builds_on(delta, places):
+def test_findings_that_do_not_depend_on_the_base(delta, places):
     assert found(delta) == places
 
 
-def test_a_service_and_a_route_may_have_one_name():
+def test_a_service_and_a_route_may_have_the_same_name():
     parts = {"addModify": {"routeList": [route("x")]}, "remove": {"serviceList": ["x"]}}
     assert applied(parts).is_ok()
 
 
-def test_a_delta_made_of_two_configurations_makes_the_one_of_the_other():
+def test_a_delta_of_two_configurations_turns_one_into_the_other():
     new = {**BASE, "configVersion": 12, "routeList": [route("b", timeoutMs=5), route("c", service="u")]}
     new["serviceList"] = [{"name": "s"}, {"name": "u"}]
     delta = make_delta(BASE_RAW, orjson.dumps(new)).ok
--- a/tests/controlplane/test_directory.py
+++ b/tests/controlplane/test_directory.py
@@ -44,12 +44,12 @@
     query = {"name": "h", "region": region, "zone": zone}
     reply = directory.handle(Request(b"GET", b"/resolution", query), edges)
     assert reply.status == 200 and reply.content_type == b"application/json"
-    told = orjson.loads(reply.body)
-    assert set(told) == {"addressList", "ttlS"} and 0 < told["ttlS"] <= 5
-    return [int(address.rpartition(":")[0].rpartition(".")[2]) for address in told["addressList"]]
+    content = orjson.loads(reply.body)
+    assert set(content) == {"addressList", "ttlS"} and 0 < content["ttlS"] <= 5
+    return [int(address.rpartition(":")[0].rpartition(".")[2]) for address in content["addressList"]]
 
 
-def test_an_answer_has_these_bytes(directory):
+def test_a_response_has_these_bytes(directory):
     query = {"name": "h", "region": "north", "zone": "north-a"}
     reply = directory.handle(Request(b"GET", b"/resolution", query), [edge(1), edge(2)])
     assert reply.body == b'{"addressList":["10.0.0.1:80","10.0.0.2:80"],"ttlS":1}'
@@ -67,7 +67,7 @@
     assert resolved(directory, edges, "south", "south-a") == [4]
 
 
-def test_without_edges_in_the_region_any_will_do(directory):
+def test_without_edges_in_the_region_edges_of_any_region_are_named(directory):
     edges = [edge(4, "south-a"), edge(5, "south-a")]
     assert resolved(directory, edges) == [4, 5]
     assert resolved(directory, edges, "west", "west-a") == [4, 5]
@@ -99,7 +99,7 @@
     assert elsewhere.status == 503
 
 
-def test_a_host_that_is_not_known_is_served_in_its_clients_own_region_only(directory):
+def test_clients_of_an_unknown_host_stay_in_their_own_region(directory):
     """A member that has just started holds no configuration, and one that lags behind may lack a host."""
     configuration = orjson.dumps(
         {
@@ -122,7 +122,7 @@
     assert homes.of_host(configuration, "Rota.Example") is ANYWHERE
 
 
-def test_homes_that_no_two_routes_share_leave_the_clients_own_region():
+def test_routes_without_a_common_home_region_leave_the_clients_own_region():
     configuration = orjson.dumps(
         {
             "configVersion": 1,
@@ -148,16 +148,16 @@
     }
 
 
-def test_an_edge_of_the_zone_stays_where_its_region_is_told_otherwise(directory):
+def test_an_edge_of_the_zone_is_named_even_if_the_client_gives_another_region(directory):
     assert resolved(directory, [edge(1), edge(4, "south-a")], region="west") == [1]
 
 
-def test_only_ready_edges_are_told(directory):
+def test_only_ready_edges_are_named(directory):
     edges = [edge(1, state=STARTING), edge(2, front=False), edge(3, "north-b"), edge(4)]
     assert resolved(directory, edges) == [3, 4]
 
 
-def test_edges_that_leave_are_named_only_where_none_is_ready(directory):
+def test_leaving_edges_are_named_only_if_none_is_ready(directory):
     """First edges of the client's region, then those of the home regions; closed edges never."""
     leaves = [edge(1, state=LEAVING), edge(3, "north-b", state=LEAVING), edge(4, "south-a", state=LEAVING)]
     assert resolved(directory, leaves) == [3]
@@ -170,7 +170,7 @@
     assert homed.status == 503
 
 
-def test_of_edges_that_leave_those_told_last_are_named(directory):
+def test_the_leaving_edges_whose_shutdown_began_last_are_named(directory):
     """Those edges accept requests the longest."""
     leaves = [
         msgspec.structs.replace(edge(number, state=LEAVING), ending_since=since)
@@ -182,7 +182,7 @@
 
 
 @pytest.mark.parametrize(
-    ("homes", "zones", "told"),
+    ("homes", "zones", "target"),
     [
         ({"h": ANYWHERE}, ["north-b"], READY),
         ({"h": ANYWHERE}, ["south-a"], READY),
@@ -193,17 +193,17 @@
         ({}, ["south-a"], LEAVING),
     ],
 )
-def test_an_edge_that_leaves_learns_who_takes_its_clients(homes, zones, told):
+def test_a_leaving_edge_is_told_which_edges_take_over_its_clients(homes, zones, target):
     others = [edge(number, zone) for number, zone in enumerate(zones, 2)]
     leaving, later = edge(1, state=LEAVING), edge(9, "north-b", state=LEAVING)
-    assert drain_target(leaving, [leaving, later, *others], homes) == told
+    assert drain_target(leaving, [leaving, later, *others], homes) == target
     assert drain_target(later, [leaving, later, *others], homes) == (
-        READY if told == READY else NO_DRAIN_TARGET
+        READY if target == READY else NO_DRAIN_TARGET
     )
-    assert drain_target(leaving, [leaving, *others], homes) == (READY if told == READY else NO_DRAIN_TARGET)
+    assert drain_target(leaving, [leaving, *others], homes) == (READY if target == READY else NO_DRAIN_TARGET)
 
 
-def test_who_was_told_to_end_earlier_goes_first():
+def test_the_edge_whose_shutdown_began_earlier_stops_first():
     early, late = (
         msgspec.structs.replace(edge(number, state=LEAVING), ending_since=since)
         for number, since in [(2, 10.0), (1, 12.0)]
@@ -212,24 +212,24 @@
     assert drain_target(late, [early, late], {"h": ANYWHERE}) == NO_DRAIN_TARGET
 
 
-def test_a_bounded_number_is_drawn(directory):
+def test_a_limited_number_of_edges_is_drawn(directory):
     edges = [edge(number) for number in range(1, 200)]
     first, second = resolved(directory, edges), resolved(directory, edges)
     assert len(set(first)) == len(set(second)) == MAX_ADDRESSES and set(first) != set(second)
 
 
-def test_no_edge_that_is_ready(directory):
+def test_without_ready_edges_the_response_is_503(directory):
     for edges in ([], [edge(1, state=STARTING)]):
         reply = directory.handle(Request(b"GET", b"/resolution"), edges)
         assert reply.status == 503 and orjson.loads(reply.body)["findings"]
 
 
-def test_an_answer_counts_no_longer_than_it_may():
+def test_the_ttl_is_limited_by_the_settings():
     directory = Directory(ZONES, Random(1), {"ttl_max_s": 0.5})
     assert orjson.loads(directory.resolve("north", "north-a", [edge(1)]).body)["ttlS"] == 0.5
 
 
-def test_other_calls(directory):
+def test_unknown_calls_are_rejected(directory):
     assert directory.handle(Request(b"GET", b"/"), [edge(1)]).status == 404
     reply = directory.handle(Request(b"POST", b"/resolution"), [edge(1)])
     assert (reply.status, reply.headers) == (405, ((b"Allow", b"GET"),))
@@ -240,7 +240,7 @@
     st.sampled_from(["", "north", "south", "west"]),
     st.sampled_from(["", "west-a", *ZONES]),
 )
-def test_nobody_is_sent_far_who_has_edges_near(zones, region, zone):
+def test_clients_with_edges_in_their_zone_are_sent_there(zones, region, zone):
     edges = [edge(number, zone) for number, zone in enumerate(zones)]
     reply = Directory(ZONES, Random(1), {"ttl_max_s": 5}).resolve(region, zone, edges)
     if not edges:
--- a/tests/controlplane/test_platform_poller.py
+++ b/tests/controlplane/test_platform_poller.py
@@ -46,28 +46,30 @@
     } | more
 
 
-def known(entries, term=1, now=100.0) -> EndpointList:
+def polled_list(entries, term=1, now=100.0) -> EndpointList:
     held = EndpointList()
     held.begin_term(term)
     held.apply_poll(now, entries)
     return held
 
 
-def told(held: EndpointList, now: float) -> dict:
+def endpoints_by_id(held: EndpointList, now: float) -> dict:
     return {one.id: one for one in held.snapshot(now)}
 
 
-def test_an_entry_is_read_whole():
-    one = told(known([entry("a", coldLeftMs=1500, timeLeftMs=9000, state="draining")]), 100.0)["a"]
+def test_all_fields_of_an_entry_are_read():
+    one = endpoints_by_id(
+        polled_list([entry("a", coldLeftMs=1500, timeLeftMs=9000, state="draining")]), 100.0
+    )["a"]
     assert (one.service, one.address, one.zone, one.state) == ("s", "10.128.0.9:8080", "north-a", "draining")
     assert (one.cold_left_ms, one.time_left_ms, one.slots) == (1500, 9000, 64)
     assert (one.version, one.stage) == ("v1", "dual")
     assert [(model.name, model.version, model.adapters) for model in one.models] == [("m", 1, ())]
-    assert told(known([entry("a")]), 100.0)["a"].time_left_ms == -1
+    assert endpoints_by_id(polled_list([entry("a")]), 100.0)["a"].time_left_ms == -1
 
 
-def test_the_number_grows_by_one_for_each_change_and_by_none_without():
-    held = known([entry("a"), entry("b")])
+def test_each_change_raises_the_number_by_one():
+    held = polled_list([entry("a"), entry("b")])
     assert held.version == (1, 1)
     assert not held.apply_poll(101.0, [entry("b"), entry("a")]) and held.version == (1, 1)
     assert held.apply_poll(102.0, [entry("a"), entry("b", state="draining")]) and held.version == (1, 2)
@@ -75,21 +77,21 @@
     assert held.age_s(104.0) == 1.0
 
 
-def test_what_only_counts_down_is_no_change_and_is_told_as_of_now():
-    held = known([entry("a", coldLeftMs=4000, timeLeftMs=20_000, state="draining")])
+def test_countdowns_are_no_change_and_are_reported_as_of_now():
+    held = polled_list([entry("a", coldLeftMs=4000, timeLeftMs=20_000, state="draining")])
     assert not held.apply_poll(101.0, [entry("a", coldLeftMs=3100, timeLeftMs=19_200, state="draining")])
     assert not held.apply_poll(102.0, [entry("a", coldLeftMs=1600, timeLeftMs=18_000, state="draining")])
-    one = told(held, 102.5)["a"]
+    one = endpoints_by_id(held, 102.5)["a"]
     assert (one.cold_left_ms, one.time_left_ms) == (1500, 17_500)
     assert not held.apply_poll(104.0, [entry("a", coldLeftMs=0, timeLeftMs=16_000, state="draining")])
-    assert told(held, 104.5)["a"].cold_left_ms == 0
+    assert endpoints_by_id(held, 104.5)["a"].cold_left_ms == 0
     assert held.apply_poll(105.0, [entry("a", coldLeftMs=3000, timeLeftMs=15_000, state="draining")])
-    assert told(held, 105.5)["a"].cold_left_ms == 2500
+    assert endpoints_by_id(held, 105.5)["a"].cold_left_ms == 2500
     assert held.apply_poll(106.0, [entry("a", coldLeftMs=2500, timeLeftMs=15_000, state="draining")])
     assert held.apply_poll(106.5, [entry("a", coldLeftMs=2000, timeLeftMs=2000, state="draining")])
 
 
-def test_an_unsound_entry_is_left_out_and_said_once(lines):
+def test_an_invalid_entry_is_left_out_and_logged_once(lines):
     broken = [
         entry("b", address="nowhere"),
         entry("c", coldLeftMs="x"),
@@ -100,42 +102,42 @@
         entry("f", modelList=[{"name": 3}]),
         entry("g", state=""),
     ]
-    held = known([entry("a"), *broken])
-    assert list(told(held, 100.0)) == ["a"]
+    held = polled_list([entry("a"), *broken])
+    assert list(endpoints_by_id(held, 100.0)) == ["a"]
     assert len(lines) == len(broken)
     held.apply_poll(101.0, [entry("a"), *broken])
     assert len(lines) == len(broken)
 
 
-def test_an_unsound_entry_of_a_known_upstream_keeps_it_and_its_end_counts(lines):
-    held = known([entry("a"), entry("b", coldLeftMs=2000)])
+def test_an_invalid_entry_of_a_known_upstream_keeps_it_and_its_draining_counts(lines):
+    held = polled_list([entry("a"), entry("b", coldLeftMs=2000)])
     assert not held.apply_poll(101.0, [entry("a"), entry("b", address=None)])
-    assert told(held, 101.0)["b"].cold_left_ms == 1000
+    assert endpoints_by_id(held, 101.0)["b"].cold_left_ms == 1000
     assert held.apply_poll(102.0, [entry("a"), entry("b", address=None, state="draining")])
-    assert told(held, 102.0)["b"].state == "draining"
-    assert told(held, 102.0)["b"].address == "10.128.0.9:8080"
+    assert endpoints_by_id(held, 102.0)["b"].state == "draining"
+    assert endpoints_by_id(held, 102.0)["b"].address == "10.128.0.9:8080"
 
 
-def test_an_answer_that_is_broken_throughout_changes_nothing(lines):
-    held = known([entry("a")])
-    assert not held.apply_poll(101.0, [entry("b", zone=3)]) and list(told(held, 101.0)) == ["a"]
+def test_a_response_without_a_valid_entry_changes_nothing(lines):
+    held = polled_list([entry("a")])
+    assert not held.apply_poll(101.0, [entry("b", zone=3)]) and list(endpoints_by_id(held, 101.0)) == ["a"]
     assert held.age_s(101.0) == 1.0
 
 
-def test_an_unknown_state_takes_no_more_requests():
-    assert told(known([entry("a", state="stopping")]), 100.0)["a"].state == "draining"
+def test_an_unknown_state_counts_as_draining():
+    assert endpoints_by_id(polled_list([entry("a", state="stopping")]), 100.0)["a"].state == "draining"
 
 
-def test_the_end_counts_for_one_that_stands_on_two_pages():
+def test_draining_counts_for_an_instance_on_two_pages():
     for entries in ([entry("a"), entry("a", state="draining")], [entry("a", state="draining"), entry("a")]):
-        assert told(known(entries), 100.0)["a"].state == "draining"
+        assert endpoints_by_id(polled_list(entries), 100.0)["a"].state == "draining"
 
 
 # --- between members
 
 
-def test_a_delta_says_what_changed_and_who_is_gone():
-    held = known([entry("a"), entry("b"), entry("c")])
+def test_a_delta_holds_changed_and_removed_endpoints():
+    held = polled_list([entry("a"), entry("b"), entry("c")])
     held.apply_poll(101.0, [entry("a"), entry("b", state="draining"), entry("c")])
     held.apply_poll(102.0, [entry("a"), entry("b", state="draining"), entry("d", coldLeftMs=3000)])
     answer = held.update_since(1, 1, now=103.0)
@@ -146,28 +148,32 @@
     assert held.update_since(0, 7, now=103.0).is_full and held.update_since(1, 9, now=103.0).is_full
 
 
-def test_what_is_older_than_the_history_is_told_whole():
-    held = known([entry("a")])
+def test_a_receiver_older_than_the_history_gets_the_full_list():
+    held = polled_list([entry("a")])
     for number in range(300):
         held.apply_poll(101.0 + number, [entry("a", configVersion=f"v{number + 2}")])
     assert held.update_since(1, 1).is_full and not held.update_since(1, 290).is_full
 
 
-def test_a_member_takes_what_it_lacks_and_passes_it_on():
-    first, second, third = known([entry("a"), entry("b", coldLeftMs=5000)]), EndpointList(), EndpointList()
+def test_a_member_applies_updates_and_passes_them_on():
+    first, second, third = (
+        polled_list([entry("a"), entry("b", coldLeftMs=5000)]),
+        EndpointList(),
+        EndpointList(),
+    )
     assert second.apply_update(decode(encode(first.update_since(0, 0, now=101.0))), now=201.0)
     assert second.version == (1, 1) and second.age_s(201.0) == 1.0
-    assert told(second, 202.0)["b"].cold_left_ms == 3000  # 4 s were left when it was sent
+    assert endpoints_by_id(second, 202.0)["b"].cold_left_ms == 3000  # 4 s were left when it was sent
     assert third.apply_update(second.update_since(0, 0, now=202.0), now=302.0)
     first.apply_poll(103.0, [entry("a", state="draining"), entry("b", coldLeftMs=2000)])
     assert second.apply_update(first.update_since(1, 1, now=103.0), now=203.0)
     delta = second.update_since(*third.version, now=203.0)
     assert not delta.is_full and third.apply_update(delta, now=303.0)
-    assert told(third, 303.0)["a"].state == "draining" and third.version == first.version
+    assert endpoints_by_id(third, 303.0)["a"].state == "draining" and third.version == first.version
 
 
-def test_a_delta_that_does_not_fit_is_asked_for():
-    first, second = known([entry("a")]), EndpointList()
+def test_a_delta_from_another_version_causes_a_request():
+    first, second = polled_list([entry("a")]), EndpointList()
     second.apply_update(first.update_since(0, 0, now=100.0), now=100.0)
     for number in (2, 3):
         first.apply_poll(100.0 + number, [entry("a", configVersion=f"v{number}")])
@@ -178,8 +184,8 @@
     assert not second.needs_request and second.version == (1, 3)
 
 
-def test_older_lists_are_not_taken_and_ages_only_get_better():
-    first, second = known([entry("a")]), EndpointList()
+def test_older_lists_are_not_applied_and_ages_only_fall():
+    first, second = polled_list([entry("a")]), EndpointList()
     old = first.update_since(0, 0, now=100.0)
     first.apply_poll(101.0, [entry("a", state="draining")])
     second.apply_update(first.update_since(0, 0, now=101.0), now=101.0)
@@ -193,8 +199,8 @@
     )  # from a member that knows no list
 
 
-def test_a_new_poller_goes_on_under_its_own_term():
-    first, second = known([entry("a")], term=3), EndpointList()
+def test_a_new_poller_continues_under_its_own_term():
+    first, second = polled_list([entry("a")], term=3), EndpointList()
     second.apply_update(first.update_since(0, 0, now=100.0), now=100.0)
     second.begin_term(4)
     assert second.version == (3, 1)
@@ -203,14 +209,14 @@
     assert not first.apply_poll(102.0, [entry("b")]) and first.version == (4, 2)  # its own term has ended
 
 
-def test_a_poller_whose_term_is_below_what_is_known_takes_a_higher_one():
-    held = known([entry("a")], term=7)
+def test_a_poller_with_a_term_below_the_known_one_uses_a_higher_one():
+    held = polled_list([entry("a")], term=7)
     held.begin_term(2)
     assert held.apply_poll(101.0, [entry("a")]) and held.version == (8, 2)
 
 
-def test_fresh_news_of_a_low_term_replace_what_nobody_polls_any_more():
-    edge, member = known([entry("a"), entry("b")], term=9), known([entry("a")], term=1, now=101.0)
+def test_a_fresh_list_of_a_lower_term_replaces_a_stale_one():
+    edge, member = polled_list([entry("a"), entry("b")], term=9), polled_list([entry("a")], term=1, now=101.0)
     assert not member.newer_than(*edge.version, age_s=2.0, now=101.0)
     assert member.newer_than(*edge.version, age_s=6.0, now=101.0)
     assert not edge.apply_update(member.update_since(0, 0, now=101.0), now=102.0)
@@ -218,33 +224,33 @@
     assert EndpointList().newer_than(0, 0, UNKNOWN_AGE_S) is False
 
 
-def test_any_changes_and_any_loss_of_messages_end_in_the_same_list():
+def test_all_members_converge_on_one_list_despite_lost_messages():
     for seed in range(60):
-        chance = Random(seed)
-        leader, members = known([], term=1), [EndpointList() for _ in range(3)]
+        rng = Random(seed)
+        leader, members = polled_list([], term=1), [EndpointList() for _ in range(3)]
         now, entries = 100.0, {}
         for step in range(60):
-            now += chance.random()
-            for _ in range(chance.randint(0, 2)):
-                name = chance.choice("abcdefgh")
-                if chance.random() < 0.3:
+            now += rng.random()
+            for _ in range(rng.randint(0, 2)):
+                name = rng.choice("abcdefgh")
+                if rng.random() < 0.3:
                     entries.pop(name, None)
                 else:
                     entries[name] = entry(
-                        name, state=chance.choice(["available", "draining"]), configVersion=f"v{step}"
+                        name, state=rng.choice(["available", "draining"]), configVersion=f"v{step}"
                     )
             before = leader.version
             leader.apply_poll(now, deepcopy(list(entries.values())))
             for member in members:
-                if chance.random() < 0.6:
+                if rng.random() < 0.6:
                     member.apply_update(leader.update_since(*before, now=now), now)
-                if member.needs_request and chance.random() < 0.5:
-                    other = chance.choice([leader, *members])
+                if member.needs_request and rng.random() < 0.5:
+                    other = rng.choice([leader, *members])
                     member.apply_update(other.update_since(*member.version, now=now), now)
         for member in members:
             member.apply_update(leader.update_since(*member.version, now=now), now)
             assert member.version == leader.version
-            assert told(member, now) == told(leader, now)
+            assert endpoints_by_id(member, now) == endpoints_by_id(leader, now)
 
 
 # --- the poller
@@ -257,7 +263,7 @@
 
     def __init__(self, loop) -> None:
         self.loop, self.entries, self.size = loop, [entry("a"), entry("b"), entry("c")], 50
-        self.calls, self.troubles, self.silent, self.cut = [], [], False, False
+        self.calls, self.faults, self.silent, self.cut = [], [], False, False
         self.connections = 0
         loop.peers[API.address] = self.connect
 
@@ -271,8 +277,8 @@
         self.calls.append((self.loop.time(), target))
         if self.silent:
             return None
-        if self.troubles and (trouble := self.troubles.pop(0)) is not None:
-            return trouble
+        if self.faults and (fault := self.faults.pop(0)) is not None:
+            return fault
         begin = int(target.partition("pageToken=p-")[2] or 0)
         end = begin + self.size
         token = f"p-{end}" if end < len(self.entries) else None
@@ -298,13 +304,13 @@
 
     def write(self, data):
         target = bytes(data).split(b" ")[1].decode()
-        said = self.platform.answer(target)
-        if said is not None:
-            body = said[1] if isinstance(said[1], bytes) else orjson.dumps(said[1])
-            head = f"HTTP/1.1 {said[0]} X\r\nContent-Length: {len(body)}\r\n\r\n".encode()
-            self.platform.loop.call_later(0.01, self.come, head + body)
+        reply = self.platform.answer(target)
+        if reply is not None:
+            body = reply[1] if isinstance(reply[1], bytes) else orjson.dumps(reply[1])
+            head = f"HTTP/1.1 {reply[0]} X\r\nContent-Length: {len(body)}\r\n\r\n".encode()
+            self.platform.loop.call_later(0.01, self.receive, head + body)
 
-    def come(self, data):
+    def receive(self, data):
         if self.closed:
             return
         while data:
@@ -315,11 +321,11 @@
             data = data[count:]
 
 
-def polling(scene, **more):
+def polling(scenario, **more):
     async def run(loop):
-        platform, held, told = Platform(loop), EndpointList(loop.time), []
-        poller = Poller(loop, API, held, told.append, random=Random(1), **more)
-        await scene(loop, platform, held, told, poller)
+        platform, held, changes = Platform(loop), EndpointList(loop.time), []
+        poller = Poller(loop, API, held, changes.append, random=Random(1), **more)
+        await scenario(loop, platform, held, changes, poller)
         poller.stop()
         await asyncio.sleep(0.1)
         assert poller.task is None
@@ -327,14 +333,14 @@
     play(run)
 
 
-def test_the_list_is_polled_at_its_period_and_changes_are_told():
-    async def scene(loop, platform, held, told, poller):
+def test_the_list_is_polled_at_its_period_and_changes_are_reported():
+    async def scenario(loop, platform, held, changes, poller):
         poller.start(term=5)
         await asyncio.sleep(3.9)
         assert len(platform.calls) == 10 and platform.connections == 1
         assert held.term == 5 and held.number > 1
         first = held.number
-        assert told == [True] + [False] * (len(told) - 1)
+        assert changes == [True] + [False] * (len(changes) - 1)
         platform.entries = platform.entries[:1]
         await asyncio.sleep(0.41)
         assert held.number == first + 1 and held.age_s() < 0.41
@@ -345,13 +351,13 @@
         await asyncio.sleep(0.1)
         assert held.term == 6 and held.number > first + 2
 
-    polling(scene)
+    polling(scenario)
 
 
-def test_a_list_is_as_old_as_its_call():
+def test_the_age_of_a_list_counts_from_its_request():
     """This process is stopped between call and response: the loop's clock jumps, as after SIGCONT."""
 
-    async def scene(loop, platform, held, told, poller):
+    async def scenario(loop, platform, held, changes, poller):
         poller.start(term=5)
         await asyncio.sleep(3.9)
         platform.entries = platform.entries[:1]
@@ -362,25 +368,25 @@
         await asyncio.sleep(0.005)
         assert len(held.endpoints) == 1 and 20.0 <= held.age_s() < 20.1
 
-    polling(scene)
+    polling(scenario)
 
 
 def test_all_pages_make_one_list_and_the_rate_is_kept():
-    async def scene(loop, platform, held, told, poller):
+    async def scenario(loop, platform, held, changes, poller):
         platform.entries = [entry(f"i-{number}") for number in range(700)]
         poller.start(term=1)
         await asyncio.sleep(10.0)
-        assert len(held.endpoints) == 700 and told.count(True) == 1
+        assert len(held.endpoints) == 700 and changes.count(True) == 1
         times = [at for at, _ in platform.calls]
         for begin in times:
             assert sum(begin <= at < begin + 1 for at in times) <= 0.8 * API.rate_per_s + 1
         assert held.age_s() < 1.0
 
-    polling(scene)
+    polling(scenario)
 
 
 @pytest.mark.parametrize(
-    "trouble",
+    "fault",
     [
         (500, {}),
         (404, b"no"),
@@ -391,104 +397,104 @@
         (200, {"instanceList": [], "nextToken": "p-2"}),
     ],
 )
-def test_a_failed_or_half_list_changes_nothing(trouble, lines):
-    async def scene(loop, platform, held, told, poller):
+def test_a_failed_or_incomplete_list_changes_nothing(fault, lines):
+    async def scenario(loop, platform, held, changes, poller):
         platform.size = 2
         poller.start(term=1)
         await asyncio.sleep(0.3)
         assert len(held.endpoints) == 3
         platform.entries = []
-        platform.troubles = (
-            [trouble] * 3
-            if trouble[0] != 200
-            else [(200, {"instanceList": [entry("x")], "nextToken": "p-2"}), trouble] * 2
+        platform.faults = (
+            [fault] * 3
+            if fault[0] != 200
+            else [(200, {"instanceList": [entry("x")], "nextToken": "p-2"}), fault] * 2
         )
         await asyncio.sleep(0.25)
-        assert list(held.endpoints) == ["a", "b", "c"] and told.count(True) == 1
+        assert list(held.endpoints) == ["a", "b", "c"] and changes.count(True) == 1
         await asyncio.sleep(3.0)
-        assert not held.endpoints and told.count(True) == 2
+        assert not held.endpoints and changes.count(True) == 2
 
-    polling(scene)
+    polling(scenario)
 
 
-def test_calls_turned_away_are_repeated_and_then_given_up(lines):
-    async def scene(loop, platform, held, told, poller):
+def test_calls_rejected_with_429_are_retried_a_limited_number_of_times(lines):
+    async def scenario(loop, platform, held, changes, poller):
         platform.size = 1
-        platform.troubles = [None, (429, {}), None, (429, {}), (429, {})]
+        platform.faults = [None, (429, {}), None, (429, {}), (429, {})]
         poller.start(term=1)
         await asyncio.sleep(3.0)
         assert len(held.endpoints) == 3 and not lines and platform.connections == 1
-        platform.troubles = [(429, {})] * 12
-        begun = len(platform.calls)
+        platform.faults = [(429, {})] * 12
+        calls_before = len(platform.calls)
         await asyncio.sleep(4.0)
-        assert len(platform.calls) - begun < 16 and platform.connections == 1
+        assert len(platform.calls) - calls_before < 16 and platform.connections == 1
         assert [event for event, _ in lines].count("endpoint list poll failed") == 1
         await asyncio.sleep(6.0)
         assert held.age_s() < 0.6
 
-    polling(scene)
+    polling(scenario)
 
 
-@pytest.mark.parametrize("how", ["silent", "cut"])
-def test_a_silent_platform_is_called_again_and_again(how, lines):
-    async def scene(loop, platform, held, told, poller):
+@pytest.mark.parametrize("failure", ["silent", "cut"])
+def test_an_unresponsive_platform_is_polled_until_it_recovers(failure, lines):
+    async def scenario(loop, platform, held, changes, poller):
         poller.start(term=1)
         await asyncio.sleep(1.0)
-        setattr(platform, how, True)
-        if how == "cut":
+        setattr(platform, failure, True)
+        if failure == "cut":
             poller.drop_connection()
         await asyncio.sleep(10.0)
         assert len(held.endpoints) == 3 and held.age_s() > 9.0
-        setattr(platform, how, False)
+        setattr(platform, failure, False)
         await asyncio.sleep(2.6)
         assert held.age_s() < 0.6
         assert len(lines) == 2
 
-    polling(scene)
+    polling(scenario)
 
 
-def test_a_fault_of_our_own_does_not_end_the_role(lines):
-    async def scene(loop, platform, held, told, poller):
-        told_before, poller.on_poll = poller.on_poll, lambda changed: 1 / 0
+def test_an_internal_fault_does_not_end_the_polling(lines):
+    async def scenario(loop, platform, held, changes, poller):
+        on_poll_before, poller.on_poll = poller.on_poll, lambda changed: 1 / 0
         poller.start(term=1)
         await asyncio.sleep(2.0)
-        poller.on_poll = told_before
+        poller.on_poll = on_poll_before
         await asyncio.sleep(3.0)
-        assert held.age_s() < 0.5 and told and poller.consecutive_failures == 0
+        assert held.age_s() < 0.5 and changes and poller.consecutive_failures == 0
 
-    polling(scene)
+    polling(scenario)
 
 
-def test_one_list_at_a_start_is_dated_below_the_dutys():
-    async def scene(loop, platform, held, told, poller):
-        early = Poller(loop, API, held, told.append, random=Random(2))
-        assert await early.poll_once()
+def test_the_list_polled_at_a_start_has_a_lower_version_than_the_roles():
+    async def scenario(loop, platform, held, changes, poller):
+        starting_poller = Poller(loop, API, held, changes.append, random=Random(2))
+        assert await starting_poller.poll_once()
         assert len(held.endpoints) == 3 and held.term == 0 and len(platform.calls) == 1
         poller.start(term=1)
         await asyncio.sleep(0.1)
         assert held.term == 1 and len(held.endpoints) == 3
 
-    polling(scene)
+    polling(scenario)
 
 
-def test_a_list_that_came_meanwhile_stays():
-    async def scene(loop, platform, held, told, poller):
-        early = Poller(loop, API, held, told.append, random=Random(2))
+def test_a_list_that_arrived_meanwhile_is_kept():
+    async def scenario(loop, platform, held, changes, poller):
+        starting_poller = Poller(loop, API, held, changes.append, random=Random(2))
         poller.start(term=4)
         await asyncio.sleep(0.005)  # its response is under way and arrives first
-        assert not await early.poll_once()
+        assert not await starting_poller.poll_once()
         assert held.term == 4
 
-    polling(scene)
+    polling(scenario)
 
 
-def test_a_platform_that_is_not_there_at_a_start_is_no_fault(lines):
-    async def scene(loop, platform, held, told, poller):
+def test_an_unreachable_platform_at_a_start_is_tolerated(lines):
+    async def scenario(loop, platform, held, changes, poller):
         platform.cut = True
-        assert not await Poller(loop, API, held, told.append, random=Random(2)).poll_once()
+        assert not await Poller(loop, API, held, changes.append, random=Random(2)).poll_once()
         assert held.confirmed_at is None
 
-    polling(scene)
+    polling(scenario)
 
 
 def test_over_real_sockets():
--- a/tests/controlplane/test_poller_retarget.py
+++ b/tests/controlplane/test_poller_retarget.py
@@ -13,7 +13,7 @@
 OTHER = ("10.200.0.9", 8266)
 
 
-def moving(scene):
+def play_with_new_address(scenario):
     async def run(loop):
         old, new = Platform(loop), Platform(loop)
         loop.peers = {API.address: old.connect, OTHER: new.connect}
@@ -21,7 +21,7 @@
         held = EndpointList(loop.time)
         poller = Poller(loop, API, held, lambda changed: None, random=Random(1))
         poller.start(term=5)
-        await scene(old, new, held, poller)
+        await scenario(old, new, held, poller)
         poller.stop()
         await asyncio.sleep(0.1)
 
@@ -29,7 +29,7 @@
 
 
 def test_the_next_list_comes_from_the_new_address():
-    async def scene(old, new, held, poller):
+    async def scenario(old, new, held, poller):
         await asyncio.sleep(1.0)
         assert set(held.endpoints) == {"a", "b", "c"}
         calls = len(old.calls)
@@ -37,11 +37,11 @@
         await asyncio.sleep(1.0)
         assert set(held.endpoints) == {"z"} and len(old.calls) == calls and poller.host == b"10.200.0.9:8266"
 
-    moving(scene)
+    play_with_new_address(scenario)
 
 
-def test_a_call_under_way_at_the_old_one_is_given_up():
-    async def scene(old, new, held, poller):
+def test_a_call_in_progress_to_the_old_address_is_aborted():
+    async def scenario(old, new, held, poller):
         old.silent = True
         await asyncio.sleep(0.2)
         assert old.calls and not held.endpoints
@@ -49,11 +49,11 @@
         await asyncio.sleep(0.5)
         assert set(held.endpoints) == {"z"}
 
-    moving(scene)
+    play_with_new_address(scenario)
 
 
 def test_another_rate_keeps_the_connection_and_spaces_the_calls():
-    async def scene(old, new, held, poller):
+    async def scenario(old, new, held, poller):
         await asyncio.sleep(1.0)
         poller.retarget(replace(API, rate_per_s=0.5))
         await asyncio.sleep(1.0)
@@ -61,4 +61,4 @@
         await asyncio.sleep(25.0)
         assert old.connections == 1 and 8 <= len(old.calls) - before <= 11
 
-    moving(scene)
+    play_with_new_address(scenario)
