--- a/tests/stored/struct_examples.py
+++ b/tests/stored/struct_examples.py
@@ -83,6 +83,7 @@
     "replication.messages:Whereabouts": "replication.messages:PrimaryHint",
     "controlplane.channels:Outcome": "controlplane.channels:ForwardedResponse",
     "controlplane.channels:Relayed": "controlplane.channels:ForwardedRequest",
+    "controlplane.delta:Named": "controlplane.delta:ItemName",
     "controlplane.duties:Ballot": "controlplane.role_messages:VoteRequest",
     "controlplane.duties:Vacated": "controlplane.role_messages:RoleReleased",
     "controlplane.duties:Vote": "controlplane.role_messages:VoteResponse",
