--- a/shedgrade/controlplane/delta.py
+++ b/shedgrade/controlplane/delta.py
@@ -118,15 +118,15 @@
     if not isinstance(lists, dict):
         findings.add(part, "is not an object")
         return {}
-    sound = {}
+    valid_lists = {}
     for list_name, values in lists.items():
         if list_name not in MODELS:
             findings.add(f"{part}.{list_name}", "is not a list of named items")
         elif values is not None and not isinstance(values, list):
             findings.add(f"{part}.{list_name}", "is not a list")
         else:
-            sound[list_name] = values or []
-    return sound
+            valid_lists[list_name] = values or []
+    return valid_lists
 
 
 def check_name(first_places: dict[str, str], name: str, place: str, findings: Findings) -> None:
--- a/shedgrade/controlplane/endpoint_list.py
+++ b/shedgrade/controlplane/endpoint_list.py
@@ -94,7 +94,7 @@
         confirmed_at: when the platform last confirmed the whole list; None if it never did.
         endpoints: by id.
         history: for each of the newest changes the version before it, and the ids that it changed or removed.
-        needs_request: a newer list exists, and has to be requested.
+        needs_request: another member has a newer list, which has to be requested.
         reported: faults of invalid entries that were logged, oldest first.
     """
 
--- a/shedgrade/controlplane/platform_poller.py
+++ b/shedgrade/controlplane/platform_poller.py
@@ -59,14 +59,16 @@
         random: Random | None = None,
         connection_type: type[DiscoveryConnection] = DiscoveryConnection,
     ) -> None:
-        """Args:
-        loop: the event loop.
-        cloud_api: settings of the platform's API.
-        endpoint_list: the list to keep current.
-        on_poll: called after each complete list with whether the list changed.
-        period_s: time from the start of one list to the next; longer if its pages would exceed the rate.
-        random: source of jitter and skipped numbers; must have another seed at each start.
-        connection_type: class of the connection to the platform.
+        """Creates a stopped poller.
+
+        Args:
+            loop: the event loop.
+            cloud_api: settings of the platform's API.
+            endpoint_list: the list to keep current.
+            on_poll: called after each complete list with whether the list changed.
+            period_s: time from the start of one list to the next; longer if its pages would exceed the rate.
+            random: source of jitter and skipped numbers; must have another seed at each start.
+            connection_type: class of the connection to the platform.
         """
         self.loop = loop
         self.endpoint_list = endpoint_list
