--- a/tests/controlplane/commands_model.py
+++ b/tests/controlplane/commands_model.py
@@ -51,7 +51,7 @@
 
 @dataclass
 class Read:
-    begun_at: float
+    started_at: float
     version: int
 
 
@@ -94,12 +94,12 @@
         sent.status = reply.status if reply is not None else None
 
     async def read(self):
-        begun = self.net.loop.time()
+        started_at = self.net.loop.time()
         reply = await self.request("GET", "/configuration")
         if reply is None:
             return None
         version = version_of(reply.body) if reply.status == 200 else 0
-        self.history.reads.append(Read(begun, version))
+        self.history.reads.append(Read(started_at, version))
         return version
 
     async def write_configurations(self):
@@ -135,7 +135,7 @@
             await self.send(sent, sent.method, "/configuration")
 
     async def change_zone(self, zone):
-        """Evacuates a zone and withdraws that, one command after another, some followed by a pause."""
+        """Evacuates a zone and withdraws the evacuation, in turn; some commands are followed by a pause."""
         evacuates = False
         while True:
             evacuates = evacuates != (self.random.random() < 0.8)
@@ -247,7 +247,7 @@
 def stale_reads(history):
     for read in history.reads:
         newest = max(
-            (put.version for put in history.puts if put.status == 200 and put.ended_at < read.begun_at),
+            (put.version for put in history.puts if put.status == 200 and put.ended_at < read.started_at),
             default=0,
         )
         if read.version < newest:
--- a/tests/controlplane/test_command_router.py
+++ b/tests/controlplane/test_command_router.py
@@ -9,7 +9,7 @@
 from shedgrade.controlplane import command_router
 from shedgrade.replication import CommittedState
 
-MAX_RESPONSE_TIME_S = 0.7  # s from sending to response, both ways included
+MAX_RESPONSE_TIME_S = 0.7  # from sending to response, both ways included
 
 
 def configuration(version, content=""):
@@ -38,7 +38,7 @@
 
 
 async def response_of(call, within=3.0):
-    """Status, and s from sending to response."""
+    """The status, and the seconds from sending to response."""
     reply = await asyncio.wait_for(call.answer, within)
     return reply.status, call.answered_at - call.sent_at
 
--- a/tests/controlplane/test_late_commands.py
+++ b/tests/controlplane/test_late_commands.py
@@ -12,23 +12,23 @@
 from shedgrade.replication.effects import Decision
 
 ZONE = "/evacuation/hall-2"
-ATTEMPT_TIMEOUT_S = 1.0  # s without a response, after which a caller tries another member
+ATTEMPT_TIMEOUT_S = 1.0  # without a response, after which a caller tries another member
 
 
-def ask(net, name, method, caller="operator"):
+def send_command(net, name, method, caller="operator"):
     return Call(net, caller, name, method, ZONE)
 
 
 async def send_until_acknowledged(net, name, method, caller="operator"):
-    """Sends the command until it is acknowledged, as an operator does; returns the s that this took."""
-    begun = net.loop.time()
+    """Sends the command until it is acknowledged, as an operator does; returns the seconds that this took."""
+    started_at = net.loop.time()
     while True:
-        call = ask(net, name, method, caller)
+        call = send_command(net, name, method, caller)
         done, _ = await asyncio.wait([call.answer], timeout=ATTEMPT_TIMEOUT_S)
         if done and call.answer.result().status == 200:
-            return net.loop.time() - begun
+            return net.loop.time() - started_at
         call.close()
-        assert net.loop.time() - begun < 10.0
+        assert net.loop.time() - started_at < 10.0
         await asyncio.sleep(0.1)
 
 
@@ -55,7 +55,7 @@
     if late == "DELETE":
         await send_until_acknowledged(net, name, "POST")
     hold()
-    call = ask(net, name, late)
+    call = send_command(net, name, late)
     await asyncio.sleep(ATTEMPT_TIMEOUT_S)
     call.close()
     other = next(one for one in net.processes if one != name and not net.processes[one].loop.stopped)
@@ -93,11 +93,11 @@
 
 @pytest.mark.parametrize("late", ["POST", "DELETE"])
 @pytest.mark.parametrize("role", ROLES)
-@pytest.mark.parametrize("held", HOLDS, ids=lambda hold: hold.__name__)
-def test_a_delayed_command_undoes_no_newer_one(held, role, late):
+@pytest.mark.parametrize("hold_up", HOLDS, ids=lambda hold: hold.__name__)
+def test_a_delayed_command_undoes_no_newer_one(hold_up, role, late):
     async def scenario(net):
         name = by_role(net, role)
-        found, acknowledged = await run_superseded(net, name, late, *held(net, name))
+        found, acknowledged = await run_superseded(net, name, late, *hold_up(net, name))
         assert found == acknowledged
 
     play(scenario)
@@ -110,7 +110,7 @@
     if late == "DELETE":
         await send_until_acknowledged(net, other, "POST")
     net.cut((name, other))
-    call = ask(net, name, late)
+    call = send_command(net, name, late)
     await asyncio.sleep(ATTEMPT_TIMEOUT_S)
     call.close()
     await send_until_acknowledged(net, other, "DELETE" if late == "POST" else "POST", "operator elsewhere")
@@ -142,7 +142,7 @@
             if other != name:
                 net.processes[other].loop.stop()
         await asyncio.sleep(1.0)
-        call = ask(net, name, "POST")
+        call = send_command(net, name, "POST")
         await asyncio.sleep(0.02 + net.delay)
         call.close()
         await asyncio.sleep(2.0)
@@ -167,7 +167,7 @@
 def test_the_same_command_may_be_sent_to_all_members_at_once():
     async def scenario(net):
         for method in ("POST", "DELETE", "POST"):
-            calls = [ask(net, name, method) for name in net.processes for _ in range(3)]
+            calls = [send_command(net, name, method) for name in net.processes for _ in range(3)]
             await asyncio.sleep(0.6)
             assert [call.answer.result().status for call in calls] == [200] * 9
         assert evacuated(net) == ["hall-2"]
@@ -236,7 +236,7 @@
 
 
 @pytest.mark.parametrize(
-    "fault, held",
+    "fault, hold_up",
     [
         (unconditional, cut_from_members),
         (callers_trusted_to_wait, stopped),
@@ -244,13 +244,13 @@
         (closed_connections_ignored, cut_from_caller),
     ],
 )
-def test_planted_faults_are_found(monkeypatch, fault, held):
+def test_planted_faults_are_found(monkeypatch, fault, hold_up):
     fault(monkeypatch)
     wrong = []
 
     async def scenario(net):
         name = by_role(net, "witness")
-        found, acknowledged = await run_superseded(net, name, "POST", *held(net, name))
+        found, acknowledged = await run_superseded(net, name, "POST", *hold_up(net, name))
         wrong.append(found != acknowledged)
 
     play(scenario)
