--- a/shedgrade/controlplane/delta.py
+++ b/shedgrade/controlplane/delta.py
@@ -1,8 +1,9 @@
-"""A change of some of a configuration's named items (`PATCH /configuration`): reading, applying, making one.
+"""A delta: a change of some named items of a configuration (`PATCH /configuration`).
 
-Items are merged as the bytes in which they came, so fields that are not known here stay. Whoever receives a
-delta checks its items, each by itself; the primary, which knows what the delta builds on, checks what all
-items have to do with one another. That costs little more than finding the names in what is there already.
+This module validates, applies and makes deltas. Items are merged as the bytes that were received, so fields
+that are unknown here are kept. The member that receives a delta validates each item by itself; the primary,
+which knows the configuration that the delta builds on, checks the references between all items. That check
+costs little more than finding the names in the existing configuration.
 
 Source: PROTOCOL with LATER, "The operator's API".
 """
@@ -27,25 +28,25 @@
 ADD = "addModify"
 REMOVE = "remove"
 MODELS: dict[str, type] = {ROUTES: Route, SERVICES: Service}
-EMPTY = b'{"routeList":[],"serviceList":[]}'  # what the first configuration builds on
+EMPTY = b'{"routeList":[],"serviceList":[]}'  # base of the first configuration
 
 Rejection = tuple[Finding, ...]
 
 
-class Named(msgspec.Struct):
-    """Of an item: its name, by which it is replaced or removed."""
+class ItemName(msgspec.Struct):
+    """The name of an item, by which it is replaced or removed."""
 
     name: str = ""
 
 
 class SplitFields(msgspec.Struct):
-    """Of a split: what `References` looks at."""
+    """The fields of a split that `References` reads."""
 
     service: str
 
 
 class RouteFields(msgspec.Struct, rename="camel"):
-    """Of a route: what `References` looks at."""
+    """The fields of a route that `References` reads."""
 
     host: str
     path_prefix: str
@@ -54,40 +55,41 @@
 
 
 class Delta(msgspec.Struct):
-    """A delta that `read_delta` found sound, its items as they came."""
+    """A delta that `read_delta` found valid, with its items as they were received."""
 
     addModify: dict[str, list[msgspec.Raw] | None] | None = None  # noqa: N815 (as on the wire)
     remove: dict[str, list[str] | None] | None = None
 
 
 class Item(msgspec.Struct):
-    """One item of a merged list. `place`: where it stands in the delta, or in what that builds on."""
+    """One item of a merged list. `place`: its place in the delta, or in the configuration it builds on."""
 
     name: str
     raw: msgspec.Raw
     place: str
 
 
-name_of = msgspec.json.Decoder(Named).decode
-route_fields = msgspec.json.Decoder(RouteFields).decode
-top_level_fields = msgspec.json.Decoder(dict[str, msgspec.Raw]).decode
-items_of = msgspec.json.Decoder(list[msgspec.Raw]).decode
-delta_of = msgspec.json.Decoder(Delta).decode
+decode_name = msgspec.json.Decoder(ItemName).decode
+decode_route_fields = msgspec.json.Decoder(RouteFields).decode
+decode_top_level_fields = msgspec.json.Decoder(dict[str, msgspec.Raw]).decode
+decode_items = msgspec.json.Decoder(list[msgspec.Raw]).decode
+decode_delta = msgspec.json.Decoder(Delta).decode
 
 
 def read_delta(raw: bytes) -> Result[int, Rejection]:
-    """The version that the delta makes, or what is wrong with it whatever it builds on. Never raises."""
+    """The version that the delta makes, or the findings that don't depend on its base. Never raises."""
     try:
         data = msgspec.json.decode(raw)
     except (msgspec.DecodeError, ValueError, RecursionError) as wrong:
         return Error((Finding("", f"cannot be read: {wrong}"),))
     findings = Findings()
     if not isinstance(data, dict):
-        return Error((Finding("", "is no object"),))
+        return Error((Finding("", "is not an object"),))
     version = check_version(data.get(VERSION), findings)
     added = read_lists(data, ADD, findings)
     removed = read_lists(data, REMOVE, findings)
-    names: dict[str, dict[str, str]] = {one: {} for one in MODELS}  # by list and name: where it was met
+    # The first place of each name, by list and name.
+    names: dict[str, dict[str, str]] = {list_name: {} for list_name in MODELS}
     checks = ElementChecks(findings, ())
     for list_name, values in added.items():
         for at, value in enumerate(values):
@@ -109,43 +111,44 @@
 
 
 def read_lists(data: dict[str, Any], part: str, findings: Findings) -> dict[str, list[Any]]:
-    """The lists under `addModify` or `remove`, by their names; what is none of them is a finding."""
+    """The lists under `addModify` or `remove` by their names; adds a finding for any other value."""
     lists = data.get(part)
     if lists is None:
         return {}
     if not isinstance(lists, dict):
         findings.add(part, "is not an object")
         return {}
-    sound = {}
+    valid_lists = {}
     for list_name, values in lists.items():
         if list_name not in MODELS:
-            findings.add(f"{part}.{list_name}", "is no list of named items")
+            findings.add(f"{part}.{list_name}", "is not a list of named items")
         elif values is not None and not isinstance(values, list):
             findings.add(f"{part}.{list_name}", "is not a list")
         else:
-            sound[list_name] = values or []
-    return sound
+            valid_lists[list_name] = values or []
+    return valid_lists
 
 
-def check_name(met: dict[str, str], name: str, place: str, findings: Findings) -> None:
-    """Each item is named, and once: added twice, or added and removed, it would be unclear what holds."""
+def check_name(first_places: dict[str, str], name: str, place: str, findings: Findings) -> None:
+    """Checks that an item has a name and occurs once in the delta: adding an item twice, or adding and
+    removing it, is ambiguous."""
     if not name:
         findings.add(f"{place}.name" if place.startswith(ADD) else place, "is missing")
         return
-    first = met.setdefault(name, place)
+    first = first_places.setdefault(name, place)
     if first != place:
-        findings.add(place, f"{name!r} also stands at {first}")
+        findings.add(place, f"{name!r} is also at {first}")
 
 
 def apply_delta(configuration: bytes, raw: bytes, version: int) -> Result[bytes, Rejection]:
-    """The configuration `version` that a sound delta makes of the whole one that it builds on, or what is
-    wrong between its items. Removing a name that does not exist changes nothing."""
-    delta = delta_of(raw)
-    fields = top_level_fields(configuration)
+    """The configuration, with this version, after a valid delta is applied to its base, or the findings in
+    the references between items. Removing a name that does not exist changes nothing."""
+    delta = decode_delta(raw)
+    fields = decode_top_level_fields(configuration)
     fields[VERSION] = msgspec.Raw(b"%d" % version)
     merged = {}
     for list_name in MODELS:
-        known = items_of(fields[list_name]) if list_name in fields else []
+        known = decode_items(fields[list_name]) if list_name in fields else []
         added = (delta.addModify or {}).get(list_name) or []
         removed = (delta.remove or {}).get(list_name) or []
         merged[list_name] = merge(list_name, known, added, frozenset(removed))
@@ -157,14 +160,14 @@
 def merge(
     list_name: str, known: list[msgspec.Raw], added: list[msgspec.Raw], removed: frozenset[str]
 ) -> list[Item]:
-    """Replaced items keep their places, new ones come at the end."""
+    """Merges the items of a list: replaced items keep their positions, new ones are appended."""
     new = {}
     for at, raw in enumerate(added):
-        name = name_of(raw).name
+        name = decode_name(raw).name
         new[name] = Item(name, raw, f"{ADD}.{list_name}[{at}]")
     items = []
     for at, raw in enumerate(known):
-        name = name_of(raw).name
+        name = decode_name(raw).name
         if name and name in removed:
             continue
         items.append(new.pop(name) if name in new else Item(name, raw, f"{list_name}[{at}]"))
@@ -172,55 +175,61 @@
 
 
 def check_references(routes: list[Item], services: list[Item]) -> Rejection:
-    """Findings at items of the delta where one of them is to blame: those that were there come first."""
+    """Checks the references between all items. The items of the base are added first, so that a duplicate is
+    reported at the item of the delta."""
     findings = Findings()
     references = References(findings, frozenset(item.name for item in services))
-    for item in sorted(services, key=is_of_delta):
+    for item in sorted(services, key=is_from_delta):
         references.add_service(item, item.place)
-    for item in sorted(routes, key=is_of_delta):
-        references.add_route(route_fields(item.raw), item.place)
+    for item in sorted(routes, key=is_from_delta):
+        references.add_route(decode_route_fields(item.raw), item.place)
     return findings.all()
 
 
-def is_of_delta(item: Item) -> bool:
-    """Whether the delta added or replaced it."""
+def is_from_delta(item: Item) -> bool:
+    """Whether the delta added or replaced the item."""
     return item.place.startswith(ADD)
 
 
 def make_delta(old: bytes, new: bytes) -> Result[bytes, Rejection]:
-    """The delta that makes the sound configuration `new` of the sound one `old`, or what it can't express."""
+    """The delta that turns the valid configuration `old` into the valid `new`, or the differences that a
+    delta can't express."""
     findings = Findings()
-    before, after = top_level_fields(old), top_level_fields(new)
+    before, after = decode_top_level_fields(old), decode_top_level_fields(new)
     for list_name in sorted((before.keys() | after.keys()) - {VERSION, *MODELS}):
-        if decoded(before.get(list_name)) != decoded(after.get(list_name)):
-            findings.add(list_name, "moves, and a change of named items cannot say so")
+        if decode_value(before.get(list_name)) != decode_value(after.get(list_name)):
+            findings.add(list_name, "differs, which a change of named items cannot express")
     added: dict[str, list[msgspec.Raw]] = {}
     removed: dict[str, list[str]] = {}
     for list_name in MODELS:
-        then = by_name(items_of(before[list_name]), list_name, findings)
-        now = by_name(items_of(after[list_name]), list_name, findings)
-        moved = [raw for name, raw in now.items() if name not in then or decoded(then[name]) != decoded(raw)]
-        gone = [name for name in then if name not in now]
-        if moved:
-            added[list_name] = moved
-        if gone:
-            removed[list_name] = gone
+        old_items = index_by_name(decode_items(before[list_name]), list_name, findings)
+        new_items = index_by_name(decode_items(after[list_name]), list_name, findings)
+        changed = [
+            raw
+            for name, raw in new_items.items()
+            if name not in old_items or decode_value(old_items[name]) != decode_value(raw)
+        ]
+        missing = [name for name in old_items if name not in new_items]
+        if changed:
+            added[list_name] = changed
+        if missing:
+            removed[list_name] = missing
     if len(findings):
         return Error(findings.all())
     return Ok(msgspec.json.encode({VERSION: after[VERSION], ADD: added, REMOVE: removed}))
 
 
-def decoded(raw: msgspec.Raw | None) -> Any:
-    """The JSON value, however it is formatted; None if the field is absent."""
+def decode_value(raw: msgspec.Raw | None) -> Any:
+    """The JSON value, whatever its formatting; None if the field is absent."""
     return None if raw is None else msgspec.json.decode(raw)
 
 
-def by_name(items: Iterable[msgspec.Raw], list_name: str, findings: Findings) -> dict[str, msgspec.Raw]:
-    """Items by their names; one without a name of its own is a finding."""
+def index_by_name(items: Iterable[msgspec.Raw], list_name: str, findings: Findings) -> dict[str, msgspec.Raw]:
+    """Items by their names; adds a finding for an item whose name is missing or not unique."""
     found: dict[str, msgspec.Raw] = {}
     for at, raw in enumerate(items):
-        name = name_of(raw).name
+        name = decode_name(raw).name
         if not name or name in found:
-            findings.add(f"{list_name}[{at}].name", "does not tell it from the others")
+            findings.add(f"{list_name}[{at}].name", "is missing or not unique")
         found[name] = raw
     return found
--- a/tests/controlplane/test_configuration_validation.py
+++ b/tests/controlplane/test_configuration_validation.py
@@ -1,4 +1,4 @@
-"""Configurations: what is read from them, what is invalid, and where it is said to be so."""
+"""Configurations: what is read from them, what is invalid, and the places of the findings."""
 
 import copy
 import subprocess
@@ -14,7 +14,7 @@
 from shedgrade.controlplane.configuration_validation import encode_findings, read_configuration
 from shedgrade.findings import MAX_FINDINGS
 
-# As PROTOCOL shows one.
+# The example in PROTOCOL.
 EXAMPLE = {
     "configVersion": 7,
     "routeList": [
@@ -82,7 +82,7 @@
 
 
 def changed(*changes):
-    """The example with changes made in it: (path of keys..., value); `del` as the value takes it away."""
+    """The example with changes: (path of keys..., value); the value `del_` deletes the key."""
     data = copy.deepcopy(EXAMPLE)
     for *path, last, value in changes:
         inner = data
@@ -99,13 +99,13 @@
 
 
 def found(data):
-    """The findings, as text, in what should not be taken."""
+    """The findings, as text, in a configuration that must be rejected."""
     result = read_configuration(data if isinstance(data, bytes) else orjson.dumps(data))
     assert result.is_error()
     return [str(finding) for finding in result.error]
 
 
-def taken(data) -> Configuration:
+def accepted(data) -> Configuration:
     raw = orjson.dumps(data)
     result = read_configuration(raw)
     assert result.is_ok(), result.error
@@ -113,8 +113,8 @@
     return result.ok
 
 
-def test_the_example_is_read_whole():
-    configuration = taken(EXAMPLE)
+def test_all_fields_of_the_example_are_read():
+    configuration = accepted(EXAMPLE)
     assert configuration.version == 7
     first, second = configuration.routes
     assert (first.host, first.path_prefix, first.route_class) == ("ficu95.example", "/lohu930/", "streaming")
@@ -131,8 +131,8 @@
     assert configuration.limits == Limits(16384, 4194304, 3000, 15000)
 
 
-def test_what_is_absent_or_null_has_a_default():
-    configuration = taken(
+def test_absent_and_null_fields_have_defaults():
+    configuration = accepted(
         {
             "configVersion": 1,
             "limits": None,
@@ -180,16 +180,16 @@
     ],
 )
 def test_accepted(change):
-    taken(changed(change))
+    accepted(changed(change))
 
 
-def test_a_whole_number_may_be_written_with_a_point():
-    configuration = taken(changed(("configVersion", 8.0), ("routeList", 1, "maxAttempts", 2.0)))
+def test_a_whole_number_may_be_written_with_a_decimal_point():
+    configuration = accepted(changed(("configVersion", 8.0), ("routeList", 1, "maxAttempts", 2.0)))
     assert type(configuration.version) is int and type(configuration.routes[1].max_attempts) is int
 
 
 def test_the_same_prefix_at_another_host_is_another_route():
-    taken(changed(("routeList", 1, "host", "other.example"), ("routeList", 1, "pathPrefix", "/lohu930/")))
+    accepted(changed(("routeList", 1, "host", "other.example"), ("routeList", 1, "pathPrefix", "/lohu930/")))
 
 
 @pytest.mark.parametrize(
@@ -256,13 +256,14 @@
 
 
 def test_two_routes_may_share_a_name():
-    """Nothing goes by it, and the operators' pages don't call it invalid: a refusal would break a rule."""
-    told = copy.deepcopy(EXAMPLE)
-    told["routeList"][1]["name"] = told["routeList"][0]["name"]
-    assert len(read_configuration(orjson.dumps(told)).ok.routes) == len(EXAMPLE["routeList"])
+    """Names of routes are not used, and the operators' pages don't call this invalid: a rejection would
+    violate the protocol."""
+    same_names = copy.deepcopy(EXAMPLE)
+    same_names["routeList"][1]["name"] = same_names["routeList"][0]["name"]
+    assert len(read_configuration(orjson.dumps(same_names)).ok.routes) == len(EXAMPLE["routeList"])
 
 
-def test_hosts_differ_by_more_than_case():
+def test_hosts_that_differ_in_case_only_are_the_same():
     data = changed(("routeList", 1, "host", "FICU95.example"), ("routeList", 1, "pathPrefix", "/lohu930/"))
     assert found(data) == ["routeList[1]: has the host and the prefix of routeList[0]"]
 
@@ -312,18 +313,20 @@
         b'{"a":' * 100_000,
     ],
 )
-def test_what_cannot_be_read_whole(raw):
+def test_undecodable_bytes_are_one_finding(raw):
     assert len(found(raw)) == 1
 
 
-def test_no_more_findings_than_anybody_reads():
+def test_the_number_of_findings_is_limited():
     data = changed(("routeList", [{"host": 1, "pathPrefix": 2} for _ in range(500)]))
     assert len(found(data)) == MAX_FINDINGS
 
 
 def test_findings_are_encoded_as_json():
     findings = read_configuration(b"[]").error
-    assert orjson.loads(encode_findings(findings)) == {"findings": [{"place": "", "text": "is no object"}]}
+    assert orjson.loads(encode_findings(findings)) == {
+        "findings": [{"place": "", "text": "is not an object"}]
+    }
 
 
 WORD = st.text(max_size=5)
@@ -344,11 +347,11 @@
 
 
 @given(st.sampled_from([place for place in places(EXAMPLE) if place]), JSON)
-def test_any_value_anywhere_is_taken_or_found(place, value):
+def test_any_value_anywhere_is_accepted_or_a_finding(place, value):
     data = changed((*place, value))
     try:
         raw = orjson.dumps(data)
-    except (TypeError, orjson.JSONEncodeError):  # integers that JSON here cannot hold
+    except (TypeError, orjson.JSONEncodeError):  # integers that orjson can't encode
         return
     result = read_configuration(raw)
     if result.is_ok():
@@ -362,8 +365,8 @@
     assert read_configuration(raw).is_error()
 
 
-def test_no_array_library_is_loaded_for_the_check():
-    """NumPy stays importable for others, but the control plane's process has none of it."""
+def test_numpy_is_not_loaded_for_the_validation():
+    """NumPy stays importable for others, but the control plane's process does not load it."""
     program = (
         "import sys; from shedgrade.controlplane.configuration_validation import read_configuration;"
         "assert read_configuration(sys.stdin.buffer.read()).is_ok();"
@@ -379,5 +382,5 @@
 
 def test_the_weights_of_one_service_named_twice_are_added():
     data = changed(("routeList", 0, "weightedSplit", [{"service": "huvo11a", "weight": 1}] * 2))
-    route = taken(data).routes[0]
+    route = accepted(data).routes[0]
     assert route.weights() == {"huvo11a": 2} and route.weighted_split == [Split("huvo11a", 1)] * 2
