--- a/shedgrade/load_balancing/balancer.py
+++ b/shedgrade/load_balancing/balancer.py
@@ -1,4 +1,4 @@
-"""The decisions of one sidecar, put together."""
+"""The balancer of one process: list, subsets, zones, slow start, outlier detection and queue together."""
 
 from collections.abc import Iterator
 from heapq import heappop
@@ -16,14 +16,16 @@
 from .upstream import DECAY_TIME, SECOND, DecayingRatio, Upstream
 from .zones import Zone, ZoneSelectionPolicy
 
-LATENCY_TARGET_SHARE = (
-    0.6  # of the soft deadline: windows hold the mean time there, with one end in seven late
-)
-TENANT_SHARE_SLACK = 1.2  # of a tenant's even share is let pass, and three RPCs: chance seldom brings more
+# Share of the soft deadline at which concurrency limits hold the mean duration; one attempt in seven is then
+# late.
+LATENCY_TARGET_SHARE = 0.6
+# Multiple of a tenant's even share that counts as within it, besides three requests: random variation is
+# seldom larger.
+TENANT_SHARE_SLACK = 1.2
 
 
 class Balancer(EndpointList, Subsetting, ZoneSelectionPolicy, SlowStart, OutlierDetection, PendingRequests):
-    """All decisions of one process for one list of upstreams; see the package's doc comment for the calls."""
+    """All decisions of one process for one list of upstreams; the package's doc comment lists the calls."""
 
     rpc_class = Rpc
 
@@ -37,9 +39,8 @@
         self.connections_multiplexed = limits.get("multiplex", 1) > 1
         self.uses_subset = False
         self.capacity_follows_load = settings.get("weight_kind") == "live"
-        self.nominal_capacity: dict[
-            int, float
-        ] = {}  # by kind: the size of an idle one, where sizes move with load
+        # By hardware class: the capacity of an idle upstream, where the listed size varies with load.
+        self.nominal_capacity: dict[int, float] = {}
         self.methods: list[Method] = []
         self.zones: list[Zone] = []
         self.update_settings(settings)
@@ -49,17 +50,16 @@
         self.list_request_at = now
         self.list_request_backoff = SECOND
         self.upstreams: dict[int, Upstream] = {}
-        self.last_resort_upstreams: dict[
-            int, Upstream
-        ] = {}  # in doubt so far that they are used as a last resort only
-        self.released_indices: list[int] = []  # given up, and not yet asked for by `released`
-        self.reinstated: list[Upstream] = []  # put back by the operators, and not used since
-        self.slow_start_share = 1.0  # of what cold upstreams may get: another process has the rest
-        self.ready_count = self.ejected_count = 0  # upstreams ready, and of these set aside
-        self.total_capacity = 0.0  # the sum of what the list says of their sizes
-        self.hardware_durations: dict[int, list] = {}  # by kind of upstream: took, foreseen, since when
-        # of those that took an upstream's time, over time
+        # Unverified upstreams, used as a last resort only.
+        self.last_resort_upstreams: dict[int, Upstream] = {}
+        self.released_indices: list[int] = []  # forgotten, not yet returned by `take_released`
+        self.reinstated: list[Upstream] = []  # put back by operators, not used since
+        self.slow_start_share = 1.0  # of the slow start rate; another process has the rest
+        self.ready_count = self.ejected_count = 0  # ready upstreams, and the ejected ones of these
+        self.total_capacity = 0.0  # sum of the listed sizes
+        self.hardware_durations: dict[int, list] = {}  # by hardware class: observed, expected, as of
         self.decay_time = DECAY_TIME
+        # Attempts that took an upstream's time, over the time elapsed.
         self.finish_rate = DecayingRatio(1.0, now)
         self.zones = [Zone(self.random()) for _ in settings["zones"]]
         self.timers = []
@@ -67,15 +67,16 @@
         self.next_sequence = count().__next__
         self.in_flight = 0
         self.retry_tokens = 5.0
-        # Time taken against own RPCs in flight at the upstream, over all of them, as sums of a fitted line.
-        # Until something is seen, an upstream is believed to finish two at once in the room there is.
+        # Sums of the line fitted to durations by own requests in flight at the upstream, over all upstreams.
+        # The initial values assume that an upstream completes two concurrent requests within CAPACITY_SHARE
+        # of the soft deadline.
         soft = CAPACITY_SHARE * self.shortest_soft_deadline
         self.latency_sums = [1.0, 2.0, soft, 4.0, 2 * soft]
         self.latency_sums_at = now
         self.fit_latency()
 
     def update_settings(self, settings: dict) -> None:
-        """May come while RPCs are in hand, which keep their method; fewer transmissions bind at once."""
+        """Applies other settings. Requests in hand keep their method; fewer attempts bind them at once."""
         limits, rules = settings["limits"], settings["rules"]
         self.max_attempts = limits["most_transmissions"]
         self.hedging = limits["parallel_tries"]
@@ -89,7 +90,7 @@
         self.list_request_interval = int(rules["ask_every"] * 10)
         prices = settings["prices"]
         self.cross_zone_price = prices.get("cross_zone", 0.0)
-        # Where connections are shared, or new ones have a price, each sidecar keeps to a part of each zone.
+        # Where connections are multiplexed or new ones have a price, each sidecar uses a subset of each zone.
         dear = (
             self.connections_multiplexed or prices.get("handshake", 0.0) + prices.get("connection", 0.0) > 0
         )
@@ -99,7 +100,8 @@
         for zone in self.zones:
             zone.changed = True
         self.list_updated()
-        # By tenant: RPCs within DECAY_TIME that are its share here, as all sidecars get alike, and seen ones.
+        # By tenant: the requests within DECAY_TIME that are its share at this sidecar, if all sidecars get
+        # equal parts; its failures; the requests seen.
         self.tenant_shares = [
             TENANT_SHARE_SLACK * tenant["allowance_per_s"] * DECAY_TIME / SECOND / self.sidecar_count + 3
             for tenant in settings.get("customers", ())
@@ -107,7 +109,8 @@
         self.tenant_failures = [DecayingRatio() for _ in self.tenant_shares]
         self.tenant_counts = [(0.0, 0)] * len(self.tenant_shares)
         self.excess_payoff = settings.get("excess_payoff", 1.0)
-        # Where more than a few late ones cost, windows aim at what leaves three times the allowed share late.
+        # Where late requests beyond an allowed share have a price, the target duration is the one that leaves
+        # three times that share late.
         mix = settings.get("objective_mix", {})
         late = 3 * mix.get("miss_allowed", 0.0) if mix.get("slow_end", 0.0) > 0 else 0.0
         self.latency_target = (
@@ -126,13 +129,16 @@
     def admit(
         self, now: int, method: int, deadline: int, retry: bool = False, tag: object = None, tenant: int = 0
     ) -> Rpc:
-        """The handle of a new request. `deadline`: when its client gives up, on the callers' clock."""
-        # One further transmission for ten RPCs: enough for single faults, too little for a storm.
+        """Returns the handle of a new request. `deadline`: when its client gives up, on the callers' clock.
+
+        `retry`: the client marked it as a retry. `tag`: the caller's own reference to the request.
+        """
+        # One retry for ten requests: enough for isolated failures, too little for a retry storm.
         self.retry_tokens = min(10.0, self.retry_tokens + 0.1)
         return self.rpc_class(self, self.methods[method], now, deadline, retry, tag, tenant)
 
     def due(self, now: int) -> Iterator[Rpc]:
-        """Yields the handles that should be asked again, each before the next is looked for."""
+        """Yields the requests to decide on again, each before the next one is looked up."""
         while self.timers and self.timers[0][0] <= now:
             timed = heappop(self.timers)[2]
             if isinstance(timed, Upstream):
@@ -147,14 +153,14 @@
                 return
 
     def wake_at(self) -> float:
-        """When `due` or `wants_list` has something at the latest, if nothing else happens."""
+        """Returns when to call `due` or `wants_list` at the latest if nothing else happens; inf for never."""
         at = self.timers[0][0] if self.timers else inf
         if self.subscribes_to_list and not self.list_subscribed and not self.list_requested:
             at = min(at, self.list_request_at)
         return at
 
     def check_invariants(self) -> None:
-        """AssertionError if counts and rotations do not agree with the upstreams. It looks at all of them."""
+        """Raises AssertionError if counts and rotations disagree with the upstreams. Visits all of them."""
         upstreams = self.upstreams.values()
         listed = [upstream for upstream in upstreams if upstream.listed]
         assert self.ready_count == len(listed)
--- a/shedgrade/load_balancing/endpoint_list.py
+++ b/shedgrade/load_balancing/endpoint_list.py
@@ -1,4 +1,4 @@
-"""The list of upstreams: rows, orders, doubts, and what is kept of an upstream that is gone."""
+"""The endpoint list: applies its updates and decides when an upstream is forgotten."""
 
 from math import inf
 
@@ -7,19 +7,19 @@
 from .upstream import SECOND, Upstream
 from .zones import DROP_THRESHOLD
 
-RECENTLY_USED = (
-    60 * SECOND
-)  # sent to within this, an upstream is in use: maintenance takes seconds to a minute
-LAST_RESORT_EJECTION = 10**9 * SECOND  # aside until it has answered: longer than any process runs
-LOAD_SMOOTHING = 0.4  # of a renewal counts at once: a single one is chance, three or four are not
+RECENTLY_USED = 60 * SECOND  # an upstream used within this is in use: maintenance takes seconds to a minute
+LAST_RESORT_EJECTION = 10**9 * SECOND  # ejected until it has answered: longer than any process runs
+LOAD_SMOOTHING = 0.4  # weight of a new load report: a single one may be noise, three or four are not
 
 
 class EndpointList(BalancerState):
     """Keeps the list of upstreams, their states and the counts over it."""
 
     def list_changed(self, now: int, rows: list, whole: bool, asked: bool) -> None:
-        """Takes rows of the list. `whole`: upstreams that no row names are gone; `asked`: it answers a
-        request for the list.
+        """Applies rows of the endpoint list.
+
+        `whole`: the rows are the complete list, and upstreams that they do not name are gone. `asked`: they
+        answer a request for the list.
         """
         if asked:
             self.list_requested, self.list_subscribed, self.list_request_backoff = False, True, SECOND
@@ -52,14 +52,14 @@
             )
             upstream.started_at = max(started, upstream.reinstated_at)
             if self.capacity_follows_load and size > 0:
-                # Load moves the size that the list tells; that of its kind at rest stays.
+                # The listed size shrinks with load; the largest of a hardware class is its nominal capacity.
                 self.nominal_capacity[kind] = nominal = max(size, self.nominal_capacity.get(kind, size))
                 upstream.reported_load, size = (
                     upstream.reported_load + LOAD_SMOOTHING * (nominal / size - 1 - upstream.reported_load),
                     nominal,
                 )
             if asked and upstream.probation_successes:
-                # Discovery itself names it: what an older source left in doubt is settled.
+                # Discovery lists it, which verifies an entry of an older source.
                 upstream.probation_successes, upstream.half_open = 0, False
                 if self.last_resort_upstreams.pop(index, None):
                     self.readmit(upstream)
@@ -68,13 +68,20 @@
         self.list_updated()
 
     def stays_while_delisted(self, upstream: Upstream) -> bool:
-        """Where only draining binds, one that was ready stays, one RPC at a time at first, until it fails."""
+        """Returns whether an upstream that left the list stays in use.
+
+        Where only draining binds, a ready one stays until it fails, at first with one request at a time.
+        """
         if self.keeps_delisted and upstream.listed and not upstream.delisted:
             upstream.delisted = upstream.half_open = True
         return upstream.delisted and upstream.listed
 
     def set_withdrawn(self, now: int, index: int, withdrawn: bool) -> None:
-        """Taken out, it counts as draining; put back, as cold whatever the list says, and as unknown."""
+        """Withdraws an upstream by operators' order, or reinstates it.
+
+        A withdrawn one counts as draining. A reinstated one warms up, whatever the list says, and has no
+        health history.
+        """
         upstream = self.upstreams.get(index) or self.upstreams.setdefault(
             index, Upstream(index, self.random())
         )
@@ -95,7 +102,7 @@
         self.release_if_unused(upstream)
 
     def list_updated(self) -> None:
-        """Brings subsets, reported loads and first limits of the zones in step with the list."""
+        """Updates subsets, reported loads and initial concurrency limits of the zones after a list change."""
         if any(zone.changed for zone in self.zones):
             self.assign_subset()
         for zone in self.zones:
@@ -113,7 +120,10 @@
     def update_entry(
         self, upstream: Upstream, zone: int | None, state: int, size: float | None = None
     ) -> None:
-        """A change in the list costs what changed: rotations lose and gain just the upstreams it names."""
+        """Changes an upstream's zone, state and size, with the counts and rotations that depend on them.
+
+        The cost of a list change follows the upstreams that it names: rotations lose and gain only those.
+        """
         available = state == READY and not upstream.withdrawn
         self.ready_count, self.total_capacity = (
             self.ready_count - upstream.listed,
@@ -152,20 +162,24 @@
             (zone.rotation.append if wanted else zone.rotation.remove)(upstream)
 
     def release_if_unused(self, upstream: Upstream) -> None:
-        """What is gone with nothing out leaves memory: its index may be another's, which inherits nothing."""
+        """Forgets a removed upstream with nothing outstanding.
+
+        Its index may be reused by another upstream, which must not inherit its state.
+        """
+        # A reinstated upstream is kept, as it has to warm up when it is listed again.
         if (
             upstream.state == REMOVED
             and self.upstreams.get(upstream.index) is upstream
             and not (
                 upstream.in_flight or upstream.background_load or upstream.withdrawn or upstream.reinstated_at
             )
-        ):  # back: it is cold when it is listed again
+        ):
             del self.upstreams[upstream.index]
             self.last_resort_upstreams.pop(upstream.index, None)
             self.released_indices.append(upstream.index)
 
     def take_released(self) -> list[int]:
-        """Upstreams given up since the last call, unless they have come again."""
+        """Returns the upstreams forgotten since the last call, except those that were listed again."""
         remaining, self.released_indices = (
             [index for index in self.released_indices if index not in self.upstreams],
             [],
@@ -173,8 +187,11 @@
         return remaining
 
     def mark_unverified(self, now: int, upstreams: list[int], ends: int, last: bool) -> None:
-        """Guards against a list older than discovery's: each may be gone, another's or cold. One RPC at a
-        time until so many end well and as quickly as usual; with `last` aside until all else is full."""
+        """Marks upstreams of a list older than discovery's: each may be gone, replaced or just started.
+
+        Each gets one request at a time until `ends` attempts complete in about the usual time. With `last` it
+        stays ejected until all other upstreams are at capacity.
+        """
         for upstream in (self.upstreams[index] for index in upstreams):
             upstream.probation_successes, upstream.half_open = ends, True
             if last and upstream.listed and not upstream.ejected_until:
@@ -186,13 +203,16 @@
                 self.set_in_rotation(upstream, False)
 
     def list_failed(self, now: int) -> None:
-        """The subscription broke or a call failed: ask again soon, then less often, within what is set."""
+        """Schedules the next request for the list after the subscription broke or a request failed.
+
+        The delay doubles with each failure, up to half of the configured interval.
+        """
         self.list_requested = self.list_subscribed = False
         self.list_request_at = now + int(self.list_request_backoff * self.uniform(0.5, 1.0))
         self.list_request_backoff = min(2 * self.list_request_backoff, self.list_request_interval // 2)
 
     def wants_list(self, now: int) -> bool:
-        """True if the list is to be requested now; a request is then pending."""
+        """Returns True if the list is to be requested now; a request then counts as pending."""
         if (
             not self.subscribes_to_list
             or self.list_subscribed
--- a/shedgrade/load_balancing/learned_state.py
+++ b/shedgrade/load_balancing/learned_state.py
@@ -1,4 +1,4 @@
-"""What lasts of the decisions over a restart or an upgrade: out of them as plain data, and back. No I/O."""
+"""Export and restore of what the balancer has learned, over a restart or an upgrade. No I/O."""
 
 from math import exp, inf
 
@@ -6,8 +6,8 @@
 
 
 def export(balancer: Balancer, now: int) -> dict:
-    """What was learnt, by index, for `restore` after a restart. Its form is versioned: `v`."""
-    while hasattr(balancer, "inner"):  # capture and watch stand before the decisions
+    """Returns what was learned, by upstream index, as plain data for `restore`. `v`: the format's version."""
+    while hasattr(balancer, "inner"):  # capture and watch wrap the balancer
         balancer = balancer.inner
     return {
         "v": 1,
@@ -40,19 +40,23 @@
 
 
 def restore(balancer: Balancer, now: int, state: dict, age: float) -> None:
-    """Takes what `export` gave `age` seconds ago, which weighs the less the older it is; the caller has
-    checked its form. Windows hold for as long as a trouble lasts, and are then found anew. What stands before
-    the decisions (capture, watch) takes it in its own `restore`, and hands it on."""
+    """Restores what `export` returned `age` seconds ago; the older it is, the less it weighs.
+
+    The caller has checked its format. Concurrency limits hold for as long as an overload lasts: older than
+    MAX_DECAY_TIME, they are not restored but found anew. A wrapper of the balancer (capture, watch) handles
+    the call in its own `restore` and passes it on.
+    """
     if hasattr(balancer, "restore"):
         balancer.restore(now, state, age)
         return
     if state["v"] != 1:
         return
     keep = exp(-age * SECOND / MAX_DECAY_TIME)
-    part = max(keep, 1 / max(1.0, state["sums"][0]))  # one end's worth stays: better than a belief
+    # The weight of one attempt stays: it is better evidence than the initial assumption.
+    part = max(keep, 1 / max(1.0, state["sums"][0]))
     balancer.latency_sums, balancer.latency_sums_at = [total * part for total in state["sums"]], now
     balancer.decay_time = balancer.finish_rate.denominator = state["memory"]
-    balancer.finish_rate.numerator = balancer.latency_sums[0]  # it is the same traffic
+    balancer.finish_rate.numerator = balancer.latency_sums[0]  # both count the same traffic
     balancer.finish_rate.decayed_at = now
     balancer.hardware_durations = {
         kind: [duration * keep, alike * keep, now] for kind, duration, alike in state["kinds"]
@@ -79,4 +83,5 @@
             if 0 < back_at - used < RECENTLY_USED:
                 balancer.reinstated.append(upstream)
     for upstream in balancer.upstreams.values():
-        upstream.slow_start_credit, upstream.slow_start_updated_at = 0.0, now  # whoever sent before had them
+        # The previous process has used the credit.
+        upstream.slow_start_credit, upstream.slow_start_updated_at = 0.0, now
--- a/shedgrade/load_balancing/outlier_detection.py
+++ b/shedgrade/load_balancing/outlier_detection.py
@@ -1,4 +1,4 @@
-"""Upstreams and health: the time foreseen at one, and whether it is well."""
+"""Expected durations and health of upstreams."""
 
 from heapq import heappush
 from math import exp
@@ -16,24 +16,29 @@
 from .state import BalancerState
 from .upstream import DECAY_TIME, MAX_DECAY_TIME, SECOND, DecayingRatio, Upstream
 
-ENOUGH_SAMPLES = 30  # ends: a mean of so many is within a fifth
-PROBATION_SLOWDOWN = (
-    2.0  # times the usual: a cold upstream is slower, chance alone seldom is, three times over
-)
-CAPACITY_SHARE = 0.6  # an upstream takes one more while this much of the time left is expected to do for it
-MIN_QUEUEING_SHARE = (
-    0.5  # of the time taken is held to be queueing at least: guards against crowds not yet met
-)
-SLOW_METHOD_FACTOR = 2.0  # times the part of its soft deadline that others take: a method drags by itself
-REQUEST_FAILURE_FACTOR = 3.0  # times the failures of others, and so much more
-REQUEST_FAILURE_EXCESS = 0.05  # of what ended: then failures follow the sort of request
+ENOUGH_SAMPLES = 30  # finished attempts; a mean of so many is within a fifth
+# Multiple of the usual duration up to which an attempt counts as good: a warming upstream exceeds it, random
+# variation seldom does, three times over.
+PROBATION_SLOWDOWN = 2.0
+CAPACITY_SHARE = 0.6  # of the time left, within which a further request must be expected to finish
+# Share of a duration that is attributed to queueing at least: guards against overload levels not seen yet.
+MIN_QUEUEING_SHARE = 0.5
+# Multiple of the share of the soft deadline that other methods take, above which a method is slow by itself.
+SLOW_METHOD_FACTOR = 2.0
+# Failures are attributed to the method or tenant of a request above this multiple of the failure ratio of the
+# other ones, plus the excess.
+REQUEST_FAILURE_FACTOR = 3.0
+REQUEST_FAILURE_EXCESS = 0.05  # of the finished attempts
 
 
 class OutlierDetection(BalancerState):
     """Estimates durations, and ejects upstreams that fail or refuse."""
 
     def has_capacity(self, upstream: Upstream, now: int, remaining: int, expected: float) -> bool:
-        """Guards against crowding: one more only if it is expected back well within the time left."""
+        """Returns whether an upstream may take one more request.
+
+        Guards against overload: a busy one takes it only if it should finish well within the time left.
+        """
         if (upstream.half_open and upstream.in_flight) or (
             self.is_warming_up(upstream, now) and not self.has_slow_start_credit(upstream, now)
         ):
@@ -43,7 +48,7 @@
         )
 
     def fit_latency(self) -> None:
-        """The line through what transmissions took at each number in flight."""
+        """Fits the line of durations by the number of requests in flight."""
         ends, concurrency, duration, square, both = self.latency_sums
         # The origin counts as one more point, so a balancer that only ever has one in flight assumes a queue.
         spread = (ends + 1) * square - concurrency * concurrency
@@ -54,7 +59,7 @@
         self.latency_base = (duration - self.latency_slope * concurrency) / ends
 
     def baseline_duration(self, upstream: Upstream, concurrency: int) -> float:
-        """The time foreseen for a warm upstream of its size and kind, whatever itself has shown."""
+        """Returns the duration expected of a warm upstream of its size and class, whatever its own record."""
         return (
             (self.latency_base + self.latency_slope * concurrency)
             * self.hardware_factor(upstream)
@@ -63,24 +68,30 @@
         )
 
     def hardware_factor(self, upstream: Upstream) -> float:
-        """Guards against too little evidence: what one upstream shows is held true of all of its kind."""
+        """Returns how slow the upstream's hardware class is, 1.0 for the mean.
+
+        All upstreams of a class share its record: guards against too little evidence on a single one.
+        """
         kind = self.hardware_durations.get(upstream.hardware)
         alike = self.latency_base + self.latency_slope
         return (kind[0] + alike) / (kind[1] + alike) if kind else 1.0
 
     def expected_duration(self, upstream: Upstream, now: int) -> float:
-        """How long one more transmission would take there; with one usual RPC added for lack of evidence."""
+        """Returns the expected duration of one more attempt there; one usual attempt is added as a prior."""
         upstream.decay(now, self.decay_time)
         alike = self.latency_base + self.latency_slope
         slowness = (upstream.observed_duration + alike) / (upstream.foreseen_duration + alike)
         return slowness * self.baseline_duration(upstream, upstream.in_flight + upstream.reported_load + 1)
 
     def typical_duration(self) -> float:
-        """The mean duration of an attempt lately, in tenths of a millisecond."""
+        """Returns the recent mean duration of an attempt, in tenths of a millisecond."""
         return self.latency_sums[2] / self.latency_sums[0]
 
     def method_slowness(self, method: Method) -> float:
-        """Over 1: its RPCs take that much longer wherever they go: no crowd, and no upstream, is to blame."""
+        """Returns how many times too slow the method's requests are at every upstream; 1.0 if they are not.
+
+        Above 1.0 neither overload nor an upstream is to blame.
+        """
         rest = [other for other in self.methods if other is not method]
         usual = sum(other.relative_duration.numerator / other.soft_deadline for other in rest)
         if not usual or not method.relative_duration.denominator:
@@ -94,7 +105,7 @@
         )
 
     def failure_follows_request(self, rpc: Rpc) -> bool:
-        """Failures follow its sort of RPC: its method or its tenant fails wherever it goes, others do not."""
+        """Returns whether the request's method or tenant fails at every upstream while others do not."""
 
         def beyond(own: DecayingRatio, sorts: list[DecayingRatio]) -> bool:
             rest = [sort for sort in sorts if sort is not own]
@@ -107,7 +118,7 @@
         )
 
     def update_probation(self, upstream: Upstream, outcome: int, duration: int, concurrency: int) -> None:
-        """An end at an upstream in doubt: it is like all others once it has shown itself sound."""
+        """Records an attempt at an unverified upstream; enough good ones end its probation."""
         if outcome == COMPLETED:
             upstream.probation_successes -= duration <= PROBATION_SLOWDOWN * self.baseline_duration(
                 upstream, concurrency
@@ -115,7 +126,7 @@
             if self.last_resort_upstreams.pop(upstream.index, None):
                 self.readmit(upstream)
         elif upstream.index in self.last_resort_upstreams:
-            upstream.ejected_until += 1  # the others in doubt come first
+            upstream.ejected_until += 1  # other unverified upstreams are tried first
 
     def record_duration(
         self, now: int, upstream: Upstream, duration: int, concurrency: int, rpc: Rpc
@@ -137,16 +148,15 @@
         kind = self.hardware_durations.setdefault(upstream.hardware, [0.0, 0.0, now])
         keep = exp((kind[2] - now) / MAX_DECAY_TIME)
         self.hardware_durations[upstream.hardware] = [kind[0] * keep + duration, kind[1] * keep + alike, now]
-        level = (
-            duration * (self.latency_base + self.latency_slope * concurrency) / alike
-        )  # at one of the mean size, warm
+        # Normalized to a warm upstream of mean size.
+        level = duration * (self.latency_base + self.latency_slope * concurrency) / alike
         keep = exp((self.latency_sums_at - now) / self.decay_time)
         seen = (1, concurrency, level, concurrency * concurrency, concurrency * level)
         self.latency_sums, self.latency_sums_at = (
             [old * keep + new for old, new in zip(self.latency_sums, seen, strict=True)],
             now,
         )
-        # A light balancer remembers longer, until it has seen enough.
+        # A balancer with little traffic keeps evidence longer, until it has enough.
         few = self.latency_sums[0] < ENOUGH_SAMPLES
         self.decay_time = (
             min(MAX_DECAY_TIME, self.decay_time * 1.1) if few else max(DECAY_TIME, self.decay_time / 1.1)
@@ -163,14 +173,15 @@
         first_on_connection: bool,
         rpc: Rpc,
     ) -> None:
-        """Learns from the end of an attempt, and ejects its upstream where the evidence is enough."""
+        """Records the outcome of an attempt, and ejects its upstream where the evidence suffices."""
         upstream.decay(now, self.decay_time)
         self.finish_rate.add(
             now, outcome in (COMPLETED, TIMED_OUT), now - self.finish_rate.decayed_at, self.decay_time
         )
         if upstream.probation_successes:
             self.update_probation(upstream, outcome, duration, concurrency)
-        # Guards against dear connections, of which a first RPC tells. Nothing ready: no mean size to go by.
+        # The first request on a connection includes the cost of its setup, so its duration is left out. With
+        # no upstream ready there is no mean size to compare with.
         if (
             outcome in (COMPLETED, TIMED_OUT)
             and not first_on_connection
@@ -186,11 +197,12 @@
         elif (outcome == TIMED_OUT and self.method_slowness(rpc.method) > 1) or (
             outcome == FAILED and self.failure_follows_request(rpc)
         ):
-            return  # it follows the RPC, and is not held against the upstream
+            return  # the request is the cause, and the upstream is not blamed
         elif outcome in (FAILED, TIMED_OUT, DROPPED, BROKEN):
             upstream.failures += 0.5 if first_on_connection and outcome == TIMED_OUT else 1.0
-        # Guards against instant connect failures, fast errors and hangs drawing turns: two bad ends that
-        # outweigh the good ones, or one connection refused, set an upstream aside; one that broke tells less.
+        # Guards against upstreams that attract traffic by instant connect failures, fast errors or hangs: two
+        # failures that outweigh the successes, or one refused connection, eject an upstream. One connection
+        # that broke is less evidence.
         if (
             outcome == UNCONNECTED
             or upstream.failures > max(1.5, upstream.successes)
@@ -206,7 +218,8 @@
             self.update_entry(upstream, upstream.zone, REMOVED)
             self.list_updated()
             return
-        # Guards against a fault of our own side, or of all at once: at most half is set aside on suspicion.
+        # Guards against a fault of this side, or of all upstreams at once: without certainty at most half of
+        # them are ejected.
         if not certain and 2 * (self.ejected_count + 1) > self.ready_count:
             return
         upstream.ejected_until = now + int(self.uniform(2, 3) * SECOND)
--- a/shedgrade/load_balancing/pending.py
+++ b/shedgrade/load_balancing/pending.py
@@ -1,4 +1,4 @@
-"""Windows and what is held: who waits here, and when it is answered exhausted."""
+"""The queue of requests that wait for capacity, and the draws by which limits admit requests."""
 
 from bisect import bisect_left, insort
 from heapq import heappush
@@ -8,32 +8,35 @@
 from .state import BalancerState
 from .upstream import DECAY_TIME
 
-QUEUE_PACE_SHARE = 0.5  # of the pace at which transmissions end is counted on: most waits end well
+QUEUE_PACE_SHARE = 0.5  # of the completion rate is relied on, so that most waits end in an answer
 
 
 class PendingRequests(BalancerState):
     """The queue of requests that wait for capacity, the most valuable first."""
 
     def draw_for_payoff(self, payoff: float) -> float:
-        """What a window holds back is rather the cheap: from 0 to 1, rather low for the dear."""
+        """Returns a draw from 0 to 1, lower for a higher payoff: limits hold back low payoffs first."""
         return self.random() ** (payoff / self.mean_payoff)
 
     def draw_admission(self, method: int) -> float:
-        """A draw by which a gate before the decisions gives up cheap requests first."""
+        """Returns the draw by which a gate before the balancer rejects requests of low payoff first."""
         return self.draw_for_payoff(self.methods[method].payoff)
 
     def enqueue(self, now: int, rpc: Rpc, until: int) -> bool:
-        """No room anywhere: wait for an end, dearest first, while the wait should end in an answer."""
+        """Queues a request for which no upstream has capacity, by payoff; returns whether it waits.
+
+        It waits only if it is expected to be answered by its soft deadline. `until`: when to decide again.
+        """
         if rpc.queue_entry is not None:
             return now < rpc.queue_entry[2]
-        # What its luck keeps out of every zone no wait lets in: it is told at once.
+        # A draw above the limits of all zones is not admitted after a wait either: it is answered at once.
         if not any(zone.rotation and rpc.admission_draw < zone.concurrency_limit for zone in self.zones):
             return False
         typical = self.typical_duration()
         last = int(rpc.soft_deadline_at - typical)
         place = (-rpc.payoff, self.next_sequence(), last, rpc)
         ahead = bisect_left(self.queue, place) + 1
-        # What is overtaken is told at once rather than left to sit until its time is up.
+        # A request overtaken by others is answered at once rather than when its time is up.
         pace = QUEUE_PACE_SHARE * self.in_flight / typical
         if not self.in_flight or now + ahead / pace > last:
             return False
@@ -50,17 +53,19 @@
         return True
 
     def dequeue(self, rpc: Rpc) -> None:
-        """Takes a request out of the queue; nothing if it is not in it."""
+        """Removes a request from the queue, if it is queued."""
         if rpc.queue_entry is not None:
             del self.queue[bisect_left(self.queue, rpc.queue_entry)]
             rpc.queue_entry = None
 
     def retry_after(self, now: int, rpc: Rpc) -> int:
-        """An answer after the soft deadline is worth little, so the client is to stay away until then."""
+        """Returns how long the client should wait before a retry: an answer after the soft deadline is worth
+        little, so until the hard deadline, at most `max_retry_after`.
+        """
         return min(self.max_retry_after, max(0, rpc.arrived_at + rpc.method.hard_deadline - now))
 
     def payoff_factor(self, now: int, tenant: int) -> float:
-        """The part of its payoff that one more RPC of this tenant brings: beyond its share, little."""
+        """Returns the part of its payoff that one more request of a tenant earns: little beyond its share."""
         if tenant >= len(self.tenant_shares):
             return 1.0
         seen, at = self.tenant_counts[tenant]
--- a/shedgrade/load_balancing/rpc.py
+++ b/shedgrade/load_balancing/rpc.py
@@ -1,4 +1,4 @@
-"""The handle of an RPC, and what the settings say of its method."""
+"""The handle of a request, and the settings and statistics of its method."""
 
 from heapq import heappush
 from math import exp
@@ -13,13 +13,13 @@
 )
 from .upstream import DECAY_TIME, SECOND, DecayingRatio, Upstream
 
-LIMIT_STEP = 0.1  # of a window for an end that comes at once, or takes twice as long
-RAMP_STEP = 0.4  # RPCs that a window gains an end until the first late one: a start is over in seconds
-MIN_LIMIT_GROWTH = 1.05  # of a window for any end in time, or those of busy balancers would lag
+LIMIT_STEP = 0.1  # of a concurrency limit, for an attempt that takes no time or twice the target
+RAMP_STEP = 0.4  # requests that a limit gains per completion until the first late one: ramps up in seconds
+MIN_LIMIT_GROWTH = 1.05  # of a limit for any completion in time; else the limits of busy balancers would lag
 
 
 class Method:
-    """What the settings say of one method, times in tenths of a millisecond."""
+    """Settings and statistics of one method. Times are in tenths of a millisecond."""
 
     __slots__ = (
         "name",
@@ -42,8 +42,8 @@
         self.soft_deadline, self.hard_deadline = (
             max(1, int(settings[key] * 10)) for key in ("soft_deadline", "hard_deadline")
         )
-        self.longest_timeout = patience  # the longest that a client has been seen to wait for one try
-        # time taken over that of any method; failed over ended
+        self.longest_timeout = patience  # longest time that a client has waited for one try
+        # Duration over the usual one of all methods; failed over finished attempts.
         self.relative_duration = DecayingRatio()
         self.failure_ratio = DecayingRatio()
         self.payoff = settings["payoff"]
@@ -52,22 +52,34 @@
         self.deduplicated = settings["idempotency"] == "by_key"
         self.dedup_scope = settings["group"] if self.deduplicated else "all"
         self.dedup_window = int(settings["repeat_window"] * 10) if self.deduplicated else 0
-        # Further transmissions after one that may have run go by payoff: the dearest method may use all left.
+        # Retries after an attempt that may have run are in proportion to the payoff: the method with the
+        # highest one may use all remaining attempts.
         self.max_retries = max(1, round((most - 1) * self.payoff / top_payoff)) if top_payoff else 1
 
 
 class Rpc:
-    """One request; what happens to it later is a call on this handle. `tag` is the caller's own.
+    """One request; its later events are calls on this handle. Times are in tenths of a millisecond.
 
-    `arrived_at`, `soft_deadline_at`, `answer_by`: when it came, is worth less, and must be answered.
-    `attempts` and `sent_at`, by attempt: its upstream, and when it was sent, None if it never ran;
-    `outstanding`: of those still out, the requests in flight there when it was sent. `retries`: attempts
-    after one that may have run. `hedge_at`: when a second attempt may go beside the first, None for never.
-    `queue_entry`: its place in the queue, None while it does not wait; `overtaken`: dearer ones took its
-    place, so it ends at once. `admission_draw`: from 0 to 1, compared with the fraction of a concurrency
-    limit. `payoff`: what an answer is worth. `long_lived`: it counts as background load. `body_buffered`: all
-    bytes of a long request are here still, None for a short one. `rejecting_zones`: where an upstream
-    rejected it. `done`: it has its final answer. A request in the queue has nothing outstanding.
+    A queued request has nothing outstanding.
+
+    tag: the caller's own reference to the request
+    arrived_at: arrival, of its first try if a retry reveals it
+    soft_deadline_at: time after which an answer is worth less
+    answer_by: time by which it must be answered
+    attempts: upstream of each attempt
+    sent_at: time of each attempt, None if it never ran
+    outstanding: by outstanding attempt, the requests in flight at its upstream when it was sent
+    retries: number of attempts after one that may have run
+    hedge_at: time from which a second attempt may run beside the first, None for never
+    queue_entry: its entry in the queue, None while it is not queued
+    done: it has its final answer
+    overtaken: requests of higher payoff took its place in the queue, so it ends at once
+    admission_draw: from 0 to 1, compared with the fraction of a concurrency limit
+    payoff: what an answer is worth
+    long_lived: it counts as background load
+    body_buffered: all bytes of a long request are still here, None for a short one
+    rejecting_zones: zones in which an upstream rejected it
+    tenant: index of its tenant
     """
 
     __slots__ = (
@@ -108,7 +120,7 @@
         self.tag = tag
         self.tenant = tenant
         self.set_deadlines(now, deadline, retry)
-        # by transmission: upstream; when, None: it never ran
+        # By attempt: its upstream; when it was sent, None if it never ran.
         self.attempts = []
         self.sent_at = []
         self.outstanding = {}
@@ -116,7 +128,7 @@
         self.hedge_at = None
         self.queue_entry = None
         self.done = False
-        # An open stream; overtaken while held, to be told at once; a long request with all its bytes here.
+        # An open stream; overtaken in the queue, to be answered at once; a long request with all bytes here.
         self.long_lived = False
         self.overtaken = False
         self.body_buffered = None
@@ -125,38 +137,45 @@
         self.admission_draw = balancer.draw_for_payoff(self.payoff)
 
     def set_deadlines(self, now: int, deadline: int, retry: bool = False) -> None:
-        """Sets the moments that the client's deadline and the method's settings imply."""
+        """Sets the times that follow from the client's deadline and the method's settings."""
         balancer, method = self.balancer, self.method
-        # Guards against work for nobody: a marked retry that the hard deadline cuts short tells when its
-        # first try came, and the soft deadline runs from there. A sixteenth less is the lateness of a loop.
+        # Guards against work for a client that has given up: a marked retry that the hard deadline cuts short
+        # reveals when its first try came, and the soft deadline runs from there. A timeout shorter by up to a
+        # sixteenth is attributed to a late event loop.
         method.longest_timeout = max(method.longest_timeout, deadline - now)
         cut = retry and deadline - now < method.longest_timeout - max(
             balancer.deadline_margin, method.longest_timeout // 16
         )
         self.arrived_at = now = min(now, deadline - method.hard_deadline) if cut else now
-        # An answer is wanted two ticks early, so that a time-out is still answered before the deadline.
+        # An answer is due two ticks early, so that a timeout is still answered before the deadline.
         self.soft_deadline_at = min(now + method.soft_deadline, deadline) - balancer.deadline_margin
         self.answer_by = (
             deadline - balancer.deadline_margin if method.overdue_payoff else self.soft_deadline_at
         )
 
     def body_received(self, now: int, deadline: int, here: bool, whole: bool) -> int:
-        """A long request's time counts from its last byte; its new limit. Not all `here`, it goes no more."""
+        """Sets the deadlines of a long request, whose time counts from its last byte; returns its time limit.
+
+        `here`: all bytes are still buffered, without which it is not sent again. `whole`: the last byte came.
+        """
         self.body_buffered = here
         self.set_deadlines(now, deadline)
-        self.set_long_lived(not whole)  # an upstream begins it once it is whole
+        self.set_long_lived(not whole)  # an upstream starts on it once it is complete
         return max(1, self.answer_by - now)
 
     def first_possibly_executed(self) -> int | None:
-        """The first transmission that may have run, those still out included."""
+        """Returns the first attempt that may have run, outstanding ones included; None if there is none."""
         return next((attempt for attempt, at in enumerate(self.sent_at) if at is not None), None)
 
     def may_use_zone(self, zone: "Zone") -> bool:  # noqa: F821
-        """Whether an upstream of this zone may be chosen."""
+        """Returns whether an upstream of this zone may be chosen."""
         return bool(zone.rotation)
 
     def may_send_to(self, upstream: Upstream, now: int) -> bool:
-        """Rule 2, no effect twice: what may have run goes again only where its method permits."""
+        """Returns whether the request may be sent to the upstream.
+
+        One that may have run is sent again only where its method permits, so that no effect happens twice.
+        """
         method, first = self.method, self.first_possibly_executed()
         if first is None or method.idempotent:
             return True
@@ -168,7 +187,10 @@
         return method.dedup_scope == "all" or upstream.cell == ran_on.cell
 
     def final_answer(self, now: int) -> tuple[int, int]:
-        """Exhausted tells the client that another try is harmless; where that is not certain, errored."""
+        """Ends the request: EXHAUSTED tells the client that a retry is harmless, ERRORED that it may not be.
+
+        Returns (EXHAUSTED, retry delay) or (ERRORED, 0).
+        """
         self.finish()
         method = self.method
         if (
@@ -180,14 +202,14 @@
         return ERRORED, 0
 
     def finish(self) -> list[int]:
-        """No more answers; returns the transmissions still out, which nobody waits for any longer."""
+        """Ends the request; returns the outstanding attempts to cancel, as no client waits for them."""
         self.done = True
         self.balancer.dequeue(self)
         return list(self.outstanding) if self.balancer.cancels_attempts else []
 
     def decide(self, now: int) -> tuple[int, int] | None:
-        """What to do now: None for nothing, (upstream, limit) to transmit, (EXHAUSTED, wait) or (ERRORED, 0)
-        as the final answer.
+        """Returns what to do now: None for nothing, (upstream, time limit) to transmit, or the final answer,
+        (EXHAUSTED, retry delay) or (ERRORED, 0).
         """
         balancer, method = self.balancer, self.method
         if self.done or (self.outstanding and not (self.hedge_at is not None and now >= self.hedge_at)):
@@ -210,8 +232,8 @@
             )
         ):
             return None if self.outstanding else self.final_answer(now)
-        # Crossing has a price, so the own zone gets that share of the soft deadline to make room first, or a
-        # quarter of what the soft deadline leaves beside the usual time.
+        # Another zone has a price, so the own zone first gets that share of the soft deadline to free
+        # capacity, or a quarter of what the soft deadline leaves beside the typical duration.
         prefer_own_zone = self.arrived_at + int(
             max(
                 balancer.cross_zone_price * method.soft_deadline,
@@ -234,7 +256,7 @@
         balancer, method = self.balancer, self.method
         balancer.dequeue(self)
         if not self.attempts and balancer.method_slowness(method) > 1:
-            self.long_lived = True  # it will hold its place for long, as an open stream does
+            self.long_lived = True  # it keeps its place for long, as an open stream does
         if repeat:
             self.retries += 1
             balancer.retry_tokens -= 1
@@ -244,7 +266,7 @@
             and len(self.attempts) + 1 < balancer.max_attempts
             and balancer.retry_tokens >= 1
         ):
-            # Guards against a hang: a second upstream gets its chance while the soft deadline can be met.
+            # Guards against a hang: a second upstream is tried while the soft deadline can be met.
             patience = int(
                 max(3 * balancer.expected_duration(upstream, now), (self.soft_deadline_at - now) // 2)
             )
@@ -253,7 +275,7 @@
                     self.hedge_at = now + patience
                     heappush(balancer.timers, (self.hedge_at, balancer.next_sequence(), self))
                 elif upstream.failures > upstream.successes:
-                    # Only where more has failed than completed lately: elsewhere the work cut off is lost.
+                    # Only where more attempts failed than completed lately: elsewhere the cut work is lost.
                     limit = min(limit, patience)
         balancer.add_load(upstream, 1 - self.long_lived, int(self.long_lived))
         self.outstanding[len(self.attempts)] = max(1, upstream.in_flight) + upstream.reported_load
@@ -265,12 +287,14 @@
     def attempt_finished(
         self, now: int, attempt: int, outcome: int, duration: int, answered: bool, first_on_connection=False
     ) -> list[int]:
-        """An attempt has ended; returns the attempts to stop. `answered`: its client has its answer."""
+        """Records the outcome of an attempt; returns the attempts to stop. `answered`: the client has its
+        answer.
+        """
         balancer, upstream = self.balancer, self.attempts[attempt]
         zone = balancer.zones[upstream.zone]
         concurrency = self.outstanding.pop(attempt)
         balancer.add_load(upstream, self.long_lived - 1, -self.long_lived)
-        # Guards against windows that lag: where ends are rare, each counts for more, as if all came in step.
+        # Guards against limits that lag: where attempts finish seldom, each counts for more.
         gain = min(5.0, 0.3 + 3 * (now - zone.last_finished_at) / SECOND)
         zone.last_finished_at = now
         if outcome in (TIMED_OUT, COMPLETED) and not first_on_connection:
@@ -280,7 +304,7 @@
                 zone.late_ratio.add(now, over > 0, 1.0, DECAY_TIME)
             else:
                 over = (drag == 1) * 2.0 * zone.late_ratio.estimate(1.0)
-            # Slow among sound ones is an upstream's own fault, not the crowd's.
+            # An upstream slower than its zone is slow by itself, which says nothing of the zone's load.
             if over > 0 and balancer.expected_duration(upstream, now) <= 1.2 * zone.typical_duration:
                 zone.concurrency_limit = max(0.1, zone.concurrency_limit * exp(-LIMIT_STEP * over * gain))
                 zone.limit_ramping = False
@@ -298,17 +322,21 @@
         return self.finish() if answered and not self.done else []
 
     def response_started(self, long_lived: bool = False) -> None:
-        """A streamed answer has begun: this transmission is the client's now, and no other may follow."""
+        """Records that a streamed response has begun: it is the client's, so no other attempt may follow."""
         self.hedge_at = None
         self.set_long_lived(long_lived or self.long_lived)
 
     def set_long_lived(self, long_lived: bool) -> None:
-        """An open stream, idle or slow, is held, for passing over: no work in flight, and in no window."""
+        """Moves the request between work in flight and background load.
+
+        An open stream, idle or slow, is background load: it counts when upstreams are compared, not against
+        concurrency limits.
+        """
         if long_lived != self.long_lived:
             self.long_lived = long_lived
             for attempt in self.outstanding:
                 self.balancer.add_load(self.attempts[attempt], 1 - 2 * long_lived, 2 * long_lived - 1)
 
     def client_disconnected(self, now: int) -> list[int]:
-        """The client has left; returns the attempts to stop."""
+        """Ends the request of a client that has left; returns the attempts to stop."""
         return self.finish()
--- a/shedgrade/load_balancing/slow_start.py
+++ b/shedgrade/load_balancing/slow_start.py
@@ -1,20 +1,24 @@
-"""Slow start: what all processes together may send an upstream that has just started."""
+"""Slow start: the rate that all processes together may send to an upstream that has just started."""
 
 from .state import BalancerState
 from .upstream import SECOND, Upstream
 
 
 class SlowStart(BalancerState):
-    """Bounds what upstreams that have just started are sent."""
+    """Limits the rate of requests to upstreams that have just started."""
 
     def set_slow_start_share(self, part: float) -> None:
-        """Guards against an upgrade, whose two processes would each send a cold upstream the whole share."""
+        """Sets this process's share of the slow start rate.
+
+        Guards against an upgrade, whose two processes would each send a warming upstream the whole rate.
+        """
         self.slow_start_share = part
 
     def has_slow_start_credit(self, upstream: Upstream, now: int) -> bool:
-        """Rule 4: a cold upstream gets its part of what this balancer sends, so that all keep to theirs."""
-        # By own traffic, as it ends at a warm upstream of like size and kind: hundreds of even parts would
-        # mostly lie unused. Over the time there was, or a restart of all has no part. 3/4 of it, for chance.
+        """Returns whether this process's share of a warming upstream's rate allows one more request now."""
+        # The share follows this process's own completions at a warm upstream of like size and class: of equal
+        # shares among hundreds of processes most would lie unused. It is taken over the time observed so far,
+        # or no process would have a share after a restart of all. 3/4 of it allows for random variation.
         rate = (
             self.finish_rate.numerator
             / max(SECOND, self.finish_rate.denominator + now - self.finish_rate.decayed_at)
@@ -38,7 +42,7 @@
         return upstream.slow_start_credit >= 1
 
     def slow_start_fraction(self, upstream: Upstream, now: int) -> float:
-        """The least part of its capacity that an upstream has, as stated."""
+        """Returns the share of its capacity that an upstream has at least, by the settings."""
         grown = (
             max(0, now - upstream.started_at) / self.slow_start_period
             if self.is_warming_up(upstream, now)
@@ -47,5 +51,5 @@
         return self.slow_start_floor + (1 - self.slow_start_floor) * grown
 
     def is_warming_up(self, upstream: Upstream, now: int) -> bool:
-        """Whether it started less than the slow start period ago."""
+        """Returns whether the upstream started less than the slow start period ago."""
         return upstream.started_at > 0 and now - upstream.started_at < self.slow_start_period
--- a/shedgrade/load_balancing/subsetting.py
+++ b/shedgrade/load_balancing/subsetting.py
@@ -1,32 +1,34 @@
 """Subsetting: which upstreams of each zone a process connects to.
 
-As in deterministic subsetting (Site Reliability Engineering, chapter 20), each process works its own subset
-out alone; `subset_assignment` says how.
+As in deterministic subsetting (Site Reliability Engineering, chapter 20), each process computes its own
+subset alone; `subset_assignment` says how.
 """
 
 from .state import BalancerState
 from .subset_assignment import dealt
 from .upstream import Upstream
 
-SIDECARS_PER_UPSTREAM = 5  # sidecars of its zone that keep to an upstream: each then weighs a twentieth there
-MULTIPLEXED_CONNECTIONS, EXCLUSIVE_CONNECTIONS = (
-    (1, 1.2),
-    (3, 3.4),
-)  # of its zone, least and mean
-OTHER_ZONES = (1, 1.2)  # of all other zones together, least and mean
-MAX_SIDECARS = 30_000  # sidecars that are told apart: with more, some have the same part
+SIDECARS_PER_UPSTREAM = 5  # sidecars of its zone that use an upstream: each is then a twentieth of its load
+# Upstreams of its own zone that a sidecar uses: least and mean.
+MULTIPLEXED_CONNECTIONS, EXCLUSIVE_CONNECTIONS = (1, 1.2), (3, 3.4)
+OTHER_ZONES = (1, 1.2)  # upstreams of all other zones together that a sidecar uses: least and mean
+MAX_SIDECARS = 30_000  # sidecars with a subset of their own; beyond it some share one
 
 
 class Subsetting(BalancerState):
-    """Keeps each process to a subset of the upstreams of each zone."""
+    """Restricts each process to a subset of the upstreams of each zone."""
 
     def in_subset(self, upstream: Upstream) -> bool:
-        """Whether this process may send to the upstream."""
+        """Returns whether this process may send to the upstream."""
         part = self.zones[upstream.zone].subset
         return part is None or upstream in part
 
     def assign_subset(self) -> None:
-        """Guards against hundreds of sidecars with a connection each to every upstream: it takes so many."""
+        """Computes the subset of each zone.
+
+        Guards against hundreds of sidecars with a connection each to every upstream, which accepts only a
+        limited number.
+        """
         ups = [upstream for upstream in self.upstreams.values() if upstream.listed]
         rows, zones = (
             sorted(
--- a/shedgrade/load_balancing/upstream_indices.py
+++ b/shedgrade/load_balancing/upstream_indices.py
@@ -1,15 +1,15 @@
-"""Ids of upstreams as small indices, and the rows in which the decisions take a list."""
+"""Small indices for the ids of upstreams, and the rows in which the balancer takes a list."""
 
 from zlib import crc32
 
 
 def tenths(ms: float) -> int:
-    """Milliseconds, as every wire tells them, in the units of the decisions."""
+    """Converts milliseconds, the unit of all wire formats, to the balancer's tenths of a millisecond."""
     return round(ms * 10)
 
 
 class Indices:
-    """Upstreams by a small index, given at first sight and free again once the upstream is forgotten."""
+    """Maps ids of upstreams to small indices, which are reused once an upstream is forgotten."""
 
     def __init__(self) -> None:
         self.by_id: dict[str, int] = {}
@@ -17,7 +17,7 @@
         self.free: list[int] = []
 
     def index(self, name: str) -> int:
-        """The index of an upstream's id; a new one for an id not seen."""
+        """Returns the index of an upstream's id; a new id gets a free one."""
         index = self.by_id.get(name)
         if index is None:
             if self.free:
@@ -37,18 +37,18 @@
         return name
 
     def row(self, name: str, zone: int, state: int, started: int, cell: int, size: float, kind: int) -> tuple:
-        """One entry of a list; the mark is what all sidecars call this upstream."""
+        """Returns one row of a list. Its mark is a hash of the id, the same in all sidecars."""
         return self.index(name), zone, state, started, cell, crc32(name.encode()), size, kind
 
 
 class Addresses:
-    """Where each upstream listens now; it may move when it restarts."""
+    """The current address of each upstream, which may change when it restarts."""
 
     def __init__(self) -> None:
         self.known: dict[int, tuple[str, int]] = {}
 
     def move(self, index: int, address: tuple[str, int]) -> bool:
-        """True if it was elsewhere before: its old connections are worth nothing."""
+        """Sets an address; returns True if it replaces another one, whose connections are then useless."""
         before = self.known.get(index)
         self.known[index] = address
         return before is not None and before != address
--- a/shedgrade/load_balancing/zones.py
+++ b/shedgrade/load_balancing/zones.py
@@ -1,4 +1,4 @@
-"""Zones and rotation: the usual path of every RPC, and the last resort."""
+"""Choice of a zone and of the next upstream in its rotation, and the last resort."""
 
 from math import exp, inf
 
@@ -6,25 +6,32 @@
 from .state import BalancerState
 from .upstream import MAX_DECAY_TIME, DecayingRatio, Upstream
 
-DROP_THRESHOLD = 3.0  # in flight per ready upstream at which a zone may be dropped: 2 to 4 make little odds
-LOAD_MARGIN = 0.5  # passed over if this far above the zone's mean in flight: half an RPC is not chance
-ALWAYS_FAST_SHARE = 0.15  # of the shortest soft deadline: whatever is foreseen within it takes all its turns
-FAST_FACTOR = 0.7  # of the zone's mean time: faster upstreams take all turns, slower ones fewer of them
-MAX_CANDIDATES = 16  # upstreams looked at for one choice at most: work does not grow with the fleet
-LIGHT_LOAD = 1.5  # RPCs held a core below which a zone has room for more, up to twice its windows
+DROP_THRESHOLD = 3.0  # in flight per ready upstream, from which a zone is skipped: 2 to 4 differ little
+LOAD_MARGIN = 0.5  # in flight above the zone's mean, from which an upstream is skipped: half is not chance
+ALWAYS_FAST_SHARE = 0.15  # of the shortest soft deadline: an upstream expected within it takes all its turns
+FAST_FACTOR = 0.7  # of the zone's mean duration: faster upstreams take all turns, slower ones fewer of them
+MAX_CANDIDATES = 16  # upstreams examined for one choice: the work does not grow with the fleet
+LIGHT_LOAD = 1.5  # reported requests a core, below which a zone takes more, up to twice its limit
 
 
 class Zone:
     """The rotation and the concurrency limit of one zone. Times are in tenths of a millisecond.
 
-    `rotation`: its usable upstreams, in order; `next_position`: the index of the next one, a fraction until
-    the first choice. `ready_count`: all that are ready; `subset`: those that this process keeps to, None for
-    all; `mean_subset_size`. `in_flight`, `background_load`: sums over its upstreams. `concurrency_limit`:
-    requests in flight from which on it takes no more, inf until it is first listed; `limit_ramping` until the
-    first late end; `limit_read_at`, `last_finished_at`: when it was last read and an attempt last ended.
-    `typical_duration`: the mean foreseen over the rotation. `reported_load`: requests a core, as the list
-    tells. `late_ratio`: late ends over ends. `changed`: the subset is to be assigned again. `number`: a
-    region's, in model routing.
+    rotation: its usable upstreams, in order
+    next_position: index of the next one, a fraction from 0 to 1 until the first choice
+    ready_count: number of its ready upstreams
+    subset: upstreams that this process uses, None for all
+    mean_subset_size: mean number of its upstreams that a sidecar uses
+    in_flight, background_load: sums over its upstreams
+    concurrency_limit: requests in flight from which on it takes no more, inf until it is first listed
+    limit_ramping: True until the first late completion
+    limit_read_at: when the limit was last read
+    last_finished_at: when an attempt last finished
+    typical_duration: mean expected duration over the rotation
+    reported_load: requests a core, by the list
+    late_ratio: late over all completions
+    changed: the subset is to be assigned again
+    number: index of its region, set in model routing only
     """
 
     __slots__ = (
@@ -58,11 +65,14 @@
         self.limit_ramping = True
         self.reported_load = 0.0
         self.late_ratio = DecayingRatio()
-        self.mean_subset_size = 0.0  # upstreams of it that a sidecar keeps to on the mean
+        self.mean_subset_size = 0.0  # upstreams of it that a sidecar uses on the mean
 
     def is_full(self, rpc: Rpc) -> bool:
-        """A window between two counts admits that part of the RPCs, each by its own luck; what the list tells
-        is held there cuts it, where the time foreseen at the mean passes the soft deadline."""
+        """Returns whether the concurrency limit keeps the request out.
+
+        The fraction of a limit admits that fraction of requests, by the admission draw of each. The load that
+        the list reports cuts the limit where the mean expected duration exceeds the soft deadline.
+        """
         window = self.concurrency_limit
         if self.reported_load:
             window *= (
@@ -83,7 +93,11 @@
     drop_threshold = DROP_THRESHOLD
 
     def choose_upstream(self, now: int, rpc: Rpc, prefer_own_zone: bool) -> Upstream | None:
-        """The design's path: drop the worst zone at the threshold; own zone first, else a draw; rotation."""
+        """Returns the upstream for the next attempt, None if none may take it now.
+
+        The most loaded zone is skipped if it is at the threshold. The own zone comes first, then the others
+        by a draw weighted by their size; within a zone the rotation decides.
+        """
         for upstream in self.reinstated:
             if (
                 upstream.listed
@@ -94,15 +108,15 @@
                     upstream, now, rpc.soft_deadline_at - now, self.expected_duration(upstream, now)
                 )
             ):
-                # Guards against an upstream that is put back and never met again, by a light sidecar or from
-                # another zone: one RPC, within the budget of cold ones, shows that it is well.
+                # Guards against a reinstated upstream that a sidecar with little traffic, or one of another
+                # zone, never tries again: one request, within the slow start rate, shows that it is healthy.
                 self.reinstated.remove(upstream)
                 return self.charge_slow_start(upstream, now)
         worst, most, open_zones = None, self.drop_threshold, []
         for zone in self.zones:
             if rpc.may_use_zone(zone):
                 if zone.concurrency_limit < 1:
-                    # What holds back some of all RPCs fades when nothing confirms it.
+                    # A limit that holds back a part of all requests decays while nothing confirms it.
                     zone.concurrency_limit **= exp((zone.limit_read_at - now) / MAX_DECAY_TIME)
                 zone.limit_read_at = now
                 open_zones.append(zone)
@@ -121,7 +135,7 @@
             if prefer_own_zone and own.concurrency_limit >= 1:
                 return None
             open_zones.remove(own)
-        # A zone without room is left out and the draw repeated.
+        # A zone without capacity is left out and the draw repeated.
         while open_zones:
             sizes = [zone.ready_count if self.uses_subset else len(zone.rotation) for zone in open_zones]
             zone = self.choices(open_zones, sizes)[0]
@@ -141,7 +155,10 @@
         return None if self.in_flight or rpc.outstanding or held_back else self.last_resort(now, rpc)
 
     def next_in_rotation(self, zone: Zone, now: int, rpc: Rpc, remaining: int) -> Upstream | None:
-        """The next in rotation that is not well above the mean, then any that has room."""
+        """Returns the next upstream in rotation that is not well above the mean load, else any with capacity.
+
+        None if the concurrency limit keeps the request out, or no upstream has capacity.
+        """
         if not zone.rotation or zone.is_full(rpc):
             return None
         rotation, size = zone.rotation, len(zone.rotation)
@@ -161,9 +178,8 @@
             )
             if not self.has_capacity(upstream, now, remaining, expected):
                 continue
-            # Guards against mixed speeds: over time, too, an upstream well above the mean is passed over, so
-            # that a slow one gets the fewer turns the longer it takes, and the dear, with most to lose, go
-            # elsewhere. What is quick enough takes every turn.
+            # Guards against mixed speeds: over time the slower an upstream, the fewer turns it gets, and
+            # requests of high payoff, with most to lose, go elsewhere. A fast upstream takes every turn.
             swift = max(ALWAYS_FAST_SHARE * self.shortest_soft_deadline, FAST_FACTOR * zone.typical_duration)
             upstream.rotation_credit += 1.0 if expected <= swift else (swift / expected) ** 2
             if (
@@ -184,10 +200,13 @@
         return upstream
 
     def last_resort(self, now: int, rpc: Rpc) -> Upstream | None:
-        """Nothing eligible, nothing out to wait for: the ready upstream that returns first, one at a time."""
+        """Returns the idle ready upstream whose ejection ends first, None if there is none.
+
+        For use where no upstream is eligible and no attempt outstanding; it gets one request at a time.
+        """
         best, ups = None, list((self.last_resort_upstreams or self.upstreams).values())
         start = int(self.random() * len(ups))
-        # From a random place, or all balancers would fall on the same one.
+        # Starts at a random position, or all balancers would choose the same upstream.
         for upstream in ups[start:] + ups[:start]:
             if (
                 upstream.listed
