--- a/shedgrade/model_routing/__init__.py
+++ b/shedgrade/model_routing/__init__.py
@@ -1,9 +1,9 @@
-"""Decisions that only the system needs, beside `decide/`: no clock, no I/O, times in tenths of a millisecond.
+"""Routing of model requests. No clock, no I/O: times are passed in, in tenths of a millisecond.
 
-`ServingBalancer` is `decide.Balancer` with four things handed in: what a request may reach (homes,
-upstreams tried), what a cold upstream may get (`cold`), which upstream holds its prompt (`prefix`), and
-whether the fleet's budget lets it go again (`repeats`). Gate, own region, draw by upstream count and
-rotation are the module's own.
+`ServingBalancer` is `load_balancing.Balancer` with four decisions replaced: which upstreams a request may
+reach (home regions, upstreams tried), what a warming upstream may get (`slow_start`), which upstream holds a
+prompt's prefix (`prefix_affinity`), and whether the fleet's retry budget allows a retry (`retry_budget`). The
+drop threshold, the preference of the own region, the draw by upstream count and the rotation are inherited.
 """
 
 from shedgrade.model_routing.balancer import ServingBalancer
--- a/shedgrade/model_routing/balancer.py
+++ b/shedgrade/model_routing/balancer.py
@@ -1,4 +1,4 @@
-"""The decisions of one sidecar for one service of the system."""
+"""The balancer of one sidecar for one service of model requests."""
 
 from collections.abc import Mapping
 from math import inf
@@ -13,23 +13,18 @@
 from shedgrade.model_routing.retry_budget import RetryBudget
 from shedgrade.model_routing.slow_start import SlowStartShares
 
-LOAD_MARGIN = 1.0  # in flight over the region's mean up to which the holder of a prompt is taken
-FAR_PREFIX_TOKENS = (
-    2048  # tokens of shared parts: reading so many anew takes as long as the way to another region
-)
-TOKENS_PER_LOAD_UNIT = (
-    2048  # tokens of a prompt that weigh as much as a request in flight while they are read
-)
-MAX_PREFILL_LOAD = 16  # requests in flight that one prompt may weigh
-MAX_TRANSMISSIONS = 6  # transmissions of one try, those included that never arrived
-RETRY_AFTER_RANGE_S = (
-    0.25,
-    0.75,
-)  # s after which a client is told to come back: spread, so that they don't come together
+LOAD_MARGIN = 1.0  # in flight over the region's mean, up to which the holder of a prompt's prefix is chosen
+# Tokens of a prefix from which on its holder in another region is chosen: prefilling so many takes as long as
+# the way there.
+FAR_PREFIX_TOKENS = 2048
+TOKENS_PER_LOAD_UNIT = 2048  # tokens of a prompt that weigh as much as a request in flight during the prefill
+MAX_PREFILL_LOAD = 16  # in units of a request in flight, of one prompt
+MAX_TRANSMISSIONS = 6  # of one try, those that never arrived included
+RETRY_AFTER_RANGE_S = (0.25, 0.75)  # random, so that refused clients do not come back all at once
 
 
 def settings(regions: list[str], own: int) -> dict:
-    """What `decide.Balancer` wants to be told. Two methods: what may run again, and what may not."""
+    """Returns settings for `load_balancing.Balancer`, with two methods: one that may run again, one not."""
     method = {
         "soft_deadline": 1000.0,
         "hard_deadline": 60_000.0,
@@ -61,26 +56,29 @@
 
 
 class NoPrefixIndex:
-    """Where no record is kept: nothing is held anywhere."""
+    """Stands in where no prefix index is kept: no upstream holds anything."""
 
     def holders(self, key: int) -> Mapping[int, float]:
-        """No upstream holds any prefix."""
+        """Returns the upstreams that hold a prefix, none."""
         return {}
 
     def saw(self, key: int, mark: int) -> None:
-        """Nobody is told."""
+        """Ignores that an upstream holds a prefix."""
 
 
 class ServingBalancer(FleetLoad, SlowStartShares, Balancer):
-    """`decide.Balancer` for streams of a model: no windows and no times foreseen, as an upstream's batch
-    takes what comes; places are kept until a stream ends."""
+    """`load_balancing.Balancer` for streams of a model.
+
+    It uses neither concurrency limits nor expected durations, as an upstream adds any request to its batch. A
+    stream counts as in flight until it ends.
+    """
 
     rpc_class = ServingRpc
 
     def __init__(
         self, regions: list[str], own: int, seed: int, now: int, repeats: RetryBudget, name: str = ""
     ) -> None:
-        self.warming_up_until: dict[int, int] = {}  # by upstream, as the list tells
+        self.warming_up_until: dict[int, int] = {}  # by upstream, from the list
         self.remote_loads: dict[int, int] = {}
         self.prefix_affinity = PrefixAffinity()
         self.retry_budget = repeats
@@ -91,15 +89,18 @@
             zone.number = number
 
     def list_updated(self) -> None:
-        """As the mechanism does, without its limits on concurrency."""
+        """Updates the zones as `Balancer` does, without concurrency limits."""
         super().list_updated()
         self.prefix_affinity.rotation_changed()
         for zone in self.zones:
             zone.concurrency_limit = inf
 
     def choose_upstream(self, now: int, rpc: ServingRpc, prefer_own_zone: bool) -> Upstream | None:
-        """Guards against a refusal while something could be tried: what returns first, one request at a
-        time."""
+        """Returns the upstream for the next attempt, None if there is none.
+
+        Guards against refusing a request while any upstream could be tried: the last resort is one request at
+        a time to the upstream whose ejection ends first.
+        """
         upstream = self.prefix_holder_elsewhere(now, rpc)
         if upstream is None:
             rpc.overloaded_region = self.overloaded_region(rpc)
@@ -110,9 +111,11 @@
         return upstream or self.last_resort(now, rpc)
 
     def prefix_holder_elsewhere(self, now: int, rpc: ServingRpc) -> Upstream | None:
-        """The own region gives way to one upstream of another: the one on record as holding a long prompt's
-        shared parts, which the own region would read anew. It must be of a region that the gate lets stay,
-        and not be well above that region's mean."""
+        """Returns the upstream of another region that is preferred to the own one, None for none.
+
+        It is on record as holding a long prompt's prefix, which the own region would prefill anew. Its region
+        must be below the drop threshold, and it must not be well above that region's mean load.
+        """
         wants: RoutingConstraints = rpc.tag.wants
         if wants.prefix_tokens < FAR_PREFIX_TOKENS or rpc.attempts:
             return None
@@ -146,12 +149,17 @@
         return best and self.charge_slow_start(best, now)
 
     def admission_threshold(self, zone: Zone, wants: RoutingConstraints) -> float:
-        """In flight at which one that keeps a prompt's shared parts is still taken: what the mean has, and
-        what reading them anew elsewhere would weigh."""
+        """Returns the load up to which the holder of a prompt's prefix is chosen.
+
+        It is the region's mean, a margin, and the load of prefilling the prefix anew elsewhere.
+        """
         return self.mean_load(zone) + LOAD_MARGIN + wants.prefix_tokens / TOKENS_PER_LOAD_UNIT
 
     def prefill_load(self, upstream: Upstream, wants: RoutingConstraints) -> int:
-        """What reading its prompt there weighs, beside its place in flight, until its first event."""
+        """Returns the load of prefilling a prompt there.
+
+        It counts beside the request in flight until the first event of the answer.
+        """
         kept = (
             wants.prefix_tokens
             if wants.prefix_key and upstream.id_hash in self.prefix_index.holders(wants.prefix_id)
@@ -160,18 +168,21 @@
         return max(0, min(MAX_PREFILL_LOAD, (wants.prompt_tokens - kept) // TOKENS_PER_LOAD_UNIT))
 
     def has_capacity(self, upstream: Upstream, now: int, remaining: int, expected: float) -> bool:
-        """A stream has no duration to foresee: only half-open and warming upstreams are bounded."""
+        """Returns whether it may take one more; only half-open and warming upstreams are limited.
+
+        A stream has no expected duration.
+        """
         return not (upstream.half_open and upstream.in_flight) and (
             not self.is_warming_up(upstream, now) or self.has_slow_start_credit(upstream, now)
         )
 
     def expected_duration(self, upstream: Upstream, now: int) -> float:
-        """One for every upstream."""
+        """Returns 1.0 for every upstream."""
         upstream.decay(now, self.decay_time)
-        return 1.0  # every upstream takes all its turns; in flight tells which are passed over
+        return 1.0  # every upstream takes all its turns; only load decides which are skipped
 
     def extend_ejection(self, now: int, upstream: Upstream) -> None:
-        """It can't be reached: it is set aside, or stays so for a whole span from now."""
+        """Ejects an upstream that cannot be reached, or restarts its ejection period."""
         if upstream.ejected_until and upstream.listed:
             self.readmit(upstream)
         self.eject(now, upstream, True)
@@ -179,10 +190,10 @@
     def record_duration(
         self, now: int, upstream: Upstream, duration: int, concurrency: int, rpc: Rpc
     ) -> None:
-        """Times of streams follow their lengths, not their upstreams: nothing is learnt of them."""
+        """Records nothing: the duration of a stream follows its length, not its upstream."""
 
     def next_in_rotation(self, zone: Zone, now: int, rpc: ServingRpc, remaining: int) -> Upstream | None:
-        """An upstream that holds the prompt's prefix goes before the next in rotation."""
+        """Returns an upstream that holds the prompt's prefix, else the next in rotation."""
         wants: RoutingConstraints = rpc.tag.wants
         if wants.prefix_key and len(zone.rotation) > 1:
             load_limit = self.admission_threshold(zone, wants)
@@ -199,14 +210,14 @@
         return super().next_in_rotation(zone, now, rpc, remaining)
 
     def served(self, now: int, upstream: Upstream, wants: RoutingConstraints) -> None:
-        """A request ended well there."""
+        """Handles that an attempt was completed there; nothing to do here."""
 
     def retry_after(self, now: int, rpc: ServingRpc) -> int:
-        """When a refused client may come back, spread at random."""
+        """Returns when a refused client may come back, spread at random."""
         return int(self.uniform(*RETRY_AFTER_RANGE_S) * SECOND)
 
     def release_if_unused(self, upstream: Upstream) -> None:
-        """Forgets until when it was warming up, too."""
+        """Forgets an unused upstream, and until when it was warming up."""
         super().release_if_unused(upstream)
         if upstream.index not in self.upstreams:
             self.warming_up_until.pop(upstream.index, None)
--- a/shedgrade/model_routing/prefix_affinity.py
+++ b/shedgrade/model_routing/prefix_affinity.py
@@ -1,9 +1,8 @@
-"""Which upstream holds the shared parts of a prompt.
+"""Which upstreams hold the shared prefix of a prompt.
 
-Rendezvous hashing (Thaler and Ravishankar, 1998) over the upstreams of the region that the mechanism
-chose: every sidecar finds the same ones without a word. Bounded as in "Consistent Hashing with Bounded
-Loads" (Mirrokni, Thorup, Zadimoghaddam, 2016): one well above the region's mean in flight is passed over,
-as the mechanism does.
+Rendezvous hashing (Thaler and Ravishankar, 1998) over the upstreams of the region chosen: all sidecars find
+the same ones without communication. Load is bounded as in "Consistent Hashing with Bounded Loads" (Mirrokni,
+Thorup, Zadimoghaddam, 2016): the balancer skips an upstream well above the region's mean in flight.
 """
 
 from zlib import crc32
@@ -11,17 +10,17 @@
 from shedgrade.load_balancing.upstream import Upstream
 from shedgrade.load_balancing.zones import Zone
 
-HOLDERS_PER_PREFIX = 2  # upstreams of a region that are taken to hold the parts: the second serves the rest
-MAX_RANKINGS = 4096  # keys whose order is remembered
+HOLDERS_PER_PREFIX = 2  # upstreams of a region that are taken to hold a prefix: the second takes the overflow
+MAX_RANKINGS = 4096  # keys whose ranking is cached
 
 
 def weigh(key: bytes, mark: int) -> int:
-    """The rank of an upstream for a key: the highest ones hold it."""
+    """Returns the weight of an upstream for a key; the upstreams of the highest weights hold it."""
     return crc32(mark.to_bytes(4, "little"), crc32(key)) * 2654435761 % 2**32
 
 
 class PrefixAffinity:
-    """Orders upstreams by key; an order holds until the region's rotation changes."""
+    """Ranks upstreams by key; a cached ranking is valid until the region's rotation changes."""
 
     def __init__(self) -> None:
         self.rankings: dict[tuple[int, bytes], tuple[Upstream, ...]] = {}
@@ -31,7 +30,7 @@
         self.rankings.clear()
 
     def holders(self, zone: Zone, key: bytes) -> tuple[Upstream, ...]:
-        """The upstreams of the zone that hold the key, the first one first."""
+        """Returns the upstreams of the zone that hold the key, by descending weight."""
         order = self.rankings.get((zone.number, key))
         if order is None or any(upstream not in zone.rotation for upstream in order):
             if len(self.rankings) >= MAX_RANKINGS:
--- a/shedgrade/model_routing/request.py
+++ b/shedgrade/model_routing/request.py
@@ -1,4 +1,4 @@
-"""The handle of one request of a client's, and what it asks of the choice."""
+"""The handle of one model request, and its constraints on routing."""
 
 from shedgrade.load_balancing.outcomes import BROKEN, COMPLETED, REJECTED, UNCONNECTED, UNSENT
 from shedgrade.load_balancing.rpc import Rpc
@@ -6,17 +6,22 @@
 from shedgrade.load_balancing.zones import Zone
 from shedgrade.prefix_cache_index import prefix_key
 
-IDEMPOTENT, ONCE = range(2)  # the two methods: may run more than once, or at most once a try
-NOT_DELIVERED = (UNSENT, UNCONNECTED)  # outcomes after which the upstream has seen nothing of the request
+IDEMPOTENT, ONCE = range(2)  # the two methods: may run several times, or at most once a try
+NOT_DELIVERED = (UNSENT, UNCONNECTED)  # outcomes after which the upstream has received nothing of the request
 
 
 class RoutingConstraints:
-    """What a route and a request's headers ask of the choice.
-
-    `homes`: region numbers that may serve it, None for all. `key`: the parts of its prompt that others
-    share, b"" for none, of `shared` tokens; `tokens`: of all of it. `most`: upstreams that it may be sent to.
-    `target`: tenths of a ms within which it earns its full worth. `avoid`: upstreams, by index, that earlier
-    legs of the same stream ran on. `before`: to how many they went.
+    """The constraints that a route and a request's headers put on routing.
+
+    home_regions: numbers of the regions that may serve it, None for all
+    prefix_key: the part of its prompt shared with others, b"" for none
+    prefix_id: the prefix index's key of that part, 0 for none
+    prefix_tokens: tokens of that part
+    prompt_tokens: tokens of the whole prompt
+    max_attempts: upstreams that it may be sent to
+    latency_target: tenths of a ms within which an answer earns its full payoff
+    excluded_upstreams: indices of the upstreams that earlier legs of the same stream ran on
+    earlier_attempts: number of attempts of these legs
     """
 
     __slots__ = (
@@ -50,12 +55,17 @@
         self.earlier_attempts = before
         self.prompt_tokens = tokens
         self.prefix_tokens = shared
-        self.prefix_id = prefix_key(key) if key else 0  # as the record names the parts
+        self.prefix_id = prefix_key(key) if key else 0  # the prefix index's key
 
 
 class ServingRpc(Rpc):
-    """Goes again only after what proves that it did not run, or where it may run again, within the fleet's
-    budget."""
+    """A model request: retried only if it provably did not run or may run again, within the retry budget.
+
+    attempts_arrived: attempts that reached an upstream or may still, those of earlier legs included
+    rejections: attempts that an upstream rejected, or whose connection broke
+    prefill_load: load that its prompt adds to its upstream until the prefill has ended
+    overloaded_region: the region that all edges together overload, None for none
+    """
 
     __slots__ = ("attempts_arrived", "rejections", "prefill_load", "overloaded_region")
 
@@ -65,17 +75,17 @@
         self.attempts_arrived = tag.wants.earlier_attempts
         self.rejections = 0
         self.prefill_load = 0
-        self.overloaded_region: int | None = None  # the region that all edges together crowd
+        self.overloaded_region: int | None = None
         super().__init__(balancer, method, now, deadline, retry, tag, tenant)
 
     def set_deadlines(self, now: int, deadline: int, retry: bool = False) -> None:
-        """The latency target takes the soft deadline's place."""
+        """Sets its deadlines; the latency target is the soft deadline."""
         self.arrived_at = now
         self.soft_deadline_at = min(now + self.tag.wants.latency_target, deadline)
         self.answer_by = deadline - self.balancer.deadline_margin
 
     def may_use_zone(self, zone: Zone) -> bool:
-        """Only home regions, and not the one that the fleet overloads."""
+        """Returns whether it is a home region with usable upstreams, and not the overloaded one."""
         homes = self.tag.wants.home_regions
         return (
             bool(zone.rotation)
@@ -84,7 +94,7 @@
         )
 
     def may_send_to(self, upstream: Upstream, now: int) -> bool:
-        """Only in home regions, and not where earlier legs of the stream ran."""
+        """Returns whether the upstream is in a home region and no earlier leg of the stream ran on it."""
         wants = self.tag.wants
         return (
             (wants.home_regions is None or upstream.zone in wants.home_regions)
@@ -93,7 +103,7 @@
         )
 
     def decide(self, now: int) -> tuple[int, int] | None:
-        """As `Rpc.decide`; nothing is queued, and a retry needs room in the fleet's budget."""
+        """Decides as `Rpc.decide`, but queues nothing; a retry needs the fleet's retry budget."""
         balancer = self.balancer
         if self.done or self.outstanding:
             return None
@@ -111,7 +121,7 @@
         return self.final_answer(now) if upstream is None else self.transmit(now, upstream, repeat)
 
     def transmit(self, now: int, upstream: Upstream, repeat: bool) -> tuple[int, int]:
-        """Registers an attempt, with the load of its prefill."""
+        """Registers an attempt, with its prefill load; returns the upstream's index and the time limit."""
         balancer = self.balancer
         balancer.retry_budget.record_sent(now, repeat)
         self.attempts_arrived += 1
@@ -126,7 +136,7 @@
     def attempt_finished(
         self, now: int, attempt: int, outcome: int, duration: int, answered: bool, first_on_connection=False
     ) -> list[int]:
-        """As `Rpc.attempt_finished`, with the fleet's retry budget kept."""
+        """Records an outcome as `Rpc.attempt_finished`, and counts it in the fleet's retry budget."""
         self.prefill_finished(attempt)
         if outcome in NOT_DELIVERED:
             self.attempts_arrived -= 1
@@ -138,14 +148,17 @@
         return super().attempt_finished(now, attempt, outcome, duration, answered, first_on_connection)
 
     def prefill_finished(self, attempt: int) -> None:
-        """Its prompt has been read there, or is read no more."""
+        """Removes the prefill load of an attempt, whose prompt has been read or is abandoned."""
         if self.prefill_load:
             self.balancer.add_load(self.attempts[attempt], 0, -self.prefill_load)
             self.prefill_load = 0
 
     def response_started(self, long_lived: bool = False) -> None:
-        """A stream keeps a place of its upstream until it ends: it stays in flight, as a send adds one and
-        only its outcome takes it off."""
+        """Records that a stream has begun, which ends its prefill.
+
+        It keeps a place at its upstream: sending adds it to the requests in flight, and only its outcome
+        removes it.
+        """
         self.hedge_at = None
         for attempt in self.outstanding:
             self.prefill_finished(attempt)
--- a/shedgrade/model_routing/retry_budget.py
+++ b/shedgrade/model_routing/retry_budget.py
@@ -1,19 +1,24 @@
-"""The fleet's budget of repeats: arrivals at a service beyond the first of each request.
+"""The fleet's retry budget: requests that arrive at a service beyond the first arrival of each.
 
-Summed over all sidecars they may not exceed a part of the requests and a slack within a window. Each
-sidecar keeps to the part of its own requests and to its share of the slack, dealt by the largest count of
-sidecars known lately, so the sum holds whatever one of them does not know.
+Over all sidecars retries may not exceed a ratio of the requests plus a slack within a window. Each sidecar
+keeps to the ratio of its own requests and to its share of the slack, which is divided by the largest count of
+sidecars known lately, so the sum holds even if a sidecar does not know all others.
 """
 
 from collections import deque
 
 from shedgrade.load_balancing.upstream import SECOND
 
-BUDGET_SHARE_USED = 0.8  # of what is allowed is used: windows slide, and counts of sidecars lag
+BUDGET_SHARE_USED = 0.8  # of what is allowed: windows slide, and the count of sidecars lags
 
 
 class RetryBudget:
-    """Counts by tenth of a window; `ratio` and `slack` as told, `window` in tenths of a ms."""
+    """Counts requests and retries by tenths of a window.
+
+    ratio: allowed retries per request
+    slack: allowed retries besides, for the whole fleet
+    window: length of the sliding window, in tenths of a ms
+    """
 
     def __init__(self, ratio: float, slack: float, window: int) -> None:
         self.ratio = ratio
@@ -21,12 +26,13 @@
         self.window = max(SECOND, window)
         self.sidecar_count = 1
         self.slot_length = self.window // 10
-        self.counts: deque[list[int]] = deque()  # [tenth, requests, repeats], the oldest first
+        self.counts: deque[list[int]] = deque()  # [tenth, requests, retries], the oldest first
         self.requests = self.retries = 0
 
     def retune(self, ratio: float, slack: float, window: int) -> None:
-        """Other bounds, as of a start. With another window, repeats so far go on counting and requests don't:
-        guards against more repeats than either window allows."""
+        """Sets other bounds. With another window, earlier retries count on and earlier requests don't: guards
+        against more retries than either window allows.
+        """
         self.ratio, self.slack, window = ratio, slack, max(SECOND, window)
         if window == self.window:
             return
@@ -53,15 +59,15 @@
         self.retries += repeats
 
     def record_sent(self, now: int, repeat: bool) -> None:
-        """An attempt was sent: a first one or a retry."""
+        """Counts an attempt that was sent, a first one or a retry."""
         self.add(now, int(not repeat), int(repeat))
 
     def record_not_arrived(self, now: int, repeat: bool) -> None:
-        """It never arrived: it counts as neither."""
+        """Takes back the count of an attempt that never arrived."""
         self.add(now, -int(not repeat), -int(repeat))
 
     def allows_retry(self, now: int) -> bool:
-        """One more repeat keeps this sidecar within its share."""
+        """Returns whether one more retry keeps this sidecar within its share."""
         self.advance(now)
         share = self.ratio * max(0, self.requests) + self.slack / max(1, self.sidecar_count)
         return self.retries + 1 <= BUDGET_SHARE_USED * share
--- a/shedgrade/model_routing/slow_start.py
+++ b/shedgrade/model_routing/slow_start.py
@@ -1,34 +1,33 @@
-"""What a cold upstream may get, summed over all sidecars without a word among them.
+"""Slow start shared among all sidecars, without communication between them.
 
-Guards against a fleet whose every member sends a little: a rate over a hundred sidecars is under one
-request in seconds each, and a burst of one from each is far over the bound. So few sidecars send to one
-cold upstream, chosen by a hash of both names (rendezvous), and deal the rate among themselves.
+The share of each of a hundred sidecars would be under one request in several seconds, and a burst of one
+request from each would far exceed the bound. So few sidecars send to a warming upstream, chosen by a hash of
+both names (rendezvous hashing), and they divide its rate among themselves.
 """
 
 from zlib import crc32
 
 from shedgrade.load_balancing.upstream import SECOND, Upstream
 
-DEALT_SHARE = 0.7  # of the rate is dealt: the count of sidecars lags, and sends bunch on their way
-SENDERS_PER_UPSTREAM = (
-    4  # sidecars for one cold upstream, where all, with one at once each, would be too many
-)
+DEALT_SHARE = 0.7  # of the rate is divided: the count of sidecars lags, and requests bunch on their way
+SENDERS_PER_UPSTREAM = 4  # sidecars per warming upstream, where one request at once from each is too many
 
 
 class SlowStartShares:
-    """The part of `decide.Cold` that differs: who is cold is told by the list, for how long and at what
-    rate."""
+    """Replaces `load_balancing.slow_start.SlowStart`: the list tells which upstreams warm up, how long and at
+    what rate.
+    """
 
-    slow_start_rate = 0.0  # requests a second that a cold upstream bears, all sidecars together
-    slow_start_bound = 0.0  # the most that it may get within any second
-    sidecars, name = 1, ""  # the largest count of sidecars known lately; this one's name
+    slow_start_rate = 0.0  # requests a second to a warming upstream, of all sidecars together
+    slow_start_bound = 0.0  # most requests that it may get within any second
+    sidecars, name = 1, ""  # the largest count of sidecars known lately; this sidecar's name
 
     def is_warming_up(self, upstream: Upstream, now: int) -> bool:
-        """Whether the list says that it is still warming up."""
+        """Returns whether the upstream is still warming up by the list."""
         return now < self.warming_up_until.get(upstream.index, 0)
 
     def slow_start_rate_share(self, upstream: Upstream) -> float:
-        """Requests a second that this sidecar may send it."""
+        """Returns the requests a second that this sidecar may send to a warming upstream."""
         if (
             self.sidecar_count
             <= max(SENDERS_PER_UPSTREAM, self.slow_start_bound - DEALT_SHARE * self.slow_start_rate)
@@ -42,9 +41,9 @@
         return DEALT_SHARE * self.slow_start_rate / SENDERS_PER_UPSTREAM if chosen else 0.0
 
     def has_slow_start_credit(self, upstream: Upstream, now: int) -> bool:
-        """Whether this edge's share of its rate lets one more request through now."""
+        """Returns whether this sidecar's share of the rate allows one more request now."""
         if not self.slow_start_rate:
-            return True  # no bound is told
+            return True  # no rate is set
         since = max(0, now - upstream.slow_start_updated_at) if upstream.slow_start_updated_at else 0
         upstream.slow_start_credit = min(
             1.0, upstream.slow_start_credit + since / SECOND * self.slow_start_rate_share(upstream)
