--- a/shedgrade/in_flight.py
+++ b/shedgrade/in_flight.py
@@ -1,13 +1,13 @@
-"""The RPCs that were taken and not yet answered, and their transmissions that are out."""
+"""Requests that are accepted and not yet answered, and their outstanding transmissions."""
 
 from math import inf
 
 
 class Request:
-    """What the application asked, as far as it goes on to an upstream."""
+    """A client's request, as far as it is forwarded to an upstream."""
 
     __slots__ = ("name", "verb", "target", "headers", "body", "flow", "length")
-    stream = None  # the class of link that carries it, where it is opened and lasts
+    stream = None  # the class of connection that carries it, if it opens a lasting stream
 
     def __init__(
         self,
@@ -19,7 +19,7 @@
         flow=None,
         length: int | None = None,
     ) -> None:
-        """`flow`: what comes of a long body, of `length` bytes if that was said."""
+        """`flow`: the bytes of a long body as they come; `length`: of that body, if it was declared."""
         self.name = name
         self.verb = verb
         self.target = target
@@ -33,7 +33,7 @@
 
 
 class Answer:
-    """A completed upstream answer, or the head of a long one with what comes of it."""
+    """A complete answer of an upstream, or the head of a long one and the flow of its body."""
 
     __slots__ = ("headers", "body", "status", "flow", "length")
 
@@ -45,7 +45,7 @@
         flow=None,
         length: int | None = None,
     ) -> None:
-        """`length`: of a body that comes as a flow, or that a HEAD does not bring, where it was said."""
+        """`length`: of a body that comes as a flow, or of one that HEAD leaves out, if it was declared."""
         self.headers = headers
         self.body = body
         self.status = status
@@ -54,12 +54,13 @@
 
 
 class ActiveRequest:
-    """One RPC in hand: who asked, what was asked, the module's handle, and what is out.
+    """One active request: its client, the request, the balancer's handle and the outstanding transmissions.
 
     The client is told the end by one call of `completed(answer)`, `exhausted(wait)` or `errored()`: whatever
-    protocol it speaks, that is all the turn knows of it. A stream's client is told `opened(link)` before
-    that; from then on it counts in flight where it is, is never sent elsewhere, and its end is the end of
-    both sides. Before anything is sent it is asked whether it `has_left()`, and told to `close()` if so.
+    its protocol, that is all that the dispatcher knows of it. The client of a stream is told `opened(link)`
+    before that; from then on the stream counts as in flight at its upstream, is never sent to another one,
+    and its end ends both sides. Before anything is sent the client is asked whether it `has_left()`, and told
+    to `close()` if so.
     """
 
     __slots__ = (
@@ -75,25 +76,25 @@
         "timeout_ms",
         "client_checked_at",
     )
-    latest_end = inf  # when even an answer that still comes is ended, in tenths of a ms on the clock
+    latest_end = inf  # when an answer that still comes is ended, in tenths of a ms on the clock
 
     def __init__(self, client: object, request: Request, who: str = "") -> None:
-        """`who`: the name under which its connection has logged in, if it has."""
+        """`who`: the name under which the connection has logged in, if any."""
         self.client = client
         self.request = request
         self.client_name = who
         self.rpc = None
         self.done = False
         self.stream_is_open = False
-        self.is_body_incomplete = request.flow is not None  # its last byte is not here
-        self.timeout_ms = 0  # ms that the client waits, from its last byte
-        self.client_checked_at = 0  # when its client was last seen to be there
-        self.gate_tickets: tuple = ()  # of the gates that let it in
+        self.is_body_incomplete = request.flow is not None  # its last byte has not come
+        self.timeout_ms = 0  # ms that the client waits, from the request's last byte
+        self.client_checked_at = 0  # when its client was last seen connected
+        self.gate_tickets: tuple = ()  # of the gates that admitted it
         self.transmissions: dict[int, Transmission] = {}
 
 
 class Transmission:
-    """One transmission; `link` is the connection that carries it, once there is one."""
+    """One attempt to send a request; `link` is the connection that carries it, once there is one."""
 
     __slots__ = (
         "active_request",
@@ -114,23 +115,23 @@
         self.sent_at = sent
         self.expires_at = until
         self.connect_expires_at = None
-        # fresh: the first on its connection
+        # `first_on_connection`: no request was sent on the link before.
         self.link = None
         self.first_on_connection = False
-        self.response_began_at: int | None = None  # when a long answer began to be passed on
+        self.response_began_at: int | None = None  # when a long answer began to be forwarded
 
     def still_out(self) -> bool:
-        """False once its end has been told: what comes later reaches nobody."""
+        """Returns whether its end has not been reported; events after that are ignored."""
         return self.active_request.transmissions.get(self.attempt) is self
 
 
 class ActiveRequests:
-    """All RPCs in hand, and the bytes that they hold."""
+    """All active requests, and the bytes that they hold."""
 
     def __init__(self, budget) -> None:
         self.budget = budget
         self.requests = set()
-        self.request_ids: set[bytes] = set()  # the ids under which clients wait
+        self.request_ids: set[bytes] = set()  # the request ids for which clients wait
 
     def __len__(self) -> int:
         return len(self.requests)
@@ -143,7 +144,7 @@
         self.budget.request_bytes += len(active_request.request)
 
     def remove(self, active_request: ActiveRequest) -> None:
-        """Forgets a request and gives its bytes back; nothing if it is not registered."""
+        """Removes a request and returns its bytes to the budget; does nothing if it is not registered."""
         if active_request in self.requests:
             self.requests.remove(active_request)
             self.request_ids.discard(active_request.request.name)
--- a/shedgrade/request_dispatch.py
+++ b/shedgrade/request_dispatch.py
@@ -1,8 +1,7 @@
-"""The turn: what is ready is gathered, handed to the decisions in one go, and what came back carried out.
-
-Nothing else calls the decisions. A turn starts with the loop's next pass after something was gathered, so all
-that one pass of the loop read is decided on together. One timer, at the earliest of what the decisions and
-the transmissions wait for, starts a turn when nothing else does.
+"""Dispatch of requests: gathers events, passes them to the balancer together and carries out its decisions.
+Nothing else calls the balancer. A pass starts with the loop's next iteration after an event was gathered, so
+all that one iteration of the loop read is decided on together. One timer, set to the earliest time that the
+balancer or a transmission waits for, starts a pass when nothing else does.
 """
 
 from collections.abc import Callable
@@ -14,15 +13,16 @@
 from shedgrade.load_balancing import learned_state
 from shedgrade.runtime.log import logger
 
-STILL = 100_000  # tenths of a ms without a byte of a long answer after which it is held to be broken
-LOOKED = 100  # tenths of a ms after which a client is looked at again: it is owed 300 ms
-OVER = 10**8  # tenths of a ms, over any deadline: so much later all time is up
-ALLOWANCE = 20  # tenths of a ms that an answer takes out of here at the least, on an idle loop
-MOST_ALLOWED = 50  # of lateness, well within a tick: retries are told by how long their clients wait
+STILL = 100_000  # tenths of a ms without a byte of a long answer, after which it counts as broken
+LOOKED = 100  # tenths of a ms after which a client is checked again, well within the 300 ms allowed
+OVER = 10**8  # tenths of a ms, longer than any deadline: added to the time, it makes every deadline pass
+ALLOWANCE = 20  # tenths of a ms that an answer takes to leave this process at least, on an idle loop
+# Tenths of a ms of lag allowed for at most, well within a tick: retries are recognized by client timeouts.
+MOST_ALLOWED = 50
 
 
 class Dispatcher:
-    """Owns the RPCs in hand and all calls on the decisions."""
+    """Owns the active requests and makes all calls of the balancer."""
 
     def __init__(
         self,
@@ -39,19 +39,19 @@
         self.balancer = balancer
         self.connections = connections
         self.names = names
-        self.release_upstream = forget  # told of each upstream that the decisions have given up
+        self.release_upstream = forget  # called with each upstream that the balancer has forgotten
         self.events: list[tuple] = []
         self.actions: list[tuple] = []
         self.active_requests = ActiveRequests(budget)
-        self.gates: tuple = ()  # what may refuse an RPC before the decisions, told its end once
-        self.observers: tuple = ()  # what is told that a turn is over
-        self.expiries: list[tuple] = []  # (when, number, transmission): when its time is up
+        self.gates: tuple = ()  # each may refuse a request before the balancer, and is told its end once
+        self.observers: tuple = ()  # each is called after every pass
+        self.expiries: list[tuple] = []  # (time, sequence number, transmission): when its time limit ends
         self.sequence = count()
         self.timer = None
         self.timer_at = None
         self.scheduled = False
-        self.lag = 0.0  # how late turns have been lately, tenths of a millisecond
-        self.concluding = False  # the process ends now: finals only
+        self.lag = 0.0  # recent delay of passes behind their timer, tenths of a millisecond
+        self.concluding = False  # the process ends now: only final answers are given
 
     # --- gathering: called by connections, discovery and the timer
 
@@ -65,55 +65,57 @@
     def submit(
         self, active_request: ActiveRequest, method: int, wait: int, retry: bool, tenant: int = 0
     ) -> None:
-        """A request has come. `wait`: ms that its client waits for the answer."""
+        """Accepts a request. `wait`: ms that its client waits for the answer."""
         self.active_requests.add(active_request)
         active_request.timeout_ms = wait
         at = self.clock.now()
         self.gather(self.on_submitted, active_request, method, at + wait * 10, retry, tenant)
 
     def attempt_finished(self, transmission: Transmission, outcome: int, answer: Answer | None) -> None:
-        """An attempt has ended, with its answer if there is one."""
+        """Reports the end of an attempt, with its answer if there is one."""
         self.gather(self.on_attempt_finished, transmission, outcome, answer, self.clock.now())
 
     def body_received(self, active_request: ActiveRequest, here: bool, whole: bool) -> None:
-        """Of a long request: all of its bytes are `here` still; it is `whole`, its last byte has come."""
+        """Reports bytes of a long request. `here`: all are still buffered; `whole`: the last one has come."""
         self.gather(self.on_body_received, active_request, here, whole, self.clock.now())
 
     def response_started(self, transmission: Transmission, answer: Answer, at: int) -> None:
-        """A long answer has begun, its head at `at`, and is its client's now."""
+        """Reports that a long answer has begun, its head at `at`; it belongs to its client now."""
         self.gather(self.on_response_started, transmission, answer, at)
 
     def stream_opened(self, transmission: Transmission) -> None:
-        """A stream's connection is up: it is its client's now."""
+        """Reports that a stream's connection is up; it belongs to its client now."""
         self.gather(self.on_stream_opened, transmission)
 
     def client_disconnected(self, active_request: ActiveRequest) -> None:
-        """The request's client has left."""
+        """Reports that the request's client has left."""
         self.gather(self.on_client_disconnected, active_request)
 
     def list_changed(self, rows: list, whole: bool, asked: bool) -> None:
-        """Rows of the endpoint list, as `Balancer.list_changed` takes them."""
+        """Passes on rows of the endpoint list, as `Balancer.list_changed` takes them."""
         self.gather(self.on_list_changed, rows, whole, asked)
 
     def set_withdrawn(self, upstream: int, out: bool, told: Callable[[], None]) -> None:
-        """The operators take an upstream out or put it back; `told` once that is done, not before."""
+        """Withdraws an upstream by operators' order or reinstates it; calls `told` once that is in force."""
         self.gather(self.on_withdrawn_changed, upstream, out, told)
 
     def list_failed(self) -> None:
-        """Endpoint discovery failed."""
+        """Reports that endpoint discovery failed."""
         self.gather(lambda now: self.balancer.list_failed(now))
 
     def mark_unverified(self, upstreams: list[int], ends: int, last: bool) -> None:
-        """Upstreams that an older source than discovery names."""
+        """Marks upstreams that a source older than discovery lists."""
         self.gather(lambda now: self.balancer.mark_unverified(now, upstreams, ends, last))
 
     def restore(self, state: dict, age: float) -> None:
-        """Takes over what an earlier process learnt, `age` seconds ago."""
+        """Restores what an earlier process learned, `age` seconds ago."""
         self.gather(lambda now: learned_state.restore(self.balancer, now, state, age))
 
     def update_settings(self, settings: dict, numbers: dict[int, int]) -> None:
-        """Other settings from now on; what was gathered before is decided on first. `numbers`: of the methods
-        that stay, the new by the old."""
+        """Applies other settings, after a pass over the events gathered so far.
+
+        `numbers`: of the methods that stay, the new number by the old one.
+        """
         self.run()
         self.balancer.update_settings(settings)
         for active_request in self.active_requests.requests:
@@ -124,11 +126,11 @@
         self.gather(lambda now: None)
 
     def set_slow_start_share(self, part: float) -> None:
-        """Of what cold upstreams may get, this much is this process's: an upgrade has two."""
+        """Sets this process's share of the slow start rate, as two processes run during an upgrade."""
         self.gather(lambda now: self.balancer.set_slow_start_share(part))
 
     def conclude(self) -> None:
-        """The process ends now: whatever is in hand gets its final answer, and nothing more is sent."""
+        """Gives every active request its final answer, as the process ends now; nothing more is sent."""
         self.concluding = True
         self.run()
         for active_request in list(self.active_requests.requests):
@@ -141,13 +143,13 @@
         self.run()
 
     def export(self) -> dict:
-        """What the decisions have learnt, as plain data."""
+        """Returns what the balancer has learned, as plain data."""
         return learned_state.export(self.balancer, self.clock.now())
 
-    # --- the turn
+    # --- the pass
 
     def run(self) -> None:
-        """One pass: expired limits, all gathered events, due decisions, then the actions."""
+        """Runs a dispatch pass: expired time limits, all gathered events, due decisions, then the actions."""
         self.scheduled = False
         now = self.clock.now()
         self.expire(now)
@@ -159,7 +161,7 @@
             actions, self.actions = self.actions, []
             for call, args in actions:
                 self.guarded(call, *args)
-        # Only now that nothing gathered names an upstream by its index may the index be another's.
+        # An index is free for another upstream only now, as no gathered event names it any more.
         for upstream in self.balancer.take_released():
             self.release_upstream(upstream)
         self.set_timer()
@@ -167,7 +169,7 @@
             watcher.after_turn(now, self.lag)
 
     def guarded(self, call: Callable, *args) -> None:
-        """Guards against a fault of our own: it costs the RPC that met it, not the process and all others."""
+        """Calls, and guards against a fault in this process: it costs one request, not the process."""
         try:
             call(*args)
         except Exception as failure:
@@ -179,7 +181,7 @@
                     self.guarded(self.fail_after_fault, request)
 
     def fail_after_fault(self, active_request: ActiveRequest) -> None:
-        """A fault met it: it is answered, nothing of it stays out, and the decisions hold it no longer."""
+        """Answers a request that met a fault, stops its attempts and ends it in the balancer."""
         out = list(active_request.transmissions.values())
         self.finish(active_request)
         if active_request.stream_is_open:
@@ -195,13 +197,13 @@
             active_request.rpc.client_disconnected(self.clock.now())
 
     def decide_due(self, now: int) -> None:
-        """Asks every request again whose time has come."""
+        """Decides again on every request that is due."""
         for rpc in self.balancer.due(now):
             self.guarded(self.decide, now, rpc.tag)
-        self.balancer.wants_list(now)  # the watch always follows on by itself
+        self.balancer.wants_list(now)  # the discovery watch subscribes again by itself
 
     def set_timer(self) -> None:
-        """Moves the one timer to the earliest moment that anything waits for."""
+        """Sets the timer to the earliest time that the balancer or a transmission waits for."""
         at = self.balancer.wake_at()
         while self.expiries and not self.expiries[0][2].still_out():
             heappop(self.expiries)
@@ -217,12 +219,12 @@
             self.timer = self.loop.call_at(self.clock.on_monotonic(at), self.alarm)
 
     def alarm(self) -> None:
-        """The timer has fired: measures how late, and runs a pass."""
+        """Handles the timer: measures its lag, and starts a pass."""
         self.lag = max(self.lag * 0.99, min(MOST_ALLOWED, self.clock.now() - self.timer_at))
         self.timer = self.timer_at = None
         self.gather(lambda now: None)
 
-    # --- what is handed to the decisions
+    # --- calls of the balancer
 
     def on_submitted(
         self,
@@ -233,11 +235,11 @@
         retry: bool,
         tenant: int = 0,
     ) -> None:
-        """Asks the gates, then admits the request to the decisions."""
+        """Passes the request through the gates, then admits it to the balancer."""
         if active_request.done:
             return
         if active_request.client.has_left():
-            # Guards against work for nobody: a request that waited unread comes before its client's end.
+            # Guards against work for no client: a request that waited unread is read before its client's end.
             self.finish(active_request)
             active_request.client.close()
             return
@@ -261,12 +263,12 @@
     def on_attempt_finished(
         self, now: int, transmission: Transmission, outcome: int, answer: Answer | None, at: int
     ) -> None:
-        """Tells the decisions and, where it was served, the client."""
+        """Reports the outcome to the balancer and, if the request was served, the answer to the client."""
         active_request, tx = transmission.active_request, transmission.attempt
         if not transmission.still_out():
-            return  # its end was told before: what comes late reaches nobody
+            return  # its end was reported before
         del active_request.transmissions[tx]
-        # A stream that was open is moved never: whatever ended it, that is its end.
+        # A stream that was open is never retried: whatever ended it ends the request.
         served = (
             outcome == load_balancing.COMPLETED or active_request.stream_is_open
         ) and not active_request.done
@@ -289,7 +291,7 @@
     def on_body_received(
         self, now: int, active_request: ActiveRequest, here: bool, whole: bool, at: int
     ) -> None:
-        """More of a long request's body came; the last byte starts the attempts' time limit."""
+        """Updates the deadlines of a long request; the last byte starts its attempts' time limits."""
         if active_request.done or active_request.rpc is None:
             return
         limit = active_request.rpc.body_received(
@@ -303,7 +305,7 @@
                     self.add_expiry(transmission, transmission.expires_at)
 
     def on_response_started(self, now: int, transmission: Transmission, answer: Answer, at: int) -> None:
-        """A long answer has begun: it is the client's, and all other attempts stop."""
+        """Gives a long answer that has begun to its client; all other attempts are stopped."""
         active_request = transmission.active_request
         if not transmission.still_out() or active_request.done:
             return
@@ -320,7 +322,7 @@
         self.actions.append((active_request.client.flowing, (answer,)))
 
     def on_stream_opened(self, now: int, transmission: Transmission) -> None:
-        """A stream's connection is up: it lasts as long as both sides want."""
+        """Gives an open stream to its client; it lasts until either side ends it."""
         active_request = transmission.active_request
         if transmission.still_out() and not active_request.done:
             active_request.stream_is_open, transmission.expires_at = True, load_balancing.inf
@@ -328,7 +330,7 @@
             self.actions.append((active_request.client.opened, (transmission.link,)))
 
     def on_client_disconnected(self, now: int, active_request: ActiveRequest) -> None:
-        """Nobody waits: the request ends and its attempts stop."""
+        """Ends the request of a client that has left, and stops its attempts."""
         if active_request.done:
             return
         self.finish(active_request)
@@ -336,23 +338,23 @@
             self.stop(now, active_request, active_request.rpc.client_disconnected(now))
 
     def on_list_changed(self, now: int, rows: list, whole: bool, asked: bool) -> None:
-        """Hands rows of the list to the decisions."""
+        """Passes rows of the list to the balancer."""
         self.balancer.list_changed(now, rows, whole, asked)
 
     def on_withdrawn_changed(self, now: int, upstream: int, out: bool, told: Callable[[], None]) -> None:
-        """Hands an operator's order to the decisions, and says when it is in force."""
+        """Passes an operator's order to the balancer, and calls `told` once it is in force."""
         self.balancer.set_withdrawn(now, upstream, out)
         if out:
             self.actions.append((self.connections.withdraw, (upstream,)))
         self.actions.append((told, ()))
 
     def on_final_answer_due(self, now: int, active_request: ActiveRequest) -> None:
-        """Asks for the final answer of a request that is not answered yet."""
+        """Decides on a request that is not answered yet, for its final answer."""
         if not active_request.done:
             self.decide(now, active_request)
 
     def decide(self, now: int, active_request: ActiveRequest) -> None:
-        """Carries out what the decisions say of a request now."""
+        """Carries out what the balancer decides on a request now."""
         answer = active_request.rpc.decide(now + OVER * self.concluding)
         if answer is None:
             return
@@ -374,12 +376,12 @@
                 self.actions.append((client.errored, ()))
 
     def add_expiry(self, transmission: Transmission, until: float) -> None:
-        """Looks at the attempt again at that moment, if it is finite."""
+        """Schedules a check of the attempt at that time, if it is finite."""
         if until != load_balancing.inf:
             heappush(self.expiries, (until, next(self.sequence), transmission))
 
     def finish(self, active_request: ActiveRequest) -> None:
-        """The request has its answer, or nobody waits for it: its memory and gate tickets are given back."""
+        """Ends a request that is answered or whose client has left; releases its memory and gate tickets."""
         active_request.done = True
         self.active_requests.remove(active_request)
         if active_request.request.flow is not None:
@@ -402,10 +404,10 @@
                     (self.on_attempt_finished, (transmission, load_balancing.STOPPED, None, now))
                 )
 
-    # --- what is carried out
+    # --- actions
 
     def transmit(self, transmission: Transmission, now: int) -> None:
-        """Hands an attempt to the connections, unless there is no reason for it any more."""
+        """Passes an attempt to the connections, unless it may not be sent any more."""
         if not self.may_still_send(transmission, now):
             self.attempt_finished(transmission, load_balancing.UNSENT, None)
             return
@@ -417,11 +419,12 @@
             self.add_expiry(transmission, transmission.connect_expires_at)
 
     def may_still_send(self, transmission: Transmission, now: int) -> bool:
-        """Asked right before the first byte is sent: somebody waits, there is time, the upstream takes RPCs.
+        """Returns whether to send, right before the first byte: a client waits, there is time, the upstream
+        is listed.
 
-        Guards against what crossed the wait before it, for a turn or for a connection to come up: a drain,
-        the end of its time, a client that left. That client's end may be unread yet, as reads are paused
-        while much of it is unread, or the loop was held up.
+        Guards against events during the wait before it, for a pass or for a connection to come up: a drain,
+        the end of its time, a client that left. The client's end may be unread yet, as reads are paused while
+        much of its data is unread, or the loop was blocked.
         """
         active_request = transmission.active_request
         if active_request.done or not transmission.still_out() or now >= transmission.expires_at:
@@ -438,25 +441,27 @@
         return True
 
     def response_expires_at(self, transmission: Transmission, now: int) -> float:
-        """Until when a long answer may go on; `now`, if none has begun or it has stood still.
+        """Returns until when a long answer may go on; `now`, if none has begun or it has stalled.
 
-        Guards long answers: what still comes, or waits for its client, is cut by no deadline but the latest.
+        Only the latest deadline of a request cuts a long answer that still comes or waits for its client.
         """
         if transmission.response_began_at is not None:
             moved = transmission.link.moved()
         elif self.connections.in_time(transmission):
-            moved = now  # it is its client's in this very turn
+            moved = now  # its client gets it in this pass
         else:
             return now
         return self.response_time_limit(transmission.active_request, moved)
 
     def response_time_limit(self, active_request: ActiveRequest, moved: int) -> float:
-        """Until when an answer that last moved then may go on: where a request has a latest moment, no
-        silence ends its answer sooner."""
+        """Returns until when an answer that last progressed at `moved` may go on.
+
+        Where a request has a latest end, silence ends its answer no sooner.
+        """
         return moved + STILL if active_request.latest_end == load_balancing.inf else active_request.latest_end
 
     def expire(self, now: int) -> None:
-        """Transmissions whose time is up, or whose connection did not come up in time."""
+        """Ends transmissions whose time limit has passed, or whose connection did not come up in time."""
         while self.expiries and self.expiries[0][0] <= now:
             transmission = heappop(self.expiries)[2]
             if not transmission.still_out():
@@ -474,7 +479,7 @@
                 outcome = load_balancing.TIMED_OUT
                 logger.debug("attempt timed out", upstream=upstream)
             else:
-                # A request that is still coming may be its client's to blame.
+                # A request that is still coming in may be late by its client's fault.
                 upstreams_part = dialling or not transmission.active_request.is_body_incomplete
                 late = (
                     upstreams_part
--- a/shedgrade/simulator_adapter/__init__.py
+++ b/shedgrade/simulator_adapter/__init__.py
@@ -1,1 +1,1 @@
-"""The bench's wire: decodes, maps ids to indices, calls the decisions and writes their answers."""
+"""The simulator's wire protocol: decodes messages, maps ids to indices, calls the balancer and replies."""
--- a/shedgrade/simulator_adapter/__main__.py
+++ b/shedgrade/simulator_adapter/__main__.py
@@ -1,4 +1,4 @@
-"""`python -m shedgrade.simulator_adapter`: the decisions on the wire of the operators' simulator."""
+"""`python -m shedgrade.simulator_adapter`: the balancer on the wire protocol of the operators' simulator."""
 
 import sys
 
--- a/shedgrade/simulator_adapter/wire.py
+++ b/shedgrade/simulator_adapter/wire.py
@@ -23,7 +23,7 @@
 NUMBER = (int, float)
 RETRY = 2  # the bit of `options` that marks a client's retry
 SIDECAR = ("sidecar_id", (int,))
-# The fields each message must carry; all others are optional and unknown ones are skipped.
+# The required fields of each message; all others are optional, and unknown ones are ignored.
 REQUIRED = {
     "batch": (("now", NUMBER), ("seq", (int,))),
     "commit": (),
@@ -43,7 +43,7 @@
 
 
 class BadInputError(Exception):
-    """A line that is not of this protocol: tells the line, the field and the reason."""
+    """A line that is not valid in this protocol, with the line number, the field and the reason."""
 
     def __init__(self, field: str, reason: str) -> None:
         self.line = 0
@@ -55,14 +55,14 @@
 
 
 class DecisionError(Exception):
-    """The decisions failed; the text goes out as the wire's `fault`."""
+    """The balancer failed; the text is sent as the protocol's `fault`."""
 
     def __str__(self) -> str:
         return f"sidecar {self.args[0]}: {self.args[1]}"
 
 
 def check(message: dict, fields: tuple, where: str = "") -> None:
-    """BadInputError if a field is missing or has another type."""
+    """Raises BadInputError if a field is missing or has another type."""
     for name, types in fields:
         if name not in message:
             raise BadInputError(where + name, "missing")
@@ -71,7 +71,7 @@
 
 
 def optional(message: dict, name: str, types: tuple, default: Any) -> Any:
-    """The field's value, or the default. BadInputError for another type."""
+    """Returns the field's value, or the default. Raises BadInputError for another type."""
     value = message.get(name)
     if value is None:
         return default
@@ -81,7 +81,7 @@
 
 
 def index_below(message: dict, name: str, size: int) -> int:
-    """The field as an index below `size`. BadInputError if it is outside."""
+    """Returns the field as an index below `size`. Raises BadInputError if it is outside."""
     value = optional(message, name, (int,), 0)
     if not 0 <= value < size:
         raise BadInputError(name, f"{value} is outside the settings' list of {size}")
@@ -89,7 +89,7 @@
 
 
 class Instance:
-    """One sidecar on the wire: its balancer, its upstreams' indices, the RPCs that are still of interest."""
+    """One sidecar of the simulator: its balancer, the indices of its upstreams, its unfinished requests."""
 
     def __init__(self, number: int, event: dict, now: int) -> None:
         self.number = number
@@ -107,7 +107,7 @@
         self.armed = inf
 
     def rpc(self, event: dict) -> Rpc:
-        """The event's request. BadInputError if it is not known."""
+        """Returns the event's request. Raises BadInputError if it is not known."""
         rpc = self.rpcs.get(event["txn"])
         if rpc is None:
             raise BadInputError("txn", f"{event['txn']} was never submitted to sidecar {self.number}")
@@ -116,7 +116,7 @@
     # --- events
 
     def discovery(self, event: dict, now: int, lists: dict, out: list) -> None:
-        """A list of upstreams came, or the call for it failed."""
+        """Handles a list of upstreams, or the failure of the request for it."""
         kind = event["kind"]
         if kind == "X":
             self.balancer.list_failed(now)
@@ -145,7 +145,7 @@
         self.balancer.list_changed(now, rows, kind != "D", kind != "C")
 
     def submit(self, event: dict, now: int, lists: dict, out: list) -> None:
-        """A request came."""
+        """Handles a new request."""
         txn = event["txn"]
         if txn in self.rpcs:
             raise BadInputError("txn", f"{txn} was submitted before")
@@ -160,7 +160,7 @@
         self.answer_for(rpc, now, out)
 
     def answer(self, event: dict, now: int, lists: dict, out: list) -> None:
-        """A transmission ended."""
+        """Handles the end of a transmission."""
         rpc, tx, outcome = self.rpc(event), optional(event, "copy", (int,), 0), OUTCOMES.get(event["how"])
         if outcome is None:
             raise BadInputError("how", f"{event['how']!r} is unknown")
@@ -176,40 +176,40 @@
         self.answer_for(rpc, now, out)
 
     def abandoned(self, event: dict, now: int, lists: dict, out: list) -> None:
-        """A client left."""
+        """Handles a client that left."""
         rpc = self.rpcs.get(event["txn"])
         if rpc is not None:
             self.stop(rpc, rpc.client_disconnected(now), out)
             self.answer_for(rpc, now, out)
 
     def alarm(self, event: dict, now: int, lists: dict, out: list) -> None:
-        """The timer that was asked for fired."""
+        """Handles the timer that `close_batch` requested."""
         self.armed = inf
 
     def echo(self, event: dict, now: int, lists: dict, out: list) -> None:
-        """Upstreams are never polled: an echo answers nothing."""
+        """Refuses an echo: upstreams are never polled. Raises BadInputError."""
         raise BadInputError("upstream", f"{event['upstream']!r} was not polled")
 
     def accepted(self, event: dict, now: int, lists: dict, out: list) -> None:
-        """A streamed answer began."""
+        """Handles the beginning of a streamed answer."""
         self.rpc(event).response_started()
 
     def inbox(self, event: dict, now: int, lists: dict, out: list) -> None:
-        """Sidecars tell each other nothing: what an older build told is of no use."""
+        """Ignores a message between sidecars: only older builds sent them."""
 
     # --- answers
 
     def say(self, out: list, verb: str, **fields) -> None:
-        """Appends one line of the wire."""
+        """Appends one line of output."""
         out.append(orjson.dumps({"verb": verb, "sidecar_id": self.number, **fields}))
 
     def stop(self, rpc: Rpc, numbers: list, out: list) -> None:
-        """Tells which transmissions to stop."""
+        """Writes which transmissions to stop."""
         for tx in numbers:
             self.say(out, "stop_attempt", txn=rpc.tag, copy=tx)
 
     def answer_for(self, rpc: Rpc, now: int, out: list) -> None:
-        """Tells what the decisions say of a request now."""
+        """Writes what the balancer decides on a request now."""
         answer = rpc.decide(now)
         if answer is not None:
             what, value = answer
@@ -223,7 +223,7 @@
             self.rpcs.pop(rpc.tag, None)
 
     def close_batch(self, now: int, out: list) -> None:
-        """After all events of a batch: due requests, the list, the timer."""
+        """Ends a batch, after all its events: due requests, the list, the timer."""
         balancer = self.balancer
         for rpc in balancer.due(now):
             self.answer_for(rpc, now, out)
@@ -244,7 +244,7 @@
 
 
 class Link:
-    """All instances of this process. They share nothing but the numbered lists of the wire."""
+    """All sidecars of this process. They share only the registered lists."""
 
     def __init__(self) -> None:
         self.instances: dict[int, Instance] = {}
@@ -252,7 +252,7 @@
         self.now = 0
 
     def event(self, verb: str, event: dict, touched: dict, out: list) -> None:
-        """Hands an event to its instance."""
+        """Passes an event to its sidecar."""
         if verb == "register":
             for row in event["rows"]:
                 if type(row) is not dict:
@@ -276,7 +276,7 @@
 
 
 def guarded(number: int, call, *args) -> None:
-    """Calls; what goes wrong in the decisions is a DecisionError."""
+    """Calls; an exception of the balancer is raised as DecisionError."""
     try:
         call(*args)
     except BadInputError:
@@ -286,7 +286,7 @@
 
 
 def serve(source: BinaryIO, sink: BinaryIO) -> None:
-    """Reads events up to the end of the input. BadInputError for what is no such line."""
+    """Handles events until the end of the input. Raises BadInputError for an invalid line."""
     link, line_number = Link(), 0
     seq, touched, out = None, {}, []
     for line in source:
@@ -330,7 +330,7 @@
 
 
 def reply(sink: BinaryIO, out: list, seq: int) -> None:
-    """Sends the answers of one batch."""
+    """Writes the answers of one batch."""
     out.append(orjson.dumps({"verb": "yield", "seq": seq}, option=orjson.OPT_APPEND_NEWLINE))
     sink.write(b"\n".join(out))
     sink.flush()
--- a/shedgrade/upstream_pool/__init__.py
+++ b/shedgrade/upstream_pool/__init__.py
@@ -1,1 +1,1 @@
-"""A set of upstreams with their connections, and what a listener needs to send requests there."""
+"""A pool of upstreams with their connections, and the interface by which listeners send requests to it."""
--- a/shedgrade/upstream_pool/errors.py
+++ b/shedgrade/upstream_pool/errors.py
@@ -2,4 +2,4 @@
 
 
 class ConfigError(Exception):
-    """One line that says what is wrong."""
+    """A setting is missing or not valid; the text is one line."""
--- a/shedgrade/upstream_pool/pool.py
+++ b/shedgrade/upstream_pool/pool.py
@@ -1,5 +1,7 @@
-"""A pool: one list of upstreams with its decisions, its turn and its connections; clock and budget are shared
-among pools."""
+"""A pool: one list of upstreams with its balancer, dispatcher and connections.
+
+All pools of a process share its clock and its budget.
+"""
 
 import asyncio
 
@@ -13,12 +15,19 @@
 from shedgrade.runtime.log import logger
 from shedgrade.upstream_pool.errors import ConfigError
 
-IDLE_MARGIN = 10_000  # tenths of a ms before the idle limit: the upstream's timer must not be first
+IDLE_MARGIN = 10_000  # tenths of a ms before the idle limit: the upstream must not close first
 
 
 class Pool:
-    """Owns the list's reader, the decisions, the turn, the connections and the watch on discovery, if it has
-    one."""
+    """Owns the list's reader, the balancer, the dispatcher, the connections, and a watch on discovery if any.
+
+    tenants: number of tenants in the settings
+    tenant_names: numbers of tenants, by name
+    asks: the list is requested rather than pushed
+    methods: numbers of methods, by name
+    longest: longest hard deadline of a method, in seconds
+    grace: time within which sends to a draining upstream have to stop, in seconds
+    """
 
     def __init__(
         self,
@@ -30,7 +39,7 @@
         budget: Budget,
         decisions: type[load_balancing.Balancer] = load_balancing.Balancer,
     ) -> None:
-        """ConfigError if the settings are not sound."""
+        """Raises ConfigError if the settings are not valid."""
         self.name, self.loop, self.clock, self.budget = name, loop, clock, budget
         try:
             self.balancer = decisions(settings, seed, clock.now())
@@ -47,12 +56,12 @@
         self.connections.dispatcher = self.dispatcher
         self.watch: DiscoveryWatch | None = None
         self.watching: asyncio.Task | None = None
-        self.saved = None  # a SavedList, where the list is kept on disk
-        self.source = "nothing"  # of the list: who is in charge
+        self.saved = None  # a SavedList, if the list is saved to disk
+        self.source = "nothing"  # the source of the list that is in charge
         self.listed_once = False
 
     def take_settings(self, settings: dict) -> tuple[int, int]:
-        """What the pool itself has of them. Returns the limits of a dial and of an idle connection."""
+        """Applies the pool's own settings; returns the limits of a dial and of an idle connection."""
         self.tenants = len(settings.get("customers", ()))
         self.tenant_names = {
             str(customer["name"]).encode(): number
@@ -67,7 +76,7 @@
         return dial, max(idle - IDLE_MARGIN, idle // 2)
 
     def retuned(self, settings: dict) -> None:
-        """Other settings, all of them checked, from now on."""
+        """Applies other settings, which have been validated."""
         before = self.methods
         numbers = {
             number: place
@@ -80,28 +89,29 @@
     # --- the list
 
     def take_over(self, source: str) -> None:
-        """One source of the list is in charge at any moment: nothing, what was known, what was saved,
-        discovery."""
+        """Sets the one source of the list in use, such as an older process, the saved list or discovery."""
         if source != self.source:
             logger.info("endpoint list source changed", previous=self.source, source=source, pool=self.name)
             self.source = source
 
     def listed(self, message: object, asked: bool = True, part: bool = False) -> None:
-        """ListError for what is no list; else it is in charge from the next turn on. `part`: what of it is
-        sound."""
+        """Applies a message of the list, which is in force from the next pass on.
+
+        `asked`: it comes from discovery. `part`: its valid part is applied. Raises ListError for what is no
+        list.
+        """
         rows, whole, moved = self.reader.read(message, part)
         quiet = self.reader.weights_only
         if asked:
             self.take_over("discovery")
             if self.saved is not None:
-                # Guards the disk: weights that move with load are of no use after a restart.
-                # Nor is an entry that is not sound: it would spoil the start from what was saved.
+                # Guards the disk: weights that vary with load are of no use after a restart. An entry that is
+                # not valid is left out, as it would prevent a start from the saved list.
                 taken = [] if quiet else self.reader.taken
                 self.saved.save_list({**message, "instances": taken} if quiet or part else message)
         draining = [row[0] for row in rows if row[2] != load_balancing.READY]
-        self.dispatcher.list_changed(
-            rows, whole, asked
-        )  # first: what is withdrawn is decided anew by this list
+        # First of all, so that attempts whose upstream is withdrawn are decided anew by this list.
+        self.dispatcher.list_changed(rows, whole, asked)
         for upstream in (*moved, *draining):
             self.connections.withdraw(upstream)
         if (rows and not quiet) or not asked:
@@ -115,7 +125,7 @@
         self.listed_once = True
 
     def follow(self, address: tuple[str, int]) -> None:
-        """Watches discovery at this address."""
+        """Starts to watch discovery at this address."""
         self.watch = DiscoveryWatch(
             self.loop,
             address,
@@ -128,20 +138,20 @@
         self.watching = self.loop.create_task(self.watch.run())
 
     def unfollow(self) -> None:
-        """Watches discovery no longer."""
+        """Stops to watch discovery."""
         if self.watch is not None:
             self.watching.cancel()
             self.watch.close()
             self.watch = None
 
     def move(self, address: tuple[str, int]) -> None:
-        """Discovery is elsewhere: another address counts anew, so its whole list comes first."""
+        """Watches discovery at another address, whose versions count anew: its whole list comes first."""
         self.unfollow()
         self.reader.version = None
         self.follow(address)
 
     def forget(self, upstream: int) -> None:
-        """Gone, with nothing out: what is known of it would otherwise stay for good."""
+        """Forgets an upstream that is gone with nothing outstanding; its records would stay for good."""
         self.reader.forget(upstream)
         self.connections.forget(upstream)
         self.connections.last_response_at.pop(upstream, None)
