--- a/shedgrade/request_dispatch.py
+++ b/shedgrade/request_dispatch.py
@@ -13,12 +13,13 @@
 from shedgrade.load_balancing import learned_state
 from shedgrade.runtime.log import logger
 
-STILL = 100_000  # tenths of a ms without a byte of a long answer, after which it counts as broken
-LOOKED = 100  # tenths of a ms after which a client is checked again, well within the 300 ms allowed
-OVER = 10**8  # tenths of a ms, longer than any deadline: added to the time, it makes every deadline pass
-ALLOWANCE = 20  # tenths of a ms that an answer takes to leave this process at least, on an idle loop
-# Tenths of a ms of lag allowed for at most, well within a tick: retries are recognized by client timeouts.
-MOST_ALLOWED = 50
+# All in tenths of a ms.
+STALLED_RESPONSE_TIMEOUT = 100_000  # without a byte of a long answer, after which it counts as broken
+CLIENT_CHECK_INTERVAL = 100  # after which a client is checked again, well within the 300 ms allowed
+BEYOND_ALL_DEADLINES = 10**8  # longer than any deadline: added to the time, it makes every deadline pass
+RESPONSE_ALLOWANCE = 20  # that an answer takes to leave this process at least, on an idle loop
+# Lag allowed for at most, well within a tick: a retry is recognized by its client's timeout.
+MAX_LAG = 50
 
 
 class Dispatcher:
@@ -220,7 +221,7 @@
 
     def alarm(self) -> None:
         """Handles the timer: measures its lag, and starts a pass."""
-        self.lag = max(self.lag * 0.99, min(MOST_ALLOWED, self.clock.now() - self.timer_at))
+        self.lag = max(self.lag * 0.99, min(MAX_LAG, self.clock.now() - self.timer_at))
         self.timer = self.timer_at = None
         self.gather(lambda now: None)
 
@@ -252,7 +253,7 @@
                 self.actions.append((active_request.client.exhausted, (wait,)))
                 return
             active_request.gate_tickets = (*active_request.gate_tickets, (gate, got, method, now))
-        allowance = ALLOWANCE + int(self.lag)
+        allowance = RESPONSE_ALLOWANCE + int(self.lag)
         active_request.rpc = self.balancer.admit(
             now, method, give_up_at - allowance, retry, active_request, tenant
         )
@@ -295,7 +296,7 @@
         if active_request.done or active_request.rpc is None:
             return
         limit = active_request.rpc.body_received(
-            now, at + active_request.timeout_ms * 10 - ALLOWANCE - int(self.lag), here, whole
+            now, at + active_request.timeout_ms * 10 - RESPONSE_ALLOWANCE - int(self.lag), here, whole
         )
         if whole:
             active_request.is_body_incomplete = False
@@ -355,7 +356,7 @@
 
     def decide(self, now: int, active_request: ActiveRequest) -> None:
         """Carries out what the balancer decides on a request now."""
-        answer = active_request.rpc.decide(now + OVER * self.concluding)
+        answer = active_request.rpc.decide(now + BEYOND_ALL_DEADLINES * self.concluding)
         if answer is None:
             return
         what, value = answer
@@ -432,7 +433,7 @@
         up = self.balancer.upstreams.get(transmission.upstream)
         if up is None or not up.listed:
             return False
-        if now - active_request.client_checked_at > LOOKED:
+        if now - active_request.client_checked_at > CLIENT_CHECK_INTERVAL:
             if active_request.client.has_left():
                 self.client_disconnected(active_request)
                 active_request.client.close()
@@ -458,7 +459,11 @@
 
         Where a request has a latest end, silence ends its answer no sooner.
         """
-        return moved + STILL if active_request.latest_end == load_balancing.inf else active_request.latest_end
+        return (
+            moved + STALLED_RESPONSE_TIMEOUT
+            if active_request.latest_end == load_balancing.inf
+            else active_request.latest_end
+        )
 
     def expire(self, now: int) -> None:
         """Ends transmissions whose time limit has passed, or whose connection did not come up in time."""
--- a/shedgrade/upstream_pool/front.py
+++ b/shedgrade/upstream_pool/front.py
@@ -11,12 +11,12 @@
 if TYPE_CHECKING:
     from shedgrade.upstream_pool.pool import Pool
 
-BETWEEN = 10.0  # s between two log lines about connections over budget
+CROWDED_LOG_INTERVAL_S = 10.0  # s between two log lines about connections over budget
 # Divisor of the connection budget, from which part on answers close their connection. Normal operation uses a
 # tenth, and clients, which hold a third of the descriptors at most, have as many again.
-CROWDED = 4
-STALLED = 0.5  # s without a check, which comes every 0.25 s: the process did not run
-AFTERWARDS = 1.0  # s after a stall in which data that waited in the kernel is still being read
+CROWDED_DIVISOR = 4
+STALL_THRESHOLD_S = 0.5  # s without a check, which comes every 0.25 s: the process did not run
+STALL_AFTERMATH_S = 1.0  # s after a stall in which data that waited in the kernel is still being read
 
 
 class Front:
@@ -35,8 +35,8 @@
         self.dispatcher = pool.dispatcher
         self.clients: dict = {}
         self.accepting: set = set()  # connections that were accepted and are not registered yet
-        self.crowd_told = -BETWEEN
-        self.looked, self.stalled_until = monotonic(), 0.0
+        self.crowded_logged_at = -CROWDED_LOG_INTERVAL_S
+        self.checked_at, self.stalled_until = monotonic(), 0.0
 
     @property
     def methods(self) -> dict[bytes, int]:
@@ -73,7 +73,7 @@
         Guards against connections that send one request and stay open: the clients run out of connections
         before this side does.
         """
-        return len(self.clients) >= self.budget.max_clients // CROWDED
+        return len(self.clients) >= self.budget.max_clients // CROWDED_DIVISOR
 
     def make_room(self) -> bool:
         """Makes room for one more client connection: the least recently used idle one is closed.
@@ -92,8 +92,8 @@
         if unused is not None:
             self.closed(unused)
             unused.cut()
-        if self.loop.time() >= self.crowd_told + BETWEEN:
-            self.crowd_told = self.loop.time()
+        if self.loop.time() >= self.crowded_logged_at + CROWDED_LOG_INTERVAL_S:
+            self.crowded_logged_at = self.loop.time()
             logger.warning("client connections over budget, closing idle ones", connections=len(self.clients))
         return unused is not None
 
@@ -104,7 +104,7 @@
     def look_after(self) -> None:
         """Checks timeouts: guards against clients that send nothing, half a request, or read no answer."""
         self.stalled()
-        self.looked = monotonic()
+        self.checked_at = monotonic()
         now = self.loop.time()
         for connection in list(self.clients):
             connection.check_timeouts(now)
@@ -112,8 +112,8 @@
     def stalled(self) -> bool:
         """Returns whether this process stalled a moment ago: data read now may have waited long."""
         now = monotonic()
-        if now - self.looked > STALLED:
-            self.stalled_until = now + AFTERWARDS
+        if now - self.checked_at > STALL_THRESHOLD_S:
+            self.stalled_until = now + STALL_AFTERMATH_S
         return now < self.stalled_until
 
     def close_idle(self) -> None:
