--- a/shedgrade/simulator_adapter/wire.py
+++ b/shedgrade/simulator_adapter/wire.py
@@ -88,7 +88,7 @@
     return value
 
 
-class Instance:
+class SimulatedSidecar:
     """One sidecar of the simulator: its balancer, the indices of its upstreams, its unfinished requests."""
 
     def __init__(self, number: int, event: dict, now: int) -> None:
@@ -100,11 +100,11 @@
             self.tenants = max(1, len(event["conf"].get("customers", ())))
         except KeyError as missing:
             raise BadInputError("conf", f"setting {missing} is missing") from missing
-        except (TypeError, ValueError, IndexError, AttributeError) as wrong:
-            raise BadInputError("conf", f"a setting has the wrong form: {wrong}") from wrong
+        except (TypeError, ValueError, IndexError, AttributeError) as error:
+            raise BadInputError("conf", f"a setting has the wrong form: {error}") from error
         self.upstreams = Indices()
         self.rpcs: dict[int, Rpc] = {}
-        self.armed = inf
+        self.timer_at = inf
 
     def rpc(self, event: dict) -> Rpc:
         """Returns the event's request. Raises BadInputError if it is not known."""
@@ -157,7 +157,7 @@
             txn,
             index_below(event, "project", self.tenants),
         )
-        self.answer_for(rpc, now, out)
+        self.write_decision(rpc, now, out)
 
     def answer(self, event: dict, now: int, lists: dict, out: list) -> None:
         """Handles the end of a transmission."""
@@ -173,18 +173,18 @@
             ),
             out,
         )
-        self.answer_for(rpc, now, out)
+        self.write_decision(rpc, now, out)
 
     def abandoned(self, event: dict, now: int, lists: dict, out: list) -> None:
         """Handles a client that left."""
         rpc = self.rpcs.get(event["txn"])
         if rpc is not None:
             self.stop(rpc, rpc.client_disconnected(now), out)
-            self.answer_for(rpc, now, out)
+            self.write_decision(rpc, now, out)
 
     def alarm(self, event: dict, now: int, lists: dict, out: list) -> None:
         """Handles the timer that `close_batch` requested."""
-        self.armed = inf
+        self.timer_at = inf
 
     def echo(self, event: dict, now: int, lists: dict, out: list) -> None:
         """Refuses an echo: upstreams are never polled. Raises BadInputError."""
@@ -199,26 +199,28 @@
 
     # --- answers
 
-    def say(self, out: list, verb: str, **fields) -> None:
+    def write_reply(self, out: list, verb: str, **fields) -> None:
         """Appends one line of output."""
         out.append(orjson.dumps({"verb": verb, "sidecar_id": self.number, **fields}))
 
-    def stop(self, rpc: Rpc, numbers: list, out: list) -> None:
+    def stop(self, rpc: Rpc, attempts: list, out: list) -> None:
         """Writes which transmissions to stop."""
-        for tx in numbers:
-            self.say(out, "stop_attempt", txn=rpc.tag, copy=tx)
+        for tx in attempts:
+            self.write_reply(out, "stop_attempt", txn=rpc.tag, copy=tx)
 
-    def answer_for(self, rpc: Rpc, now: int, out: list) -> None:
+    def write_decision(self, rpc: Rpc, now: int, out: list) -> None:
         """Writes what the balancer decides on a request now."""
         answer = rpc.decide(now)
         if answer is not None:
             what, value = answer
             if what >= 0:
-                self.say(out, "hand_off", txn=rpc.tag, upstream=self.upstreams.ids[what], limit=value / 10)
+                self.write_reply(
+                    out, "hand_off", txn=rpc.tag, upstream=self.upstreams.ids[what], limit=value / 10
+                )
             elif what == load_balancing.EXHAUSTED:
-                self.say(out, "shed", txn=rpc.tag, stay_away=value / 10)
+                self.write_reply(out, "shed", txn=rpc.tag, stay_away=value / 10)
             else:
-                self.say(out, "give_up", txn=rpc.tag)
+                self.write_reply(out, "give_up", txn=rpc.tag)
         if rpc.done and not rpc.outstanding:
             self.rpcs.pop(rpc.tag, None)
 
@@ -226,28 +228,28 @@
         """Ends a batch, after all its events: due requests, the list, the timer."""
         balancer = self.balancer
         for rpc in balancer.due(now):
-            self.answer_for(rpc, now, out)
+            self.write_decision(rpc, now, out)
         if balancer.wants_list(now):
-            self.say(out, "follow", active=True)
+            self.write_reply(out, "follow", active=True)
         for index in balancer.take_released():
             self.upstreams.release(index)
         wake = balancer.wake_at()
-        if wake < self.armed:
-            self.armed = wake
-            self.say(out, "wake_me", cookie=0, delay=max(1, wake - now) / 10)
+        if wake < self.timer_at:
+            self.timer_at = wake
+            self.write_reply(out, "wake_me", cookie=0, delay=max(1, wake - now) / 10)
 
 
 HANDLERS = {
-    verb: getattr(Instance, verb)
+    verb: getattr(SimulatedSidecar, verb)
     for verb in ("discovery", "submit", "answer", "abandoned", "alarm", "accepted", "echo", "inbox")
 }
 
 
-class Link:
+class SidecarGroup:
     """All sidecars of this process. They share only the registered lists."""
 
     def __init__(self) -> None:
-        self.instances: dict[int, Instance] = {}
+        self.sidecars: dict[int, SimulatedSidecar] = {}
         self.lists: dict[int, list] = {}
         self.now = 0
 
@@ -262,20 +264,20 @@
             return
         number = event["sidecar_id"]
         if verb == "power_on":
-            self.instances[number] = touched[number] = Instance(number, event, self.now)
+            self.sidecars[number] = touched[number] = SimulatedSidecar(number, event, self.now)
             return
-        instance = self.instances.get(number)
-        if instance is None:
+        sidecar = self.sidecars.get(number)
+        if sidecar is None:
             raise BadInputError("sidecar_id", f"sidecar {number} has not been started")
         if verb == "teardown":
-            del self.instances[number]
+            del self.sidecars[number]
             touched.pop(number, None)
             return
-        touched[number] = instance
-        guarded(number, HANDLERS[verb], instance, event, self.now, self.lists, out)
+        touched[number] = sidecar
+        call_balancer(number, HANDLERS[verb], sidecar, event, self.now, self.lists, out)
 
 
-def guarded(number: int, call, *args) -> None:
+def call_balancer(number: int, call, *args) -> None:
     """Calls; an exception of the balancer is raised as DecisionError."""
     try:
         call(*args)
@@ -287,15 +289,15 @@
 
 def serve(source: BinaryIO, sink: BinaryIO) -> None:
     """Handles events until the end of the input. Raises BadInputError for an invalid line."""
-    link, line_number = Link(), 0
+    group, line_number = SidecarGroup(), 0
     seq, touched, out = None, {}, []
     for line in source:
         line_number += 1
         try:
             try:
                 event = orjson.loads(line)
-            except orjson.JSONDecodeError as wrong:
-                raise BadInputError("line", f"not JSON ({wrong})") from wrong
+            except orjson.JSONDecodeError as error:
+                raise BadInputError("line", f"not JSON ({error})") from error
             if type(event) is not dict or type(event.get("verb")) is not str:
                 raise BadInputError("verb", "missing")
             verb = event["verb"]
@@ -307,21 +309,21 @@
                 raise BadInputError("verb", f"{verb!r} is out of place")
             if verb == "batch":
                 seq, touched, out = event["seq"], {}, []
-                link.now = ceil(event["now"] * 10)
+                group.now = ceil(event["now"] * 10)
             elif verb == "commit":
-                for number, instance in touched.items():
-                    guarded(number, instance.close_batch, link.now, out)
-                reply(sink, out, seq)
+                for number, sidecar in touched.items():
+                    call_balancer(number, sidecar.close_batch, group.now, out)
+                flush_batch(sink, out, seq)
                 seq = None
             else:
-                link.event(verb, event, touched, out)
+                group.event(verb, event, touched, out)
         except BadInputError as bad:
             bad.line = line_number
             raise
         except DecisionError as fault:
             number, what = fault.args
             out.append(orjson.dumps({"verb": "fault", "sidecar_id": number, "what": what}))
-            reply(sink, out, seq)
+            flush_batch(sink, out, seq)
             raise
     if seq is not None:
         bad = BadInputError("commit", "missing at the end of the input")
@@ -329,7 +331,7 @@
         raise bad
 
 
-def reply(sink: BinaryIO, out: list, seq: int) -> None:
+def flush_batch(sink: BinaryIO, out: list, seq: int) -> None:
     """Writes the answers of one batch."""
     out.append(orjson.dumps({"verb": "yield", "seq": seq}, option=orjson.OPT_APPEND_NEWLINE))
     sink.write(b"\n".join(out))
