--- a/shedgrade/in_flight.py
+++ b/shedgrade/in_flight.py
@@ -120,7 +120,7 @@
         self.first_on_connection = False
         self.response_began_at: int | None = None  # when a long answer began to be forwarded
 
-    def still_out(self) -> bool:
+    def is_outstanding(self) -> bool:
         """Returns whether its end has not been reported; events after that are ignored."""
         return self.active_request.transmissions.get(self.attempt) is self
 
--- a/shedgrade/request_dispatch.py
+++ b/shedgrade/request_dispatch.py
@@ -31,7 +31,7 @@
         clock,
         balancer: load_balancing.Balancer,
         connections,
-        names: list[str],
+        upstream_ids: list[str],
         budget,
         forget: Callable[[int], None],
     ) -> None:
@@ -39,7 +39,7 @@
         self.clock = clock
         self.balancer = balancer
         self.connections = connections
-        self.names = names
+        self.upstream_ids = upstream_ids
         self.release_upstream = forget  # called with each upstream that the balancer has forgotten
         self.events: list[tuple] = []
         self.actions: list[tuple] = []
@@ -166,8 +166,8 @@
         for upstream in self.balancer.take_released():
             self.release_upstream(upstream)
         self.set_timer()
-        for watcher in self.observers:
-            watcher.after_turn(now, self.lag)
+        for observer in self.observers:
+            observer.after_turn(now, self.lag)
 
     def guarded(self, call: Callable, *args) -> None:
         """Calls, and guards against a fault in this process: it costs one request, not the process."""
@@ -206,7 +206,7 @@
     def set_timer(self) -> None:
         """Sets the timer to the earliest time that the balancer or a transmission waits for."""
         at = self.balancer.wake_at()
-        while self.expiries and not self.expiries[0][2].still_out():
+        while self.expiries and not self.expiries[0][2].is_outstanding():
             heappop(self.expiries)
         if self.expiries:
             at = min(at, self.expiries[0][0])
@@ -217,9 +217,9 @@
             self.timer = self.timer_at = None
         if at != load_balancing.inf:
             self.timer_at = at
-            self.timer = self.loop.call_at(self.clock.on_monotonic(at), self.alarm)
+            self.timer = self.loop.call_at(self.clock.on_monotonic(at), self.on_timer)
 
-    def alarm(self) -> None:
+    def on_timer(self) -> None:
         """Handles the timer: measures its lag, and starts a pass."""
         self.lag = max(self.lag * 0.99, min(MAX_LAG, self.clock.now() - self.timer_at))
         self.timer = self.timer_at = None
@@ -266,7 +266,7 @@
     ) -> None:
         """Reports the outcome to the balancer and, if the request was served, the answer to the client."""
         active_request, tx = transmission.active_request, transmission.attempt
-        if not transmission.still_out():
+        if not transmission.is_outstanding():
             return  # its end was reported before
         del active_request.transmissions[tx]
         # A stream that was open is never retried: whatever ended it ends the request.
@@ -308,7 +308,7 @@
     def on_response_started(self, now: int, transmission: Transmission, answer: Answer, at: int) -> None:
         """Gives a long answer that has begun to its client; all other attempts are stopped."""
         active_request = transmission.active_request
-        if not transmission.still_out() or active_request.done:
+        if not transmission.is_outstanding() or active_request.done:
             return
         active_request.stream_is_open, active_request.is_body_incomplete = True, False
         transmission.response_began_at, transmission.expires_at = (
@@ -325,7 +325,7 @@
     def on_stream_opened(self, now: int, transmission: Transmission) -> None:
         """Gives an open stream to its client; it lasts until either side ends it."""
         active_request = transmission.active_request
-        if transmission.still_out() and not active_request.done:
+        if transmission.is_outstanding() and not active_request.done:
             active_request.stream_is_open, transmission.expires_at = True, load_balancing.inf
             active_request.rpc.response_started(True)
             self.actions.append((active_request.client.opened, (transmission.link,)))
@@ -428,7 +428,7 @@
         much of its data is unread, or the loop was blocked.
         """
         active_request = transmission.active_request
-        if active_request.done or not transmission.still_out() or now >= transmission.expires_at:
+        if active_request.done or not transmission.is_outstanding() or now >= transmission.expires_at:
             return False
         up = self.balancer.upstreams.get(transmission.upstream)
         if up is None or not up.listed:
@@ -469,12 +469,12 @@
         """Ends transmissions whose time limit has passed, or whose connection did not come up in time."""
         while self.expiries and self.expiries[0][0] <= now:
             transmission = heappop(self.expiries)[2]
-            if not transmission.still_out():
+            if not transmission.is_outstanding():
                 continue
             dialling = transmission.connect_expires_at is not None
             if now < transmission.expires_at and not (dialling and now >= transmission.connect_expires_at):
                 continue
-            upstream = self.names[transmission.upstream]
+            upstream = self.upstream_ids[transmission.upstream]
             if now < (until := self.response_expires_at(transmission, now)):
                 transmission.expires_at = until
                 self.add_expiry(transmission, until)
