--- a/shedgrade/load_balancing/rpc.py
+++ b/shedgrade/load_balancing/rpc.py
@@ -214,7 +214,7 @@
         balancer, method = self.balancer, self.method
         if self.done or (self.outstanding and not (self.hedge_at is not None and now >= self.hedge_at)):
             return None
-        repeat = self.first_possibly_executed() is not None
+        is_retry = self.first_possibly_executed() is not None
         self.hedge_at = None
         if (
             self.overtaken
@@ -222,7 +222,7 @@
             or len(self.attempts) >= balancer.max_attempts
             or (self.body_buffered is False and self.attempts)
             or (
-                repeat
+                is_retry
                 and not (
                     (method.idempotent or method.deduplicated)
                     and self.retries < method.max_retries
@@ -246,18 +246,18 @@
                 return None
             upstream = balancer.choose_upstream(now, self, False)
         if upstream is not None:
-            return self.transmit(now, upstream, repeat)
+            return self.transmit(now, upstream, is_retry)
         if self.outstanding or balancer.enqueue(now, self, now):
             return None
         return self.final_answer(now)
 
-    def transmit(self, now: int, upstream: Upstream, repeat: bool) -> tuple[int, int]:
+    def transmit(self, now: int, upstream: Upstream, is_retry: bool) -> tuple[int, int]:
         """Registers an attempt at the upstream; returns its index and the time limit."""
         balancer, method = self.balancer, self.method
         balancer.dequeue(self)
         if not self.attempts and balancer.method_slowness(method) > 1:
             self.long_lived = True  # it keeps its place for long, as an open stream does
-        if repeat:
+        if is_retry:
             self.retries += 1
             balancer.retry_tokens -= 1
         limit = self.answer_by - now
--- a/shedgrade/model_routing/fleet_load.py
+++ b/shedgrade/model_routing/fleet_load.py
@@ -9,7 +9,8 @@
 
 SLOTS_SHARE = 1 / 3  # of an upstream's slots in use on the mean, from which on a region may be skipped
 LEAST_THRESHOLD = 2.0  # requests in flight per upstream, where slots are few or not reported
-RELIEF = 1.5  # times the least loaded region's load: below it, moving there gains less than the way costs
+# Of the most to the least loaded region: below it, moving there gains less than the way costs.
+MIN_LOAD_RATIO = 1.5
 
 
 class FleetLoad:
@@ -73,5 +74,5 @@
             return None
         worst = max(zones, key=self.mean_load)
         load, least = self.mean_load(worst), min(self.mean_load(zone) for zone in zones)
-        crowded = load >= self.drop_threshold * (1.0 + self.random())
-        return worst.number if crowded and load >= RELIEF * least else None
+        overloaded = load >= self.drop_threshold * (1.0 + self.random())
+        return worst.number if overloaded and load >= MIN_LOAD_RATIO * least else None
--- a/shedgrade/model_routing/prefix_affinity.py
+++ b/shedgrade/model_routing/prefix_affinity.py
@@ -14,7 +14,7 @@
 MAX_RANKINGS = 4096  # keys whose ranking is cached
 
 
-def weigh(key: bytes, mark: int) -> int:
+def rendezvous_weight(key: bytes, mark: int) -> int:
     """Returns the weight of an upstream for a key; the upstreams of the highest weights hold it."""
     return crc32(mark.to_bytes(4, "little"), crc32(key)) * 2654435761 % 2**32
 
@@ -36,7 +36,9 @@
             if len(self.rankings) >= MAX_RANKINGS:
                 self.rankings.clear()
             ranked = sorted(
-                zone.rotation, key=lambda upstream: weigh(key, upstream.id_hash or 0), reverse=True
+                zone.rotation,
+                key=lambda upstream: rendezvous_weight(key, upstream.id_hash or 0),
+                reverse=True,
             )
             order = self.rankings[zone.number, key] = tuple(ranked[:HOLDERS_PER_PREFIX])
         return order
--- a/shedgrade/model_routing/request.py
+++ b/shedgrade/model_routing/request.py
@@ -107,23 +107,23 @@
         balancer = self.balancer
         if self.done or self.outstanding:
             return None
-        repeat = self.attempts_arrived > 0
+        is_retry = self.attempts_arrived > 0
         if (
             now >= self.answer_by
             or self.attempts_arrived >= self.tag.wants.max_attempts
             or len(self.attempts) >= balancer.max_attempts
             or (self.body_buffered is False and self.attempts)
             or (self.first_possibly_executed() is not None and not self.method.idempotent)
-            or (repeat and not balancer.retry_budget.allows_retry(now))
+            or (is_retry and not balancer.retry_budget.allows_retry(now))
         ):
             return self.final_answer(now)
         upstream = balancer.choose_upstream(now, self, False)
-        return self.final_answer(now) if upstream is None else self.transmit(now, upstream, repeat)
+        return self.final_answer(now) if upstream is None else self.transmit(now, upstream, is_retry)
 
-    def transmit(self, now: int, upstream: Upstream, repeat: bool) -> tuple[int, int]:
+    def transmit(self, now: int, upstream: Upstream, is_retry: bool) -> tuple[int, int]:
         """Registers an attempt, with its prefill load; returns the upstream's index and the time limit."""
         balancer = self.balancer
-        balancer.retry_budget.record_sent(now, repeat)
+        balancer.retry_budget.record_sent(now, is_retry)
         self.attempts_arrived += 1
         self.prefill_load = balancer.prefill_load(upstream, self.tag.wants)
         balancer.add_load(upstream, 1, self.prefill_load)
--- a/shedgrade/model_routing/retry_budget.py
+++ b/shedgrade/model_routing/retry_budget.py
@@ -42,29 +42,29 @@
 
     def advance(self, now: int) -> None:
         """Drops the counts that have left the window."""
-        tenth = now // self.slot_length
-        while self.counts and self.counts[0][0] < tenth - 10:
-            _, requests, repeats = self.counts.popleft()
+        slot = now // self.slot_length
+        while self.counts and self.counts[0][0] < slot - 10:
+            _, requests, retries = self.counts.popleft()
             self.requests -= requests
-            self.retries -= repeats
-        if not self.counts or self.counts[-1][0] != tenth:
-            self.counts.append([tenth, 0, 0])
+            self.retries -= retries
+        if not self.counts or self.counts[-1][0] != slot:
+            self.counts.append([slot, 0, 0])
 
-    def add(self, now: int, requests: int, repeats: int) -> None:
+    def add(self, now: int, requests: int, retries: int) -> None:
         """Adds to the counts of the newest slot."""
         self.advance(now)
         self.counts[-1][1] += requests
-        self.counts[-1][2] += repeats
+        self.counts[-1][2] += retries
         self.requests += requests
-        self.retries += repeats
+        self.retries += retries
 
-    def record_sent(self, now: int, repeat: bool) -> None:
+    def record_sent(self, now: int, is_retry: bool) -> None:
         """Counts an attempt that was sent, a first one or a retry."""
-        self.add(now, int(not repeat), int(repeat))
+        self.add(now, int(not is_retry), int(is_retry))
 
-    def record_not_arrived(self, now: int, repeat: bool) -> None:
+    def record_not_arrived(self, now: int, is_retry: bool) -> None:
         """Takes back the count of an attempt that never arrived."""
-        self.add(now, -int(not repeat), -int(repeat))
+        self.add(now, -int(not is_retry), -int(is_retry))
 
     def allows_retry(self, now: int) -> bool:
         """Returns whether one more retry keeps this sidecar within its share."""
--- a/shedgrade/model_routing/slow_start.py
+++ b/shedgrade/model_routing/slow_start.py
@@ -9,8 +9,10 @@
 
 from shedgrade.load_balancing.upstream import SECOND, Upstream
 
-DEALT_SHARE = 0.7  # of the rate is divided: the count of sidecars lags, and requests bunch on their way
-SENDERS_PER_UPSTREAM = 4  # sidecars per warming upstream, where one request at once from each is too many
+# Share of the rate that is divided: the count of sidecars lags, and requests bunch on their way.
+DIVIDED_RATE_SHARE = 0.7
+# Sidecars per warming upstream, where a request from each of all sidecars at once would be too many.
+SENDERS_PER_UPSTREAM = 4
 
 
 class SlowStartShares:
@@ -30,23 +32,23 @@
         """Returns the requests a second that this sidecar may send to a warming upstream."""
         if (
             self.sidecar_count
-            <= max(SENDERS_PER_UPSTREAM, self.slow_start_bound - DEALT_SHARE * self.slow_start_rate)
+            <= max(SENDERS_PER_UPSTREAM, self.slow_start_bound - DIVIDED_RATE_SHARE * self.slow_start_rate)
             or not self.slow_start_rate
         ):
-            return DEALT_SHARE * self.slow_start_rate / max(1, self.sidecar_count)
-        chosen = (
+            return DIVIDED_RATE_SHARE * self.slow_start_rate / max(1, self.sidecar_count)
+        is_sender = (
             crc32(b"%d:%s" % (upstream.id_hash or 0, self.name.encode())) / 2**32
             < SENDERS_PER_UPSTREAM / self.sidecar_count
         )
-        return DEALT_SHARE * self.slow_start_rate / SENDERS_PER_UPSTREAM if chosen else 0.0
+        return DIVIDED_RATE_SHARE * self.slow_start_rate / SENDERS_PER_UPSTREAM if is_sender else 0.0
 
     def has_slow_start_credit(self, upstream: Upstream, now: int) -> bool:
         """Returns whether this sidecar's share of the rate allows one more request now."""
         if not self.slow_start_rate:
             return True  # no rate is set
-        since = max(0, now - upstream.slow_start_updated_at) if upstream.slow_start_updated_at else 0
+        elapsed = max(0, now - upstream.slow_start_updated_at) if upstream.slow_start_updated_at else 0
         upstream.slow_start_credit = min(
-            1.0, upstream.slow_start_credit + since / SECOND * self.slow_start_rate_share(upstream)
+            1.0, upstream.slow_start_credit + elapsed / SECOND * self.slow_start_rate_share(upstream)
         )
         upstream.slow_start_updated_at = now
         return upstream.slow_start_credit >= 1
