--- a/shedgrade/load_balancing/balancer.py
+++ b/shedgrade/load_balancing/balancer.py
@@ -91,12 +91,12 @@
         prices = settings["prices"]
         self.cross_zone_price = prices.get("cross_zone", 0.0)
         # Where connections are multiplexed or new ones have a price, each sidecar uses a subset of each zone.
-        dear = (
+        limits_connections = (
             self.connections_multiplexed or prices.get("handshake", 0.0) + prices.get("connection", 0.0) > 0
         )
         self.sidecar_count = settings["balancers"]
         self.sidecar_number = settings.get("my_number", 0)
-        self.uses_subset = dear and self.sidecar_count > 1
+        self.uses_subset = limits_connections and self.sidecar_count > 1
         for zone in self.zones:
             zone.changed = True
         self.list_updated()
@@ -112,15 +112,18 @@
         # Where late requests beyond an allowed share have a price, the target duration is the one that leaves
         # three times that share late.
         mix = settings.get("objective_mix", {})
-        late = 3 * mix.get("miss_allowed", 0.0) if mix.get("slow_end", 0.0) > 0 else 0.0
+        late_share = 3 * mix.get("miss_allowed", 0.0) if mix.get("slow_end", 0.0) > 0 else 0.0
         self.latency_target = (
-            LATENCY_TARGET_SHARE * min(1.0, log(1 / 7) / log(late)) if 0 < late < 1 else LATENCY_TARGET_SHARE
+            LATENCY_TARGET_SHARE * min(1.0, log(1 / 7) / log(late_share))
+            if 0 < late_share < 1
+            else LATENCY_TARGET_SHARE
         )
-        top = max((m["payoff"] for m in settings["methods"]), default=1)
+        top_payoff = max((m["payoff"] for m in settings["methods"]), default=1)
         self.mean_payoff = sum(m["payoff"] for m in settings["methods"]) / len(settings["methods"]) or 1.0
-        kept = {method.name: method.longest_timeout for method in self.methods}
+        longest_timeouts = {method.name: method.longest_timeout for method in self.methods}
         self.methods = [
-            Method(m, top, self.max_attempts, kept.get(m.get("name"), 0)) for m in settings["methods"]
+            Method(m, top_payoff, self.max_attempts, longest_timeouts.get(m.get("name"), 0))
+            for m in settings["methods"]
         ]
         self.shortest_soft_deadline = max(
             1, min(m.soft_deadline for m in self.methods) - self.deadline_margin
--- a/shedgrade/load_balancing/endpoint_list.py
+++ b/shedgrade/load_balancing/endpoint_list.py
@@ -108,12 +108,12 @@
         for zone in self.zones:
             zone.changed = False
             if self.capacity_follows_load and zone.ready_count:
-                held = [
+                loads = [
                     upstream.reported_load
                     for upstream in self.upstreams.values()
                     if upstream.listed and self.zones[upstream.zone] is zone
                 ]
-                zone.reported_load = sum(held) / zone.ready_count
+                zone.reported_load = sum(loads) / zone.ready_count
             if zone.concurrency_limit == inf and zone.rotation:
                 zone.concurrency_limit = max(1.0, DROP_THRESHOLD * len(zone.rotation) / self.sidecar_count)
 
@@ -223,8 +223,11 @@
         self.list_requested = True
         return True
 
-    def add_load(self, upstream: Upstream, flight: int, held: int) -> None:
+    def add_load(self, upstream: Upstream, flight: int, background: int) -> None:
         """Adds to the requests in flight and to the background load of an upstream and its zone."""
         for place in (upstream, self.zones[upstream.zone]):
-            place.in_flight, place.background_load = place.in_flight + flight, place.background_load + held
+            place.in_flight, place.background_load = (
+                place.in_flight + flight,
+                place.background_load + background,
+            )
         self.in_flight += flight
--- a/shedgrade/load_balancing/outlier_detection.py
+++ b/shedgrade/load_balancing/outlier_detection.py
@@ -72,15 +72,15 @@
 
         All upstreams of a class share its record: guards against too little evidence on a single one.
         """
-        kind = self.hardware_durations.get(upstream.hardware)
-        alike = self.latency_base + self.latency_slope
-        return (kind[0] + alike) / (kind[1] + alike) if kind else 1.0
+        durations = self.hardware_durations.get(upstream.hardware)
+        prior = self.latency_base + self.latency_slope
+        return (durations[0] + prior) / (durations[1] + prior) if durations else 1.0
 
     def expected_duration(self, upstream: Upstream, now: int) -> float:
         """Returns the expected duration of one more attempt there; one usual attempt is added as a prior."""
         upstream.decay(now, self.decay_time)
-        alike = self.latency_base + self.latency_slope
-        slowness = (upstream.observed_duration + alike) / (upstream.foreseen_duration + alike)
+        prior = self.latency_base + self.latency_slope
+        slowness = (upstream.observed_duration + prior) / (upstream.foreseen_duration + prior)
         return slowness * self.baseline_duration(upstream, upstream.in_flight + upstream.reported_load + 1)
 
     def typical_duration(self) -> float:
@@ -107,14 +107,17 @@
     def failure_follows_request(self, rpc: Rpc) -> bool:
         """Returns whether the request's method or tenant fails at every upstream while others do not."""
 
-        def beyond(own: DecayingRatio, sorts: list[DecayingRatio]) -> bool:
-            rest = [sort for sort in sorts if sort is not own]
-            usual = sum(sort.numerator for sort in rest) / (1 + sum(sort.denominator for sort in rest))
+        def exceeds_others(own: DecayingRatio, ratios: list[DecayingRatio]) -> bool:
+            rest = [ratio for ratio in ratios if ratio is not own]
+            usual = sum(ratio.numerator for ratio in rest) / (1 + sum(ratio.denominator for ratio in rest))
             limit = REQUEST_FAILURE_EXCESS + REQUEST_FAILURE_FACTOR * usual
             return len(rest) > 0 and own.estimate(ENOUGH_SAMPLES / 3, 0.0) > limit
 
-        return beyond(rpc.method.failure_ratio, [method.failure_ratio for method in self.methods]) or any(
-            beyond(own, self.tenant_failures) for own in self.tenant_failures[rpc.tenant : rpc.tenant + 1]
+        return exceeds_others(
+            rpc.method.failure_ratio, [method.failure_ratio for method in self.methods]
+        ) or any(
+            exceeds_others(own, self.tenant_failures)
+            for own in self.tenant_failures[rpc.tenant : rpc.tenant + 1]
         )
 
     def update_probation(self, upstream: Upstream, outcome: int, duration: int, concurrency: int) -> None:
@@ -133,33 +136,47 @@
     ) -> None:
         """Adds a duration to the sums of its upstream, hardware class and method, and to the fitted line."""
         usual = self.baseline_duration(upstream, concurrency)
-        pace = (
+        method_factor = (
             max(0.1, rpc.method.relative_duration.estimate(3 * self.typical_duration()))
             if len(self.methods) > 1
             else 1.0
         )
         rpc.method.relative_duration.add(now, duration, usual)
-        usual *= pace
+        usual *= method_factor
         upstream.observed_duration, upstream.foreseen_duration = (
             upstream.observed_duration + duration,
             upstream.foreseen_duration + usual,
         )
-        alike = usual / self.hardware_factor(upstream)
-        kind = self.hardware_durations.setdefault(upstream.hardware, [0.0, 0.0, now])
-        keep = exp((kind[2] - now) / MAX_DECAY_TIME)
-        self.hardware_durations[upstream.hardware] = [kind[0] * keep + duration, kind[1] * keep + alike, now]
+        class_neutral_duration = usual / self.hardware_factor(upstream)
+        durations = self.hardware_durations.setdefault(upstream.hardware, [0.0, 0.0, now])
+        keep = exp((durations[2] - now) / MAX_DECAY_TIME)
+        self.hardware_durations[upstream.hardware] = [
+            durations[0] * keep + duration,
+            durations[1] * keep + class_neutral_duration,
+            now,
+        ]
         # Normalized to a warm upstream of mean size.
-        level = duration * (self.latency_base + self.latency_slope * concurrency) / alike
+        normalized_duration = (
+            duration * (self.latency_base + self.latency_slope * concurrency) / class_neutral_duration
+        )
         keep = exp((self.latency_sums_at - now) / self.decay_time)
-        seen = (1, concurrency, level, concurrency * concurrency, concurrency * level)
+        seen = (
+            1,
+            concurrency,
+            normalized_duration,
+            concurrency * concurrency,
+            concurrency * normalized_duration,
+        )
         self.latency_sums, self.latency_sums_at = (
             [old * keep + new for old, new in zip(self.latency_sums, seen, strict=True)],
             now,
         )
         # A balancer with little traffic keeps evidence longer, until it has enough.
-        few = self.latency_sums[0] < ENOUGH_SAMPLES
+        has_few_samples = self.latency_sums[0] < ENOUGH_SAMPLES
         self.decay_time = (
-            min(MAX_DECAY_TIME, self.decay_time * 1.1) if few else max(DECAY_TIME, self.decay_time / 1.1)
+            min(MAX_DECAY_TIME, self.decay_time * 1.1)
+            if has_few_samples
+            else max(DECAY_TIME, self.decay_time / 1.1)
         )
         self.fit_latency()
 
@@ -189,8 +206,8 @@
         ):
             self.record_duration(now, upstream, duration, concurrency, rpc)
         if outcome in (COMPLETED, FAILED):
-            for sort in (rpc.method.failure_ratio, *self.tenant_failures[rpc.tenant : rpc.tenant + 1]):
-                sort.add(now, float(outcome == FAILED), 1.0)
+            for ratio in (rpc.method.failure_ratio, *self.tenant_failures[rpc.tenant : rpc.tenant + 1]):
+                ratio.add(now, float(outcome == FAILED), 1.0)
         if outcome == COMPLETED:
             upstream.successes += 1
             upstream.half_open = upstream.probation_successes > 0
--- a/shedgrade/load_balancing/rpc.py
+++ b/shedgrade/load_balancing/rpc.py
@@ -37,12 +37,12 @@
         "failure_ratio",
     )
 
-    def __init__(self, settings: dict, top_payoff: float, most: int, patience: int) -> None:
+    def __init__(self, settings: dict, top_payoff: float, max_attempts: int, longest_timeout: int) -> None:
         self.name = settings.get("name")
         self.soft_deadline, self.hard_deadline = (
             max(1, int(settings[key] * 10)) for key in ("soft_deadline", "hard_deadline")
         )
-        self.longest_timeout = patience  # longest time that a client has waited for one try
+        self.longest_timeout = longest_timeout  # longest time that a client has waited for one try
         # Duration over the usual one of all methods; failed over finished attempts.
         self.relative_duration = DecayingRatio()
         self.failure_ratio = DecayingRatio()
@@ -54,7 +54,7 @@
         self.dedup_window = int(settings["repeat_window"] * 10) if self.deduplicated else 0
         # Retries after an attempt that may have run are in proportion to the payoff: the method with the
         # highest one may use all remaining attempts.
-        self.max_retries = max(1, round((most - 1) * self.payoff / top_payoff)) if top_payoff else 1
+        self.max_retries = max(1, round((max_attempts - 1) * self.payoff / top_payoff)) if top_payoff else 1
 
 
 class Rpc:
@@ -234,15 +234,15 @@
             return None if self.outstanding else self.final_answer(now)
         # Another zone has a price, so the own zone first gets that share of the soft deadline to free
         # capacity, or a quarter of what the soft deadline leaves beside the typical duration.
-        prefer_own_zone = self.arrived_at + int(
+        own_zone_until = self.arrived_at + int(
             max(
                 balancer.cross_zone_price * method.soft_deadline,
                 (method.soft_deadline - balancer.typical_duration()) / 4,
             )
         )
-        upstream = balancer.choose_upstream(now, self, now < prefer_own_zone)
-        if upstream is None and now < prefer_own_zone and not self.outstanding:
-            if balancer.enqueue(now, self, prefer_own_zone):
+        upstream = balancer.choose_upstream(now, self, now < own_zone_until)
+        if upstream is None and now < own_zone_until and not self.outstanding:
+            if balancer.enqueue(now, self, own_zone_until):
                 return None
             upstream = balancer.choose_upstream(now, self, False)
         if upstream is not None:
@@ -267,16 +267,16 @@
             and balancer.retry_tokens >= 1
         ):
             # Guards against a hang: a second upstream is tried while the soft deadline can be met.
-            patience = int(
+            hedge_delay = int(
                 max(3 * balancer.expected_duration(upstream, now), (self.soft_deadline_at - now) // 2)
             )
-            if now + patience + balancer.typical_duration() < self.soft_deadline_at:
+            if now + hedge_delay + balancer.typical_duration() < self.soft_deadline_at:
                 if balancer.hedging and self.body_buffered is None:
-                    self.hedge_at = now + patience
+                    self.hedge_at = now + hedge_delay
                     heappush(balancer.timers, (self.hedge_at, balancer.next_sequence(), self))
                 elif upstream.failures > upstream.successes:
                     # Only where more attempts failed than completed lately: elsewhere the cut work is lost.
-                    limit = min(limit, patience)
+                    limit = min(limit, hedge_delay)
         balancer.add_load(upstream, 1 - self.long_lived, int(self.long_lived))
         self.outstanding[len(self.attempts)] = max(1, upstream.in_flight) + upstream.reported_load
         upstream.last_used_at = now
@@ -294,25 +294,28 @@
         zone = balancer.zones[upstream.zone]
         concurrency = self.outstanding.pop(attempt)
         balancer.add_load(upstream, self.long_lived - 1, -self.long_lived)
-        # Guards against limits that lag: where attempts finish seldom, each counts for more.
+        # Guards against limits that lag: where attempts finish seldom, each counts for more, as if all came
+        # at one rate.
         gain = min(5.0, 0.3 + 3 * (now - zone.last_finished_at) / SECOND)
         zone.last_finished_at = now
         if outcome in (TIMED_OUT, COMPLETED) and not first_on_connection:
-            drag = balancer.method_slowness(self.method)
+            slowness = balancer.method_slowness(self.method)
             if outcome == COMPLETED:
-                over = min(1.0, duration / drag / (balancer.latency_target * self.method.soft_deadline) - 1)
-                zone.late_ratio.add(now, over > 0, 1.0, DECAY_TIME)
+                excess = min(
+                    1.0, duration / slowness / (balancer.latency_target * self.method.soft_deadline) - 1
+                )
+                zone.late_ratio.add(now, excess > 0, 1.0, DECAY_TIME)
             else:
-                over = (drag == 1) * 2.0 * zone.late_ratio.estimate(1.0)
+                excess = (slowness == 1) * 2.0 * zone.late_ratio.estimate(1.0)
             # An upstream slower than its zone is slow by itself, which says nothing of the zone's load.
-            if over > 0 and balancer.expected_duration(upstream, now) <= 1.2 * zone.typical_duration:
-                zone.concurrency_limit = max(0.1, zone.concurrency_limit * exp(-LIMIT_STEP * over * gain))
+            if excess > 0 and balancer.expected_duration(upstream, now) <= 1.2 * zone.typical_duration:
+                zone.concurrency_limit = max(0.1, zone.concurrency_limit * exp(-LIMIT_STEP * excess * gain))
                 zone.limit_ramping = False
-            elif over < 0 and zone.in_flight + 1 >= zone.concurrency_limit:
+            elif excess < 0 and zone.in_flight + 1 >= zone.concurrency_limit:
                 if zone.limit_ramping:
                     zone.concurrency_limit += RAMP_STEP
                 zone.concurrency_limit *= max(
-                    MIN_LIMIT_GROWTH if zone.concurrency_limit > 1 else 1.0, exp(-LIMIT_STEP * over * gain)
+                    MIN_LIMIT_GROWTH if zone.concurrency_limit > 1 else 1.0, exp(-LIMIT_STEP * excess * gain)
                 )
         balancer.record_outcome(now, upstream, outcome, duration, concurrency, first_on_connection, self)
         balancer.release_if_unused(upstream)
--- a/shedgrade/load_balancing/upstream.py
+++ b/shedgrade/load_balancing/upstream.py
@@ -77,7 +77,7 @@
         "delisted",
     )
 
-    def __init__(self, index: int, turns: float) -> None:
+    def __init__(self, index: int, initial_credit: float) -> None:
         self.index = index
         self.zone = None
         self.cell = 0
@@ -97,7 +97,7 @@
         self.reported_load = 0.0  # requests a core, derived from the listed size
         self.background_load = 0  # open streams there: load, but no work in flight
         self.probation_successes = 0  # successes required before it gets more than one request at a time
-        self.rotation_credit = self.slow_start_credit = turns
+        self.rotation_credit = self.slow_start_credit = initial_credit
         self.reset_health()
 
     def reset_health(self) -> None:
@@ -123,17 +123,17 @@
 
     __slots__ = ("numerator", "denominator", "decayed_at")
 
-    def __init__(self, over: float = 0.0, now: int = 0) -> None:
-        self.numerator = over
+    def __init__(self, numerator: float = 0.0, now: int = 0) -> None:
+        self.numerator = numerator
         self.denominator = 0.0
         self.decayed_at = now
 
-    def add(self, now: int, over: float, under: float, memory: float = MAX_DECAY_TIME) -> None:
+    def add(self, now: int, numerator: float, denominator: float, memory: float = MAX_DECAY_TIME) -> None:
         """Adds to both sums, after they have decayed until now."""
         keep = exp((self.decayed_at - now) / memory)
         self.numerator, self.denominator, self.decayed_at = (
-            self.numerator * keep + over,
-            self.denominator * keep + under,
+            self.numerator * keep + numerator,
+            self.denominator * keep + denominator,
             now,
         )
 
--- a/shedgrade/load_balancing/zones.py
+++ b/shedgrade/load_balancing/zones.py
@@ -53,9 +53,9 @@
         "number",
     )
 
-    def __init__(self, turn: float) -> None:
+    def __init__(self, start_position: float) -> None:
         self.rotation = []
-        self.next_position = turn
+        self.next_position = start_position
         self.in_flight = 0
         self.concurrency_limit = inf
         self.typical_duration = 0.0
@@ -112,7 +112,7 @@
                 # zone, never tries again: one request, within the slow start rate, shows that it is healthy.
                 self.reinstated.remove(upstream)
                 return self.charge_slow_start(upstream, now)
-        worst, most, open_zones = None, self.drop_threshold, []
+        worst, highest_load, open_zones = None, self.drop_threshold, []
         for zone in self.zones:
             if rpc.may_use_zone(zone):
                 if zone.concurrency_limit < 1:
@@ -121,8 +121,8 @@
                 zone.limit_read_at = now
                 open_zones.append(zone)
                 load = zone.in_flight / len(zone.rotation)
-                if load >= most and (worst is None or load > most):
-                    worst, most = zone, load
+                if load >= highest_load and (worst is None or load > highest_load):
+                    worst, highest_load = zone, load
         if worst is not None and len(open_zones) > 1:
             open_zones.remove(worst)
         open_zones = [zone for zone in open_zones if zone not in rpc.rejecting_zones] or open_zones
@@ -167,7 +167,7 @@
             if isinstance(zone.next_position, float)
             else zone.next_position % size
         )
-        load_limit, over = (zone.in_flight + zone.background_load) / size + LOAD_MARGIN, None
+        load_limit, fallback = (zone.in_flight + zone.background_load) / size + LOAD_MARGIN, None
         for step in range(min(size, MAX_CANDIDATES)):
             upstream = rotation[(start + step) % size]
             if upstream in rpc.attempts or not rpc.may_send_to(upstream, now):
@@ -180,18 +180,20 @@
                 continue
             # Guards against mixed speeds: over time the slower an upstream, the fewer turns it gets, and
             # requests of high payoff, with most to lose, go elsewhere. A fast upstream takes every turn.
-            swift = max(ALWAYS_FAST_SHARE * self.shortest_soft_deadline, FAST_FACTOR * zone.typical_duration)
-            upstream.rotation_credit += 1.0 if expected <= swift else (swift / expected) ** 2
+            fast_duration = max(
+                ALWAYS_FAST_SHARE * self.shortest_soft_deadline, FAST_FACTOR * zone.typical_duration
+            )
+            upstream.rotation_credit += 1.0 if expected <= fast_duration else (fast_duration / expected) ** 2
             if (
                 upstream.in_flight + upstream.background_load <= load_limit
                 and upstream.rotation_credit >= 1
-                and (expected <= swift or rpc.payoff <= self.mean_payoff)
+                and (expected <= fast_duration or rpc.payoff <= self.mean_payoff)
             ):
                 upstream.rotation_credit -= 1
                 zone.next_position = (start + step + 1) % size
                 return self.charge_slow_start(upstream, now)
-            over = over or upstream
-        return over and self.charge_slow_start(over, now)
+            fallback = fallback or upstream
+        return fallback and self.charge_slow_start(fallback, now)
 
     def charge_slow_start(self, upstream: Upstream, now: int) -> Upstream:
         """Takes one request from the slow start credit of the chosen upstream, if it is warming up."""
