--- a/tests/load_balancing/test_guards.py
+++ b/tests/load_balancing/test_guards.py
@@ -1,4 +1,4 @@
-"""One short test for each failure found: what is guarded against, on the module alone."""
+"""One short test for each failure found, on the load balancing module alone."""
 
 from helpers import balancer, method, row, settings
 
@@ -13,7 +13,7 @@
     return rpc, rpc.decide(now)
 
 
-def test_a_refused_connection_sets_aside_for_two_to_three_seconds_and_returns_one_at_a_time():
+def test_a_refused_connection_ejects_for_two_to_three_seconds_then_allows_one_request_at_a_time():
     b = balancer(settings(), [(0, 0), (1, 0)])
     rpc, (up, _) = send(b)
     rpc.attempt_finished(10, 0, load_balancing.UNCONNECTED, 10, False)
@@ -26,7 +26,7 @@
     assert [send(b, back)[1][0] for _ in range(6)].count(up) == 1
 
 
-def test_fast_errors_set_aside_and_at_most_half_of_all():
+def test_fast_errors_eject_at_most_half_of_the_upstreams():
     b = balancer(settings([method("once")]), [(up, 0) for up in range(4)])
     for now in range(40):
         rpc, answer = send(b, now)
@@ -36,7 +36,7 @@
     assert sum(up.ejected_until > 40 for up in b.upstreams.values()) == 2
 
 
-def test_late_ends_shrink_the_window_of_their_zone_only_where_the_upstream_is_ordinary():
+def test_late_attempts_lower_the_limit_of_their_zone_only_where_the_upstream_is_of_usual_speed():
     for worse in (1.0, 2.0):
         b = balancer(settings(zones=2), [(0, 0), (1, 0), (2, 1)])
         b.zones[0].concurrency_limit = b.zones[1].concurrency_limit = 9.0
@@ -46,7 +46,7 @@
         assert (b.zones[0].concurrency_limit < 9.0) == (worse == 1.0) and b.zones[1].concurrency_limit == 9.0
 
 
-def test_a_full_own_zone_is_waited_for_and_then_left_for_another():
+def test_a_full_own_zone_is_waited_for_before_another_zone_is_used():
     b = balancer(settings(zones=2, prices={"cross_zone": 0.4}), [(0, 0), (1, 1)])
     b.zones[0].concurrency_limit = 1.0
     assert send(b)[1][0] == 0
@@ -55,7 +55,7 @@
     assert [r for r in b.due(2000) if r.decide(2000)[0] == 1] == [rpc]
 
 
-def test_the_dearest_is_held_first_and_hopeless_ones_are_exhausted_at_once():
+def test_the_queue_serves_the_highest_payoff_first_and_hopeless_requests_are_exhausted_at_once():
     b = balancer(settings([method(payoff=1.0), method(payoff=5.0)]), ONE)
     b.zones[0].concurrency_limit = 1.0
     out, _ = send(b)
@@ -67,7 +67,7 @@
     assert send(b, 20)[1][0] == load_balancing.EXHAUSTED
 
 
-def test_a_cold_upstream_gets_no_more_than_this_balancers_part_of_its_budget():
+def test_a_warming_upstream_gets_no_more_than_this_balancers_share_of_its_rate():
     conf = settings(balancers=4)
     b = balancer(conf, [])
     b.list_changed(50000, [row(0, started=50000)], True, True)
@@ -77,7 +77,7 @@
         if answer is not None and answer[0] == 0:
             sends.append(now)
             rpc.attempt_finished(now, 0, load_balancing.COMPLETED, 10, True)
-    span, rules, rate = 20000, conf["rules"], 1.5 / 10  # one RPC a 10/1.5 tenths of a ms, as learned
+    span, rules, rate = 20000, conf["rules"], 1.5 / 10  # one request a 10/1.5 tenths of a ms, as learned
     for at in sends:
         share = rules["cold_from"] + (1 - rules["cold_from"]) * min(1.0, (at + span - 50000) / 100000)
         count = sum(at <= other < at + span for other in sends)
@@ -85,12 +85,12 @@
     assert len(sends) > 40
 
 
-def test_many_light_balancers_together_keep_to_the_budget_of_a_cold_upstream_and_use_it():
+def test_many_balancers_with_little_traffic_keep_to_the_rate_of_a_warming_upstream_and_use_it():
     conf, sends, rate = settings([method("once")], balancers=200), [], 0
     fleet = [balancer(conf, [(up, 0) for up in range(20)], seed) for seed in range(200)]
     for b in fleet:
         b.latency_sums = [part / 100 for part in b.latency_sums]
-    for now in range(100, 150000, 100):  # one RPC a second each, cold from 50000 on
+    for now in range(100, 150000, 100):  # one request a second each; upstream 0 warms up from 50000 on
         for b in fleet[now // 100 % 100 :: 100]:
             if 50000 <= now < 60000:
                 b.list_changed(now, [row(0, started=50000)], False, True)
@@ -99,7 +99,7 @@
                 rate += now < 50000
                 sends += [now] if answer[0] == 0 and now >= 50000 else []
                 rpc.attempt_finished(now, 0, load_balancing.COMPLETED, 10, True)
-    warm = rate / 20 / 5  # a second, at a warm upstream
+    warm = rate / 20 / 5  # requests a second, at a warm upstream
     for second in range(2, 10):
         share = 0.2 + 0.8 * second / 10
         count = sum(50000 + 10000 * (second - 2) <= at < 50000 + 10000 * second for at in sends)
@@ -107,7 +107,7 @@
     assert len(sends) > warm
 
 
-def test_the_last_resort_of_many_balancers_is_not_one_and_the_same_upstream():
+def test_balancers_choose_different_upstreams_as_last_resort():
     picks = set()
     for seed in range(20):
         b = balancer(settings(), [(up, 0) for up in range(8)], seed)
@@ -117,7 +117,7 @@
     assert len(picks) > 4
 
 
-def test_slow_kinds_get_fewer_turns_also_at_upstreams_never_met():
+def test_slow_hardware_classes_get_fewer_turns_also_at_upstreams_not_used_yet():
     b = balancer(settings([method("once", soft=100.0)]), [])
     b.list_changed(0, [row(up, kind=up % 2) for up in range(20)], True, True)
     b.zones[0].concurrency_limit, picks = 99.0, []
@@ -129,7 +129,7 @@
     assert 5 < slow < len(picks[60:]) / 3 and len(set(picks)) == 20
 
 
-def test_a_window_below_one_admits_its_part_and_fades_when_nothing_confirms_it():
+def test_a_limit_below_one_admits_its_fraction_and_decays_when_nothing_confirms_it():
     b = balancer(settings([method("once")], zones=2), [(0, 0), (1, 1)])
     b.zones[0].concurrency_limit, sent = 0.5, []
     for now in range(200):
@@ -143,7 +143,7 @@
     assert b.zones[0].concurrency_limit > 0.9
 
 
-def test_a_failed_call_for_the_list_is_repeated_within_what_is_allowed():
+def test_a_failed_request_for_the_list_is_retried_within_the_allowed_interval():
     b = load_balancing.Balancer(settings(membership_mode="on_request"), 1, 0)
     now, asked = 0, []
     while now < 600000:
@@ -165,7 +165,7 @@
     assert b.zones[0].rotation == [b.upstreams[0]] and not b.upstreams[0].half_open
 
 
-def test_a_slow_retriable_rpc_gets_a_second_copy_and_the_loser_is_stopped():
+def test_a_slow_retriable_request_is_hedged_and_the_losing_attempt_is_stopped():
     b = balancer(settings([method(soft=900.0)], limits={"parallel_tries": True}), [(0, 0), (1, 0)])
     rpc, (first, _) = send(b)
     at = b.wake_at()
@@ -175,7 +175,7 @@
     assert rpc.attempt_finished(at + 9, 1, load_balancing.COMPLETED, 9, True) == [0]
 
 
-def test_without_parallel_tries_a_limit_before_the_soft_deadline_only_where_more_fails_than_completes():
+def test_without_hedging_an_attempt_is_cut_before_the_soft_deadline_only_where_failures_outnumber_successes():
     b = balancer(settings([method(soft=900.0)]), ONE)
     rpc, (_, limit) = send(b)
     assert limit == 9000 - 20
@@ -184,7 +184,7 @@
     assert send(b, 5)[1][1] < 5000
 
 
-def test_a_held_rpc_that_is_overtaken_past_its_time_is_exhausted_at_once():
+def test_a_queued_request_that_is_overtaken_past_its_time_is_exhausted_at_once():
     b = balancer(settings([method(payoff=1.0), method(payoff=5.0)]), ONE)
     b.zones[0].concurrency_limit, b.latency_sums = 1.0, [100.0, 100.0, 80000.0, 100.0, 80000.0]
     send(b)
@@ -195,7 +195,7 @@
     assert not any(rpc.done for rpc in dear)
 
 
-def test_no_second_copy_follows_a_streamed_answer_that_has_begun():
+def test_no_hedge_follows_a_streamed_response_that_has_begun():
     b = balancer(settings([method(soft=900.0)], limits={"parallel_tries": True}), [(0, 0), (1, 0)])
     rpc, _ = send(b)
     rpc.response_started()
@@ -203,16 +203,16 @@
     assert [r.decide(at) for r in b.due(at)] == [None]
 
 
-def test_what_is_gone_with_nothing_out_is_forgotten_and_its_index_inherits_nothing():
+def test_a_removed_upstream_with_nothing_outstanding_is_forgotten_and_its_index_inherits_nothing():
     b = balancer(settings([method("once", soft=5000.0, hard=5000.0)]), [(0, 0), (1, 0)])
     rpc = b.admit(0, 0, 40000)
     up, _ = rpc.decide(0)
     b.upstreams[up].failures, b.upstreams[1 - up].failures = 7.0, 7.0
     b.list_changed(1, [row(up, state=load_balancing.REMOVED)], False, True)
-    assert b.take_released() == [] and up in b.upstreams  # its RPC is still out
+    assert b.take_released() == [] and up in b.upstreams  # its request is outstanding
     rpc.attempt_finished(2, 0, load_balancing.COMPLETED, 2, True)
     assert b.take_released() == [up] and list(b.upstreams) == [1 - up] and b.zones[0].in_flight == 0
-    b.list_changed(3, [row(up)], True, True)  # whole: the other is gone, and this one is a new one
+    b.list_changed(3, [row(up)], True, True)  # the complete list: the other one is gone, and this one is new
     assert b.take_released() == [1 - up] and list(b.upstreams) == [up] and b.upstreams[up].failures == 0
     b.list_changed(
         4, [row(up, state=load_balancing.REMOVED), row(up), row(9, state=load_balancing.REMOVED)], False, True
@@ -220,8 +220,8 @@
     assert b.take_released() == [9] and b.zones[0].rotation == [b.upstreams[up]] and b.ready_count == 1
 
 
-def test_one_connection_that_broke_sets_nobody_aside_and_its_rpc_goes_elsewhere():
-    # Resets of new connections all over the fleet had set eight of twelve aside, one reset each.
+def test_one_broken_connection_ejects_no_upstream_and_its_request_goes_elsewhere():
+    # Resets of new connections across the fleet ejected eight of twelve upstreams, after one reset each.
     b = balancer(settings([method("once")]), [(up, 0) for up in range(4)])
     rpc = b.admit(0, 0, 9000)
     first = rpc.decide(0)[0]
@@ -232,8 +232,8 @@
     assert b.upstreams[first].ejected_until and b.ejected_count == 1
 
 
-def test_what_a_first_request_on_its_connection_takes_is_not_held_against_its_upstream():
-    # Connections cost most of the soft deadline: windows shrank and sound upstreams went aside.
+def test_the_duration_of_the_first_request_on_a_connection_does_not_count_against_its_upstream():
+    # Where a connection setup took most of the soft deadline, limits fell and healthy upstreams were ejected.
     b = balancer(settings([method("once", soft=150.0, hard=400.0)]), [(0, 0), (1, 0)])
     window, sums, kinds = b.zones[0].concurrency_limit, b.latency_sums, dict(b.hardware_durations)
     for now in range(0, 300, 100):
@@ -248,11 +248,12 @@
     )
     for _ in range(3):
         b.record_outcome(400, b.upstreams[0], load_balancing.TIMED_OUT, 1480, 1, True, rpc)
-    assert b.ejected_count == 1  # one that never answers is still found out
+    assert b.ejected_count == 1  # an upstream that never answers is still ejected
 
 
-def test_an_rpc_that_was_turned_away_in_its_zone_goes_to_another_one_next():
-    # A zone that is short turned the same RPC away until it had no transmission left, while others had room.
+def test_a_request_rejected_in_its_zone_goes_to_another_zone_next():
+    # In a zone short of capacity the same request was rejected until it had no attempt left, while other
+    # zones had room.
     b = balancer(settings([method("once")], zones=3), [(up, up // 3) for up in range(9)])
     rpc, (first, _) = send(b)
     rpc.attempt_finished(10, 0, load_balancing.REJECTED, 10, False)
@@ -260,11 +261,12 @@
     rpc.attempt_finished(20, 1, load_balancing.REJECTED, 10, False)
     third, _ = rpc.decide(20)
     assert first < 3 and {second // 3, third // 3} == {1, 2}
-    assert send(b, 30)[1][0] < 3  # another RPC begins in its own zone
+    assert send(b, 30)[1][0] < 3  # another request starts in its own zone
 
 
-def test_a_time_out_among_quick_completions_is_no_crowd():
-    # Where answers get lost the rest come as quickly as ever: windows shrank, and up to a fifth was refused.
+def test_a_timeout_among_quick_completions_is_not_taken_for_overload():
+    # Where some answers are lost the others come as quickly as ever: limits fell, and up to a fifth of the
+    # requests was rejected.
     left = {}
     for quick in (True, False):
         b = balancer(settings(), [(up, 0) for up in range(8)])
@@ -280,7 +282,7 @@
 
 
 def ends(b, now, number, outcome, took, tenant=0, count=1):
-    """So many RPCs one after another; the answers after the first transmission."""
+    """Runs `count` requests one after another; returns the decisions after their first attempts."""
     told = []
     for step in range(count):
         rpc = b.admit(now + step, number, now + step + 20_000, tenant=tenant)
@@ -292,8 +294,9 @@
     return told
 
 
-def test_a_method_that_drags_wherever_it_goes_shrinks_no_window_and_sets_nobody_aside():
-    # One method's RPCs waited on something else for twice their soft deadline: up to 74% of all were refused.
+def test_a_method_slow_at_every_upstream_lowers_no_limit_and_ejects_no_upstream():
+    # One method's requests waited on something else for twice their soft deadline: up to 74% of all requests
+    # were rejected.
     methods = [{**method("once", soft=500.0, hard=2000.0), "name": name} for name in "ab"]
     b = balancer(settings(methods), [(up, 0) for up in range(6)])
     for step in range(60):
@@ -311,8 +314,8 @@
     assert b.zones[0].in_flight == flight and b.zones[0].background_load == 0
 
 
-def test_what_fails_wherever_it_goes_costs_one_transmission_and_no_upstream():
-    # Errors of one tenant's RPCs alone set half of the upstreams aside, and each was sent up to five times.
+def test_a_tenant_failing_at_every_upstream_costs_one_attempt_and_ejects_no_upstream():
+    # Errors of one tenant's requests alone ejected half of the upstreams, and each was sent up to five times.
     customers = [{"name": name, "allowance_per_s": 1e4} for name in "ab"]
     b = balancer(settings(customers=customers), [(up, 0) for up in range(6)])
     for step in range(40):
@@ -325,10 +328,10 @@
     rpc = b.admit(100_000, 0, 120_000)
     rpc.decide(100_000)
     rpc.attempt_finished(100_001, 0, load_balancing.FAILED, 60, False)
-    assert rpc.decide(100_001)[0] >= 0  # what fails of another tenant may go again
+    assert rpc.decide(100_001)[0] >= 0  # a failed request of another tenant may be retried
 
 
-def test_failures_of_all_alike_are_the_upstreams_own():
+def test_failures_of_all_tenants_alike_are_attributed_to_the_upstreams():
     customers = [{"name": name, "allowance_per_s": 1e4} for name in "ab"]
     b = balancer(settings(customers=customers), [(up, 0) for up in range(6)])
     for step in range(40):
@@ -336,7 +339,7 @@
     assert b.ejected_count == 3
 
 
-def test_a_start_is_over_in_seconds_where_nothing_comes_late():
+def test_limits_ramp_up_in_seconds_where_nothing_is_late():
     b = balancer(settings(balancers=100), [(up, 0) for up in range(6)])
     assert b.zones[0].concurrency_limit == 1
     for step in range(40):
@@ -346,7 +349,7 @@
     assert b.zones[0].concurrency_limit > 4
 
 
-def test_windows_aim_lower_where_more_than_a_few_late_ones_cost():
+def test_limits_aim_at_a_lower_latency_where_more_than_a_few_late_requests_have_a_price():
     aims = [
         balancer(settings(objective_mix=mix), ONE).latency_target
         for mix in (
@@ -359,7 +362,7 @@
     assert aims[0] == aims[1] == aims[3] == load_balancing.LATENCY_TARGET_SHARE and 0.3 < aims[2] < 0.36
 
 
-def test_where_only_draining_binds_what_the_list_lacks_is_used_until_it_fails():
+def test_where_only_draining_binds_a_delisted_upstream_is_used_until_it_fails():
     conf = settings()
     for stay in (True, False):
         conf["rules"]["dropped_stay_open"] = stay
@@ -380,8 +383,8 @@
             assert b.upstreams[0].listed and not b.upstreams[0].delisted
 
 
-def test_an_end_after_the_last_upstream_drained_is_an_end_like_any():
-    # With no upstream ready the foreseen time was 0, and learning from the end divided by it.
+def test_an_attempt_may_finish_after_the_last_upstream_drained():
+    # With no upstream ready the expected duration was 0, and recording the outcome divided by it.
     for names in ("a", "ab"):
         b = balancer(settings([{**method(), "name": name} for name in names]), [(0, 0), (1, 0)])
         out = [send(b, 0, len(names) - 1)[0] for _ in range(2)]
@@ -393,7 +396,7 @@
         assert b.in_flight == 0 and all(up.in_flight == 0 for up in b.upstreams.values())
 
 
-def test_a_marked_retry_told_a_few_ms_late_by_a_busy_loop_is_not_taken_for_one_cut_by_its_hard_deadline():
+def test_a_marked_retry_delayed_a_few_ms_by_a_busy_loop_is_not_taken_for_one_cut_by_its_hard_deadline():
     for late, refused in ((50, False), (1000, True)):
         b = balancer(settings([method(soft=2000.0, hard=3000.0)], tick=1.0), ONE)
         first, _ = send(b, 0, 0, 8000)
@@ -402,7 +405,7 @@
         assert (answer[0] < 0) == refused
 
 
-def test_what_is_dear_passes_over_the_slow_while_something_quick_has_room():
+def test_high_payoff_requests_skip_slow_upstreams_while_a_fast_one_has_capacity():
     b = balancer(settings([method(payoff=1.0), method(payoff=5.0)]), [(up, 0) for up in range(4)])
     b.zones[0].concurrency_limit = 99.0
     for up in b.upstreams.values():  # two are far slower than the other two, and slow for the soft deadline
@@ -417,15 +420,15 @@
     for up in (2, 3):
         b.add_load(b.upstreams[up], 200, 0)
     b.zones[0].concurrency_limit = 999.0
-    assert send(b, 0, 1)[1][0] in (0, 1)  # the quick have no room: a slow one is better than none
+    assert send(b, 0, 1)[1][0] in (0, 1)  # the fast ones are at capacity: a slow one is better than none
 
 
-def test_a_sidecar_that_has_just_started_reckons_its_part_of_a_cold_upstream_by_the_time_there_was():
-    for every in (10**9, 3):  # no end is the first on its connection, then each third one
+def test_a_sidecar_that_has_just_started_takes_its_slow_start_share_over_the_time_observed():
+    for every in (10**9, 3):  # no attempt is the first on its connection, then every third one is
         b = load_balancing.Balancer(settings(), 1, 0)
         b.list_changed(0, [row(up) for up in range(4)] + [row(9, started=1)], True, True)
         cold = 0
-        for step in range(80):  # 40 a second for 2 s: 8 an upstream and second, at 0.2 and more of it
+        for step in range(80):  # 40 a second for 2 s: 8 an upstream and second, of which 0.2 and more
             now = step * 250 + 1
             rpc = b.admit(now, 0, now + 9000)
             rpc.decide(now)
@@ -437,21 +440,18 @@
         assert 6 <= cold <= 3 * 0.4 * 8 * 2 + 1
 
 
-def test_a_process_that_takes_over_has_the_part_of_a_cold_upstream_that_the_older_one_had():
+def test_a_process_that_takes_over_keeps_the_slow_start_share_of_the_older_one():
     older = balancer(settings(), [(up, 0) for up in range(4)])
     b = load_balancing.Balancer(settings(), 1, 1000)
     b.list_changed(1000, [row(up) for up in range(4)] + [row(9, started=1000)], True, True)
     learned_state.restore(b, 1000, learned_state.export(older, 1000), 0.0)
-    assert b.has_slow_start_credit(
-        b.upstreams[9], 1000 + 2 * load_balancing.SECOND
-    )  # 20 a second over five, of which 0.2 at least
+    # 20 a second over five upstreams, of which 0.2 at least.
+    assert b.has_slow_start_credit(b.upstreams[9], 1000 + 2 * load_balancing.SECOND)
 
 
-def test_the_first_second_counts_against_own_pace_at_a_start_only():
+def test_the_least_observation_time_of_one_second_applies_at_a_start_only():
     b = balancer(settings(), [(up, 0) for up in range(4)])
     b.list_changed(0, [row(9, started=1)], False, True)
-    b.finish_rate.denominator, b.upstreams[9].slow_start_credit = (
-        5 * load_balancing.SECOND,
-        0.0,
-    )  # 20 a second over five
+    # 20 a second over five upstreams.
+    b.finish_rate.denominator, b.upstreams[9].slow_start_credit = 5 * load_balancing.SECOND, 0.0
     assert b.has_slow_start_credit(b.upstreams[9], 55 * load_balancing.SECOND // 100)
--- a/tests/load_balancing/test_in_memory.py
+++ b/tests/load_balancing/test_in_memory.py
@@ -1,4 +1,4 @@
-"""The turn and a connection of the application, in memory, on generated happenings."""
+"""The dispatcher and a client's connection, in memory, on generated sequences of events."""
 
 import socket
 from collections import Counter
@@ -19,7 +19,7 @@
 
 
 class Loop:
-    """Time stands still until it is moved on; what was called soon runs when told."""
+    """A loop with a manual clock; scheduled calls run on `run`, timers on `wait`."""
 
     def __init__(self):
         self.time, self.soon, self.timers = 0, [], []
@@ -68,12 +68,12 @@
     def errored(self):
         self.finals.append("errored")
 
-    def has_left(self):  # unseen by the turn; what it was told of is in `left`
+    def has_left(self):  # never noticed by the dispatcher itself; a reported end is in `left`
         return False
 
 
 class Day:
-    """A turn with a stand-in for everything round it; holds what it does against what is allowed."""
+    """A dispatcher with stand-ins for its surroundings; counts its violations."""
 
     def __init__(self, conf):
         self.loop, self.active_request, self.out, self.told, self.wrong = Loop(), [], [], Counter(), 0
@@ -130,7 +130,7 @@
 @seed(2)
 @GENERATED
 @given(st.lists(STEP, max_size=60), st.booleans())
-def test_every_rpc_gets_one_answer_in_time_and_every_outcome_is_told_once(steps, parallel):
+def test_every_request_gets_one_answer_in_time_and_every_outcome_is_reported_once(steps, parallel):
     conf = settings([method("repeatable"), method("once")], zones=2, limits={"parallel_tries": parallel})
     with no_faults():
         live(conf, steps)
@@ -149,7 +149,7 @@
             if what == "take":
                 day.take(a, b)
             elif what == "end":
-                day.end(a, b)  # also one that has ended before: nobody must hear of it again
+                day.end(a, b)  # maybe of an attempt that has finished, which must not be reported again
             elif what == "list":
                 day.dispatcher.list_changed([row(a, a % 2, b)], False, True)
             elif what == "leave" and day.active_request:
@@ -186,7 +186,7 @@
 
 
 class Transport:
-    """Takes what is written, all at once or only when told."""
+    """Records what is written, at once or, while `slow`, on `flush`."""
 
     def __init__(self, connection):
         self.connection, self.written, self.views, self.slow, self.reading = connection, b"", [], False, True
@@ -216,7 +216,7 @@
         self.closed = True
 
     def get_extra_info(self, name):
-        return PAIR[0]  # with nothing unread and nothing that is still to be taken
+        return PAIR[0]  # with nothing to read and nothing left to send
 
     def get_write_buffer_size(self):
         return sum(map(len, self.views))
@@ -232,7 +232,7 @@
 
 
 def sidecar(taken):
-    """As much of one as a connection of the application calls; `taken` gets what it takes."""
+    """Stands in for a sidecar, as far as a client's connection uses it; `taken` collects its requests."""
     dispatcher = SimpleNamespace(
         submit=lambda active_request, *_: taken.append(active_request),
         client_disconnected=lambda active_request: None,
@@ -266,7 +266,7 @@
     st.lists(st.booleans(), min_size=1, max_size=5),
     st.lists(st.integers(0, 5), min_size=1, max_size=9),
 )
-def test_requests_cut_anyhow_are_answered_once_each_and_in_order(bodies, cuts, slow, order):
+def test_requests_split_at_any_byte_are_answered_once_each_and_in_order(bodies, cuts, slow, order):
     taken = []
     connection = RpcConnection(sidecar(taken))
     transport = Transport(connection)
@@ -320,7 +320,7 @@
         max_size=8,
     )
 )
-def test_nothing_that_comes_in_gets_past_the_connection_as_an_exception(pieces):
+def test_no_input_raises_an_exception_out_of_the_connection(pieces):
     taken = []
     connection = RpcConnection(sidecar(taken))
     transport = Transport(connection)
--- a/tests/load_balancing/test_list.py
+++ b/tests/load_balancing/test_list.py
@@ -1,4 +1,4 @@
-"""What discovery may say of upstreams that this sidecar does not know."""
+"""Messages of discovery about upstreams that this sidecar does not know."""
 
 import pytest
 from helpers import settings
@@ -19,25 +19,25 @@
     return {"generation": number, "reset": False, "instances": list(entries)}
 
 
-def test_the_end_of_an_upstream_that_was_never_known_does_not_hold_up_the_rest_of_the_list():
+def test_the_removal_of_an_unknown_upstream_does_not_block_the_rest_of_the_list():
     reader = ListReader({**settings(zones=1), "zones": ["0"]})
     reader.read({"generation": 1, "reset": True, "instances": [whole("a"), whole("b")]})
-    # c came and went between two calls; b's drain stands in the same answer and must not be lost with it.
+    # c started and terminated between two requests; the same answer drains b, which must not be lost.
     rows, _, _ = reader.read(changes(2, told("c", "terminated"), told("b", "terminating")))
     assert [row[2] for row in rows] == [load_balancing.DRAINING] and reader.version == 2
     rows, _, _ = reader.read(changes(3, told("b", "terminated")))
     assert [row[2] for row in rows] == [load_balancing.REMOVED]
     reader.forget(rows[0][0])
-    rows, _, _ = reader.read(changes(4, told("b", "terminated"), whole("d")))  # told once more
+    rows, _, _ = reader.read(changes(4, told("b", "terminated"), whole("d")))  # b is removed once more
     assert [row[2] for row in rows] == [load_balancing.READY] and reader.version == 4
     rows, _, _ = reader.read(changes(5, told("e", "terminating"), told("d", "terminating")))
     assert [row[2] for row in rows] == [load_balancing.DRAINING] and reader.version == 5
 
 
 @pytest.mark.parametrize("entry", [told("e", "in_service"), told("f", "gone"), whole("g", "asleep"), {}, 7])
-def test_an_answer_that_cannot_be_read_changes_nothing_of_the_list(entry):
+def test_an_invalid_answer_changes_nothing_of_the_list(entry):
     reader = ListReader({**settings(zones=1), "zones": ["0"]})
     reader.read({"generation": 1, "reset": True, "instances": [whole("a")]})
     with pytest.raises(ListError):
-        reader.read(changes(2, told("a", "terminating"), entry))  # what may be used must be said in full
+        reader.read(changes(2, told("a", "terminating"), entry))  # an entry in service must be complete
     assert reader.version == 1 and reader.told["a"]["lifecycle"] == "in_service"
--- a/tests/load_balancing/test_mechanism.py
+++ b/tests/load_balancing/test_mechanism.py
@@ -1,4 +1,4 @@
-"""The design's mechanism, on the module alone."""
+"""Zone choice, rotation, list changes and retries, on the load balancing module alone."""
 
 from collections import Counter
 
@@ -14,7 +14,7 @@
     assert sorted(picks[:2]) == [2, 3] and picks[:2] == picks[2:]
 
 
-def test_own_zone_at_the_threshold_is_dropped_and_others_drawn_by_size():
+def test_own_zone_at_the_threshold_is_skipped_and_others_are_drawn_by_size():
     drawn = Counter()
     for seed in range(400):
         b = balancer(settings(zones=3), [(0, 0), (1, 1), (2, 1), (3, 1), (4, 2)], seed)
@@ -23,7 +23,7 @@
     assert 260 < drawn[1] < 340
 
 
-def test_only_the_worst_zone_is_dropped():
+def test_only_the_most_loaded_zone_is_skipped():
     b = balancer(settings(zones=2, az=0), [(0, 0), (1, 1)])
     for upstream, flight in ((0, 3), (1, 4)):
         b.upstreams[upstream].in_flight = b.zones[upstream].in_flight = flight
@@ -31,13 +31,13 @@
     assert b.admit(0, 0, 9000).decide(0)[0] == 0
 
 
-def test_an_upstream_well_above_the_mean_is_passed_over():
+def test_an_upstream_well_above_the_mean_load_is_skipped():
     b = balancer(settings(), [(0, 0), (1, 0), (2, 0)])
     b.upstreams[1].in_flight = b.zones[0].in_flight = 4
     assert [b.admit(0, 0, 9000).decide(0)[0] for _ in range(3)].count(1) == 0
 
 
-def test_list_changes_keep_counts_and_drains_leave_at_once():
+def test_list_changes_keep_counts_and_draining_upstreams_leave_rotation_at_once():
     b = balancer(settings(), [(0, 0), (1, 0)])
     picks = [b.admit(0, 0, 9000).decide(0)[0] for _ in range(2)]
     b.list_changed(1, [row(0, 0, load_balancing.DRAINING), row(2)], False, True)
@@ -45,7 +45,7 @@
     assert {b.admit(1, 0, 9000).decide(1)[0] for _ in range(2)} == {1, 2}
 
 
-def test_nothing_listed_is_exhausted_at_once():
+def test_a_request_with_nothing_listed_is_exhausted_at_once():
     assert balancer(settings(), []).admit(0, 0, 9000).decide(0)[0] == load_balancing.EXHAUSTED
 
 
@@ -57,7 +57,7 @@
     assert b.admit(5500, 0, 11500, True).decide(5500)[0] == 0
 
 
-def test_invariants_hold_until_a_count_is_wrong():
+def test_check_invariants_fails_once_a_count_is_wrong():
     b = balancer(settings(zones=2), [(0, 0), (1, 1)])
     b.check_invariants()
     b.zones[0].in_flight += 1
--- a/tests/load_balancing/test_parts.py
+++ b/tests/load_balancing/test_parts.py
@@ -1,4 +1,4 @@
-"""Parts of zones, sizes that move with load, tenants: what deployments with shared connections need."""
+"""Subsets of zones, sizes that vary with load, tenants: what deployments with shared connections need."""
 
 from math import isclose
 
@@ -23,16 +23,16 @@
 
 
 def mark(up):
-    return up * 2654435761 % 2**32  # as ids are hashed
+    return up * 2654435761 % 2**32  # stands in for the hash of an id
 
 
 def fleet(count, zones=2, **more):
     return [(up, up % zones, load_balancing.READY, 0, 0, mark(up), 1.0, 0) for up in range(count)]
 
 
-def test_parts_are_small_and_even_over_the_upstreams_of_a_zone():
-    # Each of 300 sidecars had a connection to each of 60 upstreams, which accept some tens: over half of all
-    # transmissions got none.
+def test_subsets_are_small_and_even_over_the_upstreams_of_a_zone():
+    # Each of 300 sidecars had a connection to each of 60 upstreams, which accept a few tens: over half of all
+    # attempts got none.
     kept = dict.fromkeys(range(60), 0)
     for number in range(300):
         b = sidecar(number, 300, fleet(60), own=number % 2)
@@ -43,7 +43,7 @@
     assert max(kept.values()) - min(kept.values()) <= 1
 
 
-def test_a_small_fleet_is_kept_to_whole_and_a_big_upstream_by_more_sidecars():
+def test_a_small_fleet_is_used_whole_and_a_large_upstream_by_more_sidecars():
     assert len(sidecar(0, 3, fleet(6)).zones[0].subset) == 3
     rows = [(*one[:6], 4.0 if one[0] == 0 else 1.0, 0) for one in fleet(20, zones=1)]
     count = sum(
@@ -54,7 +54,7 @@
     assert count > 2 * even
 
 
-def test_a_change_of_one_upstream_moves_few_parts():
+def test_a_change_of_one_upstream_changes_few_subsets():
     moved = 0
     for number in range(200):
         b = sidecar(number, 200, fleet(40, zones=1), zones=1)
@@ -72,8 +72,8 @@
         assert len(b.zones[0].rotation) == 20 and b.zones[0].subset is None
 
 
-def test_the_last_resort_opens_no_connection_beyond_the_part():
-    # With all of its part refusing, a sidecar went through the whole fleet and filled every table.
+def test_the_last_resort_opens_no_connection_beyond_the_subset():
+    # A sidecar whose whole subset refused tried the entire fleet and filled every connection table.
     b = sidecar(0, 750, fleet(64, zones=4), zones=4)
     kept = {up.index for zone in b.zones for up in zone.subset}
     for index in kept:
@@ -92,20 +92,20 @@
     return b
 
 
-def test_a_size_that_load_lowers_keeps_what_its_kind_has_at_rest_and_tells_what_is_held():
+def test_a_listed_size_lowered_by_load_keeps_the_nominal_capacity_and_gives_the_load():
     b = live([(0, 2.0, 0), (1, 1.5, 1), (2, 0.5, 0)])
     assert [b.upstreams[up].capacity for up in range(3)] == [2.0, 1.5, 2.0] and b.total_capacity == 5.5
     for step in range(30):
         live([(0, 2.0, 0), (1, 1.5, 1), (2, 0.5, 0)], step, b)
     assert [round(b.upstreams[up].reported_load, 3) for up in range(3)] == [0.0, 0.0, 3.0]
     assert round(b.zones[0].reported_load, 3) == 1.0
-    live([(2, 2.0, 0)], 40, b)  # one renewal is chance: it moves the figure by a part
+    live([(2, 2.0, 0)], 40, b)  # a single report may be noise: it moves the value in part
     assert 1.0 < b.upstreams[2].reported_load < 2.0 and b.total_capacity == 5.5
     live([(1, 0.0, 1)], 41, b)  # no size is no load
     assert b.upstreams[1].reported_load == 0.0
 
 
-def test_what_the_list_tells_is_held_there_makes_an_upstream_slower_in_foresight():
+def test_load_reported_by_the_list_raises_the_expected_duration():
     b = live([(0, 1.0, 0), (1, 1.0, 0)])
     calm = b.expected_duration(b.upstreams[0], 0)
     for step in range(10):
@@ -115,8 +115,9 @@
     )
 
 
-def test_a_zone_that_the_list_tells_is_crowded_takes_fewer():
-    # A quarter of the upstreams died; a light sidecar's own ends told of the crowd when the rest had choked.
+def test_a_zone_reported_as_overloaded_takes_fewer_requests():
+    # A quarter of the upstreams died; the own attempts of a sidecar with little traffic showed the overload
+    # only when the other upstreams had been overloaded as well.
     b = live([(up, 1.0, 0) for up in range(4)])
     b.latency_sums = [100.0, 150.0, 40_000.0, 250.0, 60_000.0]
     b.fit_latency()
@@ -128,8 +129,9 @@
     assert b.zones[0].is_full(rpc)
 
 
-def test_a_zone_that_the_list_tells_is_nearly_idle_takes_more_at_once():
-    # A window near one refused a fortieth of a quiet day: one in flight left no time to wait.
+def test_a_zone_reported_as_nearly_idle_takes_more_requests_at_once():
+    # A limit near one rejected a fortieth of the requests under light load: with one in flight there was no
+    # time to wait.
     b = live([(up, 1.0, 0) for up in range(4)])
     rpc = b.admit(0, 0, 9000)
     rpc.admission_draw, b.zones[0].concurrency_limit, b.zones[0].in_flight = 0.2, 1.0, 1
@@ -141,7 +143,7 @@
     assert b.zones[0].is_full(rpc)
 
 
-def test_what_a_tenant_sends_beyond_its_share_is_worth_little():
+def test_requests_beyond_a_tenants_share_have_little_payoff():
     customers = [{"name": "a", "allowance_per_s": 10.0}, {"name": "b", "allowance_per_s": 10.0}]
     b = balancer(settings(customers=customers, excess_payoff=0.1), [(0, 0)])
     # 30 a second of the first, 10 of the second, over 20 s.
@@ -151,11 +153,11 @@
         if step % 3 == 0:
             worth[1] = b.admit(step * 333, 0, 10**9, tenant=1).payoff
     assert worth[1] == 1.0 and 0.4 < worth[0] < 0.6
-    assert b.admit(300_000, 0, 10**9, tenant=0).payoff == 1.0  # long quiet: its share is its own again
+    assert b.admit(300_000, 0, 10**9, tenant=0).payoff == 1.0  # after a long pause it is within its share
     assert b.admit(0, 0, 9000, tenant=7).payoff == 1.0
 
 
-def test_lucks_of_a_tenant_beyond_its_share_lie_above_those_within():
+def test_admission_draws_of_a_tenant_beyond_its_share_are_higher_than_within():
     customers = [{"name": "a", "allowance_per_s": 1.0}, {"name": "b", "allowance_per_s": 1000.0}]
     b = balancer(settings(customers=customers, excess_payoff=0.1), [(0, 0)])
     lucks = {0: [], 1: []}
@@ -165,7 +167,7 @@
     assert sum(lucks[0][50:]) > 1.4 * sum(lucks[1][50:])
 
 
-def test_without_the_new_keys_decisions_are_as_with_their_defaults():
+def test_without_the_optional_keys_decisions_are_as_with_their_defaults():
     def day(**more):
         b = balancer(
             settings([method(payoff=3.0), method("once")], zones=2, balancers=40, **more),
@@ -229,7 +231,7 @@
         ("excess_payoff", None, "settings.excess_payoff: found None; expected a number from 0 to 1"),
     ],
 )
-def test_a_setting_of_the_shape_that_is_not_sound_is_named_with_what_is_allowed(tmp_path, key, value, found):
+def test_an_invalid_setting_is_named_with_what_is_allowed(tmp_path, key, value, found):
     conf = {**World().conf, key: value}
     assert shape_problem(conf).startswith(found) and shape_problem(World().conf) is None
     path = tmp_path / "config.json"
@@ -242,14 +244,14 @@
         assert len(run.output.strip().splitlines()) == 1
 
 
-def test_a_number_beyond_the_sidecars_is_refused_where_connections_are_shared():
+def test_a_sidecar_number_out_of_range_is_refused_where_connections_are_shared():
     wrong = shape_problem(settings(balancers=4, my_number=4, limits=SHARED))
     assert wrong.startswith("settings.my_number: found 4")
     assert shape_problem(settings(balancers=4, my_number=4)) is None
 
 
 @on_sockets
-async def test_the_tenant_comes_with_the_request_and_what_is_no_tenant_is_refused():
+async def test_the_tenant_comes_with_the_request_and_an_invalid_one_is_refused():
     async def echo(head, body):
         return message(200, body)
 
@@ -266,7 +268,7 @@
 
 
 @on_sockets
-async def test_weights_that_move_reach_the_decisions_and_fill_neither_log_nor_disk():
+async def test_weights_that_vary_reach_the_balancer_and_fill_neither_log_nor_disk():
     async def echo(head, body):
         return message(200, body)
 
@@ -288,7 +290,7 @@
 
 
 @on_sockets
-async def test_on_sockets_a_sidecar_opens_connections_to_its_part_only_and_moves_on_when_it_drains():
+async def test_on_sockets_a_sidecar_opens_connections_to_its_subset_only_and_moves_on_when_it_drains():
     async def echo(head, body):
         return message(200, body)
 
@@ -306,8 +308,8 @@
         assert len(now) == 1 and len(world.upstreams[used[0]].seen) == 20
 
 
-def test_a_cold_upstream_gets_no_more_than_its_budget_from_all_that_keep_to_it():
-    # 60 sidecars of 2 RPCs a second, 12 upstreams: 10 a second each when warm, which they can do at least.
+def test_a_warming_upstream_gets_no_more_than_its_rate_from_all_sidecars_that_use_it():
+    # 60 sidecars with 2 requests a second, 12 upstreams: 10 a second each when warm, which they can serve.
     sent, keeping = [], 0
     for number in range(60):
         b = sidecar(number, 60, fleet(12), own=number % 2)
@@ -338,7 +340,7 @@
         assert len(window) <= 3.0 * able
 
 
-# --- parts where new connections have a price
+# --- subsets where new connections have a price
 
 
 def priced(number, sidecars, rows, zones=4, price=0.08, own=0):
@@ -351,7 +353,10 @@
 
 
 def met(b, count=100, bad=(), whole=None):
-    """Upstreams sent to by a light sidecar, one RPC after another; those in `bad` refuse."""
+    """Sends one request after another, as a sidecar with little traffic; upstreams in `bad` refuse.
+
+    Returns the upstream of each attempt, and the number of completed requests.
+    """
     used, done = [], 0
     for step in range(count):
         rpc = b.admit(step * 1000, 0, step * 1000 + 9000)
@@ -367,8 +372,9 @@
     return used, done
 
 
-def test_two_hundred_light_sidecars_open_few_connections_where_each_has_its_price():
-    # Each went round all of a hundred upstreams: a third to a half of all RPCs opened a connection.
+def test_two_hundred_sidecars_with_little_traffic_open_few_connections_where_each_has_a_price():
+    # Each sidecar rotated over all of a hundred upstreams: a third to a half of all requests opened a
+    # connection.
     kept, sent = dict.fromkeys(range(100), 0), dict.fromkeys(range(100), 0)
     for number in range(200):
         b = priced(number, 200, fleet(100, 4), own=number % 4)
@@ -382,7 +388,7 @@
     assert len(set(met(priced(0, 200, fleet(100, 4), price=0.0))[0])) == 25
 
 
-def test_a_part_with_two_bad_upstreams_still_serves_and_one_that_is_replaced_is_dealt_anew():
+def test_a_subset_with_two_failing_upstreams_still_serves_and_a_replaced_fleet_is_assigned_anew():
     b = priced(7, 200, fleet(100, 4))
     bad = {up.index for up in b.zones[0].subset[:2]}
     used, done = met(b, 100, bad)
@@ -393,7 +399,7 @@
     assert b.zones[0].rotation == b.zones[0].subset
 
 
-def test_a_price_that_comes_or_goes_at_a_reload_moves_the_parts():
+def test_a_connection_price_set_or_removed_at_a_reload_changes_the_subsets():
     b = priced(7, 200, fleet(100, 4), price=0.0)
     assert b.zones[0].subset is None and len(b.zones[0].rotation) == 25
     conf = settings(zones=4, balancers=200, my_number=7, prices={"connection": 0.03})
@@ -403,7 +409,7 @@
     assert b.zones[0].subset is None and len(b.zones[0].rotation) == 25
 
 
-def test_few_sidecars_keep_to_the_whole_of_their_zone_also_where_connections_have_a_price():
+def test_few_sidecars_use_their_whole_zone_also_where_connections_have_a_price():
     for sidecars in (3, 8):
         b = priced(1, sidecars, fleet(12, 4))
         assert len(b.zones[0].rotation) == 3
--- a/tests/load_balancing/test_rules.py
+++ b/tests/load_balancing/test_rules.py
@@ -1,4 +1,4 @@
-"""A plain model of the rules beside the module, on generated days: both must agree on what is allowed."""
+"""Compares the balancer with a simple model of the rules for sending, on generated sequences of events."""
 
 from helpers import balancer, method, row, settings
 from hypothesis import HealthCheck, given, seed
@@ -20,7 +20,7 @@
 
 
 class Model:
-    """What the rules allow for one RPC, kept as the plain list of what was sent and how it ended."""
+    """The rules for one request, applied to the list of its attempts and their outcomes."""
 
     def __init__(self, conf, number, deadline):
         self.method, self.parallel = conf["methods"][number], conf["limits"]["parallel_tries"]
@@ -54,12 +54,12 @@
 
 
 class Day:
-    """Drives a balancer through generated happenings and holds every answer against the model."""
+    """Drives a balancer through generated events and checks every decision against the model."""
 
     def __init__(self, conf, chance):
         self.conf, self.now, self.b, self.rpcs = conf, 0, balancer(conf, UPSTREAMS, chance), []
         self.state = {up: load_balancing.READY for up, _ in UPSTREAMS}
-        self.outs = set()  # what operators have taken out, whatever the list says
+        self.outs = set()  # withdrawn by operators, whatever the list says
         for up, _ in UPSTREAMS:
             self.b.upstreams[up].cell = up % 2
 
@@ -107,7 +107,7 @@
         self.answer(rpc, model)
 
     def pass_time(self, until):
-        """Time-outs come when they are due, and the balancer is woken when it asks to be."""
+        """Advances the clock. Attempts time out when due, and the balancer is called when it asks to be."""
         while True:
             limits = [
                 (send["until"], r, tx)
@@ -138,7 +138,7 @@
                 or up.reinstated_at
             )
             out = sum(send["up"] == up.index for _, m in self.rpcs for send in m.out())
-            assert up.in_flight + up.background_load == out  # held: of a method that drags
+            assert up.in_flight + up.background_load == out  # background: requests of a slow method
 
     def order(self, up, out):
         (self.outs.add if out else self.outs.discard)(up)
@@ -148,7 +148,10 @@
             assert self.b.is_warming_up(self.b.upstreams[up], self.now)
 
     def retune(self, most):
-        """Other methods under the same numbers; RPCs in hand keep theirs, fewer transmissions bind them."""
+        """Sets other methods under the same numbers and another attempt limit.
+
+        Active requests keep their method; a lower attempt limit binds them.
+        """
         self.conf = {
             **self.conf,
             "methods": self.conf["methods"][1:] + self.conf["methods"][:1],
@@ -180,7 +183,7 @@
     suppress_health_check=[HealthCheck.too_slow],
 )
 @given(st.lists(STEP, min_size=5, max_size=40), st.booleans(), st.booleans(), st.integers(0, 99))
-def test_module_and_model_agree(steps, parallel, cancelling, chance):
+def test_balancer_and_model_agree(steps, parallel, cancelling, chance):
     conf = settings(METHODS, zones=3, limits={"parallel_tries": parallel, "cancelling": cancelling})
     day = Day(conf, chance)
     for what, a, b in steps:
--- a/tests/model_routing/test_repeats_retuned.py
+++ b/tests/model_routing/test_repeats_retuned.py
@@ -1,4 +1,4 @@
-"""The fleet's budget of repeats under bounds that change while it is counted."""
+"""The fleet's retry budget while its bounds change."""
 
 from random import Random
 
@@ -16,7 +16,7 @@
     return count
 
 
-def test_ratio_and_slack_hold_at_once():
+def test_a_changed_ratio_and_slack_take_effect_at_once():
     repeats = RetryBudget(0.2, 50, 10 * SECOND)
     assert used_up(repeats, 0) == int(BUDGET_SHARE_USED * 70)
     repeats.retune(0.5, 50, 10 * SECOND)
@@ -25,21 +25,21 @@
     assert not repeats.allows_retry(0)
 
 
-def test_with_a_longer_window_what_was_repeated_goes_on_counting():
+def test_with_a_longer_window_earlier_retries_still_count():
     repeats = RetryBudget(0.0, 10, 10 * SECOND)
     assert used_up(repeats, 5 * SECOND) == 8
     repeats.retune(0.0, 10, 20 * SECOND)
     assert not repeats.allows_retry(24 * SECOND) and repeats.allows_retry(28 * SECOND)
 
 
-def test_with_a_shorter_window_it_is_forgotten_sooner():
+def test_with_a_shorter_window_earlier_retries_are_forgotten_sooner():
     repeats = RetryBudget(0.0, 10, 20 * SECOND)
     assert used_up(repeats, 5 * SECOND) == 8
     repeats.retune(0.0, 10, 2 * SECOND)
     assert not repeats.allows_retry(6 * SECOND) and repeats.allows_retry(8 * SECOND)
 
 
-def test_sums_never_fall_below_none_however_often_it_is_retuned():
+def test_sums_never_become_negative_however_often_the_bounds_change():
     for seed in range(20):
         random, repeats, now = Random(seed), RetryBudget(0.2, 20, 10 * SECOND), 0
         for _ in range(400):
--- a/tests/model_routing/test_serving_choice.py
+++ b/tests/model_routing/test_serving_choice.py
@@ -1,4 +1,4 @@
-"""The system's decisions beside the module: homes, cold shares, prompts, the fleet's budget, repeats."""
+"""Routing of model requests: home regions, slow start, prefix holders, retry budget and remote loads."""
 
 from types import SimpleNamespace
 
@@ -31,33 +31,33 @@
     assert {take(made)[1][0] for _ in range(2)} == {0, 1}
 
 
-def test_at_the_threshold_the_worst_region_is_dropped():
+def test_at_the_threshold_the_most_loaded_region_is_skipped():
     made = balancer()
     for _ in range(4):
         take(made)
     assert take(made)[1][0] in (2, 3)
 
 
-def test_homes_leave_the_own_region_out():
+def test_home_regions_may_exclude_the_own_region():
     made = balancer()
     assert {take(made, homes=frozenset({1}))[1][0] for _ in range(6)} == {2, 3}
 
 
-def test_no_home_is_ready_so_it_is_refused_at_once_with_when_to_come_back():
+def test_without_a_ready_home_region_a_request_is_refused_at_once_with_a_retry_delay():
     made = balancer(ups=((0, 0), (1, 0)))
     what, wait = take(made, homes=frozenset({1}))[1]
     assert what == outcomes.EXHAUSTED and 0 < wait <= SECOND
 
 
 @pytest.mark.parametrize("outcome", [outcomes.FAILED, outcomes.DROPPED, outcomes.TIMED_OUT])
-def test_what_may_have_run_once_goes_nowhere_else(outcome):
+def test_a_request_that_may_have_run_once_is_not_retried(outcome):
     made = balancer()
     rpc, _ = take(made, method=ONCE, most=3)
     rpc.attempt_finished(100, 0, outcome, 100, False)
     assert rpc.decide(100) == (outcomes.ERRORED, 0)
 
 
-def test_what_never_ran_goes_elsewhere_within_its_attempts():
+def test_a_request_that_never_ran_is_retried_within_its_attempts():
     made = balancer()
     rpc, (first, _) = take(made, method=ONCE, most=2)
     rpc.attempt_finished(100, 0, outcomes.REJECTED, 100, False)
@@ -75,14 +75,14 @@
     assert made.retry_budget.retries == 0
 
 
-def test_a_broken_stream_that_may_run_again_does():
+def test_a_broken_idempotent_stream_is_retried():
     made = balancer()
     rpc, (first, _) = take(made, most=2)
     rpc.attempt_finished(100, 0, outcomes.DROPPED, 100, False)
     assert rpc.decide(100)[0] not in (first, outcomes.ERRORED, outcomes.EXHAUSTED)
 
 
-def test_the_fleets_budget_binds():
+def test_the_fleets_retry_budget_binds():
     made = balancer(slack=12.0, ratio=0.0)
     made.retry_budget.sidecar_count = 6
     gone_again = 0
@@ -90,10 +90,10 @@
         rpc, _ = take(made, now=number, most=2)
         rpc.attempt_finished(number, 0, outcomes.DROPPED, 1, False)
         gone_again += rpc.decide(number)[0] >= 0
-    assert gone_again == 1  # a sixth of 12, four fifths of it
+    assert gone_again == 1  # a sixth of 12, of which four fifths are used
 
 
-def test_earlier_legs_count_as_attempts_and_are_not_met_again():
+def test_earlier_legs_count_as_attempts_and_their_upstreams_are_excluded():
     made = balancer(ups=((0, 0), (1, 0)))
     assert take(made, most=2, before=2)[1][0] == outcomes.EXHAUSTED
     assert {take(made, most=3, before=1, avoid=frozenset({0}))[1][0] for _ in range(4)} == {1}
@@ -108,7 +108,7 @@
     assert made.upstreams[index].in_flight == 0
 
 
-def test_sidecars_together_keep_to_a_cold_upstreams_rate():
+def test_sidecars_together_keep_to_a_warming_upstreams_rate():
     for sidecars in (1, 6, 67, 540):
         sent = []
         for number in range(sidecars):
@@ -123,26 +123,26 @@
         assert worst <= 6 * 1.5 + 5, (sidecars, worst)
 
 
-def test_a_shared_prompt_goes_to_one_holder_in_every_sidecar():
+def test_a_shared_prefix_goes_to_one_holder_in_every_sidecar():
     ups = tuple((index, 0) for index in range(12))
     first = {take(balancer(ups=ups, name=f"n{number}"), key=b"aa:100")[1][0] for number in range(8)}
     assert len(first) == 1
 
 
-def test_a_holder_well_above_the_mean_is_passed_over():
+def test_a_holder_well_above_the_mean_load_is_skipped():
     made = balancer(ups=tuple((index, 0) for index in range(6)))
     taken = [take(made, key=b"aa:100")[1][0] for _ in range(12)]
     assert len(set(taken)) == 6
     assert max(made.upstreams[index].in_flight for index in taken) <= 4
 
 
-def test_an_upstream_that_is_set_aside_gets_nothing_and_the_rest_serve():
+def test_an_ejected_upstream_gets_nothing_and_the_rest_serve():
     made = balancer()
     made.eject(0, made.upstreams[0], True)
     assert 0 not in {take(made)[1][0] for _ in range(6)}
 
 
-def test_a_prompt_that_is_being_read_is_passed_over_until_its_first_event():
+def test_an_upstream_is_skipped_during_a_prefill_until_the_first_event():
     made = balancer(ups=((0, 0), (1, 0), (2, 0)))
     rpc, (reads, _) = take(made, tokens=8 * 2048)
     assert made.upstreams[reads].background_load == 8
@@ -154,7 +154,7 @@
 
 
 class Kept(dict):
-    """A record: marks by key."""
+    """A prefix index: the id hashes of holders, by key."""
 
     def holders(self, key):
         return self.get(key, {})
@@ -163,7 +163,7 @@
         self.setdefault(key, {})[mark] = 0.0
 
 
-def test_what_was_read_there_weighs_no_more():
+def test_a_prefix_already_held_adds_no_prefill_load():
     made = balancer(ups=((0, 0), (1, 0)))
     made.prefix_index = Kept()
     rpc, (reads, _) = take(made, key=b"aa:6000", tokens=8000, shared=6000)
@@ -174,14 +174,14 @@
     assert again == reads and made.upstreams[reads].background_load == 0
 
 
-def test_a_try_that_never_began_leaves_nothing_behind():
+def test_an_attempt_that_never_began_leaves_no_load_behind():
     made = balancer()
     rpc, (reads, _) = take(made, method=ONCE, tokens=50_000)
     rpc.attempt_finished(900, 0, outcomes.UNCONNECTED, 10, True)
     assert all((up.background_load, up.in_flight) == (0, 0) for up in made.upstreams.values())
 
 
-def test_a_long_prompt_goes_where_it_is_kept_if_the_own_region_would_read_it_anew():
+def test_a_long_prompt_goes_to_its_holder_if_the_own_region_would_prefill_it_anew():
     made = balancer()
     made.prefix_index = Kept({prefix_key(b"aa:6000"): {1003: 0.0}})
     assert {take(made, key=b"aa:6000", tokens=8000, shared=6000)[1][0] for _ in range(2)} == {3}
@@ -196,7 +196,7 @@
     assert take(made, key=b"aa:300", tokens=800, shared=300)[1][0] in (0, 1)
 
 
-def test_homes_and_the_gate_bind_what_is_kept_elsewhere():
+def test_home_regions_and_the_drop_threshold_bind_holders_in_other_regions():
     made = balancer()
     made.prefix_index = Kept({prefix_key(b"aa:6000"): {1003: 0.0}})
     wants = {"key": b"aa:6000", "tokens": 8000, "shared": 6000}
@@ -205,15 +205,15 @@
     assert take(made, **wants)[1][0] in (0, 1)
 
 
-# --- what other edges have in flight
+# --- requests of other edges
 
 
 def busy(made, **loads):
-    """Others have so much in flight, by upstream."""
+    """Reports the requests that other edges have in flight, by upstream."""
     made.update_remote_loads({1000 + int(name[1:]): load for name, load in loads.items()})
 
 
-def test_one_that_others_load_well_above_the_mean_is_passed_over():
+def test_an_upstream_that_other_edges_load_well_above_the_mean_is_skipped():
     made = balancer(ups=((0, 0), (1, 0), (2, 0)))
     busy(made, u0=5)
     assert {take(made)[1][0] for _ in range(4)} == {1, 2}
@@ -221,14 +221,14 @@
     assert made.zones[0].background_load == made.upstreams[0].background_load == 0
 
 
-def test_the_holder_of_a_prompt_is_passed_over_where_others_load_it():
+def test_the_holder_of_a_prefix_is_skipped_where_other_edges_load_it():
     made = balancer(ups=((0, 0), (1, 0), (2, 0), (3, 0)))
     usual = take(made, key=b"p:3000", shared=3000, tokens=3100)[1][0]
     busy(made, **{f"u{usual}": 9})
     assert take(made, key=b"p:3000", shared=3000, tokens=3100)[1][0] != usual
 
 
-def test_a_region_that_all_edges_together_crowd_is_dropped():
+def test_a_region_that_all_edges_together_overload_is_skipped():
     made = balancer(own=0)
     made.set_slots(16)
     busy(made, u0=16, u1=16, u2=1)
@@ -238,7 +238,7 @@
 
 
 def test_the_threshold_grows_with_the_slots_of_upstreams():
-    """Two requests are much to one that works on six at a time, and nothing to one that works on 64."""
+    """Two requests are a high load for an upstream with 6 slots, and a low one for an upstream with 64."""
     made = balancer()
     made.set_slots(64)
     assert {take(made)[1][0] for _ in range(40)} == {0, 1}
@@ -248,14 +248,14 @@
     assert {take(made)[1][0] for _ in range(4)} == {0, 1} and take(made)[1][0] in (2, 3)
 
 
-def test_a_crowded_region_is_kept_to_where_the_others_are_little_better():
+def test_an_overloaded_region_is_used_where_the_others_are_little_better():
     made = balancer(own=0)
     made.set_slots(16)
     busy(made, u0=16, u1=16, u2=13, u3=13)
     assert {take(made)[1][0] for _ in range(3)} <= {0, 1}
 
 
-def test_between_a_third_of_the_slots_and_two_a_part_goes_elsewhere():
+def test_between_a_third_and_two_thirds_of_the_slots_a_part_goes_elsewhere():
     made = balancer(own=0)
     made.set_slots(16)
     regions = []
@@ -268,7 +268,7 @@
     assert 60 < sum(regions) < 140
 
 
-def test_where_all_regions_are_crowded_requests_are_still_served():
+def test_where_all_regions_are_overloaded_requests_are_still_served():
     made = balancer(own=0)
     made.set_slots(4)
     busy(made, u0=40, u1=40, u2=50, u3=50)
@@ -279,7 +279,7 @@
     assert take(only)[1][0] in (0, 1)
 
 
-def test_without_word_of_others_or_of_slots_the_gate_goes_by_own_in_flight_alone():
+def test_without_reported_loads_or_slots_the_threshold_applies_to_own_requests_alone():
     made = balancer(own=0)
     busy(made, u0=90, u1=90)
     assert take(made)[1][0] in (0, 1)
@@ -292,10 +292,10 @@
     made = balancer()
     _, (index, _) = take(made, tokens=5000)
     busy(made, u0=7, u1=7, u2=7)
-    assert dict(made.own_loads()) == {1000 + index: 3}  # in flight, and two units unread
+    assert dict(made.own_loads()) == {1000 + index: 3}  # one in flight, and two units of prefill
 
 
-def test_what_others_load_is_forgotten_with_an_upstream():
+def test_remote_loads_are_forgotten_with_an_upstream():
     made = balancer()
     busy(made, u0=7, u1=2)
     rows = [(index, region, outcomes.READY, 0, 0, 1000 + index, 1.0, 0) for index, region in ((1, 0), (2, 1))]
@@ -305,7 +305,7 @@
     assert made.zones[0].background_load == made.zones[1].background_load == 0
 
 
-def test_a_busy_holder_is_kept_to_while_reading_anew_would_weigh_more():
+def test_a_busy_holder_is_chosen_while_prefilling_anew_would_weigh_more():
     made = balancer(ups=((0, 0), (1, 0), (2, 0), (3, 0)))
     usual = take(made, key=b"p:6144", shared=6144, tokens=6144)[1][0]
     made = balancer(ups=((0, 0), (1, 0), (2, 0), (3, 0)))
