--- a/tests/load_balancing/test_guards.py
+++ b/tests/load_balancing/test_guards.py
@@ -8,8 +8,8 @@
 ONE = [(0, 0)]
 
 
-def send(b, now=0, number=0, patience=9000):
-    rpc = b.admit(now, number, now + patience)
+def send(b, now=0, number=0, timeout=9000):
+    rpc = b.admit(now, number, now + timeout)
     return rpc, rpc.decide(now)
 
 
@@ -59,10 +59,10 @@
     b = balancer(settings([method(payoff=1.0), method(payoff=5.0)]), ONE)
     b.zones[0].concurrency_limit = 1.0
     out, _ = send(b)
-    cheap, dear = send(b)[0], send(b, 0, 1)[0]
-    assert [rpc for rpc in (cheap, dear) if rpc.done] == []
+    cheap, valuable = send(b)[0], send(b, 0, 1)[0]
+    assert [rpc for rpc in (cheap, valuable) if rpc.done] == []
     out.attempt_finished(20, 0, load_balancing.COMPLETED, 20, True)
-    assert next(b.due(20)) is dear and dear.decide(20)[0] == 0
+    assert next(b.due(20)) is valuable and valuable.decide(20)[0] == 0
     b.zones[0].concurrency_limit, b.latency_sums = 1.0, [100.0, 100.0, 400000.0, 100.0, 400000.0]
     assert send(b, 20)[1][0] == load_balancing.EXHAUSTED
 
@@ -190,9 +190,9 @@
     send(b)
     cheap, answer = send(b)
     assert answer is None and list(b.due(0)) == [cheap] and not cheap.done
-    dear = [send(b, 0, 1)[0] for _ in range(2)]
+    valuable = [send(b, 0, 1)[0] for _ in range(2)]
     assert cheap in list(b.due(0)) and cheap.decide(0)[0] == load_balancing.EXHAUSTED
-    assert not any(rpc.done for rpc in dear)
+    assert not any(rpc.done for rpc in valuable)
 
 
 def test_no_hedge_follows_a_streamed_response_that_has_begun():
@@ -281,17 +281,17 @@
     assert left[True] > 0.9 and left[False] < 0.9
 
 
-def ends(b, now, number, outcome, took, tenant=0, count=1):
+def finish_requests(b, now, number, outcome, took, tenant=0, count=1):
     """Runs `count` requests one after another; returns the decisions after their first attempts."""
-    told = []
+    decisions = []
     for step in range(count):
         rpc = b.admit(now + step, number, now + step + 20_000, tenant=tenant)
         if (rpc.decide(now + step) or (-1,))[0] >= 0:
             rpc.attempt_finished(
                 now + step, len(rpc.attempts) - 1, outcome, took, outcome == load_balancing.COMPLETED
             )
-            told.append(rpc.decide(now + step))
-    return told
+            decisions.append(rpc.decide(now + step))
+    return decisions
 
 
 def test_a_method_slow_at_every_upstream_lowers_no_limit_and_ejects_no_upstream():
@@ -300,11 +300,13 @@
     methods = [{**method("once", soft=500.0, hard=2000.0), "name": name} for name in "ab"]
     b = balancer(settings(methods), [(up, 0) for up in range(6)])
     for step in range(60):
-        ends(b, 1000 * step, step % 2, load_balancing.COMPLETED, 600)
+        finish_requests(b, 1000 * step, step % 2, load_balancing.COMPLETED, 600)
     window = b.zones[0].concurrency_limit
     for step in range(60, 140):
-        ends(b, 1000 * step, 0, load_balancing.COMPLETED, 600)
-        ends(b, 1000 * step, 1, load_balancing.TIMED_OUT if step % 2 else load_balancing.COMPLETED, 9000)
+        finish_requests(b, 1000 * step, 0, load_balancing.COMPLETED, 600)
+        finish_requests(
+            b, 1000 * step, 1, load_balancing.TIMED_OUT if step % 2 else load_balancing.COMPLETED, 9000
+        )
     assert b.method_slowness(b.methods[1]) > 1 and b.method_slowness(b.methods[0]) == 1
     assert b.zones[0].concurrency_limit > 0.6 * window and not b.ejected_count
     rpc = b.admit(140_000, 1, 160_000)
@@ -319,12 +321,12 @@
     customers = [{"name": name, "allowance_per_s": 1e4} for name in "ab"]
     b = balancer(settings(customers=customers), [(up, 0) for up in range(6)])
     for step in range(40):
-        ends(b, 1000 * step, 0, load_balancing.COMPLETED, 60, tenant=step % 2, count=2)
-    told = []
+        finish_requests(b, 1000 * step, 0, load_balancing.COMPLETED, 60, tenant=step % 2, count=2)
+    decisions = []
     for step in range(40, 100):
-        ends(b, 1000 * step, 0, load_balancing.COMPLETED, 60)
-        told.append(ends(b, 1000 * step, 0, load_balancing.FAILED, 60, tenant=1))
-    assert not b.ejected_count and all(answer[0][0] == load_balancing.EXHAUSTED for answer in told[30:])
+        finish_requests(b, 1000 * step, 0, load_balancing.COMPLETED, 60)
+        decisions.append(finish_requests(b, 1000 * step, 0, load_balancing.FAILED, 60, tenant=1))
+    assert not b.ejected_count and all(answer[0][0] == load_balancing.EXHAUSTED for answer in decisions[30:])
     rpc = b.admit(100_000, 0, 120_000)
     rpc.decide(100_000)
     rpc.attempt_finished(100_001, 0, load_balancing.FAILED, 60, False)
@@ -335,7 +337,7 @@
     customers = [{"name": name, "allowance_per_s": 1e4} for name in "ab"]
     b = balancer(settings(customers=customers), [(up, 0) for up in range(6)])
     for step in range(40):
-        ends(b, step, 0, load_balancing.FAILED, 60, tenant=step % 2)
+        finish_requests(b, step, 0, load_balancing.FAILED, 60, tenant=step % 2)
     assert b.ejected_count == 3
 
 
--- a/tests/load_balancing/test_in_memory.py
+++ b/tests/load_balancing/test_in_memory.py
@@ -56,8 +56,8 @@
 
 
 class Client:
-    def __init__(self, day):
-        self.day, self.finals, self.left = day, [], False
+    def __init__(self, scenario):
+        self.scenario, self.finals, self.left = scenario, [], False
 
     def completed(self, answer):
         self.finals.append(answer.body)
@@ -72,11 +72,11 @@
         return False
 
 
-class Day:
+class DispatcherScenario:
     """A dispatcher with stand-ins for its surroundings; counts its violations."""
 
     def __init__(self, conf):
-        self.loop, self.active_request, self.out, self.told, self.wrong = Loop(), [], [], Counter(), 0
+        self.loop, self.requests, self.sent, self.reported, self.violations = Loop(), [], [], Counter(), 0
         self.balancer = load_balancing.Balancer(conf, 1, 0)
         self.dispatcher = Dispatcher(
             self.loop, self.loop, self.balancer, self, list("0123"), Budget(100, 1), lambda upstream: None
@@ -86,8 +86,8 @@
 
     def transmit(self, transmission, now):
         client = transmission.active_request.client
-        self.wrong += bool(client.finals or client.left)
-        self.out.append(transmission)
+        self.violations += bool(client.finals or client.left)
+        self.sent.append(transmission)
 
     def stop(self, transmission):
         return True
@@ -103,23 +103,21 @@
     def silent(self, transmission):
         pass
 
-    def take(self, number, wait):
+    def submit_request(self, number, wait):
         client = Client(self)
-        active_request = ActiveRequest(
-            client, Request(b"%d" % len(self.active_request), b"POST", b"/m", [], b"x")
-        )
-        self.active_request.append((active_request, self.loop.time + wait * 10))
+        active_request = ActiveRequest(client, Request(b"%d" % len(self.requests), b"POST", b"/m", [], b"x"))
+        self.requests.append((active_request, self.loop.time + wait * 10))
         self.dispatcher.submit(active_request, number, wait, False)
 
-    def end(self, which, outcome):
-        if self.out:
-            transmission = self.out[which % len(self.out)]
+    def finish_attempt(self, which, outcome):
+        if self.sent:
+            transmission = self.sent[which % len(self.sent)]
             self.dispatcher.attempt_finished(transmission, outcome, Answer([], transmission))
 
 
 STEP = st.one_of(
-    st.tuples(st.just("take"), st.integers(0, 1), st.integers(1, 1500)),
-    st.tuples(st.just("end"), st.integers(0, 30), st.integers(1, 6)),
+    st.tuples(st.just("submit"), st.integers(0, 1), st.integers(1, 1500)),
+    st.tuples(st.just("finish"), st.integers(0, 30), st.integers(1, 6)),
     st.tuples(st.just("leave"), st.integers(0, 30), st.just(0)),
     st.tuples(st.just("list"), st.integers(0, 3), st.integers(0, 2)),
     st.tuples(st.just("run"), st.just(0), st.just(0)),
@@ -133,53 +131,56 @@
 def test_every_request_gets_one_answer_in_time_and_every_outcome_is_reported_once(steps, parallel):
     conf = settings([method("repeatable"), method("once")], zones=2, limits={"parallel_tries": parallel})
     with no_faults():
-        live(conf, steps)
+        run_scenario(conf, steps)
 
 
-def live(conf, steps):
-    day, ended = Day(conf), load_balancing.Rpc.attempt_finished
+def run_scenario(conf, steps):
+    scenario, ended = DispatcherScenario(conf), load_balancing.Rpc.attempt_finished
 
     def counted(rpc, now, tx, *more):
-        day.told[rpc, tx] += 1
+        scenario.reported[rpc, tx] += 1
         return ended(rpc, now, tx, *more)
 
     load_balancing.Rpc.attempt_finished = counted
     try:
         for what, a, b in steps:
-            if what == "take":
-                day.take(a, b)
-            elif what == "end":
-                day.end(a, b)  # maybe of an attempt that has finished, which must not be reported again
+            if what == "submit":
+                scenario.submit_request(a, b)
+            elif what == "finish":
+                # The attempt may have finished before, which must not be reported again.
+                scenario.finish_attempt(a, b)
             elif what == "list":
-                day.dispatcher.list_changed([row(a, a % 2, b)], False, True)
-            elif what == "leave" and day.active_request:
-                active_request = day.active_request[a % len(day.active_request)][0]
+                scenario.dispatcher.list_changed([row(a, a % 2, b)], False, True)
+            elif what == "leave" and scenario.requests:
+                active_request = scenario.requests[a % len(scenario.requests)][0]
                 if not active_request.client.finals:
                     active_request.client.left = True
-                    day.dispatcher.client_disconnected(active_request)
+                    scenario.dispatcher.client_disconnected(active_request)
             elif what == "wait":
-                day.loop.run()
-                day.loop.wait(day.loop.time + a)
+                scenario.loop.run()
+                scenario.loop.wait(scenario.loop.time + a)
             else:
-                day.loop.run()
-            for active_request, until in day.active_request:
+                scenario.loop.run()
+            for active_request, until in scenario.requests:
                 assert len(active_request.client.finals) <= 1
-                assert active_request.client.finals or active_request.client.left or day.loop.time <= until
-        day.loop.run()
-        day.loop.wait(day.loop.time + 40_000)
+                assert (
+                    active_request.client.finals or active_request.client.left or scenario.loop.time <= until
+                )
+        scenario.loop.run()
+        scenario.loop.wait(scenario.loop.time + 40_000)
     finally:
         load_balancing.Rpc.attempt_finished = ended
     assert all(
-        active_request.client.finals or active_request.client.left for active_request, _ in day.active_request
+        active_request.client.finals or active_request.client.left for active_request, _ in scenario.requests
     )
-    assert len(day.dispatcher.active_requests) == day.dispatcher.active_requests.budget.bytes == 0
+    assert len(scenario.dispatcher.active_requests) == scenario.dispatcher.active_requests.budget.bytes == 0
     assert all(
-        day.told[active_request.rpc, tx] == 1
-        for active_request, _ in day.active_request
+        scenario.reported[active_request.rpc, tx] == 1
+        for active_request, _ in scenario.requests
         if active_request.rpc
         for tx in range(len(active_request.rpc.attempts))
     )
-    assert day.balancer.in_flight == day.wrong == 0 and set(day.told.values()) <= {1}
+    assert scenario.balancer.in_flight == scenario.violations == 0 and set(scenario.reported.values()) <= {1}
 
 
 PAIR = socket.socketpair()
@@ -231,7 +232,7 @@
         self.reading = True
 
 
-def sidecar(taken):
+def sidecar_stub(taken):
     """Stands in for a sidecar, as far as a client's connection uses it; `taken` collects its requests."""
     dispatcher = SimpleNamespace(
         submit=lambda active_request, *_: taken.append(active_request),
@@ -268,7 +269,7 @@
 )
 def test_requests_split_at_any_byte_are_answered_once_each_and_in_order(bodies, cuts, slow, order):
     taken = []
-    connection = RpcConnection(sidecar(taken))
+    connection = RpcConnection(sidecar_stub(taken))
     transport = Transport(connection)
     connection.connection_made(transport)
     stream, step, answered = b"".join(request(body) for body in bodies), 0, 0
@@ -322,7 +323,7 @@
 )
 def test_no_input_raises_an_exception_out_of_the_connection(pieces):
     taken = []
-    connection = RpcConnection(sidecar(taken))
+    connection = RpcConnection(sidecar_stub(taken))
     transport = Transport(connection)
     connection.connection_made(transport)
     for piece in pieces:
--- a/tests/load_balancing/test_parts.py
+++ b/tests/load_balancing/test_parts.py
@@ -22,30 +22,30 @@
     return b
 
 
-def mark(up):
+def id_hash(up):
     return up * 2654435761 % 2**32  # stands in for the hash of an id
 
 
-def fleet(count, zones=2, **more):
-    return [(up, up % zones, load_balancing.READY, 0, 0, mark(up), 1.0, 0) for up in range(count)]
+def fleet_rows(count, zones=2, **more):
+    return [(up, up % zones, load_balancing.READY, 0, 0, id_hash(up), 1.0, 0) for up in range(count)]
 
 
 def test_subsets_are_small_and_even_over_the_upstreams_of_a_zone():
     # Each of 300 sidecars had a connection to each of 60 upstreams, which accept a few tens: over half of all
     # attempts got none.
-    kept = dict.fromkeys(range(60), 0)
+    use_counts = dict.fromkeys(range(60), 0)
     for number in range(300):
-        b = sidecar(number, 300, fleet(60), own=number % 2)
+        b = sidecar(number, 300, fleet_rows(60), own=number % 2)
         near, far = b.zones[number % 2], b.zones[1 - number % 2]
         assert 1 <= len(near.subset) <= 4 and len(far.subset) <= 3 and set(near.rotation) == set(near.subset)
         for up in near.subset:
-            kept[up.index] += 1
-    assert max(kept.values()) - min(kept.values()) <= 1
+            use_counts[up.index] += 1
+    assert max(use_counts.values()) - min(use_counts.values()) <= 1
 
 
 def test_a_small_fleet_is_used_whole_and_a_large_upstream_by_more_sidecars():
-    assert len(sidecar(0, 3, fleet(6)).zones[0].subset) == 3
-    rows = [(*one[:6], 4.0 if one[0] == 0 else 1.0, 0) for one in fleet(20, zones=1)]
+    assert len(sidecar(0, 3, fleet_rows(6)).zones[0].subset) == 3
+    rows = [(*one[:6], 4.0 if one[0] == 0 else 1.0, 0) for one in fleet_rows(20, zones=1)]
     count = sum(
         any(up.index == 0 for up in sidecar(number, 100, rows, zones=1).zones[0].subset)
         for number in range(100)
@@ -57,7 +57,7 @@
 def test_a_change_of_one_upstream_changes_few_subsets():
     moved = 0
     for number in range(200):
-        b = sidecar(number, 200, fleet(40, zones=1), zones=1)
+        b = sidecar(number, 200, fleet_rows(40, zones=1), zones=1)
         before = set(b.zones[0].subset)
         b.list_changed(1, [row(7, state=load_balancing.REMOVED)], False, True)
         gone = {up for up in before if up.index == 7}
@@ -74,42 +74,42 @@
 
 def test_the_last_resort_opens_no_connection_beyond_the_subset():
     # A sidecar whose whole subset refused tried the entire fleet and filled every connection table.
-    b = sidecar(0, 750, fleet(64, zones=4), zones=4)
-    kept = {up.index for zone in b.zones for up in zone.subset}
-    for index in kept:
+    b = sidecar(0, 750, fleet_rows(64, zones=4), zones=4)
+    subset = {up.index for zone in b.zones for up in zone.subset}
+    for index in subset:
         b.eject(0, b.upstreams[index], True)
     sent = set()
     for number in range(30):
         answer = b.admit(number, 0, 9000).decide(number)
         if answer and answer[0] >= 0:
             sent.add(answer[0])
-    assert sent <= kept and len(kept) <= 2
+    assert sent <= subset and len(subset) <= 2
 
 
-def live(rows, now=0, b=None):
+def apply_sizes(rows, now=0, b=None):
     b = b or load_balancing.Balancer(settings(zones=1, weight_kind="live"), 1, 0)
     b.list_changed(now, [row(up, size=size, kind=kind) for up, size, kind in rows], False, True)
     return b
 
 
 def test_a_listed_size_lowered_by_load_keeps_the_nominal_capacity_and_gives_the_load():
-    b = live([(0, 2.0, 0), (1, 1.5, 1), (2, 0.5, 0)])
+    b = apply_sizes([(0, 2.0, 0), (1, 1.5, 1), (2, 0.5, 0)])
     assert [b.upstreams[up].capacity for up in range(3)] == [2.0, 1.5, 2.0] and b.total_capacity == 5.5
     for step in range(30):
-        live([(0, 2.0, 0), (1, 1.5, 1), (2, 0.5, 0)], step, b)
+        apply_sizes([(0, 2.0, 0), (1, 1.5, 1), (2, 0.5, 0)], step, b)
     assert [round(b.upstreams[up].reported_load, 3) for up in range(3)] == [0.0, 0.0, 3.0]
     assert round(b.zones[0].reported_load, 3) == 1.0
-    live([(2, 2.0, 0)], 40, b)  # a single report may be noise: it moves the value in part
+    apply_sizes([(2, 2.0, 0)], 40, b)  # a single report may be noise: it moves the value in part
     assert 1.0 < b.upstreams[2].reported_load < 2.0 and b.total_capacity == 5.5
-    live([(1, 0.0, 1)], 41, b)  # no size is no load
+    apply_sizes([(1, 0.0, 1)], 41, b)  # no size is no load
     assert b.upstreams[1].reported_load == 0.0
 
 
 def test_load_reported_by_the_list_raises_the_expected_duration():
-    b = live([(0, 1.0, 0), (1, 1.0, 0)])
+    b = apply_sizes([(0, 1.0, 0), (1, 1.0, 0)])
     calm = b.expected_duration(b.upstreams[0], 0)
     for step in range(10):
-        live([(0, 0.2, 0)], step, b)
+        apply_sizes([(0, 0.2, 0)], step, b)
     assert b.expected_duration(b.upstreams[0], 1) > 2 * calm and isclose(
         b.expected_duration(b.upstreams[1], 1), calm
     )
@@ -118,28 +118,28 @@
 def test_a_zone_reported_as_overloaded_takes_fewer_requests():
     # A quarter of the upstreams died; the own attempts of a sidecar with little traffic showed the overload
     # only when the other upstreams had been overloaded as well.
-    b = live([(up, 1.0, 0) for up in range(4)])
+    b = apply_sizes([(up, 1.0, 0) for up in range(4)])
     b.latency_sums = [100.0, 150.0, 40_000.0, 250.0, 60_000.0]
     b.fit_latency()
     rpc = b.admit(0, 0, 9000)
     rpc.admission_draw, b.zones[0].concurrency_limit = 0.9, 1.0
     assert not b.zones[0].is_full(rpc)
     for step in range(10):
-        live([(up, 0.02, 0) for up in range(4)], step, b)
+        apply_sizes([(up, 0.02, 0) for up in range(4)], step, b)
     assert b.zones[0].is_full(rpc)
 
 
 def test_a_zone_reported_as_nearly_idle_takes_more_requests_at_once():
     # A limit near one rejected a fortieth of the requests under light load: with one in flight there was no
     # time to wait.
-    b = live([(up, 1.0, 0) for up in range(4)])
+    b = apply_sizes([(up, 1.0, 0) for up in range(4)])
     rpc = b.admit(0, 0, 9000)
     rpc.admission_draw, b.zones[0].concurrency_limit, b.zones[0].in_flight = 0.2, 1.0, 1
     for step in range(10):
-        live([(up, 0.6, 0) for up in range(4)], step, b)
+        apply_sizes([(up, 0.6, 0) for up in range(4)], step, b)
     assert 0.5 < b.zones[0].reported_load < 0.75 and not b.zones[0].is_full(rpc)
     for step in range(20):
-        live([(up, 0.33, 0) for up in range(4)], step, b)
+        apply_sizes([(up, 0.33, 0) for up in range(4)], step, b)
     assert b.zones[0].is_full(rpc)
 
 
@@ -147,12 +147,12 @@
     customers = [{"name": "a", "allowance_per_s": 10.0}, {"name": "b", "allowance_per_s": 10.0}]
     b = balancer(settings(customers=customers, excess_payoff=0.1), [(0, 0)])
     # 30 a second of the first, 10 of the second, over 20 s.
-    worth = {0: 1.0, 1: 1.0}
+    payoffs = {0: 1.0, 1: 1.0}
     for step in range(600):
-        worth[0] = b.admit(step * 333, 0, 10**9, tenant=0).payoff
+        payoffs[0] = b.admit(step * 333, 0, 10**9, tenant=0).payoff
         if step % 3 == 0:
-            worth[1] = b.admit(step * 333, 0, 10**9, tenant=1).payoff
-    assert worth[1] == 1.0 and 0.4 < worth[0] < 0.6
+            payoffs[1] = b.admit(step * 333, 0, 10**9, tenant=1).payoff
+    assert payoffs[1] == 1.0 and 0.4 < payoffs[0] < 0.6
     assert b.admit(300_000, 0, 10**9, tenant=0).payoff == 1.0  # after a long pause it is within its share
     assert b.admit(0, 0, 9000, tenant=7).payoff == 1.0
 
@@ -160,30 +160,30 @@
 def test_admission_draws_of_a_tenant_beyond_its_share_are_higher_than_within():
     customers = [{"name": "a", "allowance_per_s": 1.0}, {"name": "b", "allowance_per_s": 1000.0}]
     b = balancer(settings(customers=customers, excess_payoff=0.1), [(0, 0)])
-    lucks = {0: [], 1: []}
+    draws = {0: [], 1: []}
     for step in range(400):
         for tenant in (0, 1):
-            lucks[tenant].append(b.admit(step * 100, 0, 10**9, tenant=tenant).admission_draw)
-    assert sum(lucks[0][50:]) > 1.4 * sum(lucks[1][50:])
+            draws[tenant].append(b.admit(step * 100, 0, 10**9, tenant=tenant).admission_draw)
+    assert sum(draws[0][50:]) > 1.4 * sum(draws[1][50:])
 
 
 def test_without_the_optional_keys_decisions_are_as_with_their_defaults():
-    def day(**more):
+    def decide_all(**more):
         b = balancer(
             settings([method(payoff=3.0), method("once")], zones=2, balancers=40, **more),
             [(up, up % 2) for up in range(12)],
             seed=7,
         )
-        told, out = [], []
+        decisions, out = [], []
         for step in range(400):
             rpc = b.admit(step * 40, step % 2, step * 40 + 9000)
-            told.append(rpc.decide(step * 40))
+            decisions.append(rpc.decide(step * 40))
             out.append(rpc)
             for rpc in out[-6:-3]:
                 if rpc.outstanding:
                     how = load_balancing.COMPLETED if step % 9 else load_balancing.FAILED
                     rpc.attempt_finished(step * 40, 0, how, 60 + step % 50, True)
-        return told
+        return decisions
 
     defaults = {
         "weight_kind": "nominal",
@@ -193,7 +193,7 @@
         "limits": {"multiplex": 1},
         "report": {"fields": ["busy_reqs"], "via": "inline"},
     }
-    assert day() == day(**defaults)
+    assert decide_all() == decide_all(**defaults)
 
 
 # --- the configuration
@@ -277,15 +277,17 @@
     lines = []
     async with world:
         sink = logger.add(lines.append, level="INFO", format="{message}")
-        kept = []
-        world.sidecar.pool.saved = type("Saved", (), {"save_list": lambda _, told: kept.append(told)})()
+        saved_lists = []
+        world.sidecar.pool.saved = type(
+            "Saved", (), {"save_list": lambda _, saved_list: saved_lists.append(saved_list)}
+        )()
         await world.tell(world.entry(0, weight=1.0), world.entry(1, weight=1.0))  # they had none before
         await world.tell(world.entry(0, weight=0.25), world.entry(1, weight=1.0))
         assert world.sidecar.pool.balancer.upstreams[0].reported_load > 1.0
         await world.tell(world.entry(1, "terminating", weight=1.0))
         logger.remove(sink)
         world.sidecar.pool.saved = None
-    assert [len(told["instances"]) for told in kept] == [0, 0, 1]
+    assert [len(saved_list["instances"]) for saved_list in saved_lists] == [0, 0, 1]
     assert sum("endpoint list updated" in line for line in lines) == 1
 
 
@@ -310,9 +312,9 @@
 
 def test_a_warming_upstream_gets_no_more_than_its_rate_from_all_sidecars_that_use_it():
     # 60 sidecars with 2 requests a second, 12 upstreams: 10 a second each when warm, which they can serve.
-    sent, keeping = [], 0
+    sent, users = [], 0
     for number in range(60):
-        b = sidecar(number, 60, fleet(12), own=number % 2)
+        b = sidecar(number, 60, fleet_rows(12), own=number % 2)
         b.latency_sums, b.finish_rate.numerator, b.finish_rate.denominator = (
             [10.0, 10.0, 10_000.0, 10.0, 10_000.0],
             10.0,
@@ -320,20 +322,20 @@
         )
         b.fit_latency()
         start = 20 * load_balancing.SECOND
-        (row0,) = [one for one in fleet(12) if one[0] == 0]
+        (row0,) = [one for one in fleet_rows(12) if one[0] == 0]
         b.finish_rate.decayed_at = start
         b.list_changed(start, [(*row0[:3], start, *row0[4:])], False, True)
         up = b.upstreams[0]
         if b.own_zone != 0 or up not in b.zones[0].subset:
             continue
-        keeping += 1
+        users += 1
         for step in range(1, 201):  # its whole traffic would go there, for 10 s
             now = start + step * load_balancing.SECOND // 20
             b.finish_rate.decayed_at = now
             if b.is_warming_up(up, now) and b.has_slow_start_credit(up, now):
                 b.charge_slow_start(up, now)
                 sent.append(step / 20)
-    assert keeping >= 4 and len(sent) > 30  # and it is not left idle
+    assert users >= 4 and len(sent) > 30  # and it is not left idle
     for begin in range(9):
         window = [at for at in sent if begin < at <= begin + 2]
         able = 10 * sum(0.2 + 0.8 * (begin + part / 10) / 10 for part in range(20)) / 10
@@ -343,7 +345,7 @@
 # --- subsets where new connections have a price
 
 
-def priced(number, sidecars, rows, zones=4, price=0.08, own=0):
+def sidecar_with_price(number, sidecars, rows, zones=4, price=0.08, own=0):
     conf = settings(zones=zones, az=own, balancers=sidecars, my_number=number, prices={"handshake": price})
     b = load_balancing.Balancer(conf, number, 0)
     b.list_changed(0, rows, True, True)
@@ -352,7 +354,7 @@
     return b
 
 
-def met(b, count=100, bad=(), whole=None):
+def send_sequentially(b, count=100, bad=(), whole=None):
     """Sends one request after another, as a sidecar with little traffic; upstreams in `bad` refuse.
 
     Returns the upstream of each attempt, and the number of completed requests.
@@ -375,32 +377,32 @@
 def test_two_hundred_sidecars_with_little_traffic_open_few_connections_where_each_has_a_price():
     # Each sidecar rotated over all of a hundred upstreams: a third to a half of all requests opened a
     # connection.
-    kept, sent = dict.fromkeys(range(100), 0), dict.fromkeys(range(100), 0)
+    use_counts, sent = dict.fromkeys(range(100), 0), dict.fromkeys(range(100), 0)
     for number in range(200):
-        b = priced(number, 200, fleet(100, 4), own=number % 4)
-        used, _ = met(b, 20)
+        b = sidecar_with_price(number, 200, fleet_rows(100, 4), own=number % 4)
+        used, _ = send_sequentially(b, 20)
         assert 3 <= len(b.zones[b.own_zone].subset) <= 8 and len(set(used)) <= 8
         for up in set(used):
-            kept[up] += 1
+            use_counts[up] += 1
         for up in used:
             sent[up] += 1
-    assert max(kept.values()) <= 20 and min(kept.values()) >= 2 and max(sent.values()) <= 3 * 40
-    assert len(set(met(priced(0, 200, fleet(100, 4), price=0.0))[0])) == 25
+    assert max(use_counts.values()) <= 20 and min(use_counts.values()) >= 2 and max(sent.values()) <= 3 * 40
+    assert len(set(send_sequentially(sidecar_with_price(0, 200, fleet_rows(100, 4), price=0.0))[0])) == 25
 
 
 def test_a_subset_with_two_failing_upstreams_still_serves_and_a_replaced_fleet_is_assigned_anew():
-    b = priced(7, 200, fleet(100, 4))
+    b = sidecar_with_price(7, 200, fleet_rows(100, 4))
     bad = {up.index for up in b.zones[0].subset[:2]}
-    used, done = met(b, 100, bad)
+    used, done = send_sequentially(b, 100, bad)
     assert done == 100 and len([up for up in used if up in bad]) < 20
-    fresh = [(up + 1000, *one[1:]) for up, one in enumerate(fleet(100, 4))]
+    fresh = [(up + 1000, *one[1:]) for up, one in enumerate(fleet_rows(100, 4))]
     b.list_changed(10**6, fresh, True, True)
     assert 3 <= len(b.zones[0].subset) <= 5 and all(up.index >= 1000 for up in b.zones[0].rotation)
     assert b.zones[0].rotation == b.zones[0].subset
 
 
 def test_a_connection_price_set_or_removed_at_a_reload_changes_the_subsets():
-    b = priced(7, 200, fleet(100, 4), price=0.0)
+    b = sidecar_with_price(7, 200, fleet_rows(100, 4), price=0.0)
     assert b.zones[0].subset is None and len(b.zones[0].rotation) == 25
     conf = settings(zones=4, balancers=200, my_number=7, prices={"connection": 0.03})
     b.update_settings(conf)
@@ -411,5 +413,5 @@
 
 def test_few_sidecars_use_their_whole_zone_also_where_connections_have_a_price():
     for sidecars in (3, 8):
-        b = priced(1, sidecars, fleet(12, 4))
+        b = sidecar_with_price(1, sidecars, fleet_rows(12, 4))
         assert len(b.zones[0].rotation) == 3
--- a/tests/load_balancing/test_rules.py
+++ b/tests/load_balancing/test_rules.py
@@ -7,7 +7,7 @@
 
 from shedgrade import load_balancing
 
-PROVED = {
+NEVER_RAN = {
     load_balancing.UNSENT,
     load_balancing.UNCONNECTED,
     load_balancing.REJECTED,
@@ -26,20 +26,20 @@
         self.method, self.parallel = conf["methods"][number], conf["limits"]["parallel_tries"]
         self.deadline, self.sends, self.finals = deadline, [], 0
 
-    def open_runs(self):
-        return [send for send in self.sends if send["how"] not in PROVED]
+    def possible_runs(self):
+        return [send for send in self.sends if send["outcome"] not in NEVER_RAN]
 
-    def out(self):
-        return [send for send in self.sends if send["how"] is None]
+    def outstanding(self):
+        return [send for send in self.sends if send["outcome"] is None]
 
     def may_send(self, now, zone, cell):
-        runs = self.open_runs()
-        if self.finals or now >= self.deadline or (self.out() and not self.parallel):
+        runs = self.possible_runs()
+        if self.finals or now >= self.deadline or (self.outstanding() and not self.parallel):
             return False
         return self.may_repeat(now, zone, cell) if runs else True
 
     def may_repeat(self, now, zone, cell):
-        runs, kind, group = self.open_runs(), self.method["idempotency"], self.method["group"]
+        runs, kind, group = self.possible_runs(), self.method["idempotency"], self.method["group"]
         if not runs or kind == "repeatable":
             return True
         if kind == "once" or now > runs[0]["at"] + self.method["repeat_window"] * 10:
@@ -50,28 +50,28 @@
         harmless = self.method["idempotency"] == "repeatable" or (
             self.method["idempotency"] == "by_key" and self.method["group"] == "all"
         )
-        return harmless or not self.open_runs()
+        return harmless or not self.possible_runs()
 
 
-class Day:
+class EventSequence:
     """Drives a balancer through generated events and checks every decision against the model."""
 
-    def __init__(self, conf, chance):
-        self.conf, self.now, self.b, self.rpcs = conf, 0, balancer(conf, UPSTREAMS, chance), []
+    def __init__(self, conf, random_seed):
+        self.conf, self.now, self.b, self.rpcs = conf, 0, balancer(conf, UPSTREAMS, random_seed), []
         self.state = {up: load_balancing.READY for up, _ in UPSTREAMS}
-        self.outs = set()  # withdrawn by operators, whatever the list says
+        self.withdrawn_upstreams = set()  # withdrawn by operators, whatever the list says
         for up, _ in UPSTREAMS:
             self.b.upstreams[up].cell = up % 2
 
-    def answer(self, rpc, model):
+    def check_decision(self, rpc, model):
         for up in self.b.upstreams.values():
             assert rpc.may_send_to(up, self.now) == model.may_repeat(self.now, up.zone, up.cell)
-        answer = rpc.decide(self.now)
-        if answer is None:
+        decision = rpc.decide(self.now)
+        if decision is None:
             return
-        what, value = answer
+        what, value = decision
         if what >= 0:
-            assert self.state[what] == load_balancing.READY and what not in self.outs
+            assert self.state[what] == load_balancing.READY and what not in self.withdrawn_upstreams
             assert model.may_send(self.now, what % 3, what % 2)
             assert len(model.sends) < self.conf["limits"]["most_transmissions"]
             assert value > 0 and self.now + value <= model.deadline
@@ -81,7 +81,7 @@
                     "up": what,
                     "zone": what % 3,
                     "cell": what % 2,
-                    "how": None,
+                    "outcome": None,
                     "until": self.now + value,
                 }
             )
@@ -90,21 +90,21 @@
             assert what == load_balancing.ERRORED or model.may_exhaust()
             model.finals += 1
 
-    def take(self, number, patience):
-        deadline = self.now + patience
+    def submit(self, number, timeout):
+        deadline = self.now + timeout
         model = Model(self.conf, number, deadline)
         rpc = self.b.admit(self.now, number, deadline)
         self.rpcs.append((rpc, model))
-        self.answer(rpc, model)
+        self.check_decision(rpc, model)
 
-    def end(self, rpc, model, tx, how):
+    def finish_attempt(self, rpc, model, tx, outcome):
         send = model.sends[tx]
-        send["how"] = how
-        settled = bool(model.finals) or how == load_balancing.COMPLETED
+        send["outcome"] = outcome
+        settled = bool(model.finals) or outcome == load_balancing.COMPLETED
         model.finals = model.finals or int(settled)
-        for number in rpc.attempt_finished(self.now, tx, how, self.now - send["at"], settled):
-            assert model.sends[number]["how"] is None
-        self.answer(rpc, model)
+        for number in rpc.attempt_finished(self.now, tx, outcome, self.now - send["at"], settled):
+            assert model.sends[number]["outcome"] is None
+        self.check_decision(rpc, model)
 
     def pass_time(self, until):
         """Advances the clock. Attempts time out when due, and the balancer is called when it asks to be."""
@@ -113,7 +113,7 @@
                 (send["until"], r, tx)
                 for r, (_, model) in enumerate(self.rpcs)
                 for tx, send in enumerate(model.sends)
-                if send["how"] is None
+                if send["outcome"] is None
             ]
             wake = self.b.wake_at()
             first = min(limits, default=(until + 1,))
@@ -121,33 +121,35 @@
                 break
             self.now = max(self.now, min(first[0], wake))
             if first[0] <= self.now:
-                self.end(*self.rpcs[first[1]], first[2], load_balancing.TIMED_OUT)
-            self.ask()
+                self.finish_attempt(*self.rpcs[first[1]], first[2], load_balancing.TIMED_OUT)
+            self.decide_due()
         self.now = until
-        self.ask()
+        self.decide_due()
 
-    def ask(self):
+    def decide_due(self):
         models = dict(self.rpcs)
         for rpc in self.b.due(self.now):
-            self.answer(rpc, models[rpc])
+            self.check_decision(rpc, models[rpc])
         for up in self.b.upstreams.values():
             assert (
                 up.in_flight
                 or up.state != load_balancing.REMOVED
-                or up.index in self.outs
+                or up.index in self.withdrawn_upstreams
                 or up.reinstated_at
             )
-            out = sum(send["up"] == up.index for _, m in self.rpcs for send in m.out())
-            assert up.in_flight + up.background_load == out  # background: requests of a slow method
-
-    def order(self, up, out):
-        (self.outs.add if out else self.outs.discard)(up)
-        cold = out or (up not in self.outs and up in self.b.upstreams and self.b.upstreams[up].withdrawn)
-        self.b.set_withdrawn(self.now, up, out)
-        if cold and not out and self.now:
+            outstanding = sum(send["up"] == up.index for _, m in self.rpcs for send in m.outstanding())
+            assert up.in_flight + up.background_load == outstanding  # background: requests of a slow method
+
+    def set_withdrawn(self, up, withdrawn):
+        (self.withdrawn_upstreams.add if withdrawn else self.withdrawn_upstreams.discard)(up)
+        cold = withdrawn or (
+            up not in self.withdrawn_upstreams and up in self.b.upstreams and self.b.upstreams[up].withdrawn
+        )
+        self.b.set_withdrawn(self.now, up, withdrawn)
+        if cold and not withdrawn and self.now:
             assert self.b.is_warming_up(self.b.upstreams[up], self.now)
 
-    def retune(self, most):
+    def change_settings(self, max_attempts):
         """Sets other methods under the same numbers and another attempt limit.
 
         Active requests keep their method; a lower attempt limit binds them.
@@ -155,22 +157,22 @@
         self.conf = {
             **self.conf,
             "methods": self.conf["methods"][1:] + self.conf["methods"][:1],
-            "limits": {**self.conf["limits"], "most_transmissions": most},
+            "limits": {**self.conf["limits"], "most_transmissions": max_attempts},
         }
         self.b.update_settings(self.conf)
 
-    def relist(self, up, state):
+    def change_list(self, up, state):
         self.state[up] = state
         self.b.list_changed(self.now, [row(up, up % 3, state, cell=up % 2)], False, True)
 
 
 STEP = st.one_of(
-    st.tuples(st.just("take"), st.integers(0, 4), st.integers(30, 12000)),
-    st.tuples(st.just("end"), st.integers(0, 50), st.integers(0, 8)),
+    st.tuples(st.just("submit"), st.integers(0, 4), st.integers(30, 12000)),
+    st.tuples(st.just("finish"), st.integers(0, 50), st.integers(0, 8)),
     st.tuples(st.just("wait"), st.integers(1, 4000), st.just(0)),
     st.tuples(st.just("list"), st.integers(0, 5), st.integers(0, 2)),
-    st.tuples(st.just("order"), st.integers(0, 5), st.integers(0, 1)),
-    st.tuples(st.just("retune"), st.integers(1, 4), st.just(0)),
+    st.tuples(st.just("withdraw"), st.integers(0, 5), st.integers(0, 1)),
+    st.tuples(st.just("settings"), st.integers(1, 4), st.just(0)),
 )
 
 
@@ -183,32 +185,32 @@
     suppress_health_check=[HealthCheck.too_slow],
 )
 @given(st.lists(STEP, min_size=5, max_size=40), st.booleans(), st.booleans(), st.integers(0, 99))
-def test_balancer_and_model_agree(steps, parallel, cancelling, chance):
+def test_balancer_and_model_agree(steps, parallel, cancelling, random_seed):
     conf = settings(METHODS, zones=3, limits={"parallel_tries": parallel, "cancelling": cancelling})
-    day = Day(conf, chance)
+    sequence = EventSequence(conf, random_seed)
     for what, a, b in steps:
-        if what == "take":
-            day.take(a, b)
+        if what == "submit":
+            sequence.submit(a, b)
         elif what == "wait":
-            day.pass_time(day.now + a)
+            sequence.pass_time(sequence.now + a)
         elif what == "list":
-            day.relist(a, b)
-        elif what == "order":
-            day.order(a, bool(b))
-        elif what == "retune":
-            day.retune(a)
+            sequence.change_list(a, b)
+        elif what == "withdraw":
+            sequence.set_withdrawn(a, bool(b))
+        elif what == "settings":
+            sequence.change_settings(a)
         else:
-            out = [
+            outstanding = [
                 (rpc, model, tx)
-                for rpc, model in day.rpcs
+                for rpc, model in sequence.rpcs
                 for tx, send in enumerate(model.sends)
-                if send["how"] is None
+                if send["outcome"] is None
             ]
-            if out:
-                rpc, model, tx = out[a % len(out)]
-                day.end(rpc, model, tx, load_balancing.STOPPED if model.finals else b)
-        day.ask()
-        day.b.check_invariants()
-    day.pass_time(day.now + 13000)
-    day.b.check_invariants()
-    assert all(model.finals == 1 and not model.out() for _, model in day.rpcs)
+            if outstanding:
+                rpc, model, tx = outstanding[a % len(outstanding)]
+                sequence.finish_attempt(rpc, model, tx, load_balancing.STOPPED if model.finals else b)
+        sequence.decide_due()
+        sequence.b.check_invariants()
+    sequence.pass_time(sequence.now + 13000)
+    sequence.b.check_invariants()
+    assert all(model.finals == 1 and not model.outstanding() for _, model in sequence.rpcs)
--- a/tests/model_routing/test_serving_choice.py
+++ b/tests/model_routing/test_serving_choice.py
@@ -12,54 +12,56 @@
 SECOND = 10_000
 
 
-def balancer(
+def make_balancer(
     regions=("a", "b"), own=0, ups=((0, 0), (1, 0), (2, 1), (3, 1)), slack=100.0, ratio=0.2, name="n1"
 ):
-    made = ServingBalancer(list(regions), own, 7, 0, RetryBudget(ratio, slack, 10 * SECOND), name)
+    balancer = ServingBalancer(list(regions), own, 7, 0, RetryBudget(ratio, slack, 10 * SECOND), name)
     rows = [(index, region, outcomes.READY, 0, 0, 1000 + index, 1.0, 0) for index, region in ups]
-    made.list_changed(0, rows, True, False)
-    return made
+    balancer.list_changed(0, rows, True, False)
+    return balancer
 
 
-def take(made, now=0, method=IDEMPOTENT, give_up_at=50_000, **wants):
-    rpc = made.admit(now, method, give_up_at, False, SimpleNamespace(wants=RoutingConstraints(**wants)), 0)
+def submit(balancer, now=0, method=IDEMPOTENT, give_up_at=50_000, **wants):
+    rpc = balancer.admit(
+        now, method, give_up_at, False, SimpleNamespace(wants=RoutingConstraints(**wants)), 0
+    )
     return rpc, rpc.decide(now)
 
 
 def test_own_region_in_rotation():
-    made = balancer()
-    assert {take(made)[1][0] for _ in range(2)} == {0, 1}
+    balancer = make_balancer()
+    assert {submit(balancer)[1][0] for _ in range(2)} == {0, 1}
 
 
 def test_at_the_threshold_the_most_loaded_region_is_skipped():
-    made = balancer()
+    balancer = make_balancer()
     for _ in range(4):
-        take(made)
-    assert take(made)[1][0] in (2, 3)
+        submit(balancer)
+    assert submit(balancer)[1][0] in (2, 3)
 
 
 def test_home_regions_may_exclude_the_own_region():
-    made = balancer()
-    assert {take(made, homes=frozenset({1}))[1][0] for _ in range(6)} == {2, 3}
+    balancer = make_balancer()
+    assert {submit(balancer, homes=frozenset({1}))[1][0] for _ in range(6)} == {2, 3}
 
 
 def test_without_a_ready_home_region_a_request_is_refused_at_once_with_a_retry_delay():
-    made = balancer(ups=((0, 0), (1, 0)))
-    what, wait = take(made, homes=frozenset({1}))[1]
-    assert what == outcomes.EXHAUSTED and 0 < wait <= SECOND
+    balancer = make_balancer(ups=((0, 0), (1, 0)))
+    decision, wait = submit(balancer, homes=frozenset({1}))[1]
+    assert decision == outcomes.EXHAUSTED and 0 < wait <= SECOND
 
 
 @pytest.mark.parametrize("outcome", [outcomes.FAILED, outcomes.DROPPED, outcomes.TIMED_OUT])
 def test_a_request_that_may_have_run_once_is_not_retried(outcome):
-    made = balancer()
-    rpc, _ = take(made, method=ONCE, most=3)
+    balancer = make_balancer()
+    rpc, _ = submit(balancer, method=ONCE, most=3)
     rpc.attempt_finished(100, 0, outcome, 100, False)
     assert rpc.decide(100) == (outcomes.ERRORED, 0)
 
 
 def test_a_request_that_never_ran_is_retried_within_its_attempts():
-    made = balancer()
-    rpc, (first, _) = take(made, method=ONCE, most=2)
+    balancer = make_balancer()
+    rpc, (first, _) = submit(balancer, method=ONCE, most=2)
     rpc.attempt_finished(100, 0, outcomes.REJECTED, 100, False)
     second, _ = rpc.decide(100)
     assert second != first
@@ -68,54 +70,58 @@
 
 
 def test_a_connection_that_never_came_up_is_no_attempt():
-    made = balancer()
-    rpc, _ = take(made, method=ONCE, most=1)
+    balancer = make_balancer()
+    rpc, _ = submit(balancer, method=ONCE, most=1)
     rpc.attempt_finished(100, 0, outcomes.UNCONNECTED, 100, False)
     assert rpc.decide(100)[0] >= 0
-    assert made.retry_budget.retries == 0
+    assert balancer.retry_budget.retries == 0
 
 
 def test_a_broken_idempotent_stream_is_retried():
-    made = balancer()
-    rpc, (first, _) = take(made, most=2)
+    balancer = make_balancer()
+    rpc, (first, _) = submit(balancer, most=2)
     rpc.attempt_finished(100, 0, outcomes.DROPPED, 100, False)
     assert rpc.decide(100)[0] not in (first, outcomes.ERRORED, outcomes.EXHAUSTED)
 
 
 def test_the_fleets_retry_budget_binds():
-    made = balancer(slack=12.0, ratio=0.0)
-    made.retry_budget.sidecar_count = 6
-    gone_again = 0
+    balancer = make_balancer(slack=12.0, ratio=0.0)
+    balancer.retry_budget.sidecar_count = 6
+    retried = 0
     for number in range(20):
-        rpc, _ = take(made, now=number, most=2)
+        rpc, _ = submit(balancer, now=number, most=2)
         rpc.attempt_finished(number, 0, outcomes.DROPPED, 1, False)
-        gone_again += rpc.decide(number)[0] >= 0
-    assert gone_again == 1  # a sixth of 12, of which four fifths are used
+        retried += rpc.decide(number)[0] >= 0
+    assert retried == 1  # a sixth of 12, of which four fifths are used
 
 
 def test_earlier_legs_count_as_attempts_and_their_upstreams_are_excluded():
-    made = balancer(ups=((0, 0), (1, 0)))
-    assert take(made, most=2, before=2)[1][0] == outcomes.EXHAUSTED
-    assert {take(made, most=3, before=1, avoid=frozenset({0}))[1][0] for _ in range(4)} == {1}
+    balancer = make_balancer(ups=((0, 0), (1, 0)))
+    assert submit(balancer, most=2, before=2)[1][0] == outcomes.EXHAUSTED
+    assert {submit(balancer, most=3, before=1, avoid=frozenset({0}))[1][0] for _ in range(4)} == {1}
 
 
 def test_a_stream_stays_in_flight_until_it_ends():
-    made = balancer()
-    rpc, (index, _) = take(made)
+    balancer = make_balancer()
+    rpc, (index, _) = submit(balancer)
     rpc.response_started(True)
-    assert made.upstreams[index].in_flight == 1
+    assert balancer.upstreams[index].in_flight == 1
     rpc.attempt_finished(5000, 0, outcomes.COMPLETED, 10, True)
-    assert made.upstreams[index].in_flight == 0
+    assert balancer.upstreams[index].in_flight == 0
 
 
 def test_sidecars_together_keep_to_a_warming_upstreams_rate():
     for sidecars in (1, 6, 67, 540):
         sent = []
         for number in range(sidecars):
-            made = balancer(ups=((0, 0),), name=f"edge-{number}")
-            made.sidecar_count, made.slow_start_rate, made.warming_up_until[0] = sidecars, 6.0, 4 * SECOND
+            balancer = make_balancer(ups=((0, 0),), name=f"edge-{number}")
+            balancer.sidecar_count, balancer.slow_start_rate, balancer.warming_up_until[0] = (
+                sidecars,
+                6.0,
+                4 * SECOND,
+            )
             for now in range(1, 3 * SECOND, 200):
-                rpc, (what, _) = take(made, now=now)
+                rpc, (what, _) = submit(balancer, now=now)
                 if what >= 0:
                     sent.append(now)
                     rpc.attempt_finished(now, 0, outcomes.COMPLETED, 1, True)
@@ -125,35 +131,35 @@
 
 def test_a_shared_prefix_goes_to_one_holder_in_every_sidecar():
     ups = tuple((index, 0) for index in range(12))
-    first = {take(balancer(ups=ups, name=f"n{number}"), key=b"aa:100")[1][0] for number in range(8)}
+    first = {submit(make_balancer(ups=ups, name=f"n{number}"), key=b"aa:100")[1][0] for number in range(8)}
     assert len(first) == 1
 
 
 def test_a_holder_well_above_the_mean_load_is_skipped():
-    made = balancer(ups=tuple((index, 0) for index in range(6)))
-    taken = [take(made, key=b"aa:100")[1][0] for _ in range(12)]
+    balancer = make_balancer(ups=tuple((index, 0) for index in range(6)))
+    taken = [submit(balancer, key=b"aa:100")[1][0] for _ in range(12)]
     assert len(set(taken)) == 6
-    assert max(made.upstreams[index].in_flight for index in taken) <= 4
+    assert max(balancer.upstreams[index].in_flight for index in taken) <= 4
 
 
 def test_an_ejected_upstream_gets_nothing_and_the_rest_serve():
-    made = balancer()
-    made.eject(0, made.upstreams[0], True)
-    assert 0 not in {take(made)[1][0] for _ in range(6)}
+    balancer = make_balancer()
+    balancer.eject(0, balancer.upstreams[0], True)
+    assert 0 not in {submit(balancer)[1][0] for _ in range(6)}
 
 
 def test_an_upstream_is_skipped_during_a_prefill_until_the_first_event():
-    made = balancer(ups=((0, 0), (1, 0), (2, 0)))
-    rpc, (reads, _) = take(made, tokens=8 * 2048)
-    assert made.upstreams[reads].background_load == 8
-    assert reads not in {take(made, tokens=100)[1][0] for _ in range(4)}
+    balancer = make_balancer(ups=((0, 0), (1, 0), (2, 0)))
+    rpc, (chosen, _) = submit(balancer, tokens=8 * 2048)
+    assert balancer.upstreams[chosen].background_load == 8
+    assert chosen not in {submit(balancer, tokens=100)[1][0] for _ in range(4)}
     rpc.response_started(True)
-    assert made.upstreams[reads].background_load == 0 and made.upstreams[reads].in_flight == 1
+    assert balancer.upstreams[chosen].background_load == 0 and balancer.upstreams[chosen].in_flight == 1
     rpc.attempt_finished(900, 0, outcomes.COMPLETED, 10, True)
-    assert (made.upstreams[reads].background_load, made.upstreams[reads].in_flight) == (0, 0)
+    assert (balancer.upstreams[chosen].background_load, balancer.upstreams[chosen].in_flight) == (0, 0)
 
 
-class Kept(dict):
+class HolderRecord(dict):
     """A prefix index: the id hashes of holders, by key."""
 
     def holders(self, key):
@@ -164,104 +170,104 @@
 
 
 def test_a_prefix_already_held_adds_no_prefill_load():
-    made = balancer(ups=((0, 0), (1, 0)))
-    made.prefix_index = Kept()
-    rpc, (reads, _) = take(made, key=b"aa:6000", tokens=8000, shared=6000)
-    assert made.upstreams[reads].background_load == 3
+    balancer = make_balancer(ups=((0, 0), (1, 0)))
+    balancer.prefix_index = HolderRecord()
+    rpc, (chosen, _) = submit(balancer, key=b"aa:6000", tokens=8000, shared=6000)
+    assert balancer.upstreams[chosen].background_load == 3
     rpc.response_started(True)
     rpc.attempt_finished(900, 0, outcomes.COMPLETED, 10, True)
-    _, (again, _) = take(made, now=1000, key=b"aa:6000", tokens=8000, shared=6000)
-    assert again == reads and made.upstreams[reads].background_load == 0
+    _, (chosen_again, _) = submit(balancer, now=1000, key=b"aa:6000", tokens=8000, shared=6000)
+    assert chosen_again == chosen and balancer.upstreams[chosen].background_load == 0
 
 
 def test_an_attempt_that_never_began_leaves_no_load_behind():
-    made = balancer()
-    rpc, (reads, _) = take(made, method=ONCE, tokens=50_000)
+    balancer = make_balancer()
+    rpc, (chosen, _) = submit(balancer, method=ONCE, tokens=50_000)
     rpc.attempt_finished(900, 0, outcomes.UNCONNECTED, 10, True)
-    assert all((up.background_load, up.in_flight) == (0, 0) for up in made.upstreams.values())
+    assert all((up.background_load, up.in_flight) == (0, 0) for up in balancer.upstreams.values())
 
 
 def test_a_long_prompt_goes_to_its_holder_if_the_own_region_would_prefill_it_anew():
-    made = balancer()
-    made.prefix_index = Kept({prefix_key(b"aa:6000"): {1003: 0.0}})
-    assert {take(made, key=b"aa:6000", tokens=8000, shared=6000)[1][0] for _ in range(2)} == {3}
-    assert take(made, key=b"bb:6000", tokens=8000, shared=6000)[1][0] in (0, 1)
-    made.prefix_index.saw(prefix_key(b"aa:6000"), 1000)
-    assert take(made, now=1, key=b"aa:6000", tokens=8000, shared=6000)[1][0] in (0, 1)
+    balancer = make_balancer()
+    balancer.prefix_index = HolderRecord({prefix_key(b"aa:6000"): {1003: 0.0}})
+    assert {submit(balancer, key=b"aa:6000", tokens=8000, shared=6000)[1][0] for _ in range(2)} == {3}
+    assert submit(balancer, key=b"bb:6000", tokens=8000, shared=6000)[1][0] in (0, 1)
+    balancer.prefix_index.saw(prefix_key(b"aa:6000"), 1000)
+    assert submit(balancer, now=1, key=b"aa:6000", tokens=8000, shared=6000)[1][0] in (0, 1)
 
 
 def test_a_short_prompt_stays_in_the_own_region():
-    made = balancer()
-    made.prefix_index = Kept({prefix_key(b"aa:300"): {1003: 0.0}})
-    assert take(made, key=b"aa:300", tokens=800, shared=300)[1][0] in (0, 1)
+    balancer = make_balancer()
+    balancer.prefix_index = HolderRecord({prefix_key(b"aa:300"): {1003: 0.0}})
+    assert submit(balancer, key=b"aa:300", tokens=800, shared=300)[1][0] in (0, 1)
 
 
 def test_home_regions_and_the_drop_threshold_bind_holders_in_other_regions():
-    made = balancer()
-    made.prefix_index = Kept({prefix_key(b"aa:6000"): {1003: 0.0}})
+    balancer = make_balancer()
+    balancer.prefix_index = HolderRecord({prefix_key(b"aa:6000"): {1003: 0.0}})
     wants = {"key": b"aa:6000", "tokens": 8000, "shared": 6000}
-    assert take(made, homes=frozenset({0}), **wants)[1][0] in (0, 1)
-    made.zones[1].in_flight = 4
-    assert take(made, **wants)[1][0] in (0, 1)
+    assert submit(balancer, homes=frozenset({0}), **wants)[1][0] in (0, 1)
+    balancer.zones[1].in_flight = 4
+    assert submit(balancer, **wants)[1][0] in (0, 1)
 
 
 # --- requests of other edges
 
 
-def busy(made, **loads):
+def report_loads(balancer, **loads):
     """Reports the requests that other edges have in flight, by upstream."""
-    made.update_remote_loads({1000 + int(name[1:]): load for name, load in loads.items()})
+    balancer.update_remote_loads({1000 + int(name[1:]): load for name, load in loads.items()})
 
 
 def test_an_upstream_that_other_edges_load_well_above_the_mean_is_skipped():
-    made = balancer(ups=((0, 0), (1, 0), (2, 0)))
-    busy(made, u0=5)
-    assert {take(made)[1][0] for _ in range(4)} == {1, 2}
-    busy(made)
-    assert made.zones[0].background_load == made.upstreams[0].background_load == 0
+    balancer = make_balancer(ups=((0, 0), (1, 0), (2, 0)))
+    report_loads(balancer, u0=5)
+    assert {submit(balancer)[1][0] for _ in range(4)} == {1, 2}
+    report_loads(balancer)
+    assert balancer.zones[0].background_load == balancer.upstreams[0].background_load == 0
 
 
 def test_the_holder_of_a_prefix_is_skipped_where_other_edges_load_it():
-    made = balancer(ups=((0, 0), (1, 0), (2, 0), (3, 0)))
-    usual = take(made, key=b"p:3000", shared=3000, tokens=3100)[1][0]
-    busy(made, **{f"u{usual}": 9})
-    assert take(made, key=b"p:3000", shared=3000, tokens=3100)[1][0] != usual
+    balancer = make_balancer(ups=((0, 0), (1, 0), (2, 0), (3, 0)))
+    holder = submit(balancer, key=b"p:3000", shared=3000, tokens=3100)[1][0]
+    report_loads(balancer, **{f"u{holder}": 9})
+    assert submit(balancer, key=b"p:3000", shared=3000, tokens=3100)[1][0] != holder
 
 
 def test_a_region_that_all_edges_together_overload_is_skipped():
-    made = balancer(own=0)
-    made.set_slots(16)
-    busy(made, u0=16, u1=16, u2=1)
-    assert {take(made)[1][0] for _ in range(8)} <= {2, 3}
-    busy(made, u0=5, u1=5)  # under a third of the slots
-    assert take(made)[1][0] in (0, 1)
+    balancer = make_balancer(own=0)
+    balancer.set_slots(16)
+    report_loads(balancer, u0=16, u1=16, u2=1)
+    assert {submit(balancer)[1][0] for _ in range(8)} <= {2, 3}
+    report_loads(balancer, u0=5, u1=5)  # under a third of the slots
+    assert submit(balancer)[1][0] in (0, 1)
 
 
 def test_the_threshold_grows_with_the_slots_of_upstreams():
     """Two requests are a high load for an upstream with 6 slots, and a low one for an upstream with 64."""
-    made = balancer()
-    made.set_slots(64)
-    assert {take(made)[1][0] for _ in range(40)} == {0, 1}
-    assert {take(made)[1][0] for _ in range(10)} >= {2, 3}
-    made = balancer()
-    made.set_slots(6)
-    assert {take(made)[1][0] for _ in range(4)} == {0, 1} and take(made)[1][0] in (2, 3)
+    balancer = make_balancer()
+    balancer.set_slots(64)
+    assert {submit(balancer)[1][0] for _ in range(40)} == {0, 1}
+    assert {submit(balancer)[1][0] for _ in range(10)} >= {2, 3}
+    balancer = make_balancer()
+    balancer.set_slots(6)
+    assert {submit(balancer)[1][0] for _ in range(4)} == {0, 1} and submit(balancer)[1][0] in (2, 3)
 
 
 def test_an_overloaded_region_is_used_where_the_others_are_little_better():
-    made = balancer(own=0)
-    made.set_slots(16)
-    busy(made, u0=16, u1=16, u2=13, u3=13)
-    assert {take(made)[1][0] for _ in range(3)} <= {0, 1}
+    balancer = make_balancer(own=0)
+    balancer.set_slots(16)
+    report_loads(balancer, u0=16, u1=16, u2=13, u3=13)
+    assert {submit(balancer)[1][0] for _ in range(3)} <= {0, 1}
 
 
 def test_between_a_third_and_two_thirds_of_the_slots_a_part_goes_elsewhere():
-    made = balancer(own=0)
-    made.set_slots(16)
+    balancer = make_balancer(own=0)
+    balancer.set_slots(16)
     regions = []
     for number in range(200):
-        busy(made, u0=8, u1=8)
-        rpc, (index, _) = take(made, now=number)
+        report_loads(balancer, u0=8, u1=8)
+        rpc, (index, _) = submit(balancer, now=number)
         regions.append(index // 2)
         rpc.attempt_finished(number, 0, outcomes.COMPLETED, 1, False)
         rpc.finish()
@@ -269,45 +275,45 @@
 
 
 def test_where_all_regions_are_overloaded_requests_are_still_served():
-    made = balancer(own=0)
-    made.set_slots(4)
-    busy(made, u0=40, u1=40, u2=50, u3=50)
-    assert take(made)[1][0] in (0, 1)
-    only = balancer(ups=((0, 0), (1, 0)))
+    balancer = make_balancer(own=0)
+    balancer.set_slots(4)
+    report_loads(balancer, u0=40, u1=40, u2=50, u3=50)
+    assert submit(balancer)[1][0] in (0, 1)
+    only = make_balancer(ups=((0, 0), (1, 0)))
     only.set_slots(4)
-    busy(only, u0=40, u1=40)
-    assert take(only)[1][0] in (0, 1)
+    report_loads(only, u0=40, u1=40)
+    assert submit(only)[1][0] in (0, 1)
 
 
 def test_without_reported_loads_or_slots_the_threshold_applies_to_own_requests_alone():
-    made = balancer(own=0)
-    busy(made, u0=90, u1=90)
-    assert take(made)[1][0] in (0, 1)
-    made.set_slots(16)
-    busy(made)
-    assert take(made)[1][0] in (0, 1)
+    balancer = make_balancer(own=0)
+    report_loads(balancer, u0=90, u1=90)
+    assert submit(balancer)[1][0] in (0, 1)
+    balancer.set_slots(16)
+    report_loads(balancer)
+    assert submit(balancer)[1][0] in (0, 1)
 
 
 def test_own_loads_are_those_of_this_edge_alone():
-    made = balancer()
-    _, (index, _) = take(made, tokens=5000)
-    busy(made, u0=7, u1=7, u2=7)
-    assert dict(made.own_loads()) == {1000 + index: 3}  # one in flight, and two units of prefill
+    balancer = make_balancer()
+    _, (index, _) = submit(balancer, tokens=5000)
+    report_loads(balancer, u0=7, u1=7, u2=7)
+    assert dict(balancer.own_loads()) == {1000 + index: 3}  # one in flight, and two units of prefill
 
 
 def test_remote_loads_are_forgotten_with_an_upstream():
-    made = balancer()
-    busy(made, u0=7, u1=2)
+    balancer = make_balancer()
+    report_loads(balancer, u0=7, u1=2)
     rows = [(index, region, outcomes.READY, 0, 0, 1000 + index, 1.0, 0) for index, region in ((1, 0), (2, 1))]
-    made.list_changed(10, rows, True, False)
-    assert made.take_released() and made.zones[0].background_load == 2
-    busy(made)
-    assert made.zones[0].background_load == made.zones[1].background_load == 0
+    balancer.list_changed(10, rows, True, False)
+    assert balancer.take_released() and balancer.zones[0].background_load == 2
+    report_loads(balancer)
+    assert balancer.zones[0].background_load == balancer.zones[1].background_load == 0
 
 
 def test_a_busy_holder_is_chosen_while_prefilling_anew_would_weigh_more():
-    made = balancer(ups=((0, 0), (1, 0), (2, 0), (3, 0)))
-    usual = take(made, key=b"p:6144", shared=6144, tokens=6144)[1][0]
-    made = balancer(ups=((0, 0), (1, 0), (2, 0), (3, 0)))
-    busy(made, **{f"u{usual}": 4})
-    assert take(made, key=b"p:6144", shared=6144, tokens=6144)[1][0] == usual
+    balancer = make_balancer(ups=((0, 0), (1, 0), (2, 0), (3, 0)))
+    holder = submit(balancer, key=b"p:6144", shared=6144, tokens=6144)[1][0]
+    balancer = make_balancer(ups=((0, 0), (1, 0), (2, 0), (3, 0)))
+    report_loads(balancer, **{f"u{holder}": 4})
+    assert submit(balancer, key=b"p:6144", shared=6144, tokens=6144)[1][0] == holder
