--- a/shedgrade/load_balancing/endpoint_list.py
+++ b/shedgrade/load_balancing/endpoint_list.py
@@ -190,7 +190,7 @@
         """Marks upstreams of a list older than discovery's: each may be gone, replaced or just started.
 
         Each gets one request at a time until `ends` attempts complete in about the usual time. With `last` it
-        stays ejected until all other upstreams are at capacity.
+        is used only as a last resort, until an attempt there completes or discovery lists it.
         """
         for upstream in (self.upstreams[index] for index in upstreams):
             upstream.probation_successes, upstream.half_open = ends, True
--- a/shedgrade/load_balancing/rpc.py
+++ b/shedgrade/load_balancing/rpc.py
@@ -13,7 +13,7 @@
 )
 from .upstream import DECAY_TIME, SECOND, DecayingRatio, Upstream
 
-LIMIT_STEP = 0.1  # of a concurrency limit, for an attempt that takes no time or twice the target
+LIMIT_STEP = 0.1  # relative change of a limit by an attempt that takes no time, or twice the target
 RAMP_STEP = 0.4  # requests that a limit gains per completion until the first late one: ramps up in seconds
 MIN_LIMIT_GROWTH = 1.05  # of a limit for any completion in time; else the limits of busy balancers would lag
 
@@ -202,7 +202,10 @@
         return ERRORED, 0
 
     def finish(self) -> list[int]:
-        """Ends the request; returns the outstanding attempts to cancel, as no client waits for them."""
+        """Ends the request; returns the outstanding attempts, as no client waits for them any longer.
+
+        The list is empty where the settings do not cancel attempts.
+        """
         self.done = True
         self.balancer.dequeue(self)
         return list(self.outstanding) if self.balancer.cancels_attempts else []
--- a/shedgrade/load_balancing/zones.py
+++ b/shedgrade/load_balancing/zones.py
@@ -71,7 +71,8 @@
         """Returns whether the concurrency limit keeps the request out.
 
         The fraction of a limit admits that fraction of requests, by the admission draw of each. The load that
-        the list reports cuts the limit where the mean expected duration exceeds the soft deadline.
+        the list reports cuts the limit where the mean expected duration exceeds the soft deadline, and raises
+        it where the load is light.
         """
         window = self.concurrency_limit
         if self.reported_load:
