--- a/shedgrade/model_routing/slow_start.py
+++ b/shedgrade/model_routing/slow_start.py
@@ -1,53 +1,54 @@
-"""What a cold upstream may get, summed over all sidecars without a word among them.
+"""Slow start shared among all sidecars, without communication between them.
 
-Guards against a fleet whose every member sends a little: a rate over a hundred sidecars is under one
-request in seconds each, and a burst of one from each is far over the bound. So few sidecars send to one
-cold upstream, chosen by a hash of both names (rendezvous), and deal the rate among themselves.
+The share of each of a hundred sidecars would be under one request in several seconds, and a burst of one
+request from each would far exceed the bound. So few sidecars send to a warming upstream, chosen by a hash of
+both names (rendezvous hashing), and they divide its rate among themselves.
 """
 
 from zlib import crc32
 
 from shedgrade.load_balancing.upstream import SECOND, Upstream
 
-DEALT_SHARE = 0.7  # of the rate is dealt: the count of sidecars lags, and sends bunch on their way
-SENDERS_PER_UPSTREAM = (
-    4  # sidecars for one cold upstream, where all, with one at once each, would be too many
-)
+# Share of the rate that is divided: the count of sidecars lags, and requests bunch on their way.
+DIVIDED_RATE_SHARE = 0.7
+# Sidecars per warming upstream, where a request from each of all sidecars at once would be too many.
+SENDERS_PER_UPSTREAM = 4
 
 
 class SlowStartShares:
-    """The part of `decide.Cold` that differs: who is cold is told by the list, for how long and at what
-    rate."""
+    """Replaces `load_balancing.slow_start.SlowStart`: the list tells which upstreams warm up, how long and at
+    what rate.
+    """
 
-    slow_start_rate = 0.0  # requests a second that a cold upstream bears, all sidecars together
-    slow_start_bound = 0.0  # the most that it may get within any second
-    sidecars, name = 1, ""  # the largest count of sidecars known lately; this one's name
+    slow_start_rate = 0.0  # requests a second to a warming upstream, of all sidecars together
+    slow_start_bound = 0.0  # most requests that it may get within any second
+    sidecars, name = 1, ""  # the largest count of sidecars known lately; this sidecar's name
 
     def is_warming_up(self, upstream: Upstream, now: int) -> bool:
-        """Whether the list says that it is still warming up."""
+        """Returns whether the upstream is still warming up by the list."""
         return now < self.warming_up_until.get(upstream.index, 0)
 
     def slow_start_rate_share(self, upstream: Upstream) -> float:
-        """Requests a second that this sidecar may send it."""
+        """Returns the requests a second that this sidecar may send to a warming upstream."""
         if (
             self.sidecar_count
-            <= max(SENDERS_PER_UPSTREAM, self.slow_start_bound - DEALT_SHARE * self.slow_start_rate)
+            <= max(SENDERS_PER_UPSTREAM, self.slow_start_bound - DIVIDED_RATE_SHARE * self.slow_start_rate)
             or not self.slow_start_rate
         ):
-            return DEALT_SHARE * self.slow_start_rate / max(1, self.sidecar_count)
-        chosen = (
+            return DIVIDED_RATE_SHARE * self.slow_start_rate / max(1, self.sidecar_count)
+        is_sender = (
             crc32(b"%d:%s" % (upstream.id_hash or 0, self.name.encode())) / 2**32
             < SENDERS_PER_UPSTREAM / self.sidecar_count
         )
-        return DEALT_SHARE * self.slow_start_rate / SENDERS_PER_UPSTREAM if chosen else 0.0
+        return DIVIDED_RATE_SHARE * self.slow_start_rate / SENDERS_PER_UPSTREAM if is_sender else 0.0
 
     def has_slow_start_credit(self, upstream: Upstream, now: int) -> bool:
-        """Whether this edge's share of its rate lets one more request through now."""
+        """Returns whether this sidecar's share of the rate allows one more request now."""
         if not self.slow_start_rate:
-            return True  # no bound is told
-        since = max(0, now - upstream.slow_start_updated_at) if upstream.slow_start_updated_at else 0
+            return True  # no rate is set
+        elapsed = max(0, now - upstream.slow_start_updated_at) if upstream.slow_start_updated_at else 0
         upstream.slow_start_credit = min(
-            1.0, upstream.slow_start_credit + since / SECOND * self.slow_start_rate_share(upstream)
+            1.0, upstream.slow_start_credit + elapsed / SECOND * self.slow_start_rate_share(upstream)
         )
         upstream.slow_start_updated_at = now
         return upstream.slow_start_credit >= 1
--- a/tests/load_balancing/test_in_memory.py
+++ b/tests/load_balancing/test_in_memory.py
@@ -1,4 +1,4 @@
-"""The turn and a connection of the application, in memory, on generated happenings."""
+"""The dispatcher and a client's connection, in memory, on generated sequences of events."""
 
 import socket
 from collections import Counter
@@ -19,7 +19,7 @@
 
 
 class Loop:
-    """Time stands still until it is moved on; what was called soon runs when told."""
+    """A loop with a manual clock; scheduled calls run on `run`, timers on `wait`."""
 
     def __init__(self):
         self.time, self.soon, self.timers = 0, [], []
@@ -56,8 +56,8 @@
 
 
 class Client:
-    def __init__(self, day):
-        self.day, self.finals, self.left = day, [], False
+    def __init__(self, scenario):
+        self.scenario, self.finals, self.left = scenario, [], False
 
     def completed(self, answer):
         self.finals.append(answer.body)
@@ -68,15 +68,15 @@
     def errored(self):
         self.finals.append("errored")
 
-    def has_left(self):  # unseen by the turn; what it was told of is in `left`
+    def has_left(self):  # never noticed by the dispatcher itself; a reported end is in `left`
         return False
 
 
-class Day:
-    """A turn with a stand-in for everything round it; holds what it does against what is allowed."""
+class DispatcherScenario:
+    """A dispatcher with stand-ins for its surroundings; counts its violations."""
 
     def __init__(self, conf):
-        self.loop, self.active_request, self.out, self.told, self.wrong = Loop(), [], [], Counter(), 0
+        self.loop, self.requests, self.sent, self.reported, self.violations = Loop(), [], [], Counter(), 0
         self.balancer = load_balancing.Balancer(conf, 1, 0)
         self.dispatcher = Dispatcher(
             self.loop, self.loop, self.balancer, self, list("0123"), Budget(100, 1), lambda upstream: None
@@ -86,8 +86,8 @@
 
     def transmit(self, transmission, now):
         client = transmission.active_request.client
-        self.wrong += bool(client.finals or client.left)
-        self.out.append(transmission)
+        self.violations += bool(client.finals or client.left)
+        self.sent.append(transmission)
 
     def stop(self, transmission):
         return True
@@ -103,23 +103,21 @@
     def silent(self, transmission):
         pass
 
-    def take(self, number, wait):
+    def submit_request(self, number, wait):
         client = Client(self)
-        active_request = ActiveRequest(
-            client, Request(b"%d" % len(self.active_request), b"POST", b"/m", [], b"x")
-        )
-        self.active_request.append((active_request, self.loop.time + wait * 10))
+        active_request = ActiveRequest(client, Request(b"%d" % len(self.requests), b"POST", b"/m", [], b"x"))
+        self.requests.append((active_request, self.loop.time + wait * 10))
         self.dispatcher.submit(active_request, number, wait, False)
 
-    def end(self, which, outcome):
-        if self.out:
-            transmission = self.out[which % len(self.out)]
+    def finish_attempt(self, which, outcome):
+        if self.sent:
+            transmission = self.sent[which % len(self.sent)]
             self.dispatcher.attempt_finished(transmission, outcome, Answer([], transmission))
 
 
 STEP = st.one_of(
-    st.tuples(st.just("take"), st.integers(0, 1), st.integers(1, 1500)),
-    st.tuples(st.just("end"), st.integers(0, 30), st.integers(1, 6)),
+    st.tuples(st.just("submit"), st.integers(0, 1), st.integers(1, 1500)),
+    st.tuples(st.just("finish"), st.integers(0, 30), st.integers(1, 6)),
     st.tuples(st.just("leave"), st.integers(0, 30), st.just(0)),
     st.tuples(st.just("list"), st.integers(0, 3), st.integers(0, 2)),
     st.tuples(st.just("run"), st.just(0), st.just(0)),
@@ -130,63 +128,66 @@
 @seed(2)
 @GENERATED
 @given(st.lists(STEP, max_size=60), st.booleans())
-def test_every_rpc_gets_one_answer_in_time_and_every_outcome_is_told_once(steps, parallel):
+def test_every_request_gets_one_answer_in_time_and_every_outcome_is_reported_once(steps, parallel):
     conf = settings([method("repeatable"), method("once")], zones=2, limits={"parallel_tries": parallel})
     with no_faults():
-        live(conf, steps)
+        run_scenario(conf, steps)
 
 
-def live(conf, steps):
-    day, ended = Day(conf), load_balancing.Rpc.attempt_finished
+def run_scenario(conf, steps):
+    scenario, ended = DispatcherScenario(conf), load_balancing.Rpc.attempt_finished
 
     def counted(rpc, now, tx, *more):
-        day.told[rpc, tx] += 1
+        scenario.reported[rpc, tx] += 1
         return ended(rpc, now, tx, *more)
 
     load_balancing.Rpc.attempt_finished = counted
     try:
         for what, a, b in steps:
-            if what == "take":
-                day.take(a, b)
-            elif what == "end":
-                day.end(a, b)  # also one that has ended before: nobody must hear of it again
+            if what == "submit":
+                scenario.submit_request(a, b)
+            elif what == "finish":
+                # The attempt may have finished before, which must not be reported again.
+                scenario.finish_attempt(a, b)
             elif what == "list":
-                day.dispatcher.list_changed([row(a, a % 2, b)], False, True)
-            elif what == "leave" and day.active_request:
-                active_request = day.active_request[a % len(day.active_request)][0]
+                scenario.dispatcher.list_changed([row(a, a % 2, b)], False, True)
+            elif what == "leave" and scenario.requests:
+                active_request = scenario.requests[a % len(scenario.requests)][0]
                 if not active_request.client.finals:
                     active_request.client.left = True
-                    day.dispatcher.client_disconnected(active_request)
+                    scenario.dispatcher.client_disconnected(active_request)
             elif what == "wait":
-                day.loop.run()
-                day.loop.wait(day.loop.time + a)
+                scenario.loop.run()
+                scenario.loop.wait(scenario.loop.time + a)
             else:
-                day.loop.run()
-            for active_request, until in day.active_request:
+                scenario.loop.run()
+            for active_request, until in scenario.requests:
                 assert len(active_request.client.finals) <= 1
-                assert active_request.client.finals or active_request.client.left or day.loop.time <= until
-        day.loop.run()
-        day.loop.wait(day.loop.time + 40_000)
+                assert (
+                    active_request.client.finals or active_request.client.left or scenario.loop.time <= until
+                )
+        scenario.loop.run()
+        scenario.loop.wait(scenario.loop.time + 40_000)
     finally:
         load_balancing.Rpc.attempt_finished = ended
     assert all(
-        active_request.client.finals or active_request.client.left for active_request, _ in day.active_request
+        active_request.client.finals or active_request.client.left for active_request, _ in scenario.requests
     )
-    assert len(day.dispatcher.active_requests) == day.dispatcher.active_requests.budget.bytes == 0
+    assert len(scenario.dispatcher.active_requests) == scenario.dispatcher.active_requests.budget.bytes == 0
     assert all(
-        day.told[active_request.rpc, tx] == 1
-        for active_request, _ in day.active_request
+        scenario.reported[active_request.rpc, tx] == 1
+        for active_request, _ in scenario.requests
         if active_request.rpc
         for tx in range(len(active_request.rpc.attempts))
     )
-    assert day.balancer.in_flight == day.wrong == 0 and set(day.told.values()) <= {1}
+    assert scenario.balancer.in_flight == scenario.violations == 0 and set(scenario.reported.values()) <= {1}
 
 
 PAIR = socket.socketpair()
 
 
 class Transport:
-    """Takes what is written, all at once or only when told."""
+    """Records what is written, at once or, while `slow`, on `flush`."""
 
     def __init__(self, connection):
         self.connection, self.written, self.views, self.slow, self.reading = connection, b"", [], False, True
@@ -216,7 +217,7 @@
         self.closed = True
 
     def get_extra_info(self, name):
-        return PAIR[0]  # with nothing unread and nothing that is still to be taken
+        return PAIR[0]  # with nothing to read and nothing left to send
 
     def get_write_buffer_size(self):
         return sum(map(len, self.views))
@@ -231,8 +232,8 @@
         self.reading = True
 
 
-def sidecar(taken):
-    """As much of one as a connection of the application calls; `taken` gets what it takes."""
+def sidecar_stub(taken):
+    """Stands in for a sidecar, as far as a client's connection uses it; `taken` collects its requests."""
     dispatcher = SimpleNamespace(
         submit=lambda active_request, *_: taken.append(active_request),
         client_disconnected=lambda active_request: None,
@@ -266,9 +267,9 @@
     st.lists(st.booleans(), min_size=1, max_size=5),
     st.lists(st.integers(0, 5), min_size=1, max_size=9),
 )
-def test_requests_cut_anyhow_are_answered_once_each_and_in_order(bodies, cuts, slow, order):
+def test_requests_split_at_any_byte_are_answered_once_each_and_in_order(bodies, cuts, slow, order):
     taken = []
-    connection = RpcConnection(sidecar(taken))
+    connection = RpcConnection(sidecar_stub(taken))
     transport = Transport(connection)
     connection.connection_made(transport)
     stream, step, answered = b"".join(request(body) for body in bodies), 0, 0
@@ -320,9 +321,9 @@
         max_size=8,
     )
 )
-def test_nothing_that_comes_in_gets_past_the_connection_as_an_exception(pieces):
+def test_no_input_raises_an_exception_out_of_the_connection(pieces):
     taken = []
-    connection = RpcConnection(sidecar(taken))
+    connection = RpcConnection(sidecar_stub(taken))
     transport = Transport(connection)
     connection.connection_made(transport)
     for piece in pieces:
