--- a/shedgrade/dataplane/control_client.py
+++ b/shedgrade/dataplane/control_client.py
@@ -1,13 +1,13 @@
-"""The control client of an edge: which core member it watches, and what it takes of the responses.
+"""The control client of an edge: decides which core members are sent watch requests, and handles responses.
 
-A pure state machine: events in (`handle_event`), instructions out (`take_instructions`). No I/O; times are
-seconds on a steady clock, handed in.
+A pure state machine: events go in (`handle_event`), instructions come out (`take_instructions`). No I/O;
+times are seconds on a steady clock, passed in by the caller.
 
-One preferred member is watched by long polling: each request follows as soon as the one before is answered,
-and the member answers when something changed, or after the time that the request may wait. The closest member
-that is fresh is the preferred one, by the round trip without the time that the member held the request. Where
-its state is stale, others are probed: requests that wait for nothing. `ReceivedState` takes what is newer,
-whoever answers.
+The edge watches one preferred member by long polling: it sends the next request as soon as the previous one
+is answered, and the member answers when something has changed or when the request has waited for its maximum
+time. The preferred member is the closest one with fresh state; closeness is the round trip without the time
+that the member held the request. When the preferred member's state is stale, other members are probed with
+requests that don't wait. `ReceivedState` keeps the newest state, whichever member it came from.
 """
 
 from collections.abc import Iterable
@@ -26,35 +26,35 @@
 from shedgrade.dataplane.received_state import ReceivedState, Update
 from shedgrade.runtime.log import logger
 
-FRESHER_BY_S = 0.2  # by which another member must be less stale to be preferred
-EARLY_RESPONSE = 0.9  # of the time that a request may wait: a response before that is early
-EARLY_PAUSE_S = 0.25  # until the next request, where a response was early and brought nothing new
-RETRY_ALL_S = 1.0  # after a failure at which a member is tried again at the latest, where none is preferred
-STARTING_REQUESTS = 2  # members that are asked at once while none is preferred
-PROBE_INTERVAL_S = 0.5  # between two probes
-CLOSER_PROBE_INTERVAL_S = 2.0  # between two probes of a member that was closer
+FRESHER_BY_S = 0.2  # another member is preferred as fresher if its state is less stale by more than this
+EARLY_RESPONSE = 0.9  # a response is early if the request waited for less than this part of its maximum
+EARLY_PAUSE_S = 0.25  # delay of the next request after an early response without news
+RETRY_ALL_S = 1.0  # maximum delay before a failed member is retried while no member is preferred
+STARTING_REQUESTS = 2  # concurrent requests, to different members, while no member is preferred
+PROBE_INTERVAL_S = 0.5  # minimum time between two probes, of any members
+CLOSER_PROBE_INTERVAL_S = 2.0  # between two probes of a fresh member that is closer than the preferred one
 MEASURE_INTERVAL_S = 30.0  # between two probes of any other member
-MAX_MEMBERS = 32  # that are remembered, beside those that are listed
-PLATFORM_POLL_AFTER_S = 3.0  # without a response, before an edge may poll the platform itself
-DEFAULT_MAX_WAIT_S = 1.0  # for which a request may wait at the preferred member
-UNMEASURED_ROUND_TRIP_S = 1.0  # by which a member ranks that was never measured
+MAX_MEMBERS = 32  # members kept in addition to those that are listed, preferred or have unreported requests
+PLATFORM_POLL_AFTER_S = 3.0  # time without a response after which an edge may poll the platform itself
+DEFAULT_MAX_WAIT_S = 1.0  # time that the preferred member may hold a request
+UNMEASURED_ROUND_TRIP_S = 1.0  # round trip assumed for ranking a member that was never measured
 
 
 class EdgeChangedEvent(msgspec.Struct, frozen=True):
-    """This edge is something else now, as it is to tell the core."""
+    """The status of this edge, which requests report to the core, has changed."""
 
     at: float
     edge: EdgeStatus
 
 
 class TickEvent(msgspec.Struct, frozen=True):
-    """Time has passed; due at `wake_at`, and harmless at any time."""
+    """Time has passed. Due at `wake_at`; an earlier tick does no harm."""
 
     at: float
 
 
 class ResponseEvent(msgspec.Struct, frozen=True):
-    """A response came from the member at `address`. `number`: of its request; 0: not known."""
+    """The member at `address` has answered request `number`; 0 if the number is unknown."""
 
     at: float
     address: str
@@ -63,9 +63,7 @@
 
 
 class RequestFailedEvent(msgspec.Struct, frozen=True):
-    """A request could not be sent, was cut off, or not answered in time. `number`: its number; 0: not
-    known.
-    """
+    """Request `number` couldn't be sent, was interrupted or timed out; 0 if the number is unknown."""
 
     at: float
     address: str
@@ -73,7 +71,7 @@
 
 
 class MembersDiscoveredEvent(msgspec.Struct, frozen=True):
-    """Other processes speak of these core members: a last resort, when all that are listed fail."""
+    """Other processes have named these core members. They are used only when all listed members fail."""
 
     addresses: tuple[str, ...]
 
@@ -95,8 +93,8 @@
 
 
 class SendWatchRequest(msgspec.Struct, frozen=True):
-    """Instruction: send `request` to the member at `address`, and report it as a ResponseEvent, or as a
-    RequestFailedEvent if none comes within `timeout_s`, with its `number`."""
+    """Instruction: send `request` to the member at `address` and report the outcome with its `number`: as a
+    ResponseEvent, or as a RequestFailedEvent if no response comes within `timeout_s`."""
 
     address: str
     request: WatchRequest
@@ -105,12 +103,12 @@
 
     @property
     def is_probe(self) -> bool:
-        """It waits for nothing, as its member is not the preferred one."""
+        """Whether the request doesn't wait, since its member is not the preferred one."""
         return self.request.wait_s <= 0
 
 
 class ApplyUpdates(msgspec.Struct, frozen=True):
-    """Instruction: apply these, in order."""
+    """Instruction: apply these updates in order."""
 
     updates: tuple[Update, ...]
 
@@ -123,18 +121,17 @@
     """Decides which core members are sent requests, and when.
 
     Attributes:
-        edge: this edge, as each request tells it.
-        max_wait_s: for which a request may wait at the preferred member where nothing is new.
-        received: what was taken of the responses.
-        members: the core members known, by address. Never more than MAX_MEMBERS but for those that are
-            listed, preferred or have unreported requests.
-        preferred_member: the one that is watched; one of `members`, without failures. None at the start
+        edge: the status of this edge, which each request reports.
+        max_wait_s: maximum time that the preferred member may hold a request while nothing is new.
+        received: the newest state from all responses.
+        members: the known core members by address. At most MAX_MEMBERS, not counting members that are listed,
+            preferred or have unreported requests.
+        preferred_member: the member that is watched; one of `members`, without failures. None at the start
             and after it has failed, until any member answers.
-        next_request_at: when the preferred member is sent the next request; means nothing while there is
-        none,
-            or its request is pending.
-        next_probe_at: before which no member is probed.
-        request_number: of the last request that was handed out; numbers only grow.
+        next_request_at: when the next request to the preferred member is due; meaningless while no member is
+            preferred or its request is pending.
+        next_probe_at: no member is probed before this time.
+        request_number: the number of the last request; numbers only increase.
         now: the time of the last TickEvent, or of the last event that led to a tick.
     """
 
@@ -146,7 +143,7 @@
         now: float,
         max_wait_s: float = DEFAULT_MAX_WAIT_S,
     ) -> None:
-        """`seeds`: peer transport addresses of core members. The first instructions are there at once."""
+        """`seeds`: peer transport addresses of core members. The first instructions are available at once."""
         self.edge = edge
         self.max_wait_s = max_wait_s
         self.received = ReceivedState()
@@ -165,7 +162,7 @@
     # --- events and instructions
 
     def handle_event(self, event: Event) -> None:
-        """Takes one event; `take_instructions` has what follows."""
+        """Handles one event; the resulting instructions are returned by `take_instructions`."""
         match event:
             case TickEvent(at):
                 self._tick(at)
@@ -181,7 +178,7 @@
                 self.received.own_list_applied(at)
 
     def take_instructions(self) -> list[Instruction]:
-        """What is to be done since the last call: requests to send, then updates to apply."""
+        """Returns and clears the pending instructions: requests to send, then updates to apply."""
         instructions: list[Instruction] = [*self._requests]
         self._requests.clear()
         updates = self.received.updates
@@ -191,7 +188,7 @@
         return instructions
 
     def wake_at(self) -> float:
-        """When a TickEvent is due next; inf: never."""
+        """When the next TickEvent is due; inf if none is."""
         due = [self.received.withheld_until]
         due += [
             member.pending.deadline + RESEND_GAP_S
@@ -204,18 +201,18 @@
             due.append(probe[1])
         return min(due)
 
-    # --- what is known
+    # --- freshness and invariants
 
     def response_age_s(self, now: float) -> float:
-        """Since any core member's last response, or the start."""
+        """The time since the last response of any core member, or since the start if there was none."""
         last = self.received.last_response_at
         return now - (self._started_at if last is None else last)
 
     def platform_poll_interval_s(self, now: float, rate_per_s: float) -> float | None:
-        """The time between two lists that this edge may poll from the platform itself; None: it may not.
+        """The interval at which this edge may poll the platform for endpoint lists; None if it may not.
 
-        Only when all members have been silent, and at its share of the platform's rate, since all edges may
-        have lost the core.
+        It may poll only when all members have been silent, and only at its share of the platform's rate,
+        since all edges may have lost the core.
         """
         if self.response_age_s(now) <= PLATFORM_POLL_AFTER_S:
             return None
@@ -224,7 +221,7 @@
         return max(PLATFORM_POLL_AFTER_S, 4 * edges / rate_per_s)
 
     def check_invariants(self) -> None:
-        """What holds between two events, see the attributes. AssertionError if something doesn't."""
+        """Checks the documented properties of the attributes. AssertionError if one doesn't hold."""
         preferred = self.preferred_member
         if preferred is not None:
             assert self.members.get(preferred.address) is preferred, preferred.address
@@ -244,7 +241,7 @@
     # --- members
 
     def _set_listed(self, addresses: Iterable[str]) -> None:
-        """The core members as one of them lists them. Others are kept, and asked when all of these fail."""
+        """Replaces the list of core members. Earlier members are kept and used when all listed ones fail."""
         for member in self.members.values():
             member.listed = False
         for address in addresses:
@@ -266,7 +263,7 @@
     # --- handling of events
 
     def _handle_edge_change(self, now: float, edge: EdgeStatus) -> None:
-        """The preferred member is told at once, and a second one if the edge's end has come nearer."""
+        """Reports the change to the preferred member, and to a second one if shutdown has advanced."""
         if edge == self.edge:
             return
         closer_to_end = edge.shutdown_stage > self.edge.shutdown_stage
@@ -280,7 +277,7 @@
         self._tick(now)
 
     def _tick(self, now: float) -> None:
-        """Gives up requests whose time is up, and hands out those that are due."""
+        """Times out overdue requests and sends the requests that are due."""
         self.now = now
         for member in self.members.values():
             if member.pending is not None and member.pending.deadline + RESEND_GAP_S <= now:
@@ -308,7 +305,7 @@
         try:
             brought_news = self.received.take(now, response)
         except ValueError as error:
-            # Guards against a member whose responses can't be read: another is asked.
+            # Guards against a member whose responses can't be decoded: another one is asked.
             logger.warning("watch response rejected", member=event.address, error=error)
             if member is not None and (request is member.pending or member.pending is None):
                 self._note_failure(now, member)
@@ -348,7 +345,8 @@
     # --- which member is sent a request
 
     def _prefer_if_better(self, now: float, member: CoreMember) -> None:
-        """Prefers a member that has answered if there is none, or it is fresher, or as fresh and closer."""
+        """Makes a member that has answered the preferred one if there is none or it is fresher, or as fresh
+        and closer."""
         preferred = self.preferred_member
         if preferred is not None:
             if member is preferred:
@@ -363,7 +361,7 @@
     def _schedule_next_request(
         self, now: float, request: PendingRequest | None, response: WatchResponse, brought_news: bool
     ) -> None:
-        """The next request to the preferred member, which has just answered."""
+        """Schedules the next request to the preferred member, which has just answered."""
         sent_at = now if request is None else request.sent_at
         early = (
             request is not None and not brought_news and response.pending_s < EARLY_RESPONSE * request.wait_s
@@ -371,7 +369,7 @@
         self.next_request_at = max(sent_at + RESEND_GAP_S, now + EARLY_PAUSE_S if early else now)
 
     def _rank(self, member: CoreMember) -> Rank:
-        """The lowest is asked first."""
+        """The sort key of a member; the lowest is asked first."""
         round_trip_s = UNMEASURED_ROUND_TRIP_S if member.round_trip_s is None else member.round_trip_s
         return (
             not member.listed,
@@ -382,8 +380,8 @@
         )
 
     def _next_requests(self, now: float) -> list[tuple[CoreMember, float]]:
-        """Who is sent a request that is no probe, and when: the preferred member, or while there is none, any
-        STARTING_REQUESTS."""
+        """Returns the members that are due a request that is not a probe, each with the time: the preferred
+        member, or any STARTING_REQUESTS while no member is preferred."""
         if self.preferred_member is not None:
             if self.preferred_member.pending is not None:
                 return []
@@ -400,8 +398,8 @@
         return idle[: max(0, STARTING_REQUESTS - pending)]
 
     def _next_probe(self) -> tuple[CoreMember, float] | None:
-        """Which listed member is probed, and when: one that may be fresher or closer than the preferred
-        one.
+        """Returns the next listed member to probe, and when: one that may be fresher or closer than the
+        preferred one. None if there is none.
         """
         if self.preferred_member is None:
             return None
@@ -416,7 +414,7 @@
         return member, at
 
     def _probe_at(self, member: CoreMember) -> float:
-        """When `member` may be probed; at once if it was never measured."""
+        """The earliest time for a probe of `member`, which is not delayed if it was never measured."""
         preferred = self.preferred_member
         at = max(self.next_probe_at, member.backoff_until)
         if preferred is None:
@@ -430,7 +428,7 @@
         return max(at, member.measured_at + MEASURE_INTERVAL_S)
 
     def _send_request(self, now: float, member: CoreMember) -> None:
-        """Hands a request out: one that may wait to the preferred member, a probe to any other."""
+        """Queues a request: one that may wait to the preferred member, a probe to any other."""
         wait_s = self.max_wait_s if member is self.preferred_member else 0.0
         self.request_number += 1
         member.add_request(now, self.request_number, wait_s)
@@ -448,8 +446,8 @@
         )
 
     def _ask_all_before_release(self, now: float) -> None:
-        """Withheld control state is handed on once every listed member was asked, and has answered or
-        failed.
+        """Releases withheld control state once every listed member was asked and has answered or failed, or
+        when its time is up.
         """
         asked = [member for member in self.members.values() if member.listed]
         for member in asked:
@@ -462,7 +460,7 @@
 
 
 def aged(response: WatchResponse, delay_s: float) -> WatchResponse:
-    """The response as of now: it was under way, or unread, for up to `delay_s`."""
+    """Returns the response with ages as of now; it was in transit or unread for up to `delay_s`."""
     endpoints = response.endpoints
     if endpoints is not None:
         endpoints = msgspec.structs.replace(endpoints, age_s=endpoints.age_s + delay_s)
--- a/shedgrade/dataplane/control_exchange.py
+++ b/shedgrade/dataplane/control_exchange.py
@@ -23,16 +23,16 @@
 from shedgrade.prefix_cache_index import EdgePrefixIndex
 from shedgrade.runtime.log import logger
 
-BODY_KIND = b"K"  # the first byte of a body, by which the control plane tells its kinds apart
-LEAST_TIMER_S = 0.001  # until the next tick, however long it is due
+BODY_KIND = b"K"  # first byte of a message body, by which the control plane distinguishes the kinds of bodies
+LEAST_TIMER_S = 0.001  # minimum delay of the next tick, even if it is overdue
 
 
 class ControlExchange:
-    """One edge's exchange with the core, over `links`.
+    """One edge's exchange with the core over `links`.
 
-    `apply`: is handed what is to be applied, in order. `cover_received`: is told which edges take over the
-    clients of this one, as each response says; NO_DRAIN_TARGET where the request did not say that this edge
-    leaves.
+    `apply`: called with the updates to apply, in order. `cover_received`: called for each response with the
+    edges that take over this edge's clients; NO_DRAIN_TARGET if the request didn't say that this edge is
+    leaving.
     """
 
     def __init__(
@@ -55,12 +55,12 @@
         self._stopped = False
 
     def stop(self) -> None:
-        """No request is due by time alone any more; what an event leads to is still sent."""
+        """Stops the timer: requests are sent only in response to events from now on."""
         self._stopped = True
         self._cancel_timer()
 
     def run_instructions(self) -> None:
-        """Carries out what the watcher wants, and sets the timer for its next tick."""
+        """Executes the watcher's instructions and sets the timer for its next tick."""
         for instruction in self.watcher.take_instructions():
             match instruction:
                 case SendWatchRequest():
@@ -88,17 +88,17 @@
         try:
             self._apply(updates)
         except (ValueError, TypeError, AttributeError) as error:
-            # Guards against state of another version: what was in force stays.
+            # Guards against state of another version: the state in force is kept.
             logger.error("control update rejected", error=repr(error))
 
     async def _send(self, instruction: SendWatchRequest) -> None:
-        """Sends one request, and hands the watcher what became of it."""
+        """Sends one request and reports the outcome to the watcher."""
         address = instruction.address
         request = instruction.request
         reads: tuple = ()
         if not instruction.is_probe:
-            # Versions of the prefix cache index are one member's own: a probe of another member asks for
-            # none.
+            # Each member has its own versions of the prefix cache index: a probe of another member doesn't
+            # request it.
             reads = self._prefix_index.take_unsent()
             request = msgspec.structs.replace(
                 request, prefix_reads=reads, prefix_index_version=self._prefix_index.version
--- a/shedgrade/dataplane/core_member.py
+++ b/shedgrade/dataplane/core_member.py
@@ -1,31 +1,32 @@
-"""A core member as an edge sees it: requests that are pending there, response times, failures.
+"""A core member as an edge sees it: pending requests, round trip time, failures.
 
-No I/O; times are seconds on a steady clock, handed in.
+No I/O; times are seconds on a steady clock, passed in by the caller.
 """
 
 from math import inf
 
-REQUEST_TIMEOUT_S = 0.7  # beyond the time that a request may wait there, after which it counts as failed
-RESEND_GAP_S = 0.02  # between two requests to the same member
-STALE_CONTROL_S = (
-    1.05  # of a member's control state, beyond which others are asked too: heartbeats 0.25 s apart, three
-)
-# of which lie between a state and what a follower may say of it (`replication.acknowledgement_times`)
-STALE_ENDPOINT_LIST_S = 2.5  # the same for the age of its endpoint list
-FIRST_BACKOFF_S = 0.1  # after a failure, doubled with each further one
+REQUEST_TIMEOUT_S = 0.7  # a request fails when it is unanswered for this long beyond its maximum wait
+RESEND_GAP_S = 0.02  # minimum time between two scheduled requests to the same member
+# Other members are asked too when a member's control state is older than this. Heartbeats are 0.25 s apart,
+# and three lie between a state and what a follower may report of it (`replication.acknowledgement_times`).
+STALE_CONTROL_S = 1.05
+STALE_ENDPOINT_LIST_S = 2.5  # the same limit for the age of a member's endpoint list
+FIRST_BACKOFF_S = 0.1  # after the first failure; doubles with each further one
 LONGEST_BACKOFF_S = 5.0
 MAX_BACKOFF_DOUBLINGS = 8
-CLOSER_RATIO = 0.6  # a member is closer if its round trip takes less than this part of the other's,
-CLOSER_MARGIN_S = 0.002  # and this much less
+# A member is closer than another if its round trip takes less than this part of the other's and is shorter by
+# more than the margin.
+CLOSER_RATIO = 0.6
+CLOSER_MARGIN_S = 0.002
 
 
 class PendingRequest:
-    """A request that was handed out, until its sender has said what became of it."""
+    """A request that was sent and whose outcome the sender has not reported yet."""
 
     __slots__ = ("number", "sent_at", "wait_s", "deadline")
 
     def __init__(self, number: int, sent_at: float, wait_s: float) -> None:
-        """`wait_s`: how long the member may hold the request where nothing is new."""
+        """`wait_s`: maximum time that the member may hold the request while nothing is new."""
         self.number = number
         self.sent_at = sent_at
         self.wait_s = wait_s
@@ -36,19 +37,20 @@
     """One core member and what its responses have shown.
 
     Attributes:
-        address: of its peer transport.
-        tie_break: drawn by chance, so that edges which measure the same spread over the members.
-        listed: whether the last response with a list of members named it. Others are a last resort.
-        pending: its newest request, while that is awaited; one of `unreported`.
-        unreported: all requests of which the sender has not said what became of them, the oldest first.
-            A request that a newer one replaced stays here until its time is long up.
-        round_trip_s: smoothed, without the time that the member held the request; None until measured.
-        measured_at: when that was; -inf: never.
-        staleness_s: by how much its state is older than a response may be; 0: it is fresh.
-        failures: in a row; 0 since its last response.
-        backoff_until: before which no probe goes there; -inf while `failures` is 0.
-        failed_at: when the last of these failures was; -inf while `failures` is 0.
-        requested_at: when it was last sent a request; -inf: never.
+        address: peer transport address.
+        tie_break: random number that spreads edges with equal measurements over the members.
+        listed: whether the last response with a list of members named it. Other members are a last resort.
+        pending: the newest request while it is unanswered; one of `unreported`.
+        unreported: requests whose outcome the sender has not reported, oldest first. A replaced request stays
+            here until it has long timed out.
+        round_trip_s: smoothed round trip without the time that the member held the request; None until
+            measured.
+        measured_at: time of the last measurement; -inf if there was none.
+        staleness_s: the time by which its state exceeds the permitted age; 0 if it is fresh.
+        failures: consecutive failures since its last response.
+        backoff_until: no probe is sent before this time; -inf while `failures` is 0.
+        failed_at: time of the last of these failures; -inf while `failures` is 0.
+        requested_at: time of the last request; -inf if there was none.
     """
 
     __slots__ = (
@@ -81,7 +83,7 @@
         self.requested_at = -inf
 
     def add_request(self, now: float, number: int, wait_s: float) -> PendingRequest:
-        """A request goes there; one that was pending is replaced."""
+        """Records a new request, which replaces the pending one."""
         request = PendingRequest(number, now, wait_s)
         self.pending = request
         self.requested_at = now
@@ -89,9 +91,10 @@
         return request
 
     def match_response(self, now: float, number: int, held_s: float) -> PendingRequest | None:
-        """The request that a response answers, which is no longer unreported; None if none fits.
+        """Removes the request that a response answers from `unreported` and returns it; None if none matches.
 
-        `number`: the request's; 0: not known, then the newest one that can have been held for `held_s`.
+        `number`: the request's number; if it is unknown (0), the newest request that can have been held for
+        `held_s` matches.
         """
         if number:
             return self._remove([one for one in self.unreported if one.number == number])
@@ -99,10 +102,11 @@
         return self._remove(held_long_enough[-1:] or self.unreported[:1])
 
     def match_failure(self, now: float, number: int) -> PendingRequest | None:
-        """The request that failed, which is no longer unreported; None if none fits.
+        """Removes the request that has failed from `unreported` and returns it; None if none matches.
 
-        `number`: the request's; 0: not known, then the oldest one whose time is up, or the newest. One that
-        was replaced is never answered: its time runs out while a newer one is pending.
+        `number`: the request's number; if it is unknown (0), the oldest request that has timed out matches,
+        or else the newest. A replaced request is never answered, so it times out while a newer one is
+        pending.
         """
         if number:
             return self._remove([one for one in self.unreported if one.number == number])
@@ -116,12 +120,12 @@
         return found[0]
 
     def drop_expired(self, now: float) -> None:
-        """Requests whose sender says nothing of them, long after their time."""
+        """Drops requests whose sender reports no outcome long after they have timed out."""
         while self.unreported and self.unreported[0].deadline + 1.0 < now:
             self.unreported.pop(0)
 
     def note_failure(self, now: float) -> None:
-        """A request failed: backs off, exponentially in the failures in a row."""
+        """Records a failed request and backs off exponentially in the number of consecutive failures."""
         self.pending = None
         self.failures += 1
         self.failed_at = now
@@ -136,8 +140,11 @@
         primary_age_s: float,
         list_age_s: float,
     ) -> None:
-        """A response came, to `request` if that is known. The ages are as of now: since the member heard the
-        primary, and of its endpoint list."""
+        """Records a response to `request`, or to an unknown request if None.
+
+        `primary_age_s`: time since the member heard from the primary; `list_age_s`: age of its endpoint list;
+        both as of now.
+        """
         self.failures = 0
         self.backoff_until = -inf
         self.failed_at = -inf
@@ -154,7 +161,7 @@
         self.measured_at = now
 
     def closer_than(self, other: "CoreMember") -> bool:
-        """Its round trip takes clearly less time; False if either was not measured."""
+        """Whether its round trip is clearly shorter; False if either member was not measured."""
         mine = self.round_trip_s
         theirs = other.round_trip_s
         if mine is None or theirs is None:
@@ -162,7 +169,7 @@
         return mine < CLOSER_RATIO * theirs and theirs - mine > CLOSER_MARGIN_S
 
     def check_invariants(self) -> None:
-        """What holds between two events, see the class. AssertionError if something doesn't."""
+        """Checks the documented properties of the attributes. AssertionError if one doesn't hold."""
         assert self.pending is None or self.pending in self.unreported, self.address
         numbers = [request.number for request in self.unreported]
         assert numbers == sorted(set(numbers)), numbers
--- a/shedgrade/dataplane/draining.py
+++ b/shedgrade/dataplane/draining.py
@@ -1,42 +1,42 @@
-"""Graceful shutdown of a data plane's process, from SIGTERM to its exit: what it still accepts, and when it
-exits.
+"""Graceful shutdown of a data plane process from SIGTERM to its exit: which requests it still accepts, and
+when it exits.
 
-A machine serves again soon after its process has exited, so a process that was told to end drains fast: at
-first it accepts all requests, as clients keep its address for a while; then only what ends no later than what
-is in flight may end, so that no request it accepts delays its exit; and it exits as soon as nothing is in
-flight. Where all edges of a region are told to end at once, those that exit first drain faster, and the
-others take over their clients meanwhile; the control plane says who exits first.
+A machine serves again soon after its process has exited, so a draining process exits as early as it can. At
+first it accepts all requests, since clients keep its address for a while. Then it accepts only requests that
+end no later than those in flight, so that no accepted request delays the exit. It exits as soon as nothing is
+in flight. When all edges of a region are shut down at the same time, some exit first and drain faster while
+the others take over their clients; the control plane decides which exit first.
 
-No I/O; times are seconds on a steady clock, handed in.
+No I/O; times are seconds on a steady clock, passed in by the caller.
 """
 
 from math import inf
 
 from shedgrade.control_messages import LEAVING, NO_DRAIN_TARGET, READY
 
-ACCEPT_ALL_S = 2.8  # after SIGTERM, in which all requests are accepted: clients keep addresses so long
+ACCEPT_ALL_S = 2.8  # time after SIGTERM in which all requests are accepted, as clients keep addresses so long
 ACCEPT_ALL_FIRST_S = 0.5  # the same for a process that exits before others that take over its clients
-CANCEL_BEFORE_KILL_S = 0.6  # before SIGKILL, when whatever is still in flight is cancelled
-EXIT_BEFORE_KILL_S = 0.25  # before SIGKILL, when the process exits, whatever still comes
-RESTART_S = 1.0  # from the exit of a process to the machine's next one that serves
-COVER_VALID_S = 1.5  # for which the control plane's word on who takes over counts: three watch requests
+CANCEL_BEFORE_KILL_S = 0.6  # requests still in flight are cancelled this long before SIGKILL
+EXIT_BEFORE_KILL_S = 0.25  # the process exits this long before SIGKILL, even if requests are still in flight
+RESTART_S = 1.0  # from the exit of a process until the machine's next process serves
+COVER_VALID_S = 1.5  # validity of the control plane's statement on who takes over: three watch requests
 
 
 class Draining:
-    """One process that was told to end.
+    """The drain of one process.
 
     Attributes:
-        started_at: when it was told to.
-        cancel_at: when whatever is still in flight is cancelled; never before all requests have stopped being
-            accepted.
+        started_at: when SIGTERM was received.
+        cancel_at: when requests still in flight are cancelled; never before the process has stopped accepting
+            all requests.
         exit_at: when the process exits at the latest; not before `cancel_at`.
-        cover: which edges take over the clients, as the control plane said last: READY ones, others that are
+        cover: the edges that take over the clients according to the control plane: READY ones, ones that are
             LEAVING later, or NO_DRAIN_TARGET.
-        cover_received_at: when it said so; -inf: never.
+        cover_received_at: when `cover` was received; -inf if it never was.
     """
 
     def __init__(self, now: float, grace_s: float) -> None:
-        """`grace_s`: from SIGTERM to SIGKILL."""
+        """`grace_s`: time from SIGTERM to SIGKILL."""
         self.started_at = now
         self.cancel_at = now + max(ACCEPT_ALL_S, grace_s - CANCEL_BEFORE_KILL_S)
         self.exit_at = max(self.cancel_at, now + grace_s - EXIT_BEFORE_KILL_S)
@@ -44,14 +44,14 @@
         self.cover_received_at = -inf
 
     def cover_received(self, now: float, cover: str) -> None:
-        """The control plane has said which edges take over the clients."""
+        """Records the control plane's statement on which edges take over the clients."""
         self.cover = cover
         self.cover_received_at = now
 
     def covered_by(self, now: float) -> str:
-        """Which edges take over the clients, as far as that is known.
+        """The edges that take over the clients, as far as known.
 
-        Guards against what is not known: without a word, or with an old one, others may have exited too.
+        Guards against unknown state: without a recent statement, the other edges may have exited too.
         """
         return self.cover if now - self.cover_received_at <= COVER_VALID_S else NO_DRAIN_TARGET
 
@@ -61,7 +61,7 @@
         return now - self.started_at <= (ACCEPT_ALL_FIRST_S if first else ACCEPT_ALL_S)
 
     def accepts(self, now: float, longest_s: float, in_flight_until: float) -> bool:
-        """Whether a request is accepted that may need `longest_s` (infinity: not known), where what is in
+        """Whether a request is accepted that may take `longest_s` (infinity if unknown), when the requests in
         flight may end at `in_flight_until`."""
         return self.accepts_all(now) or now + longest_s <= min(in_flight_until, self.cancel_at)
 
@@ -70,13 +70,13 @@
         return not self.accepts_all(now)
 
     def retry_after_s(self, now: float, in_flight_until: float) -> float:
-        """After which a rejected client finds an edge that serves: 0 where others do already."""
+        """The time after which a rejected client finds an edge that serves; 0 if others serve already."""
         if self.covered_by(now) in (READY, LEAVING):
             return 0.0
         return max(now, min(in_flight_until, self.cancel_at)) + RESTART_S - now
 
     def check_invariants(self) -> None:
-        """What holds at any time, see the class. AssertionError if something doesn't."""
+        """Checks the documented properties of the attributes. AssertionError if one doesn't hold."""
         assert self.started_at + ACCEPT_ALL_S <= self.cancel_at <= self.exit_at, self.exit_at
         assert self.cover in (READY, LEAVING, NO_DRAIN_TARGET), self.cover
         assert self.cover == NO_DRAIN_TARGET or self.cover_received_at > -inf
--- a/shedgrade/dataplane/fleet_size.py
+++ b/shedgrade/dataplane/fleet_size.py
@@ -1,4 +1,4 @@
-"""How many edges there are, as the fleet's budgets are dealt by it. Sans I/O, time is handed in."""
+"""The number of edges by which the fleet's budgets are divided. No I/O; times are passed in by the caller."""
 
 from collections import deque
 
@@ -6,16 +6,16 @@
 
 
 class FleetSize:
-    """The largest count of the last LATELY seconds, 1 at the least.
+    """The largest count of the last LATELY seconds, at least 1.
 
-    Guards against shares that grow when word of others is lost: those others go on using theirs.
+    Guards against shares that grow when messages about other edges are lost: those edges still use theirs.
     """
 
     def __init__(self) -> None:
-        self.counts: deque[tuple[float, int]] = deque()  # (when, count), each count below the one before
+        self.counts: deque[tuple[float, int]] = deque()  # (time in s, count), counts strictly decreasing
 
     def counted(self, now: float, edges: int) -> None:
-        """So many edges are known at `now`."""
+        """Records that `edges` edges are known at `now`."""
         while self.counts and self.counts[-1][1] <= edges:
             self.counts.pop()
         self.counts.append((now, edges))
--- a/shedgrade/dataplane/load_exchange.py
+++ b/shedgrade/dataplane/load_exchange.py
@@ -1,4 +1,4 @@
-"""Tells the core what this edge has in flight at each upstream, and takes what the other edges have."""
+"""Reports this edge's requests in flight per upstream to the core, and applies those of the other edges."""
 
 import asyncio
 from collections.abc import Callable, Mapping
@@ -7,11 +7,11 @@
 from shedgrade.load_reports import LoadReporter, LoadUpdate, PeerLoads
 from shedgrade.peer_transport.tcp import PeerConnectionPool
 
-BODY_KIND = b"K"  # the first byte of a body, by which the control plane tells its kinds apart
+BODY_KIND = b"K"  # first byte of a message body, by which the control plane distinguishes the kinds of bodies
 
 
 class LoadExchange:
-    """`own_loads()`: requests in flight here, by upstream. `apply`: is handed the other edges' sums."""
+    """`own_loads()`: requests in flight here, by upstream. `apply`: called with the other edges' sums."""
 
     def __init__(
         self,
@@ -29,7 +29,7 @@
         self._apply = apply
 
     def send_report(self, address: str | None) -> None:
-        """Reports to the core member at `address`, where there is one and something is to be said."""
+        """Sends a report to the core member at `address`, if there is one and a report is due."""
         now = self._loop.time()
         if self.other_edges.forget_if_stale(now):
             self._apply({})
@@ -40,6 +40,6 @@
             self.links.send(address, BODY_KIND + control_messages.encode(report))
 
     def take(self, loads: LoadUpdate) -> None:
-        """The core has sent what the other edges have in flight."""
+        """Applies the other edges' requests in flight, as sent by the core."""
         self.other_edges.apply(self._loop.time(), loads)
         self._apply(self.other_edges.loads)
--- a/shedgrade/dataplane/received_state.py
+++ b/shedgrade/dataplane/received_state.py
@@ -1,7 +1,7 @@
-"""What an edge has received of the core: control state, endpoint list, counts. Each only gets newer,
-whichever member a response comes from.
+"""The state that an edge has received from the core: control state, endpoint list, counts. Each is only ever
+replaced by a newer one, whichever member a response comes from.
 
-No I/O; times are seconds on a steady clock, handed in.
+No I/O; times are seconds on a steady clock, passed in by the caller.
 """
 
 from math import inf
@@ -24,28 +24,32 @@
 NO_CONTROL: Position = (0, 0)
 NO_LIST: Position = (0, 0)
 NO_CONFIGURATION = -1
-LIST_TAKEOVER_S = 3.0  # by which a list of a lower position must be fresher to replace the one received
-FIRST_STATE_WAIT_S = 0.75  # for which an edge without state asks other members before it applies stale state
+LIST_TAKEOVER_S = (
+    3.0  # a list with a lower position replaces the received one if it is fresher by more than this
+)
+FIRST_STATE_WAIT_S = (
+    0.75  # time in which an edge without state asks other members before it applies stale state
+)
 
 
 class ReceivedState:
-    """Positions of what was received, and the updates that are to be applied.
+    """Positions of the received state, and the updates that are to be applied.
 
     Attributes:
-        control: position of the newest control state received, also while it is withheld.
-        configuration_version: of the configuration in it; -1 until there is one.
-        endpoint_list: position of the endpoint list received; (0, 0): none, or the edge has applied a list
-            of its own, so that the next response brings a complete one.
-        list_floor: the position below which no list is taken; that of the last list received.
+        control: position of the newest control state received, including withheld state.
+        configuration_version: version of the configuration in it; -1 until there is one.
+        endpoint_list: position of the endpoint list received; (0, 0) if there is none, or if the edge has
+            applied its own list, so that the next response brings a complete one.
+        list_floor: position of the last list received; lists below it are ignored.
         list_known_at: when the platform last reported that list; None until there is one.
-        counts: edges and core members as the last fresh response had them; None until there is one.
-        last_response_at: of any member; None until there is one.
-        control_applied: any control state was handed on. From then on none is withheld.
-        withheld: control state of a stale member, received before any was handed on, in order. Guards
-            against an edge that starts and serves by what a member on the minority side of a partition still
-            has.
-        withheld_until: when that is handed on at the latest; inf while nothing is withheld.
-        updates: what is to be applied, in order. The owner takes them out.
+        counts: edges and core members according to the last fresh response; None until there is one.
+        last_response_at: time of the last response of any member; None until there is one.
+        control_applied: whether any control state was released. From then on none is withheld.
+        withheld: control state that was received before any was released, in order; a stale member's waits
+            here. Guards against an edge that starts and serves by the state of a member on the minority side
+            of a partition.
+        withheld_until: when withheld state is released at the latest; inf while nothing is withheld.
+        updates: the updates to apply, in order. The owner removes them.
     """
 
     __slots__ = (
@@ -76,13 +80,13 @@
         self.updates: list[Update] = []
 
     def list_age_s(self, now: float) -> float:
-        """Since the platform reported the endpoint list received; UNKNOWN_AGE_S if there is none."""
+        """The time since the platform reported the endpoint list received; UNKNOWN_AGE_S if there is none."""
         return UNKNOWN_AGE_S if self.list_known_at is None else max(0.0, now - self.list_known_at)
 
     def take(self, now: float, response: WatchResponse) -> bool:
-        """Moves what is newer to `updates`, and says whether anything was.
+        """Adds newer state to `updates`. Returns whether anything was newer.
 
-        ValueError if the response can't be read; then nothing was taken.
+        ValueError if the response can't be decoded; nothing is changed in this case.
         """
         control = self.newer_control(response.control)
         listed = response.endpoints
@@ -102,18 +106,18 @@
         return control is not None or newer_list
 
     def newer_control(self, change: ControlChange | None) -> ControlChange | None:
-        """The change as it is to be applied, uncompressed; None if it is not newer, or can't be used."""
+        """The change to apply, uncompressed; None if it is not newer or can't be used."""
         if change is None or (change.epoch, change.sequence) <= self.control:
             return None
         configuration = decompress_configuration(change)
         if configuration is None and change.version != self.configuration_version:
-            return None  # it answers an older request: what it leaves out is not what was received since
+            return None  # answers an older request: the omitted configuration is not the one received since
         if change.version == self.configuration_version:
             configuration = None
         return msgspec.structs.replace(change, configuration=configuration or None, compressed=False)
 
     def is_newer_list(self, now: float, change: EndpointUpdate | None) -> bool:
-        """Whether the list is complete, or a delta to the one received, and newer than that."""
+        """Whether the list is complete or a delta to the received one, and newer than that."""
         if change is None:
             return False
         if not (change.is_full or (change.from_term, change.from_number) == self.endpoint_list):
@@ -121,12 +125,12 @@
         position = change.term, change.number
         if position > self.list_floor or (position == self.list_floor != self.endpoint_list):
             return True
-        # Guards against a fleet that waits for a position which no poller reaches: see
+        # Guards against a fleet that waits for a position that no poller reaches: see
         # `EndpointList.newer_than`.
         return position != self.endpoint_list and self.list_age_s(now) - change.age_s > LIST_TAKEOVER_S
 
     def take_control(self, now: float, change: ControlChange) -> None:
-        """Notes newer control state, which is withheld until `take` or `release_withheld` hands it on."""
+        """Records newer control state, which is withheld until `take` or `release_withheld` releases it."""
         self.control = change.epoch, change.sequence
         self.configuration_version = change.version
         self.withheld.append(change)
@@ -134,32 +138,32 @@
             self.withheld_until = min(self.withheld_until, now + FIRST_STATE_WAIT_S)
 
     def take_list(self, now: float, change: EndpointUpdate) -> None:
-        """Hands a newer endpoint list on."""
+        """Records a newer endpoint list and adds it to `updates`."""
         self.endpoint_list = change.term, change.number
         self.list_floor = self.endpoint_list
         self.list_known_at = now - change.age_s
         self.updates.append(change)
 
     def take_counts(self, counts: FleetView) -> None:
-        """Hands counts on that differ from the last ones."""
+        """Adds counts to `updates` if they differ from the last ones."""
         if counts != self.counts:
             self.counts = counts
             self.updates.append(counts)
 
     def release_withheld(self) -> None:
-        """Hands on what was withheld."""
+        """Adds the withheld control state to `updates`; from now on none is withheld."""
         self.control_applied = True
         self.updates += self.withheld
         self.withheld = []
         self.withheld_until = inf
 
     def own_list_applied(self, now: float) -> None:
-        """The edge has applied a list of its own from the platform: the next one received is complete."""
+        """The edge has applied its own list from the platform; the next list received must be complete."""
         self.endpoint_list = NO_LIST
         self.list_known_at = now
 
     def check_invariants(self) -> None:
-        """What holds between two events, see the class. AssertionError if something doesn't."""
+        """Checks the documented properties of the attributes. AssertionError if one doesn't hold."""
         assert not (self.withheld and self.control_applied), self.withheld
         assert bool(self.withheld) == (self.withheld_until < inf), self.withheld_until
         assert (self.control == NO_CONTROL) == (self.configuration_version == NO_CONFIGURATION), self.control
