--- a/shedgrade/dataplane/control_exchange.py
+++ b/shedgrade/dataplane/control_exchange.py
@@ -24,7 +24,7 @@
 from shedgrade.runtime.log import logger
 
 BODY_KIND = b"K"  # first byte of a message body, by which the control plane distinguishes the kinds of bodies
-LEAST_TIMER_S = 0.001  # minimum delay of the next tick, even if it is overdue
+MIN_TIMER_DELAY_S = 0.001  # minimum delay of the next tick, even if it is overdue
 
 
 class ControlExchange:
@@ -72,7 +72,7 @@
         self._cancel_timer()
         wake_at = self.watcher.wake_at()
         if wake_at != inf and not self._stopped:
-            self._timer = self._loop.call_at(max(wake_at, self._loop.time() + LEAST_TIMER_S), self._tick)
+            self._timer = self._loop.call_at(max(wake_at, self._loop.time() + MIN_TIMER_DELAY_S), self._tick)
 
     def _cancel_timer(self) -> None:
         if self._timer is not None:
--- a/shedgrade/dataplane/exchange.py
+++ b/shedgrade/dataplane/exchange.py
@@ -4,7 +4,7 @@
 from shedgrade.model_routing.request import RoutingConstraints
 
 TICKS = 10_000  # ticks of the clock per second
-OVERTIME = 1_500  # tenths of a ms after its deadline in which an answer is still forwarded
+LATE_RESPONSE_GRACE = 1_500  # tenths of a ms after its deadline in which an answer is still forwarded
 
 
 class Exchange(ActiveRequest):
@@ -54,4 +54,4 @@
         this time the bytes that they sent before it have arrived. The timeout of a long request starts at its
         last byte, once that was received."""
         end = self.until if self.rpc is None else max(self.until, self.rpc.answer_by)
-        return end + OVERTIME
+        return end + LATE_RESPONSE_GRACE
--- a/shedgrade/dataplane/fleet_size.py
+++ b/shedgrade/dataplane/fleet_size.py
@@ -2,11 +2,11 @@
 
 from collections import deque
 
-LATELY = 30.0  # s
+COUNT_WINDOW_S = 30.0
 
 
 class FleetSize:
-    """The largest count of the last LATELY seconds, at least 1.
+    """The largest count of the last COUNT_WINDOW_S seconds, at least 1.
 
     Guards against shares that grow when messages about other edges are lost: those edges still use theirs.
     """
@@ -21,7 +21,7 @@
         self.counts.append((now, edges))
 
     def largest(self, now: float) -> int:
-        """The largest count of the last LATELY seconds."""
-        while self.counts and self.counts[0][0] < now - LATELY:
+        """The largest count of the last COUNT_WINDOW_S seconds."""
+        while self.counts and self.counts[0][0] < now - COUNT_WINDOW_S:
             self.counts.popleft()
         return max(1, self.counts[0][1]) if self.counts else 1
--- a/shedgrade/dataplane/front.py
+++ b/shedgrade/dataplane/front.py
@@ -8,8 +8,8 @@
 from shedgrade.dataplane.service import ServicePool
 from shedgrade.upstream_pool.front import Front
 
-BACK = 0.1, 0.4  # s, range of the random Retry-After of a rejected client; spreads the retries
-JUST_UP = 0.2  # s for which a new connection without a request doesn't count as idle
+RETRY_AFTER_RANGE_S = 0.1, 0.4  # s, range of the random Retry-After of a rejected client; spreads the retries
+NEW_CONNECTION_GRACE_S = 0.2  # s for which a new connection without a request doesn't count as idle
 
 
 class IngressFront(Front):
@@ -42,13 +42,13 @@
         """Closes idle connections except new ones, whose first request may be in transit."""
         now = self.loop.time()
         for connection in list(self.clients):
-            if connection.idle() and now - connection.waiting_since >= JUST_UP:
+            if connection.idle() and now - connection.waiting_since >= NEW_CONNECTION_GRACE_S:
                 connection.end()
 
     def come_back(self) -> int:
         """The random Retry-After of a rejected client, in tenths of a ms; longer by the machine's restart if
         no other edge serves."""
-        return int((self.random.uniform(*BACK) + self.plane.retry_after_s()) * 10_000)
+        return int((self.random.uniform(*RETRY_AFTER_RANGE_S) + self.plane.retry_after_s()) * 10_000)
 
 
 class Pools:
--- a/shedgrade/dataplane/ingress.py
+++ b/shedgrade/dataplane/ingress.py
@@ -10,12 +10,14 @@
 from shedgrade.in_flight import Answer, Request
 from shedgrade.model_routing.request import IDEMPOTENT, RoutingConstraints
 
-OWN = frozenset((b"time-remaining", b"target-instance", b"priority"))  # set anew for each upstream
-LEAST_LEFT = 50  # ms: with less time left, resuming a stream is not worth the upstream's work
-LONGEST_WAIT = 86_400_000  # ms
-LEAST_HEAD = 1024  # bytes of a request head that are accepted whatever limit the configuration sets
+PER_ATTEMPT_HEADERS = frozenset(
+    (b"time-remaining", b"target-instance", b"priority")
+)  # set anew for each upstream
+MIN_RESUME_MS = 50  # ms: with less time left, resuming a stream is not worth the upstream's work
+MAX_WAIT_MS = 86_400_000  # ms
+MIN_HEAD_BYTES = 1024  # bytes of a request head that are accepted whatever limit the configuration sets
 EVENT_END = b"\n\n"
-LIMIT_SLACK = 0.5  # s added to a configured timeout, for bytes in transit
+TIMEOUT_MARGIN_S = 0.5  # s added to a configured timeout, for bytes in transit
 
 
 class ServiceDispatchers:
@@ -49,10 +51,10 @@
 
     def apply_limits(self, limits: Limits) -> None:
         """Applies the limits of a configuration; timeouts are a little longer than clients are told."""
-        self.max_head_bytes = max(LEAST_HEAD, limits.header_bytes)
+        self.max_head_bytes = max(MIN_HEAD_BYTES, limits.header_bytes)
         self.max_body_bytes = limits.body_bytes
-        self.head_timeout_s = limits.header_timeout_ms / 1000 + LIMIT_SLACK
-        self.first_request_timeout_s = limits.idle_timeout_ms / 1000 + LIMIT_SLACK
+        self.head_timeout_s = limits.header_timeout_ms / 1000 + TIMEOUT_MARGIN_S
+        self.first_request_timeout_s = limits.idle_timeout_ms / 1000 + TIMEOUT_MARGIN_S
 
     def on_message_begin(self) -> None:
         """Applies the limits in force to each request when it begins, also on a kept connection."""
@@ -86,7 +88,11 @@
         if front.stalled() and self.has_left():
             self.close()
             return
-        kept = [(key, value) for key, value in end_to_end_headers(headers) if key.lower() not in OWN]
+        kept = [
+            (key, value)
+            for key, value in end_to_end_headers(headers)
+            if key.lower() not in PER_ATTEMPT_HEADERS
+        ]
         length = None if flow is None else content_length(headers)
         self.start(route, Request(name, verb, target, kept, body, flow, length), known, wait)
 
@@ -142,7 +148,7 @@
         if (
             self.transport is None
             or self.transport.is_closing()
-            or left < LEAST_LEFT
+            or left < MIN_RESUME_MS
             or (
                 tried >= before.wants.max_attempts
                 or before.request.flow is not None
@@ -236,4 +242,4 @@
     whole, _, fraction = header.partition(b".")
     if not whole.isdigit() or (fraction and not fraction.isdigit()) or len(whole) > 9:
         return None
-    return max(1, min(int(whole), route.timeout_ms, LONGEST_WAIT))
+    return max(1, min(int(whole), route.timeout_ms, MAX_WAIT_MS))
--- a/shedgrade/dataplane/plane.py
+++ b/shedgrade/dataplane/plane.py
@@ -37,13 +37,13 @@
 from shedgrade.runtime.loop_errors import log_uncaught
 
 RESERVED_DESCRIPTORS = 200  # file descriptors reserved for files
-LEAST_SOCKETS = 256
+MIN_SOCKETS = 256
 MAX_WATCH_WAIT_S = 0.5  # maximum wait of a watch request without news; bounds how late a dead edge is noticed
 HEALTH_CHECK_INTERVAL_S = 0.1  # between two checks for silent upstreams
 EDGE_COUNT_INTERVAL_S = 1.0  # between two counts of the edges that gossip knows
 CORE_SILENT_S = 1.0  # time without any core member's response after which members from gossip are asked too
 CLIENT_CHECK_INTERVAL_S = 0.25  # between two checks of client connections
-LAST_SEND_S = 0.06  # time for the last messages to be sent before the process exits
+FINAL_SEND_S = 0.06  # time for the last messages to be sent before the process exits
 
 
 class DataPlane:
@@ -65,7 +65,7 @@
         self.random = random
         self.reload = SettingsReloader(settings, watched, self.settings_changed)
         self.clock = Clock()
-        sockets = max(LEAST_SOCKETS, settings.limits.file_descriptors - RESERVED_DESCRIPTORS)
+        sockets = max(MIN_SOCKETS, settings.limits.file_descriptors - RESERVED_DESCRIPTORS)
         self.budget = Budget(sockets, settings.limits.memory_mb)
         self.prefix_index = EdgePrefixIndex()
         self.state = State(settings, loop.time, self.make_pool)
@@ -212,7 +212,7 @@
         await self.shutdown.finished.wait()
         self.control.stop()
         self.listener.close()
-        await asyncio.sleep(LAST_SEND_S)
+        await asyncio.sleep(FINAL_SEND_S)
         self.gossip.close()
         self.links.close()
         self.readiness.close()
--- a/shedgrade/dataplane/routes.py
+++ b/shedgrade/dataplane/routes.py
@@ -8,8 +8,8 @@
 from shedgrade.model_routing.request import IDEMPOTENT, ONCE
 from shedgrade.route_matching.routes import RouteTree
 
-GOLDEN = (5**0.5 - 1) / 2
-LEAST_SHARED = 64  # minimum tokens of shared prompt parts for which a request is sent to their holder
+GOLDEN_RATIO = (5**0.5 - 1) / 2
+MIN_SHARED_TOKENS = 64  # minimum tokens of shared prompt parts for which a request is sent to their holder
 
 
 class ServedRoute:
@@ -65,7 +65,7 @@
         """
         if len(self.services) == 1:
             return self.services[0]
-        self.point = random.random() if self.point is None else (self.point + GOLDEN) % 1.0
+        self.point = random.random() if self.point is None else (self.point + GOLDEN_RATIO) % 1.0
         return self.services[bisect(self.bounds, self.point * self.bounds[-1])]
 
 
@@ -97,7 +97,7 @@
         tokens = sum(int(part.rpartition(b":")[2]) for part in shared.split(b",")) if shared else 0
     except ValueError:
         return b"", 0
-    return (shared, tokens) if tokens >= LEAST_SHARED else (b"", 0)
+    return (shared, tokens) if tokens >= MIN_SHARED_TOKENS else (b"", 0)
 
 
 def token_usage(header: bytes | None) -> tuple[int, int]:
--- a/shedgrade/dataplane/service_times.py
+++ b/shedgrade/dataplane/service_times.py
@@ -8,9 +8,9 @@
 from collections import deque
 from math import ceil, inf
 
-REMEMBERED = 64  # samples kept of each kind
-ENOUGH = 8  # minimum number of samples for an estimate
-MARGIN = 1.25  # factor by which the next answer may be slower than the slowest sample
+SAMPLES_KEPT = 64  # samples kept of each kind
+MIN_SAMPLES = 8  # minimum number of samples for an estimate
+SAFETY_FACTOR = 1.25  # factor by which the next answer may be slower than the slowest sample
 
 
 class ServiceTimes:
@@ -25,9 +25,9 @@
 
     def __init__(self) -> None:
         self.tokens_per_event = 1.0
-        self.first_events: deque[tuple[float, int]] = deque(maxlen=REMEMBERED)
-        self.paces: deque[float] = deque(maxlen=REMEMBERED)
-        self.answers: deque[float] = deque(maxlen=REMEMBERED)
+        self.first_events: deque[tuple[float, int]] = deque(maxlen=SAMPLES_KEPT)
+        self.paces: deque[float] = deque(maxlen=SAMPLES_KEPT)
+        self.answers: deque[float] = deque(maxlen=SAMPLES_KEPT)
 
     def answered(self, took_s: float) -> None:
         """Records the duration of a complete answer that is no stream."""
@@ -46,15 +46,15 @@
 
     def longest_answer(self) -> float:
         """The estimate for a request that is no stream; infinity if there are too few samples."""
-        return MARGIN * max(self.answers) if len(self.answers) >= ENOUGH else inf
+        return SAFETY_FACTOR * max(self.answers) if len(self.answers) >= MIN_SAMPLES else inf
 
     def longest_stream(self, prompt_tokens: int, most_tokens: int) -> float:
         """The estimate for a stream with `prompt_tokens` in its prompt and at most `most_tokens` in its
         answer; infinity if there are too few samples or `most_tokens` is 0 (unknown)."""
-        if len(self.paces) < ENOUGH or not most_tokens:
+        if len(self.paces) < MIN_SAMPLES or not most_tokens:
             return inf
         slowest_first = max(first_s for first_s, _ in self.first_events)
         longest_prompt = max(1, *(tokens for _, tokens in self.first_events))
         first_s = slowest_first * max(1.0, prompt_tokens / longest_prompt)
         events = ceil(most_tokens / max(1.0, self.tokens_per_event))
-        return MARGIN * (first_s + events * max(self.paces))
+        return SAFETY_FACTOR * (first_s + events * max(self.paces))
--- a/shedgrade/dataplane/streams.py
+++ b/shedgrade/dataplane/streams.py
@@ -6,9 +6,9 @@
 from shedgrade.in_flight import Answer
 from shedgrade.runtime.log import logger
 
-END = re.compile(rb"\r?\n\r?\n")
-ID = re.compile(rb"^id:[ ]?([^\r\n]*)", re.MULTILINE)
-LONGEST = 1024 * 1024  # bytes of one event; a longer one truncates the stream
+EVENT_SEPARATOR = re.compile(rb"\r?\n\r?\n")
+EVENT_ID = re.compile(rb"^id:[ ]?([^\r\n]*)", re.MULTILINE)
+MAX_EVENT_BYTES = 1024 * 1024  # bytes of one event; a longer one truncates the stream
 
 
 class ResumableStream:
@@ -113,15 +113,15 @@
         """Forwards the complete events of a piece of the response."""
         text = self.part + piece
         whole = 0
-        for end in END.finditer(text):
-            found = ID.search(text, whole, end.start())
+        for end in EVENT_SEPARATOR.finditer(text):
+            found = EVENT_ID.search(text, whole, end.start())
             if found:
                 self.last_id = found[1].strip()
             whole = end.end()
         self.part = text[whole:]
         if whole:
             self.out.put(text[:whole])
-        if len(self.part) > LONGEST:
+        if len(self.part) > MAX_EVENT_BYTES:
             self.detach()
             self.broke()
 
--- a/tests/dataplane/test_fleet_size.py
+++ b/tests/dataplane/test_fleet_size.py
@@ -2,7 +2,7 @@
 
 from random import Random
 
-from shedgrade.dataplane.fleet_size import LATELY, FleetSize
+from shedgrade.dataplane.fleet_size import COUNT_WINDOW_S, FleetSize
 
 
 def test_with_nothing_counted_there_is_this_one():
@@ -13,8 +13,8 @@
     size = FleetSize()
     size.counted(0.0, 6)
     size.counted(1.0, 2)
-    assert size.largest(1.0) == size.largest(LATELY) == 6
-    assert size.largest(LATELY + 0.1) == 2
+    assert size.largest(1.0) == size.largest(COUNT_WINDOW_S) == 6
+    assert size.largest(COUNT_WINDOW_S + 0.1) == 2
 
 
 def test_a_larger_count_holds_at_once():
@@ -31,4 +31,4 @@
             now += random.uniform(0, 2)
             told.append((now, random.randrange(0, 9)))
             size.counted(*told[-1])
-            assert size.largest(now) == max(1, *(count for at, count in told if at >= now - LATELY))
+            assert size.largest(now) == max(1, *(count for at, count in told if at >= now - COUNT_WINDOW_S))
--- a/tests/dataplane/test_ingress.py
+++ b/tests/dataplane/test_ingress.py
@@ -22,8 +22,8 @@
 
 from shedgrade.configuration import Limits, Service
 from shedgrade.control_messages import ControlChange, Endpoint, EndpointUpdate
-from shedgrade.dataplane.front import JUST_UP
-from shedgrade.dataplane.service_times import ENOUGH
+from shedgrade.dataplane.front import NEW_CONNECTION_GRACE_S
+from shedgrade.dataplane.service_times import MIN_SAMPLES
 
 
 def run(coroutine):
@@ -620,7 +620,7 @@
             assert await client.head() == 200
             await client.body()
             (connection,) = plane.front.clients
-            connection.waiting_since -= JUST_UP
+            connection.waiting_since -= NEW_CONNECTION_GRACE_S
             plane.front.close_idle()
             assert connection.transport.is_closing()
 
@@ -642,7 +642,7 @@
             async with asyncio.timeout(5):
                 await taken.wait()
             (connection,) = plane.front.clients
-            connection.waiting_since -= JUST_UP
+            connection.waiting_since -= NEW_CONNECTION_GRACE_S
             plane.front.close_idle()
             go_on.set()
             assert await client.head() == 200 and await client.body() == b"whole"
@@ -665,7 +665,7 @@
         async with sidecar(configuration(route()), Upstream("i-1", stream)) as plane:
             plane.left, plane.retry_after_s = True, lambda: 3.0
             plane.accepts = lambda longest_s: asked.append(longest_s) or longest_s <= 1.0
-            for number in range(ENOUGH + 1):
+            for number in range(MIN_SAMPLES + 1):
                 await answered(plane, request(name=f"a{number}", token_usage="10,15", wait=900))
             assert min(asked) < 0.9 and asked[0] == 0.9
             refused, _ = await answered(plane, request(name="b", token_usage="10"))
--- a/tests/dataplane/test_plane_gossip.py
+++ b/tests/dataplane/test_plane_gossip.py
@@ -15,7 +15,7 @@
     TickEvent,
     Watcher,
 )
-from shedgrade.dataplane.fleet_size import LATELY
+from shedgrade.dataplane.fleet_size import COUNT_WINDOW_S
 from shedgrade.dataplane.plane import CORE_SILENT_S, DataPlane
 from shedgrade.dataplane.state import State
 from shedgrade.membership.messages import Node
@@ -69,8 +69,8 @@
     plane.state.apply([FleetView(6, SEEDS)])
     plane.watcher.received.counts = FleetView(1, SEEDS)
     assert plane.state.edge_count == 6
-    assert plane.at(LATELY - 1) == 6
-    assert plane.at(LATELY + 1) == 1
+    assert plane.at(COUNT_WINDOW_S - 1) == 6
+    assert plane.at(COUNT_WINDOW_S + 1) == 1
 
 
 def test_core_members_of_gossip_are_asked_only_when_nobody_answers():
