--- a/shedgrade/dataplane/streams.py
+++ b/shedgrade/dataplane/streams.py
@@ -19,22 +19,22 @@
     forwarded, no part of one is sent twice and no event is assembled from two runs.
 
     Attributes:
-        out: the flow to the client connection; None until a response has begun.
+        output: the flow to the client connection; None until a response has begun.
         source: the flow of the current leg's response; None between two legs.
-        part: the received part of an incomplete event.
+        partial_event: the received part of an incomplete event.
         last_id: the id of the last complete event; None until one had an id.
         ended: the answer has ended, complete or truncated.
-        waking: a call of `go_on` is scheduled.
+        is_forwarding_scheduled: a call of `continue_forwarding` is scheduled.
     """
 
     def __init__(self, connection, budget, resume) -> None:
         """`resume(last_id)`: starts another leg; returns False if that is impossible."""
         self.connection, self.budget, self.resume = connection, budget, resume
-        self.out: Flow | None = None
+        self.output: Flow | None = None
         self.source: Flow | None = None
-        self.part = b""
+        self.partial_event = b""
         self.last_id: bytes | None = None
-        self.ended = self.waking = False
+        self.ended = self.is_forwarding_scheduled = False
 
     # --- called by the dispatcher
 
@@ -48,82 +48,82 @@
 
     def flowing(self, answer: Answer) -> None:
         """The response of the first leg or of a further one has begun."""
-        first = self.out is None
+        first = self.output is None
         if first:
-            self.out = Flow(self.budget, [])
-            self.out.let_go()
-            self.out.room = self.wake
-        self.source, self.part = answer.flow, b""
-        self.source.news = self.pull
+            self.output = Flow(self.budget, [])
+            self.output.let_go()
+            self.output.room = self.schedule_forwarding
+        self.source, self.partial_event = answer.flow, b""
+        self.source.news = self.forward_received
         if first:
-            self.connection.flowing(Answer(answer.headers, b"", answer.status, self.out))
-        self.pull()
+            self.connection.flowing(Answer(answer.headers, b"", answer.status, self.output))
+        self.forward_received()
 
     def completed(self, answer: Answer | None) -> None:
         """The response of this leg has ended; None if it broke off, and the rest is requested elsewhere."""
-        if self.out is None:
+        if self.output is None:
             self.connection.completed(answer)
         elif answer is not None:
-            self.pull()
+            self.forward_received()
             self.connection.completed(answer)
         else:
             self.detach()
-            if self.out.discarding or not self.resume(self.last_id):
-                self.broke()
+            if self.output.discarding or not self.resume(self.last_id):
+                self.truncate()
 
     def exhausted(self, wait: int) -> None:
         """No upstream accepts this leg; `wait`: tenths of a ms after which a retry may succeed."""
-        self.connection.exhausted(wait) if self.out is None else self.broke()
+        self.connection.exhausted(wait) if self.output is None else self.truncate()
 
     def errored(self) -> None:
         """This leg has failed and may have run."""
-        self.connection.errored() if self.out is None else self.broke()
+        self.connection.errored() if self.output is None else self.truncate()
 
     # --- forwarding of events
 
-    def pull(self) -> None:
+    def forward_received(self) -> None:
         """Forwards received bytes while the client connection has room."""
         source = self.source
-        while source is not None and source is self.source and not self.out.full():
+        while source is not None and source is self.source and not self.output.full():
             piece = source.take()
             if piece:
-                self.events(piece)
+                self.forward_events(piece)
             elif source.ended:
                 self.detach()
-                if self.part:
-                    self.out.put(self.part)
+                if self.partial_event:
+                    self.output.put(self.partial_event)
                 self.ended = True
-                self.out.end()
+                self.output.end()
             else:
                 return
 
-    def wake(self) -> None:
-        """Schedules `go_on` when there is room again. A direct call could run within a take, whose bytes are
-        not written yet."""
-        if self.source is not None and not self.waking:
-            self.waking = True
-            self.connection.front.loop.call_soon(self.go_on)
+    def schedule_forwarding(self) -> None:
+        """Schedules `continue_forwarding` when there is room again. A direct call could run within a take,
+        whose bytes are not written yet."""
+        if self.source is not None and not self.is_forwarding_scheduled:
+            self.is_forwarding_scheduled = True
+            self.connection.front.loop.call_soon(self.continue_forwarding)
 
-    def go_on(self) -> None:
-        """Continues to forward."""
-        self.waking = False
-        self.pull()
+    def continue_forwarding(self) -> None:
+        """Forwards further received bytes, as scheduled."""
+        self.is_forwarding_scheduled = False
+        self.forward_received()
 
-    def events(self, piece: bytes) -> None:
+    def forward_events(self, piece: bytes) -> None:
         """Forwards the complete events of a piece of the response."""
-        text = self.part + piece
-        whole = 0
+        text = self.partial_event + piece
+        complete_end = 0
         for end in EVENT_SEPARATOR.finditer(text):
-            found = EVENT_ID.search(text, whole, end.start())
+            found = EVENT_ID.search(text, complete_end, end.start())
             if found:
                 self.last_id = found[1].strip()
-            whole = end.end()
-        self.part = text[whole:]
-        if whole:
-            self.out.put(text[:whole])
-        if len(self.part) > MAX_EVENT_BYTES:
+            complete_end = end.end()
+        self.partial_event = text[complete_end:]
+        if complete_end:
+            self.output.put(text[:complete_end])
+        if len(self.partial_event) > MAX_EVENT_BYTES:
             self.detach()
-            self.broke()
+            self.truncate()
 
     def detach(self) -> None:
         """Stops reading this leg's response."""
@@ -131,10 +131,10 @@
             self.source.news = nothing
             self.source = None
 
-    def broke(self) -> None:
+    def truncate(self) -> None:
         """Ends an incomplete answer in such a way that the client notices."""
         if not self.ended:
             logger.info("stream truncated", last_event_id=self.last_id)
             self.ended = True
-            self.out.break_off()
+            self.output.break_off()
             self.connection.completed(None)
--- a/tests/dataplane/test_clients_in_any_order.py
+++ b/tests/dataplane/test_clients_in_any_order.py
@@ -23,19 +23,19 @@
     holds(EdgeWorld, STEPS)
 
 
-whole_events = ResumableStream.events
+whole_events = ResumableStream.forward_events
 
 
 def pass_on_parts(self, piece):
     """As though part of an event could be passed on, and the whole of it asked for again elsewhere."""
     whole_events(self, piece)
-    self.out.put(self.part)
-    self.part = b""
+    self.output.put(self.partial_event)
+    self.partial_event = b""
 
 
 PLANTED = {
     "the id is not compared": (engine_connection, "attribute", believe_any_id),
-    "parts of events are passed on": (ResumableStream, "events", pass_on_parts),
+    "parts of events are passed on": (ResumableStream, "forward_events", pass_on_parts),
 }
 
 
