--- a/shedgrade/dataplane/exchange.py
+++ b/shedgrade/dataplane/exchange.py
@@ -16,13 +16,23 @@
         failure: the last failure response that an upstream sent itself.
         streams: whether the answer is forwarded while it is received.
         priority: the priority sent to the upstream, 0 the highest; None if none is sent.
-        until: end of the client's or the route's timeout, tenths of a ms on the clock.
-        since: when the request was received, tenths of a ms on the clock.
-        first_at: when the answer of a stream began, tenths of a ms on the clock; None until then.
+        deadline: end of the client's or the route's timeout, tenths of a ms on the clock.
+        received_at: when the request was received, tenths of a ms on the clock.
+        response_started_at: when the answer of a stream began, tenths of a ms on the clock; None until then.
         usage: tokens of the prompt and maximum tokens of the answer; 0 if unknown.
     """
 
-    __slots__ = ("service", "wants", "failure", "streams", "priority", "until", "since", "first_at", "usage")
+    __slots__ = (
+        "service",
+        "wants",
+        "failure",
+        "streams",
+        "priority",
+        "deadline",
+        "received_at",
+        "response_started_at",
+        "usage",
+    )
 
     def __init__(
         self,
@@ -32,26 +42,28 @@
         wants: RoutingConstraints,
         streams: bool,
         priority: int | None,
-        until: int,
+        deadline: int,
         usage: tuple[int, int] = (0, 0),
     ) -> None:
         super().__init__(client, request)
         self.service, self.wants, self.streams = service, wants, streams
-        self.priority, self.until = priority, until
+        self.priority, self.deadline = priority, deadline
         self.failure: Answer | None = None
         self.usage = usage
-        self.since = service.clock.now()
-        self.first_at: int | None = None
+        self.received_at = service.clock.now()
+        self.response_started_at: int | None = None
 
     def may_last_until(self) -> float:
         """When the answer is complete at the latest, estimated from the service's recent answers and bounded
         by the deadline. In tenths of a ms on the clock."""
-        return min(self.until, self.since + self.service.times.longest(self.streams, self.usage) * TICKS)
+        return min(
+            self.deadline, self.received_at + self.service.times.longest(self.streams, self.usage) * TICKS
+        )
 
     @property
     def latest_end(self) -> int:
         """When the exchange is ended, in tenths of a ms on the clock. Upstreams stop at the deadline, and by
         this time the bytes that they sent before it have arrived. The timeout of a long request starts at its
         last byte, once that was received."""
-        end = self.until if self.rpc is None else max(self.until, self.rpc.answer_by)
+        end = self.deadline if self.rpc is None else max(self.deadline, self.rpc.answer_by)
         return end + LATE_RESPONSE_GRACE
--- a/shedgrade/dataplane/front.py
+++ b/shedgrade/dataplane/front.py
@@ -36,7 +36,7 @@
 
     def service_of(self, route: ServedRoute) -> ServicePool | None:
         """The service that a request for the route is sent to; None if there is none."""
-        return self.plane.services.get(route.service(self.random)) if route.services else None
+        return self.plane.services.get(route.choose_service(self.random)) if route.services else None
 
     def close_idle(self) -> None:
         """Closes idle connections except new ones, whose first request may be in transit."""
--- a/shedgrade/dataplane/ingress.py
+++ b/shedgrade/dataplane/ingress.py
@@ -144,7 +144,7 @@
         the client left, too little time or no attempt is left, the fleet's retry budget is used up, or the
         request's body is no longer held."""
         before = self.failed_exchange
-        left = (before.until - self.front.clock.now()) // 10
+        left = (before.deadline - self.front.clock.now()) // 10
         tried = before.rpc.attempts_arrived if before.rpc is not None else before.wants.max_attempts
         repeats = before.service.repeats
         if (
@@ -182,7 +182,7 @@
             again,
             True,
             before.priority,
-            before.until,
+            before.deadline,
             before.usage,
         )
         self.active_request = self.failed_exchange = leg
@@ -199,7 +199,7 @@
 
     def flowing(self, answer: Answer) -> None:
         """Starts to forward a response while it is received."""
-        self.events_written, self.failed_exchange.first_at = 0, self.front.clock.now()
+        self.events_written, self.failed_exchange.response_started_at = 0, self.front.clock.now()
         super().flowing(answer)
 
     def write(self, *pieces: bytes) -> bool:
@@ -220,11 +220,11 @@
         """Records the duration of a complete answer with its service. A resumed stream is not measured."""
         now, times = self.front.clock.now(), exchange.service.times
         if not exchange.streams:
-            times.record_answer((now - exchange.since) / TICKS)
-        elif exchange.first_at is not None:
+            times.record_answer((now - exchange.received_at) / TICKS)
+        elif exchange.response_started_at is not None:
             times.record_stream(
-                (exchange.first_at - exchange.since) / TICKS,
-                (now - exchange.first_at) / TICKS,
+                (exchange.response_started_at - exchange.received_at) / TICKS,
+                (now - exchange.response_started_at) / TICKS,
                 self.events_written,
                 exchange.wants.prompt_tokens,
             )
@@ -234,7 +234,9 @@
     """The routing constraints of a request, from its route and its headers by name in lower case; `tokens`:
     tokens of its prompt."""
     key, shared = shared_parts(known.get(b"prompt-prefix")) if route.route.session_affinity else (b"", 0)
-    return RoutingConstraints(route.homes, key, route.most, route.target, tokens=tokens, shared=shared)
+    return RoutingConstraints(
+        route.home_regions, key, route.max_attempts, route.latency_target, tokens=tokens, shared=shared
+    )
 
 
 def parse_wait_ms(header: bytes | None, route: ServedRoute) -> int | None:
--- a/shedgrade/dataplane/routes.py
+++ b/shedgrade/dataplane/routes.py
@@ -13,15 +13,15 @@
 
 
 class ServedRoute:
-    """A route prepared for requests: `target` in tenths of a ms, regions by number, services with weights.
+    """A route prepared for requests: regions by number, services with their cumulative weights.
 
     Attributes:
-        homes: numbers of the regions that may serve it; None for all.
-        target: latency target, tenths of a ms.
-        bounds: cumulative weights of `services`.
-        most: maximum number of upstreams that one request may be sent to.
+        home_regions: numbers of the regions that may serve it; None for all.
+        latency_target: tenths of a ms.
+        cumulative_weights: cumulative weights of `services`.
+        max_attempts: maximum number of upstreams that one request may be sent to.
         priority: 0 (highest) to 9; None for a route that is no stream.
-        point: position in [0, 1) that the last request was given; None until the first.
+        split_position: position in [0, 1) that the last request was given; None until the first.
     """
 
     __slots__ = (
@@ -29,14 +29,14 @@
         "method",
         "streams",
         "resumable",
-        "homes",
-        "target",
+        "home_regions",
+        "latency_target",
         "timeout_ms",
         "services",
-        "bounds",
-        "most",
+        "cumulative_weights",
+        "max_attempts",
         "priority",
-        "point",
+        "split_position",
     )
 
     def __init__(self, route: Route, regions: dict[str, int]) -> None:
@@ -44,19 +44,19 @@
         self.streams = route.route_class == STREAMING
         self.method = IDEMPOTENT if route.is_idempotent() else ONCE
         self.resumable = self.streams and route.resumable
-        self.homes = (
+        self.home_regions = (
             frozenset(regions[name] for name in route.home_regions if name in regions)
             if (route.home_regions)
             else None
         )
-        self.target, self.timeout_ms = int(route.target_ms * 10), max(1, int(route.timeout_ms))
+        self.latency_target, self.timeout_ms = int(route.target_ms * 10), max(1, int(route.timeout_ms))
         weights = {name: weight for name, weight in route.weights().items() if weight > 0}
-        self.services, self.bounds = list(weights), list(accumulate(weights.values()))
-        self.point: float | None = None
-        self.most = max(1, route.max_attempts)
+        self.services, self.cumulative_weights = list(weights), list(accumulate(weights.values()))
+        self.split_position: float | None = None
+        self.max_attempts = max(1, route.max_attempts)
         self.priority = min(9, max(0, route.priority)) if self.streams else None
 
-    def service(self, random: Random) -> str:
+    def choose_service(self, random: Random) -> str:
         """Chooses a service in proportion to the weights, also over few requests.
 
         Positions advance by the golden ratio from a random start, so each part of [0, 1) gets its share
@@ -65,8 +65,12 @@
         """
         if len(self.services) == 1:
             return self.services[0]
-        self.point = random.random() if self.point is None else (self.point + GOLDEN_RATIO) % 1.0
-        return self.services[bisect(self.bounds, self.point * self.bounds[-1])]
+        self.split_position = (
+            random.random() if self.split_position is None else (self.split_position + GOLDEN_RATIO) % 1.0
+        )
+        return self.services[
+            bisect(self.cumulative_weights, self.split_position * self.cumulative_weights[-1])
+        ]
 
 
 class Routes:
--- a/tests/dataplane/test_weighted_split.py
+++ b/tests/dataplane/test_weighted_split.py
@@ -15,7 +15,7 @@
     """Of all requests, dealt to edges in turn, each with a start of its own."""
     random = Random(seed)
     served = [ServedRoute(route(service=None, weighted_split=split(**weights)), {}) for _ in range(edges)]
-    counts = Counter(served[number % edges].service(random) for number in range(requests))
+    counts = Counter(served[number % edges].choose_service(random) for number in range(requests))
     return {name: counts[name] / requests for name in weights}
 
 
@@ -36,4 +36,4 @@
 
 
 def test_a_route_with_one_service_draws_nothing():
-    assert ServedRoute(route(), {}).service(None) == "lm"
+    assert ServedRoute(route(), {}).choose_service(None) == "lm"
