--- a/shedgrade/dataplane/engine_connection.py
+++ b/shedgrade/dataplane/engine_connection.py
@@ -18,7 +18,7 @@
 
 def enable_keepalive(transport) -> None:
     """Enables TCP keepalive, with which the kernel detects a machine that lost power or network silently."""
-    handle = transport.get_extra_info("socket")
+    sock = transport.get_extra_info("socket")
     for level, name, value in (
         (socket.IPPROTO_TCP, socket.TCP_NODELAY, 1),
         (socket.SOL_SOCKET, socket.SO_KEEPALIVE, 1),
@@ -28,7 +28,7 @@
         (socket.IPPROTO_TCP, socket.TCP_USER_TIMEOUT, USER_TIMEOUT_MS),
     ):
         try:
-            handle.setsockopt(level, name, value)
+            sock.setsockopt(level, name, value)
         except OSError:  # the connection is already lost
             return
 
--- a/shedgrade/dataplane/ingress.py
+++ b/shedgrade/dataplane/ingress.py
@@ -146,7 +146,7 @@
         before = self.failed_exchange
         left = (before.deadline - self.front.clock.now()) // 10
         tried = before.rpc.attempts_arrived if before.rpc is not None else before.wants.max_attempts
-        repeats = before.service.repeats
+        retry_budget = before.service.retry_budget
         if (
             self.transport is None
             or self.transport.is_closing()
@@ -154,7 +154,7 @@
             or (
                 tried >= before.wants.max_attempts
                 or before.request.flow is not None
-                or not repeats.allows_retry(self.front.clock.now())
+                or not retry_budget.allows_retry(self.front.clock.now())
             )
         ):
             return False
--- a/shedgrade/dataplane/plane.py
+++ b/shedgrade/dataplane/plane.py
@@ -98,17 +98,17 @@
             self.state.own_loads,
             self.state.apply_other_loads,
         )
-        me = self.watcher.edge
+        edge = self.watcher.edge
         self.gossip = Gossip(
             loop,
             Node(
-                me.name,
+                edge.name,
                 settings.gossip_address,
                 "edge",
-                me.zone,
-                me.incarnation,
-                front_address=me.listen_address,
-                state=me.state,
+                edge.zone,
+                edge.incarnation,
+                front_address=edge.listen_address,
+                state=edge.state,
             ),
             settings.seed_gossips,
             random,
@@ -144,7 +144,7 @@
         """The time after which an edge serves the requests rejected here; 0 if others serve already."""
         return self.shutdown.retry_after_s()
 
-    def make_pool(self, name: str, repeats: RetryBudget) -> ServicePool:
+    def make_pool(self, name: str, retry_budget: RetryBudget) -> ServicePool:
         """Creates the pool of a service that the configuration names for the first time."""
         settings = self.settings
         return ServicePool(
@@ -155,7 +155,7 @@
             self.loop,
             self.clock,
             self.budget,
-            repeats,
+            retry_budget,
             settings.node_name,
             self.prefix_index,
         )
@@ -217,9 +217,9 @@
         self.links.close()
         self.readiness.close()
 
-    def answer_readiness(self, request: Request, tell: Respond) -> None:
+    def answer_readiness(self, request: Request, respond: Respond) -> None:
         """Answers `GET` at the readiness address: 200 if clients may be sent here, else 503."""
-        tell(Reply(200 if self.ready() else 503))
+        respond(Reply(200 if self.ready() else 503))
 
     def terminate(self) -> None:
         """Starts the graceful shutdown at SIGTERM or SIGINT."""
@@ -264,15 +264,15 @@
         """Applies the count of edges, by which budgets are shared, and hands core members known from gossip
         to the watcher while no other core member answers."""
         counts = self.watcher.received.counts
-        told = counts.edge_count if counts is not None else 0
-        self.state.apply_edge_count(max(self.gossip.view.count("edge"), told))
+        core_count = counts.edge_count if counts is not None else 0
+        self.state.apply_edge_count(max(self.gossip.view.count("edge"), core_count))
         if self.watcher.response_age_s(now) > CORE_SILENT_S:
-            found = [
+            addresses = [
                 node.link_address
                 for node in self.gossip.view.nodes()
                 if node.kind == "core" and node.link_address
             ]
-            self.watcher.handle_event(MembersDiscoveredEvent(tuple(found)))
+            self.watcher.handle_event(MembersDiscoveredEvent(tuple(addresses)))
 
     def report_loads(self) -> None:
         """Reports the requests in flight here to the preferred core member."""
--- a/shedgrade/dataplane/service.py
+++ b/shedgrade/dataplane/service.py
@@ -22,16 +22,16 @@
 class ClockedPrefixIndex:
     """The prefix index as load balancing reads it: supplies the loop's time, which load balancing lacks."""
 
-    def __init__(self, record: EdgePrefixIndex, loop) -> None:
-        self.record, self.loop = record, loop
+    def __init__(self, prefix_index: EdgePrefixIndex, loop) -> None:
+        self.prefix_index, self.loop = prefix_index, loop
 
     def holders(self, key: int) -> Mapping[int, float]:
         """The upstreams that cache a prefix, by mark, each with the number of cached tokens."""
-        return self.record.endpoints_caching(self.loop.time(), key)
+        return self.prefix_index.endpoints_caching(self.loop.time(), key)
 
     def saw(self, key: int, mark: int) -> None:
         """Records that an upstream has processed a prompt with this prefix."""
-        self.record.record_prefill(self.loop.time(), key, mark)
+        self.prefix_index.record_prefill(self.loop.time(), key, mark)
 
 
 class ServicePool:
@@ -41,23 +41,25 @@
         self,
         name: str,
         regions: dict[str, int],
-        own: str,
+        own_region: str,
         seed: int,
         loop,
         clock,
         budget,
-        repeats: RetryBudget,
-        me: str,
-        record: EdgePrefixIndex | None = None,
+        retry_budget: RetryBudget,
+        node_name: str,
+        prefix_index: EdgePrefixIndex | None = None,
     ) -> None:
-        """`regions`: region numbers by name; `own`: name of this sidecar's region; `me`: this sidecar's name;
-        `record`: which upstreams cache which prompt prefixes."""
+        """`regions`: region numbers by name; `own_region`: name of this sidecar's region; `node_name`: this
+        sidecar's name; `prefix_index`: which upstreams cache which prompt prefixes."""
         self.name, self.regions, self.clock, self.loop = name, regions, clock, loop
         self.indices, self.addresses = Indices(), Addresses()
-        self.balancer = ServingBalancer(list(regions), regions[own], seed, clock.now(), repeats, me)
-        if record is not None:
-            self.balancer.prefix_index = ClockedPrefixIndex(record, loop)
-        self.repeats, self.slow_start_s = repeats, 0.0
+        self.balancer = ServingBalancer(
+            list(regions), regions[own_region], seed, clock.now(), retry_budget, node_name
+        )
+        if prefix_index is not None:
+            self.balancer.prefix_index = ClockedPrefixIndex(prefix_index, loop)
+        self.retry_budget, self.slow_start_s = retry_budget, 0.0
         self.times = ServiceTimes()
         self.states: dict[int, int] = {}
         self.probed_at: dict[int, int] = {}  # by upstream: time of the last probe, tenths of a ms
@@ -80,7 +82,7 @@
 
     def apply_edge_count(self, sidecars: int) -> None:
         """Applies the largest recent count of sidecars."""
-        self.balancer.sidecar_count = self.repeats.sidecar_count = max(1, sidecars)
+        self.balancer.sidecar_count = self.retry_budget.sidecar_count = max(1, sidecars)
 
     def apply_endpoint_list(
         self,
@@ -94,15 +96,17 @@
         a zone ended; its upstreams are in slow start from then on, whatever the lagging list says."""
         now, rows, leaving = self.clock.now(), [], []
         instances = list(instances)
-        self.balancer.set_slots(min((one.slots for one, _ in instances if one.slots > 0), default=0))
-        for one, cold_left in instances:
-            region = region_of.get(one.zone)
-            host, _, port = one.address.rpartition(":")
+        self.balancer.set_slots(
+            min((endpoint.slots for endpoint, _ in instances if endpoint.slots > 0), default=0)
+        )
+        for endpoint, slow_start_left_s in instances:
+            region = region_of.get(endpoint.zone)
+            host, _, port = endpoint.address.rpartition(":")
             if region is None or not host or not port.isdigit():
                 continue
-            ready = one.state == "available" and one.zone not in evacuated
+            ready = endpoint.state == "available" and endpoint.zone not in evacuated
             row = self.indices.row(
-                one.id,
+                endpoint.id,
                 self.regions[region],
                 load_balancing.READY if ready else load_balancing.DRAINING,
                 0,
@@ -114,9 +118,9 @@
             index = row[0]
             if self.addresses.move(index, (host, int(port))) or not ready:
                 leaving.append(index)
-            if one.zone in returned:
-                cold_left = max(cold_left, self.slow_start_s - returned[one.zone])
-            self.balancer.warming_up_until[index] = now + max(0, int(cold_left * 10_000))
+            if endpoint.zone in returned:
+                slow_start_left_s = max(slow_start_left_s, self.slow_start_s - returned[endpoint.zone])
+            self.balancer.warming_up_until[index] = now + max(0, int(slow_start_left_s * 10_000))
         named = {row[0] for row in rows}
         leaving += [index for index in self.states if index not in named]
         self.states = {row[0]: row[2] for row in rows}
--- a/shedgrade/dataplane/state.py
+++ b/shedgrade/dataplane/state.py
@@ -37,7 +37,7 @@
     def __init__(
         self, settings, now: Callable[[], float], make_pool: Callable[[str, RetryBudget], ServicePool]
     ) -> None:
-        """`make_pool(name, repeats)`: creates the pool of a service."""
+        """`make_pool(name, retry_budget)`: creates the pool of a service."""
         self.zones = settings.zones
         self.regions = {name: number for number, name in enumerate(sorted(set(settings.zones.values())))}
         self.bounds, self.endpoint_list_lag_s = settings.bounds, settings.cloud_api.max_lag_ms / 1000
@@ -158,7 +158,7 @@
             new_regions = sorted(set(settings.zones.values()) - set(self.regions))
             logger.warning("new regions ignored until restart", regions=", ".join(new_regions))
         for pool in self.services.values():
-            pool.repeats.retune(*self.retry_budget_bounds())
+            pool.retry_budget.retune(*self.retry_budget_bounds())
         routes, self.routes = self.routes, None
         if routes is not None:
             self.apply_configuration(routes)  # applies the new bounds to every service
--- a/tests/dataplane/ingress_rig.py
+++ b/tests/dataplane/ingress_rig.py
@@ -120,8 +120,8 @@
         self.state = State(
             SETTINGS,
             loop.time,
-            lambda name, repeats: ServicePool(
-                name, self.state.regions, "east", 7, loop, self.clock, self.budget, repeats, "edge-1"
+            lambda name, retry_budget: ServicePool(
+                name, self.state.regions, "east", 7, loop, self.clock, self.budget, retry_budget, "edge-1"
             ),
         )
         self.front = IngressFront(loop, self, self.budget, Random(7))
--- a/tests/dataplane/test_resettled.py
+++ b/tests/dataplane/test_resettled.py
@@ -29,13 +29,21 @@
 
 def test_the_budget_of_repeats_moves_with_the_bounds_and_later_services_get_it_too():
     async def story(state, pool):
-        assert (pool.repeats.ratio, pool.repeats.slack, pool.repeats.window) == (0.2, 50.0, 100_000)
+        assert (pool.retry_budget.ratio, pool.retry_budget.slack, pool.retry_budget.window) == (
+            0.2,
+            50.0,
+            100_000,
+        )
         state.settings_changed(changed({"retryBudgetRatio": 0.5, "retrySlack": 4, "retryWindowS": 20}))
-        assert (pool.repeats.ratio, pool.repeats.slack, pool.repeats.window) == (0.5, 4, 200_000)
+        assert (pool.retry_budget.ratio, pool.retry_budget.slack, pool.retry_budget.window) == (
+            0.5,
+            4,
+            200_000,
+        )
         held = state.routes
         held.services["late"] = Service("late")
         state.apply_configuration(held)
-        assert state.services["late"].repeats.window == 200_000 and state.services["lm"] is pool
+        assert state.services["late"].retry_budget.window == 200_000 and state.services["lm"] is pool
 
     play(story)
 
