--- a/shedgrade/dataplane/control_client.py
+++ b/shedgrade/dataplane/control_client.py
@@ -268,11 +268,11 @@
             return
         closer_to_end = edge.shutdown_stage > self.edge.shutdown_stage
         self.edge = edge
-        told = [self.preferred_member] if self.preferred_member is not None else []
+        recipients = [self.preferred_member] if self.preferred_member is not None else []
         if closer_to_end:
             others = [member for member in self.members.values() if member is not self.preferred_member]
-            told += sorted(others, key=self._rank)[:1]
-        for member in told:
+            recipients += sorted(others, key=self._rank)[:1]
+        for member in recipients:
             self._send_request(now, member)
         self._tick(now)
 
@@ -403,14 +403,14 @@
         """
         if self.preferred_member is None:
             return None
-        found = [
+        candidates = [
             (self._probe_at(member), member.requested_at, member.tie_break, member)
             for member in self.members.values()
             if member.listed and member is not self.preferred_member and member.pending is None
         ]
-        if not found:
+        if not candidates:
             return None
-        at, _, _, member = min(found, key=lambda candidate: candidate[:3])
+        at, _, _, member = min(candidates, key=lambda candidate: candidate[:3])
         return member, at
 
     def _probe_at(self, member: CoreMember) -> float:
--- a/shedgrade/dataplane/core_member.py
+++ b/shedgrade/dataplane/core_member.py
@@ -97,8 +97,8 @@
         `held_s` matches.
         """
         if number:
-            return self._remove([one for one in self.unreported if one.number == number])
-        held_long_enough = [one for one in self.unreported if one.sent_at + held_s <= now]
+            return self._remove([request for request in self.unreported if request.number == number])
+        held_long_enough = [request for request in self.unreported if request.sent_at + held_s <= now]
         return self._remove(held_long_enough[-1:] or self.unreported[:1])
 
     def match_failure(self, now: float, number: int) -> PendingRequest | None:
@@ -109,8 +109,8 @@
         pending.
         """
         if number:
-            return self._remove([one for one in self.unreported if one.number == number])
-        timed_out = [one for one in self.unreported if one.deadline <= now + RESEND_GAP_S]
+            return self._remove([request for request in self.unreported if request.number == number])
+        timed_out = [request for request in self.unreported if request.deadline <= now + RESEND_GAP_S]
         return self._remove(timed_out[:1] or self.unreported[-1:])
 
     def _remove(self, found: list[PendingRequest]) -> PendingRequest | None:
@@ -162,11 +162,11 @@
 
     def closer_than(self, other: "CoreMember") -> bool:
         """Whether its round trip is clearly shorter; False if either member was not measured."""
-        mine = self.round_trip_s
-        theirs = other.round_trip_s
-        if mine is None or theirs is None:
+        own_s = self.round_trip_s
+        other_s = other.round_trip_s
+        if own_s is None or other_s is None:
             return False
-        return mine < CLOSER_RATIO * theirs and theirs - mine > CLOSER_MARGIN_S
+        return own_s < CLOSER_RATIO * other_s and other_s - own_s > CLOSER_MARGIN_S
 
     def check_invariants(self) -> None:
         """Checks the documented properties of the attributes. AssertionError if one doesn't hold."""
--- a/shedgrade/dataplane/ingress.py
+++ b/shedgrade/dataplane/ingress.py
@@ -69,61 +69,66 @@
         self.request_method = verb
         self.http_1_0 = self.parser.get_http_version() == "1.0"
         target = origin_form(target)
-        known = self.headers_by_name(headers)
-        if known is None or not target.startswith(b"/"):
+        named_headers = self.headers_by_name(headers)
+        if named_headers is None or not target.startswith(b"/"):
             self.reject_and_close(400)
             return
         if front.routes is None:
             self.reject_not_served()
             return
-        route = front.routes.find(known.get(b"host", b""), target.split(b"?", 1)[0])
+        route = front.routes.find(named_headers.get(b"host", b""), target.split(b"?", 1)[0])
         if route is None:
             self.answer(404)
             return
-        name, wait = known.get(b"attempt-id"), parse_wait_ms(known.get(b"time-remaining"), route)
-        if not name or wait is None:
+        name, wait_ms = (
+            named_headers.get(b"attempt-id"),
+            parse_wait_ms(named_headers.get(b"time-remaining"), route),
+        )
+        if not name or wait_ms is None:
             self.reject_and_close(400)
             return
         # Guards against work for a client that left while its request was unread in a stall of this process.
         if front.stalled() and self.has_left():
             self.close()
             return
-        kept = [
+        forwarded = [
             (key, value)
             for key, value in end_to_end_headers(headers)
             if key.lower() not in PER_ATTEMPT_HEADERS
         ]
         length = None if flow is None else content_length(headers)
-        self.submit_request(route, Request(name, verb, target, kept, body, flow, length), known, wait)
+        self.submit_request(
+            route, Request(name, verb, target, forwarded, body, flow, length), named_headers, wait_ms
+        )
 
     def submit_request(
-        self, route: ServedRoute, request: Request, known: dict[bytes, bytes], wait: int
+        self, route: ServedRoute, request: Request, named_headers: dict[bytes, bytes], wait_ms: int
     ) -> None:
         """Submits a valid request to its service's dispatcher, or rejects it if there is no room.
 
-        `known`: its headers by name in lower case; `wait`: ms that the client waits.
+        `named_headers`: its headers by name in lower case; `wait_ms`: time that the client waits.
         """
         front = self.front
         service = front.service_of(route)
         if service is None or not front.room_for(len(request)):
             self.exhausted(front.retry_after_ticks())
             return
-        usage = token_usage(known.get(b"token-usage"))
+        usage = token_usage(named_headers.get(b"token-usage"))
         if front.draining() and not front.accepts(
-            min(wait / 1000, service.times.longest(route.streams, usage))
+            min(wait_ms / 1000, service.times.longest(route.streams, usage))
         ):
             self.reject_not_served()
             return
         client = ResumableStream(self, front.budget, self.resume) if route.resumable else self
-        until = front.clock.now() + wait * 10
+        deadline = front.clock.now() + wait_ms * 10
         active_request = Exchange(
             client,
             request,
             service,
-            routing_constraints(route, known, usage[0]),
+            routing_constraints(route, named_headers, usage[0]),
             route.streams,
             route.priority,
-            until,
+            deadline,
             usage,
         )
         self.active_request = active_request
@@ -132,7 +137,7 @@
             request.flow.lost = lambda: service.dispatcher.body_received(
                 active_request, False, not active_request.is_body_incomplete
             )
-        service.dispatcher.submit(active_request, route.method, wait, False)
+        service.dispatcher.submit(active_request, route.method, wait_ms, False)
 
     def reject_not_served(self) -> None:
         """Rejects a request that is not served here: it did not run, and is retried on another connection."""
@@ -143,50 +148,50 @@
         """Continues a stream that an upstream broke off, at another one. Returns False if that is impossible:
         the client left, too little time or no attempt is left, the fleet's retry budget is used up, or the
         request's body is no longer held."""
-        before = self.failed_exchange
-        left = (before.deadline - self.front.clock.now()) // 10
-        tried = before.rpc.attempts_arrived if before.rpc is not None else before.wants.max_attempts
-        retry_budget = before.service.retry_budget
+        previous = self.failed_exchange
+        left_ms = (previous.deadline - self.front.clock.now()) // 10
+        attempts = previous.rpc.attempts_arrived if previous.rpc is not None else previous.wants.max_attempts
+        retry_budget = previous.service.retry_budget
         if (
             self.transport is None
             or self.transport.is_closing()
-            or left < MIN_RESUME_MS
+            or left_ms < MIN_RESUME_MS
             or (
-                tried >= before.wants.max_attempts
-                or before.request.flow is not None
+                attempts >= previous.wants.max_attempts
+                or previous.request.flow is not None
                 or not retry_budget.allows_retry(self.front.clock.now())
             )
         ):
             return False
-        wants, request = before.wants, before.request
-        ran_on = {up.index for up in before.rpc.attempts}
+        wants, request = previous.wants, previous.request
+        ran_on = {up.index for up in previous.rpc.attempts}
         headers = [pair for pair in request.headers if pair[0].lower() != b"last-event-id"]
         if last_id is None:
             headers = request.headers
         else:
             headers.append((b"Last-Event-Id", last_id))
-        again = RoutingConstraints(
+        constraints = RoutingConstraints(
             wants.home_regions,
             wants.prefix_key,
             wants.max_attempts,
             wants.latency_target,
             wants.excluded_upstreams | ran_on,
-            tried,
+            attempts,
             wants.prompt_tokens,
             wants.prefix_tokens,
         )
-        leg = Exchange(
-            before.client,
+        next_leg = Exchange(
+            previous.client,
             Request(request.name, request.verb, request.target, headers, request.body),
-            before.service,
-            again,
+            previous.service,
+            constraints,
             True,
-            before.priority,
-            before.deadline,
-            before.usage,
+            previous.priority,
+            previous.deadline,
+            previous.usage,
         )
-        self.active_request = self.failed_exchange = leg
-        before.service.dispatcher.submit(leg, IDEMPOTENT, left, False)
+        self.active_request = self.failed_exchange = next_leg
+        previous.service.dispatcher.submit(next_leg, IDEMPOTENT, left_ms, False)
         return True
 
     def errored(self) -> None:
@@ -230,10 +235,14 @@
             )
 
 
-def routing_constraints(route: ServedRoute, known: dict[bytes, bytes], tokens: int) -> RoutingConstraints:
+def routing_constraints(
+    route: ServedRoute, named_headers: dict[bytes, bytes], tokens: int
+) -> RoutingConstraints:
     """The routing constraints of a request, from its route and its headers by name in lower case; `tokens`:
     tokens of its prompt."""
-    key, shared = shared_parts(known.get(b"prompt-prefix")) if route.route.session_affinity else (b"", 0)
+    key, shared = (
+        shared_parts(named_headers.get(b"prompt-prefix")) if route.route.session_affinity else (b"", 0)
+    )
     return RoutingConstraints(
         route.home_regions, key, route.max_attempts, route.latency_target, tokens=tokens, shared=shared
     )
--- a/shedgrade/dataplane/received_state.py
+++ b/shedgrade/dataplane/received_state.py
@@ -24,12 +24,10 @@
 NO_CONTROL: Position = (0, 0)
 NO_LIST: Position = (0, 0)
 NO_CONFIGURATION = -1
-LIST_TAKEOVER_S = (
-    3.0  # a list with a lower position replaces the received one if it is fresher by more than this
-)
-FIRST_STATE_WAIT_S = (
-    0.75  # time in which an edge without state asks other members before it applies stale state
-)
+# A list with a lower position replaces the received one if it is fresher by more than this.
+LIST_TAKEOVER_S = 3.0
+# Time in which an edge without state asks other members before it applies stale state.
+FIRST_STATE_WAIT_S = 0.75
 
 
 class ReceivedState:
--- a/shedgrade/dataplane/state.py
+++ b/shedgrade/dataplane/state.py
@@ -117,30 +117,32 @@
     def apply_endpoint_list(self, change: EndpointUpdate) -> None:
         """Applies a complete endpoint list or a delta to the last one."""
         if change.is_full:
-            touched = {one.service for one in self.instances.values()}
+            affected = {endpoint.service for endpoint in self.instances.values()}
             self.instances = {}
         else:
-            gone = [self.instances.pop(name, None) for name in change.removed]
-            touched = {one.service for one in gone if one is not None}
+            removed = [self.instances.pop(name, None) for name in change.removed]
+            affected = {endpoint.service for endpoint in removed if endpoint is not None}
         now = self.now()
-        for one in change.changed:
+        for endpoint in change.changed:
             # The remaining slow start is stored as a point in time: the list may be read again much later.
-            self.instances[one.id] = one
-            self.warming_up_until[one.id] = now + one.cold_left_ms / 1000
-            touched.add(one.service)
+            self.instances[endpoint.id] = endpoint
+            self.warming_up_until[endpoint.id] = now + endpoint.cold_left_ms / 1000
+            affected.add(endpoint.service)
         self.warming_up_until = {
             name: until for name, until in self.warming_up_until.items() if name in self.instances
         }
         if self.prefix_index is not None:
             self.prefix_index.retain_endpoints({crc32(name.encode()) for name in self.instances})
-        self.update_services(touched)
+        self.update_services(affected)
 
     def update_services(self, names: Iterable[str]) -> None:
         """Passes the endpoint list on to the named services."""
         now = self.now()
         by_service: dict[str, list[tuple[Endpoint, float]]] = {}
-        for one in self.instances.values():
-            by_service.setdefault(one.service, []).append((one, self.warming_up_until[one.id] - now))
+        for endpoint in self.instances.values():
+            by_service.setdefault(endpoint.service, []).append(
+                (endpoint, self.warming_up_until[endpoint.id] - now)
+            )
         for name in names:
             pool = self.services.get(name)
             if pool is not None:
