--- a/tests/dataplane/ingress_rig.py
+++ b/tests/dataplane/ingress_rig.py
@@ -1,4 +1,4 @@
-"""A sidecar's clients' side on loopback, no control plane, among stand-in upstreams that follow a script."""
+"""The client side of a sidecar on loopback, without a control plane, with scripted stand-in upstreams."""
 
 import asyncio
 from contextlib import asynccontextmanager
@@ -59,7 +59,7 @@
 
 
 class Upstream:
-    """`script(request, writer)` answers each request; what came is kept in `requests`."""
+    """A stand-in upstream: `script(request, writer)` answers each request; `requests` records them."""
 
     def __init__(self, name, script):
         self.name, self.script, self.requests, self.connections = name, script, [], 0
@@ -92,7 +92,7 @@
 
 
 class ManualClock:
-    """Stands still until it is moved, in tenths of a ms; timers that hang on it never fire by themselves."""
+    """A clock in tenths of a ms that moves only by `advance`; its timers never fire by themselves."""
 
     def __init__(self, loop):
         self.loop, self.at = loop, 10_000
@@ -104,7 +104,7 @@
         return self.loop.time() + 3600
 
     def advance(self, milliseconds, *pools):
-        """Moves on, and lets what was due by then happen in these services."""
+        """Advances the clock, and runs what was due by then in the services of these pools."""
         self.at += int(milliseconds * 10)
         for pool in pools:
             pool.dispatcher.gather(lambda now: None)
@@ -112,7 +112,7 @@
 
 
 class Plane:
-    """Stands where a `DataPlane` stands for the front."""
+    """Replaces the `DataPlane` that the front uses."""
 
     def __init__(self, loop, clock=None):
         self.loop, self.clock = loop, clock or Clock()
@@ -169,8 +169,10 @@
 
 @asynccontextmanager
 async def sidecar(configured, *upstreams, zones=None, manual=False):
-    """`upstreams`: of service `lm`, in zone z1 unless `zones` says otherwise by name.
-    `manual`: its clock is a `ManualClock`."""
+    """Runs a sidecar with `upstreams` of service `lm`, in zone z1 unless `zones` names another by upstream.
+
+    `manual`: its clock is a `ManualClock`.
+    """
     loop = asyncio.get_running_loop()
     plane = Plane(loop, ManualClock(loop) if manual else None)
     for upstream in upstreams:
@@ -218,7 +220,7 @@
 
 
 class Client:
-    """One connection to the sidecar."""
+    """One client connection to the sidecar."""
 
     async def open(self, plane):
         self.reader, self.writer = await asyncio.open_connection(*plane.address)
@@ -240,7 +242,7 @@
         return data[:-2]
 
     async def body(self):
-        """All of the answer, whose head was read. IncompleteReadError or ConnectionError if it is cut."""
+        """The body after the head was read. IncompleteReadError or ConnectionError if it is cut off."""
         if "content-length" in self.headers:
             return await asyncio.wait_for(self.reader.readexactly(int(self.headers["content-length"])), 5)
         data = b""
--- a/tests/dataplane/random_steps.py
+++ b/tests/dataplane/random_steps.py
@@ -1,6 +1,6 @@
-"""Random steps for the worlds of `stepped_rig` and `stepped_clients`, and how they are judged.
+"""Random steps for the worlds of `stepped_rig` and `stepped_clients`, and the check of their outcome.
 
-`ANSWER_EXAMPLES` in the environment: so many examples, drawn anew in each run.
+The environment variable `ANSWER_EXAMPLES` sets the number of examples, which are then drawn anew in each run.
 """
 
 import os
@@ -15,8 +15,8 @@
 from shedgrade.dataplane.attribution import Attribution
 
 DRAWN_ANEW = "ANSWER_EXAMPLES" in os.environ
-EXAMPLES = int(os.environ.get("ANSWER_EXAMPLES", 600))  # unless told: few, and alike in each run
-PLANTED_EXAMPLES = 2000  # within which each planted fault is found; most are within 500
+EXAMPLES = int(os.environ.get("ANSWER_EXAMPLES", 600))  # the default is small, and the same in each run
+PLANTED_EXAMPLES = 2000  # limit within which each planted fault is found; most are found within 500
 COUNT = st.integers(0, 5)
 ALL_OR_PART = st.one_of(st.none(), st.integers(0, 150))
 STATUSES = st.sampled_from([200, 200, 200, 500, 504, *REFUSALS])
@@ -43,7 +43,7 @@
 
 
 def often(strategy, times):
-    """The strategy so many times over, as copies: `one_of` draws equal ones only once."""
+    """The strategy `times` times as copies, since `one_of` draws equal strategies only once."""
     return [strategy.map(tuple) for _ in range(times)]
 
 
@@ -64,7 +64,7 @@
 
 
 def steps_of(*clients_steps):
-    """Lists of steps: these of the clients, and all that upstreams, kernels and time may do."""
+    """Lists of the given client steps, and all steps of upstreams, kernels and time."""
     return st.lists(st.one_of(*clients_steps, *UPSTREAMS_STEPS), min_size=8, max_size=40)
 
 
@@ -78,12 +78,12 @@
 
 
 def holds(make_world, steps):
-    """Plays random steps; AssertionError with the promise that was broken and the shortest steps to it."""
+    """Plays random steps; AssertionError with the violated guarantee and the shortest steps to it."""
     run(make_world, steps, settings(max_examples=EXAMPLES, derandomize=not DRAWN_ANEW))
 
 
 def finds(make_world, steps):
-    """The same with a fault planted: some example must break a promise."""
+    """The same with a planted fault: some example must violate a guarantee."""
     with pytest.raises(AssertionError, match="id-"):
         run(
             make_world,
--- a/tests/dataplane/stepped_clients.py
+++ b/tests/dataplane/stepped_clients.py
@@ -1,4 +1,4 @@
-"""The clients' side without sockets, before the upstreams' side of `stepped_rig`."""
+"""The client side without sockets, connected to the upstream side of `stepped_rig`."""
 
 import re
 from dataclasses import dataclass, field
@@ -23,7 +23,7 @@
 
 
 class SteppedIngress(IngressConnection):
-    """The real one, but for what it asks of a socket."""
+    """The real connection with the socket calls replaced."""
 
     def unread(self):
         return False
@@ -40,7 +40,7 @@
 
 @dataclass
 class Seen:
-    """One answer as a client reads it; `whole`: its end came too."""
+    """One answer as a client reads it; `whole`: its end was received."""
 
     status: int
     headers: dict[str, str]
@@ -50,10 +50,10 @@
 
 @dataclass
 class ClientWire:
-    """A transport of a client's connection, and the client at its other end."""
+    """The transport of a client connection, and the client at its other end."""
 
     world: "EdgeWorld"
-    asked: list[str] = field(default_factory=list)  # ids in the order of their sending
+    asked: list[str] = field(default_factory=list)  # ids in the order in which they were sent
     came: bytes = b""
     closing: bool = False
 
@@ -61,10 +61,10 @@
         return self.closing
 
     def set_write_buffer_limits(self, high):
-        """All that is written is taken at once."""
+        """Does nothing: all written bytes are accepted at once."""
 
     def pause_reading(self):
-        """Requests are short."""
+        """Does nothing: requests are short."""
 
     resume_reading = pause_reading
 
@@ -85,7 +85,7 @@
         self.connection.buffer_updated(len(data))
 
     def answers(self):
-        """What came, answer by answer; the last one may be cut."""
+        """The received answers in order; the last one may be incomplete."""
         rest, found = self.came, []
         while rest:
             head, ended, rest = rest.partition(b"\r\n\r\n")
@@ -120,11 +120,11 @@
 
 
 class EdgeWorld(World):
-    """Clients' connections, each with requests in turn, and the upstreams' side behind them."""
+    """Client connections, each with a sequence of requests, and the upstream side behind them."""
 
     def __init__(self):
         super().__init__()
-        self.kinds: dict[str, str] = {}  # by id: its path's prefix
+        self.kinds: dict[str, str] = {}  # path prefix by attempt id
         self.connections: list[ClientWire] = []
         routes = configuration(
             *(
@@ -138,7 +138,7 @@
             services={"lm": self.pool},
             ready=lambda: True,
             draining=lambda: False,
-            takes=lambda longest_s: True,
+            accepts=lambda longest_s: True,
             retry_after_s=lambda: 0.0,
         )
         self.front = IngressFront(self.loop, plane, self.pool.connections.budget, Random(7))
@@ -160,7 +160,7 @@
         return wire
 
     def send(self, number, path):
-        """One more request, on one of the open connections or a new one."""
+        """Sends one more request, on one of the open connections or on a new one."""
         open_wires = [wire for wire in self.connections if not wire.closing]
         chosen = number % (len(open_wires) + 1)
         wire = open_wires[chosen] if chosen < len(open_wires) else self.open_client()
@@ -173,13 +173,13 @@
         )
 
     def serve(self, path, status):
-        """One more request on a connection of its own, answered whole and with its id."""
+        """Sends one more request, which is answered completely and with its id."""
         self.send(len(self.connections), path)
         for _ in range(UPSTREAMS):
             self.answer_newest(self.newest(), status, None)
 
     def break_off(self, path, count):
-        """The same, but the answer breaks off after so many bytes, and a second upstream's comes whole."""
+        """Sends one more request, whose answer breaks off after `count` bytes; a second upstream answers."""
         self.send(len(self.connections), path)
         self.answer_newest(self.newest(), 200, count)
         self.answer_newest(self.newest(), 200, None)
@@ -192,7 +192,7 @@
         if open_wires:
             open_wires[number % len(open_wires)].abort()
 
-    # --- what must hold
+    # --- invariants
 
     def verdict(self):
         for wire in self.connections:
@@ -217,29 +217,35 @@
     def wrong_with(self, attempt_id, answer):
         ran = self.arrived[attempt_id] - self.refused[attempt_id]
         if self.kinds[attempt_id] in ONCE and answer.status in (408, 421, 429, 503) and ran:
-            return "was promised not to have run, and ran"
+            return "the answer promises that it was not run, but it was"
         if answer.headers.get("attempt-id", attempt_id) != attempt_id:
-            return "another's id"
+            return "the id of another request"
         if answer.headers.get("server-seal", f"seal of {attempt_id}") != f"seal of {attempt_id}":
-            return "another's seal"
+            return "the seal of another request"
         if answer.status == 200 and "server-seal" not in answer.headers:
             return "a success without a seal"
         if "server-seal" not in answer.headers or answer.status in REFUSALS:
-            return None if not answer.body else "a body that nobody gave"
+            return None if not answer.body else "a body that no upstream sent"
         if self.kinds[attempt_id] == "/resumable/" and answer.status == 200:
             return self.wrong_events(attempt_id, answer)
         bodies = self.bodies.get((attempt_id, answer.status), ())
         if answer.whole:
-            return None if answer.body in bodies else "a body that is not its own"
-        return None if any(body.startswith(answer.body) for body in bodies) else "a part that is not its own"
+            return None if answer.body in bodies else "a body that no upstream sent for this request"
+        return (
+            None
+            if any(body.startswith(answer.body) for body in bodies)
+            else "a partial body of no answer to this request"
+        )
 
     def wrong_events(self, attempt_id, answer):
-        """Whole events in order, none missing and none twice, from one run or from runs that go on."""
+        """Checks that complete events arrive in order, none missing or repeated, from one or several runs."""
         *told, rest = answer.body.split(b"\n\n")
         form = rb"id: (\d+)\ndata: piece of %s, run \d+, \1" % attempt_id.encode()
         found = [re.fullmatch(form, event) for event in told]
         if not all(found):
-            return "an event that nobody sent"
+            return "an event that no upstream sent"
         if [int(event[1]) for event in found] != list(range(1, len(told) + 1)):
-            return "events that do not follow each other"
-        return "not whole, and looks so" if answer.whole and (rest or len(told) != EVENTS) else None
+            return "events that are not consecutive"
+        return (
+            "incomplete, but ended as if complete" if answer.whole and (rest or len(told) != EVENTS) else None
+        )
--- a/tests/dataplane/stepped_rig.py
+++ b/tests/dataplane/stepped_rig.py
@@ -1,7 +1,7 @@
-"""The upstreams' side of one service without sockets: a loop, wires and upstreams that move step by step.
+"""The upstream side of one service without sockets: event loop, transports and upstreams move step by step.
 
-The service pool, the turn, the caller and the connections are the real ones. `World` plays a list of steps,
-and `World.verdict` says which promise was broken, if any was.
+The service pool, its dispatcher and its connections are the real ones. `World` plays a list of steps, and
+`World.verdict` returns the first violated guarantee, if any.
 """
 
 from collections import Counter, deque
@@ -20,13 +20,13 @@
 
 WAIT = 1000  # ms that each client waits
 UPSTREAMS = 2
-MOST = 3  # times that one request may be sent at most
+MOST = 3  # maximum number of times that one request may be sent
 REFUSALS = {400: b"Bad Request", 421: b"Misdirected Request", 429: b"Too Many", 503: b"Unavailable"}
 
 
 @dataclass(frozen=True)
 class Arrival:
-    """A whole request at an upstream."""
+    """A complete request received by an upstream."""
 
     attempt_id: str
     path: str
@@ -35,7 +35,7 @@
 
 @dataclass(frozen=True)
 class Answered:
-    """An answer that an upstream has given."""
+    """An answer sent by an upstream."""
 
     arrival: Arrival
     status: int
@@ -43,7 +43,7 @@
 
 
 class SteppedTask:
-    """Runs a coroutine that never waits, in the loop's next pass."""
+    """Runs a coroutine that never suspends, in the loop's next pass."""
 
     def __init__(self, loop, coroutine):
         self.coroutine, self.cancelled = coroutine, False
@@ -57,14 +57,14 @@
             self.coroutine.send(None)
         except StopIteration:
             return
-        raise AssertionError("a coroutine waits, and nothing here would wake it")
+        raise AssertionError("the coroutine suspends, and nothing in this loop resumes it")
 
     def cancel(self):
         self.cancelled = True
 
 
 class SteppedLoop:
-    """As much of an event loop as the turn and the connection pool use; time stands until it is moved."""
+    """The part of an event loop that the dispatcher and the connection pool use; time moves only by steps."""
 
     def __init__(self):
         self.at, self.ready = 10_000, deque()
@@ -94,7 +94,7 @@
 
 
 class SteppedConnection(EngineConnection):
-    """The real one, but for what it asks of a socket."""
+    """The real connection with the socket calls replaced."""
 
     def usable(self):
         return not self.transport.is_closing()
@@ -104,30 +104,31 @@
 
 
 class Wire:
-    """A transport of the connection, and at its other end one connection of an upstream."""
+    """The transport of a connection, and one connection of an upstream at its other end."""
 
     def __init__(self, world, link):
         self.world, self.link = world, link
         self.closing = self.closed_there = self.taken_slowly = False
-        self.held, self.received = b"", b""  # in this side's kernel; at the upstream, no whole request yet
-        self.undecided: list[Arrival] = []  # what the upstream has not answered
+        # `held`: bytes in this side's kernel; `received`: bytes at the upstream of an incomplete request.
+        self.held, self.received = b"", b""
+        self.undecided: list[Arrival] = []  # requests that the upstream has not answered
         self.answered: list[Answered] = []
-        self.outbox = b""  # on its way from the upstream
-        self.unframed = False  # only the close ends the answer that is on its way
+        self.outbox = b""  # bytes in transit from the upstream
+        self.unframed = False  # the answer in transit ends only with the connection
 
-    # --- what the connection asks of a transport
+    # --- the interface of a transport
 
     def is_closing(self):
         return self.closing
 
     def set_write_buffer_limits(self, high):
-        """Any byte that the kernel does not take at once pauses the writer."""
+        """Does nothing: any byte that the kernel does not accept at once pauses the writer."""
 
     def get_extra_info(self, name):
         return SimpleNamespace(setsockopt=lambda *option: None)
 
     def pause_reading(self):
-        """Bytes come by steps alone."""
+        """Does nothing: bytes arrive only by steps."""
 
     resume_reading = pause_reading
 
@@ -149,7 +150,7 @@
             self.closing = True
             self.world.loop.call_soon(self.link.connection_lost, failure)
 
-    # --- what the upstream sees and does
+    # --- the upstream
 
     def arrives(self, data):
         self.received += data
@@ -166,7 +167,7 @@
             self.world.arrived[arrival.attempt_id] += 1
 
     def answer(self, status, bears, framed):
-        """Decides on the oldest request: a refusal if `status` is one, otherwise it has run."""
+        """Answers the oldest request: a refusal if `status` is one; otherwise the request has run."""
         if not self.undecided:
             return
         arrival = self.undecided.pop(0)
@@ -180,7 +181,7 @@
 
     def send(self, answered, bears, framed):
         if self.unframed:
-            return  # all that follows an answer without a length is its body: nobody could tell it apart
+            return  # bytes after an answer without a length belong to its body, whatever they are
         attempt_id, status, body = answered.arrival.attempt_id, answered.status, answered.body
         lines = [b"HTTP/1.1 %d Whatever" % status]
         if bears:
@@ -197,7 +198,7 @@
         self.outbox += b"\r\n".join(lines) + b"\r\n\r\n" + body
 
     def surplus(self, which, bears, framed):
-        """An answer that was given before comes once more."""
+        """Sends an earlier answer once more."""
         if self.answered:
             self.send(self.answered[which % len(self.answered)], bears, framed)
             self.deliver()
@@ -207,7 +208,7 @@
             self.outbox += data
 
     def deliver(self, count=None):
-        """So many bytes of what is on its way come, or all of them."""
+        """Delivers `count` bytes in transit, or all of them."""
         part, self.outbox = self.outbox[:count], self.outbox[len(self.outbox[:count]) :]
         while part and not self.closing:
             room = self.link.get_buffer(len(part))
@@ -216,14 +217,15 @@
             self.link.buffer_updated(len(piece))
 
     def drain(self):
-        """This side's kernel takes what it held back."""
+        """Sends the bytes that this side's kernel held back."""
         self.taken_slowly, held, self.held = False, self.held, b""
         if held and not self.closing:
             self.arrives(held)
             self.link.resume_writing()
 
     def finish(self):
-        """The upstream ends its sending. What only the close ends may not look whole where it is not."""
+        """Half-closes the connection from the upstream. Resets it if an unframed answer is in transit, which
+        would seem complete."""
         if self.closing:
             return
         if self.unframed and self.outbox:
@@ -236,11 +238,11 @@
 
 
 class Client:
-    """What one client is told."""
+    """One client, which records the answers that it is given."""
 
     def __init__(self, attempt_id):
         self.attempt_id, self.finals, self.flow, self.gone = attempt_id, [], None, False
-        self.failed_exchange = None  # as in the connection that is stood in for
+        self.failed_exchange = None  # as in `IngressConnection`
         self.got, self.head = b"", None
 
     errored = IngressConnection.errored
@@ -249,7 +251,7 @@
         return self.gone
 
     def close(self):
-        """Its connection is closed: nothing more is told."""
+        """Does nothing: its connection is closed."""
 
     def answer(self, status, headers=(), body=b""):
         self.finals.append((status, dict(headers), body))
@@ -275,16 +277,18 @@
 
 
 class World:
-    """One service with two upstreams, its clients, and everything that ran."""
+    """One service with two upstreams, its clients, and a record of all runs."""
 
     def __init__(self):
         self.loop = SteppedLoop()
-        self.arrived = Counter()  # by id: whole requests at upstreams
-        self.refused = Counter()  # by id: of these, the refused
-        self.bodies: dict[tuple[str, int], set[bytes]] = {}  # by id and status: what upstreams answered
+        self.arrived = Counter()  # complete requests received by upstreams, by attempt id
+        self.refused = Counter()  # of these, the refused ones, by attempt id
+        self.bodies: dict[
+            tuple[str, int], set[bytes]
+        ] = {}  # bodies sent by upstreams, by attempt id and status
         self.clients, self.wires, self.runs, self.asked = [], [], 0, []
         self.next_dial = None
-        self.kernels_are_full = False  # no new connection takes more bytes at once
+        self.kernels_are_full = False  # new connections don't accept bytes at once
         budget = Budget(4000, 300)
         self.pool = ServicePool(
             "lm",
@@ -323,7 +327,7 @@
         return wire, link
 
     def run(self, arrival, status):
-        """An upstream runs it: the body of its answer."""
+        """Runs a request at an upstream; returns the body of its answer."""
         self.runs += 1
         body = self.body_of(arrival, self.runs, status)
         self.bodies.setdefault((arrival.attempt_id, status), set()).add(body)
@@ -359,13 +363,13 @@
         self.pool.dispatcher.submit(exchange, method, WAIT, False)
 
     def serve(self, method, status):
-        """One more request, answered whole and with its id: its connection is kept."""
+        """Sends one more request, answered completely and with its id, so that its connection is kept."""
         self.ask(method, False, True)
-        for _ in range(UPSTREAMS):  # a failure may send it on
+        for _ in range(UPSTREAMS):  # a failure may cause a retry at another upstream
             self.answer_newest(self.clients[-1].attempt_id, status, None)
 
     def answer_newest(self, attempt_id, status, count):
-        """Where this request waits alone, its answer comes: `count` bytes and a reset, or all of it."""
+        """Delivers the answer to this request where only it is waiting: `count` bytes and a reset, or all."""
         self.loop.run()
         for wire in self.wires:
             waiting = [arrival.attempt_id for arrival in wire.undecided]
@@ -410,10 +414,10 @@
             if not self.pool.dispatcher.active_requests:
                 break
 
-    # --- what must hold
+    # --- invariants
 
     def verdict(self):
-        """The first broken promise, or None."""
+        """The first violated guarantee, or None."""
         self.pool.connections.idle.check_invariants()
         for client, (_, method) in zip(self.clients, self.asked, strict=True):
             wrong = self.twice(client, method) or self.misplaced(client)
@@ -422,23 +426,23 @@
         return None
 
     def twice(self, client, method):
-        """A whole request at an upstream that did not refuse it runs, then or later."""
+        """Checks that no request runs twice. A request runs if it arrives complete and is not refused."""
         ran = self.arrived[client.attempt_id] - self.refused[client.attempt_id]
         if method == 0:
             return None
         if ran > 1:
-            return "may not be repeated, and ran twice"
+            return "must not be repeated, but ran twice"
         promised = any(status in (408, 421, 429, 503) for status, _, _ in client.finals)
-        return "was promised not to have run, and ran" if ran and promised else None
+        return "the answer promises that it was not run, but it was" if ran and promised else None
 
     def misplaced(self, client):
         if len(client.finals) > 1 or not (client.finals or client.gone):
-            return f"told {len(client.finals)} ends"
+            return f"got {len(client.finals)} final answers"
         for status, headers, body in client.finals:
             if self.foreign_seal(client, headers):
-                return "another's seal"
+                return "the seal of another request"
             if b"Server-Seal" in headers and status is not None and not self.known_body(client, status, body):
-                return f"a body that is not its own: {status} {body!r}"
+                return f"a body that no upstream sent for this request: {status} {body!r}"
         if client.flow is not None:
             begun = any(
                 body.startswith(client.got)
@@ -447,7 +451,7 @@
                 for body in bodies
             )
             if self.foreign_seal(client, dict(client.head.headers)) or not begun:
-                return "a stream that is not its own"
+                return "a stream that no upstream sent for this request"
         return None
 
     def foreign_seal(self, client, headers):
--- a/tests/dataplane/test_answer_table.py
+++ b/tests/dataplane/test_answer_table.py
@@ -1,7 +1,7 @@
-"""What was sent, what came, and what follows: each cell of the table in `docs/design/worst-days.md`.
+"""Each cell of the table in `docs/design/worst-days.md`: what was sent, what was received, and the outcome.
 
-A request goes to one of two stand-in upstreams on loopback, whose reaction is the cell's; the other one
-answers well. The sidecar's clock is moved by hand.
+A request is sent to one of two stand-in upstreams on loopback, which reacts as the cell says; the other one
+answers normally. The sidecar's clock is moved manually.
 """
 
 import asyncio
@@ -33,7 +33,7 @@
     "resumable": {"resumable": True},
 }
 TIMEOUT_MS = 4000
-LONG_BODY = 12 * 1024 * 1024  # bytes, more than the kernel takes while the upstream reads none
+LONG_BODY = 12 * 1024 * 1024  # bytes, more than the kernel accepts while the upstream reads none
 EARLIER = {"attempt-id": "warm-0"}
 REFUSAL = b"HTTP/1.1 503 Busy\r\nNot-Executed: 1\r\nContent-Length: 0\r\n\r\n"
 FAILURE = b"HTTP/1.1 500 Wrong\r\nServer-Seal: seal\r\nContent-Length: 5\r\n\r\nwrong"
@@ -47,13 +47,13 @@
 
 
 class Cell:
-    """The reaction to the request under test, by both upstreams' scripts: the first to get it reacts."""
+    """The reaction to the request under test; of the two upstreams, the first one to receive it reacts."""
 
     def __init__(self, reaction, streams):
         self.reaction, self.streams = reaction, streams
         self.reached, self.go_on = asyncio.Event(), asyncio.Event()
-        self.first = None  # the upstream that got the request first
-        self.sent = 0  # upstreams that got it
+        self.first = None  # the upstream that received the request first
+        self.sent = 0  # upstreams that received it
         self.begins = reaction in (
             IN_PART["a head, then a reset"][0],
             IN_PART["a head, then a close"][0],
@@ -101,7 +101,7 @@
 
 
 def sends(make, then=None):
-    """Writes `make(came, streams)`; `then` is the reaction after it."""
+    """Writes `make(came, streams)` and then reacts with `then`."""
 
     async def reaction(cell, came, writer):
         writer.write(make(came, cell.streams))
@@ -112,7 +112,7 @@
 
 
 def once_read(then):
-    """Waits until the sidecar has read what was written."""
+    """Reacts with `then` once the sidecar has read what was written."""
 
     async def reaction(cell, came, writer):
         await cell.go_on.wait()
@@ -161,9 +161,9 @@
     return good(came, streams).replace(b"Attempt-Id: id-1\r\n", b"")
 
 
-# What came: the reaction; what follows for each of KINDS; whether the connection is kept.
-#   again: the other upstream's answer; own: this one's, whole; cut: its head, and a visible end;
-#   a number: that status, 500 with the upstream's body and the others without one.
+# The received bytes: the reaction, the outcome for each of KINDS, and whether the connection is kept.
+#   again: the other upstream's answer; own: this one's, complete; cut: its head, and a visible end;
+#   a number: that status, with the upstream's body for 500 and without a body otherwise.
 LOST = ("again", 502, 502, "again")
 WHOLE = {
     "nothing until the deadline": (silence, (503, 502, 502, 503), False),
@@ -188,15 +188,15 @@
     "a refusal without an id": (sends(without_id(REFUSAL)), LOST, False),
     "a failure without an id": (sends(without_id(FAILURE)), LOST, False),
 }
-# There an answer without an id can be no other request's; and the first request is waited for, as the
-# connection was dear, its answer reaching nobody.
+# On a new connection an answer without an id can't belong to another request. The first answer is awaited
+# beyond the deadline, since the connection was costly to open; no client gets it.
 ON_A_NEW_CONNECTION = WHOLE | {
     "an answer after the deadline": (late, (503, 502, 502, 503), True),
     "a refusal without an id": (sends(without_id(REFUSAL)), ("again",) * 4, True),
     "a failure without an id": (sends(without_id(FAILURE)), ("again", 500, 500, "again"), True),
 }
-# A long body that the upstream does not read: its last byte never left, so nothing ran; and its first bytes
-# are not here any more, so it can't be sent again.
+# A long body that the upstream does not read: its last byte was never sent, so nothing was run; and its first
+# bytes are no longer held here, so it can't be sent again.
 IN_PART = {
     "nothing until the deadline": (silence, (503,) * 4, False),
     "a reset": (reset, (503,) * 4, False),
@@ -220,7 +220,7 @@
 
 
 async def told(client):
-    """The status and the body; None for one that ends before it is whole."""
+    """The status and the body of an answer; the body is None if it ends before it is complete."""
     status = await client.head()
     try:
         return status, await client.body()
@@ -229,7 +229,7 @@
 
 
 async def warm(plane, upstreams):
-    """A kept connection to each upstream, which has served one request."""
+    """Opens a kept connection to each upstream by one request."""
     for number, _ in enumerate(upstreams):
         client = await Client().open(plane)
         client.send(request(name=f"warm-{number}"))
@@ -239,14 +239,14 @@
 
 
 async def head_came(plane, cell):
-    """Back once the sidecar has read the head with which the reaction began an answer."""
+    """Waits until the sidecar has read the head with which the reaction began an answer."""
     await asyncio.wait_for(cell.reached.wait(), 5)
     while not any(link.status for link in plane.services["lm"].connections.open):
         await asyncio.sleep(0)
 
 
 async def outcome_of(plane, cell, data, waits):
-    """What the client of `id-1` is told. `waits`: nothing comes before the deadline, which is passed."""
+    """The answer that the client of `id-1` gets. `waits`: the deadline passes before anything is received."""
     client = await Client().open(plane)
     client.send(data)
     if cell.begins:
@@ -262,7 +262,8 @@
 
 
 async def check(plane, cell, answer, follows, kept):
-    """Compares what the client was told, how often it was sent, and whether the connection is kept."""
+    """Checks the client's answer, the number of upstreams that got the request, and whether the connection is
+    kept."""
     done = b"good" if not cell.streams else events(1, 2, 3)
     expected = {"again": (200, done), "own": (200, done), "cut": (200, None), 500: (500, b"wrong")}
     assert answer == expected.get(follows, (follows, b""))
@@ -270,7 +271,7 @@
     pool = plane.services["lm"]
     index = pool.indices.by_id[cell.first]
     while kept and not pool.connections.idle.by_upstream.get(index):
-        await asyncio.sleep(0)  # an answer that reaches nobody is still on its way
+        await asyncio.sleep(0)  # an answer without a client is still in transit
     assert kept or not pool.connections.idle.by_upstream.get(index)
 
 
@@ -310,7 +311,7 @@
 
 
 class ReadsNoBody(Upstream):
-    """Takes the head, reacts, and reads no more."""
+    """Reads the head of a request, reacts, and stops reading."""
 
     async def serve(self, reader, writer):
         self.connections += 1
@@ -357,7 +358,7 @@
 def test_a_request_of_which_nothing_was_sent_goes_elsewhere(kind, failure):
     async def story():
         cell = Cell(None, kind in ("stream", "resumable"))
-        cell.first = "another"  # both upstreams answer well
+        cell.first = "another"  # both upstreams answer normally
         upstreams = [Upstream(name, cell.script(name)) for name in ("i-1", "i-2")]
         routes = configuration(route(max_attempts=2, **KINDS[kind]))
         async with sidecar(routes, *upstreams, manual=True) as plane:
--- a/tests/dataplane/test_answers_in_any_order.py
+++ b/tests/dataplane/test_answers_in_any_order.py
@@ -1,8 +1,9 @@
-"""Answers in any order, surplus, without ids, of others, cut at any byte, over kept connections.
+"""Answers on kept connections in any order: surplus, without ids, with other ids, or cut off at any byte.
 
-Random steps against the real pool and its connections (`stepped_rig`): no answer reaches another caller,
-nothing that may not be repeated is sent twice, and nothing is promised that an upstream did not say of this
-very request. Each planted fault is found within 2,000 examples. More examples, drawn anew:
+Random steps against the real pool and its connections (`stepped_rig`) check that no answer reaches another
+client, that no request runs twice that must not be repeated, and that no answer makes a promise that an
+upstream did not make for this very request. Each planted fault is found within 2,000 examples. More examples,
+drawn anew:
 `ANSWER_EXAMPLES=30000 pytest tests/dataplane/test_answers_in_any_order.py -k another_caller`.
 """
 
@@ -46,7 +47,7 @@
 
 
 def retry_after_a_reset(self, failure):
-    """As though a reset of a kept connection proved that the upstream had forgotten it."""
+    """A planted fault: a reset of a kept connection counts as proof that the request was not run."""
     if self.transmission is not None and not self.transmission.first_on_connection and failure is not None:
         self.fully_sent = False
     super(EngineConnection, self).connection_lost(failure)
@@ -72,5 +73,5 @@
 @pytest.mark.parametrize("fault", PLANTED)
 def test_a_planted_fault_is_found(fault, monkeypatch):
     where, name, planted = PLANTED[fault]
-    monkeypatch.setattr(where, name, planted, raising=False)  # a method may be its base's
+    monkeypatch.setattr(where, name, planted, raising=False)  # the method may be inherited
     finds(World, STEPS)
--- a/tests/dataplane/test_clients_in_any_order.py
+++ b/tests/dataplane/test_clients_in_any_order.py
@@ -1,7 +1,8 @@
-"""Clients that send request after request, before upstreams that answer in any order and are cut at any byte.
+"""Clients that send several requests, with upstreams that answer in any order or break off at any byte.
 
-Random steps against the real front and pool (`stepped_clients`): each client reads its own answers, in order,
-whole or visibly cut; streams are taken up without an event missing or twice; nothing runs twice that may not.
+Random steps against the real front and pool (`stepped_clients`) check that each client reads its own answers,
+in order, complete or visibly cut off; that resumed streams neither miss nor repeat an event; and that no
+request runs twice that must not.
 """
 
 import pytest
@@ -27,7 +28,7 @@
 
 
 def pass_on_parts(self, piece):
-    """As though part of an event could be passed on, and the whole of it asked for again elsewhere."""
+    """A planted fault: part of an event is forwarded, and the whole event is requested again elsewhere."""
     whole_events(self, piece)
     self.output.put(self.partial_event)
     self.partial_event = b""
--- a/tests/dataplane/test_draining.py
+++ b/tests/dataplane/test_draining.py
@@ -1,4 +1,4 @@
-"""What a process that is shutting down still accepts, and when it exits."""
+"""Which requests a process that is shutting down still accepts, and when it exits."""
 
 from math import inf
 
@@ -17,7 +17,7 @@
 
 GRACE = 8.0
 SIGTERM = 100.0
-AFTER = SIGTERM + ACCEPT_ALL_S + 0.01  # not all requests are accepted any more
+AFTER = SIGTERM + ACCEPT_ALL_S + 0.01  # no longer are all requests accepted
 
 
 @pytest.fixture
@@ -29,7 +29,7 @@
 
 @pytest.mark.parametrize("cover", [READY, NO_DRAIN_TARGET])
 def test_all_requests_are_accepted_at_first(draining, cover):
-    """Clients hold addresses that long, and what is cut after that counts as planned."""
+    """Clients keep addresses this long; a request that is cut off later counts as planned."""
     draining.cover_received(SIGTERM + ACCEPT_ALL_S, cover)
     assert draining.accepts(SIGTERM + ACCEPT_ALL_S, inf, SIGTERM) and not draining.accepts(AFTER, inf, inf)
     assert not draining.may_exit(SIGTERM + ACCEPT_ALL_S) and draining.may_exit(AFTER)
@@ -37,7 +37,7 @@
 
 
 def test_a_process_that_exits_before_others_of_its_region_drains_faster(draining):
-    """It is back while they still take its clients."""
+    """It serves again while the others still take its clients."""
     draining.cover_received(SIGTERM + ACCEPT_ALL_FIRST_S, LEAVING)
     assert not draining.may_exit(SIGTERM + ACCEPT_ALL_FIRST_S)
     assert draining.may_exit(SIGTERM + ACCEPT_ALL_FIRST_S + 0.01)
@@ -55,7 +55,7 @@
 
 
 def test_cover_that_was_received_long_ago_counts_for_nothing(draining):
-    """The others may have been told to end as well, and the control plane may be out of reach."""
+    """The others may have been shut down as well, and the control plane may be unreachable."""
     assert draining.covered_by(SIGTERM) == NO_DRAIN_TARGET
     draining.cover_received(SIGTERM + 2.0, READY)
     assert draining.covered_by(SIGTERM + 2.0 + COVER_VALID_S) == READY
@@ -63,7 +63,7 @@
 
 
 def test_a_rejected_client_is_told_when_somebody_serves_again(draining):
-    """Once what is in hand is answered, and the machine's next process has started."""
+    """That is when the requests in flight are answered and the machine's next process has started."""
     draining.cover_received(AFTER, NO_DRAIN_TARGET)
     assert draining.retry_after_s(AFTER, AFTER + 2.0) == pytest.approx(2.0 + RESTART_S)
     assert draining.retry_after_s(AFTER, AFTER - 1.0) == pytest.approx(RESTART_S)
--- a/tests/dataplane/test_exchange.py
+++ b/tests/dataplane/test_exchange.py
@@ -1,4 +1,4 @@
-"""Until when a request in hand may last, as a process that ends reckons it."""
+"""The time by which a request in flight is answered at the latest, as a draining process estimates it."""
 
 from types import SimpleNamespace
 
--- a/tests/dataplane/test_fleet_size.py
+++ b/tests/dataplane/test_fleet_size.py
@@ -1,4 +1,4 @@
-"""The count by which the fleet's budgets are dealt: the largest of the last 30 s."""
+"""The count by which the fleet's budgets are divided: the largest of the last 30 s."""
 
 from random import Random
 
--- a/tests/dataplane/test_in_hand_meanwhile.py
+++ b/tests/dataplane/test_in_hand_meanwhile.py
@@ -1,4 +1,4 @@
-"""Requests that are in hand while the operator's orders or settings change: each gets its whole answer."""
+"""Requests in flight while configuration, control state or settings change: each gets its complete answer."""
 
 import asyncio
 
--- a/tests/dataplane/test_ingress.py
+++ b/tests/dataplane/test_ingress.py
@@ -1,4 +1,4 @@
-"""Requests through a sidecar on loopback: what goes on, what comes back, and what each failure becomes."""
+"""Requests through a sidecar on loopback: what is forwarded, what is returned, and how failures end."""
 
 import asyncio
 import dataclasses
@@ -46,7 +46,7 @@
 
 
 def test_a_body_behind_another_request_is_asked_for_once_that_is_answered():
-    """Both heads come in one piece: without an invitation the client waits, and its deadline passes."""
+    """Both heads arrive in one piece. Without a 100 Continue the client waits until its deadline."""
 
     async def play():
         async with sidecar(configuration(route()), Upstream("i-1", plain)) as plane:
@@ -265,7 +265,7 @@
             client.send(request(wait=60_000))
             assert await client.head() == 200 and await client.chunk() == events(1)
             plane.clock.advance(29_990, pool)
-            assert len(pool.dispatcher.active_requests) == 1  # an upstream's silence ends nothing sooner
+            assert len(pool.dispatcher.active_requests) == 1  # a silent upstream doesn't end it earlier
             plane.clock.advance(250, pool)
             with pytest.raises((asyncio.IncompleteReadError, ConnectionError)):
                 await client.body()
@@ -512,7 +512,7 @@
 
 
 def test_where_an_upstream_answered_before_a_long_body_was_read_no_other_bytes_follow():
-    """It keeps the connection and reads on: what comes there is held for the rest of that body."""
+    """The upstream keeps the connection and would read further bytes as the rest of that body."""
 
     async def play():
         connections = []
@@ -571,7 +571,7 @@
     [("streaming", 0, "0"), ("streaming", 3, "3"), ("streaming", 12, "9"), ("safe", 3, None)],
 )
 def test_an_upstream_is_told_the_rank_of_a_streams_route(kind, rank, told):
-    """0 to 9, 0 first; what a client says of it counts for nothing."""
+    """The ranks are 0 (first) to 9; a rank that the client sends is ignored."""
 
     async def play():
         upstream = Upstream("i-1", serve_all if kind == "streaming" else plain)
@@ -607,7 +607,7 @@
 
 
 def test_an_end_closes_no_connection_that_has_just_come_up():
-    """Its request is on its way, and a close would cost its client a try."""
+    """The client's first request is in transit, and a close would cost it an attempt."""
 
     async def play():
         async with sidecar(configuration(route(route_class="safe")), Upstream("i-1", plain)) as plane:
@@ -651,7 +651,7 @@
 
 
 def test_a_sidecar_that_ends_takes_what_it_can_answer_in_time_and_says_when_somebody_serves_again():
-    """Nobody else serves its region: the rest is refused at once, with the time of the machine's return."""
+    """No other edge serves its region: other requests are rejected at once, with the time of the restart."""
 
     async def play():
         asked = []
--- a/tests/dataplane/test_limits_in_force.py
+++ b/tests/dataplane/test_limits_in_force.py
@@ -1,4 +1,4 @@
-"""The limits of the configuration in force hold for kept connections too."""
+"""The limits of the configuration in force also apply to kept connections."""
 
 import asyncio
 
--- a/tests/dataplane/test_plane_gossip.py
+++ b/tests/dataplane/test_plane_gossip.py
@@ -1,4 +1,4 @@
-"""What a data plane makes of gossip: the count that budgets are dealt by, and further core members."""
+"""What a data plane takes from gossip: the count of edges for the budgets, and further core members."""
 
 from random import Random
 from types import SimpleNamespace
@@ -37,7 +37,7 @@
 
 
 class Plane:
-    """As much of a data plane as `count_edges` needs; `now` is handed in."""
+    """The part of a data plane that `count_edges` uses; `now` is passed in."""
 
     count_edges = DataPlane.count_edges
 
--- a/tests/dataplane/test_program_start.py
+++ b/tests/dataplane/test_program_start.py
@@ -1,4 +1,4 @@
-"""The data plane as a process: settings that are not sound, one that changes, and an end."""
+"""The data plane as a process: invalid settings, a settings file that changes, and the exit."""
 
 import asyncio
 import json
@@ -67,7 +67,7 @@
             process.send_signal(signal.SIGHUP)
             line = json.loads(await programs.said(process, "settings reload rejected"))
             assert (line["process"], line["place"]) == ("edge-9", "zones")
-            # Within the ring's pause between writes: only the end of the process writes it.
+            # This is within the log buffer's write interval: only the exit of the process writes the line.
             programs.write(path, programs.edge(seedNodes=[f"{programs.NET}.7:8262"]))
             process.send_signal(signal.SIGHUP)
             process.send_signal(signal.SIGTERM)
--- a/tests/dataplane/test_resettled.py
+++ b/tests/dataplane/test_resettled.py
@@ -1,4 +1,4 @@
-"""What a data plane does with settings that are read anew."""
+"""How a data plane applies reloaded settings."""
 
 import asyncio
 from types import SimpleNamespace
@@ -50,7 +50,7 @@
 
 def test_a_new_zone_of_a_known_region_brings_its_upstreams_at_once():
     async def story(state, pool):
-        assert pool.ready() == 1  # the other stands in a zone that nobody named
+        assert pool.ready() == 1  # the other upstream is in a zone that the settings don't name
         state.settings_changed(changed(zones=SETTINGS.zones | {"z3": "west"}))
         assert pool.ready() == 2
         state.settings_changed(changed())
--- a/tests/dataplane/test_return_tried_first.py
+++ b/tests/dataplane/test_return_tried_first.py
@@ -1,4 +1,4 @@
-"""An upstream that is set aside is tried by a connection before it returns, not by a client's request."""
+"""An ejected upstream is probed by a connection before it returns, not by a client's request."""
 
 import asyncio
 from types import SimpleNamespace
@@ -14,7 +14,7 @@
 
 
 class Held:
-    """A clock that stands until it is set; its alarms are far away."""
+    """A clock that moves only when it is set; its timers never fire."""
 
     def __init__(self, loop):
         self.loop, self.at = loop, SECOND
@@ -49,12 +49,12 @@
 
 
 async def looked(one, at):
-    """A look at this time, and all that it began."""
+    """Runs the check for silent upstreams at this time, and its probes. Returns the number of probes."""
     one.clock.at = at
     one.pool.probe_silent()
     begun = list(one.pool.tasks)
     await asyncio.gather(*begun)
-    one.pool.dispatcher.gather(lambda now: None)  # as an alarm does
+    one.pool.dispatcher.gather(lambda now: None)  # as a timer does
     one.pool.dispatcher.run()
     return len(begun)
 
--- a/tests/dataplane/test_routes_added_later.py
+++ b/tests/dataplane/test_routes_added_later.py
@@ -1,4 +1,4 @@
-"""Routes and services that a later configuration adds are served as the first ones are."""
+"""Routes and services that a later configuration adds are served like the first ones."""
 
 import asyncio
 
@@ -10,7 +10,7 @@
 
 
 def test_a_service_that_a_later_configuration_names_has_its_upstreams_at_once():
-    """Its upstreams stood on the list before any route led to them."""
+    """Its upstreams were on the list before any route led to them."""
 
     async def answer(request, writer):
         writer.write(whole(request, b"whole"))
--- a/tests/dataplane/test_service_times.py
+++ b/tests/dataplane/test_service_times.py
@@ -1,4 +1,4 @@
-"""The most that a service's requests take, by what was seen lately."""
+"""The upper estimates of how long a service's requests take, from recent answers."""
 
 from math import inf
 
--- a/tests/dataplane/test_surplus_answers.py
+++ b/tests/dataplane/test_surplus_answers.py
@@ -1,4 +1,4 @@
-"""An answer to an earlier request of a kept connection: nobody gets it, and it promises nothing."""
+"""A late answer to an earlier request on a kept connection reaches no client and makes no promise."""
 
 import asyncio
 
@@ -24,9 +24,9 @@
 
 
 async def second_on_a_kept_connection(reaction, verb="POST", **told):
-    """Sends `id-1`, answered well, and then `id-2` on the same upstream connection, where `reaction` answers.
+    """Sends `id-1`, answered normally, and then `id-2`, which `reaction` answers on the same connection.
 
-    Returns the client of `id-2` with its answer, the upstream, and how many connections are kept.
+    Returns the client of `id-2` with its answer, the upstream, and the number of kept connections.
     """
 
     async def script(came, writer):
@@ -52,7 +52,7 @@
 
 
 async def body_or_cut(client):
-    """The body; None if the connection ends before it is whole."""
+    """The body, or None if the connection ends before it is complete."""
     try:
         return await client.body()
     except (asyncio.IncompleteReadError, ConnectionError):
--- a/tests/dataplane/test_watcher.py
+++ b/tests/dataplane/test_watcher.py
@@ -1,5 +1,5 @@
-"""The control client: which member an edge watches, what it takes, and how soon it hears, in virtual time
-against real hubs."""
+"""The control client against real watch hubs in virtual time: which member an edge watches, which state it
+applies, and how soon it receives changes."""
 
 from heapq import heappop, heappush
 from itertools import count
@@ -61,8 +61,13 @@
 
 
 class World:
-    """Core members with hubs, one edge, and a network between them. `silent`: hears and says nothing;
-    `refusing`: its port is dead; `old`: does not hear the primary or of the list."""
+    """Core members with hubs, one edge, and a network between them.
+
+    Attributes:
+        silent: members that neither receive nor send.
+        refusing: members whose port refuses connections.
+        old: members that receive neither heartbeats of the primary nor the endpoint list.
+    """
 
     def __init__(self, seed=1, way=0.01, seeds=SEEDS, max_wait_s=1.0, numbered=True) -> None:
         self.random, self.now, self.events, self.order = Random(seed), 100.0, [], count()
@@ -169,10 +174,10 @@
             case FleetView():
                 self.known["counts"] = update
 
-    # --- the core
+    # --- the core members
 
     def beat(self) -> None:
-        """The primary's word, and the list with its age, for all that hear them."""
+        """Delivers the primary's heartbeat and the list with its age to all members that receive them."""
         self.polls.apply_poll(self.now, entries(*self.names))
         for address, hub in self.hubs.items():
             hub.set_members(self.now, SEEDS)
@@ -198,7 +203,7 @@
     world.run(0.05)
     assert world.known["configuration"] == state(3)["configuration"]
     assert set(world.known["list"]) == {"a", "b"}
-    world.run(3.0)  # the third is measured in the meantime
+    world.run(3.0)  # the third member is measured meanwhile
     world.asked.clear()
     world.run(20.0)
     assert {address for _, address, _ in world.asked} == {world.watcher.preferred_member.address}
@@ -351,7 +356,7 @@
     assert world.watcher.preferred_member.address != SEEDS[0]
     world.old.clear()
     world.run(5.0)
-    # It hears the primary again, and knows less than the edge.
+    # It hears from the primary again, but knows less than the edge.
     assert world.watcher.preferred_member.address != SEEDS[0]
     world.change(5)
     world.run(40.0)
--- a/tests/dataplane/test_weighted_split.py
+++ b/tests/dataplane/test_weighted_split.py
@@ -1,4 +1,4 @@
-"""Requests of a split go to its services in proportion to the weights, also over few requests."""
+"""A weighted split sends requests to its services in proportion to the weights, also over few requests."""
 
 from collections import Counter
 from random import Random
@@ -12,7 +12,7 @@
 
 
 def shares(weights, requests, edges, seed):
-    """Of all requests, dealt to edges in turn, each with a start of its own."""
+    """The share of all requests by service. Edges take requests in turn, each edge with its own start."""
     random = Random(seed)
     served = [ServedRoute(route(service=None, weighted_split=split(**weights)), {}) for _ in range(edges)]
     counts = Counter(served[number % edges].choose_service(random) for number in range(requests))
