--- a/tests/dataplane/test_answer_table.py
+++ b/tests/dataplane/test_answer_table.py
@@ -330,7 +330,7 @@
 
 
 @pytest.mark.parametrize(("kind", "reaction", "follows", "kept"), cells(IN_PART))
-def test_a_request_of_which_not_all_was_sent(kind, reaction, follows, kept):
+def test_a_partially_sent_request(kind, reaction, follows, kept):
     async def story():
         cell = Cell(reaction, kind in ("stream", "resumable"))
         upstreams = [ReadsNoBody(name, cell.script(name)) for name in ("i-1", "i-2")]
@@ -355,7 +355,7 @@
 
 @pytest.mark.parametrize("kind", KINDS)
 @pytest.mark.parametrize("failure", NO_CONNECTION, ids=["refused", "reset", "no route", "silence"])
-def test_a_request_of_which_nothing_was_sent_goes_elsewhere(kind, failure):
+def test_an_unsent_request_is_retried_elsewhere(kind, failure):
     async def story():
         cell = Cell(None, kind in ("stream", "resumable"))
         cell.first = "another"  # both upstreams answer normally
--- a/tests/dataplane/test_answers_in_any_order.py
+++ b/tests/dataplane/test_answers_in_any_order.py
@@ -23,13 +23,13 @@
 STEPS = steps_of(*often(SERVE, 5), *often(ASK, 5), FAIL_NEXT_DIAL)
 
 
-def test_no_answer_reaches_another_caller_and_nothing_runs_twice():
+def test_no_answer_reaches_another_caller_and_no_request_runs_twice():
     holds(World, STEPS)
 
 
 @pytest.mark.parametrize("method", [IDEMPOTENT, ONCE])
 @pytest.mark.parametrize("end", ["reset", "finish"])
-def test_a_short_request_whose_last_byte_never_left_goes_elsewhere(method, end):
+def test_a_request_whose_last_byte_was_not_sent_is_retried_elsewhere(method, end):
     world = World()
     world.kernels_are_full = True
     world.ask(method, False, True)
--- a/tests/dataplane/test_draining.py
+++ b/tests/dataplane/test_draining.py
@@ -48,13 +48,13 @@
     assert draining.accepts(AFTER, 1.5, AFTER + 1.6) and not draining.accepts(AFTER, 1.5, AFTER + 1.4)
 
 
-def test_nothing_is_accepted_that_may_last_beyond_the_grace(draining):
+def test_no_request_is_accepted_that_may_outlast_the_grace_period(draining):
     last = SIGTERM + GRACE - CANCEL_BEFORE_KILL_S
     assert draining.accepts(last - 1.6, 1.5, inf) and not draining.accepts(last - 1.4, 1.5, inf)
     assert draining.exit_at == SIGTERM + GRACE - EXIT_BEFORE_KILL_S
 
 
-def test_cover_that_was_received_long_ago_counts_for_nothing(draining):
+def test_an_outdated_cover_is_ignored(draining):
     """The others may have been shut down as well, and the control plane may be unreachable."""
     assert draining.covered_by(SIGTERM) == NO_DRAIN_TARGET
     draining.cover_received(SIGTERM + 2.0, READY)
@@ -62,7 +62,7 @@
     assert draining.covered_by(SIGTERM + 2.01 + COVER_VALID_S) == NO_DRAIN_TARGET
 
 
-def test_a_rejected_client_is_told_when_somebody_serves_again(draining):
+def test_a_rejected_client_gets_the_time_when_an_edge_serves_again(draining):
     """That is when the requests in flight are answered and the machine's next process has started."""
     draining.cover_received(AFTER, NO_DRAIN_TARGET)
     assert draining.retry_after_s(AFTER, AFTER + 2.0) == pytest.approx(2.0 + RESTART_S)
@@ -77,6 +77,6 @@
     assert draining.retry_after_s(AFTER, AFTER + 2.0) == 0.0
 
 
-def test_a_grace_that_is_shorter_than_the_time_in_which_all_is_accepted():
+def test_a_grace_period_shorter_than_the_time_of_accepting_all_requests():
     short = Draining(SIGTERM, 1.0)
     assert SIGTERM < short.cancel_at <= short.exit_at
--- a/tests/dataplane/test_exchange.py
+++ b/tests/dataplane/test_exchange.py
@@ -11,7 +11,7 @@
 
 
 @pytest.mark.parametrize(("longest_s", "lasts_s"), [(2.0, 2.0), (9.0, 4.0), (float("inf"), 4.0)])
-def test_it_may_last_as_long_as_its_service_takes_and_its_client_waits(longest_s, lasts_s):
+def test_the_estimate_is_bounded_by_service_times_and_client_timeout(longest_s, lasts_s):
     asked = []
     times = SimpleNamespace(longest=lambda *words: asked.append(words) or longest_s)
     service = SimpleNamespace(clock=SimpleNamespace(now=lambda: NOW), times=times)
--- a/tests/dataplane/test_fleet_size.py
+++ b/tests/dataplane/test_fleet_size.py
@@ -5,11 +5,11 @@
 from shedgrade.dataplane.fleet_size import COUNT_WINDOW_S, FleetSize
 
 
-def test_with_nothing_counted_there_is_this_one():
+def test_without_counts_there_is_one_edge():
     assert FleetSize().largest(5.0) == 1
 
 
-def test_a_smaller_count_holds_only_when_the_larger_is_old():
+def test_a_smaller_count_applies_only_after_the_larger_has_expired():
     size = FleetSize()
     size.record_count(0.0, 6)
     size.record_count(1.0, 2)
@@ -17,14 +17,14 @@
     assert size.largest(COUNT_WINDOW_S + 0.1) == 2
 
 
-def test_a_larger_count_holds_at_once():
+def test_a_larger_count_applies_at_once():
     size = FleetSize()
     size.record_count(0.0, 2)
     size.record_count(1.0, 67)
     assert size.largest(1.0) == 67
 
 
-def test_it_is_the_maximum_of_the_window_whatever_comes():
+def test_the_count_is_the_maximum_of_the_window():
     for seed in range(20):
         random, size, told, now = Random(seed), FleetSize(), [], 0.0
         for _ in range(300):
--- a/tests/dataplane/test_in_hand_meanwhile.py
+++ b/tests/dataplane/test_in_hand_meanwhile.py
@@ -46,7 +46,7 @@
         list_it_no_more,
     ],
 )
-def test_what_an_upstream_works_on_is_answered_whole(meanwhile):
+def test_a_request_in_flight_gets_its_complete_answer(meanwhile):
     async def story():
         taken, go_on = asyncio.Event(), asyncio.Event()
 
--- a/tests/dataplane/test_ingress.py
+++ b/tests/dataplane/test_ingress.py
@@ -45,7 +45,7 @@
     writer.write(whole(request, b"free: 4"))
 
 
-def test_a_body_behind_another_request_is_asked_for_once_that_is_answered():
+def test_a_pipelined_request_gets_100_continue_once_the_previous_one_is_answered():
     """Both heads arrive in one piece. Without a 100 Continue the client waits until its deadline."""
 
     async def play():
@@ -61,7 +61,7 @@
     assert run(play()) == ((200, b"free: 4"), 100, (200, b"free: 4"))
 
 
-def test_a_stream_comes_back_unchanged_with_the_seal():
+def test_a_stream_is_forwarded_unchanged_with_the_seal():
     async def play():
         upstream = Upstream("i-1", serve_all)
         async with sidecar(configuration(route()), upstream) as plane:
@@ -77,7 +77,7 @@
     run(play())
 
 
-def test_events_go_on_as_they_come():
+def test_events_are_forwarded_as_they_arrive():
     async def play():
         more = asyncio.Event()
 
@@ -99,7 +99,7 @@
     run(play())
 
 
-def test_the_routes_time_binds():
+def test_the_routes_timeout_limits_the_time_remaining():
     async def play():
         upstream = Upstream("i-1", serve_all)
         async with sidecar(configuration(route(timeout_ms=700)), upstream) as plane:
@@ -109,7 +109,7 @@
     run(play())
 
 
-def test_a_broken_stream_is_taken_up_elsewhere_within_one_answer():
+def test_a_broken_stream_is_resumed_elsewhere_within_one_answer():
     async def play():
         broken = []
 
@@ -135,7 +135,7 @@
 
 
 @pytest.mark.parametrize("told", [{"resumable": False}, {"resumable": True, "max_attempts": 1}])
-def test_a_broken_stream_that_goes_nowhere_else_ends_visibly(told):
+def test_a_broken_stream_that_cannot_be_resumed_ends_visibly(told):
     async def play():
         async def breaks(request, writer):
             writer.write(streaming(request) + chunk(events(1)))
@@ -154,7 +154,7 @@
     run(play())
 
 
-def test_what_an_upstream_did_not_run_goes_elsewhere():
+def test_a_request_that_an_upstream_did_not_run_is_retried_elsewhere():
     async def play():
         async def away(request, writer):
             writer.write(whole(request, b"", 503, None, Not_Executed=1))
@@ -168,7 +168,7 @@
     run(play())
 
 
-def test_another_incarnation_at_the_address_gets_no_more():
+def test_another_incarnation_at_the_address_gets_no_further_requests():
     async def play():
         async def other(request, writer):
             writer.write(whole(request, b"", 421, None, Instance_Id="i-9"))
@@ -196,7 +196,7 @@
     run(play())
 
 
-def test_a_safe_request_is_sent_again():
+def test_a_safe_request_is_retried():
     async def play():
         dropped = []
 
@@ -215,7 +215,7 @@
     run(play())
 
 
-def test_the_upstreams_own_failure_goes_back_as_it_came():
+def test_the_upstreams_own_failure_is_returned_unchanged():
     async def play():
         async def fails(request, writer):
             writer.write(whole(request, b"broken", 500))
@@ -227,7 +227,7 @@
     run(play())
 
 
-def test_an_earlier_upstreams_failure_is_no_answer_where_a_later_one_may_have_run_it():
+def test_an_earlier_upstreams_failure_is_not_returned_if_a_later_one_may_have_run_the_request():
     async def play():
         first = []
 
@@ -248,7 +248,7 @@
 
 
 @pytest.mark.parametrize("resumable", [True, False])
-def test_an_open_stream_is_held_no_longer_than_its_routes_time_and_a_little(resumable):
+def test_an_open_stream_ends_shortly_after_its_routes_timeout(resumable):
     async def play():
         gone = asyncio.Event()
 
@@ -274,7 +274,7 @@
     run(play())
 
 
-def test_a_late_second_answer_is_told_by_its_id():
+def test_a_late_second_answer_is_recognized_by_its_id():
     async def play():
         async def surplus(request, writer):
             if request["attempt-id"] == "id-2":
@@ -293,7 +293,7 @@
 
 
 @pytest.mark.parametrize("told", [{"seal": None}, {"Content_Encoding": "gzip"}])
-def test_a_success_that_is_not_the_upstreams_is_none(told):
+def test_a_success_without_a_seal_or_with_an_encoding_is_not_accepted(told):
     async def play():
         async def spoilt(request, writer):
             writer.write(whole(request, b"text", **told))
@@ -317,7 +317,7 @@
         (request(Attempt_Id="id-2"), 400),
     ],
 )
-def test_requests_that_are_none(sent, status):
+def test_invalid_or_unroutable_requests_are_rejected(sent, status):
     async def play():
         upstream = Upstream("i-1", serve_all)
         async with sidecar(configuration(route()), upstream) as plane:
@@ -327,7 +327,7 @@
     run(play())
 
 
-def test_no_upstream_is_told_at_once_with_when_to_come_back():
+def test_without_upstreams_a_request_is_rejected_at_once_with_retry_after():
     async def play():
         async with sidecar(configuration(route())) as plane:
             client, _ = await answered(plane, request())
@@ -336,7 +336,7 @@
     run(play())
 
 
-def test_a_client_that_leaves_frees_its_upstream():
+def test_a_disconnected_client_frees_its_upstream():
     async def play():
         async def forever(request, writer):
             writer.write(streaming(request) + chunk(events(1)))
@@ -369,7 +369,7 @@
 
 
 @pytest.mark.parametrize("kind", [{"route_class": "unsafe"}, {"resumable": True}, {"resumable": False}])
-def test_a_client_that_leaves_before_any_answer_frees_its_upstream(kind):
+def test_a_client_that_disconnects_before_any_answer_frees_its_upstream(kind):
     async def play():
         reached = asyncio.Event()
 
@@ -398,7 +398,7 @@
 
 
 @pytest.mark.parametrize("served", [False, True])
-def test_a_clients_connection_that_has_rested_is_taken_up(served):
+def test_an_idle_client_connection_is_used_again(served):
     async def play():
         limits = Limits(idle_timeout_ms=9_000)
         routes = configuration(route(route_class="safe"), limits=limits)
@@ -417,7 +417,7 @@
     run(play())
 
 
-def test_homes_are_kept_and_the_own_region_comes_first():
+def test_home_regions_bind_and_the_own_region_is_preferred():
     async def play():
         east, west = Upstream("i-1", serve_all), Upstream("i-2", serve_all)
         routes = configuration(route(), route(path_prefix="/bound/", name="h", home_regions=["west"]))
@@ -431,7 +431,7 @@
     run(play())
 
 
-def test_an_evacuated_zone_gets_nothing():
+def test_an_evacuated_zone_gets_no_requests():
     async def play():
         east, west = Upstream("i-1", serve_all), Upstream("i-2", serve_all)
         async with sidecar(configuration(route()), east, west, zones={"i-2": "z2"}) as plane:
@@ -479,7 +479,7 @@
     run(play())
 
 
-def test_a_head_in_pieces_of_an_event_stream_and_the_end_without_a_blank_line():
+def test_an_event_in_two_chunks_and_a_last_event_without_a_blank_line():
     async def play():
         async def odd(request, writer):
             writer.write(streaming(request) + chunk(b"id: 1\ndata: a\n"))
@@ -493,7 +493,7 @@
     run(play())
 
 
-def test_answers_end_their_connection_while_the_sidecar_leaves():
+def test_answers_close_their_connection_while_the_sidecar_drains():
     async def play():
         async with sidecar(configuration(route(route_class="safe")), Upstream("i-1", plain)) as plane:
             client = await Client().open(plane)
@@ -511,7 +511,7 @@
     run(play())
 
 
-def test_where_an_upstream_answered_before_a_long_body_was_read_no_other_bytes_follow():
+def test_a_connection_is_not_reused_if_the_upstream_answered_before_the_body_was_sent():
     """The upstream keeps the connection and would read further bytes as the rest of that body."""
 
     async def play():
@@ -555,7 +555,7 @@
 
 
 @pytest.mark.parametrize("known", [False, True], ids=["no configuration", "a configuration"])
-def test_who_knows_no_configuration_says_503_and_who_knows_one_404(known):
+def test_an_unknown_path_gets_503_without_a_configuration_and_404_with_one(known):
     async def play():
         async with sidecar(configuration(route()), Upstream("i-1", plain)) as plane:
             if not known:
@@ -570,7 +570,7 @@
     ("kind", "rank", "told"),
     [("streaming", 0, "0"), ("streaming", 3, "3"), ("streaming", 12, "9"), ("safe", 3, None)],
 )
-def test_an_upstream_is_told_the_rank_of_a_streams_route(kind, rank, told):
+def test_a_stream_request_carries_the_priority_of_its_route(kind, rank, told):
     """The ranks are 0 (first) to 9; a rank that the client sends is ignored."""
 
     async def play():
@@ -582,7 +582,7 @@
     run(play())
 
 
-def test_a_stream_that_goes_on_elsewhere_hands_on_only_the_time_that_is_left():
+def test_a_resumed_stream_passes_on_only_the_remaining_time():
     async def play():
         async def breaks_off_late(request, writer):
             writer.write(streaming(request) + chunk(events(1)))
@@ -606,7 +606,7 @@
     run(play())
 
 
-def test_an_end_closes_no_connection_that_has_just_come_up():
+def test_draining_does_not_close_a_new_connection():
     """The client's first request is in transit, and a close would cost it an attempt."""
 
     async def play():
@@ -627,7 +627,7 @@
     run(play())
 
 
-def test_an_end_closes_no_connection_whose_request_is_in_hand():
+def test_draining_does_not_close_a_connection_with_a_request_in_flight():
     async def play():
         taken, go_on = asyncio.Event(), asyncio.Event()
 
@@ -650,7 +650,7 @@
     run(play())
 
 
-def test_a_sidecar_that_ends_takes_what_it_can_answer_in_time_and_says_when_somebody_serves_again():
+def test_a_draining_sidecar_accepts_what_it_can_answer_in_time_and_sends_retry_after_for_the_rest():
     """No other edge serves its region: other requests are rejected at once, with the time of the restart."""
 
     async def play():
@@ -686,7 +686,7 @@
         ("X-Own", "kept"),
     ],
 )
-def test_a_header_of_the_client_goes_on_as_it_came(name, value):
+def test_a_client_header_is_forwarded_unchanged(name, value):
     async def play():
         upstream = Upstream("i-1", serve_all)
         async with sidecar(configuration(route(resumable=True)), upstream) as plane:
@@ -696,7 +696,7 @@
     run(play())
 
 
-def test_the_head_of_an_answer_is_the_upstreams_less_what_belongs_to_a_connection():
+def test_an_answers_head_is_the_upstreams_without_connection_headers():
     async def play():
         async def more(request, writer):
             writer.write(head(request, Content_Length=2, Keep_Alive="timeout=10", X_Own="kept") + b"ok")
@@ -711,7 +711,7 @@
     run(play())
 
 
-def test_what_waits_at_an_upstream_that_went_dark_goes_on_elsewhere():
+def test_a_stream_at_an_unreachable_upstream_is_resumed_elsewhere():
     async def play():
         async def speaks_then_nothing(request, writer):
             writer.write(streaming(request) + chunk(events(1, 2)))
@@ -747,7 +747,7 @@
 
 
 @pytest.mark.parametrize("refuses", [False, True], ids=["takes connections", "is at its cap of connections"])
-def test_one_that_is_only_slow_keeps_its_work(refuses):
+def test_a_slow_upstream_keeps_its_requests(refuses):
     async def play():
         go_on = asyncio.Event()
 
@@ -776,7 +776,7 @@
     run(play())
 
 
-def test_what_is_cold_stays_so_as_long_as_the_list_said_however_often_it_is_looked_at():
+def test_slow_start_lasts_as_long_as_the_list_said_however_often_the_list_is_applied():
     async def play():
         upstream = Upstream("i-1", plain)
         async with sidecar(configuration(route(route_class="safe")), upstream) as plane:
@@ -800,7 +800,7 @@
     run(play())
 
 
-def test_what_comes_back_from_an_evacuation_is_cold_from_then_on_for_its_usual_time():
+def test_slow_start_begins_anew_after_an_evacuation():
     async def play():
         upstream = Upstream("i-1", plain)
         told = configuration(route(route_class="safe"))
--- a/tests/dataplane/test_limits_in_force.py
+++ b/tests/dataplane/test_limits_in_force.py
@@ -14,7 +14,7 @@
 
 
 @pytest.mark.parametrize(("before", "after", "status"), [(10, 100, 200), (100, 10, 413)])
-def test_a_kept_connection_is_held_to_the_newest_limits(before, after, status):
+def test_the_newest_limits_apply_to_a_kept_connection(before, after, status):
     async def play():
         one = route(route_class="safe")
         first = configuration(one, limits=Limits(body_bytes=before))
--- a/tests/dataplane/test_plane_gossip.py
+++ b/tests/dataplane/test_plane_gossip.py
@@ -57,14 +57,14 @@
     return [Node(f"edge-{number}", f"10.1.1.{number}:7301", "edge") for number in range(2, count + 1)]
 
 
-def test_the_larger_of_both_counts_holds():
+def test_the_larger_of_both_counts_applies():
     plane = Plane(*edges(4))
     assert plane.at(0.0) == 4
     plane.watcher.received.counts = FleetView(6, SEEDS)
     assert plane.at(1.0) == 6
 
 
-def test_what_the_core_tells_holds_at_once_and_for_30_s_after_both_know_less():
+def test_the_cores_count_applies_at_once_and_for_30_s_after_smaller_counts():
     plane = Plane()
     plane.state.apply([FleetView(6, SEEDS)])
     plane.watcher.received.counts = FleetView(1, SEEDS)
@@ -73,7 +73,7 @@
     assert plane.at(COUNT_WINDOW_S + 1) == 1
 
 
-def test_core_members_of_gossip_are_asked_only_when_nobody_answers():
+def test_core_members_from_gossip_are_asked_only_when_no_other_answers():
     plane = Plane(Node("core-9", "10.2.0.77:7301", "core", link_address=FOUND), *edges(2))
     plane.at(CORE_SILENT_S / 2)
     assert FOUND not in plane.watcher.members
@@ -86,7 +86,7 @@
     return [one.address for one in watcher.take_instructions() if isinstance(one, SendWatchRequest)]
 
 
-def test_while_one_that_is_named_answers_no_other_is_asked():
+def test_while_a_listed_member_answers_no_discovered_one_is_asked():
     watcher, now = Watcher(EDGE, SEEDS, Random(3), 0.0, max_wait_s=0.5), 0.0
     watcher.handle_event(MembersDiscoveredEvent((FOUND,)))
     seen = []
@@ -102,7 +102,7 @@
     assert FOUND not in seen[3:] and SEEDS[1] in seen
 
 
-def test_when_all_that_are_named_fail_the_one_found_serves_and_names_the_next():
+def test_when_all_listed_members_fail_a_discovered_one_serves_and_lists_the_next():
     watcher, now = Watcher(EDGE, SEEDS, Random(3), 0.0, max_wait_s=0.5), 0.0
     watcher.handle_event(MembersDiscoveredEvent((FOUND,)))
     while watcher.preferred_member is None or watcher.preferred_member.address != FOUND:
@@ -118,7 +118,7 @@
     assert watcher.members[FOUND].listed and watcher.received.counts == FleetView(3, (FOUND,))
 
 
-def test_those_found_are_bounded():
+def test_the_number_of_discovered_members_is_limited():
     watcher = Watcher(EDGE, SEEDS, Random(3), 0.0)
     watcher.handle_event(MembersDiscoveredEvent(tuple(f"10.9.0.{number}:7300" for number in range(1, 200))))
     assert len(watcher.members) == MAX_MEMBERS
--- a/tests/dataplane/test_program_start.py
+++ b/tests/dataplane/test_program_start.py
@@ -11,7 +11,7 @@
     asyncio.run(story)
 
 
-def test_settings_that_are_not_sound_end_it_with_2_and_a_line_a_finding(tmp_path):
+def test_invalid_settings_exit_with_2_and_one_line_per_finding(tmp_path):
     async def story():
         path = tmp_path / "local.yaml"
         programs.write(path, programs.edge(zone="hall-9", seedNodes="one", limits={"memoryMb": 300}))
@@ -24,7 +24,7 @@
     run(story())
 
 
-def test_the_addresses_that_it_serves_are_asked_for(tmp_path):
+def test_missing_listen_addresses_are_reported(tmp_path):
     async def story():
         path = tmp_path / "local.yaml"
         programs.write(path, programs.edge(listenAddresses={}))
@@ -40,7 +40,7 @@
     run(story())
 
 
-def test_without_a_file_or_with_half_of_one_it_says_so(tmp_path):
+def test_a_missing_or_incomplete_settings_file_is_reported(tmp_path):
     async def story():
         assert await programs.ended("dataplane") == (
             2,
@@ -57,7 +57,7 @@
     run(story())
 
 
-def test_a_bad_file_at_run_time_is_told_the_old_stays_and_the_end_writes_what_was_held_back(tmp_path):
+def test_an_invalid_file_at_run_time_is_reported_and_the_exit_flushes_the_log(tmp_path):
     async def story():
         path, host = tmp_path / "local.yaml", f"{programs.NET}.9"
         programs.write(path, programs.edge())
--- a/tests/dataplane/test_resettled.py
+++ b/tests/dataplane/test_resettled.py
@@ -27,7 +27,7 @@
     asyncio.run(whole())
 
 
-def test_the_budget_of_repeats_moves_with_the_bounds_and_later_services_get_it_too():
+def test_new_bounds_apply_to_the_retry_budgets_of_present_and_later_services():
     async def story(state, pool):
         assert (pool.retry_budget.ratio, pool.retry_budget.slack, pool.retry_budget.window) == (
             0.2,
@@ -48,7 +48,7 @@
     play(story)
 
 
-def test_a_new_zone_of_a_known_region_brings_its_upstreams_at_once():
+def test_a_new_zone_of_a_known_region_adds_its_upstreams_at_once():
     async def story(state, pool):
         assert pool.ready() == 1  # the other upstream is in a zone that the settings don't name
         state.settings_changed(changed(zones=SETTINGS.zones | {"z3": "west"}))
@@ -59,7 +59,7 @@
     play(story)
 
 
-def test_a_zone_of_a_new_region_waits_for_a_start():
+def test_a_zone_of_a_new_region_is_ignored_until_restart():
     async def story(state, pool):
         state.settings_changed(changed(zones=SETTINGS.zones | {"z3": "north"}))
         assert pool.ready() == 1 and state.zones == SETTINGS.zones and state.ready()
@@ -67,7 +67,7 @@
     play(story)
 
 
-def test_before_any_configuration_there_is_only_what_is_kept_for_later():
+def test_settings_are_applied_before_any_configuration():
     async def story(state, pool):
         state.routes = None
         state.settings_changed(changed(lag=100))
--- a/tests/dataplane/test_return_tried_first.py
+++ b/tests/dataplane/test_return_tried_first.py
@@ -59,7 +59,7 @@
     return len(begun)
 
 
-def test_one_that_is_still_out_of_reach_stays_aside():
+def test_an_unreachable_upstream_stays_ejected():
     async def story():
         one = pool_of(asyncio.get_running_loop(), free_address())
         one.pool.balancer.eject(one.clock.at, one.up, True)
@@ -72,7 +72,7 @@
     asyncio.run(story())
 
 
-def test_one_that_can_be_reached_returns_in_its_time():
+def test_a_reachable_upstream_returns_when_its_ejection_ends():
     async def story():
         met = asyncio.Event()
         server = await asyncio.start_server(lambda reader, writer: met.set(), "127.0.0.1", 0)
@@ -90,7 +90,7 @@
     asyncio.run(story())
 
 
-def test_one_that_left_the_list_is_not_tried():
+def test_an_upstream_that_left_the_list_is_not_probed():
     async def story():
         one = pool_of(asyncio.get_running_loop(), free_address())
         one.pool.balancer.eject(one.clock.at, one.up, True)
--- a/tests/dataplane/test_routes_added_later.py
+++ b/tests/dataplane/test_routes_added_later.py
@@ -9,7 +9,7 @@
 REQUESTS = 20
 
 
-def test_a_service_that_a_later_configuration_names_has_its_upstreams_at_once():
+def test_a_service_added_by_a_later_configuration_has_its_upstreams_at_once():
     """Its upstreams were on the list before any route led to them."""
 
     async def answer(request, writer):
--- a/tests/dataplane/test_surplus_answers.py
+++ b/tests/dataplane/test_surplus_answers.py
@@ -69,7 +69,7 @@
         REFUSAL.replace(b"503", b"400"),
     ],
 )
-def test_a_failure_without_an_id_on_a_kept_connection_is_no_promise_and_goes_to_nobody(late):
+def test_a_failure_without_an_id_on_a_kept_connection_is_not_returned(late):
     async def reaction(came, writer):
         writer.write(late)
 
@@ -79,7 +79,7 @@
 
 
 @pytest.mark.parametrize("ids", [(b"id-2", b"id-1"), (b"id-1", b"id-2")])
-def test_an_answer_with_two_ids_is_told_apart_no_more_than_one_without(ids):
+def test_an_answer_with_two_ids_is_treated_like_one_without(ids):
     async def reaction(came, writer):
         both = b"".join(b"Attempt-Id: %s\r\n" % one for one in ids)
         writer.write(b"HTTP/1.1 503 Busy\r\nNot-Executed: 1\r\n" + both + b"Content-Length: 0\r\n\r\n")
@@ -88,7 +88,7 @@
     assert client.status == 502
 
 
-def test_a_failure_without_an_id_is_believed_where_the_connection_has_carried_nothing_else():
+def test_a_failure_without_an_id_is_accepted_on_a_new_connection():
     async def play():
         async def refuses(came, writer):
             writer.write(REFUSAL)
@@ -109,7 +109,7 @@
         head(EARLIER, 500, Connection="close") + b"wrong",
     ],
 )
-def test_a_surplus_answer_that_only_the_close_ends_goes_to_nobody(late):
+def test_a_surplus_answer_that_ends_with_the_connection_is_not_returned(late):
     async def reaction(came, writer):
         writer.write(late)
         await writer.drain()
@@ -120,7 +120,7 @@
     assert (client.status, client.text) == (502, b"") and len(upstream.requests) == 2
 
 
-def test_a_surplus_answer_that_is_still_coming_at_the_deadline_goes_to_nobody():
+def test_a_surplus_answer_that_is_incomplete_at_the_deadline_is_not_returned():
     async def reaction(came, writer):
         writer.write(streaming(EARLIER) + chunk(events(1)))
         await writer.drain()
@@ -133,7 +133,7 @@
 @pytest.mark.parametrize(
     "late", [whole(EARLIER, b"x" * 200_000), streaming(EARLIER) + chunk(b"x" * 200_000) + LAST]
 )
-def test_after_a_long_surplus_answer_the_own_one_is_taken(late):
+def test_after_a_long_surplus_answer_the_requested_one_is_returned(late):
     async def reaction(came, writer):
         writer.write(late + whole(came, b"second"))
 
@@ -141,7 +141,7 @@
     assert (client.status, client.text) == (200, b"second") and kept == 1
 
 
-def test_after_a_surplus_answer_one_to_head_is_still_taken_without_a_body():
+def test_after_a_surplus_answer_a_response_to_head_has_no_body():
     async def reaction(came, writer):
         writer.write(whole(EARLIER, b"first") + head(came, Content_Length=1000))
 
@@ -149,7 +149,7 @@
     assert client.status == 200 and client.headers["content-length"] == "1000"
 
 
-def test_not_modified_without_an_id_on_a_kept_connection_goes_to_nobody():
+def test_not_modified_without_an_id_on_a_kept_connection_is_not_returned():
     async def reaction(came, writer):
         writer.write(b"HTTP/1.1 304 Not Modified\r\n\r\n")
 
@@ -158,7 +158,7 @@
 
 
 @pytest.mark.parametrize("status", [500, 502, 504])
-def test_a_failure_that_is_no_refusal_promises_nothing_whatever_else_it_says(status):
+def test_not_executed_is_ignored_with_other_failure_statuses(status):
     async def reaction(came, writer):
         writer.write(whole(came, b"wrong", status, Not_Executed=1))
 
--- a/tests/dataplane/test_watcher.py
+++ b/tests/dataplane/test_watcher.py
@@ -212,7 +212,7 @@
 
 @pytest.mark.parametrize("how", ["silent", "refusing"])
 @pytest.mark.parametrize("seed", range(6))
-def test_a_dead_seed_costs_nothing_at_the_start(how, seed):
+def test_a_dead_seed_does_not_delay_the_start(how, seed):
     world = World(seed)
     getattr(world, how).add(SEEDS[seed % 3])
     world.change(3)
@@ -223,7 +223,7 @@
 
 
 @pytest.mark.parametrize("numbered", [True, False])
-def test_changes_are_received_within_one_way(numbered):
+def test_changes_are_received_within_one_transit_time(numbered):
     world = World(numbered=numbered)
     world.run(5.3)
     world.change(3)
@@ -292,7 +292,7 @@
 
 
 @pytest.mark.parametrize("how", ["silent", "refusing"])
-def test_all_gone_and_back(how):
+def test_all_members_fail_and_return(how):
     world = World()
     world.change(3)
     world.run(5.0)
@@ -325,7 +325,7 @@
     assert Watcher(EDGE, SEEDS, Random(1), 0.0).platform_poll_interval_s(3.5, 4.0) == 3.0
 
 
-def test_an_edge_that_applied_its_own_list_is_told_the_whole_next_and_none_older():
+def test_an_edge_that_applied_its_own_list_gets_a_complete_list_next_and_no_older_one():
     world = World()
     world.run(2.0)
     held = world.watcher.received.endpoint_list
@@ -341,7 +341,7 @@
 
 
 @pytest.mark.parametrize("seed", range(4))
-def test_where_a_member_is_stale_others_are_probed_and_the_fresher_one_preferred(seed):
+def test_if_a_member_is_stale_others_are_probed_and_a_fresher_one_is_preferred(seed):
     world = World(seed)
     world.way = dict(zip(SEEDS, (0.001, 0.035, 0.036), strict=True))
     world.change(3)
@@ -376,7 +376,7 @@
     assert len(world.asked) < 35
 
 
-def test_a_changed_edge_state_is_sent_at_once_and_the_replaced_request_costs_nothing():
+def test_a_changed_edge_status_is_sent_at_once_and_the_replaced_request_is_no_failure():
     for numbered in (True, False):
         world = World(numbered=numbered)
         world.run(5.5)
@@ -412,7 +412,7 @@
     )
 
 
-def test_members_named_by_answers_are_asked_and_dead_seeds_no_more():
+def test_members_listed_in_responses_replace_dead_seeds():
     world = World(seeds=("10.9.0.1:7300", "10.9.0.2:7300", SEEDS[0]))
     world.run(10.0)
     assert {member.address for member in world.watcher.members.values() if member.listed} == set(SEEDS)
@@ -424,7 +424,7 @@
     assert any(address.startswith("10.9") for _, address, _ in world.asked)
 
 
-def test_a_response_that_can_not_be_read_is_the_members_failure():
+def test_a_response_that_cannot_be_decoded_counts_as_a_failure():
     world = World()
     world.run(5.0)
     broken = WatchResponse(ControlChange(9, 9, 9, b"junk", (), True), None, 1, SEEDS, 0.0, 0.0)
@@ -459,7 +459,7 @@
     ]
 
 
-def test_a_fleet_whose_poller_started_again_is_heard_again():
+def test_a_list_of_a_restarted_poller_is_accepted():
     world = World()
     world.polls.begin_term(7)
     world.run(3.0)
@@ -474,7 +474,7 @@
     assert set(world.known["list"]) == {"z"} and world.watcher.received.list_age_s(world.now) < 1.5
 
 
-def test_a_response_that_was_long_under_way_is_as_old_as_its_request():
+def test_a_delayed_response_is_as_old_as_its_request():
     world = World()
     world.run(5.0)
     watcher, main = world.watcher, world.watcher.preferred_member
@@ -490,7 +490,7 @@
     assert [one.request.wait_s for one in sent if one.address != main.address] == [0.0]
 
 
-def test_no_members_at_all_and_one_only():
+def test_no_members_and_a_single_member():
     assert Watcher(EDGE, (), Random(1), 0.0).wake_at() > 1e9
     world = World(seeds=SEEDS[:1])
     world.change(3)
@@ -500,7 +500,7 @@
 
 
 @pytest.mark.parametrize("seed", range(60))
-def test_any_faults_end_in_the_newest_state_soon_after_them(seed):
+def test_after_random_faults_the_edge_has_the_newest_state_soon(seed):
     world = World(seed, way=0.02, numbered=seed % 2 == 0)
     chance, version = Random(seed), 0
     for _ in range(60):
@@ -531,7 +531,7 @@
     assert len(world.asked) / (world.now - 100.0) < 8
 
 
-def test_members_that_others_speak_of_are_remembered_and_asked_only_when_all_listed_fail():
+def test_discovered_members_are_kept_and_asked_only_when_all_listed_ones_fail():
     world = World()
     world.run(1.0)
     found = "10.9.0.7:7300"
@@ -556,7 +556,7 @@
     ],
     ids=["failed", "unknown", "pending unreported", "withheld", "list over its floor", "number"],
 )
-def test_the_check_of_invariants_finds_what_is_broken(broken):
+def test_check_invariants_finds_violations(broken):
     world = World()
     world.change(3)
     world.run(5.0)
--- a/tests/dataplane/test_weighted_split.py
+++ b/tests/dataplane/test_weighted_split.py
@@ -27,7 +27,7 @@
 
 
 @given(st.lists(st.integers(0, 100), min_size=2, max_size=5).filter(any), st.integers(0, 1000))
-def test_no_weights_are_off_and_none_of_weight_0_is_chosen(weights, seed):
+def test_shares_match_the_weights_and_weight_0_gets_no_requests(weights, seed):
     named = {f"s{number}": weight for number, weight in enumerate(weights)}
     got = shares(named, 500, 1, seed)
     for name, weight in named.items():
@@ -35,5 +35,5 @@
         assert weight or not got[name]
 
 
-def test_a_route_with_one_service_draws_nothing():
+def test_a_route_with_one_service_uses_no_random_number():
     assert ServedRoute(route(), {}).choose_service(None) == "lm"
