--- a/tests/dataplane/random_steps.py
+++ b/tests/dataplane/random_steps.py
@@ -14,13 +14,13 @@
 
 from shedgrade.dataplane.attribution import Attribution
 
-DRAWN_ANEW = "ANSWER_EXAMPLES" in os.environ
+DRAW_ANEW = "ANSWER_EXAMPLES" in os.environ
 EXAMPLES = int(os.environ.get("ANSWER_EXAMPLES", 600))  # the default is small, and the same in each run
 PLANTED_EXAMPLES = 2000  # limit within which each planted fault is found; most are found within 500
 COUNT = st.integers(0, 5)
 ALL_OR_PART = st.one_of(st.none(), st.integers(0, 150))
 STATUSES = st.sampled_from([200, 200, 200, 500, 504, *REFUSALS])
-MOSTLY = st.sampled_from([True, True, False])
+MOSTLY_TRUE = st.sampled_from([True, True, False])
 GARBAGE = st.sampled_from(
     [
         b"\r\n",
@@ -42,16 +42,16 @@
     return step("on_wire", COUNT, st.just(call), *arguments)
 
 
-def often(strategy, times):
+def repeated(strategy, times):
     """The strategy `times` times as copies, since `one_of` draws equal strategies only once."""
     return [strategy.map(tuple) for _ in range(times)]
 
 
 SURPLUS = on_wire("surplus", COUNT, st.booleans(), st.booleans())
 UPSTREAMS_STEPS = (
-    *often(on_wire("answer", STATUSES, MOSTLY, MOSTLY), 4),
-    *often(SURPLUS, 4),
-    *often(on_wire("deliver", st.none()), 2),
+    *repeated(on_wire("answer", STATUSES, MOSTLY_TRUE, MOSTLY_TRUE), 4),
+    *repeated(SURPLUS, 4),
+    *repeated(on_wire("deliver", st.none()), 2),
     on_wire("deliver", ALL_OR_PART),
     on_wire("garbage", GARBAGE),
     on_wire("finish"),
@@ -69,7 +69,7 @@
 
 
 @contextmanager
-def quiet():
+def logging_disabled():
     logger.disable("shedgrade")
     try:
         yield
@@ -77,12 +77,12 @@
         logger.enable("shedgrade")
 
 
-def holds(make_world, steps):
+def check_guarantees(make_world, steps):
     """Plays random steps; AssertionError with the violated guarantee and the shortest steps to it."""
-    run(make_world, steps, settings(max_examples=EXAMPLES, derandomize=not DRAWN_ANEW))
+    run(make_world, steps, settings(max_examples=EXAMPLES, derandomize=not DRAW_ANEW))
 
 
-def finds(make_world, steps):
+def check_fault_is_found(make_world, steps):
     """The same with a planted fault: some example must violate a guarantee."""
     with pytest.raises(AssertionError, match="id-"):
         run(
@@ -92,8 +92,8 @@
         )
 
 
-def run(make_world, steps, extent):
-    @settings(extent, deadline=None, database=None, suppress_health_check=list(HealthCheck))
+def run(make_world, steps, hypothesis_settings):
+    @settings(hypothesis_settings, deadline=None, database=None, suppress_health_check=list(HealthCheck))
     @given(steps)
     def example(drawn):
         world = make_world()
@@ -101,7 +101,7 @@
         wrong = world.verdict()
         assert wrong is None, wrong
 
-    with quiet():
+    with logging_disabled():
         example()
 
 
--- a/tests/dataplane/stepped_clients.py
+++ b/tests/dataplane/stepped_clients.py
@@ -6,7 +6,7 @@
 from types import SimpleNamespace
 
 from ingress_rig import configuration, events, route
-from stepped_rig import REFUSALS, UPSTREAMS, WAIT, World
+from stepped_rig import REFUSALS, UPSTREAMS, WAIT_MS, World
 
 from shedgrade.dataplane.front import IngressFront
 from shedgrade.dataplane.ingress import IngressConnection
@@ -39,13 +39,13 @@
 
 
 @dataclass
-class Seen:
-    """One answer as a client reads it; `whole`: its end was received."""
+class ClientAnswer:
+    """One answer as a client reads it; `complete`: its end was received."""
 
     status: int
     headers: dict[str, str]
     body: bytes
-    whole: bool
+    complete: bool
 
 
 @dataclass
@@ -53,8 +53,8 @@
     """The transport of a client connection, and the client at its other end."""
 
     world: "EdgeWorld"
-    asked: list[str] = field(default_factory=list)  # ids in the order in which they were sent
-    came: bytes = b""
+    sent_ids: list[str] = field(default_factory=list)  # ids in the order in which they were sent
+    received: bytes = b""
     closing: bool = False
 
     def is_closing(self):
@@ -70,7 +70,7 @@
 
     def write(self, data):
         if not self.closing:
-            self.came += bytes(data)
+            self.received += bytes(data)
 
     def abort(self):
         if not self.closing:
@@ -86,19 +86,19 @@
 
     def answers(self):
         """The received answers in order; the last one may be incomplete."""
-        rest, found = self.came, []
+        rest, found = self.received, []
         while rest:
             head, ended, rest = rest.partition(b"\r\n\r\n")
             if not ended:
                 break
             first, *lines = head.decode().split("\r\n")
             headers = {name.lower(): value for name, value in (line.split(": ", 1) for line in lines)}
-            body, whole, rest = (
+            body, complete, rest = (
                 dechunked(rest)
                 if "transfer-encoding" in headers
                 else (sized(rest, int(headers.get("content-length", 0))))
             )
-            found.append(Seen(int(first.split()[1]), headers, body, whole))
+            found.append(ClientAnswer(int(first.split()[1]), headers, body, complete))
         return found
 
 
@@ -124,12 +124,12 @@
 
     def __init__(self):
         super().__init__()
-        self.kinds: dict[str, str] = {}  # path prefix by attempt id
+        self.paths: dict[str, str] = {}  # path prefix by attempt id
         self.connections: list[ClientWire] = []
         routes = configuration(
             *(
-                route(path_prefix=path, timeout_ms=WAIT, max_attempts=2, **told)
-                for path, told in KINDS.items()
+                route(path_prefix=path, timeout_ms=WAIT_MS, max_attempts=2, **options)
+                for path, options in KINDS.items()
             )
         )
         plane = SimpleNamespace(
@@ -147,8 +147,8 @@
         path = "/" + arrival.path.split("/")[1] + "/"
         if status != 200 or path not in ("/stream/", "/resumable/"):
             return super().body_of(arrival, number, status)
-        told = events(*range(arrival.last_event_id + 1, EVENTS + 1))
-        return told.replace(b"piece", b"piece of %s, run %d," % (arrival.attempt_id.encode(), number))
+        body = events(*range(arrival.last_event_id + 1, EVENTS + 1))
+        return body.replace(b"piece", b"piece of %s, run %d," % (arrival.attempt_id.encode(), number))
 
     # --- steps
 
@@ -164,9 +164,9 @@
         open_wires = [wire for wire in self.connections if not wire.closing]
         chosen = number % (len(open_wires) + 1)
         wire = open_wires[chosen] if chosen < len(open_wires) else self.open_client()
-        attempt_id = f"id-{len(self.kinds)}"
-        self.kinds[attempt_id] = path
-        wire.asked.append(attempt_id)
+        attempt_id = f"id-{len(self.paths)}"
+        self.paths[attempt_id] = path
+        wire.sent_ids.append(attempt_id)
         wire.send(
             f"POST {path}x HTTP/1.1\r\nHost: rota.example\r\nAttempt-Id: {attempt_id}\r\n"
             f"Content-Length: 6\r\n\r\nprompt".encode()
@@ -185,7 +185,7 @@
         self.answer_newest(self.newest(), 200, None)
 
     def newest(self):
-        return f"id-{len(self.kinds) - 1}"
+        return f"id-{len(self.paths) - 1}"
 
     def leave(self, number):
         open_wires = [wire for wire in self.connections if not wire.closing]
@@ -196,27 +196,27 @@
 
     def verdict(self):
         for wire in self.connections:
-            seen = wire.answers()
-            if len(seen) > len(wire.asked):
-                return f"id-?: {len(seen)} answers to {len(wire.asked)} requests"
-            if len(seen) < len(wire.asked) and not wire.closing:
-                return f"{wire.asked[len(seen)]}: no answer on an open connection"
-            for attempt_id, answer in zip(wire.asked, seen, strict=False):
-                wrong = self.wrong_with(attempt_id, answer)
-                if wrong:
-                    return f"{attempt_id} of {self.kinds[attempt_id]}: {wrong}, {answer}"
+            answers = wire.answers()
+            if len(answers) > len(wire.sent_ids):
+                return f"id-?: {len(answers)} answers to {len(wire.sent_ids)} requests"
+            if len(answers) < len(wire.sent_ids) and not wire.closing:
+                return f"{wire.sent_ids[len(answers)]}: no answer on an open connection"
+            for attempt_id, answer in zip(wire.sent_ids, answers, strict=False):
+                violation = self.answer_violation(attempt_id, answer)
+                if violation:
+                    return f"{attempt_id} of {self.paths[attempt_id]}: {violation}, {answer}"
         return next(
             (
                 f"{attempt_id}: ran twice"
-                for attempt_id, path in self.kinds.items()
+                for attempt_id, path in self.paths.items()
                 if path in ONCE and self.arrived[attempt_id] - self.refused[attempt_id] > 1
             ),
             None,
         )
 
-    def wrong_with(self, attempt_id, answer):
-        ran = self.arrived[attempt_id] - self.refused[attempt_id]
-        if self.kinds[attempt_id] in ONCE and answer.status in (408, 421, 429, 503) and ran:
+    def answer_violation(self, attempt_id, answer):
+        run_count = self.arrived[attempt_id] - self.refused[attempt_id]
+        if self.paths[attempt_id] in ONCE and answer.status in (408, 421, 429, 503) and run_count:
             return "the answer promises that it was not run, but it was"
         if answer.headers.get("attempt-id", attempt_id) != attempt_id:
             return "the id of another request"
@@ -226,10 +226,10 @@
             return "a success without a seal"
         if "server-seal" not in answer.headers or answer.status in REFUSALS:
             return None if not answer.body else "a body that no upstream sent"
-        if self.kinds[attempt_id] == "/resumable/" and answer.status == 200:
-            return self.wrong_events(attempt_id, answer)
+        if self.paths[attempt_id] == "/resumable/" and answer.status == 200:
+            return self.event_violation(attempt_id, answer)
         bodies = self.bodies.get((attempt_id, answer.status), ())
-        if answer.whole:
+        if answer.complete:
             return None if answer.body in bodies else "a body that no upstream sent for this request"
         return (
             None
@@ -237,15 +237,17 @@
             else "a partial body of no answer to this request"
         )
 
-    def wrong_events(self, attempt_id, answer):
+    def event_violation(self, attempt_id, answer):
         """Checks that complete events arrive in order, none missing or repeated, from one or several runs."""
-        *told, rest = answer.body.split(b"\n\n")
+        *event_texts, rest = answer.body.split(b"\n\n")
         form = rb"id: (\d+)\ndata: piece of %s, run \d+, \1" % attempt_id.encode()
-        found = [re.fullmatch(form, event) for event in told]
+        found = [re.fullmatch(form, event) for event in event_texts]
         if not all(found):
             return "an event that no upstream sent"
-        if [int(event[1]) for event in found] != list(range(1, len(told) + 1)):
+        if [int(event[1]) for event in found] != list(range(1, len(event_texts) + 1)):
             return "events that are not consecutive"
         return (
-            "incomplete, but ended as if complete" if answer.whole and (rest or len(told) != EVENTS) else None
+            "incomplete, but ended as if complete"
+            if answer.complete and (rest or len(event_texts) != EVENTS)
+            else None
         )
--- a/tests/dataplane/stepped_rig.py
+++ b/tests/dataplane/stepped_rig.py
@@ -18,9 +18,9 @@
 from shedgrade.model_routing.request import RoutingConstraints
 from shedgrade.model_routing.retry_budget import RetryBudget
 
-WAIT = 1000  # ms that each client waits
+WAIT_MS = 1000  # ms that each client waits
 UPSTREAMS = 2
-MOST = 3  # maximum number of times that one request may be sent
+MAX_ATTEMPTS = 3  # maximum number of times that one request may be sent
 REFUSALS = {400: b"Bad Request", 421: b"Misdirected Request", 429: b"Too Many", 503: b"Unavailable"}
 
 
@@ -108,12 +108,12 @@
 
     def __init__(self, world, link):
         self.world, self.link = world, link
-        self.closing = self.closed_there = self.taken_slowly = False
-        # `held`: bytes in this side's kernel; `received`: bytes at the upstream of an incomplete request.
-        self.held, self.received = b"", b""
-        self.undecided: list[Arrival] = []  # requests that the upstream has not answered
+        self.closing = self.closed_there = self.kernel_is_full = False
+        # `unsent`: bytes in this side's kernel; `received`: bytes at the upstream of an incomplete request.
+        self.unsent, self.received = b"", b""
+        self.unanswered: list[Arrival] = []  # requests that the upstream has not answered
         self.answered: list[Answered] = []
-        self.outbox = b""  # bytes in transit from the upstream
+        self.in_transit = b""  # bytes in transit from the upstream
         self.unframed = False  # the answer in transit ends only with the connection
 
     # --- the interface of a transport
@@ -135,10 +135,10 @@
     def write(self, data):
         if self.closing:
             return
-        if not self.taken_slowly:
-            self.arrives(bytes(data))
+        if not self.kernel_is_full:
+            self.receive(bytes(data))
             return
-        pauses, self.held = not self.held, self.held + bytes(data)
+        pauses, self.unsent = not self.unsent, self.unsent + bytes(data)
         if pauses:
             self.link.pause_writing()
 
@@ -152,7 +152,7 @@
 
     # --- the upstream
 
-    def arrives(self, data):
+    def receive(self, data):
         self.received += data
         while b"\r\n\r\n" in self.received:
             head, _, rest = self.received.partition(b"\r\n\r\n")
@@ -163,53 +163,53 @@
                 return
             self.received = rest[length:]
             arrival = Arrival(fields["attempt-id"], first.split()[1], int(fields.get("last-event-id", 0)))
-            self.undecided.append(arrival)
+            self.unanswered.append(arrival)
             self.world.arrived[arrival.attempt_id] += 1
 
-    def answer(self, status, bears, framed):
+    def answer(self, status, with_id, with_length):
         """Answers the oldest request: a refusal if `status` is one; otherwise the request has run."""
-        if not self.undecided:
+        if not self.unanswered:
             return
-        arrival = self.undecided.pop(0)
+        arrival = self.unanswered.pop(0)
         if status in REFUSALS:
             self.world.refused[arrival.attempt_id] += 1
             body = b""
         else:
             body = self.world.run(arrival, status)
         self.answered.append(Answered(arrival, status, body))
-        self.send(self.answered[-1], bears, framed)
+        self.send(self.answered[-1], with_id, with_length)
 
-    def send(self, answered, bears, framed):
+    def send(self, answered, with_id, with_length):
         if self.unframed:
             return  # bytes after an answer without a length belong to its body, whatever they are
         attempt_id, status, body = answered.arrival.attempt_id, answered.status, answered.body
         lines = [b"HTTP/1.1 %d Whatever" % status]
-        if bears:
+        if with_id:
             lines.append(b"Attempt-Id: " + attempt_id.encode())
         if status in REFUSALS:
             lines.append(b"Not-Executed: 1")
         else:
             lines.append(b"Server-Seal: seal of " + attempt_id.encode())
-        if framed:
+        if with_length:
             lines.append(b"Content-Length: %d" % len(body))
         else:
             lines.append(b"Connection: close")
             self.unframed = True
-        self.outbox += b"\r\n".join(lines) + b"\r\n\r\n" + body
+        self.in_transit += b"\r\n".join(lines) + b"\r\n\r\n" + body
 
-    def surplus(self, which, bears, framed):
+    def surplus(self, which, with_id, with_length):
         """Sends an earlier answer once more."""
         if self.answered:
-            self.send(self.answered[which % len(self.answered)], bears, framed)
+            self.send(self.answered[which % len(self.answered)], with_id, with_length)
             self.deliver()
 
     def garbage(self, data):
         if not self.unframed:
-            self.outbox += data
+            self.in_transit += data
 
     def deliver(self, count=None):
         """Delivers `count` bytes in transit, or all of them."""
-        part, self.outbox = self.outbox[:count], self.outbox[len(self.outbox[:count]) :]
+        part, self.in_transit = self.in_transit[:count], self.in_transit[len(self.in_transit[:count]) :]
         while part and not self.closing:
             room = self.link.get_buffer(len(part))
             piece, part = part[: len(room)], part[len(room) :]
@@ -218,9 +218,9 @@
 
     def drain(self):
         """Sends the bytes that this side's kernel held back."""
-        self.taken_slowly, held, self.held = False, self.held, b""
-        if held and not self.closing:
-            self.arrives(held)
+        self.kernel_is_full, unsent, self.unsent = False, self.unsent, b""
+        if unsent and not self.closing:
+            self.receive(unsent)
             self.link.resume_writing()
 
     def finish(self):
@@ -228,7 +228,7 @@
         would seem complete."""
         if self.closing:
             return
-        if self.unframed and self.outbox:
+        if self.unframed and self.in_transit:
             self.reset()
         elif not self.link.eof_received():
             self.close(None)
@@ -241,20 +241,20 @@
     """One client, which records the answers that it is given."""
 
     def __init__(self, attempt_id):
-        self.attempt_id, self.finals, self.flow, self.gone = attempt_id, [], None, False
+        self.attempt_id, self.final_answers, self.flow, self.disconnected = attempt_id, [], None, False
         self.failed_exchange = None  # as in `IngressConnection`
-        self.got, self.head = b"", None
+        self.received_body, self.head = b"", None
 
     errored = IngressConnection.errored
 
     def has_left(self):
-        return self.gone
+        return self.disconnected
 
     def close(self):
         """Does nothing: its connection is closed."""
 
     def answer(self, status, headers=(), body=b""):
-        self.finals.append((status, dict(headers), body))
+        self.final_answers.append((status, dict(headers), body))
 
     def completed(self, answer):
         if self.flow is None:
@@ -262,7 +262,7 @@
             return
         self.take()
         status = None if answer is None else self.head.status
-        self.finals.append((status, dict(self.head.headers), self.got))
+        self.final_answers.append((status, dict(self.head.headers), self.received_body))
 
     def flowing(self, answer):
         self.head, self.flow = answer, answer.flow
@@ -270,7 +270,7 @@
 
     def take(self):
         while piece := self.flow.take():
-            self.got += piece
+            self.received_body += piece
 
     def exhausted(self, wait):
         self.answer(503)
@@ -286,7 +286,7 @@
         self.bodies: dict[
             tuple[str, int], set[bytes]
         ] = {}  # bodies sent by upstreams, by attempt id and status
-        self.clients, self.wires, self.runs, self.asked = [], [], 0, []
+        self.clients, self.wires, self.runs, self.exchanges = [], [], 0, []
         self.next_dial = None
         self.kernels_are_full = False  # new connections don't accept bytes at once
         budget = Budget(4000, 300)
@@ -321,7 +321,7 @@
             raise refusal
         link = factory()
         wire = Wire(self, link)
-        wire.taken_slowly = self.kernels_are_full
+        wire.kernel_is_full = self.kernels_are_full
         self.wires.append(wire)
         link.connection_made(wire)
         return wire, link
@@ -352,15 +352,15 @@
             client,
             request,
             self.pool,
-            RoutingConstraints(most=MOST),
+            RoutingConstraints(most=MAX_ATTEMPTS),
             streams,
             None,
-            self.loop.now() + WAIT * 10,
+            self.loop.now() + WAIT_MS * 10,
         )
         client.failed_exchange = exchange
         self.clients.append(client)
-        self.asked.append((exchange, method))
-        self.pool.dispatcher.submit(exchange, method, WAIT, False)
+        self.exchanges.append((exchange, method))
+        self.pool.dispatcher.submit(exchange, method, WAIT_MS, False)
 
     def serve(self, method, status):
         """Sends one more request, answered completely and with its id, so that its connection is kept."""
@@ -372,8 +372,8 @@
         """Delivers the answer to this request where only it is waiting: `count` bytes and a reset, or all."""
         self.loop.run()
         for wire in self.wires:
-            waiting = [arrival.attempt_id for arrival in wire.undecided]
-            if not wire.closing and waiting == [attempt_id] and not wire.outbox:
+            waiting = [arrival.attempt_id for arrival in wire.unanswered]
+            if not wire.closing and waiting == [attempt_id] and not wire.in_transit:
                 wire.answer(status, True, True)
                 wire.deliver(count)
                 self.loop.run()
@@ -382,9 +382,9 @@
                 return
 
     def leave(self, number):
-        if self.asked:
-            exchange, _ = self.asked[number % len(self.asked)]
-            exchange.client.gone = True
+        if self.exchanges:
+            exchange, _ = self.exchanges[number % len(self.exchanges)]
+            exchange.client.disconnected = True
             self.pool.dispatcher.client_disconnected(exchange)
 
     def pass_time(self, milliseconds):
@@ -399,7 +399,7 @@
     def slow_writes(self, number):
         open_wires = [wire for wire in self.wires if not wire.closing]
         if open_wires:
-            open_wires[number % len(open_wires)].taken_slowly = True
+            open_wires[number % len(open_wires)].kernel_is_full = True
 
     def fail_next_dial(self, failure):
         self.next_dial = failure
@@ -409,7 +409,7 @@
             getattr(self, name)(*arguments)
             self.loop.run()
         for _ in range(1 + len(steps)):  # one request may wait for the end of another
-            self.pass_time(2 * WAIT)
+            self.pass_time(2 * WAIT_MS)
             self.loop.run()
             if not self.pool.dispatcher.active_requests:
                 break
@@ -419,33 +419,33 @@
     def verdict(self):
         """The first violated guarantee, or None."""
         self.pool.connections.idle.check_invariants()
-        for client, (_, method) in zip(self.clients, self.asked, strict=True):
-            wrong = self.twice(client, method) or self.misplaced(client)
-            if wrong:
-                return f"{client.attempt_id}: {wrong}"
+        for client, (_, method) in zip(self.clients, self.exchanges, strict=True):
+            violation = self.run_violation(client, method) or self.client_violation(client)
+            if violation:
+                return f"{client.attempt_id}: {violation}"
         return None
 
-    def twice(self, client, method):
+    def run_violation(self, client, method):
         """Checks that no request runs twice. A request runs if it arrives complete and is not refused."""
-        ran = self.arrived[client.attempt_id] - self.refused[client.attempt_id]
+        run_count = self.arrived[client.attempt_id] - self.refused[client.attempt_id]
         if method == 0:
             return None
-        if ran > 1:
+        if run_count > 1:
             return "must not be repeated, but ran twice"
-        promised = any(status in (408, 421, 429, 503) for status, _, _ in client.finals)
-        return "the answer promises that it was not run, but it was" if ran and promised else None
+        promised = any(status in (408, 421, 429, 503) for status, _, _ in client.final_answers)
+        return "the answer promises that it was not run, but it was" if run_count and promised else None
 
-    def misplaced(self, client):
-        if len(client.finals) > 1 or not (client.finals or client.gone):
-            return f"got {len(client.finals)} final answers"
-        for status, headers, body in client.finals:
+    def client_violation(self, client):
+        if len(client.final_answers) > 1 or not (client.final_answers or client.disconnected):
+            return f"got {len(client.final_answers)} final answers"
+        for status, headers, body in client.final_answers:
             if self.foreign_seal(client, headers):
                 return "the seal of another request"
             if b"Server-Seal" in headers and status is not None and not self.known_body(client, status, body):
                 return f"a body that no upstream sent for this request: {status} {body!r}"
         if client.flow is not None:
             begun = any(
-                body.startswith(client.got)
+                body.startswith(client.received_body)
                 for key, bodies in self.bodies.items()
                 if key[0] == client.attempt_id
                 for body in bodies
--- a/tests/dataplane/test_answers_in_any_order.py
+++ b/tests/dataplane/test_answers_in_any_order.py
@@ -9,7 +9,15 @@
 
 import pytest
 from hypothesis import strategies as st
-from random_steps import STATUSES, believe_any_id, finds, holds, often, step, steps_of
+from random_steps import (
+    STATUSES,
+    believe_any_id,
+    check_fault_is_found,
+    check_guarantees,
+    repeated,
+    step,
+    steps_of,
+)
 from stepped_rig import World
 
 from shedgrade.dataplane import engine_connection
@@ -20,11 +28,11 @@
 ASK = step("ask", st.sampled_from([IDEMPOTENT, ONCE, ONCE]), st.booleans(), st.booleans())
 SERVE = step("serve", st.sampled_from([IDEMPOTENT, ONCE]), STATUSES)
 FAIL_NEXT_DIAL = step("fail_next_dial", st.sampled_from([ConnectionRefusedError(), ConnectionResetError()]))
-STEPS = steps_of(*often(SERVE, 5), *often(ASK, 5), FAIL_NEXT_DIAL)
+STEPS = steps_of(*repeated(SERVE, 5), *repeated(ASK, 5), FAIL_NEXT_DIAL)
 
 
 def test_no_answer_reaches_another_caller_and_no_request_runs_twice():
-    holds(World, STEPS)
+    check_guarantees(World, STEPS)
 
 
 @pytest.mark.parametrize("method", [IDEMPOTENT, ONCE])
@@ -38,7 +46,7 @@
     getattr(world.wires[0], end)()
     world.loop.run()
     world.answer_newest("id-0", 200, None)
-    assert world.arrived["id-0"] == 1 and [status for status, _, _ in world.clients[0].finals] == [200]
+    assert world.arrived["id-0"] == 1 and [status for status, _, _ in world.clients[0].final_answers] == [200]
     assert world.verdict() is None
 
 
@@ -72,6 +80,6 @@
 
 @pytest.mark.parametrize("fault", PLANTED)
 def test_a_planted_fault_is_found(fault, monkeypatch):
-    where, name, planted = PLANTED[fault]
-    monkeypatch.setattr(where, name, planted, raising=False)  # the method may be inherited
-    finds(World, STEPS)
+    owner, name, planted = PLANTED[fault]
+    monkeypatch.setattr(owner, name, planted, raising=False)  # the method may be inherited
+    check_fault_is_found(World, STEPS)
--- a/tests/dataplane/test_clients_in_any_order.py
+++ b/tests/dataplane/test_clients_in_any_order.py
@@ -7,7 +7,16 @@
 
 import pytest
 from hypothesis import strategies as st
-from random_steps import COUNT, STATUSES, believe_any_id, finds, holds, often, step, steps_of
+from random_steps import (
+    COUNT,
+    STATUSES,
+    believe_any_id,
+    check_fault_is_found,
+    check_guarantees,
+    repeated,
+    step,
+    steps_of,
+)
 from stepped_clients import KINDS, EdgeWorld
 
 from shedgrade.dataplane import engine_connection
@@ -17,31 +26,31 @@
 SEND = step("send", COUNT, PATHS)
 SERVE = step("serve", PATHS, STATUSES)
 BREAK_OFF = step("break_off", PATHS, st.integers(0, 300))
-STEPS = steps_of(*often(SERVE, 4), *often(SEND, 5), *often(BREAK_OFF, 2))
+STEPS = steps_of(*repeated(SERVE, 4), *repeated(SEND, 5), *repeated(BREAK_OFF, 2))
 
 
 def test_each_client_reads_its_own_answers():
-    holds(EdgeWorld, STEPS)
+    check_guarantees(EdgeWorld, STEPS)
 
 
-whole_events = ResumableStream.forward_events
+forward_complete_events = ResumableStream.forward_events
 
 
-def pass_on_parts(self, piece):
+def forward_parts(self, piece):
     """A planted fault: part of an event is forwarded, and the whole event is requested again elsewhere."""
-    whole_events(self, piece)
+    forward_complete_events(self, piece)
     self.output.put(self.partial_event)
     self.partial_event = b""
 
 
 PLANTED = {
     "the id is not compared": (engine_connection, "attribute", believe_any_id),
-    "parts of events are passed on": (ResumableStream, "forward_events", pass_on_parts),
+    "parts of events are passed on": (ResumableStream, "forward_events", forward_parts),
 }
 
 
 @pytest.mark.parametrize("fault", PLANTED)
 def test_a_planted_fault_is_found(fault, monkeypatch):
-    where, name, planted = PLANTED[fault]
-    monkeypatch.setattr(where, name, planted)
-    finds(EdgeWorld, STEPS)
+    owner, name, planted = PLANTED[fault]
+    monkeypatch.setattr(owner, name, planted)
+    check_fault_is_found(EdgeWorld, STEPS)
