--- a/tests/dataplane/ingress_rig.py
+++ b/tests/dataplane/ingress_rig.py
@@ -125,7 +125,7 @@
             ),
         )
         self.front = IngressFront(loop, self, self.budget, Random(7))
-        self.left = self.refuses = False
+        self.is_draining = self.rejects_requests = False
 
     routes = property(lambda self: self.state.routes)
     services = property(lambda self: self.state.services)
@@ -134,17 +134,17 @@
         return self.state.ready()
 
     def draining(self):
-        return self.left
+        return self.is_draining
 
     def accepts(self, longest_s):
-        return not self.refuses
+        return not self.rejects_requests
 
     def retry_after_s(self):
         return 0.0
 
 
 def route(**more):
-    told = {
+    defaults = {
         "host": "rota.example",
         "path_prefix": "/a/",
         "name": "r",
@@ -156,7 +156,7 @@
         "max_attempts": 2,
         "session_affinity": True,
     }
-    return Route(**{**told, **more})
+    return Route(**{**defaults, **more})
 
 
 def configuration(*routes, services=("lm",), limits=None):
@@ -168,16 +168,16 @@
 
 
 @asynccontextmanager
-async def sidecar(configured, *upstreams, zones=None, manual=False):
+async def sidecar(configured_routes, *upstreams, zones=None, manual_clock=False):
     """Runs a sidecar with `upstreams` of service `lm`, in zone z1 unless `zones` names another by upstream.
 
     `manual`: its clock is a `ManualClock`.
     """
     loop = asyncio.get_running_loop()
-    plane = Plane(loop, ManualClock(loop) if manual else None)
+    plane = Plane(loop, ManualClock(loop) if manual_clock else None)
     for upstream in upstreams:
         await upstream.start()
-    plane.state.apply_configuration(Routes(configured, plane.state.regions))
+    plane.state.apply_configuration(Routes(configured_routes, plane.state.regions))
     plane.state.apply_endpoint_list(
         EndpointUpdate(
             1,
--- a/tests/dataplane/test_fleet_size.py
+++ b/tests/dataplane/test_fleet_size.py
@@ -26,9 +26,9 @@
 
 def test_the_count_is_the_maximum_of_the_window():
     for seed in range(20):
-        random, size, told, now = Random(seed), FleetSize(), [], 0.0
+        random, size, counts, now = Random(seed), FleetSize(), [], 0.0
         for _ in range(300):
             now += random.uniform(0, 2)
-            told.append((now, random.randrange(0, 9)))
-            size.record_count(*told[-1])
-            assert size.largest(now) == max(1, *(count for at, count in told if at >= now - COUNT_WINDOW_S))
+            counts.append((now, random.randrange(0, 9)))
+            size.record_count(*counts[-1])
+            assert size.largest(now) == max(1, *(count for at, count in counts if at >= now - COUNT_WINDOW_S))
--- a/tests/dataplane/test_in_hand_meanwhile.py
+++ b/tests/dataplane/test_in_hand_meanwhile.py
@@ -4,64 +4,64 @@
 
 import pytest
 from ingress_rig import Client, Upstream, configuration, request, route, sidecar, whole
-from test_resettled import changed
+from test_resettled import settings_with
 
 from shedgrade.control_messages import ControlChange, EndpointUpdate
 from shedgrade.dataplane.routes import Routes
 
 
-def drop_its_route(plane):
-    elsewhere = configuration(route(path_prefix="/other/"), services=())
-    plane.state.apply_configuration(Routes(elsewhere, plane.state.regions))
+def remove_route(plane):
+    other_route = configuration(route(path_prefix="/other/"), services=())
+    plane.state.apply_configuration(Routes(other_route, plane.state.regions))
 
 
-def shorten_its_route(plane):
+def shorten_route_timeout(plane):
     plane.state.apply_configuration(Routes(configuration(route(timeout_ms=1)), plane.state.regions))
 
 
-def read_settings_anew(plane):
-    plane.state.settings_changed(changed({"retryBudgetRatio": 0.0, "retrySlack": 0}))
+def reload_settings(plane):
+    plane.state.settings_changed(settings_with({"retryBudgetRatio": 0.0, "retrySlack": 0}))
 
 
-def lose_its_zone(plane):
-    plane.state.settings_changed(changed(zones={"z2": "west"}))
+def remove_zone(plane):
+    plane.state.settings_changed(settings_with(zones={"z2": "west"}))
 
 
-def evacuate_its_zone(plane):
+def evacuate_zone(plane):
     plane.state.apply_control(ControlChange(1, 1, 7, None, ("z1",)))
 
 
-def list_it_no_more(plane):
+def remove_upstream(plane):
     plane.state.apply_endpoint_list(EndpointUpdate(2, 1, 0.0))
 
 
 @pytest.mark.parametrize(
-    "meanwhile",
+    "change",
     [
-        drop_its_route,
-        shorten_its_route,
-        read_settings_anew,
-        lose_its_zone,
-        evacuate_its_zone,
-        list_it_no_more,
+        remove_route,
+        shorten_route_timeout,
+        reload_settings,
+        remove_zone,
+        evacuate_zone,
+        remove_upstream,
     ],
 )
-def test_a_request_in_flight_gets_its_complete_answer(meanwhile):
-    async def story():
-        taken, go_on = asyncio.Event(), asyncio.Event()
+def test_a_request_in_flight_gets_its_complete_answer(change):
+    async def scenario():
+        was_reached, may_continue = asyncio.Event(), asyncio.Event()
 
         async def answer(request, writer):
-            taken.set()
-            await go_on.wait()
+            was_reached.set()
+            await may_continue.wait()
             writer.write(whole(request, b"whole"))
 
         async with sidecar(configuration(route(route_class="unsafe")), Upstream("i-1", answer)) as plane:
             client = await Client().open(plane)
             client.send(request())
             async with asyncio.timeout(5):
-                await taken.wait()
-            meanwhile(plane)
-            go_on.set()
+                await was_reached.wait()
+            change(plane)
+            may_continue.set()
             assert await client.head() == 200 and await client.body() == b"whole"
 
-    asyncio.run(story())
+    asyncio.run(scenario())
--- a/tests/dataplane/test_limits_in_force.py
+++ b/tests/dataplane/test_limits_in_force.py
@@ -15,7 +15,7 @@
 
 @pytest.mark.parametrize(("before", "after", "status"), [(10, 100, 200), (100, 10, 413)])
 def test_the_newest_limits_apply_to_a_kept_connection(before, after, status):
-    async def play():
+    async def scenario():
         one = route(route_class="safe")
         first = configuration(one, limits=Limits(body_bytes=before))
         second = configuration(one, limits=Limits(body_bytes=after))
@@ -28,4 +28,4 @@
             client.send(request(body=b"x" * 100, name="id-2"))
             assert await client.head() == status
 
-    asyncio.run(play())
+    asyncio.run(scenario())
--- a/tests/dataplane/test_plane_gossip.py
+++ b/tests/dataplane/test_plane_gossip.py
@@ -25,14 +25,16 @@
 FOUND = "10.2.0.77:7300"
 
 
-def told(edges):
+def response_with_edges(edges):
     return WatchResponse(None, None, edges, SEEDS, 0.0, 0.0)
 
 
 def gossip(*nodes):
-    held = (Node("edge-1", "10.1.0.12:7301", "edge"), *nodes)
+    all_nodes = (Node("edge-1", "10.1.0.12:7301", "edge"), *nodes)
     return SimpleNamespace(
-        view=SimpleNamespace(nodes=lambda: held, count=lambda kind: sum(node.kind == kind for node in held))
+        view=SimpleNamespace(
+            nodes=lambda: all_nodes, count=lambda kind: sum(node.kind == kind for node in all_nodes)
+        )
     )
 
 
@@ -81,7 +83,7 @@
     assert FOUND in plane.watcher.members
 
 
-def asked(watcher):
+def requested_addresses(watcher):
     watcher.check_invariants()
     return [one.address for one in watcher.take_instructions() if isinstance(one, SendWatchRequest)]
 
@@ -89,17 +91,17 @@
 def test_while_a_listed_member_answers_no_discovered_one_is_asked():
     watcher, now = Watcher(EDGE, SEEDS, Random(3), 0.0, max_wait_s=0.5), 0.0
     watcher.handle_event(MembersDiscoveredEvent((FOUND,)))
-    seen = []
+    asked = []
     while now < 120.0:
         now += 0.25
         watcher.handle_event(TickEvent(now))
-        for address in asked(watcher):
-            seen.append(address)
+        for address in requested_addresses(watcher):
+            asked.append(address)
             if address == SEEDS[1]:
-                watcher.handle_event(ResponseEvent(now, address, told(1)))
+                watcher.handle_event(ResponseEvent(now, address, response_with_edges(1)))
             else:
                 watcher.handle_event(RequestFailedEvent(now, address))
-    assert FOUND not in seen[3:] and SEEDS[1] in seen
+    assert FOUND not in asked[3:] and SEEDS[1] in asked
 
 
 def test_when_all_listed_members_fail_a_discovered_one_serves_and_lists_the_next():
@@ -109,7 +111,7 @@
         now += 0.1
         assert now < 5.0
         watcher.handle_event(TickEvent(now))
-        for address in asked(watcher):
+        for address in requested_addresses(watcher):
             if address == FOUND:
                 response = WatchResponse(None, None, 3, (FOUND,), 0.0, 0.0)
                 watcher.handle_event(ResponseEvent(now, address, response))
--- a/tests/dataplane/test_program_start.py
+++ b/tests/dataplane/test_program_start.py
@@ -7,12 +7,12 @@
 import programs
 
 
-def run(story):
-    asyncio.run(story)
+def run(scenario):
+    asyncio.run(scenario)
 
 
 def test_invalid_settings_exit_with_2_and_one_line_per_finding(tmp_path):
-    async def story():
+    async def scenario():
         path = tmp_path / "local.yaml"
         programs.write(path, programs.edge(zone="hall-9", seedNodes="one", limits={"memoryMb": 300}))
         status, out, lines = await programs.ended("dataplane", boot=path)
@@ -21,11 +21,11 @@
         assert lines[0].startswith("settings: zone: ")
         assert {line.split(": ")[1] for line in lines} == {"zone", "seedNodes", "limits.fileDescriptors"}
 
-    run(story())
+    run(scenario())
 
 
 def test_missing_listen_addresses_are_reported(tmp_path):
-    async def story():
+    async def scenario():
         path = tmp_path / "local.yaml"
         programs.write(path, programs.edge(listenAddresses={}))
         assert await programs.ended("dataplane", "--settings", str(path)) == (
@@ -37,11 +37,11 @@
             ],
         )
 
-    run(story())
+    run(scenario())
 
 
 def test_a_missing_or_incomplete_settings_file_is_reported(tmp_path):
-    async def story():
+    async def scenario():
         assert await programs.ended("dataplane") == (
             2,
             "",
@@ -54,11 +54,11 @@
         status, _, [line] = await programs.ended("dataplane", boot=path)
         assert status == 2 and f"{path}, line " in line
 
-    run(story())
+    run(scenario())
 
 
 def test_an_invalid_file_at_run_time_is_reported_and_the_exit_flushes_the_log(tmp_path):
-    async def story():
+    async def scenario():
         path, host = tmp_path / "local.yaml", f"{programs.NET}.9"
         programs.write(path, programs.edge())
         async with programs.running("dataplane", path, 1, 2, 3) as process:
@@ -74,4 +74,4 @@
             left, status = await programs.rest(process)
             assert status == 0 and '"needs_restart":"seedNodes"' in left
 
-    run(story())
+    run(scenario())
--- a/tests/dataplane/test_return_tried_first.py
+++ b/tests/dataplane/test_return_tried_first.py
@@ -13,7 +13,7 @@
 SECOND = 10_000
 
 
-class Held:
+class ManualClock:
     """A clock that moves only when it is set; its timers never fire."""
 
     def __init__(self, loop):
@@ -26,8 +26,8 @@
         return self.loop.time() + 3600
 
 
-def pool_of(loop, address):
-    clock = Held(loop)
+def rig_for(loop, address):
+    clock = ManualClock(loop)
     pool = ServicePool(
         "lm",
         {"east": 0},
@@ -44,59 +44,59 @@
     )
     pool.dispatcher.run()
     return SimpleNamespace(
-        pool=pool, clock=clock, up=pool.balancer.upstreams[0], ring=pool.balancer.zones[0].rotation
+        pool=pool, clock=clock, up=pool.balancer.upstreams[0], rotation=pool.balancer.zones[0].rotation
     )
 
 
-async def looked(one, at):
+async def probes_started_at(rig, at):
     """Runs the check for silent upstreams at this time, and its probes. Returns the number of probes."""
-    one.clock.at = at
-    one.pool.probe_silent()
-    begun = list(one.pool.tasks)
-    await asyncio.gather(*begun)
-    one.pool.dispatcher.gather(lambda now: None)  # as a timer does
-    one.pool.dispatcher.run()
-    return len(begun)
+    rig.clock.at = at
+    rig.pool.probe_silent()
+    probes = list(rig.pool.tasks)
+    await asyncio.gather(*probes)
+    rig.pool.dispatcher.gather(lambda now: None)  # as a timer does
+    rig.pool.dispatcher.run()
+    return len(probes)
 
 
 def test_an_unreachable_upstream_stays_ejected():
-    async def story():
-        one = pool_of(asyncio.get_running_loop(), free_address())
-        one.pool.balancer.eject(one.clock.at, one.up, True)
-        until = one.up.ejected_until
-        assert await looked(one, until - PROBE_AHEAD - 1) == 0
-        assert await looked(one, until - PROBE_AHEAD) == 1
-        assert one.up.ejected_until >= one.clock.at + 2 * SECOND and one.ring == []
-        assert await looked(one, until) == 0 and one.ring == []
+    async def scenario():
+        rig = rig_for(asyncio.get_running_loop(), free_address())
+        rig.pool.balancer.eject(rig.clock.at, rig.up, True)
+        until = rig.up.ejected_until
+        assert await probes_started_at(rig, until - PROBE_AHEAD - 1) == 0
+        assert await probes_started_at(rig, until - PROBE_AHEAD) == 1
+        assert rig.up.ejected_until >= rig.clock.at + 2 * SECOND and rig.rotation == []
+        assert await probes_started_at(rig, until) == 0 and rig.rotation == []
 
-    asyncio.run(story())
+    asyncio.run(scenario())
 
 
 def test_a_reachable_upstream_returns_when_its_ejection_ends():
-    async def story():
-        met = asyncio.Event()
-        server = await asyncio.start_server(lambda reader, writer: met.set(), "127.0.0.1", 0)
-        one = pool_of(asyncio.get_running_loop(), server.sockets[0].getsockname())
-        one.pool.balancer.eject(one.clock.at, one.up, True)
-        until = one.up.ejected_until
-        assert await looked(one, until - PROBE_AHEAD) == 1
-        await asyncio.wait_for(met.wait(), 5)
-        assert one.up.ejected_until == until and one.ring == []
-        assert await looked(one, until) == 0 and one.ring == [one.up]
-        for link in list(one.pool.connections.open):
+    async def scenario():
+        connected = asyncio.Event()
+        server = await asyncio.start_server(lambda reader, writer: connected.set(), "127.0.0.1", 0)
+        rig = rig_for(asyncio.get_running_loop(), server.sockets[0].getsockname())
+        rig.pool.balancer.eject(rig.clock.at, rig.up, True)
+        until = rig.up.ejected_until
+        assert await probes_started_at(rig, until - PROBE_AHEAD) == 1
+        await asyncio.wait_for(connected.wait(), 5)
+        assert rig.up.ejected_until == until and rig.rotation == []
+        assert await probes_started_at(rig, until) == 0 and rig.rotation == [rig.up]
+        for link in list(rig.pool.connections.open):
             link.cut()
         server.close()
 
-    asyncio.run(story())
+    asyncio.run(scenario())
 
 
 def test_an_upstream_that_left_the_list_is_not_probed():
-    async def story():
-        one = pool_of(asyncio.get_running_loop(), free_address())
-        one.pool.balancer.eject(one.clock.at, one.up, True)
-        until = one.up.ejected_until
-        one.pool.apply_endpoint_list([], {"z1": "east"}, frozenset(), {})
-        one.pool.dispatcher.run()
-        assert await looked(one, until - PROBE_AHEAD) == 0
-
-    asyncio.run(story())
+    async def scenario():
+        rig = rig_for(asyncio.get_running_loop(), free_address())
+        rig.pool.balancer.eject(rig.clock.at, rig.up, True)
+        until = rig.up.ejected_until
+        rig.pool.apply_endpoint_list([], {"z1": "east"}, frozenset(), {})
+        rig.pool.dispatcher.run()
+        assert await probes_started_at(rig, until - PROBE_AHEAD) == 0
+
+    asyncio.run(scenario())
--- a/tests/dataplane/test_routes_added_later.py
+++ b/tests/dataplane/test_routes_added_later.py
@@ -15,7 +15,7 @@
     async def answer(request, writer):
         writer.write(whole(request, b"whole"))
 
-    async def story():
+    async def scenario():
         first, later = Upstream("i-1", answer), Upstream("i-2", answer)
         later.service = "later"
         old, new = route(), route(path_prefix="/b/", name="new", service="later")
@@ -29,4 +29,4 @@
                     assert await client.head() == 200 and await client.body() == b"whole"
         assert len(first.requests) == len(later.requests) == REQUESTS
 
-    asyncio.run(story())
+    asyncio.run(scenario())
--- a/tests/dataplane/test_weighted_split.py
+++ b/tests/dataplane/test_weighted_split.py
@@ -22,17 +22,17 @@
 @pytest.mark.parametrize("edges", [1, 6, 67])
 def test_the_shares_of_three_hundred_requests_are_the_weights(edges):
     for seed in range(20):
-        got = shares({"new": 10, "old": 90}, 300, edges, seed)
-        assert got["new"] == pytest.approx(0.1, abs=0.02 if edges < 60 else 0.04)
+        actual_shares = shares({"new": 10, "old": 90}, 300, edges, seed)
+        assert actual_shares["new"] == pytest.approx(0.1, abs=0.02 if edges < 60 else 0.04)
 
 
 @given(st.lists(st.integers(0, 100), min_size=2, max_size=5).filter(any), st.integers(0, 1000))
 def test_shares_match_the_weights_and_weight_0_gets_no_requests(weights, seed):
     named = {f"s{number}": weight for number, weight in enumerate(weights)}
-    got = shares(named, 500, 1, seed)
+    actual_shares = shares(named, 500, 1, seed)
     for name, weight in named.items():
-        assert got[name] == pytest.approx(weight / sum(weights), abs=0.02)
-        assert weight or not got[name]
+        assert actual_shares[name] == pytest.approx(weight / sum(weights), abs=0.02)
+        assert weight or not actual_shares[name]
 
 
 def test_a_route_with_one_service_uses_no_random_number():
