--- a/shedgrade/dataplane/control_client.py
+++ b/shedgrade/dataplane/control_client.py
@@ -26,10 +26,10 @@
 from shedgrade.dataplane.received_state import ReceivedState, Update
 from shedgrade.runtime.log import logger
 
-FRESHER_BY_S = 0.2  # another member is preferred as fresher if its state is less stale by more than this
-EARLY_RESPONSE = 0.9  # a response is early if the request waited for less than this part of its maximum
+FRESHER_MARGIN_S = 0.2  # another member is preferred as fresher if its state is less stale by more than this
+EARLY_RESPONSE_RATIO = 0.9  # a response is early if the request waited for less than this part of its maximum
 EARLY_PAUSE_S = 0.25  # delay of the next request after an early response without news
-RETRY_ALL_S = 1.0  # maximum delay before a failed member is retried while no member is preferred
+MAX_RETRY_DELAY_S = 1.0  # maximum delay before a failed member is retried while no member is preferred
 STARTING_REQUESTS = 2  # concurrent requests, to different members, while no member is preferred
 PROBE_INTERVAL_S = 0.5  # minimum time between two probes, of any members
 CLOSER_PROBE_INTERVAL_S = 2.0  # between two probes of a fresh member that is closer than the preferred one
@@ -226,12 +226,12 @@
         if preferred is not None:
             assert self.members.get(preferred.address) is preferred, preferred.address
             assert preferred.failures == 0, preferred.address
-        spare = [
+        unlisted_members = [
             member
             for member in self.members.values()
             if not (member.listed or member is preferred or member.unreported)
         ]
-        assert len(spare) <= MAX_MEMBERS, len(spare)
+        assert len(unlisted_members) <= MAX_MEMBERS, len(unlisted_members)
         for address, member in self.members.items():
             assert member.address == address
             member.check_invariants()
@@ -301,7 +301,7 @@
         if member is not None:
             request = member.match_response(now, event.number, response.pending_s)
         if request is not None:
-            response = aged(response, max(0.0, now - request.sent_at - response.pending_s))
+            response = with_current_ages(response, max(0.0, now - request.sent_at - response.pending_s))
         try:
             brought_news = self.received.take(now, response)
         except ValueError as error:
@@ -351,7 +351,7 @@
         if preferred is not None:
             if member is preferred:
                 return
-            fresher = preferred.staleness_s - member.staleness_s > FRESHER_BY_S
+            fresher = preferred.staleness_s - member.staleness_s > FRESHER_MARGIN_S
             as_fresh = member.staleness_s <= preferred.staleness_s
             if not (fresher or (as_fresh and member.listed and member.closer_than(preferred))):
                 return
@@ -364,7 +364,9 @@
         """Schedules the next request to the preferred member, which has just answered."""
         sent_at = now if request is None else request.sent_at
         early = (
-            request is not None and not brought_news and response.pending_s < EARLY_RESPONSE * request.wait_s
+            request is not None
+            and not brought_news
+            and response.pending_s < EARLY_RESPONSE_RATIO * request.wait_s
         )
         self.next_request_at = max(sent_at + RESEND_GAP_S, now + EARLY_PAUSE_S if early else now)
 
@@ -389,7 +391,7 @@
         members = self.members.values()
         all_listed_failed = all(member.failures for member in members if member.listed)
         idle = [
-            (member, max(now, min(member.backoff_until, member.failed_at + RETRY_ALL_S)))
+            (member, max(now, min(member.backoff_until, member.failed_at + MAX_RETRY_DELAY_S)))
             for member in members
             if member.pending is None and (member.listed or all_listed_failed)
         ]
@@ -459,7 +461,7 @@
             self.received.release_withheld()
 
 
-def aged(response: WatchResponse, delay_s: float) -> WatchResponse:
+def with_current_ages(response: WatchResponse, delay_s: float) -> WatchResponse:
     """Returns the response with ages as of now; it was in transit or unread for up to `delay_s`."""
     endpoints = response.endpoints
     if endpoints is not None:
--- a/shedgrade/dataplane/engine_connection.py
+++ b/shedgrade/dataplane/engine_connection.py
@@ -72,8 +72,8 @@
         super().on_headers_complete()
         if not self.status:
             return
-        known = {name.lower(): value for name, value in self.headers}
-        self.note_idle_timeout(known.get(b"keep-alive"))
+        named_headers = {name.lower(): value for name, value in self.headers}
+        self.note_idle_timeout(named_headers.get(b"keep-alive"))
         if self.transmission is None:
             return
         match self.attribution():
@@ -82,7 +82,7 @@
             case Attribution.UNKNOWN:
                 raise ResponseError("response can't be attributed to a request")
             case Attribution.OWN if self.status // 100 == 2:
-                self.accept_success(known)
+                self.accept_success(named_headers)
 
     def attribution(self) -> Attribution:
         """Whose response it is whose head was received."""
@@ -98,10 +98,14 @@
         self.reset_response()
         self.surplus = self.surplus_received = True
 
-    def accept_success(self, known: dict[bytes, bytes]) -> None:
-        """Checks the head of a success and starts to forward a stream. `known`: headers by lower-case
+    def accept_success(self, named_headers: dict[bytes, bytes]) -> None:
+        """Checks the head of a success and starts to forward a stream. `named_headers`: headers by lower-case
         name."""
-        if b"attempt-id" not in known or b"server-seal" not in known or b"content-encoding" in known:
+        if (
+            b"attempt-id" not in named_headers
+            or b"server-seal" not in named_headers
+            or b"content-encoding" in named_headers
+        ):
             raise ResponseError("success lacks the attempt id or the upstream's seal, or is encoded")
         if self.transmission.active_request.streams and self.request_flow is None and not self.complete:
             self.forward_as_flow()
@@ -112,9 +116,9 @@
 
     def note_idle_timeout(self, keep_alive: bytes | None) -> None:
         """Takes the idle timeout of the upstream, in seconds, from a `Keep-Alive` header."""
-        found = keep_alive and STATED_TIMEOUT.search(keep_alive)
-        if found:
-            self.connections.idle_timeout_stated(int(found[1]))
+        match = keep_alive and STATED_TIMEOUT.search(keep_alive)
+        if match:
+            self.connections.apply_stated_idle_timeout(int(match[1]))
 
     def on_body(self, body: bytes) -> None:
         """Receives part of a body; that of a surplus response is discarded."""
--- a/shedgrade/dataplane/engine_connection_pool.py
+++ b/shedgrade/dataplane/engine_connection_pool.py
@@ -17,12 +17,12 @@
 CONNECT_TIMEOUT = 3_000  # tenths of a ms: twice a round trip between regions
 
 
-class Reach(Enum):
+class ProbeResult(Enum):
     """The result of trying a connection to an upstream."""
 
     UP = "up"  # connected, or unknown: this side has no free socket or no address
     REFUSED = "refused"  # the machine answered, but it is at its connection limit or its process is gone
-    DARK = "dark"  # no answer
+    UNREACHABLE = "dark"  # no answer
 
 
 class EngineConnectionPool(ConnectionPool):
@@ -53,23 +53,23 @@
         """When the upstream was last heard, or was sent the first request after that."""
         return max(self.waiting_since.get(upstream, 0), self.last_heard_at.get(upstream, 0))
 
-    async def probe(self, upstream: int) -> Reach:
+    async def probe(self, upstream: int) -> ProbeResult:
         """Tries a connection to the upstream; one that opens is kept for the next request."""
         address = self.addresses.get(upstream)
         if address is None or self.budget.full():
-            return Reach.UP
+            return ProbeResult.UP
         try:
             async with asyncio.timeout(CONNECT_TIMEOUT / SECOND):
                 _, link = await self.connect(lambda: self.connection(self, upstream, address), address)
         except ConnectionError:
-            return Reach.REFUSED
+            return ProbeResult.REFUSED
         except OSError as failure:  # includes TimeoutError
-            return Reach.UP if failure.errno in LOCAL_ERRORS else Reach.DARK
+            return ProbeResult.UP if failure.errno in LOCAL_ERRORS else ProbeResult.UNREACHABLE
         if not link.lost:
             self.open.add(link)
             self.count()
             self.keep(link)
-        return Reach.UP
+        return ProbeResult.UP
 
     def fail_connections(self, upstream: int) -> None:
         """Ends all requests to an unreachable upstream at once, instead of when the kernel gives up."""
@@ -78,7 +78,7 @@
             link.finish_transmission(load_balancing.DROPPED if link.may_have_run() else load_balancing.BROKEN)
             link.cut()
 
-    def idle_timeout_stated(self, seconds: int) -> None:
+    def apply_stated_idle_timeout(self, seconds: int) -> None:
         """Applies a stated idle timeout, s. Upstreams of one service have similar timeouts; the shortest one
         that was stated applies to all."""
         limit = max(seconds * SECOND - IDLE_MARGIN, seconds * SECOND // 2, 1)
--- a/shedgrade/dataplane/ingress.py
+++ b/shedgrade/dataplane/ingress.py
@@ -10,11 +10,10 @@
 from shedgrade.in_flight import Answer, Request
 from shedgrade.model_routing.request import IDEMPOTENT, RoutingConstraints
 
-PER_ATTEMPT_HEADERS = frozenset(
-    (b"time-remaining", b"target-instance", b"priority")
-)  # set anew for each upstream
-MIN_RESUME_MS = 50  # ms: with less time left, resuming a stream is not worth the upstream's work
-MAX_WAIT_MS = 86_400_000  # ms
+# Set anew for each upstream.
+PER_ATTEMPT_HEADERS = frozenset((b"time-remaining", b"target-instance", b"priority"))
+MIN_RESUME_MS = 50  # with less time left, resuming a stream is not worth the upstream's work
+MAX_WAIT_MS = 86_400_000
 MIN_HEAD_BYTES = 1024  # bytes of a request head that are accepted whatever limit the configuration sets
 EVENT_END = b"\n\n"
 TIMEOUT_MARGIN_S = 0.5  # s added to a configured timeout, for bytes in transit
@@ -36,7 +35,7 @@
     """One connection of a client.
 
     Attributes:
-        failed_exchange: the current exchange; its upstream's own failure may become the answer.
+        current_exchange: the current exchange; its upstream's own failure may become the answer.
         events_written: events of the current stream that were written to the client.
     """
 
@@ -44,7 +43,7 @@
     unique_headers = (b"attempt-id", b"time-remaining", b"host")
 
     def __init__(self, front) -> None:
-        self.failed_exchange: Exchange | None = None
+        self.current_exchange: Exchange | None = None
         self.events_written = 0
         self.apply_limits(front.limits)
         super().__init__(front)
@@ -132,7 +131,7 @@
             usage,
         )
         self.active_request = active_request
-        self.failed_exchange = active_request
+        self.current_exchange = active_request
         if request.flow is not None:
             request.flow.lost = lambda: service.dispatcher.body_received(
                 active_request, False, not active_request.is_body_incomplete
@@ -148,14 +147,14 @@
         """Continues a stream that an upstream broke off, at another one. Returns False if that is impossible:
         the client left, too little time or no attempt is left, the fleet's retry budget is used up, or the
         request's body is no longer held."""
-        previous = self.failed_exchange
-        left_ms = (previous.deadline - self.front.clock.now()) // 10
+        previous = self.current_exchange
+        remaining_ms = (previous.deadline - self.front.clock.now()) // 10
         attempts = previous.rpc.attempts_arrived if previous.rpc is not None else previous.wants.max_attempts
         retry_budget = previous.service.retry_budget
         if (
             self.transport is None
             or self.transport.is_closing()
-            or left_ms < MIN_RESUME_MS
+            or remaining_ms < MIN_RESUME_MS
             or (
                 attempts >= previous.wants.max_attempts
                 or previous.request.flow is not None
@@ -164,7 +163,7 @@
         ):
             return False
         wants, request = previous.wants, previous.request
-        ran_on = {up.index for up in previous.rpc.attempts}
+        tried_upstreams = {up.index for up in previous.rpc.attempts}
         headers = [pair for pair in request.headers if pair[0].lower() != b"last-event-id"]
         if last_id is None:
             headers = request.headers
@@ -175,7 +174,7 @@
             wants.prefix_key,
             wants.max_attempts,
             wants.latency_target,
-            wants.excluded_upstreams | ran_on,
+            wants.excluded_upstreams | tried_upstreams,
             attempts,
             wants.prompt_tokens,
             wants.prefix_tokens,
@@ -190,13 +189,13 @@
             previous.deadline,
             previous.usage,
         )
-        self.active_request = self.failed_exchange = next_leg
-        previous.service.dispatcher.submit(next_leg, IDEMPOTENT, left_ms, False)
+        self.active_request = self.current_exchange = next_leg
+        previous.service.dispatcher.submit(next_leg, IDEMPOTENT, remaining_ms, False)
         return True
 
     def errored(self) -> None:
         """Answers a request that may have run: with the upstream's own failure if there is one, else 502."""
-        failure = self.failed_exchange.failure if self.failed_exchange is not None else None
+        failure = self.current_exchange.failure if self.current_exchange is not None else None
         if failure is not None and failure.status >= 400 and failure.status not in (408, 421, 429, 503):
             self.answer(failure.status, failure.headers, failure.body)
         else:
@@ -204,7 +203,7 @@
 
     def flowing(self, answer: Answer) -> None:
         """Starts to forward a response while it is received."""
-        self.events_written, self.failed_exchange.response_started_at = 0, self.front.clock.now()
+        self.events_written, self.current_exchange.response_started_at = 0, self.front.clock.now()
         super().flowing(answer)
 
     def write(self, *pieces: bytes) -> bool:
@@ -216,7 +215,7 @@
 
     def completed(self, answer: Answer | None) -> None:
         """Ends the answer with the final response or the end of a stream; None if the stream broke off."""
-        exchange, self.failed_exchange = self.failed_exchange, None
+        exchange, self.current_exchange = self.current_exchange, None
         if exchange is not None and answer is not None:
             self.record_duration(exchange)
         super().completed(answer)
--- a/shedgrade/dataplane/service.py
+++ b/shedgrade/dataplane/service.py
@@ -4,7 +4,7 @@
 
 from shedgrade import load_balancing
 from shedgrade.control_messages import Endpoint
-from shedgrade.dataplane.engine_connection_pool import EngineConnectionPool, Reach
+from shedgrade.dataplane.engine_connection_pool import EngineConnectionPool, ProbeResult
 from shedgrade.dataplane.engine_protocol import EngineProtocol
 from shedgrade.dataplane.service_times import ServiceTimes
 from shedgrade.load_balancing.upstream_indices import Addresses, Indices
@@ -26,12 +26,12 @@
         self.prefix_index, self.loop = prefix_index, loop
 
     def holders(self, key: int) -> Mapping[int, float]:
-        """The upstreams that cache a prefix, by mark, each with the number of cached tokens."""
+        """The upstreams that cache a prefix, by id hash, each with the number of cached tokens."""
         return self.prefix_index.endpoints_caching(self.loop.time(), key)
 
-    def saw(self, key: int, mark: int) -> None:
+    def saw(self, key: int, id_hash: int) -> None:
         """Records that an upstream has processed a prompt with this prefix."""
-        self.prefix_index.record_prefill(self.loop.time(), key, mark)
+        self.prefix_index.record_prefill(self.loop.time(), key, id_hash)
 
 
 class ServicePool:
@@ -73,12 +73,16 @@
         )
         self.connections.dispatcher = self.dispatcher
 
-    def apply_settings(self, cold_s: float, cold_rate: float, excess: float, slack: float) -> None:
-        """Applies the operator's configuration of the service and the deployment's bounds: an upstream in
-        slow start may get `cold_rate` x `excess` + `slack` requests within a second. `cold_s`: duration of
-        the slow start."""
-        self.slow_start_s, self.balancer.slow_start_rate = cold_s, cold_rate
-        self.balancer.slow_start_bound = cold_rate * excess + slack if cold_rate else 0.0
+    def apply_settings(
+        self, slow_start_s: float, slow_start_rate: float, excess: float, slack: float
+    ) -> None:
+        """Applies the operator's configuration of the service and the deployment's bounds.
+
+        An upstream in slow start, which lasts `slow_start_s`, may get `slow_start_rate` x `excess` + `slack`
+        requests within a second.
+        """
+        self.slow_start_s, self.balancer.slow_start_rate = slow_start_s, slow_start_rate
+        self.balancer.slow_start_bound = slow_start_rate * excess + slack if slow_start_rate else 0.0
 
     def apply_edge_count(self, sidecars: int) -> None:
         """Applies the largest recent count of sidecars."""
@@ -99,7 +103,7 @@
         self.balancer.set_slots(
             min((endpoint.slots for endpoint, _ in instances if endpoint.slots > 0), default=0)
         )
-        for endpoint, slow_start_left_s in instances:
+        for endpoint, remaining_slow_start_s in instances:
             region = region_of.get(endpoint.zone)
             host, _, port = endpoint.address.rpartition(":")
             if region is None or not host or not port.isdigit():
@@ -119,10 +123,12 @@
             if self.addresses.move(index, (host, int(port))) or not ready:
                 leaving.append(index)
             if endpoint.zone in returned:
-                slow_start_left_s = max(slow_start_left_s, self.slow_start_s - returned[endpoint.zone])
-            self.balancer.warming_up_until[index] = now + max(0, int(slow_start_left_s * 10_000))
-        named = {row[0] for row in rows}
-        leaving += [index for index in self.states if index not in named]
+                remaining_slow_start_s = max(
+                    remaining_slow_start_s, self.slow_start_s - returned[endpoint.zone]
+                )
+            self.balancer.warming_up_until[index] = now + max(0, int(remaining_slow_start_s * 10_000))
+        listed_indices = {row[0] for row in rows}
+        leaving += [index for index in self.states if index not in listed_indices]
         self.states = {row[0]: row[2] for row in rows}
         self.dispatcher.list_changed(rows, True, False)
         for index in leaving:
@@ -162,19 +168,19 @@
 
     async def probe(self, upstream: int) -> None:
         """Tries a connection to a silent or returning upstream, and ejects the upstream if that fails."""
-        reach = await self.connections.probe(upstream)
-        if reach is not Reach.UP:
-            logger.info("upstream unreachable", upstream=self.indices.ids[upstream], result=reach.value)
-            self.dispatcher.gather(self.eject_unreachable, upstream, reach)
+        result = await self.connections.probe(upstream)
+        if result is not ProbeResult.UP:
+            logger.info("upstream unreachable", upstream=self.indices.ids[upstream], result=result.value)
+            self.dispatcher.gather(self.eject_unreachable, upstream, result)
 
-    def eject_unreachable(self, now: int, upstream: int, reach: Reach) -> None:
+    def eject_unreachable(self, now: int, upstream: int, result: ProbeResult) -> None:
         """Ejects an upstream. Its requests in flight are failed only if its machine is unreachable: an
         upstream at its connection limit refuses further connections and works on, and if its process is gone
         the kernel resets the connections by itself."""
         up = self.balancer.upstreams.get(upstream)
         if up is not None:
             self.balancer.extend_ejection(now, up)
-        if reach is Reach.DARK:
+        if result is ProbeResult.UNREACHABLE:
             self.connections.fail_connections(upstream)
 
     def forget(self, upstream: int) -> None:
--- a/shedgrade/dataplane/state.py
+++ b/shedgrade/dataplane/state.py
@@ -73,11 +73,13 @@
             service.apply_edge_count(self.edge_count)
 
     def own_loads(self) -> dict[int, int]:
-        """This sidecar's requests in flight, by the upstream's mark."""
-        return {mark: load for pool in self.services.values() for mark, load in pool.balancer.own_loads()}
+        """This sidecar's requests in flight, by the hash of the upstream's id."""
+        return {
+            id_hash: load for pool in self.services.values() for id_hash, load in pool.balancer.own_loads()
+        }
 
     def apply_other_loads(self, loads: Mapping[int, int]) -> None:
-        """Applies the requests in flight of the other sidecars, by the upstream's mark."""
+        """Applies the requests in flight of the other sidecars, by the hash of the upstream's id."""
         for pool in self.services.values():
             pool.balancer.update_remote_loads(loads)
 
--- a/tests/dataplane/stepped_rig.py
+++ b/tests/dataplane/stepped_rig.py
@@ -242,7 +242,7 @@
 
     def __init__(self, attempt_id):
         self.attempt_id, self.final_answers, self.flow, self.disconnected = attempt_id, [], None, False
-        self.failed_exchange = None  # as in `IngressConnection`
+        self.current_exchange = None  # as in `IngressConnection`
         self.received_body, self.head = b"", None
 
     errored = IngressConnection.errored
@@ -357,7 +357,7 @@
             None,
             self.loop.now() + WAIT_MS * 10,
         )
-        client.failed_exchange = exchange
+        client.current_exchange = exchange
         self.clients.append(client)
         self.exchanges.append((exchange, method))
         self.pool.dispatcher.submit(exchange, method, WAIT_MS, False)
--- a/tests/dataplane/test_ingress.py
+++ b/tests/dataplane/test_ingress.py
@@ -709,7 +709,7 @@
             client, _ = await send_and_read(plane, request())
             assert client.headers["x-own"] == "kept" and "keep-alive" not in client.headers
             assert plane.services["lm"].connections.idle.limit == 90_000
-            plane.services["lm"].connections.idle_timeout_stated(3)
+            plane.services["lm"].connections.apply_stated_idle_timeout(3)
             assert plane.services["lm"].connections.idle.limit == 20_000
 
     run(scenario())
