--- a/tests/dataplane/stepped_clients.py
+++ b/tests/dataplane/stepped_clients.py
@@ -234,7 +234,7 @@
         return (
             None
             if any(body.startswith(answer.body) for body in bodies)
-            else "a partial body of no answer to this request"
+            else "a partial body that no upstream sent for it"
         )
 
     def event_violation(self, attempt_id, answer):
