--- a/shedgrade/file_frames.py
+++ b/shedgrade/file_frames.py
@@ -1,11 +1,10 @@
-"""The record format of files, without I/O: a file is a header and framed records, each with length and
-checksum.
+"""Record format of files, without I/O: a header and framed records, each with length and checksum.
 
     header   b"SHEDGRADE" kind(1: S snapshot, L log) version(u16) number(u64) checksum(u32)
     record   length(u32) checksum(u32) payload(MessagePack), little-endian; CRC-32 of length and payload
 
-Readers take the version they know and older ones, refuse newer ones, and stop at the first damaged record.
-What is behind it is reported as damage and not interpreted.
+Readers accept their own version and older ones, refuse newer ones, and stop at the first damaged record. The
+rest of the file is reported as damaged and not interpreted.
 """
 
 from enum import StrEnum
@@ -22,20 +21,20 @@
 CHECKSUM = Struct("<I")
 HEADER_BYTES = HEADER.size + CHECKSUM.size
 SNAPSHOT, LOG = b"S", b"L"
-MAX_RECORD_BYTES = 16 * 1024 * 1024  # tens of thousands of rows in one
+MAX_RECORD_BYTES = 16 * 1024 * 1024  # room for tens of thousands of rows in one record
 
-Record = dict[Any, Any]  # a MessagePack map, whose keys and values are for its reader to check
+Record = dict[Any, Any]  # a MessagePack map; its reader validates keys and values
 
 encoder = msgspec.msgpack.Encoder()
 decoder = msgspec.msgpack.Decoder()
 
 
 class FormatError(Exception):
-    """Not even the header of a file can be used; the text says why in a few words."""
+    """A file can't be used because of its header; the text says why in a few words."""
 
 
 class NewerVersionError(FormatError):
-    """The file was written by a later version of the format: it is left as it is, and not read."""
+    """The file was written by a later version of the format. It is not read, and must not be overwritten."""
 
     def __init__(self, version: int, supported: int) -> None:
         super().__init__(f"format {version} is newer than {supported}")
@@ -44,7 +43,7 @@
 
 
 class RecordDamage(StrEnum):
-    """Why a record can't be read. `TORN`: the file ends within it, as after a write that was interrupted."""
+    """Why a record can't be read. `TORN`: the file ends within it, as after an interrupted write."""
 
     TORN = "torn"
     LENGTH = "a length out of bounds"
@@ -54,7 +53,7 @@
 
 
 class RecordError(Exception):
-    """A record can't be read: `damage` says why, `offset` is its first byte in the file."""
+    """A record can't be read. `damage`: why; `offset`: its first byte in the file."""
 
     def __init__(self, damage: RecordDamage, offset: int) -> None:
         super().__init__(f"{damage} at byte {offset}")
@@ -63,8 +62,12 @@
 
 
 class FileContent(NamedTuple):
-    """What a file holds. `number`: of its header; `records`: those before the first damaged one; `damage`:
-    why reading stopped before the end, with the offset; "" if it did not."""
+    """The content of a file.
+
+    `number`: the number in its header.
+    `records`: the records before the first damaged one.
+    `damage`: why reading stopped before the end, with the offset; "" if it did not.
+    """
 
     number: int
     records: list[Record]
@@ -72,22 +75,22 @@
 
 
 def header(kind: bytes, number: int) -> bytes:
-    """The first bytes of a file. `kind`: one byte; `number`: what the owner of the file counts it by."""
+    """Returns the header of a file. `kind`: one byte; `number`: chosen by the owner of the file."""
     head = HEADER.pack(MAGIC, kind, VERSION, number)
     return head + CHECKSUM.pack(crc32(head))
 
 
 def frame(record: Record) -> bytes:
-    """One record with its length and checksum, as it is appended to a file."""
+    """Returns a record with its length and checksum, as it is appended to a file."""
     payload = encoder.encode(record)
     length = CHECKSUM.pack(len(payload))
     return length + CHECKSUM.pack(crc32(payload, crc32(length))) + payload
 
 
 def read(data: bytes, kind: bytes) -> FileContent:
-    """The content of a whole file of this kind.
+    """Returns the content of a whole file of this kind.
 
-    FormatError if not even the header is sound, NewerVersionError if the version is later than VERSION.
+    Raises FormatError if the header is damaged, NewerVersionError if its version is later than VERSION.
     """
     number = read_header(data, kind)
     records: list[Record] = []
@@ -102,7 +105,7 @@
 
 
 def read_header(data: bytes, kind: bytes) -> int:
-    """The number in the header of a file of this kind. Errors as for `read`."""
+    """Returns the number in the header of a file of this kind. Raises the same errors as `read`."""
     if not data:
         raise FormatError("empty")
     if len(data) < HEADER_BYTES:
@@ -118,7 +121,7 @@
 
 
 def read_record(data: bytes, offset: int) -> tuple[Record, int]:
-    """The record that begins at `offset`, and the offset behind it. RecordError if it is damaged."""
+    """Returns the record that begins at `offset` and the offset after it. Raises RecordError if damaged."""
     if len(data) - offset < RECORD_PREFIX.size:
         raise RecordError(RecordDamage.TORN, offset)
     length, checksum = RECORD_PREFIX.unpack_from(data, offset)
--- a/shedgrade/storage/__init__.py
+++ b/shedgrade/storage/__init__.py
@@ -1,4 +1,4 @@
-"""Control state of one core member on disk: two slots written in turn, with a short log between."""
+"""Durable control state of one core member: two snapshot slots, written in turn, each with its own log."""
 
 from shedgrade.storage.store import LoadResult, Store, StoreState
 
--- a/shedgrade/storage/check.py
+++ b/shedgrade/storage/check.py
@@ -1,4 +1,4 @@
-"""What lies in a folder of control state, for people. Changes nothing; not for a folder being written to."""
+"""Human-readable report on a folder of control state. Reads only; the folder must not be in use."""
 
 from pathlib import Path
 
@@ -8,7 +8,10 @@
 
 
 def report(path: str | Path) -> list[str]:
-    """A line a file, a line a finding, and at last what a start would use. OSError if it cannot be read."""
+    """Returns a line per file, a line per finding, and last what a start would load.
+
+    Raises OSError if the folder cannot be read.
+    """
     folder = recover(Files(path))
     lines = []
     for letter in ("a", "b"):
@@ -18,7 +21,7 @@
 
 
 def slot_line(folder: RecoveredFolder, letter: str) -> str:
-    """What one slot holds, and whether a start would use it."""
+    """Describes one slot, and whether a start would load it."""
     name, slot = f"slot-{letter}", folder.slots[letter]
     if slot.damage == MISSING:
         return f"{name}: {MISSING}"
@@ -31,7 +34,7 @@
 
 
 def log_line(folder: RecoveredFolder, letter: str) -> str:
-    """What one log holds, and whether a start would use it."""
+    """Describes one log, and whether a start would load it."""
     name, log = f"log-{letter}", folder.logs[letter]
     if log.damage in (MISSING, EMPTY):
         return f"{name}: {log.damage}"
@@ -50,12 +53,12 @@
 
 
 def is_used(folder: RecoveredFolder, letter: str) -> bool:
-    """Whether a start would take its values from this slot."""
+    """Whether a start would load the values from this slot."""
     return folder.state is StoreState.SOUND and folder.active_slot == letter
 
 
 def verdict(folder: RecoveredFolder) -> str:
-    """What a start would use, in one line."""
+    """Describes what a start would load, in one line."""
     if folder.state is StoreState.EMPTY:
         return "empty: no file of control state; a first start, or a disk that was lost"
     if folder.state is StoreState.DAMAGED:
--- a/shedgrade/storage/files.py
+++ b/shedgrade/storage/files.py
@@ -1,4 +1,4 @@
-"""The file operations that the store needs, on the OS; the simulation supplies a disk of its own."""
+"""File operations of the store, implemented on the operating system; the simulation has its own disk."""
 
 import contextlib
 import os
@@ -7,23 +7,23 @@
 
 
 class Folder(Protocol):
-    """What reading a folder needs. OSError from any call is the caller's to handle."""
+    """Operations for reading a folder. The caller handles an OSError from any call."""
 
     def names(self) -> list[str]:
-        """All names in the folder, sorted; none if there is no folder."""
+        """Returns all names in the folder, sorted; none if the folder doesn't exist."""
 
     def read(self, name: str) -> bytes:
-        """The content of a file."""
+        """Returns the content of a file."""
 
 
 class WritableFolder(Folder, Protocol):
-    """What the store needs; `Files` documents each call."""
+    """Operations of the store; `Files` documents each call."""
 
     def make(self) -> None:
-        """Makes the folder, durably."""
+        """Creates the folder, durably."""
 
     def write(self, name: str, offset: int, data: bytes, /) -> None:
-        """Writes into a file, which is made if it is missing."""
+        """Writes into a file, which is created if it doesn't exist."""
 
     def truncate(self, name: str, size: int) -> None:
         """Sets a file's size."""
@@ -32,21 +32,21 @@
         """Makes a file's content durable."""
 
     def sync_folder(self) -> None:
-        """Makes the folder's names durable."""
+        """Makes the names in the folder durable."""
 
     def close(self) -> None:
-        """Closes what is open."""
+        """Closes the open files."""
 
 
 class Files:
-    """One folder. Names are kept open once written to. OSError from any call is the caller's to handle."""
+    """One folder. A file stays open after its first write. The caller handles an OSError from any call."""
 
     def __init__(self, folder: str | Path) -> None:
         self.folder = Path(folder)
         self.descriptors: dict[str, int] = {}
 
     def make(self) -> None:
-        """Makes the folder and those above it; each that is new is synced into the one above."""
+        """Creates the folder and its missing parents; syncs the parent of each new one."""
         missing = []
         folder = self.folder
         while not folder.is_dir():
@@ -57,18 +57,18 @@
             sync_folder(folder.parent)
 
     def names(self) -> list[str]:
-        """All names in the folder, sorted; none if there is no folder."""
+        """Returns all names in the folder, sorted; none if the folder doesn't exist."""
         try:
             return sorted(os.listdir(self.folder))
         except FileNotFoundError:
             return []
 
     def read(self, name: str) -> bytes:
-        """The content of a file."""
+        """Returns the content of a file."""
         return (self.folder / name).read_bytes()
 
     def write(self, name: str, offset: int, data: bytes) -> None:
-        """Writes from byte `offset` on, and makes the file if it is missing. It may fail half-way."""
+        """Writes from byte `offset` on, and creates a missing file. A write that fails may be partly done."""
         descriptor = self.descriptor(name)
         view = memoryview(data)
         while view:
@@ -81,22 +81,22 @@
         os.ftruncate(self.descriptor(name), size)
 
     def sync(self, name: str) -> None:
-        """Durable when it returns: the bytes and the size of the file, not yet its name."""
+        """Makes the bytes and the size of a file durable, but not its name."""
         os.fdatasync(self.descriptor(name))
 
     def sync_folder(self) -> None:
-        """Durable when it returns: which names the folder has."""
+        """Makes the names in the folder durable."""
         sync_folder(self.folder)
 
     def close(self) -> None:
-        """Closes all files. An error of it says nothing that a sync has not said, and is ignored."""
+        """Closes all files. Errors are ignored, as a sync would have reported them."""
         while self.descriptors:
             _, descriptor = self.descriptors.popitem()
             with contextlib.suppress(OSError):
                 os.close(descriptor)
 
     def descriptor(self, name: str) -> int:
-        """The file's descriptor for writing, opened when first asked for."""
+        """Returns the file's descriptor for writing, opened on first use."""
         descriptor = self.descriptors.get(name)
         if descriptor is None:
             flags = os.O_WRONLY | os.O_CREAT | os.O_CLOEXEC
@@ -105,7 +105,7 @@
 
 
 def sync_folder(folder: Path) -> None:
-    """Durable when it returns: which names that folder has."""
+    """Makes the names in a folder durable."""
     descriptor = os.open(folder, os.O_RDONLY | os.O_DIRECTORY | os.O_CLOEXEC)
     try:
         os.fsync(descriptor)
--- a/shedgrade/storage/layout.py
+++ b/shedgrade/storage/layout.py
@@ -1,12 +1,12 @@
-"""The bytes of a snapshot slot and of its write-ahead log, without I/O, in the frames of `file_frames.py`.
+"""Encoding of a snapshot slot and of its write-ahead log, without I/O, in the frames of `file_frames.py`.
 
     slot   header(kind C, LSN)        one record {"n": LSN, "v": {key: bytes}}, the whole map
     log    header(kind J, base LSN)   records {"n": LSN, "c": {key: bytes or nil}}, nil removes the key
 
-LSN: the log sequence number of a write. Each write that is tried gets one and none is given twice, so bytes
-of two writes that got mixed on disk never pass for one: a slot's record has the LSN of its header; a log's
-records count up by one from its base, the LSN of its slot. What stands behind a slot's record, or behind the
-first damaged record of a log, is left over from before.
+LSN: the log sequence number of a write. Each attempted write gets a new one and none is reused, so a mix of
+the bytes of two writes on disk is never accepted: the record of a slot has the LSN of its header, and the
+records of a log count up by one from its base, the LSN of its slot. Bytes after a slot's record, or after the
+first damaged record of a log, are left from earlier writes.
 """
 
 from dataclasses import dataclass, field
@@ -15,9 +15,9 @@
 from shedgrade import file_frames
 
 SLOT_KIND, LOG_KIND = b"C", b"J"
-MAX_MAP_BYTES = file_frames.MAX_RECORD_BYTES - 64 * 1024  # of a whole map: it must fit one record with room
-PAYLOAD_START = b"\x82\xa1n"  # how the payload of each record begins: a map of two, "n" first
-LSN_LIMIT = 2**63  # no LSN comes near it: a file with a higher one is not ours
+MAX_MAP_BYTES = file_frames.MAX_RECORD_BYTES - 64 * 1024  # the whole map must fit into one record
+PAYLOAD_START = b"\x82\xa1n"  # first bytes of the payload of each record: a map of two entries, "n" first
+LSN_LIMIT = 2**63  # no real LSN is near it; a file with a higher one was not written by the store
 UNKNOWN_LSN = -1
 
 Changes = dict[str, bytes | None]  # None: the key is removed
@@ -25,11 +25,12 @@
 
 @dataclass(slots=True)
 class SlotContent:
-    """A snapshot slot as it was read.
+    """Content of a snapshot slot.
 
-    `lsn`: of the write that the snapshot includes last, UNKNOWN_LSN if the header is damaged. `values`: None
-    if the slot can't be used; `damage` says why then. `newer_version`: written by a later version of the
-    format.
+    `lsn`: LSN of the last write in the snapshot, UNKNOWN_LSN if the header is damaged.
+    `values`: None if the slot can't be used.
+    `damage`: why it can't be used, else "".
+    `newer_version`: whether the slot was written by a later version of the format.
     """
 
     lsn: int = UNKNOWN_LSN
@@ -40,13 +41,15 @@
 
 @dataclass(slots=True)
 class LogContent:
-    """A write-ahead log as it was read.
-
-    `base_lsn`: of its slot, UNKNOWN_LSN if the header is damaged. `changes`: those of the records that are
-    sound and in order. `damage`: what stopped the reading before the end, "" if nothing did.
-    `lsn_behind_damage`: the highest LSN of a sound record behind that place, UNKNOWN_LSN if none is over the
-    last: what lies between was damaged later, as no write begins before the one before it is synced.
-    `newer_version`: as of a slot.
+    """Content of a write-ahead log.
+
+    `base_lsn`: LSN of its slot, UNKNOWN_LSN if the header is damaged.
+    `changes`: the changes of the sound records in sequence.
+    `damage`: why reading stopped before the end, "" if it did not.
+    `lsn_behind_damage`: the highest LSN of a sound record after the damage, UNKNOWN_LSN if none is above the
+    last. If there is one, the damage is not a torn write, as a write begins only after the previous one was
+    synced.
+    `newer_version`: whether the log was written by a later version of the format.
     """
 
     base_lsn: int = UNKNOWN_LSN
@@ -62,22 +65,22 @@
 
 
 def encode_slot(lsn: int, values: dict[str, bytes]) -> bytes:
-    """A whole slot file."""
+    """Returns the bytes of a whole slot file."""
     return file_frames.header(SLOT_KIND, lsn) + file_frames.frame({"n": lsn, "v": values})
 
 
 def encode_log_header(base_lsn: int) -> bytes:
-    """How the log of the slot with this LSN begins."""
+    """Returns the header of the log of the slot with this LSN."""
     return file_frames.header(LOG_KIND, base_lsn)
 
 
 def encode_log_record(lsn: int, changes: Changes) -> bytes:
-    """One write, as it is appended to a log."""
+    """Returns the record of one write, as it is appended to a log."""
     return file_frames.frame({"n": lsn, "c": changes})
 
 
 def decode_slot(data: bytes) -> SlotContent:
-    """The content of a slot file. Raises nothing, whatever the bytes are."""
+    """Returns the content of a slot file. Raises nothing, whatever the bytes are."""
     try:
         lsn, records, damage = read_file(data, SLOT_KIND)
     except file_frames.FormatError as error:
@@ -91,7 +94,7 @@
 
 
 def decode_log(data: bytes) -> LogContent:
-    """The content of a log file. Raises nothing, whatever the bytes are."""
+    """Returns the content of a log file. Raises nothing, whatever the bytes are."""
     try:
         base_lsn, records, damage = read_file(data, LOG_KIND)
     except file_frames.FormatError as error:
@@ -108,12 +111,14 @@
 
 
 def read_file(data: bytes, kind: bytes) -> file_frames.FileContent:
-    """The file's LSN and records. FormatError if the header is damaged, or the file is another program's."""
+    """Returns the LSN and the records of a file.
+
+    Raises FormatError if the header is damaged, or if another program wrote the file.
+    """
     try:
         content = file_frames.read(data, kind)
     except (TypeError, RecursionError) as error:
-        # Guards against a file that another program made, with sound checksums around what is no record of
-        # ours.
+        # a file of another program may have sound checksums around records of another shape
         raise file_frames.FormatError(f"not a file of ours ({type(error).__name__})") from error
     if content.number >= LSN_LIMIT:
         raise file_frames.FormatError("sequence number out of bounds")
@@ -121,7 +126,7 @@
 
 
 def is_newer_version(error: file_frames.FormatError) -> bool:
-    """Whether the file was refused for its version alone."""
+    """Whether the file was refused only because of its version."""
     return isinstance(error, file_frames.NewerVersionError)
 
 
@@ -134,7 +139,7 @@
 
 
 def highest_lsn_anywhere(data: bytes, last_lsn: int) -> int:
-    """The highest LSN over `last_lsn` of a sound record at any offset of the data, or UNKNOWN_LSN."""
+    """Returns the highest LSN above `last_lsn` of a sound record at any offset, or UNKNOWN_LSN."""
     prefix = file_frames.RECORD_PREFIX
     highest, offset = UNKNOWN_LSN, data.find(PAYLOAD_START, file_frames.HEADER_BYTES + prefix.size)
     while offset >= 0:
@@ -149,7 +154,7 @@
 
 
 def lsn_of_payload(payload: bytes) -> int:
-    """The LSN in a record's payload, UNKNOWN_LSN if it is no record of ours."""
+    """Returns the LSN in a record's payload, UNKNOWN_LSN if it is not a record of a slot or log."""
     try:
         lsn = file_frames.decoder.decode(payload)["n"]
     except (TypeError, ValueError, KeyError, RecursionError):
@@ -158,12 +163,12 @@
 
 
 def entry_bytes(key: str, value: bytes | None) -> int:
-    """Bytes that the entry takes in a slot at most; 0 for None, which is no entry."""
+    """Returns an upper bound of the bytes that an entry takes in a slot; 0 for None, which is no entry."""
     return 0 if value is None else 4 * len(key) + len(value) + 16
 
 
 def apply_changes(values: dict[str, bytes], changes: Changes) -> None:
-    """Applies one write to the map."""
+    """Applies the changes of one write to the map, in place."""
     for key, value in changes.items():
         if value is None:
             values.pop(key, None)
--- a/shedgrade/storage/recovery.py
+++ b/shedgrade/storage/recovery.py
@@ -1,4 +1,4 @@
-"""From the files in a folder to the state they hold. Only reads; `Store` and `storage check` use it."""
+"""Recovers the state from the files in a folder. Reads only; used by `Store` and by `storage check`."""
 
 from dataclasses import dataclass, field
 from enum import StrEnum
@@ -14,8 +14,11 @@
 
 
 class StoreState(StrEnum):
-    """`EMPTY`: no file of ours. `SOUND`: the values are the last ones written. `DAMAGED`: files are there,
-    but what was written last cannot be read: neither a first start nor a member that remembers.
+    """State of a folder.
+
+    `EMPTY`: no file of the store exists.
+    `SOUND`: the values are those of the last write.
+    `DAMAGED`: files exist, but the last write can't be read. It must not be taken for a first start.
     """
 
     EMPTY = "empty"
@@ -25,11 +28,16 @@
 
 @dataclass(slots=True)
 class RecoveredFolder:
-    """What a folder holds.
-
-    `values`: empty unless the state is SOUND. `active_slot`: "a" or "b", whose snapshot and log are in use;
-    "" if none can be read. `lsn`: of the last write in the values. `highest_lsn`: no file has an LSN over it.
-    `newer_version`: a file is of a later version of the format. `file_sizes`: bytes of our files, by name.
+    """Content of a folder.
+
+    `values`: empty unless the state is SOUND.
+    `findings`: what was not in order.
+    `active_slot`: "a" or "b", whose snapshot and log are in use; "" if neither slot can be read.
+    `lsn`: LSN of the last write in `values`.
+    `highest_lsn`: no file has a higher LSN.
+    `newer_version`: whether a file was written by a later version of the format.
+    `file_sizes`: size of the files in bytes, by name.
+    `slots`, `logs`: content of the slots and logs, by letter.
     """
 
     state: StoreState = StoreState.EMPTY
@@ -45,7 +53,7 @@
 
 
 def recover(files: Folder) -> RecoveredFolder:
-    """Reads the folder. OSError if the disk cannot be read; nothing else, whatever the files hold."""
+    """Reads a folder. Raises OSError if the disk can't be read, and nothing else, whatever the files hold."""
     folder = RecoveredFolder()
     present = set(files.names()).intersection(FILE_NAMES)
     for letter in OTHER_SLOT:
@@ -66,12 +74,12 @@
 
 
 def select_state(folder: RecoveredFolder) -> None:
-    """The sound slot with the higher LSN wins, with the records of its own log.
+    """Selects the sound slot with the highest LSN, and applies the records of its own log.
 
-    The state is DAMAGED all the same if a log has a higher LSN: a log begins only after its slot is synced,
-    and a record is written only after the one before it is. A write in flight leaves one torn record at the
-    end, or a torn slot beside the log of the other one; what shows more than that was acknowledged once, and
-    is lost.
+    The state is DAMAGED even so if a log has a higher LSN: a log begins only after its slot is synced, and a
+    record is written only after the previous one is synced. A write in flight leaves at most one torn record
+    at the end, or a torn slot beside the other slot's log. Anything more means that an acknowledged write is
+    lost.
     """
     slots, logs = folder.slots, folder.logs
     newer_slot = any(slot.newer_version for slot in slots.values())
@@ -92,7 +100,7 @@
 
 
 def replay_log(folder: RecoveredFolder, letter: str, highest_logged: int) -> None:
-    """Makes this slot the active one and applies its log, unless a log has shown an LSN beyond both."""
+    """Activates this slot and applies its log, unless a log shows an LSN above both."""
     slot, log = folder.slots[letter], folder.logs[letter]
     folder.active_slot = letter
     folder.lsn = slot.lsn
--- a/shedgrade/storage/store.py
+++ b/shedgrade/storage/store.py
@@ -1,7 +1,8 @@
-"""The store: a map of keys to bytes that outlives the process and the power, on one folder.
+"""The store: a durable map of keys to bytes in one folder, which survives process exits and power losses.
 
-A write-ahead log with snapshots: each write is a record of the log; when the log has grown, a snapshot of the
-whole map goes into the slot that is not in use, and a new log begins. `layout.py` has the bytes.
+It is a write-ahead log with snapshots. Each write appends a record to the log; once the log has grown, a
+snapshot of the whole map is written to the slot that is not in use, and a new log begins. `layout.py` defines
+the encoding.
 """
 
 import errno
@@ -15,13 +16,13 @@
 from shedgrade.storage.files import Files, WritableFolder
 from shedgrade.storage.recovery import FILE_NAMES, OTHER_SLOT, StoreState, recover
 
-MIN_LOG_BYTES = 64 * 1024  # a log is not worth a snapshot below it
-MAX_LOG_RECORDS = 1024  # of one log, so that reading it at a start stays short
+MIN_LOG_BYTES = 64 * 1024  # a shorter log is not replaced by a snapshot
+MAX_LOG_RECORDS = 1024  # per log, so that a start reads it quickly
 
 
 @dataclass(frozen=True, slots=True)
 class LoadResult:
-    """What `load` found. `values`: empty unless the state is sound. `findings`: what was not in order."""
+    """Result of `load`. `values`: empty unless the state is sound. `findings`: what was not in order."""
 
     state: StoreState
     values: dict[str, bytes]
@@ -29,28 +30,28 @@
 
 
 class Store:
-    """One folder, of one process; one call at a time, off the event loop: each may wait for the disk.
+    """Store of one process in one folder. Not thread-safe; each call may block on the disk.
 
     A write is a record at the end of the log and one sync. When the log has grown to the size of its slot,
-    the whole map goes into the other slot, which has the next log. A slot is never written while it is the
-    active one.
+    the whole map is written to the other slot, whose log comes next. The active slot is never overwritten.
 
     Attributes:
         files: the folder.
-        values: the map as it is durable, empty before `load`.
-        is_loaded: `load` has returned and `close` was not called since.
-        newer_version: a file is of a later version of the format; writes are refused.
-        active_synced: the files of the active slot are known to be durable. False from a load that found a
-        sound
-            state to the end of `resync_active`; the other slot must not be written before.
-        files_named: the folder is known to have all four names durably; if not, `write_snapshot` makes them.
-        can_append: the log of the active slot ends with a sound record. False while a write is under way and
-            after one that failed, whose torn record a further one must not follow.
+        values: the durable map, empty before `load`.
+        is_loaded: whether `load` has returned and `close` was not called since.
+        newer_version: whether a file was written by a later version of the format; writes are refused then.
+        active_synced: whether the files of the active slot are known to be durable. False from a load that
+            found a sound state until the end of `resync_active`; the other slot must not be written before.
+        files_named: whether the names of all four files are known to be durable; if not, `write_snapshot`
+            creates them.
+        can_append: whether the log of the active slot ends with a sound record. False during a write, and
+            after a failed one, since no record may follow its torn record.
         active_slot: "a" or "b", whose snapshot and log hold `values`.
-        lsn: given to the last write that was tried; after a load, the highest that any file has.
-        base_lsn: of the snapshot in the active slot, once this process has written one; not over `lsn`.
-        slot_bytes, log_bytes, log_records: sizes of the active slot and of what this process wrote to its
-        log. map_bytes: an upper bound of what the whole map takes in a slot.
+        lsn: LSN of the last attempted write; after a load, the highest LSN in any file.
+        base_lsn: LSN of the snapshot in the active slot once this process has written one; at most `lsn`.
+        slot_bytes: size of the active slot.
+        log_bytes, log_records: size of what this process wrote to the log of the active slot.
+        map_bytes: an upper bound of the size of the whole map in a slot.
     """
 
     def __init__(self, folder: str | Path, files: WritableFolder | None = None) -> None:
@@ -70,7 +71,7 @@
         self.map_bytes = 0
 
     def check_invariants(self) -> None:
-        """AssertionError if an attribute breaks what the class says of it. For tests and the simulation."""
+        """Raises AssertionError if an attribute breaks its invariant. For tests and the simulation."""
         assert self.active_slot in OTHER_SLOT
         assert 0 <= self.base_lsn <= self.lsn < layout.LSN_LIMIT
         assert self.map_bytes == sum(layout.entry_bytes(*entry) for entry in self.values.items())
@@ -83,10 +84,10 @@
             assert self.base_lsn + self.log_records == self.lsn
 
     def load(self) -> LoadResult:
-        """What the last writes left, durable before it is returned.
+        """Returns the state that the last writes left, and makes it durable first.
 
-        OSError: the disk cannot be read, or takes neither a write nor a sync; nothing is known, to be tried
-        again.
+        Raises OSError if the disk can't be read, or allows neither a write nor a sync. Nothing is known then,
+        and the call may be repeated.
         """
         self.is_loaded = False
         self.files_named = False
@@ -95,7 +96,7 @@
         folder = recover(self.files)
         self.values = dict(folder.values)
         self.lsn = folder.highest_lsn
-        self.base_lsn = 0  # of another slot, if this isn't the first load
+        self.base_lsn = 0  # a previous load may have left that of another slot
         self.newer_version = folder.newer_version
         self.map_bytes = sum(layout.entry_bytes(key, value) for key, value in self.values.items())
         self.active_slot = folder.active_slot or "b"
@@ -104,14 +105,16 @@
             try:
                 self.make_durable()
             except OSError:
-                # A full disk is still read; what failed to sync before is in doubt until a write.
+                # A full disk can still be read. A state that failed to sync before remains in doubt until the
+                # next write.
                 self.sync_active()
         self.is_loaded = True
         return LoadResult(folder.state, folder.values, tuple(folder.findings))
 
     def make_durable(self) -> None:
-        """The state that was read is the one that stays: written again, then put as a snapshot into the other
-        slot, where a write that failed may have left another state.
+        """Rewrites the state that was read, then writes it as a snapshot into the other slot.
+
+        The other slot may hold a different state, left by a write that failed.
         """
         self.resync_active()
         self.lsn += 1
@@ -119,12 +122,12 @@
         self.can_append = True
 
     def resync_active(self) -> None:
-        """Writes the active slot and its log once more, byte for byte, each in its own place.
+        """Rewrites the active slot and its log in place, byte for byte, and syncs them.
 
-        Guards against a process that ended before its sync, or whose sync failed: the kernel returns what it
-        wrote all the same, takes it for synced, and a power loss leaves the other slot. That one must not be
-        written before this one is durable. A power loss on the way changes nothing, as the bytes are the
-        same.
+        This guards against a process that ended before its sync, or whose sync failed: the kernel still
+        returns the bytes and counts them as synced, but a power loss leaves only the other slot, which must
+        therefore not be written before this one is durable. A power loss during the rewrite does no harm, as
+        the bytes are the same.
         """
         for name in self.active_file_names():
             self.files.write(name, 0, self.files.read(name))
@@ -139,21 +142,21 @@
         self.files_named = set(FILE_NAMES).issubset(self.files.names())
 
     def active_file_names(self) -> list[str]:
-        """The active slot and its log, as far as they are there."""
+        """Returns the names of the files of the active slot and its log that exist."""
         present = self.files.names()
         return [name for name in (f"slot-{self.active_slot}", f"log-{self.active_slot}") if name in present]
 
     def write(self, changes: Mapping[str, bytes | None]) -> None:
-        """Durable when it returns, all or nothing; None removes a key.
+        """Writes all changes or none; they are durable when the call returns. None removes a key.
 
-        OSError: the disk refuses. The group may be found at the next load or not; the next write that returns
-        makes sure that it is not there. EFBIG if the whole map would be too large, EPERM if the folder is of
-        a later version: then nothing was tried.
+        Raises OSError if the disk refuses. A later load may then find the changes or not; the next write that
+        returns ensures that they are gone. Raises OSError with EFBIG if the whole map would be too large, and
+        with EPERM if the folder was written by a later version; nothing was attempted then.
         """
         if not self.is_loaded:
             self.load()
         if self.newer_version:
-            # Guards against a downgrade that takes away the state of all members at once.
+            # refuses to write after a downgrade, which would destroy the state of all members at once
             raise OSError(errno.EPERM, "the folder was written by a later version")
         if not self.active_synced:
             self.resync_active()
@@ -163,9 +166,9 @@
             map_bytes += layout.entry_bytes(key, value) - layout.entry_bytes(key, self.values.get(key))
         if map_bytes > layout.MAX_MAP_BYTES:
             raise OSError(errno.EFBIG, os.strerror(errno.EFBIG))
-        # Guards against two writes of one LSN: one that failed may be on disk all the same.
+        # each attempt needs an LSN of its own, since a write that failed may be on disk all the same
         self.lsn += 1
-        # Guards against a torn tail: after a failure the log is left alone and the other slot is written.
+        # after a failure the log may have a torn tail, so the other slot is written instead
         can_append, self.can_append = self.can_append, False
         if not (can_append and self.append_record(group)):
             self.write_snapshot({**self.values, **group})
@@ -174,7 +177,7 @@
         self.can_append = True
 
     def append_record(self, group: layout.Changes) -> bool:
-        """Appends the group to the log and syncs it; False, and nothing done, if the log is long enough."""
+        """Appends the changes to the log and syncs it. Returns False, and does nothing, if it is too long."""
         data = layout.encode_log_record(self.lsn, group)
         limit = max(MIN_LOG_BYTES, self.slot_bytes)
         if self.log_records >= MAX_LOG_RECORDS or self.log_bytes + len(data) > limit:
@@ -190,10 +193,10 @@
         return True
 
     def write_snapshot(self, values: Mapping[str, bytes | None]) -> None:
-        """The whole map into the slot that is not in use, which becomes the active one; its log is begun by
-        the next write.
+        """Writes the whole map into the slot that is not in use, which becomes the active one.
 
-        None stands for a key that is not there."""
+        The next write begins the log of that slot. Keys with the value None are left out.
+        """
         present = {key: value for key, value in values.items() if value is not None}
         letter = OTHER_SLOT[self.active_slot]
         name = f"slot-{letter}"
@@ -215,14 +218,14 @@
         self.log_records = 0
 
     def close(self) -> None:
-        """Closes the files. A later write loads again."""
+        """Closes the files. A later write loads the folder again."""
         self.files.close()
         self.is_loaded = False
         self.can_append = False
 
 
 def owned_bytes(key: str, value: object) -> bytes | None:
-    """The value as bytes of its own. Guards against what could be written and not be read again."""
+    """Returns the value as bytes, copied if needed. Raises TypeError if it could not be read back."""
     if not isinstance(key, str):
         raise TypeError(f"key {key!r} is no string")
     return value if value is None or type(value) is bytes else bytes(memoryview(value))  # type: ignore[arg-type]
