--- a/shedgrade/replication/acknowledgement_times.py
+++ b/shedgrade/replication/acknowledgement_times.py
@@ -1,9 +1,9 @@
-"""When a follower acknowledged the rounds of its primary, by its own clock: how old a heartbeat can be.
+"""When a follower acknowledged the rounds of its primary, by its own clock; this bounds a heartbeat's age.
 
-A heartbeat may be under way for seconds: the kernel sends again what a broken path held back, and the
-receiver cannot tell from the bytes. So a heartbeat names the newest round whose acknowledgement had reached
-the primary. It was sent after that, hence after this process sent that acknowledgement: a bound of its age
-that needs no clock but the own one.
+A heartbeat may be in transit for seconds, since TCP retransmits what a broken path delayed, and the receiver
+cannot tell that from the bytes. Each heartbeat therefore names the newest round whose acknowledgement had
+reached the primary. It was sent after that, hence after this process sent that acknowledgement. The bound on
+its age needs no clock but the receiver's own.
 """
 
 from __future__ import annotations
@@ -12,22 +12,22 @@
 from typing import NamedTuple
 
 NEVER = float("-inf")
-LEAST_BETWEEN_S = 0.02  # acknowledgements that follow on one another faster are kept as one
+LEAST_BETWEEN_S = 0.02  # of acknowledgements at shorter intervals only the first is kept
 TIMES_KEPT = 128
 
 
 class AcknowledgedRound(NamedTuple):
-    """A round, and when its acknowledgement was sent (seconds of the steady clock)."""
+    """A round, and when its acknowledgement was sent, in seconds of the steady clock."""
 
     number: int
     at: float
 
 
 class AcknowledgementTimes:
-    """Of one follower, for the primary of one epoch.
+    """When one follower acknowledged the rounds of the primary of one epoch.
 
-    `epoch`: whose rounds these are.
-    `rounds`: the newest rounds acknowledged, oldest first. Invariant: numbers and times grow.
+    `epoch`: the epoch of the rounds.
+    `rounds`: the newest rounds acknowledged, oldest first. Invariant: numbers and times increase.
     """
 
     def __init__(self) -> None:
@@ -35,7 +35,7 @@
         self.rounds: deque[AcknowledgedRound] = deque(maxlen=TIMES_KEPT)
 
     def note(self, now: float, epoch: int, number: int) -> None:
-        """An acknowledgement of that round is sent now."""
+        """Records that an acknowledgement of the round `number` is sent now."""
         if epoch != self.epoch:
             self.epoch = epoch
             self.rounds.clear()
@@ -44,8 +44,9 @@
             self.rounds.append(AcknowledgedRound(number, now))
 
     def sent_after(self, epoch: int, number: int) -> float:
-        """A heartbeat of this epoch that names this round as acknowledged was sent after that time; `NEVER`
-        if nothing is known.
+        """Returns a time after which a heartbeat that names the round `number` as acknowledged was sent.
+
+        `NEVER` if no bound is known.
         """
         if epoch != self.epoch:
             return NEVER
@@ -54,5 +55,5 @@
     def check_invariants(self) -> None:
         """Raises AssertionError if an attribute contradicts another."""
         kept = list(self.rounds)
-        assert kept == sorted(kept, key=lambda each: each.number), "rounds out of order"
-        assert kept == sorted(kept, key=lambda each: each.at), "times out of order"
+        assert kept == sorted(kept, key=lambda each: each.number), "round numbers out of order"
+        assert kept == sorted(kept, key=lambda each: each.at), "acknowledgement times out of order"
--- a/shedgrade/replication/change_index.py
+++ b/shedgrade/replication/change_index.py
@@ -1,7 +1,7 @@
-"""Which keys changed after a position of the log, in memory bounded by the number of keys.
+"""Index of the keys that changed after a log position, in memory bounded by the number of keys.
 
-For each key the position of its last change, ordered by it, as the modification revision of etcd's keys. The
-difference between a position and the present state then holds each key once, however often it was rewritten.
+It holds the position of the last change of each key, like the modification revision of a key in etcd. The
+difference between a position and the current state thus holds each key once, however often it was rewritten.
 """
 
 from __future__ import annotations
@@ -11,12 +11,12 @@
 
 from shedgrade.replication.messages import Changes, LogPosition
 
-MAX_KEYS = 16_384  # beyond it the oldest are forgotten: who lags behind those gets the whole state
+MAX_KEYS = 16_384  # beyond it the oldest are dropped: a replica that lags further receives the whole state
 MAX_EPOCHS = 1_024
 
 
 class EpochRange(NamedTuple):
-    """The changes of one epoch that are part of the log: their first and last sequence."""
+    """The changes of one epoch that are part of the log: first and last sequence number."""
 
     epoch: int
     first: int
@@ -24,27 +24,28 @@
 
 
 class ChangeIndex:
-    """Positions of the log, and of the last change of each key.
+    """Positions of the log, and the position of the last change of each key.
 
-    `floor`: the oldest position whose changes since are all known. `last`: the newest position.
-    `epochs`: the log from `floor` on, oldest first, so that a position which is not part of the log is
-    distinguished from one that is; at most `MAX_EPOCHS`.
-    `changed`: the position of the last change by key, ordered by it; at most `MAX_KEYS`.
+    `floor`: the oldest position after which all changes are known.
+    `last`: the newest position.
+    `epochs`: ranges of the log from `floor` on, oldest first, at most `MAX_EPOCHS`. They tell positions that
+    are part of the log from those that are not.
+    `changed`: position of the last change by key, ordered by position; at most `MAX_KEYS`.
     """
 
     def __init__(self, position: LogPosition) -> None:
-        """A log that begins at this position."""
+        """`position`: the first position of the log."""
         self.reset(position)
 
     def reset(self, position: LogPosition) -> None:
-        """Nothing is known but that the log has this position."""
+        """Drops all that is known, except that `position` is part of the log."""
         self.floor = position
         self.last = position
         self.epochs: deque[EpochRange] = deque([EpochRange(*position, position[1])])
         self.changed: dict[str, LogPosition] = {}
 
     def note(self, base: LogPosition, position: LogPosition, changes: Changes) -> None:
-        """`changes` lead from `base` to `position`."""
+        """Records that `changes` lead from `base` to `position`."""
         if base != self.last:
             self.reset(base)
         self.last = position
@@ -59,7 +60,7 @@
         self.forget()
 
     def forget(self) -> None:
-        """Drop the oldest keys and epochs beyond the bounds: the floor rises."""
+        """Drops the oldest keys and epochs beyond the bounds, and raises `floor` accordingly."""
         while len(self.changed) > MAX_KEYS:
             self.floor = max(self.floor, self.changed.pop(next(iter(self.changed))))
         while len(self.epochs) > MAX_EPOCHS:
@@ -74,9 +75,9 @@
         )
 
     def since(self, base: LogPosition, state: dict[str, bytes]) -> Changes | None:
-        """What leads from `base` to `state`, whose position is not before `base`; None if that is not known.
+        """Returns the changes from `base` to `state`, whose position is not before `base`; None if unknown.
 
-        It leads there from each position between the two as well.
+        They also lead to `state` from each position between the two.
         """
         if base < self.floor or not self.has(base):
             return None
--- a/shedgrade/replication/chunking.py
+++ b/shedgrade/replication/chunking.py
@@ -1,7 +1,7 @@
-"""Big messages go in chunks, a few at a time: heartbeats pass between them.
+"""Sends long messages in chunks, a few at a time, so that heartbeats can pass between them.
 
-One message at a time is under way to each address, with a window of unacknowledged chunks that grows and
-shrinks as in TCP Vegas (Brakmo and Peterson, 1995); round trips are measured by Karn's algorithm.
+One message at a time is in transit to each address, with a window of unacknowledged chunks that grows and
+shrinks as in TCP Vegas (Brakmo and Peterson, 1995). Round trips are measured by Karn's algorithm.
 """
 
 from __future__ import annotations
@@ -17,12 +17,12 @@
 from shedgrade.replication.timing import Timing
 
 CHUNK_BYTES = 32_768
-MIN_WINDOW = 4  # chunks under way
-MAX_WINDOW = 32  # on a link that is long and wide
-MAX_QUEUEING_S = 0.05  # over the shortest round trip known: what lies in queues holds up heartbeats
-TRANSFER_TIMEOUT_S = 3.0  # without progress the transfer is given up
-MAX_RESEND_INTERVAL_S = 2.0  # the interval doubles up to it
-MAX_PARTIAL_TRANSFERS = 3  # from one sender; the oldest is forgotten for a further one
+MIN_WINDOW = 4  # chunks in transit
+MAX_WINDOW = 32  # chunks in transit, on a link of long delay and high bandwidth
+MAX_QUEUEING_S = 0.05  # queueing delay above the shortest round trip; queued chunks delay heartbeats
+TRANSFER_TIMEOUT_S = 3.0  # a transfer without progress for this long is abandoned
+MAX_RESEND_INTERVAL_S = 2.0  # upper bound of the exponential backoff
+MAX_PARTIAL_TRANSFERS = 3  # incomplete transfers kept per sender; a further one replaces the oldest
 _encode = msgspec.msgpack.encode
 
 LongMessage = m.Replicate | m.Install | m.CatchUp | m.Transfer
@@ -30,7 +30,7 @@
 
 
 class Subject(NamedTuple):
-    """What a message is about. One with the same subject that is under way is not sent a second time."""
+    """Identifies the content of a message. A message with the same subject as a queued one is not queued."""
 
     kind: type
     position: m.LogPosition
@@ -38,17 +38,17 @@
 
 
 class Sender(Protocol):
-    """Sends single messages, unchunked."""
+    """Sends single messages without chunking."""
 
     random: Random
     timing: Timing
 
     def emit(self, address: str, message: m.Message) -> None:
-        """To one link address."""
+        """Sends a message to one link address."""
 
 
 def subject(message: LongMessage) -> Subject:
-    """Of a message that may go in chunks."""
+    """Returns the subject of a message that may be sent in chunks."""
     if isinstance(message, m.Replicate):
         return Subject(m.Replicate, m.LogPosition(message.epoch, message.sequence), 0)
     if isinstance(message, m.Install):
@@ -58,14 +58,19 @@
 
 
 class OutgoingTransfer:
-    """One message on its way. Times are seconds of the steady clock.
-
-    `message`, `subject`, `id`: what is sent. `body`: encoded, empty before its turn; `count`: of its chunks.
-    `next`: the first chunk that the receiver lacks; `sent`: the next one to be sent, at least `next`;
-    `highest_sent`: how many went at least once. Invariant: `next` <= `sent` <= `count`.
-    `window`: how many may be unacknowledged. `sent_at`: of chunks that went once and are not acknowledged.
-    `resend_at`: without an ack a chunk goes again then, and after `resend_after_s` again.
-    `progress_at`: when an ack last said something new.
+    """One message in transit. Times are seconds of the steady clock.
+
+    `message`, `subject`, `id`: the message, what it is about, and the number of the transfer.
+    `body`: the encoded message, None until the transfer begins.
+    `count`: number of chunks of `body`.
+    `next`: index of the first chunk that the receiver lacks.
+    `sent`: index of the next chunk to be sent. Invariant: `next` <= `sent` <= `count`.
+    `highest_sent`: number of chunks that were sent at least once.
+    `window`: maximum number of unacknowledged chunks.
+    `sent_at`: when each chunk was sent, for chunks sent exactly once and not acknowledged.
+    `resend_at`: when a chunk is sent again, if no ack arrives before.
+    `resend_after_s`: the wait for the ack of that chunk, in seconds.
+    `progress_at`: when an ack last acknowledged something new.
     """
 
     __slots__ = (
@@ -85,7 +90,7 @@
     )
 
     def __init__(self, message: LongMessage, transfer_id: int) -> None:
-        """Nothing is encoded or sent yet."""
+        """Encodes and sends nothing yet."""
         self.message = message
         self.subject = subject(message)
         self.id = transfer_id
@@ -101,17 +106,17 @@
         self.progress_at = 0.0
 
     def begin(self, now: float, resend_after_s: float) -> None:
-        """It is this message's turn."""
+        """Encodes the message when the transfers before it have ended."""
         self.body = memoryview(_encode(self.message))
         self.count = -(-len(self.body) // CHUNK_BYTES)
         self.progress_at = now
         self.resend_after_s = resend_after_s
 
     def take_chunk(self, now: float) -> m.Chunk:
-        """The next chunk to be sent."""
+        """Returns the next chunk to be sent."""
         assert self.body is not None
         index, start = self.sent, self.sent * CHUNK_BYTES
-        if index < self.highest_sent:  # sent again: its ack may be of either, and measures nothing
+        if index < self.highest_sent:  # sent again: its ack may be of either copy, so it is not measured
             self.sent_at.pop(index, None)
         else:
             self.sent_at[index] = now
@@ -120,7 +125,7 @@
         return m.Chunk(self.id, index, self.count, bytes(self.body[start : start + CHUNK_BYTES]))
 
     def note_progress(self, now: float, acknowledged: int, resend_after_s: float) -> None:
-        """The receiver has all chunks before `acknowledged`; 0: it was started anew, and has none."""
+        """Records that the receiver has all chunks before `acknowledged`; 0 if it restarted and has none."""
         self.sent = max(self.sent, acknowledged) if acknowledged > self.next else acknowledged
         self.next = acknowledged
         self.progress_at = now
@@ -128,46 +133,47 @@
 
 
 class ChunkedTransfers:
-    """Long messages of one member, both ways.
+    """Chunked transfers of one member, in both directions.
 
-    `queues`: by address, the message under way first, the others behind it in order; none is empty.
-    `incoming`: by sender and transfer, the chunks that are here by index; empty bodies once it is complete.
-    `round_trips`: by address, the shortest of a chunk in seconds.
+    `queues`: by address, the message in transit and those queued behind it, in order; none is empty.
+    `incoming`: by sender and transfer, the chunks received by index; their bodies are empty once the message
+    is complete.
+    `round_trips`: by address, the shortest round trip of a chunk in seconds.
     """
 
     def __init__(self, sender: Sender) -> None:
-        """`sender` takes each chunk."""
+        """`sender`: sends each chunk."""
         self.sender = sender
         self.queues: dict[str, deque[OutgoingTransfer]] = {}
         self.incoming: dict[str, dict[int, dict[int, bytes]]] = {}
         self.round_trips: dict[str, float] = {}
         self.decoder: msgspec.msgpack.Decoder[m.Message] | None = None
 
-    # --- out
+    # --- outgoing
 
     def needs_chunking(self, to: str, message: m.Message) -> bool:
-        """Whether it is long; or a write behind a long one, which must not overtake."""
+        """Whether the message is long, or a write that must not overtake a long message."""
         if isinstance(message, m.Replicate) and to in self.queues:
             return True
         return isinstance(message, CHUNKED_KINDS) and size(message.changes) > CHUNK_BYTES
 
     def send(self, now: float, to: str, message: m.Message) -> None:
-        """Queue a message for which `needs_chunking` is true."""
+        """Queues a message for which `needs_chunking` is true."""
         assert isinstance(message, CHUNKED_KINDS)
         queue = self.queues.setdefault(to, deque())
         about = subject(message)
         if any(each.subject == about for each in queue):
             return
-        if about.kind is m.CatchUp:  # one under way, and the newest one behind it
+        if about.kind is m.CatchUp:  # keep the one in transit, and only the newest one behind it
             self.remove_catch_ups(queue, first=1)
-        if about.kind is m.Install:  # it has all that the transfers before it were to bring
+        if about.kind is m.Install:  # contains all that the queued transfers would bring
             queue.clear()
         queue.append(OutgoingTransfer(message, self.sender.random.getrandbits(62)))
         if len(queue) == 1:
             self.begin(now, to, queue[0])
 
     def cancel_state(self, now: float, to: str) -> None:
-        """Committed state on its way there is of no use: the receiver was started anew."""
+        """Removes committed state from the queue: the receiver restarted and cannot use it."""
         queue = self.queues.get(to)
         if queue is None:
             return
@@ -179,24 +185,24 @@
             self.begin(now, to, queue[0])
 
     def remove_catch_ups(self, queue: deque[OutgoingTransfer], first: int = 0) -> None:
-        """Committed state out of a queue, from the entry with this index on."""
+        """Removes committed state from a queue, from the entry with index `first` on."""
         kept = [each for at, each in enumerate(queue) if at < first or each.subject.kind is not m.CatchUp]
         queue.clear()
         queue.extend(kept)
 
     def begin(self, now: float, to: str, transfer: OutgoingTransfer) -> None:
-        """The first chunks of the message whose turn it is."""
+        """Begins a transfer and sends its first chunks."""
         transfer.begin(now, self.sender.timing.resend_interval_s)
         self.push(now, to, transfer)
 
     def push(self, now: float, to: str, transfer: OutgoingTransfer) -> None:
-        """As many chunks as the window lets through."""
+        """Sends as many chunks as the window allows."""
         transfer.resend_at = now + transfer.resend_after_s
         while transfer.sent < min(transfer.count, transfer.next + transfer.window):
             self.sender.emit(to, transfer.take_chunk(now))
 
     def on_chunk_ack(self, now: float, sender: str, ack: m.ChunkAck) -> None:
-        """The receiver tells what it lacks."""
+        """Sends the chunks that the ack makes room for, or begins the next transfer."""
         queue = self.queues.get(sender)
         if not queue or queue[0].id != ack.id:
             return
@@ -209,7 +215,7 @@
             self.push(now, sender, transfer)
 
     def measure(self, now: float, to: str, transfer: OutgoingTransfer, acknowledged: int) -> None:
-        """The window grows by what is acknowledged while round trips stay short."""
+        """Grows the window by the chunks acknowledged while round trips are short, else shrinks it by one."""
         sent_at = transfer.sent_at.get(acknowledged - 1)
         if sent_at is None:
             return
@@ -223,7 +229,7 @@
             transfer.sent_at.pop(index, None)
 
     def end(self, now: float, to: str) -> None:
-        """The receiver has the message: the next one begins."""
+        """Ends a transfer that the receiver has completely, and begins the next one."""
         queue = self.queues[to]
         queue.popleft()
         if queue:
@@ -231,10 +237,10 @@
         else:
             del self.queues[to]
 
-    # --- in
+    # --- incoming
 
     def on_chunk(self, now: float, sender: str, chunk: m.Chunk) -> m.Message | None:
-        """The whole message when this was the last chunk of it, else None."""
+        """Acknowledges a chunk. Returns the whole message if this chunk completes it, else None."""
         parts = self.parts_of(sender, chunk.id)
         if len(parts) < chunk.count:
             parts[chunk.index] = chunk.body
@@ -243,17 +249,17 @@
         if missing < chunk.count or not any(parts.values()):
             return None
         body = b"".join(parts[index] for index in range(chunk.count))
-        parts.update(dict.fromkeys(parts, b""))  # a chunk that comes twice is acked, and handled once
+        parts.update(dict.fromkeys(parts, b""))  # acknowledge duplicates, but return the message only once
         if self.decoder is None:
             self.decoder = msgspec.msgpack.Decoder(m.Message)
         return self.decoder.decode(body)
 
     def parts_of(self, sender: str, transfer_id: int) -> dict[int, bytes]:
-        """The chunks of a transfer that are here."""
+        """Returns the chunks received of a transfer, by index."""
         known = self.incoming.setdefault(sender, {})
         parts = known.get(transfer_id)
         if parts is None:
-            # several are kept: late chunks of an older transfer must not drop the one under way
+            # several transfers are kept, so that late chunks of an older one don't drop the current one
             if len(known) >= MAX_PARTIAL_TRANSFERS:
                 del known[next(iter(known))]
             parts = known[transfer_id] = {}
@@ -262,18 +268,18 @@
     # --- time
 
     def tick(self, now: float) -> None:
-        """Give up what makes no progress, probe what was not acknowledged."""
+        """Abandons transfers without progress, and sends a probe chunk for those without an ack."""
         for to, queue in list(self.queues.items()):
             transfer = queue[0]
             if now - transfer.progress_at >= TRANSFER_TIMEOUT_S:
-                del self.queues[to]  # whoever wants it there sends it again
+                del self.queues[to]  # the message is sent again if the receiver still lacks it
             elif now >= transfer.resend_at:
                 transfer.window = MIN_WINDOW
                 transfer.sent = transfer.next
                 transfer.resend_after_s = min(2 * transfer.resend_after_s, MAX_RESEND_INTERVAL_S)
                 transfer.resend_at = now + transfer.resend_after_s
-                self.sender.emit(to, transfer.take_chunk(now))  # a probe: the rest follows its ack
+                self.sender.emit(to, transfer.take_chunk(now))  # a probe; the rest follows once it is acked
 
     def wake_at(self) -> float:
-        """When `tick` has something to do."""
+        """Returns when `tick` has something to do."""
         return min((queue[0].resend_at for queue in self.queues.values()), default=float("inf"))
--- a/shedgrade/replication/command_pipeline.py
+++ b/shedgrade/replication/command_pipeline.py
@@ -1,4 +1,4 @@
-"""The primary's commands and reads: decide, write to all holders, commit, answer."""
+"""The primary's pipeline of commands and reads: decide, write to all holders, commit, answer."""
 
 from __future__ import annotations
 
@@ -13,13 +13,13 @@
 if TYPE_CHECKING:
     from shedgrade.replication.primary import Primary
 
-MAX_IN_FLIGHT_BYTES = 256 * 1024  # no further write is begun while those not committed have as many
-QUEUED_TIMEOUTS = 2  # a command waits for room so many times `request_timeout_s`
-REPLY_TIMEOUTS = 3  # and one that was begun, or a read, so many times
+MAX_IN_FLIGHT_BYTES = 256 * 1024  # no further write begins while uncommitted ones have this size
+QUEUED_TIMEOUTS = 2  # maximum time of a command in the queue, in multiples of `request_timeout_s`
+REPLY_TIMEOUTS = 3  # maximum time of a decided command or a read, in multiples of `request_timeout_s`
 
 
 class DecidedCommand(NamedTuple):
-    """A command and what `decide` made of it."""
+    """A command and the result of `decide` for it."""
 
     ticket: int
     decision: Decision
@@ -30,13 +30,14 @@
 
     `queue`: commands that wait for room, or for the end of an election of this process; oldest first.
     `in_flight`: changes of this epoch that are not committed. Invariant while the primary is active: their
-    sequences follow on one another and end at the log position.
-    `replies`: what is to be answered, in the order of its sequences and rounds.
-    `own_durable_sequence`: the newest change of this epoch on the own disk.
+    sequence numbers are consecutive and end at the log position.
+    `replies`: decided commands and reads that wait for an answer, in the order of their sequence numbers and
+    rounds.
+    `own_durable_sequence`: the newest change of this epoch on this process's disk.
     """
 
     def __init__(self, primary: Primary) -> None:
-        """Of the primary's role of one member."""
+        """`primary`: the primary role of this member."""
         self.primary = primary
         self.member = primary.member
         self.queue: deque[QueuedCommand] = deque()
@@ -45,12 +46,15 @@
         self.own_durable_sequence = -1
 
     def begin_epoch(self) -> None:
-        """The log as it stands is committed; nothing else is in flight."""
+        """Resets the pipeline for a new epoch, in which the log as it stands is committed."""
         self.own_durable_sequence = self.member.replica.log_position.sequence
         self.in_flight.clear()
 
     def abandon(self, now: float) -> None:
-        """Another primary decides now. What was written may be committed by it: its outcome is unknown."""
+        """Gives up all commands and reads, since another primary decides now.
+
+        It may commit writes made here, so the outcome of decided commands is unknown.
+        """
         self.in_flight.clear()
         replies, self.replies = self.replies, deque()
         queue, self.queue = self.queue, deque()
@@ -63,19 +67,19 @@
     # --- commands and reads
 
     def submit(self, now: float, ticket: int, request: object) -> None:
-        """Decide it as soon as there is room."""
+        """Queues a command, which is decided as soon as there is room."""
         self.queue.append(QueuedCommand(now, ticket, request))
         self.advance_queue(now)
 
     def read(self, now: float, ticket: int) -> None:
-        """Answer with the committed state once all holders confirm a round that begins now."""
+        """Answers with the committed state once all holders confirm a round that begins now."""
         sequence = self.member.replica.log_position.sequence
         read_index_round = self.primary.start_read_index_round(now)
         self.replies.append(PendingReply(ticket, None, sequence, read_index_round, True, now))
         self.answer(now)
 
     def advance_queue(self, now: float) -> None:
-        """Decide what waits, all of it as one write, while there is room."""
+        """Decides all commands in the queue as one write, while there is room."""
         member, replica = self.member, self.member.replica
         while self.primary.may_process_commands(now) and self.queue and self.has_room():
             changes: Changes = {}
@@ -92,14 +96,19 @@
         self.answer(now)
 
     def has_room(self) -> bool:
-        """Commands behind long writes wait and become one write: a key that they all change is sent once."""
+        """Whether a further write may begin.
+
+        Commands queued behind long writes become one write, so a key that they all change is sent once.
+        """
         if len(self.in_flight) >= self.member.MAX_WRITES_IN_FLIGHT:
             return False
         return sum(size(write.changes) for write in self.in_flight) < MAX_IN_FLIGHT_BYTES
 
     def write(self, now: float, changes: Changes, decided: list[DecidedCommand]) -> None:
-        """Append the changes, and answer the commands once they are committed; without changes, once a round
-        confirms that what they were decided on is the newest.
+        """Appends the changes, and queues the answers until they are committed.
+
+        Without changes the answers wait until a round confirms that the commands were decided on the newest
+        state.
         """
         member, replica = self.member, self.member.replica
         sequence = replica.log_position.sequence + (1 if changes else 0)
@@ -121,7 +130,7 @@
     # --- replication and commit
 
     def replicate(self, now: float, follower: Follower, sequence: int, changes: Changes) -> None:
-        """Send one change to a holder."""
+        """Sends one change to a holder."""
         timing = self.member.timing
         follower.sent_sequence = max(follower.sent_sequence, sequence)
         follower.resend_at = now + (timing.resend_interval_s + size(changes) / timing.bytes_per_second)
@@ -129,19 +138,19 @@
         self.member.send(follower.address, Replicate(self.primary.epoch, sequence, committed, changes))
 
     def resend(self, now: float, follower: Follower) -> None:
-        """All that the holder has not received."""
+        """Sends again all changes that the holder has not received."""
         for write in self.in_flight:
             if write.sequence > follower.received_sequence:
                 self.replicate(now, follower, write.sequence, write.changes)
 
     def on_own_write_durable(self, now: float, epoch: int, sequence: int) -> None:
-        """A change is on the own disk."""
+        """Records that a change is on this process's disk."""
         if self.primary.active and epoch == self.primary.epoch:
             self.own_durable_sequence = max(self.own_durable_sequence, sequence)
             self.advance_commit(now)
 
     def advance_commit(self, now: float) -> None:
-        """What all holders have synced is committed."""
+        """Commits the changes that all holders have synced."""
         primary = self.primary
         durable = [primary.followers[each].durable_sequence for each in primary.holders]
         done = min([self.own_durable_sequence, *durable])
@@ -158,7 +167,7 @@
     # --- answers
 
     def answer(self, now: float) -> None:
-        """Answer what is committed, and confirmed by a round."""
+        """Answers commands and reads that are committed and confirmed by a round."""
         primary, replica = self.primary, self.member.replica
         if not primary.active:
             return
@@ -176,7 +185,7 @@
             self.member.effects.append(Answer(reply.ticket, outcome))
 
     def expire(self, now: float) -> None:
-        """No command or read waits for ever."""
+        """Answers commands and reads that have waited too long."""
         timeout_s = self.member.timing.request_timeout_s
         while self.queue and now - self.queue[0].since >= QUEUED_TIMEOUTS * timeout_s:
             self.member.effects.append(Answer(self.queue.popleft().ticket, Unavailable()))
@@ -188,11 +197,11 @@
     # --- time
 
     def wake_at(self, now: float) -> float:
-        """When a write that is in flight becomes late."""
+        """Returns when the next write in flight becomes late."""
         return min((write.late_at for write in self.in_flight if write.late_at > now), default=float("inf"))
 
     def queue_wake_at(self) -> float:
-        """When the oldest command in the queue expires."""
+        """Returns when the oldest command in the queue expires."""
         if not self.queue:
             return float("inf")
         return self.queue[0].since + QUEUED_TIMEOUTS * self.member.timing.request_timeout_s
@@ -204,6 +213,4 @@
         sequences = [write.sequence for write in self.in_flight]
         last = self.member.replica.log_position.sequence
         assert sequences == list(range(last - len(sequences) + 1, last + 1)), "a gap in the writes in flight"
-        assert len(sequences) <= self.member.MAX_WRITES_IN_FLIGHT, (
-            "more writes in flight than the pipeline has"
-        )
+        assert len(sequences) <= self.member.MAX_WRITES_IN_FLIGHT, "too many writes in flight"
--- a/shedgrade/replication/disk_writer.py
+++ b/shedgrade/replication/disk_writer.py
@@ -1,4 +1,4 @@
-"""A member's writes: one open at a time, the rest gathered into the next; a refused one is tried again."""
+"""Disk writes of a member: one at a time, later ones merged into the next; a failed write is retried."""
 
 from __future__ import annotations
 
@@ -8,18 +8,18 @@
 from shedgrade.replication.effects import Instruction, Persist
 from shedgrade.replication.messages import Changes
 
-DurableCallback = Callable[[float], None]  # called with the time at which the changes were durable
+DurableCallback = Callable[[float], None]  # called with the time at which the changes became durable
 
 
 class QueuedWrite(NamedTuple):
-    """Changes that wait for the disk, and whom to notify when they are durable."""
+    """Changes that wait for the disk, and the callback to run when they are durable."""
 
     changes: Changes
     on_durable: DurableCallback | None
 
 
 class OpenWrite(NamedTuple):
-    """What was handed to the caller as one `Persist`."""
+    """The changes handed to the caller as one `Persist`, and the callbacks to run when they are durable."""
 
     token: int
     changes: Changes
@@ -27,21 +27,26 @@
 
 
 class DiskWriter:
-    """Queue before the disk. Callbacks run with the time, in order, once their changes are durable.
-
-    One write at a time: of two open ones the second might succeed after the first was refused, and the disk
-    would claim a position in the log whose changes it lacks.
-
-    `in_flight`: the write that the caller was asked for and has not answered, None if there is none.
-    `queue`: what was saved since, in order. Invariant: empty unless a write is open or the last one was
-    refused.
-    `started_at`: when the open write was handed out.
-    `refused`: whether the last answer was a refusal; `retry_at`: no write is begun before.
-    `token`: of the newest `Persist`; grows by one with each.
+    """Queue of disk writes. Callbacks run in order, once their changes are durable.
+
+    Only one write is outstanding: of two, the second might succeed after the first failed, and the disk would
+    then hold a log position without the changes before it.
+
+    `in_flight`: the outstanding write, None if there is none.
+    `queue`: changes saved since, in order. Invariant: empty unless a write is outstanding or the last one
+    failed.
+    `started_at`: when the outstanding write was handed out, in seconds of the steady clock.
+    `refused`: whether the last write failed.
+    `retry_at`: no write begins before that time.
+    `token`: token of the newest `Persist`; increases by one with each.
     """
 
     def __init__(self, effects: list[Instruction], timeout_s: float, retry_interval_s: float) -> None:
-        """`timeout_s`: a disk that takes longer is unhealthy; `retry_interval_s`: after a refused write."""
+        """`effects`: receives the `Persist` instructions.
+
+        `timeout_s`: a disk that takes longer for a write is unhealthy.
+        `retry_interval_s`: wait after a failed write.
+        """
         self.effects = effects
         self.timeout_s = timeout_s
         self.retry_interval_s = retry_interval_s
@@ -53,16 +58,16 @@
         self.token = 0
 
     def is_healthy(self, now: float) -> bool:
-        """False while the disk refuses writes or has not answered for `timeout_s`."""
+        """Whether the last write succeeded and the outstanding one, if any, is younger than `timeout_s`."""
         return not self.refused and (self.in_flight is None or now - self.started_at < self.timeout_s)
 
     def save(self, now: float, changes: Changes, on_durable: DurableCallback | None = None) -> None:
-        """Write the changes after all that was saved before."""
+        """Writes the changes after all that were saved before, and then calls `on_durable`."""
         self.queue.append(QueuedWrite(changes, on_durable))
         self.pump(now)
 
     def pump(self, now: float) -> None:
-        """Begin the next write if none is open and there is something to write."""
+        """Begins the next write if none is outstanding and changes are queued."""
         if self.in_flight or not self.queue or now < self.retry_at:
             return
         merged: Changes = {}
@@ -76,7 +81,7 @@
         self.effects.append(Persist(self.token, merged))
 
     def persisted(self, now: float, token: int, ok: bool) -> None:
-        """The caller's answer to the `Persist` with this token; another token's is ignored."""
+        """Handles the caller's result of the `Persist` with this token; results of others are ignored."""
         write = self.in_flight
         if write is None or token != write.token:
             return
@@ -89,13 +94,13 @@
 
         if ok:
             call_all(now)
-        else:  # a full disk: nothing is said of these changes before a later write holds them
+        else:  # the disk may be full: no callback runs until a later write includes these changes
             self.queue.insert(0, QueuedWrite(write.changes, call_all))
             self.retry_at = now + self.retry_interval_s
         self.pump(now)
 
     def wake_at(self, now: float) -> float:
-        """When `pump` or `is_healthy` may say something new."""
+        """Returns when `pump` has something to do, or the result of `is_healthy` may change."""
         if self.in_flight:
             late = self.started_at + self.timeout_s
             return late if late > now else float("inf")
@@ -103,5 +108,5 @@
 
     def check_invariants(self) -> None:
         """Raises AssertionError if an attribute contradicts another."""
-        assert self.in_flight is None or self.in_flight.token == self.token, "an older write is open"
-        assert not self.queue or self.in_flight or self.refused, "changes wait for nothing"
+        assert self.in_flight is None or self.in_flight.token == self.token, "an older write is outstanding"
+        assert not self.queue or self.in_flight or self.refused, "changes are queued but no write is due"
--- a/shedgrade/replication/graceful_leave.py
+++ b/shedgrade/replication/graceful_leave.py
@@ -1,9 +1,8 @@
-"""A planned end: a member that leaves goes on serving until the primary grants its leave.
+"""Planned exit: a member that leaves keeps serving until the primary grants its leave.
 
-The primary grants it once the holders of its epoch, the leaving member not counted, are a majority of the
-members, at least t, and have confirmed a round that began after the request. A primary that leaves hands
-over once that many others have confirmed such a round: its successor then makes an epoch that does without
-it.
+The primary grants it once the holders of its epoch without the leaving member are a majority of the members,
+at least t, and have confirmed a round that began after the request. A primary that leaves hands over once as
+many other members have confirmed such a round: its successor then forms an epoch without it.
 """
 
 from __future__ import annotations
@@ -25,20 +24,21 @@
 class GracefulLeave:
     """The leaving member's side. Times are seconds of the steady clock.
 
-    `requested`: whether the process was asked to end; never taken back.
-    `deadline`: it ends then, granted or not, since it would be killed. Meaningless before.
-    `draining`: a primary takes no more commands, since it is about to hand over.
+    `requested`: whether the process was asked to exit; never reset.
+    `draining`: whether this process, as primary, accepts no more commands because it is about to hand over.
+    `deadline`: when the process exits even without a grant, since it would be killed later. Valid only once
+    `requested` is set.
     """
 
     def __init__(self, member: Member) -> None:
-        """Of the member that may leave."""
+        """`member`: the member that may leave."""
         self.member = member
         self.requested = False
         self.draining = False
         self.deadline = 0.0
 
     def request(self, now: float, timeout_s: float) -> None:
-        """Ask for leave, and end after `timeout_s` at the latest."""
+        """Requests leave. The process exits after `timeout_s` at the latest."""
         member = self.member
         if self.requested:
             return
@@ -51,7 +51,7 @@
             member.acceptor.send_ack(now, primary, member.epoch, 0)
 
     def tick(self, now: float) -> None:
-        """Ends the process when it may go, or must."""
+        """Exits if the leave is granted or not needed, or if the deadline has passed."""
         member = self.member
         if not self.requested or member.stopped:
             return
@@ -64,10 +64,10 @@
         elif not member.candidate.phase:
             self.draining = False
             if not member.is_voter() or not member.epoch:
-                self.stop(now)  # it holds nothing that counts
+                self.stop(now)  # it neither votes nor holds state that is needed
 
     def tick_as_primary(self, now: float) -> None:
-        """Hand over as soon as those who stay can do without this process."""
+        """Hands over once the members that stay can form an epoch without this process."""
         member, primary = self.member, self.member.primary_role
         is_alone = len(member.members) == 1
         if not is_alone and primary.leave_requests.all_leave(now):
@@ -84,8 +84,9 @@
                 primary.supervision.hand_over(now)
 
     def on_leave_granted(self, now: float, sender: str, granted: LeaveGranted) -> None:
-        """The primary of the newest epoch lets this member go. A grant from before a newer promise is void:
-        this member may have been chosen as a holder since.
+        """Exits if the primary of the newest epoch granted the leave.
+
+        A grant older than a newer promise is void: this member may have been chosen as a holder since.
         """
         member, replica = self.member, self.member.replica
         is_current = replica.promised_epoch.number <= granted.epoch >= member.epoch
@@ -93,7 +94,7 @@
             self.stop(now)
 
     def stop(self, now: float) -> None:
-        """The process may end: whoever still waits is answered."""
+        """Steps down, answers all pending requests, and emits `Exit`."""
         member = self.member
         member.stopped = True
         member.step_down(now)
@@ -105,28 +106,31 @@
 
 
 class LeaveRequests:
-    """The primary's side, for the length of one epoch. Times are seconds of the steady clock.
+    """The primary's side, for one epoch. Times are seconds of the steady clock.
 
-    `rounds`: by leaving member, the round that must be confirmed before it may go.
-    `requested_at`: when its request was first heard in this epoch; `granted_at`: when it was last notified
-    that it may go.
+    `rounds`: by leaving member, the round that must be confirmed before its leave is granted.
+    `requested_at`: by leaving member, when its request was first received in this epoch.
+    `granted_at`: by leaving member, when a grant was last sent to it.
     """
 
     def __init__(self, primary: Primary) -> None:
-        """Of the primary's role of one member."""
+        """`primary`: the primary role of this member."""
         self.primary = primary
         self.rounds: dict[int, int] = {}
         self.requested_at: dict[int, float] = {}
         self.granted_at: dict[int, float] = {}
 
     def begin(self, leaving: frozenset[int]) -> None:
-        """A new epoch. Its installation confirms that the holders stay with those who asked before it."""
+        """Begins an epoch. `leaving`: members that asked before it; their round needs no confirmation.
+
+        The installation of the epoch already confirms its holders.
+        """
         self.rounds = dict.fromkeys(leaving, 0)
         self.requested_at = {}
         self.granted_at = {}
 
     def followers_confirming(self, now: float, leaver: int) -> list[Follower]:
-        """Followers that are members and have confirmed a round since `leaver` asked for its leave."""
+        """Returns the followers that are members and have confirmed a round since `leaver` asked to leave."""
         primary, replica = self.primary, self.primary.member.replica
         if leaver not in self.rounds:
             self.rounds[leaver] = primary.start_member_round(now)
@@ -141,18 +145,18 @@
         ]
 
     def needed(self) -> int:
-        """How many must stay: a majority, and at least t."""
+        """Returns how many members must stay: a majority, and at least t."""
         member = self.primary.member
         return max(majority(member.members), member.tolerated)
 
     def enough_stay(self, now: float) -> bool:
-        """Whether the others can make an epoch without this process."""
+        """Whether the other members can form an epoch without this process."""
         supervision, own = self.primary.supervision, self.primary.member.replica.incarnation
         confirming = self.followers_confirming(now, own)
         return sum(supervision.is_eligible(now, each) for each in confirming) >= self.needed()
 
     def all_leave(self, now: float) -> bool:
-        """The whole core is asked to end: nobody could take over, whatever is waited for."""
+        """Whether all other members ask to leave too, so that waiting for a successor is useless."""
         primary, replica = self.primary, self.primary.member.replica
         others = [
             primary.followers.get(peer.incarnation)
@@ -165,13 +169,13 @@
         )
 
     def grant_all(self, now: float) -> None:
-        """Let all go that asked."""
+        """Grants the leave of all followers that asked for it."""
         for follower in self.primary.followers.values():
             if follower.is_leaving:
                 self.grant(now, follower)
 
     def tick(self, now: float) -> None:
-        """Grant what may be granted."""
+        """Grants the leaves that may be granted, and sends unanswered grants again."""
         primary = self.primary
         if not primary.active:
             return
@@ -186,7 +190,7 @@
                 self.grant(now, follower)
 
     def may_go(self, now: float, leaver: int) -> bool:
-        """Whether the other holders, who all confirm the epoch after the request, do without the leaver."""
+        """Whether the other holders suffice without the leaver, and confirmed a round after its request."""
         confirmed = {each.incarnation for each in self.followers_confirming(now, leaver)}
         delay_s = self.primary.member.timing.leave_grant_delay_s
         if now < self.requested_at.get(leaver, NEVER) + delay_s:
@@ -195,11 +199,11 @@
         return confirmed.issuperset(others) and 1 + len(others) >= self.needed()
 
     def wake_at(self, ticked_at: float) -> float:
-        """Soon after the last tick while a request is open."""
+        """Returns the next time to check, soon after the last tick, while a request is not granted."""
         waits = any(leaver not in self.granted_at for leaver in self.rounds)
         return ticked_at + self.primary.member.timing.leave_grant_delay_s / 2 if waits else float("inf")
 
     def grant(self, now: float, follower: Follower) -> None:
-        """Tell a member that it may go."""
+        """Tells a member that it may leave."""
         self.granted_at[follower.incarnation] = now
         self.primary.member.send(follower.address, LeaveGranted(self.primary.epoch))
--- a/shedgrade/replication/holder_supervision.py
+++ b/shedgrade/replication/holder_supervision.py
@@ -1,4 +1,4 @@
-"""Which holders a primary replaces, whom it takes in, and when it gives up its own place."""
+"""Decides which holders a primary replaces, which processes join, and when it hands over its own role."""
 
 from __future__ import annotations
 
@@ -11,31 +11,32 @@
 
 
 class HolderSupervision:
-    """Health of the followers of one primary, and the epochs that it makes because of it. Has no state of its
-    own.
-    """
+    """Health of the followers of one primary, and the epochs formed because of it. Stateless."""
 
     def __init__(self, primary: Primary) -> None:
-        """Of the primary's role of one member."""
+        """`primary`: the primary role of this member."""
         self.primary = primary
         self.member = primary.member
 
     def heard_recently(self, now: float, follower: Follower) -> bool:
-        """Whether it was heard within `peer_timeout_s`."""
+        """Whether the follower was heard within `peer_timeout_s`."""
         return now - follower.last_heard_at < self.member.timing.peer_timeout_s
 
     def is_eligible(self, now: float, follower: Follower) -> bool:
-        """Whether it could hold the state: heard, with a sound disk, and not about to leave."""
+        """Whether the follower could hold the state: recently heard, with a healthy disk, and not leaving."""
         return self.heard_recently(now, follower) and follower.is_healthy and not follower.is_leaving
 
     def may_join(self, now: float, follower: Follower) -> bool:
-        """It has sent something lately, and is not the former incarnation of a machine that lost its disk."""
+        """Whether the follower could hold the state and has itself sent a message recently.
+
+        False for the former incarnation of a machine that lost its disk.
+        """
         is_recent = now - follower.last_message_at < self.member.timing.peer_timeout_s
         current = self.primary.current_incarnations.get(follower.address)
         return is_recent and current == follower.incarnation and self.is_eligible(now, follower)
 
     def is_unhealthy(self, now: float, follower: Follower) -> bool:
-        """A holder that is not heard, has an unhealthy disk, or is late with a write."""
+        """Whether a holder was not heard recently, has an unhealthy disk, or is late with a write."""
         if not self.heard_recently(now, follower) or not follower.is_healthy:
             return True
         return any(
@@ -44,7 +45,7 @@
         )
 
     def members_heard(self, now: float) -> list[Follower]:
-        """The other members that were heard lately."""
+        """Returns the other members that were heard recently."""
         replica = self.member.replica
         return [
             follower
@@ -53,13 +54,13 @@
         ]
 
     def has_majority(self, now: float) -> bool:
-        """Whether a majority of the members was heard lately and has promised nothing higher."""
+        """Whether a majority of the members was heard recently and has promised no higher epoch."""
         epoch = self.primary.epoch
         loyal = sum(follower.promised_epoch <= epoch for follower in self.members_heard(now))
         return 1 + loyal > len(self.member.members) // 2
 
     def reconfigure_if_needed(self, now: float) -> None:
-        """Replace unhealthy holders, take in newcomers, hand over when the own disk is unhealthy."""
+        """Replaces unhealthy holders, adds new ones, and hands over if this process's disk is unhealthy."""
         member, primary = self.member, self.primary
         if not member.disk_writer.is_healthy(now) and self.hand_over(now):
             return
@@ -71,19 +72,20 @@
         replaced = unhealthy | leaving
         eligible = self.eligible_members(now, replaced)
         change = member.reconfiguration.change(now, primary, member.replica.epoch_config)
-        if unhealthy and len(eligible) < len(primary.holders):  # one that leaves holds until another can
+        # a leaving holder stays until another one can replace it
+        if unhealthy and len(eligible) < len(primary.holders):
             replaced = unhealthy
             eligible += self.leaving_members(now, unhealthy)
-        wanted = max(len(member.members) // 2, member.tolerated)  # beside this process
+        wanted = max(len(member.members) // 2, member.tolerated)  # besides this process
         can_replace = bool(replaced) and len(eligible) >= len(primary.holders)
         can_add = len(primary.holders) < wanted <= len(eligible)
-        # a newcomer may become the holder that takes the place of one that leaves
+        # a new member may replace a leaving holder
         can_change_members = change is not None and not unhealthy
         if can_replace or can_add or can_change_members:
             member.reconfigure(now, change, replaced)
 
     def eligible_members(self, now: float, but: frozenset[int]) -> list[int]:
-        """Other members that could hold the state."""
+        """Returns the other members that could hold the state."""
         return [
             incarnation
             for incarnation, follower in self.primary.followers.items()
@@ -93,7 +95,7 @@
         ]
 
     def leaving_members(self, now: float, but: frozenset[int]) -> list[int]:
-        """Other members that could hold the state, but for their leave."""
+        """Returns the other members that could hold the state if they were not leaving."""
         return [
             incarnation
             for incarnation, follower in self.primary.followers.items()
@@ -105,7 +107,7 @@
         ]
 
     def hand_over(self, now: float) -> bool:
-        """To the holder that has most, or else to any member. Returns whether there is one."""
+        """Hands over to the most advanced holder, else to any member. Returns whether there is one."""
         member, primary = self.member, self.primary
         candidates = [
             follower
--- a/shedgrade/replication/pending_requests.py
+++ b/shedgrade/replication/pending_requests.py
@@ -1,4 +1,4 @@
-"""Commands and reads at a member that is not the primary."""
+"""Commands and reads at a member that waits for a primary."""
 
 from __future__ import annotations
 
@@ -15,8 +15,8 @@
 class PendingRequest(NamedTuple):
     """A command or a read that waits until a primary is known.
 
-    `until`: seconds of the steady clock, then it is answered in any case. `was_replicated`: its change was
-    sent to others under an epoch that is over, so that it may be committed or not.
+    `until`: when it is answered in any case, in seconds of the steady clock.
+    `was_replicated`: whether its change was sent to others in an earlier epoch, so that it may be committed.
     """
 
     until: float
@@ -27,22 +27,22 @@
 
 
 class PendingRequests:
-    """Requests that wait for a primary to be known. `entries` are in the order of their arrival."""
+    """Requests that wait until a primary is known. `entries`: in order of arrival."""
 
     def __init__(self, member: Member) -> None:
-        """Of the member that answers them."""
+        """`member`: the member that answers them."""
         self.member = member
         self.entries: list[PendingRequest] = []
 
     def add(
         self, now: float, ticket: int, request: object, *, was_replicated: bool = False, is_read: bool = False
     ) -> None:
-        """Keep a request for `request_timeout_s`."""
+        """Keeps a request for `request_timeout_s`."""
         until = now + self.member.timing.request_timeout_s
         self.entries.append(PendingRequest(until, ticket, request, was_replicated, is_read))
 
     def resolve(self, now: float) -> None:
-        """Process what this member can process as primary, answer what can be answered; the rest stays."""
+        """Processes the requests that this member can process as primary, and answers those that are due."""
         if not self.entries:
             return
         entries, self.entries = self.entries, []
@@ -56,7 +56,7 @@
                 self.member.effects.append(Answer(entry.ticket, outcome))
 
     def process(self, now: float, entry: PendingRequest) -> bool:
-        """Hand it to the primary's role of this process. Returns whether that takes it."""
+        """Passes a request to the primary role of this process. Returns whether that accepts it."""
         member = self.member
         if not member.primary_role.active or entry.was_replicated:
             return False
@@ -69,10 +69,10 @@
         return True
 
     def outcome(self, now: float, entry: PendingRequest) -> Outcome | None:
-        """What is answered now, None: nothing yet."""
+        """Returns the outcome to answer with now, None to keep waiting."""
         member, monitor = self.member, self.member.primary_monitor
         if member.primary_role.active and entry.was_replicated:
-            return OutcomeUnknown()  # deciding it again could refuse what was committed meanwhile
+            return OutcomeUnknown()  # deciding it again could reject it although it was committed
         if monitor.primary is not None and monitor.is_heard(now) and monitor.primary != member.address:
             return RedirectToPrimary(monitor.primary)
         if monitor.hint is not None and monitor.has_hint(now):
--- a/shedgrade/replication/reconfiguration.py
+++ b/shedgrade/replication/reconfiguration.py
@@ -1,4 +1,4 @@
-"""How a process finds the members, the founders each other, and the primary whom to take in."""
+"""Join requests, discovery of founders and primary, and the membership changes that a primary makes."""
 
 from __future__ import annotations
 
@@ -13,51 +13,57 @@
 
 
 class Replacement(NamedTuple):
-    """A member that gives its place to another process, or to itself at another address."""
+    """A member and the process that replaces it; the same process if only its address changed."""
 
     old: Peer
     new: Peer
 
 
 class ReceivedJoinRequest(NamedTuple):
-    """A join request, and when it came."""
+    """A join request, and when it was received, in seconds of the steady clock."""
 
     received_at: float
     request: JoinRequest
 
 
 class MembershipChange:
-    """Members to new members: each old one replaced, and `added` beside all. Meant for the epoch `number`."""
+    """A function from the members of an epoch to those of the next one.
+
+    `number`: number of the epoch that it applies to.
+    `replaced`: new members by (incarnation, address) of those that they replace.
+    `added`: a further member, or None.
+    """
 
     __slots__ = ("number", "replaced", "added")
 
     def __init__(self, number: int, replacements: list[Replacement], added: Peer | None = None) -> None:
-        """`number`: of the epoch whose members are changed."""
+        """`number`: number of the epoch whose members are changed."""
         self.number = number
         self.added = added
         self.replaced = {(old.incarnation, old.address): new for old, new in replacements}
 
     def __call__(self, members: tuple[Peer, ...]) -> tuple[Peer, ...]:
-        """The new members, in the order of the old ones."""
+        """Returns the new members, in the order of the old ones."""
         kept = tuple(self.replaced.get((peer.incarnation, peer.address), peer) for peer in members)
         return kept if self.added is None else (*kept, self.added)
 
 
 def as_peer(follower: Follower) -> Peer:
-    """A follower as a member."""
+    """Returns the follower as an entry of an epoch's members."""
     return Peer(follower.incarnation, follower.name, follower.address)
 
 
 class Reconfiguration:
-    """Join requests while no primary is heard, and the next change of members that a primary should make.
+    """Join requests while no primary is heard, and the next membership change that a primary should make.
+
     Times are seconds of the steady clock.
 
-    `join_request_at`: when the next join requests go out, if no primary is heard by then.
-    `recent_requests`: by link address, the last join request from there, for `join_request_ttl_s`.
+    `join_request_at`: when the next join requests are sent, unless a primary is heard before.
+    `recent_requests`: by link address, the last join request from there, kept for `join_request_ttl_s`.
     """
 
     def __init__(self, member: Member) -> None:
-        """Of the member that asks, or is asked."""
+        """`member`: the member that sends and receives the requests."""
         self.member = member
         self.join_request_at = 0.0
         self.recent_requests: dict[str, ReceivedJoinRequest] = {}
@@ -65,7 +71,7 @@
     # --- finding the primary
 
     def send_join_requests(self, now: float) -> None:
-        """To all addresses where a member may be."""
+        """Sends a join request to all addresses where a member may be."""
         member, replica = self.member, self.member.replica
         self.join_request_at = now + member.timing.join_request_interval_s
         targets: set[str | None] = {peer.address for peer in replica.epoch_config.members}
@@ -82,7 +88,7 @@
             member.send(address, request)
 
     def on_join_request(self, now: float, sender: str, request: JoinRequest) -> None:
-        """Another process looks for the primary: this one answers if it is the primary, or with a hint."""
+        """Handles a request of a process that looks for the primary; answers with a hint unless primary."""
         member = self.member
         member.peers.note_address(request.incarnation, request.address, request.name)
         if request.founding:
@@ -98,7 +104,7 @@
             member.send(sender, PrimaryHint(primary, config))
 
     def note_request(self, now: float, request: JoinRequest) -> None:
-        """Remember it, and forget what is too old."""
+        """Remembers a join request, and drops expired ones."""
         ttl_s = self.join_request_ttl_s()
         for address, received in list(self.recent_requests.items()):
             if now - received.received_at >= ttl_s:
@@ -106,11 +112,14 @@
         self.recent_requests[request.address] = ReceivedJoinRequest(now, request)
 
     def join_request_ttl_s(self) -> float:
-        """How long a join request counts: the next one may be under way."""
+        """Returns for how many seconds a request counts: two intervals, since the next may be in transit."""
         return 2 * self.member.timing.join_request_interval_s
 
     def recent_join_requests(self, now: float) -> list[JoinRequest]:
-        """A new primary need not wait for the next request of who asked while it was none."""
+        """Returns the requests that have not expired.
+
+        With them a new primary need not wait for requests that were sent before it became the primary.
+        """
         ttl_s = self.join_request_ttl_s()
         return [
             received.request
@@ -119,28 +128,30 @@
         ]
 
     def on_primary_hint(self, now: float, sender: str, hint: PrimaryHint) -> None:
-        """The answer to a join request by who is not the primary."""
+        """Handles the reply to a join request from a process that is not the primary."""
         config = hint.epoch_config
         if config.active:
             if config.number > self.member.epoch:
-                self.join_request_at = min(self.join_request_at, now)  # members may be new who were not asked
+                # the newer epoch may have members that were not asked
+                self.join_request_at = min(self.join_request_at, now)
             self.member.learn_epoch(now, config)
         if hint.primary:
             self.member.note_primary_hint(now, hint.primary)
 
     def founded_enough(self, now: float) -> bool:
-        """All founders were heard, or the time for it is over."""
+        """Whether all founders were heard, or the time-out for that has passed."""
         member = self.member
         founders = set(member.replica.founders or ())
         heard = {member.address, *member.peers.founders} & founders
         over_at = member.incarnation_durable_at + member.timing.founding_timeout_s
         return len(heard) == len(founders) or now >= over_at
 
-    # --- changes of members
+    # --- membership changes
 
     def replacements_of_lost_disks(self, now: float, config: EpochConfig) -> MembershipChange | None:
-        """The change that a candidate makes with its first epoch: members that lost their disks and have
-        asked to join again lately.
+        """Returns the change for the first epoch of a candidate, None if there is nothing to change.
+
+        It replaces members that lost their disk and have recently asked to join again.
         """
         if not config.number:
             return None
@@ -158,10 +169,10 @@
         return MembershipChange(config.number, replaced) if replaced else None
 
     def change(self, now: float, primary: Primary, config: EpochConfig) -> MembershipChange | None:
-        """The next change of members, or None.
+        """Returns the next membership change, or None.
 
-        All replacements that are due are made at once: the quorums of both groups bind until the epoch is
-        active, whatever they have in common. Members are added one at a time.
+        All replacements that are due are made at once: quorums of both memberships are required until the
+        epoch is active, however many members they share. Members are added one at a time.
         """
         present = {peer.incarnation for peer in config.members}
         non_members = [
@@ -182,7 +193,10 @@
     def returned(
         self, now: float, primary: Primary, config: EpochConfig, non_members: list[Follower]
     ) -> list[Replacement]:
-        """Members whose disk was lost, each with its next incarnation: the old one will never speak again."""
+        """Returns replacements of members that lost their disk by their next incarnation.
+
+        The old incarnation never sends a message again.
+        """
         replaced: list[Replacement] = []
         others = [peer for peer in config.members if peer.incarnation != self.member.replica.incarnation]
         for follower in non_members:
@@ -195,7 +209,7 @@
         return replaced
 
     def is_former_incarnation(self, now: float, primary: Primary, old: Peer, follower: Follower) -> bool:
-        """Whether the follower is the member's machine with an empty disk, or its successor by name."""
+        """Whether the follower is the machine of `old` with an empty disk, or its successor by name."""
         if old.address == follower.address:
             return True
         known = primary.followers.get(old.incarnation)
@@ -203,7 +217,7 @@
         return bool(old.name) and old.name == follower.name and is_silent
 
     def moved(self, now: float, primary: Primary, config: EpochConfig) -> list[Replacement]:
-        """Members that are heard from another address than the configuration names."""
+        """Returns replacements of members heard at another address than the configuration lists."""
         found = []
         for old in config.members:
             follower = primary.followers.get(old.incarnation)
@@ -221,8 +235,9 @@
         non_members: list[Follower],
         handled: set[int],
     ) -> list[Replacement]:
-        """Members not heard for long, the longest first, each with a newcomer. `handled`: ids of the peers
-        that are replaced already.
+        """Returns replacements of members not heard for long by non-members, longest silence first.
+
+        `handled`: ids of the `Peer` objects that are replaced already.
         """
         own = self.member.replica.incarnation
         timeout_s = self.member.timing.member_replacement_timeout_s
@@ -240,7 +255,10 @@
     def addition(
         self, now: float, primary: Primary, config: EpochConfig, non_members: list[Follower]
     ) -> MembershipChange | None:
-        """One member more needs a majority of holders that are members already."""
+        """Returns the addition of a member, or None.
+
+        The members that are eligible already must be a majority of the larger membership.
+        """
         size = len(config.members)
         if not non_members or size > 2 * self.member.tolerated:
             return None
--- a/shedgrade/replication/replica_state.py
+++ b/shedgrade/replication/replica_state.py
@@ -1,4 +1,4 @@
-"""What one member holds: its promise, the newest epoch it knows, the log's state, what of it is committed."""
+"""State of one member: its promise, the newest epoch that it knows, its log position and committed state."""
 
 from __future__ import annotations
 
@@ -15,7 +15,7 @@
 from shedgrade.replication.messages import Changes, EpochConfig, LogPosition, Peer
 from shedgrade.replication.quorums import newest
 
-# Keys on the disk. Their names are stored: they stay, whatever the attributes are called.
+# Keys on the disk. They are stored and stay as they are, even if an attribute is renamed.
 INCARNATION_KEY = "replication/incarnation"
 PROMISE_KEY = "replication/promise"
 EPOCH_KEY = "replication/epoch"
@@ -33,7 +33,7 @@
 
 
 def merge(state: ReplicatedState, changes: Changes) -> ReplicatedState:
-    """A new state; the given one is left as it is."""
+    """Returns a new state with the changes applied; `state` itself is not modified."""
     merged = dict(state)
     for key, value in changes.items():
         if value is None:
@@ -44,19 +44,19 @@
 
 
 def as_state(changes: Changes) -> ReplicatedState:
-    """The state that the changes make of an empty one."""
+    """Returns the state that the changes make of an empty one."""
     return merge({}, changes)
 
 
 class PromisedEpoch(NamedTuple):
-    """The highest epoch promised, and the incarnation of the candidate it was promised to."""
+    """The highest epoch promised, and the incarnation of the candidate that it was promised to."""
 
     number: int
     candidate: int
 
 
 class CommittedState(NamedTuple):
-    """A committed state and its position: the epoch that decided its last change, and its sequence."""
+    """A committed state, and its log position: epoch and sequence number of its last change."""
 
     epoch: int
     sequence: int
@@ -64,12 +64,12 @@
 
     @property
     def position(self) -> LogPosition:
-        """Where in the log the state stands."""
+        """The log position of the state."""
         return LogPosition(self.epoch, self.sequence)
 
 
 class LogEntry(NamedTuple):
-    """The whole state as it is after the change at a position."""
+    """A log position, and the whole state after the change at that position."""
 
     position: LogPosition
     state: ReplicatedState
@@ -80,28 +80,28 @@
 
     Written to the disk by each method that changes it:
 
-    - `incarnation`: the number that this process drew when its disk was empty; odd, never 0. `is_new`: drawn
-      by this process, not found on the disk.
-    - `founders`: link addresses of the processes that found the core, None if this process founds none;
-      `founding`: whether it does.
-    - `promised_epoch`: nothing of a lower epoch is accepted. Only grows.
-    - `epoch_config`: the newest epoch known, its number 0 before the first one. Only grows. Invariant: its
-      number is at most the promised one.
-    - `accepted_epoch`: the epoch as whose holder the state was taken, 0 for a witness. Invariant: at most
-      the number of `epoch_config`.
-    - `log_position`, `state`: the state as a holder, and the position of its last change. Goes back only when
-      an epoch is installed that was made without the changes dropped.
+    - `incarnation`: odd random number drawn when the disk was empty; never 0.
+    - `is_new`: whether this process drew it, rather than read it from the disk.
+    - `founders`: link addresses of the processes that found the core, None if this process is not a founder.
+    - `founding`: whether this process is a founder.
+    - `promised_epoch`: nothing of a lower epoch is accepted. Only increases.
+    - `epoch_config`: the newest epoch known; its number is 0 before the first one. Only increases. Invariant:
+      its number is at most the promised one.
+    - `accepted_epoch`: the epoch in which this process, as a holder, accepted the state; 0 for a witness.
+      Invariant: at most the number of `epoch_config`.
+    - `log_position`, `state`: the state of a holder, and the position of its last change. Goes back only when
+      an epoch is installed that was formed without the dropped changes.
 
-    Of what is on the disk by now:
+    Synced to the disk so far:
 
     - `durable_position`, `installed_epoch`: the `log_position` and `accepted_epoch` that are synced.
 
     In memory only:
 
     - `committed`: the newest committed state known, also at a witness. Never goes back.
-    - `uncommitted`: the states after the committed one, oldest first. Invariant: positions grow, the last one
-      is `log_position`.
-    - `change_index`: which keys changed since when. Invariant: ends at `log_position`.
+    - `uncommitted`: the states after the committed one, oldest first. Invariant: positions increase, and the
+      last one is `log_position`.
+    - `change_index`: which keys changed after a position. Invariant: ends at `log_position`.
     """
 
     def __init__(
@@ -113,7 +113,10 @@
         founding: bool,
         random: Random,
     ) -> None:
-        """`found`: what is on the disk; `founding` counts only if that is nothing."""
+        """`found`: values on the disk, None or empty if there are none. Only then does `founding` count.
+
+        `seeds`: link addresses of the founders.
+        """
         found = found or {}
         self.disk_writer = disk_writer
         self.effects = effects
@@ -143,14 +146,17 @@
         self.change_index = ChangeIndex(self.log_position)
 
     def persist_incarnation(self, now: float, on_durable: DurableCallback) -> None:
-        """Before the first message: else the incarnation could be another after a loss of power."""
+        """Writes the incarnation, which must be durable before the first message is sent.
+
+        Otherwise the process could have a different incarnation after a power loss.
+        """
         changes: Changes = {INCARNATION_KEY: _encode(self.incarnation)}
         if self.founders is not None:
             changes[FOUNDERS_KEY] = _encode(self.founders)
         self.disk_writer.save(now, changes, on_durable)
 
     def has_member(self, incarnation: int) -> bool:
-        """Whether the newest epoch known names it."""
+        """Whether the incarnation is a member in the newest epoch known."""
         return any(peer.incarnation == incarnation for peer in self.epoch_config.members)
 
     def is_holder(self) -> bool:
@@ -158,18 +164,21 @@
         return self.incarnation in self.epoch_config.holders
 
     def is_member(self) -> bool:
-        """Whether the newest epoch known names this process."""
+        """Whether this process is a member in the newest epoch known."""
         return self.has_member(self.incarnation)
 
     def promise_to(
         self, now: float, number: int, candidate: int, on_durable: DurableCallback | None = None
     ) -> None:
-        """Accept nothing of a lower epoch from now on. The promise counts once `on_durable` was called."""
+        """Promises to accept nothing of a lower epoch. The promise counts once `on_durable` was called."""
         self.promised_epoch = PromisedEpoch(number, candidate)
         self.disk_writer.save(now, {PROMISE_KEY: _encode(self.promised_epoch)}, on_durable)
 
     def adopt_epoch_config(self, now: float, config: EpochConfig) -> None:
-        """Keep a newer epoch that is known to be active (or that the one known here is)."""
+        """Stores a configuration of a newer epoch, or one that marks the stored epoch as active.
+
+        The caller knows a newer epoch to be active.
+        """
         if newest(self.epoch_config, config) is self.epoch_config:
             return
         self.epoch_config = config
@@ -188,8 +197,9 @@
         changes: Changes | None,
         on_durable: DurableCallback,
     ) -> None:
-        """Become a holder of the epoch with this state. `changes` lead there from the present one (None: all
-        of it may differ).
+        """Accepts an epoch with this state, as one of its holders.
+
+        `changes` lead from the present state to the new one; None if all of it may differ.
         """
         saved: Changes = {EPOCH_KEY: _encode(config), POSITION_KEY: _encode((config.number, position))}
         if self.promised_epoch != (config.number, config.primary):
@@ -200,7 +210,8 @@
             changes = {key: value for key, value in state.items() if self.state.get(key) != value}
             if position != self.log_position:
                 self.change_index.reset(position)
-                self.uncommitted.clear()  # also a change that no election met: it is in force nowhere
+                # drops also changes that no election found: they are not part of any epoch's log
+                self.uncommitted.clear()
         elif position != self.log_position:
             self.change_index.note(self.log_position, position, changes)
         saved.update((STATE_PREFIX + key, value) for key, value in changes.items())
@@ -219,7 +230,7 @@
         self.disk_writer.save(now, saved, durable)
 
     def append(self, now: float, sequence: int, changes: Changes, on_durable: DurableCallback) -> None:
-        """The next change of the epoch accepted."""
+        """Appends the next change of the accepted epoch to the log."""
         position = LogPosition(self.accepted_epoch, sequence)
         self.state = merge(self.state, changes)
         self.change_index.note(self.log_position, position, changes)
@@ -237,26 +248,35 @@
     # --- differences between states
 
     def committed_changes_since(self, *bases: LogPosition) -> tuple[LogPosition | None, Changes]:
-        """(base, changes from there to the committed state) of the newest base known; or (None, all)."""
+        """Returns the newest base that is known and the changes from there to the committed state.
+
+        (None, the whole state) if no base is known.
+        """
         usable = [base for base in bases if base <= self.committed.position]
         return self.changes_between(usable, self.committed.state)
 
     def changes_since(self, *bases: LogPosition) -> tuple[LogPosition | None, Changes]:
-        """(base, changes from there to the own log position) of the newest base known; or (None, all)."""
+        """Returns the newest base that is known and the changes from there to this member's log position.
+
+        (None, the whole state) if no base is known.
+        """
         return self.changes_between(bases, self.state)
 
     def changes_between(
         self, bases: Sequence[LogPosition], state: ReplicatedState
     ) -> tuple[LogPosition | None, Changes]:
-        """(base, changes from there to `state`) of the newest base that is known; or (None, all)."""
-        for base in sorted(bases, reverse=True):  # the newest leaves the least to be sent
+        """Returns the newest base that is known and the changes from there to `state`.
+
+        (None, the whole state) if no base is known.
+        """
+        for base in sorted(bases, reverse=True):  # the newest base leaves the fewest changes
             changes = self.change_index.since(base, state)
             if changes is not None:
                 return base, changes
         return None, {**state}
 
     def apply_delta(self, base: LogPosition | None, changes: Changes) -> ReplicatedState | None:
-        """The state that the changes lead to, None when this member doesn't have the base."""
+        """Returns the state that the changes lead to, None if this member doesn't have the base."""
         if base is None:
             return as_state(changes)
         if base == self.log_position:
@@ -266,18 +286,20 @@
     # --- commits
 
     def apply_committed(self, base: LogPosition | None, position: LogPosition, changes: Changes) -> None:
-        """Take over a committed state. Changes that lead to it from `base` lead to it from each committed
-        state between the two as well.
+        """Applies changes from `base` to the committed state at `position`; ignores them if it can't.
+
+        They also lead there from each committed state between the two.
         """
         if base is None:
             self.commit_state(position, as_state(changes))
         elif base <= self.committed.position <= position:
             self.commit_state(position, merge(self.committed.state, changes))
-        elif base == self.log_position <= position:  # synced by an earlier process, and in the primary's log
+        # a position synced by an earlier process, which is part of the primary's log
+        elif base == self.log_position <= position:
             self.commit_state(position, merge(self.state, changes))
 
     def commit(self, position: LogPosition) -> None:
-        """What is accepted up to the position is committed."""
+        """Commits the changes accepted up to the position."""
         while self.uncommitted and self.uncommitted[0].position <= position:
             entry = self.uncommitted.popleft()
             if entry.position == position:
@@ -285,7 +307,7 @@
                 break
 
     def commit_state(self, position: LogPosition, state: ReplicatedState) -> None:
-        """Never goes back: an old primary's message may come late."""
+        """Sets the committed state, unless it would go back: an old primary's message may arrive late."""
         if position > self.committed.position:
             self.committed = CommittedState(*position, state)
             self.effects.append(Committed(*position, state))
--- a/tests/replication/test_invariants.py
+++ b/tests/replication/test_invariants.py
@@ -134,7 +134,7 @@
     "primary after its exit": act_after_exit,
     "active before its incarnation is durable": be_active_before_durable,
     "a primary that was never heard": follow_primary_never_heard,
-    "changes wait for nothing": forget_queued_writes,
+    "changes are queued but no write is due": forget_queued_writes,
 }
 
 
