--- a/shedgrade/replication/acceptor.py
+++ b/shedgrade/replication/acceptor.py
@@ -197,7 +197,7 @@
             if self.member.replica.committed.position >= heartbeat.committed:
                 self.member.confirm_up_to_date(self.sent_after(now, heartbeat) - heartbeat.confirmed_ago)
             self.send_ack(now, sender, heartbeat.epoch, heartbeat.read_index_round)
-            self.acknowledgement_times.note(now, heartbeat.epoch, heartbeat.read_index_round)
+            self.acknowledgement_times.record(now, heartbeat.epoch, heartbeat.read_index_round)
 
     def sent_after(self, now: float, heartbeat: Heartbeat) -> float:
         """Returns a time before which the heartbeat was not sent.
--- a/shedgrade/replication/acknowledgement_times.py
+++ b/shedgrade/replication/acknowledgement_times.py
@@ -12,15 +12,15 @@
 from typing import NamedTuple
 
 NEVER = float("-inf")
-LEAST_BETWEEN_S = 0.02  # of acknowledgements at shorter intervals only the first is kept
-TIMES_KEPT = 128
+MIN_INTERVAL_S = 0.02  # of acknowledgements at shorter intervals only the first is kept
+MAX_ROUNDS = 128
 
 
 class AcknowledgedRound(NamedTuple):
     """A round, and when its acknowledgement was sent, in seconds of the steady clock."""
 
     number: int
-    at: float
+    sent_at: float
 
 
 class AcknowledgementTimes:
@@ -32,15 +32,15 @@
 
     def __init__(self) -> None:
         self.epoch = 0
-        self.rounds: deque[AcknowledgedRound] = deque(maxlen=TIMES_KEPT)
+        self.rounds: deque[AcknowledgedRound] = deque(maxlen=MAX_ROUNDS)
 
-    def note(self, now: float, epoch: int, number: int) -> None:
+    def record(self, now: float, epoch: int, number: int) -> None:
         """Records that an acknowledgement of the round `number` is sent now."""
         if epoch != self.epoch:
             self.epoch = epoch
             self.rounds.clear()
         last = self.rounds[-1] if self.rounds else AcknowledgedRound(0, NEVER)
-        if number > last.number and now >= last.at + LEAST_BETWEEN_S:
+        if number > last.number and now >= last.sent_at + MIN_INTERVAL_S:
             self.rounds.append(AcknowledgedRound(number, now))
 
     def sent_after(self, epoch: int, number: int) -> float:
@@ -50,10 +50,10 @@
         """
         if epoch != self.epoch:
             return NEVER
-        return next((each.at for each in reversed(self.rounds) if each.number <= number), NEVER)
+        return next((each.sent_at for each in reversed(self.rounds) if each.number <= number), NEVER)
 
     def check_invariants(self) -> None:
         """Raises AssertionError if an attribute contradicts another."""
         kept = list(self.rounds)
         assert kept == sorted(kept, key=lambda each: each.number), "round numbers out of order"
-        assert kept == sorted(kept, key=lambda each: each.at), "acknowledgement times out of order"
+        assert kept == sorted(kept, key=lambda each: each.sent_at), "acknowledgement times out of order"
--- a/shedgrade/replication/change_index.py
+++ b/shedgrade/replication/change_index.py
@@ -30,7 +30,7 @@
     `last`: the newest position.
     `epochs`: ranges of the log from `floor` on, oldest first, at most `MAX_EPOCHS`. They tell positions that
     are part of the log from those that are not.
-    `changed`: position of the last change by key, ordered by position; at most `MAX_KEYS`.
+    `changed_at`: position of the last change by key, ordered by position; at most `MAX_KEYS`.
     """
 
     def __init__(self, position: LogPosition) -> None:
@@ -42,9 +42,9 @@
         self.floor = position
         self.last = position
         self.epochs: deque[EpochRange] = deque([EpochRange(*position, position[1])])
-        self.changed: dict[str, LogPosition] = {}
+        self.changed_at: dict[str, LogPosition] = {}
 
-    def note(self, base: LogPosition, position: LogPosition, changes: Changes) -> None:
+    def record(self, base: LogPosition, position: LogPosition, changes: Changes) -> None:
         """Records that `changes` lead from `base` to `position`."""
         if base != self.last:
             self.reset(base)
@@ -55,20 +55,20 @@
         else:
             self.epochs.append(EpochRange(*position, position[1]))
         for key in changes:
-            self.changed.pop(key, None)  # the dict stays ordered by the last change
-            self.changed[key] = position
-        self.forget()
+            self.changed_at.pop(key, None)  # the dict stays ordered by the last change
+            self.changed_at[key] = position
+        self.trim()
 
-    def forget(self) -> None:
+    def trim(self) -> None:
         """Drops the oldest keys and epochs beyond the bounds, and raises `floor` accordingly."""
-        while len(self.changed) > MAX_KEYS:
-            self.floor = max(self.floor, self.changed.pop(next(iter(self.changed))))
+        while len(self.changed_at) > MAX_KEYS:
+            self.floor = max(self.floor, self.changed_at.pop(next(iter(self.changed_at))))
         while len(self.epochs) > MAX_EPOCHS:
             self.epochs.popleft()
             oldest = self.epochs[0]
             self.floor = max(self.floor, LogPosition(oldest.epoch, oldest.first))
 
-    def has(self, position: LogPosition) -> bool:
+    def contains(self, position: LogPosition) -> bool:
         """Whether the position is known to be part of the log."""
         return any(
             each.epoch == position[0] and each.first <= position[1] <= each.last for each in self.epochs
@@ -79,11 +79,11 @@
 
         They also lead to `state` from each position between the two.
         """
-        if base < self.floor or not self.has(base):
+        if base < self.floor or not self.contains(base):
             return None
         changes: Changes = {}
-        for key in reversed(self.changed):
-            if self.changed[key] <= base:
+        for key in reversed(self.changed_at):
+            if self.changed_at[key] <= base:
                 break
             changes[key] = state.get(key)
         return changes
--- a/shedgrade/replication/replica_state.py
+++ b/shedgrade/replication/replica_state.py
@@ -213,7 +213,7 @@
                 # drops also changes that no election found: they are not part of any epoch's log
                 self.uncommitted.clear()
         elif position != self.log_position:
-            self.change_index.note(self.log_position, position, changes)
+            self.change_index.record(self.log_position, position, changes)
         saved.update((STATE_PREFIX + key, value) for key, value in changes.items())
         if position != self.log_position:
             self.uncommitted.append(LogEntry(position, state))
@@ -233,7 +233,7 @@
         """Appends the next change of the accepted epoch to the log."""
         position = LogPosition(self.accepted_epoch, sequence)
         self.state = merge(self.state, changes)
-        self.change_index.note(self.log_position, position, changes)
+        self.change_index.record(self.log_position, position, changes)
         self.log_position = position
         self.uncommitted.append(LogEntry(position, self.state))
         saved = {STATE_PREFIX + key: value for key, value in changes.items()}
--- a/tests/replication/test_absence.py
+++ b/tests/replication/test_absence.py
@@ -51,8 +51,8 @@
 class IncompleteChangeIndex(ChangeIndex):
     """Records only one key of each change."""
 
-    def note(self, base, position, changes):
-        super().note(base, position, dict(list(changes.items())[:1]))
+    def record(self, base, position, changes):
+        super().record(base, position, dict(list(changes.items())[:1]))
 
 
 class SendsIncompleteDelta(Member):
--- a/tests/replication/test_acknowledgement_times.py
+++ b/tests/replication/test_acknowledgement_times.py
@@ -1,9 +1,9 @@
 """When a heartbeat can have been sent, by what its sender had heard."""
 
 from shedgrade.replication.acknowledgement_times import (
-    LEAST_BETWEEN_S,
+    MAX_ROUNDS,
+    MIN_INTERVAL_S,
     NEVER,
-    TIMES_KEPT,
     AcknowledgementTimes,
 )
 
@@ -11,7 +11,7 @@
 def acknowledged(*rounds):
     times = AcknowledgementTimes()
     for number, at in rounds:
-        times.note(at, 3, number)
+        times.record(at, 3, number)
         times.check_invariants()
     return times
 
@@ -31,7 +31,7 @@
 def test_nothing_is_known_of_another_epoch():
     times = acknowledged((4, 10.0))
     assert times.sent_after(2, 4) == times.sent_after(4, 4) == NEVER
-    times.note(11.0, 4, 1)
+    times.record(11.0, 4, 1)
     assert times.sent_after(3, 4) == NEVER and times.sent_after(4, 1) == 11.0
 
 
@@ -40,12 +40,12 @@
 
 
 def test_rounds_that_follow_fast_are_kept_as_the_first_of_them():
-    times = acknowledged((4, 10.0), (5, 10.0 + LEAST_BETWEEN_S / 2), (6, 10.0 + LEAST_BETWEEN_S))
+    times = acknowledged((4, 10.0), (5, 10.0 + MIN_INTERVAL_S / 2), (6, 10.0 + MIN_INTERVAL_S))
     assert times.sent_after(3, 5) == 10.0
-    assert times.sent_after(3, 6) == 10.0 + LEAST_BETWEEN_S
+    assert times.sent_after(3, 6) == 10.0 + MIN_INTERVAL_S
 
 
 def test_what_is_kept_is_bounded():
-    times = acknowledged(*((number, float(number)) for number in range(1, 2 * TIMES_KEPT)))
-    assert len(times.rounds) == TIMES_KEPT
+    times = acknowledged(*((number, float(number)) for number in range(1, 2 * MAX_ROUNDS)))
+    assert len(times.rounds) == MAX_ROUNDS
     assert times.sent_after(3, 1) == NEVER
--- a/tests/replication/test_catch_up.py
+++ b/tests/replication/test_catch_up.py
@@ -131,7 +131,7 @@
 def chain(*steps):
     index, state = ChangeIndex((0, 0)), {}
     for base, position, changes in steps:
-        index.note(base, position, changes)
+        index.record(base, position, changes)
         state.update(changes)
     return index, {key: value for key, value in state.items() if value is not None}
 
@@ -150,19 +150,19 @@
     )
     assert index.since((1, 2), state) == {"b": b"3"}
     assert index.since((1, 3), state) is None and index.since((2, 3), state) is None
-    index.note((9, 9), (9, 10), {"c": b"1"})  # from elsewhere: nothing before it is known
+    index.record((9, 9), (9, 10), {"c": b"1"})  # from elsewhere: nothing before it is known
     assert index.since((1, 2), state) is None and index.since((9, 9), {"c": b"1"}) == {"c": b"1"}
 
 
 def test_the_index_is_bounded_and_says_so_of_what_it_forgot():
     index = ChangeIndex((1, 0))
     for at in range(MAX_KEYS + 10):
-        index.note((1, at), (1, at + 1), {f"k{at}": b"x"})
-    assert len(index.changed) == MAX_KEYS
+        index.record((1, at), (1, at + 1), {f"k{at}": b"x"})
+    assert len(index.changed_at) == MAX_KEYS
     assert index.since((1, 9), {}) is None and len(index.since((1, 10), {})) == MAX_KEYS
     last = index.last
     for epoch in range(2, MAX_EPOCHS + 10):
-        index.note(last, (epoch, last[1] + 1), {"k": b"x"})
+        index.record(last, (epoch, last[1] + 1), {"k": b"x"})
         last = index.last
     assert len(index.epochs) == MAX_EPOCHS and index.since((1, MAX_KEYS + 10), {}) is None
 
@@ -175,7 +175,7 @@
         member = machine.member
         assert run.committed()[1] > 9_000
         assert (
-            set(member.replica.change_index.changed) <= {"configuration"}
+            set(member.replica.change_index.changed_at) <= {"configuration"}
             and len(member.replica.change_index.epochs) <= 3
         )
         assert (
