--- a/shedgrade/replication/chunking.py
+++ b/shedgrade/replication/chunking.py
@@ -65,7 +65,7 @@
     `count`: number of chunks of `body`.
     `next`: index of the first chunk that the receiver lacks.
     `sent`: index of the next chunk to be sent. Invariant: `next` <= `sent` <= `count`.
-    `highest_sent`: number of chunks that were sent at least once.
+    `first_unsent`: index of the first chunk that was never sent.
     `window`: maximum number of unacknowledged chunks.
     `sent_at`: when each chunk was sent, for chunks sent exactly once and not acknowledged.
     `resend_at`: when a chunk is sent again, if no ack arrives before.
@@ -81,7 +81,7 @@
         "count",
         "next",
         "sent",
-        "highest_sent",
+        "first_unsent",
         "window",
         "sent_at",
         "resend_at",
@@ -98,7 +98,7 @@
         self.count = 0
         self.next = 0
         self.sent = 0
-        self.highest_sent = 0
+        self.first_unsent = 0
         self.window = MIN_WINDOW
         self.sent_at: dict[int, float] = {}
         self.resend_at = 0.0
@@ -112,15 +112,15 @@
         self.progress_at = now
         self.resend_after_s = resend_after_s
 
-    def take_chunk(self, now: float) -> m.Chunk:
+    def next_chunk(self, now: float) -> m.Chunk:
         """Returns the next chunk to be sent."""
         assert self.body is not None
         index, start = self.sent, self.sent * CHUNK_BYTES
-        if index < self.highest_sent:  # sent again: its ack may be of either copy, so it is not measured
+        if index < self.first_unsent:  # sent again: its ack may be of either copy, so it is not measured
             self.sent_at.pop(index, None)
         else:
             self.sent_at[index] = now
-            self.highest_sent = index + 1
+            self.first_unsent = index + 1
         self.sent += 1
         return m.Chunk(self.id, index, self.count, bytes(self.body[start : start + CHUNK_BYTES]))
 
@@ -151,55 +151,57 @@
 
     # --- outgoing
 
-    def needs_chunking(self, to: str, message: m.Message) -> bool:
+    def needs_chunking(self, address: str, message: m.Message) -> bool:
         """Whether the message is long, or a write that must not overtake a long message."""
-        if isinstance(message, m.Replicate) and to in self.queues:
+        if isinstance(message, m.Replicate) and address in self.queues:
             return True
         return isinstance(message, CHUNKED_KINDS) and size(message.changes) > CHUNK_BYTES
 
-    def send(self, now: float, to: str, message: m.Message) -> None:
+    def send(self, now: float, address: str, message: m.Message) -> None:
         """Queues a message for which `needs_chunking` is true."""
         assert isinstance(message, CHUNKED_KINDS)
-        queue = self.queues.setdefault(to, deque())
-        about = subject(message)
-        if any(each.subject == about for each in queue):
+        queue = self.queues.setdefault(address, deque())
+        message_subject = subject(message)
+        if any(each.subject == message_subject for each in queue):
             return
-        if about.kind is m.CatchUp:  # keep the one in transit, and only the newest one behind it
+        if message_subject.kind is m.CatchUp:  # keep the one in transit, and only the newest one behind it
             self.remove_catch_ups(queue, first=1)
-        if about.kind is m.Install:  # contains all that the queued transfers would bring
+        if message_subject.kind is m.Install:  # contains all that the queued transfers would bring
             queue.clear()
         queue.append(OutgoingTransfer(message, self.sender.random.getrandbits(62)))
         if len(queue) == 1:
-            self.begin(now, to, queue[0])
+            self.begin(now, address, queue[0])
 
-    def cancel_state(self, now: float, to: str) -> None:
+    def cancel_catch_ups(self, now: float, address: str) -> None:
         """Removes committed state from the queue: the receiver restarted and cannot use it."""
-        queue = self.queues.get(to)
+        queue = self.queues.get(address)
         if queue is None:
             return
-        under_way = queue[0]
+        current = queue[0]
         self.remove_catch_ups(queue)
         if not queue:
-            del self.queues[to]
-        elif queue[0] is not under_way:
-            self.begin(now, to, queue[0])
+            del self.queues[address]
+        elif queue[0] is not current:
+            self.begin(now, address, queue[0])
 
     def remove_catch_ups(self, queue: deque[OutgoingTransfer], first: int = 0) -> None:
         """Removes committed state from a queue, from the entry with index `first` on."""
-        kept = [each for at, each in enumerate(queue) if at < first or each.subject.kind is not m.CatchUp]
+        kept = [
+            each for index, each in enumerate(queue) if index < first or each.subject.kind is not m.CatchUp
+        ]
         queue.clear()
         queue.extend(kept)
 
-    def begin(self, now: float, to: str, transfer: OutgoingTransfer) -> None:
+    def begin(self, now: float, address: str, transfer: OutgoingTransfer) -> None:
         """Begins a transfer and sends its first chunks."""
         transfer.begin(now, self.sender.timing.resend_interval_s)
-        self.push(now, to, transfer)
+        self.send_window(now, address, transfer)
 
-    def push(self, now: float, to: str, transfer: OutgoingTransfer) -> None:
+    def send_window(self, now: float, address: str, transfer: OutgoingTransfer) -> None:
         """Sends as many chunks as the window allows."""
         transfer.resend_at = now + transfer.resend_after_s
         while transfer.sent < min(transfer.count, transfer.next + transfer.window):
-            self.sender.emit(to, transfer.take_chunk(now))
+            self.sender.emit(address, transfer.next_chunk(now))
 
     def on_chunk_ack(self, now: float, sender: str, ack: m.ChunkAck) -> None:
         """Sends the chunks that the ack makes room for, or begins the next transfer."""
@@ -210,17 +212,17 @@
         if ack.next >= transfer.count:
             self.end(now, sender)
         elif ack.next > transfer.next or ack.next == 0 < transfer.next:
-            self.measure(now, sender, transfer, ack.next)
+            self.update_window(now, sender, transfer, ack.next)
             transfer.note_progress(now, ack.next, self.sender.timing.resend_interval_s)
-            self.push(now, sender, transfer)
+            self.send_window(now, sender, transfer)
 
-    def measure(self, now: float, to: str, transfer: OutgoingTransfer, acknowledged: int) -> None:
+    def update_window(self, now: float, address: str, transfer: OutgoingTransfer, acknowledged: int) -> None:
         """Grows the window by the chunks acknowledged while round trips are short, else shrinks it by one."""
         sent_at = transfer.sent_at.get(acknowledged - 1)
         if sent_at is None:
             return
         round_trip = now - sent_at
-        shortest = self.round_trips[to] = min(round_trip, self.round_trips.get(to, round_trip))
+        shortest = self.round_trips[address] = min(round_trip, self.round_trips.get(address, round_trip))
         if round_trip <= shortest + MAX_QUEUEING_S:
             transfer.window = min(MAX_WINDOW, transfer.window + acknowledged - transfer.next)
         else:
@@ -228,57 +230,58 @@
         for index in range(transfer.next, acknowledged):
             transfer.sent_at.pop(index, None)
 
-    def end(self, now: float, to: str) -> None:
+    def end(self, now: float, address: str) -> None:
         """Ends a transfer that the receiver has completely, and begins the next one."""
-        queue = self.queues[to]
+        queue = self.queues[address]
         queue.popleft()
         if queue:
-            self.begin(now, to, queue[0])
+            self.begin(now, address, queue[0])
         else:
-            del self.queues[to]
+            del self.queues[address]
 
     # --- incoming
 
     def on_chunk(self, now: float, sender: str, chunk: m.Chunk) -> m.Message | None:
         """Acknowledges a chunk. Returns the whole message if this chunk completes it, else None."""
-        parts = self.parts_of(sender, chunk.id)
-        if len(parts) < chunk.count:
-            parts[chunk.index] = chunk.body
-        missing = next((index for index in range(chunk.count) if index not in parts), chunk.count)
+        chunks = self.received_chunks(sender, chunk.id)
+        if len(chunks) < chunk.count:
+            chunks[chunk.index] = chunk.body
+        missing = next((index for index in range(chunk.count) if index not in chunks), chunk.count)
         self.sender.emit(sender, m.ChunkAck(chunk.id, missing))
-        if missing < chunk.count or not any(parts.values()):
+        if missing < chunk.count or not any(chunks.values()):
             return None
-        body = b"".join(parts[index] for index in range(chunk.count))
-        parts.update(dict.fromkeys(parts, b""))  # acknowledge duplicates, but return the message only once
+        body = b"".join(chunks[index] for index in range(chunk.count))
+        chunks.update(dict.fromkeys(chunks, b""))  # acknowledge duplicates, but return the message only once
         if self.decoder is None:
             self.decoder = msgspec.msgpack.Decoder(m.Message)
         return self.decoder.decode(body)
 
-    def parts_of(self, sender: str, transfer_id: int) -> dict[int, bytes]:
+    def received_chunks(self, sender: str, transfer_id: int) -> dict[int, bytes]:
         """Returns the chunks received of a transfer, by index."""
-        known = self.incoming.setdefault(sender, {})
-        parts = known.get(transfer_id)
-        if parts is None:
+        transfers = self.incoming.setdefault(sender, {})
+        chunks = transfers.get(transfer_id)
+        if chunks is None:
             # several transfers are kept, so that late chunks of an older one don't drop the current one
-            if len(known) >= MAX_PARTIAL_TRANSFERS:
-                del known[next(iter(known))]
-            parts = known[transfer_id] = {}
-        return parts
+            if len(transfers) >= MAX_PARTIAL_TRANSFERS:
+                del transfers[next(iter(transfers))]
+            chunks = transfers[transfer_id] = {}
+        return chunks
 
     # --- time
 
     def tick(self, now: float) -> None:
         """Abandons transfers without progress, and sends a probe chunk for those without an ack."""
-        for to, queue in list(self.queues.items()):
+        for address, queue in list(self.queues.items()):
             transfer = queue[0]
             if now - transfer.progress_at >= TRANSFER_TIMEOUT_S:
-                del self.queues[to]  # the message is sent again if the receiver still lacks it
+                del self.queues[address]  # the message is sent again if the receiver still lacks it
             elif now >= transfer.resend_at:
                 transfer.window = MIN_WINDOW
                 transfer.sent = transfer.next
                 transfer.resend_after_s = min(2 * transfer.resend_after_s, MAX_RESEND_INTERVAL_S)
                 transfer.resend_at = now + transfer.resend_after_s
-                self.sender.emit(to, transfer.take_chunk(now))  # a probe; the rest follows once it is acked
+                # a probe; the rest follows once it is acknowledged
+                self.sender.emit(address, transfer.next_chunk(now))
 
     def wake_at(self) -> float:
         """Returns when `tick` has something to do."""
--- a/shedgrade/replication/primary.py
+++ b/shedgrade/replication/primary.py
@@ -329,7 +329,7 @@
         previous = self.current_incarnations.get(address, follower.incarnation)
         has_lost_state = committed == (0, 0) < follower.committed
         if has_lost_state or previous != follower.incarnation:
-            self.member.transport.chunking.cancel_state(now, address)
+            self.member.transport.chunking.cancel_catch_ups(now, address)
             follower.catch_up_due_at = now
         follower.address = address
         follower.committed = committed
--- a/tests/replication/test_catch_up.py
+++ b/tests/replication/test_catch_up.py
@@ -69,10 +69,10 @@
     chunks.send(net.now, to, messages.CatchUp(1, (1, 1), None, long))
     chunks.send(net.now, to, messages.Replicate(1, 5, (0, 0), long))
     chunks.send(net.now, to, messages.CatchUp(1, (1, 2), None, long))
-    chunks.cancel_state(net.now, to)
+    chunks.cancel_catch_ups(net.now, to)
     assert [type(each.message) for each in chunks.queues[to]] == [messages.Replicate]
     assert chunks.queues[to][0].sent > 0
-    chunks.cancel_state(net.now, "elsewhere:1")
+    chunks.cancel_catch_ups(net.now, "elsewhere:1")
 
 
 def test_committed_state_of_an_epoch_that_is_over_is_still_taken():
