--- a/shedgrade/replication/command_pipeline.py
+++ b/shedgrade/replication/command_pipeline.py
@@ -14,8 +14,8 @@
     from shedgrade.replication.primary import Primary
 
 MAX_IN_FLIGHT_BYTES = 256 * 1024  # no further write begins while uncommitted ones have this size
-QUEUED_TIMEOUTS = 2  # maximum time of a command in the queue, in multiples of `request_timeout_s`
-REPLY_TIMEOUTS = 3  # maximum time of a decided command or a read, in multiples of `request_timeout_s`
+QUEUE_TIMEOUT_FACTOR = 2  # maximum time of a command in the queue, in multiples of `request_timeout_s`
+REPLY_TIMEOUT_FACTOR = 3  # maximum time of a decided command or a read, in multiples of `request_timeout_s`
 
 
 class DecidedCommand(NamedTuple):
@@ -153,13 +153,13 @@
         """Commits the changes that all holders have synced."""
         primary = self.primary
         durable = [primary.followers[each].durable_sequence for each in primary.holders]
-        done = min([self.own_durable_sequence, *durable])
-        moved = False
-        while self.in_flight and self.in_flight[0].sequence <= done:
+        committed_sequence = min([self.own_durable_sequence, *durable])
+        has_advanced = False
+        while self.in_flight and self.in_flight[0].sequence <= committed_sequence:
             write = self.in_flight.popleft()
             self.member.replica.commit(LogPosition(primary.epoch, write.sequence))
-            moved = True
-        if moved:
+            has_advanced = True
+        if has_advanced:
             self.answer(now)
             primary.announce_committed(now)
             self.advance_queue(now)
@@ -187,9 +187,9 @@
     def expire(self, now: float) -> None:
         """Answers commands and reads that have waited too long."""
         timeout_s = self.member.timing.request_timeout_s
-        while self.queue and now - self.queue[0].since >= QUEUED_TIMEOUTS * timeout_s:
+        while self.queue and now - self.queue[0].since >= QUEUE_TIMEOUT_FACTOR * timeout_s:
             self.member.effects.append(Answer(self.queue.popleft().ticket, Unavailable()))
-        while self.replies and now - self.replies[0].since >= REPLY_TIMEOUTS * timeout_s:
+        while self.replies and now - self.replies[0].since >= REPLY_TIMEOUT_FACTOR * timeout_s:
             reply = self.replies.popleft()
             outcome = Unavailable() if reply.is_read else OutcomeUnknown()
             self.member.effects.append(Answer(reply.ticket, outcome))
@@ -204,7 +204,7 @@
         """Returns when the oldest command in the queue expires."""
         if not self.queue:
             return float("inf")
-        return self.queue[0].since + QUEUED_TIMEOUTS * self.member.timing.request_timeout_s
+        return self.queue[0].since + QUEUE_TIMEOUT_FACTOR * self.member.timing.request_timeout_s
 
     def check_invariants(self) -> None:
         """Raises AssertionError if an attribute contradicts another."""
--- a/shedgrade/replication/disk_writer.py
+++ b/shedgrade/replication/disk_writer.py
@@ -18,7 +18,7 @@
     on_durable: DurableCallback | None
 
 
-class OpenWrite(NamedTuple):
+class OutstandingWrite(NamedTuple):
     """The changes handed to the caller as one `Persist`, and the callbacks to run when they are durable."""
 
     token: int
@@ -36,7 +36,7 @@
     `queue`: changes saved since, in order. Invariant: empty unless a write is outstanding or the last one
     failed.
     `started_at`: when the outstanding write was handed out, in seconds of the steady clock.
-    `refused`: whether the last write failed.
+    `is_failing`: whether the last write failed.
     `retry_at`: no write begins before that time.
     `token`: token of the newest `Persist`; increases by one with each.
     """
@@ -51,22 +51,22 @@
         self.timeout_s = timeout_s
         self.retry_interval_s = retry_interval_s
         self.queue: list[QueuedWrite] = []
-        self.in_flight: OpenWrite | None = None
+        self.in_flight: OutstandingWrite | None = None
         self.started_at = 0.0
         self.retry_at = 0.0
-        self.refused = False
+        self.is_failing = False
         self.token = 0
 
     def is_healthy(self, now: float) -> bool:
         """Whether the last write succeeded and the outstanding one, if any, is younger than `timeout_s`."""
-        return not self.refused and (self.in_flight is None or now - self.started_at < self.timeout_s)
+        return not self.is_failing and (self.in_flight is None or now - self.started_at < self.timeout_s)
 
     def save(self, now: float, changes: Changes, on_durable: DurableCallback | None = None) -> None:
         """Writes the changes after all that were saved before, and then calls `on_durable`."""
         self.queue.append(QueuedWrite(changes, on_durable))
-        self.pump(now)
+        self.begin_next(now)
 
-    def pump(self, now: float) -> None:
+    def begin_next(self, now: float) -> None:
         """Begins the next write if none is outstanding and changes are queued."""
         if self.in_flight or not self.queue or now < self.retry_at:
             return
@@ -75,7 +75,7 @@
             merged.update(write.changes)
         self.token += 1
         callbacks = [write.on_durable for write in self.queue if write.on_durable]
-        self.in_flight = OpenWrite(self.token, merged, callbacks)
+        self.in_flight = OutstandingWrite(self.token, merged, callbacks)
         self.queue = []
         self.started_at = now
         self.effects.append(Persist(self.token, merged))
@@ -86,27 +86,27 @@
         if write is None or token != write.token:
             return
         self.in_flight = None
-        self.refused = not ok
+        self.is_failing = not ok
 
-        def call_all(at: float) -> None:
+        def run_callbacks(at: float) -> None:
             for on_durable in write.callbacks:
                 on_durable(at)
 
         if ok:
-            call_all(now)
+            run_callbacks(now)
         else:  # the disk may be full: no callback runs until a later write includes these changes
-            self.queue.insert(0, QueuedWrite(write.changes, call_all))
+            self.queue.insert(0, QueuedWrite(write.changes, run_callbacks))
             self.retry_at = now + self.retry_interval_s
-        self.pump(now)
+        self.begin_next(now)
 
     def wake_at(self, now: float) -> float:
-        """Returns when `pump` has something to do, or the result of `is_healthy` may change."""
+        """Returns when `begin_next` has something to do, or the result of `is_healthy` may change."""
         if self.in_flight:
-            late = self.started_at + self.timeout_s
-            return late if late > now else float("inf")
+            timeout_at = self.started_at + self.timeout_s
+            return timeout_at if timeout_at > now else float("inf")
         return self.retry_at if self.queue else float("inf")
 
     def check_invariants(self) -> None:
         """Raises AssertionError if an attribute contradicts another."""
         assert self.in_flight is None or self.in_flight.token == self.token, "an older write is outstanding"
-        assert not self.queue or self.in_flight or self.refused, "changes are queued but no write is due"
+        assert not self.queue or self.in_flight or self.is_failing, "changes are queued but no write is due"
--- a/shedgrade/replication/member.py
+++ b/shedgrade/replication/member.py
@@ -218,7 +218,7 @@
         self.ticked_at = now
         if self.stopped:
             return
-        self.disk_writer.pump(now)
+        self.disk_writer.begin_next(now)
         if not self.incarnation_durable:
             return
         self.transport.chunking.tick(now)
