--- a/shedgrade/replication/graceful_leave.py
+++ b/shedgrade/replication/graceful_leave.py
@@ -144,7 +144,7 @@
             and primary.supervision.heard_recently(now, follower)
         ]
 
-    def needed(self) -> int:
+    def required_members(self) -> int:
         """Returns how many members must stay: a majority, and at least t."""
         member = self.primary.member
         return max(majority(member.members), member.tolerated)
@@ -153,7 +153,7 @@
         """Whether the other members can form an epoch without this process."""
         supervision, own = self.primary.supervision, self.primary.member.replica.incarnation
         confirming = self.followers_confirming(now, own)
-        return sum(supervision.is_eligible(now, each) for each in confirming) >= self.needed()
+        return sum(supervision.is_eligible(now, each) for each in confirming) >= self.required_members()
 
     def all_leave(self, now: float) -> bool:
         """Whether all other members ask to leave too, so that waiting for a successor is useless."""
@@ -196,12 +196,16 @@
         if now < self.requested_at.get(leaver, NEVER) + delay_s:
             return False
         others = [each for each in self.primary.holders if each != leaver]
-        return confirmed.issuperset(others) and 1 + len(others) >= self.needed()
+        return confirmed.issuperset(others) and 1 + len(others) >= self.required_members()
 
     def wake_at(self, ticked_at: float) -> float:
         """Returns the next time to check, soon after the last tick, while a request is not granted."""
-        waits = any(leaver not in self.granted_at for leaver in self.rounds)
-        return ticked_at + self.primary.member.timing.leave_grant_delay_s / 2 if waits else float("inf")
+        has_open_request = any(leaver not in self.granted_at for leaver in self.rounds)
+        return (
+            ticked_at + self.primary.member.timing.leave_grant_delay_s / 2
+            if has_open_request
+            else float("inf")
+        )
 
     def grant(self, now: float, follower: Follower) -> None:
         """Tells a member that it may leave."""
--- a/shedgrade/replication/holder_supervision.py
+++ b/shedgrade/replication/holder_supervision.py
@@ -44,7 +44,7 @@
             for write in self.primary.commands.in_flight
         )
 
-    def members_heard(self, now: float) -> list[Follower]:
+    def members_heard_recently(self, now: float) -> list[Follower]:
         """Returns the other members that were heard recently."""
         replica = self.member.replica
         return [
@@ -56,8 +56,8 @@
     def has_majority(self, now: float) -> bool:
         """Whether a majority of the members was heard recently and has promised no higher epoch."""
         epoch = self.primary.epoch
-        loyal = sum(follower.promised_epoch <= epoch for follower in self.members_heard(now))
-        return 1 + loyal > len(self.member.members) // 2
+        confirming = sum(follower.promised_epoch <= epoch for follower in self.members_heard_recently(now))
+        return 1 + confirming > len(self.member.members) // 2
 
     def reconfigure_if_needed(self, now: float) -> None:
         """Replaces unhealthy holders, adds new ones, and hands over if this process's disk is unhealthy."""
@@ -71,35 +71,35 @@
         leaving = frozenset(each for each in primary.holders if followers[each].is_leaving)
         replaced = unhealthy | leaving
         eligible = self.eligible_members(now, replaced)
-        change = member.reconfiguration.change(now, primary, member.replica.epoch_config)
+        change = member.reconfiguration.next_change(now, primary, member.replica.epoch_config)
         # a leaving holder stays until another one can replace it
         if unhealthy and len(eligible) < len(primary.holders):
             replaced = unhealthy
             eligible += self.leaving_members(now, unhealthy)
-        wanted = max(len(member.members) // 2, member.tolerated)  # besides this process
+        required_holders = max(len(member.members) // 2, member.tolerated)  # besides this process
         can_replace = bool(replaced) and len(eligible) >= len(primary.holders)
-        can_add = len(primary.holders) < wanted <= len(eligible)
+        can_add = len(primary.holders) < required_holders <= len(eligible)
         # a new member may replace a leaving holder
         can_change_members = change is not None and not unhealthy
         if can_replace or can_add or can_change_members:
             member.reconfigure(now, change, replaced)
 
-    def eligible_members(self, now: float, but: frozenset[int]) -> list[int]:
+    def eligible_members(self, now: float, excluded: frozenset[int]) -> list[int]:
         """Returns the other members that could hold the state."""
         return [
             incarnation
             for incarnation, follower in self.primary.followers.items()
-            if incarnation not in but
+            if incarnation not in excluded
             and self.member.replica.has_member(incarnation)
             and self.is_eligible(now, follower)
         ]
 
-    def leaving_members(self, now: float, but: frozenset[int]) -> list[int]:
+    def leaving_members(self, now: float, excluded: frozenset[int]) -> list[int]:
         """Returns the other members that could hold the state if they were not leaving."""
         return [
             incarnation
             for incarnation, follower in self.primary.followers.items()
-            if incarnation not in but
+            if incarnation not in excluded
             and self.member.replica.has_member(incarnation)
             and follower.is_leaving
             and follower.is_healthy
--- a/shedgrade/replication/member.py
+++ b/shedgrade/replication/member.py
@@ -381,7 +381,7 @@
         """Whether this process may start an election."""
         if not self.is_voter() or not self.disk_writer.is_healthy(now):
             return False
-        return self.replica.epoch_config.number > 0 or self.reconfiguration.founded_enough(now)
+        return self.replica.epoch_config.number > 0 or self.reconfiguration.may_found_core(now)
 
     def is_primary_or_candidate(self) -> bool:
         """Whether this process is the primary, or a candidate past the pre-vote."""
--- a/shedgrade/replication/primary.py
+++ b/shedgrade/replication/primary.py
@@ -365,7 +365,7 @@
     def has_lost_majority(self, now: float) -> bool:
         """Whether no majority of the members was heard for `majority_timeout_s`."""
         timing = self.member.timing
-        if 1 + len(self.supervision.members_heard(now)) > len(self.member.members) // 2:
+        if 1 + len(self.supervision.members_heard_recently(now)) > len(self.member.members) // 2:
             self.majority_heard_at = now
             return False
         # a follower counts as heard for `peer_timeout_s` after its last message
--- a/shedgrade/replication/reconfiguration.py
+++ b/shedgrade/replication/reconfiguration.py
@@ -30,21 +30,21 @@
     """A function from the members of an epoch to those of the next one.
 
     `number`: number of the epoch that it applies to.
-    `replaced`: new members by (incarnation, address) of those that they replace.
+    `replacement_of`: the new member by (incarnation, address) of the one that it replaces.
     `added`: a further member, or None.
     """
 
-    __slots__ = ("number", "replaced", "added")
+    __slots__ = ("number", "replacement_of", "added")
 
     def __init__(self, number: int, replacements: list[Replacement], added: Peer | None = None) -> None:
         """`number`: number of the epoch whose members are changed."""
         self.number = number
         self.added = added
-        self.replaced = {(old.incarnation, old.address): new for old, new in replacements}
+        self.replacement_of = {(old.incarnation, old.address): new for old, new in replacements}
 
     def __call__(self, members: tuple[Peer, ...]) -> tuple[Peer, ...]:
         """Returns the new members, in the order of the old ones."""
-        kept = tuple(self.replaced.get((peer.incarnation, peer.address), peer) for peer in members)
+        kept = tuple(self.replacement_of.get((peer.incarnation, peer.address), peer) for peer in members)
         return kept if self.added is None else (*kept, self.added)
 
 
@@ -138,7 +138,7 @@
         if hint.primary:
             self.member.note_primary_hint(now, hint.primary)
 
-    def founded_enough(self, now: float) -> bool:
+    def may_found_core(self, now: float) -> bool:
         """Whether all founders were heard, or the time-out for that has passed."""
         member = self.member
         founders = set(member.replica.founders or ())
@@ -160,44 +160,46 @@
             for peer in config.members
             if peer.incarnation not in (0, self.member.replica.incarnation)
         }
-        present = {peer.incarnation for peer in config.members}
-        replaced = [
+        member_incarnations = {peer.incarnation for peer in config.members}
+        replacements = [
             Replacement(others[request.address], Peer(request.incarnation, request.name, request.address))
             for request in self.recent_join_requests(now)
-            if request.address in others and request.incarnation not in present
+            if request.address in others and request.incarnation not in member_incarnations
         ]
-        return MembershipChange(config.number, replaced) if replaced else None
+        return MembershipChange(config.number, replacements) if replacements else None
 
-    def change(self, now: float, primary: Primary, config: EpochConfig) -> MembershipChange | None:
+    def next_change(self, now: float, primary: Primary, config: EpochConfig) -> MembershipChange | None:
         """Returns the next membership change, or None.
 
         All replacements that are due are made at once: quorums of both memberships are required until the
         epoch is active, however many members they share. Members are added one at a time.
         """
-        present = {peer.incarnation for peer in config.members}
+        member_incarnations = {peer.incarnation for peer in config.members}
         non_members = [
             follower
             for follower in primary.followers.values()
-            if follower.incarnation not in present and primary.supervision.may_join(now, follower)
+            if follower.incarnation not in member_incarnations and primary.supervision.may_join(now, follower)
         ]
         non_members.sort(key=lambda follower: follower.known_since)
-        replaced = self.returned(now, primary, config, non_members) + self.moved(now, primary, config)
-        taken = {replacement.new.incarnation for replacement in replaced}
-        non_members = [each for each in non_members if each.incarnation not in taken]
+        replaced = self.replace_wiped(now, primary, config, non_members) + self.replace_moved(
+            now, primary, config
+        )
+        joining = {replacement.new.incarnation for replacement in replaced}
+        non_members = [each for each in non_members if each.incarnation not in joining]
         handled = {id(replacement.old) for replacement in replaced}
-        replaced += self.unreachable(now, primary, config, non_members, handled)
+        replaced += self.replace_unreachable(now, primary, config, non_members, handled)
         if replaced:
             return MembershipChange(config.number, replaced)
         return self.addition(now, primary, config, non_members)
 
-    def returned(
+    def replace_wiped(
         self, now: float, primary: Primary, config: EpochConfig, non_members: list[Follower]
     ) -> list[Replacement]:
-        """Returns replacements of members that lost their disk by their next incarnation.
+        """Returns replacements of members that lost their disk, each by its next incarnation.
 
         The old incarnation never sends a message again.
         """
-        replaced: list[Replacement] = []
+        replacements: list[Replacement] = []
         others = [peer for peer in config.members if peer.incarnation != self.member.replica.incarnation]
         for follower in non_members:
             old = next(
@@ -205,8 +207,8 @@
             )
             if old is not None:
                 others.remove(old)
-                replaced.append(Replacement(old, as_peer(follower)))
-        return replaced
+                replacements.append(Replacement(old, as_peer(follower)))
+        return replacements
 
     def is_former_incarnation(self, now: float, primary: Primary, old: Peer, follower: Follower) -> bool:
         """Whether the follower is the machine of `old` with an empty disk, or its successor by name."""
@@ -216,18 +218,18 @@
         is_silent = known is None or not primary.supervision.heard_recently(now, known)
         return bool(old.name) and old.name == follower.name and is_silent
 
-    def moved(self, now: float, primary: Primary, config: EpochConfig) -> list[Replacement]:
+    def replace_moved(self, now: float, primary: Primary, config: EpochConfig) -> list[Replacement]:
         """Returns replacements of members heard at another address than the configuration lists."""
-        found = []
+        replacements = []
         for old in config.members:
             follower = primary.followers.get(old.incarnation)
             if follower is None or follower.address == old.address:
                 continue
             if primary.supervision.heard_recently(now, follower):
-                found.append(Replacement(old, Peer(old.incarnation, old.name, follower.address)))
-        return found
+                replacements.append(Replacement(old, Peer(old.incarnation, old.name, follower.address)))
+        return replacements
 
-    def unreachable(
+    def replace_unreachable(
         self,
         now: float,
         primary: Primary,
@@ -235,7 +237,7 @@
         non_members: list[Follower],
         handled: set[int],
     ) -> list[Replacement]:
-        """Returns replacements of members not heard for long by non-members, longest silence first.
+        """Returns replacements of members not heard for long, longest silence first, by non-members.
 
         `handled`: ids of the `Peer` objects that are replaced already.
         """
@@ -247,9 +249,9 @@
             return follower.last_message_at if follower else primary.epoch_began_at
 
         others = [peer for peer in config.members if peer.incarnation != own and id(peer) not in handled]
-        due = [peer for peer in others if now - last_message_at(peer) > timeout_s]
-        due.sort(key=last_message_at)
-        pairs = zip(due, non_members, strict=False)
+        unreachable_members = [peer for peer in others if now - last_message_at(peer) > timeout_s]
+        unreachable_members.sort(key=last_message_at)
+        pairs = zip(unreachable_members, non_members, strict=False)
         return [Replacement(old, as_peer(follower)) for old, follower in pairs]
 
     def addition(
