--- a/shedgrade/replication/replica_state.py
+++ b/shedgrade/replication/replica_state.py
@@ -27,8 +27,8 @@
 _encode = msgspec.msgpack.encode
 
 
-def _decode(found: Mapping[str, bytes], key: str, kind: Any, default: Any) -> Any:
-    data = found.get(key)
+def _decode(stored: Mapping[str, bytes], key: str, kind: Any, default: Any) -> Any:
+    data = stored.get(key)
     return default if data is None else msgspec.msgpack.decode(data, type=kind)
 
 
@@ -106,38 +106,38 @@
 
     def __init__(
         self,
-        found: Mapping[str, bytes] | None,
+        stored: Mapping[str, bytes] | None,
         disk_writer: DiskWriter,
         effects: list[Instruction],
         seeds: tuple[str, ...],
         founding: bool,
         random: Random,
     ) -> None:
-        """`found`: values on the disk, None or empty if there are none. Only then does `founding` count.
+        """`stored`: values on the disk, None or empty if there are none. Only then does `founding` count.
 
         `seeds`: link addresses of the founders.
         """
-        found = found or {}
+        stored = stored or {}
         self.disk_writer = disk_writer
         self.effects = effects
-        self.incarnation: int = _decode(found, INCARNATION_KEY, int, 0)
+        self.incarnation: int = _decode(stored, INCARNATION_KEY, int, 0)
         self.is_new = not self.incarnation
-        founders = _decode(found, FOUNDERS_KEY, tuple[str, ...] | None, None)
+        founders = _decode(stored, FOUNDERS_KEY, tuple[str, ...] | None, None)
         if self.is_new:
             self.incarnation = random.getrandbits(62) | 1
             founders = seeds if founding else None
         self.founders: tuple[str, ...] | None = founders
         self.founding = founders is not None
         no_epoch = EpochConfig(0, 0, (), tuple(Peer(0, "", seed) for seed in founders or ()), (), True)
-        self.promised_epoch: PromisedEpoch = _decode(found, PROMISE_KEY, PromisedEpoch, PromisedEpoch(0, 0))
-        self.epoch_config: EpochConfig = _decode(found, EPOCH_KEY, EpochConfig, no_epoch)
+        self.promised_epoch: PromisedEpoch = _decode(stored, PROMISE_KEY, PromisedEpoch, PromisedEpoch(0, 0))
+        self.epoch_config: EpochConfig = _decode(stored, EPOCH_KEY, EpochConfig, no_epoch)
         accepted_epoch, log_position = _decode(
-            found, POSITION_KEY, tuple[int, LogPosition], (0, LogPosition(0, 0))
+            stored, POSITION_KEY, tuple[int, LogPosition], (0, LogPosition(0, 0))
         )
         self.accepted_epoch: int = accepted_epoch
         self.log_position: LogPosition = log_position
         self.state: ReplicatedState = {
-            key[len(STATE_PREFIX) :]: value for key, value in found.items() if key.startswith(STATE_PREFIX)
+            key[len(STATE_PREFIX) :]: value for key, value in stored.items() if key.startswith(STATE_PREFIX)
         }
         self.durable_position = self.log_position
         self.installed_epoch = self.accepted_epoch
@@ -222,12 +222,12 @@
         self.state = state
         self.log_position = position
 
-        def durable(at: float) -> None:
+        def on_synced(at: float) -> None:
             self.durable_position = position
             self.installed_epoch = config.number
             on_durable(at)
 
-        self.disk_writer.save(now, saved, durable)
+        self.disk_writer.save(now, saved, on_synced)
 
     def append(self, now: float, sequence: int, changes: Changes, on_durable: DurableCallback) -> None:
         """Appends the next change of the accepted epoch to the log."""
@@ -239,11 +239,11 @@
         saved = {STATE_PREFIX + key: value for key, value in changes.items()}
         saved[POSITION_KEY] = _encode((self.accepted_epoch, position))
 
-        def durable(at: float) -> None:
+        def on_synced(at: float) -> None:
             self.durable_position = position
             on_durable(at)
 
-        self.disk_writer.save(now, saved, durable)
+        self.disk_writer.save(now, saved, on_synced)
 
     # --- differences between states
 
