--- a/shedgrade/storage/check.py
+++ b/shedgrade/storage/check.py
@@ -17,7 +17,7 @@
     for letter in ("a", "b"):
         lines += [slot_line(folder, letter), log_line(folder, letter)]
     lines += [f"finding: {finding}" for finding in folder.findings]
-    return [*lines, verdict(folder)]
+    return [*lines, summary(folder)]
 
 
 def slot_line(folder: RecoveredFolder, letter: str) -> str:
@@ -57,7 +57,7 @@
     return folder.state is StoreState.SOUND and folder.active_slot == letter
 
 
-def verdict(folder: RecoveredFolder) -> str:
+def summary(folder: RecoveredFolder) -> str:
     """Describes what a start would load, in one line."""
     if folder.state is StoreState.EMPTY:
         return "empty: no file of control state; a first start, or a disk that was lost"
--- a/shedgrade/storage/layout.py
+++ b/shedgrade/storage/layout.py
@@ -46,7 +46,7 @@
     `base_lsn`: LSN of its slot, UNKNOWN_LSN if the header is damaged.
     `changes`: the changes of the sound records in sequence.
     `damage`: why reading stopped before the end, "" if it did not.
-    `lsn_behind_damage`: the highest LSN of a sound record after the damage, UNKNOWN_LSN if none is above the
+    `lsn_after_damage`: the highest LSN of a sound record after the damage, UNKNOWN_LSN if none is above the
     last. If there is one, the damage is not a torn write, as a write begins only after the previous one was
     synced.
     `newer_version`: whether the log was written by a later version of the format.
@@ -55,7 +55,7 @@
     base_lsn: int = UNKNOWN_LSN
     changes: list[Changes] = field(default_factory=list)
     damage: str = ""
-    lsn_behind_damage: int = UNKNOWN_LSN
+    lsn_after_damage: int = UNKNOWN_LSN
     newer_version: bool = False
 
     @property
@@ -106,7 +106,7 @@
             break
         log.changes.append(record["c"])
     if log.damage:
-        log.lsn_behind_damage = highest_lsn_anywhere(data, log.last_lsn)
+        log.lsn_after_damage = highest_lsn_at_any_offset(data, log.last_lsn)
     return log
 
 
@@ -138,7 +138,7 @@
     )
 
 
-def highest_lsn_anywhere(data: bytes, last_lsn: int) -> int:
+def highest_lsn_at_any_offset(data: bytes, last_lsn: int) -> int:
     """Returns the highest LSN above `last_lsn` of a sound record at any offset, or UNKNOWN_LSN."""
     prefix = file_frames.RECORD_PREFIX
     highest, offset = UNKNOWN_LSN, data.find(PAYLOAD_START, file_frames.HEADER_BYTES + prefix.size)
--- a/shedgrade/storage/recovery.py
+++ b/shedgrade/storage/recovery.py
@@ -84,7 +84,7 @@
     slots, logs = folder.slots, folder.logs
     newer_slot = any(slot.newer_version for slot in slots.values())
     folder.newer_version = newer_slot or any(log.newer_version for log in logs.values())
-    highest_logged = max(max(log.last_lsn, log.lsn_behind_damage) for log in logs.values())
+    highest_logged = max(max(log.last_lsn, log.lsn_after_damage) for log in logs.values())
     folder.highest_lsn = max(0, highest_logged, *(slot.lsn for slot in slots.values()))
     for letter, slot in slots.items():
         if slot.values is None and slot.damage not in (MISSING, EMPTY):
--- a/shedgrade/storage/store.py
+++ b/shedgrade/storage/store.py
@@ -42,7 +42,7 @@
         newer_version: whether a file was written by a later version of the format; writes are refused then.
         active_synced: whether the files of the active slot are known to be durable. False from a load that
             found a sound state until the end of `resync_active`; the other slot must not be written before.
-        files_named: whether the names of all four files are known to be durable; if not, `write_snapshot`
+        names_durable: whether the names of all four files are known to be durable; if not, `write_snapshot`
             creates them.
         can_append: whether the log of the active slot ends with a sound record. False during a write, and
             after a failed one, since no record may follow its torn record.
@@ -59,7 +59,7 @@
         self.is_loaded = False
         self.newer_version = False
         self.active_synced = False
-        self.files_named = False
+        self.names_durable = False
         self.can_append = False
         self.values: dict[str, bytes] = {}
         self.active_slot = "b"
@@ -78,7 +78,7 @@
         if self.can_append:
             assert self.is_loaded
             assert self.active_synced
-            assert self.files_named
+            assert self.names_durable
             assert not self.newer_version
             assert self.log_records <= MAX_LOG_RECORDS
             assert self.base_lsn + self.log_records == self.lsn
@@ -90,7 +90,7 @@
         and the call may be repeated.
         """
         self.is_loaded = False
-        self.files_named = False
+        self.names_durable = False
         self.can_append = False
         self.files.close()
         folder = recover(self.files)
@@ -139,7 +139,7 @@
         for name in self.active_file_names():
             self.files.sync(name)
         self.files.sync_folder()
-        self.files_named = set(FILE_NAMES).issubset(self.files.names())
+        self.names_durable = set(FILE_NAMES).issubset(self.files.names())
 
     def active_file_names(self) -> list[str]:
         """Returns the names of the files of the active slot and its log that exist."""
@@ -160,9 +160,9 @@
             raise OSError(errno.EPERM, "the folder was written by a later version")
         if not self.active_synced:
             self.resync_active()
-        group = {key: owned_bytes(key, value) for key, value in changes.items()}
+        owned_changes = {key: owned_bytes(key, value) for key, value in changes.items()}
         map_bytes = self.map_bytes
-        for key, value in group.items():
+        for key, value in owned_changes.items():
             map_bytes += layout.entry_bytes(key, value) - layout.entry_bytes(key, self.values.get(key))
         if map_bytes > layout.MAX_MAP_BYTES:
             raise OSError(errno.EFBIG, os.strerror(errno.EFBIG))
@@ -170,15 +170,15 @@
         self.lsn += 1
         # after a failure the log may have a torn tail, so the other slot is written instead
         can_append, self.can_append = self.can_append, False
-        if not (can_append and self.append_record(group)):
-            self.write_snapshot({**self.values, **group})
-        layout.apply_changes(self.values, group)
+        if not (can_append and self.append_record(owned_changes)):
+            self.write_snapshot({**self.values, **owned_changes})
+        layout.apply_changes(self.values, owned_changes)
         self.map_bytes = map_bytes
         self.can_append = True
 
-    def append_record(self, group: layout.Changes) -> bool:
+    def append_record(self, changes: layout.Changes) -> bool:
         """Appends the changes to the log and syncs it. Returns False, and does nothing, if it is too long."""
-        data = layout.encode_log_record(self.lsn, group)
+        data = layout.encode_log_record(self.lsn, changes)
         limit = max(MIN_LOG_BYTES, self.slot_bytes)
         if self.log_records >= MAX_LOG_RECORDS or self.log_bytes + len(data) > limit:
             return False
@@ -201,16 +201,16 @@
         letter = OTHER_SLOT[self.active_slot]
         name = f"slot-{letter}"
         data = layout.encode_slot(self.lsn, present)
-        if not self.files_named:
+        if not self.names_durable:
             self.files.make()
             for other in FILE_NAMES:
                 self.files.write(other, 0, b"")
         self.files.write(name, 0, data)
         self.files.truncate(name, len(data))
         self.files.sync(name)
-        if not self.files_named:
+        if not self.names_durable:
             self.files.sync_folder()
-            self.files_named = True
+            self.names_durable = True
         self.active_slot = letter
         self.base_lsn = self.lsn
         self.slot_bytes = len(data)
--- a/tests/storage/test_crash_points.py
+++ b/tests/storage/test_crash_points.py
@@ -25,10 +25,10 @@
 
 
 class SyncsNoRecord(Store):
-    def append_record(self, group):
+    def append_record(self, changes):
         sync, self.files.sync = self.files.sync, lambda name: None
         try:
-            return super().append_record(group)
+            return super().append_record(changes)
         finally:
             self.files.sync = sync
 
@@ -53,7 +53,7 @@
 
 class OverwritesActiveSlot(Store):
     def write_snapshot(self, values):
-        if self.files_named:
+        if self.names_durable:
             self.active_slot = recovery.OTHER_SLOT[self.active_slot]
         return super().write_snapshot(values)
 
@@ -82,7 +82,7 @@
             newer = max(sound, key=lambda letter: found.slots[letter].lsn)
             found.slots[newer].values = None
             for log in found.logs.values():
-                log.changes, log.lsn_behind_damage = [], -1
+                log.changes, log.lsn_after_damage = [], -1
         select_state(found)
 
     monkeypatch.setattr(recovery, "select_state", older)
--- a/tests/storage/test_storage_damage.py
+++ b/tests/storage/test_storage_damage.py
@@ -196,4 +196,4 @@
     sized = file_frames.CHECKSUM.pack(len(payload))
     framed = sized + file_frames.CHECKSUM.pack(file_frames.crc32(payload, file_frames.crc32(sized))) + payload
     assert layout.decode_slot(file_frames.header(layout.SLOT_KIND, 1) + framed).values is None
-    assert layout.decode_log(layout.encode_log_header(1) + b"torn" + framed).lsn_behind_damage == -1
+    assert layout.decode_log(layout.encode_log_header(1) + b"torn" + framed).lsn_after_damage == -1
--- a/tests/storage/test_store_calls.py
+++ b/tests/storage/test_store_calls.py
@@ -297,7 +297,8 @@
 
 
 @pytest.mark.parametrize(
-    ("attribute", "value"), [("active_slot", "c"), ("map_bytes", 1), ("base_lsn", 99), ("files_named", False)]
+    ("attribute", "value"),
+    [("active_slot", "c"), ("map_bytes", 1), ("base_lsn", 99), ("names_durable", False)],
 )
 def test_a_broken_invariant_is_found(attribute, value):
     one = Store("simulated", files=SimulatedDisk(Random(1)).files)
