--- a/shedgrade/storage/layout.py
+++ b/shedgrade/storage/layout.py
@@ -89,7 +89,7 @@
         return SlotContent(lsn, damage=damage or "no record")
     values = records[0].get("v")
     if records[0].get("n") != lsn or not is_map(values, bytes):
-        return SlotContent(lsn, damage="header and content are of two writes")
+        return SlotContent(lsn, damage="header and record are of different writes")
     return SlotContent(lsn, values)
 
 
@@ -102,7 +102,7 @@
     log = LogContent(base_lsn, damage=damage)
     for record in records:
         if record.get("n") != log.last_lsn + 1 or not is_map(record.get("c"), bytes | None):
-            log.damage = f"what follows {log.last_lsn} is not the next record"
+            log.damage = f"the record after number {log.last_lsn} is not the next one"
             break
         log.changes.append(record["c"])
     if log.damage:
@@ -119,7 +119,7 @@
         content = file_frames.read(data, kind)
     except (TypeError, RecursionError) as error:
         # a file of another program may have sound checksums around records of another shape
-        raise file_frames.FormatError(f"not a file of ours ({type(error).__name__})") from error
+        raise file_frames.FormatError(f"not a file of the store ({type(error).__name__})") from error
     if content.number >= LSN_LIMIT:
         raise file_frames.FormatError("sequence number out of bounds")
     return content
--- a/shedgrade/storage/recovery.py
+++ b/shedgrade/storage/recovery.py
@@ -94,9 +94,9 @@
     if sound:
         replay_log(folder, max(sound, key=lambda letter: slots[letter].lsn), highest_logged)
     else:
-        folder.findings.append(Finding("slots", "none can be read"))
+        folder.findings.append(Finding("slots", "no slot can be read"))
     if folder.newer_version:
-        folder.findings.append(Finding("slots", "a file is of a later version and is not written over"))
+        folder.findings.append(Finding("slots", "a file is of a later version and is not overwritten"))
 
 
 def replay_log(folder: RecoveredFolder, letter: str, highest_logged: int) -> None:
@@ -111,7 +111,7 @@
         if log.damage:
             folder.findings.append(Finding(f"log-{letter}", f"{log.damage}; used up to {log.last_lsn}"))
     if highest_logged > folder.lsn:
-        text = f"{highest_logged} was written once, only {folder.lsn} can be read"
+        text = f"number {highest_logged} was written, only {folder.lsn} can be read"
         folder.findings.append(Finding("slots", text))
     elif not folder.newer_version:
         folder.state = StoreState.SOUND
--- a/shedgrade/storage/store.py
+++ b/shedgrade/storage/store.py
@@ -227,5 +227,5 @@
 def owned_bytes(key: str, value: object) -> bytes | None:
     """Returns the value as bytes, copied if needed. Raises TypeError if it could not be read back."""
     if not isinstance(key, str):
-        raise TypeError(f"key {key!r} is no string")
+        raise TypeError(f"key {key!r} is not a string")
     return value if value is None or type(value) is bytes else bytes(memoryview(value))  # type: ignore[arg-type]
