--- a/tests/replication/test_acknowledgement_times.py
+++ b/tests/replication/test_acknowledgement_times.py
@@ -1,4 +1,4 @@
-"""When a heartbeat can have been sent, by what its sender had heard."""
+"""The earliest time at which a heartbeat was sent, from the acknowledgement that it names."""
 
 from shedgrade.replication.acknowledgement_times import (
     MAX_ROUNDS,
@@ -8,7 +8,7 @@
 )
 
 
-def acknowledged(*rounds):
+def times_of(*rounds):
     times = AcknowledgementTimes()
     for number, at in rounds:
         times.record(at, 3, number)
@@ -17,7 +17,7 @@
 
 
 def test_a_heartbeat_was_sent_after_the_acknowledgement_that_it_names():
-    times = acknowledged((4, 10.0), (5, 10.25), (8, 10.5))
+    times = times_of((4, 10.0), (5, 10.25), (8, 10.5))
     assert [times.sent_after(3, number) for number in (3, 4, 5, 7, 8, 9)] == [
         NEVER,
         10.0,
@@ -29,23 +29,23 @@
 
 
 def test_nothing_is_known_of_another_epoch():
-    times = acknowledged((4, 10.0))
+    times = times_of((4, 10.0))
     assert times.sent_after(2, 4) == times.sent_after(4, 4) == NEVER
     times.record(11.0, 4, 1)
     assert times.sent_after(3, 4) == NEVER and times.sent_after(4, 1) == 11.0
 
 
 def test_a_round_acknowledged_again_or_late_changes_nothing():
-    assert acknowledged((4, 10.0), (5, 10.25), (4, 10.5), (5, 10.75)).sent_after(3, 5) == 10.25
+    assert times_of((4, 10.0), (5, 10.25), (4, 10.5), (5, 10.75)).sent_after(3, 5) == 10.25
 
 
-def test_rounds_that_follow_fast_are_kept_as_the_first_of_them():
-    times = acknowledged((4, 10.0), (5, 10.0 + MIN_INTERVAL_S / 2), (6, 10.0 + MIN_INTERVAL_S))
+def test_of_rounds_at_short_intervals_only_the_first_is_kept():
+    times = times_of((4, 10.0), (5, 10.0 + MIN_INTERVAL_S / 2), (6, 10.0 + MIN_INTERVAL_S))
     assert times.sent_after(3, 5) == 10.0
     assert times.sent_after(3, 6) == 10.0 + MIN_INTERVAL_S
 
 
-def test_what_is_kept_is_bounded():
-    times = acknowledged(*((number, float(number)) for number in range(1, 2 * MAX_ROUNDS)))
+def test_the_number_of_rounds_kept_is_bounded():
+    times = times_of(*((number, float(number)) for number in range(1, 2 * MAX_ROUNDS)))
     assert len(times.rounds) == MAX_ROUNDS
     assert times.sent_after(3, 1) == NEVER
--- a/tests/replication/test_replica_state.py
+++ b/tests/replication/test_replica_state.py
@@ -1,4 +1,4 @@
-"""What a replica makes of committed states and of differences between them."""
+"""How a replica applies committed states and differences between states."""
 
 from random import Random
 
@@ -11,7 +11,7 @@
 
 
 def replica():
-    """One that has committed (2, 5), and has (2, 7) in its log."""
+    """Returns a replica that has committed (2, 5) and logged up to (2, 7), and its effects."""
     effects = []
     state = ReplicaState(None, DiskWriter(effects, 1.0, 1.0), effects, ("a:1",), False, Random(1))
     state.accepted_epoch = 2
@@ -31,18 +31,19 @@
 @pytest.mark.parametrize(
     ("base", "position", "expected"),
     [
-        (None, (2, 9), {"n": b"1"}),  # all of it
-        ((2, 5), (2, 8), {"k5": b"v", "n": b"1"}),  # from what is committed
-        ((2, 4), (2, 8), {"k5": b"v", "n": b"1"}),  # from before it: the difference leads from here too
-        ((2, 7), (2, 8), {**LOGGED, "n": b"1"}),  # from the end of the own log, as the primary has it
+        (None, (2, 9), {"n": b"1"}),  # the whole state
+        ((2, 5), (2, 8), {"k5": b"v", "n": b"1"}),  # from the committed state
+        # from before it: the changes also lead from the committed state
+        ((2, 4), (2, 8), {"k5": b"v", "n": b"1"}),
+        ((2, 7), (2, 8), {**LOGGED, "n": b"1"}),  # from the end of the log, which the primary has too
         ((2, 7), (2, 7), {**LOGGED, "n": b"1"}),
-        ((2, 6), (2, 8), None),  # from a state that is neither
-        ((2, 5), (2, 4), None),  # from nothing older
+        ((2, 6), (2, 8), None),  # from a position that is neither
+        ((2, 5), (2, 4), None),  # to an older position
         (None, (2, 5), None),
         (None, (1, 99), None),
     ],
 )
-def test_a_committed_state_is_taken_from_a_base_that_is_here(base, position, expected):
+def test_a_committed_state_is_applied_to_a_base_that_the_replica_has(base, position, expected):
     state, effects = replica()
     state.apply_committed(base and LogPosition(*base), LogPosition(*position), {"n": b"1"})
     if expected is None:
@@ -52,7 +53,7 @@
         assert effects == [Committed(*position, expected)]
 
 
-def test_a_difference_begins_at_the_newest_base_that_is_known():
+def test_changes_begin_at_the_newest_base_that_is_known():
     state, _ = replica()
     assert state.changes_since(LogPosition(2, 5), LogPosition(2, 6)) == ((2, 6), {"k7": b"v"})
     assert state.changes_since(LogPosition(1, 1)) == (None, LOGGED)
@@ -61,7 +62,7 @@
     assert state.committed_changes_since(LogPosition(2, 7)) == (None, {"k5": b"v"})
 
 
-def test_a_difference_is_applied_to_the_log_or_to_what_is_committed():
+def test_changes_are_applied_to_the_end_of_the_log_or_to_the_committed_state():
     state, _ = replica()
     assert state.apply_delta(None, {"n": b"1", "gone": None}) == {"n": b"1"}
     assert state.apply_delta(LogPosition(2, 7), {"k6": None}) == {"k5": b"v", "k7": b"v"}
@@ -69,7 +70,7 @@
     assert state.apply_delta(LogPosition(2, 6), {"n": b"1"}) is None
 
 
-def test_what_is_committed_never_goes_back():
+def test_the_committed_state_never_goes_back():
     state, effects = replica()
     for position in ((2, 5), (2, 4), (1, 9)):
         state.commit_state(LogPosition(*position), {})
