--- a/tests/storage/test_crash_points.py
+++ b/tests/storage/test_crash_points.py
@@ -1,7 +1,8 @@
-"""Power lost at every operation of a day of 500 changes, by enumeration: at least the last acknowledged state
-is found, and never a mix; and faults planted in the store are found.
+"""Power loss at every operation of 500 changes, by enumeration: a start finds at least the last acknowledged
+state and never a mix of two, and faults planted in the store are found.
 
-CI plays a second loss for each 20th content that a first one leaves; `benchmarks/crash_points.py 500` all.
+CI plays a second loss for each 20th content that a first one leaves; `benchmarks/crash_points.py 500` plays
+it for all of them.
 """
 
 import pytest
@@ -14,7 +15,7 @@
 
 @pytest.fixture(autouse=True)
 def short_logs(monkeypatch):
-    """Slots change often in a short day."""
+    """Makes the slots change often within few changes."""
     monkeypatch.setattr(store, "MAX_LOG_RECORDS", 16)
 
 
@@ -59,7 +60,7 @@
 
 
 class AcknowledgesBeforeDurable(Store):
-    """A load that trusts what it reads."""
+    """Returns from a load without making the state durable."""
 
     def make_durable(self):
         self.active_synced = True
@@ -69,45 +70,45 @@
     "faulty", [SyncsNoRecord, SyncsNoSlot, SyncsNoFolder, OverwritesActiveSlot, AcknowledgesBeforeDurable]
 )
 def test_a_fault_planted_in_the_store_is_found(faulty):
-    day = CrashEnumeration(100, second_every=20, make_store=lambda files: faulty("simulated", files=files))
-    assert day.play(to_first_finding=True).violations
+    run = CrashEnumeration(100, second_every=20, make_store=lambda files: faulty("simulated", files=files))
+    assert run.play(to_first_finding=True).violations
 
 
 def test_a_recovery_that_prefers_the_older_slot_is_found(monkeypatch):
     select_state = recovery.select_state
 
-    def older(found):
-        sound = [letter for letter, slot in found.slots.items() if slot.values is not None]
+    def prefer_older_slot(folder):
+        sound = [letter for letter, slot in folder.slots.items() if slot.values is not None]
         if len(sound) == 2:
-            newer = max(sound, key=lambda letter: found.slots[letter].lsn)
-            found.slots[newer].values = None
-            for log in found.logs.values():
+            newer = max(sound, key=lambda letter: folder.slots[letter].lsn)
+            folder.slots[newer].values = None
+            for log in folder.logs.values():
                 log.changes, log.lsn_after_damage = [], -1
-        select_state(found)
+        select_state(folder)
 
-    monkeypatch.setattr(recovery, "select_state", older)
+    monkeypatch.setattr(recovery, "select_state", prefer_older_slot)
     assert CrashEnumeration(100, second_every=20).play(to_first_finding=True).violations
 
 
-def test_a_recovery_that_takes_a_log_of_another_slot_is_found(monkeypatch):
+def test_a_recovery_that_applies_the_log_of_another_slot_is_found(monkeypatch):
     select_state = recovery.select_state
 
-    def mixed(found):
-        for letter, log in found.logs.items():
+    def accept_any_log(folder):
+        for letter, log in folder.logs.items():
             if log.base_lsn >= 0:
-                log.base_lsn = found.slots[letter].lsn
-        select_state(found)
+                log.base_lsn = folder.slots[letter].lsn
+        select_state(folder)
 
-    monkeypatch.setattr(recovery, "select_state", mixed)
+    monkeypatch.setattr(recovery, "select_state", accept_any_log)
     assert CrashEnumeration(100, second_every=20).play(to_first_finding=True).violations
 
 
-def test_survivors_are_all_ways_of_each_later_write_and_each_new_file():
+def test_survivors_are_all_combinations_of_unsynced_writes_and_new_files():
     def contents(**files):
         return list(survivors(CrashImage(files, "write", 0)))
 
-    in_doubt = FileImage(b"ab", ((0, b"X"), (3, None)), True)
-    assert {each["a"] for each in contents(a=in_doubt)} == {b"ab", b"Xb", b"ab\0", b"Xb\0"}
+    unsynced = FileImage(b"ab", ((0, b"X"), (3, None)), True)
+    assert {each["a"] for each in contents(a=unsynced)} == {b"ab", b"Xb", b"ab\0", b"Xb\0"}
     new = FileImage(b"", (), False)
     assert len(contents(a=new, b=new)) == 4
     long = FileImage(b"", ((0, b"1" * 3 * SECTOR),), True)
--- a/tests/storage/test_simulated_disk.py
+++ b/tests/storage/test_simulated_disk.py
@@ -1,4 +1,4 @@
-"""The simulated disk keeps what was synced, and loses the rest in every way there is."""
+"""The simulated disk keeps what was synced, and loses the rest in every possible way."""
 
 import errno
 from random import Random
@@ -9,7 +9,7 @@
 
 
 def after_loss(prepare, name, seeds=300):
-    """What power losses leave of one file; None where its name is gone."""
+    """Returns the contents that power losses leave of one file; None where its name is lost."""
     found = set()
     for seed in range(seeds):
         disk = SimulatedDisk(Random(seed))
@@ -22,7 +22,7 @@
     return found
 
 
-def test_what_was_synced_with_its_name_stays():
+def test_a_file_that_was_synced_with_its_name_survives():
     def prepare(files):
         files.write("x", 0, b"abc")
         files.sync("x")
@@ -32,7 +32,7 @@
 
 
 @pytest.mark.parametrize("synced", ["file", "folder", "none"])
-def test_a_new_name_without_its_sync_or_that_of_the_folder_may_be_gone(synced):
+def test_a_new_file_without_a_sync_of_it_or_of_the_folder_may_be_lost(synced):
     def prepare(files):
         files.write("x", 0, b"abc")
         if synced == "file":
@@ -45,7 +45,7 @@
     assert (found == {None, b"abc"}) == (synced == "file")
 
 
-def test_a_write_that_was_not_synced_is_there_missing_or_torn_whatever_became_of_the_next():
+def test_an_unsynced_write_survives_is_lost_or_is_torn_independently_of_the_next():
     def prepare(files):
         files.write("x", 0, b"0000")
         files.sync("x")
@@ -75,9 +75,9 @@
     files = disk.files
     files.write("x", 0, b"abc")
     disk.full = True
-    for refused in (lambda: files.write("x", 0, b"z"), lambda: files.truncate("x", 0)):
+    for write in (lambda: files.write("x", 0, b"z"), lambda: files.truncate("x", 0)):
         with pytest.raises(OSError) as error:
-            refused()
+            write()
         assert error.value.errno == errno.ENOSPC
     files.sync("x")
     files.sync_folder()
@@ -85,7 +85,7 @@
     assert disk.contents() == {"x": b"abc"}
 
 
-def test_a_sync_that_failed_is_not_made_good_by_the_next():
+def test_a_sync_that_failed_is_not_repaired_by_the_next():
     found = set()
     for seed in range(100):
         disk = SimulatedDisk(Random(seed))
@@ -95,10 +95,10 @@
         files.sync_folder()
         files.write("x", 0, b"1")
 
-        def trouble(operation, name):
+        def fail_sync(operation, name):
             raise OSError(errno.EIO, "sync")
 
-        disk.on_operation = trouble
+        disk.on_operation = fail_sync
         with pytest.raises(OSError):
             files.sync("x")
         disk.on_operation = None
@@ -110,7 +110,7 @@
     assert found == {b"0002", b"1002"}
 
 
-def test_a_process_from_before_the_loss_of_power_has_no_disk():
+def test_files_opened_before_a_power_loss_or_a_wipe_can_no_longer_be_used():
     for end in (lambda disk: disk.power_loss(Random(1)), SimulatedDisk.wipe):
         disk = SimulatedDisk(Random(1))
         files = disk.files
--- a/tests/storage/test_storage_check.py
+++ b/tests/storage/test_storage_check.py
@@ -1,10 +1,10 @@
-"""What `storage check` says of a folder, and that it changes nothing."""
+"""The report of `storage check` on a folder, which it does not change."""
 
 from shedgrade.storage import Store
 from shedgrade.storage.check import report
 
 
-def test_a_folder_that_is_not_there_or_has_nothing_is_empty(tmp_path):
+def test_a_missing_folder_and_one_without_files_are_reported_as_empty(tmp_path):
     for folder in (tmp_path, tmp_path / "none"):
         assert report(folder) == [
             "slot-a: not there",
@@ -15,13 +15,13 @@
         ]
 
 
-def test_a_sound_folder_is_told_file_by_file(tmp_path):
-    one = Store(tmp_path)
+def test_a_sound_folder_is_reported_file_by_file(tmp_path):
+    store = Store(tmp_path)
     for number in range(3):
-        one.write({"version": b"%d" % number})
-    one.close()
-    one.write({"evacuations": b"[]"})
-    one.close()
+        store.write({"version": b"%d" % number})
+    store.close()
+    store.write({"evacuations": b"[]"})
+    store.close()
     before = {path.name: path.read_bytes() for path in tmp_path.iterdir()}
     sizes = {name: len(data) for name, data in before.items()}
     assert report(tmp_path) == [
@@ -34,11 +34,11 @@
     assert before == {path.name: path.read_bytes() for path in tmp_path.iterdir()}
 
 
-def test_a_torn_tail_and_a_damaged_slot_are_told(tmp_path):
-    one = Store(tmp_path)
+def test_a_torn_tail_and_a_damaged_slot_are_reported(tmp_path):
+    store = Store(tmp_path)
     for number in range(3):
-        one.write({"version": b"%d" % number})
-    one.close()
+        store.write({"version": b"%d" % number})
+    store.close()
     log = tmp_path / "log-a"
     log.write_bytes(log.read_bytes()[:-1])
     lines = report(tmp_path)
--- a/tests/storage/test_storage_damage.py
+++ b/tests/storage/test_storage_damage.py
@@ -1,4 +1,4 @@
-"""Damage that no write in flight explains is told, never taken for a first start or for the newest state."""
+"""Damage that no write in flight explains is reported, never taken for a first start or the newest state."""
 
 from random import Random
 
@@ -12,8 +12,8 @@
 from shedgrade.storage.recovery import FILE_NAMES, recover
 
 
-class Folder:
-    """Files as they are given, read only."""
+class ReadOnlyFolder:
+    """A read-only folder with the given files."""
 
     def __init__(self, contents):
         self.contents = contents
@@ -25,14 +25,17 @@
         return self.contents[name]
 
 
-def written(writes=6, size=10, folds=0):
-    """A folder after so many writes, `folds` of them by a store started anew: its slots change."""
+def written(writes=6, size=10, restarts=0):
+    """Returns a disk after `writes` writes.
+
+    Before each of the first `restarts` writes the store is reopened, so that its slots change.
+    """
     disk = SimulatedDisk(Random(1))
-    one = Store("simulated", files=disk.files)
+    store = Store("simulated", files=disk.files)
     for number in range(writes):
-        if number < folds:
-            one.close()
-        one.write({"version": b"%d" % number, "configuration": bytes([number]) * size})
+        if number < restarts:
+            store.close()
+        store.write({"version": b"%d" % number, "configuration": bytes([number]) * size})
     return disk
 
 
@@ -49,26 +52,26 @@
     return data[:at] + bytes([data[at] ^ 0x40]) + data[at + 1 :]
 
 
-def test_a_slot_that_rotted_under_its_log_is_damage_and_not_the_slot_of_before():
-    contents = written(writes=5, folds=2).contents()
-    used = recover(Folder(contents)).active_slot
+def test_a_corrupt_slot_with_a_log_is_damage_and_the_older_slot_is_not_used():
+    contents = written(writes=5, restarts=2).contents()
+    used = recover(ReadOnlyFolder(contents)).active_slot
     assert used == "b" and layout.decode_slot(contents["slot-a"]).values
     for at in range(len(contents["slot-b"])):
-        _, found = load({**contents, "slot-b": flipped(contents["slot-b"], at)})
-        assert (found.state, found.values) == (StoreState.DAMAGED, {})
-        assert any(finding.place == "slot-b" for finding in found.findings)
+        _, result = load({**contents, "slot-b": flipped(contents["slot-b"], at)})
+        assert (result.state, result.values) == (StoreState.DAMAGED, {})
+        assert any(finding.place == "slot-b" for finding in result.findings)
 
 
-def test_a_record_that_rotted_before_others_is_damage_and_the_last_one_is_a_torn_tail():
+def test_a_corrupt_record_before_others_is_damage_and_a_corrupt_last_one_is_a_torn_tail():
     contents = written(writes=4).contents()
     log = contents["log-a"]
     last = log.rindex(layout.PAYLOAD_START) - file_frames.RECORD_PREFIX.size
     for at in range(file_frames.HEADER_BYTES, last):
         assert load({**contents, "log-a": flipped(log, at)})[1].state is StoreState.DAMAGED
     for at in range(last, len(log)):
-        _, found = load({**contents, "log-a": flipped(log, at)})
-        assert found.state is StoreState.SOUND and found.values["version"] == b"2"
-        assert [finding.place for finding in found.findings] == ["log-a"]
+        _, result = load({**contents, "log-a": flipped(log, at)})
+        assert result.state is StoreState.SOUND and result.values["version"] == b"2"
+        assert [finding.place for finding in result.findings] == ["log-a"]
 
 
 @pytest.mark.parametrize(
@@ -87,33 +90,33 @@
         {"slot-a": layout.encode_slot(layout.LSN_LIMIT, {})},
     ],
 )
-def test_files_of_ours_that_hold_nothing_readable_are_damage_and_are_written_again(contents):
-    store, found = load(contents)
-    assert (found.state, found.values) == (StoreState.DAMAGED, {}) and found.findings
+def test_unreadable_files_of_the_store_are_damage_and_are_overwritten(contents):
+    store, result = load(contents)
+    assert (result.state, result.values) == (StoreState.DAMAGED, {}) and result.findings
     store.write({"a": b"new"})
     assert store.load().values == {"a": b"new"}
     store.write({"b": b"2"})
     store.write({"b": b"3"})
-    again = store.load()
-    assert (again.state, again.values) == (StoreState.SOUND, {"a": b"new", "b": b"3"})
+    reloaded = store.load()
+    assert (reloaded.state, reloaded.values) == (StoreState.SOUND, {"a": b"new", "b": b"3"})
 
 
-def test_after_damage_a_new_state_wins_over_all_that_lay_there():
-    contents = written(writes=30, folds=2).contents()
+def test_after_damage_a_new_write_takes_precedence_over_the_old_files():
+    contents = written(writes=30, restarts=2).contents()
     for name in ("slot-a", "slot-b"):
-        store, found = load({**contents, "slot-b": b"rot", name: b"rot"})
-        assert found.state is StoreState.DAMAGED
+        store, result = load({**contents, "slot-b": b"rot", name: b"rot"})
+        assert result.state is StoreState.DAMAGED
         store.write({"a": b"new"})
         assert store.load().values == {"a": b"new"}
 
 
-def test_a_file_of_a_later_version_is_neither_read_nor_written_over(monkeypatch):
+def test_a_file_of_a_later_version_is_neither_read_nor_overwritten(monkeypatch):
     monkeypatch.setattr(file_frames, "VERSION", file_frames.VERSION + 1)
     later = layout.encode_slot(9, {"a": b"later"})
     monkeypatch.undo()
     contents = {**written(writes=3).contents(), "slot-b": later}
-    store, found = load(contents)
-    assert found.state is StoreState.DAMAGED
+    store, result = load(contents)
+    assert result.state is StoreState.DAMAGED
     with pytest.raises(OSError, match="later version"):
         store.write({"a": b"1"})
     assert store.files.read("slot-b") == later
@@ -123,15 +126,15 @@
     contents = written(writes=5).contents()
     torn = layout.encode_slot(6, {"version": b"5"})
     for size in range(len(torn)):
-        _, found = load({**contents, "slot-b": torn[:size]})
-        assert found.state is StoreState.SOUND and found.values["version"] == b"4"
+        _, result = load({**contents, "slot-b": torn[:size]})
+        assert result.state is StoreState.SOUND and result.values["version"] == b"4"
     assert load({**contents, "slot-b": torn})[1].values == {"version": b"5"}
 
 
-def test_a_log_of_an_earlier_slot_is_left_alone():
+def test_a_log_of_an_earlier_slot_is_ignored():
     contents = written(writes=3).contents()
-    _, found = load({**contents, "slot-a": layout.encode_slot(20, {"version": b"20"})})
-    assert (found.state, found.values, found.findings) == (StoreState.SOUND, {"version": b"20"}, ())
+    _, result = load({**contents, "slot-a": layout.encode_slot(20, {"version": b"20"})})
+    assert (result.state, result.values, result.findings) == (StoreState.SOUND, {"version": b"20"}, ())
 
 
 EDITS = st.lists(
@@ -147,8 +150,8 @@
 
 @settings(max_examples=500, deadline=None)
 @given(EDITS, st.integers(0, 8), st.integers(0, 4))
-def test_whatever_bytes_lie_there_a_load_tells_a_state_and_a_write_works(edits, writes, folds):
-    contents = written(writes, folds=folds).contents()
+def test_with_any_bytes_in_the_files_a_load_returns_a_state_and_a_write_works(edits, writes, restarts):
+    contents = written(writes, restarts=restarts).contents()
     for name, at, data, kind in edits:
         old = contents.get(name, b"")
         contents[name] = {
@@ -158,13 +161,13 @@
             "insert": old[:at] + data + old[at:],
             "drop": old[:at] + old[at + 9 :],
         }[kind]
-    store, found = load(contents)
-    assert (found.state is StoreState.EMPTY) == (not contents)
+    store, result = load(contents)
+    assert (result.state is StoreState.EMPTY) == (not contents)
     versions = [b"%d" % number for number in range(writes)]
-    assert found.values == {} or found.values["version"] in versions
-    assert (found.state is StoreState.SOUND) or found.values == {}
+    assert result.values == {} or result.values["version"] in versions
+    assert (result.state is StoreState.SOUND) or result.values == {}
     store.write({"after": b"1"})
-    assert store.load().values == {**found.values, "after": b"1"}
+    assert store.load().values == {**result.values, "after": b"1"}
 
 
 ANYTHING = st.recursive(
@@ -191,9 +194,9 @@
                 assert not read(head + body + tail).newer_version
 
 
-def test_a_record_nested_without_end_raises_nothing():
+def test_a_deeply_nested_record_raises_nothing():
     payload = b"\x82\xa1n" + b"\x91" * 100_000
-    sized = file_frames.CHECKSUM.pack(len(payload))
-    framed = sized + file_frames.CHECKSUM.pack(file_frames.crc32(payload, file_frames.crc32(sized))) + payload
-    assert layout.decode_slot(file_frames.header(layout.SLOT_KIND, 1) + framed).values is None
-    assert layout.decode_log(layout.encode_log_header(1) + b"torn" + framed).lsn_after_damage == -1
+    size = file_frames.CHECKSUM.pack(len(payload))
+    record = size + file_frames.CHECKSUM.pack(file_frames.crc32(payload, file_frames.crc32(size))) + payload
+    assert layout.decode_slot(file_frames.header(layout.SLOT_KIND, 1) + record).values is None
+    assert layout.decode_log(layout.encode_log_header(1) + b"torn" + record).lsn_after_damage == -1
--- a/tests/storage/test_store_random_walks.py
+++ b/tests/storage/test_store_random_walks.py
@@ -1,4 +1,4 @@
-"""Any order of writes, failures, ends and losses of power: what is loaded is what was last promised."""
+"""After any writes, failures, exits and power losses, a load returns the state that was guaranteed last."""
 
 import contextlib
 import errno
@@ -24,15 +24,18 @@
 )
 
 
-class EndError(Exception):
-    """The process ends here."""
+class ProcessEndError(Exception):
+    """Ends the simulated process."""
 
 
 class StoreModel:
-    """A store on a simulated disk, beside what it may hold.
+    """A store on a simulated disk, and the states that it may hold.
 
-    `base`: what the store goes on from. `possible`: what a loss of power may leave. `doubted`: a sync
-    failed and the disk was full at the load: what is read may yet be lost with the power.
+    `base`: the state that the store continues from.
+    `possible`: the states that a power loss may leave.
+    `written`: whether a write has returned, or a load has found a sound state.
+    `doubted`: whether a sync failed and the disk was full at the load, so that a power loss may still remove
+    the state that was read.
     """
 
     def __init__(self, seed):
@@ -43,24 +46,24 @@
 
     def start(self):
         self.store = Store("simulated", files=self.disk.files)
-        found = self.store.load()
+        result = self.store.load()
         self.store.check_invariants()
         if self.written:
-            assert found.state is StoreState.SOUND, found
-        elif found.state is not StoreState.SOUND:
-            assert found.values == {}
-        assert found.values in self.possible, (found, self.possible)
-        self.base = found.values
-        self.doubted &= not self.store.can_append  # what a load has written anew is sure
-        if found.state is StoreState.SOUND and not self.doubted:
+            assert result.state is StoreState.SOUND, result
+        elif result.state is not StoreState.SOUND:
+            assert result.values == {}
+        assert result.values in self.possible, (result, self.possible)
+        self.base = result.values
+        self.doubted &= not self.store.can_append  # a load that rewrote the state made it durable
+        if result.state is StoreState.SOUND and not self.doubted:
             self.possible, self.written = [self.base], True
 
-    def after(self, group):
+    def merged(self, group):
         values = {**self.base, **group}
         return {key: value for key, value in values.items() if value is not None}
 
     def write(self, group):
-        values = self.after(group)
+        values = self.merged(group)
         self.store.write(group)
         self.store.check_invariants()
         self.base, self.possible, self.written, self.doubted = values, [values], True, False
@@ -73,46 +76,46 @@
     def attempt(self, group):
         try:
             self.write(group)
-        except (OSError, EndError):
-            self.possible.append(self.after(group))
+        except (OSError, ProcessEndError):
+            self.possible.append(self.merged(group))
         self.store.check_invariants()
 
-    def troubled(self, error, group, calls):
-        left = [calls]
+    def attempt_with_fault(self, error, group, calls):
+        remaining = [calls]
 
-        def trouble(operation, name):
-            left[0] -= 1
-            if left[0] < 0:
+        def fail_operation(operation, name):
+            remaining[0] -= 1
+            if remaining[0] < 0:
                 if operation == "sync" and isinstance(error, OSError):
                     self.doubted = True
                 raise error
 
-        self.disk.on_operation = trouble
+        self.disk.on_operation = fail_operation
         self.attempt(group)
         self.disk.on_operation = None
 
     def refused(self, group, calls):
-        self.troubled(OSError(errno.EIO, "refused"), group, calls)
+        self.attempt_with_fault(OSError(errno.EIO, "refused"), group, calls)
 
     def killed(self, group, calls):
-        self.troubled(EndError(), group, calls)
+        self.attempt_with_fault(ProcessEndError(), group, calls)
         self.start()
 
     def power(self, group, calls):
-        self.troubled(EndError(), group, calls)
+        self.attempt_with_fault(ProcessEndError(), group, calls)
         self.power_loss()
 
     def cut_start(self, power, calls):
-        """The process ends as it loads, or the power is lost."""
-        left = [calls]
+        """The process ends during a load, or the power is lost."""
+        remaining = [calls]
 
-        def trouble(operation, name):
-            left[0] -= 1
-            if left[0] < 0:
-                raise EndError
+        def fail_operation(operation, name):
+            remaining[0] -= 1
+            if remaining[0] < 0:
+                raise ProcessEndError
 
-        self.disk.on_operation = trouble
-        with contextlib.suppress(EndError):
+        self.disk.on_operation = fail_operation
+        with contextlib.suppress(ProcessEndError):
             self.start()
         self.disk.on_operation = None
         if power:
@@ -154,36 +157,36 @@
 @settings(max_examples=400, deadline=None)
 @given(st.integers(0, 2**32), st.lists(STEPS, max_size=25))
 @example(0, [("refused", {"version": b"1"}, 2), ("power loss",)])
-def test_what_is_loaded_is_the_last_write_that_returned_or_the_one_in_flight(seed, steps):
+def test_a_load_returns_the_last_completed_write_or_the_one_in_flight(seed, steps):
     play(seed, steps)
 
 
 @settings(max_examples=200, deadline=None)
 @given(st.integers(0, 2**32), st.lists(STEPS, max_size=40), st.integers(1, 4))
-def test_the_same_with_logs_so_short_that_slots_change_all_the_time(seed, steps, records):
-    most, store.MAX_LOG_RECORDS = store.MAX_LOG_RECORDS, records
+def test_a_load_returns_the_same_with_logs_so_short_that_slots_change_often(seed, steps, records):
+    usual, store.MAX_LOG_RECORDS = store.MAX_LOG_RECORDS, records
     try:
         play(seed, steps)
     finally:
-        store.MAX_LOG_RECORDS = most
+        store.MAX_LOG_RECORDS = usual
 
 
-def each_cut(calls, groups, seeds=range(40)):
-    """Writes groups, cuts the power at every call of the last one, in many ways; the states found."""
-    found = set()
+def states_after_power_loss(calls, groups, seeds=range(40)):
+    """Writes the groups and cuts the power at each call of the last write. Returns the states found."""
+    result = set()
     for seed in seeds:
         for cut in range(calls):
             model = StoreModel(seed)
             for group in groups[:-1]:
                 model.write(group)
             model.power(groups[-1], cut)
-            found.add(tuple(sorted(model.base.items())))
-    return found
+            result.add(tuple(sorted(model.base.items())))
+    return result
 
 
 def test_power_lost_at_every_call_of_a_log_record_leaves_all_or_nothing():
     before, after = {"a": b"1"}, {"a": b"2" * 3000, "b": b"3"}
-    assert each_cut(4, [before, {"x": None}, after]) == {
+    assert states_after_power_loss(4, [before, {"x": None}, after]) == {
         tuple(sorted(before.items())),
         tuple(sorted(after.items())),
     }
@@ -191,24 +194,25 @@
 
 def test_power_lost_at_every_call_of_a_slot_leaves_all_or_nothing():
     groups = [{"a": b"1" * 70_000}, {"a": b"2" * 70_000}, {"a": b"3" * 70_000, "b": b"4"}]
-    assert each_cut(4, groups) == {(("a", groups[1]["a"]),), tuple(sorted(groups[2].items()))}
+    assert states_after_power_loss(4, groups) == {(("a", groups[1]["a"]),), tuple(sorted(groups[2].items()))}
 
 
-def test_records_of_an_earlier_log_behind_a_new_first_one_are_not_taken_for_its_own(monkeypatch):
+def test_records_of_an_earlier_log_after_a_new_first_record_are_not_applied(monkeypatch):
     monkeypatch.setattr(store, "MAX_LOG_RECORDS", 3)
-    groups = [{key: b"%d" % number} for number, key in enumerate("abcdefgh")]  # each a record of one size
-    cleared, found = [dict.fromkeys("abcdefgh")], set()
+    # all records have the same size
+    groups = [{key: b"%d" % number} for number, key in enumerate("abcdefgh")]
+    cleared, result = [dict.fromkeys("abcdefgh")], set()
     for seed in range(60):
         model = StoreModel(seed)
-        for group in [*groups, *cleared]:  # slot-a, its log, slot-b, its log, slot-a: empty
+        for group in [*groups, *cleared]:  # slot-a, its log, slot-b, its log, an empty slot-a
             model.write(group)
         assert layout.decode_log(model.disk.contents()["log-a"]).last_lsn < model.store.lsn
-        model.power({"z": b"9"}, 2)  # the first record of log-a: all is written, nothing synced
-        found.add(tuple(model.base.items()))
-    assert found == {(), (("z", b"9"),)}
+        model.power({"z": b"9"}, 2)  # the first record of log-a: written, but not synced
+        result.add(tuple(model.base.items()))
+    assert result == {(), (("z", b"9"),)}
 
 
-def test_power_lost_in_the_first_write_is_no_memory_or_the_write():
+def test_power_lost_during_the_first_write_leaves_no_state_or_the_write():
     states = set()
     for seed in range(60):
         for cut in range(12):
