--- a/shedgrade/replication/acknowledgement_times.py
+++ b/shedgrade/replication/acknowledgement_times.py
@@ -1,9 +1,9 @@
 """When a follower acknowledged the rounds of its primary, by its own clock; this bounds a heartbeat's age.
 
-A heartbeat may be in transit for seconds, since TCP retransmits what a broken path delayed, and the receiver
-cannot tell that from the bytes. Each heartbeat therefore names the newest round whose acknowledgement had
-reached the primary. It was sent after that, hence after this process sent that acknowledgement. The bound on
-its age needs no clock but the receiver's own.
+A heartbeat may be in transit for seconds, since the kernel retransmits what a broken path delayed, and the
+receiver cannot tell that from the bytes. Each heartbeat therefore names the newest round whose
+acknowledgement had reached the primary. It was sent after that, hence after this process sent that
+acknowledgement. The bound on its age needs no clock but the receiver's own.
 """
 
 from __future__ import annotations
--- a/shedgrade/replication/chunking.py
+++ b/shedgrade/replication/chunking.py
@@ -60,7 +60,8 @@
 class OutgoingTransfer:
     """One message in transit. Times are seconds of the steady clock.
 
-    `message`, `subject`, `id`: the message, what it is about, and the number of the transfer.
+    `message`, `subject`: the message, and what identifies its content.
+    `id`: random number of the transfer.
     `body`: the encoded message, None until the transfer begins.
     `count`: number of chunks of `body`.
     `next`: index of the first chunk that the receiver lacks.
@@ -68,8 +69,8 @@
     `first_unsent`: index of the first chunk that was never sent.
     `window`: maximum number of unacknowledged chunks.
     `sent_at`: when each chunk was sent, for chunks sent exactly once and not acknowledged.
-    `resend_at`: when a chunk is sent again, if no ack arrives before.
-    `resend_after_s`: the wait for the ack of that chunk, in seconds.
+    `resend_at`: when a chunk is sent again as a probe, if no ack arrives before.
+    `resend_after_s`: current resend interval in seconds; doubles with each probe.
     `progress_at`: when an ack last acknowledged something new.
     """
 
--- a/shedgrade/replication/command_pipeline.py
+++ b/shedgrade/replication/command_pipeline.py
@@ -51,7 +51,7 @@
         self.in_flight.clear()
 
     def abandon(self, now: float) -> None:
-        """Gives up all commands and reads, since another primary decides now.
+        """Moves commands and reads to the pending requests, since another primary decides now.
 
         It may commit writes made here, so the outcome of decided commands is unknown.
         """
--- a/shedgrade/replication/graceful_leave.py
+++ b/shedgrade/replication/graceful_leave.py
@@ -1,8 +1,8 @@
 """Planned exit: a member that leaves keeps serving until the primary grants its leave.
 
-The primary grants it once the holders of its epoch without the leaving member are a majority of the members,
-at least t, and have confirmed a round that began after the request. A primary that leaves hands over once as
-many other members have confirmed such a round: its successor then forms an epoch without it.
+The primary grants it once the holders of its epoch without the leaving member are a majority of the members
+and at least t, and have confirmed a round that began after the request. A primary that leaves hands over once
+as many other members have confirmed such a round: its successor then forms an epoch without it.
 """
 
 from __future__ import annotations
@@ -200,12 +200,8 @@
 
     def wake_at(self, ticked_at: float) -> float:
         """Returns the next time to check, soon after the last tick, while a request is not granted."""
-        has_open_request = any(leaver not in self.granted_at for leaver in self.rounds)
-        return (
-            ticked_at + self.primary.member.timing.leave_grant_delay_s / 2
-            if has_open_request
-            else float("inf")
-        )
+        pending = any(leaver not in self.granted_at for leaver in self.rounds)
+        return ticked_at + self.primary.member.timing.leave_grant_delay_s / 2 if pending else float("inf")
 
     def grant(self, now: float, follower: Follower) -> None:
         """Tells a member that it may leave."""
--- a/shedgrade/replication/holder_supervision.py
+++ b/shedgrade/replication/holder_supervision.py
@@ -107,7 +107,7 @@
         ]
 
     def hand_over(self, now: float) -> bool:
-        """Hands over to the most advanced holder, else to any member. Returns whether there is one."""
+        """Hands over to the most advanced holder, else to any eligible member. Returns whether one exists."""
         member, primary = self.member, self.primary
         candidates = [
             follower
--- a/shedgrade/replication/pending_requests.py
+++ b/shedgrade/replication/pending_requests.py
@@ -1,4 +1,4 @@
-"""Commands and reads at a member that waits for a primary."""
+"""Commands and reads that wait for a primary at a member that is not the primary."""
 
 from __future__ import annotations
 
--- a/shedgrade/replication/replica_state.py
+++ b/shedgrade/replication/replica_state.py
@@ -286,9 +286,9 @@
     # --- commits
 
     def apply_committed(self, base: LogPosition | None, position: LogPosition, changes: Changes) -> None:
-        """Applies changes from `base` to the committed state at `position`; ignores them if it can't.
+        """Applies changes from `base` to the committed state at `position`, if this member has a usable base.
 
-        They also lead there from each committed state between the two.
+        The changes also lead to `position` from each committed state between the two.
         """
         if base is None:
             self.commit_state(position, as_state(changes))
--- a/shedgrade/storage/layout.py
+++ b/shedgrade/storage/layout.py
@@ -15,7 +15,9 @@
 from shedgrade import file_frames
 
 SLOT_KIND, LOG_KIND = b"C", b"J"
-MAX_MAP_BYTES = file_frames.MAX_RECORD_BYTES - 64 * 1024  # the whole map must fit into one record
+MAX_MAP_BYTES = (
+    file_frames.MAX_RECORD_BYTES - 64 * 1024
+)  # the whole map must fit into one record, with room to spare
 PAYLOAD_START = b"\x82\xa1n"  # first bytes of the payload of each record: a map of two entries, "n" first
 LSN_LIMIT = 2**63  # no real LSN is near it; a file with a higher one was not written by the store
 UNKNOWN_LSN = -1
@@ -102,7 +104,7 @@
     log = LogContent(base_lsn, damage=damage)
     for record in records:
         if record.get("n") != log.last_lsn + 1 or not is_map(record.get("c"), bytes | None):
-            log.damage = f"the record after number {log.last_lsn} is not the next one"
+            log.damage = f"no valid record follows number {log.last_lsn}"
             break
         log.changes.append(record["c"])
     if log.damage:
--- a/shedgrade/storage/recovery.py
+++ b/shedgrade/storage/recovery.py
@@ -18,7 +18,8 @@
 
     `EMPTY`: no file of the store exists.
     `SOUND`: the values are those of the last write.
-    `DAMAGED`: files exist, but the last write can't be read. It must not be taken for a first start.
+    `DAMAGED`: files exist, but the last write can't be read. This is neither a first start nor a usable
+    state.
     """
 
     EMPTY = "empty"
@@ -31,7 +32,7 @@
     """Content of a folder.
 
     `values`: empty unless the state is SOUND.
-    `findings`: what was not in order.
+    `findings`: the problems found.
     `active_slot`: "a" or "b", whose snapshot and log are in use; "" if neither slot can be read.
     `lsn`: LSN of the last write in `values`.
     `highest_lsn`: no file has a higher LSN.
--- a/shedgrade/storage/store.py
+++ b/shedgrade/storage/store.py
@@ -22,7 +22,7 @@
 
 @dataclass(frozen=True, slots=True)
 class LoadResult:
-    """Result of `load`. `values`: empty unless the state is sound. `findings`: what was not in order."""
+    """Result of `load`. `values`: empty unless the state is sound. `findings`: the problems found."""
 
     state: StoreState
     values: dict[str, bytes]
@@ -49,8 +49,8 @@
         active_slot: "a" or "b", whose snapshot and log hold `values`.
         lsn: LSN of the last attempted write; after a load, the highest LSN in any file.
         base_lsn: LSN of the snapshot in the active slot once this process has written one; at most `lsn`.
-        slot_bytes: size of the active slot.
-        log_bytes, log_records: size of what this process wrote to the log of the active slot.
+        slot_bytes: size of the snapshot in the active slot.
+        log_bytes, log_records: bytes and records that this process wrote to the log of the active slot.
         map_bytes: an upper bound of the size of the whole map in a slot.
     """
 
@@ -225,7 +225,7 @@
 
 
 def owned_bytes(key: str, value: object) -> bytes | None:
-    """Returns the value as bytes, copied if needed. Raises TypeError if it could not be read back."""
+    """Returns the value as bytes. Raises TypeError for a key or value that could not be read back."""
     if not isinstance(key, str):
         raise TypeError(f"key {key!r} is not a string")
     return value if value is None or type(value) is bytes else bytes(memoryview(value))  # type: ignore[arg-type]
--- a/tests/replication/test_disk_trouble.py
+++ b/tests/replication/test_disk_trouble.py
@@ -7,8 +7,7 @@
 from shedgrade.simulation.machine import Machine
 from shedgrade.simulation.replica_outages import ReplicaOutageRun
 
-FAULT_S = 3.0
-HEALTHY_S = 4.0  # between the end of the fault and the loss of another machine
+FAULT_S, HEALTHY_S = 3.0, 4.0  # duration of the fault, and from its end to the loss of another machine
 SLOW_SYNC_S = 0.6  # per write
 MAX_ACK_GAP_S = 2.5  # between two acknowledgements while one of three machines hands over its role
 
