--- a/shedgrade/replication/graceful_leave.py
+++ b/shedgrade/replication/graceful_leave.py
@@ -70,7 +70,7 @@
         """Hands over once the members that stay can form an epoch without this process."""
         member, primary = self.member, self.member.primary_role
         is_alone = len(member.members) == 1
-        if not is_alone and primary.leave_requests.all_leave(now):
+        if not is_alone and primary.leave_requests.all_members_leave(now):
             primary.leave_requests.grant_all(now)
             self.stop(now)
             return
@@ -155,7 +155,7 @@
         confirming = self.followers_confirming(now, own)
         return sum(supervision.is_eligible(now, each) for each in confirming) >= self.required_members()
 
-    def all_leave(self, now: float) -> bool:
+    def all_members_leave(self, now: float) -> bool:
         """Whether all other members ask to leave too, so that waiting for a successor is useless."""
         primary, replica = self.primary, self.primary.member.replica
         others = [
--- a/shedgrade/storage/layout.py
+++ b/shedgrade/storage/layout.py
@@ -15,9 +15,8 @@
 from shedgrade import file_frames
 
 SLOT_KIND, LOG_KIND = b"C", b"J"
-MAX_MAP_BYTES = (
-    file_frames.MAX_RECORD_BYTES - 64 * 1024
-)  # the whole map must fit into one record, with room to spare
+# the whole map must fit into one record, with room to spare
+MAX_MAP_BYTES = file_frames.MAX_RECORD_BYTES - 64 * 1024
 PAYLOAD_START = b"\x82\xa1n"  # first bytes of the payload of each record: a map of two entries, "n" first
 LSN_LIMIT = 2**63  # no real LSN is near it; a file with a higher one was not written by the store
 UNKNOWN_LSN = -1
