--- a/shedgrade/replication/disk_writer.py
+++ b/shedgrade/replication/disk_writer.py
@@ -1,4 +1,4 @@
-"""A member's writes: one open at a time, the rest gathered into the next; a refused one is tried again."""
+"""Disk writes of a member: one at a time, later ones merged into the next; a failed write is retried."""
 
 from __future__ import annotations
 
@@ -8,18 +8,18 @@
 from shedgrade.replication.effects import Instruction, Persist
 from shedgrade.replication.messages import Changes
 
-DurableCallback = Callable[[float], None]  # called with the time at which the changes were durable
+DurableCallback = Callable[[float], None]  # called with the time at which the changes became durable
 
 
 class QueuedWrite(NamedTuple):
-    """Changes that wait for the disk, and whom to notify when they are durable."""
+    """Changes that wait for the disk, and the callback to run when they are durable."""
 
     changes: Changes
     on_durable: DurableCallback | None
 
 
-class OpenWrite(NamedTuple):
-    """What was handed to the caller as one `Persist`."""
+class OutstandingWrite(NamedTuple):
+    """The changes handed to the caller as one `Persist`, and the callbacks to run when they are durable."""
 
     token: int
     changes: Changes
@@ -27,42 +27,47 @@
 
 
 class DiskWriter:
-    """Queue before the disk. Callbacks run with the time, in order, once their changes are durable.
-
-    One write at a time: of two open ones the second might succeed after the first was refused, and the disk
-    would claim a position in the log whose changes it lacks.
-
-    `in_flight`: the write that the caller was asked for and has not answered, None if there is none.
-    `queue`: what was saved since, in order. Invariant: empty unless a write is open or the last one was
-    refused.
-    `started_at`: when the open write was handed out.
-    `refused`: whether the last answer was a refusal; `retry_at`: no write is begun before.
-    `token`: of the newest `Persist`; grows by one with each.
+    """Queue of disk writes. Callbacks run in order, once their changes are durable.
+
+    Only one write is outstanding: of two, the second might succeed after the first failed, and the disk would
+    then hold a log position without the changes before it.
+
+    `in_flight`: the outstanding write, None if there is none.
+    `queue`: changes saved since, in order. Invariant: empty unless a write is outstanding or the last one
+    failed.
+    `started_at`: when the outstanding write was handed out, in seconds of the steady clock.
+    `is_failing`: whether the last write failed.
+    `retry_at`: no write begins before that time.
+    `token`: token of the newest `Persist`; increases by one with each.
     """
 
     def __init__(self, effects: list[Instruction], timeout_s: float, retry_interval_s: float) -> None:
-        """`timeout_s`: a disk that takes longer is unhealthy; `retry_interval_s`: after a refused write."""
+        """`effects`: receives the `Persist` instructions.
+
+        `timeout_s`: a disk that takes longer for a write is unhealthy.
+        `retry_interval_s`: wait after a failed write.
+        """
         self.effects = effects
         self.timeout_s = timeout_s
         self.retry_interval_s = retry_interval_s
         self.queue: list[QueuedWrite] = []
-        self.in_flight: OpenWrite | None = None
+        self.in_flight: OutstandingWrite | None = None
         self.started_at = 0.0
         self.retry_at = 0.0
-        self.refused = False
+        self.is_failing = False
         self.token = 0
 
     def is_healthy(self, now: float) -> bool:
-        """False while the disk refuses writes or has not answered for `timeout_s`."""
-        return not self.refused and (self.in_flight is None or now - self.started_at < self.timeout_s)
+        """Whether the last write succeeded and the outstanding one, if any, is younger than `timeout_s`."""
+        return not self.is_failing and (self.in_flight is None or now - self.started_at < self.timeout_s)
 
     def save(self, now: float, changes: Changes, on_durable: DurableCallback | None = None) -> None:
-        """Write the changes after all that was saved before."""
+        """Writes the changes after all that were saved before, and then calls `on_durable`."""
         self.queue.append(QueuedWrite(changes, on_durable))
-        self.pump(now)
+        self.begin_next(now)
 
-    def pump(self, now: float) -> None:
-        """Begin the next write if none is open and there is something to write."""
+    def begin_next(self, now: float) -> None:
+        """Begins the next write if none is outstanding and changes are queued."""
         if self.in_flight or not self.queue or now < self.retry_at:
             return
         merged: Changes = {}
@@ -70,38 +75,38 @@
             merged.update(write.changes)
         self.token += 1
         callbacks = [write.on_durable for write in self.queue if write.on_durable]
-        self.in_flight = OpenWrite(self.token, merged, callbacks)
+        self.in_flight = OutstandingWrite(self.token, merged, callbacks)
         self.queue = []
         self.started_at = now
         self.effects.append(Persist(self.token, merged))
 
     def persisted(self, now: float, token: int, ok: bool) -> None:
-        """The caller's answer to the `Persist` with this token; another token's is ignored."""
+        """Handles the caller's result of the `Persist` with this token; results of others are ignored."""
         write = self.in_flight
         if write is None or token != write.token:
             return
         self.in_flight = None
-        self.refused = not ok
+        self.is_failing = not ok
 
-        def call_all(at: float) -> None:
+        def run_callbacks(at: float) -> None:
             for on_durable in write.callbacks:
                 on_durable(at)
 
         if ok:
-            call_all(now)
-        else:  # a full disk: nothing is said of these changes before a later write holds them
-            self.queue.insert(0, QueuedWrite(write.changes, call_all))
+            run_callbacks(now)
+        else:  # the disk may be full: no callback runs until a later write includes these changes
+            self.queue.insert(0, QueuedWrite(write.changes, run_callbacks))
             self.retry_at = now + self.retry_interval_s
-        self.pump(now)
+        self.begin_next(now)
 
     def wake_at(self, now: float) -> float:
-        """When `pump` or `is_healthy` may say something new."""
+        """Returns when `begin_next` has something to do, or the result of `is_healthy` may change."""
         if self.in_flight:
-            late = self.started_at + self.timeout_s
-            return late if late > now else float("inf")
+            timeout_at = self.started_at + self.timeout_s
+            return timeout_at if timeout_at > now else float("inf")
         return self.retry_at if self.queue else float("inf")
 
     def check_invariants(self) -> None:
         """Raises AssertionError if an attribute contradicts another."""
-        assert self.in_flight is None or self.in_flight.token == self.token, "an older write is open"
-        assert not self.queue or self.in_flight or self.refused, "changes wait for nothing"
+        assert self.in_flight is None or self.in_flight.token == self.token, "an older write is outstanding"
+        assert not self.queue or self.in_flight or self.is_failing, "changes are queued but no write is due"
--- a/shedgrade/replication/member.py
+++ b/shedgrade/replication/member.py
@@ -218,7 +218,7 @@
         self.ticked_at = now
         if self.stopped:
             return
-        self.disk_writer.pump(now)
+        self.disk_writer.begin_next(now)
         if not self.incarnation_durable:
             return
         self.transport.chunking.tick(now)
@@ -381,7 +381,7 @@
         """Whether this process may start an election."""
         if not self.is_voter() or not self.disk_writer.is_healthy(now):
             return False
-        return self.replica.epoch_config.number > 0 or self.reconfiguration.founded_enough(now)
+        return self.replica.epoch_config.number > 0 or self.reconfiguration.may_found_core(now)
 
     def is_primary_or_candidate(self) -> bool:
         """Whether this process is the primary, or a candidate past the pre-vote."""
