--- a/shedgrade/configuration.py
+++ b/shedgrade/configuration.py
@@ -1,9 +1,9 @@
-"""The operators' configuration: its models, and parsing of bytes that were validated before.
+"""The data model of the operators' configuration, and parsing of bytes that were validated before.
 
-Source: PROTOCOL, "The operator's API". The control plane validates with pyserde
-(`controlplane.configuration_validation`); data planes get only what is valid, and parse it here without
-pyserde, whose import alone costs them time and memory. A field's name on the wire stands in its metadata,
-under the key that pyserde looks at.
+Source: PROTOCOL, "The operator's API". The control plane validates configurations with pyserde
+(`controlplane.configuration_validation`). Data planes receive only valid ones and parse them here without
+pyserde, because importing it alone costs time and memory. The name of a field on the wire is in the field's
+metadata, under the key that pyserde reads.
 """
 
 from dataclasses import MISSING, Field, dataclass, field, fields
@@ -16,18 +16,18 @@
 SAFE = "safe"  # idempotent
 UNSAFE = "unsafe"
 STREAMING = "streaming"
-UNLIMITED = 1 << 30  # where the operator sets no bound
+UNLIMITED = 1 << 30  # for limits that the operator leaves out
 
 
 def wire(name: str, kind: object, **default: Any) -> Any:
     """Declares a field that is called `name` on the wire. `kind`: str, int, float, bool, a model, or a list
-    with one of them. A field that is absent or null has the default; without one that is a finding."""
+    with one of them. A field that is absent or null gets the default; if it has none, it is required."""
     return field(metadata={"serde_rename": name, "kind": kind}, **default)
 
 
 @dataclass(frozen=True, slots=True)
 class Split:
-    """One of the services among which a route's requests are split, in proportion to the weights."""
+    """A service that gets a part of a route's requests, in proportion to the weights."""
 
     service: str = wire("service", str)
     weight: float = wire("weight", float)
@@ -35,12 +35,18 @@
 
 @dataclass(frozen=True, slots=True)
 class Route:
-    """Where requests for a host and a path go, and how they may be handled; times in ms.
-
-    `route_class`: SAFE, UNSAFE or STREAMING; any other is treated as UNSAFE. `timeout_ms`: of a request with
-    all its attempts. `target_ms`: the latency target of a response. `priority`: 0 is the most urgent.
-    `event_gap_target_ms`: of streams, the latency target between two events; 0: none. `home_regions`: the
-    only regions in which the route may be served; empty: all. `rate_per_s`: the expected rate; 0: not known.
+    """Which service requests for a host and a path go to, and how they may be handled.
+
+    Attributes:
+        route_class: SAFE, UNSAFE or STREAMING; any other value is treated as UNSAFE.
+        timeout_ms: time limit of a request with all its attempts.
+        target_ms: latency target of a response.
+        priority: 0 is the most urgent.
+        max_attempts: maximum number of attempts of one request.
+        resumable: whether a stream may be continued at another upstream.
+        event_gap_target_ms: latency target between two events of a stream; 0 for none.
+        home_regions: the only regions in which the route may be served; empty for all.
+        rate_per_s: expected rate of requests; 0 if not known.
     """
 
     host: str = wire("host", str)
@@ -60,7 +66,7 @@
     rate_per_s: float = wire("ratePerS", float, default=0)
 
     def weights(self) -> dict[str, float]:
-        """The services that requests may go to, with their weights; a service of weight 0 gets none."""
+        """The weights of the route's services, by name; a service of weight 0 gets no requests."""
         if not self.weighted_split:
             return {self.service: 1}  # type: ignore[dict-item]  # validated: without a split it has a service
         weights: dict[str, float] = {}
@@ -69,22 +75,27 @@
         return weights
 
     def is_idempotent(self) -> bool:
-        """Whether a request may be retried at another upstream after the first may have executed it."""
+        """Whether a request may be retried at another upstream although the first may have executed it."""
         return self.route_class == SAFE or (self.route_class == STREAMING and self.resumable)
 
 
 @dataclass(frozen=True, slots=True)
 class Model:
-    """A language model that an engine serves."""
+    """A language model that an inference engine serves."""
 
     name: str = wire("name", str, default="")
 
 
 @dataclass(frozen=True, slots=True)
 class InferenceEngine:
-    """The engine of a service whose upstreams run a language model. `capacity_slots`: requests that run at
-    once; `kv_capacity_tokens`: size of the KV cache; `kv_bytes`: of one token there; `stride`: tokens in one
-    event of a stream. 0: not known."""
+    """The inference engine of a service whose upstreams run a language model; 0 stands for not known.
+
+    Attributes:
+        capacity_slots: number of requests that run at once.
+        kv_capacity_tokens: size of the KV cache, in tokens.
+        kv_bytes: size of one token in the KV cache, in bytes.
+        stride: number of tokens in one event of a stream.
+    """
 
     capacity_slots: int = wire("capacitySlots", int, default=0)
     kv_capacity_tokens: int = wire("kvCapacityTokens", int, default=0)
@@ -96,9 +107,13 @@
 
 @dataclass(frozen=True, slots=True)
 class Service:
-    """Upstreams that are interchangeable. `max_connections`: that one upstream accepts from all callers
-    together. A new upstream warms up (slow start): it bears `cold_rate_s` requests a second for
-    `cold_start_s` seconds; 0: it needs no warm-up."""
+    """A service, whose upstreams are interchangeable.
+
+    Attributes:
+        max_connections: number of connections that one upstream accepts from all callers together.
+        cold_start_s: duration of a new upstream's warm-up (slow start); 0 if it needs none.
+        cold_rate_s: requests per second that an upstream can take while it warms up.
+    """
 
     name: str = wire("name", str)
     health_path: str = wire("healthPath", str, default="/health")
@@ -112,7 +127,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Limits:
-    """What a client may send, in bytes, and how long it may take or stay idle, in ms."""
+    """What a client may send, in bytes, and how long it may take or stay idle, in milliseconds."""
 
     header_bytes: int = wire("headerBytes", int, default=16 * 1024)
     body_bytes: int = wire("bodyBytes", int, default=4 * 1024 * 1024)
@@ -132,8 +147,15 @@
 
 @dataclass(frozen=True, slots=True)
 class FieldLayout:
-    """A field of a model as `wire` declared it. `attribute`: its name in Python, `name`: on the wire.
-    `nested`: the model that it holds, or holds a list of. `required`: it has no default."""
+    """A field of a model, as `wire` declared it.
+
+    Attributes:
+        attribute: name of the field in Python.
+        name: name of the field on the wire.
+        kind: as given to `wire`.
+        nested: model that the field holds one or a list of; None if it holds other values.
+        required: whether it has no default.
+    """
 
     attribute: str
     name: str
@@ -144,10 +166,10 @@
 
 @cache
 def layout(model: type) -> tuple[FieldLayout, ...]:
-    """The fields of one of the models above."""
+    """The fields of `Configuration` or of a model in it."""
 
     def field_layout(one: Field[Any]) -> FieldLayout:
-        """Of one field, from its metadata."""
+        """The layout of one field, from its metadata."""
         kind = one.metadata["kind"]
         inner = kind[0] if isinstance(kind, list) else kind
         nested = inner if inner not in (str, int, float, bool) else None
@@ -158,7 +180,7 @@
 
 
 def build(model: type, data: dict[str, Any]) -> Any:
-    """A model from a decoded JSON object that was validated; fields that are not known are left out."""
+    """A model from a decoded JSON object that was validated before; unknown fields are ignored."""
     values = {}
     for one in layout(model):
         value = data.get(one.name)
@@ -177,6 +199,6 @@
 
 
 def parse(raw: bytes) -> Configuration:
-    """The configuration in bytes that a control plane has validated. ValueError, TypeError or AttributeError
-    for some others, without saying what is wrong in them."""
+    """The configuration in bytes that a control plane has validated. Bytes that were not validated may raise
+    ValueError, TypeError or AttributeError, which don't tell what is wrong."""
     return build(Configuration, msgspec.json.decode(raw))
--- a/shedgrade/control_messages.py
+++ b/shedgrade/control_messages.py
@@ -1,13 +1,14 @@
-"""Messages between edges and core members, and among core members, of what the control plane knows.
+"""Messages that carry control plane state between edges and core members, and among core members.
 
-An edge watches one core member (`WatchRequest`, `WatchResponse`); core members exchange what they know of
-edges (`EdgeObservations`) and of the platform's endpoint list (`EndpointListRequest`, `EndpointUpdate`). The
-messages of loads and of the prefix index, which go over the same channel, are defined in their packages.
+An edge watches one core member (`WatchRequest`, `WatchResponse`). Core members exchange their observations
+of edges (`EdgeObservations`) and the platform's endpoint list (`EndpointListRequest`, `EndpointUpdate`).
+Messages about loads and about the prefix index share the channel; `load_reports` and `prefix_cache_index`
+define them.
 
-On the wire each is a MessagePack array: the order of fields and the tags are part of the protocol. Times that
-travel are spans in seconds or milliseconds as of the moment of sending, never points of a clock. An endpoint
-list has the version (term of its poller, number), control state the version (epoch, sequence); versions are
-compared in that order.
+On the wire each message is a MessagePack array: the order of fields and the tags are part of the protocol.
+Times on the wire are durations in seconds or milliseconds as of the moment of sending, never clock readings.
+The version of an endpoint list is (term of its poller, number), that of control state (epoch, sequence);
+versions are compared in that order.
 """
 
 import msgspec
@@ -20,28 +21,31 @@
     PrefixIndexUpdate,
 )
 
-COMPRESS_ABOVE_BYTES = 8 * 1024  # a longer configuration travels compressed
+COMPRESS_ABOVE_BYTES = 8 * 1024  # a longer configuration is sent compressed
 MAX_CONFIGURATION_BYTES = 16 * 1024 * 1024  # uncompressed
 
-UNKNOWN_AGE_S = 1e9  # the age of what was never known
+UNKNOWN_AGE_S = 1e9  # age of information that was never received
 
 # States of an endpoint.
 AVAILABLE, DRAINING = "available", "draining"
 
 # States of an edge.
 STARTING, READY = "starting", "ready"
-LEAVING = "leaving"  # shutting down: still takes what no other edge can
-CLOSED = "closed"  # shutting down: takes nothing more
-SHUTDOWN_STAGES = {LEAVING: 1, CLOSED: 2}  # each final within an incarnation; a state not here: 0
+LEAVING = "leaving"  # shutting down; still accepts requests that no other edge can take
+CLOSED = "closed"  # shutting down; accepts no more requests
+# Stages of a shutdown in order; an incarnation never returns to an earlier one. Other states have stage 0.
+SHUTDOWN_STAGES = {LEAVING: 1, CLOSED: 2}
 
-NO_DRAIN_TARGET = "nobody"  # no edge takes over the clients of one that shuts down
+NO_DRAIN_TARGET = "nobody"  # no other edge takes over the clients of an edge that shuts down
 
 
 class Model(msgspec.Struct, array_like=True, frozen=True):
     """A model that an endpoint serves; part of `Endpoint`.
 
-    name: as in routes. version: of its weights. adapters: each a name, or JSON text where the platform has
-    more than a name.
+    Attributes:
+        name: as in routes.
+        version: of the model's weights.
+        adapters: each a name, or JSON text if the platform sent more than a name.
     """
 
     name: str
@@ -52,11 +56,18 @@
 class Endpoint(msgspec.Struct, array_like=True, frozen=True):
     """One upstream instance of the platform's list; part of `EndpointUpdate`.
 
-    id: names this incarnation: a restarted instance has another. service: that it serves. address:
-    "host:port". zone: its failure domain. state: AVAILABLE or DRAINING. cold_left_ms: until it is warmed up,
-    as of sending; 0: it is. slots: requests that it runs at once; 0: not known. version: of its software.
-    stage: of a release, as the platform names it. models: that it holds. time_left_ms: until the platform
-    takes it away, as of sending; -1: no end is announced.
+    Attributes:
+        id: of this incarnation; a restarted instance has another id.
+        service: name of the service that it belongs to.
+        address: "host:port".
+        zone: its failure domain.
+        state: AVAILABLE or DRAINING.
+        cold_left_ms: time until it is warmed up, as of sending; 0 if it is warm.
+        slots: number of requests that it runs at once; 0 if not known.
+        version: of its software.
+        stage: release stage, as the platform names it.
+        models: that it has loaded.
+        time_left_ms: time until the platform removes it, as of sending; -1 if no removal is announced.
     """
 
     id: str
@@ -73,15 +84,20 @@
 
 
 class EndpointUpdate(msgspec.Struct, array_like=True, frozen=True, tag="list_moved"):
-    """What brings a receiver's endpoint list to the version (term, number).
-
-    From the member that polls the platform to the others after each poll; from a member to one that asked
-    with `EndpointListRequest`; and to an edge within `WatchResponse`.
-
-    term, number: the version. age_s: since the platform last confirmed the whole list. from_term,
-    from_number: the version that this is a delta to; with `from_term` -1 it is a full list, all of it in
-    `changed`. If both versions are the same, nothing changed and only the age is news. changed: endpoints
-    that are new or differ. removed: ids of those that are gone.
+    """A delta or a full list that brings a receiver's endpoint list to the version (term, number).
+
+    Sent by the member that polls the platform to the other members after each poll, by a member in response
+    to `EndpointListRequest`, and to an edge within `WatchResponse`.
+
+    Attributes:
+        term: with `number`, the version that the receiver's list has afterwards.
+        number: see `term`.
+        age_s: time since the platform last confirmed the whole list.
+        from_term: with `from_number`, the version that the delta applies to; -1 for a full list. If both
+            versions are the same, the list is unchanged and only its age is updated.
+        from_number: see `from_term`.
+        changed: endpoints that were added or changed; all endpoints in a full list.
+        removed: ids of the endpoints that were removed.
     """
 
     term: int
@@ -94,14 +110,17 @@
 
     @property
     def is_full(self) -> bool:
-        """Whether it holds the whole list, rather than a delta."""
+        """Whether the update has the whole list, rather than a delta."""
         return self.from_term < 0
 
 
 class EndpointListRequest(msgspec.Struct, array_like=True, frozen=True, tag="ask_list"):
-    """A core member asks another for its endpoint list, which answers with `EndpointUpdate`.
+    """A core member's request for another member's endpoint list, which answers with `EndpointUpdate`.
 
-    term, number: version of the list that the asking member has. age_s: since the platform confirmed it.
+    Attributes:
+        term: with `number`, the version of the requesting member's list.
+        number: see `term`.
+        age_s: time since the platform confirmed that list.
     """
 
     term: int
@@ -110,11 +129,16 @@
 
 
 class EdgeStatus(msgspec.Struct, array_like=True, frozen=True):
-    """What an edge says of itself; part of `WatchRequest` and `EdgeObservation`.
-
-    name: its node name. listen_address: "ip:port" for clients; empty if it takes none. zone, region: where it
-    runs. incarnation: a number drawn at its start. state: STARTING, READY, LEAVING or CLOSED. in_flight:
-    requests.
+    """The status that an edge reports of itself; part of `WatchRequest` and `EdgeObservation`.
+
+    Attributes:
+        name: its node name.
+        listen_address: "ip:port" for clients; empty if it accepts none.
+        zone: where it runs.
+        region: where it runs.
+        incarnation: a number drawn at its start.
+        state: STARTING, READY, LEAVING or CLOSED.
+        in_flight: number of requests in flight.
     """
 
     name: str
@@ -127,25 +151,27 @@
 
     @property
     def ready(self) -> bool:
-        """Whether clients may be sent to it."""
+        """Whether clients may be sent to the edge."""
         return self.state == READY
 
     @property
     def leaving(self) -> bool:
-        """Whether it shuts down and still takes requests."""
+        """Whether the edge is shutting down and still accepts requests."""
         return self.state == LEAVING
 
     @property
     def shutdown_stage(self) -> int:
-        """How far its shutdown has come, as in `SHUTDOWN_STAGES`; 0: none has begun."""
+        """The stage of the edge's shutdown, as in `SHUTDOWN_STAGES`; 0 if it hasn't begun."""
         return SHUTDOWN_STAGES.get(self.state, 0)
 
 
 class EdgeRecord(EdgeStatus, array_like=True, frozen=True):
     """An edge in the directory of one core member. Not sent.
 
-    last_seen: when any member last heard from it, in seconds of this process's clock. ending_since: when it
-    was first heard to be in its present stage of shutdown, on the same clock; 0 if none has begun.
+    Attributes:
+        last_seen: when any member last heard from the edge, in seconds of this process's clock.
+        ending_since: when the edge was first observed in its current stage of shutdown, on the same clock;
+            0 if it isn't shutting down.
     """
 
     last_seen: float = 0.0
@@ -153,10 +179,13 @@
 
 
 class EdgeObservation(msgspec.Struct, array_like=True, frozen=True):
-    """An edge as one core member heard it; part of `EdgeObservations`.
+    """The last status that one core member received from an edge; part of `EdgeObservations`.
 
-    edge: what it said. age_s: since then. wait_s: how long the watch that said so may wait for its answer, so
-    how long nothing more is to be expected of the edge.
+    Attributes:
+        edge: the status.
+        age_s: time since the member received it.
+        wait_s: `WatchRequest.wait_s` of the request that carried the status: the time for which nothing more
+            is to be expected of the edge.
     """
 
     edge: EdgeStatus
@@ -165,20 +194,24 @@
 
 
 class EdgeObservations(msgspec.Struct, array_like=True, frozen=True, tag="edges_known"):
-    """All edges that a core member has heard from itself; sent to each other member at intervals."""
+    """All edges that a core member hears from directly; sent to each other member at intervals."""
 
     edges: tuple[EdgeObservation, ...]
 
 
 class WatchRequest(msgspec.Struct, array_like=True, frozen=True, tag="ask"):
-    """An edge asks a core member for what is newer than it has; answered with `WatchResponse`.
-
-    edge: the edge's own status, so that a request is its heartbeat too. control_version: (epoch, sequence) of
-    the control state that it has. endpoints_version: (term, number) of its endpoint list. wait_s: how long
-    the answer may wait if there is nothing newer. configuration_version: of the operators' configuration that
-    it has; -1: none. endpoints_age_s: since the platform confirmed the edge's list. prefix_reads: pairs that
-    it has seen since its last request. prefix_index_version: (source, number) of its prefix index; (0, -1):
-    it has none, (-1, -1): it wants none.
+    """An edge's request for newer state than it has, and its heartbeat; answered with `WatchResponse`.
+
+    Attributes:
+        edge: the edge's own status.
+        control_version: (epoch, sequence) of the edge's control state.
+        endpoints_version: (term, number) of the edge's endpoint list.
+        wait_s: time for which the response may be held back if there is nothing newer.
+        configuration_version: version of the operators' configuration that the edge has; -1 for none.
+        endpoints_age_s: time since the platform confirmed the edge's endpoint list.
+        prefix_reads: pairs that the edge has observed since its last request.
+        prefix_index_version: (source, number) of the edge's prefix index; (0, -1) if it has none, (-1, -1)
+            if it wants none.
     """
 
     edge: EdgeStatus
@@ -194,9 +227,13 @@
 class ControlChange(msgspec.Struct, array_like=True, frozen=True):
     """Control state that the core has committed; part of `WatchResponse`.
 
-    epoch, sequence: its version. version: of the configuration. configuration: the operator's bytes; None if
-    the receiver has that version already. evacuations: names of the zones that are evacuated. compressed:
-    `configuration` is in zlib's format.
+    Attributes:
+        epoch: with `sequence`, the version of the control state.
+        sequence: see `epoch`.
+        version: of the configuration.
+        configuration: the bytes that the operator sent; None if the receiver has that version already.
+        evacuations: names of the evacuated zones.
+        compressed: whether `configuration` is in zlib format.
     """
 
     epoch: int
@@ -208,14 +245,21 @@
 
 
 class WatchResponse(msgspec.Struct, array_like=True, frozen=True, tag="told"):
-    """A core member's answer to an edge's `WatchRequest`.
-
-    control: None if nothing is newer than the edge's. endpoints: what is newer, or that what the edge has is
-    current; None if neither is known. edge_count: edges that are believed alive. members: link addresses of
-    the core members. primary_age_s: since this member heard the primary. endpoints_age_s: of this member's
-    endpoint list. pending_s: how long the request waited here. prefix_index: what the edge's index lacks;
-    None if that is nothing, or this member's index isn't valid. drain_target: who takes the clients of an
-    edge that shuts down: READY edges, others that are LEAVING later, or NO_DRAIN_TARGET.
+    """A core member's response to an edge's `WatchRequest`.
+
+    Attributes:
+        control: newer control state; None if there is none.
+        endpoints: an update of the edge's endpoint list, or a confirmation that it is current; None if this
+            member knows neither.
+        edge_count: number of edges that are believed alive.
+        members: link addresses of the core members.
+        primary_age_s: time since this member heard from the primary.
+        endpoints_age_s: age of this member's endpoint list.
+        pending_s: time for which the request waited at this member.
+        prefix_index: what the edge's prefix index lacks; None if it lacks nothing, or if this member's index
+            isn't valid.
+        drain_target: for an edge that shuts down, state of the edges that take over its clients: READY,
+            LEAVING (they shut down later than it does), or NO_DRAIN_TARGET.
     """
 
     control: ControlChange | None
@@ -230,9 +274,11 @@
 
 
 class FleetView(msgspec.Struct, frozen=True):
-    """The size of the system as an edge knows it; handed to its data plane when it changes. Not sent.
+    """The size of the system as an edge knows it; passed to its data plane when it changes. Not sent.
 
-    edge_count: edges that are believed alive. members: link addresses of the core members.
+    Attributes:
+        edge_count: number of edges that are believed alive.
+        members: link addresses of the core members.
     """
 
     edge_count: int
@@ -253,11 +299,11 @@
     | LoadSums
 )
 encode = msgspec.msgpack.Encoder().encode
-decode = msgspec.msgpack.Decoder(Message).decode  # msgspec.DecodeError for anything else
+decode = msgspec.msgpack.Decoder(Message).decode  # raises msgspec.DecodeError for anything but a Message
 
 
 def compress_configuration(configuration: bytes) -> tuple[bytes, bool]:
-    """The bytes as they travel, and whether they are compressed."""
+    """The configuration as it is sent, and whether that is compressed."""
     if len(configuration) <= COMPRESS_ABOVE_BYTES:
         return configuration, False
     import zlib
@@ -266,17 +312,18 @@
 
 
 def decompress_configuration(change: ControlChange) -> bytes | None:
-    """The operator's bytes; ValueError if they are broken or longer than any configuration."""
+    """The bytes that the operator sent; None if the change has none. ValueError if they can't be decompressed
+    or exceed MAX_CONFIGURATION_BYTES."""
     if change.configuration is None or not change.compressed:
         return change.configuration
     import zlib
 
     decompressor = zlib.decompressobj()
     try:
-        # Guards against a few bytes that unfold to more than the memory there is.
+        # Guards against a few bytes that decompress to more than the available memory.
         plain = decompressor.decompress(change.configuration, MAX_CONFIGURATION_BYTES)
     except zlib.error as failure:
         raise ValueError(f"configuration: {failure}") from failure
     if not decompressor.eof:
-        raise ValueError("configuration: not whole, or too long")
+        raise ValueError("configuration: compressed data is truncated or expands beyond the maximum size")
     return plain
--- a/shedgrade/findings.py
+++ b/shedgrade/findings.py
@@ -1,14 +1,19 @@
-"""What a check found wrong, each with its place; several are collected and reported together."""
+"""Findings of a check: each says what is wrong and where. They are collected and reported together."""
 
 from collections.abc import Iterator
 from dataclasses import dataclass
 
-MAX_FINDINGS = 100  # that one report holds: more help nobody
+MAX_FINDINGS = 100  # in one report; a longer one is no more helpful
 
 
 @dataclass(frozen=True, slots=True)
 class Finding:
-    """`place`: where it is, as `routeList[3].host` or a file; empty: the whole. `text`: what is wrong."""
+    """One thing that a check found wrong.
+
+    Attributes:
+        place: where it is, such as `routeList[3].host` or a file; empty for the document as a whole.
+        text: what is wrong there.
+    """
 
     place: str
     text: str
@@ -18,14 +23,17 @@
 
 
 class Findings:
-    """Collects findings in the order in which they were met, at most `limit`; the rest are only counted.
+    """Collects findings in the order in which they are added, at most `limit`; the others are only counted.
 
-    `kept`: the findings; `limit`; `omitted`: how many were added beyond it.
+    Attributes:
+        kept: the collected findings.
+        limit: maximum number of findings that are kept.
+        omitted: number of findings that were added beyond the limit.
 
     >>> findings = Findings()
-    >>> findings.add("limits.bodyBytes", "is no number")
+    >>> findings.add("limits.bodyBytes", "is not a number")
     >>> [str(finding) for finding in findings], len(findings)
-    (['limits.bodyBytes: is no number'], 1)
+    (['limits.bodyBytes: is not a number'], 1)
     """
 
     __slots__ = ("kept", "limit", "omitted")
@@ -43,7 +51,7 @@
             self.omitted += 1
 
     def all(self) -> tuple[Finding, ...]:
-        """Those that are kept."""
+        """The findings that were kept."""
         return tuple(self.kept)
 
     def full(self) -> bool:
