--- a/tests/ctl/test_commands.py
+++ b/tests/ctl/test_commands.py
@@ -82,7 +82,7 @@
     assert control("config", "diff", limits, "--patch")[0] == 1
     assert control("config", "patch", file({"configVersion": 12, "remove": {"limits": []}}))[0] == 1
     told = capsys.readouterr().err
-    assert "limits: moves" in told and "remove.limits" in told
+    assert "limits: differs, which a change of named items cannot express" in told and "remove.limits" in told
     assert all(call[0] == "GET" for call in control.control.calls)
 
 
