--- a/shedgrade/ctl/client.py
+++ b/shedgrade/ctl/client.py
@@ -24,7 +24,7 @@
 UPLOAD_BYTES_PER_S = 1_000_000  # rate at which a server is assumed to receive a large body
 MIN_BACKOFF_S, MAX_BACKOFF_S = 0.05, 1.0  # before the next attempt
 DEADLINE_S = 10.0
-ORDER_DEADLINE_S = 5.0  # of evacuate and return, which may be sent again for `ackMs` at the most
+EVACUATION_DEADLINE_S = 5.0  # of evacuate and return, which may be sent again for `ackMs` at the most
 MAX_DEADLINE_S = 3600
 FINAL_STATUSES = frozenset((400, 409, 412, 413, 422))
 RETRIED_STATUSES = frozenset((408, 429))
@@ -59,7 +59,7 @@
         return found or (Finding("", f"refused with status {self.status}"),)
 
 
-def exchange(
+def send_request(
     address: str, method: str, path: str, body: bytes | None, headers: Mapping[str, str], timeout_s: float
 ) -> Response:
     """One request over its own connection. OSError, HTTPException or ValueError if there is no response."""
@@ -80,7 +80,7 @@
         addresses: each "host:port".
         random: draws the pauses between attempts.
         clock: returns the time in seconds.
-        pause: waits for a number of seconds.
+        sleep: waits for a number of seconds.
         answer_timeout_s: time without an answer after which the next address is tried.
         expires_at: deadline of all calls together, on `clock`.
     """
@@ -92,14 +92,14 @@
         *,
         random: Random,
         clock: Callable[[], float] = time.monotonic,
-        pause: Callable[[float], None] = time.sleep,
+        sleep: Callable[[float], None] = time.sleep,
         answer_timeout_s: float = ANSWER_TIMEOUT_S,
     ) -> None:
         """`deadline_s`: time limit for all calls together, from now on."""
         self.addresses = list(addresses)
         self.random = random
         self.clock = clock
-        self.pause = pause
+        self.sleep = sleep
         self.answer_timeout_s = answer_timeout_s
         self.expires_at = clock() + deadline_s
 
@@ -135,17 +135,17 @@
             if left_s <= 0:
                 raise NoAnswerError(*(Finding(*entry) for entry in last_errors.items()))
             # Random pauses guard against operators' clients that call an overloaded control plane in step.
-            self.pause(min(left_s, backoff_s * self.random.uniform(0.5, 1.0)))
+            self.sleep(min(left_s, backoff_s * self.random.uniform(0.5, 1.0)))
             backoff_s = min(2 * backoff_s, MAX_BACKOFF_S)
 
     def call_address(
         self, address: str, method: str, path: str, body: bytes | None, headers: Mapping[str, str]
     ) -> Response:
-        """The response of one address, or of where it redirects to. Raises the errors of `exchange`."""
+        """The response of one address, or of where it redirects to. Raises the errors of `send_request`."""
         for _ in range(MAX_REDIRECTS + 1):
             allowed_s = self.answer_timeout_s + (len(body) / UPLOAD_BYTES_PER_S if body else 0.0)
             timeout_s = max(MIN_TIMEOUT_S, min(allowed_s, self.expires_at - self.clock()))
-            response = exchange(address, method, path, body, headers, timeout_s)
+            response = send_request(address, method, path, body, headers, timeout_s)
             if response.status != 307:
                 return response
             target = urlsplit(response.location)
@@ -157,7 +157,7 @@
 
 def make_client(options: Options) -> ControlClient:
     """The client for a command's options. InputError if they are invalid."""
-    return ControlClient(control_addresses(options), deadline_s(options), random=Random())
+    return ControlClient(control_addresses(options), requested_deadline_s(options), random=Random())
 
 
 def control_addresses(options: Options) -> list[str]:
@@ -173,11 +173,11 @@
     return addresses
 
 
-def deadline_s(options: Options) -> float:
+def requested_deadline_s(options: Options) -> float:
     """The time limit for all calls of a command. InputError if the option is no valid number of seconds."""
-    is_order = options.command in ("evacuate", "return")
+    is_evacuation = options.command in ("evacuate", "return")
     try:
-        seconds = float(options.deadline or (ORDER_DEADLINE_S if is_order else DEADLINE_S))
+        seconds = float(options.deadline or (EVACUATION_DEADLINE_S if is_evacuation else DEADLINE_S))
     except ValueError:
         seconds = 0.0
     if not 0 < seconds < MAX_DEADLINE_S:
--- a/tests/ctl/control_stand_in.py
+++ b/tests/ctl/control_stand_in.py
@@ -168,7 +168,7 @@
     def clock(self) -> float:
         return self.now
 
-    def pause(self, seconds: float) -> None:
+    def sleep(self, seconds: float) -> None:
         self.pauses.append(seconds)
         self.now += seconds
 
@@ -181,7 +181,7 @@
         deadline,
         random=Random(1),
         clock=time.clock,
-        pause=time.pause,
+        sleep=time.sleep,
         answer_timeout_s=answer_timeout_s,
     )
 
