--- a/shedgrade/ctl/config.py
+++ b/shedgrade/ctl/config.py
@@ -25,8 +25,8 @@
     """Makes a configuration the newest one."""
     client = connect()
     raw = read_file(options.file)
-    new = parse_sound(raw)  # guards against a call that can only be rejected
-    return send("PUT", raw, new.version, options.base, output, client)
+    new = parse_and_validate(raw)  # guards against a call that can only be rejected
+    return send_change("PUT", raw, new.version, options.base, output, client)
 
 
 def patch(options: Options, output: Output, connect: Connect) -> ExitCode:
@@ -35,13 +35,13 @@
 
     client = connect()
     raw = read_file(options.file)
-    found = read_delta(raw)
-    if found.is_error():
-        raise RejectedError(*found.error)
-    return send("PATCH", raw, found.ok, options.base, output, client)
+    delta_result = read_delta(raw)
+    if delta_result.is_error():
+        raise RejectedError(*delta_result.error)
+    return send_change("PATCH", raw, delta_result.ok, options.base, output, client)
 
 
-def send(
+def send_change(
     method: str, raw: bytes, version: int, base: str | None, output: Output, client: ControlClient
 ) -> ExitCode:
     """Sends a configuration or a delta. Without a definite answer it is sent again unchanged: a member that
@@ -49,7 +49,7 @@
     if base is not None and not base.isdigit():
         raise InputError(Finding("--base", f"{base!r} is not a version number"))
     if base is None:
-        base = str(version_in_force(client))
+        base = str(fetch_version(client))
     client.call(method, PATH, raw, {"If-Match": base})
     output.show(
         [f"version {version} accepted, based on version {base}"],
@@ -60,7 +60,7 @@
 
 def check(options: Options, output: Output, _: Connect) -> ExitCode:
     """Checks a configuration without a running system."""
-    new = parse_sound(read_file(options.file))
+    new = parse_and_validate(read_file(options.file))
     routes, services = len(new.routes), len(new.services)
     output.show(
         [f"sound: version {new.version}, {routes} routes, {services} services"],
@@ -72,13 +72,15 @@
 def diff(options: Options, output: Output, connect: Connect) -> ExitCode:
     """Prints what a configuration would change."""
     raw = read_file(options.file)
-    new = parse_sound(raw)
-    old_raw = in_force(connect()) if options.against is None else read_file(options.against)
-    old = Configuration(0, [], []) if old_raw is None else parse_sound(old_raw)
+    new = parse_and_validate(raw)
+    old_raw = fetch_configuration(connect()) if options.against is None else read_file(options.against)
+    old = Configuration(0, [], []) if old_raw is None else parse_and_validate(old_raw)
     if options.patch:
         return print_patch(old_raw, raw, output)
-    found = describe_differences(old, new)
-    output.show(found or ["no differences"], {"from": old.version, "to": new.version, "moves": found})
+    differences = describe_differences(old, new)
+    output.show(
+        differences or ["no differences"], {"from": old.version, "to": new.version, "moves": differences}
+    )
     return ExitCode.DONE
 
 
@@ -86,25 +88,25 @@
     """Prints the delta byte for byte, so that it can be sent."""
     from shedgrade.controlplane.delta import EMPTY, make_delta
 
-    found = make_delta(old or EMPTY, new)
-    if found.is_error():
-        raise RejectedError(*found.error)
-    output.out.write(found.ok.decode() + "\n")
+    delta_result = make_delta(old or EMPTY, new)
+    if delta_result.is_error():
+        raise RejectedError(*delta_result.error)
+    output.out.write(delta_result.ok.decode() + "\n")
     return ExitCode.DONE
 
 
-def parse_sound(raw: bytes) -> Configuration:
+def parse_and_validate(raw: bytes) -> Configuration:
     """The configuration. RejectedError with all findings if it is invalid."""
     # Imported late: it imports pyserde.
     from shedgrade.controlplane.configuration_validation import read_configuration
 
-    found = read_configuration(raw)
-    if found.is_error():
-        raise RejectedError(*found.error)
-    return found.ok
+    result = read_configuration(raw)
+    if result.is_error():
+        raise RejectedError(*result.error)
+    return result.ok
 
 
-def in_force(client: ControlClient) -> bytes | None:
+def fetch_configuration(client: ControlClient) -> bytes | None:
     """The bytes of the configuration in force; None if none was put yet."""
     try:
         return client.call("GET", PATH).body
@@ -114,7 +116,7 @@
         raise
 
 
-def version_in_force(client: ControlClient) -> int:
+def fetch_version(client: ControlClient) -> int:
     """The version of the configuration in force; 0 if none was put yet."""
-    raw = in_force(client)
+    raw = fetch_configuration(client)
     return 0 if raw is None else int(json.loads(raw)["configVersion"])
--- a/shedgrade/ctl/differences.py
+++ b/shedgrade/ctl/differences.py
@@ -10,7 +10,7 @@
 DESCRIBED_ELSEWHERE = ("service", "weighted_split", "host")  # by the split, or by the route's name
 
 
-class Change(NamedTuple):
+class FieldChange(NamedTuple):
     """A field that differs between two instances of a model."""
 
     field: str
@@ -27,7 +27,7 @@
     lines += describe_routes(old, new)
     lines += [
         f"limits: {change.field} {change.before} -> {change.after}"
-        for change in changes(old.limits, new.limits)
+        for change in field_changes(old.limits, new.limits)
     ]
     return lines
 
@@ -41,7 +41,7 @@
     for name in after.keys() & before.keys():
         lines += [
             f"service {name}: {change.field} {format_value(change.before)} -> {format_value(change.after)}"
-            for change in changes(before[name], after[name])
+            for change in field_changes(before[name], after[name])
         ]
     return sorted(lines)
 
@@ -70,10 +70,10 @@
 def describe_route(old: Route, new: Route) -> list[str]:
     """A line for each difference between two versions of a route."""
     lines = []
-    if split(old) != split(new):
-        verb = "split" if len(split(new)) > 1 else "moved"
+    if request_fractions(old) != request_fractions(new):
+        verb = "split" if len(request_fractions(new)) > 1 else "moved"
         lines.append(f"{verb}, {format_split(old)} -> {format_split(new)}")
-    for change in changes(old, new):
+    for change in field_changes(old, new):
         if change.field in DESCRIBED_ELSEWHERE:
             continue
         if change.field in TIME_LABELS:
@@ -83,7 +83,7 @@
     return lines
 
 
-def split(route: Route) -> dict[str, float]:
+def request_fractions(route: Route) -> dict[str, float]:
     """The fraction of the route's requests that each service gets, by name."""
     weights = {name: weight for name, weight in route.weights().items() if weight > 0}
     total = sum(weights.values())
@@ -92,18 +92,18 @@
 
 def format_split(route: Route) -> str:
     """The services that the route's requests go to, with percentages if there are several."""
-    fractions = split(route)
+    fractions = request_fractions(route)
     if len(fractions) == 1:
         return next(iter(fractions))
     return " and ".join(f"{name} {100 * fraction:.3g}%" for name, fraction in fractions.items())
 
 
-def changes(old: Any, new: Any) -> Iterator[Change]:
+def field_changes(old: Any, new: Any) -> Iterator[FieldChange]:
     """The fields that differ between two instances of one dataclass."""
     for field in fields(old):
         before, after = getattr(old, field.name), getattr(new, field.name)
         if before != after:
-            yield Change(field.name, before, after)
+            yield FieldChange(field.name, before, after)
 
 
 def format_value(value: Any) -> Any:
--- a/shedgrade/ctl/explain.py
+++ b/shedgrade/ctl/explain.py
@@ -5,7 +5,7 @@
 
 from shedgrade.configuration import Route, parse
 from shedgrade.ctl.client import ControlClient
-from shedgrade.ctl.config import in_force
+from shedgrade.ctl.config import fetch_configuration
 from shedgrade.ctl.options import ExitCode, Options
 from shedgrade.ctl.output import Output, RejectedError
 from shedgrade.ctl.status import StatusDocument
@@ -18,7 +18,7 @@
 def explain(options: Options, output: Output, connect: Callable[[], ControlClient]) -> ExitCode:
     """Prints the route of a request. RejectedError if there is no configuration or no matching route."""
     client = connect()
-    raw = in_force(client)
+    raw = fetch_configuration(client)
     if raw is None:
         raise RejectedError(Finding("configuration", "none was put yet"))
     configuration = parse(raw)
@@ -96,22 +96,26 @@
 def describe_regions(route: Route, by_region: CountByRegion, own_region: str | None) -> list[str]:
     """The regions of one service in the order of preference. `own_region`: where the request arrives; None if
     it was not given."""
-    homes = set(route.home_regions)
-    allowed = {region: count for region, count in sorted(by_region.items()) if not homes or region in homes}
+    home_regions = set(route.home_regions)
+    allowed = {
+        region: count
+        for region, count in sorted(by_region.items())
+        if not home_regions or region in home_regions
+    }
     if not allowed:
         return ["  no upstream may serve it now: 503 with Retry-After"]
     lines = []
     if own_region is None:
-        otherwise = "the own region first; if it is at the load threshold, or has no capacity: "
+        lead_in = "the own region first; if it is at the load threshold, or has no capacity: "
     elif own_region in allowed:
         count = allowed.pop(own_region)
         lines.append(f"  {own_region}, its own region, first: {count} upstreams in rotation")
-        otherwise = "if that is at the load threshold, or has no capacity: "
+        lead_in = "if that is at the load threshold, or has no capacity: "
     else:
-        otherwise = f"{own_region} may not serve it, so "
+        lead_in = f"{own_region} may not serve it, so "
     if sum(allowed.values()):
-        lines.append(f"  {otherwise}drawn by upstream count from {format_shares(allowed)}")
-    excluded = [region for region in sorted(by_region) if homes and region not in homes]
+        lines.append(f"  {lead_in}drawn by upstream count from {format_shares(allowed)}")
+    excluded = [region for region in sorted(by_region) if home_regions and region not in home_regions]
     if excluded:
         lines.append(f"  not home regions: {', '.join(excluded)}")
     return lines
