--- a/shedgrade/process_settings/__init__.py
+++ b/shedgrade/process_settings/__init__.py
@@ -1,4 +1,4 @@
-"""Settings of a process: the YAML file that the platform writes for it, loaded, validated, and watched."""
+"""Settings of a process: loads, validates and watches the YAML file that the platform writes for it."""
 
 from shedgrade.process_settings.errors import SettingsError, explain
 from shedgrade.process_settings.file_watcher import SettingsFileWatcher
--- a/shedgrade/process_settings/errors.py
+++ b/shedgrade/process_settings/errors.py
@@ -1,4 +1,4 @@
-"""What is wrong with a settings file."""
+"""Errors in a settings file."""
 
 from collections.abc import Iterable
 
@@ -6,7 +6,7 @@
 
 
 class SettingsError(Exception):
-    """The settings can't be used; `findings` say why, all together."""
+    """The settings can't be used; `findings` has every reason."""
 
     def __init__(self, findings: Iterable[Finding]) -> None:
         self.findings = tuple(findings)
@@ -14,8 +14,7 @@
 
 
 class InvalidValueError(Exception):
-    """One value has the wrong form. `text`: which is asked for; `path`: where within the value, "" if it is
-    all of it."""
+    """A value is invalid. `text`: what is wrong with it; `path`: where within the value, "" for all of it."""
 
     def __init__(self, text: str, path: str = "") -> None:
         super().__init__(text)
@@ -24,5 +23,5 @@
 
 
 def explain(error: SettingsError) -> str:
-    """One line a finding, for stderr; the command ends with status 2 then."""
+    """The findings for stderr, one a line. The command then ends with status 2."""
     return "\n".join(f"settings: {finding}" for finding in error.findings)
--- a/shedgrade/process_settings/file_watcher.py
+++ b/shedgrade/process_settings/file_watcher.py
@@ -1,4 +1,4 @@
-"""The settings file while the process runs: it may change with a signal or without one."""
+"""Watches the settings file while the process runs; the file may change with or without a signal."""
 
 import os
 from typing import NamedTuple
@@ -10,7 +10,7 @@
 
 
 class FileStamp(NamedTuple):
-    """By which a changed file is told from the one before."""
+    """Identifies one state of the file; a changed file has another stamp."""
 
     modified_ns: int
     size: int
@@ -18,36 +18,36 @@
 
 
 class SettingsFileWatcher:
-    """Follows one settings file. The caller looks once a second, and with `forced=True` on SIGHUP.
+    """Watches one settings file. The caller calls `changed` once a second, and with `forced=True` on SIGHUP.
 
     Attributes:
         path: of the file.
-        stamp: of the file that was read last; None if there was none.
-        settings: the newest ones that were valid.
-        reported: the findings of the file that was read last, empty if it was valid.
+        stamp: of the file when it was last read; None if it didn't exist.
+        settings: the last valid settings.
+        reported: findings of the file when it was last read; empty if it was valid.
     """
 
     def __init__(self, path: str | None = None, settings: Settings | None = None) -> None:
-        """`settings`: as they were loaded; None: they are loaded here, SettingsError if that fails."""
+        """`settings`: already loaded ones; if None, they are loaded here (SettingsError if that fails)."""
         self.path = path or os.environ.get(SETTINGS_VARIABLE, "")
-        # With settings that were read before, no stamp: the file may have changed since, and is read again.
+        # Settings that were loaded earlier get no stamp: the file may have changed since and is read again.
         self.stamp = self.current_stamp() if settings is None else None
         self.settings = load(self.path) if settings is None else settings
         self.reported: tuple[Finding, ...] = ()
 
     def changed(self, forced: bool = False) -> Settings | tuple[Finding, ...] | None:
-        """New settings, which `settings` holds from now on; or the findings that keep the old ones in force,
-        returned once; or None if nothing changed. `forced`: the file is read whatever its stamp says, and its
-        findings are returned again."""
+        """New settings, which `settings` holds from then on; or findings, if the file is invalid and the old
+        settings stay in force; or None if nothing changed. The same findings are returned only once.
+        `forced`: the file is read even if its stamp is unchanged, and findings are returned again."""
         stamp = self.current_stamp()
         if stamp == self.stamp and not forced:
             return None
-        # The stamp was taken before the read: what is written meanwhile is seen at the next look.
+        # The stamp was taken before the read, so a write in between is noticed by the next call.
         self.stamp = stamp
         try:
             settings = load(self.path)
         except SettingsError as error:
-            # Guards against a file that is half written, gone for a moment, or wrong: the old settings stay.
+            # Guards against a file that is half written, briefly missing or invalid: the old settings stay.
             reported_before, self.reported = self.reported, error.findings
             return error.findings if error.findings != reported_before or forced else None
         self.reported = ()
@@ -57,7 +57,7 @@
         return settings
 
     def current_stamp(self) -> FileStamp | None:
-        """The stamp of the file as it is now; None if there is none."""
+        """The stamp of the file now; None if the file can't be read."""
         try:
             status = os.stat(self.path)
         except OSError:
--- a/shedgrade/process_settings/loading.py
+++ b/shedgrade/process_settings/loading.py
@@ -1,4 +1,4 @@
-"""Reads the settings file."""
+"""Loads the settings file."""
 
 import os
 
@@ -9,13 +9,13 @@
 from shedgrade.process_settings.settings import Settings
 from shedgrade.process_settings.validation import validate
 
-SETTINGS_VARIABLE = "SHEDGRADE_BOOT"  # of the environment: names the file
+SETTINGS_VARIABLE = "SHEDGRADE_BOOT"  # environment variable with the path of the settings file
 Loader = getattr(yaml, "CSafeLoader", yaml.SafeLoader)
 
 
 def load(path: str | None = None) -> Settings:
     """The settings in the YAML file at `path`, or in the one that SHEDGRADE_BOOT names. SettingsError with
-    all findings if it can't be read or something in it is missing, of a wrong type, or out of range."""
+    all findings if the file can't be read, or something in it is missing, of a wrong type or out of range."""
     path = path or os.environ.get(SETTINGS_VARIABLE)
     if not path:
         raise SettingsError([Finding(SETTINGS_VARIABLE, "names no settings file")])
@@ -27,8 +27,8 @@
     except (yaml.YAMLError, ValueError, RecursionError) as error:
         mark = getattr(error, "problem_mark", None)
         line = f", line {mark.line + 1}" if mark else ""
-        problem = getattr(error, "problem", None) or "is no YAML"
+        problem = getattr(error, "problem", None) or "is not valid YAML"
         raise SettingsError([Finding(path + line, problem)]) from error
     if not isinstance(document, dict):
-        raise SettingsError([Finding(path, "is no mapping of names to values")])
+        raise SettingsError([Finding(path, "is not a mapping of names to values")])
     return validate(document)
--- a/shedgrade/process_settings/reloader.py
+++ b/shedgrade/process_settings/reloader.py
@@ -1,4 +1,4 @@
-"""Settings that are read again while the process runs: which of them take effect then, and which do not."""
+"""Reloads the settings while the process runs. Only LIVE_FIELDS take effect without a restart."""
 
 from collections.abc import Callable
 from dataclasses import fields, replace
@@ -8,24 +8,27 @@
 from shedgrade.process_settings.settings import Settings
 from shedgrade.runtime.log import logger
 
-LIVE_FIELDS = {"bounds": "timingBounds", "cloud_api": "cloudApi", "zones": "zones"}
+LIVE_FIELDS = {"bounds": "timingBounds", "cloud_api": "cloudApi", "zones": "zones"}  # names as in the file
+# Names in the file of fields whose names aren't the same in camel case.
 RENAMED_FIELDS = {
     "internal_ports": "internalPortRange",
     "listen": "listenAddresses",
     "seeds": "seedNodes",
     "tolerated": "toleratedLosses",
-}  # as the file names them
+}
 POLL_INTERVAL_S = 1.0
 
 
 class SettingsReloader:
-    """Sans I/O but for the look at the file; the caller calls `poll` often, and with `forced=True` on SIGHUP.
+    """Applies changes of the settings file. Its only I/O is the read of the file through `watcher`.
+
+    The caller calls `poll` often, and with `forced=True` on SIGHUP.
 
     Attributes:
-        settings: those in force.
-        watcher: of the file; None where there is none.
+        settings: the settings in force.
+        watcher: of the settings file; None if there is no file.
         apply: called with the settings in force when some of LIVE_FIELDS changed.
-        next_poll_at: before it the file is not looked at unless it is forced.
+        next_poll_at: time of the next look at the file, unless one is forced earlier.
     """
 
     def __init__(
@@ -37,7 +40,7 @@
         self.next_poll_at = 0.0
 
     def poll(self, now: float, forced: bool = False) -> None:
-        """Looks at the file, once in POLL_INTERVAL_S or when forced. `now`: seconds of any steady clock."""
+        """Looks at the file, once in POLL_INTERVAL_S or when forced. `now`: seconds of a monotonic clock."""
         if self.watcher is None or (now < self.next_poll_at and not forced):
             return
         self.next_poll_at = now + POLL_INTERVAL_S
@@ -48,12 +51,12 @@
                 self.reject(findings)
 
     def reject(self, findings: tuple[Finding, ...]) -> None:
-        """The old settings stay in force."""
+        """Logs the findings of an invalid file. The old settings stay in force."""
         for finding in findings:
             logger.warning("settings reload rejected", place=finding.place, finding=finding.text)
 
     def accept(self, settings: Settings, forced: bool) -> None:
-        """Puts the live fields in force, and logs which fields need a restart."""
+        """Applies the live fields that changed, and logs which changed fields need a restart."""
         changed = [
             field.name
             for field in fields(Settings)
@@ -61,7 +64,7 @@
         ]
         live = [name for name in changed if name in LIVE_FIELDS]
         needs_restart = [name for name in changed if name not in LIVE_FIELDS]
-        # An operator who signals is warned at once.
+        # A warning only on SIGHUP: the operator who sent it should learn at once that a restart is needed.
         log = logger.warning if forced and needs_restart else logger.info
         log(
             "settings reloaded",
--- a/shedgrade/process_settings/settings.py
+++ b/shedgrade/process_settings/settings.py
@@ -1,10 +1,10 @@
-"""The settings of a process, typed. Source: the operators' DEPLOY, "Settings of a process"."""
+"""The settings of a process as typed values. Source: the operators' DEPLOY, "Settings of a process"."""
 
 import re
 from collections.abc import Mapping
 from dataclasses import dataclass
 
-# Used where `timingBounds` leaves one out. Times are those that the operators usually set; an allowance is 0.
+# For bounds that `timingBounds` leaves out. Times are the operators' usual ones; allowances are 0.
 DEFAULT_BOUNDS: dict[str, float] = {
     "seedLagS": 3,
     "reuseAfterS": 2,
@@ -31,17 +31,17 @@
 
 
 class TimingBounds(dict[str, float]):
-    """`timingBounds` by the names in the file, each a number or a bool; DEFAULT_BOUNDS fill what it leaves
-    out.
+    """`timingBounds` by the names in the file, each a number or a bool. DEFAULT_BOUNDS fill in missing ones.
 
-    A name in the language's own case is found too: `drain_ms` is `drainMs`. KeyError for others."""
+    A name in snake case is found too: `drain_ms` stands for `drainMs`. KeyError for an unknown name.
+    """
 
     def __init__(self, bounds: Mapping[str, float]) -> None:
         super().__init__(DEFAULT_BOUNDS)
         self.update(bounds)
 
     def __missing__(self, name: str) -> float:
-        """The bound in the file's case. KeyError: there is none."""
+        """The bound whose name in camel case is that of `name`. KeyError if there is none."""
         camel = re.sub("_([a-z])", lambda found: found[1].upper(), name)
         if camel == name or camel not in self:
             raise KeyError(name)
@@ -50,10 +50,15 @@
 
 @dataclass(frozen=True, slots=True)
 class Limits:
-    """What the process may use.
-
-    `cpu_share`: of a core; `cores`: by how much that core is faster than one of the common machines;
-    `memory_mb`; `file_descriptors`; `link_mbps`: Mbit/s; `disk_mb`: 0 if it has no disk.
+    """The resources that the process may use.
+
+    Attributes:
+        cpu_share: fraction of a core.
+        cores: speed of that core as a multiple of a core of the common machines.
+        memory_mb: memory.
+        file_descriptors: number of file descriptors.
+        link_mbps: network bandwidth in Mbit/s.
+        disk_mb: disk space; 0 if there is no disk.
     """
 
     cpu_share: float
@@ -66,7 +71,7 @@
 
 @dataclass(frozen=True, slots=True)
 class ToleratedLosses:
-    """How many of each may be lost at once; machines: of those whose loss is counted."""
+    """How many of each may be lost at once. `machines` counts only those whose loss is counted."""
 
     machines: int
     zones: int
@@ -75,8 +80,14 @@
 
 @dataclass(frozen=True, slots=True)
 class CloudApi:
-    """The platform's list of upstreams. `address`: host and port; `rate_per_s`: calls of all processes
-    together; `max_lag_ms`: by which it may be late; `duty_list`: unused here, as the file has it."""
+    """The platform's API for the list of upstreams.
+
+    Attributes:
+        address: host and port.
+        rate_per_s: calls per second that all processes together may make.
+        max_lag_ms: time by which the list may be out of date.
+        duty_list: as in the file; not used here.
+    """
 
     address: tuple[str, int]
     rate_per_s: float
@@ -86,13 +97,19 @@
 
 @dataclass(frozen=True, slots=True)
 class Settings:
-    """All settings of a process. The file's names are those of its fields in camel case, but for those that
-    `reloader.RENAMED_FIELDS` lists.
-
-    `listen`: addresses by what is served there; `seeds`: control addresses, "ip:port"; `zones`: each zone's
-    region; `internal_ports`: the first and the last that are free for the system's own use; `initial_start`:
-    the system is started for the first time; `loss_counted`: whether the loss of this machine counts among
-    the tolerated ones; `data_dir`: None if it has no disk; `bounds`: of times that the operators promise.
+    """All settings of a process. In the file the names of fields are in camel case, except for those in
+    `reloader.RENAMED_FIELDS`.
+
+    Attributes:
+        zones: region by zone.
+        listen: addresses to listen on, by the name of what is served there.
+        internal_ports: first and last port that are reserved for the system itself.
+        seeds: control addresses of the seed nodes, each "ip:port".
+        initial_start: whether the system is started for the first time.
+        loss_counted: whether a loss of this machine counts towards the tolerated losses.
+        data_dir: folder for data; None if the machine has no disk.
+        tolerated: how many losses are tolerated at once.
+        bounds: limits of the times that the operators promise.
     """
 
     node_name: str
@@ -118,20 +135,20 @@
 
     @property
     def link_address(self) -> str:
-        """Own TCP address for other processes of the system."""
+        """The process's own TCP address for other processes of the system."""
         return f"{self.ip_address}:{self.internal_ports[0]}"
 
     @property
     def gossip_address(self) -> str:
-        """Own UDP address for partial views."""
+        """The process's own UDP address for membership gossip."""
         return f"{self.ip_address}:{self.internal_ports[0] + 1}"
 
     @property
     def seed_links(self) -> tuple[str, ...]:
-        """Link addresses of the seeds: ports are alike on all machines."""
+        """Link addresses of the seeds. All machines use the same ports."""
         return tuple(f"{seed.rpartition(':')[0]}:{self.internal_ports[0]}" for seed in self.seeds)
 
     @property
     def seed_gossips(self) -> tuple[str, ...]:
-        """UDP addresses of the seeds, in the same way."""
+        """Gossip addresses of the seeds. All machines use the same ports."""
         return tuple(f"{seed.rpartition(':')[0]}:{self.internal_ports[0] + 1}" for seed in self.seeds)
--- a/shedgrade/process_settings/validation.py
+++ b/shedgrade/process_settings/validation.py
@@ -1,7 +1,8 @@
-"""Checks all of the settings at once; what is wrong is reported together, each finding with its place.
+"""Validates all settings at once and reports all findings together, each with its place.
 
-Plain checks, no pyserde: an edge would keep its 10 MB (more where NumPy is installed) for one read, taking
-the modules out again frees next to none of it, and it stops at the first thing wrong.
+These are plain checks instead of pyserde's: pyserde stops at the first finding, and an edge would keep its
+10 MB (more if NumPy is installed) in memory for a single read, since unloading its modules frees almost none
+of it.
 """
 
 from collections.abc import Iterable, Mapping
@@ -39,9 +40,12 @@
 
 
 class Section:
-    """One mapping of the file. What is taken out of it is checked; what is wrong is added to the findings.
+    """A mapping in the file. Values are validated as they are read; each invalid one adds a finding.
 
-    `values`: as the file has them; `path`: "" or the section's name with a dot behind it.
+    Attributes:
+        values: the mapping as it is in the file.
+        path: prefix of the places of findings: the section's name with a trailing dot; "" at the top level.
+        findings: of all sections together.
     """
 
     def __init__(self, values: Mapping[Any, object], path: str, findings: Findings) -> None:
@@ -50,27 +54,27 @@
         self.findings = findings
 
     def section(self, name: str) -> "Section":
-        """The mapping under `name`; an empty one if it is left out or none."""
+        """The mapping under `name`; an empty one if it is left out, or not a mapping, which is a finding."""
         values = self.values.get(name)
         if values is not None and not isinstance(values, dict):
-            self.findings.add(self.path + name, "is no mapping")
+            self.findings.add(self.path + name, "is not a mapping")
         return Section(values if isinstance(values, dict) else {}, f"{self.path}{name}.", self.findings)
 
     def required(self, name: str, validator: Validator[T]) -> T:
-        """The value; a finding if it is left out or null."""
+        """The validated value; a finding if it is left out or null."""
         value = self.values.get(name)
         if value is None:
             self.findings.add(self.path + name, "is missing")
-            return cast(T, None)  # nobody uses it: the findings end in a SettingsError
+            return cast(T, None)  # never used: the finding ends in a SettingsError
         return self.checked(name, validator, value)
 
     def optional(self, name: str, validator: Validator[T], default: D) -> T | D:
-        """The value; the default if it is left out or null."""
+        """The validated value; the default if it is left out or null."""
         value = self.values.get(name)
         return default if value is None else self.checked(name, validator, value)
 
     def checked(self, name: str, validator: Validator[T], value: object) -> T:
-        """The value as the validator returns it; a finding if it is invalid."""
+        """The value that the validator returns; a finding if the value is invalid."""
         try:
             return validator(value)
         except InvalidValueError as error:
@@ -79,8 +83,8 @@
 
 
 def validate(document: Mapping[Any, object]) -> Settings:
-    """Settings from the names and values of the file; unknown names are ignored. SettingsError with all
-    findings if something is missing, of a wrong type, or out of range."""
+    """The settings in a parsed file; unknown names are ignored. SettingsError with all findings if something
+    is missing, of a wrong type or out of range."""
     findings = Findings()
     top = Section(document, "", findings)
     zones = top.required("zones", mapping_of(text))
@@ -99,7 +103,7 @@
         listen=top.optional("listenAddresses", mapping_of(address), {}),
         internal_ports=top.required("internalPortRange", port_range),
         seeds=top.required("seedNodes", sequence_of(address_as_text)),
-        # Without these, no cluster is founded a second time and no disk is counted on.
+        # The defaults are the safe values: no second cluster is founded, and no disk is relied on.
         initial_start=top.optional("initialStart", flag, False),
         loss_counted=top.optional("lossCounted", flag, False),
         limits=validate_limits(top.section("limits")),
@@ -116,7 +120,7 @@
 
 
 def validate_limits(section: Section) -> Limits:
-    """What the process may use."""
+    """The resources that the process may use."""
     return Limits(
         cpu_share=section.optional("cpuShare", above(0), 1.0),
         cores=section.optional("cores", integer(1), 1),
@@ -128,7 +132,7 @@
 
 
 def validate_tolerated_losses(section: Section) -> ToleratedLosses:
-    """How much may be lost at once."""
+    """The number of losses that are tolerated at once."""
     return ToleratedLosses(
         machines=section.required("machines", integer(0)),
         zones=section.optional("zones", integer(0), 0),
@@ -137,7 +141,7 @@
 
 
 def validate_bounds(section: Section) -> dict[str, float]:
-    """Numbers and flags by name. A bound that isn't in DEFAULT_BOUNDS is left out if it is neither."""
+    """Timing bounds by name. A bound that isn't in DEFAULT_BOUNDS is left out if it is no number or bool."""
     bounds: dict[str, float] = {}
     for name in section.values:
         if not isinstance(name, str):
@@ -150,7 +154,7 @@
 
 
 def validate_cloud_api(section: Section) -> CloudApi:
-    """The platform's list of upstreams."""
+    """The platform's API for the list of upstreams."""
     return CloudApi(
         address=section.required("address", address),
         rate_per_s=section.required("ratePerS", above(0)),
@@ -160,7 +164,7 @@
 
 
 def require(settings: Settings, listen: Iterable[str] = (), disk: bool = False) -> None:
-    """SettingsError if a program's addresses to listen on, by their names, or its disk are left out."""
+    """SettingsError if listen addresses (by their names) or the disk that a program needs are left out."""
     findings = Findings()
     for name in listen:
         if name not in settings.listen:
--- a/shedgrade/process_settings/validators.py
+++ b/shedgrade/process_settings/validators.py
@@ -1,25 +1,25 @@
-"""Validators of single values: each returns the value as the program uses it, or raises InvalidValueError."""
+"""Validators of single values. Each returns the value as the program uses it, or raises InvalidValueError."""
 
 from collections.abc import Callable
 from typing import TypeVar
 
 from shedgrade.process_settings.errors import InvalidValueError
 
-MAX_NUMBER = 1e15  # all that is computed with smaller ones stays exact
+MAX_NUMBER = 1e15  # arithmetic on smaller numbers is exact
 
 T = TypeVar("T")
 Validator = Callable[[object], T]
 
 
 def anything(value: object) -> object:
-    """The value as it is."""
+    """Accepts any value."""
     return value
 
 
 def text(value: object) -> str:
-    """A string that isn't empty."""
+    """A non-empty string."""
     if not isinstance(value, str) or not value:
-        raise InvalidValueError(f"{value!r:.100} is no text")
+        raise InvalidValueError(f"{value!r:.100} is not a non-empty string")
     return value
 
 
@@ -31,19 +31,19 @@
 
 
 def number(value: object) -> int | float:
-    """A finite number within MAX_NUMBER, as it is written."""
+    """A finite number of at most MAX_NUMBER, positive or negative; its type is kept."""
     if isinstance(value, bool) or not isinstance(value, (int, float)) or not abs(value) <= MAX_NUMBER:
-        raise InvalidValueError(f"{value!r:.100} is no number")
+        raise InvalidValueError(f"{value!r:.100} is not a number")
     return value
 
 
 def bound(value: object) -> bool | int | float:
-    """A timing bound that is used: true, false, or a number from 0 up."""
+    """A known timing bound: true, false, or a number of at least 0."""
     return value if isinstance(value, bool) else at_least(0)(value)
 
 
 def above(minimum: float) -> Validator[float]:
-    """A number over the minimum."""
+    """A number greater than the minimum."""
 
     def validate_above(value: object) -> float:
         if number(value) <= minimum:
@@ -54,7 +54,7 @@
 
 
 def at_least(minimum: float) -> Validator[int | float]:
-    """A number from the minimum up."""
+    """A number not less than the minimum."""
 
     def validate_at_least(value: object) -> int | float:
         checked = number(value)
@@ -66,71 +66,71 @@
 
 
 def integer(minimum: int) -> Validator[int]:
-    """A whole number from the minimum up."""
+    """A whole number not less than the minimum."""
 
     def validate_integer(value: object) -> int:
         checked = number(value)
         if checked != int(checked):
-            raise InvalidValueError(f"{value!r} is no whole number")
+            raise InvalidValueError(f"{value!r} is not a whole number")
         return int(at_least(minimum)(checked))
 
     return validate_integer
 
 
 def is_decimal(part: str) -> bool:
-    """Whether it consists of ASCII digits."""
+    """Whether the text consists of ASCII digits only."""
     return part.isdecimal() and part.isascii()
 
 
 def host(value: object) -> str:
-    """An IPv4 address by numbers: there are no name look-ups."""
+    """A numeric IPv4 address; host names aren't resolved."""
     checked = text(value)
     parts = checked.split(".")
     if len(parts) != 4 or not all(is_decimal(part) and int(part) < 256 for part in parts):
-        raise InvalidValueError(f"{value!r:.100} is no IPv4 address")
+        raise InvalidValueError(f"{value!r:.100} is not an IPv4 address")
     return checked
 
 
 def address(value: object) -> tuple[str, int]:
-    """A host and a port, written "host:port"."""
+    """A numeric IPv4 address and a port, from "host:port"."""
     before, colon, port = text(value).rpartition(":")
     if not colon or not (is_decimal(port) and 0 < int(port) < 65536):
-        raise InvalidValueError(f"{value!r:.100} is no host:port")
+        raise InvalidValueError(f"{value!r:.100} is not a host:port address")
     return host(before), int(port)
 
 
 def address_as_text(value: object) -> str:
-    """A host and a port, as they are written."""
+    """The same as `address`, as text."""
     return "{}:{}".format(*address(value))
 
 
 def port_range(value: object) -> tuple[int, int]:
-    """The first and the last; two are needed at the least, one for TCP and one for UDP."""
+    """The first and the last port of a range of at least two: one for TCP and one for UDP."""
     if not isinstance(value, list) or len(value) != 2:
-        raise InvalidValueError(f"{value!r:.100} is no pair of ports")
+        raise InvalidValueError(f"{value!r:.100} is not a pair of ports")
     first, last = (integer(1)(port) for port in value)
     if last > 65535 or last <= first:
-        raise InvalidValueError(f"{first} to {last} are not two ports or more")
+        raise InvalidValueError(f"{first} to {last} is not a range of at least two ports")
     return first, last
 
 
 def sequence_of(validate_item: Validator[T]) -> Validator[tuple[T, ...]]:
-    """A list of such values."""
+    """A list whose items `validate_item` accepts."""
 
     def validate_sequence(value: object) -> tuple[T, ...]:
         if not isinstance(value, list):
-            raise InvalidValueError(f"{value!r:.100} is no list")
+            raise InvalidValueError(f"{value!r:.100} is not a list")
         return tuple(at_path(validate_item, item, f"[{index}]") for index, item in enumerate(value))
 
     return validate_sequence
 
 
 def mapping_of(validate_item: Validator[T]) -> Validator[dict[str, T]]:
-    """A mapping of texts to such values."""
+    """A mapping with strings as keys, whose values `validate_item` accepts."""
 
     def validate_mapping(value: object) -> dict[str, T]:
         if not isinstance(value, dict):
-            raise InvalidValueError(f"{value!r:.100} is no mapping")
+            raise InvalidValueError(f"{value!r:.100} is not a mapping")
         return {
             at_path(text, name, ""): at_path(validate_item, item, f".{name}") for name, item in value.items()
         }
@@ -139,7 +139,7 @@
 
 
 def at_path(validate_item: Validator[T], value: object, path: str) -> T:
-    """Validates a value inside another one, whose error names the path then."""
+    """Validates a part of a value. The error for it has the path of the part."""
     try:
         return validate_item(value)
     except InvalidValueError as error:
--- a/tests/process_settings/test_settings_reloader.py
+++ b/tests/process_settings/test_settings_reloader.py
@@ -102,7 +102,7 @@
     assert process.look() == process.look() == []
     assert len(lines) == 2
     assert all(line[:2] == ("warning", "settings reload rejected") for line in lines)
-    assert lines[1][2] == {"place": "timingBounds.drainMs", "finding": "'soon' is no number"}
+    assert lines[1][2] == {"place": "timingBounds.drainMs", "finding": "'soon' is not a number"}
     assert process.reload.settings.bounds["drain_ms"] == 4500
     process.write("{ half a fi")
     process.look()
