--- a/shedgrade/process_settings/validation.py
+++ b/shedgrade/process_settings/validation.py
@@ -20,19 +20,19 @@
 )
 from shedgrade.process_settings.validators import (
     Validator,
-    above,
     address,
-    address_as_text,
-    anything,
+    address_text,
+    any_value,
     at_least,
-    bound,
-    flag,
-    host,
+    boolean,
+    greater_than,
     integer,
+    ipv4_address,
     mapping_of,
+    non_empty_string,
     port_range,
     sequence_of,
-    text,
+    timing_bound,
 )
 
 T = TypeVar("T")
@@ -87,29 +87,29 @@
     is missing, of a wrong type or out of range."""
     findings = Findings()
     top = Section(document, "", findings)
-    zones = top.required("zones", mapping_of(text))
-    zone = top.required("zone", text)
+    zones = top.required("zones", mapping_of(non_empty_string))
+    zone = top.required("zone", non_empty_string)
     if zones is not None and zone is not None and zone not in zones:
         findings.add("zone", f"{zone!r} is not in zones")
     settings = Settings(
-        node_name=top.required("nodeName", text),
-        role=top.optional("role", text, ""),
-        machine_class=top.optional("machineClass", text, ""),
-        served_roles=top.required("servedRoles", sequence_of(text)),
-        ip_address=top.required("ipAddress", host),
+        node_name=top.required("nodeName", non_empty_string),
+        role=top.optional("role", non_empty_string, ""),
+        machine_class=top.optional("machineClass", non_empty_string, ""),
+        served_roles=top.required("servedRoles", sequence_of(non_empty_string)),
+        ip_address=top.required("ipAddress", ipv4_address),
         zone=zone,
-        region=top.optional("region", text, (zones or {}).get(zone, "")),
+        region=top.optional("region", non_empty_string, (zones or {}).get(zone, "")),
         zones=zones,
         listen=top.optional("listenAddresses", mapping_of(address), {}),
         internal_ports=top.required("internalPortRange", port_range),
-        seeds=top.required("seedNodes", sequence_of(address_as_text)),
+        seeds=top.required("seedNodes", sequence_of(address_text)),
         # The defaults are the safe values: no second cluster is founded, and no disk is relied on.
-        initial_start=top.optional("initialStart", flag, False),
-        loss_counted=top.optional("lossCounted", flag, False),
+        initial_start=top.optional("initialStart", boolean, False),
+        loss_counted=top.optional("lossCounted", boolean, False),
         limits=validate_limits(top.section("limits")),
-        data_dir=top.optional("dataDir", text, None),
-        heartbeat_ms=top.optional("heartbeatMs", above(0), 1000.0),
-        active_contracts=top.optional("activeContracts", sequence_of(text), ()),
+        data_dir=top.optional("dataDir", non_empty_string, None),
+        heartbeat_ms=top.optional("heartbeatMs", greater_than(0), 1000.0),
+        active_contracts=top.optional("activeContracts", sequence_of(non_empty_string), ()),
         tolerated=validate_tolerated_losses(top.section("toleratedLosses")),
         bounds=TimingBounds(validate_bounds(top.section("timingBounds"))),
         cloud_api=validate_cloud_api(top.section("cloudApi")),
@@ -122,11 +122,11 @@
 def validate_limits(section: Section) -> Limits:
     """The resources that the process may use."""
     return Limits(
-        cpu_share=section.optional("cpuShare", above(0), 1.0),
+        cpu_share=section.optional("cpuShare", greater_than(0), 1.0),
         cores=section.optional("cores", integer(1), 1),
         memory_mb=section.required("memoryMb", integer(1)),
         file_descriptors=section.required("fileDescriptors", integer(1)),
-        link_mbps=section.optional("linkMbps", above(0), 1000.0),
+        link_mbps=section.optional("linkMbps", greater_than(0), 1000.0),
         disk_mb=section.optional("diskMb", integer(0), 0),
     )
 
@@ -146,7 +146,7 @@
     for name in section.values:
         if not isinstance(name, str):
             continue
-        validator: Validator[object] = bound if name in DEFAULT_BOUNDS else anything
+        validator: Validator[object] = timing_bound if name in DEFAULT_BOUNDS else any_value
         value = section.optional(name, validator, None)
         if isinstance(value, (bool, int, float)):
             bounds[name] = value
@@ -157,9 +157,9 @@
     """The platform's API for the list of upstreams."""
     return CloudApi(
         address=section.required("address", address),
-        rate_per_s=section.required("ratePerS", above(0)),
+        rate_per_s=section.required("ratePerS", greater_than(0)),
         max_lag_ms=section.optional("maxLagMs", at_least(0), 0.0),
-        duty_list=section.optional("dutyList", sequence_of(anything), ()),
+        duty_list=section.optional("dutyList", sequence_of(any_value), ()),
     )
 
 
--- a/shedgrade/process_settings/validators.py
+++ b/shedgrade/process_settings/validators.py
@@ -11,19 +11,19 @@
 Validator = Callable[[object], T]
 
 
-def anything(value: object) -> object:
+def any_value(value: object) -> object:
     """Accepts any value."""
     return value
 
 
-def text(value: object) -> str:
+def non_empty_string(value: object) -> str:
     """A non-empty string."""
     if not isinstance(value, str) or not value:
         raise InvalidValueError(f"{value!r:.100} is not a non-empty string")
     return value
 
 
-def flag(value: object) -> bool:
+def boolean(value: object) -> bool:
     """True or false."""
     if not isinstance(value, bool):
         raise InvalidValueError(f"{value!r:.100} is neither true nor false")
@@ -37,20 +37,20 @@
     return value
 
 
-def bound(value: object) -> bool | int | float:
+def timing_bound(value: object) -> bool | int | float:
     """A known timing bound: true, false, or a number of at least 0."""
     return value if isinstance(value, bool) else at_least(0)(value)
 
 
-def above(minimum: float) -> Validator[float]:
+def greater_than(minimum: float) -> Validator[float]:
     """A number greater than the minimum."""
 
-    def validate_above(value: object) -> float:
+    def validate_greater_than(value: object) -> float:
         if number(value) <= minimum:
             raise InvalidValueError(f"{value!r} is not above {minimum}")
         return float(number(value))
 
-    return validate_above
+    return validate_greater_than
 
 
 def at_least(minimum: float) -> Validator[int | float]:
@@ -82,9 +82,9 @@
     return part.isdecimal() and part.isascii()
 
 
-def host(value: object) -> str:
+def ipv4_address(value: object) -> str:
     """A numeric IPv4 address; host names aren't resolved."""
-    checked = text(value)
+    checked = non_empty_string(value)
     parts = checked.split(".")
     if len(parts) != 4 or not all(is_decimal(part) and int(part) < 256 for part in parts):
         raise InvalidValueError(f"{value!r:.100} is not an IPv4 address")
@@ -93,13 +93,13 @@
 
 def address(value: object) -> tuple[str, int]:
     """A numeric IPv4 address and a port, from "host:port"."""
-    before, colon, port = text(value).rpartition(":")
+    before, colon, port = non_empty_string(value).rpartition(":")
     if not colon or not (is_decimal(port) and 0 < int(port) < 65536):
         raise InvalidValueError(f"{value!r:.100} is not a host:port address")
-    return host(before), int(port)
+    return ipv4_address(before), int(port)
 
 
-def address_as_text(value: object) -> str:
+def address_text(value: object) -> str:
     """The same as `address`, as text."""
     return "{}:{}".format(*address(value))
 
@@ -132,7 +132,8 @@
         if not isinstance(value, dict):
             raise InvalidValueError(f"{value!r:.100} is not a mapping")
         return {
-            at_path(text, name, ""): at_path(validate_item, item, f".{name}") for name, item in value.items()
+            at_path(non_empty_string, name, ""): at_path(validate_item, item, f".{name}")
+            for name, item in value.items()
         }
 
     return validate_mapping
