--- a/shedgrade/process_settings/file_watcher.py
+++ b/shedgrade/process_settings/file_watcher.py
@@ -18,13 +18,13 @@
 
 
 class SettingsFileWatcher:
-    """Watches one settings file. The caller calls `changed` once a second, and with `forced=True` on SIGHUP.
+    """Watches one settings file. The caller calls `check` once a second, and with `forced=True` on SIGHUP.
 
     Attributes:
         path: of the file.
         stamp: of the file when it was last read; None if it didn't exist.
         settings: the last valid settings.
-        reported: findings of the file when it was last read; empty if it was valid.
+        last_findings: findings of the file when it was last read; empty if it was valid.
     """
 
     def __init__(self, path: str | None = None, settings: Settings | None = None) -> None:
@@ -33,9 +33,9 @@
         # Settings that were loaded earlier get no stamp: the file may have changed since and is read again.
         self.stamp = self.current_stamp() if settings is None else None
         self.settings = load(self.path) if settings is None else settings
-        self.reported: tuple[Finding, ...] = ()
+        self.last_findings: tuple[Finding, ...] = ()
 
-    def changed(self, forced: bool = False) -> Settings | tuple[Finding, ...] | None:
+    def check(self, forced: bool = False) -> Settings | tuple[Finding, ...] | None:
         """New settings, which `settings` holds from then on; or findings, if the file is invalid and the old
         settings stay in force; or None if nothing changed. The same findings are returned only once.
         `forced`: the file is read even if its stamp is unchanged, and findings are returned again."""
@@ -48,9 +48,9 @@
             settings = load(self.path)
         except SettingsError as error:
             # Guards against a file that is half written, briefly missing or invalid: the old settings stay.
-            reported_before, self.reported = self.reported, error.findings
-            return error.findings if error.findings != reported_before or forced else None
-        self.reported = ()
+            findings_before, self.last_findings = self.last_findings, error.findings
+            return error.findings if error.findings != findings_before or forced else None
+        self.last_findings = ()
         if settings == self.settings:
             return None
         self.settings = settings
--- a/shedgrade/process_settings/reloader.py
+++ b/shedgrade/process_settings/reloader.py
@@ -44,7 +44,7 @@
         if self.watcher is None or (now < self.next_poll_at and not forced):
             return
         self.next_poll_at = now + POLL_INTERVAL_S
-        match self.watcher.changed(forced):
+        match self.watcher.check(forced):
             case Settings() as settings:
                 self.accept(settings, forced)
             case tuple() as findings:
--- a/tests/process_settings/test_settings_validation.py
+++ b/tests/process_settings/test_settings_validation.py
@@ -265,14 +265,14 @@
     path = tmp_path / "local.yaml"
     write(path, DOCUMENT, 10)
     watcher = SettingsFileWatcher(str(path))
-    assert watcher.changed() is None and watcher.changed(forced=True) is None
+    assert watcher.check() is None and watcher.check(forced=True) is None
     write(path, changed("timingBounds.drainMs", 3000), 20)
-    settings = watcher.changed()
+    settings = watcher.check()
     assert settings.bounds["drainMs"] == 3000 and watcher.settings is settings
     write(path, changed("timingBounds.drainMs", 5000), 20)  # the very same time and length
     os.utime(path, ns=(20, 20))
-    assert watcher.changed(forced=True).bounds["drainMs"] == 5000
-    assert watcher.changed() is None
+    assert watcher.check(forced=True).bounds["drainMs"] == 5000
+    assert watcher.check() is None
 
 
 def test_a_file_that_changed_between_loading_and_watching_is_read_again(tmp_path):
@@ -280,7 +280,7 @@
     write(path, DOCUMENT, 10)
     settings = load(str(path))
     write(path, changed("heartbeatMs", 900), 20)
-    assert SettingsFileWatcher(str(path), settings).changed().heartbeat_ms == 900
+    assert SettingsFileWatcher(str(path), settings).check().heartbeat_ms == 900
 
 
 def test_bad_settings_are_told_once_and_the_old_ones_stay(tmp_path):
@@ -288,16 +288,16 @@
     write(path, DOCUMENT, 10)
     watcher = SettingsFileWatcher(str(path))
     write(path, changed("zone", "east-a"), 20)
-    document = watcher.changed()
+    document = watcher.check()
     assert [str(finding) for finding in document] == ["zone: 'east-a' is not in zones"]
     assert watcher.settings.zone == "north-a"
-    assert watcher.changed() is None
+    assert watcher.check() is None
     path.unlink()
-    assert watcher.changed() and watcher.changed() is None
+    assert watcher.check() and watcher.check() is None
     write(path, DOCUMENT, 30)
-    assert watcher.changed() is None and watcher.settings.zone == "north-a"
+    assert watcher.check() is None and watcher.settings.zone == "north-a"
     write(path, changed("zone", "east-a"), 40)
-    assert watcher.changed()  # wrong once more, and said once more
+    assert watcher.check()  # wrong once more, and said once more
 
 
 def test_an_edge_reads_its_settings_without_pyserde():
