--- a/shedgrade/configuration.py
+++ b/shedgrade/configuration.py
@@ -168,33 +168,33 @@
 def layout(model: type) -> tuple[FieldLayout, ...]:
     """The fields of `Configuration` or of a model in it."""
 
-    def field_layout(one: Field[Any]) -> FieldLayout:
+    def describe(model_field: Field[Any]) -> FieldLayout:
         """The layout of one field, from its metadata."""
-        kind = one.metadata["kind"]
+        kind = model_field.metadata["kind"]
         inner = kind[0] if isinstance(kind, list) else kind
         nested = inner if inner not in (str, int, float, bool) else None
-        required = one.default is MISSING and one.default_factory is MISSING
-        return FieldLayout(one.name, one.metadata["serde_rename"], kind, nested, required)
+        required = model_field.default is MISSING and model_field.default_factory is MISSING
+        return FieldLayout(model_field.name, model_field.metadata["serde_rename"], kind, nested, required)
 
-    return tuple(field_layout(one) for one in fields(model))
+    return tuple(describe(model_field) for model_field in fields(model))
 
 
 def build(model: type, data: dict[str, Any]) -> Any:
     """A model from a decoded JSON object that was validated before; unknown fields are ignored."""
     values = {}
-    for one in layout(model):
-        value = data.get(one.name)
+    for model_field in layout(model):
+        value = data.get(model_field.name)
         if value is None:
             continue
-        if one.nested is not None:
+        if model_field.nested is not None:
             value = (
-                [build(one.nested, element) for element in value]
+                [build(model_field.nested, element) for element in value]
                 if isinstance(value, list)
-                else build(one.nested, value)
+                else build(model_field.nested, value)
             )
-        elif one.kind is int:
+        elif model_field.kind is int:
             value = int(value)
-        values[one.attribute] = value
+        values[model_field.attribute] = value
     return model(**values)
 
 
--- a/shedgrade/process_settings/settings.py
+++ b/shedgrade/process_settings/settings.py
@@ -42,7 +42,7 @@
 
     def __missing__(self, name: str) -> float:
         """The bound whose name in camel case is that of `name`. KeyError if there is none."""
-        camel = re.sub("_([a-z])", lambda found: found[1].upper(), name)
+        camel = re.sub("_([a-z])", lambda match: match[1].upper(), name)
         if camel == name or camel not in self:
             raise KeyError(name)
         return self[camel]
