--- a/tests/process_settings/test_settings_validation.py
+++ b/tests/process_settings/test_settings_validation.py
@@ -1,4 +1,4 @@
-"""Boot settings: what is read, what is found wrong, and what a change of the file does."""
+"""Process settings: loading, findings of invalid values, and changes of the file."""
 
 import os
 import random
@@ -57,9 +57,9 @@
 
 
 def findings(document: dict) -> list[str]:
-    with pytest.raises(SettingsError) as caught:
+    with pytest.raises(SettingsError) as raised:
         validate(document)
-    return [str(finding) for finding in caught.value.findings]
+    return [str(finding) for finding in raised.value.findings]
 
 
 def test_all_fields_are_read_from_the_file_that_the_environment_names(tmp_path, monkeypatch):
@@ -77,7 +77,7 @@
     assert settings.cloud_api.address == ("10.200.0.4", 8266) and settings.cloud_api.rate_per_s == 40.0
 
 
-def test_addresses_of_our_own_are_made_from_the_internal_ports():
+def test_own_addresses_are_derived_from_the_internal_ports():
     settings = validate(DOCUMENT)
     assert settings.link_address == "10.1.0.12:7300"
     assert settings.gossip_address == "10.1.0.12:7301"
@@ -112,7 +112,7 @@
         "cloudApi.maxLagMs",
     ],
 )
-def test_what_may_be_left_out(name):
+def test_optional_values_may_be_left_out(name):
     settings = validate(without(name))
     assert settings.region == "north"
     assert settings.loss_counted is False
@@ -135,7 +135,7 @@
         "cloudApi.ratePerS",
     ],
 )
-def test_what_must_be_there(name):
+def test_required_values_that_are_missing_are_findings(name):
     assert findings(without(name)) == [f"{name}: is missing"]
 
 
@@ -181,43 +181,43 @@
         ("toleratedLosses.machines", -1, "toleratedLosses.machines: -1 is below 0"),
     ],
 )
-def test_what_is_wrong_is_reported_with_its_place(path, value, expected):
+def test_invalid_values_are_reported_with_their_place(path, value, expected):
     document = changed(path, value)
     assert expected in findings(document)
 
 
-def test_a_bound_that_nobody_uses_may_be_anything():
+def test_an_unknown_bound_may_have_any_value():
     assert "other" not in validate(changed("timingBounds.other", "soon")).bounds
 
 
-def test_all_findings_are_reported_together_and_one_a_line():
+def test_all_findings_are_reported_together_one_a_line():
     document = changed("zone", "east-a")
     document["ipAddress"], document["cloudApi"]["address"] = 1, "nowhere"
     del document["nodeName"]
-    with pytest.raises(SettingsError) as caught:
+    with pytest.raises(SettingsError) as raised:
         validate(document)
-    lines = explain(caught.value).splitlines()
-    assert len(lines) == len(caught.value.findings) == 4
+    lines = explain(raised.value).splitlines()
+    assert len(lines) == len(raised.value.findings) == 4
     assert all(line.startswith("settings: ") for line in lines)
 
 
-@pytest.mark.parametrize("written", ["", "- 1\n", "a: [", "a: \x00", "{1: 2, [3]: 4}", "when: 2024-99-99"])
-def test_a_file_that_can_not_be_used_is_a_finding(tmp_path, written):
+@pytest.mark.parametrize("content", ["", "- 1\n", "a: [", "a: \x00", "{1: 2, [3]: 4}", "when: 2024-99-99"])
+def test_a_file_without_valid_settings_is_a_finding(tmp_path, content):
     path = tmp_path / "local.yaml"
-    path.write_text(written)
+    path.write_text(content)
     with pytest.raises(SettingsError):
         load(str(path))
 
 
-def test_no_file_and_no_name_are_findings(tmp_path, monkeypatch):
+def test_a_missing_file_and_a_missing_path_are_findings(tmp_path, monkeypatch):
     monkeypatch.delenv("SHEDGRADE_BOOT", raising=False)
     for path in (None, str(tmp_path / "none.yaml")):
         with pytest.raises(SettingsError):
             load(path)
 
 
-def test_values_of_any_kind_end_in_settings_or_findings():
-    chance = random.Random(4)
+def test_values_of_any_type_give_settings_or_findings():
+    rng = random.Random(4)
     values = [
         None,
         True,
@@ -241,24 +241,24 @@
     ]
     for _ in range(2_000):
         document = deepcopy(DOCUMENT)
-        for _ in range(chance.randint(1, 4)):
-            name = chance.choice(list(document))
-            if isinstance(document[name], dict) and document[name] and chance.random() < 0.5:
-                document[name][chance.choice(list(document[name]))] = chance.choice(values)
+        for _ in range(rng.randint(1, 4)):
+            name = rng.choice(list(document))
+            if isinstance(document[name], dict) and document[name] and rng.random() < 0.5:
+                document[name][rng.choice(list(document[name]))] = rng.choice(values)
             else:
-                document[name] = chance.choice(values)
+                document[name] = rng.choice(values)
         try:
             validate(document)
-        except SettingsError as failure:
-            assert failure.findings
+        except SettingsError as error:
+            assert error.findings
 
 
-# --- while the process runs
+# --- changes of the file while the process runs
 
 
-def write(path, document: dict, at: int) -> None:
+def write(path, document: dict, modified_ns: int) -> None:
     path.write_text(yaml.safe_dump(document))
-    os.utime(path, ns=(at, at))
+    os.utime(path, ns=(modified_ns, modified_ns))
 
 
 def test_a_change_is_seen_with_and_without_a_signal(tmp_path):
@@ -269,7 +269,7 @@
     write(path, changed("timingBounds.drainMs", 3000), 20)
     settings = watcher.check()
     assert settings.bounds["drainMs"] == 3000 and watcher.settings is settings
-    write(path, changed("timingBounds.drainMs", 5000), 20)  # the very same time and length
+    write(path, changed("timingBounds.drainMs", 5000), 20)  # the same modification time and length
     os.utime(path, ns=(20, 20))
     assert watcher.check(forced=True).bounds["drainMs"] == 5000
     assert watcher.check() is None
@@ -283,13 +283,13 @@
     assert SettingsFileWatcher(str(path), settings).check().heartbeat_ms == 900
 
 
-def test_bad_settings_are_told_once_and_the_old_ones_stay(tmp_path):
+def test_findings_are_returned_once_and_the_old_settings_stay(tmp_path):
     path = tmp_path / "local.yaml"
     write(path, DOCUMENT, 10)
     watcher = SettingsFileWatcher(str(path))
     write(path, changed("zone", "east-a"), 20)
-    document = watcher.check()
-    assert [str(finding) for finding in document] == ["zone: 'east-a' is not in zones"]
+    found = watcher.check()
+    assert [str(finding) for finding in found] == ["zone: 'east-a' is not in zones"]
     assert watcher.settings.zone == "north-a"
     assert watcher.check() is None
     path.unlink()
@@ -297,10 +297,10 @@
     write(path, DOCUMENT, 30)
     assert watcher.check() is None and watcher.settings.zone == "north-a"
     write(path, changed("zone", "east-a"), 40)
-    assert watcher.check()  # wrong once more, and said once more
+    assert watcher.check()  # invalid again, so the findings are returned again
 
 
-def test_an_edge_reads_its_settings_without_pyserde():
+def test_loading_settings_imports_neither_pyserde_nor_numpy():
     code = (
         "import sys, shedgrade.process_settings; "
         "print([name for name in ('serde', 'numpy') if name in sys.modules])"
--- a/tests/process_settings/test_signal_at_start.py
+++ b/tests/process_settings/test_signal_at_start.py
@@ -1,4 +1,4 @@
-"""SIGHUP while a program of the system still starts, before its event loop can take it."""
+"""SIGHUP while a program of the system starts, before its event loop handles signals."""
 
 import asyncio
 import os
@@ -9,12 +9,12 @@
 
 
 @pytest.mark.parametrize("program", ["dataplane", "controlplane"])
-def test_sighup_before_the_settings_are_read_ends_nothing(program, tmp_path):
-    """The settings file is a pipe: once its reader is there, the program waits for what is written."""
+def test_sighup_before_the_settings_are_read_does_not_end_the_program(program, tmp_path):
+    """The settings file is a named pipe, so the program waits in its read until the test writes."""
     path = tmp_path / "local.yaml"
     os.mkfifo(path)
 
-    async def story():
+    async def run():
         process = await programs.start(program, boot=path)
         try:
             async with asyncio.timeout(programs.LONGEST):
@@ -22,10 +22,10 @@
             process.send_signal(signal.SIGHUP)
             await asyncio.to_thread(pipe.write, "nodeName: [")
             await asyncio.to_thread(pipe.close)
-            said, status = await programs.rest(process)
-            assert status == 2 and said.startswith("settings: ")
+            stderr, status = await programs.rest(process)
+            assert status == 2 and stderr.startswith("settings: ")
         finally:
             if process.returncode is None:
                 process.kill()
 
-    asyncio.run(story())
+    asyncio.run(run())
