--- a/tests/ctl/control_stand_in.py
+++ b/tests/ctl/control_stand_in.py
@@ -1,4 +1,4 @@
-"""A stand-in for core machines: control addresses on loopback, on a loop in a thread of its own."""
+"""A stand-in for core machines: control addresses on loopback, on an event loop in its own thread."""
 
 import asyncio
 import io
@@ -74,30 +74,39 @@
     }
 
 
-class Quiet:
+class FailingLogger:
+    """Fails a test whose server logs an exception."""
+
     def exception(self, event, **fields):
         raise AssertionError(event, fields)
 
 
-class Control:
-    """What the control plane holds, and how one address answers: `script` gives a status or None a call."""
+class ControlStandIn:
+    """A control plane behind one address.
+
+    Attributes:
+        raw: bytes of the configuration in force; None if there is none.
+        evacuated: names of the evacuated zones.
+        calls: (method, path, If-Match header, body) of each call.
+        script: for the next calls, each a Reply, "silent" for no response, or None for the usual response.
+    """
 
-    def __init__(self, held: dict | None = None) -> None:
-        self.raw = None if held is None else json.dumps(held).encode()
+    def __init__(self, stored: dict | None = None) -> None:
+        self.raw = None if stored is None else json.dumps(stored).encode()
         self.evacuated: set[str] = set()
         self.calls: list[tuple] = []
-        self.script: list = []  # of the next calls: a Reply, "silent", or None for the usual answer
+        self.script: list = []
 
-    def handle(self, request, tell) -> None:
+    def handle(self, request, respond) -> None:
         self.calls.append(
             (request.method.decode(), request.path.decode(), request.headers.get(b"if-match"), request.body)
         )
-        next_ = self.script.pop(0) if self.script else None
-        if next_ == "silent":
+        scripted = self.script.pop(0) if self.script else None
+        if scripted == "silent":
             return
-        tell(next_ or self.answer(request))
+        respond(scripted or self.usual_reply(request))
 
-    def answer(self, request) -> Reply:
+    def usual_reply(self, request) -> Reply:
         path, method = request.path.decode(), request.method
         if path == "/status":
             return Reply(200, json.dumps(STATUS).encode())
@@ -127,67 +136,67 @@
 
 
 @contextmanager
-def serving(*controls: Control):
-    """The control addresses of these, in order."""
-    loop, up, addresses, servers = asyncio.new_event_loop(), threading.Event(), [], []
+def serving(*controls: ControlStandIn):
+    """Serves the stand-ins; yields their addresses, in order."""
+    loop, started, addresses, servers = asyncio.new_event_loop(), threading.Event(), [], []
 
     async def start() -> None:
         for control in controls:
-            server = HttpServer(loop, ("127.0.0.1", 0), control.handle, Quiet())
+            server = HttpServer(loop, ("127.0.0.1", 0), control.handle, FailingLogger())
             await server.start()
             servers.append(server)
             addresses.append(f"127.0.0.1:{server.port}")
-        up.set()
+        started.set()
 
-    def end() -> None:
+    def stop() -> None:
         for server in servers:
             server.close()
         loop.call_soon(loop.stop)
 
-    def whole() -> None:
+    def run_loop() -> None:
         loop.run_until_complete(start())
         loop.run_forever()
         loop.close()
 
-    thread = threading.Thread(target=whole)
+    thread = threading.Thread(target=run_loop)
     thread.start()
-    assert up.wait(20)
+    assert started.wait(20)
     try:
         yield addresses
     finally:
-        loop.call_soon_threadsafe(end)
+        loop.call_soon_threadsafe(stop)
         thread.join(20)
 
 
-class Time:
-    """A clock that only pauses move."""
+class FakeClock:
+    """A clock that advances only in `sleep`."""
 
     def __init__(self) -> None:
-        self.now, self.pauses = 0.0, []
+        self.now, self.sleeps = 0.0, []
 
-    def clock(self) -> float:
+    def time(self) -> float:
         return self.now
 
     def sleep(self, seconds: float) -> None:
-        self.pauses.append(seconds)
+        self.sleeps.append(seconds)
         self.now += seconds
 
 
-def client(addresses, deadline=10.0, time=None, answer_timeout_s=20.0) -> ControlClient:
-    """`answer_timeout_s` is long, so that a slow machine is not taken for a silent one."""
-    time = time or Time()
+def new_client(addresses, deadline_s=10.0, clock=None, answer_timeout_s=20.0) -> ControlClient:
+    """`answer_timeout_s` is long, so that a slow test machine causes no time-out."""
+    clock = clock or FakeClock()
     return ControlClient(
         addresses,
-        deadline,
+        deadline_s,
         random=Random(1),
-        clock=time.clock,
-        sleep=time.sleep,
+        clock=clock.time,
+        sleep=clock.sleep,
         answer_timeout_s=answer_timeout_s,
     )
 
 
 def run(*arguments: str, client=None) -> tuple[int, str]:
-    """Exit code and what was printed."""
+    """Runs a command; returns its exit code and what it printed on stdout."""
     out = io.StringIO()
     code = main(list(arguments), out, None if client is None else lambda: client)
     return code, out.getvalue()
--- a/tests/ctl/test_commands.py
+++ b/tests/ctl/test_commands.py
@@ -1,11 +1,11 @@
-"""What each command of the operators' command line prints, and its exit code."""
+"""The output and the exit code of each command of the operators' command line."""
 
 import json
 import re
 
 import pytest
 import yaml
-from control_stand_in import STATUS, Control, client, configuration, route, run, serving
+from control_stand_in import STATUS, ControlStandIn, configuration, new_client, route, run, serving
 
 from shedgrade.ctl.__main__ import COMMANDS, find_command
 from shedgrade.ctl.__main__ import __doc__ as usage
@@ -14,15 +14,15 @@
 
 
 @pytest.fixture
-def control():
-    """Calls a command against one control address; `held` may be set before."""
-    stand_in = Control(configuration())
+def ctl():
+    """Runs a command with one control address, which `ctl.stand_in` serves."""
+    stand_in = ControlStandIn(configuration())
     with serving(stand_in) as addresses:
 
         def command(*arguments):
-            return run(*arguments, f"--control={addresses[0]}", client=client(addresses))
+            return run(*arguments, f"--control={addresses[0]}", client=new_client(addresses))
 
-        command.control = stand_in
+        command.stand_in = stand_in
         yield command
 
 
@@ -36,65 +36,68 @@
     return write
 
 
-def test_get_prints_the_bytes_as_they_are(control):
-    assert control("config", "get") == (0, control.control.raw.decode())
+def test_get_prints_the_bytes_unchanged(ctl):
+    assert ctl("config", "get") == (0, ctl.stand_in.raw.decode())
 
 
-def test_put_builds_on_the_version_in_force(control, file):
-    code, text = control("config", "put", file(configuration(12)))
+def test_put_builds_on_the_version_in_force(ctl, file):
+    code, text = ctl("config", "put", file(configuration(12)))
     assert code == 0 and "version 12 accepted, based on version 7" in text
-    assert control.control.calls[-1][2] == b"7"
+    assert ctl.stand_in.calls[-1][2] == b"7"
 
 
-def test_the_first_configuration_builds_on_0(control, file):
-    control.control.raw = None
-    assert control("config", "put", file(configuration(3)), "--json") == (
+def test_the_first_configuration_builds_on_0(ctl, file):
+    ctl.stand_in.raw = None
+    assert ctl("config", "put", file(configuration(3)), "--json") == (
         0,
         '{"configVersion": 3, "base": 0}\n',
     )
 
 
-def test_a_race_that_is_lost_is_refused(control, file, capsys):
-    assert control("config", "put", file(configuration(12)), "--base=5")[0] == 1
+def test_a_put_on_an_older_version_is_rejected(ctl, file, capsys):
+    assert ctl("config", "put", file(configuration(12)), "--base=5")[0] == 1
     assert "version 7 is in place" in capsys.readouterr().err
 
 
-def test_an_unsound_configuration_is_not_sent(control, file, capsys):
-    wrong = configuration(12, [route(service="nobody"), route(timeoutMs=0)])
-    assert control("config", "put", file(wrong))[0] == 1
-    told = capsys.readouterr().err
-    assert "routeList[0].service" in told and "routeList[1].timeoutMs" in told
-    assert not control.control.calls
+def test_an_invalid_configuration_is_not_sent(ctl, file, capsys):
+    invalid = configuration(12, [route(service="nobody"), route(timeoutMs=0)])
+    assert ctl("config", "put", file(invalid))[0] == 1
+    stderr = capsys.readouterr().err
+    assert "routeList[0].service" in stderr and "routeList[1].timeoutMs" in stderr
+    assert not ctl.stand_in.calls
 
 
-def test_a_patch_is_printed_and_sent(control, file):
+def test_a_patch_is_printed_and_sent(ctl, file):
     new = configuration(12, [route(timeoutMs=2000), route("/b/")])
-    code, text = control("config", "diff", file(new), "--patch")
+    code, text = ctl("config", "diff", file(new), "--patch")
     assert code == 0
-    assert [one["name"] for one in json.loads(text)["addModify"]["routeList"]] == ["r/a/", "r/b/"]
-    code, told = control("config", "patch", file(text, "patch.json"), "--base=7")
-    assert code == 0 and "version 12 accepted, based on version 7" in told
-    assert control.control.calls[-1][0] == "PATCH" and json.loads(control.control.raw) == new
+    assert [item["name"] for item in json.loads(text)["addModify"]["routeList"]] == ["r/a/", "r/b/"]
+    code, text = ctl("config", "patch", file(text, "patch.json"), "--base=7")
+    assert code == 0 and "version 12 accepted, based on version 7" in text
+    assert ctl.stand_in.calls[-1][0] == "PATCH" and json.loads(ctl.stand_in.raw) == new
 
 
-def test_what_a_patch_cannot_say_is_refused_before_it_is_sent(control, file, capsys):
+def test_a_change_that_a_patch_cannot_express_is_rejected_before_it_is_sent(ctl, file, capsys):
     limits = file({**configuration(12), "limits": {"bodyBytes": 5}})
-    assert control("config", "diff", limits, "--patch")[0] == 1
-    assert control("config", "patch", file({"configVersion": 12, "remove": {"limits": []}}))[0] == 1
-    told = capsys.readouterr().err
-    assert "limits: differs, which a change of named items cannot express" in told and "remove.limits" in told
-    assert all(call[0] == "GET" for call in control.control.calls)
+    assert ctl("config", "diff", limits, "--patch")[0] == 1
+    assert ctl("config", "patch", file({"configVersion": 12, "remove": {"limits": []}}))[0] == 1
+    stderr = capsys.readouterr().err
+    assert (
+        "limits: differs, which a change of named items cannot express" in stderr
+        and "remove.limits" in stderr
+    )
+    assert all(call[0] == "GET" for call in ctl.stand_in.calls)
 
 
-def test_check_needs_no_system(file):
+def test_check_needs_no_running_system(file):
     assert run("config", "check", file(configuration(8))) == (0, "sound: version 8, 1 routes, 2 services\n")
     code, text = run("config", "check", file("{"), "--json")
     assert code == 1 and json.loads(text)["findings"]
     assert run("config", "check", "no-such-file")[0] == 2
 
 
-def test_diff_says_in_words_what_moves(control, file):
-    control.control.raw = json.dumps(configuration(7, [route(), route("/b/"), route("/c/")])).encode()
+def test_diff_describes_each_difference(ctl, file):
+    ctl.stand_in.raw = json.dumps(configuration(7, [route(), route("/b/"), route("/c/")])).encode()
     new = configuration(
         9,
         [
@@ -108,7 +111,7 @@
         ],
         services=("chat", "other", "third"),
     )
-    code, text = control("config", "diff", file(new))
+    code, text = ctl("config", "diff", file(new))
     assert code == 0 and text.splitlines() == [
         "version 7 -> 9",
         "service third: added",
@@ -119,7 +122,7 @@
     ]
 
 
-def test_diff_of_two_files_needs_no_system(file):
+def test_diff_of_two_files_needs_no_running_system(file):
     moved = configuration(8, [route(service="other", maxAttempts=1)])
     code, text = run("config", "diff", file(moved), "--against", file(configuration(7), "old.json"))
     assert code == 0 and text.splitlines()[1:] == [
@@ -130,20 +133,20 @@
     assert run("config", "diff", same, "--against", same) == (0, "no differences\n")
 
 
-def test_a_zone_is_evacuated_and_returned(control):
-    assert control("evacuate", "north-a")[0] == 0 and control.control.evacuated == {"north-a"}
-    assert control("return", "north-a", "--json") == (0, '{"zone": "north-a", "evacuated": false}\n')
-    assert not control.control.evacuated
+def test_a_zone_is_evacuated_and_returned(ctl):
+    assert ctl("evacuate", "north-a")[0] == 0 and ctl.stand_in.evacuated == {"north-a"}
+    assert ctl("return", "north-a", "--json") == (0, '{"zone": "north-a", "evacuated": false}\n')
+    assert not ctl.stand_in.evacuated
 
 
-def test_an_unknown_zone_is_refused(control, capsys):
-    assert control("evacuate", "nowhere")[0] == 1 and "no such zone" in capsys.readouterr().err
+def test_an_unknown_zone_is_rejected(ctl, capsys):
+    assert ctl("evacuate", "nowhere")[0] == 1 and "no such zone" in capsys.readouterr().err
 
 
-def test_status_tells_of_all(control):
-    code, text = control("status")
+def test_status_prints_all_parts(ctl):
+    code, text = ctl("status")
     assert code == 0
-    for words in (
+    for part in (
         "core-a: primary in epoch 4",
         "control state 4.9, configuration version 7",
         "evacuated: north-b",
@@ -155,28 +158,28 @@
         "duty upstreams: 10.1.0.14:7300",
         "duty other: vacant",
     ):
-        assert words in text, words
-    assert json.loads(control("status", "--json")[1]) == STATUS
+        assert part in text, part
+    assert json.loads(ctl("status", "--json")[1]) == STATUS
 
 
-def test_explain_names_the_route_and_the_regions(control):
-    code, text = control("explain", "X.example:80", "/a/b?c", "--region=north")
+def test_explain_prints_the_route_and_the_regions(ctl):
+    code, text = ctl("explain", "X.example:80", "/a/b?c", "--region=north")
     assert code == 0 and "route r/a/, x.example/a/" in text and "100% to service chat" in text
     assert "north, its own region, first: 3 upstreams" in text and "south (2, 100%)" in text
     assert "evacuated zones get nothing: north-b" in text
-    code, text = control("explain", "x.example", "/a/", "--json")
+    code, text = ctl("explain", "x.example", "/a/", "--json")
     assert json.loads(text)["upstreams"] == {"chat": {"north": 3, "south": 2}}
 
 
-def test_explain_keeps_to_homes(control):
-    control.control.raw = json.dumps(configuration(7, [route(homeRegions=["south"])])).encode()
-    text = control("explain", "x.example", "/a/", "--region=north")[1]
+def test_explain_keeps_to_home_regions(ctl):
+    ctl.stand_in.raw = json.dumps(configuration(7, [route(homeRegions=["south"])])).encode()
+    text = ctl("explain", "x.example", "/a/", "--region=north")[1]
     assert "north may not serve it, so drawn by upstream count from south (2, 100%)" in text
     assert "not home regions: north" in text
 
 
-def test_explain_of_no_route_is_refused(control, capsys):
-    assert control("explain", "x.example", "/zzz/")[0] == 1 and "404" in capsys.readouterr().err
+def test_explain_without_a_route_is_rejected(ctl, capsys):
+    assert ctl("explain", "x.example", "/zzz/")[0] == 1 and "404" in capsys.readouterr().err
 
 
 def test_storage_check(tmp_path, capsys):
@@ -227,27 +230,27 @@
 
 
 def test_settings_check(file, monkeypatch, capsys):
-    sound = file(yaml.safe_dump(SETTINGS), "local.yaml")
-    assert run("settings", "check", sound) == (0, "sound: edge-1, serves edge, in north-a of north\n")
-    monkeypatch.setenv("SHEDGRADE_BOOT", sound)
+    valid = file(yaml.safe_dump(SETTINGS), "local.yaml")
+    assert run("settings", "check", valid) == (0, "sound: edge-1, serves edge, in north-a of north\n")
+    monkeypatch.setenv("SHEDGRADE_BOOT", valid)
     assert run("settings", "check")[0] == 0
-    wrong = file(yaml.safe_dump({**SETTINGS, "zone": "nowhere", "ipAddress": 5}), "wrong.yaml")
-    assert run("settings", "check", wrong)[0] == 1
-    told = capsys.readouterr().err
-    assert "zone" in told and "ipAddress" in told
+    invalid = file(yaml.safe_dump({**SETTINGS, "zone": "nowhere", "ipAddress": 5}), "wrong.yaml")
+    assert run("settings", "check", invalid)[0] == 1
+    stderr = capsys.readouterr().err
+    assert "zone" in stderr and "ipAddress" in stderr
     assert run("settings", "check", "no-such-file")[0] == 2
 
 
-def test_each_command_of_the_usage_has_a_function_and_no_other():
-    words = {
+def test_commands_of_the_usage_are_those_that_have_a_function():
+    usage_commands = {
         " ".join(re.match(r"(?:[a-z]+ ?)+", line)[0].split())
         for line in re.findall(r"^  shedgrade\.ctl ([a-z].*)$", usage, re.MULTILINE)
     }
-    assert words == set(COMMANDS)
+    assert usage_commands == set(COMMANDS)
     assert all(callable(find_command(command)) for command in COMMANDS)
 
 
-def test_exit_codes_are_those_of_the_usage():
+def test_exit_codes_have_their_documented_values():
     assert [(code.name, code.value) for code in ExitCode] == [
         ("DONE", 0),
         ("REFUSED", 1),
--- a/tests/ctl/test_control_client.py
+++ b/tests/ctl/test_control_client.py
@@ -1,4 +1,4 @@
-"""How the command line calls the control plane, against a stand-in on loopback; pauses take no time."""
+"""Calls of the command line to a stand-in control plane on loopback; pauses take no real time."""
 
 import doctest
 import json
@@ -6,7 +6,7 @@
 from pathlib import Path
 
 import pytest
-from control_stand_in import Control, Time, client, configuration, run, serving
+from control_stand_in import ControlStandIn, FakeClock, configuration, new_client, run, serving
 from docopt import docopt
 
 from shedgrade.ctl import output
@@ -20,73 +20,73 @@
 ROOT = Path(__file__).resolve().parents[2]
 
 
-def sent_on(address: str, path="/configuration") -> Reply:
+def redirect(address: str, path="/configuration") -> Reply:
     return Reply(307, headers=((b"Location", f"http://{address}{path}".encode()),))
 
 
-def test_the_next_address_is_tried_after_a_failure_a_5xx_and_429():
-    one, other = Control(configuration()), Control(configuration())
-    one.script = [failure(503, Finding("", "not here")), Reply(429)]
-    other.script = [Reply(500)]
-    time = Time()
-    with serving(one, other) as addresses:
-        answer = client(["127.0.0.1:1", *addresses], time=time).call("GET", "/configuration")
+def test_the_next_address_is_tried_after_a_network_error_a_5xx_and_429():
+    first, second = ControlStandIn(configuration()), ControlStandIn(configuration())
+    first.script = [failure(503, Finding("", "not here")), Reply(429)]
+    second.script = [Reply(500)]
+    clock = FakeClock()
+    with serving(first, second) as addresses:
+        answer = new_client(["127.0.0.1:1", *addresses], clock=clock).call("GET", "/configuration")
     assert json.loads(answer.body)["configVersion"] == 7
-    assert len(one.calls) == 2 and len(other.calls) == 2
-    assert len(time.pauses) == 5
+    assert len(first.calls) == 2 and len(second.calls) == 2
+    assert len(clock.sleeps) == 5
 
 
-def test_pauses_grow_up_to_a_bound_and_the_deadline_ends_them():
-    time = Time()
-    with pytest.raises(NoAnswerError) as silence:
-        client(["127.0.0.1:1", "127.0.0.1:2"], deadline=9.0, time=time).call("GET", "/status")
-    assert time.pauses[0] < 0.06 and max(time.pauses) <= MAX_BACKOFF_S and time.now >= 9.0
-    assert time.pauses[3] > 2 * time.pauses[0]
-    assert [finding.place for finding in silence.value.findings] == ["127.0.0.1:1", "127.0.0.1:2"]
+def test_pauses_grow_up_to_a_limit_until_the_deadline():
+    clock = FakeClock()
+    with pytest.raises(NoAnswerError) as raised:
+        new_client(["127.0.0.1:1", "127.0.0.1:2"], deadline_s=9.0, clock=clock).call("GET", "/status")
+    assert clock.sleeps[0] < 0.06 and max(clock.sleeps) <= MAX_BACKOFF_S and clock.now >= 9.0
+    assert clock.sleeps[3] > 2 * clock.sleeps[0]
+    assert [finding.place for finding in raised.value.findings] == ["127.0.0.1:1", "127.0.0.1:2"]
 
 
-def test_a_silent_address_is_left_for_the_next():
-    silent, other = Control(), Control(configuration())
+def test_an_address_that_does_not_answer_is_followed_by_the_next():
+    silent, second = ControlStandIn(), ControlStandIn(configuration())
     silent.script = ["silent"]
-    with serving(silent, other) as addresses:
-        answer = client(addresses, answer_timeout_s=0.05).call("GET", "/configuration")
-    assert answer.status == 200 and len(silent.calls) == len(other.calls) == 1
+    with serving(silent, second) as addresses:
+        answer = new_client(addresses, answer_timeout_s=0.05).call("GET", "/configuration")
+    assert answer.status == 200 and len(silent.calls) == len(second.calls) == 1
 
 
 def test_307_is_followed_twice_and_no_further():
-    one, other = Control(configuration()), Control(configuration())
-    with serving(one, other) as (first, second):
-        one.script, other.script = [sent_on(second)], [sent_on(first)]
-        assert client([first]).call("GET", "/configuration").status == 200
-        assert len(one.calls) == 2 and len(other.calls) == 1
-        one.script, other.script = [sent_on(second), sent_on(second)], [sent_on(first)]
-        assert client([first, second]).call("GET", "/configuration").status == 200
-        assert len(one.calls) == 4 and len(other.calls) == 3
-
-
-def test_a_refusal_ends_the_call_with_its_findings():
-    control = Control(configuration())
+    first, second = ControlStandIn(configuration()), ControlStandIn(configuration())
+    with serving(first, second) as (address_1, address_2):
+        first.script, second.script = [redirect(address_2)], [redirect(address_1)]
+        assert new_client([address_1]).call("GET", "/configuration").status == 200
+        assert len(first.calls) == 2 and len(second.calls) == 1
+        first.script, second.script = [redirect(address_2), redirect(address_2)], [redirect(address_1)]
+        assert new_client([address_1, address_2]).call("GET", "/configuration").status == 200
+        assert len(first.calls) == 4 and len(second.calls) == 3
+
+
+def test_a_rejection_ends_the_call_with_its_findings():
+    control = ControlStandIn(configuration())
     control.script = [failure(412, Finding("", "version 9 is in place"))]
-    with serving(control) as addresses, pytest.raises(RejectedError) as refused:
-        client(addresses).call("PUT", "/configuration", b"{}")
-    assert refused.value.findings == (Finding("", "version 9 is in place"),) and len(control.calls) == 1
+    with serving(control) as addresses, pytest.raises(RejectedError) as raised:
+        new_client(addresses).call("PUT", "/configuration", b"{}")
+    assert raised.value.findings == (Finding("", "version 9 is in place"),) and len(control.calls) == 1
 
 
-def test_another_4xx_ends_it_at_the_third_time():
-    control = Control()
+def test_the_third_other_4xx_ends_the_call():
+    control = ControlStandIn()
     with serving(control) as addresses, pytest.raises(RejectedError):
-        client(addresses).call("POST", "/evacuation/nowhere")
+        new_client(addresses).call("POST", "/evacuation/nowhere")
     assert len(control.calls) == 3
 
 
-def test_what_got_no_clear_answer_is_sent_again_unchanged():
-    control = Control(configuration(5))
-    control.script = [None, Reply(500)]  # it was taken or not: 500 says neither
+def test_a_request_without_a_definite_answer_is_sent_again_unchanged():
+    control = ControlStandIn(configuration(5))
+    control.script = [None, Reply(500)]  # 500 does not tell whether the request was accepted
     raw = json.dumps(configuration(7)).encode()
     with serving(control) as addresses:
-        used = client(addresses)
-        used.call("GET", "/configuration")
-        used.call("PUT", "/configuration", raw, {"If-Match": "5"})
+        client = new_client(addresses)
+        client.call("GET", "/configuration")
+        client.call("PUT", "/configuration", raw, {"If-Match": "5"})
     assert control.calls[1] == control.calls[2] and control.raw == raw
 
 
@@ -104,46 +104,46 @@
         ("evacuate", "a", "b", "--control=a:80"),
     ],
 )
-def test_wrong_usage_is_2(options, monkeypatch, capsys):
+def test_wrong_usage_exits_with_2(options, monkeypatch, capsys):
     monkeypatch.delenv("SHEDGRADE_CONTROL", raising=False)
     assert run(*options)[0] == 2 and capsys.readouterr().err
 
 
-def test_nobody_there_is_3(capsys):
-    used = client(["127.0.0.1:1"])
-    assert run("status", "--control=127.0.0.1:1", client=used)[0] == 3
+def test_unreachable_addresses_exit_with_3(capsys):
+    client = new_client(["127.0.0.1:1"])
+    assert run("status", "--control=127.0.0.1:1", client=client)[0] == 3
     assert "127.0.0.1:1" in capsys.readouterr().err
 
 
-def test_addresses_come_from_the_environment_too(monkeypatch):
-    control = Control(configuration())
+def test_addresses_are_read_from_the_environment(monkeypatch):
+    control = ControlStandIn(configuration())
     with serving(control) as addresses:
         monkeypatch.setenv("SHEDGRADE_CONTROL", ",".join(addresses))
         code, text = run("config", "get")
     assert code == 0 and json.loads(text)["configVersion"] == 7
 
 
-def test_the_deadline_is_for_all_calls_of_a_command():
-    control, time = Control(configuration()), Time()
+def test_the_deadline_applies_to_all_calls_of_a_command_together():
+    control, clock = ControlStandIn(configuration()), FakeClock()
     with serving(control) as addresses:
-        used = client(addresses, deadline=3.0, time=time)
-        used.call("GET", "/configuration")
-        time.now = 2.9
+        client = new_client(addresses, deadline_s=3.0, clock=clock)
+        client.call("GET", "/configuration")
+        clock.now = 2.9
         control.script = [Reply(503)] * 4
         with pytest.raises(NoAnswerError):
-            used.call("GET", "/status")
-    assert time.now < 3.1 and len(control.calls) < 5
+            client.call("GET", "/status")
+    assert clock.now < 3.1 and len(control.calls) < 5
 
 
-def test_orders_are_sent_again_for_a_shorter_time_by_default():
-    usual = make_client(Options("status", control=("a:80",)))
+def test_evacuate_and_return_have_a_shorter_default_deadline():
+    other = make_client(Options("status", control=("a:80",)))
     for command in ("evacuate", "return"):
-        order = make_client(Options(command, control=("a:80",)))
-        assert 4.0 < usual.expires_at - order.expires_at < 6.0
+        evacuation = make_client(Options(command, control=("a:80",)))
+        assert 4.0 < other.expires_at - evacuation.expires_at < 6.0
 
 
-def test_the_examples_of_the_pages_parse():
-    """Each call of the command line in the operators' pages is one that it takes."""
+def test_commands_on_the_operators_pages_parse():
+    """The usage accepts each command on the operators' pages."""
     pages = "".join(page.read_text() for page in (ROOT / "docs/operate").glob("*.md"))
     calls = re.findall(r"^    python3 -m shedgrade\.ctl (.*?)(?: > .*)?(?: +#.*)?$", pages, re.MULTILINE)
     assert len(calls) >= 4
@@ -151,5 +151,5 @@
         assert docopt(usage, call.split())
 
 
-def test_the_examples_in_the_code_hold():
+def test_doctests():
     assert doctest.testmod(output).failed == 0
