--- a/tests/ctl/test_deploy_lists.py
+++ b/tests/ctl/test_deploy_lists.py
@@ -1,4 +1,4 @@
-"""What the deploy files and the package file list, against what the sources import."""
+"""The modules and requirements that are listed for deployment are those that the sources import."""
 
 import ast
 import re
@@ -6,21 +6,22 @@
 from pathlib import Path
 
 ROOT = Path(__file__).resolve().parents[2]
-OFF_DUTY = (
+# Commands that aren't run on a machine with a sidecar in service.
+NOT_DEPLOYED = (
     "shedgrade/cli/lab.py",
     "shedgrade/cli/quota.py",
-)  # commands that no sidecar in service runs
+)
 
 
-def listed() -> set[Path]:
+def listed_files() -> set[Path]:
     deploy = tomllib.loads((ROOT / "deploy/balancer.toml").read_text())
-    named = [ROOT / name for name in deploy["policy"] + deploy["node"]]
-    assert all(path.exists() for path in named)
-    return {file for path in named for file in ([path] if path.is_file() else path.rglob("*.py"))}
+    paths = [ROOT / name for name in deploy["policy"] + deploy["node"]]
+    assert all(path.exists() for path in paths)
+    return {file for path in paths for file in ([path] if path.is_file() else path.rglob("*.py"))}
 
 
-def imported(file: Path) -> set[Path]:
-    """Own modules that a file imports, anywhere in it."""
+def imported_files(file: Path) -> set[Path]:
+    """The modules of this project that a file imports, anywhere in it."""
     names = set()
     for node in ast.walk(ast.parse(file.read_text())):
         if isinstance(node, ast.Import):
@@ -32,18 +33,18 @@
     return {file for file in found if file.exists()}
 
 
-def test_the_sidecar_loads_nothing_that_its_deploy_file_does_not_list():
-    files = listed()
+def test_the_sidecar_imports_only_files_that_its_deploy_file_lists():
+    files = listed_files()
     missing = {
         (str(file.relative_to(ROOT)), str(needed.relative_to(ROOT)))
         for file in files
-        if str(file.relative_to(ROOT)) not in OFF_DUTY
-        for needed in imported(file) - files
+        if str(file.relative_to(ROOT)) not in NOT_DEPLOYED
+        for needed in imported_files(file) - files
     }
     assert not missing
 
 
-def test_the_package_asks_for_what_the_daemons_are_installed_with():
+def test_the_package_has_the_requirements_that_daemons_are_installed_with():
     project = tomllib.loads((ROOT / "pyproject.toml").read_text())["project"]
     required = {re.split("[=<>]", line)[0] for line in (ROOT / "requirements.txt").read_text().split()}
     assert set(project["dependencies"]) == required
--- a/tests/ctl/test_on_call_lines.py
+++ b/tests/ctl/test_on_call_lines.py
@@ -1,4 +1,4 @@
-"""The page for those on call lists each event that the programs log, and none besides."""
+"""The on-call page lists exactly the events that the programs log."""
 
 import ast
 import re
@@ -10,10 +10,10 @@
 ROOT = Path(__file__).resolve().parents[2]
 PAGE = (ROOT / "docs" / "on-call.md").read_text()
 LOG_TABLES = PAGE.split("## Log lines of the sidecar")[1]
-# What tries and tests the programs writes no log that anybody on call reads.
+# Packages that only test the programs; nobody on call reads their logs.
 NOT_SERVING = {"engines", "lab", "simulation", "simulator_adapter"}
-# Lines that are printed without the logger: a process that does not start, and the note of a log that was too
-# long.
+# Lines that are printed without the logger: errors of a process that doesn't start, and the note that a log
+# which grew too long was cut.
 PRINTED = {"shedgrade: WHAT", "settings: PLACE: WHAT", "N earlier events are left out"}
 LEVELS = ("debug", "info", "warning", "error", "exception")
 
@@ -36,12 +36,12 @@
 
 
 def rows() -> list[str]:
-    """The events that the page's tables begin their rows with."""
+    """The event in the first column of each row of the page's tables."""
     return [match[1] for match in re.finditer(r"^\| `([^`]+)`", LOG_TABLES, re.MULTILINE)]
 
 
-def longest_words(text: str) -> str:
-    """The longest part of a line that does not change."""
+def longest_constant_part(text: str) -> str:
+    """The longest part of an event's text between placeholders."""
     return max((part.strip(" :,") for part in re.split(r"\{[^}]*\}", text)), key=len)
 
 
@@ -60,10 +60,10 @@
 
 @pytest.mark.parametrize("module, event", events())
 def test_the_event_is_on_the_page(module, event):
-    assert f"`{event}`" in LOG_TABLES or longest_words(event) in LOG_TABLES, f"{module}: {event}"
+    assert f"`{event}`" in LOG_TABLES or longest_constant_part(event) in LOG_TABLES, f"{module}: {event}"
 
 
 @pytest.mark.parametrize("row", rows())
-def test_the_row_is_about_an_event_of_the_code(row):
-    known = {longest_words(event) for _, event in events()}
+def test_the_row_names_an_event_of_the_code(row):
+    known = {longest_constant_part(event) for _, event in events()}
     assert row in PRINTED or any(event in row for event in known), row
--- a/tests/ctl/test_pages_of_loss.py
+++ b/tests/ctl/test_pages_of_loss.py
@@ -1,6 +1,6 @@
-"""What docs/operate/member-lost.md and disk-lost.md say, tried with three real core processes on loopback.
+"""What docs/operate/member-lost.md and disk-lost.md describe, with three real core processes on loopback.
 
-Nothing sleeps here: the command line itself seeks an answer until its deadline.
+The tests don't sleep: the command line itself retries until its deadline.
 """
 
 import io
@@ -22,20 +22,20 @@
 
 ROOT = Path(__file__).resolve().parents[2]
 NAMES = ("core-1", "core-2", "core-3")
-DEADLINE = 30.0
+DEADLINE_S = 30.0
 
 
 class System:
-    """Three core processes. On a network of the test process."""
+    """Three core processes on loopback addresses that belong to this test process alone."""
 
     def __init__(self, folder: Path) -> None:
         self.folder, self.processes = folder, {}
         self.ips = {name: f"{NETWORK}.{number + 1}" for number, name in enumerate(NAMES)}
         self.addresses = [f"{ip}:8262" for ip in self.ips.values()]
 
-    def settings(self, name: str, initial: bool) -> str:
+    def write_settings(self, name: str, initial: bool) -> str:
         ip, zones = self.ips[name], {f"hall-{name}": "north" for name in NAMES}
-        told = {
+        settings = {
             "nodeName": name,
             "machineClass": "core",
             "servedRoles": ["control", "registry"],
@@ -64,14 +64,20 @@
             "cloudApi": {"address": f"{ip}:1", "ratePerS": 40.0, "dutyList": [], "maxLagMs": 800},
         }
         path = self.folder / f"{name}.yaml"
-        path.write_text(yaml.safe_dump(told))
+        path.write_text(yaml.safe_dump(settings))
         return str(path)
 
     def start(self, *names: str, initial: bool = False) -> None:
         for name in names:
             (self.folder / name).mkdir(exist_ok=True)
             self.processes[name] = subprocess.Popen(
-                [sys.executable, "-m", "shedgrade.controlplane", "--settings", self.settings(name, initial)],
+                [
+                    sys.executable,
+                    "-m",
+                    "shedgrade.controlplane",
+                    "--settings",
+                    self.write_settings(name, initial),
+                ],
                 cwd=ROOT,
                 stderr=subprocess.DEVNULL,
             )
@@ -82,70 +88,70 @@
             process.send_signal(signal.SIGKILL)
             process.wait()
 
-    def run(self, *arguments: str, addresses=None, deadline=DEADLINE) -> tuple[int, str]:
+    def run(self, *arguments: str, addresses=None, deadline_s=DEADLINE_S) -> tuple[int, str]:
         out = io.StringIO()
-        used = ControlClient(addresses or self.addresses, deadline, random=Random())
-        return main(list(arguments), out, lambda: used), out.getvalue()
+        client = ControlClient(addresses or self.addresses, deadline_s, random=Random())
+        return main(list(arguments), out, lambda: client), out.getvalue()
 
     def status(self, *addresses: str) -> dict:
         code, text = self.run("status", "--json", addresses=addresses)
         assert code == 0
         return json.loads(text)
 
-    def until(self, holds) -> dict:
-        """Puts the same evacuation in place again, which needs a majority each time, until `holds` of what
-        the status says."""
+    def wait_until(self, condition) -> dict:
+        """Repeats one evacuation, which needs a majority each time, until `condition` is true of the status;
+        returns that status."""
         for _ in range(400):
             assert self.run("evacuate", "hall-core-1")[0] == 0
-            found = self.status()
-            if holds(found):
-                return found
-        raise AssertionError(found)
+            status = self.status()
+            if condition(status):
+                return status
+        raise AssertionError(status)
 
     def primary(self) -> str:
-        return primary(self.until(lambda found: primary(found) in self.processes))
+        return primary_of(self.wait_until(lambda status: primary_of(status) in self.processes))
 
 
-def primary(found: dict) -> str | None:
-    return next((one["name"] for one in found["members"] if one["role"] == "primary"), None)
+def primary_of(status: dict) -> str | None:
+    return next((member["name"] for member in status["members"] if member["role"] == "primary"), None)
 
 
-def roles(found: dict) -> dict[str, str]:
-    return {one["name"]: one["role"] for one in found["members"]}
+def roles(status: dict) -> dict[str, str]:
+    return {member["name"]: member["role"] for member in status["members"]}
 
 
 @pytest.fixture
 def system(tmp_path):
-    made = System(tmp_path)
-    made.start(*NAMES, initial=True)
+    system = System(tmp_path)
+    system.start(*NAMES, initial=True)
     raw = tmp_path / "first.json"
     raw.write_text(json.dumps(configuration(3)))
     try:
-        assert made.run("config", "put", str(raw))[0] == 0
-        made.until(lambda found: sorted(roles(found).values()) == ["backup", "primary", "witness"])
-        yield made
+        assert system.run("config", "put", str(raw))[0] == 0
+        system.wait_until(lambda status: sorted(roles(status).values()) == ["backup", "primary", "witness"])
+        yield system
     finally:
-        made.kill(*made.processes)
+        system.kill(*system.processes)
 
 
-def test_a_lost_primary_is_replaced_and_comes_back_also_with_an_empty_disk(system):
+def test_a_killed_primary_is_replaced_and_rejoins_with_an_empty_disk(system):
     lost = system.primary()
-    before = system.status()["epoch"]
+    epoch_before = system.status()["epoch"]
     system.kill(lost)
     assert system.run("evacuate", "hall-core-2")[0] == 0
-    live = [f"{system.ips[name]}:8262" for name in NAMES if name != lost]
-    after = system.status(*live)["epoch"]
-    assert after > before
+    live_addresses = [f"{system.ips[name]}:8262" for name in NAMES if name != lost]
+    epoch_after = system.status(*live_addresses)["epoch"]
+    assert epoch_after > epoch_before
     shutil.rmtree(system.folder / lost)
     assert system.run("storage", "check", str(system.folder / lost))[0] == 2
     system.start(lost)
-    # Named again, under a new life, by a further epoch.
-    found = system.until(lambda found: lost in roles(found) and found["epoch"] > after)
-    assert found["evacuations"] == ["hall-core-1", "hall-core-2"] and found["configVersion"] == 3
+    # A further epoch names the member again, with a new incarnation.
+    status = system.wait_until(lambda status: lost in roles(status) and status["epoch"] > epoch_after)
+    assert status["evacuations"] == ["hall-core-1", "hall-core-2"] and status["configVersion"] == 3
     assert json.loads(system.run("config", "get")[1]) == configuration(3)
 
 
-def test_all_killed_come_back_with_what_was_acknowledged(system):
+def test_members_that_are_all_killed_restart_with_the_acknowledged_configuration(system):
     system.kill(*NAMES)
     for name in NAMES:
         assert system.run("storage", "check", str(system.folder / name))[0] == 0
@@ -153,10 +159,10 @@
     assert json.loads(system.run("config", "get")[1]) == configuration(3)
 
 
-def test_without_a_majority_no_order_is_taken_and_one_more_is_enough(system):
+def test_without_a_majority_no_command_is_accepted_until_one_more_member_starts(system):
     system.kill("core-1", "core-2")
-    assert system.run("return", "hall-core-1", deadline=2.0)[0] == 3
-    alone = system.status(f"{system.ips['core-3']}:8262")
-    assert alone["node"] == "core-3" and alone["configVersion"] == 3
+    assert system.run("return", "hall-core-1", deadline_s=2.0)[0] == 3
+    status = system.status(f"{system.ips['core-3']}:8262")
+    assert status["node"] == "core-3" and status["configVersion"] == 3
     system.start("core-1")
     assert system.run("return", "hall-core-1")[0] == 0
--- a/tests/ctl/test_status_call.py
+++ b/tests/ctl/test_status_call.py
@@ -1,4 +1,4 @@
-"""GET /status of a core member, from its own parts, without sockets."""
+"""GET /status of a core member, whose parts are set up without sockets."""
 
 import json
 from random import Random
@@ -16,7 +16,7 @@
 OWN = "10.1.0.14:7300"
 
 
-def parts(now=100.0):
+def member_parts(now=100.0):
     member = Member(
         "core-a",
         OWN,
@@ -28,35 +28,35 @@
         now=now,
         decide=lambda state, order: None,
     )
-    hub, instances = WatchHub(now), EndpointList(lambda: now)
+    hub, endpoint_list = WatchHub(now), EndpointList(lambda: now)
     roles = SingletonRoles(OWN, lambda: (OWN,), Random(1), now, roles=("upstreams",))
-    return member, hub, instances, roles
+    return member, hub, endpoint_list, roles
 
 
-def told(now, member, hub, instances, roles):
-    given = OperatorApi(None, lambda: status(now, "core-a", ZONES, member, hub, instances, roles))
+def get_status(now, member, hub, endpoint_list, roles):
+    api = OperatorApi(None, lambda: status(now, "core-a", ZONES, member, hub, endpoint_list, roles))
     replies = []
-    given.handle(Request(b"GET", b"/status"), replies.append)
+    api.handle(Request(b"GET", b"/status"), replies.append)
     assert replies[0].status == 200
     return json.loads(replies[0].body)
 
 
-def test_a_member_that_knows_nothing_says_so():
-    found = told(100.0, *parts())
-    assert found["node"] == "core-a" and found["epoch"] == 0 and found["primary"] is None
-    assert found["members"] == [{"name": "", "address": OWN, "role": "seed"}]
-    assert found["edges"] == found["evacuations"] == []
-    assert found["upstreams"] == {"term": 0, "number": 0, "ageS": None, "byRegion": []}
-    assert found["duties"] == {"upstreams": None} and found["configVersion"] == 0
+def test_a_member_without_state_reports_none():
+    document = get_status(100.0, *member_parts())
+    assert document["node"] == "core-a" and document["epoch"] == 0 and document["primary"] is None
+    assert document["members"] == [{"name": "", "address": OWN, "role": "seed"}]
+    assert document["edges"] == document["evacuations"] == []
+    assert document["upstreams"] == {"term": 0, "number": 0, "ageS": None, "byRegion": []}
+    assert document["duties"] == {"upstreams": None} and document["configVersion"] == 0
 
 
-def test_edges_upstreams_and_duties_are_told():
-    member, hub, instances, roles = parts()
+def test_edges_upstreams_and_duties_are_reported():
+    member, hub, endpoint_list, roles = member_parts()
     hub.apply_control_state(
         100.0, 4, 9, {"configuration": b"{}", "version": b"7", "evacuations": b'["north-b"]'}
     )
-    instances.begin_term(5)
-    instances.apply_poll(
+    endpoint_list.begin_term(5)
+    endpoint_list.apply_poll(
         100.0,
         [
             {
@@ -71,14 +71,14 @@
             for number in range(2)
         ],
     )
-    hub.set_endpoint_list(100.0, instances)
+    hub.set_endpoint_list(100.0, endpoint_list)
     edge = EdgeStatus("edge-1", "10.1.0.12:8263", "north-a", "north", 1, READY)
-    hub.watch(100.0, WatchRequest(edge, (4, 9), instances.version, 5.0, 7, 0.0), lambda told: None)
+    hub.watch(100.0, WatchRequest(edge, (4, 9), endpoint_list.version, 5.0, 7, 0.0), lambda response: None)
     for step in range(30):
         roles.tick(100.0 + step / 10)
-    found = told(103.0, member, hub, instances, roles)
-    assert found["configVersion"] == 7 and found["evacuations"] == ["north-b"]
-    assert found["edges"] == [
+    document = get_status(103.0, member, hub, endpoint_list, roles)
+    assert document["configVersion"] == 7 and document["evacuations"] == ["north-b"]
+    assert document["edges"] == [
         {
             "name": "edge-1",
             "front": "10.1.0.12:8263",
@@ -89,16 +89,18 @@
             "configVersion": 7,
         }
     ]
-    assert found["upstreams"]["ageS"] == 3.0 and found["upstreams"]["term"] == 5
-    assert [(one["region"], one["state"], one["count"]) for one in found["upstreams"]["byRegion"]] == [
+    assert document["upstreams"]["ageS"] == 3.0 and document["upstreams"]["term"] == 5
+    assert [
+        (group["region"], group["state"], group["count"]) for group in document["upstreams"]["byRegion"]
+    ] == [
         ("north", "available", 2),
         ("north", "evacuated", 2),
         ("south", "available", 2),
     ]
-    assert found["duties"]["upstreams"]["address"] == OWN
+    assert document["duties"]["upstreams"]["address"] == OWN
 
 
-def test_without_a_status_there_is_no_such_call():
+def test_without_a_status_function_the_call_is_not_found():
     replies = []
     OperatorApi(None).handle(Request(b"GET", b"/status"), replies.append)
     assert replies[0].status == 404
--- a/tests/ctl/test_system_packages.py
+++ b/tests/ctl/test_system_packages.py
@@ -1,4 +1,4 @@
-"""The system packages that the deploy file lists, against the README's set-up and what the files call."""
+"""The system packages in the deploy file are those that the README, the build line and the Makefile need."""
 
 import re
 import tomllib
@@ -15,12 +15,12 @@
     assert packages == sorted(set(packages))
 
 
-def test_what_the_build_line_and_the_makefile_call_is_listed():
+def test_programs_of_the_build_line_and_the_makefile_are_listed():
     assert DEPLOY["build"].count("python3 -m pip") == 1
     assert "$(PYTHON) -m venv" in (ROOT / "Makefile").read_text()
     assert {"make", "python3", "python3-pip", "python3-venv"} <= set(DEPLOY["packages"])
 
 
-def test_the_readme_names_the_same_packages():
+def test_the_readme_installs_the_same_packages():
     line = re.search(r"apt-get install --no-install-recommends (.*)", (ROOT / "README.md").read_text())
     assert line and line[1].split() == DEPLOY["packages"]
