--- a/shedgrade/ctl/client.py
+++ b/shedgrade/ctl/client.py
@@ -46,7 +46,7 @@
         return 200 <= self.status < 300
 
     def is_client_error(self) -> bool:
-        """Whether the status is a 4xx that other members would return too: any but RETRIED_STATUSES."""
+        """Whether the status is a 4xx that another member would return too: none of RETRIED_STATUSES."""
         return 400 <= self.status < 500 and self.status not in RETRIED_STATUSES
 
     def findings(self) -> tuple[Finding, ...]:
--- a/shedgrade/process_settings/reloader.py
+++ b/shedgrade/process_settings/reloader.py
@@ -28,7 +28,7 @@
         settings: the settings in force.
         watcher: of the settings file; None if there is no file.
         apply: called with the settings in force when some of LIVE_FIELDS changed.
-        next_poll_at: time of the next look at the file, unless one is forced earlier.
+        next_poll_at: time before which the file is not checked unless forced.
     """
 
     def __init__(
@@ -40,7 +40,7 @@
         self.next_poll_at = 0.0
 
     def poll(self, now: float, forced: bool = False) -> None:
-        """Looks at the file, once in POLL_INTERVAL_S or when forced. `now`: seconds of a monotonic clock."""
+        """Checks the file, once in POLL_INTERVAL_S or when forced. `now`: seconds of a monotonic clock."""
         if self.watcher is None or (now < self.next_poll_at and not forced):
             return
         self.next_poll_at = now + POLL_INTERVAL_S
--- a/shedgrade/process_settings/settings.py
+++ b/shedgrade/process_settings/settings.py
@@ -4,7 +4,7 @@
 from collections.abc import Mapping
 from dataclasses import dataclass
 
-# For bounds that `timingBounds` leaves out. Times are the operators' usual ones; allowances are 0.
+# Values of bounds that `timingBounds` leaves out. Times are the operators' usual ones; allowances are 0.
 DEFAULT_BOUNDS: dict[str, float] = {
     "seedLagS": 3,
     "reuseAfterS": 2,
@@ -55,8 +55,6 @@
     Attributes:
         cpu_share: fraction of a core.
         cores: speed of that core as a multiple of a core of the common machines.
-        memory_mb: memory.
-        file_descriptors: number of file descriptors.
         link_mbps: network bandwidth in Mbit/s.
         disk_mb: disk space; 0 if there is no disk.
     """
