--- a/shedgrade/process_settings/validation.py
+++ b/shedgrade/process_settings/validation.py
@@ -1,7 +1,8 @@
-"""Checks all of the settings at once; what is wrong is reported together, each finding with its place.
+"""Validates all settings at once and reports all findings together, each with its place.
 
-Plain checks, no pyserde: an edge would keep its 10 MB (more where NumPy is installed) for one read, taking
-the modules out again frees next to none of it, and it stops at the first thing wrong.
+These are plain checks instead of pyserde's: pyserde stops at the first finding, and an edge would keep its
+10 MB (more if NumPy is installed) in memory for a single read, since unloading its modules frees almost none
+of it.
 """
 
 from collections.abc import Iterable, Mapping
@@ -19,19 +20,19 @@
 )
 from shedgrade.process_settings.validators import (
     Validator,
-    above,
     address,
-    address_as_text,
-    anything,
+    address_text,
+    any_value,
     at_least,
-    bound,
-    flag,
-    host,
+    boolean,
+    greater_than,
     integer,
+    ipv4_address,
     mapping_of,
+    non_empty_string,
     port_range,
     sequence_of,
-    text,
+    timing_bound,
 )
 
 T = TypeVar("T")
@@ -39,9 +40,12 @@
 
 
 class Section:
-    """One mapping of the file. What is taken out of it is checked; what is wrong is added to the findings.
+    """A mapping in the file. Values are validated as they are read; each invalid one adds a finding.
 
-    `values`: as the file has them; `path`: "" or the section's name with a dot behind it.
+    Attributes:
+        values: the mapping as it is in the file.
+        path: prefix of the places of findings: the section's name with a trailing dot; "" at the top level.
+        findings: of all sections together.
     """
 
     def __init__(self, values: Mapping[Any, object], path: str, findings: Findings) -> None:
@@ -50,62 +54,62 @@
         self.findings = findings
 
     def section(self, name: str) -> "Section":
-        """The mapping under `name`; an empty one if it is left out or none."""
+        """The mapping under `name`; an empty one if it is left out, or not a mapping, which is a finding."""
         values = self.values.get(name)
         if values is not None and not isinstance(values, dict):
-            self.findings.add(self.path + name, "is no mapping")
+            self.findings.add(self.path + name, "is not a mapping")
         return Section(values if isinstance(values, dict) else {}, f"{self.path}{name}.", self.findings)
 
     def required(self, name: str, validator: Validator[T]) -> T:
-        """The value; a finding if it is left out or null."""
+        """The validated value; a finding if it is left out or null."""
         value = self.values.get(name)
         if value is None:
             self.findings.add(self.path + name, "is missing")
-            return cast(T, None)  # nobody uses it: the findings end in a SettingsError
+            return cast(T, None)  # never used: the finding ends in a SettingsError
         return self.checked(name, validator, value)
 
     def optional(self, name: str, validator: Validator[T], default: D) -> T | D:
-        """The value; the default if it is left out or null."""
+        """The validated value; the default if it is left out or null."""
         value = self.values.get(name)
         return default if value is None else self.checked(name, validator, value)
 
     def checked(self, name: str, validator: Validator[T], value: object) -> T:
-        """The value as the validator returns it; a finding if it is invalid."""
+        """The value that the validator returns; a finding if the value is invalid."""
         try:
             return validator(value)
         except InvalidValueError as error:
             self.findings.add(f"{self.path}{name}{error.path}", error.text)
-            return cast(T, None)  # as above
+            return cast(T, None)  # never used, as in `required`
 
 
 def validate(document: Mapping[Any, object]) -> Settings:
-    """Settings from the names and values of the file; unknown names are ignored. SettingsError with all
-    findings if something is missing, of a wrong type, or out of range."""
+    """The settings in a parsed file; unknown names are ignored. SettingsError with all findings if something
+    is missing, of a wrong type or out of range."""
     findings = Findings()
     top = Section(document, "", findings)
-    zones = top.required("zones", mapping_of(text))
-    zone = top.required("zone", text)
+    zones = top.required("zones", mapping_of(non_empty_string))
+    zone = top.required("zone", non_empty_string)
     if zones is not None and zone is not None and zone not in zones:
         findings.add("zone", f"{zone!r} is not in zones")
     settings = Settings(
-        node_name=top.required("nodeName", text),
-        role=top.optional("role", text, ""),
-        machine_class=top.optional("machineClass", text, ""),
-        served_roles=top.required("servedRoles", sequence_of(text)),
-        ip_address=top.required("ipAddress", host),
+        node_name=top.required("nodeName", non_empty_string),
+        role=top.optional("role", non_empty_string, ""),
+        machine_class=top.optional("machineClass", non_empty_string, ""),
+        served_roles=top.required("servedRoles", sequence_of(non_empty_string)),
+        ip_address=top.required("ipAddress", ipv4_address),
         zone=zone,
-        region=top.optional("region", text, (zones or {}).get(zone, "")),
+        region=top.optional("region", non_empty_string, (zones or {}).get(zone, "")),
         zones=zones,
         listen=top.optional("listenAddresses", mapping_of(address), {}),
         internal_ports=top.required("internalPortRange", port_range),
-        seeds=top.required("seedNodes", sequence_of(address_as_text)),
-        # Without these, no cluster is founded a second time and no disk is counted on.
-        initial_start=top.optional("initialStart", flag, False),
-        loss_counted=top.optional("lossCounted", flag, False),
+        seeds=top.required("seedNodes", sequence_of(address_text)),
+        # The defaults are the safe values: no second cluster is founded, and no disk is relied on.
+        initial_start=top.optional("initialStart", boolean, False),
+        loss_counted=top.optional("lossCounted", boolean, False),
         limits=validate_limits(top.section("limits")),
-        data_dir=top.optional("dataDir", text, None),
-        heartbeat_ms=top.optional("heartbeatMs", above(0), 1000.0),
-        active_contracts=top.optional("activeContracts", sequence_of(text), ()),
+        data_dir=top.optional("dataDir", non_empty_string, None),
+        heartbeat_ms=top.optional("heartbeatMs", greater_than(0), 1000.0),
+        active_contracts=top.optional("activeContracts", sequence_of(non_empty_string), ()),
         tolerated=validate_tolerated_losses(top.section("toleratedLosses")),
         bounds=TimingBounds(validate_bounds(top.section("timingBounds"))),
         cloud_api=validate_cloud_api(top.section("cloudApi")),
@@ -116,19 +120,19 @@
 
 
 def validate_limits(section: Section) -> Limits:
-    """What the process may use."""
+    """The resources that the process may use."""
     return Limits(
-        cpu_share=section.optional("cpuShare", above(0), 1.0),
+        cpu_share=section.optional("cpuShare", greater_than(0), 1.0),
         cores=section.optional("cores", integer(1), 1),
         memory_mb=section.required("memoryMb", integer(1)),
         file_descriptors=section.required("fileDescriptors", integer(1)),
-        link_mbps=section.optional("linkMbps", above(0), 1000.0),
+        link_mbps=section.optional("linkMbps", greater_than(0), 1000.0),
         disk_mb=section.optional("diskMb", integer(0), 0),
     )
 
 
 def validate_tolerated_losses(section: Section) -> ToleratedLosses:
-    """How much may be lost at once."""
+    """The number of losses that are tolerated at once."""
     return ToleratedLosses(
         machines=section.required("machines", integer(0)),
         zones=section.optional("zones", integer(0), 0),
@@ -137,12 +141,12 @@
 
 
 def validate_bounds(section: Section) -> dict[str, float]:
-    """Numbers and flags by name. A bound that isn't in DEFAULT_BOUNDS is left out if it is neither."""
+    """Timing bounds by name. A bound that isn't in DEFAULT_BOUNDS is left out if it is no number or bool."""
     bounds: dict[str, float] = {}
     for name in section.values:
         if not isinstance(name, str):
             continue
-        validator: Validator[object] = bound if name in DEFAULT_BOUNDS else anything
+        validator: Validator[object] = timing_bound if name in DEFAULT_BOUNDS else any_value
         value = section.optional(name, validator, None)
         if isinstance(value, (bool, int, float)):
             bounds[name] = value
@@ -150,17 +154,17 @@
 
 
 def validate_cloud_api(section: Section) -> CloudApi:
-    """The platform's list of upstreams."""
+    """The platform's API for the list of upstreams."""
     return CloudApi(
         address=section.required("address", address),
-        rate_per_s=section.required("ratePerS", above(0)),
+        rate_per_s=section.required("ratePerS", greater_than(0)),
         max_lag_ms=section.optional("maxLagMs", at_least(0), 0.0),
-        duty_list=section.optional("dutyList", sequence_of(anything), ()),
+        duty_list=section.optional("dutyList", sequence_of(any_value), ()),
     )
 
 
 def require(settings: Settings, listen: Iterable[str] = (), disk: bool = False) -> None:
-    """SettingsError if a program's addresses to listen on, by their names, or its disk are left out."""
+    """SettingsError if listen addresses (by their names) or the disk that a program needs are left out."""
     findings = Findings()
     for name in listen:
         if name not in settings.listen:
