--- a/shedgrade/controlplane/__init__.py
+++ b/shedgrade/controlplane/__init__.py
@@ -1,1 +1,1 @@
-"""The control plane: control state, the operators' API, the directory of edges, delivery."""
+"""The control plane: replicated control state, operator API, directory of edges, watches of edges."""
--- a/shedgrade/controlplane/__main__.py
+++ b/shedgrade/controlplane/__main__.py
@@ -28,6 +28,6 @@
 
 
 if __name__ == "__main__":
-    # Until the plane handles it, SIGHUP would end the process; changed settings are found by their file too.
+    # SIGHUP would end the process before the plane handles it. Changed settings are also found by their file.
     signal.signal(signal.SIGHUP, signal.SIG_IGN)
     sys.exit(main(sys.argv[1:]))
--- a/shedgrade/controlplane/disk_thread.py
+++ b/shedgrade/controlplane/disk_thread.py
@@ -1,6 +1,6 @@
-"""The disk of one core member: what it holds at the start, and a thread that writes off the event loop.
+"""The disk of one core member: loading its content at the start, and a thread that writes off the event loop.
 
-Guards against a disk that stalls for seconds: only its own thread waits for it.
+A disk that stalls for seconds holds up only this thread, not the event loop.
 """
 
 import asyncio
@@ -14,12 +14,12 @@
 from shedgrade.runtime.log import logger
 from shedgrade.storage import LoadResult, Store
 
-LOAD_RETRY_DELAY_S = 0.2  # before a disk that can't be read is tried again
+LOAD_RETRY_DELAY_S = 0.2  # between two attempts to read a disk that fails
 
 
 def load_store(store: Store, wait: Callable[[float], None] = sleep) -> LoadResult:
-    """What the disk holds; blocks until it can be read. Guards against a disk in trouble at a start: nothing
-    is served before it is read, and a process that ends is started again into the same trouble."""
+    """Returns the content of the disk; blocks until it can be read. Nothing can be served before, and a
+    process that ended on a read error would only be started again to meet the same error."""
     logged = False
     while True:
         try:
@@ -32,18 +32,19 @@
 
 
 class Write(msgspec.Struct, frozen=True):
-    """Changes to be made durable, as a whole or not at all; None removes a key."""
+    """Changes that are made durable as a whole or not at all; None removes a key."""
 
     token: int
     changes: Mapping[str, bytes | None]
 
 
 class DiskThread:
-    """Writes one after another. `on_written(token, succeeded)` is called on the loop once each is durable, or
-    refused.
+    """Writes changes to the disk one after another. `on_written(token, succeeded)` is called on the loop for
+    each write, once it is durable or has failed.
 
-    Attributes: `lock` guards `queue` and `closing`, never a write; `queued` counts what is queued and not yet
-    taken, with one more for the close.
+    Attributes:
+        lock: guards `queue` and `closing`; not held during a write.
+        queued: counts the entries of `queue`, plus one after `close`.
     """
 
     def __init__(
@@ -63,13 +64,13 @@
         self.thread.start()
 
     def write(self, token: int, changes: Mapping[str, bytes | None]) -> None:
-        """Queues a write."""
+        """Queues the changes to be written."""
         with self.lock:
             self.queue.append(Write(token, changes))
         self.queued.release()
 
     def run(self) -> None:
-        """The thread's loop."""
+        """Runs in the thread until `close`."""
         while True:
             self.queued.acquire()
             with self.lock:
@@ -83,7 +84,7 @@
                 return
 
     def store_changes(self, changes: Mapping[str, bytes | None]) -> bool:
-        """Whether the disk took them."""
+        """Writes the changes; returns whether the disk accepted them."""
         try:
             self.store.write(changes)
         except OSError as failure:
@@ -92,7 +93,7 @@
         return True
 
     def close(self) -> None:
-        """Ends the thread after the write that is under way; what is queued is not written."""
+        """Ends the thread after the write under way; queued changes are not written."""
         with self.lock:
             self.closing = True
         self.queued.release()
--- a/shedgrade/controlplane/message_dispatcher.py
+++ b/shedgrade/controlplane/message_dispatcher.py
@@ -1,4 +1,4 @@
-"""Dispatches what other processes send to the parts of a core member, by channel and kind of message."""
+"""Passes messages of other processes to the parts of a core member, by channel and type of message."""
 
 import asyncio
 from collections.abc import Callable
@@ -42,8 +42,12 @@
 
 
 class MessageDispatcher:
-    """Attributes: `edge_connections`: by an edge's link address, the connection on which it watches; removed
-    when that ends."""
+    """Decodes messages and calls the parts that handle them.
+
+    Attributes:
+        edge_connections: by peer address of an edge, the connection over which it sends its watches; removed
+            when the connection ends.
+    """
 
     def __init__(
         self,
@@ -62,8 +66,8 @@
         run_state_machines: Callable[[], None],
         report_edges: Callable[[float], None],
     ) -> None:
-        """`run_state_machines()` is called after each message; `report_edges(now)` when an edge that is heard
-        here has changed."""
+        """`run_state_machines()` is called after each message, `report_edges(now)` after an edge that this
+        member hears has changed."""
         self.loop = loop
         self.member = member
         self.roles = roles
@@ -82,7 +86,7 @@
     # --- frames
 
     def on_frame(self, connection: PeerConnection, frame: Frame) -> None:
-        """A frame on a connection that came in; its response goes back on it."""
+        """Handles a frame on a connection that another process opened; the response goes back on it."""
         if frame.body[:1] == CONTROL_CHANNEL and frame.number:
             self.track_edge(connection, frame.sender)
 
@@ -95,18 +99,18 @@
         self.dispatch(frame.sender, frame.body, respond)
 
     def on_frame_of_own_connection(self, sender: str, frame: Frame) -> None:
-        """A frame that came back on a connection that this process opened."""
+        """Handles a frame on a connection that this process opened."""
         self.dispatch(sender, frame.body, lambda body: self.messenger.links.send(sender, body))
 
     def track_edge(self, connection: PeerConnection, sender: str) -> None:
-        """Guards against clients sent to an edge that died: its connection ends before its next watch is
-        due."""
+        """Records the connection of an edge. A dead edge's connection ends before its next watch is due, so
+        that clients are no longer sent to it from then on."""
         if self.edge_connections.get(sender) is not connection:
             self.edge_connections[sender] = connection
             connection.on_close.append(lambda: self.on_edge_disconnected(connection, sender))
 
     def on_edge_disconnected(self, connection: PeerConnection, sender: str) -> None:
-        """The edges of that machine that were heard here are listed no more, until they are heard again."""
+        """Stops listing the edges of that host that this member heard, until they are heard again."""
         if self.edge_connections.get(sender) is not connection:
             return
         del self.edge_connections[sender]
@@ -118,7 +122,7 @@
     # --- messages
 
     def dispatch(self, sender: str, body: bytes, respond: Respond) -> None:
-        """A message from a process with that link address."""
+        """Handles a message of the process with that peer address."""
         channel, body = body[:1], body[1:]
         now = self.loop.time()
         self.stalls.observe(now)
@@ -137,7 +141,7 @@
             elif channel == COMMAND_CHANNEL:
                 self.router.on_forwarded(body, respond)
         except msgspec.MsgspecError as wrong:
-            # Guards against a process of another version: what it says is left out, and logged.
+            # Guards against a process of another version: its message is logged and skipped.
             logger.warning("message decode failed", sender=sender, error=str(wrong))
         self.run_state_machines()
 
@@ -149,7 +153,7 @@
         respond: Respond,
         unread_s: float,
     ) -> None:
-        """`unread_s`: the message may have waited at this process so long."""
+        """Handles a control message. `unread_s`: how long it may have waited unread at this process."""
         match message:
             case WatchRequest():
                 self.on_watch(now, message, respond, unread_s)
@@ -171,8 +175,8 @@
                     respond(control_body(self.endpoint_sync.endpoint_list.request(now)))
 
     def on_watch(self, now: float, request: WatchRequest, respond: Respond, unread_s: float) -> None:
-        """A watch of an edge, which is its heartbeat too."""
-        # Guards against core members that all started anew: their terms go above what edges hold.
+        """Handles a watch of an edge, which is also its heartbeat."""
+        # Guards against core members that all restarted: their terms must go above the one that edges have.
         self.roles.observe_term(now, ENDPOINT_LIST_ROLE, request.endpoints_version[0])
         before = self.hub.edges.own_version
         self.hub.watch(now, request, lambda response: respond(control_body(response)), unread_s)
--- a/shedgrade/controlplane/peer_messenger.py
+++ b/shedgrade/controlplane/peer_messenger.py
@@ -1,4 +1,4 @@
-"""Sends messages of each channel to core members and edges."""
+"""Sends messages on each channel to core members and edges."""
 
 from collections.abc import Callable
 from typing import Protocol
@@ -12,14 +12,14 @@
 
 
 class Links(Protocol):
-    """Links to other processes, by their link address."""
+    """Links to other processes, by their peer address."""
 
     def send(self, address: str, body: bytes) -> None:
-        """Sends without an answer; may be lost."""
+        """Sends a message without waiting for a response; it may be lost."""
 
 
 class PeerMessenger:
-    """`members()`: the link addresses of the core members, this one among them."""
+    """Encodes and sends messages. `members()`: peer addresses of the core members, including this one."""
 
     def __init__(self, links: Links, own_address: str, members: Callable[[], tuple[str, ...]]) -> None:
         self.links = links
@@ -27,19 +27,19 @@
         self.members = members
 
     def send_replication(self, address: str, message: msgspec.Struct) -> None:
-        """A message of the replication protocol."""
+        """Sends a message of the replication protocol."""
         self.links.send(address, REPLICATION_CHANNEL + encode(message))
 
     def send_role_message(self, address: str, message: msgspec.Struct) -> None:
-        """A message of the election of singleton roles."""
+        """Sends a message of the election of singleton roles."""
         self.links.send(address, ROLE_CHANNEL + encode(message))
 
     def send_control(self, address: str, message: msgspec.Struct) -> None:
-        """A control message to one process."""
+        """Sends a control message to one process."""
         self.links.send(address, control_body(message))
 
     def broadcast_control(self, message: msgspec.Struct) -> None:
-        """A control message to all other core members."""
+        """Sends a control message to all other core members."""
         body = control_body(message)
         for address in self.members():
             if address != self.own_address:
@@ -47,5 +47,5 @@
 
 
 def control_body(message: msgspec.Struct) -> bytes:
-    """The body of a control message, with its channel."""
+    """Returns the encoded control message, preceded by its channel."""
     return CONTROL_CHANNEL + control_messages.encode(message)
--- a/shedgrade/controlplane/periodic_tasks.py
+++ b/shedgrade/controlplane/periodic_tasks.py
@@ -1,4 +1,4 @@
-"""What a core member does at fixed intervals, for all that has no timer of its own."""
+"""The tasks that a core member runs at fixed intervals, for parts without timers of their own."""
 
 import asyncio
 from collections.abc import Callable
@@ -15,14 +15,16 @@
 from shedgrade.runtime.stall_detection import StallDetector
 
 MAINTENANCE_INTERVAL_S = 0.25
-EDGE_REPORT_INTERVAL_S = 0.5  # between two reports to other members on the edges that are heard here
-LOAD_REPORT_INTERVAL_S = 0.1  # between two reports to edges and members on what edges have in flight
+EDGE_REPORT_INTERVAL_S = 0.5  # between two reports to other members on the edges that this member hears
+LOAD_REPORT_INTERVAL_S = 0.1  # between two reports of the requests that edges have in flight
 
 
 class PeriodicTasks:
-    """Each task schedules its next run before it does anything: a fault of our own must not end all runs.
+    """Runs maintenance and load reports. Each run first schedules the next one, so that an exception doesn't
+    end the task.
 
-    Attributes: `edge_report_at`: when the next report on edges is due, on the loop's clock; never falls.
+    Attributes:
+        edge_report_at: when the next report on edges is due, on the loop's clock; never falls.
     """
 
     def __init__(
@@ -41,7 +43,7 @@
         reloader: SettingsReloader,
         contact_at: Callable[[], float],
     ) -> None:
-        """`contact_at()`: when this member last heard the primary, or was confirmed as primary."""
+        """`contact_at()`: when this member last heard from the primary, or was confirmed as primary."""
         self.loop = loop
         self.member = member
         self.roles = roles
@@ -57,7 +59,7 @@
         self.edge_report_at = 0.0
 
     def run_maintenance(self) -> None:
-        """Each MAINTENANCE_INTERVAL_S, until the process may exit."""
+        """Maintains all parts, every MAINTENANCE_INTERVAL_S until the process may exit."""
         if self.driver.may_exit.is_set():
             return
         self.loop.call_later(MAINTENANCE_INTERVAL_S, self.run_maintenance)
@@ -75,14 +77,14 @@
         self.reloader.poll(now)
 
     def report_edges(self, now: float) -> None:
-        """Tells the other members of the edges that are heard here."""
+        """Tells the other members about the edges that this member hears."""
         self.edge_report_at = now + EDGE_REPORT_INTERVAL_S
         observations = self.hub.edges.own_edges(now)
         if observations.edges:
             self.messenger.broadcast_control(observations)
 
     def report_loads(self) -> None:
-        """Each LOAD_REPORT_INTERVAL_S, until the process may exit: what edges have in flight."""
+        """Sends what edges have in flight, every LOAD_REPORT_INTERVAL_S until the process may exit."""
         if self.driver.may_exit.is_set():
             return
         self.loop.call_later(LOAD_REPORT_INTERVAL_S, self.report_loads)
--- a/shedgrade/controlplane/plane.py
+++ b/shedgrade/controlplane/plane.py
@@ -1,4 +1,4 @@
-"""The control plane of one core machine: its parts made and wired to each other, from start to shutdown."""
+"""The control plane of one core machine: creates its parts, connects them, starts and stops them."""
 
 import asyncio
 import gc
@@ -38,20 +38,22 @@
 from shedgrade.storage import LoadResult, Store
 from shedgrade.storage.files import WritableFolder
 
-LINGER_S = 0.2  # from the end of the state machines to that of the process, for the last messages to leave
-KILL_MARGIN_S = 1.0  # before SIGKILL at which this process ends, whatever it still waits for
+LINGER_S = 0.2  # between the end of the state machines and that of the process, to send the last messages
+KILL_MARGIN_S = 1.0  # before SIGKILL, by which this process ends whatever it still waits for
 
 
 def leave_timeout_s(grace_s: float) -> float:
-    """How long a process that is told to end may wait for the others, of `grace_s` until SIGKILL."""
+    """Returns how long a process that was told to end may wait for other members, when SIGKILL follows after
+    `grace_s`."""
     return max(grace_s / 2, grace_s - LINGER_S - KILL_MARGIN_S)
 
 
 class ControlPlane:
-    """Makes the parts of a core member, starts them, and closes them when the member may exit.
+    """Creates the parts of a core member, starts them, and closes them when the member may exit.
 
-    The parts know each other only as their constructors say: `driver` runs the state machines (`member`,
-    `roles`, `hub`), `dispatcher` hands them what others send, `periodic_tasks` what is due at intervals.
+    The parts know each other only through their constructors: `driver` runs the state machines (`member`,
+    `roles`, `hub`), `dispatcher` passes them messages of other processes, and `periodic_tasks` calls them at
+    fixed intervals.
     """
 
     def __init__(
@@ -65,8 +67,8 @@
         make_disk: Callable[..., DiskThread] = DiskThread,
         wall_clock: Callable[[], float] = time,
     ) -> None:
-        """`watched`: the settings file, which may change; None: there is none. A simulated machine hands in
-        `files`, `make_disk` (as `DiskThread`) and `wall_clock` (s since 1970)."""
+        """`watched`: the settings file, which may change; None if there is none. A simulated machine passes
+        `files`, `make_disk` (same signature as `DiskThread`) and `wall_clock` (s since 1970)."""
         self.settings = settings
         self.loop = loop
         self.random = random
@@ -85,10 +87,10 @@
         self.make_services(watched)
         self.make_driver()
 
-    # --- assembly, in an order that `random` depends on
+    # --- construction, in an order that determines the numbers drawn from `random`
 
     def make_replication(self, found: LoadResult) -> None:
-        """The member of the group that replicates the control state."""
+        """Creates this machine's member of the group that replicates the control state."""
         settings = self.settings
         self.member = Member(
             settings.node_name,
@@ -103,7 +105,7 @@
         )
 
     def make_links(self) -> None:
-        """Links to other processes, and the way of commands over them."""
+        """Creates the links to other processes, and the router that forwards commands over them."""
         settings = self.settings
         self.links = PeerConnectionPool(
             self.loop, self.own, self.on_frame_of_own_connection, settings.ip_address, self.on_frame
@@ -119,7 +121,7 @@
         self.stalls = StallDetector(self.loop.time())
 
     def make_endpoint_list(self, wall_clock: Callable[[], float]) -> None:
-        """The platform's list, and the election of the member that polls it."""
+        """Creates the platform's endpoint list, and the election of the member that polls it."""
         self.endpoint_list = EndpointList(self.loop.time)
         self.endpoint_sync = EndpointListSync(
             self.loop, self.settings, self.random, self.endpoint_list, self.messenger
@@ -134,7 +136,7 @@
         )
 
     def make_hub(self) -> None:
-        """What edges are told, and how clients find them."""
+        """Creates the parts that answer edges, and the directory in which clients look edges up."""
         self.reachability = ReachabilityMonitor(self.own, self.settings.region)
         self.directory_service = DirectoryService(
             self.loop,
@@ -158,7 +160,7 @@
         self.endpoint_sync.connect(self.hub, self.prefix_exchange, self.loads)
 
     def make_gossip(self) -> None:
-        """This process among all those of the system."""
+        """Creates this process's node in the gossip among all processes of the system."""
         settings = self.settings
         node = Node(
             settings.node_name,
@@ -171,13 +173,13 @@
         self.gossip = Gossip(self.loop, node, settings.seed_gossips, self.random)
 
     def make_services(self, watched: SettingsFileWatcher | None) -> None:
-        """HTTP for operators and clients, and reloads of the settings."""
+        """Creates the HTTP API for operators and the reloading of settings."""
         self.operator_api = OperatorApi(self.command_router, self.status)
         self.http: list[HttpServer] = []
         self.reloader = SettingsReloader(self.settings, watched, self.apply_settings)
 
     def make_driver(self) -> None:
-        """What runs the state machines: with instructions, messages and time."""
+        """Creates the parts that run the state machines on instructions, messages and time."""
         self.driver = StateMachineDriver(
             self.loop,
             self.member,
@@ -218,36 +220,36 @@
             report_edges=self.periodic_tasks.report_edges,
         )
 
-    # --- for parts that are made before those that they call
+    # --- callbacks for parts that are created before the part that handles them
 
     def on_persisted(self, token: int, succeeded: bool) -> None:
-        """The disk has made changes durable, or refused them."""
+        """Handles that the disk has made changes durable, or failed to."""
         self.driver.on_persisted(token, succeeded)
 
     def run_state_machines(self) -> None:
-        """Carries out what the state machines ask for."""
+        """Carries out the pending instructions of the state machines."""
         self.driver.run()
 
     def on_frame(self, connection: PeerConnection, frame: Frame) -> None:
-        """A frame on a connection that another process opened."""
+        """Handles a frame on a connection that another process opened."""
         self.dispatcher.on_frame(connection, frame)
 
     def on_frame_of_own_connection(self, sender: str, frame: Frame) -> None:
-        """A frame on a connection that this process opened."""
+        """Handles a frame on a connection that this process opened."""
         self.dispatcher.on_frame_of_own_connection(sender, frame)
 
-    # --- what several parts ask
+    # --- queries that several parts make
 
     def member_addresses(self) -> tuple[str, ...]:
-        """Link addresses of the members that the newest epoch names; before that, the seeds."""
+        """Returns the peer addresses of the members in the newest epoch, or the seeds before there is one."""
         return tuple(peer.address for peer in self.member.members) or self.settings.seed_links
 
     def contact_at(self) -> float:
-        """When this member last heard the primary, or as primary was confirmed by a majority."""
+        """Returns when this member last heard from the primary, or was confirmed as primary by a majority."""
         return max(self.member.primary_heard_at, self.member.confirmed_at)
 
     def status(self) -> Status:
-        """Plain data for `GET /status`."""
+        """Returns the response to `GET /status` as plain data."""
         return status(
             self.loop.time(),
             self.settings.node_name,
@@ -258,7 +260,7 @@
             self.roles,
         )
 
-    # --- from start to shutdown
+    # --- start and shutdown
 
     async def serve(self) -> None:
         """Runs until the process was told to end and may exit."""
@@ -268,14 +270,14 @@
         await self.stop()
 
     def handle_signals(self) -> None:
-        """SIGTERM and SIGINT end the process, SIGHUP reloads its settings."""
+        """Makes SIGTERM and SIGINT end the process, and SIGHUP reload its settings."""
         self.loop.set_exception_handler(log_uncaught)
         for number in (signal.SIGTERM, signal.SIGINT):
             self.loop.add_signal_handler(number, self.leave)
         self.loop.add_signal_handler(signal.SIGHUP, lambda: self.reloader.poll(self.loop.time(), forced=True))
 
     async def start(self) -> None:
-        """Opens disk and sockets, and begins what is periodic."""
+        """Starts the disk thread, opens the sockets and starts the periodic tasks."""
         self.disk.start()
         await self.server.start()
         await self.gossip.start()
@@ -289,7 +291,7 @@
             self.http.append(HttpServer(self.loop, listen["directory"], handle, logger))
         for server in self.http:
             await server.start()
-        # What was made until now lives as long as the process: the collector need not look at it again.
+        # All objects created until now live as long as the process; the garbage collector can skip them.
         gc.collect()
         gc.freeze()
         self.periodic_tasks.run_maintenance()
@@ -300,7 +302,7 @@
             self.loading = self.loop.create_task(load)
 
     async def stop(self) -> None:
-        """Closes everything, once the last messages have left."""
+        """Closes all parts, after the last messages have been sent."""
         self.gossip.announce_state("leaving")
         await asyncio.sleep(LINGER_S)
         for server in self.http:
@@ -313,14 +315,15 @@
         self.disk.close()
 
     def leave(self) -> None:
-        """SIGTERM: serves on until the others hold what this member holds, within the grace; then ends."""
+        """Handles SIGTERM: serves until the other members hold this member's state, or the grace period is
+        nearly over, and then ends."""
         now = self.loop.time()
         self.roles.resign(now)
         self.member.leave(now, leave_timeout_s(self.settings.bounds["graceS"]))
         self.driver.run()
 
     def apply_settings(self, settings: Settings) -> None:
-        """The settings were reloaded."""
+        """Applies reloaded settings."""
         self.settings = settings
         self.member.decide = make_decide(settings.zones)
         self.directory_service.apply_settings(settings)
--- a/shedgrade/controlplane/prefix_index_exchange.py
+++ b/shedgrade/controlplane/prefix_index_exchange.py
@@ -1,5 +1,5 @@
-"""The prefix index of one core member: kept in step with the other members', and valid again after a cut
-before anything is said by it.
+"""The prefix index of one core member: kept in sync with the other members' indexes. After a network
+partition it answers nothing until it is valid again.
 """
 
 from collections.abc import Callable
@@ -15,17 +15,23 @@
     PrefixIndexUpdate,
 )
 
-PRIMARY_TIMEOUT_S = 1.0  # without the primary after which this member counts as cut off
-REQUEST_INTERVAL_S = 0.5  # between two requests to the others
-NO_ANSWER_TIMEOUT_S = 3.0  # in touch without an answer, after which no member has an index
+PRIMARY_TIMEOUT_S = 1.0  # without contact to the primary, after which this member counts as cut off
+REQUEST_INTERVAL_S = 0.5  # between two requests to the other members
+# Without an answer while in contact, after which no member counts as having an index.
+NO_ANSWER_TIMEOUT_S = 3.0
 
 
 class PrefixIndexExchange:
-    """Keeps the index, asks the others for theirs after a cut, and sends them what edges saw.
+    """Maintains the index, requests it from the other members after a partition, and sends them the additions
+    that edges report.
 
-    hub: through which edges report and are answered. send_to_others: reaches every other member; what comes
-    back is handed to `receive`. index: shared with the hub. requested_at: when the others were last asked.
-    in_touch_since: when the primary was heard again after a cut; None while cut off, or if there was none.
+    Attributes:
+        hub: receives the reports of edges and answers them.
+        send_to_others: sends a message to all other members; their answers are passed to `receive`.
+        index: the index, shared with the hub.
+        requested_at: when the other members were last asked for their index.
+        in_touch_since: when the primary was heard again after a partition; None while cut off, and if there
+            was no partition.
     """
 
     def __init__(
@@ -35,8 +41,8 @@
         is_founding: bool,
         send_to_others: Callable[[PrefixIndexAdditions | PrefixIndexRequest], None],
     ) -> None:
-        """`source`: a number drawn at the start. `is_founding`: the core starts for the first time, so that
-        an empty index is valid.
+        """`source`: a number drawn at random when the process starts. `is_founding`: whether the core starts
+        for the first time, so that an empty index is valid.
         """
         self.hub = hub
         self.send_to_others = send_to_others
@@ -46,7 +52,10 @@
         self.in_touch_since: float | None = None
 
     def tick(self, now: float, primary_heard_at: float) -> None:
-        """`primary_heard_at`: when this member last heard the primary, or as primary was confirmed."""
+        """Invalidates the index while cut off, recovers it afterwards, and sends additions to the other
+        members. `primary_heard_at`: when this member last heard from the primary, or was confirmed as
+        primary.
+        """
         if now - primary_heard_at > PRIMARY_TIMEOUT_S:
             self.index.invalidate()
             self.in_touch_since = None
@@ -58,7 +67,9 @@
             self.send_to_others(PrefixIndexAdditions(pairs))
 
     def recover(self, now: float) -> None:
-        """In touch with the primary, the index not valid: asks the others, or starts anew if none answers."""
+        """Asks the other members for their index while the own one is invalid and the primary is heard;
+        starts with an empty one if none answers in time.
+        """
         if self.in_touch_since is None:
             self.in_touch_since = now
         if now - self.in_touch_since > NO_ANSWER_TIMEOUT_S:
@@ -73,7 +84,7 @@
         message: PrefixIndexAdditions | PrefixIndexUpdate | PrefixIndexRequest,
         answer: Callable[[bytes], None],
     ) -> None:
-        """A message of another member; `answer` sends an encoded message back to it."""
+        """Handles a message of another member; `answer` sends an encoded message back to it."""
         match message:
             case PrefixIndexAdditions(pairs):
                 self.index.add(now, pairs)
@@ -85,5 +96,6 @@
                     answer(control_messages.encode(update))
 
     def retain_endpoints(self, endpoint_list: EndpointList) -> None:
-        """The endpoint list changed: an incarnation that is gone has cached nothing."""
+        """Handles a change of the endpoint list: removes incarnations that are gone, as they cache
+        nothing."""
         self.index.retain_endpoints({crc32(name.encode()) for name in endpoint_list.endpoints})
--- a/shedgrade/controlplane/reachability.py
+++ b/shedgrade/controlplane/reachability.py
@@ -1,6 +1,6 @@
-"""Whether this member is cut off from most others, and whose requests its side can't serve then. No I/O.
+"""Whether this member is cut off from most others, and which hosts its side then can't serve. No I/O.
 
-Sources: PROTOCOL, "Ingress" (a client asks the nearest directory, and another after a failure) and
+Sources: PROTOCOL, "Ingress" (a client asks the nearest directory, and another one after a failure) and
 "Requests" (home regions).
 """
 
@@ -11,14 +11,16 @@
 
 from shedgrade.configuration import parse
 
-MEMBER_TIMEOUT_S = 0.8  # without a message after which another member counts as unreachable
+MEMBER_TIMEOUT_S = 0.8  # without a message, after which another member counts as unreachable
 
 
 class RouteNeeds(msgspec.Struct, frozen=True):
-    """What a route needs so that one region can serve it by itself.
+    """What one region needs to serve a route by itself.
 
-    host: in lower case. is_at_home: whether this region is one of its homes, or it has none. services: that
-    have a share of its requests.
+    Attributes:
+        host: host of the route, in lower case.
+        is_at_home: whether this region is one of the route's homes, or the route has none.
+        services: the services that get a share of the route's requests.
     """
 
     host: str
@@ -27,10 +29,14 @@
 
 
 class ReachabilityMonitor:
-    """What one member hears of the others, by link address. Times are seconds of a steady clock.
-
-    own_address: this member's. region: where it runs. last_heard_at: of each other member. configuration: the
-    one that `routes` are of; None before the first.
+    """When this member last heard from each other member, and the routes that it needs to judge hosts.
+
+    Attributes:
+        own_address: peer address of this member.
+        region: region of this member.
+        last_heard_at: by peer address, when another member was last heard, in seconds of a steady clock.
+        configuration: the configuration from which `routes` was read; None before the first.
+        routes: what each route of `configuration` needs.
     """
 
     def __init__(self, own_address: str, region: str) -> None:
@@ -41,13 +47,13 @@
         self.routes: list[RouteNeeds] = []
 
     def heard(self, now: float, member: str) -> None:
-        """A message of that member came."""
+        """Records that a message of that member arrived."""
         self.last_heard_at[member] = now
 
     def is_cut_off(self, now: float, members: Iterable[str], primary_heard_at: float) -> bool:
-        """Whether neither the primary nor a majority, with this member, was heard lately. While a primary is
-        elected, a majority is. `primary_heard_at`: when this member last heard the primary, or was confirmed
-        as one.
+        """Returns whether neither the primary nor a majority, counting this member, was heard recently. While
+        a new primary is being elected, only a majority is heard. `primary_heard_at`: when this member last
+        heard from the primary, or was confirmed as primary.
         """
         if now - primary_heard_at <= MEMBER_TIMEOUT_S:
             return False
@@ -59,14 +65,15 @@
         return 2 * reachable <= len(members)
 
     def is_reachable(self, now: float, member: str) -> bool:
-        """Whether that member was heard lately, or is this one."""
+        """Returns whether that member is this one or was heard recently."""
         if member == self.own_address:
             return True
         return now - self.last_heard_at.get(member, -inf) <= MEMBER_TIMEOUT_S
 
     def stranded_hosts(self, configuration: bytes, local_services: Iterable[str]) -> frozenset[str]:
-        """Hosts with a route that the own region can't serve by itself: it is none of the route's homes, or
-        has no endpoint of its services. `local_services`: those with a ready endpoint in the own region.
+        """Returns the hosts with a route that the own region can't serve by itself, because the region is
+        none of the route's homes or has no endpoint of its services. `local_services`: services with a ready
+        endpoint in the own region.
         """
         if configuration is not self.configuration:
             self.configuration = configuration
@@ -77,7 +84,7 @@
         )
 
     def read_routes(self, configuration: bytes) -> list[RouteNeeds]:
-        """What each route of that configuration needs; none before the first configuration."""
+        """Returns what each route of that configuration needs; nothing before the first configuration."""
         if not configuration:
             return []
         return [
--- a/shedgrade/controlplane/role_election.py
+++ b/shedgrade/controlplane/role_election.py
@@ -1,17 +1,17 @@
-"""The election of the holder of one singleton role, as one core member takes part in it. No I/O.
+"""Election of the holder of one singleton role, as one core member takes part in it. No I/O.
 
-A candidate asks all members for their vote in a term of its own; with the votes of a majority it sends
+A candidate asks all members for their vote in a term of its own. With the votes of a majority it sends
 heartbeats. It holds the role from the first heartbeat that a majority acknowledged, under a lease of LEASE_S
-from the *sending* of the newest such heartbeat (leases: Gray and Cheriton, 1989; terms and votes: Raft,
-Ongaro and Ousterhout, 2014). A member that acknowledged a heartbeat gives no vote for VOTE_WITHHELD_S after
-it, which is longer than the lease: two members hold a role at once only if a process stopped between asking
-whether it holds the role and acting, and doing a role's work twice does no harm. Times are seconds of each
-member's own steady clock; messages carry none.
-
-Nothing is kept on disk. A member that starts may have forgotten its votes and acknowledgements, so for
-STARTUP_VOTE_DELAY_S, longer than any lease, it gives none. Terms grow beyond all that a majority knows; the
-`floor`, which grows faster than elections are held, and `observe_term` keep them growing over members that
-start anew.
+that runs from the *sending* of the newest such heartbeat (leases: Gray and Cheriton, 1989; terms and votes:
+Raft, Ongaro and Ousterhout, 2014). A member that acknowledged a heartbeat gives no vote for VOTE_WITHHELD_S
+after it, which is longer than the lease. Two members therefore act as holder at once only if a process
+stopped between checking that it holds the role and acting, and doing a role's work twice does no harm. Times
+are seconds of each member's own steady clock; messages carry none.
+
+Nothing is kept on disk. A member that restarts may have forgotten its votes and acknowledgements, so it gives
+none for STARTUP_VOTE_DELAY_S, which is longer than any lease. Terms must grow beyond all that a majority
+knows, also after members restarted: `floor`, which grows faster than elections are held, and `observe_term`
+ensure this.
 """
 
 from collections.abc import Callable
@@ -33,23 +33,26 @@
     VoteResponse,
 )
 
-HEARTBEAT_INTERVAL_S = 0.25  # between a holder's heartbeats
+HEARTBEAT_INTERVAL_S = 0.25  # between two heartbeats of a holder
 LEASE_S = 0.7  # from the sending of a heartbeat that a majority acknowledged
-VOTE_WITHHELD_S = 0.8  # no vote for another for so long after a holder was heard
-HOLDER_TIMEOUT_S = 0.9  # no holder heard for so long: the role is vacant
-STARTUP_VOTE_DELAY_S = 1.0  # no vote and no acknowledgement so soon after the start
-CAMPAIGN_JITTER_S = 0.3  # the most that chance puts between two candidates of one vacancy
-ELECTION_TIMEOUT_S = 0.4  # a candidacy without a majority is given up after it
+VOTE_WITHHELD_S = 0.8  # after a heartbeat of a holder, in which other members get no vote
+HOLDER_TIMEOUT_S = 0.9  # without a heartbeat of a holder, after which the role counts as vacant
+STARTUP_VOTE_DELAY_S = 1.0  # after the start of the process, in which it gives no vote or acknowledgement
+CAMPAIGN_JITTER_S = 0.3  # maximum random delay that separates the candidates for one vacancy
+ELECTION_TIMEOUT_S = 0.4  # after which a candidacy without a majority is abandoned
 MAX_BACKOFF_S = 1.6  # between candidacies that nobody answered
-RELEASE_HOLDOFF_S = 3.0  # a holder that released its role lets others campaign first
+RELEASE_HOLDOFF_S = 3.0  # after releasing a role, in which a member leaves the candidacy to others
 TERM_BITS = 16  # the low bits of a term identify the candidate, so that no two candidates share a term
 
 
 class Candidacy:
-    """An election under way in which this member is the candidate.
+    """A candidacy of this member that is under way.
 
-    term: that votes are asked for in. until: when it is given up. votes: members that granted theirs, this
-    one among them. answered: members that answered at all, this one among them.
+    Attributes:
+        term: the term in which it asks for votes.
+        until: when it is abandoned.
+        votes: members that granted their vote, including this one.
+        answered: members that answered, with or without a vote, including this one.
     """
 
     __slots__ = ("answered", "term", "until", "votes")
@@ -62,12 +65,17 @@
 
 
 class Leadership:
-    """A term for which this member has won the votes of a majority.
-
-    term: won. lease_until: when it ends unless it is renewed. is_confirmed: whether a majority acknowledged a
-    heartbeat of it, so that the role is held under it. next_heartbeat_at: when the next one is due.
-    heartbeat_number: of the newest. sent_at: when each heartbeat was sent that may still be acknowledged in
-    time, by number. acknowledged_at: by member, when the newest heartbeat that it acknowledged was sent.
+    """A term for which a majority voted for this member.
+
+    Attributes:
+        term: the term.
+        lease_until: when the lease ends unless it is renewed.
+        is_confirmed: whether a majority acknowledged a heartbeat of the term, so that the role is held under
+            it.
+        next_heartbeat_at: when the next heartbeat is due.
+        heartbeat_number: number of the newest heartbeat.
+        sent_at: by number, when each heartbeat was sent whose acknowledgement can still renew the lease.
+        acknowledged_at: by member, when the newest heartbeat that it acknowledged was sent.
     """
 
     __slots__ = (
@@ -91,34 +99,39 @@
 
 
 class RoleElection:
-    """What one member knows of one role, and what it does to have a holder elected.
-
-    The states, told by `candidacy` and `leadership`: *follower* (neither), *candidate* (the first alone),
-    *leader* (the second alone) and *leader that renews its term* (both: it met a higher term, and asks for
-    votes in one above that while its lease goes on).
-
-    role: name of the role.
-    own_address: this member's link address.
-    members: returns the link addresses of the members that vote, this one among them if it is one.
-    random: source of the jitter.
-    instructions: what the caller is to carry out; shared with the elections of other roles.
-    started_at: when this process began; for STARTUP_VOTE_DELAY_S after it no vote is given.
-    term_floor: no vote is given for a term up to it, since a process before this one may have given one.
-    highest_term: met in any message. Never falls; at least `term_floor`, and at least the term of a candidacy
-        or leadership.
-    voted_term, voted_for: the highest term that was voted for, or whose heartbeat was acknowledged, and whose
-        it is. `voted_term` never falls. While a leader, they are its own.
-    holder, holder_term: another member that was last heard as the holder, and its term; `holder` is empty if
-        none was or it said that it stopped, and while a candidate or leader.
-    holder_heard_at: when that was; HOLDER_TIMEOUT_S before the start if never.
-    released_term: the highest term whose holder said that it stopped. Heartbeats up to it are refused.
-    candidacy: while a candidate; None else.
-    leadership: while a leader; None else.
-    held_term: under which the role is held, by the last `RoleAcquired` without a `RoleLost`; 0 if it is not.
-        While a leader renews its term it stays the former one until the new one is confirmed.
-    backoff_s: added before the next candidacy; grows while nobody answers, 0 else.
-    campaign_at: when to become a candidate. Moved on by each heartbeat of a holder.
-    has_resigned: never campaigns again. Final; then neither a candidate nor a leader.
+    """What one member knows of the election for one role, and its part in it.
+
+    `candidacy` and `leadership` give the state: *follower* (neither is set), *candidate* (only the first),
+    *leader* (only the second) and *leader that renews its term* (both: it learned of a higher term and asks
+    for votes in one above that, while its lease goes on).
+
+    Attributes:
+        role: name of the role.
+        own_address: peer address of this member.
+        members: returns the peer addresses of the voting members, including this one if it is a member.
+        random: source of the jitter.
+        instructions: what the caller must carry out; shared with the elections of other roles.
+        started_at: when this process started; it gives no vote for STARTUP_VOTE_DELAY_S afterwards.
+        term_floor: no vote is given for terms up to this one, since an earlier process of this member may
+            have voted in them.
+        highest_term: the highest term seen in any message. Never falls; at least `term_floor`, and at least
+            the term of a candidacy or leadership.
+        voted_term: the highest term for which this member voted or acknowledged a heartbeat. Never falls; a
+            leader's is its own term.
+        voted_for: the candidate of `voted_term`; a leader's is this member.
+        holder: the other member that was last heard as the holder. Empty if there was none, if it released
+            the role, and while this member is a candidate or leader.
+        holder_term: term of `holder`.
+        holder_heard_at: when `holder` was last heard; HOLDER_TIMEOUT_S before the start if never.
+        released_term: the highest term whose holder released the role. Heartbeats up to it are refused.
+        candidacy: the candidacy under way, or None.
+        leadership: the leadership, or None.
+        held_term: the term under which the role is held, by the last `RoleAcquired` without a `RoleLost`; 0
+            if it is not held. While a leader renews its term, the former one until the new one is confirmed.
+        backoff_s: delay added before the next candidacy; grows while nobody answers, otherwise 0.
+        campaign_at: when to become a candidate; each heartbeat of a holder moves it on.
+        has_resigned: whether this member never campaigns again. Final; it is then neither candidate nor
+            leader.
     """
 
     def __init__(
@@ -153,7 +166,7 @@
         self.has_resigned = False
 
     def check_invariants(self) -> None:
-        """AssertionError if the attributes contradict each other. For tests and the simulation."""
+        """Raises AssertionError if the attributes contradict each other. For tests and the simulation."""
         candidacy = self.candidacy
         leadership = self.leadership
         assert self.highest_term >= self.term_floor
@@ -178,14 +191,14 @@
     # --- queries
 
     def is_held(self, now: float | None = None) -> bool:
-        """Whether this member holds the role; with `now`, also by its lease at that moment."""
+        """Returns whether this member holds the role; with `now`, only if its lease has not ended by then."""
         if not self.held_term or self.leadership is None:
             return False
         return now is None or now < self.leadership.lease_until
 
     def known_holder(self, now: float | None = None) -> RoleHolder | None:
-        """The holder as last heard and not said to have stopped; with `now`, only if it was heard within
-        HOLDER_TIMEOUT_S. None: not known.
+        """Returns the holder that was last heard and has not released the role, or None if there is none.
+        With `now`, only if it was heard within HOLDER_TIMEOUT_S, or is this member and its lease goes on.
         """
         if self.is_held(now):
             return RoleHolder(self.own_address, self.held_term)
@@ -194,15 +207,15 @@
         return RoleHolder(self.holder, self.holder_term)
 
     def majority(self) -> int:
-        """How many members are one."""
+        """Returns how many members make a majority."""
         return len(self.members()) // 2 + 1
 
     def is_holder_alive(self, now: float) -> bool:
-        """Whether another member is believed to hold the role."""
+        """Returns whether another member was heard as the holder so recently that votes are withheld."""
         return bool(self.holder) and now < self.holder_heard_at + VOTE_WITHHELD_S
 
     def wake_at(self) -> float:
-        """When `tick` is due next, in seconds of the clock; infinity if never."""
+        """Returns when `tick` is due next, in seconds of the clock; infinity if never."""
         times: list[float] = []
         if self.leadership is not None:
             times = [self.leadership.next_heartbeat_at, self.leadership.lease_until]
@@ -215,7 +228,7 @@
     # --- events
 
     def tick(self, now: float) -> None:
-        """Time has passed: ends a lease, gives up a candidacy, sends a heartbeat or campaigns if due."""
+        """Ends an expired lease or candidacy, and sends a heartbeat or campaigns if that is due."""
         candidacy = self.candidacy
         if self.leadership is not None and now >= self.leadership.lease_until:
             self.end_leadership(now)
@@ -228,7 +241,7 @@
             self.start_election(now)
 
     def receive(self, now: float, sender: str, message: Message) -> None:
-        """A message of another member came; `sender`: its link address."""
+        """Handles a message of another member. `sender`: its peer address."""
         match message:
             case VoteRequest():
                 self.handle_vote_request(now, sender, message.term)
@@ -242,26 +255,29 @@
                 self.handle_release(now, sender, message.term)
 
     def observe_term(self, now: float, term: int) -> None:
-        """A term was met outside the election: own terms go above it, and a known holder is told of it."""
+        """Handles a term that was seen outside the election: own terms go above it, and a known holder with a
+        lower term is told.
+        """
         self.rise_above(now, term)
         if self.leadership is None and self.is_holder_alive(now) and term > self.holder_term:
             notice = Acknowledgement(self.role, self.holder_term, 0, term)
             self.instructions.append(Send(self.holder, notice))
 
     def release(self, now: float, holdoff_s: float) -> None:
-        """Gives the role up if it is held, says so, and campaigns no sooner than after `holdoff_s`."""
+        """Releases the role if it is held, tells the others, and campaigns no sooner than after
+        `holdoff_s`."""
         self.give_up(now)
         self.campaign_at = max(self.campaign_at, now + holdoff_s)
 
     def resign(self, now: float) -> None:
-        """Gives the role up if it is held, says so, and never campaigns again; votes are still given."""
+        """Releases the role if it is held, tells the others, and never campaigns again; still gives votes."""
         self.give_up(now)
         self.has_resigned = True
 
     # --- as a candidate
 
     def start_election(self, now: float) -> None:
-        """Becomes a candidate in a term above all that are known."""
+        """Becomes a candidate in a term above all known ones."""
         members = self.members()
         if self.own_address not in members:
             self.campaign_at = now + HOLDER_TIMEOUT_S
@@ -273,7 +289,7 @@
         self.count_votes(now, self.candidacy)
 
     def next_term(self) -> int:
-        """The lowest term of this member above all that are known."""
+        """Returns the lowest term of this member above all known ones."""
         candidate_bits = crc32(self.own_address.encode()) & ((1 << TERM_BITS) - 1)
         return ((self.highest_term >> TERM_BITS) + 1 << TERM_BITS) | candidate_bits
 
@@ -281,23 +297,23 @@
         """Becomes the leader if a majority of the members voted for this one."""
         if len(candidacy.votes & set(self.members())) < self.majority():
             return
-        # A leader that renews its term keeps its lease until the new term has one.
+        # A leader that renews its term keeps its lease until the new term is confirmed.
         lease_until = self.leadership.lease_until if self.leadership is not None else now + LEASE_S
         self.candidacy = None
         self.leadership = Leadership(candidacy.term, now, lease_until)
-        # Guards against a former holder that votes below its own term: an own vote binds once it has won.
+        # Guards against a former holder that votes below its own term: its own vote binds it once it has won.
         self.voted_term = candidacy.term
         self.voted_for = self.own_address
         self.backoff_s = 0.0
         self.send_heartbeats(now, self.leadership)
 
     def give_up_candidacy(self, now: float, candidacy: Candidacy) -> None:
-        """Its time is over without a majority: the next one comes later, after a backoff if nobody
-        answered.
+        """Ends a candidacy without a majority. The next one follows after a random delay, with a backoff if
+        nobody answered.
         """
         if len(candidacy.answered) > 1:
             self.backoff_s = 0.0
-        else:  # guards against elections that only disturb, of a member that is cut off
+        else:  # a member that is cut off must not disturb the others with frequent elections
             self.backoff_s = min(max(2 * self.backoff_s, ELECTION_TIMEOUT_S), MAX_BACKOFF_S)
         self.candidacy = None
         self.campaign_at = now + self.backoff_s + self.random.uniform(0.05, CAMPAIGN_JITTER_S)
@@ -305,7 +321,7 @@
     # --- as the leader
 
     def send_heartbeats(self, now: float, leadership: Leadership) -> None:
-        """Sends the next heartbeat to all others, and forgets those that can renew no lease any more."""
+        """Sends the next heartbeat to all others, and forgets those that are too old to renew the lease."""
         if self.own_address not in self.members():
             self.end_leadership(now)
             return
@@ -318,7 +334,9 @@
         self.renew_lease(now, leadership)
 
     def renew_lease(self, now: float, leadership: Leadership) -> None:
-        """The lease runs from the sending of the newest heartbeat that a majority acknowledged."""
+        """Extends the lease to LEASE_S after the sending of the newest heartbeat that a majority
+        acknowledged; the first one confirms the leadership.
+        """
         others = sorted(
             (
                 leadership.acknowledged_at.get(member, -inf)
@@ -341,7 +359,7 @@
         self.instructions.append(RoleAcquired(self.role, leadership.term))
 
     def end_leadership(self, now: float) -> None:
-        """Becomes a follower; the role is lost if it was held."""
+        """Becomes a follower; reports the role as lost if it was held."""
         self.leadership = None
         self.candidacy = None
         if self.held_term:
@@ -350,7 +368,7 @@
         self.campaign_at = now + HOLDER_TIMEOUT_S + self.random.uniform(0, CAMPAIGN_JITTER_S)
 
     def give_up(self, now: float) -> None:
-        """Ends a leadership, and says so to all others; ends a candidacy."""
+        """Ends a leadership, which all others are told, and a candidacy."""
         if self.leadership is not None:
             term = self.leadership.term
             self.end_leadership(now)
@@ -358,13 +376,15 @@
         self.candidacy = None
 
     def rise_above(self, now: float, term: int) -> None:
-        """A term was met elsewhere. The leader of a lower one asks for votes in a higher, and goes on."""
+        """Takes note of a term of another member. The leader of a lower term asks for votes in a higher one
+        and stays leader meanwhile.
+        """
         self.highest_term = max(self.highest_term, term)
         if self.leadership is not None and term > self.leadership.term and self.candidacy is None:
             self.start_election(now)
 
     def broadcast(self, message: Message) -> None:
-        """Sends it to all other members."""
+        """Sends the message to all other members."""
         self.instructions += [
             Send(member, message) for member in self.members() if member != self.own_address
         ]
@@ -372,13 +392,13 @@
     # --- messages
 
     def handle_vote_request(self, now: float, sender: str, term: int) -> None:
-        """One vote a term, none below a term that another got, none while a holder is believed alive."""
+        """Answers a candidate that asks for a vote; see `may_vote`."""
         is_granted = self.may_vote(now, sender, term)
         if is_granted:
             self.voted_term = term
             self.voted_for = sender
             self.candidacy = None
-            # Its heartbeat is waited for; after that this member may campaign itself.
+            # The candidate gets time to send its first heartbeat before this member campaigns itself.
             wait_until = now + ELECTION_TIMEOUT_S + self.random.uniform(0, CAMPAIGN_JITTER_S)
             self.campaign_at = max(self.campaign_at, wait_until)
         known_before = self.highest_term
@@ -386,7 +406,10 @@
         self.instructions.append(Send(sender, VoteResponse(self.role, term, is_granted, known_before)))
 
     def may_vote(self, now: float, sender: str, term: int) -> bool:
-        """Whether the sender may have this member's vote in that term."""
+        """Returns whether the sender gets this member's vote in that term: one vote a term, none soon after
+        the start, none in a term below one that was voted for, and none for another member while a holder is
+        believed alive.
+        """
         if sender not in self.members() or now < self.started_at + STARTUP_VOTE_DELAY_S:
             return False
         if self.leadership is not None or (self.is_holder_alive(now) and sender != self.holder):
@@ -397,9 +420,7 @@
         return self.candidacy is None or term > self.candidacy.term
 
     def handle_vote_response(self, now: float, sender: str, vote: VoteResponse) -> None:
-        """Counts a vote; a late one, of a candidacy that was given up, binds nobody and counts for
-        nothing.
-        """
+        """Counts a vote. A late one, of a candidacy that was abandoned, binds nobody and is ignored."""
         candidacy = self.candidacy
         self.highest_term = max(self.highest_term, vote.highest_term)
         if candidacy is None or candidacy.term != vote.term:
@@ -410,7 +431,9 @@
             self.count_votes(now, candidacy)
 
     def handle_heartbeat(self, now: float, sender: str, heartbeat: Heartbeat) -> None:
-        """Follows its sender and acknowledges it, or refuses it if this member is bound to a higher term."""
+        """Follows the sender and acknowledges the heartbeat, or refuses it if this member is bound to a
+        higher term.
+        """
         term = heartbeat.term
         is_stale = term < self.voted_term or term <= self.released_term or sender not in self.members()
         own_term = self.leadership.term if self.leadership is not None else 0
@@ -424,10 +447,10 @@
         self.instructions.append(Send(sender, answer))
 
     def follow(self, now: float, holder: str, term: int) -> None:
-        """Another member is the holder, by its heartbeat."""
+        """Becomes a follower of the member whose heartbeat was accepted."""
         if self.leadership is not None:
             self.end_leadership(now)
-        self.candidacy = None  # an own candidacy that is given up binds nobody
+        self.candidacy = None  # binds nobody once it is abandoned
         self.voted_term = term
         self.voted_for = holder
         self.holder = holder
@@ -437,7 +460,7 @@
         self.campaign_at = now + HOLDER_TIMEOUT_S + self.random.uniform(0, CAMPAIGN_JITTER_S)
 
     def handle_acknowledgement(self, now: float, sender: str, answer: Acknowledgement) -> None:
-        """Renews the lease, or asks for votes in a higher term if it is a refusal."""
+        """Renews the lease; a refusal makes the leader ask for votes in a higher term."""
         leadership = self.leadership
         if leadership is None or answer.term != leadership.term:
             self.highest_term = max(self.highest_term, answer.highest_term)
@@ -452,7 +475,7 @@
         self.renew_lease(now, leadership)
 
     def handle_release(self, now: float, sender: str, term: int) -> None:
-        """The holder stopped: this member campaigns soon."""
+        """Handles that a member released the role. If it was the known holder, this member campaigns soon."""
         self.highest_term = max(self.highest_term, term)
         self.released_term = max(self.released_term, term)
         if sender == self.holder and term >= self.holder_term:
--- a/shedgrade/controlplane/role_messages.py
+++ b/shedgrade/controlplane/role_messages.py
@@ -1,16 +1,18 @@
 """Messages and instructions of the elections of singleton roles.
 
 The messages go between core members, each as a MessagePack array: tags and the order of fields are part of
-the protocol. A term names one candidacy of one member; no two members share a term.
+the protocol. A term identifies one candidacy of one member; no two members share a term.
 """
 
 import msgspec
 
 
 class VoteRequest(msgspec.Struct, array_like=True, frozen=True, tag="ballot"):
-    """From a candidate to all other members: asks for a vote; answered with `VoteResponse`.
+    """Sent by a candidate to all other members to ask for their vote; answered with `VoteResponse`.
 
-    role: that falls vacant. term: of the candidacy.
+    Attributes:
+        role: the vacant role.
+        term: term of the candidacy.
     """
 
     role: str
@@ -18,10 +20,13 @@
 
 
 class VoteResponse(msgspec.Struct, array_like=True, frozen=True, tag="vote"):
-    """From a voter to the candidate that asked.
+    """Sent by a voter to the candidate that asked.
 
-    role, term: of the request. granted: whether the vote is given. highest_term: that the voter knew of
-    before the request.
+    Attributes:
+        role: role of the request.
+        term: term of the request.
+        granted: whether the candidate gets the vote.
+        highest_term: the highest term that the voter knew before the request.
     """
 
     role: str
@@ -31,10 +36,13 @@
 
 
 class Heartbeat(msgspec.Struct, array_like=True, frozen=True, tag="heartbeat"):
-    """From the member that won the votes for a term to all others, at intervals; answered with
+    """Sent at intervals by the member that won the votes for a term to all others; answered with
     `Acknowledgement`.
 
-    role, term: of its leadership. number: grows by one from heartbeat to heartbeat of a term.
+    Attributes:
+        role: role of the leadership.
+        term: term of the leadership.
+        number: grows by one with each heartbeat of a term.
     """
 
     role: str
@@ -43,10 +51,14 @@
 
 
 class Acknowledgement(msgspec.Struct, array_like=True, frozen=True, tag="acknowledgement"):
-    """From a member that heard a heartbeat to its sender.
-
-    role, term, number: of the heartbeat; number 0 answers none, and only tells of a higher term.
-    highest_term: above `term` it is a refusal, since the sender is bound to that term; else it equals `term`.
+    """Sent by a member that received a heartbeat to its sender.
+
+    Attributes:
+        role: role of the heartbeat.
+        term: term of the heartbeat.
+        number: number of the heartbeat; 0 if the message answers none and only announces a higher term.
+        highest_term: equals `term`, or is above it if this is a refusal because the sender is bound to that
+            term.
     """
 
     role: str
@@ -56,9 +68,11 @@
 
 
 class RoleReleased(msgspec.Struct, array_like=True, frozen=True, tag="vacated"):
-    """From the holder to all others, after it has stopped: the role is vacant.
+    """Sent by the holder to all others after it has stopped: the role is vacant.
 
-    role: that was held. term: under which.
+    Attributes:
+        role: the role that was held.
+        term: the term under which it was held.
     """
 
     role: str
@@ -69,21 +83,21 @@
 
 
 class Send(msgspec.Struct, frozen=True):
-    """Instruction: send the message to the member with that link address."""
+    """Instruction: send the message to the member with that peer address."""
 
     address: str
     message: Message
 
 
 class RoleAcquired(msgspec.Struct, frozen=True):
-    """Instruction: begin the role, or go on with it, under that term."""
+    """Instruction: start the role, or continue it under that new term."""
 
     role: str
     term: int
 
 
 class RoleLost(msgspec.Struct, frozen=True):
-    """Instruction: stop the role that was held under that term."""
+    """Instruction: stop the role, which was held under that term."""
 
     role: str
     term: int
@@ -93,7 +107,7 @@
 
 
 class RoleHolder(msgspec.Struct, frozen=True):
-    """Who holds a role: the member's link address, and its term."""
+    """The member that holds a role: its peer address and its term."""
 
     address: str
     term: int
--- a/shedgrade/controlplane/singleton_roles.py
+++ b/shedgrade/controlplane/singleton_roles.py
@@ -1,6 +1,6 @@
 """Singleton roles: work that one core member does at a time, such as polling the platform. No I/O.
 
-Each role has an election of its own (`role_election.py`); its holder is elected whenever it falls vacant.
+Each role has an election of its own (`role_election.py`), held whenever the role is vacant.
 """
 
 from collections.abc import Callable
@@ -15,9 +15,11 @@
     """The elections of all roles, as one member takes part in them.
 
     The caller takes out and carries out `instructions` after each call. A `RoleAcquired` for a role that is
-    held says that it goes on in a higher term; each term is won at most once, by one member.
+    already held continues it under a higher term. Each term is won at most once, by one member.
 
-    instructions: what is to be carried out, in order. elections: by role.
+    Attributes:
+        instructions: what the caller must carry out, in order.
+        elections: the election of each role, by its name.
     """
 
     def __init__(
@@ -29,9 +31,9 @@
         roles: tuple[str, ...],
         floor: int = 0,
     ) -> None:
-        """`address`: this member's link address; `members()`: link addresses of the core members, this one
-        among them if it is one; `floor`: terms start above it. Given in tenths of a second since 1970, it
-        outruns elections.
+        """`address`: peer address of this member. `members()`: peer addresses of the core members, including
+        this one if it is a member. `floor`: terms start above it; tenths of a second since 1970 grow faster
+        than elections are held.
         """
         self.instructions: list[Instruction] = []
         self.elections = {
@@ -40,7 +42,8 @@
         }
 
     def receive(self, now: float, sender: str, message: Message) -> None:
-        """`sender`: a link address. A message of a role that isn't known here is ignored."""
+        """Handles a message of another member; one of an unknown role is ignored. `sender`: its peer
+        address."""
         election = self.elections.get(message.role)
         if election is None:
             return
@@ -48,42 +51,43 @@
         election.receive(now, sender, message)
 
     def tick(self, now: float) -> None:
-        """Time has passed."""
+        """Handles what is due in each election; see `RoleElection.tick`."""
         for election in self.elections.values():
             election.tick(now)
 
     def wake_at(self) -> float:
-        """When `tick` is due next, in seconds of the clock; infinity if never."""
+        """Returns when `tick` is due next, in seconds of the clock; infinity if never."""
         return min((election.wake_at() for election in self.elections.values()), default=inf)
 
     def is_held(self, role: str, now: float | None = None) -> bool:
-        """Whether this member holds the role; with `now`, also by its lease at that moment."""
+        """Returns whether this member holds the role; with `now`, only if its lease has not ended by then."""
         return self.elections[role].is_held(now)
 
     def holder(self, role: str, now: float | None = None) -> RoleHolder | None:
-        """The holder as last heard and not said to have stopped; with `now`, only if it was heard lately.
-        None: not known.
+        """Returns the holder that was last heard and has not released the role, or None if there is none.
+        With `now`, only if it was heard recently; see `RoleElection.known_holder`.
         """
         return self.elections[role].known_holder(now)
 
     def resign(self, now: float) -> None:
-        """The process ends: gives all roles up, tells the others, and never campaigns again."""
+        """Releases all roles because the process ends, tells the others, and never campaigns again."""
         for election in self.elections.values():
             election.resign(now)
 
     def release(self, now: float, role: str) -> None:
-        """The holder can't do the work: gives the role up and lets others campaign first."""
+        """Releases a role whose work this member can't do, and lets others campaign first."""
         self.elections[role].release(now, RELEASE_HOLDOFF_S)
 
     def observe_term(self, now: float, role: str, term: int) -> None:
-        """A term was met outside, say in what a data plane has: own terms go above it.
+        """Handles a term that was seen outside the election, such as in the state of a data plane: own terms
+        go above it.
 
-        Guards against members that all started anew and count from the beginning. Whoever holds the role is
-        told, as only it is to campaign again.
+        Guards against core members that all restarted and count terms from the beginning. The holder is told,
+        as only it needs to campaign again.
         """
         self.elections[role].observe_term(now, term)
 
     def check_invariants(self) -> None:
-        """AssertionError if the attributes of an election contradict each other."""
+        """Raises AssertionError if the attributes of an election contradict each other."""
         for election in self.elections.values():
             election.check_invariants()
--- a/shedgrade/controlplane/state_machine_driver.py
+++ b/shedgrade/controlplane/state_machine_driver.py
@@ -1,4 +1,4 @@
-"""Drives the state machines of one core member: carries out their instructions and wakes them in time."""
+"""Drives the state machines of one core member: carries out their instructions and calls them when due."""
 
 import asyncio
 from collections.abc import Callable, Mapping
@@ -15,19 +15,20 @@
 
 Effect = Send | Persist | Answer | Committed | Exit
 
-SHORTEST_DELAY_S = 0.001  # of the timer, also where something is due already
+SHORTEST_DELAY_S = 0.001  # of the timer, even if something is already due
 
-WriteToDisk = Callable[[int, Mapping[str, bytes | None]], None]  # token, changes
+WriteToDisk = Callable[[int, Mapping[str, bytes | None]], None]  # (token, changes)
 
 
 class StateMachineDriver:
     """Runs the replication member, the singleton roles and the watch hub.
 
     Attributes:
-        may_exit: set once the member has left its group, after which no timer is set.
-        running: instructions are being carried out; what they add is carried out by the same call.
-        timer: of the earliest moment at which a state machine is due, `wake_at` on the loop's clock; None if
-            nothing is due, and while its callback runs.
+        may_exit: set once the member has left its group; no timer is set afterwards.
+        running: whether `run` is active; instructions that are added meanwhile are carried out by the same
+            call.
+        timer: timer for `wake_at`; None if nothing is due, and while its callback runs.
+        wake_at: the earliest time at which a state machine is due, on the loop's clock.
     """
 
     def __init__(
@@ -41,7 +42,7 @@
         router: CommandRouter,
         write_to_disk: WriteToDisk,
     ) -> None:
-        """`write_to_disk` makes changes durable and calls `on_persisted` with their token afterwards."""
+        """`write_to_disk` makes changes durable and afterwards calls `on_persisted` with their token."""
         self.loop = loop
         self.member = member
         self.roles = roles
@@ -56,12 +57,12 @@
         self.wake_at = inf
 
     def on_persisted(self, token: int, succeeded: bool) -> None:
-        """The disk has made these changes durable, or refused them."""
+        """Handles that the disk has made these changes durable, or failed to."""
         self.member.persisted(self.loop.time(), token, succeeded)
         self.run()
 
     def run(self) -> None:
-        """Carries out what the state machines ask for, and sets the timer."""
+        """Carries out the instructions of the state machines, and sets the timer."""
         if self.running:
             return
         self.running = True
@@ -78,7 +79,7 @@
         self.set_timer()
 
     def carry_out(self, effect: Effect) -> None:
-        """One instruction of the replication member."""
+        """Carries out one instruction of the replication member."""
         match effect:
             case Send(address, message):
                 self.messenger.send_replication(address, message)
@@ -92,7 +93,7 @@
                 self.may_exit.set()
 
     def carry_out_for_role(self, instruction: role_messages.Instruction) -> None:
-        """One instruction of the singleton roles; the only role is to poll the platform's endpoint list."""
+        """Carries out one instruction of the singleton roles; the only role is polling the endpoint list."""
         match instruction:
             case role_messages.Send(address, message):
                 self.messenger.send_role_message(address, message)
@@ -103,7 +104,7 @@
                 self.endpoint_sync.stop()
 
     def set_timer(self) -> None:
-        """Replaces the timer if something else is due first."""
+        """Replaces the timer if the next due time has changed."""
         at = min(self.member.wake_at(), self.roles.wake_at(), self.hub.wake_at())
         if self.timer is not None:
             if at == self.wake_at:
@@ -115,7 +116,7 @@
             self.timer = self.loop.call_at(max(at, self.loop.time() + SHORTEST_DELAY_S), self.on_timer)
 
     def on_timer(self) -> None:
-        """Something is due."""
+        """Calls the state machines, of which at least one is due."""
         self.timer = None
         now = self.loop.time()
         try:
@@ -124,5 +125,5 @@
             self.hub.tick(now)
             self.run()
         finally:
-            if self.timer is None:  # a fault of our own must not stop the clock of all the rest
+            if self.timer is None:  # after an exception in one state machine the others must still be called
                 self.set_timer()
--- a/shedgrade/controlplane/watch_hub.py
+++ b/shedgrade/controlplane/watch_hub.py
@@ -1,9 +1,10 @@
 """Watches of edges on control state and endpoint list: each is answered when something newer is known.
 
-An edge's watch request names the versions that it holds. It is answered at once if something is newer, else
-when something moves or its wait is over. It is the edge's heartbeat too (`edge_table.py`).
+An edge's watch request names the versions that it has. It is answered at once if something is newer,
+otherwise when something changes or its maximum wait is over. It is also the edge's heartbeat
+(`edge_table.py`).
 
-Sans I/O: time is handed in, responses go out by the `respond` that came with a request.
+No I/O: callers pass the time, and responses go out through the `respond` callback of each request.
 """
 
 from collections.abc import Callable, Iterable, Mapping
@@ -31,16 +32,16 @@
 from shedgrade.prefix_cache_index.index import Pair, PrefixIndex
 from shedgrade.runtime.log import logger
 
-MAX_WAIT_S = 10.0  # that a watch may be pending, whatever it asks for
-MAX_PENDING_WATCHES = 4096  # beyond it watches are answered at once
+MAX_WAIT_S = 10.0  # for which a watch is pending at most, whatever wait it requests
+MAX_PENDING_WATCHES = 4096  # further watches are answered at once
 
 Cover = Callable[[EdgeStatus, tuple[EdgeRecord, ...]], str]
 Respond = Callable[[WatchResponse], None]
-Deltas = dict[tuple[int, int], EndpointUpdate]  # by the version of the list from which they lead
+Deltas = dict[tuple[int, int], EndpointUpdate]  # by the version of the list that each one updates
 
 
 class PendingWatch:
-    """A watch that came `at` that time and waits for something newer, at most until `deadline`."""
+    """A watch received at the time `at` that waits for something newer until `deadline` at the latest."""
 
     __slots__ = ("request", "respond", "at", "deadline")
 
@@ -55,17 +56,20 @@
     """Answers the watches of edges from what this core member knows.
 
     Attributes:
-        now: of the newest call.
-        member_addresses: link addresses of the core members, this one among them; empty until told.
-        control_position: (epoch, sequence) of the control state here; never falls. `version`,
-            `configuration` and `evacuations` are those of this state.
-        packed_configuration: the configuration as it is sent, made with the first watch that needs it.
-        endpoint_list: None until the first one is known.
-        confirmed_at: when no newer state was committed anywhere, as far as is known; never falls.
-        pending: by edge, the one watch that is not answered yet.
+        now: time of the newest call.
+        member_addresses: peer addresses of the core members, including this one; empty until set.
+        control_position: (epoch, sequence) of the control state; never falls.
+        version: version of the configuration in that state.
+        configuration: the configuration in that state.
+        evacuations: the evacuated zones in that state.
+        packed_configuration: the configuration as it is sent, and whether it is compressed; made for the
+            first watch that needs it.
+        endpoint_list: the endpoint list; None until one is known.
+        confirmed_at: the latest time as of which a majority held no newer state; never falls.
+        pending: by edge, its unanswered watch.
         edges: the edges that were heard.
-        prefix_index: which upstream caches which prompt prefixes, None if it is not kept.
-        unsent_prefix_reads: news of it that other members are to be told.
+        prefix_index: which upstream caches which prompt prefixes; None if the index is not kept.
+        unsent_prefix_reads: additions to the index that must still be sent to other members.
     """
 
     def __init__(
@@ -75,8 +79,9 @@
         exchange_interval_s: float = 0.5,
         cover: Cover = lambda edge, others: READY,
     ) -> None:
-        """`exchange_interval_s`: between two reports of another member on its edges. `cover(edge, others)`:
-        who takes the clients of an edge that leaves, as the response names it."""
+        """`exchange_interval_s`: time between two reports of another member on its edges. `cover(edge,
+        others)`: returns which edges take over the clients of an edge that leaves, as the response names
+        them."""
         self.cover = cover
         self.now = now
         self.member_addresses: tuple[str, ...] = ()
@@ -93,17 +98,17 @@
         self.unsent_prefix_reads: list[Pair] = []
 
     def check_invariants(self) -> None:
-        """AssertionError if the attributes contradict each other."""
+        """Raises AssertionError if the attributes contradict each other."""
         for name, watch in self.pending.items():
             assert watch.request.edge.name == name, f"a watch of {watch.request.edge.name} pends as {name}"
             assert watch.at <= watch.deadline <= watch.at + MAX_WAIT_S, f"{name} waits too long"
         assert len(self.pending) <= MAX_PENDING_WATCHES, "too many watches are pending"
         self.edges.check_invariants()
 
-    # --- what is known here
+    # --- state of this member
 
     def apply_control_state(self, now: float, epoch: int, sequence: int, state: Mapping[str, bytes]) -> None:
-        """Takes committed control state; what is not newer is ignored."""
+        """Applies committed control state, unless the same or a newer one is known."""
         self.now = now
         if (epoch, sequence) <= self.control_position:
             return
@@ -113,7 +118,7 @@
             if not all(isinstance(zone, str) for zone in evacuations):
                 raise ValueError("evacuations are no list of zones")
         except (ValueError, TypeError) as wrong:
-            # Guards against a state of another version: edges go on with the last one that could be read.
+            # Guards against a state written by another version: edges keep the last one that could be read.
             logger.error("control state decode failed", epoch=epoch, sequence=sequence, error=repr(wrong))
             return
         configuration = state.get(CONFIGURATION) or b""
@@ -126,26 +131,27 @@
         self.notify(now)
 
     def set_endpoint_list(self, now: float, endpoint_list: EndpointList) -> None:
-        """The list moved."""
+        """Handles a change of the endpoint list."""
         self.now = now
         self.endpoint_list = endpoint_list
         self.notify(now)
 
     def set_confirmed_at(self, at: float) -> None:
-        """At that time a majority of the core held nothing newer than this member, as `replication` says."""
+        """Records that at that time a majority of the core members held nothing newer than this member; see
+        `Member.confirmed_at`."""
         self.confirmed_at = max(self.confirmed_at, at)
 
     def set_members(self, now: float, addresses: tuple[str, ...]) -> None:
-        """Link addresses of the core members, this one among them."""
+        """Sets the peer addresses of the core members, including this one."""
         self.now = max(self.now, now)
         self.member_addresses = addresses
 
     # --- watches
 
     def watch(self, now: float, request: WatchRequest, respond: Respond, unread_s: float = 0.0) -> None:
-        """Answers now if something is newer than the edge holds, else later, exactly once; not at all if the
-        same edge asks again before, or is disconnected. `unread_s`: the request may have waited here so
-        long."""
+        """Answers at once if something is newer than what the edge has, otherwise later, exactly once; not at
+        all if the same edge sends another watch first or is disconnected. `unread_s`: how long the request
+        may have waited unread at this process."""
         self.now = now
         self.edges.update(HeardEdge(request.edge, now - unread_s, request.wait_s, True))
         if self.prefix_index is not None and request.prefix_reads:
@@ -158,43 +164,43 @@
             self.pending[request.edge.name] = watch
 
     def tick(self, now: float) -> None:
-        """Answers the watches whose wait is over, and forgets edges that are long gone."""
+        """Answers the watches whose wait is over, and forgets edges that have been gone for long."""
         self.now = now
         self.answer_all(now, [watch for watch in self.pending.values() if watch.deadline <= now])
         self.edges.forget(now)
 
     def wake_at(self) -> float:
-        """When `tick` is due next; infinity if nothing waits."""
+        """Returns when `tick` is due next; infinity if no watch is pending."""
         return min((watch.deadline for watch in self.pending.values()), default=inf)
 
     def notify(self, now: float) -> None:
-        """Answers the watches for which something is newer."""
+        """Answers the watches for which something newer is known."""
         self.answer_all(now, [watch for watch in self.pending.values() if self.has_update(watch)])
 
     def answer_all(self, now: float, due: list[PendingWatch]) -> None:
-        """Answers these watches; equal deltas are made once."""
+        """Answers these watches; each delta is made once."""
         deltas: Deltas = {}
         for watch in due:
-            # An edge may send its next watch from within its response; that one stays.
+            # An edge may send its next watch while it handles its response; that one stays pending.
             if self.pending.get(watch.request.edge.name) is watch:
                 del self.pending[watch.request.edge.name]
             self.answer(now, watch, deltas)
 
     def has_update(self, watch: PendingWatch) -> bool:
-        """Something is newer than what the edge holds."""
+        """Returns whether something is newer than what the edge has."""
         return self.control_position > tuple(watch.request.control_version) or self.has_newer_list(watch)
 
     def has_newer_list(self, watch: PendingWatch) -> bool:
-        """The list, or its age, is newer than what the edge holds."""
+        """Returns whether the endpoint list, or its age, is newer than what the edge has."""
         age_s = watch.request.endpoints_age_s + self.now - watch.at
         return self.endpoint_list is not None and self.endpoint_list.newer_than(
             *watch.request.endpoints_version, age_s, self.now
         )
 
     def answer(self, now: float, watch: PendingWatch, deltas: Deltas) -> None:
-        """Sends the response to one watch. `deltas`: those made before, taken from and added to."""
+        """Responds to one watch. `deltas`: those made before; a new one is added."""
         request = watch.request
-        # Guards against a member that was started anew and knows less than the edge: its word is not fresh.
+        # Guards against a restarted member that knows less than the edge: it must not claim to be up to date.
         lacks = self.confirmed_at == -inf or self.control_position < tuple(request.control_version)
         watch.respond(
             WatchResponse(
@@ -213,7 +219,7 @@
         )
 
     def control_change(self, request: WatchRequest) -> ControlChange | None:
-        """The control state, if it is newer than what the edge holds."""
+        """Returns the control state if it is newer than what the edge has, otherwise None."""
         if self.control_position <= tuple(request.control_version):
             return None
         if self.packed_configuration is None:
@@ -224,7 +230,8 @@
         return ControlChange(*self.control_position, self.version, raw, self.evacuations, compressed)
 
     def list_change(self, now: float, watch: PendingWatch, deltas: Deltas) -> EndpointUpdate | None:
-        """What moved in the list, or its new age; None if the edge's list is newer or none is known."""
+        """Returns the changes of the endpoint list, or its new age; None if the edge's list is newer or none
+        is known here."""
         known = self.endpoint_list
         if known is None:
             return None
@@ -241,19 +248,21 @@
     # --- edges
 
     def listed_edges(self, now: float) -> tuple[EdgeRecord, ...]:
-        """Edges that were heard lately and are not closed."""
+        """Returns the edges that were heard recently and are not closed."""
         self.now = now
         return self.edges.listed(now)
 
     def edge_disconnected(self, name: str) -> None:
-        """Its connection ended: it is not listed until it is heard again, here or elsewhere."""
+        """Handles the end of an edge's connection: it is not listed until it is heard again, here or
+        elsewhere."""
         self.pending.pop(name, None)
         self.edges.disconnected(self.now, name)
 
     def update_edges(
         self, now: float, edges: EdgeObservations | Iterable[EdgeObservation], unread_s: float = 0.0
     ) -> None:
-        """What another member has heard itself. `unread_s`: its word may have waited here so long."""
+        """Records what another member heard of edges itself. `unread_s`: how long its message may have waited
+        unread at this process."""
         self.now = now
         heard = edges.edges if isinstance(edges, EdgeObservations) else edges
         self.edges.update_from_member(now, heard, unread_s)
