--- a/shedgrade/controlplane/plane.py
+++ b/shedgrade/controlplane/plane.py
@@ -132,7 +132,7 @@
             self.random,
             self.loop.time(),
             roles=(ENDPOINT_LIST_ROLE,),
-            floor=int(wall_clock() * 10),
+            term_counter_floor=int(wall_clock() * 10),
         )
 
     def make_hub(self) -> None:
--- a/shedgrade/controlplane/role_election.py
+++ b/shedgrade/controlplane/role_election.py
@@ -10,8 +10,8 @@
 
 Nothing is kept on disk. A member that restarts may have forgotten its votes and acknowledgements, so it gives
 none for STARTUP_VOTE_DELAY_S, which is longer than any lease. Terms must grow beyond all that a majority
-knows, also after members restarted: `floor`, which grows faster than elections are held, and `observe_term`
-ensure this.
+knows, also after members restarted: `term_counter_floor`, which grows faster than elections are held, and
+`observe_term` ensure this.
 """
 
 from collections.abc import Callable
@@ -50,16 +50,16 @@
 
     Attributes:
         term: the term in which it asks for votes.
-        until: when it is abandoned.
+        deadline: when it is abandoned without a majority.
         votes: members that granted their vote, including this one.
         answered: members that answered, with or without a vote, including this one.
     """
 
-    __slots__ = ("answered", "term", "until", "votes")
+    __slots__ = ("answered", "term", "deadline", "votes")
 
-    def __init__(self, term: int, until: float, own_address: str) -> None:
+    def __init__(self, term: int, deadline: float, own_address: str) -> None:
         self.term = term
-        self.until = until
+        self.deadline = deadline
         self.votes = {own_address}
         self.answered = {own_address}
 
@@ -141,7 +141,7 @@
         members: Callable[[], tuple[str, ...]],
         random: Random,
         now: float,
-        floor: int,
+        term_counter_floor: int,
         instructions: list[Instruction],
     ) -> None:
         self.role = role
@@ -150,7 +150,7 @@
         self.random = random
         self.instructions = instructions
         self.started_at = now
-        self.term_floor = floor << TERM_BITS
+        self.term_floor = term_counter_floor << TERM_BITS
         self.highest_term = self.term_floor
         self.voted_term = 0
         self.voted_for = ""
@@ -206,7 +206,7 @@
             return None
         return RoleHolder(self.holder, self.holder_term)
 
-    def majority(self) -> int:
+    def majority_size(self) -> int:
         """Returns how many members make a majority."""
         return len(self.members()) // 2 + 1
 
@@ -220,7 +220,7 @@
         if self.leadership is not None:
             times = [self.leadership.next_heartbeat_at, self.leadership.lease_until]
         if self.candidacy is not None:
-            times.append(self.candidacy.until)
+            times.append(self.candidacy.deadline)
         elif self.leadership is None and not self.has_resigned:
             times.append(self.campaign_at)
         return min(times, default=inf)
@@ -232,8 +232,8 @@
         candidacy = self.candidacy
         if self.leadership is not None and now >= self.leadership.lease_until:
             self.end_leadership(now)
-        if candidacy is not None and now >= candidacy.until:
-            self.give_up_candidacy(now, candidacy)
+        if candidacy is not None and now >= candidacy.deadline:
+            self.abandon_candidacy(now, candidacy)
         if self.leadership is not None and now >= self.leadership.next_heartbeat_at:
             self.send_heartbeats(now, self.leadership)
         is_follower = self.leadership is None and self.candidacy is None
@@ -258,7 +258,7 @@
         """Handles a term that was seen outside the election: own terms go above it, and a known holder with a
         lower term is told.
         """
-        self.rise_above(now, term)
+        self.handle_higher_term(now, term)
         if self.leadership is None and self.is_holder_alive(now) and term > self.holder_term:
             notice = Acknowledgement(self.role, self.holder_term, 0, term)
             self.instructions.append(Send(self.holder, notice))
@@ -266,12 +266,12 @@
     def release(self, now: float, holdoff_s: float) -> None:
         """Releases the role if it is held, tells the others, and campaigns no sooner than after
         `holdoff_s`."""
-        self.give_up(now)
+        self.step_down(now)
         self.campaign_at = max(self.campaign_at, now + holdoff_s)
 
     def resign(self, now: float) -> None:
         """Releases the role if it is held, tells the others, and never campaigns again; still gives votes."""
-        self.give_up(now)
+        self.step_down(now)
         self.has_resigned = True
 
     # --- as a candidate
@@ -295,7 +295,7 @@
 
     def count_votes(self, now: float, candidacy: Candidacy) -> None:
         """Becomes the leader if a majority of the members voted for this one."""
-        if len(candidacy.votes & set(self.members())) < self.majority():
+        if len(candidacy.votes & set(self.members())) < self.majority_size():
             return
         # A leader that renews its term keeps its lease until the new term is confirmed.
         lease_until = self.leadership.lease_until if self.leadership is not None else now + LEASE_S
@@ -307,7 +307,7 @@
         self.backoff_s = 0.0
         self.send_heartbeats(now, self.leadership)
 
-    def give_up_candidacy(self, now: float, candidacy: Candidacy) -> None:
+    def abandon_candidacy(self, now: float, candidacy: Candidacy) -> None:
         """Ends a candidacy without a majority. The next one follows after a random delay, with a backoff if
         nobody answered.
         """
@@ -337,7 +337,7 @@
         """Extends the lease to LEASE_S after the sending of the newest heartbeat that a majority
         acknowledged; the first one confirms the leadership.
         """
-        others = sorted(
+        acknowledgement_times = sorted(
             (
                 leadership.acknowledged_at.get(member, -inf)
                 for member in self.members()
@@ -345,9 +345,9 @@
             ),
             reverse=True,
         )
-        needed = self.majority() - 1
-        since = now if needed == 0 else others[needed - 1]
-        lease_until = since + LEASE_S
+        needed_others = self.majority_size() - 1
+        renewed_at = now if needed_others == 0 else acknowledgement_times[needed_others - 1]
+        lease_until = renewed_at + LEASE_S
         if lease_until <= now:
             return
         if leadership.is_confirmed:
@@ -367,7 +367,7 @@
             self.held_term = 0
         self.campaign_at = now + HOLDER_TIMEOUT_S + self.random.uniform(0, CAMPAIGN_JITTER_S)
 
-    def give_up(self, now: float) -> None:
+    def step_down(self, now: float) -> None:
         """Ends a leadership, which all others are told, and a candidacy."""
         if self.leadership is not None:
             term = self.leadership.term
@@ -375,7 +375,7 @@
             self.broadcast(RoleReleased(self.role, term))
         self.candidacy = None
 
-    def rise_above(self, now: float, term: int) -> None:
+    def handle_higher_term(self, now: float, term: int) -> None:
         """Takes note of a term of another member. The leader of a lower term asks for votes in a higher one
         and stays leader meanwhile.
         """
@@ -401,9 +401,9 @@
             # The candidate gets time to send its first heartbeat before this member campaigns itself.
             wait_until = now + ELECTION_TIMEOUT_S + self.random.uniform(0, CAMPAIGN_JITTER_S)
             self.campaign_at = max(self.campaign_at, wait_until)
-        known_before = self.highest_term
-        self.highest_term = max(known_before, term)
-        self.instructions.append(Send(sender, VoteResponse(self.role, term, is_granted, known_before)))
+        highest_term_before = self.highest_term
+        self.highest_term = max(highest_term_before, term)
+        self.instructions.append(Send(sender, VoteResponse(self.role, term, is_granted, highest_term_before)))
 
     def may_vote(self, now: float, sender: str, term: int) -> bool:
         """Returns whether the sender gets this member's vote in that term: one vote a term, none soon after
@@ -414,8 +414,8 @@
             return False
         if self.leadership is not None or (self.is_holder_alive(now) and sender != self.holder):
             return False
-        is_unbound = term > self.voted_term or (term == self.voted_term and sender == self.voted_for)
-        if not is_unbound or term <= self.term_floor:
+        is_free_to_vote = term > self.voted_term or (term == self.voted_term and sender == self.voted_for)
+        if not is_free_to_vote or term <= self.term_floor:
             return False
         return self.candidacy is None or term > self.candidacy.term
 
@@ -441,9 +441,9 @@
             self.follow(now, sender, term)
         if now < self.started_at + STARTUP_VOTE_DELAY_S:
             return
-        bound_to = max(self.voted_term, self.released_term) if is_stale else max(own_term, term)
+        bound_term = max(self.voted_term, self.released_term) if is_stale else max(own_term, term)
         self.highest_term = max(self.highest_term, term)
-        answer = Acknowledgement(self.role, term, heartbeat.number, bound_to)
+        answer = Acknowledgement(self.role, term, heartbeat.number, bound_term)
         self.instructions.append(Send(sender, answer))
 
     def follow(self, now: float, holder: str, term: int) -> None:
@@ -466,7 +466,7 @@
             self.highest_term = max(self.highest_term, answer.highest_term)
             return
         if answer.highest_term > answer.term:
-            self.rise_above(now, answer.highest_term)
+            self.handle_higher_term(now, answer.highest_term)
             return
         sent_at = leadership.sent_at.get(answer.number)
         if sent_at is None or now >= leadership.lease_until:
--- a/shedgrade/controlplane/singleton_roles.py
+++ b/shedgrade/controlplane/singleton_roles.py
@@ -29,15 +29,15 @@
         random: Random,
         now: float,
         roles: tuple[str, ...],
-        floor: int = 0,
+        term_counter_floor: int = 0,
     ) -> None:
         """`address`: peer address of this member. `members()`: peer addresses of the core members, including
-        this one if it is a member. `floor`: terms start above it; tenths of a second since 1970 grow faster
-        than elections are held.
+        this one if it is a member. `term_counter_floor`: the counter in terms starts above it; tenths of a
+        second since 1970 grow faster than elections are held.
         """
         self.instructions: list[Instruction] = []
         self.elections = {
-            role: RoleElection(role, address, members, random, now, floor, self.instructions)
+            role: RoleElection(role, address, members, random, now, term_counter_floor, self.instructions)
             for role in roles
         }
 
