--- a/shedgrade/controlplane/directory_service.py
+++ b/shedgrade/controlplane/directory_service.py
@@ -63,6 +63,6 @@
         """The regions other than their own to which clients of a host may be sent."""
         return self.home_regions.of_host(self.hub.configuration, host)
 
-    def cover(self, edge: EdgeStatus, others: tuple[EdgeRecord, ...]) -> str:
+    def drain_target_of(self, edge: EdgeStatus, others: tuple[EdgeRecord, ...]) -> str:
         """Which edges take over the clients of an edge that leaves; see `drain_target`."""
         return drain_target(edge, others, self.home_regions.of_all_hosts(self.hub.configuration))
--- a/shedgrade/controlplane/plane.py
+++ b/shedgrade/controlplane/plane.py
@@ -150,7 +150,7 @@
         self.hub = WatchHub(
             self.loop.time(),
             exchange_interval_s=EDGE_REPORT_INTERVAL_S,
-            cover=self.directory_service.cover,
+            drain_target_of=self.directory_service.drain_target_of,
         )
         self.directory_service.connect(self.hub)
         self.prefix_exchange = PrefixIndexExchange(
--- a/shedgrade/controlplane/watch_hub.py
+++ b/shedgrade/controlplane/watch_hub.py
@@ -35,7 +35,7 @@
 MAX_WAIT_S = 10.0  # for which a watch is pending at most, whatever wait it requests
 MAX_PENDING_WATCHES = 4096  # further watches are answered at once
 
-Cover = Callable[[EdgeStatus, tuple[EdgeRecord, ...]], str]
+DrainTargetOf = Callable[[EdgeStatus, tuple[EdgeRecord, ...]], str]
 Respond = Callable[[WatchResponse], None]
 Deltas = dict[tuple[int, int], EndpointUpdate]  # by the version of the list that each one updates
 
@@ -62,7 +62,7 @@
         version: version of the configuration in that state.
         configuration: the configuration in that state.
         evacuations: the evacuated zones in that state.
-        packed_configuration: the configuration as it is sent, and whether it is compressed; made for the
+        encoded_configuration: the configuration as it is sent, and whether it is compressed; made for the
             first watch that needs it.
         endpoint_list: the endpoint list; None until one is known.
         confirmed_at: the latest time as of which a majority held no newer state; never falls.
@@ -77,19 +77,19 @@
         now: float,
         *,
         exchange_interval_s: float = 0.5,
-        cover: Cover = lambda edge, others: READY,
+        drain_target_of: DrainTargetOf = lambda edge, others: READY,
     ) -> None:
-        """`exchange_interval_s`: time between two reports of another member on its edges. `cover(edge,
-        others)`: returns which edges take over the clients of an edge that leaves, as the response names
-        them."""
-        self.cover = cover
+        """`exchange_interval_s`: time between two reports of another member on its edges.
+        `drain_target_of(edge, others)`: returns which edges take over the clients of an edge that leaves, as
+        the response names them."""
+        self.drain_target_of = drain_target_of
         self.now = now
         self.member_addresses: tuple[str, ...] = ()
         self.control_position = (0, 0)
         self.version = 0
         self.configuration = b""
         self.evacuations: tuple[str, ...] = ()
-        self.packed_configuration: tuple[bytes, bool] | None = None
+        self.encoded_configuration: tuple[bytes, bool] | None = None
         self.endpoint_list: EndpointList | None = None
         self.confirmed_at = -inf
         self.pending: dict[str, PendingWatch] = {}
@@ -100,7 +100,9 @@
     def check_invariants(self) -> None:
         """Raises AssertionError if the attributes contradict each other."""
         for name, watch in self.pending.items():
-            assert watch.request.edge.name == name, f"a watch of {watch.request.edge.name} pends as {name}"
+            assert watch.request.edge.name == name, (
+                f"the watch of {watch.request.edge.name} is pending as {name}"
+            )
             assert watch.at <= watch.deadline <= watch.at + MAX_WAIT_S, f"{name} waits too long"
         assert len(self.pending) <= MAX_PENDING_WATCHES, "too many watches are pending"
         self.edges.check_invariants()
@@ -116,14 +118,14 @@
             version = configuration_version(state)
             evacuations = tuple(orjson.loads(state.get(EVACUATIONS) or b"[]"))
             if not all(isinstance(zone, str) for zone in evacuations):
-                raise ValueError("evacuations are no list of zones")
-        except (ValueError, TypeError) as wrong:
+                raise ValueError("evacuations are not a list of zone names")
+        except (ValueError, TypeError) as error:
             # Guards against a state written by another version: edges keep the last one that could be read.
-            logger.error("control state decode failed", epoch=epoch, sequence=sequence, error=repr(wrong))
+            logger.error("control state decode failed", epoch=epoch, sequence=sequence, error=repr(error))
             return
         configuration = state.get(CONFIGURATION) or b""
         if configuration != self.configuration:
-            self.packed_configuration = None
+            self.encoded_configuration = None
         self.control_position = (epoch, sequence)
         self.version = version
         self.configuration = configuration
@@ -201,20 +203,22 @@
         """Responds to one watch. `deltas`: those made before; a new one is added."""
         request = watch.request
         # Guards against a restarted member that knows less than the edge: it must not claim to be up to date.
-        lacks = self.confirmed_at == -inf or self.control_position < tuple(request.control_version)
+        is_behind = self.confirmed_at == -inf or self.control_position < tuple(request.control_version)
         watch.respond(
             WatchResponse(
                 self.control_change(request),
-                self.list_change(now, watch, deltas),
+                self.endpoint_update(now, watch, deltas),
                 self.edges.count(now),
                 self.member_addresses,
-                UNKNOWN_AGE_S if lacks else max(0.0, now - self.confirmed_at),
+                UNKNOWN_AGE_S if is_behind else max(0.0, now - self.confirmed_at),
                 UNKNOWN_AGE_S if self.endpoint_list is None else self.endpoint_list.age_s(now),
                 now - watch.at,
                 None
                 if self.prefix_index is None
                 else self.prefix_index.update_since(*request.prefix_index_version),
-                self.cover(request.edge, self.listed_edges(now)) if request.edge.state == LEAVING else READY,
+                self.drain_target_of(request.edge, self.listed_edges(now))
+                if request.edge.state == LEAVING
+                else READY,
             )
         )
 
@@ -222,28 +226,28 @@
         """Returns the control state if it is newer than what the edge has, otherwise None."""
         if self.control_position <= tuple(request.control_version):
             return None
-        if self.packed_configuration is None:
-            self.packed_configuration = compress_configuration(self.configuration)
+        if self.encoded_configuration is None:
+            self.encoded_configuration = compress_configuration(self.configuration)
         raw, compressed = (
-            (None, False) if request.configuration_version == self.version else self.packed_configuration
+            (None, False) if request.configuration_version == self.version else self.encoded_configuration
         )
         return ControlChange(*self.control_position, self.version, raw, self.evacuations, compressed)
 
-    def list_change(self, now: float, watch: PendingWatch, deltas: Deltas) -> EndpointUpdate | None:
+    def endpoint_update(self, now: float, watch: PendingWatch, deltas: Deltas) -> EndpointUpdate | None:
         """Returns the changes of the endpoint list, or its new age; None if the edge's list is newer or none
         is known here."""
-        known = self.endpoint_list
-        if known is None:
+        endpoint_list = self.endpoint_list
+        if endpoint_list is None:
             return None
         term, number = watch.request.endpoints_version
         base = (term, number)
-        same = known.confirmed_at is not None and known.version == base
-        if not same and not self.has_newer_list(watch):
+        is_same_version = endpoint_list.confirmed_at is not None and endpoint_list.version == base
+        if not is_same_version and not self.has_newer_list(watch):
             return None
-        change = deltas.get(base)
-        if change is None:
-            change = deltas[base] = known.update_since(term, number, now)
-        return change
+        update = deltas.get(base)
+        if update is None:
+            update = deltas[base] = endpoint_list.update_since(term, number, now)
+        return update
 
     # --- edges
 
@@ -264,5 +268,5 @@
         """Records what another member heard of edges itself. `unread_s`: how long its message may have waited
         unread at this process."""
         self.now = now
-        heard = edges.edges if isinstance(edges, EdgeObservations) else edges
-        self.edges.update_from_member(now, heard, unread_s)
+        observations = edges.edges if isinstance(edges, EdgeObservations) else edges
+        self.edges.update_from_member(now, observations, unread_s)
--- a/tests/controlplane/test_watch_hub.py
+++ b/tests/controlplane/test_watch_hub.py
@@ -213,9 +213,9 @@
     hub.apply_control_state(100.0, 1, 1, state(1, filling=100_000))
     client = Client(hub)
     client.ask(100.0)
-    packed = hub.packed_configuration
+    packed = hub.encoded_configuration
     client.ask(100.0)
-    assert hub.packed_configuration is packed
+    assert hub.encoded_configuration is packed
     control = client.told[0].control
     assert control.compressed and len(control.configuration) < 2_000
     assert decompress_configuration(control) == state(1, filling=100_000)["configuration"]
@@ -329,11 +329,11 @@
 def test_an_edge_that_leaves_is_told_who_takes_its_clients():
     asked = []
 
-    def cover(leaving, others):
+    def drain_target_of(leaving, others):
         asked.append((leaving.name, sorted(other.name for other in others)))
         return NO_DRAIN_TARGET
 
-    hub = WatchHub(100.0, cover=cover)
+    hub = WatchHub(100.0, drain_target_of=drain_target_of)
     hub.update_edges(100.0, [EdgeObservation(edge("edge-2"), 0.0, 1.0)])
     told = []
     hub.watch(100.0, WatchRequest(edge(), (0, 0), (0, 0), 0.0), told.append)
