--- a/shedgrade/controlplane/disk_thread.py
+++ b/shedgrade/controlplane/disk_thread.py
@@ -24,9 +24,9 @@
     while True:
         try:
             return store.load()
-        except OSError as failure:
+        except OSError as error:
             if not logged:
-                logger.warning("disk read failed", error=failure.strerror or str(failure))
+                logger.warning("disk read failed", error=error.strerror or str(error))
             logged = True
             wait(LOAD_RETRY_DELAY_S)
 
@@ -43,8 +43,8 @@
     each write, once it is durable or has failed.
 
     Attributes:
-        lock: guards `queue` and `closing`; not held during a write.
-        queued: counts the entries of `queue`, plus one after `close`.
+        lock: guards `queue` and `is_closing`; not held during a write.
+        queued_count: counts the entries of `queue`, plus one after `close`.
     """
 
     def __init__(
@@ -54,9 +54,9 @@
         self.store = store
         self.on_written = on_written
         self.lock = threading.Lock()
-        self.queued = threading.Semaphore(0)
+        self.queued_count = threading.Semaphore(0)
         self.queue: deque[Write] = deque()
-        self.closing = False
+        self.is_closing = False
         self.thread = threading.Thread(target=self.run, name="disk", daemon=True)
 
     def start(self) -> None:
@@ -67,14 +67,14 @@
         """Queues the changes to be written."""
         with self.lock:
             self.queue.append(Write(token, changes))
-        self.queued.release()
+        self.queued_count.release()
 
     def run(self) -> None:
         """Runs in the thread until `close`."""
         while True:
-            self.queued.acquire()
+            self.queued_count.acquire()
             with self.lock:
-                if self.closing:
+                if self.is_closing:
                     return
                 write = self.queue.popleft()
             succeeded = self.store_changes(write.changes)
@@ -87,13 +87,13 @@
         """Writes the changes; returns whether the disk accepted them."""
         try:
             self.store.write(changes)
-        except OSError as failure:
-            logger.warning("disk write failed", error=failure.strerror or str(failure))
+        except OSError as error:
+            logger.warning("disk write failed", error=error.strerror or str(error))
             return False
         return True
 
     def close(self) -> None:
         """Ends the thread after the write under way; queued changes are not written."""
         with self.lock:
-            self.closing = True
-        self.queued.release()
+            self.is_closing = True
+        self.queued_count.release()
--- a/shedgrade/controlplane/message_dispatcher.py
+++ b/shedgrade/controlplane/message_dispatcher.py
@@ -129,7 +129,7 @@
         unread_s = self.stalls.unread_s(now)
         try:
             if channel != CONTROL_CHANNEL:
-                self.reachability.heard(now - unread_s, sender)
+                self.reachability.record_contact(now - unread_s, sender)
             if channel == REPLICATION_CHANNEL:
                 self.member.receive_delay_s = unread_s
                 self.member.receive(now, sender, decode_replication(body))
@@ -166,7 +166,7 @@
             case PrefixIndexUpdate() | PrefixIndexAdditions() | PrefixIndexRequest():
                 self.prefix_exchange.receive(now, message, lambda body: respond(CONTROL_CHANNEL + body))
             case EdgeObservations():
-                self.reachability.heard(now - unread_s, sender)
+                self.reachability.record_contact(now - unread_s, sender)
                 self.hub.update_edges(now, message, unread_s)
             case EndpointListRequest(term, number):
                 respond(control_body(self.endpoint_sync.endpoint_list.update_since(term, number, now)))
--- a/shedgrade/controlplane/prefix_index_exchange.py
+++ b/shedgrade/controlplane/prefix_index_exchange.py
@@ -27,10 +27,10 @@
 
     Attributes:
         hub: receives the reports of edges and answers them.
-        send_to_others: sends a message to all other members; their answers are passed to `receive`.
+        broadcast: sends a message to all other members; their answers are passed to `receive`.
         index: the index, shared with the hub.
         requested_at: when the other members were last asked for their index.
-        in_touch_since: when the primary was heard again after a partition; None while cut off, and if there
+        in_contact_since: when the primary was heard again after a partition; None while cut off, and if there
             was no partition.
     """
 
@@ -39,17 +39,17 @@
         hub: WatchHub,
         source: int,
         is_founding: bool,
-        send_to_others: Callable[[PrefixIndexAdditions | PrefixIndexRequest], None],
+        broadcast: Callable[[PrefixIndexAdditions | PrefixIndexRequest], None],
     ) -> None:
         """`source`: a number drawn at random when the process starts. `is_founding`: whether the core starts
         for the first time, so that an empty index is valid.
         """
         self.hub = hub
-        self.send_to_others = send_to_others
+        self.broadcast = broadcast
         self.index = PrefixIndex(source, is_founding)
         hub.prefix_index = self.index
         self.requested_at = 0.0
-        self.in_touch_since: float | None = None
+        self.in_contact_since: float | None = None
 
     def tick(self, now: float, primary_heard_at: float) -> None:
         """Invalidates the index while cut off, recovers it afterwards, and sends additions to the other
@@ -58,33 +58,33 @@
         """
         if now - primary_heard_at > PRIMARY_TIMEOUT_S:
             self.index.invalidate()
-            self.in_touch_since = None
+            self.in_contact_since = None
         elif not self.index.is_valid:
             self.recover(now)
         if self.hub.unsent_prefix_reads:
             pairs = tuple(self.hub.unsent_prefix_reads)
             self.hub.unsent_prefix_reads = []
-            self.send_to_others(PrefixIndexAdditions(pairs))
+            self.broadcast(PrefixIndexAdditions(pairs))
 
     def recover(self, now: float) -> None:
         """Asks the other members for their index while the own one is invalid and the primary is heard;
         starts with an empty one if none answers in time.
         """
-        if self.in_touch_since is None:
-            self.in_touch_since = now
-        if now - self.in_touch_since > NO_ANSWER_TIMEOUT_S:
+        if self.in_contact_since is None:
+            self.in_contact_since = now
+        if now - self.in_contact_since > NO_ANSWER_TIMEOUT_S:
             self.index.reset()
         elif now - self.requested_at >= REQUEST_INTERVAL_S:
             self.requested_at = now
-            self.send_to_others(PrefixIndexRequest())
+            self.broadcast(PrefixIndexRequest())
 
     def receive(
         self,
         now: float,
         message: PrefixIndexAdditions | PrefixIndexUpdate | PrefixIndexRequest,
-        answer: Callable[[bytes], None],
+        respond: Callable[[bytes], None],
     ) -> None:
-        """Handles a message of another member; `answer` sends an encoded message back to it."""
+        """Handles a message of another member; `respond` sends an encoded message back to it."""
         match message:
             case PrefixIndexAdditions(pairs):
                 self.index.add(now, pairs)
@@ -93,7 +93,7 @@
             case PrefixIndexRequest():
                 update = self.index.update_since(0, -1)
                 if update is not None:
-                    answer(control_messages.encode(update))
+                    respond(control_messages.encode(update))
 
     def retain_endpoints(self, endpoint_list: EndpointList) -> None:
         """Handles a change of the endpoint list: removes incarnations that are gone, as they cache
--- a/shedgrade/controlplane/reachability.py
+++ b/shedgrade/controlplane/reachability.py
@@ -14,17 +14,17 @@
 MEMBER_TIMEOUT_S = 0.8  # without a message, after which another member counts as unreachable
 
 
-class RouteNeeds(msgspec.Struct, frozen=True):
+class RouteRequirements(msgspec.Struct, frozen=True):
     """What one region needs to serve a route by itself.
 
     Attributes:
         host: host of the route, in lower case.
-        is_at_home: whether this region is one of the route's homes, or the route has none.
+        is_home_region: whether this region is one of the route's homes, or the route has none.
         services: the services that get a share of the route's requests.
     """
 
     host: str
-    is_at_home: bool
+    is_home_region: bool
     services: frozenset[str]
 
 
@@ -44,9 +44,9 @@
         self.region = region
         self.last_heard_at: dict[str, float] = {}
         self.configuration: bytes | None = None
-        self.routes: list[RouteNeeds] = []
+        self.routes: list[RouteRequirements] = []
 
-    def heard(self, now: float, member: str) -> None:
+    def record_contact(self, now: float, member: str) -> None:
         """Records that a message of that member arrived."""
         self.last_heard_at[member] = now
 
@@ -80,15 +80,15 @@
             self.routes = self.read_routes(configuration)
         local = frozenset(local_services)
         return frozenset(
-            route.host for route in self.routes if not (route.is_at_home and route.services & local)
+            route.host for route in self.routes if not (route.is_home_region and route.services & local)
         )
 
-    def read_routes(self, configuration: bytes) -> list[RouteNeeds]:
+    def read_routes(self, configuration: bytes) -> list[RouteRequirements]:
         """Returns what each route of that configuration needs; nothing before the first configuration."""
         if not configuration:
             return []
         return [
-            RouteNeeds(
+            RouteRequirements(
                 route.host.lower(),
                 not route.home_regions or self.region in route.home_regions,
                 frozenset(service for service, weight in route.weights().items() if weight > 0),
--- a/tests/controlplane/test_cut_off_side.py
+++ b/tests/controlplane/test_cut_off_side.py
@@ -53,7 +53,7 @@
 def reach():
     reach = ReachabilityMonitor("a:1", "south")
     for member in MEMBERS[1:]:
-        reach.heard(10.0, member)
+        reach.record_contact(10.0, member)
     return reach
 
 
@@ -64,7 +64,7 @@
 
 def test_a_majority_that_votes_is_not_cut_off(reach):
     """Its primary died: what the two that are left say to each other tells that from a cut."""
-    reach.heard(10.6, "b:1")
+    reach.record_contact(10.6, "b:1")
     assert not reach.is_cut_off(11.3, MEMBERS, 10.0)
 
 
@@ -75,9 +75,9 @@
 
 def test_half_is_no_majority():
     reach = ReachabilityMonitor("a:1", "south")
-    reach.heard(10.0, "b:1")
+    reach.record_contact(10.0, "b:1")
     assert reach.is_cut_off(10.1, (*MEMBERS, "d:1"), 1.0)
-    reach.heard(10.0, "d:1")
+    reach.record_contact(10.0, "d:1")
     assert not reach.is_cut_off(10.1, (*MEMBERS, "d:1"), 1.0)
 
 
