--- a/shedgrade/controlplane/directory_service.py
+++ b/shedgrade/controlplane/directory_service.py
@@ -17,8 +17,8 @@
 class DirectoryService:
     """Answers requests to the directory.
 
-    `members()`: peer addresses of the core members. `contact_at()`: when this member last heard from the
-    primary, or was confirmed as primary, on the loop's clock.
+    `members()`: peer addresses of the core members. `primary_contact_at()`: when this member last heard from
+    the primary, or was confirmed as primary, on the loop's clock.
     """
 
     def __init__(
@@ -29,14 +29,14 @@
         endpoint_sync: EndpointListSync,
         reachability: ReachabilityMonitor,
         members: Callable[[], tuple[str, ...]],
-        contact_at: Callable[[], float],
+        primary_contact_at: Callable[[], float],
     ) -> None:
         self.loop = loop
         self.random = random
         self.endpoint_sync = endpoint_sync
         self.reachability = reachability
         self.members = members
-        self.contact_at = contact_at
+        self.primary_contact_at = primary_contact_at
         self.home_regions = HomeRegions()
         self.apply_settings(settings)
 
@@ -53,7 +53,7 @@
         """Responds with the edges to which the client may be sent."""
         now = self.loop.time()
         stranded: frozenset[str] = frozenset()
-        if self.reachability.is_cut_off(now, self.members(), self.contact_at()):
+        if self.reachability.is_cut_off(now, self.members(), self.primary_contact_at()):
             services = self.endpoint_sync.services_in(self.region)
             stranded = self.reachability.stranded_hosts(self.hub.configuration, services)
         edges = self.hub.listed_edges(now)
--- a/shedgrade/controlplane/message_dispatcher.py
+++ b/shedgrade/controlplane/message_dispatcher.py
@@ -21,7 +21,7 @@
 )
 from shedgrade.controlplane.command_router import CommandRouter
 from shedgrade.controlplane.endpoint_list_sync import ENDPOINT_LIST_ROLE, EndpointListSync
-from shedgrade.controlplane.peer_messenger import PeerMessenger, control_body
+from shedgrade.controlplane.peer_messenger import PeerMessenger, encode_control_message
 from shedgrade.controlplane.prefix_index_exchange import PrefixIndexExchange
 from shedgrade.controlplane.reachability import ReachabilityMonitor
 from shedgrade.controlplane.singleton_roles import SingletonRoles
@@ -98,7 +98,7 @@
 
         self.dispatch(frame.sender, frame.body, respond)
 
-    def on_frame_of_own_connection(self, sender: str, frame: Frame) -> None:
+    def on_outbound_connection_frame(self, sender: str, frame: Frame) -> None:
         """Handles a frame on a connection that this process opened."""
         self.dispatch(sender, frame.body, lambda body: self.messenger.links.send(sender, body))
 
@@ -140,9 +140,9 @@
                 self.on_control_message(now, sender, control_messages.decode(body), respond, unread_s)
             elif channel == COMMAND_CHANNEL:
                 self.router.on_forwarded(body, respond)
-        except msgspec.MsgspecError as wrong:
+        except msgspec.MsgspecError as error:
             # Guards against a process of another version: its message is logged and skipped.
-            logger.warning("message decode failed", sender=sender, error=str(wrong))
+            logger.warning("message decode failed", sender=sender, error=str(error))
         self.run_state_machines()
 
     def on_control_message(
@@ -169,16 +169,18 @@
                 self.reachability.record_contact(now - unread_s, sender)
                 self.hub.update_edges(now, message, unread_s)
             case EndpointListRequest(term, number):
-                respond(control_body(self.endpoint_sync.endpoint_list.update_since(term, number, now)))
+                respond(
+                    encode_control_message(self.endpoint_sync.endpoint_list.update_since(term, number, now))
+                )
             case EndpointUpdate():
                 if self.endpoint_sync.on_update(now, message, unread_s):
-                    respond(control_body(self.endpoint_sync.endpoint_list.request(now)))
+                    respond(encode_control_message(self.endpoint_sync.endpoint_list.request(now)))
 
     def on_watch(self, now: float, request: WatchRequest, respond: Respond, unread_s: float) -> None:
         """Handles a watch of an edge, which is also its heartbeat."""
         # Guards against core members that all restarted: their terms must go above the one that edges have.
         self.roles.observe_term(now, ENDPOINT_LIST_ROLE, request.endpoints_version[0])
-        before = self.hub.edges.own_version
-        self.hub.watch(now, request, lambda response: respond(control_body(response)), unread_s)
-        if self.hub.edges.own_version != before:
+        version_before = self.hub.edges.own_version
+        self.hub.watch(now, request, lambda response: respond(encode_control_message(response)), unread_s)
+        if self.hub.edges.own_version != version_before:
             self.report_edges(now)
--- a/shedgrade/controlplane/peer_messenger.py
+++ b/shedgrade/controlplane/peer_messenger.py
@@ -36,16 +36,16 @@
 
     def send_control(self, address: str, message: msgspec.Struct) -> None:
         """Sends a control message to one process."""
-        self.links.send(address, control_body(message))
+        self.links.send(address, encode_control_message(message))
 
     def broadcast_control(self, message: msgspec.Struct) -> None:
         """Sends a control message to all other core members."""
-        body = control_body(message)
+        body = encode_control_message(message)
         for address in self.members():
             if address != self.own_address:
                 self.links.send(address, body)
 
 
-def control_body(message: msgspec.Struct) -> bytes:
+def encode_control_message(message: msgspec.Struct) -> bytes:
     """Returns the encoded control message, preceded by its channel."""
     return CONTROL_CHANNEL + control_messages.encode(message)
--- a/shedgrade/controlplane/periodic_tasks.py
+++ b/shedgrade/controlplane/periodic_tasks.py
@@ -41,9 +41,10 @@
         stalls: StallDetector,
         messenger: PeerMessenger,
         reloader: SettingsReloader,
-        contact_at: Callable[[], float],
+        primary_contact_at: Callable[[], float],
     ) -> None:
-        """`contact_at()`: when this member last heard from the primary, or was confirmed as primary."""
+        """`primary_contact_at()`: when this member last heard from the primary, or was confirmed as
+        primary."""
         self.loop = loop
         self.member = member
         self.roles = roles
@@ -55,7 +56,7 @@
         self.stalls = stalls
         self.messenger = messenger
         self.reloader = reloader
-        self.contact_at = contact_at
+        self.primary_contact_at = primary_contact_at
         self.edge_report_at = 0.0
 
     def run_maintenance(self) -> None:
@@ -67,7 +68,7 @@
         self.stalls.observe(now)
         self.hub.set_confirmed_at(self.member.confirmed_at)
         self.hub.set_members(now, self.messenger.members())
-        self.prefix_exchange.tick(now, self.contact_at())
+        self.prefix_exchange.tick(now, self.primary_contact_at())
         if self.roles.is_held(ENDPOINT_LIST_ROLE) and self.endpoint_sync.has_failed:
             self.roles.release(now, ENDPOINT_LIST_ROLE)
         if now >= self.edge_report_at:
--- a/shedgrade/controlplane/plane.py
+++ b/shedgrade/controlplane/plane.py
@@ -61,44 +61,44 @@
         settings: Settings,
         loop: asyncio.AbstractEventLoop,
         random: Random,
-        watched: SettingsFileWatcher | None = None,
+        settings_watcher: SettingsFileWatcher | None = None,
         *,
         files: WritableFolder | None = None,
         make_disk: Callable[..., DiskThread] = DiskThread,
         wall_clock: Callable[[], float] = time,
     ) -> None:
-        """`watched`: the settings file, which may change; None if there is none. A simulated machine passes
-        `files`, `make_disk` (same signature as `DiskThread`) and `wall_clock` (s since 1970)."""
+        """`settings_watcher`: the settings file, which may change; None if there is none. A simulated machine
+        passes `files`, `make_disk` (same signature as `DiskThread`) and `wall_clock` (s since 1970)."""
         self.settings = settings
         self.loop = loop
         self.random = random
         self.own = settings.link_address
         self.store = Store(settings.data_dir, files)
-        found = load_store(self.store)
-        for finding in found.findings:
+        loaded = load_store(self.store)
+        for finding in loaded.findings:
             logger.warning("disk finding", finding=str(finding))
         self.disk = make_disk(loop, self.store, self.on_persisted)
-        self.founding = settings.initial_start and found.state == "empty"
-        self.make_replication(found)
+        self.is_founding = settings.initial_start and loaded.state == "empty"
+        self.make_replication(loaded)
         self.make_links()
         self.make_endpoint_list(wall_clock)
         self.make_hub()
         self.make_gossip()
-        self.make_services(watched)
+        self.make_services(settings_watcher)
         self.make_driver()
 
     # --- construction, in an order that determines the numbers drawn from `random`
 
-    def make_replication(self, found: LoadResult) -> None:
+    def make_replication(self, loaded: LoadResult) -> None:
         """Creates this machine's member of the group that replicates the control state."""
         settings = self.settings
         self.member = Member(
             settings.node_name,
             self.own,
-            founding=self.founding,
+            founding=self.is_founding,
             seeds=settings.seed_links,
             tolerated=settings.tolerated.machines,
-            found=found.values or None,
+            found=loaded.values or None,
             random=self.random,
             now=self.loop.time(),
             decide=make_decide(settings.zones),
@@ -108,7 +108,7 @@
         """Creates the links to other processes, and the router that forwards commands over them."""
         settings = self.settings
         self.links = PeerConnectionPool(
-            self.loop, self.own, self.on_frame_of_own_connection, settings.ip_address, self.on_frame
+            self.loop, self.own, self.on_outbound_connection_frame, settings.ip_address, self.on_frame
         )
         listen_at = (settings.ip_address, settings.internal_ports[0])
         self.server = PeerServer(self.loop, listen_at, self.own, self.on_frame, self.links.adopt)
@@ -145,7 +145,7 @@
             self.endpoint_sync,
             self.reachability,
             self.member_addresses,
-            self.contact_at,
+            self.primary_contact_at,
         )
         self.hub = WatchHub(
             self.loop.time(),
@@ -154,7 +154,7 @@
         )
         self.directory_service.connect(self.hub)
         self.prefix_exchange = PrefixIndexExchange(
-            self.hub, self.random.getrandbits(40) + 1, self.founding, self.messenger.broadcast_control
+            self.hub, self.random.getrandbits(40) + 1, self.is_founding, self.messenger.broadcast_control
         )
         self.loads = LoadAggregator(self.own)
         self.endpoint_sync.connect(self.hub, self.prefix_exchange, self.loads)
@@ -172,11 +172,11 @@
         )
         self.gossip = Gossip(self.loop, node, settings.seed_gossips, self.random)
 
-    def make_services(self, watched: SettingsFileWatcher | None) -> None:
+    def make_services(self, settings_watcher: SettingsFileWatcher | None) -> None:
         """Creates the HTTP API for operators and the reloading of settings."""
         self.operator_api = OperatorApi(self.command_router, self.status)
-        self.http: list[HttpServer] = []
-        self.reloader = SettingsReloader(self.settings, watched, self.apply_settings)
+        self.http_servers: list[HttpServer] = []
+        self.reloader = SettingsReloader(self.settings, settings_watcher, self.apply_settings)
 
     def make_driver(self) -> None:
         """Creates the parts that run the state machines on instructions, messages and time."""
@@ -202,7 +202,7 @@
             stalls=self.stalls,
             messenger=self.messenger,
             reloader=self.reloader,
-            contact_at=self.contact_at,
+            primary_contact_at=self.primary_contact_at,
         )
         self.dispatcher = MessageDispatcher(
             self.loop,
@@ -234,9 +234,9 @@
         """Handles a frame on a connection that another process opened."""
         self.dispatcher.on_frame(connection, frame)
 
-    def on_frame_of_own_connection(self, sender: str, frame: Frame) -> None:
+    def on_outbound_connection_frame(self, sender: str, frame: Frame) -> None:
         """Handles a frame on a connection that this process opened."""
-        self.dispatcher.on_frame_of_own_connection(sender, frame)
+        self.dispatcher.on_outbound_connection_frame(sender, frame)
 
     # --- queries that several parts make
 
@@ -244,7 +244,7 @@
         """Returns the peer addresses of the members in the newest epoch, or the seeds before there is one."""
         return tuple(peer.address for peer in self.member.members) or self.settings.seed_links
 
-    def contact_at(self) -> float:
+    def primary_contact_at(self) -> float:
         """Returns when this member last heard from the primary, or was confirmed as primary by a majority."""
         return max(self.member.primary_heard_at, self.member.confirmed_at)
 
@@ -285,11 +285,13 @@
         if "control" in listen:
             handle = self.operator_api.handle
             earliest = self.arrivals.earliest
-            self.http.append(HttpServer(self.loop, listen["control"], handle, logger, earliest=earliest))
+            self.http_servers.append(
+                HttpServer(self.loop, listen["control"], handle, logger, earliest=earliest)
+            )
         if "directory" in listen:
             handle = self.directory_service.resolve
-            self.http.append(HttpServer(self.loop, listen["directory"], handle, logger))
-        for server in self.http:
+            self.http_servers.append(HttpServer(self.loop, listen["directory"], handle, logger))
+        for server in self.http_servers:
             await server.start()
         # All objects created until now live as long as the process; the garbage collector can skip them.
         gc.collect()
@@ -299,13 +301,13 @@
         self.arrivals.start()
         if not self.settings.initial_start:
             load = self.endpoint_sync.load_at_start(self.settings)
-            self.loading = self.loop.create_task(load)
+            self.load_task = self.loop.create_task(load)
 
     async def stop(self) -> None:
         """Closes all parts, after the last messages have been sent."""
         self.gossip.announce_state("leaving")
         await asyncio.sleep(LINGER_S)
-        for server in self.http:
+        for server in self.http_servers:
             server.close()
         self.arrivals.close()
         self.endpoint_sync.stop()
--- a/shedgrade/controlplane/state_machine_driver.py
+++ b/shedgrade/controlplane/state_machine_driver.py
@@ -15,7 +15,7 @@
 
 Effect = Send | Persist | Answer | Committed | Exit
 
-SHORTEST_DELAY_S = 0.001  # of the timer, even if something is already due
+MIN_TIMER_DELAY_S = 0.001  # of the timer, even if something is already due
 
 WriteToDisk = Callable[[int, Mapping[str, bytes | None]], None]  # (token, changes)
 
@@ -25,7 +25,7 @@
 
     Attributes:
         may_exit: set once the member has left its group; no timer is set afterwards.
-        running: whether `run` is active; instructions that are added meanwhile are carried out by the same
+        is_running: whether `run` is active; instructions that are added meanwhile are carried out by the same
             call.
         timer: timer for `wake_at`; None if nothing is due, and while its callback runs.
         wake_at: the earliest time at which a state machine is due, on the loop's clock.
@@ -52,7 +52,7 @@
         self.write_to_disk = write_to_disk
         self.router = router
         self.may_exit = asyncio.Event()
-        self.running = False
+        self.is_running = False
         self.timer: asyncio.TimerHandle | None = None
         self.wake_at = inf
 
@@ -63,9 +63,9 @@
 
     def run(self) -> None:
         """Carries out the instructions of the state machines, and sets the timer."""
-        if self.running:
+        if self.is_running:
             return
-        self.running = True
+        self.is_running = True
         try:
             while self.member.effects or self.roles.instructions:
                 effects, self.member.effects[:] = list(self.member.effects), []
@@ -75,7 +75,7 @@
                 for instruction in instructions:
                     self.carry_out_for_role(instruction)
         finally:
-            self.running = False
+            self.is_running = False
         self.set_timer()
 
     def carry_out(self, effect: Effect) -> None:
@@ -113,7 +113,7 @@
             self.timer = None
         self.wake_at = at
         if at != inf and not self.may_exit.is_set():
-            self.timer = self.loop.call_at(max(at, self.loop.time() + SHORTEST_DELAY_S), self.on_timer)
+            self.timer = self.loop.call_at(max(at, self.loop.time() + MIN_TIMER_DELAY_S), self.on_timer)
 
     def on_timer(self) -> None:
         """Calls the state machines, of which at least one is due."""
