--- a/tests/controlplane/commands_model.py
+++ b/tests/controlplane/commands_model.py
@@ -80,10 +80,10 @@
         pause, until = 0.05, self.net.loop.time() + within
         while self.net.loop.time() < until:
             call = Call(self.net, self.name, self.random.choice("abc"), method, path, body, base)
-            await asyncio.wait([call.answer], timeout=ATTEMPT_TIMEOUT_S)
+            await asyncio.wait([call.response], timeout=ATTEMPT_TIMEOUT_S)
             call.close()
-            if call.answer.done() and call.answer.result().status < 500:
-                return call.answer.result()
+            if call.response.done() and call.response.result().status < 500:
+                return call.response.result()
             await asyncio.sleep(pause * self.random.uniform(0.5, 1.0))
             pause = min(2 * pause, 0.5)
         return None
@@ -166,7 +166,7 @@
             callers = [f"operator-{number}" for number in range(WRITERS)] + list(ZONES)
             net.cut(*((caller, name) for caller in callers))
         await asyncio.sleep(seconds)
-        net.processes[name].loop.thaw()
+        net.processes[name].loop.resume()
         net.heal()
 
 
@@ -176,11 +176,11 @@
     async def scenario(loop):
         random = Random(seed)
         net = Net(loop, seed, delay=random.choice((0.002, 0.02, 0.05)))
-        net.finished = lambda state: record_zone_changes(history, loop.time(), state)
+        net.on_committed = lambda state: record_zone_changes(history, loop.time(), state)
         while net.primary() is None:
             await asyncio.sleep(0.1)
         lost = random.choice(RESPONSE_LOSS_RATES)
-        net.loses = lambda: random.random() < lost
+        net.loses_response = lambda: random.random() < lost
         operators = [
             Operator(net, f"operator-{number}", random, history).write_configurations()
             for number in range(WRITERS)
@@ -194,11 +194,11 @@
             task.cancel()
         net.heal()
         for process in net.processes.values():
-            process.loop.thaw()
+            process.loop.resume()
         await asyncio.sleep(6.0)
         history.state = dict(net.processes[net.primary()].member.committed.state)
 
-    virtual_loop.play(scenario)
+    virtual_loop.run_scenario(scenario)
     return history
 
 
--- a/tests/controlplane/control_net.py
+++ b/tests/controlplane/control_net.py
@@ -1,9 +1,9 @@
 """Core members with their real `Member`, `CommandRouter` and `OperatorApi` on an asyncio loop of virtual
 time.
 
-Frames between members and requests of callers have delays; a `Process` may be stopped and thawed (what came
-meanwhile lies unread in its buffers, its timers are late), and links may be cut: what was under way is held
-and comes when the cut ends, in order.
+Frames between members and requests of callers are delayed. A `Process` can be stopped and resumed: what
+arrived meanwhile is unread in its buffers, and its timers are late. Links can be cut: data in transit is held
+and delivered in order when the cut ends.
 """
 
 from collections import deque
@@ -20,12 +20,12 @@
 
 ZONES = {"hall-1": "north", "hall-2": "south", "hall-3": "south", "hall-4": "west"}
 NAMES = ("a", "b", "c")
-DISK = 0.004  # s of one write
-TIMER, FRAME, REQUEST = range(3)  # in which order a process that is thawed meets what is due
+DISK_WRITE_S = 0.004  # duration of one write
+TIMER, FRAME, REQUEST = range(3)  # the order in which a resumed process handles what is due
 
 
 class ProcessLoop:
-    """The loop as one process sees it: while it is stopped nothing runs, and all is late afterwards."""
+    """The loop of one process. While the process is stopped, no callback runs; all run late afterwards."""
 
     def __init__(self, loop):
         self.loop, self.stopped = loop, False
@@ -34,11 +34,11 @@
     def time(self):
         return self.loop.time()
 
-    def run(self, kind, job):
+    def run(self, event_kind, callback):
         if self.stopped:
-            self.unread.append((kind, job))
+            self.unread.append((event_kind, callback))
         else:
-            job()
+            callback()
 
     def call_later(self, delay, callback, *args):
         timer = Timer(lambda: callback(*args))
@@ -51,143 +51,157 @@
     def stop(self):
         self.stopped = True
 
-    def thaw(self):
-        """Timers that are due run first, as in libuv. Then, at worst, what the others said is read, and
-        after it what callers asked meanwhile."""
+    def resume(self):
+        """Runs the timers that are due first, as libuv does, and then handles the frames of other members
+        before the requests of callers, which is the worst order."""
         self.stopped = False
-        unread, self.unread = sorted(self.unread, key=lambda each: each[0]), deque()
-        for kind, job in unread:
-            self.run(kind, job)
+        unread, self.unread = sorted(self.unread, key=lambda entry: entry[0]), deque()
+        for event_kind, callback in unread:
+            self.run(event_kind, callback)
 
 
 class Timer:
-    def __init__(self, job):
-        self.job, self.cancelled = job, False
+    def __init__(self, callback):
+        self.callback, self.cancelled = callback, False
 
     def cancel(self):
         self.cancelled = True
 
     def fire(self):
         if not self.cancelled:
-            self.job()
+            self.callback()
 
 
 class Process:
-    """One core process. `links` of its `CommandRouter` is itself."""
+    """One core process. It also serves as the `links` of its `CommandRouter`."""
 
     def __init__(self, net, name):
         self.net, self.name, self.address = net, name, f"{name}:1"
         self.loop = ProcessLoop(net.loop)
         self.calls: dict[int, Callable[[bytes], None]] = {}
         self.disk: dict[str, bytes] = {}
-        self.pumping, self.last_call, self.wake = False, 0, None
+        self.is_running, self.last_call_number, self.timer = False, 0, None
         self.member = Member(
             name,
             self.address,
             founding=True,
-            seeds=tuple(f"{one}:1" for one in NAMES),
+            seeds=tuple(f"{peer}:1" for peer in NAMES),
             tolerated=1,
             found=None,
             random=Random(f"{net.seed}{name}"),
             now=net.loop.time(),
             decide=net.decide,
         )
-        self.command_router = CommandRouter(self.loop, self.member, self, self.pump)
+        self.command_router = CommandRouter(self.loop, self.member, self, self.run_effects)
         self.operator_api = OperatorApi(self.command_router)
         self.arrivals = ArrivalClock(self.loop, self.loop.time)
         self.arrivals.start()
-        self.pump()
+        self.run_effects()
 
-    def pump(self):
-        if self.pumping:
+    def run_effects(self):
+        if self.is_running:
             return
-        self.pumping = True
+        self.is_running = True
         while self.member.effects:
             match self.member.effects.pop(0):
                 case Send(to, message):
-                    self.net.frame(
+                    self.net.send_frame(
                         self.name,
                         to[0],
-                        lambda process, message=message: process.heard(self.address, message),
+                        lambda process, message=message: process.receive(self.address, message),
                     )
                 case Persist(token, changes):
                     self.disk.update(changes)
-                    self.loop.call_later(DISK, self.persisted, token)
+                    self.loop.call_later(DISK_WRITE_S, self.persisted, token)
                 case Answer(ticket, outcome):
                     self.command_router.on_member_outcome(ticket, outcome)
                 case Committed(epoch, sequence, state):
-                    self.net.learnt((epoch, sequence), state)
-        self.pumping = False
+                    self.net.record_committed((epoch, sequence), state)
+        self.is_running = False
         self.command_router.check_invariants()
-        if self.wake is not None:
-            self.wake.cancel()
+        if self.timer is not None:
+            self.timer.cancel()
         delay = max(self.member.wake_at() - self.loop.time(), 0.001)
-        self.wake = self.loop.call_later(min(delay, 10.0), self.tick)
+        self.timer = self.loop.call_later(min(delay, 10.0), self.tick)
 
     def tick(self):
         self.member.tick(self.loop.time())
-        self.pump()
+        self.run_effects()
 
     def persisted(self, token):
         self.member.persisted(self.loop.time(), token, True)
-        self.pump()
+        self.run_effects()
 
-    def heard(self, sender, message):
+    def receive(self, sender, message):
         self.member.receive(self.loop.time(), sender, message)
-        self.pump()
+        self.run_effects()
 
     # --- links
 
     async def call(self, address, body, timeout):
-        self.last_call += 1
-        number, answer = self.last_call, self.net.loop.create_future()
-        self.calls[number] = lambda body: answer.done() or answer.set_result(body)
-        self.loop.call_later(timeout, lambda: answer.done() or answer.set_exception(PeerCallError("late")))
-        self.net.frame(self.name, address[0], lambda other: other.forwarded(self.name, number, body))
+        self.last_call_number += 1
+        number, response = self.last_call_number, self.net.loop.create_future()
+        self.calls[number] = lambda body: response.done() or response.set_result(body)
+        self.loop.call_later(
+            timeout, lambda: response.done() or response.set_exception(PeerCallError("late"))
+        )
+        self.net.send_frame(
+            self.name, address[0], lambda other: other.receive_forwarded(self.name, number, body)
+        )
         try:
-            return await answer
+            return await response
         finally:
             del self.calls[number]
 
-    def forwarded(self, sender, number, body):
+    def receive_forwarded(self, sender, number, body):
         self.command_router.on_forwarded(
             body[1:],
-            lambda said: self.net.frame(
-                self.name, sender, lambda other: other.calls.get(number, lambda said: None)(said)
+            lambda response_body: self.net.send_frame(
+                self.name,
+                sender,
+                lambda other: other.calls.get(number, lambda response_body: None)(response_body),
             ),
         )
 
 
 class Net:
-    """`delay`: s of one way. `loses()`: whether an answer to a caller is lost."""
+    """The processes and the network between them and their callers.
+
+    Attributes:
+        delay: one-way delay, in s.
+        cuts: by pair of ends, the frames held until the cut ends.
+        latest_arrival: by sender and receiver, when the last frame sent arrives.
+        loses_response: returns whether a response to a caller is lost.
+        on_committed: called with each newly committed state.
+    """
 
     def __init__(self, loop, seed=1, delay=0.02, decide=None):
         self.loop, self.seed, self.delay = loop, seed, delay
         self.decide = decide or make_decide(ZONES)
         self.random = Random(seed)
-        self.cuts: dict[frozenset[str], list[tuple]] = {}  # by pair of ends: what is held up
-        self.newest: dict[tuple[str, str], float] = {}  # by way: when what was sent last comes
-        self.loses = lambda: False
-        self.finished = lambda state: None
-        self.newest_mark = (0, 0)
+        self.cuts: dict[frozenset[str], list[tuple]] = {}
+        self.latest_arrival: dict[tuple[str, str], float] = {}
+        self.loses_response = lambda: False
+        self.on_committed = lambda state: None
+        self.newest_position = (0, 0)
         self.processes = {name: Process(self, name) for name in NAMES}
 
-    def frame(self, sender, receiver, job):
+    def send_frame(self, sender, receiver, callback):
         process = self.processes[receiver]
-        self.carry(sender, receiver, lambda: process.loop.run(FRAME, lambda: job(process)))
+        self.transmit(sender, receiver, lambda: process.loop.run(FRAME, lambda: callback(process)))
 
-    def carry(self, sender, receiver, job):
-        held = self.cuts.get(frozenset((sender, receiver)))
-        if held is not None:
-            held.append((sender, receiver, job))
+    def transmit(self, sender, receiver, callback):
+        held_frames = self.cuts.get(frozenset((sender, receiver)))
+        if held_frames is not None:
+            held_frames.append((sender, receiver, callback))
         else:
-            self.send(sender, receiver, job)
+            self.send(sender, receiver, callback)
 
-    def send(self, sender, receiver, job):
-        """In order on each way, as a stream has it."""
-        at = max(self.loop.time() + self.delay, self.newest.get((sender, receiver), 0.0) + 1e-6)
-        self.newest[sender, receiver] = at
-        self.loop.call_at(at, job)
+    def send(self, sender, receiver, callback):
+        """Delivers after the delay, in order for each sender and receiver, as a stream does."""
+        at = max(self.loop.time() + self.delay, self.latest_arrival.get((sender, receiver), 0.0) + 1e-6)
+        self.latest_arrival[sender, receiver] = at
+        self.loop.call_at(at, callback)
 
     def cut(self, *pairs):
         for pair in pairs:
@@ -195,55 +209,55 @@
 
     def heal(self):
         cuts, self.cuts = self.cuts, {}
-        for held in cuts.values():
-            for frame in held:
+        for held_frames in cuts.values():
+            for frame in held_frames:
                 self.send(*frame)
 
-    def learnt(self, mark, state):
-        """`finished` is told each state once, when the first member learns that it is finished."""
-        if mark > self.newest_mark:
-            self.newest_mark = mark
-            self.finished(state)
+    def record_committed(self, position, state):
+        """Passes each state to `on_committed` once, when the first member learns that it is committed."""
+        if position > self.newest_position:
+            self.newest_position = position
+            self.on_committed(state)
 
     def primary(self):
-        found = [
+        primaries = [
             name
             for name, process in self.processes.items()
             if process.member.role == "primary" and not process.loop.stopped
         ]
-        return found[0] if found else None
+        return primaries[0] if primaries else None
 
 
 class Call:
-    """One call of a caller, whose end of the connection is `caller`."""
+    """One call of the HTTP API. `caller`: name of the calling end of the connection."""
 
     def __init__(self, net, caller, name, method, path, body=b"", base=None):
         self.net, self.process = net, net.processes[name]
         self.caller, self.name = caller, name
-        self.answer = net.loop.create_future()
-        self.closed = self.fin_came = False
-        self.sent_at, self.answered_at = net.loop.time(), None
+        self.response = net.loop.create_future()
+        self.closed = self.fin_received = False
+        self.sent_at, self.responded_at = net.loop.time(), None
         headers = {} if base is None else {b"if-match": b"%d" % base}
-        request = Request(method.encode(), path.encode(), {}, headers, body, None, lambda: self.fin_came)
-        net.carry(caller, name, lambda: self.process.loop.run(REQUEST, lambda: self.read(request)))
+        request = Request(method.encode(), path.encode(), {}, headers, body, None, lambda: self.fin_received)
+        net.transmit(caller, name, lambda: self.process.loop.run(REQUEST, lambda: self.handle(request)))
 
-    def read(self, request):
+    def handle(self, request):
         request.arrived_after = self.process.arrivals.earliest()
-        self.process.operator_api.handle(request, self.told)
+        self.process.operator_api.handle(request, self.respond)
 
-    def told(self, reply):
-        def came():
-            if not self.closed and not self.answer.done():
-                self.answered_at = self.net.loop.time()
-                self.answer.set_result(reply)
+    def respond(self, reply):
+        def deliver():
+            if not self.closed and not self.response.done():
+                self.responded_at = self.net.loop.time()
+                self.response.set_result(reply)
 
-        if not self.net.loses():
-            self.net.carry(self.name, self.caller, came)
+        if not self.net.loses_response():
+            self.net.transmit(self.name, self.caller, deliver)
 
     def close(self):
         self.closed = True
-        self.net.carry(self.caller, self.name, self.fin)
+        self.net.transmit(self.caller, self.name, self.receive_fin)
 
-    def fin(self):
-        """The kernel knows, also while the process stands still."""
-        self.fin_came = True
+    def receive_fin(self):
+        """The kernel takes note of the FIN, even while the process is stopped."""
+        self.fin_received = True
--- a/tests/controlplane/test_command_router.py
+++ b/tests/controlplane/test_command_router.py
@@ -39,21 +39,21 @@
 
 async def response_of(call, within=3.0):
     """The status, and the seconds from sending to response."""
-    reply = await asyncio.wait_for(call.answer, within)
-    return reply.status, call.answered_at - call.sent_at
+    reply = await asyncio.wait_for(call.response, within)
+    return reply.status, call.responded_at - call.sent_at
 
 
 def others(net, name):
     return [one for one in net.processes if one != name]
 
 
-def play(scenario):
+def run_scenario(scenario):
     async def run(loop):
         net = Net(loop)
         await wait_until_ready(net)
         await scenario(net)
 
-    virtual_loop.play(run)
+    virtual_loop.run_scenario(run)
 
 
 def test_any_member_accepts_commands_and_reads():
@@ -64,9 +64,9 @@
             for reader in net.processes:
                 call = get(net, reader)
                 assert (await response_of(call))[0] == 200
-                assert call.answer.result().body == configuration(version)
+                assert call.response.result().body == configuration(version)
 
-    play(scenario)
+    run_scenario(scenario)
 
 
 def test_a_forwarded_read_does_not_transfer_a_configuration_that_the_member_holds():
@@ -84,15 +84,15 @@
         )
         for name in others(net, net.primary()):
             call = get(net, name)
-            assert (await response_of(call))[0] == 200 and call.answer.result().body == raw
+            assert (await response_of(call))[0] == 200 and call.response.result().body == raw
             member = net.processes[name].member
             held, member.replica.committed = member.replica.committed, CommittedState(0, 0, {})
             call = get(net, name)
-            assert (await response_of(call))[0] == 200 and call.answer.result().body == raw
+            assert (await response_of(call))[0] == 200 and call.response.result().body == raw
             member.replica.committed = held
         assert [size > 100_000 for size in sizes] == [False, True] * 2
 
-    play(scenario)
+    run_scenario(scenario)
 
 
 def test_an_isolated_member_responds_503_before_its_caller_gives_up():
@@ -111,13 +111,13 @@
                 ):
                     status, seconds = await response_of(call)
                     assert status == 503 and seconds < MAX_RESPONSE_TIME_S
-                    assert dict(call.answer.result().headers)[b"Retry-After"]
+                    assert dict(call.response.result().headers)[b"Retry-After"]
             for other in others(net, name):
-                net.processes[other].loop.thaw()
+                net.processes[other].loop.resume()
             await asyncio.sleep(3.0)
             assert (await response_of(get(net, name)))[0] == 200
 
-    play(scenario)
+    run_scenario(scenario)
 
 
 def test_a_member_without_a_primary_for_long_rejects_calls_at_once():
@@ -132,7 +132,7 @@
             await asyncio.sleep(3.0)
             assert (await response_of(get(net, name)))[0] in (200, 404)
 
-    play(scenario)
+    run_scenario(scenario)
 
 
 def test_calls_wait_for_a_new_primary_within_the_response_timeout():
@@ -155,7 +155,7 @@
         # A call sent before there was a new primary was held and succeeded.
         assert min(success_delays) < 0.9
 
-    play(scenario)
+    run_scenario(scenario)
 
 
 def test_a_large_body_extends_the_time_limits():
@@ -173,4 +173,4 @@
         status, seconds = await response_of(call, 5.0)
         assert status == 503 and 1.6 < seconds < 1.8
 
-    play(scenario)
+    run_scenario(scenario)
--- a/tests/controlplane/test_late_commands.py
+++ b/tests/controlplane/test_late_commands.py
@@ -24,8 +24,8 @@
     started_at = net.loop.time()
     while True:
         call = send_command(net, name, method, caller)
-        done, _ = await asyncio.wait([call.answer], timeout=ATTEMPT_TIMEOUT_S)
-        if done and call.answer.result().status == 200:
+        done, _ = await asyncio.wait([call.response], timeout=ATTEMPT_TIMEOUT_S)
+        if done and call.response.result().status == 200:
             return net.loop.time() - started_at
         call.close()
         assert net.loop.time() - started_at < 10.0
@@ -67,7 +67,7 @@
 
 
 def stopped(net, name):
-    return net.processes[name].loop.stop, net.processes[name].loop.thaw
+    return net.processes[name].loop.stop, net.processes[name].loop.resume
 
 
 def cut_from_caller(net, name):
@@ -78,13 +78,13 @@
     return lambda: net.cut(*((name, other) for other in net.processes if other != name)), net.heal
 
 
-def play(scenario, **options):
+def run_scenario(scenario, **options):
     async def run(loop):
         net = Net(loop, **options)
         await wait_until_ready(net)
         await scenario(net)
 
-    virtual_loop.play(run)
+    virtual_loop.run_scenario(run)
 
 
 ROLES = ("primary", "backup", "witness")
@@ -100,7 +100,7 @@
         found, acknowledged = await run_superseded(net, name, late, *hold_up(net, name))
         assert found == acknowledged
 
-    play(scenario)
+    run_scenario(scenario)
 
 
 async def late_applied_after_no_op(net, late):
@@ -124,7 +124,7 @@
     async def scenario(net):
         assert not await late_applied_after_no_op(net, late)
 
-    play(scenario)
+    run_scenario(scenario)
 
 
 def test_no_command_is_submitted_for_a_caller_that_has_gone():
@@ -148,7 +148,7 @@
         await asyncio.sleep(2.0)
         assert submissions == []
 
-    play(scenario)
+    run_scenario(scenario)
 
 
 def test_without_faults_commands_are_acknowledged_at_once_by_any_member():
@@ -161,7 +161,7 @@
             assert seconds < command_router.CLOSE_DELAY_S + 12 * net.delay
             assert evacuated(net) == (["hall-2"] if turn % 2 == 0 else [])
 
-    play(scenario, delay=0.03)
+    run_scenario(scenario, delay=0.03)
 
 
 def test_the_same_command_may_be_sent_to_all_members_at_once():
@@ -169,10 +169,10 @@
         for method in ("POST", "DELETE", "POST"):
             calls = [send_command(net, name, method) for name in net.processes for _ in range(3)]
             await asyncio.sleep(0.6)
-            assert [call.answer.result().status for call in calls] == [200] * 9
+            assert [call.response.result().status for call in calls] == [200] * 9
         assert evacuated(net) == ["hall-2"]
 
-    play(scenario)
+    run_scenario(scenario)
 
 
 # --- planted faults, each of which one of the tests above must find
@@ -231,7 +231,7 @@
     async def scenario(net):
         wrong.append(await late_applied_after_no_op(net, "POST"))
 
-    play(scenario)
+    run_scenario(scenario)
     assert wrong == [True]
 
 
@@ -253,5 +253,5 @@
         found, acknowledged = await run_superseded(net, name, "POST", *hold_up(net, name))
         wrong.append(found != acknowledged)
 
-    play(scenario)
+    run_scenario(scenario)
     assert wrong == [True]
--- a/tests/controlplane/test_platform_poller.py
+++ b/tests/controlplane/test_platform_poller.py
@@ -7,7 +7,7 @@
 import orjson
 import pytest
 import uvloop
-from virtual_loop import play
+from virtual_loop import run_scenario
 
 from shedgrade.control_messages import UNKNOWN_AGE_S, EndpointUpdate, decode, encode
 from shedgrade.controlplane.endpoint_list import EndpointList
@@ -330,7 +330,7 @@
         await asyncio.sleep(0.1)
         assert poller.task is None
 
-    play(run)
+    run_scenario(run)
 
 
 def test_the_list_is_polled_at_its_period_and_changes_are_reported():
--- a/tests/controlplane/test_poller_retarget.py
+++ b/tests/controlplane/test_poller_retarget.py
@@ -5,7 +5,7 @@
 from random import Random
 
 from test_platform_poller import API, Platform, entry
-from virtual_loop import play
+from virtual_loop import run_scenario
 
 from shedgrade.controlplane.endpoint_list import EndpointList
 from shedgrade.controlplane.platform_poller import Poller
@@ -25,7 +25,7 @@
         poller.stop()
         await asyncio.sleep(0.1)
 
-    play(run)
+    run_scenario(run)
 
 
 def test_the_next_list_comes_from_the_new_address():
--- a/tests/controlplane/test_stalled_process.py
+++ b/tests/controlplane/test_stalled_process.py
@@ -1,16 +1,16 @@
-"""A process that stood still: what waited unread meanwhile is no news."""
+"""A stopped process: messages that waited unread meanwhile must not count as recent."""
 
 import pytest
-from controlplane.cut_world import CutWorld
-from controlplane.virtual_loop import play
+from controlplane.cut_world import PartitionTestCluster
+from controlplane.virtual_loop import run_scenario
 
 from shedgrade.http.server import Request
 from shedgrade.runtime.stall_detection import FRAMES_SETTLING_S, STALL_THRESHOLD_S, StallDetector
 
-STOPPED = 20.0  # s
+STOP_DURATION_S = 20.0
 
 
-def test_what_is_read_after_a_stall_may_be_as_old_as_that():
+def test_messages_read_after_a_stall_may_be_as_old_as_the_stall():
     detector = StallDetector(10.0)
     for now in (10.25, 10.5, 10.5 + STALL_THRESHOLD_S):
         detector.observe(now)
@@ -33,45 +33,49 @@
     assert detector.unread_s(22.25) == 12.25
 
 
-def named(core) -> list[str] | int:
-    """What its directory answers: addresses, or the status of a refusal."""
-    told = []
+def directory_status(core) -> list[str] | int:
+    """Returns the status with which the member's directory answers."""
+    responses = []
     core.plane.directory_service.resolve(
-        Request(b"GET", b"/resolution", {"name": "a.example", "zone": "hall-1"}), told.append
+        Request(b"GET", b"/resolution", {"name": "a.example", "zone": "hall-1"}), responses.append
     )
-    return told[0].status
+    return responses[0].status
 
 
-@pytest.mark.parametrize("which", ["primary", "backup", "witness"])
-def test_heartbeats_lists_and_asks_that_waited_unread_are_no_news(tmp_path, which):
-    """It is stopped, then cut off, then goes on: all that it reads is from before the cut."""
+@pytest.mark.parametrize("role", ["primary", "backup", "witness"])
+def test_heartbeats_lists_and_watches_that_waited_unread_do_not_count_as_recent(tmp_path, role):
+    """The member is stopped, then cut off, then resumed: all that it reads was sent before the cut."""
 
-    async def scene(loop):
-        world = CutWorld(loop, tmp_path)
-        await world.run(3.0)
-        await world.put(1)
-        stopped = next(core for core in world.cores.values() if core.plane.member.role == which)
-        edge = world.start_edge(11, stopped.number)
-        await world.run(3.0)
-        assert named(stopped) == 200
+    async def scenario(loop):
+        cluster = PartitionTestCluster(loop, tmp_path)
+        await cluster.run(3.0)
+        await cluster.put(1)
+        stopped = next(core for core in cluster.cores.values() if core.plane.member.role == role)
+        edge = cluster.start_edge(11, stopped.number)
+        await cluster.run(3.0)
+        assert directory_status(stopped) == 200
         stopped.loop.stopped = True
-        await world.run(0.9)
+        await cluster.run(0.9)
         edge.loop.ended = True
-        world.edges.clear()
-        world.cut(stopped, *world.others(stopped))
-        begun = loop.time()
+        cluster.edges.clear()
+        cluster.cut(stopped, *cluster.others(stopped))
+        started_at = loop.time()
         for version in (2, 3, 4):
-            await world.put(version, *world.others(stopped))
-            await world.run(1.0)
-        await world.run(STOPPED)
-        stopped.loop.thaw()
+            await cluster.put(version, *cluster.others(stopped))
+            await cluster.run(1.0)
+        await cluster.run(STOP_DURATION_S)
+        stopped.loop.resume()
         for _ in range(20):
-            assert world.fresh_s(stopped) >= loop.time() - begun
-            assert stopped.plane.endpoint_list.age_s(loop.time()) >= loop.time() - begun
-            assert named(stopped) == 503
-            await world.run(0.1)
-        world.heal()
-        await world.run(2.0)
-        assert world.wrong == [] and world.fresh_s(stopped) < 0.8 and stopped.plane.hub.version == 4
+            assert cluster.control_age_s(stopped) >= loop.time() - started_at
+            assert stopped.plane.endpoint_list.age_s(loop.time()) >= loop.time() - started_at
+            assert directory_status(stopped) == 503
+            await cluster.run(0.1)
+        cluster.heal()
+        await cluster.run(2.0)
+        assert (
+            cluster.violations == []
+            and cluster.control_age_s(stopped) < 0.8
+            and stopped.plane.hub.version == 4
+        )
 
-    play(scene)
+    run_scenario(scenario)
