--- a/tests/controlplane/control_net.py
+++ b/tests/controlplane/control_net.py
@@ -143,7 +143,7 @@
         number, response = self.last_call_number, self.net.loop.create_future()
         self.calls[number] = lambda body: response.done() or response.set_result(body)
         self.loop.call_later(
-            timeout, lambda: response.done() or response.set_exception(PeerCallError("late"))
+            timeout, lambda: response.done() or response.set_exception(PeerCallError("no response in time"))
         )
         self.net.send_frame(
             self.name, address[0], lambda other: other.receive_forwarded(self.name, number, body)
--- a/tests/controlplane/cut_world.py
+++ b/tests/controlplane/cut_world.py
@@ -107,7 +107,7 @@
     def expire(self, number: int) -> None:
         response = self.calls.pop(number, None)
         if response is not None and not response.done():
-            response.set_exception(PeerCallError("no answer in time"))
+            response.set_exception(PeerCallError("no response in time"))
 
     def handle_response(self, number: int, body: bytes) -> None:
         response = self.calls.pop(number, None)
@@ -281,8 +281,8 @@
             process.loop.run(process.receive, sender, body, number, is_response)
 
     def cut(self, first: Process, *others: Process, ways: str = "both") -> None:
-        """Cuts the links of `first` to the others. `ways`: "out" loses its messages, "in" those to it, "both"
-        either."""
+        """Cuts the links between `first` and the others. `ways`: "out" drops the messages that `first` sends,
+        "in" those sent to it, "both" all of them."""
         for other in others:
             if ways in ("both", "out"):
                 self.cuts.add((first.address, other.address))
@@ -351,15 +351,15 @@
             if version < self.served.get(name, 0):
                 self.violations.append(f"{now:.2f}: {name} returned to version {version}")
             self.served[name] = version
-            in_touch = not edge.loop.stopped and self.reaches_majority(edge)
+            is_in_contact = not edge.loop.stopped and self.reaches_majority(edge)
             newer = [at for at, other in self.acknowledged if other > version]
-            self.check_lag(name, "serves", APPLY_LIMIT_S, version, newer if in_touch and version else [])
+            self.check_lag(name, "serves", APPLY_LIMIT_S, version, newer if is_in_contact and version else [])
             self.check_lag(
                 name,
                 "lists",
                 DRAIN_LIMIT_S,
                 list_number,
-                self.list_changed_at[list_number:] if in_touch and list_number else [],
+                self.list_changed_at[list_number:] if is_in_contact and list_number else [],
             )
 
     def check_lag(self, name: str, verb: str, bound: float, version_held: int, newer: list[float]) -> None:
--- a/tests/controlplane/test_control_program_start.py
+++ b/tests/controlplane/test_control_program_start.py
@@ -1,4 +1,4 @@
-"""The control plane as a process: settings that are not sound, one that changes, and an end."""
+"""The control plane as a process: invalid settings, reloaded settings, and its end."""
 
 import asyncio
 import json
@@ -7,16 +7,16 @@
 import programs
 
 
-def run(story):
-    asyncio.run(story)
+def run(scenario):
+    asyncio.run(scenario)
 
 
-def test_settings_that_are_not_sound_end_it_with_2_and_a_line_a_finding(tmp_path):
-    async def story():
+def test_invalid_settings_end_the_program_with_status_2_and_a_line_per_finding(tmp_path):
+    async def scenario():
         path = tmp_path / "local.yaml"
         programs.write(path, programs.core(1, tmp_path, ipAddress="core-1", toleratedLosses={}))
-        status, out, lines = await programs.ended("controlplane", boot=path)
-        assert (status, out) == (2, "") and len(lines) == 2
+        status, output, lines = await programs.ended("controlplane", boot=path)
+        assert (status, output) == (2, "") and len(lines) == 2
         assert {line.split(": ")[1] for line in lines} == {"ipAddress", "toleratedLosses.machines"}
         programs.write(path, programs.core(1, tmp_path, dataDir=None))
         assert await programs.ended("controlplane", "--settings", str(path)) == (
@@ -25,11 +25,11 @@
             ["settings: dataDir: is missing"],
         )
 
-    run(story())
+    run(scenario())
 
 
-def test_a_bad_file_at_run_time_is_told_the_old_stays_and_the_end_writes_what_was_held_back(tmp_path):
-    async def story():
+def test_an_invalid_reload_is_logged_and_ignored_and_the_end_writes_buffered_log_lines(tmp_path):
+    async def scenario():
         path, host = tmp_path / "local.yaml", f"{programs.NET}.1"
         programs.write(path, programs.core(1, tmp_path / "data"))
         (tmp_path / "data").mkdir()
@@ -44,7 +44,7 @@
             programs.write(path, programs.core(1, tmp_path / "data", seedNodes=[f"{programs.NET}.7:8262"]))
             process.send_signal(signal.SIGHUP)
             process.send_signal(signal.SIGTERM)
-            left, status = await programs.rest(process)
-            assert status == 0 and '"needs_restart":"seedNodes"' in left
+            remaining_output, status = await programs.rest(process)
+            assert status == 0 and '"needs_restart":"seedNodes"' in remaining_output
 
-    run(story())
+    run(scenario())
--- a/tests/controlplane/test_cut_off_side.py
+++ b/tests/controlplane/test_cut_off_side.py
@@ -1,4 +1,5 @@
-"""A directory on the small side of a cut sends clients on for what its side can't serve."""
+"""A directory on the minority side of a cut rejects requests for hosts that its side can't serve, so that the
+client asks another directory."""
 
 import asyncio
 from random import Random
@@ -39,10 +40,10 @@
                     "name": f"r{number}",
                     "host": host,
                     "pathPrefix": f"/{number}/",
-                    "homeRegions": homes,
-                    **goes,
+                    "homeRegions": home_regions,
+                    **targets,
                 }
-                for number, (host, homes, goes) in enumerate(routes)
+                for number, (host, home_regions, targets) in enumerate(routes)
             ],
             "serviceList": [{"name": "big", "healthPath": "/h"}, {"name": "small", "healthPath": "/h"}],
         }
@@ -50,48 +51,48 @@
 
 
 @pytest.fixture
-def reach():
-    reach = ReachabilityMonitor("a:1", "south")
+def monitor():
+    monitor = ReachabilityMonitor("a:1", "south")
     for member in MEMBERS[1:]:
-        reach.record_contact(10.0, member)
-    return reach
+        monitor.record_contact(10.0, member)
+    return monitor
 
 
-def test_who_hears_nobody_is_cut_off_after_a_while(reach):
-    assert not reach.is_cut_off(9.9 + MEMBER_TIMEOUT_S, MEMBERS, 9.0)
-    assert reach.is_cut_off(10.1 + MEMBER_TIMEOUT_S, MEMBERS, 9.0)
+def test_a_member_that_hears_nobody_is_cut_off_after_the_timeout(monitor):
+    assert not monitor.is_cut_off(9.9 + MEMBER_TIMEOUT_S, MEMBERS, 9.0)
+    assert monitor.is_cut_off(10.1 + MEMBER_TIMEOUT_S, MEMBERS, 9.0)
 
 
-def test_a_majority_that_votes_is_not_cut_off(reach):
-    """Its primary died: what the two that are left say to each other tells that from a cut."""
-    reach.record_contact(10.6, "b:1")
-    assert not reach.is_cut_off(11.3, MEMBERS, 10.0)
+def test_a_majority_that_votes_is_not_cut_off(monitor):
+    """The primary died. The two remaining members hear each other, which distinguishes this from a cut."""
+    monitor.record_contact(10.6, "b:1")
+    assert not monitor.is_cut_off(11.3, MEMBERS, 10.0)
 
 
-def test_who_hears_the_primary_is_not_cut_off(reach):
-    assert not reach.is_cut_off(20.0, MEMBERS, 19.9)
+def test_a_member_that_hears_the_primary_is_not_cut_off(monitor):
+    assert not monitor.is_cut_off(20.0, MEMBERS, 19.9)
     assert ReachabilityMonitor("a:1", "south").is_cut_off(20.0, MEMBERS, float("-inf"))
 
 
 def test_half_is_no_majority():
-    reach = ReachabilityMonitor("a:1", "south")
-    reach.record_contact(10.0, "b:1")
-    assert reach.is_cut_off(10.1, (*MEMBERS, "d:1"), 1.0)
-    reach.record_contact(10.0, "d:1")
-    assert not reach.is_cut_off(10.1, (*MEMBERS, "d:1"), 1.0)
+    monitor = ReachabilityMonitor("a:1", "south")
+    monitor.record_contact(10.0, "b:1")
+    assert monitor.is_cut_off(10.1, (*MEMBERS, "d:1"), 1.0)
+    monitor.record_contact(10.0, "d:1")
+    assert not monitor.is_cut_off(10.1, (*MEMBERS, "d:1"), 1.0)
 
 
-def test_a_host_is_stranded_by_one_route_that_is_at_home_elsewhere(reach):
+def test_a_host_is_stranded_by_one_route_with_its_home_elsewhere(monitor):
     raw = configuration(
         ("Homed.example", ["north"], {"service": "big"}),
         ("homed.example", [], {"service": "big"}),
         ("both.example", ["north", "south"], {"service": "big"}),
         ("free.example", [], {"service": "big"}),
     )
-    assert reach.stranded_hosts(raw, ["big"]) == {"homed.example"}
+    assert monitor.stranded_hosts(raw, ["big"]) == {"homed.example"}
 
 
-def test_a_host_is_stranded_where_its_services_have_no_upstream(reach):
+def test_a_host_is_stranded_where_its_services_have_no_upstream(monitor):
     raw = configuration(
         ("one.example", [], {"service": "big"}),
         ("two.example", [], {"service": "small"}),
@@ -101,20 +102,20 @@
             {"weightedSplit": [{"service": "big", "weight": 1}, {"service": "small", "weight": 9}]},
         ),
     )
-    assert reach.stranded_hosts(raw, ["big"]) == {"two.example"}
-    assert reach.stranded_hosts(raw, []) == {"one.example", "two.example", "split.example"}
+    assert monitor.stranded_hosts(raw, ["big"]) == {"two.example"}
+    assert monitor.stranded_hosts(raw, []) == {"one.example", "two.example", "split.example"}
 
 
-def test_nothing_is_stranded_while_no_configuration_is_known(reach):
-    assert reach.stranded_hosts(b"", []) == frozenset()
+def test_no_host_is_stranded_before_a_configuration_is_known(monitor):
+    assert monitor.stranded_hosts(b"", []) == frozenset()
 
 
-def test_another_configuration_is_read_anew(reach):
-    assert reach.stranded_hosts(configuration(("one.example", ["north"], {"service": "big"})), ["big"])
-    assert not reach.stranded_hosts(configuration(("one.example", ["south"], {"service": "big"})), ["big"])
+def test_a_changed_configuration_is_parsed_again(monitor):
+    assert monitor.stranded_hosts(configuration(("one.example", ["north"], {"service": "big"})), ["big"])
+    assert not monitor.stranded_hosts(configuration(("one.example", ["south"], {"service": "big"})), ["big"])
 
 
-def test_the_directory_sends_on_who_asks_for_a_stranded_host():
+def test_the_directory_rejects_requests_for_a_stranded_host():
     directory = Directory({"south-a": "south"}, Random(1), {"ttl_max_s": 5})
 
     def status(name):
@@ -125,10 +126,10 @@
     assert status("free.example") == 200
 
 
-def test_a_member_that_hears_no_other_sends_clients_on(tmp_path):
-    """Through the control plane: it starts alone, and hears the others again."""
+def test_a_member_that_hears_no_other_rejects_stranded_hosts(tmp_path):
+    """The same through the control plane: the member starts alone, and later hears another member."""
 
-    async def story():
+    async def scenario():
         loop = asyncio.get_running_loop()
         settings = validate(programs.core(1, tmp_path / "data"))
         plane = ControlPlane(settings, loop, Random(1))
@@ -156,11 +157,11 @@
         )
 
         def status(name):
-            told = []
+            responses = []
             plane.directory_service.resolve(
-                Request(b"GET", b"/resolution", {"name": name, "zone": "hall-1"}), told.append
+                Request(b"GET", b"/resolution", {"name": name, "zone": "hall-1"}), responses.append
             )
-            return told[0].status
+            return responses[0].status
 
         assert (status("homed.example"), status("free.example")) == (503, 200)
         plane.dispatcher.dispatch(
@@ -169,4 +170,4 @@
         assert (status("homed.example"), status("free.example")) == (200, 200)
         plane.links.close()
 
-    asyncio.run(story())
+    asyncio.run(scenario())
--- a/tests/controlplane/test_disk_at_start.py
+++ b/tests/controlplane/test_disk_at_start.py
@@ -1,10 +1,10 @@
-"""A disk in trouble when a core process starts: it is tried again, and the process doesn't end."""
+"""A disk that can't be read when a core process starts is retried, and the process doesn't end."""
 
 from shedgrade.controlplane.disk_thread import load_store
 from shedgrade.storage import LoadResult
 
 
-class Troubled:
+class FailingStore:
     def __init__(self, failures):
         self.failures = failures
 
@@ -15,7 +15,7 @@
         return LoadResult("sound", {"key": b"value"}, ())
 
 
-def test_a_disk_in_trouble_is_tried_again():
+def test_a_failing_read_is_retried():
     waits = []
-    found = load_store(Troubled(3), waits.append)
-    assert found.values == {"key": b"value"} and len(waits) == 3
+    loaded = load_store(FailingStore(3), waits.append)
+    assert loaded.values == {"key": b"value"} and len(waits) == 3
