--- a/shedgrade/controlplane/plane.py
+++ b/shedgrade/controlplane/plane.py
@@ -223,7 +223,7 @@
     # --- callbacks for parts that are created before the part that handles them
 
     def on_persisted(self, token: int, succeeded: bool) -> None:
-        """Handles that the disk has made changes durable, or failed to."""
+        """Called when the disk has made changes durable, or has failed to."""
         self.driver.on_persisted(token, succeeded)
 
     def run_state_machines(self) -> None:
--- a/shedgrade/controlplane/role_election.py
+++ b/shedgrade/controlplane/role_election.py
@@ -129,7 +129,7 @@
         held_term: the term under which the role is held, by the last `RoleAcquired` without a `RoleLost`; 0
             if it is not held. While a leader renews its term, the former one until the new one is confirmed.
         backoff_s: delay added before the next candidacy; grows while nobody answers, otherwise 0.
-        campaign_at: when to become a candidate; each heartbeat of a holder moves it on.
+        campaign_at: when to become a candidate; each heartbeat of a holder postpones it.
         has_resigned: whether this member never campaigns again. Final; it is then neither candidate nor
             leader.
     """
@@ -368,7 +368,7 @@
         self.campaign_at = now + HOLDER_TIMEOUT_S + self.random.uniform(0, CAMPAIGN_JITTER_S)
 
     def step_down(self, now: float) -> None:
-        """Ends a leadership, which all others are told, and a candidacy."""
+        """Ends a leadership, and tells all others; ends a candidacy."""
         if self.leadership is not None:
             term = self.leadership.term
             self.end_leadership(now)
@@ -376,7 +376,7 @@
         self.candidacy = None
 
     def handle_higher_term(self, now: float, term: int) -> None:
-        """Takes note of a term of another member. The leader of a lower term asks for votes in a higher one
+        """Records a term that was seen elsewhere. The leader of a lower term asks for votes in a higher one,
         and stays leader meanwhile.
         """
         self.highest_term = max(self.highest_term, term)
@@ -443,8 +443,8 @@
             return
         bound_term = max(self.voted_term, self.released_term) if is_stale else max(own_term, term)
         self.highest_term = max(self.highest_term, term)
-        answer = Acknowledgement(self.role, term, heartbeat.number, bound_term)
-        self.instructions.append(Send(sender, answer))
+        acknowledgement = Acknowledgement(self.role, term, heartbeat.number, bound_term)
+        self.instructions.append(Send(sender, acknowledgement))
 
     def follow(self, now: float, holder: str, term: int) -> None:
         """Becomes a follower of the member whose heartbeat was accepted."""
@@ -459,23 +459,23 @@
         self.backoff_s = 0.0
         self.campaign_at = now + HOLDER_TIMEOUT_S + self.random.uniform(0, CAMPAIGN_JITTER_S)
 
-    def handle_acknowledgement(self, now: float, sender: str, answer: Acknowledgement) -> None:
+    def handle_acknowledgement(self, now: float, sender: str, acknowledgement: Acknowledgement) -> None:
         """Renews the lease; a refusal makes the leader ask for votes in a higher term."""
         leadership = self.leadership
-        if leadership is None or answer.term != leadership.term:
-            self.highest_term = max(self.highest_term, answer.highest_term)
+        if leadership is None or acknowledgement.term != leadership.term:
+            self.highest_term = max(self.highest_term, acknowledgement.highest_term)
             return
-        if answer.highest_term > answer.term:
-            self.handle_higher_term(now, answer.highest_term)
+        if acknowledgement.highest_term > acknowledgement.term:
+            self.handle_higher_term(now, acknowledgement.highest_term)
             return
-        sent_at = leadership.sent_at.get(answer.number)
+        sent_at = leadership.sent_at.get(acknowledgement.number)
         if sent_at is None or now >= leadership.lease_until:
             return
         leadership.acknowledged_at[sender] = max(leadership.acknowledged_at.get(sender, sent_at), sent_at)
         self.renew_lease(now, leadership)
 
     def handle_release(self, now: float, sender: str, term: int) -> None:
-        """Handles that a member released the role. If it was the known holder, this member campaigns soon."""
+        """Records a released term. If the sender was the known holder, this member campaigns soon."""
         self.highest_term = max(self.highest_term, term)
         self.released_term = max(self.released_term, term)
         if sender == self.holder and term >= self.holder_term:
--- a/shedgrade/controlplane/state_machine_driver.py
+++ b/shedgrade/controlplane/state_machine_driver.py
@@ -57,7 +57,7 @@
         self.wake_at = inf
 
     def on_persisted(self, token: int, succeeded: bool) -> None:
-        """Handles that the disk has made these changes durable, or failed to."""
+        """Called when the disk has made these changes durable, or has failed to."""
         self.member.persisted(self.loop.time(), token, succeeded)
         self.run()
 
--- a/shedgrade/controlplane/watch_hub.py
+++ b/shedgrade/controlplane/watch_hub.py
@@ -228,10 +228,12 @@
             return None
         if self.encoded_configuration is None:
             self.encoded_configuration = compress_configuration(self.configuration)
-        raw, compressed = (
+        configuration, is_compressed = (
             (None, False) if request.configuration_version == self.version else self.encoded_configuration
         )
-        return ControlChange(*self.control_position, self.version, raw, self.evacuations, compressed)
+        return ControlChange(
+            *self.control_position, self.version, configuration, self.evacuations, is_compressed
+        )
 
     def endpoint_update(self, now: float, watch: PendingWatch, deltas: Deltas) -> EndpointUpdate | None:
         """Returns the changes of the endpoint list, or its new age; None if the edge's list is newer or none
