--- a/shedgrade/controlplane/message_dispatcher.py
+++ b/shedgrade/controlplane/message_dispatcher.py
@@ -1,4 +1,4 @@
-"""Dispatches what other processes send to the parts of a core member, by channel and kind of message."""
+"""Passes messages of other processes to the parts of a core member, by channel and type of message."""
 
 import asyncio
 from collections.abc import Callable
@@ -21,7 +21,7 @@
 )
 from shedgrade.controlplane.command_router import CommandRouter
 from shedgrade.controlplane.endpoint_list_sync import ENDPOINT_LIST_ROLE, EndpointListSync
-from shedgrade.controlplane.peer_messenger import PeerMessenger, control_body
+from shedgrade.controlplane.peer_messenger import PeerMessenger, encode_control_message
 from shedgrade.controlplane.prefix_index_exchange import PrefixIndexExchange
 from shedgrade.controlplane.reachability import ReachabilityMonitor
 from shedgrade.controlplane.singleton_roles import SingletonRoles
@@ -42,8 +42,12 @@
 
 
 class MessageDispatcher:
-    """Attributes: `edge_connections`: by an edge's link address, the connection on which it watches; removed
-    when that ends."""
+    """Decodes messages and calls the parts that handle them.
+
+    Attributes:
+        edge_connections: by peer address of an edge, the connection over which it sends its watches; removed
+            when the connection ends.
+    """
 
     def __init__(
         self,
@@ -62,8 +66,8 @@
         run_state_machines: Callable[[], None],
         report_edges: Callable[[float], None],
     ) -> None:
-        """`run_state_machines()` is called after each message; `report_edges(now)` when an edge that is heard
-        here has changed."""
+        """`run_state_machines()` is called after each message, `report_edges(now)` after an edge that this
+        member hears has changed."""
         self.loop = loop
         self.member = member
         self.roles = roles
@@ -82,7 +86,7 @@
     # --- frames
 
     def on_frame(self, connection: PeerConnection, frame: Frame) -> None:
-        """A frame on a connection that came in; its response goes back on it."""
+        """Handles a frame on a connection that another process opened; the response goes back on it."""
         if frame.body[:1] == CONTROL_CHANNEL and frame.number:
             self.track_edge(connection, frame.sender)
 
@@ -94,19 +98,19 @@
 
         self.dispatch(frame.sender, frame.body, respond)
 
-    def on_frame_of_own_connection(self, sender: str, frame: Frame) -> None:
-        """A frame that came back on a connection that this process opened."""
+    def on_outbound_connection_frame(self, sender: str, frame: Frame) -> None:
+        """Handles a frame on a connection that this process opened."""
         self.dispatch(sender, frame.body, lambda body: self.messenger.links.send(sender, body))
 
     def track_edge(self, connection: PeerConnection, sender: str) -> None:
-        """Guards against clients sent to an edge that died: its connection ends before its next watch is
-        due."""
+        """Records the connection of an edge. A dead edge's connection ends before its next watch is due, so
+        that clients are no longer sent to it from then on."""
         if self.edge_connections.get(sender) is not connection:
             self.edge_connections[sender] = connection
             connection.on_close.append(lambda: self.on_edge_disconnected(connection, sender))
 
     def on_edge_disconnected(self, connection: PeerConnection, sender: str) -> None:
-        """The edges of that machine that were heard here are listed no more, until they are heard again."""
+        """Stops listing the edges of that host that this member heard, until they are heard again."""
         if self.edge_connections.get(sender) is not connection:
             return
         del self.edge_connections[sender]
@@ -118,14 +122,14 @@
     # --- messages
 
     def dispatch(self, sender: str, body: bytes, respond: Respond) -> None:
-        """A message from a process with that link address."""
+        """Handles a message of the process with that peer address."""
         channel, body = body[:1], body[1:]
         now = self.loop.time()
         self.stalls.observe(now)
         unread_s = self.stalls.unread_s(now)
         try:
             if channel != CONTROL_CHANNEL:
-                self.reachability.heard(now - unread_s, sender)
+                self.reachability.record_contact(now - unread_s, sender)
             if channel == REPLICATION_CHANNEL:
                 self.member.receive_delay_s = unread_s
                 self.member.receive(now, sender, decode_replication(body))
@@ -136,9 +140,9 @@
                 self.on_control_message(now, sender, control_messages.decode(body), respond, unread_s)
             elif channel == COMMAND_CHANNEL:
                 self.router.on_forwarded(body, respond)
-        except msgspec.MsgspecError as wrong:
-            # Guards against a process of another version: what it says is left out, and logged.
-            logger.warning("message decode failed", sender=sender, error=str(wrong))
+        except msgspec.MsgspecError as error:
+            # Guards against a process of another version: its message is logged and skipped.
+            logger.warning("message decode failed", sender=sender, error=str(error))
         self.run_state_machines()
 
     def on_control_message(
@@ -149,7 +153,7 @@
         respond: Respond,
         unread_s: float,
     ) -> None:
-        """`unread_s`: the message may have waited at this process so long."""
+        """Handles a control message. `unread_s`: how long it may have waited unread at this process."""
         match message:
             case WatchRequest():
                 self.on_watch(now, message, respond, unread_s)
@@ -162,19 +166,21 @@
             case PrefixIndexUpdate() | PrefixIndexAdditions() | PrefixIndexRequest():
                 self.prefix_exchange.receive(now, message, lambda body: respond(CONTROL_CHANNEL + body))
             case EdgeObservations():
-                self.reachability.heard(now - unread_s, sender)
+                self.reachability.record_contact(now - unread_s, sender)
                 self.hub.update_edges(now, message, unread_s)
             case EndpointListRequest(term, number):
-                respond(control_body(self.endpoint_sync.endpoint_list.update_since(term, number, now)))
+                respond(
+                    encode_control_message(self.endpoint_sync.endpoint_list.update_since(term, number, now))
+                )
             case EndpointUpdate():
                 if self.endpoint_sync.on_update(now, message, unread_s):
-                    respond(control_body(self.endpoint_sync.endpoint_list.request(now)))
+                    respond(encode_control_message(self.endpoint_sync.endpoint_list.request(now)))
 
     def on_watch(self, now: float, request: WatchRequest, respond: Respond, unread_s: float) -> None:
-        """A watch of an edge, which is its heartbeat too."""
-        # Guards against core members that all started anew: their terms go above what edges hold.
+        """Handles a watch of an edge, which is also its heartbeat."""
+        # Guards against core members that all restarted: their terms must go above the one that edges have.
         self.roles.observe_term(now, ENDPOINT_LIST_ROLE, request.endpoints_version[0])
-        before = self.hub.edges.own_version
-        self.hub.watch(now, request, lambda response: respond(control_body(response)), unread_s)
-        if self.hub.edges.own_version != before:
+        version_before = self.hub.edges.own_version
+        self.hub.watch(now, request, lambda response: respond(encode_control_message(response)), unread_s)
+        if self.hub.edges.own_version != version_before:
             self.report_edges(now)
--- a/shedgrade/controlplane/periodic_tasks.py
+++ b/shedgrade/controlplane/periodic_tasks.py
@@ -1,4 +1,4 @@
-"""What a core member does at fixed intervals, for all that has no timer of its own."""
+"""The tasks that a core member runs at fixed intervals, for parts without timers of their own."""
 
 import asyncio
 from collections.abc import Callable
@@ -15,14 +15,16 @@
 from shedgrade.runtime.stall_detection import StallDetector
 
 MAINTENANCE_INTERVAL_S = 0.25
-EDGE_REPORT_INTERVAL_S = 0.5  # between two reports to other members on the edges that are heard here
-LOAD_REPORT_INTERVAL_S = 0.1  # between two reports to edges and members on what edges have in flight
+EDGE_REPORT_INTERVAL_S = 0.5  # between two reports to other members on the edges that this member hears
+LOAD_REPORT_INTERVAL_S = 0.1  # between two reports of the requests that edges have in flight
 
 
 class PeriodicTasks:
-    """Each task schedules its next run before it does anything: a fault of our own must not end all runs.
+    """Runs maintenance and load reports. Each run first schedules the next one, so that an exception doesn't
+    end the task.
 
-    Attributes: `edge_report_at`: when the next report on edges is due, on the loop's clock; never falls.
+    Attributes:
+        edge_report_at: when the next report on edges is due, on the loop's clock; never falls.
     """
 
     def __init__(
@@ -39,9 +41,10 @@
         stalls: StallDetector,
         messenger: PeerMessenger,
         reloader: SettingsReloader,
-        contact_at: Callable[[], float],
+        primary_contact_at: Callable[[], float],
     ) -> None:
-        """`contact_at()`: when this member last heard the primary, or was confirmed as primary."""
+        """`primary_contact_at()`: when this member last heard from the primary, or was confirmed as
+        primary."""
         self.loop = loop
         self.member = member
         self.roles = roles
@@ -53,11 +56,11 @@
         self.stalls = stalls
         self.messenger = messenger
         self.reloader = reloader
-        self.contact_at = contact_at
+        self.primary_contact_at = primary_contact_at
         self.edge_report_at = 0.0
 
     def run_maintenance(self) -> None:
-        """Each MAINTENANCE_INTERVAL_S, until the process may exit."""
+        """Maintains all parts, every MAINTENANCE_INTERVAL_S until the process may exit."""
         if self.driver.may_exit.is_set():
             return
         self.loop.call_later(MAINTENANCE_INTERVAL_S, self.run_maintenance)
@@ -65,7 +68,7 @@
         self.stalls.observe(now)
         self.hub.set_confirmed_at(self.member.confirmed_at)
         self.hub.set_members(now, self.messenger.members())
-        self.prefix_exchange.tick(now, self.contact_at())
+        self.prefix_exchange.tick(now, self.primary_contact_at())
         if self.roles.is_held(ENDPOINT_LIST_ROLE) and self.endpoint_sync.has_failed:
             self.roles.release(now, ENDPOINT_LIST_ROLE)
         if now >= self.edge_report_at:
@@ -75,14 +78,14 @@
         self.reloader.poll(now)
 
     def report_edges(self, now: float) -> None:
-        """Tells the other members of the edges that are heard here."""
+        """Tells the other members about the edges that this member hears."""
         self.edge_report_at = now + EDGE_REPORT_INTERVAL_S
         observations = self.hub.edges.own_edges(now)
         if observations.edges:
             self.messenger.broadcast_control(observations)
 
     def report_loads(self) -> None:
-        """Each LOAD_REPORT_INTERVAL_S, until the process may exit: what edges have in flight."""
+        """Sends what edges have in flight, every LOAD_REPORT_INTERVAL_S until the process may exit."""
         if self.driver.may_exit.is_set():
             return
         self.loop.call_later(LOAD_REPORT_INTERVAL_S, self.report_loads)
