--- a/shedgrade/engines/engine.py
+++ b/shedgrade/engines/engine.py
@@ -178,7 +178,7 @@
             memory.pin(key)
         spared = sum(tokens for _, tokens in work.parts[:kept])
         need = max(0, work.prompt - spared) + job.made
-        if not memory.take(need):
+        if not memory.allocate(need):
             for key in keys[:kept]:
                 memory.unpin(key)
             return False
@@ -206,7 +206,7 @@
 
     def free(self, job: Job) -> None:
         del self.running[job.number]
-        self.memory.give_back(job.held)
+        self.memory.free(job.held)
         for key in job.pins:
             self.memory.unpin(key)
         job.held, job.pins, job.tail = 0, [], []
@@ -253,13 +253,13 @@
         while job.tail and job.unread <= job.tail[0][0]:
             _, key, tokens = job.tail.pop(0)
             if tokens <= job.held:
-                self.memory.keep(key, tokens)
+                self.memory.cache_part(key, tokens)
                 job.held -= tokens
                 job.pins.append(key)
 
     def extend(self, job: Job) -> bool:
         """One more token of memory; False if it was preempted itself for lack of it."""
-        while not self.memory.take(1):
+        while not self.memory.allocate(1):
             last = self.last()
             self.preempt(last)
             if last is job:
--- a/shedgrade/engines/memory.py
+++ b/shedgrade/engines/memory.py
@@ -7,7 +7,7 @@
 from collections import OrderedDict
 from collections.abc import Sequence
 
-Key = tuple[str, int, str]  # model, version of its weights, id of the part
+PartKey = tuple[str, int, str]  # model, version of its weights, id of the part
 
 
 class KeyValueMemory:
@@ -16,16 +16,16 @@
 
     def __init__(self, total: int) -> None:
         self.total = total
-        self.own = self.kept = self.pinned = 0
-        self.parts: OrderedDict[Key, int] = OrderedDict()  # the one unused longest first
-        self.users: dict[Key, int] = {}
+        self.request_tokens = self.cached_tokens = self.pinned_tokens = 0
+        self.parts: OrderedDict[PartKey, int] = OrderedDict()  # the one unused longest first
+        self.user_counts: dict[PartKey, int] = {}
 
     @property
     def used(self) -> int:
         """What can't give way."""
-        return self.own + self.pinned
+        return self.request_tokens + self.pinned_tokens
 
-    def run(self, keys: Sequence[Key]) -> int:
+    def run(self, keys: Sequence[PartKey]) -> int:
         """How many of the first parts are kept: one behind a gap is of no use."""
         for count, key in enumerate(keys):
             if key not in self.parts:
@@ -35,44 +35,44 @@
     def fits(self, tokens: int) -> bool:
         return self.used + tokens <= self.total
 
-    def take(self, tokens: int) -> bool:
+    def allocate(self, tokens: int) -> bool:
         """For a request; parts that nobody uses give way. False, with nothing changed, if it does not fit."""
         if not self.fits(tokens):
             return False
-        self.own += tokens
-        self.shrink()
+        self.request_tokens += tokens
+        self.evict()
         return True
 
-    def give_back(self, tokens: int) -> None:
-        self.own -= tokens
+    def free(self, tokens: int) -> None:
+        self.request_tokens -= tokens
 
-    def pin(self, key: Key) -> None:
+    def pin(self, key: PartKey) -> None:
         """A request uses a part that is kept."""
-        users = self.users.get(key, 0)
+        users = self.user_counts.get(key, 0)
         if not users:
-            self.pinned += self.parts[key]
-        self.users[key] = users + 1
+            self.pinned_tokens += self.parts[key]
+        self.user_counts[key] = users + 1
         self.parts.move_to_end(key)
 
-    def unpin(self, key: Key) -> None:
-        users = self.users.pop(key) - 1
+    def unpin(self, key: PartKey) -> None:
+        users = self.user_counts.pop(key) - 1
         if users:
-            self.users[key] = users
+            self.user_counts[key] = users
         else:
-            self.pinned -= self.parts[key]
+            self.pinned_tokens -= self.parts[key]
             self.parts.move_to_end(key)
 
-    def keep(self, key: Key, tokens: int) -> None:
+    def cache_part(self, key: PartKey, tokens: int) -> None:
         """What a request held becomes a part that it uses; where another has read the same, that one is
         used, and the memory is free."""
-        self.own -= tokens
+        self.request_tokens -= tokens
         if key not in self.parts:
             self.parts[key] = tokens
-            self.kept += tokens
+            self.cached_tokens += tokens
         self.pin(key)
-        self.shrink()
+        self.evict()
 
-    def shrink(self) -> None:
-        while self.own + self.kept > self.total:
-            key = next(key for key in self.parts if key not in self.users)
-            self.kept -= self.parts.pop(key)
+    def evict(self) -> None:
+        while self.request_tokens + self.cached_tokens > self.total:
+            key = next(key for key in self.parts if key not in self.user_counts)
+            self.cached_tokens -= self.parts.pop(key)
--- a/tests/engines/test_engine_core.py
+++ b/tests/engines/test_engine_core.py
@@ -140,7 +140,7 @@
     engine.submit(2.0, Work(prompt=400, out=1, parts=(("x", 200), ("b", 200))))
     play(engine)
     assert engine.read_tokens - read == 400
-    assert engine.memory.used == 0 and engine.memory.kept == 600
+    assert engine.memory.used == 0 and engine.memory.cached_tokens == 600
 
 
 def test_parts_are_kept_for_the_same_model_and_the_same_weights():
@@ -321,7 +321,10 @@
         now += pause
         while engine.wake_at() <= now:
             engine.advance(engine.wake_at())
-            assert engine.memory.own + engine.memory.kept <= 600 and len(engine.running) <= slots
+            assert (
+                engine.memory.request_tokens + engine.memory.cached_tokens <= 600
+                and len(engine.running) <= slots
+            )
         if leaves and number in engine.jobs:
             left.add(number)
             engine.cancel(now, number)
@@ -337,5 +340,5 @@
         if any(isinstance(one, Rejected) for one in ends):
             assert len(told) == 1
     memory = engine.memory
-    assert memory.used == 0 and not engine.jobs and not memory.users
-    assert memory.kept == sum(memory.parts.values())
+    assert memory.used == 0 and not engine.jobs and not memory.user_counts
+    assert memory.cached_tokens == sum(memory.parts.values())
