--- a/shedgrade/engines/__init__.py
+++ b/shedgrade/engines/__init__.py
@@ -6,13 +6,13 @@
 from shedgrade.engines.engine import Engine
 from shedgrade.engines.settings import EngineSettings
 from shedgrade.engines.work import (
+    Crashed,
     Done,
     Event,
-    Fell,
     Late,
     Rejected,
     Started,
     Work,
 )
 
-__all__ = ["Done", "Engine", "EngineSettings", "Event", "Fell", "Late", "Rejected", "Started", "Work"]
+__all__ = ["Crashed", "Done", "Engine", "EngineSettings", "Event", "Late", "Rejected", "Started", "Work"]
--- a/shedgrade/engines/connection.py
+++ b/shedgrade/engines/connection.py
@@ -7,7 +7,7 @@
 import httptools
 
 from shedgrade.engines import content
-from shedgrade.engines.engine import rank
+from shedgrade.engines.engine import parse_priority
 from shedgrade.engines.records import Run
 from shedgrade.engines.work import Work
 
@@ -157,7 +157,7 @@
     def work(self, headers: dict, now: float, after: int) -> Work:
         left = headers.get("time-remaining")
         deadline = now + float(left) / 1000 if left else float("inf")
-        priority = rank(headers.get("priority"))
+        priority = parse_priority(headers.get("priority"))
         if not self.streams:
             return Work(span_s=self.upstream.work_s, priority=priority, deadline=deadline)
         prompt, out = (int(count) for count in headers["token-usage"].split(","))
--- a/shedgrade/engines/engine.py
+++ b/shedgrade/engines/engine.py
@@ -11,10 +11,10 @@
 from shedgrade.engines.memory import KeyValueMemory
 from shedgrade.engines.settings import EngineSettings
 from shedgrade.engines.work import (
-    LEAST_URGENT,
+    LOWEST_PRIORITY,
+    Crashed,
     Done,
     Event,
-    Fell,
     Job,
     Late,
     Rejected,
@@ -54,7 +54,7 @@
         """Its number. Where it is rejected at once, the effects say so."""
         self.advance(now)
         self.number += 1
-        job = Job(self.number, work, work.made)
+        job = Job(self.number, work, work.resumed_tokens)
         self.count_cold(now)
         if work.prompt + work.out > self.settings.kv_tokens or not self.room(job):
             self.effects.append(Rejected(job.number, "full"))
@@ -103,7 +103,7 @@
                 break
             while self.deadlines and self.deadlines[0][0] <= at:
                 self.expire(heapq.heappop(self.deadlines)[1])
-            for job in [job for job in self.running.values() if job.ends <= at]:
+            for job in [job for job in self.running.values() if job.ends_at <= at]:
                 self.end(job)
                 self.effects.append(Done(job.number))
             if self.step_ends <= at:
@@ -114,7 +114,7 @@
     def next(self) -> float:
         while self.deadlines and self.deadlines[0][1] not in self.jobs:
             heapq.heappop(self.deadlines)
-        ends = min((job.ends for job in self.running.values()), default=inf)
+        ends = min((job.ends_at for job in self.running.values()), default=inf)
         waits = self.connecting[0] if self.connecting and self.waiting else inf
         return min(self.step_ends, ends, waits, self.deadlines[0][0] if self.deadlines else inf)
 
@@ -151,7 +151,7 @@
         job.running = True
         if not job.work.out:
             self.start(job)
-            job.ends = now + job.work.span_s * self.slow(now)
+            job.ends_at = now + job.work.span_s * self.slow(now)
         return True
 
     def displace(self, job: Job) -> bool:
@@ -177,24 +177,24 @@
         for key in keys[:kept]:
             memory.pin(key)
         spared = sum(tokens for _, tokens in work.parts[:kept])
-        need = max(0, work.prompt - spared) + job.made
+        need = max(0, work.prompt - spared) + job.generated
         if not memory.allocate(need):
             for key in keys[:kept]:
                 memory.unpin(key)
             return False
-        job.pins, job.held, job.tail = keys[:kept], need, []
+        job.pinned_parts, job.own_tokens, job.uncached_parts = keys[:kept], need, []
         # Something is read also where all is kept: the step that makes the first token.
         job.unread = left = max(1, need) if work.out else 0
         for key, (_, tokens) in zip(keys[kept:], work.parts[kept:], strict=True):
             left -= tokens
-            job.tail.append((left, key, tokens))
+            job.uncached_parts.append((left, key, tokens))
         self.kept_tokens += spared
         return True
 
     def preempt(self, job: Job) -> None:
         """It waits again, and is read anew, with what it has made; what was read whole stays as parts."""
         self.free(job)
-        job.running, job.reading = False, 0
+        job.running, job.step_tokens = False, 0
         self.waiting[job.number] = job
         self.preemptions += 1
 
@@ -206,10 +206,10 @@
 
     def free(self, job: Job) -> None:
         del self.running[job.number]
-        self.memory.free(job.held)
-        for key in job.pins:
+        self.memory.free(job.own_tokens)
+        for key in job.pinned_parts:
             self.memory.unpin(key)
-        job.held, job.pins, job.tail = 0, [], []
+        job.own_tokens, job.pinned_parts, job.uncached_parts = 0, [], []
 
     def start(self, job: Job) -> None:
         if not job.started:
@@ -225,8 +225,8 @@
             return
         settings, left = self.settings, self.settings.piece
         for job in sorted((job for job in batch if job.unread), key=lambda job: job.rank):
-            job.reading = min(left, job.unread)
-            left -= job.reading
+            job.step_tokens = min(left, job.unread)
+            left -= job.step_tokens
         read = settings.piece - left
         lasts = settings.step_s + settings.crowd_s * (len(batch) - 1) + read / settings.prefill_per_s
         self.step_ends = now + lasts * self.slow(now)
@@ -238,7 +238,7 @@
             if not job.running:
                 continue  # it was preempted for one before it
             if job.unread:
-                if not job.reading:
+                if not job.step_tokens:
                     continue
                 self.read(job)
                 if job.unread:
@@ -247,15 +247,15 @@
                 self.make(job)
 
     def read(self, job: Job) -> None:
-        self.read_tokens += job.reading
-        job.unread -= job.reading
-        job.reading = 0
-        while job.tail and job.unread <= job.tail[0][0]:
-            _, key, tokens = job.tail.pop(0)
-            if tokens <= job.held:
+        self.read_tokens += job.step_tokens
+        job.unread -= job.step_tokens
+        job.step_tokens = 0
+        while job.uncached_parts and job.unread <= job.uncached_parts[0][0]:
+            _, key, tokens = job.uncached_parts.pop(0)
+            if tokens <= job.own_tokens:
                 self.memory.cache_part(key, tokens)
-                job.held -= tokens
-                job.pins.append(key)
+                job.own_tokens -= tokens
+                job.pinned_parts.append(key)
 
     def extend(self, job: Job) -> bool:
         """One more token of memory; False if it was preempted itself for lack of it."""
@@ -264,28 +264,28 @@
             self.preempt(last)
             if last is job:
                 return False
-        job.held += 1
+        job.own_tokens += 1
         return True
 
     def make(self, job: Job) -> None:
         work, stride = job.work, self.settings.stride
         self.start(job)
-        job.made += 1
-        if job.made % stride == 0 or job.made >= work.out:
+        job.generated += 1
+        if job.generated % stride == 0 or job.generated >= work.out:
             version = self.versions.get(work.model, 0)
             moved = self.spoken.get(job.number, version) != version
             self.spoken[job.number] = version
             self.effects.append(
                 Event(
                     job.number,
-                    -(-job.made // stride),
-                    (job.made - 1) % stride + 1,
+                    -(-job.generated // stride),
+                    (job.generated - 1) % stride + 1,
                     version if moved else None,
                 )
             )
         elif job.number not in self.spoken:
             self.spoken[job.number] = self.versions.get(work.model, 0)
-        if job.made >= work.out:
+        if job.generated >= work.out:
             self.end(job)
             self.effects.append(Done(job.number))
 
@@ -311,7 +311,7 @@
             self.arrivals.popleft()
         if len(self.arrivals) > self.settings.cold_rate * self.settings.cold_fall and not self.fallen:
             self.fallen = True
-            self.effects.append(Fell())
+            self.effects.append(Crashed())
 
     # --- what it says of itself
 
@@ -346,12 +346,12 @@
         return self.shots[0][1]
 
 
-def rank(header: str | None) -> int:
+def parse_priority(header: str | None) -> int:
     """Of `Priority`: 0 to 9, 5 where it is absent or none.
 
-    >>> rank("0"), rank(None), rank("12")
+    >>> parse_priority("0"), parse_priority(None), parse_priority("12")
     (0, 5, 5)
     """
-    if header is not None and header.isdigit() and int(header) <= LEAST_URGENT:
+    if header is not None and header.isdigit() and int(header) <= LOWEST_PRIORITY:
         return int(header)
     return 5
--- a/shedgrade/engines/server.py
+++ b/shedgrade/engines/server.py
@@ -10,9 +10,9 @@
 from shedgrade.engines.engine import Engine
 from shedgrade.engines.records import Run
 from shedgrade.engines.work import (
+    Crashed,
     Done,
     Event,
-    Fell,
     Late,
     Rejected,
     Started,
@@ -148,7 +148,7 @@
         self.drive()
 
     def tell(self, effect) -> None:
-        if isinstance(effect, Fell):
+        if isinstance(effect, Crashed):
             self.close()
             self.fell()
             return
--- a/shedgrade/engines/work.py
+++ b/shedgrade/engines/work.py
@@ -2,7 +2,7 @@
 
 from dataclasses import dataclass, field
 
-LEAST_URGENT, ORDINARY = 9, 5
+LOWEST_PRIORITY, DEFAULT_PRIORITY = 9, 5
 
 
 @dataclass(frozen=True, slots=True)
@@ -17,9 +17,9 @@
     prompt: int = 0
     out: int = 0
     parts: tuple[tuple[str, int], ...] = ()
-    made: int = 0
+    resumed_tokens: int = 0
     span_s: float = 0.0
-    priority: int = ORDINARY
+    priority: int = DEFAULT_PRIORITY
     deadline: float = float("inf")
     model: str = "m"
 
@@ -32,15 +32,15 @@
 
     number: int
     work: Work
-    made: int
+    generated: int
     started: bool = False
     running: bool = False
-    held: int = 0
+    own_tokens: int = 0
     unread: int = 0
-    reading: int = 0
-    ends: float = float("inf")
-    pins: list = field(default_factory=list)
-    tail: list = field(default_factory=list)
+    step_tokens: int = 0
+    ends_at: float = float("inf")
+    pinned_parts: list = field(default_factory=list)
+    uncached_parts: list = field(default_factory=list)
 
     @property
     def rank(self) -> tuple[int, int]:
@@ -87,5 +87,5 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Fell:
+class Crashed:
     """The engine fell over: it was sent too much while it was cold."""
--- a/tests/engines/test_engine_core.py
+++ b/tests/engines/test_engine_core.py
@@ -6,11 +6,11 @@
 from hypothesis import strategies as st
 
 from shedgrade.engines import (
+    Crashed,
     Done,
     Engine,
     EngineSettings,
     Event,
-    Fell,
     Late,
     Rejected,
     Started,
@@ -213,7 +213,7 @@
 
 def test_a_stream_is_taken_up_where_another_run_left_it():
     engine = Engine(SMALL, 0.0)
-    number = engine.submit(0.0, Work(prompt=50, out=20, made=8))
+    number = engine.submit(0.0, Work(prompt=50, out=20, resumed_tokens=8))
     seen = play(engine)
     assert [one.id for one in of(seen, number, Event)] == [3, 4, 5]
     assert engine.read_tokens == 58  # the prompt, and what was made before
@@ -253,9 +253,9 @@
     engine = Engine(replace(SMALL, cold_s=3.0, cold_rate=5.0, cold_fall=2.0), 0.0, cold=True)
     for turn in range(10):
         engine.submit(0.05 * turn, Work(span_s=0.001))
-    assert Fell() not in engine.effects
+    assert Crashed() not in engine.effects
     engine.submit(0.6, Work(span_s=0.001))
-    assert Fell() in engine.effects and engine.wake_at() == float("inf")
+    assert Crashed() in engine.effects and engine.wake_at() == float("inf")
 
 
 def test_some_slow_down_close_to_full():
