--- a/shedgrade/engines/connection.py
+++ b/shedgrade/engines/connection.py
@@ -124,7 +124,7 @@
             self.asked,
             after,
         )
-        self.run.cold = self.engine.cold_left(now) > 0
+        self.run.cold = self.engine.cold_remaining_s(now) > 0
         self.server.record(self.run)
         wrong = self.wrong(headers)
         if wrong:
@@ -237,7 +237,7 @@
     def answer_health(self) -> None:
         now = self.server.loop.time()
         lines = [b"Instance-Id: " + self.upstream.instance.encode()]
-        left = self.engine.cold_left(now)
+        left = self.engine.cold_remaining_s(now)
         if left > 0:
             lines.append(b"Cold-Remaining: %d" % (left * 1000))
         well = not self.server.draining and not self.server.unwell
--- a/shedgrade/engines/engine.py
+++ b/shedgrade/engines/engine.py
@@ -22,9 +22,9 @@
     Work,
 )
 
-NEARLY_FULL = 0.9  # of the slots, above which some engines slow down
-REPORT_AGE = 0.3  # s by which a report is old
-SHOT = 0.1  # s between two looks that reports are made of
+NEARLY_FULL_SHARE = 0.9  # of the slots, above which some engines slow down
+REPORT_DELAY_S = 0.3  # s by which a report is old
+SNAPSHOT_INTERVAL_S = 0.1  # s between two looks that reports are made of
 
 
 class Engine:
@@ -39,42 +39,42 @@
         self.waiting: dict[int, Job] = {}
         self.running: dict[int, Job] = {}
         self.deadlines: list[tuple[float, int]] = []
-        self.spoken: dict[int, int] = {}  # by request: version that its last event was made with
-        self.connecting: deque[float] = deque()  # ends of the times for which new connections take slots
-        self.arrivals: deque[float] = deque()  # of the last second, while it is cold
+        self.last_event_versions: dict[int, int] = {}  # by request: version that its last event was made with
+        self.connection_slot_ends: deque[float] = deque()  # ends of the times for which new connections take slots
+        self.cold_arrivals: deque[float] = deque()  # of the last second, while it is cold
         self.effects: list = []
-        self.number = self.read_tokens = self.kept_tokens = self.preemptions = 0
-        self.step_ends = inf
-        self.fallen = False
-        self.shots: deque[tuple[float, dict]] = deque()
+        self.last_number = self.read_tokens = self.cached_tokens = self.preemptions = 0
+        self.step_ends_at = inf
+        self.has_crashed = False
+        self.snapshots: deque[tuple[float, dict]] = deque()
 
     # --- what is asked of it
 
     def submit(self, now: float, work: Work) -> int:
         """Its number. Where it is rejected at once, the effects say so."""
         self.advance(now)
-        self.number += 1
-        job = Job(self.number, work, work.resumed_tokens)
-        self.count_cold(now)
-        if work.prompt + work.out > self.settings.kv_tokens or not self.room(job):
+        self.last_number += 1
+        job = Job(self.last_number, work, work.resumed_tokens)
+        self.count_cold_arrival(now)
+        if work.prompt + work.out > self.settings.kv_tokens or not self.make_room(job):
             self.effects.append(Rejected(job.number, "full"))
             return job.number
         self.jobs[job.number] = self.waiting[job.number] = job
         if work.deadline < inf:
             heapq.heappush(self.deadlines, (work.deadline, job.number))
-        self.go_on(now)
+        self.schedule(now)
         return job.number
 
-    def room(self, job: Job) -> bool:
+    def make_room(self, job: Job) -> bool:
         """Whether it may wait; a less urgent one that has not run yet is displaced for it."""
         if len(self.jobs) < self.settings.slots + self.settings.queue:
             return True
         others = [other for other in self.waiting.values() if not other.started]
-        last = max(others, key=lambda other: other.rank, default=None)
-        if last is None or last.work.priority <= job.work.priority:
+        lowest_ranked = max(others, key=lambda other: other.rank, default=None)
+        if lowest_ranked is None or lowest_ranked.work.priority <= job.work.priority:
             return False
-        self.end(last)
-        self.effects.append(Rejected(last.number, "full"))
+        self.remove(lowest_ranked)
+        self.effects.append(Rejected(lowest_ranked.number, "full"))
         return True
 
     def cancel(self, now: float, number: int) -> None:
@@ -82,14 +82,14 @@
         self.advance(now)
         job = self.jobs.get(number)
         if job is not None:
-            self.end(job)
-            self.go_on(now)
+            self.remove(job)
+            self.schedule(now)
 
     def connected(self, now: float) -> None:
         """A new connection takes a slot for a moment."""
-        self.connecting.append(now + self.settings.connect_s)
+        self.connection_slot_ends.append(now + self.settings.connect_s)
 
-    def load(self, model: str, version: int) -> None:
+    def load_weights(self, model: str, version: int) -> None:
         """New weights. What was read with others is of no use to them."""
         self.versions[model] = version
 
@@ -97,121 +97,121 @@
 
     def advance(self, now: float) -> None:
         """Does all that was due by `now`, in the order in which it was due."""
-        while not self.fallen:
-            at = self.next()
+        while not self.has_crashed:
+            at = self.next_due_at()
             if at > now:
                 break
             while self.deadlines and self.deadlines[0][0] <= at:
                 self.expire(heapq.heappop(self.deadlines)[1])
             for job in [job for job in self.running.values() if job.ends_at <= at]:
-                self.end(job)
+                self.remove(job)
                 self.effects.append(Done(job.number))
-            if self.step_ends <= at:
+            if self.step_ends_at <= at:
                 self.finish_step()
-            self.go_on(at)
-        self.look(now)
+            self.schedule(at)
+        self.take_snapshot(now)
 
-    def next(self) -> float:
+    def next_due_at(self) -> float:
         while self.deadlines and self.deadlines[0][1] not in self.jobs:
             heapq.heappop(self.deadlines)
-        ends = min((job.ends_at for job in self.running.values()), default=inf)
-        waits = self.connecting[0] if self.connecting and self.waiting else inf
-        return min(self.step_ends, ends, waits, self.deadlines[0][0] if self.deadlines else inf)
+        next_end = min((job.ends_at for job in self.running.values()), default=inf)
+        next_slot_end = self.connection_slot_ends[0] if self.connection_slot_ends and self.waiting else inf
+        return min(self.step_ends_at, next_end, next_slot_end, self.deadlines[0][0] if self.deadlines else inf)
 
     def wake_at(self) -> float:
-        return inf if self.fallen else self.next()
+        return inf if self.has_crashed else self.next_due_at()
 
     def expire(self, number: int) -> None:
         job = self.jobs.get(number)
         if job is not None:
-            self.end(job)
+            self.remove(job)
             self.effects.append(Late(number) if job.started else Rejected(number, "deadline"))
 
     # --- slots
 
-    def go_on(self, now: float) -> None:
+    def schedule(self, now: float) -> None:
         """Fills the slots; begins a step if none is under way."""
-        while self.connecting and self.connecting[0] <= now:
-            self.connecting.popleft()
+        while self.connection_slot_ends and self.connection_slot_ends[0] <= now:
+            self.connection_slot_ends.popleft()
         for job in sorted(self.waiting.values(), key=lambda job: job.rank):
             if not self.admit(now, job):
                 break
-        if self.step_ends == inf:
+        if self.step_ends_at == inf:
             self.begin_step(now)
 
     def admit(self, now: float, job: Job) -> bool:
-        while len(self.running) + len(self.connecting) >= self.settings.slots:
-            if len(self.running) < self.settings.slots or not self.displace(job):
+        while len(self.running) + len(self.connection_slot_ends) >= self.settings.slots:
+            if len(self.running) < self.settings.slots or not self.preempt_for(job):
                 return False
-        while not self.place(job):
-            if not self.displace(job):
+        while not self.allocate_memory(job):
+            if not self.preempt_for(job):
                 return False
         del self.waiting[job.number]
         self.running[job.number] = job
         job.running = True
         if not job.work.out:
-            self.start(job)
-            job.ends_at = now + job.work.span_s * self.slow(now)
+            self.mark_started(job)
+            job.ends_at = now + job.work.span_s * self.slowdown_factor(now)
         return True
 
-    def displace(self, job: Job) -> bool:
+    def preempt_for(self, job: Job) -> bool:
         """Preempts a less urgent one for it."""
-        last = self.last()
-        if last is None or last.work.priority <= job.work.priority:
+        lowest_ranked = self.lowest_ranked()
+        if lowest_ranked is None or lowest_ranked.work.priority <= job.work.priority:
             return False
-        self.preempt(last)
+        self.preempt(lowest_ranked)
         return True
 
-    def last(self) -> Job | None:
+    def lowest_ranked(self) -> Job | None:
         """The newest of the least urgent that run."""
         return max(
             (job for job in self.running.values() if job.work.out), key=lambda job: job.rank, default=None
         )
 
-    def place(self, job: Job) -> bool:
+    def allocate_memory(self, job: Job) -> bool:
         """Gives it memory for all that it has to read; parts that are kept are not read again."""
         work, memory = job.work, self.memory
         version = self.versions.get(work.model, 0)
         keys = [(work.model, version, name) for name, _ in work.parts]
-        kept = memory.run(keys)
-        for key in keys[:kept]:
+        cached_count = memory.run(keys)
+        for key in keys[:cached_count]:
             memory.pin(key)
-        spared = sum(tokens for _, tokens in work.parts[:kept])
-        need = max(0, work.prompt - spared) + job.generated
-        if not memory.allocate(need):
-            for key in keys[:kept]:
+        cached_tokens = sum(tokens for _, tokens in work.parts[:cached_count])
+        needed_tokens = max(0, work.prompt - cached_tokens) + job.generated
+        if not memory.allocate(needed_tokens):
+            for key in keys[:cached_count]:
                 memory.unpin(key)
             return False
-        job.pinned_parts, job.own_tokens, job.uncached_parts = keys[:kept], need, []
+        job.pinned_parts, job.own_tokens, job.uncached_parts = keys[:cached_count], needed_tokens, []
         # Something is read also where all is kept: the step that makes the first token.
-        job.unread = left = max(1, need) if work.out else 0
-        for key, (_, tokens) in zip(keys[kept:], work.parts[kept:], strict=True):
-            left -= tokens
-            job.uncached_parts.append((left, key, tokens))
-        self.kept_tokens += spared
+        job.unread = unread_after = max(1, needed_tokens) if work.out else 0
+        for key, (_, tokens) in zip(keys[cached_count:], work.parts[cached_count:], strict=True):
+            unread_after -= tokens
+            job.uncached_parts.append((unread_after, key, tokens))
+        self.cached_tokens += cached_tokens
         return True
 
     def preempt(self, job: Job) -> None:
         """It waits again, and is read anew, with what it has made; what was read whole stays as parts."""
-        self.free(job)
+        self.release(job)
         job.running, job.step_tokens = False, 0
         self.waiting[job.number] = job
         self.preemptions += 1
 
-    def end(self, job: Job) -> None:
+    def remove(self, job: Job) -> None:
         del self.jobs[job.number]
-        self.spoken.pop(job.number, None)
+        self.last_event_versions.pop(job.number, None)
         if self.waiting.pop(job.number, None) is None:
-            self.free(job)
+            self.release(job)
 
-    def free(self, job: Job) -> None:
+    def release(self, job: Job) -> None:
         del self.running[job.number]
         self.memory.free(job.own_tokens)
         for key in job.pinned_parts:
             self.memory.unpin(key)
         job.own_tokens, job.pinned_parts, job.uncached_parts = 0, [], []
 
-    def start(self, job: Job) -> None:
+    def mark_started(self, job: Job) -> None:
         if not job.started:
             job.started = True
             self.effects.append(Started(job.number))
@@ -223,16 +223,16 @@
         batch = [job for job in self.running.values() if job.work.out]
         if not batch:
             return
-        settings, left = self.settings, self.settings.piece
+        settings, budget = self.settings, self.settings.piece
         for job in sorted((job for job in batch if job.unread), key=lambda job: job.rank):
-            job.step_tokens = min(left, job.unread)
-            left -= job.step_tokens
-        read = settings.piece - left
-        lasts = settings.step_s + settings.crowd_s * (len(batch) - 1) + read / settings.prefill_per_s
-        self.step_ends = now + lasts * self.slow(now)
+            job.step_tokens = min(budget, job.unread)
+            budget -= job.step_tokens
+        tokens_to_read = settings.piece - budget
+        duration_s = settings.step_s + settings.crowd_s * (len(batch) - 1) + tokens_to_read / settings.prefill_per_s
+        self.step_ends_at = now + duration_s * self.slowdown_factor(now)
 
     def finish_step(self) -> None:
-        self.step_ends = inf
+        self.step_ends_at = inf
         batch = sorted((job for job in self.running.values() if job.work.out), key=lambda job: job.rank)
         for job in batch:
             if not job.running:
@@ -240,13 +240,13 @@
             if job.unread:
                 if not job.step_tokens:
                     continue
-                self.read(job)
+                self.read_prompt(job)
                 if job.unread:
                     continue
-            if self.extend(job):
-                self.make(job)
+            if self.allocate_token(job):
+                self.generate_token(job)
 
-    def read(self, job: Job) -> None:
+    def read_prompt(self, job: Job) -> None:
         self.read_tokens += job.step_tokens
         job.unread -= job.step_tokens
         job.step_tokens = 0
@@ -257,68 +257,68 @@
                 job.own_tokens -= tokens
                 job.pinned_parts.append(key)
 
-    def extend(self, job: Job) -> bool:
+    def allocate_token(self, job: Job) -> bool:
         """One more token of memory; False if it was preempted itself for lack of it."""
         while not self.memory.allocate(1):
-            last = self.last()
-            self.preempt(last)
-            if last is job:
+            lowest_ranked = self.lowest_ranked()
+            self.preempt(lowest_ranked)
+            if lowest_ranked is job:
                 return False
         job.own_tokens += 1
         return True
 
-    def make(self, job: Job) -> None:
+    def generate_token(self, job: Job) -> None:
         work, stride = job.work, self.settings.stride
-        self.start(job)
+        self.mark_started(job)
         job.generated += 1
         if job.generated % stride == 0 or job.generated >= work.out:
             version = self.versions.get(work.model, 0)
-            moved = self.spoken.get(job.number, version) != version
-            self.spoken[job.number] = version
+            version_changed = self.last_event_versions.get(job.number, version) != version
+            self.last_event_versions[job.number] = version
             self.effects.append(
                 Event(
                     job.number,
                     -(-job.generated // stride),
                     (job.generated - 1) % stride + 1,
-                    version if moved else None,
+                    version if version_changed else None,
                 )
             )
-        elif job.number not in self.spoken:
-            self.spoken[job.number] = self.versions.get(work.model, 0)
+        elif job.number not in self.last_event_versions:
+            self.last_event_versions[job.number] = self.versions.get(work.model, 0)
         if job.generated >= work.out:
-            self.end(job)
+            self.remove(job)
             self.effects.append(Done(job.number))
 
-    def slow(self, now: float) -> float:
+    def slowdown_factor(self, now: float) -> float:
         settings = self.settings
         factor = settings.cold_slow if now < self.cold_until else 1.0
-        return factor * (settings.full_slow if len(self.running) >= NEARLY_FULL * settings.slots else 1.0)
+        return factor * (settings.full_slow if len(self.running) >= NEARLY_FULL_SHARE * settings.slots else 1.0)
 
     # --- cold
 
-    def cold_left(self, now: float) -> float:
+    def cold_remaining_s(self, now: float) -> float:
         return max(0.0, self.cold_until - now)
 
-    def chill(self, now: float) -> None:
+    def become_cold(self, now: float) -> None:
         """It may turn cold at any moment."""
         self.cold_until = now + self.settings.cold_s
 
-    def count_cold(self, now: float) -> None:
+    def count_cold_arrival(self, now: float) -> None:
         if now >= self.cold_until or not self.settings.cold_rate:
             return
-        self.arrivals.append(now)
-        while self.arrivals[0] <= now - 1.0:
-            self.arrivals.popleft()
-        if len(self.arrivals) > self.settings.cold_rate * self.settings.cold_fall and not self.fallen:
-            self.fallen = True
+        self.cold_arrivals.append(now)
+        while self.cold_arrivals[0] <= now - 1.0:
+            self.cold_arrivals.popleft()
+        if len(self.cold_arrivals) > self.settings.cold_rate * self.settings.cold_fall and not self.has_crashed:
+            self.has_crashed = True
             self.effects.append(Crashed())
 
     # --- what it says of itself
 
-    def look(self, now: float) -> None:
-        if self.shots and now - self.shots[-1][0] < SHOT:
+    def take_snapshot(self, now: float) -> None:
+        if self.snapshots and now - self.snapshots[-1][0] < SNAPSHOT_INTERVAL_S:
             return
-        self.shots.append(
+        self.snapshots.append(
             (
                 now,
                 {
@@ -337,13 +337,13 @@
                 },
             )
         )
-        while len(self.shots) > 1 and self.shots[1][0] <= now - REPORT_AGE:
-            self.shots.popleft()
+        while len(self.snapshots) > 1 and self.snapshots[1][0] <= now - REPORT_DELAY_S:
+            self.snapshots.popleft()
 
     def report(self, now: float) -> dict:
         """As it stood some hundred ms ago."""
         self.advance(now)
-        return self.shots[0][1]
+        return self.snapshots[0][1]
 
 
 def parse_priority(header: str | None) -> int:
--- a/tests/engines/test_engine_core.py
+++ b/tests/engines/test_engine_core.py
@@ -151,7 +151,7 @@
         (2.0, "m", 1, 1),
         (3.0, "m", 2, 200),
     ):
-        engine.load(model, version)
+        engine.load_weights(model, version)
         read = engine.read_tokens
         engine.submit(now, Work(prompt=200, out=1, parts=(("a", 200),), model=model))
         play(engine)
@@ -223,7 +223,7 @@
     engine = Engine(SMALL, 0.0)
     number = engine.submit(0.0, Work(prompt=1, out=16))
     engine.advance(0.06)
-    engine.load("m", 2)
+    engine.load_weights("m", 2)
     assert [one.version for one in of(play(engine), number, Event)] == [None, 2, None, None]
 
 
@@ -239,14 +239,14 @@
 def test_a_cold_engine_is_slow_and_says_how_long():
     settings_cold = replace(SMALL, cold_s=3.0, cold_slow=4.0)
     cold, warm = Engine(settings_cold, 0.0, cold=True), Engine(settings_cold, 0.0)
-    assert cold.cold_left(1.0) == 2.0 and warm.cold_left(1.0) == 0.0
+    assert cold.cold_remaining_s(1.0) == 2.0 and warm.cold_remaining_s(1.0) == 0.0
     took = []
     for engine in (cold, warm):
         number = engine.submit(0.0, Work(prompt=1, out=4))
         took.append(when(play(engine), Done(number)))
     assert took[0] > 3.9 * took[1]
-    warm.chill(5.0)
-    assert warm.cold_left(6.0) == 2.0
+    warm.become_cold(5.0)
+    assert warm.cold_remaining_s(6.0) == 2.0
 
 
 def test_a_cold_engine_falls_over_well_above_its_rate():
