--- a/shedgrade/engines/engine.py
+++ b/shedgrade/engines/engine.py
@@ -1,7 +1,7 @@
-"""An engine: requests in batches, prompts read in pieces, memory shared, the least urgent preempted.
+"""A simulated inference engine: continuous batching, chunked prefill, shared memory, preemption by priority.
 
-No I/O: each call is handed the time in s; what came of it stands in `effects`, drained by the caller.
-Source: PROTOCOL, "Requests" and "Upstreams".
+The engine does no I/O: each call is given the current time in s, and the resulting effects are appended to
+`effects`, which the caller drains. Source: PROTOCOL, "Requests" and "Upstreams".
 """
 
 import heapq
@@ -22,13 +22,32 @@
     Work,
 )
 
-NEARLY_FULL_SHARE = 0.9  # of the slots, above which some engines slow down
-REPORT_DELAY_S = 0.3  # s by which a report is old
-SNAPSHOT_INTERVAL_S = 0.1  # s between two looks that reports are made of
+NEARLY_FULL_SHARE = 0.9  # of the slots; from here on `EngineSettings.full_slow` applies
+REPORT_DELAY_S = 0.3  # minimum age of the snapshot that a report shows
+SNAPSHOT_INTERVAL_S = 0.1
 
 
 class Engine:
-    """`submit` numbers requests from 1. Call `advance` when `wake_at` is due."""
+    """Runs requests in virtual time. The caller calls `advance` when `wake_at` is due.
+
+    Attributes:
+        memory: the key-value memory, shared by running requests and cached parts.
+        versions: version of the weights, by model.
+        cold_until: end of the cold period, s.
+        jobs: all requests that have not ended, by number; each is in `waiting` or in `running`.
+        deadlines: heap of (deadline in s, request number); requests that have ended stay in it until popped.
+        last_event_versions: weights' version of the last event, by request number.
+        connection_slot_ends: when each new connection releases its slot, s, earliest first.
+        cold_arrivals: arrival times of the last second while the engine is cold, s.
+        effects: what has happened since the caller last drained the list, in order.
+        last_number: number of the newest request.
+        read_tokens: prompt tokens read so far.
+        cached_tokens: prompt tokens that were not read because they were cached, so far.
+        preemptions: number of preemptions so far.
+        step_ends_at: end of the step in progress, s; infinite if there is none.
+        has_crashed: whether the engine was overloaded while cold; it does nothing afterwards.
+        snapshots: (time in s, report), oldest first.
+    """
 
     def __init__(self, settings: EngineSettings, now: float, *, cold: bool = False) -> None:
         self.settings = settings
@@ -39,19 +58,21 @@
         self.waiting: dict[int, Job] = {}
         self.running: dict[int, Job] = {}
         self.deadlines: list[tuple[float, int]] = []
-        self.last_event_versions: dict[int, int] = {}  # by request: version that its last event was made with
-        self.connection_slot_ends: deque[float] = deque()  # ends of the times for which new connections take slots
-        self.cold_arrivals: deque[float] = deque()  # of the last second, while it is cold
+        self.last_event_versions: dict[int, int] = {}
+        self.connection_slot_ends: deque[float] = deque()
+        self.cold_arrivals: deque[float] = deque()
         self.effects: list = []
         self.last_number = self.read_tokens = self.cached_tokens = self.preemptions = 0
         self.step_ends_at = inf
         self.has_crashed = False
         self.snapshots: deque[tuple[float, dict]] = deque()
 
-    # --- what is asked of it
+    # --- calls
 
     def submit(self, now: float, work: Work) -> int:
-        """Its number. Where it is rejected at once, the effects say so."""
+        """Adds a request and returns its number, counted from 1. If the request is rejected at once, the
+        effects say so.
+        """
         self.advance(now)
         self.last_number += 1
         job = Job(self.last_number, work, work.resumed_tokens)
@@ -66,7 +87,9 @@
         return job.number
 
     def make_room(self, job: Job) -> bool:
-        """Whether it may wait; a less urgent one that has not run yet is displaced for it."""
+        """Whether the request may wait. If the queue is full, a less urgent request that has not run yet is
+        rejected in its place.
+        """
         if len(self.jobs) < self.settings.slots + self.settings.queue:
             return True
         others = [other for other in self.waiting.values() if not other.started]
@@ -78,7 +101,7 @@
         return True
 
     def cancel(self, now: float, number: int) -> None:
-        """Its client left."""
+        """Ends a request whose client disconnected."""
         self.advance(now)
         job = self.jobs.get(number)
         if job is not None:
@@ -86,17 +109,17 @@
             self.schedule(now)
 
     def connected(self, now: float) -> None:
-        """A new connection takes a slot for a moment."""
+        """A new connection occupies a slot for `connect_s`."""
         self.connection_slot_ends.append(now + self.settings.connect_s)
 
     def load_weights(self, model: str, version: int) -> None:
-        """New weights. What was read with others is of no use to them."""
+        """Loads new weights. Parts cached with other weights can't be reused."""
         self.versions[model] = version
 
     # --- time
 
     def advance(self, now: float) -> None:
-        """Does all that was due by `now`, in the order in which it was due."""
+        """Processes all that was due by `now`, in the order in which it was due."""
         while not self.has_crashed:
             at = self.next_due_at()
             if at > now:
@@ -112,16 +135,21 @@
         self.take_snapshot(now)
 
     def next_due_at(self) -> float:
+        """When the next step, request, connection slot or deadline ends, s; infinite if nothing is due."""
         while self.deadlines and self.deadlines[0][1] not in self.jobs:
             heapq.heappop(self.deadlines)
         next_end = min((job.ends_at for job in self.running.values()), default=inf)
         next_slot_end = self.connection_slot_ends[0] if self.connection_slot_ends and self.waiting else inf
-        return min(self.step_ends_at, next_end, next_slot_end, self.deadlines[0][0] if self.deadlines else inf)
+        return min(
+            self.step_ends_at, next_end, next_slot_end, self.deadlines[0][0] if self.deadlines else inf
+        )
 
     def wake_at(self) -> float:
+        """When `advance` is to be called next, s; infinite if nothing is due or the engine has crashed."""
         return inf if self.has_crashed else self.next_due_at()
 
     def expire(self, number: int) -> None:
+        """Ends a request at its deadline: as late if it has run, else as rejected."""
         job = self.jobs.get(number)
         if job is not None:
             self.remove(job)
@@ -130,7 +158,7 @@
     # --- slots
 
     def schedule(self, now: float) -> None:
-        """Fills the slots; begins a step if none is under way."""
+        """Admits waiting requests to free slots, and begins a step if none is in progress."""
         while self.connection_slot_ends and self.connection_slot_ends[0] <= now:
             self.connection_slot_ends.popleft()
         for job in sorted(self.waiting.values(), key=lambda job: job.rank):
@@ -140,6 +168,9 @@
             self.begin_step(now)
 
     def admit(self, now: float, job: Job) -> bool:
+        """Moves a waiting request to the running ones, preempting less urgent ones if necessary. Returns
+        False if it can't be admitted now.
+        """
         while len(self.running) + len(self.connection_slot_ends) >= self.settings.slots:
             if len(self.running) < self.settings.slots or not self.preempt_for(job):
                 return False
@@ -155,7 +186,7 @@
         return True
 
     def preempt_for(self, job: Job) -> bool:
-        """Preempts a less urgent one for it."""
+        """Preempts a running request that is less urgent than `job`. Returns False if there is none."""
         lowest_ranked = self.lowest_ranked()
         if lowest_ranked is None or lowest_ranked.work.priority <= job.work.priority:
             return False
@@ -163,13 +194,15 @@
         return True
 
     def lowest_ranked(self) -> Job | None:
-        """The newest of the least urgent that run."""
+        """The least urgent running generation; the newest of several."""
         return max(
             (job for job in self.running.values() if job.work.out), key=lambda job: job.rank, default=None
         )
 
     def allocate_memory(self, job: Job) -> bool:
-        """Gives it memory for all that it has to read; parts that are kept are not read again."""
+        """Allocates memory for the tokens that the request has to read; cached parts are pinned and not read
+        again. Returns False if they do not fit.
+        """
         work, memory = job.work, self.memory
         version = self.versions.get(work.model, 0)
         keys = [(work.model, version, name) for name, _ in work.parts]
@@ -183,7 +216,7 @@
                 memory.unpin(key)
             return False
         job.pinned_parts, job.own_tokens, job.uncached_parts = keys[:cached_count], needed_tokens, []
-        # Something is read also where all is kept: the step that makes the first token.
+        # At least one token is read, even if all parts are cached: the step that generates the first token.
         job.unread = unread_after = max(1, needed_tokens) if work.out else 0
         for key, (_, tokens) in zip(keys[cached_count:], work.parts[cached_count:], strict=True):
             unread_after -= tokens
@@ -192,19 +225,23 @@
         return True
 
     def preempt(self, job: Job) -> None:
-        """It waits again, and is read anew, with what it has made; what was read whole stays as parts."""
+        """Returns a running request to the queue. It is read again later, with the tokens that it has
+        generated; parts that were read completely stay cached.
+        """
         self.release(job)
         job.running, job.step_tokens = False, 0
         self.waiting[job.number] = job
         self.preemptions += 1
 
     def remove(self, job: Job) -> None:
+        """Removes a request that has ended, and releases what it held."""
         del self.jobs[job.number]
         self.last_event_versions.pop(job.number, None)
         if self.waiting.pop(job.number, None) is None:
             self.release(job)
 
     def release(self, job: Job) -> None:
+        """Removes a request from the running ones and releases its memory."""
         del self.running[job.number]
         self.memory.free(job.own_tokens)
         for key in job.pinned_parts:
@@ -212,6 +249,7 @@
         job.own_tokens, job.pinned_parts, job.uncached_parts = 0, [], []
 
     def mark_started(self, job: Job) -> None:
+        """Reports that the request runs; only once, also if it was preempted since."""
         if not job.started:
             job.started = True
             self.effects.append(Started(job.number))
@@ -219,7 +257,9 @@
     # --- steps
 
     def begin_step(self, now: float) -> None:
-        """Each request in the batch gets a token; the rest of the step goes to prompts, the urgent first."""
+        """Begins a step: each request that has been read generates a token, and up to `piece` prompt tokens
+        are read, of the most urgent requests first.
+        """
         batch = [job for job in self.running.values() if job.work.out]
         if not batch:
             return
@@ -228,15 +268,18 @@
             job.step_tokens = min(budget, job.unread)
             budget -= job.step_tokens
         tokens_to_read = settings.piece - budget
-        duration_s = settings.step_s + settings.crowd_s * (len(batch) - 1) + tokens_to_read / settings.prefill_per_s
+        duration_s = (
+            settings.step_s + settings.crowd_s * (len(batch) - 1) + tokens_to_read / settings.prefill_per_s
+        )
         self.step_ends_at = now + duration_s * self.slowdown_factor(now)
 
     def finish_step(self) -> None:
+        """Ends the step in progress: the prompt tokens of the step are read, the others' tokens generated."""
         self.step_ends_at = inf
         batch = sorted((job for job in self.running.values() if job.work.out), key=lambda job: job.rank)
         for job in batch:
             if not job.running:
-                continue  # it was preempted for one before it
+                continue  # preempted in this step for a request before it
             if job.unread:
                 if not job.step_tokens:
                     continue
@@ -247,6 +290,7 @@
                 self.generate_token(job)
 
     def read_prompt(self, job: Job) -> None:
+        """Counts the step's prompt tokens as read; parts that are complete become cached parts."""
         self.read_tokens += job.step_tokens
         job.unread -= job.step_tokens
         job.step_tokens = 0
@@ -258,7 +302,9 @@
                 job.pinned_parts.append(key)
 
     def allocate_token(self, job: Job) -> bool:
-        """One more token of memory; False if it was preempted itself for lack of it."""
+        """Allocates memory for one more token, preempting the lowest-ranked requests until it fits. Returns
+        False if `job` itself was preempted.
+        """
         while not self.memory.allocate(1):
             lowest_ranked = self.lowest_ranked()
             self.preempt(lowest_ranked)
@@ -268,6 +314,7 @@
         return True
 
     def generate_token(self, job: Job) -> None:
+        """Generates one token; an event is sent for every `stride` tokens and at the end."""
         work, stride = job.work, self.settings.stride
         self.mark_started(job)
         job.generated += 1
@@ -290,32 +337,43 @@
             self.effects.append(Done(job.number))
 
     def slowdown_factor(self, now: float) -> float:
+        """By what factor work takes longer now: while the engine is cold, and while it is nearly full."""
         settings = self.settings
         factor = settings.cold_slow if now < self.cold_until else 1.0
-        return factor * (settings.full_slow if len(self.running) >= NEARLY_FULL_SHARE * settings.slots else 1.0)
+        return factor * (
+            settings.full_slow if len(self.running) >= NEARLY_FULL_SHARE * settings.slots else 1.0
+        )
 
     # --- cold
 
     def cold_remaining_s(self, now: float) -> float:
+        """Remaining time of the cold period, s."""
         return max(0.0, self.cold_until - now)
 
     def become_cold(self, now: float) -> None:
-        """It may turn cold at any moment."""
+        """Begins a cold period; allowed at any time."""
         self.cold_until = now + self.settings.cold_s
 
     def count_cold_arrival(self, now: float) -> None:
+        """Counts a request that arrived while the engine is cold; the engine crashes if there were too many
+        in the last second.
+        """
         if now >= self.cold_until or not self.settings.cold_rate:
             return
         self.cold_arrivals.append(now)
         while self.cold_arrivals[0] <= now - 1.0:
             self.cold_arrivals.popleft()
-        if len(self.cold_arrivals) > self.settings.cold_rate * self.settings.cold_fall and not self.has_crashed:
+        if (
+            len(self.cold_arrivals) > self.settings.cold_rate * self.settings.cold_fall
+            and not self.has_crashed
+        ):
             self.has_crashed = True
             self.effects.append(Crashed())
 
-    # --- what it says of itself
+    # --- reports
 
     def take_snapshot(self, now: float) -> None:
+        """Records the engine's state for reports, at most once per `SNAPSHOT_INTERVAL_S`."""
         if self.snapshots and now - self.snapshots[-1][0] < SNAPSHOT_INTERVAL_S:
             return
         self.snapshots.append(
@@ -341,13 +399,13 @@
             self.snapshots.popleft()
 
     def report(self, now: float) -> dict:
-        """As it stood some hundred ms ago."""
+        """The body of the report: the engine's state some hundred ms ago."""
         self.advance(now)
         return self.snapshots[0][1]
 
 
 def parse_priority(header: str | None) -> int:
-    """Of `Priority`: 0 to 9, 5 where it is absent or none.
+    """The value of a `Priority` header, 0 to 9; 5 if it is missing or invalid.
 
     >>> parse_priority("0"), parse_priority(None), parse_priority("12")
     (0, 5, 5)
