--- a/shedgrade/engines/connection.py
+++ b/shedgrade/engines/connection.py
@@ -11,7 +11,7 @@
 from shedgrade.engines.records import Run
 from shedgrade.engines.work import Work
 
-REASONS = {
+REASON_PHRASES = {
     200: b"OK",
     400: b"Bad Request",
     404: b"Not Found",
@@ -21,9 +21,9 @@
     503: b"Busy",
     504: b"Too Late",
 }
-NOISE = b"\x00\x07this is no answer\r\n\r\n"
-SOON = 0.05  # s to wait that a refusal tells
-MOST_WAIT = 16  # requests that may wait on one connection before it is read no further
+INVALID_RESPONSE = b"\x00\x07this is no answer\r\n\r\n"
+RETRY_AFTER_S = 0.05  # s to wait that a refusal tells
+MAX_PIPELINED_REQUESTS = 16  # requests that may wait on one connection before it is read no further
 
 
 class ServerConnection(asyncio.Protocol):
@@ -32,43 +32,43 @@
     def __init__(self, server) -> None:
         self.server, self.upstream, self.engine = server, server.upstream, server.engine
         self.transport, self.timer = None, None
-        self.number = 0  # of the request at the engine
-        self.busy = self.begun = False
+        self.request_number = 0  # of the request at the engine
+        self.busy = self.head_sent = False
         self.run: Run | None = None
-        self.waits: deque = deque()  # requests that came early
-        self.attempt, self.spoilt, self.streams, self.asked = "", "", False, b""
-        self.last = False
+        self.pipelined: deque = deque()  # requests that came early
+        self.attempt_id, self.injected_fault, self.is_streaming, self.request_digest = "", "", False, b""
+        self.close_after_response = False
         self.parser = httptools.HttpRequestParser(self)
-        self.clear()
+        self.reset_request()
 
-    def clear(self) -> None:
+    def reset_request(self) -> None:
         self.headers, self.target, self.body = {}, b"", []
 
     # --- the connection
 
     def connection_made(self, transport) -> None:
         self.transport = transport
-        self.server.opened(self)
-        self.idle()
+        self.server.connection_opened(self)
+        self.start_idle_timer()
 
     def connection_lost(self, failure) -> None:
         if self.timer is not None:
             self.timer.cancel()
-        self.server.closed(self)
+        self.server.connection_closed(self)
         self.parser = None
 
-    def idle(self) -> None:
+    def start_idle_timer(self) -> None:
         if self.timer is not None:
             self.timer.cancel()
         limit = self.upstream.keep_alive_s
-        self.timer = self.server.loop.call_later(limit, self.too_idle) if limit else None
+        self.timer = self.server.loop.call_later(limit, self.close_if_idle) if limit else None
 
-    def too_idle(self) -> None:
-        if not self.busy and not self.server.dark:
+    def close_if_idle(self) -> None:
+        if not self.busy and not self.server.is_unresponsive:
             self.transport.close()
 
     def data_received(self, data: bytes) -> None:
-        if self.server.dark:
+        if self.server.is_unresponsive:
             return
         if self.timer is not None:
             self.timer.cancel()
@@ -76,7 +76,7 @@
         try:
             self.parser.feed_data(data)
         except (httptools.HttpParserError, httptools.HttpParserUpgrade):
-            self.answer(400, b"", not_executed=True, last=True)
+            self.send_response(400, b"", not_executed=True, close=True)
 
     def on_url(self, url: bytes) -> None:
         self.target += url
@@ -90,56 +90,56 @@
     # --- a request
 
     def on_message_complete(self) -> None:
-        self.waits.append((self.parser.get_method(), self.target, self.headers, b"".join(self.body)))
-        self.clear()
-        if len(self.waits) >= MOST_WAIT:
+        self.pipelined.append((self.parser.get_method(), self.target, self.headers, b"".join(self.body)))
+        self.reset_request()
+        if len(self.pipelined) >= MAX_PIPELINED_REQUESTS:
             self.transport.pause_reading()
         if not self.busy:
-            self.take()
+            self.start_request()
 
-    def take(self) -> None:
-        method, target, headers, body = self.waits.popleft()
-        self.busy, self.begun, self.number, self.run = True, False, 0, None
-        self.attempt, self.spoilt, self.streams = "", "", False
+    def start_request(self) -> None:
+        method, target, headers, body = self.pipelined.popleft()
+        self.busy, self.head_sent, self.request_number, self.run = True, False, 0, None
+        self.attempt_id, self.injected_fault, self.is_streaming = "", "", False
         now = self.server.loop.time()
         path = target.split(b"?", 1)[0].decode("latin-1")
         if method == b"GET" and path == "/report":
-            self.answer(200, json.dumps(self.engine.report(now)).encode())
+            self.send_response(200, json.dumps(self.engine.report(now)).encode())
             return
         if method == b"GET" and path == self.upstream.health_path:
-            self.health(now)
+            self.submit_health_check(now)
             return
-        self.attempt = headers.get("attempt-id", "")
-        self.asked = content.digest(method, target, body)
-        resumed = headers.get("last-event-id", "")
-        after = int(resumed) if resumed.isdigit() else 0
+        self.attempt_id = headers.get("attempt-id", "")
+        self.request_digest = content.digest(method, target, body)
+        last_event_id = headers.get("last-event-id", "")
+        after = int(last_event_id) if last_event_id.isdigit() else 0
         self.run = Run(
             now,
             self.upstream.instance,
             self.upstream.service,
             self.upstream.zone,
-            self.attempt,
+            self.attempt_id,
             method.decode(),
             target.decode("latin-1"),
-            self.asked,
+            self.request_digest,
             after,
         )
         self.run.cold = self.engine.cold_remaining_s(now) > 0
-        self.server.record(self.run)
-        wrong = self.wrong(headers)
-        if wrong:
-            self.turn_away(wrong)
+        self.server.record_run(self.run)
+        status = self.rejection_status(headers)
+        if status:
+            self.reject(status)
             return
-        self.spoilt = self.draw()
-        if self.spoilt == "busy":
-            self.turn_away(429)
+        self.injected_fault = self.draw_fault()
+        if self.injected_fault == "busy":
+            self.reject(429)
             return
-        self.streams = "token-usage" in headers
-        self.server.submit(self, self.work(headers, now, after))
+        self.is_streaming = "token-usage" in headers
+        self.server.submit(self, self.make_work(headers, now, after))
 
-    def wrong(self, headers: dict) -> int:
+    def rejection_status(self, headers: dict) -> int:
         """The status for a request that is none of this upstream's; 0 if it is."""
-        if not self.attempt:
+        if not self.attempt_id:
             return 400
         if headers.get("target-instance", self.upstream.instance) != self.upstream.instance:
             return 421
@@ -148,17 +148,17 @@
             return 421
         return 0
 
-    def draw(self) -> str:
-        for trouble, chance in self.upstream.troubles.items():
+    def draw_fault(self) -> str:
+        for fault, chance in self.upstream.troubles.items():
             if self.server.random.random() < chance:
-                return trouble
+                return fault
         return ""
 
-    def work(self, headers: dict, now: float, after: int) -> Work:
-        left = headers.get("time-remaining")
-        deadline = now + float(left) / 1000 if left else float("inf")
+    def make_work(self, headers: dict, now: float, after: int) -> Work:
+        remaining_ms = headers.get("time-remaining")
+        deadline = now + float(remaining_ms) / 1000 if remaining_ms else float("inf")
         priority = parse_priority(headers.get("priority"))
-        if not self.streams:
+        if not self.is_streaming:
             return Work(span_s=self.upstream.work_s, priority=priority, deadline=deadline)
         prompt, out = (int(count) for count in headers["token-usage"].split(","))
         parts = tuple(
@@ -178,144 +178,161 @@
             headers.get("model-name", "m"),
         )
 
-    def health(self, now: float) -> None:
+    def submit_health_check(self, now: float) -> None:
         """Waits for a slot, or is rejected, as a request."""
         self.server.submit(self, Work())
 
     # --- what the engine tells
 
-    def started(self, now: float) -> None:
+    def on_started(self, now: float) -> None:
         if self.run is not None:
             self.run.ran_at = now
 
-    def event(self, number: int, tokens: int, version: int | None) -> None:
-        if not self.begun:
-            self.begun = True
-            if self.spoilt == "error":
-                self.stop_work()
-                self.answer(500, b"")
+    def on_event(self, number: int, tokens: int, version: int | None) -> None:
+        if not self.head_sent:
+            self.head_sent = True
+            if self.injected_fault == "error":
+                self.cancel_work()
+                self.send_response(500, b"")
                 return
             self.transport.write(
-                self.head(
-                    200, [b"Content-Type: text/event-stream", b"Transfer-Encoding: chunked", *self.signed()]
+                self.response_head(
+                    200,
+                    [
+                        b"Content-Type: text/event-stream",
+                        b"Transfer-Encoding: chunked",
+                        *self.signature_lines(),
+                    ],
                 )
             )
-        piece = content.event(self.asked, number, tokens, version)
+        chunk = content.event(self.request_digest, number, tokens, version)
         self.run.sent.append(number)
-        self.transport.write(b"%x\r\n%b\r\n" % (len(piece), piece))
-        if self.spoilt == "cut" and number > 1:
-            self.stop_work()
-            self.outcome("cut")
+        self.transport.write(b"%x\r\n%b\r\n" % (len(chunk), chunk))
+        if self.injected_fault == "cut" and number > 1:
+            self.cancel_work()
+            self.set_outcome("cut")
             self.transport.close()
 
-    def stop_work(self) -> None:
-        self.server.in_hand.pop(self.number, None)
-        self.engine.cancel(self.server.loop.time(), self.number)
+    def cancel_work(self) -> None:
+        self.server.in_flight.pop(self.request_number, None)
+        self.engine.cancel(self.server.loop.time(), self.request_number)
 
-    def done(self) -> None:
+    def on_done(self) -> None:
         if self.run is None:
-            self.answer_health()
+            self.send_health_response()
             return
-        self.outcome("done")
-        if self.spoilt == "noise" and not self.begun:
-            self.transport.write(NOISE)
+        self.set_outcome("done")
+        if self.injected_fault == "noise" and not self.head_sent:
+            self.transport.write(INVALID_RESPONSE)
             self.transport.close()
             return
-        if self.begun:
+        if self.head_sent:
             self.transport.write(b"0\r\n\r\n")
-        elif self.spoilt == "error":
-            self.answer(500, b"")
+        elif self.injected_fault == "error":
+            self.send_response(500, b"")
             return
         else:
-            self.answer(200, content.body(self.asked, self.upstream.answer_bytes), self.signed(), ends=False)
-        if self.spoilt == "more":
-            self.transport.write(NOISE)
-        elif self.spoilt == "surplus" and not self.begun:
-            self.answer(200, content.body(self.asked, self.upstream.answer_bytes), self.signed(), ends=False)
-        self.ended()
-
-    def answer_health(self) -> None:
+            self.send_response(
+                200,
+                content.body(self.request_digest, self.upstream.answer_bytes),
+                self.signature_lines(),
+                finishes=False,
+            )
+        if self.injected_fault == "more":
+            self.transport.write(INVALID_RESPONSE)
+        elif self.injected_fault == "surplus" and not self.head_sent:
+            self.send_response(
+                200,
+                content.body(self.request_digest, self.upstream.answer_bytes),
+                self.signature_lines(),
+                finishes=False,
+            )
+        self.finish_response()
+
+    def send_health_response(self) -> None:
         now = self.server.loop.time()
         lines = [b"Instance-Id: " + self.upstream.instance.encode()]
-        left = self.engine.cold_remaining_s(now)
-        if left > 0:
-            lines.append(b"Cold-Remaining: %d" % (left * 1000))
-        well = not self.server.draining and not self.server.unwell
-        self.answer(200 if well else 503, b"", lines)
+        cold_remaining_s = self.engine.cold_remaining_s(now)
+        if cold_remaining_s > 0:
+            lines.append(b"Cold-Remaining: %d" % (cold_remaining_s * 1000))
+        is_healthy = not self.server.draining and not self.server.is_unhealthy
+        self.send_response(200 if is_healthy else 503, b"", lines)
 
-    def late(self) -> None:
+    def on_late(self) -> None:
         """The deadline came while it ran: it counts as run."""
-        self.outcome("late")
-        if self.begun:
+        self.set_outcome("late")
+        if self.head_sent:
             self.transport.close()
         else:
-            self.answer(504, b"")
+            self.send_response(504, b"")
 
-    def turn_away(self, status: int, why: str = "") -> None:
+    def reject(self, status: int, why: str = "") -> None:
         """It has not run and never will."""
-        self.outcome(f"{status} {why}".strip())
-        self.answer(status, b"", not_executed=True)
+        self.set_outcome(f"{status} {why}".strip())
+        self.send_response(status, b"", not_executed=True)
 
-    def outcome(self, word: str) -> None:
+    def set_outcome(self, outcome: str) -> None:
         if self.run is not None and not self.run.outcome:
-            self.run.outcome = word
+            self.run.outcome = outcome
 
     # --- answers
 
-    def signed(self) -> list[bytes]:
+    def signature_lines(self) -> list[bytes]:
         """A success says whose it is."""
         versions = b"Versions: %d" % max(self.engine.versions.values(), default=1)
-        told = content.seal(self.upstream.key, self.upstream.instance, self.attempt, self.asked)
-        return [b"Server-Seal: " + told.encode(), versions]
+        seal = content.seal(self.upstream.key, self.upstream.instance, self.attempt_id, self.request_digest)
+        return [b"Server-Seal: " + seal.encode(), versions]
 
-    def head(self, status: int, lines: list[bytes]) -> bytes:
-        told = [b"HTTP/1.1 %d %b" % (status, REASONS[status])]
-        if self.run is not None and self.attempt:
-            told.append(b"Attempt-Id: " + self.attempt.encode("latin-1"))
+    def response_head(self, status: int, lines: list[bytes]) -> bytes:
+        head_lines = [b"HTTP/1.1 %d %b" % (status, REASON_PHRASES[status])]
+        if self.run is not None and self.attempt_id:
+            head_lines.append(b"Attempt-Id: " + self.attempt_id.encode("latin-1"))
         chance = self.upstream.close_chance
-        self.last = self.server.draining or bool(chance and self.server.random.random() < chance)
-        if self.last:
-            told.append(b"Connection: close")
+        self.close_after_response = self.server.draining or bool(
+            chance and self.server.random.random() < chance
+        )
+        if self.close_after_response:
+            head_lines.append(b"Connection: close")
         elif self.upstream.keep_alive_s:
-            told.append(b"Keep-Alive: timeout=%d" % self.upstream.keep_alive_s)
-        return b"\r\n".join([*told, *lines, b"", b""])
+            head_lines.append(b"Keep-Alive: timeout=%d" % self.upstream.keep_alive_s)
+        return b"\r\n".join([*head_lines, *lines, b"", b""])
 
-    def answer(
+    def send_response(
         self,
         status: int,
         body: bytes,
         lines: list[bytes] = (),
         *,
         not_executed: bool = False,
-        last: bool = False,
-        ends: bool = True,
+        close: bool = False,
+        finishes: bool = True,
     ) -> None:
-        told = list(lines)
+        header_lines = list(lines)
         if not_executed:
-            told.append(b"Not-Executed: 1")
-            told.append(b"Instance-Id: " + self.upstream.instance.encode())
+            header_lines.append(b"Not-Executed: 1")
+            header_lines.append(b"Instance-Id: " + self.upstream.instance.encode())
             if status in (429, 503):
-                told.append(b"Retry-After: %g" % SOON)
-        told.append(b"Content-Length: %d" % len(body))
-        self.transport.write(self.head(status, told) + body)
-        self.last = self.last or last
-        if ends:
-            self.ended()
-
-    def ended(self) -> None:
+                header_lines.append(b"Retry-After: %g" % RETRY_AFTER_S)
+        header_lines.append(b"Content-Length: %d" % len(body))
+        self.transport.write(self.response_head(status, header_lines) + body)
+        self.close_after_response = self.close_after_response or close
+        if finishes:
+            self.finish_response()
+
+    def finish_response(self) -> None:
         """The next request may come."""
-        self.number = 0
-        if self.last or self.transport.is_closing():
+        self.request_number = 0
+        if self.close_after_response or self.transport.is_closing():
             self.transport.close()
             return
-        self.server.loop.call_soon(self.next)
+        self.server.loop.call_soon(self.start_next_request)
 
-    def next(self) -> None:
+    def start_next_request(self) -> None:
         if self.transport.is_closing() or self.parser is None:
             return
         self.busy = False
-        if self.waits:
+        if self.pipelined:
             self.transport.resume_reading()
-            self.take()
+            self.start_request()
         else:
-            self.idle()
+            self.start_idle_timer()
--- a/shedgrade/engines/server.py
+++ b/shedgrade/engines/server.py
@@ -18,7 +18,7 @@
     Started,
 )
 
-RESET = struct.pack("ii", 1, 0)
+LINGER_RESET = struct.pack("ii", 1, 0)
 BACKLOG = 1024
 
 
@@ -53,14 +53,14 @@
         upstream: Upstream,
         engine: Engine,
         random: Random,
-        record: Callable[[Run], None],
-        fell: Callable[[], None] = lambda: None,
+        record_run: Callable[[Run], None],
+        on_crash: Callable[[], None] = lambda: None,
     ) -> None:
         self.loop, self.upstream, self.engine, self.random = loop, upstream, engine, random
-        self.record, self.fell = record, fell
+        self.record_run, self.on_crash = record_run, on_crash
         self.connections: dict[ServerConnection, None] = {}
-        self.in_hand: dict[int, ServerConnection] = {}
-        self.draining = self.dark = self.unwell = False
+        self.in_flight: dict[int, ServerConnection] = {}
+        self.draining = self.is_unresponsive = self.is_unhealthy = False
         self.timer = None
         self.server = None
         self.refused = self.accepted = 0
@@ -79,9 +79,9 @@
         """It is leaving: it says so in its answers, and goes on."""
         self.draining = True
 
-    def go_dark(self) -> None:
+    def stop_responding(self) -> None:
         """Says nothing any more; connections stay."""
-        self.dark = True
+        self.is_unresponsive = True
 
     def close(self) -> None:
         """Gone, whatever it runs: all connections are reset."""
@@ -90,88 +90,88 @@
         if self.timer is not None:
             self.timer.cancel()
             self.timer = None
-        self.dark = True
+        self.is_unresponsive = True
         for connection in list(self.connections):
-            connection.outcome("cut")
-            reset(connection.transport)
+            connection.set_outcome("cut")
+            reset_connection(connection.transport)
 
     # --- connections
 
-    def most(self) -> int:
+    def connection_limit(self) -> int:
         """Connections that it accepts: fewer while its queue is long."""
-        long = len(self.engine.waiting) > self.engine.settings.queue // 2
-        return self.upstream.max_connections // 2 if long else self.upstream.max_connections
+        queue_is_long = len(self.engine.waiting) > self.engine.settings.queue // 2
+        return self.upstream.max_connections // 2 if queue_is_long else self.upstream.max_connections
 
-    def opened(self, connection: ServerConnection) -> None:
-        if len(self.connections) >= self.most() or self.dark:
+    def connection_opened(self, connection: ServerConnection) -> None:
+        if len(self.connections) >= self.connection_limit() or self.is_unresponsive:
             self.refused += 1
-            reset(connection.transport)
+            reset_connection(connection.transport)
             return
         self.accepted += 1
         self.connections[connection] = None
         self.engine.connected(self.loop.time())
 
-    def closed(self, connection: ServerConnection) -> None:
+    def connection_closed(self, connection: ServerConnection) -> None:
         self.connections.pop(connection, None)
-        number = connection.number
-        if number and self.in_hand.pop(number, None) is not None:
-            connection.outcome("left")
+        number = connection.request_number
+        if number and self.in_flight.pop(number, None) is not None:
+            connection.set_outcome("left")
             self.engine.cancel(self.loop.time(), number)
-            self.drive()
+            self.process_effects()
 
     # --- work
 
     def submit(self, connection: ServerConnection, work) -> None:
         now = self.loop.time()
         number = self.engine.submit(now, work)
-        connection.number = number
-        self.in_hand[number] = connection
-        self.drive()
+        connection.request_number = number
+        self.in_flight[number] = connection
+        self.process_effects()
 
-    def drive(self) -> None:
+    def process_effects(self) -> None:
         """Passes on what the engine tells, and sets the timer."""
         engine = self.engine
         while engine.effects:
             effects, engine.effects = engine.effects, []
             for effect in effects:
-                self.tell(effect)
+                self.handle_effect(effect)
         at = engine.wake_at()
         if self.timer is not None:
             self.timer.cancel()
             self.timer = None
-        if at != float("inf") and not self.dark:
-            self.timer = self.loop.call_at(at, self.alarm)
+        if at != float("inf") and not self.is_unresponsive:
+            self.timer = self.loop.call_at(at, self.on_timer)
 
-    def alarm(self) -> None:
+    def on_timer(self) -> None:
         self.timer = None
         self.engine.advance(self.loop.time())
-        self.drive()
+        self.process_effects()
 
-    def tell(self, effect) -> None:
+    def handle_effect(self, effect) -> None:
         if isinstance(effect, Crashed):
             self.close()
-            self.fell()
+            self.on_crash()
             return
-        connection = self.in_hand.get(effect.number)
-        if connection is None or self.dark:
+        connection = self.in_flight.get(effect.number)
+        if connection is None or self.is_unresponsive:
             return
         if isinstance(effect, (Done, Rejected, Late)):
-            del self.in_hand[effect.number]
+            del self.in_flight[effect.number]
         match effect:
             case Started():
-                connection.started(self.loop.time())
+                connection.on_started(self.loop.time())
             case Event(_, id, tokens, version):
-                connection.event(id, tokens, version)
+                connection.on_event(id, tokens, version)
             case Done():
-                connection.done()
+                connection.on_done()
             case Rejected(_, why):
-                connection.turn_away(503, why)
+                connection.reject(503, why)
             case Late():
-                connection.late()
+                connection.on_late()
 
 
-def reset(transport) -> None:
+def reset_connection(transport) -> None:
     handle = transport.get_extra_info("socket")
     if handle is not None and handle.fileno() >= 0:
-        handle.setsockopt(socket.SOL_SOCKET, socket.SO_LINGER, RESET)
+        handle.setsockopt(socket.SOL_SOCKET, socket.SO_LINGER, LINGER_RESET)
     transport.abort()
--- a/tests/engines/test_engine_http.py
+++ b/tests/engines/test_engine_http.py
@@ -255,7 +255,7 @@
         for _ in range(5):
             (await server.client()).ask(**ENDLESS)
         await until(lambda: len(server.runs) == 5)
-        assert server.most() == 5
+        assert server.connection_limit() == 5
         sixth = await server.client()
         with pytest.raises((ConnectionError, EOFError)):
             await sixth.answer()
@@ -385,7 +385,7 @@
     async def story(server):
         client = await server.client()
         await client.call()
-        server.go_dark()
+        server.stop_responding()
         client.ask()
         with pytest.raises(TimeoutError):
             await asyncio.wait_for(client.answer(), 0.05)
