--- a/shedgrade/engines/__init__.py
+++ b/shedgrade/engines/__init__.py
@@ -1,6 +1,7 @@
-"""A stand-in for the model upstreams that the system serves: for the lab and for tests, never for serving.
+"""Stand-ins for the model upstreams that the system serves; for the lab and for tests, not for production.
 
-Source: the operators' PROTOCOL, "Upstreams", "Requests", "Answers". `Engine` has no I/O: time is handed in.
+Source: the operators' PROTOCOL, "Upstreams", "Requests", "Answers". `Engine` does no I/O: the caller passes
+the time to each call.
 """
 
 from shedgrade.engines.engine import Engine
--- a/shedgrade/engines/connection.py
+++ b/shedgrade/engines/connection.py
@@ -1,4 +1,4 @@
-"""One connection to a stand-in upstream: a single request at a time."""
+"""A client's connection to a stand-in upstream; its requests run one at a time, in order."""
 
 import asyncio
 import json
@@ -22,26 +22,41 @@
     504: b"Too Late",
 }
 INVALID_RESPONSE = b"\x00\x07this is no answer\r\n\r\n"
-RETRY_AFTER_S = 0.05  # s to wait that a refusal tells
-MAX_PIPELINED_REQUESTS = 16  # requests that may wait on one connection before it is read no further
+RETRY_AFTER_S = 0.05  # value of the Retry-After header of 429 and 503
+MAX_PIPELINED_REQUESTS = 16  # queued requests at which the connection is no longer read
 
 
 class ServerConnection(asyncio.Protocol):
-    """What comes while a request is in hand waits for its turn."""
+    """Runs the requests of one connection; those that arrive while one is running are queued.
+
+    Attributes:
+        timer: closes an idle connection; None once data has arrived.
+        request_number: the engine's number of the running request; 0 if none has been submitted.
+        busy: whether a request is running or its response is being finished.
+        head_sent: whether the head of a streamed response has been sent.
+        run: record of the running request; None for reports and health checks.
+        pipelined: queued requests, each (method, target, headers, body).
+        injected_fault: a key of `Upstream.troubles`, or "".
+        is_streaming: whether the response is an event stream.
+        request_digest: `content.digest` of the running request.
+        close_after_response: whether the connection closes after the response.
+        headers, target, body: the request that is being received.
+    """
 
     def __init__(self, server) -> None:
         self.server, self.upstream, self.engine = server, server.upstream, server.engine
         self.transport, self.timer = None, None
-        self.request_number = 0  # of the request at the engine
+        self.request_number = 0
         self.busy = self.head_sent = False
         self.run: Run | None = None
-        self.pipelined: deque = deque()  # requests that came early
+        self.pipelined: deque = deque()
         self.attempt_id, self.injected_fault, self.is_streaming, self.request_digest = "", "", False, b""
         self.close_after_response = False
         self.parser = httptools.HttpRequestParser(self)
         self.reset_request()
 
     def reset_request(self) -> None:
+        """Prepares for the next request to be received."""
         self.headers, self.target, self.body = {}, b"", []
 
     # --- the connection
@@ -58,6 +73,7 @@
         self.parser = None
 
     def start_idle_timer(self) -> None:
+        """Closes the connection after `keep_alive_s` without data; never if that is 0."""
         if self.timer is not None:
             self.timer.cancel()
         limit = self.upstream.keep_alive_s
@@ -87,7 +103,7 @@
     def on_body(self, body: bytes) -> None:
         self.body.append(body)
 
-    # --- a request
+    # --- requests
 
     def on_message_complete(self) -> None:
         self.pipelined.append((self.parser.get_method(), self.target, self.headers, b"".join(self.body)))
@@ -98,6 +114,7 @@
             self.start_request()
 
     def start_request(self) -> None:
+        """Takes the oldest queued request; it is answered at once or submitted to the engine."""
         method, target, headers, body = self.pipelined.popleft()
         self.busy, self.head_sent, self.request_number, self.run = True, False, 0, None
         self.attempt_id, self.injected_fault, self.is_streaming = "", "", False
@@ -138,7 +155,7 @@
         self.server.submit(self, self.make_work(headers, now, after))
 
     def rejection_status(self, headers: dict) -> int:
-        """The status for a request that is none of this upstream's; 0 if it is."""
+        """The status of a request that this upstream can't serve; 0 if it can."""
         if not self.attempt_id:
             return 400
         if headers.get("target-instance", self.upstream.instance) != self.upstream.instance:
@@ -149,12 +166,16 @@
         return 0
 
     def draw_fault(self) -> str:
+        """The fault to inject into this response, drawn at random; "" for none."""
         for fault, chance in self.upstream.troubles.items():
             if self.server.random.random() < chance:
                 return fault
         return ""
 
     def make_work(self, headers: dict, now: float, after: int) -> Work:
+        """Translates a request's headers for the engine. `after`: the last event that the client has, 0 if
+        none.
+        """
         remaining_ms = headers.get("time-remaining")
         deadline = now + float(remaining_ms) / 1000 if remaining_ms else float("inf")
         priority = parse_priority(headers.get("priority"))
@@ -179,16 +200,18 @@
         )
 
     def submit_health_check(self, now: float) -> None:
-        """Waits for a slot, or is rejected, as a request."""
+        """A health check waits for a slot, and can be rejected, like any request."""
         self.server.submit(self, Work())
 
-    # --- what the engine tells
+    # --- effects of the engine
 
     def on_started(self, now: float) -> None:
+        """The engine has begun to run the request."""
         if self.run is not None:
             self.run.ran_at = now
 
     def on_event(self, number: int, tokens: int, version: int | None) -> None:
+        """Sends an event of a streamed response. `version`: of the weights, if it changed."""
         if not self.head_sent:
             self.head_sent = True
             if self.injected_fault == "error":
@@ -214,10 +237,12 @@
             self.transport.close()
 
     def cancel_work(self) -> None:
+        """Stops the engine's work on the running request."""
         self.server.in_flight.pop(self.request_number, None)
         self.engine.cancel(self.server.loop.time(), self.request_number)
 
     def on_done(self) -> None:
+        """The engine has completed the request: sends or ends the response."""
         if self.run is None:
             self.send_health_response()
             return
@@ -250,6 +275,7 @@
         self.finish_response()
 
     def send_health_response(self) -> None:
+        """Answers a health check: 200, or 503 while the server drains or is unhealthy."""
         now = self.server.loop.time()
         lines = [b"Instance-Id: " + self.upstream.instance.encode()]
         cold_remaining_s = self.engine.cold_remaining_s(now)
@@ -259,31 +285,33 @@
         self.send_response(200 if is_healthy else 503, b"", lines)
 
     def on_late(self) -> None:
-        """The deadline came while it ran: it counts as run."""
+        """The deadline passed while the request ran; the request counts as executed."""
         self.set_outcome("late")
         if self.head_sent:
             self.transport.close()
         else:
             self.send_response(504, b"")
 
-    def reject(self, status: int, why: str = "") -> None:
-        """It has not run and never will."""
-        self.set_outcome(f"{status} {why}".strip())
+    def reject(self, status: int, reason: str = "") -> None:
+        """Answers a request that has not run and will not run."""
+        self.set_outcome(f"{status} {reason}".strip())
         self.send_response(status, b"", not_executed=True)
 
     def set_outcome(self, outcome: str) -> None:
+        """Sets the outcome of the running request unless it has one."""
         if self.run is not None and not self.run.outcome:
             self.run.outcome = outcome
 
-    # --- answers
+    # --- responses
 
     def signature_lines(self) -> list[bytes]:
-        """A success says whose it is."""
+        """Header lines of a success: the seal, which proves who answered, and the version of the weights."""
         versions = b"Versions: %d" % max(self.engine.versions.values(), default=1)
         seal = content.seal(self.upstream.key, self.upstream.instance, self.attempt_id, self.request_digest)
         return [b"Server-Seal: " + seal.encode(), versions]
 
     def response_head(self, status: int, lines: list[bytes]) -> bytes:
+        """The head of a response, which also decides whether the connection closes after it."""
         head_lines = [b"HTTP/1.1 %d %b" % (status, REASON_PHRASES[status])]
         if self.run is not None and self.attempt_id:
             head_lines.append(b"Attempt-Id: " + self.attempt_id.encode("latin-1"))
@@ -307,6 +335,11 @@
         close: bool = False,
         finishes: bool = True,
     ) -> None:
+        """Sends a response that is complete.
+
+        lines: further header lines. not_executed: says that the request has not run. close: closes the
+        connection afterwards. finishes: whether the request ends with it.
+        """
         header_lines = list(lines)
         if not_executed:
             header_lines.append(b"Not-Executed: 1")
@@ -320,7 +353,7 @@
             self.finish_response()
 
     def finish_response(self) -> None:
-        """The next request may come."""
+        """Ends the request; the next queued one starts in the next iteration of the event loop."""
         self.request_number = 0
         if self.close_after_response or self.transport.is_closing():
             self.transport.close()
@@ -328,6 +361,7 @@
         self.server.loop.call_soon(self.start_next_request)
 
     def start_next_request(self) -> None:
+        """Starts the next queued request, or waits for one."""
         if self.transport.is_closing() or self.parser is None:
             return
         self.busy = False
--- a/shedgrade/engines/server.py
+++ b/shedgrade/engines/server.py
@@ -1,4 +1,4 @@
-"""The HTTP end of one stand-in upstream. Source: PROTOCOL, "Requests", "Answers", "Upstreams"."""
+"""The HTTP server of one stand-in upstream. Source: PROTOCOL, "Requests", "Answers", "Upstreams"."""
 
 import socket
 import struct
@@ -18,16 +18,28 @@
     Started,
 )
 
-LINGER_RESET = struct.pack("ii", 1, 0)
+LINGER_RESET = struct.pack("ii", 1, 0)  # SO_LINGER on with 0 s: closing sends a reset
 BACKLOG = 1024
 
 
 @dataclass(slots=True)
 class Upstream:
-    """What an upstream is and how it behaves; spans in s. `close_chance`: of an answer that ends its
-    connection. `troubles`: chances, by name, that an answer is broken off ("cut"), is no answer ("noise"),
-    has more behind it ("more"), is followed by itself once more ("surplus"), is a 500 that has run ("error"),
-    or a 429 that has not ("busy")."""
+    """Identity and behaviour of a stand-in upstream.
+
+    Attributes:
+        instance: id of the incarnation.
+        service: name of the service that it belongs to.
+        address: host and port.
+        key: key of the seals in its responses.
+        work_s: duration of a request that is not streamed, s.
+        answer_bytes: body size of a response that is not streamed.
+        max_connections: limit of open connections; half of it while the queue is long.
+        keep_alive_s: after how long an idle connection is closed, s; 0: never.
+        close_chance: probability that a response closes its connection.
+        troubles: probability by fault: the response breaks off ("cut"), is not HTTP ("noise"), is followed
+            by other bytes ("more"), is sent twice ("surplus"), is a 500 after the request ran ("error"), or
+            is a 429 before it ran ("busy").
+    """
 
     instance: str
     service: str
@@ -44,8 +56,18 @@
 
 
 class EngineServer:
-    """Listens while it is open; `record` is handed each `Run` as it comes, and the run is filled in later.
-    `fell()` is called once it has fallen over."""
+    """Serves one engine over HTTP.
+
+    Attributes:
+        record_run: called with the `Run` of each request when it arrives; the record is completed later.
+        on_crash: called once the engine has crashed.
+        in_flight: connection of each request at the engine, by request number.
+        draining: whether responses announce the end of their connection.
+        is_unresponsive: whether nothing is received or sent any more.
+        is_unhealthy: whether health checks fail.
+        timer: calls the engine when it is due.
+        refused, accepted: numbers of connections.
+    """
 
     def __init__(
         self,
@@ -66,25 +88,27 @@
         self.refused = self.accepted = 0
 
     async def start(self) -> None:
-        """OSError if the address can't be had. Port 0: the kernel's choice, told in `upstream.address`."""
+        """Listens at `upstream.address`; port 0 is replaced by the port that the kernel chose. OSError if the
+        address can't be used.
+        """
         host, port = self.upstream.address
         self.server = await self.loop.create_server(
             lambda: ServerConnection(self), host, port, backlog=BACKLOG
         )
         self.upstream.address = self.server.sockets[0].getsockname()[:2]
 
-    # --- its life
+    # --- lifecycle
 
     def drain(self) -> None:
-        """It is leaving: it says so in its answers, and goes on."""
+        """Starts to drain: requests are served on, and each response closes its connection."""
         self.draining = True
 
     def stop_responding(self) -> None:
-        """Says nothing any more; connections stay."""
+        """Neither receives nor sends anything any more; connections stay open."""
         self.is_unresponsive = True
 
     def close(self) -> None:
-        """Gone, whatever it runs: all connections are reset."""
+        """Stops at once, also with requests in flight: all connections are reset."""
         if self.server is not None:
             self.server.close()
         if self.timer is not None:
@@ -98,11 +122,12 @@
     # --- connections
 
     def connection_limit(self) -> int:
-        """Connections that it accepts: fewer while its queue is long."""
+        """How many connections may be open: half as many while the queue is more than half full."""
         queue_is_long = len(self.engine.waiting) > self.engine.settings.queue // 2
         return self.upstream.max_connections // 2 if queue_is_long else self.upstream.max_connections
 
     def connection_opened(self, connection: ServerConnection) -> None:
+        """A client connected; beyond the limit the connection is reset."""
         if len(self.connections) >= self.connection_limit() or self.is_unresponsive:
             self.refused += 1
             reset_connection(connection.transport)
@@ -112,6 +137,7 @@
         self.engine.connected(self.loop.time())
 
     def connection_closed(self, connection: ServerConnection) -> None:
+        """A connection was closed; its running request is cancelled."""
         self.connections.pop(connection, None)
         number = connection.request_number
         if number and self.in_flight.pop(number, None) is not None:
@@ -122,6 +148,7 @@
     # --- work
 
     def submit(self, connection: ServerConnection, work) -> None:
+        """Submits a request of a connection to the engine."""
         now = self.loop.time()
         number = self.engine.submit(now, work)
         connection.request_number = number
@@ -129,7 +156,7 @@
         self.process_effects()
 
     def process_effects(self) -> None:
-        """Passes on what the engine tells, and sets the timer."""
+        """Passes the engine's effects to the connections, and sets the timer for the next ones."""
         engine = self.engine
         while engine.effects:
             effects, engine.effects = engine.effects, []
@@ -148,6 +175,7 @@
         self.process_effects()
 
     def handle_effect(self, effect) -> None:
+        """Passes an effect to the connection of its request."""
         if isinstance(effect, Crashed):
             self.close()
             self.on_crash()
@@ -164,14 +192,15 @@
                 connection.on_event(id, tokens, version)
             case Done():
                 connection.on_done()
-            case Rejected(_, why):
-                connection.reject(503, why)
+            case Rejected(_, reason):
+                connection.reject(503, reason)
             case Late():
                 connection.on_late()
 
 
 def reset_connection(transport) -> None:
-    handle = transport.get_extra_info("socket")
-    if handle is not None and handle.fileno() >= 0:
-        handle.setsockopt(socket.SOL_SOCKET, socket.SO_LINGER, LINGER_RESET)
+    """Closes a connection with a TCP reset."""
+    connection_socket = transport.get_extra_info("socket")
+    if connection_socket is not None and connection_socket.fileno() >= 0:
+        connection_socket.setsockopt(socket.SOL_SOCKET, socket.SO_LINGER, LINGER_RESET)
     transport.abort()
--- a/shedgrade/engines/settings.py
+++ b/shedgrade/engines/settings.py
@@ -1,18 +1,28 @@
-"""What an engine is like. Source: PROTOCOL, "Requests" (batches, memory) and "Upstreams" (cold starts)."""
+"""Settings of an engine. Source: PROTOCOL, "Requests" (batches, memory), "Upstreams" (cold starts)."""
 
 from dataclasses import dataclass
 
 
 @dataclass(frozen=True, slots=True)
 class EngineSettings:
-    """Times in s, memory in tokens.
+    """Capacity and speed of an engine.
 
-    `slots`: requests that run at a time; `queue`: that wait beyond them. A step of a batch of one takes
-    `step_s`, and `crowd_s` more for each further request; in a step at most `piece` prompt tokens are read,
-    `prefill_per_s` of them a second. `stride`: tokens that an event holds. For `cold_s` after its start all
-    is `cold_slow` times as slow, and it falls over at more than `cold_rate` x `cold_fall` requests within a
-    second (0: it never falls). `full_slow`: how many times as slow it is with nine tenths of its slots taken.
-    `connect_s`: for how long a new connection takes a slot.
+    Attributes:
+        slots: requests that run at a time.
+        queue: requests that wait beyond those.
+        kv_tokens: capacity of the key-value memory, tokens.
+        step_s: duration of a step with a batch of one, s.
+        crowd_s: additional duration of a step for each further request, s.
+        prefill_per_s: prompt tokens read per second.
+        piece: prompt tokens read in a step at most.
+        stride: tokens in an event.
+        cold_s: duration of the cold period after a start, s.
+        cold_slow: factor by which all work takes longer during the cold period.
+        cold_rate: nominal rate of requests during the cold period, per second; 0: the engine never crashes.
+        cold_fall: the engine crashes at more than `cold_rate` x `cold_fall` requests within a second.
+        full_slow: factor by which work takes longer while nine tenths of the slots are taken.
+        connect_s: how long a new connection occupies a slot, s.
+        models: names of the models that it serves.
     """
 
     slots: int = 64
--- a/shedgrade/engines/work.py
+++ b/shedgrade/engines/work.py
@@ -1,4 +1,4 @@
-"""What an engine is asked, and what it tells of it."""
+"""Requests to a stand-in engine, and the effects by which it reports on them."""
 
 from dataclasses import dataclass, field
 
@@ -9,9 +9,15 @@
 class Work:
     """One request.
 
-    `parts`: of its prompt, in order, each an id and its tokens; `prompt`: tokens of all of it; `out`: tokens
-    to make, 0 for one that is no generation and takes `span_s` instead; `made`: tokens of these that another
-    run made before; `priority`: 0 the most urgent; `deadline`: when its work is of no use any more.
+    Attributes:
+        prompt: tokens of the whole prompt.
+        out: tokens to generate; 0: the request is no generation and takes `span_s` instead.
+        parts: the prompt's shared parts in order, each (id, tokens).
+        resumed_tokens: those of the `out` tokens that an earlier run has generated.
+        span_s: duration of a request that is no generation, s.
+        priority: 0 is the most urgent.
+        deadline: when the result is of no use any more, s.
+        model: name of the model.
     """
 
     prompt: int = 0
@@ -26,9 +32,21 @@
 
 @dataclass(slots=True)
 class Job:
-    """A request that an engine has. `held`: tokens of memory that are its own; `pins`: kept parts that it
-    uses; `unread`: prompt tokens that are still to be read; `tail`: its parts that are not kept yet, each
-    with the value of `unread` at which it is whole."""
+    """A request in an engine.
+
+    Attributes:
+        number: the engine's number of the request.
+        generated: tokens generated so far, those of earlier runs included.
+        started: whether it has run, also if it has been preempted since.
+        running: whether it runs now.
+        own_tokens: tokens of memory that belong to this request alone.
+        unread: prompt tokens that are still to be read.
+        step_tokens: prompt tokens that the step in progress reads.
+        ends_at: end of a request that is no generation, s.
+        pinned_parts: keys of the cached parts that it uses.
+        uncached_parts: parts that are still to be read, in order, each (value of `unread` at which the part
+            has been read, key, tokens).
+    """
 
     number: int
     work: Work
@@ -44,21 +62,25 @@
 
     @property
     def rank(self) -> tuple[int, int]:
-        """More urgent first, then older first."""
+        """Sort key: more urgent first, then older first."""
         return self.work.priority, self.number
 
 
 @dataclass(frozen=True, slots=True)
 class Started:
-    """It has begun to run: whoever cuts it from now on has had it run."""
+    """The request has begun to run; if it is cut off from now on, it counts as executed."""
 
     number: int
 
 
 @dataclass(frozen=True, slots=True)
 class Event:
-    """Tokens of its answer: `id` counts events from 1, across runs. `version`: of the weights, where it is
-    not the one that the last event was made with."""
+    """Generated tokens of a request.
+
+    Attributes:
+        id: number of the event, counted from 1 across runs.
+        version: of the weights, if it is not that of the request's previous event.
+    """
 
     number: int
     id: int
@@ -68,24 +90,26 @@
 
 @dataclass(frozen=True, slots=True)
 class Done:
+    """The request has completed."""
+
     number: int
 
 
 @dataclass(frozen=True, slots=True)
 class Rejected:
-    """It has not run and never will. `why`: "full" or "deadline"."""
+    """The request has not run and will not run. `reason`: "full" or "deadline"."""
 
     number: int
-    why: str
+    reason: str
 
 
 @dataclass(frozen=True, slots=True)
 class Late:
-    """Its deadline came while it ran."""
+    """The deadline passed while the request ran."""
 
     number: int
 
 
 @dataclass(frozen=True, slots=True)
 class Crashed:
-    """The engine fell over: it was sent too much while it was cold."""
+    """The engine crashed: it received too many requests while it was cold."""
