--- a/shedgrade/engines/engine.py
+++ b/shedgrade/engines/engine.py
@@ -135,7 +135,7 @@
         self.take_snapshot(now)
 
     def next_due_at(self) -> float:
-        """When the next step, request, connection slot or deadline ends, s; infinite if nothing is due."""
+        """When a step, request, connection slot or deadline ends next, s; infinite if none does."""
         while self.deadlines and self.deadlines[0][1] not in self.jobs:
             heapq.heappop(self.deadlines)
         next_end = min((job.ends_at for job in self.running.values()), default=inf)
--- a/shedgrade/load_reports/__init__.py
+++ b/shedgrade/load_reports/__init__.py
@@ -1,8 +1,8 @@
-"""What all edges together have in flight at each endpoint, exchanged many times a second through the core.
+"""The load of all edges together at each endpoint, exchanged many times a second through the core members.
 
-Sans I/O. One edge of many sees little of what an endpoint has to do; a prefill takes some hundred ms, so only
-reports that are younger than that tell where one is under way. Loads are hints: nothing breaks where they are
-missing, late or wrong, and they are forgotten when their source falls silent.
+Sans I/O. One edge of many sees little of an endpoint's load. A prefill takes some hundred ms, so only reports
+that are younger than that show where one is in progress. Loads are hints: nothing breaks if they are missing,
+late or wrong, and they are forgotten when their source falls silent.
 """
 
 from shedgrade.load_reports.aggregator import LoadAggregator
--- a/shedgrade/load_reports/aggregator.py
+++ b/shedgrade/load_reports/aggregator.py
@@ -1,4 +1,4 @@
-"""A core member's side: sums of what its edges and the other members' edges report."""
+"""The core member's side: sums of the loads that its edges and the other members report."""
 
 from collections import Counter
 from collections.abc import Callable, Mapping
@@ -6,19 +6,21 @@
 
 from shedgrade.load_reports.messages import LoadReport, Loads, LoadSums, LoadUpdate
 
-SOURCE_TIMEOUT_S = 1.5  # without a report, after which an edge's loads, or a member's, are forgotten
-HEARTBEAT_INTERVAL_S = 0.3  # between two updates to an edge at the most, also where nothing changed
-ALL_REGIONS_EVERY = 5  # of so many updates to an edge, one is of other regions' endpoints too
-FULL_SUMS_EVERY = 10  # of so many messages to other members, one is full
-MAX_LOADS_PER_UPDATE = 128  # what is left out is in the next one
+SOURCE_TIMEOUT_S = 1.5  # time without a report after which the loads of an edge or a member are forgotten
+HEARTBEAT_INTERVAL_S = 0.3  # maximum time between two updates to an edge, also if nothing changed
+ALL_REGIONS_EVERY = 5  # one in this many updates to an edge includes other regions' endpoints
+FULL_SUMS_EVERY = 10  # one in this many messages to other members is full
+MAX_LOADS_PER_UPDATE = 128  # the rest is sent in the next update
 
 SendUpdate = Callable[[LoadUpdate], None]
 
 
 class LoadSource:
-    """The loads that one edge or one member reported, as they are part of the sums here.
+    """The loads that one edge or one member reported, as they are included in the sums here.
 
-    loads: none of them 0. last_report_at: when the last report came.
+    Attributes:
+        loads: by endpoint; none is 0.
+        last_report_at: when the last report arrived, s.
     """
 
     __slots__ = ("last_report_at", "loads")
@@ -29,11 +31,15 @@
 
 
 class ReportingEdge(LoadSource):
-    """An edge that reports here.
-
-    home_region: whose endpoints it uses first. send: reaches it. unsent: endpoints whose loads of other edges
-    changed since it was sent them. updated_at: when the last update went to it. update_count: of them, so
-    far. needs_full_update: it is to be sent everything next.
+    """An edge that reports to this member.
+
+    Attributes:
+        home_region: the region whose endpoints the edge uses first.
+        send: sends an update to the edge.
+        unsent: endpoints at which the load of the other edges has changed since it was sent to this edge.
+        updated_at: when the last update was sent, s.
+        update_count: number of updates sent so far.
+        needs_full_update: whether the next update is to include all loads.
     """
 
     __slots__ = ("home_region", "needs_full_update", "send", "unsent", "update_count", "updated_at")
@@ -49,12 +55,17 @@
 
 
 class LoadAggregator:
-    """The sums of one core member. Endpoints are named by the hash of their incarnation.
-
-    member: this member's link address. edges: that report here, by name. members: the other members, by
-    address. sums: of all edges, by endpoint. own_sums: of the edges that report here. regions: of each
-    endpoint on the platform's list. unshared: endpoints whose own sums changed since the other members were
-    sent them. share_count: looks at what to send them, so far.
+    """The sums of one core member. Endpoints are identified by the hash of their incarnation.
+
+    Attributes:
+        member: this member's link address.
+        edges: the edges that report to this member, by name.
+        members: the other members, by address.
+        sums: the load of all edges, by endpoint.
+        own_sums: the load of the edges that report to this member, by endpoint.
+        regions: region of each endpoint on the platform's list.
+        unshared: endpoints whose own sums have changed since they were sent to the other members.
+        share_count: number of calls of `take_unshared` so far.
     """
 
     def __init__(self, member: str) -> None:
@@ -70,7 +81,7 @@
     # --- received
 
     def receive_report(self, now: float, report: LoadReport, send: SendUpdate) -> None:
-        """An edge reported its loads; `send` reaches it."""
+        """Applies the report of an edge. `send`: sends an update to that edge."""
         edge = self.edges.get(report.edge)
         if edge is None:
             edge = self.edges[report.edge] = ReportingEdge(report.home_region, send)
@@ -81,7 +92,7 @@
         self.unshared |= self.replace_loads(edge, report.loads, report.is_full, self.own_sums)
 
     def receive_sums(self, now: float, message: LoadSums) -> None:
-        """Another member sent the sums of its edges."""
+        """Applies the sums that another member sent."""
         source = self.members.setdefault(message.member, LoadSource())
         source.last_report_at = now
         self.replace_loads(source, message.loads, message.is_full)
@@ -89,8 +100,8 @@
     def replace_loads(
         self, source: LoadSource, loads: Loads, is_full: bool, also: Counter[int] | None = None
     ) -> set[int]:
-        """Replaces what the source reported before, in the sums and in `also`. Returns the endpoints whose
-        load is another now.
+        """Replaces the source's earlier report by `loads`, in the sums and in `also`. Returns the endpoints
+        whose load has changed.
         """
         after = loads if is_full else {**source.loads, **loads}
         endpoints = source.loads.keys() | loads.keys() if is_full else loads.keys()
@@ -109,7 +120,7 @@
         return changed
 
     def expire_sources(self, now: float) -> None:
-        """Whoever has not been heard from for a while has nothing in flight, as far as is known."""
+        """Forgets the loads of edges and members that have not reported within `SOURCE_TIMEOUT_S`."""
         for name in [
             name for name, edge in self.edges.items() if now - edge.last_report_at > SOURCE_TIMEOUT_S
         ]:
@@ -124,8 +135,8 @@
     # --- sent
 
     def send_updates(self, now: float) -> None:
-        """Sends each edge what changed of the others' loads: of its home region always, of other regions now
-        and then.
+        """Sends each edge the changed loads of the other edges: those of its home region in each update,
+        those of other regions in one of `ALL_REGIONS_EVERY`.
         """
         for edge in self.edges.values():
             endpoints = self.endpoints_to_send(edge)
@@ -141,7 +152,7 @@
             edge.send(update)
 
     def endpoints_to_send(self, edge: ReportingEdge) -> set[int]:
-        """The endpoints that the next update of that edge is about."""
+        """The endpoints whose loads the next update to this edge includes."""
         if edge.needs_full_update:
             edge.unsent = set()
             return {endpoint for endpoint, load in self.sums.items() if load != edge.loads.get(endpoint, 0)}
@@ -156,7 +167,7 @@
         return set(endpoints)
 
     def take_unshared(self) -> LoadSums | None:
-        """What the other members are to be sent now; None if nothing."""
+        """The message that is due to the other members; None if there is none."""
         self.share_count += 1
         if self.share_count % FULL_SUMS_EVERY == 0 and (self.edges or self.own_sums):
             self.unshared = set()
@@ -169,7 +180,7 @@
 
 
 def add_to_sum(sums: Counter[int], endpoint: int, difference: int) -> None:
-    """Adds to an endpoint's sum; one that is 0 is not kept."""
+    """Adds to an endpoint's sum; a sum of 0 is removed."""
     sums[endpoint] += difference
     if not sums[endpoint]:
         del sums[endpoint]
--- a/shedgrade/load_reports/edge.py
+++ b/shedgrade/load_reports/edge.py
@@ -1,23 +1,28 @@
-"""An edge's side: when it reports its own loads, and what it believes of the other edges'."""
+"""The edge's side: when an edge reports its own loads, and what it knows of the other edges' loads."""
 
 from math import inf
 
 from shedgrade.load_reports.messages import LoadReport, Loads, LoadUpdate
 
-REPORT_INTERVAL_S = 0.1  # between two looks at what changed: a long prompt is read for two or three of them
-FULL_REPORT_INTERVAL_S = 1.0  # between two full reports, by which lost messages are made good
-HEARTBEAT_INTERVAL_S = 0.5  # between two reports at the most, also where nothing changed
-MANY_LOADS = 128  # of other edges, beyond which full reports, and so full answers, grow rarer
-IDLE_TIMEOUT_S = 10.0  # without a request in flight, after which nothing is reported or asked for
-UPDATE_TIMEOUT_S = 0.6  # without an update, after which other edges' loads are unknown
+# Time between two checks for changes; reading a long prompt takes two or three of them.
+REPORT_INTERVAL_S = 0.1
+FULL_REPORT_INTERVAL_S = 1.0  # time between two full reports, which make up for lost messages
+HEARTBEAT_INTERVAL_S = 0.5  # maximum time between two reports, also if nothing changed
+MANY_LOADS = 128  # loads of other edges above which full reports, and so full updates, are less frequent
+IDLE_TIMEOUT_S = 10.0  # time without a request in flight after which loads are neither reported nor requested
+UPDATE_TIMEOUT_S = 0.6  # time without an update after which other edges' loads are unknown
 
 
 class LoadReporter:
-    """Makes the reports of one edge.
+    """Creates the reports of one edge.
 
-    edge, home_region: as in `LoadReport`. reported: loads as the member knows them, if no report was lost.
-    member: address of the member that got the last report; None while idle. full_report_at, reported_at,
-    busy_at: when the last full report, the last report, and the last look with a request in flight were.
+    Attributes:
+        edge, home_region: as in `LoadReport`.
+        reported: loads as the member knows them if no report was lost.
+        member: address of the member that the last report was sent to; None while idle.
+        full_report_at: when the last full report was made, s.
+        reported_at: when the last report was made, s.
+        busy_at: when `report` was last called with a request in flight, s.
     """
 
     def __init__(self, edge: str, home_region: str) -> None:
@@ -30,8 +35,9 @@
         self.busy_at = -inf
 
     def report(self, now: float, member: str, loads: Loads, peer_load_count: int = 0) -> LoadReport | None:
-        """What the member with that address is to be sent now; None if nothing. `loads`: this edge's own;
-        `peer_load_count`: how many loads of other edges are known here.
+        """The report that is due to `member`, the address of a core member; None if there is none.
+
+        loads: this edge's own loads. peer_load_count: how many loads of other edges are known here.
         """
         if loads:
             self.busy_at = now
@@ -55,9 +61,11 @@
 
 
 class PeerLoads:
-    """What other edges have in flight, as the core said lately.
+    """The loads of the other edges, as the core last reported them.
 
-    loads: none of them 0. updated_at: when the last update came.
+    Attributes:
+        loads: by endpoint; none is 0.
+        updated_at: when the last update arrived, s.
     """
 
     def __init__(self) -> None:
@@ -65,7 +73,7 @@
         self.updated_at = -inf
 
     def apply(self, now: float, update: LoadUpdate) -> None:
-        """An update of the core came."""
+        """Applies an update from the core."""
         if update.is_full or now - self.updated_at > UPDATE_TIMEOUT_S:
             self.loads = {}
         self.updated_at = now
@@ -74,7 +82,9 @@
             del self.loads[endpoint]
 
     def forget_if_stale(self, now: float) -> bool:
-        """Forgets all loads if no update came lately. Returns whether there was something to forget."""
+        """Forgets all loads if no update has arrived within `UPDATE_TIMEOUT_S`. Returns whether there were
+        any.
+        """
         if not self.loads or now - self.updated_at <= UPDATE_TIMEOUT_S:
             return False
         self.loads = {}
--- a/shedgrade/load_reports/messages.py
+++ b/shedgrade/load_reports/messages.py
@@ -1,19 +1,22 @@
-"""Messages of loads between edges and core members. Each goes one way, without an answer; a message that is
-lost is made good by the next full one.
+"""Load messages between edges and core members. None of them is answered; the next full message makes up for
+a lost one.
 """
 
 import msgspec
 
 Loads = dict[int, int]
-"""By hash of an endpoint's incarnation: requests in flight there, and the weight of their prompts that wait
+"""By hash of an endpoint's incarnation: requests in flight there, plus the weight of their prompts that wait
 for prefill."""
 
 
 class LoadReport(msgspec.Struct, array_like=True, frozen=True, tag="load_report"):
-    """From an edge to the core member that it watches: its own loads.
+    """Reports an edge's own loads to the core member that it watches.
 
-    edge: its node name. home_region: whose endpoints it uses first. loads: those that changed since its last
-    report (0: none any more), or all. is_full: whether it is all.
+    Attributes:
+        edge: the edge's node name.
+        home_region: the region whose endpoints the edge uses first.
+        loads: the loads that changed since the last report (0: no load any more), or all.
+        is_full: whether `loads` are all.
     """
 
     edge: str
@@ -23,9 +26,11 @@
 
 
 class LoadUpdate(msgspec.Struct, array_like=True, frozen=True, tag="loads_told"):
-    """From a core member to an edge that reports to it: the sums of all other edges' loads.
+    """Sends the sums of all other edges' loads from a core member to an edge that reports to it.
 
-    loads: those that changed since the last update (0: none any more), or all. is_full: whether it is all.
+    Attributes:
+        loads: the sums that changed since the last update (0: no load any more), or all.
+        is_full: whether `loads` are all.
     """
 
     loads: Loads
@@ -33,10 +38,12 @@
 
 
 class LoadSums(msgspec.Struct, array_like=True, frozen=True, tag="loads_shared"):
-    """From a core member to all others: the sums of the loads of the edges that report to it.
+    """Sends the sums of the loads of a core member's edges to all other members.
 
-    member: its link address. loads: those that changed since the last message (0: none any more), or all.
-    is_full: whether it is all.
+    Attributes:
+        member: the sender's link address.
+        loads: the sums that changed since the last message (0: no load any more), or all.
+        is_full: whether `loads` are all.
     """
 
     member: str
--- a/shedgrade/route_matching/__init__.py
+++ b/shedgrade/route_matching/__init__.py
@@ -1,4 +1,4 @@
-"""The tree of matchers: routes by host and path prefix, calls by method and path."""
+"""Matching by tree: routes by host and path prefix, API calls by method and path."""
 
 from shedgrade.route_matching.calls import CallTree, Match, NotAllowed, NotFound
 from shedgrade.route_matching.routes import RouteTree, host_name
--- a/shedgrade/route_matching/calls.py
+++ b/shedgrade/route_matching/calls.py
@@ -1,4 +1,4 @@
-"""Calls by method and path, whose segments may be variable: those of operators and of the directory."""
+"""API calls by method and path pattern, of the operators' API and the directory."""
 
 from dataclasses import dataclass
 from typing import Any, NamedTuple
@@ -8,7 +8,12 @@
 
 @dataclass(frozen=True, slots=True)
 class Match:
-    """`arguments`: what stood for the pattern's variable segments, in order, as the path wrote them."""
+    """A call that was found.
+
+    Attributes:
+        value: as it was given to `CallTree.add`.
+        arguments: the path's segments at the pattern's variable segments, in order and not decoded.
+    """
 
     value: Any
     arguments: tuple[bytes, ...] = ()
@@ -21,13 +26,13 @@
 
 @dataclass(frozen=True, slots=True)
 class NotAllowed:
-    """Patterns match the path, none with this method. `allowed`: the methods they have, sorted."""
+    """Patterns match the path, but none with this method. `allowed`: the methods that they have, sorted."""
 
     allowed: tuple[bytes, ...]
 
 
 class Candidate(NamedTuple):
-    """A node that matches the first `depth` segments of a path, with the arguments among them."""
+    """A node that matches the first `depth` segments of a path, with the arguments found among them."""
 
     node: Node
     depth: int
@@ -35,19 +40,24 @@
 
 
 class CallTree(Tree):
-    """A literal segment goes before a variable one, unless the method is allowed by the latter only."""
+    """Finds calls by method and path. A literal segment takes precedence over a variable one, unless only the
+    latter allows the method.
+    """
 
     __slots__ = ()
 
     def add(self, method: bytes, pattern: bytes, value: Any) -> None:
-        """`pattern`: such as `/evacuation/{}`, where `{}` is one segment that is not empty. ValueError unless
-        it begins with a slash and ends without one."""
+        """Adds a call. `pattern`: such as `/evacuation/{}`, where `{}` is any segment that is not empty.
+        ValueError unless it begins with a slash and does not end with one, or is `/`.
+        """
         if pattern.endswith(b"/") and pattern != b"/":
             raise ValueError(f"{pattern!r} ends with a slash")
         self.insert(None, pattern, value, method)
 
     def find(self, method: bytes, path: bytes) -> Match | NotFound | NotAllowed:
-        """`path`: without its query. Work is bounded by the patterns, whatever the path's length."""
+        """The call for a method and a path without its query. The work is bounded by the patterns, whatever
+        the path's length.
+        """
         root = self.hosts.get(None)
         if root is None or not path.startswith(b"/"):
             return NotFound()
--- a/shedgrade/route_matching/routes.py
+++ b/shedgrade/route_matching/routes.py
@@ -1,4 +1,4 @@
-"""Routes by host and path prefix: of a host's routes, the longest prefix that begins the path."""
+"""Routes by host and path prefix: of a host's routes, the longest prefix of the path is found."""
 
 from collections.abc import Iterable
 from typing import Any
@@ -7,7 +7,7 @@
 
 
 def host_name(host: bytes) -> bytes:
-    """The host of a `Host` header in lower case, without its port.
+    """The host in a `Host` header, in lower case and without its port.
 
     >>> host_name(b"Rota.Example:8080"), host_name(b"[::1]:80")
     (b'rota.example', b'[::1]')
@@ -18,13 +18,16 @@
 
 
 class RouteTree(Tree):
-    """Prefixes end at slashes, so each is a node of the trie and the deepest one met is the longest."""
+    """Finds routes. Prefixes end at slashes, so each is a node of the trie, and the deepest one on the path
+    is the longest.
+    """
 
     __slots__ = ()
 
     def __init__(self, routes: Iterable[tuple[bytes, bytes, Any]] = ()) -> None:
-        """`routes`: of each its host, its prefix, which begins and ends with a slash, and what `find` gives
-        for it. ValueError for any other prefix."""
+        """`routes`: (host, prefix, value that `find` returns) of each. ValueError for a prefix that does not
+        begin and end with a slash.
+        """
         super().__init__()
         for host, prefix, value in routes:
             if not prefix.endswith(b"/"):
@@ -32,8 +35,11 @@
             self.insert(host_name(host), prefix, value)
 
     def find(self, host: bytes, path: bytes) -> Any | None:
-        """The value of the route for a request, None if it has none. `host`: as the header says it; `path`:
-        of the request, its query may stand behind it. No more segments are looked at than the routes have."""
+        """The value of the route for a request; None if there is none.
+
+        host: as in the header. path: of the request, with or without its query. No more segments are compared
+        than the routes have.
+        """
         node = self.hosts.get(host)
         if node is None:
             node = self.hosts.get(host_name(host))
--- a/shedgrade/route_matching/tree.py
+++ b/shedgrade/route_matching/tree.py
@@ -1,16 +1,20 @@
-"""A trie over the segments of paths. What is looked up in it is its users' own: a prefix, or a whole path."""
+"""A trie over the segments of paths; its users look up prefixes or whole paths in it."""
 
 from typing import Any
 
 MISSING: Any = type("Missing", (), {"__slots__": (), "__repr__": lambda _: "MISSING"})()
-VARIABLE = b"{}"  # a segment of a pattern that stands for any one segment that is not empty
+VARIABLE = b"{}"  # segment of a pattern that matches any segment that is not empty
 
 
 class Node:
-    """What has been matched so far: its children by their segment, at most one for any segment, and values.
+    """A node of the trie.
 
-    `value` is the one of no method, MISSING if there is none; `values` are by method. Dicts are made when
-    needed: most nodes of a large tree are leaves.
+    Attributes:
+        children: child nodes by literal segment; None if there are none, as most nodes of a large tree are
+            leaves.
+        variable: the child for any segment that is not empty.
+        value: the value that belongs to no method, or MISSING.
+        values: values by method; None if there are none.
     """
 
     __slots__ = ("children", "variable", "value", "values")
@@ -22,21 +26,25 @@
         self.values: dict[bytes, Any] | None = None
 
     def child(self, segment: bytes) -> "Node":
-        """The child of this segment of a pattern, made if there is none."""
+        """The child for this segment of a pattern; it is created if it does not exist."""
         if segment == VARIABLE:
             if self.variable is None:
                 self.variable = Node()
             return self.variable
         if self.children is None:
             self.children = {}
-        found = self.children.get(segment)
-        if found is None:
-            found = self.children[segment] = Node()
-        return found
+        child = self.children.get(segment)
+        if child is None:
+            child = self.children[segment] = Node()
+        return child
 
 
 class Tree:
-    """Roots by host (None: of any), below each a trie of segments."""
+    """A trie of segments for each host.
+
+    Attributes:
+        hosts: root nodes by host; None stands for any host.
+    """
 
     __slots__ = ("hosts",)
 
@@ -44,9 +52,11 @@
         self.hosts: dict[bytes | None, Node] = {}
 
     def insert(self, host: bytes | None, path: bytes, value: Any, method: bytes | None = None) -> None:
-        """`path`: begins with a slash; one that ends with a slash too is a prefix, whose value stands at the
-        node of its last whole segment. A later value takes the place of an earlier one with the same key.
-        ValueError if the path doesn't begin with a slash."""
+        """Sets the value of a path, replacing an earlier one with the same host, path and method.
+
+        path: begins with a slash; if it ends with a slash too it is a prefix, whose value belongs to the node
+        of the last segment before that slash. ValueError if it does not begin with a slash.
+        """
         if not path.startswith(b"/"):
             raise ValueError(f"{path!r} does not begin with a slash")
         node = self.hosts.get(host)
