--- a/tests/engines/test_engine_core.py
+++ b/tests/engines/test_engine_core.py
@@ -1,4 +1,4 @@
-"""The engine in virtual time: batches, prompts in pieces, memory by parts, preemption, cold starts."""
+"""The engine in virtual time: batches, chunked prompts, cached parts, preemption, cold starts."""
 
 from dataclasses import replace
 
@@ -30,34 +30,36 @@
 )
 
 
-def play(engine, until=1e9):
-    """[(time, effect)] until nothing is due."""
-    seen = [(None, effect) for effect in engine.effects]
+def run_engine(engine, until=1e9):
+    """Advances the engine to each due time up to `until`. Returns its effects as [(time, effect)]; the time
+    is None for those that were pending before.
+    """
+    timeline = [(None, effect) for effect in engine.effects]
     engine.effects = []
     while (at := engine.wake_at()) <= until:
         engine.advance(at)
-        seen += [(at, effect) for effect in engine.effects]
+        timeline += [(at, effect) for effect in engine.effects]
         engine.effects = []
-    return seen
+    return timeline
 
 
-def of(seen, number, kind=object):
-    return [effect for _, effect in seen if isinstance(effect, kind) and effect.number == number]
+def effects_of(timeline, number, kind=object):
+    return [effect for _, effect in timeline if isinstance(effect, kind) and effect.number == number]
 
 
-def when(seen, effect):
-    return next(at for at, one in seen if one == effect)
+def time_of(timeline, effect):
+    return next(at for at, item in timeline if item == effect)
 
 
-def first(seen, number):
-    return next(at for at, one in seen if one == Started(number))
+def start_time(timeline, number):
+    return next(at for at, item in timeline if item == Started(number))
 
 
-def test_an_answer_is_events_with_rising_ids_that_hold_several_tokens():
+def test_a_generation_is_sent_as_events_of_several_tokens_with_ascending_ids():
     engine = Engine(SMALL, 0.0)
     number = engine.submit(0.0, Work(prompt=50, out=10))
-    seen = play(engine)
-    assert [one for _, one in seen] == [
+    timeline = run_engine(engine)
+    assert [effect for _, effect in timeline] == [
         Started(number),
         Event(number, 1, 4),
         Event(number, 2, 4),
@@ -66,84 +68,88 @@
     ]
 
 
-def test_each_token_comes_slower_as_more_run():
-    spans = []
+def test_tokens_take_longer_in_a_larger_batch():
+    durations = []
     for others in (0, 1):
         engine = Engine(SMALL, 0.0)
         numbers = [engine.submit(0.0, Work(prompt=1, out=41)) for _ in range(1 + others)]
-        seen = play(engine)
-        spans.append(when(seen, Done(numbers[0])) - first(seen, numbers[0]))
-    assert round(spans[0], 3) == 0.4 and round(spans[1], 3) == 0.44
+        timeline = run_engine(engine)
+        durations.append(time_of(timeline, Done(numbers[0])) - start_time(timeline, numbers[0]))
+    assert round(durations[0], 3) == 0.4 and round(durations[1], 3) == 0.44
 
 
-def test_prompts_are_read_in_pieces_between_the_tokens_of_others():
+def test_prompts_are_read_in_chunks_while_other_requests_generate():
     engine = Engine(SMALL, 0.0)
-    early = engine.submit(0.0, Work(prompt=1, out=400))
+    earlier = engine.submit(0.0, Work(prompt=1, out=400))
     engine.advance(0.1)
-    late = engine.submit(0.1, Work(prompt=450, out=4))
-    seen = play(engine, 0.6)
-    begun = first(seen, late)
-    between = [at for at, one in seen if at and of([(at, one)], early, Event) and 0.1 < at < begun]
-    # Five pieces of at most 100, each with a step of the others' tokens: 11 ms + 10 ms.
-    assert 0.09 < begun - 0.1 < 0.13 and between
+    later = engine.submit(0.1, Work(prompt=450, out=4))
+    timeline = run_engine(engine, 0.6)
+    started_at = start_time(timeline, later)
+    event_times = [
+        at
+        for at, effect in timeline
+        if at and effects_of([(at, effect)], earlier, Event) and 0.1 < at < started_at
+    ]
+    # The prompt is read in five chunks of at most 100 tokens; a step takes 11 ms, and 10 ms for the chunk.
+    assert 0.09 < started_at - 0.1 < 0.13 and event_times
 
 
-def test_no_more_than_the_slots_run_at_a_time_and_the_rest_waits():
+def test_requests_beyond_the_slots_wait():
     engine = Engine(SMALL, 0.0)
-    one, two, three = (engine.submit(0.0, Work(prompt=1, out=4)) for _ in range(3))
-    seen = play(engine)
-    assert first(seen, three) > min(when(seen, Done(one)), when(seen, Done(two)))
+    first, second, third = (engine.submit(0.0, Work(prompt=1, out=4)) for _ in range(3))
+    timeline = run_engine(engine)
+    assert start_time(timeline, third) > min(time_of(timeline, Done(first)), time_of(timeline, Done(second)))
 
 
-def test_beyond_its_queue_a_request_is_rejected_and_has_not_run():
+def test_a_request_beyond_the_queue_is_rejected_without_running():
     engine = Engine(SMALL, 0.0)
     numbers = [engine.submit(0.0, Work(prompt=1, out=4)) for _ in range(5)]
-    seen = play(engine)
-    assert of(seen, numbers[4]) == [Rejected(numbers[4], "full")]
-    assert all(of(seen, number, Done) for number in numbers[:4])
+    timeline = run_engine(engine)
+    assert effects_of(timeline, numbers[4]) == [Rejected(numbers[4], "full")]
+    assert all(effects_of(timeline, number, Done) for number in numbers[:4])
 
 
-def test_a_request_larger_than_the_memory_is_rejected_as_though_it_were_full():
+def test_a_request_larger_than_the_memory_is_rejected_as_full():
     engine = Engine(SMALL, 0.0)
     number = engine.submit(0.0, Work(prompt=990, out=11))
     assert engine.effects == [Rejected(number, "full")]
-    assert of(play(engine), number) == [Rejected(number, "full")]
+    assert effects_of(run_engine(engine), number) == [Rejected(number, "full")]
 
 
-def test_a_deadline_that_passes_in_the_queue_is_told_as_not_run():
+def test_a_request_whose_deadline_passes_in_the_queue_is_rejected_without_running():
     engine = Engine(SMALL, 0.0)
     for _ in range(2):
         engine.submit(0.0, Work(prompt=1, out=400))
     number = engine.submit(0.0, Work(prompt=1, out=4, deadline=0.5))
-    assert of(play(engine), number) == [Rejected(number, "deadline")]
+    assert effects_of(run_engine(engine), number) == [Rejected(number, "deadline")]
 
 
-def test_a_deadline_that_comes_while_it_runs_ends_it_as_run():
+def test_a_running_request_ends_as_late_at_its_deadline():
     engine = Engine(SMALL, 0.0)
     number = engine.submit(0.0, Work(prompt=1, out=400, deadline=0.5))
-    seen = play(engine)
-    assert of(seen, number, Started) and when(seen, Late(number)) == 0.5
+    timeline = run_engine(engine)
+    assert effects_of(timeline, number, Started) and time_of(timeline, Late(number)) == 0.5
     assert engine.memory.used == 0 and not engine.running
 
 
-def test_a_kept_part_is_not_read_again_if_every_part_before_it_is_kept():
+def test_a_cached_part_is_not_read_again_if_all_parts_before_it_are_cached():
     parts = (("a", 200), ("b", 200))
     engine = Engine(SMALL, 0.0)
     engine.submit(0.0, Work(prompt=400, out=1, parts=parts))
-    play(engine)
-    read = engine.read_tokens
-    assert read == 400
+    run_engine(engine)
+    read_before = engine.read_tokens
+    assert read_before == 400
     engine.submit(1.0, Work(prompt=400, out=1, parts=parts))
-    play(engine)
-    assert engine.read_tokens - read <= 1  # the step that makes the token
-    read = engine.read_tokens
+    run_engine(engine)
+    assert engine.read_tokens - read_before <= 1  # the step that generates the token
+    read_before = engine.read_tokens
     engine.submit(2.0, Work(prompt=400, out=1, parts=(("x", 200), ("b", 200))))
-    play(engine)
-    assert engine.read_tokens - read == 400
+    run_engine(engine)
+    assert engine.read_tokens - read_before == 400
     assert engine.memory.used == 0 and engine.memory.cached_tokens == 600
 
 
-def test_parts_are_kept_for_the_same_model_and_the_same_weights():
+def test_cached_parts_are_reused_only_for_the_same_model_and_weights():
     engine = Engine(replace(SMALL, models=("m", "n")), 0.0)
     for now, model, version, expected in (
         (0.0, "m", 1, 200),
@@ -152,21 +158,21 @@
         (3.0, "m", 2, 200),
     ):
         engine.load_weights(model, version)
-        read = engine.read_tokens
+        read_before = engine.read_tokens
         engine.submit(now, Work(prompt=200, out=1, parts=(("a", 200),), model=model))
-        play(engine)
-        assert engine.read_tokens - read == expected, (model, version)
+        run_engine(engine)
+        assert engine.read_tokens - read_before == expected, (model, version)
 
 
-def test_the_parts_unused_longest_give_way():
+def test_the_least_recently_used_parts_are_evicted():
     engine = Engine(SMALL, 0.0)
     for now, name in enumerate(("a", "b", "a", "c", "d")):
         engine.submit(float(now), Work(prompt=300, out=1, parts=((name, 300),)))
-        play(engine)
+        run_engine(engine)
     assert [key[2] for key in engine.memory.parts] == ["a", "c", "d"]
 
 
-def test_parts_in_use_do_not_give_way():
+def test_parts_in_use_are_not_evicted():
     engine = Engine(SMALL, 0.0)
     engine.submit(0.0, Work(prompt=300, out=300, parts=(("a", 300),)))
     engine.advance(1.0)
@@ -175,123 +181,133 @@
     assert ("m", 1, "a") in engine.memory.parts and engine.memory.used <= 1000
 
 
-def test_without_memory_the_newest_of_the_least_urgent_is_preempted_and_read_anew():
-    roomy = replace(SMALL, slots=3, kv_tokens=400)
-    engine = Engine(roomy, 0.0)
+def test_out_of_memory_the_newest_least_urgent_request_is_preempted_and_read_again():
+    small_memory = replace(SMALL, slots=3, kv_tokens=400)
+    engine = Engine(small_memory, 0.0)
     urgent = engine.submit(0.0, Work(prompt=100, out=100, priority=0))
     older = engine.submit(0.0, Work(prompt=100, out=100, priority=5))
     newer = engine.submit(0.0, Work(prompt=100, out=100, priority=5))
-    seen = play(engine)
-    ends = [when(seen, Done(number)) for number in (urgent, older, newer)]
+    timeline = run_engine(engine)
+    ends = [time_of(timeline, Done(number)) for number in (urgent, older, newer)]
     assert engine.preemptions >= 1 and ends[2] > ends[1] >= ends[0]
-    assert engine.read_tokens > 300  # what was preempted was read again, with what it had made
+    assert engine.read_tokens > 300  # the preempted request was read again, with the tokens it had generated
     for number in (urgent, older, newer):
-        assert [one.id for one in of(seen, number, Event)] == list(range(1, 26))
-        assert len(of(seen, number, Started)) == 1
+        assert [effect.id for effect in effects_of(timeline, number, Event)] == list(range(1, 26))
+        assert len(effects_of(timeline, number, Started)) == 1
 
 
 def test_more_urgent_requests_are_admitted_first():
     engine = Engine(SMALL, 0.0)
     for _ in range(2):
         engine.submit(0.0, Work(prompt=1, out=20, priority=0))
-    later = engine.submit(0.0, Work(prompt=1, out=4, priority=7))
-    sooner = engine.submit(0.0, Work(prompt=1, out=4, priority=2))
-    seen = play(engine)
-    assert first(seen, sooner) < first(seen, later)
+    less_urgent = engine.submit(0.0, Work(prompt=1, out=4, priority=7))
+    more_urgent = engine.submit(0.0, Work(prompt=1, out=4, priority=2))
+    timeline = run_engine(engine)
+    assert start_time(timeline, more_urgent) < start_time(timeline, less_urgent)
 
 
-def test_a_more_urgent_request_displaces_one_that_waits_and_one_that_runs():
+def test_a_more_urgent_request_rejects_a_waiting_one_and_preempts_a_running_one():
     engine = Engine(SMALL, 0.0)
     numbers = [engine.submit(0.0, Work(prompt=1, out=100)) for _ in range(4)]
     engine.advance(0.1)
     urgent = engine.submit(0.1, Work(prompt=1, out=4, priority=0))
-    seen = play(engine)
-    assert of(seen, numbers[3]) == [Rejected(numbers[3], "full")]
-    assert when(seen, Done(urgent)) < min(when(seen, Done(number)) for number in numbers[:3])
-    assert [one.id for one in of(seen, numbers[1], Event)] == list(range(1, 26))
+    timeline = run_engine(engine)
+    assert effects_of(timeline, numbers[3]) == [Rejected(numbers[3], "full")]
+    assert time_of(timeline, Done(urgent)) < min(time_of(timeline, Done(number)) for number in numbers[:3])
+    assert [effect.id for effect in effects_of(timeline, numbers[1], Event)] == list(range(1, 26))
 
 
-def test_a_stream_is_taken_up_where_another_run_left_it():
+def test_a_stream_is_resumed_where_an_earlier_run_ended():
     engine = Engine(SMALL, 0.0)
     number = engine.submit(0.0, Work(prompt=50, out=20, resumed_tokens=8))
-    seen = play(engine)
-    assert [one.id for one in of(seen, number, Event)] == [3, 4, 5]
-    assert engine.read_tokens == 58  # the prompt, and what was made before
+    timeline = run_engine(engine)
+    assert [effect.id for effect in effects_of(timeline, number, Event)] == [3, 4, 5]
+    assert engine.read_tokens == 58  # the prompt, and the tokens generated by the earlier run
 
 
-def test_an_event_tells_the_version_of_the_weights_where_it_changes():
+def test_an_event_carries_the_version_of_the_weights_when_it_changes():
     engine = Engine(SMALL, 0.0)
     number = engine.submit(0.0, Work(prompt=1, out=16))
     engine.advance(0.06)
     engine.load_weights("m", 2)
-    assert [one.version for one in of(play(engine), number, Event)] == [None, 2, None, None]
+    assert [effect.version for effect in effects_of(run_engine(engine), number, Event)] == [
+        None,
+        2,
+        None,
+        None,
+    ]
 
 
-def test_work_stops_when_its_client_leaves():
+def test_work_stops_when_its_client_disconnects():
     engine = Engine(SMALL, 0.0)
     number = engine.submit(0.0, Work(prompt=100, out=400))
     engine.advance(0.2)
     engine.cancel(0.2, number)
     engine.effects = []
-    assert not play(engine) and engine.memory.used == 0 and engine.wake_at() == float("inf")
+    assert not run_engine(engine) and engine.memory.used == 0 and engine.wake_at() == float("inf")
 
 
-def test_a_cold_engine_is_slow_and_says_how_long():
-    settings_cold = replace(SMALL, cold_s=3.0, cold_slow=4.0)
-    cold, warm = Engine(settings_cold, 0.0, cold=True), Engine(settings_cold, 0.0)
+def test_a_cold_engine_is_slow_and_reports_the_remaining_time():
+    cold_settings = replace(SMALL, cold_s=3.0, cold_slow=4.0)
+    cold, warm = Engine(cold_settings, 0.0, cold=True), Engine(cold_settings, 0.0)
     assert cold.cold_remaining_s(1.0) == 2.0 and warm.cold_remaining_s(1.0) == 0.0
-    took = []
+    durations = []
     for engine in (cold, warm):
         number = engine.submit(0.0, Work(prompt=1, out=4))
-        took.append(when(play(engine), Done(number)))
-    assert took[0] > 3.9 * took[1]
+        durations.append(time_of(run_engine(engine), Done(number)))
+    assert durations[0] > 3.9 * durations[1]
     warm.become_cold(5.0)
     assert warm.cold_remaining_s(6.0) == 2.0
 
 
-def test_a_cold_engine_falls_over_well_above_its_rate():
+def test_a_cold_engine_crashes_well_above_its_rate():
     engine = Engine(replace(SMALL, cold_s=3.0, cold_rate=5.0, cold_fall=2.0), 0.0, cold=True)
-    for turn in range(10):
-        engine.submit(0.05 * turn, Work(span_s=0.001))
+    for index in range(10):
+        engine.submit(0.05 * index, Work(span_s=0.001))
     assert Crashed() not in engine.effects
     engine.submit(0.6, Work(span_s=0.001))
     assert Crashed() in engine.effects and engine.wake_at() == float("inf")
 
 
-def test_some_slow_down_close_to_full():
-    took = []
-    for slow in (1.0, 3.0):
-        engine = Engine(replace(SMALL, full_slow=slow), 0.0)
+def test_an_engine_with_full_slow_slows_down_when_nearly_full():
+    durations = []
+    for slowdown in (1.0, 3.0):
+        engine = Engine(replace(SMALL, full_slow=slowdown), 0.0)
         numbers = [engine.submit(0.0, Work(prompt=1, out=40)) for _ in range(2)]
-        took.append(when(play(engine), Done(numbers[0])))
-    assert took[1] > 2.5 * took[0]
+        durations.append(time_of(run_engine(engine), Done(numbers[0])))
+    assert durations[1] > 2.5 * durations[0]
 
 
-def test_a_new_connection_takes_a_slot_for_a_moment():
+def test_a_new_connection_occupies_a_slot_briefly():
     engine = Engine(replace(SMALL, slots=1, connect_s=0.5), 0.0)
     engine.connected(0.0)
     number = engine.submit(0.0, Work(prompt=1, out=1))
-    assert first(play(engine), number) >= 0.5
+    assert start_time(run_engine(engine), number) >= 0.5
 
 
-def test_requests_that_are_no_generations_take_their_span():
+def test_a_request_without_generation_takes_its_span():
     engine = Engine(SMALL, 0.0)
     number = engine.submit(0.0, Work(span_s=0.25))
-    assert when(play(engine), Done(number)) == 0.25
+    assert time_of(run_engine(engine), Done(number)) == 0.25
 
 
 def test_a_report_is_some_hundred_ms_old():
     engine = Engine(SMALL, 0.0)
     engine.advance(0.0)
-    for turn in range(3):
-        engine.submit(1.0, Work(prompt=10 + turn, out=400))
+    for index in range(3):
+        engine.submit(1.0, Work(prompt=10 + index, out=400))
     engine.advance(1.2)
     assert engine.report(1.2)["active"] == 0
-    told = engine.report(1.6)
-    assert told["active"] == 2 and told["queued"] == 1 and told["kvTotal"] == 1000 and told["kvUsed"] > 21
+    report = engine.report(1.6)
+    assert (
+        report["active"] == 2
+        and report["queued"] == 1
+        and report["kvTotal"] == 1000
+        and report["kvUsed"] > 21
+    )
 
 
-ASKS = st.tuples(
+REQUESTS = st.tuples(
     st.integers(1, 400),
     st.integers(0, 120),
     st.integers(0, 9),
@@ -302,11 +318,11 @@
 
 
 @settings(max_examples=150, deadline=None)
-@given(st.lists(ASKS, max_size=25), st.integers(2, 4))
-def test_each_request_ends_once_in_order_and_memory_is_never_over(asks, slots):
+@given(st.lists(REQUESTS, max_size=25), st.integers(2, 4))
+def test_each_request_ends_once_in_order_and_the_memory_limit_holds(requests, slots):
     engine = Engine(replace(SMALL, slots=slots, kv_tokens=600), 0.0)
-    now, seen, left = 0.0, [], set()
-    for prompt, out, priority, part, pause, leaves in asks:
+    now, effects, cancelled = 0.0, [], set()
+    for prompt, out, priority, part, pause, is_cancelled in requests:
         number = engine.submit(
             now,
             Work(
@@ -325,20 +341,20 @@
                 engine.memory.request_tokens + engine.memory.cached_tokens <= 600
                 and len(engine.running) <= slots
             )
-        if leaves and number in engine.jobs:
-            left.add(number)
+        if is_cancelled and number in engine.jobs:
+            cancelled.add(number)
             engine.cancel(now, number)
-        seen += engine.effects
+        effects += engine.effects
         engine.effects = []
-    seen += [effect for _, effect in play(engine)]
-    for number in range(1, len(asks) + 1):
-        told = [one for one in seen if one.number == number]
-        ends = [one for one in told if isinstance(one, (Done, Rejected, Late))]
-        assert len(ends) == (number not in left)
-        ids = [one.id for one in told if isinstance(one, Event)]
+    effects += [effect for _, effect in run_engine(engine)]
+    for number in range(1, len(requests) + 1):
+        own_effects = [effect for effect in effects if effect.number == number]
+        ends = [effect for effect in own_effects if isinstance(effect, (Done, Rejected, Late))]
+        assert len(ends) == (number not in cancelled)
+        ids = [effect.id for effect in own_effects if isinstance(effect, Event)]
         assert ids == list(range(1, len(ids) + 1))
-        if any(isinstance(one, Rejected) for one in ends):
-            assert len(told) == 1
+        if any(isinstance(effect, Rejected) for effect in ends):
+            assert len(own_effects) == 1
     memory = engine.memory
     assert memory.used == 0 and not engine.jobs and not memory.user_counts
     assert memory.cached_tokens == sum(memory.parts.values())
