--- a/tests/engines/test_engines_apart.py
+++ b/tests/engines/test_engines_apart.py
@@ -1,4 +1,4 @@
-"""The stand-ins are nobody's but the lab's."""
+"""The stand-in engines are used by the lab only."""
 
 import ast
 import doctest
@@ -8,10 +8,10 @@
 from shedgrade.lab.system import lines
 
 ROOT = Path(__file__).resolve().parents[2] / "shedgrade"
-OF_THE_LAB = {"engines", "lab", "cli"}  # `shedgrade lab` is a command of the sidecar's command line
+LAB_PACKAGES = {"engines", "lab", "cli"}  # `shedgrade lab` is a command of the sidecar's CLI
 
 
-def imported(path):
+def imported_modules(path):
     for node in ast.walk(ast.parse(path.read_text())):
         if isinstance(node, ast.Import):
             yield from (alias.name for alias in node.names)
@@ -19,23 +19,25 @@
             yield node.module
 
 
-def test_nothing_that_serves_imports_them():
-    serving = [path for path in ROOT.rglob("*.py") if path.relative_to(ROOT).parts[0] not in OF_THE_LAB]
-    assert len(serving) > 100
-    found = [
+def test_production_code_does_not_import_engines_or_lab():
+    production_modules = [
+        path for path in ROOT.rglob("*.py") if path.relative_to(ROOT).parts[0] not in LAB_PACKAGES
+    ]
+    assert len(production_modules) > 100
+    violations = [
         (path.name, name)
-        for path in serving
-        for name in imported(path)
+        for path in production_modules
+        for name in imported_modules(path)
         if name.startswith(("shedgrade.engines", "shedgrade.lab"))
     ]
-    assert found == []
+    assert violations == []
 
 
-def test_engines_know_nothing_of_the_lab():
+def test_engines_import_no_other_package_of_the_program():
     assert [
         name
         for path in (ROOT / "engines").glob("*.py")
-        for name in imported(path)
+        for name in imported_modules(path)
         if name.startswith("shedgrade") and not name.startswith("shedgrade.engines")
     ] == []
 
