--- a/tests/load_reports/test_load_reports.py
+++ b/tests/load_reports/test_load_reports.py
@@ -1,4 +1,4 @@
-"""Loads on their way from edges by way of core members to edges, with words lost and sources silent."""
+"""Loads on their way from edges through core members to edges, with lost messages and silent sources."""
 
 from random import Random
 
@@ -24,126 +24,130 @@
 
 
 class Core:
-    """Members that tell each other; what each edge was told last."""
+    """Core members that exchange their sums, and the updates that each edge received."""
 
     def __init__(self, *names):
         self.aggregators = {name: LoadAggregator(name) for name in names}
-        self.told = {}
+        self.updates = {}
         for aggregator in self.aggregators.values():
             aggregator.regions = REGIONS
 
-    def report(self, now, member, edge, loads, whole=False, near="north"):
+    def report(self, now, member, edge, loads, is_full=False, home_region="north"):
         self.aggregators[member].receive_report(
             now,
-            LoadReport(edge, near, loads, whole),
-            lambda told: self.told.setdefault(edge, []).append(told),
+            LoadReport(edge, home_region, loads, is_full),
+            lambda update: self.updates.setdefault(edge, []).append(update),
         )
 
-    def beat(self, now, lost=lambda: False):
+    def exchange(self, now, is_lost=lambda: False):
         for name, aggregator in self.aggregators.items():
             aggregator.expire_sources(now)
             aggregator.send_updates(now)
             shared = aggregator.take_unshared()
             for other, peer in self.aggregators.items():
-                if shared is not None and other != name and not lost():
+                if shared is not None and other != name and not is_lost():
                     peer.receive_sums(now, shared)
 
-    def known(self, edge, now):
-        """As the edge holds it, from all that it was told."""
-        others = PeerLoads()
-        for told in self.told[edge]:
-            others.apply(now, told)
-        return others.loads
+    def peer_loads(self, edge, now):
+        """The loads that an edge holds after all its updates."""
+        peer_loads = PeerLoads()
+        for update in self.updates[edge]:
+            peer_loads.apply(now, update)
+        return peer_loads.loads
 
 
-def test_an_edge_learns_what_the_others_have_in_flight_and_not_its_own():
+def test_an_edge_receives_the_loads_of_other_edges_but_not_its_own():
     core = Core("a")
     core.report(0.0, "a", "one", {1: 3, 2: 1}, True)
     core.report(0.0, "a", "two", {1: 2}, True)
-    core.beat(0.1)
-    assert core.known("one", 0.1) == {1: 2} and core.known("two", 0.1) == {1: 3, 2: 1}
+    core.exchange(0.1)
+    assert core.peer_loads("one", 0.1) == {1: 2} and core.peer_loads("two", 0.1) == {1: 3, 2: 1}
     core.report(0.2, "a", "one", {1: 0, 5: 4})
-    core.beat(0.2)
-    assert core.told["two"][-1] == LoadUpdate({1: 0, 5: 4}) and core.known("two", 0.2) == {2: 1, 5: 4}
+    core.exchange(0.2)
+    assert core.updates["two"][-1] == LoadUpdate({1: 0, 5: 4}) and core.peer_loads("two", 0.2) == {2: 1, 5: 4}
 
 
-def test_members_add_what_the_others_were_told():
+def test_members_add_up_the_loads_that_other_members_received():
     core = Core("a", "b")
     core.report(0.0, "a", "one", {1: 3}, True)
     core.report(0.0, "b", "two", {1: 1, 2: 5}, True)
-    core.beat(0.1)
-    core.beat(0.2)
-    assert core.known("one", 0.2) == {1: 1, 2: 5} and core.known("two", 0.2) == {1: 3}
+    core.exchange(0.1)
+    core.exchange(0.2)
+    assert core.peer_loads("one", 0.2) == {1: 1, 2: 5} and core.peer_loads("two", 0.2) == {1: 3}
 
 
-def test_other_regions_are_told_of_now_and_then():
+def test_loads_of_other_regions_are_sent_in_one_of_several_updates():
     core = Core("a")
     core.report(0.0, "a", "one", {}, True)
-    core.beat(0.0)
-    for beat in range(1, ALL_REGIONS_EVERY + 2):
-        core.report(beat / 10, "a", "two", {1: beat, 150: beat})
-        core.beat(beat / 10)
-    updates = core.told["one"]
-    assert [150 in told.loads for told in updates].count(True) == 1
-    assert all(1 in told.loads for told in updates[1:])
+    core.exchange(0.0)
+    for round_number in range(1, ALL_REGIONS_EVERY + 2):
+        core.report(round_number / 10, "a", "two", {1: round_number, 150: round_number})
+        core.exchange(round_number / 10)
+    updates = core.updates["one"]
+    assert [150 in update.loads for update in updates].count(True) == 1
+    assert all(1 in update.loads for update in updates[1:])
 
 
-def test_a_word_to_an_edge_is_bounded():
+def test_the_size_of_an_update_is_bounded():
     core = Core("a")
     core.aggregators["a"].regions = dict.fromkeys(range(10 * MAX_LOADS_PER_UPDATE), "north")
     core.report(0.0, "a", "one", {}, True)
-    core.beat(0.0)
+    core.exchange(0.0)
     core.report(0.1, "a", "two", dict.fromkeys(range(3 * MAX_LOADS_PER_UPDATE), 1))
-    for beat in range(1, 4):
-        core.beat(beat / 10)
-    assert [len(told.loads) for told in core.told["one"][1:]] == [MAX_LOADS_PER_UPDATE] * 3
-    assert len(core.known("one", 0.4)) == 3 * MAX_LOADS_PER_UPDATE
+    for round_number in range(1, 4):
+        core.exchange(round_number / 10)
+    assert [len(update.loads) for update in core.updates["one"][1:]] == [MAX_LOADS_PER_UPDATE] * 3
+    assert len(core.peer_loads("one", 0.4)) == 3 * MAX_LOADS_PER_UPDATE
 
 
-def test_who_falls_silent_has_nothing_in_flight():
+def test_the_loads_of_a_silent_edge_are_forgotten():
     core = Core("a", "b")
     core.report(0.0, "a", "one", {1: 3}, True)
     core.report(0.0, "a", "two", {}, True)
     core.report(0.0, "b", "far", {}, True)
-    core.beat(0.1)
+    core.exchange(0.1)
     core.report(SOURCE_TIMEOUT_S, "a", "two", {})
     core.report(SOURCE_TIMEOUT_S, "b", "far", {})
-    core.beat(SOURCE_TIMEOUT_S + 0.1)
-    core.beat(SOURCE_TIMEOUT_S + 0.2)
-    assert core.known("two", 2.0) == core.known("far", 2.0) == {}
+    core.exchange(SOURCE_TIMEOUT_S + 0.1)
+    core.exchange(SOURCE_TIMEOUT_S + 0.2)
+    assert core.peer_loads("two", 2.0) == core.peer_loads("far", 2.0) == {}
     assert "one" not in core.aggregators["a"].edges and not core.aggregators["b"].sums
 
 
-def test_a_member_that_falls_silent_takes_its_edges_loads_along():
+def test_the_loads_of_a_silent_members_edges_are_forgotten():
     core = Core("a", "b")
     core.report(0.0, "a", "one", {1: 3}, True)
-    core.beat(0.1)
+    core.exchange(0.1)
     assert core.aggregators["b"].sums == {1: 3}
     core.aggregators["b"].expire_sources(0.2 + SOURCE_TIMEOUT_S)
     assert not core.aggregators["b"].sums
 
 
-def test_lost_words_are_made_good():
-    """Whatever is lost between members, a while after the last change all sums are those of the edges."""
-    random = Random(5)
+def test_full_messages_make_up_for_lost_ones():
+    """While messages between members are lost at random, all sums are correct a few rounds after the last
+    change and loss.
+    """
+    rng = Random(5)
     core, loads = Core("a", "b", "c"), {}
-    for beat in range(400):
-        now = beat / 10
+    for round_number in range(400):
+        now = round_number / 10
         for edge in range(9):
             name = f"edge-{edge}"
-            if beat < 300 and random.random() < 0.5:
-                loads[name] = {random.randrange(50): random.randrange(1, 9) for _ in range(4)}
+            if round_number < 300 and rng.random() < 0.5:
+                loads[name] = {rng.randrange(50): rng.randrange(1, 9) for _ in range(4)}
             core.report(now, "abc"[edge % 3], name, loads.get(name, {}), True)
-        core.beat(now, lost=lambda beat=beat: beat < 380 and random.random() < 0.3)
+        core.exchange(
+            now, is_lost=lambda round_number=round_number: round_number < 380 and rng.random() < 0.3
+        )
     for edge in range(9):
         expected = {}
         for name, own in loads.items():
             for endpoint, load in own.items() if name != f"edge-{edge}" else ():
                 expected[endpoint] = expected.get(endpoint, 0) + load
-        assert core.known(f"edge-{edge}", now) == expected
+        assert core.peer_loads(f"edge-{edge}", now) == expected
 
 
-def test_an_edge_reports_what_changed_and_now_and_then_all():
+def test_an_edge_reports_changes_and_periodically_all_loads():
     reporter = LoadReporter("one", "north")
     assert reporter.report(0.0, "core-a", {1: 2}) == LoadReport("one", "north", {1: 2}, True)
     assert reporter.report(0.1, "core-a", {1: 2}) is None
@@ -168,23 +172,23 @@
     assert reporter.report(2.0 + IDLE_TIMEOUT_S, "core-a", {1: 1}).is_full
 
 
-def test_what_others_have_is_forgotten_when_the_core_falls_silent():
-    others = PeerLoads()
-    others.apply(0.0, LoadUpdate({1: 2, 2: 3}))
-    assert not others.forget_if_stale(UPDATE_TIMEOUT_S) and others.loads
-    assert others.forget_if_stale(UPDATE_TIMEOUT_S + 0.1) and not others.loads
-    assert not others.forget_if_stale(UPDATE_TIMEOUT_S + 0.2)
-    others.apply(5.0, LoadUpdate({1: 2}))
-    others.apply(9.0, LoadUpdate({2: 1}))
-    assert others.loads == {2: 1}
-    others.apply(9.1, LoadUpdate({3: 1}, True))
-    assert others.loads == {3: 1}
+def test_other_edges_loads_are_forgotten_when_the_core_falls_silent():
+    peer_loads = PeerLoads()
+    peer_loads.apply(0.0, LoadUpdate({1: 2, 2: 3}))
+    assert not peer_loads.forget_if_stale(UPDATE_TIMEOUT_S) and peer_loads.loads
+    assert peer_loads.forget_if_stale(UPDATE_TIMEOUT_S + 0.1) and not peer_loads.loads
+    assert not peer_loads.forget_if_stale(UPDATE_TIMEOUT_S + 0.2)
+    peer_loads.apply(5.0, LoadUpdate({1: 2}))
+    peer_loads.apply(9.0, LoadUpdate({2: 1}))
+    assert peer_loads.loads == {2: 1}
+    peer_loads.apply(9.1, LoadUpdate({3: 1}, True))
+    assert peer_loads.loads == {3: 1}
 
 
-def test_words_are_read_as_they_were_written():
-    for word in (
+def test_messages_are_decoded_as_they_were_encoded():
+    for message in (
         LoadReport("e", "n", {4294967295: 3}, True),
         LoadUpdate({1: 0}),
         LoadSums("a", {7: 70000}),
     ):
-        assert control_messages.decode(control_messages.encode(word)) == word
+        assert control_messages.decode(control_messages.encode(message)) == message
