--- a/tests/route_matching/test_matching.py
+++ b/tests/route_matching/test_matching.py
@@ -1,4 +1,4 @@
-"""The tree of matchers against naive models of what it must find."""
+"""The trees of routes and calls, compared with naive models; the bound of `Findings`."""
 
 import doctest
 
@@ -25,26 +25,28 @@
 HOST = st.sampled_from([b"one.example", b"two.example", b"TWO.example"])
 
 
-def begins(routes, host, path):
-    """The naive model: all prefixes are tried, the longest is kept; a later one replaces its equal."""
+def longest_prefix_index(routes, host, path):
+    """Naive model: the index of the route with the longest matching prefix, the last of equal ones; None if
+    none matches.
+    """
     best = None
-    for at, (name, prefix) in enumerate(routes):
-        fits = name.lower() == host.partition(b":")[0].lower() and path.startswith(prefix)
-        if fits and (best is None or len(prefix) >= len(routes[best][1])):
-            best = at
+    for index, (name, prefix) in enumerate(routes):
+        matches = name.lower() == host.partition(b":")[0].lower() and path.startswith(prefix)
+        if matches and (best is None or len(prefix) >= len(routes[best][1])):
+            best = index
     return best
 
 
 @given(st.lists(st.tuples(HOST, PREFIX), max_size=12), HOST, PATH, st.sampled_from([b"", b":80"]))
 def test_the_longest_prefix_wins(routes, host, path, port):
-    tree = RouteTree((name, prefix, at) for at, (name, prefix) in enumerate(routes))
-    assert tree.find(host + port, path) == begins(routes, host + port, path)
+    tree = RouteTree((name, prefix, index) for index, (name, prefix) in enumerate(routes))
+    assert tree.find(host + port, path) == longest_prefix_index(routes, host + port, path)
 
 
 @given(st.lists(st.tuples(HOST, PREFIX), max_size=12), HOST, st.binary(max_size=12))
 def test_any_bytes_can_be_looked_up(routes, host, path):
-    tree = RouteTree((name, prefix, at) for at, (name, prefix) in enumerate(routes))
-    assert tree.find(host, path) == begins(routes, host, path)
+    tree = RouteTree((name, prefix, index) for index, (name, prefix) in enumerate(routes))
+    assert tree.find(host, path) == longest_prefix_index(routes, host, path)
     tree.find(path, path)
 
 
@@ -76,28 +78,30 @@
 
 
 @pytest.mark.parametrize("prefix", [b"a/", b"/a", b"", b"a"])
-def test_no_prefix_without_its_slashes(prefix):
+def test_a_prefix_must_begin_and_end_with_a_slash(prefix):
     with pytest.raises(ValueError):
         RouteTree([(b"h", prefix, 1)])
 
 
-def test_ten_thousand_routes_are_told_apart():
-    routes = [(b"h%d.example" % (at % 7), b"/p%d/q%d/" % (at % 100, at), at) for at in range(10_000)]
+def test_ten_thousand_routes_are_distinguished():
+    routes = [
+        (b"h%d.example" % (index % 7), b"/p%d/q%d/" % (index % 100, index), index) for index in range(10_000)
+    ]
     tree = RouteTree(routes)
-    assert all(tree.find(host, prefix + b"x") == at for host, prefix, at in routes)
+    assert all(tree.find(host, prefix + b"x") == index for host, prefix, index in routes)
 
 
-def test_a_path_of_many_segments_costs_no_more_than_the_routes_are_deep():
-    class Counted(bytes):
-        looked = 0
+def test_no_more_segments_of_a_path_are_compared_than_the_routes_have():
+    class CountingPath(bytes):
+        find_count = 0
 
-        def find(self, *what):
-            Counted.looked += 1
-            return super().find(*what)
+        def find(self, *arguments):
+            CountingPath.find_count += 1
+            return super().find(*arguments)
 
     tree = RouteTree([(b"h", b"/a/a/", 1)])
-    assert tree.find(b"h", Counted(b"/a" * 10_000)) == 1
-    assert Counted.looked <= 3
+    assert tree.find(b"h", CountingPath(b"/a" * 10_000)) == 1
+    assert CountingPath.find_count <= 3
 
 
 PATTERN = st.lists(st.sampled_from([b"a", b"b", b"{}"]), min_size=1, max_size=3).map(
@@ -106,33 +110,42 @@
 METHOD = st.sampled_from([b"GET", b"PUT"])
 
 
-def stands_for(pattern, path):
-    """The naive model: the arguments of a path that a pattern matches, else None."""
-    ours, theirs = pattern.split(b"/"), path.split(b"/")
-    if len(ours) != len(theirs):
+def match_arguments(pattern, path):
+    """Naive model: the path's arguments for the pattern; None if they don't match."""
+    pattern_segments, path_segments = pattern.split(b"/"), path.split(b"/")
+    if len(pattern_segments) != len(path_segments):
         return None
-    if any(one != other and (one != b"{}" or not other) for one, other in zip(ours, theirs, strict=True)):
+    if any(
+        pattern_segment != path_segment and (pattern_segment != b"{}" or not path_segment)
+        for pattern_segment, path_segment in zip(pattern_segments, path_segments, strict=True)
+    ):
         return None
-    return tuple(other for one, other in zip(ours, theirs, strict=True) if one == b"{}")
+    return tuple(
+        path_segment
+        for pattern_segment, path_segment in zip(pattern_segments, path_segments, strict=True)
+        if pattern_segment == b"{}"
+    )
 
 
 @given(st.dictionaries(st.tuples(METHOD, PATTERN), st.integers(), max_size=8), METHOD, PATH)
 def test_calls_are_found_by_method_and_path(calls, method, path):
     tree = CallTree()
-    for (verb, pattern), value in calls.items():
-        tree.add(verb, pattern, value)
-    matching = {key: stands_for(key[1], path) for key in calls if stands_for(key[1], path) is not None}
+    for (pattern_method, pattern), value in calls.items():
+        tree.add(pattern_method, pattern, value)
+    matching_calls = {
+        key: match_arguments(key[1], path) for key in calls if match_arguments(key[1], path) is not None
+    }
     found = tree.find(method, path)
-    mine = {(calls[key], arguments) for key, arguments in matching.items() if key[0] == method}
-    if mine:
-        assert (found.value, found.arguments) in mine
-    elif matching:
-        assert found == NotAllowed(tuple(sorted({verb for verb, _ in matching})))
+    expected = {(calls[key], arguments) for key, arguments in matching_calls.items() if key[0] == method}
+    if expected:
+        assert (found.value, found.arguments) in expected
+    elif matching_calls:
+        assert found == NotAllowed(tuple(sorted({pattern_method for pattern_method, _ in matching_calls})))
     else:
         assert found == NotFound()
 
 
-def test_a_literal_segment_goes_before_a_variable_one():
+def test_a_literal_segment_takes_precedence_over_a_variable_one():
     tree = CallTree()
     tree.add(b"GET", b"/zones/{}", "any")
     tree.add(b"GET", b"/zones/all", "all")
@@ -160,15 +173,15 @@
     assert tree.hosts[b"h"].children[b"a"].values == {b"GET": 2}
 
 
-def test_findings_are_bounded_and_the_rest_counted():
+def test_findings_are_bounded_and_further_ones_are_counted():
     findings = Findings(limit=2)
-    for at in range(3):
-        findings.add(f"at[{at}]", "is wrong")
+    for index in range(3):
+        findings.add(f"at[{index}]", "is wrong")
     assert findings.all() == (Finding("at[0]", "is wrong"), Finding("at[1]", "is wrong"))
     assert findings.omitted == 1 and findings.full() and len(findings) == 2
     assert str(findings.all()[0]) == "at[0]: is wrong"
 
 
 @pytest.mark.parametrize("module", [shedgrade.findings, shedgrade.route_matching.routes])
-def test_examples_of_the_docstrings(module):
+def test_docstring_examples(module):
     assert doctest.testmod(module).failed == 0
