--- a/tests/system/planes_rig.py
+++ b/tests/system/planes_rig.py
@@ -1,5 +1,6 @@
-"""Control planes and data planes in one event loop, each at a loopback address of its own, with a stand-in
-for the platform's list and scripted upstreams."""
+"""Control planes and data planes in one event loop, each at its own loopback address, with a stand-in for the
+platform's list and scripted upstreams.
+"""
 
 import asyncio
 import gc
@@ -25,23 +26,23 @@
 
 CORES, EDGES = (1, 2, 3), (11, 12)
 ZONES = {"hall-1": "north", "hall-2": "south", "hall-3": "west"}
-LONGEST = 20.0  # s that any condition may take
-LOOK = 0.005  # s between two looks at one
-WHOLE = events(1, 2)
+CONDITION_TIMEOUT_S = 20.0
+POLL_INTERVAL_S = 0.005
+FULL_BODY = events(1, 2)
 
 
-async def until(condition, within=LONGEST):
-    """Looks again and again; TimeoutError if it does not hold in time. What it gave in the end."""
+async def wait_until(condition, timeout_s=CONDITION_TIMEOUT_S):
+    """Polls a condition until it holds and returns its result. TimeoutError if it does not hold in time."""
     loop = asyncio.get_running_loop()
-    async with asyncio.timeout(within):
-        while not (held := condition()):
-            looked = loop.create_future()
-            loop.call_later(LOOK, lambda looked=looked: looked.done() or looked.set_result(None))
-            await looked
-    return held
+    async with asyncio.timeout(timeout_s):
+        while not (result := condition()):
+            waiter = loop.create_future()
+            loop.call_later(POLL_INTERVAL_S, lambda waiter=waiter: waiter.done() or waiter.set_result(None))
+            await waiter
+    return result
 
 
-async def stream(request, writer):
+async def stream_two_events(request, writer):
     writer.write(streaming(request) + chunk(events(1)) + chunk(events(2)) + LAST)
 
 
@@ -88,20 +89,32 @@
 
 
 class System:
-    """Planes by the last number of their address, and what stands around them."""
+    """The planes by the last number of their address, the platform's list and the upstreams.
+
+    Attributes:
+        cores, edges: the running planes, by number.
+        tasks: the task of each plane, by number.
+        upstreams: one in each of two zones, by zone.
+        platform: the stand-in for the platform's list.
+        list_request_count: requests for the list so far.
+    """
 
     def __init__(self, folder):
         self.loop, self.folder = asyncio.get_running_loop(), folder
         self.cores, self.edges, self.tasks = {}, {}, {}
-        self.upstreams = {"hall-1": Upstream("i-1", stream), "hall-2": Upstream("i-2", stream)}
-        self.platform = HttpServer(self.loop, (f"{NET}.250", 8266), self.tell_list, logger)
-        self.asked = 0
+        self.upstreams = {
+            "hall-1": Upstream("i-1", stream_two_events),
+            "hall-2": Upstream("i-2", stream_two_events),
+        }
+        self.platform = HttpServer(self.loop, (f"{NET}.250", 8266), self.send_endpoint_list, logger)
+        self.list_request_count = 0
 
-    # --- what stands around
+    # --- the platform and the settings
 
-    def tell_list(self, request, tell):
-        self.asked += 1
-        tell(
+    def send_endpoint_list(self, request, respond):
+        """Answers a request for the platform's list."""
+        self.list_request_count += 1
+        respond(
             Reply(
                 200,
                 orjson.dumps(
@@ -125,7 +138,8 @@
             )
         )
 
-    def settings(self, number, **more):
+    def settings(self, number, **overrides):
+        """The settings of the plane with this number."""
         host = f"{NET}.{number}"
         return validate(
             programs.TOLD
@@ -137,12 +151,13 @@
                 "cloudApi": {"address": f"{NET}.250:8266", "ratePerS": 40.0, "maxLagMs": 100},
                 "timingBounds": {"graceS": 4, "retrySlack": 50, "retryBudgetRatio": 0.2},
             }
-            | more
+            | overrides
         )
 
     # --- planes
 
-    def start_core(self, number, founding=True):
+    def start_core(self, number, initial_start=True):
+        """Starts a control plane. `initial_start`: as in the settings."""
         host, folder = f"{NET}.{number}", self.folder / f"core-{number}"
         folder.mkdir(exist_ok=True)
         zone = list(ZONES)[number - 1]
@@ -152,7 +167,7 @@
                 dataDir=str(folder),
                 zone=zone,
                 region=ZONES[zone],
-                initialStart=founding,
+                initialStart=initial_start,
                 listenAddresses={"control": f"{host}:8262", "directory": f"{host}:8264"},
             ),
             self.loop,
@@ -163,6 +178,7 @@
         return plane
 
     def start_edge(self, number):
+        """Starts a data plane."""
         host = f"{NET}.{number}"
         plane = DataPlane(
             self.settings(
@@ -182,13 +198,14 @@
         return all(edge.watcher.received.configuration_version == version for edge in self.edges.values())
 
     async def close_core(self, number):
-        """Ends it without a word to the others, as a kill would."""
+        """Ends a core member without notifying the others, as a kill does."""
         plane = self.cores.pop(number)
         plane.driver.may_exit.set()
         await self.tasks.pop(number)
         return plane
 
     async def close_edge(self, number):
+        """Ends an edge and its connections."""
         plane = self.edges.pop(number)
         plane.shutdown.finished.set()
         await self.tasks.pop(number)
@@ -200,52 +217,56 @@
         """The number of the core machine that acts as primary, or None."""
         return next((number for number, plane in self.cores.items() if plane.member.role == "primary"), None)
 
-    # --- calls, as operators and clients make them
+    # --- calls of operators and clients
 
-    async def control(self, number, verb, target, body=b"", *headers):
-        return await programs.http(f"{NET}.{number}", 8262, verb, target, body, headers)
+    async def call_control(self, number, method, target, body=b"", *headers):
+        """Status and body of a call to the operators' API of one core member."""
+        return await programs.http(f"{NET}.{number}", 8262, method, target, body, headers)
 
-    async def acknowledged(self, verb, target, body=b"", *headers):
-        """The status by which one of the core members answers the call, each tried in turn, as operators do;
-        503 and a closed port send them on."""
-        async with asyncio.timeout(LONGEST):
+    async def call_any_core(self, method, target, body=b"", *headers):
+        """The status with which a core member answers the call. As operators do, it tries the members in turn
+        and goes on to the next if one answers 503 or its port is closed.
+        """
+        async with asyncio.timeout(CONDITION_TIMEOUT_S):
             while True:
                 for number in list(self.cores):
                     try:
-                        status, _ = await self.control(number, verb, target, body, *headers)
+                        status, _ = await self.call_control(number, method, target, body, *headers)
                     except (ConnectionError, IndexError):
                         continue
                     if status != 503:
                         return status
 
-    async def put(self, version, base, **more):
-        return await self.acknowledged(
-            "PUT", "/configuration", configuration(version, **more), f"If-Match: {base}"
+    async def put_configuration(self, version, base, **overrides):
+        """Installs a configuration. `base`: the version that it replaces. Returns the status."""
+        return await self.call_any_core(
+            "PUT", "/configuration", configuration(version, **overrides), f"If-Match: {base}"
         )
 
-    async def read(self, number):
-        """The configuration as one core member answers; 503 says to ask again."""
-        async with asyncio.timeout(LONGEST):
-            while (answer := await self.control(number, "GET", "/configuration"))[0] == 503:
+    async def read_configuration(self, number):
+        """Status and body of the configuration from one core member, retried while it answers 503."""
+        async with asyncio.timeout(CONDITION_TIMEOUT_S):
+            while (response := await self.call_control(number, "GET", "/configuration"))[0] == 503:
                 pass
-        return answer
+        return response
 
-    async def resolve(self, number, zone="hall-1"):
-        """Addresses of edges, as one core member tells them."""
+    async def resolve_edges(self, number, zone="hall-1"):
+        """The addresses of edges that one core member resolves; empty if it refuses."""
         status, body = await programs.http(
             f"{NET}.{number}", 8264, target=f"/resolution?region={ZONES[zone]}&zone={zone}"
         )
         return set(orjson.loads(body)["addressList"]) if status == 200 else set()
 
-    async def resolved(self, number, expected):
-        async with asyncio.timeout(LONGEST):
-            while await self.resolve(number) != expected:
+    async def wait_until_resolved(self, number, expected):
+        """Waits until one core member resolves exactly these addresses."""
+        async with asyncio.timeout(CONDITION_TIMEOUT_S):
+            while await self.resolve_edges(number) != expected:
                 pass
 
-    async def served(self, number, name):
-        """Status and whole body of one streamed request through an edge."""
+    async def stream_response(self, number, request_id):
+        """Status and complete body of one streamed request through an edge."""
         client = await Client().open(SimpleNamespace(address=(f"{NET}.{number}", 8263)))
-        client.send(request(name=name))
+        client.send(request(name=request_id))
         try:
             await client.head()
             return client.status, await client.body()
@@ -253,13 +274,14 @@
             client.writer.close()
 
 
-def front(number):
+def front_address(number):
+    """Address at which an edge accepts requests of clients."""
     return f"{NET}.{number}:8263"
 
 
 @asynccontextmanager
-async def running(folder):
-    """All started, nothing configured yet."""
+async def running_system(folder):
+    """A system whose planes have all been started, without a configuration."""
     system = System(folder)
     for upstream in system.upstreams.values():
         await upstream.start()
@@ -278,15 +300,15 @@
         system.platform.close()
         for upstream in system.upstreams.values():
             upstream.server.close()
-        gc.unfreeze()  # each plane freezes what it finds, which is more than its own here
+        gc.unfreeze()  # each plane freezes all objects that exist, here also those of the other planes
 
 
 @asynccontextmanager
-async def configured(folder):
-    """Version 1 is acknowledged, and both edges serve by it."""
-    async with running(folder) as system:
-        assert await system.put(1, 0) == 200
-        await until(
+async def configured_system(folder):
+    """A system in which version 1 is acknowledged and both edges serve by it."""
+    async with running_system(folder) as system:
+        assert await system.put_configuration(1, 0) == 200
+        await wait_until(
             lambda: all(
                 edge.ready() and edge.watcher.received.configuration_version == 1
                 for edge in system.edges.values()
--- a/tests/system/test_planes_together.py
+++ b/tests/system/test_planes_together.py
@@ -1,240 +1,255 @@
-"""Three control planes and two data planes together: what operators and clients of the whole system see."""
+"""Three control planes and two data planes together, as operators and clients of the system see them."""
 
 import asyncio
 
 import orjson
 import pytest
 import uvloop
-from planes_rig import CORES, EDGES, NET, WHOLE, configuration, configured, front, running, until
+from planes_rig import (
+    CORES,
+    EDGES,
+    FULL_BODY,
+    NET,
+    configuration,
+    configured_system,
+    front_address,
+    running_system,
+    wait_until,
+)
 
-BOTH = {front(number) for number in EDGES}
+BOTH_FRONTS = {front_address(number) for number in EDGES}
 
 
 @pytest.fixture
-def play(tmp_path):
-    """Runs a play with the system, `configured` or only `running`."""
+def run_scenario(tmp_path):
+    """Runs a scenario with the system, which is configured first unless `running_system` is given."""
 
-    def run(story, started=configured):
-        async def whole():
-            async with asyncio.timeout(60), started(tmp_path) as system:
-                await story(system)
+    def run(scenario, system_context=configured_system):
+        async def main():
+            async with asyncio.timeout(60), system_context(tmp_path) as system:
+                await scenario(system)
 
         with asyncio.Runner(loop_factory=uvloop.new_event_loop) as runner:
-            runner.run(whole())
+            runner.run(main())
 
     return run
 
 
-def test_from_founding_to_the_first_stream(play):
-    async def story(system):
-        await until(lambda: system.primary() is not None)
+def test_a_new_system_serves_streams_once_configured(run_scenario):
+    async def scenario(system):
+        await wait_until(lambda: system.primary() is not None)
         primary = system.primary()
-        assert (await system.read(primary))[0] == 404
+        assert (await system.read_configuration(primary))[0] == 404
         assert not any(edge.ready() for edge in system.edges.values())
-        assert await system.resolve(primary) == set()
+        assert await system.resolve_edges(primary) == set()
 
-        assert await system.put(1, 0) == 200
+        assert await system.put_configuration(1, 0) == 200
         for number in CORES:
-            assert await system.read(number) == (200, configuration(1))
-        await until(lambda: all(edge.ready() for edge in system.edges.values()))
+            assert await system.read_configuration(number) == (200, configuration(1))
+        await wait_until(lambda: all(edge.ready() for edge in system.edges.values()))
         for number in CORES:
-            await system.resolved(number, BOTH)
+            await system.wait_until_resolved(number, BOTH_FRONTS)
         for number in EDGES:
-            for turn in range(3):
-                assert await system.served(number, f"id-{number}-{turn}") == (200, WHOLE)
+            for index in range(3):
+                assert await system.stream_response(number, f"id-{number}-{index}") == (200, FULL_BODY)
         assert sum(len(upstream.requests) for upstream in system.upstreams.values()) == 6
 
-    play(story, running)
+    run_scenario(scenario, running_system)
 
 
-def test_the_same_configuration_again_and_one_on_an_old_base(play):
-    async def story(system):
-        assert await system.put(1, 0) == 200
-        assert await system.put(2, 0) == 412
-        assert await system.acknowledged("PUT", "/configuration", b"{}", "If-Match: 1") == 400
-        assert await system.put(2, 1, timeout_ms=2000) == 200
-        await until(
+def test_a_repeated_configuration_is_accepted_and_one_with_an_old_base_is_refused(run_scenario):
+    async def scenario(system):
+        assert await system.put_configuration(1, 0) == 200
+        assert await system.put_configuration(2, 0) == 412
+        assert await system.call_any_core("PUT", "/configuration", b"{}", "If-Match: 1") == 400
+        assert await system.put_configuration(2, 1, timeout_ms=2000) == 200
+        await wait_until(
             lambda: all(edge.watcher.received.configuration_version == 2 for edge in system.edges.values())
         )
         route = system.edges[EDGES[0]].routes.find(b"rota.example", b"/a/1")
         assert route.timeout_ms == 2000
 
-    play(story)
+    run_scenario(scenario)
 
 
-def test_all_know_all_by_gossip_and_edges_count_each_other(play):
-    async def story(system):
+def test_all_nodes_know_each_other_by_gossip_and_edges_count_the_edges(run_scenario):
+    async def scenario(system):
         planes = [*system.cores.values(), *system.edges.values()]
-        everybody = {f"node-{number}" for number in (*CORES, *EDGES)}
-        await until(
-            lambda: all({node.name for node in plane.gossip.view.nodes()} == everybody for plane in planes)
+        node_names = {f"node-{number}" for number in (*CORES, *EDGES)}
+        await wait_until(
+            lambda: all({node.name for node in plane.gossip.view.nodes()} == node_names for plane in planes)
         )
-        links = {f"{NET}.{number}:7300" for number in CORES}
+        core_addresses = {f"{NET}.{number}:7300" for number in CORES}
         for plane in planes:
             view = plane.gossip.view
-            assert {node.link_address for node in view.nodes() if node.kind == "core"} == links
+            assert {node.link_address for node in view.nodes() if node.kind == "core"} == core_addresses
             assert view.count("edge") == len(EDGES)
-        await until(lambda: all(edge.state.edge_count == len(EDGES) for edge in system.edges.values()))
-        await until(
+        await wait_until(lambda: all(edge.state.edge_count == len(EDGES) for edge in system.edges.values()))
+        await wait_until(
             lambda: all(node.state == "ready" for plane in planes for node in plane.gossip.view.nodes())
         )
 
-    play(story)
+    run_scenario(scenario)
 
 
-def test_a_primary_that_dies_is_followed_by_another_that_acknowledges(play):
-    async def story(system):
-        before = system.primary()
-        epoch = system.cores[before].member.epoch
-        await system.close_core(before)
-        assert await system.put(2, 1) == 200
-        assert system.primary() != before and system.cores[system.primary()].member.epoch > epoch
+def test_after_the_primary_crashes_another_one_acknowledges_changes(run_scenario):
+    async def scenario(system):
+        old_primary = system.primary()
+        epoch = system.cores[old_primary].member.epoch
+        await system.close_core(old_primary)
+        assert await system.put_configuration(2, 1) == 200
+        assert system.primary() != old_primary and system.cores[system.primary()].member.epoch > epoch
         for number in system.cores:
-            assert await system.read(number) == (200, configuration(2))
-        await until(
+            assert await system.read_configuration(number) == (200, configuration(2))
+        await wait_until(
             lambda: all(edge.watcher.received.configuration_version == 2 for edge in system.edges.values())
         )
         for number in EDGES:
-            assert await system.served(number, f"id-{number}") == (200, WHOLE)
+            assert await system.stream_response(number, f"id-{number}") == (200, FULL_BODY)
 
-    play(story)
+    run_scenario(scenario)
 
 
-def test_a_primary_that_comes_back_learns_what_it_missed(play):
-    async def story(system):
-        before = system.primary()
-        await system.close_core(before)
-        assert await system.put(2, 1) == 200
-        plane = system.start_core(before, founding=False)
-        await until(lambda: plane.hub.version == 2)
-        assert await system.read(before) == (200, configuration(2))
+def test_a_primary_that_returns_catches_up(run_scenario):
+    async def scenario(system):
+        old_primary = system.primary()
+        await system.close_core(old_primary)
+        assert await system.put_configuration(2, 1) == 200
+        plane = system.start_core(old_primary, initial_start=False)
+        await wait_until(lambda: plane.hub.version == 2)
+        assert await system.read_configuration(old_primary) == (200, configuration(2))
 
-    play(story)
+    run_scenario(scenario)
 
 
-def test_an_edge_that_leaves_is_resolved_no_more_and_serves_what_still_comes(play):
-    async def story(system):
+def test_a_terminating_edge_is_no_longer_resolved_but_still_serves(run_scenario):
+    async def scenario(system):
         first, second = EDGES
         for number in CORES:
-            await system.resolved(number, BOTH)
+            await system.wait_until_resolved(number, BOTH_FRONTS)
         leaving = system.edges[first]
-        began = system.loop.time()
+        terminated_at = system.loop.time()
         leaving.terminate()
         for number in CORES:
-            await system.resolved(number, {front(second)})
-        assert system.loop.time() - began < 1.0
-        assert await system.served(first, "id-late") == (200, WHOLE)
-        await until(
+            await system.wait_until_resolved(number, {front_address(second)})
+        assert system.loop.time() - terminated_at < 1.0
+        assert await system.stream_response(first, "id-late") == (200, FULL_BODY)
+        await wait_until(
             lambda: all(
                 f"node-{first}" not in {node.name for node in plane.gossip.view.nodes()}
                 for plane in system.cores.values()
             )
         )
-        # Its share of the fleet's budgets is not taken over while it may still use it.
+        # Its share of the fleet's budgets stays reserved while it may still use it.
         assert system.edges[second].state.edge_count == 2
         await asyncio.wait_for(system.tasks[first], 10)
 
-    play(story)
+    run_scenario(scenario)
 
 
-def test_an_evacuated_zone_gets_nothing_more_until_it_is_taken_back(play):
-    async def story(system):
-        async def sent(prefix, count=8):
-            before = {zone: len(upstream.requests) for zone, upstream in system.upstreams.items()}
-            for turn in range(count):
-                assert await system.served(EDGES[turn % 2], f"{prefix}-{turn}") == (200, WHOLE)
+def test_an_evacuated_zone_gets_no_requests_until_it_is_returned(run_scenario):
+    async def scenario(system):
+        async def send_requests(prefix, count=8):
+            counts_before = {zone: len(upstream.requests) for zone, upstream in system.upstreams.items()}
+            for index in range(count):
+                assert await system.stream_response(EDGES[index % 2], f"{prefix}-{index}") == (200, FULL_BODY)
             return {
-                zone: len(upstream.requests) - before[zone] for zone, upstream in system.upstreams.items()
+                zone: len(upstream.requests) - counts_before[zone]
+                for zone, upstream in system.upstreams.items()
             }
 
-        def told(*zones):
+        def evacuated_everywhere(*zones):
             return all(edge.state.evacuated == frozenset(zones) for edge in system.edges.values())
 
-        # Both edges stand in hall-1, whose region has an upstream of its own.
-        assert await sent("before") == {"hall-1": 8, "hall-2": 0}
-        assert await system.acknowledged("POST", "/evacuation/hall-9") == 404
-        assert await system.acknowledged("POST", "/evacuation/hall-1") == 200
-        await until(lambda: told("hall-1"))
-        assert await sent("during") == {"hall-1": 0, "hall-2": 8}
-        status = orjson.loads((await system.control(system.primary(), "GET", "/status"))[1])
+        # Both edges are in hall-1, whose region has an upstream of its own.
+        assert await send_requests("before") == {"hall-1": 8, "hall-2": 0}
+        assert await system.call_any_core("POST", "/evacuation/hall-9") == 404
+        assert await system.call_any_core("POST", "/evacuation/hall-1") == 200
+        await wait_until(lambda: evacuated_everywhere("hall-1"))
+        assert await send_requests("during") == {"hall-1": 0, "hall-2": 8}
+        status = orjson.loads((await system.call_control(system.primary(), "GET", "/status"))[1])
         assert status["evacuations"] == ["hall-1"]
-        assert await system.acknowledged("DELETE", "/evacuation/hall-1") == 200
-        await until(lambda: told())
-        assert await sent("after") == {"hall-1": 8, "hall-2": 0}
+        assert await system.call_any_core("DELETE", "/evacuation/hall-1") == 200
+        await wait_until(lambda: evacuated_everywhere())
+        assert await send_requests("after") == {"hall-1": 8, "hall-2": 0}
 
-    play(story)
+    run_scenario(scenario)
 
 
-def test_terms_of_the_polled_list_go_above_what_an_edge_holds(play):
-    async def story(system):
+def test_the_version_of_the_polled_list_exceeds_the_one_that_an_edge_holds(run_scenario):
+    async def scenario(system):
         edge = system.edges[EDGES[0]]
-        far = (edge.watcher.received.endpoint_list[0] + 2**40, 1)
-        edge.watcher.received.endpoint_list = edge.watcher.received.list_floor = far
+        later_version = (edge.watcher.received.endpoint_list[0] + 2**40, 1)
+        edge.watcher.received.endpoint_list = edge.watcher.received.list_floor = later_version
         system.upstreams.pop("hall-2").server.close()
-        await until(lambda: edge.watcher.received.endpoint_list > far)
-        await until(lambda: set(edge.state.instances) == {"i-1"})
+        await wait_until(lambda: edge.watcher.received.endpoint_list > later_version)
+        await wait_until(lambda: set(edge.state.instances) == {"i-1"})
 
-    play(story)
+    run_scenario(scenario)
 
 
-def test_all_of_the_control_plane_gone_and_back_says_the_same(play):
-    async def story(system):
-        assert await system.put(2, 1) == 200
+def test_edges_serve_without_the_control_plane_which_recovers_its_state(run_scenario):
+    async def scenario(system):
+        assert await system.put_configuration(2, 1) == 200
         for number in CORES:
             await system.close_core(number)
-        assert await system.served(EDGES[0], "id-alone") == (200, WHOLE)
+        assert await system.stream_response(EDGES[0], "id-alone") == (200, FULL_BODY)
         for number in CORES:
-            system.start_core(number, founding=False)
-        assert await system.put(3, 2) == 200
-        await until(
+            system.start_core(number, initial_start=False)
+        assert await system.put_configuration(3, 2) == 200
+        await wait_until(
             lambda: all(edge.watcher.received.configuration_version == 3 for edge in system.edges.values())
         )
-        await system.resolved(CORES[0], BOTH)
+        await system.wait_until_resolved(CORES[0], BOTH_FRONTS)
 
-    play(story)
+    run_scenario(scenario)
 
 
-def test_edges_learn_through_the_core_what_the_others_have_in_flight(play):
-    """Also after the member that they report to is gone; and they forget it when all of the core is."""
+def test_edges_receive_the_loads_of_other_edges_through_the_core(run_scenario):
+    """The loads also arrive after the member that the edge reports to has gone, and they are forgotten when
+    all core members have gone.
+    """
 
-    def load(edge, change):
+    def change_load(edge, change):
         balancer = edge.services["lm"].balancer
         balancer.add_load(balancer.upstreams[0], change, 0)
         return balancer.upstreams[0].id_hash
 
-    async def story(system):
-        one, other = (system.edges[number] for number in EDGES)
-        # Both know the list, and their balancers have taken it, which is a pass of the dispatcher later.
-        await until(lambda: one.ready() and other.ready())
-        await until(lambda: all(0 in edge.services["lm"].balancer.upstreams for edge in (one, other)))
-        seen = other.services["lm"].balancer
-        mark = load(one, 5)
-        mine = load(other, 1)  # an edge without a request in flight asks for nothing
-        await until(lambda: other.loads.other_edges.loads.get(mark) == 5)
-        assert sum(seen.remote_loads.values()) == 5
-        await until(lambda: one.loads.other_edges.loads == {mine: 1})
-        load(one, -3)
-        await until(lambda: other.loads.other_edges.loads == {mark: 2})
-
-        gone = next(
+    async def scenario(system):
+        first_edge, second_edge = (system.edges[number] for number in EDGES)
+        # Both know the endpoint list, and their balancers have applied it one pass of the dispatcher later.
+        await wait_until(lambda: first_edge.ready() and second_edge.ready())
+        await wait_until(
+            lambda: all(0 in edge.services["lm"].balancer.upstreams for edge in (first_edge, second_edge))
+        )
+        second_balancer = second_edge.services["lm"].balancer
+        first_upstream = change_load(first_edge, 5)
+        second_upstream = change_load(second_edge, 1)  # an edge without a request in flight gets no updates
+        await wait_until(lambda: second_edge.loads.other_edges.loads.get(first_upstream) == 5)
+        assert sum(second_balancer.remote_loads.values()) == 5
+        await wait_until(lambda: first_edge.loads.other_edges.loads == {second_upstream: 1})
+        change_load(first_edge, -3)
+        await wait_until(lambda: second_edge.loads.other_edges.loads == {first_upstream: 2})
+
+        reported_member = next(
             number
             for number, core in system.cores.items()
-            if core.own == one.watcher.preferred_member.address
+            if core.own == first_edge.watcher.preferred_member.address
         )
-        await system.close_core(gone)
-        load(one, 5)
-        await until(lambda: other.loads.other_edges.loads.get(mark) == 7)
+        await system.close_core(reported_member)
+        change_load(first_edge, 5)
+        await wait_until(lambda: second_edge.loads.other_edges.loads.get(first_upstream) == 7)
 
         for number in list(system.cores):
             await system.close_core(number)
-        await until(lambda: not other.loads.other_edges.loads and not seen.remote_loads)
-        assert await system.served(EDGES[1], "id-without") == (200, WHOLE)
+        await wait_until(lambda: not second_edge.loads.other_edges.loads and not second_balancer.remote_loads)
+        assert await system.stream_response(EDGES[1], "id-without") == (200, FULL_BODY)
 
-    play(story)
+    run_scenario(scenario)
 
 
-def test_a_change_of_named_items_reaches_every_edge_and_is_taken_once(play):
-    async def story(system):
+def test_a_patch_reaches_every_edge_and_is_applied_once(run_scenario):
+    async def scenario(system):
         change = orjson.dumps(
             {
                 "configVersion": 4,
@@ -251,16 +266,16 @@
             }
         )
         for _ in range(2):
-            assert await system.acknowledged("PATCH", "/configuration", change, "If-Match: 1") == 200
-        await until(
+            assert await system.call_any_core("PATCH", "/configuration", change, "If-Match: 1") == 200
+        await wait_until(
             lambda: all(edge.watcher.received.configuration_version == 4 for edge in system.edges.values())
         )
         for edge in system.edges.values():
             assert edge.routes.find(b"rota.example", b"/a/1").timeout_ms == 1500
             assert edge.routes.find(b"rota.example", b"/new/1").timeout_ms == 4000
-        assert await system.put(5, 1) == 412
+        assert await system.put_configuration(5, 1) == 412
         assert (
-            await system.acknowledged(
+            await system.call_any_core(
                 "PATCH",
                 "/configuration",
                 b'{"configVersion": 6, "remove":{"serviceList": ["lm"]}}',
@@ -268,7 +283,10 @@
             )
             == 400
         )
-        held = orjson.loads((await system.read(system.primary()))[1])
-        assert held["configVersion"] == 4 and [one["name"] for one in held["routeList"]] == ["r", "new"]
+        current = orjson.loads((await system.read_configuration(system.primary()))[1])
+        assert current["configVersion"] == 4 and [route["name"] for route in current["routeList"]] == [
+            "r",
+            "new",
+        ]
 
-    play(story)
+    run_scenario(scenario)
