--- a/shedgrade/engines/engine.py
+++ b/shedgrade/engines/engine.py
@@ -23,7 +23,7 @@
 )
 
 NEARLY_FULL_SHARE = 0.9  # of the slots; from here on `EngineSettings.full_slow` applies
-REPORT_DELAY_S = 0.3  # minimum age of the snapshot that a report shows
+REPORT_DELAY_S = 0.3  # minimum age of the state that a report shows
 SNAPSHOT_INTERVAL_S = 0.1
 
 
@@ -36,7 +36,8 @@
         cold_until: end of the cold period, s.
         jobs: all requests that have not ended, by number; each is in `waiting` or in `running`.
         deadlines: heap of (deadline in s, request number); requests that have ended stay in it until popped.
-        last_event_versions: weights' version of the last event, by request number.
+        last_event_versions: version of the weights of the last event, by request number; before the first
+            event, of the first token.
         connection_slot_ends: when each new connection releases its slot, s, earliest first.
         cold_arrivals: arrival times of the last second while the engine is cold, s.
         effects: what has happened since the caller last drained the list, in order.
