--- a/shedgrade/buffers/__init__.py
+++ b/shedgrade/buffers/__init__.py
@@ -1,1 +1,1 @@
-"""Bytes in memory, bounded: rings, flows between connections, and the budget that counts them."""
+"""Bounded buffers: byte rings, flows between connections, and the budget that counts them."""
--- a/shedgrade/buffers/budget.py
+++ b/shedgrade/buffers/budget.py
@@ -1,23 +1,30 @@
-"""What the process may hold: descriptors and bytes, so that neither limit is ever met."""
+"""Budget for the file descriptors and the buffer memory of the process, so that neither runs out."""
 
-RESERVE = 64  # descriptors beside connections: epoll, pipes, standard streams, discovery, sockets closing
-MEMORY_DIVISOR = 6  # copies of a body at most (two rings, parser, request, answer) and the program
+# Descriptors kept for other use: epoll, pipes, standard streams, discovery, and sockets that are closing.
+RESERVE = 64
+# A body exists in at most five copies (two rings, parser, request, answer); the program counts as a sixth.
+MEMORY_DIVISOR = 6
 
 
 class Budget:
-    """Counts what is held; whoever asks for more gives up something idle first.
+    """Counts open connections and buffered bytes against their limits.
+
+    The budget only counts. Its users close an idle connection before they open one beyond the limit.
 
     Attributes:
-        sockets, memory_mb: the limits that it was given, in descriptors and MB.
-        reserved: descriptors kept back for the operators' address.
-        held_elsewhere: while an upgrade lasts: connections of the other process, the older one; None: there
-        is
-            no other. Not with `capped`.
-        capped: while an upgrade lasts: connections that this process, the older one, may have at the most.
-        max_connections: by all of these; `max_clients` of them for clients, the rest is left to upstreams.
-        max_bytes: in memory for messages; half of it while an upgrade lasts.
-        clients, upstreams, others: connections that are open.
-        bytes: all that are in memory for messages; `request_bytes`: of that, by requests in flight.
+        sockets: configured limit, in descriptors.
+        memory_mb: configured limit, in MB.
+        reserved: descriptors reserved for the operators' address.
+        held_elsewhere: during an upgrade, in the newer process: connections of the older process. None if
+            there is no other process. Never set together with `capped`.
+        capped: during an upgrade, in the older process: the largest number of connections it may have. None
+            if there is no cap.
+        max_connections: limit for all connections.
+        max_clients: limit for client connections, a part of `max_connections`; the rest is for upstreams.
+        max_bytes: limit for buffered bytes of messages; halved during an upgrade.
+        clients, upstreams, others: open connections of each kind.
+        bytes: buffered bytes of all messages.
+        request_bytes: the part of `bytes` that belongs to requests in flight.
     """
 
     def __init__(self, sockets: int, memory_mb: int) -> None:
@@ -32,7 +39,7 @@
         self.limit(sockets, memory_mb)
 
     def limit(self, sockets: int, memory_mb: int) -> None:
-        """The limits are these from now on."""
+        """Sets the limits, and recomputes those derived from them."""
         self.sockets = sockets
         self.memory_mb = memory_mb
         self.max_connections = max(16, sockets - RESERVE - self.reserved - (self.held_elsewhere or 0))
@@ -43,39 +50,42 @@
         self.max_bytes = memory_mb * 1024 * 1024 // MEMORY_DIVISOR // (2 if upgrading else 1)
 
     def reserve(self, count: int) -> None:
-        """Keeps so many more descriptors back."""
+        """Reserves `count` more descriptors."""
         self.reserved += count
         self.limit(self.sockets, self.memory_mb)
 
     def pressed(self) -> bool:
-        """Whether bytes are short: what is long makes room for what is small."""
+        """Whether more than half of the bytes are in use: long messages are then buffered less."""
         return self.bytes * 2 > self.max_bytes
 
     def connections(self) -> int:
-        """All that are open."""
+        """The number of open connections."""
         return self.clients + self.upstreams + self.others
 
     def share(self, held_elsewhere: int | None) -> None:
-        """So much of what both processes may hold is held by the older one; None: there is no other."""
+        """Sets the number of connections that the older process holds; None: there is no other process."""
         self.held_elsewhere = held_elsewhere
         self.capped = None
         self.limit(self.sockets, self.memory_mb)
 
     def cap(self, most: int) -> None:
-        """The older one may not grow: the newer one has been told how much is left."""
+        """Limits the connections of the older process: the newer one has been told how many are left."""
         self.capped = most
         self.limit(self.sockets, self.memory_mb)
 
     def full(self, coming: int = 0) -> bool:
-        """Whether no further connection may be opened. `coming`: some that are being taken up and count."""
+        """Whether no further connection may be opened.
+
+        `coming`: connections that are being accepted, which count as open.
+        """
         return self.clients + coming + self.upstreams + self.others >= self.max_connections
 
     def full_of_clients(self, coming: int = 0) -> bool:
-        """Whether no further client may connect; `coming` as above."""
+        """Whether no further client may connect; `coming` as for `full`."""
         return self.clients + coming >= self.max_clients or self.full(coming)
 
     def check_invariants(self) -> None:
-        """What holds at any time, see the class. AssertionError if something doesn't."""
+        """Raises AssertionError if the counters or limits contradict the class description."""
         assert self.held_elsewhere is None or self.capped is None
         assert min(self.clients, self.upstreams, self.others) >= 0
         assert 0 <= self.request_bytes <= self.bytes, (self.request_bytes, self.bytes)
--- a/shedgrade/buffers/flow.py
+++ b/shedgrade/buffers/flow.py
@@ -1,39 +1,42 @@
-"""Bytes of a long message on their way from one connection to another, bounded."""
+"""A bounded queue for the bytes of a long message on their way from one connection to another."""
 
 from collections import deque
 from collections.abc import Callable
 
 from shedgrade.buffers.ring import ByteCounter
 
-SMALL_MESSAGE_BYTES = 64 * 1024  # up to which a message is kept whole, and can be sent again
-REPLAYABLE_BYTES = (
-    2 * SMALL_MESSAGE_BYTES
-)  # of a long one, kept until it is certain that none are needed again
-QUEUE_BYTES = 64 * 1024  # that wait here at most: a read of the loop's, and a write of as much
-PRESSED_QUEUE_BYTES = 8 * 1024  # the same when bytes are short: slow, but it moves
-CHUNK_BYTES = 32 * 1024  # written at once
+SMALL_MESSAGE_BYTES = 64 * 1024  # a message up to this size is buffered whole, and can be sent again
+# Bytes of a long message that are kept for a replay, until it is certain that no replay is needed.
+REPLAYABLE_BYTES = 2 * SMALL_MESSAGE_BYTES
+QUEUE_BYTES = 64 * 1024  # limit of the queue: one read of the event loop, and one write of the same size
+PRESSED_QUEUE_BYTES = 8 * 1024  # the same under memory pressure: slow, but the flow still advances
+CHUNK_BYTES = 32 * 1024  # largest chunk that is written at once
 
 
 def nothing() -> None:
-    """Stands for a callback that nobody wants."""
+    """Does nothing; the default callback."""
 
 
 class Flow:
-    """A queue of bytes. The source puts, and stops while it is `full`; the sink takes. Each wakes the other.
+    """A queue of bytes between a source that puts them and a sink that takes them.
 
-    Until more than REPLAYABLE_BYTES have come and some were taken, all bytes are still here: `rewind` begins
-    anew for another sink.
+    The source stops putting while the flow is `full`. Each side wakes the other by a callback.
+
+    All bytes stay available until more than REPLAYABLE_BYTES have been put and some of them were taken. Until
+    then `rewind` starts again from the first byte for another sink.
 
     Attributes:
-        chunks: what waits to be taken; `queued_bytes` in all.
-        taken: what was taken and may be needed again, while all bytes are here; None from then on.
-        total_bytes: all that have come.
-        budgeted_bytes: those of `chunks` and `taken`, which the budget counts.
-        ended: the last byte has come. `broken`: the source can't go on; nothing is here any more.
-        discarding: the sink takes nothing more; what comes is thrown away.
-        room: wakes the source, as there is room again.
-        news: wakes the sink, as something has come.
-        lost: called once: not all bytes are here any more.
+        chunks: bytes that wait to be taken.
+        queued_bytes: the size of `chunks`.
+        taken: bytes that were taken and are kept for a replay; None once they are no longer kept.
+        total_bytes: all bytes that were put.
+        budgeted_bytes: the size of `chunks` and `taken`, which the budget counts.
+        ended: the last byte was put.
+        broken: the source has failed; all bytes were dropped.
+        discarding: the sink takes nothing more; bytes that are put are dropped.
+        room: callback that wakes the source: there is space again.
+        news: callback that wakes the sink: bytes were put, or the flow has ended or broken.
+        lost: callback, called once: the flow can no longer be replayed.
     """
 
     __slots__ = (
@@ -52,7 +55,7 @@
     )
 
     def __init__(self, budget: ByteCounter, chunks: list[bytes]) -> None:
-        """`chunks`: what has come already."""
+        """`chunks`: bytes that have already been received."""
         self.budget = budget
         self.chunks: deque[bytes] = deque()
         self.taken: list[bytes] | None = []
@@ -69,7 +72,7 @@
             self.put(chunk)
 
     def put(self, chunk: bytes) -> None:
-        """Bytes have come from the source."""
+        """Adds bytes from the source."""
         self.total_bytes += len(chunk)
         if self.discarding or self.broken:
             return
@@ -81,25 +84,25 @@
         self.news()
 
     def add_to_budget(self, more: int) -> None:
-        """Bytes in memory are in the budget."""
+        """Adds `more` to the bytes that the budget counts for this flow."""
         self.budgeted_bytes += more
         self.budget.bytes += more
 
     def let_go(self) -> None:
-        """Bytes that were taken are not kept any longer."""
+        """Drops the bytes kept for a replay."""
         if self.taken is not None:
             self.add_to_budget(-sum(map(len, self.taken)))
             self.taken = None
             self.lost()
 
     def full(self) -> bool:
-        """Whether the source is to stop until `room` is called."""
+        """Whether the source must stop until `room` is called."""
         return self.queued_bytes >= (PRESSED_QUEUE_BYTES if self.budget.pressed() else QUEUE_BYTES) and not (
             self.discarding or self.broken
         )
 
     def take(self) -> bytes:
-        """Some bytes for the sink, b"" if there are none."""
+        """Takes the next bytes for the sink; returns b"" if there are none."""
         if not self.chunks:
             return b""
         chunk = self.chunks.popleft()
@@ -117,7 +120,7 @@
         return chunk
 
     def rewind(self) -> bool:
-        """Begins anew for another sink; False if not all bytes are here."""
+        """Starts again from the first byte for another sink; returns False if the bytes were dropped."""
         if self.taken is None:
             return False
         self.queued_bytes += sum(map(len, self.taken))
@@ -126,18 +129,18 @@
         return True
 
     def end(self) -> None:
-        """The last byte has come."""
+        """Marks the end of the message: the last byte was put."""
         self.ended = True
         self.news()
 
     def break_off(self) -> None:
-        """The source can't go on: the sink is to show that."""
+        """Marks the message as broken: the source has failed, and the sink must report that to its peer."""
         self.broken = True
         self.free()
         self.news()
 
     def discard(self) -> None:
-        """Nobody takes any longer: what comes is thrown away, so that the source comes to its end."""
+        """Drops present and future bytes: no sink takes them, but the source must still reach its end."""
         self.discarding = True
         self.free()
         self.room()
@@ -150,7 +153,7 @@
         self.add_to_budget(-self.budgeted_bytes)
 
     def check_invariants(self) -> None:
-        """What holds between two calls, see the class. AssertionError if something doesn't."""
+        """Raises AssertionError if the counters contradict the queued or the kept bytes."""
         queued = sum(map(len, self.chunks))
         kept = sum(map(len, self.taken or ()))
         assert queued == self.queued_bytes, (queued, self.queued_bytes)
--- a/shedgrade/buffers/ring.py
+++ b/shedgrade/buffers/ring.py
@@ -1,34 +1,34 @@
-"""A byte ring: bytes go in at one end, views of them are read at the other."""
+"""A ring buffer of bytes, read through views of its storage."""
 
 from typing import Protocol
 
-IDLE_BYTES = 4096  # an idle connection keeps so much: most heads with a short body fit
-MAX_BYTES = 192 * 1024  # a message with the longest head and the longest body fits
+IDLE_BYTES = 4096  # storage of an idle connection: holds most heads with a short body
+MAX_BYTES = 192 * 1024  # holds the longest head with the longest body that is buffered whole
 
 
 class ByteCounter(Protocol):
-    """Where the bytes of many rings and flows are counted, see `budget.Budget`."""
+    """Counts the bytes of many rings and flows, see `budget.Budget`."""
 
     bytes: int
 
     def pressed(self) -> bool:
-        """Whether bytes are short."""
+        """Whether buffer memory is scarce."""
 
 
 class RingFullError(Exception):
-    """More was put in than the ring may hold."""
+    """The ring would have to hold more than its limit."""
 
 
 class Ring:
-    """Grows by doubling up to `max_size`, and falls back to `idle_size` once it is empty.
+    """A ring buffer that grows by doubling up to `max_size`, and shrinks to `idle_size` when it is empty.
 
     Views that were handed out stay valid when the ring grows: they keep the old storage alive.
 
     Attributes:
-        storage: of at least `idle_size` and at most `max_size` bytes.
-        start: index of the first byte in it; 0 while the ring is empty.
-        size: bytes in the ring, from `start` on, around the end of the storage.
-        budget: where bytes of storage beyond `idle_size` are counted; None: nowhere.
+        storage: between `idle_size` and `max_size` bytes.
+        start: index in `storage` of the first byte; 0 while the ring is empty.
+        size: bytes in the ring, from `start` on and around the end of the storage.
+        budget: counts the bytes of storage beyond `idle_size`; None: they are not counted.
     """
 
     __slots__ = ("storage", "start", "size", "idle_size", "max_size", "budget")
@@ -47,13 +47,13 @@
         return self.size
 
     def full(self) -> bool:
-        """Whether no further byte may be put in."""
+        """Whether the ring has reached its limit."""
         return self.size >= self.max_size
 
     def grow(self, wanted: int) -> None:
-        """Makes room for `wanted` bytes in all. RingFullError if that is more than it may hold."""
+        """Makes room for `wanted` bytes in all. Raises RingFullError if that is above the limit."""
         if wanted > self.max_size:
-            raise RingFullError(f"{wanted} bytes, at most {self.max_size}")
+            raise RingFullError(f"ring needs {wanted} bytes, limit is {self.max_size}")
         capacity = len(self.storage)
         while capacity < wanted:
             capacity *= 2
@@ -68,7 +68,10 @@
         self.start = 0
 
     def space(self) -> memoryview:
-        """A writable run of free bytes, never empty unless the ring is full; tell `filled` what was used."""
+        """Returns a writable run of free bytes, which is empty only if the ring is full.
+
+        `filled` must be called with the number of bytes that were written to it.
+        """
         if self.size == len(self.storage) and not self.full():
             self.grow(self.size + 1)
         capacity = len(self.storage)
@@ -77,11 +80,11 @@
         return memoryview(self.storage)[end:stop]
 
     def filled(self, count: int) -> None:
-        """So many bytes of `space` were written."""
+        """Adds the first `count` bytes of the last `space` to the ring."""
         self.size += count
 
     def put(self, data: bytes) -> None:
-        """Copies `data` in. RingFullError if it may not hold as much."""
+        """Copies `data` in. Raises RingFullError if that is above the limit."""
         if self.size + len(data) > len(self.storage):
             self.grow(self.size + len(data))
         while data:
@@ -92,7 +95,7 @@
             data = data[count:]
 
     def parts(self, skip: int = 0) -> list[memoryview]:
-        """Views of all but the first `skip` bytes: one, or two where the ring wraps."""
+        """Returns views of all but the first `skip` bytes: one, or two where the ring wraps."""
         view = memoryview(self.storage)
         capacity = len(self.storage)
         start = self.start + skip
@@ -106,7 +109,7 @@
         return [view[start:], view[: start + count - capacity]]
 
     def consume(self, count: int) -> None:
-        """The first `count` bytes were read."""
+        """Removes the first `count` bytes."""
         self.size -= count
         if self.size:
             self.start = (self.start + count) % len(self.storage)
@@ -116,7 +119,7 @@
             self.shrink()
 
     def shrink(self) -> None:
-        """Drops all bytes: it is as large as at first."""
+        """Drops all bytes and returns to the initial storage size."""
         if self.budget is not None:
             self.budget.bytes -= len(self.storage) - self.idle_size
         self.storage = bytearray(self.idle_size)
@@ -124,7 +127,7 @@
         self.size = 0
 
     def check_invariants(self) -> None:
-        """What holds between two calls, see the class. AssertionError if something doesn't."""
+        """Raises AssertionError if the indices contradict the storage."""
         assert self.idle_size <= len(self.storage) <= self.max_size, len(self.storage)
         assert 0 <= self.size <= len(self.storage), self.size
         assert 0 <= self.start < len(self.storage), self.start
