--- a/shedgrade/http/__init__.py
+++ b/shedgrade/http/__init__.py
@@ -1,1 +1,1 @@
-"""What the sidecar speaks: to the application, to upstreams, to discovery."""
+"""HTTP/1.1 connections to the application, to upstreams and to discovery."""
--- a/shedgrade/http/connection.py
+++ b/shedgrade/http/connection.py
@@ -1,4 +1,4 @@
-"""What every connection has in common: a ring a direction, and the rules of their reuse."""
+"""The base class of all connections: one ring per direction, and the rules for reusing their bytes."""
 
 import asyncio
 
@@ -6,26 +6,26 @@
 from shedgrade.buffers.ring import Ring
 from shedgrade.http.socket_state import shut_down
 
-READ_AHEAD_BYTES = 64 * 1024  # that may wait to be parsed: parsers take what comes, so no message must fit
+READ_AHEAD_BYTES = 64 * 1024  # bytes that may wait for the parser, which takes parts: no message must fit
 
 
 class Connection(asyncio.BufferedProtocol):
     """Reads into one ring and writes from another.
 
-    The transport may hold on to a written view, so bytes of the outgoing ring are reused only once all is
-    flushed. Its mark for 'too much' is set to 0: it then calls `pause_writing` from within a write that the
-    kernel did not take whole, and `resume_writing` once the kernel has all of it.
+    The transport may keep a reference to a written view, so bytes of the outgoing ring are reused only once
+    all of them are flushed. The high-water mark of the transport is 0: it then calls `pause_writing` from
+    within a write that the kernel did not take in full, and `resume_writing` once the kernel has all bytes.
     """
 
     def __init__(self, budget=None) -> None:
-        """`budget`: of bytes, where there is one; short of them, less is read ahead."""
+        """`budget`: counts the bytes of the rings, if given; less is read ahead when they are scarce."""
         self.budget = budget
         self.incoming, self.outgoing = Ring(max_size=READ_AHEAD_BYTES, budget=budget), Ring(budget=budget)
         self.transport: asyncio.Transport = None  # type: ignore[assignment]  # until connection_made
         self.flushing = self.reading_paused = False
 
     def connection_made(self, transport: asyncio.Transport) -> None:  # type: ignore[override]
-        """The connection is open."""
+        """Called by the event loop when the connection is open."""
         self.transport = transport
         transport.set_write_buffer_limits(high=0)
 
@@ -34,7 +34,7 @@
         shut_down(self.transport)
 
     def give_back(self) -> None:
-        """It is lost: its rings are nobody's, though the transport may still hold views of them."""
+        """Releases the rings of a lost connection; the transport may still hold views of them."""
         for ring in (self.incoming, self.outgoing):
             ring.shrink()
             ring.budget = None
@@ -42,11 +42,11 @@
     # --- reading
 
     def get_buffer(self, hint: int) -> memoryview:
-        """Where the event loop is to write what it reads."""
+        """Called by the event loop: returns the buffer to read into."""
         return self.incoming.space()
 
     def buffer_updated(self, count: int) -> None:
-        """So many bytes have been read into that buffer."""
+        """Called by the event loop: `count` bytes were read into the buffer."""
         self.incoming.filled(count)
         self.read()
         full = self.incoming.full() or (
@@ -57,20 +57,20 @@
             self.reading_paused = True
 
     def used(self, count: int) -> None:
-        """So many bytes of the incoming ring were parsed."""
+        """Removes `count` parsed bytes from the incoming ring, and resumes reading."""
         self.incoming.consume(count)
         if self.reading_paused and not self.transport.is_closing():
             self.transport.resume_reading()
             self.reading_paused = False
 
     def read(self) -> None:
-        """Take what can be taken from the incoming ring."""
+        """Parses the bytes of the incoming ring, as far as that is possible now."""
         raise NotImplementedError
 
     # --- writing
 
     def write(self, *pieces: bytes) -> bool:
-        """Writes one message, or a piece of one; True if all of it has left this process."""
+        """Writes one message, or a part of one; returns whether all of it has left this process."""
         before = len(self.outgoing)
         for piece in pieces:
             self.outgoing.put(piece)
@@ -82,14 +82,14 @@
         return True
 
     def pause_writing(self) -> None:
-        """The kernel did not take all that was written."""
+        """Called by the event loop: the kernel did not take all that was written."""
         self.flushing = True
 
     def resume_writing(self) -> None:
-        """The kernel has all that was written."""
+        """Called by the event loop: the kernel has all that was written."""
         self.flushing = False
         self.outgoing.consume(len(self.outgoing))
         self.flushed()
 
     def flushed(self) -> None:
-        """What a write could not send at once has left this process too."""
+        """Called when all bytes that a write could not send at once have left this process."""
--- a/shedgrade/http/inbound_connection.py
+++ b/shedgrade/http/inbound_connection.py
@@ -1,4 +1,4 @@
-"""One connection of a client: HTTP/1.1 requests come in, one at a time is in hand, final responses go out."""
+"""A client's HTTP/1.1 connection: requests come in and are handled one at a time, final responses go out."""
 
 import asyncio
 import select
@@ -10,24 +10,27 @@
 from shedgrade.http.socket_state import hangup_poll, unread_in_kernel, unsent_bytes
 from shedgrade.runtime.log import logger
 
-PROGRESS_TIMEOUT_S = 2.0  # within which so many bytes of a body must come, where they are read: slow clients
-PROGRESS_BYTES = 16 * 1024  # send four times as much
-TAKE_TIMEOUT_S = 5.0  # within which a response must be taken, or so many bytes of it
-TAKE_LONG_TIMEOUT_S = 20.0  # the same for a long one: at 64 kB a second a reader's kernel was seen to tell of
-# room every 2 s (a probe), and one that holds more may do so later
-TAKE_BYTES = 32 * 1024  # such a reader takes more even in the shorter time
+# A request body must advance by so many bytes in this time while it is read; slow clients send four times as
+# much.
+PROGRESS_TIMEOUT_S = 2.0
+PROGRESS_BYTES = 16 * 1024
+TAKE_TIMEOUT_S = 5.0  # within which the client must read a response, or TAKE_BYTES of it
+# The same for a long response: in a test, the kernel of a client that reads 64 kB/s reported free space every
+# 2 s, and one with a larger receive buffer may do so less often.
+TAKE_LONG_TIMEOUT_S = 20.0
+TAKE_BYTES = 32 * 1024  # a client that reads 64 kB/s takes more than this even in the shorter time
 
 
 class InboundConnection(ResponseWriter):
-    """Requests are taken up one at a time; what comes early waits in the ring, or parsed in `requests`.
+    """Handles one request at a time; later ones wait in the ring, or parsed in `parsed_requests`.
 
     Attributes:
-        reading: a loop of `read` is under way.
-        resume_scheduled: a pass of the event loop that reads on is due.
-        poll: for the client's disconnect; None until it was looked for.
+        reading: a loop of `read` is running.
+        resume_scheduled: a callback that continues reading is scheduled.
+        poll: detects that the client has disconnected; None until first used.
     """
 
-    unique_headers: tuple[bytes, ...] = ()  # headers of which a second one makes a request ambiguous
+    unique_headers: tuple[bytes, ...] = ()  # headers that make a request ambiguous if they are repeated
 
     def __init__(self, front: InboundFront) -> None:
         self.reading = False
@@ -38,11 +41,11 @@
     def take_request(
         self, verb: bytes, target: bytes, headers: Headers, body: bytes, flow: Flow | None = None
     ) -> None:
-        """Takes up a request: admits it, or answers it. `flow`: of a long one, which is still coming."""
+        """Handles a request: admits or answers it. `flow`: the body of a long one, which is still coming."""
         raise NotImplementedError
 
     def headers_by_name(self, headers: Headers) -> dict[bytes, bytes] | None:
-        """Headers by name in lower case; None if one of `unique_headers` comes twice."""
+        """Returns headers by lower-case name; None if one of `unique_headers` is repeated."""
         known: dict[bytes, bytes] = {}
         for name, value in headers:
             name = name.lower()
@@ -54,12 +57,12 @@
     # --- the connection
 
     def connection_made(self, transport: asyncio.Transport) -> None:  # type: ignore[override]
-        """The connection is open."""
+        """Called by the event loop when the connection is open."""
         super().connection_made(transport)
         self.front.opened(self)
 
     def connection_lost(self, failure: Exception | None) -> None:
-        """The connection is closed: the client's end of whatever is in hand."""
+        """Called by the event loop: the connection is closed, which ends the current request."""
         self.closing = True
         self.parsed_requests.clear()
         if self.active_request is not None:
@@ -76,18 +79,19 @@
         self.reset_request()
         self.give_back()
         self.front.closed(self)
-        # The parser holds on to this connection, which would wait for the collector.
+        # The parser refers to this connection, which would otherwise wait for the garbage collector.
         self.parser = None  # type: ignore[assignment]
 
     def idle(self) -> bool:
-        """Whether it is between two requests, and nothing is unread in the kernel either: closing now loses
-        no request."""
+        """Whether the connection is between two requests, with nothing unread in the kernel: closing it now
+        loses no request.
+        """
         return not (
             self.unanswered() or self.request_begun or self.incoming or unread_in_kernel(self.transport)
         )
 
     def has_left(self) -> bool:
-        """Whether the client has disconnected: its end of file, or a reset, may be unread in the kernel."""
+        """Whether the client has disconnected, also if its FIN or reset is still unread in the kernel."""
         if self.transport.is_closing():
             return True
         if self.poll is None:
@@ -95,7 +99,7 @@
         return bool(self.poll.poll(0))
 
     def unanswered(self) -> bool:
-        """Whether complete requests have no response yet, or one is still being written."""
+        """Whether a complete request has no response yet, or a response is still being written."""
         return (
             bool(self.parsed_requests)
             or self.active_request is not None
@@ -105,20 +109,21 @@
         )
 
     def close(self) -> None:
-        """The client has disconnected."""
+        """Closes the connection, as the client has disconnected."""
         self.closing = True
         self.transport.close()
 
     def end(self) -> None:
-        """Closes in order: responses are taken first."""
+        """Closes the connection once all responses are delivered."""
         self.closing = True
         self.finish()
 
-    # --- time-outs
+    # --- timeouts
 
     def check_timeouts(self, now: float) -> None:
-        """Ends what has taken too long to come or to be taken, with a response where one can still be
-        read.
+        """Ends a request that comes, or a response that is read, too slowly.
+
+        Responds first where the client can still read a response. `now`: of the loop's clock.
         """
         if self.transport.is_closing():
             return
@@ -144,7 +149,7 @@
             self.transport.close()
 
     def request_stalled(self, now: float) -> bool:
-        """Whether a body does not come on, though it would be read."""
+        """Whether a body does not advance although this side would read it."""
         held_back = self.request_flow is not None and self.request_flow.full()
         if (
             self.bytes_received - self.progress_bytes >= PROGRESS_BYTES
@@ -157,7 +162,10 @@
         return now - self.progress_at > PROGRESS_TIMEOUT_S
 
     def check_response_taken(self, now: float) -> None:
-        """Guards against responses that are not taken: what the client's kernel has is seen in ours."""
+        """Resets the connection if the client does not read its response.
+
+        What the client's kernel has acknowledged is seen in the send queue of this side's kernel.
+        """
         unread = unsent_bytes(self.transport)
         taken = self.bytes_written - unread
         timeout_s = TAKE_TIMEOUT_S if self.response_flow is None else TAKE_LONG_TIMEOUT_S
@@ -168,7 +176,7 @@
             self.break_off()
 
     def abandon_request(self) -> None:
-        """The rest of a long request does not come: it never ran, and its client is told so if it listens."""
+        """Ends a long request whose body has stopped coming: it never ran, and the client gets a 408."""
         self.break_request_flow()
         self.closing = True
         self.answer(408)
@@ -176,7 +184,10 @@
     # --- reading
 
     def read(self) -> None:
-        """Goes on while nothing is in hand; a response given meanwhile does not start a second such loop."""
+        """Handles buffered requests until one is pending.
+
+        A response given from within does not start a second loop.
+        """
         if self.reading:
             return
         if self.lingering:
@@ -205,7 +216,7 @@
         self.reading = False
 
     def parse(self, part: memoryview) -> None:
-        """Parses bytes of the incoming ring, and begins what can be begun before a request is complete."""
+        """Parses bytes of the incoming ring, and starts what does not need the complete request."""
         self.feed(part)
         self.used(len(part))
         if (
@@ -218,8 +229,8 @@
             self.begin_partial_request()
 
     def begin_partial_request(self) -> None:
-        """Begins what can be begun of a request whose body is still coming: a long one is taken up, a client
-        that waits for it is told to send. Not before the requests ahead of it are answered.
+        """Starts what does not need the complete body: admits a long request, or sends `100 Continue` to a
+        client that waits for it. Nothing is started before the earlier requests are answered.
         """
         is_partial = self.request_begun and self.head_complete and self.request_flow is None
         if not is_partial or self.active_request is not None or self.parsed_requests or self.closing:
@@ -233,19 +244,22 @@
             self.write(b"HTTP/1.1 100 Continue\r\n\r\n")
 
     def reject_partial_request(self) -> None:
-        """A long request turns out to be none: it is not forwarded to its end, so it never ran."""
+        """Drops a long request that turned out to be invalid.
+
+        Its last byte was not forwarded, so it never ran.
+        """
         self.request_begun = False
         in_hand = self.active_request is not None
         flow = self.break_request_flow()
         if not in_hand and not flow.discarding:
             return
-        if self.closing:  # it has its answer already
+        if self.closing:  # it has been answered already
             self.parsed_requests.clear()
             if not self.flushing and self.response_flow is None:
                 self.finish()
 
     def break_request_flow(self) -> Flow:
-        """A long request does not come to its end. Returns its flow, broken off."""
+        """Ends an incomplete long request. Returns its flow, which is marked as broken."""
         flow = self.request_flow
         active_request = self.active_request
         assert flow is not None
@@ -258,7 +272,7 @@
         return flow
 
     def begin_flow(self) -> None:
-        """A request that is longer than is kept, or than there is room for, is taken up as it comes."""
+        """Starts to forward a request while it comes in: it is too long to buffer, or memory is scarce."""
         body = self.body
         self.body = []
         self.add_to_budget(-self.budgeted_bytes)
@@ -270,24 +284,27 @@
         self.take_request(self.parser.get_method(), self.target, self.headers, b"", flow)
 
     def schedule_resume(self) -> None:
-        """A long request has room again. Not from within the taking, which may go on."""
+        """Continues reading as a long request has space again.
+
+        Reading is scheduled, as this is called from within `Flow.take`, which may be called repeatedly.
+        """
         if self.incoming and not self.resume_scheduled:
             self.resume_scheduled = True
             self.front.loop.call_soon(self.resume_reading)
 
     def resume_reading(self) -> None:
-        """Reads on, unless the client has left."""
+        """Continues reading, unless the client has disconnected."""
         self.resume_scheduled = False
         if self.parser is None:
             return
         if self.request_flow is not None and not self.request_flow.discarding and self.has_left():
-            # Guards against work for nobody: the rest of a long request waits here, and its client has left.
+            # Guards against useless work: the rest of a long request is here, but its client has left.
             self.close()
             return
         self.read()
 
     def take_next_request(self) -> None:
-        """Takes up the next complete request, or answers what is none."""
+        """Handles the next complete request, or answers an invalid one."""
         request = self.parsed_requests.popleft()
         if isinstance(request, RequestError):
             self.request_method = b""
@@ -298,7 +315,7 @@
         self.take_request(request.method, request.target, request.headers, request.body)
 
     def flow_complete(self, flow: Flow) -> None:
-        """The last byte of a long request has come."""
+        """Called when the last byte of a long request has come."""
         if self.active_request is not None and self.active_request.request.flow is flow:
             flow.end()
             self.front.dispatcher.body_received(self.active_request, flow.taken is not None, True)
@@ -306,6 +323,6 @@
             self.front.loop.call_soon(self.resume_or_close)
 
     def resume_or_close(self) -> None:
-        """What nobody took has come to its end."""
+        """Continues after a request whose rest was discarded has come to its end."""
         if self.parser is not None and not self.flushing:
             self.response_sent()
--- a/shedgrade/http/listener.py
+++ b/shedgrade/http/listener.py
@@ -1,4 +1,4 @@
-"""Accepting of clients' connections, bounded by the room that there is."""
+"""Accepts client connections, limited by the connection budget."""
 
 import select
 import socket
@@ -6,14 +6,14 @@
 from shedgrade.http.rpc_connection import RpcConnection
 from shedgrade.runtime.log import logger
 
-BACKLOG = 1024  # connections that the kernel holds while the loop is busy
-AT_ONCE = 32  # connections accepted in one pass of the loop: what is open gets its turn too
-LOG_INTERVAL = 10.0  # s between two log lines about the same trouble
-PAUSE = 0.005  # s until there may be room again: what was closed is gone by then
+BACKLOG = 1024  # connections that the kernel queues while the loop is busy
+AT_ONCE = 32  # connections accepted in one pass of the loop, so that open connections get their turn
+LOG_INTERVAL = 10.0  # s between two log lines about the same problem
+PAUSE = 0.005  # s after which there may be room again: closed connections are gone by then
 
 
 class Listener:
-    """Accepts the application's connections, as many as there is room for; the rest wait in the kernel."""
+    """Accepts connections while there is room for them; the rest wait in the kernel's queue."""
 
     def __init__(
         self,
@@ -24,8 +24,11 @@
         shared: bool = False,
         given: socket.socket | None = None,
     ) -> None:
-        """`connection`: the class of what is accepted for this front; `shared`: an upgrade's other process
-        may listen there too; `given`: its listening socket, which is then used by both."""
+        """Listens on `address`. Raises OSError if that fails.
+
+        `connection`: the class of accepted connections; `shared`: during an upgrade, the other process may
+        listen there too; `given`: the listening socket of that process, which both then use.
+        """
         self.loop, self.front, self.connection = loop, front, connection
         family = socket.AF_INET6 if ":" in address[0] else socket.AF_INET
         self.socket = given or socket.create_server(
@@ -37,24 +40,24 @@
         self.told = -LOG_INTERVAL
 
     def hand_over(self, other: bool) -> None:
-        """Another process accepts from the same socket, whatever waits there included; or no more."""
+        """Stops accepting as another process accepts from the same socket; starts again if not `other`."""
         self.handed_over = other
         (self.pause if other else self.resume)()
 
     def resume(self) -> None:
-        """Accepts connections from now on."""
+        """Starts to accept connections."""
         if not self.accepting and not self.handed_over and self.socket.fileno() >= 0:
             self.accepting = True
             self.loop.add_reader(self.socket, self.accept)
 
     def pause(self) -> None:
-        """Accepts no connections until `resume`; the kernel holds those that come."""
+        """Stops accepting connections until `resume`; the kernel queues them."""
         if self.accepting:
             self.accepting = False
             self.loop.remove_reader(self.socket)
 
     def waiting(self) -> bool:
-        """A connection waits to be accepted, or is being taken up."""
+        """Whether a connection waits to be accepted, or is being set up."""
         if self.tasks or self.handed_over:
             return bool(self.tasks)
         poll = select.poll()
@@ -62,9 +65,9 @@
         return bool(poll.poll(0))
 
     def accept(self) -> None:
-        """Accepts what waits, as far as there is room."""
+        """Accepts the waiting connections, as far as there is room."""
         for _ in range(AT_ONCE):
-            # Guards against a crowd: out of descriptors, the kernel's queue would be thrown away.
+            # Guards against a burst: with no descriptors left, queued connections would be lost.
             if not self.front.make_room():
                 self.pause()
                 self.loop.call_later(PAUSE, self.resume)
@@ -74,7 +77,7 @@
             except (BlockingIOError, ConnectionAbortedError):
                 return
             except OSError as failure:
-                # Guards against a loop that spins: what waits stays there, so it is asked again in a while.
+                # Guards against a busy loop: the connections stay in the queue, so accepting waits.
                 if self.loop.time() >= self.told + LOG_INTERVAL:
                     self.told = self.loop.time()
                     logger.warning("accepting failed", error=failure.strerror)
@@ -89,7 +92,7 @@
         """Hands an accepted connection to the event loop."""
         try:
             await self.loop.connect_accepted_socket(lambda: self.connection(self.front), connection)
-        except (OSError, RuntimeError):  # it was gone before it was taken up
+        except (OSError, RuntimeError):  # it was closed before it was set up
             connection.close()
 
     def close(self) -> None:
--- a/shedgrade/http/message_grammar.py
+++ b/shedgrade/http/message_grammar.py
@@ -1,4 +1,4 @@
-"""What HTTP/1.1 says of requests and responses, whoever speaks it (RFC 9110, RFC 9112)."""
+"""The parts of HTTP/1.1 that requests and responses share (RFC 9110, RFC 9112)."""
 
 from collections.abc import Iterable
 
@@ -23,7 +23,7 @@
     502: b"Bad Gateway",
     503: b"Service Unavailable",
 }
-# Headers that belong to one connection, or that each side writes anew (RFC 9110, section 7.6.1).
+# Headers that apply to one connection, or that each side writes itself (RFC 9110, section 7.6.1).
 HOP_BY_HOP_HEADERS = frozenset(
     (
         b"connection",
@@ -37,7 +37,7 @@
         b"expect",
     )
 )
-# Headers by which a request is known: they are forwarded whatever `Connection` names.
+# Headers that identify a request: they are forwarded even if `Connection` names them.
 ALWAYS_FORWARDED_HEADERS = frozenset(
     (
         b"x-request-id",
@@ -50,18 +50,17 @@
         b"time-remaining",
     )
 )
-OPTIONAL_WHITESPACE = b" \t"  # may stand round a header's value, and belongs to nobody
+OPTIONAL_WHITESPACE = b" \t"  # may surround the value of a header, and is not part of it
 
 
 class ResponseError(Exception):
-    """An upstream's response that can't be accepted."""
+    """The response of an upstream is invalid."""
 
 
 def end_to_end_headers(headers: Iterable[tuple[bytes, bytes]]) -> Headers:
-    """What is forwarded to the other side: all but what belongs to a connection, by its name or as
-    `Connection` says.
+    """Returns the headers to forward: all but those that apply to one connection, by name or by `Connection`.
 
-    Guards against a `Connection` that names what a request is known by: that is forwarded all the same.
+    Guards against a `Connection` header that names headers which identify the request: they are forwarded.
     """
     lowered = [(name, value, name.lower()) for name, value in headers]
     connection_options = {
@@ -78,12 +77,15 @@
 
 
 def content_length(headers: Iterable[tuple[bytes, bytes]]) -> int | None:
-    """The length of the body that a head states; None if it states none."""
+    """Returns the body length that a head states, or None."""
     return next((int(value) for name, value in headers if name.lower() == b"content-length"), None)
 
 
 def origin_form(target: bytes) -> bytes:
-    """The path and query of a target in absolute form, which proxies are sent (RFC 9112, section 3.2)."""
+    """Returns the path and query of a target in absolute form, as sent to proxies (RFC 9112, section 3.2).
+
+    Returns any other target as it is.
+    """
     if target.startswith(b"/") or b"://" not in target:
         return target
     try:
--- a/shedgrade/http/request_parser.py
+++ b/shedgrade/http/request_parser.py
@@ -1,4 +1,4 @@
-"""The parsing half of an inbound connection: HTTP/1.1 requests, complete or as a flow, within bounds."""
+"""The parsing half of an inbound connection: HTTP/1.1 requests, complete or as a flow, within limits."""
 
 import asyncio
 from collections import deque
@@ -19,14 +19,17 @@
 )
 from shedgrade.in_flight import ActiveRequest, ActiveRequests
 
-MAX_FRAMING_RATIO = 64  # bytes of framing for each byte of a body, beyond a head's bytes
-FIRST_REQUEST_TIMEOUT_S = 2.0  # within which a connection's first request must begin
-HEAD_TIMEOUT_S = 2.5  # from its first byte, within which a head must be complete: slow clients take 2
+MAX_FRAMING_RATIO = 64  # bytes of framing for each byte of a body, beyond MAX_HEAD_BYTES
+FIRST_REQUEST_TIMEOUT_S = 2.0  # from the connection's start to that of its first request
+HEAD_TIMEOUT_S = 2.5  # from the first byte of a head to its last; slow clients take 2 s
 
 
 class RequestError(Exception):
-    """What came is no request that can be accepted; `status` says so. `closing`: its connection closes
-    then.
+    """A request is invalid.
+
+    Attributes:
+        status: status of the response to it.
+        closing: the connection closes after that response.
     """
 
     def __init__(self, status: int, closing: bool = True) -> None:
@@ -36,7 +39,7 @@
 
 
 class ParsedRequest(NamedTuple):
-    """A complete request. `closing`: its connection closes after the response."""
+    """A complete request. `closing`: the connection closes after the response."""
 
     method: bytes
     target: bytes
@@ -46,26 +49,27 @@
 
 
 class RequestEvents(Protocol):
-    """Who is told of requests (`request_dispatch`)."""
+    """The receiver of requests (`request_dispatch`)."""
 
     active_requests: ActiveRequests
 
     def submit(
         self, active_request: ActiveRequest, method: int, wait: int, retried: bool, tenant: int = 0
     ) -> None:
-        """A request was admitted; `wait`: ms that its client waits."""
+        """Submits an admitted request; `wait`: time that its client waits, in ms."""
 
     def client_disconnected(self, active_request: ActiveRequest) -> None:
-        """The client has disconnected, or its request does not come to its end."""
+        """Reports that the client has disconnected, or that the request will not be complete."""
 
     def body_received(self, active_request: ActiveRequest, here: bool, whole: bool) -> None:
-        """More of a long request has come. `here`: all its bytes still are; `whole`: its last one has
-        come.
+        """Reports progress of a long request.
+
+        `here`: all its bytes are still buffered; `whole`: its last byte has come.
         """
 
 
 class InboundFront(Protocol):
-    """What an inbound connection uses of what accepts it (`upstream_pool.front`)."""
+    """What an inbound connection uses of the front that accepted it (`upstream_pool.front`)."""
 
     loop: asyncio.AbstractEventLoop
     budget: Budget
@@ -74,49 +78,48 @@
     draining: Callable[[], bool]
 
     def opened(self, connection: object) -> None:
-        """The connection is there."""
+        """Reports an open connection."""
 
     def used(self, connection: object) -> None:
-        """A response goes out on it."""
+        """Reports a response on a connection."""
 
     def closed(self, connection: object) -> None:
-        """It is lost."""
+        """Reports a lost connection."""
 
     def crowded(self) -> bool:
-        """Whether responses end their connections, for want of room."""
+        """Whether connections close after their next response, as there are too many."""
 
     def room_for(self, count: int) -> bool:
-        """Whether a request of so many bytes may be held."""
+        """Whether there is memory for a request of `count` bytes."""
 
     def stalled(self) -> bool:
-        """Whether this process stood still a moment ago."""
+        """Whether this process was stalled a moment ago."""
 
 
 class RequestParser(Connection):
-    """Feeds httptools, whose callbacks gather one request after another.
+    """Feeds httptools, whose callbacks assemble one request after another.
 
     Attributes:
-        parsed_requests: complete requests that wait for the one in hand, and errors to be answered, in order.
-        closing: no request is taken after the one in hand.
+        parsed_requests: complete requests that wait for the current one, and errors to be answered, in order.
+        closing: no request is handled after the current one.
         request_begun: a request has begun to come and is not complete.
         any_request_complete: a request has been complete on this connection.
-        waiting_since: when the connection was opened, a request began, or a response began; on the loop's
-            clock.
-        request_flow: bytes of a long request, while that is still coming; None otherwise, and for requests
-        that are
-            gathered in `body`.
-        progress_bytes, progress_at: bytes that had come, or were taken, when progress was last seen; and
-        when. bytes_received: all bytes that have come.
-        budgeted_bytes: bytes of `body`, which the budget counts; 0 while `request_flow` is there.
-        target, headers, body, length: of the request that is coming; `length` counts bytes of its head until
-            `head_complete`, of its body from then on.
+        waiting_since: loop time when the connection was opened, a request began, or a response began.
+        request_flow: flow of a long request whose bytes are still coming; None otherwise, and for requests
+            that are assembled in `body`.
+        progress_bytes: bytes that had come, or had been read by the client, when progress was last noted.
+        progress_at: loop time of that.
+        bytes_received: all bytes that have come.
+        budgeted_bytes: size of `body`, which the budget counts; 0 while there is a `request_flow`.
+        target, headers, body: of the request that is coming.
+        length: bytes of its head until `head_complete`, of its body from then on.
         head_complete: its head is complete.
-        head_bytes_left: bytes that may still come before it is.
-        framed_bytes: bytes that have come behind it, framing included.
+        head_bytes_left: bytes that may still come before that.
+        framed_bytes: bytes that have come after the head, including framing.
         expects_continue: its client waits for `100 Continue`.
     """
 
-    # Bounds of what a client may send and how long it may take; another protocol sets its own.
+    # Limits for clients; another protocol sets its own.
     flow_above_bytes = SMALL_MESSAGE_BYTES
     max_head_bytes = MAX_HEAD_BYTES
     max_body_bytes = MAX_BODY_BYTES
@@ -140,7 +143,7 @@
         self.reset_request()
 
     def reset_request(self) -> None:
-        """No request has begun to come."""
+        """Prepares for the next request."""
         self.add_to_budget(-self.budgeted_bytes)
         self.target = b""
         self.headers: Headers = []
@@ -152,23 +155,24 @@
         self.expects_continue = False
 
     def add_to_budget(self, more: int) -> None:
-        """Bytes of a body that is not complete are in the budget too."""
+        """Adds `more` to the bytes of the incomplete body, which the budget counts."""
         self.budgeted_bytes += more
         self.front.budget.bytes += more
 
     def note_progress(self, count: int, now: float) -> None:
-        """So many bytes had come, or were taken, at `now`."""
+        """Notes that `count` bytes had come, or had been read by the client, at `now`."""
         self.progress_bytes = count
         self.progress_at = now
 
     def buffer_updated(self, count: int) -> None:
-        """Bytes have come."""
+        """Called by the event loop: `count` bytes were read."""
         self.bytes_received += count
         super().buffer_updated(count)
 
     def feed(self, part: memoryview) -> None:
-        """Parses bytes of the incoming ring. What is no request is queued as the RequestError to answer it
-        with.
+        """Parses bytes of the incoming ring.
+
+        For an invalid request the RequestError is queued in its place.
         """
         try:
             if self.head_complete:
@@ -176,16 +180,16 @@
             else:
                 self.head_bytes_left -= len(part)
             self.parser.feed_data(part)
-            # Guards against trailers without end, as against a head.
+            # Guards against endless trailers.
             if self.request_begun and self.framed_bytes > MAX_HEAD_BYTES + MAX_FRAMING_RATIO * self.length:
                 raise RequestError(413)
-            # Guards against a head without end: the parser would gather it until memory is gone.
+            # Guards against an endless head: the parser would buffer it until memory is exhausted.
             if self.request_begun and not self.head_complete and self.head_bytes_left < 0:
                 self.parsed_requests.append(RequestError(413))
         except RequestError as error:
             self.parsed_requests.append(error)
         except httptools.HttpParserUpgrade:
-            # Nothing else is spoken here: answered as a plain request, after which the connection ends.
+            # No other protocol is spoken here: the request is answered, then the connection closes.
             upgrading = self.parsed_requests[-1]
             assert isinstance(upgrading, ParsedRequest)
             self.parsed_requests[-1] = upgrading._replace(closing=True)
@@ -193,41 +197,41 @@
             self.parse_failed(error)
 
     def parse_failed(self, error: httptools.HttpParserError) -> None:
-        """Bytes that are no request, or one that a callback below has found wrong."""
+        """Queues the error of invalid bytes, or the one that a callback below has raised."""
         cause = error.__context__
         self.parsed_requests.append(cause if isinstance(cause, RequestError) else RequestError(400))
         if len(self.parsed_requests) > 1:
-            # Guards against a length that is too short: what came in one piece with bytes that are no
-            # request is none either, and is not passed on.
+            # Guards against a Content-Length that is too short: requests that came in one read with invalid
+            # bytes are rejected as well, and not forwarded.
             bad = [RequestError(400, closing=False) for _ in range(len(self.parsed_requests) - 1)]
             self.parsed_requests = deque([*bad, self.parsed_requests[-1]])
 
     def flow_complete(self, flow: Flow) -> None:
-        """The last byte of a long request has come."""
+        """Called when the last byte of a long request has come."""
         raise NotImplementedError
 
     # --- callbacks of httptools
 
     def add_length(self, count: int, most: int, status: int) -> None:
-        """Counts bytes of the head, or of the body. RequestError if there are more than `most`."""
+        """Counts bytes of the head or of the body. Raises RequestError if there are more than `most`."""
         self.length += count
         if self.length > most:
             raise RequestError(status)
 
     def on_message_begin(self) -> None:
-        """A request begins."""
+        """Called by the parser: a request begins."""
         self.request_begun = True
         self.waiting_since = self.front.loop.time()
         self.reset_request()
 
     def on_url(self, url: bytes) -> None:
-        """A part of the target has come."""
+        """Called by the parser: a part of the target."""
         self.target += url
         self.add_length(len(url), self.max_head_bytes, 413)
 
     def on_header(self, name: bytes, value: bytes) -> None:
-        """A header has come, or a trailer."""
-        if self.head_complete:  # what trails a body is not the head's
+        """Called by the parser: a header or a trailer."""
+        if self.head_complete:  # a trailer, which is not used
             return
         value = value.strip(OPTIONAL_WHITESPACE)
         if name.lower() == b"expect" and value.lower() == b"100-continue":
@@ -236,7 +240,7 @@
         self.add_length(len(name) + len(value), self.max_head_bytes, 413)
 
     def on_headers_complete(self) -> None:
-        """The head is complete."""
+        """Called by the parser: the head is complete."""
         self.length = 0
         self.head_complete = True
         self.note_progress(self.bytes_received, self.front.loop.time())
@@ -244,7 +248,7 @@
             raise RequestError(413)
 
     def on_body(self, body: bytes) -> None:
-        """A part of the body has come."""
+        """Called by the parser: a part of the body."""
         self.add_length(len(body), self.max_body_bytes, 413)
         if self.request_flow is not None:
             self.request_flow.put(body)
@@ -253,7 +257,7 @@
             self.add_to_budget(len(body))
 
     def on_message_complete(self) -> None:
-        """A request is complete."""
+        """Called by the parser: the request is complete."""
         self.request_begun = False
         self.any_request_complete = True
         last = not self.parser.should_keep_alive()
--- a/shedgrade/http/response_writer.py
+++ b/shedgrade/http/response_writer.py
@@ -1,4 +1,4 @@
-"""The response half of an inbound connection: complete responses, flows, and how a connection ends."""
+"""The response half of an inbound connection: complete responses, flows, and the end of the connection."""
 
 from collections.abc import Iterable
 
@@ -11,17 +11,20 @@
 
 
 class ResponseWriter(RequestParser):
-    """Is told the end of the request in hand, by `completed`, `exhausted` or `errored`, and writes the
-    response.
+    """Writes responses.
+
+    The dispatcher ends the current request by `completed`, `exhausted` or `errored`.
 
     Attributes:
-        active_request: the request in hand; None between two, and from the response on unless that is a flow.
-        response_flow: the flow of a long response, while that is being written.
-        responding: a long response has begun, and `completed` was not called for its end.
-        chunked: a long response is written in chunks.
-        lingering: all is answered and sending has ended, but not all has been taken by the client's kernel.
-        request_method: the method of the request in hand; b"" of what is none.
-        http_1_0: its client speaks HTTP/1.0.
+        active_request: the current request; None between two. Reset when its response begins, unless that is
+            a flow.
+        response_flow: flow of a long response that is being written; None otherwise.
+        responding: a long response has begun, and `completed` has not been called for its end.
+        chunked: the long response is sent with chunked transfer coding.
+        lingering: all responses are written and sending has ended, but the client's kernel has not
+            acknowledged all bytes.
+        request_method: method of the current request; b"" for an invalid one.
+        http_1_0: the client speaks HTTP/1.0.
         bytes_written: all bytes that were written.
     """
 
@@ -37,7 +40,7 @@
         super().__init__(front)
 
     def completed(self, answer: Answer | None) -> None:
-        """The final response; the end of a long one, None if it broke off."""
+        """Sends the final response; for a long one, reports its end. None: it broke off."""
         if self.response_flow is None and not self.responding:
             assert answer is not None  # only a response that has begun can break off
             self.answer(answer.status, answer.headers, answer.body, answer.length)
@@ -54,7 +57,7 @@
             self.response_sent()
 
     def flowing(self, answer: Answer) -> None:
-        """A long response has begun."""
+        """Starts a long response."""
         self.response_flow = answer.flow
         self.responding = True
         self.response_flow.news = self.write_flow
@@ -72,7 +75,7 @@
             self.write_flow()
 
     def write_flow(self) -> None:
-        """Writes what has come of a long response, as far as the kernel takes it."""
+        """Writes the bytes of a long response that have come, until the kernel takes no more."""
         flow = self.response_flow
         while flow is not None and not self.flushing and not self.transport.is_closing():
             if flow.broken:
@@ -91,15 +94,18 @@
                 return
 
     def flushed(self) -> None:
-        """The kernel has all that was written."""
+        """Called when the kernel has all that was written."""
         if self.response_flow is not None:
             self.write_flow()
         else:
             self.response_sent()
 
     def response_sent(self) -> None:
-        """A response is out. A connection that ends there first lets the rest of a long request come: closing
-        would reset it, and its client might not read the response."""
+        """Continues after a response was written.
+
+        A connection that closes after it first reads the rest of a long request: closing earlier would reset
+        it, and the client might not read the response.
+        """
         if (
             self.closing
             and self.active_request is None
@@ -111,10 +117,10 @@
             self.read()
 
     def finish(self) -> None:
-        """Nothing more is answered here: closes in order.
+        """Closes the connection after the last response.
 
-        Guards against a close that resets: on bytes that are unread, or that come later, it would throw away
-        what the client's kernel has not taken of the response. Then only the sending ends at first (a
+        Guards against a reset: on bytes that are unread or come later, closing would drop what the client's
+        kernel has not taken of the response. In that case only the sending direction is closed at first (a
         lingering close, RFC 9112, section 9.6).
         """
         if self.transport.is_closing():
@@ -128,21 +134,23 @@
             self.transport.write_eof()
 
     def break_off(self) -> None:
-        """Ends the connection so that its client sees that a response is not complete."""
+        """Resets the connection, so that the client sees that a response is incomplete."""
         reset(self.transport)
 
     def exhausted(self, wait: int) -> None:
-        """Rejects the request in hand, which did not run: a retry is harmless, after `wait` tenths of a ms if
-        that is not 0."""
+        """Rejects the current request, which did not run, so that a retry is harmless.
+
+        `wait`: time before a retry, in tenths of a ms; 0 if unknown.
+        """
         self.answer(503, [(b"Retry-After", b"%.3f" % (wait / 10_000))] if wait else [])
 
     def errored(self) -> None:
-        """The request in hand failed, and may have run."""
+        """Answers the current request, which failed and may have run."""
         self.answer(502)
 
     def reject_and_close(self, status: int) -> None:
-        """Answers what can't be used, which ends its connection too: the next one costs its client a new
-        one.
+        """Answers an unusable request and closes the connection, so that the next one costs the client a new
+        connection.
         """
         self.closing = True
         self.answer(status)
@@ -154,10 +162,11 @@
         body: bytes = b"",
         length: int | None = None,
     ) -> None:
-        """Writes a complete response. `length`: of the body that a response to HEAD does not bring."""
+        """Writes a complete response. `length`: body length for a response to HEAD, which has no body."""
         self.active_request = None
         if self.request_flow is not None:
-            # It is answered before it is complete: the rest is read, as its client may send it first.
+            # The request is answered before it is complete. The rest is read, as the client may send it all
+            # before it reads the response.
             self.request_flow.discard()
             self.closing = True
         self.front.used(self)
@@ -176,9 +185,9 @@
                 self.flushed()
 
     def response_head(self, status: int, headers: Iterable[tuple[bytes, bytes]], framing: bytes) -> bytes:
-        """The bytes before the body. `framing`: the header that states how the body ends, or b""."""
+        """Returns the bytes before the body. `framing`: the header that states the body's framing, or b""."""
         self.waiting_since = self.front.loop.time()
-        # Guards requests that came early: what has been sent here was taken, though it is unread.
+        # Guards requests that came early: the connection has taken them, even if they are unread.
         if (self.front.draining() or self.front.crowded()) and not (
             self.parsed_requests or self.request_begun or self.incoming or unread_in_kernel(self.transport)
         ):
@@ -193,6 +202,6 @@
         return b"".join(lines)
 
     def write(self, *pieces: bytes) -> bool:
-        """As any connection's; counts what is written."""
+        """Writes as the base class does, and counts the bytes."""
         self.bytes_written += sum(map(len, pieces))
         return super().write(*pieces)
--- a/shedgrade/http/rpc_connection.py
+++ b/shedgrade/http/rpc_connection.py
@@ -1,4 +1,4 @@
-"""Clients of the sidecar's deployments: requests with `X-Request-Id` and `X-Timeout-Ms`."""
+"""Client connections of the sidecar's own protocol: requests with `X-Request-Id` and `X-Timeout-Ms`."""
 
 from typing import Protocol
 from urllib.parse import unquote_to_bytes
@@ -9,34 +9,34 @@
 from shedgrade.http.request_parser import InboundFront
 from shedgrade.in_flight import ActiveRequest, Request
 
-MAX_TIMEOUT_MS = 3_600_000  # that a client may say it waits: an hour, to keep out nonsense
+MAX_TIMEOUT_MS = 3_600_000  # largest accepted `X-Timeout-Ms`: one hour
 
 
 class MethodFront(InboundFront, Protocol):
-    """What an RPC connection uses of its front beside that."""
+    """What an RPC connection uses of its front, beyond `InboundFront`."""
 
     methods: dict[bytes, int]
     tenants: int
 
     def tenant_of(self, name: bytes) -> int:
-        """The number of a tenant, by name."""
+        """Returns the number of a tenant by its name."""
 
 
 class RpcConnection(InboundConnection):
-    """The first part of a request's path names its method."""
+    """A client connection on which the first segment of a request's path is the RPC method."""
 
     unique_headers = (b"x-request-id", b"x-timeout-ms")
     front: MethodFront
 
     def __init__(self, front: MethodFront, user: str = "") -> None:
-        """`user`: the name under which its owner has logged in, if it has."""
+        """`user`: the name with which the client has logged in, or ""."""
         self.user = user
         super().__init__(front)
 
     def take_request(
         self, verb: bytes, target: bytes, headers: Headers, body: bytes, flow: Flow | None = None
     ) -> None:
-        """Admits a request of an RPC, or answers it: `/up`, and what can't be used."""
+        """Admits an RPC, or answers the request itself: `/up`, and invalid requests."""
         self.request_method = verb
         self.http_1_0 = self.parser.get_http_version() == "1.0"
         target = origin_form(target)
@@ -74,14 +74,15 @@
         )
 
     def admit(self, request: Request, method: int, wait_ms: int, retried: bool, tenant: int) -> None:
-        """Hands a sound request on, or answers it where there is no room or its client has left."""
-        # Guards against work for nobody after a stall of our own: the request is read before the end of its
-        # connection, whose client left meanwhile. Whatever waits longer is looked at again when it is sent.
+        """Submits a valid request, rejects it for want of memory, or drops it if its client has left."""
+        # Guards against useless work after a stall of this process: the request is read before the end of
+        # its connection, which the client closed meanwhile. Requests that wait longer are checked again
+        # before they are sent.
         if self.front.stalled() and self.has_left():
             self.close()
             return
         if request.name in self.front.dispatcher.active_requests.request_ids:
-            self.reject_and_close(409)  # somebody waits under this id: two answers could not be told apart
+            self.reject_and_close(409)  # the id is in use: the two responses could not be told apart
             return
         if not self.front.room_for(len(request)):
             self.exhausted(0)
@@ -95,15 +96,17 @@
         self.front.dispatcher.submit(active_request, method, wait_ms, retried, tenant)
 
     def method(self, part: bytes) -> int | None:
-        """The number of a method by its name, as it stands or percent-encoded (RFC 3986, section 2.1)."""
+        """Returns the number of a method by its name, plain or percent-encoded (RFC 3986, section 2.1)."""
         found = self.front.methods.get(part)
         if found is None and b"%" in part:
             found = self.front.methods.get(unquote_to_bytes(part))
         return found
 
     def tenant(self, known: dict[bytes, bytes]) -> int | None:
-        """The tenant's number, by its name in `X-Tenant-Id` or its number in `X-Attrs`, 0 where none is
-        named; None if the number is not valid."""
+        """Returns the tenant's number, by its name in `X-Tenant-Id` or its number in `X-Attrs`.
+
+        Returns 0 if neither is present, and None if the number is invalid.
+        """
         name = known.get(b"x-tenant-id")
         if name is not None:
             return self.front.tenant_of(name)
