--- a/shedgrade/http/connection_pool.py
+++ b/shedgrade/http/connection_pool.py
@@ -1,6 +1,7 @@
-"""The connections of one pool of upstreams: finds or opens one for each transmission, and keeps idle ones.
+"""The connections to one pool of upstreams: finds or opens one for each transmission, and keeps idle ones.
 
-Times are tenths of a ms on the clock."""
+Times are tenths of a ms on the clock.
+"""
 
 import asyncio
 import errno
@@ -17,36 +18,40 @@
 
 Address = tuple[str, int]
 
-SETTLE_TIME = 60  # what an upstream sends behind a response is here by then (5 plays: 1 to 4 ms)
-# Failures to connect that are this side's own: they prove as well that nothing ran, and blame no upstream.
+# Time after which late bytes behind a response have arrived: 1 to 4 ms in five measured runs.
+SETTLE_TIME = 60
+# Local failures to connect: they also prove that no request ran, and don't count against the upstream.
 LOCAL_ERRORS = (errno.EMFILE, errno.ENFILE, errno.ENOBUFS, errno.ENOMEM, errno.EADDRNOTAVAIL)
 
-# A connection that came up and broke: a process that is gone refuses, so this tells less of the upstream.
+# Errors of a connection that was established and then broke. A process that is gone refuses connections, so
+# these are weaker evidence against the upstream.
 BROKEN_ERRORS = (errno.ECONNRESET, errno.ECONNABORTED, errno.EPIPE, errno.ENOTCONN)
 
 
 class ConnectionPool:
-    """Carries out transmissions: finds or opens a connection, and stops what is no longer wanted.
+    """Carries out transmissions: finds or opens a connection, and stops transmissions that are not wanted.
 
     Attributes:
-        addresses: of upstreams, by index; kept true by the owner of the endpoint list.
-        connect_timeout: after which a connection that is being opened is given up.
-        idle: connections that wait for the next transmission, in the order of their use.
-        open: all connections that are open, idle or not.
-        connecting: the transmissions for which one is being opened.
-        abandoned: connections whose transmission was given up, and whose response is still to come.
-        last_response_at: by upstream: when it last answered anything.
-        connect: how a connection is opened; a proxy's dialler replaces it. `proxied`: a slow one may then be
-            another's fault than the upstream's.
-        own_addresses: where this process listens: no connection is opened to there.
-        stream_buffer: bytes that wait in a stream's direction. `streams`: by upstream, those that are open.
-        count_header, count_received: a response's header with its upstream's own count, and who is told.
+        addresses: address by upstream index; kept up to date by the owner of the endpoint list.
+        connect_timeout: time after which an attempt to connect is given up.
+        idle: connections that wait for the next transmission, in the order of their last use.
+        open: all open connections, idle or not.
+        connecting: the connect task by transmission.
+        abandoned: connections whose transmission was given up, and whose response is still awaited.
+        last_response_at: time of the last response of any kind, by upstream.
+        connect: opens a connection; the dialler of a proxy replaces it.
+        proxied: connections go through a proxy, which may be the cause if one opens slowly.
+        own_addresses: addresses on which this process listens; no connection is opened to them.
+        stream_buffer: bytes that one direction of a stream may buffer.
+        streams: open streams by upstream.
+        count_header: response header with the upstream's own count.
+        count_received: called with the upstream and the value of that header; None: not needed.
         budgeted: connections of this pool that the budget counts: the open ones and those being opened.
     """
 
     connection: type[UpstreamConnection] = UpstreamConnection
     protocol: UpstreamProtocol = DEADLINE_HEADER_PROTOCOL
-    dispatcher: TransmissionEvents  # set by whoever owns the pool
+    dispatcher: TransmissionEvents  # set by the owner of the pool
 
     def __init__(
         self,
@@ -57,7 +62,7 @@
         idle_limit: int,
         budget: Budget,
     ) -> None:
-        """`idle_limit`: for which a connection may stand idle and still be used."""
+        """`idle_limit`: time for which a connection may be idle and still be reused."""
         self.loop = loop
         self.clock = clock
         self.addresses = addresses
@@ -78,7 +83,7 @@
         self.budgeted = 0
 
     def transmit(self, transmission: Transmission, now: int) -> None:
-        """Sends it on the latest used idle connection, or on a new one."""
+        """Sends a transmission on the most recently used idle connection, or on a new one."""
         for stale in (
             *self.idle.stale(now),
             *(link for link in self.abandoned if link.abandoned_until <= now),
@@ -96,20 +101,21 @@
         if self.budget.full() and not self.give_up_idle():
             self.dispatcher.attempt_finished(transmission, load_balancing.UNSENT, None)
             return
-        # A proxy's slowness says nothing of the upstream: its own limit ends the dial, as unsent.
+        # A slow proxy is no evidence against the upstream: the time limit of the transmission ends the dial,
+        # as unsent.
         transmission.connect_expires_at = (
             transmission.expires_at + 1 if self.proxied else now + self.connect_timeout
         )
         self.connecting[transmission] = self.loop.create_task(self.dial(transmission))
 
     def count(self) -> None:
-        """Keeps the budget's sum over all pools true to what is open here."""
+        """Updates the budget's number of upstream connections, which is a sum over all pools."""
         held = len(self.open) + len(self.connecting)
         self.budget.upstreams += held - self.budgeted
         self.budgeted = held
 
     async def direct(self, factory: Callable[[], Connection], address: Address) -> tuple:
-        """Opens a connection without a proxy. OSError if it can't be."""
+        """Opens a connection without a proxy. Raises OSError if that fails."""
         return await self.loop.create_connection(factory, *address)
 
     async def dial(self, transmission: Transmission) -> None:
@@ -119,11 +125,11 @@
         stream = transmission.active_request.request.stream
         try:
             if address in self.own_addresses:
-                raise ConnectionRefusedError("that is this process")
+                raise ConnectionRefusedError("the address is one of this process")
             _, link = await self.connect(
                 lambda: (stream or self.connection)(self, upstream, address), address
             )
-        except (OSError, RuntimeError, ValueError) as failure:  # the last: a host that is no name
+        except (OSError, RuntimeError, ValueError) as failure:  # ValueError: an invalid host name
             if self.connecting.pop(transmission, None):
                 self.dispatcher.attempt_finished(transmission, connect_outcome(failure), None)
             return
@@ -145,7 +151,9 @@
             link.begin(transmission, now)
 
     def stop(self, transmission: Transmission) -> bool:
-        """Stops waiting; False if it never ran: its connection was not up or not all was sent."""
+        """Stops a transmission.
+
+        Returns False if it never ran: its connection was not open yet, or not all of it was sent."""
         task = self.connecting.pop(transmission, None)
         if task is not None:
             task.cancel()
@@ -159,16 +167,16 @@
         return may_have_run
 
     def in_time(self, transmission: Transmission) -> bool:
-        """A long answer has begun to come when the time is up."""
+        """Whether a long response has begun by the time limit, see `UpstreamConnection.in_time`."""
         link = transmission.link
         return isinstance(link, UpstreamConnection) and link.transmission is transmission and link.in_time()
 
     def give_up(self, transmission: Transmission) -> bool:
-        """Stops waiting, but leaves a connection open on which the whole request is the first one.
+        """Stops a transmission, but keeps a connection whose first request it is, if that is fully sent.
 
-        Guards against costly connections: the first request on one pays for it, in time that deadlines may
-        not have. Closed then, it is paid for again by the next request, which is late as well. Its answer
-        reaches nobody; after it the connection is as good as any. `stop` says what is returned.
+        The first request on a connection pays for its setup, in time that the deadline may not allow. If the
+        connection were closed, the next request would pay again and be late as well. The late response is
+        dropped, and the connection may then be reused. Returns the same as `stop`.
         """
         link = transmission.link
         if (
@@ -183,47 +191,50 @@
         return True
 
     def abandon(self, transmission: Transmission) -> None:
-        """Another transmission may follow: guards against two out side by side."""
+        """Closes an abandoned connection, as the request may be sent again and must not run twice at once."""
         if transmission.link in self.abandoned:
             transmission.link.abort()
 
     def silent(self, transmission: Transmission) -> None:
-        """Guards against a machine that vanished: its open connections stay silent, or are reset by a request
-        that may then have run, whereas a new one that does not come up proves that nothing ran."""
+        """Closes the idle connections to an upstream that has not responded since the transmission was sent.
+
+        Guards against a machine that vanished: its open connections stay silent, or are reset by a request
+        that may have run, whereas a new connection that does not open proves that no request ran.
+        """
         if self.last_response_at.get(transmission.upstream, 0) < transmission.sent_at:
             self.forget(transmission.upstream)
 
     def give_up_idle(self) -> bool:
-        """Closes the connection that is idle for longest. Returns whether there was one."""
+        """Closes the connection idle for longest, or an abandoned one; returns whether there was one."""
         oldest = self.idle.oldest() or next(iter(self.abandoned), None)
         if oldest is not None:
             oldest.abort()
         return oldest is not None
 
     def leaving(self, upstream: int) -> None:
-        """It drains or is gone: its streams are closed in order, nothing new goes on them."""
+        """Closes the streams of an upstream that drains or is removed, in order: no new ones go there."""
         for link in list(self.streams.get(upstream, ())):
             link.drain()
 
     def keep(self, link: UpstreamConnection) -> None:
         """Keeps a connection whose response is complete for the next transmission."""
-        # Guards against a move while it was out: this one leads to where the upstream was.
+        # Guards against an upstream that moved meanwhile: this connection leads to its former address.
         if self.addresses.get(link.upstream) != link.address:
             link.cut()
             return
         self.idle.put(link.upstream, link, self.clock.now())
 
     def closed(self, link: UpstreamConnection) -> None:
-        """A connection is lost."""
+        """Called when a connection is lost."""
         self.idle.drop(link)
         self.open.discard(link)
         self.abandoned.discard(link)
         self.count()
 
     def withdraw(self, upstream: int) -> None:
-        """Nothing more goes there: idle connections are closed, and what was not sent is decided anew.
+        """Ends new use of an upstream: closes idle connections, and ends as unsent what is still connecting.
 
-        Guards against a drain whose grace is over by the time a connection that is dialled comes up.
+        Guards against a connection that opens only after the grace period of a drain.
         """
         self.forget(upstream)
         self.leaving(upstream)
@@ -233,14 +244,16 @@
         self.count()
 
     def forget(self, upstream: int) -> None:
-        """Its process is another one now, drains or is gone."""
+        """Closes the idle connections of an upstream that was replaced, drains or is removed."""
         for link in self.idle.leave(upstream):
             link.abort()
 
 
 def connect_outcome(error: Exception) -> int:
-    """The outcome of a transmission whose connection could not be opened, one of `load_balancing`. A proxy's
-    error has its own."""
+    """Returns the outcome of a transmission whose connection could not be opened, one of `load_balancing`.
+
+    The error of a proxy has an `outcome` of its own.
+    """
     outcome = getattr(error, "outcome", None)
     if outcome is not None:
         return outcome
--- a/shedgrade/http/endpoint_discovery.py
+++ b/shedgrade/http/endpoint_discovery.py
@@ -1,4 +1,4 @@
-"""Discovery: the list of upstreams, first as it was last known, then by one watch after another."""
+"""Endpoint discovery: keeps the list of upstreams up to date by long polling."""
 
 import asyncio
 from collections.abc import Callable
@@ -12,23 +12,22 @@
 from shedgrade.runtime.log import logger
 
 WATCH_PATH = b"/discovery/hosts"
-WATCH_WAIT_MS = 3_000  # ms a watch may wait: what a silent one misses counts as told 6 s after it fell
-# silent; before that it is noticed here, opened anew and answered, or once more
-FIRST_WATCH_WAIT_MS = 100  # ms that the first call after a failure waits: its answer shows who answers
-SILENCE_TIMEOUT_S = 1.0  # s beyond that wait, or behind some bytes, after which discovery counts as silent
-ON_REQUEST_TIMEOUT_S = (
-    3.0  # the same for the first call where lists are asked for and calls wait in turn: one
-)
-# that is given up sooner was served for nobody (60 sidecars, a probe: nobody was)
-COMPLETE_TIMEOUT_S = 4.0  # s from its first byte within which an answer must be whole, however it drips
-FIRST_BACKOFF_S, LONGEST_BACKOFF_S = 0.05, 0.25  # s before the next try: it is an agent on this machine, and
-# what it gets when an outage ends counts at once, so a call should be open by then
-INVALID_LISTS_BEFORE_PARTIAL = (
-    3  # answers running that are no sound list, until what is sound in the last is taken
-)
-REJECTED_BACKOFF_S = (
-    2.0  # s at the longest where calls wait in turn and it has no list: it has too much to do
-)
+# How long a watch may wait. Changes that a silent watch misses count as delivered 6 s after it fell silent.
+# Within that time the silence must be detected, and the watch reopened and answered, if need be twice.
+WATCH_WAIT_MS = 3_000
+FIRST_WATCH_WAIT_MS = 100  # the same for the first call after a failure: its response shows a working agent
+SILENCE_TIMEOUT_S = 1.0  # time without bytes, beyond that wait, after which discovery counts as silent
+# The same for the first call where lists are requested and calls wait in a queue. With a shorter one all work
+# went into calls that had been given up: in a test with 60 sidecars, none was served.
+ON_REQUEST_TIMEOUT_S = 3.0
+COMPLETE_TIMEOUT_S = 4.0  # from the first byte of a response to its last, however slowly bytes come
+# Backoff between attempts. The agent is on this machine, and what it learns at the end of an outage counts at
+# once, so a call should be open by then.
+FIRST_BACKOFF_S, LONGEST_BACKOFF_S = 0.05, 0.25
+# Invalid lists in a row after which the valid entries of the last one are accepted.
+INVALID_LISTS_BEFORE_PARTIAL = 3
+# Longest backoff where calls wait in a queue and the service rejects them: it is overloaded.
+REJECTED_BACKOFF_S = 2.0
 MAX_ENTRY_LOGGED = 200  # characters
 STATE_BY_LIFECYCLE = {
     "in_service": load_balancing.READY,
@@ -38,34 +37,48 @@
 
 
 class ListReader:
-    """Turns what discovery says into rows for the decisions and addresses for the connections."""
+    """Converts lists from discovery into rows for the balancer and addresses for the connection pool.
+
+    Attributes:
+        zones: number by zone name.
+        kinds: number by machine type.
+        indices: index by instance id.
+        addresses: address by index.
+        told: latest entry by instance id.
+        version: generation of the last list; None: the next call asks for the whole list.
+        taken: the entries of the last list that were accepted.
+        weights_only: the last change altered weights and nothing else.
+    """
 
     def __init__(self, settings: dict) -> None:
         self.zones = {name: number for number, name in enumerate(settings["zones"])}
         self.kinds = {name: number for number, name in enumerate(settings.get("shapes", []))}
         self.indices, self.addresses = Indices(), Addresses()
-        self.told: dict[str, dict] = {}  # by id: what was last said of an upstream
+        self.told: dict[str, dict] = {}
         self.version: int | None = None
-        self.taken: list[dict] = []  # the entries of the last answer that were of use
-        self.weights_only = False  # the last change moved weights and nothing else
+        self.taken: list[dict] = []
+        self.weights_only = False
 
     def read(self, message: object, part: bool = False) -> tuple[list, bool, list[int]]:
-        """Rows, whether the list is whole, and the upstreams that are elsewhere now. All or nothing; or, with
-        `part`, the entries that are sound."""
+        """Reads a list, as a whole or not at all.
+
+        `part`: skips invalid entries instead. Returns the rows, whether the list is complete, and the indices
+        of upstreams whose address has changed. Raises ListError.
+        """
         try:
             version, whole = message["generation"], message["reset"]
             if type(version) is not int or type(whole) is not bool:
                 raise ListError("generation or reset has the wrong type")
-            # A change says what changed; one that an upstream is gone may say no more than that.
-            # Guards against a list that stands still: that an upstream drains or is gone which was never
-            # known here, or was forgotten, is nothing new; lacking all else, it would be refused each time.
+            # A change contains what changed; an entry for a removed upstream may contain nothing else.
+            # Guards against a list that stops at one change: an entry that drains or removes an unknown or
+            # forgotten upstream changes nothing, but is incomplete, and would be rejected each time.
             found = [
                 self.sound(instance) if part else self.filled(instance, whole)
                 for instance in message["instances"]
             ]
             told = [instance for instance in found if instance is not None]
             if part and found and not told:
-                raise ListError("no entry is sound")
+                raise ListError("no entry is valid")
             entries = [self.entry(instance) for instance in told]
         except (KeyError, OverflowError, TypeError, ValueError, AttributeError) as wrong:
             raise ListError(f"{type(wrong).__name__}: {wrong}") from wrong
@@ -88,7 +101,7 @@
         return rows, whole, moved
 
     def filled(self, instance: dict, whole: bool) -> dict | None:
-        """An entry with what was said before; None if it is of no use to anybody."""
+        """Completes a changed entry with the known values; None if it is of no use: see `read`."""
         if whole:
             return instance
         name = instance["instanceId"]
@@ -101,8 +114,11 @@
         return None
 
     def sound(self, instance: object) -> dict | None:
-        """The entry as far as it can be used. That a known upstream drains or is gone counts whatever else is
-        wrong with its entry; apart from that it stays as it was."""
+        """Returns the usable part of an entry, or None.
+
+        That a known upstream drains or is removed is accepted even if the rest of its entry is invalid; its
+        other values then stay as they were.
+        """
         try:
             before = self.told.get(instance["instanceId"], {})
             ends = (
@@ -122,13 +138,14 @@
         return None
 
     def forget(self, upstream: int) -> None:
-        """An upstream is gone, with nothing in flight: its index is free."""
+        """Releases the index of an upstream that was removed and has nothing in flight."""
         self.told.pop(self.indices.release(upstream), None)
         self.addresses.known.pop(upstream, None)
 
     def entry(self, instance: dict) -> tuple[tuple, tuple]:
-        """The row and the address of one entry. ListError, KeyError, TypeError or ValueError if it is not
-        valid.
+        """Converts one entry into its row and its address.
+
+        Raises ListError, KeyError, OverflowError, TypeError, ValueError or AttributeError if it is invalid.
         """
         name, state, started = (
             instance["instanceId"],
@@ -137,10 +154,10 @@
         )
         cell, weight = instance.get("cell", 0), instance.get("weight", 1.0)
         if type(name) is not str or type(cell) is not int or not 0 <= float(weight) < inf:
-            raise ListError("instanceId, cell or weight has the wrong form")
+            raise ListError("instanceId, cell or weight is invalid")
         host, colon, port = instance["hostPort"].rpartition(":")
         if not host or not 0 < int(port) < 65536:
-            raise ListError(f"hostPort {instance['hostPort']!r}")
+            raise ListError(f"hostPort {instance['hostPort']!r} is invalid")
         host = host.strip("[]")
         return (
             (
@@ -157,7 +174,15 @@
 
 
 class DiscoveryWatch:
-    """Keeps the list up to date for as long as the sidecar runs."""
+    """Keeps the list up to date for as long as the process runs.
+
+    Attributes:
+        link: the open connection to discovery, if any.
+        invalid_in_a_row: consecutive responses that were no valid list.
+        first_timeout_s: time without bytes after which a first call is given up.
+        rejected_backoff_s: longest backoff after responses that were no valid list.
+        has_answered: a call has succeeded since the last failure.
+    """
 
     def __init__(
         self,
@@ -169,17 +194,19 @@
         span: Callable[[float, float], float],
         in_turn: bool = False,
     ) -> None:
-        """`in_turn`: lists are asked for, and calls wait in turn."""
+        """Initializes the watch.
+
+        `tell`: called with each list; raises ListError if it is invalid. `failed`: called after each failure.
+        `span`: draws a random number from a range. `in_turn`: lists are requested, and calls wait in a queue.
+        """
         self.loop, self.address, self.reader = loop, address, reader
         self.list_received, self.discovery_failed, self.span = tell, failed, span
         self.host = f"{address[0]}:{address[1]}".encode()
         self.link: DiscoveryConnection | None = None
-        self.invalid_in_a_row = 0  # answers running that were no sound list
+        self.invalid_in_a_row = 0
         self.first_timeout_s = ON_REQUEST_TIMEOUT_S if in_turn else SILENCE_TIMEOUT_S
-        self.rejected_backoff_s = (
-            REJECTED_BACKOFF_S if in_turn else LONGEST_BACKOFF_S
-        )  # the longest pause after a "no"
-        self.has_answered = False  # whoever is called here has answered since something last failed
+        self.rejected_backoff_s = REJECTED_BACKOFF_S if in_turn else LONGEST_BACKOFF_S
+        self.has_answered = False
 
     async def run(self) -> None:
         """Watches until it is cancelled, with a backoff after failures."""
@@ -193,8 +220,8 @@
                     self.link = None
                 self.has_answered = False
                 if not isinstance(failure, (OSError, TimeoutError, ListError)):
-                    # Guards against a fault of our own: a list that nobody follows is never heard of again.
-                    # What was half taken is asked for as a whole.
+                    # Guards against an internal error that ends the watch: no list would be received again.
+                    # The list may be applied in part, so the whole list is requested.
                     logger.error("endpoint discovery watch failed internally", error=repr(failure))
                     self.reader.version = None
                 elif not down:
@@ -212,15 +239,15 @@
             pause, down = FIRST_BACKOFF_S, False
 
     async def once(self) -> None:
-        """One call; the next follows at once, so that what changes in between is told with it."""
+        """Makes one call. The next one follows at once, and its response includes changes in between."""
         if self.link is None or self.link.transport.is_closing():
             self.link = None
             async with asyncio.timeout(SILENCE_TIMEOUT_S):
                 _, self.link = await self.loop.create_connection(DiscoveryConnection, *self.address)
         target, wait = WATCH_PATH, 0
         if self.reader.version is not None:
-            # Guards against an agent that takes calls and says nothing: it is not waited for until it has
-            # answered one.
+            # Guards against an agent that accepts calls and does not respond: the first call after a
+            # failure waits only for a short time.
             wait = WATCH_WAIT_MS if self.has_answered else FIRST_WATCH_WAIT_MS
             target += b"?after=%d&wait_ms=%d" % (self.reader.version, wait)
         answered = self.loop.create_future()
@@ -233,12 +260,12 @@
         try:
             message = orjson.loads(body)
         except orjson.JSONDecodeError as wrong:
-            raise ListError(f"not JSON ({wrong})") from wrong
+            raise ListError(f"response is not JSON ({wrong})") from wrong
         try:
             self.list_received(message)
         except ListError:
-            # Guards against one entry that is never sound: others behind it drain, and would not be heard of.
-            # What is spoilt on its way is sound when it is asked for again.
+            # Guards against an entry that is always invalid: changes after it, such as drains, would be lost.
+            # A list that was damaged on its way is valid when it is requested again.
             self.invalid_in_a_row += 1
             if self.invalid_in_a_row < INVALID_LISTS_BEFORE_PARTIAL:
                 raise
@@ -247,7 +274,10 @@
         self.has_answered = True
 
     async def whole(self, answered: asyncio.Future, first: float) -> tuple[int, bytes]:
-        """The answer. TimeoutError if it does not begin within `first` s, falls silent, or never ends."""
+        """Waits for the response.
+
+        Raises TimeoutError if it does not begin within `first` s, or if its bytes stop or take too long.
+        """
         until, begun = self.loop.time() + first, None
         try:
             while not answered.done():
@@ -264,6 +294,6 @@
             answered.cancel()
 
     def close(self) -> None:
-        """Closes the connection."""
+        """Closes the connection to discovery."""
         if self.link is not None:
             self.link.transport.abort()
--- a/shedgrade/http/idle_connections.py
+++ b/shedgrade/http/idle_connections.py
@@ -1,4 +1,4 @@
-"""Connections to upstreams that wait for their next transmission."""
+"""Idle connections to upstreams, kept for the next transmission."""
 
 from collections import OrderedDict
 from typing import Generic, TypeVar
@@ -7,14 +7,13 @@
 
 
 class IdleConnections(Generic[Link]):
-    """Idle connections by upstream, the latest used first; of all, the one that is idle for longest goes
-    first.
+    """Idle connections by upstream. The most recently used one is reused first, the oldest one closed first.
 
     Attributes:
-        limit: how long one may stand idle and still be used, in the unit of the clock that `now` is of.
-        settle_time: how long it must: what belongs to no transmission has come by then.
+        limit: time for which a connection may be idle and still be reused, in the unit of `now`.
+        settle_time: time for which it must be idle: late bytes of the last response have arrived by then.
         idle_since: (upstream, since) by connection, the longest idle first.
-        by_upstream: the same connections, the latest used last; no upstream without any.
+        by_upstream: the same connections by upstream, the most recently used last; no empty lists.
     """
 
     def __init__(self, limit: int, settle_time: int = 0) -> None:
@@ -27,12 +26,15 @@
         return len(self.idle_since)
 
     def put(self, upstream: int, link: Link, now: int) -> None:
-        """The connection is idle from now on."""
+        """Adds a connection that is idle from now on."""
         self.idle_since[link] = upstream, now
         self.by_upstream.setdefault(upstream, []).append(link)
 
     def take(self, upstream: int, now: int) -> Link | None:
-        """The latest used one that is settled, if not near the idle limit at which the upstream closes it."""
+        """Removes and returns the most recently used connection that has settled, or None.
+
+        None also if that is near the idle limit, at which the upstream closes it.
+        """
         for link in reversed(self.by_upstream.get(upstream, ())):
             idle_for = now - self.idle_since[link][1]
             if idle_for >= self.limit:
@@ -43,7 +45,7 @@
         return None
 
     def drop(self, link: Link) -> bool:
-        """The connection is not kept here any longer. Returns whether it was."""
+        """Removes a connection; returns whether it was there."""
         entry = self.idle_since.pop(link, None)
         if entry is None:
             return False
@@ -54,7 +56,7 @@
         return True
 
     def stale(self, now: int) -> list[Link]:
-        """Those that stood idle for too long, no longer kept here."""
+        """Removes and returns the connections that were idle for too long."""
         found = []
         while self.idle_since:
             link, (_, since) = next(iter(self.idle_since.items()))
@@ -65,21 +67,21 @@
         return found
 
     def oldest(self) -> Link | None:
-        """The one that is idle for longest, no longer kept here; None if there is none."""
+        """Removes and returns the connection that is idle for longest; None if there is none."""
         link = next(iter(self.idle_since), None)
         if link is not None:
             self.drop(link)
         return link
 
     def leave(self, upstream: int) -> list[Link]:
-        """All that lead to one upstream, no longer kept here."""
+        """Removes and returns all connections to one upstream."""
         links = self.by_upstream.pop(upstream, [])
         for link in links:
             del self.idle_since[link]
         return links
 
     def check_invariants(self) -> None:
-        """Both indices hold the same connections. AssertionError if they don't."""
+        """Raises AssertionError if the two indices hold different connections."""
         by_upstream = {link: upstream for upstream, links in self.by_upstream.items() for link in links}
         assert by_upstream == {link: upstream for link, (upstream, _) in self.idle_since.items()}
         assert all(self.by_upstream.values())
--- a/shedgrade/http/upstream_connection.py
+++ b/shedgrade/http/upstream_connection.py
@@ -1,4 +1,4 @@
-"""One connection to an upstream: a transmission goes out, and its answer comes back."""
+"""A connection to an upstream: sends a transmission and receives its response."""
 
 import asyncio
 import select
@@ -26,25 +26,26 @@
 
 
 class TransmissionEvents(Protocol):
-    """Who is told what becomes of transmissions (`request_dispatch`).
+    """The receiver of events of transmissions (`request_dispatch`).
 
-    Times are tenths of a ms on the clock."""
+    Times are tenths of a ms on the clock.
+    """
 
     def attempt_finished(self, transmission: Transmission, outcome: int, answer: Answer | None) -> None:
-        """The transmission is over; `outcome` is one of `load_balancing`, `answer` the complete response."""
+        """Reports the end; `outcome` is one of `load_balancing`, `answer` the complete response."""
 
     def response_started(self, transmission: Transmission, answer: Answer, answered_at: int) -> None:
-        """A response has begun that is passed on as it comes; its head was here at `answered_at`."""
+        """Reports a response that is forwarded as it comes; its head was complete at `answered_at`."""
 
     def may_still_send(self, transmission: Transmission, now: int) -> bool:
-        """Whether a transmission whose connection has just come up is still to be sent."""
+        """Whether a transmission whose connection has just opened is still to be sent."""
 
     def opened(self, transmission: Transmission) -> None:
-        """The stream that the transmission asked for is open."""
+        """Reports that the stream requested by the transmission is open."""
 
 
 class ConnectionOwner(Protocol):
-    """What a connection uses of the pool that opened it (`connection_pool`)."""
+    """What a connection uses of its pool (`connection_pool`)."""
 
     loop: asyncio.AbstractEventLoop
     clock: Clock
@@ -60,39 +61,41 @@
         """Takes back a connection whose response is complete, for the next transmission."""
 
     def closed(self, link: "UpstreamConnection") -> None:
-        """The connection is lost."""
+        """Reports a lost connection."""
 
 
 class UpstreamConnection(Connection):
-    """One connection to an upstream; carries one transmission at a time.
+    """A connection to an upstream, which carries one transmission at a time.
+
+    Times are tenths of a ms on the clock.
 
     Attributes:
-        transmission: the one that is active_request; None between two, and once it was given up.
+        transmission: the current transmission; None between two, and after it was given up.
         fully_sent: the last byte of its request has left this process.
-        request_flow: what is still to come of a long request; None otherwise.
-        response_flow: where a long response goes; None while the response is gathered in `body`.
-        lost: the connection is closed. `lost_by_error`: by anything but an orderly end.
-        eof_seen: the upstream has ended its sending, and bytes that came before wait for room in
-            `response_flow`.
-        any_response_complete: a response has been complete on it: what the first request pays is paid.
-        abandoned_until: its transmission was given up; until when the response, for nobody, may come; 0: it
-            was not.
-        status: of the response; 0 until its head is complete.
-        headers, body, length: of the response; `length` counts bytes of its head until that is complete, of
-            its body from then on.
-        stated_length: of the body, as the head states it; None if it doesn't.
-        self_delimiting: the head says how the body ends; else the end of the connection ends it.
-        bodiless: the request was HEAD: a stated length is of a body that does not come.
+        request_flow: the rest of a long request; None otherwise.
+        response_flow: flow of a long response; None while the response is assembled in `body`.
+        lost: the connection is closed.
+        lost_by_error: it was not closed in order.
+        eof_seen: the upstream has ended its sending, and earlier bytes wait for space in `response_flow`.
+        any_response_complete: a response has been complete on this connection, so its setup is paid for.
+        abandoned_until: the transmission was given up, and its response is awaited until then and dropped; 0:
+            it was not given up.
+        status: status of the response; 0 until its head is complete.
+        headers, body: of the response.
+        length: bytes of its head until that is complete, of its body from then on.
+        stated_length: body length according to the head; None if the head states none.
+        self_delimiting: the head states where the body ends; otherwise the end of the connection ends it.
+        bodiless: the request was HEAD: no body follows, whatever length the head states.
         head_bytes_left: bytes that may still come before the head is complete.
-        framed_bytes: bytes that have come behind it, framing included.
-        complete: the response is. `keep_alive`: the connection may then be used again.
-        answer: the head of a long response, for the transmission's end.
-        head_received_at: when the head was complete.
-        heard_at: when bytes last came, or could not as nobody took them.
-        feeding: a loop of `feed` is under way. `resume_scheduled`: a pass that reads on is due.
-        budgeted_bytes: bytes of `body`, which the budget counts.
-
-    Times are tenths of a ms on the clock.
+        framed_bytes: bytes that have come after the head, including framing.
+        complete: the response is complete.
+        keep_alive: the connection may be used again after the response.
+        answer: head of a long response, used again when the transmission ends.
+        head_received_at: time when the head was complete.
+        heard_at: time when bytes last came, or when they last had to wait for their reader.
+        feeding: a loop of `feed` is running.
+        resume_scheduled: a callback that continues reading is scheduled.
+        budgeted_bytes: size of `body`, which the budget counts.
     """
 
     def __init__(self, connections: ConnectionOwner, upstream: int, address: tuple[str, int]) -> None:
@@ -118,7 +121,7 @@
         self.reset_response()
 
     def reset_response(self) -> None:
-        """No response has begun to come."""
+        """Prepares for the next response."""
         self.add_to_budget(-self.budgeted_bytes)
         self.headers: Headers = []
         self.body: list[bytes] = []
@@ -134,12 +137,16 @@
         self.answer: Answer | None = None
 
     def add_to_budget(self, more: int) -> None:
-        """Bytes of a body that is gathered here are in the budget too."""
+        """Adds `more` to the bytes of the assembled body, which the budget counts."""
         self.budgeted_bytes += more
         self.connections.budget.bytes += more
 
     def begin(self, transmission: Transmission, now: int) -> None:
-        """Sends a request. Its time counts from now; of one that is still coming, from its last byte."""
+        """Sends a request.
+
+        The remaining time in its headers counts from `now`; for a request that is still coming, from its last
+        byte.
+        """
         self.transmission = transmission
         transmission.link = self
         transmission.first_on_connection = not self.any_response_complete
@@ -168,7 +175,7 @@
         self.fully_sent = self.write(b"".join(lines), b"\r\n", request.body)
 
     def begin_flow(self, flow: Flow, lines: list[bytes]) -> None:
-        """Sends the head of a long request, and what has come of its body."""
+        """Sends the head of a long request, and the part of its body that has come."""
         self.fully_sent = False
         self.request_flow = flow
         flow.news = self.send_flow
@@ -178,18 +185,18 @@
             self.send_flow()
 
     def may_have_run(self) -> bool:
-        """Whether the upstream may have all of the request: its last byte has left this process."""
+        """Whether the upstream may have the whole request: its last byte has left this process."""
         return self.fully_sent
 
     def flushed(self) -> None:
-        """The kernel has all that was written."""
+        """Called when the kernel has all that was written."""
         if self.request_flow is not None:
             self.send_flow()
         else:
             self.fully_sent = True
 
     def send_flow(self) -> None:
-        """Writes what has come of a long request, as far as the kernel takes it."""
+        """Writes the bytes of a long request that have come, until the kernel takes no more."""
         flow = self.request_flow
         chunked = self.transmission is not None and self.transmission.active_request.request.length is None
         while flow is not None and flow is self.request_flow and not self.flushing:
@@ -207,9 +214,7 @@
                 return
 
     def usable(self) -> bool:
-        """Whether nothing has come in meanwhile, not even an end: what is sent now goes to an open
-        connection.
-        """
+        """Whether nothing has come on the idle connection, not even its end: a request can be sent."""
         if self.transport.is_closing():
             return False
         poll = select.poll()
@@ -217,21 +222,23 @@
         return not poll.poll(0)
 
     def connection_lost(self, failure: Exception | None) -> None:
-        """The connection is closed: the end of the transmission on it."""
+        """Called by the event loop: the connection is closed, which ends its transmission."""
         self.lost = True
         self.lost_by_error = failure is not None
         self.connections.closed(self)
         self.read_remaining()
-        # Only bytes that never left prove that it never ran; once the last may have left, a reset doesn't.
+        # Only unsent bytes prove that the request never ran: once the last may have left, a reset doesn't.
         self.finish_transmission(load_balancing.DROPPED if self.may_have_run() else load_balancing.BROKEN)
         self.reset_response()
         self.give_back()
-        # The parser holds on to this connection, which would wait for the collector.
+        # The parser refers to this connection, which would otherwise wait for the garbage collector.
         self.parser = None  # type: ignore[assignment]
 
     def eof_received(self) -> bool:
-        """The upstream has ended its sending. Returns whether the connection stays: what is here already
-        comes first, if its client has not taken it all."""
+        """Called by the event loop: the upstream has ended its sending.
+
+        Returns whether the connection stays open: received bytes are then still waiting for the client.
+        """
         if self.response_flow is not None and self.incoming:
             self.eof_seen = True
             return True
@@ -239,8 +246,10 @@
         return False
 
     def read_remaining(self) -> None:
-        """No more will come: what waits here is read whatever room there is, and may end a response that is
-        not self-delimiting."""
+        """Reads the remaining bytes, whatever space there is, as no more will come.
+
+        The end of the connection completes a response that is not self-delimiting.
+        """
         if self.transmission is None or self.parser is None:
             return
         if self.incoming and not self.complete:
@@ -252,13 +261,13 @@
             self.response_complete()
 
     def moved(self) -> int:
-        """When something last came of a long response, or waited for its client."""
+        """Returns when bytes of a long response last came, or had to wait for their client."""
         if self.reading_paused or (self.response_flow is not None and self.response_flow.full()):
             self.heard_at = self.connections.clock.now()
         return self.heard_at
 
     def finish_transmission(self, outcome: int, answer: Answer | None = None) -> None:
-        """The transmission is over; `outcome` is one of `load_balancing`."""
+        """Ends the transmission; `outcome` is one of `load_balancing`."""
         transmission = self.transmission
         self.transmission = None
         self.end_flows(outcome == load_balancing.COMPLETED)
@@ -266,7 +275,7 @@
             self.connections.dispatcher.attempt_finished(transmission, outcome, answer)
 
     def end_flows(self, complete: bool) -> None:
-        """What went through here is complete, or breaks off."""
+        """Ends the flows of the transmission, as complete or broken."""
         if self.request_flow is not None:
             self.request_flow.news = nothing
             self.request_flow = None
@@ -280,7 +289,7 @@
                 flow.break_off()
 
     def abort(self) -> None:
-        """Closes at once; an outcome that is still to come reaches nobody."""
+        """Closes the connection at once, without an outcome for its transmission."""
         self.transmission = None
         self.end_flows(False)
         self.cut()
@@ -288,7 +297,7 @@
     # --- reading
 
     def read(self) -> None:
-        """Bytes have come."""
+        """Parses received bytes."""
         self.heard_at = self.connections.clock.now()
         self.feed(False)
         if self.eof_seen and not self.incoming and not self.complete:
@@ -296,9 +305,7 @@
             self.cut()
 
     def feed(self, all_of_it: bool) -> None:
-        """Reads on while whoever takes a long response has room for more; `all_of_it`: whatever room there
-        is.
-        """
+        """Parses while the reader of a long response has space; `all_of_it`: whatever space there is."""
         if self.feeding:
             return
         self.feeding = True
@@ -306,22 +313,22 @@
             part = self.incoming.parts()[0]
             try:
                 if (self.transmission is None and not self.abandoned_until) or self.complete:
-                    raise ResponseError("bytes that no request asked for")
+                    raise ResponseError("received bytes without a pending request")
                 if self.status:
                     self.framed_bytes += len(part)
                 else:
                     self.head_bytes_left -= len(part)
                 self.parser.feed_data(part)
-                # Guards against a head, or trailers, without end: the parser would gather them until memory
-                # is gone.
+                # Guards against an endless head or trailers: the parser would buffer them until memory is
+                # exhausted.
                 if self.head_bytes_left < 0 and not self.status:
-                    raise ResponseError("head too long")
+                    raise ResponseError("head is too long")
                 if self.framed_bytes > MAX_HEAD_BYTES + 64 * self.length:
-                    raise ResponseError("more framing than body")
+                    raise ResponseError("too much framing for the body length")
                 self.begin_flow_if_long()
             except (httptools.HttpParserError, ResponseError):
-                # A broken response is an error after which the request may have run. What comes behind a
-                # complete one leaves the response as it is, but the connection is of no further use.
+                # An invalid response is an error after which the request may have run. Bytes after a complete
+                # response don't change it, but the connection can't be used again.
                 if not self.complete:
                     self.finish_transmission(load_balancing.FAILED)
                 self.cut()
@@ -333,7 +340,7 @@
             self.response_complete()
 
     def begin_flow_if_long(self) -> None:
-        """A response that is longer than is kept, or than there is room for, is forwarded as it comes."""
+        """Starts to forward a response as it comes, if it is too long to assemble or memory is scarce."""
         if self.complete or self.response_flow is not None or not self.length or not self.status:
             return
         if max(self.length, self.stated_length or 0) > SMALL_MESSAGE_BYTES or (
@@ -342,10 +349,12 @@
             self.forward_as_flow()
 
     def in_time(self) -> bool:
-        """Its time is up. Returns whether its response is long, or may be, and has begun: that was in time,
-        and it is forwarded."""
+        """Called at the time limit. Returns whether a long response has begun, which counts as in time.
+
+        A response that may become long is forwarded from now on.
+        """
         if self.response_flow is not None:
-            return True  # it has just gone on, and the turn that is to hear of it is this one
+            return True  # it has just begun, and the dispatcher handles that in this turn
         if (
             self.transmission is None
             or self.complete
@@ -358,9 +367,12 @@
         return True
 
     def forward_as_flow(self) -> None:
-        """Forwards what has come of a response, and what still comes. ResponseError if nobody may have it."""
+        """Forwards the received part of a response, and the rest as it comes.
+
+        Raises ResponseError if the response can't be forwarded.
+        """
         if self.status // 100 != 2 or self.transmission is None or self.request_flow is not None:
-            raise ResponseError("a long response that nobody may have")
+            raise ResponseError("a long response can't be forwarded")
         body = self.body
         self.body = []
         self.add_to_budget(-self.budgeted_bytes)
@@ -373,13 +385,16 @@
         self.connections.dispatcher.response_started(self.transmission, self.answer, self.head_received_at)
 
     def schedule_resume(self) -> None:
-        """There is room again where a long response goes. Not from within the taking, which may go on."""
+        """Continues reading as a long response has space again.
+
+        Reading is scheduled, as this is called from within `Flow.take`, which may be called repeatedly.
+        """
         if not self.resume_scheduled and self.incoming:
             self.resume_scheduled = True
             self.connections.loop.call_soon(self.resume_reading)
 
     def resume_reading(self) -> None:
-        """Reads on."""
+        """Continues reading."""
         self.resume_scheduled = False
         if self.parser is not None and self.incoming:
             self.read()
@@ -387,27 +402,27 @@
     # --- callbacks of httptools
 
     def on_message_begin(self) -> None:
-        """A response begins."""
-        # Guards against a second one behind a response: its body would be added to the first one's.
+        """Called by the parser: a response begins."""
+        # Guards against a second response: its body would be added to that of the first one.
         if self.complete:
-            raise ResponseError("two responses")
+            raise ResponseError("received a second response")
 
     def on_header(self, name: bytes, value: bytes) -> None:
-        """A header has come, or a trailer."""
-        if self.status:  # what trails a body is not the head's
+        """Called by the parser: a header or a trailer."""
+        if self.status:  # a trailer, which is not forwarded
             return
         value = value.strip(OPTIONAL_WHITESPACE)
         self.headers.append((name, value))
         self.length += len(name) + len(value)
         if self.length > MAX_HEAD_BYTES:
-            raise ResponseError("head too long")
+            raise ResponseError("head is too long")
 
     def on_headers_complete(self) -> None:
-        """A head is complete: an interim response's (1xx), or the final one's."""
+        """Called by the parser: the head of an interim (1xx) or of the final response is complete."""
         status = self.parser.get_status_code()
-        if status < 200:  # announces the answer, which follows
+        if status < 200:  # an interim response, which the final one follows
             if status == 101:
-                raise ResponseError("an upgrade that was not asked for")
+                raise ResponseError("status 101 without a request for an upgrade")
             self.headers = []
             return
         self.status = status
@@ -418,20 +433,19 @@
             name.lower() == b"transfer-encoding" for name, _ in self.headers
         )
         if self.bodiless:
-            # A response to HEAD states the length of a body that does not follow; the parser would wait for
-            # it.
+            # The parser would wait for the body whose length the head states, but none follows.
             self.complete = True
             self.keep_alive = False
         elif self.stated_length is not None and self.stated_length > MAX_BODY_BYTES:
-            raise ResponseError("body too long")
+            raise ResponseError("body is too long")
 
     def on_body(self, body: bytes) -> None:
-        """A part of the body has come."""
+        """Called by the parser: a part of the body."""
         if self.bodiless:
             return
         self.length += len(body)
         if self.length > MAX_BODY_BYTES:
-            raise ResponseError("body too long")
+            raise ResponseError("body is too long")
         if self.response_flow is not None:
             self.response_flow.put(body)
         else:
@@ -439,15 +453,13 @@
             self.add_to_budget(len(body))
 
     def on_message_complete(self) -> None:
-        """The response is complete, if it is the final one."""
+        """Called by the parser: an interim or the final response is complete."""
         if self.status:
             self.complete = True
             self.keep_alive = self.parser.should_keep_alive()
 
     def response_complete(self) -> None:
-        """A complete response is here: ends the transmission, and keeps the connection if it may be used
-        again.
-        """
+        """Ends the transmission with its complete response, and keeps the connection if it is reusable."""
         reusable = self.fully_sent and self.keep_alive and not (self.transport.is_closing() or self.eof_seen)
         outcome = self.outcome()
         answer = None
@@ -473,7 +485,7 @@
         self.finish_transmission(outcome, answer)
 
     def outcome(self) -> int:
-        """Of the transmission whose response is complete, one of `load_balancing`."""
+        """Returns the outcome for the complete response, one of `load_balancing`."""
         if (self.status // 100 == 2 or self.status == 304) and self.request_flow is None:
             return load_balancing.COMPLETED
         if self.connections.protocol.rejected_unprocessed(self.status, self.headers):
@@ -481,7 +493,7 @@
         return load_balancing.FAILED
 
     def report_count(self, counted_by: Callable[[int, bytes], None]) -> None:
-        """Hands on the upstream's own count, which a header of its responses has."""
+        """Passes on the upstream's own count, from a header of its responses."""
         for name, value in self.headers:
             if name.lower() == self.connections.count_header:
                 counted_by(self.upstream, value)
