--- a/shedgrade/http/server_connection.py
+++ b/shedgrade/http/server_connection.py
@@ -1,6 +1,6 @@
-"""One connection of a client to the control HTTP server.
+"""A client connection of the control HTTP server.
 
-One request of a connection is answered at a time; those that came early wait, unread as far as that goes.
+A connection answers one request at a time. Requests that came early wait, unread as far as possible.
 """
 
 import asyncio
@@ -29,24 +29,26 @@
     500: b"Internal Server Error",
 }
 MAX_BODY_BYTES = 8 * 1024 * 1024
-MAX_RAW_HEAD_BYTES = 4 * MAX_HEAD_BYTES  # as it came, with what the parser has not passed on
-IDLE_TIMEOUT_S = 30.0  # for the next request
-REQUEST_TIMEOUT_S = 10.0  # for the head, and from then on for each BODY_STEP_BYTES of the body
+MAX_RAW_HEAD_BYTES = 4 * MAX_HEAD_BYTES  # all bytes of a head, with those that the parser has not reported
+IDLE_TIMEOUT_S = 30.0  # between two requests
+REQUEST_TIMEOUT_S = 10.0  # for the head, and then for each BODY_STEP_BYTES of the body
 BODY_STEP_BYTES = 64 * 1024
-WRITE_TIMEOUT_S = 10.0  # within which the client must take something of an answer
-LINGER_TIMEOUT_S = 2.0  # that a client which is rejected has to read why
+WRITE_TIMEOUT_S = 10.0  # within which the client must read some bytes of a response
+LINGER_TIMEOUT_S = 2.0  # for a rejected client to read the response
 
 
 class QueuedMessage(NamedTuple):
-    """What is answered when its turn comes: a request, or the reply to one that can't be read.
-    `keeps_alive`: whether the connection goes on after it."""
+    """A request, or the reply to an invalid one, that waits for its turn.
+
+    `keeps_alive`: whether the connection stays open after it.
+    """
 
     message: Request | Reply
     keeps_alive: bool
 
 
 def is_hung_up(descriptor: int) -> bool:
-    """Whether the other side of a socket has closed it, or its own direction."""
+    """Whether the peer of a socket has closed it, or its own sending direction."""
     if descriptor < 0:
         return True
     poll = select.poll()
@@ -55,29 +57,30 @@
 
 
 class HttpConnection(Connection):
-    """A state machine: bytes in, requests to the server's handler, replies out.
+    """A state machine: bytes come in, requests go to the server's handler, replies go out.
 
-    Idle, it waits for a request; `has_begun` is set while one comes in; complete ones wait in `queue` until
-    the one before is answered; the one that the handler has is `current`. A request that can't be read puts
-    its reply into the queue and ends the parsing; after that reply the connection lingers, so that its client
-    reads it.
+    An idle connection waits for a request. `has_begun` is set while a request comes in. A complete request
+    waits in `queue` until the one before it is answered, and is `current` while the handler has it. An
+    invalid request queues its reply and stops parsing. After that reply the connection lingers, so that the
+    client can read it.
 
     Attributes:
-        queue: what came complete and waits; parsing goes on only when it is empty and nothing is current.
-        request_number: of `current`; a response to an earlier one is ignored. Rises with each request, and at
-        the end. current: the request that the handler has and has not answered.
-        is_reading: a loop of `read` is under way, which a response from within must not enter again.
-        has_begun: a request is coming in. `head_complete`: its head has come.
-        stops_parsing: nothing further is parsed: the last request has come, or one that can't be read.
-        closes_after_reply: the request that is current, or was answered last, was the last one. Never unset.
-        client_finished: the client sends no more.
-        is_lingering: a rejection was sent; what still comes is thrown away.
-        continue_pending: the client waits for 100 Continue before it sends its body.
-        state_since: the loop's time since which the present wait goes on; the time-outs count from it.
-        arrived_after: when the oldest bytes that are not answered can have come at the earliest.
-        progress_mark: bytes of the body that had come, or of the answer that were unsent, at the last check;
-        -1
-            before the first check of an answer.
+        queue: complete requests that wait; parsing continues only if it is empty and there is no `current`.
+        request_number: number of `current`, by which a response to an earlier request is recognized and
+            ignored. Increases with each request, and when the connection is lost.
+        current: the request that the handler has and has not answered.
+        is_reading: a loop of `read` is running; a response from within it must not start another one.
+        has_begun: a request is coming in.
+        head_complete: the head of that request is complete.
+        stops_parsing: nothing further is parsed, after the last request or an invalid one.
+        closes_after_reply: the current request, or the one answered last, is the last one. Never unset.
+        client_finished: the client has closed its sending direction.
+        is_lingering: a rejection was sent; received bytes are dropped.
+        continue_pending: the client waits for `100 Continue` before it sends its body.
+        state_since: loop time when the present wait began; the timeouts count from it.
+        arrived_after: earliest time at which the oldest unanswered bytes can have arrived.
+        progress_mark: received body bytes, or unsent response bytes, at the last check; -1 before the first
+            check of a response.
         target, headers, body_parts, body_bytes, head_bytes, raw_head_bytes: of the request that is coming in.
     """
 
@@ -102,7 +105,7 @@
         self.reset_message()
 
     def reset_message(self) -> None:
-        """Nothing of a request has come."""
+        """Prepares for the next request."""
         self.target = b""
         self.headers: dict[bytes, bytes] = {}
         self.body_parts: list[bytes] = []
@@ -111,7 +114,7 @@
         self.raw_head_bytes = 0
 
     def check_invariants(self) -> None:
-        """AssertionError if an attribute breaks what the class says of it. For tests and the simulation."""
+        """Raises AssertionError if an attribute contradicts the class description."""
         assert all(queued.keeps_alive for queued in list(self.queue)[:-1])
         if self.queue and not self.queue[-1].keeps_alive:
             assert self.stops_parsing
@@ -143,16 +146,16 @@
         self.reset_message()
         self.give_back()
         self.server.connections.pop(self, None)
-        self.parser = None  # refers to this connection, which would wait for the garbage collector
+        self.parser = None  # it refers to this connection, which would wait for the garbage collector
 
     def eof_received(self) -> bool:
-        """A client that closes only its own direction still gets the answers it waits for."""
+        """Called by the event loop. Returns whether the connection stays open, to answer pending requests."""
         self.client_finished = True
         is_cut_short = self.has_begun and self.current is None
         return not self.is_idle() and not self.is_lingering and not is_cut_short
 
     def caller_gone(self) -> bool:
-        """The client has closed, or sends no more; also if that is not read yet."""
+        """Whether the client has closed its sending direction or the connection, even if that is unread."""
         return (
             self.client_finished
             or self.transport.is_closing()
@@ -160,7 +163,7 @@
         )
 
     def is_idle(self) -> bool:
-        """Nothing of a request is here, and no answer is under way."""
+        """Whether no part of a request is here, and no response is being sent."""
         return not (
             self.has_begun
             or self.current
@@ -171,7 +174,7 @@
         )
 
     def check_timeouts(self, now: float) -> None:
-        """Ends what has taken too long."""
+        """Ends what takes too long."""
         if self.transport.get_write_buffer_size():
             self.check_write_timeout(now)
         elif self.transport.is_closing():
@@ -187,8 +190,10 @@
             self.transport.close()
 
     def check_write_timeout(self, now: float) -> None:
-        """Guards against answers that are not taken, which would be held for ever, on a connection that is
-        closing too."""
+        """Aborts the connection, closing or not, if the client does not read a response.
+
+        The response would be kept in memory for ever.
+        """
         unsent = self.transport.get_write_buffer_size()
         if unsent != self.progress_mark:
             self.progress_mark = unsent
@@ -197,7 +202,7 @@
             self.transport.abort()
 
     def check_request_timeout(self, now: float) -> None:
-        """Guards against clients that keep their connection by sending next to nothing."""
+        """Rejects a request that comes in too slowly to justify its connection."""
         if self.head_complete and self.body_bytes - self.progress_mark >= BODY_STEP_BYTES:
             self.progress_mark = self.body_bytes
             self.state_since = now
@@ -207,13 +212,13 @@
     # --- reading
 
     def buffer_updated(self, count: int) -> None:
-        """Called by the event loop: bytes have come."""
+        """Called by the event loop: `count` bytes were read."""
         if not self.has_begun and not len(self.incoming):
             self.arrived_after = self.server.earliest()
         super().buffer_updated(count)
 
     def read(self) -> None:
-        """Takes what may be taken now; goes on when the current request is answered."""
+        """Handles buffered requests, until one is pending or a response is being sent."""
         if self.is_reading:
             return
         self.is_reading = True
@@ -234,7 +239,7 @@
         self.is_reading = False
 
     def flushed(self) -> None:
-        """The answer has left this process."""
+        """Called when the response has left this process."""
         self.state_since = self.server.loop.time()
         if not self.transport.is_closing():
             self.read()
@@ -246,12 +251,12 @@
         try:
             self.parser.feed_data(part)
         except httptools.HttpParserUpgrade:
-            self.stops_parsing = True  # nothing else is spoken here: the request is complete, and the last
+            self.stops_parsing = True  # no other protocol is spoken: this complete request is the last one
         except httptools.HttpParserError:
-            if not self.stops_parsing:  # what stands behind a last request belongs to nobody
+            if not self.stops_parsing:  # bytes after the last request are ignored
                 self.reject(400, "is no request in HTTP/1.1")
         self.used(len(part))
-        # Guards against a head that never ends, which the parser would gather.
+        # Guards against an endless head, which the parser would buffer.
         if self.has_begun and not self.head_complete and self.raw_head_bytes > MAX_RAW_HEAD_BYTES:
             self.reject(431, "has too long a head")
 
@@ -265,7 +270,7 @@
         self.progress_mark = 0
 
     def on_url(self, url: bytes) -> None:
-        """Called by the parser, for each part."""
+        """Called by the parser, for each part of the target."""
         self.target += url
         self.head_bytes += len(url)
 
@@ -273,7 +278,7 @@
         """Called by the parser."""
         self.head_bytes += len(name) + len(value) + 4
         if self.head_complete:
-            return  # a trailer, which nobody here asks for
+            return  # a trailer, which is not used
         if self.head_bytes > MAX_HEAD_BYTES:
             self.reject(431, "has too long a head")
             return
@@ -299,14 +304,14 @@
         return b"transfer-encoding" in self.headers or int(length) > 0
 
     def send_continue(self) -> None:
-        """Answers a client that waits with its body; the answers before this one go first."""
+        """Sends `100 Continue` to a client that waits for it, once the earlier requests are answered."""
         if self.continue_pending and not self.queue and self.current is None and not self.stops_parsing:
             self.continue_pending = False
             if self.parser.get_http_version() == "1.1":
                 self.transport.write(b"HTTP/1.1 100 Continue\r\n\r\n")
 
     def on_body(self, body: bytes) -> None:
-        """Called by the parser, for each part."""
+        """Called by the parser, for each part of the body."""
         self.continue_pending = False
         if self.stops_parsing:
             return
@@ -317,7 +322,7 @@
             self.body_parts.append(body)
 
     def on_message_complete(self) -> None:
-        """Called by the parser: the request waits for its turn."""
+        """Called by the parser: queues the complete request."""
         self.continue_pending = False  # a request without a body asks for none: its answer is the final one
         if self.stops_parsing:
             return
@@ -339,7 +344,7 @@
         self.reset_message()
 
     def reject(self, status: int, text: str) -> None:
-        """What can't be read is answered in its turn, and nothing behind it is looked at."""
+        """Queues the rejection of an invalid request, and stops parsing."""
         if self.stops_parsing:
             return
         self.stops_parsing = True
@@ -350,7 +355,7 @@
     # --- answering
 
     def dispatch(self, queued: QueuedMessage) -> None:
-        """Hands a request to the handler; sends a rejection."""
+        """Hands a request to the handler, or sends a rejection."""
         message, keeps_alive = queued
         self.closes_after_reply = not keeps_alive
         if isinstance(message, Reply):
@@ -362,7 +367,7 @@
         respond = partial(self.respond, self.request_number)
         try:
             self.server.handler(message, respond)
-        except Exception:  # guards the client against our faults, whose trace it must not see
+        except Exception:  # the client must not see the trace of an internal error
             self.server.logger.exception(
                 "call handler failed",
                 method=message.method.decode(errors="replace"),
@@ -371,7 +376,7 @@
             respond(failure(500, Finding("", "this call failed here")))
 
     def respond(self, request_number: int, reply: Reply) -> None:
-        """The first response to the current request counts; its client may have left since."""
+        """Sends the response to the current request; ignores later ones, and those after a disconnect."""
         if self.current is None or request_number != self.request_number:
             return
         self.send_reply(reply)
@@ -379,7 +384,7 @@
         self.read()
 
     def send_reply(self, reply: Reply) -> None:
-        """Answers the current request, or one that can't be read."""
+        """Sends the response to the current request, or a rejection."""
         request, self.current = self.current, None
         if self.transport.is_closing():
             return
@@ -394,11 +399,11 @@
         if self.closes_after_reply:
             lines.append(b"Connection: close")
         elif request is not None and request.headers.get(b"connection", b"").lower() == b"keep-alive":
-            lines.append(b"Connection: keep-alive")  # a client of HTTP/1.0 asks for this header
+            lines.append(b"Connection: keep-alive")  # an HTTP/1.0 client needs this header
         lines += [b"", b"" if request is not None and request.method == b"HEAD" else reply.body]
         self.state_since = self.server.loop.time()
         self.progress_mark = -1
         self.transport.write(b"\r\n".join(lines))
         if self.is_lingering and self.transport.can_write_eof():
-            # Guards against a reset, by which the client would lose the answer: it may still be sending.
+            # Guards against a reset, which would discard the response: the client may still be sending.
             self.transport.write_eof()
--- a/shedgrade/http/server_messages.py
+++ b/shedgrade/http/server_messages.py
@@ -1,4 +1,4 @@
-"""Requests and replies of the control HTTP server, as its handlers see them."""
+"""Requests and replies of the control HTTP server, as used by its handlers."""
 
 from collections.abc import Callable
 from dataclasses import dataclass, field
@@ -13,7 +13,7 @@
 
 
 def never() -> bool:
-    """For a request that has no connection."""
+    """The default of `Request.caller_gone`, for a request without a connection."""
     return False
 
 
@@ -21,10 +21,15 @@
 class Request:
     """A complete request.
 
-    `path`: as it was written, without the query; `query`: decoded, the last value of a name; `headers`: names
-    in lower case, values of one name joined by commas; `arrived_after`: the time of the server's `earliest`
-    clock before which nothing of it had come; `caller_gone()`: whether its client has closed the connection,
-    or only its own direction, as far as the kernel knows.
+    Attributes:
+        method: method, such as b"GET".
+        path: path without the query, as it was sent.
+        query: decoded parameters of the query; the last value of each name.
+        headers: values by lower-case name; values of the same name are joined by commas.
+        body: body, or b"".
+        arrived_after: time of the server's `earliest` clock before which nothing of the request had arrived.
+        caller_gone: returns whether the client has closed the connection, or its sending direction, as far as
+            the kernel knows.
     """
 
     method: bytes
@@ -38,7 +43,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Reply:
-    """An answer. `headers`: beside those of the framing and of the content's type."""
+    """A response. `headers`: headers other than those for framing and content type."""
 
     status: int
     body: bytes = b""
@@ -46,15 +51,15 @@
     content_type: bytes = JSON
 
 
-Respond = Callable[[Reply], None]  # answers a request; only the first call counts
+Respond = Callable[[Reply], None]  # answers a request; calls after the first are ignored
 Handler = Callable[[Request, Respond], None]  # called once for each complete request; responds now or later
 
 
 def failure(status: int, *findings: Finding, headers: Headers = ()) -> Reply:
-    """A reply whose body is `{"findings": [{"place", "text"}]}`."""
+    """Returns a reply whose body is `{"findings": [{"place", "text"}]}`."""
     return Reply(status, msgspec.json.encode({"findings": findings}), headers)
 
 
 def rejection(status: int, text: str) -> Reply:
-    """The reply to a request that can't be read; its connection ends with it."""
+    """Returns the reply to an invalid request, whose connection closes after it."""
     return failure(status, Finding("request", text))
