--- a/shedgrade/buffers/budget.py
+++ b/shedgrade/buffers/budget.py
@@ -16,9 +16,9 @@
         memory_mb: configured limit, in MB.
         reserved: descriptors reserved for the operators' address.
         held_elsewhere: during an upgrade, in the newer process: connections of the older process. None if
-            there is no other process. Never set together with `capped`.
-        capped: during an upgrade, in the older process: the largest number of connections it may have. None
-            if there is no cap.
+            there is no other process. Never set together with `connection_cap`.
+        connection_cap: during an upgrade, in the older process: the largest number of connections it may
+            have. None if there is no cap.
         max_connections: limit for all connections.
         max_clients: limit for client connections, a part of `max_connections`; the rest is for upstreams.
         max_bytes: limit for buffered bytes of messages; halved during an upgrade.
@@ -30,7 +30,7 @@
     def __init__(self, sockets: int, memory_mb: int) -> None:
         self.reserved = 0
         self.held_elsewhere: int | None = None
-        self.capped: int | None = None
+        self.connection_cap: int | None = None
         self.clients = 0
         self.upstreams = 0
         self.others = 0
@@ -43,10 +43,10 @@
         self.sockets = sockets
         self.memory_mb = memory_mb
         self.max_connections = max(16, sockets - RESERVE - self.reserved - (self.held_elsewhere or 0))
-        if self.capped is not None:
-            self.max_connections = min(self.max_connections, self.capped)
+        if self.connection_cap is not None:
+            self.max_connections = min(self.max_connections, self.connection_cap)
         self.max_clients = self.max_connections * 3 // 4
-        upgrading = self.held_elsewhere is not None or self.capped is not None
+        upgrading = self.held_elsewhere is not None or self.connection_cap is not None
         self.max_bytes = memory_mb * 1024 * 1024 // MEMORY_DIVISOR // (2 if upgrading else 1)
 
     def reserve(self, count: int) -> None:
@@ -54,7 +54,7 @@
         self.reserved += count
         self.limit(self.sockets, self.memory_mb)
 
-    def pressed(self) -> bool:
+    def under_pressure(self) -> bool:
         """Whether more than half of the bytes are in use: long messages are then buffered less."""
         return self.bytes * 2 > self.max_bytes
 
@@ -65,12 +65,12 @@
     def share(self, held_elsewhere: int | None) -> None:
         """Sets the number of connections that the older process holds; None: there is no other process."""
         self.held_elsewhere = held_elsewhere
-        self.capped = None
+        self.connection_cap = None
         self.limit(self.sockets, self.memory_mb)
 
     def cap(self, most: int) -> None:
         """Limits the connections of the older process: the newer one has been told how many are left."""
-        self.capped = most
+        self.connection_cap = most
         self.limit(self.sockets, self.memory_mb)
 
     def full(self, coming: int = 0) -> bool:
@@ -86,7 +86,7 @@
 
     def check_invariants(self) -> None:
         """Raises AssertionError if the counters or limits contradict the class description."""
-        assert self.held_elsewhere is None or self.capped is None
+        assert self.held_elsewhere is None or self.connection_cap is None
         assert min(self.clients, self.upstreams, self.others) >= 0
         assert 0 <= self.request_bytes <= self.bytes, (self.request_bytes, self.bytes)
         assert self.max_clients <= self.max_connections
--- a/shedgrade/buffers/flow.py
+++ b/shedgrade/buffers/flow.py
@@ -9,7 +9,7 @@
 # Bytes of a long message that are kept for a replay, until it is certain that no replay is needed.
 REPLAYABLE_BYTES = 2 * SMALL_MESSAGE_BYTES
 QUEUE_BYTES = 64 * 1024  # limit of the queue: one read of the event loop, and one write of the same size
-PRESSED_QUEUE_BYTES = 8 * 1024  # the same under memory pressure: slow, but the flow still advances
+QUEUE_BYTES_UNDER_PRESSURE = 8 * 1024  # the same under memory pressure: slow, but the flow still advances
 CHUNK_BYTES = 32 * 1024  # largest chunk that is written at once
 
 
@@ -97,9 +97,9 @@
 
     def full(self) -> bool:
         """Whether the source must stop until `room` is called."""
-        return self.queued_bytes >= (PRESSED_QUEUE_BYTES if self.budget.pressed() else QUEUE_BYTES) and not (
-            self.discarding or self.broken
-        )
+        return self.queued_bytes >= (
+            QUEUE_BYTES_UNDER_PRESSURE if self.budget.under_pressure() else QUEUE_BYTES
+        ) and not (self.discarding or self.broken)
 
     def take(self) -> bytes:
         """Takes the next bytes for the sink; returns b"" if there are none."""
--- a/shedgrade/buffers/ring.py
+++ b/shedgrade/buffers/ring.py
@@ -11,7 +11,7 @@
 
     bytes: int
 
-    def pressed(self) -> bool:
+    def under_pressure(self) -> bool:
         """Whether buffer memory is scarce."""
 
 
--- a/shedgrade/http/connection.py
+++ b/shedgrade/http/connection.py
@@ -2,7 +2,7 @@
 
 import asyncio
 
-from shedgrade.buffers.flow import PRESSED_QUEUE_BYTES
+from shedgrade.buffers.flow import QUEUE_BYTES_UNDER_PRESSURE
 from shedgrade.buffers.ring import Ring
 from shedgrade.http.socket_state import shut_down
 
@@ -50,7 +50,9 @@
         self.incoming.filled(count)
         self.read()
         full = self.incoming.full() or (
-            len(self.incoming) >= PRESSED_QUEUE_BYTES and self.budget is not None and self.budget.pressed()
+            len(self.incoming) >= QUEUE_BYTES_UNDER_PRESSURE
+            and self.budget is not None
+            and self.budget.under_pressure()
         )
         if full and not self.reading_paused and not self.transport.is_closing():
             self.transport.pause_reading()
--- a/shedgrade/http/inbound_connection.py
+++ b/shedgrade/http/inbound_connection.py
@@ -3,7 +3,7 @@
 import asyncio
 import select
 
-from shedgrade.buffers.flow import PRESSED_QUEUE_BYTES, Flow, nothing
+from shedgrade.buffers.flow import QUEUE_BYTES_UNDER_PRESSURE, Flow, nothing
 from shedgrade.http.message_grammar import Headers
 from shedgrade.http.request_parser import InboundFront, RequestError
 from shedgrade.http.response_writer import ResponseWriter
@@ -236,7 +236,7 @@
         if not is_partial or self.active_request is not None or self.parsed_requests or self.closing:
             return
         if self.length > self.flow_above_bytes or (
-            self.length > PRESSED_QUEUE_BYTES and self.front.budget.pressed()
+            self.length > QUEUE_BYTES_UNDER_PRESSURE and self.front.budget.under_pressure()
         ):
             self.begin_flow()
         elif self.expects_continue and not self.flushing:
--- a/shedgrade/http/upstream_connection.py
+++ b/shedgrade/http/upstream_connection.py
@@ -9,7 +9,7 @@
 
 from shedgrade import load_balancing
 from shedgrade.buffers.budget import Budget
-from shedgrade.buffers.flow import PRESSED_QUEUE_BYTES, SMALL_MESSAGE_BYTES, Flow, nothing
+from shedgrade.buffers.flow import QUEUE_BYTES_UNDER_PRESSURE, SMALL_MESSAGE_BYTES, Flow, nothing
 from shedgrade.http.connection import Connection
 from shedgrade.http.message_grammar import (
     MAX_BODY_BYTES,
@@ -344,7 +344,7 @@
         if self.complete or self.response_flow is not None or not self.length or not self.status:
             return
         if max(self.length, self.stated_length or 0) > SMALL_MESSAGE_BYTES or (
-            self.length > PRESSED_QUEUE_BYTES and self.connections.budget.pressed()
+            self.length > QUEUE_BYTES_UNDER_PRESSURE and self.connections.budget.under_pressure()
         ):
             self.forward_as_flow()
 
