--- a/shedgrade/http/connection.py
+++ b/shedgrade/http/connection.py
@@ -33,7 +33,7 @@
         """Closes at once, in both directions."""
         shut_down(self.transport)
 
-    def give_back(self) -> None:
+    def release_rings(self) -> None:
         """Releases the rings of a lost connection; the transport may still hold views of them."""
         for ring in (self.incoming, self.outgoing):
             ring.shrink()
--- a/shedgrade/http/inbound_connection.py
+++ b/shedgrade/http/inbound_connection.py
@@ -12,13 +12,13 @@
 
 # A request body must advance by so many bytes in this time while it is read; slow clients send four times as
 # much.
-PROGRESS_TIMEOUT_S = 2.0
-PROGRESS_BYTES = 16 * 1024
-TAKE_TIMEOUT_S = 5.0  # within which the client must read a response, or TAKE_BYTES of it
+BODY_PROGRESS_TIMEOUT_S = 2.0
+BODY_PROGRESS_BYTES = 16 * 1024
+RESPONSE_READ_TIMEOUT_S = 5.0  # within which the client must read a response, or RESPONSE_READ_BYTES of it
 # The same for a long response: in a test, the kernel of a client that reads 64 kB/s reported free space every
 # 2 s, and one with a larger receive buffer may do so less often.
-TAKE_LONG_TIMEOUT_S = 20.0
-TAKE_BYTES = 32 * 1024  # a client that reads 64 kB/s takes more than this even in the shorter time
+LONG_RESPONSE_READ_TIMEOUT_S = 20.0
+RESPONSE_READ_BYTES = 32 * 1024  # a client that reads 64 kB/s takes more than this even in the shorter time
 
 
 class InboundConnection(ResponseWriter):
@@ -77,7 +77,7 @@
         self.request_flow = None
         self.response_flow = None
         self.reset_request()
-        self.give_back()
+        self.release_rings()
         self.front.closed(self)
         # The parser refers to this connection, which would otherwise wait for the garbage collector.
         self.parser = None  # type: ignore[assignment]
@@ -130,7 +130,7 @@
         if self.lingering and not unsent_bytes(self.transport):
             self.transport.close()
         elif self.flushing or self.response_flow is not None or self.lingering:
-            self.check_response_taken(now)
+            self.check_response_progress(now)
         elif self.request_flow is not None:
             if self.request_stalled(now):
                 self.abandon_request()
@@ -150,26 +150,26 @@
 
     def request_stalled(self, now: float) -> bool:
         """Whether a body does not advance although this side would read it."""
-        held_back = self.request_flow is not None and self.request_flow.full()
+        flow_is_full = self.request_flow is not None and self.request_flow.full()
         if (
-            self.bytes_received - self.progress_bytes >= PROGRESS_BYTES
-            or held_back
+            self.bytes_received - self.progress_bytes >= BODY_PROGRESS_BYTES
+            or flow_is_full
             or self.reading_paused
             or unread_in_kernel(self.transport)
         ):
             self.note_progress(self.bytes_received, now)
             return False
-        return now - self.progress_at > PROGRESS_TIMEOUT_S
+        return now - self.progress_at > BODY_PROGRESS_TIMEOUT_S
 
-    def check_response_taken(self, now: float) -> None:
+    def check_response_progress(self, now: float) -> None:
         """Resets the connection if the client does not read its response.
 
         What the client's kernel has acknowledged is seen in the send queue of this side's kernel.
         """
         unread = unsent_bytes(self.transport)
         taken = self.bytes_written - unread
-        timeout_s = TAKE_TIMEOUT_S if self.response_flow is None else TAKE_LONG_TIMEOUT_S
-        if not unread or taken - self.progress_bytes >= TAKE_BYTES:
+        timeout_s = RESPONSE_READ_TIMEOUT_S if self.response_flow is None else LONG_RESPONSE_READ_TIMEOUT_S
+        if not unread or taken - self.progress_bytes >= RESPONSE_READ_BYTES:
             self.note_progress(taken, now)
         elif now - self.progress_at > timeout_s:
             logger.info("response cut, client reads too slowly", written=self.bytes_written, unread=unread)
@@ -249,9 +249,9 @@
         Its last byte was not forwarded, so it never ran.
         """
         self.request_begun = False
-        in_hand = self.active_request is not None
+        was_active = self.active_request is not None
         flow = self.break_request_flow()
-        if not in_hand and not flow.discarding:
+        if not was_active and not flow.discarding:
             return
         if self.closing:  # it has been answered already
             self.parsed_requests.clear()
--- a/shedgrade/http/server_connection.py
+++ b/shedgrade/http/server_connection.py
@@ -144,7 +144,7 @@
         self.stops_parsing = True
         self.queue.clear()
         self.reset_message()
-        self.give_back()
+        self.release_rings()
         self.server.connections.pop(self, None)
         self.parser = None  # it refers to this connection, which would wait for the garbage collector
 
--- a/shedgrade/http/upstream_connection.py
+++ b/shedgrade/http/upstream_connection.py
@@ -230,7 +230,7 @@
         # Only unsent bytes prove that the request never ran: once the last may have left, a reset doesn't.
         self.finish_transmission(load_balancing.DROPPED if self.may_have_run() else load_balancing.BROKEN)
         self.reset_response()
-        self.give_back()
+        self.release_rings()
         # The parser refers to this connection, which would otherwise wait for the garbage collector.
         self.parser = None  # type: ignore[assignment]
 
