--- a/shedgrade/http/endpoint_discovery.py
+++ b/shedgrade/http/endpoint_discovery.py
@@ -72,35 +72,35 @@
             # A change contains what changed; an entry for a removed upstream may contain nothing else.
             # Guards against a list that stops at one change: an entry that drains or removes an unknown or
             # forgotten upstream changes nothing, but is incomplete, and would be rejected each time.
-            found = [
-                self.sound(instance) if part else self.filled(instance, whole)
+            completed = [
+                self.usable_entry(instance) if part else self.complete_entry(instance, whole)
                 for instance in message["instances"]
             ]
-            told = [instance for instance in found if instance is not None]
-            if part and found and not told:
+            accepted = [instance for instance in completed if instance is not None]
+            if part and completed and not accepted:
                 raise ListError("no entry is valid")
-            entries = [self.entry(instance) for instance in told]
-        except (KeyError, OverflowError, TypeError, ValueError, AttributeError) as wrong:
-            raise ListError(f"{type(wrong).__name__}: {wrong}") from wrong
+            entries = [self.convert_entry(instance) for instance in accepted]
+        except (KeyError, OverflowError, TypeError, ValueError, AttributeError) as error:
+            raise ListError(f"{type(error).__name__}: {error}") from error
         self.weights_only = (
             not whole
-            and bool(told)
+            and bool(accepted)
             and all(
                 {**instance, "weight": 0} == {**self.told.get(instance["instanceId"], {}), "weight": 0}
-                for instance in told
+                for instance in accepted
             )
         )
         rows, moved = [], []
-        for instance, (row, address) in zip(told, entries, strict=True):
+        for instance, (row, address) in zip(accepted, entries, strict=True):
             self.told[row[0]] = instance
             row = self.indices.row(*row)
             rows.append(row)
             if self.addresses.move(row[0], address):
                 moved.append(row[0])
-        self.version, self.taken = version, told
+        self.version, self.taken = version, accepted
         return rows, whole, moved
 
-    def filled(self, instance: dict, whole: bool) -> dict | None:
+    def complete_entry(self, instance: dict, whole: bool) -> dict | None:
         """Completes a changed entry with the known values; None if it is of no use: see `read`."""
         if whole:
             return instance
@@ -113,26 +113,26 @@
             return {**self.told.get(name, {}), **instance}
         return None
 
-    def sound(self, instance: object) -> dict | None:
+    def usable_entry(self, instance: object) -> dict | None:
         """Returns the usable part of an entry, or None.
 
         That a known upstream drains or is removed is accepted even if the rest of its entry is invalid; its
         other values then stay as they were.
         """
         try:
-            before = self.told.get(instance["instanceId"], {})
-            ends = (
-                {**before, "lifecycle": instance["lifecycle"]}
+            known = self.told.get(instance["instanceId"], {})
+            lifecycle_only = (
+                {**known, "lifecycle": instance["lifecycle"]}
                 if STATE_BY_LIFECYCLE.get(instance.get("lifecycle"), load_balancing.READY)
                 != load_balancing.READY
-                else before
+                else known
             )
         except (KeyError, TypeError, AttributeError):
-            instance, before, ends = {}, {}, {}
-        for made in ({**before, **instance}, ends):
+            instance, known, lifecycle_only = {}, {}, {}
+        for candidate in ({**known, **instance}, lifecycle_only):
             try:
-                self.entry(made)
-                return made
+                self.convert_entry(candidate)
+                return candidate
             except (ListError, KeyError, OverflowError, TypeError, ValueError, AttributeError):
                 logger.warning("endpoint list entry rejected", entry=repr(instance)[:MAX_ENTRY_LOGGED])
         return None
@@ -142,7 +142,7 @@
         self.told.pop(self.indices.release(upstream), None)
         self.addresses.known.pop(upstream, None)
 
-    def entry(self, instance: dict) -> tuple[tuple, tuple]:
+    def convert_entry(self, instance: dict) -> tuple[tuple, tuple]:
         """Converts one entry into its row and its address.
 
         Raises ListError, KeyError, OverflowError, TypeError, ValueError or AttributeError if it is invalid.
@@ -178,7 +178,7 @@
 
     Attributes:
         link: the open connection to discovery, if any.
-        invalid_in_a_row: consecutive responses that were no valid list.
+        consecutive_invalid_lists: consecutive responses that were no valid list.
         first_timeout_s: time without bytes after which a first call is given up.
         rejected_backoff_s: longest backoff after responses that were no valid list.
         has_answered: a call has succeeded since the last failure.
@@ -189,31 +189,36 @@
         loop,
         address: tuple[str, int],
         reader: ListReader,
-        tell: Callable,
-        failed: Callable,
-        span: Callable[[float, float], float],
-        in_turn: bool = False,
+        list_received: Callable,
+        discovery_failed: Callable,
+        random_between: Callable[[float, float], float],
+        calls_queue: bool = False,
     ) -> None:
         """Initializes the watch.
 
-        `tell`: called with each list; raises ListError if it is invalid. `failed`: called after each failure.
-        `span`: draws a random number from a range. `in_turn`: lists are requested, and calls wait in a queue.
+        `list_received`: called with each list; raises ListError if it is invalid. `discovery_failed`: called
+        after each failure. `random_between`: draws a random number from a range. `calls_queue`: lists are
+        requested, and calls wait in a queue.
         """
         self.loop, self.address, self.reader = loop, address, reader
-        self.list_received, self.discovery_failed, self.span = tell, failed, span
+        self.list_received, self.discovery_failed, self.random_between = (
+            list_received,
+            discovery_failed,
+            random_between,
+        )
         self.host = f"{address[0]}:{address[1]}".encode()
         self.link: DiscoveryConnection | None = None
-        self.invalid_in_a_row = 0
-        self.first_timeout_s = ON_REQUEST_TIMEOUT_S if in_turn else SILENCE_TIMEOUT_S
-        self.rejected_backoff_s = REJECTED_BACKOFF_S if in_turn else LONGEST_BACKOFF_S
+        self.consecutive_invalid_lists = 0
+        self.first_timeout_s = ON_REQUEST_TIMEOUT_S if calls_queue else SILENCE_TIMEOUT_S
+        self.rejected_backoff_s = REJECTED_BACKOFF_S if calls_queue else LONGEST_BACKOFF_S
         self.has_answered = False
 
     async def run(self) -> None:
         """Watches until it is cancelled, with a backoff after failures."""
-        pause, down = FIRST_BACKOFF_S, False
+        backoff, is_failing = FIRST_BACKOFF_S, False
         while True:
             try:
-                await self.once()
+                await self.make_call()
             except Exception as failure:
                 if self.link is not None:
                     self.link.transport.abort()
@@ -224,21 +229,21 @@
                     # The list may be applied in part, so the whole list is requested.
                     logger.error("endpoint discovery watch failed internally", error=repr(failure))
                     self.reader.version = None
-                elif not down:
+                elif not is_failing:
                     logger.warning("endpoint discovery failed", error=repr(failure))
-                down = True
+                is_failing = True
                 self.discovery_failed()
-                await asyncio.sleep(pause * self.span(0.5, 1.0))
-                pause = min(
-                    2 * pause,
+                await asyncio.sleep(backoff * self.random_between(0.5, 1.0))
+                backoff = min(
+                    2 * backoff,
                     self.rejected_backoff_s if isinstance(failure, ListError) else LONGEST_BACKOFF_S,
                 )
                 continue
-            if down:
+            if is_failing:
                 logger.info("endpoint discovery recovered", generation=self.reader.version)
-            pause, down = FIRST_BACKOFF_S, False
+            backoff, is_failing = FIRST_BACKOFF_S, False
 
-    async def once(self) -> None:
+    async def make_call(self) -> None:
         """Makes one call. The next one follows at once, and its response includes changes in between."""
         if self.link is None or self.link.transport.is_closing():
             self.link = None
@@ -252,43 +257,43 @@
             target += b"?after=%d&wait_ms=%d" % (self.reader.version, wait)
         answered = self.loop.create_future()
         self.link.call(target, self.host, answered)
-        status, body = await self.whole(
+        status, body = await self.await_response(
             answered, wait / 1000 + (SILENCE_TIMEOUT_S if self.has_answered else self.first_timeout_s)
         )
         if status != 200:
             raise ListError(f"status {status}")
         try:
             message = orjson.loads(body)
-        except orjson.JSONDecodeError as wrong:
-            raise ListError(f"response is not JSON ({wrong})") from wrong
+        except orjson.JSONDecodeError as error:
+            raise ListError(f"response is not JSON ({error})") from error
         try:
             self.list_received(message)
         except ListError:
             # Guards against an entry that is always invalid: changes after it, such as drains, would be lost.
             # A list that was damaged on its way is valid when it is requested again.
-            self.invalid_in_a_row += 1
-            if self.invalid_in_a_row < INVALID_LISTS_BEFORE_PARTIAL:
+            self.consecutive_invalid_lists += 1
+            if self.consecutive_invalid_lists < INVALID_LISTS_BEFORE_PARTIAL:
                 raise
             self.list_received(message, part=True)
-        self.invalid_in_a_row = 0
+        self.consecutive_invalid_lists = 0
         self.has_answered = True
 
-    async def whole(self, answered: asyncio.Future, first: float) -> tuple[int, bytes]:
+    async def await_response(self, answered: asyncio.Future, first_timeout_s: float) -> tuple[int, bytes]:
         """Waits for the response.
 
-        Raises TimeoutError if it does not begin within `first` s, or if its bytes stop or take too long.
+        Raises TimeoutError if it does not begin within `first_timeout_s`, stops, or takes too long.
         """
-        until, begun = self.loop.time() + first, None
+        expires_at, first_byte_at = self.loop.time() + first_timeout_s, None
         try:
             while not answered.done():
-                heard = self.link.heard
-                if heard is not None:
-                    begun = heard if begun is None else begun
-                    until = min(heard + SILENCE_TIMEOUT_S, begun + COMPLETE_TIMEOUT_S)
-                left = until - self.loop.time()
-                if left <= 0:
+                last_byte_at = self.link.heard
+                if last_byte_at is not None:
+                    first_byte_at = last_byte_at if first_byte_at is None else first_byte_at
+                    expires_at = min(last_byte_at + SILENCE_TIMEOUT_S, first_byte_at + COMPLETE_TIMEOUT_S)
+                remaining = expires_at - self.loop.time()
+                if remaining <= 0:
                     raise TimeoutError
-                await asyncio.wait((answered,), timeout=left)
+                await asyncio.wait((answered,), timeout=remaining)
             return answered.result()
         finally:
             answered.cancel()
--- a/tests/sidecar/crossings/test_watches.py
+++ b/tests/sidecar/crossings/test_watches.py
@@ -178,7 +178,7 @@
                 await sleep(0)
 
             monkeypatch.setattr(endpoint_discovery.asyncio, "sleep", brief)
-            pool.watch.span = lambda low, high: 1.0
+            pool.watch.random_between = lambda low, high: 1.0
             world.agent.answers += [message(503, b"")] * 8
             await until_ready(lambda: len(slept) >= 8, sleep)
             monkeypatch.setattr(endpoint_discovery.asyncio, "sleep", sleep)
