--- a/shedgrade/http/connection_pool.py
+++ b/shedgrade/http/connection_pool.py
@@ -226,7 +226,7 @@
 
     def closed(self, link: UpstreamConnection) -> None:
         """Called when a connection is lost."""
-        self.idle.drop(link)
+        self.idle.remove(link)
         self.open.discard(link)
         self.abandoned.discard(link)
         self.count()
@@ -245,7 +245,7 @@
 
     def forget(self, upstream: int) -> None:
         """Closes the idle connections of an upstream that was replaced, drains or is removed."""
-        for link in self.idle.leave(upstream):
+        for link in self.idle.remove_upstream(upstream):
             link.abort()
 
 
--- a/shedgrade/http/idle_connections.py
+++ b/shedgrade/http/idle_connections.py
@@ -40,11 +40,11 @@
             if idle_for >= self.limit:
                 break
             if idle_for >= self.settle_time:
-                self.drop(link)
+                self.remove(link)
                 return link
         return None
 
-    def drop(self, link: Link) -> bool:
+    def remove(self, link: Link) -> bool:
         """Removes a connection; returns whether it was there."""
         entry = self.idle_since.pop(link, None)
         if entry is None:
@@ -62,7 +62,7 @@
             link, (_, since) = next(iter(self.idle_since.items()))
             if now - since < self.limit:
                 break
-            self.drop(link)
+            self.remove(link)
             found.append(link)
         return found
 
@@ -70,10 +70,10 @@
         """Removes and returns the connection that is idle for longest; None if there is none."""
         link = next(iter(self.idle_since), None)
         if link is not None:
-            self.drop(link)
+            self.remove(link)
         return link
 
-    def leave(self, upstream: int) -> list[Link]:
+    def remove_upstream(self, upstream: int) -> list[Link]:
         """Removes and returns all connections to one upstream."""
         links = self.by_upstream.pop(upstream, [])
         for link in links:
--- a/shedgrade/http/listener.py
+++ b/shedgrade/http/listener.py
@@ -7,9 +7,10 @@
 from shedgrade.runtime.log import logger
 
 BACKLOG = 1024  # connections that the kernel queues while the loop is busy
-AT_ONCE = 32  # connections accepted in one pass of the loop, so that open connections get their turn
-LOG_INTERVAL = 10.0  # s between two log lines about the same problem
-PAUSE = 0.005  # s after which there may be room again: closed connections are gone by then
+# Limits the connections accepted in one pass of the loop, so that open connections get their turn.
+MAX_ACCEPTS_PER_PASS = 32
+LOG_INTERVAL_S = 10.0  # between two log lines about the same problem
+PAUSE_S = 0.005  # after which there may be room again: closed connections are gone by then
 
 
 class Listener:
@@ -37,7 +38,7 @@
         self.socket.setblocking(False)
         self.tasks = front.accepting
         self.accepting = self.handed_over = False
-        self.told = -LOG_INTERVAL
+        self.last_logged_at = -LOG_INTERVAL_S
 
     def hand_over(self, other: bool) -> None:
         """Stops accepting as another process accepts from the same socket; starts again if not `other`."""
@@ -66,11 +67,11 @@
 
     def accept(self) -> None:
         """Accepts the waiting connections, as far as there is room."""
-        for _ in range(AT_ONCE):
+        for _ in range(MAX_ACCEPTS_PER_PASS):
             # Guards against a burst: with no descriptors left, queued connections would be lost.
             if not self.front.make_room():
                 self.pause()
-                self.loop.call_later(PAUSE, self.resume)
+                self.loop.call_later(PAUSE_S, self.resume)
                 return
             try:
                 connection, _ = self.socket.accept()
@@ -78,11 +79,11 @@
                 return
             except OSError as failure:
                 # Guards against a busy loop: the connections stay in the queue, so accepting waits.
-                if self.loop.time() >= self.told + LOG_INTERVAL:
-                    self.told = self.loop.time()
+                if self.loop.time() >= self.last_logged_at + LOG_INTERVAL_S:
+                    self.last_logged_at = self.loop.time()
                     logger.warning("accepting failed", error=failure.strerror)
                 self.pause()
-                self.loop.call_later(PAUSE, self.resume)
+                self.loop.call_later(PAUSE_S, self.resume)
                 return
             task = self.loop.create_task(self.take(connection))
             self.tasks.add(task)
--- a/shedgrade/http/request_parser.py
+++ b/shedgrade/http/request_parser.py
@@ -203,8 +203,8 @@
         if len(self.parsed_requests) > 1:
             # Guards against a Content-Length that is too short: requests that came in one read with invalid
             # bytes are rejected as well, and not forwarded.
-            bad = [RequestError(400, closing=False) for _ in range(len(self.parsed_requests) - 1)]
-            self.parsed_requests = deque([*bad, self.parsed_requests[-1]])
+            rejected = [RequestError(400, closing=False) for _ in range(len(self.parsed_requests) - 1)]
+            self.parsed_requests = deque([*rejected, self.parsed_requests[-1]])
 
     def flow_complete(self, flow: Flow) -> None:
         """Called when the last byte of a long request has come."""
@@ -212,10 +212,10 @@
 
     # --- callbacks of httptools
 
-    def add_length(self, count: int, most: int, status: int) -> None:
-        """Counts bytes of the head or of the body. Raises RequestError if there are more than `most`."""
+    def add_length(self, count: int, limit: int, status: int) -> None:
+        """Counts bytes of the head or of the body. Raises RequestError if there are more than `limit`."""
         self.length += count
-        if self.length > most:
+        if self.length > limit:
             raise RequestError(status)
 
     def on_message_begin(self) -> None:
--- a/shedgrade/http/rpc_connection.py
+++ b/shedgrade/http/rpc_connection.py
@@ -61,12 +61,12 @@
         if tenant is None:
             self.reject_and_close(400)
             return
-        kept = [
+        forwarded_headers = [
             (name, value) for name, value in end_to_end_headers(headers) if name.lower() != b"x-timeout-ms"
         ]
         length = None if flow is None else content_length(headers)
         self.admit(
-            Request(name, verb, target, kept, body, flow, length),
+            Request(name, verb, target, forwarded_headers, body, flow, length),
             method,
             int(wait),
             known.get(b"x-retried") == b"1",
@@ -95,12 +95,12 @@
             )
         self.front.dispatcher.submit(active_request, method, wait_ms, retried, tenant)
 
-    def method(self, part: bytes) -> int | None:
+    def method(self, name: bytes) -> int | None:
         """Returns the number of a method by its name, plain or percent-encoded (RFC 3986, section 2.1)."""
-        found = self.front.methods.get(part)
-        if found is None and b"%" in part:
-            found = self.front.methods.get(unquote_to_bytes(part))
-        return found
+        method = self.front.methods.get(name)
+        if method is None and b"%" in name:
+            method = self.front.methods.get(unquote_to_bytes(name))
+        return method
 
     def tenant(self, known: dict[bytes, bytes]) -> int | None:
         """Returns the tenant's number, by its name in `X-Tenant-Id` or its number in `X-Attrs`.
@@ -114,6 +114,6 @@
             name, _, value = pair.partition(b"=")
             if name.strip() == b"project":
                 value = value.strip()
-                sound = value.isdigit() and len(value) < 6 and int(value) < self.front.tenants
-                return int(value) if sound else None
+                is_valid = value.isdigit() and len(value) < 6 and int(value) < self.front.tenants
+                return int(value) if is_valid else None
         return 0
--- a/shedgrade/http/server_connection.py
+++ b/shedgrade/http/server_connection.py
@@ -151,8 +151,8 @@
     def eof_received(self) -> bool:
         """Called by the event loop. Returns whether the connection stays open, to answer pending requests."""
         self.client_finished = True
-        is_cut_short = self.has_begun and self.current is None
-        return not self.is_idle() and not self.is_lingering and not is_cut_short
+        is_incomplete = self.has_begun and self.current is None
+        return not self.is_idle() and not self.is_lingering and not is_incomplete
 
     def caller_gone(self) -> bool:
         """Whether the client has closed its sending direction or the connection, even if that is unread."""
--- a/shedgrade/http/upstream_connection.py
+++ b/shedgrade/http/upstream_connection.py
@@ -92,7 +92,7 @@
         keep_alive: the connection may be used again after the response.
         answer: head of a long response, used again when the transmission ends.
         head_received_at: time when the head was complete.
-        heard_at: time when bytes last came, or when they last had to wait for their reader.
+        last_received_at: time when bytes last came, or when they last had to wait for their reader.
         feeding: a loop of `feed` is running.
         resume_scheduled: a callback that continues reading is scheduled.
         budgeted_bytes: size of `body`, which the budget counts.
@@ -117,7 +117,7 @@
         self.resume_scheduled = False
         self.budgeted_bytes = 0
         self.head_received_at = 0
-        self.heard_at = 0
+        self.last_received_at = 0
         self.reset_response()
 
     def reset_response(self) -> None:
@@ -263,8 +263,8 @@
     def moved(self) -> int:
         """Returns when bytes of a long response last came, or had to wait for their client."""
         if self.reading_paused or (self.response_flow is not None and self.response_flow.full()):
-            self.heard_at = self.connections.clock.now()
-        return self.heard_at
+            self.last_received_at = self.connections.clock.now()
+        return self.last_received_at
 
     def finish_transmission(self, outcome: int, answer: Answer | None = None) -> None:
         """Ends the transmission; `outcome` is one of `load_balancing`."""
@@ -298,18 +298,20 @@
 
     def read(self) -> None:
         """Parses received bytes."""
-        self.heard_at = self.connections.clock.now()
+        self.last_received_at = self.connections.clock.now()
         self.feed(False)
         if self.eof_seen and not self.incoming and not self.complete:
             self.read_remaining()
             self.cut()
 
-    def feed(self, all_of_it: bool) -> None:
-        """Parses while the reader of a long response has space; `all_of_it`: whatever space there is."""
+    def feed(self, ignore_flow_limit: bool) -> None:
+        """Parses while the flow of a long response has space; with `ignore_flow_limit`, in any case."""
         if self.feeding:
             return
         self.feeding = True
-        while self.incoming and (all_of_it or self.response_flow is None or not self.response_flow.full()):
+        while self.incoming and (
+            ignore_flow_limit or self.response_flow is None or not self.response_flow.full()
+        ):
             part = self.incoming.parts()[0]
             try:
                 if (self.transmission is None and not self.abandoned_until) or self.complete:
@@ -492,8 +494,8 @@
             return load_balancing.REJECTED
         return load_balancing.FAILED
 
-    def report_count(self, counted_by: Callable[[int, bytes], None]) -> None:
+    def report_count(self, callback: Callable[[int, bytes], None]) -> None:
         """Passes on the upstream's own count, from a header of its responses."""
         for name, value in self.headers:
             if name.lower() == self.connections.count_header:
-                counted_by(self.upstream, value)
+                callback(self.upstream, value)
