--- a/tests/buffers/test_ring.py
+++ b/tests/buffers/test_ring.py
@@ -1,4 +1,4 @@
-"""The byte ring against a plain string of bytes."""
+"""The ring buffer compared with a plain string of bytes."""
 
 import pytest
 from hypothesis import given, seed
@@ -23,7 +23,7 @@
         if what == "consume":
             value = min(value, len(model))
             ring.consume(value)
-            model, views = model[value:], []  # views of what was consumed may be written over
+            model, views = model[value:], []  # views of consumed bytes may be overwritten
         elif what == "put":
             if len(model) + len(value) > 128:
                 with pytest.raises(RingFullError):
--- a/tests/sidecar/crossings/crossing_peers.py
+++ b/tests/sidecar/crossings/crossing_peers.py
@@ -1,5 +1,7 @@
-"""What forces two events to cross, in the order that a test wants: clients whose end is not read, connections
-that come up when told, answers that are held."""
+"""Peers that force two events into the order that a test needs.
+
+Clients whose disconnect is not read, connections that open when told, responses that are held back.
+"""
 
 import asyncio
 import socket
@@ -7,11 +9,11 @@
 
 from helpers import World, message, request, until
 
-PIECE = 8 * 1024  # bytes sent at once until no more is read: the rest, and the end, fit into the kernel
+PIECE = 8 * 1024  # bytes of each write; small, so that the last one and a FIN fit into the kernel's buffer
 
 
 class Crossed(World):
-    """A sidecar whose dials come up when `gate` is opened, among upstreams that answer on `release`."""
+    """A sidecar that opens connections once `gate` is set; its upstreams respond once `release` is set."""
 
     def __init__(self, upstreams=1, held=(), **more):
         """`held`: numbers of the upstreams that wait for `release`."""
@@ -42,7 +44,7 @@
         return [body for upstream in self.upstreams for _, body in upstream.seen]
 
     async def quiet(self):
-        """Until nothing is in hand, and all that was gathered is carried out."""
+        """Waits until no request is active and all gathered events are handled."""
         await until(lambda: not self.sidecar.pool.dispatcher.active_requests)
         await until(lambda: not any(getattr(one, "unread", bool)() for one in self.sidecar.front.clients))
         for _ in range(5):
@@ -50,8 +52,10 @@
 
 
 class Client:
-    """A client on a socket of its own. Behind its request it may send more than the sidecar reads ahead, so
-    that its end is not read either."""
+    """A client with its own socket.
+
+    It can send more than the sidecar reads ahead, so that its disconnect stays unread.
+    """
 
     def __init__(self, world):
         self.socket = socket.create_connection(world.config.listen)
@@ -61,7 +65,7 @@
         self.socket.send(raw)
 
     async def flood(self, world, raw):
-        """`raw`, and further requests behind it until the sidecar reads no more: its end is here, unread."""
+        """Sends `raw` and further requests until the sidecar stops reading; a disconnect stays unread."""
         self.send(raw)
         ahead = request(b"x" * (PIECE - 200), name="ahead")
         while not any(one.reading_paused for one in world.sidecar.front.clients):
--- a/tests/sidecar/crossings/test_close.py
+++ b/tests/sidecar/crossings/test_close.py
@@ -1,4 +1,4 @@
-"""The close of a client's connection where something else is under way on it."""
+"""Closing a client connection on which something else is in progress."""
 
 import asyncio
 import socket
@@ -13,7 +13,7 @@
 
 @pytest.mark.parametrize("size", [10, 60_000, 3_000_000])
 def test_bytes_that_nobody_reads_take_no_answer_with_them(size):
-    """Closing on unread bytes resets the connection; what its client had not taken yet was lost with it."""
+    """Closing on unread bytes resets the connection, by which the client lost the rest of its response."""
 
     @on_sockets
     async def scenario():
@@ -35,7 +35,7 @@
             link.transport.pause_reading()
             client.send(b"more that was never asked for" * 100)
             release.set()
-            await asyncio.sleep(0.1)  # whatever is to be closed has been closed, and nothing was taken
+            await asyncio.sleep(0.1)  # enough for any close to happen; the client has read nothing
             reader, writer = await asyncio.open_connection(sock=client, limit=2**23)
             async with asyncio.timeout(20):
                 head, body = await read_message(reader)
@@ -47,8 +47,10 @@
 
 
 def test_a_second_answer_that_comes_some_milliseconds_late_meets_no_request():
-    """Sent on within 2 ms, a request was answered by what came behind the answer before it: 48 of 48 such
-    came after 1.6 to 3.9 ms in five plays."""
+    """A connection reused within 2 ms delivered late bytes, behind the last response, to the next request.
+
+    In five runs all 48 late responses came after 1.6 to 3.9 ms.
+    """
     idle = IdleConnections(150_000, SETTLE_TIME)
     idle.put(0, "link", 1000)
     assert idle.take(0, 1000 + 39) is None and idle.take(0, 1000 + 100) == "link"
--- a/tests/sidecar/crossings/test_customers.py
+++ b/tests/sidecar/crossings/test_customers.py
@@ -1,5 +1,4 @@
-"""Settings of other customers: names and tenants as their clients write them, entries of lists that are not
-sound for this one."""
+"""Settings of different customers: names of methods and tenants in requests, and invalid entries in lists."""
 
 import random
 
@@ -16,7 +15,7 @@
 
 
 def test_tenants_are_known_by_the_name_that_the_settings_give_them():
-    """Played (slow-ledger): clients send `X-Tenant-Id` with a name; it was not read, all were the first's."""
+    """Guards against an ignored `X-Tenant-Id` (slow-ledger): all requests counted for the first tenant."""
 
     @on_sockets
     async def scenario():
@@ -39,7 +38,7 @@
                 )
             ):
                 assert (await ask(world, request(b"x", "/m/1", 15000, f"r{number}", *head)))[0] == 200
-            assert tenants == [0, 0, 1, 1, 2]  # one that has no share here is beyond the last
+            assert tenants == [0, 0, 1, 1, 2]  # a tenant without a share gets the number after the last
 
     scenario()
 
@@ -60,7 +59,7 @@
                 )
             ):
                 assert (await ask(world, request(b"x", f"/{path}/1?q=%20", 15000, f"r{number}")))[0] == 200
-                assert world.upstreams[0].seen[-1][0][0] == f"POST /{path}/1?q=%20 HTTP/1.1"  # as it came
+                assert world.upstreams[0].seen[-1][0][0] == f"POST /{path}/1?q=%20 HTTP/1.1"  # unchanged
             for path in ("hold", "%", "a%2520", "nobody%20s"):
                 assert (await ask(world, request(b"x", f"/{path}", 15000, path)))[0] == 404
 
@@ -68,7 +67,7 @@
 
 
 def test_an_entry_that_is_never_sound_does_not_keep_a_drain_from_being_heard(monkeypatch):
-    """A zone that only a start makes known: every later change was refused with it."""
+    """An entry with a zone that is known only after a restart made the sidecar reject all later changes."""
     quick(monkeypatch)
 
     @on_sockets
@@ -83,7 +82,7 @@
                 world.sidecar.pool.balancer.upstreams[1].listed
                 and "s-far" not in world.sidecar.pool.reader.told
             )
-            # It is asked for again before that: what was spoilt on its way comes whole.
+            # The list is requested again first, as it may have been damaged on its way.
             assert (
                 sum("after=1&" in call for call in world.agent.calls)
                 >= endpoint_discovery.INVALID_LISTS_BEFORE_PARTIAL
@@ -137,7 +136,7 @@
     "changes", [{"zones": []}, {"zones": "ab"}, {"zones": [1]}, {"zones": None}, {"az": 1}, {"az": 2**70}]
 )
 def test_settings_without_the_zone_that_they_name_start_nothing(changes):
-    """Each RPC met an IndexError, and was errored."""
+    """With such settings each RPC met an IndexError, and failed."""
     assert completeness_problem(settings(zones=1, limits={"dial_timeout": 1.0, "idle_close": 1.0})) is None
     found = completeness_problem(settings(zones=1, limits={"dial_timeout": 1.0, "idle_close": 1.0}) | changes)
     assert found.startswith(f"settings.{next(iter(changes))}: found ") and "\n" not in found
@@ -145,8 +144,10 @@
 
 @pytest.mark.parametrize("seed", range(150))
 def test_sound_settings_of_any_size_meet_no_fault(seed):
-    """A soft deadline of two ticks or of less than 0.1 ms, which the settings may say, divided by zero on
-    each RPC; 283 of 1,500 drawn settings met that."""
+    """Guards against a division by zero on each RPC, with a soft deadline of two ticks or below 0.1 ms.
+
+    The settings allow both; 283 of 1,500 drawn settings met the fault.
+    """
     chance = random.Random(seed)
     pick, zones = chance.choice, chance.choice((1, 2, 5))
     methods = [
--- a/tests/sidecar/crossings/test_end.py
+++ b/tests/sidecar/crossings/test_end.py
@@ -1,5 +1,4 @@
-"""The end of a process, and its start, where two events cross: signals, requests in hand, connections that
-close."""
+"""Races at the start and the end of a process: signals, pending requests, closing connections."""
 
 import asyncio
 import os
@@ -25,7 +24,7 @@
 
 @pytest.mark.parametrize("kind, status", [("repeatable", 503), ("once", 502)])
 def test_what_is_in_hand_at_the_last_look_gets_its_final_answer_first(kind, status):
-    """The process ended with it: its client saw a connection that broke."""
+    """The process exited with these requests pending, and their clients saw a broken connection."""
 
     @on_sockets
     async def scenario():
@@ -36,9 +35,9 @@
             world.sidecar.drain()
             await world.serving
             await asyncio.sleep(0.05)
-            assert all(one.done() for one in asking)  # the process would be gone now
+            assert all(one.done() for one in asking)  # the process would have exited by now
             assert [(await one)[0] for one in asking] == [status] * 2
-            assert world.sidecar.phase is Phase.CLOSED and world.sent() == 2  # no further try
+            assert world.sidecar.phase is Phase.CLOSED and world.sent() == 2  # no retry
 
     scenario()
 
@@ -85,7 +84,7 @@
         last = world.sidecar.shutdown.conclude_at
         world.sidecar.pool.longest *= 2
         world.sidecar.drain()
-        world.sidecar.reload()  # its file is not there: refused, and nothing else
+        world.sidecar.reload()  # the configuration file is missing, so the reload is rejected
         assert world.sidecar.shutdown.conclude_at == last and world.sidecar.phase is Phase.DRAINING
         world.release.set()
         assert (await asking)[0] == 200
@@ -94,7 +93,7 @@
 
 @on_sockets
 async def test_idle_connections_close_while_somebody_still_accepts():
-    """A request that crosses the close of its connection comes anew at once, and is to find a listener."""
+    """A request that races with the close of its connection is repeated at once, and must find a listener."""
     async with Crossed(upstreams=1) as world:
         reader, writer = await world.connect()
         assert (await ask(world, request(b"one"), (reader, writer)))[0] == 200
@@ -103,7 +102,7 @@
         world.sidecar.listener.close = lambda: (closed.append(1), close())
         world.sidecar.drain()
         assert await reader.read() == b"" and not closed
-        assert (await ask(world, request(b"two", name="a2")))[0] == 200  # as it comes anew
+        assert (await ask(world, request(b"two", name="a2")))[0] == 200  # the repeated request
         await world.serving
         assert closed
         writer.close()
@@ -111,14 +110,14 @@
 
 @on_sockets
 async def test_requests_that_came_early_are_answered_though_the_process_leaves():
-    """An answer said `Connection: close` while the next request was here and unread: closing reset it."""
+    """A response with `Connection: close` reset the connection, as the next request was still unread."""
     async with Crossed(upstreams=1, held=(0,)) as world:
         client = Client(world)
         client.send(request(b"one", name="a1"))
         await until(lambda: world.sent() == 1)
         world.sidecar.drain()
         link = next(iter(world.sidecar.front.clients))
-        link.transport.pause_reading()  # what comes now is unread when the first answer is written
+        link.transport.pause_reading()  # later bytes are unread when the first response is written
         client.send(request(b"two", name="a2"))
         await asyncio.sleep(0.05)
         world.release.set()
@@ -146,8 +145,10 @@
 
 
 def test_sighup_at_any_moment_of_a_start_ends_nothing_and_the_newest_configuration_holds(tmp_path):
-    """All sidecars are restarted while a new configuration comes: a process that was being started was ended
-    by the signal. As the platform starts it, by the line `run`."""
+    """A signal for a new configuration ended a process that was still starting.
+
+    The process is started by the line `run` of the deployment, as the platform does it.
+    """
     run = tomllib.loads((ROOT / "deploy/balancer.toml").read_text())["run"]
     python = Path(os.sys.executable)
     if str(python) != str(ROOT / ".venv/bin/python"):
@@ -172,7 +173,7 @@
     try:
         os.set_blocking(process.stderr.fileno(), False)
         said, end = b"", time.monotonic() + 30
-        time.sleep(0.02)  # the shell has taken up its line
+        time.sleep(0.02)  # the shell has started the command
         while b"after=serving" not in said and time.monotonic() < end and process.poll() is None:
             process.send_signal(signal.SIGHUP)
             time.sleep(0.002)
@@ -196,7 +197,7 @@
 
 @on_sockets
 async def test_a_kept_connection_that_closes_as_a_request_is_written_to_it_is_no_proof_that_it_ran_not():
-    """Half of the request left: it never ran. All of it left: it may have, and is not sent again."""
+    """A request sent in part never ran; one sent in full may have run, and is not sent again."""
     cut = []
 
     async def late(head, body):
@@ -249,7 +250,7 @@
                     links.append(link)
                     connections.stop(
                         next(iter(connections.connecting))
-                    )  # before whoever dialled is told that it is up
+                    )  # before the code that connects learns that the connection is open
 
                 link.connection_made = up
                 return link
@@ -299,7 +300,7 @@
 
 @on_sockets
 async def test_a_new_configuration_in_the_middle_of_an_answer_loses_neither():
-    """A reload drops the watch whose answer may be on its way: the whole list is asked for at once."""
+    """A reload drops the watch whose response may be in transit, and requests the whole list at once."""
     async with Crossed(upstreams=2, methods=[PATIENT]) as world:
         other = await Server(
             lambda head, _: (
@@ -310,7 +311,7 @@
                 else SILENT
             )
         ).start()
-        # The old agent's answer is here, not yet handed over, as the list moves: the newer word holds.
+        # The list of the old agent was received but not yet applied at the move: the newer list prevails.
         pool = world.sidecar.pool
         pool.listed(world.list(world.entry(0)))
         host, port = other.address.split(":")
--- a/tests/sidecar/crossings/test_left.py
+++ b/tests/sidecar/crossings/test_left.py
@@ -1,4 +1,4 @@
-"""A request whose client has left while it waited is not sent on, wherever it waited."""
+"""A request is not sent if its client disconnected while it waited, wherever it waited."""
 
 import asyncio
 import time
@@ -38,7 +38,7 @@
 
 @WAYS
 def test_while_a_connection_is_dialled_for_it_and_its_end_is_read(reset):
-    """Where a transmission may not be stopped, one that has not begun may be."""
+    """Even where transmissions can't be cancelled, one that has not been sent can be."""
 
     @on_sockets
     async def scenario():
@@ -63,7 +63,7 @@
     @on_sockets
     async def scenario():
         async with Crossed(upstreams=2) as world:
-            for number in range(2):  # a kept connection to each: nothing is dialled below
+            for number in range(2):  # an idle connection to each upstream, so that none is opened below
                 assert (await ask(world, request(name=f"w{number}")))[0] == 200
             await asyncio.sleep(0.3)
             gone, stays = [Client(world) for _ in range(200)], Client(world)
@@ -72,7 +72,7 @@
                 one.send(request(b"gone", name=f"g{number}"))
                 one.leave(reset)
             stays.send(request(b"stays", name="s"))
-            time.sleep(0.4)  # the whole process stands still, as by SIGSTOP
+            time.sleep(0.4)  # stalls the whole process, as SIGSTOP does
             await until(lambda: b"stays" in world.bodies())
             await world.quiet()
             assert b"gone" not in world.bodies()
@@ -129,7 +129,7 @@
         async with Crossed(held=(0,)) as world:
             balancer = world.sidecar.pool.balancer
             world.release.set()
-            for number in range(20):  # what is quick is waited for
+            for number in range(20):  # requests queue only for upstreams known to be fast
                 assert (await ask(world, request(b"first", name=f"w{number}")))[0] == 200
             world.release.clear()
             first = asyncio.create_task(ask(world, request(b"first", name="f")))
@@ -159,7 +159,7 @@
             await until(lambda: world.sent() == 1)
             gone.leave(reset)
             await asyncio.sleep(0.05)
-            for upstream in world.upstreams:  # it is cut, and would be tried again
+            for upstream in world.upstreams:  # the connection breaks, and the request would be retried
                 for writer in list(upstream.writers):
                     writer.transport.abort()
             await world.quiet()
@@ -170,7 +170,7 @@
 
 @on_sockets
 async def test_one_whose_client_stays_is_tried_again_elsewhere():
-    """The same crossing with a client that waits: nothing is kept from it."""
+    """The same race with a client that stays connected: its request is retried."""
     async with Crossed(upstreams=2, methods=[AGAIN], held=(0, 1)) as world:
         stays = Client(world)
         await stays.flood(world, request(b"stays", name="g"))
@@ -184,7 +184,7 @@
 
 @WAYS
 def test_the_rest_of_a_long_one_that_is_still_to_be_sent(reset):
-    """Its last byte is what begins it at an upstream."""
+    """An upstream starts to process a request only with its last byte."""
 
     @on_sockets
     async def scenario():
--- a/tests/sidecar/crossings/test_own_faults.py
+++ b/tests/sidecar/crossings/test_own_faults.py
@@ -1,4 +1,4 @@
-"""A fault of our own in the middle of something else: it costs the RPC that met it."""
+"""Internal errors while other events are in progress: only the RPC that meets the error fails."""
 
 import asyncio
 
@@ -10,7 +10,7 @@
 
 
 def faulty(scenario, times):
-    """The scenario ends with that many faults in the log, and nothing else that is wrong."""
+    """Runs the scenario, which must log `times` errors in `decide` and nothing else."""
     with pytest.raises(AssertionError) as found:
         on_sockets(scenario)()
     lines = found.value.args[0]
@@ -29,7 +29,7 @@
 
 
 def test_in_what_is_due_it_costs_neither_what_is_behind_it_nor_an_answer():
-    """One of three that are held met it: it never had an answer, and the two behind it waited for it."""
+    """An error in one of three queued RPCs left it without a response, and the two behind it waiting."""
 
     async def scenario():
         async with Crossed(upstreams=1, held=(0,), methods=[PATIENT]) as world:
@@ -72,13 +72,13 @@
             assert (await asking)[0] == 502
             await until(lambda: not balancer.in_flight)
             assert rpc.done and not active_request.transmissions
-            await until(lambda: not world.sidecar.pool.connections.open)  # it was stopped
+            await until(lambda: not world.sidecar.pool.connections.open)  # the transmission was stopped
 
     faulty(scenario, 1)
 
 
 class Broken:
-    """A handle whose next decision fails."""
+    """Wraps an RPC whose next decision fails."""
 
     def __init__(self, rpc):
         self.rpc, self.times = rpc, 1
--- a/tests/sidecar/crossings/test_watches.py
+++ b/tests/sidecar/crossings/test_watches.py
@@ -1,5 +1,4 @@
-"""The list of upstreams where two events cross: watches that fall silent, outages, reloads, drains told while
-something is on its way."""
+"""Races around the list of upstreams: silent watches, outages, reloads, and drains during other events."""
 
 import asyncio
 import contextlib
@@ -14,7 +13,7 @@
 
 
 class Agent:
-    """Discovery by a script: a function of the call's target for each call in turn, then silence."""
+    """Scripted discovery: responds to each call with the next answer or its return value, then is silent."""
 
     def __init__(self, world, *answers):
         self.world, self.answers, self.calls, self.connections = world, list(answers), [], []
@@ -34,7 +33,7 @@
 
 
 class Asked(Crossed):
-    """A sidecar whose discovery is an `Agent`, with times so short that a test may wait for them."""
+    """A sidecar whose discovery is an `Agent`, with timeouts short enough for a test."""
 
     def __init__(self, *answers, **more):
         super().__init__(**more)
@@ -59,14 +58,17 @@
 
 
 def test_what_a_silent_watch_misses_is_here_before_it_counts_as_told():
-    """6 s after it fell silent. It may be silent twice running, and a connect may hang between."""
+    """Missed changes count as delivered 6 s after the watch fell silent.
+
+    Within that time the watch may be silent twice in a row, with a hanging connection attempt in between.
+    """
     pauses = endpoint_discovery.FIRST_BACKOFF_S + endpoint_discovery.LONGEST_BACKOFF_S
     watch = endpoint_discovery.WATCH_WAIT_MS / 1000 + endpoint_discovery.SILENCE_TIMEOUT_S
     assert (
         watch + endpoint_discovery.FIRST_WATCH_WAIT_MS / 1000 + endpoint_discovery.SILENCE_TIMEOUT_S + pauses
         < 6
     )
-    # Calls that may not wait, and those after a failure: noticed well within the grace of a drain and a bit.
+    # Calls without a wait, and calls after a failure: noticed well within the grace period of a drain.
     assert endpoint_discovery.FIRST_WATCH_WAIT_MS / 1000 + endpoint_discovery.SILENCE_TIMEOUT_S < 1.5
 
 
@@ -81,7 +83,7 @@
             before = len(world.agent.calls)
             await until(lambda: not world.sidecar.pool.balancer.upstreams[0].listed)
             assert world.sidecar.pool.reader.version == 2
-            # Those after a failure wait no longer than it takes to show that somebody is there.
+            # Calls after a failure wait only for a short time, to show whether the agent responds.
             assert all(
                 waits(call) == endpoint_discovery.FIRST_WATCH_WAIT_MS
                 for call in world.agent.calls[before + 1 : before + 3]
@@ -92,7 +94,7 @@
 
 
 def test_a_call_that_may_not_wait_is_not_waited_for(monkeypatch):
-    """After a reload the whole list is asked for; that call was given the time of a watch."""
+    """A reload requests the whole list, without a wait; that call was given the timeout of a watch."""
     monkeypatch.setattr(endpoint_discovery, "SILENCE_TIMEOUT_S", 0.15)
 
     @on_sockets
@@ -121,10 +123,10 @@
                 try:
                     number = len(ended)
                     await reader.readuntil(b"\r\n\r\n")
-                    if number == 0:  # its head, and then nothing
+                    if number == 0:  # sends the head, then nothing
                         writer.write(whole[:40])
                         await reader.read()
-                    elif number == 1:  # a byte now and then, for ever
+                    elif number == 1:  # sends a byte now and then, for ever
                         writer.write(b"HTTP/1.1 200 X\r\nContent-Length: 100000\r\n\r\n")
                         while not reader.at_eof():
                             writer.write(b" ")
@@ -147,8 +149,10 @@
 
 
 def test_where_calls_wait_in_turn_a_first_one_is_waited_for_and_a_crowd_is_given_time(monkeypatch):
-    """Calls that were given up had been served for nobody, and so nobody was: 43 of 60 sidecars had no list
-    in 20 s. One that is turned away comes again the later the more often it is."""
+    """Calls that had been given up were still served first, so that none was served in time.
+
+    43 of 60 sidecars had no list after 20 s. After each rejection a sidecar waits longer for its next call.
+    """
     quick(monkeypatch)
     monkeypatch.setattr(endpoint_discovery, "ON_REQUEST_TIMEOUT_S", 5.0)
 
@@ -167,7 +171,7 @@
             before = len(world.agent.calls)
             host, port = world.discovery.address.split(":")
             pool.move((host, int(port)))
-            await asyncio.sleep(0.5)  # several times what a silent one is given
+            await asyncio.sleep(0.5)  # several times the timeout of a silent call
             assert len(world.agent.calls) == before + 1 and pool.reader.version is None
             late.set()
             await until(lambda: pool.reader.version == 1)
@@ -202,7 +206,7 @@
             loop, tries = world.sidecar.loop, []
 
             class Loop:
-                """The loop, whose first connection hangs."""
+                """The loop, with a first connection attempt that hangs."""
 
                 def __getattr__(self, name):
                     return getattr(loop, name)
@@ -229,7 +233,7 @@
         async with Crossed(upstreams=2) as world:
             pool = world.sidecar.pool
             withdraw = pool.connections.withdraw
-            pool.connections.withdraw = None  # what the list calls breaks
+            pool.connections.withdraw = None  # applying the list fails
             world.version += 1
             world.changes.put_nowait(json.dumps(world.list(world.entry(0, "terminating"))).encode())
             await until(lambda: pool.reader.version is None)
@@ -275,18 +279,18 @@
         await world.tell(
             {**world.entry(0), "hostPort": fresh.address},
             {**world.entry(0, "terminating"), "instanceId": "s-other"},
-        )  # where it was, another one drains
+        )  # another upstream drains at the former address
         world.gate.set()
-        assert (await asking)[0] in (200, 503)  # it is told at once, or sent where the upstream is now
+        assert (await asking)[0] in (200, 503)  # rejected at once, or sent to the new address
         assert not world.upstreams[0].seen
         fresh.stop()
 
 
 @on_sockets
 async def test_a_drain_that_is_gathered_with_the_request_comes_first():
-    """Both are ready in one pass: what is decided before the drain is read is not dialled after it."""
+    """Both events are ready in one pass; an upstream chosen before the drain is applied is not dialled."""
     met = 0
-    for drained in range(2):  # the first choice is one of the two
+    for drained in range(2):  # one of the two is the first choice
         async with Crossed(upstreams=2, methods=[PATIENT]) as world:
             pool, front = world.sidecar.pool, world.sidecar.front
             client = Client(world)
@@ -319,7 +323,7 @@
         world.gate.clear()
         asking = asyncio.create_task(ask(world, request(b"one", wait=200)))
         await until(lambda: world.dialled)
-        expire, pool.dispatcher.expire = pool.dispatcher.expire, lambda now: None  # the turn is late
+        expire, pool.dispatcher.expire = pool.dispatcher.expire, lambda now: None  # expiry is delayed
         await asyncio.sleep(0.25)
         world.gate.set()
         status, _, _ = await asking
@@ -329,9 +333,9 @@
 
 @on_sockets
 async def test_a_host_that_is_no_name_ends_its_transmission_at_once():
-    """The dial's task died of it; the transmission had no end before its limit."""
+    """The error ended the connect task, and the transmission did not end before its time limit."""
     async with Crossed(upstreams=1, methods=[PATIENT]) as world:
         await world.tell({**world.entry(0), "hostPort": "a..b:80"})
-        async with asyncio.timeout(8):  # its client waits for 15 s
+        async with asyncio.timeout(8):  # the client would wait for 15 s
             assert (await ask(world, request(b"one")))[0] == 503
         assert not world.sidecar.pool.connections.connecting and not world.sidecar.pool.balancer.in_flight
