--- a/tests/sidecar/crossings/test_close.py
+++ b/tests/sidecar/crossings/test_close.py
@@ -12,7 +12,7 @@
 
 
 @pytest.mark.parametrize("size", [10, 60_000, 3_000_000])
-def test_bytes_that_nobody_reads_take_no_answer_with_them(size):
+def test_a_close_on_unread_bytes_does_not_lose_the_response(size):
     """Closing on unread bytes resets the connection, by which the client lost the rest of its response."""
 
     @on_sockets
@@ -46,7 +46,7 @@
     scenario()
 
 
-def test_a_second_answer_that_comes_some_milliseconds_late_meets_no_request():
+def test_a_connection_settles_before_it_is_reused():
     """A connection reused within 2 ms delivered late bytes, behind the last response, to the next request.
 
     In five runs all 48 late responses came after 1.6 to 3.9 ms.
--- a/tests/sidecar/crossings/test_customers.py
+++ b/tests/sidecar/crossings/test_customers.py
@@ -14,7 +14,7 @@
 TENANTS = [{"name": name, "share": 0.5, "allowance_per_s": 50.0} for name in ("guild-a", "zünfte b")]
 
 
-def test_tenants_are_known_by_the_name_that_the_settings_give_them():
+def test_tenants_are_found_by_their_name_in_the_settings():
     """Guards against an ignored `X-Tenant-Id` (slow-ledger): all requests counted for the first tenant."""
 
     @on_sockets
@@ -43,7 +43,7 @@
     scenario()
 
 
-def test_methods_are_known_by_what_a_path_has_to_write_for_their_names():
+def test_methods_are_found_by_their_percent_encoded_name():
     names = ["hold seat", "prüfung", "a%20b", "roll.call~v2@desk,x;y=1"]
 
     @on_sockets
@@ -66,7 +66,7 @@
     scenario()
 
 
-def test_an_entry_that_is_never_sound_does_not_keep_a_drain_from_being_heard(monkeypatch):
+def test_an_entry_that_stays_invalid_does_not_block_a_drain(monkeypatch):
     """An entry with a zone that is known only after a restart made the sidecar reject all later changes."""
     quick(monkeypatch)
 
@@ -91,7 +91,7 @@
     scenario()
 
 
-def test_that_a_known_upstream_drains_counts_whatever_else_is_wrong_with_its_entry(monkeypatch):
+def test_the_drain_of_a_known_upstream_is_accepted_from_an_invalid_entry(monkeypatch):
     quick(monkeypatch)
 
     @on_sockets
@@ -110,7 +110,7 @@
     scenario()
 
 
-def test_a_whole_list_with_entries_that_are_not_sound_removes_nobody_for_that(monkeypatch):
+def test_invalid_entries_of_a_complete_list_remove_no_upstream(monkeypatch):
     quick(monkeypatch)
 
     @on_sockets
@@ -135,7 +135,7 @@
 @pytest.mark.parametrize(
     "changes", [{"zones": []}, {"zones": "ab"}, {"zones": [1]}, {"zones": None}, {"az": 1}, {"az": 2**70}]
 )
-def test_settings_without_the_zone_that_they_name_start_nothing(changes):
+def test_settings_without_their_own_zone_are_rejected(changes):
     """With such settings each RPC met an IndexError, and failed."""
     assert completeness_problem(settings(zones=1, limits={"dial_timeout": 1.0, "idle_close": 1.0})) is None
     found = completeness_problem(settings(zones=1, limits={"dial_timeout": 1.0, "idle_close": 1.0}) | changes)
@@ -143,7 +143,7 @@
 
 
 @pytest.mark.parametrize("seed", range(150))
-def test_sound_settings_of_any_size_meet_no_fault(seed):
+def test_valid_settings_of_any_size_cause_no_internal_error(seed):
     """Guards against a division by zero on each RPC, with a soft deadline of two ticks or below 0.1 ms.
 
     The settings allow both; 283 of 1,500 drawn settings met the fault.
--- a/tests/sidecar/crossings/test_end.py
+++ b/tests/sidecar/crossings/test_end.py
@@ -23,7 +23,7 @@
 
 
 @pytest.mark.parametrize("kind, status", [("repeatable", 503), ("once", 502)])
-def test_what_is_in_hand_at_the_last_look_gets_its_final_answer_first(kind, status):
+def test_pending_requests_are_answered_before_the_shutdown_concludes(kind, status):
     """The process exited with these requests pending, and their clients saw a broken connection."""
 
     @on_sockets
@@ -43,7 +43,7 @@
 
 
 @on_sockets
-async def test_what_is_dialled_or_unread_at_the_last_look_is_exhausted():
+async def test_unsent_requests_are_exhausted_when_the_shutdown_concludes():
     async with Crossed(upstreams=2, methods=[PATIENT]) as world:
         world.gate.clear()
         asking = asyncio.create_task(ask(world, request(b"one")))
@@ -58,7 +58,7 @@
 
 
 @on_sockets
-async def test_a_long_answer_that_is_under_way_at_the_last_look_is_seen_to_be_cut():
+async def test_an_incomplete_long_response_is_cut_when_the_shutdown_concludes():
     async def endless(head, body):
         return b"HTTP/1.1 200 X\r\nContent-Length: 500000\r\n\r\n" + b"z" * 100_000
 
@@ -76,7 +76,7 @@
 
 
 @on_sockets
-async def test_a_second_sigterm_and_a_reload_move_the_last_look_no_more():
+async def test_a_second_sigterm_and_a_reload_do_not_postpone_the_end_of_the_shutdown():
     async with Crossed(upstreams=1, held=(0,), methods=[PATIENT]) as world:
         asking = asyncio.create_task(ask(world, request(b"one")))
         await until(lambda: world.sent() == 1)
@@ -92,7 +92,7 @@
 
 
 @on_sockets
-async def test_idle_connections_close_while_somebody_still_accepts():
+async def test_idle_connections_close_before_the_listener():
     """A request that races with the close of its connection is repeated at once, and must find a listener."""
     async with Crossed(upstreams=1) as world:
         reader, writer = await world.connect()
@@ -109,7 +109,7 @@
 
 
 @on_sockets
-async def test_requests_that_came_early_are_answered_though_the_process_leaves():
+async def test_pipelined_requests_are_answered_during_a_drain():
     """A response with `Connection: close` reset the connection, as the next request was still unread."""
     async with Crossed(upstreams=1, held=(0,)) as world:
         client = Client(world)
@@ -132,7 +132,7 @@
         await world.serving
 
 
-def test_a_reload_asked_for_before_there_was_a_loop_is_carried_out(monkeypatch):
+def test_a_reload_signal_before_the_event_loop_starts_is_handled(monkeypatch):
     @on_sockets
     async def scenario():
         monkeypatch.setattr(reload_signal, "recorded", True)
@@ -144,7 +144,7 @@
     scenario()
 
 
-def test_sighup_at_any_moment_of_a_start_ends_nothing_and_the_newest_configuration_holds(tmp_path):
+def test_sighup_during_startup_is_harmless_and_the_newest_configuration_applies(tmp_path):
     """A signal for a new configuration ended a process that was still starting.
 
     The process is started by the line `run` of the deployment, as the platform does it.
@@ -196,7 +196,7 @@
 
 
 @on_sockets
-async def test_a_kept_connection_that_closes_as_a_request_is_written_to_it_is_no_proof_that_it_ran_not():
+async def test_a_reused_connection_that_closes_during_a_write_does_not_prove_that_the_request_never_ran():
     """A request sent in part never ran; one sent in full may have run, and is not sent again."""
     cut = []
 
@@ -218,7 +218,7 @@
 
 
 @on_sockets
-async def test_dials_that_are_given_up_give_their_descriptors_back():
+async def test_abandoned_dials_release_their_descriptors():
     async with Crossed(upstreams=2, methods=[PATIENT]) as world:
         world.gate.clear()
         clients = [Client(world) for _ in range(2)]
@@ -235,7 +235,7 @@
 
 
 @on_sockets
-async def test_a_dial_stopped_in_the_pass_in_which_it_comes_up_is_closed_and_counted():
+async def test_a_dial_stopped_in_the_pass_that_opens_it_is_closed_and_counted():
     async with Crossed(upstreams=1, methods=[PATIENT]) as world:
         connections = world.sidecar.pool.connections
         direct, links = connections.direct, []
@@ -268,7 +268,7 @@
 
 
 @on_sockets
-async def test_accepting_that_fails_neither_spins_nor_floods_the_log():
+async def test_failed_accepts_neither_spin_nor_flood_the_log():
     from loguru import logger
 
     async with Crossed(upstreams=1) as world:
@@ -299,7 +299,7 @@
 
 
 @on_sockets
-async def test_a_new_configuration_in_the_middle_of_an_answer_loses_neither():
+async def test_a_reload_during_a_discovery_response_loses_neither():
     """A reload drops the watch whose response may be in transit, and requests the whole list at once."""
     async with Crossed(upstreams=2, methods=[PATIENT]) as world:
         other = await Server(
--- a/tests/sidecar/crossings/test_left.py
+++ b/tests/sidecar/crossings/test_left.py
@@ -15,7 +15,7 @@
 
 @WAYS
 @pytest.mark.parametrize("cancelling", [True, False])
-def test_while_a_connection_is_dialled_for_it(reset, cancelling):
+def test_unread_disconnect_during_a_dial(reset, cancelling):
     @on_sockets
     async def scenario():
         async with Crossed(upstreams=2, cancelling=cancelling) as world:
@@ -37,7 +37,7 @@
 
 
 @WAYS
-def test_while_a_connection_is_dialled_for_it_and_its_end_is_read(reset):
+def test_disconnect_during_a_dial(reset):
     """Even where transmissions can't be cancelled, one that has not been sent can be."""
 
     @on_sockets
@@ -59,7 +59,7 @@
 
 
 @WAYS
-def test_unread_while_the_loop_is_held_up_for_less_than_a_stall(reset):
+def test_unread_disconnect_during_a_short_stall(reset):
     @on_sockets
     async def scenario():
         async with Crossed(upstreams=2) as world:
@@ -82,7 +82,7 @@
 
 
 @WAYS
-def test_not_accepted_while_there_is_no_room(reset):
+def test_disconnect_before_the_connection_is_accepted(reset):
     @on_sockets
     async def scenario():
         async with Crossed(upstreams=2) as world:
@@ -105,7 +105,7 @@
 
 
 @WAYS
-def test_behind_an_earlier_request_of_its_connection(reset):
+def test_disconnect_behind_an_earlier_request(reset):
     @on_sockets
     async def scenario():
         async with Crossed(held=(0,)) as world:
@@ -123,7 +123,7 @@
 
 
 @WAYS
-def test_held_by_the_decisions(reset):
+def test_unread_disconnect_of_a_queued_request(reset):
     @on_sockets
     async def scenario():
         async with Crossed(held=(0,)) as world:
@@ -150,7 +150,7 @@
 
 
 @WAYS
-def test_between_two_tries(reset):
+def test_unread_disconnect_before_a_retry(reset):
     @on_sockets
     async def scenario():
         async with Crossed(upstreams=2, methods=[AGAIN], held=(0, 1)) as world:
@@ -169,7 +169,7 @@
 
 
 @on_sockets
-async def test_one_whose_client_stays_is_tried_again_elsewhere():
+async def test_a_request_whose_client_stays_is_retried_elsewhere():
     """The same race with a client that stays connected: its request is retried."""
     async with Crossed(upstreams=2, methods=[AGAIN], held=(0, 1)) as world:
         stays = Client(world)
@@ -183,7 +183,7 @@
 
 
 @WAYS
-def test_the_rest_of_a_long_one_that_is_still_to_be_sent(reset):
+def test_disconnect_before_the_rest_of_a_long_request_is_sent(reset):
     """An upstream starts to process a request only with its last byte."""
 
     @on_sockets
@@ -214,7 +214,7 @@
 
 
 @on_sockets
-async def test_nothing_is_held_against_an_upstream_for_it():
+async def test_a_disconnect_does_not_count_against_the_upstream():
     async with Crossed(cancelling=False) as world:
         told = []
         ended, load_balancing.Rpc.attempt_finished = (
--- a/tests/sidecar/crossings/test_own_faults.py
+++ b/tests/sidecar/crossings/test_own_faults.py
@@ -28,7 +28,7 @@
     return some()
 
 
-def test_in_what_is_due_it_costs_neither_what_is_behind_it_nor_an_answer():
+def test_an_internal_error_of_a_queued_rpc_leaves_the_rpcs_behind_it_unaffected():
     """An error in one of three queued RPCs left it without a response, and the two behind it waiting."""
 
     async def scenario():
@@ -60,7 +60,7 @@
     faulty(scenario, 1)
 
 
-def test_nothing_of_the_rpc_that_met_it_stays_out_or_is_held():
+def test_an_rpc_with_an_internal_error_leaves_no_transmission():
     async def scenario():
         async with Crossed(upstreams=2, held=(0, 1), methods=[AGAIN], parallel_tries=True) as world:
             balancer = world.sidecar.pool.balancer
--- a/tests/sidecar/crossings/test_watches.py
+++ b/tests/sidecar/crossings/test_watches.py
@@ -57,7 +57,7 @@
         monkeypatch.setattr(endpoint_discovery, name, value)
 
 
-def test_what_a_silent_watch_misses_is_here_before_it_counts_as_told():
+def test_changes_missed_by_a_silent_watch_arrive_before_they_count_as_delivered():
     """Missed changes count as delivered 6 s after the watch fell silent.
 
     Within that time the watch may be silent twice in a row, with a hanging connection attempt in between.
@@ -72,7 +72,7 @@
     assert endpoint_discovery.FIRST_WATCH_WAIT_MS / 1000 + endpoint_discovery.SILENCE_TIMEOUT_S < 1.5
 
 
-def test_a_watch_that_falls_silent_twice_running_is_opened_anew_each_time(monkeypatch):
+def test_a_watch_that_is_silent_twice_in_a_row_is_reopened_each_time(monkeypatch):
     quick(monkeypatch)
 
     @on_sockets
@@ -93,7 +93,7 @@
     scenario()
 
 
-def test_a_call_that_may_not_wait_is_not_waited_for(monkeypatch):
+def test_a_call_without_a_wait_has_a_short_timeout(monkeypatch):
     """A reload requests the whole list, without a wait; that call was given the timeout of a watch."""
     monkeypatch.setattr(endpoint_discovery, "SILENCE_TIMEOUT_S", 0.15)
 
@@ -110,7 +110,7 @@
     scenario()
 
 
-def test_an_answer_that_stops_or_never_ends_is_given_up(monkeypatch):
+def test_a_response_that_stops_or_never_ends_times_out(monkeypatch):
     quick(monkeypatch)
 
     @on_sockets
@@ -148,7 +148,7 @@
     scenario()
 
 
-def test_where_calls_wait_in_turn_a_first_one_is_waited_for_and_a_crowd_is_given_time(monkeypatch):
+def test_where_calls_queue_the_first_timeout_and_the_backoff_are_long(monkeypatch):
     """Calls that had been given up were still served first, so that none was served in time.
 
     43 of 60 sidecars had no list after 20 s. After each rejection a sidecar waits longer for its next call.
@@ -197,7 +197,7 @@
             await sleep(0.002)
 
 
-def test_a_connection_to_discovery_that_never_comes_up_is_given_up(monkeypatch):
+def test_a_connection_to_discovery_that_never_opens_times_out(monkeypatch):
     monkeypatch.setattr(endpoint_discovery, "SILENCE_TIMEOUT_S", 0.15)
 
     @on_sockets
@@ -228,7 +228,7 @@
     scenario()
 
 
-def test_a_fault_of_our_own_does_not_end_the_watch():
+def test_an_internal_error_does_not_end_the_watch():
     async def scenario():
         async with Crossed(upstreams=2) as world:
             pool = world.sidecar.pool
@@ -253,7 +253,7 @@
 
 
 @on_sockets
-async def test_a_dial_that_comes_up_after_a_drain_was_told_sends_nothing_there():
+async def test_a_dial_that_opens_after_a_drain_sends_nothing():
     async with Crossed(upstreams=2, methods=[PATIENT]) as world:
         world.gate.clear()
         asking = asyncio.create_task(ask(world, request(b"one")))
@@ -270,7 +270,7 @@
 
 
 @on_sockets
-async def test_a_dial_that_comes_up_after_its_upstream_moved_sends_nothing_there():
+async def test_a_dial_that_opens_after_its_upstream_moved_sends_nothing():
     async with Crossed(upstreams=1, methods=[PATIENT]) as world:
         world.gate.clear()
         asking = asyncio.create_task(ask(world, request(b"one")))
@@ -287,7 +287,7 @@
 
 
 @on_sockets
-async def test_a_drain_that_is_gathered_with_the_request_comes_first():
+async def test_a_drain_gathered_with_a_request_is_applied_first():
     """Both events are ready in one pass; an upstream chosen before the drain is applied is not dialled."""
     met = 0
     for drained in range(2):  # one of the two is the first choice
@@ -317,7 +317,7 @@
 
 
 @on_sockets
-async def test_a_dial_whose_time_is_over_as_it_comes_up_sends_nothing():
+async def test_a_dial_that_opens_after_its_deadline_sends_nothing():
     async with Crossed(upstreams=1, methods=[method("once", soft=200.0, hard=200.0)]) as world:
         pool = world.sidecar.pool
         world.gate.clear()
@@ -332,7 +332,7 @@
 
 
 @on_sockets
-async def test_a_host_that_is_no_name_ends_its_transmission_at_once():
+async def test_an_invalid_host_name_ends_the_transmission_at_once():
     """The error ended the connect task, and the transmission did not end before its time limit."""
     async with Crossed(upstreams=1, methods=[PATIENT]) as world:
         await world.tell({**world.entry(0), "hostPort": "a..b:80"})
