--- a/tests/buffers/test_ring.py
+++ b/tests/buffers/test_ring.py
@@ -2,7 +2,7 @@
 
 import pytest
 from hypothesis import given, seed
-from hypothesis import settings as run
+from hypothesis import settings as hypothesis_settings
 from hypothesis import strategies as st
 
 from shedgrade.buffers.ring import Ring, RingFullError
@@ -15,16 +15,16 @@
 
 
 @seed(1)
-@run(max_examples=300, derandomize=True, deadline=None, database=None)
+@hypothesis_settings(max_examples=300, derandomize=True, deadline=None, database=None)
 @given(st.lists(STEP, max_size=40))
 def test_a_ring_is_a_queue_of_bytes_and_views_stay_valid(steps):
-    ring, model, fresh, views = Ring(16, 128), b"", 0, []
-    for what, value in steps:
-        if what == "consume":
+    ring, model, next_byte, views = Ring(16, 128), b"", 0, []
+    for operation, value in steps:
+        if operation == "consume":
             value = min(value, len(model))
             ring.consume(value)
             model, views = model[value:], []  # views of consumed bytes may be overwritten
-        elif what == "put":
+        elif operation == "put":
             if len(model) + len(value) > 128:
                 with pytest.raises(RingFullError):
                     ring.put(value)
@@ -35,8 +35,8 @@
             space = ring.space()
             assert len(space) > 0
             count = min(value, len(space))
-            data = bytes((fresh + n) % 256 for n in range(count))
-            fresh += count
+            data = bytes((next_byte + n) % 256 for n in range(count))
+            next_byte += count
             space[:count] = data
             ring.filled(count)
             model += data
@@ -44,6 +44,6 @@
         assert len(ring) == len(model) and b"".join(ring.parts()) == model
         assert b"".join(ring.parts(len(model) // 2)) == model[len(model) // 2 :]
         views.append((ring.parts(), model))
-        assert all(b"".join(parts) == then for parts, then in views)
+        assert all(b"".join(parts) == content for parts, content in views)
     ring.consume(len(model))
     assert len(ring.storage) == 16
--- a/tests/sidecar/crossings/crossing_peers.py
+++ b/tests/sidecar/crossings/crossing_peers.py
@@ -9,17 +9,19 @@
 
 from helpers import World, message, request, until
 
-PIECE = 8 * 1024  # bytes of each write; small, so that the last one and a FIN fit into the kernel's buffer
+WRITE_BYTES = (
+    8 * 1024
+)  # bytes of each write; small, so that the last one and a FIN fit into the kernel's buffer
 
 
-class Crossed(World):
-    """A sidecar that opens connections once `gate` is set; its upstreams respond once `release` is set."""
+class RaceWorld(World):
+    """A sidecar that dials once `dial_gate` is set; its upstreams respond once `release` is set."""
 
     def __init__(self, upstreams=1, held=(), **more):
         """`held`: numbers of the upstreams that wait for `release`."""
         super().__init__(*(self.script(number in held) for number in range(upstreams)), **more)
-        self.gate, self.release, self.dialled = asyncio.Event(), asyncio.Event(), []
-        self.gate.set()
+        self.dial_gate, self.release, self.dialled = asyncio.Event(), asyncio.Event(), []
+        self.dial_gate.set()
 
     def script(self, held):
         async def answer(head, body):
@@ -35,7 +37,7 @@
 
         async def late(factory, address):
             self.dialled.append(address)
-            await self.gate.wait()
+            await self.dial_gate.wait()
             return await connect(factory, address)
 
         connections.connect = late
@@ -43,7 +45,7 @@
     def bodies(self):
         return [body for upstream in self.upstreams for _, body in upstream.seen]
 
-    async def quiet(self):
+    async def wait_until_idle(self):
         """Waits until no request is active and all gathered events are handled."""
         await until(lambda: not self.sidecar.pool.dispatcher.active_requests)
         await until(lambda: not any(getattr(one, "unread", bool)() for one in self.sidecar.front.clients))
@@ -67,12 +69,12 @@
     async def flood(self, world, raw):
         """Sends `raw` and further requests until the sidecar stops reading; a disconnect stays unread."""
         self.send(raw)
-        ahead = request(b"x" * (PIECE - 200), name="ahead")
+        ahead = request(b"x" * (WRITE_BYTES - 200), name="ahead")
         while not any(one.reading_paused for one in world.sidecar.front.clients):
             self.send(ahead)
             await asyncio.sleep(0.005)
 
-    def leave(self, reset):
+    def disconnect(self, reset):
         if reset:
             self.socket.setsockopt(socket.SOL_SOCKET, socket.SO_LINGER, struct.pack("ii", 1, 0))
         self.socket.close()
--- a/tests/sidecar/crossings/test_close.py
+++ b/tests/sidecar/crossings/test_close.py
@@ -4,7 +4,7 @@
 import socket
 
 import pytest
-from crossing_peers import Crossed
+from crossing_peers import RaceWorld
 from helpers import PATIENT, message, on_sockets, read_message, request, until
 
 from shedgrade.http.connection_pool import SETTLE_TIME
@@ -17,7 +17,7 @@
 
     @on_sockets
     async def scenario():
-        async with Crossed(upstreams=1, methods=[PATIENT]) as world:
+        async with RaceWorld(upstreams=1, methods=[PATIENT]) as world:
             release = asyncio.Event()
 
             async def answer(head, body):
--- a/tests/sidecar/crossings/test_customers.py
+++ b/tests/sidecar/crossings/test_customers.py
@@ -3,9 +3,9 @@
 import random
 
 import pytest
-from crossing_peers import Crossed
+from crossing_peers import RaceWorld
 from helpers import PATIENT, ask, method, on_sockets, request, row, settings, until
-from test_watches import Asked, quick
+from test_watches import DiscoveryWorld, shorten_timeouts
 
 from shedgrade import load_balancing
 from shedgrade.http import endpoint_discovery
@@ -19,7 +19,7 @@
 
     @on_sockets
     async def scenario():
-        async with Crossed(upstreams=1, methods=[PATIENT]) as world:
+        async with RaceWorld(upstreams=1, methods=[PATIENT]) as world:
             conf = {**world.conf, "customers": TENANTS}
             world.sidecar.pool.retuned(conf)
             balancer, tenants = world.sidecar.pool.balancer, []
@@ -48,7 +48,7 @@
 
     @on_sockets
     async def scenario():
-        async with Crossed(upstreams=1, methods=[{**PATIENT, "name": name} for name in names]) as world:
+        async with RaceWorld(upstreams=1, methods=[{**PATIENT, "name": name} for name in names]) as world:
             for number, path in enumerate(
                 (
                     "hold%20seat",
@@ -68,13 +68,13 @@
 
 def test_an_entry_that_stays_invalid_does_not_block_a_drain(monkeypatch):
     """An entry with a zone that is known only after a restart made the sidecar reject all later changes."""
-    quick(monkeypatch)
+    shorten_timeouts(monkeypatch)
 
     @on_sockets
     async def scenario():
-        async with Asked(upstreams=2) as world:
+        async with DiscoveryWorld(upstreams=2) as world:
             far = {**world.entry(1), "instanceId": "s-far", "zone": "of-a-later-start"}
-            change = world.listing(far, 7, {}, world.entry(0, "terminating"), generation=2)
+            change = world.list_response(far, 7, {}, world.entry(0, "terminating"), generation=2)
             world.agent.answers += [change] * 12
             await until(lambda: world.sidecar.pool.reader.version == 2)
             await until(lambda: not world.sidecar.pool.balancer.upstreams[0].listed)
@@ -92,12 +92,12 @@
 
 
 def test_the_drain_of_a_known_upstream_is_accepted_from_an_invalid_entry(monkeypatch):
-    quick(monkeypatch)
+    shorten_timeouts(monkeypatch)
 
     @on_sockets
     async def scenario():
-        async with Asked(upstreams=2, methods=[method("once", soft=2e4, hard=2e4)]) as world:
-            change = world.listing(
+        async with DiscoveryWorld(upstreams=2, methods=[method("once", soft=2e4, hard=2e4)]) as world:
+            change = world.list_response(
                 {**world.entry(0, "terminating"), "zone": "nowhere", "weight": "much"},
                 {**world.entry(1), "hostPort": "nowhere"},
                 generation=2,
@@ -111,12 +111,12 @@
 
 
 def test_invalid_entries_of_a_complete_list_remove_no_upstream(monkeypatch):
-    quick(monkeypatch)
+    shorten_timeouts(monkeypatch)
 
     @on_sockets
     async def scenario():
-        async with Asked(upstreams=2) as world:
-            change = world.listing(
+        async with DiscoveryWorld(upstreams=2) as world:
+            change = world.list_response(
                 {**world.entry(0), "zone": "nowhere"},
                 world.entry(1, "terminating"),
                 {"instanceId": 7},
--- a/tests/sidecar/crossings/test_end.py
+++ b/tests/sidecar/crossings/test_end.py
@@ -12,7 +12,7 @@
 import orjson
 import pytest
 from addresses import free_address, host_port
-from crossing_peers import Client, Crossed
+from crossing_peers import Client, RaceWorld
 from helpers import PATIENT, SILENT, Server, ask, message, method, on_sockets, read_message, request, until
 
 from shedgrade.sidecar.lifecycle import reload_signal, shutdown
@@ -28,7 +28,7 @@
 
     @on_sockets
     async def scenario():
-        async with Crossed(upstreams=2, held=(0, 1), methods=[method(kind, soft=2e4, hard=2e4)]) as world:
+        async with RaceWorld(upstreams=2, held=(0, 1), methods=[method(kind, soft=2e4, hard=2e4)]) as world:
             asking = [asyncio.create_task(ask(world, request(b"one", name=name))) for name in ("a1", "a2")]
             await until(lambda: world.sent() == 2)
             world.sidecar.pool.longest = -shutdown.CONCLUDE_AFTER_S + 0.1
@@ -44,8 +44,8 @@
 
 @on_sockets
 async def test_unsent_requests_are_exhausted_when_the_shutdown_concludes():
-    async with Crossed(upstreams=2, methods=[PATIENT]) as world:
-        world.gate.clear()
+    async with RaceWorld(upstreams=2, methods=[PATIENT]) as world:
+        world.dial_gate.clear()
         asking = asyncio.create_task(ask(world, request(b"one")))
         await until(lambda: world.dialled)
         world.sidecar.drain()
@@ -62,7 +62,7 @@
     async def endless(head, body):
         return b"HTTP/1.1 200 X\r\nContent-Length: 500000\r\n\r\n" + b"z" * 100_000
 
-    async with Crossed(upstreams=1, methods=[PATIENT]) as world:
+    async with RaceWorld(upstreams=1, methods=[PATIENT]) as world:
         world.upstreams[0].script = endless
         reader, writer = await world.connect()
         writer.write(request(b"one"))
@@ -77,7 +77,7 @@
 
 @on_sockets
 async def test_a_second_sigterm_and_a_reload_do_not_postpone_the_end_of_the_shutdown():
-    async with Crossed(upstreams=1, held=(0,), methods=[PATIENT]) as world:
+    async with RaceWorld(upstreams=1, held=(0,), methods=[PATIENT]) as world:
         asking = asyncio.create_task(ask(world, request(b"one")))
         await until(lambda: world.sent() == 1)
         world.sidecar.drain()
@@ -94,7 +94,7 @@
 @on_sockets
 async def test_idle_connections_close_before_the_listener():
     """A request that races with the close of its connection is repeated at once, and must find a listener."""
-    async with Crossed(upstreams=1) as world:
+    async with RaceWorld(upstreams=1) as world:
         reader, writer = await world.connect()
         assert (await ask(world, request(b"one"), (reader, writer)))[0] == 200
         closed = []
@@ -111,7 +111,7 @@
 @on_sockets
 async def test_pipelined_requests_are_answered_during_a_drain():
     """A response with `Connection: close` reset the connection, as the next request was still unread."""
-    async with Crossed(upstreams=1, held=(0,)) as world:
+    async with RaceWorld(upstreams=1, held=(0,)) as world:
         client = Client(world)
         client.send(request(b"one", name="a1"))
         await until(lambda: world.sent() == 1)
@@ -138,7 +138,7 @@
         monkeypatch.setattr(reload_signal, "recorded", True)
         reloads = []
         monkeypatch.setattr(lifecycle.Sidecar, "reload", lambda sidecar: reloads.append(sidecar.phase))
-        async with Crossed(upstreams=1):
+        async with RaceWorld(upstreams=1):
             assert reloads == [Phase.SERVING]
 
     scenario()
@@ -160,7 +160,7 @@
         "discovery": "127.0.0.1:1",
         "seed": "1f",
         "limits": {"sockets": 1024, "memory_mb": 192},
-        "settings": Crossed().conf,
+        "settings": RaceWorld().conf,
         "known": {"generation": 1, "reset": True, "instances": []},
     }
     path.write_bytes(orjson.dumps(text))
@@ -204,7 +204,7 @@
         cut.append(body)
         return message(200, body) if len(cut) != 2 else SILENT
 
-    async with Crossed(upstreams=1, methods=[PATIENT]) as world:
+    async with RaceWorld(upstreams=1, methods=[PATIENT]) as world:
         world.upstreams[0].script = late
         reader, writer = await world.connect()
         assert (await ask(world, request(b"one"), (reader, writer)))[0] == 200
@@ -219,8 +219,8 @@
 
 @on_sockets
 async def test_abandoned_dials_release_their_descriptors():
-    async with Crossed(upstreams=2, methods=[PATIENT]) as world:
-        world.gate.clear()
+    async with RaceWorld(upstreams=2, methods=[PATIENT]) as world:
+        world.dial_gate.clear()
         clients = [Client(world) for _ in range(2)]
         for number, client in enumerate(clients):
             client.send(request(b"gone", name=f"g{number}"))
@@ -228,7 +228,7 @@
         budget = world.sidecar.budget
         assert budget.upstreams >= 1
         for client in clients:
-            client.leave(True)
+            client.disconnect(True)
         await until(lambda: not world.sidecar.pool.dispatcher.active_requests)
         await until(lambda: not world.sidecar.pool.connections.connecting)
         assert budget.upstreams == 0
@@ -236,7 +236,7 @@
 
 @on_sockets
 async def test_a_dial_stopped_in_the_pass_that_opens_it_is_closed_and_counted():
-    async with Crossed(upstreams=1, methods=[PATIENT]) as world:
+    async with RaceWorld(upstreams=1, methods=[PATIENT]) as world:
         connections = world.sidecar.pool.connections
         direct, links = connections.direct, []
 
@@ -263,7 +263,7 @@
         await until(lambda: links)
         await until(lambda: world.upstreams[0].connections == 1 and not world.upstreams[0].writers)
         assert not (connections.open or connections.connecting or world.sidecar.budget.upstreams)
-        client.leave(True)
+        client.disconnect(True)
         assert not world.bodies()
 
 
@@ -271,7 +271,7 @@
 async def test_failed_accepts_neither_spin_nor_flood_the_log():
     from loguru import logger
 
-    async with Crossed(upstreams=1) as world:
+    async with RaceWorld(upstreams=1) as world:
         lines = []
         sink = logger.add(lines.append, level="WARNING", format="{message}")
         listener = world.sidecar.listener
@@ -301,7 +301,7 @@
 @on_sockets
 async def test_a_reload_during_a_discovery_response_loses_neither():
     """A reload drops the watch whose response may be in transit, and requests the whole list at once."""
-    async with Crossed(upstreams=2, methods=[PATIENT]) as world:
+    async with RaceWorld(upstreams=2, methods=[PATIENT]) as world:
         other = await Server(
             lambda head, _: (
                 message(
--- a/tests/sidecar/crossings/test_left.py
+++ b/tests/sidecar/crossings/test_left.py
@@ -4,65 +4,65 @@
 import time
 
 import pytest
-from crossing_peers import Client, Crossed
+from crossing_peers import Client, RaceWorld
 from helpers import PATIENT, ask, method, on_sockets, request, until
 
 from shedgrade import load_balancing
 
-AGAIN = method("repeatable", soft=2e4, hard=2e4)
-WAYS = pytest.mark.parametrize("reset", [False, True], ids=["fin", "rst"])
+REPEATABLE = method("repeatable", soft=2e4, hard=2e4)
+WITH_FIN_AND_RESET = pytest.mark.parametrize("reset", [False, True], ids=["fin", "rst"])
 
 
-@WAYS
+@WITH_FIN_AND_RESET
 @pytest.mark.parametrize("cancelling", [True, False])
 def test_unread_disconnect_during_a_dial(reset, cancelling):
     @on_sockets
     async def scenario():
-        async with Crossed(upstreams=2, cancelling=cancelling) as world:
-            world.gate.clear()
+        async with RaceWorld(upstreams=2, cancelling=cancelling) as world:
+            world.dial_gate.clear()
             gone, stays = Client(world), Client(world)
             await gone.flood(world, request(b"gone", name="g"))
             stays.send(request(b"stays", name="s"))
             await until(lambda: len(world.dialled) == 2)
-            gone.leave(reset)
+            gone.disconnect(reset)
             await asyncio.sleep(0.05)
-            world.gate.set()
+            world.dial_gate.set()
             await until(lambda: b"stays" in world.bodies())
-            await world.quiet()
+            await world.wait_until_idle()
             assert world.bodies() == [b"stays"]
             assert not world.sidecar.pool.balancer.in_flight
-            stays.leave(False)
+            stays.disconnect(False)
 
     scenario()
 
 
-@WAYS
+@WITH_FIN_AND_RESET
 def test_disconnect_during_a_dial(reset):
     """Even where transmissions can't be cancelled, one that has not been sent can be."""
 
     @on_sockets
     async def scenario():
-        async with Crossed(cancelling=False) as world:
-            world.gate.clear()
+        async with RaceWorld(cancelling=False) as world:
+            world.dial_gate.clear()
             gone = Client(world)
             gone.send(request(b"gone", name="g"))
             await until(lambda: world.dialled)
-            gone.leave(reset)
+            gone.disconnect(reset)
             await until(lambda: not world.sidecar.pool.dispatcher.active_requests)
-            world.gate.set()
+            world.dial_gate.set()
             await until(lambda: not world.sidecar.pool.connections.connecting)
-            await world.quiet()
+            await world.wait_until_idle()
             assert world.bodies() == [] and not world.sidecar.pool.balancer.in_flight
             assert (await ask(world))[0] == 200
 
     scenario()
 
 
-@WAYS
+@WITH_FIN_AND_RESET
 def test_unread_disconnect_during_a_short_stall(reset):
     @on_sockets
     async def scenario():
-        async with Crossed(upstreams=2) as world:
+        async with RaceWorld(upstreams=2) as world:
             for number in range(2):  # an idle connection to each upstream, so that none is opened below
                 assert (await ask(world, request(name=f"w{number}")))[0] == 200
             await asyncio.sleep(0.3)
@@ -70,22 +70,22 @@
             await until(lambda: len(world.sidecar.front.clients) == 201)
             for number, one in enumerate(gone):
                 one.send(request(b"gone", name=f"g{number}"))
-                one.leave(reset)
+                one.disconnect(reset)
             stays.send(request(b"stays", name="s"))
             time.sleep(0.4)  # stalls the whole process, as SIGSTOP does
             await until(lambda: b"stays" in world.bodies())
-            await world.quiet()
+            await world.wait_until_idle()
             assert b"gone" not in world.bodies()
-            stays.leave(False)
+            stays.disconnect(False)
 
     scenario()
 
 
-@WAYS
+@WITH_FIN_AND_RESET
 def test_disconnect_before_the_connection_is_accepted(reset):
     @on_sockets
     async def scenario():
-        async with Crossed(upstreams=2) as world:
+        async with RaceWorld(upstreams=2) as world:
             for number in range(2):
                 assert (await ask(world, request(name=f"w{number}")))[0] == 200
             await asyncio.sleep(0.01)
@@ -93,40 +93,40 @@
             gone, stays = [Client(world) for _ in range(200)], Client(world)
             for number, one in enumerate(gone):
                 one.send(request(b"gone", name=f"g{number}"))
-                one.leave(reset)
+                one.disconnect(reset)
             stays.send(request(b"stays", name="s"))
             world.sidecar.listener.resume()
             await until(lambda: b"stays" in world.bodies())
-            await world.quiet()
+            await world.wait_until_idle()
             assert b"gone" not in world.bodies()
-            stays.leave(False)
+            stays.disconnect(False)
 
     scenario()
 
 
-@WAYS
+@WITH_FIN_AND_RESET
 def test_disconnect_behind_an_earlier_request(reset):
     @on_sockets
     async def scenario():
-        async with Crossed(held=(0,)) as world:
+        async with RaceWorld(held=(0,)) as world:
             gone = Client(world)
             await gone.flood(world, request(b"first", name="f") + request(b"second", name="s"))
             await until(lambda: world.sent() == 1)
-            gone.leave(reset)
+            gone.disconnect(reset)
             await asyncio.sleep(0.05)
             world.release.set()
-            await world.quiet()
+            await world.wait_until_idle()
             assert world.bodies() == [b"first"]
             await until(lambda: not world.sidecar.front.clients)
 
     scenario()
 
 
-@WAYS
+@WITH_FIN_AND_RESET
 def test_unread_disconnect_of_a_queued_request(reset):
     @on_sockets
     async def scenario():
-        async with Crossed(held=(0,)) as world:
+        async with RaceWorld(held=(0,)) as world:
             balancer = world.sidecar.pool.balancer
             world.release.set()
             for number in range(20):  # requests queue only for upstreams known to be fast
@@ -138,31 +138,31 @@
             gone = Client(world)
             await gone.flood(world, request(b"gone", name="g"))
             await until(lambda: balancer.queue)
-            gone.leave(reset)
+            gone.disconnect(reset)
             await asyncio.sleep(0.05)
             balancer.choose_upstream = choose
             world.release.set()
             assert (await first)[0] == 200
-            await world.quiet()
+            await world.wait_until_idle()
             assert set(world.bodies()) == {b"first"} and not balancer.in_flight
 
     scenario()
 
 
-@WAYS
+@WITH_FIN_AND_RESET
 def test_unread_disconnect_before_a_retry(reset):
     @on_sockets
     async def scenario():
-        async with Crossed(upstreams=2, methods=[AGAIN], held=(0, 1)) as world:
+        async with RaceWorld(upstreams=2, methods=[REPEATABLE], held=(0, 1)) as world:
             gone = Client(world)
             await gone.flood(world, request(b"gone", name="g"))
             await until(lambda: world.sent() == 1)
-            gone.leave(reset)
+            gone.disconnect(reset)
             await asyncio.sleep(0.05)
             for upstream in world.upstreams:  # the connection breaks, and the request would be retried
                 for writer in list(upstream.writers):
                     writer.transport.abort()
-            await world.quiet()
+            await world.wait_until_idle()
             assert world.bodies() == [b"gone"] and not world.sidecar.pool.balancer.in_flight
 
     scenario()
@@ -171,7 +171,7 @@
 @on_sockets
 async def test_a_request_whose_client_stays_is_retried_elsewhere():
     """The same race with a client that stays connected: its request is retried."""
-    async with Crossed(upstreams=2, methods=[AGAIN], held=(0, 1)) as world:
+    async with RaceWorld(upstreams=2, methods=[REPEATABLE], held=(0, 1)) as world:
         stays = Client(world)
         await stays.flood(world, request(b"stays", name="g"))
         await until(lambda: world.sent() == 1)
@@ -179,17 +179,17 @@
             for writer in list(upstream.writers):
                 writer.transport.abort()
         await until(lambda: world.bodies().count(b"stays") == 2)
-        stays.leave(True)
+        stays.disconnect(True)
 
 
-@WAYS
+@WITH_FIN_AND_RESET
 def test_disconnect_before_the_rest_of_a_long_request_is_sent(reset):
     """An upstream starts to process a request only with its last byte."""
 
     @on_sockets
     async def scenario():
-        async with Crossed(methods=[PATIENT]) as world:
-            world.gate.clear()
+        async with RaceWorld(methods=[PATIENT]) as world:
+            world.dial_gate.clear()
             gone = Client(world)
             raw = request(b"y" * 200_000, name="g")
             sent = 0
@@ -203,11 +203,11 @@
             await until(lambda: world.dialled)
             link = next(iter(world.sidecar.front.clients))
             await until(lambda: link.reading_paused or link.flow is None or link.flow.full())
-            gone.leave(reset)
+            gone.disconnect(reset)
             await asyncio.sleep(0.05)
-            world.gate.set()
+            world.dial_gate.set()
             await until(lambda: not world.sidecar.pool.dispatcher.active_requests)
-            await world.quiet()
+            await world.wait_until_idle()
             assert world.bodies() == [] and not world.sidecar.pool.balancer.in_flight
 
     scenario()
@@ -215,7 +215,7 @@
 
 @on_sockets
 async def test_a_disconnect_does_not_count_against_the_upstream():
-    async with Crossed(cancelling=False) as world:
+    async with RaceWorld(cancelling=False) as world:
         told = []
         ended, load_balancing.Rpc.attempt_finished = (
             load_balancing.Rpc.attempt_finished,
@@ -224,13 +224,13 @@
             ],
         )
         try:
-            world.gate.clear()
+            world.dial_gate.clear()
             gone = Client(world)
             gone.send(request(b"gone", name="g"))
             await until(lambda: world.dialled)
-            gone.leave(False)
+            gone.disconnect(False)
             await until(lambda: not world.sidecar.pool.dispatcher.active_requests)
-            world.gate.set()
+            world.dial_gate.set()
             await until(lambda: told)
             assert told == [load_balancing.UNSENT]
         finally:
--- a/tests/sidecar/crossings/test_own_faults.py
+++ b/tests/sidecar/crossings/test_own_faults.py
@@ -3,13 +3,13 @@
 import asyncio
 
 import pytest
-from crossing_peers import Crossed
+from crossing_peers import RaceWorld
 from helpers import PATIENT, ask, method, on_sockets, request, until
 
-AGAIN = method("repeatable", soft=2e4, hard=2e4)
+REPEATABLE = method("repeatable", soft=2e4, hard=2e4)
 
 
-def faulty(scenario, times):
+def run_with_internal_errors(scenario, times):
     """Runs the scenario, which must log `times` errors in `decide` and nothing else."""
     with pytest.raises(AssertionError) as found:
         on_sockets(scenario)()
@@ -18,36 +18,36 @@
     assert all("dispatch step failed" in one and "'step': 'decide'" in one for one in lines), lines
 
 
-def warm(world):
-    async def some():
+def send_warmup_requests(world):
+    async def send():
         world.release.set()
         for number in range(20):
             assert (await ask(world, request(b"w", name=f"w{number}")))[0] == 200
         world.release.clear()
 
-    return some()
+    return send()
 
 
 def test_an_internal_error_of_a_queued_rpc_leaves_the_rpcs_behind_it_unaffected():
     """An error in one of three queued RPCs left it without a response, and the two behind it waiting."""
 
     async def scenario():
-        async with Crossed(upstreams=1, held=(0,), methods=[PATIENT]) as world:
+        async with RaceWorld(upstreams=1, held=(0,), methods=[PATIENT]) as world:
             balancer = world.sidecar.pool.balancer
-            await warm(world)
+            await send_warmup_requests(world)
             first = asyncio.create_task(ask(world, request(b"first", name="f")))
             await until(lambda: world.sent() == 21)
-            balancer.choose_upstream, choose = lambda now, rpc, stay: None, balancer.choose_upstream
+            balancer.choose_upstream, choose_upstream = lambda now, rpc, stay: None, balancer.choose_upstream
             rest = [asyncio.create_task(ask(world, request(b"h", name=name))) for name in ("h1", "h2", "h3")]
             await until(lambda: len(balancer.queue) == 3)
-            poor = balancer.queue[0][3]
+            failing_rpc = balancer.queue[0][3]
 
-            def broken(now, rpc, stay):
-                if rpc is poor:
+            def fail_for_one(now, rpc, stay):
+                if rpc is failing_rpc:
                     raise ZeroDivisionError
-                return choose(now, rpc, stay)
+                return choose_upstream(now, rpc, stay)
 
-            balancer.choose_upstream = broken
+            balancer.choose_upstream = fail_for_one
             world.release.set()
             answers = sorted([(await one)[0] for one in (first, *rest)])
             assert answers == [200, 200, 200, 502]
@@ -57,35 +57,35 @@
                 and not world.sidecar.pool.dispatcher.active_requests
             )
 
-    faulty(scenario, 1)
+    run_with_internal_errors(scenario, 1)
 
 
 def test_an_rpc_with_an_internal_error_leaves_no_transmission():
     async def scenario():
-        async with Crossed(upstreams=2, held=(0, 1), methods=[AGAIN], parallel_tries=True) as world:
+        async with RaceWorld(upstreams=2, held=(0, 1), methods=[REPEATABLE], parallel_tries=True) as world:
             balancer = world.sidecar.pool.balancer
             asking = asyncio.create_task(ask(world, request(b"one")))
             await until(lambda: world.sent() == 1)
             active_request = next(iter(world.sidecar.pool.dispatcher.active_requests.requests))
-            rpc, active_request.rpc = active_request.rpc, Broken(active_request.rpc)
+            rpc, active_request.rpc = active_request.rpc, FailingRpc(active_request.rpc)
             world.sidecar.pool.dispatcher.gather(world.sidecar.pool.dispatcher.decide, active_request)
             assert (await asking)[0] == 502
             await until(lambda: not balancer.in_flight)
             assert rpc.done and not active_request.transmissions
             await until(lambda: not world.sidecar.pool.connections.open)  # the transmission was stopped
 
-    faulty(scenario, 1)
+    run_with_internal_errors(scenario, 1)
 
 
-class Broken:
+class FailingRpc:
     """Wraps an RPC whose next decision fails."""
 
     def __init__(self, rpc):
-        self.rpc, self.times = rpc, 1
+        self.rpc, self.failures_left = rpc, 1
 
     def __getattr__(self, name):
         return getattr(self.rpc, name)
 
     def decide(self, now):
-        self.times -= 1
-        return self.rpc.decide(now) if self.times < 0 else 1 / 0
+        self.failures_left -= 1
+        return self.rpc.decide(now) if self.failures_left < 0 else 1 / 0
--- a/tests/sidecar/crossings/test_watches.py
+++ b/tests/sidecar/crossings/test_watches.py
@@ -5,14 +5,14 @@
 import json
 import re
 
-from crossing_peers import Client, Crossed
+from crossing_peers import Client, RaceWorld
 from helpers import PATIENT, SILENT, Server, ask, message, method, on_sockets, request, until
 from loguru import logger
 
 from shedgrade.http import endpoint_discovery
 
 
-class Agent:
+class ScriptedAgent:
     """Scripted discovery: responds to each call with the next answer or its return value, then is silent."""
 
     def __init__(self, world, *answers):
@@ -27,32 +27,32 @@
         return await answer if asyncio.iscoroutine(answer) else answer
 
 
-def waits(call):
+def requested_wait_ms(call):
     found = re.search(r"wait_ms=(\d+)", call)
     return int(found[1]) if found else None
 
 
-class Asked(Crossed):
-    """A sidecar whose discovery is an `Agent`, with timeouts short enough for a test."""
+class DiscoveryWorld(RaceWorld):
+    """A sidecar whose discovery is a `ScriptedAgent`, with timeouts short enough for a test."""
 
     def __init__(self, *answers, **more):
         super().__init__(**more)
-        self.agent = Agent(self, *answers)
+        self.agent = ScriptedAgent(self, *answers)
 
     def discover(self, head, body):
         self.watches += 1
         return self.agent(head, body)
 
-    def listing(self, *entries, reset=False, generation=1):
+    def list_response(self, *entries, reset=False, generation=1):
         return message(
             200, json.dumps({"generation": generation, "reset": reset, "instances": list(entries)}).encode()
         )
 
-    def whole(self, call=""):
-        return self.listing(*(self.entry(number) for number in range(len(self.upstreams))), reset=True)
+    def complete_list(self, call=""):
+        return self.list_response(*(self.entry(number) for number in range(len(self.upstreams))), reset=True)
 
 
-def quick(monkeypatch):
+def shorten_timeouts(monkeypatch):
     for name, value in (("WATCH_WAIT_MS", 200), ("SILENCE_TIMEOUT_S", 0.15), ("COMPLETE_TIMEOUT_S", 0.4)):
         monkeypatch.setattr(endpoint_discovery, name, value)
 
@@ -73,19 +73,19 @@
 
 
 def test_a_watch_that_is_silent_twice_in_a_row_is_reopened_each_time(monkeypatch):
-    quick(monkeypatch)
+    shorten_timeouts(monkeypatch)
 
     @on_sockets
     async def scenario():
-        async with Asked(upstreams=2) as world:
-            drained = world.listing(world.entry(0, "terminating"), generation=2)
+        async with DiscoveryWorld(upstreams=2) as world:
+            drained = world.list_response(world.entry(0, "terminating"), generation=2)
             world.agent.answers += [SILENT, SILENT, drained]
             before = len(world.agent.calls)
             await until(lambda: not world.sidecar.pool.balancer.upstreams[0].listed)
             assert world.sidecar.pool.reader.version == 2
             # Calls after a failure wait only for a short time, to show whether the agent responds.
             assert all(
-                waits(call) == endpoint_discovery.FIRST_WATCH_WAIT_MS
+                requested_wait_ms(call) == endpoint_discovery.FIRST_WATCH_WAIT_MS
                 for call in world.agent.calls[before + 1 : before + 3]
             )
             assert world.discovery.connections >= 3
@@ -99,24 +99,27 @@
 
     @on_sockets
     async def scenario():
-        async with Asked(upstreams=1) as world:
+        async with DiscoveryWorld(upstreams=1) as world:
             host, port = world.discovery.address.split(":")
-            world.agent.answers += [SILENT, world.whole]
+            world.agent.answers += [SILENT, world.complete_list]
             before = len(world.agent.calls)
             world.sidecar.pool.move((host, int(port)))
             await until(lambda: world.sidecar.pool.reader.version == 1)
-            assert [waits(call) for call in world.agent.calls[before : before + 2]] == [None, None]
+            assert [requested_wait_ms(call) for call in world.agent.calls[before : before + 2]] == [
+                None,
+                None,
+            ]
 
     scenario()
 
 
 def test_a_response_that_stops_or_never_ends_times_out(monkeypatch):
-    quick(monkeypatch)
+    shorten_timeouts(monkeypatch)
 
     @on_sockets
     async def scenario():
-        async with Asked(upstreams=1) as world:
-            whole = world.whole()
+        async with DiscoveryWorld(upstreams=1) as world:
+            whole = world.complete_list()
             ended = []
 
             async def serve(reader, writer):
@@ -153,17 +156,17 @@
 
     43 of 60 sidecars had no list after 20 s. After each rejection a sidecar waits longer for its next call.
     """
-    quick(monkeypatch)
+    shorten_timeouts(monkeypatch)
     monkeypatch.setattr(endpoint_discovery, "ON_REQUEST_TIMEOUT_S", 5.0)
 
     @on_sockets
     async def scenario():
-        async with Asked(upstreams=1) as world:
+        async with DiscoveryWorld(upstreams=1) as world:
             late = asyncio.Event()
 
             async def in_turn(call):
                 await late.wait()
-                return world.whole()
+                return world.complete_list()
 
             pool, slept = world.sidecar.pool, []
             pool.asks = True
@@ -184,14 +187,14 @@
             monkeypatch.setattr(endpoint_discovery.asyncio, "sleep", brief)
             pool.watch.random_between = lambda low, high: 1.0
             world.agent.answers += [message(503, b"")] * 8
-            await until_ready(lambda: len(slept) >= 8, sleep)
+            await until_with_sleep(lambda: len(slept) >= 8, sleep)
             monkeypatch.setattr(endpoint_discovery.asyncio, "sleep", sleep)
             assert slept == sorted(slept) and slept[-1] == endpoint_discovery.REJECTED_BACKOFF_S
 
     scenario()
 
 
-async def until_ready(condition, sleep):
+async def until_with_sleep(condition, sleep):
     async with asyncio.timeout(20):
         while not condition():
             await sleep(0.002)
@@ -202,7 +205,7 @@
 
     @on_sockets
     async def scenario():
-        async with Asked(upstreams=1) as world:
+        async with DiscoveryWorld(upstreams=1) as world:
             loop, tries = world.sidecar.loop, []
 
             class Loop:
@@ -217,7 +220,7 @@
                         await asyncio.Event().wait()
                     return await loop.create_connection(*what)
 
-            world.agent.answers += [world.whole]
+            world.agent.answers += [world.complete_list]
             world.sidecar.pool.loop = Loop()
             host, port = world.discovery.address.split(":")
             world.sidecar.pool.move((host, int(port)))
@@ -230,7 +233,7 @@
 
 def test_an_internal_error_does_not_end_the_watch():
     async def scenario():
-        async with Crossed(upstreams=2) as world:
+        async with RaceWorld(upstreams=2) as world:
             pool = world.sidecar.pool
             withdraw = pool.connections.withdraw
             pool.connections.withdraw = None  # applying the list fails
@@ -254,8 +257,8 @@
 
 @on_sockets
 async def test_a_dial_that_opens_after_a_drain_sends_nothing():
-    async with Crossed(upstreams=2, methods=[PATIENT]) as world:
-        world.gate.clear()
+    async with RaceWorld(upstreams=2, methods=[PATIENT]) as world:
+        world.dial_gate.clear()
         asking = asyncio.create_task(ask(world, request(b"one")))
         await until(lambda: world.dialled)
         first = world.dialled[0]
@@ -263,7 +266,7 @@
             number for number in range(2) if world.upstreams[number].address == f"{first[0]}:{first[1]}"
         )
         await world.tell(world.entry(drained, "terminating"))
-        world.gate.set()
+        world.dial_gate.set()
         assert (await asking)[0] == 200
         assert not world.upstreams[drained].seen and world.upstreams[1 - drained].seen
         assert not world.sidecar.pool.balancer.in_flight
@@ -271,8 +274,8 @@
 
 @on_sockets
 async def test_a_dial_that_opens_after_its_upstream_moved_sends_nothing():
-    async with Crossed(upstreams=1, methods=[PATIENT]) as world:
-        world.gate.clear()
+    async with RaceWorld(upstreams=1, methods=[PATIENT]) as world:
+        world.dial_gate.clear()
         asking = asyncio.create_task(ask(world, request(b"one")))
         await until(lambda: world.dialled)
         fresh = await Server(lambda head, body: message(200, body)).start()
@@ -280,7 +283,7 @@
             {**world.entry(0), "hostPort": fresh.address},
             {**world.entry(0, "terminating"), "instanceId": "s-other"},
         )  # another upstream drains at the former address
-        world.gate.set()
+        world.dial_gate.set()
         assert (await asking)[0] in (200, 503)  # rejected at once, or sent to the new address
         assert not world.upstreams[0].seen
         fresh.stop()
@@ -291,7 +294,7 @@
     """Both events are ready in one pass; an upstream chosen before the drain is applied is not dialled."""
     met = 0
     for drained in range(2):  # one of the two is the first choice
-        async with Crossed(upstreams=2, methods=[PATIENT]) as world:
+        async with RaceWorld(upstreams=2, methods=[PATIENT]) as world:
             pool, front = world.sidecar.pool, world.sidecar.front
             client = Client(world)
             await until(lambda front=front: front.clients)
@@ -312,20 +315,20 @@
             assert not world.upstreams[drained].seen and world.upstreams[1 - drained].seen
             assert chosen[-1] == 1 - drained
             met += chosen[0] == drained
-            client.leave(False)
+            client.disconnect(False)
     assert met == 1
 
 
 @on_sockets
 async def test_a_dial_that_opens_after_its_deadline_sends_nothing():
-    async with Crossed(upstreams=1, methods=[method("once", soft=200.0, hard=200.0)]) as world:
+    async with RaceWorld(upstreams=1, methods=[method("once", soft=200.0, hard=200.0)]) as world:
         pool = world.sidecar.pool
-        world.gate.clear()
+        world.dial_gate.clear()
         asking = asyncio.create_task(ask(world, request(b"one", wait=200)))
         await until(lambda: world.dialled)
         expire, pool.dispatcher.expire = pool.dispatcher.expire, lambda now: None  # expiry is delayed
         await asyncio.sleep(0.25)
-        world.gate.set()
+        world.dial_gate.set()
         status, _, _ = await asking
         pool.dispatcher.expire = expire
         assert status == 503 and not world.bodies()
@@ -334,7 +337,7 @@
 @on_sockets
 async def test_an_invalid_host_name_ends_the_transmission_at_once():
     """The error ended the connect task, and the transmission did not end before its time limit."""
-    async with Crossed(upstreams=1, methods=[PATIENT]) as world:
+    async with RaceWorld(upstreams=1, methods=[PATIENT]) as world:
         await world.tell({**world.entry(0), "hostPort": "a..b:80"})
         async with asyncio.timeout(8):  # the client would wait for 15 s
             assert (await ask(world, request(b"one")))[0] == 503
