--- a/shedgrade/http/connection.py
+++ b/shedgrade/http/connection.py
@@ -6,7 +6,7 @@
 from shedgrade.buffers.ring import Ring
 from shedgrade.http.socket_state import shut_down
 
-READ_AHEAD_BYTES = 64 * 1024  # bytes that may wait for the parser, which takes parts: no message must fit
+READ_AHEAD_BYTES = 64 * 1024  # may wait for the parser, which takes partial messages: no message need fit
 
 
 class Connection(asyncio.BufferedProtocol):
--- a/shedgrade/http/connection_pool.py
+++ b/shedgrade/http/connection_pool.py
@@ -101,8 +101,8 @@
         if self.budget.full() and not self.give_up_idle():
             self.dispatcher.attempt_finished(transmission, load_balancing.UNSENT, None)
             return
-        # A slow proxy is no evidence against the upstream: the time limit of the transmission ends the dial,
-        # as unsent.
+        # A slow proxy is no evidence against the upstream: only the time limit of the transmission ends the
+        # dial, as unsent.
         transmission.connect_expires_at = (
             transmission.expires_at + 1 if self.proxied else now + self.connect_timeout
         )
@@ -153,7 +153,8 @@
     def stop(self, transmission: Transmission) -> bool:
         """Stops a transmission.
 
-        Returns False if it never ran: its connection was not open yet, or not all of it was sent."""
+        Returns False if it never ran: its connection was not open yet, or not all of it was sent.
+        """
         task = self.connecting.pop(transmission, None)
         if task is not None:
             task.cancel()
@@ -172,7 +173,7 @@
         return isinstance(link, UpstreamConnection) and link.transmission is transmission and link.in_time()
 
     def give_up(self, transmission: Transmission) -> bool:
-        """Stops a transmission, but keeps a connection whose first request it is, if that is fully sent.
+        """Stops a transmission, but keeps its connection if that has sent its first request in full.
 
         The first request on a connection pays for its setup, in time that the deadline may not allow. If the
         connection were closed, the next request would pay again and be late as well. The late response is
--- a/shedgrade/http/endpoint_discovery.py
+++ b/shedgrade/http/endpoint_discovery.py
@@ -16,7 +16,7 @@
 # Within that time the silence must be detected, and the watch reopened and answered, if need be twice.
 WATCH_WAIT_MS = 3_000
 FIRST_WATCH_WAIT_MS = 100  # the same for the first call after a failure: its response shows a working agent
-SILENCE_TIMEOUT_S = 1.0  # time without bytes, beyond that wait, after which discovery counts as silent
+SILENCE_TIMEOUT_S = 1.0  # time beyond that wait, or since the last bytes, after which it counts as silent
 # The same for the first call where lists are requested and calls wait in a queue. With a shorter one all work
 # went into calls that had been given up: in a test with 60 sidecars, none was served.
 ON_REQUEST_TIMEOUT_S = 3.0
@@ -62,8 +62,8 @@
     def read(self, message: object, part: bool = False) -> tuple[list, bool, list[int]]:
         """Reads a list, as a whole or not at all.
 
-        `part`: skips invalid entries instead. Returns the rows, whether the list is complete, and the indices
-        of upstreams whose address has changed. Raises ListError.
+        With `part`, reads the valid entries and skips the others. Returns the rows, whether the list is
+        complete, and the indices of upstreams whose address has changed. Raises ListError.
         """
         try:
             version, whole = message["generation"], message["reset"]
--- a/shedgrade/http/inbound_connection.py
+++ b/shedgrade/http/inbound_connection.py
@@ -10,8 +10,8 @@
 from shedgrade.http.socket_state import hangup_poll, unread_in_kernel, unsent_bytes
 from shedgrade.runtime.log import logger
 
-# A request body must advance by so many bytes in this time while it is read; slow clients send four times as
-# much.
+# Within this time a request body must advance by BODY_PROGRESS_BYTES while it is read; slow clients send four
+# times as much.
 BODY_PROGRESS_TIMEOUT_S = 2.0
 BODY_PROGRESS_BYTES = 16 * 1024
 RESPONSE_READ_TIMEOUT_S = 5.0  # within which the client must read a response, or RESPONSE_READ_BYTES of it
