--- a/tests/sidecar/crossings/test_customers.py
+++ b/tests/sidecar/crossings/test_customers.py
@@ -148,8 +148,8 @@
 
     The settings allow both; 283 of 1,500 drawn settings met the fault.
     """
-    chance = random.Random(seed)
-    pick, zones = chance.choice, chance.choice((1, 2, 5))
+    rng = random.Random(seed)
+    pick, zones = rng.choice, rng.choice((1, 2, 5))
     methods = [
         {
             **method(
@@ -194,39 +194,41 @@
         "dropped_stay_open": pick((True, False)),
     }
     assert shape_problem(conf) is None and completeness_problem(conf) is None
-    balancer, now, taken = load_balancing.Balancer(conf, seed, 0), 1, []
-    balancer.list_changed(now, [row(up, up % zones, started=pick((0, now))) for up in range(6)], True, True)
+    balancer, now, rpcs = load_balancing.Balancer(conf, seed, 0), 1, []
+    balancer.list_changed(
+        now, [row(index, index % zones, started=pick((0, now))) for index in range(6)], True, True
+    )
     for _ in range(150):
-        now += chance.randrange(400)
-        what = chance.random()
-        if what < 0.5:
+        now += rng.randrange(400)
+        draw = rng.random()
+        if draw < 0.5:
             rpc = balancer.admit(
                 now,
-                chance.randrange(len(methods)),
+                rng.randrange(len(methods)),
                 now + pick((0, 1, 10, 5000, 30000)),
-                chance.random() < 0.1,
+                rng.random() < 0.1,
                 None,
-                chance.randrange(3),
+                rng.randrange(3),
             )
-            taken.append(rpc)
+            rpcs.append(rpc)
             rpc.decide(now)
-        elif what < 0.85 and taken:
-            rpc = pick(taken)
+        elif draw < 0.85 and rpcs:
+            rpc = pick(rpcs)
             if rpc.outstanding:
-                outcome = chance.randrange(9)
+                outcome = rng.randrange(9)
                 rpc.attempt_finished(
                     now,
                     pick(list(rpc.outstanding)),
                     outcome,
-                    chance.randrange(5000),
+                    rng.randrange(5000),
                     outcome == load_balancing.COMPLETED and not rpc.done,
-                    chance.random() < 0.2,
+                    rng.random() < 0.2,
                 )
                 rpc.decide(now)
-        elif what < 0.9:
-            change = row(chance.randrange(8), chance.randrange(zones), chance.randrange(3), pick((0, now)))
+        elif draw < 0.9:
+            change = row(rng.randrange(8), rng.randrange(zones), rng.randrange(3), pick((0, now)))
             balancer.list_changed(now, [change], False, True)
-        elif what < 0.92:
+        elif draw < 0.92:
             balancer.update_settings(conf)
         for rpc in balancer.due(now):
             rpc.decide(now)
--- a/tests/sidecar/crossings/test_end.py
+++ b/tests/sidecar/crossings/test_end.py
@@ -154,7 +154,7 @@
     if str(python) != str(ROOT / ".venv/bin/python"):
         run = run.replace(".venv/bin/python", shlex.quote(str(python)))
     path = tmp_path / "config.json"
-    text = {
+    config = {
         "name": "n",
         "listen": host_port(free_address()),
         "discovery": "127.0.0.1:1",
@@ -163,7 +163,7 @@
         "settings": RaceWorld().conf,
         "known": {"generation": 1, "reset": True, "instances": []},
     }
-    path.write_bytes(orjson.dumps(text))
+    path.write_bytes(orjson.dumps(config))
     process = subprocess.Popen(
         ["/bin/sh", "-c", run],
         cwd=ROOT,
@@ -172,24 +172,24 @@
     )
     try:
         os.set_blocking(process.stderr.fileno(), False)
-        said, end = b"", time.monotonic() + 30
+        output, end = b"", time.monotonic() + 30
         time.sleep(0.02)  # the shell has started the command
-        while b"after=serving" not in said and time.monotonic() < end and process.poll() is None:
+        while b"after=serving" not in output and time.monotonic() < end and process.poll() is None:
             process.send_signal(signal.SIGHUP)
             time.sleep(0.002)
-            said += process.stderr.read() or b""
-        assert process.poll() is None and b"after=serving" in said, said
-        fresh = path.with_suffix(".new")
-        fresh.write_bytes(orjson.dumps({**text, "discovery": "127.0.0.1:2"}))
-        fresh.rename(path)
+            output += process.stderr.read() or b""
+        assert process.poll() is None and b"after=serving" in output, output
+        new_path = path.with_suffix(".new")
+        new_path.write_bytes(orjson.dumps({**config, "discovery": "127.0.0.1:2"}))
+        new_path.rename(path)
         process.send_signal(signal.SIGHUP)
         os.set_blocking(process.stderr.fileno(), True)
         for line in process.stderr:
             if b"configuration reloaded" in line and b"discovery=127.0.0.1:2 " in line:
                 break
         process.send_signal(signal.SIGTERM)
-        rest = process.stderr.read()
-        assert process.wait() == 0 and b"Traceback" not in rest
+        remaining_output = process.stderr.read()
+        assert process.wait() == 0 and b"Traceback" not in remaining_output
     finally:
         process.kill()
         process.wait()
@@ -198,22 +198,22 @@
 @on_sockets
 async def test_a_reused_connection_that_closes_during_a_write_does_not_prove_that_the_request_never_ran():
     """A request sent in part never ran; one sent in full may have run, and is not sent again."""
-    cut = []
+    received = []
 
-    async def late(head, body):
-        cut.append(body)
-        return message(200, body) if len(cut) != 2 else SILENT
+    async def answer(head, body):
+        received.append(body)
+        return message(200, body) if len(received) != 2 else SILENT
 
     async with RaceWorld(upstreams=1, methods=[PATIENT]) as world:
-        world.upstreams[0].script = late
+        world.upstreams[0].script = answer
         reader, writer = await world.connect()
         assert (await ask(world, request(b"one"), (reader, writer)))[0] == 200
         await asyncio.sleep(0.01)
         asking = asyncio.create_task(ask(world, request(b"two", name="a2"), (reader, writer)))
-        await until(lambda: len(cut) == 2)
+        await until(lambda: len(received) == 2)
         for one in list(world.upstreams[0].writers):
             one.transport.abort()
-        assert (await asking)[0] == 502 and cut == [b"one", b"two"]
+        assert (await asking)[0] == 502 and received == [b"one", b"two"]
         writer.close()
 
 
--- a/tests/sidecar/crossings/test_watches.py
+++ b/tests/sidecar/crossings/test_watches.py
@@ -162,29 +162,29 @@
     @on_sockets
     async def scenario():
         async with DiscoveryWorld(upstreams=1) as world:
-            late = asyncio.Event()
+            release = asyncio.Event()
 
-            async def in_turn(call):
-                await late.wait()
+            async def answer_when_released(call):
+                await release.wait()
                 return world.complete_list()
 
             pool, slept = world.sidecar.pool, []
             pool.asks = True
-            world.agent.answers += [in_turn]
+            world.agent.answers += [answer_when_released]
             before = len(world.agent.calls)
             host, port = world.discovery.address.split(":")
             pool.move((host, int(port)))
             await asyncio.sleep(0.5)  # several times the timeout of a silent call
             assert len(world.agent.calls) == before + 1 and pool.reader.version is None
-            late.set()
+            release.set()
             await until(lambda: pool.reader.version == 1)
             sleep = asyncio.sleep
 
-            async def brief(pause):
+            async def record_sleep(pause):
                 slept.append(pause)
                 await sleep(0)
 
-            monkeypatch.setattr(endpoint_discovery.asyncio, "sleep", brief)
+            monkeypatch.setattr(endpoint_discovery.asyncio, "sleep", record_sleep)
             pool.watch.random_between = lambda low, high: 1.0
             world.agent.answers += [message(503, b"")] * 8
             await until_with_sleep(lambda: len(slept) >= 8, sleep)
