--- a/tests/sidecar/crossings/crossing_peers.py
+++ b/tests/sidecar/crossings/crossing_peers.py
@@ -1,5 +1,7 @@
-"""What forces two events to cross, in the order that a test wants: clients whose end is not read, connections
-that come up when told, answers that are held."""
+"""Peers that force two events into the order that a test needs.
+
+Clients whose disconnect is not read, connections that open when told, responses that are held back.
+"""
 
 import asyncio
 import socket
@@ -7,17 +9,19 @@
 
 from helpers import World, message, request, until
 
-PIECE = 8 * 1024  # bytes sent at once until no more is read: the rest, and the end, fit into the kernel
+WRITE_BYTES = (
+    8 * 1024
+)  # bytes of each write; small, so that the last one and a FIN fit into the kernel's buffer
 
 
-class Crossed(World):
-    """A sidecar whose dials come up when `gate` is opened, among upstreams that answer on `release`."""
+class RaceWorld(World):
+    """A sidecar that dials once `dial_gate` is set; its upstreams respond once `release` is set."""
 
     def __init__(self, upstreams=1, held=(), **more):
         """`held`: numbers of the upstreams that wait for `release`."""
         super().__init__(*(self.script(number in held) for number in range(upstreams)), **more)
-        self.gate, self.release, self.dialled = asyncio.Event(), asyncio.Event(), []
-        self.gate.set()
+        self.dial_gate, self.release, self.dialled = asyncio.Event(), asyncio.Event(), []
+        self.dial_gate.set()
 
     def script(self, held):
         async def answer(head, body):
@@ -33,7 +37,7 @@
 
         async def late(factory, address):
             self.dialled.append(address)
-            await self.gate.wait()
+            await self.dial_gate.wait()
             return await connect(factory, address)
 
         connections.connect = late
@@ -41,8 +45,8 @@
     def bodies(self):
         return [body for upstream in self.upstreams for _, body in upstream.seen]
 
-    async def quiet(self):
-        """Until nothing is in hand, and all that was gathered is carried out."""
+    async def wait_until_idle(self):
+        """Waits until no request is active and all gathered events are handled."""
         await until(lambda: not self.sidecar.pool.dispatcher.active_requests)
         await until(lambda: not any(getattr(one, "unread", bool)() for one in self.sidecar.front.clients))
         for _ in range(5):
@@ -50,8 +54,10 @@
 
 
 class Client:
-    """A client on a socket of its own. Behind its request it may send more than the sidecar reads ahead, so
-    that its end is not read either."""
+    """A client with its own socket.
+
+    It can send more than the sidecar reads ahead, so that its disconnect stays unread.
+    """
 
     def __init__(self, world):
         self.socket = socket.create_connection(world.config.listen)
@@ -61,14 +67,14 @@
         self.socket.send(raw)
 
     async def flood(self, world, raw):
-        """`raw`, and further requests behind it until the sidecar reads no more: its end is here, unread."""
+        """Sends `raw` and further requests until the sidecar stops reading; a disconnect stays unread."""
         self.send(raw)
-        ahead = request(b"x" * (PIECE - 200), name="ahead")
+        ahead = request(b"x" * (WRITE_BYTES - 200), name="ahead")
         while not any(one.reading_paused for one in world.sidecar.front.clients):
             self.send(ahead)
             await asyncio.sleep(0.005)
 
-    def leave(self, reset):
+    def disconnect(self, reset):
         if reset:
             self.socket.setsockopt(socket.SOL_SOCKET, socket.SO_LINGER, struct.pack("ii", 1, 0))
         self.socket.close()
--- a/tests/sidecar/crossings/test_customers.py
+++ b/tests/sidecar/crossings/test_customers.py
@@ -1,12 +1,11 @@
-"""Settings of other customers: names and tenants as their clients write them, entries of lists that are not
-sound for this one."""
+"""Settings of different customers: names of methods and tenants in requests, and invalid entries in lists."""
 
 import random
 
 import pytest
-from crossing_peers import Crossed
+from crossing_peers import RaceWorld
 from helpers import PATIENT, ask, method, on_sockets, request, row, settings, until
-from test_watches import Asked, quick
+from test_watches import DiscoveryWorld, shorten_timeouts
 
 from shedgrade import load_balancing
 from shedgrade.http import endpoint_discovery
@@ -15,12 +14,12 @@
 TENANTS = [{"name": name, "share": 0.5, "allowance_per_s": 50.0} for name in ("guild-a", "zünfte b")]
 
 
-def test_tenants_are_known_by_the_name_that_the_settings_give_them():
-    """Played (slow-ledger): clients send `X-Tenant-Id` with a name; it was not read, all were the first's."""
+def test_tenants_are_found_by_their_name_in_the_settings():
+    """Guards against an ignored `X-Tenant-Id` (slow-ledger): all requests counted for the first tenant."""
 
     @on_sockets
     async def scenario():
-        async with Crossed(upstreams=1, methods=[PATIENT]) as world:
+        async with RaceWorld(upstreams=1, methods=[PATIENT]) as world:
             conf = {**world.conf, "customers": TENANTS}
             world.sidecar.pool.retuned(conf)
             balancer, tenants = world.sidecar.pool.balancer, []
@@ -39,17 +38,17 @@
                 )
             ):
                 assert (await ask(world, request(b"x", "/m/1", 15000, f"r{number}", *head)))[0] == 200
-            assert tenants == [0, 0, 1, 1, 2]  # one that has no share here is beyond the last
+            assert tenants == [0, 0, 1, 1, 2]  # a tenant without a share gets the number after the last
 
     scenario()
 
 
-def test_methods_are_known_by_what_a_path_has_to_write_for_their_names():
+def test_methods_are_found_by_their_percent_encoded_name():
     names = ["hold seat", "prüfung", "a%20b", "roll.call~v2@desk,x;y=1"]
 
     @on_sockets
     async def scenario():
-        async with Crossed(upstreams=1, methods=[{**PATIENT, "name": name} for name in names]) as world:
+        async with RaceWorld(upstreams=1, methods=[{**PATIENT, "name": name} for name in names]) as world:
             for number, path in enumerate(
                 (
                     "hold%20seat",
@@ -60,22 +59,22 @@
                 )
             ):
                 assert (await ask(world, request(b"x", f"/{path}/1?q=%20", 15000, f"r{number}")))[0] == 200
-                assert world.upstreams[0].seen[-1][0][0] == f"POST /{path}/1?q=%20 HTTP/1.1"  # as it came
+                assert world.upstreams[0].seen[-1][0][0] == f"POST /{path}/1?q=%20 HTTP/1.1"  # unchanged
             for path in ("hold", "%", "a%2520", "nobody%20s"):
                 assert (await ask(world, request(b"x", f"/{path}", 15000, path)))[0] == 404
 
     scenario()
 
 
-def test_an_entry_that_is_never_sound_does_not_keep_a_drain_from_being_heard(monkeypatch):
-    """A zone that only a start makes known: every later change was refused with it."""
-    quick(monkeypatch)
+def test_an_entry_that_stays_invalid_does_not_block_a_drain(monkeypatch):
+    """An entry with a zone that is known only after a restart made the sidecar reject all later changes."""
+    shorten_timeouts(monkeypatch)
 
     @on_sockets
     async def scenario():
-        async with Asked(upstreams=2) as world:
+        async with DiscoveryWorld(upstreams=2) as world:
             far = {**world.entry(1), "instanceId": "s-far", "zone": "of-a-later-start"}
-            change = world.listing(far, 7, {}, world.entry(0, "terminating"), generation=2)
+            change = world.list_response(far, 7, {}, world.entry(0, "terminating"), generation=2)
             world.agent.answers += [change] * 12
             await until(lambda: world.sidecar.pool.reader.version == 2)
             await until(lambda: not world.sidecar.pool.balancer.upstreams[0].listed)
@@ -83,7 +82,7 @@
                 world.sidecar.pool.balancer.upstreams[1].listed
                 and "s-far" not in world.sidecar.pool.reader.told
             )
-            # It is asked for again before that: what was spoilt on its way comes whole.
+            # The list is requested again first, as it may have been damaged on its way.
             assert (
                 sum("after=1&" in call for call in world.agent.calls)
                 >= endpoint_discovery.INVALID_LISTS_BEFORE_PARTIAL
@@ -92,13 +91,13 @@
     scenario()
 
 
-def test_that_a_known_upstream_drains_counts_whatever_else_is_wrong_with_its_entry(monkeypatch):
-    quick(monkeypatch)
+def test_the_drain_of_a_known_upstream_is_accepted_from_an_invalid_entry(monkeypatch):
+    shorten_timeouts(monkeypatch)
 
     @on_sockets
     async def scenario():
-        async with Asked(upstreams=2, methods=[method("once", soft=2e4, hard=2e4)]) as world:
-            change = world.listing(
+        async with DiscoveryWorld(upstreams=2, methods=[method("once", soft=2e4, hard=2e4)]) as world:
+            change = world.list_response(
                 {**world.entry(0, "terminating"), "zone": "nowhere", "weight": "much"},
                 {**world.entry(1), "hostPort": "nowhere"},
                 generation=2,
@@ -111,13 +110,13 @@
     scenario()
 
 
-def test_a_whole_list_with_entries_that_are_not_sound_removes_nobody_for_that(monkeypatch):
-    quick(monkeypatch)
+def test_invalid_entries_of_a_complete_list_remove_no_upstream(monkeypatch):
+    shorten_timeouts(monkeypatch)
 
     @on_sockets
     async def scenario():
-        async with Asked(upstreams=2) as world:
-            change = world.listing(
+        async with DiscoveryWorld(upstreams=2) as world:
+            change = world.list_response(
                 {**world.entry(0), "zone": "nowhere"},
                 world.entry(1, "terminating"),
                 {"instanceId": 7},
@@ -136,19 +135,21 @@
 @pytest.mark.parametrize(
     "changes", [{"zones": []}, {"zones": "ab"}, {"zones": [1]}, {"zones": None}, {"az": 1}, {"az": 2**70}]
 )
-def test_settings_without_the_zone_that_they_name_start_nothing(changes):
-    """Each RPC met an IndexError, and was errored."""
+def test_settings_without_their_own_zone_are_rejected(changes):
+    """With such settings each RPC met an IndexError, and failed."""
     assert completeness_problem(settings(zones=1, limits={"dial_timeout": 1.0, "idle_close": 1.0})) is None
     found = completeness_problem(settings(zones=1, limits={"dial_timeout": 1.0, "idle_close": 1.0}) | changes)
     assert found.startswith(f"settings.{next(iter(changes))}: found ") and "\n" not in found
 
 
 @pytest.mark.parametrize("seed", range(150))
-def test_sound_settings_of_any_size_meet_no_fault(seed):
-    """A soft deadline of two ticks or of less than 0.1 ms, which the settings may say, divided by zero on
-    each RPC; 283 of 1,500 drawn settings met that."""
-    chance = random.Random(seed)
-    pick, zones = chance.choice, chance.choice((1, 2, 5))
+def test_valid_settings_of_any_size_cause_no_internal_error(seed):
+    """Guards against a division by zero on each RPC, with a soft deadline of two ticks or below 0.1 ms.
+
+    The settings allow both; 283 of 1,500 drawn settings met the fault.
+    """
+    rng = random.Random(seed)
+    pick, zones = rng.choice, rng.choice((1, 2, 5))
     methods = [
         {
             **method(
@@ -193,39 +194,41 @@
         "dropped_stay_open": pick((True, False)),
     }
     assert shape_problem(conf) is None and completeness_problem(conf) is None
-    balancer, now, taken = load_balancing.Balancer(conf, seed, 0), 1, []
-    balancer.list_changed(now, [row(up, up % zones, started=pick((0, now))) for up in range(6)], True, True)
+    balancer, now, rpcs = load_balancing.Balancer(conf, seed, 0), 1, []
+    balancer.list_changed(
+        now, [row(index, index % zones, started=pick((0, now))) for index in range(6)], True, True
+    )
     for _ in range(150):
-        now += chance.randrange(400)
-        what = chance.random()
-        if what < 0.5:
+        now += rng.randrange(400)
+        draw = rng.random()
+        if draw < 0.5:
             rpc = balancer.admit(
                 now,
-                chance.randrange(len(methods)),
+                rng.randrange(len(methods)),
                 now + pick((0, 1, 10, 5000, 30000)),
-                chance.random() < 0.1,
+                rng.random() < 0.1,
                 None,
-                chance.randrange(3),
+                rng.randrange(3),
             )
-            taken.append(rpc)
+            rpcs.append(rpc)
             rpc.decide(now)
-        elif what < 0.85 and taken:
-            rpc = pick(taken)
+        elif draw < 0.85 and rpcs:
+            rpc = pick(rpcs)
             if rpc.outstanding:
-                outcome = chance.randrange(9)
+                outcome = rng.randrange(9)
                 rpc.attempt_finished(
                     now,
                     pick(list(rpc.outstanding)),
                     outcome,
-                    chance.randrange(5000),
+                    rng.randrange(5000),
                     outcome == load_balancing.COMPLETED and not rpc.done,
-                    chance.random() < 0.2,
+                    rng.random() < 0.2,
                 )
                 rpc.decide(now)
-        elif what < 0.9:
-            change = row(chance.randrange(8), chance.randrange(zones), chance.randrange(3), pick((0, now)))
+        elif draw < 0.9:
+            change = row(rng.randrange(8), rng.randrange(zones), rng.randrange(3), pick((0, now)))
             balancer.list_changed(now, [change], False, True)
-        elif what < 0.92:
+        elif draw < 0.92:
             balancer.update_settings(conf)
         for rpc in balancer.due(now):
             rpc.decide(now)
--- a/tests/sidecar/crossings/test_end.py
+++ b/tests/sidecar/crossings/test_end.py
@@ -1,5 +1,4 @@
-"""The end of a process, and its start, where two events cross: signals, requests in hand, connections that
-close."""
+"""Races at the start and the end of a process: signals, pending requests, closing connections."""
 
 import asyncio
 import os
@@ -13,7 +12,7 @@
 import orjson
 import pytest
 from addresses import free_address, host_port
-from crossing_peers import Client, Crossed
+from crossing_peers import Client, RaceWorld
 from helpers import PATIENT, SILENT, Server, ask, message, method, on_sockets, read_message, request, until
 
 from shedgrade.sidecar.lifecycle import reload_signal, shutdown
@@ -24,29 +23,29 @@
 
 
 @pytest.mark.parametrize("kind, status", [("repeatable", 503), ("once", 502)])
-def test_what_is_in_hand_at_the_last_look_gets_its_final_answer_first(kind, status):
-    """The process ended with it: its client saw a connection that broke."""
+def test_pending_requests_are_answered_before_the_shutdown_concludes(kind, status):
+    """The process exited with these requests pending, and their clients saw a broken connection."""
 
     @on_sockets
     async def scenario():
-        async with Crossed(upstreams=2, held=(0, 1), methods=[method(kind, soft=2e4, hard=2e4)]) as world:
+        async with RaceWorld(upstreams=2, held=(0, 1), methods=[method(kind, soft=2e4, hard=2e4)]) as world:
             asking = [asyncio.create_task(ask(world, request(b"one", name=name))) for name in ("a1", "a2")]
             await until(lambda: world.sent() == 2)
             world.sidecar.pool.longest = -shutdown.CONCLUDE_AFTER_S + 0.1
             world.sidecar.drain()
             await world.serving
             await asyncio.sleep(0.05)
-            assert all(one.done() for one in asking)  # the process would be gone now
+            assert all(one.done() for one in asking)  # the process would have exited by now
             assert [(await one)[0] for one in asking] == [status] * 2
-            assert world.sidecar.phase is Phase.CLOSED and world.sent() == 2  # no further try
+            assert world.sidecar.phase is Phase.CLOSED and world.sent() == 2  # no retry
 
     scenario()
 
 
 @on_sockets
-async def test_what_is_dialled_or_unread_at_the_last_look_is_exhausted():
-    async with Crossed(upstreams=2, methods=[PATIENT]) as world:
-        world.gate.clear()
+async def test_unsent_requests_are_exhausted_when_the_shutdown_concludes():
+    async with RaceWorld(upstreams=2, methods=[PATIENT]) as world:
+        world.dial_gate.clear()
         asking = asyncio.create_task(ask(world, request(b"one")))
         await until(lambda: world.dialled)
         world.sidecar.drain()
@@ -59,11 +58,11 @@
 
 
 @on_sockets
-async def test_a_long_answer_that_is_under_way_at_the_last_look_is_seen_to_be_cut():
+async def test_an_incomplete_long_response_is_cut_when_the_shutdown_concludes():
     async def endless(head, body):
         return b"HTTP/1.1 200 X\r\nContent-Length: 500000\r\n\r\n" + b"z" * 100_000
 
-    async with Crossed(upstreams=1, methods=[PATIENT]) as world:
+    async with RaceWorld(upstreams=1, methods=[PATIENT]) as world:
         world.upstreams[0].script = endless
         reader, writer = await world.connect()
         writer.write(request(b"one"))
@@ -77,15 +76,15 @@
 
 
 @on_sockets
-async def test_a_second_sigterm_and_a_reload_move_the_last_look_no_more():
-    async with Crossed(upstreams=1, held=(0,), methods=[PATIENT]) as world:
+async def test_a_second_sigterm_and_a_reload_do_not_postpone_the_end_of_the_shutdown():
+    async with RaceWorld(upstreams=1, held=(0,), methods=[PATIENT]) as world:
         asking = asyncio.create_task(ask(world, request(b"one")))
         await until(lambda: world.sent() == 1)
         world.sidecar.drain()
         last = world.sidecar.shutdown.conclude_at
         world.sidecar.pool.longest *= 2
         world.sidecar.drain()
-        world.sidecar.reload()  # its file is not there: refused, and nothing else
+        world.sidecar.reload()  # the configuration file is missing, so the reload is rejected
         assert world.sidecar.shutdown.conclude_at == last and world.sidecar.phase is Phase.DRAINING
         world.release.set()
         assert (await asking)[0] == 200
@@ -93,9 +92,9 @@
 
 
 @on_sockets
-async def test_idle_connections_close_while_somebody_still_accepts():
-    """A request that crosses the close of its connection comes anew at once, and is to find a listener."""
-    async with Crossed(upstreams=1) as world:
+async def test_idle_connections_close_before_the_listener():
+    """A request that races with the close of its connection is repeated at once, and must find a listener."""
+    async with RaceWorld(upstreams=1) as world:
         reader, writer = await world.connect()
         assert (await ask(world, request(b"one"), (reader, writer)))[0] == 200
         closed = []
@@ -103,22 +102,22 @@
         world.sidecar.listener.close = lambda: (closed.append(1), close())
         world.sidecar.drain()
         assert await reader.read() == b"" and not closed
-        assert (await ask(world, request(b"two", name="a2")))[0] == 200  # as it comes anew
+        assert (await ask(world, request(b"two", name="a2")))[0] == 200  # the repeated request
         await world.serving
         assert closed
         writer.close()
 
 
 @on_sockets
-async def test_requests_that_came_early_are_answered_though_the_process_leaves():
-    """An answer said `Connection: close` while the next request was here and unread: closing reset it."""
-    async with Crossed(upstreams=1, held=(0,)) as world:
+async def test_pipelined_requests_are_answered_during_a_drain():
+    """A response with `Connection: close` reset the connection, as the next request was still unread."""
+    async with RaceWorld(upstreams=1, held=(0,)) as world:
         client = Client(world)
         client.send(request(b"one", name="a1"))
         await until(lambda: world.sent() == 1)
         world.sidecar.drain()
         link = next(iter(world.sidecar.front.clients))
-        link.transport.pause_reading()  # what comes now is unread when the first answer is written
+        link.transport.pause_reading()  # later bytes are unread when the first response is written
         client.send(request(b"two", name="a2"))
         await asyncio.sleep(0.05)
         world.release.set()
@@ -133,36 +132,38 @@
         await world.serving
 
 
-def test_a_reload_asked_for_before_there_was_a_loop_is_carried_out(monkeypatch):
+def test_a_reload_signal_before_the_event_loop_starts_is_handled(monkeypatch):
     @on_sockets
     async def scenario():
         monkeypatch.setattr(reload_signal, "recorded", True)
         reloads = []
         monkeypatch.setattr(lifecycle.Sidecar, "reload", lambda sidecar: reloads.append(sidecar.phase))
-        async with Crossed(upstreams=1):
+        async with RaceWorld(upstreams=1):
             assert reloads == [Phase.SERVING]
 
     scenario()
 
 
-def test_sighup_at_any_moment_of_a_start_ends_nothing_and_the_newest_configuration_holds(tmp_path):
-    """All sidecars are restarted while a new configuration comes: a process that was being started was ended
-    by the signal. As the platform starts it, by the line `run`."""
+def test_sighup_during_startup_is_harmless_and_the_newest_configuration_applies(tmp_path):
+    """A signal for a new configuration ended a process that was still starting.
+
+    The process is started by the line `run` of the deployment, as the platform does it.
+    """
     run = tomllib.loads((ROOT / "deploy/balancer.toml").read_text())["run"]
     python = Path(os.sys.executable)
     if str(python) != str(ROOT / ".venv/bin/python"):
         run = run.replace(".venv/bin/python", shlex.quote(str(python)))
     path = tmp_path / "config.json"
-    text = {
+    config = {
         "name": "n",
         "listen": host_port(free_address()),
         "discovery": "127.0.0.1:1",
         "seed": "1f",
         "limits": {"sockets": 1024, "memory_mb": 192},
-        "settings": Crossed().conf,
+        "settings": RaceWorld().conf,
         "known": {"generation": 1, "reset": True, "instances": []},
     }
-    path.write_bytes(orjson.dumps(text))
+    path.write_bytes(orjson.dumps(config))
     process = subprocess.Popen(
         ["/bin/sh", "-c", run],
         cwd=ROOT,
@@ -171,55 +172,55 @@
     )
     try:
         os.set_blocking(process.stderr.fileno(), False)
-        said, end = b"", time.monotonic() + 30
-        time.sleep(0.02)  # the shell has taken up its line
-        while b"after=serving" not in said and time.monotonic() < end and process.poll() is None:
+        output, end = b"", time.monotonic() + 30
+        time.sleep(0.02)  # the shell has started the command
+        while b"after=serving" not in output and time.monotonic() < end and process.poll() is None:
             process.send_signal(signal.SIGHUP)
             time.sleep(0.002)
-            said += process.stderr.read() or b""
-        assert process.poll() is None and b"after=serving" in said, said
-        fresh = path.with_suffix(".new")
-        fresh.write_bytes(orjson.dumps({**text, "discovery": "127.0.0.1:2"}))
-        fresh.rename(path)
+            output += process.stderr.read() or b""
+        assert process.poll() is None and b"after=serving" in output, output
+        new_path = path.with_suffix(".new")
+        new_path.write_bytes(orjson.dumps({**config, "discovery": "127.0.0.1:2"}))
+        new_path.rename(path)
         process.send_signal(signal.SIGHUP)
         os.set_blocking(process.stderr.fileno(), True)
         for line in process.stderr:
             if b"configuration reloaded" in line and b"discovery=127.0.0.1:2 " in line:
                 break
         process.send_signal(signal.SIGTERM)
-        rest = process.stderr.read()
-        assert process.wait() == 0 and b"Traceback" not in rest
+        remaining_output = process.stderr.read()
+        assert process.wait() == 0 and b"Traceback" not in remaining_output
     finally:
         process.kill()
         process.wait()
 
 
 @on_sockets
-async def test_a_kept_connection_that_closes_as_a_request_is_written_to_it_is_no_proof_that_it_ran_not():
-    """Half of the request left: it never ran. All of it left: it may have, and is not sent again."""
-    cut = []
+async def test_a_reused_connection_that_closes_during_a_write_does_not_prove_that_the_request_never_ran():
+    """A request sent in part never ran; one sent in full may have run, and is not sent again."""
+    received = []
 
-    async def late(head, body):
-        cut.append(body)
-        return message(200, body) if len(cut) != 2 else SILENT
+    async def answer(head, body):
+        received.append(body)
+        return message(200, body) if len(received) != 2 else SILENT
 
-    async with Crossed(upstreams=1, methods=[PATIENT]) as world:
-        world.upstreams[0].script = late
+    async with RaceWorld(upstreams=1, methods=[PATIENT]) as world:
+        world.upstreams[0].script = answer
         reader, writer = await world.connect()
         assert (await ask(world, request(b"one"), (reader, writer)))[0] == 200
         await asyncio.sleep(0.01)
         asking = asyncio.create_task(ask(world, request(b"two", name="a2"), (reader, writer)))
-        await until(lambda: len(cut) == 2)
+        await until(lambda: len(received) == 2)
         for one in list(world.upstreams[0].writers):
             one.transport.abort()
-        assert (await asking)[0] == 502 and cut == [b"one", b"two"]
+        assert (await asking)[0] == 502 and received == [b"one", b"two"]
         writer.close()
 
 
 @on_sockets
-async def test_dials_that_are_given_up_give_their_descriptors_back():
-    async with Crossed(upstreams=2, methods=[PATIENT]) as world:
-        world.gate.clear()
+async def test_abandoned_dials_release_their_descriptors():
+    async with RaceWorld(upstreams=2, methods=[PATIENT]) as world:
+        world.dial_gate.clear()
         clients = [Client(world) for _ in range(2)]
         for number, client in enumerate(clients):
             client.send(request(b"gone", name=f"g{number}"))
@@ -227,15 +228,15 @@
         budget = world.sidecar.budget
         assert budget.upstreams >= 1
         for client in clients:
-            client.leave(True)
+            client.disconnect(True)
         await until(lambda: not world.sidecar.pool.dispatcher.active_requests)
         await until(lambda: not world.sidecar.pool.connections.connecting)
         assert budget.upstreams == 0
 
 
 @on_sockets
-async def test_a_dial_stopped_in_the_pass_in_which_it_comes_up_is_closed_and_counted():
-    async with Crossed(upstreams=1, methods=[PATIENT]) as world:
+async def test_a_dial_stopped_in_the_pass_that_opens_it_is_closed_and_counted():
+    async with RaceWorld(upstreams=1, methods=[PATIENT]) as world:
         connections = world.sidecar.pool.connections
         direct, links = connections.direct, []
 
@@ -249,7 +250,7 @@
                     links.append(link)
                     connections.stop(
                         next(iter(connections.connecting))
-                    )  # before whoever dialled is told that it is up
+                    )  # before the code that connects learns that the connection is open
 
                 link.connection_made = up
                 return link
@@ -262,15 +263,15 @@
         await until(lambda: links)
         await until(lambda: world.upstreams[0].connections == 1 and not world.upstreams[0].writers)
         assert not (connections.open or connections.connecting or world.sidecar.budget.upstreams)
-        client.leave(True)
+        client.disconnect(True)
         assert not world.bodies()
 
 
 @on_sockets
-async def test_accepting_that_fails_neither_spins_nor_floods_the_log():
+async def test_failed_accepts_neither_spin_nor_flood_the_log():
     from loguru import logger
 
-    async with Crossed(upstreams=1) as world:
+    async with RaceWorld(upstreams=1) as world:
         lines = []
         sink = logger.add(lines.append, level="WARNING", format="{message}")
         listener = world.sidecar.listener
@@ -298,9 +299,9 @@
 
 
 @on_sockets
-async def test_a_new_configuration_in_the_middle_of_an_answer_loses_neither():
-    """A reload drops the watch whose answer may be on its way: the whole list is asked for at once."""
-    async with Crossed(upstreams=2, methods=[PATIENT]) as world:
+async def test_a_reload_during_a_discovery_response_loses_neither():
+    """A reload drops the watch whose response may be in transit, and requests the whole list at once."""
+    async with RaceWorld(upstreams=2, methods=[PATIENT]) as world:
         other = await Server(
             lambda head, _: (
                 message(
@@ -310,7 +311,7 @@
                 else SILENT
             )
         ).start()
-        # The old agent's answer is here, not yet handed over, as the list moves: the newer word holds.
+        # The list of the old agent was received but not yet applied at the move: the newer list prevails.
         pool = world.sidecar.pool
         pool.listed(world.list(world.entry(0)))
         host, port = other.address.split(":")
