--- a/shedgrade/__main__.py
+++ b/shedgrade/__main__.py
@@ -1,9 +1,9 @@
-"""python -m shedgrade"""
+"""Entry point of `python -m shedgrade`."""
 
 from shedgrade.sidecar.lifecycle.reload_signal import ignore_reload_signal
 
 if __name__ == "__main__":
-    ignore_reload_signal()  # before the rest is imported, which takes a while
+    ignore_reload_signal()  # before the slow imports below: until then the signal would end the process
 
 from shedgrade.cli import app
 
--- a/shedgrade/program.py
+++ b/shedgrade/program.py
@@ -1,4 +1,4 @@
-"""The start of a program of the system: arguments, settings, log, event loop. Both planes use it."""
+"""Start-up of the two planes' programs: arguments, settings, log, event loop."""
 
 import asyncio
 import sys
@@ -15,14 +15,14 @@
 from shedgrade.runtime.log import set_sink
 from shedgrade.runtime.log_ring import LogRingBuffer
 
-EXIT_SETTINGS = 2  # exit status when the settings file is missing or not sound
+EXIT_SETTINGS = 2  # exit status if the settings file is missing or invalid
 
 
 class Plane(Protocol):
-    """What a program runs until it is told to stop."""
+    """A control plane or data plane, as `run_program` runs it."""
 
     async def serve(self) -> None:
-        """Runs from start to end; returns when the process may exit."""
+        """Serves until the process may exit."""
 
 
 PlaneClass = Callable[[Settings, asyncio.AbstractEventLoop, Random, SettingsFileWatcher], Plane]
@@ -31,10 +31,13 @@
 def run_program(
     usage: str, arguments: list[str], check: Callable[[Settings], None], load_plane: Callable[[], PlaneClass]
 ) -> int:
-    """Runs one plane to its end and returns the process's exit status.
+    """Runs one plane until it ends, and returns the process's exit status.
 
-    `usage`: docopt's text, with the option `--settings`. `check(settings)` raises SettingsError if this
-    program misses something in them. `load_plane()` imports the plane's class, after the log is set up.
+    Args:
+        usage: text for docopt, with the option `--settings`.
+        arguments: command line arguments without the program's name.
+        check: raises SettingsError if a setting that this program needs is missing.
+        load_plane: imports and returns the plane's class; called after the log is set up.
     """
     options = docopt(usage, arguments)
     try:
--- a/shedgrade/runtime/__init__.py
+++ b/shedgrade/runtime/__init__.py
@@ -1,1 +1,1 @@
-"""What each program runs on: start, log, clock, uncaught errors, detection of stalls."""
+"""Runtime services of every program: clock, log, handler of uncaught errors, stall detection."""
--- a/shedgrade/runtime/log.py
+++ b/shedgrade/runtime/log.py
@@ -1,7 +1,7 @@
-"""The logger of the shared modules. A program sets the sink of its lines; `serve` sets none.
+"""The logger of the shared modules. A program sets the sink that receives its events; `serve` sets none.
 
-A line is a short constant event and its fields: `logger.warning("endpoint list poll failed", attempt=3)`.
-Text with `{}` and positional values, as in `str.format`, is still accepted.
+A call passes a short constant event and its fields: `logger.warning("endpoint list poll failed", attempt=3)`.
+A text with `{}` and positional values, as for `str.format`, is still accepted.
 """
 
 from collections.abc import Callable
@@ -13,8 +13,8 @@
 
 
 class Sink(Protocol):
-    """What takes lines: METHODS, each called as `info(event, *values, **fields)`. `exception` is `error` with
-    the exception that is being handled."""
+    """A receiver of log events. Each of METHODS is called as `info(event, *values, **fields)`; `exception` is
+    `error` with the exception that is being handled."""
 
     debug: LogMethod
     info: LogMethod
@@ -24,20 +24,20 @@
 
 
 class Logger:
-    """Passes lines on to the sink that was set; with none, to loguru, which is imported on first use.
+    """Passes events on to the sink that was set; without one, to loguru, which is imported on first use.
 
-    Its methods are the sink's own bound methods, so a sink that looks at its caller's frame sees the caller.
+    Its methods are the bound methods of the sink, so a sink that inspects its caller's frame sees the caller.
     """
 
     def set_sink(self, sink: Any | None) -> None:
-        """`sink`: a Sink. None: loguru again, from the next use on. AttributeError if a method is missing;
-        the old sink stays then."""
+        """Sets a `Sink`; None selects loguru again, from the next call on. Raises AttributeError if a method
+        is missing, and keeps the previous sink then."""
         methods = {} if sink is None else {name: getattr(sink, name) for name in METHODS}
         self.__dict__.clear()
         self.__dict__.update(methods)
 
     def __getattr__(self, name: str) -> LogMethod:
-        """Called only while no sink was set."""
+        """Selects loguru; called only while no sink is set."""
         if name not in METHODS:
             raise AttributeError(name)
         from loguru import logger as loguru
--- a/shedgrade/runtime/log_ring.py
+++ b/shedgrade/runtime/log_ring.py
@@ -1,8 +1,9 @@
-"""The log of the two programs: a ring buffer in memory that is written to stderr when something goes wrong.
+"""The log of the control plane and the data plane: a ring buffer in memory, written to stderr on a warning.
 
-structlog carries the events; what they are made into happens here. An event is rendered when it is written,
-so what nobody reads costs next to nothing. A warning or worse writes what the buffer holds and has not
-written, as JSON, one object a line: at most once in WRITE_INTERVAL_S and MAX_WRITE_BYTES each time.
+structlog passes the events; this module stores and formats them. An event is formatted when it is written, so
+one that is never written costs almost nothing. An event of level warning or above writes all buffered events
+that are not written yet, as JSON, one object a line: at most once in WRITE_INTERVAL_S, and at most
+MAX_WRITE_BYTES each time.
 """
 
 import sys
@@ -14,8 +15,8 @@
 
 import orjson
 
-# structlog looks for rich, which is most of its import time and memory, and draws traces that nobody asked
-# for. None in its place says that it is not installed.
+# structlog imports rich if it is installed, which is most of structlog's import time and memory, and formats
+# tracebacks with it, which this log doesn't use. None in sys.modules makes the import of rich fail.
 _hides_rich = "rich" not in sys.modules
 if _hides_rich:
     sys.modules["rich"] = None  # type: ignore[assignment]
@@ -25,25 +26,27 @@
     if _hides_rich:
         del sys.modules["rich"]
 
-DEFAULT_SIZE = 512  # events that are kept
+DEFAULT_SIZE = 512  # events
 WRITE_INTERVAL_S = 5.0  # between two writes
-MAX_WRITE_BYTES = 64 * 1024  # of one write
-OMISSION_LINE_BYTES = 400  # of them for the line that says how many events are left out
-MAX_TEXT_CHARS = 2000  # of one event's text, and of one field that is not plain
-MAX_TRACE_CHARS = 4000  # of a trace: its end tells most
-MAX_KEPT_CHARS = 200  # of a value that is kept as it is until its event is rendered
+MAX_WRITE_BYTES = 64 * 1024  # in one write
+OMISSION_LINE_BYTES = 400  # of MAX_WRITE_BYTES, reserved for the line that counts the omitted events
+MAX_TEXT_CHARS = 2000  # of one event's text, and of the repr of a field that isn't a plain type
+MAX_TRACE_CHARS = 4000  # of a traceback; its end is kept, which tells most
+MAX_KEPT_CHARS = 200  # of a str or bytes value that is stored unformatted
 PLAIN_TYPES = (int, float, bool, type(None))
 URGENT_LEVELS = frozenset(("warning", "error", "critical"))
 
 Values = tuple[object, ...]
-Fields = dict[str, Any]  # names to what JSON can hold
+Fields = dict[str, Any]  # by field name, values that JSON can represent
 
 
 class LogEvent:
-    """One event; its line is made when it is written.
+    """One event; it is formatted when it is written.
 
-    `at`: seconds since 1970; `text`, `values`: as for `str.format`; `fields`: shown beside the fixed keys,
-    which they don't replace.
+    Attributes:
+        at: Unix time in seconds.
+        text, values: as for `str.format`.
+        fields: further keys of the line; they don't replace the fixed ones.
     """
 
     __slots__ = ("at", "level", "text", "values", "fields")
@@ -56,7 +59,7 @@
         self.fields = fields
 
     def line(self, process: str) -> bytes:
-        """One line of JSON. `process`: the name of this process."""
+        """Returns the event as one line of JSON. `process`: the name of this process."""
         line: Fields = {
             "at": round(self.at, 3),
             "level": self.level,
@@ -67,33 +70,34 @@
         try:
             return orjson.dumps(line, option=orjson.OPT_APPEND_NEWLINE)
         except TypeError:
-            # Guards against what JSON can't hold: half a surrogate pair, a number beyond 64 bits.
+            # JSON can't represent a lone surrogate or an integer beyond 64 bits.
             return orjson.dumps(
                 {key: ascii(value) for key, value in line.items()}, option=orjson.OPT_APPEND_NEWLINE
             )
 
 
 class BoundLogger(structlog.BoundLoggerBase):
-    """Takes events as loguru does: `info("event", name=value)`, or `info("{} of {}", 1, 2)`."""
+    """Accepts events in loguru's form: `info("event", name=value)`, or `info("{} of {}", 1, 2)`."""
 
     def debug(self, text: str, /, *values: object, **fields: object) -> None:
-        """What only a developer asks for."""
+        """Logs an event that only a developer needs."""
         self._proxy_to_logger("debug", text, values=values, fields=fields)
 
     def info(self, text: str, /, *values: object, **fields: object) -> None:
-        """What happened, of no harm. Seen before a warning only."""
+        """Logs a normal event; it is written only together with a later warning or error."""
         self._proxy_to_logger("info", text, values=values, fields=fields)
 
     def warning(self, text: str, /, *values: object, **fields: object) -> None:
-        """What an operator should know of."""
+        """Logs an event that an operator should know of."""
         self._proxy_to_logger("warning", text, values=values, fields=fields)
 
     def error(self, text: str, /, *values: object, **fields: object) -> None:
-        """A fault of the program, or of what it can't go on without."""
+        """Logs a fault of the program, or of something that it can't run without."""
         self._proxy_to_logger("error", text, values=values, fields=fields)
 
     def exception(self, text: str, /, *values: object, **fields: object) -> None:
-        """As `error`, with the trace of the exception that is being handled. It is shown only here."""
+        """Logs as `error` does, with the traceback of the exception that is being handled; no other method
+        adds one."""
         failure = sys.exc_info()[1]
         if failure is not None:
             fields["trace"] = "".join(format_exception(failure))[-MAX_TRACE_CHARS:]
@@ -101,20 +105,19 @@
 
 
 class LogRingBuffer:
-    """The events of one process, and a sink for `shedgrade.runtime.log.set_sink`: `debug` to `exception`,
-    `bind`.
+    """The events of one process, and a sink for `shedgrade.runtime.log.set_sink`: it has the methods `debug`
+    to `exception`, and `bind`.
 
     Attributes:
-        name: of the process, in each line.
-        stream: where lines go; None: stderr as it is at the time of a write.
-        events: the newest ones, oldest first.
+        name: name of the process, part of each line.
+        stream: where lines are written; None: to what sys.stderr is at the time of a write.
+        events: the newest events, oldest first.
         unwritten: how many of the newest events have not been written.
-        omitted: events that fell out of the buffer unwritten, or did not fit into a write, since the last
-        one. is_urgent: an event of URGENT_LEVELS is unwritten.
-        next_write_at: on the steady clock; an urgent event before it waits for the next event after it, or
-        for
-            `flush`.
-        writes: counts them.
+        omitted: events since the last write that were evicted unwritten, or did not fit into a write.
+        is_urgent: whether an event of URGENT_LEVELS is unwritten.
+        next_write_at: earliest time of the next write, seconds of the monotonic clock. An urgent event before
+            it is written with the first event after it, or by `flush`.
+        writes: number of writes so far.
     """
 
     def __init__(
@@ -126,7 +129,7 @@
         clock: Callable[[], float] = time.time,
         steady_clock: Callable[[], float] = time.monotonic,
     ) -> None:
-        """`clock` dates events, `steady_clock` spaces writes; both in seconds."""
+        """`clock`: Unix time of events; `steady_clock`: monotonic time of writes. Both in seconds."""
         self.name = name
         self.stream = stream
         self.clock = clock
@@ -152,11 +155,11 @@
         self.bind = logger.bind
 
     def append(self, _: object, level: str, event: Any) -> NoReturn:
-        """The last processor of structlog: the event goes into the buffer and no further."""
+        """Adds an event to the buffer. It is structlog's last processor, so it always raises DropEvent."""
         text, values, own_fields = event.pop("event"), event.pop("values"), event.pop("fields")
-        fields = {**event, **own_fields}  # what `bind` added comes first
+        fields = {**event, **own_fields}  # the fields that `bind` added come first
         if not all(map(is_kept_as_is, values)):
-            # Guards against a buffer that keeps alive, or shows as changed since, whatever was logged.
+            # A value that is stored unformatted would be kept alive, and could change before it is written.
             text, values = format_text(text, values)[:MAX_TEXT_CHARS], ()
         if self.unwritten == self.events.maxlen:
             self.omitted += 1
@@ -173,12 +176,12 @@
         raise structlog.DropEvent
 
     def flush(self) -> None:
-        """Writes what went wrong and was held back; called at the end of the process."""
+        """Writes the buffer if an urgent event in it is unwritten; called when the process ends."""
         if self.is_urgent:
             self.write()
 
     def write(self) -> None:
-        """Writes what is unwritten now; the newest of it if it is too much for one write."""
+        """Writes the unwritten events now; only the newest of them if they exceed MAX_WRITE_BYTES."""
         self.next_write_at = self.steady_clock() + WRITE_INTERVAL_S
         self.is_urgent = False
         lines = self.take_lines()
@@ -188,12 +191,12 @@
             stream.write(b"".join(lines).decode())
             stream.flush()
         except (OSError, ValueError):
-            # Guards against an end of the process by its log: nobody may read stderr any more.
+            # stderr may be closed or its reader gone; that must not end the process.
             pass
 
     def take_lines(self) -> list[bytes]:
-        """The lines of one write, oldest first, after one that says how many are left out; all count as
-        written then."""
+        """Returns the lines of one write, oldest first, preceded by one with the number of omitted events if
+        there are any. All events count as written afterwards."""
         lines = []
         bytes_left = MAX_WRITE_BYTES - OMISSION_LINE_BYTES
         for event in reversed(self.events):
@@ -215,16 +218,16 @@
 
 
 def is_kept_as_is(value: object) -> bool:
-    """Whether the value can't change until its event is rendered, and is short."""
+    """Returns whether the value is short and can't change before its event is formatted."""
     return isinstance(value, PLAIN_TYPES) or (type(value) in (str, bytes) and len(value) <= MAX_KEPT_CHARS)  # type: ignore[arg-type]
 
 
 def format_text(text: str, values: Values) -> str:
-    """The text with its values, as `str.format` does it; raises nothing."""
+    """Returns the text with its values inserted as by `str.format`; never raises."""
     if not values:
         return text
     try:
         return text.format(*values)
     except Exception as error:
-        # Guards against a call that fails for its log line: a wrong format, or a value whose own text fails.
+        # A wrong format, or a value whose __repr__ or __format__ raises, must not make the logging call fail.
         return f"{text} ({len(values)} values, {type(error).__name__})"
--- a/shedgrade/runtime/loop_errors.py
+++ b/shedgrade/runtime/loop_errors.py
@@ -1,4 +1,4 @@
-"""Faults of our own that nobody caught: they go to the log, and the process goes on."""
+"""Logging of exceptions that nothing caught in the event loop; the process keeps running."""
 
 import asyncio
 from traceback import format_exception
@@ -8,7 +8,7 @@
 
 
 def log_uncaught(loop: asyncio.AbstractEventLoop, context: dict[str, Any]) -> None:
-    """The handler of an event loop's exceptions; `context` as asyncio's `call_exception_handler` gives it."""
+    """Logs an uncaught exception; the loop's exception handler, `context` as asyncio passes it to one."""
     failure = context.get("exception")
     trace = "".join(format_exception(failure)) if failure is not None else ""
     logger.error(
--- a/shedgrade/runtime/stall_detection.py
+++ b/shedgrade/runtime/stall_detection.py
@@ -1,13 +1,14 @@
-"""Detects that this process stalled, and how old what it reads afterwards may be.
+"""Detects that this process stalled, and bounds the age of data that it reads afterwards.
 
-While a process is stopped (SIGSTOP, a frozen machine), or is held up by a long step of its loop, requests and
-frames wait unread in the kernel's buffers, and look like new ones afterwards. Only the own steady clock is
-used, which goes on while the process is stopped. Two detectors, with constants of their own:
+While a process is stopped (SIGSTOP, a frozen machine) or blocked by a long step of its event loop, requests
+and frames wait unread in the kernel's buffers, and look new when they are read afterwards. Only the process's
+own monotonic clock is used, which advances while the process is stopped. There are two detectors, each with
+its own constants:
 
-- `ArrivalClock` runs a timer on the loop and detects short stalls, also those of one loop step. It dates
-  requests: a lower bound of the time at which one that is read now can have arrived.
+- `ArrivalClock` runs a timer on the loop and detects short stalls, also those of a single loop step. It dates
+  requests: it gives a lower bound of the time at which a request that is read now can have arrived.
 - `StallDetector` is told of every event, does no I/O and detects long stalls. It dates frames of other
-  processes: an upper bound of how long one that is read now may have waited.
+  processes: it gives an upper bound of how long a frame that is read now may have waited.
 """
 
 import asyncio
@@ -17,17 +18,21 @@
 import uvloop
 
 TICK = 0.1  # s between two ticks of the `ArrivalClock`
-LATE = 0.15  # s by which a tick may be late in a process that runs
-SETTLING = 0.25  # s after a late tick within which what came meanwhile has been read
+LATE = 0.15  # s by which a tick may be late without counting as a stall
+SETTLING = 0.25  # s after a late tick within which all data that arrived during the stall has been read
 
 
 def steady_clock(loop: asyncio.AbstractEventLoop) -> Callable[[], float]:
-    """The loop's time in seconds, read anew at each call: uvloop's own is as old as its pass."""
+    """Returns a clock of the loop's time in seconds that reads the time at each call. `loop.time()` of uvloop
+    doesn't: it returns the time at which the current iteration began."""
     return monotonic if isinstance(loop, uvloop.Loop) else loop.time
 
 
 class ArrivalClock:
-    """`clock`: as of `steady_clock`."""
+    """Detects stalls by a periodic timer, and bounds when data that is read now can have arrived.
+
+    `clock`: a clock of `steady_clock`.
+    """
 
     def __init__(self, loop: asyncio.AbstractEventLoop, clock: Callable[[], float]) -> None:
         self.loop, self.clock = loop, clock
@@ -36,16 +41,16 @@
         self.timer: asyncio.TimerHandle | None = None
 
     def start(self) -> None:
-        """Begins to tick; before that, nothing is known of stalls."""
+        """Starts the timer; stalls before that are not detected."""
         self.tick()
 
     def close(self) -> None:
-        """Ends the ticks."""
+        """Stops the timer."""
         if self.timer is not None:
             self.timer.cancel()
 
     def tick(self) -> None:
-        """Notes that the loop runs, and whether it stood still before."""
+        """Records the time of this tick, and a stall if the tick is late; sets the timer again."""
         now = self.clock()
         if now - self.last_tick > TICK + LATE:
             if not self.settling():
@@ -55,24 +60,30 @@
         self.timer = self.loop.call_later(TICK, self.tick)
 
     def settling(self) -> bool:
-        """The loop has not run for long enough since it stood still; a stall does not count as running."""
+        """Returns whether data from before the end of a stall may still be unread.
+
+        The loop has to run for SETTLING after a stall; a further stall does not count as running.
+        """
         return self.last_tick < self.settled_at
 
     def earliest(self) -> float:
-        """No byte that is read now came before this time, but on a connection that was not being read."""
+        """Returns a time in seconds of `clock` before which no byte that is read now arrived, except on a
+        connection whose reading was paused."""
         return self.before_stall if self.settling() else self.tick_before
 
 
-STALL_THRESHOLD_S = 0.75  # between two events that counts as a stall; callers look every 0.25 s at least
-FRAMES_SETTLING_S = 0.5  # after a stall in which frames may still be read that came before its end
+STALL_THRESHOLD_S = 0.75  # a longer gap between two events is a stall; callers observe at least every 0.25 s
+FRAMES_SETTLING_S = 0.5  # after a stall, while frames that arrived before its end may still be read
 
 
 class StallDetector:
-    """Times are seconds of this process's steady clock, which goes on while it is stopped.
+    """Detects long stalls by the gaps between events. All times are seconds of the process's own monotonic
+    clock, which advances while the process is stopped.
 
-    Attributes: `last_event_at`: never falls; `stall_s`: length of the last stall, added to the one before if
-    that had not settled; `stall_ended_at`: minus infinity before the first stall, never above
-    `last_event_at`.
+    Attributes:
+        last_event_at: time of the last event; never decreases.
+        stall_s: length of the last stall, plus the one before if that had not settled.
+        stall_ended_at: minus infinity before the first stall; never later than `last_event_at`.
     """
 
     def __init__(self, now: float) -> None:
@@ -81,7 +92,7 @@
         self.stall_ended_at = float("-inf")
 
     def observe(self, now: float) -> None:
-        """Called with every event, and steadily."""
+        """Records an event; called with every event, and periodically."""
         gap = now - self.last_event_at
         if gap > STALL_THRESHOLD_S:
             self.stall_s = gap + self.unread_s(self.last_event_at)
@@ -89,12 +100,12 @@
         self.last_event_at = now
 
     def unread_s(self, now: float) -> float:
-        """For how long, at most, a frame that is read now may have waited unread; 0 if there was no stall."""
+        """Returns the longest time for which a frame that is read now may have waited; 0 without a stall."""
         if now >= self.stall_ended_at + FRAMES_SETTLING_S:
             return 0.0
         return self.stall_s + now - self.stall_ended_at
 
     def check_invariants(self) -> None:
         """AssertionError if the attributes contradict each other."""
-        assert self.stall_ended_at <= self.last_event_at, "a stall ends with the event that shows it"
-        assert self.stall_s == 0.0 or self.stall_s > STALL_THRESHOLD_S, "a stall is longer than its threshold"
+        assert self.stall_ended_at <= self.last_event_at, "a stall must end at or before the last event"
+        assert self.stall_s == 0.0 or self.stall_s > STALL_THRESHOLD_S, "a stall must exceed its threshold"
