--- a/shedgrade/peer_transport/address.py
+++ b/shedgrade/peer_transport/address.py
@@ -1,14 +1,14 @@
-"""Addresses as they are written: "ip:port"."""
+"""Parsing and formatting of addresses "ip:port"."""
 
 
 def parse_address(address: str) -> tuple[str, int]:
-    """The host and the port of "ip:port". ValueError if it is none."""
+    """Returns the host and the port of "ip:port"; raises ValueError if `address` has another form."""
     host, _, port = address.rpartition(":")
     if not host or not port.isascii() or not port.isdigit() or not 0 < int(port) < 65536:
-        raise ValueError(f"no address: {address!r}")
+        raise ValueError(f"not an address ip:port: {address!r}")
     return host, int(port)
 
 
 def format_address(pair: tuple[str, int]) -> str:
-    """The "ip:port" of a pair as IPv4 sockets give it."""
+    """Returns "ip:port" of a pair as IPv4 sockets return it."""
     return f"{pair[0]}:{pair[1]}"
--- a/shedgrade/peer_transport/connection.py
+++ b/shedgrade/peer_transport/connection.py
@@ -1,7 +1,7 @@
-"""Either end of a TCP connection between own processes; frames are those of `frames.py`.
+"""Either end of a TCP connection between the system's own processes; it carries frames of `frames.py`.
 
-Sending is unreliable by contract: what can't go is dropped, and what a partition held up may come seconds
-late. A connection is known to be dead once bytes stay unacknowledged for TCP_USER_TIMEOUT, or by its
+Delivery is not guaranteed: a frame that can't be sent is dropped, and one that a partition delayed may arrive
+seconds late. A dead connection is detected once sent bytes stay unacknowledged for TCP_USER_TIMEOUT, or by
 keep-alive probes when nothing was sent.
 """
 
@@ -13,8 +13,8 @@
 from shedgrade.peer_transport.frames import MAX_FRAME_BYTES, Frame, FrameError, FrameReader, encode
 from shedgrade.runtime.log import logger
 
-UNACKNOWLEDGED_TIMEOUT_MS = 1500  # bytes without an acknowledgement for so long: the connection is dead
-MAX_UNSENT_BYTES = MAX_FRAME_BYTES  # at one connection, for a peer that doesn't read
+UNACKNOWLEDGED_TIMEOUT_MS = 1500  # sent bytes that stay unacknowledged for longer end the connection
+MAX_UNSENT_BYTES = MAX_FRAME_BYTES  # send buffer of one connection, whose peer may have stopped reading
 SOCKET_OPTIONS = (
     (socket.SOL_SOCKET, socket.SO_KEEPALIVE, 1),
     (socket.IPPROTO_TCP, socket.TCP_NODELAY, 1),
@@ -26,11 +26,11 @@
 
 
 class PeerCallError(TimeoutError):
-    """A call that got no answer: refused, cut off, or not in time."""
+    """A call that got no answer: it was refused, its connection was lost, or its time-out passed."""
 
 
 def set_socket_options(sock: socket.socket) -> None:
-    """Guards against connections that hang behind a partition: without these options they do for minutes."""
+    """Sets SOCKET_OPTIONS; without them a connection behind a partition hangs for minutes."""
     for level, option, value in SOCKET_OPTIONS:
         sock.setsockopt(level, option, value)
 
@@ -43,15 +43,15 @@
     """Either end of one connection.
 
     Attributes:
-        own_address: this process's link address.
-        on_frame: called with every frame but the answers to own calls.
-        sender: the link address that the other side gave; "" before its first frame.
-        opened_at, last_heard_at: the loop's time of the start, and at which bytes came last.
-        frames_received: counts them.
-        is_closed: set for good once the connection is lost or aborted; nothing is sent or handled any more.
-        on_close: callables of no arguments, called once when the connection is gone.
-        pending_calls: answers to come, by the number of the call; empty once the connection is gone.
-        last_call: the number of the last call; they count up from 1.
+        own_address: link address of this process.
+        on_frame: called with each frame that isn't the answer to a call of this end.
+        sender: link address that the peer gives in its frames; "" before its first frame.
+        opened_at, last_heard_at: the loop's time when the connection was made, and when bytes last arrived.
+        frames_received: number of frames so far.
+        is_closed: set for good when the connection is lost or aborted; nothing is sent or handled afterwards.
+        on_close: callables without arguments, called once when the connection is lost.
+        pending_calls: futures of unanswered calls, by call number; empty once the connection is lost.
+        last_call: number of the last call; the first call has number 1.
     """
 
     def __init__(self, loop: asyncio.AbstractEventLoop, own_address: str, on_frame: FrameHandler) -> None:
@@ -70,7 +70,7 @@
         self.last_call = 0
 
     def check_invariants(self) -> None:
-        """AssertionError if an attribute breaks what the class says of it. For tests and the simulation."""
+        """Raises AssertionError if an attribute breaks its description. For tests and the simulation."""
         assert all(0 < number <= self.last_call for number in self.pending_calls)
         assert self.opened_at <= self.last_heard_at
         if self.frames_received:
@@ -80,18 +80,18 @@
     # --- called by the event loop
 
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
-        """The connection is up."""
+        """Stores the transport and sets its socket's options."""
         self.transport = transport  # type: ignore[assignment]
         self.opened_at = self.last_heard_at = self.loop.time()
         set_socket_options(transport.get_extra_info("socket"))
 
     def data_received(self, data: bytes) -> None:
-        """Handles the frames that are complete; aborts the connection on anything else."""
+        """Handles the frames that are complete; aborts the connection if the data is invalid."""
         self.last_heard_at = self.loop.time()
         try:
             frames = self.reader.feed(data)
         except FrameError as error:
-            # Guards against a stranger or another version at the other end: nothing after it can be trusted.
+            # The peer is a foreign program or another version: the rest of its stream can't be trusted.
             logger.warning("peer connection closed: invalid frame", peer=self.peer_name(), error=str(error))
             self.abort()
             return
@@ -107,12 +107,12 @@
                 self.on_frame(self, frame)
 
     def connection_lost(self, error: Exception | None) -> None:
-        """Fails the calls under way, and tells who asked for it."""
+        """Fails the pending calls, and calls the callbacks of `on_close`."""
         self.is_closed = True
         calls, self.pending_calls = self.pending_calls, {}
         for answer in calls.values():
             if not answer.done():
-                answer.set_exception(PeerCallError("the connection was lost"))
+                answer.set_exception(PeerCallError("connection lost"))
         callbacks, self.on_close = self.on_close, []
         for callback in callbacks:
             callback()
@@ -120,21 +120,21 @@
     # --- called by this package and by handlers of frames
 
     def send(self, body: bytes, number: int = 0, is_response: bool = False) -> None:
-        """One frame, dropped if the connection is gone. FrameError: the body is too long."""
+        """Sends a frame; drops it if the connection is closed. Raises FrameError if the body is too long."""
         if self.is_closed or self.transport is None or self.transport.is_closing():
             return
         data = encode(self.own_address, number, is_response, body)
         if self.transport.get_write_buffer_size() + len(data) > MAX_UNSENT_BYTES:
-            # Guards against a peer that doesn't read: it would hold our memory.
+            # A peer that doesn't read would make the send buffer grow without a bound.
             logger.warning("peer connection closed: send buffer full", peer=self.peer_name())
             self.abort()
             return
         self.transport.write(data)
 
     def call(self, body: bytes, answer: BytesFuture) -> int:
-        """Sends a call; `answer` gets the body that answers it, or a PeerCallError. Returns its number."""
+        """Sends a call and returns its number. `answer` gets the body of the response, or a PeerCallError."""
         if self.is_closed:
-            answer.set_exception(PeerCallError("the connection was lost"))
+            answer.set_exception(PeerCallError("connection lost"))
             return 0
         self.last_call += 1
         number = self.last_call
@@ -144,13 +144,14 @@
         return number
 
     def complete_call(self, frame: Frame) -> None:
-        """An answer; it is dropped if its caller has given up."""
+        """Passes a response to its call; drops it if the caller has given up."""
         answer = self.pending_calls.pop(frame.number, None)
         if answer is not None and not answer.done():
             answer.set_result(frame.body)
 
     def accept_sender(self, sender: str) -> bool:
-        """Takes the other side's address for its name; aborts if it is none, since answers would go there."""
+        """Stores the peer's link address; aborts the connection if it is invalid, since frames to the peer
+        would be sent there. Returns whether it is valid."""
         try:
             parse_address(sender)
         except ValueError as error:
@@ -163,13 +164,13 @@
         return True
 
     def peer_name(self) -> str:
-        """Who is at the other end, for the log: its link address, else that of its socket."""
+        """Returns the peer's link address for the log; before its first frame, its socket address."""
         if self.sender or self.transport is None:
             return self.sender
         return format_address(self.transport.get_extra_info("peername") or ("?", 0))
 
     def abort(self) -> None:
-        """Closes at once; what waits to be sent is lost."""
+        """Closes the connection at once; unsent bytes are lost."""
         self.is_closed = True
         if self.transport is not None:
             self.transport.abort()
--- a/shedgrade/peer_transport/flatbuffers_without_numpy.py
+++ b/shedgrade/peer_transport/flatbuffers_without_numpy.py
@@ -1,8 +1,8 @@
 """Loads `flatbuffers` without NumPy.
 
-Guards against a machine on which NumPy happens to be installed: the library imports it wherever it finds it,
-for vectors of arrays that no frame here has. Measured with NumPy 2.4: the import takes 0.15 s and 24 MB,
-without NumPy 0.02 s and 10 MB, and each process of the system would pay that at its start.
+The library imports NumPy wherever it is installed, for vectors of arrays, which no frame here has. With NumPy
+2.4 its import takes 0.15 s and 24 MB, without NumPy 0.02 s and 10 MB, and each process of the system would
+pay that when it starts.
 """
 
 import sys
@@ -11,7 +11,8 @@
 
 
 def load_compat_without_numpy() -> None:
-    """Puts the library's module `compat` in place, with its import of NumPy switched off."""
+    """Loads the library's module `compat` with its import of NumPy disabled. Raises ImportError if the
+    library or the module is missing."""
     package = find_spec("flatbuffers")
     if package is None or package.origin is None:
         raise ImportError("flatbuffers is not installed")
--- a/shedgrade/peer_transport/tcp.py
+++ b/shedgrade/peer_transport/tcp.py
@@ -1,6 +1,6 @@
-"""The TCP ends: a server, and a pool that keeps one connection an address, opened when first used.
+"""The TCP endpoints: a server, and a pool that keeps one connection an address, opened when first used.
 
-For the event loop of asyncio or uvloop. Addresses are "ip:port"; times are in seconds.
+They run on the event loop of asyncio or uvloop. Addresses are "ip:port"; times are in seconds.
 """
 
 import asyncio
@@ -21,13 +21,18 @@
 
 BACKLOG = 128
 CONNECT_TIMEOUT_S = 1.0
-MIN_BACKOFF_S, MAX_BACKOFF_S = 0.1, 0.5  # after a connection that failed, before the next
-ADOPTED_FRESH_S = 1.0  # since an adopted connection was heard from, or ours opened: it is thought to be alive
-MAX_QUEUED_FRAMES, MAX_QUEUED_BYTES = 256, 4 * 1024 * 1024  # an address, while its connection is opened
+MIN_BACKOFF_S, MAX_BACKOFF_S = 0.1, 0.5  # between a failed connection attempt and the next
+# An adopted connection on which nothing arrived for longer may be dead, and isn't used. An own connection
+# that was open for longer resets the backoff.
+ADOPTED_FRESH_S = 1.0
+MAX_QUEUED_FRAMES, MAX_QUEUED_BYTES = 256, 4 * 1024 * 1024  # for one address, while its connection is opened
 
 
 class PeerServer:
-    """Takes connections at `address`. `on_frame` answers a call by `peer.send(body, frame.number, True)`."""
+    """Accepts connections at `address`.
+
+    `on_frame` answers a call by `peer.send(body, frame.number, is_response=True)`.
+    """
 
     def __init__(
         self,
@@ -37,7 +42,8 @@
         on_frame: FrameHandler,
         adopt: Callable[[PeerConnection], None] | None = None,
     ) -> None:
-        """`adopt`: called with each connection once its sender is known; see `PeerConnectionPool.adopt`."""
+        """`adopt`: called with each connection at its first frame, once its sender is known; see
+        `PeerConnectionPool.adopt`."""
         self.loop = loop
         self.address = address
         self.own_address = own_address
@@ -47,7 +53,7 @@
         self.server: asyncio.Server | None = None
 
     async def start(self) -> None:
-        """Listens. OSError if the address can't be had."""
+        """Starts to listen. Raises OSError if the address can't be bound."""
         sock = socket.socket(socket.AF_INET, socket.SOCK_STREAM)
         try:
             sock.setsockopt(socket.SOL_SOCKET, socket.SO_REUSEADDR, 1)
@@ -59,20 +65,20 @@
             raise
 
     def make_connection(self) -> PeerConnection:
-        """The protocol of a connection that comes in."""
+        """Creates the protocol of an incoming connection."""
         connection = PeerConnection(self.loop, self.own_address, self.handle_frame)
         self.connections.add(connection)
         connection.on_close.append(lambda: self.connections.discard(connection))
         return connection
 
     def handle_frame(self, connection: PeerConnection, frame: Frame) -> None:
-        """Has the connection adopted with its first frame; passes all on."""
+        """Passes the connection to `adopt` at its first frame, and each frame to `on_frame`."""
         if self.adopt is not None and connection.frames_received == 1:
             self.adopt(connection)
         self.on_frame(connection, frame)
 
     def close(self) -> None:
-        """Stops listening and aborts what is open."""
+        """Stops listening and aborts open connections."""
         if self.server is not None:
             self.server.close()
         for connection in tuple(self.connections):
@@ -80,22 +86,23 @@
 
 
 class QueuedFrame(NamedTuple):
-    """A frame that waits for its connection. `answer`: of a call, None if it is one-way."""
+    """A frame that waits for an open connection. `answer`: future of a call, None if it is one-way."""
 
     body: bytes
     answer: BytesFuture | None
 
 
 class Route:
-    """The way to one address.
+    """The connections to one address, and the frames that wait for one.
 
     Attributes:
-        connection: our own, None while there is none.
-        adopted: one that came in from there, None while there is none. It is preferred to ours while fresh.
-        connecting: the task that opens ours, None if none is under way.
-        queue, queued_bytes: what waits for it. Empty unless `connecting`.
-        backoff_s: before the next attempt; 0 after one that got through.
-        retry_at: the loop's time before which no attempt is made, and what would need one is dropped.
+        connection: connection that this process opened, None while there is none.
+        adopted: incoming connection from the address, None while there is none. Preferred to `connection`
+            while bytes arrived on it within ADOPTED_FRESH_S.
+        connecting: task that opens `connection`, None if none is running.
+        queue, queued_bytes: frames that wait for the task, and the length of their bodies; empty without it.
+        backoff_s: pause before the next connection attempt; 0 after a connection that worked.
+        retry_at: the loop's time before which no attempt is made; frames that would need one are dropped.
     """
 
     __slots__ = ("connection", "adopted", "connecting", "queue", "queued_bytes", "backoff_s", "retry_at")
@@ -110,41 +117,42 @@
         self.retry_at = 0.0
 
     def check_invariants(self) -> None:
-        """AssertionError if an attribute breaks what the class says of it. For tests and the simulation."""
+        """Raises AssertionError if an attribute breaks its description. For tests and the simulation."""
         assert self.queued_bytes == sum(len(frame.body) for frame in self.queue)
         assert len(self.queue) <= MAX_QUEUED_FRAMES
         assert not self.queue or self.connecting is not None
         assert 0 <= self.backoff_s <= MAX_BACKOFF_S
 
     def has_room(self, body: bytes) -> bool:
-        """Whether the body may wait. The first one may, whatever its length."""
+        """Returns whether the body fits the queue. An empty queue accepts a body of any length."""
         if len(self.queue) >= MAX_QUEUED_FRAMES:
             return False
         return not self.queue or self.queued_bytes + len(body) <= MAX_QUEUED_BYTES
 
     def enqueue(self, frame: QueuedFrame) -> None:
-        """Adds what waits."""
+        """Adds a frame to the queue."""
         self.queue.append(frame)
         self.queued_bytes += len(frame.body)
 
     def take_queue(self) -> list[QueuedFrame]:
-        """All that waits, which no longer does."""
+        """Empties the queue and returns its frames."""
         queue, self.queue = self.queue, []
         self.queued_bytes = 0
         return queue
 
 
 class PeerConnectionPool:
-    """Sends to link addresses. One connection an address is kept, or one that came in from it is used.
+    """Sends frames to link addresses. It keeps one connection for each address, or uses an incoming one.
 
     Attributes:
-        on_response: gets the frames that come back over own connections, with their sender; answers to own
-            calls aside.
-        on_call: gets the calls among them, as a `PeerServer`'s handler does: a peer that adopted our
-            connection calls over it. None: `on_response` gets all.
-        local_host: the IP that own connections are bound to.
+        on_response: called with the sender and the frame for each frame on own connections that isn't the
+            answer to an own call.
+        on_call: called with the connection and the frame for calls on own connections instead, as a
+            `PeerServer`'s handler is: a peer that adopted the connection sends its calls over it. None:
+            `on_response` gets them.
+        local_host: IP address that own connections are bound to.
         routes: by link address.
-        is_closed: set for good by `close`; nothing is sent any more.
+        is_closed: set for good by `close`; nothing is sent afterwards.
     """
 
     def __init__(
@@ -164,8 +172,8 @@
         self.is_closed = False
 
     def check_invariants(self) -> None:
-        """AssertionError if an attribute of a route or an open connection breaks what its class says of it,
-        or something waits after `close`. For tests and the simulation."""
+        """Raises AssertionError if an attribute of a route or a connection breaks its description, or a frame
+        is queued after `close`. For tests and the simulation."""
         for route in self.routes.values():
             route.check_invariants()
             assert not (self.is_closed and route.queue)
@@ -174,11 +182,12 @@
                     connection.check_invariants()
 
     def send(self, address: str, body: bytes) -> None:
-        """One way; dropped if it can't go."""
+        """Sends a one-way frame; drops it if it can't be sent."""
         self.forward(address, QueuedFrame(body, None))
 
     async def call(self, address: str, body: bytes, timeout: float) -> bytes:
-        """The body that answers. PeerCallError: no answer within `timeout` seconds, or none can come."""
+        """Sends a call and returns the body of its answer. Raises PeerCallError if none arrives within
+        `timeout` seconds, or none can arrive."""
         answer: BytesFuture = self.loop.create_future()
         timer = self.loop.call_later(timeout, fail, answer, "no answer in time")
         try:
@@ -189,18 +198,18 @@
             answer.cancel()
 
     def adopt(self, connection: PeerConnection) -> None:
-        """An incoming connection whose frames name their sender: used for sending to that address while it is
-        open and was heard from lately, so two processes need one connection and not two."""
+        """Uses an incoming connection whose sender is known to send to that sender's address, while it is
+        open and fresh, so that two processes need only one connection."""
         if not connection.sender or connection.is_closed or self.is_closed:
             return
         address = connection.sender
         route = self.route_to(address)
         route.adopted = connection
         connection.on_close.append(lambda: self.forget(address, connection))
-        self.flush(route, connection)  # a peer that returned comes to us while our attempt still hangs
+        self.flush(route, connection)  # a peer that was unreachable may connect while our attempt still hangs
 
     def close(self) -> None:
-        """Aborts own connections; calls under way end with a PeerCallError."""
+        """Aborts own connections; pending calls fail with a PeerCallError."""
         self.is_closed = True
         for route in self.routes.values():
             if route.connecting is not None:
@@ -210,14 +219,14 @@
             self.drop_queue(route, "closed")
 
     def route_to(self, address: str) -> Route:
-        """The route to the address, made when first used."""
+        """Returns the route to the address, created on first use."""
         route = self.routes.get(address)
         if route is None:
             route = self.routes[address] = Route()
         return route
 
     def forget(self, address: str, connection: PeerConnection) -> None:
-        """The connection is gone."""
+        """Removes a closed connection from its route."""
         route = self.routes.get(address)
         if route is None:
             return
@@ -227,14 +236,15 @@
             route.connection = None
             if connection.frames_received or self.loop.time() - connection.opened_at > ADOPTED_FRESH_S:
                 route.backoff_s = 0.0
-            else:  # guards against a tight loop of attempts to one who takes connections only to close them
+            else:  # prevents a tight loop of attempts if the peer accepts connections and closes them at once
                 self.back_off(route)
 
     def forward(self, address: str, frame: QueuedFrame) -> None:
-        """Sends over the connection to the address, or opens one; fails the call if neither can be."""
+        """Sends over a usable connection, else queues the frame and opens one. If neither is possible, drops
+        the frame and fails its call."""
         try:
             pair = parse_address(address)
-        except ValueError as error:  # guards against what a stranger said its address was
+        except ValueError as error:  # a peer may have given an invalid address as its own
             logger.error("message not sent: invalid peer address", error=str(error))
             fail(frame.answer, str(error))
             return
@@ -243,17 +253,17 @@
         if connection is not None:
             self.transmit(connection, frame)
         elif self.is_closed or self.loop.time() < route.retry_at:
-            fail(frame.answer, "not reached a moment ago")
+            fail(frame.answer, "no connection: pool closed or in backoff")
         elif not route.has_room(frame.body):
-            # Guards against memory filled by what waits for one address.
-            fail(frame.answer, "too much waits for this address")
+            # Bounds the memory that frames for one address take.
+            fail(frame.answer, "send queue of the address is full")
         else:
             route.enqueue(frame)
             if route.connecting is None:
                 route.connecting = self.loop.create_task(self.connect(address, pair, route))
 
     def usable_connection(self, route: Route) -> PeerConnection | None:
-        """The adopted connection if it was heard from lately, else our own."""
+        """Returns the adopted connection if it is fresh, else our own if it is open, else None."""
         adopted = route.adopted
         if (
             adopted is not None
@@ -266,7 +276,7 @@
         return None
 
     def transmit(self, connection: PeerConnection, frame: QueuedFrame) -> None:
-        """Sends over an open connection."""
+        """Sends a frame over an open connection."""
         try:
             if frame.answer is None:
                 connection.send(frame.body)
@@ -277,7 +287,7 @@
             fail(frame.answer, str(error))
 
     async def connect(self, address: str, pair: tuple[str, int], route: Route) -> None:
-        """Opens our connection and sends what waits; drops that if it can't be opened."""
+        """Opens a connection to the address, and sends the queued frames; drops them if the attempt fails."""
         sock = socket.socket(socket.AF_INET, socket.SOCK_STREAM)
         try:
             sock.setblocking(False)
@@ -288,11 +298,11 @@
                 _, connection = await self.loop.create_connection(
                     lambda: PeerConnection(self.loop, self.own_address, self.handle_frame), sock=sock
                 )
-        except OSError:  # a TimeoutError too
+        except OSError:  # includes TimeoutError
             sock.close()
             route.connecting = None
             self.back_off(route)
-            self.drop_queue(route, "not reached")
+            self.drop_queue(route, "connection attempt failed")
             return
         except BaseException:
             sock.close()
@@ -303,22 +313,23 @@
         self.flush(route, connection)
 
     def flush(self, route: Route, connection: PeerConnection) -> None:
-        """Sends what waits."""
+        """Sends the queued frames."""
         for frame in route.take_queue():
             self.transmit(connection, frame)
 
     def back_off(self, route: Route) -> None:
-        """A member that returns is to be met at once, so the backoff stays short."""
+        """Doubles the pause before the next attempt. It stays short, so that a peer that is reachable again
+        is soon connected."""
         route.backoff_s = min(max(2 * route.backoff_s, MIN_BACKOFF_S), MAX_BACKOFF_S)
         route.retry_at = self.loop.time() + route.backoff_s
 
     def drop_queue(self, route: Route, reason: str) -> None:
-        """Fails the calls that wait; what is one-way is lost."""
+        """Drops the queued frames and fails the calls among them."""
         for frame in route.take_queue():
             fail(frame.answer, reason)
 
     def handle_frame(self, connection: PeerConnection, frame: Frame) -> None:
-        """A frame that came over our own connection."""
+        """Passes on a frame that arrived on an own connection."""
         if frame.number and self.on_call is not None:
             self.on_call(connection, frame)
         else:
@@ -326,6 +337,6 @@
 
 
 def fail(answer: BytesFuture | None, reason: str) -> None:
-    """Ends a call with a PeerCallError, unless it has ended."""
+    """Fails a call with a PeerCallError, unless it is done."""
     if answer is not None and not answer.done():
         answer.set_exception(PeerCallError(reason))
--- a/shedgrade/peer_transport/udp.py
+++ b/shedgrade/peer_transport/udp.py
@@ -1,4 +1,4 @@
-"""Datagrams between own processes: small, lost now and then, from whoever sends them."""
+"""A UDP endpoint for small datagrams between the system's own processes, which may be lost or forged."""
 
 import asyncio
 import socket
@@ -8,14 +8,15 @@
 from shedgrade.peer_transport.address import format_address, parse_address
 from shedgrade.peer_transport.frames import VERSION
 
-MAX_BODY_BYTES = 1200  # with all headers under the smallest usual size of a packet
+MAX_BODY_BYTES = 1200  # with all headers below the smallest MTU in common use
 VERSION_BYTE = bytes((VERSION,))
 
 
 class DatagramEndpoint(asyncio.DatagramProtocol):
-    """One socket at `address`; `on_datagram(sender, body)` gets what comes, `sender` as "ip:port".
+    """One socket at `address`; calls `on_datagram(sender, body)` with each datagram, `sender` as "ip:port".
 
-    A body travels behind one byte, the version; a datagram of another version, or over the bound, is ignored.
+    A body is preceded by one byte, the version. A datagram of another version, or with a body longer than
+    MAX_BODY_BYTES, is ignored.
     """
 
     def __init__(
@@ -30,7 +31,7 @@
         self.transport: asyncio.DatagramTransport | None = None
 
     async def start(self) -> None:
-        """Opens the socket. OSError if the address can't be had."""
+        """Opens the socket. Raises OSError if the address can't be bound."""
         sock = socket.socket(socket.AF_INET, socket.SOCK_DGRAM)
         try:
             sock.setblocking(False)
@@ -41,7 +42,7 @@
             raise
 
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
-        """The socket is open."""
+        """Stores the transport."""
         self.transport = transport  # type: ignore[assignment]
 
     def datagram_received(self, data: bytes, sender: tuple[str | Any, int]) -> None:
@@ -50,12 +51,13 @@
             self.on_datagram(format_address(sender), data[1:])
 
     def error_received(self, error: Exception) -> None:
-        """A dead port was reported, or the link is full: datagrams may be lost, so this is nothing new."""
+        """Ignores an ICMP error or a full send buffer: datagrams may be lost anyway."""
 
     def send(self, address: str, body: bytes) -> None:
-        """Dropped before the start and after the end. ValueError: no address, or a body that is too long."""
+        """Sends a datagram, or drops it if the socket isn't open. Raises ValueError if the address is invalid
+        or the body too long."""
         if len(body) > MAX_BODY_BYTES:
-            raise ValueError(f"a body of {len(body)} bytes is too long for a datagram")
+            raise ValueError(f"body of {len(body)} bytes is too long for a datagram")
         pair = parse_address(address)
         if self.transport is not None and not self.transport.is_closing():
             self.transport.sendto(VERSION_BYTE + body, pair)
--- a/tests/peer_transport/test_frames.py
+++ b/tests/peer_transport/test_frames.py
@@ -68,7 +68,7 @@
             FrameReader().feed(changed)
         except FrameError as error:
             said.append(str(error))
-    assert "version 9 is unknown here" in said
+    assert "unknown version 9" in said
 
 
 def test_a_frame_over_the_bound_is_refused_before_it_is_held():
