--- a/shedgrade/membership/__init__.py
+++ b/shedgrade/membership/__init__.py
@@ -1,1 +1,1 @@
-"""Which other members there are: partial views, shuffled between neighbours (gossip)."""
+"""Gossip membership: each member holds a partial view of the others and shuffles it with its neighbours."""
--- a/shedgrade/membership/fitting.py
+++ b/shedgrade/membership/fitting.py
@@ -1,4 +1,4 @@
-"""Messages cut to what fits one datagram."""
+"""Encodes messages so that each fits one datagram."""
 
 from collections.abc import Iterator
 from dataclasses import dataclass
@@ -17,7 +17,7 @@
 
 @dataclass(frozen=True, slots=True)
 class FittedShuffle:
-    """An encoded shuffle, and what of the sample and the rumours it carries."""
+    """An encoded shuffle, and the descriptors and rumours that it contains."""
 
     body: bytes
     descriptors: list[Descriptor]
@@ -31,7 +31,7 @@
     sample: Sample,
     rumours: list[Rumour],
 ) -> FittedShuffle:
-    """A shuffle of this kind: descriptors that don't fit are left out, the last ones first, then rumours."""
+    """Encodes a shuffle. Leaves out what doesn't fit: descriptors from the last one on, then rumours."""
     descriptors = sample.descriptors
     while len(body := encode(kind(number, sender, descriptors, rumours, sample.digests))) > MAX_MESSAGE_BYTES:
         if descriptors:
@@ -42,7 +42,7 @@
 
 
 def split_updates(descriptors: list[Descriptor]) -> Iterator[MembershipUpdate]:
-    """Updates that together carry all of the descriptors."""
+    """Yields updates that together contain all descriptors, each as many as fit a datagram."""
     while descriptors:
         count = len(descriptors)
         while count > 1 and len(encode(MembershipUpdate(descriptors[:count], []))) > MAX_MESSAGE_BYTES:
--- a/shedgrade/membership/gossip.py
+++ b/shedgrade/membership/gossip.py
@@ -1,4 +1,4 @@
-"""One process's view at its UDP address: carries datagrams, and keeps the view's timer on the loop."""
+"""Runs the partial view of one process on its event loop: carries its datagrams and sets its timer."""
 
 import asyncio
 from collections.abc import Iterable
@@ -12,25 +12,28 @@
 from shedgrade.peer_transport.udp import DatagramEndpoint
 from shedgrade.runtime.log import logger
 
-PERIOD_S = 2.4  # between shuffles: word of others isn't urgent, as the core tells it too
-MIN_TIMER_S = 0.001  # to the next tick at the earliest
+PERIOD_S = 2.4  # between shuffles; not urgent, since the core also reports which members there are
+MIN_TIMER_S = 0.001  # shortest delay of the timer
 
 
 class Gossip:
-    """`start` opens the socket; before it, after `close`, and where the address can't be had, nothing is sent
-    or received. ValueError: a node or contact that doesn't fit a datagram.
+    """One process's partial view at its UDP address.
+
+    `start` opens the socket. Before it, after `close`, and if the address can't be bound, nothing is sent or
+    received. Raises ValueError if the node or a contact has an invalid address, or the node is too long for a
+    datagram.
 
     Attributes:
         view: the state machine.
-        timer: the one call of `on_timer` that is set, None if there is none.
-        timer_at: when it is due, as the view asked for it.
-        is_running: from a `start` that got the address to `close`.
+        timer: the pending call of `on_timer`, None if there is none.
+        timer_at: the time that the timer was set for, as the view's `wake_at` returned it.
+        is_running: whether the socket is open: from a successful `start` to `close`.
     """
 
     def __init__(
         self, loop: asyncio.AbstractEventLoop, me: Node, contacts: Iterable[str], random: Random
     ) -> None:
-        """`contacts`: UDP addresses "ip:port" of whoever may know others."""
+        """`me`: the own node; `contacts`: UDP addresses "ip:port" of processes that may know members."""
         self.loop = loop
         self.view = PartialView(me, random, loop.time(), period=PERIOD_S)
         self.view.add_contacts(Node("", address) for address in contacts)
@@ -40,18 +43,19 @@
         self.is_running = False
 
     async def start(self) -> None:
-        """Opens the socket; logs a warning if the address can't be had."""
+        """Opens the socket; logs a warning if the address can't be bound."""
         try:
             await self.datagrams.start()
         except OSError as error:
-            # Guards against an end of the process: the core tells it of others too.
+            # Gossip is not essential: the core reports members too, so the process goes on without it.
             logger.warning("gossip socket not opened", address=self.view.table.me.address, error=str(error))
             return
         self.is_running = True
         self.on_timer()
 
     def announce_state(self, state: str) -> None:
-        """The own node's state; "leaving" is sent to all neighbours, and nothing more after it."""
+        """Changes the own node's state. "leaving" is sent to all neighbours; afterwards only requests are
+        answered, with the same message."""
         if state == "leaving":
             self.view.leave(self.loop.time())
         else:
@@ -59,7 +63,7 @@
         self.carry_out()
 
     def close(self) -> None:
-        """Closes the socket; nothing is sent or received any more."""
+        """Closes the socket; nothing is sent or received afterwards."""
         self.is_running = False
         if self.timer is not None:
             self.timer.cancel()
@@ -71,25 +75,25 @@
         self.carry_out()
 
     def on_timer(self) -> None:
-        """Something of the view is due."""
+        """Runs what is due in the view."""
         self.timer = None
         self.view.tick(self.loop.time())
         self.carry_out()
 
     def carry_out(self) -> None:
-        """Sends what the view asks for, and sets the timer."""
+        """Sends the datagrams of the view's instructions, and sets the timer."""
         instructions = list(self.view.instructions)
         self.view.instructions.clear()
         for instruction in instructions:
             try:
                 self.datagrams.send(instruction.address, instruction.body)
             except (OSError, ValueError):
-                # Guards against an address that others told and no datagram can be sent to.
+                # An address learnt from other members may be one that datagrams can't be sent to.
                 continue
         self.set_timer()
 
     def set_timer(self) -> None:
-        """Sets the timer to when the view is due; leaves it if that hasn't changed."""
+        """Sets the timer to the time at which the view is due; keeps it if that time is unchanged."""
         due_at = self.view.wake_at()
         if self.timer is not None:
             if due_at == self.timer_at:
--- a/shedgrade/membership/messages.py
+++ b/shedgrade/membership/messages.py
@@ -1,21 +1,30 @@
-"""What members send each other: MessagePack of tagged structs, each small enough for one datagram.
+"""The messages between members: MessagePack of tagged structs, each small enough for one datagram.
 
-The tags and the order of the fields are the protocol; names of classes and fields aren't sent.
+The tags and the order of the fields are the wire format; names of classes and fields aren't sent.
 """
 
 from typing import Annotated
 
 import msgspec
 
-MAX_MESSAGE_BYTES = 1200  # with all headers under the smallest usual size of a packet
-Incarnation = Annotated[int, msgspec.Meta(ge=-1, le=2**62)]  # -1: learnt elsewhere, the node knows better
+MAX_MESSAGE_BYTES = 1200  # with all headers below the smallest MTU in common use
+# -1: the node was not learnt by gossip, so each descriptor of its own is newer.
+Incarnation = Annotated[int, msgspec.Meta(ge=-1, le=2**62)]
 
 
 class Node(msgspec.Struct, array_like=True, frozen=True):
-    """One process. `address`: its UDP address "ip:port"; `kind`: "edge" or "core"; `boot_id`: drawn at its
-    start; `link_address`: where its peers reach it by TCP, or ""; `front_address`: an edge's address for
-    clients, or ""; `state`: "starting", "ready", "leaving". A contact of which only the address is known has
-    the name ""."""
+    """One process.
+
+    Attributes:
+        name: "" for a contact of which only the address is known.
+        address: UDP address "ip:port".
+        kind: "edge" or "core".
+        zone: name of its zone.
+        boot_id: random number that the process draws when it starts.
+        link_address: TCP address for its peers, or "".
+        front_address: address of an edge for clients, or "".
+        state: "starting", "ready" or "leaving".
+    """
 
     name: str
     address: str
@@ -28,8 +37,8 @@
 
 
 class Descriptor(msgspec.Struct, array_like=True, frozen=True):
-    """A node as it is passed on. `age_ms`: since it was known to be alive. Only the node itself raises its
-    incarnation: of two descriptors, the one with the higher incarnation is newer."""
+    """A node as members pass it on. Only the node itself raises its incarnation: of two descriptors, the one
+    with the higher incarnation is newer. `age_ms`: time since the node was last known to be alive."""
 
     node: Node
     incarnation: Incarnation
@@ -37,7 +46,7 @@
 
 
 class Rumour(msgspec.Struct, array_like=True, frozen=True):
-    """What became of a node in its incarnation. `status`: "suspected", "dropped" or "left"."""
+    """The status of a node in one incarnation: "suspected", "dropped" or "left"."""
 
     name: str
     incarnation: Incarnation
@@ -45,7 +54,7 @@
 
 
 class Digest(msgspec.Struct, array_like=True, frozen=True):
-    """Stands for the descriptor of a node that the other side knows, most likely, in a tenth of its bytes."""
+    """Replaces the descriptor of a node that the receiver probably knows, at a tenth of its size."""
 
     name_hash: int
     incarnation: Incarnation
@@ -53,7 +62,7 @@
 
 
 class ShuffleRequest(msgspec.Struct, array_like=True, frozen=True, tag="shuffle"):
-    """Begins an exchange of view entries (Cyclon). `number`: of the request, repeated in the response."""
+    """Starts an exchange of view entries (Cyclon). `number`: of the request, repeated in the response."""
 
     number: int
     sender: Descriptor
@@ -63,7 +72,7 @@
 
 
 class ShuffleResponse(msgspec.Struct, array_like=True, frozen=True, tag="shuffled"):
-    """The answer: as many of the other's own entries."""
+    """Answers a ShuffleRequest with as many entries of the responder."""
 
     number: int
     sender: Descriptor
@@ -73,7 +82,7 @@
 
 
 class Ping(msgspec.Struct, array_like=True, frozen=True, tag="ping"):
-    """Asks whether the receiver is alive. `rumours`: what it should know is believed of it."""
+    """Asks whether the receiver is alive. `rumours`: those about the receiver, which it may refute."""
 
     number: int
     sender: Descriptor
@@ -88,28 +97,28 @@
 
 
 class IndirectPing(msgspec.Struct, array_like=True, frozen=True, tag="inquiry"):
-    """Asks the receiver to ping `address` (SWIM's ping-req) and to send on what came."""
+    """Asks the receiver to ping `address` (SWIM's ping-req) and to forward the answer."""
 
     number: int
     address: str
 
 
 class IndirectAck(msgspec.Struct, array_like=True, frozen=True, tag="finding"):
-    """The node that was pinged indirectly answered. `descriptor`: as it described itself."""
+    """Reports that the node that was pinged indirectly answered. `descriptor`: as it described itself."""
 
     number: int
     descriptor: Descriptor
 
 
 class MembershipUpdate(msgspec.Struct, array_like=True, frozen=True, tag="notice"):
-    """Sent without a request: descriptors, or what became of nodes."""
+    """Descriptors and rumours that are sent outside a shuffle."""
 
     entries: list[Descriptor]
     rumours: list[Rumour]
 
 
 class DescriptorRequest(msgspec.Struct, array_like=True, frozen=True, tag="query"):
-    """Asks for the descriptors behind digests; a MembershipUpdate answers."""
+    """Requests the descriptors of nodes known by digests only; a MembershipUpdate answers."""
 
     name_hashes: list[int]
 
--- a/shedgrade/membership/population.py
+++ b/shedgrade/membership/population.py
@@ -1,8 +1,9 @@
-"""How many nodes of a kind there are, beyond what a view holds.
+"""Estimates how many nodes of a kind there are, beyond those that a view holds.
 
-Each shuffle brings descriptors: samples of all nodes, nearly uniform once views are mixed. Of M samples in
-the last WINDOW_S seconds D were distinct; with N nodes, D is about N (1 - exp(-M / N)), which is solved for
-N. Kinds share N as they share D. Few nodes are all met within the window, and the estimate is then D itself.
+Each shuffle brings descriptors, which are samples of all nodes, nearly uniform once the views are mixed. Of M
+samples in the last WINDOW_S seconds, D were distinct nodes; with N nodes, D is about N (1 - exp(-M / N)),
+which is solved for N. N is split among the kinds in proportion to their shares of D. If there are few nodes,
+all of them are sampled within the window, and the estimate is D itself.
 """
 
 from collections import deque
@@ -10,15 +11,15 @@
 from math import exp
 
 WINDOW_S = 30.0
-PRUNE_ABOVE = 64  # names
-PRUNE_EVERY = 16  # batches
-MAX_FACTOR = 2.0  # of the estimate over the distinct nodes
-BISECTIONS = 40
+PRUNE_ABOVE = 64  # names; up to this number they are not pruned
+PRUNE_EVERY = 16  # batches between two prunings
+MAX_FACTOR = 2.0  # upper bound of the estimate, as a multiple of the distinct nodes
+BISECTIONS = 40  # steps
 
 
 @dataclass(frozen=True, slots=True)
 class Sighting:
-    """A node as it was sampled last."""
+    """The last sample of a node. `at`: seconds."""
 
     kind: str
     at: float
@@ -26,19 +27,19 @@
 
 @dataclass(frozen=True, slots=True)
 class Batch:
-    """How many samples one shuffle brought."""
+    """The number of samples that one shuffle brought. `at`: seconds."""
 
     at: float
     size: int
 
 
 class PopulationEstimator:
-    """Estimates from samples. Holds one entry a name met within the window.
+    """Estimates the number of nodes from samples. Holds one entry for each name sampled within the window.
 
     Attributes:
-        sightings: by name.
-        batches: those of the window, oldest first.
-        total: samples in `batches`.
+        sightings: last sample of each node, by name.
+        batches: those within the window, oldest first.
+        total: number of samples in `batches`.
     """
 
     def __init__(self) -> None:
@@ -47,7 +48,7 @@
         self.total = 0
 
     def sample(self, now: float, names_and_kinds: list[tuple[str, str]]) -> None:
-        """Counts the nodes that one shuffle brought."""
+        """Adds the names and kinds of the nodes that one shuffle brought."""
         for name, kind in names_and_kinds:
             self.sightings[name] = Sighting(kind, now)
         self.batches.append(Batch(now, len(names_and_kinds)))
@@ -58,17 +59,17 @@
             self.prune(now)
 
     def prune(self, now: float) -> None:
-        """Forgets names that were not met within the window."""
+        """Removes the names that were not sampled within the window."""
         self.sightings = {
             name: sighting for name, sighting in self.sightings.items() if sighting.at >= now - WINDOW_S
         }
 
     def remove(self, name: str) -> None:
-        """The node is known to be gone."""
+        """Removes a node that departed."""
         self.sightings.pop(name, None)
 
     def count(self, kind: str) -> int:
-        """An estimate of how many others of a kind there are; never below those that were met."""
+        """Estimates how many other nodes of a kind there are; returns at least as many as were sampled."""
         if not self.batches:
             return 0
         since = self.batches[-1].at - WINDOW_S
@@ -80,7 +81,7 @@
 
 
 def population(distinct: int, samples: int) -> float:
-    """N in `distinct` = N (1 - exp(-`samples` / N)), by bisection; at most MAX_FACTOR times `distinct`.
+    """Solves `distinct` = N (1 - exp(-`samples` / N)) for N by bisection, up to MAX_FACTOR times `distinct`.
 
     >>> round(population(100, 10_000))
     100
--- a/shedgrade/membership/table.py
+++ b/shedgrade/membership/table.py
@@ -1,5 +1,5 @@
-"""What a member believes of others: its neighbours, whom it suspects, who departed, and the rumours it
-spreads.
+"""What one member knows about the others: its neighbours, suspected and departed nodes, and the rumours that
+it spreads.
 
 Suspicion and incarnations as in SWIM (Das, Gupta, Motivala, 2002). Times are seconds of the caller's clock.
 """
@@ -19,12 +19,14 @@
 )
 from shedgrade.peer_transport.address import parse_address
 
-SUSPICION_TIMEOUT_S = 2.0  # that a suspected node has to refute
-ISOLATED_FACTOR = 5  # times as long, while nobody at all is heard
-DEPARTED_MEMORY_S = 90.0  # that a node is known to have been dropped or have left
+SUSPICION_TIMEOUT_S = 2.0  # in which a suspected node has to refute
+ISOLATED_FACTOR = 5  # multiplies SUSPICION_TIMEOUT_S while no datagram at all arrives
+DEPARTED_MEMORY_S = 90.0  # for which a dropped or left node is remembered
 MAX_DEPARTED = 256
-RETURN_MARGIN_S = 1.0  # after its end at which a node must have been heard to be back: ages lag by hops
-NEW_DESCRIPTOR_S = 10.0  # that a descriptor is passed on whole, though the view has room
+# A departed node may be back if it was alive this long after it departed here. Shorter differences occur
+# without a return, since ages lag with each hop.
+RETURN_MARGIN_S = 1.0
+NEW_DESCRIPTOR_S = 10.0  # for which a new descriptor is sent in full even if the view has room
 SENDS_PER_RUMOUR = 8  # messages that carry a rumour
 MAX_RUMOURS_SENT = 6  # in one message
 SUSPECTED, DROPPED, LEFT = "suspected", "dropped", "left"
@@ -34,12 +36,12 @@
     """A neighbour.
 
     Attributes:
-        node: as its newest incarnation described itself.
-        name_hash: by which digests name it.
-        incarnation: the highest that was heard of; -1 for a node learnt elsewhere.
-        last_alive_at: when it was last known to be alive, by itself or by others.
-        learnt_at: when this description was learnt.
-        drop_at: when it is dropped unless it refutes; None unless it is suspected.
+        node: as it described itself in its newest incarnation.
+        name_hash: CRC-32 of the name, which digests contain.
+        incarnation: the highest one that is known; -1 for a node that was not learnt by gossip.
+        last_alive_at: when the node was last known to be alive, directly or by other members.
+        learnt_at: when `node` was received.
+        drop_at: when the node is dropped unless it refutes; None if it isn't suspected.
     """
 
     __slots__ = ("node", "name_hash", "incarnation", "last_alive_at", "learnt_at", "drop_at")
@@ -53,22 +55,25 @@
         self.drop_at: float | None = None
 
     def descriptor(self, now: float) -> Descriptor:
-        """The entry as it is passed on."""
+        """Returns the descriptor that is sent to other members."""
         return Descriptor(self.node, self.incarnation, self.age_ms(now))
 
     def digest(self, now: float) -> Digest:
-        """What stands for the descriptor where the other side knows it."""
+        """Returns the digest that is sent in place of the descriptor to members that know the node."""
         return Digest(self.name_hash, self.incarnation, self.age_ms(now))
 
     def age_ms(self, now: float) -> int:
-        """Milliseconds since the node was known to be alive."""
+        """Returns the milliseconds since the node was last known to be alive."""
         return max(0, int((now - self.last_alive_at) * 1000))
 
 
 class Departed:
-    """A node that was dropped or has left, in an incarnation: only a higher one of it is believed.
+    """A node that was dropped or left. Only a higher incarnation of it is accepted.
 
-    `status`: DROPPED or LEFT; `at`: when this member learnt of it.
+    Attributes:
+        node: as it was known; with the address "" if only a rumour about it was received.
+        status: DROPPED or LEFT.
+        at: when this member learnt that it departed.
     """
 
     __slots__ = ("node", "incarnation", "status", "at")
@@ -81,7 +86,7 @@
 
 
 class SpreadingRumour:
-    """A rumour that is still sent. `sends_left`: messages that will carry it, at least one."""
+    """A rumour that is being spread. `sends_left`: messages that will still carry it, at least one."""
 
     __slots__ = ("rumour", "sends_left")
 
@@ -92,7 +97,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Sample:
-    """Entries to pass on: new ones as descriptors, old ones as digests."""
+    """Entries for a shuffle: new ones as descriptors, old ones as digests."""
 
     descriptors: list[Descriptor]
     digests: list[Digest]
@@ -100,23 +105,23 @@
 
 @dataclass(frozen=True, slots=True)
 class Corrections:
-    """What a node should be told of itself, so that it refutes."""
+    """Descriptors and rumours that are sent to the node that they are about, so that it refutes."""
 
     descriptors: list[Descriptor]
     rumours: list[Rumour]
 
 
 class Table:
-    """The beliefs of one member. ValueError: `me` is too long for a datagram.
+    """The membership state of one member. Raises ValueError if `me` is too long for a datagram.
 
     Attributes:
         me: the own node, as it is described to others.
-        incarnation: the own one, raised to refute and with each change of `me`; never falls.
-        size: the most entries.
-        last_heard_at: when any datagram came last; the start, before the first.
-        entries: neighbours by name, alive or suspected. Never this member; never one in `departed`.
+        incarnation: of the own node; raised to refute and with each change of `me`, never lowered.
+        size: largest number of entries.
+        last_heard_at: when any datagram last arrived; before the first, when the table was created.
+        entries: neighbours by name, alive or suspected; neither this member nor a node in `departed`.
         departed: by name, oldest first, at most MAX_DEPARTED.
-        rumours: what is still spread, by the name of the node, the next to be sent first.
+        rumours: rumours that are being spread, by the name of their node, the next to be sent first.
     """
 
     def __init__(self, me: Node, random: Random, now: float, size: int) -> None:
@@ -130,7 +135,7 @@
         self.set_own_node(me)
 
     def check_invariants(self) -> None:
-        """AssertionError if an attribute breaks what the class says of it. For tests and the simulation."""
+        """Raises AssertionError if an attribute breaks its description. For tests and the simulation."""
         assert self.incarnation >= 0
         assert len(self.entries) <= self.size
         assert len(self.departed) <= MAX_DEPARTED
@@ -151,29 +156,30 @@
     # --- the own node
 
     def set_own_node(self, me: Node) -> None:
-        """Describes this member from now on. ValueError: too long for a datagram."""
+        """Replaces the own node. Raises ValueError if it is too long for a datagram."""
         descriptor = Descriptor(me, self.incarnation)
         if len(encode(ShuffleRequest(2**32, descriptor, [descriptor], []))) > MAX_MESSAGE_BYTES:
-            raise ValueError("a node's names are too long for a datagram")
+            raise ValueError("node is too long for a datagram")
         self.me = me
 
     def own_descriptor(self) -> Descriptor:
-        """This member, as it describes itself."""
+        """Returns the descriptor of the own node."""
         return Descriptor(self.me, self.incarnation)
 
     def refute(self, incarnation: int) -> None:
-        """Something wrong is believed of this member in `incarnation`: it takes a higher one."""
+        """Raises the own incarnation above `incarnation`, in which others hold wrong information about this
+        member. A member that leaves doesn't refute."""
         if incarnation >= self.incarnation and self.me.state != "leaving":
             self.incarnation = incarnation + 1
 
-    # --- beliefs of others
+    # --- other nodes
 
     def merge_descriptor(self, now: float, descriptor: Descriptor, replaceable: list[str] | None) -> None:
-        """Takes in a descriptor. `replaceable`: names of entries that may give way to a new one, the first
-        ones first; None: any may."""
+        """Applies a descriptor. `replaceable`: names of entries that a new entry may replace, the first ones
+        first; None: it may replace any."""
         node = descriptor.node
         if node.name == self.me.name:
-            # An earlier process, a state that is past, or a rumour of an earlier process put on this one.
+            # From an earlier process of this name, an earlier state, or a rumour about an earlier process.
             if node != self.me or descriptor.incarnation > self.incarnation:
                 self.refute(descriptor.incarnation)
             return
@@ -198,7 +204,7 @@
             entry.last_alive_at = max(entry.last_alive_at, last_alive_at)
 
     def make_room(self, replaceable: list[str] | None) -> bool:
-        """Whether one more entry fits; removes one that is replaceable if it must."""
+        """Returns whether one more entry fits; removes a replaceable one if necessary."""
         if len(self.entries) < self.size:
             return True
         if replaceable is None:
@@ -210,7 +216,7 @@
         return False
 
     def apply_rumour(self, now: float, rumour: Rumour) -> None:
-        """Believes a rumour unless a higher incarnation is known; refutes one about this member."""
+        """Applies a rumour unless a higher incarnation is known; refutes one about this member."""
         if rumour.name == self.me.name:
             self.refute(rumour.incarnation)
             return
@@ -224,43 +230,44 @@
             entry.incarnation = rumour.incarnation
             if rumour.status == LEFT or (rumour.status == DROPPED and entry.drop_at is not None):
                 self.drop(now, entry, rumour.status)
-            else:  # another's word alone drops nobody: it may itself have been cut off
+            else:  # a rumour alone drops no node: its origin may itself have been cut off
                 self.suspect(now, entry)
 
     def suspect(self, now: float, entry: Entry) -> None:
-        """The node is dropped after the suspicion time-out unless it refutes; the rumour is spread."""
+        """Suspects a node: it is dropped after SUSPICION_TIMEOUT_S unless it refutes. Spreads the rumour."""
         if entry.drop_at is None:
             entry.drop_at = now + SUSPICION_TIMEOUT_S
             self.spread(Rumour(entry.node.name, entry.incarnation, SUSPECTED))
 
     def suspect_while_isolated(self, now: float, entry: Entry) -> None:
-        """Guards against a member that is itself cut off and takes all others for dead: it waits longer, and
-        spreads no rumour."""
+        """Suspects a node while no datagrams arrive. This member may be the one that is cut off, so it waits
+        longer and spreads no rumour."""
         if entry.drop_at is None:
             entry.drop_at = now + ISOLATED_FACTOR * SUSPICION_TIMEOUT_S
 
     def drop_unrefuted(self, now: float) -> None:
-        """Drops the suspected nodes whose time-out is over."""
+        """Drops the suspected nodes whose time-out has passed."""
         for entry in tuple(self.entries.values()):
             if entry.drop_at is not None and now >= entry.drop_at:
                 self.drop(now, entry, DROPPED)
 
     def drop(self, now: float, entry: Entry, status: str) -> None:
-        """The neighbour is gone; the rumour is spread unless this member may be the one that is cut off."""
+        """Moves a neighbour to `departed`; spreads the rumour unless this member may itself be cut off."""
         del self.entries[entry.node.name]
         self.add_departed(now, entry.node, entry.incarnation, status)
         if self.last_heard_at >= now - SUSPICION_TIMEOUT_S:
             self.spread(Rumour(entry.node.name, entry.incarnation, status))
 
     def add_departed(self, now: float, node: Node, incarnation: int, status: str) -> None:
-        """Remembers a departed node; the oldest is forgotten if there are too many."""
+        """Adds a departed node; removes the oldest ones above MAX_DEPARTED."""
         self.departed.pop(node.name, None)
         while len(self.departed) >= MAX_DEPARTED:
             del self.departed[next(iter(self.departed))]
         self.departed[node.name] = Departed(node, incarnation, status, now)
 
     def dropped_nodes(self, now: float) -> list[Node]:
-        """Who was dropped and may come back. Forgets who departed long ago."""
+        """Returns dropped nodes that may come back, with an address. Removes nodes that departed more than
+        DEPARTED_MEMORY_S ago."""
         self.departed = {
             name: departed
             for name, departed in self.departed.items()
@@ -273,8 +280,8 @@
         ]
 
     def may_have_returned(self, now: float, descriptor: Descriptor) -> bool:
-        """Whether a departed node was heard since, in an incarnation that can't be believed: it may be
-        back.
+        """Returns whether a departed node was alive after it departed here, in an incarnation that is not
+        accepted: it may be back.
         """
         departed = self.departed.get(descriptor.node.name)
         return (
@@ -285,19 +292,19 @@
             and is_address(descriptor.node.address)
         )
 
-    # --- what is sent to others
+    # --- messages to other members
 
     def spread(self, rumour: Rumour) -> None:
-        """The rumour goes with the next messages; an earlier one about the same node doesn't any more."""
+        """Spreads a rumour with the next messages, in place of an earlier one about the same node."""
         self.rumours.pop(rumour.name, None)
         self.rumours[rumour.name] = SpreadingRumour(rumour)
 
     def next_rumours(self) -> list[Rumour]:
-        """Those that the next message carries."""
+        """Returns the rumours that the next message carries."""
         return [spreading.rumour for spreading in list(self.rumours.values())[:MAX_RUMOURS_SENT]]
 
     def count_sends(self, rumours: list[Rumour]) -> None:
-        """These went out once more; the next message begins with others."""
+        """Counts that a message carried these rumours; the next message starts with others."""
         for rumour in rumours:
             spreading = self.rumours.pop(rumour.name, None)
             if spreading is not None and spreading.sends_left > 1:
@@ -305,7 +312,7 @@
                 self.rumours[rumour.name] = spreading
 
     def rumours_about(self, name: str) -> list[Rumour]:
-        """What the named node should know is believed of it, so that it can refute."""
+        """Returns the rumours that the named node should receive, so that it can refute."""
         departed, entry = self.departed.get(name), self.entries.get(name)
         if entry is not None and entry.drop_at is not None:
             return [Rumour(name, entry.incarnation, SUSPECTED)]
@@ -314,7 +321,8 @@
         return []
 
     def corrections(self, now: float, said: Descriptor) -> Corrections:
-        """What is believed of a node that says otherwise of itself in an incarnation that isn't higher."""
+        """Returns the rumours about a node, and its known descriptor if that differs from `said`, which the
+        node sent of itself. Leaves out those with a lower incarnation than `said`."""
         rumours = [
             rumour for rumour in self.rumours_about(said.node.name) if rumour.incarnation >= said.incarnation
         ]
@@ -326,9 +334,10 @@
         return Corrections([entry.descriptor(now)], rumours)
 
     def sample(self, now: float, count: int, excluded: str) -> Sample:
-        """At most `count` entries to pass on, drawn at random, none suspected and none named `excluded`.
+        """Returns at most `count` random entries for a shuffle, neither suspected ones nor the one named
+        `excluded`.
 
-        While the view has room, all know all, most likely: digests do for old entries then.
+        While the view has room, all members probably know all others, so old entries are sent as digests.
         """
         entries = [
             entry for name, entry in self.entries.items() if name != excluded and entry.drop_at is None
@@ -342,7 +351,7 @@
         )
 
     def merge_digests(self, now: float, digests: list[Digest]) -> list[int]:
-        """Takes in the ages of digests; returns the name hashes whose descriptors are to be asked for."""
+        """Applies the ages of digests; returns the name hashes whose descriptors are to be requested."""
         entries = {entry.name_hash: entry for entry in self.entries.values()}
         departed_by_hash = {hash_name(name): departed for name, departed in self.departed.items()}
         wanted = []
@@ -363,7 +372,7 @@
         return wanted
 
     def descriptors_of(self, now: float, name_hashes: list[int]) -> list[Descriptor]:
-        """The descriptors behind digests, those of suspected nodes left out."""
+        """Returns the descriptors of the nodes with these name hashes, except suspected ones."""
         return [
             entry.descriptor(now)
             for entry in self.entries.values()
@@ -372,17 +381,17 @@
 
 
 def alive_at(now: float, age_ms: int) -> float:
-    """When a node was alive that had this age; ages from the network may be negative."""
+    """Returns when a node with this age was alive. Ages received from other members may be negative."""
     return now - max(0, age_ms) / 1000
 
 
 def hash_name(name: str) -> int:
-    """By which a digest names a node: CRC-32 of its name."""
+    """Returns the CRC-32 of a node's name, which digests contain."""
     return crc32(name.encode())
 
 
 def is_address(address: str) -> bool:
-    """Guards against a datagram that names what no datagram can be sent to."""
+    """Returns whether datagrams can be sent to the address; received messages may contain any string."""
     try:
         parse_address(address)
     except ValueError:
--- a/shedgrade/membership/view.py
+++ b/shedgrade/membership/view.py
@@ -1,12 +1,13 @@
-"""A partial view of the members, shuffled between neighbours. No I/O; the caller's time is handed in.
+"""A partial view of the members, shuffled between neighbours. No I/O; the caller passes the time.
 
-Shuffles as in Cyclon (Voulgaris, Gavidia, van Steen, 2005): once a period with the neighbour that was longest
-not heard of. A neighbour that doesn't answer is pinged through two others, then suspected, and dropped unless
-it refutes; what becomes of nodes travels with shuffles (SWIM: Das, Gupta, Motivala, 2002).
+Shuffles as in Cyclon (Voulgaris, Gavidia, van Steen, 2005): once a period with the neighbour that was last
+known to be alive the longest ago. A neighbour that doesn't answer is pinged through two others, then
+suspected, and dropped unless it refutes; rumours about suspected, dropped and left nodes are sent with
+shuffles (SWIM: Das, Gupta, Motivala, 2002).
 
-Departures from Cyclon: while the view has room nothing is removed, so a small system is known whole, and
-digests take the place of descriptors (what a digest names and isn't known is asked for). Dropped nodes are
-pinged for a while, so that a healed partition joins again.
+Departures from Cyclon: while the view has room no entry is removed, so that each member of a small system
+knows all others, and digests replace descriptors (those of unknown nodes are requested). Dropped nodes are
+pinged for a while, so that the sides of a healed partition find each other.
 """
 
 from collections.abc import Iterable
@@ -35,35 +36,35 @@
 from shedgrade.membership.table import DROPPED, LEFT, MAX_RUMOURS_SENT, Entry, Sample, Table, is_address
 from shedgrade.peer_transport.address import parse_address
 
-SHUFFLE_TIMEOUT_S = 0.4  # a shuffle is answered in it, or others are asked
+SHUFFLE_TIMEOUT_S = 0.4  # without an answer, the partner is pinged through others
 INDIRECT_PING_TIMEOUT_S = 0.6
 FAST_PERIOD_S = 0.4  # between shuffles while there are fewer than FEW_NEIGHBOURS
 FEW_NEIGHBOURS = 3
-FIRST_SHUFFLE_S = 0.2  # the first shuffle is at random within it
+FIRST_SHUFFLE_S = 0.2  # the first shuffle follows the start after a random delay up to this
 REJOIN_PING_PERIODS = 2  # between pings of a dropped node
-MAX_CONTACT_PING_PERIODS = 25  # between pings of contacts that nobody mentions
-CONTACT_SILENCE_S = 120.0  # without a descriptor of a contact: its system may have fallen apart from ours
+MAX_CONTACT_PING_PERIODS = 25  # longest interval between pings of contacts that no descriptor mentions
+CONTACT_SILENCE_S = 120.0  # without a descriptor of a contact; it may be in a separated part of the system
 CONTACTS_PINGED = 3  # at once
-INDIRECT_PING_HELPERS = 2  # asked about one that doesn't answer
+INDIRECT_PING_HELPERS = 2  # asked to ping a partner that doesn't answer
 MAX_RELAYED_PINGS = 64
 
 
 class SendDatagram(msgspec.Struct, frozen=True):
-    """An instruction to the caller: a datagram to be sent; `body` is at most MAX_MESSAGE_BYTES long."""
+    """An instruction to the caller to send a datagram. `body`: at most MAX_MESSAGE_BYTES long."""
 
     address: str
     body: bytes
 
 
 class PendingShuffle:
-    """A shuffle that waits for its answer.
+    """A shuffle that waits for its response.
 
     Attributes:
-        name, address, incarnation: of the partner, as it was known then; a contact has the name "".
-        sent_names: of the entries that went with it; they give way to those that come back.
-        sent_at: when the request went out.
-        deadline: when it counts as unanswered; moved on once, for the indirect pings.
-        is_indirect: whether others were asked to ping the partner.
+        name, address, incarnation: of the partner when the request was sent; a contact has the name "".
+        sent_names: names of the entries that were sent; received entries may replace them.
+        sent_at: when the request was sent.
+        deadline: when it counts as unanswered; extended once, for the indirect pings.
+        is_indirect: whether other members were asked to ping the partner.
     """
 
     __slots__ = ("name", "address", "incarnation", "sent_names", "sent_at", "deadline", "is_indirect")
@@ -79,8 +80,13 @@
 
 
 class RelayedPing:
-    """A ping sent for another member. `requester`: its address; `number`: of its request; `deadline`: after
-    it the requester no longer waits."""
+    """A ping sent on behalf of another member.
+
+    Attributes:
+        requester: UDP address of that member.
+        number: of its IndirectPing.
+        deadline: time after which the requester no longer waits for the answer.
+    """
 
     __slots__ = ("requester", "number", "deadline")
 
@@ -91,28 +97,26 @@
 
 
 class PartialView:
-    """One member's view, a state machine: calls and datagrams in, instructions out.
+    """One member's view, a state machine: its inputs are calls and datagrams, its outputs are instructions.
 
-    Instructions gather in `instructions`; the caller takes them out after each call and calls `tick` when
-    `wake_at` is due. All times are seconds of the caller's steady clock. ValueError: `me` is too long for a
-    datagram.
+    The caller takes the `instructions` after each call, and calls `tick` when `wake_at` is due. All times are
+    seconds of the caller's monotonic clock. Raises ValueError if `me` is too long for a datagram.
 
-    A neighbour is alive, suspected (`Entry.drop_at` is set), or departed (`Table.departed`). A shuffle that
-    isn't answered goes on to indirect pings, and then to suspicion. The member itself is active until
-    `leave`; after it, `has_left` is set for good, nothing is due any more, and requests are answered by a
-    farewell.
+    A neighbour is alive, suspected (`Entry.drop_at` is set), or departed (`Table.departed`). An unanswered
+    shuffle leads to indirect pings, and then to suspicion. The member itself is active until `leave`, which
+    sets `has_left` for good; afterwards nothing is due, and requests are answered by a rumour that it left.
 
     Attributes:
-        shuffle_length: the most entries that are exchanged; of what comes in, no more are taken.
+        shuffle_length: most entries in a shuffle; further entries of a received one are ignored.
         period: seconds between shuffles.
-        table: the beliefs about other members, and the own node.
-        estimator: counts members beyond the view by the descriptors that come in.
+        table: the own node, and the state of the other members.
+        estimator: estimates the number of members beyond the view from received descriptors.
         instructions: datagrams that the caller has not taken yet.
-        contacts: addresses learnt elsewhere, with the time at which a descriptor mentioned them last.
-        pending_shuffles: by the number of the request. At most one for each partner that is in the table.
+        contacts: addresses that were not learnt by gossip, each with the time of the last descriptor with it.
+        pending_shuffles: by the number of the request; at most one for each partner with a name.
         relayed_pings: by the number of the own ping; at most MAX_RELAYED_PINGS.
         last_number: of the last request or ping; numbers only rise.
-        has_left: whether `leave` was called. Never unset.
+        has_left: whether `leave` was called; never unset.
         shuffle_at, rejoin_ping_at, contact_ping_at: when the next one is due.
         contact_ping_pause: seconds between pings of contacts, doubled up to MAX_CONTACT_PING_PERIODS.
     """
@@ -120,7 +124,7 @@
     def __init__(
         self, me: Node, random: Random, now: float, size: int = 16, shuffle: int = 8, period: float = 1.2
     ) -> None:
-        """`size`: most neighbours; `shuffle`: entries exchanged; `period`: seconds between shuffles."""
+        """`size`: most neighbours; `shuffle`: most entries of a shuffle; `period`: s between shuffles."""
         self.random = random
         self.shuffle_length = shuffle
         self.period = period
@@ -138,7 +142,7 @@
         self.contact_ping_at = now + period * random.uniform(0.5, 1)
 
     def check_invariants(self) -> None:
-        """AssertionError if an attribute breaks what the class says of it. For tests and the simulation."""
+        """Raises AssertionError if an attribute breaks its description. For tests and the simulation."""
         self.table.check_invariants()
         assert len(self.relayed_pings) <= MAX_RELAYED_PINGS
         assert max((*self.pending_shuffles, *self.relayed_pings), default=0) <= self.last_number
@@ -155,18 +159,19 @@
     # --- queries
 
     def nodes(self) -> tuple[Node, ...]:
-        """Who is believed to be alive, this one first; suspected ones are, until they are dropped."""
+        """Returns the nodes that are not departed, the own node first; suspected ones are included."""
         return self.table.me, *(entry.node for entry in self.table.entries.values())
 
     def count(self, kind: str) -> int:
-        """How many of a kind there are, this one too: exact while the view has room, else an estimate."""
+        """Returns the number of nodes of a kind, the own node included: exact while the view has room, else
+        an estimate."""
         others = sum(entry.node.kind == kind for entry in self.table.entries.values())
         if len(self.table.entries) >= self.table.size:
             others = max(others, self.estimator.count(kind))
         return others + (self.table.me.kind == kind)
 
     def wake_at(self) -> float:
-        """When `tick` is due next; infinity after `leave`."""
+        """Returns when `tick` is due next; infinity after `leave`."""
         if self.has_left:
             return float("inf")
         times = [self.shuffle_at, self.rejoin_ping_at, self.contact_ping_at]
@@ -174,11 +179,11 @@
         times += [entry.drop_at for entry in self.table.entries.values() if entry.drop_at is not None]
         return min(times)
 
-    # --- calls of the program
+    # --- calls by the program
 
     def add_contacts(self, nodes: Iterable[Node]) -> None:
-        """Contacts learnt elsewhere. With a name they enter the view if it has room; by an address alone they
-        are only asked. ValueError: an address that is none."""
+        """Adds contacts that were not learnt by gossip. One with a name becomes a neighbour if the view has
+        room; one without is only sent shuffles and pings. Raises ValueError if an address is invalid."""
         table = self.table
         for node in nodes:
             parse_address(node.address)
@@ -190,13 +195,14 @@
                 table.entries.setdefault(node.name, Entry(node, -1, heard_at - self.period, heard_at))
 
     def update(self, me: Node) -> None:
-        """The own node changed, not its name or address: a new incarnation. ValueError: too long."""
+        """Changes the own node, except its name and address, and raises its incarnation. Raises ValueError if
+        the node is too long for a datagram."""
         if me != self.table.me:
             self.table.set_own_node(me)
             self.table.incarnation += 1
 
     def leave(self, now: float) -> None:
-        """Sends a farewell to all neighbours; nothing is shuffled any more."""
+        """Leaves: tells all neighbours, and starts no further shuffle."""
         if self.has_left:
             return
         self.update(msgspec.structs.replace(self.table.me, state="leaving"))
@@ -207,7 +213,7 @@
     # --- timers
 
     def tick(self, now: float) -> None:
-        """Does what is due."""
+        """Runs the time-outs, shuffles and pings that are due."""
         if self.has_left:
             return
         late_s = now - self.wake_at()
@@ -229,7 +235,7 @@
             self.ping_contacts(now)
 
     def postpone_timeouts(self, late_s: float) -> None:
-        """Guards against a process that was stopped: its neighbours had no time to answer it."""
+        """Extends all time-outs by `late_s`, in which this process was stopped and handled no answers."""
         for pending in self.pending_shuffles.values():
             pending.deadline += late_s
         for entry in self.table.entries.values():
@@ -237,7 +243,7 @@
                 entry.drop_at += late_s
 
     def send_shuffle(self, now: float) -> None:
-        """Shuffles with the neighbour longest not heard of; with a contact if there is no neighbour."""
+        """Shuffles with the neighbour with the oldest `last_alive_at`; with a contact if there is none."""
         has_few = len(self.table.entries) < FEW_NEIGHBOURS
         pause = FAST_PERIOD_S if has_few else self.period
         self.shuffle_at = now + pause * self.random.uniform(0.9, 1.1)
@@ -257,7 +263,7 @@
         self.pending_shuffles[self.last_number] = pending
 
     def shuffle_partners(self) -> list[Entry]:
-        """Neighbours that are not suspected and owe no answer."""
+        """Returns the neighbours that are not suspected and have no pending shuffle."""
         pending_names = {pending.name for pending in self.pending_shuffles.values()}
         return [
             entry
@@ -266,21 +272,21 @@
         ]
 
     def ping_suspected(self) -> None:
-        """Guards against a refutation that was lost."""
+        """Pings suspected neighbours with the rumours about them, in case their refutations were lost."""
         for entry in self.table.entries.values():
             if entry.drop_at is not None:
                 self.ping(entry.node.address, self.table.rumours_about(entry.node.name))
 
     def ping_dropped(self, now: float) -> None:
-        """Pings one that was dropped: guards against a healed partition in which none knows the others."""
+        """Pings one dropped node: after a partition heals, neither side has neighbours on the other."""
         dropped = self.table.dropped_nodes(now)
         if dropped:
             node = self.random.choice(dropped)
             self.ping(node.address, self.table.rumours_about(node.name))
 
     def ping_contacts(self, now: float) -> None:
-        """Pings contacts that nobody mentions: guards against two systems at the start, or after a
-        partition.
+        """Pings some contacts that no descriptor has mentioned for CONTACT_SILENCE_S. Without that, members
+        that started apart or were partitioned could stay separate systems.
         """
         known = {entry.node.address for entry in self.table.entries.values()}
         unmentioned = [
@@ -292,7 +298,7 @@
             self.ping(address, [])
 
     def on_shuffle_timeout(self, now: float, number: int, pending: PendingShuffle) -> None:
-        """Asks others to ping the partner; suspects it if they have been asked before."""
+        """Asks others to ping the partner; suspects it if they were asked before."""
         table = self.table
         entry = table.entries.get(pending.name)
         if entry is None or entry.last_alive_at >= pending.sent_at or entry.incarnation > pending.incarnation:
@@ -301,7 +307,7 @@
             self.send_indirect_pings(number, pending, entry)
             pending.is_indirect = True
             pending.deadline = now + INDIRECT_PING_TIMEOUT_S
-            self.shuffle_at = now  # guards against many dead at once, each of which would take a period
+            self.shuffle_at = now  # otherwise each of many neighbours that died at once would take a period
         else:
             del self.pending_shuffles[number]
             if table.last_heard_at >= pending.sent_at:
@@ -311,17 +317,17 @@
                 table.suspect_while_isolated(now, entry)
 
     def send_indirect_pings(self, number: int, pending: PendingShuffle, partner: Entry) -> None:
-        """Asks some neighbours, drawn at random, to ping the partner (SWIM)."""
+        """Asks some random neighbours to ping the partner (SWIM)."""
         helpers = [
             entry for entry in self.table.entries.values() if entry is not partner and entry.drop_at is None
         ]
         for helper in self.random.sample(helpers, min(INDIRECT_PING_HELPERS, len(helpers))):
             self.send(helper.node.address, IndirectPing(number, pending.address))
 
-    # --- datagrams that come in
+    # --- received datagrams
 
     def receive(self, now: float, sender: str, body: bytes) -> None:
-        """`sender`: the UDP address that `body` came from. What is no message is ignored."""
+        """Handles a datagram; ignores one that is not a message. `sender`: its source UDP address."""
         try:
             message = decode(body)
         except (msgspec.MsgspecError, RecursionError):
@@ -354,7 +360,7 @@
                     self.send(sender, update)
 
     def on_shuffle_request(self, now: float, sender: str, message: ShuffleRequest) -> None:
-        """Answers with as many own entries, which may give way to those that came."""
+        """Answers with own entries, which received ones may replace."""
         name = message.sender.node.name
         self.apply_rumours(now, message.rumours)
         sample = self.table.sample(now, self.shuffle_length, name)
@@ -364,23 +370,24 @@
         self.correct(now, sender, message.sender)
 
     def on_shuffle_response(self, now: float, sender: str, message: ShuffleResponse) -> None:
-        """The partner and the entries that were sent to it may give way to those that came."""
+        """Applies the received entries; they may replace the partner and the entries that were sent to it."""
         self.apply_rumours(now, message.rumours)
         pending = self.pending_shuffles.pop(message.number, None)
-        if pending is None:  # late, or a stranger's: worth knowing, but no entry gives way to it
+        if pending is None:  # late or unsolicited: its descriptors are used, but replace no entry
             self.merge_shuffle(now, sender, message, [])
             return
         entry = self.table.entries.get(pending.name)
         if entry is not None and message.sender.node.name != pending.name:
-            self.table.drop(now, entry, DROPPED)  # another process has its address now
+            self.table.drop(now, entry, DROPPED)  # another process has the partner's address now
         elif entry is not None:
-            entry.last_alive_at = now  # whatever its incarnation: else it would be the next partner for ever
+            # In any incarnation: else it would keep the oldest `last_alive_at`, and be each next partner.
+            entry.last_alive_at = now
         self.merge_shuffle(now, sender, message, [pending.name, *pending.sent_names])
 
     def merge_shuffle(
         self, now: float, sender: str, message: ShuffleRequest | ShuffleResponse, replaceable: list[str]
     ) -> None:
-        """Takes in the descriptors and digests of a shuffle; `replaceable` as for the table."""
+        """Applies the descriptors and digests of a shuffle; `replaceable` as in `Table.merge_descriptor`."""
         table = self.table
         descriptors = [message.sender, *message.entries[: self.shuffle_length]]
         self.merge_descriptors(now, descriptors, replaceable)
@@ -400,16 +407,16 @@
             self.send(sender, DescriptorRequest(wanted))
 
     def on_ping(self, now: float, sender: str, message: Ping) -> None:
-        """Answers, and corrects what the sender says of itself if that isn't believed here."""
+        """Answers a ping, and sends corrections if the sender's own descriptor differs from what is known."""
         self.apply_rumours(now, message.rumours)
         self.table.merge_descriptor(now, message.sender, [])
         self.send(sender, Ack(message.number, self.table.own_descriptor()))
         self.correct(now, sender, message.sender)
 
     def on_ack(self, now: float, message: Ack) -> None:
-        """Sends the answer on to who asked for an indirect ping."""
+        """Forwards the answer to the member that requested an indirect ping."""
         relayed = self.relayed_pings.pop(message.number, None)
-        if relayed is None:  # one that was dropped, or a contact: it is to be a neighbour
+        if relayed is None:  # a dropped node or a contact answered: it becomes a neighbour
             self.table.merge_descriptor(now, message.sender, None)
             return
         self.table.merge_descriptor(now, message.sender, [])
@@ -417,7 +424,7 @@
             self.send(relayed.requester, IndirectAck(relayed.number, message.sender))
 
     def on_indirect_ping(self, now: float, sender: str, message: IndirectPing) -> None:
-        """Pings for the sender."""
+        """Pings `message.address` on behalf of the sender."""
         if not is_address(message.address):
             return
         for number, relayed in tuple(self.relayed_pings.items()):
@@ -427,13 +434,13 @@
         self.relayed_pings[number] = RelayedPing(sender, message.number, now + INDIRECT_PING_TIMEOUT_S)
 
     def on_indirect_ack(self, now: float, message: IndirectAck) -> None:
-        """The partner of a shuffle that wasn't answered is alive."""
+        """Ends the pending shuffle: its partner is alive."""
         self.pending_shuffles.pop(message.number, None)
         self.table.merge_descriptor(now, message.descriptor, [])
         self.correct(now, message.descriptor.node.address, message.descriptor)
 
     def on_update(self, now: float, sender: str, message: MembershipUpdate) -> None:
-        """Takes the news in; answers if some of it is wrong about this member."""
+        """Applies an update; answers with the own descriptor if something in it had to be refuted."""
         incarnation_before = self.table.incarnation
         self.apply_rumours(now, message.rumours)
         self.merge_descriptors(now, message.entries[: self.shuffle_length], [])
@@ -441,42 +448,42 @@
             self.send(sender, MembershipUpdate([self.table.own_descriptor()], []))
 
     def correct(self, now: float, sender: str, said: Descriptor) -> None:
-        """Tells a node that is believed dropped, suspected or different, so that it refutes."""
+        """Sends a node what is known of it, if that differs from its own descriptor, so that it refutes."""
         corrections = self.table.corrections(now, said)
         if (corrections.descriptors or corrections.rumours) and is_address(sender):
             self.send(sender, MembershipUpdate(corrections.descriptors, corrections.rumours))
 
     def merge_descriptors(self, now: float, descriptors: list[Descriptor], replaceable: list[str]) -> None:
-        """Takes in descriptors; pings a departed node that may be back."""
+        """Applies descriptors; pings one of the departed nodes that may be back."""
         returned = [
             descriptor.node for descriptor in descriptors if self.table.may_have_returned(now, descriptor)
         ]
         for descriptor in descriptors:
             self.table.merge_descriptor(now, descriptor, replaceable)
-        if returned:  # one at a time; it learns what is believed of it and refutes
+        if returned:  # one at a time; it receives the rumours about it and refutes
             node = self.random.choice(returned)
             self.ping(node.address, self.table.rumours_about(node.name))
 
     def apply_rumours(self, now: float, rumours: list[Rumour]) -> None:
-        """Takes in rumours; lets a node refute that is suspected here from now on."""
+        """Applies rumours; pings nodes that they make suspected here, so that these refute."""
         for rumour in rumours[: 2 * MAX_RUMOURS_SENT]:
             entry = self.table.entries.get(rumour.name)
             was_alive = entry is not None and entry.drop_at is None
             self.table.apply_rumour(now, rumour)
             if was_alive and entry is not None and entry.drop_at is not None:
-                # Let it refute here too: that spreads no faster.
+                # Lets the node refute to this member directly: gossip carries that no faster than the rumour.
                 self.ping(entry.node.address, self.table.rumours_about(rumour.name))
             if rumour.name in self.table.departed:
                 self.estimator.remove(rumour.name)
 
-    # --- datagrams that go out
+    # --- sent datagrams
 
     def farewell(self) -> MembershipUpdate:
-        """This member has left."""
+        """Returns the message that this member has left."""
         return MembershipUpdate([], [Rumour(self.table.me.name, self.table.incarnation, LEFT)])
 
     def ping(self, address: str, rumours: list[Rumour]) -> int:
-        """Sends a ping; returns its number."""
+        """Sends a ping and returns its number."""
         self.last_number += 1
         self.send(address, Ping(self.last_number, self.table.own_descriptor(), rumours))
         return self.last_number
@@ -489,8 +496,8 @@
         sample: Sample,
         rumours: list[Rumour],
     ) -> list[str]:
-        """Sends a shuffle with what fits a datagram of the sample, `rumours` and those that are spread;
-        returns the names of the descriptors that went."""
+        """Sends a shuffle with as much of the sample, `rumours` and the rumours that are being spread as fits
+        a datagram. Returns the names of the descriptors in it."""
         rumours = rumours + self.table.next_rumours()
         fitted = fit_shuffle(kind, number, self.table.own_descriptor(), sample, rumours)
         self.table.count_sends(fitted.rumours)
