--- a/tests/membership/test_gossip_socket.py
+++ b/tests/membership/test_gossip_socket.py
@@ -1,4 +1,4 @@
-"""Views on loopback sockets: who finds whom, what a leave does, and what an end frees."""
+"""Gossip on loopback sockets: discovery by one contact, state changes, leaving, and invalid addresses."""
 
 import asyncio
 import socket
@@ -13,7 +13,7 @@
 from shedgrade.membership.messages import MembershipUpdate, Node, Rumour, encode
 from shedgrade.runtime import log
 
-MOST = 10.0  # s that a condition may take
+MOST = 10.0  # s in which a condition has to become true
 
 
 def free(address):
--- a/tests/membership/test_partial_view.py
+++ b/tests/membership/test_partial_view.py
@@ -1,4 +1,4 @@
-"""Views in simulated time, by seed: who finds whom, how soon the dead are dropped, and what heals."""
+"""Partial views in simulated time, by seed: discovery, dropping dead nodes, and healing after faults."""
 
 import doctest
 import heapq
@@ -39,7 +39,8 @@
 
 
 class Network:
-    """`count` views that start within 0.3 s and know three seeds; datagrams take `delay` s."""
+    """`count` views that start within 0.3 s and know three seeds. Datagrams take `delay` s, and are lost with
+    the probability `loss`."""
 
     def __init__(self, seed, count, loss=0.01, delay=(0.001, 0.06)):
         self.random, self.loss, self.delay = Random(seed), loss, delay
@@ -67,7 +68,7 @@
         del self.views[address]
 
     def after(self, address):
-        """Takes the instructions and sets the next waking."""
+        """Sends the view's instructions and schedules its next tick."""
         view = self.views[address]
         for instruction in view.instructions:
             assert len(instruction.body) <= 1200
@@ -88,7 +89,8 @@
             self.push(max(at, self.now), "wake", address, at)
 
     def run(self, seconds, until=lambda: False):
-        """Returns the seconds it took until `until()` held, looked at every 0.2 s, or None."""
+        """Runs for `seconds`, or until `until()` holds, which is checked every 0.2 s. Returns the seconds
+        until it held, or None if it didn't."""
         start, end, look = self.now, self.now + seconds, self.now
         while self.events and self.events[0][0] <= end:
             if self.events[0][0] >= look:
@@ -117,7 +119,7 @@
         return {each.name for each in self.views[address].nodes()}
 
     def whole(self):
-        """All know all."""
+        """Returns whether all views contain all members."""
         everyone = {view.table.me.name for view in self.views.values()}
         return all(self.names(address) == everyone for address in self.views)
 
@@ -133,7 +135,7 @@
         return sorted(degrees.values())
 
     def reached(self):
-        """How many are reached from one, along views taken both ways."""
+        """Returns how many members are connected to one of them by views, in either direction."""
         links = {address: set() for address in self.views}
         for address, view in self.views.items():
             for each in view.nodes()[1:]:
@@ -243,7 +245,7 @@
         network.stopped = set()
         assert network.run(20, dropped_by_all(network, slow.name)) is None
         assert network.whole()
-        network.stopped = {slow.address}  # so long that all drop it
+        network.stopped = {slow.address}  # long enough for all others to drop it
         network.run(12)
         assert network.holders(slow.name) == [slow.address]
         network.stopped = set()
@@ -280,7 +282,7 @@
     side = {node(i).address for i in range(60) if i % 3 == 0}
     network.parted = lambda a, b: (a in side) != (b in side)
     network.run(40)
-    assert network.reached() in (20, 40)  # from one of them along all views: its own side
+    assert network.reached() in (20, 40)  # only the side of the member that the search starts from
     network.parted = lambda a, b: False
     network.run(40)
     assert network.reached() == 60
@@ -350,7 +352,7 @@
 
 
 def test_a_rumour_of_an_earlier_life_on_a_new_one_is_refuted():
-    # A seed: the entry's incarnation was above the node's own, so its answers counted for nothing.
+    # Found by a seed: the entry's incarnation was above the node's own, so the node's answers were ignored.
     network = Network(13, 9)
     network.run(15)
     for address, view in network.views.items():
@@ -372,7 +374,7 @@
 
 
 def nemesis(network, seconds):
-    """Troubles by chance; at the end all run again."""
+    """Injects random faults for `seconds`; at the end all members run and all faults are over."""
     end, lives = network.now + seconds, 2000
     everyone = sorted(network.views)
     while network.now < end:
--- a/tests/peer_transport/test_adopted_connections.py
+++ b/tests/peer_transport/test_adopted_connections.py
@@ -1,4 +1,4 @@
-"""Calls over a connection that came in and was adopted: they are answered on it."""
+"""Calls over an adopted incoming connection: the answers arrive on the same connection."""
 
 import asyncio
 
@@ -11,7 +11,7 @@
 
 @pytest.fixture(params=["asyncio", "uvloop"])
 def play(request):
-    """Two ends; the first has dialled the second, which adopted that connection."""
+    """Two ends; the first has connected to the second, which has adopted that connection."""
 
     def run(story, is_response=True):
         async def whole():
@@ -40,7 +40,7 @@
 def test_a_call_over_it_is_answered(play):
     async def story(first, second):
         assert await second.links.call(first.address, b"one", 5) == b"echo one"
-        assert second.links.routes[first.address].connection is None  # nobody dialled
+        assert second.links.routes[first.address].connection is None  # the second end opened none
 
     play(story)
 
--- a/tests/peer_transport/test_connections.py
+++ b/tests/peer_transport/test_connections.py
@@ -1,4 +1,4 @@
-"""The TCP and UDP ends, on loopback sockets: calls, kept and adopted connections, what is cut and why."""
+"""The TCP and UDP endpoints on loopback sockets: calls, own and adopted connections, aborted connections."""
 
 import asyncio
 import contextlib
@@ -20,7 +20,7 @@
 
 
 class End:
-    """One process's link ends: it echoes calls, and keeps what was sent one way."""
+    """The transport of one process: it echoes calls, and stores one-way frames."""
 
     def __init__(self, loop, host, port=None):
         self.where = (host, port or free_port())
@@ -45,7 +45,7 @@
 
 
 class Lines:
-    """A sink that keeps what is logged."""
+    """A log sink that stores events."""
 
     def __init__(self):
         self.lines = []
@@ -66,7 +66,7 @@
 
 @pytest.fixture(params=["asyncio", "uvloop"])
 def play(request):
-    """Runs a scene with two ends on either loop, within 10 s."""
+    """Runs a scenario with two ends on each kind of event loop, for at most 10 s."""
 
     def run(scene):
         async def limited():
@@ -144,7 +144,7 @@
             await one.links.call(two.address, b"x", 5)
         route = one.links.routes[two.address]
         assert route.backoff_s == tcp.MIN_BACKOFF_S and route.retry_at > loop.time() and not route.queue
-        with pytest.raises(TimeoutError):  # within the pause: told at once
+        with pytest.raises(TimeoutError):  # during the backoff a call fails at once
             await one.links.call(two.address, b"x", 5)
         assert route.connecting is None
         for _ in range(5):
@@ -188,7 +188,7 @@
         monkeypatch.setattr(tcp, "CONNECT_TIMEOUT_S", 0.05)
         with socket.socket() as full, socket.socket() as first, socket.socket() as second:
             full.bind(two.where)
-            full.listen(0)  # full from the second connection on: a dial hears nothing
+            full.listen(0)  # the backlog is full after one connection: a further attempt gets no answer
             for handle in (first, second):
                 handle.setblocking(False)
                 handle.connect_ex(two.where)
--- a/tests/peer_transport/test_frames.py
+++ b/tests/peer_transport/test_frames.py
@@ -1,4 +1,4 @@
-"""Frames: what goes in comes out however the stream is cut; nonsense raises FrameError and nothing else."""
+"""Frames: the decoder returns what was encoded, and raises FrameError alone on invalid data."""
 
 import contextlib
 
--- a/tests/runtime/test_log_ring.py
+++ b/tests/runtime/test_log_ring.py
@@ -1,4 +1,4 @@
-"""The logger that is handed in, and the ring that is written when something goes wrong."""
+"""The shared logger with its sink, and the ring buffer that is written to stderr on a warning."""
 
 import io
 import subprocess
@@ -209,7 +209,7 @@
     assert ring.writes <= 2 + (times.now - 50.0) / WRITE_INTERVAL_S
 
 
-# --- the logger that is handed in
+# --- the sink of the shared logger
 
 
 @pytest.fixture
--- a/tests/runtime/test_stall_detection.py
+++ b/tests/runtime/test_stall_detection.py
@@ -1,4 +1,4 @@
-"""When a request can have come at the earliest, by the ticks of a loop that stands still at times."""
+"""The lower bound of a request's arrival time, on an event loop that stalls at times."""
 
 from types import SimpleNamespace
 
@@ -6,7 +6,7 @@
 
 
 class Ticks:
-    """A loop whose one timer is fired by hand."""
+    """An event loop with one timer, in simulated time."""
 
     def __init__(self):
         self.now, self.due = 50.0, None
@@ -26,7 +26,7 @@
         self.now = until
 
     def stand(self, seconds, tick_first):
-        """The process is stopped; `tick_first`: its timer runs before what came is read."""
+        """Stops the process; `tick_first`: the late timer runs before received data is read."""
         self.now += seconds
         if tick_first:
             self.due[1]()
