--- a/tests/runtime/test_log_ring.py
+++ b/tests/runtime/test_log_ring.py
@@ -15,7 +15,7 @@
 from shedgrade.runtime.loop_errors import log_uncaught
 
 
-class Times:
+class FakeClock:
     def __init__(self) -> None:
         self.now = 50.0
 
@@ -24,14 +24,14 @@
 
 
 @pytest.fixture
-def times():
-    return Times()
+def clock():
+    return FakeClock()
 
 
 @pytest.fixture
-def ring(times):
+def ring(clock):
     return LogRingBuffer(
-        "edge-1", io.StringIO(), size=8, clock=lambda: 1000.0 + times.now, steady_clock=times
+        "edge-1", io.StringIO(), size=8, clock=lambda: 1000.0 + clock.now, steady_clock=clock
     )
 
 
@@ -43,7 +43,7 @@
     return [line["text"] for line in lines(ring)]
 
 
-def test_nothing_is_written_while_all_is_well(ring):
+def test_nothing_is_written_without_a_warning(ring):
     for number in range(100):
         ring.info("step {}", number)
         ring.debug("step {}", number)
@@ -51,12 +51,12 @@
     assert ring.stream.getvalue() == "" and len(ring.events) == 8
 
 
-def test_a_warning_writes_what_led_to_it(ring):
+def test_a_warning_writes_the_events_before_it(ring):
     ring.info("step {} of {}", 1, 2)
     ring.bind(peer="10.1.0.14").warning("silent for {:.1f} s", 1.25)
-    first, second = lines(ring)
-    assert first == {"at": 1050.0, "level": "info", "text": "step 1 of 2", "process": "edge-1"}
-    assert second == {
+    first_line, second_line = lines(ring)
+    assert first_line == {"at": 1050.0, "level": "info", "text": "step 1 of 2", "process": "edge-1"}
+    assert second_line == {
         "at": 1050.0,
         "level": "warning",
         "text": "silent for 1.2 s",
@@ -65,11 +65,11 @@
     }
 
 
-def test_fields_are_keys_of_their_own_and_replace_no_fixed_one(ring):
+def test_fields_are_separate_keys_and_replace_no_fixed_key(ring):
     ring.info("polled", attempt=3, error=None, zones=["a"], values=1, fields=2, event="e", level="mine")
     ring.warning("endpoint list poll failed", error=OSError("refused"))
-    first, second = lines(ring)
-    assert first == {
+    first_line, second_line = lines(ring)
+    assert first_line == {
         "at": 1050.0,
         "level": "info",
         "text": "polled",
@@ -81,10 +81,10 @@
         "fields": 2,
         "event": "e",
     }
-    assert second["text"] == "endpoint list poll failed" and second["error"] == "OSError('refused')"
+    assert second_line["text"] == "endpoint list poll failed" and second_line["error"] == "OSError('refused')"
 
 
-def test_an_uncaught_exception_of_the_loop_is_an_error_with_its_trace(ring):
+def test_an_uncaught_loop_exception_is_logged_as_error_with_its_traceback(ring):
     log.set_sink(ring)
     try:
         log_uncaught(None, {"message": "Exception in callback", "exception": KeyError("zone")})
@@ -98,16 +98,16 @@
     assert [event.fields["error"] for event in ring.events] == ["KeyError('zone')", "None"]
 
 
-def test_writes_are_spaced_and_what_was_held_back_comes_with_the_next(ring, times):
+def test_writes_are_rate_limited_and_include_the_events_since_the_last(ring, clock):
     ring.warning("a")
     ring.error("b")
     ring.info("c")
     assert texts(ring) == ["a"]
-    times.now += WRITE_INTERVAL_S
+    clock.now += WRITE_INTERVAL_S
     ring.info("d")
     assert texts(ring) == ["a", "b", "c", "d"] and ring.writes == 2
     ring.info("e")
-    times.now += WRITE_INTERVAL_S
+    clock.now += WRITE_INTERVAL_S
     ring.info("f")
     assert texts(ring) == ["a", "b", "c", "d"]
     ring.warning("g")
@@ -118,29 +118,29 @@
     assert texts(ring)[7:] == ["h"]
 
 
-def test_what_fell_out_of_the_ring_is_counted(ring, times):
+def test_evicted_events_are_counted(ring, clock):
     for number in range(20):
         ring.info("{}", number)
     ring.warning("now")
     assert texts(ring) == ["13 earlier events are left out", *map(str, range(13, 20)), "now"]
-    times.now += WRITE_INTERVAL_S
+    clock.now += WRITE_INTERVAL_S
     ring.warning("again")
     assert texts(ring)[-1:] == ["again"] and len(texts(ring)) == 10
 
 
-def test_one_write_is_bounded(times):
-    ring = LogRingBuffer("edge-of-the-far-north-1" * 4, io.StringIO(), steady_clock=times)
+def test_the_size_of_one_write_is_bounded(clock):
+    ring = LogRingBuffer("edge-of-the-far-north-1" * 4, io.StringIO(), steady_clock=clock)
     for number in range(500):
         ring.info("{} {}", number, "x" * 190)
     ring.warning("end")
     assert len(ring.stream.getvalue()) <= MAX_WRITE_BYTES
-    said = texts(ring)
-    assert said[-1] == "end" and said[-2].startswith("499 ")
-    assert said[0].endswith(" earlier events are left out")
-    assert int(said[0].split()[0]) + len(said) - 1 == 501
+    written_texts = texts(ring)
+    assert written_texts[-1] == "end" and written_texts[-2].startswith("499 ")
+    assert written_texts[0].endswith(" earlier events are left out")
+    assert int(written_texts[0].split()[0]) + len(written_texts) - 1 == 501
 
 
-def test_values_are_rendered_when_they_are_logged_if_they_may_change(ring):
+def test_mutable_values_are_formatted_when_logged(ring):
     value = [1]
     ring.info("value {}", value)
     value.append(2)
@@ -149,7 +149,7 @@
     assert all(event.values == () for event in ring.events)
 
 
-def test_a_trace_is_shown_here_only(ring):
+def test_exception_adds_the_traceback(ring):
     try:
         1 / 0  # noqa: B018
     except ZeroDivisionError:
@@ -159,21 +159,22 @@
     ring.exception("none is handled")
 
 
-class Bad:
+class Unprintable:
     def __repr__(self):
         raise RuntimeError
 
 
 @pytest.mark.parametrize(
-    ("text", "values"), [("{} {}", (1,)), ("{", (1,)), ("{:d}", ("x",)), ("{!r}", (Bad(),)), ("{a}", (1,))]
+    ("text", "values"),
+    [("{} {}", (1,)), ("{", (1,)), ("{:d}", ("x",)), ("{!r}", (Unprintable(),)), ("{a}", (1,))],
 )
-def test_a_line_that_can_not_be_made_does_not_fail_its_caller(ring, text, values):
+def test_a_formatting_error_does_not_fail_the_logging_call(ring, text, values):
     ring.warning(text, *values)
     assert texts(ring)[0].startswith(text)
 
 
 @pytest.mark.parametrize("broken", [OSError, ValueError, BrokenPipeError])
-def test_a_stderr_that_nobody_reads_ends_nothing(ring, broken):
+def test_a_broken_stderr_does_not_fail_the_logging_call(ring, broken):
     class Stream:
         def write(self, text):
             raise broken
@@ -198,27 +199,27 @@
     )
 )
 def test_any_events_are_written_as_json_and_each_at_most_once(events):
-    times = Times()
-    ring = LogRingBuffer("p", io.StringIO(), size=5, steady_clock=times)
-    for level, text, values, more, after in events:
-        times.now += after
-        getattr(ring, level)(text, *values, **more)
+    clock = FakeClock()
+    ring = LogRingBuffer("p", io.StringIO(), size=5, steady_clock=clock)
+    for level, text, values, fields, delay in events:
+        clock.now += delay
+        getattr(ring, level)(text, *values, **fields)
     ring.flush()
     written = lines(ring)
     assert len(written) <= len(events) + ring.writes
-    assert ring.writes <= 2 + (times.now - 50.0) / WRITE_INTERVAL_S
+    assert ring.writes <= 2 + (clock.now - 50.0) / WRITE_INTERVAL_S
 
 
 # --- the sink of the shared logger
 
 
 @pytest.fixture
-def handed():
+def reset_sink():
     yield
     log.set_sink(None)
 
 
-def test_lines_go_to_the_sink_that_was_handed_in(handed, ring):
+def test_events_go_to_the_sink_that_was_set(reset_sink, ring):
     log.set_sink(ring)
     assert log.logger.info == ring.info
     log.logger.info("step {}", 1)
@@ -226,7 +227,7 @@
     assert texts(ring) == ["step 1", "end"]
 
 
-def test_a_sink_that_lacks_a_method_is_not_taken(handed, ring):
+def test_a_sink_without_a_required_method_is_rejected(reset_sink, ring):
     log.set_sink(ring)
     with pytest.raises(AttributeError):
         log.set_sink(object())
@@ -236,7 +237,7 @@
         log.logger.no_such_level  # noqa: B018
 
 
-def test_with_nothing_handed_in_loguru_sees_the_true_caller(handed):
+def test_without_a_sink_loguru_sees_the_true_caller(reset_sink):
     log.set_sink(None)
     records = []
     number = loguru.add(lambda message: records.append(message.record), level="DEBUG")
@@ -246,9 +247,7 @@
     finally:
         loguru.remove(number)
     assert [record["message"] for record in records] == ["step 1", "step 2"]
-    assert {record["function"] for record in records} == {
-        "test_with_nothing_handed_in_loguru_sees_the_true_caller"
-    }
+    assert {record["function"] for record in records} == {"test_without_a_sink_loguru_sees_the_true_caller"}
 
 
 @pytest.mark.parametrize(
@@ -263,7 +262,7 @@
         ),
     ],
 )
-def test_what_a_program_does_not_use_is_not_imported(code, absent):
+def test_unused_libraries_are_not_imported(code, absent):
     code += f"; import sys; print([name for name in {absent.split()} if name in sys.modules])"
     assert subprocess.run([sys.executable, "-c", code], capture_output=True, text=True).stdout == "[]\n"
 
--- a/tests/runtime/test_stall_detection.py
+++ b/tests/runtime/test_stall_detection.py
@@ -5,71 +5,71 @@
 from shedgrade.runtime.stall_detection import LATE, SETTLING, TICK, ArrivalClock
 
 
-class Ticks:
+class FakeLoop:
     """An event loop with one timer, in simulated time."""
 
     def __init__(self):
-        self.now, self.due = 50.0, None
-        self.clock = ArrivalClock(self, lambda: self.now)
-        self.clock.start()
+        self.now, self.timer = 50.0, None
+        self.arrival_clock = ArrivalClock(self, lambda: self.now)
+        self.arrival_clock.start()
 
-    def call_later(self, delay, job):
-        self.due = self.now + delay, job
-        return SimpleNamespace(cancel=lambda: setattr(self, "due", None))
+    def call_later(self, delay, callback):
+        self.timer = self.now + delay, callback
+        return SimpleNamespace(cancel=lambda: setattr(self, "timer", None))
 
-    def run(self, seconds):
+    def advance(self, seconds):
         until = self.now + seconds
-        while self.due is not None and self.due[0] <= until:
-            at, job = self.due
+        while self.timer is not None and self.timer[0] <= until:
+            at, callback = self.timer
             self.now = max(self.now, at)
-            job()
+            callback()
         self.now = until
 
-    def stand(self, seconds, tick_first):
+    def stall(self, seconds, tick_first):
         """Stops the process; `tick_first`: the late timer runs before received data is read."""
         self.now += seconds
         if tick_first:
-            self.due[1]()
+            self.timer[1]()
 
 
-def test_in_a_process_that_runs_nothing_is_old():
-    ticks = Ticks()
+def test_without_a_stall_the_bound_is_at_most_two_ticks_old():
+    loop = FakeLoop()
     for _ in range(50):
-        ticks.run(0.037)
-        assert ticks.now - 2 * TICK - 1e-9 <= ticks.clock.earliest() <= ticks.now
+        loop.advance(0.037)
+        assert loop.now - 2 * TICK - 1e-9 <= loop.arrival_clock.earliest() <= loop.now
 
 
-def test_what_is_read_after_a_stop_may_be_as_old_as_the_stop():
+def test_data_read_after_a_stall_may_have_arrived_before_it():
     for tick_first in (False, True):
-        ticks = Ticks()
-        ticks.run(1.04)
-        stopped = ticks.now
-        ticks.stand(7.0, tick_first)
-        assert ticks.clock.earliest() < stopped
-        ticks.run(SETTLING / 2)
-        assert ticks.clock.earliest() < stopped
-        ticks.run(SETTLING)
-        assert ticks.clock.earliest() > stopped + 7.0
-
-
-def test_stops_that_follow_one_another_add_up():
-    ticks = Ticks()
-    ticks.run(1.0)
-    stopped = ticks.now
+        loop = FakeLoop()
+        loop.advance(1.04)
+        stalled_at = loop.now
+        loop.stall(7.0, tick_first)
+        assert loop.arrival_clock.earliest() < stalled_at
+        loop.advance(SETTLING / 2)
+        assert loop.arrival_clock.earliest() < stalled_at
+        loop.advance(SETTLING)
+        assert loop.arrival_clock.earliest() > stalled_at + 7.0
+
+
+def test_consecutive_stalls_add_up():
+    loop = FakeLoop()
+    loop.advance(1.0)
+    stalled_at = loop.now
     for _ in range(3):
-        ticks.stand(2.0, True)
-        ticks.run(SETTLING / 2)
-        assert ticks.clock.earliest() < stopped
+        loop.stall(2.0, True)
+        loop.advance(SETTLING / 2)
+        assert loop.arrival_clock.earliest() < stalled_at
 
 
-def test_a_long_step_makes_nothing_look_older_than_it_can_be():
-    ticks = Ticks()
-    ticks.run(1.0)
-    ticks.stand(TICK + LATE + 0.01, True)
-    assert ticks.now - ticks.clock.earliest() < 0.5
+def test_a_short_stall_moves_the_bound_back_by_less_than_half_a_second():
+    loop = FakeLoop()
+    loop.advance(1.0)
+    loop.stall(TICK + LATE + 0.01, True)
+    assert loop.now - loop.arrival_clock.earliest() < 0.5
 
 
-def test_after_its_end_it_ticks_no_more():
-    ticks = Ticks()
-    ticks.clock.close()
-    assert ticks.due is None
+def test_close_stops_the_timer():
+    loop = FakeLoop()
+    loop.arrival_clock.close()
+    assert loop.timer is None
