--- a/shedgrade/runtime/stall_detection.py
+++ b/shedgrade/runtime/stall_detection.py
@@ -17,9 +17,9 @@
 
 import uvloop
 
-TICK = 0.1  # s between two ticks of the `ArrivalClock`
-LATE = 0.15  # s by which a tick may be late without counting as a stall
-SETTLING = 0.25  # s after a late tick within which all data that arrived during the stall has been read
+TICK_INTERVAL_S = 0.1  # between two ticks of the `ArrivalClock`
+MAX_TICK_DELAY_S = 0.15  # by which a tick may be late without counting as a stall
+SETTLING_S = 0.25  # after a late tick within which all data that arrived during the stall has been read
 
 
 def steady_clock(loop: asyncio.AbstractEventLoop) -> Callable[[], float]:
@@ -31,13 +31,18 @@
 class ArrivalClock:
     """Detects stalls by a periodic timer, and bounds when data that is read now can have arrived.
 
-    `clock`: a clock of `steady_clock`.
+    Attributes, times in seconds of `clock`:
+        clock: a clock of `steady_clock`.
+        last_tick_at, previous_tick_at: times of the last two ticks; of the start, before there are two.
+        before_stall_at: what `earliest` returns while the loop settles after a stall.
+        settled_at: when the loop has settled after the last stall.
+        timer: of the next tick, None before `start`.
     """
 
     def __init__(self, loop: asyncio.AbstractEventLoop, clock: Callable[[], float]) -> None:
         self.loop, self.clock = loop, clock
-        self.last_tick = self.tick_before = clock()
-        self.before_stall = self.settled_at = self.last_tick
+        self.last_tick_at = self.previous_tick_at = clock()
+        self.before_stall_at = self.settled_at = self.last_tick_at
         self.timer: asyncio.TimerHandle | None = None
 
     def start(self) -> None:
@@ -52,24 +57,24 @@
     def tick(self) -> None:
         """Records the time of this tick, and a stall if the tick is late; sets the timer again."""
         now = self.clock()
-        if now - self.last_tick > TICK + LATE:
-            if not self.settling():
-                self.before_stall = self.tick_before
-            self.settled_at = now + SETTLING
-        self.tick_before, self.last_tick = self.last_tick, now
-        self.timer = self.loop.call_later(TICK, self.tick)
-
-    def settling(self) -> bool:
+        if now - self.last_tick_at > TICK_INTERVAL_S + MAX_TICK_DELAY_S:
+            if not self.is_settling():
+                self.before_stall_at = self.previous_tick_at
+            self.settled_at = now + SETTLING_S
+        self.previous_tick_at, self.last_tick_at = self.last_tick_at, now
+        self.timer = self.loop.call_later(TICK_INTERVAL_S, self.tick)
+
+    def is_settling(self) -> bool:
         """Returns whether data from before the end of a stall may still be unread.
 
-        The loop has to run for SETTLING after a stall; a further stall does not count as running.
+        The loop has to run for SETTLING_S after a stall; a further stall does not count as running.
         """
-        return self.last_tick < self.settled_at
+        return self.last_tick_at < self.settled_at
 
     def earliest(self) -> float:
         """Returns a time in seconds of `clock` before which no byte that is read now arrived, except on a
         connection whose reading was paused."""
-        return self.before_stall if self.settling() else self.tick_before
+        return self.before_stall_at if self.is_settling() else self.previous_tick_at
 
 
 STALL_THRESHOLD_S = 0.75  # a longer gap between two events is a stall; callers observe at least every 0.25 s
--- a/tests/runtime/test_stall_detection.py
+++ b/tests/runtime/test_stall_detection.py
@@ -2,7 +2,7 @@
 
 from types import SimpleNamespace
 
-from shedgrade.runtime.stall_detection import LATE, SETTLING, TICK, ArrivalClock
+from shedgrade.runtime.stall_detection import MAX_TICK_DELAY_S, SETTLING_S, TICK_INTERVAL_S, ArrivalClock
 
 
 class FakeLoop:
@@ -36,7 +36,7 @@
     loop = FakeLoop()
     for _ in range(50):
         loop.advance(0.037)
-        assert loop.now - 2 * TICK - 1e-9 <= loop.arrival_clock.earliest() <= loop.now
+        assert loop.now - 2 * TICK_INTERVAL_S - 1e-9 <= loop.arrival_clock.earliest() <= loop.now
 
 
 def test_data_read_after_a_stall_may_have_arrived_before_it():
@@ -46,9 +46,9 @@
         stalled_at = loop.now
         loop.stall(7.0, tick_first)
         assert loop.arrival_clock.earliest() < stalled_at
-        loop.advance(SETTLING / 2)
+        loop.advance(SETTLING_S / 2)
         assert loop.arrival_clock.earliest() < stalled_at
-        loop.advance(SETTLING)
+        loop.advance(SETTLING_S)
         assert loop.arrival_clock.earliest() > stalled_at + 7.0
 
 
@@ -58,14 +58,14 @@
     stalled_at = loop.now
     for _ in range(3):
         loop.stall(2.0, True)
-        loop.advance(SETTLING / 2)
+        loop.advance(SETTLING_S / 2)
         assert loop.arrival_clock.earliest() < stalled_at
 
 
 def test_a_short_stall_moves_the_bound_back_by_less_than_half_a_second():
     loop = FakeLoop()
     loop.advance(1.0)
-    loop.stall(TICK + LATE + 0.01, True)
+    loop.stall(TICK_INTERVAL_S + MAX_TICK_DELAY_S + 0.01, True)
     assert loop.now - loop.arrival_clock.earliest() < 0.5
 
 
