--- a/shedgrade/peer_transport/address.py
+++ b/shedgrade/peer_transport/address.py
@@ -9,6 +9,6 @@
     return host, int(port)
 
 
-def format_address(pair: tuple[str, int]) -> str:
-    """Returns "ip:port" of a pair as IPv4 sockets return it."""
-    return f"{pair[0]}:{pair[1]}"
+def format_address(host_port: tuple[str, int]) -> str:
+    """Returns "ip:port" of an IPv4 socket's address."""
+    return f"{host_port[0]}:{host_port[1]}"
--- a/shedgrade/peer_transport/tcp.py
+++ b/shedgrade/peer_transport/tcp.py
@@ -145,11 +145,11 @@
     """Sends frames to link addresses. It keeps one connection for each address, or uses an incoming one.
 
     Attributes:
-        on_response: called with the sender and the frame for each frame on own connections that isn't the
+        on_message: called with the sender and the frame for each frame on own connections that isn't the
             answer to an own call.
         on_call: called with the connection and the frame for calls on own connections instead, as a
             `PeerServer`'s handler is: a peer that adopted the connection sends its calls over it. None:
-            `on_response` gets them.
+            `on_message` gets them.
         local_host: IP address that own connections are bound to.
         routes: by link address.
         is_closed: set for good by `close`; nothing is sent afterwards.
@@ -159,13 +159,13 @@
         self,
         loop: asyncio.AbstractEventLoop,
         own_address: str,
-        on_response: Callable[[str, Frame], None],
+        on_message: Callable[[str, Frame], None],
         local_host: str,
         on_call: FrameHandler | None = None,
     ) -> None:
         self.loop = loop
         self.own_address = own_address
-        self.on_response = on_response
+        self.on_message = on_message
         self.local_host = local_host
         self.on_call = on_call
         self.routes: dict[str, Route] = {}
@@ -183,15 +183,15 @@
 
     def send(self, address: str, body: bytes) -> None:
         """Sends a one-way frame; drops it if it can't be sent."""
-        self.forward(address, QueuedFrame(body, None))
+        self.send_or_queue(address, QueuedFrame(body, None))
 
     async def call(self, address: str, body: bytes, timeout: float) -> bytes:
         """Sends a call and returns the body of its answer. Raises PeerCallError if none arrives within
         `timeout` seconds, or none can arrive."""
         answer: BytesFuture = self.loop.create_future()
-        timer = self.loop.call_later(timeout, fail, answer, "no answer in time")
+        timer = self.loop.call_later(timeout, fail_call, answer, "no answer in time")
         try:
-            self.forward(address, QueuedFrame(body, answer))
+            self.send_or_queue(address, QueuedFrame(body, answer))
             return await answer
         finally:
             timer.cancel()
@@ -205,7 +205,7 @@
         address = connection.sender
         route = self.route_to(address)
         route.adopted = connection
-        connection.on_close.append(lambda: self.forget(address, connection))
+        connection.on_close.append(lambda: self.remove_connection(address, connection))
         self.flush(route, connection)  # a peer that was unreachable may connect while our attempt still hangs
 
     def close(self) -> None:
@@ -225,7 +225,7 @@
             route = self.routes[address] = Route()
         return route
 
-    def forget(self, address: str, connection: PeerConnection) -> None:
+    def remove_connection(self, address: str, connection: PeerConnection) -> None:
         """Removes a closed connection from its route."""
         route = self.routes.get(address)
         if route is None:
@@ -239,28 +239,28 @@
             else:  # prevents a tight loop of attempts if the peer accepts connections and closes them at once
                 self.back_off(route)
 
-    def forward(self, address: str, frame: QueuedFrame) -> None:
+    def send_or_queue(self, address: str, frame: QueuedFrame) -> None:
         """Sends over a usable connection, else queues the frame and opens one. If neither is possible, drops
         the frame and fails its call."""
         try:
-            pair = parse_address(address)
+            host_port = parse_address(address)
         except ValueError as error:  # a peer may have given an invalid address as its own
             logger.error("message not sent: invalid peer address", error=str(error))
-            fail(frame.answer, str(error))
+            fail_call(frame.answer, str(error))
             return
         route = self.route_to(address)
         connection = self.usable_connection(route)
         if connection is not None:
             self.transmit(connection, frame)
         elif self.is_closed or self.loop.time() < route.retry_at:
-            fail(frame.answer, "no connection: pool closed or in backoff")
+            fail_call(frame.answer, "no connection: pool closed or in backoff")
         elif not route.has_room(frame.body):
             # Bounds the memory that frames for one address take.
-            fail(frame.answer, "send queue of the address is full")
+            fail_call(frame.answer, "send queue of the address is full")
         else:
             route.enqueue(frame)
             if route.connecting is None:
-                route.connecting = self.loop.create_task(self.connect(address, pair, route))
+                route.connecting = self.loop.create_task(self.connect(address, host_port, route))
 
     def usable_connection(self, route: Route) -> PeerConnection | None:
         """Returns the adopted connection if it is fresh, else our own if it is open, else None."""
@@ -284,9 +284,9 @@
                 connection.call(frame.body, frame.answer)
         except FrameError as error:
             logger.error("message not sent: too long", peer=connection.peer_name(), error=str(error))
-            fail(frame.answer, str(error))
+            fail_call(frame.answer, str(error))
 
-    async def connect(self, address: str, pair: tuple[str, int], route: Route) -> None:
+    async def connect(self, address: str, host_port: tuple[str, int], route: Route) -> None:
         """Opens a connection to the address, and sends the queued frames; drops them if the attempt fails."""
         sock = socket.socket(socket.AF_INET, socket.SOCK_STREAM)
         try:
@@ -294,7 +294,7 @@
             set_socket_options(sock)
             sock.bind((self.local_host, 0))
             async with asyncio.timeout(CONNECT_TIMEOUT_S):
-                await self.loop.sock_connect(sock, pair)
+                await self.loop.sock_connect(sock, host_port)
                 _, connection = await self.loop.create_connection(
                     lambda: PeerConnection(self.loop, self.own_address, self.handle_frame), sock=sock
                 )
@@ -309,7 +309,7 @@
             raise
         route.connecting = None
         route.connection = connection
-        connection.on_close.append(lambda: self.forget(address, connection))
+        connection.on_close.append(lambda: self.remove_connection(address, connection))
         self.flush(route, connection)
 
     def flush(self, route: Route, connection: PeerConnection) -> None:
@@ -326,17 +326,17 @@
     def drop_queue(self, route: Route, reason: str) -> None:
         """Drops the queued frames and fails the calls among them."""
         for frame in route.take_queue():
-            fail(frame.answer, reason)
+            fail_call(frame.answer, reason)
 
     def handle_frame(self, connection: PeerConnection, frame: Frame) -> None:
         """Passes on a frame that arrived on an own connection."""
         if frame.number and self.on_call is not None:
             self.on_call(connection, frame)
         else:
-            self.on_response(frame.sender, frame)
+            self.on_message(frame.sender, frame)
 
 
-def fail(answer: BytesFuture | None, reason: str) -> None:
+def fail_call(answer: BytesFuture | None, reason: str) -> None:
     """Fails a call with a PeerCallError, unless it is done."""
     if answer is not None and not answer.done():
         answer.set_exception(PeerCallError(reason))
--- a/shedgrade/peer_transport/udp.py
+++ b/shedgrade/peer_transport/udp.py
@@ -58,9 +58,9 @@
         or the body too long."""
         if len(body) > MAX_BODY_BYTES:
             raise ValueError(f"body of {len(body)} bytes is too long for a datagram")
-        pair = parse_address(address)
+        host_port = parse_address(address)
         if self.transport is not None and not self.transport.is_closing():
-            self.transport.sendto(VERSION_BYTE + body, pair)
+            self.transport.sendto(VERSION_BYTE + body, host_port)
 
     def close(self) -> None:
         """Closes the socket."""
