--- a/shedgrade/peer_transport/connection.py
+++ b/shedgrade/peer_transport/connection.py
@@ -51,7 +51,7 @@
         is_closed: set for good when the connection is lost or aborted; nothing is sent or handled afterwards.
         on_close: callables without arguments, called once when the connection is lost.
         pending_calls: futures of unanswered calls, by call number; empty once the connection is lost.
-        last_call: number of the last call; the first call has number 1.
+        last_call_number: number of the last call; the first call has number 1.
     """
 
     def __init__(self, loop: asyncio.AbstractEventLoop, own_address: str, on_frame: FrameHandler) -> None:
@@ -67,11 +67,11 @@
         self.is_closed = False
         self.on_close: list[Callable[[], None]] = []
         self.pending_calls: dict[int, BytesFuture] = {}
-        self.last_call = 0
+        self.last_call_number = 0
 
     def check_invariants(self) -> None:
         """Raises AssertionError if an attribute breaks its description. For tests and the simulation."""
-        assert all(0 < number <= self.last_call for number in self.pending_calls)
+        assert all(0 < number <= self.last_call_number for number in self.pending_calls)
         assert self.opened_at <= self.last_heard_at
         if self.frames_received:
             assert self.sender
@@ -136,8 +136,8 @@
         if self.is_closed:
             answer.set_exception(PeerCallError("connection lost"))
             return 0
-        self.last_call += 1
-        number = self.last_call
+        self.last_call_number += 1
+        number = self.last_call_number
         self.pending_calls[number] = answer
         answer.add_done_callback(lambda _: self.pending_calls.pop(number, None))
         self.send(body, number)
--- a/shedgrade/peer_transport/tcp.py
+++ b/shedgrade/peer_transport/tcp.py
@@ -96,21 +96,29 @@
     """The connections to one address, and the frames that wait for one.
 
     Attributes:
-        connection: connection that this process opened, None while there is none.
-        adopted: incoming connection from the address, None while there is none. Preferred to `connection`
-            while bytes arrived on it within ADOPTED_FRESH_S.
-        connecting: task that opens `connection`, None if none is running.
+        own_connection: connection that this process opened, None while there is none.
+        adopted_connection: incoming connection from the address, None while there is none. Preferred to
+            `own_connection` while bytes arrived on it within ADOPTED_FRESH_S.
+        connect_task: opens `own_connection`, None if none is running.
         queue, queued_bytes: frames that wait for the task, and the length of their bodies; empty without it.
         backoff_s: pause before the next connection attempt; 0 after a connection that worked.
         retry_at: the loop's time before which no attempt is made; frames that would need one are dropped.
     """
 
-    __slots__ = ("connection", "adopted", "connecting", "queue", "queued_bytes", "backoff_s", "retry_at")
+    __slots__ = (
+        "own_connection",
+        "adopted_connection",
+        "connect_task",
+        "queue",
+        "queued_bytes",
+        "backoff_s",
+        "retry_at",
+    )
 
     def __init__(self) -> None:
-        self.connection: PeerConnection | None = None
-        self.adopted: PeerConnection | None = None
-        self.connecting: asyncio.Task[None] | None = None
+        self.own_connection: PeerConnection | None = None
+        self.adopted_connection: PeerConnection | None = None
+        self.connect_task: asyncio.Task[None] | None = None
         self.queue: list[QueuedFrame] = []
         self.queued_bytes = 0
         self.backoff_s = 0.0
@@ -120,7 +128,7 @@
         """Raises AssertionError if an attribute breaks its description. For tests and the simulation."""
         assert self.queued_bytes == sum(len(frame.body) for frame in self.queue)
         assert len(self.queue) <= MAX_QUEUED_FRAMES
-        assert not self.queue or self.connecting is not None
+        assert not self.queue or self.connect_task is not None
         assert 0 <= self.backoff_s <= MAX_BACKOFF_S
 
     def has_room(self, body: bytes) -> bool:
@@ -177,7 +185,7 @@
         for route in self.routes.values():
             route.check_invariants()
             assert not (self.is_closed and route.queue)
-            for connection in (route.connection, route.adopted):
+            for connection in (route.own_connection, route.adopted_connection):
                 if connection is not None:
                     connection.check_invariants()
 
@@ -204,7 +212,7 @@
             return
         address = connection.sender
         route = self.route_to(address)
-        route.adopted = connection
+        route.adopted_connection = connection
         connection.on_close.append(lambda: self.remove_connection(address, connection))
         self.flush(route, connection)  # a peer that was unreachable may connect while our attempt still hangs
 
@@ -212,10 +220,10 @@
         """Aborts own connections; pending calls fail with a PeerCallError."""
         self.is_closed = True
         for route in self.routes.values():
-            if route.connecting is not None:
-                route.connecting.cancel()
-            if route.connection is not None:
-                route.connection.abort()
+            if route.connect_task is not None:
+                route.connect_task.cancel()
+            if route.own_connection is not None:
+                route.own_connection.abort()
             self.drop_queue(route, "closed")
 
     def route_to(self, address: str) -> Route:
@@ -230,10 +238,10 @@
         route = self.routes.get(address)
         if route is None:
             return
-        if route.adopted is connection:
-            route.adopted = None
-        if route.connection is connection:
-            route.connection = None
+        if route.adopted_connection is connection:
+            route.adopted_connection = None
+        if route.own_connection is connection:
+            route.own_connection = None
             if connection.frames_received or self.loop.time() - connection.opened_at > ADOPTED_FRESH_S:
                 route.backoff_s = 0.0
             else:  # prevents a tight loop of attempts if the peer accepts connections and closes them at once
@@ -259,20 +267,20 @@
             fail_call(frame.answer, "send queue of the address is full")
         else:
             route.enqueue(frame)
-            if route.connecting is None:
-                route.connecting = self.loop.create_task(self.connect(address, host_port, route))
+            if route.connect_task is None:
+                route.connect_task = self.loop.create_task(self.connect(address, host_port, route))
 
     def usable_connection(self, route: Route) -> PeerConnection | None:
         """Returns the adopted connection if it is fresh, else our own if it is open, else None."""
-        adopted = route.adopted
+        adopted = route.adopted_connection
         if (
             adopted is not None
             and not adopted.is_closed
             and self.loop.time() - adopted.last_heard_at < ADOPTED_FRESH_S
         ):
             return adopted
-        if route.connection is not None and not route.connection.is_closed:
-            return route.connection
+        if route.own_connection is not None and not route.own_connection.is_closed:
+            return route.own_connection
         return None
 
     def transmit(self, connection: PeerConnection, frame: QueuedFrame) -> None:
@@ -300,15 +308,15 @@
                 )
         except OSError:  # includes TimeoutError
             sock.close()
-            route.connecting = None
+            route.connect_task = None
             self.back_off(route)
             self.drop_queue(route, "connection attempt failed")
             return
         except BaseException:
             sock.close()
             raise
-        route.connecting = None
-        route.connection = connection
+        route.connect_task = None
+        route.own_connection = connection
         connection.on_close.append(lambda: self.remove_connection(address, connection))
         self.flush(route, connection)
 
--- a/tests/peer_transport/test_adopted_connections.py
+++ b/tests/peer_transport/test_adopted_connections.py
@@ -24,7 +24,7 @@
             try:
                 first.links.send(second.address, b"met")
                 assert await asyncio.wait_for(second.got.get(), 5) == (first.address, b"met")
-                assert second.links.routes[first.address].adopted is not None
+                assert second.links.routes[first.address].adopted_connection is not None
                 await story(first, second)
             finally:
                 first.close()
@@ -40,7 +40,7 @@
 def test_a_call_over_it_is_answered(play):
     async def story(first, second):
         assert await second.links.call(first.address, b"one", 5) == b"echo one"
-        assert second.links.routes[first.address].connection is None  # the second end opened none
+        assert second.links.routes[first.address].own_connection is None  # the second end opened none
 
     play(story)
 
--- a/tests/peer_transport/test_connections.py
+++ b/tests/peer_transport/test_connections.py
@@ -96,7 +96,7 @@
         [incoming] = two.server.connections
         assert incoming.sender == one.address
         assert incoming.transport.get_extra_info("peername")[0] == HOST
-        assert not one.links.routes[two.address].connection.pending_calls
+        assert not one.links.routes[two.address].own_connection.pending_calls
 
     play(scene)
 
@@ -119,7 +119,7 @@
         assert await two.got.get() == (one.address, b"hello")
         two.links.send(one.address, b"back")
         assert await one.got.get() == (two.address, b"back")
-        assert not one.server.connections and two.links.routes[one.address].connection is None
+        assert not one.server.connections and two.links.routes[one.address].own_connection is None
 
     play(scene)
 
@@ -146,7 +146,7 @@
         assert route.backoff_s == tcp.MIN_BACKOFF_S and route.retry_at > loop.time() and not route.queue
         with pytest.raises(TimeoutError):  # during the backoff a call fails at once
             await one.links.call(two.address, b"x", 5)
-        assert route.connecting is None
+        assert route.connect_task is None
         for _ in range(5):
             one.links.back_off(route)
         assert route.backoff_s == tcp.MAX_BACKOFF_S
@@ -163,7 +163,7 @@
         with pytest.raises(PeerCallError):
             await one.links.call(two.address, b"mute", 0.05)
         assert await one.links.call(two.address, b"x", 5) == b"echo x"
-        assert not one.links.routes[two.address].connection.pending_calls
+        assert not one.links.routes[two.address].own_connection.pending_calls
 
     play(scene)
 
@@ -197,8 +197,8 @@
             route = one.links.routes[two.address]
             with pytest.raises(PeerCallError):
                 await one.links.call(two.address, b"too many", 5)
-            await route.connecting
-            assert not route.queue and route.connection is None and route.backoff_s == tcp.MIN_BACKOFF_S
+            await route.connect_task
+            assert not route.queue and route.own_connection is None and route.backoff_s == tcp.MIN_BACKOFF_S
 
     play(scene)
 
@@ -248,7 +248,7 @@
                 handle.setblocking(False)
                 handle.connect_ex(two.where)
             one.links.send(two.address, b"held")
-            assert one.links.routes[two.address].connecting is not None
+            assert one.links.routes[two.address].connect_task is not None
             two.links.send(one.address, b"back again")
             assert await one.got.get() == (two.address, b"back again")
             assert await two.got.get() == (one.address, b"held")
@@ -281,7 +281,7 @@
     async def scene(loop, one, two):
         await two.server.start()
         await one.links.call(two.address, b"x", 5)
-        for peer in (one.links.routes[two.address].connection, *two.server.connections):
+        for peer in (one.links.routes[two.address].own_connection, *two.server.connections):
             handle = peer.transport.get_extra_info("socket")
             for level, option, value in connection.SOCKET_OPTIONS:
                 assert handle.getsockopt(level, option) == value
@@ -325,12 +325,12 @@
 
 
 def break_calls(pool, route):
-    route.connection.pending_calls[99] = None
+    route.own_connection.pending_calls[99] = None
 
 
 def break_closed(pool, route):
     pool.is_closed = True
-    route.connecting = True
+    route.connect_task = True
     route.queue.append(tcp.QueuedFrame(b"", None))
 
 
@@ -338,7 +338,7 @@
 def test_a_broken_invariant_is_found(fault):
     pool = PeerConnectionPool(None, f"{HOST}:7300", print, HOST)
     route = pool.route_to(f"{OTHER}:7300")
-    route.connection = connection.PeerConnection(None, f"{HOST}:7300", print)
+    route.own_connection = connection.PeerConnection(None, f"{HOST}:7300", print)
     pool.check_invariants()
     fault(pool, route)
     with pytest.raises(AssertionError):
