--- a/shedgrade/peer_transport/frames.py
+++ b/shedgrade/peer_transport/frames.py
@@ -49,18 +49,18 @@
 
 def encode(sender: str, number: int, is_response: bool, body: bytes) -> bytes:
     """Returns the frame after its length. Raises FrameError if the body or the sender is too long."""
-    name = sender.encode()
-    if len(name) > MAX_SENDER_BYTES:
+    sender_bytes = sender.encode()
+    if len(sender_bytes) > MAX_SENDER_BYTES:
         raise FrameError("sender address is too long")
     if len(body) > MAX_BODY_BYTES:
         raise FrameError(f"body of {len(body)} bytes is too long")
-    builder = Builder(len(body) + len(name) + TABLE_BYTES)
-    body_at = builder.CreateByteVector(body)
-    sender_at = builder.CreateString(name)
+    builder = Builder(len(body) + len(sender_bytes) + TABLE_BYTES)
+    body_offset = builder.CreateByteVector(body)
+    sender_offset = builder.CreateString(sender_bytes)
     builder.StartObject(5)
     builder.PrependUint64Slot(FIELD_NUMBER, number, 0)
-    builder.PrependUOffsetTRelativeSlot(FIELD_SENDER, sender_at, 0)
-    builder.PrependUOffsetTRelativeSlot(FIELD_BODY, body_at, 0)
+    builder.PrependUOffsetTRelativeSlot(FIELD_SENDER, sender_offset, 0)
+    builder.PrependUOffsetTRelativeSlot(FIELD_BODY, body_offset, 0)
     builder.PrependUint8Slot(FIELD_VERSION, VERSION, 0)
     builder.PrependBoolSlot(FIELD_ANSWERS, is_response, False)
     builder.FinishSizePrefixed(builder.EndObject())
@@ -126,21 +126,21 @@
             raise FrameError("earlier data of the stream was invalid")
         unread = self.unread
         frames = []
-        begin = 0
+        frame_start = 0
         unread += data
         try:
-            while len(unread) - begin >= LENGTH.size:
-                (length,) = LENGTH.unpack_from(unread, begin)
+            while len(unread) - frame_start >= LENGTH.size:
+                (length,) = LENGTH.unpack_from(unread, frame_start)
                 if length > MAX_FRAME_BYTES:
                     raise FrameError(f"frame of {length} bytes is too long")
-                end = begin + LENGTH.size + length
-                if len(unread) < end:
+                frame_end = frame_start + LENGTH.size + length
+                if len(unread) < frame_end:
                     break
-                frames.append(decode(bytes(memoryview(unread)[begin + LENGTH.size : end])))
-                begin = end
+                frames.append(decode(bytes(memoryview(unread)[frame_start + LENGTH.size : frame_end])))
+                frame_start = frame_end
         except FrameError:
             self.is_broken = True
             self.unread = bytearray()
             raise
-        del unread[:begin]
+        del unread[:frame_start]
         return frames
