--- a/shedgrade/membership/population.py
+++ b/shedgrade/membership/population.py
@@ -11,9 +11,9 @@
 from math import exp
 
 WINDOW_S = 30.0
-PRUNE_ABOVE = 64  # names; up to this number they are not pruned
-PRUNE_EVERY = 16  # batches between two prunings
-MAX_FACTOR = 2.0  # upper bound of the estimate, as a multiple of the distinct nodes
+PRUNE_ABOVE_NAMES = 64  # names; up to this number they are not pruned
+PRUNE_BATCH_MULTIPLE = 16  # names are pruned when the number of batches is a multiple of it
+MAX_ESTIMATE_FACTOR = 2.0  # upper bound of the estimate, as a multiple of the distinct nodes
 BISECTIONS = 40  # steps
 
 
@@ -39,23 +39,23 @@
     Attributes:
         sightings: last sample of each node, by name.
         batches: those within the window, oldest first.
-        total: number of samples in `batches`.
+        total_samples: number of samples in `batches`.
     """
 
     def __init__(self) -> None:
         self.sightings: dict[str, Sighting] = {}
         self.batches: deque[Batch] = deque()
-        self.total = 0
+        self.total_samples = 0
 
-    def sample(self, now: float, names_and_kinds: list[tuple[str, str]]) -> None:
+    def add_samples(self, now: float, names_and_kinds: list[tuple[str, str]]) -> None:
         """Adds the names and kinds of the nodes that one shuffle brought."""
         for name, kind in names_and_kinds:
             self.sightings[name] = Sighting(kind, now)
         self.batches.append(Batch(now, len(names_and_kinds)))
-        self.total += len(names_and_kinds)
+        self.total_samples += len(names_and_kinds)
         while self.batches[0].at < now - WINDOW_S:
-            self.total -= self.batches.popleft().size
-        if len(self.sightings) > PRUNE_ABOVE and len(self.batches) % PRUNE_EVERY == 0:
+            self.total_samples -= self.batches.popleft().size
+        if len(self.sightings) > PRUNE_ABOVE_NAMES and len(self.batches) % PRUNE_BATCH_MULTIPLE == 0:
             self.prune(now)
 
     def prune(self, now: float) -> None:
@@ -77,18 +77,20 @@
         of_kind, distinct = kinds.count(kind), len(kinds)
         if not of_kind:
             return 0
-        return max(of_kind, round(of_kind * population(distinct, self.total) / distinct))
+        return max(of_kind, round(of_kind * solve_population(distinct, self.total_samples) / distinct))
 
 
-def population(distinct: int, samples: int) -> float:
-    """Solves `distinct` = N (1 - exp(-`samples` / N)) for N by bisection, up to MAX_FACTOR times `distinct`.
+def solve_population(distinct: int, samples: int) -> float:
+    """Solves `distinct` = N (1 - exp(-`samples` / N)) for N by bisection.
 
-    >>> round(population(100, 10_000))
+    The result is at most MAX_ESTIMATE_FACTOR times `distinct`.
+
+    >>> round(solve_population(100, 10_000))
     100
-    >>> 470 < population(283, 400) < 610
+    >>> 470 < solve_population(283, 400) < 610
     True
     """
-    low, high = float(distinct), MAX_FACTOR * distinct
+    low, high = float(distinct), MAX_ESTIMATE_FACTOR * distinct
     for _ in range(BISECTIONS):
         middle = (low + high) / 2
         if middle * (1 - exp(-samples / middle)) < distinct:
--- a/shedgrade/membership/table.py
+++ b/shedgrade/membership/table.py
@@ -20,8 +20,8 @@
 from shedgrade.peer_transport.address import parse_address
 
 SUSPICION_TIMEOUT_S = 2.0  # in which a suspected node has to refute
-ISOLATED_FACTOR = 5  # multiplies SUSPICION_TIMEOUT_S while no datagram at all arrives
-DEPARTED_MEMORY_S = 90.0  # for which a dropped or left node is remembered
+ISOLATED_TIMEOUT_FACTOR = 5  # multiplies SUSPICION_TIMEOUT_S while no datagram at all arrives
+DEPARTED_RETENTION_S = 90.0  # for which a dropped or left node is remembered
 MAX_DEPARTED = 256
 # A departed node may be back if it was alive this long after it departed here. Shorter differences occur
 # without a return, since ages lag with each hop.
@@ -243,7 +243,7 @@
         """Suspects a node while no datagrams arrive. This member may be the one that is cut off, so it waits
         longer and spreads no rumour."""
         if entry.drop_at is None:
-            entry.drop_at = now + ISOLATED_FACTOR * SUSPICION_TIMEOUT_S
+            entry.drop_at = now + ISOLATED_TIMEOUT_FACTOR * SUSPICION_TIMEOUT_S
 
     def drop_unrefuted(self, now: float) -> None:
         """Drops the suspected nodes whose time-out has passed."""
@@ -267,11 +267,11 @@
 
     def dropped_nodes(self, now: float) -> list[Node]:
         """Returns dropped nodes that may come back, with an address. Removes nodes that departed more than
-        DEPARTED_MEMORY_S ago."""
+        DEPARTED_RETENTION_S ago."""
         self.departed = {
             name: departed
             for name, departed in self.departed.items()
-            if now < departed.at + DEPARTED_MEMORY_S
+            if now < departed.at + DEPARTED_RETENTION_S
         }
         return [
             departed.node
--- a/shedgrade/membership/view.py
+++ b/shedgrade/membership/view.py
@@ -208,7 +208,7 @@
         self.update(msgspec.structs.replace(self.table.me, state="leaving"))
         self.has_left = True
         for entry in self.table.entries.values():
-            self.send(entry.node.address, self.farewell())
+            self.send(entry.node.address, self.leave_update())
 
     # --- timers
 
@@ -258,7 +258,7 @@
             return
         self.last_number += 1
         sample = self.table.sample(now, self.shuffle_length - 1, name)
-        sent_names = self.exchange(address, ShuffleRequest, self.last_number, sample, [])
+        sent_names = self.send_shuffle_message(address, ShuffleRequest, self.last_number, sample, [])
         pending = PendingShuffle(name, address, incarnation, sent_names, now)
         self.pending_shuffles[self.last_number] = pending
 
@@ -337,7 +337,7 @@
         self.table.last_heard_at = now
         if self.has_left:
             if isinstance(message, ShuffleRequest | Ping):
-                self.send(sender, self.farewell())
+                self.send(sender, self.leave_update())
             return
         match message:
             case ShuffleRequest():
@@ -365,9 +365,9 @@
         self.apply_rumours(now, message.rumours)
         sample = self.table.sample(now, self.shuffle_length, name)
         rumours = self.table.rumours_about(name)
-        sent_names = self.exchange(sender, ShuffleResponse, message.number, sample, rumours)
+        sent_names = self.send_shuffle_message(sender, ShuffleResponse, message.number, sample, rumours)
         self.merge_shuffle(now, sender, message, sent_names)
-        self.correct(now, sender, message.sender)
+        self.send_corrections(now, sender, message.sender)
 
     def on_shuffle_response(self, now: float, sender: str, message: ShuffleResponse) -> None:
         """Applies the received entries; they may replace the partner and the entries that were sent to it."""
@@ -394,7 +394,7 @@
         for descriptor in descriptors:
             if descriptor.node.address in self.contacts:
                 self.contacts[descriptor.node.address] = now
-        self.estimator.sample(
+        self.estimator.add_samples(
             now,
             [
                 (descriptor.node.name, descriptor.node.kind)
@@ -411,7 +411,7 @@
         self.apply_rumours(now, message.rumours)
         self.table.merge_descriptor(now, message.sender, [])
         self.send(sender, Ack(message.number, self.table.own_descriptor()))
-        self.correct(now, sender, message.sender)
+        self.send_corrections(now, sender, message.sender)
 
     def on_ack(self, now: float, message: Ack) -> None:
         """Forwards the answer to the member that requested an indirect ping."""
@@ -437,7 +437,7 @@
         """Ends the pending shuffle: its partner is alive."""
         self.pending_shuffles.pop(message.number, None)
         self.table.merge_descriptor(now, message.descriptor, [])
-        self.correct(now, message.descriptor.node.address, message.descriptor)
+        self.send_corrections(now, message.descriptor.node.address, message.descriptor)
 
     def on_update(self, now: float, sender: str, message: MembershipUpdate) -> None:
         """Applies an update; answers with the own descriptor if something in it had to be refuted."""
@@ -447,7 +447,7 @@
         if self.table.incarnation != incarnation_before:
             self.send(sender, MembershipUpdate([self.table.own_descriptor()], []))
 
-    def correct(self, now: float, sender: str, said: Descriptor) -> None:
+    def send_corrections(self, now: float, sender: str, said: Descriptor) -> None:
         """Sends a node what is known of it, if that differs from its own descriptor, so that it refutes."""
         corrections = self.table.corrections(now, said)
         if (corrections.descriptors or corrections.rumours) and is_address(sender):
@@ -478,7 +478,7 @@
 
     # --- sent datagrams
 
-    def farewell(self) -> MembershipUpdate:
+    def leave_update(self) -> MembershipUpdate:
         """Returns the message that this member has left."""
         return MembershipUpdate([], [Rumour(self.table.me.name, self.table.incarnation, LEFT)])
 
@@ -488,7 +488,7 @@
         self.send(address, Ping(self.last_number, self.table.own_descriptor(), rumours))
         return self.last_number
 
-    def exchange(
+    def send_shuffle_message(
         self,
         address: str,
         kind: type[ShuffleRequest] | type[ShuffleResponse],
--- a/tests/membership/test_partial_view.py
+++ b/tests/membership/test_partial_view.py
@@ -445,10 +445,10 @@
     for total in (50, 500):
         random, counted = Random(total), population.PopulationEstimator()
         for turn in range(60):
-            counted.sample(turn / 2, [(f"n{random.randrange(total)}", "edge") for _ in range(10)])
+            counted.add_samples(turn / 2, [(f"n{random.randrange(total)}", "edge") for _ in range(10)])
         assert abs(counted.count("edge") - total) < 0.15 * total and counted.count("core") == 0
         counted.remove(next(iter(counted.sightings)))
-        counted.sample(1000.0, [("n1", "core")] * 3)
+        counted.add_samples(1000.0, [("n1", "core")] * 3)
         assert (counted.count("core"), counted.count("edge")) == (1, 0)
 
 
