--- a/shedgrade/membership/fitting.py
+++ b/shedgrade/membership/fitting.py
@@ -25,7 +25,7 @@
 
 
 def fit_shuffle(
-    kind: type[ShuffleRequest] | type[ShuffleResponse],
+    message_type: type[ShuffleRequest] | type[ShuffleResponse],
     number: int,
     sender: Descriptor,
     sample: Sample,
@@ -33,7 +33,10 @@
 ) -> FittedShuffle:
     """Encodes a shuffle. Leaves out what doesn't fit: descriptors from the last one on, then rumours."""
     descriptors = sample.descriptors
-    while len(body := encode(kind(number, sender, descriptors, rumours, sample.digests))) > MAX_MESSAGE_BYTES:
+    while (
+        len(body := encode(message_type(number, sender, descriptors, rumours, sample.digests)))
+        > MAX_MESSAGE_BYTES
+    ):
         if descriptors:
             descriptors = descriptors[:-1]
         else:
--- a/shedgrade/membership/gossip.py
+++ b/shedgrade/membership/gossip.py
@@ -35,7 +35,7 @@
     ) -> None:
         """`me`: the own node; `contacts`: UDP addresses "ip:port" of processes that may know members."""
         self.loop = loop
-        self.view = PartialView(me, random, loop.time(), period=PERIOD_S)
+        self.view = PartialView(me, random, loop.time(), period_s=PERIOD_S)
         self.view.add_contacts(Node("", address) for address in contacts)
         self.datagrams = DatagramEndpoint(loop, parse_address(me.address), self.on_datagram)
         self.timer: asyncio.TimerHandle | None = None
--- a/shedgrade/membership/table.py
+++ b/shedgrade/membership/table.py
@@ -320,16 +320,18 @@
             return [Rumour(name, departed.incarnation, departed.status)]
         return []
 
-    def corrections(self, now: float, said: Descriptor) -> Corrections:
-        """Returns the rumours about a node, and its known descriptor if that differs from `said`, which the
-        node sent of itself. Leaves out those with a lower incarnation than `said`."""
+    def corrections(self, now: float, received: Descriptor) -> Corrections:
+        """Returns the rumours about a node, and its known descriptor if that differs from `received`, which
+        the node sent of itself. Leaves out those with a lower incarnation than `received`."""
         rumours = [
-            rumour for rumour in self.rumours_about(said.node.name) if rumour.incarnation >= said.incarnation
+            rumour
+            for rumour in self.rumours_about(received.node.name)
+            if rumour.incarnation >= received.incarnation
         ]
-        entry = self.entries.get(said.node.name)
-        if entry is None or entry.incarnation < said.incarnation:
+        entry = self.entries.get(received.node.name)
+        if entry is None or entry.incarnation < received.incarnation:
             return Corrections([], rumours)
-        if entry.incarnation == said.incarnation and entry.node == said.node:
+        if entry.incarnation == received.incarnation and entry.node == received.node:
             return Corrections([], rumours)
         return Corrections([entry.descriptor(now)], rumours)
 
@@ -343,8 +345,8 @@
             entry for name, entry in self.entries.items() if name != excluded and entry.drop_at is None
         ]
         entries = self.random.sample(entries, min(count, len(entries)))
-        has_room = len(self.entries) < self.size
-        old = [entry for entry in entries if now >= entry.learnt_at + NEW_DESCRIPTOR_S and has_room]
+        view_has_room = len(self.entries) < self.size
+        old = [entry for entry in entries if now >= entry.learnt_at + NEW_DESCRIPTOR_S and view_has_room]
         return Sample(
             [entry.descriptor(now) for entry in entries if entry not in old],
             [entry.digest(now) for entry in old],
--- a/shedgrade/membership/view.py
+++ b/shedgrade/membership/view.py
@@ -108,26 +108,34 @@
 
     Attributes:
         shuffle_length: most entries in a shuffle; further entries of a received one are ignored.
-        period: seconds between shuffles.
+        period_s: seconds between shuffles.
         table: the own node, and the state of the other members.
         estimator: estimates the number of members beyond the view from received descriptors.
         instructions: datagrams that the caller has not taken yet.
-        contacts: addresses that were not learnt by gossip, each with the time of the last descriptor with it.
+        contacts: addresses that were not learnt by gossip, each with the time at which a descriptor that
+            contains it last arrived.
         pending_shuffles: by the number of the request; at most one for each partner with a name.
         relayed_pings: by the number of the own ping; at most MAX_RELAYED_PINGS.
         last_number: of the last request or ping; numbers only rise.
         has_left: whether `leave` was called; never unset.
         shuffle_at, rejoin_ping_at, contact_ping_at: when the next one is due.
-        contact_ping_pause: seconds between pings of contacts, doubled up to MAX_CONTACT_PING_PERIODS.
+        contact_ping_interval_s: seconds between pings of contacts, doubled up to MAX_CONTACT_PING_PERIODS
+            periods.
     """
 
     def __init__(
-        self, me: Node, random: Random, now: float, size: int = 16, shuffle: int = 8, period: float = 1.2
+        self,
+        me: Node,
+        random: Random,
+        now: float,
+        size: int = 16,
+        shuffle_length: int = 8,
+        period_s: float = 1.2,
     ) -> None:
-        """`size`: most neighbours; `shuffle`: most entries of a shuffle; `period`: s between shuffles."""
+        """`size`: most neighbours; `shuffle_length`: most entries in a shuffle; `period_s`: of shuffles."""
         self.random = random
-        self.shuffle_length = shuffle
-        self.period = period
+        self.shuffle_length = shuffle_length
+        self.period_s = period_s
         self.table = Table(me, random, now, size)
         self.estimator = PopulationEstimator()
         self.instructions: list[SendDatagram] = []
@@ -137,9 +145,9 @@
         self.last_number = 0
         self.has_left = False
         self.shuffle_at = now + random.uniform(0, FIRST_SHUFFLE_S)
-        self.rejoin_ping_at = now + REJOIN_PING_PERIODS * period * random.uniform(0.5, 1)
-        self.contact_ping_pause = period
-        self.contact_ping_at = now + period * random.uniform(0.5, 1)
+        self.rejoin_ping_at = now + REJOIN_PING_PERIODS * period_s * random.uniform(0.5, 1)
+        self.contact_ping_interval_s = period_s
+        self.contact_ping_at = now + period_s * random.uniform(0.5, 1)
 
     def check_invariants(self) -> None:
         """Raises AssertionError if an attribute breaks its description. For tests and the simulation."""
@@ -151,7 +159,7 @@
         assert len(partners) == len(set(partners))
         assert self.table.me.name not in partners
         assert self.table.me.address not in self.contacts
-        assert self.period <= self.contact_ping_pause <= MAX_CONTACT_PING_PERIODS * self.period
+        assert self.period_s <= self.contact_ping_interval_s <= MAX_CONTACT_PING_PERIODS * self.period_s
         if self.has_left:
             assert self.table.me.state == "leaving"
             assert self.wake_at() == float("inf")
@@ -192,7 +200,7 @@
             self.contacts.setdefault(node.address, float("-inf"))
             if node.name and node.name not in table.departed and len(table.entries) < table.size:
                 heard_at = table.last_heard_at
-                table.entries.setdefault(node.name, Entry(node, -1, heard_at - self.period, heard_at))
+                table.entries.setdefault(node.name, Entry(node, -1, heard_at - self.period_s, heard_at))
 
     def update(self, me: Node) -> None:
         """Changes the own node, except its name and address, and raises its incarnation. Raises ValueError if
@@ -226,12 +234,14 @@
         if now >= self.shuffle_at:
             self.send_shuffle(now)
         if now >= self.rejoin_ping_at:
-            pause = REJOIN_PING_PERIODS * self.period * self.random.uniform(0.8, 1.2)
-            self.rejoin_ping_at = now + pause
+            interval_s = REJOIN_PING_PERIODS * self.period_s * self.random.uniform(0.8, 1.2)
+            self.rejoin_ping_at = now + interval_s
             self.ping_dropped(now)
         if now >= self.contact_ping_at:
-            self.contact_ping_pause = min(2 * self.contact_ping_pause, MAX_CONTACT_PING_PERIODS * self.period)
-            self.contact_ping_at = now + self.contact_ping_pause * self.random.uniform(0.8, 1.2)
+            self.contact_ping_interval_s = min(
+                2 * self.contact_ping_interval_s, MAX_CONTACT_PING_PERIODS * self.period_s
+            )
+            self.contact_ping_at = now + self.contact_ping_interval_s * self.random.uniform(0.8, 1.2)
             self.ping_contacts(now)
 
     def postpone_timeouts(self, late_s: float) -> None:
@@ -244,9 +254,9 @@
 
     def send_shuffle(self, now: float) -> None:
         """Shuffles with the neighbour with the oldest `last_alive_at`; with a contact if there is none."""
-        has_few = len(self.table.entries) < FEW_NEIGHBOURS
-        pause = FAST_PERIOD_S if has_few else self.period
-        self.shuffle_at = now + pause * self.random.uniform(0.9, 1.1)
+        has_few_neighbours = len(self.table.entries) < FEW_NEIGHBOURS
+        interval_s = FAST_PERIOD_S if has_few_neighbours else self.period_s
+        self.shuffle_at = now + interval_s * self.random.uniform(0.9, 1.1)
         self.ping_suspected()
         partners = self.shuffle_partners()
         if partners:
@@ -447,21 +457,21 @@
         if self.table.incarnation != incarnation_before:
             self.send(sender, MembershipUpdate([self.table.own_descriptor()], []))
 
-    def send_corrections(self, now: float, sender: str, said: Descriptor) -> None:
+    def send_corrections(self, now: float, sender: str, received: Descriptor) -> None:
         """Sends a node what is known of it, if that differs from its own descriptor, so that it refutes."""
-        corrections = self.table.corrections(now, said)
+        corrections = self.table.corrections(now, received)
         if (corrections.descriptors or corrections.rumours) and is_address(sender):
             self.send(sender, MembershipUpdate(corrections.descriptors, corrections.rumours))
 
     def merge_descriptors(self, now: float, descriptors: list[Descriptor], replaceable: list[str]) -> None:
         """Applies descriptors; pings one of the departed nodes that may be back."""
-        returned = [
+        returned_nodes = [
             descriptor.node for descriptor in descriptors if self.table.may_have_returned(now, descriptor)
         ]
         for descriptor in descriptors:
             self.table.merge_descriptor(now, descriptor, replaceable)
-        if returned:  # one at a time; it receives the rumours about it and refutes
-            node = self.random.choice(returned)
+        if returned_nodes:  # one at a time; it receives the rumours about it and refutes
+            node = self.random.choice(returned_nodes)
             self.ping(node.address, self.table.rumours_about(node.name))
 
     def apply_rumours(self, now: float, rumours: list[Rumour]) -> None:
@@ -491,7 +501,7 @@
     def send_shuffle_message(
         self,
         address: str,
-        kind: type[ShuffleRequest] | type[ShuffleResponse],
+        message_type: type[ShuffleRequest] | type[ShuffleResponse],
         number: int,
         sample: Sample,
         rumours: list[Rumour],
@@ -499,7 +509,7 @@
         """Sends a shuffle with as much of the sample, `rumours` and the rumours that are being spread as fits
         a datagram. Returns the names of the descriptors in it."""
         rumours = rumours + self.table.next_rumours()
-        fitted = fit_shuffle(kind, number, self.table.own_descriptor(), sample, rumours)
+        fitted = fit_shuffle(message_type, number, self.table.own_descriptor(), sample, rumours)
         self.table.count_sends(fitted.rumours)
         self.instructions.append(SendDatagram(address, fitted.body))
         return [descriptor.node.name for descriptor in fitted.descriptors]
