--- a/tests/membership/test_gossip_socket.py
+++ b/tests/membership/test_gossip_socket.py
@@ -13,128 +13,130 @@
 from shedgrade.membership.messages import MembershipUpdate, Node, Rumour, encode
 from shedgrade.runtime import log
 
-MOST = 10.0  # s in which a condition has to become true
+CONDITION_TIMEOUT_S = 10.0  # in which a condition has to become true
 
 
-def free(address):
+def can_bind(address):
     host, port = address.split(":")
-    with socket.socket(socket.AF_INET, socket.SOCK_DGRAM) as handle:
+    with socket.socket(socket.AF_INET, socket.SOCK_DGRAM) as sock:
         try:
-            handle.bind((host, int(port)))
+            sock.bind((host, int(port)))
         except OSError:
             return False
         return True
 
 
-def node(name, kind="edge", **more):
-    return Node(name, host_port(free_address()), kind, "hall-1", 7, "127.0.0.1:7300", **more)
+def node(name, kind="edge", **node_fields):
+    return Node(name, host_port(free_address()), kind, "hall-1", 7, "127.0.0.1:7300", **node_fields)
 
 
-def gossip(me, *contacts):
-    return Gossip(asyncio.get_running_loop(), me, [each.address for each in contacts], Random(me.name))
+def make_gossip(me, *contacts):
+    return Gossip(asyncio.get_running_loop(), me, [contact.address for contact in contacts], Random(me.name))
 
 
-async def until(condition):
-    async with asyncio.timeout(MOST):
+async def wait_until(condition):
+    async with asyncio.timeout(CONDITION_TIMEOUT_S):
         while not condition():
-            heard = asyncio.get_running_loop().create_future()
+            elapsed = asyncio.get_running_loop().create_future()
             asyncio.get_running_loop().call_later(
-                0.005, lambda heard=heard: heard.done() or heard.set_result(None)
+                0.005, lambda elapsed=elapsed: elapsed.done() or elapsed.set_result(None)
             )
-            await heard
+            await elapsed
 
 
-def names(running):
-    return {each.name for each in running.view.nodes()}
+def names(member):
+    return {known_node.name for known_node in member.view.nodes()}
 
 
 @pytest.fixture(params=["asyncio", "uvloop"])
-def play(request):
-    def run(story):
-        new = uvloop.new_event_loop if request.param == "uvloop" else asyncio.new_event_loop
-        with asyncio.Runner(loop_factory=new) as runner:
-            return runner.run(story())
+def run_scenario(request):
+    def run(scenario):
+        new_loop = uvloop.new_event_loop if request.param == "uvloop" else asyncio.new_event_loop
+        with asyncio.Runner(loop_factory=new_loop) as runner:
+            return runner.run(scenario())
 
     return run
 
 
-def test_all_find_each_other_by_one_contact_and_hear_at_once_who_leaves(play):
-    async def story():
+def test_members_find_each_other_by_one_contact_and_learn_of_a_leave_at_once(run_scenario):
+    async def scenario():
         core, *edges = node("core-1", "core"), node("edge-1"), node("edge-2"), node("edge-3")
-        running = [gossip(core, core)] + [gossip(each, core) for each in edges]
-        for each in running:
-            await each.start()
+        members = [make_gossip(core, core)] + [make_gossip(edge, core) for edge in edges]
+        for member in members:
+            await member.start()
         try:
-            await until(lambda: all(len(names(each)) == 4 for each in running))
-            assert [each.view.count("edge") for each in running] == [3] * 4
-            running[3].announce_state("leaving")
-            await until(lambda: all("edge-3" not in names(each) for each in running[:3]))
-            assert running[0].view.count("edge") == 2
+            await wait_until(lambda: all(len(names(member)) == 4 for member in members))
+            assert [member.view.count("edge") for member in members] == [3] * 4
+            members[3].announce_state("leaving")
+            await wait_until(lambda: all("edge-3" not in names(member) for member in members[:3]))
+            assert members[0].view.count("edge") == 2
         finally:
-            for each in running:
-                each.close()
+            for member in members:
+                member.close()
 
-    play(story)
+    run_scenario(scenario)
 
 
-def test_a_state_that_changes_reaches_the_others(play):
-    async def story():
+def test_a_state_change_reaches_the_other_members(run_scenario):
+    async def scenario():
         core, edge = node("core-1", "core"), node("edge-1", state="starting")
-        running = [gossip(core), gossip(edge, core)]
-        for each in running:
-            await each.start()
+        members = [make_gossip(core), make_gossip(edge, core)]
+        for member in members:
+            await member.start()
         try:
-            await until(lambda: len(names(running[0])) == 2)
-            running[1].announce_state("ready")
-            await until(lambda: [each.state for each in running[0].view.nodes()] == ["ready", "ready"])
+            await wait_until(lambda: len(names(members[0])) == 2)
+            members[1].announce_state("ready")
+            await wait_until(
+                lambda: [known_node.state for known_node in members[0].view.nodes()] == ["ready", "ready"]
+            )
         finally:
-            for each in running:
-                each.close()
+            for member in members:
+                member.close()
 
-    play(story)
+    run_scenario(scenario)
 
 
-def test_an_address_that_is_taken_is_said_and_the_process_goes_on(play):
-    async def story():
-        me, lines = node("edge-1"), []
+def test_an_address_in_use_is_logged_and_the_process_goes_on(run_scenario):
+    async def scenario():
+        me, logged_events = node("edge-1"), []
         log.set_sink(
             SimpleNamespace(
-                **dict.fromkeys(log.METHODS, lambda event, **fields: lines.append((event, fields)))
+                **dict.fromkeys(log.METHODS, lambda event, **fields: logged_events.append((event, fields)))
             )
         )
-        first, second = gossip(me), gossip(me)
+        first, second = make_gossip(me), make_gossip(me)
         try:
             await first.start()
             await second.start()
             second.announce_state("ready")
-            [(event, fields)] = lines
+            [(event, fields)] = logged_events
             assert event == "gossip socket not opened"
             assert fields["address"] == me.address
             assert "in use" in fields["error"]
             second.close()
             first.close()
-            await until(lambda: free(me.address))
+            await wait_until(lambda: can_bind(me.address))
         finally:
             log.set_sink(None)
 
-    play(story)
+    run_scenario(scenario)
 
 
-def test_an_address_that_is_none_is_passed_over(play):
-    async def story():
+def test_an_invalid_address_is_skipped(run_scenario):
+    async def scenario():
         core = node("core-1", "core")
-        running = gossip(core)
-        running.view.add_contacts(
+        member = make_gossip(core)
+        member.view.add_contacts(
             [Node("edge-1", "127.0.0.1\0:7301", "edge"), Node("edge-2", "127.0.0.1:9", "edge")]
         )
-        await running.start()
+        await member.start()
         try:
-            running.on_datagram(
+            member.on_datagram(
                 "127.0.0.1:9", encode(MembershipUpdate([], [Rumour("edge-1", 5, "suspected")]))
             )
-            running.announce_state("leaving")
-            assert not running.view.instructions
+            member.announce_state("leaving")
+            assert not member.view.instructions
         finally:
-            running.close()
+            member.close()
 
-    play(story)
+    run_scenario(scenario)
