--- a/shedgrade/membership/gossip.py
+++ b/shedgrade/membership/gossip.py
@@ -47,7 +47,7 @@
         try:
             await self.datagrams.start()
         except OSError as error:
-            # Gossip is not essential: the core reports members too, so the process goes on without it.
+            # The process goes on without gossip, since the core reports members too.
             logger.warning("gossip socket not opened", address=self.view.table.me.address, error=str(error))
             return
         self.is_running = True
--- a/shedgrade/membership/view.py
+++ b/shedgrade/membership/view.py
@@ -5,7 +5,7 @@
 suspected, and dropped unless it refutes; rumours about suspected, dropped and left nodes are sent with
 shuffles (SWIM: Das, Gupta, Motivala, 2002).
 
-Departures from Cyclon: while the view has room no entry is removed, so that each member of a small system
+Differences from Cyclon: while the view has room no entry is removed, so that each member of a small system
 knows all others, and digests replace descriptors (those of unknown nodes are requested). Dropped nodes are
 pinged for a while, so that the sides of a healed partition find each other.
 """
@@ -191,7 +191,7 @@
 
     def add_contacts(self, nodes: Iterable[Node]) -> None:
         """Adds contacts that were not learnt by gossip. One with a name becomes a neighbour if the view has
-        room; one without is only sent shuffles and pings. Raises ValueError if an address is invalid."""
+        room; the others are only sent shuffles and pings. Raises ValueError if an address is invalid."""
         table = self.table
         for node in nodes:
             parse_address(node.address)
--- a/shedgrade/peer_transport/tcp.py
+++ b/shedgrade/peer_transport/tcp.py
@@ -1,4 +1,4 @@
-"""The TCP endpoints: a server, and a pool that keeps one connection an address, opened when first used.
+"""The TCP endpoints: a server, and a pool that keeps one connection for each address, opened on first use.
 
 They run on the event loop of asyncio or uvloop. Addresses are "ip:port"; times are in seconds.
 """
--- a/shedgrade/runtime/log_ring.py
+++ b/shedgrade/runtime/log_ring.py
@@ -26,7 +26,7 @@
     if _hides_rich:
         del sys.modules["rich"]
 
-DEFAULT_SIZE = 512  # events
+DEFAULT_SIZE = 512  # events in the buffer
 WRITE_INTERVAL_S = 5.0  # between two writes
 MAX_WRITE_BYTES = 64 * 1024  # in one write
 OMISSION_LINE_BYTES = 400  # of MAX_WRITE_BYTES, reserved for the line that counts the omitted events
