--- a/shedgrade/cli/quota.py
+++ b/shedgrade/cli/quota.py
@@ -1,4 +1,4 @@
-"""`shedgrade quota check|explain`."""
+"""The commands `shedgrade quota check` and `shedgrade quota explain`."""
 
 from collections.abc import Iterator
 from heapq import heappop, heappush
@@ -31,7 +31,7 @@
 
 
 def read(path: Path) -> Quota:
-    """The table of a features file; exit 2 if there is none."""
+    """Returns the table `[quota]` of a features file; exits with 2 if there is none or it is invalid."""
     try:
         quota = load_features(path).quota
     except ConfigError as wrong:
@@ -42,13 +42,13 @@
 
 
 def spell(limit: Limit) -> str:
-    """A limit's dimension and window."""
+    """Returns a limit's dimension and window as text."""
     return f"{limit.dimension}{f' in {limit.window / 10_000:g} s' if limit.window else ''}"
 
 
 @app.command()
 def check(path: File) -> None:
-    """Reads it as a start would; exit 2 and one line if it is not sound. Prints the tree."""
+    """Checks the file as a start does, and prints the tree; exits with 2 and one line if it is invalid."""
     gate = Gate(read(path), 0)
     for node in gate.tree.root.walk():
         told = ", ".join(
@@ -67,22 +67,22 @@
 
 
 def rights(account: Account, now: int) -> str:
-    """Where it stands among its siblings."""
+    """Describes the account's use, entitlement and debts, and the room beside its siblings."""
     parts = [f"used {account.used(now)} of {account.ceiling}"]
     pool = account.pool
     if account.parent is not None and pool is not None:
         if account.guarantee:
-            parts.append(f"its own {account.entitlement()}")
+            parts.append(f"entitled to {account.entitlement()}")
         if account.debt:
             parts.append(f"owes {account.debt}")
         parts.append(
             f"{account.parent.name} {account.parent.used(now)} of {account.parent.ceiling}, "
-            f"{pool.unused - account.unused} left to siblings"
+            f"{pool.unused - account.unused} of siblings' entitlements unused"
         )
         if pool.is_recalling(now):
-            parts.append("nothing is lent now")
+            parts.append("lending is suspended by a recall")
         if pool.pacing.must_yield(now, account):
-            parts.append("ahead of its pace")
+            parts.append("ahead of its fair pace")
     return ", ".join(parts)
 
 
@@ -90,12 +90,12 @@
 def explain(
     path: File,
     who: Annotated[
-        str, typer.Option("--as", help="ORG/CHAIN/STORE, for rows of the trace that name nobody.")
+        str, typer.Option("--as", help="Identity ORG/CHAIN/STORE for rows of the trace that have none.")
     ],
-    trace: Annotated[Path, typer.Option(help="A trace as the lab writes it.")],
+    trace: Annotated[Path, typer.Option(help="A trace in the format of the lab.")],
 ) -> None:
-    """Why each RPC of a trace would be admitted or refused. Rows with a `who` of their own are asked for by
-    that identity, so that siblings show."""
+    """Prints why each RPC of a trace would be admitted or refused. A row with an identity of its own (`who`)
+    is replayed under it, so that the effect of siblings shows."""
     from shedgrade.lab.scenario import ScenarioError
     from shedgrade.lab.trace import read as read_trace
 
@@ -114,9 +114,11 @@
 
 
 def play(gate: Gate, rows: list["Row"], who: str) -> Iterator[bool]:
-    """Asks for each row in turn, and prints and yields whether it was admitted; what was admitted settles
-    when its work is done."""
-    running: list[tuple[int, int, Ticket, int]] = []  # end, order, ticket, work; a heap
+    """Replays each row in turn; prints and yields whether it was admitted.
+
+    An admitted row settles when its work is done.
+    """
+    running: list[tuple[int, int, Ticket, int]] = []  # a heap of (end, order, ticket, work)
     order = count()
     for row in rows:
         now = round(row.at_ms * 10)
@@ -136,24 +138,24 @@
 
 
 def identity(gate: Gate, text: str) -> list[str]:
-    """ORG/CHAIN/STORE as names; [] if there are more or fewer than the table has."""
+    """Splits ORG/CHAIN/STORE into names; [] if there are more or fewer than the configured identity has."""
     names = [name for name in text.split("/") if name]
     return names if len(names) == len(gate.identity_names) else []
 
 
 def describe_refusal(refusal: Refusal, leaf: Node, now: int) -> str:
-    """Which limit refused, why, where the node stands, and when there may be room."""
+    """Describes which limit refused and why, the account's position, and when there may be room."""
     limit = refusal.limit
     account = next((one for one in leaf.path if one.name == refusal.node and one.limit == limit), None)
     when = f"; room at {refusal.retry_at / 10:.0f} ms" if refusal.retry_at is not None else ""
-    why = "among its siblings" if refusal.by_siblings else "itself full"
-    recall = ", within its own: what was lent is called back" if refusal.within_entitlement else ""
+    why = "no room beside its siblings" if refusal.by_siblings else "its ceiling is reached"
+    recall = ", within its entitlement: loans are recalled" if refusal.within_entitlement else ""
     where = rights(account, now) if account is not None else ""
     return f"refused by {refusal.node}: {spell(limit)}, ceiling {limit.ceiling}, {why}{recall}: {where}{when}"
 
 
 def describe_debt(debt: Debt, limit: Limit) -> str:
-    """Who owes whom how much, until when, and whether it was repaid."""
+    """Describes a debt: borrower, lender, amount, due time, and whether it was repaid."""
     paid = debt.paid_at
     end = f"repaid at {paid / 10:.0f} ms" if paid is not None else "not yet repaid"
     return (
--- a/shedgrade/sidecar/quota/__init__.py
+++ b/shedgrade/sidecar/quota/__init__.py
@@ -1,1 +1,1 @@
-"""Quotas before the platform's pool: nested limits by identity; idle siblings lend, borrowers repay."""
+"""Quotas in front of the platform's pool: limits nested by client identity, with lending among siblings."""
--- a/shedgrade/sidecar/quota/accounts.py
+++ b/shedgrade/sidecar/quota/accounts.py
@@ -1,8 +1,8 @@
-"""What one node may use of one limit: its own, what nobody is entitled to, and what siblings lend. No I/O.
+"""One node's use of one limit: its entitlement, what no sibling is entitled to, and loans. No I/O.
 
-Whole numbers throughout; times are tenths of a millisecond. Told of requests: `within_ceiling` and
-`admissible_among_siblings` (may it take so much?), `record_admission`, `charge`, `refund`. The parent's side
-is `lending.LendingPool`, which says what an entitlement is and when something may be borrowed.
+Amounts are integers; times are in tenths of a millisecond. An admission asks `within_ceiling` and
+`admissible_among_siblings`, then calls `record_admission` and `charge`; `refund` takes a charge back. The
+parent's side is `lending.LendingPool`, which defines entitlements and when an account may borrow.
 
 A loan is given only up to what the borrower can repay within `repay_windows`: its credit limit.
 """
@@ -12,29 +12,32 @@
 from shedgrade.sidecar.quota.pacing import CONTENTION_HEADROOM, EvenRate
 from shedgrade.sidecar.quota.sliding_window import SlidingWindow
 
-INSTALMENT_PART = 2  # an instalment is at most one part in two of a guarantee: no borrower is starved
-LOW_VALUE_RESERVE = 16  # one part in sixteen of a ceiling is held back from the cheap by their luck
-UNCONTENDED = 2  # below one part in two of a ceiling nobody is in anybody's way, and nothing is weighed
+INSTALMENT_PART = 2  # an instalment is at most half of a guarantee, so that no borrower is starved
+LOW_VALUE_RESERVE = 16  # up to 1/16 of a ceiling is withheld from requests of low payoff, by their draw
+UNCONTENDED = 2  # up to half of a ceiling siblings don't compete, and requests are admitted without pacing
 
 
 class Account:
     """One node's side of one limit.
 
     Attributes:
-        name, dimension, limit, terms: which node and limit, and the terms of its tree.
-        ceiling, guarantee, weight: those of the limit, times this sidecar's share of the fleet.
-        applied_share: the share that `ceiling` and `guarantee` were computed with.
-        parent: the account of the same limit one node up; None at the root or where only this node has it.
+        name, dimension, limit, terms: the full name of the node, the limit, and the terms of the tree.
+        ceiling, guarantee: those of the limit, times this sidecar's share of the fleet.
+        weight: that of the limit.
+        applied_share: the share that `ceiling` and `guarantee` were computed with, in millionths.
+        parent: the account of the same limit at the parent node; None if the parent has no such limit.
         pool: the parent's pool, in which this account and its siblings lend; None without a parent.
         children_pool: the pool of this account's own children; None while it has none.
-        window: recent use; None for what is in flight, which `in_flight` counts.
-        unused, reserved: what this account last contributed to the parent's sums of the same names.
-        credit: by how much running instalments raise (or lower, if negative) the entitlement.
-        debt: what it owes its siblings, at most `credit_limit`, unless that was lowered since.
-        lead, lead_updated_at: of the parent's `FairPacing`; meaningful while this account is paced.
-        last_request_at: when it last asked while there was not plenty, admitted or refused.
-        loan_rate: the even rate of one that may borrow; None until it first used anything while contended.
-        lends_to: names of the siblings that it lends to; None: all.
+        window: recent use; None for a limit of requests in flight.
+        in_flight: requests in flight, for a limit without a window.
+        unused, reserved: what this account last contributed to the pool's sums of the same names.
+        credit: by how much running instalments raise the entitlement; negative where they lower it.
+        debt: what it owes its siblings; at most `credit_limit`, unless that was lowered since.
+        credit_limit: the most that it may owe at any time.
+        lead, lead_updated_at: state of the parent's `FairPacing`; valid only while this account is paced.
+        last_request_at: when it last asked under contention, admitted or refused.
+        loan_rate: the even rate of an account that may borrow; None until its first use under contention.
+        lends_to: names of the siblings that it lends to; None for all.
         non_lenders: accounts of the siblings that do not lend to it.
     """
 
@@ -95,7 +98,7 @@
     # --- limits
 
     def update_limit(self, limit: Limit) -> None:
-        """Another limit or share from now on; what is counted and owed stays."""
+        """Applies another limit or a changed share; use and debts are kept."""
         self.limit = limit
         self.applied_share = self.terms.share
         self.ceiling = limit.ceiling * self.applied_share // MILLION
@@ -108,32 +111,32 @@
                 self.terms.guaranteed[self] = None
         self.weight = limit.weight
         self.guarantee = guarantee
-        # All its debts at any time fit into the instalments of two windows each that the stated time holds,
-        # less the one that may just run, less the time that a slot's rounding takes.
+        # All its debts at any time fit into the instalments, of two windows each, that `repay_windows` holds:
+        # one window less for the rounding to slots, and one instalment less for the one that may be running.
         self.credit_limit = self.most_per_instalment() * max(0, (self.terms.repay_windows - 1) // 2 - 1)
         if self.debt and pool is not None:
             pool.repayment.reschedule(self)
         self.update_unused()
 
     def most_per_instalment(self) -> int:
-        """The most that it repays at a time."""
+        """Returns the most that one instalment repays."""
         return self.guarantee // INSTALMENT_PART
 
     def entitlement(self) -> int:
-        """What is its own, whatever its siblings use: the guarantee, more or less what is being repaid."""
+        """Returns what the account may use whatever its siblings use: its guarantee plus its credit."""
         return max(0, self.guarantee + self.credit)
 
     # --- use
 
     def used(self, now: int) -> int:
-        """What counts now, in flight or in the window."""
+        """Returns the use that counts now, in flight or in the window."""
         if self.window is None:
             return self.in_flight
         self.window.advance(now)
         return self.window.used
 
     def update_unused(self) -> None:
-        """Brings the parent's sums up to what this account now leaves unused."""
+        """Updates the pool's sums to what this account now leaves unused."""
         pool = self.pool
         if pool is None or (not self.guarantee and not self.unused and not self.credit):
             return
@@ -146,7 +149,7 @@
         self.reserved = reserved
 
     def charge(self, now: int, amount: int) -> int:
-        """Counts so much; returns the slot of the window it stands in, for `refund`."""
+        """Counts an amount; returns the slot of the window in which it counts, for `refund`."""
         slot = 0
         if self.window is None:
             self.in_flight += amount
@@ -161,7 +164,7 @@
         return slot
 
     def refund(self, now: int, slot: int, amount: int) -> None:
-        """Takes back what was charged in that slot, as far as it still counts."""
+        """Takes back an amount that was charged in that slot, as far as it still counts."""
         if self.window is None:
             self.in_flight -= amount
         else:
@@ -169,7 +172,7 @@
         self.update_unused()
 
     def restore_use(self, now: int, slot: int, amount: int) -> None:
-        """Counts what was counted in that slot before a restart; what was in flight then is not restored."""
+        """Counts an amount of the time before a restart in its slot; amounts in flight are not restored."""
         if self.window is None:
             return
         self.window.restore(now, slot, amount)
@@ -180,7 +183,7 @@
     # --- admission
 
     def within_ceiling(self, now: int, amount: int) -> bool:
-        """Whether so much is within its own ceiling; brings its window up to now."""
+        """Returns whether the amount fits under the account's own ceiling; advances its window to `now`."""
         if self.applied_share != self.terms.share:
             self.update_limit(self.limit)
         window = self.window
@@ -191,13 +194,14 @@
         return window.used + amount <= self.ceiling
 
     def admissible_among_siblings(self, now: int, amount: int, luck: float) -> bool:
-        """Whether so much is its by right among its siblings.
+        """Returns whether the amount fits beside the entitlements and the pace of the siblings.
 
-        `within_ceiling` was asked of it and of its parent before. `luck`: 0 to 1, low for requests of value.
+        `within_ceiling` must have been called before, for this account and its parent, as it advances their
+        windows. `luck`: 0 to 1, low for requests of high payoff.
         """
         pool = self.pool
         if pool is None:
-            return True  # it has no siblings
+            return True  # an account without a parent has no siblings
         parent, window = pool.account, self.window
         ceiling = parent.ceiling
         if pool.expiries or pool.repayment.running:
@@ -214,14 +218,17 @@
             if not pool.conforms(pool.pacing.contended_rate, now):
                 return False
         if filled + pool.unused - self.unused <= threshold:
-            return True  # nobody is entitled to it
+            return True  # no sibling is entitled to it
         return self.may_borrow(pool, now, used, filled, threshold)
 
     def may_borrow(self, pool: LendingPool, now: int, used: int, filled: int, threshold: int) -> bool:
-        """Whether siblings lend what it lacks. `used`, `filled`: its own and the parent's use, the asked
-        amount included; the parent's use must stay within `threshold`."""
+        """Returns whether siblings lend the amount that the account lacks.
+
+        `used`, `filled`: the use of the account and of its parent, the requested amount included. The use of
+        the parent and what siblings do not lend must stay within `threshold`.
+        """
         if not self.guarantee or pool.is_recalling(now):
-            return False  # who has nothing to repay with borrows nothing
+            return False  # without a guarantee it could not repay; during a recall nothing is lent
         not_lent = sum(other.unused - other.reserved for other in self.non_lenders)
         kept_back = pool.reserved - self.reserved + not_lent
         loan = min(used - self.entitlement(), filled + pool.unused - self.unused - pool.account.ceiling)
@@ -232,7 +239,7 @@
         )
 
     def record_admission(self, now: int, amount: int) -> None:
-        """It was admitted: where there is not plenty, what it takes beyond its own makes it pace itself."""
+        """Records an admitted amount under contention, so that use beyond the entitlement is paced."""
         pool = self.pool
         if pool is None:
             return
@@ -242,7 +249,8 @@
         self.last_request_at = now
         own = self.entitlement()
         if self.guarantee:
-            # Whoever may borrow takes all it takes evenly: its own, what is nobody's, and what is lent.
+            # An account that may borrow is paced in all its use: its entitlement, what no sibling is entitled
+            # to, and loans.
             lent = (pool.guaranteed - own) * (1000 - self.terms.reserve) // 1000
             if self.loan_rate is None:
                 self.loan_rate = EvenRate()
@@ -252,8 +260,11 @@
             pool.pacing.record_excess(now, self, amount)
 
     def retire(self) -> int:
-        """No configuration names it any more: no guarantee from now on, its debts are forgiven. Returns how
-        much of them. Its counts end with their windows; what is in flight under it still settles here."""
+        """Ends the account of a removed node or limit; returns the sum of the debts that are forgiven.
+
+        From now on it has no guarantee. Its use counts until it leaves the window; requests in flight still
+        settle here.
+        """
         pool = self.pool
         if pool is None:
             return 0
--- a/shedgrade/sidecar/quota/builder.py
+++ b/shedgrade/sidecar/quota/builder.py
@@ -1,20 +1,20 @@
-"""The tree of quotas as the table `[quota]` describes it: built at the start, updated at a reload."""
+"""Builds the tree of quotas from the table `[quota]` at the start, and updates it at a reload."""
 
 from shedgrade.sidecar.quota.config import NodeTable, Quota
 from shedgrade.sidecar.quota.limits import MILLION, LendingTerms, Limit
 from shedgrade.sidecar.quota.tree import Node, Tree
 
-DEFAULT_LEAF = "others"  # of unknown and missing identities, where the configuration names none
+DEFAULT_LEAF = "others"  # leaf of unknown and missing identities; made if the configuration does not name it
 
 
 def build_tree(quota: Quota) -> tuple[Tree, Node]:
-    """The tree, and the leaf of whoever is unknown."""
+    """Returns the tree, and the leaf of unknown identities."""
     tree = Tree(Node("all", None, (), LendingTerms(transit=round(quota.transit_ms * 10))))
     return tree, update_tree(tree, quota)
 
 
 def update_tree(tree: Tree, quota: Quota) -> Node:
-    """Makes the tree what the table says; returns the leaf of whoever is unknown."""
+    """Makes the tree match the table; returns the leaf of unknown identities."""
 
     def make_leaf(parent: Node, name: str) -> Node:
         node = Node(name, parent, ())
@@ -39,7 +39,7 @@
 
 
 def update_node(quota: Quota, node: Node, table: NodeTable) -> None:
-    """Gives a node its limits, its template and its children; what it has counted and owes stays."""
+    """Sets a node's limits, template and children; its use and debts are kept."""
     template = quota.resolve_template(table.template)
     node.update_limits(limits_of(table, node.parent), template)
     for name in [name for name in node.children if name not in table.children and name != DEFAULT_LEAF]:
@@ -53,15 +53,17 @@
 
 
 def remove_child(node: Node, name: str) -> None:
-    """The configuration names this child no longer. Requests in flight under it still settle: their tickets
-    hold it."""
+    """Removes a child that the configuration no longer names.
+
+    Requests in flight under it still settle, as their tickets refer to it.
+    """
     for below in node.children[name].walk():
         node.terms.forgiven += sum(account.retire() for account in below.accounts.values())
     del node.children[name]
 
 
 def update_lenders(node: Node, table: NodeTable) -> None:
-    """Says of each child of this node which siblings lend to it."""
+    """Sets for each child of this node which siblings do not lend to it."""
     for name, child_table in table.children.items():
         if child_table.lends_to is not None:
             for account in node.children[name].accounts.values():
@@ -79,8 +81,10 @@
 
 
 def limits_of(table: NodeTable, parent: Node | None) -> tuple[Limit, ...]:
-    """Its own, and for whatever only its parent limits, the parent's ceiling: so siblings that have no limit
-    of their own count among those that have."""
+    """Returns the limits of the table, and the parent's ceiling for each limit that only the parent has.
+
+    So siblings without a limit of their own count among those that have one.
+    """
     limits = [
         Limit(one.dimension, round(one.window_s * 10_000), one.ceiling, one.guarantee, table.weight)
         for one in table.limits
@@ -96,7 +100,7 @@
 
 
 def forget_detached_leaves(tree: Tree) -> None:
-    """Dynamic leaves that went with their parents are no longer to be found."""
+    """Drops the dynamic leaves whose parents are no longer in the tree."""
     tree.dynamic_leaves = {
         key: node
         for key, node in tree.dynamic_leaves.items()
--- a/shedgrade/sidecar/quota/config.py
+++ b/shedgrade/sidecar/quota/config.py
@@ -1,20 +1,23 @@
-"""The table `[quota]` of the features file: the tree, who is asking, what is lent."""
+"""The table `[quota]` of the features file: the tree of limits, the identity of clients, and lending."""
 
 from typing import Annotated, Literal, Union
 
 from msgspec import Meta, Struct, field
 
 Count = Annotated[int, Meta(ge=0, le=2**53)]
-# Windows: two for an instalment, two for one that may just run, and what slots round off.
+# In windows: two for an instalment, two for one that may be running, and one for the rounding to slots.
 LEAST_REPAY_WINDOWS = 5
 MOST_REPAY_WINDOWS = 40
 
 
 class LimitTable(Struct, kw_only=True, forbid_unknown_fields=True):
-    """`dimension`: requests, work (ms of measured time) or flight (in flight now, no window).
+    """One limit of a node.
 
-    `window_s`: seconds. `ceiling`: never more than this. `guarantee`: this much of the parent's is kept for
-    the node.
+    Attributes:
+        dimension: requests, work (measured time, ms) or flight (requests in flight, without a window).
+        window_s: length of the window, seconds.
+        ceiling: the most that is ever admitted.
+        guarantee: the part of the parent's ceiling that is kept for the node.
     """
 
     dimension: Literal["requests", "work", "flight"]
@@ -24,11 +27,16 @@
 
 
 class NodeTable(Struct, kw_only=True, forbid_unknown_fields=True):
-    """`children` by name; `template`, inline or the name of one of `[quota.templates]`, for those that it
-    does not name, made at their first use. `weight`: its part of what nobody is entitled to.
-
-    `lends_to`: siblings that may borrow what it leaves idle; all where it is left out, nobody where it is
-    empty.
+    """One node of the tree.
+
+    Attributes:
+        limits: the node's own limits.
+        weight: for sharing what no sibling is entitled to.
+        lends_to: names of the siblings that may borrow what the node leaves unused; all if absent, none if
+            empty.
+        children: by name.
+        template: of the children that `children` does not name, made at their first use; a table, or the name
+            of one of `[quota.templates]`.
     """
 
     limits: list[LimitTable] = field(default_factory=list)
@@ -39,11 +47,13 @@
 
 
 class Fleet(Struct, kw_only=True, forbid_unknown_fields=True):
-    """How the limits are split among the sidecars that see them, where a share by settings is too rigid.
+    """How the limits are split among the sidecars of a fleet, where a configured share is too rigid.
 
-    `header`: with this, upstreams tell on each answer how many RPCs they have answered in all.
-    `epoch_s`: seconds over which parts are compared; the same for all. `even`: the part of every limit
-    that is split evenly among `sidecars`, whoever has traffic.
+    Attributes:
+        header: the response header in which upstreams report how many RPCs they have answered in total.
+        sidecars: the number of sidecars.
+        epoch_s: seconds over which parts of the traffic are compared; the same on all sidecars.
+        even: the part of every limit that is split evenly among `sidecars`, whatever their traffic.
     """
 
     header: Annotated[str, Meta(min_length=1)]
@@ -53,14 +63,21 @@
 
 
 class Quota(Struct, kw_only=True, forbid_unknown_fields=True):
-    """`identity`: the header or `X-Attrs` names, from the outermost to the leaf, e.g. ["org", "chain",
-    "store"]. `source`: attrs (`X-Attrs`), header, or login (the tunnel's user, as ORG/CHAIN/STORE).
-
-    `share`: the part of every limit that is this sidecar's, as the fleet's traffic is split by settings.
-    `reserve`: the part of a guarantee that is never lent. `repay_windows`: every loan is repaid within so
-    many of its windows. `most`: leaves made from templates at once. `estimate_ms`: work of an RPC of which
-    nothing is known yet. `transit_ms`: by how much the way to an upstream may vary: windows are as much
-    longer.
+    """The table `[quota]`.
+
+    Attributes:
+        identity: names of headers, or of attributes in `X-Attrs`, from the outermost to the leaf, e.g.
+            ["org", "chain", "store"].
+        source: of the identity: attrs (`X-Attrs`), header, or login (the tunnel's user, as ORG/CHAIN/STORE).
+        share: this sidecar's part of every limit, where the configuration splits the fleet's traffic.
+        reserve: the part of each guarantee that is never lent.
+        repay_windows: every loan is repaid within this many windows of its limit.
+        most: the most leaves made from templates that exist at once.
+        estimate_ms: assumed work of an RPC, ms, until its method has been measured.
+        transit_ms: by how much the delay to an upstream may vary, ms; windows are longer by it.
+        templates: node tables by name, for `template` of nodes.
+        fleet: splits the limits by observed traffic; without it `share` applies.
+        tree: the root node.
     """
 
     identity: Annotated[list[str], Meta(min_length=1)]
@@ -76,5 +93,5 @@
     tree: NodeTable
 
     def resolve_template(self, template: NodeTable | str | None) -> NodeTable | None:
-        """The table that a node's `template` names, or has inline."""
+        """Returns the table that a node's `template` names or contains; None without a template."""
         return self.templates[template] if isinstance(template, str) else template
--- a/shedgrade/sidecar/quota/config_checks.py
+++ b/shedgrade/sidecar/quota/config_checks.py
@@ -1,4 +1,4 @@
-"""Checks of the table `[quota]` that types alone do not make. Each yields (key, reason) of what is wrong."""
+"""Checks of the table `[quota]` that its types do not make. Each check yields (key, reason) of a problem."""
 
 from collections.abc import Iterator
 
@@ -10,7 +10,7 @@
 
 
 def problems(quota: Quota) -> Problems:
-    """All that is wrong with the table; trees are looked at only if no template contains itself."""
+    """Yields all problems of the table; limits are checked only if no template contains itself."""
     yield from name_problems(quota, quota.tree, "tree")
     for name, template in quota.templates.items():
         yield from name_problems(quota, template, f"templates.{name}")
@@ -22,32 +22,32 @@
 
 
 def name_problems(quota: Quota, node: NodeTable, key: str) -> Problems:
-    """Names of templates or siblings that nothing has, and names of nodes that are none."""
+    """Yields references to templates or siblings that do not exist, and invalid names of nodes."""
     if isinstance(node.template, str):
         if node.template not in quota.templates:
-            yield f"{key}.template", f"{node.template!r} is no template; there are {sorted(quota.templates)}"
+            yield f"{key}.template", f"no template {node.template!r}; there are {sorted(quota.templates)}"
     elif node.template is not None:
         yield from name_problems(quota, node.template, f"{key}.template")
     for name, child in node.children.items():
         if not name or "/" in name:
-            yield f"{key}.children", f"{name!r} is no name: not empty, no slash"
+            yield f"{key}.children", f"{name!r} is not a valid name: it is empty or contains a slash"
         for other in child.lends_to or ():
             if other not in node.children:
-                yield f"{key}.children.{name}.lends_to", f"{other!r} is no sibling"
+                yield f"{key}.children.{name}.lends_to", f"no sibling is named {other!r}"
             elif other == name:
-                yield f"{key}.children.{name}.lends_to", "it can't lend to itself"
+                yield f"{key}.children.{name}.lends_to", "a node can't lend to itself"
         yield from name_problems(quota, child, f"{key}.children.{name}")
 
 
 def template_cycles(quota: Quota) -> Problems:
-    """The first template that contains itself."""
+    """Yields the first template that contains itself."""
     for name, template in quota.templates.items():
         seen: set[str] = set()
         pending = list(templates_used(quota, template))
         while pending:
             used = pending.pop()
             if used == name:
-                yield f"templates.{name}", "is a template of itself, by way of others or at once: a cycle"
+                yield f"templates.{name}", "the template contains itself, directly or through other templates"
                 return
             if used not in seen:
                 seen.add(used)
@@ -55,7 +55,7 @@
 
 
 def templates_used(quota: Quota, node: NodeTable) -> Iterator[str]:
-    """Names of the templates that a node and all below it use, as far as there are such."""
+    """Yields the names of the existing templates that a node and all nodes below it use."""
     if isinstance(node.template, str):
         if node.template in quota.templates:
             yield node.template
@@ -66,40 +66,43 @@
 
 
 def node_problems(quota: Quota, node: NodeTable, key: str, parent: NodeTable | None, depth: int) -> Problems:
-    """Limits of a node and all below it. `depth`: how many names of the identity are left below it."""
+    """Yields problems of the limits of a node and all nodes below it.
+
+    `depth`: how many names of the identity are left below the node.
+    """
     yield from limit_problems(node, key, parent)
     template = quota.resolve_template(node.template)
     if depth == 0 and (node.children or template is not None):
-        yield key, f"deeper than identity has names: {len(quota.identity)}"
+        yield key, f"the tree is deeper than identity, which has {len(quota.identity)} names"
         return
     yield from guarantee_problems(node, key)
     for name, child in node.children.items():
         yield from node_problems(quota, child, f"{key}.children.{name}", node, depth - 1)
     if template is not None:
         if any(limit.guarantee for limit in template.limits):
-            yield f"{key}.template", "has a guarantee: what is made on first use can be guaranteed nothing"
+            yield f"{key}.template", "a template can't have a guarantee, as its nodes are made at first use"
         yield from node_problems(quota, template, f"{key}.template", node, depth - 1)
 
 
 def limit_problems(node: NodeTable, key: str, parent: NodeTable | None) -> Problems:
-    """Each limit of one node by itself, and beside its parent's."""
+    """Yields problems of each limit of a node, by itself and against the parent's limits."""
     seen: set[WindowKey] = set()
     parent_keys = {window_key(limit) for limit in parent.limits} if parent else set()
     for number, limit in enumerate(node.limits):
         place, own = f"{key}.limits[{number}]", window_key(limit)
         if (limit.dimension == IN_FLIGHT) != (limit.window_s == 0):
-            yield f"{place}.window_s", "flight has no window, all others have one"
+            yield f"{place}.window_s", "flight must have no window, and all other dimensions must have one"
         if own in seen:
-            yield place, f"{limit.dimension} over {limit.window_s:g} s stands there twice"
+            yield place, f"{limit.dimension} over {limit.window_s:g} s is limited twice"
         seen.add(own)
         if limit.guarantee > limit.ceiling:
-            yield f"{place}.guarantee", f"{limit.guarantee} is over its ceiling {limit.ceiling}"
+            yield f"{place}.guarantee", f"{limit.guarantee} exceeds its ceiling {limit.ceiling}"
         if limit.guarantee and own not in parent_keys:
-            yield f"{place}.guarantee", "its parent has no such limit to guarantee a part of"
+            yield f"{place}.guarantee", "the parent has no limit of this dimension and window"
 
 
 def guarantee_problems(node: NodeTable, key: str) -> Problems:
-    """Guarantees of the children that add up to more than the node itself has."""
+    """Yields each limit of a node whose children's guarantees add up to more than its ceiling."""
     for own, limit in {window_key(limit): limit for limit in node.limits}.items():
         guaranteed = sum(
             one.guarantee
@@ -111,11 +114,11 @@
             dimension, window_s = own
             yield (
                 f"{key}.children",
-                f"guarantees of {dimension} over {window_s:g} s add up to {guaranteed}, over the ceiling "
+                f"guarantees of {dimension} over {window_s:g} s add up to {guaranteed}, above the ceiling "
                 f"{limit.ceiling}",
             )
 
 
 def window_key(limit: LimitTable) -> WindowKey:
-    """What tells the limits of one node apart."""
+    """Returns the dimension and the window in seconds, which identify a limit within its node."""
     return limit.dimension, limit.window_s
--- a/shedgrade/sidecar/quota/feature.py
+++ b/shedgrade/sidecar/quota/feature.py
@@ -1,5 +1,5 @@
-"""Quotas as a feature of the sidecar: a gate before the platform's own pool, its counts saved where a disk
-lasts."""
+"""Quotas as a feature of the sidecar: a gate before the platform's own pool. The counts are saved with the
+endpoint list, if that is saved."""
 
 import time
 from typing import TYPE_CHECKING, Any
@@ -15,12 +15,12 @@
     from shedgrade.sidecar.lifecycle.features import Features
     from shedgrade.sidecar.lifecycle.sidecar import Sidecar
 
-SAVE_INTERVAL_S = 5.0  # between two records of what was counted and is owed
-NODES_LOGGED = 10  # at the end: those that refused most
+SAVE_INTERVAL_S = 5.0  # between two saves of the use and the debts
+NODES_LOGGED = 10  # nodes with the most refusals, logged when the sidecar ends
 
 
 class QuotaFeature(Feature):
-    """Built with the sidecar, updated by a reload, saved now and then and at the end."""
+    """Built with the sidecar, updated by a reload, saved periodically and when the sidecar ends."""
 
     def __init__(self, sidecar: "Sidecar", quota: Quota) -> None:
         self.sidecar = sidecar
@@ -34,14 +34,14 @@
         self.update_count_header(quota)
 
     def update_count_header(self, quota: Quota) -> None:
-        """Upstreams send their counts in a header, where the fleet's limits are split by observation."""
-        connections: Any = self.pool.connections  # which is not typed yet
+        """Sets the header of upstreams' counts; none unless the fleet's limits are split by traffic."""
+        connections: Any = self.pool.connections  # its class has no types yet
         fleet = quota.fleet
         connections.count_header = fleet.header.lower().encode() if fleet is not None else b""
         connections.count_received = self.gate.record_answer if fleet is not None else None
 
     def start(self) -> None:
-        """Takes over what was saved."""
+        """Restores the saved state, if there is one."""
         logger.info("quotas in force", nodes=sum(1 for _ in self.gate.tree.root.walk()))
         saved = self.pool.saved
         if saved is None or saved.recovered.snapshot.quota is None:
@@ -54,7 +54,7 @@
             logger.info("saved quota state restored", counted=restored.counted, owed=restored.owed)
 
     def reload(self, features: "Features | None") -> None:
-        """A reload that was checked. Taking the whole table away is for a start."""
+        """Applies a reload that was checked. The removal of the whole table takes a restart."""
         self.update_methods()
         if features is not None and features.quota is not None:
             forgiven = self.gate.update(features.quota)
@@ -63,7 +63,7 @@
                 logger.warning("quota debts forgiven by a reload", amount=forgiven)
 
     def update_methods(self) -> None:
-        """Methods may have come and gone: the estimate of one that stays stays, under its new number."""
+        """Applies changed methods: a method that stays keeps its estimate, under its new number."""
         before = {method["name"]: number for number, method in enumerate(self.methods)}
         self.methods = self.sidecar.config.settings["methods"]
         estimates = self.gate.estimates
@@ -75,7 +75,7 @@
         self.gate.payoffs_alike = len({method["payoff"] for method in self.methods}) < 2
 
     def tick(self) -> None:
-        """Now and then: the fleet's share; saves and logs every SAVE_INTERVAL_S."""
+        """Updates the share of the fleet; saves and logs every SAVE_INTERVAL_S."""
         self.gate.refresh_share(wall_clock_ms() * 10, len(self.pool.balancer.upstreams))
         now = time.monotonic()
         if now < self.saved_at + SAVE_INTERVAL_S:
@@ -94,12 +94,12 @@
             self.refusals_logged = refused
 
     def save(self) -> None:
-        """Hands the counts to the saved list, if there is one."""
+        """Saves the use and the debts with the endpoint list, if that is saved."""
         if self.pool.saved is not None:
             self.pool.saved.save_quota(export(self.gate.tree, self.pool.clock.now(), wall_clock_ms()))
 
     def close(self) -> None:
-        """The sidecar ends: saves, and logs debts and refusals."""
+        """Saves, and logs debts and refusals, as the sidecar ends."""
         self.save()
         debts = list(self.gate.tree.debts())
         if debts:
@@ -114,5 +114,5 @@
 
 
 def wall_clock_ms() -> int:
-    """Unix time in milliseconds."""
+    """Returns the Unix time in milliseconds."""
     return time.time_ns() // 1_000_000
--- a/shedgrade/sidecar/quota/fleet_share.py
+++ b/shedgrade/sidecar/quota/fleet_share.py
@@ -1,43 +1,45 @@
-"""This sidecar's share of the fleet's limits, by observation. No I/O.
+"""This sidecar's share of the fleet's limits, computed from the observed traffic. No I/O.
 
-Each sidecar sees only its own traffic, but an upstream sees everybody's: its count, sent with each answer,
-shows what part of it was ours. The mean of these parts over *all* listed upstreams, those we never use
-counting as 0, is our share; over all sidecars these means add up to 1 at most, whatever zones they prefer.
+Each sidecar sees only its own traffic, but an upstream sees that of all sidecars: its count, sent with each
+answer, shows which part of its answers went to this sidecar. The mean of these parts over *all* listed
+upstreams, with 0 for those that this sidecar never uses, is its share; over all sidecars these means add up
+to 1 at most, whichever zones they prefer.
 
-Parts are taken over epochs that begin at the same wall-clock times everywhere; the share that is used is the
-least of the last EPOCHS_KEPT epochs. Clocks that differ by less than an epoch have an epoch in common, whose
-parts add up to 1; the least of several is no more than that one. So the fleet stays within the limit while
-traffic moves from one sidecar to another, and a sidecar that gains waits EPOCHS_KEPT epochs for its share.
-`even` is split by settings: it is what a sidecar without any traffic starts from.
+Parts are taken over epochs that begin at the same wall-clock times everywhere; the share in use is the
+minimum of the last EPOCHS_KEPT epochs. Sidecars whose clocks differ by less than an epoch have an epoch in
+common, whose parts add up to 1 at most, and the minimum does not exceed the part in that epoch. So the fleet
+stays within the limit while traffic moves from one sidecar to another, and a sidecar that gains traffic waits
+EPOCHS_KEPT epochs for its larger share. The part `even` is split evenly by configuration: a sidecar without
+traffic starts from it.
 
-Exchange among instances, the third way, would set `exchanged`.
+A protocol by which sidecars agree on shares would set `exchanged`; nothing sets it so far.
 """
 
 from msgspec import Struct
 
 from shedgrade.sidecar.quota.limits import MILLION
 
-EPOCHS_KEPT = 3  # one in common with clocks up to one epoch apart, and one that is not over everywhere
+EPOCHS_KEPT = 3  # one in common with clocks up to one epoch apart, and one that is not over on all sidecars
 
 
 class UpstreamCount(Struct):
-    """What one upstream has answered in all, by its own count, and what of it were answers to us."""
+    """What one upstream has answered in total, by its own count, and how much of it to this sidecar."""
 
-    epoch_start: int  # its count at the last answer of the epoch before
-    latest: int
-    ours: int = 0  # answers between the two that were ours
+    epoch_start: int  # its count at the last answer of the previous epoch
+    latest: int  # its count at the latest answer
+    ours: int = 0  # answers between the two that this sidecar received
 
 
 class FleetShare:
-    """The share of one sidecar. Times: tenths of a millisecond of the wall clock.
+    """The share of one sidecar. Times are in tenths of a millisecond of the wall clock.
 
     Attributes:
         epoch_length, sidecars, even: from the configuration; `even` in millionths.
-        counts: by index of the upstream, those that answered in this epoch or the one before.
-        upstreams: how many are listed.
-        current_epoch: the number of the epoch that runs; -1 before the first look.
-        parts: our part in each of the last epochs, in millionths, the newest first.
-        exchanged: a part that instances agreed on, in millionths; None: by observation.
+        counts: by index of the upstream, for upstreams that answered in this epoch or the previous one.
+        upstreams: the number of listed upstreams.
+        current_epoch: the number of the current epoch; -1 before the first call of `at`.
+        parts: this sidecar's part of the answers in each of the last epochs, in millionths, the newest first.
+        exchanged: a part that sidecars agreed on, in millionths; None to use the observed `parts`.
     """
 
     def __init__(self, epoch_length: int, sidecars: int, even: float) -> None:
@@ -51,11 +53,11 @@
         self.exchanged: int | None = None
 
     def set_upstreams(self, upstreams: int) -> None:
-        """So many upstreams are listed now."""
+        """Sets the number of listed upstreams."""
         self.upstreams = upstreams
 
     def at(self, wall: int) -> int:
-        """The share from now on, in millionths."""
+        """Returns the share from this time on, in millionths; begins a new epoch if the last one is over."""
         epoch = wall // self.epoch_length
         if epoch != self.current_epoch:
             self.begin_epoch(epoch)
@@ -63,8 +65,11 @@
         return max(1, self.even // self.sidecars + (MILLION - self.even) * part // MILLION)
 
     def begin_epoch(self, epoch: int) -> None:
-        """Another epoch runs. After a clock that leapt or went back, what was seen over no whole epoch is no
-        part, and those before are not the last ones."""
+        """Begins another epoch.
+
+        After a clock that jumped ahead or went back, all parts are 0: the last answers cover no whole epoch,
+        and the parts before are not of the latest epochs.
+        """
         part = self.end_epoch()
         if epoch == self.current_epoch + 1:
             self.parts = [part, *self.parts[: EPOCHS_KEPT - 1]]
@@ -73,16 +78,16 @@
         self.current_epoch = epoch
 
     def record_answer(self, upstream: int, count: int) -> None:
-        """An answer of ours, with the upstream's count of all that it has answered, this one included."""
+        """Records an answer to this sidecar. `count`: all answers of the upstream, this one included."""
         seen = self.counts.get(upstream)
-        if seen is None or count <= seen.latest:  # new, or it has restarted
+        if seen is None or count <= seen.latest:  # a new upstream, or one that has restarted
             self.counts[upstream] = UpstreamCount(count, count)
         else:
             seen.latest = count
             seen.ours += 1
 
     def end_epoch(self) -> int:
-        """Our part of the epoch that is over, in millionths; the next one begins where it ended."""
+        """Returns this sidecar's part in the epoch that ends, in millionths, and resets the counts."""
         total = 0
         for upstream, seen in list(self.counts.items()):
             answered = seen.latest - seen.epoch_start
@@ -90,5 +95,6 @@
                 total += min(MILLION, seen.ours * MILLION // answered)
                 self.counts[upstream] = UpstreamCount(seen.latest, seen.latest)
             else:
-                del self.counts[upstream]  # not used for an epoch: what it counts meanwhile is not compared
+                # After an epoch without an answer, the count is not compared with later ones.
+                del self.counts[upstream]
         return total // max(1, self.upstreams, len(self.counts))
--- a/shedgrade/sidecar/quota/gate.py
+++ b/shedgrade/sidecar/quota/gate.py
@@ -1,7 +1,7 @@
-"""The gate before the decisions: asks the tree of quotas, told each request's end exactly once. No I/O.
+"""The gate before the balancer's decisions: asks the tree of quotas, and settles each request once. No I/O.
 
-The dispatcher holds gates in a tuple, empty by default. `enter` admits or says how long to stay away; `leave`
-settles.
+The dispatcher holds gates in a tuple, empty by default. `enter` admits a request, or returns how long its
+client is to wait; `leave` settles a request that was admitted.
 """
 
 from collections import Counter
@@ -13,27 +13,27 @@
 from shedgrade.sidecar.quota.fleet_share import FleetShare
 from shedgrade.sidecar.quota.tree import Refusal, Ticket
 
-WAIT_SPREAD = 0.5  # of the wait: refused clients return over it, not together
-LONGEST_WAIT = 600_000  # tenths of a ms that a refusal asks to stay away at most; the settings may allow less
+WAIT_SPREAD = 0.5  # of the wait: the largest random addition, so that clients do not return together
+LONGEST_WAIT = 600_000  # tenths of a ms that a refusal asks the client to wait; settings may allow less
 ESTIMATE_SMOOTHING = 16  # requests over which the mean work of a method is taken
-MAX_COUNT_DIGITS = 19  # of an upstream's count: what is longer is none
+MAX_COUNT_DIGITS = 19  # of an upstream's count; longer values are ignored
 
 
 class Gate:
-    """One tree in front of one pool.
+    """The quotas in front of one pool.
 
     Attributes:
         quota: the configuration in force.
-        tree, default_leaf: its nodes, and the one of whoever is unknown.
-        payoffs_alike: all methods are worth the same, so no luck is drawn among them.
-        identity_names: names of the headers or attributes that say who asks, in lower case.
-        estimates: by method, the mean work in ms; missing until the first request has ended.
-        refused: refusals by name of the node.
-        share: this sidecar's part of the fleet's limits; None where the configuration states it.
+        tree, default_leaf: the tree of quotas, and its leaf of unknown identities.
+        payoffs_alike: whether all methods have the same payoff, so that the balancer's draw is not used.
+        identity_names: names of the headers or attributes that identify the client, in lower case.
+        estimates: by method, the mean work in ms; missing until the method's first request has ended.
+        refused: the number of refusals by name of the node.
+        share: computes this sidecar's share of the fleet's limits; None where the configuration states it.
     """
 
     def __init__(self, quota: Quota, seed: int, payoffs: tuple[float, ...] = ()) -> None:
-        """`payoffs`: of the methods."""
+        """`payoffs`: the payoff of each method."""
         self.quota = quota
         self.tree, self.default_leaf = build_tree(quota)
         self.random = Random(f"{seed}/quota")
@@ -47,8 +47,10 @@
     # --- configuration
 
     def update(self, quota: Quota) -> int:
-        """A reload: limits and nodes change, what is counted, in flight and owed stays. Returns the sum of
-        the debts that were forgiven, as their nodes are no longer there."""
+        """Applies a reload: limits and nodes change; use, requests in flight and debts are kept.
+
+        Returns the sum of the debts that were forgiven, as a node is gone or has nothing left to repay from.
+        """
         self.quota = quota
         self.identity_names = [name.lower().encode() for name in quota.identity]
         self.default_leaf = update_tree(self.tree, quota)
@@ -56,7 +58,7 @@
         return self.tree.terms.forgiven
 
     def update_share(self) -> None:
-        """Observes the fleet, or no longer, as the configuration says; begins anew if the epochs differ."""
+        """Starts or stops to observe the fleet, as configured; starts anew if epochs or sidecars differ."""
         fleet = self.quota.fleet
         if fleet is None:
             self.share = None
@@ -70,7 +72,7 @@
     # --- requests
 
     def identity(self, active_request: ActiveRequest) -> list[str]:
-        """Who is asking, from the outermost name to the leaf; [] if any of them is missing."""
+        """Returns the client's names, from the outermost to the leaf; [] if any of them is missing."""
         found: list[bytes]
         headers = active_request.request.headers
         if self.quota.source == "login":
@@ -93,8 +95,11 @@
     def enter(
         self, now: int, active_request: ActiveRequest, method: int, is_retry: bool, luck: float
     ) -> Ticket | int:
-        """A ticket, or tenths of a millisecond to stay away. `is_retry`: the client marks it so; `luck`: the
-        balancer's draw, by which the cheap are given up first."""
+        """Returns a ticket, or the time that the client is to wait, in tenths of a millisecond.
+
+        `is_retry`: whether the client marked the request as a retry. `luck`: the balancer's draw, 0 to 1, by
+        which requests of low payoff are refused first.
+        """
         leaf = self.tree.find(now, self.identity(active_request), self.default_leaf)
         work = max(1, round(self.estimates.get(method, self.quota.estimate_ms)))
         luck = 0.0 if self.payoffs_alike else luck
@@ -105,14 +110,20 @@
         return self.retry_after(now, result, is_retry)
 
     def retry_after(self, now: int, refusal: Refusal, is_retry: bool) -> int:
-        """How long to stay away, in tenths of a ms: until the window has room, spread so that clients do not
-        return together; a retry that meets the same refusal is to stay away twice as long."""
+        """Returns how long the client is to wait, in tenths of a ms.
+
+        That is until the window has room, twice as long for a retry, plus a random part so that clients do
+        not return together.
+        """
         least = 1 if refusal.retry_at is None else max(1, refusal.retry_at - now)
         wait = min(LONGEST_WAIT, least * (2 if is_retry else 1))
         return round(wait * (1 + WAIT_SPREAD * self.random.random()))
 
     def leave(self, now: int, ticket: Ticket, method: int, ran: bool, took: int) -> None:
-        """The request's end: `ran` if an attempt may have run; `took` tenths of a ms of measured time."""
+        """Settles a request that has ended.
+
+        `ran`: whether an attempt may have run. `took`: measured time, tenths of a ms.
+        """
         if not ran:
             ticket.cancel(now)
             return
@@ -124,12 +135,15 @@
     # --- the fleet
 
     def record_answer(self, upstream: int, count: bytes) -> None:
-        """An upstream's answer active_request its count; what is no count is not looked at."""
+        """Records the count that an upstream sent with an answer; ignores a value that is not a count."""
         if self.share is not None and count.isdigit() and len(count) <= MAX_COUNT_DIGITS:
             self.share.record_answer(upstream, int(count))
 
     def refresh_share(self, wall: int, upstreams: int) -> None:
-        """Now and then: the share may have changed. `wall`: tenths of a ms of the wall clock."""
+        """Recomputes the share and applies it, if limits are split by observed traffic.
+
+        `wall`: tenths of a ms of the wall clock. `upstreams`: the number of listed upstreams.
+        """
         if self.share is not None:
             self.share.set_upstreams(upstreams)
             self.tree.terms.share = self.share.at(wall)
@@ -137,6 +151,6 @@
 
 
 def parse_attributes(text: bytes) -> dict[bytes, bytes]:
-    """`X-Attrs`: name=value, separated by commas; names in lower case, parts without "=" left out."""
+    """Parses `X-Attrs`: name=value, separated by commas; names in lower case, parts without "=" left out."""
     pairs = (part.partition(b"=") for part in text.split(b","))
     return {name.strip().lower(): value.strip() for name, equals, value in pairs if equals}
--- a/shedgrade/sidecar/quota/pacing.py
+++ b/shedgrade/sidecar/quota/pacing.py
@@ -1,8 +1,8 @@
-"""How fast an account uses what is not its own: an even rate (GCRA), and fair shares by weight. No I/O.
+"""Pacing of use beyond the entitlement: an even rate (GCRA), and fair shares by weight. No I/O.
 
 Accounts that use more than their entitlement are paced by the `FairPacing` of their parent. Each has a
-*lead*: what it has taken beyond its entitlement, less what has run off since at its weight's part of what
-there is for all of them. While several of them contend, those whose lead is large are held back.
+*lead*: what it has taken beyond its entitlement, less what has decayed since, at the rate of its weighted
+part of what all of them share. While several accounts contend, those with a large lead are held back.
 """
 
 from typing import TYPE_CHECKING
@@ -11,30 +11,31 @@
     from shedgrade.sidecar.quota.accounts import Account
     from shedgrade.sidecar.quota.lending import LendingPool
 
-FRACTION_BITS = 16  # bits by which leads and rates are finer than whole amounts
-CONTENTION_HEADROOM = 8  # one part in eight of the ceiling is left to those behind their pace
-IDLE_CHECKS = 2  # paced accounts that are looked at for each one that enters: none stays for long
-ONE = 1 << FRACTION_BITS
+FRACTION_BITS = 16  # fraction bits of leads and rates, which are fixed-point numbers
+CONTENTION_HEADROOM = 8  # 1/8 of the ceiling is left to the accounts that are behind their pace
+IDLE_CHECKS = 2  # paced accounts checked for each one that is added, so that idle ones do not stay for long
+ONE = 1 << FRACTION_BITS  # an amount of 1 as a fixed-point number
 
 
 class EvenRate:
-    """An amount per window, taken evenly: the generic cell rate algorithm (ITU-T I.371), as a virtual
-    schedule.
+    """An amount per window, taken evenly: generic cell rate algorithm (ITU-T I.371), as a virtual schedule.
 
-    What is taken in one burst leaves the window in one, and until then siblings find nothing coming free.
+    What is taken in one burst also leaves the window in one, and until then nothing becomes free for
+    siblings.
     """
 
     __slots__ = ("theoretical_arrival",)
 
     def __init__(self) -> None:
-        self.theoretical_arrival = 0  # when the next is due, in tenths of a ms, FRACTION_BITS finer
+        # When the next amount is due, in tenths of a ms, as a fixed-point number with FRACTION_BITS.
+        self.theoretical_arrival = 0
 
     def conforms(self, now: int, tolerance: int = 0) -> bool:
-        """Whether an amount may be taken now; up to `tolerance` (tenths of a ms) too early is allowed."""
+        """Returns whether an amount may be taken now; `tolerance` (tenths of a ms) is how early it may be."""
         return self.theoretical_arrival <= now + tolerance << FRACTION_BITS
 
     def record(self, now: int, amount: int, allowance: int, period: int) -> None:
-        """So much was taken, at a rate of `allowance` in `period` (tenths of a ms)."""
+        """Records an amount that was taken, at a rate of `allowance` per `period` (tenths of a ms)."""
         increment = (amount * period << FRACTION_BITS) // max(1, allowance)
         self.theoretical_arrival = max(self.theoretical_arrival, now << FRACTION_BITS) + increment
 
@@ -43,9 +44,10 @@
     """Weighted fair shares among the children of one account that use more than they are entitled to.
 
     Attributes:
-        children: the paced accounts, the longest unseen first.
+        pool: the pool of the account whose children are paced.
+        children: the paced accounts, the least recently active first.
         total_weight: the sum of the weights of `children`.
-        contended_rate: the rate of those ahead of their pace while others contend.
+        contended_rate: the common rate of accounts that are ahead of their pace while others contend.
     """
 
     __slots__ = ("pool", "children", "total_weight", "contended_rate")
@@ -57,7 +59,7 @@
         self.contended_rate = EvenRate()
 
     def add(self, now: int, account: "Account") -> None:
-        """Begins to pace this account, unless it is paced already."""
+        """Starts pacing this account, unless it is paced already."""
         if account not in self.children:
             account.lead = 0
             account.lead_updated_at = now
@@ -65,19 +67,19 @@
             self.total_weight += account.weight
 
     def remove(self, account: "Account") -> None:
-        """Paces this account no longer."""
+        """Stops pacing this account."""
         if account in self.children:
             del self.children[account]
             self.total_weight -= account.weight
 
     def reweigh(self, account: "Account", weight: int) -> None:
-        """Gives this account, paced or not, another weight."""
+        """Sets the weight of this account, paced or not."""
         if account in self.children:
             self.total_weight += weight - account.weight
         account.weight = weight
 
     def record_excess(self, now: int, account: "Account", amount: int) -> None:
-        """The account took so much beyond its entitlement."""
+        """Records an amount that the account took beyond its entitlement."""
         if self.must_yield(now, account):
             ceiling = self.pool.account.ceiling
             self.contended_rate.record(
@@ -85,14 +87,14 @@
             )
         self.add(now, account)
         del self.children[account]
-        self.children[account] = None  # it goes behind the others
+        self.children[account] = None  # moves to the end, as the most recently active
         self.decay_lead(now, account)
         fair_share = (self.pool.shareable() << FRACTION_BITS) * account.weight // self.total_weight
         account.lead = min(max(ONE, fair_share), account.lead + (amount << FRACTION_BITS))
         self.remove_idle(now)
 
     def decay_lead(self, now: int, account: "Account") -> None:
-        """Lets the account's lead run off for the time since it was last looked at."""
+        """Decays the account's lead for the time since its last update."""
         elapsed = now - account.lead_updated_at
         if account.lead and elapsed > 0:
             shareable = self.pool.shareable() << FRACTION_BITS
@@ -101,7 +103,7 @@
         account.lead_updated_at = max(now, account.lead_updated_at)
 
     def remove_idle(self, now: int) -> None:
-        """Drops accounts without a lead that have not asked for a window's length, a few at a call."""
+        """Removes accounts without a lead that have not asked for a window's length; at most IDLE_CHECKS."""
         for _ in range(min(IDLE_CHECKS, len(self.children))):
             account = next(iter(self.children))
             self.decay_lead(now, account)
@@ -110,7 +112,7 @@
             self.remove(account)
 
     def must_yield(self, now: int, account: "Account") -> bool:
-        """Whether it is ahead of its pace while others, too, want what nobody is entitled to."""
+        """Returns whether it is ahead of its pace while others also want what no sibling is entitled to."""
         if account not in self.children or len(self.children) == 1:
             return False
         self.decay_lead(now, account)
@@ -121,6 +123,6 @@
         return len(self.children) > 1
 
     def check_invariants(self) -> None:
-        """AssertionError if the sum of weights or a lead can't be right."""
+        """Raises AssertionError if the sum of weights is wrong or a lead is negative."""
         assert self.total_weight == sum(account.weight for account in self.children)
         assert all(account.lead >= 0 for account in self.children)
--- a/shedgrade/sidecar/quota/repayment.py
+++ b/shedgrade/sidecar/quota/repayment.py
@@ -1,9 +1,9 @@
 """Debts among siblings, and the instalments in which they are repaid. No I/O.
 
-A debt is what a lender was refused within its guarantee because a borrower had it. An instalment moves a part
-of the borrower's entitlement to its lenders for two windows: in the first one the borrower's use runs out, in
-the second the amount is there for the lender, used or not. The sum of entitlements never changes, so repaying
-lifts no parent over its limit.
+A debt is what a lender was refused within its guarantee because a borrower was using it. An instalment moves
+a part of the borrower's entitlement to its lenders for two windows: during the first the borrower's use
+leaves the window, during the second the amount is free for the lender, used or not. The sum of entitlements
+never changes, so a repayment lifts no parent over its limit.
 """
 
 from collections import deque
@@ -15,26 +15,36 @@
     from shedgrade.sidecar.quota.accounts import Account
     from shedgrade.sidecar.quota.lending import LendingPool
 
-DEBTS_REMEMBERED = 1000  # repaid ones included, for whoever asks
-INSTALMENT_WINDOWS = 2  # that an instalment lasts
-OPEN_IN_FLIGHT = 500  # tenths of a ms for which an instalment of a limit without a window stays open
+DEBTS_REMEMBERED = 1000  # for reports, repaid ones included
+INSTALMENT_WINDOWS = 2  # the duration of an instalment, in windows
+OPEN_IN_FLIGHT = 500  # tenths of a ms for which an instalment of a limit without a window takes further debts
 
 
 class Debt(Struct, eq=False):
-    """What a lender was refused, and by whom it is repaid. Times in tenths of a millisecond."""
+    """An amount that a lender was refused and a borrower repays. Times in tenths of a millisecond.
+
+    Attributes:
+        lender, borrower: full names of their nodes.
+        key: dimension and window of the limit.
+        amount: what the lender was refused.
+        at: when it was refused.
+        due: when the debt is repaid at the latest.
+        paid_at: when it was repaid; None until then.
+        forgiven: whether it will not be repaid, as a node was removed or has nothing left to repay from.
+    """
 
     lender: str
     borrower: str
     key: tuple[str, int]
     amount: int
     at: int
-    due: int  # when it is repaid at the latest
+    due: int
     paid_at: int | None = None
-    forgiven: bool = False  # a node that no configuration names any more pays nobody
+    forgiven: bool = False
 
 
 class UnscheduledDebt(Struct, eq=False):
-    """What of a debt no instalment has taken up yet."""
+    """The part of a debt that no instalment has taken up yet."""
 
     lender: "Account"
     debt: Debt
@@ -42,7 +52,7 @@
 
 
 class InstalmentPart(Struct, eq=False, frozen=True):
-    """What one running instalment pays of one debt."""
+    """What a running instalment repays of one debt."""
 
     lender: "Account"
     debt: Debt
@@ -51,11 +61,11 @@
 
 
 class Instalment(Struct, eq=False):
-    """What one borrower is paying now. Times in tenths of a millisecond."""
+    """What one borrower is repaying now. Times in tenths of a millisecond."""
 
     ends_at: int
     parts: list[InstalmentPart]
-    open_until: int  # until then, debts that come up are taken into it
+    open_until: int  # further debts are added to it until then
 
 
 class OpenDebt(Struct, eq=False):
@@ -71,8 +81,8 @@
     """All debts among the children of one account.
 
     Attributes:
-        unscheduled: by borrower, debts that wait for an instalment, the oldest first; no empty queue stays.
-        running: by borrower, the instalment that it pays now.
+        unscheduled: by borrower, debts that wait for an instalment, the oldest first; no queue is empty.
+        running: by borrower, the instalment that it is repaying now.
         outstanding: the sum of what is not yet repaid, scheduled or not.
         history: the newest debts, repaid and forgiven ones included.
     """
@@ -87,7 +97,7 @@
         self.history: deque[Debt] = deque(maxlen=DEBTS_REMEMBERED)
 
     def add_debt(self, now: int, lender: "Account", borrower: "Account", amount: int) -> Debt:
-        """The borrower owes the lender so much from now on."""
+        """Adds a debt to what the borrower owes, and begins or extends its instalment; returns the debt."""
         due = now + borrower.terms.repay_windows * self.pool.window_length()
         debt = Debt(lender.name, borrower.name, lender.limit.key, amount, now, due)
         self.history.append(debt)
@@ -103,9 +113,9 @@
         return debt
 
     def begin_instalment(self, now: int, borrower: "Account", reopened: Instalment | None = None) -> None:
-        """Takes up what the borrower owes, the oldest first, as far as one instalment reaches.
+        """Begins an instalment with the borrower's oldest debts, up to the most that one instalment repays.
 
-        `reopened`: an instalment that began less than a part of a window ago goes on in this one.
+        `reopened`: an instalment that began less than one slot ago and is extended by this one.
         """
         parts = list(reopened.parts) if reopened is not None else []
         open_until = reopened.open_until if reopened is not None else now + self.open_length()
@@ -131,14 +141,16 @@
             self.running[borrower] = Instalment(ends_at, parts, open_until)
 
     def complete_due(self, now: int) -> None:
-        """Ends the instalments whose time is over; each borrower's next one begins where it ended, however
-        long nobody looked."""
+        """Ends the instalments whose time is over.
+
+        Each borrower's next one begins when the last one ended, even if that was long ago.
+        """
         for borrower in list(self.running):
             while borrower in self.running and self.running[borrower].ends_at <= now:
                 self.complete(borrower)
 
     def complete(self, borrower: "Account") -> None:
-        """The running instalment is paid: entitlements return, and the next one begins."""
+        """Ends a running instalment as paid: entitlements return, and the next instalment begins."""
         instalment = self.running.pop(borrower)
         for part in instalment.parts:
             self.return_entitlement(borrower, part)
@@ -151,8 +163,10 @@
         self.begin_instalment(instalment.ends_at, borrower)
 
     def reschedule(self, borrower: "Account") -> None:
-        """The borrower's guarantee has changed: it can't pay more than it has. With nothing left to pay from,
-        its debts are forgiven."""
+        """Reduces the running instalment if the borrower's guarantee is now lower than what it repays.
+
+        If nothing is left to repay from, its debts are forgiven.
+        """
         if not borrower.most_per_instalment():
             borrower.terms.forgiven += self.forgive(borrower)
         elif -borrower.credit > borrower.guarantee:
@@ -169,14 +183,13 @@
             self.begin_instalment(max(0, began_at), borrower)
 
     def forgive(self, account: "Account") -> int:
-        """The account is no longer configured, or has no guarantee: what it owes and is owed can't be paid.
-        Returns how much that was."""
+        """Forgives all debts of and to an account that is removed or has no guarantee; returns their sum."""
         return sum(
             self.forgive_between(account, borrower) for borrower in list({**self.unscheduled, **self.running})
         )
 
     def forgive_between(self, account: "Account", borrower: "Account") -> int:
-        """Forgives all debts of this borrower if it is the account, else those it owes to the account."""
+        """Forgives the borrower's debts, or only those to the account if that is another; returns the sum."""
         queue = self.unscheduled.pop(borrower, deque())
         instalment = self.running.pop(borrower, None)
         parts = instalment.parts if instalment is not None else []
@@ -204,7 +217,7 @@
         return forgiven
 
     def open_debts(self) -> list[OpenDebt]:
-        """Each debt that is not yet repaid, with what is left of it."""
+        """Returns each debt that is not yet repaid, with the amount that is left."""
         found: dict[int, OpenDebt] = {}
         for borrower, instalment in self.running.items():
             for part in instalment.parts:
@@ -217,12 +230,12 @@
         return list(found.values())
 
     def open_length(self) -> int:
-        """For how long an instalment takes up further debts, in tenths of a millisecond."""
+        """Returns for how long an instalment takes further debts, in tenths of a millisecond."""
         window = self.pool.account.window
         return window.slot_length if window is not None else OPEN_IN_FLIGHT
 
     def drop_empty_queue(self, borrower: "Account") -> None:
-        """Forgets a borrower that has nothing left to schedule."""
+        """Removes the queue of a borrower that has nothing left to schedule."""
         if borrower in self.unscheduled and not self.unscheduled[borrower]:
             del self.unscheduled[borrower]
 
@@ -233,9 +246,9 @@
         borrower.credit += part.amount
 
     def check_invariants(self) -> None:
-        """AssertionError if the sums or queues contradict each other."""
+        """Raises AssertionError if the sums or queues contradict each other."""
         assert self.outstanding == sum(one.amount for one in self.open_debts())
-        assert all(self.unscheduled.values()), "an empty queue stayed"
+        assert all(self.unscheduled.values()), "an empty queue was kept"
         by_borrower: dict[Account, int] = {}
         for one in self.open_debts():
             by_borrower[one.borrower] = by_borrower.get(one.borrower, 0) + one.amount
--- a/shedgrade/sidecar/quota/sliding_window.py
+++ b/shedgrade/sidecar/quota/sliding_window.py
@@ -1,17 +1,17 @@
-"""A sliding window, without I/O: whole numbers, and a bound that holds over every interval of its length.
+"""A sliding window of integer amounts, without I/O: its bound holds over every interval of its length.
 
-The window is cut into SLOTS slots; what was used is kept by slot, and one slot more than the window is long
-counts. So any interval of the window's length, wherever it begins, lies within what was counted: its use
-can't pass the limit. The price is that up to one part in SLOTS of the limit may lie unused.
+The window is divided into SLOTS slots, use is counted by slot, and one slot more than the window is long
+counts. So any interval of the window's length, wherever it begins, lies within the counted slots, and its use
+can't exceed the limit. In exchange, up to 1/SLOTS of the limit may stay unused.
 """
 
 from typing import NamedTuple
 
-SLOTS = 20  # a twentieth of the limit may lie unused; each window keeps 21 numbers, once it is used
+SLOTS = 20  # up to 1/20 of the limit may stay unused; a window keeps 21 numbers while it has use
 
 
 class SlotUse(NamedTuple):
-    """What was used in one slot; slots are numbered from the clock's zero."""
+    """The use counted in one slot; slots are numbered from the clock's zero."""
 
     slot: int
     amount: int
@@ -22,8 +22,9 @@
 
     Attributes:
         length, slot_length: of the window and of one slot, in tenths of a ms.
-        slots: amounts by slot number modulo SLOTS + 1; None while nothing counts: idle leaves cost nothing.
-        current_slot: the number of the newest slot; meaningful while there are `slots`.
+        slots: amounts by slot number modulo SLOTS + 1; None while nothing counts, so that idle leaves take no
+            memory for them.
+        current_slot: the number of the newest slot; valid only while `slots` is not None.
         used: the sum of `slots`.
     """
 
@@ -37,8 +38,10 @@
         self.used = 0
 
     def advance(self, now: int) -> None:
-        """Brings it up to `now`. A clock that went back changes nothing; one that leapt empties what it
-        passed."""
+        """Advances the window to `now`.
+
+        A clock that went back changes nothing; a clock that jumped ahead empties the slots that it passed.
+        """
         slot = now // self.slot_length
         if self.slots is None or slot <= self.current_slot:
             return
@@ -54,7 +57,7 @@
             self.slots = None
 
     def open_slots(self, now: int) -> list[int]:
-        """The slots, made empty at `now` if there are none."""
+        """Returns the slots; makes them, empty, at `now` if there are none."""
         if self.slots is None:
             self.slots = [0] * (SLOTS + 1)
             self.current_slot = now // self.slot_length
@@ -62,7 +65,7 @@
         return self.slots
 
     def add(self, now: int, amount: int) -> int:
-        """Counts an amount; returns the slot it stands in, for `subtract`."""
+        """Counts an amount; returns the slot in which it counts, for `subtract`."""
         self.advance(now)
         slots = self.open_slots(now)
         slots[self.current_slot % len(slots)] += amount
@@ -70,7 +73,7 @@
         return self.current_slot
 
     def subtract(self, now: int, slot: int, amount: int) -> None:
-        """Takes back what was counted in that slot, as far as it still counts."""
+        """Takes back an amount that was counted in that slot, as far as it still counts."""
         self.advance(now)
         if self.slots is not None and self.current_slot - slot < len(self.slots):
             index = slot % len(self.slots)
@@ -79,7 +82,7 @@
             self.used -= amount
 
     def restore(self, now: int, slot: int, amount: int) -> None:
-        """Counts an amount in a slot that lies behind, as far as that still counts."""
+        """Counts an amount in the current slot or an earlier one, if that slot still counts."""
         self.advance(now)
         slots = self.open_slots(now)
         if 0 <= self.current_slot - slot < len(slots):
@@ -87,7 +90,7 @@
             self.used += amount
 
     def slots_in_use(self) -> list[SlotUse]:
-        """All that counts, by slot, the oldest first."""
+        """Returns the slots with use that counts, the oldest first."""
         if self.slots is None:
             return []
         size = len(self.slots)
@@ -98,7 +101,7 @@
         ]
 
     def free_at(self, now: int, limit: int, amount: int) -> int | None:
-        """The first moment at which so much fits if nothing else comes; None if it never does."""
+        """Returns the first time at which `amount` fits if nothing else is added; None if it never does."""
         self.advance(now)
         if amount > limit:
             return None
@@ -115,7 +118,7 @@
         return None
 
     def check_invariants(self) -> None:
-        """AssertionError if the sum is not that of the slots, or a slot is negative."""
+        """Raises AssertionError if the sum is not that of the slots, or a slot is negative."""
         if self.slots is None:
             assert self.used == 0
             return
--- a/shedgrade/sidecar/quota/state.py
+++ b/shedgrade/sidecar/quota/state.py
@@ -1,8 +1,8 @@
-"""What the tree has counted and owes, as plain data, and its return after a restart. No I/O.
+"""Saves the use and the debts of a tree as plain data, and restores them after a restart. No I/O.
 
-Names stand for nodes; times are Unix milliseconds, as the process's own clock does not outlive it. What comes
-back is checked as a whole: a state that is not sound is left out, never half taken. What is in flight is not
-kept: no request outlives the process. The names of the fields are keys on disk.
+Nodes are saved by their names, and times in Unix milliseconds, as the process's own clock does not outlive
+it. A saved state is checked as a whole: an invalid state is ignored, never restored in part. Requests in
+flight are not saved, as none outlives the process. The names of the fields are keys on disk.
 """
 
 from typing import Any
@@ -16,11 +16,11 @@
 from shedgrade.sidecar.quota.tree import Key, Node, Tree
 
 VERSION = 1
-MAX_ACCOUNTS = 100_000  # of which anything is kept: the file stays small, whatever names were made up
+MAX_ACCOUNTS = 100_000  # accounts whose use is saved: bounds the file, however many names clients make up
 
 
 class SavedDebt(Struct, forbid_unknown_fields=True):
-    """`left` of it is not yet repaid; `at` and `due` in Unix ms."""
+    """A debt of which `left` is not yet repaid; `at` and `due` in Unix ms."""
 
     lender: str
     borrower: str
@@ -32,7 +32,7 @@
 
 
 class SavedUse(Struct, forbid_unknown_fields=True):
-    """One account: its node's names, and (Unix ms of the slot's start, amount) of each slot that counts."""
+    """The use of one account: its node's names below the root, and (Unix ms of its start, amount) by slot."""
 
     names: list[str]
     dimension: str
@@ -41,7 +41,7 @@
 
 
 class SavedState(Struct, forbid_unknown_fields=True):
-    """Everything that one tree has counted and owes."""
+    """The use and the debts of one tree."""
 
     version: int = msgspec.field(name="v")
     use: list[SavedUse] = msgspec.field(name="counted")
@@ -49,23 +49,25 @@
 
 
 class ClockPair(Struct, frozen=True):
-    """One moment by both clocks."""
+    """The same moment on the process's clock and on the wall clock."""
 
-    now: int  # of the process's clock, in tenths of a ms
+    now: int  # tenths of a ms on the process's clock
     wall: int  # Unix ms
 
     def to_wall(self, at: int) -> int:
-        """A moment of the process's clock in Unix ms."""
+        """Converts a time on the process's clock to Unix ms."""
         return self.wall + (at - self.now) // 10
 
     def from_wall(self, at: int) -> int:
-        """Unix ms as a moment of the process's clock, now at the latest: guards against a wall clock that
-        went back, what would lie ahead counts as of now."""
+        """Converts Unix ms to a time on the process's clock, now at the latest.
+
+        Guards against a wall clock that went back: a time in the future becomes now.
+        """
         return min(self.now, self.now + (at - self.wall) * 10)
 
 
 def export(tree: Tree, now: int, wall: int) -> dict[str, Any]:
-    """`now`: tenths of a ms of the process's clock; `wall`: the same moment in Unix ms."""
+    """Returns the state to save. `now`: by the process's clock, tenths of a ms; `wall`: the same, Unix ms."""
     clocks = ClockPair(now, wall)
     use: list[SavedUse] = []
     debts: list[SavedDebt] = []
@@ -80,7 +82,7 @@
 
 
 def saved_use(names: list[str], account: Account, clocks: ClockPair) -> SavedUse:
-    """What counts in the window of this account."""
+    """Returns the use that counts in the window of this account."""
     window = account.window
     assert window is not None
     slots = [(clocks.to_wall(one.slot * window.slot_length), one.amount) for one in window.slots_in_use()]
@@ -88,7 +90,7 @@
 
 
 def saved_debt(one: OpenDebt, clocks: ClockPair) -> SavedDebt:
-    """What is left of one debt."""
+    """Returns the saved form of what is left of one debt."""
     dimension, window = one.debt.key
     return SavedDebt(
         lender=one.lender.name,
@@ -102,7 +104,7 @@
 
 
 class Restored(Struct, frozen=True):
-    """What came back. `problem`: why nothing did, "" if the state was sound."""
+    """The sums of use and debts that were restored. `problem`: why none were, "" if the state was valid."""
 
     counted: int = 0
     owed: int = 0
@@ -110,7 +112,7 @@
 
 
 def restore(tree: Tree, state: object, now: int, wall: int) -> Restored:
-    """Puts back what still counts; it never raises."""
+    """Restores what still counts; reports an invalid state as a `problem` and does not raise."""
     try:
         saved = msgspec.convert(state, SavedState)
     except msgspec.ValidationError as error:
@@ -127,13 +129,13 @@
 
 
 def restore_use(tree: Tree, saved: SavedUse, clocks: ClockPair) -> int:
-    """Puts back the window of one account; returns how much of it still counts."""
+    """Restores the window of one account; returns how much of it still counts."""
     account = find_account(tree, clocks.now, saved.names, (saved.dimension, saved.window))
     if account is None or account.window is None:
         return 0
     counted, slot_length = 0, account.window.slot_length
     for at, amount in sorted(saved.slots):
-        # To the next whole slot: rounded to later, so it counts for at least as long as it would have.
+        # Rounded up to the next slot, so that it counts for at least as long as it would have.
         slot = clocks.from_wall(at) // slot_length + 1
         if clocks.now // slot_length - slot <= SLOTS:
             account.restore_use(clocks.now, min(slot, clocks.now // slot_length), amount)
@@ -142,7 +144,7 @@
 
 
 def restore_debts(tree: Tree, debts: list[SavedDebt], clocks: ClockPair) -> int:
-    """Puts back debts among accounts that are still there, each with its full time; returns their sum."""
+    """Restores debts among accounts that still exist, each with its full time to repay; returns their sum."""
     accounts = {
         (account.name, account.limit.key): account
         for node in tree.root.walk()
@@ -163,7 +165,10 @@
 
 
 def find_account(tree: Tree, now: int, names: list[str], key: Key) -> Account | None:
-    """The account of these names below the root; dynamic leaves are made for it."""
+    """Returns the account of a key at the node of these names below the root; makes dynamic leaves for it.
+
+    None if there is no such node or account.
+    """
     node: Node | None = tree.root
     for name in names:
         if node is None:
--- a/shedgrade/sidecar/quota/tree.py
+++ b/shedgrade/sidecar/quota/tree.py
@@ -1,8 +1,8 @@
-"""The tree of quotas, without I/O: `Tree.admit` says whether a request is admitted, or which limit refuses.
+"""The tree of quotas, without I/O: `Tree.admit` admits a request or returns the limit that refuses it.
 
-A node has limits (dimension, window, ceiling, guarantee, weight). A request is admitted only if every node on
-its path has room in every limit; `accounts.py` and `lending.py` say what room is. Amounts are whole numbers;
-times are tenths of a millisecond.
+Each node has limits (dimension, window, ceiling, guarantee, weight). A request is admitted only if every node
+on its path has room under all its limits; `accounts.py` and `lending.py` define when there is room. Amounts
+are integers; times are in tenths of a millisecond.
 """
 
 from collections.abc import Callable, Iterator
@@ -14,17 +14,23 @@
 from shedgrade.sidecar.quota.limits import LendingTerms, Limit
 from shedgrade.sidecar.quota.repayment import Debt
 
-EVICTION_CHECKS = 64  # dynamic leaves looked at, at most, for one to evict: work does not grow with leaves
+# The most dynamic leaves examined to evict one, so that the work does not grow with the number of leaves.
+EVICTION_CHECKS = 64
 MAX_DYNAMIC_LEAVES = 50_000
 
-Key = tuple[str, int]  # of a limit: dimension, window
+Key = tuple[str, int]  # dimension and window of a limit
 
 
 class Refusal(Struct):
-    """Which node and limit had no room.
+    """The refusal of a request by one limit of one node.
 
-    `retry_at`: when it has room if nothing else comes; None if that can't be foreseen. `within_entitlement`:
-    it was refused something that is its own. `by_siblings`: its own ceiling had room.
+    Attributes:
+        node: the full name of the node.
+        limit: the limit that had no room.
+        retry_at: when there is room if no other request comes, in tenths of a ms; None if that can't be
+            predicted.
+        within_entitlement: whether the account that found no room asked for an amount within its entitlement.
+        by_siblings: whether the node's own ceiling had room, so that siblings are the cause.
     """
 
     node: str
@@ -40,16 +46,16 @@
 
 
 class Node:
-    """One organisation, chain or store.
+    """A node of the tree: an organisation, a chain or a store, for example.
 
     Attributes:
-        name, parent, children, terms: its place in the tree, and the terms of the whole tree.
-        limits: as configured, or those of its parent where it has none of its own.
-        accounts: by key of the limit, its side of each.
-        path: the accounts that a request needs room in, its own ones first, the root's last.
-        tickets: requests in flight at this very node.
-        template: what children that the configuration doesn't name are like; whatever `Tree.template` takes,
-            None if there are to be none.
+        name, parent, children, terms: its position in the tree, and the terms of the whole tree.
+        limits: as configured, and the parent's ceilings for whatever the node does not limit itself.
+        accounts: by key of the limit, the node's use of it.
+        path: the accounts in which a request needs room, from those of this node to those of the root.
+        tickets: the number of requests in flight at this node, without its descendants.
+        template: what `Tree.template` makes children from that the configuration does not name; None if no
+            such children are made.
     """
 
     __slots__ = (
@@ -85,8 +91,11 @@
         self.update_limits(limits, None)
 
     def update_limits(self, limits: tuple[Limit, ...], template: object) -> None:
-        """Other limits from now on; what is counted and owed under those that stay is kept. A limit that is
-        new counts from now on: what is in flight was charged without it."""
+        """Replaces the limits and the template.
+
+        Use and debts under limits that stay are kept. A new limit starts at zero: requests in flight were
+        charged without it.
+        """
         parent_accounts = self.parent.accounts if self.parent is not None else {}
         self.limits = limits
         self.template = template
@@ -108,29 +117,29 @@
             child.path = (*child.accounts.values(), *self.path)
 
     def ancestry(self) -> list["Node"]:
-        """This node, its parent and so on, up to the root."""
+        """Returns this node, its parent and so on, up to the root."""
         found = [self]
         while found[-1].parent is not None:
             found.append(found[-1].parent)
         return found
 
     def full_name(self) -> str:
-        """The names from the root to here, with slashes."""
+        """Returns the names from the root to this node, joined with slashes."""
         return "/".join(node.name for node in reversed(self.ancestry()))
 
     @property
     def in_flight(self) -> int:
-        """Requests in flight at it and below."""
+        """Requests in flight at this node and below."""
         return sum(node.tickets for node in self.walk())
 
     def walk(self) -> Iterator["Node"]:
-        """This node and all below it."""
+        """Yields this node and all nodes below it."""
         yield self
         for child in self.children.values():
             yield from child.walk()
 
     def is_idle(self, now: int) -> bool:
-        """Whether it holds, owes and counts nothing, so that nothing is lost without it."""
+        """Returns whether the node holds, owes and counts nothing, so that its removal loses nothing."""
         return (
             not self.tickets
             and not self.children
@@ -140,7 +149,7 @@
         )
 
     def check_invariants(self) -> None:
-        """AssertionError if the sums of any limit of this node contradict its children's accounts."""
+        """Raises AssertionError if the sums of a limit, here or below, contradict the children's accounts."""
         for key, account in self.accounts.items():
             if account.window is not None:
                 account.window.check_invariants()
@@ -152,7 +161,7 @@
 
 
 class Ticket:
-    """One admitted request: charged at once by estimate, settled or cancelled exactly once."""
+    """One admitted request: charged by estimate at its admission, then settled or cancelled exactly once."""
 
     __slots__ = ("node", "charges", "open")
 
@@ -162,8 +171,10 @@
         self.open = True
 
     def settle(self, now: int, actual: dict[str, int]) -> None:
-        """It has ended and did run: what it used beyond the estimate, by dimension, is charged now, what it
-        did not use is refunded."""
+        """Settles a request that ran: charges what it used beyond the estimate, refunds what it did not use.
+
+        `actual`: the use by dimension; a dimension that is missing was used as estimated.
+        """
         for account, slot, amount in self.close():
             if account.window is None:
                 account.refund(now, slot, amount)
@@ -175,12 +186,12 @@
                 account.refund(now, slot, -difference)
 
     def cancel(self, now: int) -> None:
-        """It has provably never run: all of it is refunded."""
+        """Refunds the whole charge of a request that provably never ran."""
         for account, slot, amount in self.close():
             account.refund(now, slot, amount)
 
     def close(self) -> list[Charge]:
-        """What is to be settled; nothing the second time."""
+        """Ends the ticket and returns its charges; returns none if the ticket has ended before."""
         if not self.open:
             return []
         self.open = False
@@ -189,13 +200,13 @@
 
 
 class Tree:
-    """All nodes. Leaves that no configuration names are made from a template: dynamic leaves.
+    """All nodes. Leaves that the configuration does not name are made from a template: dynamic leaves.
 
     Attributes:
         root, terms: the root node and the terms of the whole tree.
-        template: makes the dynamic leaf of this name under a node, or None if there is to be none.
-        max_dynamic_leaves: how many there may be at once.
-        dynamic_leaves: by id of the parent and name, in the order in which they were made.
+        template: makes the dynamic leaf of this name under a node; returns None if there is to be none.
+        max_dynamic_leaves: the most dynamic leaves that exist at once.
+        dynamic_leaves: by id of the parent and name, in the order in which eviction examines them.
     """
 
     def __init__(
@@ -213,7 +224,10 @@
     # --- nodes
 
     def find(self, now: int, names: list[str], default: Node) -> Node:
-        """The node of this identity; `default` for whoever is unknown and gets no dynamic leaf."""
+        """Returns the node of this identity.
+
+        `default` if the identity is empty, or unknown without a dynamic leaf being made for it.
+        """
         node = self.root
         for name in names:
             child = node.children.get(name) or self.make_leaf(now, node, name)
@@ -223,7 +237,7 @@
         return node if names else default
 
     def make_leaf(self, now: int, parent: Node, name: str) -> Node | None:
-        """A dynamic leaf under this node, or None if there is no template or no room for it."""
+        """Makes a dynamic leaf under this node; returns None without a template or room for another leaf."""
         if parent.template is None:
             return None
         if len(self.dynamic_leaves) >= self.max_dynamic_leaves and not self.evict_idle_leaf(now):
@@ -234,8 +248,11 @@
         return child
 
     def evict_idle_leaf(self, now: int) -> bool:
-        """Forgets one dynamic leaf that holds nothing and owes nothing. Guards against made-up names: a name
-        that is still counted in any window stays, so nobody gains by coming back under it."""
+        """Removes one idle dynamic leaf; returns whether there was one among those examined.
+
+        Guards against made-up names: a leaf with use in any window stays, so that no client sheds its use by
+        coming back under the same name.
+        """
         for key, node in list(islice(self.dynamic_leaves.items(), EVICTION_CHECKS)):
             del self.dynamic_leaves[key]
             if node.is_idle(now):
@@ -244,19 +261,21 @@
                 if node.parent is not None:
                     del node.parent.children[node.name]
                 return True
-            self.dynamic_leaves[key] = node  # behind the others
+            self.dynamic_leaves[key] = node  # goes to the end, to be examined last
         return False
 
     def debts(self) -> Iterator[Debt]:
-        """Those that are remembered, repaid or not."""
+        """Yields the debts that are remembered, repaid or not."""
         for node in self.root.walk():
             for account in node.accounts.values():
                 if account.children_pool is not None:
                     yield from account.children_pool.repayment.history
 
     def apply_share(self) -> None:
-        """The share has changed. Accounts follow when they are next asked; those that siblings keep room for
-        follow at once."""
+        """Applies a changed share at once to the accounts with a guarantee, as siblings keep room for them.
+
+        Other accounts apply it when they are next asked for room.
+        """
         for account in self.terms.guaranteed:
             if account.applied_share != self.terms.share:
                 account.update_limit(account.limit)
@@ -266,10 +285,10 @@
     def admit(
         self, now: int, node: Node, amounts: dict[str, int], luck: float = 0.0, is_retry: bool = False
     ) -> Ticket | Refusal:
-        """A ticket if every limit of every node on the path has room, else the first that has none.
+        """Returns a ticket if every limit of every node on the path has room, else the first refusal.
 
-        `amounts`: by dimension. `luck`: 0 to 1, the balancer's draw for this request, low for the dear.
-        `is_retry`: marked so by its client.
+        `amounts`: by dimension. `luck`: the balancer's draw for this request, 0 to 1, low for requests of
+        high payoff. `is_retry`: whether the client marked the request as a retry.
         """
         get, path = amounts.get, node.path
         for account in path:
@@ -292,10 +311,13 @@
         return Ticket(node, charges)
 
     def refuse(self, now: int, node: Node, account: Account, amount: int, is_retry: bool) -> Refusal:
-        """Tells the pool that had no room: the parent's, or where an account is full itself, its own, by the
-        child on the path."""
+        """Returns the refusal, and reports it to the pool that had no room.
+
+        That is the parent's pool, or, if the account's own ceiling is full, the pool of its children, to
+        which the child on the path is reported.
+        """
         for one in node.path:
-            # Entitlements and sums are read below: instalments that are over must have ended by then.
+            # Entitlements and sums are read below, so instalments whose time is over are ended before.
             if one.children_pool is not None:
                 one.children_pool.advance(now)
         by_siblings = account.used(now) + amount <= account.ceiling
@@ -314,10 +336,10 @@
 
     @staticmethod
     def retry_at(now: int, account: Account, amount: int, by_siblings: bool) -> int | None:
-        """When there may be room; None for what is in flight, which nobody can foresee."""
+        """Returns when there may be room; None for requests in flight, as their ends can't be predicted."""
         if account.window is None:
             return None
         if by_siblings and account.parent is not None and account.parent.window is not None:
             slot_length = account.parent.window.slot_length
-            return (now // slot_length + 1) * slot_length  # the next time that anything leaves it
+            return (now // slot_length + 1) * slot_length  # the next time that use leaves the parent's window
         return account.window.free_at(now, account.ceiling, amount)
