--- a/shedgrade/sidecar/quota/accounts.py
+++ b/shedgrade/sidecar/quota/accounts.py
@@ -9,12 +9,14 @@
 
 from shedgrade.sidecar.quota.lending import LendingPool
 from shedgrade.sidecar.quota.limits import MILLION, LendingTerms, Limit
-from shedgrade.sidecar.quota.pacing import CONTENTION_HEADROOM, EvenRate
+from shedgrade.sidecar.quota.pacing import CONTENTION_HEADROOM_DIVISOR, EvenRate
 from shedgrade.sidecar.quota.sliding_window import SlidingWindow
 
-INSTALMENT_PART = 2  # an instalment is at most half of a guarantee, so that no borrower is starved
-LOW_VALUE_RESERVE = 16  # up to 1/16 of a ceiling is withheld from requests of low payoff, by their draw
-UNCONTENDED = 2  # up to half of a ceiling siblings don't compete, and requests are admitted without pacing
+INSTALMENT_DIVISOR = 2  # an instalment is at most half of a guarantee, so that no borrower is starved
+# Up to 1/16 of a ceiling is withheld from requests of low payoff, by their draw.
+LOW_VALUE_RESERVE_DIVISOR = 16
+# Up to half of a ceiling siblings don't compete, and requests are admitted without pacing.
+UNCONTENDED_DIVISOR = 2
 
 
 class Account:
@@ -120,7 +122,7 @@
 
     def most_per_instalment(self) -> int:
         """Returns the most that one instalment repays."""
-        return self.guarantee // INSTALMENT_PART
+        return self.guarantee // INSTALMENT_DIVISOR
 
     def entitlement(self) -> int:
         """Returns what the account may use whatever its siblings use: its guarantee plus its credit."""
@@ -210,11 +212,11 @@
             used, filled = self.in_flight + amount, parent.in_flight + amount
         else:
             used, filled = window.used + amount, parent.window.used + amount
-        if filled + pool.unused <= ceiling // UNCONTENDED or used <= self.entitlement():
+        if filled + pool.unused <= ceiling // UNCONTENDED_DIVISOR or used <= self.entitlement():
             return True
-        threshold = ceiling - int(ceiling // LOW_VALUE_RESERVE * luck)
+        threshold = ceiling - int(ceiling // LOW_VALUE_RESERVE_DIVISOR * luck)
         if pool.pacing.must_yield(now, self):
-            threshold -= ceiling // CONTENTION_HEADROOM
+            threshold -= ceiling // CONTENTION_HEADROOM_DIVISOR
             if not pool.conforms(pool.pacing.contended_rate, now):
                 return False
         if filled + pool.unused - self.unused <= threshold:
@@ -244,7 +246,7 @@
         if pool is None:
             return
         parent = pool.account
-        if parent.used(now) + amount + pool.unused <= parent.ceiling // UNCONTENDED:
+        if parent.used(now) + amount + pool.unused <= parent.ceiling // UNCONTENDED_DIVISOR:
             return
         self.last_request_at = now
         own = self.entitlement()
--- a/shedgrade/sidecar/quota/config.py
+++ b/shedgrade/sidecar/quota/config.py
@@ -6,8 +6,8 @@
 
 Count = Annotated[int, Meta(ge=0, le=2**53)]
 # In windows: two for an instalment, two for one that may be running, and one for the rounding to slots.
-LEAST_REPAY_WINDOWS = 5
-MOST_REPAY_WINDOWS = 40
+MIN_REPAY_WINDOWS = 5
+MAX_REPAY_WINDOWS = 40
 
 
 class LimitTable(Struct, kw_only=True, forbid_unknown_fields=True):
@@ -84,7 +84,7 @@
     source: Literal["attrs", "header", "login"] = "attrs"
     share: Annotated[float, Meta(gt=0, le=1)] = 1.0
     reserve: Annotated[float, Meta(ge=0, le=1)] = 0.25
-    repay_windows: Annotated[int, Meta(ge=LEAST_REPAY_WINDOWS, le=MOST_REPAY_WINDOWS)] = 10
+    repay_windows: Annotated[int, Meta(ge=MIN_REPAY_WINDOWS, le=MAX_REPAY_WINDOWS)] = 10
     most: Annotated[int, Meta(ge=1, le=1_000_000)] = 50_000
     estimate_ms: Annotated[float, Meta(gt=0)] = 20.0
     transit_ms: Annotated[float, Meta(ge=0, le=1000)] = 20.0
--- a/shedgrade/sidecar/quota/gate.py
+++ b/shedgrade/sidecar/quota/gate.py
@@ -13,8 +13,8 @@
 from shedgrade.sidecar.quota.fleet_share import FleetShare
 from shedgrade.sidecar.quota.tree import Refusal, Ticket
 
-WAIT_SPREAD = 0.5  # of the wait: the largest random addition, so that clients do not return together
-LONGEST_WAIT = 600_000  # tenths of a ms that a refusal asks the client to wait; settings may allow less
+WAIT_JITTER = 0.5  # of the wait: the largest random addition, so that clients do not return together
+MAX_WAIT = 600_000  # tenths of a ms that a refusal asks the client to wait; settings may allow less
 ESTIMATE_SMOOTHING = 16  # requests over which the mean work of a method is taken
 MAX_COUNT_DIGITS = 19  # of an upstream's count; longer values are ignored
 
@@ -116,8 +116,8 @@
         not return together.
         """
         least = 1 if refusal.retry_at is None else max(1, refusal.retry_at - now)
-        wait = min(LONGEST_WAIT, least * (2 if is_retry else 1))
-        return round(wait * (1 + WAIT_SPREAD * self.random.random()))
+        wait = min(MAX_WAIT, least * (2 if is_retry else 1))
+        return round(wait * (1 + WAIT_JITTER * self.random.random()))
 
     def leave(self, now: int, ticket: Ticket, method: int, ran: bool, took: int) -> None:
         """Settles a request that has ended.
--- a/shedgrade/sidecar/quota/pacing.py
+++ b/shedgrade/sidecar/quota/pacing.py
@@ -12,9 +12,10 @@
     from shedgrade.sidecar.quota.lending import LendingPool
 
 FRACTION_BITS = 16  # fraction bits of leads and rates, which are fixed-point numbers
-CONTENTION_HEADROOM = 8  # 1/8 of the ceiling is left to the accounts that are behind their pace
-IDLE_CHECKS = 2  # paced accounts checked for each one that is added, so that idle ones do not stay for long
-ONE = 1 << FRACTION_BITS  # an amount of 1 as a fixed-point number
+CONTENTION_HEADROOM_DIVISOR = 8  # 1/8 of the ceiling is left to the accounts that are behind their pace
+# Paced accounts checked for each one that is added, so that idle ones do not stay for long.
+MAX_IDLE_CHECKS = 2
+FIXED_POINT_ONE = 1 << FRACTION_BITS  # an amount of 1 as a fixed-point number
 
 
 class EvenRate:
@@ -83,14 +84,14 @@
         if self.must_yield(now, account):
             ceiling = self.pool.account.ceiling
             self.contended_rate.record(
-                now, amount, ceiling - ceiling // CONTENTION_HEADROOM, self.pool.window_length()
+                now, amount, ceiling - ceiling // CONTENTION_HEADROOM_DIVISOR, self.pool.window_length()
             )
         self.add(now, account)
         del self.children[account]
         self.children[account] = None  # moves to the end, as the most recently active
         self.decay_lead(now, account)
         fair_share = (self.pool.shareable() << FRACTION_BITS) * account.weight // self.total_weight
-        account.lead = min(max(ONE, fair_share), account.lead + (amount << FRACTION_BITS))
+        account.lead = min(max(FIXED_POINT_ONE, fair_share), account.lead + (amount << FRACTION_BITS))
         self.remove_idle(now)
 
     def decay_lead(self, now: int, account: "Account") -> None:
@@ -103,8 +104,8 @@
         account.lead_updated_at = max(now, account.lead_updated_at)
 
     def remove_idle(self, now: int) -> None:
-        """Removes accounts without a lead that have not asked for a window's length; at most IDLE_CHECKS."""
-        for _ in range(min(IDLE_CHECKS, len(self.children))):
+        """Removes accounts without a lead that did not ask for a window's length; at most MAX_IDLE_CHECKS."""
+        for _ in range(min(MAX_IDLE_CHECKS, len(self.children))):
             account = next(iter(self.children))
             self.decay_lead(now, account)
             if account.lead or now - account.last_request_at <= self.pool.window_length():
@@ -117,7 +118,7 @@
             return False
         self.decay_lead(now, account)
         fair_share = (self.pool.shareable() << FRACTION_BITS) * account.weight // self.total_weight
-        if account.lead <= ONE + fair_share // CONTENTION_HEADROOM:
+        if account.lead <= FIXED_POINT_ONE + fair_share // CONTENTION_HEADROOM_DIVISOR:
             return False
         self.remove_idle(now)
         return len(self.children) > 1
--- a/shedgrade/sidecar/quota/repayment.py
+++ b/shedgrade/sidecar/quota/repayment.py
@@ -15,9 +15,10 @@
     from shedgrade.sidecar.quota.accounts import Account
     from shedgrade.sidecar.quota.lending import LendingPool
 
-DEBTS_REMEMBERED = 1000  # for reports, repaid ones included
+MAX_DEBT_HISTORY = 1000  # for reports, repaid ones included
 INSTALMENT_WINDOWS = 2  # the duration of an instalment, in windows
-OPEN_IN_FLIGHT = 500  # tenths of a ms for which an instalment of a limit without a window takes further debts
+# Tenths of a ms for which an instalment of a limit without a window takes further debts.
+IN_FLIGHT_OPEN_PERIOD = 500
 
 
 class Debt(Struct, eq=False):
@@ -94,7 +95,7 @@
         self.unscheduled: dict[Account, deque[UnscheduledDebt]] = {}
         self.running: dict[Account, Instalment] = {}
         self.outstanding = 0
-        self.history: deque[Debt] = deque(maxlen=DEBTS_REMEMBERED)
+        self.history: deque[Debt] = deque(maxlen=MAX_DEBT_HISTORY)
 
     def add_debt(self, now: int, lender: "Account", borrower: "Account", amount: int) -> Debt:
         """Adds a debt to what the borrower owes, and begins or extends its instalment; returns the debt."""
@@ -232,7 +233,7 @@
     def open_length(self) -> int:
         """Returns for how long an instalment takes further debts, in tenths of a millisecond."""
         window = self.pool.account.window
-        return window.slot_length if window is not None else OPEN_IN_FLIGHT
+        return window.slot_length if window is not None else IN_FLIGHT_OPEN_PERIOD
 
     def drop_empty_queue(self, borrower: "Account") -> None:
         """Removes the queue of a borrower that has nothing left to schedule."""
--- a/shedgrade/sidecar/quota/state.py
+++ b/shedgrade/sidecar/quota/state.py
@@ -15,8 +15,9 @@
 from shedgrade.sidecar.quota.sliding_window import SLOTS
 from shedgrade.sidecar.quota.tree import Key, Node, Tree
 
-VERSION = 1
-MAX_ACCOUNTS = 100_000  # accounts whose use is saved: bounds the file, however many names clients make up
+STATE_VERSION = 1
+# Accounts whose use is saved: bounds the file, however many names clients make up.
+MAX_SAVED_ACCOUNTS = 100_000
 
 
 class SavedDebt(Struct, forbid_unknown_fields=True):
@@ -74,11 +75,11 @@
     for node in tree.root.walk():
         names = [one.name for one in reversed(node.ancestry())][1:]
         for account in node.accounts.values():
-            if account.window is not None and account.used(now) and len(use) < MAX_ACCOUNTS:
+            if account.window is not None and account.used(now) and len(use) < MAX_SAVED_ACCOUNTS:
                 use.append(saved_use(names, account, clocks))
             if account.children_pool is not None:
                 debts += [saved_debt(one, clocks) for one in account.children_pool.repayment.open_debts()]
-    return msgspec.to_builtins(SavedState(VERSION, use, debts))
+    return msgspec.to_builtins(SavedState(STATE_VERSION, use, debts))
 
 
 def saved_use(names: list[str], account: Account, clocks: ClockPair) -> SavedUse:
@@ -117,8 +118,8 @@
         saved = msgspec.convert(state, SavedState)
     except msgspec.ValidationError as error:
         return Restored(problem=str(error))
-    if saved.version != VERSION:
-        return Restored(problem=f"version {saved.version}, not {VERSION}")
+    if saved.version != STATE_VERSION:
+        return Restored(problem=f"version {saved.version}, not {STATE_VERSION}")
     if any(amount < 0 for one in saved.use for _, amount in one.slots):
         return Restored(problem="a count is negative")
     if any(one.left <= 0 for one in saved.debts):
--- a/shedgrade/sidecar/quota/tree.py
+++ b/shedgrade/sidecar/quota/tree.py
@@ -15,7 +15,7 @@
 from shedgrade.sidecar.quota.repayment import Debt
 
 # The most dynamic leaves examined to evict one, so that the work does not grow with the number of leaves.
-EVICTION_CHECKS = 64
+MAX_EVICTION_CHECKS = 64
 MAX_DYNAMIC_LEAVES = 50_000
 
 Key = tuple[str, int]  # dimension and window of a limit
@@ -253,7 +253,7 @@
         Guards against made-up names: a leaf with use in any window stays, so that no client sheds its use by
         coming back under the same name.
         """
-        for key, node in list(islice(self.dynamic_leaves.items(), EVICTION_CHECKS)):
+        for key, node in list(islice(self.dynamic_leaves.items(), MAX_EVICTION_CHECKS)):
             del self.dynamic_leaves[key]
             if node.is_idle(now):
                 for account in node.accounts.values():
