--- a/shedgrade/sidecar/quota/accounts.py
+++ b/shedgrade/sidecar/quota/accounts.py
@@ -195,11 +195,11 @@
             window.advance(now)
         return window.used + amount <= self.ceiling
 
-    def admissible_among_siblings(self, now: int, amount: int, luck: float) -> bool:
+    def admissible_among_siblings(self, now: int, amount: int, admission_draw: float) -> bool:
         """Returns whether the amount fits beside the entitlements and the pace of the siblings.
 
         `within_ceiling` must have been called before, for this account and its parent, as it advances their
-        windows. `luck`: 0 to 1, low for requests of high payoff.
+        windows. `admission_draw`: 0 to 1, low for requests of high payoff.
         """
         pool = self.pool
         if pool is None:
@@ -214,7 +214,7 @@
             used, filled = window.used + amount, parent.window.used + amount
         if filled + pool.unused <= ceiling // UNCONTENDED_DIVISOR or used <= self.entitlement():
             return True
-        threshold = ceiling - int(ceiling // LOW_VALUE_RESERVE_DIVISOR * luck)
+        threshold = ceiling - int(ceiling // LOW_VALUE_RESERVE_DIVISOR * admission_draw)
         if pool.pacing.must_yield(now, self):
             threshold -= ceiling // CONTENTION_HEADROOM_DIVISOR
             if not pool.conforms(pool.pacing.contended_rate, now):
--- a/shedgrade/sidecar/quota/gate.py
+++ b/shedgrade/sidecar/quota/gate.py
@@ -93,17 +93,17 @@
         return [value.decode("latin-1") for value in found] if all(found) else []
 
     def enter(
-        self, now: int, active_request: ActiveRequest, method: int, is_retry: bool, luck: float
+        self, now: int, active_request: ActiveRequest, method: int, is_retry: bool, admission_draw: float
     ) -> Ticket | int:
         """Returns a ticket, or the time that the client is to wait, in tenths of a millisecond.
 
-        `is_retry`: whether the client marked the request as a retry. `luck`: the balancer's draw, 0 to 1, by
-        which requests of low payoff are refused first.
+        `is_retry`: whether the client marked the request as a retry. `admission_draw`: drawn by the balancer,
+        0 to 1, so that requests of low payoff are refused first.
         """
         leaf = self.tree.find(now, self.identity(active_request), self.default_leaf)
         work = max(1, round(self.estimates.get(method, self.quota.estimate_ms)))
-        luck = 0.0 if self.payoffs_alike else luck
-        result = self.tree.admit(now, leaf, {"requests": 1, "work": work}, luck, is_retry)
+        admission_draw = 0.0 if self.payoffs_alike else admission_draw
+        result = self.tree.admit(now, leaf, {"requests": 1, "work": work}, admission_draw, is_retry)
         if isinstance(result, Ticket):
             return result
         self.refused[result.node] += 1
--- a/shedgrade/sidecar/quota/tree.py
+++ b/shedgrade/sidecar/quota/tree.py
@@ -283,12 +283,17 @@
     # --- requests
 
     def admit(
-        self, now: int, node: Node, amounts: dict[str, int], luck: float = 0.0, is_retry: bool = False
+        self,
+        now: int,
+        node: Node,
+        amounts: dict[str, int],
+        admission_draw: float = 0.0,
+        is_retry: bool = False,
     ) -> Ticket | Refusal:
         """Returns a ticket if every limit of every node on the path has room, else the first refusal.
 
-        `amounts`: by dimension. `luck`: the balancer's draw for this request, 0 to 1, low for requests of
-        high payoff. `is_retry`: whether the client marked the request as a retry.
+        `amounts`: by dimension. `admission_draw`: drawn by the balancer for this request, 0 to 1, low for
+        requests of high payoff. `is_retry`: whether the client marked the request as a retry.
         """
         get, path = amounts.get, node.path
         for account in path:
@@ -298,7 +303,7 @@
         for account in path:
             if account.pool is not None:
                 amount = 1 if account.window is None else get(account.dimension, 0)
-                if not account.admissible_among_siblings(now, amount, luck):
+                if not account.admissible_among_siblings(now, amount, admission_draw):
                     return self.refuse(now, node, account, amount, is_retry)
         charges = []
         for account in path:
