--- a/shedgrade/sidecar/quota/fleet_share.py
+++ b/shedgrade/sidecar/quota/fleet_share.py
@@ -9,10 +9,10 @@
 minimum of the last EPOCHS_KEPT epochs. Sidecars whose clocks differ by less than an epoch have an epoch in
 common, whose parts add up to 1 at most, and the minimum does not exceed the part in that epoch. So the fleet
 stays within the limit while traffic moves from one sidecar to another, and a sidecar that gains traffic waits
-EPOCHS_KEPT epochs for its larger share. The part `even` is split evenly by configuration: a sidecar without
-traffic starts from it.
+EPOCHS_KEPT epochs for its larger share. The part `even_part` is split evenly by configuration: a sidecar
+without traffic starts from it.
 
-A protocol by which sidecars agree on shares would set `exchanged`; nothing sets it so far.
+A protocol by which sidecars agree on shares would set `agreed_part`; nothing sets it so far.
 """
 
 from msgspec import Struct
@@ -27,42 +27,42 @@
 
     epoch_start: int  # its count at the last answer of the previous epoch
     latest: int  # its count at the latest answer
-    ours: int = 0  # answers between the two that this sidecar received
+    own_answers: int = 0  # answers between the two that this sidecar received
 
 
 class FleetShare:
     """The share of one sidecar. Times are in tenths of a millisecond of the wall clock.
 
     Attributes:
-        epoch_length, sidecars, even: from the configuration; `even` in millionths.
+        epoch_length, sidecar_count, even_part: from the configuration; `even_part` in millionths.
         counts: by index of the upstream, for upstreams that answered in this epoch or the previous one.
-        upstreams: the number of listed upstreams.
-        current_epoch: the number of the current epoch; -1 before the first call of `at`.
+        upstream_count: the number of listed upstreams.
+        current_epoch: the number of the current epoch; -1 before the first call of `share_at`.
         parts: this sidecar's part of the answers in each of the last epochs, in millionths, the newest first.
-        exchanged: a part that sidecars agreed on, in millionths; None to use the observed `parts`.
+        agreed_part: a part that sidecars agreed on, in millionths; None to use the observed `parts`.
     """
 
-    def __init__(self, epoch_length: int, sidecars: int, even: float) -> None:
+    def __init__(self, epoch_length: int, sidecar_count: int, even_part: float) -> None:
         self.epoch_length = epoch_length
-        self.sidecars = sidecars
-        self.even = int(even * MILLION)
+        self.sidecar_count = sidecar_count
+        self.even_part = int(even_part * MILLION)
         self.counts: dict[int, UpstreamCount] = {}
-        self.upstreams = 0
+        self.upstream_count = 0
         self.current_epoch = -1
         self.parts = [0] * EPOCHS_KEPT
-        self.exchanged: int | None = None
+        self.agreed_part: int | None = None
 
-    def set_upstreams(self, upstreams: int) -> None:
+    def set_upstreams(self, upstream_count: int) -> None:
         """Sets the number of listed upstreams."""
-        self.upstreams = upstreams
+        self.upstream_count = upstream_count
 
-    def at(self, wall: int) -> int:
+    def share_at(self, wall_time: int) -> int:
         """Returns the share from this time on, in millionths; begins a new epoch if the last one is over."""
-        epoch = wall // self.epoch_length
+        epoch = wall_time // self.epoch_length
         if epoch != self.current_epoch:
             self.begin_epoch(epoch)
-        part = min(self.parts) if self.exchanged is None else min(self.exchanged, MILLION)
-        return max(1, self.even // self.sidecars + (MILLION - self.even) * part // MILLION)
+        part = min(self.parts) if self.agreed_part is None else min(self.agreed_part, MILLION)
+        return max(1, self.even_part // self.sidecar_count + (MILLION - self.even_part) * part // MILLION)
 
     def begin_epoch(self, epoch: int) -> None:
         """Begins another epoch.
@@ -79,22 +79,22 @@
 
     def record_answer(self, upstream: int, count: int) -> None:
         """Records an answer to this sidecar. `count`: all answers of the upstream, this one included."""
-        seen = self.counts.get(upstream)
-        if seen is None or count <= seen.latest:  # a new upstream, or one that has restarted
+        counter = self.counts.get(upstream)
+        if counter is None or count <= counter.latest:  # a new upstream, or one that has restarted
             self.counts[upstream] = UpstreamCount(count, count)
         else:
-            seen.latest = count
-            seen.ours += 1
+            counter.latest = count
+            counter.own_answers += 1
 
     def end_epoch(self) -> int:
         """Returns this sidecar's part in the epoch that ends, in millionths, and resets the counts."""
         total = 0
-        for upstream, seen in list(self.counts.items()):
-            answered = seen.latest - seen.epoch_start
+        for upstream, counter in list(self.counts.items()):
+            answered = counter.latest - counter.epoch_start
             if answered > 0:
-                total += min(MILLION, seen.ours * MILLION // answered)
-                self.counts[upstream] = UpstreamCount(seen.latest, seen.latest)
+                total += min(MILLION, counter.own_answers * MILLION // answered)
+                self.counts[upstream] = UpstreamCount(counter.latest, counter.latest)
             else:
                 # After an epoch without an answer, the count is not compared with later ones.
                 del self.counts[upstream]
-        return total // max(1, self.upstreams, len(self.counts))
+        return total // max(1, self.upstream_count, len(self.counts))
--- a/shedgrade/sidecar/quota/gate.py
+++ b/shedgrade/sidecar/quota/gate.py
@@ -64,10 +64,10 @@
             self.share = None
             return
         epoch_length = round(fleet.epoch_s * 10_000)
-        known = self.share
-        if known is None or known.epoch_length != epoch_length or known.sidecars != fleet.sidecars:
+        current = self.share
+        if current is None or current.epoch_length != epoch_length or current.sidecar_count != fleet.sidecars:
             self.share = FleetShare(epoch_length, fleet.sidecars, fleet.even)
-            self.tree.terms.share = self.share.at(0)
+            self.tree.terms.share = self.share.share_at(0)
 
     # --- requests
 
@@ -139,14 +139,14 @@
         if self.share is not None and count.isdigit() and len(count) <= MAX_COUNT_DIGITS:
             self.share.record_answer(upstream, int(count))
 
-    def refresh_share(self, wall: int, upstreams: int) -> None:
+    def refresh_share(self, wall_time: int, upstream_count: int) -> None:
         """Recomputes the share and applies it, if limits are split by observed traffic.
 
-        `wall`: tenths of a ms of the wall clock. `upstreams`: the number of listed upstreams.
+        `wall_time`: tenths of a ms of the wall clock. `upstream_count`: the number of listed upstreams.
         """
         if self.share is not None:
-            self.share.set_upstreams(upstreams)
-            self.tree.terms.share = self.share.at(wall)
+            self.share.set_upstreams(upstream_count)
+            self.tree.terms.share = self.share.share_at(wall_time)
             self.tree.apply_share()
 
 
--- a/tests/sidecar/quota/test_share.py
+++ b/tests/sidecar/quota/test_share.py
@@ -13,14 +13,14 @@
     share = FleetShare(EPOCH, 4, 0.2)
     share.set_upstreams(2)
     for count, now in enumerate(range(0, 10 * EPOCH, 100), 1):
-        share.at(now)
+        share.share_at(now)
         share.record_answer(0, count)
         share.record_answer(1, count)
-    assert share.at(10 * EPOCH) == 50_000 + 800_000
-    assert share.at(50 * EPOCH) == 50_000  # a clock that leapt: what is not known is not used
+    assert share.share_at(10 * EPOCH) == 50_000 + 800_000
+    assert share.share_at(50 * EPOCH) == 50_000  # a clock that leapt: what is not known is not used
     for upstream in (0, 1):
         share.record_answer(upstream, 5)  # restarted upstreams count anew
-    assert share.at(51 * EPOCH) == 50_000
+    assert share.share_at(51 * EPOCH) == 50_000
 
 
 class Fleet:
@@ -44,7 +44,7 @@
         for number in order:
             share, tree = self.shares[number], self.trees[number]
             share.set_upstreams(len(self.counts))
-            tree.terms.share = share.at(now + self.skews[number] + EPOCH)
+            tree.terms.share = share.share_at(now + self.skews[number] + EPOCH)
             for _ in range(demand[number]):
                 if not isinstance(tree.admit(now, tree.root, {"requests": 1}), Ticket):
                     break
