--- a/shedgrade/sidecar/quota/accounts.py
+++ b/shedgrade/sidecar/quota/accounts.py
@@ -1,7 +1,7 @@
 """One node's use of one limit: its entitlement, what no sibling is entitled to, and loans. No I/O.
 
 Amounts are integers; times are in tenths of a millisecond. An admission asks `within_ceiling` and
-`admissible_among_siblings`, then calls `record_admission` and `charge`; `refund` takes a charge back. The
+`fits_among_siblings`, then calls `record_admission` and `charge`; `refund` takes a charge back. The
 parent's side is `lending.LendingPool`, which defines entitlements and when an account may borrow.
 
 A loan is given only up to what the borrower can repay within `repay_windows`: its credit limit.
@@ -115,12 +115,12 @@
         self.guarantee = guarantee
         # All its debts at any time fit into the instalments, of two windows each, that `repay_windows` holds:
         # one window less for the rounding to slots, and one instalment less for the one that may be running.
-        self.credit_limit = self.most_per_instalment() * max(0, (self.terms.repay_windows - 1) // 2 - 1)
+        self.credit_limit = self.max_instalment() * max(0, (self.terms.repay_windows - 1) // 2 - 1)
         if self.debt and pool is not None:
             pool.repayment.reschedule(self)
         self.update_unused()
 
-    def most_per_instalment(self) -> int:
+    def max_instalment(self) -> int:
         """Returns the most that one instalment repays."""
         return self.guarantee // INSTALMENT_DIVISOR
 
@@ -195,7 +195,7 @@
             window.advance(now)
         return window.used + amount <= self.ceiling
 
-    def admissible_among_siblings(self, now: int, amount: int, admission_draw: float) -> bool:
+    def fits_among_siblings(self, now: int, amount: int, admission_draw: float) -> bool:
         """Returns whether the amount fits beside the entitlements and the pace of the siblings.
 
         `within_ceiling` must have been called before, for this account and its parent, as it advances their
@@ -209,34 +209,34 @@
         if pool.expiries or pool.repayment.running:
             pool.advance(now)
         if window is None or parent.window is None:
-            used, filled = self.in_flight + amount, parent.in_flight + amount
+            used, parent_used = self.in_flight + amount, parent.in_flight + amount
         else:
-            used, filled = window.used + amount, parent.window.used + amount
-        if filled + pool.unused <= ceiling // UNCONTENDED_DIVISOR or used <= self.entitlement():
+            used, parent_used = window.used + amount, parent.window.used + amount
+        if parent_used + pool.unused <= ceiling // UNCONTENDED_DIVISOR or used <= self.entitlement():
             return True
         threshold = ceiling - int(ceiling // LOW_VALUE_RESERVE_DIVISOR * admission_draw)
         if pool.pacing.must_yield(now, self):
             threshold -= ceiling // CONTENTION_HEADROOM_DIVISOR
             if not pool.conforms(pool.pacing.contended_rate, now):
                 return False
-        if filled + pool.unused - self.unused <= threshold:
+        if parent_used + pool.unused - self.unused <= threshold:
             return True  # no sibling is entitled to it
-        return self.may_borrow(pool, now, used, filled, threshold)
+        return self.may_borrow(pool, now, used, parent_used, threshold)
 
-    def may_borrow(self, pool: LendingPool, now: int, used: int, filled: int, threshold: int) -> bool:
+    def may_borrow(self, pool: LendingPool, now: int, used: int, parent_used: int, threshold: int) -> bool:
         """Returns whether siblings lend the amount that the account lacks.
 
-        `used`, `filled`: the use of the account and of its parent, the requested amount included. The use of
-        the parent and what siblings do not lend must stay within `threshold`.
+        `used`, `parent_used`: the use of the account and of its parent, the requested amount included. The
+        use of the parent and what siblings do not lend must stay within `threshold`.
         """
         if not self.guarantee or pool.is_recalling(now):
             return False  # without a guarantee it could not repay; during a recall nothing is lent
-        not_lent = sum(other.unused - other.reserved for other in self.non_lenders)
-        kept_back = pool.reserved - self.reserved + not_lent
-        loan = min(used - self.entitlement(), filled + pool.unused - self.unused - pool.account.ceiling)
+        withheld = sum(other.unused - other.reserved for other in self.non_lenders)
+        not_lendable = pool.reserved - self.reserved + withheld
+        loan = min(used - self.entitlement(), parent_used + pool.unused - self.unused - pool.account.ceiling)
         return (
             pool.conforms(self.loan_rate, now)
-            and filled + kept_back <= threshold
+            and parent_used + not_lendable <= threshold
             and self.debt + loan <= self.credit_limit
         )
 
@@ -249,16 +249,16 @@
         if parent.used(now) + amount + pool.unused <= parent.ceiling // UNCONTENDED_DIVISOR:
             return
         self.last_request_at = now
-        own = self.entitlement()
+        entitlement = self.entitlement()
         if self.guarantee:
             # An account that may borrow is paced in all its use: its entitlement, what no sibling is entitled
             # to, and loans.
-            lent = (pool.guaranteed - own) * (1000 - self.terms.reserve) // 1000
+            lendable = (pool.guaranteed - entitlement) * (1000 - self.terms.reserve) // 1000
             if self.loan_rate is None:
                 self.loan_rate = EvenRate()
-            allowance = own + parent.ceiling - pool.guaranteed + lent
+            allowance = entitlement + parent.ceiling - pool.guaranteed + lendable
             self.loan_rate.record(now, amount, allowance, pool.window_length())
-        if self.used(now) + amount > own:
+        if self.used(now) + amount > entitlement:
             pool.pacing.record_excess(now, self, amount)
 
     def retire(self) -> int:
--- a/shedgrade/sidecar/quota/config_checks.py
+++ b/shedgrade/sidecar/quota/config_checks.py
@@ -31,10 +31,10 @@
     for name, child in node.children.items():
         if not name or "/" in name:
             yield f"{key}.children", f"{name!r} is not a valid name: it is empty or contains a slash"
-        for other in child.lends_to or ():
-            if other not in node.children:
-                yield f"{key}.children.{name}.lends_to", f"no sibling is named {other!r}"
-            elif other == name:
+        for sibling in child.lends_to or ():
+            if sibling not in node.children:
+                yield f"{key}.children.{name}.lends_to", f"no sibling is named {sibling!r}"
+            elif sibling == name:
                 yield f"{key}.children.{name}.lends_to", "a node can't lend to itself"
         yield from name_problems(quota, child, f"{key}.children.{name}")
 
@@ -89,29 +89,29 @@
     seen: set[WindowKey] = set()
     parent_keys = {window_key(limit) for limit in parent.limits} if parent else set()
     for number, limit in enumerate(node.limits):
-        place, own = f"{key}.limits[{number}]", window_key(limit)
+        limit_path, limit_key = f"{key}.limits[{number}]", window_key(limit)
         if (limit.dimension == IN_FLIGHT) != (limit.window_s == 0):
-            yield f"{place}.window_s", "flight must have no window, and all other dimensions must have one"
-        if own in seen:
-            yield place, f"{limit.dimension} over {limit.window_s:g} s is limited twice"
-        seen.add(own)
+            yield f"{limit_path}.window_s", "flight must have no window, all other dimensions need one"
+        if limit_key in seen:
+            yield limit_path, f"{limit.dimension} over {limit.window_s:g} s is limited twice"
+        seen.add(limit_key)
         if limit.guarantee > limit.ceiling:
-            yield f"{place}.guarantee", f"{limit.guarantee} exceeds its ceiling {limit.ceiling}"
-        if limit.guarantee and own not in parent_keys:
-            yield f"{place}.guarantee", "the parent has no limit of this dimension and window"
+            yield f"{limit_path}.guarantee", f"{limit.guarantee} exceeds its ceiling {limit.ceiling}"
+        if limit.guarantee and limit_key not in parent_keys:
+            yield f"{limit_path}.guarantee", "the parent has no limit of this dimension and window"
 
 
 def guarantee_problems(node: NodeTable, key: str) -> Problems:
     """Yields each limit of a node whose children's guarantees add up to more than its ceiling."""
-    for own, limit in {window_key(limit): limit for limit in node.limits}.items():
+    for limit_key, limit in {window_key(limit): limit for limit in node.limits}.items():
         guaranteed = sum(
             one.guarantee
             for child in node.children.values()
             for one in child.limits
-            if window_key(one) == own
+            if window_key(one) == limit_key
         )
         if guaranteed > limit.ceiling:
-            dimension, window_s = own
+            dimension, window_s = limit_key
             yield (
                 f"{key}.children",
                 f"guarantees of {dimension} over {window_s:g} s add up to {guaranteed}, above the ceiling "
--- a/shedgrade/sidecar/quota/feature.py
+++ b/shedgrade/sidecar/quota/feature.py
@@ -72,7 +72,7 @@
             for number, method in enumerate(self.methods)
             if before.get(method["name"]) in estimates
         }
-        self.gate.payoffs_alike = len({method["payoff"] for method in self.methods}) < 2
+        self.gate.payoffs_equal = len({method["payoff"] for method in self.methods}) < 2
 
     def tick(self) -> None:
         """Updates the share of the fleet; saves and logs every SAVE_INTERVAL_S."""
--- a/shedgrade/sidecar/quota/gate.py
+++ b/shedgrade/sidecar/quota/gate.py
@@ -25,7 +25,7 @@
     Attributes:
         quota: the configuration in force.
         tree, default_leaf: the tree of quotas, and its leaf of unknown identities.
-        payoffs_alike: whether all methods have the same payoff, so that the balancer's draw is not used.
+        payoffs_equal: whether all methods have the same payoff, so that the balancer's draw is not used.
         identity_names: names of the headers or attributes that identify the client, in lower case.
         estimates: by method, the mean work in ms; missing until the method's first request has ended.
         refused: the number of refusals by name of the node.
@@ -37,7 +37,7 @@
         self.quota = quota
         self.tree, self.default_leaf = build_tree(quota)
         self.random = Random(f"{seed}/quota")
-        self.payoffs_alike = len(set(payoffs)) < 2
+        self.payoffs_equal = len(set(payoffs)) < 2
         self.identity_names = [name.lower().encode() for name in quota.identity]
         self.estimates: dict[int, float] = {}
         self.refused: Counter[str] = Counter()
@@ -73,24 +73,24 @@
 
     def identity(self, active_request: ActiveRequest) -> list[str]:
         """Returns the client's names, from the outermost to the leaf; [] if any of them is missing."""
-        found: list[bytes]
+        values: list[bytes]
         headers = active_request.request.headers
         if self.quota.source == "login":
-            found = (
+            values = (
                 [name.encode() for name in active_request.client_name.split("/")]
                 if active_request.client_name
                 else []
             )
-            if len(found) != len(self.identity_names):
+            if len(values) != len(self.identity_names):
                 return []
         elif self.quota.source == "header":
             by_name = {name.lower(): value for name, value in headers}
-            found = [by_name.get(name, b"") for name in self.identity_names]
+            values = [by_name.get(name, b"") for name in self.identity_names]
         else:
             text = next((value for name, value in headers if name.lower() == b"x-attrs"), b"")
             attributes = parse_attributes(text)
-            found = [attributes.get(name, b"") for name in self.identity_names]
-        return [value.decode("latin-1") for value in found] if all(found) else []
+            values = [attributes.get(name, b"") for name in self.identity_names]
+        return [value.decode("latin-1") for value in values] if all(values) else []
 
     def enter(
         self, now: int, active_request: ActiveRequest, method: int, is_retry: bool, admission_draw: float
@@ -102,12 +102,12 @@
         """
         leaf = self.tree.find(now, self.identity(active_request), self.default_leaf)
         work = max(1, round(self.estimates.get(method, self.quota.estimate_ms)))
-        admission_draw = 0.0 if self.payoffs_alike else admission_draw
-        result = self.tree.admit(now, leaf, {"requests": 1, "work": work}, admission_draw, is_retry)
-        if isinstance(result, Ticket):
-            return result
-        self.refused[result.node] += 1
-        return self.retry_after(now, result, is_retry)
+        admission_draw = 0.0 if self.payoffs_equal else admission_draw
+        decision = self.tree.admit(now, leaf, {"requests": 1, "work": work}, admission_draw, is_retry)
+        if isinstance(decision, Ticket):
+            return decision
+        self.refused[decision.node] += 1
+        return self.retry_after(now, decision, is_retry)
 
     def retry_after(self, now: int, refusal: Refusal, is_retry: bool) -> int:
         """Returns how long the client is to wait, in tenths of a ms.
@@ -119,15 +119,15 @@
         wait = min(MAX_WAIT, least * (2 if is_retry else 1))
         return round(wait * (1 + WAIT_JITTER * self.random.random()))
 
-    def leave(self, now: int, ticket: Ticket, method: int, ran: bool, took: int) -> None:
+    def leave(self, now: int, ticket: Ticket, method: int, ran: bool, duration: int) -> None:
         """Settles a request that has ended.
 
-        `ran`: whether an attempt may have run. `took`: measured time, tenths of a ms.
+        `ran`: whether an attempt may have run. `duration`: measured time, tenths of a ms.
         """
         if not ran:
             ticket.cancel(now)
             return
-        work = max(1, round(took / 10))
+        work = max(1, round(duration / 10))
         mean = self.estimates.get(method, self.quota.estimate_ms)
         self.estimates[method] = mean + (work - mean) / ESTIMATE_SMOOTHING
         ticket.settle(now, {"work": work})
--- a/shedgrade/sidecar/quota/repayment.py
+++ b/shedgrade/sidecar/quota/repayment.py
@@ -120,7 +120,7 @@
         """
         parts = list(reopened.parts) if reopened is not None else []
         open_until = reopened.open_until if reopened is not None else now + self.open_length()
-        payable = borrower.most_per_instalment() - sum(part.amount for part in parts)
+        payable = borrower.max_instalment() - sum(part.amount for part in parts)
         unscheduled = self.unscheduled.get(borrower)
         while unscheduled and payable > 0:
             first = unscheduled[0]
@@ -168,7 +168,7 @@
 
         If nothing is left to repay from, its debts are forgiven.
         """
-        if not borrower.most_per_instalment():
+        if not borrower.max_instalment():
             borrower.terms.forgiven += self.forgive(borrower)
         elif -borrower.credit > borrower.guarantee:
             instalment = self.running.pop(borrower)
--- a/shedgrade/sidecar/quota/tree.py
+++ b/shedgrade/sidecar/quota/tree.py
@@ -303,7 +303,7 @@
         for account in path:
             if account.pool is not None:
                 amount = 1 if account.window is None else get(account.dimension, 0)
-                if not account.admissible_among_siblings(now, amount, admission_draw):
+                if not account.fits_among_siblings(now, amount, admission_draw):
                     return self.refuse(now, node, account, amount, is_retry)
         charges = []
         for account in path:
