--- a/shedgrade/sidecar/quota/accounts.py
+++ b/shedgrade/sidecar/quota/accounts.py
@@ -107,7 +107,7 @@
         guarantee = limit.guarantee * self.applied_share // MILLION
         pool = self.pool
         if pool is not None:
-            pool.pacing.reweigh(self, limit.weight)
+            pool.pacing.set_weight(self, limit.weight)
             if guarantee or self.guarantee:
                 pool.guaranteed += guarantee - self.guarantee
                 self.terms.guaranteed[self] = None
--- a/shedgrade/sidecar/quota/builder.py
+++ b/shedgrade/sidecar/quota/builder.py
@@ -41,7 +41,7 @@
 def update_node(quota: Quota, node: Node, table: NodeTable) -> None:
     """Sets a node's limits, template and children; its use and debts are kept."""
     template = quota.resolve_template(table.template)
-    node.update_limits(limits_of(table, node.parent), template)
+    node.update_limits(resolve_limits(table, node.parent), template)
     for name in [name for name in node.children if name not in table.children and name != DEFAULT_LEAF]:
         if template is not None:
             update_node(quota, node.children[name], template)
@@ -57,8 +57,8 @@
 
     Requests in flight under it still settle, as their tickets refer to it.
     """
-    for below in node.children[name].walk():
-        node.terms.forgiven += sum(account.retire() for account in below.accounts.values())
+    for descendant in node.children[name].walk():
+        node.terms.forgiven += sum(account.retire() for account in descendant.accounts.values())
     del node.children[name]
 
 
@@ -80,14 +80,20 @@
             )
 
 
-def limits_of(table: NodeTable, parent: Node | None) -> tuple[Limit, ...]:
+def resolve_limits(table: NodeTable, parent: Node | None) -> tuple[Limit, ...]:
     """Returns the limits of the table, and the parent's ceiling for each limit that only the parent has.
 
     So siblings without a limit of their own count among those that have one.
     """
     limits = [
-        Limit(one.dimension, round(one.window_s * 10_000), one.ceiling, one.guarantee, table.weight)
-        for one in table.limits
+        Limit(
+            limit_table.dimension,
+            round(limit_table.window_s * 10_000),
+            limit_table.ceiling,
+            limit_table.guarantee,
+            table.weight,
+        )
+        for limit_table in table.limits
     ]
     keys = {limit.key for limit in limits}
     inherited = parent.limits if parent is not None else ()
--- a/shedgrade/sidecar/quota/config_checks.py
+++ b/shedgrade/sidecar/quota/config_checks.py
@@ -105,10 +105,10 @@
     """Yields each limit of a node whose children's guarantees add up to more than its ceiling."""
     for limit_key, limit in {window_key(limit): limit for limit in node.limits}.items():
         guaranteed = sum(
-            one.guarantee
+            child_limit.guarantee
             for child in node.children.values()
-            for one in child.limits
-            if window_key(one) == limit_key
+            for child_limit in child.limits
+            if window_key(child_limit) == limit_key
         )
         if guaranteed > limit.ceiling:
             dimension, window_s = limit_key
--- a/shedgrade/sidecar/quota/feature.py
+++ b/shedgrade/sidecar/quota/feature.py
@@ -64,13 +64,13 @@
 
     def update_methods(self) -> None:
         """Applies changed methods: a method that stays keeps its estimate, under its new number."""
-        before = {method["name"]: number for number, method in enumerate(self.methods)}
+        old_numbers = {method["name"]: number for number, method in enumerate(self.methods)}
         self.methods = self.sidecar.config.settings["methods"]
         estimates = self.gate.estimates
         self.gate.estimates = {
-            number: estimates[before[method["name"]]]
+            number: estimates[old_numbers[method["name"]]]
             for number, method in enumerate(self.methods)
-            if before.get(method["name"]) in estimates
+            if old_numbers.get(method["name"]) in estimates
         }
         self.gate.payoffs_equal = len({method["payoff"] for method in self.methods}) < 2
 
@@ -106,9 +106,9 @@
             logger.info(
                 "quota debts at the end",
                 debts=len(debts),
-                repaid=sum(one.paid_at is not None for one in debts),
-                repaid_late=sum(one.paid_at is not None and one.paid_at > one.due for one in debts),
-                forgiven=sum(one.forgiven for one in debts),
+                repaid=sum(debt.paid_at is not None for debt in debts),
+                repaid_late=sum(debt.paid_at is not None and debt.paid_at > debt.due for debt in debts),
+                forgiven=sum(debt.forgiven for debt in debts),
             )
         logger.info("quota refusals at the end", by_node=dict(self.gate.refused.most_common(NODES_LOGGED)))
 
--- a/shedgrade/sidecar/quota/lending.py
+++ b/shedgrade/sidecar/quota/lending.py
@@ -92,10 +92,10 @@
         if slot - self.current_slot <= SLOTS:
             expired: Iterable[int] = range(self.current_slot - SLOTS, slot - SLOTS)
         else:
-            expired = [past for past in self.expiries if past < slot - SLOTS]
+            expired = [expired_slot for expired_slot in self.expiries if expired_slot < slot - SLOTS]
         self.current_slot = slot
-        for past in expired:
-            for account in self.expiries.pop(past, ()):
+        for expired_slot in expired:
+            for account in self.expiries.pop(expired_slot, ()):
                 if account.window is not None:
                     account.window.advance(now)
                     account.update_unused()
@@ -145,14 +145,14 @@
 
     def heaviest_borrower(self, now: int, lender: "Account", amount: int) -> "Account | None":
         """Returns who uses most beyond its guarantee of the children seen last; None if it can't owe more."""
-        heaviest, most = None, 0
-        for number, other in enumerate(reversed(self.pacing.children)):
-            over = other.used(now) - other.guarantee
-            if other is not lender and other.guarantee and over > most:
-                heaviest, most = other, over
+        heaviest, largest_excess = None, 0
+        for number, child in enumerate(reversed(self.pacing.children)):
+            excess = child.used(now) - child.guarantee
+            if child is not lender and child.guarantee and excess > largest_excess:
+                heaviest, largest_excess = child, excess
             if number == BORROWERS_EXAMINED:
                 break
-        if heaviest is None or heaviest.debt + amount > min(heaviest.credit_limit, most):
+        if heaviest is None or heaviest.debt + amount > min(heaviest.credit_limit, largest_excess):
             return None
         return heaviest
 
--- a/shedgrade/sidecar/quota/pacing.py
+++ b/shedgrade/sidecar/quota/pacing.py
@@ -73,7 +73,7 @@
             del self.children[account]
             self.total_weight -= account.weight
 
-    def reweigh(self, account: "Account", weight: int) -> None:
+    def set_weight(self, account: "Account", weight: int) -> None:
         """Sets the weight of this account, paced or not."""
         if account in self.children:
             self.total_weight += weight - account.weight
@@ -99,8 +99,8 @@
         elapsed = now - account.lead_updated_at
         if account.lead and elapsed > 0:
             shareable = self.pool.shareable() << FRACTION_BITS
-            run_off = shareable * account.weight * elapsed // (self.total_weight * self.pool.window_length())
-            account.lead = max(0, account.lead - run_off)
+            decay = shareable * account.weight * elapsed // (self.total_weight * self.pool.window_length())
+            account.lead = max(0, account.lead - decay)
         account.lead_updated_at = max(now, account.lead_updated_at)
 
     def remove_idle(self, now: int) -> None:
--- a/shedgrade/sidecar/quota/repayment.py
+++ b/shedgrade/sidecar/quota/repayment.py
@@ -105,12 +105,12 @@
         borrower.debt += amount
         self.outstanding += amount
         self.unscheduled.setdefault(borrower, deque()).append(UnscheduledDebt(lender, debt, amount))
-        running = self.running.get(borrower)
-        if running is None:
+        instalment = self.running.get(borrower)
+        if instalment is None:
             self.begin_instalment(now, borrower)
-        elif now <= running.open_until:
+        elif now <= instalment.open_until:
             del self.running[borrower]
-            self.begin_instalment(now, borrower, running)
+            self.begin_instalment(now, borrower, instalment)
         return debt
 
     def begin_instalment(self, now: int, borrower: "Account", reopened: Instalment | None = None) -> None:
@@ -200,35 +200,35 @@
             part.lender.update_unused()
             borrower.update_unused()
         forgiven_debts: list[InstalmentPart | UnscheduledDebt] = [*forgiven_parts]
-        forgiven_debts += [one for one in queue if account in (borrower, one.lender)]
+        forgiven_debts += [debt for debt in queue if account in (borrower, debt.lender)]
         forgiven = 0
-        for one in forgiven_debts:
-            one.debt.forgiven = True
-            forgiven += one.amount
+        for forgiven_debt in forgiven_debts:
+            forgiven_debt.debt.forgiven = True
+            forgiven += forgiven_debt.amount
         borrower.debt -= forgiven
         self.outstanding -= forgiven
-        left_in_queue = deque(one for one in queue if account not in (borrower, one.lender))
-        if left_in_queue:
-            self.unscheduled[borrower] = left_in_queue
-        left_parts = [part for part in parts if account not in (borrower, part.lender)]
-        if instalment is not None and left_parts:
-            self.running[borrower] = Instalment(instalment.ends_at, left_parts, instalment.open_until)
+        remaining_debts = deque(debt for debt in queue if account not in (borrower, debt.lender))
+        if remaining_debts:
+            self.unscheduled[borrower] = remaining_debts
+        remaining_parts = [part for part in parts if account not in (borrower, part.lender)]
+        if instalment is not None and remaining_parts:
+            self.running[borrower] = Instalment(instalment.ends_at, remaining_parts, instalment.open_until)
         else:
             self.begin_instalment(self.pool.last_advanced_at(), borrower)
         return forgiven
 
     def open_debts(self) -> list[OpenDebt]:
         """Returns each debt that is not yet repaid, with the amount that is left."""
-        found: dict[int, OpenDebt] = {}
+        open_debts: dict[int, OpenDebt] = {}
         for borrower, instalment in self.running.items():
             for part in instalment.parts:
-                empty = OpenDebt(borrower, part.lender, part.debt, 0)
-                found.setdefault(id(part.debt), empty).amount += part.amount
+                open_debt = OpenDebt(borrower, part.lender, part.debt, 0)
+                open_debts.setdefault(id(part.debt), open_debt).amount += part.amount
         for borrower, queue in self.unscheduled.items():
-            for one in queue:
-                empty = OpenDebt(borrower, one.lender, one.debt, 0)
-                found.setdefault(id(one.debt), empty).amount += one.amount
-        return list(found.values())
+            for unscheduled in queue:
+                open_debt = OpenDebt(borrower, unscheduled.lender, unscheduled.debt, 0)
+                open_debts.setdefault(id(unscheduled.debt), open_debt).amount += unscheduled.amount
+        return list(open_debts.values())
 
     def open_length(self) -> int:
         """Returns for how long an instalment takes further debts, in tenths of a millisecond."""
@@ -248,11 +248,11 @@
 
     def check_invariants(self) -> None:
         """Raises AssertionError if the sums or queues contradict each other."""
-        assert self.outstanding == sum(one.amount for one in self.open_debts())
+        assert self.outstanding == sum(open_debt.amount for open_debt in self.open_debts())
         assert all(self.unscheduled.values()), "an empty queue was kept"
         by_borrower: dict[Account, int] = {}
-        for one in self.open_debts():
-            by_borrower[one.borrower] = by_borrower.get(one.borrower, 0) + one.amount
+        for open_debt in self.open_debts():
+            by_borrower[open_debt.borrower] = by_borrower.get(open_debt.borrower, 0) + open_debt.amount
         assert all(borrower.debt == amount for borrower, amount in by_borrower.items())
         for borrower, instalment in self.running.items():
             assert 0 < sum(part.amount for part in instalment.parts) <= borrower.guarantee
--- a/shedgrade/sidecar/quota/state.py
+++ b/shedgrade/sidecar/quota/state.py
@@ -73,12 +73,12 @@
     use: list[SavedUse] = []
     debts: list[SavedDebt] = []
     for node in tree.root.walk():
-        names = [one.name for one in reversed(node.ancestry())][1:]
+        names = [ancestor.name for ancestor in reversed(node.ancestry())][1:]
         for account in node.accounts.values():
             if account.window is not None and account.used(now) and len(use) < MAX_SAVED_ACCOUNTS:
                 use.append(saved_use(names, account, clocks))
             if account.children_pool is not None:
-                debts += [saved_debt(one, clocks) for one in account.children_pool.repayment.open_debts()]
+                debts += [saved_debt(debt, clocks) for debt in account.children_pool.repayment.open_debts()]
     return msgspec.to_builtins(SavedState(STATE_VERSION, use, debts))
 
 
@@ -86,21 +86,21 @@
     """Returns the use that counts in the window of this account."""
     window = account.window
     assert window is not None
-    slots = [(clocks.to_wall(one.slot * window.slot_length), one.amount) for one in window.slots_in_use()]
+    slots = [(clocks.to_wall(use.slot * window.slot_length), use.amount) for use in window.slots_in_use()]
     return SavedUse(names, *account.limit.key, slots)
 
 
-def saved_debt(one: OpenDebt, clocks: ClockPair) -> SavedDebt:
+def saved_debt(open_debt: OpenDebt, clocks: ClockPair) -> SavedDebt:
     """Returns the saved form of what is left of one debt."""
-    dimension, window = one.debt.key
+    dimension, window = open_debt.debt.key
     return SavedDebt(
-        lender=one.lender.name,
-        borrower=one.borrower.name,
+        lender=open_debt.lender.name,
+        borrower=open_debt.borrower.name,
         dimension=dimension,
         window=window,
-        left=one.amount,
-        at=clocks.to_wall(one.debt.at),
-        due=clocks.to_wall(one.debt.due),
+        left=open_debt.amount,
+        at=clocks.to_wall(open_debt.debt.at),
+        due=clocks.to_wall(open_debt.debt.due),
     )
 
 
@@ -120,12 +120,12 @@
         return Restored(problem=str(error))
     if saved.version != STATE_VERSION:
         return Restored(problem=f"version {saved.version}, not {STATE_VERSION}")
-    if any(amount < 0 for one in saved.use for _, amount in one.slots):
+    if any(amount < 0 for use in saved.use for _, amount in use.slots):
         return Restored(problem="a count is negative")
-    if any(one.left <= 0 for one in saved.debts):
+    if any(debt.left <= 0 for debt in saved.debts):
         return Restored(problem="a debt is not positive")
     clocks = ClockPair(now, wall)
-    counted = sum(restore_use(tree, one, clocks) for one in saved.use)
+    counted = sum(restore_use(tree, use, clocks) for use in saved.use)
     return Restored(counted, restore_debts(tree, saved.debts, clocks))
 
 
@@ -152,7 +152,7 @@
         for account in node.accounts.values()
     }
     owed = 0
-    for saved in sorted(debts, key=lambda one: one.at):
+    for saved in sorted(debts, key=lambda debt: debt.at):
         key = (saved.dimension, saved.window)
         lender, borrower = accounts.get((saved.lender, key)), accounts.get((saved.borrower, key))
         if lender is None or borrower is None or lender.pool is None or lender.pool is not borrower.pool:
--- a/shedgrade/sidecar/quota/tree.py
+++ b/shedgrade/sidecar/quota/tree.py
@@ -118,10 +118,10 @@
 
     def ancestry(self) -> list["Node"]:
         """Returns this node, its parent and so on, up to the root."""
-        found = [self]
-        while found[-1].parent is not None:
-            found.append(found[-1].parent)
-        return found
+        ancestors = [self]
+        while ancestors[-1].parent is not None:
+            ancestors.append(ancestors[-1].parent)
+        return ancestors
 
     def full_name(self) -> str:
         """Returns the names from the root to this node, joined with slashes."""
@@ -163,12 +163,12 @@
 class Ticket:
     """One admitted request: charged by estimate at its admission, then settled or cancelled exactly once."""
 
-    __slots__ = ("node", "charges", "open")
+    __slots__ = ("node", "charges", "is_open")
 
     def __init__(self, node: Node, charges: list[Charge]) -> None:
         self.node = node
         self.charges = charges
-        self.open = True
+        self.is_open = True
 
     def settle(self, now: int, actual: dict[str, int]) -> None:
         """Settles a request that ran: charges what it used beyond the estimate, refunds what it did not use.
@@ -192,9 +192,9 @@
 
     def close(self) -> list[Charge]:
         """Ends the ticket and returns its charges; returns none if the ticket has ended before."""
-        if not self.open:
+        if not self.is_open:
             return []
-        self.open = False
+        self.is_open = False
         self.node.tickets -= 1
         return self.charges
 
@@ -321,21 +321,23 @@
         That is the parent's pool, or, if the account's own ceiling is full, the pool of its children, to
         which the child on the path is reported.
         """
-        for one in node.path:
+        for path_account in node.path:
             # Entitlements and sums are read below, so instalments whose time is over are ended before.
-            if one.children_pool is not None:
-                one.children_pool.advance(now)
+            if path_account.children_pool is not None:
+                path_account.children_pool.advance(now)
         by_siblings = account.used(now) + amount <= account.ceiling
-        asking: Account | None
+        requester: Account | None
         if by_siblings:
-            asking, pool = account, account.pool
+            requester, pool = account, account.pool
         else:
-            asking = next((one for one in node.path if one.parent is account), None)
+            requester = next(
+                (path_account for path_account in node.path if path_account.parent is account), None
+            )
             pool = account.children_pool
         within_entitlement = False
-        if asking is not None and pool is not None:
-            within_entitlement = asking.used(now) + amount <= asking.entitlement()
-            pool.record_refusal(now, asking, amount, is_retry)
+        if requester is not None and pool is not None:
+            within_entitlement = requester.used(now) + amount <= requester.entitlement()
+            pool.record_refusal(now, requester, amount, is_retry)
         retry_at = self.retry_at(now, account, amount, by_siblings)
         return Refusal(account.name, account.limit, retry_at, within_entitlement, by_siblings)
 
