--- a/shedgrade/cli/quota.py
+++ b/shedgrade/cli/quota.py
@@ -30,18 +30,18 @@
 File = Annotated[Path, typer.Argument(help="A features file with [quota].")]
 
 
-def read(path: Path) -> Quota:
+def load_quota(path: Path) -> Quota:
     """Returns the table `[quota]` of a features file; exits with 2 if there is none or it is invalid."""
     try:
         quota = load_features(path).quota
-    except ConfigError as wrong:
-        fail(wrong)
+    except ConfigError as error:
+        fail(error)
     if quota is None:
         fail(ValueError(f"{path}: no [quota]"))
     return quota
 
 
-def spell(limit: Limit) -> str:
+def format_limit(limit: Limit) -> str:
     """Returns a limit's dimension and window as text."""
     return f"{limit.dimension}{f' in {limit.window / 10_000:g} s' if limit.window else ''}"
 
@@ -49,24 +49,24 @@
 @app.command()
 def check(path: File) -> None:
     """Checks the file as a start does, and prints the tree; exits with 2 and one line if it is invalid."""
-    gate = Gate(read(path), 0)
+    gate = Gate(load_quota(path), 0)
     for node in gate.tree.root.walk():
-        told = ", ".join(
-            f"{spell(one)} {account.ceiling}"
-            + (f" ({account.guarantee} kept)" if account.guarantee else "")
+        limits_text = ", ".join(
+            f"{format_limit(limit)} {account.ceiling}"
+            + (f" (guarantee {account.guarantee})" if account.guarantee else "")
             + (
                 f" (lends to {', '.join(sorted(account.lends_to)) or 'nobody'})"
                 if account.lends_to is not None
                 else ""
             )
-            for one, account in ((one, node.accounts[one.key]) for one in node.limits)
+            for limit, account in ((limit, node.accounts[limit.key]) for limit in node.limits)
         )
         weight = f", weight {node.limits[0].weight}" if node.limits and node.limits[0].weight > 1 else ""
-        made = ", template" if node.template else ""
-        print(f"{node.full_name()}: {told or 'no limit of its own'}{weight}{made}")
+        template_note = ", template" if node.template else ""
+        print(f"{node.full_name()}: {limits_text or 'no limit of its own'}{weight}{template_note}")
 
 
-def rights(account: Account, now: int) -> str:
+def describe_account(account: Account, now: int) -> str:
     """Describes the account's use, entitlement and debts, and the room beside its siblings."""
     parts = [f"used {account.used(now)} of {account.ceiling}"]
     pool = account.pool
@@ -89,7 +89,7 @@
 @app.command()
 def explain(
     path: File,
-    who: Annotated[
+    default_identity: Annotated[
         str, typer.Option("--as", help="Identity ORG/CHAIN/STORE for rows of the trace that have none.")
     ],
     trace: Annotated[Path, typer.Option(help="A trace in the format of the lab.")],
@@ -99,12 +99,12 @@
     from shedgrade.lab.scenario import ScenarioError
     from shedgrade.lab.trace import read as read_trace
 
-    gate = Gate(read(path), 0)
+    gate = Gate(load_quota(path), 0)
     try:
         rows = read_trace(trace)
     except ScenarioError as error:
         fail(error)
-    admitted = sum(play(gate, sorted(rows, key=lambda row: row.at_ms), who))
+    admitted = sum(replay(gate, sorted(rows, key=lambda row: row.at_ms), default_identity))
     print(f"{admitted} of {len(rows)} admitted")
     for node in gate.tree.root.walk():
         for account in node.accounts.values():
@@ -113,7 +113,7 @@
                     print(describe_debt(debt, account.limit))
 
 
-def play(gate: Gate, rows: list["Row"], who: str) -> Iterator[bool]:
+def replay(gate: Gate, rows: list["Row"], default_identity: str) -> Iterator[bool]:
     """Replays each row in turn; prints and yields whether it was admitted.
 
     An admitted row settles when its work is done.
@@ -125,19 +125,19 @@
         while running and running[0][0] <= now:
             end, _, ticket, work = heappop(running)
             ticket.settle(end, {"work": work})
-        leaf = gate.tree.find(now, identity(gate, row.who or who), gate.default_leaf)
+        leaf = gate.tree.find(now, parse_identity(gate, row.who or default_identity), gate.default_leaf)
         work = max(1, round(row.work_ms or gate.quota.estimate_ms))
         amounts = {"requests": 1, "work": round(gate.quota.estimate_ms)}
-        result = gate.tree.admit(now, leaf, amounts, is_retry=bool(row.retry_of))
-        if isinstance(result, Ticket):
-            heappush(running, (now + work * 10, next(order), result, work))
+        decision = gate.tree.admit(now, leaf, amounts, is_retry=bool(row.retry_of))
+        if isinstance(decision, Ticket):
+            heappush(running, (now + work * 10, next(order), decision, work))
             print(f"{row.at_ms:.0f} ms {row.id}: admitted as {leaf.full_name()}")
         else:
-            print(f"{row.at_ms:.0f} ms {row.id}: {describe_refusal(result, leaf, now)}")
-        yield isinstance(result, Ticket)
+            print(f"{row.at_ms:.0f} ms {row.id}: {describe_refusal(decision, leaf, now)}")
+        yield isinstance(decision, Ticket)
 
 
-def identity(gate: Gate, text: str) -> list[str]:
+def parse_identity(gate: Gate, text: str) -> list[str]:
     """Splits ORG/CHAIN/STORE into names; [] if there are more or fewer than the configured identity has."""
     names = [name for name in text.split("/") if name]
     return names if len(names) == len(gate.identity_names) else []
@@ -146,19 +146,25 @@
 def describe_refusal(refusal: Refusal, leaf: Node, now: int) -> str:
     """Describes which limit refused and why, the account's position, and when there may be room."""
     limit = refusal.limit
-    account = next((one for one in leaf.path if one.name == refusal.node and one.limit == limit), None)
-    when = f"; room at {refusal.retry_at / 10:.0f} ms" if refusal.retry_at is not None else ""
-    why = "no room beside its siblings" if refusal.by_siblings else "its ceiling is reached"
+    account = next(
+        (candidate for candidate in leaf.path if candidate.name == refusal.node and candidate.limit == limit),
+        None,
+    )
+    room_at = f"; room at {refusal.retry_at / 10:.0f} ms" if refusal.retry_at is not None else ""
+    reason = "no room beside its siblings" if refusal.by_siblings else "its ceiling is reached"
     recall = ", within its entitlement: loans are recalled" if refusal.within_entitlement else ""
-    where = rights(account, now) if account is not None else ""
-    return f"refused by {refusal.node}: {spell(limit)}, ceiling {limit.ceiling}, {why}{recall}: {where}{when}"
+    position = describe_account(account, now) if account is not None else ""
+    return (
+        f"refused by {refusal.node}: {format_limit(limit)}, ceiling {limit.ceiling}, "
+        f"{reason}{recall}: {position}{room_at}"
+    )
 
 
 def describe_debt(debt: Debt, limit: Limit) -> str:
     """Describes a debt: borrower, lender, amount, due time, and whether it was repaid."""
-    paid = debt.paid_at
-    end = f"repaid at {paid / 10:.0f} ms" if paid is not None else "not yet repaid"
+    paid_at = debt.paid_at
+    state = f"repaid at {paid_at / 10:.0f} ms" if paid_at is not None else "not yet repaid"
     return (
-        f"{debt.at / 10:.0f} ms: {debt.borrower} owes {debt.lender} {debt.amount} {spell(limit)}, "
-        f"due {debt.due / 10:.0f} ms, {end}"
+        f"{debt.at / 10:.0f} ms: {debt.borrower} owes {debt.lender} {debt.amount} {format_limit(limit)}, "
+        f"due {debt.due / 10:.0f} ms, {state}"
     )
--- a/tests/sidecar/quota/test_gate.py
+++ b/tests/sidecar/quota/test_gate.py
@@ -135,7 +135,7 @@
 def test_check_and_explain(tmp_path):
     features(tmp_path)
     shown = CliRunner().invoke(app, ["quota", "check", str(tmp_path / "f.toml")]).output
-    assert "all/big: requests in 1 s 10 (4 kept), flight 6, template" in shown
+    assert "all/big: requests in 1 s 10 (guarantee 4), flight 6, template" in shown
     (tmp_path / "t.jsonl").write_text(
         "".join(json.dumps({"at_ms": 10 * number, "id": str(number)}) + "\n" for number in range(12))
     )
