--- a/tests/sidecar/quota/test_gate.py
+++ b/tests/sidecar/quota/test_gate.py
@@ -1,4 +1,4 @@
-"""The gate before the decisions: identities, settling once, reload, the configuration; and on loopback."""
+"""The gate in front of the balancer: identities, settling, reloads, invalid configurations, and loopback."""
 
 import asyncio
 import json
@@ -15,7 +15,7 @@
 from shedgrade.sidecar.quota.tree import Ticket
 from shedgrade.upstream_pool.errors import ConfigError
 
-TEXT = """
+CONFIGURATION = """
 [quota]
 identity = ["org", "store"]
 [quota.tree]
@@ -32,17 +32,17 @@
 """
 
 
-def features(tmp_path, text=TEXT):
+def load_configuration(tmp_path, text=CONFIGURATION):
     (tmp_path / "f.toml").write_text(text)
     return load_features(tmp_path / "f.toml")
 
 
-def who(text, login=""):
+def active_request(text, login=""):
     return ActiveRequest(None, Request(b"1", b"POST", b"/m", [(b"X-Attrs", text.encode())], b""), login)
 
 
-def test_identities_lead_to_their_leaf_and_the_unknown_share_one(tmp_path):
-    gate = Gate(features(tmp_path).quota, 1)
+def test_known_identities_find_their_leaf_and_unknown_ones_share_the_default_leaf(tmp_path):
+    gate = Gate(load_configuration(tmp_path).quota, 1)
     for text, name in (
         ("org=big,store=7", "all/big/7"),
         ("store=one, ORG=small", "all/small/one"),
@@ -51,31 +51,32 @@
         ("org=big", "all/others"),
         ("", "all/others"),
     ):
-        assert gate.tree.find(0, gate.identity(who(text)), gate.default_leaf).full_name() == name
+        assert gate.tree.find(0, gate.identity(active_request(text)), gate.default_leaf).full_name() == name
 
 
-def test_refusals_say_how_long_and_not_all_alike(tmp_path):
-    gate = Gate(features(tmp_path).quota, 1)
-    found = []
+def test_refusals_return_waits_that_are_spread(tmp_path):
+    gate = Gate(load_configuration(tmp_path).quota, 1)
+    waits = []
     for _ in range(20):
-        got = gate.enter(0, who("org=big,store=7"), 0, False, 0.0)
-        if isinstance(got, Ticket):
-            gate.leave(0, got, 0, True, 100)
+        decision = gate.enter(0, active_request("org=big,store=7"), 0, False, 0.0)
+        if isinstance(decision, Ticket):
+            gate.leave(0, decision, 0, True, 100)
         else:
-            found.append(got)
-    # 4 of its own, 2 that are nobody's; of the 3 that small may lend none at once: loans come evenly.
-    assert len(found) == 14 and min(found) > 0 and len(set(found)) > 3
+            waits.append(decision)
+    # 4 within its guarantee and 2 that nobody is entitled to. Of the 3 that small may lend, none is lent at
+    # once, as loans are paced evenly.
+    assert len(waits) == 14 and min(waits) > 0 and len(set(waits)) > 3
     assert gate.refused
 
 
-def test_a_reload_keeps_what_is_counted_and_settles_what_is_in_flight_under_a_node_that_is_gone(tmp_path):
-    gate = Gate(features(tmp_path).quota, 1)
-    held = [gate.enter(0, who("org=small,store=one"), 0, False, 0.0) for _ in range(3)]
+def test_a_reload_keeps_use_and_settles_requests_in_flight_under_a_removed_node(tmp_path):
+    gate = Gate(load_configuration(tmp_path).quota, 1)
+    tickets = [gate.enter(0, active_request("org=small,store=one"), 0, False, 0.0) for _ in range(3)]
     root = gate.tree.root
     gate.update(
-        features(
+        load_configuration(
             tmp_path,
-            TEXT.replace("[quota.tree.children.small.children.one]", "").replace(
+            CONFIGURATION.replace("[quota.tree.children.small.children.one]", "").replace(
                 "ceiling = 6}", "ceiling = 4}"
             ),
         ).quota
@@ -83,13 +84,13 @@
     flight = root.accounts["flight", 0]
     assert flight.in_flight == 3 and root.accounts["requests", 10_000].window.used == 3
     assert (
-        gate.tree.find(0, gate.identity(who("org=small,store=one")), gate.default_leaf) is gate.default_leaf
+        gate.tree.find(0, gate.identity(active_request("org=small,store=one")), gate.default_leaf)
+        is gate.default_leaf
     )
-    assert isinstance(gate.enter(0, who("org=big,store=1"), 0, False, 0.0), Ticket)
-    assert not isinstance(
-        gate.enter(0, who("org=big,store=1"), 0, False, 0.0), Ticket
-    )  # the new ceiling of 4 in flight
-    for ticket in held:
+    assert isinstance(gate.enter(0, active_request("org=big,store=1"), 0, False, 0.0), Ticket)
+    # The new ceiling of 4 in flight is reached.
+    assert not isinstance(gate.enter(0, active_request("org=big,store=1"), 0, False, 0.0), Ticket)
+    for ticket in tickets:
         gate.leave(5, ticket, 0, False, 0)
     assert flight.in_flight == 1 and root.accounts["requests", 10_000].window.used == 1
 
@@ -124,18 +125,18 @@
         ("[quota]", "[quota]\nshares = 1", "shares"),
     ],
 )
-def test_a_tree_that_cannot_be_is_refused_in_one_line(tmp_path, old, new, key):
-    assert old in TEXT
-    with pytest.raises(ConfigError) as wrong:
-        features(tmp_path, TEXT.replace(old, new, 1))
-    assert "f.toml" in str(wrong.value) and key in str(wrong.value) and "\n" not in str(wrong.value)
+def test_an_invalid_tree_is_rejected_in_one_line(tmp_path, old, new, key):
+    assert old in CONFIGURATION
+    with pytest.raises(ConfigError) as raised:
+        load_configuration(tmp_path, CONFIGURATION.replace(old, new, 1))
+    assert "f.toml" in str(raised.value) and key in str(raised.value) and "\n" not in str(raised.value)
     assert CliRunner().invoke(app, ["quota", "check", str(tmp_path / "f.toml")]).exit_code == 2
 
 
-def test_check_and_explain(tmp_path):
-    features(tmp_path)
-    shown = CliRunner().invoke(app, ["quota", "check", str(tmp_path / "f.toml")]).output
-    assert "all/big: requests in 1 s 10 (guarantee 4), flight 6, template" in shown
+def test_check_prints_the_tree_and_explain_replays_a_trace(tmp_path):
+    load_configuration(tmp_path)
+    output = CliRunner().invoke(app, ["quota", "check", str(tmp_path / "f.toml")]).output
+    assert "all/big: requests in 1 s 10 (guarantee 4), flight 6, template" in output
     (tmp_path / "t.jsonl").write_text(
         "".join(json.dumps({"at_ms": 10 * number, "id": str(number)}) + "\n" for number in range(12))
     )
@@ -160,40 +161,41 @@
 
 class QuotaWorld(World):
     def prepare(self):
-        self.part = QuotaFeature(self.sidecar, load_features(self.path).quota)
-        self.sidecar.features.append(self.part)
+        self.feature = QuotaFeature(self.sidecar, load_features(self.path).quota)
+        self.sidecar.features.append(self.feature)
 
 
-def test_on_loopback_a_refusal_is_prompt_reaches_nobody_and_leaves_nothing_behind(tmp_path):
-    (tmp_path / "f.toml").write_text(TEXT.replace("window_s = 1.0", "window_s = 3600.0"))
-    gate = asyncio.Event()
+def test_on_loopback_a_refused_request_reaches_no_upstream_and_leaves_no_ticket(tmp_path):
+    (tmp_path / "f.toml").write_text(CONFIGURATION.replace("window_s = 1.0", "window_s = 3600.0"))
+    released = asyncio.Event()
 
     async def slow(head, body):
         if b"wait" in body:
-            await gate.wait()
+            await released.wait()
         return message(200, body)
 
     @on_sockets
-    async def scene():
+    async def scenario():
         world = QuotaWorld(slow, slow)
         world.path = tmp_path / "f.toml"
         async with world:
-            root = world.part.gate.tree.root
+            root = world.feature.gate.tree.root
             for number in range(4):
                 status, head, _ = await ask(
                     world, request(b"", "/m/1", 9000, f"a{number}", "X-Attrs: org=x,store=y")
                 )
                 assert status == (200 if number < 2 else 503)
             assert world.sent() == 2 and root.in_flight == 0
-            # A client that leaves while it is carried: its ticket is settled by the one end there is.
+            # A client disconnects while its request is in flight: the end of the request settles its ticket.
             reader, writer = await world.connect()
             writer.write(request(b"wait", "/m/1", 9000, "gone", "X-Attrs: org=small,store=one"))
             await until(lambda: world.sent() == 3)
             assert root.in_flight == 1
             writer.close()
             await until(lambda: root.in_flight == 0)
-            assert root.accounts["requests", 36_000_000].window.used == 3  # it may have run: it stays charged
-            gate.set()
+            # The request may have run, so it stays charged.
+            assert root.accounts["requests", 36_000_000].window.used == 3
+            released.set()
             await asyncio.sleep(0.05)
             world.upstreams[0].stop()
             world.upstreams[1].stop()
@@ -204,23 +206,28 @@
             assert (await ask(world, request(b"", "/m/1", 900, "b", "X-Attrs: org=small,store=one")))[
                 0
             ] == 503
-            assert root.accounts["requests", 36_000_000].window.used == 3  # it never ran: given back
+            # This request never ran, so its charge was refunded.
+            assert root.accounts["requests", 36_000_000].window.used == 3
 
-    scene()
+    scenario()
 
 
-def test_a_login_names_who_asks_and_upstreams_counts_move_the_share(tmp_path):
+def test_a_login_is_the_identity_and_counts_of_upstreams_change_the_share(tmp_path):
     fleet = '[quota.fleet]\nheader = "X-Served"\nsidecars = 4\nepoch_s = 1.0\neven = 0.5\n[quota.tree]'
-    text = TEXT.replace("[quota]", '[quota]\nsource = "login"').replace("ceiling = 10", "ceiling = 1000")
-    gate = Gate(features(tmp_path, text.replace("[quota.tree]", fleet, 1)).quota, 1)
+    text = CONFIGURATION.replace("[quota]", '[quota]\nsource = "login"').replace(
+        "ceiling = 10", "ceiling = 1000"
+    )
+    gate = Gate(load_configuration(tmp_path, text.replace("[quota.tree]", fleet, 1)).quota, 1)
     for login, name in (
         ("big/7", "all/big/7"),
         ("big", "all/others"),
         ("", "all/others"),
         ("a/b/c", "all/others"),
     ):
-        found = gate.tree.find(0, gate.identity(who("org=small,store=one", login)), gate.default_leaf)
-        assert found.full_name() == name
+        leaf = gate.tree.find(
+            0, gate.identity(active_request("org=small,store=one", login)), gate.default_leaf
+        )
+        assert leaf.full_name() == name
     root = gate.tree.root.accounts["requests", 10_000]
     assert gate.tree.terms.share == 125_000
     count = 0
@@ -228,24 +235,28 @@
         gate.refresh_share(now, 1)
         for value in (b"%d" % (count := count + 1), b"-1", b"9" * 40, b""):
             gate.record_answer(3, value)
-    gate.enter(0, who("", "big/7"), 0, False, 0.0)
+    gate.enter(0, active_request("", "big/7"), 0, False, 0.0)
     assert gate.tree.terms.share == 625_000 and root.ceiling == 625
-    gate.update(features(tmp_path).quota)
+    gate.update(load_configuration(tmp_path).quota)
     assert gate.share is None and gate.tree.terms.share == 1_000_000
 
 
-def test_a_retry_that_meets_the_same_refusal_is_to_stay_away_longer_and_is_charged_once(tmp_path):
-    gate = Gate(features(tmp_path, TEXT.replace('flight", ceiling = 6', 'flight", ceiling = 1')).quota, 1)
-    ticket = gate.enter(0, who("org=big,store=7"), 0, False, 0.0)
+def test_a_refused_retry_waits_longer_and_refused_requests_are_not_charged(tmp_path):
+    gate = Gate(
+        load_configuration(
+            tmp_path, CONFIGURATION.replace('flight", ceiling = 6', 'flight", ceiling = 1')
+        ).quota,
+        1,
+    )
+    ticket = gate.enter(0, active_request("org=big,store=7"), 0, False, 0.0)
     assert isinstance(ticket, Ticket)
     gate.leave(0, ticket, 0, True, 1)
     for _ in range(9):
-        got = gate.enter(0, who("org=x"), 0, False, 0.0)
-        if isinstance(got, Ticket):
-            gate.leave(0, got, 0, True, 1)
-    first, again = (gate.enter(9_000, who("org=x"), 0, again, 0.0) for again in (False, True))
-    assert (
-        1_500 <= first <= 2_300 * 1.5 and again >= 2 * 1_500
-    )  # room at 10,710, when its two of others leave
+        decision = gate.enter(0, active_request("org=x"), 0, False, 0.0)
+        if isinstance(decision, Ticket):
+            gate.leave(0, decision, 0, True, 1)
+    first, again = (gate.enter(9_000, active_request("org=x"), 0, again, 0.0) for again in (False, True))
+    # There is room at 10,710, when the two requests of others leave the window.
+    assert 1_500 <= first <= 2_300 * 1.5 and again >= 2 * 1_500
     assert gate.tree.root.accounts["requests", 10_000].window.used == 3
-    assert isinstance(gate.enter(10_720, who("org=x"), 0, True, 0.0), Ticket)
+    assert isinstance(gate.enter(10_720, active_request("org=x"), 0, True, 0.0), Ticket)
--- a/tests/sidecar/quota/test_tree.py
+++ b/tests/sidecar/quota/test_tree.py
@@ -1,4 +1,4 @@
-"""Quotas without I/O: exact against a plain log, whatever the order of events."""
+"""Quotas without I/O, compared with plain logs of what was admitted, for any order of events."""
 
 from hypothesis import given, settings
 from hypothesis import strategies as st
@@ -14,7 +14,7 @@
     st.integers(1, 40),
     st.lists(st.tuples(st.integers(0, 300), st.integers(1, 12)), max_size=60),
 )
-def test_no_interval_of_a_windows_length_passes_its_limit(length, limit, events):
+def test_no_interval_of_a_windows_length_exceeds_its_limit(length, limit, events):
     window, log, now = SlidingWindow(length), [], 0
     for gap, amount in events:
         now += gap
@@ -31,29 +31,27 @@
     st.integers(20, 500),
     st.lists(st.tuples(st.integers(0, 300), st.integers(1, 12), st.booleans()), max_size=40),
 )
-def test_a_window_agrees_with_a_plain_log_of_parts(length, events):
+def test_a_window_agrees_with_a_log_by_slot(length, events):
     window, log, now = SlidingWindow(length), [], 0
-    for gap, amount, back in events:
+    for gap, amount, is_subtracted in events:
         now += gap
-        place = window.add(now, amount)
-        if back:
-            window.subtract(now, place, amount)
+        slot = window.add(now, amount)
+        if is_subtracted:
+            window.subtract(now, slot, amount)
         else:
-            log.append((place, amount))
+            log.append((slot, amount))
         window.advance(now)
         window.check_invariants()
-        assert window.used == sum(
-            amount for place, amount in log if now // window.slot_length - place <= SLOTS
-        )
-    moment = window.free_at(now, 60, 7)
-    if moment is not None and moment > now:
-        window.advance(moment - 1)
+        assert window.used == sum(amount for slot, amount in log if now // window.slot_length - slot <= SLOTS)
+    fits_at = window.free_at(now, 60, 7)
+    if fits_at is not None and fits_at > now:
+        window.advance(fits_at - 1)
         assert window.used + 7 > 60
-        window.advance(moment)
+        window.advance(fits_at)
         assert window.used + 7 <= 60
 
 
-def test_a_clock_that_stalls_and_leaps_or_goes_back_breaks_nothing():
+def test_a_clock_that_goes_back_changes_nothing_and_one_that_jumps_ahead_empties_the_window():
     window = SlidingWindow(1000)
     window.add(500, 5)
     window.advance(100)
@@ -62,69 +60,70 @@
     assert window.used == 0 and window.slots is None
 
 
-def tree(reserve=250):
+def build_tree(reserve=250):
     root = Node("all", None, (Limit("requests", 1000, 100), Limit(IN_FLIGHT, 0, 50)), LendingTerms(reserve))
     a = Node("a", root, (Limit("requests", 1000, 100, 60),))
     b = Node("b", root, (Limit("requests", 1000, 80, 40),))
     return Tree(root), root, a, b
 
 
-def take(one, node, count, now=0):
-    return [one.admit(now, node, {"requests": 1}) for _ in range(count)]
+def admit_many(tree, node, count, now=0):
+    return [tree.admit(now, node, {"requests": 1}) for _ in range(count)]
 
 
-def admitted(found):
-    return sum(isinstance(ticket, Ticket) for ticket in found)
+def admitted(decisions):
+    return sum(isinstance(decision, Ticket) for decision in decisions)
 
 
-def spend(one, node, count, now=0):
-    """So many are asked for and settled at once; how many were admitted."""
-    found = 0
+def spend(tree, node, count, now=0):
+    """Asks for this many requests and settles each at once; returns how many were admitted."""
+    admitted_count = 0
     for _ in range(count):
-        got = one.admit(now, node, {"requests": 1})
-        if isinstance(got, Ticket):
-            got.settle(now, {})
-            found += 1
-    return found
-
-
-def test_a_refused_rpc_charges_nothing_and_a_cancelled_one_gives_back_once():
-    one, root, a, b = tree()
-    tickets = take(one, a, 50)
-    assert admitted(tickets) == 50 and isinstance(one.admit(0, a, {"requests": 1}), Refusal)  # in flight
+        decision = tree.admit(now, node, {"requests": 1})
+        if isinstance(decision, Ticket):
+            decision.settle(now, {})
+            admitted_count += 1
+    return admitted_count
+
+
+def test_a_refused_request_is_not_charged_and_a_cancelled_one_is_refunded_once():
+    tree, root, a, b = build_tree()
+    tickets = admit_many(tree, a, 50)
+    # The limit of 50 in flight is reached.
+    assert admitted(tickets) == 50 and isinstance(tree.admit(0, a, {"requests": 1}), Refusal)
     for ticket in tickets * 2:
         ticket.cancel(5)
         ticket.settle(5, {"requests": 9})
     assert root.in_flight == a.in_flight == 0 and root.accounts["requests", 1000].window.used == 0
-    assert admitted(take(one, a, 50)) == 50
+    assert admitted(admit_many(tree, a, 50)) == 50
 
 
-def test_costs_that_turn_out_ten_times_the_estimate_are_charged_and_less_is_returned():
+def test_use_beyond_the_estimate_is_charged_and_unused_work_is_refunded():
     root = Node("all", None, (Limit("work", 1000, 100),))
-    one = Tree(root)
-    one.admit(0, root, {"work": 10}).settle(50, {"work": 100})
+    tree = Tree(root)
+    tree.admit(0, root, {"work": 10}).settle(50, {"work": 100})
     assert root.accounts["work", 1000].window.used == 100
-    refused = one.admit(60, root, {"work": 10})
-    assert isinstance(refused, Refusal) and refused.retry_at > 1000
-    assert isinstance(one.admit(refused.retry_at, root, {"work": 10}), Ticket)
+    refusal = tree.admit(60, root, {"work": 10})
+    assert isinstance(refusal, Refusal) and refusal.retry_at > 1000
+    assert isinstance(tree.admit(refusal.retry_at, root, {"work": 10}), Ticket)
     other = Tree(Node("all", None, (Limit("work", 1000, 100),)))
     other.admit(0, other.root, {"work": 90}).settle(50, {"work": 1})
     assert other.root.accounts["work", 1000].window.used == 1
 
 
-def test_made_up_names_gain_nothing_and_take_no_more_room_than_is_stated():
+def test_made_up_names_shed_no_use_and_make_no_more_leaves_than_the_maximum():
     root = Node("all", None, (Limit("requests", 1000, 500),))
-    shared = Node("others", root, (Limit("requests", 1000, 20),))
+    default_leaf = Node("others", root, (Limit("requests", 1000, 20),))
     root.template = True
-    one = Tree(
+    tree = Tree(
         root, lambda parent, name: Node(name, parent, (Limit("requests", 1000, 10),)), max_dynamic_leaves=30
     )
-    leaves = {id(one.find(0, [f"made-{number}"], shared)): number for number in range(30)}
-    assert len(leaves) == 30 and len(one.dynamic_leaves) == 30
+    leaves = {id(tree.find(0, [f"made-{number}"], default_leaf)): number for number in range(30)}
+    assert len(leaves) == 30 and len(tree.dynamic_leaves) == 30
     for number in range(30):
-        one.admit(0, one.find(0, [f"made-{number}"], shared), {"requests": 1}).settle(0, {})
-    assert one.find(1, ["made-99"], shared) is shared  # all of them are still counted
-    assert one.find(3000, ["made-99"], shared) is not shared and len(one.dynamic_leaves) == 30
+        tree.admit(0, tree.find(0, [f"made-{number}"], default_leaf), {"requests": 1}).settle(0, {})
+    assert tree.find(1, ["made-99"], default_leaf) is default_leaf  # all leaves still have use in the window
+    assert tree.find(3000, ["made-99"], default_leaf) is not default_leaf and len(tree.dynamic_leaves) == 30
 
 
 @settings(max_examples=100, deadline=None)
@@ -134,22 +133,22 @@
         max_size=80,
     )
 )
-def test_no_history_lifts_a_parent_over_its_limit_in_any_window(events):
-    one, root, a, b = tree()
-    log, now, waiting = [], 0, []
-    for gap, who, amount, what in events:
+def test_no_order_of_events_lifts_a_parent_over_its_limit_in_any_window(events):
+    tree, root, a, b = build_tree()
+    log, now, open_tickets = [], 0, []
+    for gap, node_name, amount, outcome in events:
         now += gap
-        got = one.admit(now, a if who == "a" else b, {"requests": amount})
-        if isinstance(got, Refusal):
+        decision = tree.admit(now, a if node_name == "a" else b, {"requests": amount})
+        if isinstance(decision, Refusal):
             continue
-        if what == "c":
-            got.cancel(now)
+        if outcome == "c":
+            decision.cancel(now)
             continue
         log.append((now, amount))
-        waiting.append(got)
-        if what == "s":
-            waiting.pop(0).settle(now, {})
+        open_tickets.append(decision)
+        if outcome == "s":
+            open_tickets.pop(0).settle(now, {})
         root.check_invariants()
     for start, _ in log:
         assert sum(amount for at, amount in log if start <= at < start + 1000) <= 100
-    assert root.in_flight == len(waiting) <= 50
+    assert root.in_flight == len(open_tickets) <= 50
