--- a/shedgrade/sidecar/quota/accounts.py
+++ b/shedgrade/sidecar/quota/accounts.py
@@ -15,7 +15,7 @@
 INSTALMENT_DIVISOR = 2  # an instalment is at most half of a guarantee, so that no borrower is starved
 # Up to 1/16 of a ceiling is withheld from requests of low payoff, by their draw.
 LOW_VALUE_RESERVE_DIVISOR = 16
-# Up to half of a ceiling siblings don't compete, and requests are admitted without pacing.
+# Siblings don't compete, and nothing is paced, while use and entitlements fill at most half of the ceiling.
 UNCONTENDED_DIVISOR = 2
 
 
@@ -174,7 +174,7 @@
         self.update_unused()
 
     def restore_use(self, now: int, slot: int, amount: int) -> None:
-        """Counts an amount of the time before a restart in its slot; amounts in flight are not restored."""
+        """Counts an amount from before a restart in its slot; amounts in flight are not restored."""
         if self.window is None:
             return
         self.window.restore(now, slot, amount)
@@ -185,7 +185,10 @@
     # --- admission
 
     def within_ceiling(self, now: int, amount: int) -> bool:
-        """Returns whether the amount fits under the account's own ceiling; advances its window to `now`."""
+        """Returns whether the amount fits under the account's own ceiling.
+
+        Applies a changed share and advances the window to `now` first.
+        """
         if self.applied_share != self.terms.share:
             self.update_limit(self.limit)
         window = self.window
--- a/shedgrade/sidecar/quota/config.py
+++ b/shedgrade/sidecar/quota/config.py
@@ -74,7 +74,7 @@
         repay_windows: every loan is repaid within this many windows of its limit.
         most: the most leaves made from templates that exist at once.
         estimate_ms: assumed work of an RPC, ms, until its method has been measured.
-        transit_ms: by how much the delay to an upstream may vary, ms; windows are longer by it.
+        transit_ms: by how much the delay to an upstream may vary, ms; windows are extended by as much.
         templates: node tables by name, for `template` of nodes.
         fleet: splits the limits by observed traffic; without it `share` applies.
         tree: the root node.
--- a/shedgrade/sidecar/quota/feature.py
+++ b/shedgrade/sidecar/quota/feature.py
@@ -20,7 +20,7 @@
 
 
 class QuotaFeature(Feature):
-    """Built with the sidecar, updated by a reload, saved periodically and when the sidecar ends."""
+    """The quotas of the sidecar's own pool; a reload updates them, and their state is saved periodically."""
 
     def __init__(self, sidecar: "Sidecar", quota: Quota) -> None:
         self.sidecar = sidecar
--- a/shedgrade/sidecar/quota/gate.py
+++ b/shedgrade/sidecar/quota/gate.py
@@ -14,7 +14,7 @@
 from shedgrade.sidecar.quota.tree import Refusal, Ticket
 
 WAIT_JITTER = 0.5  # of the wait: the largest random addition, so that clients do not return together
-MAX_WAIT = 600_000  # tenths of a ms that a refusal asks the client to wait; settings may allow less
+MAX_WAIT = 600_000  # tenths of a ms that a client is to wait, before the jitter; settings may allow less
 ESTIMATE_SMOOTHING = 16  # requests over which the mean work of a method is taken
 MAX_COUNT_DIGITS = 19  # of an upstream's count; longer values are ignored
 
@@ -58,7 +58,7 @@
         return self.tree.terms.forgiven
 
     def update_share(self) -> None:
-        """Starts or stops to observe the fleet, as configured; starts anew if epochs or sidecars differ."""
+        """Starts or stops observing the fleet, as configured; starts anew if epochs or sidecars differ."""
         fleet = self.quota.fleet
         if fleet is None:
             self.share = None
--- a/shedgrade/sidecar/quota/lending.py
+++ b/shedgrade/sidecar/quota/lending.py
@@ -144,7 +144,10 @@
             self.repayment.add_debt(now, account, borrower, amount)
 
     def heaviest_borrower(self, now: int, lender: "Account", amount: int) -> "Account | None":
-        """Returns who uses most beyond its guarantee of the children seen last; None if it can't owe more."""
+        """Returns the child that uses most beyond its guarantee, of those that asked last.
+
+        None if there is none, or if it can't owe the amount as well.
+        """
         heaviest, largest_excess = None, 0
         for number, child in enumerate(reversed(self.pacing.children)):
             excess = child.used(now) - child.guarantee
--- a/shedgrade/sidecar/quota/pacing.py
+++ b/shedgrade/sidecar/quota/pacing.py
@@ -104,7 +104,7 @@
         account.lead_updated_at = max(now, account.lead_updated_at)
 
     def remove_idle(self, now: int) -> None:
-        """Removes accounts without a lead that did not ask for a window's length; at most MAX_IDLE_CHECKS."""
+        """Removes accounts without a lead that asked for nothing within a window; at most MAX_IDLE_CHECKS."""
         for _ in range(min(MAX_IDLE_CHECKS, len(self.children))):
             account = next(iter(self.children))
             self.decay_lead(now, account)
@@ -113,7 +113,7 @@
             self.remove(account)
 
     def must_yield(self, now: int, account: "Account") -> bool:
-        """Returns whether it is ahead of its pace while others also want what no sibling is entitled to."""
+        """Returns whether the account is ahead of its pace while others also want unentitled room."""
         if account not in self.children or len(self.children) == 1:
             return False
         self.decay_lead(now, account)
--- a/shedgrade/sidecar/quota/repayment.py
+++ b/shedgrade/sidecar/quota/repayment.py
@@ -116,7 +116,7 @@
     def begin_instalment(self, now: int, borrower: "Account", reopened: Instalment | None = None) -> None:
         """Begins an instalment with the borrower's oldest debts, up to the most that one instalment repays.
 
-        `reopened`: an instalment that began less than one slot ago and is extended by this one.
+        `reopened`: an instalment that still takes further debts, and is extended by this one.
         """
         parts = list(reopened.parts) if reopened is not None else []
         open_until = reopened.open_until if reopened is not None else now + self.open_length()
--- a/shedgrade/sidecar/quota/tree.py
+++ b/shedgrade/sidecar/quota/tree.py
@@ -224,9 +224,9 @@
     # --- nodes
 
     def find(self, now: int, names: list[str], default: Node) -> Node:
-        """Returns the node of this identity.
+        """Returns the node of this identity, which may be a new dynamic leaf.
 
-        `default` if the identity is empty, or unknown without a dynamic leaf being made for it.
+        Returns `default` if the identity is empty, or if it is unknown and gets no dynamic leaf.
         """
         node = self.root
         for name in names:
@@ -343,7 +343,10 @@
 
     @staticmethod
     def retry_at(now: int, account: Account, amount: int, by_siblings: bool) -> int | None:
-        """Returns when there may be room; None for requests in flight, as their ends can't be predicted."""
+        """Returns when there may be room, in tenths of a ms.
+
+        None for requests in flight, as their ends can't be predicted, and if the amount exceeds the ceiling.
+        """
         if account.window is None:
             return None
         if by_siblings and account.parent is not None and account.parent.window is not None:
