--- a/shedgrade/sidecar/quota/repayment.py
+++ b/shedgrade/sidecar/quota/repayment.py
@@ -1,9 +1,9 @@
 """Debts among siblings, and the instalments in which they are repaid. No I/O.
 
-A debt is what a lender was refused within its guarantee because a borrower had it. An instalment moves a part
-of the borrower's entitlement to its lenders for two windows: in the first one the borrower's use runs out, in
-the second the amount is there for the lender, used or not. The sum of entitlements never changes, so repaying
-lifts no parent over its limit.
+A debt is what a lender was refused within its guarantee because a borrower was using it. An instalment moves
+a part of the borrower's entitlement to its lenders for two windows: during the first the borrower's use
+leaves the window, during the second the amount is free for the lender, used or not. The sum of entitlements
+never changes, so a repayment lifts no parent over its limit.
 """
 
 from collections import deque
@@ -15,26 +15,37 @@
     from shedgrade.sidecar.quota.accounts import Account
     from shedgrade.sidecar.quota.lending import LendingPool
 
-DEBTS_REMEMBERED = 1000  # repaid ones included, for whoever asks
-INSTALMENT_WINDOWS = 2  # that an instalment lasts
-OPEN_IN_FLIGHT = 500  # tenths of a ms for which an instalment of a limit without a window stays open
+MAX_DEBT_HISTORY = 1000  # for reports, repaid ones included
+INSTALMENT_WINDOWS = 2  # the duration of an instalment, in windows
+# Tenths of a ms for which an instalment of a limit without a window takes further debts.
+IN_FLIGHT_OPEN_PERIOD = 500
 
 
 class Debt(Struct, eq=False):
-    """What a lender was refused, and by whom it is repaid. Times in tenths of a millisecond."""
+    """An amount that a lender was refused and a borrower repays. Times in tenths of a millisecond.
+
+    Attributes:
+        lender, borrower: full names of their nodes.
+        key: dimension and window of the limit.
+        amount: what the lender was refused.
+        at: when it was refused.
+        due: when the debt is repaid at the latest.
+        paid_at: when it was repaid; None until then.
+        forgiven: whether it will not be repaid, as a node was removed or has nothing left to repay from.
+    """
 
     lender: str
     borrower: str
     key: tuple[str, int]
     amount: int
     at: int
-    due: int  # when it is repaid at the latest
+    due: int
     paid_at: int | None = None
-    forgiven: bool = False  # a node that no configuration names any more pays nobody
+    forgiven: bool = False
 
 
 class UnscheduledDebt(Struct, eq=False):
-    """What of a debt no instalment has taken up yet."""
+    """The part of a debt that no instalment has taken up yet."""
 
     lender: "Account"
     debt: Debt
@@ -42,7 +53,7 @@
 
 
 class InstalmentPart(Struct, eq=False, frozen=True):
-    """What one running instalment pays of one debt."""
+    """What a running instalment repays of one debt."""
 
     lender: "Account"
     debt: Debt
@@ -51,11 +62,11 @@
 
 
 class Instalment(Struct, eq=False):
-    """What one borrower is paying now. Times in tenths of a millisecond."""
+    """What one borrower is repaying now. Times in tenths of a millisecond."""
 
     ends_at: int
     parts: list[InstalmentPart]
-    open_until: int  # until then, debts that come up are taken into it
+    open_until: int  # further debts are added to it until then
 
 
 class OpenDebt(Struct, eq=False):
@@ -71,8 +82,8 @@
     """All debts among the children of one account.
 
     Attributes:
-        unscheduled: by borrower, debts that wait for an instalment, the oldest first; no empty queue stays.
-        running: by borrower, the instalment that it pays now.
+        unscheduled: by borrower, debts that wait for an instalment, the oldest first; no queue is empty.
+        running: by borrower, the instalment that it is repaying now.
         outstanding: the sum of what is not yet repaid, scheduled or not.
         history: the newest debts, repaid and forgiven ones included.
     """
@@ -84,32 +95,32 @@
         self.unscheduled: dict[Account, deque[UnscheduledDebt]] = {}
         self.running: dict[Account, Instalment] = {}
         self.outstanding = 0
-        self.history: deque[Debt] = deque(maxlen=DEBTS_REMEMBERED)
+        self.history: deque[Debt] = deque(maxlen=MAX_DEBT_HISTORY)
 
     def add_debt(self, now: int, lender: "Account", borrower: "Account", amount: int) -> Debt:
-        """The borrower owes the lender so much from now on."""
+        """Adds a debt to what the borrower owes, and begins or extends its instalment; returns the debt."""
         due = now + borrower.terms.repay_windows * self.pool.window_length()
         debt = Debt(lender.name, borrower.name, lender.limit.key, amount, now, due)
         self.history.append(debt)
         borrower.debt += amount
         self.outstanding += amount
         self.unscheduled.setdefault(borrower, deque()).append(UnscheduledDebt(lender, debt, amount))
-        running = self.running.get(borrower)
-        if running is None:
+        instalment = self.running.get(borrower)
+        if instalment is None:
             self.begin_instalment(now, borrower)
-        elif now <= running.open_until:
+        elif now <= instalment.open_until:
             del self.running[borrower]
-            self.begin_instalment(now, borrower, running)
+            self.begin_instalment(now, borrower, instalment)
         return debt
 
     def begin_instalment(self, now: int, borrower: "Account", reopened: Instalment | None = None) -> None:
-        """Takes up what the borrower owes, the oldest first, as far as one instalment reaches.
+        """Begins an instalment with the borrower's oldest debts, up to the most that one instalment repays.
 
-        `reopened`: an instalment that began less than a part of a window ago goes on in this one.
+        `reopened`: an instalment that still takes further debts, and is extended by this one.
         """
         parts = list(reopened.parts) if reopened is not None else []
         open_until = reopened.open_until if reopened is not None else now + self.open_length()
-        payable = borrower.most_per_instalment() - sum(part.amount for part in parts)
+        payable = borrower.max_instalment() - sum(part.amount for part in parts)
         unscheduled = self.unscheduled.get(borrower)
         while unscheduled and payable > 0:
             first = unscheduled[0]
@@ -131,14 +142,16 @@
             self.running[borrower] = Instalment(ends_at, parts, open_until)
 
     def complete_due(self, now: int) -> None:
-        """Ends the instalments whose time is over; each borrower's next one begins where it ended, however
-        long nobody looked."""
+        """Ends the instalments whose time is over.
+
+        Each borrower's next one begins when the last one ended, even if that was long ago.
+        """
         for borrower in list(self.running):
             while borrower in self.running and self.running[borrower].ends_at <= now:
                 self.complete(borrower)
 
     def complete(self, borrower: "Account") -> None:
-        """The running instalment is paid: entitlements return, and the next one begins."""
+        """Ends a running instalment as paid: entitlements return, and the next instalment begins."""
         instalment = self.running.pop(borrower)
         for part in instalment.parts:
             self.return_entitlement(borrower, part)
@@ -151,9 +164,11 @@
         self.begin_instalment(instalment.ends_at, borrower)
 
     def reschedule(self, borrower: "Account") -> None:
-        """The borrower's guarantee has changed: it can't pay more than it has. With nothing left to pay from,
-        its debts are forgiven."""
-        if not borrower.most_per_instalment():
+        """Reduces the running instalment if the borrower's guarantee is now lower than what it repays.
+
+        If nothing is left to repay from, its debts are forgiven.
+        """
+        if not borrower.max_instalment():
             borrower.terms.forgiven += self.forgive(borrower)
         elif -borrower.credit > borrower.guarantee:
             instalment = self.running.pop(borrower)
@@ -169,14 +184,13 @@
             self.begin_instalment(max(0, began_at), borrower)
 
     def forgive(self, account: "Account") -> int:
-        """The account is no longer configured, or has no guarantee: what it owes and is owed can't be paid.
-        Returns how much that was."""
+        """Forgives all debts of and to an account that is removed or has no guarantee; returns their sum."""
         return sum(
             self.forgive_between(account, borrower) for borrower in list({**self.unscheduled, **self.running})
         )
 
     def forgive_between(self, account: "Account", borrower: "Account") -> int:
-        """Forgives all debts of this borrower if it is the account, else those it owes to the account."""
+        """Forgives the borrower's debts, or only those to the account if that is another; returns the sum."""
         queue = self.unscheduled.pop(borrower, deque())
         instalment = self.running.pop(borrower, None)
         parts = instalment.parts if instalment is not None else []
@@ -186,43 +200,43 @@
             part.lender.update_unused()
             borrower.update_unused()
         forgiven_debts: list[InstalmentPart | UnscheduledDebt] = [*forgiven_parts]
-        forgiven_debts += [one for one in queue if account in (borrower, one.lender)]
+        forgiven_debts += [debt for debt in queue if account in (borrower, debt.lender)]
         forgiven = 0
-        for one in forgiven_debts:
-            one.debt.forgiven = True
-            forgiven += one.amount
+        for forgiven_debt in forgiven_debts:
+            forgiven_debt.debt.forgiven = True
+            forgiven += forgiven_debt.amount
         borrower.debt -= forgiven
         self.outstanding -= forgiven
-        left_in_queue = deque(one for one in queue if account not in (borrower, one.lender))
-        if left_in_queue:
-            self.unscheduled[borrower] = left_in_queue
-        left_parts = [part for part in parts if account not in (borrower, part.lender)]
-        if instalment is not None and left_parts:
-            self.running[borrower] = Instalment(instalment.ends_at, left_parts, instalment.open_until)
+        remaining_debts = deque(debt for debt in queue if account not in (borrower, debt.lender))
+        if remaining_debts:
+            self.unscheduled[borrower] = remaining_debts
+        remaining_parts = [part for part in parts if account not in (borrower, part.lender)]
+        if instalment is not None and remaining_parts:
+            self.running[borrower] = Instalment(instalment.ends_at, remaining_parts, instalment.open_until)
         else:
             self.begin_instalment(self.pool.last_advanced_at(), borrower)
         return forgiven
 
     def open_debts(self) -> list[OpenDebt]:
-        """Each debt that is not yet repaid, with what is left of it."""
-        found: dict[int, OpenDebt] = {}
+        """Returns each debt that is not yet repaid, with the amount that is left."""
+        open_debts: dict[int, OpenDebt] = {}
         for borrower, instalment in self.running.items():
             for part in instalment.parts:
-                empty = OpenDebt(borrower, part.lender, part.debt, 0)
-                found.setdefault(id(part.debt), empty).amount += part.amount
+                open_debt = OpenDebt(borrower, part.lender, part.debt, 0)
+                open_debts.setdefault(id(part.debt), open_debt).amount += part.amount
         for borrower, queue in self.unscheduled.items():
-            for one in queue:
-                empty = OpenDebt(borrower, one.lender, one.debt, 0)
-                found.setdefault(id(one.debt), empty).amount += one.amount
-        return list(found.values())
+            for unscheduled in queue:
+                open_debt = OpenDebt(borrower, unscheduled.lender, unscheduled.debt, 0)
+                open_debts.setdefault(id(unscheduled.debt), open_debt).amount += unscheduled.amount
+        return list(open_debts.values())
 
     def open_length(self) -> int:
-        """For how long an instalment takes up further debts, in tenths of a millisecond."""
+        """Returns for how long an instalment takes further debts, in tenths of a millisecond."""
         window = self.pool.account.window
-        return window.slot_length if window is not None else OPEN_IN_FLIGHT
+        return window.slot_length if window is not None else IN_FLIGHT_OPEN_PERIOD
 
     def drop_empty_queue(self, borrower: "Account") -> None:
-        """Forgets a borrower that has nothing left to schedule."""
+        """Removes the queue of a borrower that has nothing left to schedule."""
         if borrower in self.unscheduled and not self.unscheduled[borrower]:
             del self.unscheduled[borrower]
 
@@ -233,12 +247,12 @@
         borrower.credit += part.amount
 
     def check_invariants(self) -> None:
-        """AssertionError if the sums or queues contradict each other."""
-        assert self.outstanding == sum(one.amount for one in self.open_debts())
-        assert all(self.unscheduled.values()), "an empty queue stayed"
+        """Raises AssertionError if the sums or queues contradict each other."""
+        assert self.outstanding == sum(open_debt.amount for open_debt in self.open_debts())
+        assert all(self.unscheduled.values()), "an empty queue was kept"
         by_borrower: dict[Account, int] = {}
-        for one in self.open_debts():
-            by_borrower[one.borrower] = by_borrower.get(one.borrower, 0) + one.amount
+        for open_debt in self.open_debts():
+            by_borrower[open_debt.borrower] = by_borrower.get(open_debt.borrower, 0) + open_debt.amount
         assert all(borrower.debt == amount for borrower, amount in by_borrower.items())
         for borrower, instalment in self.running.items():
             assert 0 < sum(part.amount for part in instalment.parts) <= borrower.guarantee
