--- a/shedgrade/sidecar/__init__.py
+++ b/shedgrade/sidecar/__init__.py
@@ -1,1 +1,1 @@
-"""The sidecar, `python -m shedgrade serve`, with all that only it has."""
+"""The sidecar, `python -m shedgrade serve`, and the modules that only it uses."""
--- a/shedgrade/sidecar/admin/__init__.py
+++ b/shedgrade/sidecar/admin/__init__.py
@@ -1,1 +1,1 @@
-"""The operators' second address: parses calls, hands them over, answers. It decides nothing."""
+"""The admin address of the sidecar: parses operators' calls, passes them on and sends the responses."""
--- a/shedgrade/sidecar/admin/calls.py
+++ b/shedgrade/sidecar/admin/calls.py
@@ -1,4 +1,4 @@
-"""The calls of the operators' address, without I/O."""
+"""Parsing and dispatch of the calls of the admin address, without I/O."""
 
 from collections.abc import Callable
 from typing import Protocol
@@ -6,31 +6,35 @@
 
 import httptools
 
-Reply = Callable[[bool, str], None]  # (whether it was done, why in a few words), called once
+Reply = Callable[[bool, str], None]  # called once with: whether the call succeeded, a short explanation
 
 
 class Orders(Protocol):
-    """Who carries the calls out. Each is answered once, when it has been done."""
+    """Executes the calls. `reply` is called once the call has taken effect or has been rejected."""
 
     def ready(self) -> bool:
-        """This process accepts clients, with a list in hand."""
+        """Returns whether this process accepts clients and has an endpoint list."""
 
     def disable(self, name: str, reply: Reply) -> None:
-        """Nothing more goes to this upstream."""
+        """Stops sending requests to this upstream."""
 
     def enable(self, name: str, reply: Reply) -> None:
-        """This upstream is back."""
+        """Sends requests to this upstream again."""
 
     def drain(self) -> tuple[bool, str]:
-        """The sidecar gives its clients up until it resumes."""
+        """Moves clients away from this sidecar until `resume`. Returns whether it succeeded, and why."""
 
     def resume(self) -> tuple[bool, str]:
-        """The end of the drain."""
+        """Ends the drain. Returns whether it succeeded, and why."""
 
 
 class CallError(Exception):
-    """What was asked for is no call. `status`: the HTTP status that says so; `allowed`: the method that the
-    call has instead, if it is only that."""
+    """The request is not a valid call.
+
+    Attributes:
+        status: HTTP status of the response.
+        allowed: the method that the path supports, if only the method is wrong.
+    """
 
     def __init__(self, status: int, allowed: bytes | None = None) -> None:
         super().__init__(status)
@@ -39,7 +43,7 @@
 
 
 def dispatch(method: bytes, target: bytes, orders: Orders, reply: Reply) -> None:
-    """Hands one call over. CallError if there is no such call."""
+    """Executes one call. Raises CallError if there is no such call."""
     match split_path(target):
         case ["", "-", "ready"]:
             require_method(method, b"GET")
@@ -62,7 +66,7 @@
 
 
 def split_path(target: bytes) -> list[str]:
-    """The segments of the target's path, percent-decoded. CallError if it can't be read."""
+    """Returns the percent-decoded segments of the target's path. Raises CallError if it can't be decoded."""
     try:
         path = httptools.parse_url(target).path or b""
         return [unquote_to_bytes(segment).decode() for segment in path.split(b"/")]
@@ -71,6 +75,6 @@
 
 
 def require_method(method: bytes, allowed: bytes) -> None:
-    """CallError if it is another one."""
+    """Raises CallError if `method` is not the allowed one."""
     if method != allowed:
         raise CallError(405, allowed)
--- a/shedgrade/sidecar/admin/front.py
+++ b/shedgrade/sidecar/admin/front.py
@@ -1,4 +1,4 @@
-"""The operators' address on sockets: one call to a connection, answered when it is done."""
+"""Connections of the admin address: one call per connection, which closes after the response."""
 
 import asyncio
 
@@ -7,9 +7,9 @@
 from shedgrade.http.connection import Connection
 from shedgrade.sidecar.admin.calls import CallError, Orders, dispatch
 
-MAX_CONNECTIONS = 16  # at once: a few operators' tools, and as many that never finish
-CALL_TIMEOUT_S = 2.0  # within which a call must be complete: its caller waits 1 s for the answer
-MAX_CALL_BYTES = 16 * 1024  # an upstream's id is the longest part
+MAX_CONNECTIONS = 16  # open at once: a few operators' tools, and as many connections that send no full call
+CALL_TIMEOUT_S = 2.0  # from connect until the connection is cut; callers wait 1 s for the response
+MAX_CALL_BYTES = 16 * 1024  # the longest part is an upstream's id
 REASONS = {
     200: b"OK",
     400: b"Bad Request",
@@ -22,14 +22,14 @@
 
 
 class AdminConnection(Connection):
-    """One call: read, handed over, answered, closed.
+    """Reads one call, executes it, sends the response and closes.
 
     Attributes:
-        target: the request target, as far as it has come.
-        bytes_left: that the call may still have.
-        complete: the call is complete; what comes behind it is ignored.
-        answered: an answer was written, and the connection closes.
-        opened_at: by the loop's clock.
+        target: the part of the request target received so far.
+        bytes_left: bytes that the call may still take.
+        complete: whether the call was received in full; bytes after it are ignored.
+        answered: whether the response was written; the connection then closes.
+        opened_at: time of the connection, by the loop's clock.
     """
 
     def __init__(self, front: "AdminFront") -> None:
@@ -43,17 +43,17 @@
         self.opened_at = front.loop.time()
 
     def connection_made(self, transport: asyncio.Transport) -> None:  # type: ignore[override]
-        """Called by the loop."""
+        """Called by the event loop."""
         super().connection_made(transport)
         self.front.connections[self] = None
 
     def connection_lost(self, failure: Exception | None) -> None:
-        """Called by the loop."""
+        """Called by the event loop."""
         self.front.connections.pop(self, None)
-        self.parser = None  # holds on to this connection, which would wait for the collector
+        self.parser = None  # breaks the reference cycle, so that no garbage collection is needed
 
     def read(self) -> None:
-        """Bytes have come."""
+        """Parses the received bytes, and executes the call once it is complete."""
         for part in self.incoming.parts():
             self.bytes_left -= len(part)
             if not self.complete and not self.answered:
@@ -63,13 +63,13 @@
             self.hand_over()
 
     def parse(self, part: bytes | memoryview) -> None:
-        """Feeds the parser; what is no call, or too long a one, is answered so."""
+        """Feeds the parser. Responds with 400 to a malformed call and with 413 to one that is too long."""
         if self.parser is None:
             return  # the connection has ended
         try:
             self.parser.feed_data(part)
         except httptools.HttpParserUpgrade:
-            pass  # nothing else is spoken here: the call is complete, and answered as it is
+            pass  # no other protocol is supported; the call is complete and is executed as it is
         except httptools.HttpParserError:
             self.answer(400, "that is no call")
         if self.bytes_left < 0 and not self.complete:
@@ -84,7 +84,7 @@
         self.complete = True
 
     def hand_over(self) -> None:
-        """Has the call carried out."""
+        """Executes the call."""
         if self.parser is None:
             return  # the connection has ended
         try:
@@ -94,11 +94,11 @@
             self.answer(error.status, REASONS[error.status].decode().lower(), headers)
 
     def reply(self, done: bool, text: str) -> None:
-        """The call has been done, or can't be."""
+        """Sends the result of the call: 200 on success, 503 otherwise."""
         self.answer(200 if done else 503, text)
 
     def answer(self, status: int, text: str, headers: list[bytes] | None = None) -> None:
-        """Writes the answer, once, and closes."""
+        """Writes the response, if none was written before, and closes."""
         if self.answered or self.transport is None or self.transport.is_closing():
             return
         self.answered = True
@@ -117,11 +117,11 @@
 
 
 class AdminFront:
-    """The connections of the operators' address, and the room for more: always enough for one call.
+    """The connections of the admin address. Room is made so that one more call can always be accepted.
 
     Attributes:
-        connections: the oldest first.
-        accepting: tasks of connections that were accepted and are being taken up; the listener keeps it.
+        connections: open connections, the oldest first.
+        accepting: tasks that set up accepted connections; maintained by the listener.
     """
 
     def __init__(self, loop: asyncio.AbstractEventLoop, orders: Orders) -> None:
@@ -131,7 +131,10 @@
         self.accepting: set[asyncio.Task[None]] = set()
 
     def make_room(self) -> bool:
-        """Guards against callers that connect and finish nothing: the oldest one goes for each that comes."""
+        """Makes room for one connection, and returns whether there is room.
+
+        Guards against callers that connect and never complete a call: the oldest connection is cut.
+        """
         while len(self.connections) >= MAX_CONNECTIONS:
             oldest = next(iter(self.connections))
             del self.connections[oldest]
@@ -139,13 +142,13 @@
         return len(self.connections) + len(self.accepting) < MAX_CONNECTIONS
 
     def cut_overdue(self) -> None:
-        """Cuts callers whose call is not answered in time."""
+        """Cuts connections that are open for longer than CALL_TIMEOUT_S."""
         now = self.loop.time()
         for connection in list(self.connections):
             if now - connection.opened_at > CALL_TIMEOUT_S:
                 connection.cut()
 
     def close(self) -> None:
-        """Cuts all callers."""
+        """Cuts all connections."""
         for connection in list(self.connections):
             connection.cut()
