--- a/shedgrade/sidecar/lifecycle/hot_restart.py
+++ b/shedgrade/sidecar/lifecycle/hot_restart.py
@@ -1,8 +1,8 @@
-"""A hot restart: what this process takes over from an older one, and what it hands to a newer one.
+"""A hot restart: the state that this process takes over from an older one, and hands to a newer one.
 
-As in Envoy, two processes of the same sidecar run side by side for a while: the newer one takes the listening
-socket, the list of upstreams, what was learned and the operators' orders; the older one drains. Steps and the
-ways not taken: docs/design/operating.md.
+As in Envoy, two processes of the same sidecar run side by side for a while. The newer one takes over the
+listening socket, the endpoint list, the learned state and the operators' commands; the older one drains. The
+steps and the rejected alternatives: docs/design/operating.md.
 """
 
 import socket
@@ -25,21 +25,21 @@
 if TYPE_CHECKING:
     from shedgrade.sidecar.lifecycle.sidecar import Sidecar
 
-READY_TIMEOUT_S = 10.0  # within which a newer process must serve: it is owed a yes within 6
-SPARE_DESCRIPTORS = 8  # that the older process may still open while the newer one takes its place
-ORDERS = ("out", "back", "drain", "resume")  # as they are called between the processes
+READY_TIMEOUT_S = 10.0  # for the newer process to start serving; its readiness is due within 6 s
+SPARE_DESCRIPTORS = 8  # file descriptors that the older process may still open after the handover
+ORDERS = ("out", "back", "drain", "resume")  # values of `call` in messages between the processes
 
 
 class HotRestart:
-    """The links to an older and to a newer process of the same sidecar, while they last.
+    """The links to an older and to a newer process of the same sidecar.
 
     Attributes:
-        path: where the processes of this sidecar meet; None where they share no folder.
-        listener: waits for the newer process; None until this one serves, or where it can't.
-        older, newer: the links; None while there is no such process.
-        newer_accepts: the newer one accepts the clients now; only while there is one.
-        starts_standing_by: the older process stood by when it handed over.
-        descriptors_stated: the most descriptors that the newer process was told are open here.
+        path: Unix socket of the handover; None without TMPDIR, as the processes then share no directory.
+        listener: accepts the link of a newer process; None until this one serves, or if it can't listen.
+        older, newer: the links; None if there is no such process.
+        newer_accepts: whether the newer process accepts clients; False if there is none.
+        starts_standing_by: whether the older process was standing by at the handover.
+        descriptors_stated: the most file descriptors that this process may hold, as the newer one was told.
     """
 
     def __init__(self, sidecar: "Sidecar") -> None:
@@ -53,10 +53,10 @@
         self.starts_standing_by = False
         self.descriptors_stated = 0
 
-    # --- as the newer one
+    # --- in the newer process
 
     def take_over(self) -> socket.socket | None:
-        """Takes what an older process hands over; its listening socket, if there is one."""
+        """Takes over the state of an older process. Returns its listening socket; None if there is none."""
         if self.path is None:
             return None
         try:
@@ -69,7 +69,7 @@
             except (AttributeError, KeyError, TypeError, ValueError, ListError) as error:
                 link.close()
                 listening_socket.close()
-                raise HotRestartError(f"its state is not sound: {error!r}") from error
+                raise HotRestartError(f"the state of the older process is invalid: {error!r}") from error
         except HotRestartError as error:
             logger.warning("nothing taken over from older process", error=str(error))
             return None
@@ -83,7 +83,7 @@
         return listening_socket
 
     def apply_state(self, state: HandoverState) -> None:
-        """Puts the older process's state in force; the list is read first, as only that can be refused."""
+        """Applies the state of the older process. The list comes first: only it can be rejected."""
         sidecar, pool = self.sidecar, self.sidecar.pool
         if state.endpoint_list is not None:
             pool.listed(state.endpoint_list, asked=False)
@@ -99,7 +99,7 @@
         self.starts_standing_by = state.standing_by
 
     def restore_learned(self, stored: dict[str, Any]) -> None:
-        """Hands the balancer what the older one had learned, as far as it fits."""
+        """Passes the learned state of the older process to the balancer, as far as it fits."""
         from shedgrade.sidecar.learned_state_file import from_disk
 
         pool = self.sidecar.pool
@@ -109,7 +109,7 @@
             pool.dispatcher.restore(learned, 0.0)
 
     def start_serving(self) -> None:
-        """This process accepts clients: the older one need not, and the next one may come."""
+        """Tells the older process that this one accepts clients, and waits for the next newer process."""
         if self.older is not None:
             self.older.send({"what": "serving"})
             if self.starts_standing_by:
@@ -121,35 +121,35 @@
                 logger.warning("hot restart not possible", error=failure.strerror)
 
     def on_older_message(self, message: Message, descriptors: list[int]) -> None:
-        """The older process gives descriptors back, or passes an order on."""
+        """Handles a message of the older process: it released descriptors, or forwards a command."""
         if message["what"] == "holds":
             self.sidecar.budget.share(max(0, int(message["holds"])))
         elif message["what"] == "order":
             self.apply_order(message, self.newer)
 
     def on_older_closed(self) -> None:
-        """The older process is gone."""
+        """Called when the older process has closed the link."""
         if self.older is not None:
             self.older = None
             logger.info("older process ended")
             if self.newer is None:
                 self.take_whole_budget()
 
-    # --- as the older one
+    # --- in the older process
 
     def on_link(self, link: HandoverLink) -> None:
-        """Somebody connected, who has not said who it is."""
+        """Accepts a link; the other end must identify itself with `hello`."""
         link.follow(
             lambda message, descriptors: self.on_newer_message(link, message),
             lambda: self.on_newer_closed(link),
         )
 
     def on_newer_message(self, link: HandoverLink, message: Message) -> None:
-        """HotRestartError for what a newer process may not say."""
+        """Handles a message of a newer process. Raises HotRestartError if it is not allowed."""
         if message["what"] == "hello":
             self.hand_over(link, message)
         elif link is not self.newer:
-            raise HotRestartError("it has not said who it is")
+            raise HotRestartError("message before hello")
         elif message["what"] == "serving":
             self.newer_accepts = True
             self.sidecar.listener.hand_over(True)
@@ -158,9 +158,13 @@
             self.apply_order(message, self.older)
 
     def hand_over(self, link: HandoverLink, hello: Message) -> None:
-        """Answers a newer process with all that it needs; from here on this one opens hardly anything."""
+        """Sends the state and the listening socket to a newer process.
+
+        From now on this process may open at most SPARE_DESCRIPTORS more descriptors. Raises HotRestartError
+        if the protocol versions differ or this process accepts no clients.
+        """
         if hello.get("v") != VERSION or not self.sidecar.accepts_clients():
-            raise HotRestartError("another build, or nothing to hand over")
+            raise HotRestartError("protocol version differs, or there is no state to hand over")
         if self.newer is not None:
             logger.warning("second newer process replaces the first")
             self.newer.close()
@@ -172,13 +176,16 @@
         link.send(self.state().to_message(), self.sidecar.listener.socket.fileno())
 
     def on_ready_timeout(self, link: HandoverLink) -> None:
-        """Guards against a newer process that stands still: this one would keep half of everything."""
+        """Closes the link to a newer process that does not serve in time.
+
+        Guards against one that hangs: this process would keep its reduced limits.
+        """
         if link is self.newer and not self.newer_accepts:
             logger.warning("newer process not ready in time", timeout_s=READY_TIMEOUT_S)
             link.close()
 
     def on_newer_closed(self, link: HandoverLink) -> None:
-        """The newer process is gone: this one serves on."""
+        """Called when the newer process has ended: this one serves alone again, with its full limits."""
         if link is not self.newer:
             return
         self.newer = None
@@ -188,7 +195,7 @@
         self.take_whole_budget()
 
     def state(self) -> HandoverState:
-        """All that a newer process takes over."""
+        """Returns the state that a newer process takes over."""
         from shedgrade.sidecar.learned_state_file import to_disk
 
         pool = self.sidecar.pool
@@ -211,31 +218,34 @@
             learned=learned,
         )
 
-    # --- both
+    # --- in both
 
     def send_order(self, call: str, name: str = "") -> None:
-        """An order that came here counts for the other process too. `call`: one of ORDERS."""
+        """Forwards an operator's command to the other processes. `call`: one of ORDERS."""
         for link in (self.older, self.newer):
             if link is not None:
                 link.send({"what": "order", "call": call, "name": name})
 
     def apply_order(self, message: Message, onward: HandoverLink | None) -> None:
-        """An order of the other process; `onward`: a third one that has to know. HotRestartError if it is
-        none."""
+        """Executes a command that another process forwarded.
+
+        `onward`: the link to a third process, which gets the command too. Raises HotRestartError if the
+        command is invalid.
+        """
         call, name = message["call"], message["name"]
         if type(name) is not str or call not in ORDERS:
-            raise HotRestartError("no such order")
+            raise HotRestartError("no such command")
         if onward is not None:
             onward.send(message)
         self.sidecar.orders.apply_remote(call, name)
 
     def take_whole_budget(self) -> None:
-        """There is no other process: everything is this one's again."""
+        """Restores the full limits, as there is no other process."""
         self.sidecar.budget.share(None)
         self.sidecar.pool.dispatcher.set_slow_start_share(1.0)
 
     def tick(self) -> None:
-        """Now and then: the older one gives back the descriptors that it no longer holds."""
+        """Called periodically: tells the newer process which descriptors this older one has released."""
         if self.newer is not None and self.newer_accepts:
             held = self.sidecar.budget.connections()
             if held < self.descriptors_stated:
@@ -244,7 +254,7 @@
                 self.newer.send({"what": "holds", "holds": held})
 
     def close(self) -> None:
-        """This process ends; nothing is called any more."""
+        """Closes the listener and the links, without further callbacks."""
         if self.listener is not None:
             self.listener.close()
         for link in (self.older, self.newer):
@@ -256,9 +266,9 @@
         self.newer_accepts = False
 
     def check_invariants(self) -> None:
-        """AssertionError if links and flags contradict each other."""
+        """Raises AssertionError if links and flags contradict each other."""
         assert self.newer is not None or not self.newer_accepts
         assert self.older is None or self.older is not self.newer
         assert self.descriptors_stated >= 0
         for link in (self.older, self.newer):
-            assert link is None or link.socket.fileno() >= 0, "a closed link is still here"
+            assert link is None or link.socket.fileno() >= 0, "a closed link is still referenced"
--- a/shedgrade/sidecar/lifecycle/hot_restart_link.py
+++ b/shedgrade/sidecar/lifecycle/hot_restart_link.py
@@ -1,9 +1,9 @@
-"""The link between the two processes of a hot restart, and how they find each other.
+"""The link between the two processes of a hot restart, and how the newer one finds the older one.
 
-The older process listens at a Unix socket in `$TMPDIR`; the newer one connects there before it listens for
+The older process listens on a Unix socket in `$TMPDIR`; the newer one connects to it before it listens for
 clients. Messages are lines of JSON; the clients' listening socket comes with the first one (SCM_RIGHTS).
-What is not sound is not used: one warning, and the process goes on as if it were alone. The keys of the
-messages are fixed, as the other process may be of another build.
+Invalid input is discarded with one warning, and the process continues as if there were no other. The keys of
+the messages are fixed, as the other process may be of another build.
 """
 
 import asyncio
@@ -19,27 +19,30 @@
 from loguru import logger
 
 VERSION = 1
-ANSWER_TIMEOUT_S = 0.5  # within which the older process answers, or the newer one starts without it
-MAX_MESSAGE_BYTES = 8 * 1024 * 1024  # tens of thousands of upstreams
-READ_BYTES = 256 * 1024  # at once
-MAX_DESCRIPTORS = 4  # that may come with one read
+ANSWER_TIMEOUT_S = 0.5  # for the older process to answer; after that the newer one starts without its state
+MAX_MESSAGE_BYTES = 8 * 1024 * 1024  # enough for tens of thousands of upstreams
+READ_BYTES = 256 * 1024  # per read
+MAX_DESCRIPTORS = 4  # per read
 BACKLOG = 4
-PEER_CREDENTIALS = struct.Struct("3i")  # process, user and group of a Unix socket's other end
+PEER_CREDENTIALS = struct.Struct("3i")  # pid, uid and gid of the other end of a Unix socket
 
 Message = dict[str, Any]  # one line of JSON
 
 
 class HotRestartError(Exception):
-    """Why there is nothing to take over, in a few words."""
+    """Why nothing can be taken over, or why a message is rejected."""
 
 
 @dataclass(frozen=True)
 class HandoverState:
-    """What an older process hands over.
+    """The state that an older process hands over.
 
-    `disabled`: ids of upstreams that operators took out. `standing_by`: an operator's drain is in force.
-    `descriptors`: the most that the older process still opens. `endpoint_list`: as discovery sends it, None
-    if there was none. `learned`: by the balancer, as it stands on disk, None if there is nothing.
+    Attributes:
+        disabled: ids of the upstreams that operators disabled.
+        standing_by: whether an operator's drain is in force.
+        descriptors: the most file descriptors that the older process may hold.
+        endpoint_list: the list of upstreams in the format of discovery; None if there was none.
+        learned: the learned state of the balancer in the format of its file; None if there is none.
     """
 
     disabled: list[str]
@@ -50,7 +53,7 @@
 
     @classmethod
     def from_message(cls, message: Message) -> "HandoverState":
-        """HotRestartError if a key is missing or has the wrong form."""
+        """Raises HotRestartError if a key is missing or has the wrong type."""
         try:
             disabled, standing_by = message["outs"], message["standing_by"]
             descriptors = message["holds"]
@@ -58,15 +61,15 @@
         except KeyError as missing:
             raise HotRestartError(f"{missing} is missing") from missing
         if not (type(disabled) is list and all(type(name) is str for name in disabled)):
-            raise HotRestartError("outs is no list of ids")
+            raise HotRestartError("outs is not a list of ids")
         if type(standing_by) is not bool:
-            raise HotRestartError("standing_by is not true or false")
+            raise HotRestartError("standing_by is not a boolean")
         if type(descriptors) is not int or descriptors < 0:
-            raise HotRestartError("holds is no count")
+            raise HotRestartError("holds is not a count")
         return state
 
     def to_message(self) -> Message:
-        """The message with its kind and version."""
+        """Returns the message, with its type and version."""
         return {
             "v": VERSION,
             "what": "state",
@@ -79,36 +82,37 @@
 
 
 def handover_path(listen: tuple[str, int]) -> str | None:
-    """Where the two processes of a sidecar meet; None where they share no folder."""
+    """Returns the path of the Unix socket for the handover; None if TMPDIR is not set."""
     folder = os.environ.get("TMPDIR")
     return os.path.join(folder, f"shedgrade-{listen[0]}-{listen[1]}.sock") if folder else None
 
 
 class ShortPath:
-    """A name for a path, however long it is: the name of a Unix socket ends after 107 bytes."""
+    """A short alias of a path of any length: the path of a Unix socket may have at most 107 bytes."""
 
     def __init__(self, path: str) -> None:
         self.folder = os.open(os.path.dirname(path), os.O_RDONLY | os.O_DIRECTORY)
         self.name = f"/proc/self/fd/{self.folder}/{os.path.basename(path)}"
 
     def __enter__(self) -> str:
-        """The name, valid until the exit."""
+        """Returns the alias, which is valid until the exit."""
         return self.name
 
     def __exit__(self, *_: object) -> None:
-        """Closes the folder."""
+        """Closes the descriptor of the directory."""
         os.close(self.folder)
 
 
 class HandoverLink:
-    """One connection between the two processes: whole messages in, whole messages out.
+    """One connection between the two processes, which sends and receives whole messages.
 
     Attributes:
-        on_message: told each message, with the descriptors that came with it.
-        on_close: told once that the link has ended.
-        received, unsent: bytes of messages that are not whole yet, or not yet taken by the kernel.
-        descriptors: those that came and were handed to nobody yet.
-        awaits_writable: the loop watches for the socket to become writable.
+        on_message: called with each message and the file descriptors that came with it.
+        on_close: called once when the link has closed.
+        received: bytes of messages that are not complete yet.
+        unsent: bytes that the kernel has not taken yet.
+        descriptors: received file descriptors that were not passed to `on_message` yet.
+        awaits_writable: whether the event loop watches for the socket to become writable.
     """
 
     def __init__(self, loop: asyncio.AbstractEventLoop, connection: socket.socket) -> None:
@@ -124,15 +128,15 @@
     # --- receiving
 
     def follow(self, on_message: Callable[[Message, list[int]], None], on_close: Callable[[], None]) -> None:
-        """From now on the loop reads, and both are called."""
+        """Starts reading in the event loop, and calls the callbacks from now on."""
         self.on_message = on_message
         self.on_close = on_close
         self.socket.setblocking(False)
         self.loop.add_reader(self.socket, self.read)
-        self.dispatch()  # what came right behind the first message
+        self.dispatch()  # messages that came with the first one
 
     def read(self) -> None:
-        """The socket is readable."""
+        """Called by the event loop when the socket is readable."""
         try:
             data, descriptors, _, _ = socket.recv_fds(self.socket, READ_BYTES, MAX_DESCRIPTORS)
         except BlockingIOError:
@@ -147,7 +151,7 @@
             self.dispatch()
 
     def dispatch(self) -> None:
-        """Hands over the messages that are whole; the link is closed at the first that is of no use."""
+        """Passes on complete messages; closes the link at the first invalid one."""
         try:
             for message in self.messages():
                 descriptors, self.descriptors = self.descriptors, []
@@ -157,16 +161,19 @@
             self.close()
 
     def messages(self) -> Iterator[Message]:
-        """Takes whole messages out of what was received. HotRestartError or ValueError for what is none."""
+        """Takes complete messages from the received bytes.
+
+        Raises HotRestartError or ValueError if one is not a JSON object.
+        """
         while (end := self.received.find(b"\n")) >= 0:
             message = orjson.loads(bytes(self.received[:end]))
             del self.received[: end + 1]
             if type(message) is not dict:
-                raise HotRestartError("no object")
+                raise HotRestartError("the message is not an object")
             yield message
 
     def wait_for_first(self) -> tuple[Message, list[int]]:
-        """Waits for one message, while nothing else is to be done here. HotRestartError if none comes."""
+        """Blocks until one message is received. Raises HotRestartError if none comes in ANSWER_TIMEOUT_S."""
         end = monotonic() + ANSWER_TIMEOUT_S
         while True:
             for message in self.messages():
@@ -180,12 +187,12 @@
             self.descriptors += descriptors
             self.received += data
             if not data or len(self.received) > MAX_MESSAGE_BYTES:
-                raise HotRestartError("the message ends early")
+                raise HotRestartError("the message is incomplete or too long")
 
     # --- sending
 
     def send(self, message: Message, descriptor: int | None = None) -> None:
-        """Sends a message as soon as the kernel takes it; the descriptor goes with its first byte."""
+        """Sends a message as soon as the kernel takes it, and the descriptor with its first byte."""
         if self.socket.fileno() < 0:
             return
         data = orjson.dumps(message) + b"\n"
@@ -200,7 +207,7 @@
         self.write()
 
     def write(self) -> None:
-        """Writes what the kernel takes; the rest once the socket is writable."""
+        """Writes as much as the kernel takes, and the rest when the socket is writable."""
         try:
             while self.unsent:
                 del self.unsent[: self.socket.send(self.unsent)]
@@ -217,7 +224,7 @@
                 self.loop.remove_writer(self.socket)
 
     def close(self) -> None:
-        """Ends the link, once."""
+        """Closes the link, and the descriptors that were not passed on."""
         if self.socket.fileno() < 0:
             return
         self.loop.remove_reader(self.socket)
@@ -230,7 +237,7 @@
 
 
 class Handover(NamedTuple):
-    """What the newer process got of the older one."""
+    """What a newer process gets from the older one."""
 
     link: HandoverLink
     state: HandoverState
@@ -238,9 +245,9 @@
 
 
 def connect_to_older(loop: asyncio.AbstractEventLoop, path: str) -> Handover | None:
-    """The link to the older process, its state and its listening socket; None if there is none.
+    """Connects to the older process and waits for its state and its listening socket.
 
-    HotRestartError if there is one whose answer is of no use.
+    Returns None if there is no older process. Raises HotRestartError if its answer is missing or invalid.
     """
     connection = socket.socket(socket.AF_UNIX, socket.SOCK_STREAM)
     connection.settimeout(ANSWER_TIMEOUT_S)
@@ -249,8 +256,8 @@
             connection.connect(name)
     except TimeoutError as late:
         connection.close()
-        raise HotRestartError("it does not answer") from late
-    except OSError:  # nobody was there, or nobody is any more
+        raise HotRestartError("connecting to the older process timed out") from late
+    except OSError:  # there is no older process, or it has just ended
         connection.close()
         return None
     link = HandoverLink(loop, connection)
@@ -259,9 +266,9 @@
         connection.sendall(orjson.dumps({"v": VERSION, "what": "hello"}) + b"\n")
         message, descriptors = link.wait_for_first()
         if message.get("v") != VERSION or message.get("what") != "state":
-            raise HotRestartError("it is of another build")
+            raise HotRestartError("the protocol version of the older process differs")
         if len(descriptors) != 1:
-            raise HotRestartError("no listening socket came with it")
+            raise HotRestartError("no listening socket came with the state")
         state = HandoverState.from_message(message)
         return Handover(link, state, socket.socket(fileno=descriptors.pop()))
     except (OSError, ValueError, HotRestartError) as error:
@@ -272,13 +279,15 @@
 
 
 class HandoverListener:
-    """Where the next process finds this one. It takes the place of whoever listened there before, at once
-    and whole."""
+    """Accepts the link of the next newer process.
+
+    It atomically replaces the socket at its path, if another process listens there.
+    """
 
     def __init__(
         self, loop: asyncio.AbstractEventLoop, path: str, on_link: Callable[[HandoverLink], None]
     ) -> None:
-        """OSError if the folder can't be written."""
+        """Raises OSError if the socket can't be created in that directory."""
         self.loop = loop
         self.path = path
         self.on_link = on_link
@@ -299,7 +308,7 @@
         loop.add_reader(self.socket, self.accept)
 
     def accept(self) -> None:
-        """Takes one connection, of this very user only."""
+        """Accepts one connection. Those of other users are closed."""
         try:
             connection, _ = self.socket.accept()
         except OSError:
@@ -312,7 +321,7 @@
         self.on_link(HandoverLink(self.loop, connection))
 
     def close(self) -> None:
-        """Listens no more; the path goes unless another process has taken it."""
+        """Stops listening; removes the path unless another process has taken it over."""
         self.loop.remove_reader(self.socket)
         self.socket.close()
         try:
--- a/shedgrade/sidecar/lifecycle/operator_orders.py
+++ b/shedgrade/sidecar/lifecycle/operator_orders.py
@@ -1,4 +1,4 @@
-"""What the operators have ordered, kept for as long as the sidecar runs."""
+"""The operators' commands, which stay in force while the sidecar runs."""
 
 from collections.abc import Callable
 from typing import TYPE_CHECKING
@@ -8,15 +8,15 @@
 if TYPE_CHECKING:
     from shedgrade.sidecar.lifecycle.sidecar import Sidecar
 
-Reply = Callable[[bool, str], None]  # (whether it was done, why in a few words), called once
+Reply = Callable[[bool, str], None]  # called once with: whether the call succeeded, a short explanation
 
 
 class OperatorOrders:
-    """Carries the operators' calls out, here and in the other process of a hot restart.
+    """Executes the operators' commands, here and in the other process of a hot restart.
 
     Attributes:
-        disabled: ids of the upstreams that get nothing. Kept outside the list: it may drop, move or restart
-            an upstream, which stays disabled until it is enabled.
+        disabled: ids of the upstreams that get no requests. Kept apart from the endpoint list: if the list
+            drops, moves or restarts an upstream, it stays disabled until an operator enables it.
     """
 
     def __init__(self, sidecar: "Sidecar") -> None:
@@ -24,19 +24,19 @@
         self.disabled: set[str] = set()
 
     def ready(self) -> bool:
-        """This process accepts clients, with a list in hand."""
+        """Returns whether this process accepts clients and has an endpoint list."""
         return self.sidecar.accepts_clients()
 
     def disable(self, name: str, reply: Reply) -> None:
-        """Nothing more goes to this upstream."""
+        """Stops sending requests to this upstream."""
         self.change(name, True, reply)
 
     def enable(self, name: str, reply: Reply) -> None:
-        """This upstream is back, warming up."""
+        """Sends requests to this upstream again, with a slow start."""
         self.change(name, False, reply)
 
     def change(self, name: str, disable: bool, reply: Reply) -> None:
-        """Disables or enables an upstream that is known, here and in the other process."""
+        """Disables or enables a known upstream, here and in the other process."""
         if name not in self.disabled and name not in self.sidecar.pool.reader.indices.by_id:
             reply(False, "no upstream has that id")
             return
@@ -48,14 +48,14 @@
         self.apply(name, disable, reply)
 
     def apply(self, name: str, disable: bool, reply: Reply) -> None:
-        """Disables or enables an upstream here; `reply` once the balancer has it."""
+        """Disables or enables an upstream here; calls `reply` once the balancer has applied it."""
         pool = self.sidecar.pool
         (self.disabled.add if disable else self.disabled.discard)(name)
         text = "nothing more goes there" if disable else "it is back, as cold"
         pool.dispatcher.set_withdrawn(pool.reader.indices.index(name), disable, lambda: reply(True, text))
 
     def apply_remote(self, call: str, name: str) -> None:
-        """An order that came to the other process of a hot restart: out, back, drain or resume."""
+        """Executes a command that the other process of a hot restart received: out, back, drain or resume."""
         if call in ("out", "back"):
             self.apply(name, call == "out", lambda done, text: None)
         elif call == "drain":
@@ -64,12 +64,12 @@
             self.sidecar.resume()
 
     def drain(self) -> tuple[bool, str]:
-        """The sidecar gives its clients up until it resumes."""
+        """Moves clients away from this sidecar until `resume`. Returns whether it succeeded, and why."""
         self.sidecar.hot_restart.send_order("drain")
         return self.sidecar.stand_by(), "standing by"
 
     def resume(self) -> tuple[bool, str]:
-        """The end of the drain."""
+        """Ends the drain. Returns whether it succeeded, and why."""
         self.sidecar.hot_restart.send_order("resume")
         done = self.sidecar.resume()
         return done, "serving" if done else "it ends"
