--- a/shedgrade/sidecar/lifecycle/__init__.py
+++ b/shedgrade/sidecar/lifecycle/__init__.py
@@ -1,1 +1,1 @@
-"""How the sidecar starts and stops: its configuration and its phases."""
+"""Start and end of the sidecar: configuration, phases, reload, hot restart and shutdown."""
--- a/shedgrade/sidecar/lifecycle/config.py
+++ b/shedgrade/sidecar/lifecycle/config.py
@@ -1,4 +1,4 @@
-"""The configuration: read at the start and at each reload, complete or not at all."""
+"""The configuration file: read at the start and at each reload, and used only if all of it is valid."""
 
 import os
 from dataclasses import dataclass, field
@@ -11,8 +11,8 @@
 
 Address = tuple[str, int]  # host and port
 
-CONFIG_VARIABLE = "GW_CONFIG"  # names the file where the command line does not
-ADMIN_VARIABLE = "GW_ADMIN_ADDR"  # the operators' address where the file has none
+CONFIG_VARIABLE = "GW_CONFIG"  # path of the file, if the command line names none
+ADMIN_VARIABLE = "GW_ADMIN_ADDR"  # the admin address, if the file has none
 DEFAULT_MEMORY_MB = 192
 DEFAULT_SOCKETS = 1024
 READ_AT_START_ONLY = ("known", "seed")
@@ -20,23 +20,37 @@
 
 @dataclass(frozen=True)
 class Config:
-    """One configuration file."""
+    """One configuration file.
+
+    Attributes:
+        name: name of the sidecar, for the log.
+        listen: address for clients.
+        discovery: address of the discovery service.
+        seed: seed of the random numbers.
+        memory_mb: memory limit, in MB.
+        sockets: limit for open file descriptors.
+        known: the first list of upstreams, in the format of discovery; None if the file has none.
+        settings: the settings of the balancer.
+        path: path of the file.
+        admin: the admin address; None if there is none.
+        contents: all keys of the file but READ_AT_START_ONLY.
+    """
 
     name: str
     listen: Address
     discovery: Address
     seed: int
     memory_mb: int
-    sockets: int  # descriptors that the process may hold
-    known: dict[str, Any] | None  # the first list of upstreams, in discovery's form
+    sockets: int
+    known: dict[str, Any] | None
     settings: dict[str, Any]
     path: str = ""
-    admin: Address | None = None  # the operators' address, where there is one
-    contents: dict[str, Any] = field(default_factory=dict)  # the file, without what only a start looks at
+    admin: Address | None = None
+    contents: dict[str, Any] = field(default_factory=dict)
 
 
 def parse_address(text: object, what: str) -> Address:
-    """ConfigError, which begins with `what`, if the text is not host:port."""
+    """Parses host:port. Raises ConfigError, whose message starts with `what`, for any other text."""
     host, _, port = str(text).rpartition(":")
     if not host or not port.isdigit() or not 0 < int(port) < 65536:
         raise ConfigError(f"{what}: {text!r} is not host:port")
@@ -44,11 +58,13 @@
 
 
 def load_config(path: str | None = None) -> Config:
-    """Reads and checks the file, or the one that the environment names. ConfigError: one line on the first
-    thing that is wrong."""
+    """Reads and checks the file at `path`, or else the one that GW_CONFIG names.
+
+    Raises ConfigError with one line on the first problem found.
+    """
     path = path or os.environ.get(CONFIG_VARIABLE)
     if not path:
-        raise ConfigError(f"no configuration: {CONFIG_VARIABLE} is not set and no file was named")
+        raise ConfigError(f"no configuration: {CONFIG_VARIABLE} is not set and no file was given")
     try:
         with open(path, "rb") as file:
             contents = orjson.loads(file.read())
@@ -61,11 +77,14 @@
     except KeyError as missing:
         raise ConfigError(f"{path}: {missing} is missing") from missing
     except (AttributeError, TypeError, ValueError) as error:
-        raise ConfigError(f"{path}: a value has the wrong form ({error})") from error
+        raise ConfigError(f"{path}: a value has the wrong format ({error})") from error
 
 
 def parse_config(path: str, contents: Any) -> Config:
-    """ConfigError, KeyError, AttributeError, TypeError or ValueError for what is no configuration."""
+    """Converts the file's JSON value to a Config.
+
+    Raises ConfigError, KeyError, AttributeError, TypeError or ValueError if it is invalid.
+    """
     limits = contents.get("limits", {})
     problem = shape_problem(contents["settings"]) or completeness_problem(contents["settings"])
     if problem is not None:
--- a/shedgrade/sidecar/lifecycle/feature.py
+++ b/shedgrade/sidecar/lifecycle/feature.py
@@ -1,4 +1,4 @@
-"""What the sidecar calls on each optional feature during its life; a feature overrides what concerns it."""
+"""The base class of optional features: the calls that the sidecar makes on each of them."""
 
 from typing import TYPE_CHECKING
 
@@ -8,35 +8,37 @@
 
 
 class Feature:
-    """A feature of the sidecar with nothing of its own to start, reload, drain or close."""
+    """An optional feature of the sidecar. Subclasses override the calls that they need; others do nothing."""
 
     def start(self) -> None:
-        """The sidecar listens and is about to accept."""
+        """Called when the sidecar listens and is about to accept connections."""
 
     def reload(self, features: "Features | None") -> None:
-        """The configuration was read anew, and the features file, where there is one. Without an override
-        only a restart changes this feature."""
+        """Called after the configuration file was read again, with the features file if there is one.
+
+        A feature without an override changes only with a restart.
+        """
 
     def tick(self) -> None:
-        """Called four times a second while the sidecar runs."""
+        """Called four times per second while the sidecar runs."""
 
     def has_pending_connections(self) -> bool:
-        """Whether a connection of this feature waits to be accepted."""
+        """Returns whether a connection of this feature waits to be accepted."""
         return False
 
     def stop_accepting(self) -> None:
-        """The sidecar drains: no new connection is to be accepted."""
+        """Called during the drain: accepts no further connections."""
 
     def close_idle(self) -> None:
-        """The sidecar drains: connections without a request are to be closed."""
+        """Called during the drain: closes connections without a request."""
 
     def in_flight(self) -> int:
-        """The number of connections or requests that the drain still waits for."""
+        """Returns the number of connections or requests that the drain still waits for."""
         return 0
 
     def own_pools(self) -> "list[Pool]":
-        """Pools of upstreams that this feature has beside the sidecar's own."""
+        """Returns the feature's own upstream pools, in addition to the sidecar's."""
         return []
 
     def close(self) -> None:
-        """The sidecar has drained; what is to be saved is saved now."""
+        """Called after the drain: saves state that must outlive the process."""
--- a/shedgrade/sidecar/lifecycle/features.py
+++ b/shedgrade/sidecar/lifecycle/features.py
@@ -1,5 +1,7 @@
-"""The features file: one TOML, a table for each feature, on if its table is there. Imported only when one
-is named."""
+"""The features file: TOML with one table per feature, which is enabled if its table is present.
+
+Imported only when a features file is given.
+"""
 
 import tomllib
 from collections.abc import Iterator
@@ -18,7 +20,7 @@
 
 
 class Features(msgspec.Struct, kw_only=True, forbid_unknown_fields=True):
-    """What is on. A feature's own keys are described where it is."""
+    """The enabled features; None or empty: disabled. Each feature documents the keys of its table."""
 
     saved: Saved | None = None
     capture: Capture | None = None
@@ -30,8 +32,10 @@
 
 
 def load_features(path: str | Path, methods: AbstractSet[str] = frozenset()) -> Features:
-    """Reads and checks the whole file. `methods`: names of the platform's own. ConfigError: one line with
-    file, key, what was found and what is allowed."""
+    """Reads and checks the whole file. `methods`: names of the methods in the sidecar's settings.
+
+    Raises ConfigError with one line that names the file, the key, what was found and what is allowed.
+    """
     features = parse(path, read(path))
     for key, reason in problems(features):
         raise ConfigError(f"{path}: {key}: {reason}")
@@ -43,7 +47,7 @@
 
 
 def read(path: str | Path) -> dict[str, object]:
-    """The file's tables. ConfigError if it is not there or not TOML."""
+    """Returns the tables of the file. Raises ConfigError if it can't be read or is not TOML."""
     try:
         return tomllib.loads(Path(path).read_text(encoding="utf-8"))
     except OSError as failure:
@@ -53,7 +57,7 @@
 
 
 def parse(path: str | Path, tables: dict[str, object]) -> Features:
-    """ConfigError for unknown keys and values of the wrong type."""
+    """Converts the tables. Raises ConfigError for unknown keys and values of the wrong type."""
     try:
         return msgspec.convert(tables, Features)
     except msgspec.ValidationError as error:
@@ -63,7 +67,7 @@
 
 
 def problems(features: Features) -> Iterator[tuple[str, str]]:
-    """(key, reason) of what types alone do not show."""
+    """Yields (key, reason) for each problem that the types alone do not rule out."""
     if features.saved is not None:
         yield from prefixed("saved", features.saved.problems())
     if features.capture is not None:
@@ -75,5 +79,5 @@
 
 
 def prefixed(table: str, found: Iterator[tuple[str, str]]) -> Iterator[tuple[str, str]]:
-    """The keys with their table's name."""
+    """Returns the same problems, each key prefixed with the name of its table."""
     return ((f"{table}.{key}", reason) for key, reason in found)
--- a/shedgrade/sidecar/lifecycle/logs.py
+++ b/shedgrade/sidecar/lifecycle/logs.py
@@ -1,7 +1,7 @@
-"""Where the sidecar's log lines go, and in which form: loguru's sink on standard error.
+"""The sidecar's log: loguru's sink on standard error, as text or JSON.
 
-A line is an event and its fields, `logger.warning("accepting failed", error=failure)`. The text form appends
-` key=value` for each field; the JSON form has each field beside the fixed keys of its object.
+A line is an event and its fields, `logger.warning("accepting failed", error=failure)`. The text format
+appends ` key=value` for each field; the JSON format adds each field to the fixed keys of its object.
 """
 
 import json
@@ -19,15 +19,18 @@
 
 
 def format_as_text(record: "Record") -> str:
-    """The format of one line of text. Fields follow the message; an exception's trace follows the line."""
+    """Returns the format of a text line. Fields follow the message; a traceback follows the line."""
     fields = "".join(f" {key}={value}" for key, value in record["extra"].items())
-    record["extra"]["fields"] = fields  # by reference: braces in a value must not be read as a format
+    # Passed by reference: braces in a value must not be read as a format.
+    record["extra"]["fields"] = fields
     return TEXT_LINE + "{extra[fields]}\n{exception}"
 
 
 def format_as_json(record: "Record") -> str:
-    """The format of one flat object a line. It is passed by reference as well, for its braces. A field that
-    has the name of a fixed key doesn't replace it."""
+    """Returns the format of a line with one flat JSON object, passed by reference because of its braces.
+
+    A field with the name of a fixed key does not replace it.
+    """
     failure = record["exception"]
     line = {
         "at": record["time"].isoformat(timespec="milliseconds"),
@@ -46,9 +49,9 @@
 
 
 def log_to_stderr(level: str, form: str) -> None:
-    """ValueError for a level that loguru doesn't know or a form that isn't one of FORMS."""
+    """Sets up the log. Raises ValueError for an unknown level or a format that is not one of FORMS."""
     if form not in FORMS:
-        raise ValueError(f"log format {form!r} is none of {', '.join(FORMS)}")
+        raise ValueError(f"log format {form!r} is not one of {', '.join(FORMS)}")
     logger.remove()
     logger.add(
         sys.stderr,
--- a/shedgrade/sidecar/lifecycle/phases.py
+++ b/shedgrade/sidecar/lifecycle/phases.py
@@ -1,15 +1,15 @@
-"""The phases of a sidecar, and which may follow which."""
+"""The phases of a sidecar and the allowed transitions."""
 
 from enum import Enum
 
 
 class Phase(Enum):
-    """From the start of the process to its exit; values are what the log shows."""
+    """Phase between the start and the exit of the process. The values appear in the log."""
 
     STARTING = "starting"
     SERVING = "serving"
-    STANDING_BY = "standing by"  # drained by an operator, until it resumes
-    DRAINING = "draining"  # until the exit
+    STANDING_BY = "standing by"  # drained by an operator; accepts clients again after `resume`
+    DRAINING = "draining"  # after SIGTERM, until the exit
     CLOSED = "closed"
 
 
@@ -23,10 +23,10 @@
 
 
 class PhaseError(Exception):
-    """A change of phase that must not happen."""
+    """A transition that is not allowed."""
 
 
 def check_change(before: Phase, after: Phase) -> None:
-    """PhaseError if `after` may not follow `before`."""
+    """Raises PhaseError if `after` may not follow `before`."""
     if after not in SUCCESSORS[before]:
-        raise PhaseError(f"from {before.value} to {after.value}")
+        raise PhaseError(f"transition from {before.value} to {after.value} is not allowed")
--- a/shedgrade/sidecar/lifecycle/reload.py
+++ b/shedgrade/sidecar/lifecycle/reload.py
@@ -1,7 +1,8 @@
-"""A reload: the configuration's file is read anew, checked as at a start, and put in force at once.
+"""A reload: the configuration file is read again, checked as at a start, and applied at once.
 
-Discovery, limits and settings move; names, addresses and what upstreams are counted by are for a start.
-Nothing in flight is touched, and the list stays until the new address of discovery has told its own.
+The address of discovery, limits and settings change; the sidecar's name, its addresses and the settings that
+identify upstreams need a restart. Requests in flight are not affected, and the endpoint list stays in use
+until the new address of discovery has sent its own.
 """
 
 from dataclasses import dataclass, replace
@@ -18,21 +19,28 @@
     from shedgrade.sidecar.lifecycle.features import Features
     from shedgrade.sidecar.lifecycle.sidecar import Sidecar
 
-FIXED_AT_START = ("name", "listen", "admin")  # fields of `Config` that a reload does not change
+FIXED_AT_START = ("name", "listen", "admin")  # fields of `Config` that need a restart
 
 
 @dataclass(frozen=True)
 class CheckedReload:
-    """A file that would start a sidecar, and what of it can be put in force now."""
+    """A valid configuration file, and the part of it that can be applied now.
+
+    Attributes:
+        config: the file as read.
+        settings: the settings in force after the reload.
+        features: the features file; None if there is none.
+        restart_needed: keys that differ from the running configuration and need a restart.
+    """
 
     config: Config
     settings: dict[str, Any]
     features: "Features | None"
-    restart_needed: list[str]  # keys that differ and are for a start
+    restart_needed: list[str]
 
 
 def reload(sidecar: "Sidecar") -> None:
-    """Guards against a file that would not start a sidecar, or lacks what it had: it changes nothing."""
+    """Reloads the configuration. An invalid file, or one that lacks previous keys, changes nothing."""
     if sidecar.phase is Phase.CLOSED or sidecar.pool.watch is None:
         return
     try:
@@ -44,12 +52,12 @@
 
 
 def check(sidecar: "Sidecar") -> CheckedReload:
-    """Reads the file and looks at it as a start would. ConfigError for what can't be."""
+    """Reads the file and checks it as at a start. Raises ConfigError if it is invalid."""
     before = sidecar.config
     fresh = load_config(before.path)
     missing = missing_key(before.contents, fresh.contents)
     if missing is not None:
-        raise ConfigError(f"{fresh.path}: {missing}: found nothing; expected what was there before")
+        raise ConfigError(f"{fresh.path}: {missing}: found nothing; expected the key, as it was there before")
     settings, fixed = merge_settings(before.settings, fresh.settings)
     type(sidecar)(replace(fresh, settings=settings), sidecar.loop)
     methods = {method["name"] for method in settings["methods"]}
@@ -59,7 +67,7 @@
 
 
 def apply(sidecar: "Sidecar", checked: CheckedReload) -> None:
-    """Puts what was checked in force."""
+    """Applies a checked reload."""
     fresh, settings = checked.config, checked.settings
     if settings != sidecar.config.settings:
         log_settings(sidecar.config.settings, settings)
@@ -85,7 +93,7 @@
 
 
 def log_settings(before: dict[str, Any], after: dict[str, Any]) -> None:
-    """One line on what changed of the methods."""
+    """Logs one line about the changed settings."""
     methods = {method["name"] for method in after["methods"]}
     removed = {method["name"] for method in before["methods"]} - methods
     logger.info(
--- a/shedgrade/sidecar/lifecycle/reload_signal.py
+++ b/shedgrade/sidecar/lifecycle/reload_signal.py
@@ -1,7 +1,8 @@
-"""SIGHUP before there is an event loop to handle it: unhandled, it would end a process that is being started.
+"""Handling of SIGHUP before the event loop handles it: by default it would end a process that is starting.
 
-It is ignored until the configuration is about to be read; from then on it is recorded, for one reload once
-the sidecar serves. The line `run` of the deploy file ignores it before that, in the shell and interpreter.
+The signal is ignored until the configuration is about to be read. From then on it is recorded, and leads to
+one reload once the sidecar serves. Before this module runs, the `run` line of the deploy file ignores the
+signal, in the shell and in the interpreter.
 """
 
 import signal
@@ -10,12 +11,12 @@
 
 
 def ignore_reload_signal() -> None:
-    """What is read later is newer than this signal."""
+    """Ignores SIGHUP: the configuration is read later, so it is newer than the signal."""
     signal.signal(signal.SIGHUP, signal.SIG_IGN)
 
 
 def record_reload_signal() -> None:
-    """From here on a signal may come after the file was read."""
+    """Records SIGHUP: from now on it may arrive after the configuration was read."""
 
     def record(number: int, frame: object) -> None:
         global recorded
@@ -25,5 +26,5 @@
 
 
 def reload_requested() -> bool:
-    """Whether one came since `record_reload_signal`; whoever asks handles all further ones."""
+    """Returns whether SIGHUP arrived since `record_reload_signal`; the caller handles later ones."""
     return recorded
--- a/shedgrade/sidecar/lifecycle/settings_checks.py
+++ b/shedgrade/sidecar/lifecycle/settings_checks.py
@@ -1,6 +1,7 @@
-"""Checks of the settings: a finding names the key, what was found, and what is allowed.
+"""Checks of the settings. A finding names the key, the value found and what is allowed.
 
-By hand, as a sidecar with everything off imports no more than it serves with.
+The checks use no validation library, so that a sidecar without optional features imports only what it uses
+to serve.
 """
 
 from collections.abc import Iterator
@@ -11,7 +12,7 @@
 IDEMPOTENCY = ("repeatable", "by_key", "once")
 WEIGHT_KINDS = ("off", "nominal", "rough", "live")
 REPORTS = ("off", "on_probe", "inline")
-MAX_SHOWN = 60  # characters of what was found
+MAX_SHOWN = 60  # characters of the value found
 
 REQUIRED_TABLES = ("limits", "rules", "prices")
 METHOD_DEADLINES = ("soft_deadline", "hard_deadline")
@@ -22,49 +23,57 @@
 
 
 class Finding(NamedTuple):
-    """One key that is not as it should be."""
+    """One key with an invalid value.
+
+    Attributes:
+        key: its path in the settings.
+        found: its value, or MISSING.
+        expected: what is allowed.
+    """
 
     key: str
     found: object
     expected: str
 
     def line(self) -> str:
-        """In one line, with what was found shortened."""
+        """Returns the finding as one line, with a long value shortened."""
         text = "nothing" if self.found is MISSING else repr(self.found)
         text = text if len(text) <= MAX_SHOWN else f"{text[: MAX_SHOWN - 3]}..."
         return f"{self.key}: found {text}; expected {self.expected}"
 
 
 def shape_problem(settings: object) -> str | None:
-    """What is wrong with the settings that say of what shape a deployment is, in one line, or None. A key
-    that is missing has its default, the shape that sidecars were made for."""
+    """Returns one line about the first problem in the settings that describe the deployment, or None.
+
+    A missing key has its default, which fits the deployments that sidecars were first built for.
+    """
     if not isinstance(settings, dict):
         return Finding("settings", settings, "a table").line()
     return first_line(shape_findings(settings))
 
 
 def completeness_problem(settings: dict[str, Any]) -> str | None:
-    """What the settings lack to serve with, or what in them is of no use, in one line, or None."""
+    """Returns one line about the first key that is missing or invalid for serving, or None."""
     return first_line(completeness_findings(settings))
 
 
 def first_line(findings: Iterator[Finding]) -> str | None:
-    """The first finding, if any."""
+    """Returns the first finding as a line, or None."""
     found = next(findings, None)
     return f"settings.{found.line()}" if found is not None else None
 
 
-# --- what every sidecar needs; times are in ms
+# --- settings that every sidecar needs; times are in ms
 
 
 def completeness_findings(settings: dict[str, Any]) -> Iterator[Finding]:
-    """What every sidecar needs."""
+    """Yields findings in the settings that every sidecar needs."""
     for key in REQUIRED_TABLES:
         if not isinstance(settings.get(key), dict):
             yield Finding(key, settings.get(key, MISSING), "a table")
             return
     if not isinstance(settings.get("methods"), list) or not settings["methods"]:
-        yield Finding("methods", settings.get("methods", MISSING), "a list of tables, one at least")
+        yield Finding("methods", settings.get("methods", MISSING), "a non-empty list of tables")
         return
     names: set[str] = set()
     for number, method in enumerate(settings["methods"]):
@@ -75,13 +84,13 @@
     yield from check_number("tick", settings.get("tick", MISSING), 0, whole=False)
     zones = settings.get("zones", MISSING)
     if not (isinstance(zones, list) and zones and all(isinstance(zone, str) for zone in zones)):
-        yield Finding("zones", zones, "a list of names, one at least")
+        yield Finding("zones", zones, "a non-empty list of names")
         return
     yield from check_number("az", settings.get("az", MISSING), 0, len(zones) - 1)
 
 
 def method_findings(key: str, method: object, names: set[str]) -> Iterator[Finding]:
-    """One method; `names`: those of the methods before it, to which its own is added."""
+    """Yields findings in one method. `names`: names of the methods before it; its own is added."""
     if not isinstance(method, dict):
         yield Finding(key, method, "a table")
         return
@@ -93,7 +102,7 @@
         found = method.get("idempotency", MISSING)
         yield Finding(f"{key}.idempotency", found, f"one of {', '.join(IDEMPOTENCY)}")
     if not isinstance(method.get("group"), str):
-        yield Finding(f"{key}.group", method.get("group", MISSING), "a text")
+        yield Finding(f"{key}.group", method.get("group", MISSING), "a string")
     for field in METHOD_DEADLINES:
         yield from check_positive(f"{key}.{field}", method.get(field, MISSING))
     for field in METHOD_AMOUNTS:
@@ -101,7 +110,7 @@
 
 
 def limit_findings(limits: dict[str, Any]) -> Iterator[Finding]:
-    """The table `limits`, as far as every sidecar needs it."""
+    """Yields findings in those keys of `limits` that every sidecar needs."""
     yield from check_number("limits.most_transmissions", limits.get("most_transmissions", MISSING), 1)
     for key in LIMIT_SWITCHES:
         if not isinstance(limits.get(key), bool):
@@ -112,19 +121,21 @@
         yield from check_positive(f"limits.{key}", limits.get(key, MISSING))
 
 
-# --- the shape of a deployment
+# --- settings that describe the deployment
 
 
 def shape_findings(settings: dict[str, Any]) -> Iterator[Finding]:
-    """What says of what shape a deployment is.
-
-    `limits.multiplex`: requests that a connection carries at once; over 1, sidecars keep to a part of each
-    zone. `balancers`: sidecars in all; `my_number`: this one's, below that. `weight_kind`: what the list's
-    weights are; `live`: a size that load lowers. `customers[].allowance_per_s`: a tenant's requests a second,
-    over all sidecars, that are worth their payoff; `excess_payoff`: what is left of it beyond them.
-    `objective_mix.slow_end`: the weight of the part that counts in full while at most the share
-    `miss_allowed` of requests misses the soft deadline; `rules.dropped_stay_open`: only draining binds, not
-    what the list lacks.
+    """Yields findings in the settings that describe the deployment.
+
+    `limits.multiplex`: requests that a connection carries at once; above 1, each sidecar uses a subset of the
+        upstreams of each zone.
+    `balancers`: the number of sidecars; `my_number`: the number of this one, below `balancers`.
+    `weight_kind`: the meaning of the list's weights; `live`: a size that shrinks under load.
+    `customers[].allowance_per_s`: requests per second of a tenant, over all sidecars, that earn their full
+        payoff; `excess_payoff`: the share of the payoff that requests beyond it earn.
+    `objective_mix.slow_end`: weight of the part of the objective that counts in full while at most the share
+        `miss_allowed` of requests misses the soft deadline.
+    `rules.dropped_stay_open`: an upstream that the list drops without draining it stays in use.
     """
     limits, report = settings.get("limits", {}), settings.get("report", {})
     mix, rules = settings.get("objective_mix", {}), settings.get("rules", {})
@@ -153,7 +164,7 @@
 
 
 def customer_findings(customers: list[object]) -> Iterator[Finding]:
-    """The table of tenants."""
+    """Yields findings in the table of tenants."""
     for number, customer in enumerate(customers):
         key = f"customers[{number}]"
         if not isinstance(customer, dict) or "allowance_per_s" not in customer:
@@ -166,13 +177,13 @@
 
 
 def check_choice(key: str, found: object, choices: tuple[str, ...]) -> Iterator[Finding]:
-    """One of some words."""
+    """Yields a finding unless the value is one of `choices`."""
     if found not in choices:
         yield Finding(key, found, f"one of {', '.join(choices)}")
 
 
 def check_positive(key: str, found: object) -> Iterator[Finding]:
-    """A finite number over 0."""
+    """Yields a finding unless the value is a finite number above 0."""
     if not (is_number(found, whole=False) and found > 0):  # type: ignore[operator]
         yield Finding(key, found, "a number over 0")
 
@@ -180,7 +191,7 @@
 def check_number(
     key: str, found: object, least: float, most: float | None = None, whole: bool = True
 ) -> Iterator[Finding]:
-    """A finite number within bounds, both included."""
+    """Yields a finding unless the value is a finite number between the bounds, both included."""
     within = is_number(found, whole) and found >= least and (most is None or found <= most)  # type: ignore[operator]
     if not within:
         kind = "a whole number" if whole else "a number"
@@ -188,7 +199,7 @@
 
 
 def is_number(found: object, whole: bool) -> bool:
-    """A finite number; true and false are none."""
+    """Returns whether the value is a finite number; booleans are not numbers."""
     if isinstance(found, bool):
         return False
     return isinstance(found, int) or (not whole and isinstance(found, float) and isfinite(found))
--- a/shedgrade/sidecar/lifecycle/settings_reload.py
+++ b/shedgrade/sidecar/lifecycle/settings_reload.py
@@ -1,14 +1,13 @@
-"""Settings at a reload: what of them holds at once, and whether the file is complete."""
+"""Settings at a reload: merges the file with the running settings, and checks that no key is missing."""
 
 from typing import Any
 
-# What upstreams and sidecars are called and counted by.
+# Settings by which upstreams and sidecars are identified and counted; they need a restart.
 FIXED_AT_START = ("az", "zones", "shapes", "membership_mode", "weight_kind", "report")
 
 
 def merge_settings(held: dict[str, Any], fresh: dict[str, Any]) -> tuple[dict[str, Any], list[str]]:
-    """The settings that hold after a reload, and the keys in which they differ from the file, as they are
-    for a start."""
+    """Returns the settings in force after the reload, and the keys that need a restart to follow the file."""
     merged = {**fresh, **{key: held[key] for key in FIXED_AT_START if key in held}}
     merged = {key: value for key, value in merged.items() if key in held or key not in FIXED_AT_START}
     limits = {**fresh["limits"]}
@@ -24,7 +23,7 @@
 
 
 def missing_key(before: object, now: object, path: str = "") -> str | None:
-    """The first key that was there before and is not any more: such a file is not complete."""
+    """Returns the path of the first key that was there before and is missing now: the file is incomplete."""
     if isinstance(before, dict) and isinstance(now, dict):
         for key, held in before.items():
             if key not in now:
--- a/shedgrade/sidecar/lifecycle/shutdown.py
+++ b/shedgrade/sidecar/lifecycle/shutdown.py
@@ -1,7 +1,7 @@
-"""The end of a sidecar after SIGTERM: what it still accepts, until when, and what it cuts at last.
+"""The shutdown after SIGTERM: how long the sidecar accepts connections, and when it cuts the remaining ones.
 
-The times follow from what clients and the platform do: new connections may come for 0.4 s after SIGTERM, and
-SIGKILL comes 0.7 s after the longest hard deadline at the soonest.
+The times follow from the clients and the platform: new connections may arrive for 0.4 s after SIGTERM, and
+SIGKILL comes 0.7 s after the longest hard deadline at the earliest.
 """
 
 import asyncio
@@ -15,21 +15,21 @@
     from shedgrade.sidecar.lifecycle.sidecar import Sidecar
 
 KEEP_ACCEPTING_S = 0.5  # after SIGTERM
-# After SIGTERM: a request that crosses the close of its connection comes anew, and is to find somebody who
-# still accepts.
+# After SIGTERM. A request that crosses the close of its connection is sent again, and must find a process
+# that still accepts.
 KEEP_IDLE_S = 0.4
-CONCLUDE_AFTER_S = 0.6  # beyond the longest hard deadline: what is left is answered and cut
-LAST_ANSWERS_S = 0.06  # that such last answers have to leave
-POLL_INTERVAL_S = 0.05  # between two looks at whether all is answered and closed
+CONCLUDE_AFTER_S = 0.6  # after the longest hard deadline: remaining requests get their final answer
+LAST_ANSWERS_S = 0.06  # for the final answers to be sent
+POLL_INTERVAL_S = 0.05  # between two checks whether all connections are closed
 
 
 class Shutdown:
-    """Drains the sidecar and sets `done` once nothing is left, or the last moment has come.
+    """Drains the sidecar, and sets `done` once all connections are closed or the time is over.
 
     Attributes:
         done: set when the process may exit.
-        conclude_at: when the rest is cut, by the loop's clock; 0 before SIGTERM. It never moves: SIGKILL was
-            set when SIGTERM was sent.
+        conclude_at: when remaining requests get their final answer, by the loop's clock; 0 before SIGTERM. A
+            reload does not change it: the time of SIGKILL was fixed when SIGTERM was sent.
     """
 
     def __init__(self, sidecar: "Sidecar") -> None:
@@ -39,7 +39,7 @@
         self.conclude_at = 0.0
 
     def begin(self) -> None:
-        """SIGTERM came; a second one changes nothing."""
+        """Starts the shutdown at SIGTERM; has no effect the second time."""
         sidecar = self.sidecar
         if sidecar.phase in (Phase.SERVING, Phase.STANDING_BY):
             sidecar.standby.end()
@@ -50,7 +50,7 @@
             self.loop.call_at(self.conclude_at, self.conclude)
 
     def stop_accepting(self) -> None:
-        """Closes the listeners, once no connection waits to be accepted."""
+        """Closes the listeners once no connection waits to be accepted."""
         sidecar = self.sidecar
         if sidecar.listener.waiting() or any(one.has_pending_connections() for one in sidecar.features):
             self.loop.call_later(POLL_INTERVAL_S, self.stop_accepting)
@@ -61,7 +61,7 @@
         self.close_idle()
 
     def close_idle(self) -> None:
-        """Closes what is idle until nothing is left."""
+        """Closes idle connections until all are closed."""
         self.sidecar.close_idle()
         if self.in_flight():
             self.loop.call_later(POLL_INTERVAL_S, self.close_idle)
@@ -69,13 +69,13 @@
             self.done.set()
 
     def in_flight(self) -> int:
-        """Connections and requests that are still to end."""
+        """Returns the number of open connections and requests in flight."""
         sidecar = self.sidecar
         own = len(sidecar.front.clients) + len(sidecar.pool.dispatcher.active_requests)
         return own + sum(feature.in_flight() for feature in sidecar.features)
 
     def conclude(self) -> None:
-        """Whatever is left at the end gets its final answer while that can still leave."""
+        """Gives all remaining requests their final answer while there is still time to send it."""
         if self.done.is_set():
             return
         sidecar = self.sidecar
--- a/shedgrade/sidecar/lifecycle/sidecar.py
+++ b/shedgrade/sidecar/lifecycle/sidecar.py
@@ -1,4 +1,4 @@
-"""The sidecar as one object, from start to exit."""
+"""The sidecar process, from start to exit."""
 
 import asyncio
 import gc
@@ -32,21 +32,27 @@
     from shedgrade.sidecar.endpoint_snapshot.source import SavedList
     from shedgrade.sidecar.lifecycle.features import Features
 
-TICK_INTERVAL_S = 0.25  # between two looks for clients that are overdue: they are owed an end within 3 s
+# Between two checks for overdue clients: they are to be disconnected within 3 s.
+TICK_INTERVAL_S = 0.25
 
 
 class Sidecar:
-    """Owns everything else, and says which phase the process is in.
+    """Owns all parts of the sidecar and its phase.
 
     Attributes:
-        config: in force; a reload replaces it.
-        load_features: reads the features file anew, where there is one; ConfigError if it is not sound.
-        phase: changes by `enter` only, as `phases.SUCCESSORS` allows.
-        pool, front: the platform's own pool of upstreams, and the clients' connections to it.
-        features: what the features file switches on: started, drained and ended with the rest.
-        listener: of the clients; None before `serve`.
-        admin, admin_listener: the operators' connections; None without a second address.
-        orders, hot_restart, standby, shutdown: parts with a job of their own; each documents itself.
+        config: the configuration in force; a reload replaces it.
+        load_features: reads the features file again and raises ConfigError if it is invalid; None if there
+            is no such file.
+        phase: changed only by `enter`, as `phases.SUCCESSORS` allows.
+        pool: the sidecar's own pool of upstreams.
+        front: the client connections of that pool.
+        features: the enabled optional features, started, drained and closed with the sidecar.
+        listener: accepts client connections; None before `serve`.
+        orders: executes the operators' commands.
+        hot_restart: the links to an older and to a newer process.
+        standby: closes idle connections while the sidecar stands by.
+        shutdown: ends the process after SIGTERM.
+        admin, admin_listener: connections of the admin address and their listener; None without one.
     """
 
     def __init__(
@@ -55,8 +61,10 @@
         loop: asyncio.AbstractEventLoop,
         decisions: type[load_balancing.Balancer] = load_balancing.Balancer,
     ) -> None:
-        """`decisions`: the lab puts a baseline in the balancer's place for comparison; features put
-        something around it. ConfigError if the settings are not sound."""
+        """Raises ConfigError if the settings are invalid.
+
+        `decisions`: class of the balancer. The lab passes a baseline for comparison; features wrap it.
+        """
         self.config = config
         self.loop = loop
         self.load_features: Callable[[set[str]], Features] | None = None
@@ -77,7 +85,7 @@
     # --- phases
 
     def enter(self, phase: Phase) -> None:
-        """PhaseError if that phase may not follow the one that holds."""
+        """Changes the phase. Raises PhaseError if the transition is not allowed."""
         check_change(self.phase, phase)
         logger.info(
             "phase changed",
@@ -89,51 +97,54 @@
         self.phase = phase
 
     def is_ready(self) -> bool:
-        """What `/up` answers: clients are to come."""
+        """Returns what `/up` reports: whether clients should use this sidecar."""
         return self.phase is Phase.SERVING and self.pool.listed_once
 
     def is_draining(self) -> bool:
-        """Answers end their connections: clients are to go elsewhere."""
+        """Returns whether responses close their connections, so that clients go to another sidecar."""
         return self.phase in (Phase.STANDING_BY, Phase.DRAINING, Phase.CLOSED)
 
     def accepts_clients(self) -> bool:
-        """This process listens and knows upstreams, whether its clients are to come or not."""
+        """Returns whether this process listens and has an endpoint list, even while it stands by."""
         return self.phase in (Phase.SERVING, Phase.STANDING_BY) and self.pool.listed_once
 
     def is_standing_by(self) -> bool:
-        """An operator has drained it."""
+        """Returns whether an operator has drained this sidecar."""
         return self.phase is Phase.STANDING_BY
 
     def stand_by(self) -> bool:
-        """Gives the clients up, in order; the process stays. True: that is so, or it ends anyway."""
+        """Moves clients away without ending the process.
+
+        Always returns True: the sidecar is standing by, or the process is ending anyway.
+        """
         if self.phase is Phase.SERVING:
             self.enter(Phase.STANDING_BY)
             self.standby.begin()
         return True
 
     def resume(self) -> bool:
-        """Serves again. False: it ends."""
+        """Serves again. Returns False if the process is ending."""
         if self.phase is Phase.STANDING_BY:
             self.enter(Phase.SERVING)
             self.standby.end()
         return self.phase is Phase.SERVING
 
     def drain(self) -> None:
-        """SIGTERM came."""
+        """Handles SIGTERM."""
         self.shutdown.begin()
 
     def reload(self) -> None:
-        """SIGHUP came."""
+        """Handles SIGHUP."""
         reload.reload(self)
 
     def close_idle(self) -> None:
-        """Closes clients' connections without a request."""
+        """Closes client connections without a request."""
         self.front.close_idle()
         for feature in self.features:
             feature.close_idle()
 
     def check_invariants(self) -> None:
-        """AssertionError if the parts contradict the phase."""
+        """Raises AssertionError if the parts contradict the phase."""
         assert (self.standby.timer is not None) == (self.phase is Phase.STANDING_BY)
         assert (self.shutdown.conclude_at > 0) <= (self.phase in (Phase.DRAINING, Phase.CLOSED))
         self.hot_restart.check_invariants()
@@ -141,9 +152,9 @@
     # --- from start to exit
 
     async def serve(self) -> None:
-        """Runs from the start to the exit. ConfigError if it can't start."""
+        """Runs from start to exit. Raises ConfigError if the sidecar can't start."""
         self.handle_signals()
-        reload_requested = reload_signal.reload_requested()  # what comes from here on is met by the loop
+        reload_requested = reload_signal.reload_requested()  # the event loop handles later signals
         if self.pool.saved is not None:
             self.pool.saved.open()
             self.start_from_saved(self.pool.saved)
@@ -157,7 +168,7 @@
         self.listener.resume()
         self.tick()
         gc.collect()
-        gc.freeze()  # what is here now stays: collections need not look at it again
+        gc.freeze()  # objects created at the start stay, so that collections need not scan them
         self.enter(Phase.SERVING)
         self.hot_restart.start_serving()
         if reload_requested:
@@ -166,7 +177,7 @@
         self.close()
 
     def close(self) -> None:
-        """Ends everything, in the order in which it depends on each other."""
+        """Closes all parts in the order of their dependencies."""
         self.hot_restart.close()
         if self.admin_listener is not None:
             self.admin_listener.close()
@@ -180,7 +191,7 @@
         self.enter(Phase.CLOSED)
 
     def handle_signals(self) -> None:
-        """From here on the loop has the signals and the errors that nobody caught."""
+        """Registers the handlers for signals and uncaught errors with the event loop."""
         self.loop.set_exception_handler(self.on_loop_error)
         for number in (signal.SIGTERM, signal.SIGINT):
             self.loop.add_signal_handler(number, self.drain)
@@ -188,7 +199,7 @@
 
     @staticmethod
     def on_loop_error(loop: asyncio.AbstractEventLoop, context: dict[str, Any]) -> None:
-        """An error that nobody caught: a fault of this program."""
+        """Logs an uncaught error, which is a bug of this program."""
         logger.error(
             "uncaught error in the event loop",
             message=context.get("message"),
@@ -202,7 +213,7 @@
         connection: type,
         listening_socket: socket.socket | None = None,
     ) -> Listener:
-        """A listener that does not accept yet. ConfigError if the address is taken."""
+        """Returns a listener that does not accept yet. Raises ConfigError if it can't listen there."""
         try:
             return Listener(self.loop, front, address, connection, front is self.front, listening_socket)
         except OSError as failure:
@@ -210,7 +221,7 @@
             raise ConfigError(f"cannot listen on {host}:{port}: {failure.strerror}") from failure
 
     def start_admin(self) -> None:
-        """Listens at the operators' address, if there is one."""
+        """Listens on the admin address, if there is one."""
         if self.config.admin is None:
             return
         self.admin = AdminFront(self.loop, self.orders)
@@ -219,7 +230,7 @@
         self.budget.reserve(MAX_CONNECTIONS + 1)
 
     def tick(self) -> None:
-        """Now and then: clients that are overdue, and whatever features look at."""
+        """Runs the periodic checks of all parts, every TICK_INTERVAL_S."""
         if self.phase is Phase.CLOSED:
             return
         self.front.look_after()
@@ -230,10 +241,10 @@
             feature.tick()
         self.loop.call_later(TICK_INTERVAL_S, self.tick)
 
-    # --- the first list
+    # --- the initial endpoint list
 
     def start_from_configured(self) -> None:
-        """The configuration's own list, where nothing better is known."""
+        """Applies the list of the configuration file, unless another list is known."""
         if not self.config.known or self.pool.listed_once:
             return
         try:
@@ -243,13 +254,16 @@
             logger.warning("configured endpoint list rejected", error=str(error))
 
     def start_from_saved(self, saved: "SavedList") -> None:
-        """What was saved, as far as it can be trusted; the whole live list is asked for first and ends it."""
+        """Applies the saved list as far as it is trusted.
+
+        The full list is then requested from discovery first, and replaces it.
+        """
         pool = self.pool
         initial = saved.initial_list()
         try:
             if initial is not None:
                 pool.listed(initial.message, asked=False)
-        except ListError as error:  # zones that the settings no longer have, for one
+        except ListError as error:  # for instance, its zones are no longer in the settings
             logger.warning("saved endpoint list rejected", error=str(error))
             initial = None
         if initial is not None:
@@ -266,7 +280,7 @@
         self.save_learned(saved)
 
     def save_learned(self, saved: "SavedList") -> None:
-        """Hands what the balancer has learned to the saved list, every `state_s` of the features file."""
+        """Passes the balancer's learned state to the saved list, every `state_s` of the features file."""
         if self.phase is Phase.CLOSED:
             return
         if self.pool.source == "discovery":
