--- a/tests/sidecar/admin/operators.py
+++ b/tests/sidecar/admin/operators.py
@@ -1,4 +1,4 @@
-"""A stand-in for the operators' tools, and a sidecar with a second address."""
+"""A client for the admin address, and a sidecar that has one."""
 
 import asyncio
 from dataclasses import replace
@@ -10,14 +10,14 @@
 
 
 class Operated(World):
-    """A sidecar in this process with a second address."""
+    """A sidecar in this process with an admin address."""
 
     def prepare(self):
         self.config = replace(self.config, admin=free_address())
         self.sidecar = Sidecar(self.config, asyncio.get_running_loop())
 
     async def call(self, target, verb="POST", head=""):
-        """Status and body of one call's answer, after which its connection has ended."""
+        """Sends one call; returns status and body of the response, after which the connection has closed."""
         reader, writer = await asyncio.open_connection(*self.config.admin)
         writer.write(f"{verb} {target} HTTP/1.1\r\nHost: admin\r\n{head}\r\n".encode())
         async with asyncio.timeout(20):
--- a/tests/sidecar/admin/test_calls.py
+++ b/tests/sidecar/admin/test_calls.py
@@ -1,4 +1,4 @@
-"""The second address, upstreams out and back, drain and resume, on loopback."""
+"""Calls of the admin address on loopback: disable and enable upstreams, drain and resume."""
 
 import asyncio
 
@@ -72,11 +72,11 @@
         assert (await world.call("/-/upstreams/s-0/enable"))[0] == 200
         up = world.sidecar.pool.balancer.upstreams[world.sidecar.pool.reader.indices.by_id["s-0"]]
         assert up.listed and world.sidecar.pool.balancer.is_warming_up(up, world.sidecar.clock.now())
-        await world.tell(world.entry(0, startedAtMs=6))  # long ago: it is cold whatever the list says
+        await world.tell(world.entry(0, startedAtMs=6))  # started long ago, yet it warms up once enabled
         assert up.listed and world.sidecar.pool.balancer.is_warming_up(up, world.sidecar.clock.now())
         up.slow_start_credit = 1
         assert (await ask(world, request(name="c")))[0] == 200
-        assert len(world.upstreams[0].seen) == before + 1  # it was in use before, so it is met at once
+        assert len(world.upstreams[0].seen) == before + 1  # used before, so it gets a request at once
 
 
 @on_sockets
@@ -118,12 +118,12 @@
         assert (await world.call("/-/drain"))[0] == 200 and world.sidecar.phase is Phase.STANDING_BY
         assert (await world.call("/-/ready", "GET"))[0] == 200
         up = b"GET /up HTTP/1.1\r\n\r\n"
-        assert (await ask(world, up, used))[0] == 503  # on a connection that was kept, too
+        assert (await ask(world, up, used))[0] == 503  # also on a kept connection
         status, head, _ = await ask(world, request(name="a2"))
         assert status == 200 and "Connection: close" in head
         assert await idle[0].read() == b"" and not world.serving.done()
         await until(lambda: not world.sidecar.front.clients)
-        assert (await ask(world, request(name="a3")))[0] == 200  # it listens on
+        assert (await ask(world, request(name="a3")))[0] == 200  # it still listens
         assert (await world.call("/-/resume"))[0] == 200
         assert (await ask(world, up))[0] == 200
         kept = await world.connect()
--- a/tests/sidecar/admin/test_settings.py
+++ b/tests/sidecar/admin/test_settings.py
@@ -1,4 +1,4 @@
-"""Settings at a reload: methods that come, change and go, fewer transmissions, files that are not sound."""
+"""Settings at a reload: methods added, changed and removed, fewer transmissions, and invalid files."""
 
 import asyncio
 from copy import deepcopy
@@ -76,7 +76,7 @@
             for name in ("fresh", "m"):
                 assert (await ask(world, request(target=f"/{name}/1", name=name + "2")))[0] == 200
             reloads(world, tmp_path, {**conf, "az": 0, "zones": ["0", "1"], "tick": 5.0})
-            assert len(b.zones) == 1 and b.deadline_margin == 100  # zones are for a start, the tick is not
+            assert len(b.zones) == 1 and b.deadline_margin == 100  # zones need a restart, the tick does not
 
     scenario()
 
@@ -90,7 +90,7 @@
     patience, sums = b.methods[0].longest_timeout, list(b.latency_sums)
     limits = {**conf["limits"], "most_transmissions": 1}
     b.update_settings({**conf, "methods": conf["methods"][::-1], "limits": limits})
-    assert rpc.decide(10) == (load_balancing.EXHAUSTED, 9990)  # one was made, and only one is allowed now
+    assert rpc.decide(10) == (load_balancing.EXHAUSTED, 9990)  # one attempt was made, which is now the limit
     assert (
         b.methods[1].longest_timeout == patience > 0 == b.methods[0].longest_timeout
         and b.latency_sums == sums
@@ -211,7 +211,7 @@
         pool = world.sidecar.pool
         connection = await world.connect()
         connection[1].write(request(target="/n/1"))
-        while not pool.dispatcher.events:  # read and gathered, and not decided on
+        while not pool.dispatcher.events:  # the request was read and queued, but no decision made
             await asyncio.sleep(0)
         pool.retuned({**world.conf, "methods": [named("n", hard_deadline=5.0), named("x")]})
         (rpc,) = (active_request.rpc for active_request in pool.dispatcher.active_requests.requests)
--- a/tests/sidecar/admin/test_upgrade.py
+++ b/tests/sidecar/admin/test_upgrade.py
@@ -1,4 +1,4 @@
-"""An upgrade: two processes that are one sidecar, in this process and as two under load on loopback."""
+"""Hot restart: two sidecars within this process, and two processes under load on loopback."""
 
 import asyncio
 import os
@@ -27,7 +27,7 @@
 
 @pytest.fixture(autouse=True)
 def folder(tmp_path, monkeypatch):
-    # A path longer than the name of a Unix socket may be.
+    # Longer than the path of a Unix socket may be.
     long = tmp_path / ("long" * 30)
     long.mkdir()
     monkeypatch.setenv("TMPDIR", str(long))
@@ -36,7 +36,7 @@
 
 @asynccontextmanager
 async def newcomer(world, **changes):
-    """A second sidecar with the first one's addresses, but another second address."""
+    """A second sidecar with the same addresses as the first, but with an admin address of its own."""
     config = replace(world.config, admin=free_address(), known=None, **changes)
     sidecar = Sidecar(config, asyncio.get_running_loop())
     serving = asyncio.create_task(sidecar.serve())
@@ -50,7 +50,7 @@
 def test_the_newcomer_takes_orders_list_and_limits_over_and_both_keep_each_other_told(folder, monkeypatch):
     from shedgrade.sidecar.lifecycle import hot_restart
 
-    # Both are in this process: whoever waits for the other gives the loop to it.
+    # Both sidecars run on one loop, which connect_to_older blocks: it runs in a thread beforehand.
     told = {}
 
     def meet(loop, path):
@@ -81,7 +81,7 @@
                 assert old.pool.balancer.slow_start_share == new.pool.balancer.slow_start_share == 0.5
                 assert new.budget.max_connections + old.budget.max_connections <= 1024
                 assert not old.listener.accepting and not old.listener.waiting()
-                # An order at either address counts for both.
+                # A command at either address applies to both.
                 assert (await world.call("/-/resume"))[0] == 200
                 assert (await world.call("/-/upstreams/s-0/enable"))[0] == 200
                 await until(lambda: new.phase is Phase.SERVING and not new.orders.disabled)
@@ -110,11 +110,11 @@
             None, connect_to_older, loop, handover_path(world.config.listen)
         )
         assert state.disabled == [] and old.budget.max_connections == old.hot_restart.descriptors_stated
-        old.hot_restart.on_ready_timeout(link)  # it is another one that would be late
+        old.hot_restart.on_ready_timeout(link)  # the timeout of another link has no effect
         assert old.hot_restart.newer is not None
         link.send({"what": "serving"})
         await until(lambda: old.hot_restart.newer_accepts)
-        asking = asyncio.create_task(ask(world))  # it waits in the queue that both have
+        asking = asyncio.create_task(ask(world))  # it waits in the accept queue of the shared socket
         await asyncio.sleep(0.1)
         assert not asking.done()
         link.close()
@@ -128,7 +128,7 @@
             None, connect_to_older, loop, handover_path(world.config.listen)
         )
         old.check_invariants()
-        old.hot_restart.on_ready_timeout(old.hot_restart.newer)  # it has stood still
+        old.hot_restart.on_ready_timeout(old.hot_restart.newer)  # the newer process hangs
         assert old.hot_restart.newer is None and old.budget.max_connections > 100 and old.listener.accepting
         link.close()
         handle.close()
@@ -136,7 +136,7 @@
 
 @on_sockets
 async def test_one_that_is_told_to_end_before_its_newcomer_serves_leaves_nobody_at_the_door():
-    """It accepts as long as any that ends; what comes later waits in the queue that the newcomer has too."""
+    """The older process accepts while it drains; later connections wait in the queue of the shared socket."""
     from shedgrade.sidecar.lifecycle.hot_restart_link import connect_to_older
 
     async with Operated(serve) as world:
@@ -146,13 +146,13 @@
         )
         old.drain()
         assert (await ask(world))[0] == 200
-        link.send({"what": "serving"})  # it comes while the old one drains
+        link.send({"what": "serving"})  # arrives while the older process drains
         await until(lambda: old.hot_restart.newer_accepts)
         late = asyncio.create_task(ask(world, request(name="a2")))
         await until(lambda: old.phase is Phase.CLOSED)
         assert not late.done()
         handle.setblocking(False)
-        taken, _ = await loop.sock_accept(handle)  # as the newcomer does
+        taken, _ = await loop.sock_accept(handle)  # as the newer process would
         assert b"a2" in await loop.sock_recv(taken, 4096)
         late.cancel()
         taken.close()
@@ -210,7 +210,7 @@
 
 
 def test_two_processes_under_load_lose_nothing_at_the_door(tmp_path, folder):
-    """Twice in a row: a newer process beside the old one, which is ended at the newer one's yes."""
+    """Two restarts in a row: the older process gets SIGTERM once the newer one is ready."""
 
     @on_sockets
     async def scenario():
@@ -226,7 +226,7 @@
 
         async def client(number):
             turn, connection = 0, None
-            await asyncio.sleep(number / 20)  # what an upstream can take is found out one by one
+            await asyncio.sleep(number / 20)  # load rises as the balancer learns what each upstream can take
             while not stop.is_set():
                 turn += 1
                 raw = request(b"x", name=f"c{number}-{turn}")
@@ -241,7 +241,7 @@
                         connection = None
                 except (OSError, asyncio.IncompleteReadError) as failure:
                     connection = None
-                    if fresh:  # one that is closed between two requests may be asked once more
+                    if fresh:  # a kept connection may close between two requests; the client then retries
                         lost.append(repr(failure))
                 await asyncio.sleep(0.005)
 
@@ -283,7 +283,7 @@
                     await asyncio.sleep(0.02)
 
         async def more_served():
-            """Back once a good number of requests has been served from now on, by whoever serves."""
+            """Returns once 100 more requests were served, by either process, or one was lost."""
             enough = len(served) + 100
             await until(lambda: len(served) >= enough or lost)
 
--- a/tests/sidecar/fleet/processes.py
+++ b/tests/sidecar/fleet/processes.py
@@ -1,4 +1,4 @@
-"""Several sidecars as processes, with upstreams and discovery in this one, which counts who met whom."""
+"""A fleet of sidecar processes, and stand-ins that count which sidecar uses which upstream."""
 
 import asyncio
 import json
@@ -18,14 +18,23 @@
 
 
 class Fleet:
-    """`sidecars` processes and `upstreams` stand-ins, both by turns over `zones`. Counted at the upstreams:
-    `met`, pairs of sidecar and upstream, by the names that clients give their RPCs."""
+    """Processes of the sidecar, and stand-in upstreams, which are spread evenly over the zones.
+
+    Attributes:
+        count: number of sidecars that the configuration names.
+        met: pairs of sidecar and upstream between which a request was sent. Upstreams tell the sidecar by
+            the name that its client gives the RPC.
+        sent: requests that reached an upstream.
+        version, moved: of the endpoint list; the event is set when the next version is published.
+        asked_whole: requests for the whole list.
+        asked_newest: watches from the newest version.
+    """
 
     def __init__(self, sidecars: int, upstreams: int, zones: int = 3) -> None:
         self.count, self.zones, self.size = sidecars, zones, upstreams
         self.met, self.sent, self.upstreams, self.running, self.addresses = set(), 0, {}, {}, {}
         self.version, self.moved = 1, asyncio.Event()
-        self.asked_whole = self.asked_newest = 0  # lists asked for anew, watches on the newest one
+        self.asked_whole = self.asked_newest = 0
 
     async def __aenter__(self):
         self.folder = tempfile.TemporaryDirectory()
@@ -43,7 +52,7 @@
             server.stop()
         self.folder.cleanup()
 
-    # --- upstreams and what discovery tells of them
+    # --- upstreams and discovery
 
     async def add_upstream(self, number: int) -> None:
         def answer(head, body):
@@ -77,13 +86,13 @@
         if "after=" not in head[0]:
             self.asked_whole += 1
         elif f"after={version}" in re.split("[?& ]", head[0]):
-            self.asked_newest += 1  # once: it is answered when there is a newer one
+            self.asked_newest += 1  # once per sidecar, as the response waits for a newer version
         while "after=" in head[0] and version == self.version:
             await self.moved.wait()
         return message(200, json.dumps(self.told()).encode())
 
     async def change(self) -> None:
-        """Every sidecar is told the list as it stands now; back once all of them watch again."""
+        """Publishes the list as it is now; returns once all sidecars watch from the new version."""
         self.version += 1
         self.asked_newest, moved, self.moved = 0, self.moved, asyncio.Event()
         moved.set()
@@ -146,7 +155,7 @@
         process.wait()
 
     async def resize(self, count: int) -> None:
-        """The fleet is `count` sidecars from now on: who stays is told by reload, others start or end."""
+        """Changes the number of sidecars: remaining ones reload their configuration, others start or end."""
         self.count = count
         for number in [number for number in self.running if number >= count]:
             self.kill(number)
@@ -155,14 +164,14 @@
             self.configure(number)
             process.send_signal(signal.SIGHUP)
         async with asyncio.timeout(20):
-            while self.asked_whole < before + len(self.running):  # a reload asks for the whole list anew
+            while self.asked_whole < before + len(self.running):  # a reload requests the whole list
                 await asyncio.sleep(0.01)
         await asyncio.gather(*(self.start(number) for number in range(count) if number not in self.running))
 
     # --- clients
 
     async def load(self, rpcs: int = 40) -> set:
-        """Each sidecar's client sends so many RPCs, one after another; what was met meanwhile."""
+        """Sends `rpcs` RPCs to each sidecar, one after another; returns the pairs that met meanwhile."""
         self.met = set()
 
         async def client(number: int) -> None:
@@ -178,5 +187,5 @@
         return self.met
 
     def keeping(self, met: set) -> dict[int, int]:
-        """By upstream: how many sidecars met it."""
+        """Returns how many sidecars used each upstream."""
         return {number: sum(up == number for _, up in met) for number in self.upstreams}
--- a/tests/sidecar/fleet/test_dealing.py
+++ b/tests/sidecar/fleet/test_dealing.py
@@ -1,4 +1,4 @@
-"""The dealing alone, over generated fleets: fair, complete, and of which a change moves little."""
+"""Subset assignment over generated fleets: balanced, complete and stable under changes."""
 
 from hypothesis import given, settings
 from hypothesis import strategies as st
@@ -9,7 +9,7 @@
 
 
 def parts(ups, zones, sidecars, near, least, numbers=None):
-    """Of the own zone, by sidecar; numbers go over the zones in turn."""
+    """Returns the subset of the own zone for each sidecar; sidecar numbers go round the zones."""
     return [
         dealt([up for up in ups if up[2] == number % zones], zones, number, sidecars, near, 0.0, least)
         for number in (numbers or range(sidecars))
@@ -31,7 +31,7 @@
     met = [sum(up[3] == number for part in kept for up in part) for number in range(upstreams)]
     least = min(3, upstreams // zones)
     assert all(len(part) >= least for part in kept)
-    # One rounding apart; where the least is what binds, those short of it with nobody fuller add some.
+    # Counts differ by one rounding. Where the minimum size binds, sidecars below it share others' upstreams.
     exact = upstreams * 5 >= 3.4 * sidecars
     assert max(met) - min(met) <= 1 if exact else max(met) <= 1.25 * sum(met) / upstreams + 3
 
@@ -44,7 +44,7 @@
     before, after = (parts(told, zones, each * zones, 5.0, 3) for told in (fewer, ups))
     new = sum(len(now - then) for now, then in zip(after, before, strict=True))
     assert sum(up[3] == upstreams * zones for part in after for up in part) >= 4
-    assert new <= 60  # 5 that it has to get; the mean is under 15; where the least binds more move
+    assert new <= 60  # the new one needs 5; the mean is below 15, with more where the minimum size binds
 
 
 @settings(deadline=None, derandomize=True, max_examples=40)
--- a/tests/sidecar/fleet/test_fleet.py
+++ b/tests/sidecar/fleet/test_fleet.py
@@ -1,12 +1,12 @@
-"""24 sidecars as processes, which grow, shrink, are killed and see upstreams come and go: who meets whom."""
+"""24 sidecar processes that start, reload and are killed while upstreams change: who uses which upstream."""
 
 import uvloop
 from processes import Fleet
 
 
 def test_parts_stay_fair_and_hardly_move_while_processes_and_upstreams_come_and_go():
-    # Points by a running total: one more upstream moved a third to a half of all places, a count that grew
-    # moved all of them, and could be told at a start only.
+    # Subsets were assigned by a running total: one more upstream moved a third to a half of all assignments,
+    # and a larger count, which took a restart, moved all of them.
     async def scene():
         async with Fleet(24, 30) as fleet:
             begun = await fleet.load()
@@ -15,13 +15,13 @@
             by_sidecar = [sum(number == one for one, _ in begun) for number in range(24)]
             assert min(by_sidecar) >= 3 and all((number - up) % 3 == 0 for number, up in begun)
 
-            # Seven in ten killed: the others keep to what they had, nobody is met by a stranger.
+            # A quarter of the sidecars is killed: the others keep their subsets.
             for number in range(0, 24, 4):
                 fleet.kill(number)
             assert await fleet.load() <= begun
             for number in range(0, 24, 4):
                 await fleet.start(number)
-            again = await fleet.load()  # on a busy machine what is slow gets fewer turns
+            again = await fleet.load()  # on a busy machine slow upstreams get fewer requests
             assert again <= begun and len(again) >= 0.9 * len(begun)
 
             # One upstream goes, another comes.
@@ -34,7 +34,7 @@
             lost = sum(up == 7 for _, up in begun)
             assert len(after - begun) <= 4 * lost and max(fleet.keeping(after).values()) <= 7
 
-            # The fleet grows by a half and shrinks again, told by reload: fair at both sizes, then as before.
+            # The fleet grows by a half and shrinks again by reload: balanced at both sizes, then as before.
             await fleet.resize(36)
             grown = await fleet.load()
             kept = fleet.keeping(grown)
--- a/tests/sidecar/process/test_sockets.py
+++ b/tests/sidecar/process/test_sockets.py
@@ -1,4 +1,4 @@
-"""The sidecar on loopback, against stand-ins: one short test for each promise, and for each failure found."""
+"""The sidecar on loopback, against stand-ins: one short test for each guarantee and each fixed fault."""
 
 import asyncio
 import errno
@@ -63,7 +63,8 @@
 
 @on_sockets
 async def test_answers_are_written_once_and_connections_are_kept():
-    # uvloop sends at once and then never calls resume_writing: the ring was not freed, answers came twice.
+    # uvloop sends at once and then never calls resume_writing: the ring was not freed, and responses were
+    # sent twice.
     async with World(serve) as world:
         world.sidecar.pool.connections.idle.settle_time = 0
         connection = await world.connect()
@@ -125,7 +126,7 @@
             assert (await ask(world, raw))[0] == status, raw[:80]
         reader, writer = await world.connect()
         writer.write(good.replace(b"POST /m/7?x=1", b"CONNECT a:1") + good)
-        answers = await reader.read()  # one, after which the connection ends
+        answers = await reader.read()  # one response, after which the connection closes
         assert answers.startswith(b"HTTP/1.1 404") and answers.count(b"HTTP/1.1") == 1
         assert world.sent() == 0 and (await ask(world))[0] == 200
 
@@ -149,7 +150,7 @@
 
 @on_sockets
 async def test_what_comes_behind_an_answer_or_ahead_of_it_changes_nothing():
-    # A second copy's body was added to the first one's, and the sum was served.
+    # The body of a second response was appended to that of the first, and both were sent to the client.
     good, early = message(200, b"abc"), b"HTTP/1.1 103 Early\r\nLink: x\r\n\r\nHTTP/1.1 100 C\r\n\r\n"
     for answer, kept in ((good * 2, 0), (good + good[:40], 0), (good + b"noise", 0), (early + good, 1)):
         async with World(lambda *_, answer=answer: answer) as world:
@@ -242,7 +243,8 @@
             for _ in range(2):
                 seen = len(other.seen)
                 os.kill(os.getpid(), signal.SIGHUP)
-                await until(lambda seen=seen: len(other.seen) == seen + 2)  # the whole list, and the watch
+                # A request for the whole list, and one for the watch.
+                await until(lambda seen=seen: len(other.seen) == seen + 2)
             assert old.transport.is_closing()
             assert world.sidecar.budget.max_connections == 300 - RESERVE
             assert [(await ask(world))[0] for _ in range(4)] == [200] * 4 and not world.upstreams[0].seen
@@ -317,10 +319,8 @@
         world.sidecar.pool.balancer.latency_sums = [100.0, 150.0, 1000.0, 250.0, 1500.0]
         world.sidecar.pool.balancer.fit_latency()
         for up in world.sidecar.pool.balancer.upstreams.values():
-            up.failures, up.decayed_at = (
-                1.0,
-                world.sidecar.clock.now(),
-            )  # so that the first gets part of the time
+            # The first attempt then gets only a part of the time.
+            up.failures, up.decayed_at = (1.0, world.sidecar.clock.now())
         with outcomes() as ends:
             first = asyncio.create_task(ask(world, request(wait=4000)))
             await until(lambda: world.sent() == 2)
@@ -389,7 +389,7 @@
     async with World(serve) as world:
         assert (await ask(world))[0] == 200
         link = next(iter(world.sidecar.pool.connections.open))
-        link.transport.pause_reading()  # its end comes in, and the loop does not see it
+        link.transport.pause_reading()  # the FIN arrives, but the event loop does not see it
         for writer in world.upstreams[0].writers:
             writer.close()
         await until(lambda: not link.usable())
@@ -454,7 +454,7 @@
             await world.tell_raw(wrong)
         assert len(failures) == 4 and any("endpoint discovery failed" in line for line in lines)
         assert [(await ask(world))[0] for _ in range(3)] == [200] * 3 and len(world.upstreams[1].seen) == 6
-        await world.tell(world.entry(0), reset=True)  # a whole list that no longer names the other
+        await world.tell(world.entry(0), reset=True)  # a whole list without the other upstream
         assert [(await ask(world))[0] for _ in range(3)] == [200] * 3 and len(world.upstreams[0].seen) == 3
         await world.tell({"instanceId": "s-0", "lifecycle": "terminated"})
         assert (await ask(world))[0] == 503 and world.sent() == 9
@@ -523,7 +523,7 @@
         await until(lambda: world.sent() == 1)
         world.sidecar.drain()
         assert world.sidecar.phase is Phase.DRAINING
-        fresh = asyncio.create_task(ask(world, request(b"fresh", name="a2")))  # new connections still come
+        fresh = asyncio.create_task(ask(world, request(b"fresh", name="a2")))  # still accepted
         await until(lambda: world.sent() == 2)
         assert await idle[0].read() == b""  # the idle one is closed, the others are not
         release.set()
@@ -552,12 +552,12 @@
 
 @on_sockets
 async def test_in_a_crowd_unused_connections_go_first_and_requests_are_still_answered():
-    async with World(serve, sockets=100) as world:  # 36 for connections, 27 of them for clients
+    async with World(serve, sockets=100) as world:  # 36 connections, 27 of them for clients
         pauses = []
         pause = world.sidecar.listener.pause
         world.sidecar.listener.pause = lambda: (pauses.append(1), pause())
         crowd = [await world.connect() for _ in range(60)]
-        assert not pauses  # what is closed makes room at once: the kernel's queue never waits for it
+        assert not pauses  # closing idle connections makes room at once, so accepting never pauses
         assert [(await ask(world))[0] for _ in range(5)] == [200] * 5
         assert len(world.sidecar.front.clients) <= world.sidecar.budget.max_clients
         for _, writer in crowd:
@@ -566,8 +566,8 @@
 
 @on_sockets
 async def test_where_many_connections_are_open_answers_end_theirs():
-    # Clients that asked once and stayed had used up their owners' connections while there was room here.
-    async with World(serve, sockets=100) as world:  # 27 for clients, a crowd from 6 on
+    # Connections that sent one request and stayed open exhausted the clients while the sidecar had room.
+    async with World(serve, sockets=100) as world:  # 27 for clients; responses close theirs from 6 on
         kept = [await world.connect() for _ in range(5)]
         assert "Connection: close" not in (await ask(world, connection=kept[0]))[1]
         late = await world.connect()
@@ -698,14 +698,15 @@
         def bodies():
             return [body for upstream in world.upstreams for _, body in upstream.seen]
 
-        for number in range(2):  # a kept connection to each: a request goes on it in the pass that read it
+        # Opens a connection to each: a request that finds one is sent in the pass that read it.
+        for number in range(2):
             assert (await ask(world, request(name=f"w{number}")))[0] == 200
         await asyncio.sleep(0.3)
         gone, stays = (socket.create_connection(world.config.listen) for _ in range(2))
         gone.sendall(request(b"gone", name="g"))
         stays.sendall(request(b"stays", name="s"))
         gone.close()
-        time.sleep(0.9)  # the whole process stands still, as by SIGSTOP
+        time.sleep(0.9)  # the whole process stalls, as after SIGSTOP
         await until(lambda: b"stays" in bodies())
         await asyncio.sleep(0.2)
         assert b"gone" not in bodies()
