--- a/shedgrade/sidecar/admin/calls.py
+++ b/shedgrade/sidecar/admin/calls.py
@@ -9,16 +9,16 @@
 Reply = Callable[[bool, str], None]  # called once with: whether the call succeeded, a short explanation
 
 
-class Orders(Protocol):
+class CommandHandler(Protocol):
     """Executes the calls. `reply` is called once the call has taken effect or has been rejected."""
 
     def ready(self) -> bool:
         """Returns whether this process accepts clients and has an endpoint list."""
 
-    def disable(self, name: str, reply: Reply) -> None:
+    def disable(self, upstream_id: str, reply: Reply) -> None:
         """Stops sending requests to this upstream."""
 
-    def enable(self, name: str, reply: Reply) -> None:
+    def enable(self, upstream_id: str, reply: Reply) -> None:
         """Sends requests to this upstream again."""
 
     def drain(self) -> tuple[bool, str]:
@@ -42,25 +42,25 @@
         self.allowed = allowed
 
 
-def dispatch(method: bytes, target: bytes, orders: Orders, reply: Reply) -> None:
+def dispatch(method: bytes, target: bytes, commands: CommandHandler, reply: Reply) -> None:
     """Executes one call. Raises CallError if there is no such call."""
     match split_path(target):
         case ["", "-", "ready"]:
             require_method(method, b"GET")
-            ready = orders.ready()
+            ready = commands.ready()
             reply(ready, "takes clients" if ready else "takes no clients")
-        case ["", "-", "upstreams", name, "disable"] if name:
+        case ["", "-", "upstreams", upstream_id, "disable"] if upstream_id:
             require_method(method, b"POST")
-            orders.disable(name, reply)
-        case ["", "-", "upstreams", name, "enable"] if name:
+            commands.disable(upstream_id, reply)
+        case ["", "-", "upstreams", upstream_id, "enable"] if upstream_id:
             require_method(method, b"POST")
-            orders.enable(name, reply)
+            commands.enable(upstream_id, reply)
         case ["", "-", "drain"]:
             require_method(method, b"POST")
-            reply(*orders.drain())
+            reply(*commands.drain())
         case ["", "-", "resume"]:
             require_method(method, b"POST")
-            reply(*orders.resume())
+            reply(*commands.resume())
         case _:
             raise CallError(404)
 
--- a/shedgrade/sidecar/admin/front.py
+++ b/shedgrade/sidecar/admin/front.py
@@ -5,7 +5,7 @@
 import httptools
 
 from shedgrade.http.connection import Connection
-from shedgrade.sidecar.admin.calls import CallError, Orders, dispatch
+from shedgrade.sidecar.admin.calls import CallError, CommandHandler, dispatch
 
 MAX_CONNECTIONS = 16  # open at once: a few operators' tools, and as many connections that send no full call
 CALL_TIMEOUT_S = 2.0  # from connect until the connection is cut; callers wait 1 s for the response
@@ -88,7 +88,7 @@
         if self.parser is None:
             return  # the connection has ended
         try:
-            dispatch(self.parser.get_method(), self.target, self.front.orders, self.reply)
+            dispatch(self.parser.get_method(), self.target, self.front.commands, self.reply)
         except CallError as error:
             headers = [b"Allow: " + error.allowed] if error.allowed is not None else []
             self.answer(error.status, REASONS[error.status].decode().lower(), headers)
@@ -124,9 +124,9 @@
         accepting: tasks that set up accepted connections; maintained by the listener.
     """
 
-    def __init__(self, loop: asyncio.AbstractEventLoop, orders: Orders) -> None:
+    def __init__(self, loop: asyncio.AbstractEventLoop, commands: CommandHandler) -> None:
         self.loop = loop
-        self.orders = orders
+        self.commands = commands
         self.connections: dict[AdminConnection, None] = {}
         self.accepting: set[asyncio.Task[None]] = set()
 
--- a/shedgrade/sidecar/lifecycle/hot_restart.py
+++ b/shedgrade/sidecar/lifecycle/hot_restart.py
@@ -27,7 +27,7 @@
 
 READY_TIMEOUT_S = 10.0  # for the newer process to start serving; its readiness is due within 6 s
 SPARE_DESCRIPTORS = 8  # file descriptors that the older process may still open after the handover
-ORDERS = ("out", "back", "drain", "resume")  # values of `call` in messages between the processes
+COMMANDS = ("out", "back", "drain", "resume")  # values of `call` in messages between the processes
 
 
 class HotRestart:
@@ -77,7 +77,7 @@
         link.follow(self.on_older_message, self.on_older_closed)
         logger.info(
             "state taken over from older process",
-            disabled_upstreams=len(self.sidecar.orders.disabled),
+            disabled_upstreams=len(self.sidecar.commands.disabled),
             descriptors=state.descriptors,
         )
         return listening_socket
@@ -90,9 +90,9 @@
             pool.take_over("the older process")
         if state.learned is not None:
             self.restore_learned(state.learned)
-        for name in state.disabled:
-            sidecar.orders.disabled.add(name)
-            pool.dispatcher.set_withdrawn(pool.reader.indices.index(name), True, lambda: None)
+        for upstream_id in state.disabled:
+            sidecar.commands.disabled.add(upstream_id)
+            pool.dispatcher.set_withdrawn(pool.reader.indices.index(upstream_id), True, lambda: None)
         pool.dispatcher.set_slow_start_share(0.5)
         pool.dispatcher.run()
         sidecar.budget.share(state.descriptors)
@@ -125,7 +125,7 @@
         if message["what"] == "holds":
             self.sidecar.budget.share(max(0, int(message["holds"])))
         elif message["what"] == "order":
-            self.apply_order(message, self.newer)
+            self.apply_forwarded_command(message, self.newer)
 
     def on_older_closed(self) -> None:
         """Called when the older process has closed the link."""
@@ -155,7 +155,7 @@
             self.sidecar.listener.hand_over(True)
             logger.info("newer process accepts clients")
         elif message["what"] == "order":
-            self.apply_order(message, self.older)
+            self.apply_forwarded_command(message, self.older)
 
     def hand_over(self, link: HandoverLink, hello: Message) -> None:
         """Sends the state and the listening socket to a newer process.
@@ -211,7 +211,7 @@
             pool.dispatcher.export(), reader.indices.ids, list(reader.zones), list(reader.kinds)
         )
         return HandoverState(
-            disabled=sorted(self.sidecar.orders.disabled),
+            disabled=sorted(self.sidecar.commands.disabled),
             standing_by=self.sidecar.is_standing_by(),
             descriptors=self.descriptors_stated,
             endpoint_list=endpoint_list,
@@ -220,24 +220,24 @@
 
     # --- in both
 
-    def send_order(self, call: str, name: str = "") -> None:
-        """Forwards an operator's command to the other processes. `call`: one of ORDERS."""
+    def forward_command(self, command: str, upstream_id: str = "") -> None:
+        """Forwards an operator's command to the other processes. `command`: one of COMMANDS."""
         for link in (self.older, self.newer):
             if link is not None:
-                link.send({"what": "order", "call": call, "name": name})
+                link.send({"what": "order", "call": command, "name": upstream_id})
 
-    def apply_order(self, message: Message, onward: HandoverLink | None) -> None:
+    def apply_forwarded_command(self, message: Message, onward: HandoverLink | None) -> None:
         """Executes a command that another process forwarded.
 
         `onward`: the link to a third process, which gets the command too. Raises HotRestartError if the
         command is invalid.
         """
-        call, name = message["call"], message["name"]
-        if type(name) is not str or call not in ORDERS:
+        command, upstream_id = message["call"], message["name"]
+        if type(upstream_id) is not str or command not in COMMANDS:
             raise HotRestartError("no such command")
         if onward is not None:
             onward.send(message)
-        self.sidecar.orders.apply_remote(call, name)
+        self.sidecar.commands.apply_forwarded(command, upstream_id)
 
     def take_whole_budget(self) -> None:
         """Restores the full limits, as there is no other process."""
--- a/shedgrade/sidecar/lifecycle/operator_orders.py
+++ b/shedgrade/sidecar/lifecycle/operator_orders.py
@@ -11,7 +11,7 @@
 Reply = Callable[[bool, str], None]  # called once with: whether the call succeeded, a short explanation
 
 
-class OperatorOrders:
+class OperatorCommands:
     """Executes the operators' commands, here and in the other process of a hot restart.
 
     Attributes:
@@ -27,49 +27,51 @@
         """Returns whether this process accepts clients and has an endpoint list."""
         return self.sidecar.accepts_clients()
 
-    def disable(self, name: str, reply: Reply) -> None:
+    def disable(self, upstream_id: str, reply: Reply) -> None:
         """Stops sending requests to this upstream."""
-        self.change(name, True, reply)
+        self.change(upstream_id, True, reply)
 
-    def enable(self, name: str, reply: Reply) -> None:
+    def enable(self, upstream_id: str, reply: Reply) -> None:
         """Sends requests to this upstream again, with a slow start."""
-        self.change(name, False, reply)
+        self.change(upstream_id, False, reply)
 
-    def change(self, name: str, disable: bool, reply: Reply) -> None:
+    def change(self, upstream_id: str, disable: bool, reply: Reply) -> None:
         """Disables or enables a known upstream, here and in the other process."""
-        if name not in self.disabled and name not in self.sidecar.pool.reader.indices.by_id:
+        if upstream_id not in self.disabled and upstream_id not in self.sidecar.pool.reader.indices.by_id:
             reply(False, "no upstream has that id")
             return
-        if disable and name not in self.disabled:
-            logger.info("upstream disabled by operator", upstream=name)
-        elif not disable and name in self.disabled:
-            logger.info("upstream enabled by operator", upstream=name)
-        self.sidecar.hot_restart.send_order("out" if disable else "back", name)
-        self.apply(name, disable, reply)
-
-    def apply(self, name: str, disable: bool, reply: Reply) -> None:
+        if disable and upstream_id not in self.disabled:
+            logger.info("upstream disabled by operator", upstream=upstream_id)
+        elif not disable and upstream_id in self.disabled:
+            logger.info("upstream enabled by operator", upstream=upstream_id)
+        self.sidecar.hot_restart.forward_command("out" if disable else "back", upstream_id)
+        self.apply(upstream_id, disable, reply)
+
+    def apply(self, upstream_id: str, disable: bool, reply: Reply) -> None:
         """Disables or enables an upstream here; calls `reply` once the balancer has applied it."""
         pool = self.sidecar.pool
-        (self.disabled.add if disable else self.disabled.discard)(name)
+        (self.disabled.add if disable else self.disabled.discard)(upstream_id)
         text = "nothing more goes there" if disable else "it is back, as cold"
-        pool.dispatcher.set_withdrawn(pool.reader.indices.index(name), disable, lambda: reply(True, text))
+        pool.dispatcher.set_withdrawn(
+            pool.reader.indices.index(upstream_id), disable, lambda: reply(True, text)
+        )
 
-    def apply_remote(self, call: str, name: str) -> None:
+    def apply_forwarded(self, command: str, upstream_id: str) -> None:
         """Executes a command that the other process of a hot restart received: out, back, drain or resume."""
-        if call in ("out", "back"):
-            self.apply(name, call == "out", lambda done, text: None)
-        elif call == "drain":
+        if command in ("out", "back"):
+            self.apply(upstream_id, command == "out", lambda done, text: None)
+        elif command == "drain":
             self.sidecar.stand_by()
         else:
             self.sidecar.resume()
 
     def drain(self) -> tuple[bool, str]:
         """Moves clients away from this sidecar until `resume`. Returns whether it succeeded, and why."""
-        self.sidecar.hot_restart.send_order("drain")
+        self.sidecar.hot_restart.forward_command("drain")
         return self.sidecar.stand_by(), "standing by"
 
     def resume(self) -> tuple[bool, str]:
         """Ends the drain. Returns whether it succeeded, and why."""
-        self.sidecar.hot_restart.send_order("resume")
+        self.sidecar.hot_restart.forward_command("resume")
         done = self.sidecar.resume()
         return done, "serving" if done else "it ends"
--- a/shedgrade/sidecar/lifecycle/sidecar.py
+++ b/shedgrade/sidecar/lifecycle/sidecar.py
@@ -20,7 +20,7 @@
 from shedgrade.sidecar.lifecycle.config import Config
 from shedgrade.sidecar.lifecycle.feature import Feature
 from shedgrade.sidecar.lifecycle.hot_restart import HotRestart
-from shedgrade.sidecar.lifecycle.operator_orders import OperatorOrders
+from shedgrade.sidecar.lifecycle.operator_orders import OperatorCommands
 from shedgrade.sidecar.lifecycle.phases import Phase, check_change
 from shedgrade.sidecar.lifecycle.shutdown import Shutdown
 from shedgrade.sidecar.lifecycle.standby import Standby
@@ -48,7 +48,7 @@
         front: the client connections of that pool.
         features: the enabled optional features, started, drained and closed with the sidecar.
         listener: accepts client connections; None before `serve`.
-        orders: executes the operators' commands.
+        commands: executes the operators' commands.
         hot_restart: the links to an older and to a newer process.
         standby: closes idle connections while the sidecar stands by.
         shutdown: ends the process after SIGTERM.
@@ -75,7 +75,7 @@
         self.front = Front(loop, self.pool, self.budget, self.is_ready, self.is_draining)
         self.features: list[Feature] = []
         self.listener: Any = None
-        self.orders = OperatorOrders(self)
+        self.commands = OperatorCommands(self)
         self.hot_restart = HotRestart(self)
         self.standby = Standby(self)
         self.shutdown = Shutdown(self)
@@ -224,7 +224,7 @@
         """Listens on the admin address, if there is one."""
         if self.config.admin is None:
             return
-        self.admin = AdminFront(self.loop, self.orders)
+        self.admin = AdminFront(self.loop, self.commands)
         self.admin_listener = self.listen(self.config.admin, self.admin, AdminConnection)
         self.admin_listener.resume()
         self.budget.reserve(MAX_CONNECTIONS + 1)
--- a/tests/sidecar/admin/test_upgrade.py
+++ b/tests/sidecar/admin/test_upgrade.py
@@ -72,7 +72,7 @@
                 await until(lambda: old.hot_restart.newer_accepts)
                 old.check_invariants()
                 new.check_invariants()
-                assert new.orders.disabled == {"s-0"} and new.phase is Phase.STANDING_BY
+                assert new.commands.disabled == {"s-0"} and new.phase is Phase.STANDING_BY
                 ups = new.pool.balancer.upstreams
                 names = new.pool.reader.indices.by_id
                 assert not ups[names["s-0"]].listed and ups[names["s-2"]].listed
@@ -84,9 +84,9 @@
                 # A command at either address applies to both.
                 assert (await world.call("/-/resume"))[0] == 200
                 assert (await world.call("/-/upstreams/s-0/enable"))[0] == 200
-                await until(lambda: new.phase is Phase.SERVING and not new.orders.disabled)
-                new.orders.disable("s-1", lambda yes, words: None)
-                await until(lambda: old.orders.disabled == {"s-1"})
+                await until(lambda: new.phase is Phase.SERVING and not new.commands.disabled)
+                new.commands.disable("s-1", lambda yes, words: None)
+                await until(lambda: old.commands.disabled == {"s-1"})
                 assert old.phase is Phase.SERVING
                 old.drain()
                 await until(lambda: old.phase is Phase.CLOSED)
