--- a/shedgrade/sidecar/admin/front.py
+++ b/shedgrade/sidecar/admin/front.py
@@ -32,24 +32,24 @@
         opened_at: time of the connection, by the loop's clock.
     """
 
-    def __init__(self, front: "AdminFront") -> None:
+    def __init__(self, server: "AdminServer") -> None:
         super().__init__()
-        self.front = front
+        self.server = server
         self.parser: httptools.HttpRequestParser | None = httptools.HttpRequestParser(self)
         self.target = b""
         self.bytes_left = MAX_CALL_BYTES
         self.complete = False
         self.answered = False
-        self.opened_at = front.loop.time()
+        self.opened_at = server.loop.time()
 
     def connection_made(self, transport: asyncio.Transport) -> None:  # type: ignore[override]
         """Called by the event loop."""
         super().connection_made(transport)
-        self.front.connections[self] = None
+        self.server.connections[self] = None
 
     def connection_lost(self, failure: Exception | None) -> None:
         """Called by the event loop."""
-        self.front.connections.pop(self, None)
+        self.server.connections.pop(self, None)
         self.parser = None  # breaks the reference cycle, so that no garbage collection is needed
 
     def read(self) -> None:
@@ -60,7 +60,7 @@
                 self.parse(part)
         self.used(len(self.incoming))
         if self.complete and not self.answered:
-            self.hand_over()
+            self.execute_call()
 
     def parse(self, part: bytes | memoryview) -> None:
         """Feeds the parser. Responds with 400 to a malformed call and with 413 to one that is too long."""
@@ -83,12 +83,12 @@
         """Called by the parser."""
         self.complete = True
 
-    def hand_over(self) -> None:
+    def execute_call(self) -> None:
         """Executes the call."""
         if self.parser is None:
             return  # the connection has ended
         try:
-            dispatch(self.parser.get_method(), self.target, self.front.commands, self.reply)
+            dispatch(self.parser.get_method(), self.target, self.server.commands, self.reply)
         except CallError as error:
             headers = [b"Allow: " + error.allowed] if error.allowed is not None else []
             self.answer(error.status, REASONS[error.status].decode().lower(), headers)
@@ -116,7 +116,7 @@
         self.transport.close()
 
 
-class AdminFront:
+class AdminServer:
     """The connections of the admin address. Room is made so that one more call can always be accepted.
 
     Attributes:
--- a/shedgrade/sidecar/lifecycle/sidecar.py
+++ b/shedgrade/sidecar/lifecycle/sidecar.py
@@ -15,7 +15,7 @@
 from shedgrade.http.listener import Listener
 from shedgrade.http.rpc_connection import RpcConnection
 from shedgrade.runtime.clock import Clock
-from shedgrade.sidecar.admin.front import MAX_CONNECTIONS, AdminConnection, AdminFront
+from shedgrade.sidecar.admin.front import MAX_CONNECTIONS, AdminConnection, AdminServer
 from shedgrade.sidecar.lifecycle import reload, reload_signal
 from shedgrade.sidecar.lifecycle.config import Config
 from shedgrade.sidecar.lifecycle.feature import Feature
@@ -79,7 +79,7 @@
         self.hot_restart = HotRestart(self)
         self.standby = Standby(self)
         self.shutdown = Shutdown(self)
-        self.admin: AdminFront | None = None
+        self.admin: AdminServer | None = None
         self.admin_listener: Listener | None = None
 
     # --- phases
@@ -209,7 +209,7 @@
     def listen(
         self,
         address: tuple[str, int],
-        front: Front | AdminFront,
+        front: Front | AdminServer,
         connection: type,
         listening_socket: socket.socket | None = None,
     ) -> Listener:
@@ -224,7 +224,7 @@
         """Listens on the admin address, if there is one."""
         if self.config.admin is None:
             return
-        self.admin = AdminFront(self.loop, self.commands)
+        self.admin = AdminServer(self.loop, self.commands)
         self.admin_listener = self.listen(self.config.admin, self.admin, AdminConnection)
         self.admin_listener.resume()
         self.budget.reserve(MAX_CONNECTIONS + 1)
