--- a/shedgrade/sidecar/lifecycle/hot_restart.py
+++ b/shedgrade/sidecar/lifecycle/hot_restart.py
@@ -38,8 +38,8 @@
         listener: accepts the link of a newer process; None until this one serves, or if it can't listen.
         older, newer: the links; None if there is no such process.
         newer_accepts: whether the newer process accepts clients; False if there is none.
-        starts_standing_by: whether the older process was standing by at the handover.
-        descriptors_stated: the most file descriptors that this process may hold, as the newer one was told.
+        start_in_standby: whether the older process was standing by at the handover.
+        announced_descriptors: the most file descriptors that the newer process was told this one may hold.
     """
 
     def __init__(self, sidecar: "Sidecar") -> None:
@@ -50,8 +50,8 @@
         self.older: HandoverLink | None = None
         self.newer: HandoverLink | None = None
         self.newer_accepts = False
-        self.starts_standing_by = False
-        self.descriptors_stated = 0
+        self.start_in_standby = False
+        self.announced_descriptors = 0
 
     # --- in the newer process
 
@@ -74,7 +74,7 @@
             logger.warning("nothing taken over from older process", error=str(error))
             return None
         self.older = link
-        link.follow(self.on_older_message, self.on_older_closed)
+        link.start(self.on_older_message, self.on_older_closed)
         logger.info(
             "state taken over from older process",
             disabled_upstreams=len(self.sidecar.commands.disabled),
@@ -96,7 +96,7 @@
         pool.dispatcher.set_slow_start_share(0.5)
         pool.dispatcher.run()
         sidecar.budget.share(state.descriptors)
-        self.starts_standing_by = state.standing_by
+        self.start_in_standby = state.standing_by
 
     def restore_learned(self, stored: dict[str, Any]) -> None:
         """Passes the learned state of the older process to the balancer, as far as it fits."""
@@ -112,7 +112,7 @@
         """Tells the older process that this one accepts clients, and waits for the next newer process."""
         if self.older is not None:
             self.older.send({"what": "serving"})
-            if self.starts_standing_by:
+            if self.start_in_standby:
                 self.sidecar.stand_by()
         if self.path is not None:
             try:
@@ -133,13 +133,13 @@
             self.older = None
             logger.info("older process ended")
             if self.newer is None:
-                self.take_whole_budget()
+                self.restore_full_limits()
 
     # --- in the older process
 
     def on_link(self, link: HandoverLink) -> None:
         """Accepts a link; the other end must identify itself with `hello`."""
-        link.follow(
+        link.start(
             lambda message, descriptors: self.on_newer_message(link, message),
             lambda: self.on_newer_closed(link),
         )
@@ -170,8 +170,8 @@
             self.newer.close()
         self.newer = link
         self.loop.call_later(READY_TIMEOUT_S, self.on_ready_timeout, link)
-        self.descriptors_stated = self.sidecar.budget.connections() + SPARE_DESCRIPTORS
-        self.sidecar.budget.cap(self.descriptors_stated)
+        self.announced_descriptors = self.sidecar.budget.connections() + SPARE_DESCRIPTORS
+        self.sidecar.budget.cap(self.announced_descriptors)
         self.sidecar.pool.dispatcher.set_slow_start_share(0.5)
         link.send(self.state().to_message(), self.sidecar.listener.socket.fileno())
 
@@ -192,7 +192,7 @@
         self.newer_accepts = False
         self.sidecar.listener.hand_over(False)
         logger.warning("newer process ended, this one serves on")
-        self.take_whole_budget()
+        self.restore_full_limits()
 
     def state(self) -> HandoverState:
         """Returns the state that a newer process takes over."""
@@ -213,7 +213,7 @@
         return HandoverState(
             disabled=sorted(self.sidecar.commands.disabled),
             standing_by=self.sidecar.is_standing_by(),
-            descriptors=self.descriptors_stated,
+            descriptors=self.announced_descriptors,
             endpoint_list=endpoint_list,
             learned=learned,
         )
@@ -239,7 +239,7 @@
             onward.send(message)
         self.sidecar.commands.apply_forwarded(command, upstream_id)
 
-    def take_whole_budget(self) -> None:
+    def restore_full_limits(self) -> None:
         """Restores the full limits, as there is no other process."""
         self.sidecar.budget.share(None)
         self.sidecar.pool.dispatcher.set_slow_start_share(1.0)
@@ -247,11 +247,11 @@
     def tick(self) -> None:
         """Called periodically: tells the newer process which descriptors this older one has released."""
         if self.newer is not None and self.newer_accepts:
-            held = self.sidecar.budget.connections()
-            if held < self.descriptors_stated:
-                self.descriptors_stated = held
-                self.sidecar.budget.cap(held)
-                self.newer.send({"what": "holds", "holds": held})
+            open_connections = self.sidecar.budget.connections()
+            if open_connections < self.announced_descriptors:
+                self.announced_descriptors = open_connections
+                self.sidecar.budget.cap(open_connections)
+                self.newer.send({"what": "holds", "holds": open_connections})
 
     def close(self) -> None:
         """Closes the listener and the links, without further callbacks."""
@@ -269,6 +269,6 @@
         """Raises AssertionError if links and flags contradict each other."""
         assert self.newer is not None or not self.newer_accepts
         assert self.older is None or self.older is not self.newer
-        assert self.descriptors_stated >= 0
+        assert self.announced_descriptors >= 0
         for link in (self.older, self.newer):
             assert link is None or link.socket.fileno() >= 0, "a closed link is still referenced"
--- a/shedgrade/sidecar/lifecycle/hot_restart_link.py
+++ b/shedgrade/sidecar/lifecycle/hot_restart_link.py
@@ -58,8 +58,8 @@
             disabled, standing_by = message["outs"], message["standing_by"]
             descriptors = message["holds"]
             state = cls(disabled, standing_by, descriptors, message["list"], message["learnt"])
-        except KeyError as missing:
-            raise HotRestartError(f"{missing} is missing") from missing
+        except KeyError as error:
+            raise HotRestartError(f"{error} is missing") from error
         if not (type(disabled) is list and all(type(name) is str for name in disabled)):
             raise HotRestartError("outs is not a list of ids")
         if type(standing_by) is not bool:
@@ -83,24 +83,24 @@
 
 def handover_path(listen: tuple[str, int]) -> str | None:
     """Returns the path of the Unix socket for the handover; None if TMPDIR is not set."""
-    folder = os.environ.get("TMPDIR")
-    return os.path.join(folder, f"shedgrade-{listen[0]}-{listen[1]}.sock") if folder else None
+    directory = os.environ.get("TMPDIR")
+    return os.path.join(directory, f"shedgrade-{listen[0]}-{listen[1]}.sock") if directory else None
 
 
 class ShortPath:
     """A short alias of a path of any length: the path of a Unix socket may have at most 107 bytes."""
 
     def __init__(self, path: str) -> None:
-        self.folder = os.open(os.path.dirname(path), os.O_RDONLY | os.O_DIRECTORY)
-        self.name = f"/proc/self/fd/{self.folder}/{os.path.basename(path)}"
+        self.directory = os.open(os.path.dirname(path), os.O_RDONLY | os.O_DIRECTORY)
+        self.alias = f"/proc/self/fd/{self.directory}/{os.path.basename(path)}"
 
     def __enter__(self) -> str:
         """Returns the alias, which is valid until the exit."""
-        return self.name
+        return self.alias
 
     def __exit__(self, *_: object) -> None:
         """Closes the descriptor of the directory."""
-        os.close(self.folder)
+        os.close(self.directory)
 
 
 class HandoverLink:
@@ -127,7 +127,7 @@
 
     # --- receiving
 
-    def follow(self, on_message: Callable[[Message, list[int]], None], on_close: Callable[[], None]) -> None:
+    def start(self, on_message: Callable[[Message, list[int]], None], on_close: Callable[[], None]) -> None:
         """Starts reading in the event loop, and calls the callbacks from now on."""
         self.on_message = on_message
         self.on_close = on_close
@@ -165,25 +165,25 @@
 
         Raises HotRestartError or ValueError if one is not a JSON object.
         """
-        while (end := self.received.find(b"\n")) >= 0:
-            message = orjson.loads(bytes(self.received[:end]))
-            del self.received[: end + 1]
+        while (line_end := self.received.find(b"\n")) >= 0:
+            message = orjson.loads(bytes(self.received[:line_end]))
+            del self.received[: line_end + 1]
             if type(message) is not dict:
                 raise HotRestartError("the message is not an object")
             yield message
 
-    def wait_for_first(self) -> tuple[Message, list[int]]:
+    def receive_first(self) -> tuple[Message, list[int]]:
         """Blocks until one message is received. Raises HotRestartError if none comes in ANSWER_TIMEOUT_S."""
-        end = monotonic() + ANSWER_TIMEOUT_S
+        deadline = monotonic() + ANSWER_TIMEOUT_S
         while True:
             for message in self.messages():
                 descriptors, self.descriptors = self.descriptors, []
                 return message, descriptors
-            self.socket.settimeout(max(0.001, end - monotonic()))
+            self.socket.settimeout(max(0.001, deadline - monotonic()))
             try:
                 data, descriptors, _, _ = socket.recv_fds(self.socket, READ_BYTES, MAX_DESCRIPTORS)
             except OSError as failure:
-                raise HotRestartError("no answer") from failure
+                raise HotRestartError("no answer from the older process") from failure
             self.descriptors += descriptors
             self.received += data
             if not data or len(self.received) > MAX_MESSAGE_BYTES:
@@ -198,11 +198,11 @@
         data = orjson.dumps(message) + b"\n"
         if descriptor is not None and not self.unsent:
             try:
-                sent = socket.send_fds(self.socket, [data], [descriptor])
+                sent_bytes = socket.send_fds(self.socket, [data], [descriptor])
             except OSError:
                 self.close()
                 return
-            data = data[sent:]
+            data = data[sent_bytes:]
         self.unsent += data
         self.write()
 
@@ -252,11 +252,11 @@
     connection = socket.socket(socket.AF_UNIX, socket.SOCK_STREAM)
     connection.settimeout(ANSWER_TIMEOUT_S)
     try:
-        with ShortPath(path) as name:
-            connection.connect(name)
-    except TimeoutError as late:
+        with ShortPath(path) as alias:
+            connection.connect(alias)
+    except TimeoutError as error:
         connection.close()
-        raise HotRestartError("connecting to the older process timed out") from late
+        raise HotRestartError("connecting to the older process timed out") from error
     except OSError:  # there is no older process, or it has just ended
         connection.close()
         return None
@@ -264,7 +264,7 @@
     descriptors: list[int] = []
     try:
         connection.sendall(orjson.dumps({"v": VERSION, "what": "hello"}) + b"\n")
-        message, descriptors = link.wait_for_first()
+        message, descriptors = link.receive_first()
         if message.get("v") != VERSION or message.get("what") != "state":
             raise HotRestartError("the protocol version of the older process differs")
         if len(descriptors) != 1:
--- a/tests/sidecar/admin/test_upgrade.py
+++ b/tests/sidecar/admin/test_upgrade.py
@@ -109,7 +109,7 @@
         link, state, handle = await loop.run_in_executor(
             None, connect_to_older, loop, handover_path(world.config.listen)
         )
-        assert state.disabled == [] and old.budget.max_connections == old.hot_restart.descriptors_stated
+        assert state.disabled == [] and old.budget.max_connections == old.hot_restart.announced_descriptors
         old.hot_restart.on_ready_timeout(link)  # the timeout of another link has no effect
         assert old.hot_restart.newer is not None
         link.send({"what": "serving"})
