--- a/shedgrade/sidecar/lifecycle/config.py
+++ b/shedgrade/sidecar/lifecycle/config.py
@@ -15,7 +15,7 @@
 ADMIN_VARIABLE = "GW_ADMIN_ADDR"  # the admin address, if the file has none
 DEFAULT_MEMORY_MB = 192
 DEFAULT_SOCKETS = 1024
-READ_AT_START_ONLY = ("known", "seed")
+STARTUP_ONLY_KEYS = ("known", "seed")
 
 
 @dataclass(frozen=True)
@@ -33,7 +33,7 @@
         settings: the settings of the balancer.
         path: path of the file.
         admin: the admin address; None if there is none.
-        contents: all keys of the file but READ_AT_START_ONLY.
+        contents: all keys of the file but STARTUP_ONLY_KEYS.
     """
 
     name: str
@@ -49,11 +49,11 @@
     contents: dict[str, Any] = field(default_factory=dict)
 
 
-def parse_address(text: object, what: str) -> Address:
-    """Parses host:port. Raises ConfigError, whose message starts with `what`, for any other text."""
+def parse_address(text: object, label: str) -> Address:
+    """Parses host:port. Raises ConfigError, whose message starts with `label`, for any other text."""
     host, _, port = str(text).rpartition(":")
     if not host or not port.isdigit() or not 0 < int(port) < 65536:
-        raise ConfigError(f"{what}: {text!r} is not host:port")
+        raise ConfigError(f"{label}: {text!r} is not host:port")
     return host.strip("[]"), int(port)
 
 
@@ -74,8 +74,8 @@
         raise ConfigError(f"{path}: not JSON ({error})") from error
     try:
         return parse_config(path, contents)
-    except KeyError as missing:
-        raise ConfigError(f"{path}: {missing} is missing") from missing
+    except KeyError as error:
+        raise ConfigError(f"{path}: {error} is missing") from error
     except (AttributeError, TypeError, ValueError) as error:
         raise ConfigError(f"{path}: a value has the wrong format ({error})") from error
 
@@ -101,5 +101,5 @@
         settings=contents["settings"],
         path=path,
         admin=None if admin is None else parse_address(admin, f"{path}: admin_addr"),
-        contents={key: value for key, value in contents.items() if key not in READ_AT_START_ONLY},
+        contents={key: value for key, value in contents.items() if key not in STARTUP_ONLY_KEYS},
     )
--- a/shedgrade/sidecar/lifecycle/logs.py
+++ b/shedgrade/sidecar/lifecycle/logs.py
@@ -13,7 +13,7 @@
 if TYPE_CHECKING:
     from loguru import Record
 
-FORMS = ("text", "json")
+LOG_FORMATS = ("text", "json")
 TEXT_LINE = "{time:HH:mm:ss.SSS} {level} {message}"
 PLAIN_TYPES = (str, int, float, bool, type(None))
 
@@ -48,13 +48,13 @@
     return "{extra[line]}\n"
 
 
-def log_to_stderr(level: str, form: str) -> None:
-    """Sets up the log. Raises ValueError for an unknown level or a format that is not one of FORMS."""
-    if form not in FORMS:
-        raise ValueError(f"log format {form!r} is not one of {', '.join(FORMS)}")
+def log_to_stderr(level: str, log_format: str) -> None:
+    """Sets up the log. Raises ValueError for an unknown level or a format that is not one of LOG_FORMATS."""
+    if log_format not in LOG_FORMATS:
+        raise ValueError(f"log format {log_format!r} is not one of {', '.join(LOG_FORMATS)}")
     logger.remove()
     logger.add(
         sys.stderr,
         level=level.upper(),
-        format=format_as_json if form == "json" else format_as_text,
+        format=format_as_json if log_format == "json" else format_as_text,
     )
--- a/shedgrade/sidecar/lifecycle/reload.py
+++ b/shedgrade/sidecar/lifecycle/reload.py
@@ -19,7 +19,7 @@
     from shedgrade.sidecar.lifecycle.features import Features
     from shedgrade.sidecar.lifecycle.sidecar import Sidecar
 
-FIXED_AT_START = ("name", "listen", "admin")  # fields of `Config` that need a restart
+RESTART_ONLY_FIELDS = ("name", "listen", "admin")  # fields of `Config` that need a restart
 
 
 @dataclass(frozen=True)
@@ -53,38 +53,40 @@
 
 def check(sidecar: "Sidecar") -> CheckedReload:
     """Reads the file and checks it as at a start. Raises ConfigError if it is invalid."""
-    before = sidecar.config
-    fresh = load_config(before.path)
-    missing = missing_key(before.contents, fresh.contents)
+    current = sidecar.config
+    loaded = load_config(current.path)
+    missing = missing_key(current.contents, loaded.contents)
     if missing is not None:
-        raise ConfigError(f"{fresh.path}: {missing}: found nothing; expected the key, as it was there before")
-    settings, fixed = merge_settings(before.settings, fresh.settings)
-    type(sidecar)(replace(fresh, settings=settings), sidecar.loop)
+        raise ConfigError(
+            f"{loaded.path}: {missing}: found nothing; expected the key, as it was there before"
+        )
+    settings, restart_only = merge_settings(current.settings, loaded.settings)
+    type(sidecar)(replace(loaded, settings=settings), sidecar.loop)
     methods = {method["name"] for method in settings["methods"]}
     features = sidecar.load_features(methods) if sidecar.load_features is not None else None
-    changed = [name for name in FIXED_AT_START if getattr(fresh, name) != getattr(before, name)]
-    return CheckedReload(fresh, settings, features, changed + fixed)
+    changed = [name for name in RESTART_ONLY_FIELDS if getattr(loaded, name) != getattr(current, name)]
+    return CheckedReload(loaded, settings, features, changed + restart_only)
 
 
 def apply(sidecar: "Sidecar", checked: CheckedReload) -> None:
     """Applies a checked reload."""
-    fresh, settings = checked.config, checked.settings
+    loaded, settings = checked.config, checked.settings
     if settings != sidecar.config.settings:
         log_settings(sidecar.config.settings, settings)
         sidecar.pool.retuned(settings)
     sidecar.config = replace(
         sidecar.config,
-        discovery=fresh.discovery,
-        sockets=fresh.sockets,
-        memory_mb=fresh.memory_mb,
+        discovery=loaded.discovery,
+        sockets=loaded.sockets,
+        memory_mb=loaded.memory_mb,
         settings=settings,
-        contents=fresh.contents,
+        contents=loaded.contents,
     )
-    sidecar.budget.limit(fresh.sockets, fresh.memory_mb)
-    sidecar.pool.move(fresh.discovery)
+    sidecar.budget.limit(loaded.sockets, loaded.memory_mb)
+    sidecar.pool.move(loaded.discovery)
     for feature in sidecar.features:
         feature.reload(checked.features)
-    host, port = fresh.discovery
+    host, port = loaded.discovery
     logger.info(
         "configuration reloaded",
         discovery=f"{host}:{port}",
@@ -92,13 +94,13 @@
     )
 
 
-def log_settings(before: dict[str, Any], after: dict[str, Any]) -> None:
+def log_settings(previous: dict[str, Any], new: dict[str, Any]) -> None:
     """Logs one line about the changed settings."""
-    methods = {method["name"] for method in after["methods"]}
-    removed = {method["name"] for method in before["methods"]} - methods
+    methods = {method["name"] for method in new["methods"]}
+    removed = {method["name"] for method in previous["methods"]} - methods
     logger.info(
         "settings reloaded",
         methods=len(methods),
-        max_transmissions=after["limits"]["most_transmissions"],
+        max_transmissions=new["limits"]["most_transmissions"],
         removed=", ".join(sorted(removed)),
     )
