--- a/shedgrade/sidecar/lifecycle/settings_checks.py
+++ b/shedgrade/sidecar/lifecycle/settings_checks.py
@@ -11,8 +11,8 @@
 MISSING = object()
 IDEMPOTENCY = ("repeatable", "by_key", "once")
 WEIGHT_KINDS = ("off", "nominal", "rough", "live")
-REPORTS = ("off", "on_probe", "inline")
-MAX_SHOWN = 60  # characters of the value found
+REPORT_CHANNELS = ("off", "on_probe", "inline")
+MAX_SHOWN_CHARACTERS = 60  # of the value found
 
 REQUIRED_TABLES = ("limits", "rules", "prices")
 METHOD_DEADLINES = ("soft_deadline", "hard_deadline")
@@ -35,10 +35,10 @@
     found: object
     expected: str
 
-    def line(self) -> str:
+    def to_line(self) -> str:
         """Returns the finding as one line, with a long value shortened."""
         text = "nothing" if self.found is MISSING else repr(self.found)
-        text = text if len(text) <= MAX_SHOWN else f"{text[: MAX_SHOWN - 3]}..."
+        text = text if len(text) <= MAX_SHOWN_CHARACTERS else f"{text[: MAX_SHOWN_CHARACTERS - 3]}..."
         return f"{self.key}: found {text}; expected {self.expected}"
 
 
@@ -48,7 +48,7 @@
     A missing key has its default, which fits the deployments that sidecars were first built for.
     """
     if not isinstance(settings, dict):
-        return Finding("settings", settings, "a table").line()
+        return Finding("settings", settings, "a table").to_line()
     return first_line(shape_findings(settings))
 
 
@@ -60,7 +60,7 @@
 def first_line(findings: Iterator[Finding]) -> str | None:
     """Returns the first finding as a line, or None."""
     found = next(findings, None)
-    return f"settings.{found.line()}" if found is not None else None
+    return f"settings.{found.to_line()}" if found is not None else None
 
 
 # --- settings that every sidecar needs; times are in ms
@@ -76,12 +76,12 @@
         yield Finding("methods", settings.get("methods", MISSING), "a non-empty list of tables")
         return
     names: set[str] = set()
-    for number, method in enumerate(settings["methods"]):
-        yield from method_findings(f"methods[{number}]", method, names)
+    for index, method in enumerate(settings["methods"]):
+        yield from method_findings(f"methods[{index}]", method, names)
     yield from limit_findings(settings["limits"])
     for key in RULE_NUMBERS:
-        yield from check_number(f"rules.{key}", settings["rules"].get(key, MISSING), 0, whole=False)
-    yield from check_number("tick", settings.get("tick", MISSING), 0, whole=False)
+        yield from check_number(f"rules.{key}", settings["rules"].get(key, MISSING), 0, integer=False)
+    yield from check_number("tick", settings.get("tick", MISSING), 0, integer=False)
     zones = settings.get("zones", MISSING)
     if not (isinstance(zones, list) and zones and all(isinstance(zone, str) for zone in zones)):
         yield Finding("zones", zones, "a non-empty list of names")
@@ -106,7 +106,7 @@
     for field in METHOD_DEADLINES:
         yield from check_positive(f"{key}.{field}", method.get(field, MISSING))
     for field in METHOD_AMOUNTS:
-        yield from check_number(f"{key}.{field}", method.get(field, MISSING), 0, whole=False)
+        yield from check_number(f"{key}.{field}", method.get(field, MISSING), 0, integer=False)
 
 
 def limit_findings(limits: dict[str, Any]) -> Iterator[Finding]:
@@ -116,7 +116,7 @@
         if not isinstance(limits.get(key), bool):
             yield Finding(f"limits.{key}", limits.get(key, MISSING), "true or false")
     max_retry_after = limits.get("max_retry_after", MISSING)
-    yield from check_number("limits.max_retry_after", max_retry_after, 0, whole=False)
+    yield from check_number("limits.max_retry_after", max_retry_after, 0, integer=False)
     for key in LIMIT_TIMES:
         yield from check_positive(f"limits.{key}", limits.get(key, MISSING))
 
@@ -146,13 +146,13 @@
     yield from check_number("limits.multiplex", limits.get("multiplex", 1), 1)
     yield from check_number("balancers", settings.get("balancers", 1), 1)
     yield from check_number("my_number", settings.get("my_number", 0), 0)
-    yield from check_number("excess_payoff", settings.get("excess_payoff", 1.0), 0, 1, whole=False)
-    yield from check_number("objective_mix.slow_end", mix.get("slow_end", 0.0), 0, whole=False)
-    yield from check_number("objective_mix.miss_allowed", mix.get("miss_allowed", 0.0), 0, 1, whole=False)
+    yield from check_number("excess_payoff", settings.get("excess_payoff", 1.0), 0, 1, integer=False)
+    yield from check_number("objective_mix.slow_end", mix.get("slow_end", 0.0), 0, integer=False)
+    yield from check_number("objective_mix.miss_allowed", mix.get("miss_allowed", 0.0), 0, 1, integer=False)
     if not isinstance(rules.get("dropped_stay_open", False), bool):
         yield Finding("rules.dropped_stay_open", rules["dropped_stay_open"], "true or false")
     yield from check_choice("weight_kind", settings.get("weight_kind", "nominal"), WEIGHT_KINDS)
-    yield from check_choice("report.via", report.get("via", "off"), REPORTS)
+    yield from check_choice("report.via", report.get("via", "off"), REPORT_CHANNELS)
     customers = settings.get("customers", [])
     if not isinstance(customers, list):
         yield Finding("customers", customers, "a list of tables")
@@ -165,12 +165,12 @@
 
 def customer_findings(customers: list[object]) -> Iterator[Finding]:
     """Yields findings in the table of tenants."""
-    for number, customer in enumerate(customers):
-        key = f"customers[{number}]"
+    for index, customer in enumerate(customers):
+        key = f"customers[{index}]"
         if not isinstance(customer, dict) or "allowance_per_s" not in customer:
             yield Finding(key, customer, "a table with allowance_per_s")
         else:
-            yield from check_number(f"{key}.allowance_per_s", customer["allowance_per_s"], 0, whole=False)
+            yield from check_number(f"{key}.allowance_per_s", customer["allowance_per_s"], 0, integer=False)
 
 
 # --- single values
@@ -184,22 +184,22 @@
 
 def check_positive(key: str, found: object) -> Iterator[Finding]:
     """Yields a finding unless the value is a finite number above 0."""
-    if not (is_number(found, whole=False) and found > 0):  # type: ignore[operator]
+    if not (is_number(found, integer=False) and found > 0):  # type: ignore[operator]
         yield Finding(key, found, "a number over 0")
 
 
 def check_number(
-    key: str, found: object, least: float, most: float | None = None, whole: bool = True
+    key: str, found: object, minimum: float, maximum: float | None = None, integer: bool = True
 ) -> Iterator[Finding]:
     """Yields a finding unless the value is a finite number between the bounds, both included."""
-    within = is_number(found, whole) and found >= least and (most is None or found <= most)  # type: ignore[operator]
+    within = is_number(found, integer) and found >= minimum and (maximum is None or found <= maximum)  # type: ignore[operator]
     if not within:
-        kind = "a whole number" if whole else "a number"
-        yield Finding(key, found, f"{kind} from {least}" + ("" if most is None else f" to {most}"))
+        kind = "a whole number" if integer else "a number"
+        yield Finding(key, found, f"{kind} from {minimum}" + ("" if maximum is None else f" to {maximum}"))
 
 
-def is_number(found: object, whole: bool) -> bool:
+def is_number(found: object, integer: bool) -> bool:
     """Returns whether the value is a finite number; booleans are not numbers."""
     if isinstance(found, bool):
         return False
-    return isinstance(found, int) or (not whole and isinstance(found, float) and isfinite(found))
+    return isinstance(found, int) or (not integer and isinstance(found, float) and isfinite(found))
