--- a/shedgrade/sidecar/lifecycle/reload_signal.py
+++ b/shedgrade/sidecar/lifecycle/reload_signal.py
@@ -18,7 +18,7 @@
 def record_reload_signal() -> None:
     """Records SIGHUP: from now on it may arrive after the configuration was read."""
 
-    def record(number: int, frame: object) -> None:
+    def record(signal_number: int, frame: object) -> None:
         global recorded
         recorded = True
 
--- a/shedgrade/sidecar/lifecycle/shutdown.py
+++ b/shedgrade/sidecar/lifecycle/shutdown.py
@@ -14,12 +14,12 @@
 if TYPE_CHECKING:
     from shedgrade.sidecar.lifecycle.sidecar import Sidecar
 
-KEEP_ACCEPTING_S = 0.5  # after SIGTERM
+LISTENER_CLOSE_DELAY_S = 0.5  # after SIGTERM
 # After SIGTERM. A request that crosses the close of its connection is sent again, and must find a process
 # that still accepts.
-KEEP_IDLE_S = 0.4
+IDLE_CLOSE_DELAY_S = 0.4
 CONCLUDE_AFTER_S = 0.6  # after the longest hard deadline: remaining requests get their final answer
-LAST_ANSWERS_S = 0.06  # for the final answers to be sent
+FINAL_ANSWER_FLUSH_S = 0.06  # for the final answers to be sent
 POLL_INTERVAL_S = 0.05  # between two checks whether all connections are closed
 
 
@@ -45,14 +45,16 @@
             sidecar.standby.end()
             sidecar.enter(Phase.DRAINING)
             self.conclude_at = self.loop.time() + sidecar.pool.longest + CONCLUDE_AFTER_S
-            self.loop.call_later(KEEP_IDLE_S, sidecar.front.close_idle)
-            self.loop.call_later(KEEP_ACCEPTING_S, self.stop_accepting)
+            self.loop.call_later(IDLE_CLOSE_DELAY_S, sidecar.front.close_idle)
+            self.loop.call_later(LISTENER_CLOSE_DELAY_S, self.stop_accepting)
             self.loop.call_at(self.conclude_at, self.conclude)
 
     def stop_accepting(self) -> None:
         """Closes the listeners once no connection waits to be accepted."""
         sidecar = self.sidecar
-        if sidecar.listener.waiting() or any(one.has_pending_connections() for one in sidecar.features):
+        if sidecar.listener.waiting() or any(
+            feature.has_pending_connections() for feature in sidecar.features
+        ):
             self.loop.call_later(POLL_INTERVAL_S, self.stop_accepting)
             return
         sidecar.listener.close()
@@ -87,4 +89,4 @@
         )
         for pool in pools:
             pool.dispatcher.conclude()
-        self.loop.call_later(LAST_ANSWERS_S, self.done.set)
+        self.loop.call_later(FINAL_ANSWER_FLUSH_S, self.done.set)
--- a/shedgrade/sidecar/lifecycle/sidecar.py
+++ b/shedgrade/sidecar/lifecycle/sidecar.py
@@ -157,9 +157,9 @@
         reload_requested = reload_signal.reload_requested()  # the event loop handles later signals
         if self.pool.saved is not None:
             self.pool.saved.open()
-            self.start_from_saved(self.pool.saved)
+            self.apply_saved_list(self.pool.saved)
         listening_socket = self.hot_restart.take_over()
-        self.start_from_configured()
+        self.apply_configured_list()
         self.listener = self.listen(self.config.listen, self.front, RpcConnection, listening_socket)
         self.start_admin()
         self.pool.follow(self.config.discovery)
@@ -193,8 +193,8 @@
     def handle_signals(self) -> None:
         """Registers the handlers for signals and uncaught errors with the event loop."""
         self.loop.set_exception_handler(self.on_loop_error)
-        for number in (signal.SIGTERM, signal.SIGINT):
-            self.loop.add_signal_handler(number, self.drain)
+        for signal_number in (signal.SIGTERM, signal.SIGINT):
+            self.loop.add_signal_handler(signal_number, self.drain)
         self.loop.add_signal_handler(signal.SIGHUP, self.reload)
 
     @staticmethod
@@ -243,7 +243,7 @@
 
     # --- the initial endpoint list
 
-    def start_from_configured(self) -> None:
+    def apply_configured_list(self) -> None:
         """Applies the list of the configuration file, unless another list is known."""
         if not self.config.known or self.pool.listed_once:
             return
@@ -253,7 +253,7 @@
         except ListError as error:
             logger.warning("configured endpoint list rejected", error=str(error))
 
-    def start_from_saved(self, saved: "SavedList") -> None:
+    def apply_saved_list(self, saved: "SavedList") -> None:
         """Applies the saved list as far as it is trusted.
 
         The full list is then requested from discovery first, and replaces it.
