--- a/tests/sidecar/admin/test_calls.py
+++ b/tests/sidecar/admin/test_calls.py
@@ -3,7 +3,7 @@
 import asyncio
 
 from helpers import SILENT, ask, message, on_sockets, request, until
-from operators import Operated
+from operators import AdminWorld
 
 from shedgrade.sidecar.admin.front import MAX_CONNECTIONS
 from shedgrade.sidecar.lifecycle.phases import Phase
@@ -14,11 +14,11 @@
 
 
 @on_sockets
-async def test_calls_are_answered_and_what_is_none_is_told_so():
-    async with Operated(serve) as world:
+async def test_valid_calls_succeed_and_invalid_calls_get_their_error_status():
+    async with AdminWorld(serve) as world:
         assert (await world.call("/-/ready", "GET"))[0] == 200
         assert (await world.call("http://elsewhere/-/ready?x=1", "GET"))[0] == 200
-        for target, verb, status in (
+        for target, method, status in (
             ("/-/ready", "POST", 405),
             ("/-/drain", "GET", 405),
             ("/-/else", "POST", 404),
@@ -29,7 +29,7 @@
             ("/-/upstreams/s-9/enable", "POST", 503),
             ("/-/upstreams/%ff/disable", "POST", 400),
         ):
-            assert (await world.call(target, verb))[0] == status, target
+            assert (await world.call(target, method))[0] == status, target
         assert (await world.call("/-/upstreams/%73-0/disable"))[0] == 200
         assert (await world.call("/-/upstreams/s-0/disable", head="Content-Length: 0\r\n"))[0] == 200
         reader, writer = await asyncio.open_connection(*world.config.admin)
@@ -41,23 +41,23 @@
 
 
 @on_sockets
-async def test_callers_that_finish_nothing_hold_up_no_call_and_no_client():
-    async with Operated(serve, sockets=100) as world:
-        crowd = [await asyncio.open_connection(*world.config.admin) for _ in range(3 * MAX_CONNECTIONS)]
-        for _, writer in crowd:
+async def test_incomplete_calls_do_not_block_other_calls_or_clients():
+    async with AdminWorld(serve, sockets=100) as world:
+        incomplete = [await asyncio.open_connection(*world.config.admin) for _ in range(3 * MAX_CONNECTIONS)]
+        for _, writer in incomplete:
             writer.write(b"GET /-/rea")
         assert (await world.call("/-/ready", "GET"))[0] == 200
         assert len(world.sidecar.admin.connections) <= MAX_CONNECTIONS and (await ask(world))[0] == 200
         for connection in world.sidecar.admin.connections:
             connection.opened_at -= 10
         await until(lambda: not world.sidecar.admin.connections)
-        for _, writer in crowd:
+        for _, writer in incomplete:
             writer.close()
 
 
 @on_sockets
-async def test_an_upstream_that_is_out_gets_nothing_whatever_the_list_says_until_it_is_back():
-    async with Operated(serve, serve) as world:
+async def test_a_disabled_upstream_gets_no_requests_through_list_changes_until_enabled():
+    async with AdminWorld(serve, serve) as world:
         for number in range(6):
             assert (await ask(world, request(name=f"a{number}")))[0] == 200
         assert (await world.call("/-/upstreams/s-0/disable"))[0] == 200
@@ -80,8 +80,8 @@
 
 
 @on_sockets
-async def test_with_all_upstreams_out_rpcs_are_exhausted_at_once():
-    async with Operated(serve, serve) as world:
+async def test_requests_fail_at_once_when_all_upstreams_are_disabled():
+    async with AdminWorld(serve, serve) as world:
         for number in range(2):
             assert (await world.call(f"/-/upstreams/s-{number}/disable"))[0] == 200
         assert (await ask(world))[0] == 503 and not world.sent()
@@ -91,28 +91,28 @@
 
 
 @on_sockets
-async def test_what_is_being_dialled_when_its_upstream_goes_out_goes_elsewhere():
-    async with Operated(serve, serve) as world:
-        connections, stuck = world.sidecar.pool.connections, asyncio.Event()
-        first, direct = [], connections.connect
-
-        async def slow(factory, address):
-            if not first:
-                first.append(address)
-                await stuck.wait()
+async def test_a_request_whose_upstream_is_disabled_while_dialled_goes_elsewhere():
+    async with AdminWorld(serve, serve) as world:
+        connections, release = world.sidecar.pool.connections, asyncio.Event()
+        dialled, direct = [], connections.connect
+
+        async def connect_when_released(factory, address):
+            if not dialled:
+                dialled.append(address)
+                await release.wait()
             return await direct(factory, address)
 
-        connections.connect = slow
-        asking = asyncio.create_task(ask(world))
-        await until(lambda: first)
-        number = [upstream.address for upstream in world.upstreams].index(f"{first[0][0]}:{first[0][1]}")
+        connections.connect = connect_when_released
+        pending_request = asyncio.create_task(ask(world))
+        await until(lambda: dialled)
+        number = [upstream.address for upstream in world.upstreams].index(f"{dialled[0][0]}:{dialled[0][1]}")
         assert (await world.call(f"/-/upstreams/s-{number}/disable"))[0] == 200
-        assert (await asking)[0] == 200 and not world.upstreams[number].seen
+        assert (await pending_request)[0] == 200 and not world.upstreams[number].seen
 
 
 @on_sockets
-async def test_a_drain_says_no_serves_what_comes_late_and_closes_what_is_idle():
-    async with Operated(serve) as world:
+async def test_a_drain_reports_not_ready_serves_late_requests_and_closes_idle_connections():
+    async with AdminWorld(serve) as world:
         idle, used = await world.connect(), await world.connect()
         assert (await ask(world, connection=used))[0] == 200
         assert (await world.call("/-/drain"))[0] == 200 and world.sidecar.phase is Phase.STANDING_BY
@@ -134,8 +134,8 @@
 
 
 @on_sockets
-async def test_drain_resume_drain_ends_as_the_last_call_says_and_sigterm_ends_it():
-    async with Operated(lambda head, body: SILENT) as world:
+async def test_the_last_of_several_drain_and_resume_calls_wins_and_sigterm_ends_standby():
+    async with AdminWorld(lambda head, body: SILENT) as world:
         for call in ("drain", "resume", "drain", "drain", "resume", "resume"):
             assert (await world.call(f"/-/{call}"))[0] == 200
         kept = await world.connect()
--- a/tests/sidecar/admin/test_settings.py
+++ b/tests/sidecar/admin/test_settings.py
@@ -21,11 +21,11 @@
     return message(200, body)
 
 
-def named(name, **more):
+def method_named(name, **more):
     return {**method("once", soft=2e4, hard=2e4), "name": name, **more}
 
 
-def file_of(world, folder, conf, **changes):
+def write_config(world, folder, conf, **changes):
     path = folder / "config.json"
     text = {
         "name": "n",
@@ -40,12 +40,12 @@
     return str(path)
 
 
-def reloads(world, folder, conf, **changes):
-    world.sidecar.config = replace(world.sidecar.config, path=file_of(world, folder, conf, **changes))
+def reload_with(world, folder, conf, **changes):
+    world.sidecar.config = replace(world.sidecar.config, path=write_config(world, folder, conf, **changes))
     world.sidecar.reload()
 
 
-def test_methods_come_change_and_go_and_those_in_hand_keep_theirs(tmp_path):
+def test_a_reload_changes_methods_and_requests_in_flight_keep_theirs(tmp_path):
     @on_sockets
     async def scenario():
         release = asyncio.Event()
@@ -54,16 +54,16 @@
             await release.wait()
             return serve(head, body)
 
-        async with World(late, late, methods=[named("m"), named("old")]) as world:
-            held = [
+        async with World(late, late, methods=[method_named("m"), method_named("old")]) as world:
+            held_requests = [
                 asyncio.create_task(ask(world, request(b"x", f"/{name}/1", name=name)))
                 for name in ("m", "old")
             ]
             await until(lambda: world.sent() == 2)
             conf = deepcopy(world.conf)
-            conf["methods"] = [named("fresh"), named("m", idempotency="repeatable")]
+            conf["methods"] = [method_named("fresh"), method_named("m", idempotency="repeatable")]
             conf["limits"]["most_transmissions"] = 1
-            reloads(world, tmp_path, conf)
+            reload_with(world, tmp_path, conf)
             b = world.sidecar.pool.balancer
             assert b.max_attempts == 1 and [one.name for one in b.methods] == ["fresh", "m"]
             assert all(
@@ -72,16 +72,16 @@
             )
             assert (await ask(world, request(target="/old/1", name="b")))[0] == 404
             release.set()
-            assert [(await asking)[0] for asking in held] == [200, 200]
+            assert [(await pending_request)[0] for pending_request in held_requests] == [200, 200]
             for name in ("fresh", "m"):
                 assert (await ask(world, request(target=f"/{name}/1", name=name + "2")))[0] == 200
-            reloads(world, tmp_path, {**conf, "az": 0, "zones": ["0", "1"], "tick": 5.0})
+            reload_with(world, tmp_path, {**conf, "az": 0, "zones": ["0", "1"], "tick": 5.0})
             assert len(b.zones) == 1 and b.deadline_margin == 100  # zones need a restart, the tick does not
 
     scenario()
 
 
-def test_fewer_transmissions_bind_at_once_and_what_was_learnt_stays():
+def test_fewer_transmissions_apply_at_once_and_learned_state_is_kept():
     conf = settings([method("repeatable"), {**method(), "name": "n"}], limits={"most_transmissions": 3})
     b = balancer(conf, [(0, 0), (1, 0), (2, 0)])
     rpc = b.admit(0, 0, 10_000)
@@ -102,13 +102,13 @@
 
 @pytest.mark.parametrize("key", ["soft_deadline", "hard_deadline", "most_transmissions"])
 @pytest.mark.parametrize("value", BAD)
-def test_deadlines_and_transmissions_are_numbers_over_0(key, value):
+def test_deadlines_and_transmissions_must_be_positive_numbers(key, value):
     conf = deepcopy(World().conf)
     (conf["limits"] if key == "most_transmissions" else conf["methods"][0])[key] = value
     assert key in completeness_problem(conf) and "\n" not in completeness_problem(conf)
 
 
-def without(conf, path):
+def without_key(conf, path):
     conf = deepcopy(conf)
     *way, last = path
     table = conf
@@ -118,11 +118,11 @@
     return conf
 
 
-def test_any_key_that_is_missing_is_named():
+def test_a_missing_key_is_reported_by_name():
     conf = World().conf
-    paths = [(key,) for key in ("methods", "limits", "rules", "prices", "tick", "az")]
-    paths += [("methods", 0, key) for key in conf["methods"][0] if key != "stream"]
-    paths += [
+    key_paths = [(key,) for key in ("methods", "limits", "rules", "prices", "tick", "az")]
+    key_paths += [("methods", 0, key) for key in conf["methods"][0] if key != "stream"]
+    key_paths += [
         ("limits", key)
         for key in (
             "most_transmissions",
@@ -134,29 +134,29 @@
             "idle_close",
         )
     ]
-    paths += [("rules", key) for key in conf["rules"] if key != "overload_for"]
+    key_paths += [("rules", key) for key in conf["rules"] if key != "overload_for"]
     assert completeness_problem(conf) is None
-    for path in paths:
-        assert str(path[-1]) in completeness_problem(without(conf, path)), path
+    for path in key_paths:
+        assert str(path[-1]) in completeness_problem(without_key(conf, path)), path
     assert missing_key(conf, conf) is None
-    for path in [path for path in paths if 0 not in path] + [("customers",), ("report", "via")]:
-        assert missing_key(conf, without(conf, path)) == ".".join(map(str, path))
+    for path in [path for path in key_paths if 0 not in path] + [("customers",), ("report", "via")]:
+        assert missing_key(conf, without_key(conf, path)) == ".".join(map(str, path))
 
 
-def test_a_file_that_is_not_sound_changes_nothing(tmp_path):
+def test_an_invalid_file_changes_nothing(tmp_path):
     @on_sockets
     async def scenario():
-        async with World(serve, methods=[named("m")]) as world:
-            lines = []
-            sink = logger.add(lines.append, level="WARNING", format="{message}: {extra[error]}")
+        async with World(serve, methods=[method_named("m")]) as world:
+            warnings = []
+            sink = logger.add(warnings.append, level="WARNING", format="{message}: {extra[error]}")
             good = deepcopy(world.conf)
-            good["methods"].append(named("fresh"))
-            reloads(world, tmp_path, good)
-            assert set(world.sidecar.pool.methods) == {b"m", b"fresh"} and not lines
+            good["methods"].append(method_named("fresh"))
+            reload_with(world, tmp_path, good)
+            assert set(world.sidecar.pool.methods) == {b"m", b"fresh"} and not warnings
             path = world.sidecar.config.path
             text = file_bytes = Path(path).read_bytes()
             other = deepcopy(good)
-            other["methods"] = [named("other")]
+            other["methods"] = [method_named("other")]
             worse = deepcopy(other)
             worse["methods"][0]["hard_deadline"] = 0
             bad = [
@@ -167,18 +167,18 @@
                 b"[]",
                 b"null",
                 orjson.dumps({**orjson.loads(text), "settings": worse}),
-                orjson.dumps({**orjson.loads(text), "settings": without(other, ("prices",))}),
-                orjson.dumps(without({**orjson.loads(text), "settings": other}, ("limits",))),
+                orjson.dumps({**orjson.loads(text), "settings": without_key(other, ("prices",))}),
+                orjson.dumps(without_key({**orjson.loads(text), "settings": other}, ("limits",))),
                 text.replace(b'"hard_deadline":20000.0', b'"hard_deadline":NaN'),
                 text.replace(b'"name":"fresh"', b'"name":"m"'),
             ]
             for file_bytes in bad:
                 with open(path, "wb") as file:
                     file.write(file_bytes)
-                lines.clear()
+                warnings.clear()
                 world.sidecar.reload()
-                assert len(lines) == 1 and "reload rejected" in lines[0], file_bytes[:60]
-                assert lines[0].count("\n") == 1 and path in lines[0]
+                assert len(warnings) == 1 and "reload rejected" in warnings[0], file_bytes[:60]
+                assert warnings[0].count("\n") == 1 and path in warnings[0]
                 assert set(world.sidecar.pool.methods) == {b"m", b"fresh"}
             logger.remove(sink)
             assert (await ask(world))[0] == 200
@@ -186,34 +186,36 @@
     scenario()
 
 
-def test_what_only_a_start_changes_is_named():
-    held = World().conf
-    limits = {**held["limits"], "multiplex": 5}
-    merged, restart_needed = merge_settings(held, {**held, "zones": ["x"], "tick": 2.0, "limits": limits})
-    assert merged == {**held, "tick": 2.0} and restart_needed == [
+def test_keys_that_need_a_restart_are_reported():
+    current = World().conf
+    limits = {**current["limits"], "multiplex": 5}
+    merged, restart_needed = merge_settings(
+        current, {**current, "zones": ["x"], "tick": 2.0, "limits": limits}
+    )
+    assert merged == {**current, "tick": 2.0} and restart_needed == [
         "settings.zones",
         "settings.limits.multiplex",
     ]
 
 
-def test_an_unsound_file_does_not_start(tmp_path):
+def test_an_invalid_file_is_rejected_at_the_start(tmp_path):
     world = World()
     world.config = type("Addresses", (), {"listen": ("127.0.0.1", 1), "discovery": ("127.0.0.1", 1)})
     conf = deepcopy(world.conf)
     conf["methods"][0]["soft_deadline"] = -5
     with pytest.raises(ConfigError, match=r"methods\[0\].soft_deadline: found -5; expected a number over 0"):
-        load_config(file_of(world, tmp_path, conf))
+        load_config(write_config(world, tmp_path, conf))
 
 
 @on_sockets
-async def test_requests_read_before_a_reload_are_of_the_methods_before_it(tmp_path=None):
-    async with World(lambda head, body: SILENT, methods=[named("m"), named("n")]) as world:
+async def test_requests_read_before_a_reload_keep_their_method(tmp_path=None):
+    async with World(lambda head, body: SILENT, methods=[method_named("m"), method_named("n")]) as world:
         pool = world.sidecar.pool
         connection = await world.connect()
         connection[1].write(request(target="/n/1"))
         while not pool.dispatcher.events:  # the request was read and queued, but no decision made
             await asyncio.sleep(0)
-        pool.retuned({**world.conf, "methods": [named("n", hard_deadline=5.0), named("x")]})
+        pool.retuned({**world.conf, "methods": [method_named("n", hard_deadline=5.0), method_named("x")]})
         (rpc,) = (active_request.rpc for active_request in pool.dispatcher.active_requests.requests)
         assert rpc.method.name == "n" and rpc.method.hard_deadline == 200_000
         connection[1].close()
--- a/tests/sidecar/admin/test_upgrade.py
+++ b/tests/sidecar/admin/test_upgrade.py
@@ -14,7 +14,7 @@
 from addresses import free_address, host_port
 from helpers import Server, World, ask, message, on_sockets, request, until
 from loguru import logger
-from operators import Operated
+from operators import AdminWorld
 
 from shedgrade.sidecar.lifecycle.hot_restart_link import handover_path
 from shedgrade.sidecar.lifecycle.phases import Phase
@@ -35,7 +35,7 @@
 
 
 @asynccontextmanager
-async def newcomer(world, **changes):
+async def newer_sidecar(world, **changes):
     """A second sidecar with the same addresses as the first, but with an admin address of its own."""
     config = replace(world.config, admin=free_address(), known=None, **changes)
     sidecar = Sidecar(config, asyncio.get_running_loop())
@@ -47,18 +47,18 @@
     sidecar.listener.close()
 
 
-def test_the_newcomer_takes_orders_list_and_limits_over_and_both_keep_each_other_told(folder, monkeypatch):
+def test_the_newer_process_takes_over_the_state_and_commands_apply_to_both(folder, monkeypatch):
     from shedgrade.sidecar.lifecycle import hot_restart
 
     # Both sidecars run on one loop, which connect_to_older blocks: it runs in a thread beforehand.
-    told = {}
+    prepared = {}
 
-    def meet(loop, path):
-        return told.pop("found", None)
+    def connect_prepared(loop, path):
+        return prepared.pop("found", None)
 
     @on_sockets
     async def scenario():
-        async with Operated(serve, serve, serve) as world:
+        async with AdminWorld(serve, serve, serve) as world:
             loop, old = asyncio.get_running_loop(), world.sidecar
             for number in range(6):
                 assert (await ask(world, request(name=f"a{number}")))[0] == 200
@@ -66,9 +66,11 @@
             assert (await world.call("/-/upstreams/s-1/disable"))[0] == 200
             assert (await world.call("/-/upstreams/s-1/enable"))[0] == 200
             assert (await world.call("/-/drain"))[0] == 200
-            told["found"] = await loop.run_in_executor(None, real, loop, handover_path(world.config.listen))
-            monkeypatch.setattr(hot_restart, "connect_to_older", meet)
-            async with newcomer(world) as new:
+            prepared["found"] = await loop.run_in_executor(
+                None, connect_to_older_process, loop, handover_path(world.config.listen)
+            )
+            monkeypatch.setattr(hot_restart, "connect_to_older", connect_prepared)
+            async with newer_sidecar(world) as new:
                 await until(lambda: old.hot_restart.newer_accepts)
                 old.check_invariants()
                 new.check_invariants()
@@ -85,7 +87,7 @@
                 assert (await world.call("/-/resume"))[0] == 200
                 assert (await world.call("/-/upstreams/s-0/enable"))[0] == 200
                 await until(lambda: new.phase is Phase.SERVING and not new.commands.disabled)
-                new.commands.disable("s-1", lambda yes, words: None)
+                new.commands.disable("s-1", lambda succeeded, text: None)
                 await until(lambda: old.commands.disabled == {"s-1"})
                 assert old.phase is Phase.SERVING
                 old.drain()
@@ -95,18 +97,18 @@
                 for number in range(9):
                     assert (await ask(world, request(name=f"b{number}")))[0] == 200
 
-    from shedgrade.sidecar.lifecycle.hot_restart_link import connect_to_older as real
+    from shedgrade.sidecar.lifecycle.hot_restart_link import connect_to_older as connect_to_older_process
 
     scenario()
 
 
 @on_sockets
-async def test_a_newcomer_that_dies_leaves_the_old_one_as_it_was():
+async def test_the_older_process_is_restored_when_the_newer_one_dies_or_hangs():
     from shedgrade.sidecar.lifecycle.hot_restart_link import connect_to_older
 
-    async with Operated(serve) as world:
+    async with AdminWorld(serve) as world:
         loop, old = asyncio.get_running_loop(), world.sidecar
-        link, state, handle = await loop.run_in_executor(
+        link, state, listening_socket = await loop.run_in_executor(
             None, connect_to_older, loop, handover_path(world.config.listen)
         )
         assert state.disabled == [] and old.budget.max_connections == old.hot_restart.announced_descriptors
@@ -114,34 +116,34 @@
         assert old.hot_restart.newer is not None
         link.send({"what": "serving"})
         await until(lambda: old.hot_restart.newer_accepts)
-        asking = asyncio.create_task(ask(world))  # it waits in the accept queue of the shared socket
+        pending_request = asyncio.create_task(ask(world))  # it waits in the accept queue of the shared socket
         await asyncio.sleep(0.1)
-        assert not asking.done()
+        assert not pending_request.done()
         link.close()
-        handle.close()
+        listening_socket.close()
         assert (
-            (await asking)[0] == 200
+            (await pending_request)[0] == 200
             and old.budget.max_connections > 100
             and old.pool.balancer.slow_start_share == 1.0
         )
-        link, _, handle = await loop.run_in_executor(
+        link, _, listening_socket = await loop.run_in_executor(
             None, connect_to_older, loop, handover_path(world.config.listen)
         )
         old.check_invariants()
         old.hot_restart.on_ready_timeout(old.hot_restart.newer)  # the newer process hangs
         assert old.hot_restart.newer is None and old.budget.max_connections > 100 and old.listener.accepting
         link.close()
-        handle.close()
+        listening_socket.close()
 
 
 @on_sockets
-async def test_one_that_is_told_to_end_before_its_newcomer_serves_leaves_nobody_at_the_door():
+async def test_no_connection_is_lost_when_the_older_process_ends_before_the_newer_one_serves():
     """The older process accepts while it drains; later connections wait in the queue of the shared socket."""
     from shedgrade.sidecar.lifecycle.hot_restart_link import connect_to_older
 
-    async with Operated(serve) as world:
+    async with AdminWorld(serve) as world:
         loop, old = asyncio.get_running_loop(), world.sidecar
-        link, _, handle = await loop.run_in_executor(
+        link, _, listening_socket = await loop.run_in_executor(
             None, connect_to_older, loop, handover_path(world.config.listen)
         )
         old.drain()
@@ -151,24 +153,24 @@
         late = asyncio.create_task(ask(world, request(name="a2")))
         await until(lambda: old.phase is Phase.CLOSED)
         assert not late.done()
-        handle.setblocking(False)
-        taken, _ = await loop.sock_accept(handle)  # as the newer process would
-        assert b"a2" in await loop.sock_recv(taken, 4096)
+        listening_socket.setblocking(False)
+        accepted, _ = await loop.sock_accept(listening_socket)  # as the newer process would
+        assert b"a2" in await loop.sock_recv(accepted, 4096)
         late.cancel()
-        taken.close()
-        handle.close()
+        accepted.close()
+        listening_socket.close()
         link.close()
 
 
 @pytest.mark.parametrize(
     "answer", [b"", b"{", b"[]\n", b'{"v":9,"what":"state"}\n', b'{"v":1,"what":"state"}\n', None]
 )
-def test_what_is_torn_foreign_or_silent_is_not_used(folder, answer):
+def test_an_invalid_or_missing_answer_of_the_older_process_is_ignored(folder, answer):
     @on_sockets
     async def scenario():
         lines = []
         sink = logger.add(lines.append, level="WARNING", format="{message}")
-        async with Operated(serve) as world:
+        async with AdminWorld(serve) as world:
             world.sidecar.hot_restart.listener = world.sidecar.hot_restart.listener.close()
             path = handover_path(world.config.listen)
             code = (
@@ -181,7 +183,7 @@
             peer = subprocess.Popen([sys.executable, "-c", code, path, repr(answer)], stdout=subprocess.PIPE)
             try:
                 peer.stdout.readline()
-                async with newcomer(world) as new:
+                async with newer_sidecar(world) as new:
                     assert new.phase is Phase.SERVING and new.hot_restart.older is None
                     assert (
                         len([line for line in lines if "nothing taken over from older process" in line]) == 1
@@ -194,49 +196,49 @@
     scenario()
 
 
-def test_a_place_that_nobody_listens_at_any_more_is_taken(folder):
+def test_a_stale_socket_path_is_replaced(folder):
     @on_sockets
     async def scenario():
-        async with Operated(serve) as world:
+        async with AdminWorld(serve) as world:
             os.rename(handover_path(world.config.listen), folder / "kept")
         os.rename(folder / "kept", handover_path(world.config.listen))
         lines = []
         sink = logger.add(lines.append, level="WARNING", format="{message}")
-        async with Operated(serve) as world:
+        async with AdminWorld(serve) as world:
             assert world.sidecar.hot_restart.listener is not None and not lines
         logger.remove(sink)
 
     scenario()
 
 
-def test_two_processes_under_load_lose_nothing_at_the_door(tmp_path, folder):
+def test_hot_restarts_under_load_lose_no_request(tmp_path, folder):
     """Two restarts in a row: the older process gets SIGTERM once the newer one is ready."""
 
     @on_sockets
     async def scenario():
-        async def slowly(head, body):
+        async def serve_slowly(head, body):
             await asyncio.sleep(0.02)
             return message(200, body)
 
-        world = World(*[slowly] * 8)
+        world = World(*[serve_slowly] * 8)
         world.upstreams = [await Server(script).start() for script in world.scripts]
         discovery = await Server(world.discover).start()
         listen = free_address()
         lost, served, stop = [], [], asyncio.Event()
 
         async def client(number):
-            turn, connection = 0, None
+            request_number, connection = 0, None
             await asyncio.sleep(number / 20)  # load rises as the balancer learns what each upstream can take
             while not stop.is_set():
-                turn += 1
-                raw = request(b"x", name=f"c{number}-{turn}")
+                request_number += 1
+                raw = request(b"x", name=f"c{number}-{request_number}")
                 fresh = connection is None
                 try:
                     connection = connection or await asyncio.open_connection(*listen)
                     async with asyncio.timeout(20):
                         status, head, _ = await ask(None, raw, connection)
                     (served if status == 200 else lost).append(status)
-                    if "Connection: close" in head or turn % 3 == 0:
+                    if "Connection: close" in head or request_number % 3 == 0:
                         connection[1].close()
                         connection = None
                 except (OSError, asyncio.IncompleteReadError) as failure:
@@ -267,7 +269,7 @@
                 env={**os.environ},
             )
 
-        async def ready(admin):
+        async def wait_until_ready(admin):
             async with asyncio.timeout(20):
                 while True:
                     assert processes[-1].poll() is None, processes[-1].stderr.read()
@@ -282,7 +284,7 @@
                         pass
                     await asyncio.sleep(0.02)
 
-        async def more_served():
+        async def wait_for_served():
             """Returns once 100 more requests were served, by either process, or one was lost."""
             enough = len(served) + 100
             await until(lambda: len(served) >= enough or lost)
@@ -291,17 +293,17 @@
         try:
             admin = free_address()
             processes.append(start(admin))
-            await ready(admin)
+            await wait_until_ready(admin)
             clients = [asyncio.create_task(client(number)) for number in range(8)]
             for _ in range(2):
-                await more_served()
+                await wait_for_served()
                 admin = free_address()
                 processes.append(start(admin))
-                await ready(admin)
+                await wait_until_ready(admin)
                 processes[-2].send_signal(signal.SIGTERM)
                 await until(lambda: processes[-2].poll() is not None)
                 assert processes[-2].returncode == 0
-            await more_served()
+            await wait_for_served()
             stop.set()
             await asyncio.gather(*clients)
             assert not lost and len(served) > 100, lost
@@ -317,12 +319,12 @@
     scenario()
 
 
-def test_without_a_folder_of_their_own_two_processes_listen_side_by_side(monkeypatch):
+def test_two_processes_listen_side_by_side_without_tmpdir(monkeypatch):
     monkeypatch.delenv("TMPDIR")
 
     @on_sockets
     async def scenario():
-        async with Operated(serve) as world, newcomer(world) as new:
+        async with AdminWorld(serve) as world, newer_sidecar(world) as new:
             assert new.hot_restart.older is None and new.listener.socket is not world.sidecar.listener.socket
             for number in range(8):
                 assert (await ask(world, request(name=f"a{number}")))[0] == 200
@@ -330,7 +332,7 @@
     scenario()
 
 
-def test_the_second_address_taken_is_one_line_and_exit_2(tmp_path):
+def test_an_unusable_admin_address_is_one_line_and_exit_2(tmp_path):
     with socket.create_server(("127.0.0.1", 0)) as taken:
         path = tmp_path / "c.json"
         path.write_bytes(
@@ -347,13 +349,13 @@
         )
         for admin, code in ((None, 2), ("nowhere", 2)):
             if admin:
-                held = b"127.0.0.1:%d" % taken.getsockname()[1]
-                path.write_bytes(path.read_bytes().replace(held, admin.encode()))
-            done = subprocess.run(
+                taken_address = b"127.0.0.1:%d" % taken.getsockname()[1]
+                path.write_bytes(path.read_bytes().replace(taken_address, admin.encode()))
+            completed = subprocess.run(
                 [sys.executable, "-m", "shedgrade", "serve", "--config", str(path)],
                 capture_output=True,
                 text=True,
                 timeout=30,
             )
-            assert done.returncode == code
-            assert len([line for line in done.stderr.splitlines() if line.startswith("shedgrade:")]) == 1
+            assert completed.returncode == code
+            assert len([line for line in completed.stderr.splitlines() if line.startswith("shedgrade:")]) == 1
