--- a/tests/sidecar/fleet/processes.py
+++ b/tests/sidecar/fleet/processes.py
@@ -14,7 +14,7 @@
 from helpers import Server, message, method, read_message, request, settings
 
 ROOT = Path(__file__).resolve().parents[3]
-PRICED = {"handshake": 0.08}
+PRICES = {"handshake": 0.08}
 
 
 class Fleet:
@@ -22,19 +22,19 @@
 
     Attributes:
         count: number of sidecars that the configuration names.
-        met: pairs of sidecar and upstream between which a request was sent. Upstreams tell the sidecar by
-            the name that its client gives the RPC.
+        used_pairs: pairs of sidecar and upstream between which a request was sent. Upstreams identify the
+            sidecar by the name that its client gives the RPC.
         sent: requests that reached an upstream.
-        version, moved: of the endpoint list; the event is set when the next version is published.
-        asked_whole: requests for the whole list.
-        asked_newest: watches from the newest version.
+        version, version_changed: of the endpoint list; the event is set when the next version is published.
+        list_requests: requests for the whole list.
+        newest_watches: watches from the newest version.
     """
 
     def __init__(self, sidecars: int, upstreams: int, zones: int = 3) -> None:
         self.count, self.zones, self.size = sidecars, zones, upstreams
-        self.met, self.sent, self.upstreams, self.running, self.addresses = set(), 0, {}, {}, {}
-        self.version, self.moved = 1, asyncio.Event()
-        self.asked_whole = self.asked_newest = 0
+        self.used_pairs, self.sent, self.upstreams, self.running, self.addresses = set(), 0, {}, {}, {}
+        self.version, self.version_changed = 1, asyncio.Event()
+        self.list_requests = self.newest_watches = 0
 
     async def __aenter__(self):
         self.folder = tempfile.TemporaryDirectory()
@@ -57,13 +57,13 @@
     async def add_upstream(self, number: int) -> None:
         def answer(head, body):
             name = next(line for line in head if line.lower().startswith("x-request-id")).split()[1]
-            self.met.add((int(name.split("-")[0]), number))
+            self.used_pairs.add((int(name.split("-")[0]), number))
             self.sent += 1
             return message(200, body)
 
         self.upstreams[number] = await Server(answer).start()
 
-    def told(self) -> dict:
+    def endpoint_list(self) -> dict:
         return {
             "generation": self.version,
             "reset": True,
@@ -84,20 +84,20 @@
     async def discover(self, head, body):
         version = self.version
         if "after=" not in head[0]:
-            self.asked_whole += 1
+            self.list_requests += 1
         elif f"after={version}" in re.split("[?& ]", head[0]):
-            self.asked_newest += 1  # once per sidecar, as the response waits for a newer version
+            self.newest_watches += 1  # once per sidecar, as the response waits for a newer version
         while "after=" in head[0] and version == self.version:
-            await self.moved.wait()
-        return message(200, json.dumps(self.told()).encode())
+            await self.version_changed.wait()
+        return message(200, json.dumps(self.endpoint_list()).encode())
 
     async def change(self) -> None:
         """Publishes the list as it is now; returns once all sidecars watch from the new version."""
         self.version += 1
-        self.asked_newest, moved, self.moved = 0, self.moved, asyncio.Event()
-        moved.set()
+        self.newest_watches, version_changed, self.version_changed = 0, self.version_changed, asyncio.Event()
+        version_changed.set()
         async with asyncio.timeout(20):
-            while self.asked_newest < len(self.running):
+            while self.newest_watches < len(self.running):
                 await asyncio.sleep(0.01)
 
     # --- sidecars
@@ -109,7 +109,7 @@
             self.zones,
             number % self.zones,
             {"dial_timeout": 5000.0, "idle_close": 60000.0},
-            prices=PRICED,
+            prices=PRICES,
             shapes=["k"],
             balancers=self.count,
             my_number=number,
@@ -159,20 +159,20 @@
         self.count = count
         for number in [number for number in self.running if number >= count]:
             self.kill(number)
-        before = self.asked_whole
+        before = self.list_requests
         for number, process in self.running.items():
             self.configure(number)
             process.send_signal(signal.SIGHUP)
         async with asyncio.timeout(20):
-            while self.asked_whole < before + len(self.running):  # a reload requests the whole list
+            while self.list_requests < before + len(self.running):  # a reload requests the whole list
                 await asyncio.sleep(0.01)
         await asyncio.gather(*(self.start(number) for number in range(count) if number not in self.running))
 
     # --- clients
 
     async def load(self, rpcs: int = 40) -> set:
-        """Sends `rpcs` RPCs to each sidecar, one after another; returns the pairs that met meanwhile."""
-        self.met = set()
+        """Sends `rpcs` RPCs to each sidecar, one after another; returns the pairs used meanwhile."""
+        self.used_pairs = set()
 
         async def client(number: int) -> None:
             reader, writer = await asyncio.open_connection(*self.addresses[number])
@@ -184,8 +184,8 @@
             writer.close()
 
         await asyncio.gather(*(client(number) for number in list(self.running)))
-        return self.met
+        return self.used_pairs
 
-    def keeping(self, met: set) -> dict[int, int]:
+    def sidecars_per_upstream(self, used_pairs: set) -> dict[int, int]:
         """Returns how many sidecars used each upstream."""
-        return {number: sum(up == number for _, up in met) for number in self.upstreams}
+        return {number: sum(up == number for _, up in used_pairs) for number in self.upstreams}
--- a/tests/sidecar/fleet/test_fleet.py
+++ b/tests/sidecar/fleet/test_fleet.py
@@ -4,45 +4,59 @@
 from processes import Fleet
 
 
-def test_parts_stay_fair_and_hardly_move_while_processes_and_upstreams_come_and_go():
+def test_subsets_stay_balanced_and_stable_while_sidecars_and_upstreams_change():
     # Subsets were assigned by a running total: one more upstream moved a third to a half of all assignments,
     # and a larger count, which took a restart, moved all of them.
-    async def scene():
+    async def scenario():
         async with Fleet(24, 30) as fleet:
-            begun = await fleet.load()
-            kept = fleet.keeping(begun)
-            assert max(kept.values()) <= 1.25 * sum(kept.values()) / 30 and min(kept.values()) >= 4
-            by_sidecar = [sum(number == one for one, _ in begun) for number in range(24)]
-            assert min(by_sidecar) >= 3 and all((number - up) % 3 == 0 for number, up in begun)
+            first_pairs = await fleet.load()
+            per_upstream = fleet.sidecars_per_upstream(first_pairs)
+            assert (
+                max(per_upstream.values()) <= 1.25 * sum(per_upstream.values()) / 30
+                and min(per_upstream.values()) >= 4
+            )
+            upstreams_per_sidecar = [sum(number == one for one, _ in first_pairs) for number in range(24)]
+            assert min(upstreams_per_sidecar) >= 3 and all(
+                (number - up) % 3 == 0 for number, up in first_pairs
+            )
 
             # A quarter of the sidecars is killed: the others keep their subsets.
             for number in range(0, 24, 4):
                 fleet.kill(number)
-            assert await fleet.load() <= begun
+            assert await fleet.load() <= first_pairs
             for number in range(0, 24, 4):
                 await fleet.start(number)
-            again = await fleet.load()  # on a busy machine slow upstreams get fewer requests
-            assert again <= begun and len(again) >= 0.9 * len(begun)
+            pairs_again = await fleet.load()  # on a busy machine slow upstreams get fewer requests
+            assert pairs_again <= first_pairs and len(pairs_again) >= 0.9 * len(first_pairs)
 
             # One upstream goes, another comes.
-            gone = fleet.upstreams.pop(7)
+            removed = fleet.upstreams.pop(7)
             await fleet.add_upstream(31)
             await fleet.change()
-            after = await fleet.load()
-            gone.stop()
-            assert {up for _, up in after} == set(fleet.upstreams)
-            lost = sum(up == 7 for _, up in begun)
-            assert len(after - begun) <= 4 * lost and max(fleet.keeping(after).values()) <= 7
+            changed_pairs = await fleet.load()
+            removed.stop()
+            assert {up for _, up in changed_pairs} == set(fleet.upstreams)
+            lost_pairs = sum(up == 7 for _, up in first_pairs)
+            assert (
+                len(changed_pairs - first_pairs) <= 4 * lost_pairs
+                and max(fleet.sidecars_per_upstream(changed_pairs).values()) <= 7
+            )
 
             # The fleet grows by a half and shrinks again by reload: balanced at both sizes, then as before.
             await fleet.resize(36)
-            grown = await fleet.load()
-            kept = fleet.keeping(grown)
-            assert min(kept.values()) >= 4 and max(kept.values()) <= 1.4 * sum(kept.values()) / 30
-            stayed = {pair for pair in grown if pair[0] < 24}
-            assert len(grown) <= 1.1 * len(after) and len(stayed - after) <= len(after) / 5
+            grown_pairs = await fleet.load()
+            per_upstream = fleet.sidecars_per_upstream(grown_pairs)
+            assert (
+                min(per_upstream.values()) >= 4
+                and max(per_upstream.values()) <= 1.4 * sum(per_upstream.values()) / 30
+            )
+            remaining_pairs = {pair for pair in grown_pairs if pair[0] < 24}
+            assert (
+                len(grown_pairs) <= 1.1 * len(changed_pairs)
+                and len(remaining_pairs - changed_pairs) <= len(changed_pairs) / 5
+            )
             await fleet.resize(24)
-            again = await fleet.load()
-            assert again <= after and len(again) >= 0.9 * len(after)
+            pairs_again = await fleet.load()
+            assert pairs_again <= changed_pairs and len(pairs_again) >= 0.9 * len(changed_pairs)
 
-    uvloop.run(scene())
+    uvloop.run(scenario())
