--- a/tests/sidecar/process/test_sockets.py
+++ b/tests/sidecar/process/test_sockets.py
@@ -45,24 +45,24 @@
     return message(200, body)
 
 
-def away(head, body):
+def not_processed(head, body):
     return message(503, b"", "X-Not-Processed: 1")
 
 
 @on_sockets
-async def test_a_request_goes_on_unchanged_and_its_answer_comes_back():
+async def test_a_request_is_forwarded_unchanged_and_its_response_returned():
     async with World(serve) as world:
         status, _, body = await ask(world, request(b"hello", "/m/a%20b?q=1", 15000, "id9", "X-Other: kept"))
-        head, seen = world.upstreams[0].seen[0]
-        assert (status, body, seen) == (200, b"hello", b"hello")
+        head, received = world.upstreams[0].seen[0]
+        assert (status, body, received) == (200, b"hello", b"hello")
         assert head[0] == "POST /m/a%20b?q=1 HTTP/1.1"
         assert "X-Request-ID: id9" in head and "X-Other: kept" in head
-        told = [int(line.split(":")[1]) for line in head if line.startswith("X-Timeout-Ms")]
-        assert len(told) == 1 and 0 < told[0] < 15000
+        timeouts = [int(line.split(":")[1]) for line in head if line.startswith("X-Timeout-Ms")]
+        assert len(timeouts) == 1 and 0 < timeouts[0] < 15000
 
 
 @on_sockets
-async def test_answers_are_written_once_and_connections_are_kept():
+async def test_responses_are_written_once_and_connections_are_kept():
     # uvloop sends at once and then never calls resume_writing: the ring was not freed, and responses were
     # sent twice.
     async with World(serve) as world:
@@ -74,7 +74,7 @@
 
 
 @on_sockets
-async def test_long_bodies_reach_a_slow_reader_whole():
+async def test_long_bodies_reach_a_slow_reader_complete():
     long = os.urandom(64 * 1024)
     async with World(serve) as world:
         reader, writer = await asyncio.open_connection(*world.config.listen, limit=512)
@@ -87,7 +87,7 @@
 
 
 @on_sockets
-async def test_chunks_from_a_client_are_put_together():
+async def test_a_chunked_request_body_is_reassembled():
     async with World(serve) as world:
         raw = (
             b"POST /m HTTP/1.1\r\nX-Request-ID: a\r\nX-Timeout-Ms: 15000\r\n"
@@ -102,7 +102,7 @@
 
 
 @on_sockets
-async def test_bad_requests_are_told_so_and_reach_no_upstream():
+async def test_invalid_requests_get_an_error_status_and_reach_no_upstream():
     async with World(serve) as world:
         good = request()
         bad = {
@@ -132,9 +132,9 @@
 
 
 @on_sockets
-async def test_what_never_ran_goes_elsewhere_and_what_may_have_run_does_not():
+async def test_requests_that_never_ran_are_retried_and_others_are_not():
     for first, sent in (
-        (away, 2),
+        (not_processed, 2),
         (lambda *_: CUT, 1),
         (lambda *_: message(500), 1),
         (lambda *_: message(503), 1),
@@ -145,11 +145,11 @@
     ):
         async with World(first, first) as world:
             status, _, _ = await ask(world)
-            assert world.sent() == sent and status == (503 if first is away else 502)
+            assert world.sent() == sent and status == (503 if first is not_processed else 502)
 
 
 @on_sockets
-async def test_what_comes_behind_an_answer_or_ahead_of_it_changes_nothing():
+async def test_bytes_after_a_response_and_interim_responses_are_ignored():
     # The body of a second response was appended to that of the first, and both were sent to the client.
     good, early = message(200, b"abc"), b"HTTP/1.1 103 Early\r\nLink: x\r\n\r\nHTTP/1.1 100 C\r\n\r\n"
     for answer, kept in ((good * 2, 0), (good + good[:40], 0), (good + b"noise", 0), (early + good, 1)):
@@ -159,7 +159,7 @@
             assert (await ask(world))[::2] == (200, b"abc")
 
 
-def test_a_connection_is_used_again_only_once_what_belongs_to_nobody_has_come():
+def test_an_idle_connection_is_reused_only_after_its_settle_time():
     idle = IdleConnections(1000, 20)
     idle.put(0, "old", 0)
     idle.put(0, "new", 100)
@@ -171,7 +171,7 @@
 
 
 @on_sockets
-async def test_a_spoilt_answer_ends_at_once_however_much_is_still_to_come():
+async def test_an_invalid_response_fails_at_once_however_long_it_is():
     for answer in (
         message().replace(b"Length: 0", b"Length: 3000000000"),
         b"HTTP/1.1 200 " + b"x" * 140000,
@@ -179,13 +179,13 @@
         b"HTTP/1.1 100 C\r\n\r\n" * 9000,
     ):
         async with World(lambda *_, answer=answer: answer) as world:
-            with outcomes() as ends:
+            with outcomes() as outcomes_reported:
                 assert (await ask(world))[0] == 502
-            assert ends == [load_balancing.FAILED] and not world.sidecar.pool.connections.idle
+            assert outcomes_reported == [load_balancing.FAILED] and not world.sidecar.pool.connections.idle
 
 
 @on_sockets
-async def test_an_id_under_which_somebody_waits_is_taken_once():
+async def test_a_request_id_in_use_is_rejected_until_it_is_free():
     async with World(lambda head, body: SILENT if body == b"stay" else serve(head, body)) as world:
         waiting = await world.connect()
         waiting[1].write(request(b"stay"))
@@ -197,7 +197,7 @@
 
 
 @on_sockets
-async def test_clients_that_say_nothing_or_never_end_are_given_up_in_time_and_others_are_not():
+async def test_silent_clients_and_incomplete_requests_time_out_and_used_connections_do_not():
     async with World(serve) as world:
         silent, half, used = await world.connect(), await world.connect(), await world.connect()
         assert (await ask(world, connection=used))[0] == 200
@@ -210,7 +210,7 @@
         assert (await ask(world, connection=used))[0] == 200
 
 
-def test_a_reload_moves_discovery_and_takes_its_list_whole_and_a_bad_file_changes_nothing(tmp_path):
+def test_a_reload_changes_discovery_and_its_list_and_an_invalid_file_changes_nothing(tmp_path):
     @on_sockets
     async def scenario():
         async with World(serve, serve) as world:
@@ -255,7 +255,7 @@
 
 
 @on_sockets
-async def test_a_refused_connection_goes_elsewhere():
+async def test_requests_go_elsewhere_after_a_refused_connection():
     async with World(serve, serve) as world:
         world.upstreams[0].stop()
         world.upstreams[0].server.close()
@@ -264,19 +264,19 @@
 
 
 @on_sockets
-async def test_a_short_answer_is_a_reset_not_an_answer():
+async def test_a_truncated_response_counts_as_a_reset():
     def short(head, body):
         return message(200, b"abc").replace(b"Content-Length: 3", b"Content-Length: 9") + b"\r\n"
 
     async with World(short) as world:
-        asking = asyncio.create_task(ask(world))
+        pending_request = asyncio.create_task(ask(world))
         await until(lambda: world.sent() == 1)
         world.upstreams[0].stop()
-        assert (await asking)[0] == 502 and world.sent() == 1
+        assert (await pending_request)[0] == 502 and world.sent() == 1
 
 
 @on_sockets
-async def test_an_upstream_that_says_nothing_is_given_up_in_time_and_loses_its_idle_connections():
+async def test_a_silent_upstream_times_out_and_its_idle_connections_close():
     async with World(lambda *_: SILENT if world.sent() > 2 else message()) as world:
         connections = world.sidecar.pool.connections
         await ask(world)
@@ -289,7 +289,7 @@
 
 
 @on_sockets
-async def test_a_first_request_that_was_late_has_paid_for_its_connection_and_its_answer_reaches_nobody():
+async def test_a_late_first_response_is_discarded_and_its_connection_is_reused():
     release = asyncio.Event()
 
     async def late(head, body):
@@ -309,7 +309,7 @@
 
 
 @on_sockets
-async def test_a_first_request_that_was_late_is_cut_off_before_another_follows_or_when_it_stays_away():
+async def test_a_connection_with_a_late_first_response_closes_before_a_retry_or_when_none_comes():
     methods = [method(soft=2000.0, hard=4000.0)]
 
     def silent_once(*_):
@@ -321,10 +321,10 @@
         for up in world.sidecar.pool.balancer.upstreams.values():
             # The first attempt then gets only a part of the time.
             up.failures, up.decayed_at = (1.0, world.sidecar.clock.now())
-        with outcomes() as ends:
+        with outcomes() as outcomes_reported:
             first = asyncio.create_task(ask(world, request(wait=4000)))
             await until(lambda: world.sent() == 2)
-            assert ends[0] == load_balancing.TIMED_OUT
+            assert outcomes_reported[0] == load_balancing.TIMED_OUT
             assert all(link.transport.is_closing() for link in world.sidecar.pool.connections.abandoned)
         assert (await first)[0] == 200
     async with World(lambda *_: SILENT) as world:
@@ -336,13 +336,13 @@
 
 
 @on_sockets
-async def test_a_refused_connection_and_one_that_broke_are_told_apart():
+async def test_refused_and_broken_connections_have_different_outcomes():
     async with World(serve) as world:
         world.upstreams[0].stop()
         await world.upstreams[0].server.wait_closed()
-        with outcomes() as ends:
+        with outcomes() as outcomes_reported:
             await ask(world)
-            assert ends == [load_balancing.UNCONNECTED]
+            assert outcomes_reported == [load_balancing.UNCONNECTED]
 
     async def broken(*_):
         raise ConnectionResetError(errno.ECONNRESET, "reset")
@@ -352,36 +352,36 @@
         world.sidecar.pool.connections.loop = SimpleNamespace(
             create_connection=broken, create_task=loop.create_task
         )
-        with outcomes() as ends:
+        with outcomes() as outcomes_reported:
             await ask(world)
-            assert ends == [load_balancing.BROKEN]
+            assert outcomes_reported == [load_balancing.BROKEN]
 
 
 @on_sockets
-async def test_what_could_not_be_sent_whole_never_ran():
+async def test_a_partly_sent_request_counts_as_never_run():
     async with World(serve, serve) as world:
 
-        def stuck(link, *pieces):
+        def cut_instead(link, *pieces):
             UpstreamConnection.write = write
             link.cut()
             return False
 
-        write, UpstreamConnection.write = UpstreamConnection.write, stuck
-        with outcomes() as ends:
+        write, UpstreamConnection.write = UpstreamConnection.write, cut_instead
+        with outcomes() as outcomes_reported:
             assert (await ask(world))[0] == 200 and world.sent() == 1
-        assert ends == [load_balancing.BROKEN, load_balancing.COMPLETED]
+        assert outcomes_reported == [load_balancing.BROKEN, load_balancing.COMPLETED]
 
 
 @on_sockets
-async def test_a_stop_ends_the_sending_before_anything_else_is_sent():
+async def test_cutting_a_connection_shuts_down_its_sending_side():
     async with World(lambda *_: SILENT) as world:
-        asking = asyncio.create_task(ask(world))
+        pending_request = asyncio.create_task(ask(world))
         await until(lambda: world.sent() == 1)
         poll = select.poll()
         poll.register(next(iter(world.upstreams[0].writers)).get_extra_info("socket"), select.POLLRDHUP)
         next(iter(world.sidecar.pool.connections.open)).cut()
         assert poll.poll(10_000)
-        assert (await asking)[0] == 502
+        assert (await pending_request)[0] == 502
 
 
 @on_sockets
@@ -408,7 +408,7 @@
 
 
 @on_sockets
-async def test_a_client_that_leaves_stops_its_transmission_and_costs_nobody_else():
+async def test_a_client_that_disconnects_stops_only_its_own_request():
     async with World(lambda head, body: SILENT if body == b"stay" else serve(head, body)) as world:
         reader, writer = await world.connect()
         writer.write(request(b"stay"))
@@ -420,7 +420,7 @@
 
 
 @on_sockets
-async def test_requests_that_come_early_are_answered_in_order():
+async def test_pipelined_requests_are_answered_in_order():
     async with World(serve) as world:
         connection = await world.connect()
         connection[1].write(b"".join(request(b"%d" % number) for number in range(40)))
@@ -432,7 +432,7 @@
 
 
 @on_sockets
-async def test_the_list_is_followed_and_bad_news_keep_the_old_one():
+async def test_list_changes_apply_and_invalid_lists_keep_the_old_one():
     lines = []
     sink = logger.add(lines.append, format="{message}")
     async with World(serve, serve) as world:
@@ -462,7 +462,7 @@
 
 
 @on_sockets
-async def test_what_has_gone_leaves_memory_and_a_new_id_at_its_address_is_a_new_upstream():
+async def test_a_removed_upstream_frees_memory_and_a_new_id_at_its_address_is_a_new_upstream():
     async with World(serve) as world:
         sidecar, kept = world.sidecar, []
         for number in range(6):
@@ -484,7 +484,7 @@
 
 
 @on_sockets
-async def test_a_connection_to_where_an_upstream_was_is_not_kept():
+async def test_a_connection_to_the_old_address_of_an_upstream_is_not_kept():
     release = asyncio.Event()
 
     async def late(head, body):
@@ -493,16 +493,16 @@
 
     async with World(late, serve) as world:
         await world.tell(world.entry(0), reset=True)
-        asking = asyncio.create_task(ask(world))
+        pending_request = asyncio.create_task(ask(world))
         await until(lambda: world.sent() == 1)
         await world.tell({**world.entry(0), "hostPort": world.upstreams[1].address})
         release.set()
-        assert (await asking)[0] == 200 and not world.sidecar.pool.connections.idle
+        assert (await pending_request)[0] == 200 and not world.sidecar.pool.connections.idle
         assert (await ask(world, request(name="a2")))[0] == 200 and len(world.upstreams[1].seen) == 1
 
 
 @on_sockets
-async def test_up_says_when_a_list_is_there():
+async def test_up_reports_whether_a_list_is_known():
     async with World(serve, known=False) as world:
         assert (await ask(world, b"GET /up HTTP/1.1\r\n\r\n"))[0] == 200
         world.sidecar.pool.listed_once = False
@@ -510,7 +510,7 @@
 
 
 @on_sockets
-async def test_at_a_planned_restart_all_is_answered_and_nothing_is_cut():
+async def test_a_shutdown_answers_all_requests_and_cuts_no_connection():
     release = asyncio.Event()
 
     async def late(head, body):
@@ -527,8 +527,8 @@
         await until(lambda: world.sent() == 2)
         assert await idle[0].read() == b""  # the idle one is closed, the others are not
         release.set()
-        for asking, body in ((held, b"held"), (fresh, b"fresh")):
-            status, head, got = await asking
+        for pending_request, body in ((held, b"held"), (fresh, b"fresh")):
+            status, head, got = await pending_request
             assert (status, got) == (200, body) and "Connection: close" in head
         await world.serving
         assert world.sidecar.phase is Phase.CLOSED
@@ -537,7 +537,7 @@
 
 
 @on_sockets
-async def test_a_request_that_is_on_its_way_at_a_restart_is_answered():
+async def test_a_partly_received_request_is_answered_at_a_shutdown():
     async with World(serve) as world:
         half = await world.connect()
         raw = request(b"0123456789")
@@ -551,21 +551,21 @@
 
 
 @on_sockets
-async def test_in_a_crowd_unused_connections_go_first_and_requests_are_still_answered():
+async def test_with_many_clients_unused_connections_close_first_and_requests_are_answered():
     async with World(serve, sockets=100) as world:  # 36 connections, 27 of them for clients
         pauses = []
         pause = world.sidecar.listener.pause
         world.sidecar.listener.pause = lambda: (pauses.append(1), pause())
-        crowd = [await world.connect() for _ in range(60)]
+        unused = [await world.connect() for _ in range(60)]
         assert not pauses  # closing idle connections makes room at once, so accepting never pauses
         assert [(await ask(world))[0] for _ in range(5)] == [200] * 5
         assert len(world.sidecar.front.clients) <= world.sidecar.budget.max_clients
-        for _, writer in crowd:
+        for _, writer in unused:
             writer.close()
 
 
 @on_sockets
-async def test_where_many_connections_are_open_answers_end_theirs():
+async def test_with_many_open_connections_responses_close_theirs():
     # Connections that sent one request and stayed open exhausted the clients while the sidecar had room.
     async with World(serve, sockets=100) as world:  # 27 for clients; responses close theirs from 6 on
         kept = [await world.connect() for _ in range(5)]
@@ -578,7 +578,7 @@
 
 
 @on_sockets
-async def test_without_descriptors_idle_upstreams_go_first_and_then_nothing_is_sent():
+async def test_without_descriptors_idle_upstream_connections_close_and_the_limit_holds():
     async with World(serve, serve) as world:
         while len(world.sidecar.pool.connections.open) < 2:
             assert (await ask(world))[0] == 200
@@ -590,26 +590,26 @@
 
 
 @on_sockets
-async def test_requests_over_the_budget_of_bytes_are_refused_at_once():
+async def test_requests_over_the_byte_budget_are_rejected_at_once():
     async with World(serve) as world:
         world.sidecar.budget.max_bytes = 1000
         assert (await ask(world, request(b"x" * 2000)))[0] == 503 and world.sent() == 0
         assert (await ask(world, request(b"x")))[0] == 200
 
 
-def test_a_fault_of_the_decisions_costs_the_rpc_that_met_it():
+def test_a_bug_in_the_balancer_fails_only_the_affected_request():
     def broken(*_):
         raise ZeroDivisionError
 
     @on_sockets
     async def scenario():
         async with World(serve) as world:
-            world.sidecar.pool.balancer.choose_upstream, whole = (
+            world.sidecar.pool.balancer.choose_upstream, choose_upstream = (
                 broken,
                 world.sidecar.pool.balancer.choose_upstream,
             )
             assert (await ask(world))[0] == 502
-            world.sidecar.pool.balancer.choose_upstream = whole
+            world.sidecar.pool.balancer.choose_upstream = choose_upstream
             assert (await ask(world))[0] == 200
 
     with pytest.raises(AssertionError, match="dispatch step failed .*on_submitted.*ZeroDivisionError"):
@@ -617,15 +617,15 @@
 
 
 @on_sockets
-async def test_an_outcome_is_told_once():
+async def test_an_outcome_is_reported_once():
     async with World(serve) as world:
-        with outcomes() as ends:
+        with outcomes() as outcomes_reported:
             assert (await ask(world))[0] == 200
             link = next(iter(world.sidecar.pool.connections.open))
             link.connection_lost(None)
             link.connection_lost(None)
             assert (await ask(world))[0] == 200
-        assert ends == [load_balancing.COMPLETED] * 2
+        assert outcomes_reported == [load_balancing.COMPLETED] * 2
 
 
 def config_file(folder, **changes):
@@ -656,12 +656,12 @@
         {"settings": {**World().conf, "methods": []}},
     ],
 )
-def test_a_bad_configuration_is_one_line_and_exit_2(tmp_path, changes):
+def test_an_invalid_configuration_is_one_line_and_exit_2(tmp_path, changes):
     result = CliRunner().invoke(app, ["check-config", "--config", config_file(tmp_path, **changes)])
     assert result.exit_code == 2 and len(result.output.strip().splitlines()) == 1
 
 
-def test_a_good_configuration_is_called_so(tmp_path):
+def test_a_valid_configuration_passes_the_check(tmp_path):
     result = CliRunner().invoke(app, ["check-config", "--config", config_file(tmp_path)])
     assert result.exit_code == 0 and "1 methods" in result.output
 
@@ -692,7 +692,7 @@
 
 
 @on_sockets
-async def test_after_a_stall_nothing_is_sent_for_clients_that_left_meanwhile():
+async def test_after_a_stall_nothing_is_sent_for_clients_that_disconnected_meanwhile():
     async with World(serve, serve) as world:
 
         def bodies():
