--- a/shedgrade/sidecar/lifecycle/sidecar.py
+++ b/shedgrade/sidecar/lifecycle/sidecar.py
@@ -59,11 +59,11 @@
         self,
         config: Config,
         loop: asyncio.AbstractEventLoop,
-        decisions: type[load_balancing.Balancer] = load_balancing.Balancer,
+        balancer_class: type[load_balancing.Balancer] = load_balancing.Balancer,
     ) -> None:
         """Raises ConfigError if the settings are invalid.
 
-        `decisions`: class of the balancer. The lab passes a baseline for comparison; features wrap it.
+        `balancer_class`: the lab passes a baseline for comparison; features wrap it.
         """
         self.config = config
         self.loop = loop
@@ -71,7 +71,7 @@
         self.phase = Phase.STARTING
         self.clock = Clock()
         self.budget = Budget(config.sockets, config.memory_mb)
-        self.pool = Pool("", config.settings, config.seed, loop, self.clock, self.budget, decisions)
+        self.pool = Pool("", config.settings, config.seed, loop, self.clock, self.budget, balancer_class)
         self.front = Front(loop, self.pool, self.budget, self.is_ready, self.is_draining)
         self.features: list[Feature] = []
         self.listener: Any = None
