--- a/shedgrade/sidecar/lifecycle/config.py
+++ b/shedgrade/sidecar/lifecycle/config.py
@@ -23,14 +23,14 @@
     """One configuration file.
 
     Attributes:
-        name: name of the sidecar, for the log.
+        name: name of the sidecar.
         listen: address for clients.
         discovery: address of the discovery service.
         seed: seed of the random numbers.
         memory_mb: memory limit, in MB.
         sockets: limit for open file descriptors.
         known: the first list of upstreams, in the format of discovery; None if the file has none.
-        settings: the settings of the balancer.
+        settings: the settings of the upstream pool and its balancer.
         path: path of the file.
         admin: the admin address; None if there is none.
         contents: all keys of the file but STARTUP_ONLY_KEYS.
