--- a/shedgrade/sidecar/lifecycle/hot_restart_link.py
+++ b/shedgrade/sidecar/lifecycle/hot_restart_link.py
@@ -173,7 +173,10 @@
             yield message
 
     def receive_first(self) -> tuple[Message, list[int]]:
-        """Blocks until one message is received. Raises HotRestartError if none comes in ANSWER_TIMEOUT_S."""
+        """Blocks until one message is received, which is allowed as nothing else runs yet in this process.
+
+        Raises HotRestartError if none comes within ANSWER_TIMEOUT_S.
+        """
         deadline = monotonic() + ANSWER_TIMEOUT_S
         while True:
             for message in self.messages():
