--- a/shedgrade/sidecar/lifecycle/hot_restart.py
+++ b/shedgrade/sidecar/lifecycle/hot_restart.py
@@ -1,8 +1,8 @@
-"""A hot restart: what this process takes over from an older one, and what it hands to a newer one.
+"""A hot restart: the state that this process takes over from an older one, and hands to a newer one.
 
-As in Envoy, two processes of the same sidecar run side by side for a while: the newer one takes the listening
-socket, the list of upstreams, what was learned and the operators' orders; the older one drains. Steps and the
-ways not taken: docs/design/operating.md.
+As in Envoy, two processes of the same sidecar run side by side for a while. The newer one takes over the
+listening socket, the endpoint list, the learned state and the operators' commands; the older one drains. The
+steps and the rejected alternatives: docs/design/operating.md.
 """
 
 import socket
@@ -25,21 +25,21 @@
 if TYPE_CHECKING:
     from shedgrade.sidecar.lifecycle.sidecar import Sidecar
 
-READY_TIMEOUT_S = 10.0  # within which a newer process must serve: it is owed a yes within 6
-SPARE_DESCRIPTORS = 8  # that the older process may still open while the newer one takes its place
-ORDERS = ("out", "back", "drain", "resume")  # as they are called between the processes
+READY_TIMEOUT_S = 10.0  # for the newer process to start serving; its readiness is due within 6 s
+SPARE_DESCRIPTORS = 8  # file descriptors that the older process may still open after the handover
+COMMANDS = ("out", "back", "drain", "resume")  # values of `call` in messages between the processes
 
 
 class HotRestart:
-    """The links to an older and to a newer process of the same sidecar, while they last.
+    """The links to an older and to a newer process of the same sidecar.
 
     Attributes:
-        path: where the processes of this sidecar meet; None where they share no folder.
-        listener: waits for the newer process; None until this one serves, or where it can't.
-        older, newer: the links; None while there is no such process.
-        newer_accepts: the newer one accepts the clients now; only while there is one.
-        starts_standing_by: the older process stood by when it handed over.
-        descriptors_stated: the most descriptors that the newer process was told are open here.
+        path: Unix socket of the handover; None without TMPDIR, as the processes then share no directory.
+        listener: accepts the link of a newer process; None until this one serves, or if it can't listen.
+        older, newer: the links; None if there is no such process.
+        newer_accepts: whether the newer process accepts clients; False if there is none.
+        start_in_standby: whether the older process was standing by at the handover.
+        announced_descriptors: the most file descriptors that the newer process was told this one may hold.
     """
 
     def __init__(self, sidecar: "Sidecar") -> None:
@@ -50,13 +50,13 @@
         self.older: HandoverLink | None = None
         self.newer: HandoverLink | None = None
         self.newer_accepts = False
-        self.starts_standing_by = False
-        self.descriptors_stated = 0
+        self.start_in_standby = False
+        self.announced_descriptors = 0
 
-    # --- as the newer one
+    # --- in the newer process
 
     def take_over(self) -> socket.socket | None:
-        """Takes what an older process hands over; its listening socket, if there is one."""
+        """Takes over the state of an older process. Returns its listening socket; None if there is none."""
         if self.path is None:
             return None
         try:
@@ -69,37 +69,37 @@
             except (AttributeError, KeyError, TypeError, ValueError, ListError) as error:
                 link.close()
                 listening_socket.close()
-                raise HotRestartError(f"its state is not sound: {error!r}") from error
+                raise HotRestartError(f"the state of the older process is invalid: {error!r}") from error
         except HotRestartError as error:
             logger.warning("nothing taken over from older process", error=str(error))
             return None
         self.older = link
-        link.follow(self.on_older_message, self.on_older_closed)
+        link.start(self.on_older_message, self.on_older_closed)
         logger.info(
             "state taken over from older process",
-            disabled_upstreams=len(self.sidecar.orders.disabled),
+            disabled_upstreams=len(self.sidecar.commands.disabled),
             descriptors=state.descriptors,
         )
         return listening_socket
 
     def apply_state(self, state: HandoverState) -> None:
-        """Puts the older process's state in force; the list is read first, as only that can be refused."""
+        """Applies the state of the older process. The list comes first: only it can be rejected."""
         sidecar, pool = self.sidecar, self.sidecar.pool
         if state.endpoint_list is not None:
             pool.listed(state.endpoint_list, asked=False)
             pool.take_over("the older process")
         if state.learned is not None:
             self.restore_learned(state.learned)
-        for name in state.disabled:
-            sidecar.orders.disabled.add(name)
-            pool.dispatcher.set_withdrawn(pool.reader.indices.index(name), True, lambda: None)
+        for upstream_id in state.disabled:
+            sidecar.commands.disabled.add(upstream_id)
+            pool.dispatcher.set_withdrawn(pool.reader.indices.index(upstream_id), True, lambda: None)
         pool.dispatcher.set_slow_start_share(0.5)
         pool.dispatcher.run()
         sidecar.budget.share(state.descriptors)
-        self.starts_standing_by = state.standing_by
+        self.start_in_standby = state.standing_by
 
     def restore_learned(self, stored: dict[str, Any]) -> None:
-        """Hands the balancer what the older one had learned, as far as it fits."""
+        """Passes the learned state of the older process to the balancer, as far as it fits."""
         from shedgrade.sidecar.learned_state_file import from_disk
 
         pool = self.sidecar.pool
@@ -109,10 +109,10 @@
             pool.dispatcher.restore(learned, 0.0)
 
     def start_serving(self) -> None:
-        """This process accepts clients: the older one need not, and the next one may come."""
+        """Tells the older process that this one accepts clients, and waits for the next newer process."""
         if self.older is not None:
             self.older.send({"what": "serving"})
-            if self.starts_standing_by:
+            if self.start_in_standby:
                 self.sidecar.stand_by()
         if self.path is not None:
             try:
@@ -121,74 +121,81 @@
                 logger.warning("hot restart not possible", error=failure.strerror)
 
     def on_older_message(self, message: Message, descriptors: list[int]) -> None:
-        """The older process gives descriptors back, or passes an order on."""
+        """Handles a message of the older process: it released descriptors, or forwards a command."""
         if message["what"] == "holds":
             self.sidecar.budget.share(max(0, int(message["holds"])))
         elif message["what"] == "order":
-            self.apply_order(message, self.newer)
+            self.apply_forwarded_command(message, self.newer)
 
     def on_older_closed(self) -> None:
-        """The older process is gone."""
+        """Called when the older process has closed the link."""
         if self.older is not None:
             self.older = None
             logger.info("older process ended")
             if self.newer is None:
-                self.take_whole_budget()
+                self.restore_full_limits()
 
-    # --- as the older one
+    # --- in the older process
 
     def on_link(self, link: HandoverLink) -> None:
-        """Somebody connected, who has not said who it is."""
-        link.follow(
+        """Accepts a link; the other end must identify itself with `hello`."""
+        link.start(
             lambda message, descriptors: self.on_newer_message(link, message),
             lambda: self.on_newer_closed(link),
         )
 
     def on_newer_message(self, link: HandoverLink, message: Message) -> None:
-        """HotRestartError for what a newer process may not say."""
+        """Handles a message of a newer process. Raises HotRestartError if it is not allowed."""
         if message["what"] == "hello":
             self.hand_over(link, message)
         elif link is not self.newer:
-            raise HotRestartError("it has not said who it is")
+            raise HotRestartError("message before hello")
         elif message["what"] == "serving":
             self.newer_accepts = True
             self.sidecar.listener.hand_over(True)
             logger.info("newer process accepts clients")
         elif message["what"] == "order":
-            self.apply_order(message, self.older)
+            self.apply_forwarded_command(message, self.older)
 
     def hand_over(self, link: HandoverLink, hello: Message) -> None:
-        """Answers a newer process with all that it needs; from here on this one opens hardly anything."""
+        """Sends the state and the listening socket to a newer process.
+
+        From now on this process may open at most SPARE_DESCRIPTORS more descriptors. Raises HotRestartError
+        if the protocol versions differ or this process accepts no clients.
+        """
         if hello.get("v") != VERSION or not self.sidecar.accepts_clients():
-            raise HotRestartError("another build, or nothing to hand over")
+            raise HotRestartError("protocol version differs, or there is no state to hand over")
         if self.newer is not None:
             logger.warning("second newer process replaces the first")
             self.newer.close()
         self.newer = link
         self.loop.call_later(READY_TIMEOUT_S, self.on_ready_timeout, link)
-        self.descriptors_stated = self.sidecar.budget.connections() + SPARE_DESCRIPTORS
-        self.sidecar.budget.cap(self.descriptors_stated)
+        self.announced_descriptors = self.sidecar.budget.connections() + SPARE_DESCRIPTORS
+        self.sidecar.budget.cap(self.announced_descriptors)
         self.sidecar.pool.dispatcher.set_slow_start_share(0.5)
         link.send(self.state().to_message(), self.sidecar.listener.socket.fileno())
 
     def on_ready_timeout(self, link: HandoverLink) -> None:
-        """Guards against a newer process that stands still: this one would keep half of everything."""
+        """Closes the link to a newer process that does not serve in time.
+
+        Guards against one that hangs: this process would keep its reduced limits.
+        """
         if link is self.newer and not self.newer_accepts:
             logger.warning("newer process not ready in time", timeout_s=READY_TIMEOUT_S)
             link.close()
 
     def on_newer_closed(self, link: HandoverLink) -> None:
-        """The newer process is gone: this one serves on."""
+        """Called when the newer process has ended: this one serves alone again, with its full limits."""
         if link is not self.newer:
             return
         self.newer = None
         self.newer_accepts = False
         self.sidecar.listener.hand_over(False)
         logger.warning("newer process ended, this one serves on")
-        self.take_whole_budget()
+        self.restore_full_limits()
 
     def state(self) -> HandoverState:
-        """All that a newer process takes over."""
+        """Returns the state that a newer process takes over."""
         from shedgrade.sidecar.learned_state_file import to_disk
 
         pool = self.sidecar.pool
@@ -204,47 +211,50 @@
             pool.dispatcher.export(), reader.indices.ids, list(reader.zones), list(reader.kinds)
         )
         return HandoverState(
-            disabled=sorted(self.sidecar.orders.disabled),
+            disabled=sorted(self.sidecar.commands.disabled),
             standing_by=self.sidecar.is_standing_by(),
-            descriptors=self.descriptors_stated,
+            descriptors=self.announced_descriptors,
             endpoint_list=endpoint_list,
             learned=learned,
         )
 
-    # --- both
+    # --- in both
 
-    def send_order(self, call: str, name: str = "") -> None:
-        """An order that came here counts for the other process too. `call`: one of ORDERS."""
+    def forward_command(self, command: str, upstream_id: str = "") -> None:
+        """Forwards an operator's command to the other processes. `command`: one of COMMANDS."""
         for link in (self.older, self.newer):
             if link is not None:
-                link.send({"what": "order", "call": call, "name": name})
-
-    def apply_order(self, message: Message, onward: HandoverLink | None) -> None:
-        """An order of the other process; `onward`: a third one that has to know. HotRestartError if it is
-        none."""
-        call, name = message["call"], message["name"]
-        if type(name) is not str or call not in ORDERS:
-            raise HotRestartError("no such order")
+                link.send({"what": "order", "call": command, "name": upstream_id})
+
+    def apply_forwarded_command(self, message: Message, onward: HandoverLink | None) -> None:
+        """Executes a command that another process forwarded.
+
+        `onward`: the link to a third process, which gets the command too. Raises HotRestartError if the
+        command is invalid.
+        """
+        command, upstream_id = message["call"], message["name"]
+        if type(upstream_id) is not str or command not in COMMANDS:
+            raise HotRestartError("no such command")
         if onward is not None:
             onward.send(message)
-        self.sidecar.orders.apply_remote(call, name)
+        self.sidecar.commands.apply_forwarded(command, upstream_id)
 
-    def take_whole_budget(self) -> None:
-        """There is no other process: everything is this one's again."""
+    def restore_full_limits(self) -> None:
+        """Restores the full limits, as there is no other process."""
         self.sidecar.budget.share(None)
         self.sidecar.pool.dispatcher.set_slow_start_share(1.0)
 
     def tick(self) -> None:
-        """Now and then: the older one gives back the descriptors that it no longer holds."""
+        """Called periodically: tells the newer process which descriptors this older one has released."""
         if self.newer is not None and self.newer_accepts:
-            held = self.sidecar.budget.connections()
-            if held < self.descriptors_stated:
-                self.descriptors_stated = held
-                self.sidecar.budget.cap(held)
-                self.newer.send({"what": "holds", "holds": held})
+            open_connections = self.sidecar.budget.connections()
+            if open_connections < self.announced_descriptors:
+                self.announced_descriptors = open_connections
+                self.sidecar.budget.cap(open_connections)
+                self.newer.send({"what": "holds", "holds": open_connections})
 
     def close(self) -> None:
-        """This process ends; nothing is called any more."""
+        """Closes the listener and the links, without further callbacks."""
         if self.listener is not None:
             self.listener.close()
         for link in (self.older, self.newer):
@@ -256,9 +266,9 @@
         self.newer_accepts = False
 
     def check_invariants(self) -> None:
-        """AssertionError if links and flags contradict each other."""
+        """Raises AssertionError if links and flags contradict each other."""
         assert self.newer is not None or not self.newer_accepts
         assert self.older is None or self.older is not self.newer
-        assert self.descriptors_stated >= 0
+        assert self.announced_descriptors >= 0
         for link in (self.older, self.newer):
-            assert link is None or link.socket.fileno() >= 0, "a closed link is still here"
+            assert link is None or link.socket.fileno() >= 0, "a closed link is still referenced"
--- a/shedgrade/sidecar/lifecycle/reload.py
+++ b/shedgrade/sidecar/lifecycle/reload.py
@@ -1,7 +1,8 @@
-"""A reload: the configuration's file is read anew, checked as at a start, and put in force at once.
+"""A reload: the configuration file is read again, checked as at a start, and applied at once.
 
-Discovery, limits and settings move; names, addresses and what upstreams are counted by are for a start.
-Nothing in flight is touched, and the list stays until the new address of discovery has told its own.
+The address of discovery, limits and settings change; the sidecar's name, its addresses and the settings that
+identify upstreams need a restart. Requests in flight are not affected, and the endpoint list stays in use
+until the new address of discovery has sent its own.
 """
 
 from dataclasses import dataclass, replace
@@ -18,21 +19,28 @@
     from shedgrade.sidecar.lifecycle.features import Features
     from shedgrade.sidecar.lifecycle.sidecar import Sidecar
 
-FIXED_AT_START = ("name", "listen", "admin")  # fields of `Config` that a reload does not change
+RESTART_ONLY_FIELDS = ("name", "listen", "admin")  # fields of `Config` that need a restart
 
 
 @dataclass(frozen=True)
 class CheckedReload:
-    """A file that would start a sidecar, and what of it can be put in force now."""
+    """A valid configuration file, and the part of it that can be applied now.
+
+    Attributes:
+        config: the file as read.
+        settings: the settings in force after the reload.
+        features: the features file; None if there is none.
+        restart_needed: keys that differ from the running configuration and need a restart.
+    """
 
     config: Config
     settings: dict[str, Any]
     features: "Features | None"
-    restart_needed: list[str]  # keys that differ and are for a start
+    restart_needed: list[str]
 
 
 def reload(sidecar: "Sidecar") -> None:
-    """Guards against a file that would not start a sidecar, or lacks what it had: it changes nothing."""
+    """Reloads the configuration. An invalid file, or one that lacks previous keys, changes nothing."""
     if sidecar.phase is Phase.CLOSED or sidecar.pool.watch is None:
         return
     try:
@@ -44,39 +52,41 @@
 
 
 def check(sidecar: "Sidecar") -> CheckedReload:
-    """Reads the file and looks at it as a start would. ConfigError for what can't be."""
-    before = sidecar.config
-    fresh = load_config(before.path)
-    missing = missing_key(before.contents, fresh.contents)
+    """Reads the file and checks it as at a start. Raises ConfigError if it is invalid."""
+    current = sidecar.config
+    loaded = load_config(current.path)
+    missing = missing_key(current.contents, loaded.contents)
     if missing is not None:
-        raise ConfigError(f"{fresh.path}: {missing}: found nothing; expected what was there before")
-    settings, fixed = merge_settings(before.settings, fresh.settings)
-    type(sidecar)(replace(fresh, settings=settings), sidecar.loop)
+        raise ConfigError(
+            f"{loaded.path}: {missing}: found nothing; expected the key, as it was there before"
+        )
+    settings, restart_only = merge_settings(current.settings, loaded.settings)
+    type(sidecar)(replace(loaded, settings=settings), sidecar.loop)
     methods = {method["name"] for method in settings["methods"]}
     features = sidecar.load_features(methods) if sidecar.load_features is not None else None
-    changed = [name for name in FIXED_AT_START if getattr(fresh, name) != getattr(before, name)]
-    return CheckedReload(fresh, settings, features, changed + fixed)
+    changed = [name for name in RESTART_ONLY_FIELDS if getattr(loaded, name) != getattr(current, name)]
+    return CheckedReload(loaded, settings, features, changed + restart_only)
 
 
 def apply(sidecar: "Sidecar", checked: CheckedReload) -> None:
-    """Puts what was checked in force."""
-    fresh, settings = checked.config, checked.settings
+    """Applies a checked reload."""
+    loaded, settings = checked.config, checked.settings
     if settings != sidecar.config.settings:
         log_settings(sidecar.config.settings, settings)
         sidecar.pool.retuned(settings)
     sidecar.config = replace(
         sidecar.config,
-        discovery=fresh.discovery,
-        sockets=fresh.sockets,
-        memory_mb=fresh.memory_mb,
+        discovery=loaded.discovery,
+        sockets=loaded.sockets,
+        memory_mb=loaded.memory_mb,
         settings=settings,
-        contents=fresh.contents,
+        contents=loaded.contents,
     )
-    sidecar.budget.limit(fresh.sockets, fresh.memory_mb)
-    sidecar.pool.move(fresh.discovery)
+    sidecar.budget.limit(loaded.sockets, loaded.memory_mb)
+    sidecar.pool.move(loaded.discovery)
     for feature in sidecar.features:
         feature.reload(checked.features)
-    host, port = fresh.discovery
+    host, port = loaded.discovery
     logger.info(
         "configuration reloaded",
         discovery=f"{host}:{port}",
@@ -84,13 +94,13 @@
     )
 
 
-def log_settings(before: dict[str, Any], after: dict[str, Any]) -> None:
-    """One line on what changed of the methods."""
-    methods = {method["name"] for method in after["methods"]}
-    removed = {method["name"] for method in before["methods"]} - methods
+def log_settings(previous: dict[str, Any], new: dict[str, Any]) -> None:
+    """Logs one line about the changed settings."""
+    methods = {method["name"] for method in new["methods"]}
+    removed = {method["name"] for method in previous["methods"]} - methods
     logger.info(
         "settings reloaded",
         methods=len(methods),
-        max_transmissions=after["limits"]["most_transmissions"],
+        max_transmissions=new["limits"]["most_transmissions"],
         removed=", ".join(sorted(removed)),
     )
