--- a/shedgrade/simulation/__init__.py
+++ b/shedgrade/simulation/__init__.py
@@ -1,1 +1,1 @@
-"""Virtual time, network, disks, troubles by seed, histories and their checkers."""
+"""Deterministic simulation: virtual time, network, disks, faults drawn from a seed, histories, checkers."""
--- a/shedgrade/simulation/catch_up.py
+++ b/shedgrade/simulation/catch_up.py
@@ -1,8 +1,9 @@
-"""How a replica that was down catches up while changes go on: time, bytes sent to it, memory at the primary.
+"""Measures how a replica that was down catches up during changes: time, bytes sent, memory at the primary.
 
-One core of three machines in virtual time. A client orders changes at a steady rate, whether or not the ones
-before are acknowledged; one machine is down for a number of changes, comes back with its disk or without, and
-may be cut off again in the middle of its state transfer."""
+One core of three machines runs in virtual time. A client submits changes at a steady rate, without waiting
+for acknowledgements. One machine is down for a number of changes, returns with its disk or with an empty one,
+and may be cut off again in the middle of its state transfer.
+"""
 
 from __future__ import annotations
 
@@ -19,21 +20,34 @@
 
 BITS = 8
 MEGABIT = 1_000_000
-SMALL_MESSAGE = 100  # bytes that a message is counted as, beside its payload
+SMALL_MESSAGE = 100  # bytes counted for each message in addition to its payload
 FAST_LINK_MEGABITS = 1000.0
-FOUNDING_S = 3.0  # before the first change
-STEP_S = 0.01  # between two looks at the members
-STEADY_S = 5.0  # after which the lag is measured, and for which
-STEADY_STEPS = 500
+FOUNDING_S = 3.0  # time before the first change
+STEP_S = 0.01  # between two samples of the members' state
+STEADY_S = 5.0  # wait after catching up before the lag is measured, and duration of the measurement
+STEADY_STEPS = 500  # steps of STEP_S in STEADY_S
 
 
 @dataclass(frozen=True)
 class CatchUpCase:
-    """`size`: bytes of the configuration that each change replaces. `interval`: seconds between two changes.
-    `megabits`: of the returning machine's links, or of all where `all_links`. `delay`: one way, seconds.
-    `before` and `away`: changes ordered before the machine goes down, and while it is. `cut_after`: seconds
-    after its return at which its links lose every frame for `cut_seconds`, None for no cut. `keys`: one small
-    key per change beside the configuration. `patience`: seconds after its return at which the run gives up.
+    """One scenario.
+
+    Attributes:
+        size: size of the configuration that each change replaces, bytes.
+        interval: time between two changes, seconds.
+        megabits: bandwidth of the returning machine's links, Mbit/s.
+        delay: one-way delay of all links, seconds.
+        before: number of changes before the machine goes down.
+        missed: number of changes while it is down.
+        wiped: whether it returns with an empty disk.
+        cut_after: seconds after its return at which its links begin to lose every message; None: never.
+        cut_seconds: how long they do, seconds.
+        keys: whether each change also adds a small key.
+        all_links: whether `megabits` applies to all links.
+        loss: probability that a message is lost.
+        patience: seconds after the return at which the run gives up.
+        role: role of the machine that goes down.
+        seed: seed of the run.
     """
 
     size: int = 1_000
@@ -55,11 +69,17 @@
 
 @dataclass
 class CatchUpResult:
-    """`caught_up`: seconds from the return until the replica held what was finished at its return; None if it
-    never did. `steady_lag`: the largest number of changes that it was behind the primary in the last five
-    seconds. `sent`: bytes sent to it until it caught up (until the end if it never did), `sent_rate`: bytes a
-    second in the last five seconds. `queued`: the most bytes that waited at one member to be sent.
-    `acknowledged`: the part of all orders."""
+    """The measurements of one run.
+
+    Attributes:
+        caught_up: seconds from the return until the replica held what was committed at its return; None if
+            it never did.
+        steady_lag: largest number of changes that it was behind the primary in the last five seconds.
+        sent: bytes sent to it until it caught up, or until the end if it never did.
+        sent_rate: bytes per second sent to it in the last five seconds.
+        queued: largest number of bytes queued for sending at one member.
+        acknowledged: share of the submitted changes that were acknowledged.
+    """
 
     caught_up: float | None = None
     steady_lag: int = 0
@@ -70,12 +90,12 @@
 
 
 class MeasuredNetwork(Network):
-    """Each link with its own bandwidth; counts the bytes sent to one address.
+    """A network with a bandwidth for each link, which counts the bytes sent to one address.
 
     Attributes:
-        case: the bandwidths.
-        counted: the address of the returning machine, "" before it is known.
-        bytes_sent: to that address.
+        case: the scenario, which has the bandwidths.
+        counted: address of the returning machine; "" before it is known.
+        bytes_sent: bytes sent to that address.
         losing: addresses whose links lose every message.
     """
 
@@ -95,7 +115,7 @@
         self.losing: set[str] = set()
 
     def send(self, sender: str, receiver: str, message: Message) -> None:
-        """As on any network, with the link's own bandwidth."""
+        """Sends a message with the bandwidth of its link; counts its bytes."""
         if receiver == self.counted:
             self.bytes_sent += payload_bytes(message) + SMALL_MESSAGE
         if self.losing & {sender, receiver}:
@@ -104,17 +124,18 @@
         super().send(sender, receiver, message)
 
     def link_bandwidth(self, sender: str, receiver: str) -> float:
-        """Bytes a second of one link."""
+        """Returns the bandwidth of a link, bytes per second."""
         is_slow = self.case.all_links or self.counted in (sender, receiver)
         return (self.case.megabits if is_slow else FAST_LINK_MEGABITS) * MEGABIT / BITS
 
 
 class CatchUpRun:
-    """Plays one case; the environment of its machines.
+    """Plays one case; is the environment of its machines.
 
     Attributes:
-        ordered, acknowledged: how many changes.
-        result: what was measured so far.
+        ordered: number of changes submitted.
+        acknowledged: number of changes acknowledged.
+        result: the measurements so far.
     """
 
     def __init__(self, case: CatchUpCase, member_class: type[Member] = Member) -> None:
@@ -136,15 +157,15 @@
         self.result = CatchUpResult()
 
     def log(self, event: str, subject: str = "") -> None:
-        """Adds a line to the trace."""
+        """Appends an event to the trace."""
         self.history.events.append(LoggedEvent(self.clock.now, event, subject))
 
     def deliver(self, sender: str, receiver: str, message: Message) -> None:
-        """A message arrives at an address."""
+        """Delivers a message to the machine at the address `receiver`."""
         self.by_address[receiver].receive(sender, message)
 
     def decide(self, state: Mapping[str, bytes], number: int) -> Decision:
-        """Each change replaces the configuration; where the case says so it adds a small key."""
+        """Decides a change: it replaces the configuration, and adds a small key if the case says so."""
         configuration = number.to_bytes(8, "big") + bytes(self.case.size - 8)
         changes: dict[str, bytes | None] = {"configuration": configuration}
         if self.case.keys:
@@ -154,7 +175,7 @@
     # --- the client
 
     def order(self) -> None:
-        """Orders the next change of the primary, if there is one, and schedules the one after."""
+        """Submits the next change to the primary, if there is one, and schedules the one after."""
         primary = self.primary()
         self.ordered += 1
         if primary is not None:
@@ -162,18 +183,18 @@
         self.clock.after(self.case.interval, self.order)
 
     def answered(self, outcome: object) -> None:
-        """The outcome of an acknowledged change is its number."""
+        """Counts an acknowledged change, whose outcome is its number."""
         if type(outcome) is int:
             self.acknowledged += 1
 
     def primary(self) -> Machine | None:
-        """The machine whose member acts as primary."""
+        """Returns the machine whose member acts as primary, or None."""
         return next((m for m in self.machines if m.up and m.running_member.role == "primary"), None)
 
     # --- the run
 
     def play(self) -> CatchUpResult:
-        """The whole run: changes, the outage, the return, and the time after."""
+        """Plays the whole run: changes, the outage, the return, and the measurements after it."""
         case, clock = self.case, self.clock
         for machine in self.machines:
             machine.start(True)
@@ -193,7 +214,7 @@
         return self.result
 
     def restart(self, machine: Machine) -> None:
-        """The machine returns; where the case says so its links lose everything for a while."""
+        """Restarts the machine, and schedules the loss of all its messages if the case says so."""
         self.network.bytes_sent = 0
         machine.start()
         if self.case.cut_after is not None:
@@ -202,7 +223,7 @@
             self.clock.after(until, self.network.losing.discard, machine.address)
 
     def run_until_caught_up(self, machine: Machine) -> None:
-        """Until the machine has what was committed at its return, or patience is over."""
+        """Runs until the machine has what was committed at its return, or patience is over."""
         returned_at, target = self.clock.now, self.committed()
         while self.clock.now < returned_at + self.case.patience:
             self.step()
@@ -212,7 +233,7 @@
         self.result.sent = self.network.bytes_sent
 
     def measure_steady_lag(self, machine: Machine) -> None:
-        """How far the machine is behind, and what is sent to it, once it has caught up."""
+        """Measures how far behind the machine is, and the rate at which it is sent data."""
         self.clock.run(self.clock.now + STEADY_S)
         sent = self.network.bytes_sent
         for _ in range(STEADY_STEPS):
@@ -222,11 +243,11 @@
         self.result.sent_rate = (self.network.bytes_sent - sent) / STEADY_S
 
     def committed(self) -> Position:
-        """The newest committed position that any member knows."""
+        """Returns the newest committed position that any running member knows."""
         return max(machine.running_member.committed.position for machine in self.machines if machine.up)
 
     def step(self) -> None:
-        """Plays a moment, and looks how much waits to be sent."""
+        """Advances the run by STEP_S, and samples the bytes queued at each member."""
         self.clock.run(self.clock.now + STEP_S)
         for machine in self.machines:
             if machine.member is not None:
@@ -234,7 +255,7 @@
 
 
 def queued_bytes(member: Member) -> int:
-    """Bytes of the messages that wait at a member to be sent in pieces, each distinct value counted once."""
+    """Returns the bytes queued at a member to be sent in chunks; counts each distinct value once."""
     values: dict[int, int] = {}
     for queue in member.transport.chunking.queues.values():
         for outgoing in queue:
@@ -245,5 +266,5 @@
 
 
 def play(case: CatchUpCase, **options: Any) -> CatchUpResult:
-    """Plays a case; `options` replace fields of it."""
+    """Plays a case with some of its fields replaced by `options`."""
     return CatchUpRun(replace(case, **options)).play()
--- a/shedgrade/simulation/checkers.py
+++ b/shedgrade/simulation/checkers.py
@@ -1,8 +1,8 @@
-"""Checkers of a history. Each returns the violations that it found, as text.
+"""Checkers of a history. Each returns a list of descriptions of the violations found.
 
-The operations are on one register with compare-and-set, so linearizability comes down to what is checked
-here: committed states form one chain, acknowledged changes are in it, refused ones are not, and no read
-returns a state older than what had completed before it was invoked.
+The operations are on one register with compare-and-set, so linearizability reduces to four properties: the
+committed states form a single chain, acknowledged changes are in it, rejected changes are not, and no read
+returns a state older than any operation completed before the read was invoked.
 """
 
 from __future__ import annotations
@@ -13,13 +13,13 @@
 from shedgrade.simulation.history import History, Operation, TimeSpan
 from shedgrade.simulation.register import CONFLICT, OK, Count, Put, change_line, change_lines, changes_in
 
-STABLE_AFTER_S = 4.0  # without a fault, until the core counts as stable
-ACKNOWLEDGE_WITHIN_S = 5.0  # of a request while the core is stable
-RESTART_WITHIN_S = 8.0  # from all machines up again to the next acknowledgement
+STABLE_AFTER_S = 4.0  # time without a fault after which the core counts as stable
+ACKNOWLEDGE_WITHIN_S = 5.0  # maximum time from a request to its acknowledgement while the core is stable
+RESTART_WITHIN_S = 8.0  # maximum time from all machines being up again to the next acknowledgement
 
 
 def check(history: History, timely: bool = True) -> list[str]:
-    """All violations of a history. `timely`: time limits are checked too."""
+    """Returns all violations in a history. `timely`: also checks time limits."""
     violations = list(history.violations)
     violations += check_single_chain(history)
     violations += check_outcomes(history)
@@ -31,34 +31,34 @@
 
 
 def check_single_chain(history: History) -> list[str]:
-    """All committed states are prefixes of one chain; each change is built on the one before."""
+    """Checks that committed states are prefixes of one chain, and that changes build on each other."""
     violations: list[str] = []
     chain = b""
     counter = 0
     for position in sorted(history.states):
         state = history.states[position]
         if not state.changes.startswith(chain):
-            violations.append(f"the chain breaks at {position}: {chain[-60:]!r} and {state.changes[-60:]!r}")
+            violations.append(f"chain diverges at {position}: {chain[-60:]!r} and {state.changes[-60:]!r}")
         if state.counter < counter:
-            violations.append(f"the counter goes back at {position}")
+            violations.append(f"counter decreases at {position}")
         chain, counter = state.changes, state.counter
     return violations + check_versions(chain)
 
 
 def check_versions(chain: bytes) -> list[str]:
-    """Each change of a chain names the version before it as its base, and a newer one as its own."""
+    """Checks that the base of each change is the version of the previous one, and that versions increase."""
     violations: list[str] = []
     version = 0
     for line in change_lines(chain):
         base, new_version, _ = line.split()
         if int(base) != version or int(new_version) <= version:
-            violations.append(f"change {line!r} on top of {version}")
+            violations.append(f"change {line!r} applied to version {version}")
         version = int(new_version)
     return violations
 
 
 def check_outcomes(history: History) -> list[str]:
-    """What was acknowledged is in the chain, what was refused is not; each base was given once."""
+    """Checks that acknowledged changes are in the chain, rejected ones are not, and no base is used twice."""
     committed = {line for state in history.states.values() for line in change_lines(state.changes)}
     final: set[str] = set()
     if history.states:
@@ -72,19 +72,21 @@
         line = change_line(put)
         if operation.outcome == OK:
             if line not in final:
-                violations.append(f"acknowledged and lost: {line!r}")
+                violations.append(f"acknowledged change is lost: {line!r}")
             if by_base.setdefault(put.base, line) != line:
-                violations.append(f"two acknowledged on {put.base}")
+                violations.append(f"two changes acknowledged with base {put.base}")
         elif operation.outcome == CONFLICT and line in committed:
-            violations.append(f"refused and in force: {line!r}")
+            violations.append(f"rejected change is committed: {line!r}")
     return violations
 
 
 class KnownState:
-    """The least that a read must return: what completed operations have acknowledged or read.
+    """The oldest state that a read may return: what completed operations have acknowledged or read.
 
-    `version`: of the newest acknowledged configuration, None before the first; `changes`: the most changes
-    that were read; `counter`: the highest counter that was acknowledged or read.
+    Attributes:
+        version: version of the newest acknowledged configuration; None before the first.
+        changes: largest number of changes in a state that was read.
+        counter: highest counter that was acknowledged or read.
     """
 
     def __init__(self) -> None:
@@ -93,7 +95,7 @@
         self.counter = 0
 
     def add(self, operation: Operation) -> None:
-        """Takes in an operation that has completed."""
+        """Updates the state with a completed operation."""
         if isinstance(operation.outcome, ReadResult):
             state = operation.outcome.state
             self.changes = max(self.changes, len(changes_in(state)))
@@ -104,21 +106,21 @@
             self.counter = max(self.counter, operation.request.number)
 
     def check_read(self, operation: Operation, reading: ReadResult) -> list[str]:
-        """Violations by a read that was invoked after all of this was known."""
+        """Returns the violations of a read that was invoked after all of this state was known."""
         violations: list[str] = []
         state = reading.state
         is_older = self.version is not None and int(state.get("version", b"0")) < self.version
         if is_older or len(changes_in(state)) < self.changes:
             violations.append(
-                f"an old read at {operation.invoked_at:.3f}: {state.get('version')!r} after {self.version}"
+                f"stale read at {operation.invoked_at:.3f}: {state.get('version')!r} after {self.version}"
             )
         if int(state.get("counter", b"0")) < self.counter:
-            violations.append(f"an old counter read at {operation.invoked_at:.3f}")
+            violations.append(f"stale counter read at {operation.invoked_at:.3f}")
         return violations
 
 
 def check_reads(history: History) -> list[str]:
-    """A read returns everything that was acknowledged, or read, before it was invoked."""
+    """Checks that a read returns everything that was acknowledged or read before it was invoked."""
     violations: list[str] = []
     completed = [operation for operation in history.operations if operation.outcome is not None]
     completed.sort(key=lambda operation: operation.completed_at)
@@ -136,7 +138,7 @@
 
 
 def stable_spans(unstable: Iterable[TimeSpan], end: float, stable_after_s: float) -> list[TimeSpan]:
-    """Spans up to `end` (s) throughout which no fault was active, nor any within `stable_after_s` before."""
+    """Returns the spans up to `end` (s) with no fault active, nor any in the `stable_after_s` before them."""
     spans: list[TimeSpan] = []
     stable_since = 0.0
     for start, stop in sorted(unstable):
@@ -149,7 +151,7 @@
 
 
 def check_latency(history: History) -> list[str]:
-    """No request waits for longer than ACKNOWLEDGE_WITHIN_S while the core is stable."""
+    """Checks that no request waits longer than ACKNOWLEDGE_WITHIN_S while the core is stable."""
     violations: list[str] = []
     for start, end in stable_spans(history.unstable_spans, history.end, STABLE_AFTER_S):
         for operation in history.operations:
@@ -163,7 +165,7 @@
 
 
 def check_restart_times(history: History) -> list[str]:
-    """A request is acknowledged within RESTART_WITHIN_S of the moment when all machines are up again."""
+    """Checks that a request is acknowledged within RESTART_WITHIN_S of all machines being up again."""
     violations: list[str] = []
     for restart in history.total_restarts:
         until = restart + RESTART_WITHIN_S
--- a/shedgrade/simulation/clients.py
+++ b/shedgrade/simulation/clients.py
@@ -1,7 +1,7 @@
-"""Clients of the control state: operators that race, one that raises a counter, readers.
+"""Simulated clients of the control state: competing operators, a counter client, readers.
 
-Each has one operation at a time, and sends it again unchanged, to one machine after the other, until its
-outcome is clear.
+Each client has one operation at a time, and sends it unchanged to one machine after the other until its
+outcome is definite.
 """
 
 from __future__ import annotations
@@ -16,23 +16,23 @@
     from shedgrade.simulation.cluster import SimulatedCluster
     from shedgrade.simulation.machine import Machine
 
-REQUEST_DELAY_S = 0.001
+REQUEST_DELAY_S = 0.001  # one way between a client and a machine
 ATTEMPT_TIMEOUT_S = 1.0
 FIRST_BACKOFF_S = 0.05
 LONGEST_BACKOFF_S = 0.5
 BACKOFF_FACTOR = 1.6
 MOST_REDIRECTS = 2
-SAME_MACHINE_SHARE = 0.6  # of operations that go to the machine that completed the last one
+SAME_MACHINE_SHARE = 0.6  # share of operations first sent to the machine that completed the last one
 
 
 class Client:
-    """Sends one operation at a time.
+    """A client that runs one operation at a time.
 
     Attributes:
-        current: the operation under way, None between two.
-        attempt: number of the attempt under way; answers to earlier ones are ignored.
-        backoff_s: until the next retry, seconds.
-        last_machine: the one that completed the last operation.
+        current: the operation in progress; None between two operations.
+        attempt: number of the current attempt; answers to earlier attempts are ignored.
+        backoff_s: delay before the next retry, seconds.
+        last_machine: the machine that completed the last operation.
         stopped: no further operation is begun.
     """
 
@@ -46,15 +46,15 @@
         self.stopped = False
 
     def next(self) -> None:
-        """Begins the next operation, unless the client is stopped."""
+        """Begins the next operation unless the client is stopped."""
         raise NotImplementedError
 
     def completed(self, operation: Operation, machine: Machine) -> None:
-        """An operation has completed; the next one is to be scheduled."""
+        """Handles a completed operation; must schedule or begin the next one."""
         raise NotImplementedError
 
     def begin(self, request: Request | None) -> None:
-        """Invokes an operation; None is a read."""
+        """Invokes an operation, a read if `request` is None."""
         self.current = Operation(request, self.cluster.clock.now)
         self.cluster.history.operations.append(self.current)
         self.backoff_s = FIRST_BACKOFF_S
@@ -66,7 +66,7 @@
             self.send(self.cluster.random.choice(machines))
 
     def send(self, machine: Machine, redirects: int = 0) -> None:
-        """One attempt of the operation under way."""
+        """Sends one attempt of the current operation. `redirects`: number of redirects followed so far."""
         operation = self.current
         if operation is None:
             return
@@ -91,12 +91,12 @@
         clock.after(ATTEMPT_TIMEOUT_S, self.attempt_timed_out, attempt, machine)
 
     def attempt_timed_out(self, attempt: int, machine: Machine) -> None:
-        """There was no answer in time."""
+        """Retries an attempt that wasn't answered within the time-out."""
         if attempt == self.attempt and self.current is not None:
             self.retry(machine)
 
     def answered(self, operation: Operation, machine: Machine, outcome: object, redirects: int) -> None:
-        """A machine has answered the attempt under way."""
+        """Handles a machine's answer to the current attempt."""
         if isinstance(outcome, RedirectToPrimary):
             target = self.cluster.by_address.get(outcome.address)
             if target is not None and redirects < MOST_REDIRECTS:
@@ -115,7 +115,7 @@
         self.completed(operation, machine)
 
     def retry(self, machine: Machine) -> None:
-        """After a growing backoff the operation is sent to another machine."""
+        """Schedules another attempt at a different machine after an exponential backoff."""
         self.attempt += 1
         others = [each for each in self.cluster.machines if each is not machine] or [machine]
         self.backoff_s = min(self.backoff_s * BACKOFF_FACTOR, LONGEST_BACKOFF_S)
@@ -123,22 +123,22 @@
         self.cluster.clock.after(self.backoff_s, self.send_retry, self.attempt, target)
 
     def send_retry(self, attempt: int, machine: Machine) -> None:
-        """Sends the retry, unless the operation has gone on meanwhile."""
+        """Sends a scheduled retry unless the operation has completed or was sent again meanwhile."""
         if attempt == self.attempt:
             self.send(machine)
 
     def schedule_next(self, factor: float = 1.0) -> None:
-        """The next operation begins after a random pause of `factor` times the cluster's pace at most."""
+        """Schedules the next operation after a random pause of at most `factor` times the cluster's pace."""
         self.cluster.clock.after(factor * self.cluster.pace * self.cluster.random.random(), self.next)
 
 
 class OperatorClient(Client):
-    """Puts configurations on top of the newest version that it knows, and reads after a conflict."""
+    """Puts configurations based on the newest version it knows, and reads the state after a conflict."""
 
     known_version = 0
 
     def next(self) -> None:
-        """Puts the next configuration."""
+        """Puts the next configuration, unless the client is stopped."""
         if self.stopped:
             return
         cluster = self.cluster
@@ -147,7 +147,7 @@
         self.begin(Put(self.known_version, version, f"{self.name}{cluster.payloads}"))
 
     def completed(self, operation: Operation, machine: Machine) -> None:
-        """Takes in the version that the operation has set or read."""
+        """Records the version that the operation has set or read; reads the state after a conflict."""
         if isinstance(operation.request, Put) and operation.outcome == OK:
             self.known_version = operation.request.version
             self.cluster.acknowledged(machine)
@@ -160,30 +160,30 @@
 
 
 class CounterClient(Client):
-    """Raises the counter step by step."""
+    """Raises the counter by one with each operation."""
 
     number = 0
 
     def next(self) -> None:
-        """Raises the counter by one."""
+        """Raises the counter, unless the client is stopped."""
         if not self.stopped:
             self.number += 1
             self.begin(Count(self.number))
 
     def completed(self, operation: Operation, machine: Machine) -> None:
-        """Goes on after twice the usual pause."""
+        """Schedules the next operation after up to twice the usual pause."""
         self.cluster.acknowledged(machine)
         self.schedule_next(2)
 
 
 class ReaderClient(Client):
-    """Reads again and again."""
+    """Reads the state repeatedly."""
 
     def next(self) -> None:
-        """Reads once more."""
+        """Reads the state, unless the client is stopped."""
         if not self.stopped:
             self.begin(None)
 
     def completed(self, operation: Operation, machine: Machine) -> None:
-        """Goes on after the usual pause."""
+        """Schedules the next read after the usual pause."""
         self.schedule_next()
--- a/shedgrade/simulation/clock.py
+++ b/shedgrade/simulation/clock.py
@@ -1,4 +1,4 @@
-"""Virtual time: events in order of their time; nothing waits in real time."""
+"""Virtual time: a scheduler that runs events in order of time, without waiting in real time."""
 
 from __future__ import annotations
 
@@ -8,7 +8,7 @@
 
 
 class ScheduledEvent(NamedTuple):
-    """One callback in the event heap. `sequence` breaks ties, so two events are never compared further."""
+    """One callback in the event heap. `sequence` breaks ties, so callbacks are never compared."""
 
     time: float
     sequence: int
@@ -17,12 +17,12 @@
 
 
 class Scheduler:
-    """Runs callbacks at their time; equal times in the order in which they were scheduled.
+    """Runs callbacks at their virtual time; those with equal times in the order they were scheduled.
 
     Attributes:
         now: virtual time in seconds; never decreases.
         heap: events that have not run yet.
-        count: events that were ever scheduled.
+        count: number of events scheduled so far.
     """
 
     def __init__(self) -> None:
@@ -31,7 +31,7 @@
         self.count = 0
 
     def at(self, time: float, callback: Callable[..., object], *args: object) -> None:
-        """Schedules `callback(*args)` at `time` (s); at the present time if that is past."""
+        """Schedules `callback(*args)` at virtual time `time`, in seconds, or now if that time is past."""
         self.count += 1
         heappush(self.heap, ScheduledEvent(max(time, self.now), self.count, callback, args))
 
@@ -40,7 +40,7 @@
         self.at(self.now + delay, callback, *args)
 
     def run(self, until: float) -> None:
-        """Runs all events up to virtual time `until` (s), also those that are scheduled meanwhile."""
+        """Runs all events up to virtual time `until`, in seconds, including those scheduled on the way."""
         heap = self.heap
         while heap and heap[0][0] <= until:
             self.now, _, callback, args = heappop(heap)
--- a/shedgrade/simulation/cluster.py
+++ b/shedgrade/simulation/cluster.py
@@ -1,4 +1,4 @@
-"""A core in virtual time: machines, links, clients, faults by seed, and the check of what was observed."""
+"""A simulated core: machines, links, clients and faults in virtual time, and the check of its history."""
 
 from __future__ import annotations
 
@@ -16,31 +16,33 @@
 from shedgrade.simulation.network import Network
 from shedgrade.simulation.register import Request, decide
 
-START_WITHIN_S = 0.3  # all machines
-FAST_LINK = 4_000_000.0  # bytes a second
-RECOVERY_S = 12.0  # after the last fault, in which clients go on
-LAST_OPERATIONS_S = 6.0  # for operations that are under way when clients stop
-FINAL_READ_S = 3.0
+START_WITHIN_S = 0.3  # time within which all machines start
+FAST_LINK = 4_000_000.0  # bytes per second
+RECOVERY_S = 12.0  # time after the last fault in which clients continue
+LAST_OPERATIONS_S = 6.0  # time for operations in progress when clients are stopped
+FINAL_READ_S = 3.0  # time for the read after that
 
 
 class SimulatedCluster:
-    """One run: 2 * `tolerated` + 1 machines, three of them seeds, and at times spare ones.
+    """One run: 2 * `tolerated` + 1 machines, three of which are seeds, and in some runs spare machines.
 
     Attributes:
-        tolerated: machines lost at once that every promise outlives.
-        profile: "calm" injects no faults; "fair" keeps losses within what is tolerated and checks times;
-            "storm" cuts and kills without bound, wipes nothing, and checks safety only; in "deaths" the
-            primary dies again and again; "members" loses disks and machines, and others as soon as the first
-            count again.
-        bounded: losses stay within what is tolerated.
-        split: a storm of partitions alone.
-        length: seconds of virtual time with faults.
-        trace: events are printed; "messages": all messages too.
-        padding: bytes by which a configuration is longer than its payload.
-        pace: mean pause between two operations of a client is half of it, seconds.
-        machines: those that exist now; a replaced machine is removed.
-        machines_made, payloads, tickets: how many were ever made, to number the next.
-        on_acknowledged: called once, with the machine that acknowledges the next change.
+        tolerated: number of machines that may be lost at once without any guarantee being broken.
+        profile: "calm" injects no faults; "fair" limits losses to the tolerated number and checks time
+            limits; "storm" has unlimited partitions and crashes, but wipes no disk, and checks safety only;
+            "deaths" kills the primary repeatedly; "members" loses disks and machines, and others as soon as
+            the first have caught up.
+        bounded: whether losses stay within the tolerated number.
+        split: whether faults are mostly partitions, as in some storms.
+        length: virtual time with faults, seconds.
+        trace: True prints events; "messages" prints all messages too.
+        padding: bytes appended to the payload of each configuration.
+        pace: maximum pause of a client between two operations, seconds; drawn uniformly.
+        machines: the machines that exist now; a replaced machine is removed.
+        machines_made: number of machines created so far; numbers the next.
+        payloads: number of payloads so far; numbers the next.
+        tickets: number of requests submitted so far; numbers the next.
+        on_acknowledged: called once with the machine that acknowledges the next change.
     """
 
     def __init__(
@@ -52,8 +54,10 @@
         length: float = 20.0,
         trace: bool | str = False,
     ) -> None:
-        """Draws the run's links, disks and timing from the seed. The order of the draws is fixed: a seed
-        stands for the same history for good."""
+        """Draws the run's links, disks and timing from the seed.
+
+        The order of the draws is fixed, so that a seed always gives the same history.
+        """
         self.seed = seed
         self.random = Random(seed)
         self.clock = Scheduler()
@@ -67,7 +71,7 @@
         self.network = self.draw_network()
         self.padding = self.random.choice((0, 0, 0, 0, 0, 20_000, 100_000, 300_000))
         if profile == "members" and self.padding >= 100_000 and self.network.bandwidth:
-            # Half of catchUpS is the goal where a whole state is transferred in a tenth of a second.
+            # Half of `catchUpS` is the limit for links that transfer a whole state within 0.1 s.
             self.network.bandwidth = FAST_LINK
         self.decide: Callable[[Mapping[str, bytes], Request], Decision] = (
             self.decide_padded if self.padding else decide
@@ -94,10 +98,10 @@
         ]
         self.on_acknowledged: Callable[[Machine], None] | None = None
 
-    # --- what is drawn
+    # --- draws
 
     def draw_network(self) -> Network:
-        """Links with drawn delays; in some storms they lose and duplicate messages."""
+        """Draws the delays and bandwidth of the links; in some storms they lose and duplicate messages."""
         draw = self.random
         between_s = draw.choice((0.0005, 0.02, 0.035, 0.055))
         lossy = draw.random() < (0.6 if self.profile == "storm" else 0.0)
@@ -113,7 +117,7 @@
         )
 
     def add_first_machines(self) -> None:
-        """The machines of the core, and at times some more than it has places for."""
+        """Adds the machines of the core, and in some runs more than it has places for."""
         storm = self.profile == "storm"
         sync_s = self.random.choice((0.002, 0.005, 0.03, 0.08)[: 4 if storm else 3])
         for at in range(2 * self.tolerated + 1):
@@ -123,7 +127,7 @@
             self.add(f"r{at}", f"10.{at + 1}.0.99:7300", sync_s)
 
     def draw_timing(self) -> Timing:
-        """Time-outs of the members in a storm: no safety property may depend on them."""
+        """Draws the members' time-outs in a storm: no safety property may depend on them."""
         draw = self.random
         silent, deaf = draw.choice(((0.6, 0.8), (0.6, 6.0), (3.0, 6.0))[2 * self.split :])
         return Timing(
@@ -135,10 +139,10 @@
             election_stagger_s=draw.choice((0.0, 0.15)),
         )
 
-    # --- what machines and clients use
+    # --- used by machines and clients
 
     def decide_padded(self, state: Mapping[str, bytes], request: Request) -> Decision:
-        """As `register.decide`, with a longer configuration."""
+        """Decides as `register.decide` does, with padding appended to the configuration."""
         decision = decide(state, request)
         configuration = decision.changes.get("configuration")
         if configuration is not None:
@@ -146,10 +150,10 @@
         return decision
 
     def add(self, region: str, address: str, sync_s: float) -> Machine:
-        """A new machine with an empty disk, whose writes take `sync_s` on average. It is not started."""
+        """Adds a machine with an empty disk and a mean write time of `sync_s`, without starting it."""
         self.machines_made += 1
         machine = Machine(self, f"m{self.machines_made}", address, region)
-        if self.clock.now:  # the operators' list as it stands when this machine's settings are written
+        if self.clock.now:  # the seeds in its settings are the first machines of that time
             machine.seeds = tuple(each.address for each in self.machines[:3])
         machine.sync_s = machine.usual_sync_s = sync_s
         self.machines.append(machine)
@@ -158,7 +162,7 @@
         return machine
 
     def deliver(self, sender: str, receiver: str, message: Message) -> None:
-        """A message arrives at an address, if a machine has it."""
+        """Delivers a message to the machine at the address `receiver`, if there is one."""
         machine = self.by_address.get(receiver)
         if machine is not None:
             if self.trace == "messages":
@@ -166,13 +170,13 @@
             machine.receive(sender, message)
 
     def log(self, event: str, subject: str = "") -> None:
-        """Adds a line to the trace."""
+        """Appends an event to the trace."""
         self.history.events.append(LoggedEvent(self.clock.now, event, subject))
         if self.trace:
             print(f"{self.clock.now:8.3f} {event} {subject}")
 
     def acknowledged(self, machine: Machine) -> None:
-        """A machine has acknowledged a change; some faults are injected right then."""
+        """Handles the acknowledgement of a change: injects the fault scheduled for it, if any."""
         if self.on_acknowledged is not None:
             inject, self.on_acknowledged = self.on_acknowledged, None
             inject(machine)
@@ -184,7 +188,7 @@
         return check(self.play(), self.profile != "storm")
 
     def play(self) -> History:
-        """The whole run: start, faults, recovery, a final read."""
+        """Plays the whole run: start, faults, recovery, a final read."""
         self.schedule_start()
         self.schedule_faults()
         self.clock.run(self.length)
@@ -195,14 +199,14 @@
         return self.history
 
     def schedule_start(self) -> None:
-        """Machines start within START_WITHIN_S, clients a little later."""
+        """Schedules the start of machines within START_WITHIN_S, and of clients between 0.5 s and 1 s."""
         for machine in self.machines:
             self.clock.at(START_WITHIN_S * self.random.random(), machine.start, True)
         for client in self.clients:
             self.clock.at(0.5 + 0.5 * self.random.random(), client.next)
 
     def schedule_faults(self) -> None:
-        """The first faults of the profile; each schedules the next."""
+        """Schedules the first fault of the profile; each schedules the next."""
         spans = self.history.unstable_spans
         spans.append(TimeSpan(0.0, START_WITHIN_S))
         if (self.bounded or self.profile == "storm") and self.random.random() < 0.3:
@@ -211,12 +215,12 @@
             self.clock.at(4.0, self.fault_schedule.kill_primary_repeatedly)
         elif self.profile != "calm":
             first = 2.0
-            if self.bounded:  # new machines count as lost until then
+            if self.bounded:  # new machines count as lost until they have caught up
                 first = max(end for _, end in spans) + CATCH_UP_S + 3 * self.random.random()
             self.clock.at(first, self.fault_schedule.next)
 
     def stop_clients(self) -> None:
-        """Clients complete what is under way, and begin nothing more."""
+        """Stops the clients and runs until their operations in progress should have completed."""
         for client in self.clients:
             client.stopped = True
         self.clock.run(self.clock.now + LAST_OPERATIONS_S)
@@ -224,14 +228,14 @@
         for client in self.clients:
             if client.current is not None:
                 self.history.violations.append(
-                    f"{client.name} still waits at the end for {client.current.request}"
+                    f"{client.name} still waits for {client.current.request} at the end"
                 )
 
     def final_read(self) -> None:
-        """One more read, after which the whole history is known."""
+        """Plays one more read, after which the checkers know the whole history."""
         reader = ReaderClient(self, "z")
         reader.stopped = True
         reader.begin(None)
         self.clock.run(self.clock.now + FINAL_READ_S)
         if reader.current is not None:
-            self.history.violations.append("no read at the end")
+            self.history.violations.append("no read completed at the end")
--- a/shedgrade/simulation/crash_enumeration.py
+++ b/shedgrade/simulation/crash_enumeration.py
@@ -1,4 +1,4 @@
-"""Changes of a replica's store, and what each loss of power among them may leave, by enumeration."""
+"""Plays changes of a replica's store and checks, by enumeration, its recovery from each loss of power."""
 
 from __future__ import annotations
 
@@ -22,7 +22,7 @@
 
 
 def change_of(number: int) -> dict[str, bytes | None]:
-    """Change `number` from 1 on. Each names its position in two keys, so that a mix of two is seen."""
+    """Returns change `number`, from 1 on. Two keys hold its number, which reveals a mix of two states."""
     changes: dict[str, bytes | None] = {
         "state/version": b"%d" % number,
         "replication/place": b"%d" % number,
@@ -36,7 +36,7 @@
 
 
 def expected_states(changes: int) -> list[dict[str, bytes]]:
-    """The whole map after each change; the first is empty."""
+    """Returns the whole map after each change; the first is the empty map before any."""
     found: list[dict[str, bytes]] = [{}]
     for number in range(1, changes + 1):
         values = dict(found[-1])
@@ -46,23 +46,24 @@
 
 
 def described(image: CrashImage) -> str:
-    """Where a crash struck, for a finding."""
+    """Returns the operation before which a crash happened, and the number of acknowledged changes."""
     return f"{image.operation}, {image.step} acknowledged"
 
 
 def open_store(files: SimulatedFiles) -> Store:
-    """The program's own store on simulated files."""
+    """Returns the program's own store on simulated files."""
     return Store("simulated", files=files)
 
 
 @dataclass
 class CrashReport:
-    """What was played and found.
+    """The number of crashes that were played, and the violations found.
 
     Attributes:
-        violations: as text.
-        first: losses of power that were played; `second`: those in the recovery from one.
-        deaths: of the process alone, each with a start and then a loss of power.
+        violations: descriptions of the violations.
+        first: number of losses of power during the changes.
+        second: number of losses of power during the recovery from another.
+        deaths: number of process crashes, each followed by a start and a loss of power.
     """
 
     violations: list[str] = field(default_factory=list)
@@ -72,10 +73,11 @@
 
 
 class CrashEnumeration:
-    """Each operation on files of `changes` changes and some restarts is a crash point.
+    """Plays `changes` changes with some restarts; each operation on files is a crash point.
 
-    Each `second_every`-th content that a first loss leaves has a second loss at every operation of the start
-    after it. `make_store(files)` opens the store under test."""
+    For each `second_every`-th content that a first power loss leaves, also plays a second loss at every
+    operation of the following start. `make_store(files)` opens the store under test.
+    """
 
     def __init__(
         self, changes: int, second_every: int, make_store: Callable[[SimulatedFiles], Store] = open_store
@@ -87,7 +89,7 @@
         self.report = CrashReport()
 
     def play(self, to_first_finding: bool = False) -> CrashReport:
-        """Plays all crash points, or up to the first finding."""
+        """Plays all crash points, or stops at the first finding."""
         checked: set[tuple[int, int]] = set()
         for image in self.record():
             if any(file.pending for file in image.files.values()):
@@ -104,7 +106,7 @@
         return self.report
 
     def play_second(self, contents: Contents, step: int) -> None:
-        """Power is lost again at each operation of the recovery from the first loss."""
+        """Plays a second loss of power at each operation of the recovery from the first."""
         checked: set[tuple[int, int]] = set()
         disk = disk_with(contents)
         recorder = Recorder(disk)
@@ -118,7 +120,7 @@
                     self.check(left, image, "second loss")
 
     def play_death(self, image: CrashImage) -> None:
-        """The process ends and another starts: what that one reads is there after each loss of power."""
+        """Plays a process crash: what the next start reads must survive any loss of power during it."""
         self.report.deaths += 1
         disk = disk_at(image)
         loaded = self.make_store(disk.files).load()
@@ -129,14 +131,14 @@
                 found = self.make_store(disk_with(contents).files).load()
                 if found.values != loaded.values:
                     self.report.violations.append(
-                        f"death before {described(image)}: what a start read is gone after a loss of power"
+                        f"process crash before {described(image)}: state read at the start is lost with power"
                     )
         finding = self.state_finding(loaded, image.step)
         if finding:
-            self.report.violations.append(f"death before {described(image)}: {finding}")
+            self.report.violations.append(f"process crash before {described(image)}: {finding}")
 
     def record(self) -> list[CrashImage]:
-        """An image before each operation; `step` is the number of changes acknowledged by then."""
+        """Plays the changes; returns an image before each operation, whose `step` counts changes so far."""
         disk = SimulatedDisk(Random(0))
         recorder, store = Recorder(disk), self.make_store(disk.files)
         store.load()
@@ -146,36 +148,36 @@
                 store.load()
             store.write(change_of(number))
             recorder.step = number
-        disk.files.sync_folder()  # a last image, after all
+        disk.files.sync_folder()  # records an image after the last change
         return recorder.stop()
 
     def check(self, contents: Contents, image: CrashImage, loss: str) -> None:
-        """Adds what is wrong with the state that is found after a loss."""
+        """Adds a violation if the state found after a loss is wrong."""
         finding = self.finding(contents, image.step)
         if finding:
             self.report.violations.append(f"{loss} before {described(image)}: {finding}")
 
     def finding(self, contents: Contents, step: int) -> str | None:
-        """What is wrong with the state that a start finds there, reads and keeps; None if nothing."""
+        """Returns what is wrong with the state that two successive starts find, or None."""
         disk = disk_with(contents)
         found = self.make_store(disk.files).load()
         finding = self.state_finding(found, step)
         if finding or found.state is not StoreState.SOUND:
             return finding
         again = self.make_store(disk.files).load()
-        return None if again.values == found.values else "a second start finds another state"
+        return None if again.values == found.values else "a second start finds a different state"
 
     def state_finding(self, found: LoadResult, step: int) -> str | None:
-        """What is wrong with a found state: it must be the last acknowledged one or the next."""
+        """Returns what is wrong with a state, or None. It must be the last acknowledged or the next one."""
         if found.state is not StoreState.SOUND:
             return None if step == 0 and not found.values else f"{found.state}"
         if found.values in self.expected[step : step + 2]:
             return None
-        return f"found {found.values.get('state/version')!r}, or a mix"
+        return f"found version {found.values.get('state/version')!r}, or a mix of two states"
 
 
 def add_if_new(checked: set[tuple[int, int]], step: int, contents: Contents) -> bool:
-    """Whether these contents were not checked yet after `step` acknowledged changes."""
+    """Adds the contents after `step` acknowledged changes to `checked`; returns whether they are new."""
     known = len(checked)
     checked.add((step, hash(tuple(sorted(contents.items())))))
     return len(checked) > known
--- a/shedgrade/simulation/crash_points.py
+++ b/shedgrade/simulation/crash_points.py
@@ -1,9 +1,8 @@
-"""Power losses by enumeration: at every operation of a run on a simulated disk, all that may be left.
+"""Enumeration of power losses: all contents that a loss at any operation of a simulated disk may leave.
 
-A `CrashImage` is what a disk holds for certain and what is still in doubt at one moment. `survivors` lists
-the contents that a power loss at that moment may leave: each later write and change of length present,
-missing or torn, whatever became of the others; each file that was made without a sync of it and of its folder
-kept or lost by itself.
+A `CrashImage` is the durable and the uncertain content of a disk at one moment. `survivors` lists the
+contents that a power loss at that moment may leave: each unsynced write or change of length is independently
+present, missing or torn; each new file that wasn't synced along with its folder is kept or lost.
 """
 
 from __future__ import annotations
@@ -18,13 +17,18 @@
 
 Contents = dict[str, bytes]
 Outcome = list[Change]  # the parts of a pending change that reach the disk
-MOST_COMBINATIONS = 4_096  # of the changes in doubt of one file; a store that syncs each write has far fewer
+MOST_COMBINATIONS = 4_096  # of the pending changes of one file; a store that syncs each write has far fewer
 
 
 @dataclass(frozen=True, slots=True)
 class FileImage:
-    """`pending`: writes (offset, data) and changes of length (length, None) since the last sync, in order.
-    `certain`: the file itself stays."""
+    """One file at the moment of a crash.
+
+    Attributes:
+        durable: content that is certain to survive.
+        pending: writes (offset, data) and changes of length (length, None) since the last sync, in order.
+        certain: whether the file itself is certain to survive.
+    """
 
     durable: bytes
     pending: tuple[Change, ...]
@@ -33,7 +37,13 @@
 
 @dataclass(frozen=True, slots=True)
 class CrashImage:
-    """The files of a disk before one operation. `step`: whatever the run says of its progress."""
+    """The files of a disk before one operation.
+
+    Attributes:
+        files: the files by name.
+        operation: the operation that follows.
+        step: progress of the run, as set in `Recorder.step`.
+    """
 
     files: dict[str, FileImage]
     operation: str
@@ -41,7 +51,7 @@
 
 
 class Recorder:
-    """Takes an image before each operation that changes the disk."""
+    """Records an image before each operation that changes the disk."""
 
     def __init__(self, disk: SimulatedDisk) -> None:
         self.disk = disk
@@ -50,7 +60,7 @@
         disk.on_operation = self.record_image
 
     def record_image(self, operation: str, name: str) -> None:
-        """Called by the disk before each operation."""
+        """Records an image; the disk calls this before each operation."""
         files = {
             each: FileImage(bytes(file.durable), tuple(file.pending), file.is_certain)
             for each, file in self.disk.files_by_name.items()
@@ -58,20 +68,20 @@
         self.images.append(CrashImage(files, operation, self.step))
 
     def stop(self) -> list[CrashImage]:
-        """Takes no more images, and returns those that were taken."""
+        """Ends the recording, and returns the recorded images."""
         self.disk.on_operation = None
         return self.images
 
 
 def survivors(image: CrashImage) -> Iterator[Contents]:
-    """All different contents of the folder that a power loss may leave."""
+    """Yields all distinct contents of the folder that a power loss may leave."""
     names = list(image.files)
     for chosen in product(*(contents_of(image.files[name]) for name in names)):
         yield {name: content for name, content in zip(names, chosen, strict=True) if content is not None}
 
 
 def contents_of(file: FileImage) -> list[bytes | None]:
-    """All different contents that a power loss may leave of one file; None: the file is gone."""
+    """Returns all distinct contents that a power loss may leave in a file; None: the file is gone."""
     found: dict[bytes | None, None] = {} if file.certain else {None: None}
     for parts in combinations([outcomes_of(*change) for change in file.pending]):
         content = bytearray(file.durable)
@@ -83,11 +93,15 @@
 
 
 def combinations(choices: list[list[Outcome]]) -> Iterator[tuple[Outcome, ...]]:
-    """Every combination; of too many, those in which one differs from the others, all complete or gone."""
+    """Yields every combination of one outcome per change.
+
+    If there are more than MOST_COMBINATIONS, yields only those in which one change has any outcome and all
+    others are complete, or all others are missing.
+    """
     if prod(len(each) for each in choices) <= MOST_COMBINATIONS:
         yield from product(*choices)
         return
-    for others in (0, 1):  # complete, missing
+    for others in (0, 1):  # index in each list of outcomes: complete, missing
         for at, outcomes in enumerate(choices):
             for outcome in outcomes:
                 yield tuple(
@@ -96,7 +110,7 @@
 
 
 def outcomes_of(offset: int, data: bytes | None) -> list[Outcome]:
-    """What may become of one pending change: parts of it that reach the disk."""
+    """Returns the possible outcomes of one pending change: first complete, then missing, then torn ones."""
     complete: Outcome = [(offset, data)]
     if data is None:
         return [complete, []]
@@ -112,7 +126,7 @@
 
 
 def disk_at(image: CrashImage) -> SimulatedDisk:
-    """The disk at that moment, as a process finds it that starts after the death of the one before."""
+    """Returns the disk as a process finds it that starts after its predecessor has crashed."""
     disk = SimulatedDisk(Random(0))
     for name, image_of_file in image.files.items():
         file = disk.files_by_name[name] = SimulatedFile()
@@ -125,7 +139,7 @@
 
 
 def disk_with(contents: Contents) -> SimulatedDisk:
-    """A disk after the power is back: all that is there is durable."""
+    """Returns a disk with these contents, all durable, as after a loss of power."""
     disk = SimulatedDisk(Random(0))
     files = disk.files
     for name, data in contents.items():
--- a/shedgrade/simulation/disk.py
+++ b/shedgrade/simulation/disk.py
@@ -1,8 +1,8 @@
-"""A simulated disk of one folder: what was synced, what was only written, and what a loss of power leaves.
+"""A simulated disk with one folder: synced data, unsynced data, and what remains after a loss of power.
 
-After a loss of power a file holds what its last sync covered; each later write, and each later change of
-length, is there, missing or torn, whatever became of the others. A new name lasts once it has its own sync
-and the folder has been synced, in any order; else it may be gone. A process that ends takes nothing with it.
+After a loss of power a file holds what its last sync covered; each later write or change of length is
+independently present, missing or torn. The name of a new file is durable once the file and the folder have
+both been synced, in any order; before that the file may be gone. The end of a process loses nothing.
 """
 
 import errno
@@ -10,20 +10,21 @@
 from collections.abc import Callable
 from random import Random
 
-Change = tuple[int, bytes | None]  # a write (offset, data), or a new length (length, None)
+Change = tuple[int, bytes | None]  # a write (offset, data), or a change of length (new length, None)
 SectorWrite = tuple[int, bytes]  # (offset, data)
-SECTOR = 512  # bytes that a torn write keeps or loses together
+SECTOR = 512  # bytes; a torn write keeps or loses each sector as a whole
 
 
 class SimulatedFile:
-    """One file, as the page cache and the disk have it.
+    """One file, as it is in the page cache and on the disk.
 
     Attributes:
-        cache: what a read gives.
-        durable: what a loss of power is sure to leave.
-        pending: the changes in between, in order; `cache` is `durable` after all of them.
-        has_durable_contents: the file was synced since it was made.
-        has_durable_name: its folder was. Without both a loss of power may take the file itself.
+        cache: content returned by a read.
+        durable: content that is certain to survive a loss of power.
+        pending: unsynced changes, in order; applied to `durable` they give `cache`.
+        has_durable_contents: whether the file was synced since it was created.
+        has_durable_name: whether the folder was synced since then. Unless both are true, a loss of power may
+            remove the file.
     """
 
     def __init__(self) -> None:
@@ -34,18 +35,18 @@
 
     @property
     def is_certain(self) -> bool:
-        """The file itself outlives a loss of power."""
+        """Whether the file is certain to exist after a loss of power."""
         return self.has_durable_name and self.has_durable_contents
 
     def check_invariants(self) -> None:
-        """AssertionError if `cache` isn't what the pending changes make of `durable`."""
+        """Raises AssertionError unless `durable` with the pending changes applied equals `cache`."""
         content = bytearray(self.durable)
         for change in self.pending:
             apply_change(content, change)
-        assert content == self.cache, "the cache differs from what is durable and pending"
+        assert content == self.cache, "cache differs from durable content with pending changes applied"
 
     def resolve_pending(self, random: Random) -> None:
-        """Each pending change is there, missing or torn."""
+        """Applies each pending change to the durable content fully, partly or not at all, at random."""
         for offset, data in self.pending:
             if data is None:
                 if random.random() < 0.5:
@@ -59,14 +60,18 @@
 class SimulatedDisk:
     """The files of one machine; they outlive its processes.
 
-    `full`: every write is refused (ENOSPC) as long as it is set.
-
     `on_operation(operation, name)` is called before each operation that changes something ("make", "write",
-    "truncate", "sync", "sync_folder") and may raise: an OSError, or anything that stands for the end of the
-    process. A write that is ended so has written any part; a sync that fails with an OSError leaves each
-    change in doubt for good, as the kernel does not try those again.
+    "truncate", "sync", "sync_folder"). It may raise an OSError, or any exception that stands for the end of
+    the process. A write that is interrupted by an exception has written a random prefix of its data. A sync
+    that fails with an OSError leaves each change durable, missing or torn for good, as the kernel does not
+    write those again.
 
-    `writes`, `bytes_written`, `syncs` count operations, for tests of a store's cost.
+    Attributes:
+        full: whether every write is refused with ENOSPC.
+        power_cycle: number of losses of power and replacements of the disk so far.
+        writes: number of writes, for tests of a store's cost.
+        bytes_written: number of bytes written, likewise.
+        syncs: number of syncs of files and of the folder, likewise.
     """
 
     def __init__(self, random: Random) -> None:
@@ -74,18 +79,18 @@
         self.files_by_name: dict[str, SimulatedFile] = {}
         self.full = False
         self.on_operation: Callable[[str, str], None] | None = None
-        self.power_cycle = 0  # counts the losses of power and exchanges of the disk
+        self.power_cycle = 0
         self.writes = 0
         self.bytes_written = 0
         self.syncs = 0
 
     @property
     def files(self) -> "SimulatedFiles":
-        """For one process; of no use to it after the next loss of power."""
+        """File operations for one process; they raise OSError after the next loss of power."""
         return SimulatedFiles(self)
 
     def power_loss(self, random: Random) -> None:
-        """Draws what becomes of changes that were not synced. One time in four, all of it is gone."""
+        """Resolves unsynced changes at random. With probability 1/4 all of them are lost."""
         self.power_cycle += 1
         nothing = random.random() < 0.25
         for name, file in list(self.files_by_name.items()):
@@ -99,37 +104,37 @@
             file.has_durable_name = file.has_durable_contents = True
 
     def wipe(self) -> None:
-        """The disk is another one, empty."""
+        """Replaces the disk by an empty one."""
         self.power_cycle += 1
         self.files_by_name.clear()
 
     def contents(self) -> dict[str, bytes]:
-        """All files as a read gives them."""
+        """Returns the contents of all files as a read would return them."""
         return {name: bytes(file.cache) for name, file in self.files_by_name.items()}
 
 
 class SimulatedFiles:
-    """Stands for `storage.files.Files`, whose methods it has. OSError once the machine has lost power."""
+    """File operations with the methods of `storage.files.Files`. Raise OSError after a loss of power."""
 
     def __init__(self, disk: SimulatedDisk) -> None:
         self.disk = disk
         self.power_cycle = disk.power_cycle
 
     def names(self) -> list[str]:
-        """Names of all files."""
+        """Returns the names of all files, sorted."""
         self.check_powered()
         return sorted(self.disk.files_by_name)
 
     def read(self, name: str) -> bytes:
-        """The whole content of a file. FileNotFoundError."""
+        """Returns the whole content of a file. Raises FileNotFoundError."""
         return bytes(self.file(name).cache)
 
     def make(self) -> None:
-        """Makes the folder, if it is not there."""
+        """Creates the folder if it doesn't exist."""
         self.before_change("make", "")
 
     def write(self, name: str, offset: int, data: bytes) -> None:
-        """Writes into the page cache; makes the file if it is not there. OSError if the disk is full."""
+        """Writes to the page cache; creates the file if needed. Raises OSError if the disk is full."""
         disk = self.disk
         if disk.full:
             self.check_powered()
@@ -143,7 +148,7 @@
         self.overwrite(name, offset, data)
 
     def overwrite(self, name: str, offset: int, data: bytes) -> None:
-        """What a write has changed in the page cache; nothing once power was lost meanwhile."""
+        """Applies a write to the page cache, unless power was lost since this object was created."""
         if self.power_cycle != self.disk.power_cycle:
             return
         file = self.disk.files_by_name.setdefault(name, SimulatedFile())
@@ -154,7 +159,7 @@
             overwrite(file.cache, offset, data)
 
     def truncate(self, name: str, size: int) -> None:
-        """Sets a file's length, bytes. FileNotFoundError; OSError if the disk is full."""
+        """Sets a file's length to `size` bytes. Raises FileNotFoundError, or OSError if the disk is full."""
         if self.disk.full:
             self.check_powered()
             raise OSError(errno.ENOSPC, os.strerror(errno.ENOSPC))
@@ -164,7 +169,7 @@
         set_length(file.cache, size)
 
     def sync(self, name: str) -> None:
-        """Makes a file's content durable."""
+        """Makes a file's content durable. Raises FileNotFoundError, or OSError if the sync fails."""
         file = self.file(name)
         try:
             self.before_change("sync", name)
@@ -185,36 +190,36 @@
         self.disk.syncs += 1
 
     def close(self) -> None:
-        """Nothing is lost by it."""
+        """Does nothing: no file is held open."""
 
     def file(self, name: str) -> SimulatedFile:
-        """A file by its name. FileNotFoundError."""
+        """Returns a file by name. Raises FileNotFoundError."""
         self.check_powered()
         if name not in self.disk.files_by_name:
             raise FileNotFoundError(errno.ENOENT, os.strerror(errno.ENOENT), name)
         return self.disk.files_by_name[name]
 
     def before_change(self, operation: str, name: str) -> None:
-        """Called before each operation that changes something; may raise what the test wants."""
+        """Called before each operation that changes something; raises whatever `on_operation` raises."""
         self.check_powered()
         if self.disk.on_operation is not None:
             self.disk.on_operation(operation, name)
 
     def check_powered(self) -> None:
-        """Guards against a process that goes on after its machine lost power: its files are not there."""
+        """Raises OSError if the machine has lost power since, so a process that runs on finds no files."""
         if self.power_cycle != self.disk.power_cycle:
             raise OSError(errno.EIO, os.strerror(errno.EIO))
 
 
 def overwrite(content: bytearray, offset: int, data: bytes) -> None:
-    """Puts `data` at `offset`, with zeros before it if the content is shorter."""
+    """Writes `data` at `offset`; fills any gap before it with zeros."""
     if len(content) < offset:
         set_length(content, offset)
     content[offset : offset + len(data)] = data
 
 
 def set_length(content: bytearray, size: int) -> None:
-    """Cuts the content to `size` bytes, or fills it up with zeros."""
+    """Truncates the content to `size` bytes, or extends it with zeros."""
     if size < len(content):
         del content[size:]
     else:
@@ -222,7 +227,7 @@
 
 
 def apply_change(content: bytearray, change: Change) -> None:
-    """Makes a pending change."""
+    """Applies a pending change to `content`."""
     offset, data = change
     if data is None:
         set_length(content, offset)
@@ -231,7 +236,7 @@
 
 
 def sectors_of(offset: int, data: bytes) -> list[SectorWrite]:
-    """A write cut at the bounds of sectors."""
+    """Splits a write at sector boundaries."""
     sectors: list[SectorWrite] = []
     start = 0
     while start < len(data):
@@ -242,7 +247,7 @@
 
 
 def torn_write(random: Random, offset: int, data: bytes) -> list[SectorWrite]:
-    """What became of one write: all, nothing, a first part, or any of its sectors."""
+    """Draws which parts of one write reach the disk: all, none, a prefix, or a random set of its sectors."""
     outcome = random.randrange(4)
     if outcome == 0:
         return [(offset, data)]
--- a/shedgrade/simulation/environment.py
+++ b/shedgrade/simulation/environment.py
@@ -1,4 +1,4 @@
-"""What a simulated machine needs of the run that it is part of."""
+"""The interface between a simulated machine and the run that it is part of."""
 
 from __future__ import annotations
 
@@ -15,17 +15,19 @@
 
 
 class CommitObserver(Protocol):
-    """Takes what members report as committed."""
+    """Records the states that members report as committed."""
 
     def record_committed(self, now: float, machine: Machine, committed: Committed) -> None:
-        """A machine's member reports a committed state at `now` (s)."""
+        """Records the committed state that a machine's member reports at `now`, in seconds."""
 
 
 class Environment(Protocol):
-    """The clock, links, disks' contents aside, that all machines of one run share.
+    """What all machines of one run share: clock, links, settings and the recorded history.
 
-    `tolerated`: machines lost at once that every promise outlives. `tickets`: requests that were ever
-    submitted, counted by the machines.
+    Attributes:
+        tolerated: number of machines that may be lost at once without any guarantee being broken.
+        timing: time-outs of the members.
+        tickets: number of requests submitted so far to any machine; numbers the next one.
     """
 
     tolerated: int
@@ -34,7 +36,7 @@
 
     @property
     def random(self) -> Random:
-        """The generator of the run's seed; all draws come from it, in a fixed order."""
+        """The random generator seeded for the run; all draws come from it, in a fixed order."""
 
     @property
     def clock(self) -> Scheduler:
@@ -46,7 +48,7 @@
 
     @property
     def history(self) -> CommitObserver:
-        """Where committed states are recorded."""
+        """The recorder of committed states."""
 
     @property
     def seeds(self) -> tuple[str, ...]:
@@ -54,11 +56,11 @@
 
     @property
     def member_class(self) -> type[Member]:
-        """The class under test."""
+        """The member class under test."""
 
     @property
     def decide(self) -> Callable[[Mapping[str, bytes], Any], Decision]:
-        """What a request makes of the state."""
+        """The function that decides what a request changes in the state, and its outcome."""
 
     def log(self, event: str, subject: str = "") -> None:
-        """Adds a line to the trace."""
+        """Appends an event to the trace."""
--- a/shedgrade/simulation/fault_injector.py
+++ b/shedgrade/simulation/fault_injector.py
@@ -1,4 +1,4 @@
-"""The base of all faults of a simulated core: which machines may be lost now, and faults that end."""
+"""Base class of a simulated core's faults: selects machines that may be lost, and ends temporary faults."""
 
 from __future__ import annotations
 
@@ -11,7 +11,7 @@
     from shedgrade.simulation.cluster import SimulatedCluster
     from shedgrade.simulation.machine import Machine
 
-CATCH_UP_S = 4.0  # after its return, until a machine counts again
+CATCH_UP_S = 4.0  # time after its return for which a machine counts as lost
 DURATIONS_S = (0.2, 0.6, 0.9, 1.2, 3.0, 6.0)
 
 
@@ -19,10 +19,10 @@
     """Keeps the faults of a run within what its profile allows.
 
     Attributes:
-        catch_up_s: seconds after its return for which a machine still counts as lost.
-        lost_until: virtual time until which a machine counts as lost, by its name; planned work that must
-            not meet another loss has entries of its own.
-        undo_calls: what ends the faults that last; each is called once.
+        catch_up_s: time after its return for which a machine still counts as lost, seconds.
+        lost_until: virtual time until which a machine counts as lost, by its name. Planned work that must
+            not coincide with another loss has entries of its own.
+        undo_calls: functions that end the temporary faults; each is called once.
         stopped: no further fault is injected.
     """
 
@@ -32,23 +32,25 @@
         self.random = cluster.random
         self.catch_up_s = CATCH_UP_S
         if cluster.profile == "members":
-            # The promise must hold again after half of the operators' `catchUpS`; a repair that another
-            # tolerated loss delays may take three quarters of it.
+            # After half of the operators' `catchUpS` another loss must be tolerated again; a repair delayed
+            # by another tolerated loss may take three quarters of it.
             self.catch_up_s *= 0.5 if cluster.tolerated == 1 else 0.75
         self.lost_until: dict[str, float] = {}
         self.undo_calls: list[Callable[[], None]] = []
         self.stopped = False
 
-    # --- what may be lost
+    # --- losses
 
     def lost_machines(self) -> set[str]:
-        """Names of the machines that count as lost now."""
+        """Returns the names of the machines that count as lost now."""
         now = self.clock.now
         return {name for name, until in self.lost_until.items() if until > now}
 
     def pick_machine(self, preferred: Machine | None = None) -> Machine | None:
-        """A machine that may be lost now, `preferred` if it may, else half of the time the primary; None if
-        no machine may be lost."""
+        """Returns a machine that may be lost now, or None.
+
+        Returns `preferred` if it may be lost. Otherwise draws one, with probability 1/2 from the primaries.
+        """
         cluster = self.cluster
         lost = self.lost_machines()
         free = [machine for machine in cluster.machines if machine.name not in lost and machine.up]
@@ -60,24 +62,24 @@
         return self.random.choice(primaries if primaries and self.random.random() < 0.5 else free)
 
     def mark_lost(self, machine: Machine, seconds: float) -> None:
-        """A machine is lost for `seconds`, and counts as lost until it has caught up."""
+        """Records the loss of a machine for `seconds`; it then counts as lost until it has caught up."""
         now = self.clock.now
         until = now + seconds + self.catch_up_s
         self.lost_until[machine.name] = max(self.lost_until.get(machine.name, 0.0), until)
         self.cluster.history.unstable_spans.append(TimeSpan(now, now + seconds))
 
     def may_lose_several(self) -> bool:
-        """Whether a fault of several machines is allowed now."""
+        """Returns whether a fault of several machines is allowed now."""
         return not (self.cluster.bounded and self.lost_machines())
 
-    # --- faults that last
+    # --- temporary faults
 
     def random_duration(self) -> float:
-        """Seconds that a fault lasts."""
+        """Draws the duration of a fault, seconds."""
         return self.random.choice(DURATIONS_S) * (0.5 + self.random.random())
 
     def undo_after(self, seconds: float, undo: Callable[[], object]) -> None:
-        """Calls `undo` once, after the time or when all faults end."""
+        """Calls `undo` once, after `seconds` or when all faults end."""
 
         def once() -> None:
             if once in self.undo_calls:
@@ -88,7 +90,7 @@
         self.clock.after(seconds, once)
 
     def end_all(self) -> None:
-        """All faults end, and every machine is up."""
+        """Ends all faults, and starts every machine that is down."""
         self.stopped = True
         now = self.clock.now
         cluster = self.cluster
@@ -99,4 +101,4 @@
             machine.start()
         spans = [TimeSpan(start, min(end, now)) for start, end in cluster.history.unstable_spans]
         cluster.history.unstable_spans = [*spans, TimeSpan(now, now + 0.001)]
-        cluster.log("healed")
+        cluster.log("all faults ended")
--- a/shedgrade/simulation/fault_schedule.py
+++ b/shedgrade/simulation/fault_schedule.py
@@ -1,4 +1,4 @@
-"""When faults are injected into a simulated core, drawn by seed."""
+"""The schedule of faults injected into a simulated core, drawn from the seed."""
 
 from __future__ import annotations
 
@@ -86,7 +86,12 @@
 
 @dataclass(frozen=True, slots=True)
 class FaultMix:
-    """The faults of a profile, each as likely as it is listed, and the mean gaps between two (s)."""
+    """The faults that a profile injects.
+
+    Attributes:
+        faults: the faults to draw from; one that is listed twice is twice as likely.
+        gaps_s: the mean times between two faults to draw from, seconds.
+    """
 
     faults: tuple[InjectFault, ...]
     gaps_s: tuple[float, ...]
@@ -106,7 +111,7 @@
     """
 
     def next(self) -> None:
-        """Injects a fault now, and the next one after a random gap."""
+        """Injects a fault now, and schedules the next one after a random gap."""
         if self.stopped:
             return
         mix = SPLIT_MIX if self.cluster.split else MIXES.get(self.cluster.profile, FAIR_MIX)
--- a/shedgrade/simulation/faults.py
+++ b/shedgrade/simulation/faults.py
@@ -1,6 +1,6 @@
-"""Faults of a simulated core's processes, disks, power and links, one method a kind.
+"""Faults of a simulated core's processes, disks, power and links, one method for each kind of fault.
 
-`fault_schedule` says when they are injected.
+`fault_schedule` determines when they are injected.
 """
 
 from __future__ import annotations
@@ -30,16 +30,16 @@
 MachinePair = tuple["Machine", "Machine"]  # (sender, receiver): one direction of a link
 
 TARGETED_MESSAGES = (Prepare, Promise, Install, Installed, Replicate, Ack, Heartbeat, Fetch, HandOver)
-PRIMARY_DOWN_S = 3.0  # in the profile "deaths"
+PRIMARY_DOWN_S = 3.0  # duration of a loss of power in the profile "deaths"
 
 
 class Faults(MaintenanceFaults):
-    """Each method injects one fault, unless the profile forbids it now."""
+    """Faults of one kind per method. A method does nothing if the profile doesn't allow the fault now."""
 
     # --- processes and power
 
     def kill_machine(self) -> None:
-        """A process is killed, and starts again soon."""
+        """Kills a machine's process, which soon starts again."""
         machine = self.pick_machine()
         if machine is not None:
             down = 0.1 + 0.5 * self.random.random()
@@ -48,7 +48,7 @@
             self.clock.after(down, machine.start)
 
     def power_off(self) -> None:
-        """A machine loses power for a while."""
+        """Cuts a machine's power for a random duration."""
         machine = self.pick_machine()
         if machine is not None:
             down = self.random_duration()
@@ -57,7 +57,7 @@
             self.clock.after(down, machine.start)
 
     def kill_primary_repeatedly(self) -> None:
-        """The primary loses power, again and again, with time to recover between."""
+        """Cuts the primary's power, and schedules the next time, with time to recover in between."""
         primaries = self.primaries()
         if primaries and not self.stopped:
             machine = self.random.choice(primaries)
@@ -68,29 +68,29 @@
         self.clock.after(7.0 + 2 * self.random.random(), self.kill_primary_repeatedly)
 
     def primaries(self) -> list[Machine]:
-        """Machines whose members act as primary."""
+        """Returns the machines whose members act as primary."""
         return [m for m in self.cluster.machines if m.up and m.running_member.role == "primary"]
 
     def wipe(self) -> None:
-        """A machine loses its disk."""
+        """Wipes a machine's disk."""
         machine = self.pick_machine()
         if machine is not None:
             self.wipe_machine(machine, self.random_duration())
 
     def freeze(self) -> None:
-        """A process stands still for a while (SIGSTOP)."""
+        """Stops a process by SIGSTOP for a random duration."""
         machine = self.pick_machine()
         if machine is not None and not machine.frozen:
             seconds = self.random_duration()
             self.mark_lost(machine, seconds)
-            self.cluster.log(f"freeze {seconds:.2f}", machine.name)
+            self.cluster.log(f"frozen for {seconds:.2f} s", machine.name)
             machine.freeze()
             self.undo_after(seconds, machine.thaw)
 
-    # --- right after an acknowledgement
+    # --- after an acknowledgement
 
     def power_off_after_acknowledgement(self) -> None:
-        """The machine that acknowledges the next request loses power right after."""
+        """Cuts the power of the machine that acknowledges the next request, right after that."""
 
         def inject(acknowledging: Machine) -> None:
             machine = self.pick_machine(acknowledging)
@@ -102,7 +102,7 @@
         self.cluster.on_acknowledged = inject
 
     def wipe_after_acknowledgement(self) -> None:
-        """The machine that acknowledges the next request, or another, loses its disk right after."""
+        """Wipes the machine that acknowledges the next request, or another, right after that."""
 
         def inject(acknowledging: Machine) -> None:
             machine = self.pick_machine(acknowledging if self.random.random() < 0.6 else None)
@@ -112,7 +112,7 @@
         self.cluster.on_acknowledged = inject
 
     def power_off_all_after_acknowledgement(self) -> None:
-        """All lose power right after the next acknowledgement."""
+        """Cuts the power of all machines right after the next acknowledgement."""
 
         def inject(acknowledging: Machine) -> None:
             if not self.stopped:
@@ -121,20 +121,20 @@
         self.cluster.on_acknowledged = inject
 
     def wipe_some_and_power_off_all(self) -> None:
-        """Right after an acknowledgement as many as tolerated lose their disks, all others their power."""
+        """Right after the next acknowledgement wipes the tolerated number of machines, and cuts all power."""
 
         def inject(acknowledging: Machine) -> None:
             if self.stopped or not self.may_lose_several():
                 return
             wiped = self.choose_to_wipe(acknowledging)
-            self.cluster.log("wipe and power", " ".join(machine.name for machine in wiped))
+            self.cluster.log("disks wiped in a power loss", " ".join(machine.name for machine in wiped))
             self.restart_all(lambda machine: self.lose_power_and_wipe(machine, wiped))
 
         if self.cluster.bounded:
             self.cluster.on_acknowledged = inject
 
     def choose_to_wipe(self, acknowledging: Machine) -> list[Machine]:
-        """As many machines as tolerated, the one that acknowledged among them more often than not."""
+        """Draws the tolerated number of machines; the acknowledging one is mostly among them."""
         cluster = self.cluster
         others = [machine for machine in cluster.machines if machine is not acknowledging]
         self.random.shuffle(others)
@@ -144,25 +144,25 @@
 
     @staticmethod
     def lose_power_and_wipe(machine: Machine, wiped: list[Machine]) -> None:
-        """A machine loses power, and its disk if it is one of `wiped`."""
+        """Cuts a machine's power, and wipes its disk if it is one of `wiped`."""
         machine.lose_power()
         if machine in wiped:
             machine.wipe()
 
-    # --- all at once
+    # --- all machines at once
 
     def power_off_all(self) -> None:
-        """All lose power, and come back in any order."""
+        """Cuts the power of all machines; they start again in any order."""
         if self.may_lose_several():
             self.restart_all(lambda machine: machine.lose_power())
 
     def kill_all(self) -> None:
-        """All processes are killed, and come back in any order."""
+        """Kills all processes; they start again in any order."""
         if self.may_lose_several():
             self.restart_all(lambda machine: machine.kill())
 
     def restart_all(self, end_process: Callable[[Machine], None]) -> None:
-        """Each machine's process ends by `end_process` and starts again after a time of its own."""
+        """Ends each machine's process by `end_process`; each starts again after its own random delay."""
         last = 0.0
         for machine in self.cluster.machines:
             end_process(machine)
@@ -175,57 +175,57 @@
     # --- disks
 
     def fill_disk(self) -> None:
-        """A disk refuses writes for a while."""
+        """Makes a disk refuse writes for a random duration."""
         machine = self.pick_machine()
         if machine is not None and not machine.disk_full:
             seconds = self.random_duration()
             self.mark_lost(machine, seconds)
-            self.cluster.log(f"disk full {seconds:.2f}", machine.name)
+            self.cluster.log(f"disk full for {seconds:.2f} s", machine.name)
             machine.disk_full = True
             self.undo_after(seconds, lambda: setattr(machine, "disk_full", False))
 
     def stall_disk(self) -> None:
-        """A disk's writes hang for a while."""
+        """Makes a disk's writes hang for a random duration."""
         machine = self.pick_machine()
         if machine is not None and not machine.disk_stalled:
             seconds = self.random_duration()
             self.mark_lost(machine, seconds)
-            self.cluster.log(f"disk stalls {seconds:.2f}", machine.name)
+            self.cluster.log(f"disk stalled for {seconds:.2f} s", machine.name)
             machine.set_disk_stalled(True)
             self.undo_after(seconds, lambda: machine.set_disk_stalled(False))
 
     def slow_disk(self) -> None:
-        """A disk's writes take many times as long for a while."""
+        """Makes a disk's writes take many times as long for a random duration."""
         machine = self.pick_machine()
         if machine is not None and machine.sync_s == machine.usual_sync_s:
             seconds = self.random_duration()
             self.mark_lost(machine, seconds)
             machine.sync_s = machine.usual_sync_s * self.random.choice((10, 40, 150))
-            self.cluster.log(f"disk slow {machine.sync_s:.2f} for {seconds:.2f}", machine.name)
+            self.cluster.log(f"disk takes {machine.sync_s:.2f} s per write for {seconds:.2f} s", machine.name)
             self.undo_after(seconds, lambda: setattr(machine, "sync_s", machine.usual_sync_s))
 
     # --- links
 
     def slow_links(self) -> None:
-        """All links of a machine take longer for a while."""
+        """Adds a delay to all links of a machine for a random duration."""
         machine, network = self.pick_machine(), self.cluster.network
         if machine is not None and machine.address not in network.extra_delay_s:
             seconds = self.random_duration()
             self.mark_lost(machine, seconds)
             delay = network.extra_delay_s[machine.address] = self.random.choice((0.05, 0.3, 1.0))
-            self.cluster.log(f"slow {delay} for {seconds:.2f}", machine.name)
+            self.cluster.log(f"links slowed by {delay} s for {seconds:.2f} s", machine.name)
             self.undo_after(seconds, lambda: network.extra_delay_s.pop(machine.address, None))
 
     def isolate_machine(self) -> None:
-        """One machine is cut off from all others."""
+        """Blocks all links of one machine."""
         self.cut_off_machine(one_way=False)
 
     def isolate_machine_one_way(self) -> None:
-        """One machine no longer hears the others, or they no longer hear it."""
+        """Blocks one direction of all links of one machine."""
         self.cut_off_machine(one_way=True)
 
     def cut_off_machine(self, *, one_way: bool) -> None:
-        """Blocks the links between one machine and all others."""
+        """Blocks the links between one machine and all others, or one direction of them if `one_way`."""
         machine = self.pick_machine()
         if machine is None:
             return
@@ -240,8 +240,10 @@
         self.block_links(machine, pairs)
 
     def isolate_primary(self) -> None:
-        """The primary is cut off from the others, or no longer hears them, while clients reach it. At times
-        one of the others stays in touch."""
+        """Blocks the links between the primary and other members, or just those to it; clients reach it.
+
+        At times the links to one of the other members stay open.
+        """
         machine = self.pick_machine()
         primaries = self.primaries()
         if machine is None or not primaries:
@@ -260,7 +262,7 @@
         self.block_links(primary, pairs, self.random.choice((0.9, 1.5, 3.0, 5.0)))
 
     def block_one_link(self) -> None:
-        """The link between two machines is blocked, both ways or one way. One of the two counts as lost."""
+        """Blocks the link between two machines, in both directions or in one. One of them counts as lost."""
         machine = self.pick_machine()
         others = [other for other in self.cluster.machines if other is not machine]
         if machine is None or not others:
@@ -270,7 +272,7 @@
         self.block_links(machine, pairs if self.random.random() < 0.5 else [self.random.choice(pairs)])
 
     def isolate_region(self) -> None:
-        """A region is cut off from the others; each machine there counts as lost."""
+        """Blocks a region's links to the others, mostly those from them too; its machines count as lost."""
         region = self.random.choice(("r0", "r1", "r2"))
         inside = [machine for machine in self.cluster.machines if machine.region == region and machine.up]
         lost = self.lost_machines() | {machine.name for machine in inside}
@@ -291,7 +293,7 @@
         self.block_links(None, pairs, seconds)
 
     def partition_at_random(self) -> None:
-        """A partition in two sides, drawn machine by machine, spares among them."""
+        """Blocks the links between two random groups of machines, spares included."""
         sides: tuple[list[Machine], list[Machine]] = [], []
         for machine in self.cluster.machines:
             self.random.choice(sides).append(machine)
@@ -302,22 +304,24 @@
     def block_links(
         self, lost: Machine | None, pairs: Iterable[MachinePair], seconds: float | None = None
     ) -> None:
-        """Blocks these directions for `seconds`, by default a random duration. `lost`: the machine that
-        counts as lost, None for none."""
+        """Blocks these directions of links for `seconds`, by default a random duration.
+
+        `lost`: the machine that counts as lost; None for none.
+        """
         seconds = seconds or self.random_duration()
         pairs = list(pairs)
         network = self.cluster.network
         if lost is not None:
             self.mark_lost(lost, seconds)
         subject = " ".join(f"{sender.name}>{receiver.name}" for sender, receiver in pairs)
-        self.cluster.log(f"cut {seconds:.2f}", subject)
+        self.cluster.log(f"links blocked for {seconds:.2f} s", subject)
         links = [(sender.address, receiver.address) for sender, receiver in pairs]
         for link in links:
             network.block(*link)
         self.undo_after(seconds, partial(network.unblock_all, links))
 
     def partition_founders(self) -> None:
-        """Founders that do not hear each other at first."""
+        """Blocks random links between the founders at the start of the run."""
         network = self.cluster.network
         addresses = [machine.address for machine in self.cluster.machines[:3]]
         links = [(a, b) for a in addresses for b in addresses if a != b and self.random.random() < 0.6]
@@ -327,11 +331,14 @@
             network.block(*link)
         self.undo_after(seconds, partial(network.unblock_all, links))
 
-    # --- at a message
+    # --- around a message
 
     def fail_around_message(self) -> None:
-        """The sender or receiver of a coming message fails about when it is sent: the kinds of messages by
-        which the protocol decides something are where a crash may hurt."""
+        """Makes the sender or the receiver of a coming message fail about when it is sent.
+
+        The targeted messages are those with which the protocol makes decisions, where a crash is most likely
+        to break a guarantee.
+        """
         kind = self.random.choice(TARGETED_MESSAGES)
         skip = self.random.randint(0, 3)
 
@@ -347,7 +354,7 @@
         self.cluster.network.on_send = look
 
     def fail_ends_of_message(self, sender: str, receiver: str, kind: str) -> None:
-        """One of the two fails, or both in a storm; half of the time another message is targeted then."""
+        """Makes one of the two fail, at times both in a storm; half of the time targets another message."""
         ends = [self.cluster.by_address.get(address) for address in (sender, receiver)]
         self.random.shuffle(ends)
         both = self.cluster.profile == "storm" and self.random.random() < 0.4
@@ -358,19 +365,19 @@
             self.fail_around_message()
 
     def fail_machine(self, machine: Machine | None, reason: str) -> None:
-        """A machine loses power, is frozen or its process killed, if it may be lost now."""
+        """Cuts a machine's power, freezes or kills its process, if it may be lost now."""
         if machine is None or self.stopped or self.pick_machine(machine) is not machine:
             return
         seconds = self.random.choice((0.1, 0.3, 0.8, 1.2, 3.0)) * (0.5 + self.random.random())
         self.mark_lost(machine, seconds)
-        how = self.random.choice(("power", "freeze", "kill"))
-        self.cluster.log(f"fault at {reason}: {how} {seconds:.2f}", machine.name)
+        how = self.random.choice(("power loss", "freeze", "kill"))
+        self.cluster.log(f"fault around {reason}: {how} for {seconds:.2f} s", machine.name)
         if how == "freeze":
             if not machine.frozen:
                 machine.freeze()
                 self.undo_after(seconds, machine.thaw)
             return
-        if how == "power":
+        if how == "power loss":
             machine.lose_power()
         else:
             machine.kill()
--- a/shedgrade/simulation/history.py
+++ b/shedgrade/simulation/history.py
@@ -1,7 +1,7 @@
-"""The history of a simulated run: what clients and members observed, in order of time.
+"""The history of a simulated run: what clients and members observed, in chronological order.
 
-Terms as in Jepsen: an operation is invoked by a client and completes with a clear outcome, or never. The
-history is checked after the run by `checkers`.
+The terms are those of Jepsen: an operation is invoked by a client, and completes with a definite outcome or
+never. The functions in `checkers` check the history after the run.
 """
 
 from __future__ import annotations
@@ -21,7 +21,7 @@
 
 
 class ClientAttempt(NamedTuple):
-    """One request of an operation to one machine. Times in s of virtual time."""
+    """One request of an operation to one machine. Times are virtual, in seconds."""
 
     invoked_at: float
     completed_at: float
@@ -30,14 +30,14 @@
 
 
 class TimeSpan(NamedTuple):
-    """From `start` to `end`, in s of virtual time."""
+    """The virtual time from `start` to `end`, in seconds."""
 
     start: float
     end: float
 
 
 class LoggedEvent(NamedTuple):
-    """One line of the trace: at `time` (s), `event` happened to the machine or links in `subject`."""
+    """One line of the trace: at virtual `time` (s), `event` happened to the machine or links in `subject`."""
 
     time: float
     event: str
@@ -45,7 +45,7 @@
 
 
 class CommittedRegister(NamedTuple):
-    """The register's part of a committed state: its chain of changes and its counter."""
+    """The part of a committed state that the checkers use: the chain of changes and the counter."""
 
     changes: bytes
     counter: int
@@ -53,10 +53,14 @@
 
 @dataclass(slots=True)
 class Operation:
-    """A client's operation from its invocation to its completion. Times in s of virtual time.
+    """A client's operation from its invocation to its completion. Times are virtual, in seconds.
 
-    `request`: None for a read. `outcome`: None as long as there is no clear answer; `completed_at` is then
-    infinite.
+    Attributes:
+        request: the change requested; None for a read.
+        invoked_at: when the client sent the first attempt.
+        completed_at: when the outcome was received; infinite until then.
+        outcome: the definite outcome; None until there is one.
+        attempts: the attempts that were answered.
     """
 
     request: Request | None
@@ -67,17 +71,17 @@
 
 
 class History:
-    """All that was observed in one run.
+    """All that was observed in one run. Times are virtual, in seconds.
 
     Attributes:
-        operations: clients' operations in the order of their invocations.
+        operations: clients' operations, in order of invocation.
         states: the register in each committed state, by position.
-        violations: what was found wrong during the run, as text.
+        violations: descriptions of the violations found during the run.
         events: the trace.
-        unstable_spans: when faults were active; the core need not be available then.
-        primary_deaths: when a primary was killed (s), in the profile "deaths".
-        total_restarts: when all machines were up again after all were down (s).
-        end: when the run ended (s).
+        unstable_spans: spans in which faults were active; the core need not be available during them.
+        primary_deaths: times at which a primary was killed, in the profile "deaths".
+        total_restarts: times at which all machines were up again after all had been down.
+        end: when the clients had completed their last operations.
     """
 
     def __init__(self) -> None:
@@ -91,17 +95,20 @@
         self.end = 0.0
 
     def record_committed(self, now: float, machine: Machine, committed: Committed) -> None:
-        """A member reports a committed state. All members agree on the state at a position, and the
-        positions that one process reports only grow."""
+        """Records the committed state that a member reports.
+
+        Adds a violation if another state was reported for the same position, or if the position isn't after
+        the last one that the same process reported.
+        """
         position = (committed.epoch, committed.sequence)
         state = committed.state
         register = CommittedRegister(state.get("taken", b""), int(state.get("counter", b"0")))
         known = self.states.get(position)
         if known is not None and known != register:
-            self.violations.append(f"two states at {position}")
+            self.violations.append(f"two different committed states at {position}")
         self.states[position] = register
         if position <= machine.committed:
             self.violations.append(
-                f"{machine.name} goes back from {machine.committed} to {position} at {now:.3f}"
+                f"{machine.name} regresses from {machine.committed} to {position} at {now:.3f} s"
             )
         machine.committed = position
--- a/shedgrade/simulation/machine.py
+++ b/shedgrade/simulation/machine.py
@@ -1,4 +1,4 @@
-"""A simulated core machine: the process of a member, its disk at the level of whole writes, its power."""
+"""A simulated core machine: a member's process, a disk that stores whole writes, and the power supply."""
 
 from __future__ import annotations
 
@@ -17,35 +17,37 @@
 )
 from shedgrade.simulation.environment import Environment
 
-EXIT_MARGIN_S = 1.2  # before SIGKILL, at which a process gives up waiting
-LOCAL_CALL_S = 0.001  # from the end of a process until its callers see their connections closed
+EXIT_MARGIN_S = 1.2  # time before SIGKILL at which a leaving process gives up
+LOCAL_CALL_S = 0.001  # delay until callers see a closed connection, and until a resumed disk ends its write
 LEAST_TICK_DELAY_S = 0.0005
 TICK_JITTER_S = 0.001
 NEVER = float("inf")
 
-OutcomeCallback = Callable[[object], object]  # an outcome, or None if the process ended without one
+OutcomeCallback = Callable[[object], object]  # called with an outcome, None if the process ended without one
 
 
 class Machine:
-    """One machine of the core, with the process of a member on it.
+    """A machine of the core and the member's process on it.
 
-    A process runs, is frozen (SIGSTOP: calls and messages are deferred), or is down (`member` is None).
+    The process runs, is frozen (SIGSTOP: calls and messages are deferred), or is down (`member` is None).
 
     Attributes:
-        seeds: the founding machines' addresses in this machine's settings.
-        durable: what is synced to disk; outlives processes and losses of power.
-        unsynced_write: the write under way, None if there is none. After a crash it is on disk or not.
-        member: the process's member, None while no process runs.
-        generation: counts starts and ends of processes; events of an earlier generation are ignored.
-        next_tick_at: virtual time of the earliest tick that is scheduled, infinite if none is.
-        frozen: the process is stopped; only while one runs.
-        deferred_calls: what a frozen process will do once it is thawed, in order. Empty unless frozen.
-        sync_s: mean time of a write, seconds; `usual_sync_s`: without faults.
-        disk_stalled: writes hang. `disk_full`: writes fail.
-        callbacks: of requests under way, by ticket.
-        on_exit: called once when a process that was terminated has ended.
-        committed: position of the newest committed state that the process reported; (0, 0) after a start.
-        clock_offset: reading of the machine's steady clock at virtual time 0; no two machines agree.
+        seeds: addresses of the founding machines in this machine's settings.
+        durable: content synced to disk; survives the end of the process and losses of power.
+        unsynced_write: the write in progress, or None. After a crash it is either on disk or not.
+        member: the process's member; None while no process runs.
+        generation: number of starts and ends of processes; events of an earlier generation are ignored.
+        next_tick_at: virtual time of the earliest scheduled tick; infinite if none is scheduled.
+        frozen: whether the process is stopped by SIGSTOP; False if none runs.
+        deferred_calls: calls that a frozen process will make once it is thawed, in order; else empty.
+        sync_s: mean time of a write, seconds.
+        usual_sync_s: the value of `sync_s` without faults.
+        disk_stalled: whether writes hang.
+        disk_full: whether writes fail.
+        callbacks: callbacks of open requests, by ticket.
+        on_exit: called once when a terminated process has ended.
+        committed: newest committed position that this process has reported; (0, 0) after a start.
+        clock_offset: reading of the machine's steady clock at virtual time 0, seconds; drawn per machine.
     """
 
     def __init__(self, environment: Environment, name: str, address: str, region: str) -> None:
@@ -72,32 +74,32 @@
 
     @property
     def up(self) -> bool:
-        """Whether a process runs; it may be frozen."""
+        """Whether a process runs, frozen or not."""
         return self.member is not None
 
     @property
     def steady_now(self) -> float:
-        """The reading of the machine's steady clock, seconds."""
+        """The machine's steady clock, seconds."""
         return self.environment.clock.now + self.clock_offset
 
     @property
     def running_member(self) -> Member:
-        """The member of a process that is known to run."""
+        """The member of the process, which must be running."""
         assert self.member is not None, f"no process runs on {self.name}"
         return self.member
 
     def check_invariants(self) -> None:
-        """AssertionError if the attributes contradict each other."""
+        """Raises AssertionError if the attributes contradict each other."""
         if self.member is None:
-            assert not self.frozen, "frozen without a process"
-            assert self.unsynced_write is None, "a write under way without a process"
-            assert not self.callbacks, "callers wait for a process that has ended"
-        assert self.frozen or not self.deferred_calls, "calls are deferred, and the process runs"
+            assert not self.frozen, "machine is frozen without a process"
+            assert self.unsynced_write is None, "write in progress without a process"
+            assert not self.callbacks, "requests are open without a process"
+        assert self.frozen or not self.deferred_calls, "calls are deferred while the process runs"
 
     # --- process and power
 
     def start(self, founding: bool = False) -> None:
-        """Starts a process if none runs. `founding`: at the first start of the whole core."""
+        """Starts a process unless one runs. `founding`: this is the first start of the whole core."""
         if self.member is not None:
             return
         environment = self.environment
@@ -120,7 +122,7 @@
         self.run_effects()
 
     def kill(self) -> None:
-        """SIGKILL: the process ends, and its callers see their connections closed."""
+        """Ends the process by SIGKILL; its callers see their connections closed."""
         if self.member is None:
             return
         self.environment.log("kill", self.name)
@@ -128,15 +130,15 @@
             self.environment.clock.after(LOCAL_CALL_S, callback, None)
 
     def lose_power(self) -> None:
-        """The process ends; callers are told nothing, and what the kernel held is lost."""
+        """Ends the process; its callers aren't notified, and messages held in the kernel are lost."""
         if self.member is None:
             return
-        self.environment.log("power", self.name)
+        self.environment.log("power loss", self.name)
         self.end_process()
         self.environment.network.drop_held_messages(self.address)
 
     def end_process(self) -> list[OutcomeCallback]:
-        """Ends the process that runs; returns the callbacks of its open requests."""
+        """Ends the running process; returns the callbacks of its open requests."""
         self.member = None
         self.frozen = False
         self.deferred_calls = []
@@ -152,7 +154,7 @@
         return callbacks
 
     def terminate(self, grace_s: float, on_exit: Callable[[], None]) -> None:
-        """SIGTERM, and SIGKILL after `grace_s`; `on_exit()` is called once, when the process has ended."""
+        """Sends SIGTERM, and SIGKILL after `grace_s`; `on_exit()` is called once the process has ended."""
         self.on_exit = on_exit
         if self.frozen:
             self.deferred_calls.append(partial(self.leave, grace_s - EXIT_MARGIN_S))
@@ -161,28 +163,28 @@
         self.environment.clock.after(grace_s, self.kill_generation, self.generation)
 
     def leave(self, patience_s: float) -> None:
-        """The member is told to leave the core, within `patience_s`."""
+        """Asks the member to leave the core within `patience_s`."""
         if self.member is not None:
             self.member.leave(self.steady_now, patience_s)
             self.run_effects()
 
     def kill_generation(self, generation: int) -> None:
-        """Kills the process of that generation, if it still runs."""
+        """Kills the process of that generation if it still runs."""
         if generation == self.generation:
             self.kill()
 
     def wipe(self) -> None:
-        """The disk is replaced by an empty one."""
+        """Replaces the disk by an empty one."""
         self.durable = {}
         self.unsynced_write = None
 
     def freeze(self) -> None:
-        """SIGSTOP: the process stands still; what it would receive is deferred."""
+        """Stops the process by SIGSTOP; calls and messages to it are deferred."""
         if self.member is not None:
             self.frozen = True
 
     def thaw(self) -> None:
-        """SIGCONT: the process does what was deferred, then goes on."""
+        """Resumes the process by SIGCONT: it makes the deferred calls, then continues."""
         if self.member is None:
             return
         self.frozen = False
@@ -194,7 +196,7 @@
     # --- the disk
 
     def apply(self, changes: Mapping[str, bytes | None]) -> None:
-        """Changes become durable; None removes a key."""
+        """Makes changes durable; None removes a key."""
         for key, value in changes.items():
             if value is None:
                 self.durable.pop(key, None)
@@ -202,15 +204,15 @@
                 self.durable[key] = value
 
     def persist(self, effect: Persist) -> None:
-        """Begins a write. A member has one under way at the most."""
-        assert self.unsynced_write is None, "one write at a time"
+        """Begins a write. A member has at most one in progress."""
+        assert self.unsynced_write is None, "a write is already in progress"
         self.unsynced_write = effect
         if not self.disk_stalled:
             delay = self.sync_s * (0.5 + self.environment.random.random())
             self.environment.clock.after(delay, self.finish_write, self.generation, effect.token)
 
     def finish_write(self, generation: int, token: int) -> None:
-        """The write is on disk, or has failed as the disk is full; the member is told."""
+        """Completes a write, which fails if the disk is full, and reports the result to the member."""
         write = self.unsynced_write
         if generation != self.generation or write is None or write.token != token or self.disk_stalled:
             return
@@ -224,17 +226,17 @@
         self.run_effects()
 
     def set_disk_stalled(self, stalled: bool) -> None:
-        """Writes hang until this is called with False; then the one under way ends."""
+        """Stalls or resumes the disk. While it is stalled, writes hang; a pending one then completes."""
         self.disk_stalled = stalled
         if not stalled and self.unsynced_write is not None:
             self.environment.clock.after(
                 LOCAL_CALL_S, self.finish_write, self.generation, self.unsynced_write.token
             )
 
-    # --- what reaches the member
+    # --- calls to the member
 
     def receive(self, sender: str, message: Message) -> None:
-        """A message from the address `sender`. It is lost while no process runs."""
+        """Delivers a message from the address `sender`. It is lost if no process runs."""
         if self.frozen:
             self.deferred_calls.append(partial(self.receive, sender, message))
         elif self.member is not None:
@@ -242,7 +244,7 @@
             self.run_effects()
 
     def submit_command(self, request: object, on_outcome: OutcomeCallback) -> None:
-        """A client's request to change the state."""
+        """Submits a client's request to change the state."""
         if self.frozen:
             self.deferred_calls.append(partial(self.submit_command, request, on_outcome))
         elif self.member is None:
@@ -252,7 +254,7 @@
             self.run_effects()
 
     def submit_read(self, on_outcome: OutcomeCallback) -> None:
-        """A client's request to read the state."""
+        """Submits a client's request to read the state."""
         if self.frozen:
             self.deferred_calls.append(partial(self.submit_read, on_outcome))
         elif self.member is None:
@@ -262,13 +264,13 @@
             self.run_effects()
 
     def new_ticket(self, on_outcome: OutcomeCallback) -> int:
-        """A number for a request, under which its outcome is called back."""
+        """Returns a new ticket, under which the outcome of a request is reported to `on_outcome`."""
         self.environment.tickets += 1
         self.callbacks[self.environment.tickets] = on_outcome
         return self.environment.tickets
 
     def tick(self, generation: int) -> None:
-        """A timer of the member is due."""
+        """Handles a due timer of the member."""
         if generation != self.generation or self.member is None or self.frozen:
             return
         if self.environment.clock.now >= self.next_tick_at:
@@ -278,10 +280,10 @@
             self.member.tick(now)
         self.run_effects()
 
-    # --- what the member wants
+    # --- effects of the member
 
     def run_effects(self) -> None:
-        """Checks the member's invariants, carries out what it wants done, and schedules its next tick."""
+        """Checks the member's invariants, carries out its effects in order, and schedules its next tick."""
         member = self.running_member
         member.check_invariants()
         effects = member.effects
@@ -314,7 +316,7 @@
             environment.clock.after(0.0, self.kill_generation, self.generation)
 
     def schedule_tick(self, member: Member) -> None:
-        """The member is called again when its next timer is due."""
+        """Schedules a call to the member when its next timer is due."""
         environment = self.environment
         wake_at = max(member.wake_at() - self.clock_offset, environment.clock.now + LEAST_TICK_DELAY_S)
         if wake_at < self.next_tick_at:
--- a/shedgrade/simulation/maintenance_faults.py
+++ b/shedgrade/simulation/maintenance_faults.py
@@ -1,4 +1,4 @@
-"""Planned maintenance and changes of members: terminated processes, replaced machines, second losses."""
+"""Faults around planned maintenance and changes of members: terminations, replacements, second losses."""
 
 from __future__ import annotations
 
@@ -11,16 +11,16 @@
 if TYPE_CHECKING:
     from shedgrade.simulation.machine import Machine
 
-GRACE_S = 8.0  # from SIGTERM to SIGKILL
-MOST_MACHINES = 12  # that are ever made in one run
-AFTER_CATCH_UP_S = 0.002
+GRACE_S = 8.0  # time from SIGTERM to SIGKILL
+MOST_MACHINES = 12  # no machine is replaced once a run has created more
+AFTER_CATCH_UP_S = 0.002  # time from the catching up of the first machines to the next loss
 
 
 class MaintenanceFaults(FaultInjector):
-    """Faults that come with planned work."""
+    """Faults that combine planned work with losses."""
 
     def rolling_restart(self) -> None:
-        """Every machine is terminated, one after the other, and starts again."""
+        """Terminates and restarts every machine, one after the other."""
         if not self.may_lose_several():
             return
         gap = self.random.choice((0.5, 1.0, 2.0))
@@ -31,7 +31,7 @@
         self.lost_until["rolling restart"] = self.clock.now + delay + self.catch_up_s
 
     def terminate(self, machine: Machine, then: Callable[[], None] | None) -> None:
-        """SIGTERM; soon after the end of the process `then` is called, or the machine started."""
+        """Sends SIGTERM; soon after the process has ended, calls `then`, or starts the machine again."""
         if not machine.up or self.stopped:
             return
         self.cluster.log("terminate", machine.name)
@@ -48,26 +48,26 @@
         machine.terminate(GRACE_S, on_exit)
 
     def wipe_machine(self, machine: Machine, down: float) -> None:
-        """A machine loses its disk, and starts again after `down` seconds."""
+        """Wipes a machine's disk while it is without power; it starts again after `down` seconds."""
         self.mark_lost(machine, down)
         machine.lose_power()
         machine.wipe()
-        self.cluster.log("wiped", machine.name)
+        self.cluster.log("disk wiped", machine.name)
         self.clock.after(down, machine.start)
 
     def leave_after_wipe(self) -> None:
-        """A disk is lost; before its machine counts again another is terminated, and its disk is lost too."""
+        """Wipes one machine; before it has caught up, another is terminated and then wiped too."""
         first = self.pick_machine()
         if first is None or not self.may_lose_several():
             return
         down = 0.2 + 1.3 * self.random.random()
         self.wipe_machine(first, down)
         second = self.random.choice([machine for machine in self.cluster.machines if machine is not first])
-        # The first counts again before the grace of the second is over.
+        # The first machine has caught up before the grace period of the second is over.
         self.clock.after((down + 0.5) * self.random.random(), self.leave_and_lose_disk, second)
 
     def leave_and_lose_disk(self, machine: Machine) -> None:
-        """A machine is terminated, and starts again with an empty disk."""
+        """Terminates a machine, which starts again with an empty disk."""
 
         def restart_empty() -> None:
             machine.wipe()
@@ -77,7 +77,7 @@
             self.terminate(machine, restart_empty)
 
     def replace_machine(self) -> None:
-        """A machine is terminated for good; one with an empty disk takes its place at another address."""
+        """Terminates a machine for good, and adds one with an empty disk at another address in its place."""
         machine, cluster = self.pick_machine(), self.cluster
         if machine is None or cluster.machines_made > MOST_MACHINES or not self.may_lose_several():
             return
@@ -94,13 +94,13 @@
         self.terminate(machine, add_replacement)
 
     def replacement_of(self, machine: Machine) -> Machine:
-        """A new machine with an empty disk, in the same region at another address."""
+        """Adds a machine with an empty disk, in the same region at another address."""
         cluster = self.cluster
         address = machine.address.replace(".0.", f".{cluster.machines_made + 10}.")
         return cluster.add(machine.region, address, machine.usual_sync_s)
 
     def replace_dead_machines(self) -> None:
-        """Machines die for good; ones with empty disks take their places elsewhere, soon or late."""
+        """Removes machines for good, and adds ones with empty disks elsewhere, at once or after a delay."""
         cluster = self.cluster
         if not cluster.bounded or self.lost_machines() or cluster.machines_made > MOST_MACHINES:
             return
@@ -112,18 +112,18 @@
         self.clock.after(wait + self.catch_up_s + AFTER_CATCH_UP_S, self.wipe_holders)
 
     def replace_dead_machine(self, machine: Machine, wait: float) -> None:
-        """A machine is gone with its disk; its replacement starts after `wait` s."""
+        """Removes a machine with its disk; its replacement starts after `wait` seconds."""
         cluster = self.cluster
         self.mark_lost(machine, wait)
         machine.lose_power()
         cluster.machines.remove(machine)
-        cluster.log("dead", machine.name)
+        cluster.log("permanent loss", machine.name)
         replacement = self.replacement_of(machine)
         self.lost_until[replacement.name] = self.lost_until.pop(machine.name)
         self.clock.after(wait, replacement.start)
 
     def second_loss(self) -> None:
-        """Disks are lost; when those machines count again others lose theirs."""
+        """Wipes some machines, and others once the first have caught up."""
         if not self.cluster.bounded or self.lost_machines():
             return
         down = self.random_duration()
@@ -134,14 +134,14 @@
         self.clock.after(down + self.catch_up_s + AFTER_CATCH_UP_S, self.wipe_holders)
 
     def wipe_holders(self) -> None:
-        """As many holders of the state as may be lost now lose their disks."""
+        """Wipes as many holders of the state as may be lost now."""
         machine = None if self.stopped else self.pick_holder()
         while machine is not None:
             self.wipe_machine(machine, self.random_duration())
             machine = self.pick_holder()
 
     def pick_holder(self) -> Machine | None:
-        """A primary or backup that may be lost now; if none is left any machine that may be."""
+        """Returns a primary or backup that may be lost now; without one, any machine that may be lost."""
         holders = [
             machine
             for machine in self.cluster.machines
--- a/shedgrade/simulation/network.py
+++ b/shedgrade/simulation/network.py
@@ -1,4 +1,4 @@
-"""Simulated links between machines: delay by region, loss, duplication, reordering, one-way and full cuts."""
+"""Simulated links between machines, with delay by region, loss, duplication, reordering and partitions."""
 
 from __future__ import annotations
 
@@ -8,16 +8,16 @@
 from shedgrade.replication.messages import Chunk, Message, size
 from shedgrade.simulation.clock import Scheduler
 
-Link = tuple[str, str]  # (sender's address, receiver's address): one direction
+Link = tuple[str, str]  # (sender's address, receiver's address): one direction of a link
 Deliver = Callable[[str, str, Message], None]  # (sender, receiver, message)
 
 OVERTAKES = 0.02  # share of messages that are sent over a new connection and may overtake others
-HOST_DELAY_S = 0.0005  # of every message, in the hosts
-RESEND_WITHIN_S = 0.3  # of the end of a cut: messages that it held arrive
+HOST_DELAY_S = 0.0005  # added to the delay of every message for processing on both hosts
+RESEND_WITHIN_S = 0.3  # maximum time from the unblocking of a link to the arrival of a message it held
 
 
 def payload_bytes(message: Message) -> int:
-    """Size of the bulk data in a message; 0 for messages that carry none."""
+    """Returns the size of the bulk data in a message, in bytes; 0 if it carries none."""
     if type(message) is Chunk:
         return len(message.body)
     changes = getattr(message, "changes", None)
@@ -27,22 +27,24 @@
 class Network:
     """Carries messages between addresses; `deliver(sender, receiver, message)` is called for each arrival.
 
-    A blocked link is silent: a message sent over it is lost, or held and delivered when the link is
-    unblocked (an open connection that retransmits).
+    A message sent over a blocked link is either lost, or held and delivered after the link is unblocked, as
+    an open connection that retransmits would do.
 
     Attributes:
-        between_s, within_s: one-way delay between regions and within one, seconds.
-        jitter: share of the delay that is added at random, at most.
-        loss, duplication: probabilities, by message.
-        held_share: probability that a blocked link holds a message, rather than loses it.
-        bandwidth: bytes a second of each link; 0: unlimited.
+        between_s: one-way delay between regions, seconds.
+        within_s: one-way delay within a region, seconds.
+        jitter: maximum share of the delay that is added at random.
+        loss: probability that a message is lost.
+        duplication: probability that a message arrives twice.
+        held_share: probability that a blocked link holds a message rather than loses it.
+        bandwidth: of each link, bytes per second; 0: unlimited.
         region: region by address.
-        blocked_links: how many faults block a link now; a link is absent while none does.
-        held_messages: messages by blocked link, to be delivered when it is unblocked.
-        extra_delay_s: added to all links of an address.
-        last_arrival: latest arrival scheduled on a link; later messages keep the order.
-        busy_until: when a link has transmitted the bulk data that was sent over it.
-        on_send: called with each message that is sent, before anything else; may kill its sender.
+        blocked_links: number of faults that currently block each link; a link that none blocks is absent.
+        held_messages: messages held by each blocked link, delivered after it is unblocked.
+        extra_delay_s: delay added to all links of an address, seconds.
+        last_arrival: arrival of the last message sent on each link; most later ones don't overtake it.
+        busy_until: virtual time at which each link has transmitted the bulk data sent over it so far.
+        on_send: called with each message before it is sent; may kill the sender.
     """
 
     def __init__(
@@ -78,11 +80,11 @@
         self.on_send: Deliver | None = None
 
     def block(self, sender: str, receiver: str) -> None:
-        """Blocks one direction. Faults that block the same link add up."""
+        """Blocks one direction of a link. Several faults may block the same link at once."""
         self.blocked_links[sender, receiver] = self.blocked_links.get((sender, receiver), 0) + 1
 
     def unblock(self, sender: str, receiver: str) -> None:
-        """Ends one block. After the last one the messages that were held arrive, in any order."""
+        """Removes one block. When the last is removed, the held messages arrive, in any order."""
         blocks = self.blocked_links.get((sender, receiver), 0) - 1
         if blocks > 0:
             self.blocked_links[sender, receiver] = blocks
@@ -93,17 +95,17 @@
             self.clock.after(delay, self.arrive, sender, receiver, message)
 
     def unblock_all(self, links: Iterable[Link]) -> None:
-        """Ends one block of each of these links."""
+        """Removes one block from each of the links."""
         for link in links:
             self.unblock(*link)
 
     def drop_held_messages(self, sender: str) -> None:
-        """A machine lost power: what its kernel held for blocked links is gone."""
+        """Drops the messages that blocked links hold for a sender: its kernel lost them with the power."""
         for link in [link for link in self.held_messages if link[0] == sender]:
             del self.held_messages[link]
 
     def send(self, sender: str, receiver: str, message: Message) -> None:
-        """Sends a message, which arrives once, twice, or never."""
+        """Sends a message, which may arrive once, twice or not at all."""
         if self.on_send is not None:
             self.on_send(sender, receiver, message)
         chance = self.random.random
@@ -119,7 +121,7 @@
             self.clock.at(arrival + chance(), self.arrive, sender, receiver, message)
 
     def arrival_time(self, sender: str, receiver: str, message: Message) -> float:
-        """When a message that is sent now arrives. Bulk data occupies the link, and delays what follows."""
+        """Returns when a message sent now arrives. Bulk data occupies the link and delays later messages."""
         link = sender, receiver
         same_region = self.region.get(sender) == self.region.get(receiver)
         delay = self.within_s if same_region else self.between_s
@@ -136,6 +138,6 @@
         return arrival
 
     def arrive(self, sender: str, receiver: str, message: Message) -> None:
-        """Delivers a message, unless its link was blocked while it was under way."""
+        """Delivers a message unless its link was blocked while it was in transit."""
         if (sender, receiver) not in self.blocked_links:
             self.deliver(sender, receiver, message)
--- a/shedgrade/simulation/register.py
+++ b/shedgrade/simulation/register.py
@@ -1,7 +1,7 @@
-"""The state that the simulated clients change: a compare-and-set register, and a counter that only grows.
+"""The replicated state that simulated clients change: a compare-and-set register and a grow-only counter.
 
-The register holds a configuration and its version. The state's key `taken` is the whole chain of changes, one
-line each: "base version payload".
+The register holds a configuration and its version. The state's key `taken` holds the whole chain of changes,
+one line each: "base version payload".
 """
 
 from __future__ import annotations
@@ -13,7 +13,7 @@
 
 
 class Put(NamedTuple):
-    """Compare-and-set: a configuration that replaces version `base`."""
+    """Compare-and-set: sets the configuration to `payload` at `version` if the current version is `base`."""
 
     base: int
     version: int
@@ -21,7 +21,7 @@
 
 
 class Count(NamedTuple):
-    """An idempotent request: the counter becomes at least `number`."""
+    """An idempotent request that raises the counter to at least `number`."""
 
     number: int
 
@@ -32,23 +32,26 @@
 
 
 def change_line(put: Put) -> str:
-    """The line of a change in the chain."""
+    """Returns the line that stands for a change in the chain."""
     return f"{put.base} {put.version} {put.payload}"
 
 
 def change_lines(chain: bytes) -> list[str]:
-    """The lines of a chain, oldest first."""
+    """Returns the lines of a chain, oldest first."""
     return chain.decode().split("\n")[:-1]
 
 
 def changes_in(state: Mapping[str, bytes]) -> list[str]:
-    """The lines of the chain that a state holds, oldest first."""
+    """Returns the lines of the chain in a state, oldest first."""
     return change_lines(state.get("taken", b""))
 
 
 def decide(state: Mapping[str, bytes], request: Request) -> Decision:
-    """What a request changes in a state, and its outcome: `OK`, also if the state has the change already, or
-    `CONFLICT` if another change took its base."""
+    """Returns the changes that a request makes to a state, and its outcome.
+
+    The outcome is `OK`, also if the state already has the change, or `CONFLICT` if the state's version is not
+    the request's base or not below its version.
+    """
     if isinstance(request, Count):
         if int(state.get("counter", b"0")) >= request.number:
             return Decision({}, OK)
--- a/shedgrade/simulation/replica_outages.py
+++ b/shedgrade/simulation/replica_outages.py
@@ -1,9 +1,10 @@
-"""Replicas that are down for hundreds of changes, by seed; no primary begins with less than was acknowledged.
+"""Plays outages of replicas during hundreds of changes, drawn from a seed, and checks what members observe.
 
-One core of 2t + 1 machines in virtual time, clients that order changes one after the other, and a plan of
-outages within what is tolerated: at most t machines are down or catching up at once, each for up to a
-thousand changes; it returns with its disk, with an empty one, or with the disk that it had before it was
-emptied. All power may be lost in between. The clients' numbers only grow, so a state shows what it lacks.
+One core of 2t + 1 machines runs in virtual time. Each client submits one change after the other. Outages stay
+within what is tolerated: at most t machines are down or catching up at once, each for up to a thousand
+changes. A machine returns with its disk or with an empty one; the disk from before the wipe may be put back
+later. All machines may lose power in between. No primary may begin with less than was acknowledged; the
+numbers of a client's changes only increase, so a state shows which of them it lacks.
 """
 
 from __future__ import annotations
@@ -27,53 +28,53 @@
 from shedgrade.simulation.machine import Machine
 from shedgrade.simulation.network import Network
 
-CATCH_UP_S = 4.0  # after its return, in which a machine counts as lost
+CATCH_UP_S = 4.0  # time after its return for which a machine counts as lost
 ATTEMPT_TIMEOUT_S = 0.4
 REDIRECT_DELAY_S = 0.02
 RETRY_DELAY_S = 0.05
-RESTART_S = 0.5  # with another disk
+RESTART_S = 0.5  # time to restart a machine with another disk
 CLIENTS = 4
-KEPT_CHANGES = 200  # keys of each client in the state
+KEPT_CHANGES = 200  # number of keys of each client in the state
 
-Numbers = tuple[int, ...]  # the last order of each client
+Numbers = tuple[int, ...]  # number of the last write of each client
 
 
 class Write(NamedTuple):
-    """Order `number` of one client; numbers count up, and an order is sent until it is acknowledged."""
+    """Write `number` of a client. Numbers increase by one; a write is retried until it is acknowledged."""
 
     client: int
     number: int
 
 
 class StateSummary(NamedTuple):
-    """What tells two states apart: the last orders in it, and how many keys it has."""
+    """What distinguishes two states: the numbers of the last writes, and the number of keys."""
 
     numbers: Numbers
     keys: int
 
 
 def last_key(client: int) -> str:
-    """The key of a client's last order."""
+    """Returns the key that holds the number of a client's last write."""
     return f"last/{client}"
 
 
 def last_numbers(state: Mapping[str, bytes]) -> Numbers:
-    """The last order of each client that the state has."""
+    """Returns the number of the last write of each client in the state."""
     return tuple(int(state.get(last_key(client), b"0")) for client in range(CLIENTS))
 
 
 def is_behind(numbers: Numbers, required: Numbers) -> bool:
-    """Whether an order of `required` is missing."""
+    """Returns whether `numbers` lacks a write that `required` has."""
     return any(has < needed for has, needed in zip(numbers, required, strict=True))
 
 
 class OutageHistory:
-    """What members and clients observed, checked as it comes.
+    """What members and clients observed, checked as it is recorded.
 
     Attributes:
-        violations: what was found wrong, as text.
+        violations: descriptions of the violations found.
         states: a summary of each committed state, by position.
-        acknowledged: the last acknowledged order of each client.
+        acknowledged: number of the last acknowledged write of each client.
         events: the trace.
     """
 
@@ -84,48 +85,49 @@
         self.events: list[LoggedEvent] = []
 
     def record_committed(self, now: float, machine: Machine, committed: Committed) -> None:
-        """A member reports a committed state: there is one at each position, whichever member reports it."""
+        """Records a committed state reported by a member; all members must report the same at a position."""
         position = (committed.epoch, committed.sequence)
         summary = StateSummary(last_numbers(committed.state), len(committed.state))
         if self.states.setdefault(position, summary) != summary:
-            self.violations.append(f"{machine.name} has another state at {position}, {now:.3f} s")
+            self.violations.append(f"{machine.name} has a different state at {position}, {now:.3f} s")
 
     def primary_began(self, now: float, name: str, state: Mapping[str, bytes]) -> None:
-        """A primary begins; its state has all that was acknowledged."""
+        """Checks that the state with which a primary begins has every acknowledged write."""
         numbers = last_numbers(state)
         if is_behind(numbers, tuple(self.acknowledged)):
             self.violations.append(
-                f"{name} leads with {numbers}, acknowledged {self.acknowledged}, {now:.3f} s"
+                f"{name} became primary with {numbers}, acknowledged {self.acknowledged}, {now:.3f} s"
             )
 
     def read_completed(self, now: float, required: Numbers, state: Mapping[str, bytes]) -> None:
-        """A read has completed; its state has all that was acknowledged before it was invoked."""
+        """Checks that a completed read returned every write acknowledged before it was invoked."""
         numbers = last_numbers(state)
         if is_behind(numbers, required):
-            self.violations.append(f"a read returns {numbers} after {required}, {now:.3f} s")
+            self.violations.append(f"read returned {numbers}, acknowledged before {required}, {now:.3f} s")
 
     def check_chain(self) -> list[str]:
-        """Nothing that a position has is missing at a later one, nor what was acknowledged at the end."""
+        """Checks that no state lacks a write of an earlier one, nor the last state an acknowledged write."""
         violations: list[str] = []
         before: Numbers = (0,) * CLIENTS
         for position in sorted(self.states):
             numbers = self.states[position].numbers
             if is_behind(numbers, before):
-                violations.append(f"{position} lacks what was there before")
+                violations.append(f"{position} lacks a write of an earlier position")
             before = numbers
         if is_behind(before, tuple(self.acknowledged)):
-            violations.append(f"the end has {before}, acknowledged {self.acknowledged}")
+            violations.append(f"last state has {before}, acknowledged {self.acknowledged}")
         return violations
 
 
 class WriteClient:
-    """Orders one change after the other, and reads at times.
+    """A client that submits one write after the other, and at times a read.
 
     Attributes:
-        number: of the last order; `attempt`: of the last attempt, answers to others are ignored.
-        target: the machine that the last attempt went to.
-        is_reading: the operation under way is a read.
-        required: what had been acknowledged when it was invoked.
+        number: number of the last write.
+        attempt: number of the last attempt; answers to earlier attempts are ignored.
+        target: machine that the last attempt was sent to.
+        is_reading: whether the current operation is a read.
+        required: numbers of the writes acknowledged when the operation was invoked.
         stopped: no further operation is begun.
     """
 
@@ -140,7 +142,7 @@
         self.stopped = False
 
     def next(self) -> None:
-        """Begins the next operation: an order, or one time in ten a read."""
+        """Begins the next operation: with probability 0.1 a read, else a write."""
         if self.stopped:
             return
         self.required = tuple(self.run.history.acknowledged)
@@ -149,7 +151,7 @@
         self.send(self.target)
 
     def send(self, machine: Machine | None) -> None:
-        """One attempt, at `machine` or a random one."""
+        """Sends one attempt to `machine`, or to a random one if it is None."""
         run = self.run
         self.attempt += 1
         self.target = machine = machine or run.random.choice(run.machines)
@@ -165,12 +167,12 @@
         run.clock.after(ATTEMPT_TIMEOUT_S, self.retry, attempt)
 
     def retry(self, attempt: int) -> None:
-        """Sends the operation to a random machine, unless it has gone on meanwhile."""
+        """Sends the operation to a random machine, unless `attempt` is no longer the current one."""
         if attempt == self.attempt:
             self.send(None)
 
     def answered(self, attempt: int, outcome: object) -> None:
-        """An attempt was answered."""
+        """Handles the answer to an attempt: completes the operation, follows a redirect or retries."""
         run = self.run
         if attempt != self.attempt:
             return
@@ -185,12 +187,12 @@
             self.completed(outcome)
 
     def retry_at(self, attempt: int, machine: Machine) -> None:
-        """Follows a redirect, unless the operation has gone on meanwhile."""
+        """Follows a redirect, unless `attempt` is no longer the current one."""
         if attempt == self.attempt:
             self.send(machine)
 
     def completed(self, outcome: object) -> None:
-        """The operation has completed; the next one begins after a random pause."""
+        """Handles a completed operation; the next one begins after a random pause."""
         run = self.run
         self.attempt += 1
         if isinstance(outcome, ReadResult):
@@ -202,7 +204,7 @@
 
 
 def observed(member_class: type[Member], clock: Scheduler, history: OutageHistory) -> type[Member]:
-    """The member class, with each beginning of a primary recorded."""
+    """Returns a subclass of the member class that records in `history` when a member becomes primary."""
 
     def became_primary(member: Member, now: float) -> None:
         member_class.became_primary(member, now)
@@ -212,16 +214,16 @@
 
 
 class ReplicaOutageRun:
-    """One run by its seed; the environment of its machines.
+    """One run, determined by its seed; the environment of its machines.
 
     Attributes:
-        RECOVERY_S: seconds after the plan in which all return and catch up.
-        length: seconds of virtual time with outages.
-        pace: longest pause of a client between two operations, seconds.
-        padding: bytes of the configuration that every fifth order replaces.
-        lost_until: virtual time until which a machine counts as lost, by name.
-        recovering: the plan is over; nothing more fails.
-        after_next_acknowledgement: a fault to be injected right then.
+        RECOVERY_S: time after the last outage in which all machines return and catch up, seconds.
+        length: virtual time with outages, seconds.
+        pace: maximum pause of a client between two operations, seconds.
+        padding: size of the configuration that every fifth write replaces, bytes.
+        lost_until: virtual time until which a machine counts as lost, by its name.
+        recovering: whether the time with outages is over.
+        after_next_acknowledgement: a fault to be injected right after the next acknowledgement, or None.
     """
 
     RECOVERY_S = 35.0
@@ -270,15 +272,15 @@
         self.after_next_acknowledgement: Callable[[], None] | None = None
 
     def log(self, event: str, subject: str = "") -> None:
-        """Adds a line to the trace."""
+        """Appends an event to the trace."""
         self.history.events.append(LoggedEvent(self.clock.now, event, subject))
 
     def deliver(self, sender: str, receiver: str, message: Message) -> None:
-        """A message arrives at an address."""
+        """Delivers a message to the machine at the address `receiver`."""
         self.by_address[receiver].receive(sender, message)
 
     def decide(self, state: Mapping[str, bytes], request: Write) -> Decision:
-        """An order sets its client's last number and a key of its own; some replace the configuration."""
+        """Decides a write: sets the client's last number and another key, and at times the configuration."""
         key = last_key(request.client)
         if int(state.get(key, b"0")) >= request.number:
             return Decision({}, True)
@@ -290,7 +292,7 @@
             changes[f"taken/{request.client}/{(request.number - 100) % KEPT_CHANGES}"] = None
         return Decision(changes, True)
 
-    # --- the plan
+    # --- faults
 
     def next_fault(self) -> None:
         """Injects a fault, or arms one for the next acknowledgement, and schedules the next."""
@@ -308,62 +310,62 @@
         self.clock.after(self.random.choice((0.3, 2.0, 6.0)), self.next_fault)
 
     def may_be_lost(self) -> tuple[list[Machine], int]:
-        """Machines that are neither down nor catching up, and how many of them may be lost now."""
+        """Returns the machines neither down nor catching up, and how many of them may be lost now."""
         lost = [name for name, until in self.lost_until.items() if until > self.clock.now]
         free = [machine for machine in self.machines if machine.name not in lost and machine.up]
         return free, self.tolerated - len(lost)
 
     def take_down(self, machine: Machine) -> None:
-        """For a second to some twenty; a thousand changes are made in the longest."""
+        """Takes a machine down for 0.7 s to 20 s; a thousand changes are made in the longest outage."""
         down = self.random.choice((0.7, 3.0, 8.0, 20.0))
-        disk = self.random.choice(("whole", "whole", "wiped", "old disk"))
-        self.log(f"down {down} {disk}", machine.name)
+        disk = self.random.choice(("intact", "intact", "wiped", "old"))
+        self.log(f"down for {down} s, disk {disk}", machine.name)
         if self.random.random() < 0.7:
             machine.lose_power()
         else:
             machine.kill()
         old_disk = dict(machine.durable)
-        if disk != "whole":
+        if disk != "intact":
             machine.wipe()
         self.lost_until[machine.name] = self.clock.now + down + CATCH_UP_S
         self.clock.after(down, self.restart, machine)
-        if disk == "old disk":
+        if disk == "old":
             exchange_after = down + CATCH_UP_S + self.random.random() * 4
             until = self.clock.now + exchange_after + RESTART_S + CATCH_UP_S
             self.lost_until[machine.name] = until
             self.clock.after(exchange_after, self.exchange_disk, machine, old_disk)
 
     def exchange_disk(self, machine: Machine, old_disk: dict[str, bytes]) -> None:
-        """The disk of before it was emptied is put back: an old incarnation with an old state."""
-        self.log("old disk", machine.name)
+        """Puts back the disk from before it was wiped, with an old incarnation and an old state."""
+        self.log("disk from before the wipe put back", machine.name)
         machine.lose_power()
         machine.wipe()
         machine.durable = dict(old_disk)
         self.clock.after(RESTART_S, self.restart, machine)
 
     def restart(self, machine: Machine) -> None:
-        """The machine starts, unless it is up."""
+        """Starts the machine unless it is up."""
         machine.start()
 
     def lose_power_and_disks(self) -> None:
-        """As many as tolerated lose their disks, the primary first, while all others lose power."""
+        """Cuts all power, and wipes as many machines as may be lost now, the primary first."""
         free, allowed = self.may_be_lost()
         free.sort(key=lambda machine: machine.running_member.role != "primary")
         self.lose_all_power()
         for machine in free[: max(0, allowed)]:
-            self.log("wiped", machine.name)
+            self.log("disk wiped", machine.name)
             machine.wipe()
             self.lost_until[machine.name] = self.clock.now + 1.5 + CATCH_UP_S
 
     def acknowledged(self) -> None:
-        """An order was acknowledged; some faults are injected right then."""
+        """Handles an acknowledged write: injects the fault that is armed for it, if any."""
         if self.after_next_acknowledgement is not None and not self.recovering:
             inject, self.after_next_acknowledgement = self.after_next_acknowledgement, None
             inject()
 
     def lose_all_power(self) -> None:
-        """Those that are down stay down; all others return in any order."""
-        self.log("all power")
+        """Cuts the power of all machines that are up; they start again in any order."""
+        self.log("power loss of all machines")
         for machine in self.machines:
             if machine.up:
                 machine.lose_power()
@@ -372,7 +374,7 @@
     # --- the run
 
     def play(self) -> list[str]:
-        """The whole run; returns the violations that were found."""
+        """Plays the whole run; returns the violations found."""
         for machine in self.machines:
             machine.start(machine.address in self.seeds)
         for client in self.clients:
@@ -387,7 +389,7 @@
         return self.history.violations + self.history.check_chain() + self.not_caught_up()
 
     def not_caught_up(self) -> list[str]:
-        """At the end, with nothing going on, all members know the newest state."""
+        """Returns a violation for each member that doesn't know the newest state at the end."""
         newest = max(self.history.states, default=(0, 0))
         positions = {
             machine.name: machine.member.committed.position if machine.member is not None else None
