--- a/shedgrade/simulation/catch_up.py
+++ b/shedgrade/simulation/catch_up.py
@@ -18,9 +18,9 @@
 from shedgrade.simulation.machine import Machine
 from shedgrade.simulation.network import Deliver, Network, payload_bytes
 
-BITS = 8
+BITS_PER_BYTE = 8
 MEGABIT = 1_000_000
-SMALL_MESSAGE = 100  # bytes counted for each message in addition to its payload
+MESSAGE_OVERHEAD_BYTES = 100  # bytes counted for each message in addition to its payload
 FAST_LINK_MEGABITS = 1000.0
 FOUNDING_S = 3.0  # time before the first change
 STEP_S = 0.01  # between two samples of the members' state
@@ -117,7 +117,7 @@
     def send(self, sender: str, receiver: str, message: Message) -> None:
         """Sends a message with the bandwidth of its link; counts its bytes."""
         if receiver == self.counted:
-            self.bytes_sent += payload_bytes(message) + SMALL_MESSAGE
+            self.bytes_sent += payload_bytes(message) + MESSAGE_OVERHEAD_BYTES
         if self.losing & {sender, receiver}:
             return
         self.bandwidth = self.link_bandwidth(sender, receiver)
@@ -126,7 +126,7 @@
     def link_bandwidth(self, sender: str, receiver: str) -> float:
         """Returns the bandwidth of a link, bytes per second."""
         is_slow = self.case.all_links or self.counted in (sender, receiver)
-        return (self.case.megabits if is_slow else FAST_LINK_MEGABITS) * MEGABIT / BITS
+        return (self.case.megabits if is_slow else FAST_LINK_MEGABITS) * MEGABIT / BITS_PER_BYTE
 
 
 class CatchUpRun:
--- a/shedgrade/simulation/clients.py
+++ b/shedgrade/simulation/clients.py
@@ -19,9 +19,9 @@
 REQUEST_DELAY_S = 0.001  # one way between a client and a machine
 ATTEMPT_TIMEOUT_S = 1.0
 FIRST_BACKOFF_S = 0.05
-LONGEST_BACKOFF_S = 0.5
+MAX_BACKOFF_S = 0.5
 BACKOFF_FACTOR = 1.6
-MOST_REDIRECTS = 2
+MAX_REDIRECTS = 2
 SAME_MACHINE_SHARE = 0.6  # share of operations first sent to the machine that completed the last one
 
 
@@ -99,7 +99,7 @@
         """Handles a machine's answer to the current attempt."""
         if isinstance(outcome, RedirectToPrimary):
             target = self.cluster.by_address.get(outcome.address)
-            if target is not None and redirects < MOST_REDIRECTS:
+            if target is not None and redirects < MAX_REDIRECTS:
                 self.send(target, redirects + 1)
             else:
                 self.retry(machine)
@@ -118,7 +118,7 @@
         """Schedules another attempt at a different machine after an exponential backoff."""
         self.attempt += 1
         others = [each for each in self.cluster.machines if each is not machine] or [machine]
-        self.backoff_s = min(self.backoff_s * BACKOFF_FACTOR, LONGEST_BACKOFF_S)
+        self.backoff_s = min(self.backoff_s * BACKOFF_FACTOR, MAX_BACKOFF_S)
         target = self.cluster.random.choice(others)
         self.cluster.clock.after(self.backoff_s, self.send_retry, self.attempt, target)
 
--- a/shedgrade/simulation/cluster.py
+++ b/shedgrade/simulation/cluster.py
@@ -17,7 +17,7 @@
 from shedgrade.simulation.register import Request, decide
 
 START_WITHIN_S = 0.3  # time within which all machines start
-FAST_LINK = 4_000_000.0  # bytes per second
+FAST_LINK_BYTES_PER_S = 4_000_000.0  # bytes per second
 RECOVERY_S = 12.0  # time after the last fault in which clients continue
 LAST_OPERATIONS_S = 6.0  # time for operations in progress when clients are stopped
 FINAL_READ_S = 3.0  # time for the read after that
@@ -72,7 +72,7 @@
         self.padding = self.random.choice((0, 0, 0, 0, 0, 20_000, 100_000, 300_000))
         if profile == "members" and self.padding >= 100_000 and self.network.bandwidth:
             # Half of `catchUpS` is the limit for links that transfer a whole state within 0.1 s.
-            self.network.bandwidth = FAST_LINK
+            self.network.bandwidth = FAST_LINK_BYTES_PER_S
         self.decide: Callable[[Mapping[str, bytes], Request], Decision] = (
             self.decide_padded if self.padding else decide
         )
@@ -113,7 +113,7 @@
             loss=draw.choice((0.01, 0.05, 0.15)) if lossy else 0.0,
             duplication=0.05 if lossy else 0.0,
             jitter=draw.choice((0.02, 0.1, 0.5)),
-            bandwidth=draw.choice((0.0, 500_000.0, FAST_LINK)),
+            bandwidth=draw.choice((0.0, 500_000.0, FAST_LINK_BYTES_PER_S)),
         )
 
     def add_first_machines(self) -> None:
--- a/shedgrade/simulation/crash_enumeration.py
+++ b/shedgrade/simulation/crash_enumeration.py
@@ -18,7 +18,7 @@
 from shedgrade.storage import LoadResult, Store, StoreState
 from shedgrade.storage.layout import apply_changes
 
-RESTART_EVERY = 97  # changes
+CHANGES_PER_RESTART = 97
 
 
 def change_of(number: int) -> dict[str, bytes | None]:
@@ -143,7 +143,7 @@
         recorder, store = Recorder(disk), self.make_store(disk.files)
         store.load()
         for number in range(1, self.changes + 1):
-            if number % RESTART_EVERY == 0:
+            if number % CHANGES_PER_RESTART == 0:
                 store = self.make_store(disk.files)
                 store.load()
             store.write(change_of(number))
--- a/shedgrade/simulation/crash_points.py
+++ b/shedgrade/simulation/crash_points.py
@@ -17,7 +17,7 @@
 
 Contents = dict[str, bytes]
 Outcome = list[Change]  # the parts of a pending change that reach the disk
-MOST_COMBINATIONS = 4_096  # of the pending changes of one file; a store that syncs each write has far fewer
+MAX_COMBINATIONS = 4_096  # of the pending changes of one file; a store that syncs each write has far fewer
 
 
 @dataclass(frozen=True, slots=True)
@@ -95,10 +95,10 @@
 def combinations(choices: list[list[Outcome]]) -> Iterator[tuple[Outcome, ...]]:
     """Yields every combination of one outcome per change.
 
-    If there are more than MOST_COMBINATIONS, yields only those in which one change has any outcome and all
+    If there are more than MAX_COMBINATIONS, yields only those in which one change has any outcome and all
     others are complete, or all others are missing.
     """
-    if prod(len(each) for each in choices) <= MOST_COMBINATIONS:
+    if prod(len(each) for each in choices) <= MAX_COMBINATIONS:
         yield from product(*choices)
         return
     for others in (0, 1):  # index in each list of outcomes: complete, missing
--- a/shedgrade/simulation/fault_schedule.py
+++ b/shedgrade/simulation/fault_schedule.py
@@ -9,7 +9,7 @@
 
 InjectFault = Callable[[Faults], None]
 
-FAIR: tuple[InjectFault, ...] = (
+FAIR_FAULTS: tuple[InjectFault, ...] = (
     Faults.kill_machine,
     Faults.power_off,
     Faults.wipe,
@@ -36,7 +36,7 @@
     Faults.power_off_all_after_acknowledgement,
     Faults.wipe_some_and_power_off_all,
 )
-MEMBERS: tuple[InjectFault, ...] = (
+MEMBERS_FAULTS: tuple[InjectFault, ...] = (
     Faults.wipe,
     Faults.wipe_after_acknowledgement,
     Faults.wipe_some_and_power_off_all,
@@ -49,7 +49,7 @@
     Faults.replace_machine,
     *2 * (Faults.leave_after_wipe, Faults.second_loss, Faults.replace_dead_machines),
 )
-SPLIT: tuple[InjectFault, ...] = (
+PARTITION_FAULTS: tuple[InjectFault, ...] = (
     Faults.isolate_primary,
     Faults.isolate_primary,
     Faults.isolate_primary,
@@ -58,7 +58,7 @@
     Faults.fail_around_message,
     Faults.kill_machine,
 )
-STORM: tuple[InjectFault, ...] = (
+STORM_FAULTS: tuple[InjectFault, ...] = (
     Faults.kill_machine,
     Faults.power_off,
     Faults.power_off_after_acknowledgement,
@@ -98,9 +98,12 @@
 
 
 FAIR_GAPS_S = (0.1, 1.0, 4.0, 9.0)
-MIXES = {"storm": FaultMix(STORM, (0.02, 0.2, 0.6, 1.5)), "members": FaultMix(MEMBERS, FAIR_GAPS_S)}
-FAIR_MIX = FaultMix(FAIR, FAIR_GAPS_S)
-SPLIT_MIX = FaultMix(SPLIT, (0.5, 1.5, 3.0))
+MIXES = {
+    "storm": FaultMix(STORM_FAULTS, (0.02, 0.2, 0.6, 1.5)),
+    "members": FaultMix(MEMBERS_FAULTS, FAIR_GAPS_S),
+}
+FAIR_MIX = FaultMix(FAIR_FAULTS, FAIR_GAPS_S)
+PARTITION_MIX = FaultMix(PARTITION_FAULTS, (0.5, 1.5, 3.0))
 
 
 class FaultSchedule(Faults):
@@ -114,7 +117,7 @@
         """Injects a fault now, and schedules the next one after a random gap."""
         if self.stopped:
             return
-        mix = SPLIT_MIX if self.cluster.split else MIXES.get(self.cluster.profile, FAIR_MIX)
+        mix = PARTITION_MIX if self.cluster.split else MIXES.get(self.cluster.profile, FAIR_MIX)
         inject = self.random.choice(mix.faults)
         inject(self)
         gap = self.random.choice(mix.gaps_s)
--- a/shedgrade/simulation/machine.py
+++ b/shedgrade/simulation/machine.py
@@ -18,8 +18,8 @@
 from shedgrade.simulation.environment import Environment
 
 EXIT_MARGIN_S = 1.2  # time before SIGKILL at which a leaving process gives up
-LOCAL_CALL_S = 0.001  # delay until callers see a closed connection, and until a resumed disk ends its write
-LEAST_TICK_DELAY_S = 0.0005
+LOCAL_DELAY_S = 0.001  # delay until callers see a closed connection, and until a resumed disk ends its write
+MIN_TICK_DELAY_S = 0.0005
 TICK_JITTER_S = 0.001
 NEVER = float("inf")
 
@@ -127,7 +127,7 @@
             return
         self.environment.log("kill", self.name)
         for callback in self.end_process():
-            self.environment.clock.after(LOCAL_CALL_S, callback, None)
+            self.environment.clock.after(LOCAL_DELAY_S, callback, None)
 
     def lose_power(self) -> None:
         """Ends the process; its callers aren't notified, and messages held in the kernel are lost."""
@@ -230,7 +230,7 @@
         self.disk_stalled = stalled
         if not stalled and self.unsynced_write is not None:
             self.environment.clock.after(
-                LOCAL_CALL_S, self.finish_write, self.generation, self.unsynced_write.token
+                LOCAL_DELAY_S, self.finish_write, self.generation, self.unsynced_write.token
             )
 
     # --- calls to the member
@@ -248,7 +248,7 @@
         if self.frozen:
             self.deferred_calls.append(partial(self.submit_command, request, on_outcome))
         elif self.member is None:
-            self.environment.clock.after(LOCAL_CALL_S, on_outcome, None)
+            self.environment.clock.after(LOCAL_DELAY_S, on_outcome, None)
         else:
             self.member.submit(self.steady_now, self.new_ticket(on_outcome), request)
             self.run_effects()
@@ -258,7 +258,7 @@
         if self.frozen:
             self.deferred_calls.append(partial(self.submit_read, on_outcome))
         elif self.member is None:
-            self.environment.clock.after(LOCAL_CALL_S, on_outcome, None)
+            self.environment.clock.after(LOCAL_DELAY_S, on_outcome, None)
         else:
             self.member.read(self.steady_now, self.new_ticket(on_outcome))
             self.run_effects()
@@ -318,7 +318,7 @@
     def schedule_tick(self, member: Member) -> None:
         """Schedules a call to the member when its next timer is due."""
         environment = self.environment
-        wake_at = max(member.wake_at() - self.clock_offset, environment.clock.now + LEAST_TICK_DELAY_S)
+        wake_at = max(member.wake_at() - self.clock_offset, environment.clock.now + MIN_TICK_DELAY_S)
         if wake_at < self.next_tick_at:
             self.next_tick_at = wake_at
             jitter = TICK_JITTER_S * environment.random.random()
--- a/shedgrade/simulation/maintenance_faults.py
+++ b/shedgrade/simulation/maintenance_faults.py
@@ -12,8 +12,8 @@
     from shedgrade.simulation.machine import Machine
 
 GRACE_S = 8.0  # time from SIGTERM to SIGKILL
-MOST_MACHINES = 12  # no machine is replaced once a run has created more
-AFTER_CATCH_UP_S = 0.002  # time from the catching up of the first machines to the next loss
+MAX_MACHINES = 12  # no machine is replaced once a run has created more
+SECOND_LOSS_DELAY_S = 0.002  # time from the catching up of the first machines to the next loss
 
 
 class MaintenanceFaults(FaultInjector):
@@ -79,7 +79,7 @@
     def replace_machine(self) -> None:
         """Terminates a machine for good, and adds one with an empty disk at another address in its place."""
         machine, cluster = self.pick_machine(), self.cluster
-        if machine is None or cluster.machines_made > MOST_MACHINES or not self.may_lose_several():
+        if machine is None or cluster.machines_made > MAX_MACHINES or not self.may_lose_several():
             return
 
         def add_replacement() -> None:
@@ -102,14 +102,14 @@
     def replace_dead_machines(self) -> None:
         """Removes machines for good, and adds ones with empty disks elsewhere, at once or after a delay."""
         cluster = self.cluster
-        if not cluster.bounded or self.lost_machines() or cluster.machines_made > MOST_MACHINES:
+        if not cluster.bounded or self.lost_machines() or cluster.machines_made > MAX_MACHINES:
             return
         wait = self.random.choice((0.0, 0.5, 2.0, 4.0)) * (0.5 + self.random.random())
         for _ in range(self.random.randint(1, cluster.tolerated)):
             machine = self.pick_machine()
             if machine is not None:
                 self.replace_dead_machine(machine, wait)
-        self.clock.after(wait + self.catch_up_s + AFTER_CATCH_UP_S, self.wipe_holders)
+        self.clock.after(wait + self.catch_up_s + SECOND_LOSS_DELAY_S, self.wipe_holders)
 
     def replace_dead_machine(self, machine: Machine, wait: float) -> None:
         """Removes a machine with its disk; its replacement starts after `wait` seconds."""
@@ -131,7 +131,7 @@
             machine = self.pick_machine()
             if machine is not None:
                 self.wipe_machine(machine, down)
-        self.clock.after(down + self.catch_up_s + AFTER_CATCH_UP_S, self.wipe_holders)
+        self.clock.after(down + self.catch_up_s + SECOND_LOSS_DELAY_S, self.wipe_holders)
 
     def wipe_holders(self) -> None:
         """Wipes as many holders of the state as may be lost now."""
--- a/shedgrade/simulation/network.py
+++ b/shedgrade/simulation/network.py
@@ -11,7 +11,7 @@
 Link = tuple[str, str]  # (sender's address, receiver's address): one direction of a link
 Deliver = Callable[[str, str, Message], None]  # (sender, receiver, message)
 
-OVERTAKES = 0.02  # share of messages that are sent over a new connection and may overtake others
+OVERTAKING_SHARE = 0.02  # share of messages that are sent over a new connection and may overtake others
 HOST_DELAY_S = 0.0005  # added to the delay of every message for processing on both hosts
 RESEND_WITHIN_S = 0.3  # maximum time from the unblocking of a link to the arrival of a message it held
 
@@ -132,7 +132,7 @@
             free_at = max(self.busy_until.get(link, 0.0), self.clock.now)
             self.busy_until[link] = free_at + payload / self.bandwidth
         arrival = max(self.clock.now, self.busy_until.get(link, 0.0)) + delay
-        if self.random.random() > OVERTAKES:
+        if self.random.random() > OVERTAKING_SHARE:
             arrival = max(arrival, self.last_arrival.get(link, 0.0))
         self.last_arrival[link] = arrival
         return arrival
