--- a/shedgrade/simulation/checkers.py
+++ b/shedgrade/simulation/checkers.py
@@ -127,11 +127,11 @@
     reads = [operation for operation in completed if operation.request is None]
     reads.sort(key=lambda operation: operation.invoked_at)
     known = KnownState()
-    taken_in = 0
+    added = 0
     for read in reads:
-        while taken_in < len(completed) and completed[taken_in].completed_at < read.invoked_at:
-            known.add(completed[taken_in])
-            taken_in += 1
+        while added < len(completed) and completed[added].completed_at < read.invoked_at:
+            known.add(completed[added])
+            added += 1
         if isinstance(read.outcome, ReadResult):
             violations += known.check_read(read, read.outcome)
     return violations
--- a/shedgrade/simulation/crash_enumeration.py
+++ b/shedgrade/simulation/crash_enumeration.py
@@ -21,7 +21,7 @@
 CHANGES_PER_RESTART = 97
 
 
-def change_of(number: int) -> dict[str, bytes | None]:
+def make_change(number: int) -> dict[str, bytes | None]:
     """Returns change `number`, from 1 on. Two keys hold its number, which reveals a mix of two states."""
     changes: dict[str, bytes | None] = {
         "state/version": b"%d" % number,
@@ -40,12 +40,12 @@
     found: list[dict[str, bytes]] = [{}]
     for number in range(1, changes + 1):
         values = dict(found[-1])
-        apply_changes(values, change_of(number))
+        apply_changes(values, make_change(number))
         found.append(values)
     return found
 
 
-def described(image: CrashImage) -> str:
+def describe_crash(image: CrashImage) -> str:
     """Returns the operation before which a crash happened, and the number of acknowledged changes."""
     return f"{image.operation}, {image.step} acknowledged"
 
@@ -93,19 +93,19 @@
         checked: set[tuple[int, int]] = set()
         for image in self.record():
             if any(file.pending for file in image.files.values()):
-                self.play_death(image)
+                self.play_process_crash(image)
             for contents in survivors(image):
                 if not add_if_new(checked, image.step, contents):
                     continue
                 self.report.first += 1
                 self.check(contents, image, "first loss")
                 if self.report.first % self.second_every == 0:
-                    self.play_second(contents, image.step)
+                    self.play_second_loss(contents, image.step)
                 if to_first_finding and self.report.violations:
                     return self.report
         return self.report
 
-    def play_second(self, contents: Contents, step: int) -> None:
+    def play_second_loss(self, contents: Contents, step: int) -> None:
         """Plays a second loss of power at each operation of the recovery from the first."""
         checked: set[tuple[int, int]] = set()
         disk = disk_with(contents)
@@ -119,7 +119,7 @@
                     self.report.second += 1
                     self.check(left, image, "second loss")
 
-    def play_death(self, image: CrashImage) -> None:
+    def play_process_crash(self, image: CrashImage) -> None:
         """Plays a process crash: what the next start reads must survive any loss of power during it."""
         self.report.deaths += 1
         disk = disk_at(image)
@@ -131,11 +131,11 @@
                 found = self.make_store(disk_with(contents).files).load()
                 if found.values != loaded.values:
                     self.report.violations.append(
-                        f"process crash before {described(image)}: state read at the start is lost with power"
+                        f"process crash before {describe_crash(image)}: state read at start lost with power"
                     )
         finding = self.state_finding(loaded, image.step)
         if finding:
-            self.report.violations.append(f"process crash before {described(image)}: {finding}")
+            self.report.violations.append(f"process crash before {describe_crash(image)}: {finding}")
 
     def record(self) -> list[CrashImage]:
         """Plays the changes; returns an image before each operation, whose `step` counts changes so far."""
@@ -146,7 +146,7 @@
             if number % CHANGES_PER_RESTART == 0:
                 store = self.make_store(disk.files)
                 store.load()
-            store.write(change_of(number))
+            store.write(make_change(number))
             recorder.step = number
         disk.files.sync_folder()  # records an image after the last change
         return recorder.stop()
@@ -155,7 +155,7 @@
         """Adds a violation if the state found after a loss is wrong."""
         finding = self.finding(contents, image.step)
         if finding:
-            self.report.violations.append(f"{loss} before {described(image)}: {finding}")
+            self.report.violations.append(f"{loss} before {describe_crash(image)}: {finding}")
 
     def finding(self, contents: Contents, step: int) -> str | None:
         """Returns what is wrong with the state that two successive starts find, or None."""
