--- a/shedgrade/simulation/catch_up.py
+++ b/shedgrade/simulation/catch_up.py
@@ -94,9 +94,9 @@
 
     Attributes:
         case: the scenario, which has the bandwidths.
-        counted: address of the returning machine; "" before it is known.
+        counted_address: address of the returning machine; "" before it is known.
         bytes_sent: bytes sent to that address.
-        losing: addresses whose links lose every message.
+        lossy_addresses: addresses whose links lose every message.
     """
 
     def __init__(self, case: CatchUpCase, clock: Scheduler, random: Random, deliver: Deliver) -> None:
@@ -110,22 +110,22 @@
             loss=case.loss,
         )
         self.case = case
-        self.counted = ""
+        self.counted_address = ""
         self.bytes_sent = 0
-        self.losing: set[str] = set()
+        self.lossy_addresses: set[str] = set()
 
     def send(self, sender: str, receiver: str, message: Message) -> None:
         """Sends a message with the bandwidth of its link; counts its bytes."""
-        if receiver == self.counted:
+        if receiver == self.counted_address:
             self.bytes_sent += payload_bytes(message) + MESSAGE_OVERHEAD_BYTES
-        if self.losing & {sender, receiver}:
+        if self.lossy_addresses & {sender, receiver}:
             return
         self.bandwidth = self.link_bandwidth(sender, receiver)
         super().send(sender, receiver, message)
 
     def link_bandwidth(self, sender: str, receiver: str) -> float:
         """Returns the bandwidth of a link, bytes per second."""
-        is_slow = self.case.all_links or self.counted in (sender, receiver)
+        is_slow = self.case.all_links or self.counted_address in (sender, receiver)
         return (self.case.megabits if is_slow else FAST_LINK_MEGABITS) * MEGABIT / BITS_PER_BYTE
 
 
@@ -133,7 +133,7 @@
     """Plays one case; is the environment of its machines.
 
     Attributes:
-        ordered: number of changes submitted.
+        submitted: number of changes submitted.
         acknowledged: number of changes acknowledged.
         result: the measurements so far.
     """
@@ -146,13 +146,13 @@
         self.history = History()
         self.tolerated = 1
         self.timing = Timing()
-        self.tickets = 0
+        self.ticket_count = 0
         self.seeds: tuple[str, ...] = ("10.1.0.1:7300", "10.2.0.1:7300", "10.3.0.1:7300")
         self.network = MeasuredNetwork(case, self.clock, self.random, self.deliver)
         self.machines = [Machine(self, f"m{at}", address, f"r{at}") for at, address in enumerate(self.seeds)]
         self.by_address = {machine.address: machine for machine in self.machines}
         self.network.region = {machine.address: machine.region for machine in self.machines}
-        self.ordered = 0
+        self.submitted = 0
         self.acknowledged = 0
         self.result = CatchUpResult()
 
@@ -174,13 +174,13 @@
 
     # --- the client
 
-    def order(self) -> None:
+    def submit_next(self) -> None:
         """Submits the next change to the primary, if there is one, and schedules the one after."""
         primary = self.primary()
-        self.ordered += 1
+        self.submitted += 1
         if primary is not None:
-            primary.submit_command(self.ordered, self.answered)
-        self.clock.after(self.case.interval, self.order)
+            primary.submit_command(self.submitted, self.answered)
+        self.clock.after(self.case.interval, self.submit_next)
 
     def answered(self, outcome: object) -> None:
         """Counts an acknowledged change, whose outcome is its number."""
@@ -199,18 +199,18 @@
         for machine in self.machines:
             machine.start(True)
         clock.run(FOUNDING_S)
-        self.order()
+        self.submit_next()
         clock.run(FOUNDING_S + case.before * case.interval)
         machine = next(each for each in self.machines if each.running_member.role == case.role)
         machine.lose_power()
         if case.wiped:
             machine.wipe()
-        self.network.counted = machine.address
+        self.network.counted_address = machine.address
         clock.run(clock.now + case.missed * case.interval)
         self.restart(machine)
         self.run_until_caught_up(machine)
         self.measure_steady_lag(machine)
-        self.result.acknowledged = self.acknowledged / self.ordered
+        self.result.acknowledged = self.acknowledged / self.submitted
         return self.result
 
     def restart(self, machine: Machine) -> None:
@@ -218,9 +218,9 @@
         self.network.bytes_sent = 0
         machine.start()
         if self.case.cut_after is not None:
-            self.clock.after(self.case.cut_after, self.network.losing.add, machine.address)
+            self.clock.after(self.case.cut_after, self.network.lossy_addresses.add, machine.address)
             until = self.case.cut_after + self.case.cut_seconds
-            self.clock.after(until, self.network.losing.discard, machine.address)
+            self.clock.after(until, self.network.lossy_addresses.discard, machine.address)
 
     def run_until_caught_up(self, machine: Machine) -> None:
         """Runs until the machine has what was committed at its return, or patience is over."""
--- a/shedgrade/simulation/clients.py
+++ b/shedgrade/simulation/clients.py
@@ -45,7 +45,7 @@
         self.backoff_s = FIRST_BACKOFF_S
         self.stopped = False
 
-    def next(self) -> None:
+    def begin_next(self) -> None:
         """Begins the next operation unless the client is stopped."""
         raise NotImplementedError
 
@@ -128,8 +128,10 @@
             self.send(machine)
 
     def schedule_next(self, factor: float = 1.0) -> None:
-        """Schedules the next operation after a random pause of at most `factor` times the cluster's pace."""
-        self.cluster.clock.after(factor * self.cluster.pace * self.cluster.random.random(), self.next)
+        """Schedules the next operation after a random pause, at most `factor` times `max_pause_s`."""
+        self.cluster.clock.after(
+            factor * self.cluster.max_pause_s * self.cluster.random.random(), self.begin_next
+        )
 
 
 class OperatorClient(Client):
@@ -137,20 +139,20 @@
 
     known_version = 0
 
-    def next(self) -> None:
+    def begin_next(self) -> None:
         """Puts the next configuration, unless the client is stopped."""
         if self.stopped:
             return
         cluster = self.cluster
-        cluster.payloads += 1
+        cluster.payload_count += 1
         version = self.known_version + cluster.random.randint(1, 3)
-        self.begin(Put(self.known_version, version, f"{self.name}{cluster.payloads}"))
+        self.begin(Put(self.known_version, version, f"{self.name}{cluster.payload_count}"))
 
     def completed(self, operation: Operation, machine: Machine) -> None:
         """Records the version that the operation has set or read; reads the state after a conflict."""
         if isinstance(operation.request, Put) and operation.outcome == OK:
             self.known_version = operation.request.version
-            self.cluster.acknowledged(machine)
+            self.cluster.handle_acknowledgement(machine)
         elif operation.outcome == CONFLICT:
             self.begin(None)
             return
@@ -164,7 +166,7 @@
 
     number = 0
 
-    def next(self) -> None:
+    def begin_next(self) -> None:
         """Raises the counter, unless the client is stopped."""
         if not self.stopped:
             self.number += 1
@@ -172,14 +174,14 @@
 
     def completed(self, operation: Operation, machine: Machine) -> None:
         """Schedules the next operation after up to twice the usual pause."""
-        self.cluster.acknowledged(machine)
+        self.cluster.handle_acknowledgement(machine)
         self.schedule_next(2)
 
 
 class ReaderClient(Client):
     """Reads the state repeatedly."""
 
-    def next(self) -> None:
+    def begin_next(self) -> None:
         """Reads the state, unless the client is stopped."""
         if not self.stopped:
             self.begin(None)
--- a/shedgrade/simulation/cluster.py
+++ b/shedgrade/simulation/cluster.py
@@ -33,15 +33,15 @@
             "deaths" kills the primary repeatedly; "members" loses disks and machines, and others as soon as
             the first have caught up.
         bounded: whether losses stay within the tolerated number.
-        split: whether faults are mostly partitions, as in some storms.
+        mainly_partitions: whether faults are mostly partitions, as in some storms.
         length: virtual time with faults, seconds.
         trace: True prints events; "messages" prints all messages too.
         padding: bytes appended to the payload of each configuration.
-        pace: maximum pause of a client between two operations, seconds; drawn uniformly.
+        max_pause_s: maximum pause of a client between two operations, seconds; drawn uniformly.
         machines: the machines that exist now; a replaced machine is removed.
-        machines_made: number of machines created so far; numbers the next.
-        payloads: number of payloads so far; numbers the next.
-        tickets: number of requests submitted so far; numbers the next.
+        machines_created: number of machines created so far; numbers the next.
+        payload_count: number of payloads so far; numbers the next.
+        ticket_count: number of requests submitted so far; numbers the next.
         on_acknowledged: called once with the machine that acknowledges the next change.
     """
 
@@ -78,14 +78,14 @@
         )
         self.machines: list[Machine] = []
         self.by_address: dict[str, Machine] = {}
-        self.machines_made = 0
-        self.payloads = 0
-        self.tickets = 0
-        self.pace = self.random.choice((0.1, 0.4, 1.0)) if self.padding < 50_000 else 2.0
+        self.machines_created = 0
+        self.payload_count = 0
+        self.ticket_count = 0
+        self.max_pause_s = self.random.choice((0.1, 0.4, 1.0)) if self.padding < 50_000 else 2.0
         self.seeds: tuple[str, ...] = tuple(f"10.{at % 3 + 1}.0.{at + 1}:7300" for at in range(3))
         self.add_first_machines()
         self.timing = Timing()
-        self.split = profile == "storm" and self.random.random() < 0.4
+        self.mainly_partitions = profile == "storm" and self.random.random() < 0.4
         if profile == "storm":
             self.timing = self.draw_timing()
         self.fault_schedule = FaultSchedule(self)
@@ -129,13 +129,15 @@
     def draw_timing(self) -> Timing:
         """Draws the members' time-outs in a storm: no safety property may depend on them."""
         draw = self.random
-        silent, deaf = draw.choice(((0.6, 0.8), (0.6, 6.0), (3.0, 6.0))[2 * self.split :])
+        peer_timeout_s, majority_timeout_s = draw.choice(
+            ((0.6, 0.8), (0.6, 6.0), (3.0, 6.0))[2 * self.mainly_partitions :]
+        )
         return Timing(
             primary_timeout_s=draw.choice((0.35, 0.55)),
-            peer_timeout_s=silent,
-            majority_timeout_s=deaf,
-            write_timeout_s=10.0 if self.split else 0.45,
-            member_replacement_timeout_s=draw.choice((0.3, 2.5)[self.split :]),
+            peer_timeout_s=peer_timeout_s,
+            majority_timeout_s=majority_timeout_s,
+            write_timeout_s=10.0 if self.mainly_partitions else 0.45,
+            member_replacement_timeout_s=draw.choice((0.3, 2.5)[self.mainly_partitions :]),
             election_stagger_s=draw.choice((0.0, 0.15)),
         )
 
@@ -151,8 +153,8 @@
 
     def add(self, region: str, address: str, sync_s: float) -> Machine:
         """Adds a machine with an empty disk and a mean write time of `sync_s`, without starting it."""
-        self.machines_made += 1
-        machine = Machine(self, f"m{self.machines_made}", address, region)
+        self.machines_created += 1
+        machine = Machine(self, f"m{self.machines_created}", address, region)
         if self.clock.now:  # the seeds in its settings are the first machines of that time
             machine.seeds = tuple(each.address for each in self.machines[:3])
         machine.sync_s = machine.usual_sync_s = sync_s
@@ -175,7 +177,7 @@
         if self.trace:
             print(f"{self.clock.now:8.3f} {event} {subject}")
 
-    def acknowledged(self, machine: Machine) -> None:
+    def handle_acknowledgement(self, machine: Machine) -> None:
         """Handles the acknowledgement of a change: injects the fault scheduled for it, if any."""
         if self.on_acknowledged is not None:
             inject, self.on_acknowledged = self.on_acknowledged, None
@@ -203,7 +205,7 @@
         for machine in self.machines:
             self.clock.at(START_WITHIN_S * self.random.random(), machine.start, True)
         for client in self.clients:
-            self.clock.at(0.5 + 0.5 * self.random.random(), client.next)
+            self.clock.at(0.5 + 0.5 * self.random.random(), client.begin_next)
 
     def schedule_faults(self) -> None:
         """Schedules the first fault of the profile; each schedules the next."""
@@ -217,7 +219,7 @@
             first = 2.0
             if self.bounded:  # new machines count as lost until they have caught up
                 first = max(end for _, end in spans) + CATCH_UP_S + 3 * self.random.random()
-            self.clock.at(first, self.fault_schedule.next)
+            self.clock.at(first, self.fault_schedule.inject_next)
 
     def stop_clients(self) -> None:
         """Stops the clients and runs until their operations in progress should have completed."""
--- a/shedgrade/simulation/environment.py
+++ b/shedgrade/simulation/environment.py
@@ -27,12 +27,12 @@
     Attributes:
         tolerated: number of machines that may be lost at once without any guarantee being broken.
         timing: time-outs of the members.
-        tickets: number of requests submitted so far to any machine; numbers the next one.
+        ticket_count: number of requests submitted so far to any machine; numbers the next one.
     """
 
     tolerated: int
     timing: Timing
-    tickets: int
+    ticket_count: int
 
     @property
     def random(self) -> Random:
--- a/shedgrade/simulation/fault_schedule.py
+++ b/shedgrade/simulation/fault_schedule.py
@@ -27,7 +27,7 @@
     Faults.rolling_restart,
     Faults.replace_machine,
     Faults.leave_after_wipe,
-    Faults.second_loss,
+    Faults.wipe_after_catch_up,
     Faults.replace_dead_machines,
     Faults.fail_around_message,
     Faults.fail_around_message,
@@ -47,7 +47,7 @@
     Faults.fail_around_message,
     Faults.rolling_restart,
     Faults.replace_machine,
-    *2 * (Faults.leave_after_wipe, Faults.second_loss, Faults.replace_dead_machines),
+    *2 * (Faults.leave_after_wipe, Faults.wipe_after_catch_up, Faults.replace_dead_machines),
 )
 PARTITION_FAULTS: tuple[InjectFault, ...] = (
     Faults.isolate_primary,
@@ -113,12 +113,12 @@
     caught up after its return.
     """
 
-    def next(self) -> None:
+    def inject_next(self) -> None:
         """Injects a fault now, and schedules the next one after a random gap."""
         if self.stopped:
             return
-        mix = PARTITION_MIX if self.cluster.split else MIXES.get(self.cluster.profile, FAIR_MIX)
+        mix = PARTITION_MIX if self.cluster.mainly_partitions else MIXES.get(self.cluster.profile, FAIR_MIX)
         inject = self.random.choice(mix.faults)
         inject(self)
         gap = self.random.choice(mix.gaps_s)
-        self.clock.after(gap * (0.5 + self.random.random()), self.next)
+        self.clock.after(gap * (0.5 + self.random.random()), self.inject_next)
--- a/shedgrade/simulation/faults.py
+++ b/shedgrade/simulation/faults.py
@@ -126,14 +126,14 @@
         def inject(acknowledging: Machine) -> None:
             if self.stopped or not self.may_lose_several():
                 return
-            wiped = self.choose_to_wipe(acknowledging)
+            wiped = self.draw_machines_to_wipe(acknowledging)
             self.cluster.log("disks wiped in a power loss", " ".join(machine.name for machine in wiped))
             self.restart_all(lambda machine: self.lose_power_and_wipe(machine, wiped))
 
         if self.cluster.bounded:
             self.cluster.on_acknowledged = inject
 
-    def choose_to_wipe(self, acknowledging: Machine) -> list[Machine]:
+    def draw_machines_to_wipe(self, acknowledging: Machine) -> list[Machine]:
         """Draws the tolerated number of machines; the acknowledging one is mostly among them."""
         cluster = self.cluster
         others = [machine for machine in cluster.machines if machine is not acknowledging]
@@ -342,7 +342,7 @@
         kind = self.random.choice(TARGETED_MESSAGES)
         skip = self.random.randint(0, 3)
 
-        def look(sender: str, receiver: str, message: Message) -> None:
+        def handle_send(sender: str, receiver: str, message: Message) -> None:
             nonlocal skip
             if type(message) is not kind or self.stopped:
                 return
@@ -351,7 +351,7 @@
                 self.cluster.network.on_send = None
                 self.fail_ends_of_message(sender, receiver, kind.__name__)
 
-        self.cluster.network.on_send = look
+        self.cluster.network.on_send = handle_send
 
     def fail_ends_of_message(self, sender: str, receiver: str, kind: str) -> None:
         """Makes one of the two fail, at times both in a storm; half of the time targets another message."""
@@ -370,14 +370,14 @@
             return
         seconds = self.random.choice((0.1, 0.3, 0.8, 1.2, 3.0)) * (0.5 + self.random.random())
         self.mark_lost(machine, seconds)
-        how = self.random.choice(("power loss", "freeze", "kill"))
-        self.cluster.log(f"fault around {reason}: {how} for {seconds:.2f} s", machine.name)
-        if how == "freeze":
+        fault = self.random.choice(("power loss", "freeze", "kill"))
+        self.cluster.log(f"fault around {reason}: {fault} for {seconds:.2f} s", machine.name)
+        if fault == "freeze":
             if not machine.frozen:
                 machine.freeze()
                 self.undo_after(seconds, machine.thaw)
             return
-        if how == "power loss":
+        if fault == "power loss":
             machine.lose_power()
         else:
             machine.kill()
--- a/shedgrade/simulation/machine.py
+++ b/shedgrade/simulation/machine.py
@@ -265,9 +265,9 @@
 
     def new_ticket(self, on_outcome: OutcomeCallback) -> int:
         """Returns a new ticket, under which the outcome of a request is reported to `on_outcome`."""
-        self.environment.tickets += 1
-        self.callbacks[self.environment.tickets] = on_outcome
-        return self.environment.tickets
+        self.environment.ticket_count += 1
+        self.callbacks[self.environment.ticket_count] = on_outcome
+        return self.environment.ticket_count
 
     def tick(self, generation: int) -> None:
         """Handles a due timer of the member."""
--- a/shedgrade/simulation/maintenance_faults.py
+++ b/shedgrade/simulation/maintenance_faults.py
@@ -30,8 +30,8 @@
             delay += gap + 4.5
         self.lost_until["rolling restart"] = self.clock.now + delay + self.catch_up_s
 
-    def terminate(self, machine: Machine, then: Callable[[], None] | None) -> None:
-        """Sends SIGTERM; soon after the process has ended, calls `then`, or starts the machine again."""
+    def terminate(self, machine: Machine, after_exit: Callable[[], None] | None) -> None:
+        """Sends SIGTERM; soon after the process has ended, calls `after_exit` or restarts the machine."""
         if not machine.up or self.stopped:
             return
         self.cluster.log("terminate", machine.name)
@@ -43,7 +43,7 @@
         def on_exit() -> None:
             self.lost_until[machine.name] = 0.0
             self.mark_lost(machine, down)
-            self.clock.after(down, then or machine.start)
+            self.clock.after(down, after_exit or machine.start)
 
         machine.terminate(GRACE_S, on_exit)
 
@@ -79,30 +79,30 @@
     def replace_machine(self) -> None:
         """Terminates a machine for good, and adds one with an empty disk at another address in its place."""
         machine, cluster = self.pick_machine(), self.cluster
-        if machine is None or cluster.machines_made > MAX_MACHINES or not self.may_lose_several():
+        if machine is None or cluster.machines_created > MAX_MACHINES or not self.may_lose_several():
             return
 
         def add_replacement() -> None:
             if machine in cluster.machines and not machine.up:
                 cluster.machines.remove(machine)
                 cluster.log("removed", machine.name)
-                replacement = self.replacement_of(machine)
+                replacement = self.create_replacement(machine)
                 self.mark_lost(replacement, 0.5)
                 self.clock.after(0.5, replacement.start)
 
         self.lost_until["replacement"] = self.clock.now + 2 + 2 * self.catch_up_s
         self.terminate(machine, add_replacement)
 
-    def replacement_of(self, machine: Machine) -> Machine:
+    def create_replacement(self, machine: Machine) -> Machine:
         """Adds a machine with an empty disk, in the same region at another address."""
         cluster = self.cluster
-        address = machine.address.replace(".0.", f".{cluster.machines_made + 10}.")
+        address = machine.address.replace(".0.", f".{cluster.machines_created + 10}.")
         return cluster.add(machine.region, address, machine.usual_sync_s)
 
     def replace_dead_machines(self) -> None:
         """Removes machines for good, and adds ones with empty disks elsewhere, at once or after a delay."""
         cluster = self.cluster
-        if not cluster.bounded or self.lost_machines() or cluster.machines_made > MAX_MACHINES:
+        if not cluster.bounded or self.lost_machines() or cluster.machines_created > MAX_MACHINES:
             return
         wait = self.random.choice((0.0, 0.5, 2.0, 4.0)) * (0.5 + self.random.random())
         for _ in range(self.random.randint(1, cluster.tolerated)):
@@ -118,11 +118,11 @@
         machine.lose_power()
         cluster.machines.remove(machine)
         cluster.log("permanent loss", machine.name)
-        replacement = self.replacement_of(machine)
+        replacement = self.create_replacement(machine)
         self.lost_until[replacement.name] = self.lost_until.pop(machine.name)
         self.clock.after(wait, replacement.start)
 
-    def second_loss(self) -> None:
+    def wipe_after_catch_up(self) -> None:
         """Wipes some machines, and others once the first have caught up."""
         if not self.cluster.bounded or self.lost_machines():
             return
--- a/shedgrade/simulation/replica_outages.py
+++ b/shedgrade/simulation/replica_outages.py
@@ -141,7 +141,7 @@
         self.required: Numbers = (0,) * CLIENTS
         self.stopped = False
 
-    def next(self) -> None:
+    def begin_next(self) -> None:
         """Begins the next operation: with probability 0.1 a read, else a write."""
         if self.stopped:
             return
@@ -199,11 +199,13 @@
             run.history.read_completed(run.clock.now, self.required, outcome.state)
         else:
             run.history.acknowledged[self.client] = self.number
-            run.acknowledged()
-        run.clock.after(run.pace * run.random.random(), self.next)
+            run.handle_acknowledgement()
+        run.clock.after(run.pace * run.random.random(), self.begin_next)
 
 
-def observed(member_class: type[Member], clock: Scheduler, history: OutageHistory) -> type[Member]:
+def recording_member_class(
+    member_class: type[Member], clock: Scheduler, history: OutageHistory
+) -> type[Member]:
     """Returns a subclass of the member class that records in `history` when a member becomes primary."""
 
     def became_primary(member: Member, now: float) -> None:
@@ -243,9 +245,9 @@
         self.clock = Scheduler()
         self.history = OutageHistory()
         self.timing = Timing()
-        self.tickets = 0
+        self.ticket_count = 0
         self.pace = 0.06
-        self.member_class = observed(member_class, self.clock, self.history)
+        self.member_class = recording_member_class(member_class, self.clock, self.history)
         count = 2 * tolerated + 1
         addresses = tuple(f"10.{at + 1}.0.1:7300" for at in range(count))
         self.seeds = addresses[:3]
@@ -330,12 +332,12 @@
         self.lost_until[machine.name] = self.clock.now + down + CATCH_UP_S
         self.clock.after(down, self.restart, machine)
         if disk == "old":
-            exchange_after = down + CATCH_UP_S + self.random.random() * 4
-            until = self.clock.now + exchange_after + RESTART_S + CATCH_UP_S
+            restore_after = down + CATCH_UP_S + self.random.random() * 4
+            until = self.clock.now + restore_after + RESTART_S + CATCH_UP_S
             self.lost_until[machine.name] = until
-            self.clock.after(exchange_after, self.exchange_disk, machine, old_disk)
+            self.clock.after(restore_after, self.restore_old_disk, machine, old_disk)
 
-    def exchange_disk(self, machine: Machine, old_disk: dict[str, bytes]) -> None:
+    def restore_old_disk(self, machine: Machine, old_disk: dict[str, bytes]) -> None:
         """Puts back the disk from before it was wiped, with an old incarnation and an old state."""
         self.log("disk from before the wipe put back", machine.name)
         machine.lose_power()
@@ -357,7 +359,7 @@
             machine.wipe()
             self.lost_until[machine.name] = self.clock.now + 1.5 + CATCH_UP_S
 
-    def acknowledged(self) -> None:
+    def handle_acknowledgement(self) -> None:
         """Handles an acknowledged write: injects the fault that is armed for it, if any."""
         if self.after_next_acknowledgement is not None and not self.recovering:
             inject, self.after_next_acknowledgement = self.after_next_acknowledgement, None
@@ -378,7 +380,7 @@
         for machine in self.machines:
             machine.start(machine.address in self.seeds)
         for client in self.clients:
-            self.clock.after(1.0, client.next)
+            self.clock.after(1.0, client.begin_next)
         self.clock.at(5.0, self.next_fault)
         self.clock.run(self.length)
         self.recovering = True
--- a/tests/simulation/repairs.py
+++ b/tests/simulation/repairs.py
@@ -44,7 +44,7 @@
         successor=False,
         seed=1,
     ):
-        self.cluster = cluster = core(seed, tolerated, between, pace=1e9)
+        self.cluster = cluster = core(seed, tolerated, between, max_pause_s=1e9)
         cluster.network.bandwidth = bandwidth
         self.roles, self.down, self.successor = roles, down, successor
         self.lost_at = self.started_at = self.copied = self.counted = None
--- a/tests/simulation/test_control_faults.py
+++ b/tests/simulation/test_control_faults.py
@@ -8,7 +8,7 @@
 from shedgrade.simulation.register import OK, Put
 
 
-def core(seed=1, tolerated=1, between=0.055, pace=0.05):
+def core(seed=1, tolerated=1, between=0.055, max_pause_s=0.05):
     """A calm core across regions with busy clients, and no machine beyond the places."""
     cluster = SimulatedCluster(seed, tolerated, "calm", length=16.0)
     for machine in cluster.machines[2 * tolerated + 1 :]:
@@ -18,7 +18,7 @@
         machine.sync_s = machine.usual_sync_s = 0.005
     network = cluster.network
     network.between_s, network.jitter, network.bandwidth = between, 0.1, 0.0
-    cluster.pace, cluster.padding, cluster.decide = pace, 0, register.decide
+    cluster.max_pause_s, cluster.padding, cluster.decide = max_pause_s, 0, register.decide
     return cluster
 
 
@@ -207,7 +207,7 @@
 
 
 def test_a_change_every_eighty_milliseconds_is_acknowledged_in_time():
-    cluster = core(pace=1e9)
+    cluster = core(max_pause_s=1e9)
     taken = []
 
     def order(number):
