--- a/tests/simulation/faulty_members.py
+++ b/tests/simulation/faulty_members.py
@@ -1,4 +1,4 @@
-"""Members with one planted fault each. The checkers must find every one of them."""
+"""Members with one injected fault each, all of which the checkers must find."""
 
 import msgspec
 
@@ -17,7 +17,7 @@
 
 
 class MemberWithRoles(Member):
-    """A member whose roles can be replaced."""
+    """A member whose role classes can be replaced in subclasses."""
 
     Primary = primary.Primary
     Candidate = candidate.Candidate
@@ -65,7 +65,7 @@
 
 
 class VotesAfterLosingItsDisk(MemberWithRoles):
-    """Takes the place that the epoch's configuration names for its address, though its disk was lost."""
+    """A member that lost its disk but adopts the incarnation configured for its address."""
 
     def receive(self, now, sender, message):
         super().receive(now, sender, message)
@@ -81,7 +81,7 @@
 
 
 class DropsUncommittedChanges(MemberWithRoles):
-    """A candidate goes on from its own state only."""
+    """A candidate that continues from its own state and ignores what others have accepted."""
 
     class Candidate(candidate.Candidate):
         def choose_epoch(self, now):
@@ -95,7 +95,7 @@
 
 
 class FoundsAlone(MemberWithRoles):
-    """A founder does without the word of the others."""
+    """A founder that forms the first epoch without the promises of the others."""
 
     class Candidate(candidate.Candidate):
         def choose_epoch(self, now):
@@ -114,7 +114,7 @@
 
 
 class OldPrimaryIsNotFenced(MemberWithRoles):
-    """A backup still acks what the primary of an epoch before sends."""
+    """A backup that still acks messages from the primary of an earlier epoch."""
 
     class Acceptor(acceptor.Acceptor):
         def ack_old_epoch(self, sender, epoch, sequence, read_index_round):
@@ -151,7 +151,7 @@
 
 
 class CountsNewcomersAtOnce(MemberWithRoles):
-    """Newcomers promise and hold before it is known that the epoch that names them is active."""
+    """New members promise and hold state before the epoch that names them is known to be active."""
 
     def is_voter(self):
         return True
@@ -173,7 +173,7 @@
 
 
 class AnnouncesUncommitted(MemberWithRoles):
-    """The primary tells the others of a change as soon as it has decided it."""
+    """A primary that announces a change as committed as soon as it has decided it."""
 
     class Pipeline(command_pipeline.CommandPipeline):
         def write(self, now, changes, decided):
@@ -182,7 +182,7 @@
 
 
 class AppliesOlderCommittedState(MemberWithRoles):
-    """Committed state is taken over from whoever speaks last."""
+    """Committed state is replaced by any other that is received, even by an older one."""
 
     def __init__(self, *args, **kwargs):
         super().__init__(*args, **kwargs)
@@ -196,7 +196,7 @@
 
 
 class AcksInstallBeforeTheSync(MemberWithRoles):
-    """A holder says that it has the state before it is synced."""
+    """A holder that acks an install before the state is synced."""
 
     class Acceptor(acceptor.Acceptor):
         def on_install(self, now, sender, install):
@@ -207,14 +207,14 @@
 
 
 class LeavesAtOnce(MemberWithRoles):
-    """Told to end, it hands over and goes, whoever holds what it holds."""
+    """A member that hands over and leaves on SIGTERM, without waiting for others to hold its state."""
 
     def leave(self, now, timeout_s=None):
         super().leave(now, 0.3)
 
 
 class GrantsLeaveToHolders(MemberWithRoles):
-    """The primary lets a member go though it is one of the holders."""
+    """A primary that permits a member to leave though it is one of the holders."""
 
     class Primary(primary.Primary):
         def __init__(self, member):
--- a/tests/simulation/planted_cases.py
+++ b/tests/simulation/planted_cases.py
@@ -1,4 +1,7 @@
-"""Planted faults are found within a stated number of seeds, for what they are, where nothing else is."""
+"""Checks that an injected fault is found as the right kind of finding, within a stated number of seeds.
+
+The seed that shows the fault must have no finding without it.
+"""
 
 from typing import NamedTuple
 
@@ -12,8 +15,17 @@
 
 
 class Case(NamedTuple):
-    """A fault, the kind of finding that tells it, and where it shows: profile, t, within how many seeds, in
-    days of how many seconds with faults."""
+    """An injected fault and the runs in which it must be found.
+
+    Attributes:
+        plant: the fault: a member class, or a function called with `monkeypatch` and `reached`.
+        kind: the kind of finding that reveals it.
+        profile: profile of the runs.
+        seeds: number of seeds within which it must be found.
+        tolerated: number of tolerated losses.
+        length: time with faults in a run, seconds.
+        parameters: further parameters of the run.
+    """
 
     plant: object
     kind: FindingKind
@@ -21,22 +33,22 @@
     seeds: int
     tolerated: int = 1
     length: float = 8.0
-    parameters: dict[str, object] = {}  # never changed
+    parameters: dict[str, object] = {}  # never modified
 
 
 def day(case, seed):
-    """The day of that seed, not played yet."""
+    """Returns the run of that seed, before it is played."""
     parameters = {"padding": 0, "pace": 0.2, **case.parameters}
     return SimulationRun(seed, case.tolerated, case.profile, case.length, **parameters)
 
 
 def name_of(case):
-    """Of a case, as pytest shows it."""
+    """Returns the test id of a case."""
     return f"{case.plant.__name__}-{case.kind.name.lower()}"
 
 
 def check(case):
-    """Plays the seeds of a case with the fault planted, and the one that shows it without."""
+    """Plays the seeds with the fault injected until it is found, then that seed without the fault."""
     reached = 0
 
     def count():
@@ -48,10 +60,10 @@
         with pytest.MonkeyPatch.context() as monkeypatch:
             install(monkeypatch, count)
             found = {finding.kind for finding in day(case, seed).play()}
-        assert not found.intersection(OWN_ERRORS), "the plant fails by an error of its own"
+        assert not found.intersection(OWN_ERRORS), "the injected fault raises an error of its own"
         if case.kind in found:
-            assert reached, "found, though the planted code never ran"
-            assert day(case, seed).play() == [], "the program without the plant shows something there"
+            assert reached, "found, though the faulty code never ran"
+            assert day(case, seed).play() == [], "findings at this seed without the injected fault"
             return
-    assert reached, "the planted code never ran"
+    assert reached, "the faulty code never ran"
     pytest.fail(f"not found within {case.seeds} seeds")
--- a/tests/simulation/planted_system_faults.py
+++ b/tests/simulation/planted_system_faults.py
@@ -1,7 +1,7 @@
-"""Faults that tests plant in the real control plane; the checkers of the simulated system must find each.
+"""Faults injected into the real control plane, each of which the simulated system's checkers must find.
 
-A plant is called with pytest's `monkeypatch` and with `reached`, which it calls whenever its code does
-something that the program would not have done: a plant that is never reached proves nothing.
+A function that injects a fault takes pytest's `monkeypatch`, and `reached`, which the faulty code calls
+whenever it does something that the program would not have done. A fault that is never reached proves nothing.
 """
 
 import msgspec
@@ -26,7 +26,7 @@
 
 
 def change_by_one(member_class):
-    """A plant that replaces the member's class. The class calls `reached`, an attribute set here."""
+    """Returns a function that replaces the member class. The class calls `reached`, which is set here."""
 
     def plant(monkeypatch, reached):
         monkeypatch.setattr(member_class, "reached", staticmethod(reached), raising=False)
@@ -41,7 +41,7 @@
 
 
 def remembers_only_the_newest(monkeypatch, reached):
-    """What was accepted is forgotten with the next change."""
+    """An accepted change is forgotten with the next change."""
     status = commands.deduplication.acceptance_status
 
     def forgetful(state, version, raw):
@@ -53,7 +53,7 @@
 
 
 def reads_without_confirmation(monkeypatch, reached):
-    """A read is answered from the member's own memory."""
+    """A read is answered from the member's own state, without confirmation by a majority."""
 
     class Unconfirmed(CommandRouter):
         def read(self, tell, *caller):
@@ -64,7 +64,7 @@
 
 
 def late_orders_are_carried_out(monkeypatch, reached):
-    """An order for a zone is carried out whatever was ordered since, and whoever waits for it."""
+    """A zone command is applied whatever commands came since, even if its caller no longer waits."""
     make_decide = commands.make_decide
 
     def make(zones):
@@ -85,7 +85,7 @@
 
 
 def two_on_one_base(monkeypatch, reached):
-    """A change is taken though another took its base."""
+    """A change is accepted though another change has replaced its base version."""
     make_decide = commands.make_decide
 
     def make(zones):
@@ -107,7 +107,7 @@
 
 
 class AnswersAfterOwnDiskOnly(MemberWithRoles):
-    """The primary answers when its own disk has a change."""
+    """The primary acknowledges a change once its own disk has it."""
 
     class Pipeline(command_pipeline.CommandPipeline):
         def advance_commit(self, now):
@@ -126,7 +126,7 @@
 
 
 def any_region_where_no_home_is_ready(monkeypatch, reached):
-    """The directory names all ready edges where neither the client's region nor a home has one."""
+    """The directory lists all ready edges where neither the client's region nor a home region has one."""
 
     def admissible(edges, regions):
         found = [edge for edge in edges if regions is not None and edge.region in regions]
@@ -138,14 +138,14 @@
 
 
 def unknown_hosts_have_no_homes(monkeypatch, reached):
-    """A member that knows no configuration takes every host for one that is served anywhere."""
-    reached()  # a constant: in force from the start
+    """A member without a configuration treats every host as one that may be served anywhere."""
+    reached()  # the constant has an effect from the start
     monkeypatch.setattr(home_regions, "NOWHERE_ELSE", home_regions.ANYWHERE)
 
 
 def edges_are_listed_for_ever(monkeypatch, reached):
-    """Whoever was ready once is named, also long after it has ended."""
-    reached()  # constants: in force from the start
+    """An edge that was ready once is listed long after it has ended."""
+    reached()  # the constants have an effect from the start
     monkeypatch.setattr(edge_table, "LISTED_GRACE_S", 1e9)
     monkeypatch.setattr(edge_table, "FORGET_AFTER_S", 1e9)
     monkeypatch.setattr(edge_table, "CLOSED", "")
@@ -153,7 +153,7 @@
 
 
 def old_state_for_watchers(monkeypatch, reached):
-    """A member vouches for its state as of now, whatever it has heard."""
+    """A member reports its state as confirmed now, however long ago it was confirmed."""
 
     class Confident(WatchHub):
         def answer(self, now, watch, deltas):
@@ -168,7 +168,7 @@
 
 
 def heartbeats_count_from_their_arrival(monkeypatch, reached):
-    """A follower takes a heartbeat for as new as the moment at which it came, however old it is."""
+    """A follower takes a heartbeat to be as recent as its arrival, however long ago it was sent."""
 
     def arrived(self, now, heartbeat):
         reached()
@@ -178,13 +178,13 @@
 
 
 def a_lease_longer_than_its_votes_hold(monkeypatch, reached):
-    """The holder of the list's duty believes in its lease for longer than others wait for it."""
-    reached()  # a constant: in force from the start
+    """The holder of the endpoint list's role assumes a longer lease than its voters grant."""
+    reached()  # the constant has an effect from the start
     monkeypatch.setattr(role_election, "LEASE_S", 4.0)
 
 
 def edges_take_older_states(monkeypatch, reached):
-    """An edge takes whatever control state it is told."""
+    """An edge applies any control state that it receives, even an older one."""
 
     def newer_control(self, change):
         before, self.control = self.control, (-1, -1)
@@ -208,7 +208,7 @@
 
 
 def ages_are_not_told(monkeypatch, reached):
-    """A member that lost its primary tells edges that it has just heard it, and they stay with it."""
+    """A member that lost its primary tells edges that it just heard from it, so they stay connected."""
 
     class Confident(WatchHub):
         def answer(self, now, watch, deltas):
@@ -226,7 +226,7 @@
 
 
 class PromisesBeforeTheSync(MemberWithRoles):
-    """A promise is sent while it is on its way to the disk."""
+    """A promise is sent before it is synced."""
 
     class Acceptor(acceptor.Acceptor):
         def on_prepare(self, now, sender, prepare):
@@ -240,7 +240,7 @@
 
 
 class AcksBeforeTheSync(MemberWithRoles):
-    """A backup acknowledges a write while it is on its way to the disk."""
+    """A backup acks a write before it is synced."""
 
     class Acceptor(acceptor.Acceptor):
         def on_replicate(self, now, sender, write):
@@ -254,7 +254,7 @@
 
 
 class AcksInstallBeforeTheSync(MemberWithRoles):
-    """A holder says that it has an epoch while that is on its way to the disk."""
+    """A holder acks an epoch's install before it is synced."""
 
     class Acceptor(acceptor.Acceptor):
         def on_install(self, now, sender, install):
@@ -266,7 +266,7 @@
 
 
 class VotesAfterLosingItsDisk(MemberWithRoles):
-    """Takes the place that the epoch's configuration names for its address, though its disk was lost."""
+    """A member that lost its disk but adopts the incarnation configured for its address."""
 
     def receive(self, now, sender, message):
         super().receive(now, sender, message)
@@ -278,7 +278,7 @@
 
 
 def voters_are_known_by_address(monkeypatch, reached):
-    """A process with an empty disk counts as the member that had its address."""
+    """A process with an empty disk counts as the member that had its address before."""
     matches = quorums.matches
 
     def by_address(peer, incarnation, address, founding):
@@ -292,7 +292,7 @@
 
 
 class FollowsAnOldPrimary(MemberWithRoles):
-    """The primary of an older epoch is followed in spite of a newer promise."""
+    """A member follows the primary of an older epoch in spite of a newer promise."""
 
     class Acceptor(acceptor.Acceptor):
         def follow_primary(self, now, sender, epoch, config):
@@ -309,7 +309,7 @@
 
 
 class CountsNewcomersAtOnce(MemberWithRoles):
-    """Newcomers promise and hold before it is known that the epoch that names them is active."""
+    """New members promise and hold state before the epoch that names them is known to be active."""
 
     def is_voter(self):
         is_voter = super().is_voter()
@@ -334,7 +334,7 @@
 
 
 class PromisesWithoutAQuorum(MemberWithRoles):
-    """A candidate goes on with the promises of fewer than a majority."""
+    """A candidate continues with the promises of less than a majority."""
 
     class Candidate(candidate.Candidate):
         def choose_epoch(self, now):
@@ -354,11 +354,11 @@
                 candidate.is_quorum, candidate.holder_count = normal
 
 
-# --- planned ends
+# --- planned stops
 
 
 class LeavesAtOnce(MemberWithRoles):
-    """Told to end, it goes at once, whoever holds what it holds."""
+    """A member leaves immediately on SIGTERM, without waiting for others to hold its state."""
 
     def leave(self, now, timeout_s=None):
         LeavesAtOnce.reached()
@@ -366,7 +366,7 @@
 
 
 def a_primary_leaves_to_whoever_stays(monkeypatch, reached):
-    """A primary that leaves ends without a successor that could make an epoch."""
+    """A primary leaves without a successor that could form an epoch."""
     enough = graceful_leave.LeaveRequests.enough_stay
 
     def whoever(self, now):
--- a/tests/simulation/repairs.py
+++ b/tests/simulation/repairs.py
@@ -1,15 +1,15 @@
-"""How long a core is short of a copy or of a member after a loss, in simulated time."""
+"""Measures in simulated time how long a core lacks a copy of its state, or a member, after a loss."""
 
 from test_control_faults import backup, core, primary, witness
 
 from shedgrade.simulation.register import Put
 
 ROLES = {"primary": primary, "backup": backup, "witness": witness}
-STEP = 0.005  # s between two looks
+STEP = 0.005  # s between two checks
 
 
 def on_enough_disks(cluster):
-    """Whether t + 1 processes that run hold an epoch that is known to be active."""
+    """Returns whether t + 1 running processes hold the state of an epoch that is known to be active."""
     leads = [m for m in cluster.machines if m.up and m.member.role == "primary"]
     if not leads:
         return False
@@ -19,7 +19,7 @@
 
 
 def whole(cluster):
-    """And whether every place is taken by a process that runs."""
+    """Returns whether, in addition, every member of the epoch is a running process."""
     if not on_enough_disks(cluster):
         return False
     leader = next(m for m in cluster.machines if m.up and m.member.role == "primary")
@@ -29,8 +29,12 @@
 
 
 class Repair:
-    """One loss of `count` machines' disks at 6.0 s; they start again after `down` s. `copied` and `counted`:
-    s from the loss until t + 1 disks hold the state again, and from their start until all count again."""
+    """Plays the loss of the disks of machines with these roles at 6.0 s; they start again `down` s later.
+
+    Attributes:
+        copied: time from the loss until t + 1 disks hold the state again, s.
+        counted: time from the machines' start until all members run again, s.
+    """
 
     def __init__(
         self,
@@ -57,7 +61,7 @@
         cluster.clock.run(6.0 + down + 12.0)
 
     def order(self):
-        """Configurations of this size, each sent when the one before is answered."""
+        """Submits configurations of this size, each after the previous one is acknowledged."""
         self.version += 1
         self.send(Put(self.version - 1, self.version, "x"))
 
--- a/tests/simulation/test_beyond_tolerated.py
+++ b/tests/simulation/test_beyond_tolerated.py
@@ -1,8 +1,8 @@
-"""Troubles beyond what is tolerated, in the simulated system: nothing acknowledged is lost, nothing old told.
+"""Faults beyond the tolerated losses, in the simulated system: no change is lost, and no read is stale.
 
-Source: NEWS-22, "On the machines": the machines that count may be cut into two halves, and losses may overlap
-beyond `toleratedLosses` as long as no more disks are lost; and the operators' word that with the last disks
-all other machines may lose power, also those that don't count.
+Source: NEWS-22, "On the machines": the machines that count may be partitioned into two halves; losses may
+overlap beyond `toleratedLosses` as long as no more disks than that are lost. The operators added that while
+so many disks are lost, all other machines may lose power, also those that don't count.
 """
 
 import pytest
@@ -20,14 +20,14 @@
 
 
 def read_everywhere(script):
-    """Reads at each member, once."""
+    """Sends one read to each member."""
     return [script.call(script.operator.get(first=script.member(machine))) for machine in script.system.cores]
 
 
 @pytest.mark.parametrize(("tolerated", "half"), [(1, 1), (1, 2), (2, 2), (2, 3)])
 @pytest.mark.parametrize("seed", [1, 2])
 def test_a_core_cut_into_two_halves_tells_nothing_old_and_goes_on(tolerated, half, seed):
-    """`half` members with the primary on one side; clients, operators and edges reach both."""
+    """`half` members are on the primary's side; clients, operators and edges reach both sides."""
     script = Script(seed=seed, tolerated=tolerated, edges=3)
     script.until_ready()
     system, primary = script.system, script.system.primary()
@@ -53,8 +53,11 @@
 @pytest.mark.parametrize("number", range(3))
 @pytest.mark.parametrize("seed", [1, 2])
 def test_the_last_disks_are_lost_while_every_other_machine_loses_power(seed, number):
-    """At the moment of an acknowledgement; edges and the platform's list are without power too. `number`: of
-    the member whose disk goes. Links and disks are slow, so that little has come further than it must."""
+    """The losses follow an acknowledgement at once; edges and the platform's list lose power too.
+
+    `number`: of the member whose disk is lost. Links and disks are slow, so that little more than the
+    acknowledged change requires has been replicated.
+    """
     script = Script(seed=seed, edges=3, disk_latency=0.02, between=0.055)
     script.until_ready()
     system, random = script.system, script.system.random
@@ -76,7 +79,7 @@
 
 @pytest.mark.parametrize("seed", [1, 2, 3])
 def test_two_of_three_members_away_at_once_come_back_with_what_was_acknowledged(seed):
-    """One more than is tolerated, with their disks: service rests, and nothing is lost or shown older."""
+    """One machine more than tolerated is down, with its disk intact: service pauses, nothing is lost."""
     script = Script(seed=seed)
     script.until_ready()
     changed(script, 1, 2)
--- a/tests/simulation/test_clocks_and_platform.py
+++ b/tests/simulation/test_clocks_and_platform.py
@@ -1,11 +1,11 @@
-"""Steps of the wall clock change nothing, and two pollers together keep to the platform's rate."""
+"""Steps of the wall clock have no effect, and two pollers together stay within the platform's rate limit."""
 
 import pytest
 
 from shedgrade.controlplane.endpoint_list_sync import ENDPOINT_LIST_ROLE
 from shedgrade.simulation.system.script import Script
 
-RATE_PER_S = 40.0  # that the platform takes from all processes together (`SimulatedSystem.settings`)
+RATE_PER_S = 40.0  # platform's limit for all processes together, as in `SimulatedSystem.settings`
 
 
 @pytest.mark.parametrize("steps_s", [(3600.0, -3600.0, 0.0), (-3600.0, -3600.0, -3600.0), (1e6, 0.0, -1e6)])
@@ -29,13 +29,13 @@
 
 
 def busiest_second(times):
-    """The most calls in any second."""
+    """Returns the largest number of calls within a second."""
     return max(sum(begin <= at < begin + 1.0 for at in times) for begin in times)
 
 
 @pytest.mark.parametrize("seed", [1, 2, 3])
 def test_two_pollers_keep_to_the_platforms_rate(seed):
-    """The poller is cut off from the other members, not from the platform; another takes over."""
+    """The poller is cut off from the other members, but not from the platform, and another takes over."""
     script = Script(seed=seed, edges=3)
     script.until_ready()
     system = script.system
--- a/tests/simulation/test_control_faults.py
+++ b/tests/simulation/test_control_faults.py
@@ -1,4 +1,4 @@
-"""One trouble at a time: how long no order is acknowledged, and who holds what afterwards."""
+"""Single faults: the longest time without an acknowledgement, and which members hold the state afterwards."""
 
 import pytest
 
@@ -9,7 +9,7 @@
 
 
 def core(seed=1, tolerated=1, between=0.055, max_pause_s=0.05):
-    """A calm core across regions with busy clients, and no machine beyond the places."""
+    """Returns a core across regions with busy clients, and without faults and spare machines."""
     cluster = SimulatedCluster(seed, tolerated, "calm", length=16.0)
     for machine in cluster.machines[2 * tolerated + 1 :]:
         cluster.machines.remove(machine)
@@ -43,7 +43,10 @@
 
 
 def play(cluster, at, trouble):
-    """(findings, longest time between two acknowledgements after `at`)"""
+    """Plays a run with `trouble` at `at`.
+
+    Returns the violations, and the longest time between two acknowledgements from then on, in seconds.
+    """
     cluster.clock.at(at, trouble)
     history = cluster.play()
     ends = sorted(
--- a/tests/simulation/test_control_seeds.py
+++ b/tests/simulation/test_control_seeds.py
@@ -1,5 +1,7 @@
-"""Days of a core by seed: nothing acknowledged is lost, no order waits, whatever strikes. And faults planted
-in the members are found, each within the seeds that stand beside it."""
+"""Runs of a core with faults drawn by seed: no acknowledged change is lost, and none waits too long.
+
+Faults injected into the members are found, each within the stated number of seeds.
+"""
 
 import faulty_members as faulty
 import pytest
@@ -16,7 +18,7 @@
         assert SimulatedCluster(seed, tolerated, profile).run_and_check() == [], seed
 
 
-PLANTED = [  # the fault, where it shows, within how many seeds
+PLANTED = [  # (injected fault, profile in which it is found, number of seeds within which it is)
     (faulty.AnswersAfterOwnDiskOnly, "fair", 60),
     (faulty.AcksBeforeTheSync, "storm", 60),
     (faulty.VotesAfterLosingItsDisk, "members", 60),
@@ -29,7 +31,7 @@
 ]
 
 
-STUCK = [  # found by what is lost for ever: no order is answered any more
+STUCK = [  # faults that lose the majority for good, found because no command is answered any more
     (faulty.LeavesAtOnce, "members", 60),
     (faulty.GrantsLeaveToHolders, "members", 60),
 ]
--- a/tests/simulation/test_directory_homes.py
+++ b/tests/simulation/test_directory_homes.py
@@ -1,4 +1,4 @@
-"""Look-ups beside planned stops, in the simulated system: nobody is sent to a region that is no home."""
+"""Lookups during planned stops, in the simulated system: no client is sent outside a route's home regions."""
 
 import planted_system_faults as planted
 import pytest
@@ -11,7 +11,7 @@
 
 
 def system(seed, **shape):
-    """Two edges and two clients in each of three regions; a route with two of them as its homes."""
+    """Two edges and two clients in each of three regions; a route whose home regions are two of these."""
     script = Script(seed=seed, edges=6, clients=6, homes=HOMES, **shape)
     script.until_ready()
     script.run(1.5)
@@ -23,7 +23,7 @@
 
 
 def answers(script, region, since):
-    """What the clients of a region were answered from then on."""
+    """Returns the responses to lookups by the clients of a region from `since` on."""
     return [
         one for one in script.system.history.resolutions if one.region == region and one.invoked_at >= since
     ]
@@ -31,7 +31,7 @@
 
 @pytest.mark.parametrize("apart", [0.0, 0.3, 1.5])
 def test_with_all_edges_of_the_home_regions_stopped_nobody_is_sent_abroad(apart):
-    """The operators' day: both home regions are stopped as planned, beside each other."""
+    """All edges of both home regions are stopped as planned, at the same time or `apart` s apart."""
     script = system(3)
     began = script.system.time.now
     for order, region in enumerate(HOMES):
@@ -45,7 +45,7 @@
 
 
 def test_half_of_a_region_that_is_stopped_whole_is_back_while_the_other_half_still_serves():
-    """There is always somebody, though all edges of both home regions are told to end together."""
+    """At least one edge of a home region is listed at any time, though all are terminated at once."""
     script = system(4)
     began = script.system.time.now
     for machine in edges_of(script, *HOMES):
@@ -59,7 +59,7 @@
 
 
 def core_starts_anew(seed):
-    """All edges of the home regions are told to end, and all core members are killed once they have ended."""
+    """Terminates all edges of the home regions, and kills all core members once the edges have ended."""
     script = system(seed)
     for machine in edges_of(script, *HOMES):
         script.faults.terminate(machine, GRACE, AWAY)
@@ -70,7 +70,7 @@
 
 @pytest.mark.parametrize("seed", [1, 2, 3])
 def test_a_core_that_starts_anew_beside_planned_stops_sends_nobody_abroad(seed):
-    """Its members know no configuration at first, and few edges."""
+    """The restarted members know no configuration at first, and few edges."""
     assert core_starts_anew(seed) == []
 
 
--- a/tests/simulation/test_edge_ends.py
+++ b/tests/simulation/test_edge_ends.py
@@ -1,4 +1,4 @@
-"""An edge that is told to end, in the simulated system: it ends once what it has in hand is answered."""
+"""Termination of an edge, in the simulated system: it ends once its requests in flight are answered."""
 
 import pytest
 
@@ -9,11 +9,11 @@
 from shedgrade.simulation.system.simulated_system import FRONT
 
 GRACE = 8.0  # s from SIGTERM to SIGKILL
-TAKES_ALL = 3.0  # s after SIGTERM in which all that comes is taken, a little more
+TAKES_ALL = 3.0  # s after SIGTERM for which an edge accepts requests, with some margin
 
 
 def half_a_request(script, edge, held_s):
-    """A client's connection that has sent a part of a head, and ends after so many seconds."""
+    """Opens a client connection that sends part of a request head and closes after `held_s` seconds."""
     loop = script.operator.loop
 
     async def send():
@@ -26,8 +26,10 @@
 
 @pytest.mark.parametrize("held_s", [0.3, 1.0, 2.0])
 def test_a_client_that_is_there_at_the_first_look_does_not_keep_an_edge_to_the_end_of_the_grace(held_s):
-    """The incident of HOME: the look at the end broke off once its listener was closed beside a client that
-    was still there, and the machine was away for seven seconds for nothing."""
+    """Guards against a shutdown that lasts until SIGKILL. In the incident of HOME the shutdown check raised
+    once the listener was closed with a client still connected, and the machine was down for seven seconds
+    for no reason.
+    """
     script = Script(seed=1, edges=4)
     script.until_ready()
     script.run(1.0)
@@ -40,7 +42,7 @@
 
 
 def test_an_edge_that_was_told_to_end_is_ready_no_more():
-    """The platform asks for its readiness each second, and counts it out after two refusals."""
+    """The platform polls readiness every second, and removes the edge after two rejections."""
     script = Script(seed=2, edges=4)
     script.until_ready()
     script.run(1.0)
--- a/tests/simulation/test_effects_in_order.py
+++ b/tests/simulation/test_effects_in_order.py
@@ -1,4 +1,4 @@
-"""A simulated machine that stands still between two effects goes on with the next one."""
+"""A simulated machine that is frozen between two effects of its member continues with the next one."""
 
 from test_control_faults import core
 
--- a/tests/simulation/test_fleet_count.py
+++ b/tests/simulation/test_fleet_count.py
@@ -1,4 +1,4 @@
-"""The count by which edges deal the fleet's budgets, in the simulated system, as everything starts anew."""
+"""The edge count by which edges divide the fleet's budgets, in the simulated system after a full restart."""
 
 import pytest
 
@@ -9,7 +9,8 @@
 
 @pytest.mark.parametrize("seed", range(1, 7))
 def test_after_a_start_of_everything_no_edge_deals_by_fewer_edges_than_there_are(seed):
-    """Every member and every edge has forgotten the others: who hears of one edge may not take it for all."""
+    """All members and edges restart without knowledge of the others; an edge that hears of only one other
+    must not take it for the whole fleet."""
     script = Script(seed=seed, edges=EDGES)
     script.until_ready()
     script.run(2.0)
--- a/tests/simulation/test_killed_at_once.py
+++ b/tests/simulation/test_killed_at_once.py
@@ -1,8 +1,8 @@
-"""Many processes killed at once, in the simulated system: what was acknowledged stays, and nobody is stormed.
+"""Many processes killed at once, in the simulated system: no change is lost, and no load spike follows.
 
-Source: LATER of the new customer, "Settings of a process" and "Losses": irrespective of what is tolerated,
-every process of the core may be killed at the same moment and return within a second, disks kept; a kill may
-take many processes at once.
+Source: LATER of the new customer, "Settings of a process" and "Losses": irrespective of the tolerated losses,
+all core processes may be killed at the same moment and return within a second with their disks; a kill may
+hit many processes at once.
 """
 
 import pytest
@@ -11,8 +11,8 @@
 from shedgrade.simulation.system.script import Script
 
 RECOVERS = 12.0  # s
-READY_AGAIN = 3.0  # s from the return of the last process
-ASKS_PER_EDGE = 40  # in READY_AGAIN: two members at a start, then one each time that something moves
+READY_AGAIN = 3.0  # s from the restart of the last process
+ASKS_PER_EDGE = 40  # watch requests in READY_AGAIN: to two members at the start, then one for each update
 
 
 @pytest.mark.parametrize("seed", [1, 2, 3])
@@ -22,7 +22,7 @@
     script.until_ready()
     system, random = script.system, script.system.random
     for version in range(2, 6):
-        script.operator.changes_made = version  # every third change is of named items
+        script.operator.changes_made = version  # every third change is a delta of named items
         change = script.call(script.operator.put(version - 1, version, f"change-{version}"))
         assert script.run_until(lambda change=change: change.acknowledged, RECOVERS)
         script.faults.kill_all(system.cores, lambda: random.uniform(0.2, 0.9))
--- a/tests/simulation/test_leave.py
+++ b/tests/simulation/test_leave.py
@@ -1,4 +1,4 @@
-"""Planned ends: a member leaves only when those who stay hold what it holds and are a majority."""
+"""Planned stops: a member leaves only when the remaining members hold what it holds and are a majority."""
 
 import pytest
 from test_control_faults import backup, core, primary, witness
@@ -17,7 +17,7 @@
 
 
 def leave_and_lose_disk(cluster, machine, ends):
-    """SIGTERM; when the process is gone its disk goes, and it starts again with an empty one."""
+    """Terminates a machine; once its process has ended, wipes its disk and starts it again."""
 
     def ended():
         ends.append(cluster.clock.now)
@@ -47,7 +47,7 @@
     history = cluster.play()
     assert check(history, timely=False) == []
     assert last_acknowledgement(history) > 16.0
-    assert ends[0] < 6.5 + pause + 3.0  # the newcomer counts by then
+    assert ends[0] < 6.5 + pause + 3.0  # the wiped machine has caught up by then
 
 
 def told_to_end(cluster, machines, ends):
--- a/tests/simulation/test_long_orders.py
+++ b/tests/simulation/test_long_orders.py
@@ -1,13 +1,14 @@
-"""Long configurations over the slowest links that the core is made for, in the simulated system."""
+"""Long configurations over the slowest links supported between core members, in the simulated system."""
 
 from shedgrade.simulation.system.script import Script
 
-SLOWEST_LINK = 625_000.0  # bytes a second
-LONG = 100_000  # bytes of a configuration
+SLOWEST_LINK = 625_000.0  # bytes per second
+LONG = 100_000  # length of a configuration in bytes
 
 
 def test_a_long_order_is_followed_for_as_long_as_its_body_takes_on_a_slow_link():
-    """Each retry sends the whole body again, which delays itself and all that is behind it."""
+    """Guards against retries while a body is in transit: each sends the whole body again, which delays the
+    change itself and all messages queued behind it."""
     script = Script(seed=1, tolerated=2, bandwidth=SLOWEST_LINK, padding=LONG)
     script.until_ready()
     script.run(5.0)
--- a/tests/simulation/test_looks_go_on.py
+++ b/tests/simulation/test_looks_go_on.py
@@ -1,4 +1,4 @@
-"""A fault of our own in one of the steady looks ends no later look, in the simulated system."""
+"""An exception in a periodic task of a process doesn't end the task, in the simulated system."""
 
 from operator import attrgetter
 
@@ -9,7 +9,7 @@
 
 @pytest.fixture
 def scripted():
-    """Makes scripted runs; whatever they leave runs no more, and is not told when it is collected."""
+    """Makes scripted runs, and closes them after the test, so that what they left pending isn't reported."""
     made = []
 
     def make(**shape):
@@ -22,11 +22,11 @@
 
 
 class PlantedError(Exception):
-    """What is planted."""
+    """The exception raised by an injected fault."""
 
 
 def once(program, name):
-    """The next call of that method raises, and those after it go through; counts these."""
+    """Makes the next call of a method raise; later calls go through. Returns the list of these."""
     method, calls = getattr(program, name), []
 
     def broken(*args):
--- a/tests/simulation/test_processor_quota.py
+++ b/tests/simulation/test_processor_quota.py
@@ -1,4 +1,4 @@
-"""A share of a core as a quota: full speed until it is spent, then nothing for the rest of 0.1 s."""
+"""A CPU quota below one core: full speed until the quota is used up, then none for the rest of 0.1 s."""
 
 import pytest
 
--- a/tests/simulation/test_repair_time.py
+++ b/tests/simulation/test_repair_time.py
@@ -1,4 +1,4 @@
-"""After a loss and its repair the promise of t losses holds again within half of `catchUpS`."""
+"""After a loss and its repair, t losses are tolerated again within half of `catchUpS`."""
 
 import pytest
 from repairs import Repair
@@ -24,7 +24,7 @@
 
 
 class MembersSeen(Repair):
-    """Which incarnations the members of each epoch were."""
+    """Records the members' incarnations in each epoch."""
 
     def __init__(self, *args, **kwargs):
         self.seen = []
--- a/tests/simulation/test_replication_faults.py
+++ b/tests/simulation/test_replication_faults.py
@@ -1,4 +1,4 @@
-"""Faults planted in promises, epochs, syncs and planned ends are found for what they are."""
+"""Faults injected into promises, epochs, syncs and planned stops are found, each as the right kind."""
 
 import planted_system_faults as planted
 import pytest
--- a/tests/simulation/test_system_faults.py
+++ b/tests/simulation/test_system_faults.py
@@ -1,4 +1,4 @@
-"""Faults planted in commands, reads, the directory and what edges are told are found for what they are."""
+"""Faults injected into commands, reads, the directory and updates to edges are found as the right kind."""
 
 import planted_system_faults as planted
 import pytest
@@ -31,14 +31,14 @@
 
 
 def test_a_plant_that_never_runs_is_told(monkeypatch):
-    """Guards the guard: a fault in code that nothing calls counts as no find."""
+    """An injected fault in code that is never called doesn't count as found."""
     idle = Case(lambda monkeypatch, reached: None, FindingKind.STALE_READ, "calm", 1)
     with pytest.raises(AssertionError, match="never ran"):
         check(idle)
 
 
 def test_a_plant_that_breaks_the_program_is_told():
-    """An exception is no finding of what was planted."""
+    """An exception doesn't count as the finding that the fault should cause."""
 
     def broken(monkeypatch, reached):
         answer, failed = WatchHub.answer, []
--- a/tests/simulation/test_system_scripts.py
+++ b/tests/simulation/test_system_scripts.py
@@ -1,4 +1,4 @@
-"""Scripted runs of the simulated system: what was once proven on real processes, at exact times."""
+"""Scripted runs of the simulated system, at exact times, of cases first tested on real processes."""
 
 import planted_system_faults as planted
 import pytest
@@ -14,8 +14,8 @@
 
 
 def late_order(kind, number):
-    """A member stands still with an order unread; its operator goes on elsewhere, and orders the opposite;
-    then the member goes on."""
+    """A member is stopped with a command unread; its operator sends the command to another member, then the
+    opposite one; then the first member resumes."""
     script = Script(seed=3)
     script.until_ready()
     if kind is OperationKind.RETURN:
@@ -87,7 +87,7 @@
 
 
 class KeptConnection:
-    """An operator's connection to one member, opened before a fault."""
+    """An operator's connection to one member that stays open across a fault."""
 
     def __init__(self, script, machine):
         self.script, self.ip, self.reader = script, machine.host.ip, None
@@ -101,7 +101,7 @@
         )
 
     def put(self, base, version, label):
-        """Sends a change. Returns the operation, which is filled in with its answer."""
+        """Sends a change. Returns the operation, which is completed when the response arrives."""
         script = self.script
         now = script.system.time.now
         operation = Operation("kept", OperationKind.PUT, now, base=base, version=version, key=label)
@@ -117,8 +117,8 @@
 
 
 def change_that_a_former_primary_reads_first(seed):
-    """The primary stands still while another takes over. What it reads first when it goes on, on a connection
-    that was open before, is a change on top of the newest version, which it doesn't have."""
+    """The primary is stopped while another takes over. What it reads first after it resumes, on a connection
+    opened before, is a change based on the newest version, which it doesn't have."""
     script = Script(seed=seed)
     script.until_ready()
     primary = script.system.primary()
@@ -158,8 +158,8 @@
 
 @pytest.mark.parametrize(("away", "again"), [(0.0, 0.0), (0.0, 0.5), (0.05, 0.5), (0.5, 0.0), (0.5, 0.5)])
 def test_a_leaver_does_not_go_with_the_only_copy_that_counts(away, again):
-    """The backup's disk is lost and it is `away` for so many s; `again` s after its return the primary is
-    terminated, and its disk is lost once it has ended."""
+    """The backup loses its disk and is down for `away` seconds. `again` seconds after its return the primary
+    is terminated; its disk is lost once its process has ended."""
     script = Script(seed=7)
     script.until_ready()
     change = script.call(script.operator.put(1, 2, "second"))
@@ -185,7 +185,7 @@
 
 
 def holder_beside(script, primary):
-    """The machine of the primary's backup."""
+    """Returns the machine of the primary's backup."""
     record = primary.program.member.replica.epoch_config
     hosts = [peer.address.partition(":")[0] for peer in record.members if peer.incarnation in record.holders]
     return next(
--- a/tests/simulation/test_system_seeds.py
+++ b/tests/simulation/test_system_seeds.py
@@ -1,11 +1,11 @@
-"""Days of the whole system by seed: no promise is broken, whatever strikes."""
+"""Runs of the whole system by seed: no guarantee is broken by the faults of any profile."""
 
 import pytest
 
 from shedgrade.simulation.system.seed_runner import SeedJob, run_seeds
 
 PROCESSES = 3
-LENGTH = 8.0  # s of virtual time with faults
+LENGTH = 8.0  # virtual time with faults, s
 
 
 @pytest.mark.parametrize(
--- a/tests/simulation/test_system_world.py
+++ b/tests/simulation/test_system_world.py
@@ -1,4 +1,4 @@
-"""Real control planes and data planes in virtual time: a change goes its whole way, alike for one seed."""
+"""Real control planes and data planes in virtual time: changes reach the edges, seeds fix the history."""
 
 import pytest
 
@@ -8,7 +8,7 @@
 
 @pytest.fixture
 def day():
-    """Plays a calm day by seed."""
+    """Plays a run without faults by seed."""
     played = []
 
     def play(seed, length=6.0, **parameters):
