--- a/tests/simulation/test_beyond_tolerated.py
+++ b/tests/simulation/test_beyond_tolerated.py
@@ -26,7 +26,7 @@
 
 @pytest.mark.parametrize(("tolerated", "half"), [(1, 1), (1, 2), (2, 2), (2, 3)])
 @pytest.mark.parametrize("seed", [1, 2])
-def test_a_core_cut_into_two_halves_tells_nothing_old_and_goes_on(tolerated, half, seed):
+def test_a_core_partitioned_into_two_halves_serves_no_stale_read_and_recovers(tolerated, half, seed):
     """`half` members are on the primary's side; clients, operators and edges reach both sides."""
     script = Script(seed=seed, tolerated=tolerated, edges=3)
     script.until_ready()
@@ -52,7 +52,7 @@
 
 @pytest.mark.parametrize("number", range(3))
 @pytest.mark.parametrize("seed", [1, 2])
-def test_the_last_disks_are_lost_while_every_other_machine_loses_power(seed, number):
+def test_the_tolerated_disks_are_lost_while_every_other_machine_loses_power(seed, number):
     """The losses follow an acknowledgement at once; edges and the platform's list lose power too.
 
     `number`: of the member whose disk is lost. Links and disks are slow, so that little more than the
@@ -78,7 +78,7 @@
 
 
 @pytest.mark.parametrize("seed", [1, 2, 3])
-def test_two_of_three_members_away_at_once_come_back_with_what_was_acknowledged(seed):
+def test_two_of_three_members_down_at_once_return_with_every_acknowledged_change(seed):
     """One machine more than tolerated is down, with its disk intact: service pauses, nothing is lost."""
     script = Script(seed=seed)
     script.until_ready()
--- a/tests/simulation/test_clocks_and_platform.py
+++ b/tests/simulation/test_clocks_and_platform.py
@@ -9,7 +9,7 @@
 
 
 @pytest.mark.parametrize("steps_s", [(3600.0, -3600.0, 0.0), (-3600.0, -3600.0, -3600.0), (1e6, 0.0, -1e6)])
-def test_steps_of_the_wall_clock_change_nothing(steps_s):
+def test_steps_of_the_wall_clock_have_no_effect(steps_s):
     script = Script(seed=8, edges=3)
     script.until_ready()
     script.run(2.0)
@@ -34,7 +34,7 @@
 
 
 @pytest.mark.parametrize("seed", [1, 2, 3])
-def test_two_pollers_keep_to_the_platforms_rate(seed):
+def test_two_pollers_stay_within_the_platforms_rate_limit(seed):
     """The poller is cut off from the other members, but not from the platform, and another takes over."""
     script = Script(seed=seed, edges=3)
     script.until_ready()
--- a/tests/simulation/test_control_faults.py
+++ b/tests/simulation/test_control_faults.py
@@ -74,13 +74,13 @@
 
 @pytest.mark.parametrize("tolerated", [1, 2])
 @pytest.mark.parametrize("name", CUTS)
-def test_a_cut_keeps_orders_waiting_for_less_than_two_and_a_half_seconds(name, tolerated):
+def test_a_partition_delays_acknowledgements_by_less_than_two_and_a_half_seconds(name, tolerated):
     cluster = core(tolerated=tolerated)
     wrong, longest = play(cluster, 6.0, lambda: cut(cluster, CUTS[name](cluster)))
     assert wrong == [] and longest < 2.5
 
 
-def test_a_witness_cut_off_one_way_disturbs_nobody():
+def test_a_witness_cut_off_one_way_does_not_change_the_epoch():
     for out in (False, True):
         cluster = core()
         epochs = []
@@ -102,7 +102,7 @@
 
 
 @pytest.mark.parametrize("tolerated", [1, 2])
-def test_a_dead_primary_is_followed_within_a_second_and_a_half(tolerated):
+def test_a_primary_that_loses_power_is_replaced_within_a_second_and_a_half(tolerated):
     for seed in range(3):
         cluster = core(seed, tolerated)
         wrong, longest = play(cluster, 6.0, lambda w=cluster: primary(w).lose_power())
@@ -110,13 +110,13 @@
         assert longest < 1.5
 
 
-def test_a_primary_that_is_told_to_end_hands_over_first():
+def test_a_terminated_primary_hands_over_first():
     cluster = core()
     wrong, longest = play(cluster, 6.0, lambda: cluster.fault_schedule.terminate(primary(cluster), None))
     assert wrong == [] and longest < 0.8
 
 
-def test_a_backup_that_is_told_to_end_is_replaced_before_it_goes():
+def test_a_terminated_backup_is_replaced_before_it_leaves():
     cluster = core()
     wrong, longest = play(cluster, 6.0, lambda: cluster.fault_schedule.terminate(backup(cluster), None))
     assert wrong == [] and longest < 0.8
@@ -124,7 +124,7 @@
 
 @pytest.mark.parametrize("who", [primary, backup])
 @pytest.mark.parametrize("how", ["stall", "full"])
-def test_an_ill_disk_gives_its_part_to_another(who, how):
+def test_a_member_with_a_faulty_disk_is_replaced_by_another(who, how):
     cluster = core()
 
     def trouble():
@@ -141,7 +141,7 @@
 
 
 @pytest.mark.parametrize("who", [primary, backup, witness])
-def test_a_wiped_member_is_a_member_again_as_another_incarnation(who):
+def test_a_wiped_member_rejoins_as_another_incarnation(who):
     cluster = core()
     seen = []
 
@@ -161,7 +161,7 @@
     assert len(primary(cluster).member.members) == 3
 
 
-def test_a_spare_takes_the_place_of_a_machine_that_is_gone():
+def test_a_spare_replaces_a_machine_lost_for_good():
     cluster = core()
     gone = []
 
@@ -179,7 +179,7 @@
     assert len(names) == 3 and gone[0] not in names
 
 
-def test_a_member_that_comes_back_at_another_address_stays_a_member():
+def test_a_member_that_returns_at_another_address_stays_a_member():
     cluster = core()
     moved = []
 
@@ -199,7 +199,7 @@
     assert named[machine.address] == incarnation and len(named) == 3
 
 
-def test_a_machine_beyond_the_places_is_told_what_is_finished_and_holds_nothing():
+def test_a_spare_machine_learns_committed_state_and_stores_none():
     cluster = core()
     spare = cluster.add("r1", "10.2.0.77:7300", 0.005)
     wrong, _ = play(cluster, 6.0, lambda: None)
@@ -231,7 +231,7 @@
     assert len(taken) == 100 and max(taken) < 0.3
 
 
-def test_founders_found_once_though_the_first_messages_are_lost():
+def test_founding_happens_once_though_the_first_messages_are_lost():
     for seed in range(8):
         cluster = core(seed)
         addresses = [machine.address for machine in cluster.machines]
@@ -245,7 +245,7 @@
         assert check(history, timely=False) == []
 
 
-def test_two_founders_of_three_go_on_without_the_third():
+def test_two_founders_of_three_start_without_the_third():
     cluster = core()
     late = cluster.machines[1]
     cluster.clock.at(0.0, setattr, late, "start", lambda founding=False: None)
--- a/tests/simulation/test_control_seeds.py
+++ b/tests/simulation/test_control_seeds.py
@@ -42,7 +42,7 @@
 
 
 @pytest.mark.parametrize(("member_class", "profile", "seeds"), PLANTED)
-def test_a_planted_fault_is_found(member_class, profile, seeds):
+def test_an_injected_fault_is_found(member_class, profile, seeds):
     assert any(
         is_safety(finding)
         for seed in range(seeds)
--- a/tests/simulation/test_directory_homes.py
+++ b/tests/simulation/test_directory_homes.py
@@ -30,7 +30,7 @@
 
 
 @pytest.mark.parametrize("apart", [0.0, 0.3, 1.5])
-def test_with_all_edges_of_the_home_regions_stopped_nobody_is_sent_abroad(apart):
+def test_with_all_edges_of_the_home_regions_stopped_no_client_is_sent_to_another_region(apart):
     """All edges of both home regions are stopped as planned, at the same time or `apart` s apart."""
     script = system(3)
     began = script.system.time.now
@@ -44,7 +44,7 @@
     assert script.findings() == []
 
 
-def test_half_of_a_region_that_is_stopped_whole_is_back_while_the_other_half_still_serves():
+def test_half_of_the_edges_of_a_stopped_region_restart_while_the_other_half_still_serves():
     """At least one edge of a home region is listed at any time, though all are terminated at once."""
     script = system(4)
     began = script.system.time.now
@@ -69,12 +69,12 @@
 
 
 @pytest.mark.parametrize("seed", [1, 2, 3])
-def test_a_core_that_starts_anew_beside_planned_stops_sends_nobody_abroad(seed):
+def test_a_core_restarted_during_planned_stops_sends_no_client_to_another_region(seed):
     """The restarted members know no configuration at first, and few edges."""
     assert core_starts_anew(seed) == []
 
 
-def test_members_that_take_an_unknown_host_for_one_without_homes_are_found(monkeypatch):
+def test_members_that_treat_an_unknown_host_as_one_without_home_regions_are_found(monkeypatch):
     planted.unknown_hosts_have_no_homes(monkeypatch, lambda: None)
     findings = core_starts_anew(1)
     assert {finding.kind for finding in findings} == {FindingKind.FOREIGN_REGION}
@@ -88,10 +88,10 @@
     return script.findings()
 
 
-def test_an_edge_that_was_killed_is_soon_named_no_more():
+def test_a_killed_edge_is_soon_no_longer_listed():
     assert killed_for_long() == []
 
 
-def test_a_directory_that_names_the_dead_is_found(monkeypatch):
+def test_a_directory_that_lists_ended_edges_is_found(monkeypatch):
     planted.edges_are_listed_for_ever(monkeypatch, lambda: None)
     assert {finding.kind for finding in killed_for_long()} == {FindingKind.ENDED_EDGE_LISTED}
--- a/tests/simulation/test_edge_ends.py
+++ b/tests/simulation/test_edge_ends.py
@@ -25,7 +25,9 @@
 
 
 @pytest.mark.parametrize("held_s", [0.3, 1.0, 2.0])
-def test_a_client_that_is_there_at_the_first_look_does_not_keep_an_edge_to_the_end_of_the_grace(held_s):
+def test_a_client_connected_at_the_first_shutdown_check_does_not_keep_an_edge_until_it_is_killed(
+    held_s,
+):
     """Guards against a shutdown that lasts until SIGKILL. In the incident of HOME the shutdown check raised
     once the listener was closed with a client still connected, and the machine was down for seven seconds
     for no reason.
@@ -41,7 +43,7 @@
     assert script.findings() == []
 
 
-def test_an_edge_that_was_told_to_end_is_ready_no_more():
+def test_a_terminated_edge_is_not_ready():
     """The platform polls readiness every second, and removes the edge after two rejections."""
     script = Script(seed=2, edges=4)
     script.until_ready()
@@ -57,7 +59,7 @@
     script.system.close()
 
 
-def test_an_edge_whose_looks_at_its_end_all_fail_ends_by_itself_before_it_is_killed():
+def test_an_edge_whose_shutdown_checks_all_fail_ends_before_it_is_killed():
     script = Script(seed=2, edges=4)
     script.until_ready()
     script.run(1.0)
@@ -74,7 +76,7 @@
     script.system.close()
 
 
-def test_the_directory_is_told_that_an_edge_has_closed():
+def test_the_core_is_notified_that_an_edge_has_closed():
     script = Script(seed=2, edges=4)
     script.until_ready()
     script.run(1.0)
@@ -86,7 +88,7 @@
     assert script.findings() == []
 
 
-def test_an_edge_knows_until_when_what_it_has_in_hand_may_last():
+def test_an_edge_knows_until_when_its_requests_in_flight_may_last():
     class LastingRequest:
         def may_last_until(self):
             return program.clock.now() + 2 * TICKS
@@ -109,7 +111,7 @@
     assert script.findings() == []
 
 
-def test_an_edge_that_nobody_asks_ends_as_soon_as_others_have_its_clients():
+def test_an_edge_without_requests_ends_once_its_clients_have_moved_to_others():
     script = Script(seed=2, edges=4)
     script.until_ready()
     script.run(1.0)
--- a/tests/simulation/test_effects_in_order.py
+++ b/tests/simulation/test_effects_in_order.py
@@ -5,7 +5,7 @@
 from shedgrade.replication import Send
 
 
-def test_of_equal_effects_none_is_carried_out_again_after_a_standstill(monkeypatch):
+def test_of_equal_effects_none_is_run_again_after_a_freeze(monkeypatch):
     cluster = core()
     machine = cluster.machines[0]
     machine.start(True)
--- a/tests/simulation/test_fleet_count.py
+++ b/tests/simulation/test_fleet_count.py
@@ -8,7 +8,7 @@
 
 
 @pytest.mark.parametrize("seed", range(1, 7))
-def test_after_a_start_of_everything_no_edge_deals_by_fewer_edges_than_there_are(seed):
+def test_after_a_full_restart_no_ready_edge_counts_fewer_edges_than_exist(seed):
     """All members and edges restart without knowledge of the others; an edge that hears of only one other
     must not take it for the whole fleet."""
     script = Script(seed=seed, edges=EDGES)
--- a/tests/simulation/test_killed_at_once.py
+++ b/tests/simulation/test_killed_at_once.py
@@ -17,7 +17,7 @@
 
 @pytest.mark.parametrize("seed", [1, 2, 3])
 @pytest.mark.parametrize("tolerated", [1, 2])
-def test_the_whole_core_is_killed_right_after_a_change_of_either_sort(seed, tolerated):
+def test_the_whole_core_is_killed_right_after_a_full_or_delta_change(seed, tolerated):
     script = Script(seed=seed, tolerated=tolerated, edges=4)
     script.until_ready()
     system, random = script.system, script.system.random
@@ -36,7 +36,7 @@
 
 
 @pytest.mark.parametrize("with_core", [False, True])
-def test_a_herd_that_starts_together_storms_neither_core_nor_platform(with_core, monkeypatch):
+def test_processes_restarted_together_overload_neither_core_nor_platform(with_core, monkeypatch):
     asked = []
     real = WatchHub.watch
 
--- a/tests/simulation/test_leave.py
+++ b/tests/simulation/test_leave.py
@@ -57,7 +57,7 @@
 
 @pytest.mark.parametrize("tolerated", [1, 2])
 @pytest.mark.parametrize("leaver", ["primary", "backup", "witness"])
-def test_in_calm_a_leave_takes_less_than_a_second(leaver, tolerated):
+def test_without_faults_a_leave_takes_less_than_a_second(leaver, tolerated):
     for seed in range(5):
         cluster, ends = core(seed, tolerated), {}
         cluster.clock.at(
@@ -68,7 +68,7 @@
 
 
 @pytest.mark.parametrize("tolerated", [1, 2])
-def test_when_the_whole_core_is_told_to_end_nobody_waits(tolerated):
+def test_when_the_whole_core_is_terminated_each_member_leaves_within_a_second(tolerated):
     for spread in (0.0, 0.02):
         cluster, ends = core(tolerated=tolerated), {}
         for at, machine in enumerate(cluster.machines):
@@ -78,7 +78,7 @@
         assert max(ends.values()) < 7.0
 
 
-def test_a_member_without_which_there_is_no_majority_serves_on_for_its_grace():
+def test_a_member_without_which_there_is_no_majority_serves_for_its_grace_period():
     cluster, ends = core(), {}
 
     def trouble():
@@ -93,7 +93,7 @@
     assert 12.5 < min(ends.values()) < 14.0
 
 
-def test_two_that_leave_at_once_go_one_after_the_other():
+def test_two_members_terminated_at_once_leave_one_after_the_other():
     cluster, ends = core(), {}
 
     def trouble():
@@ -113,6 +113,6 @@
     assert first < 7.0 and first + 1.0 < second < first + 3.0
 
 
-def test_a_witness_that_leaves_takes_a_dead_holders_part_until_another_can():
+def test_a_leaving_witness_replaces_a_lost_holder_until_another_member_can():
     for seed in (467, 578, 970):
         assert SimulatedCluster(seed, 1, "members").run_and_check() == [], seed
--- a/tests/simulation/test_long_orders.py
+++ b/tests/simulation/test_long_orders.py
@@ -6,7 +6,7 @@
 LONG = 100_000  # length of a configuration in bytes
 
 
-def test_a_long_order_is_followed_for_as_long_as_its_body_takes_on_a_slow_link():
+def test_a_long_change_is_awaited_for_as_long_as_its_body_takes_on_a_slow_link():
     """Guards against retries while a body is in transit: each sends the whole body again, which delays the
     change itself and all messages queued behind it."""
     script = Script(seed=1, tolerated=2, bandwidth=SLOWEST_LINK, padding=LONG)
--- a/tests/simulation/test_looks_go_on.py
+++ b/tests/simulation/test_looks_go_on.py
@@ -49,7 +49,7 @@
         ("cores", "prefix_exchange", "tick"),
     ],
 )
-def test_a_look_that_fails_once_comes_again(kind, part, name, scripted):
+def test_a_periodic_task_that_fails_once_runs_again(kind, part, name, scripted):
     script = scripted(seed=1)
     script.until_ready()
     machine = getattr(script.system, kind)[0]
@@ -59,7 +59,7 @@
     assert [fault["exception"].args for fault in machine.loop.faults] == [(name,)]
 
 
-def test_an_edge_whose_look_at_its_end_fails_once_still_ends(scripted):
+def test_an_edge_whose_shutdown_check_fails_once_still_ends(scripted):
     script = scripted(seed=2, edges=4)
     script.until_ready()
     script.run(1.0)
--- a/tests/simulation/test_processor_quota.py
+++ b/tests/simulation/test_processor_quota.py
@@ -8,7 +8,7 @@
 
 
 @pytest.mark.parametrize("share", [0.2, 0.5, 0.9])
-def test_a_quota_is_no_standstill_to_detectors_votes_and_leases(share):
+def test_a_cpu_quota_is_no_stall_to_failure_detectors_votes_and_leases(share):
     script = Script(seed=4, edges=3)
     script.until_ready()
     system = script.system
--- a/tests/simulation/test_repair_time.py
+++ b/tests/simulation/test_repair_time.py
@@ -16,7 +16,7 @@
 
 @pytest.mark.parametrize("size", [1_000, 300_000])
 @pytest.mark.parametrize(("tolerated", "roles"), LOSSES)
-def test_machines_that_lost_their_disks_count_again_in_time_while_changes_go_on(tolerated, roles, size):
+def test_wiped_machines_catch_up_in_time_while_changes_continue(tolerated, roles, size):
     for down in (0.1, 0.5, 3.0):
         repair = Repair(roles, tolerated, size=size, bandwidth=12_500_000.0, down=down)
         assert repair.copied < HALF_OF_CATCH_UP
@@ -39,7 +39,7 @@
         super().look()
 
 
-def test_a_life_that_is_over_takes_no_newcomers_place():
+def test_an_ended_incarnation_does_not_replace_a_new_member():
     repair = MembersSeen(["primary", "backup"], 2, 0.035, 300_000, 625_000.0)
     for before, after, later in zip(repair.seen, repair.seen[1:], repair.seen[2:], strict=False):
         assert not (before - after) & later
@@ -47,7 +47,7 @@
 
 
 @pytest.mark.parametrize(("tolerated", "roles"), LOSSES)
-def test_successors_of_dead_machines_count_in_time(tolerated, roles):
+def test_replacements_of_lost_machines_catch_up_in_time(tolerated, roles):
     for down in (0.0, 0.5, 3.0):
         repair = Repair(roles, tolerated, down=down, successor=True)
         assert repair.counted < HALF_OF_CATCH_UP
--- a/tests/simulation/test_replication_faults.py
+++ b/tests/simulation/test_replication_faults.py
@@ -22,5 +22,5 @@
 
 
 @pytest.mark.parametrize("case", PLANTED, ids=name_of)
-def test_a_planted_fault_is_found_for_what_it_is(case):
+def test_an_injected_fault_is_found_as_its_kind(case):
     check(case)
--- a/tests/simulation/test_system_faults.py
+++ b/tests/simulation/test_system_faults.py
@@ -26,18 +26,18 @@
 
 
 @pytest.mark.parametrize("case", PLANTED, ids=name_of)
-def test_a_planted_fault_is_found_for_what_it_is(case):
+def test_an_injected_fault_is_found_as_its_kind(case):
     check(case)
 
 
-def test_a_plant_that_never_runs_is_told(monkeypatch):
+def test_a_fault_that_never_runs_fails_the_check(monkeypatch):
     """An injected fault in code that is never called doesn't count as found."""
     idle = Case(lambda monkeypatch, reached: None, FindingKind.STALE_READ, "calm", 1)
     with pytest.raises(AssertionError, match="never ran"):
         check(idle)
 
 
-def test_a_plant_that_breaks_the_program_is_told():
+def test_a_fault_that_raises_fails_the_check():
     """An exception doesn't count as the finding that the fault should cause."""
 
     def broken(monkeypatch, reached):
--- a/tests/simulation/test_system_scripts.py
+++ b/tests/simulation/test_system_scripts.py
@@ -35,14 +35,14 @@
 
 @pytest.mark.parametrize("number", range(3))
 @pytest.mark.parametrize("kind", OPPOSITE)
-def test_an_order_read_late_by_a_thawed_member_undoes_nothing(kind, number):
+def test_a_command_read_late_by_a_resumed_member_undoes_nothing(kind, number):
     evacuated, findings = late_order(kind, number)
     assert evacuated == (kind is OperationKind.RETURN)
     assert findings == []
 
 
 @pytest.mark.parametrize("kind", OPPOSITE)
-def test_the_scripted_late_order_shows_the_planted_fault(kind, monkeypatch):
+def test_the_scripted_late_command_shows_the_injected_fault(kind, monkeypatch):
     reached = []
     planted.late_orders_are_carried_out(monkeypatch, lambda: reached.append(True))
     found = [late_order(kind, number) for number in range(3)]
@@ -51,7 +51,7 @@
     assert kinds == {FindingKind.LATE_ZONE_COMMAND, FindingKind.LOST_ACKNOWLEDGEMENT}
 
 
-def test_a_primary_cut_off_for_twenty_seconds_confirms_nothing_and_the_others_go_on():
+def test_a_primary_cut_off_for_twenty_seconds_confirms_nothing_and_the_others_continue():
     script = Script(seed=5, edges=3)
     script.until_ready()
     primary = script.system.primary()
@@ -69,7 +69,7 @@
     assert script.findings() == []
 
 
-def test_a_read_that_a_member_answers_alone_is_found(monkeypatch):
+def test_a_read_that_an_isolated_member_answers_is_found(monkeypatch):
     reached = []
     planted.reads_without_confirmation(monkeypatch, lambda: reached.append(True))
     script = Script(seed=5)
@@ -134,12 +134,12 @@
 
 
 @pytest.mark.parametrize("seed", range(1, 9))
-def test_a_change_that_a_former_primary_reads_first_is_not_refused(seed):
+def test_a_change_that_a_former_primary_reads_first_is_not_rejected(seed):
     status, findings = change_that_a_former_primary_reads_first(seed)
     assert status in (200, 503) and findings == []
 
 
-def test_an_edge_that_starts_behind_the_cut_learns_the_newest_once_it_reaches_others():
+def test_an_edge_started_in_the_minority_partition_gets_the_newest_configuration_once_it_reaches_others():
     script = Script(seed=6)
     script.until_ready()
     system = script.system
@@ -157,7 +157,7 @@
 
 
 @pytest.mark.parametrize(("away", "again"), [(0.0, 0.0), (0.0, 0.5), (0.05, 0.5), (0.5, 0.0), (0.5, 0.5)])
-def test_a_leaver_does_not_go_with_the_only_copy_that_counts(away, again):
+def test_a_leaving_member_does_not_take_the_last_counted_copy(away, again):
     """The backup loses its disk and is down for `away` seconds. `again` seconds after its return the primary
     is terminated; its disk is lost once its process has ended."""
     script = Script(seed=7)
--- a/tests/simulation/test_system_world.py
+++ b/tests/simulation/test_system_world.py
@@ -23,7 +23,7 @@
         system.close()
 
 
-def test_a_change_is_acknowledged_read_back_and_in_force_at_the_edges(day):
+def test_a_change_is_acknowledged_read_back_and_applied_by_the_edges(day):
     system = day(1)
     changes = [
         call for call in system.history.operations if call.kind is OperationKind.PUT and call.acknowledged
@@ -38,6 +38,6 @@
     assert system.faults() == [] and system.history.violations == []
 
 
-def test_one_seed_gives_one_history(day):
+def test_the_same_seed_gives_the_same_history(day):
     assert day(3).history.digest() == day(3).history.digest()
     assert day(3).history.digest() != day(4).history.digest()
