--- a/tests/simulation/faulty_members.py
+++ b/tests/simulation/faulty_members.py
@@ -101,13 +101,13 @@
         def choose_epoch(self, now):
             if self.member.replica.epoch_config.number:
                 return super().choose_epoch(now)
-            normal = candidate.is_quorum, candidate.holder_count
+            original = candidate.is_quorum, candidate.holder_count
             candidate.is_quorum = lambda config, voters: True
             candidate.holder_count = lambda groups, tolerated: quorums.HolderCount(1, 1)
             try:
                 super().choose_epoch(now)
             finally:
-                candidate.is_quorum, candidate.holder_count = normal
+                candidate.is_quorum, candidate.holder_count = original
 
         def pre_vote(self, now):
             super().pre_vote(now) if self.member.replica.epoch_config.number else self.start(now)
@@ -150,7 +150,7 @@
                 super().refuse(sender, number)
 
 
-class CountsNewcomersAtOnce(MemberWithRoles):
+class CountsNewMembersBeforeActivation(MemberWithRoles):
     """New members promise and hold state before the epoch that names them is known to be active."""
 
     def is_voter(self):
@@ -158,14 +158,14 @@
 
     class Candidate(candidate.Candidate):
         def choose_epoch(self, now):
-            normal = candidate.is_quorum
+            original = candidate.is_quorum
             candidate.is_quorum = lambda config, voters: (
                 quorums.count(config.members, voters) >= quorums.majority(config.members)
             )
             try:
                 super().choose_epoch(now)
             finally:
-                candidate.is_quorum = normal
+                candidate.is_quorum = original
 
         def member_groups(self, base, promises):
             members, _ = super().member_groups(base, promises)
@@ -206,7 +206,7 @@
                 self.member.send(sender, messages.Installed(replica.incarnation, replica.accepted_epoch))
 
 
-class LeavesAtOnce(MemberWithRoles):
+class LeavesImmediately(MemberWithRoles):
     """A member that hands over and leaves on SIGTERM, without waiting for others to hold its state."""
 
     def leave(self, now, timeout_s=None):
--- a/tests/simulation/planted_cases.py
+++ b/tests/simulation/planted_cases.py
@@ -5,7 +5,7 @@
 
 from typing import NamedTuple
 
-import planted_system_faults as planted
+import planted_system_faults as injected
 import pytest
 
 from shedgrade.simulation.system.findings import FindingKind
@@ -18,7 +18,7 @@
     """An injected fault and the runs in which it must be found.
 
     Attributes:
-        plant: the fault: a member class, or a function called with `monkeypatch` and `reached`.
+        fault: a member class, or a function called with `monkeypatch` and `reached`.
         kind: the kind of finding that reveals it.
         profile: profile of the runs.
         seeds: number of seeds within which it must be found.
@@ -27,7 +27,7 @@
         parameters: further parameters of the run.
     """
 
-    plant: object
+    fault: object
     kind: FindingKind
     profile: str
     seeds: int
@@ -36,15 +36,15 @@
     parameters: dict[str, object] = {}  # never modified
 
 
-def day(case, seed):
+def make_run(case, seed):
     """Returns the run of that seed, before it is played."""
     parameters = {"padding": 0, "pace": 0.2, **case.parameters}
     return SimulationRun(seed, case.tolerated, case.profile, case.length, **parameters)
 
 
-def name_of(case):
+def case_id(case):
     """Returns the test id of a case."""
-    return f"{case.plant.__name__}-{case.kind.name.lower()}"
+    return f"{case.fault.__name__}-{case.kind.name.lower()}"
 
 
 def check(case):
@@ -55,15 +55,15 @@
         nonlocal reached
         reached += 1
 
-    install = planted.change_by_one(case.plant) if isinstance(case.plant, type) else case.plant
+    install = injected.replace_member_class(case.fault) if isinstance(case.fault, type) else case.fault
     for seed in range(case.seeds):
         with pytest.MonkeyPatch.context() as monkeypatch:
             install(monkeypatch, count)
-            found = {finding.kind for finding in day(case, seed).play()}
+            found = {finding.kind for finding in make_run(case, seed).play()}
         assert not found.intersection(OWN_ERRORS), "the injected fault raises an error of its own"
         if case.kind in found:
             assert reached, "found, though the faulty code never ran"
-            assert day(case, seed).play() == [], "findings at this seed without the injected fault"
+            assert make_run(case, seed).play() == [], "findings at this seed without the injected fault"
             return
     assert reached, "the faulty code never ran"
     pytest.fail(f"not found within {case.seeds} seeds")
--- a/tests/simulation/planted_system_faults.py
+++ b/tests/simulation/planted_system_faults.py
@@ -25,52 +25,52 @@
 from shedgrade.replication.effects import Decision
 
 
-def change_by_one(member_class):
+def replace_member_class(member_class):
     """Returns a function that replaces the member class. The class calls `reached`, which is set here."""
 
-    def plant(monkeypatch, reached):
+    def inject(monkeypatch, reached):
         monkeypatch.setattr(member_class, "reached", staticmethod(reached), raising=False)
         monkeypatch.setattr(plane, "Member", member_class)
 
-    plant.__name__ = member_class.__name__
-    plant.__doc__ = member_class.__doc__
-    return plant
+    inject.__name__ = member_class.__name__
+    inject.__doc__ = member_class.__doc__
+    return inject
 
 
 # --- commands and reads
 
 
-def remembers_only_the_newest(monkeypatch, reached):
+def forgets_accepted_changes(monkeypatch, reached):
     """An accepted change is forgotten with the next change."""
     status = commands.deduplication.acceptance_status
 
-    def forgetful(state, version, raw):
+    def forgetful_status(state, version, raw):
         if status(state, version, raw) is AcceptanceStatus.ACCEPTED:
             reached()
         return AcceptanceStatus.NEVER_ACCEPTED
 
-    monkeypatch.setattr(commands.deduplication, "acceptance_status", forgetful)
+    monkeypatch.setattr(commands.deduplication, "acceptance_status", forgetful_status)
 
 
 def reads_without_confirmation(monkeypatch, reached):
     """A read is answered from the member's own state, without confirmation by a majority."""
 
-    class Unconfirmed(CommandRouter):
-        def read(self, tell, *caller):
+    class UnconfirmedReads(CommandRouter):
+        def read(self, respond, *caller):
             reached()
-            tell(dict(self.member.committed.state))
+            respond(dict(self.member.committed.state))
 
-    monkeypatch.setattr(plane, "CommandRouter", Unconfirmed)
+    monkeypatch.setattr(plane, "CommandRouter", UnconfirmedReads)
 
 
-def late_orders_are_carried_out(monkeypatch, reached):
+def late_zone_commands_are_applied(monkeypatch, reached):
     """A zone command is applied whatever commands came since, even if its caller no longer waits."""
     make_decide = commands.make_decide
 
-    def make(zones):
+    def faulty_make_decide(zones):
         decide = make_decide(zones)
 
-        def careless(state, command):
+        def faulty_decide(state, command):
             if not isinstance(command, commands.ZoneCommand):
                 return decide(state, command)
             current = commands.zone_revisions(state).get(command.zone, 0)
@@ -78,32 +78,32 @@
                 reached()
             return decide(state, type(command)(command.zone, current))
 
-        return careless
+        return faulty_decide
 
-    monkeypatch.setattr(plane, "make_decide", make)
+    monkeypatch.setattr(plane, "make_decide", faulty_make_decide)
     monkeypatch.setattr(PendingZoneCommand, "caller_is_waiting", lambda self: True)
 
 
-def two_on_one_base(monkeypatch, reached):
+def accepts_conflicting_changes(monkeypatch, reached):
     """A change is accepted though another change has replaced its base version."""
     make_decide = commands.make_decide
 
-    def make(zones):
+    def faulty_make_decide(zones):
         decide = make_decide(zones)
 
-        def careless(state, command):
+        def faulty_decide(state, command):
             decision = decide(state, command)
-            raced = isinstance(command, commands.PutConfiguration) and decision.outcome.status == 412
-            if raced and command.version > int(state.get("version") or 0):
+            is_conflict = isinstance(command, commands.PutConfiguration) and decision.outcome.status == 412
+            if is_conflict and command.version > int(state.get("version") or 0):
                 reached()
                 return Decision(
                     {"configuration": command.raw, "version": b"%d" % command.version}, CommandReply(200)
                 )
             return decision
 
-        return careless
+        return faulty_decide
 
-    monkeypatch.setattr(plane, "make_decide", make)
+    monkeypatch.setattr(plane, "make_decide", faulty_make_decide)
 
 
 class AnswersAfterOwnDiskOnly(MemberWithRoles):
@@ -125,7 +125,7 @@
 # --- edges, directory, singleton roles
 
 
-def any_region_where_no_home_is_ready(monkeypatch, reached):
+def lists_edges_outside_the_home_regions(monkeypatch, reached):
     """The directory lists all ready edges where neither the client's region nor a home region has one."""
 
     def admissible(edges, regions):
@@ -137,13 +137,13 @@
     monkeypatch.setattr(directory, "admissible", admissible)
 
 
-def unknown_hosts_have_no_homes(monkeypatch, reached):
+def unknown_hosts_are_served_anywhere(monkeypatch, reached):
     """A member without a configuration treats every host as one that may be served anywhere."""
     reached()  # the constant has an effect from the start
     monkeypatch.setattr(home_regions, "NOWHERE_ELSE", home_regions.ANYWHERE)
 
 
-def edges_are_listed_for_ever(monkeypatch, reached):
+def ended_edges_stay_listed(monkeypatch, reached):
     """An edge that was ready once is listed long after it has ended."""
     reached()  # the constants have an effect from the start
     monkeypatch.setattr(edge_table, "LISTED_GRACE_S", 1e9)
@@ -152,10 +152,10 @@
     monkeypatch.setattr(WatchHub, "edge_disconnected", lambda self, name: self.pending.pop(name, None))
 
 
-def old_state_for_watchers(monkeypatch, reached):
+def stale_state_is_reported_as_confirmed(monkeypatch, reached):
     """A member reports its state as confirmed now, however long ago it was confirmed."""
 
-    class Confident(WatchHub):
+    class ReportsConfirmedState(WatchHub):
         def answer(self, now, watch, deltas):
             reached()
             before, self.confirmed_at = self.confirmed_at, now
@@ -164,39 +164,39 @@
             finally:
                 self.confirmed_at = before
 
-    monkeypatch.setattr(plane, "WatchHub", Confident)
+    monkeypatch.setattr(plane, "WatchHub", ReportsConfirmedState)
 
 
-def heartbeats_count_from_their_arrival(monkeypatch, reached):
+def heartbeats_count_as_sent_on_arrival(monkeypatch, reached):
     """A follower takes a heartbeat to be as recent as its arrival, however long ago it was sent."""
 
-    def arrived(self, now, heartbeat):
+    def sent_on_arrival(self, now, heartbeat):
         reached()
         return now - self.member.receive_delay_s
 
-    monkeypatch.setattr(acceptor.Acceptor, "sent_after", arrived)
+    monkeypatch.setattr(acceptor.Acceptor, "sent_after", sent_on_arrival)
 
 
-def a_lease_longer_than_its_votes_hold(monkeypatch, reached):
+def lease_outlasts_its_votes(monkeypatch, reached):
     """The holder of the endpoint list's role assumes a longer lease than its voters grant."""
     reached()  # the constant has an effect from the start
     monkeypatch.setattr(role_election, "LEASE_S", 4.0)
 
 
-def edges_take_older_states(monkeypatch, reached):
+def edges_apply_older_states(monkeypatch, reached):
     """An edge applies any control state that it receives, even an older one."""
 
-    def newer_control(self, change):
+    def faulty_newer_control(self, change):
         before, self.control = self.control, (-1, -1)
         try:
             if (change.epoch, change.sequence) <= before:
                 reached()
-            return take(self, change)
+            return original_newer_control(self, change)
         finally:
             self.control = before
 
-    take = ReceivedState.newer_control
-    monkeypatch.setattr(ReceivedState, "newer_control", newer_control)
+    original_newer_control = ReceivedState.newer_control
+    monkeypatch.setattr(ReceivedState, "newer_control", faulty_newer_control)
     monkeypatch.setattr(WatchHub, "has_update", lambda self, watch: self.now - watch.at > 0.1)
     answer = WatchHub.answer
 
@@ -207,10 +207,10 @@
     monkeypatch.setattr(WatchHub, "answer", answer_always)
 
 
-def ages_are_not_told(monkeypatch, reached):
+def primary_age_is_not_reported(monkeypatch, reached):
     """A member that lost its primary tells edges that it just heard from it, so they stay connected."""
 
-    class Confident(WatchHub):
+    class HidesPrimaryAge(WatchHub):
         def answer(self, now, watch, deltas):
             def respond(response):
                 if 0.0 < response.primary_age_s < UNKNOWN_AGE_S:
@@ -219,7 +219,7 @@
 
             super().answer(now, PendingWatch(watch.request, respond, watch.at), deltas)
 
-    monkeypatch.setattr(plane, "WatchHub", Confident)
+    monkeypatch.setattr(plane, "WatchHub", HidesPrimaryAge)
 
 
 # --- promises, epochs, disks
@@ -277,13 +277,13 @@
                 self.replica.incarnation = peer.incarnation
 
 
-def voters_are_known_by_address(monkeypatch, reached):
+def voters_are_matched_by_address(monkeypatch, reached):
     """A process with an empty disk counts as the member that had its address before."""
-    matches = quorums.matches
+    original_matches = quorums.matches
 
     def by_address(peer, incarnation, address, founding):
-        found = peer.address == address or matches(peer, incarnation, address, founding)
-        if found and not matches(peer, incarnation, address, founding):
+        found = peer.address == address or original_matches(peer, incarnation, address, founding)
+        if found and not original_matches(peer, incarnation, address, founding):
             reached()
         return found
 
@@ -291,7 +291,7 @@
     monkeypatch.setattr("shedgrade.replication.member.matches", by_address)
 
 
-class FollowsAnOldPrimary(MemberWithRoles):
+class FollowsOldPrimary(MemberWithRoles):
     """A member follows the primary of an older epoch in spite of a newer promise."""
 
     class Acceptor(acceptor.Acceptor):
@@ -299,7 +299,7 @@
             replica = self.member.replica
             promised = replica.promised_epoch
             if replica.epoch_config.number == epoch < promised.number:
-                FollowsAnOldPrimary.reached()
+                FollowsOldPrimary.reached()
                 replica.promised_epoch = type(promised)(epoch, 0)
             try:
                 return super().follow_primary(now, sender, epoch, config)
@@ -308,42 +308,42 @@
                     replica.promised_epoch = promised
 
 
-class CountsNewcomersAtOnce(MemberWithRoles):
+class CountsNewMembersBeforeActivation(MemberWithRoles):
     """New members promise and hold state before the epoch that names them is known to be active."""
 
     def is_voter(self):
         is_voter = super().is_voter()
         if not is_voter:
-            CountsNewcomersAtOnce.reached()
+            CountsNewMembersBeforeActivation.reached()
         return True
 
     class Candidate(candidate.Candidate):
         def choose_epoch(self, now):
-            normal = candidate.is_quorum
+            original = candidate.is_quorum
             candidate.is_quorum = lambda config, voters: (
                 quorums.count(config.members, voters) >= quorums.majority(config.members)
             )
             try:
                 super().choose_epoch(now)
             finally:
-                candidate.is_quorum = normal
+                candidate.is_quorum = original
 
         def member_groups(self, base, promises):
             members, _ = super().member_groups(base, promises)
             return quorums.Groups(members, members)
 
 
-class PromisesWithoutAQuorum(MemberWithRoles):
+class FormsEpochWithoutQuorum(MemberWithRoles):
     """A candidate continues with the promises of less than a majority."""
 
     class Candidate(candidate.Candidate):
         def choose_epoch(self, now):
-            normal = candidate.is_quorum, candidate.holder_count
+            original = candidate.is_quorum, candidate.holder_count
 
             def any_two(config, voters):
                 voters = list(voters)
-                if not normal[0](config, voters) and len(voters) >= 2:
-                    PromisesWithoutAQuorum.reached()
+                if not original[0](config, voters) and len(voters) >= 2:
+                    FormsEpochWithoutQuorum.reached()
                 return len(voters) >= 2
 
             candidate.is_quorum = any_two
@@ -351,30 +351,30 @@
             try:
                 super().choose_epoch(now)
             finally:
-                candidate.is_quorum, candidate.holder_count = normal
+                candidate.is_quorum, candidate.holder_count = original
 
 
 # --- planned stops
 
 
-class LeavesAtOnce(MemberWithRoles):
+class LeavesImmediately(MemberWithRoles):
     """A member leaves immediately on SIGTERM, without waiting for others to hold its state."""
 
     def leave(self, now, timeout_s=None):
-        LeavesAtOnce.reached()
+        LeavesImmediately.reached()
         super().leave(now, 0.3)
 
 
-def a_primary_leaves_to_whoever_stays(monkeypatch, reached):
+def primary_leaves_without_a_successor(monkeypatch, reached):
     """A primary leaves without a successor that could form an epoch."""
     enough = graceful_leave.LeaveRequests.enough_stay
 
-    def whoever(self, now):
+    def always_enough(self, now):
         if not enough(self, now):
             reached()
         return True
 
-    monkeypatch.setattr(graceful_leave.LeaveRequests, "enough_stay", whoever)
+    monkeypatch.setattr(graceful_leave.LeaveRequests, "enough_stay", always_enough)
     tick = graceful_leave.GracefulLeave.tick_as_primary
 
     def tick_and_stop(self, now):
--- a/tests/simulation/test_control_seeds.py
+++ b/tests/simulation/test_control_seeds.py
@@ -18,7 +18,7 @@
         assert SimulatedCluster(seed, tolerated, profile).run_and_check() == [], seed
 
 
-PLANTED = [  # (injected fault, profile in which it is found, number of seeds within which it is)
+INJECTED_FAULTS = [  # (injected fault, profile in which it is found, number of seeds within which it is)
     (faulty.AnswersAfterOwnDiskOnly, "fair", 60),
     (faulty.AcksBeforeTheSync, "storm", 60),
     (faulty.VotesAfterLosingItsDisk, "members", 60),
@@ -31,8 +31,8 @@
 ]
 
 
-STUCK = [  # faults that lose the majority for good, found because no command is answered any more
-    (faulty.LeavesAtOnce, "members", 60),
+LIVENESS_FAULTS = [  # faults that lose the majority for good, found because no command is answered any more
+    (faulty.LeavesImmediately, "members", 60),
     (faulty.GrantsLeaveToHolders, "members", 60),
 ]
 
@@ -41,7 +41,7 @@
     return not any(word in finding for word in ("wait", "no read", "nothing acknowledged"))
 
 
-@pytest.mark.parametrize(("member_class", "profile", "seeds"), PLANTED)
+@pytest.mark.parametrize(("member_class", "profile", "seeds"), INJECTED_FAULTS)
 def test_an_injected_fault_is_found(member_class, profile, seeds):
     assert any(
         is_safety(finding)
@@ -50,6 +50,6 @@
     )
 
 
-@pytest.mark.parametrize(("member_class", "profile", "seeds"), STUCK)
+@pytest.mark.parametrize(("member_class", "profile", "seeds"), LIVENESS_FAULTS)
 def test_a_fault_that_loses_the_majority_is_found(member_class, profile, seeds):
     assert any(SimulatedCluster(seed, 1, profile, member_class).run_and_check() for seed in range(seeds))
--- a/tests/simulation/test_directory_homes.py
+++ b/tests/simulation/test_directory_homes.py
@@ -1,6 +1,6 @@
 """Lookups during planned stops, in the simulated system: no client is sent outside a route's home regions."""
 
-import planted_system_faults as planted
+import planted_system_faults as injected
 import pytest
 
 from shedgrade.simulation.system.findings import FindingKind
@@ -75,7 +75,7 @@
 
 
 def test_members_that_treat_an_unknown_host_as_one_without_home_regions_are_found(monkeypatch):
-    planted.unknown_hosts_have_no_homes(monkeypatch, lambda: None)
+    injected.unknown_hosts_are_served_anywhere(monkeypatch, lambda: None)
     findings = core_starts_anew(1)
     assert {finding.kind for finding in findings} == {FindingKind.FOREIGN_REGION}
     assert all("to region-3" in finding.detail for finding in findings)
@@ -93,5 +93,5 @@
 
 
 def test_a_directory_that_lists_ended_edges_is_found(monkeypatch):
-    planted.edges_are_listed_for_ever(monkeypatch, lambda: None)
+    injected.ended_edges_stay_listed(monkeypatch, lambda: None)
     assert {finding.kind for finding in killed_for_long()} == {FindingKind.ENDED_EDGE_LISTED}
--- a/tests/simulation/test_edge_ends.py
+++ b/tests/simulation/test_edge_ends.py
@@ -66,7 +66,7 @@
     edge = script.system.edges[0]
 
     def broken():
-        raise RuntimeError("planted")
+        raise RuntimeError("injected")
 
     edge.program.busy = broken
     script.faults.terminate(edge, GRACE)
--- a/tests/simulation/test_looks_go_on.py
+++ b/tests/simulation/test_looks_go_on.py
@@ -21,7 +21,7 @@
         script.system.close()
 
 
-class PlantedError(Exception):
+class InjectedError(Exception):
     """The exception raised by an injected fault."""
 
 
@@ -31,7 +31,7 @@
 
     def broken(*args):
         setattr(program, name, counted)
-        raise PlantedError(name)
+        raise InjectedError(name)
 
     def counted(*args):
         calls.append(args)
--- a/tests/simulation/test_system_scripts.py
+++ b/tests/simulation/test_system_scripts.py
@@ -1,6 +1,6 @@
 """Scripted runs of the simulated system, at exact times, of cases first tested on real processes."""
 
-import planted_system_faults as planted
+import planted_system_faults as injected
 import pytest
 
 from shedgrade.simulation.system.caller import Request, ResponseReader
@@ -44,7 +44,7 @@
 @pytest.mark.parametrize("kind", OPPOSITE)
 def test_the_scripted_late_command_shows_the_injected_fault(kind, monkeypatch):
     reached = []
-    planted.late_orders_are_carried_out(monkeypatch, lambda: reached.append(True))
+    injected.late_zone_commands_are_applied(monkeypatch, lambda: reached.append(True))
     found = [late_order(kind, number) for number in range(3)]
     assert reached
     kinds = {finding.kind for _, findings in found for finding in findings}
@@ -71,7 +71,7 @@
 
 def test_a_read_that_an_isolated_member_answers_is_found(monkeypatch):
     reached = []
-    planted.reads_without_confirmation(monkeypatch, lambda: reached.append(True))
+    injected.reads_without_confirmation(monkeypatch, lambda: reached.append(True))
     script = Script(seed=5)
     script.until_ready()
     machine = script.system.cores[1]
