--- a/tests/simulation/test_control_faults.py
+++ b/tests/simulation/test_control_faults.py
@@ -34,7 +34,7 @@
     return next(m for m in cluster.machines if m.up and m.member.role == "witness")
 
 
-def both_ways(a, others):
+def both_directions(a, others):
     return [pair for other in others for pair in ((a, other), (other, a))]
 
 
@@ -42,12 +42,12 @@
     return [each for each in cluster.machines if each is not machine]
 
 
-def play(cluster, at, trouble):
-    """Plays a run with `trouble` at `at`.
+def play(cluster, at, inject):
+    """Plays a run in which `inject` is called at time `at`, in seconds.
 
     Returns the violations, and the longest time between two acknowledgements from then on, in seconds.
     """
-    cluster.clock.at(at, trouble)
+    cluster.clock.at(at, inject)
     history = cluster.play()
     ends = sorted(
         call.completed_at
@@ -57,27 +57,35 @@
     return check(history), max(b - a for a, b in zip([at, *ends], ends, strict=False))
 
 
-def cut(cluster, pairs, seconds=4.0):
+def block_links(cluster, pairs, seconds=4.0):
     cluster.fault_schedule.block_links(None, list(pairs), seconds)
 
 
-CUTS = {
-    "the primary from all": lambda w: both_ways(primary(w), others_of(w, primary(w))),
-    "the primary is not heard": lambda w: [(primary(w), other) for other in others_of(w, primary(w))],
-    "the primary hears nobody": lambda w: [(other, primary(w)) for other in others_of(w, primary(w))],
-    "the primary and a backup": lambda w: both_ways(primary(w), [backup(w)]),
-    "a backup is not heard by the primary": lambda w: [(backup(w), primary(w))],
-    "a backup does not hear the primary": lambda w: [(primary(w), backup(w))],
-    "a backup from all": lambda w: both_ways(backup(w), others_of(w, backup(w))),
+PARTITIONS = {
+    "the primary from all": lambda cluster: both_directions(
+        primary(cluster), others_of(cluster, primary(cluster))
+    ),
+    "the primary is not heard": lambda cluster: [
+        (primary(cluster), other) for other in others_of(cluster, primary(cluster))
+    ],
+    "the primary hears nobody": lambda cluster: [
+        (other, primary(cluster)) for other in others_of(cluster, primary(cluster))
+    ],
+    "the primary and a backup": lambda cluster: both_directions(primary(cluster), [backup(cluster)]),
+    "a backup is not heard by the primary": lambda cluster: [(backup(cluster), primary(cluster))],
+    "a backup does not hear the primary": lambda cluster: [(primary(cluster), backup(cluster))],
+    "a backup from all": lambda cluster: both_directions(
+        backup(cluster), others_of(cluster, backup(cluster))
+    ),
 }
 
 
 @pytest.mark.parametrize("tolerated", [1, 2])
-@pytest.mark.parametrize("name", CUTS)
+@pytest.mark.parametrize("name", PARTITIONS)
 def test_a_partition_delays_acknowledgements_by_less_than_two_and_a_half_seconds(name, tolerated):
     cluster = core(tolerated=tolerated)
-    wrong, longest = play(cluster, 6.0, lambda: cut(cluster, CUTS[name](cluster)))
-    assert wrong == [] and longest < 2.5
+    violations, longest = play(cluster, 6.0, lambda: block_links(cluster, PARTITIONS[name](cluster)))
+    assert violations == [] and longest < 2.5
 
 
 def test_a_witness_cut_off_one_way_does_not_change_the_epoch():
@@ -85,19 +93,19 @@
         cluster = core()
         epochs = []
 
-        def trouble(cluster=cluster, epochs=epochs, out=out):
+        def inject(cluster=cluster, epochs=epochs, out=out):
             epochs.append(primary(cluster).member.epoch)
-            cut(
+            block_links(
                 cluster,
                 [
                     (a, b)
-                    for a, b in both_ways(witness(cluster), others_of(cluster, witness(cluster)))
+                    for a, b in both_directions(witness(cluster), others_of(cluster, witness(cluster)))
                     if (a.member.role == "witness") == out
                 ],
             )
 
-        wrong, longest = play(cluster, 6.0, trouble)
-        assert wrong == [] and longest < 1.2
+        violations, longest = play(cluster, 6.0, inject)
+        assert violations == [] and longest < 1.2
         assert primary(cluster).member.epoch == epochs[0]
 
 
@@ -105,57 +113,57 @@
 def test_a_primary_that_loses_power_is_replaced_within_a_second_and_a_half(tolerated):
     for seed in range(3):
         cluster = core(seed, tolerated)
-        wrong, longest = play(cluster, 6.0, lambda w=cluster: primary(w).lose_power())
-        assert wrong == [] or all("waits" not in each for each in wrong)
+        violations, longest = play(cluster, 6.0, lambda cluster=cluster: primary(cluster).lose_power())
+        assert violations == [] or all("waits" not in each for each in violations)
         assert longest < 1.5
 
 
 def test_a_terminated_primary_hands_over_first():
     cluster = core()
-    wrong, longest = play(cluster, 6.0, lambda: cluster.fault_schedule.terminate(primary(cluster), None))
-    assert wrong == [] and longest < 0.8
+    violations, longest = play(cluster, 6.0, lambda: cluster.fault_schedule.terminate(primary(cluster), None))
+    assert violations == [] and longest < 0.8
 
 
 def test_a_terminated_backup_is_replaced_before_it_leaves():
     cluster = core()
-    wrong, longest = play(cluster, 6.0, lambda: cluster.fault_schedule.terminate(backup(cluster), None))
-    assert wrong == [] and longest < 0.8
+    violations, longest = play(cluster, 6.0, lambda: cluster.fault_schedule.terminate(backup(cluster), None))
+    assert violations == [] and longest < 0.8
 
 
-@pytest.mark.parametrize("who", [primary, backup])
-@pytest.mark.parametrize("how", ["stall", "full"])
-def test_a_member_with_a_faulty_disk_is_replaced_by_another(who, how):
+@pytest.mark.parametrize("role", [primary, backup])
+@pytest.mark.parametrize("fault", ["stall", "full"])
+def test_a_member_with_a_faulty_disk_is_replaced_by_another(role, fault):
     cluster = core()
 
-    def trouble():
-        machine = who(cluster)
-        if how == "stall":
+    def inject():
+        machine = role(cluster)
+        if fault == "stall":
             machine.set_disk_stalled(True)
             cluster.clock.after(4.0, machine.set_disk_stalled, False)
         else:
             machine.disk_full = True
             cluster.clock.after(4.0, setattr, machine, "disk_full", False)
 
-    wrong, longest = play(cluster, 6.0, trouble)
-    assert wrong == [] and longest < 1.6
+    violations, longest = play(cluster, 6.0, inject)
+    assert violations == [] and longest < 1.6
 
 
-@pytest.mark.parametrize("who", [primary, backup, witness])
-def test_a_wiped_member_rejoins_as_another_incarnation(who):
+@pytest.mark.parametrize("role", [primary, backup, witness])
+def test_a_wiped_member_rejoins_as_another_incarnation(role):
     cluster = core()
     seen = []
 
-    def trouble():
-        machine = who(cluster)
+    def inject():
+        machine = role(cluster)
         seen.append((machine, machine.member.replica.incarnation))
         machine.lose_power()
         machine.wipe()
         cluster.clock.after(1.0, machine.start)
         cluster.clock.after(5.0, lambda: seen.append(machine.member.role))
 
-    wrong, longest = play(cluster, 6.0, trouble)
+    violations, longest = play(cluster, 6.0, inject)
     machine, before = seen[0]
-    assert wrong == [] and longest < 1.6
+    assert violations == [] and longest < 1.6
     assert seen[1] in ("witness", "backup", "primary")
     assert machine.member.replica.incarnation != before
     assert len(primary(cluster).member.members) == 3
@@ -163,20 +171,20 @@
 
 def test_a_spare_replaces_a_machine_lost_for_good():
     cluster = core()
-    gone = []
+    lost = []
 
-    def trouble():
+    def inject():
         machine = witness(cluster)
-        gone.append(machine.name)
+        lost.append(machine.name)
         machine.lose_power()
         cluster.machines.remove(machine)
         spare = cluster.add("r1", "10.2.0.77:7300", 0.005)
         cluster.clock.after(0.5, spare.start)
 
-    wrong, _ = play(cluster, 6.0, trouble)
-    assert wrong == []
+    violations, _ = play(cluster, 6.0, inject)
+    assert violations == []
     names = {peer.name for peer in primary(cluster).member.members}
-    assert len(names) == 3 and gone[0] not in names
+    assert len(names) == 3 and lost[0] not in names
 
 
 def test_a_member_that_returns_at_another_address_stays_a_member():
@@ -192,9 +200,9 @@
         cluster.network.region[machine.address] = machine.region
         machine.start()
 
-    wrong, longest = play(cluster, 6.0, move)
+    violations, longest = play(cluster, 6.0, move)
     machine, incarnation = moved[0]
-    assert wrong == [] and longest < 1.2
+    assert violations == [] and longest < 1.2
     named = {peer.address: peer.incarnation for peer in primary(cluster).member.members}
     assert named[machine.address] == incarnation and len(named) == 3
 
@@ -202,8 +210,8 @@
 def test_a_spare_machine_learns_committed_state_and_stores_none():
     cluster = core()
     spare = cluster.add("r1", "10.2.0.77:7300", 0.005)
-    wrong, _ = play(cluster, 6.0, lambda: None)
-    assert wrong == []
+    violations, _ = play(cluster, 6.0, lambda: None)
+    assert violations == []
     assert spare.member.role == "blank"
     assert spare.member.committed.position == primary(cluster).member.committed.position
     assert not any(key.startswith("state/") for key in spare.durable)
@@ -211,24 +219,24 @@
 
 def test_a_change_every_eighty_milliseconds_is_acknowledged_in_time():
     cluster = core(max_pause_s=1e9)
-    taken = []
+    latencies = []
 
-    def order(number):
-        began = cluster.clock.now
-        at = primary(cluster)
+    def submit(number):
+        submitted_at = cluster.clock.now
+        target = primary(cluster)
 
         def answered(outcome):
             assert outcome == OK
-            taken.append(cluster.clock.now - began)
+            latencies.append(cluster.clock.now - submitted_at)
 
-        at.submit_command(Put(number - 1, number, f"storm{number}"), answered)
+        target.submit_command(Put(number - 1, number, f"storm{number}"), answered)
 
     for number in range(1, 101):
-        cluster.clock.at(4.0 + 0.08 * number, order, number)
+        cluster.clock.at(4.0 + 0.08 * number, submit, number)
     for client in cluster.clients:
         client.stopped = True
     cluster.play()
-    assert len(taken) == 100 and max(taken) < 0.3
+    assert len(latencies) == 100 and max(latencies) < 0.3
 
 
 def test_founding_happens_once_though_the_first_messages_are_lost():
@@ -261,10 +269,10 @@
     for seed in range(4):
         cluster = core(seed, tolerated)
 
-        def trouble(cluster=cluster):
+        def inject(cluster=cluster):
             cluster.bounded = True
             cluster.fault_schedule.wipe_some_and_power_off_all()
 
-        wrong, _ = play(cluster, 6.0, trouble)
-        assert wrong == []
+        violations, _ = play(cluster, 6.0, inject)
+        assert violations == []
         assert cluster.history.total_restarts
--- a/tests/simulation/test_leave.py
+++ b/tests/simulation/test_leave.py
@@ -16,15 +16,15 @@
     cluster.clock.after(down, machine.start)
 
 
-def leave_and_lose_disk(cluster, machine, ends):
+def leave_and_lose_disk(cluster, machine, ended_at):
     """Terminates a machine; once its process has ended, wipes its disk and starts it again."""
 
-    def ended():
-        ends.append(cluster.clock.now)
+    def handle_exit():
+        ended_at.append(cluster.clock.now)
         machine.wipe()
         cluster.clock.after(1.0, machine.start)
 
-    machine.terminate(8.0, ended)
+    machine.terminate(8.0, handle_exit)
 
 
 def last_acknowledgement(history):
@@ -35,80 +35,85 @@
 @pytest.mark.parametrize("pause", [0.0, 0.3, 0.5, 1.0, 2.0, 3.0])
 @pytest.mark.parametrize("leaver", ["primary", "backup", "witness"])
 def test_a_member_that_leaves_right_after_another_lost_its_disk_loses_nothing(leaver, pause, tolerated):
-    cluster, ends = core(tolerated=tolerated), []
+    cluster, ended_at = core(tolerated=tolerated), []
 
-    def trouble():
+    def inject():
         lost = witness(cluster) if leaver == "backup" else backup(cluster)
         machine = ROLES[leaver](cluster)
         lose_disk(cluster, lost, 0.5)
-        cluster.clock.after(0.5 + pause, leave_and_lose_disk, cluster, machine, ends)
+        cluster.clock.after(0.5 + pause, leave_and_lose_disk, cluster, machine, ended_at)
 
-    cluster.clock.at(6.0, trouble)
+    cluster.clock.at(6.0, inject)
     history = cluster.play()
     assert check(history, timely=False) == []
     assert last_acknowledgement(history) > 16.0
-    assert ends[0] < 6.5 + pause + 3.0  # the wiped machine has caught up by then
+    assert ended_at[0] < 6.5 + pause + 3.0  # the wiped machine has caught up by then
 
 
-def told_to_end(cluster, machines, ends):
+def terminate_all(cluster, machines, ended_at):
     for machine in machines:
-        machine.terminate(8.0, lambda machine=machine: ends.__setitem__(machine.name, cluster.clock.now))
+        machine.terminate(8.0, lambda machine=machine: ended_at.__setitem__(machine.name, cluster.clock.now))
 
 
 @pytest.mark.parametrize("tolerated", [1, 2])
 @pytest.mark.parametrize("leaver", ["primary", "backup", "witness"])
 def test_without_faults_a_leave_takes_less_than_a_second(leaver, tolerated):
     for seed in range(5):
-        cluster, ends = core(seed, tolerated), {}
+        cluster, ended_at = core(seed, tolerated), {}
         cluster.clock.at(
-            6.0, lambda cluster=cluster, ends=ends: told_to_end(cluster, [ROLES[leaver](cluster)], ends)
+            6.0,
+            lambda cluster=cluster, ended_at=ended_at: terminate_all(
+                cluster, [ROLES[leaver](cluster)], ended_at
+            ),
         )
         cluster.play()
-        assert 6.0 < next(iter(ends.values())) < 7.0
+        assert 6.0 < next(iter(ended_at.values())) < 7.0
 
 
 @pytest.mark.parametrize("tolerated", [1, 2])
 def test_when_the_whole_core_is_terminated_each_member_leaves_within_a_second(tolerated):
     for spread in (0.0, 0.02):
-        cluster, ends = core(tolerated=tolerated), {}
+        cluster, ended_at = core(tolerated=tolerated), {}
         for at, machine in enumerate(cluster.machines):
-            cluster.clock.at(6.0 + spread * at, told_to_end, cluster, [machine], ends)
+            cluster.clock.at(6.0 + spread * at, terminate_all, cluster, [machine], ended_at)
         cluster.clock.at(12.0, lambda cluster=cluster: [machine.start() for machine in cluster.machines])
         assert check(cluster.play(), timely=False) == []
-        assert max(ends.values()) < 7.0
+        assert max(ended_at.values()) < 7.0
 
 
 def test_a_member_without_which_there_is_no_majority_serves_for_its_grace_period():
-    cluster, ends = core(), {}
+    cluster, ended_at = core(), {}
 
-    def trouble():
+    def inject():
         machine = primary(cluster)
         backup(cluster).lose_power()
-        told_to_end(cluster, [machine], ends)
+        terminate_all(cluster, [machine], ended_at)
 
-    cluster.clock.at(6.0, trouble)
+    cluster.clock.at(6.0, inject)
     history = cluster.play()
-    taken = [call.completed_at for call in history.operations if call.request and call.outcome == OK]
-    assert any(12.0 < ended < 12.8 for ended in taken)
-    assert 12.5 < min(ends.values()) < 14.0
+    acknowledged_at = [
+        call.completed_at for call in history.operations if call.request and call.outcome == OK
+    ]
+    assert any(12.0 < ended < 12.8 for ended in acknowledged_at)
+    assert 12.5 < min(ended_at.values()) < 14.0
 
 
 def test_two_members_terminated_at_once_leave_one_after_the_other():
-    cluster, ends = core(), {}
+    cluster, ended_at = core(), {}
 
-    def trouble():
+    def inject():
         for machine in (backup(cluster), witness(cluster)):
             machine.terminate(
                 8.0,
                 lambda machine=machine: (
-                    ends.__setitem__(machine.name, cluster.clock.now),
+                    ended_at.__setitem__(machine.name, cluster.clock.now),
                     cluster.clock.after(1.0, machine.start),
                 ),
             )
 
-    cluster.clock.at(6.0, trouble)
+    cluster.clock.at(6.0, inject)
     history = cluster.play()
-    first, second = sorted(ends.values())
+    first, second = sorted(ended_at.values())
     assert check(history, timely=False) == []
     assert first < 7.0 and first + 1.0 < second < first + 3.0
 
