--- a/tests/simulation/test_clocks_and_platform.py
+++ b/tests/simulation/test_clocks_and_platform.py
@@ -28,7 +28,7 @@
     assert script.findings(timely=True) == []
 
 
-def busiest_second(times):
+def max_calls_per_second(times):
     """Returns the largest number of calls within a second."""
     return max(sum(begin <= at < begin + 1.0 for at in times) for begin in times)
 
@@ -44,5 +44,5 @@
     for _ in range(3):
         script.faults.isolate(poller, 1.5)
         script.run(4.0)
-    assert busiest_second(system.platform.program.polled_at) <= RATE_PER_S / 2
+    assert max_calls_per_second(system.platform.program.polled_at) <= RATE_PER_S / 2
     assert script.findings() == []
--- a/tests/simulation/test_edge_ends.py
+++ b/tests/simulation/test_edge_ends.py
@@ -8,11 +8,11 @@
 from shedgrade.simulation.system.script import Script
 from shedgrade.simulation.system.simulated_system import FRONT
 
-GRACE = 8.0  # s from SIGTERM to SIGKILL
-TAKES_ALL = 3.0  # s after SIGTERM for which an edge accepts requests, with some margin
+GRACE_S = 8.0  # s from SIGTERM to SIGKILL
+ACCEPTS_ALL_S = 3.0  # s after SIGTERM for which an edge accepts requests, with some margin
 
 
-def half_a_request(script, edge, held_s):
+def send_partial_request(script, edge, held_s):
     """Opens a client connection that sends part of a request head and closes after `held_s` seconds."""
     loop = script.operator.loop
 
@@ -36,10 +36,10 @@
     script.until_ready()
     script.run(1.0)
     edge = script.system.edges[0]
-    script.faults.terminate(edge, GRACE)
+    script.faults.terminate(edge, GRACE_S)
     script.run(2.4)
-    half_a_request(script, edge, held_s)
-    assert script.run_until(lambda: not edge.running, TAKES_ALL - 2.4 + held_s + 0.5)
+    send_partial_request(script, edge, held_s)
+    assert script.run_until(lambda: not edge.running, ACCEPTS_ALL_S - 2.4 + held_s + 0.5)
     assert script.findings() == []
 
 
@@ -50,11 +50,11 @@
     script.run(1.0)
     edge = script.system.edges[0]
     assert edge.program.ready()
-    script.faults.terminate(edge, GRACE)
+    script.faults.terminate(edge, GRACE_S)
     script.run(0.05)
-    answers = []
-    edge.program.answer_readiness(None, answers.append)
-    assert [answer.status for answer in answers] == [503]
+    responses = []
+    edge.program.answer_readiness(None, responses.append)
+    assert [response.status for response in responses] == [503]
     assert edge.running
     script.system.close()
 
@@ -65,14 +65,14 @@
     script.run(1.0)
     edge = script.system.edges[0]
 
-    def broken():
+    def fail():
         raise RuntimeError("injected")
 
-    edge.program.busy = broken
-    script.faults.terminate(edge, GRACE)
-    script.run(GRACE - 0.1)
-    noted = [what for _, what, who in script.system.history.events if who == edge.name]
-    assert "ended" in noted and not edge.running
+    edge.program.busy = fail
+    script.faults.terminate(edge, GRACE_S)
+    script.run(GRACE_S - 0.1)
+    events = [event for _, event, who in script.system.history.events if who == edge.name]
+    assert "ended" in events and not edge.running
     script.system.close()
 
 
@@ -81,10 +81,10 @@
     script.until_ready()
     script.run(1.0)
     edge = script.system.edges[0]
-    script.faults.terminate(edge, GRACE)
-    assert script.run_until(lambda: not edge.running, TAKES_ALL + 0.3)
-    told = [core.program.hub.edges.shutdown_stages.get(edge.name) for core in script.system.cores]
-    assert SHUTDOWN_STAGES[CLOSED] in [ending.shutdown_stage for ending in told if ending is not None]
+    script.faults.terminate(edge, GRACE_S)
+    assert script.run_until(lambda: not edge.running, ACCEPTS_ALL_S + 0.3)
+    stages = [core.program.hub.edges.shutdown_stages.get(edge.name) for core in script.system.cores]
+    assert SHUTDOWN_STAGES[CLOSED] in [ending.shutdown_stage for ending in stages if ending is not None]
     assert script.findings() == []
 
 
@@ -97,17 +97,17 @@
     script.until_ready()
     script.run(1.0)
     program = script.system.edges[0].program
-    left = []
+    remaining_s = []
 
-    def look():
-        left.append(program.in_flight_until() - program.loop.time())
+    def sample():
+        remaining_s.append(program.in_flight_until() - program.loop.time())
         program.services["lm"].dispatcher.active_requests.requests.add(LastingRequest())
-        left.append(program.in_flight_until() - program.loop.time())
+        remaining_s.append(program.in_flight_until() - program.loop.time())
         program.services["lm"].dispatcher.active_requests.requests.clear()
 
-    program.loop.call_soon(look)
+    program.loop.call_soon(sample)
     script.run(0.01)
-    assert left == [0.0, pytest.approx(2.0)]
+    assert remaining_s == [0.0, pytest.approx(2.0)]
     assert script.findings() == []
 
 
@@ -116,6 +116,6 @@
     script.until_ready()
     script.run(1.0)
     edge = script.system.edges[0]
-    script.faults.terminate(edge, GRACE)
-    assert script.run_until(lambda: not edge.running, TAKES_ALL + 0.3)
+    script.faults.terminate(edge, GRACE_S)
+    assert script.run_until(lambda: not edge.running, ACCEPTS_ALL_S + 0.3)
     assert script.findings() == []
--- a/tests/simulation/test_system_scripts.py
+++ b/tests/simulation/test_system_scripts.py
@@ -10,10 +10,13 @@
 from shedgrade.simulation.system.script import Script
 from shedgrade.simulation.system.simulated_system import CONTROL
 
-OPPOSITE = {OperationKind.EVACUATE: OperationKind.RETURN, OperationKind.RETURN: OperationKind.EVACUATE}
+OPPOSITE_COMMAND = {
+    OperationKind.EVACUATE: OperationKind.RETURN,
+    OperationKind.RETURN: OperationKind.EVACUATE,
+}
 
 
-def late_order(kind, number):
+def late_command(kind, number):
     """A member is stopped with a command unread; its operator sends the command to another member, then the
     opposite one; then the first member resumes."""
     script = Script(seed=3)
@@ -24,9 +27,9 @@
         assert before.acknowledged
     machine = script.system.cores[number]
     script.faults.stop(machine, 6.0)
-    held_up = script.call(script.operator.order_zone(kind, "hall-2", script.member(machine)))
-    assert script.run_until(lambda: held_up.acknowledged, 6.0)
-    newer = script.call(script.operator.order_zone(OPPOSITE[kind], "hall-2"))
+    delayed = script.call(script.operator.order_zone(kind, "hall-2", script.member(machine)))
+    assert script.run_until(lambda: delayed.acknowledged, 6.0)
+    newer = script.call(script.operator.order_zone(OPPOSITE_COMMAND[kind], "hall-2"))
     assert script.run_until(lambda: newer.acknowledged, 5.0)
     script.run(8.0)
     evacuated = "hall-2" in script.newest().evacuations
@@ -34,18 +37,18 @@
 
 
 @pytest.mark.parametrize("number", range(3))
-@pytest.mark.parametrize("kind", OPPOSITE)
+@pytest.mark.parametrize("kind", OPPOSITE_COMMAND)
 def test_a_command_read_late_by_a_resumed_member_undoes_nothing(kind, number):
-    evacuated, findings = late_order(kind, number)
+    evacuated, findings = late_command(kind, number)
     assert evacuated == (kind is OperationKind.RETURN)
     assert findings == []
 
 
-@pytest.mark.parametrize("kind", OPPOSITE)
+@pytest.mark.parametrize("kind", OPPOSITE_COMMAND)
 def test_the_scripted_late_command_shows_the_injected_fault(kind, monkeypatch):
     reached = []
     injected.late_zone_commands_are_applied(monkeypatch, lambda: reached.append(True))
-    found = [late_order(kind, number) for number in range(3)]
+    found = [late_command(kind, number) for number in range(3)]
     assert reached
     kinds = {finding.kind for _, findings in found for finding in findings}
     assert kinds == {FindingKind.LATE_ZONE_COMMAND, FindingKind.LOST_ACKNOWLEDGEMENT}
@@ -86,7 +89,7 @@
     assert all("core-2, alone, answers GET" in finding.detail for finding in findings)
 
 
-class KeptConnection:
+class OpenConnection:
     """An operator's connection to one member that stays open across a fault."""
 
     def __init__(self, script, machine):
@@ -122,7 +125,7 @@
     script = Script(seed=seed)
     script.until_ready()
     primary = script.system.primary()
-    connection = KeptConnection(script, primary)
+    connection = OpenConnection(script, primary)
     others = [machine for machine in script.system.cores if machine is not primary]
     script.faults.stop(primary, 3.0)
     second = script.call(script.operator.put(1, 2, "second", first=script.member(others[0])))
@@ -156,21 +159,21 @@
     assert script.findings() == []
 
 
-@pytest.mark.parametrize(("away", "again"), [(0.0, 0.0), (0.0, 0.5), (0.05, 0.5), (0.5, 0.0), (0.5, 0.5)])
-def test_a_leaving_member_does_not_take_the_last_counted_copy(away, again):
-    """The backup loses its disk and is down for `away` seconds. `again` seconds after its return the primary
+@pytest.mark.parametrize(("down_s", "delay_s"), [(0.0, 0.0), (0.0, 0.5), (0.05, 0.5), (0.5, 0.0), (0.5, 0.5)])
+def test_a_leaving_member_does_not_take_the_last_counted_copy(down_s, delay_s):
+    """The backup loses its disk and is down for `down_s` s. `delay_s` s after its return the primary
     is terminated; its disk is lost once its process has ended."""
     script = Script(seed=7)
     script.until_ready()
     change = script.call(script.operator.put(1, 2, "second"))
     assert script.run_until(lambda: change.acknowledged, 3.0)
     primary = script.system.primary()
-    backup = holder_beside(script, primary)
+    backup = backup_of(script, primary)
     backup.kill()
     backup.wipe()
-    script.run(away)
+    script.run(down_s)
     backup.start()
-    script.run(again)
+    script.run(delay_s)
     primary.restarts = False
     script.faults.terminate(primary)
     assert script.run_until(lambda: not primary.running, 9.0)
@@ -184,7 +187,7 @@
     assert script.findings() == []
 
 
-def holder_beside(script, primary):
+def backup_of(script, primary):
     """Returns the machine of the primary's backup."""
     record = primary.program.member.replica.epoch_config
     hosts = [peer.address.partition(":")[0] for peer in record.members if peer.incarnation in record.holders]
--- a/tests/simulation/test_system_world.py
+++ b/tests/simulation/test_system_world.py
@@ -7,7 +7,7 @@
 
 
 @pytest.fixture
-def day():
+def play_system():
     """Plays a run without faults by seed."""
     played = []
 
@@ -23,8 +23,8 @@
         system.close()
 
 
-def test_a_change_is_acknowledged_read_back_and_applied_by_the_edges(day):
-    system = day(1)
+def test_a_change_is_acknowledged_read_back_and_applied_by_the_edges(play_system):
+    system = play_system(1)
     changes = [
         call for call in system.history.operations if call.kind is OperationKind.PUT and call.acknowledged
     ]
@@ -38,6 +38,6 @@
     assert system.faults() == [] and system.history.violations == []
 
 
-def test_the_same_seed_gives_the_same_history(day):
-    assert day(3).history.digest() == day(3).history.digest()
-    assert day(3).history.digest() != day(4).history.digest()
+def test_the_same_seed_gives_the_same_history(play_system):
+    assert play_system(3).history.digest() == play_system(3).history.digest()
+    assert play_system(3).history.digest() != play_system(4).history.digest()
