--- a/shedgrade/simulation/catch_up.py
+++ b/shedgrade/simulation/catch_up.py
@@ -20,7 +20,7 @@
 
 BITS_PER_BYTE = 8
 MEGABIT = 1_000_000
-MESSAGE_OVERHEAD_BYTES = 100  # bytes counted for each message in addition to its payload
+MESSAGE_OVERHEAD_BYTES = 100  # counted for each message in addition to its payload
 FAST_LINK_MEGABITS = 1000.0
 FOUNDING_S = 3.0  # time before the first change
 STEP_S = 0.01  # between two samples of the members' state
@@ -41,7 +41,7 @@
         missed: number of changes while it is down.
         wiped: whether it returns with an empty disk.
         cut_after: seconds after its return at which its links begin to lose every message; None: never.
-        cut_seconds: how long they do, seconds.
+        cut_seconds: duration of that loss, seconds.
         keys: whether each change also adds a small key.
         all_links: whether `megabits` applies to all links.
         loss: probability that a message is lost.
--- a/shedgrade/simulation/cluster.py
+++ b/shedgrade/simulation/cluster.py
@@ -17,7 +17,7 @@
 from shedgrade.simulation.register import Request, decide
 
 START_WITHIN_S = 0.3  # time within which all machines start
-FAST_LINK_BYTES_PER_S = 4_000_000.0  # bytes per second
+FAST_LINK_BYTES_PER_S = 4_000_000.0
 RECOVERY_S = 12.0  # time after the last fault in which clients continue
 LAST_OPERATIONS_S = 6.0  # time for operations in progress when clients are stopped
 FINAL_READ_S = 3.0  # time for the read after that
--- a/shedgrade/simulation/crash_enumeration.py
+++ b/shedgrade/simulation/crash_enumeration.py
@@ -37,12 +37,12 @@
 
 def expected_states(changes: int) -> list[dict[str, bytes]]:
     """Returns the whole map after each change; the first is the empty map before any."""
-    found: list[dict[str, bytes]] = [{}]
+    states: list[dict[str, bytes]] = [{}]
     for number in range(1, changes + 1):
-        values = dict(found[-1])
+        values = dict(states[-1])
         apply_changes(values, make_change(number))
-        found.append(values)
-    return found
+        states.append(values)
+    return states
 
 
 def describe_crash(image: CrashImage) -> str:
--- a/shedgrade/simulation/disk.py
+++ b/shedgrade/simulation/disk.py
@@ -92,12 +92,12 @@
     def power_loss(self, random: Random) -> None:
         """Resolves unsynced changes at random. With probability 1/4 all of them are lost."""
         self.power_cycle += 1
-        nothing = random.random() < 0.25
+        loses_all = random.random() < 0.25
         for name, file in list(self.files_by_name.items()):
-            if not file.is_certain and (nothing or random.random() < 0.5):
+            if not file.is_certain and (loses_all or random.random() < 0.5):
                 del self.files_by_name[name]
                 continue
-            if nothing:
+            if loses_all:
                 file.pending.clear()
             file.resolve_pending(random)
             file.cache[:] = file.durable
--- a/shedgrade/simulation/replica_outages.py
+++ b/shedgrade/simulation/replica_outages.py
@@ -34,7 +34,7 @@
 RETRY_DELAY_S = 0.05
 RESTART_S = 0.5  # time to restart a machine with another disk
 CLIENTS = 4
-KEPT_CHANGES = 200  # number of keys of each client in the state
+KEPT_CHANGES = 200  # maximum number of keys that record a client's recent writes
 
 Numbers = tuple[int, ...]  # number of the last write of each client
 
@@ -212,7 +212,7 @@
         member_class.became_primary(member, now)
         history.primary_began(clock.now, member.name, member.replica.state)
 
-    return type("Observed", (member_class,), {"became_primary": became_primary})
+    return type("RecordingMember", (member_class,), {"became_primary": became_primary})
 
 
 class ReplicaOutageRun:
--- a/tests/simulation/repairs.py
+++ b/tests/simulation/repairs.py
@@ -29,11 +29,12 @@
 
 
 class Repair:
-    """Plays the loss of the disks of machines with these roles at 6.0 s; they start again `down` s later.
+    """Plays the loss of the disks of the machines with `roles` at 6.0 s, which start again `down` s later.
 
     Attributes:
-        copied: time from the loss until t + 1 disks hold the state again, s.
-        counted: time from the machines' start until all members run again, s.
+        replaced: whether new machines at other addresses start in their places.
+        copies_restored_s: time from the loss until t + 1 disks hold the state again, s.
+        members_restored_s: time from the machines' start until all members run again, s.
     """
 
     def __init__(
--- a/tests/simulation/test_edge_ends.py
+++ b/tests/simulation/test_edge_ends.py
@@ -25,9 +25,7 @@
 
 
 @pytest.mark.parametrize("held_s", [0.3, 1.0, 2.0])
-def test_a_client_connected_at_the_first_shutdown_check_does_not_keep_an_edge_until_it_is_killed(
-    held_s,
-):
+def test_a_client_connected_at_the_first_shutdown_check_does_not_delay_the_end_until_the_kill(held_s):
     """Guards against a shutdown that lasts until SIGKILL. In the incident of HOME the shutdown check raised
     once the listener was closed with a client still connected, and the machine was down for seven seconds
     for no reason.
@@ -71,7 +69,7 @@
     edge.program.busy = fail
     script.faults.terminate(edge, GRACE_S)
     script.run(GRACE_S - 0.1)
-    events = [event for _, event, who in script.system.history.events if who == edge.name]
+    events = [event for _, event, subject in script.system.history.events if subject == edge.name]
     assert "ended" in events and not edge.running
     script.system.close()
 
