--- a/shedgrade/simulation/fault_schedule.py
+++ b/shedgrade/simulation/fault_schedule.py
@@ -28,7 +28,7 @@
     Faults.replace_machine,
     Faults.leave_after_wipe,
     Faults.wipe_after_catch_up,
-    Faults.replace_dead_machines,
+    Faults.replace_lost_machines,
     Faults.fail_around_message,
     Faults.fail_around_message,
     Faults.power_off_all,
@@ -47,7 +47,7 @@
     Faults.fail_around_message,
     Faults.rolling_restart,
     Faults.replace_machine,
-    *2 * (Faults.leave_after_wipe, Faults.wipe_after_catch_up, Faults.replace_dead_machines),
+    *2 * (Faults.leave_after_wipe, Faults.wipe_after_catch_up, Faults.replace_lost_machines),
 )
 PARTITION_FAULTS: tuple[InjectFault, ...] = (
     Faults.isolate_primary,
--- a/shedgrade/simulation/faults.py
+++ b/shedgrade/simulation/faults.py
@@ -240,9 +240,9 @@
         self.block_links(machine, pairs)
 
     def isolate_primary(self) -> None:
-        """Blocks the links between the primary and other members, or just those to it; clients reach it.
+        """Blocks the links between the primary and other machines, or just those to it; clients reach it.
 
-        At times the links to one of the other members stay open.
+        At times the links to one of the others stay open.
         """
         machine = self.pick_machine()
         primaries = self.primaries()
--- a/shedgrade/simulation/maintenance_faults.py
+++ b/shedgrade/simulation/maintenance_faults.py
@@ -99,7 +99,7 @@
         address = machine.address.replace(".0.", f".{cluster.machines_created + 10}.")
         return cluster.add(machine.region, address, machine.usual_sync_s)
 
-    def replace_dead_machines(self) -> None:
+    def replace_lost_machines(self) -> None:
         """Removes machines for good, and adds ones with empty disks elsewhere, at once or after a delay."""
         cluster = self.cluster
         if not cluster.bounded or self.lost_machines() or cluster.machines_created > MAX_MACHINES:
@@ -108,10 +108,10 @@
         for _ in range(self.random.randint(1, cluster.tolerated)):
             machine = self.pick_machine()
             if machine is not None:
-                self.replace_dead_machine(machine, wait)
+                self.replace_lost_machine(machine, wait)
         self.clock.after(wait + self.catch_up_s + SECOND_LOSS_DELAY_S, self.wipe_holders)
 
-    def replace_dead_machine(self, machine: Machine, wait: float) -> None:
+    def replace_lost_machine(self, machine: Machine, wait: float) -> None:
         """Removes a machine with its disk; its replacement starts after `wait` seconds."""
         cluster = self.cluster
         self.mark_lost(machine, wait)
