--- a/shedgrade/simulation/fault_schedule.py
+++ b/shedgrade/simulation/fault_schedule.py
@@ -1,4 +1,4 @@
-"""When faults are injected into a simulated core, drawn by seed."""
+"""The schedule of faults injected into a simulated core, drawn from the seed."""
 
 from __future__ import annotations
 
@@ -9,7 +9,7 @@
 
 InjectFault = Callable[[Faults], None]
 
-FAIR: tuple[InjectFault, ...] = (
+FAIR_FAULTS: tuple[InjectFault, ...] = (
     Faults.kill_machine,
     Faults.power_off,
     Faults.wipe,
@@ -27,8 +27,8 @@
     Faults.rolling_restart,
     Faults.replace_machine,
     Faults.leave_after_wipe,
-    Faults.second_loss,
-    Faults.replace_dead_machines,
+    Faults.wipe_after_catch_up,
+    Faults.replace_lost_machines,
     Faults.fail_around_message,
     Faults.fail_around_message,
     Faults.power_off_all,
@@ -36,7 +36,7 @@
     Faults.power_off_all_after_acknowledgement,
     Faults.wipe_some_and_power_off_all,
 )
-MEMBERS: tuple[InjectFault, ...] = (
+MEMBERS_FAULTS: tuple[InjectFault, ...] = (
     Faults.wipe,
     Faults.wipe_after_acknowledgement,
     Faults.wipe_some_and_power_off_all,
@@ -47,9 +47,9 @@
     Faults.fail_around_message,
     Faults.rolling_restart,
     Faults.replace_machine,
-    *2 * (Faults.leave_after_wipe, Faults.second_loss, Faults.replace_dead_machines),
+    *2 * (Faults.leave_after_wipe, Faults.wipe_after_catch_up, Faults.replace_lost_machines),
 )
-SPLIT: tuple[InjectFault, ...] = (
+PARTITION_FAULTS: tuple[InjectFault, ...] = (
     Faults.isolate_primary,
     Faults.isolate_primary,
     Faults.isolate_primary,
@@ -58,7 +58,7 @@
     Faults.fail_around_message,
     Faults.kill_machine,
 )
-STORM: tuple[InjectFault, ...] = (
+STORM_FAULTS: tuple[InjectFault, ...] = (
     Faults.kill_machine,
     Faults.power_off,
     Faults.power_off_after_acknowledgement,
@@ -86,16 +86,24 @@
 
 @dataclass(frozen=True, slots=True)
 class FaultMix:
-    """The faults of a profile, each as likely as it is listed, and the mean gaps between two (s)."""
+    """The faults that a profile injects.
+
+    Attributes:
+        faults: the faults to draw from; one that is listed twice is twice as likely.
+        gaps_s: the mean times between two faults to draw from, seconds.
+    """
 
     faults: tuple[InjectFault, ...]
     gaps_s: tuple[float, ...]
 
 
 FAIR_GAPS_S = (0.1, 1.0, 4.0, 9.0)
-MIXES = {"storm": FaultMix(STORM, (0.02, 0.2, 0.6, 1.5)), "members": FaultMix(MEMBERS, FAIR_GAPS_S)}
-FAIR_MIX = FaultMix(FAIR, FAIR_GAPS_S)
-SPLIT_MIX = FaultMix(SPLIT, (0.5, 1.5, 3.0))
+MIXES = {
+    "storm": FaultMix(STORM_FAULTS, (0.02, 0.2, 0.6, 1.5)),
+    "members": FaultMix(MEMBERS_FAULTS, FAIR_GAPS_S),
+}
+FAIR_MIX = FaultMix(FAIR_FAULTS, FAIR_GAPS_S)
+PARTITION_MIX = FaultMix(PARTITION_FAULTS, (0.5, 1.5, 3.0))
 
 
 class FaultSchedule(Faults):
@@ -105,12 +113,12 @@
     caught up after its return.
     """
 
-    def next(self) -> None:
-        """Injects a fault now, and the next one after a random gap."""
+    def inject_next(self) -> None:
+        """Injects a fault now, and schedules the next one after a random gap."""
         if self.stopped:
             return
-        mix = SPLIT_MIX if self.cluster.split else MIXES.get(self.cluster.profile, FAIR_MIX)
+        mix = PARTITION_MIX if self.cluster.mainly_partitions else MIXES.get(self.cluster.profile, FAIR_MIX)
         inject = self.random.choice(mix.faults)
         inject(self)
         gap = self.random.choice(mix.gaps_s)
-        self.clock.after(gap * (0.5 + self.random.random()), self.next)
+        self.clock.after(gap * (0.5 + self.random.random()), self.inject_next)
--- a/tests/simulation/test_clocks_and_platform.py
+++ b/tests/simulation/test_clocks_and_platform.py
@@ -1,15 +1,15 @@
-"""Steps of the wall clock change nothing, and two pollers together keep to the platform's rate."""
+"""Steps of the wall clock have no effect, and two pollers together stay within the platform's rate limit."""
 
 import pytest
 
 from shedgrade.controlplane.endpoint_list_sync import ENDPOINT_LIST_ROLE
 from shedgrade.simulation.system.script import Script
 
-RATE_PER_S = 40.0  # that the platform takes from all processes together (`SimulatedSystem.settings`)
+RATE_PER_S = 40.0  # platform's limit for all processes together, as in `SimulatedSystem.settings`
 
 
 @pytest.mark.parametrize("steps_s", [(3600.0, -3600.0, 0.0), (-3600.0, -3600.0, -3600.0), (1e6, 0.0, -1e6)])
-def test_steps_of_the_wall_clock_change_nothing(steps_s):
+def test_steps_of_the_wall_clock_have_no_effect(steps_s):
     script = Script(seed=8, edges=3)
     script.until_ready()
     script.run(2.0)
@@ -28,14 +28,14 @@
     assert script.findings(timely=True) == []
 
 
-def busiest_second(times):
-    """The most calls in any second."""
+def max_calls_per_second(times):
+    """Returns the largest number of calls within a second."""
     return max(sum(begin <= at < begin + 1.0 for at in times) for begin in times)
 
 
 @pytest.mark.parametrize("seed", [1, 2, 3])
-def test_two_pollers_keep_to_the_platforms_rate(seed):
-    """The poller is cut off from the other members, not from the platform; another takes over."""
+def test_two_pollers_stay_within_the_platforms_rate_limit(seed):
+    """The poller is cut off from the other members, but not from the platform, and another takes over."""
     script = Script(seed=seed, edges=3)
     script.until_ready()
     system = script.system
@@ -44,5 +44,5 @@
     for _ in range(3):
         script.faults.isolate(poller, 1.5)
         script.run(4.0)
-    assert busiest_second(system.platform.program.polled_at) <= RATE_PER_S / 2
+    assert max_calls_per_second(system.platform.program.polled_at) <= RATE_PER_S / 2
     assert script.findings() == []
--- a/tests/simulation/test_control_seeds.py
+++ b/tests/simulation/test_control_seeds.py
@@ -1,5 +1,7 @@
-"""Days of a core by seed: nothing acknowledged is lost, no order waits, whatever strikes. And faults planted
-in the members are found, each within the seeds that stand beside it."""
+"""Runs of a core with faults drawn by seed: no acknowledged change is lost, and none waits too long.
+
+Faults injected into the members are found, each within the stated number of seeds.
+"""
 
 import faulty_members as faulty
 import pytest
@@ -16,7 +18,7 @@
         assert SimulatedCluster(seed, tolerated, profile).run_and_check() == [], seed
 
 
-PLANTED = [  # the fault, where it shows, within how many seeds
+INJECTED_FAULTS = [  # (injected fault, profile in which it is found, number of seeds within which it is)
     (faulty.AnswersAfterOwnDiskOnly, "fair", 60),
     (faulty.AcksBeforeTheSync, "storm", 60),
     (faulty.VotesAfterLosingItsDisk, "members", 60),
@@ -29,8 +31,8 @@
 ]
 
 
-STUCK = [  # found by what is lost for ever: no order is answered any more
-    (faulty.LeavesAtOnce, "members", 60),
+LIVENESS_FAULTS = [  # faults that lose the majority for good, found because no command is answered any more
+    (faulty.LeavesImmediately, "members", 60),
     (faulty.GrantsLeaveToHolders, "members", 60),
 ]
 
@@ -39,8 +41,8 @@
     return not any(word in finding for word in ("wait", "no read", "nothing acknowledged"))
 
 
-@pytest.mark.parametrize(("member_class", "profile", "seeds"), PLANTED)
-def test_a_planted_fault_is_found(member_class, profile, seeds):
+@pytest.mark.parametrize(("member_class", "profile", "seeds"), INJECTED_FAULTS)
+def test_an_injected_fault_is_found(member_class, profile, seeds):
     assert any(
         is_safety(finding)
         for seed in range(seeds)
@@ -48,6 +50,6 @@
     )
 
 
-@pytest.mark.parametrize(("member_class", "profile", "seeds"), STUCK)
+@pytest.mark.parametrize(("member_class", "profile", "seeds"), LIVENESS_FAULTS)
 def test_a_fault_that_loses_the_majority_is_found(member_class, profile, seeds):
     assert any(SimulatedCluster(seed, 1, profile, member_class).run_and_check() for seed in range(seeds))
--- a/tests/simulation/test_edge_ends.py
+++ b/tests/simulation/test_edge_ends.py
@@ -1,4 +1,4 @@
-"""An edge that is told to end, in the simulated system: it ends once what it has in hand is answered."""
+"""Termination of an edge, in the simulated system: it ends once its requests in flight are answered."""
 
 import pytest
 
@@ -8,12 +8,12 @@
 from shedgrade.simulation.system.script import Script
 from shedgrade.simulation.system.simulated_system import FRONT
 
-GRACE = 8.0  # s from SIGTERM to SIGKILL
-TAKES_ALL = 3.0  # s after SIGTERM in which all that comes is taken, a little more
+GRACE_S = 8.0  # s from SIGTERM to SIGKILL
+ACCEPTS_ALL_S = 3.0  # s after SIGTERM for which an edge accepts requests, with some margin
 
 
-def half_a_request(script, edge, held_s):
-    """A client's connection that has sent a part of a head, and ends after so many seconds."""
+def send_partial_request(script, edge, held_s):
+    """Opens a client connection that sends part of a request head and closes after `held_s` seconds."""
     loop = script.operator.loop
 
     async def send():
@@ -25,66 +25,68 @@
 
 
 @pytest.mark.parametrize("held_s", [0.3, 1.0, 2.0])
-def test_a_client_that_is_there_at_the_first_look_does_not_keep_an_edge_to_the_end_of_the_grace(held_s):
-    """The incident of HOME: the look at the end broke off once its listener was closed beside a client that
-    was still there, and the machine was away for seven seconds for nothing."""
+def test_a_client_connected_at_the_first_shutdown_check_does_not_delay_the_end_until_the_kill(held_s):
+    """Guards against a shutdown that lasts until SIGKILL. In the incident of HOME the shutdown check raised
+    once the listener was closed with a client still connected, and the machine was down for seven seconds
+    for no reason.
+    """
     script = Script(seed=1, edges=4)
     script.until_ready()
     script.run(1.0)
     edge = script.system.edges[0]
-    script.faults.terminate(edge, GRACE)
+    script.faults.terminate(edge, GRACE_S)
     script.run(2.4)
-    half_a_request(script, edge, held_s)
-    assert script.run_until(lambda: not edge.running, TAKES_ALL - 2.4 + held_s + 0.5)
+    send_partial_request(script, edge, held_s)
+    assert script.run_until(lambda: not edge.running, ACCEPTS_ALL_S - 2.4 + held_s + 0.5)
     assert script.findings() == []
 
 
-def test_an_edge_that_was_told_to_end_is_ready_no_more():
-    """The platform asks for its readiness each second, and counts it out after two refusals."""
+def test_a_terminated_edge_is_not_ready():
+    """The platform polls readiness every second, and removes the edge after two rejections."""
     script = Script(seed=2, edges=4)
     script.until_ready()
     script.run(1.0)
     edge = script.system.edges[0]
     assert edge.program.ready()
-    script.faults.terminate(edge, GRACE)
+    script.faults.terminate(edge, GRACE_S)
     script.run(0.05)
-    answers = []
-    edge.program.answer_readiness(None, answers.append)
-    assert [answer.status for answer in answers] == [503]
+    responses = []
+    edge.program.answer_readiness(None, responses.append)
+    assert [response.status for response in responses] == [503]
     assert edge.running
     script.system.close()
 
 
-def test_an_edge_whose_looks_at_its_end_all_fail_ends_by_itself_before_it_is_killed():
+def test_an_edge_whose_shutdown_checks_all_fail_ends_before_it_is_killed():
     script = Script(seed=2, edges=4)
     script.until_ready()
     script.run(1.0)
     edge = script.system.edges[0]
 
-    def broken():
-        raise RuntimeError("planted")
+    def fail():
+        raise RuntimeError("injected")
 
-    edge.program.busy = broken
-    script.faults.terminate(edge, GRACE)
-    script.run(GRACE - 0.1)
-    noted = [what for _, what, who in script.system.history.events if who == edge.name]
-    assert "ended" in noted and not edge.running
+    edge.program.busy = fail
+    script.faults.terminate(edge, GRACE_S)
+    script.run(GRACE_S - 0.1)
+    events = [event for _, event, subject in script.system.history.events if subject == edge.name]
+    assert "ended" in events and not edge.running
     script.system.close()
 
 
-def test_the_directory_is_told_that_an_edge_has_closed():
+def test_the_core_is_notified_that_an_edge_has_closed():
     script = Script(seed=2, edges=4)
     script.until_ready()
     script.run(1.0)
     edge = script.system.edges[0]
-    script.faults.terminate(edge, GRACE)
-    assert script.run_until(lambda: not edge.running, TAKES_ALL + 0.3)
-    told = [core.program.hub.edges.shutdown_stages.get(edge.name) for core in script.system.cores]
-    assert SHUTDOWN_STAGES[CLOSED] in [ending.shutdown_stage for ending in told if ending is not None]
+    script.faults.terminate(edge, GRACE_S)
+    assert script.run_until(lambda: not edge.running, ACCEPTS_ALL_S + 0.3)
+    stages = [core.program.hub.edges.shutdown_stages.get(edge.name) for core in script.system.cores]
+    assert SHUTDOWN_STAGES[CLOSED] in [ending.shutdown_stage for ending in stages if ending is not None]
     assert script.findings() == []
 
 
-def test_an_edge_knows_until_when_what_it_has_in_hand_may_last():
+def test_an_edge_knows_until_when_its_requests_in_flight_may_last():
     class LastingRequest:
         def may_last_until(self):
             return program.clock.now() + 2 * TICKS
@@ -93,25 +95,25 @@
     script.until_ready()
     script.run(1.0)
     program = script.system.edges[0].program
-    left = []
+    remaining_s = []
 
-    def look():
-        left.append(program.in_flight_until() - program.loop.time())
+    def sample():
+        remaining_s.append(program.in_flight_until() - program.loop.time())
         program.services["lm"].dispatcher.active_requests.requests.add(LastingRequest())
-        left.append(program.in_flight_until() - program.loop.time())
+        remaining_s.append(program.in_flight_until() - program.loop.time())
         program.services["lm"].dispatcher.active_requests.requests.clear()
 
-    program.loop.call_soon(look)
+    program.loop.call_soon(sample)
     script.run(0.01)
-    assert left == [0.0, pytest.approx(2.0)]
+    assert remaining_s == [0.0, pytest.approx(2.0)]
     assert script.findings() == []
 
 
-def test_an_edge_that_nobody_asks_ends_as_soon_as_others_have_its_clients():
+def test_an_edge_without_requests_ends_once_its_clients_have_moved_to_others():
     script = Script(seed=2, edges=4)
     script.until_ready()
     script.run(1.0)
     edge = script.system.edges[0]
-    script.faults.terminate(edge, GRACE)
-    assert script.run_until(lambda: not edge.running, TAKES_ALL + 0.3)
+    script.faults.terminate(edge, GRACE_S)
+    assert script.run_until(lambda: not edge.running, ACCEPTS_ALL_S + 0.3)
     assert script.findings() == []
--- a/tests/simulation/test_effects_in_order.py
+++ b/tests/simulation/test_effects_in_order.py
@@ -1,11 +1,11 @@
-"""A simulated machine that stands still between two effects goes on with the next one."""
+"""A simulated machine that is frozen between two effects of its member continues with the next one."""
 
 from test_control_faults import core
 
 from shedgrade.replication import Send
 
 
-def test_of_equal_effects_none_is_carried_out_again_after_a_standstill(monkeypatch):
+def test_of_equal_effects_none_is_run_again_after_a_freeze(monkeypatch):
     cluster = core()
     machine = cluster.machines[0]
     machine.start(True)
--- a/tests/simulation/test_system_scripts.py
+++ b/tests/simulation/test_system_scripts.py
@@ -1,6 +1,6 @@
-"""Scripted runs of the simulated system: what was once proven on real processes, at exact times."""
+"""Scripted runs of the simulated system, at exact times, of cases first tested on real processes."""
 
-import planted_system_faults as planted
+import planted_system_faults as injected
 import pytest
 
 from shedgrade.simulation.system.caller import Request, ResponseReader
@@ -10,12 +10,15 @@
 from shedgrade.simulation.system.script import Script
 from shedgrade.simulation.system.simulated_system import CONTROL
 
-OPPOSITE = {OperationKind.EVACUATE: OperationKind.RETURN, OperationKind.RETURN: OperationKind.EVACUATE}
+OPPOSITE_COMMAND = {
+    OperationKind.EVACUATE: OperationKind.RETURN,
+    OperationKind.RETURN: OperationKind.EVACUATE,
+}
 
 
-def late_order(kind, number):
-    """A member stands still with an order unread; its operator goes on elsewhere, and orders the opposite;
-    then the member goes on."""
+def late_command(kind, number):
+    """A member is stopped with a command unread; its operator sends the command to another member, then the
+    opposite one; then the first member resumes."""
     script = Script(seed=3)
     script.until_ready()
     if kind is OperationKind.RETURN:
@@ -24,9 +27,9 @@
         assert before.acknowledged
     machine = script.system.cores[number]
     script.faults.stop(machine, 6.0)
-    held_up = script.call(script.operator.order_zone(kind, "hall-2", script.member(machine)))
-    assert script.run_until(lambda: held_up.acknowledged, 6.0)
-    newer = script.call(script.operator.order_zone(OPPOSITE[kind], "hall-2"))
+    delayed = script.call(script.operator.order_zone(kind, "hall-2", script.member(machine)))
+    assert script.run_until(lambda: delayed.acknowledged, 6.0)
+    newer = script.call(script.operator.order_zone(OPPOSITE_COMMAND[kind], "hall-2"))
     assert script.run_until(lambda: newer.acknowledged, 5.0)
     script.run(8.0)
     evacuated = "hall-2" in script.newest().evacuations
@@ -34,24 +37,24 @@
 
 
 @pytest.mark.parametrize("number", range(3))
-@pytest.mark.parametrize("kind", OPPOSITE)
-def test_an_order_read_late_by_a_thawed_member_undoes_nothing(kind, number):
-    evacuated, findings = late_order(kind, number)
+@pytest.mark.parametrize("kind", OPPOSITE_COMMAND)
+def test_a_command_read_late_by_a_resumed_member_undoes_nothing(kind, number):
+    evacuated, findings = late_command(kind, number)
     assert evacuated == (kind is OperationKind.RETURN)
     assert findings == []
 
 
-@pytest.mark.parametrize("kind", OPPOSITE)
-def test_the_scripted_late_order_shows_the_planted_fault(kind, monkeypatch):
+@pytest.mark.parametrize("kind", OPPOSITE_COMMAND)
+def test_the_scripted_late_command_shows_the_injected_fault(kind, monkeypatch):
     reached = []
-    planted.late_orders_are_carried_out(monkeypatch, lambda: reached.append(True))
-    found = [late_order(kind, number) for number in range(3)]
+    injected.late_zone_commands_are_applied(monkeypatch, lambda: reached.append(True))
+    found = [late_command(kind, number) for number in range(3)]
     assert reached
     kinds = {finding.kind for _, findings in found for finding in findings}
     assert kinds == {FindingKind.LATE_ZONE_COMMAND, FindingKind.LOST_ACKNOWLEDGEMENT}
 
 
-def test_a_primary_cut_off_for_twenty_seconds_confirms_nothing_and_the_others_go_on():
+def test_a_primary_cut_off_for_twenty_seconds_confirms_nothing_and_the_others_continue():
     script = Script(seed=5, edges=3)
     script.until_ready()
     primary = script.system.primary()
@@ -69,9 +72,9 @@
     assert script.findings() == []
 
 
-def test_a_read_that_a_member_answers_alone_is_found(monkeypatch):
+def test_a_read_that_an_isolated_member_answers_is_found(monkeypatch):
     reached = []
-    planted.reads_without_confirmation(monkeypatch, lambda: reached.append(True))
+    injected.reads_without_confirmation(monkeypatch, lambda: reached.append(True))
     script = Script(seed=5)
     script.until_ready()
     machine = script.system.cores[1]
@@ -86,8 +89,8 @@
     assert all("core-2, alone, answers GET" in finding.detail for finding in findings)
 
 
-class KeptConnection:
-    """An operator's connection to one member, opened before a fault."""
+class OpenConnection:
+    """An operator's connection to one member that stays open across a fault."""
 
     def __init__(self, script, machine):
         self.script, self.ip, self.reader = script, machine.host.ip, None
@@ -101,7 +104,7 @@
         )
 
     def put(self, base, version, label):
-        """Sends a change. Returns the operation, which is filled in with its answer."""
+        """Sends a change. Returns the operation, which is completed when the response arrives."""
         script = self.script
         now = script.system.time.now
         operation = Operation("kept", OperationKind.PUT, now, base=base, version=version, key=label)
@@ -117,12 +120,12 @@
 
 
 def change_that_a_former_primary_reads_first(seed):
-    """The primary stands still while another takes over. What it reads first when it goes on, on a connection
-    that was open before, is a change on top of the newest version, which it doesn't have."""
+    """The primary is stopped while another takes over. What it reads first after it resumes, on a connection
+    opened before, is a change based on the newest version, which it doesn't have."""
     script = Script(seed=seed)
     script.until_ready()
     primary = script.system.primary()
-    connection = KeptConnection(script, primary)
+    connection = OpenConnection(script, primary)
     others = [machine for machine in script.system.cores if machine is not primary]
     script.faults.stop(primary, 3.0)
     second = script.call(script.operator.put(1, 2, "second", first=script.member(others[0])))
@@ -134,12 +137,12 @@
 
 
 @pytest.mark.parametrize("seed", range(1, 9))
-def test_a_change_that_a_former_primary_reads_first_is_not_refused(seed):
+def test_a_change_that_a_former_primary_reads_first_is_not_rejected(seed):
     status, findings = change_that_a_former_primary_reads_first(seed)
     assert status in (200, 503) and findings == []
 
 
-def test_an_edge_that_starts_behind_the_cut_learns_the_newest_once_it_reaches_others():
+def test_an_edge_started_in_the_minority_partition_gets_the_newest_configuration_once_it_reaches_others():
     script = Script(seed=6)
     script.until_ready()
     system = script.system
@@ -156,21 +159,21 @@
     assert script.findings() == []
 
 
-@pytest.mark.parametrize(("away", "again"), [(0.0, 0.0), (0.0, 0.5), (0.05, 0.5), (0.5, 0.0), (0.5, 0.5)])
-def test_a_leaver_does_not_go_with_the_only_copy_that_counts(away, again):
-    """The backup's disk is lost and it is `away` for so many s; `again` s after its return the primary is
-    terminated, and its disk is lost once it has ended."""
+@pytest.mark.parametrize(("down_s", "delay_s"), [(0.0, 0.0), (0.0, 0.5), (0.05, 0.5), (0.5, 0.0), (0.5, 0.5)])
+def test_a_leaving_member_does_not_take_the_last_counted_copy(down_s, delay_s):
+    """The backup loses its disk and is down for `down_s` s. `delay_s` s after its return the primary
+    is terminated; its disk is lost once its process has ended."""
     script = Script(seed=7)
     script.until_ready()
     change = script.call(script.operator.put(1, 2, "second"))
     assert script.run_until(lambda: change.acknowledged, 3.0)
     primary = script.system.primary()
-    backup = holder_beside(script, primary)
+    backup = backup_of(script, primary)
     backup.kill()
     backup.wipe()
-    script.run(away)
+    script.run(down_s)
     backup.start()
-    script.run(again)
+    script.run(delay_s)
     primary.restarts = False
     script.faults.terminate(primary)
     assert script.run_until(lambda: not primary.running, 9.0)
@@ -184,8 +187,8 @@
     assert script.findings() == []
 
 
-def holder_beside(script, primary):
-    """The machine of the primary's backup."""
+def backup_of(script, primary):
+    """Returns the machine of the primary's backup."""
     record = primary.program.member.replica.epoch_config
     hosts = [peer.address.partition(":")[0] for peer in record.members if peer.incarnation in record.holders]
     return next(
