--- a/shedgrade/cli/replay.py
+++ b/shedgrade/cli/replay.py
@@ -1,4 +1,4 @@
-"""`shedgrade replay FILE`."""
+"""Command `shedgrade replay FILE`: replays, explains or shortens a capture."""
 
 import base64
 import time
@@ -21,7 +21,7 @@
 
 SHOWN = 20  # differences between two versions that are printed; all are counted
 
-TEST = '''"""A capture as a test: written by `shedgrade replay --to-test`. {about}"""
+TEST = '''"""Replays a capture. Written by `shedgrade replay --to-test`. {about}"""
 import base64
 
 from shedgrade.sidecar.capture.replay import Replay
@@ -42,44 +42,46 @@
 
 
 def other(checkout: Path) -> ModuleType:
-    """Another version's decisions, beside ours."""
+    """Loads the load balancing decisions of another checkout. Exits if it has none."""
     path = find_decisions(checkout)
     if path is None:
-        fail(ValueError(f"{checkout}: no shedgrade/load_balancing there"))
+        fail(ValueError(f"{checkout}: it has no shedgrade/load_balancing"))
     return load_decisions(path)
 
 
 def number_of(records: list[dict], text: str) -> int:
-    """An RPC by its id, by what stands for it, or by its number (`#12`)."""
+    """Returns the number of a request, given by its id or its number (`#12`). Exits if it is not there."""
     if text.startswith("#") and text[1:].isdigit():
         return int(text[1:])
     for name in (short(text.encode()), text.encode()):
         found = find(records, name)
         if found:
             return found[-1]
-    fail(ValueError(f"no RPC {text!r} in this capture (#N is its number)"))
+    fail(ValueError(f"the capture has no RPC {text!r} (use #N for RPC number N)"))
     return None
 
 
 def replay(
-    file: Annotated[Path, typer.Argument(help="A capture.")],
-    explained: Annotated[str, typer.Option("--explain", help="An RPC: its id, or #NUMBER.")] = "",
-    until: Annotated[float, typer.Option(help="Stops so many ms after the capture's beginning.")] = 0.0,
-    checkout: Annotated[Path | None, typer.Option("--with", help="Another checkout's decisions.")] = None,
-    to_test: Annotated[Path | None, typer.Option(help="Writes a test of it here.")] = None,
+    file: Annotated[Path, typer.Argument(help="Capture to replay.")],
+    explained: Annotated[
+        str, typer.Option("--explain", help="Explain the decisions about one RPC: its id, or #NUMBER.")
+    ] = "",
+    until: Annotated[float, typer.Option(help="Stop this many ms after the beginning of the capture.")] = 0.0,
+    checkout: Annotated[
+        Path | None, typer.Option("--with", help="Compare with the decisions of another checkout.")
+    ] = None,
+    to_test: Annotated[Path | None, typer.Option(help="Write a test that replays the capture.")] = None,
     shortest: Annotated[
         str,
         typer.Option(
             "--shorten",
-            help="To the fewest RPCs with which this RPC, by id or #NUMBER, still ends as it did.",
+            help="Shorten to the fewest RPCs with which this RPC, by id or #NUMBER, has the same outcome.",
         ),
     ] = "",
-    out: Annotated[Path | None, typer.Option(help="Where to write what was shortened.")] = None,
-    times: Annotated[
-        int, typer.Option(min=1, help="So often; the state at the end must be the same too.")
-    ] = 1,
+    out: Annotated[Path | None, typer.Option(help="File for the shortened capture.")] = None,
+    times: Annotated[int, typer.Option(min=1, help="Replay this many times, each to the same results.")] = 1,
 ) -> None:
-    """The same decisions from the same calls, or the first that differs (exit 1)."""
+    """Replay a capture; print the first result that differs, and exit with 1 then."""
     try:
         records, why = load(file)
     except CaptureError as wrong:
@@ -112,8 +114,7 @@
             for found in one.run():
                 print(
                     f"call {found.place}, {(found.now - begun) / 10:.1f} ms: {found.call} of RPC "
-                    f"{found.rpc}: "
-                    f"{found.told} then, {found.got} now"
+                    f"{found.rpc}: recorded {found.told}, replayed {found.got}"
                 )
                 print("\n".join(f"  {line}" for line in found.state))
                 raise typer.Exit(1)
@@ -134,7 +135,7 @@
 
 
 def compare(records: list[dict], module: ModuleType, last: float) -> None:
-    """What another version would have decided, as far as the same events still make sense for it."""
+    """Prints the results that differ with other decisions, and skips calls that make no sense for them."""
     one = Replay(records, module, until=last, lenient=True)
     count = decisions = 0
     for found in one.run():
@@ -142,7 +143,7 @@
         decisions += found.call == "decide"
         if count <= SHOWN:
             print(
-                f"call {found.place}: {found.call} of RPC {found.rpc}: {found.told} then, {found.got} there"
+                f"call {found.place}: {found.call} of RPC {found.rpc}: recorded {found.told}, now {found.got}"
             )
     print(
         f"{one.calls} calls, {count} answers differ, {decisions} of them decisions; {one.left_out} calls "
--- a/shedgrade/sidecar/capture/__init__.py
+++ b/shedgrade/sidecar/capture/__init__.py
@@ -1,1 +1,3 @@
-"""Capture and replay: all that the decisions were told, kept so that the same decisions can be had again."""
+"""Capture and replay: records each call to the balancer with its result, so that the same decisions can be
+made again.
+"""
--- a/shedgrade/sidecar/capture/config.py
+++ b/shedgrade/sidecar/capture/config.py
@@ -7,12 +7,16 @@
 
 
 class Capture(Struct, kw_only=True, forbid_unknown_fields=True):
-    """`folder`: of this sidecar alone, made with mode 700; a capture is written there on SIGUSR1, on a fault
-    of the
-    program's own, and with `continuous` all the time, the newest `keep_mb`. `memory_mb`: the ring that is
-    kept.
-    `checkpoint_s`: between two states. `most_rows`: calls kept in a second, over which nothing is kept for a
-    while. `ids`: of RPCs, as what stands for them (hash), plain, or none.
+    """Settings of the capture.
+
+    folder: directory of this sidecar's captures, of no other sidecar's; created with mode 700. A capture is
+        written there on SIGUSR1, after an internal error, and with `continuous` all the time.
+    memory_mb: size of the ring buffer of records, MiB.
+    checkpoint_s: interval between two checkpoints, seconds.
+    most_rows: calls recorded in one second; above it, recording pauses.
+    ids: form in which the ids of requests are stored: as a hash, in plain text, or not at all.
+    continuous: also writes all records to files as they are made.
+    keep_mb: total size of these files, MiB; the oldest are removed.
     """
 
     folder: str
@@ -24,6 +28,6 @@
     keep_mb: Annotated[int, Meta(ge=32)] = 256
 
     def problems(self) -> Iterator[tuple[str, str]]:
-        """Yields (key, reason) of what types alone do not show."""
+        """Yields (key, reason) for values that the types allow and the capture does not."""
         if not self.folder:
             yield "folder", "is empty"
--- a/shedgrade/sidecar/capture/explanation.py
+++ b/shedgrade/sidecar/capture/explanation.py
@@ -1,4 +1,4 @@
-"""Why one RPC of a capture went where it did, in words, from a replay."""
+"""Explanation of one request of a capture, in words: the decisions about it and their reasons, by replay."""
 
 from types import ModuleType
 
@@ -29,7 +29,7 @@
 
 
 def narrating(base: type) -> type:
-    """A Balancer that tells what it weighs while `lines` is a list; it decides as its base does."""
+    """Returns a subclass of a Balancer that decides alike and adds reasons to `lines`, if that is a list."""
 
     class NarratingBalancer(base):
         lines: list | None = None
@@ -52,7 +52,7 @@
                         f"{number}{'*' * (number == self.own_zone)} {zone.in_flight} in flight "
                         f"on {len(zone.rotation)}, "
                         f"window {zone.concurrency_limit:.1f}"
-                        f"{', full for its luck' if zone.rotation and zone.is_full(rpc) else ''}"
+                        f"{', at its limit for this draw' if zone.rotation and zone.is_full(rpc) else ''}"
                         for number, zone in enumerate(self.zones)
                     )
                 )
@@ -62,14 +62,14 @@
                     if zone.rotation
                 ]
                 if len(loads) > 1 and max(loads)[0] >= load_balancing.DROP_THRESHOLD:
-                    self.say(f"  zone {max(loads)[1]} is the worst at the threshold: dropped")
+                    self.say(f"  zone {max(loads)[1]} has the highest load, at the threshold: skipped")
                 aside = [self.name(up) for up in self.upstreams.values() if up.ejected_until]
                 if aside:
-                    self.say(f"  aside: {', '.join(aside[:8])}{' ...' if len(aside) > 8 else ''}")
+                    self.say(f"  ejected: {', '.join(aside[:8])}{' ...' if len(aside) > 8 else ''}")
             found = super().choose_upstream(now, rpc, stay)
             if found is None:
                 self.say(
-                    "  no upstream has room for it" + (": the own zone may make room yet" if stay else "")
+                    "  no upstream has room for it" + (": the own zone may have room soon" if stay else "")
                 )
             return found
 
@@ -82,7 +82,7 @@
                     1, len(zone.rotation)
                 ) + load_balancing.LOAD_MARGIN
                 above = (
-                    "" if found.in_flight + found.background_load <= bar else ": none under the mean had room"
+                    "" if found.in_flight + found.background_load <= bar else ": none near the mean had room"
                 )
                 self.say(
                     f"  zone {self.zones.index(zone)}: {self.name(found)} is next with room, "
@@ -94,12 +94,12 @@
             found = super().has_capacity(up, now, left, expected)
             if not found:
                 why = (
-                    "on trial, with one out"
+                    "half-open, with one in flight"
                     if up.half_open and up.in_flight
                     else (
-                        "cold, its part is used up"
+                        "slow start, its share is used up"
                         if self.is_warming_up(up, now)
-                        else f"{expected / 10:.0f} ms foreseen of {left / 10:.0f} left"
+                        else f"{expected / 10:.0f} ms expected of {left / 10:.0f} left"
                     )
                 )
                 self.say(f"  {self.name(up)} passed over: {why}")
@@ -107,28 +107,32 @@
 
         def last_resort(self, now: int, rpc: load_balancing.Rpc) -> load_balancing.Upstream | None:
             found = super().last_resort(now, rpc)
-            self.say(f"  last resort: {self.name(found) if found is not None else 'nobody'}")
+            self.say(f"  last resort: {self.name(found) if found is not None else 'none'}")
             return found
 
         def enqueue(self, now: int, rpc: load_balancing.Rpc, until: int) -> bool:
             found = super().enqueue(now, rpc, until)
             self.say(
-                "  held: an end should come in time" if found else "  not held: no end would come in time"
+                "  queued: an attempt should finish in time"
+                if found
+                else "  not queued: no attempt would finish in time"
             )
             return found
 
     for older, present in METHODS["Balancer"].items():
         if present in vars(NarratingBalancer) and hasattr(base, older):
-            setattr(
-                NarratingBalancer, older, getattr(NarratingBalancer, present)
-            )  # what older decisions call themselves
+            # The base calls the method by its older name.
+            setattr(NarratingBalancer, older, getattr(NarratingBalancer, present))
     return NarratingBalancer
 
 
 def explain(
     records: list[dict], number: int, module: ModuleType = load_balancing, until: float = float("inf")
 ) -> list[str]:
-    """Why one RPC went where it did."""
+    """Returns lines that say what was decided about one request, and why.
+
+    `module`: the decisions to replay with. `until`: time at which the replay stops, tenths of a ms.
+    """
     replay = Replay(records, module, narrating(module.Balancer), until)
     lines: list[str] = []
     begun = [0]
@@ -166,7 +170,7 @@
             lines.append(f"{at}: its stream is open")
 
     replay.watch = watch
-    # What is told while a call is made belongs to that call's RPC: each row names it beforehand.
+    # Reasons given during a call belong to its request, whose number each row holds.
     plain_call = replay.call
 
     def call(now: int, row: list) -> tuple[object, object]:
@@ -179,12 +183,12 @@
 
     replay.call = call
     lines.extend(
-        f"differs here: {difference.call}: {difference.told} then, {difference.got} now"
+        f"differs here: {difference.call}: recorded {difference.told}, replayed {difference.got}"
         for difference in replay.run()
     )
     return lines or [f"RPC {number} is not in this capture"]
 
 
 def find(records: list[dict], name: bytes) -> list[int]:
-    """Numbers of the RPCs that were taken under this name (an id, or what stands for it)."""
+    """Returns the numbers of the requests with this name: an id, or the hash of one."""
     return [row[2] for _, row in calls(records) if row[0] == TAKE and row[6] == name]
--- a/shedgrade/sidecar/capture/files.py
+++ b/shedgrade/sidecar/capture/files.py
@@ -1,4 +1,4 @@
-"""Captures on disk: the edge. A dump of the ring, or files written as it goes by a thread of their own."""
+"""Files of captures: a dump of the ring, or files that a thread writes continuously."""
 
 import os
 import threading
@@ -9,18 +9,20 @@
 from shedgrade import file_frames
 from shedgrade.sidecar.capture.rows import KIND
 
-FILE = 16 * 1024 * 1024  # bytes of a file that is written as it goes: then the next begins at a checkpoint
-WAITING = 8 * 1024 * 1024  # bytes that may wait for the disk
+FILE = 16 * 1024 * 1024  # bytes of a file, from which the next checkpoint begins another one
+WAITING = 8 * 1024 * 1024  # bytes of records that wait for the disk, at most
 
 
 class CaptureError(Exception):
-    """Why a capture can't be read, in one line."""
+    """A capture can't be read; the text says why in one line."""
 
 
 def load(path: Path) -> tuple[list[dict], str]:
-    """The records of one file, and what is wrong with its end ("" if nothing is): a capture that was cut off
-    in a
-    record is read up to there."""
+    """Returns the records of one file, and the damage at which reading stopped ("" if there is none).
+
+    A file that is cut off within a record is read up to there. CaptureError if the file can't be read, is no
+    capture, or has nothing that a replay may begin with.
+    """
     try:
         _, records, why = file_frames.read(path.read_bytes(), KIND)
     except OSError as failure:
@@ -28,17 +30,17 @@
     except file_frames.FormatError as wrong:
         raise CaptureError(f"{path}: {wrong}") from wrong
     if not any(one["k"] in ("begin", "state") for one in records):
-        raise CaptureError(f"{path}: no begin and no checkpoint in it{f', {why}' if why else ''}")
+        raise CaptureError(f"{path}: it has no beginning and no checkpoint{f', {why}' if why else ''}")
     return records, why
 
 
 def make(folder: Path) -> None:
-    """Makes the folder of captures, readable by its owner alone."""
+    """Creates the folder of captures, accessible to its owner only."""
     folder.mkdir(mode=0o700, parents=True, exist_ok=True)
 
 
 def free_number(folder: Path) -> int:
-    """The number after the highest of the captures there."""
+    """Returns the number after the highest one of the captures there."""
     found = [
         int(path.stem.partition("-")[2])
         for path in folder.glob("capture-*.sgc")
@@ -48,7 +50,7 @@
 
 
 def dump(folder: Path, data: bytes) -> Path:
-    """One file, whole or not there. OSError if the disk takes none."""
+    """Writes one capture and returns its path; the file is complete or absent. OSError if the write fails."""
     make(folder)
     path = folder / f"capture-{free_number(folder)}.sgc"
     temporary = path.with_suffix(".new")
@@ -60,10 +62,18 @@
 
 
 class Writer:
-    """Takes records from the loop, never waits for the disk, keeps the newest files within a number of
-    bytes."""
+    """Writes records to files in a thread of its own, so that the event loop never waits for the disk.
+
+    Keeps the newest files up to a total size.
+    """
 
     def __init__(self, folder: Path, keep: int, tell: Callable[[str], None]) -> None:
+        """Starts the thread.
+
+        folder: folder of the captures, created with the first file.
+        keep: total size of the files, bytes; the oldest are removed.
+        tell: called in the thread with the reason of a failed write, once until a write succeeds.
+        """
         self.folder = folder
         self.keep = keep
         self.tell = tell
@@ -76,7 +86,7 @@
         self.thread.start()
 
     def put(self, data: bytes, start: bool) -> bool:
-        """False if it was not taken: the disk is too slow or broken. `start`: a file may begin here."""
+        """Accepts a record; returns False if the disk is slow or failing. `start`: a file may begin here."""
         with self.lock:
             if self.waiting_bytes + len(data) > WAITING or (self.broken and not start):
                 return False
@@ -86,11 +96,11 @@
         return True
 
     def full(self) -> bool:
-        """The next file is due: a checkpoint is wanted."""
+        """Returns whether the file has its size, so that a checkpoint should begin the next one."""
         return self.size >= FILE
 
     def run(self) -> None:
-        """The thread: writes what waits until the end."""
+        """Runs in the thread: writes the accepted records until `close`."""
         while True:
             with self.lock:
                 while not self.waiting and not self.ending:
@@ -109,7 +119,7 @@
                     self.file.flush()
                 self.broken = False
             except OSError as failure:
-                # Guards against a full or broken disk: the file is given up, the next checkpoint tries anew.
+                # Guards against a full or broken disk: this file is abandoned, the next checkpoint opens one.
                 if not self.broken:
                     self.tell(str(failure.strerror))
                 self.broken, self.file = True, None
@@ -119,7 +129,7 @@
                 return
 
     def next(self) -> None:
-        """Begins the next file, and removes the oldest ones over the limit."""
+        """Opens the next file, after it has removed the oldest ones above the total size."""
         if self.file is not None:
             self.file.close()
         make(self.folder)
@@ -136,7 +146,7 @@
         self.size = len(head)
 
     def close(self, limit: float = 2.0) -> None:
-        """Waits up to `limit` seconds for what is still to be written."""
+        """Ends the thread, and waits up to `limit` seconds for the records still to be written."""
         with self.lock:
             self.ending = True
             self.lock.notify()
--- a/shedgrade/sidecar/capture/older_decisions.py
+++ b/shedgrade/sidecar/capture/older_decisions.py
@@ -1,8 +1,8 @@
-"""Decisions of another checkout, loaded beside the program's own, so that a capture can be replayed on both.
+"""Load balancing decisions of another checkout, loaded beside the present ones to replay a capture with both.
 
 An older checkout has the decisions in another folder, imports modules that have moved since, and has other
-names for calls, attributes and classes. The tables here and in `stored_names` tell the older names; the
-loaded module gets the present ones as aliases, so that the replay uses one set of names.
+names for methods, attributes and classes. The tables here and in `stored_names` list the older names; the
+loaded module gets the present ones as aliases, so that a replay uses one set of names.
 """
 
 import importlib
@@ -17,7 +17,7 @@
 from shedgrade.sidecar.capture.stored_names import ATTRIBUTES, CLASSES
 
 NAME = "other_decide"  # of the loaded module in `sys.modules`
-# Where a checkout has its decisions: the present package, older ones, or the package's own folder.
+# Files in which a checkout has its decisions: the present package, older ones, or the package's own folder.
 PLACES = (
     "shedgrade/load_balancing/__init__.py",
     "shedgrade/decide/__init__.py",
@@ -55,18 +55,18 @@
 
 
 def find_decisions(checkout: Path) -> Path | None:
-    """The file to load for a checkout, a package's folder or a single file; None if there is none."""
+    """Returns the file to load from a checkout, a package folder or a single file; None without one."""
     if checkout.is_dir():
         return next((checkout / place for place in PLACES if (checkout / place).is_file()), None)
     return checkout if checkout.is_file() else None
 
 
 def load_decisions(path: Path) -> ModuleType:
-    """The module at that path, with the present names. What its import raises comes through."""
+    """Returns the module at that path, with the present names. Passes errors of its import on."""
     folders = [str(path.parent)] if path.name == "__init__.py" else None
     spec = importlib.util.spec_from_file_location(NAME, path, submodule_search_locations=folders)
     if spec is None or spec.loader is None:
-        raise ImportError(f"{path} is no Python module")
+        raise ImportError(f"{path} is not a Python module")
     for loaded in [name for name in sys.modules if name == NAME or name.startswith(f"{NAME}.")]:
         del sys.modules[loaded]
     module = importlib.util.module_from_spec(spec)
@@ -80,7 +80,7 @@
 
 @contextmanager
 def moved_modules() -> Iterator[None]:
-    """While it is open, modules of `MOVED_MODULES` can be imported under their older names."""
+    """Context in which the modules of `MOVED_MODULES` can be imported under their older names."""
     added = []
     for older, present in MOVED_MODULES.items():
         package = older.rpartition(".")[0]
@@ -97,12 +97,12 @@
 
 
 def is_older(module: ModuleType) -> bool:
-    """Whether its calls have the names from before they were named as now."""
+    """Returns whether its methods have the names from before the renaming."""
     return not hasattr(module.Balancer, "admit")
 
 
 def add_present_names(module: ModuleType) -> None:
-    """Aliases of methods, attributes and classes under their present names."""
+    """Adds the present names of methods, attributes and classes as aliases."""
     for stored, present in CLASSES.items():
         if not hasattr(module, present):
             setattr(module, present, getattr(module, stored))
@@ -116,7 +116,7 @@
 
 
 def alias_of(name: str) -> property:
-    """A property that reads and sets the attribute of another name."""
+    """Returns a property that reads and sets the attribute of another name."""
 
     def assign(owner: object, value: object) -> None:
         setattr(owner, name, value)
--- a/shedgrade/sidecar/capture/part.py
+++ b/shedgrade/sidecar/capture/part.py
@@ -1,4 +1,4 @@
-"""Capture as a part of the sidecar: a recorder in the decisions' place, dumps on SIGUSR1 and on faults."""
+"""Feature of the sidecar that records captures, and dumps them on SIGUSR1 and after internal errors."""
 
 import signal
 from pathlib import Path
@@ -14,18 +14,19 @@
 if TYPE_CHECKING:
     from loguru import Record
 
-AGAIN = 60.0  # s between two dumps because of faults: the first tells the most
+AGAIN = 60.0  # seconds between two dumps after internal errors; the first of a series tells the most
 
 
 def format_event(record: "Record") -> str:
-    """A fault's event with its fields, as one line: what the capture says led to it."""
+    """Formats a log record with its fields as one line, for the fault record of a capture."""
     fields = "".join(f" {key}={value}" for key, value in record["extra"].items())
-    record["extra"]["event"] = record["message"] + fields  # by reference: values may hold braces
+    # A reference in place of the text: values may hold braces.
+    record["extra"]["event"] = record["message"] + fields
     return "{extra[event]}\n"
 
 
 class CapturePart(Feature):
-    """Made before the sidecar, as it makes what stands in the decisions' place (`decisions`)."""
+    """Capture as a feature. It is created before the sidecar, whose balancer `decisions` makes."""
 
     def __init__(self, config) -> None:
         self.config = config
@@ -37,7 +38,7 @@
         self.dumping = False
 
     def decisions(self, settings: dict, seed: int, now: int) -> Recorder:
-        """As a Balancer is made. Only the platform's own pool is captured."""
+        """Creates the recorder in place of a Balancer. Only the platform's own pool is captured."""
         self.recorder = Recorder(
             settings,
             seed,
@@ -50,17 +51,17 @@
         return self.recorder
 
     def join(self, sidecar) -> None:
-        """Takes its place in the sidecar, as an observer of dispatch passes."""
+        """Registers as a feature of the sidecar, and the recorder as an observer of dispatch passes."""
         self.sidecar = sidecar
         ids = sidecar.pool.reader.indices.ids
         self.recorder.spelled = lambda index: ids[index]
         sidecar.pool.dispatcher.observers = (*sidecar.pool.dispatcher.observers, self.recorder)
         sidecar.features.append(self)
 
-    # --- the sidecar's life
+    # --- lifecycle of the sidecar
 
     def start(self) -> None:
-        """Installs the signal handler and the sink for faults; starts the writer."""
+        """Installs the signal handler and the log sink for internal errors; starts the writer."""
         self.sidecar.loop.add_signal_handler(signal.SIGUSR1, self.write, "asked for")
         self.sink = logger.add(self.heard, level="ERROR", format=format_event)
         if self.config.continuous:
@@ -76,11 +77,11 @@
         )
 
     def write_failed(self, error: str) -> None:
-        """The disk does not take the capture; the service goes on without."""
+        """Logs that the disk does not accept the capture; the sidecar serves on without it."""
         logger.warning("capture write failed", error=error)
 
     def heard(self, message) -> None:
-        """A fault of our own was logged: what led to it is written down, once in a while."""
+        """Receives a logged internal error, and dumps the capture, at most once in `AGAIN` seconds."""
         now = self.sidecar.loop.time()
         if now >= self.fault_at + AGAIN:
             self.fault_at = now
@@ -88,7 +89,7 @@
             self.sidecar.loop.call_soon(self.write, "a fault")
 
     def write(self, why: str) -> None:
-        """The ring as a file; the loop goes on meanwhile."""
+        """Writes the ring to a file in a worker thread. `why`: the reason, for the log."""
         if self.dumping:
             return
         self.dumping = True
@@ -97,7 +98,7 @@
         task.add_done_callback(lambda done: self.written(done, why))
 
     def written(self, done, why: str) -> None:
-        """The dump has ended: tells how."""
+        """Logs how the dump ended."""
         self.dumping = False
         if done.cancelled():
             return
@@ -108,12 +109,12 @@
             logger.info("capture written", reason=why, path=str(done.result()))
 
     def tick(self) -> None:
-        """Asks for a checkpoint where the next file is due."""
+        """Requests a checkpoint when the next file is due."""
         if self.writer is not None and self.writer.full():
-            self.recorder.wanted = True  # the next file begins with a checkpoint
+            self.recorder.wanted = True  # a file begins with a checkpoint
 
     def close(self) -> None:
-        """Writes what is left and tells the totals."""
+        """Writes the remaining records, and logs the totals."""
         if self.sink is not None:
             logger.remove(self.sink)
         if self.writer is not None:
--- a/shedgrade/sidecar/capture/recorder.py
+++ b/shedgrade/sidecar/capture/recorder.py
@@ -1,8 +1,8 @@
-"""What stands between the turn and the decisions where capture is on: passes each call on, and keeps it.
+"""Recorder of calls: takes the balancer's place where capture is on, passes each call on, and records it.
 
-It decides nothing and changes no argument. Its cost is bounded: over `most_rows` in a second, or while the
-loop is
-late, nothing is kept, a gap says so, and a checkpoint follows once it is calm again.
+It decides nothing and changes no argument. Its cost is bounded: above `most_rows` calls in a second, or while
+dispatch passes are late, nothing is recorded. A gap record marks the pause, and a checkpoint follows once the
+load has fallen.
 """
 
 from collections.abc import Callable, Iterable, Iterator
@@ -36,21 +36,28 @@
 )
 from shedgrade.sidecar.capture.state import freeze
 
-SECOND = 10_000
-LATE = 40  # tenths of a ms that turns may be behind: the turn's own measure ends at 50
-MANY = 400  # RPCs in hand with which a checkpoint takes 10 ms of the loop: then it is put off
-PUT_OFF = 4  # times as long, at most: a ring must hold two
-LOOK = 500  # tenths of a ms between two looks at load and checkpoints: a turn costs nothing but the question
-CALM = 2 * SECOND  # after an overload, until capture begins again: shorter gaps would cost a checkpoint each
+SECOND = 10_000  # tenths of a ms
+# Lag of dispatch passes, tenths of a ms, from which recording pauses. The dispatcher measures it up to 50.
+LATE = 40
+MANY = 400  # requests in flight at which a checkpoint blocks the loop for 10 ms: it is postponed
+PUT_OFF = 4  # factor of the checkpoint interval with so many in flight; at most 4, as a ring must hold two
+# Tenths of a ms between two checks of load and checkpoints; between them a pass costs one comparison.
+LOOK = 500
+# Delay from an overload until recording resumes. Shorter gaps would each cost a checkpoint.
+CALM = 2 * SECOND
 
 
 def short(name: bytes) -> bytes:
-    """Stands for an id: who knows the id finds it, nobody reads it out of a capture."""
+    """Returns the hash that a capture holds in place of an id: it can be looked up, but the id not read."""
     return blake2b(name, digest_size=8).digest()
 
 
 class RecordedRpc:
-    """An RPC as the turn holds it."""
+    """The handle of one request, as the dispatcher holds it; records the calls on it.
+
+    rpc: the balancer's handle.
+    number: number of the request in the capture, from 1.
+    """
 
     __slots__ = ("rpc", "number", "recorder")
 
@@ -61,23 +68,23 @@
 
     @property
     def attempts(self) -> list:
-        """As of the request."""
+        """Returns the attempts of the request."""
         return self.rpc.attempts
 
     @property
     def sent_at(self) -> list:
-        """As of the request."""
+        """Returns when each attempt was sent."""
         return self.rpc.sent_at
 
     def first_possibly_executed(self) -> int | None:
-        """As of the request."""
+        """Returns the first attempt that may have been executed, as the request's handle does."""
         return self.rpc.first_possibly_executed()
 
     def decide(self, now: int) -> tuple[int, int] | None:
-        """Decides, and records the answer."""
+        """Decides, and records the answer, except None for a request that is done."""
         answer = self.rpc.decide(now)
         if answer is None:
-            if not self.rpc.done:  # one that is done is only asked in vain
+            if not self.rpc.done:  # a request that is done always answers None
                 self.recorder.keep(now, NOTHING, self.number)
         else:
             self.recorder.keep(now, DECIDE, self.number, *answer)
@@ -85,32 +92,32 @@
         return answer
 
     def over(self) -> None:
-        """Forgets a request that is done with nothing outstanding."""
+        """Forgets a request that is done and has no attempt outstanding."""
         if self.rpc.done and not self.rpc.outstanding:
             self.recorder.live.pop(self.number, None)
 
     def attempt_finished(
         self, now: int, tx: int, outcome: int, took: int, settled: bool, fresh: bool = False
     ) -> list[int]:
-        """Passed on, and recorded with what it returns."""
+        """Passes the outcome of an attempt on, and records it with the attempts to stop."""
         stops = self.rpc.attempt_finished(now, tx, outcome, took, settled, fresh)
         self.recorder.keep(now, ENDED, self.number, tx, outcome, took, settled, fresh, stops)
         self.over()
         return stops
 
     def response_started(self, lasting: bool = False) -> None:
-        """Passed on and recorded."""
+        """Passes the start of the response on, and records it."""
         self.rpc.response_started(lasting)
         self.recorder.keep(self.recorder.now, STARTED, self.number, lasting)
 
     def body_received(self, now: int, give_up_at: int, here: bool, whole: bool) -> int:
-        """Passed on, and recorded with its limit."""
+        """Passes the progress of a request's body on, and records it with the time limit returned."""
         limit = self.rpc.body_received(now, give_up_at, here, whole)
         self.recorder.keep(now, COMING, self.number, give_up_at - now, here, whole, limit)
         return limit
 
     def client_disconnected(self, now: int) -> list[int]:
-        """Passed on, and recorded with what it returns."""
+        """Passes the disconnect on, and records it with the attempts to stop."""
         stops = self.rpc.client_disconnected(now)
         self.recorder.keep(now, GONE, self.number, stops)
         self.over()
@@ -118,7 +125,7 @@
 
 
 class Recorder:
-    """In the place of a Balancer: the same calls, the same answers."""
+    """Takes the place of a Balancer: the same calls with the same results, recorded."""
 
     def __init__(
         self,
@@ -131,10 +138,16 @@
         ids: str = "hash",
         write: Callable[[bytes, bool], bool] | None = None,
     ) -> None:
-        """`checkpoint`: tenths of a ms between two states; `most_rows` a second; `ids`: hash, plain or none;
-        `write`: takes each encoded record where a disk lasts, and whether a replay may begin with it; says
-        whether
-        it took it."""
+        """Creates the balancer, and records its settings and seed.
+
+        settings, seed, now: as for a Balancer.
+        ring: buffer that keeps the records.
+        checkpoint: interval between two checkpoints, tenths of a ms.
+        most_rows: calls recorded in one second; above it, recording pauses.
+        ids: form in which the ids of requests are stored: hash, plain or none.
+        write: receives each encoded record and whether a replay may begin with it; returns whether it
+            accepted the record. None without continuous capture.
+        """
         self.inner = load_balancing.Balancer(settings, seed, now)
         self.ring = ring
         self.checkpoint = checkpoint
@@ -144,7 +157,7 @@
         self.now = self.last = self.base = now
         self.rows: list[tuple] = []
         self.numbers = 0
-        self.spelled: Callable[[int], str] | None = None  # an upstream's id
+        self.spelled: Callable[[int], str] | None = None  # id of an upstream, by index
         self.second = now
         self.in_second = 0
         self.late = 0
@@ -152,11 +165,12 @@
         self.skipped = 0
         self.calm_at = 0
         self.lost = False
-        self.live: dict[int, load_balancing.Rpc] = {}  # taken, and not yet answered with nothing out
+        # Requests without an answer, or with attempts outstanding, by number.
+        self.live: dict[int, load_balancing.Rpc] = {}
         self.state_at = now
         self.look_at = 0
         self.wanted = False
-        # What changes nothing is passed on without a step between.
+        # Calls that change no state are bound to the balancer itself, which saves a call.
         inner = self.inner
         self.wake_at = inner.wake_at
         self.max_retry_after = inner.max_retry_after
@@ -164,16 +178,16 @@
             self.wants_list = self.inner.wants_list
         self.add({"k": "begin", "v": 1, "settings": settings, "seed": seed, "now": now})
 
-    # --- keeping
+    # --- records
 
     def add(self, record: dict) -> None:
-        """Keeps a record in the ring, and hands it to the writer if there is one."""
+        """Adds a record to the ring, and passes it to the writer if there is one."""
         data = self.ring.add(record)
         if self.write is not None and not self.write(data, record["k"] in ("begin", "state")):
             self.lost = True
 
     def keep(self, now: int, op: int, *values: object) -> None:
-        """Keeps one call: its op, the time since the call before and its values."""
+        """Records one call: its operation, the time since the call before and its values."""
         self.now = now
         if self.skipping:
             self.skipped += 1
@@ -184,7 +198,7 @@
             self.flush()
 
     def flush(self) -> None:
-        """Makes a record of the calls kept since the last one."""
+        """Makes one record of the calls since the last one."""
         if self.rows:
             self.add({"k": "rows", "now": self.base, "r": self.rows})
             self.in_second += len(self.rows)
@@ -192,7 +206,11 @@
         self.base = self.last
 
     def after_turn(self, now: int, late: int) -> None:
-        """Between two turns, `late` tenths of a ms behind: the only moment at which a state is whole."""
+        """Pauses recording under load, resumes it after, and takes a checkpoint when one is due.
+
+        Called after each dispatch pass, as the state is consistent only then. `late`: the lag of passes, in
+        tenths of a ms.
+        """
         if now < self.look_at:
             return
         self.look_at = now + LOOK
@@ -211,7 +229,7 @@
         if now - self.second >= SECOND:
             self.second, self.in_second = now, 0
         if late >= LATE or self.lost or self.in_second + len(self.rows) > self.most_rows:
-            # Guards the daemon: what costs too much is shed before any RPC is, and the gap is marked.
+            # Guards the sidecar: under load, recording stops before any request is shed, and a gap is marked.
             self.flush()
             self.skipping, self.calm_at, self.in_second = True, now + CALM, 0
         elif self.wanted or now - self.state_at >= self.checkpoint * (
@@ -220,7 +238,7 @@
             self.save(now)
 
     def save(self, now: int) -> None:
-        """A checkpoint."""
+        """Adds a checkpoint: the balancer's whole state."""
         self.flush()
         self.state_at, self.wanted = now, False
         names = (
@@ -238,15 +256,15 @@
         )
 
     def fault(self, what: str) -> None:
-        """Records that a fault of the program was logged here."""
+        """Records that an internal error was logged here. `what`: its log line."""
         self.flush()
         self.add({"k": "fault", "now": self.now, "what": what})
 
-    # --- the calls
+    # --- calls of the balancer
 
     @property
     def upstreams(self) -> dict:
-        """Upstreams by index."""
+        """Returns the upstreams by index."""
         return self.inner.upstreams
 
     def admit(
@@ -258,7 +276,7 @@
         tag: object = None,
         tenant: int = 0,
     ) -> RecordedRpc:
-        """Passed on, and recorded with the request's number."""
+        """Passes the request on, and records it with its number."""
         rpc = self.inner.admit(now, method, give_up_at, retry, tag, tenant)
         self.numbers += 1
         name = tag.request.name if self.ids != "none" else b""
@@ -276,7 +294,7 @@
         return RecordedRpc(self, rpc, self.numbers)
 
     def list_changed(self, now: int, rows: list, whole: bool, asked: bool) -> None:
-        """Passed on and recorded."""
+        """Passes the rows of the endpoint list on, and records them, with the ids of their upstreams."""
         rows = list(rows)
         self.inner.list_changed(now, rows, whole, asked)
         if self.spelled is not None and rows and not self.skipping:
@@ -285,46 +303,46 @@
         self.keep(now, LIST, rows, whole, asked)
 
     def list_failed(self, now: int) -> None:
-        """Passed on and recorded."""
+        """Passes the failed request for the list on, and records it."""
         self.inner.list_failed(now)
         self.keep(now, FAILED)
 
     def mark_unverified(self, now: int, upstreams: list[int], ends: int, last: bool) -> None:
-        """Passed on and recorded."""
+        """Passes the call on, and records it."""
         self.inner.mark_unverified(now, upstreams, ends, last)
         self.keep(now, DOUBT, upstreams, ends, last)
 
     def set_withdrawn(self, now: int, upstream: int, out: bool) -> None:
-        """Passed on and recorded."""
+        """Passes the operators' order on, and records it."""
         self.inner.set_withdrawn(now, upstream, out)
         self.keep(now, ORDERED, upstream, out)
 
     def update_settings(self, settings: dict) -> None:
-        """Passed on and recorded."""
+        """Passes the new settings on, and records them."""
         self.inner.update_settings(settings)
         self.max_retry_after = self.inner.max_retry_after
         self.keep(self.now, RETUNED, settings)
 
     def set_slow_start_share(self, part: float) -> None:
-        """Passed on and recorded."""
+        """Passes the new share on, and records it."""
         self.inner.set_slow_start_share(part)
         self.keep(self.now, DIVIDED, part)
 
     def restore(self, now: int, state: dict, age: float) -> None:
-        """Passed on and recorded."""
+        """Restores the learned state, and records it."""
         learned_state.restore(self.inner, now, state, age)
         self.keep(now, RESTORE, state, age)
 
     def due(self, now: int) -> Iterable[load_balancing.Rpc]:
-        """The requests to ask again; recorded where there are any."""
+        """Returns the requests to decide on again; recorded if there are any."""
         inner = self.inner
         at = inner.wake_at()
         if at > now and not inner.queue:
-            return ()  # nothing is looked at there, either
+            return ()  # the balancer would look at nothing either
         return self.told_due(now, at)
 
     def told_due(self, now: int, at: float) -> Iterator[load_balancing.Rpc]:
-        """The requests to ask again, each recorded."""
+        """Yields the requests to decide on again, and records each."""
         told = False
         for rpc in self.inner.due(now):
             told = True
@@ -334,27 +352,27 @@
             self.keep(now, OVER)
 
     def wants_list(self, now: int) -> bool:
-        """Passed on; recorded where it is True."""
+        """Passes the question on; records the answer if it is True."""
         answer = self.inner.wants_list(now)
         if answer:
             self.keep(now, WANTS, True)
         return answer
 
     def take_released(self) -> list[int]:
-        """Passed on; recorded where there are any."""
+        """Passes the call on; records the answer if it is not empty."""
         upstreams = self.inner.take_released()
         if upstreams:
             self.keep(self.now, RELEASED, upstreams)
         return upstreams
 
     def uniform(self, low: float, high: float) -> float:
-        """The one draw that is made from outside: how long discovery is left alone."""
+        """Draws a number, and records it. The caller uses it to delay its next request to discovery."""
         drawn = self.inner.uniform(low, high)
         self.keep(self.now, SPAN, low, high, drawn)
         return drawn
 
     def draw_admission(self, method: int) -> float:
-        """Passed on, and recorded with the draw."""
+        """Draws the admission number of a request, and records it."""
         drawn = self.inner.draw_admission(method)
         self.keep(self.now, LUCK, method, drawn)
         return drawn
--- a/shedgrade/sidecar/capture/replay.py
+++ b/shedgrade/sidecar/capture/replay.py
@@ -1,6 +1,6 @@
-"""Replay, without I/O: the same calls on decisions made anew, and the first answer that differs.
+"""Replay of a capture, without I/O: makes its calls on another balancer, and reports results that differ.
 
-for found in Replay(records, module).run(): ...     each difference; none: all decisions were the same
+for found in Replay(records, module).run(): ...     yields each difference; none if all results are the same
 """
 
 from collections import deque
@@ -37,13 +37,22 @@
 )
 from shedgrade.sidecar.capture.state import thaw
 
-LINGER = 10_000  # RPCs that are over and still known: more than one turn ever takes
+# Finished requests that are kept for later calls in the same dispatch pass: more than any pass handles.
+LINGER = 10_000
 OF_RPC = (COMING, TAKE, DECIDE, NOTHING, ENDED, GONE, STARTED, YIELD)
 
 
 class Difference(Struct):
-    """`place`: the how manieth call; `told` what came out then, `got` what comes out now; `state` beside
-    it."""
+    """A call whose result differs from the recorded one.
+
+    place: number of the call, from 1.
+    now: time of the call, tenths of a ms.
+    call: the call, as named in OPS.
+    rpc: number of its request; None for a call on the balancer.
+    told: the recorded result.
+    got: the result of the replay.
+    state: lines that describe the balancer after the call.
+    """
 
     place: int
     now: int
@@ -55,16 +64,16 @@
 
 
 class MissingError(Exception):
-    """A call on what is not there: in a capture that was shortened, or of other decisions."""
+    """A call refers to an object that does not exist, as in a shortened capture, or with other decisions."""
 
 
 def plain(value: object) -> object:
-    """As it comes out of MessagePack: no tuples."""
+    """Returns a value as MessagePack decodes it: lists in place of tuples."""
     return [plain(one) for one in value] if isinstance(value, (list, tuple)) else value
 
 
 class Replay:
-    """One capture, from its first begin or checkpoint on."""
+    """Replay of one capture, from its first begin record or checkpoint on."""
 
     def __init__(
         self,
@@ -74,8 +83,13 @@
         until: float = float("inf"),
         lenient: bool = False,
     ) -> None:
-        """`kind`: a subclass of the module's Balancer; `until`: tenths of a ms; `lenient`: goes on past
-        differences, leaving out calls on transmissions that now do not exist. StateError from `run`."""
+        """Prepares the replay.
+
+        module: the decisions to use.
+        kind: a subclass of the module's Balancer to use in its place.
+        until: time at which the replay stops, tenths of a ms.
+        lenient: goes on after a difference, and skips calls that can't be made.
+        """
         self.records = records
         self.module = module
         self.kind = kind
@@ -91,7 +105,10 @@
         self.watch: Callable[[int, list, object], None] | None = None
 
     def run(self) -> Iterator[Difference]:
-        """Makes all calls; yields each answer that differs, and ends at the first unless lenient."""
+        """Makes all calls and yields each result that differs; ends at the first one unless lenient.
+
+        StateError if a checkpoint does not fit the decisions.
+        """
         for now, row in calls(self.records):
             if now > self.until:
                 return
@@ -99,7 +116,8 @@
                 self.record(row[0])
                 continue
             if self.balancer is None:
-                self.left_out += 1  # a capture that was cut: before its first checkpoint nothing is known
+                # Without a checkpoint, as after a gap, the state is unknown.
+                self.left_out += 1
                 continue
             self.calls += 1
             try:
@@ -118,7 +136,7 @@
                     return
 
     def record(self, record: dict) -> None:
-        """Takes a record that is no batch of calls."""
+        """Applies a record that is no batch of calls."""
         kind = record["k"]
         if kind == "begin":
             self.settings = record["settings"]
@@ -127,10 +145,11 @@
             )
             self.rpcs = {}
         elif kind == "gap":
-            self.balancer = None  # what was missed has changed it: the checkpoint behind begins anew
+            # The missed calls changed the state: the next checkpoint restores it.
+            self.balancer = None
             self.gaps += 1
         elif kind == "state":
-            # A whole capture goes on with what it has: that a checkpoint agrees is a test of its own.
+            # Without a gap the replay keeps its own state; a test checks that checkpoints agree with it.
             if self.balancer is None:
                 self.balancer, self.rpcs = thaw(record["state"], self.module, self.kind)
             self.names |= record["names"]
@@ -138,13 +157,16 @@
             self.names |= record["names"]
 
     def rpc(self, number: int) -> object:
-        """The request of that number. MissingError if there is none."""
+        """Returns the request of a number. MissingError if there is none."""
         if number not in self.rpcs:
             raise MissingError(f"RPC {number}")
         return self.rpcs[number]
 
     def over(self, number: int) -> None:
-        """Done, with nothing out: it may still be asked in the same turn, so it goes only a while later."""
+        """Forgets a request that is done and has no attempt outstanding, after `LINGER` others.
+
+        The dispatcher may still ask for its decision in the same pass.
+        """
         rpc = self.rpcs[number]
         if rpc.done and not rpc.outstanding:
             self.ending.append(number)
@@ -152,10 +174,10 @@
                 self.rpcs.pop(self.ending.popleft(), None)
 
     def call(self, now: int, row: list) -> tuple[object, object]:
-        """(what came out then, what comes out now)."""
+        """Makes the call of a row; returns (recorded result, result now)."""
         balancer, op, told = self.balancer, row[0], row[2:]
         if op == TAKE:
-            number, method, wait, retry, _, *tenant = told  # captures before the tenant end with the name
+            number, method, wait, retry, _, *tenant = told  # older captures have no tenant after the name
             self.rpcs[number] = balancer.admit(now, method, now + wait, retry, number, *tenant)
             return None, None
         if op == DECIDE:
@@ -214,11 +236,11 @@
         elif op == RELEASED:
             return told[0], balancer.take_released()
         else:
-            raise MissingError(f"call {op}")
+            raise MissingError(f"unknown operation {op}")
         return None, None
 
     def differs(self, now: int, row: list, told: object, got: object) -> Difference:
-        """The difference between two answers, with the state beside it."""
+        """Returns the difference between two results, with a description of the state."""
         number = row[2] if row[0] in OF_RPC else None
         return Difference(
             self.calls,
@@ -232,7 +254,7 @@
 
 
 def picture(balancer: object, names: dict[str, str]) -> list[str]:
-    """The state in words: zones with their load, upstreams that are not as usual."""
+    """Returns lines that describe a balancer: the load of each zone, and each upstream that is not normal."""
     lines = []
     for number, zone in enumerate(balancer.zones):
         load = zone.in_flight / len(zone.rotation) if zone.rotation else 0.0
@@ -245,12 +267,12 @@
         odd = [
             word
             for word, true in (
-                ("aside", up.ejected_until),
+                ("ejected", up.ejected_until),
                 ("draining", up.state == load_balancing.DRAINING),
                 ("removed", up.state == load_balancing.REMOVED),
-                ("out", up.withdrawn),
-                ("in doubt", up.probation_successes),
-                ("on trial", up.half_open),
+                ("withdrawn", up.withdrawn),
+                ("unverified", up.probation_successes),
+                ("half-open", up.half_open),
             )
             if true
         ]
--- a/shedgrade/sidecar/capture/rows.py
+++ b/shedgrade/sidecar/capture/rows.py
@@ -1,16 +1,15 @@
-"""What a capture holds, without I/O: rows of calls, batched into records; a ring of encoded records.
+"""Content of a capture, without I/O: rows of calls, batched into records, and a ring of encoded records.
 
 A record is one of
-    {"k": "begin", settings, seed, now, ...}    the decisions were made anew
-    {"k": "state", "now", "state", "names"}     a checkpoint: a replay may begin here
-    {"k": "rows", "now", "r": [...]}            calls in order; times are differences from the one before
-    {"k": "names", "names": {index: id}}        upstreams' ids, as they come to be known
-    {"k": "gap", "now", "rows", "why"}          calls that were not kept; a checkpoint follows
-    {"k": "fault", "now", "what"}               a fault of the program's own was logged here
+    {"k": "begin", settings, seed, now, ...}    a balancer was created
+    {"k": "state", "now", "state", "names"}     a checkpoint; a replay may begin here
+    {"k": "rows", "now", "r": [...]}            calls in order; each time is the difference to the row before
+    {"k": "names", "names": {index: id}}        ids of upstreams, as the endpoint list brings them
+    {"k": "gap", "now", "rows", "why"}          calls that were not recorded; a checkpoint follows
+    {"k": "fault", "now", "what"}               an internal error was logged here
 
-A row is [op, since, ...]: ops and what they carry are in OPS. Results stand at the end of a row, so that a
-replay
-compares what comes out with what came out.
+A row is [op, since, ...]; OPS lists the operations and their values. Results stand at the end of a row: a
+replay compares them with its own.
 """
 
 from collections import deque
@@ -18,7 +17,7 @@
 
 from shedgrade import file_frames
 
-# op: (call, what it carries after the time since the row before)
+# Operations of rows. Captures store their numbers, so the order stays.
 (
     TAKE,
     DECIDE,
@@ -41,6 +40,7 @@
     RETUNED,
     COMING,
 ) = range(20)
+# Operation -> (its call, the values after the time since the row before).
 OPS = {
     TAKE: ("take", "rpc method give_up_at retry name tenant"),
     DECIDE: ("decide", "rpc what value"),
@@ -63,13 +63,16 @@
     RETUNED: ("retuned", "settings"),
     COMING: ("coming", "rpc give_up_at here whole limit"),
 }
-KIND = b"C"  # of the file's header
-BATCH = 512  # rows in a record: some 6 KB, a tenth of a second at 1,000 RPCs a second
+KIND = b"C"  # kind of file, in its header
+BATCH = 512  # rows in a record: about 6 KB, or 0.1 s at 1,000 requests a second
 
 
 class Ring:
-    """Encoded records within a number of bytes. What goes first goes up to the next checkpoint, so that the
-    oldest record kept is always one that a replay may begin at."""
+    """Buffer of encoded records with a limit of bytes.
+
+    The oldest records are dropped up to the next checkpoint, so that a replay may begin with the first one
+    kept. The last checkpoint stays, even above the limit.
+    """
 
     def __init__(self, most: int) -> None:
         self.most = most
@@ -79,7 +82,7 @@
         self.starts = 0
 
     def add(self, record: dict) -> bytes:
-        """Encodes and keeps a record, dropping the oldest ones over the limit; returns its bytes."""
+        """Encodes and keeps a record, drops the oldest ones above the limit, and returns its bytes."""
         data = file_frames.frame(record)
         start = record["k"] in ("begin", "state")
         self.records.append((start, data))
@@ -90,7 +93,7 @@
         return data
 
     def drop(self) -> None:
-        """The oldest checkpoint and all up to the next."""
+        """Drops the oldest checkpoint and the records up to the next one."""
         first = True
         while first or not self.records[0][0]:
             start, data = self.records.popleft()
@@ -100,12 +103,12 @@
             first = False
 
     def data(self, number: int = 0) -> bytes:
-        """All that is kept, as the bytes of a file."""
+        """Returns all records kept, as the content of a file."""
         return file_frames.header(KIND, number) + b"".join(data for _, data in self.records)
 
 
 def calls(records: list[dict]) -> Iterator[tuple[int, list]]:
-    """(now, row) of each call of a list of records, begins and checkpoints as (now, [record])."""
+    """Yields (now, row) of each call, and (now, [record]) of each record that is no batch of calls."""
     now = 0
     for record in records:
         if record["k"] == "rows":
--- a/shedgrade/sidecar/capture/shortening.py
+++ b/shedgrade/sidecar/capture/shortening.py
@@ -1,4 +1,4 @@
-"""The shortest capture that still shows an outcome: delta debugging (Zeller and Hildebrandt, 2002)."""
+"""The shortest capture with the same outcome, by delta debugging (Zeller and Hildebrandt, 2002)."""
 
 from collections.abc import Callable
 from itertools import groupby
@@ -24,7 +24,7 @@
 
 
 def outcome(records: list[dict], number: int, module: ModuleType = load_balancing) -> list:
-    """What became of one RPC: where it was sent, how it was answered, by a lenient replay."""
+    """Returns the outcome of one request in a lenient replay: the upstreams it was sent to and its answer."""
     found = []
     replay = Replay(records, module, lenient=True)
 
@@ -39,7 +39,7 @@
 
 
 def without(records: list[dict], dropped: set) -> list[dict]:
-    """The capture without these RPCs and list changes (by number, and by ("list", place))."""
+    """Returns the capture without these requests (by number) and list changes (as ("list", index))."""
     kept, place = [], 0
     for record in records:
         if record["k"] != "rows":
@@ -64,9 +64,12 @@
     module: ModuleType = load_balancing,
     wanted: Callable[[list], bool] | None = None,
 ) -> list[dict]:
-    """The fewest RPCs and list changes with which this one still ends as it did: halves, then quarters, and
-    so on
-    are left out as long as the outcome stays (ddmin). What was written down is then what comes out."""
+    """Returns the capture with the fewest requests and list changes that keep the outcome of one request.
+
+    Leaves out halves, then quarters and so on, as long as the outcome stays (ddmin). Results in the returned
+    capture are those of its own replay. `wanted`: tells whether an outcome is accepted; by default it must be
+    the same.
+    """
     goal = outcome(records, number, module)
     wanted = wanted or (lambda found: found == goal)
     parts: list = [
@@ -97,7 +100,10 @@
 
 
 def rewritten(records: list[dict], module: ModuleType = load_balancing) -> list[dict]:
-    """A capture whose results are what these decisions answer now: calls that can't be made are left out."""
+    """Returns the capture with the results of these decisions in place of the recorded ones.
+
+    Calls that can't be made are left out.
+    """
     made: list[dict] = []
     replay = Replay(records, module, lenient=True)
     rows: list[list] = []
--- a/shedgrade/sidecar/capture/state.py
+++ b/shedgrade/sidecar/capture/state.py
@@ -1,11 +1,11 @@
-"""The module's whole state as plain data, and back. No I/O.
+"""The whole state of a balancer as plain data, and back. No I/O.
 
-    state = freeze(balancer, number)     number: gives an RPC's number for its tag
-    balancer, rpcs = thaw(state, module) module: the decisions to put it into; rpcs by number
+    state = freeze(balancer, number)     number: returns the number of a request for its tag
+    balancer, rpcs = thaw(state, module) module: the decisions that the state is put into; rpcs: by number
 
-Objects of the module become rows that name their fields, and refer to each other by place, so that a capture
-may
-begin in the middle, whatever is in hand. Nothing is pickled: reading a capture runs none of its bytes.
+Objects of the balancer become rows that name their fields, and refer to each other by index, so that a
+capture may begin at any time, whatever is in flight. Nothing is pickled: reading a capture executes none of
+its bytes.
 """
 
 from collections.abc import Callable, Iterable
@@ -15,12 +15,12 @@
 
 from shedgrade.sidecar.capture.stored_names import ATTRIBUTES, CLASSES, STORED_ATTRIBUTES, STORED_CLASSES
 
-VERSION = 6  # of the decisions' fields: what was frozen of others can't be gone on with
-DRAWS = {"chance": "random", "span": "uniform", "pick": "choices"}  # stored name: draw from the one Random
+VERSION = 6  # of the fields of the state; a state with other fields can't be restored
+DRAWS = {"chance": "random", "span": "uniform", "pick": "choices"}  # stored name -> method of the one Random
 
 
 class StateError(Exception):
-    """Why a state can't be put into these decisions, in one line."""
+    """A state does not fit the balancer; the text says why in one line."""
 
 
 PLAIN = frozenset((int, float, bool, str, type(None)))
@@ -28,7 +28,7 @@
 
 
 def fields(thing: object) -> dict:
-    """Attributes by name, in a fixed order; those never set are left out."""
+    """Returns an object's attributes by name, in a fixed order, without those that were never set."""
     if hasattr(thing, "__dict__"):
         return dict(thing.__dict__)
     return {
@@ -37,7 +37,11 @@
 
 
 def freeze(balancer: object, number: Callable[[object], int], rpcs: Iterable = ()) -> dict:
-    """`rpcs`: those in hand, as the balancer itself names only the ones that wait for something."""
+    """Returns the balancer's state as plain data.
+
+    `number`: returns the number of a request for its tag. `rpcs`: all requests in flight, as the balancer
+    itself refers only to those that wait for something. StateError if a value has no stored form.
+    """
     rows: list[list] = []
     places: dict[int, int] = {}
 
@@ -73,7 +77,7 @@
             return ["d", [[spell(key), spell(one)] for key, one in value.items()]]
         if kind.__name__ in STORED_CLASSES:
             return ["o", place(value)]
-        raise StateError(f"a {kind.__name__} has no form here")
+        raise StateError(f"a value of type {kind.__name__} can't be stored")
 
     told = {}
     stored_names = STORED_ATTRIBUTES["Balancer"]
@@ -92,21 +96,25 @@
 
 
 def thaw(state: dict, module: ModuleType, kind: type | None = None) -> tuple[object, dict[int, object]]:
-    """`kind`: a subclass of the module's Balancer to be made in its place. StateError if it does not fit."""
+    """Returns the balancer of a stored state, and its requests in flight by number.
+
+    `module`: the decisions to use; `kind`: a subclass of the module's Balancer to create in its place.
+    StateError if the state does not fit the module.
+    """
     try:
         return put_back(state, module, kind or module.Balancer)
     except (AttributeError, IndexError, KeyError, TypeError, ValueError) as wrong:
-        raise StateError(f"the state is not of these decisions: {wrong!r}") from wrong
+        raise StateError(f"the state does not fit these decisions: {wrong!r}") from wrong
 
 
 def put_back(state: dict, module: ModuleType, kind: type) -> tuple[object, dict[int, object]]:
-    """As `thaw`, with the errors of a state that does not fit as they are."""
+    """As `thaw`, but a state that does not fit may also raise other errors."""
     if state["v"] != VERSION:
         raise StateError(f"state of version {state['v']}")
     made = []
     for name, _ in state["rows"]:
         if name not in CLASSES:
-            raise StateError(f"an object {name!r} is not known")
+            raise StateError(f"unknown class {name!r}")
         cls = getattr(module, CLASSES[name])
         made.append(cls.__new__(cls))
 
@@ -126,7 +134,7 @@
         attributes, stored_names = ATTRIBUTES[name], STORED_ATTRIBUTES[name]
         known = {stored_names.get(slot, slot) for slot in type(thing).__slots__} - {"home"}
         if not set(told) <= known or not told:
-            raise StateError(f"{name} has other fields there: {sorted(set(told) - known)}")
+            raise StateError(f"{name} has other fields: {sorted(set(told) - known)}")
         for field, value in told.items():
             setattr(thing, attributes.get(field, field), value if field == "tag" else read(value))
         if name == "Rpc":
--- a/shedgrade/sidecar/capture/stored_names.py
+++ b/shedgrade/sidecar/capture/stored_names.py
@@ -1,9 +1,9 @@
-"""Names of the decisions' classes and attributes as checkpoints of version 6 store them.
+"""Names of the balancer's classes and attributes as checkpoints of version 6 store them.
 
-A checkpoint names what it holds by the attributes that the decisions had when version 6 was set. They have
-been renamed since; these tables give the stored name of each one that is called otherwise now. What is in no
-table is stored under its own name. The order of attributes in a checkpoint is that of `__slots__`, or that
-in which `Balancer.__init__` sets them.
+A checkpoint stores attributes under the names that they had when version 6 was defined. Some have been
+renamed since; these tables map the stored name to the present one. A name that is in no table is stored as
+it is. Attributes stand in a checkpoint in the order of `__slots__`, or in the order in which
+`Balancer.__init__` sets them.
 """
 
 # By class: stored name -> attribute.
@@ -140,7 +140,7 @@
         "turned_away": "rejecting_zones",
     },
 }
-# Stored name of a class -> its name in the decisions' module.
+# Stored name of a class -> its name in the balancer's module.
 CLASSES: dict[str, str] = {
     "Upstream": "Upstream",
     "Zone": "Zone",
--- a/shedgrade/sidecar/learned_state_file.py
+++ b/shedgrade/sidecar/learned_state_file.py
@@ -1,8 +1,8 @@
-"""What the balancer learned, between its own indices and names that hold across restarts. No I/O.
+"""Conversion of the balancer's learned state to its stored form and back. No I/O.
 
-`load_balancing.learned_state.export` gives it by index; indices, zones and machine types are this process's
-own. On disk stand names. What comes back is checked as a whole: a state that is not sound, or of other zones
-or machine types, is left out, never half taken.
+`load_balancing.learned_state.export` returns it by index, and the indices of upstreams, zones and machine
+types are this process's own. The stored form has names in their place, which stay valid over a restart. A
+stored state is checked as a whole: one with invalid values, or of other zones or machine types, is refused.
 """
 
 from collections.abc import Iterator
@@ -13,28 +13,40 @@
 from msgspec import Struct
 
 VERSION = 1
-SUMS = 5  # of the line fitted through times by load: two weights and three moments
-LEAST_SUM = 0.01  # of what the fitted line divides by
+SUMS = 5  # of the regression of duration on load: two weights and three moments
+LEAST_SUM = 0.01  # minimum of the sums that the regression divides by
 
 
 class StoredLearnedState(Struct, forbid_unknown_fields=True):
-    """The balancer's form, version 1, with ids in place of indices, and the names its numbers stand for.
-    Keys are those of the files."""
+    """The balancer's export, version 1, with ids in place of indices, and the names its numbers refer to.
+
+    The names of the encoded fields are those of stored files.
+
+    version: version of the format.
+    sums: sums of the regression of duration on load.
+    memory: decay time of the statistics, tenths of a ms.
+    kinds: by machine type: its index, observed duration and expected duration.
+    windows: concurrency limit of each zone; None for no limit.
+    upstreams: observed and foreseen duration, successes, failures and their age in seconds, by id.
+    zones: names of the zones.
+    machine_types: names of the machine types.
+    last_used: when operators reinstated an upstream, and when it was last sent a request, by id.
+    late: written by older versions and not used.
+    """
 
     version: int = msgspec.field(name="v")
     sums: list[float]
     memory: float
     kinds: list[tuple[int, float, float]]
-    windows: list[float | None]  # by zone
+    windows: list[float | None]
     upstreams: list[tuple[str, float, float, float, float, float]] = msgspec.field(name="ups")
     zones: list[str]
     machine_types: list[str] = msgspec.field(name="shapes")
-    # By upstream: when operators put it back, when it was last sent to.
     last_used: list[tuple[str, int, int]] = msgspec.field(name="used", default_factory=list)
-    late: float = 0.0  # of older files: no longer used
+    late: float = 0.0
 
     def numbers(self) -> Iterator[float]:
-        """All that have to be finite and not negative."""
+        """Yields all values that must be finite and not negative."""
         yield from self.sums
         yield self.memory
         yield self.late
@@ -45,7 +57,7 @@
             yield from figures
 
     def is_sound(self) -> bool:
-        """Whether the balancer can go on with these numbers."""
+        """Returns whether the balancer can work with these values."""
         return (
             len(self.sums) == SUMS
             and all(isfinite(number) and number >= 0 for number in self.numbers())
@@ -61,7 +73,7 @@
 def to_disk(
     state: dict[str, Any], ids: list[str], zones: list[str], machine_types: list[str]
 ) -> dict[str, Any]:
-    """The balancer's export as it is stored. `ids`: by index of the upstream."""
+    """Returns the stored form of the balancer's export. `ids`: ids of the upstreams by index."""
     return {
         **state,
         "ups": [[ids[index], *rest] for index, *rest in state["ups"]],
@@ -74,8 +86,10 @@
 def from_disk(
     state: dict[str, Any], known: dict[str, int], zones: list[str], machine_types: list[str]
 ) -> dict[str, Any] | None:
-    """The state for `learned_state.restore`, or None if it is of no use. `known`: indices by id, of the
-    upstreams in the list."""
+    """Returns the state for `learned_state.restore`, None if invalid or of other zones or machine types.
+
+    `known`: indices of the listed upstreams by id; others are left out.
+    """
     try:
         stored = msgspec.convert(state, StoredLearnedState)
     except msgspec.ValidationError:
--- a/shedgrade/sidecar/shadow_policy/__init__.py
+++ b/shedgrade/sidecar/shadow_policy/__init__.py
@@ -1,1 +1,1 @@
-"""Watching: where settings of another shape would have decided otherwise, counted beside the decisions."""
+"""Shadow policy: counts where other settings would have decided otherwise than those in use."""
--- a/shedgrade/sidecar/shadow_policy/follower.py
+++ b/shedgrade/sidecar/shadow_policy/follower.py
@@ -1,7 +1,7 @@
-"""A second set of decisions that is told what really happened, and asked what it would have done. No I/O.
+"""The follower: a second balancer that receives the same events, and proposes its own decisions. No I/O.
 
-`Follower` is the module's own Balancer. Its RPCs only propose: what is really done is then done to them too
-(`follow`), so that both know of the same transmissions, whatever was proposed.
+`Follower` is a Balancer under other settings. Its requests only propose a decision; the real one is then
+applied to them too (`follow`), so that both balancers know of the same transmissions, whatever was proposed.
 """
 
 from shedgrade import load_balancing
@@ -25,7 +25,11 @@
 
 
 class FollowerRpc(load_balancing.Rpc):
-    """Proposes, and changes nothing by it but its own rotation and luck."""
+    """A request that proposes decisions. A proposal changes only the follower's rotation and random draws.
+
+    is_proposing: a decision is only proposed, so nothing is transmitted or finished.
+    counted_kinds: kinds of difference that were counted for this request.
+    """
 
     __slots__ = ("is_proposing", "counted_kinds")
 
@@ -35,7 +39,7 @@
         super().__init__(*args)
 
     def propose(self, now: int) -> tuple[int, int] | None:
-        """What it would decide now; nothing is done."""
+        """Returns what it would decide now, without doing it."""
         self.is_proposing = True
         try:
             return self.decide(now)
@@ -43,15 +47,15 @@
             self.is_proposing = False
 
     def transmit(self, now: int, up: load_balancing.Upstream, repeat: bool) -> tuple[int, int]:
-        """An attempt that is only proposed is not registered."""
+        """Registers an attempt, except for a proposal."""
         return (up.index, 0) if self.is_proposing else super().transmit(now, up, repeat)
 
     def finish(self) -> list[int]:
-        """A proposal ends nothing."""
+        """Ends the request, except for a proposal."""
         return [] if self.is_proposing else super().finish()
 
     def follow(self, now: int, answer: tuple[int, int] | None) -> None:
-        """What was really decided."""
+        """Applies the real decision."""
         if answer is None:
             return
         if answer[0] >= 0:
@@ -61,13 +65,13 @@
 
 
 class Follower(load_balancing.Balancer):
-    """The decisions under the other settings."""
+    """A Balancer under the other settings."""
 
     rpc_class = FollowerRpc
 
 
 def differs(rpc: FollowerRpc, real: tuple | None, there: tuple | None) -> str | None:
-    """The kind of difference between what was decided and what would have been, or None.
+    """Returns the kind of difference between the real decision and the follower's, None for no difference.
 
     Time limits are not compared: they follow from the upstream and the method's deadlines.
     """
--- a/shedgrade/sidecar/shadow_policy/part.py
+++ b/shedgrade/sidecar/shadow_policy/part.py
@@ -1,4 +1,4 @@
-"""Watching as a part of the sidecar: what stands in the decisions' place, and the counts in the log."""
+"""Feature of the sidecar that compares its decisions with those under other settings, and logs the counts."""
 
 from collections.abc import Callable
 
@@ -12,14 +12,19 @@
 from shedgrade.sidecar.shadow_policy.shadow import ShadowedBalancer
 from shedgrade.upstream_pool.errors import ConfigError
 
-SECOND = 10_000
+SECOND = 10_000  # tenths of a ms
 
 
 class ShadowPolicyPart(Feature):
-    """Made before the sidecar, as it makes what stands in the decisions' place (`decisions`)."""
+    """The shadow policy as a feature. It is created before the sidecar, whose balancer `decisions` makes."""
 
     def __init__(self, config, path: str, inner: Callable | None = None) -> None:
-        """`inner`: makes the decisions, where another part (capture) does."""
+        """Keeps the configuration.
+
+        config: settings of the shadow policy.
+        path: file that they were read from, for errors.
+        inner: creates the balancer, where another feature (capture) does; None for a plain Balancer.
+        """
         self.config = config
         self.path = path
         self.inner = inner or load_balancing.Balancer
@@ -27,7 +32,10 @@
         self.tell_at = 0
 
     def decisions(self, settings: dict, seed: int, now: int) -> ShadowedBalancer:
-        """As a Balancer is made. Only the platform's own pool is watched."""
+        """Creates the balancer with its follower, in place of a Balancer, for the platform's own pool only.
+
+        ConfigError if the settings of the follower are not valid.
+        """
         other = overlaid(settings, self.config.settings)
         wrong = shape_problem(other)
         if wrong is None:
@@ -48,22 +56,22 @@
         return self.watched
 
     def join(self, sidecar) -> None:
-        """Takes its place in the sidecar, as an observer of dispatch passes."""
+        """Registers as a feature of the sidecar and as an observer of dispatch passes."""
         sidecar.pool.dispatcher.observers = (*sidecar.pool.dispatcher.observers, self)
         sidecar.features.append(self)
 
     def after_turn(self, now: int, late: int) -> None:
-        """Tells the differences so far, at most each `every_s`."""
+        """Logs the differences so far, at most once in `every_s`."""
         if now >= self.tell_at:
             self.tell_at = now + int(self.config.every_s * SECOND)
             logger.info("shadow policy compared", differences=self.watched.line())
 
-    # --- the sidecar's life
+    # --- lifecycle of the sidecar
 
     def start(self) -> None:
-        """Tells that the comparison is on."""
+        """Logs that the comparison has started."""
         logger.info("shadow policy started", settings=len(self.config.settings))
 
     def close(self) -> None:
-        """Tells the differences of the whole run."""
+        """Logs the differences of the whole run."""
         logger.info("shadow policy compared", differences=self.watched.line())
--- a/shedgrade/sidecar/shadow_policy/shadow.py
+++ b/shedgrade/sidecar/shadow_policy/shadow.py
@@ -1,7 +1,7 @@
-"""What stands in the decisions' place where watching is on: passes each call on, and tells the follower.
+"""Wrapper that takes the balancer's place where a shadow policy is on: passes calls on, also to the follower.
 
-What comes back is always what the decisions said. The follower is asked after them and behind a guard: a
-fault of its own is logged once, and it is dropped.
+Results are always those of the balancer. The follower is called after it, and is isolated: its first error is
+logged, and the follower dropped.
 """
 
 from collections import Counter
@@ -15,7 +15,12 @@
 
 
 class ShadowedRpc:
-    """An RPC as the turn holds it; whatever is asked of it beyond the calls below is the decisions' own."""
+    """The handle of one request, as the dispatcher holds it; other attributes are those of the real handle.
+
+    rpc: the balancer's handle.
+    owner: the wrapper of the balancer.
+    shadow: the follower's handle; None if it had failed before.
+    """
 
     __slots__ = ("rpc", "owner", "shadow")
 
@@ -28,7 +33,7 @@
         return getattr(self.rpc, name)
 
     def decide(self, now: int) -> tuple[int, int] | None:
-        """Decides, then compares with what the follower would have done."""
+        """Decides, then compares with the follower's decision."""
         answer = self.rpc.decide(now)
         if self.shadow is not None:
             self.owner.guarded(self.owner.compare, now, self.shadow, answer)
@@ -37,27 +42,27 @@
     def attempt_finished(
         self, now: int, tx: int, outcome: int, took: int, settled: bool, fresh: bool = False
     ) -> list[int]:
-        """Passed on, then told to the follower."""
+        """Passes the outcome of an attempt on, also to the follower."""
         stops = self.rpc.attempt_finished(now, tx, outcome, took, settled, fresh)
         if self.shadow is not None:
             self.owner.guarded(self.shadow.attempt_finished, now, tx, outcome, took, settled, fresh)
         return stops
 
     def response_started(self, lasting: bool = False) -> None:
-        """Passed on, then told to the follower."""
+        """Passes the start of the response on, also to the follower."""
         self.rpc.response_started(lasting)
         if self.shadow is not None:
             self.owner.guarded(self.shadow.response_started, lasting)
 
     def body_received(self, now: int, give_up_at: int, here: bool, whole: bool) -> int:
-        """Passed on, then told to the follower."""
+        """Passes the progress of a request's body on, also to the follower."""
         limit = self.rpc.body_received(now, give_up_at, here, whole)
         if self.shadow is not None:
             self.owner.guarded(self.shadow.body_received, now, give_up_at, here, whole)
         return limit
 
     def client_disconnected(self, now: int) -> list[int]:
-        """Passed on, then told to the follower."""
+        """Passes the disconnect on, also to the follower."""
         stops = self.rpc.client_disconnected(now)
         if self.shadow is not None:
             self.owner.guarded(self.shadow.client_disconnected, now)
@@ -65,13 +70,17 @@
 
 
 class ShadowedBalancer:
-    """In the place of a Balancer: the same calls, the same answers."""
+    """Takes the place of a Balancer: the same calls with the same results, compared with the follower's."""
 
     def __init__(
         self, inner: object, follower: Callable[[], Follower], overlay: Callable[[dict], dict] = dict
     ) -> None:
-        """`inner`: the decisions; `follower`: makes those under the other settings; `overlay`: what those are
-        for the platform's settings."""
+        """Keeps the balancer, and creates the follower.
+
+        inner: the balancer.
+        follower: creates the follower, under the other settings.
+        overlay: returns the follower's settings for new settings of the platform.
+        """
         self.inner = inner
         self.overlay = overlay
         self.follower: Follower | None = None
@@ -83,19 +92,19 @@
         return getattr(self.inner, name)
 
     def begin(self, follower: Callable[[], Follower]) -> None:
-        """Makes the follower; without one nothing is compared."""
+        """Creates the follower. If that fails, nothing is compared."""
         try:
             self.follower = follower()
         except Exception as failure:
             self.drop(failure)
 
     def drop(self, failure: Exception) -> None:
-        """Goes on without a follower after its fault, which is logged."""
+        """Logs the follower's error, and goes on without a follower."""
         self.follower = None
         logger.warning("shadow policy failed", error=repr(failure))
 
     def guarded(self, call: Callable, *args: object) -> object:
-        """Guards the decisions: nothing that the follower does wrong reaches them."""
+        """Calls a method of the follower; drops the follower if it fails, so that no error gets further."""
         if self.follower is None:
             return None
         try:
@@ -105,23 +114,23 @@
             return None
 
     def compare(self, now: int, shadow: FollowerRpc, answer: tuple[int, int] | None) -> None:
-        """Counts a difference, then does to the follower what was really decided."""
+        """Counts a difference, then applies the real decision to the follower."""
         kind = differs(shadow, answer, shadow.propose(now))
         self.count(shadow, kind)
         shadow.follow(now, answer)
 
     def count(self, shadow: FollowerRpc, kind: str | None) -> None:
-        """Each kind once an RPC: what is held is asked again and again."""
+        """Counts each kind once per request, as a queued request is decided on again and again."""
         if kind is not None and kind not in shadow.counted_kinds:
             shadow.counted_kinds.add(kind)
             self.counts[kind] += 1
 
-    # --- the calls
+    # --- calls of the balancer
 
     def admit(
         self, now: int, method: int, give_up_at: int, retry: bool = False, tag: object = None, tenant: int = 0
     ) -> ShadowedRpc:
-        """Passed on; the follower admits the request too."""
+        """Passes the request on, also to the follower."""
         rpc = self.inner.admit(now, method, give_up_at, retry, tag, tenant)
         self.rpcs += 1
         shadow = self.guarded(self.admit_to_follower, now, method, give_up_at, retry, tenant)
@@ -130,12 +139,14 @@
     def admit_to_follower(
         self, now: int, method: int, give_up_at: int, retry: bool, tenant: int
     ) -> FollowerRpc:
-        """Admits the request to the follower."""
+        """Admits the request in the follower."""
         return self.follower.admit(now, method, give_up_at, retry, None, tenant)
 
     def due(self, now: int) -> Iterator[load_balancing.Rpc]:
-        """Both go through what is due side by side; what only the follower would ask again is compared with
-        nothing."""
+        """Yields the requests to decide on again, while the follower goes through its own in step.
+
+        A request that only the follower would decide on is compared with no decision.
+        """
         theirs = self.guarded(self.follower.due, now) if self.follower is not None else None
         for rpc in self.inner.due(now):
             self.guarded(self.step, theirs, rpc.tag.rpc.shadow, now)
@@ -144,88 +155,88 @@
             pass
 
     def step(self, theirs, wanted: FollowerRpc | None, now: int) -> bool:
-        """One step of the follower's own; False when it has nothing more, or names the one that is asked."""
+        """Takes the follower's next request; returns False if it has none, or has reached the wanted one."""
         shadow = next(theirs, None)
         if shadow is None or shadow is wanted:
             return False
         if shadow.queue_entry is not None and wanted is None:
-            # It goes on naming the first that is held for as long as that has not been answered.
+            # The follower yields its first queued request again until that one is answered.
             self.count(shadow, differs(shadow, None, shadow.propose(now)))
             return False
         self.count(shadow, differs(shadow, None, shadow.propose(now)))
         return True
 
     def list_changed(self, now: int, rows: list, whole: bool, asked: bool) -> None:
-        """Passed on, then told to the follower."""
+        """Passes the rows of the endpoint list on, also to the follower."""
         self.inner.list_changed(now, rows, whole, asked)
         if self.follower is not None:
             self.guarded(self.follower.list_changed, now, rows, whole, asked)
 
     def list_failed(self, now: int) -> None:
-        """Passed on, then told to the follower."""
+        """Passes the failed request for the list on, also to the follower."""
         self.inner.list_failed(now)
         if self.follower is not None:
             self.guarded(self.follower.list_failed, now)
 
     def mark_unverified(self, now: int, upstreams: list[int], ends: int, last: bool) -> None:
-        """Passed on, then told to the follower."""
+        """Passes the call on, also to the follower."""
         self.inner.mark_unverified(now, upstreams, ends, last)
         if self.follower is not None:
             self.guarded(self.follower.mark_unverified, now, upstreams, ends, last)
 
     def set_withdrawn(self, now: int, upstream: int, out: bool) -> None:
-        """Passed on, then told to the follower."""
+        """Passes the operators' order on, also to the follower."""
         self.inner.set_withdrawn(now, upstream, out)
         if self.follower is not None:
             self.guarded(self.follower.set_withdrawn, now, upstream, out)
 
     def update_settings(self, settings: dict) -> None:
-        """Passed on, then told to the follower."""
+        """Passes the new settings on; the follower gets them with its own values in place."""
         self.inner.update_settings(settings)
         if self.follower is not None:
             self.guarded(self.follow_settings, settings)
 
     def follow_settings(self, settings: dict) -> None:
-        """Gives the follower the new settings with its own differences."""
+        """Gives the follower the new settings, with its own values in place."""
         self.follower.update_settings(self.overlay(settings))
 
     def set_slow_start_share(self, part: float) -> None:
-        """Passed on, then told to the follower."""
+        """Passes the new share on, also to the follower."""
         self.inner.set_slow_start_share(part)
         if self.follower is not None:
             self.guarded(self.follower.set_slow_start_share, part)
 
     def restore(self, now: int, state: dict, age: float) -> None:
-        """Passed on, then told to the follower."""
+        """Restores the learned state, also in the follower."""
         learned_state.restore(self.inner, now, state, age)
         if self.follower is not None:
             self.guarded(learned_state.restore, self.follower, now, state, age)
 
     def wants_list(self, now: int) -> bool:
-        """Passed on, then told to the follower."""
+        """Asks the follower too, and returns the balancer's answer."""
         if self.follower is not None:
             self.guarded(self.follower.wants_list, now)
         return self.inner.wants_list(now)
 
     def take_released(self) -> list[int]:
-        """Passed on, then told to the follower."""
+        """Calls the follower too, and returns the balancer's upstreams."""
         if self.follower is not None:
             self.guarded(self.follower.take_released)
         return self.inner.take_released()
 
     def draw_admission(self, method: int) -> float:
-        """Drawn there too, or chance would part the two for good."""
+        """Draws in the follower too, which keeps both random sequences the same."""
         if self.follower is not None:
             self.guarded(self.follower.draw_admission, method)
         return self.inner.draw_admission(method)
 
     def uniform(self, low: float, high: float) -> float:
-        """Drawn there too, or chance would part the two for good."""
+        """Draws in the follower too, which keeps both random sequences the same."""
         if self.follower is not None:
             self.guarded(self.follower.uniform, low, high)
         return self.inner.uniform(low, high)
 
     def line(self) -> str:
-        """What was counted, for the log."""
+        """Returns the counts in words, for the log."""
         told = ", ".join(f"{kind} {count}" for kind, count in sorted(self.counts.items()))
         return f"{self.rpcs} RPCs, {told or 'no difference'}{'' if self.follower else ', no longer watched'}"
--- a/tests/sidecar/capture/capture_world.py
+++ b/tests/sidecar/capture/capture_world.py
@@ -1,4 +1,4 @@
-"""A small world of upstreams and clients by seed, driving recorded decisions as the turn does."""
+"""Simulated upstreams and clients, by seed, that drive a recorded balancer as the dispatcher does."""
 
 from random import Random
 from types import SimpleNamespace
@@ -13,8 +13,7 @@
 
 
 class World:
-    """Drives decisions as the turn does: turns by time, ends by chance, drains, removals, clients that
-    leave."""
+    """Drives a balancer in steps of time: random outcomes, drains, removals, and clients that disconnect."""
 
     def __init__(self, seed, most=2**20, **more):
         self.chance, self.now = Random(seed), 100
@@ -97,7 +96,7 @@
 
 
 def capture(seed=4, turns=300):
-    """The bytes of a short capture."""
+    """Returns the content of a short capture."""
     world = World(seed)
     world.run(turns)
     return world.ring.data()
--- a/tests/sidecar/capture/test_older_decisions.py
+++ b/tests/sidecar/capture/test_older_decisions.py
@@ -1,4 +1,4 @@
-"""Decisions of the program as found, loaded beside the present ones: `replay --with` an older checkout."""
+"""Decisions of an earlier version, loaded beside the present ones: `replay --with` an older checkout."""
 
 import sys
 import zipfile
@@ -25,7 +25,7 @@
 
 @pytest.fixture
 def checkout(tmp_path):
-    """The decisions of the program as found, in the folder they had then."""
+    """A checkout that has only the decisions of an earlier version, in the folder of that version."""
     with zipfile.ZipFile(DATA / "decisions-as-found.zip") as archive:
         archive.extractall(tmp_path)
     return tmp_path
--- a/tests/sidecar/capture/test_operating.py
+++ b/tests/sidecar/capture/test_operating.py
@@ -1,4 +1,4 @@
-"""Operators' orders, other settings, an upgrade's division and long requests, captured and replayed."""
+"""Capture and replay of operators' orders, changed settings, the slow start share and long requests."""
 
 from types import SimpleNamespace
 
@@ -18,7 +18,7 @@
 
 
 def happen(b):
-    """Orders, retuning and a long request between two RPCs; what was decided, in order."""
+    """Makes orders, setting changes and a long request between other requests; returns what was decided."""
     conf = settings([method("once", soft=9e3, hard=9e3)])
     b.list_changed(0, [row(up) for up in range(3)], True, True)
     found = []
--- a/tests/sidecar/capture/test_part.py
+++ b/tests/sidecar/capture/test_part.py
@@ -1,5 +1,6 @@
-"""Capture in a sidecar on loopback: dumps asked for and at faults, files as it goes, a disk that fails, the
-command."""
+"""Capture in a sidecar on loopback: dumps on a signal and after errors, continuous files, a failing disk, and
+the command `replay`.
+"""
 
 import asyncio
 import os
@@ -30,7 +31,7 @@
 
 
 class CaptureWorld(World):
-    """The sidecar is made anew with the recorder in the decisions' place, as `serve` does."""
+    """Creates the sidecar with the recorder as its balancer, as `serve` does."""
 
     def prepare(self):
         self.part = CapturePart(self.capture)
@@ -72,7 +73,7 @@
     for _ in range(3):
         one = Replay(records)
         assert list(one.run()) == [] and one.calls > 200
-    # And from its checkpoint alone.
+    # The replay also works from the checkpoint alone.
     middle = next(place for place, one in enumerate(records) if one["k"] == "state")
     assert list(Replay(records[middle:]).run()) == []
     run = CliRunner().invoke(
@@ -93,7 +94,7 @@
         world.capture = Capture(folder=str(tmp_path))
         async with world:
             await ask(world, request(b"x", "/m/1", 9000, "a"))
-            # As the log hands it over; the log itself must stay without faults in these tests.
+            # Calls the log sink directly, as an error in the log itself would fail these tests.
             world.part.heard("fault in the loop: planted\n")
             world.part.heard("fault in the loop: another at once\n")
             await until(lambda: captures(tmp_path))
--- a/tests/sidecar/capture/test_replay.py
+++ b/tests/sidecar/capture/test_replay.py
@@ -1,5 +1,6 @@
-"""Capture and replay without I/O: a small world of upstreams and clients by seed, and what is made of its
-record."""
+"""Capture and replay without I/O: simulated upstreams and clients, by seed, and what a replay makes of their
+capture.
+"""
 
 from types import SimpleNamespace
 
@@ -57,7 +58,7 @@
     records = world.run(1500)
     assert world.ring.dropped and records[0]["k"] == "state"
     assert same(records).calls > 10
-    # Cut off within a record: read up to there, and the same so far.
+    # A capture cut off within a record is read up to there, and has the same results so far.
     data = world.ring.data()
     _, cut, why = file_frames.read(data[: len(data) * 2 // 3], KIND)
     assert "torn" in why
@@ -98,7 +99,7 @@
 def test_load_is_shed_a_gap_says_so_and_a_checkpoint_begins_anew():
     world = World(7, checkpoint=10**9)
     world.run(200)
-    world.run(100, late=50)  # over 50 ms, after which it looks again
+    world.run(100, late=50)  # over 50 ms, the interval between two load checks
     assert world.balancer.skipping
     for _ in range(10):
         world.now += CALM // 5
--- a/tests/sidecar/shadow_policy/test_watch.py
+++ b/tests/sidecar/shadow_policy/test_watch.py
@@ -1,5 +1,6 @@
-"""Watching: nothing is counted where the settings are equal, the right kind where one differs, and whatever
-the follower does wrong reaches nobody."""
+"""Shadow policy: equal settings count no differences, each other setting its kind, and an error of the
+follower changes no answer.
+"""
 
 import json
 import subprocess
@@ -28,7 +29,7 @@
 
 
 class Day:
-    """Drives watched decisions as the turn does, with drains, faults, hangs and clients that leave."""
+    """Drives a balancer with a follower as the dispatcher does: drains, errors, hangs, client disconnects."""
 
     def __init__(self, seed, over, busy=4, **more):
         self.chance, self.now = Random(seed), 100
@@ -116,7 +117,7 @@
     assert more["another transmission"] > 0
     parts = kinds({"limits": {"multiplex": 50}, "balancers": 400})
     assert parts["other upstream"] > 0
-    # No advice: it is told for exhausted RPCs only, so that is the one kind.
+    # The retry delay is only given for exhausted requests, so no other kind may differ.
     assert set(kinds({"limits": {"retry_after": False}})) == {"other advice"}
     shares = [{"name": "a", "allowance_per_s": 0.1}, {"name": "b", "allowance_per_s": 900.0}]
     told = kinds({"customers": shares, "excess_payoff": 0.1}, busy=12)
@@ -174,7 +175,7 @@
 
 
 class WatchWorld(World):
-    """The sidecar is made anew with the follower beside the decisions, as `serve` does."""
+    """Creates the sidecar with a follower beside its balancer, as `serve` does."""
 
     def prepare(self):
         self.part = ShadowPolicyPart(Watch(settings=self.over, every_s=1.0), "features")
@@ -213,7 +214,7 @@
 
 
 class BothWorld(World):
-    """Capture and watching, assembled as `serve` assembles them."""
+    """Capture and shadow policy, assembled as `serve` assembles them."""
 
     def prepare(self):
         before = self.sidecar
