--- a/shedgrade/sidecar/capture/explanation.py
+++ b/shedgrade/sidecar/capture/explanation.py
@@ -4,13 +4,13 @@
 
 from shedgrade import load_balancing
 from shedgrade.sidecar.capture.older_decisions import METHODS
-from shedgrade.sidecar.capture.replay import OF_RPC, Replay
+from shedgrade.sidecar.capture.replay import RPC_OPERATIONS, Replay
 from shedgrade.sidecar.capture.rows import (
+    ATTEMPT_FINISHED,
+    CLIENT_DISCONNECTED,
     DECIDE,
-    ENDED,
-    GONE,
-    NOTHING,
-    STARTED,
+    NO_DECISION,
+    RESPONSE_STARTED,
     TAKE,
     calls,
 )
@@ -141,7 +141,7 @@
         balancer = replay.balancer
         op, told = row[0], row[2:]
         heard, balancer.lines = balancer.lines or [], None
-        if op not in OF_RPC or told[0] != number:
+        if op not in RPC_OPERATIONS or told[0] != number:
             return
         at = f"{(now - begun[0]) / 10:.1f} ms"
         if op == TAKE:
@@ -150,7 +150,7 @@
                 f"RPC {number}: method {told[1]}, gives up after {told[2] / 10:.0f} ms"
                 f"{', a marked retry' if told[3] else ''}"
             )
-        elif op in (DECIDE, NOTHING):
+        elif op in (DECIDE, NO_DECISION):
             if got is None:
                 lines.extend([f"{at}: nothing yet", *heard] if heard else [])
             elif got[0] >= 0:
@@ -159,14 +159,14 @@
             else:
                 said = "exhausted" if got[0] == load_balancing.EXHAUSTED else "errored, as it may have run"
                 lines.extend([f"{at}: answered {said}", *heard])
-        elif op == ENDED:
+        elif op == ATTEMPT_FINISHED:
             lines.append(
                 f"{at}: transmission {told[1]} {OUTCOMES[told[2]]} after {told[3] / 10:.1f} ms"
                 f"{', which answers it' if told[4] else ''}"
             )
-        elif op == GONE:
+        elif op == CLIENT_DISCONNECTED:
             lines.append(f"{at}: its client left")
-        elif op == STARTED:
+        elif op == RESPONSE_STARTED:
             lines.append(f"{at}: its stream is open")
 
     replay.watch = watch
@@ -175,7 +175,7 @@
 
     def call(now: int, row: list) -> tuple[object, object]:
         balancer = replay.balancer
-        if row[0] in (DECIDE, NOTHING) and row[2] == number:
+        if row[0] in (DECIDE, NO_DECISION) and row[2] == number:
             balancer.names, balancer.lines = replay.names, []
         else:
             balancer.lines = None
--- a/shedgrade/sidecar/capture/recorder.py
+++ b/shedgrade/sidecar/capture/recorder.py
@@ -11,27 +11,27 @@
 from shedgrade import load_balancing
 from shedgrade.load_balancing import learned_state
 from shedgrade.sidecar.capture.rows import (
-    BATCH,
-    COMING,
+    ATTEMPT_FINISHED,
+    BODY_RECEIVED,
+    CLIENT_DISCONNECTED,
     DECIDE,
-    DIVIDED,
-    DOUBT,
-    ENDED,
-    FAILED,
-    GONE,
-    LIST,
-    LUCK,
-    NOTHING,
-    ORDERED,
-    OVER,
-    RELEASED,
+    DRAW_ADMISSION,
+    DUE,
+    DUE_ENDED,
+    LIST_CHANGED,
+    LIST_FAILED,
+    MARK_UNVERIFIED,
+    NO_DECISION,
+    RESPONSE_STARTED,
     RESTORE,
-    RETUNED,
-    SPAN,
-    STARTED,
+    ROWS_PER_RECORD,
+    SET_SLOW_START_SHARE,
+    SET_WITHDRAWN,
     TAKE,
-    WANTS,
-    YIELD,
+    TAKE_RELEASED,
+    UNIFORM,
+    UPDATE_SETTINGS,
+    WANTS_LIST,
     Ring,
 )
 from shedgrade.sidecar.capture.state import freeze
@@ -85,7 +85,7 @@
         answer = self.rpc.decide(now)
         if answer is None:
             if not self.rpc.done:  # a request that is done always answers None
-                self.recorder.keep(now, NOTHING, self.number)
+                self.recorder.keep(now, NO_DECISION, self.number)
         else:
             self.recorder.keep(now, DECIDE, self.number, *answer)
             self.over()
@@ -101,25 +101,25 @@
     ) -> list[int]:
         """Passes the outcome of an attempt on, and records it with the attempts to stop."""
         stops = self.rpc.attempt_finished(now, tx, outcome, took, settled, fresh)
-        self.recorder.keep(now, ENDED, self.number, tx, outcome, took, settled, fresh, stops)
+        self.recorder.keep(now, ATTEMPT_FINISHED, self.number, tx, outcome, took, settled, fresh, stops)
         self.over()
         return stops
 
     def response_started(self, lasting: bool = False) -> None:
         """Passes the start of the response on, and records it."""
         self.rpc.response_started(lasting)
-        self.recorder.keep(self.recorder.now, STARTED, self.number, lasting)
+        self.recorder.keep(self.recorder.now, RESPONSE_STARTED, self.number, lasting)
 
     def body_received(self, now: int, give_up_at: int, here: bool, whole: bool) -> int:
         """Passes the progress of a request's body on, and records it with the time limit returned."""
         limit = self.rpc.body_received(now, give_up_at, here, whole)
-        self.recorder.keep(now, COMING, self.number, give_up_at - now, here, whole, limit)
+        self.recorder.keep(now, BODY_RECEIVED, self.number, give_up_at - now, here, whole, limit)
         return limit
 
     def client_disconnected(self, now: int) -> list[int]:
         """Passes the disconnect on, and records it with the attempts to stop."""
         stops = self.rpc.client_disconnected(now)
-        self.recorder.keep(now, GONE, self.number, stops)
+        self.recorder.keep(now, CLIENT_DISCONNECTED, self.number, stops)
         self.over()
         return stops
 
@@ -194,7 +194,7 @@
             return
         self.rows.append((op, now - self.last, *values))
         self.last = now
-        if len(self.rows) >= BATCH:
+        if len(self.rows) >= ROWS_PER_RECORD:
             self.flush()
 
     def flush(self) -> None:
@@ -300,33 +300,33 @@
         if self.spelled is not None and rows and not self.skipping:
             self.flush()
             self.add({"k": "names", "names": {str(row[0]): self.spelled(row[0]) for row in rows}})
-        self.keep(now, LIST, rows, whole, asked)
+        self.keep(now, LIST_CHANGED, rows, whole, asked)
 
     def list_failed(self, now: int) -> None:
         """Passes the failed request for the list on, and records it."""
         self.inner.list_failed(now)
-        self.keep(now, FAILED)
+        self.keep(now, LIST_FAILED)
 
     def mark_unverified(self, now: int, upstreams: list[int], ends: int, last: bool) -> None:
         """Passes the call on, and records it."""
         self.inner.mark_unverified(now, upstreams, ends, last)
-        self.keep(now, DOUBT, upstreams, ends, last)
+        self.keep(now, MARK_UNVERIFIED, upstreams, ends, last)
 
     def set_withdrawn(self, now: int, upstream: int, out: bool) -> None:
         """Passes the operators' order on, and records it."""
         self.inner.set_withdrawn(now, upstream, out)
-        self.keep(now, ORDERED, upstream, out)
+        self.keep(now, SET_WITHDRAWN, upstream, out)
 
     def update_settings(self, settings: dict) -> None:
         """Passes the new settings on, and records them."""
         self.inner.update_settings(settings)
         self.max_retry_after = self.inner.max_retry_after
-        self.keep(self.now, RETUNED, settings)
+        self.keep(self.now, UPDATE_SETTINGS, settings)
 
     def set_slow_start_share(self, part: float) -> None:
         """Passes the new share on, and records it."""
         self.inner.set_slow_start_share(part)
-        self.keep(self.now, DIVIDED, part)
+        self.keep(self.now, SET_SLOW_START_SHARE, part)
 
     def restore(self, now: int, state: dict, age: float) -> None:
         """Restores the learned state, and records it."""
@@ -346,33 +346,33 @@
         told = False
         for rpc in self.inner.due(now):
             told = True
-            self.keep(now, YIELD, rpc.tag.rpc.number)
+            self.keep(now, DUE, rpc.tag.rpc.number)
             yield rpc
         if told or at <= now:
-            self.keep(now, OVER)
+            self.keep(now, DUE_ENDED)
 
     def wants_list(self, now: int) -> bool:
         """Passes the question on; records the answer if it is True."""
         answer = self.inner.wants_list(now)
         if answer:
-            self.keep(now, WANTS, True)
+            self.keep(now, WANTS_LIST, True)
         return answer
 
     def take_released(self) -> list[int]:
         """Passes the call on; records the answer if it is not empty."""
         upstreams = self.inner.take_released()
         if upstreams:
-            self.keep(self.now, RELEASED, upstreams)
+            self.keep(self.now, TAKE_RELEASED, upstreams)
         return upstreams
 
     def uniform(self, low: float, high: float) -> float:
         """Draws a number, and records it. The caller uses it to delay its next request to discovery."""
         drawn = self.inner.uniform(low, high)
-        self.keep(self.now, SPAN, low, high, drawn)
+        self.keep(self.now, UNIFORM, low, high, drawn)
         return drawn
 
     def draw_admission(self, method: int) -> float:
         """Draws the admission number of a request, and records it."""
         drawn = self.inner.draw_admission(method)
-        self.keep(self.now, LUCK, method, drawn)
+        self.keep(self.now, DRAW_ADMISSION, method, drawn)
         return drawn
--- a/shedgrade/sidecar/capture/replay.py
+++ b/shedgrade/sidecar/capture/replay.py
@@ -12,34 +12,43 @@
 from shedgrade import load_balancing
 from shedgrade.load_balancing import learned_state
 from shedgrade.sidecar.capture.rows import (
-    COMING,
+    ATTEMPT_FINISHED,
+    BODY_RECEIVED,
+    CLIENT_DISCONNECTED,
     DECIDE,
-    DIVIDED,
-    DOUBT,
-    ENDED,
-    FAILED,
-    GONE,
-    LIST,
-    LUCK,
-    NOTHING,
-    OPS,
-    ORDERED,
-    OVER,
-    RELEASED,
+    DRAW_ADMISSION,
+    DUE,
+    DUE_ENDED,
+    LIST_CHANGED,
+    LIST_FAILED,
+    MARK_UNVERIFIED,
+    NO_DECISION,
+    OPERATIONS,
+    RESPONSE_STARTED,
     RESTORE,
-    RETUNED,
-    SPAN,
-    STARTED,
+    SET_SLOW_START_SHARE,
+    SET_WITHDRAWN,
     TAKE,
-    WANTS,
-    YIELD,
+    TAKE_RELEASED,
+    UNIFORM,
+    UPDATE_SETTINGS,
+    WANTS_LIST,
     calls,
 )
 from shedgrade.sidecar.capture.state import thaw
 
 # Finished requests that are kept for later calls in the same dispatch pass: more than any pass handles.
 LINGER = 10_000
-OF_RPC = (COMING, TAKE, DECIDE, NOTHING, ENDED, GONE, STARTED, YIELD)
+RPC_OPERATIONS = (
+    BODY_RECEIVED,
+    TAKE,
+    DECIDE,
+    NO_DECISION,
+    ATTEMPT_FINISHED,
+    CLIENT_DISCONNECTED,
+    RESPONSE_STARTED,
+    DUE,
+)
 
 
 class Difference(Struct):
@@ -47,7 +56,7 @@
 
     place: number of the call, from 1.
     now: time of the call, tenths of a ms.
-    call: the call, as named in OPS.
+    call: the call, as named in OPERATIONS.
     rpc: number of its request; None for a call on the balancer.
     told: the recorded result.
     got: the result of the replay.
@@ -184,9 +193,9 @@
             answer = self.rpc(told[0]).decide(now)
             self.over(told[0])
             return told[1:], answer
-        if op == NOTHING:
+        if op == NO_DECISION:
             return None, self.rpc(told[0]).decide(now)
-        if op == ENDED:
+        if op == ATTEMPT_FINISHED:
             number, tx, outcome, took, settled, fresh, stops = told
             rpc = self.rpc(number)
             if tx not in rpc.outstanding:
@@ -194,46 +203,46 @@
             got = rpc.attempt_finished(now, tx, outcome, took, settled, fresh)
             self.over(number)
             return stops, got
-        if op == GONE:
+        if op == CLIENT_DISCONNECTED:
             rpc = self.rpc(told[0])
             got = rpc.client_disconnected(now)
             self.over(told[0])
             return told[1], got
-        if op == COMING:
+        if op == BODY_RECEIVED:
             number, wait, here, whole, limit = told
             return limit, self.rpc(number).body_received(now, now + wait, here, whole)
-        if op == STARTED:
+        if op == RESPONSE_STARTED:
             self.rpc(told[0]).response_started(told[1])
             return None, None
-        if op in (YIELD, OVER):
+        if op in (DUE, DUE_ENDED):
             if self.due is None:
                 self.due = balancer.due(now)
             got = next(self.due, None)
-            if got is None or op == OVER:
+            if got is None or op == DUE_ENDED:
                 self.due = None
-            return (told[0] if op == YIELD else None), (got.tag if got is not None else None)
-        if op == LIST:
+            return (told[0] if op == DUE else None), (got.tag if got is not None else None)
+        if op == LIST_CHANGED:
             balancer.list_changed(now, [tuple(one) for one in told[0]], told[1], told[2])
-        elif op == FAILED:
+        elif op == LIST_FAILED:
             balancer.list_failed(now)
-        elif op == DOUBT:
+        elif op == MARK_UNVERIFIED:
             balancer.mark_unverified(now, *told)
-        elif op == ORDERED:
+        elif op == SET_WITHDRAWN:
             balancer.set_withdrawn(now, *told)
-        elif op == RETUNED:
+        elif op == UPDATE_SETTINGS:
             balancer.update_settings(told[0])
             self.settings = told[0]
-        elif op == DIVIDED:
+        elif op == SET_SLOW_START_SHARE:
             balancer.set_slow_start_share(*told)
         elif op == RESTORE:
             learned_state.restore(balancer, now, *told)
-        elif op == SPAN:
+        elif op == UNIFORM:
             return told[2], balancer.uniform(*told[:2])
-        elif op == LUCK:
+        elif op == DRAW_ADMISSION:
             return told[1], balancer.draw_admission(told[0])
-        elif op == WANTS:
+        elif op == WANTS_LIST:
             return told[0], balancer.wants_list(now)
-        elif op == RELEASED:
+        elif op == TAKE_RELEASED:
             return told[0], balancer.take_released()
         else:
             raise MissingError(f"unknown operation {op}")
@@ -241,11 +250,11 @@
 
     def differs(self, now: int, row: list, told: object, got: object) -> Difference:
         """Returns the difference between two results, with a description of the state."""
-        number = row[2] if row[0] in OF_RPC else None
+        number = row[2] if row[0] in RPC_OPERATIONS else None
         return Difference(
             self.calls,
             now,
-            OPS.get(row[0], (f"op {row[0]}", ""))[0],
+            OPERATIONS.get(row[0], (f"op {row[0]}", ""))[0],
             number,
             told,
             got,
--- a/shedgrade/sidecar/capture/rows.py
+++ b/shedgrade/sidecar/capture/rows.py
@@ -8,7 +8,7 @@
     {"k": "gap", "now", "rows", "why"}          calls that were not recorded; a checkpoint follows
     {"k": "fault", "now", "what"}               an internal error was logged here
 
-A row is [op, since, ...]; OPS lists the operations and their values. Results stand at the end of a row: a
+A row is [op, since, ...]; OPERATIONS lists the operations and their values. Results stand at the end of a row: a
 replay compares them with its own.
 """
 
@@ -21,50 +21,50 @@
 (
     TAKE,
     DECIDE,
-    NOTHING,
-    ENDED,
-    GONE,
-    STARTED,
-    LIST,
-    FAILED,
-    DOUBT,
+    NO_DECISION,
+    ATTEMPT_FINISHED,
+    CLIENT_DISCONNECTED,
+    RESPONSE_STARTED,
+    LIST_CHANGED,
+    LIST_FAILED,
+    MARK_UNVERIFIED,
     RESTORE,
-    YIELD,
-    OVER,
-    SPAN,
-    LUCK,
-    WANTS,
-    RELEASED,
-    ORDERED,
-    DIVIDED,
-    RETUNED,
-    COMING,
+    DUE,
+    DUE_ENDED,
+    UNIFORM,
+    DRAW_ADMISSION,
+    WANTS_LIST,
+    TAKE_RELEASED,
+    SET_WITHDRAWN,
+    SET_SLOW_START_SHARE,
+    UPDATE_SETTINGS,
+    BODY_RECEIVED,
 ) = range(20)
 # Operation -> (its call, the values after the time since the row before).
-OPS = {
+OPERATIONS = {
     TAKE: ("take", "rpc method give_up_at retry name tenant"),
     DECIDE: ("decide", "rpc what value"),
-    NOTHING: ("decide", "rpc"),
-    ENDED: ("ended", "rpc tx outcome took settled fresh stops"),
-    GONE: ("gone", "rpc stops"),
-    STARTED: ("started", "rpc lasting"),
-    LIST: ("list_changed", "rows whole asked"),
-    FAILED: ("list_failed", ""),
-    DOUBT: ("doubted", "upstreams ends last"),
+    NO_DECISION: ("decide", "rpc"),
+    ATTEMPT_FINISHED: ("ended", "rpc tx outcome took settled fresh stops"),
+    CLIENT_DISCONNECTED: ("gone", "rpc stops"),
+    RESPONSE_STARTED: ("started", "rpc lasting"),
+    LIST_CHANGED: ("list_changed", "rows whole asked"),
+    LIST_FAILED: ("list_failed", ""),
+    MARK_UNVERIFIED: ("doubted", "upstreams ends last"),
     RESTORE: ("restore", "state age"),
-    YIELD: ("due yields", "rpc"),
-    OVER: ("due is over", ""),
-    SPAN: ("span", "low high drawn"),
-    LUCK: ("luck", "method drawn"),
-    WANTS: ("wants_list", "answer"),
-    RELEASED: ("released", "upstreams"),
-    ORDERED: ("ordered", "upstream out"),
-    DIVIDED: ("divided", "part"),
-    RETUNED: ("retuned", "settings"),
-    COMING: ("coming", "rpc give_up_at here whole limit"),
+    DUE: ("due yields", "rpc"),
+    DUE_ENDED: ("due is over", ""),
+    UNIFORM: ("span", "low high drawn"),
+    DRAW_ADMISSION: ("luck", "method drawn"),
+    WANTS_LIST: ("wants_list", "answer"),
+    TAKE_RELEASED: ("released", "upstreams"),
+    SET_WITHDRAWN: ("ordered", "upstream out"),
+    SET_SLOW_START_SHARE: ("divided", "part"),
+    UPDATE_SETTINGS: ("retuned", "settings"),
+    BODY_RECEIVED: ("coming", "rpc give_up_at here whole limit"),
 }
 KIND = b"C"  # kind of file, in its header
-BATCH = 512  # rows in a record: about 6 KB, or 0.1 s at 1,000 requests a second
+ROWS_PER_RECORD = 512  # rows in a record: about 6 KB, or 0.1 s at 1,000 requests a second
 
 
 class Ring:
--- a/shedgrade/sidecar/capture/shortening.py
+++ b/shedgrade/sidecar/capture/shortening.py
@@ -5,20 +5,20 @@
 from types import ModuleType
 
 from shedgrade import load_balancing
-from shedgrade.sidecar.capture.replay import OF_RPC, Replay
+from shedgrade.sidecar.capture.replay import RPC_OPERATIONS, Replay
 from shedgrade.sidecar.capture.rows import (
+    ATTEMPT_FINISHED,
+    CLIENT_DISCONNECTED,
     DECIDE,
-    ENDED,
-    FAILED,
-    GONE,
-    LIST,
-    LUCK,
-    NOTHING,
-    OVER,
-    RELEASED,
-    SPAN,
-    WANTS,
-    YIELD,
+    DRAW_ADMISSION,
+    DUE,
+    DUE_ENDED,
+    LIST_CHANGED,
+    LIST_FAILED,
+    NO_DECISION,
+    TAKE_RELEASED,
+    UNIFORM,
+    WANTS_LIST,
     calls,
 )
 
@@ -29,7 +29,7 @@
     replay = Replay(records, module, lenient=True)
 
     def watch(now: int, row: list, got: object) -> None:
-        if row[0] in (DECIDE, NOTHING) and row[2] == number and got is not None:
+        if row[0] in (DECIDE, NO_DECISION) and row[2] == number and got is not None:
             found.append(got[0])
 
     replay.watch = watch
@@ -48,8 +48,8 @@
         rows, now, last = [], record["now"], record["now"]
         for row in record["r"]:
             now += row[1]
-            gone = row[0] in OF_RPC and row[2] in dropped
-            if row[0] in (LIST, SPAN, FAILED):
+            gone = row[0] in RPC_OPERATIONS and row[2] in dropped
+            if row[0] in (LIST_CHANGED, UNIFORM, LIST_FAILED):
                 gone, place = ("list", place) in dropped, place + 1
             if not gone:
                 rows.append([row[0], now - last, *row[2:]])
@@ -75,11 +75,12 @@
     parts: list = [
         one
         for one, _ in groupby(
-            sorted({row[2] for _, row in calls(records) if row[0] in OF_RPC and row[2] != number})
+            sorted({row[2] for _, row in calls(records) if row[0] in RPC_OPERATIONS and row[2] != number})
         )
     ]
     parts += [
-        ("list", place) for place in range(sum(row[0] in (LIST, SPAN, FAILED) for _, row in calls(records)))
+        ("list", place)
+        for place in range(sum(row[0] in (LIST_CHANGED, UNIFORM, LIST_FAILED) for _, row in calls(records)))
     ]
     dropped: set = set()
     size = max(1, len(parts) // 2)
@@ -119,13 +120,20 @@
         if not rows:
             last[:] = [now, now]
         told = row[2:]
-        if op in (DECIDE, NOTHING):
+        if op in (DECIDE, NO_DECISION):
             told = [told[0], *(got or ())]
-            op = NOTHING if got is None else DECIDE
-        elif op in (ENDED, GONE, SPAN, LUCK, WANTS, RELEASED):
+            op = NO_DECISION if got is None else DECIDE
+        elif op in (
+            ATTEMPT_FINISHED,
+            CLIENT_DISCONNECTED,
+            UNIFORM,
+            DRAW_ADMISSION,
+            WANTS_LIST,
+            TAKE_RELEASED,
+        ):
             told = [*told[:-1], got]
-        elif op in (YIELD, OVER):
-            op, told = (OVER, []) if got is None else (YIELD, [got])
+        elif op in (DUE, DUE_ENDED):
+            op, told = (DUE_ENDED, []) if got is None else (DUE, [got])
         rows.append([op, now - last[1], *told])
         last[1] = now
 
