--- a/shedgrade/cli/replay.py
+++ b/shedgrade/cli/replay.py
@@ -13,7 +13,7 @@
 from shedgrade.sidecar.capture.explanation import explain, find
 from shedgrade.sidecar.capture.files import CaptureError, load
 from shedgrade.sidecar.capture.older_decisions import find_decisions, load_decisions
-from shedgrade.sidecar.capture.recorder import short
+from shedgrade.sidecar.capture.recorder import hash_id
 from shedgrade.sidecar.capture.replay import Replay
 from shedgrade.sidecar.capture.rows import KIND
 from shedgrade.sidecar.capture.shortening import shorten
@@ -53,7 +53,7 @@
     """Returns the number of a request, given by its id or its number (`#12`). Exits if it is not there."""
     if text.startswith("#") and text[1:].isdigit():
         return int(text[1:])
-    for name in (short(text.encode()), text.encode()):
+    for name in (hash_id(text.encode()), text.encode()):
         found = find(records, name)
         if found:
             return found[-1]
--- a/shedgrade/sidecar/capture/files.py
+++ b/shedgrade/sidecar/capture/files.py
@@ -9,8 +9,8 @@
 from shedgrade import file_frames
 from shedgrade.sidecar.capture.rows import KIND
 
-FILE = 16 * 1024 * 1024  # bytes of a file, from which the next checkpoint begins another one
-WAITING = 8 * 1024 * 1024  # bytes of records that wait for the disk, at most
+FILE_BYTES = 16 * 1024 * 1024  # bytes of a file, from which the next checkpoint begins another one
+MAX_PENDING_BYTES = 8 * 1024 * 1024  # bytes of records that wait for the disk, at most
 
 
 class CaptureError(Exception):
@@ -24,22 +24,22 @@
     capture, or has nothing that a replay may begin with.
     """
     try:
-        _, records, why = file_frames.read(path.read_bytes(), KIND)
+        _, records, damage = file_frames.read(path.read_bytes(), KIND)
     except OSError as failure:
         raise CaptureError(f"{path}: {failure.strerror}") from failure
-    except file_frames.FormatError as wrong:
-        raise CaptureError(f"{path}: {wrong}") from wrong
-    if not any(one["k"] in ("begin", "state") for one in records):
-        raise CaptureError(f"{path}: it has no beginning and no checkpoint{f', {why}' if why else ''}")
-    return records, why
+    except file_frames.FormatError as error:
+        raise CaptureError(f"{path}: {error}") from error
+    if not any(record["k"] in ("begin", "state") for record in records):
+        raise CaptureError(f"{path}: it has no beginning and no checkpoint{f', {damage}' if damage else ''}")
+    return records, damage
 
 
-def make(folder: Path) -> None:
+def make_folder(folder: Path) -> None:
     """Creates the folder of captures, accessible to its owner only."""
     folder.mkdir(mode=0o700, parents=True, exist_ok=True)
 
 
-def free_number(folder: Path) -> int:
+def next_number(folder: Path) -> int:
     """Returns the number after the highest one of the captures there."""
     found = [
         int(path.stem.partition("-")[2])
@@ -51,8 +51,8 @@
 
 def dump(folder: Path, data: bytes) -> Path:
     """Writes one capture and returns its path; the file is complete or absent. OSError if the write fails."""
-    make(folder)
-    path = folder / f"capture-{free_number(folder)}.sgc"
+    make_folder(folder)
+    path = folder / f"capture-{next_number(folder)}.sgc"
     temporary = path.with_suffix(".new")
     handle = os.open(temporary, os.O_WRONLY | os.O_CREAT | os.O_TRUNC, 0o600)
     with os.fdopen(handle, "wb") as file:
@@ -67,20 +67,20 @@
     Keeps the newest files up to a total size.
     """
 
-    def __init__(self, folder: Path, keep: int, tell: Callable[[str], None]) -> None:
+    def __init__(self, folder: Path, max_total_bytes: int, on_error: Callable[[str], None]) -> None:
         """Starts the thread.
 
         folder: folder of the captures, created with the first file.
-        keep: total size of the files, bytes; the oldest are removed.
-        tell: called in the thread with the reason of a failed write, once until a write succeeds.
+        max_total_bytes: total size of the files, bytes; the oldest are removed.
+        on_error: called in the thread with the reason of a failed write, once until a write succeeds.
         """
         self.folder = folder
-        self.keep = keep
-        self.tell = tell
-        self.waiting: deque[tuple[bytes, bool]] = deque()
-        self.waiting_bytes = self.size = 0
+        self.max_total_bytes = max_total_bytes
+        self.on_error = on_error
+        self.pending: deque[tuple[bytes, bool]] = deque()
+        self.pending_bytes = self.size = 0
         self.lock = threading.Condition()
-        self.ending = self.broken = False
+        self.closing = self.has_failed = False
         self.file = None
         self.thread = threading.Thread(target=self.run, name="capture", daemon=True)
         self.thread.start()
@@ -88,57 +88,57 @@
     def put(self, data: bytes, start: bool) -> bool:
         """Accepts a record; returns False if the disk is slow or failing. `start`: a file may begin here."""
         with self.lock:
-            if self.waiting_bytes + len(data) > WAITING or (self.broken and not start):
+            if self.pending_bytes + len(data) > MAX_PENDING_BYTES or (self.has_failed and not start):
                 return False
-            self.waiting.append((data, start))
-            self.waiting_bytes += len(data)
+            self.pending.append((data, start))
+            self.pending_bytes += len(data)
             self.lock.notify()
         return True
 
-    def full(self) -> bool:
+    def is_full(self) -> bool:
         """Returns whether the file has its size, so that a checkpoint should begin the next one."""
-        return self.size >= FILE
+        return self.size >= FILE_BYTES
 
     def run(self) -> None:
         """Runs in the thread: writes the accepted records until `close`."""
         while True:
             with self.lock:
-                while not self.waiting and not self.ending:
+                while not self.pending and not self.closing:
                     self.lock.wait()
-                batch, self.waiting, self.waiting_bytes = list(self.waiting), deque(), 0
-                ending = self.ending
+                batch, self.pending, self.pending_bytes = list(self.pending), deque(), 0
+                closing = self.closing
             try:
                 for data, start in batch:
-                    if self.file is None or (start and self.size >= FILE):
+                    if self.file is None or (start and self.size >= FILE_BYTES):
                         if not start:
                             continue
-                        self.next()
+                        self.open_next_file()
                     self.file.write(data)
                     self.size += len(data)
                 if self.file is not None:
                     self.file.flush()
-                self.broken = False
+                self.has_failed = False
             except OSError as failure:
                 # Guards against a full or broken disk: this file is abandoned, the next checkpoint opens one.
-                if not self.broken:
-                    self.tell(str(failure.strerror))
-                self.broken, self.file = True, None
-            if ending:
+                if not self.has_failed:
+                    self.on_error(str(failure.strerror))
+                self.has_failed, self.file = True, None
+            if closing:
                 if self.file is not None:
                     self.file.close()
                 return
 
-    def next(self) -> None:
+    def open_next_file(self) -> None:
         """Opens the next file, after it has removed the oldest ones above the total size."""
         if self.file is not None:
             self.file.close()
-        make(self.folder)
+        make_folder(self.folder)
         found = sorted(self.folder.glob("capture-*.sgc"), key=lambda path: path.stat().st_mtime)
         total = sum(path.stat().st_size for path in found)
-        while found and total + FILE > self.keep:
+        while found and total + FILE_BYTES > self.max_total_bytes:
             total -= found[0].stat().st_size
             found.pop(0).unlink()
-        number = free_number(self.folder)
+        number = next_number(self.folder)
         handle = os.open(self.folder / f"capture-{number}.sgc", os.O_WRONLY | os.O_CREAT | os.O_EXCL, 0o600)
         self.file = os.fdopen(handle, "wb")
         head = file_frames.header(KIND, number)
@@ -148,6 +148,6 @@
     def close(self, limit: float = 2.0) -> None:
         """Ends the thread, and waits up to `limit` seconds for the records still to be written."""
         with self.lock:
-            self.ending = True
+            self.closing = True
             self.lock.notify()
         self.thread.join(limit)
--- a/shedgrade/sidecar/capture/part.py
+++ b/shedgrade/sidecar/capture/part.py
@@ -14,7 +14,9 @@
 if TYPE_CHECKING:
     from loguru import Record
 
-AGAIN = 60.0  # seconds between two dumps after internal errors; the first of a series tells the most
+DUMP_INTERVAL_S = (
+    60.0  # seconds between two dumps after internal errors; the first of a series tells the most
+)
 
 
 def format_event(record: "Record") -> str:
@@ -34,8 +36,8 @@
         self.recorder: Recorder | None = None
         self.writer: Writer | None = None
         self.sidecar = self.sink = None
-        self.fault_at = -AGAIN
-        self.dumping = False
+        self.error_dump_at = -DUMP_INTERVAL_S
+        self.is_dumping = False
 
     def decisions(self, settings: dict, seed: int, now: int) -> Recorder:
         """Creates the recorder in place of a Balancer. Only the platform's own pool is captured."""
@@ -54,7 +56,7 @@
         """Registers as a feature of the sidecar, and the recorder as an observer of dispatch passes."""
         self.sidecar = sidecar
         ids = sidecar.pool.reader.indices.ids
-        self.recorder.spelled = lambda index: ids[index]
+        self.recorder.upstream_id = lambda index: ids[index]
         sidecar.pool.dispatcher.observers = (*sidecar.pool.dispatcher.observers, self.recorder)
         sidecar.features.append(self)
 
@@ -62,8 +64,8 @@
 
     def start(self) -> None:
         """Installs the signal handler and the log sink for internal errors; starts the writer."""
-        self.sidecar.loop.add_signal_handler(signal.SIGUSR1, self.write, "asked for")
-        self.sink = logger.add(self.heard, level="ERROR", format=format_event)
+        self.sidecar.loop.add_signal_handler(signal.SIGUSR1, self.write_dump, "asked for")
+        self.sink = logger.add(self.on_logged_error, level="ERROR", format=format_event)
         if self.config.continuous:
             self.writer = Writer(self.folder, self.config.keep_mb * 2**20, self.write_failed)
             for start, data in self.recorder.ring.records:
@@ -80,38 +82,38 @@
         """Logs that the disk does not accept the capture; the sidecar serves on without it."""
         logger.warning("capture write failed", error=error)
 
-    def heard(self, message) -> None:
-        """Receives a logged internal error, and dumps the capture, at most once in `AGAIN` seconds."""
+    def on_logged_error(self, message) -> None:
+        """Receives a logged internal error, and dumps the capture, at most once in `DUMP_INTERVAL_S`."""
         now = self.sidecar.loop.time()
-        if now >= self.fault_at + AGAIN:
-            self.fault_at = now
-            self.recorder.fault(str(message).strip()[:500])
-            self.sidecar.loop.call_soon(self.write, "a fault")
-
-    def write(self, why: str) -> None:
-        """Writes the ring to a file in a worker thread. `why`: the reason, for the log."""
-        if self.dumping:
+        if now >= self.error_dump_at + DUMP_INTERVAL_S:
+            self.error_dump_at = now
+            self.recorder.record_fault(str(message).strip()[:500])
+            self.sidecar.loop.call_soon(self.write_dump, "a fault")
+
+    def write_dump(self, reason: str) -> None:
+        """Writes the ring to a file in a worker thread. `reason`: for the log."""
+        if self.is_dumping:
             return
-        self.dumping = True
+        self.is_dumping = True
         self.recorder.flush()
         task = self.sidecar.loop.run_in_executor(None, dump, self.folder, self.recorder.ring.data())
-        task.add_done_callback(lambda done: self.written(done, why))
+        task.add_done_callback(lambda done: self.on_dump_done(done, reason))
 
-    def written(self, done, why: str) -> None:
+    def on_dump_done(self, done, reason: str) -> None:
         """Logs how the dump ended."""
-        self.dumping = False
+        self.is_dumping = False
         if done.cancelled():
             return
         failure = done.exception()
         if failure is not None:
             logger.warning("capture write failed", error=getattr(failure, "strerror", failure))
         else:
-            logger.info("capture written", reason=why, path=str(done.result()))
+            logger.info("capture written", reason=reason, path=str(done.result()))
 
     def tick(self) -> None:
         """Requests a checkpoint when the next file is due."""
-        if self.writer is not None and self.writer.full():
-            self.recorder.wanted = True  # a file begins with a checkpoint
+        if self.writer is not None and self.writer.is_full():
+            self.recorder.checkpoint_wanted = True  # a file begins with a checkpoint
 
     def close(self) -> None:
         """Writes the remaining records, and logs the totals."""
@@ -120,4 +122,4 @@
         if self.writer is not None:
             self.recorder.flush()
             self.writer.close()
-        logger.info("capture ended", rpcs=self.recorder.numbers, records_dropped=self.recorder.ring.dropped)
+        logger.info("capture ended", rpcs=self.recorder.rpc_count, records_dropped=self.recorder.ring.dropped)
--- a/shedgrade/sidecar/capture/recorder.py
+++ b/shedgrade/sidecar/capture/recorder.py
@@ -38,16 +38,18 @@
 
 SECOND = 10_000  # tenths of a ms
 # Lag of dispatch passes, tenths of a ms, from which recording pauses. The dispatcher measures it up to 50.
-LATE = 40
-MANY = 400  # requests in flight at which a checkpoint blocks the loop for 10 ms: it is postponed
-PUT_OFF = 4  # factor of the checkpoint interval with so many in flight; at most 4, as a ring must hold two
+PAUSE_LAG = 40
+MANY_LIVE_RPCS = 400  # requests in flight at which a checkpoint blocks the loop for 10 ms: it is postponed
+POSTPONED_INTERVAL_FACTOR = (
+    4  # factor of the checkpoint interval with so many in flight; at most 4, as a ring must hold two
+)
 # Tenths of a ms between two checks of load and checkpoints; between them a pass costs one comparison.
-LOOK = 500
+LOAD_CHECK_INTERVAL = 500
 # Delay from an overload until recording resumes. Shorter gaps would each cost a checkpoint.
-CALM = 2 * SECOND
+RESUME_DELAY = 2 * SECOND
 
 
-def short(name: bytes) -> bytes:
+def hash_id(name: bytes) -> bytes:
     """Returns the hash that a capture holds in place of an id: it can be looked up, but the id not read."""
     return blake2b(name, digest_size=8).digest()
 
@@ -85,42 +87,58 @@
         answer = self.rpc.decide(now)
         if answer is None:
             if not self.rpc.done:  # a request that is done always answers None
-                self.recorder.keep(now, NO_DECISION, self.number)
+                self.recorder.record_call(now, NO_DECISION, self.number)
         else:
-            self.recorder.keep(now, DECIDE, self.number, *answer)
-            self.over()
+            self.recorder.record_call(now, DECIDE, self.number, *answer)
+            self.forget_if_done()
         return answer
 
-    def over(self) -> None:
+    def forget_if_done(self) -> None:
         """Forgets a request that is done and has no attempt outstanding."""
         if self.rpc.done and not self.rpc.outstanding:
-            self.recorder.live.pop(self.number, None)
+            self.recorder.live_rpcs.pop(self.number, None)
 
     def attempt_finished(
-        self, now: int, tx: int, outcome: int, took: int, settled: bool, fresh: bool = False
+        self,
+        now: int,
+        attempt: int,
+        outcome: int,
+        duration: int,
+        answered: bool,
+        first_on_connection: bool = False,
     ) -> list[int]:
         """Passes the outcome of an attempt on, and records it with the attempts to stop."""
-        stops = self.rpc.attempt_finished(now, tx, outcome, took, settled, fresh)
-        self.recorder.keep(now, ATTEMPT_FINISHED, self.number, tx, outcome, took, settled, fresh, stops)
-        self.over()
+        stops = self.rpc.attempt_finished(now, attempt, outcome, duration, answered, first_on_connection)
+        self.recorder.record_call(
+            now,
+            ATTEMPT_FINISHED,
+            self.number,
+            attempt,
+            outcome,
+            duration,
+            answered,
+            first_on_connection,
+            stops,
+        )
+        self.forget_if_done()
         return stops
 
-    def response_started(self, lasting: bool = False) -> None:
+    def response_started(self, long_lived: bool = False) -> None:
         """Passes the start of the response on, and records it."""
-        self.rpc.response_started(lasting)
-        self.recorder.keep(self.recorder.now, RESPONSE_STARTED, self.number, lasting)
+        self.rpc.response_started(long_lived)
+        self.recorder.record_call(self.recorder.now, RESPONSE_STARTED, self.number, long_lived)
 
-    def body_received(self, now: int, give_up_at: int, here: bool, whole: bool) -> int:
+    def body_received(self, now: int, deadline: int, here: bool, whole: bool) -> int:
         """Passes the progress of a request's body on, and records it with the time limit returned."""
-        limit = self.rpc.body_received(now, give_up_at, here, whole)
-        self.recorder.keep(now, BODY_RECEIVED, self.number, give_up_at - now, here, whole, limit)
+        limit = self.rpc.body_received(now, deadline, here, whole)
+        self.recorder.record_call(now, BODY_RECEIVED, self.number, deadline - now, here, whole, limit)
         return limit
 
     def client_disconnected(self, now: int) -> list[int]:
         """Passes the disconnect on, and records it with the attempts to stop."""
         stops = self.rpc.client_disconnected(now)
-        self.recorder.keep(now, CLIENT_DISCONNECTED, self.number, stops)
-        self.over()
+        self.recorder.record_call(now, CLIENT_DISCONNECTED, self.number, stops)
+        self.forget_if_done()
         return stops
 
 
@@ -154,111 +172,118 @@
         self.most_rows = most_rows
         self.ids = ids
         self.write = write
-        self.now = self.last = self.base = now
+        self.now = self.last_row_at = self.record_start = now
         self.rows: list[tuple] = []
-        self.numbers = 0
-        self.spelled: Callable[[int], str] | None = None  # id of an upstream, by index
-        self.second = now
-        self.in_second = 0
+        self.rpc_count = 0
+        self.upstream_id: Callable[[int], str] | None = None  # id of an upstream, by index
+        self.second_start = now
+        self.rows_in_second = 0
         self.late = 0
-        self.skipping = False
-        self.skipped = 0
-        self.calm_at = 0
-        self.lost = False
+        self.is_paused = False
+        self.unrecorded_calls = 0
+        self.resume_at = 0
+        self.records_lost = False
         # Requests without an answer, or with attempts outstanding, by number.
-        self.live: dict[int, load_balancing.Rpc] = {}
-        self.state_at = now
-        self.look_at = 0
-        self.wanted = False
+        self.live_rpcs: dict[int, load_balancing.Rpc] = {}
+        self.checkpoint_at = now
+        self.next_check_at = 0
+        self.checkpoint_wanted = False
         # Calls that change no state are bound to the balancer itself, which saves a call.
         inner = self.inner
         self.wake_at = inner.wake_at
         self.max_retry_after = inner.max_retry_after
         if not self.inner.subscribes_to_list:
             self.wants_list = self.inner.wants_list
-        self.add({"k": "begin", "v": 1, "settings": settings, "seed": seed, "now": now})
+        self.add_record({"k": "begin", "v": 1, "settings": settings, "seed": seed, "now": now})
 
     # --- records
 
-    def add(self, record: dict) -> None:
+    def add_record(self, record: dict) -> None:
         """Adds a record to the ring, and passes it to the writer if there is one."""
         data = self.ring.add(record)
         if self.write is not None and not self.write(data, record["k"] in ("begin", "state")):
-            self.lost = True
+            self.records_lost = True
 
-    def keep(self, now: int, op: int, *values: object) -> None:
+    def record_call(self, now: int, op: int, *values: object) -> None:
         """Records one call: its operation, the time since the call before and its values."""
         self.now = now
-        if self.skipping:
-            self.skipped += 1
+        if self.is_paused:
+            self.unrecorded_calls += 1
             return
-        self.rows.append((op, now - self.last, *values))
-        self.last = now
+        self.rows.append((op, now - self.last_row_at, *values))
+        self.last_row_at = now
         if len(self.rows) >= ROWS_PER_RECORD:
             self.flush()
 
     def flush(self) -> None:
         """Makes one record of the calls since the last one."""
         if self.rows:
-            self.add({"k": "rows", "now": self.base, "r": self.rows})
-            self.in_second += len(self.rows)
+            self.add_record({"k": "rows", "now": self.record_start, "r": self.rows})
+            self.rows_in_second += len(self.rows)
             self.rows = []
-        self.base = self.last
+        self.record_start = self.last_row_at
 
-    def after_turn(self, now: int, late: int) -> None:
+    def after_turn(self, now: int, lag: int) -> None:
         """Pauses recording under load, resumes it after, and takes a checkpoint when one is due.
 
-        Called after each dispatch pass, as the state is consistent only then. `late`: the lag of passes, in
+        Called after each dispatch pass, as the state is consistent only then. `lag`: the lag of passes, in
         tenths of a ms.
         """
-        if now < self.look_at:
+        if now < self.next_check_at:
             return
-        self.look_at = now + LOOK
-        if self.skipping:
-            if late >= LATE or self.skipped - self.in_second > self.most_rows:
-                self.calm_at = now + CALM
-            if now - self.second >= SECOND:
-                self.second, self.in_second = now, self.skipped
-            if now < self.calm_at:
+        self.next_check_at = now + LOAD_CHECK_INTERVAL
+        if self.is_paused:
+            if lag >= PAUSE_LAG or self.unrecorded_calls - self.rows_in_second > self.most_rows:
+                self.resume_at = now + RESUME_DELAY
+            if now - self.second_start >= SECOND:
+                self.second_start, self.rows_in_second = now, self.unrecorded_calls
+            if now < self.resume_at:
                 return
-            self.add({"k": "gap", "now": now, "rows": self.skipped, "why": "disk" if self.lost else "load"})
-            self.skipping, self.skipped, self.in_second, self.lost = False, 0, 0, False
-            self.last = self.base = now
+            self.add_record(
+                {
+                    "k": "gap",
+                    "now": now,
+                    "rows": self.unrecorded_calls,
+                    "why": "disk" if self.records_lost else "load",
+                }
+            )
+            self.is_paused, self.unrecorded_calls, self.rows_in_second, self.records_lost = False, 0, 0, False
+            self.last_row_at = self.record_start = now
             self.save(now)
             return
-        if now - self.second >= SECOND:
-            self.second, self.in_second = now, 0
-        if late >= LATE or self.lost or self.in_second + len(self.rows) > self.most_rows:
+        if now - self.second_start >= SECOND:
+            self.second_start, self.rows_in_second = now, 0
+        if lag >= PAUSE_LAG or self.records_lost or self.rows_in_second + len(self.rows) > self.most_rows:
             # Guards the sidecar: under load, recording stops before any request is shed, and a gap is marked.
             self.flush()
-            self.skipping, self.calm_at, self.in_second = True, now + CALM, 0
-        elif self.wanted or now - self.state_at >= self.checkpoint * (
-            1 if len(self.live) < MANY else PUT_OFF
+            self.is_paused, self.resume_at, self.rows_in_second = True, now + RESUME_DELAY, 0
+        elif self.checkpoint_wanted or now - self.checkpoint_at >= self.checkpoint * (
+            1 if len(self.live_rpcs) < MANY_LIVE_RPCS else POSTPONED_INTERVAL_FACTOR
         ):
             self.save(now)
 
     def save(self, now: int) -> None:
         """Adds a checkpoint: the balancer's whole state."""
         self.flush()
-        self.state_at, self.wanted = now, False
+        self.checkpoint_at, self.checkpoint_wanted = now, False
         names = (
-            {str(index): self.spelled(index) for index in self.inner.upstreams}
-            if self.spelled is not None
+            {str(index): self.upstream_id(index) for index in self.inner.upstreams}
+            if self.upstream_id is not None
             else {}
         )
-        self.add(
+        self.add_record(
             {
                 "k": "state",
                 "now": now,
                 "names": names,
-                "state": freeze(self.inner, lambda tag: tag.rpc.number, self.live.values()),
+                "state": freeze(self.inner, lambda tag: tag.rpc.number, self.live_rpcs.values()),
             }
         )
 
-    def fault(self, what: str) -> None:
+    def record_fault(self, what: str) -> None:
         """Records that an internal error was logged here. `what`: its log line."""
         self.flush()
-        self.add({"k": "fault", "now": self.now, "what": what})
+        self.add_record({"k": "fault", "now": self.now, "what": what})
 
     # --- calls of the balancer
 
@@ -271,108 +296,108 @@
         self,
         now: int,
         method: int,
-        give_up_at: int,
+        deadline: int,
         retry: bool = False,
         tag: object = None,
         tenant: int = 0,
     ) -> RecordedRpc:
         """Passes the request on, and records it with its number."""
-        rpc = self.inner.admit(now, method, give_up_at, retry, tag, tenant)
-        self.numbers += 1
+        rpc = self.inner.admit(now, method, deadline, retry, tag, tenant)
+        self.rpc_count += 1
         name = tag.request.name if self.ids != "none" else b""
-        self.keep(
+        self.record_call(
             now,
             TAKE,
-            self.numbers,
+            self.rpc_count,
             method,
-            give_up_at - now,
+            deadline - now,
             retry,
-            short(name) if self.ids == "hash" else name,
+            hash_id(name) if self.ids == "hash" else name,
             tenant,
         )
-        self.live[self.numbers] = rpc
-        return RecordedRpc(self, rpc, self.numbers)
+        self.live_rpcs[self.rpc_count] = rpc
+        return RecordedRpc(self, rpc, self.rpc_count)
 
     def list_changed(self, now: int, rows: list, whole: bool, asked: bool) -> None:
         """Passes the rows of the endpoint list on, and records them, with the ids of their upstreams."""
         rows = list(rows)
         self.inner.list_changed(now, rows, whole, asked)
-        if self.spelled is not None and rows and not self.skipping:
+        if self.upstream_id is not None and rows and not self.is_paused:
             self.flush()
-            self.add({"k": "names", "names": {str(row[0]): self.spelled(row[0]) for row in rows}})
-        self.keep(now, LIST_CHANGED, rows, whole, asked)
+            self.add_record({"k": "names", "names": {str(row[0]): self.upstream_id(row[0]) for row in rows}})
+        self.record_call(now, LIST_CHANGED, rows, whole, asked)
 
     def list_failed(self, now: int) -> None:
         """Passes the failed request for the list on, and records it."""
         self.inner.list_failed(now)
-        self.keep(now, LIST_FAILED)
+        self.record_call(now, LIST_FAILED)
 
     def mark_unverified(self, now: int, upstreams: list[int], ends: int, last: bool) -> None:
         """Passes the call on, and records it."""
         self.inner.mark_unverified(now, upstreams, ends, last)
-        self.keep(now, MARK_UNVERIFIED, upstreams, ends, last)
+        self.record_call(now, MARK_UNVERIFIED, upstreams, ends, last)
 
-    def set_withdrawn(self, now: int, upstream: int, out: bool) -> None:
+    def set_withdrawn(self, now: int, index: int, withdrawn: bool) -> None:
         """Passes the operators' order on, and records it."""
-        self.inner.set_withdrawn(now, upstream, out)
-        self.keep(now, SET_WITHDRAWN, upstream, out)
+        self.inner.set_withdrawn(now, index, withdrawn)
+        self.record_call(now, SET_WITHDRAWN, index, withdrawn)
 
     def update_settings(self, settings: dict) -> None:
         """Passes the new settings on, and records them."""
         self.inner.update_settings(settings)
         self.max_retry_after = self.inner.max_retry_after
-        self.keep(self.now, UPDATE_SETTINGS, settings)
+        self.record_call(self.now, UPDATE_SETTINGS, settings)
 
     def set_slow_start_share(self, part: float) -> None:
         """Passes the new share on, and records it."""
         self.inner.set_slow_start_share(part)
-        self.keep(self.now, SET_SLOW_START_SHARE, part)
+        self.record_call(self.now, SET_SLOW_START_SHARE, part)
 
     def restore(self, now: int, state: dict, age: float) -> None:
         """Restores the learned state, and records it."""
         learned_state.restore(self.inner, now, state, age)
-        self.keep(now, RESTORE, state, age)
+        self.record_call(now, RESTORE, state, age)
 
     def due(self, now: int) -> Iterable[load_balancing.Rpc]:
         """Returns the requests to decide on again; recorded if there are any."""
         inner = self.inner
-        at = inner.wake_at()
-        if at > now and not inner.queue:
+        wake_at = inner.wake_at()
+        if wake_at > now and not inner.queue:
             return ()  # the balancer would look at nothing either
-        return self.told_due(now, at)
+        return self.record_due(now, wake_at)
 
-    def told_due(self, now: int, at: float) -> Iterator[load_balancing.Rpc]:
+    def record_due(self, now: int, wake_at: float) -> Iterator[load_balancing.Rpc]:
         """Yields the requests to decide on again, and records each."""
-        told = False
+        any_due = False
         for rpc in self.inner.due(now):
-            told = True
-            self.keep(now, DUE, rpc.tag.rpc.number)
+            any_due = True
+            self.record_call(now, DUE, rpc.tag.rpc.number)
             yield rpc
-        if told or at <= now:
-            self.keep(now, DUE_ENDED)
+        if any_due or wake_at <= now:
+            self.record_call(now, DUE_ENDED)
 
     def wants_list(self, now: int) -> bool:
         """Passes the question on; records the answer if it is True."""
         answer = self.inner.wants_list(now)
         if answer:
-            self.keep(now, WANTS_LIST, True)
+            self.record_call(now, WANTS_LIST, True)
         return answer
 
     def take_released(self) -> list[int]:
         """Passes the call on; records the answer if it is not empty."""
         upstreams = self.inner.take_released()
         if upstreams:
-            self.keep(self.now, TAKE_RELEASED, upstreams)
+            self.record_call(self.now, TAKE_RELEASED, upstreams)
         return upstreams
 
     def uniform(self, low: float, high: float) -> float:
         """Draws a number, and records it. The caller uses it to delay its next request to discovery."""
         drawn = self.inner.uniform(low, high)
-        self.keep(self.now, UNIFORM, low, high, drawn)
+        self.record_call(self.now, UNIFORM, low, high, drawn)
         return drawn
 
     def draw_admission(self, method: int) -> float:
         """Draws the admission number of a request, and records it."""
         drawn = self.inner.draw_admission(method)
-        self.keep(self.now, DRAW_ADMISSION, method, drawn)
+        self.record_call(self.now, DRAW_ADMISSION, method, drawn)
         return drawn
--- a/shedgrade/sidecar/capture/rows.py
+++ b/shedgrade/sidecar/capture/rows.py
@@ -8,8 +8,8 @@
     {"k": "gap", "now", "rows", "why"}          calls that were not recorded; a checkpoint follows
     {"k": "fault", "now", "what"}               an internal error was logged here
 
-A row is [op, since, ...]; OPERATIONS lists the operations and their values. Results stand at the end of a row: a
-replay compares them with its own.
+A row is [op, since, ...]; OPERATIONS lists the operations and their values. Results stand at the end of a
+row: a replay compares them with its own.
 """
 
 from collections import deque
@@ -64,7 +64,7 @@
     BODY_RECEIVED: ("coming", "rpc give_up_at here whole limit"),
 }
 KIND = b"C"  # kind of file, in its header
-ROWS_PER_RECORD = 512  # rows in a record: about 6 KB, or 0.1 s at 1,000 requests a second
+ROWS_PER_RECORD = 512  # about 6 KB, or 0.1 s at 1,000 requests a second
 
 
 class Ring:
@@ -74,30 +74,30 @@
     kept. The last checkpoint stays, even above the limit.
     """
 
-    def __init__(self, most: int) -> None:
-        self.most = most
+    def __init__(self, max_bytes: int) -> None:
+        self.max_bytes = max_bytes
         self.size = 0
         self.dropped = 0
         self.records: deque[tuple[bool, bytes]] = deque()
-        self.starts = 0
+        self.start_count = 0
 
     def add(self, record: dict) -> bytes:
         """Encodes and keeps a record, drops the oldest ones above the limit, and returns its bytes."""
         data = file_frames.frame(record)
         start = record["k"] in ("begin", "state")
         self.records.append((start, data))
-        self.starts += start
+        self.start_count += start
         self.size += len(data)
-        while self.size > self.most and self.starts > 1:
-            self.drop()
+        while self.size > self.max_bytes and self.start_count > 1:
+            self.drop_oldest()
         return data
 
-    def drop(self) -> None:
+    def drop_oldest(self) -> None:
         """Drops the oldest checkpoint and the records up to the next one."""
         first = True
         while first or not self.records[0][0]:
             start, data = self.records.popleft()
-            self.starts -= start
+            self.start_count -= start
             self.size -= len(data)
             self.dropped += 1
             first = False
--- a/shedgrade/sidecar/shadow_policy/shadow.py
+++ b/shedgrade/sidecar/shadow_policy/shadow.py
@@ -40,25 +40,33 @@
         return answer
 
     def attempt_finished(
-        self, now: int, tx: int, outcome: int, took: int, settled: bool, fresh: bool = False
+        self,
+        now: int,
+        attempt: int,
+        outcome: int,
+        duration: int,
+        answered: bool,
+        first_on_connection: bool = False,
     ) -> list[int]:
         """Passes the outcome of an attempt on, also to the follower."""
-        stops = self.rpc.attempt_finished(now, tx, outcome, took, settled, fresh)
+        stops = self.rpc.attempt_finished(now, attempt, outcome, duration, answered, first_on_connection)
         if self.shadow is not None:
-            self.owner.guarded(self.shadow.attempt_finished, now, tx, outcome, took, settled, fresh)
+            self.owner.guarded(
+                self.shadow.attempt_finished, now, attempt, outcome, duration, answered, first_on_connection
+            )
         return stops
 
-    def response_started(self, lasting: bool = False) -> None:
+    def response_started(self, long_lived: bool = False) -> None:
         """Passes the start of the response on, also to the follower."""
-        self.rpc.response_started(lasting)
+        self.rpc.response_started(long_lived)
         if self.shadow is not None:
-            self.owner.guarded(self.shadow.response_started, lasting)
+            self.owner.guarded(self.shadow.response_started, long_lived)
 
-    def body_received(self, now: int, give_up_at: int, here: bool, whole: bool) -> int:
+    def body_received(self, now: int, deadline: int, here: bool, whole: bool) -> int:
         """Passes the progress of a request's body on, also to the follower."""
-        limit = self.rpc.body_received(now, give_up_at, here, whole)
+        limit = self.rpc.body_received(now, deadline, here, whole)
         if self.shadow is not None:
-            self.owner.guarded(self.shadow.body_received, now, give_up_at, here, whole)
+            self.owner.guarded(self.shadow.body_received, now, deadline, here, whole)
         return limit
 
     def client_disconnected(self, now: int) -> list[int]:
@@ -128,19 +136,19 @@
     # --- calls of the balancer
 
     def admit(
-        self, now: int, method: int, give_up_at: int, retry: bool = False, tag: object = None, tenant: int = 0
+        self, now: int, method: int, deadline: int, retry: bool = False, tag: object = None, tenant: int = 0
     ) -> ShadowedRpc:
         """Passes the request on, also to the follower."""
-        rpc = self.inner.admit(now, method, give_up_at, retry, tag, tenant)
+        rpc = self.inner.admit(now, method, deadline, retry, tag, tenant)
         self.rpcs += 1
-        shadow = self.guarded(self.admit_to_follower, now, method, give_up_at, retry, tenant)
+        shadow = self.guarded(self.admit_to_follower, now, method, deadline, retry, tenant)
         return ShadowedRpc(self, rpc, shadow)
 
     def admit_to_follower(
-        self, now: int, method: int, give_up_at: int, retry: bool, tenant: int
+        self, now: int, method: int, deadline: int, retry: bool, tenant: int
     ) -> FollowerRpc:
         """Admits the request in the follower."""
-        return self.follower.admit(now, method, give_up_at, retry, None, tenant)
+        return self.follower.admit(now, method, deadline, retry, None, tenant)
 
     def due(self, now: int) -> Iterator[load_balancing.Rpc]:
         """Yields the requests to decide on again, while the follower goes through its own in step.
@@ -184,11 +192,11 @@
         if self.follower is not None:
             self.guarded(self.follower.mark_unverified, now, upstreams, ends, last)
 
-    def set_withdrawn(self, now: int, upstream: int, out: bool) -> None:
+    def set_withdrawn(self, now: int, index: int, withdrawn: bool) -> None:
         """Passes the operators' order on, also to the follower."""
-        self.inner.set_withdrawn(now, upstream, out)
+        self.inner.set_withdrawn(now, index, withdrawn)
         if self.follower is not None:
-            self.guarded(self.follower.set_withdrawn, now, upstream, out)
+            self.guarded(self.follower.set_withdrawn, now, index, withdrawn)
 
     def update_settings(self, settings: dict) -> None:
         """Passes the new settings on; the follower gets them with its own values in place."""
--- a/tests/sidecar/capture/capture_world.py
+++ b/tests/sidecar/capture/capture_world.py
@@ -19,7 +19,7 @@
         self.chance, self.now = Random(seed), 100
         self.ring = Ring(most)
         self.balancer = Recorder(settings(METHODS, zones=2), seed, self.now, self.ring, **more)
-        self.balancer.spelled = lambda index: f"u{index}"
+        self.balancer.upstream_id = lambda index: f"u{index}"
         self.balancer.list_changed(self.now, [row(up, up % 2) for up in range(6)], True, True)
         self.out, self.taken, self.answers = [], [], []
 
--- a/tests/sidecar/capture/test_part.py
+++ b/tests/sidecar/capture/test_part.py
@@ -95,8 +95,8 @@
         async with world:
             await ask(world, request(b"x", "/m/1", 9000, "a"))
             # Calls the log sink directly, as an error in the log itself would fail these tests.
-            world.part.heard("fault in the loop: planted\n")
-            world.part.heard("fault in the loop: another at once\n")
+            world.part.on_logged_error("fault in the loop: planted\n")
+            world.part.on_logged_error("fault in the loop: another at once\n")
             await until(lambda: captures(tmp_path))
 
     scene()
@@ -132,7 +132,7 @@
 def test_files_as_it_goes_are_bounded_and_a_disk_that_fails_is_told_once_and_tried_again(
     tmp_path, monkeypatch
 ):
-    monkeypatch.setattr(files, "FILE", 2000)
+    monkeypatch.setattr(files, "FILE_BYTES", 2000)
     told = []
     writer = Writer(tmp_path / "n1", 6000, told.append)
     data = file_frames.frame({"k": "state", "pad": "x" * 300})
@@ -141,7 +141,7 @@
         if number % 5 == 4:
             writer.lock.acquire()
             writer.lock.release()
-            while writer.waiting:
+            while writer.pending:
                 pass
     writer.close()
     kept = captures(tmp_path / "n1")
--- a/tests/sidecar/capture/test_replay.py
+++ b/tests/sidecar/capture/test_replay.py
@@ -12,7 +12,7 @@
 from shedgrade.load_balancing import zones
 from shedgrade.sidecar.capture import replay as replays
 from shedgrade.sidecar.capture.explanation import explain, find
-from shedgrade.sidecar.capture.recorder import CALM, short
+from shedgrade.sidecar.capture.recorder import RESUME_DELAY, hash_id
 from shedgrade.sidecar.capture.replay import Replay
 from shedgrade.sidecar.capture.rows import KIND, TAKE
 from shedgrade.sidecar.capture.shortening import outcome, shorten
@@ -76,7 +76,7 @@
     world.balancer.save(world.now)
     state = world.records()[-1]["state"]
     balancer, rpcs = thaw(state, load_balancing)
-    assert len(rpcs) == len(world.balancer.live) and balancer.in_flight == world.balancer.inner.in_flight
+    assert len(rpcs) == len(world.balancer.live_rpcs) and balancer.in_flight == world.balancer.inner.in_flight
     again = freeze(balancer, lambda tag: tag, rpcs.values())
     assert sorted(map(repr, again["rows"][0][1])) == sorted(map(repr, state["rows"][0][1]))
     with pytest.raises(StateError):
@@ -100,25 +100,25 @@
     world = World(7, checkpoint=10**9)
     world.run(200)
     world.run(100, late=50)  # over 50 ms, the interval between two load checks
-    assert world.balancer.skipping
+    assert world.balancer.is_paused
     for _ in range(10):
-        world.now += CALM // 5
+        world.now += RESUME_DELAY // 5
         world.run(1)
     records = world.run(300)
     kinds = [one["k"] for one in records]
     assert kinds.count("gap") == 1 and kinds[kinds.index("gap") + 1] == "state"
-    assert records[kinds.index("gap")]["rows"] > 50 and not world.balancer.skipping
+    assert records[kinds.index("gap")]["rows"] > 50 and not world.balancer.is_paused
     assert same(records).gaps == 1
     busy = World(7, most_rows=1000)
     busy.run(2000)
-    assert any(one["k"] == "gap" for one in busy.run(2000)) or busy.balancer.skipping
+    assert any(one["k"] == "gap" for one in busy.run(2000)) or busy.balancer.is_paused
 
 
 def test_an_rpc_is_found_by_its_id_which_the_capture_does_not_hold_and_explained():
     world = World(2)
     records = world.run(300)
     assert b"id-17" not in world.ring.data()
-    assert find(records, short(b"id-17")) == [18]
+    assert find(records, hash_id(b"id-17")) == [18]
     sent = [(number, answer) for number, answer in world.answers if number == 18]
     lines = explain(records, 18)
     told = "\n".join(lines)
