--- a/shedgrade/cli/replay.py
+++ b/shedgrade/cli/replay.py
@@ -10,7 +10,7 @@
 
 from shedgrade import file_frames, load_balancing
 from shedgrade.cli import fail
-from shedgrade.sidecar.capture.explanation import explain, find
+from shedgrade.sidecar.capture.explanation import explain, find_rpcs
 from shedgrade.sidecar.capture.files import CaptureError, load
 from shedgrade.sidecar.capture.older_decisions import find_decisions, load_decisions
 from shedgrade.sidecar.capture.recorder import hash_id
@@ -19,9 +19,9 @@
 from shedgrade.sidecar.capture.shortening import shorten
 from shedgrade.sidecar.capture.state import StateError
 
-SHOWN = 20  # differences between two versions that are printed; all are counted
+MAX_PRINTED = 20  # differences between two versions that are printed; all are counted
 
-TEST = '''"""Replays a capture. Written by `shedgrade replay --to-test`. {about}"""
+TEST_TEMPLATE = '''"""Replays a capture. Written by `shedgrade replay --to-test`. {about}"""
 import base64
 
 from shedgrade.sidecar.capture.replay import Replay
@@ -33,15 +33,15 @@
 
 
 def test_the_same_decisions_are_made():
-    _, records, why = file_frames.read(CAPTURE, b"C")
-    assert not why
+    _, records, damage = file_frames.read(CAPTURE, b"C")
+    assert not damage
     replay = Replay(records)
     differences = list(replay.run())
     assert not differences and replay.calls == {calls}
 '''
 
 
-def other(checkout: Path) -> ModuleType:
+def load_other_decisions(checkout: Path) -> ModuleType:
     """Loads the load balancing decisions of another checkout. Exits if it has none."""
     path = find_decisions(checkout)
     if path is None:
@@ -49,12 +49,12 @@
     return load_decisions(path)
 
 
-def number_of(records: list[dict], text: str) -> int:
+def find_rpc_number(records: list[dict], text: str) -> int:
     """Returns the number of a request, given by its id or its number (`#12`). Exits if it is not there."""
     if text.startswith("#") and text[1:].isdigit():
         return int(text[1:])
     for name in (hash_id(text.encode()), text.encode()):
-        found = find(records, name)
+        found = find_rpcs(records, name)
         if found:
             return found[-1]
     fail(ValueError(f"the capture has no RPC {text!r} (use #N for RPC number N)"))
@@ -83,17 +83,17 @@
 ) -> None:
     """Replay a capture; print the first result that differs, and exit with 1 then."""
     try:
-        records, why = load(file)
-    except CaptureError as wrong:
-        fail(wrong)
-    if why:
-        print(f"{file}: {why}: read up to there")
-    begun = next((one["now"] for one in records if "now" in one), 0)
-    last = begun + until * 10 if until else float("inf")
-    module = other(checkout) if checkout is not None else load_balancing
+        records, damage = load(file)
+    except CaptureError as error:
+        fail(error)
+    if damage:
+        print(f"{file}: {damage}: read up to there")
+    start = next((one["now"] for one in records if "now" in one), 0)
+    end_time = start + until * 10 if until else float("inf")
+    module = load_other_decisions(checkout) if checkout is not None else load_balancing
     try:
         if shortest:
-            number = number_of(records, shortest)
+            number = find_rpc_number(records, shortest)
             records = shorten(records, number, module)
             print(
                 f"{sum(len(one['r']) for one in records if one['k'] == 'rows')} calls left for RPC #{number}"
@@ -103,50 +103,53 @@
                     file_frames.header(KIND, 0) + b"".join(file_frames.frame(one) for one in records)
                 )
         if explained:
-            print("\n".join(explain(records, number_of(records, explained), module, last)))
+            print("\n".join(explain(records, find_rpc_number(records, explained), module, end_time)))
             return
         if checkout is not None:
-            compare(records, module, last)
+            compare(records, module, end_time)
             return
         for _ in range(times):
-            started = time.perf_counter()
-            one = Replay(records, module, until=last)
-            for found in one.run():
+            started_at = time.perf_counter()
+            replayed = Replay(records, module, end_time=end_time)
+            for difference in replayed.run():
                 print(
-                    f"call {found.place}, {(found.now - begun) / 10:.1f} ms: {found.call} of RPC "
-                    f"{found.rpc}: recorded {found.told}, replayed {found.got}"
+                    f"call {difference.call_number}, {(difference.now - start) / 10:.1f} ms: "
+                    f"{difference.call} of RPC {difference.rpc}: "
+                    f"recorded {difference.recorded}, replayed {difference.replayed}"
                 )
-                print("\n".join(f"  {line}" for line in found.state))
+                print("\n".join(f"  {line}" for line in difference.state))
                 raise typer.Exit(1)
-            took = time.perf_counter() - started
+            duration_s = time.perf_counter() - started_at
         print(
-            f"{one.calls} calls, {one.left_out} before the first checkpoint, {one.gaps} gaps: the same "
-            f"decisions"
-            f"{f', {times} times' if times > 1 else ''} ({one.calls / took:,.0f} calls a second)"
+            f"{replayed.calls} calls, {replayed.left_out} before the first checkpoint, "
+            f"{replayed.gaps} gaps: the same decisions"
+            f"{f', {times} times' if times > 1 else ''} ({replayed.calls / duration_s:,.0f} calls a second)"
         )
-    except StateError as wrong:
-        fail(wrong)
+    except StateError as error:
+        fail(error)
     if to_test is not None:
         data = file_frames.header(KIND, 0) + b"".join(file_frames.frame(one) for one in records)
         text = base64.b85encode(data).decode()
         lines = "\n".join(f"    {text[place : place + 96]!r}" for place in range(0, len(text), 96))
-        to_test.write_text(TEST.format(about=f"From {file.name}.", lines=lines, calls=one.calls))
+        to_test.write_text(
+            TEST_TEMPLATE.format(about=f"From {file.name}.", lines=lines, calls=replayed.calls)
+        )
         print(f"{to_test}: {len(data)} bytes")
 
 
-def compare(records: list[dict], module: ModuleType, last: float) -> None:
+def compare(records: list[dict], module: ModuleType, end_time: float) -> None:
     """Prints the results that differ with other decisions, and skips calls that make no sense for them."""
-    one = Replay(records, module, until=last, lenient=True)
-    count = decisions = 0
-    for found in one.run():
+    replayed = Replay(records, module, end_time=end_time, lenient=True)
+    count = decision_count = 0
+    for difference in replayed.run():
         count += 1
-        decisions += found.call == "decide"
-        if count <= SHOWN:
+        decision_count += difference.call == "decide"
+        if count <= MAX_PRINTED:
             print(
-                f"call {found.place}: {found.call} of RPC {found.rpc}: recorded {found.told}, now {found.got}"
+                f"call {difference.call_number}: {difference.call} of RPC {difference.rpc}: "
+                f"recorded {difference.recorded}, now {difference.replayed}"
             )
     print(
-        f"{one.calls} calls, {count} answers differ, {decisions} of them decisions; {one.left_out} calls "
-        "could not be "
-        f"made there"
+        f"{replayed.calls} calls, {count} answers differ, {decision_count} of them decisions; "
+        f"{replayed.left_out} calls could not be made there"
     )
--- a/shedgrade/sidecar/capture/explanation.py
+++ b/shedgrade/sidecar/capture/explanation.py
@@ -28,19 +28,19 @@
 )
 
 
-def narrating(base: type) -> type:
+def explaining_class(base: type) -> type:
     """Returns a subclass of a Balancer that decides alike and adds reasons to `lines`, if that is a list."""
 
     class NarratingBalancer(base):
         lines: list | None = None
-        names: dict = {}
+        upstream_ids: dict = {}
 
         def say(self, line: str) -> None:
             if self.lines is not None:
                 self.lines.append(line)
 
         def name(self, up: object) -> str:
-            return self.names.get(str(up.index), str(up.index))
+            return self.upstream_ids.get(str(up.index), str(up.index))
 
         def choose_upstream(
             self, now: int, rpc: load_balancing.Rpc, stay: bool
@@ -63,9 +63,9 @@
                 ]
                 if len(loads) > 1 and max(loads)[0] >= load_balancing.DROP_THRESHOLD:
                     self.say(f"  zone {max(loads)[1]} has the highest load, at the threshold: skipped")
-                aside = [self.name(up) for up in self.upstreams.values() if up.ejected_until]
-                if aside:
-                    self.say(f"  ejected: {', '.join(aside[:8])}{' ...' if len(aside) > 8 else ''}")
+                ejected = [self.name(up) for up in self.upstreams.values() if up.ejected_until]
+                if ejected:
+                    self.say(f"  ejected: {', '.join(ejected[:8])}{' ...' if len(ejected) > 8 else ''}")
             found = super().choose_upstream(now, rpc, stay)
             if found is None:
                 self.say(
@@ -78,11 +78,13 @@
         ) -> load_balancing.Upstream | None:
             found = super().next_in_rotation(zone, now, rpc, left)
             if found is not None:
-                bar = (zone.in_flight + zone.background_load) / max(
+                load_limit = (zone.in_flight + zone.background_load) / max(
                     1, len(zone.rotation)
                 ) + load_balancing.LOAD_MARGIN
                 above = (
-                    "" if found.in_flight + found.background_load <= bar else ": none near the mean had room"
+                    ""
+                    if found.in_flight + found.background_load <= load_limit
+                    else ": none near the mean had room"
                 )
                 self.say(
                     f"  zone {self.zones.index(zone)}: {self.name(found)} is next with room, "
@@ -93,7 +95,7 @@
         def has_capacity(self, up: load_balancing.Upstream, now: int, left: int, expected: float) -> bool:
             found = super().has_capacity(up, now, left, expected)
             if not found:
-                why = (
+                reason = (
                     "half-open, with one in flight"
                     if up.half_open and up.in_flight
                     else (
@@ -102,7 +104,7 @@
                         else f"{expected / 10:.0f} ms expected of {left / 10:.0f} left"
                     )
                 )
-                self.say(f"  {self.name(up)} passed over: {why}")
+                self.say(f"  {self.name(up)} skipped: {reason}")
             return found
 
         def last_resort(self, now: int, rpc: load_balancing.Rpc) -> load_balancing.Upstream | None:
@@ -133,62 +135,64 @@
 
     `module`: the decisions to replay with. `until`: time at which the replay stops, tenths of a ms.
     """
-    replay = Replay(records, module, narrating(module.Balancer), until)
+    replay = Replay(records, module, explaining_class(module.Balancer), until)
     lines: list[str] = []
-    begun = [0]
+    admitted_at = [0]
 
-    def watch(now: int, row: list, got: object) -> None:
+    def on_call(now: int, row: list, replayed: object) -> None:
         balancer = replay.balancer
-        op, told = row[0], row[2:]
-        heard, balancer.lines = balancer.lines or [], None
-        if op not in RPC_OPERATIONS or told[0] != number:
+        op, values = row[0], row[2:]
+        reasons, balancer.lines = balancer.lines or [], None
+        if op not in RPC_OPERATIONS or values[0] != number:
             return
-        at = f"{(now - begun[0]) / 10:.1f} ms"
+        at = f"{(now - admitted_at[0]) / 10:.1f} ms"
         if op == TAKE:
-            begun[0] = now
+            admitted_at[0] = now
             lines.append(
-                f"RPC {number}: method {told[1]}, gives up after {told[2] / 10:.0f} ms"
-                f"{', a marked retry' if told[3] else ''}"
+                f"RPC {number}: method {values[1]}, gives up after {values[2] / 10:.0f} ms"
+                f"{', a marked retry' if values[3] else ''}"
             )
         elif op in (DECIDE, NO_DECISION):
-            if got is None:
-                lines.extend([f"{at}: nothing yet", *heard] if heard else [])
-            elif got[0] >= 0:
-                name = replay.names.get(str(got[0]), got[0])
-                lines.extend([f"{at}: sent to {name}, for {got[1] / 10:.0f} ms", *heard])
+            if replayed is None:
+                lines.extend([f"{at}: nothing yet", *reasons] if reasons else [])
+            elif replayed[0] >= 0:
+                name = replay.upstream_ids.get(str(replayed[0]), replayed[0])
+                lines.extend([f"{at}: sent to {name}, for {replayed[1] / 10:.0f} ms", *reasons])
             else:
-                said = "exhausted" if got[0] == load_balancing.EXHAUSTED else "errored, as it may have run"
-                lines.extend([f"{at}: answered {said}", *heard])
+                answer = (
+                    "exhausted" if replayed[0] == load_balancing.EXHAUSTED else "errored, as it may have run"
+                )
+                lines.extend([f"{at}: answered {answer}", *reasons])
         elif op == ATTEMPT_FINISHED:
             lines.append(
-                f"{at}: transmission {told[1]} {OUTCOMES[told[2]]} after {told[3] / 10:.1f} ms"
-                f"{', which answers it' if told[4] else ''}"
+                f"{at}: transmission {values[1]} {OUTCOMES[values[2]]} after {values[3] / 10:.1f} ms"
+                f"{', which answers it' if values[4] else ''}"
             )
         elif op == CLIENT_DISCONNECTED:
             lines.append(f"{at}: its client left")
         elif op == RESPONSE_STARTED:
             lines.append(f"{at}: its stream is open")
 
-    replay.watch = watch
+    replay.on_call = on_call
     # Reasons given during a call belong to its request, whose number each row holds.
-    plain_call = replay.call
+    replay_call = replay.make_call
 
-    def call(now: int, row: list) -> tuple[object, object]:
+    def make_call(now: int, row: list) -> tuple[object, object]:
         balancer = replay.balancer
         if row[0] in (DECIDE, NO_DECISION) and row[2] == number:
-            balancer.names, balancer.lines = replay.names, []
+            balancer.upstream_ids, balancer.lines = replay.upstream_ids, []
         else:
             balancer.lines = None
-        return plain_call(now, row)
+        return replay_call(now, row)
 
-    replay.call = call
+    replay.make_call = make_call
     lines.extend(
-        f"differs here: {difference.call}: recorded {difference.told}, replayed {difference.got}"
+        f"differs here: {difference.call}: recorded {difference.recorded}, replayed {difference.replayed}"
         for difference in replay.run()
     )
     return lines or [f"RPC {number} is not in this capture"]
 
 
-def find(records: list[dict], name: bytes) -> list[int]:
+def find_rpcs(records: list[dict], name: bytes) -> list[int]:
     """Returns the numbers of the requests with this name: an id, or the hash of one."""
     return [row[2] for _, row in calls(records) if row[0] == TAKE and row[6] == name]
--- a/shedgrade/sidecar/capture/replay.py
+++ b/shedgrade/sidecar/capture/replay.py
@@ -38,7 +38,7 @@
 from shedgrade.sidecar.capture.state import thaw
 
 # Finished requests that are kept for later calls in the same dispatch pass: more than any pass handles.
-LINGER = 10_000
+MAX_FINISHED_RPCS = 10_000
 RPC_OPERATIONS = (
     BODY_RECEIVED,
     TAKE,
@@ -54,21 +54,21 @@
 class Difference(Struct):
     """A call whose result differs from the recorded one.
 
-    place: number of the call, from 1.
+    call_number: number of the call, from 1.
     now: time of the call, tenths of a ms.
     call: the call, as named in OPERATIONS.
     rpc: number of its request; None for a call on the balancer.
-    told: the recorded result.
-    got: the result of the replay.
+    recorded: the recorded result.
+    replayed: the result of the replay.
     state: lines that describe the balancer after the call.
     """
 
-    place: int
+    call_number: int
     now: int
     call: str
     rpc: int | None
-    told: object
-    got: object
+    recorded: object
+    replayed: object
     state: list[str]
 
 
@@ -76,9 +76,9 @@
     """A call refers to an object that does not exist, as in a shortened capture, or with other decisions."""
 
 
-def plain(value: object) -> object:
+def as_decoded(value: object) -> object:
     """Returns a value as MessagePack decodes it: lists in place of tuples."""
-    return [plain(one) for one in value] if isinstance(value, (list, tuple)) else value
+    return [as_decoded(one) for one in value] if isinstance(value, (list, tuple)) else value
 
 
 class Replay:
@@ -88,30 +88,30 @@
         self,
         records: list[dict],
         module: ModuleType = load_balancing,
-        kind: type | None = None,
-        until: float = float("inf"),
+        balancer_class: type | None = None,
+        end_time: float = float("inf"),
         lenient: bool = False,
     ) -> None:
         """Prepares the replay.
 
         module: the decisions to use.
-        kind: a subclass of the module's Balancer to use in its place.
-        until: time at which the replay stops, tenths of a ms.
+        balancer_class: a subclass of the module's Balancer to use in its place.
+        end_time: time at which the replay stops, tenths of a ms.
         lenient: goes on after a difference, and skips calls that can't be made.
         """
         self.records = records
         self.module = module
-        self.kind = kind
-        self.until = until
+        self.balancer_class = balancer_class
+        self.end_time = end_time
         self.lenient = lenient
         self.balancer = None
         self.rpcs = {}
-        self.names = {}
+        self.upstream_ids = {}
         self.settings = {}
-        self.due = None
-        self.ending = deque()
+        self.due_rpcs = None
+        self.finished_numbers = deque()
         self.calls = self.gaps = self.left_out = 0
-        self.watch: Callable[[int, list, object], None] | None = None
+        self.on_call: Callable[[int, list, object], None] | None = None
 
     def run(self) -> Iterator[Difference]:
         """Makes all calls and yields each result that differs; ends at the first one unless lenient.
@@ -119,37 +119,37 @@
         StateError if a checkpoint does not fit the decisions.
         """
         for now, row in calls(self.records):
-            if now > self.until:
+            if now > self.end_time:
                 return
             if isinstance(row[0], dict):
-                self.record(row[0])
+                self.apply_record(row[0])
                 continue
             if self.balancer is None:
-                # Without a checkpoint, as after a gap, the state is unknown.
+                # Before the first checkpoint of a cut capture, or after a gap, the state is unknown.
                 self.left_out += 1
                 continue
             self.calls += 1
             try:
-                told, got = self.call(now, row)
+                recorded, replayed = self.make_call(now, row)
             except (MissingError, IndexError, KeyError) as missing:
                 if not self.lenient:
-                    yield self.differs(now, row, "a call that can be made", f"none: {missing}")
+                    yield self.difference(now, row, "a call that can be made", f"none: {missing}")
                     return
                 self.left_out += 1
                 continue
-            if self.watch is not None:
-                self.watch(now, row, got)
-            if plain(told) != plain(got):
-                yield self.differs(now, row, told, got)
+            if self.on_call is not None:
+                self.on_call(now, row, replayed)
+            if as_decoded(recorded) != as_decoded(replayed):
+                yield self.difference(now, row, recorded, replayed)
                 if not self.lenient:
                     return
 
-    def record(self, record: dict) -> None:
+    def apply_record(self, record: dict) -> None:
         """Applies a record that is no batch of calls."""
         kind = record["k"]
         if kind == "begin":
             self.settings = record["settings"]
-            self.balancer = (self.kind or self.module.Balancer)(
+            self.balancer = (self.balancer_class or self.module.Balancer)(
                 record["settings"], record["seed"], record["now"]
             )
             self.rpcs = {}
@@ -160,10 +160,10 @@
         elif kind == "state":
             # Without a gap the replay keeps its own state; a test checks that checkpoints agree with it.
             if self.balancer is None:
-                self.balancer, self.rpcs = thaw(record["state"], self.module, self.kind)
-            self.names |= record["names"]
+                self.balancer, self.rpcs = thaw(record["state"], self.module, self.balancer_class)
+            self.upstream_ids |= record["names"]
         elif kind == "names":
-            self.names |= record["names"]
+            self.upstream_ids |= record["names"]
 
     def rpc(self, number: int) -> object:
         """Returns the request of a number. MissingError if there is none."""
@@ -171,84 +171,84 @@
             raise MissingError(f"RPC {number}")
         return self.rpcs[number]
 
-    def over(self, number: int) -> None:
-        """Forgets a request that is done and has no attempt outstanding, after `LINGER` others.
+    def retire_if_done(self, number: int) -> None:
+        """Forgets a request that is done and has no attempt outstanding, after `MAX_FINISHED_RPCS` others.
 
         The dispatcher may still ask for its decision in the same pass.
         """
         rpc = self.rpcs[number]
         if rpc.done and not rpc.outstanding:
-            self.ending.append(number)
-            if len(self.ending) > LINGER:
-                self.rpcs.pop(self.ending.popleft(), None)
+            self.finished_numbers.append(number)
+            if len(self.finished_numbers) > MAX_FINISHED_RPCS:
+                self.rpcs.pop(self.finished_numbers.popleft(), None)
 
-    def call(self, now: int, row: list) -> tuple[object, object]:
+    def make_call(self, now: int, row: list) -> tuple[object, object]:
         """Makes the call of a row; returns (recorded result, result now)."""
-        balancer, op, told = self.balancer, row[0], row[2:]
+        balancer, op, recorded = self.balancer, row[0], row[2:]
         if op == TAKE:
-            number, method, wait, retry, _, *tenant = told  # older captures have no tenant after the name
+            number, method, wait, retry, _, *tenant = recorded  # older captures have no tenant after the name
             self.rpcs[number] = balancer.admit(now, method, now + wait, retry, number, *tenant)
             return None, None
         if op == DECIDE:
-            answer = self.rpc(told[0]).decide(now)
-            self.over(told[0])
-            return told[1:], answer
+            answer = self.rpc(recorded[0]).decide(now)
+            self.retire_if_done(recorded[0])
+            return recorded[1:], answer
         if op == NO_DECISION:
-            return None, self.rpc(told[0]).decide(now)
+            return None, self.rpc(recorded[0]).decide(now)
         if op == ATTEMPT_FINISHED:
-            number, tx, outcome, took, settled, fresh, stops = told
+            number, tx, outcome, took, settled, fresh, stops = recorded
             rpc = self.rpc(number)
             if tx not in rpc.outstanding:
                 raise MissingError(f"transmission {tx} of RPC {number}")
-            got = rpc.attempt_finished(now, tx, outcome, took, settled, fresh)
-            self.over(number)
-            return stops, got
+            replayed = rpc.attempt_finished(now, tx, outcome, took, settled, fresh)
+            self.retire_if_done(number)
+            return stops, replayed
         if op == CLIENT_DISCONNECTED:
-            rpc = self.rpc(told[0])
-            got = rpc.client_disconnected(now)
-            self.over(told[0])
-            return told[1], got
+            rpc = self.rpc(recorded[0])
+            replayed = rpc.client_disconnected(now)
+            self.retire_if_done(recorded[0])
+            return recorded[1], replayed
         if op == BODY_RECEIVED:
-            number, wait, here, whole, limit = told
+            number, wait, here, whole, limit = recorded
             return limit, self.rpc(number).body_received(now, now + wait, here, whole)
         if op == RESPONSE_STARTED:
-            self.rpc(told[0]).response_started(told[1])
+            self.rpc(recorded[0]).response_started(recorded[1])
             return None, None
         if op in (DUE, DUE_ENDED):
-            if self.due is None:
-                self.due = balancer.due(now)
-            got = next(self.due, None)
-            if got is None or op == DUE_ENDED:
-                self.due = None
-            return (told[0] if op == DUE else None), (got.tag if got is not None else None)
+            if self.due_rpcs is None:
+                self.due_rpcs = balancer.due(now)
+            replayed = next(self.due_rpcs, None)
+            if replayed is None or op == DUE_ENDED:
+                self.due_rpcs = None
+            return (recorded[0] if op == DUE else None), (replayed.tag if replayed is not None else None)
         if op == LIST_CHANGED:
-            balancer.list_changed(now, [tuple(one) for one in told[0]], told[1], told[2])
+            balancer.list_changed(now, [tuple(one) for one in recorded[0]], recorded[1], recorded[2])
         elif op == LIST_FAILED:
             balancer.list_failed(now)
         elif op == MARK_UNVERIFIED:
-            balancer.mark_unverified(now, *told)
+            balancer.mark_unverified(now, *recorded)
         elif op == SET_WITHDRAWN:
-            balancer.set_withdrawn(now, *told)
+            balancer.set_withdrawn(now, *recorded)
         elif op == UPDATE_SETTINGS:
-            balancer.update_settings(told[0])
-            self.settings = told[0]
+            balancer.update_settings(recorded[0])
+            self.settings = recorded[0]
         elif op == SET_SLOW_START_SHARE:
-            balancer.set_slow_start_share(*told)
+            balancer.set_slow_start_share(*recorded)
         elif op == RESTORE:
-            learned_state.restore(balancer, now, *told)
+            learned_state.restore(balancer, now, *recorded)
         elif op == UNIFORM:
-            return told[2], balancer.uniform(*told[:2])
+            return recorded[2], balancer.uniform(*recorded[:2])
         elif op == DRAW_ADMISSION:
-            return told[1], balancer.draw_admission(told[0])
+            return recorded[1], balancer.draw_admission(recorded[0])
         elif op == WANTS_LIST:
-            return told[0], balancer.wants_list(now)
+            return recorded[0], balancer.wants_list(now)
         elif op == TAKE_RELEASED:
-            return told[0], balancer.take_released()
+            return recorded[0], balancer.take_released()
         else:
             raise MissingError(f"unknown operation {op}")
         return None, None
 
-    def differs(self, now: int, row: list, told: object, got: object) -> Difference:
+    def difference(self, now: int, row: list, recorded: object, replayed: object) -> Difference:
         """Returns the difference between two results, with a description of the state."""
         number = row[2] if row[0] in RPC_OPERATIONS else None
         return Difference(
@@ -256,13 +256,13 @@
             now,
             OPERATIONS.get(row[0], (f"op {row[0]}", ""))[0],
             number,
-            told,
-            got,
-            picture(self.balancer, self.names),
+            recorded,
+            replayed,
+            describe(self.balancer, self.upstream_ids),
         )
 
 
-def picture(balancer: object, names: dict[str, str]) -> list[str]:
+def describe(balancer: object, upstream_ids: dict[str, str]) -> list[str]:
     """Returns lines that describe a balancer: the load of each zone, and each upstream that is not normal."""
     lines = []
     for number, zone in enumerate(balancer.zones):
@@ -286,5 +286,5 @@
             if true
         ]
         if odd:
-            lines.append(f"{names.get(str(index), index)}: {', '.join(odd)}, {up.in_flight} in flight")
+            lines.append(f"{upstream_ids.get(str(index), index)}: {', '.join(odd)}, {up.in_flight} in flight")
     return lines
--- a/shedgrade/sidecar/capture/shortening.py
+++ b/shedgrade/sidecar/capture/shortening.py
@@ -28,19 +28,23 @@
     found = []
     replay = Replay(records, module, lenient=True)
 
-    def watch(now: int, row: list, got: object) -> None:
-        if row[0] in (DECIDE, NO_DECISION) and row[2] == number and got is not None:
-            found.append(got[0])
+    def on_call(now: int, row: list, replayed: object) -> None:
+        if row[0] in (DECIDE, NO_DECISION) and row[2] == number and replayed is not None:
+            found.append(replayed[0])
 
-    replay.watch = watch
+    replay.on_call = on_call
     for _ in replay.run():
         pass
     return found
 
 
-def without(records: list[dict], dropped: set) -> list[dict]:
-    """Returns the capture without these requests (by number) and list changes (as ("list", index))."""
-    kept, place = [], 0
+def remove_calls(records: list[dict], dropped: set) -> list[dict]:
+    """Returns the capture without the dropped calls.
+
+    `dropped`: numbers of requests, and ("list", index) for calls on the endpoint list and random draws, which
+    are counted together.
+    """
+    kept, position = [], 0
     for record in records:
         if record["k"] != "rows":
             kept.append(record)
@@ -50,7 +54,7 @@
             now += row[1]
             gone = row[0] in RPC_OPERATIONS and row[2] in dropped
             if row[0] in (LIST_CHANGED, UNIFORM, LIST_FAILED):
-                gone, place = ("list", place) in dropped, place + 1
+                gone, position = ("list", position) in dropped, position + 1
             if not gone:
                 rows.append([row[0], now - last, *row[2:]])
                 last = now
@@ -62,67 +66,69 @@
     records: list[dict],
     number: int,
     module: ModuleType = load_balancing,
-    wanted: Callable[[list], bool] | None = None,
+    accepts: Callable[[list], bool] | None = None,
 ) -> list[dict]:
     """Returns the capture with the fewest requests and list changes that keep the outcome of one request.
 
     Leaves out halves, then quarters and so on, as long as the outcome stays (ddmin). Results in the returned
-    capture are those of its own replay. `wanted`: tells whether an outcome is accepted; by default it must be
-    the same.
+    capture are those of its own replay. `accepts`: returns whether an outcome is
+    accepted; by default, only the same one is.
     """
-    goal = outcome(records, number, module)
-    wanted = wanted or (lambda found: found == goal)
-    parts: list = [
-        one
-        for one, _ in groupby(
+    original_outcome = outcome(records, number, module)
+    accepts = accepts or (lambda found: found == original_outcome)
+    candidates: list = [
+        key
+        for key, _ in groupby(
             sorted({row[2] for _, row in calls(records) if row[0] in RPC_OPERATIONS and row[2] != number})
         )
     ]
-    parts += [
-        ("list", place)
-        for place in range(sum(row[0] in (LIST_CHANGED, UNIFORM, LIST_FAILED) for _, row in calls(records)))
+    candidates += [
+        ("list", position)
+        for position in range(
+            sum(row[0] in (LIST_CHANGED, UNIFORM, LIST_FAILED) for _, row in calls(records))
+        )
     ]
     dropped: set = set()
-    size = max(1, len(parts) // 2)
-    while parts:
-        kept, place = [], 0
-        while place < len(parts):
-            piece = set(parts[place : place + size])
-            if wanted(outcome(without(records, dropped | piece), number, module)):
-                dropped |= piece
+    size = max(1, len(candidates) // 2)
+    while candidates:
+        kept, position = [], 0
+        while position < len(candidates):
+            omitted = set(candidates[position : position + size])
+            if accepts(outcome(remove_calls(records, dropped | omitted), number, module)):
+                dropped |= omitted
             else:
-                kept += parts[place : place + size]
-            place += size
-        parts = kept
+                kept += candidates[position : position + size]
+            position += size
+        candidates = kept
         if size == 1:
             break
         size = max(1, size // 2)
-    return rewritten(without(records, dropped), module)
+    return with_new_results(remove_calls(records, dropped), module)
 
 
-def rewritten(records: list[dict], module: ModuleType = load_balancing) -> list[dict]:
+def with_new_results(records: list[dict], module: ModuleType = load_balancing) -> list[dict]:
     """Returns the capture with the results of these decisions in place of the recorded ones.
 
     Calls that can't be made are left out.
     """
-    made: list[dict] = []
+    result: list[dict] = []
     replay = Replay(records, module, lenient=True)
     rows: list[list] = []
     last = [0, 0]
 
     def flush() -> None:
         if rows:
-            made.append({"k": "rows", "now": last[0], "r": rows[:]})
+            result.append({"k": "rows", "now": last[0], "r": rows[:]})
             rows.clear()
 
-    def watch(now: int, row: list, got: object) -> None:
+    def on_call(now: int, row: list, replayed: object) -> None:
         op = row[0]
         if not rows:
             last[:] = [now, now]
-        told = row[2:]
+        values = row[2:]
         if op in (DECIDE, NO_DECISION):
-            told = [told[0], *(got or ())]
-            op = NO_DECISION if got is None else DECIDE
+            values = [values[0], *(replayed or ())]
+            op = NO_DECISION if replayed is None else DECIDE
         elif op in (
             ATTEMPT_FINISHED,
             CLIENT_DISCONNECTED,
@@ -131,23 +137,23 @@
             WANTS_LIST,
             TAKE_RELEASED,
         ):
-            told = [*told[:-1], got]
+            values = [*values[:-1], replayed]
         elif op in (DUE, DUE_ENDED):
-            op, told = (DUE_ENDED, []) if got is None else (DUE, [got])
-        rows.append([op, now - last[1], *told])
+            op, values = (DUE_ENDED, []) if replayed is None else (DUE, [replayed])
+        rows.append([op, now - last[1], *values])
         last[1] = now
 
-    replay.watch = watch
-    plain_record = replay.record
+    replay.on_call = on_call
+    replay_record = replay.apply_record
 
-    def record(one: dict) -> None:
+    def apply_record(record: dict) -> None:
         flush()
-        if one["k"] != "state" or replay.balancer is None:
-            made.append(one)
-        plain_record(one)
+        if record["k"] != "state" or replay.balancer is None:
+            result.append(record)
+        replay_record(record)
 
-    replay.record = record
+    replay.apply_record = apply_record
     for _ in replay.run():
         pass
     flush()
-    return made
+    return result
--- a/tests/sidecar/capture/test_replay.py
+++ b/tests/sidecar/capture/test_replay.py
@@ -11,7 +11,7 @@
 from shedgrade import file_frames, load_balancing
 from shedgrade.load_balancing import zones
 from shedgrade.sidecar.capture import replay as replays
-from shedgrade.sidecar.capture.explanation import explain, find
+from shedgrade.sidecar.capture.explanation import explain, find_rpcs
 from shedgrade.sidecar.capture.recorder import RESUME_DELAY, hash_id
 from shedgrade.sidecar.capture.replay import Replay
 from shedgrade.sidecar.capture.rows import KIND, TAKE
@@ -33,7 +33,7 @@
     inner = world.balancer.inner
     told = [freeze(inner, lambda tag: tag.rpc.number), freeze(one.balancer, lambda tag: tag)]
     assert told[0]["random"] == told[1]["random"]
-    assert replays.picture(inner, {}) == replays.picture(one.balancer, {})
+    assert replays.describe(inner, {}) == replays.describe(one.balancer, {})
 
 
 def test_captures_from_before_tenants_are_read_and_their_checkpoints_refused_in_one_line():
@@ -90,7 +90,7 @@
     records = world.run(400)
     monkeypatch.setattr(zones, "LOAD_MARGIN", -5.0)
     found = list(Replay(records).run())
-    assert len(found) == 1 and found[0].rpc and found[0].told != found[0].got
+    assert len(found) == 1 and found[0].rpc and found[0].recorded != found[0].replayed
     assert any(line.startswith("zone 0 (own)") for line in found[0].state)
     lenient = Replay(records, lenient=True)
     assert len(list(lenient.run())) > 1
@@ -118,7 +118,7 @@
     world = World(2)
     records = world.run(300)
     assert b"id-17" not in world.ring.data()
-    assert find(records, hash_id(b"id-17")) == [18]
+    assert find_rpcs(records, hash_id(b"id-17")) == [18]
     sent = [(number, answer) for number, answer in world.answers if number == 18]
     lines = explain(records, 18)
     told = "\n".join(lines)
