--- a/shedgrade/sidecar/capture/state.py
+++ b/shedgrade/sidecar/capture/state.py
@@ -16,23 +16,26 @@
 from shedgrade.sidecar.capture.stored_names import ATTRIBUTES, CLASSES, STORED_ATTRIBUTES, STORED_CLASSES
 
 VERSION = 6  # of the fields of the state; a state with other fields can't be restored
-DRAWS = {"chance": "random", "span": "uniform", "pick": "choices"}  # stored name -> method of the one Random
+# Stored name -> method of the one `Random`.
+RANDOM_METHODS = {"chance": "random", "span": "uniform", "pick": "choices"}
 
 
 class StateError(Exception):
     """A state does not fit the balancer; the text says why in one line."""
 
 
-PLAIN = frozenset((int, float, bool, str, type(None)))
+PLAIN_TYPES = frozenset((int, float, bool, str, type(None)))
 UNSET = object()
 
 
-def fields(thing: object) -> dict:
+def attributes_of(instance: object) -> dict:
     """Returns an object's attributes by name, in a fixed order, without those that were never set."""
-    if hasattr(thing, "__dict__"):
-        return dict(thing.__dict__)
+    if hasattr(instance, "__dict__"):
+        return dict(instance.__dict__)
     return {
-        name: value for name in type(thing).__slots__ if (value := getattr(thing, name, UNSET)) is not UNSET
+        name: value
+        for name in type(instance).__slots__
+        if (value := getattr(instance, name, UNSET)) is not UNSET
     }
 
 
@@ -43,113 +46,117 @@
     itself refers only to those that wait for something. StateError if a value has no stored form.
     """
     rows: list[list] = []
-    places: dict[int, int] = {}
+    indices: dict[int, int] = {}
 
-    def place(thing: object) -> int:
-        known = places.get(id(thing))
-        if known is None:
-            known = places[id(thing)] = len(rows)
+    def index_of(instance: object) -> int:
+        index = indices.get(id(instance))
+        if index is None:
+            index = indices[id(instance)] = len(rows)
             rows.append([])
-            told = {}
-            cls = STORED_CLASSES[type(thing).__name__]
+            stored = {}
+            cls = STORED_CLASSES[type(instance).__name__]
             stored_names = STORED_ATTRIBUTES[cls]
-            for attribute in type(thing).__slots__:
-                value = getattr(thing, attribute, UNSET)
+            for attribute in type(instance).__slots__:
+                value = getattr(instance, attribute, UNSET)
                 name = stored_names.get(attribute, attribute)
-                if type(value) in PLAIN:
-                    told[name] = number(value) if name == "tag" else value
+                if type(value) in PLAIN_TYPES:
+                    stored[name] = number(value) if name == "tag" else value
                 elif name == "tag":
-                    told[name] = number(value)
+                    stored[name] = number(value)
                 elif value is not UNSET and name != "home":
-                    told[name] = spell(value)
-            rows[known] = [cls, told]
-        return known
+                    stored[name] = encode(value)
+            rows[index] = [cls, stored]
+        return index
 
-    def spell(value: object) -> object:
-        kind = type(value)
-        if kind in PLAIN:
+    def encode(value: object) -> object:
+        value_type = type(value)
+        if value_type in PLAIN_TYPES:
             return value
-        if kind is list:
-            return ["l", [spell(one) for one in value]]
-        if kind is tuple:
-            return ["t", [spell(one) for one in value]]
-        if kind is dict:
-            return ["d", [[spell(key), spell(one)] for key, one in value.items()]]
-        if kind.__name__ in STORED_CLASSES:
-            return ["o", place(value)]
-        raise StateError(f"a value of type {kind.__name__} can't be stored")
-
-    told = {}
+        if value_type is list:
+            return ["l", [encode(item) for item in value]]
+        if value_type is tuple:
+            return ["t", [encode(item) for item in value]]
+        if value_type is dict:
+            return ["d", [[encode(key), encode(item)] for key, item in value.items()]]
+        if value_type.__name__ in STORED_CLASSES:
+            return ["o", index_of(value)]
+        raise StateError(f"a value of type {value_type.__name__} can't be stored")
+
+    stored = {}
     stored_names = STORED_ATTRIBUTES["Balancer"]
-    for attribute, value in fields(balancer).items():
+    for attribute, value in attributes_of(balancer).items():
         name = stored_names.get(attribute, attribute)
-        if name in DRAWS:
-            told[name] = None
+        if name in RANDOM_METHODS:
+            stored[name] = None
         elif name == "count":
-            told[name] = value.__self__.__reduce__()[1][0]
+            stored[name] = value.__self__.__reduce__()[1][0]
         else:
-            told[name] = spell(value)
+            stored[name] = encode(value)
     for rpc in rpcs:
-        place(rpc)
+        index_of(rpc)
     version, words, gauss = balancer.random.__self__.getstate()
-    return {"v": VERSION, "balancer": told, "rows": rows, "random": [version, list(words), gauss]}
+    return {"v": VERSION, "balancer": stored, "rows": rows, "random": [version, list(words), gauss]}
 
 
-def thaw(state: dict, module: ModuleType, kind: type | None = None) -> tuple[object, dict[int, object]]:
+def thaw(
+    state: dict, module: ModuleType, balancer_class: type | None = None
+) -> tuple[object, dict[int, object]]:
     """Returns the balancer of a stored state, and its requests in flight by number.
 
-    `module`: the decisions to use; `kind`: a subclass of the module's Balancer to create in its place.
+    `module`: the decisions to use; `balancer_class`: a subclass of the module's Balancer to create instead.
     StateError if the state does not fit the module.
     """
     try:
-        return put_back(state, module, kind or module.Balancer)
-    except (AttributeError, IndexError, KeyError, TypeError, ValueError) as wrong:
-        raise StateError(f"the state does not fit these decisions: {wrong!r}") from wrong
+        return restore(state, module, balancer_class or module.Balancer)
+    except (AttributeError, IndexError, KeyError, TypeError, ValueError) as error:
+        raise StateError(f"the state does not fit these decisions: {error!r}") from error
 
 
-def put_back(state: dict, module: ModuleType, kind: type) -> tuple[object, dict[int, object]]:
+def restore(state: dict, module: ModuleType, balancer_class: type) -> tuple[object, dict[int, object]]:
     """As `thaw`, but a state that does not fit may also raise other errors."""
     if state["v"] != VERSION:
         raise StateError(f"state of version {state['v']}")
-    made = []
+    instances = []
     for name, _ in state["rows"]:
         if name not in CLASSES:
             raise StateError(f"unknown class {name!r}")
         cls = getattr(module, CLASSES[name])
-        made.append(cls.__new__(cls))
+        instances.append(cls.__new__(cls))
 
-    def read(value: object) -> object:
+    def decode(value: object) -> object:
         if type(value) is not list:
             return value
-        what, held = value
-        if what == "o":
-            return made[held]
-        if what == "d":
-            return {read(key): read(one) for key, one in held}
-        return [read(one) for one in held] if what == "l" else tuple(read(one) for one in held)
-
-    balancer = kind.__new__(kind)
+        type_tag, content = value
+        if type_tag == "o":
+            return instances[content]
+        if type_tag == "d":
+            return {decode(key): decode(item) for key, item in content}
+        return (
+            [decode(item) for item in content] if type_tag == "l" else tuple(decode(item) for item in content)
+        )
+
+    balancer = balancer_class.__new__(balancer_class)
     rpcs = {}
-    for thing, (name, told) in zip(made, state["rows"], strict=True):
+    for instance, (name, stored) in zip(instances, state["rows"], strict=True):
         attributes, stored_names = ATTRIBUTES[name], STORED_ATTRIBUTES[name]
-        known = {stored_names.get(slot, slot) for slot in type(thing).__slots__} - {"home"}
-        if not set(told) <= known or not told:
-            raise StateError(f"{name} has other fields: {sorted(set(told) - known)}")
-        for field, value in told.items():
-            setattr(thing, attributes.get(field, field), value if field == "tag" else read(value))
+        known = {stored_names.get(slot, slot) for slot in type(instance).__slots__} - {"home"}
+        if not set(stored) <= known or not stored:
+            raise StateError(f"{name} has other fields: {sorted(set(stored) - known)}")
+        for field, value in stored.items():
+            setattr(instance, attributes.get(field, field), value if field == "tag" else decode(value))
         if name == "Rpc":
-            thing.balancer = balancer
-            rpcs[thing.tag] = thing
+            instance.balancer = balancer
+            rpcs[instance.tag] = instance
     version, words, gauss = state["random"]
     random = Random()
     random.setstate((version, tuple(words), gauss))
     attributes = ATTRIBUTES["Balancer"]
     for name, value in state["balancer"].items():
         attribute = attributes.get(name, name)
-        if name in DRAWS:
-            setattr(balancer, attribute, getattr(random, DRAWS[name]))
+        if name in RANDOM_METHODS:
+            setattr(balancer, attribute, getattr(random, RANDOM_METHODS[name]))
         elif name == "count":
             setattr(balancer, attribute, count(value).__next__)
         else:
-            setattr(balancer, attribute, read(value))
+            setattr(balancer, attribute, decode(value))
     return balancer, rpcs
