--- a/shedgrade/sidecar/learned_state_file.py
+++ b/shedgrade/sidecar/learned_state_file.py
@@ -13,8 +13,8 @@
 from msgspec import Struct
 
 VERSION = 1
-SUMS = 5  # of the regression of duration on load: two weights and three moments
-LEAST_SUM = 0.01  # minimum of the sums that the regression divides by
+SUM_COUNT = 5  # of the regression of duration on load: two weights and three moments
+MIN_SUM = 0.01  # minimum of the sums that the regression divides by
 
 
 class StoredLearnedState(Struct, forbid_unknown_fields=True):
@@ -45,7 +45,7 @@
     last_used: list[tuple[str, int, int]] = msgspec.field(name="used", default_factory=list)
     late: float = 0.0
 
-    def numbers(self) -> Iterator[float]:
+    def values(self) -> Iterator[float]:
         """Yields all values that must be finite and not negative."""
         yield from self.sums
         yield self.memory
@@ -53,16 +53,16 @@
         yield from (window for window in self.windows if window is not None)
         for kind in self.kinds:
             yield from kind
-        for _, *figures in self.upstreams:
-            yield from figures
+        for _, *values in self.upstreams:
+            yield from values
 
-    def is_sound(self) -> bool:
+    def is_valid(self) -> bool:
         """Returns whether the balancer can work with these values."""
         return (
-            len(self.sums) == SUMS
-            and all(isfinite(number) and number >= 0 for number in self.numbers())
-            and self.sums[0] >= LEAST_SUM
-            and self.sums[1] >= LEAST_SUM
+            len(self.sums) == SUM_COUNT
+            and all(isfinite(value) and value >= 0 for value in self.values())
+            and self.sums[0] >= MIN_SUM
+            and self.sums[1] >= MIN_SUM
             and self.sums[2] > 0
             and self.memory >= 1
             and self.late <= 1
@@ -96,7 +96,7 @@
         return None
     if stored.version != VERSION or stored.zones != zones or stored.machine_types != machine_types:
         return None
-    if len(stored.windows) != len(zones) or not stored.is_sound():
+    if len(stored.windows) != len(zones) or not stored.is_valid():
         return None
     return {
         "v": VERSION,
