--- a/shedgrade/sidecar/capture/part.py
+++ b/shedgrade/sidecar/capture/part.py
@@ -14,9 +14,8 @@
 if TYPE_CHECKING:
     from loguru import Record
 
-DUMP_INTERVAL_S = (
-    60.0  # seconds between two dumps after internal errors; the first of a series tells the most
-)
+# Interval between two dumps after internal errors; the first of a series tells the most.
+DUMP_INTERVAL_S = 60.0
 
 
 def format_event(record: "Record") -> str:
--- a/shedgrade/sidecar/capture/recorder.py
+++ b/shedgrade/sidecar/capture/recorder.py
@@ -40,9 +40,8 @@
 # Lag of dispatch passes, tenths of a ms, from which recording pauses. The dispatcher measures it up to 50.
 PAUSE_LAG = 40
 MANY_LIVE_RPCS = 400  # requests in flight at which a checkpoint blocks the loop for 10 ms: it is postponed
-POSTPONED_INTERVAL_FACTOR = (
-    4  # factor of the checkpoint interval with so many in flight; at most 4, as a ring must hold two
-)
+# Factor of the checkpoint interval with so many in flight; at most 4, as a ring must hold two checkpoints.
+POSTPONED_INTERVAL_FACTOR = 4
 # Tenths of a ms between two checks of load and checkpoints; between them a pass costs one comparison.
 LOAD_CHECK_INTERVAL = 500
 # Delay from an overload until recording resumes. Shorter gaps would each cost a checkpoint.
--- a/shedgrade/sidecar/shadow_policy/config.py
+++ b/shedgrade/sidecar/shadow_policy/config.py
@@ -8,16 +8,20 @@
 from shedgrade.sidecar.lifecycle.settings_checks import shape_problem
 
 # Settings that must be the same for both balancers: they give names and numbers their meaning.
-FIXED = ("methods", "zones", "az", "tick")
+SHARED_KEYS = ("methods", "zones", "az", "tick")
 
 
-def overlaid(base: dict, over: dict) -> dict:
+def merge_settings(base: dict, over: dict) -> dict:
     """Returns `base` with the values of `over` in place of its own, table by table."""
-    made = dict(base)
+    merged = dict(base)
     for key, value in over.items():
-        held = base.get(key)
-        made[key] = overlaid(held, value) if isinstance(value, dict) and isinstance(held, dict) else value
-    return made
+        base_value = base.get(key)
+        merged[key] = (
+            merge_settings(base_value, value)
+            if isinstance(value, dict) and isinstance(base_value, dict)
+            else value
+        )
+    return merged
 
 
 class Watch(Struct, kw_only=True, forbid_unknown_fields=True):
@@ -32,11 +36,11 @@
 
     def problems(self) -> Iterator[tuple[str, str]]:
         """Yields (key, reason) for values that the types allow and the shadow policy does not."""
-        for key in FIXED:
+        for key in SHARED_KEYS:
             if key in self.settings:
                 yield f"settings.{key}", "can't differ from the platform's: remove it"
         # The platform's settings are not known here: values that depend on them are checked at the start.
-        wrong = shape_problem({"balancers": 2**31, **self.settings})
-        if wrong is not None:
-            key, _, reason = wrong.partition(": ")
+        problem = shape_problem({"balancers": 2**31, **self.settings})
+        if problem is not None:
+            key, _, reason = problem.partition(": ")
             yield key, reason
--- a/shedgrade/sidecar/shadow_policy/follower.py
+++ b/shedgrade/sidecar/shadow_policy/follower.py
@@ -1,18 +1,27 @@
 """The follower: a second balancer that receives the same events, and proposes its own decisions. No I/O.
 
 `Follower` is a Balancer under other settings. Its requests only propose a decision; the real one is then
-applied to them too (`follow`), so that both balancers know of the same transmissions, whatever was proposed.
+applied to them too (`apply_decision`), so both balancers know of the same transmissions, whatever
+was proposed.
 """
 
 from shedgrade import load_balancing
 
-OTHER_ZONE, OTHER_UPSTREAM, OTHER_ANSWER, OTHER_ADVICE = (
+OTHER_ZONE, OTHER_UPSTREAM, OTHER_ANSWER, OTHER_RETRY_DELAY = (
     "other zone",
     "other upstream",
     "other answer",
     "other advice",
 )
-NOT_SENT, SENT, HELD, HELD_NOT_FINAL, NOT_HELD, FURTHER, NO_FURTHER = (
+(
+    EXHAUSTED_NOT_SENT,
+    SENT_NOT_EXHAUSTED,
+    HELD_NOT_SENT,
+    HELD_NOT_EXHAUSTED,
+    EXHAUSTED_NOT_HELD,
+    EXTRA_ATTEMPT,
+    NO_EXTRA_ATTEMPT,
+) = (
     "exhausted instead of sent",
     "sent instead of exhausted",
     "held instead of sent",
@@ -46,15 +55,15 @@
         finally:
             self.is_proposing = False
 
-    def transmit(self, now: int, up: load_balancing.Upstream, repeat: bool) -> tuple[int, int]:
+    def transmit(self, now: int, upstream: load_balancing.Upstream, is_retry: bool) -> tuple[int, int]:
         """Registers an attempt, except for a proposal."""
-        return (up.index, 0) if self.is_proposing else super().transmit(now, up, repeat)
+        return (upstream.index, 0) if self.is_proposing else super().transmit(now, upstream, is_retry)
 
     def finish(self) -> list[int]:
         """Ends the request, except for a proposal."""
         return [] if self.is_proposing else super().finish()
 
-    def follow(self, now: int, answer: tuple[int, int] | None) -> None:
+    def apply_decision(self, now: int, answer: tuple[int, int] | None) -> None:
         """Applies the real decision."""
         if answer is None:
             return
@@ -70,27 +79,27 @@
     rpc_class = FollowerRpc
 
 
-def differs(rpc: FollowerRpc, real: tuple | None, there: tuple | None) -> str | None:
+def difference_kind(rpc: FollowerRpc, actual: tuple | None, proposed: tuple | None) -> str | None:
     """Returns the kind of difference between the real decision and the follower's, None for no difference.
 
     Time limits are not compared: they follow from the upstream and the method's deadlines.
     """
-    sent, would = real is not None and real[0] >= 0, there is not None and there[0] >= 0
-    if sent and would:
-        if real[0] == there[0]:
+    sent, proposes_to_send = actual is not None and actual[0] >= 0, proposed is not None and proposed[0] >= 0
+    if sent and proposes_to_send:
+        if actual[0] == proposed[0]:
             return None
-        ups = rpc.balancer.upstreams
-        return OTHER_UPSTREAM if ups[real[0]].zone == ups[there[0]].zone else OTHER_ZONE
-    if rpc.attempts and (sent or would):
-        return NO_FURTHER if sent else FURTHER
+        upstreams = rpc.balancer.upstreams
+        return OTHER_UPSTREAM if upstreams[actual[0]].zone == upstreams[proposed[0]].zone else OTHER_ZONE
+    if rpc.attempts and (sent or proposes_to_send):
+        return NO_EXTRA_ATTEMPT if sent else EXTRA_ATTEMPT
     if sent:
-        return HELD if there is None else NOT_SENT
-    if would:
-        return SENT_NOT_HELD if real is None else SENT
-    if real is None or there is None:
-        if real is there:
+        return HELD_NOT_SENT if proposed is None else EXHAUSTED_NOT_SENT
+    if proposes_to_send:
+        return SENT_NOT_HELD if actual is None else SENT_NOT_EXHAUSTED
+    if actual is None or proposed is None:
+        if actual is proposed:
             return None
-        return HELD_NOT_FINAL if there is None else NOT_HELD
-    if real[0] != there[0]:
+        return HELD_NOT_EXHAUSTED if proposed is None else EXHAUSTED_NOT_HELD
+    if actual[0] != proposed[0]:
         return OTHER_ANSWER
-    return OTHER_ADVICE if real[1] != there[1] else None
+    return OTHER_RETRY_DELAY if actual[1] != proposed[1] else None
--- a/shedgrade/sidecar/shadow_policy/part.py
+++ b/shedgrade/sidecar/shadow_policy/part.py
@@ -7,7 +7,7 @@
 from shedgrade import load_balancing
 from shedgrade.sidecar.lifecycle.feature import Feature
 from shedgrade.sidecar.lifecycle.settings_checks import shape_problem
-from shedgrade.sidecar.shadow_policy.config import overlaid
+from shedgrade.sidecar.shadow_policy.config import merge_settings
 from shedgrade.sidecar.shadow_policy.follower import Follower
 from shedgrade.sidecar.shadow_policy.shadow import ShadowedBalancer
 from shedgrade.upstream_pool.errors import ConfigError
@@ -18,42 +18,42 @@
 class ShadowPolicyPart(Feature):
     """The shadow policy as a feature. It is created before the sidecar, whose balancer `decisions` makes."""
 
-    def __init__(self, config, path: str, inner: Callable | None = None) -> None:
+    def __init__(self, config, path: str, make_balancer: Callable | None = None) -> None:
         """Keeps the configuration.
 
         config: settings of the shadow policy.
         path: file that they were read from, for errors.
-        inner: creates the balancer, where another feature (capture) does; None for a plain Balancer.
+        make_balancer: creates the balancer, where another feature (capture) does; None for a plain Balancer.
         """
         self.config = config
         self.path = path
-        self.inner = inner or load_balancing.Balancer
-        self.watched: ShadowedBalancer | None = None
-        self.tell_at = 0
+        self.make_balancer = make_balancer or load_balancing.Balancer
+        self.balancer: ShadowedBalancer | None = None
+        self.log_at = 0
 
     def decisions(self, settings: dict, seed: int, now: int) -> ShadowedBalancer:
         """Creates the balancer with its follower, in place of a Balancer, for the platform's own pool only.
 
         ConfigError if the settings of the follower are not valid.
         """
-        other = overlaid(settings, self.config.settings)
-        wrong = shape_problem(other)
-        if wrong is None:
+        follower_settings = merge_settings(settings, self.config.settings)
+        problem = shape_problem(follower_settings)
+        if problem is None:
             try:
-                Follower(other, seed, now)
+                Follower(follower_settings, seed, now)
             except KeyError as missing:
-                wrong = f"settings: {missing} is missing"
+                problem = f"settings: {missing} is missing"
             except (ArithmeticError, AttributeError, IndexError, TypeError, ValueError) as failure:
-                wrong = f"settings: a value has the wrong form ({failure})"
-        if wrong is not None:
-            raise ConfigError(f"{self.path}: watch.{wrong}")
-        self.tell_at = now + int(self.config.every_s * SECOND)
-        self.watched = ShadowedBalancer(
-            self.inner(settings, seed, now),
-            lambda: Follower(other, seed, now),
-            lambda fresh: overlaid(fresh, self.config.settings),
+                problem = f"settings: a value has the wrong form ({failure})"
+        if problem is not None:
+            raise ConfigError(f"{self.path}: watch.{problem}")
+        self.log_at = now + int(self.config.every_s * SECOND)
+        self.balancer = ShadowedBalancer(
+            self.make_balancer(settings, seed, now),
+            lambda: Follower(follower_settings, seed, now),
+            lambda fresh: merge_settings(fresh, self.config.settings),
         )
-        return self.watched
+        return self.balancer
 
     def join(self, sidecar) -> None:
         """Registers as a feature of the sidecar and as an observer of dispatch passes."""
@@ -62,9 +62,9 @@
 
     def after_turn(self, now: int, lag: int) -> None:
         """Logs the differences so far, at most once in `every_s`."""
-        if now >= self.tell_at:
-            self.tell_at = now + int(self.config.every_s * SECOND)
-            logger.info("shadow policy compared", differences=self.watched.line())
+        if now >= self.log_at:
+            self.log_at = now + int(self.config.every_s * SECOND)
+            logger.info("shadow policy compared", differences=self.balancer.summary())
 
     # --- lifecycle of the sidecar
 
@@ -74,4 +74,4 @@
 
     def close(self) -> None:
         """Logs the differences of the whole run."""
-        logger.info("shadow policy compared", differences=self.watched.line())
+        logger.info("shadow policy compared", differences=self.balancer.summary())
--- a/shedgrade/sidecar/shadow_policy/shadow.py
+++ b/shedgrade/sidecar/shadow_policy/shadow.py
@@ -11,7 +11,7 @@
 
 from shedgrade import load_balancing
 from shedgrade.load_balancing import learned_state
-from shedgrade.sidecar.shadow_policy.follower import Follower, FollowerRpc, differs
+from shedgrade.sidecar.shadow_policy.follower import Follower, FollowerRpc, difference_kind
 
 
 class ShadowedRpc:
@@ -36,7 +36,7 @@
         """Decides, then compares with the follower's decision."""
         answer = self.rpc.decide(now)
         if self.shadow is not None:
-            self.owner.guarded(self.owner.compare, now, self.shadow, answer)
+            self.owner.call_follower(self.owner.compare, now, self.shadow, answer)
         return answer
 
     def attempt_finished(
@@ -51,7 +51,7 @@
         """Passes the outcome of an attempt on, also to the follower."""
         stops = self.rpc.attempt_finished(now, attempt, outcome, duration, answered, first_on_connection)
         if self.shadow is not None:
-            self.owner.guarded(
+            self.owner.call_follower(
                 self.shadow.attempt_finished, now, attempt, outcome, duration, answered, first_on_connection
             )
         return stops
@@ -60,20 +60,20 @@
         """Passes the start of the response on, also to the follower."""
         self.rpc.response_started(long_lived)
         if self.shadow is not None:
-            self.owner.guarded(self.shadow.response_started, long_lived)
+            self.owner.call_follower(self.shadow.response_started, long_lived)
 
     def body_received(self, now: int, deadline: int, here: bool, whole: bool) -> int:
         """Passes the progress of a request's body on, also to the follower."""
         limit = self.rpc.body_received(now, deadline, here, whole)
         if self.shadow is not None:
-            self.owner.guarded(self.shadow.body_received, now, deadline, here, whole)
+            self.owner.call_follower(self.shadow.body_received, now, deadline, here, whole)
         return limit
 
     def client_disconnected(self, now: int) -> list[int]:
         """Passes the disconnect on, also to the follower."""
         stops = self.rpc.client_disconnected(now)
         if self.shadow is not None:
-            self.owner.guarded(self.shadow.client_disconnected, now)
+            self.owner.call_follower(self.shadow.client_disconnected, now)
         return stops
 
 
@@ -93,41 +93,41 @@
         self.overlay = overlay
         self.follower: Follower | None = None
         self.counts: Counter[str] = Counter()
-        self.rpcs = 0
-        self.begin(follower)
+        self.rpc_count = 0
+        self.create_follower(follower)
 
     def __getattr__(self, name: str) -> object:
         return getattr(self.inner, name)
 
-    def begin(self, follower: Callable[[], Follower]) -> None:
+    def create_follower(self, follower: Callable[[], Follower]) -> None:
         """Creates the follower. If that fails, nothing is compared."""
         try:
             self.follower = follower()
-        except Exception as failure:
-            self.drop(failure)
+        except Exception as error:
+            self.drop_follower(error)
 
-    def drop(self, failure: Exception) -> None:
+    def drop_follower(self, error: Exception) -> None:
         """Logs the follower's error, and goes on without a follower."""
         self.follower = None
-        logger.warning("shadow policy failed", error=repr(failure))
+        logger.warning("shadow policy failed", error=repr(error))
 
-    def guarded(self, call: Callable, *args: object) -> object:
+    def call_follower(self, call: Callable, *args: object) -> object:
         """Calls a method of the follower; drops the follower if it fails, so that no error gets further."""
         if self.follower is None:
             return None
         try:
             return call(*args)
-        except Exception as failure:
-            self.drop(failure)
+        except Exception as error:
+            self.drop_follower(error)
             return None
 
     def compare(self, now: int, shadow: FollowerRpc, answer: tuple[int, int] | None) -> None:
         """Counts a difference, then applies the real decision to the follower."""
-        kind = differs(shadow, answer, shadow.propose(now))
-        self.count(shadow, kind)
-        shadow.follow(now, answer)
+        kind = difference_kind(shadow, answer, shadow.propose(now))
+        self.count_difference(shadow, kind)
+        shadow.apply_decision(now, answer)
 
-    def count(self, shadow: FollowerRpc, kind: str | None) -> None:
+    def count_difference(self, shadow: FollowerRpc, kind: str | None) -> None:
         """Counts each kind once per request, as a queued request is decided on again and again."""
         if kind is not None and kind not in shadow.counted_kinds:
             shadow.counted_kinds.add(kind)
@@ -140,8 +140,8 @@
     ) -> ShadowedRpc:
         """Passes the request on, also to the follower."""
         rpc = self.inner.admit(now, method, deadline, retry, tag, tenant)
-        self.rpcs += 1
-        shadow = self.guarded(self.admit_to_follower, now, method, deadline, retry, tenant)
+        self.rpc_count += 1
+        shadow = self.call_follower(self.admit_to_follower, now, method, deadline, retry, tenant)
         return ShadowedRpc(self, rpc, shadow)
 
     def admit_to_follower(
@@ -155,56 +155,56 @@
 
         A request that only the follower would decide on is compared with no decision.
         """
-        theirs = self.guarded(self.follower.due, now) if self.follower is not None else None
+        follower_due = self.call_follower(self.follower.due, now) if self.follower is not None else None
         for rpc in self.inner.due(now):
-            self.guarded(self.step, theirs, rpc.tag.rpc.shadow, now)
+            self.call_follower(self.advance_follower, follower_due, rpc.tag.rpc.shadow, now)
             yield rpc
-        while self.guarded(self.step, theirs, None, now):
+        while self.call_follower(self.advance_follower, follower_due, None, now):
             pass
 
-    def step(self, theirs, wanted: FollowerRpc | None, now: int) -> bool:
+    def advance_follower(self, follower_due, wanted: FollowerRpc | None, now: int) -> bool:
         """Takes the follower's next request; returns False if it has none, or has reached the wanted one."""
-        shadow = next(theirs, None)
+        shadow = next(follower_due, None)
         if shadow is None or shadow is wanted:
             return False
         if shadow.queue_entry is not None and wanted is None:
             # The follower yields its first queued request again until that one is answered.
-            self.count(shadow, differs(shadow, None, shadow.propose(now)))
+            self.count_difference(shadow, difference_kind(shadow, None, shadow.propose(now)))
             return False
-        self.count(shadow, differs(shadow, None, shadow.propose(now)))
+        self.count_difference(shadow, difference_kind(shadow, None, shadow.propose(now)))
         return True
 
     def list_changed(self, now: int, rows: list, whole: bool, asked: bool) -> None:
         """Passes the rows of the endpoint list on, also to the follower."""
         self.inner.list_changed(now, rows, whole, asked)
         if self.follower is not None:
-            self.guarded(self.follower.list_changed, now, rows, whole, asked)
+            self.call_follower(self.follower.list_changed, now, rows, whole, asked)
 
     def list_failed(self, now: int) -> None:
         """Passes the failed request for the list on, also to the follower."""
         self.inner.list_failed(now)
         if self.follower is not None:
-            self.guarded(self.follower.list_failed, now)
+            self.call_follower(self.follower.list_failed, now)
 
     def mark_unverified(self, now: int, upstreams: list[int], ends: int, last: bool) -> None:
         """Passes the call on, also to the follower."""
         self.inner.mark_unverified(now, upstreams, ends, last)
         if self.follower is not None:
-            self.guarded(self.follower.mark_unverified, now, upstreams, ends, last)
+            self.call_follower(self.follower.mark_unverified, now, upstreams, ends, last)
 
     def set_withdrawn(self, now: int, index: int, withdrawn: bool) -> None:
         """Passes the operators' order on, also to the follower."""
         self.inner.set_withdrawn(now, index, withdrawn)
         if self.follower is not None:
-            self.guarded(self.follower.set_withdrawn, now, index, withdrawn)
+            self.call_follower(self.follower.set_withdrawn, now, index, withdrawn)
 
     def update_settings(self, settings: dict) -> None:
         """Passes the new settings on; the follower gets them with its own values in place."""
         self.inner.update_settings(settings)
         if self.follower is not None:
-            self.guarded(self.follow_settings, settings)
+            self.call_follower(self.update_follower_settings, settings)
 
-    def follow_settings(self, settings: dict) -> None:
+    def update_follower_settings(self, settings: dict) -> None:
         """Gives the follower the new settings, with its own values in place."""
         self.follower.update_settings(self.overlay(settings))
 
@@ -212,39 +212,42 @@
         """Passes the new share on, also to the follower."""
         self.inner.set_slow_start_share(part)
         if self.follower is not None:
-            self.guarded(self.follower.set_slow_start_share, part)
+            self.call_follower(self.follower.set_slow_start_share, part)
 
     def restore(self, now: int, state: dict, age: float) -> None:
         """Restores the learned state, also in the follower."""
         learned_state.restore(self.inner, now, state, age)
         if self.follower is not None:
-            self.guarded(learned_state.restore, self.follower, now, state, age)
+            self.call_follower(learned_state.restore, self.follower, now, state, age)
 
     def wants_list(self, now: int) -> bool:
         """Asks the follower too, and returns the balancer's answer."""
         if self.follower is not None:
-            self.guarded(self.follower.wants_list, now)
+            self.call_follower(self.follower.wants_list, now)
         return self.inner.wants_list(now)
 
     def take_released(self) -> list[int]:
         """Calls the follower too, and returns the balancer's upstreams."""
         if self.follower is not None:
-            self.guarded(self.follower.take_released)
+            self.call_follower(self.follower.take_released)
         return self.inner.take_released()
 
     def draw_admission(self, method: int) -> float:
         """Draws in the follower too, which keeps both random sequences the same."""
         if self.follower is not None:
-            self.guarded(self.follower.draw_admission, method)
+            self.call_follower(self.follower.draw_admission, method)
         return self.inner.draw_admission(method)
 
     def uniform(self, low: float, high: float) -> float:
         """Draws in the follower too, which keeps both random sequences the same."""
         if self.follower is not None:
-            self.guarded(self.follower.uniform, low, high)
+            self.call_follower(self.follower.uniform, low, high)
         return self.inner.uniform(low, high)
 
-    def line(self) -> str:
+    def summary(self) -> str:
         """Returns the counts in words, for the log."""
-        told = ", ".join(f"{kind} {count}" for kind, count in sorted(self.counts.items()))
-        return f"{self.rpcs} RPCs, {told or 'no difference'}{'' if self.follower else ', no longer watched'}"
+        counts = ", ".join(f"{kind} {count}" for kind, count in sorted(self.counts.items()))
+        return (
+            f"{self.rpc_count} RPCs, {counts or 'no difference'}"
+            f"{'' if self.follower else ', no longer watched'}"
+        )
--- a/tests/sidecar/capture/test_operating.py
+++ b/tests/sidecar/capture/test_operating.py
@@ -8,7 +8,7 @@
 from shedgrade.sidecar.capture.recorder import Recorder
 from shedgrade.sidecar.capture.replay import Replay
 from shedgrade.sidecar.capture.rows import Ring
-from shedgrade.sidecar.shadow_policy.config import overlaid
+from shedgrade.sidecar.shadow_policy.config import merge_settings
 from shedgrade.sidecar.shadow_policy.follower import Follower
 from shedgrade.sidecar.shadow_policy.shadow import ShadowedBalancer
 
@@ -57,8 +57,8 @@
     over = {"limits": {"most_transmissions": 1}}
     watched = ShadowedBalancer(
         load_balancing.Balancer(conf, 7, 0),
-        lambda: Follower(overlaid(conf, over), 7, 0),
-        lambda fresh: overlaid(fresh, over),
+        lambda: Follower(merge_settings(conf, over), 7, 0),
+        lambda fresh: merge_settings(fresh, over),
     )
     alone = load_balancing.Balancer(conf, 7, 0)
     assert happen(watched) == happen(alone)
--- a/tests/sidecar/shadow_policy/test_watch.py
+++ b/tests/sidecar/shadow_policy/test_watch.py
@@ -21,7 +21,7 @@
 from shedgrade.sidecar.lifecycle.features import load_features
 from shedgrade.sidecar.lifecycle.sidecar import Sidecar
 from shedgrade.sidecar.shadow_policy.config import Watch
-from shedgrade.sidecar.shadow_policy.follower import Follower, differs
+from shedgrade.sidecar.shadow_policy.follower import Follower, difference_kind
 from shedgrade.sidecar.shadow_policy.part import ShadowPolicyPart
 from shedgrade.upstream_pool.errors import ConfigError
 
@@ -93,7 +93,7 @@
 @pytest.mark.parametrize("seed", range(6))
 def test_equal_settings_count_no_difference_over_a_day_of_faults(seed):
     day = Day(seed, {}).run()
-    assert day.watched.rpcs > 1000 and any(
+    assert day.watched.rpc_count > 1000 and any(
         answer and answer[0] == load_balancing.EXHAUSTED for answer in day.answers
     )
     assert day.watched.follower is not None and not day.watched.counts, day.watched.counts
@@ -144,10 +144,10 @@
         (final, errored): "other answer",
         (final, (load_balancing.EXHAUSTED, 7)): "other advice",
     }
-    assert {pair: differs(rpc, *pair) for pair in pairs} == pairs
+    assert {pair: difference_kind(rpc, *pair) for pair in pairs} == pairs
     rpc.attempts.append(None)
-    assert differs(rpc, None, sent) == "another transmission"
-    assert differs(rpc, sent, None) == differs(rpc, sent, final) == "no other transmission"
+    assert difference_kind(rpc, None, sent) == "another transmission"
+    assert difference_kind(rpc, sent, None) == difference_kind(rpc, sent, final) == "no other transmission"
 
 
 @pytest.mark.parametrize("where", ["admit", "list_changed", "due", "draw_admission"])
@@ -166,12 +166,12 @@
     finally:
         logger.remove(sink)
     assert day.watched.follower is None and len(lines) == 1 and "broken" in lines[0]
-    assert day.watched.line().endswith("no longer watched")
+    assert day.watched.summary().endswith("no longer watched")
 
 
 def test_what_is_asked_again_and_again_counts_once_an_rpc():
     day = Day(5, {"limits": {"multiplex": 50}, "balancers": 400}).run()
-    assert max(day.watched.counts.values()) <= day.watched.rpcs
+    assert max(day.watched.counts.values()) <= day.watched.rpc_count
 
 
 class WatchWorld(World):
@@ -240,7 +240,7 @@
                 assert (await ask(world, request(b"x", name=f"s{number}")))[0] == 200
             watched = world.sidecar.pool.balancer
             assert isinstance(watched.inner, Recorder) and watched.follower is not None
-            assert watched.rpcs == 40 and not watched.counts
+            assert watched.rpc_count == 40 and not watched.counts
             watched.inner.flush()
             _, records, torn = file_frames.read(watched.inner.ring.data(), KIND)
             assert not torn and list(Replay(records).run()) == []
