--- a/shedgrade/cli/replay.py
+++ b/shedgrade/cli/replay.py
@@ -147,7 +147,7 @@
         if count <= MAX_PRINTED:
             print(
                 f"call {difference.call_number}: {difference.call} of RPC {difference.rpc}: "
-                f"recorded {difference.recorded}, now {difference.replayed}"
+                f"recorded {difference.recorded}, other {difference.replayed}"
             )
     print(
         f"{replayed.calls} calls, {count} answers differ, {decision_count} of them decisions; "
--- a/shedgrade/sidecar/capture/explanation.py
+++ b/shedgrade/sidecar/capture/explanation.py
@@ -18,7 +18,7 @@
 OUTCOMES = (
     "unsent",
     "unconnected",
-    "turned away",
+    "rejected",
     "completed",
     "failed",
     "timed out",
@@ -31,22 +31,22 @@
 def explaining_class(base: type) -> type:
     """Returns a subclass of a Balancer that decides alike and adds reasons to `lines`, if that is a list."""
 
-    class NarratingBalancer(base):
+    class ExplainingBalancer(base):
         lines: list | None = None
         upstream_ids: dict = {}
 
-        def say(self, line: str) -> None:
+        def add_reason(self, line: str) -> None:
             if self.lines is not None:
                 self.lines.append(line)
 
-        def name(self, up: object) -> str:
-            return self.upstream_ids.get(str(up.index), str(up.index))
+        def name_of(self, upstream: object) -> str:
+            return self.upstream_ids.get(str(upstream.index), str(upstream.index))
 
         def choose_upstream(
-            self, now: int, rpc: load_balancing.Rpc, stay: bool
+            self, now: int, rpc: load_balancing.Rpc, prefer_own_zone: bool
         ) -> load_balancing.Upstream | None:
             if self.lines is not None:
-                self.say(
+                self.add_reason(
                     "  zones: "
                     + "; ".join(
                         f"{number}{'*' * (number == self.own_zone)} {zone.in_flight} in flight "
@@ -62,59 +62,66 @@
                     if zone.rotation
                 ]
                 if len(loads) > 1 and max(loads)[0] >= load_balancing.DROP_THRESHOLD:
-                    self.say(f"  zone {max(loads)[1]} has the highest load, at the threshold: skipped")
-                ejected = [self.name(up) for up in self.upstreams.values() if up.ejected_until]
+                    self.add_reason(f"  zone {max(loads)[1]} has the highest load, at the threshold: skipped")
+                ejected = [
+                    self.name_of(upstream) for upstream in self.upstreams.values() if upstream.ejected_until
+                ]
                 if ejected:
-                    self.say(f"  ejected: {', '.join(ejected[:8])}{' ...' if len(ejected) > 8 else ''}")
-            found = super().choose_upstream(now, rpc, stay)
+                    self.add_reason(
+                        f"  ejected: {', '.join(ejected[:8])}{' ...' if len(ejected) > 8 else ''}"
+                    )
+            found = super().choose_upstream(now, rpc, prefer_own_zone)
             if found is None:
-                self.say(
-                    "  no upstream has room for it" + (": the own zone may have room soon" if stay else "")
+                self.add_reason(
+                    "  no upstream has room for it"
+                    + (": the own zone may have room soon" if prefer_own_zone else "")
                 )
             return found
 
         def next_in_rotation(
-            self, zone: load_balancing.Zone, now: int, rpc: load_balancing.Rpc, left: int
+            self, zone: load_balancing.Zone, now: int, rpc: load_balancing.Rpc, remaining: int
         ) -> load_balancing.Upstream | None:
-            found = super().next_in_rotation(zone, now, rpc, left)
+            found = super().next_in_rotation(zone, now, rpc, remaining)
             if found is not None:
                 load_limit = (zone.in_flight + zone.background_load) / max(
                     1, len(zone.rotation)
                 ) + load_balancing.LOAD_MARGIN
-                above = (
+                suffix = (
                     ""
                     if found.in_flight + found.background_load <= load_limit
                     else ": none near the mean had room"
                 )
-                self.say(
-                    f"  zone {self.zones.index(zone)}: {self.name(found)} is next with room, "
-                    f"{found.in_flight} in flight there{above}"
+                self.add_reason(
+                    f"  zone {self.zones.index(zone)}: {self.name_of(found)} is next with room, "
+                    f"{found.in_flight} in flight there{suffix}"
                 )
             return found
 
-        def has_capacity(self, up: load_balancing.Upstream, now: int, left: int, expected: float) -> bool:
-            found = super().has_capacity(up, now, left, expected)
+        def has_capacity(
+            self, upstream: load_balancing.Upstream, now: int, remaining: int, expected: float
+        ) -> bool:
+            found = super().has_capacity(upstream, now, remaining, expected)
             if not found:
                 reason = (
                     "half-open, with one in flight"
-                    if up.half_open and up.in_flight
+                    if upstream.half_open and upstream.in_flight
                     else (
                         "slow start, its share is used up"
-                        if self.is_warming_up(up, now)
-                        else f"{expected / 10:.0f} ms expected of {left / 10:.0f} left"
+                        if self.is_warming_up(upstream, now)
+                        else f"{expected / 10:.0f} ms expected of {remaining / 10:.0f} left"
                     )
                 )
-                self.say(f"  {self.name(up)} skipped: {reason}")
+                self.add_reason(f"  {self.name_of(upstream)} skipped: {reason}")
             return found
 
         def last_resort(self, now: int, rpc: load_balancing.Rpc) -> load_balancing.Upstream | None:
             found = super().last_resort(now, rpc)
-            self.say(f"  last resort: {self.name(found) if found is not None else 'none'}")
+            self.add_reason(f"  last resort: {self.name_of(found) if found is not None else 'none'}")
             return found
 
         def enqueue(self, now: int, rpc: load_balancing.Rpc, until: int) -> bool:
             found = super().enqueue(now, rpc, until)
-            self.say(
+            self.add_reason(
                 "  queued: an attempt should finish in time"
                 if found
                 else "  not queued: no attempt would finish in time"
@@ -122,10 +129,10 @@
             return found
 
     for older, present in METHODS["Balancer"].items():
-        if present in vars(NarratingBalancer) and hasattr(base, older):
+        if present in vars(ExplainingBalancer) and hasattr(base, older):
             # The base calls the method by its older name.
-            setattr(NarratingBalancer, older, getattr(NarratingBalancer, present))
-    return NarratingBalancer
+            setattr(ExplainingBalancer, older, getattr(ExplainingBalancer, present))
+    return ExplainingBalancer
 
 
 def explain(
@@ -169,9 +176,9 @@
                 f"{', which answers it' if values[4] else ''}"
             )
         elif op == CLIENT_DISCONNECTED:
-            lines.append(f"{at}: its client left")
+            lines.append(f"{at}: the client disconnected")
         elif op == RESPONSE_STARTED:
-            lines.append(f"{at}: its stream is open")
+            lines.append(f"{at}: the response stream is open")
 
     replay.on_call = on_call
     # Reasons given during a call belong to its request, whose number each row holds.
--- a/shedgrade/sidecar/capture/replay.py
+++ b/shedgrade/sidecar/capture/replay.py
@@ -186,8 +186,9 @@
         """Makes the call of a row; returns (recorded result, result now)."""
         balancer, op, recorded = self.balancer, row[0], row[2:]
         if op == TAKE:
-            number, method, wait, retry, _, *tenant = recorded  # older captures have no tenant after the name
-            self.rpcs[number] = balancer.admit(now, method, now + wait, retry, number, *tenant)
+            # Older captures have no tenant after the name.
+            number, method, timeout, retry, _, *tenant = recorded
+            self.rpcs[number] = balancer.admit(now, method, now + timeout, retry, number, *tenant)
             return None, None
         if op == DECIDE:
             answer = self.rpc(recorded[0]).decide(now)
@@ -196,11 +197,11 @@
         if op == NO_DECISION:
             return None, self.rpc(recorded[0]).decide(now)
         if op == ATTEMPT_FINISHED:
-            number, tx, outcome, took, settled, fresh, stops = recorded
+            number, attempt, outcome, duration, answered, first_on_connection, stops = recorded
             rpc = self.rpc(number)
-            if tx not in rpc.outstanding:
-                raise MissingError(f"transmission {tx} of RPC {number}")
-            replayed = rpc.attempt_finished(now, tx, outcome, took, settled, fresh)
+            if attempt not in rpc.outstanding:
+                raise MissingError(f"transmission {attempt} of RPC {number}")
+            replayed = rpc.attempt_finished(now, attempt, outcome, duration, answered, first_on_connection)
             self.retire_if_done(number)
             return stops, replayed
         if op == CLIENT_DISCONNECTED:
@@ -209,8 +210,8 @@
             self.retire_if_done(recorded[0])
             return recorded[1], replayed
         if op == BODY_RECEIVED:
-            number, wait, here, whole, limit = recorded
-            return limit, self.rpc(number).body_received(now, now + wait, here, whole)
+            number, timeout, here, whole, limit = recorded
+            return limit, self.rpc(number).body_received(now, now + timeout, here, whole)
         if op == RESPONSE_STARTED:
             self.rpc(recorded[0]).response_started(recorded[1])
             return None, None
@@ -272,19 +273,22 @@
             f"{len(zone.rotation)} in rotation, {zone.in_flight} in flight, {zone.background_load} held, "
             f"{load:.2f} a server, window {zone.concurrency_limit:.1f}"
         )
-    for index, up in balancer.upstreams.items():
-        odd = [
-            word
-            for word, true in (
-                ("ejected", up.ejected_until),
-                ("draining", up.state == load_balancing.DRAINING),
-                ("removed", up.state == load_balancing.REMOVED),
-                ("withdrawn", up.withdrawn),
-                ("unverified", up.probation_successes),
-                ("half-open", up.half_open),
+    for index, upstream in balancer.upstreams.items():
+        conditions = [
+            label
+            for label, applies in (
+                ("ejected", upstream.ejected_until),
+                ("draining", upstream.state == load_balancing.DRAINING),
+                ("removed", upstream.state == load_balancing.REMOVED),
+                ("withdrawn", upstream.withdrawn),
+                ("unverified", upstream.probation_successes),
+                ("half-open", upstream.half_open),
             )
-            if true
+            if applies
         ]
-        if odd:
-            lines.append(f"{upstream_ids.get(str(index), index)}: {', '.join(odd)}, {up.in_flight} in flight")
+        if conditions:
+            lines.append(
+                f"{upstream_ids.get(str(index), index)}: {', '.join(conditions)}, "
+                f"{upstream.in_flight} in flight"
+            )
     return lines
