--- a/tests/sidecar/capture/capture_world.py
+++ b/tests/sidecar/capture/capture_world.py
@@ -15,27 +15,27 @@
 class World:
     """Drives a balancer in steps of time: random outcomes, drains, removals, and clients that disconnect."""
 
-    def __init__(self, seed, most=2**20, **more):
+    def __init__(self, seed, most=2**20, **options):
         self.chance, self.now = Random(seed), 100
         self.ring = Ring(most)
-        self.balancer = Recorder(settings(METHODS, zones=2), seed, self.now, self.ring, **more)
+        self.balancer = Recorder(settings(METHODS, zones=2), seed, self.now, self.ring, **options)
         self.balancer.upstream_id = lambda index: f"u{index}"
         self.balancer.list_changed(self.now, [row(up, up % 2) for up in range(6)], True, True)
-        self.out, self.taken, self.answers = [], [], []
+        self.ends, self.requests, self.decisions = [], [], []
 
-    def act(self, active_request, answer):
+    def apply_decision(self, active_request, answer):
         if answer is None:
             return
-        self.answers.append((active_request.rpc.number, answer))
+        self.decisions.append((active_request.rpc.number, answer))
         if answer[0] >= 0:
-            took = self.chance.choice((5, 20, 60, 300, answer[1]))
-            self.out.append(
+            duration = self.chance.choice((5, 20, 60, 300, answer[1]))
+            self.ends.append(
                 (
-                    self.now + min(took, answer[1]),
+                    self.now + min(duration, answer[1]),
                     len(active_request.rpc.attempts) - 1,
                     active_request,
                     load_balancing.TIMED_OUT
-                    if took >= answer[1]
+                    if duration >= answer[1]
                     else self.chance.choice(
                         (load_balancing.COMPLETED,) * 12
                         + (load_balancing.REJECTED, load_balancing.FAILED, load_balancing.DROPPED)
@@ -47,26 +47,26 @@
         chance, balancer = self.chance, self.balancer
         for _ in range(chance.choice((0, 1, 1, 3, 12))):
             active_request = SimpleNamespace(
-                request=SimpleNamespace(name=b"id-%d" % len(self.taken)), rpc=None
+                request=SimpleNamespace(name=b"id-%d" % len(self.requests)), rpc=None
             )
             active_request.rpc = balancer.admit(
                 self.now, chance.randrange(3), self.now + 9000, False, active_request
             )
-            self.taken.append(active_request)
-            self.act(active_request, active_request.rpc.decide(self.now))
-        for end in [one for one in self.out if one[0] <= self.now]:
-            self.out.remove(end)
-            at, tx, active_request, what = end
+            self.requests.append(active_request)
+            self.apply_decision(active_request, active_request.rpc.decide(self.now))
+        for finished in [one for one in self.ends if one[0] <= self.now]:
+            self.ends.remove(finished)
+            at, tx, active_request, outcome = finished
             if tx in active_request.rpc.rpc.outstanding:
-                done = what == load_balancing.COMPLETED
-                for stopped in active_request.rpc.attempt_finished(self.now, tx, what, 20, done):
+                done = outcome == load_balancing.COMPLETED
+                for stopped in active_request.rpc.attempt_finished(self.now, tx, outcome, 20, done):
                     active_request.rpc.attempt_finished(self.now, stopped, load_balancing.STOPPED, 20, True)
-                self.act(active_request, active_request.rpc.decide(self.now))
-        if chance.random() < 0.02 and self.taken:
-            gone = chance.choice(self.taken[-20:])
-            if not gone.rpc.rpc.done:
-                for stopped in gone.rpc.client_disconnected(self.now):
-                    gone.rpc.attempt_finished(self.now, stopped, load_balancing.STOPPED, 5, True)
+                self.apply_decision(active_request, active_request.rpc.decide(self.now))
+        if chance.random() < 0.02 and self.requests:
+            leaving = chance.choice(self.requests[-20:])
+            if not leaving.rpc.rpc.done:
+                for stopped in leaving.rpc.client_disconnected(self.now):
+                    leaving.rpc.attempt_finished(self.now, stopped, load_balancing.STOPPED, 5, True)
         if chance.random() < 0.05:
             up = chance.randrange(8)
             state = chance.choice(
@@ -78,7 +78,7 @@
             balancer.uniform(0.5, 1.0)
             balancer.draw_admission(1)
         for rpc in balancer.due(self.now):
-            self.act(rpc.tag, rpc.tag.rpc.decide(self.now))
+            self.apply_decision(rpc.tag, rpc.tag.rpc.decide(self.now))
         balancer.take_released()
 
     def run(self, turns, late=0):
--- a/tests/sidecar/capture/test_operating.py
+++ b/tests/sidecar/capture/test_operating.py
@@ -17,34 +17,34 @@
     return SimpleNamespace(request=SimpleNamespace(name=name))
 
 
-def happen(b):
+def run_scenario(balancer):
     """Makes orders, setting changes and a long request between other requests; returns what was decided."""
-    conf = settings([method("once", soft=9e3, hard=9e3)])
-    b.list_changed(0, [row(up) for up in range(3)], True, True)
-    found = []
+    base_settings = settings([method("once", soft=9e3, hard=9e3)])
+    balancer.list_changed(0, [row(up) for up in range(3)], True, True)
+    decisions = []
     for now, step in enumerate(("rpc", "out", "rpc", "long", "divide", "tune", "rpc", "back", "rpc", "rpc")):
         now *= 100
         if step in ("out", "back"):
-            b.set_withdrawn(now, 1, step == "out")
+            balancer.set_withdrawn(now, 1, step == "out")
         elif step == "divide":
-            b.set_slow_start_share(0.5)
+            balancer.set_slow_start_share(0.5)
         elif step == "tune":
-            b.update_settings({**conf, "methods": [method("repeatable")], "tick": 5.0})
+            balancer.update_settings({**base_settings, "methods": [method("repeatable")], "tick": 5.0})
         else:
-            rpc = b.admit(now, 0, now + 80_000, False, tag(b"%d" % now))
+            rpc = balancer.admit(now, 0, now + 80_000, False, tag(b"%d" % now))
             if step == "long":
                 rpc.body_received(now, now + 80_000, True, False)
-            found.append(rpc.decide(now))
+            decisions.append(rpc.decide(now))
             if step == "long":
-                found.append(rpc.body_received(now + 50, now + 80_050, False, True))
-            found.append(rpc.attempt_finished(now + 60, 0, load_balancing.COMPLETED, 60, True))
-    return found
+                decisions.append(rpc.body_received(now + 50, now + 80_050, False, True))
+            decisions.append(rpc.attempt_finished(now + 60, 0, load_balancing.COMPLETED, 60, True))
+    return decisions
 
 
-def test_what_operators_order_is_captured_and_replayed_without_a_difference():
+def test_operators_orders_and_settings_replay_without_a_difference():
     ring = Ring(1 << 20)
     recorder = Recorder(settings([method("once", soft=9e3, hard=9e3)]), 7, 0, ring)
-    happen(recorder)
+    run_scenario(recorder)
     recorder.flush()
     _, records, _ = file_frames.read(ring.data(), b"C")
     replay = Replay(records)
@@ -52,19 +52,19 @@
     assert replay.settings["tick"] == 5.0 and replay.balancer.slow_start_share == 0.5
 
 
-def test_a_follower_is_told_of_the_same_and_its_own_settings_stay():
-    conf = settings([method("once", soft=9e3, hard=9e3)])
-    over = {"limits": {"most_transmissions": 1}}
-    watched = ShadowedBalancer(
-        load_balancing.Balancer(conf, 7, 0),
-        lambda: Follower(merge_settings(conf, over), 7, 0),
-        lambda fresh: merge_settings(fresh, over),
+def test_a_follower_gets_the_same_calls_and_keeps_its_settings():
+    base_settings = settings([method("once", soft=9e3, hard=9e3)])
+    changes = {"limits": {"most_transmissions": 1}}
+    shadowed = ShadowedBalancer(
+        load_balancing.Balancer(base_settings, 7, 0),
+        lambda: Follower(merge_settings(base_settings, changes), 7, 0),
+        lambda fresh: merge_settings(fresh, changes),
     )
-    alone = load_balancing.Balancer(conf, 7, 0)
-    assert happen(watched) == happen(alone)
-    assert watched.follower is not None and watched.follower.max_attempts == 1 < watched.inner.max_attempts
+    plain = load_balancing.Balancer(base_settings, 7, 0)
+    assert run_scenario(shadowed) == run_scenario(plain)
+    assert shadowed.follower is not None and shadowed.follower.max_attempts == 1 < shadowed.inner.max_attempts
     assert (
-        watched.follower.deadline_margin == watched.inner.deadline_margin == 100
-        and watched.follower.slow_start_share == 0.5
+        shadowed.follower.deadline_margin == shadowed.inner.deadline_margin == 100
+        and shadowed.follower.slow_start_share == 0.5
     )
-    assert watched.follower.upstreams[1].reinstated_at == alone.upstreams[1].reinstated_at > 0
+    assert shadowed.follower.upstreams[1].reinstated_at == plain.upstreams[1].reinstated_at > 0
--- a/tests/sidecar/capture/test_part.py
+++ b/tests/sidecar/capture/test_part.py
@@ -45,11 +45,11 @@
 
 
 @pytest.mark.parametrize("continuous", [False, True])
-def test_what_was_served_on_sockets_replays_and_is_explained(tmp_path, continuous):
+def test_requests_on_sockets_are_replayed_and_explained(tmp_path, continuous):
     folder = tmp_path / "deep" / "n1"
 
     @on_sockets
-    async def scene():
+    async def scenario():
         world = CaptureWorld(echo, echo, echo)
         world.capture = Capture(folder=str(folder), checkpoint_s=1.0, continuous=continuous)
         async with world:
@@ -65,7 +65,7 @@
                 await until(lambda: captures(folder))
         assert folder.stat().st_mode & 0o777 == 0o700
 
-    scene()
+    scenario()
     (path,) = captures(folder)
     assert path.stat().st_mode & 0o777 == 0o600 and b"secret" not in path.read_bytes()
     records, why = load(path)
@@ -81,15 +81,15 @@
     )
     assert run.exit_code == 0 and "the same decisions, 3 times" in run.output
     runpy.run_path(str(tmp_path / "test_it.py"))["test_the_same_decisions_are_made"]()
-    said = CliRunner().invoke(app, ["replay", str(path), "--explain", "later-7"]).output
-    assert "sent to" in said and "completed after" in said and "which answers it" in said
-    lost = CliRunner().invoke(app, ["replay", str(path), "--explain", "nobody"])
-    assert lost.exit_code == 2
+    explanation = CliRunner().invoke(app, ["replay", str(path), "--explain", "later-7"]).output
+    assert "sent to" in explanation and "completed after" in explanation and "which answers it" in explanation
+    missing = CliRunner().invoke(app, ["replay", str(path), "--explain", "nobody"])
+    assert missing.exit_code == 2
 
 
-def test_a_fault_of_the_programs_own_is_written_down_with_what_led_to_it(tmp_path):
+def test_an_internal_error_dumps_the_capture_once(tmp_path):
     @on_sockets
-    async def scene():
+    async def scenario():
         world = CaptureWorld(echo)
         world.capture = Capture(folder=str(tmp_path))
         async with world:
@@ -99,12 +99,12 @@
             world.part.on_logged_error("fault in the loop: another at once\n")
             await until(lambda: captures(tmp_path))
 
-    scene()
+    scenario()
     (path,) = captures(tmp_path)
     assert [one["what"] for one in load(path)[0] if one["k"] == "fault"] == ["fault in the loop: planted"]
 
 
-def test_another_version_is_compared_and_what_is_no_capture_is_refused_in_one_line(tmp_path):
+def test_another_version_is_compared_and_invalid_files_are_refused_in_one_line(tmp_path):
     from shedgrade import load_balancing
 
     shutil.copytree(Path(load_balancing.__file__).parent, tmp_path / "decide")
@@ -114,8 +114,8 @@
 
     path = tmp_path / "c.sgc"
     path.write_bytes(capture())
-    said = CliRunner().invoke(app, ["replay", str(path), "--with", str(tmp_path / "decide")]).output
-    assert "answers differ" in said and ", 0 answers" not in said
+    comparison = CliRunner().invoke(app, ["replay", str(path), "--with", str(tmp_path / "decide")]).output
+    assert "answers differ" in comparison and ", 0 answers" not in comparison
     for content in (
         b"",
         b"no capture at all, but long enough for one",
@@ -129,12 +129,10 @@
         assert run.exit_code == 2 and "Traceback" not in run.output
 
 
-def test_files_as_it_goes_are_bounded_and_a_disk_that_fails_is_told_once_and_tried_again(
-    tmp_path, monkeypatch
-):
+def test_continuous_files_are_bounded_and_a_failing_disk_is_reported_once_and_retried(tmp_path, monkeypatch):
     monkeypatch.setattr(files, "FILE_BYTES", 2000)
-    told = []
-    writer = Writer(tmp_path / "n1", 6000, told.append)
+    write_errors = []
+    writer = Writer(tmp_path / "n1", 6000, write_errors.append)
     data = file_frames.frame({"k": "state", "pad": "x" * 300})
     for number in range(60):
         assert writer.put(data, number % 5 == 0)
@@ -150,23 +148,23 @@
         file_frames.read(path.read_bytes(), KIND)
     blocked = tmp_path / "file"
     blocked.write_text("")
-    writer = Writer(blocked / "n2", 6000, told.append)
+    writer = Writer(blocked / "n2", 6000, write_errors.append)
     writer.put(data, True)
-    while not told:
+    while not write_errors:
         pass
     writer.put(data, True)
     writer.close()
-    assert len(told) == 1 and "Not a directory" in told[0]
+    assert len(write_errors) == 1 and "Not a directory" in write_errors[0]
     assert not writer.put(data, False)
 
 
-def test_the_table_is_checked(tmp_path):
+def test_invalid_settings_are_refused(tmp_path):
     for text, key in (
         ("folder = ''", "capture.folder"),
         ("folder = 'x'\nids = 'all'", "capture.ids"),
         ("folder = 'x'\nmemory_mb = 0", "capture.memory_mb"),
     ):
         (tmp_path / "f.toml").write_text(f"[capture]\n{text}\n")
-        with pytest.raises(ConfigError) as wrong:
+        with pytest.raises(ConfigError) as error:
             load_features(tmp_path / "f.toml")
-        assert key in str(wrong.value)
+        assert key in str(error.value)
--- a/tests/sidecar/capture/test_replay.py
+++ b/tests/sidecar/capture/test_replay.py
@@ -10,7 +10,7 @@
 
 from shedgrade import file_frames, load_balancing
 from shedgrade.load_balancing import zones
-from shedgrade.sidecar.capture import replay as replays
+from shedgrade.sidecar.capture import replay as replay_module
 from shedgrade.sidecar.capture.explanation import explain, find_rpcs
 from shedgrade.sidecar.capture.recorder import RESUME_DELAY, hash_id
 from shedgrade.sidecar.capture.replay import Replay
@@ -19,7 +19,7 @@
 from shedgrade.sidecar.capture.state import StateError, freeze, thaw
 
 
-def same(records, **more):
+def replay_without_difference(records, **more):
     one = Replay(records, **more)
     assert list(one.run()) == []
     return one
@@ -28,12 +28,12 @@
 @pytest.mark.parametrize("seed", range(12))
 def test_a_whole_capture_replays_to_the_same_decisions_and_the_same_state(seed):
     world = World(seed, checkpoint=2_000)
-    one = same(world.run(600))
-    assert one.calls > 1000 and not one.left_out and any(answer[0] >= 0 for _, answer in world.answers)
+    one = replay_without_difference(world.run(600))
+    assert one.calls > 1000 and not one.left_out and any(answer[0] >= 0 for _, answer in world.decisions)
     inner = world.balancer.inner
     told = [freeze(inner, lambda tag: tag.rpc.number), freeze(one.balancer, lambda tag: tag)]
     assert told[0]["random"] == told[1]["random"]
-    assert replays.describe(inner, {}) == replays.describe(one.balancer, {})
+    assert replay_module.describe(inner, {}) == replay_module.describe(one.balancer, {})
 
 
 def test_captures_from_before_tenants_are_read_and_their_checkpoints_refused_in_one_line():
@@ -41,14 +41,14 @@
     for record in records:
         if record["k"] == "rows":
             record["r"] = [row[:-1] if row[0] == TAKE else row for row in record["r"]]
-    assert same(records).calls > 500
+    assert replay_without_difference(records).calls > 500
     older = next(record for record in records if record["k"] == "state")
     with pytest.raises(StateError, match="^state of version 1$"):
         thaw({**older["state"], "v": 1}, load_balancing)
 
 
 @pytest.mark.parametrize("seed", range(6))
-def test_one_that_begins_in_the_middle_of_a_drain_with_much_in_hand_replays_too(seed):
+def test_a_capture_that_begins_during_a_drain_with_requests_in_flight_replays(seed):
     world = World(seed, most=60_000, checkpoint=1_500)
     world.run(100)
     world.balancer.list_changed(
@@ -57,22 +57,22 @@
     world.balancer.save(world.now)
     records = world.run(1500)
     assert world.ring.dropped and records[0]["k"] == "state"
-    assert same(records).calls > 10
+    assert replay_without_difference(records).calls > 10
     # A capture cut off within a record is read up to there, and has the same results so far.
     data = world.ring.data()
     _, cut, why = file_frames.read(data[: len(data) * 2 // 3], KIND)
     assert "torn" in why
-    same(cut)
+    replay_without_difference(cut)
 
 
-def test_thousands_in_hand_at_a_checkpoint_come_back():
+def test_a_checkpoint_restores_thousands_of_requests_in_flight():
     world = World(3)
     for number in range(2000):
         active_request = SimpleNamespace(request=SimpleNamespace(name=b"%d" % number), rpc=None)
         active_request.rpc = world.balancer.admit(
             world.now, number % 3, world.now + 9000, False, active_request
         )
-        world.act(active_request, active_request.rpc.decide(world.now))
+        world.apply_decision(active_request, active_request.rpc.decide(world.now))
     world.balancer.save(world.now)
     state = world.records()[-1]["state"]
     balancer, rpcs = thaw(state, load_balancing)
@@ -85,7 +85,7 @@
         thaw({**state, "rows": [["Popen", {}]]}, load_balancing)
 
 
-def test_the_first_decision_that_differs_is_named_with_the_state_beside_it(monkeypatch):
+def test_the_first_different_decision_is_reported_with_the_state(monkeypatch):
     world = World(5)
     records = world.run(400)
     monkeypatch.setattr(zones, "LOAD_MARGIN", -5.0)
@@ -96,7 +96,7 @@
     assert len(list(lenient.run())) > 1
 
 
-def test_load_is_shed_a_gap_says_so_and_a_checkpoint_begins_anew():
+def test_recording_pauses_under_load_and_resumes_with_a_gap_and_a_checkpoint():
     world = World(7, checkpoint=10**9)
     world.run(200)
     world.run(100, late=50)  # over 50 ms, the interval between two load checks
@@ -108,18 +108,18 @@
     kinds = [one["k"] for one in records]
     assert kinds.count("gap") == 1 and kinds[kinds.index("gap") + 1] == "state"
     assert records[kinds.index("gap")]["rows"] > 50 and not world.balancer.is_paused
-    assert same(records).gaps == 1
+    assert replay_without_difference(records).gaps == 1
     busy = World(7, most_rows=1000)
     busy.run(2000)
     assert any(one["k"] == "gap" for one in busy.run(2000)) or busy.balancer.is_paused
 
 
-def test_an_rpc_is_found_by_its_id_which_the_capture_does_not_hold_and_explained():
+def test_an_rpc_is_found_by_an_id_that_is_stored_as_a_hash_and_explained():
     world = World(2)
     records = world.run(300)
     assert b"id-17" not in world.ring.data()
     assert find_rpcs(records, hash_id(b"id-17")) == [18]
-    sent = [(number, answer) for number, answer in world.answers if number == 18]
+    sent = [(number, answer) for number, answer in world.decisions if number == 18]
     lines = explain(records, 18)
     told = "\n".join(lines)
     assert lines[0].startswith("RPC 18: method") and "zones: 0*" in told
@@ -131,9 +131,9 @@
 def test_a_capture_is_shortened_to_what_one_rpc_needs_and_still_replays():
     world = World(11)
     records = world.run(150)
-    number = next(number for number, answer in world.answers if number > 40 and answer[0] >= 0)
-    short_one = shorten(records, number)
-    size = [sum(len(one["r"]) for one in some if one["k"] == "rows") for some in (records, short_one)]
-    assert size[1] < size[0] / 4
-    assert outcome(short_one, number) == outcome(records, number)
-    assert same(short_one).calls == size[1]
+    number = next(number for number, answer in world.decisions if number > 40 and answer[0] >= 0)
+    shortened = shorten(records, number)
+    sizes = [sum(len(one["r"]) for one in some if one["k"] == "rows") for some in (records, shortened)]
+    assert sizes[1] < sizes[0] / 4
+    assert outcome(shortened, number) == outcome(records, number)
+    assert replay_without_difference(shortened).calls == sizes[1]
--- a/tests/sidecar/shadow_policy/test_watch.py
+++ b/tests/sidecar/shadow_policy/test_watch.py
@@ -28,50 +28,55 @@
 METHODS = [method("once"), method(payoff=3.0), method("by_key", "zone", payoff=0.5)]
 
 
-class Day:
+class Simulation:
     """Drives a balancer with a follower as the dispatcher does: drains, errors, hangs, client disconnects."""
 
     def __init__(self, seed, over, busy=4, **more):
         self.chance, self.now = Random(seed), 100
-        self.conf = settings(METHODS, zones=2, balancers=20, **more)
+        self.base_settings = settings(METHODS, zones=2, balancers=20, **more)
         self.part = ShadowPolicyPart(Watch(settings=over), "features")
-        self.watched = self.part.decisions(self.conf, seed, self.now)
+        self.watched = self.part.decisions(self.base_settings, seed, self.now)
         self.watched.list_changed(self.now, [row(up, up % 2) for up in range(8)], True, True)
-        self.out, self.answers, self.busy = [], [], busy
+        self.ends, self.answers, self.busy = [], [], busy
 
-    def act(self, active_request, answer):
+    def apply_decision(self, active_request, answer):
         self.answers.append(answer)
         if answer is not None and answer[0] >= 0:
-            took = self.chance.choice((5, 20, 60, 300, 2500, answer[1]))
-            what = (
+            duration = self.chance.choice((5, 20, 60, 300, 2500, answer[1]))
+            outcome = (
                 load_balancing.TIMED_OUT
-                if took >= answer[1]
+                if duration >= answer[1]
                 else self.chance.choice(
                     (load_balancing.COMPLETED,) * 9
                     + (load_balancing.REJECTED, load_balancing.FAILED, load_balancing.UNCONNECTED)
                 )
             )
-            self.out.append(
-                (self.now + min(took, answer[1]), len(active_request.rpc.attempts) - 1, active_request, what)
+            self.ends.append(
+                (
+                    self.now + min(duration, answer[1]),
+                    len(active_request.rpc.attempts) - 1,
+                    active_request,
+                    outcome,
+                )
             )
 
     def turn(self):
         for _ in range(self.chance.choice((0, 1, 1, self.busy))):
             active_request = SimpleNamespace(rpc=None)
-            number, tenant = self.chance.randrange(3), self.chance.choice((0, 0, 0, 1))
+            method_index, tenant = self.chance.randrange(3), self.chance.choice((0, 0, 0, 1))
             active_request.rpc = self.watched.admit(
-                self.now, number, self.now + 9000, False, active_request, tenant
+                self.now, method_index, self.now + 9000, False, active_request, tenant
             )
-            self.act(active_request, active_request.rpc.decide(self.now))
-        for end in [one for one in self.out if one[0] <= self.now]:
-            self.out.remove(end)
-            _, tx, active_request, what = end
+            self.apply_decision(active_request, active_request.rpc.decide(self.now))
+        for finished in [one for one in self.ends if one[0] <= self.now]:
+            self.ends.remove(finished)
+            _, tx, active_request, outcome = finished
             if tx in active_request.rpc.rpc.outstanding:
                 for stopped in active_request.rpc.attempt_finished(
-                    self.now, tx, what, 20, what == load_balancing.COMPLETED
+                    self.now, tx, outcome, 20, outcome == load_balancing.COMPLETED
                 ):
                     active_request.rpc.attempt_finished(self.now, stopped, load_balancing.STOPPED, 20, True)
-                self.act(active_request, active_request.rpc.decide(self.now))
+                self.apply_decision(active_request, active_request.rpc.decide(self.now))
         if self.chance.random() < 0.05:
             up = self.chance.randrange(10)
             state = self.chance.choice((load_balancing.READY,) * 2 + (load_balancing.DRAINING,))
@@ -80,7 +85,7 @@
             self.watched.draw_admission(1)
             self.watched.uniform(0.5, 1.0)
         for rpc in self.watched.due(self.now):
-            self.act(rpc.tag, rpc.tag.rpc.decide(self.now))
+            self.apply_decision(rpc.tag, rpc.tag.rpc.decide(self.now))
         self.watched.take_released()
         self.now += self.chance.choice((10, 50, 200))
 
@@ -91,18 +96,20 @@
 
 
 @pytest.mark.parametrize("seed", range(6))
-def test_equal_settings_count_no_difference_over_a_day_of_faults(seed):
-    day = Day(seed, {}).run()
-    assert day.watched.rpc_count > 1000 and any(
-        answer and answer[0] == load_balancing.EXHAUSTED for answer in day.answers
+def test_equal_settings_count_no_difference(seed):
+    simulation = Simulation(seed, {}).run()
+    assert simulation.watched.rpc_count > 1000 and any(
+        answer and answer[0] == load_balancing.EXHAUSTED for answer in simulation.answers
+    )
+    assert simulation.watched.follower is not None and not simulation.watched.counts, (
+        simulation.watched.counts
     )
-    assert day.watched.follower is not None and not day.watched.counts, day.watched.counts
 
 
 @pytest.mark.parametrize("seed", range(3))
-def test_decisions_are_the_same_whatever_is_watched(seed):
+def test_decisions_do_not_depend_on_the_shadow_policy(seed):
     over = {"limits": {"multiplex": 50, "most_transmissions": 1, "retry_after": False}}
-    watched, plain = Day(seed, over), Day(seed, {})
+    watched, plain = Simulation(seed, over), Simulation(seed, {})
     plain.watched.follower = None
     assert watched.run().answers == plain.run().answers
     assert watched.watched.counts and watched.watched.follower is not None
@@ -110,7 +117,7 @@
 
 def test_one_setting_changed_counts_its_kind():
     def kinds(over, **more):
-        return Day(1, over, **more).run().watched.counts
+        return Simulation(1, over, **more).run().watched.counts
 
     assert kinds({"limits": {"most_transmissions": 1}})["no other transmission"] > 0
     more = kinds({"limits": {"most_transmissions": 6}}, limits={"most_transmissions": 1})
@@ -151,30 +158,30 @@
 
 
 @pytest.mark.parametrize("where", ["admit", "list_changed", "due", "draw_admission"])
-def test_a_fault_of_the_follower_is_logged_once_and_changes_nothing(where, monkeypatch):
+def test_an_error_of_the_follower_is_logged_once_and_changes_nothing(where, monkeypatch):
     lines = []
     sink = logger.add(lines.append, level="WARNING", format="{message} {extra}")
-    day, plain = Day(3, {}), Day(3, {})
+    simulation, plain = Simulation(3, {}), Simulation(3, {})
     plain.watched.follower = None
 
     def broken(*_):
         raise RuntimeError("broken")
 
-    monkeypatch.setattr(day.watched.follower, where, broken)
+    monkeypatch.setattr(simulation.watched.follower, where, broken)
     try:
-        assert day.run(300).answers == plain.run(300).answers
+        assert simulation.run(300).answers == plain.run(300).answers
     finally:
         logger.remove(sink)
-    assert day.watched.follower is None and len(lines) == 1 and "broken" in lines[0]
-    assert day.watched.summary().endswith("no longer watched")
+    assert simulation.watched.follower is None and len(lines) == 1 and "broken" in lines[0]
+    assert simulation.watched.summary().endswith("no longer watched")
 
 
-def test_what_is_asked_again_and_again_counts_once_an_rpc():
-    day = Day(5, {"limits": {"multiplex": 50}, "balancers": 400}).run()
-    assert max(day.watched.counts.values()) <= day.watched.rpc_count
+def test_each_kind_counts_once_per_rpc():
+    simulation = Simulation(5, {"limits": {"multiplex": 50}, "balancers": 400}).run()
+    assert max(simulation.watched.counts.values()) <= simulation.watched.rpc_count
 
 
-class WatchWorld(World):
+class ShadowWorld(World):
     """Creates the sidecar with a follower beside its balancer, as `serve` does."""
 
     def prepare(self):
@@ -192,8 +199,8 @@
         return message(200, body)
 
     @on_sockets
-    async def scene():
-        world = WatchWorld(*[echo] * 6)
+    async def scenario():
+        world = ShadowWorld(*[echo] * 6)
         world.over = over
         async with world:
             for number in range(40):
@@ -205,7 +212,7 @@
 
     sink = logger.add(lines.append, level="INFO", format="{message} {extra}")
     try:
-        scene()
+        scenario()
     finally:
         logger.remove(sink)
     last = [line for line in lines if line.startswith("shadow policy compared ")][-1]
@@ -213,7 +220,7 @@
     assert ("other upstream" in last) if over else ("no difference" in last)
 
 
-class BothWorld(World):
+class CaptureAndShadowWorld(World):
     """Capture and shadow policy, assembled as `serve` assembles them."""
 
     def prepare(self):
@@ -221,7 +228,7 @@
         self.sidecar = with_features(before.config, self.features, before.loop)
 
 
-def test_with_capture_on_too_the_recorder_stands_within_and_the_capture_replays(tmp_path):
+def test_with_capture_the_recorder_is_wrapped_and_the_capture_replays(tmp_path):
     features = tmp_path / "features.toml"
     features.write_text(f"[watch]\n[capture]\nfolder = '{tmp_path}/c'\n")
 
@@ -229,8 +236,8 @@
         return message(200, body)
 
     @on_sockets
-    async def scene():
-        world = BothWorld(echo, echo, echo)
+    async def scenario():
+        world = CaptureAndShadowWorld(echo, echo, echo)
         world.features = features
         async with world:
             for number in range(30):
@@ -245,10 +252,10 @@
             _, records, torn = file_frames.read(watched.inner.ring.data(), KIND)
             assert not torn and list(Replay(records).run()) == []
 
-    scene()
+    scenario()
 
 
-def test_off_it_is_not_imported():
+def test_the_shadow_policy_is_not_imported_when_off():
     code = (
         "import sys, shedgrade.cli, shedgrade.sidecar.lifecycle.sidecar\n"
         "sys.exit(any(name.startswith('shedgrade.sidecar.shadow_policy') for name in sys.modules))"
@@ -269,12 +276,12 @@
         ("[watch]\nother = 1\n", "watch"),
     ],
 )
-def test_a_bad_table_is_one_line(tmp_path, text, found):
+def test_an_invalid_table_is_reported_in_one_line(tmp_path, text, found):
     path = tmp_path / "features.toml"
     path.write_text(text)
-    with pytest.raises(ConfigError) as wrong:
+    with pytest.raises(ConfigError) as error:
         load_features(path)
-    assert found in str(wrong.value) and str(path) in str(wrong.value) and "\n" not in str(wrong.value)
+    assert found in str(error.value) and str(path) in str(error.value) and "\n" not in str(error.value)
 
 
 def test_numbers_that_do_not_fit_the_platforms_settings_are_refused_at_the_start(tmp_path):
