--- a/shedgrade/sidecar/shadow_policy/shadow.py
+++ b/shedgrade/sidecar/shadow_policy/shadow.py
@@ -162,12 +162,12 @@
         while self.call_follower(self.advance_follower, follower_due, None, now):
             pass
 
-    def advance_follower(self, follower_due, wanted: FollowerRpc | None, now: int) -> bool:
-        """Takes the follower's next request; returns False if it has none, or has reached the wanted one."""
+    def advance_follower(self, follower_due, expected: FollowerRpc | None, now: int) -> bool:
+        """Takes the follower's next request; returns False if it has none or this is the expected one."""
         shadow = next(follower_due, None)
-        if shadow is None or shadow is wanted:
+        if shadow is None or shadow is expected:
             return False
-        if shadow.queue_entry is not None and wanted is None:
+        if shadow.queue_entry is not None and expected is None:
             # The follower yields its first queued request again until that one is answered.
             self.count_difference(shadow, difference_kind(shadow, None, shadow.propose(now)))
             return False
--- a/tests/sidecar/capture/capture_world.py
+++ b/tests/sidecar/capture/capture_world.py
@@ -43,7 +43,7 @@
                 )
             )
 
-    def turn(self):
+    def step(self):
         chance, balancer = self.chance, self.balancer
         for _ in range(chance.choice((0, 1, 1, 3, 12))):
             active_request = SimpleNamespace(
@@ -56,10 +56,10 @@
             self.apply_decision(active_request, active_request.rpc.decide(self.now))
         for finished in [one for one in self.ends if one[0] <= self.now]:
             self.ends.remove(finished)
-            at, tx, active_request, outcome = finished
-            if tx in active_request.rpc.rpc.outstanding:
+            _, attempt, active_request, outcome = finished
+            if attempt in active_request.rpc.rpc.outstanding:
                 done = outcome == load_balancing.COMPLETED
-                for stopped in active_request.rpc.attempt_finished(self.now, tx, outcome, 20, done):
+                for stopped in active_request.rpc.attempt_finished(self.now, attempt, outcome, 20, done):
                     active_request.rpc.attempt_finished(self.now, stopped, load_balancing.STOPPED, 20, True)
                 self.apply_decision(active_request, active_request.rpc.decide(self.now))
         if chance.random() < 0.02 and self.requests:
@@ -81,22 +81,22 @@
             self.apply_decision(rpc.tag, rpc.tag.rpc.decide(self.now))
         balancer.take_released()
 
-    def run(self, turns, late=0):
-        for _ in range(turns):
-            self.turn()
-            self.balancer.after_turn(self.now, late)
+    def run(self, steps, lag=0):
+        for _ in range(steps):
+            self.step()
+            self.balancer.after_turn(self.now, lag)
             self.now += self.chance.choice((1, 5, 10, 40))
         return self.records()
 
     def records(self):
         self.balancer.flush()
-        _, records, why = file_frames.read(self.ring.data(), KIND)
-        assert not why
+        _, records, damage = file_frames.read(self.ring.data(), KIND)
+        assert not damage
         return records
 
 
-def capture(seed=4, turns=300):
+def capture(seed=4, steps=300):
     """Returns the content of a short capture."""
     world = World(seed)
-    world.run(turns)
+    world.run(steps)
     return world.ring.data()
--- a/tests/sidecar/capture/test_replay.py
+++ b/tests/sidecar/capture/test_replay.py
@@ -31,8 +31,8 @@
     one = replay_without_difference(world.run(600))
     assert one.calls > 1000 and not one.left_out and any(answer[0] >= 0 for _, answer in world.decisions)
     inner = world.balancer.inner
-    told = [freeze(inner, lambda tag: tag.rpc.number), freeze(one.balancer, lambda tag: tag)]
-    assert told[0]["random"] == told[1]["random"]
+    states = [freeze(inner, lambda tag: tag.rpc.number), freeze(one.balancer, lambda tag: tag)]
+    assert states[0]["random"] == states[1]["random"]
     assert replay_module.describe(inner, {}) == replay_module.describe(one.balancer, {})
 
 
@@ -99,7 +99,7 @@
 def test_recording_pauses_under_load_and_resumes_with_a_gap_and_a_checkpoint():
     world = World(7, checkpoint=10**9)
     world.run(200)
-    world.run(100, late=50)  # over 50 ms, the interval between two load checks
+    world.run(100, lag=50)  # over 50 ms, the interval between two load checks
     assert world.balancer.is_paused
     for _ in range(10):
         world.now += RESUME_DELAY // 5
--- a/tests/sidecar/shadow_policy/test_watch.py
+++ b/tests/sidecar/shadow_policy/test_watch.py
@@ -60,7 +60,7 @@
                 )
             )
 
-    def turn(self):
+    def step(self):
         for _ in range(self.chance.choice((0, 1, 1, self.busy))):
             active_request = SimpleNamespace(rpc=None)
             method_index, tenant = self.chance.randrange(3), self.chance.choice((0, 0, 0, 1))
@@ -70,10 +70,10 @@
             self.apply_decision(active_request, active_request.rpc.decide(self.now))
         for finished in [one for one in self.ends if one[0] <= self.now]:
             self.ends.remove(finished)
-            _, tx, active_request, outcome = finished
-            if tx in active_request.rpc.rpc.outstanding:
+            _, attempt, active_request, outcome = finished
+            if attempt in active_request.rpc.rpc.outstanding:
                 for stopped in active_request.rpc.attempt_finished(
-                    self.now, tx, outcome, 20, outcome == load_balancing.COMPLETED
+                    self.now, attempt, outcome, 20, outcome == load_balancing.COMPLETED
                 ):
                     active_request.rpc.attempt_finished(self.now, stopped, load_balancing.STOPPED, 20, True)
                 self.apply_decision(active_request, active_request.rpc.decide(self.now))
@@ -89,9 +89,9 @@
         self.watched.take_released()
         self.now += self.chance.choice((10, 50, 200))
 
-    def run(self, turns=1500):
-        for _ in range(turns):
-            self.turn()
+    def run(self, steps=1500):
+        for _ in range(steps):
+            self.step()
         return self
 
 
