--- a/shedgrade/sidecar/capture/explanation.py
+++ b/shedgrade/sidecar/capture/explanation.py
@@ -1,16 +1,16 @@
-"""Why one RPC of a capture went where it did, in words, from a replay."""
+"""Explanation of one request of a capture, in words: the decisions about it and their reasons, by replay."""
 
 from types import ModuleType
 
 from shedgrade import load_balancing
 from shedgrade.sidecar.capture.older_decisions import METHODS
-from shedgrade.sidecar.capture.replay import OF_RPC, Replay
+from shedgrade.sidecar.capture.replay import RPC_OPERATIONS, Replay
 from shedgrade.sidecar.capture.rows import (
+    ATTEMPT_FINISHED,
+    CLIENT_DISCONNECTED,
     DECIDE,
-    ENDED,
-    GONE,
-    NOTHING,
-    STARTED,
+    NO_DECISION,
+    RESPONSE_STARTED,
     TAKE,
     calls,
 )
@@ -18,7 +18,7 @@
 OUTCOMES = (
     "unsent",
     "unconnected",
-    "turned away",
+    "rejected",
     "completed",
     "failed",
     "timed out",
@@ -28,31 +28,31 @@
 )
 
 
-def narrating(base: type) -> type:
-    """A Balancer that tells what it weighs while `lines` is a list; it decides as its base does."""
+def explaining_class(base: type) -> type:
+    """Returns a subclass of a Balancer that decides alike and adds reasons to `lines`, if that is a list."""
 
-    class NarratingBalancer(base):
+    class ExplainingBalancer(base):
         lines: list | None = None
-        names: dict = {}
+        upstream_ids: dict = {}
 
-        def say(self, line: str) -> None:
+        def add_reason(self, line: str) -> None:
             if self.lines is not None:
                 self.lines.append(line)
 
-        def name(self, up: object) -> str:
-            return self.names.get(str(up.index), str(up.index))
+        def name_of(self, upstream: object) -> str:
+            return self.upstream_ids.get(str(upstream.index), str(upstream.index))
 
         def choose_upstream(
-            self, now: int, rpc: load_balancing.Rpc, stay: bool
+            self, now: int, rpc: load_balancing.Rpc, prefer_own_zone: bool
         ) -> load_balancing.Upstream | None:
             if self.lines is not None:
-                self.say(
+                self.add_reason(
                     "  zones: "
                     + "; ".join(
                         f"{number}{'*' * (number == self.own_zone)} {zone.in_flight} in flight "
                         f"on {len(zone.rotation)}, "
                         f"window {zone.concurrency_limit:.1f}"
-                        f"{', full for its luck' if zone.rotation and zone.is_full(rpc) else ''}"
+                        f"{', at its limit for this draw' if zone.rotation and zone.is_full(rpc) else ''}"
                         for number, zone in enumerate(self.zones)
                     )
                 )
@@ -62,129 +62,144 @@
                     if zone.rotation
                 ]
                 if len(loads) > 1 and max(loads)[0] >= load_balancing.DROP_THRESHOLD:
-                    self.say(f"  zone {max(loads)[1]} is the worst at the threshold: dropped")
-                aside = [self.name(up) for up in self.upstreams.values() if up.ejected_until]
-                if aside:
-                    self.say(f"  aside: {', '.join(aside[:8])}{' ...' if len(aside) > 8 else ''}")
-            found = super().choose_upstream(now, rpc, stay)
+                    self.add_reason(f"  zone {max(loads)[1]} has the highest load, at the threshold: skipped")
+                ejected = [
+                    self.name_of(upstream) for upstream in self.upstreams.values() if upstream.ejected_until
+                ]
+                if ejected:
+                    self.add_reason(
+                        f"  ejected: {', '.join(ejected[:8])}{' ...' if len(ejected) > 8 else ''}"
+                    )
+            found = super().choose_upstream(now, rpc, prefer_own_zone)
             if found is None:
-                self.say(
-                    "  no upstream has room for it" + (": the own zone may make room yet" if stay else "")
+                self.add_reason(
+                    "  no upstream has room for it"
+                    + (": the own zone may have room soon" if prefer_own_zone else "")
                 )
             return found
 
         def next_in_rotation(
-            self, zone: load_balancing.Zone, now: int, rpc: load_balancing.Rpc, left: int
+            self, zone: load_balancing.Zone, now: int, rpc: load_balancing.Rpc, remaining: int
         ) -> load_balancing.Upstream | None:
-            found = super().next_in_rotation(zone, now, rpc, left)
+            found = super().next_in_rotation(zone, now, rpc, remaining)
             if found is not None:
-                bar = (zone.in_flight + zone.background_load) / max(
+                load_limit = (zone.in_flight + zone.background_load) / max(
                     1, len(zone.rotation)
                 ) + load_balancing.LOAD_MARGIN
-                above = (
-                    "" if found.in_flight + found.background_load <= bar else ": none under the mean had room"
+                suffix = (
+                    ""
+                    if found.in_flight + found.background_load <= load_limit
+                    else ": none near the mean had room"
                 )
-                self.say(
-                    f"  zone {self.zones.index(zone)}: {self.name(found)} is next with room, "
-                    f"{found.in_flight} in flight there{above}"
+                self.add_reason(
+                    f"  zone {self.zones.index(zone)}: {self.name_of(found)} is next with room, "
+                    f"{found.in_flight} in flight there{suffix}"
                 )
             return found
 
-        def has_capacity(self, up: load_balancing.Upstream, now: int, left: int, expected: float) -> bool:
-            found = super().has_capacity(up, now, left, expected)
+        def has_capacity(
+            self, upstream: load_balancing.Upstream, now: int, remaining: int, expected: float
+        ) -> bool:
+            found = super().has_capacity(upstream, now, remaining, expected)
             if not found:
-                why = (
-                    "on trial, with one out"
-                    if up.half_open and up.in_flight
+                reason = (
+                    "half-open, with one in flight"
+                    if upstream.half_open and upstream.in_flight
                     else (
-                        "cold, its part is used up"
-                        if self.is_warming_up(up, now)
-                        else f"{expected / 10:.0f} ms foreseen of {left / 10:.0f} left"
+                        "slow start, its share is used up"
+                        if self.is_warming_up(upstream, now)
+                        else f"{expected / 10:.0f} ms expected of {remaining / 10:.0f} left"
                     )
                 )
-                self.say(f"  {self.name(up)} passed over: {why}")
+                self.add_reason(f"  {self.name_of(upstream)} skipped: {reason}")
             return found
 
         def last_resort(self, now: int, rpc: load_balancing.Rpc) -> load_balancing.Upstream | None:
             found = super().last_resort(now, rpc)
-            self.say(f"  last resort: {self.name(found) if found is not None else 'nobody'}")
+            self.add_reason(f"  last resort: {self.name_of(found) if found is not None else 'none'}")
             return found
 
         def enqueue(self, now: int, rpc: load_balancing.Rpc, until: int) -> bool:
             found = super().enqueue(now, rpc, until)
-            self.say(
-                "  held: an end should come in time" if found else "  not held: no end would come in time"
+            self.add_reason(
+                "  queued: an attempt should finish in time"
+                if found
+                else "  not queued: no attempt would finish in time"
             )
             return found
 
     for older, present in METHODS["Balancer"].items():
-        if present in vars(NarratingBalancer) and hasattr(base, older):
-            setattr(
-                NarratingBalancer, older, getattr(NarratingBalancer, present)
-            )  # what older decisions call themselves
-    return NarratingBalancer
+        if present in vars(ExplainingBalancer) and hasattr(base, older):
+            # The base calls the method by its older name.
+            setattr(ExplainingBalancer, older, getattr(ExplainingBalancer, present))
+    return ExplainingBalancer
 
 
 def explain(
     records: list[dict], number: int, module: ModuleType = load_balancing, until: float = float("inf")
 ) -> list[str]:
-    """Why one RPC went where it did."""
-    replay = Replay(records, module, narrating(module.Balancer), until)
+    """Returns lines that say what was decided about one request, and why.
+
+    `module`: the decisions to replay with. `until`: time at which the replay stops, tenths of a ms.
+    """
+    replay = Replay(records, module, explaining_class(module.Balancer), until)
     lines: list[str] = []
-    begun = [0]
+    admitted_at = [0]
 
-    def watch(now: int, row: list, got: object) -> None:
+    def on_call(now: int, row: list, replayed: object) -> None:
         balancer = replay.balancer
-        op, told = row[0], row[2:]
-        heard, balancer.lines = balancer.lines or [], None
-        if op not in OF_RPC or told[0] != number:
+        op, values = row[0], row[2:]
+        reasons, balancer.lines = balancer.lines or [], None
+        if op not in RPC_OPERATIONS or values[0] != number:
             return
-        at = f"{(now - begun[0]) / 10:.1f} ms"
+        at = f"{(now - admitted_at[0]) / 10:.1f} ms"
         if op == TAKE:
-            begun[0] = now
+            admitted_at[0] = now
             lines.append(
-                f"RPC {number}: method {told[1]}, gives up after {told[2] / 10:.0f} ms"
-                f"{', a marked retry' if told[3] else ''}"
+                f"RPC {number}: method {values[1]}, gives up after {values[2] / 10:.0f} ms"
+                f"{', a marked retry' if values[3] else ''}"
             )
-        elif op in (DECIDE, NOTHING):
-            if got is None:
-                lines.extend([f"{at}: nothing yet", *heard] if heard else [])
-            elif got[0] >= 0:
-                name = replay.names.get(str(got[0]), got[0])
-                lines.extend([f"{at}: sent to {name}, for {got[1] / 10:.0f} ms", *heard])
+        elif op in (DECIDE, NO_DECISION):
+            if replayed is None:
+                lines.extend([f"{at}: nothing yet", *reasons] if reasons else [])
+            elif replayed[0] >= 0:
+                name = replay.upstream_ids.get(str(replayed[0]), replayed[0])
+                lines.extend([f"{at}: sent to {name}, for {replayed[1] / 10:.0f} ms", *reasons])
             else:
-                said = "exhausted" if got[0] == load_balancing.EXHAUSTED else "errored, as it may have run"
-                lines.extend([f"{at}: answered {said}", *heard])
-        elif op == ENDED:
+                answer = (
+                    "exhausted" if replayed[0] == load_balancing.EXHAUSTED else "errored, as it may have run"
+                )
+                lines.extend([f"{at}: answered {answer}", *reasons])
+        elif op == ATTEMPT_FINISHED:
             lines.append(
-                f"{at}: transmission {told[1]} {OUTCOMES[told[2]]} after {told[3] / 10:.1f} ms"
-                f"{', which answers it' if told[4] else ''}"
+                f"{at}: transmission {values[1]} {OUTCOMES[values[2]]} after {values[3] / 10:.1f} ms"
+                f"{', which answers it' if values[4] else ''}"
             )
-        elif op == GONE:
-            lines.append(f"{at}: its client left")
-        elif op == STARTED:
-            lines.append(f"{at}: its stream is open")
+        elif op == CLIENT_DISCONNECTED:
+            lines.append(f"{at}: the client disconnected")
+        elif op == RESPONSE_STARTED:
+            lines.append(f"{at}: the response stream is open")
 
-    replay.watch = watch
-    # What is told while a call is made belongs to that call's RPC: each row names it beforehand.
-    plain_call = replay.call
+    replay.on_call = on_call
+    # Reasons given during a call belong to its request, whose number each row holds.
+    replay_call = replay.make_call
 
-    def call(now: int, row: list) -> tuple[object, object]:
+    def make_call(now: int, row: list) -> tuple[object, object]:
         balancer = replay.balancer
-        if row[0] in (DECIDE, NOTHING) and row[2] == number:
-            balancer.names, balancer.lines = replay.names, []
+        if row[0] in (DECIDE, NO_DECISION) and row[2] == number:
+            balancer.upstream_ids, balancer.lines = replay.upstream_ids, []
         else:
             balancer.lines = None
-        return plain_call(now, row)
+        return replay_call(now, row)
 
-    replay.call = call
+    replay.make_call = make_call
     lines.extend(
-        f"differs here: {difference.call}: {difference.told} then, {difference.got} now"
+        f"differs here: {difference.call}: recorded {difference.recorded}, replayed {difference.replayed}"
         for difference in replay.run()
     )
     return lines or [f"RPC {number} is not in this capture"]
 
 
-def find(records: list[dict], name: bytes) -> list[int]:
-    """Numbers of the RPCs that were taken under this name (an id, or what stands for it)."""
+def find_rpcs(records: list[dict], name: bytes) -> list[int]:
+    """Returns the numbers of the requests with this name: an id, or the hash of one."""
     return [row[2] for _, row in calls(records) if row[0] == TAKE and row[6] == name]
--- a/shedgrade/sidecar/capture/files.py
+++ b/shedgrade/sidecar/capture/files.py
@@ -1,4 +1,4 @@
-"""Captures on disk: the edge. A dump of the ring, or files written as it goes by a thread of their own."""
+"""Files of captures: a dump of the ring, or files that a thread writes continuously."""
 
 import os
 import threading
@@ -9,36 +9,38 @@
 from shedgrade import file_frames
 from shedgrade.sidecar.capture.rows import KIND
 
-FILE = 16 * 1024 * 1024  # bytes of a file that is written as it goes: then the next begins at a checkpoint
-WAITING = 8 * 1024 * 1024  # bytes that may wait for the disk
+FILE_BYTES = 16 * 1024 * 1024  # bytes of a file, from which the next checkpoint begins another one
+MAX_PENDING_BYTES = 8 * 1024 * 1024  # bytes of records that wait for the disk, at most
 
 
 class CaptureError(Exception):
-    """Why a capture can't be read, in one line."""
+    """A capture can't be read; the text says why in one line."""
 
 
 def load(path: Path) -> tuple[list[dict], str]:
-    """The records of one file, and what is wrong with its end ("" if nothing is): a capture that was cut off
-    in a
-    record is read up to there."""
+    """Returns the records of one file, and the damage at which reading stopped ("" if there is none).
+
+    A file that is cut off within a record is read up to there. CaptureError if the file can't be read, is no
+    capture, or has nothing that a replay may begin with.
+    """
     try:
-        _, records, why = file_frames.read(path.read_bytes(), KIND)
+        _, records, damage = file_frames.read(path.read_bytes(), KIND)
     except OSError as failure:
         raise CaptureError(f"{path}: {failure.strerror}") from failure
-    except file_frames.FormatError as wrong:
-        raise CaptureError(f"{path}: {wrong}") from wrong
-    if not any(one["k"] in ("begin", "state") for one in records):
-        raise CaptureError(f"{path}: no begin and no checkpoint in it{f', {why}' if why else ''}")
-    return records, why
+    except file_frames.FormatError as error:
+        raise CaptureError(f"{path}: {error}") from error
+    if not any(record["k"] in ("begin", "state") for record in records):
+        raise CaptureError(f"{path}: it has no beginning and no checkpoint{f', {damage}' if damage else ''}")
+    return records, damage
 
 
-def make(folder: Path) -> None:
-    """Makes the folder of captures, readable by its owner alone."""
+def make_folder(folder: Path) -> None:
+    """Creates the folder of captures, accessible to its owner only."""
     folder.mkdir(mode=0o700, parents=True, exist_ok=True)
 
 
-def free_number(folder: Path) -> int:
-    """The number after the highest of the captures there."""
+def next_number(folder: Path) -> int:
+    """Returns the number after the highest one of the captures there."""
     found = [
         int(path.stem.partition("-")[2])
         for path in folder.glob("capture-*.sgc")
@@ -48,9 +50,9 @@
 
 
 def dump(folder: Path, data: bytes) -> Path:
-    """One file, whole or not there. OSError if the disk takes none."""
-    make(folder)
-    path = folder / f"capture-{free_number(folder)}.sgc"
+    """Writes one capture and returns its path; the file is complete or absent. OSError if the write fails."""
+    make_folder(folder)
+    path = folder / f"capture-{next_number(folder)}.sgc"
     temporary = path.with_suffix(".new")
     handle = os.open(temporary, os.O_WRONLY | os.O_CREAT | os.O_TRUNC, 0o600)
     with os.fdopen(handle, "wb") as file:
@@ -60,75 +62,83 @@
 
 
 class Writer:
-    """Takes records from the loop, never waits for the disk, keeps the newest files within a number of
-    bytes."""
+    """Writes records to files in a thread of its own, so that the event loop never waits for the disk.
+
+    Keeps the newest files up to a total size.
+    """
+
+    def __init__(self, folder: Path, max_total_bytes: int, on_error: Callable[[str], None]) -> None:
+        """Starts the thread.
 
-    def __init__(self, folder: Path, keep: int, tell: Callable[[str], None]) -> None:
+        folder: folder of the captures, created with the first file.
+        max_total_bytes: total size of the files, bytes; the oldest are removed.
+        on_error: called in the thread with the reason of a failed write, once until a write succeeds.
+        """
         self.folder = folder
-        self.keep = keep
-        self.tell = tell
-        self.waiting: deque[tuple[bytes, bool]] = deque()
-        self.waiting_bytes = self.size = 0
+        self.max_total_bytes = max_total_bytes
+        self.on_error = on_error
+        self.pending: deque[tuple[bytes, bool]] = deque()
+        self.pending_bytes = self.size = 0
         self.lock = threading.Condition()
-        self.ending = self.broken = False
+        self.closing = self.has_failed = False
         self.file = None
         self.thread = threading.Thread(target=self.run, name="capture", daemon=True)
         self.thread.start()
 
     def put(self, data: bytes, start: bool) -> bool:
-        """False if it was not taken: the disk is too slow or broken. `start`: a file may begin here."""
+        """Accepts a record; returns False if the disk is slow or failing. `start`: a file may begin here."""
         with self.lock:
-            if self.waiting_bytes + len(data) > WAITING or (self.broken and not start):
+            if self.pending_bytes + len(data) > MAX_PENDING_BYTES or (self.has_failed and not start):
                 return False
-            self.waiting.append((data, start))
-            self.waiting_bytes += len(data)
+            self.pending.append((data, start))
+            self.pending_bytes += len(data)
             self.lock.notify()
         return True
 
-    def full(self) -> bool:
-        """The next file is due: a checkpoint is wanted."""
-        return self.size >= FILE
+    def is_full(self) -> bool:
+        """Returns whether the file has its size, so that a checkpoint should begin the next one."""
+        return self.size >= FILE_BYTES
 
     def run(self) -> None:
-        """The thread: writes what waits until the end."""
+        """Runs in the thread: writes the accepted records until `close`."""
         while True:
             with self.lock:
-                while not self.waiting and not self.ending:
+                while not self.pending and not self.closing:
                     self.lock.wait()
-                batch, self.waiting, self.waiting_bytes = list(self.waiting), deque(), 0
-                ending = self.ending
+                batch, self.pending, self.pending_bytes = list(self.pending), deque(), 0
+                closing = self.closing
             try:
                 for data, start in batch:
-                    if self.file is None or (start and self.size >= FILE):
+                    if self.file is None or (start and self.size >= FILE_BYTES):
                         if not start:
                             continue
-                        self.next()
+                        self.open_next_file()
                     self.file.write(data)
                     self.size += len(data)
                 if self.file is not None:
                     self.file.flush()
-                self.broken = False
+                self.has_failed = False
             except OSError as failure:
-                # Guards against a full or broken disk: the file is given up, the next checkpoint tries anew.
-                if not self.broken:
-                    self.tell(str(failure.strerror))
-                self.broken, self.file = True, None
-            if ending:
+                # Guards against a full or broken disk: this file is abandoned, the next checkpoint opens one.
+                if not self.has_failed:
+                    self.on_error(str(failure.strerror))
+                self.has_failed, self.file = True, None
+            if closing:
                 if self.file is not None:
                     self.file.close()
                 return
 
-    def next(self) -> None:
-        """Begins the next file, and removes the oldest ones over the limit."""
+    def open_next_file(self) -> None:
+        """Opens the next file, after it has removed the oldest ones above the total size."""
         if self.file is not None:
             self.file.close()
-        make(self.folder)
+        make_folder(self.folder)
         found = sorted(self.folder.glob("capture-*.sgc"), key=lambda path: path.stat().st_mtime)
         total = sum(path.stat().st_size for path in found)
-        while found and total + FILE > self.keep:
+        while found and total + FILE_BYTES > self.max_total_bytes:
             total -= found[0].stat().st_size
             found.pop(0).unlink()
-        number = free_number(self.folder)
+        number = next_number(self.folder)
         handle = os.open(self.folder / f"capture-{number}.sgc", os.O_WRONLY | os.O_CREAT | os.O_EXCL, 0o600)
         self.file = os.fdopen(handle, "wb")
         head = file_frames.header(KIND, number)
@@ -136,8 +146,8 @@
         self.size = len(head)
 
     def close(self, limit: float = 2.0) -> None:
-        """Waits up to `limit` seconds for what is still to be written."""
+        """Ends the thread, and waits up to `limit` seconds for the records still to be written."""
         with self.lock:
-            self.ending = True
+            self.closing = True
             self.lock.notify()
         self.thread.join(limit)
--- a/shedgrade/sidecar/capture/part.py
+++ b/shedgrade/sidecar/capture/part.py
@@ -1,4 +1,4 @@
-"""Capture as a part of the sidecar: a recorder in the decisions' place, dumps on SIGUSR1 and on faults."""
+"""Feature of the sidecar that records captures, and dumps them on SIGUSR1 and after internal errors."""
 
 import signal
 from pathlib import Path
@@ -14,18 +14,20 @@
 if TYPE_CHECKING:
     from loguru import Record
 
-AGAIN = 60.0  # s between two dumps because of faults: the first tells the most
+# Interval between two dumps after internal errors; the first of a series tells the most.
+DUMP_INTERVAL_S = 60.0
 
 
 def format_event(record: "Record") -> str:
-    """A fault's event with its fields, as one line: what the capture says led to it."""
+    """Formats a log record with its fields as one line, for the fault record of a capture."""
     fields = "".join(f" {key}={value}" for key, value in record["extra"].items())
-    record["extra"]["event"] = record["message"] + fields  # by reference: values may hold braces
+    # A reference in place of the text: values may hold braces.
+    record["extra"]["event"] = record["message"] + fields
     return "{extra[event]}\n"
 
 
 class CapturePart(Feature):
-    """Made before the sidecar, as it makes what stands in the decisions' place (`decisions`)."""
+    """Capture as a feature. It is created before the sidecar, whose balancer `decisions` makes."""
 
     def __init__(self, config) -> None:
         self.config = config
@@ -33,11 +35,11 @@
         self.recorder: Recorder | None = None
         self.writer: Writer | None = None
         self.sidecar = self.sink = None
-        self.fault_at = -AGAIN
-        self.dumping = False
+        self.error_dump_at = -DUMP_INTERVAL_S
+        self.is_dumping = False
 
     def decisions(self, settings: dict, seed: int, now: int) -> Recorder:
-        """As a Balancer is made. Only the platform's own pool is captured."""
+        """Creates the recorder in place of a Balancer. Only the platform's own pool is captured."""
         self.recorder = Recorder(
             settings,
             seed,
@@ -50,19 +52,19 @@
         return self.recorder
 
     def join(self, sidecar) -> None:
-        """Takes its place in the sidecar, as an observer of dispatch passes."""
+        """Registers as a feature of the sidecar, and the recorder as an observer of dispatch passes."""
         self.sidecar = sidecar
         ids = sidecar.pool.reader.indices.ids
-        self.recorder.spelled = lambda index: ids[index]
+        self.recorder.upstream_id = lambda index: ids[index]
         sidecar.pool.dispatcher.observers = (*sidecar.pool.dispatcher.observers, self.recorder)
         sidecar.features.append(self)
 
-    # --- the sidecar's life
+    # --- lifecycle of the sidecar
 
     def start(self) -> None:
-        """Installs the signal handler and the sink for faults; starts the writer."""
-        self.sidecar.loop.add_signal_handler(signal.SIGUSR1, self.write, "asked for")
-        self.sink = logger.add(self.heard, level="ERROR", format=format_event)
+        """Installs the signal handler and the log sink for internal errors; starts the writer."""
+        self.sidecar.loop.add_signal_handler(signal.SIGUSR1, self.write_dump, "asked for")
+        self.sink = logger.add(self.on_logged_error, level="ERROR", format=format_event)
         if self.config.continuous:
             self.writer = Writer(self.folder, self.config.keep_mb * 2**20, self.write_failed)
             for start, data in self.recorder.ring.records:
@@ -76,47 +78,47 @@
         )
 
     def write_failed(self, error: str) -> None:
-        """The disk does not take the capture; the service goes on without."""
+        """Logs that the disk does not accept the capture; the sidecar serves on without it."""
         logger.warning("capture write failed", error=error)
 
-    def heard(self, message) -> None:
-        """A fault of our own was logged: what led to it is written down, once in a while."""
+    def on_logged_error(self, message) -> None:
+        """Receives a logged internal error, and dumps the capture, at most once in `DUMP_INTERVAL_S`."""
         now = self.sidecar.loop.time()
-        if now >= self.fault_at + AGAIN:
-            self.fault_at = now
-            self.recorder.fault(str(message).strip()[:500])
-            self.sidecar.loop.call_soon(self.write, "a fault")
-
-    def write(self, why: str) -> None:
-        """The ring as a file; the loop goes on meanwhile."""
-        if self.dumping:
+        if now >= self.error_dump_at + DUMP_INTERVAL_S:
+            self.error_dump_at = now
+            self.recorder.record_fault(str(message).strip()[:500])
+            self.sidecar.loop.call_soon(self.write_dump, "a fault")
+
+    def write_dump(self, reason: str) -> None:
+        """Writes the ring to a file in a worker thread. `reason`: for the log."""
+        if self.is_dumping:
             return
-        self.dumping = True
+        self.is_dumping = True
         self.recorder.flush()
         task = self.sidecar.loop.run_in_executor(None, dump, self.folder, self.recorder.ring.data())
-        task.add_done_callback(lambda done: self.written(done, why))
+        task.add_done_callback(lambda done: self.on_dump_done(done, reason))
 
-    def written(self, done, why: str) -> None:
-        """The dump has ended: tells how."""
-        self.dumping = False
+    def on_dump_done(self, done, reason: str) -> None:
+        """Logs how the dump ended."""
+        self.is_dumping = False
         if done.cancelled():
             return
         failure = done.exception()
         if failure is not None:
             logger.warning("capture write failed", error=getattr(failure, "strerror", failure))
         else:
-            logger.info("capture written", reason=why, path=str(done.result()))
+            logger.info("capture written", reason=reason, path=str(done.result()))
 
     def tick(self) -> None:
-        """Asks for a checkpoint where the next file is due."""
-        if self.writer is not None and self.writer.full():
-            self.recorder.wanted = True  # the next file begins with a checkpoint
+        """Requests a checkpoint when the next file is due."""
+        if self.writer is not None and self.writer.is_full():
+            self.recorder.checkpoint_wanted = True  # a file begins with a checkpoint
 
     def close(self) -> None:
-        """Writes what is left and tells the totals."""
+        """Writes the remaining records, and logs the totals."""
         if self.sink is not None:
             logger.remove(self.sink)
         if self.writer is not None:
             self.recorder.flush()
             self.writer.close()
-        logger.info("capture ended", rpcs=self.recorder.numbers, records_dropped=self.recorder.ring.dropped)
+        logger.info("capture ended", rpcs=self.recorder.rpc_count, records_dropped=self.recorder.ring.dropped)
--- a/shedgrade/sidecar/capture/replay.py
+++ b/shedgrade/sidecar/capture/replay.py
@@ -1,6 +1,6 @@
-"""Replay, without I/O: the same calls on decisions made anew, and the first answer that differs.
+"""Replay of a capture, without I/O: makes its calls on another balancer, and reports results that differ.
 
-for found in Replay(records, module).run(): ...     each difference; none: all decisions were the same
+for found in Replay(records, module).run(): ...     yields each difference; none if all results are the same
 """
 
 from collections import deque
@@ -12,227 +12,259 @@
 from shedgrade import load_balancing
 from shedgrade.load_balancing import learned_state
 from shedgrade.sidecar.capture.rows import (
-    COMING,
+    ATTEMPT_FINISHED,
+    BODY_RECEIVED,
+    CLIENT_DISCONNECTED,
     DECIDE,
-    DIVIDED,
-    DOUBT,
-    ENDED,
-    FAILED,
-    GONE,
-    LIST,
-    LUCK,
-    NOTHING,
-    OPS,
-    ORDERED,
-    OVER,
-    RELEASED,
+    DRAW_ADMISSION,
+    DUE,
+    DUE_ENDED,
+    LIST_CHANGED,
+    LIST_FAILED,
+    MARK_UNVERIFIED,
+    NO_DECISION,
+    OPERATIONS,
+    RESPONSE_STARTED,
     RESTORE,
-    RETUNED,
-    SPAN,
-    STARTED,
+    SET_SLOW_START_SHARE,
+    SET_WITHDRAWN,
     TAKE,
-    WANTS,
-    YIELD,
+    TAKE_RELEASED,
+    UNIFORM,
+    UPDATE_SETTINGS,
+    WANTS_LIST,
     calls,
 )
 from shedgrade.sidecar.capture.state import thaw
 
-LINGER = 10_000  # RPCs that are over and still known: more than one turn ever takes
-OF_RPC = (COMING, TAKE, DECIDE, NOTHING, ENDED, GONE, STARTED, YIELD)
+# Finished requests that are kept for later calls in the same dispatch pass: more than any pass handles.
+MAX_FINISHED_RPCS = 10_000
+RPC_OPERATIONS = (
+    BODY_RECEIVED,
+    TAKE,
+    DECIDE,
+    NO_DECISION,
+    ATTEMPT_FINISHED,
+    CLIENT_DISCONNECTED,
+    RESPONSE_STARTED,
+    DUE,
+)
 
 
 class Difference(Struct):
-    """`place`: the how manieth call; `told` what came out then, `got` what comes out now; `state` beside
-    it."""
+    """A call whose result differs from the recorded one.
 
-    place: int
+    call_number: number of the call, from 1.
+    now: time of the call, tenths of a ms.
+    call: the call, as named in OPERATIONS.
+    rpc: number of its request; None for a call on the balancer.
+    recorded: the recorded result.
+    replayed: the result of the replay.
+    state: lines that describe the balancer after the call.
+    """
+
+    call_number: int
     now: int
     call: str
     rpc: int | None
-    told: object
-    got: object
+    recorded: object
+    replayed: object
     state: list[str]
 
 
 class MissingError(Exception):
-    """A call on what is not there: in a capture that was shortened, or of other decisions."""
+    """A call refers to an object that does not exist, as in a shortened capture, or with other decisions."""
 
 
-def plain(value: object) -> object:
-    """As it comes out of MessagePack: no tuples."""
-    return [plain(one) for one in value] if isinstance(value, (list, tuple)) else value
+def as_decoded(value: object) -> object:
+    """Returns a value as MessagePack decodes it: lists in place of tuples."""
+    return [as_decoded(one) for one in value] if isinstance(value, (list, tuple)) else value
 
 
 class Replay:
-    """One capture, from its first begin or checkpoint on."""
+    """Replay of one capture, from its first begin record or checkpoint on."""
 
     def __init__(
         self,
         records: list[dict],
         module: ModuleType = load_balancing,
-        kind: type | None = None,
-        until: float = float("inf"),
+        balancer_class: type | None = None,
+        end_time: float = float("inf"),
         lenient: bool = False,
     ) -> None:
-        """`kind`: a subclass of the module's Balancer; `until`: tenths of a ms; `lenient`: goes on past
-        differences, leaving out calls on transmissions that now do not exist. StateError from `run`."""
+        """Prepares the replay.
+
+        module: the decisions to use.
+        balancer_class: a subclass of the module's Balancer to use in its place.
+        end_time: time at which the replay stops, tenths of a ms.
+        lenient: goes on after a difference, and skips calls that can't be made.
+        """
         self.records = records
         self.module = module
-        self.kind = kind
-        self.until = until
+        self.balancer_class = balancer_class
+        self.end_time = end_time
         self.lenient = lenient
         self.balancer = None
         self.rpcs = {}
-        self.names = {}
+        self.upstream_ids = {}
         self.settings = {}
-        self.due = None
-        self.ending = deque()
+        self.due_rpcs = None
+        self.finished_numbers = deque()
         self.calls = self.gaps = self.left_out = 0
-        self.watch: Callable[[int, list, object], None] | None = None
+        self.on_call: Callable[[int, list, object], None] | None = None
 
     def run(self) -> Iterator[Difference]:
-        """Makes all calls; yields each answer that differs, and ends at the first unless lenient."""
+        """Makes all calls and yields each result that differs; ends at the first one unless lenient.
+
+        StateError if a checkpoint does not fit the decisions.
+        """
         for now, row in calls(self.records):
-            if now > self.until:
+            if now > self.end_time:
                 return
             if isinstance(row[0], dict):
-                self.record(row[0])
+                self.apply_record(row[0])
                 continue
             if self.balancer is None:
-                self.left_out += 1  # a capture that was cut: before its first checkpoint nothing is known
+                # Before the first checkpoint of a cut capture, or after a gap, the state is unknown.
+                self.left_out += 1
                 continue
             self.calls += 1
             try:
-                told, got = self.call(now, row)
+                recorded, replayed = self.make_call(now, row)
             except (MissingError, IndexError, KeyError) as missing:
                 if not self.lenient:
-                    yield self.differs(now, row, "a call that can be made", f"none: {missing}")
+                    yield self.difference(now, row, "a call that can be made", f"none: {missing}")
                     return
                 self.left_out += 1
                 continue
-            if self.watch is not None:
-                self.watch(now, row, got)
-            if plain(told) != plain(got):
-                yield self.differs(now, row, told, got)
+            if self.on_call is not None:
+                self.on_call(now, row, replayed)
+            if as_decoded(recorded) != as_decoded(replayed):
+                yield self.difference(now, row, recorded, replayed)
                 if not self.lenient:
                     return
 
-    def record(self, record: dict) -> None:
-        """Takes a record that is no batch of calls."""
+    def apply_record(self, record: dict) -> None:
+        """Applies a record that is no batch of calls."""
         kind = record["k"]
         if kind == "begin":
             self.settings = record["settings"]
-            self.balancer = (self.kind or self.module.Balancer)(
+            self.balancer = (self.balancer_class or self.module.Balancer)(
                 record["settings"], record["seed"], record["now"]
             )
             self.rpcs = {}
         elif kind == "gap":
-            self.balancer = None  # what was missed has changed it: the checkpoint behind begins anew
+            # The missed calls changed the state: the next checkpoint restores it.
+            self.balancer = None
             self.gaps += 1
         elif kind == "state":
-            # A whole capture goes on with what it has: that a checkpoint agrees is a test of its own.
+            # Without a gap the replay keeps its own state; a test checks that checkpoints agree with it.
             if self.balancer is None:
-                self.balancer, self.rpcs = thaw(record["state"], self.module, self.kind)
-            self.names |= record["names"]
+                self.balancer, self.rpcs = thaw(record["state"], self.module, self.balancer_class)
+            self.upstream_ids |= record["names"]
         elif kind == "names":
-            self.names |= record["names"]
+            self.upstream_ids |= record["names"]
 
     def rpc(self, number: int) -> object:
-        """The request of that number. MissingError if there is none."""
+        """Returns the request of a number. MissingError if there is none."""
         if number not in self.rpcs:
             raise MissingError(f"RPC {number}")
         return self.rpcs[number]
 
-    def over(self, number: int) -> None:
-        """Done, with nothing out: it may still be asked in the same turn, so it goes only a while later."""
+    def retire_if_done(self, number: int) -> None:
+        """Forgets a request that is done and has no attempt outstanding, after `MAX_FINISHED_RPCS` others.
+
+        The dispatcher may still ask for its decision in the same pass.
+        """
         rpc = self.rpcs[number]
         if rpc.done and not rpc.outstanding:
-            self.ending.append(number)
-            if len(self.ending) > LINGER:
-                self.rpcs.pop(self.ending.popleft(), None)
+            self.finished_numbers.append(number)
+            if len(self.finished_numbers) > MAX_FINISHED_RPCS:
+                self.rpcs.pop(self.finished_numbers.popleft(), None)
 
-    def call(self, now: int, row: list) -> tuple[object, object]:
-        """(what came out then, what comes out now)."""
-        balancer, op, told = self.balancer, row[0], row[2:]
+    def make_call(self, now: int, row: list) -> tuple[object, object]:
+        """Makes the call of a row; returns (recorded result, result now)."""
+        balancer, op, recorded = self.balancer, row[0], row[2:]
         if op == TAKE:
-            number, method, wait, retry, _, *tenant = told  # captures before the tenant end with the name
-            self.rpcs[number] = balancer.admit(now, method, now + wait, retry, number, *tenant)
+            # Older captures have no tenant after the name.
+            number, method, timeout, retry, _, *tenant = recorded
+            self.rpcs[number] = balancer.admit(now, method, now + timeout, retry, number, *tenant)
             return None, None
         if op == DECIDE:
-            answer = self.rpc(told[0]).decide(now)
-            self.over(told[0])
-            return told[1:], answer
-        if op == NOTHING:
-            return None, self.rpc(told[0]).decide(now)
-        if op == ENDED:
-            number, tx, outcome, took, settled, fresh, stops = told
+            answer = self.rpc(recorded[0]).decide(now)
+            self.retire_if_done(recorded[0])
+            return recorded[1:], answer
+        if op == NO_DECISION:
+            return None, self.rpc(recorded[0]).decide(now)
+        if op == ATTEMPT_FINISHED:
+            number, attempt, outcome, duration, answered, first_on_connection, stops = recorded
             rpc = self.rpc(number)
-            if tx not in rpc.outstanding:
-                raise MissingError(f"transmission {tx} of RPC {number}")
-            got = rpc.attempt_finished(now, tx, outcome, took, settled, fresh)
-            self.over(number)
-            return stops, got
-        if op == GONE:
-            rpc = self.rpc(told[0])
-            got = rpc.client_disconnected(now)
-            self.over(told[0])
-            return told[1], got
-        if op == COMING:
-            number, wait, here, whole, limit = told
-            return limit, self.rpc(number).body_received(now, now + wait, here, whole)
-        if op == STARTED:
-            self.rpc(told[0]).response_started(told[1])
+            if attempt not in rpc.outstanding:
+                raise MissingError(f"transmission {attempt} of RPC {number}")
+            replayed = rpc.attempt_finished(now, attempt, outcome, duration, answered, first_on_connection)
+            self.retire_if_done(number)
+            return stops, replayed
+        if op == CLIENT_DISCONNECTED:
+            rpc = self.rpc(recorded[0])
+            replayed = rpc.client_disconnected(now)
+            self.retire_if_done(recorded[0])
+            return recorded[1], replayed
+        if op == BODY_RECEIVED:
+            number, timeout, here, whole, limit = recorded
+            return limit, self.rpc(number).body_received(now, now + timeout, here, whole)
+        if op == RESPONSE_STARTED:
+            self.rpc(recorded[0]).response_started(recorded[1])
             return None, None
-        if op in (YIELD, OVER):
-            if self.due is None:
-                self.due = balancer.due(now)
-            got = next(self.due, None)
-            if got is None or op == OVER:
-                self.due = None
-            return (told[0] if op == YIELD else None), (got.tag if got is not None else None)
-        if op == LIST:
-            balancer.list_changed(now, [tuple(one) for one in told[0]], told[1], told[2])
-        elif op == FAILED:
+        if op in (DUE, DUE_ENDED):
+            if self.due_rpcs is None:
+                self.due_rpcs = balancer.due(now)
+            replayed = next(self.due_rpcs, None)
+            if replayed is None or op == DUE_ENDED:
+                self.due_rpcs = None
+            return (recorded[0] if op == DUE else None), (replayed.tag if replayed is not None else None)
+        if op == LIST_CHANGED:
+            balancer.list_changed(now, [tuple(one) for one in recorded[0]], recorded[1], recorded[2])
+        elif op == LIST_FAILED:
             balancer.list_failed(now)
-        elif op == DOUBT:
-            balancer.mark_unverified(now, *told)
-        elif op == ORDERED:
-            balancer.set_withdrawn(now, *told)
-        elif op == RETUNED:
-            balancer.update_settings(told[0])
-            self.settings = told[0]
-        elif op == DIVIDED:
-            balancer.set_slow_start_share(*told)
+        elif op == MARK_UNVERIFIED:
+            balancer.mark_unverified(now, *recorded)
+        elif op == SET_WITHDRAWN:
+            balancer.set_withdrawn(now, *recorded)
+        elif op == UPDATE_SETTINGS:
+            balancer.update_settings(recorded[0])
+            self.settings = recorded[0]
+        elif op == SET_SLOW_START_SHARE:
+            balancer.set_slow_start_share(*recorded)
         elif op == RESTORE:
-            learned_state.restore(balancer, now, *told)
-        elif op == SPAN:
-            return told[2], balancer.uniform(*told[:2])
-        elif op == LUCK:
-            return told[1], balancer.draw_admission(told[0])
-        elif op == WANTS:
-            return told[0], balancer.wants_list(now)
-        elif op == RELEASED:
-            return told[0], balancer.take_released()
+            learned_state.restore(balancer, now, *recorded)
+        elif op == UNIFORM:
+            return recorded[2], balancer.uniform(*recorded[:2])
+        elif op == DRAW_ADMISSION:
+            return recorded[1], balancer.draw_admission(recorded[0])
+        elif op == WANTS_LIST:
+            return recorded[0], balancer.wants_list(now)
+        elif op == TAKE_RELEASED:
+            return recorded[0], balancer.take_released()
         else:
-            raise MissingError(f"call {op}")
+            raise MissingError(f"unknown operation {op}")
         return None, None
 
-    def differs(self, now: int, row: list, told: object, got: object) -> Difference:
-        """The difference between two answers, with the state beside it."""
-        number = row[2] if row[0] in OF_RPC else None
+    def difference(self, now: int, row: list, recorded: object, replayed: object) -> Difference:
+        """Returns the difference between two results, with a description of the state."""
+        number = row[2] if row[0] in RPC_OPERATIONS else None
         return Difference(
             self.calls,
             now,
-            OPS.get(row[0], (f"op {row[0]}", ""))[0],
+            OPERATIONS.get(row[0], (f"op {row[0]}", ""))[0],
             number,
-            told,
-            got,
-            picture(self.balancer, self.names),
+            recorded,
+            replayed,
+            describe(self.balancer, self.upstream_ids),
         )
 
 
-def picture(balancer: object, names: dict[str, str]) -> list[str]:
-    """The state in words: zones with their load, upstreams that are not as usual."""
+def describe(balancer: object, upstream_ids: dict[str, str]) -> list[str]:
+    """Returns lines that describe a balancer: the load of each zone, and each upstream that is not normal."""
     lines = []
     for number, zone in enumerate(balancer.zones):
         load = zone.in_flight / len(zone.rotation) if zone.rotation else 0.0
@@ -241,19 +273,22 @@
             f"{len(zone.rotation)} in rotation, {zone.in_flight} in flight, {zone.background_load} held, "
             f"{load:.2f} a server, window {zone.concurrency_limit:.1f}"
         )
-    for index, up in balancer.upstreams.items():
-        odd = [
-            word
-            for word, true in (
-                ("aside", up.ejected_until),
-                ("draining", up.state == load_balancing.DRAINING),
-                ("removed", up.state == load_balancing.REMOVED),
-                ("out", up.withdrawn),
-                ("in doubt", up.probation_successes),
-                ("on trial", up.half_open),
+    for index, upstream in balancer.upstreams.items():
+        conditions = [
+            label
+            for label, applies in (
+                ("ejected", upstream.ejected_until),
+                ("draining", upstream.state == load_balancing.DRAINING),
+                ("removed", upstream.state == load_balancing.REMOVED),
+                ("withdrawn", upstream.withdrawn),
+                ("unverified", upstream.probation_successes),
+                ("half-open", upstream.half_open),
             )
-            if true
+            if applies
         ]
-        if odd:
-            lines.append(f"{names.get(str(index), index)}: {', '.join(odd)}, {up.in_flight} in flight")
+        if conditions:
+            lines.append(
+                f"{upstream_ids.get(str(index), index)}: {', '.join(conditions)}, "
+                f"{upstream.in_flight} in flight"
+            )
     return lines
--- a/shedgrade/sidecar/capture/rows.py
+++ b/shedgrade/sidecar/capture/rows.py
@@ -1,16 +1,15 @@
-"""What a capture holds, without I/O: rows of calls, batched into records; a ring of encoded records.
+"""Content of a capture, without I/O: rows of calls, batched into records, and a ring of encoded records.
 
 A record is one of
-    {"k": "begin", settings, seed, now, ...}    the decisions were made anew
-    {"k": "state", "now", "state", "names"}     a checkpoint: a replay may begin here
-    {"k": "rows", "now", "r": [...]}            calls in order; times are differences from the one before
-    {"k": "names", "names": {index: id}}        upstreams' ids, as they come to be known
-    {"k": "gap", "now", "rows", "why"}          calls that were not kept; a checkpoint follows
-    {"k": "fault", "now", "what"}               a fault of the program's own was logged here
+    {"k": "begin", settings, seed, now, ...}    a balancer was created
+    {"k": "state", "now", "state", "names"}     a checkpoint; a replay may begin here
+    {"k": "rows", "now", "r": [...]}            calls in order; each time is the difference to the row before
+    {"k": "names", "names": {index: id}}        ids of upstreams, as the endpoint list brings them
+    {"k": "gap", "now", "rows", "why"}          calls that were not recorded; a checkpoint follows
+    {"k": "fault", "now", "what"}               an internal error was logged here
 
-A row is [op, since, ...]: ops and what they carry are in OPS. Results stand at the end of a row, so that a
-replay
-compares what comes out with what came out.
+A row is [op, since, ...]; OPERATIONS lists the operations and their values. Results stand at the end of a
+row: a replay compares them with its own.
 """
 
 from collections import deque
@@ -18,94 +17,98 @@
 
 from shedgrade import file_frames
 
-# op: (call, what it carries after the time since the row before)
+# Operations of rows. Captures store their numbers, so the order stays.
 (
     TAKE,
     DECIDE,
-    NOTHING,
-    ENDED,
-    GONE,
-    STARTED,
-    LIST,
-    FAILED,
-    DOUBT,
+    NO_DECISION,
+    ATTEMPT_FINISHED,
+    CLIENT_DISCONNECTED,
+    RESPONSE_STARTED,
+    LIST_CHANGED,
+    LIST_FAILED,
+    MARK_UNVERIFIED,
     RESTORE,
-    YIELD,
-    OVER,
-    SPAN,
-    LUCK,
-    WANTS,
-    RELEASED,
-    ORDERED,
-    DIVIDED,
-    RETUNED,
-    COMING,
+    DUE,
+    DUE_ENDED,
+    UNIFORM,
+    DRAW_ADMISSION,
+    WANTS_LIST,
+    TAKE_RELEASED,
+    SET_WITHDRAWN,
+    SET_SLOW_START_SHARE,
+    UPDATE_SETTINGS,
+    BODY_RECEIVED,
 ) = range(20)
-OPS = {
+# Operation -> (its call, the values after the time since the row before).
+OPERATIONS = {
     TAKE: ("take", "rpc method give_up_at retry name tenant"),
     DECIDE: ("decide", "rpc what value"),
-    NOTHING: ("decide", "rpc"),
-    ENDED: ("ended", "rpc tx outcome took settled fresh stops"),
-    GONE: ("gone", "rpc stops"),
-    STARTED: ("started", "rpc lasting"),
-    LIST: ("list_changed", "rows whole asked"),
-    FAILED: ("list_failed", ""),
-    DOUBT: ("doubted", "upstreams ends last"),
+    NO_DECISION: ("decide", "rpc"),
+    ATTEMPT_FINISHED: ("ended", "rpc tx outcome took settled fresh stops"),
+    CLIENT_DISCONNECTED: ("gone", "rpc stops"),
+    RESPONSE_STARTED: ("started", "rpc lasting"),
+    LIST_CHANGED: ("list_changed", "rows whole asked"),
+    LIST_FAILED: ("list_failed", ""),
+    MARK_UNVERIFIED: ("doubted", "upstreams ends last"),
     RESTORE: ("restore", "state age"),
-    YIELD: ("due yields", "rpc"),
-    OVER: ("due is over", ""),
-    SPAN: ("span", "low high drawn"),
-    LUCK: ("luck", "method drawn"),
-    WANTS: ("wants_list", "answer"),
-    RELEASED: ("released", "upstreams"),
-    ORDERED: ("ordered", "upstream out"),
-    DIVIDED: ("divided", "part"),
-    RETUNED: ("retuned", "settings"),
-    COMING: ("coming", "rpc give_up_at here whole limit"),
+    DUE: ("due yields", "rpc"),
+    DUE_ENDED: ("due is over", ""),
+    UNIFORM: ("span", "low high drawn"),
+    DRAW_ADMISSION: ("luck", "method drawn"),
+    WANTS_LIST: ("wants_list", "answer"),
+    TAKE_RELEASED: ("released", "upstreams"),
+    SET_WITHDRAWN: ("ordered", "upstream out"),
+    SET_SLOW_START_SHARE: ("divided", "part"),
+    UPDATE_SETTINGS: ("retuned", "settings"),
+    BODY_RECEIVED: ("coming", "rpc give_up_at here whole limit"),
 }
-KIND = b"C"  # of the file's header
-BATCH = 512  # rows in a record: some 6 KB, a tenth of a second at 1,000 RPCs a second
+KIND = b"C"  # kind of file, in its header
+ROWS_PER_RECORD = 512  # about 6 KB, or 0.1 s at 1,000 requests a second
 
 
 class Ring:
-    """Encoded records within a number of bytes. What goes first goes up to the next checkpoint, so that the
-    oldest record kept is always one that a replay may begin at."""
+    """Buffer of encoded records with a limit of bytes.
 
-    def __init__(self, most: int) -> None:
-        self.most = most
+    The oldest records are dropped up to the next checkpoint, so that a replay may begin with the first one
+    kept. The last checkpoint stays, even above the limit.
+    """
+
+    def __init__(self, max_bytes: int) -> None:
+        self.max_bytes = max_bytes
         self.size = 0
         self.dropped = 0
         self.records: deque[tuple[bool, bytes]] = deque()
-        self.starts = 0
+        self.start_count = 0
 
     def add(self, record: dict) -> bytes:
-        """Encodes and keeps a record, dropping the oldest ones over the limit; returns its bytes."""
+        """Encodes and keeps a record, drops the oldest ones above the limit, and returns its bytes."""
         data = file_frames.frame(record)
         start = record["k"] in ("begin", "state")
         self.records.append((start, data))
-        self.starts += start
+        self.start_count += start
         self.size += len(data)
-        while self.size > self.most and self.starts > 1:
-            self.drop()
+        while self.size > self.max_bytes and self.start_count > 1:
+            self.drop_oldest()
         return data
 
-    def drop(self) -> None:
-        """The oldest checkpoint and all up to the next."""
+    def drop_oldest(self) -> None:
+        """Drops the oldest checkpoint and the records up to the next one."""
         first = True
         while first or not self.records[0][0]:
             start, data = self.records.popleft()
-            self.starts -= start
+            self.start_count -= start
             self.size -= len(data)
             self.dropped += 1
             first = False
 
     def data(self, number: int = 0) -> bytes:
-        """All that is kept, as the bytes of a file."""
+        """Returns all records kept, as the content of a file."""
         return file_frames.header(KIND, number) + b"".join(data for _, data in self.records)
 
 
 def calls(records: list[dict]) -> Iterator[tuple[int, list]]:
-    """(now, row) of each call of a list of records, begins and checkpoints as (now, [record])."""
+    """Yields (now, row) of each call, and (now, [record]) of each record that is no batch of calls."""
     now = 0
     for record in records:
         if record["k"] == "rows":
--- a/shedgrade/sidecar/shadow_policy/follower.py
+++ b/shedgrade/sidecar/shadow_policy/follower.py
@@ -1,18 +1,27 @@
-"""A second set of decisions that is told what really happened, and asked what it would have done. No I/O.
+"""The follower: a second balancer that receives the same events, and proposes its own decisions. No I/O.
 
-`Follower` is the module's own Balancer. Its RPCs only propose: what is really done is then done to them too
-(`follow`), so that both know of the same transmissions, whatever was proposed.
+`Follower` is a Balancer under other settings. Its requests only propose a decision; the real one is then
+applied to them too (`apply_decision`), so both balancers know of the same transmissions, whatever
+was proposed.
 """
 
 from shedgrade import load_balancing
 
-OTHER_ZONE, OTHER_UPSTREAM, OTHER_ANSWER, OTHER_ADVICE = (
+OTHER_ZONE, OTHER_UPSTREAM, OTHER_ANSWER, OTHER_RETRY_DELAY = (
     "other zone",
     "other upstream",
     "other answer",
     "other advice",
 )
-NOT_SENT, SENT, HELD, HELD_NOT_FINAL, NOT_HELD, FURTHER, NO_FURTHER = (
+(
+    EXHAUSTED_NOT_SENT,
+    SENT_NOT_EXHAUSTED,
+    HELD_NOT_SENT,
+    HELD_NOT_EXHAUSTED,
+    EXHAUSTED_NOT_HELD,
+    EXTRA_ATTEMPT,
+    NO_EXTRA_ATTEMPT,
+) = (
     "exhausted instead of sent",
     "sent instead of exhausted",
     "held instead of sent",
@@ -25,7 +34,11 @@
 
 
 class FollowerRpc(load_balancing.Rpc):
-    """Proposes, and changes nothing by it but its own rotation and luck."""
+    """A request that proposes decisions. A proposal changes only the follower's rotation and random draws.
+
+    is_proposing: a decision is only proposed, so nothing is transmitted or finished.
+    counted_kinds: kinds of difference that were counted for this request.
+    """
 
     __slots__ = ("is_proposing", "counted_kinds")
 
@@ -35,23 +48,23 @@
         super().__init__(*args)
 
     def propose(self, now: int) -> tuple[int, int] | None:
-        """What it would decide now; nothing is done."""
+        """Returns what it would decide now, without doing it."""
         self.is_proposing = True
         try:
             return self.decide(now)
         finally:
             self.is_proposing = False
 
-    def transmit(self, now: int, up: load_balancing.Upstream, repeat: bool) -> tuple[int, int]:
-        """An attempt that is only proposed is not registered."""
-        return (up.index, 0) if self.is_proposing else super().transmit(now, up, repeat)
+    def transmit(self, now: int, upstream: load_balancing.Upstream, is_retry: bool) -> tuple[int, int]:
+        """Registers an attempt, except for a proposal."""
+        return (upstream.index, 0) if self.is_proposing else super().transmit(now, upstream, is_retry)
 
     def finish(self) -> list[int]:
-        """A proposal ends nothing."""
+        """Ends the request, except for a proposal."""
         return [] if self.is_proposing else super().finish()
 
-    def follow(self, now: int, answer: tuple[int, int] | None) -> None:
-        """What was really decided."""
+    def apply_decision(self, now: int, answer: tuple[int, int] | None) -> None:
+        """Applies the real decision."""
         if answer is None:
             return
         if answer[0] >= 0:
@@ -61,32 +74,32 @@
 
 
 class Follower(load_balancing.Balancer):
-    """The decisions under the other settings."""
+    """A Balancer under the other settings."""
 
     rpc_class = FollowerRpc
 
 
-def differs(rpc: FollowerRpc, real: tuple | None, there: tuple | None) -> str | None:
-    """The kind of difference between what was decided and what would have been, or None.
+def difference_kind(rpc: FollowerRpc, actual: tuple | None, proposed: tuple | None) -> str | None:
+    """Returns the kind of difference between the real decision and the follower's, None for no difference.
 
     Time limits are not compared: they follow from the upstream and the method's deadlines.
     """
-    sent, would = real is not None and real[0] >= 0, there is not None and there[0] >= 0
-    if sent and would:
-        if real[0] == there[0]:
+    sent, proposes_to_send = actual is not None and actual[0] >= 0, proposed is not None and proposed[0] >= 0
+    if sent and proposes_to_send:
+        if actual[0] == proposed[0]:
             return None
-        ups = rpc.balancer.upstreams
-        return OTHER_UPSTREAM if ups[real[0]].zone == ups[there[0]].zone else OTHER_ZONE
-    if rpc.attempts and (sent or would):
-        return NO_FURTHER if sent else FURTHER
+        upstreams = rpc.balancer.upstreams
+        return OTHER_UPSTREAM if upstreams[actual[0]].zone == upstreams[proposed[0]].zone else OTHER_ZONE
+    if rpc.attempts and (sent or proposes_to_send):
+        return NO_EXTRA_ATTEMPT if sent else EXTRA_ATTEMPT
     if sent:
-        return HELD if there is None else NOT_SENT
-    if would:
-        return SENT_NOT_HELD if real is None else SENT
-    if real is None or there is None:
-        if real is there:
+        return HELD_NOT_SENT if proposed is None else EXHAUSTED_NOT_SENT
+    if proposes_to_send:
+        return SENT_NOT_HELD if actual is None else SENT_NOT_EXHAUSTED
+    if actual is None or proposed is None:
+        if actual is proposed:
             return None
-        return HELD_NOT_FINAL if there is None else NOT_HELD
-    if real[0] != there[0]:
+        return HELD_NOT_EXHAUSTED if proposed is None else EXHAUSTED_NOT_HELD
+    if actual[0] != proposed[0]:
         return OTHER_ANSWER
-    return OTHER_ADVICE if real[1] != there[1] else None
+    return OTHER_RETRY_DELAY if actual[1] != proposed[1] else None
--- a/shedgrade/sidecar/shadow_policy/part.py
+++ b/shedgrade/sidecar/shadow_policy/part.py
@@ -1,4 +1,4 @@
-"""Watching as a part of the sidecar: what stands in the decisions' place, and the counts in the log."""
+"""Feature of the sidecar that compares its decisions with those under other settings, and logs the counts."""
 
 from collections.abc import Callable
 
@@ -7,63 +7,71 @@
 from shedgrade import load_balancing
 from shedgrade.sidecar.lifecycle.feature import Feature
 from shedgrade.sidecar.lifecycle.settings_checks import shape_problem
-from shedgrade.sidecar.shadow_policy.config import overlaid
+from shedgrade.sidecar.shadow_policy.config import merge_settings
 from shedgrade.sidecar.shadow_policy.follower import Follower
 from shedgrade.sidecar.shadow_policy.shadow import ShadowedBalancer
 from shedgrade.upstream_pool.errors import ConfigError
 
-SECOND = 10_000
+SECOND = 10_000  # tenths of a ms
 
 
 class ShadowPolicyPart(Feature):
-    """Made before the sidecar, as it makes what stands in the decisions' place (`decisions`)."""
+    """The shadow policy as a feature. It is created before the sidecar, whose balancer `decisions` makes."""
 
-    def __init__(self, config, path: str, inner: Callable | None = None) -> None:
-        """`inner`: makes the decisions, where another part (capture) does."""
+    def __init__(self, config, path: str, make_balancer: Callable | None = None) -> None:
+        """Keeps the configuration.
+
+        config: settings of the shadow policy.
+        path: file that they were read from, for errors.
+        make_balancer: creates the balancer, where another feature (capture) does; None for a plain Balancer.
+        """
         self.config = config
         self.path = path
-        self.inner = inner or load_balancing.Balancer
-        self.watched: ShadowedBalancer | None = None
-        self.tell_at = 0
+        self.make_balancer = make_balancer or load_balancing.Balancer
+        self.balancer: ShadowedBalancer | None = None
+        self.log_at = 0
 
     def decisions(self, settings: dict, seed: int, now: int) -> ShadowedBalancer:
-        """As a Balancer is made. Only the platform's own pool is watched."""
-        other = overlaid(settings, self.config.settings)
-        wrong = shape_problem(other)
-        if wrong is None:
+        """Creates the balancer with its follower, in place of a Balancer, for the platform's own pool only.
+
+        ConfigError if the settings of the follower are not valid.
+        """
+        follower_settings = merge_settings(settings, self.config.settings)
+        problem = shape_problem(follower_settings)
+        if problem is None:
             try:
-                Follower(other, seed, now)
+                Follower(follower_settings, seed, now)
             except KeyError as missing:
-                wrong = f"settings: {missing} is missing"
+                problem = f"settings: {missing} is missing"
             except (ArithmeticError, AttributeError, IndexError, TypeError, ValueError) as failure:
-                wrong = f"settings: a value has the wrong form ({failure})"
-        if wrong is not None:
-            raise ConfigError(f"{self.path}: watch.{wrong}")
-        self.tell_at = now + int(self.config.every_s * SECOND)
-        self.watched = ShadowedBalancer(
-            self.inner(settings, seed, now),
-            lambda: Follower(other, seed, now),
-            lambda fresh: overlaid(fresh, self.config.settings),
+                problem = f"settings: a value has the wrong form ({failure})"
+        if problem is not None:
+            raise ConfigError(f"{self.path}: watch.{problem}")
+        self.log_at = now + int(self.config.every_s * SECOND)
+        self.balancer = ShadowedBalancer(
+            self.make_balancer(settings, seed, now),
+            lambda: Follower(follower_settings, seed, now),
+            lambda fresh: merge_settings(fresh, self.config.settings),
         )
-        return self.watched
+        return self.balancer
 
     def join(self, sidecar) -> None:
-        """Takes its place in the sidecar, as an observer of dispatch passes."""
+        """Registers as a feature of the sidecar and as an observer of dispatch passes."""
         sidecar.pool.dispatcher.observers = (*sidecar.pool.dispatcher.observers, self)
         sidecar.features.append(self)
 
-    def after_turn(self, now: int, late: int) -> None:
-        """Tells the differences so far, at most each `every_s`."""
-        if now >= self.tell_at:
-            self.tell_at = now + int(self.config.every_s * SECOND)
-            logger.info("shadow policy compared", differences=self.watched.line())
+    def after_turn(self, now: int, lag: int) -> None:
+        """Logs the differences so far, at most once in `every_s`."""
+        if now >= self.log_at:
+            self.log_at = now + int(self.config.every_s * SECOND)
+            logger.info("shadow policy compared", differences=self.balancer.summary())
 
-    # --- the sidecar's life
+    # --- lifecycle of the sidecar
 
     def start(self) -> None:
-        """Tells that the comparison is on."""
+        """Logs that the comparison has started."""
         logger.info("shadow policy started", settings=len(self.config.settings))
 
     def close(self) -> None:
-        """Tells the differences of the whole run."""
-        logger.info("shadow policy compared", differences=self.watched.line())
+        """Logs the differences of the whole run."""
+        logger.info("shadow policy compared", differences=self.balancer.summary())
