--- a/tests/sidecar/crossings/crossing_peers.py
+++ b/tests/sidecar/crossings/crossing_peers.py
@@ -7,7 +7,7 @@
 import socket
 import struct
 
-from helpers import World, message, request, until
+from helpers import World, ask, message, request, until
 
 WRITE_BYTES = (
     8 * 1024
@@ -52,6 +52,25 @@
         for _ in range(5):
             await asyncio.sleep(0.005)
 
+    def has_settled_connection(self):
+        """Whether an upstream connection has been idle for long enough to be reused."""
+        connections = self.sidecar.pool.connections
+        now = connections.clock.now()
+        settle_time = connections.idle.settle_time
+        return any(now - since >= settle_time for _, since in connections.idle.idle_since.values())
+
+    async def send_warmup_requests(self, body):
+        """Sends 20 requests one after another; `release` is set meanwhile.
+
+        The balancer queues requests only for upstreams that it knows to be fast, and does not count the first
+        request on a connection. So each request waits until it can reuse the connection of the one before.
+        """
+        self.release.set()
+        for number in range(20):
+            assert (await ask(self, request(body, name=f"w{number}")))[0] == 200
+            await until(self.has_settled_connection)
+        self.release.clear()
+
 
 class Client:
     """A client with its own socket.
--- a/tests/sidecar/crossings/test_left.py
+++ b/tests/sidecar/crossings/test_left.py
@@ -128,10 +128,7 @@
     async def scenario():
         async with RaceWorld(held=(0,)) as world:
             balancer = world.sidecar.pool.balancer
-            world.release.set()
-            for number in range(20):  # requests queue only for upstreams known to be fast
-                assert (await ask(world, request(b"first", name=f"w{number}")))[0] == 200
-            world.release.clear()
+            await world.send_warmup_requests(b"first")
             first = asyncio.create_task(ask(world, request(b"first", name="f")))
             await until(lambda: world.sent() == 21)
             balancer.choose_upstream, choose = lambda now, rpc, stay: None, balancer.choose_upstream
--- a/tests/sidecar/crossings/test_own_faults.py
+++ b/tests/sidecar/crossings/test_own_faults.py
@@ -18,23 +18,13 @@
     assert all("dispatch step failed" in one and "'step': 'decide'" in one for one in lines), lines
 
 
-def send_warmup_requests(world):
-    async def send():
-        world.release.set()
-        for number in range(20):
-            assert (await ask(world, request(b"w", name=f"w{number}")))[0] == 200
-        world.release.clear()
-
-    return send()
-
-
 def test_an_internal_error_of_a_queued_rpc_leaves_the_rpcs_behind_it_unaffected():
     """An error in one of three queued RPCs left it without a response, and the two behind it waiting."""
 
     async def scenario():
         async with RaceWorld(upstreams=1, held=(0,), methods=[PATIENT]) as world:
             balancer = world.sidecar.pool.balancer
-            await send_warmup_requests(world)
+            await world.send_warmup_requests(b"w")
             first = asyncio.create_task(ask(world, request(b"first", name="f")))
             await until(lambda: world.sent() == 21)
             balancer.choose_upstream, choose_upstream = lambda now, rpc, stay: None, balancer.choose_upstream
