--- a/tests/addresses.py
+++ b/tests/addresses.py
@@ -1,17 +1,18 @@
-"""Loopback addresses of this test process alone.
+"""Loopback addresses that only this test process uses.
 
-A port that is drawn by binding to port 0 and closing again may be taken by anybody before the program under
-test binds it: by another process that draws, or by any outgoing connection. So each test process claims
-networks of its own, by a socket that listens there until the process ends, and hands out ports of them one
-after another, below those that the kernel gives to outgoing connections.
+A port that is found by binding to port 0 and closing the socket may be taken before the program under test
+binds it, by another process that looks for a port or by an outgoing connection. So each test process claims
+loopback networks of its own, with a socket that listens there until the process ends. It hands out their
+ports one after another, from below the range that the kernel uses for outgoing connections.
 """
 
 import itertools
 import os
 import socket
 
-FIRST_NETWORK, NETWORKS = 216, 39 * 256  # 127.216.0.0 to 127.254.255.0; lab and demo use lower ones
-CLAIM_HOST, CLAIM_PORT = 253, 9999  # where a process that uses a network listens
+# 127.216.0.0 to 127.254.255.0; the lab and the demo use lower networks.
+FIRST_NETWORK, NETWORKS = 216, 39 * 256
+CLAIM_HOST, CLAIM_PORT = 253, 9999  # where the owner of a network listens
 FIRST_PORT, LAST_PORT = 10_000, 29_999
 
 _claims: list[socket.socket] = []
@@ -19,7 +20,10 @@
 
 
 def claim_network() -> str:
-    """The first three numbers of a loopback network, 127.A.B, that is this process's until it ends."""
+    """Claims a loopback network for this process until it ends; returns its first three octets, 127.A.B.
+
+    Raises RuntimeError if all networks are claimed.
+    """
     for attempt in range(NETWORKS):
         number = (os.getpid() + attempt) % NETWORKS
         network = f"127.{FIRST_NETWORK + number // 256}.{number % 256}"
@@ -28,20 +32,23 @@
         except OSError:
             continue
         return network
-    raise RuntimeError("every loopback network for tests is claimed")
+    raise RuntimeError("all loopback networks for tests are claimed")
 
 
 NETWORK = claim_network()
-HOST = f"{NETWORK}.252"  # of single sidecars and stand-ins; numbers below are machines of a system
+HOST = f"{NETWORK}.252"  # of single sidecars and stand-ins; lower host numbers are machines of a system
 
 
 def free_address() -> tuple[str, int]:
-    """Host and port that nobody uses, in this process or another, for TCP or UDP."""
+    """Returns a host and a port that no process uses, neither for TCP nor for UDP."""
     return HOST, free_port()
 
 
 def free_port() -> int:
-    """A port free at `HOST`, and not handed out before. None comes twice before all others did."""
+    """Returns a free port of `HOST`. No port is handed out again before all others were.
+
+    Raises RuntimeError if no port is free.
+    """
     for port in itertools.islice(_ports, LAST_PORT + 1 - FIRST_PORT):
         if _is_free(port):
             return port
@@ -49,7 +56,7 @@
 
 
 def _is_free(port: int) -> bool:
-    """Whether nothing of an earlier test is left there."""
+    """Returns whether no socket, such as one of an earlier test, is bound to the port."""
     try:
         with socket.create_server((HOST, port)), socket.socket(type=socket.SOCK_DGRAM) as datagrams:
             datagrams.bind((HOST, port))
@@ -59,5 +66,5 @@
 
 
 def host_port(address: tuple[str, int]) -> str:
-    """`host:port`, as settings write it."""
+    """Returns the address as `host:port`, the form of the settings."""
     return f"{address[0]}:{address[1]}"
--- a/tests/buffers/test_ring.py
+++ b/tests/buffers/test_ring.py
@@ -1,4 +1,4 @@
-"""The ring buffer compared with a plain string of bytes."""
+"""Compares the ring buffer with a bytes object as its model."""
 
 import pytest
 from hypothesis import given, seed
--- a/tests/conftest.py
+++ b/tests/conftest.py
@@ -1,4 +1,4 @@
-"""Tests stand by area; the stand-ins and models at the top are for all of them."""
+"""Fixtures for all tests. Each area has a folder; stand-ins and models in this folder are for all areas."""
 
 import fcntl
 import os
@@ -13,8 +13,11 @@
 
 @pytest.fixture
 def lab_cores():
-    """Held by one test at a time, in this run or another: the lab pins sidecars to the machine's first cores,
-    and calls its figures none where its load generator waits for a core."""
+    """Lets one test at a time, in this run or another, use the lab's cores.
+
+    The lab pins sidecars to the machine's first cores, and its results do not count if its load generator has
+    waited for a core.
+    """
     with open(Path(tempfile.gettempdir(), f"shedgrade-lab-cores-{os.getuid()}"), "w") as lock:
         fcntl.flock(lock, fcntl.LOCK_EX)
         yield
--- a/tests/helpers.py
+++ b/tests/helpers.py
@@ -1,4 +1,4 @@
-"""Settings and balancers for the tests, and stand-ins for all that the sidecar speaks to."""
+"""Settings and balancers for the tests, and stand-ins for all peers of the sidecar."""
 
 import asyncio
 import json
@@ -67,27 +67,27 @@
 
 
 def balancer(conf, upstreams, seed=1):
-    """`upstreams`: pairs of index and zone, all ready and warm."""
+    """Returns a balancer. `upstreams`: pairs of index and zone, all ready and warmed up."""
     b = load_balancing.Balancer(conf, seed, 0)
     b.list_changed(0, [row(up, zone) for up, zone in upstreams], True, True)
-    b.latency_sums = [100.0, 150.0, 1000.0, 250.0, 1500.0]  # 1 ms whatever is in flight
+    b.latency_sums = [100.0, 150.0, 1000.0, 250.0, 1500.0]  # 1 ms at any concurrency
     b.fit_latency()
-    b.finish_rate.numerator, b.finish_rate.denominator = 100.0, 4 * load_balancing.SECOND  # 20 a second
+    b.finish_rate.numerator, b.finish_rate.denominator = 100.0, 4 * load_balancing.SECOND  # 100 in 4 s
     return b
 
 
-# --- stand-ins on loopback for the sidecar on sockets
+# --- Stand-ins on loopback for the peers of a sidecar that runs on sockets.
 
 
 async def read_message(reader):
-    """Head (lines, the first one first) and body of one HTTP message."""
+    """Reads one HTTP message; returns its head as lines, the start line first, and its body."""
     head = (await reader.readuntil(b"\r\n\r\n")).decode().split("\r\n")[:-2]
     length = next((int(line.split(":")[1]) for line in head if line.lower().startswith("content-length")), 0)
     return head, await reader.readexactly(length)
 
 
 def read_all(stream):
-    """All messages in a string of bytes, as `read_message` gives them; a rest is an error."""
+    """Splits bytes into messages, in the form of `read_message`. Fails if the last message is incomplete."""
     found = []
     while stream:
         head, stream = stream.split(b"\r\n\r\n", 1)
@@ -105,11 +105,15 @@
 
 
 SILENT, CUT = object(), object()
-PATIENT = method("once", soft=2e4, hard=2e4)  # no test hangs on how fast the machine is
+PATIENT = method("once", soft=2e4, hard=2e4)  # 20 s: no test depends on the speed of the machine
 
 
 class Server:
-    """A stand-in server: `script(head, body)` gives the bytes to answer, SILENT or CUT."""
+    """A stand-in for an HTTP server.
+
+    `script(head, body)`, which may be a coroutine function, returns the bytes of the response, SILENT for
+    none, or CUT to close the connection.
+    """
 
     def __init__(self, script):
         self.script, self.seen, self.writers, self.connections = script, [], set(), 0
@@ -134,7 +138,7 @@
                     writer.write(answer)
         except (asyncio.IncompleteReadError, asyncio.CancelledError, ConnectionError):
             pass
-        except RuntimeError:  # uvloop's word for reading on from a transport that was closed meanwhile
+        except RuntimeError:  # raised by uvloop if reading resumes on a transport that was closed meanwhile
             if not writer.transport.is_closing():
                 raise
         finally:
@@ -148,7 +152,7 @@
 
 
 class World:
-    """A sidecar in this process, an upstream stand-in for each script given, and discovery."""
+    """A sidecar in this process, a stand-in upstream for each script, and a stand-in for discovery."""
 
     def __init__(self, *scripts, methods=None, known=True, sockets=1024, **limits):
         self.conf = settings(
@@ -173,7 +177,7 @@
         return {"generation": self.version, "reset": reset, "instances": list(entries)}
 
     async def tell(self, *entries, reset=False):
-        """Discovery tells a change; back once the sidecar has taken it and watches again."""
+        """Discovery sends a change; returns once the sidecar has applied it and watches again."""
         self.version += 1
         await self.tell_raw(json.dumps(self.list(*entries, reset=reset)).encode())
 
@@ -183,8 +187,11 @@
         await until(lambda: self.watches > before)
 
     async def discover(self, head, body):
-        """A call that waits is answered when its wait is over, as by any agent: with no change, which is no
-        further watch to whoever counts them."""
+        """Responds to a discovery call: with all endpoints, or with the next change if the call waits for it.
+
+        When the wait is over, it responds with no change, as any agent does; the call that follows this
+        response is not counted in `watches`.
+        """
         self.watches += not self.waited
         self.waited = False
         if "after=" not in head[0]:
@@ -219,7 +226,7 @@
         return self
 
     def prepare(self):
-        """What a test adds to the sidecar before it serves."""
+        """Changes the sidecar before it serves; subclasses override it."""
 
     async def __aexit__(self, *_):
         self.sidecar.check_invariants()
@@ -258,7 +265,7 @@
 
 
 async def ask(world, raw=None, connection=None):
-    """Status, head and body of the sidecar's answer, on a connection of its own if none is given."""
+    """Sends a request; returns status, head and body of the response. Opens a connection if none is given."""
     reader, writer = connection or await world.connect()
     writer.write(request() if raw is None else raw)
     async with asyncio.timeout(20):
@@ -270,7 +277,7 @@
 
 @contextmanager
 def no_faults():
-    """What ends with a fault of the program in the log has failed, however well it was got over."""
+    """Fails if an error is logged meanwhile, even if the program has recovered from it."""
     faults = []
     sink = logger.add(faults.append, level="ERROR", format="{message} {extra}")
     try:
@@ -282,7 +289,7 @@
 
 @contextmanager
 def outcomes():
-    """Every outcome that the decisions are told, in order."""
+    """Records the outcome of each finished attempt that is reported to the balancer, in order."""
     ends, ended = [], load_balancing.Rpc.attempt_finished
     load_balancing.Rpc.attempt_finished = lambda rpc, now, tx, outcome, *more: (
         ends.append(outcome),
@@ -295,7 +302,10 @@
 
 
 def on_sockets(scenario):
-    """Makes a test of a coroutine, on the loop that the sidecar runs on."""
+    """Makes a test of a coroutine function: runs it on uvloop, as the sidecar does, for at most 60 s.
+
+    The test fails if an error is logged.
+    """
 
     async def limited():
         async with asyncio.timeout(60):
--- a/tests/programs.py
+++ b/tests/programs.py
@@ -1,4 +1,4 @@
-"""The two programs as real processes on loopback, each with a settings file and an address of its own."""
+"""Runs the two programs as real processes on loopback, each with its own settings file and address."""
 
 import asyncio
 import os
@@ -10,7 +10,7 @@
 from addresses import NETWORK as NET
 
 ROOT = Path(__file__).resolve().parents[1]
-LONGEST = 30.0  # s that anything here may take
+LONGEST = 30.0  # s, the limit of each wait in this module
 
 TOLD = {
     "servedRoles": [],
@@ -55,7 +55,7 @@
 
 
 def write(path, told):
-    """Renamed into place, so that nobody reads half of it."""
+    """Writes settings to a new file and renames it to `path`, so that no reader sees a part of them."""
     new = path.with_suffix(".new")
     new.write_text(told if isinstance(told, str) else yaml.safe_dump(told))
     new.rename(path)
@@ -78,7 +78,7 @@
 
 
 async def ended(program, *arguments, boot=None):
-    """Exit status, standard output and the lines of standard error."""
+    """Runs a program until it ends; returns exit status, standard output and the lines of standard error."""
     process = await start(program, *arguments, boot=boot)
     try:
         out, err = await asyncio.wait_for(process.communicate(), LONGEST)
@@ -90,7 +90,10 @@
 
 @asynccontextmanager
 async def running(program, path, *seeds):
-    """A process that has begun to speak to one of `seeds`, numbers of core machines that only listen."""
+    """Starts a program and yields its process once it has connected to one of the seeds.
+
+    `seeds`: host numbers of core machines whose stand-ins accept connections and send nothing.
+    """
     spoken = asyncio.Event()
 
     async def listened(reader, writer):
@@ -113,22 +116,22 @@
 
 
 async def said(process, text):
-    """The next line of standard error that holds `text`. AssertionError if the process ends without it."""
+    """Returns the next line of standard error that contains `text`. Fails if the process ends without it."""
     async with asyncio.timeout(LONGEST):
         while line := (await process.stderr.readline()).decode():
             if text in line:
                 return line
-    raise AssertionError(f"never said: {text}")
+    raise AssertionError(f"not in standard error: {text}")
 
 
 async def rest(process):
-    """What is left of standard error, and the exit status."""
+    """Returns the rest of standard error and the exit status."""
     left = await asyncio.wait_for(process.stderr.read(), LONGEST)
     return left.decode(), await asyncio.wait_for(process.wait(), LONGEST)
 
 
 async def http(host, port, verb="GET", target="/", body=b"", headers=()):
-    """Status and body of one call on a connection of its own."""
+    """Sends a request on a new connection; returns status and body of the response."""
     reader, writer = await asyncio.open_connection(host, port)
     try:
         lines = [
--- a/tests/stored/struct_examples.py
+++ b/tests/stored/struct_examples.py
@@ -1,8 +1,8 @@
-"""Examples of structs that are sent or stored: one value for each class, with a distinct value in each field.
+"""Examples of structs that are sent or stored: a value of each class, with a distinct value in each field.
 
-`python tests/stored/struct_examples.py FILE` writes examples of all classes of `STRUCTS` that the file lacks;
-what it holds already stays as the program wrote it then, since these bytes stand for processes and disks of
-that program.
+`python tests/stored/struct_examples.py FILE` adds examples of all classes of `STRUCTS` that the file lacks.
+It leaves existing examples as the earlier program wrote them, since their bytes stand for processes and disks
+of that program.
 """
 
 import importlib
@@ -16,7 +16,7 @@
 import msgspec
 from msgspec import inspect
 
-# Sent between processes, positional (array-like), most of them with a tag.
+# Sent between processes as arrays without field names, most of them with a tag.
 SENT = {
     "controlplane.channels": "Outcome Relayed",
     "controlplane.duties": "Acknowledgement Ballot Heartbeat Vacated Vote",
@@ -31,7 +31,7 @@
     "LeaveGranted Peer Piece PieceAck PreVote PreVoteReply Prepare Promise Refusal Replicate Transfer "
     "Whereabouts",
 }
-# Written to disk, or read from users' files, by the names of their fields.
+# Written to disk, or read from users' files, with the names of their fields.
 STORED = {
     "capture.config": "Capture",
     "controlplane.delta": "Named RouteFields SplitFields",
@@ -53,7 +53,7 @@
     for name in names.split()
 ]
 
-# Module then: module now. A module that is not here is where it was.
+# Earlier module name: current module name. Modules that are not listed have their earlier name.
 MODULES = {
     "capture.config": "sidecar.capture.config",
     "controlplane.duties": "controlplane.role_messages",
@@ -70,7 +70,8 @@
     "tunnel.config": "sidecar.tunnel.config",
     "watch.config": "sidecar.shadow_policy.config",
 }
-# Name then: module and class now, for a class that has another name or module than `MODULES` tells.
+# Earlier class name: current module and class, for each class that was renamed, or moved elsewhere than
+# `MODULES` says.
 CLASSES: dict[str, str] = {
     "core.learnt:Export": "sidecar.learned_state_file:StoredLearnedState",
     "quota.state:Counted": "sidecar.quota.state:SavedUse",
@@ -115,14 +116,14 @@
 
 
 def current_class(name: str) -> type[msgspec.Struct]:
-    """The class that had this name then."""
+    """Returns the class that had this name in the earlier program."""
     module, cls = name.split(":")
     module, cls = CLASSES.get(name, f"{MODULES.get(module, module)}:{cls}").split(":")
     return getattr(importlib.import_module(f"shedgrade.{module}"), cls)
 
 
 def within(number: float, least: float | None, most: float | None) -> float:
-    """The number, moved between the bounds of its field."""
+    """Wraps a number into the bounds of a field; None: the field has no such bound."""
     least = least or 0
     if most is None:
         return number + least
@@ -130,7 +131,7 @@
 
 
 class Examples:
-    """Draws values that differ from field to field."""
+    """Makes values that differ from field to field."""
 
     def __init__(self) -> None:
         self.numbers = itertools.count(1)
@@ -138,7 +139,7 @@
         self.open: list[type] = []  # classes whose example is being made
 
     def of(self, kind: inspect.Type) -> Any:
-        """A value of that type."""
+        """Returns a value of that type. Raises TypeError if the type is not supported."""
         number = next(self.numbers)
         match kind:
             case inspect.IntType(ge=least, le=most):
@@ -163,7 +164,7 @@
             case inspect.TupleType(item_types=items):
                 return tuple(map(self.of, items))
             case inspect.DictType(value_type=inspect.StructType(cls=cls)) if cls in self.open:
-                return {}  # a class that holds itself
+                return {}  # a class that contains itself
             case inspect.DictType(key_type=key, value_type=value):
                 return {self.of(key): self.of(value)}
             case inspect.UnionType(types=types):
@@ -182,45 +183,46 @@
         raise TypeError(f"no example for {kind}")
 
     def is_possible(self, kind: inspect.Type) -> bool:
-        """Whether an example of that member of a union can be made here: None says little, and a class
-        ends.
+        """Returns whether a member of a union can be its example.
+
+        None can't, since it shows nothing of the encoding, nor a class whose own example is being made.
         """
         return not isinstance(kind, inspect.NoneType) and getattr(kind, "cls", None) not in self.open
 
 
 def encode(value: msgspec.Struct) -> str:
-    """As it is sent (MessagePack, in hexadecimal digits) or as it stands in a file (JSON)."""
+    """Encodes a value as it is sent (MessagePack, in hexadecimal digits) or stored (JSON)."""
     if type(value).__struct_config__.array_like:
         return msgspec.msgpack.encode(value).hex()
     return msgspec.json.encode(value).decode()
 
 
 def decode(text: str, cls: type[msgspec.Struct]) -> msgspec.Struct:
-    """What `encode` wrote."""
+    """Decodes a result of `encode`."""
     if cls.__struct_config__.array_like:
         return msgspec.msgpack.decode(bytes.fromhex(text), type=cls)
     return msgspec.json.decode(text, type=cls)
 
 
 def plain(value: Any) -> Any:
-    """The value as JSON can hold it."""
+    """Converts a value to types that JSON has."""
     return json.loads(json.dumps(msgspec.to_builtins(value, str_keys=True)))
 
 
 def example(cls: type[msgspec.Struct]) -> dict[str, Any]:
-    """The encoded form of one value, and the value of each field."""
+    """Returns the encoded form of an example, and the value of each of its fields."""
     value = Examples().of(inspect.type_info(cls))
     fields = {name: plain(getattr(value, name)) for name in cls.__struct_fields__}
     return {"encoded": encode(value), "fields": fields}
 
 
 def missing(known: dict[str, Any]) -> Iterator[str]:
-    """Names of `STRUCTS` without an example."""
+    """Yields the names of `STRUCTS` that have no example."""
     return (name for name in STRUCTS if name not in known)
 
 
 def main(path: Path) -> None:
-    """Adds what the file lacks."""
+    """Adds the examples that the file lacks."""
     known = json.loads(path.read_text()) if path.exists() else {}
     for name in missing(known):
         known[name] = example(current_class(name))
--- a/tests/stored/test_core_folder_as_found.py
+++ b/tests/stored/test_core_folder_as_found.py
@@ -1,5 +1,4 @@
-"""The disks of three core members of an earlier program: a PUT, a PUT, a PATCH, an evacuation, and one taken
-back.
+"""Disks of three core members of an earlier program: two PUTs, a PATCH, an evacuation and a cancelled one.
 
 `tests/data/core` holds the folders as a SIGKILL left them; core-1 and core-2 hold the state, core-3 is a
 witness.
@@ -45,7 +44,7 @@
 
 @pytest.fixture(name="folders")
 def fixture_folders(tmp_path):
-    """A copy of each folder, by the member's name."""
+    """Copies the folders; returns the copies by the names of the members."""
     for name in NAMES:
         (tmp_path / name).mkdir()
         for path in (DATA / name).iterdir():
@@ -62,7 +61,7 @@
 
 
 class Group:
-    """The three members over a network and disks without delay."""
+    """The three members, on a network and disks without delay."""
 
     def __init__(self, found, skipped=()):
         decide = make_decide(("hall-1", "hall-2", "hall-3"))
@@ -144,7 +143,7 @@
     assert member.epoch == 1
     assert {peer.name: peer.address for peer in member.members} == ADDRESSES
     assert member.role == ("witness" if name == "core-3" else "backup")
-    assert [effect for effect in member.effects if type(effect) is Persist] == []  # it is known on its disk
+    assert [effect for effect in member.effects if type(effect) is Persist] == []  # its disk has all of it
 
 
 def check_state(state):
--- a/tests/stored/test_sidecar_files_as_found.py
+++ b/tests/stored/test_sidecar_files_as_found.py
@@ -1,6 +1,4 @@
-"""Files of a sidecar that an earlier program wrote: captures, the saved endpoint list, learnt state, quota
-counts.
-"""
+"""Sidecar files of an earlier program: captures, the saved endpoint list, learned state, quota counts."""
 
 import json
 import shutil
@@ -43,7 +41,7 @@
 
 @pytest.mark.parametrize("name", ["from-start.bin", "from-checkpoint.bin"])
 def test_a_checkpoint_goes_in_and_comes_out_with_the_same_names(name):
-    """So an earlier program reads the captures of this one."""
+    """This lets an earlier program read the captures of this one."""
     states = [record["state"] for record in records_of(name) if record["k"] == "state"]
     assert states
     for state in states:
@@ -123,7 +121,7 @@
 def test_a_snapshot_is_written_in_the_records_of_an_earlier_program():
     _, records, _ = file_frames.read((DATA / "saved" / "snapshot-3").read_bytes(), file_frames.SNAPSHOT)
     snapshot = recover(Files(DATA / "saved"), "n1").snapshot
-    snapshot.confirm(Moment(1_006_000, "boot", 6000), 6)  # as it stood when the snapshot was written
+    snapshot.confirm(Moment(1_006_000, "boot", 6000), 6)  # the state at the time of the snapshot
     again = [json.loads(json.dumps(record)) for record in snapshot.records(Moment(1_020_000))]
     assert [*again, {"k": "end"}] == records
 
--- a/tests/stored/test_structs_as_found.py
+++ b/tests/stored/test_structs_as_found.py
@@ -1,8 +1,8 @@
-"""What an earlier program sent or stored is read, field by field, and written in the same bytes.
+"""Structs that an earlier program sent or stored are read field by field, and written in the same bytes.
 
-`tests/data/structs.json` has an encoded value of each struct as that program wrote it. Its names stay as they
-were then; `MODULES` and `CLASSES` of `struct_examples.py` and `FIELDS` here say what they are called now. So
-a class or field may be renamed, and a changed tag, key or order of fields is found.
+`tests/data/structs.json` has an encoded value of each struct, as that program wrote it and under its names.
+`MODULES` and `CLASSES` of `struct_examples.py` and `FIELDS` here map these to the current names. So a class
+or field may be renamed, but a changed tag, key or order of fields fails a test.
 """
 
 import json
@@ -14,7 +14,7 @@
 
 EXAMPLES = json.loads((Path(__file__).parent.parent / "data" / "structs.json").read_text())
 
-# Name then: name of the field then: name now.
+# Earlier class name: earlier field name: current field name.
 EDGE_STATUS_FIELDS = {"front": "listen_address", "life": "incarnation"}
 FIELDS: dict[str, dict[str, str]] = {
     "controlplane.channels:Relayed": {"order": "command", "held": "held_version"},
@@ -98,7 +98,7 @@
     "membership.messages:Rumour": {"fate": "status"},
 }
 
-# Fields that came later, and what the absence of each says.
+# Fields that were added later, with the value that each has if it is absent.
 ADDED: dict[str, dict[str, object]] = {"replication.messages:Heartbeat": {"acknowledged_round": -1}}
 
 
@@ -113,7 +113,7 @@
 
 @pytest.mark.parametrize("name", sorted(EXAMPLES.keys() - ADDED.keys()))
 def test_a_struct_is_written_in_the_bytes_of_an_earlier_program(name):
-    """Which an earlier program, still running beside this one or started again, reads."""
+    """An earlier program reads them, which still runs beside this one or was started again."""
     encoded = EXAMPLES[name]["encoded"]
     assert (
         struct_examples.encode(struct_examples.decode(encoded, struct_examples.current_class(name)))
@@ -123,7 +123,7 @@
 
 @pytest.mark.parametrize("name", ADDED)
 def test_a_field_that_was_added_stands_behind_all_that_an_earlier_program_reads(name):
-    """An array with further elements: an earlier program reads those that it knows, in their places."""
+    """The field is a further array element; an earlier program reads the elements it knows, by position."""
     encoded = bytes.fromhex(EXAMPLES[name]["encoded"])
     value = msgspec.msgpack.decode(encoded, type=struct_examples.current_class(name))
     assert {field: getattr(value, field) for field in ADDED[name]} == ADDED[name]
--- a/tests/test_addresses.py
+++ b/tests/test_addresses.py
@@ -1,4 +1,4 @@
-"""Networks and ports of a test process: nobody else is handed the same ones."""
+"""Networks and ports of a test process: no other process is given the same ones."""
 
 import socket
 import subprocess
--- a/tests/test_stand_ins.py
+++ b/tests/test_stand_ins.py
@@ -15,7 +15,7 @@
 
 
 def test_a_stand_in_that_is_stopped_before_it_reads_on_leaves_no_error():
-    """Its reader is paused by then, and uvloop refuses to resume a transport that is closed."""
+    """The reader of the stand-in is paused by then, and uvloop raises if a closed transport is resumed."""
 
     async def play():
         errors = []
--- a/tests/tools/test_ablations.py
+++ b/tests/tools/test_ablations.py
@@ -1,4 +1,4 @@
-"""The table of mechanisms that can be switched off fits the sources: each variant changes what it names."""
+"""The table of mechanisms that can be switched off matches the sources: each variant changes its files."""
 
 from pathlib import Path
 
@@ -34,7 +34,7 @@
 
 
 def test_scenes_are_read_and_played():
-    """Two seconds of each, with all edges and with the one chooser that sees all."""
+    """Plays two seconds of each scene, with all edges and with one chooser that sees everything."""
     import tomllib
 
     from benchmarks.choice import play
--- a/tests/tools/test_checks.py
+++ b/tests/tools/test_checks.py
@@ -1,4 +1,4 @@
-"""The checks of clean packages, and the one command that CI and people run."""
+"""The checks of finished packages, and the command that CI and developers run."""
 
 from pathlib import Path
 
--- a/tests/tools/test_known_red.py
+++ b/tests/tools/test_known_red.py
@@ -1,4 +1,4 @@
-"""The plugin that reads KNOWN-RED.txt, on scratch folders with suites of a few tests."""
+"""The plugin that reads KNOWN-RED.txt, run on a small suite in a scratch folder."""
 
 import pytest
 
@@ -25,7 +25,7 @@
 
 @pytest.fixture
 def run(pytester):
-    """Runs the suite beside a file with `lines`: the result, and what it printed as one string."""
+    """A function that runs the suite with the given lines; it returns the result and the printed text."""
 
     def run(*lines, suite=SUITE, arguments=()):
         pytester.makepyfile(test_suite=suite)
--- a/tests/tools/test_layers.py
+++ b/tests/tools/test_layers.py
@@ -1,13 +1,13 @@
-"""The packages stand in layers, and every import leads to a lower layer: read from the syntax trees.
+"""The packages form layers, and every import leads to a lower layer; imports are read from the syntax trees.
 
-`docs/architecture.md` draws the layers; a package that is added gets its place in both.
+`docs/architecture.md` shows the layers; a new package is added in both places.
 """
 
 import ast
 from pathlib import Path
 
 ROOT = Path(__file__).resolve().parents[2]
-# From the bottom. Packages of one layer know nothing of each other.
+# The lowest layer first. Packages of one layer don't import each other.
 LAYERS = (
     (
         "buffers",
@@ -43,7 +43,7 @@
 
 
 def modules():
-    """Dotted name to path, of every module."""
+    """Returns the path of each module by its dotted name."""
     found = {}
     for path in (ROOT / "shedgrade").rglob("*.py"):
         parts = path.relative_to(ROOT).with_suffix("").parts
@@ -52,7 +52,7 @@
 
 
 def imported(name, path):
-    """Dotted names that a module imports, also within functions."""
+    """Yields the dotted names that a module imports, also within functions."""
     package = name if path.name == "__init__.py" else name.rpartition(".")[0]
     for node in ast.walk(ast.parse(path.read_text())):
         if isinstance(node, ast.Import):
@@ -65,7 +65,7 @@
 
 
 def room(name):
-    """The part of the program that a dotted name lies in."""
+    """Returns the top-level package or module that contains a dotted name; None if that is not ours."""
     parts = name.split(".")
     return parts[1] if parts[0] == "shedgrade" and len(parts) > 1 else None
 
--- a/tests/tools/test_mutants.py
+++ b/tests/tools/test_mutants.py
@@ -1,4 +1,4 @@
-"""The list of chosen mutants is sound, and a mutant that lives, or does not apply, is told."""
+"""The list of mutants is sound, and a mutant that survives or does not apply is reported."""
 
 import pytest
 
--- a/tests/tools/test_workers.py
+++ b/tests/tools/test_workers.py
@@ -1,4 +1,4 @@
-"""When the tests are run on worker processes."""
+"""The cases in which the tests run on worker processes."""
 
 import doctest
 from types import SimpleNamespace
