--- a/tests/tools/test_workers.py
+++ b/tests/tools/test_workers.py
@@ -20,9 +20,9 @@
         pluginmanager=SimpleNamespace(has_plugin=lambda name: xdist and name == "xdist"),
     )
     with pytest.MonkeyPatch.context() as patch:
-        patch.delenv(workers.WORKER_MARK, raising=False)
+        patch.delenv(workers.WORKER_VARIABLE, raising=False)
         if worker:
-            patch.setenv(workers.WORKER_MARK, "gw0")
+            patch.setenv(workers.WORKER_VARIABLE, "gw0")
         workers.pytest_cmdline_main(config)
     return option.numprocesses, option.dist
 
--- a/tools/checks.py
+++ b/tools/checks.py
@@ -154,7 +154,7 @@
 # D203 and D213 are the opposites of D211 and D212. D205, D209, D400 and D415 would forbid a summary that
 # continues on the next line and ends there, D401 one that starts with "True if" in place of "Return", and
 # D404 one that starts with "This". D406, D407 and D413 require a form of sections that is not used here.
-LEFT_OUT = "D203,D205,D209,D213,D400,D401,D404,D406,D407,D413,D415"
+IGNORED_RULES = "D203,D205,D209,D213,D400,D401,D404,D406,D407,D413,D415"
 
 
 def commands() -> list[list[str]]:
@@ -162,7 +162,7 @@
     ruff, mypy = [sys.executable, "-m", "ruff"], [sys.executable, "-m", "mypy"]
     return [
         [*ruff, "format", "--check", "--quiet", "."],
-        [*ruff, "check", "--quiet", "--select", DOC_RULES, "--ignore", LEFT_OUT, *DOCUMENTED],
+        [*ruff, "check", "--quiet", "--select", DOC_RULES, "--ignore", IGNORED_RULES, *DOCUMENTED],
         [*mypy, "--no-error-summary", *TYPED],
     ]
 
--- a/tools/workers.py
+++ b/tools/workers.py
@@ -9,11 +9,11 @@
 
 import pytest
 
-WORKERS = 4  # about half of them wait at any time, which leaves cores to tests that use real time
-CORES_A_WORKER = 2  # a machine with fewer cores gets fewer workers
-LONGEST = "tests/simulation/"  # files with few tests, each of up to a minute
+MAX_WORKERS = 4  # about half of them wait at any time, which leaves cores to tests that use real time
+CORES_PER_WORKER = 2  # a machine with fewer cores gets fewer workers
+SLOWEST_TESTS_FOLDER = "tests/simulation/"  # files with few tests, each of up to a minute
 # Environment variable that xdist sets for a worker; child processes inherit it.
-WORKER_MARK = "PYTEST_XDIST_WORKER"
+WORKER_VARIABLE = "PYTEST_XDIST_WORKER"
 
 
 def worker_count(cores: int) -> int:
@@ -22,14 +22,14 @@
     >>> worker_count(16), worker_count(4), worker_count(2)
     (4, 2, 0)
     """
-    workers = min(WORKERS, cores // CORES_A_WORKER)
+    workers = min(MAX_WORKERS, cores // CORES_PER_WORKER)
     return workers if workers > 1 else 0
 
 
 @pytest.hookimpl(tryfirst=True)
 def pytest_cmdline_main(config: pytest.Config) -> None:
     """Sets options of pytest-xdist before its own hook of this name reads them."""
-    if WORKER_MARK in os.environ:
+    if WORKER_VARIABLE in os.environ:
         return  # a worker, or a pytest run that its tests start, must not start workers in turn
     chosen = config.args_source is pytest.Config.ArgsSource.ARGS
     if chosen or not config.pluginmanager.has_plugin("xdist") or config.option.collectonly:
@@ -42,4 +42,4 @@
 
 def pytest_collection_modifyitems(items: list[pytest.Item]) -> None:
     """Puts the longest files first: the whole run would wait for a worker that starts one of them last."""
-    items.sort(key=lambda item: not item.nodeid.startswith(LONGEST))
+    items.sort(key=lambda item: not item.nodeid.startswith(SLOWEST_TESTS_FOLDER))
