--- a/tests/tools/test_mutants.py
+++ b/tests/tools/test_mutants.py
@@ -37,8 +37,11 @@
     copy = ScratchCopy(tmp_path)
     file, test = "shedgrade/replication/quorums.py", "tests/replication/test_quorum_rules.py"
     before = "return len(peers) // 2 + 1"
-    assert copy.judge(Mutant("dies", file, before, "return len(peers) // 2", test)).problem == ""
+    assert copy.run_mutant(Mutant("dies", file, before, "return len(peers) // 2", test)).problem == ""
     harmless = Mutant("lives", file, before, "return 1 + len(peers) // 2", test)
-    assert copy.judge(harmless).problem == f"survives {test}"
-    assert "not once" in copy.judge(Mutant("stale", file, "no such text", "", test)).problem
-    assert "could not be run" in copy.judge(Mutant("lost", file, before, "return 0", "tests/none.py")).problem
+    assert copy.run_mutant(harmless).problem == f"survives {test}"
+    assert "not once" in copy.run_mutant(Mutant("stale", file, "no such text", "", test)).problem
+    assert (
+        "could not be run"
+        in copy.run_mutant(Mutant("lost", file, before, "return 0", "tests/none.py")).problem
+    )
--- a/tools/mutants.py
+++ b/tools/mutants.py
@@ -26,10 +26,10 @@
 from typing import TypeVar
 
 ROOT = Path(__file__).resolve().parent.parent
-COPIED = ("conftest.py", "deploy", "docs", "pyproject.toml", "shedgrade", "tests", "tools")
-TIMEOUT_S = 120.0  # for one test; a test that exceeds it has failed, so its mutant is killed
+COPIED_PATHS = ("conftest.py", "deploy", "docs", "pyproject.toml", "shedgrade", "tests", "tools")
+TEST_TIMEOUT_S = 120.0  # for one test; a test that exceeds it has failed, so its mutant is killed
 ResultT = TypeVar("ResultT")
-FAILED = 1  # exit status of pytest if a test failed
+TESTS_FAILED_STATUS = 1  # exit status of pytest if a test failed
 
 
 class MutantListError(Exception):
@@ -56,7 +56,7 @@
 
 
 @dataclass(frozen=True)
-class Verdict:
+class MutantResult:
     """Result for one mutant. `problem`: why it was not killed, empty if it was."""
 
     mutant: Mutant
@@ -78,12 +78,12 @@
 
 
 class ScratchCopy:
-    """A copy of the repository to which one mutant at a time is applied. `changes`: number of writes."""
+    """A copy of the repository to which one mutant at a time is applied. `write_count`: number of writes."""
 
     def __init__(self, folder: Path) -> None:
         self.folder = folder
-        self.changes = 0
-        for name in COPIED:
+        self.write_count = 0
+        for name in COPIED_PATHS:
             source = ROOT / name
             if source.is_dir():
                 shutil.copytree(source, folder / name, ignore=shutil.ignore_patterns("__pycache__"))
@@ -92,46 +92,46 @@
 
     def write(self, file: str, text: str) -> None:
         """Writes a module with a new modification time, so that Python does not reuse its old bytecode."""
-        self.changes += 1
+        self.write_count += 1
         path = self.folder / file
         path.write_text(text)
-        changed_at = path.stat().st_mtime + 10.0 * self.changes
-        os.utime(path, (changed_at, changed_at))
+        modified_at = path.stat().st_mtime + 10.0 * self.write_count
+        os.utime(path, (modified_at, modified_at))
 
     def passes(self, test: str) -> bool | None:
         """Returns whether the test passes in this copy; None if it could not be run."""
         command = [sys.executable, "-m", "pytest", "-q", "-x", "-p", "no:cacheprovider", test]
         try:
-            done = subprocess.run(command, cwd=self.folder, capture_output=True, timeout=TIMEOUT_S)
+            done = subprocess.run(command, cwd=self.folder, capture_output=True, timeout=TEST_TIMEOUT_S)
         except subprocess.TimeoutExpired:
             return False
-        return {0: True, FAILED: False}.get(done.returncode)
+        return {0: True, TESTS_FAILED_STATUS: False}.get(done.returncode)
 
-    def judge(self, mutant: Mutant) -> Verdict:
+    def run_mutant(self, mutant: Mutant) -> MutantResult:
         """Applies the change, runs its test and reverts the change."""
         text = (ROOT / mutant.file).read_text()
         if text.count(mutant.before) != 1:
-            return Verdict(
+            return MutantResult(
                 mutant, f"{mutant.file}: text to replace found {text.count(mutant.before)} times, not once"
             )
         self.write(mutant.file, text.replace(mutant.before, mutant.after))
         passed = self.passes(mutant.killer)
         self.write(mutant.file, text)
         if passed is None:
-            return Verdict(mutant, f"{mutant.killer} could not be run")
-        return Verdict(mutant, f"survives {mutant.killer}" if passed else "")
+            return MutantResult(mutant, f"{mutant.killer} could not be run")
+        return MutantResult(mutant, f"survives {mutant.killer}" if passed else "")
 
 
-def judge_all(mutants: list[Mutant], jobs: int) -> Iterator[Verdict]:
+def run_mutants(mutants: list[Mutant], jobs: int) -> Iterator[MutantResult]:
     """Yields a result for each test that fails without any change, then one for each mutant in order."""
     with tempfile.TemporaryDirectory(prefix="mutants-") as folder:
         copies: Queue[ScratchCopy] = Queue()
         for number in range(jobs):
-            place = Path(folder, str(number))
-            place.mkdir()
-            copies.put(ScratchCopy(place))
+            copy_folder = Path(folder, str(number))
+            copy_folder.mkdir()
+            copies.put(ScratchCopy(copy_folder))
 
-        def in_a_copy(call: Callable[[ScratchCopy], ResultT]) -> ResultT:
+        def with_copy(call: Callable[[ScratchCopy], ResultT]) -> ResultT:
             copy = copies.get()
             try:
                 return call(copy)
@@ -139,17 +139,19 @@
                 copies.put(copy)
 
         def passes(mutant: Mutant) -> bool | None:
-            return in_a_copy(lambda copy: copy.passes(mutant.killer))
+            return with_copy(lambda copy: copy.passes(mutant.killer))
 
-        def judge(mutant: Mutant) -> Verdict:
-            return in_a_copy(lambda copy: copy.judge(mutant))
+        def run_mutant(mutant: Mutant) -> MutantResult:
+            return with_copy(lambda copy: copy.run_mutant(mutant))
 
         with ThreadPoolExecutor(jobs) as pool:
-            one_by_killer = list({mutant.killer: mutant for mutant in mutants}.values())
-            for mutant, passed in zip(one_by_killer, pool.map(passes, one_by_killer), strict=True):
+            one_mutant_per_killer = list({mutant.killer: mutant for mutant in mutants}.values())
+            for mutant, passed in zip(
+                one_mutant_per_killer, pool.map(passes, one_mutant_per_killer), strict=True
+            ):
                 if not passed:
-                    yield Verdict(mutant, f"{mutant.killer} does not pass without the change")
-            yield from pool.map(judge, mutants)
+                    yield MutantResult(mutant, f"{mutant.killer} does not pass without the change")
+            yield from pool.map(run_mutant, mutants)
 
 
 def main(arguments: list[str] | None = None) -> int:
@@ -163,11 +165,11 @@
     except (OSError, ValueError, MutantListError) as error:
         print(f"{options.file}: {error}")
         return 1
-    verdicts = list(judge_all(mutants, options.jobs))
-    problems = [verdict for verdict in verdicts if verdict.problem]
-    for verdict in problems:
-        print(f"{verdict.mutant.name}: {verdict.problem}")
-    killed = sum(not verdict.problem for verdict in verdicts)
+    results = list(run_mutants(mutants, options.jobs))
+    problems = [result for result in results if result.problem]
+    for result in problems:
+        print(f"{result.mutant.name}: {result.problem}")
+    killed = sum(not result.problem for result in results)
     print(f"{killed} of {len(mutants)} mutants killed")
     return 1 if problems else 0
 
