--- a/tests/stored/struct_examples.py
+++ b/tests/stored/struct_examples.py
@@ -122,7 +122,7 @@
     return getattr(importlib.import_module(f"shedgrade.{module}"), cls)
 
 
-def within(number: float, least: float | None, most: float | None) -> float:
+def wrap_into_bounds(number: float, least: float | None, most: float | None) -> float:
     """Wraps a number into the bounds of a field; None: the field has no such bound."""
     least = least or 0
     if most is None:
@@ -135,17 +135,17 @@
 
     def __init__(self) -> None:
         self.numbers = itertools.count(1)
-        self.truths = itertools.cycle((True, False))
-        self.open: list[type] = []  # classes whose example is being made
+        self.booleans = itertools.cycle((True, False))
+        self.unfinished: list[type] = []  # classes whose example is being made
 
-    def of(self, kind: inspect.Type) -> Any:
+    def value_of(self, kind: inspect.Type) -> Any:
         """Returns a value of that type. Raises TypeError if the type is not supported."""
         number = next(self.numbers)
         match kind:
             case inspect.IntType(ge=least, le=most):
-                return int(within(number, least, most))
+                return int(wrap_into_bounds(number, least, most))
             case inspect.FloatType(ge=least, gt=above, le=most, lt=below):
-                return within(
+                return wrap_into_bounds(
                     number + 0.5, above if least is None else least, below if most is None else most
                 )
             case inspect.StrType():
@@ -153,33 +153,33 @@
             case inspect.BytesType():
                 return b"\x00bytes-%d" % number
             case inspect.BoolType():
-                return next(self.truths)
+                return next(self.booleans)
             case inspect.LiteralType(values=values):
                 return values[number % len(values)]
             case inspect.ListType(item_type=item) | inspect.VarTupleType(item_type=item):
-                values = [self.of(item), self.of(item)]
+                values = [self.value_of(item), self.value_of(item)]
                 return tuple(values) if isinstance(kind, inspect.VarTupleType) else values
             case inspect.SetType(item_type=item) | inspect.FrozenSetType(item_type=item):
-                return frozenset((self.of(item),))
+                return frozenset((self.value_of(item),))
             case inspect.TupleType(item_types=items):
-                return tuple(map(self.of, items))
-            case inspect.DictType(value_type=inspect.StructType(cls=cls)) if cls in self.open:
+                return tuple(map(self.value_of, items))
+            case inspect.DictType(value_type=inspect.StructType(cls=cls)) if cls in self.unfinished:
                 return {}  # a class that contains itself
             case inspect.DictType(key_type=key, value_type=value):
-                return {self.of(key): self.of(value)}
+                return {self.value_of(key): self.value_of(value)}
             case inspect.UnionType(types=types):
-                return self.of(next(filter(self.is_possible, types), inspect.NoneType()))
+                return self.value_of(next(filter(self.is_possible, types), inspect.NoneType()))
             case inspect.StructType(cls=cls, fields=fields) | inspect.DataclassType(cls=cls, fields=fields):
-                self.open.append(cls)
-                values = {field.name: self.of(field.type) for field in fields}
-                self.open.pop()
+                self.unfinished.append(cls)
+                values = {field.name: self.value_of(field.type) for field in fields}
+                self.unfinished.pop()
                 return cls(**values)
             case inspect.AnyType():
                 return f"any-{number}"
             case inspect.NoneType():
                 return None
             case inspect.Metadata(type=inner):
-                return self.of(inner)
+                return self.value_of(inner)
         raise TypeError(f"no example for {kind}")
 
     def is_possible(self, kind: inspect.Type) -> bool:
@@ -187,7 +187,7 @@
 
         None can't, since it shows nothing of the encoding, nor a class whose own example is being made.
         """
-        return not isinstance(kind, inspect.NoneType) and getattr(kind, "cls", None) not in self.open
+        return not isinstance(kind, inspect.NoneType) and getattr(kind, "cls", None) not in self.unfinished
 
 
 def encode(value: msgspec.Struct) -> str:
@@ -204,19 +204,19 @@
     return msgspec.json.decode(text, type=cls)
 
 
-def plain(value: Any) -> Any:
+def to_json_types(value: Any) -> Any:
     """Converts a value to types that JSON has."""
     return json.loads(json.dumps(msgspec.to_builtins(value, str_keys=True)))
 
 
 def example(cls: type[msgspec.Struct]) -> dict[str, Any]:
     """Returns the encoded form of an example, and the value of each of its fields."""
-    value = Examples().of(inspect.type_info(cls))
-    fields = {name: plain(getattr(value, name)) for name in cls.__struct_fields__}
+    value = Examples().value_of(inspect.type_info(cls))
+    fields = {name: to_json_types(getattr(value, name)) for name in cls.__struct_fields__}
     return {"encoded": encode(value), "fields": fields}
 
 
-def missing(known: dict[str, Any]) -> Iterator[str]:
+def missing_examples(known: dict[str, Any]) -> Iterator[str]:
     """Yields the names of `STRUCTS` that have no example."""
     return (name for name in STRUCTS if name not in known)
 
@@ -224,7 +224,7 @@
 def main(path: Path) -> None:
     """Adds the examples that the file lacks."""
     known = json.loads(path.read_text()) if path.exists() else {}
-    for name in missing(known):
+    for name in missing_examples(known):
         known[name] = example(current_class(name))
     path.write_text(json.dumps(known, indent=1) + "\n")
 
--- a/tests/stored/test_core_folder_as_found.py
+++ b/tests/stored/test_core_folder_as_found.py
@@ -116,7 +116,7 @@
         return next(member for member in self.members.values() if member.role == "primary")
 
 
-def test_every_key_of_then_is_there(folders):
+def test_every_stored_key_is_read(folders):
     assert set(load(folders["core-1"])) == set(load(folders["core-2"])) == KEYS
     assert set(load(folders["core-3"])) == {
         "replication/epoch",
@@ -127,7 +127,7 @@
 
 
 @pytest.mark.parametrize("name", NAMES)
-def test_a_member_knows_itself_and_its_epoch_again(folders, name):
+def test_a_member_restores_its_identity_and_epoch(folders, name):
     values = load(folders[name])
     member = Member(
         name,
@@ -175,7 +175,7 @@
     check_state(group.answers[1].state)
 
 
-def test_storage_check_reads_them(folders):
+def test_the_storage_check_reads_the_folders(folders):
     from shedgrade.storage.check import report
 
     assert report(folders["core-1"])[-1].startswith(
--- a/tests/stored/test_sidecar_files_as_found.py
+++ b/tests/stored/test_sidecar_files_as_found.py
@@ -40,7 +40,7 @@
 
 
 @pytest.mark.parametrize("name", ["from-start.bin", "from-checkpoint.bin"])
-def test_a_checkpoint_goes_in_and_comes_out_with_the_same_names(name):
+def test_a_checkpoint_is_read_and_written_with_the_same_names(name):
     """This lets an earlier program read the captures of this one."""
     states = [record["state"] for record in records_of(name) if record["k"] == "state"]
     assert states
@@ -58,7 +58,7 @@
         assert {name: list(fields) for name, fields in again["rows"]} == orders
 
 
-def test_the_saved_endpoint_list_comes_back(tmp_path):
+def test_the_saved_endpoint_list_is_recovered(tmp_path):
     folder = tmp_path / "saved"
     shutil.copytree(DATA / "saved", folder)
     found = recover(Files(folder), "n1")
@@ -77,7 +77,7 @@
     assert snapshot.quota == json.loads((DATA / "quota.json").read_text())
 
 
-def test_a_store_goes_on_from_the_saved_endpoint_list(tmp_path):
+def test_a_store_continues_from_the_saved_endpoint_list(tmp_path):
     folder = tmp_path / "saved"
     shutil.copytree(DATA / "saved", folder)
     store = Store(Files(folder), "n1", lambda: Moment(1_020_000, "boot", 20_000), "always")
@@ -85,7 +85,7 @@
     store.close()
 
 
-def test_learnt_state_is_taken_over_and_written_alike():
+def test_learned_state_is_restored_and_written_in_the_same_form():
     stored = json.loads((DATA / "learnt.json").read_text())
     balancer = load_balancing.Balancer(settings([method("once")], zones=2), 1, 0)
     balancer.list_changed(0, [row(index, index % 2) for index in range(8)], True, True)
@@ -104,7 +104,7 @@
     assert again["kinds"] == [pytest.approx(kind) for kind in stored["kinds"]]
 
 
-def test_quota_counts_are_taken_over_and_written_alike():
+def test_quota_counts_are_restored_and_written_in_the_same_form():
     stored = json.loads((DATA / "quota.json").read_text())
     length, root = 1000, Node("all", None, (Limit("requests", 1000, 100),), LendingTerms())
     Node("a", root, (Limit("requests", length, 100, 60),))
--- a/tests/stored/test_structs_as_found.py
+++ b/tests/stored/test_structs_as_found.py
@@ -107,7 +107,10 @@
     expected = EXAMPLES[name]["fields"]
     value = struct_examples.decode(EXAMPLES[name]["encoded"], struct_examples.current_class(name))
     renamed = FIELDS.get(name, {})
-    found = {then: struct_examples.plain(getattr(value, renamed.get(then, then))) for then in expected}
+    found = {
+        earlier_name: struct_examples.to_json_types(getattr(value, renamed.get(earlier_name, earlier_name)))
+        for earlier_name in expected
+    }
     assert found == expected
 
 
@@ -122,25 +125,25 @@
 
 
 @pytest.mark.parametrize("name", ADDED)
-def test_a_field_that_was_added_stands_behind_all_that_an_earlier_program_reads(name):
+def test_an_added_field_follows_all_fields_that_an_earlier_program_reads(name):
     """The field is a further array element; an earlier program reads the elements it knows, by position."""
     encoded = bytes.fromhex(EXAMPLES[name]["encoded"])
     value = msgspec.msgpack.decode(encoded, type=struct_examples.current_class(name))
     assert {field: getattr(value, field) for field in ADDED[name]} == ADDED[name]
     written = msgspec.msgpack.encode(value)
-    as_then = msgspec.msgpack.decode(encoded)
-    assert msgspec.msgpack.decode(written) == [*as_then, *ADDED[name].values()]
-    fields = [field.name for field in msgspec.structs.fields(type(value))][: len(as_then) - 1]
-    earlier_class = msgspec.defstruct("Earlier", fields, array_like=True, tag=as_then[0])
-    read_then = msgspec.msgpack.decode(written, type=earlier_class)
-    assert msgspec.msgpack.encode(read_then) == encoded
+    earlier_array = msgspec.msgpack.decode(encoded)
+    assert msgspec.msgpack.decode(written) == [*earlier_array, *ADDED[name].values()]
+    fields = [field.name for field in msgspec.structs.fields(type(value))][: len(earlier_array) - 1]
+    earlier_class = msgspec.defstruct("Earlier", fields, array_like=True, tag=earlier_array[0])
+    decoded_by_earlier = msgspec.msgpack.decode(written, type=earlier_class)
+    assert msgspec.msgpack.encode(decoded_by_earlier) == encoded
 
 
 def test_each_struct_that_is_sent_or_stored_has_an_example():
-    assert list(struct_examples.missing(EXAMPLES)) == []
+    assert list(struct_examples.missing_examples(EXAMPLES)) == []
 
 
-def test_names_of_then_that_are_mapped_have_an_example():
+def test_mapped_earlier_names_have_an_example():
     assert set(struct_examples.CLASSES) <= set(EXAMPLES)
     for name, fields in FIELDS.items():
         assert set(fields) <= set(EXAMPLES[name]["fields"])
