--- a/tests/test_addresses.py
+++ b/tests/test_addresses.py
@@ -10,7 +10,7 @@
 CLAIM = "import addresses, sys; print(addresses.NETWORK, flush=True); sys.stdin.read()"
 
 
-def test_processes_at_once_have_networks_of_their_own():
+def test_concurrent_processes_have_distinct_networks():
     others = [
         subprocess.Popen(
             [sys.executable, "-c", CLAIM],
@@ -29,25 +29,25 @@
             other.communicate()
 
 
-def test_a_network_that_is_claimed_is_passed_over(monkeypatch):
+def test_a_claimed_network_is_skipped(monkeypatch):
     monkeypatch.setattr(addresses.os, "getpid", lambda: 4321)
     assert addresses.claim_network() != addresses.claim_network()
 
 
 def test_ports_are_distinct_free_and_below_those_of_outgoing_connections():
-    given = {addresses.free_address() for _ in range(100)}
-    assert len(given) == 100 and {host for host, _ in given} == {addresses.HOST}
+    addresses_found = {addresses.free_address() for _ in range(100)}
+    assert len(addresses_found) == 100 and {host for host, _ in addresses_found} == {addresses.HOST}
     first_outgoing = int(Path("/proc/sys/net/ipv4/ip_local_port_range").read_text().split()[0])
     assert first_outgoing > addresses.LAST_PORT
-    with socket.create_server(given.pop()), socket.create_server(given.pop()):
+    with socket.create_server(addresses_found.pop()), socket.create_server(addresses_found.pop()):
         pass
 
 
-def test_a_port_that_something_still_uses_is_passed_over(monkeypatch):
+def test_a_port_in_use_is_skipped(monkeypatch):
     datagrams = socket.socket(type=socket.SOCK_DGRAM)
-    with socket.create_server(addresses.free_address()) as left, datagrams as heard:
-        heard.bind(addresses.free_address())
-        taken = [left.getsockname()[1], heard.getsockname()[1]]
+    with socket.create_server(addresses.free_address()) as tcp_socket, datagrams as udp_socket:
+        udp_socket.bind(addresses.free_address())
+        taken = [tcp_socket.getsockname()[1], udp_socket.getsockname()[1]]
         free = addresses.free_port()
         monkeypatch.setattr(addresses, "_ports", iter([*taken, free]))
         assert addresses.free_port() == free
--- a/tests/test_stand_ins.py
+++ b/tests/test_stand_ins.py
@@ -17,7 +17,7 @@
 def test_a_stand_in_that_is_stopped_before_it_reads_on_leaves_no_error():
     """The reader of the stand-in is paused by then, and uvloop raises if a closed transport is resumed."""
 
-    async def play():
+    async def scenario():
         errors = []
         asyncio.get_running_loop().set_exception_handler(lambda loop, context: errors.append(context))
         server = await helpers.Server(slow).start()
@@ -30,4 +30,4 @@
         writer.transport.abort()
         return errors
 
-    assert uvloop.run(play()) == []
+    assert uvloop.run(scenario()) == []
--- a/tests/tools/test_checks.py
+++ b/tests/tools/test_checks.py
@@ -10,11 +10,11 @@
 COMMAND = ".venv/bin/python -m pytest -q && .venv/bin/ruff check . && .venv/bin/python -m tools.checks"
 
 
-def test_what_is_checked_is_there():
+def test_checked_paths_exist():
     assert not [name for name in (*checks.DOCUMENTED, *checks.TYPED) if not (ROOT / name).exists()]
 
 
-def test_any_check_that_fails_fails_the_whole_and_the_others_still_run(monkeypatch):
+def test_a_failed_check_fails_the_run_and_the_others_still_run(monkeypatch):
     ran = []
 
     class Done:
--- a/tests/tools/test_known_red.py
+++ b/tests/tools/test_known_red.py
@@ -40,7 +40,7 @@
     return run
 
 
-def test_listed_tests_are_run_passed_over_and_printed(run):
+def test_listed_tests_are_run_and_printed_and_do_not_fail_the_run(run):
     result, printed = run(BROKEN, EACH, FIXTURE)
     assert result.ret == 0
     result.assert_outcomes(passed=2, skipped=1, xfailed=3)
@@ -124,13 +124,13 @@
 
 
 @pytest.mark.parametrize("lines", [(), ("",), ("  ", "")])
-def test_without_lines_a_run_is_a_plain_run(run, lines):
+def test_without_lines_the_plugin_does_nothing(run, lines):
     result, printed = run(*lines)
     assert result.ret == pytest.ExitCode.TESTS_FAILED and known_red.FILE_NAME not in printed
     result.assert_outcomes(passed=2, skipped=1, failed=2, errors=1)
 
 
-def test_on_workers_the_same_holds(run):
+def test_the_rules_hold_on_workers(run):
     pytest.importorskip("xdist", reason="in requirements-dev.txt")
     workers = ("-n", "2")
     result, printed = run(BROKEN, EACH, FIXTURE, arguments=workers)
--- a/tests/tools/test_layers.py
+++ b/tests/tools/test_layers.py
@@ -64,25 +64,25 @@
             yield from (f"{base}.{alias.name}" for alias in node.names)
 
 
-def room(name):
+def package_of(name):
     """Returns the top-level package or module that contains a dotted name; None if that is not ours."""
     parts = name.split(".")
     return parts[1] if parts[0] == "shedgrade" and len(parts) > 1 else None
 
 
 def test_every_package_has_its_layer():
-    rooms = {room(name) for name in modules()} - {None}
-    assert rooms == set(LEVEL)
+    packages = {package_of(name) for name in modules()} - {None}
+    assert packages == set(LEVEL)
 
 
-def test_every_import_leads_down():
+def test_every_import_leads_to_a_lower_layer():
     upward = set()
     for name, path in modules().items():
-        here = room(name)
+        importer = package_of(name)
         for target in imported(name, path):
-            there = room(target)
-            if here is None or there in (None, here) or there == "__version__":
+            target_package = package_of(target)
+            if importer is None or target_package in (None, importer) or target_package == "__version__":
                 continue
-            if LEVEL[there] >= LEVEL[here]:
+            if LEVEL[target_package] >= LEVEL[importer]:
                 upward.add(f"{name} imports {target}")
     assert upward == set()
--- a/tests/tools/test_mutants.py
+++ b/tests/tools/test_mutants.py
@@ -8,7 +8,7 @@
 
 
 @pytest.mark.parametrize("mutant", read_mutants(LIST), ids=lambda mutant: mutant.name)
-def test_each_change_stands_once_in_its_file_and_its_test_exists(mutant):
+def test_each_change_applies_once_and_its_test_exists(mutant):
     assert (ROOT / mutant.file).read_text().count(mutant.before) == 1
     file, _, test = mutant.killer.partition("::")
     assert (ROOT / file).exists() and f"def {test.partition('[')[0]}" in (ROOT / file).read_text()
@@ -18,14 +18,14 @@
 @pytest.mark.parametrize(
     "text", ['[[mutant]]\nname = "a"\n', "no list", '[[mutant]]\nname = "a"\nfile = "f"\nkiler = "k"\n']
 )
-def test_a_list_that_can_not_be_read_is_named(text, tmp_path, capsys):
+def test_a_malformed_list_is_reported(text, tmp_path, capsys):
     path = tmp_path / "mutants.toml"
     path.write_text(text)
     assert main([str(path)]) == 1
     assert str(path) in capsys.readouterr().out
 
 
-def test_two_mutants_of_one_name_are_refused(tmp_path):
+def test_two_mutants_of_the_same_name_are_rejected(tmp_path):
     fields = 'name = "a"\nfile = "f"\nbefore = "b"\nafter = "c"\nkiller = "k"\n'
     path = tmp_path / "mutants.toml"
     path.write_text(f"[[mutant]]\n{fields}[[mutant]]\n{fields}")
@@ -33,7 +33,7 @@
         read_mutants(path)
 
 
-def test_a_mutant_that_lives_and_one_that_dies_are_told_apart(tmp_path):
+def test_surviving_and_killed_mutants_are_distinguished(tmp_path):
     copy = ScratchCopy(tmp_path)
     file, test = "shedgrade/replication/quorums.py", "tests/replication/test_quorum_rules.py"
     before = "return len(peers) // 2 + 1"
--- a/tests/tools/test_workers.py
+++ b/tests/tools/test_workers.py
@@ -10,7 +10,7 @@
 SOURCES = pytest.Config.ArgsSource
 
 
-def options_after(
+def options_set_by_plugin(
     *, source=SOURCES.TESTPATHS, xdist=True, worker=False, numprocesses=None, collectonly=False
 ):
     option = SimpleNamespace(numprocesses=numprocesses, tx=[], dist="no", collectonly=collectonly)
@@ -29,18 +29,18 @@
 
 def test_the_whole_suite_is_run_file_by_file_on_a_few_workers(monkeypatch):
     monkeypatch.setattr(workers.os, "sched_getaffinity", lambda process: range(16))
-    assert options_after() == options_after(source=SOURCES.INVOCATION_DIR) == (4, "loadfile")
+    assert options_set_by_plugin() == options_set_by_plugin(source=SOURCES.INVOCATION_DIR) == (4, "loadfile")
 
 
 @pytest.mark.parametrize(
     "more", [{"source": SOURCES.ARGS}, {"xdist": False}, {"worker": True}, {"collectonly": True}]
 )
 def test_chosen_tests_and_workers_are_left_alone(more):
-    assert options_after(**more) == (None, "no")
+    assert options_set_by_plugin(**more) == (None, "no")
 
 
-def test_what_the_command_line_says_holds():
-    assert options_after(numprocesses=0) == (0, "no")
+def test_options_of_the_command_line_are_kept():
+    assert options_set_by_plugin(numprocesses=0) == (0, "no")
 
 
 def test_doctests():
