--- a/tests/helpers.py
+++ b/tests/helpers.py
@@ -158,8 +158,8 @@
         self.conf = settings(
             methods or [PATIENT], limits={"dial_timeout": 2e4, "idle_close": 15000.0, **limits}, shapes=["k"]
         )
-        self.scripts, self.with_known, self.sockets = scripts, known, sockets
-        self.changes, self.version, self.watches, self.waited = asyncio.Queue(), 1, 0, False
+        self.scripts, self.has_known_list, self.sockets = scripts, known, sockets
+        self.changes, self.version, self.watches, self.wait_expired = asyncio.Queue(), 1, 0, False
 
     def entry(self, number, lifecycle="in_service", **more):
         return {
@@ -192,8 +192,8 @@
         When the wait is over, it responds with no change, as any agent does; the call that follows this
         response is not counted in `watches`.
         """
-        self.watches += not self.waited
-        self.waited = False
+        self.watches += not self.wait_expired
+        self.wait_expired = False
         if "after=" not in head[0]:
             entries = [self.entry(number) for number in range(len(self.upstreams))]
             return message(200, json.dumps(self.list(*entries, reset=True)).encode())
@@ -201,7 +201,7 @@
             async with asyncio.timeout(int(head[0].split("wait_ms=")[1].split()[0]) / 1000):
                 return message(200, await self.changes.get())
         except TimeoutError:
-            self.waited = True
+            self.wait_expired = True
             return message(200, json.dumps(self.list()).encode())
 
     async def __aenter__(self):
@@ -216,7 +216,7 @@
             1,
             192,
             self.sockets,
-            known if self.with_known else None,
+            known if self.has_known_list else None,
             self.conf,
         )
         self.sidecar = Sidecar(self.config, asyncio.get_running_loop())
@@ -278,27 +278,27 @@
 @contextmanager
 def no_faults():
     """Fails if an error is logged meanwhile, even if the program has recovered from it."""
-    faults = []
-    sink = logger.add(faults.append, level="ERROR", format="{message} {extra}")
+    errors = []
+    sink = logger.add(errors.append, level="ERROR", format="{message} {extra}")
     try:
-        yield faults
+        yield errors
     finally:
         logger.remove(sink)
-    assert not faults, faults
+    assert not errors, errors
 
 
 @contextmanager
 def outcomes():
     """Records the outcome of each finished attempt that is reported to the balancer, in order."""
-    ends, ended = [], load_balancing.Rpc.attempt_finished
+    recorded, original = [], load_balancing.Rpc.attempt_finished
     load_balancing.Rpc.attempt_finished = lambda rpc, now, tx, outcome, *more: (
-        ends.append(outcome),
-        ended(rpc, now, tx, outcome, *more),
+        recorded.append(outcome),
+        original(rpc, now, tx, outcome, *more),
     )[1]
     try:
-        yield ends
+        yield recorded
     finally:
-        load_balancing.Rpc.attempt_finished = ended
+        load_balancing.Rpc.attempt_finished = original
 
 
 def on_sockets(scenario):
--- a/tests/programs.py
+++ b/tests/programs.py
@@ -94,18 +94,18 @@
 
     `seeds`: host numbers of core machines whose stand-ins accept connections and send nothing.
     """
-    spoken = asyncio.Event()
+    connected = asyncio.Event()
 
-    async def listened(reader, writer):
-        spoken.set()
+    async def accept(reader, writer):
+        connected.set()
         await reader.read()
         writer.close()
 
-    servers = [await asyncio.start_server(listened, f"{NET}.{seed}", 7300) for seed in seeds]
+    servers = [await asyncio.start_server(accept, f"{NET}.{seed}", 7300) for seed in seeds]
     process = await start(program, boot=path)
     try:
         async with asyncio.timeout(LONGEST):
-            await spoken.wait()
+            await connected.wait()
         yield process
     finally:
         if process.returncode is None:
@@ -126,8 +126,8 @@
 
 async def rest(process):
     """Returns the rest of standard error and the exit status."""
-    left = await asyncio.wait_for(process.stderr.read(), LONGEST)
-    return left.decode(), await asyncio.wait_for(process.wait(), LONGEST)
+    remaining = await asyncio.wait_for(process.stderr.read(), LONGEST)
+    return remaining.decode(), await asyncio.wait_for(process.wait(), LONGEST)
 
 
 async def http(host, port, verb="GET", target="/", body=b"", headers=()):
