--- a/tools/known_red.py
+++ b/tools/known_red.py
@@ -30,7 +30,7 @@
 
 @dataclass(frozen=True)
 class KnownRed:
-    """One line of the file: a test that is expected to fail.
+    """One line of the file, which lists a test that is expected to fail.
 
     Attributes:
         node_id: pytest's name of the test.
@@ -49,7 +49,7 @@
     """Parses the text of the file. Raises KnownRedError if a line is malformed or a test is listed twice."""
     lines = [line.strip() for line in text.splitlines() if line.strip()]
     known = [parse_line(line) for line in lines]
-    if len({one.node_id for one in known}) < len(known):
+    if len({entry.node_id for entry in known}) < len(known):
         raise KnownRedError("one test is listed twice")
     return known
 
@@ -72,9 +72,9 @@
 
     def __init__(self, known: list[KnownRed], whole_suite: bool) -> None:
         """`whole_suite`: no tests were selected on the command line, so each listed test must be run."""
-        self.known = {one.node_id: one for one in known}
+        self.known = {entry.node_id: entry for entry in known}
         self.whole_suite = whole_suite
-        self.red: set[str] = set()
+        self.failed: set[str] = set()
         self.skipped: set[str] = set()
 
     @pytest.hookimpl(tryfirst=True)
@@ -89,7 +89,7 @@
         if report.nodeid not in self.known or not report.skipped:
             return
         expected_to_fail = hasattr(report, "wasxfail")
-        (self.red if expected_to_fail else self.skipped).add(report.nodeid)
+        (self.failed if expected_to_fail else self.skipped).add(report.nodeid)
 
     def problems(self, reported: set[str]) -> Iterator[str]:
         """Yields a message for each listed test that was skipped or does not exist.
@@ -111,9 +111,11 @@
     def pytest_terminal_summary(self, terminalreporter: pytest.TerminalReporter) -> None:
         """Prints the listed tests and the problems of the list."""
         terminalreporter.section(FILE_NAME)
-        for one in self.known.values():
-            state = "red" if one.node_id in self.red else "not red"
-            terminalreporter.line(f"{state}: {one.node_id} ({one.command}; {one.observed}; {one.issue})")
+        for entry in self.known.values():
+            state = "red" if entry.node_id in self.failed else "not red"
+            terminalreporter.line(
+                f"{state}: {entry.node_id} ({entry.command}; {entry.observed}; {entry.issue})"
+            )
         for problem in self.problems(reported_tests(terminalreporter.config)):
             terminalreporter.line(f"error: {problem}", red=True)
 
