--- a/shedgrade/simulation/system/caller.py
+++ b/shedgrade/simulation/system/caller.py
@@ -1,8 +1,9 @@
-"""Callers of the control plane's HTTP interface as the platform's pages describe them.
+"""Callers of the control plane's HTTP interface, which behave as the platform's pages describe.
 
-Source: PROTOCOL, "The operator's API". A caller picks a member from a list that lags, follows 307 twice, goes
-on to another member after a failure, a 5xx, 408 or 429, or a second of silence, pauses for a growing time,
-and sends a call that got no clear answer again as it was. Answers may be lost on their way.
+Source: PROTOCOL, "The operator's API". A caller picks a core member from a list that may be out of date and
+follows up to two 307 redirects. After a failure, a 5xx, 408 or 429, or a second without data, it waits for an
+exponential backoff and sends the same request to another member, until it gets a definite response. Responses
+may be lost on their way.
 """
 
 from __future__ import annotations
@@ -18,19 +19,19 @@
 from shedgrade.simulation.system.history import Attempt, Operation
 from shedgrade.simulation.system.process_loop import ProcessLoop
 
-ATTEMPT_TIMEOUT_S = 1.0  # without an answer, after which a caller goes on
-MEGABYTE_TIMEOUT_S = 2.0  # more for each megabyte of a body
+ATTEMPT_TIMEOUT_S = 1.0  # time without received data after which an attempt fails
+MEGABYTE_TIMEOUT_S = 2.0  # added to the timeout for each megabyte of the request body
 FIRST_BACKOFF_S, LONGEST_BACKOFF_S = 0.05, 1.0
 BACKOFF_FACTOR = 1.6
 MOST_REDIRECTS = 2
 TEMPORARY_REDIRECT = 307
-RETRYABLE = frozenset((408, 429))  # and all 5xx
+RETRYABLE = frozenset((408, 429))  # all 5xx are retryable too
 FINAL = frozenset((400, 409, 412, 413, 422))
-MOST_OTHER_REJECTIONS = 3  # attempts that may get any other 4xx
+MOST_OTHER_REJECTIONS = 3  # responses with any other 4xx after which the call ends
 
 
 class MemberAddress(NamedTuple):
-    """A core member, as it stands in an operator's list."""
+    """A core member in an operator's list."""
 
     name: str
     ip: str
@@ -38,7 +39,14 @@
 
 @dataclass(frozen=True, slots=True)
 class Request:
-    """`target`: the path; `base`: for If-Match, None: none is sent."""
+    """An HTTP request.
+
+    Attributes:
+        method: HTTP method.
+        target: path and query.
+        body: request body.
+        base: configuration version sent in If-Match; None omits the header.
+    """
 
     method: str
     target: str
@@ -46,7 +54,7 @@
     base: int | None = None
 
     def encoded(self, host: str) -> bytes:
-        """As HTTP/1.1."""
+        """Returns the request encoded as HTTP/1.1, with `host` in its Host header."""
         lines = [
             f"{self.method} {self.target} HTTP/1.1",
             f"Host: {host}",
@@ -59,7 +67,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Response:
-    """A whole answer."""
+    """A complete HTTP response. `location`: value of the Location header, or ""."""
 
     status: int
     body: bytes
@@ -67,17 +75,17 @@
 
     @property
     def is_retryable(self) -> bool:
-        """It leaves open whether the request was carried out, or asks for another attempt."""
+        """Whether the response leaves open if the request was carried out, or asks for a retry."""
         return self.status >= 500 or self.status in RETRYABLE
 
     @property
     def is_final(self) -> bool:
-        """Another attempt would get the same answer."""
+        """Whether a retry would get the same response."""
         return self.status in FINAL or not 400 <= self.status < 500
 
 
 class ResponseReader(asyncio.Protocol):
-    """Reads one answer into `answer`. `on_data` is called whenever bytes come."""
+    """Reads one response into the future `answer`. `on_data` is called whenever data is received."""
 
     def __init__(self, loop: asyncio.AbstractEventLoop) -> None:
         self.answer: asyncio.Future[Response] = loop.create_future()
@@ -87,47 +95,50 @@
         self.on_data: Callable[[], None] = lambda: None
 
     def data_received(self, data: bytes) -> None:
-        """Bytes of the answer."""
+        """Parses received data; data that isn't HTTP fails the response with a ConnectionError."""
         self.on_data()
         try:
             self.parser.feed_data(data)
         except httptools.HttpParserError as failure:
-            self.fail(ConnectionError(f"no HTTP: {failure}"))
+            self.fail(ConnectionError(f"invalid HTTP response: {failure}"))
 
     def on_header(self, name: bytes, value: bytes) -> None:
-        """Called by the parser."""
+        """Parser callback: keeps the Location header."""
         if name.lower() == b"location":
             self.location = value.decode()
 
     def on_body(self, body: bytes) -> None:
-        """Called by the parser."""
+        """Parser callback: keeps a part of the body."""
         self.body.append(body)
 
     def on_message_complete(self) -> None:
-        """Called by the parser: the answer is complete."""
+        """Parser callback: the response is complete."""
         if not self.answer.done():
             self.answer.set_result(
                 Response(self.parser.get_status_code(), b"".join(self.body), self.location)
             )
 
     def connection_lost(self, error: Exception | None) -> None:
-        """The connection has ended; without a complete answer this is a failure."""
+        """Fails the response if the connection ended before it was complete."""
         self.fail(error or ConnectionError("closed"))
 
     def fail(self, failure: Exception) -> None:
-        """No answer will come."""
+        """Sets `failure` as the outcome, unless there is an outcome already."""
         if not self.answer.done():
             self.answer.set_exception(failure)
 
 
 class Caller:
-    """Carries out the calls of one operator.
+    """Sends the requests of one operator.
 
     Attributes:
-        members: the core members in the operator's list.
-        port: of the members' HTTP interface.
-        answers_lost: the share of answers that never come.
-        timeout_s: without an answer, after which an attempt is given up.
+        loop: event loop that the caller runs on.
+        name: name of the operator.
+        members: returns the core members in the operator's list.
+        port: port of the members' HTTP interface.
+        random: source of the random choices.
+        answers_lost: probability that a response is lost.
+        timeout_s: time without received data after which an attempt fails, seconds.
     """
 
     def __init__(
@@ -151,7 +162,11 @@
     async def call(
         self, operation: Operation, request: Request, until: float, first: MemberAddress | None = None
     ) -> Response | None:
-        """Sends a request until there is a clear answer, at the loop's time `until` at the latest."""
+        """Sends a request, with retries, until it gets a definite response.
+
+        Returns None if there is none by the loop's time `until`, in seconds. `first` is the member of the
+        first attempt; without it the member is chosen at random.
+        """
         backoff = FIRST_BACKOFF_S
         last: MemberAddress | None = None
         rejections = 0
@@ -172,7 +187,10 @@
         return None
 
     async def follow(self, operation: Operation, request: Request, member: MemberAddress) -> Response | None:
-        """Sends a request to a member, and to where that redirects it."""
+        """Sends a request to a member and follows its redirects.
+
+        Returns None if an attempt failed, or after more than MOST_REDIRECTS redirects.
+        """
         name, ip = member
         port = self.port
         for _ in range(1 + MOST_REDIRECTS):
@@ -189,7 +207,10 @@
     async def attempt(
         self, operation: Operation, request: Request, name: str, ip: str, port: int
     ) -> Response | None:
-        """One attempt at one member. None: it failed, timed out, or its answer was lost."""
+        """Sends a request to one member once, and records the attempt in the operation.
+
+        Returns None if it failed or timed out, or if the response was lost.
+        """
         time = self.loop.virtual_time
         attempt = Attempt(name, time.now)
         operation.attempts.append(attempt)
@@ -206,11 +227,11 @@
                 if self.random.random() < self.answers_lost:
                     attempt.failure = "answer lost"
                     if self.random.random() < 0.5:
-                        await self.loop.create_future()  # it never comes
-                    return None  # the connection ended instead
+                        await self.loop.create_future()  # never done, so the attempt times out
+                    return None  # as if the connection had ended before the response
             attempt.status = response.status
             return response
-        except OSError as failure:  # a TimeoutError too
+        except OSError as failure:  # includes TimeoutError
             attempt.failure = attempt.failure or type(failure).__name__
             return None
         finally:
--- a/shedgrade/simulation/system/clients.py
+++ b/shedgrade/simulation/system/clients.py
@@ -1,8 +1,8 @@
-"""Clients that ask the directory where to go, as the platform's pages describe them.
+"""Clients that look up edges at the directories, as the platform's pages describe them.
 
-Source: PROTOCOL, "Ingress". A client asks the directories one after the other, its own region's first, gives
-each a second, and takes the first answer that names edges. What each directory answered is kept in the
-history; no request follows.
+Source: PROTOCOL, "Ingress". A client asks the directories one after the other, those of its own region first,
+waits for each up to one second, and uses the first response that lists edges. The history records each
+directory's response; the client sends no request to the edges.
 """
 
 from __future__ import annotations
@@ -24,12 +24,24 @@
     from shedgrade.simulation.system.simulated_system import SimulatedSystem
 
 DIRECTORY_TIMEOUT_S = 1.0
-MOST_DIRECTORIES = 3  # that one look-up asks
-LOOKUP_INTERVAL_S = 0.25  # many clients ask, each once a second
+MOST_DIRECTORIES = 3  # directories asked in one look-up
+LOOKUP_INTERVAL_S = 0.25  # mean pause; it stands for many clients with one look-up a second each
 
 
 class Client:
-    """Looks its host up until `stopped`."""
+    """Looks up HOST repeatedly until `stopped` is set.
+
+    Attributes:
+        system: the simulated system.
+        name: name of the client.
+        loop: event loop that the client runs on.
+        zone: zone that the client is in.
+        region: region that the client is in.
+        port: port of the directories.
+        random: source of the random choices.
+        stopped: whether the client stops after the current look-up.
+        task: task that performs the look-ups; None before the start.
+    """
 
     def __init__(
         self,
@@ -41,7 +53,7 @@
         port: int,
         random: Random,
     ) -> None:
-        """`port`: the directories'."""
+        """Creates a client that doesn't look up yet."""
         self.system = system
         self.name = name
         self.loop = loop
@@ -53,30 +65,30 @@
         self.task: asyncio.Task[None] | None = None
 
     def start(self) -> None:
-        """Begins to look up."""
+        """Starts the look-ups."""
         self.task = self.loop.create_task(self.look_up_repeatedly())
 
     async def look_up_repeatedly(self) -> None:
-        """Looks up until the client is stopped."""
+        """Looks up, with random pauses, until the client is stopped."""
         while not self.stopped:
             await self.look_up()
             await asyncio.sleep(LOOKUP_INTERVAL_S * self.random.uniform(0.5, 1.5))
 
     async def look_up(self) -> None:
-        """Asks the nearest directories in turn until one names edges."""
+        """Asks the directories in turn until one lists edges."""
         for machine in self.directories():
             resolution = await self.ask(machine.name, machine.host.ip)
             if resolution.addresses:
                 return
 
     def directories(self) -> list[Machine[ControlPlane]]:
-        """Core machines in the order in which they are asked, those of the own region first."""
+        """Returns the core machines to ask, in order; those of the client's region come first."""
         return sorted(self.system.cores, key=lambda machine: machine.host.region != self.region)[
             :MOST_DIRECTORIES
         ]
 
     async def ask(self, directory: str, ip: str) -> Resolution:
-        """One directory's answer, which the history keeps."""
+        """Asks one directory, and records its response in the history."""
         target = f"/resolution?name={HOST}&region={self.region}&zone={self.zone}"
         invoked_at = self.loop.virtual_time.now
         status: int | None = None
@@ -92,7 +104,7 @@
             status = response.status
             if status == 200:
                 addresses = tuple(orjson.loads(response.body)["addressList"])
-        except OSError:  # a TimeoutError too
+        except OSError:  # includes TimeoutError
             pass
         finally:
             if transport is not None:
--- a/shedgrade/simulation/system/configurations.py
+++ b/shedgrade/simulation/system/configurations.py
@@ -1,4 +1,4 @@
-"""Configurations of a stated size, told apart by a label of their own."""
+"""Configurations for the simulation, of a given size and each with a label of its own."""
 
 from __future__ import annotations
 
@@ -6,13 +6,13 @@
 
 import orjson
 
-HOST = "rota.example"  # of every route
+HOST = "rota.example"  # host of every route
 LABEL = re.compile(rb'"label":"([^"]*)"')
 VERSION = re.compile(rb'"configVersion":(\d+)')
 
 
 def first_route(label: str) -> dict[str, object]:
-    """The route that every configuration has; it bears the label, in a field that nobody knows."""
+    """Returns the route that every configuration has. The label is in a field that the programs ignore."""
     return {
         "label": label,
         "name": "r",
@@ -28,13 +28,19 @@
 
 
 def delta(version: int, label: str) -> bytes:
-    """A change of the first route alone, on top of a configuration made here."""
+    """Returns a delta that replaces only the first route of a configuration made by `configuration`."""
     return orjson.dumps({"configVersion": version, "addModify": {"routeList": [first_route(label)]}})
 
 
 def configuration(version: int, label: str, padding: int = 0, homes: tuple[str, ...] = ()) -> bytes:
-    """A valid configuration; `padding`: bytes that it is longer by, in a field that nobody knows; `homes`:
-    home regions of a second route, which is there only with them."""
+    """Returns a valid configuration, encoded as JSON.
+
+    Args:
+        version: the configuration's version.
+        label: the configuration's label.
+        padding: bytes added to its size, in a field that the programs ignore.
+        homes: home regions of a second route; without them there is only one route.
+    """
     home_routes = (
         [
             {
@@ -80,12 +86,12 @@
 
 
 def label_of(configuration: bytes) -> str:
-    """The label; "" if there is no configuration."""
+    """Returns the label of an encoded configuration, or "" if it is empty."""
     found = LABEL.search(configuration[:200])
     return found[1].decode() if found else ""
 
 
 def version_of(configuration: bytes) -> int:
-    """The version; 0 if there is no configuration."""
+    """Returns the version of an encoded configuration, or 0 if it is empty."""
     found = VERSION.search(configuration[:200])
     return int(found[1]) if found else 0
--- a/shedgrade/simulation/system/history.py
+++ b/shedgrade/simulation/system/history.py
@@ -1,6 +1,7 @@
-"""The history of a simulated day: what operators, edges and clients observed, in order of time.
+"""The history of a simulated run: what operators, edges and clients observed, in chronological order.
 
-Terms as in Jepsen: an operation is invoked by an operator and completes with a clear answer, or never.
+The terms are those of Jepsen: an operation is invoked by an operator, and completes with a definite response
+or never.
 """
 
 from __future__ import annotations
@@ -20,7 +21,7 @@
 
 
 class OperationKind(StrEnum):
-    """What an operator's call is about. The value is its HTTP method."""
+    """The kind of an operator's call. The value is its HTTP method."""
 
     PUT = "PUT"
     GET = "GET"
@@ -30,8 +31,15 @@
 
 @dataclass(slots=True)
 class Attempt:
-    """One request of an operation to one member. Times in s. `status` None: no answer was read; `failure`
-    says why."""
+    """One request of an operation to one member.
+
+    Attributes:
+        member: name of the core member.
+        invoked_at: when the request was sent, in virtual time (s).
+        completed_at: when the attempt ended, in virtual time (s); infinite until then.
+        status: HTTP status; None if no response was read.
+        failure: why no response was read, or "".
+    """
 
     member: str
     invoked_at: float
@@ -42,16 +50,23 @@
 
 @dataclass(slots=True)
 class Operation:
-    """An operator's call from its first attempt to its clear answer. Times in s.
+    """An operator's call from its first attempt to its definite response. Times are virtual, in seconds.
 
     Attributes:
-        base, version: of a configuration that is put.
-        key: tells apart two configurations of one version.
-        zone: of an evacuation.
-        completed_at: infinite as long as there is no clear answer; `status` is then None.
-        body_version, body_key: the configuration that a GET returned.
-        delta: a change of named items alone (`PATCH`).
-        repeat_of: the acknowledged operation that this one repeats.
+        operator: name of the operator.
+        kind: kind of the call.
+        invoked_at: when the call began.
+        base: for a PUT, the version that the configuration replaces.
+        version: for a PUT, the version of the configuration.
+        key: for a PUT, the label that tells apart configurations of the same version.
+        zone: for an evacuation or return, the zone.
+        completed_at: when the definite response arrived; infinite without one.
+        status: HTTP status of the definite response; None without one.
+        body_version: for a GET, the version of the configuration returned.
+        body_key: for a GET, the label of the configuration returned.
+        delta: whether only named items of the configuration change (`PATCH`).
+        attempts: the requests sent, in order.
+        repeat_of: the acknowledged operation that this one repeats; None if it repeats none.
     """
 
     operator: str
@@ -71,13 +86,21 @@
 
     @property
     def acknowledged(self) -> bool:
-        """The answer was a success."""
+        """Whether the call succeeded."""
         return self.status is not None and 200 <= self.status < 300
 
 
 @dataclass(frozen=True, slots=True)
 class CommittedState:
-    """Control state that a member reported as committed: at `position`, first seen at `at` (s)."""
+    """Control state that a member reported as committed.
+
+    Attributes:
+        position: position in the replicated log.
+        version: version of the configuration.
+        key: label of the configuration.
+        evacuations: evacuated zones.
+        at: when a member first reported it, in virtual time (s).
+    """
 
     position: Position
     version: int
@@ -86,13 +109,13 @@
     at: float
 
     def is_same_state(self, other: CommittedState) -> bool:
-        """Whether two reports are of the same control state, whenever it was seen."""
+        """Whether two reports describe the same control state; the time of the report is ignored."""
         own = (self.position, self.version, self.key, self.evacuations)
         return own == (other.position, other.version, other.key, other.evacuations)
 
 
 class EdgeView(NamedTuple):
-    """What an edge had in force from `at` (s) on, in its `incarnation`-th process."""
+    """The control state that an edge applied at `at` (s), in its `incarnation`-th process."""
 
     at: float
     edge: str
@@ -104,8 +127,15 @@
 
 
 class WatchAnswer(NamedTuple):
-    """A core member's answer to the watch of an edge at `at` (s): with it the edge holds the control state at
-    `position`, which the member calls the newest as of `confirmed_at` (s)."""
+    """A core member's response to an edge's watch request. Times are virtual, in seconds.
+
+    Attributes:
+        at: when the member responded.
+        member: name of the core member.
+        edge: name of the edge.
+        position: position of the control state that the edge holds with this response.
+        confirmed_at: time at which the member confirms that this state was the newest.
+    """
 
     at: float
     member: str
@@ -116,8 +146,17 @@
 
 @dataclass(frozen=True, slots=True)
 class Resolution:
-    """One directory's answer to a client of `region`. Times in s. `status` None: no answer was read.
-    `addresses`: the edges that it names, "ip:port"."""
+    """A directory's response to a client's look-up. Times are virtual, in seconds.
+
+    Attributes:
+        client: name of the client.
+        region: region of the client.
+        directory: name of the core machine asked.
+        invoked_at: when the request was sent.
+        completed_at: when the attempt ended.
+        status: HTTP status; None if no response was read.
+        addresses: the edges in the response, as "ip:port".
+    """
 
     client: str
     region: str
@@ -129,7 +168,7 @@
 
 
 class OpenSpan:
-    """From `start` (s) to `end`, which is infinite as long as the span is open."""
+    """The virtual time from `start` to `end`, in seconds; `end` is infinite while the span is open."""
 
     __slots__ = ("start", "end")
 
@@ -139,25 +178,28 @@
 
     @property
     def is_open(self) -> bool:
-        """It has no end yet."""
+        """Whether the span has no end yet."""
         return self.end == FOREVER
 
 
 class History:
-    """All that was observed in one day.
+    """Everything observed in one run. Times are virtual, in seconds.
 
     Attributes:
-        operations: operators' calls in the order of their invocations.
-        views: what edges had in force, in order of time.
-        watch_answers: core members' answers to edges that vouch for a state.
-        resolutions: directories' answers.
+        time: the virtual clock.
+        operations: operators' calls, ordered by invocation.
+        views: control states that edges applied, in chronological order.
+        watch_answers: core members' responses that confirm a state as the newest to an edge.
+        resolutions: directories' responses to look-ups.
         events: the trace.
-        violations: what was found wrong during the day.
-        unstable_spans: when faults of the core were active; it need not be available then.
-        isolated: by member, when it reached no majority of the core.
-        out_of_touch: by edge, when it was out of reach of some member with a majority.
-        end: when the day ended (s).
-        trace: events are printed.
+        violations: violations found during the run.
+        unstable_spans: spans with an active fault of the core; the core need not be available in them.
+        isolated: by member, spans in which it reached no majority of the core, neither itself nor through
+            another member.
+        out_of_touch: by edge, spans in which it didn't run, no core member reached a majority, or the edge
+            couldn't reach every member that did.
+        end: when the run ended; infinite before.
+        trace: whether events are printed.
     """
 
     def __init__(self, time: VirtualTime) -> None:
@@ -181,7 +223,7 @@
             print(f"{self.time.now:9.3f} {event} {subject}")
 
     def digest(self) -> str:
-        """Equal for two days that went alike, to the last operation."""
+        """Returns a hash of operations, edge states and events; equal for two runs that did the same."""
         operations = [
             (
                 operation.operator,
--- a/shedgrade/simulation/system/host.py
+++ b/shedgrade/simulation/system/host.py
@@ -1,4 +1,4 @@
-"""A machine's place in the simulated network."""
+"""A machine's host in the simulated network."""
 
 from __future__ import annotations
 
@@ -6,14 +6,15 @@
 
 
 class Host:
-    """One host, by its IP.
+    """One host, identified by its IP address.
 
     Attributes:
-        region: paths between regions are longer.
-        bandwidth: bytes a second that leave it; 0: unlimited.
-        powered: its kernel works, whether or not a process runs.
-        busy_until: when its link has sent all that it was given.
-        extra_delay_s: added to the delay of all its paths.
+        ip: IP address.
+        region: region of the host; paths between regions have a longer delay.
+        bandwidth: rate at which it sends, bytes per second; 0 means unlimited.
+        powered: whether the host has power, so that its kernel responds even while no process runs.
+        busy_until: virtual time at which its link has sent all data queued so far, seconds.
+        extra_delay_s: delay added to all its paths, seconds.
     """
 
     def __init__(self, ip: str, region: str, bandwidth: float = 0.0) -> None:
