--- a/shedgrade/simulation/system/checkers.py
+++ b/shedgrade/simulation/system/checkers.py
@@ -1,7 +1,7 @@
-"""Checkers of a simulated day. Each returns its findings.
+"""Checkers of the history of a simulated run. Each returns its findings.
 
-The order of all changes is known from the control states that members reported as committed, by their
-position (epoch, sequence); all else is what operators and edges observed.
+The order of all changes follows from the control states that members reported as committed, by their position
+(epoch, sequence). Everything else is what operators and edges observed.
 """
 
 from __future__ import annotations
@@ -14,13 +14,16 @@
 from shedgrade.simulation.system.simulated_system import SimulatedSystem
 from shedgrade.simulation.system.state_checkers import check_states
 
-STABLE_AFTER_S = 4.0  # without a fault, until the core counts as stable
-ACKNOWLEDGE_WITHIN_S = 5.0  # of an order while the core is stable
+STABLE_AFTER_S = 4.0  # time without a fault after which the core counts as stable
+ACKNOWLEDGE_WITHIN_S = 5.0  # time within which a stable core acknowledges a command
 OK, NOT_FOUND = 200, 404
 
 
 def check(system: SimulatedSystem, timely: bool) -> list[Finding]:
-    """All violations. `timely`: times are checked too, for days within what is tolerated."""
+    """Returns all violations.
+
+    `timely`: whether latency is checked too; only for runs in which losses stay within the tolerated number.
+    """
     history = system.history
     states = [system.committed_states[position] for position in sorted(system.committed_states)]
     violations = [*history.violations, *system.faults(), *system.monitor.check()]
@@ -39,7 +42,7 @@
 
 
 def known_version(operation: Operation) -> int:
-    """The version that every later read must return at the least, by this operation."""
+    """Returns the lowest version that a read may return if it is invoked after this operation completed."""
     if operation.kind is OperationKind.PUT and operation.acknowledged and operation.repeat_of is None:
         return operation.version
     if operation.kind is OperationKind.GET and operation.status == OK:
@@ -48,7 +51,7 @@
 
 
 def check_reads(history: History) -> list[Finding]:
-    """A read returns nothing older than what was acknowledged, or read, before it was invoked."""
+    """Checks that a read returns no version older than one acknowledged or read before it was invoked."""
     violations: list[Finding] = []
     completed = [operation for operation in history.operations if operation.status is not None]
     completed.sort(key=lambda operation: operation.completed_at)
@@ -62,15 +65,19 @@
             taken_in += 1
         version = read.body_version if read.status == OK else 0
         if read.status not in (OK, NOT_FOUND):
-            violations.append(Finding(FindingKind.READ_FAILED, f"at {read.invoked_at:.3f}: {read.status}"))
+            violations.append(
+                Finding(FindingKind.READ_FAILED, f"read at {read.invoked_at:.3f} got status {read.status}")
+            )
         elif version < known:
-            detail = f"at {read.invoked_at:.3f}: {version} after {known}"
+            detail = (
+                f"read at {read.invoked_at:.3f} returned version {version} after version {known} was known"
+            )
             violations.append(Finding(FindingKind.STALE_READ, detail))
     return violations
 
 
 def check_isolated_members(history: History) -> list[Finding]:
-    """A member confirms nothing in a request that began and ended while it reached no majority."""
+    """Checks that a member reports no success for an attempt throughout which it reached no majority."""
     return [
         Finding(
             FindingKind.ISOLATED_CONFIRMATION,
@@ -84,13 +91,13 @@
 
 
 def is_isolated(history: History, attempt: Attempt) -> bool:
-    """Whether the member of an attempt reached no majority throughout."""
+    """Whether the member reached no majority for the whole duration of an attempt."""
     spans = history.isolated.get(attempt.member, ())
     return any(span.start < attempt.invoked_at and attempt.completed_at < span.end for span in spans)
 
 
 def check_all_completed(history: History) -> list[Finding]:
-    """No operation is under way at the end."""
+    """Checks that every operation has completed at the end."""
     return [
         Finding(
             FindingKind.NEVER_COMPLETED,
@@ -103,7 +110,7 @@
 
 
 def check_latency(history: History) -> list[Finding]:
-    """No order waits for longer than ACKNOWLEDGE_WITHIN_S while the core is stable."""
+    """Checks that no command waits longer than ACKNOWLEDGE_WITHIN_S while the core is stable."""
     violations: list[Finding] = []
     orders = [operation for operation in history.operations if operation.kind is not OperationKind.GET]
     for start, end in stable_spans(history.unstable_spans, history.end, STABLE_AFTER_S):
--- a/shedgrade/simulation/system/directory_checkers.py
+++ b/shedgrade/simulation/system/directory_checkers.py
@@ -1,7 +1,7 @@
-"""Whether the directory's answers kept their promises. Each check returns its findings.
+"""Checkers of the directory's responses. Each returns its findings.
 
-Sources: RULES, HOME and DRAIN: a request with home regions goes to a machine there or in its client's own
-region, and no machine is named long after it has ended.
+Sources: RULES, HOME and DRAIN: a request with home regions goes to a machine in a home region or in its
+client's own region, and directories stop listing a machine soon after it has ended.
 """
 
 from __future__ import annotations
@@ -11,12 +11,13 @@
 from shedgrade.simulation.system.history import FOREVER, History, Resolution
 from shedgrade.simulation.system.simulated_system import SimulatedSystem
 
-NAMED_AFTER_END_S = 7.0  # after a machine's end beyond which nobody is sent there: contactMs and 3 s
-STARTS, ENDS = ("start",), ("ended", "kill", "power lost")  # events of machines
+# Time after the end of an edge's process from which directories must not list it: contactMs plus 3 s.
+NAMED_AFTER_END_S = 7.0
+STARTS, ENDS = ("start",), ("ended", "kill", "power lost")  # events of machines in the trace
 
 
 def check_directory(system: SimulatedSystem) -> list[Finding]:
-    """All violations by answers to look-ups."""
+    """Returns all violations in the directories' responses."""
     regions = {machine.host.ip: machine.host.region for machine in system.edges}
     spans = down_spans(system.history)
     names = {machine.host.ip: machine.name for machine in system.edges}
@@ -29,7 +30,7 @@
 
 
 def check_regions(resolution: Resolution, regions: list[str], homes: tuple[str, ...]) -> list[Finding]:
-    """Regions that are neither a home nor the client's."""
+    """Checks that all listed edges are in a home region or in the client's region."""
     if not homes:
         return []
     abroad = sorted({region for region in regions if region != resolution.region and region not in homes})
@@ -46,11 +47,11 @@
 def check_liveness(
     resolution: Resolution, edges: list[str], spans: dict[str, list[TimeSpan]]
 ) -> list[Finding]:
-    """Edges whose process ended more than NAMED_AFTER_END_S before the look-up, and has not started since."""
+    """Checks that no listed edge had ended more than NAMED_AFTER_END_S before the look-up and stayed down."""
     return [
         Finding(
             FindingKind.ENDED_EDGE_LISTED,
-            f"{resolution.directory} names {edge} at {resolution.completed_at:.3f}, which ended at "
+            f"{resolution.directory} lists {edge} at {resolution.completed_at:.3f}, although it ended at "
             f"{ended:.3f}",
         )
         for edge in edges
@@ -60,7 +61,7 @@
 
 
 def down_spans(history: History) -> dict[str, list[TimeSpan]]:
-    """By machine: from the end of a process to the next start."""
+    """Returns, by machine, the spans from the end of a process to the next start."""
     ended: dict[str, float] = {}
     spans: dict[str, list[TimeSpan]] = {}
     for at, what, machine in history.events:
--- a/shedgrade/simulation/system/edge_checkers.py
+++ b/shedgrade/simulation/system/edge_checkers.py
@@ -1,4 +1,4 @@
-"""Checkers of what edges had in force. Each returns its findings."""
+"""Checkers of the control states that edges applied. Each returns its findings."""
 
 from __future__ import annotations
 
@@ -7,20 +7,20 @@
 from shedgrade.simulation.system.findings import Finding, FindingKind
 from shedgrade.simulation.system.history import CommittedState, EdgeView, History, OperationKind
 
-STABLE_AFTER_S = 4.0  # in touch, until an edge is held to what it must learn
-APPLY_WITHIN_S = 9.0  # an edge in touch has what was acknowledged, also beside an unstable core
+STABLE_AFTER_S = 4.0  # time in touch with the core after which an edge must follow its changes
+APPLY_WITHIN_S = 9.0  # time within which an edge in touch applies a change, even if the core is unstable
 
 
 def check_edges(history: History) -> list[Finding]:
-    """Within one process, an edge's control state only gets newer, and so do its configurations."""
+    """Checks that an edge's control state and configuration never become older within one process."""
     violations: list[Finding] = []
     last: dict[tuple[str, int], EdgeView] = {}
     for view in history.views:
         before = last.get((view.edge, view.incarnation))
         if before is not None and (view.position <= before.position or view.version < before.version):
             detail = (
-                f"{view.edge} at {view.at:.3f}: {before.position} {before.version}, "
-                f"then {view.position} {view.version}"
+                f"{view.edge} at {view.at:.3f}: {before.position} with version {before.version}, "
+                f"then {view.position} with version {view.version}"
             )
             violations.append(Finding(FindingKind.EDGE_REGRESSION, detail))
         last[view.edge, view.incarnation] = view
@@ -28,7 +28,7 @@
 
 
 def check_edges_in_time(history: History) -> list[Finding]:
-    """An edge that is in touch has what was acknowledged within APPLY_WITHIN_S."""
+    """Checks that an edge in touch applies each acknowledged configuration within APPLY_WITHIN_S."""
     violations: list[Finding] = []
     views: dict[str, list[EdgeView]] = {}
     for view in history.views:
@@ -46,7 +46,7 @@
                 continue
             if not any(view.version >= operation.version and view.at <= end for view in views.get(edge, ())):
                 detail = (
-                    f"{edge} has not learnt {operation.version}, acknowledged at "
+                    f"{edge} has not applied version {operation.version}, acknowledged at "
                     f"{operation.completed_at:.3f}, by {end:.3f}"
                 )
                 violations.append(Finding(FindingKind.EDGE_OUTDATED, detail))
@@ -54,12 +54,12 @@
 
 
 def check_edges_at_end(history: History, edges: Iterable[str], final: CommittedState) -> list[Finding]:
-    """Every edge has the last committed state at the end."""
+    """Checks that every edge has applied the last committed state at the end."""
     violations: list[Finding] = []
     last = {view.edge: view for view in history.views}
     for edge in edges:
         view = last.get(edge)
         if view is None or (view.version, frozenset(view.evacuations)) != (final.version, final.evacuations):
-            detail = f"{edge} never learns {final.position} {final.version}, it has {view}"
+            detail = f"{edge} never applied {final.position} with version {final.version}; it has {view}"
             violations.append(Finding(FindingKind.EDGE_OUTDATED, detail))
     return violations
