--- a/shedgrade/simulation/system/disk.py
+++ b/shedgrade/simulation/system/disk.py
@@ -1,7 +1,7 @@
-"""The disk of a simulated core machine as its process drives it: writes in order, each takes its time.
+"""The disk of a simulated core machine, as its process uses it: writes run in order and take virtual time.
 
-The files are `simulation/disk.py`'s, below the program's own `Store`. A process that ends, or a machine that
-loses power, ends the write under way between any two operations on files, or within one.
+The files are those of `simulation/disk.py`, accessed by the program's own `Store`. When a process ends, or
+its machine loses power, the write in progress is interrupted between two file operations, or within one.
 """
 
 from __future__ import annotations
@@ -18,28 +18,35 @@
 
 WriteDone = Callable[[int, bool], None]  # (token, whether the write succeeded)
 
-MOST_OPERATIONS = 8  # of a write that are done before a crash, at the most
+MOST_OPERATIONS = 8  # file operations of a write that a crash lets through, at most
 
 
 class CrashError(BaseException):
-    """The process ends here."""
+    """Interrupts a write at a file operation, because the process ended."""
 
 
 class QueuedWrite(NamedTuple):
-    """Changes that are to be made durable together; None removes a key."""
+    """A batch of changes to be made durable together.
+
+    Attributes:
+        token: identifies the write in the completion callback.
+        changes: new value by key; None removes the key.
+    """
 
     token: int
     changes: Mapping[str, bytes | None]
 
 
 class MachineDisk:
-    """The files of one machine, and how fast they are.
+    """The files of one machine, and the speed of its disk.
 
     Attributes:
-        latency_s: mean time of a usual write.
-        slowness: multiplies it; 1.0 without faults.
-        stalled: writes hang.
-        worker: of the process that runs, None while none does.
+        random: source of the random choices.
+        latency_s: mean duration of a write without faults, seconds.
+        files: content of the disk.
+        slowness: factor by which a write takes longer; 1.0 without faults.
+        stalled: whether writes hang.
+        worker: the worker of the running process; None while no process runs.
     """
 
     def __init__(self, random: Random, latency_s: float) -> None:
@@ -51,28 +58,28 @@
         self.worker: DiskWorker | None = None
 
     def set_stalled(self, stalled: bool) -> None:
-        """Writes hang until this is called with False."""
+        """Sets whether writes hang. Once they no longer do, the queued writes proceed."""
         self.stalled = stalled
         if not stalled and self.worker is not None:
             self.worker.begin()
 
     def crash(self) -> None:
-        """The process ends. What it was writing is there up to some operation."""
+        """Handles the end of the process: the write in progress is interrupted at a random file operation."""
         worker, self.worker = self.worker, None
         if worker is not None:
             worker.crash()
 
 
 class DiskWorker:
-    """Stands for `controlplane.disk.Disk`: in place of a thread, events of virtual time.
+    """Replaces `controlplane.disk_thread.DiskThread`: writes are events of virtual time in place of a thread.
 
     Attributes:
-        queue: writes that are not done yet; the first is under way while `busy`.
-        busy: a write is under way.
+        queue: writes that aren't done; the first is in progress while `busy` is true.
+        busy: whether a write is in progress.
     """
 
     def __init__(self, machine_disk: MachineDisk, loop: ProcessLoop, store: Store, done: WriteDone) -> None:
-        """`done(token, succeeded)` is called on the loop after each write."""
+        """Creates the worker. `done(token, succeeded)` is called on the loop after each write."""
         self.machine_disk = machine_disk
         self.loop = loop
         self.store = store
@@ -82,11 +89,11 @@
         machine_disk.worker = self
 
     def start(self) -> None:
-        """Nothing to start: there is no thread."""
+        """Does nothing: there is no thread to start."""
 
     def check_invariants(self) -> None:
-        """AssertionError if the attributes contradict each other."""
-        assert not self.busy or self.queue, "a write is under way, and none is queued"
+        """Raises AssertionError if the attributes contradict each other."""
+        assert not self.busy or self.queue, "a write is in progress although the queue is empty"
 
     def write(self, token: int, changes: Mapping[str, bytes | None]) -> None:
         """Queues a write."""
@@ -94,7 +101,7 @@
         self.begin()
 
     def begin(self) -> None:
-        """Begins the next write, if the disk is free."""
+        """Starts the next write if the disk is idle and isn't stalled."""
         disk = self.machine_disk
         if self.busy or disk.stalled or not self.queue or disk.worker is not self:
             return
@@ -103,11 +110,11 @@
         self.loop.virtual_time.after(delay, self.finish)
 
     def finish(self) -> None:
-        """The write under way is done."""
+        """Completes the write in progress, or later if the disk is stalled or the process is stopped."""
         disk = self.machine_disk
         if disk.worker is not self:
             return
-        if disk.stalled or self.loop.stopped:  # a stopped process's thread stands still too
+        if disk.stalled or self.loop.stopped:  # SIGSTOP stops all threads of a process, the disk thread too
             self.loop.virtual_time.after(disk.latency_s, self.finish)
             return
         token, changes = self.queue.popleft()
@@ -122,7 +129,7 @@
         self.begin()
 
     def crash(self) -> None:
-        """The process ends: the write under way is done up to some operation on files."""
+        """Performs the write in progress up to a random file operation, because the process ended."""
         disk = self.machine_disk
         if not self.queue or not self.busy:
             return
@@ -143,5 +150,5 @@
             disk.files.on_operation = before
 
     def close(self) -> None:
-        """Nothing more is written."""
+        """Drops the queued writes."""
         self.queue.clear()
--- a/shedgrade/simulation/system/machine.py
+++ b/shedgrade/simulation/system/machine.py
@@ -1,4 +1,4 @@
-"""Simulated machines and the processes on them: started, stopped, killed, without power, with new disks."""
+"""Simulated machines and their processes: start, stop, kill, loss of power and replacement of the disk."""
 
 from __future__ import annotations
 
@@ -19,12 +19,12 @@
 if TYPE_CHECKING:
     from shedgrade.simulation.system.simulated_system import SimulatedSystem
 
-EPOCH = 1_790_000_000.0  # the time of day, s since 1970, when virtual time is 0
-RESTART_DELAY_S = 0.3  # until the platform starts a process again that has ended
+EPOCH = 1_790_000_000.0  # time of day at virtual time 0, seconds since 1970
+RESTART_DELAY_S = 0.3  # time until the platform restarts a process that has ended
 
 
 class Program(Protocol):
-    """What runs on a machine."""
+    """A program that runs on a machine."""
 
     async def serve(self) -> None:
         """Serves until the program ends by itself."""
@@ -34,21 +34,28 @@
 
 
 class Machine(Generic[ProgramT]):
-    """One machine and its process. `make_program(loop, machine)` makes the program.
+    """One machine and its process.
 
-    A process runs, is stopped (SIGSTOP), or there is none (`loop` is None).
+    The process runs, is stopped (SIGSTOP), or doesn't exist (`loop` is None).
 
     Attributes:
-        program: of the process that runs; None while there is none, and until its first event has run.
-        loop: the event loop of that process, None while there is none.
-        founding: the next start is the first of the whole system.
-        clock_skew: seconds by which the time of day is wrong.
-        incarnation: counts the starts of processes.
-        quota_exhausted: the process waits for the next period of its processor quota.
-        restarts: the platform starts a process again when it ends.
-        down_until: virtual time before which it does not.
-        kill_at: virtual time of the SIGKILL that follows the last SIGTERM, infinite before the first.
-        faults: contexts of exceptions that processes which have ended did not catch.
+        system: the simulated system.
+        name: name of the machine.
+        host: its host in the network.
+        make_program: returns a new program; called with the event loop and the machine at each start.
+        machine_disk: its disk; None if it has none.
+        random: source of the random choices.
+        program: program of the process; None while there is no process, or before its first event has run.
+        loop: event loop of the process; None while there is no process.
+        serving: task in which the last program serves.
+        founding: whether the next start is the first start of the whole system.
+        clock_skew: seconds added to the true time of day.
+        incarnation: number of processes started so far.
+        quota_exhausted: whether the process waits for the next period of its CPU quota.
+        restarts: whether the platform restarts the process when it ends.
+        down_until: virtual time before which the platform doesn't restart it, seconds.
+        kill_at: virtual time of the SIGKILL after the last SIGTERM, seconds; infinite before the first.
+        faults: contexts of exceptions that were not caught in processes that have ended.
     """
 
     def __init__(
@@ -79,45 +86,45 @@
 
     @property
     def running(self) -> bool:
-        """A process is there; it may be stopped."""
+        """Whether a process exists; it may be stopped."""
         return self.loop is not None
 
     @property
     def stopped(self) -> bool:
-        """A process is there, and stands still for longer than a quota makes it."""
+        """Whether a process exists and is stopped by SIGSTOP, not only by its CPU quota."""
         return self.loop is not None and self.loop.stopped and not self.quota_exhausted
 
     @property
     def responsive(self) -> bool:
-        """A process is there, and does not stand still."""
+        """Whether a process exists and is not stopped; waiting for its CPU quota doesn't count."""
         return self.loop is not None and not self.stopped
 
     @property
     def disk(self) -> MachineDisk:
-        """The disk of a machine that has one."""
+        """Returns the machine's disk; raises AssertionError if it has none."""
         assert self.machine_disk is not None, f"{self.name} has no disk"
         return self.machine_disk
 
     def check_invariants(self) -> None:
-        """AssertionError if the attributes contradict each other."""
+        """Raises AssertionError if the attributes contradict each other."""
         if self.loop is None:
-            assert self.program is None, "a program without a process"
+            assert self.program is None, "a program exists without a process"
         else:
-            assert self.host.powered, "a process on a machine without power"
-            assert self.loop.alive, "the process has ended, and its machine does not know"
+            assert self.host.powered, "a process exists on a machine without power"
+            assert self.loop.alive, "the process has ended but the machine still refers to it"
 
     def log_event(self, event: str) -> None:
         """Adds a line about this machine to the trace."""
         self.system.history.log(event, self.name)
 
     def time_of_day(self) -> float:
-        """Seconds since 1970, as the machine's clock shows them."""
+        """Returns the time of day that the machine's clock shows, in seconds since 1970."""
         return EPOCH + self.system.time.now + self.clock_skew
 
-    # --- its process
+    # --- process
 
     def start(self) -> None:
-        """Starts a process, if there is power and none runs."""
+        """Starts a process, if the machine has power and none exists."""
         if self.running or not self.host.powered:
             return
         self.incarnation += 1
@@ -128,13 +135,13 @@
         self.system.network.on_change()
 
     def run_program(self, loop: ProcessLoop) -> None:
-        """The first event of a process."""
+        """Makes and starts the program; this is the first event of a process."""
         self.program = self.make_program(loop, self)
         self.serving = loop.create_task(self.program.serve())
         self.serving.add_done_callback(lambda done: self.program_ended(loop, done))
 
     def program_ended(self, loop: ProcessLoop, task: asyncio.Future[None]) -> None:
-        """The program came to its end by itself."""
+        """Ends the process after its program ended by itself, and schedules a restart."""
         if loop is not self.loop:
             return
         if not task.cancelled() and task.exception() is not None:
@@ -145,13 +152,15 @@
             self.schedule_restart()
 
     def schedule_restart(self) -> None:
-        """The platform's part, once the process has ended."""
+        """Schedules the restart by the platform, after the process has ended."""
         delay = max(RESTART_DELAY_S, self.down_until - self.system.time.now)
         self.system.time.after(delay, self.start)
 
     def terminate(self, grace_s: float, down_s: float = 0.0) -> None:
-        """SIGTERM, and SIGKILL after the grace if the process has not ended by then. The platform starts it
-        again no sooner than `down_s` after the SIGTERM, however soon it ends."""
+        """Sends SIGTERM, and SIGKILL after `grace_s` if the process still exists then.
+
+        The platform restarts the process no sooner than `down_s` after the SIGTERM.
+        """
         loop = self.loop
         if loop is None or signal.SIGTERM not in loop.signal_handlers:
             return
@@ -162,14 +171,14 @@
         self.system.time.after(grace_s, self.kill_after_grace, loop)
 
     def kill_after_grace(self, loop: ProcessLoop) -> None:
-        """SIGKILL for a process that has not ended in its grace."""
+        """Sends SIGKILL if the process of `loop` still exists after the grace period."""
         if self.loop is loop:
             self.kill()
             if self.restarts:
                 self.schedule_restart()
 
     def kill(self) -> None:
-        """SIGKILL. The kernel closes what was open; files stay as they are."""
+        """Sends SIGKILL. The kernel closes the process's sockets; the files stay as they are."""
         if self.loop is None:
             return
         self.log_event("kill")
@@ -178,7 +187,7 @@
             handle.close()
 
     def end_process(self, loop: ProcessLoop) -> ProcessLoop:
-        """The process is gone; returns its loop, whose sockets are still open."""
+        """Ends the process without closing its sockets, and returns its loop."""
         self.loop = None
         self.program = None
         self.quota_exhausted = False
@@ -190,7 +199,7 @@
         return loop
 
     def stop(self) -> None:
-        """SIGSTOP: nothing runs; its kernel takes in what comes."""
+        """Sends SIGSTOP: the process stops, while its kernel still receives packets."""
         self.resume_quota()
         if self.loop is not None and not self.loop.stopped:
             self.log_event("stop")
@@ -198,19 +207,22 @@
             self.system.network.on_change()
 
     def exhaust_quota(self) -> None:
-        """Its share of the processor is spent: nothing runs, and nobody is told. Not while it is stopped."""
+        """Stops the process because its CPU quota is used up, unless it is stopped already.
+
+        `Network.on_change` isn't called: the process still counts as responsive.
+        """
         if self.loop is not None and not self.loop.stopped:
             self.quota_exhausted = True
             self.loop.stop_process()
 
     def resume_quota(self) -> None:
-        """The next period of the quota begins."""
+        """Continues the process at the start of the next period of its CPU quota."""
         if self.quota_exhausted and self.loop is not None:
             self.quota_exhausted = False
             self.loop.thaw(io_first=True)
 
     def thaw(self) -> None:
-        """SIGCONT."""
+        """Sends SIGCONT."""
         if self.loop is not None and self.loop.stopped:
             self.log_event("thaw")
             self.loop.thaw(io_first=self.random.random() < 0.5)
@@ -219,7 +231,7 @@
     # --- power and disk
 
     def lose_power(self) -> None:
-        """The process ends, nobody is told, and what was not synced may be gone."""
+        """Ends the process without closing its connections; data that wasn't synced may be lost."""
         if not self.host.powered:
             return
         self.log_event("power lost")
@@ -232,14 +244,14 @@
             self.machine_disk.files.power_loss(self.random)
 
     def power_up(self) -> None:
-        """Power is back, and a process starts."""
+        """Restores power and starts a process."""
         if not self.host.powered:
-            self.log_event("power")
+            self.log_event("power restored")
             self.host.powered = True
         self.start()
 
     def wipe(self) -> None:
-        """The disk is replaced by an empty one. Only without a process."""
+        """Replaces the disk by an empty one. The process must have ended."""
         self.log_event("wipe")
         self.disk.files.wipe()
         self.founding = False
@@ -248,7 +260,7 @@
 def control_plane(
     settings: Callable[[Machine[ControlPlane]], Settings], program_class: type[ControlPlane] = ControlPlane
 ) -> Callable[[ProcessLoop, Machine[ControlPlane]], ControlPlane]:
-    """Makes the real control plane of a core machine, on its simulated disk."""
+    """Returns a function that makes the real control plane of a core machine, on its simulated disk."""
 
     def make(loop: ProcessLoop, machine: Machine[ControlPlane]) -> ControlPlane:
         disk = machine.disk
@@ -271,7 +283,7 @@
 def data_plane(
     settings: Callable[[Machine[DataPlane]], Settings], program_class: type[DataPlane] = DataPlane
 ) -> Callable[[ProcessLoop, Machine[DataPlane]], DataPlane]:
-    """Makes the real data plane of an edge machine."""
+    """Returns a function that makes the real data plane of an edge machine."""
 
     def make(loop: ProcessLoop, machine: Machine[DataPlane]) -> DataPlane:
         return program_class(settings(machine), loop, Random(machine.random.getrandbits(64)))
--- a/shedgrade/simulation/system/network.py
+++ b/shedgrade/simulation/system/network.py
@@ -1,7 +1,8 @@
-"""The network between simulated machines: delays, bandwidth, cuts, datagrams that are lost.
+"""The network between simulated machines: delays, bandwidth, blocked paths and lost datagrams.
 
-A cut is silent. What TCP has under way behind it is held and sent again when the cut has ended; it is lost if
-its sender resets the connection or loses power. Datagrams in a cut are lost.
+Packets on a blocked path are dropped without notice. TCP data in flight is held and retransmitted once the
+path is unblocked; it is lost if its sender resets the connection or loses power. Datagrams on a blocked path
+are lost.
 """
 
 from __future__ import annotations
@@ -20,27 +21,34 @@
 from shedgrade.simulation.system.tcp_connection import Connection
 from shedgrade.simulation.system.virtual_time import VirtualTime
 
-SYN_RETRIES_S = (1.0, 2.0, 4.0, 8.0)  # until an opening packet that got no answer is sent again
-SWEEP_S = 0.25  # between two looks for connections whose time has run out
-MOST_DATAGRAMS = 64  # that a socket holds unread
-PACKET_DELAY_S = 0.00005  # of every packet, in the hosts
+SYN_RETRIES_S = (1.0, 2.0, 4.0, 8.0)  # delays before each retransmission of an unanswered SYN
+SWEEP_S = 0.25  # interval between two checks of the connections' timeouts
+MOST_DATAGRAMS = 64  # unread datagrams that a socket holds
+PACKET_DELAY_S = 0.00005  # processing time of a packet in the hosts
 FIRST_DESCRIPTOR = 1001
-FIRST_PORT, LAST_PORT = 32769, 60999  # of connecting sockets
+FIRST_PORT, LAST_PORT = 32769, 60999  # range of local ports of connecting sockets
 
 
 class Network:
-    """All hosts by IP, and what is under way between them.
+    """All hosts, and the sockets and connections between them.
 
     Attributes:
-        between_s, within_s: one-way delay between regions and within one, seconds.
-        jitter: share of the delay that is added at random, at most.
+        time: the virtual clock.
+        random: source of the random choices.
+        between_s: one-way delay between two regions, seconds.
+        within_s: one-way delay within a region, seconds.
+        jitter: greatest share of the delay that is added at random.
         datagram_loss: probability that a datagram is lost.
-        window: bytes that may be unread or under way in one direction of a connection.
-        blocked_paths: how many faults block a path (sender's IP, receiver's IP) now.
-        connections: those that are up, in order of their beginnings.
-        on_change: called when a path or a process came or went.
-        sockets: open ones by descriptor.
-        listeners, datagram_sockets: by their address.
+        window: bytes that may be unread or in flight in one direction of a connection.
+        hosts: hosts by IP address.
+        blocked_paths: number of faults that block a path now, by (sender's IP, receiver's IP).
+        connections: established connections, oldest first.
+        on_change: called when a path or a process has changed its state.
+        last_port: local port assigned last.
+        last_descriptor: descriptor assigned last.
+        sockets: open sockets by descriptor.
+        listeners: listening sockets by address.
+        datagram_sockets: transports of bound UDP sockets by address.
     """
 
     def __init__(
@@ -73,11 +81,11 @@
         time.after(SWEEP_S, self.sweep)
 
     def check_invariants(self) -> None:
-        """AssertionError if something of the network contradicts itself."""
-        assert all(count > 0 for count in self.blocked_paths.values()), "a path with no block"
+        """Raises AssertionError if the attributes contradict each other."""
+        assert all(count > 0 for count in self.blocked_paths.values()), "a path is kept although unblocked"
         assert all(handle.open for handle in self.sockets.values()), "a closed socket is kept"
         for connection in self.connections:
-            assert not connection.closed, "a connection that is over is kept"
+            assert not connection.closed, "a closed connection is kept"
             connection.check_invariants()
 
     def add(self, host: Host) -> Host:
@@ -88,22 +96,22 @@
     # --- paths
 
     def delay(self, sender: Host, receiver: Host, random: Random) -> float:
-        """Seconds that a packet is under way."""
+        """Returns the one-way delay of a packet, in seconds."""
         delay = self.within_s if sender.region == receiver.region else self.between_s
         jitter = 1 + self.jitter * random.random()
         return delay * jitter + sender.extra_delay_s + receiver.extra_delay_s + PACKET_DELAY_S
 
     def blocked(self, sender: Host, receiver: Host) -> bool:
-        """Whether a cut lies on this path."""
+        """Whether a fault blocks this path."""
         return (sender.ip, receiver.ip) in self.blocked_paths
 
     def block(self, sender: str, receiver: str) -> None:
-        """Cuts one direction, by IP. Cuts of one direction add up."""
+        """Blocks the path from one IP to another. A path may be blocked more than once."""
         self.blocked_paths[sender, receiver] = self.blocked_paths.get((sender, receiver), 0) + 1
         self.on_change()
 
     def unblock(self, sender: str, receiver: str) -> None:
-        """Ends one cut of a direction. After the last one what TCP held is sent again."""
+        """Removes one block of a path. After the last one, TCP retransmits the data that it held."""
         cuts = self.blocked_paths.get((sender, receiver), 0) - 1
         if cuts > 0:
             self.blocked_paths[sender, receiver] = cuts
@@ -113,7 +121,7 @@
         self.on_change()
 
     def sweep(self) -> None:
-        """Looks for connections whose time has run out, and schedules the next look."""
+        """Checks the timeouts of all connections, and schedules the next check."""
         for connection in list(self.connections):
             connection.check_timeouts(self.time.now)
         self.time.after(SWEEP_S, self.sweep)
@@ -121,7 +129,7 @@
     # --- sockets
 
     def socket(self, loop: ProcessLoop) -> SimulatedSocket:
-        """A new socket of a process."""
+        """Returns a new socket of a process."""
         self.last_descriptor += 1
         handle = SimulatedSocket(self, loop, self.last_descriptor)
         self.sockets[handle.descriptor] = handle
@@ -129,16 +137,16 @@
         return handle
 
     def next_port(self) -> int:
-        """A local port for a connecting socket."""
+        """Returns a local port for a connecting socket."""
         self.last_port = self.last_port + 1 if self.last_port < LAST_PORT else FIRST_PORT - 1
         return self.last_port
 
     def start_listening(self, handle: SimulatedSocket) -> None:
-        """Connections to the address of a socket go to it."""
+        """Accepts connections to the address of a bound socket."""
         self.listeners[self.socket_address(handle)] = handle
 
     def forget(self, handle: SimulatedSocket) -> None:
-        """A socket is closed, or its machine lost power."""
+        """Removes a socket that was closed, or whose machine lost power."""
         self.sockets.pop(handle.descriptor, None)
         if handle.address is None:
             return
@@ -151,21 +159,24 @@
 
     @staticmethod
     def socket_address(handle: SimulatedSocket) -> Address:
-        """Where others reach a bound socket."""
+        """Returns the address at which others reach a bound socket."""
         assert handle.address is not None, "not bound"
         return handle.host.ip, handle.address[1]
 
     def add_connection(self, connection: Connection) -> None:
-        """A connection is up."""
+        """Adds an established connection."""
         self.connections[connection] = None
 
     def remove_connection(self, connection: Connection) -> None:
-        """Nothing is left of a connection."""
+        """Removes a closed connection."""
         self.connections.pop(connection, None)
 
     async def connect(self, handle: SimulatedSocket, address: Address) -> None:
-        """Returns when the connection is up. ConnectionRefusedError; it hangs for as long as there is no
-        path, or no such host."""
+        """Opens a TCP connection from a socket to `address`, and returns when it is established.
+
+        Raises ConnectionRefusedError if nothing listens there. Doesn't return while the path is blocked, or
+        if there is no such host.
+        """
         if handle.address is None:
             handle.bind((handle.host.ip, 0))
         connected = handle.loop.create_future()
@@ -177,7 +188,7 @@
     # --- datagrams
 
     def open_datagrams(self, handle: SimulatedSocket, protocol: Any) -> tuple[DatagramTransport, Any]:
-        """Makes the transport of a bound UDP socket."""
+        """Returns the transport of a bound UDP socket, and its protocol."""
         transport = DatagramTransport(self, handle, protocol)
         self.datagram_sockets[self.socket_address(handle)] = transport
         protocol.connection_made(transport)
@@ -194,14 +205,14 @@
     def datagram_arrives(
         self, sender: Host, origin: Address, receiver: Host, address: Address, data: bytes
     ) -> None:
-        """A datagram reaches its address, unless its path was cut meanwhile."""
+        """Delivers a datagram to its address, unless the path was blocked in the meantime."""
         transport = self.datagram_sockets.get(address)
         if transport is not None and receiver.powered and not self.blocked(sender, receiver):
             transport.arrived(data, origin)
 
 
 class Handshake:
-    """The opening of one connection. `connected` is set when the process may know the result."""
+    """The handshake of one TCP connection. `connected` is done when the process learns the result."""
 
     def __init__(
         self,
@@ -220,7 +231,7 @@
         self.connection = Connection(network, handle, self.host, address, random)
 
     def send_syn(self, retries: int) -> None:
-        """Sends the opening packet, and again as long as there is no answer."""
+        """Sends a SYN, and schedules its retransmission in case it gets no response."""
         if not self.handle.open or self.connected.done():
             return
         network, sender = self.network, self.handle.host
@@ -231,7 +242,7 @@
             network.time.after(SYN_RETRIES_S[retries], self.send_syn, retries + 1)
 
     def syn_arrives(self) -> None:
-        """The opening packet has arrived: it is answered, if the way back is open."""
+        """Handles the SYN's arrival: accepts or refuses the connection, if the path back isn't blocked."""
         network, client = self.network, self.handle.host
         if not self.host.powered or self.connection.accepted or network.blocked(self.host, client):
             return
@@ -245,12 +256,12 @@
         network.time.after(back, self.answer_arrives)
 
     def answer_arrives(self) -> None:
-        """The listener's answer has come; the process is told when it runs."""
+        """Handles the SYN-ACK's arrival: the process learns the result when it next runs."""
         if self.handle.open and self.handle.host.powered:
             self.handle.loop.io_soon(self.answer, None)
 
     def answer(self, failure: OSError | None) -> None:
-        """The process learns the result."""
+        """Sets the result in the process: established if `failure` is None."""
         if self.connected.done():
             return
         if failure is None:
@@ -260,7 +271,7 @@
 
 
 class DatagramTransport(asyncio.DatagramTransport):
-    """A bound UDP socket. `unread`: datagrams and their senders."""
+    """A bound UDP socket. `unread` holds received datagrams with their senders' addresses."""
 
     def __init__(self, network: Network, handle: SimulatedSocket, protocol: Any) -> None:
         super().__init__()
@@ -270,19 +281,19 @@
         self.unread: deque[tuple[bytes, Address]] = deque()
 
     def sendto(self, data: Any, addr: Any = None) -> None:
-        """As asyncio's, with an address."""
+        """As asyncio's; a datagram without an address is ignored."""
         if self.handle.open and addr is not None and self.handle.address is not None:
             self.network.send_datagram(self.handle.host, self.handle.address, addr, bytes(data))
 
     def arrived(self, data: bytes, origin: Address) -> None:
-        """A datagram has come; it is dropped if too many are unread."""
+        """Queues a received datagram; drops it if MOST_DATAGRAMS are unread."""
         if len(self.unread) < MOST_DATAGRAMS:
             self.unread.append((data, origin))
             if len(self.unread) == 1:
                 self.handle.loop.io_soon(self.read)
 
     def read(self) -> None:
-        """Hands to the process what lies unread."""
+        """Passes the unread datagrams to the protocol."""
         while self.unread and self.handle.open:
             self.protocol.datagram_received(*self.unread.popleft())
 
