--- a/shedgrade/simulation/system/fault_schedule.py
+++ b/shedgrade/simulation/system/fault_schedule.py
@@ -1,7 +1,7 @@
-"""When faults are injected into a simulated system, drawn by seed.
+"""Injects faults into a simulated system at random times, determined by the seed.
 
-In all profiles but "storm", what is lost at once stays within what is tolerated. "targeted" adds the faults
-of `message_faults.py` to those of "fair".
+In all profiles but "storm", the machines lost at the same time stay within the tolerated number. "targeted"
+adds the faults of `message_faults.py` to those of "fair".
 """
 
 from __future__ import annotations
@@ -19,20 +19,20 @@
 from shedgrade.simulation.system.message_faults import TARGETED
 from shedgrade.simulation.system.simulated_system import GRACE_S, SimulatedSystem
 
-CATCH_UP_S = 4.0  # after its return, for which a machine counts as lost
-DURATIONS_S = (0.2, 0.6, 0.9, 1.2, 2.0, 3.0, 6.0)  # of a fault, about
+CATCH_UP_S = 4.0  # time after a machine's return during which it still counts as lost
+DURATIONS_S = (0.2, 0.6, 0.9, 1.2, 2.0, 3.0, 6.0)  # typical durations of a fault
 FAIR_GAPS_S = (0.1, 0.5, 1.5, 4.0)
 STORM_GAPS_S = (0.05, 0.3, 0.8, 2.0)
-TERMINATION_S = 9.0  # from SIGTERM until a process is back
+TERMINATION_S = 9.0  # time from SIGTERM until the process runs again
 LONG_CUT_S = 20.0
-RESTART_ALL_S = 2.5  # in which all machines are back, at the most
+RESTART_ALL_S = 2.5  # time within which all machines return
 
 CoreMachine = Machine[ControlPlane]
 FaultOfMachine = Callable[[AnyMachine, float], None]  # (machine, seconds)
 
 
 class Directions(NamedTuple):
-    """Which directions of a cut are silent."""
+    """The directions of a machine's links that a fault blocks."""
 
     outgoing: bool
     incoming: bool
@@ -42,16 +42,21 @@
 
 
 class FaultSchedule:
-    """Injects one fault after the other until `ended`.
+    """Injects one fault after the other until `ended` is set.
 
     Attributes:
-        is_fair: losses stay within what is tolerated.
-        kinds: the faults of the profile, each as likely as it is listed.
-        lost_until: virtual time until which a core machine counts as lost, by name.
+        system: the simulated system.
+        faults: the faults of that system.
+        random: source of the random choices.
+        is_fair: whether losses stay within the tolerated number.
+        kinds: the faults of the profile; one listed twice is twice as likely.
+        gaps_s: typical times between two faults, seconds.
+        lost_until: by core machine, the virtual time until which it counts as lost, seconds.
+        ended: whether the schedule has ended.
     """
 
     def __init__(self, system: SimulatedSystem, faults: Faults, profile: str, random: Random) -> None:
-        """`profile`: "fair", "planned", "storm" or "targeted"."""
+        """Creates the schedule of a `profile`: "fair", "planned", "storm" or "targeted"."""
         self.system = system
         self.faults = faults
         self.random = random
@@ -62,7 +67,7 @@
         self.ended = False
 
     def next(self) -> None:
-        """Injects a fault now, and the next one after a random gap."""
+        """Injects a fault now, and schedules the next one after a random gap."""
         if self.ended:
             return
         inject = self.random.choice(self.kinds)
@@ -71,7 +76,7 @@
         self.system.time.after(gap, self.next)
 
     def end(self) -> None:
-        """No fault is left, and none comes."""
+        """Ends all faults and the schedule."""
         self.ended = True
         self.system.on_acknowledged = None
         now, history = self.system.time.now, self.system.history
@@ -80,23 +85,29 @@
         history.unstable_spans = [*spans, TimeSpan(now, now)]
         history.log("all faults end")
 
-    # --- who may be lost
+    # --- choice of machines
 
     def lost_machines(self) -> set[str]:
-        """Names of the core machines that count as lost now."""
+        """Returns the names of the core machines that count as lost now."""
         now = self.system.time.now
         return {name for name, until in self.lost_until.items() if until > now}
 
     def mark_lost(self, machine: CoreMachine, seconds: float) -> None:
-        """A machine is lost for `seconds`, and counts as lost until it has caught up."""
+        """Counts a machine as lost for `seconds`, and until it has caught up, CATCH_UP_S later.
+
+        The history records the core as unstable for `seconds`.
+        """
         now = self.system.time.now
         until = now + seconds + CATCH_UP_S
         self.lost_until[machine.name] = max(self.lost_until.get(machine.name, 0.0), until)
         self.system.history.unstable_spans.append(TimeSpan(now, now + seconds))
 
     def pick_machine(self, preferred: CoreMachine | None = None) -> CoreMachine | None:
-        """A core machine that may be lost now, or None: `preferred` if that is said, else half of the time
-        the primary."""
+        """Returns a core machine that may be lost now, or None if there is none.
+
+        If `preferred` is given, only that machine is considered; otherwise half of the time it is the
+        primary, if that may be lost.
+        """
         lost = self.lost_machines()
         if self.is_fair and len(lost) >= self.system.parameters.tolerated:
             return None
@@ -113,7 +124,7 @@
         return self.random.choice(free) if free else None
 
     def random_duration(self) -> float:
-        """Seconds that a fault lasts."""
+        """Returns a random duration of a fault, in seconds."""
         return self.random.choice(DURATIONS_S) * self.random.uniform(0.5, 1.5)
 
     def inject(
@@ -122,7 +133,10 @@
         preferred: CoreMachine | None = None,
         seconds: float | None = None,
     ) -> None:
-        """Injects a fault of one core machine, if one may be lost now."""
+        """Injects a fault of one core machine, if one may be lost now.
+
+        `preferred` is as in `pick_machine`. The fault lasts `seconds`, or a random duration by default.
+        """
         machine = self.pick_machine(preferred)
         if machine is not None:
             seconds = self.random_duration() if seconds is None else seconds
@@ -130,17 +144,17 @@
             fault(machine, seconds)
 
     def may_lose_all(self) -> bool:
-        """Everything may be lost for a moment, as far as the profile allows it."""
+        """Whether the profile allows that all core machines are lost now for a short time."""
         return not self.is_fair or not self.lost_machines()
 
-    # --- one machine
+    # --- faults of one machine
 
     def stop(self) -> None:
-        """A process stands still."""
+        """Stops a process by SIGSTOP."""
         self.inject(self.faults.stop)
 
     def stop_poller(self) -> None:
-        """Whoever holds the lease for polling the platform's list stands still."""
+        """Stops the process that holds the lease for polling the platform's list."""
         holders = [
             machine
             for machine in self.system.cores
@@ -150,23 +164,23 @@
             self.inject(self.faults.stop, self.random.choice(holders))
 
     def kill(self) -> None:
-        """A process is killed."""
+        """Kills a process, which soon starts again."""
         self.inject(self.faults.kill, seconds=self.random.uniform(0.1, 0.6))
 
     def power_off(self) -> None:
-        """A machine loses power."""
+        """Cuts a machine's power."""
         self.inject(self.faults.power_off)
 
     def wipe(self) -> None:
-        """A machine loses its disk."""
+        """Cuts a machine's power, and replaces its disk by an empty one."""
         self.inject(self.faults.wipe)
 
     def terminate(self) -> None:
-        """A process is terminated."""
+        """Terminates a process by SIGTERM."""
         self.inject(lambda machine, seconds: self.faults.terminate(machine), seconds=TERMINATION_S)
 
     def rolling_restart(self) -> None:
-        """Every core machine is terminated, one after the other."""
+        """Terminates the processes of all core machines, one after the other."""
         if not self.may_lose_all():
             return
         gap = CATCH_UP_S + TERMINATION_S
@@ -182,16 +196,16 @@
             self.mark_lost(machine, gap * len(self.system.cores))
 
     def isolate(self) -> None:
-        """A machine is cut off from the other core machines."""
+        """Cuts a machine off from the other core machines."""
         self.inject(self.faults.isolate)
 
     def isolate_for_long(self) -> None:
-        """The cut of some twenty seconds, in long days."""
+        """Cuts a machine off for LONG_CUT_S; only in runs of more than twice that length."""
         if self.system.parameters.length > 2 * LONG_CUT_S:
             self.inject(self.faults.isolate, seconds=LONG_CUT_S)
 
     def isolate_one_way(self) -> None:
-        """A machine no longer hears the others, or they no longer hear it."""
+        """Blocks one direction of the links between a machine and the other core machines."""
         outgoing = self.random.random() < 0.5
 
         def isolate(machine: AnyMachine, seconds: float) -> None:
@@ -200,7 +214,7 @@
         self.inject(isolate)
 
     def block_one_link(self) -> None:
-        """One machine and one other no longer hear each other, or one of them the other."""
+        """Blocks the link between two core machines, in one or both directions."""
 
         def isolate(machine: AnyMachine, seconds: float) -> None:
             other = self.random.choice([each for each in self.system.cores if each is not machine])
@@ -210,12 +224,15 @@
         self.inject(isolate)
 
     def isolate_region(self) -> None:
-        """A region with its core machine, edges and operators is cut off from all others."""
+        """Cuts a region with its core machine, edges and operators off from all others.
+
+        Sometimes only the packets that the region sends are blocked.
+        """
 
         def isolate(machine: AnyMachine, seconds: float) -> None:
             region = machine.host.region
             inside = [host.ip for host in self.system.network.hosts.values() if host.region == region]
-            if self.is_fair:  # a region may hold more core machines than may be lost
+            if self.is_fair:  # a region may have more core machines than may be lost
                 others = {core.host.ip for core in self.system.cores if core is not machine}
                 inside = [ip for ip in inside if ip not in others]
             self.faults.partition(inside, seconds, self.random.random() < 0.3)
@@ -223,36 +240,39 @@
         self.inject(isolate)
 
     def slow_link(self) -> None:
-        """All paths of a machine take longer."""
+        """Adds a delay to all paths of a machine."""
         extra_delay_s = self.random.choice((0.05, 0.3, 1.0))
         self.inject(lambda machine, seconds: self.faults.slow_link(machine, seconds, extra_delay_s))
 
     def reset_connections(self) -> None:
-        """All connections of a machine are reset."""
+        """Resets all connections of a machine."""
         self.inject(lambda machine, seconds: self.faults.reset_connections(machine), seconds=0.5)
 
     def stall_disk(self) -> None:
-        """A disk's writes hang."""
+        """Makes a disk's writes hang."""
         self.inject(self.faults.stall_disk)
 
     def slow_disk(self) -> None:
-        """A disk's writes take many times as long."""
+        """Makes a disk's writes many times slower."""
         slowness = self.random.choice((5.0, 20.0, 100.0))
         self.inject(lambda machine, seconds: self.faults.slow_disk(machine, seconds, slowness))
 
     def fill_disk(self) -> None:
-        """A disk refuses writes."""
+        """Makes a disk's writes fail because it is full."""
         self.inject(self.faults.fill_disk)
 
     def step_clock(self) -> None:
-        """A machine's time of day moves."""
+        """Moves a machine's time of day."""
         step_s = self.random.choice((-3600.0, -2.0, 2.0, 3600.0))
         self.inject(lambda machine, seconds: self.faults.step_clock(machine, step_s), seconds=0.0)
 
-    # --- right after an acknowledgement
+    # --- faults right after an acknowledgement
 
     def after_acknowledgement(self, inject: Callable[[CoreMachine | None], None]) -> None:
-        """Calls `inject` with the machine that acknowledges the next order, right after it has."""
+        """Calls `inject` right after the next acknowledgement to an operator.
+
+        Its argument is the machine that acknowledged, or None if that isn't a core machine now.
+        """
 
         def acknowledged(operation: Operation) -> None:
             if not self.ended:
@@ -262,11 +282,11 @@
         self.system.on_acknowledged = acknowledged
 
     def power_off_after_acknowledgement(self) -> None:
-        """The machine that acknowledges the next order loses power right after."""
+        """Cuts the power of the machine that acknowledges the next command, right after that."""
         self.after_acknowledgement(lambda machine: self.inject(self.faults.power_off, machine, 2.0))
 
     def wipe_after_acknowledgement(self) -> None:
-        """The machine that acknowledges the next order, or the primary, loses its disk right after."""
+        """Wipes the machine that acknowledges the next command, or the primary, right after that."""
 
         def inject(machine: CoreMachine | None) -> None:
             target = machine if self.random.random() < 0.5 else self.system.primary()
@@ -275,11 +295,11 @@
         self.after_acknowledgement(inject)
 
     def power_off_all_after_acknowledgement(self) -> None:
-        """All lose power right after the next acknowledgement."""
+        """Cuts the power of all core machines right after the next acknowledgement."""
         self.after_acknowledgement(lambda machine: self.power_off_all())
 
     def wipe_some_and_power_off_all(self) -> None:
-        """Right after an acknowledgement as many as tolerated lose their disks, all others their power."""
+        """Cuts all power right after the next acknowledgement, and wipes the tolerated number of machines."""
 
         def inject(machine: CoreMachine | None) -> None:
             if self.may_lose_all():
@@ -289,33 +309,33 @@
 
         self.after_acknowledgement(inject)
 
-    # --- all at once
+    # --- faults of all core machines at once
 
     def random_restart(self) -> float:
-        """Seconds until a machine returns."""
+        """Returns a random time until a machine's return, in seconds."""
         return self.random.uniform(0.5, RESTART_ALL_S)
 
     def mark_all_lost(self) -> None:
-        """All core machines are lost until they have returned."""
+        """Counts all core machines as lost until they have returned and caught up."""
         for machine in self.system.cores:
             self.mark_lost(machine, RESTART_ALL_S)
 
     def power_off_all(self) -> None:
-        """All core machines lose power."""
+        """Cuts the power of all core machines."""
         if self.may_lose_all():
             self.mark_all_lost()
             self.faults.power_off_all(self.system.cores, self.random_restart)
 
     def kill_all(self) -> None:
-        """All processes of the core are killed."""
+        """Kills the processes of all core machines."""
         if self.may_lose_all():
             self.mark_all_lost()
             self.faults.kill_all(self.system.cores, self.random_restart)
 
-    # --- beside the core
+    # --- faults outside the core
 
     def terminate_edges(self) -> None:
-        """Planned stops: all edges of some regions are terminated, together or a little apart."""
+        """Terminates all edges of some regions, as a planned stop does: all at once, or region by region."""
         regions = sorted({edge.host.region for edge in self.system.edges})
         chosen = self.random.sample(regions, self.random.randint(1, len(regions)))
         gap, down_s = self.random.choice((0.0, 0.3, 1.5)), self.random.choice((0.0, 8.5))
@@ -325,7 +345,7 @@
                     self.system.time.after(gap * order, self.faults.terminate, edge, GRACE_S, down_s)
 
     def edge_fault(self) -> None:
-        """An edge is killed, stops, or is cut off from some core machines."""
+        """Kills or stops an edge's process, or cuts the edge off from some core machines."""
         edge = self.random.choice(self.system.edges)
         if not edge.responsive:
             return
@@ -341,7 +361,7 @@
             self.faults.isolate(edge, seconds, others=others, outgoing=outgoing, incoming=incoming)
 
     def isolate_platform(self) -> None:
-        """The platform's list is out of reach for some core machines."""
+        """Cuts the platform's list off from some core machines."""
         others = [core for core in self.system.cores if self.random.random() < 0.7]
         self.faults.isolate(self.system.platform, self.random_duration(), others=others)
 
--- a/shedgrade/simulation/system/faults.py
+++ b/shedgrade/simulation/system/faults.py
@@ -1,6 +1,7 @@
-"""Faults of machines, disks, links and clocks, one method a kind. Each ends by itself.
+"""Faults of machines, disks, links and clocks, one method for each kind of fault.
 
-A scripted run injects them at exact times; `fault_schedule.FaultSchedule` injects them by seed.
+A fault with a duration ends by itself. A scripted run injects faults at exact times;
+`fault_schedule.FaultSchedule` injects them by seed.
 """
 
 from __future__ import annotations
@@ -11,14 +12,16 @@
 from shedgrade.simulation.system.machine import Machine
 from shedgrade.simulation.system.simulated_system import GRACE_S, SimulatedSystem
 
-QUOTA_PERIOD_S = 0.1  # NEWS-24: full speed until the quota is spent, then nothing for the rest of it
+# Period of the CPU quota. NEWS-24: a process runs at full speed until the quota is used up, and then not at
+# all for the rest of the period.
+QUOTA_PERIOD_S = 0.1
 
-Path = tuple[str, str]  # (sender's IP, receiver's IP): one direction
+Path = tuple[str, str]  # (sender's IP, receiver's IP): one direction of a link
 AnyMachine = Machine[Any]
 
 
 class Faults:
-    """Faults of one system. `undo_calls`: what ends those that last; each is called once."""
+    """Faults of one system. `undo_calls` holds the functions that end active faults; each is called once."""
 
     def __init__(self, system: SimulatedSystem) -> None:
         self.system = system
@@ -27,7 +30,7 @@
         self.undo_calls: list[Callable[[], None]] = []
 
     def undo_after(self, seconds: float, undo: Callable[[], object]) -> None:
-        """Calls `undo` once: after the time, or when all faults end."""
+        """Calls `undo` once: after `seconds`, or earlier when `end_all` is called."""
 
         def once() -> None:
             if once in self.undo_calls:
@@ -38,7 +41,7 @@
         self.time.after(seconds, once)
 
     def end_all(self) -> None:
-        """Every fault ends, and every machine runs."""
+        """Ends all faults, and makes every machine run."""
         for undo in list(self.undo_calls):
             undo()
         for machine in self.system.machines():
@@ -52,14 +55,14 @@
     # --- processes and power
 
     def stop(self, machine: AnyMachine, seconds: float) -> None:
-        """SIGSTOP, and SIGCONT after the time."""
+        """Stops a process by SIGSTOP for `seconds`."""
         if machine.responsive:
             loop = machine.loop
             machine.stop()
             self.undo_after(seconds, lambda: machine.thaw() if machine.loop is loop else None)
 
     def throttle(self, machine: AnyMachine, seconds: float, share: float) -> None:
-        """A quota of the processor: of each QUOTA_PERIOD_S it runs for `share`, then stands still."""
+        """Limits a process to a CPU quota: it runs for `share` of each QUOTA_PERIOD_S, then stands still."""
         loop = machine.loop
         if loop is None:
             return
@@ -86,49 +89,55 @@
         self.undo_after(seconds, undo)
 
     def kill(self, machine: AnyMachine, seconds: float) -> None:
-        """SIGKILL, and a start after the time."""
+        """Kills a process by SIGKILL, and starts a new one after `seconds`."""
         machine.kill()
         self.undo_after(seconds, machine.start)
 
     def power_off(self, machine: AnyMachine, seconds: float) -> None:
-        """Power is lost, and comes back after the time."""
+        """Cuts a machine's power for `seconds`."""
         machine.lose_power()
         self.undo_after(seconds, machine.power_up)
 
     def wipe(self, machine: AnyMachine, seconds: float) -> None:
-        """Power is lost, and comes back with an empty disk."""
+        """Cuts a machine's power for `seconds`, and replaces its disk by an empty one."""
         machine.lose_power()
         machine.wipe()
         self.undo_after(seconds, machine.power_up)
 
     def replace(self, machine: AnyMachine, seconds: float) -> AnyMachine:
-        """Power is lost for good; a machine with an empty disk and another address starts after the time."""
+        """Cuts a machine's power for good, and starts its replacement after `seconds`.
+
+        Returns the replacement, which has an empty disk and another address.
+        """
         machine.lose_power()
         successor = self.system.replace_core(machine)
         self.undo_after(seconds, successor.power_up)
         return successor
 
     def terminate(self, machine: AnyMachine, grace_s: float = GRACE_S, down_s: float = 0.0) -> None:
-        """SIGTERM; the platform starts the process again when it has ended, and `down_s` have passed."""
+        """Sends SIGTERM. The platform restarts the process when it has ended and `down_s` have passed."""
         machine.terminate(grace_s, down_s)
 
     def power_off_all(
         self, machines: Iterable[AnyMachine], seconds: Callable[[], float], wiped: Iterable[AnyMachine] = ()
     ) -> None:
-        """All lose power at once, those `wiped` their disks too; each returns after a time of its own."""
+        """Cuts the power of all `machines` at once, and replaces the disks of those in `wiped`.
+
+        Each machine is down for a time that `seconds` draws.
+        """
         wiped = tuple(wiped)
         for machine in machines:
             (self.wipe if machine in wiped else self.power_off)(machine, seconds())
 
     def kill_all(self, machines: Iterable[AnyMachine], seconds: Callable[[], float]) -> None:
-        """All processes are killed at once; each starts again after a time of its own."""
+        """Kills the processes of all `machines` at once. Each is down for a time that `seconds` draws."""
         for machine in machines:
             self.kill(machine, seconds())
 
     # --- links
 
     def block_paths(self, paths: Iterable[Path], seconds: float) -> None:
-        """These directions are silent; what TCP has under way comes late."""
+        """Blocks paths for `seconds`; TCP data in flight on them is delivered after that."""
         paths = tuple(paths)
         subject = " ".join(f"{sender}>{receiver}" for sender, receiver in paths)
         self.log_event(f"cut for {seconds:.2f}", subject)
@@ -136,7 +145,7 @@
             self.network.block(*path)
 
         def unblock() -> None:
-            self.log_event("joined", subject)
+            self.log_event("cut ended", subject)
             for path in paths:
                 self.network.unblock(*path)
 
@@ -151,7 +160,10 @@
         outgoing: bool = True,
         incoming: bool = True,
     ) -> None:
-        """Cuts a machine off from `others`, by default all other core machines; operators still reach it."""
+        """Blocks the paths between a machine and `others`, by default all other core machines.
+
+        Operators still reach the machine.
+        """
         own = machine.host.ip
         targets = self.system.cores if others is None else others
         ips = [other.host.ip for other in targets if other is not machine]
@@ -159,7 +171,10 @@
         self.block_paths(paths + [(ip, own) for ip in ips if incoming], seconds)
 
     def partition(self, inside: Iterable[str], seconds: float, one_way: bool = False) -> None:
-        """Hosts inside from all others, by IP; `one_way`: only what they send is lost."""
+        """Blocks the paths between the hosts in `inside` (IPs) and all other hosts.
+
+        With `one_way` only the paths from `inside` are blocked.
+        """
         inside = set(inside)
         paths = [
             path
@@ -171,7 +186,7 @@
         self.block_paths([path for path in paths if not one_way or path[0] in inside], seconds)
 
     def slow_link(self, machine: AnyMachine, seconds: float, extra_delay_s: float) -> None:
-        """All paths of a machine take so much longer."""
+        """Adds `extra_delay_s` to the delay of all paths of a machine."""
         machine.host.extra_delay_s += extra_delay_s
         self.log_event(f"slow by {extra_delay_s} for {seconds:.2f}", machine.name)
 
@@ -181,7 +196,7 @@
         self.undo_after(seconds, undo)
 
     def reset_connections(self, machine: AnyMachine) -> None:
-        """All connections of a machine are reset."""
+        """Resets all connections of a machine."""
         self.log_event("connections reset", machine.name)
         for connection in list(self.network.connections):
             if machine.host in (connection.near.host, connection.far.host):
@@ -190,24 +205,24 @@
     # --- disks and clocks
 
     def stall_disk(self, machine: AnyMachine, seconds: float) -> None:
-        """A disk's writes hang."""
+        """Makes writes to a machine's disk hang for `seconds`."""
         self.log_event(f"disk stalls for {seconds:.2f}", machine.name)
         machine.disk.set_stalled(True)
         self.undo_after(seconds, lambda: machine.disk.set_stalled(False))
 
     def slow_disk(self, machine: AnyMachine, seconds: float, slowness: float) -> None:
-        """A disk's writes take `slowness` times as long."""
+        """Makes writes to a machine's disk take `slowness` times as long."""
         self.log_event(f"disk slow by {slowness:.0f} for {seconds:.2f}", machine.name)
         machine.disk.slowness = slowness
         self.undo_after(seconds, lambda: setattr(machine.disk, "slowness", 1.0))
 
     def fill_disk(self, machine: AnyMachine, seconds: float) -> None:
-        """A disk refuses writes."""
+        """Makes writes to a machine's disk fail for `seconds`, because it is full."""
         self.log_event(f"disk full for {seconds:.2f}", machine.name)
         machine.disk.files.full = True
         self.undo_after(seconds, lambda: setattr(machine.disk.files, "full", False))
 
     def step_clock(self, machine: AnyMachine, step_s: float) -> None:
-        """A machine's time of day moves; its steady clock goes on."""
+        """Moves a machine's time of day by `step_s`; its monotonic clock isn't affected."""
         self.log_event(f"clock steps by {step_s:.1f}", machine.name)
         machine.clock_skew += step_s
--- a/shedgrade/simulation/system/message_faults.py
+++ b/shedgrade/simulation/system/message_faults.py
@@ -1,9 +1,9 @@
-"""Faults injected at the sending of a message of replication, and messages that come late or twice.
+"""Faults triggered by a replication message, and replication messages that are delayed or duplicated.
 
-Chance rarely strikes the few milliseconds in which a protocol is between two of its steps: between a promise
-and its sync, between a decision and its replication, while an epoch is installed. These faults wait for the
-message that marks the step (state-aware fault injection), and strike its sender, its receiver or the way
-between them.
+Faults at random times rarely hit the few milliseconds between two steps of the protocol: between a promise
+and its sync, between a decision and its replication, or during the installation of an epoch. The faults here
+wait for the message that marks the step (state-aware fault injection), and affect its sender, its receiver or
+the path between them.
 """
 
 from __future__ import annotations
@@ -26,18 +26,21 @@
 CoreMachine = Machine[ControlPlane]
 StrikeFault = Callable[["FaultSchedule", CoreMachine, CoreMachine], None]  # (schedule, sender, receiver)
 
-LEAST_DELAY_S, MOST_DELAY_S = 0.05, 3.0  # of a message that comes late
-MOST_REPLACED = 2  # in one day: one of the three seed addresses stays
-CRASH_AFTER_S = 0.08  # a stalled disk's machine loses power, at the most
+LEAST_DELAY_S, MOST_DELAY_S = 0.05, 3.0  # range of the delay of a late message
+MOST_REPLACED = 2  # machines replaced in one run, so that one of the three seed addresses stays in use
+CRASH_AFTER_S = 0.08  # longest time until a machine loses power
 
 encode = msgspec.msgpack.Encoder().encode
 
 
 class DelayedMessages:
-    """Messages that arrive seconds later, or once more then, whatever has become of their sender.
+    """Delivers replication messages late, or once more, even if their sender is no longer running.
 
-    `share`: of all messages of the replication protocol that are delivered again.
-    `held_type`: the next message of this type is held back, and arrives late; None: none is.
+    Attributes:
+        system: the simulated system.
+        share: share of all replication messages that are delivered once more.
+        random: source of the random choices.
+        held_type: the next message of this type is held back and delivered late; None holds back no message.
     """
 
     def __init__(self, system: SimulatedSystem, share: float, random: Random) -> None:
@@ -47,12 +50,12 @@
         self.held_type: type[m.Message] | None = None
 
     def on_send(self, sender: CoreMachine, address: str, message: m.Message) -> None:
-        """Keeps a copy of some messages, to be delivered later."""
+        """Schedules a second delivery of a message, for a random share of them."""
         if self.share and self.random.random() < self.share:
             self.deliver_late(sender, address, message)
 
     def holds(self, sender: CoreMachine, address: str, message: m.Message) -> bool:
-        """Whether this message is held back, and arrives late instead."""
+        """Returns whether this message is held back; if so, schedules its late delivery."""
         if self.held_type is None or not isinstance(message, self.held_type):
             return False
         self.held_type = None
@@ -61,14 +64,14 @@
         return True
 
     def deliver_late(self, sender: CoreMachine, address: str, message: m.Message) -> None:
-        """Delivers it after a while."""
+        """Schedules the delivery of a message after a random delay."""
         delay = self.random.uniform(LEAST_DELAY_S, MOST_DELAY_S)
         body = REPLICATION_CHANNEL + encode(message)
         link = sender.program.own if sender.program is not None else ""
         self.system.time.after(delay, self.deliver, sender, link, address, body)
 
     def deliver(self, sender: CoreMachine, link: str, address: str, body: bytes) -> None:
-        """The copy arrives, if there is a path and a process."""
+        """Delivers a message, if the path isn't blocked and the receiver has a process."""
         receiver = self.system.core_at(address)
         if receiver is None or receiver.loop is None or receiver.program is None:
             return
@@ -77,11 +80,11 @@
 
 
 def ignore_response(body: bytes) -> None:
-    """Nothing answers a copy."""
+    """Ignores the response to a message delivered late."""
 
 
 def at_next(message_type: type[m.Message], strike: StrikeFault) -> InjectFault:
-    """A fault that strikes at the next sending of such a message."""
+    """Returns a fault that calls `strike` when the next message of this type is sent."""
 
     def arm(schedule: FaultSchedule) -> None:
         def on_send(sender: CoreMachine, address: str, message: m.Message) -> bool:
@@ -89,7 +92,7 @@
                 return False
             receiver = schedule.system.core_at(address)
             if receiver is not None:
-                # after the event in which it is sent: the message leaves, and may arrive
+                # Runs after the current event, in which the message is still sent; it may arrive.
                 schedule.system.time.after(0.0, strike, schedule, sender, receiver)
             return receiver is not None
 
@@ -100,7 +103,7 @@
 
 
 def hold_next(message_type: type[m.Message]) -> InjectFault:
-    """A fault that holds back the next message of this type, whose sender stands still at once."""
+    """Returns a fault that delays the next message of this type, and stops its sender at once."""
     stop_at_sending = at_next(message_type, stop_sender)
 
     def hold(schedule: FaultSchedule) -> None:
@@ -111,31 +114,31 @@
     return hold
 
 
-# --- what is struck
+# --- faults of the sender, the receiver or the path
 
 
 def power_off_sender(schedule: FaultSchedule, sender: CoreMachine, receiver: CoreMachine) -> None:
-    """The sender loses power."""
+    """Cuts the sender's power."""
     schedule.inject(schedule.faults.power_off, sender)
 
 
 def wipe_sender(schedule: FaultSchedule, sender: CoreMachine, receiver: CoreMachine) -> None:
-    """The sender loses its disk."""
+    """Wipes the sender's disk."""
     schedule.inject(schedule.faults.wipe, sender, 1.0)
 
 
 def stop_sender(schedule: FaultSchedule, sender: CoreMachine, receiver: CoreMachine) -> None:
-    """The sender stands still."""
+    """Stops the sender's process by SIGSTOP."""
     schedule.inject(schedule.faults.stop, sender)
 
 
 def isolate_sender(schedule: FaultSchedule, sender: CoreMachine, receiver: CoreMachine) -> None:
-    """The sender is cut off from the other core machines."""
+    """Cuts the sender off from the other core machines."""
     schedule.inject(schedule.faults.isolate, sender)
 
 
 def power_off_receiver(schedule: FaultSchedule, sender: CoreMachine, receiver: CoreMachine) -> None:
-    """The receiver loses power, about when the message comes."""
+    """Cuts the receiver's power at about the time the message arrives."""
 
     def power_off() -> None:
         if not schedule.ended:
@@ -145,7 +148,7 @@
 
 
 def crash_before_sync(schedule: FaultSchedule, sender: CoreMachine, receiver: CoreMachine) -> None:
-    """The receiver's disk stands still, and its machine loses power before a write is synced."""
+    """Stalls the receiver's disk, then cuts its power, so that a write isn't synced before the crash."""
 
     def stall_and_crash(machine: CoreMachine, seconds: float) -> None:
         schedule.faults.stall_disk(machine, CRASH_AFTER_S + seconds)
@@ -157,12 +160,12 @@
 
 
 def wipe_receiver(schedule: FaultSchedule, sender: CoreMachine, receiver: CoreMachine) -> None:
-    """The receiver loses its disk."""
+    """Wipes the receiver's disk."""
     schedule.inject(schedule.faults.wipe, receiver, 0.5)
 
 
 def block_one_way(schedule: FaultSchedule, sender: CoreMachine, receiver: CoreMachine) -> None:
-    """What the receiver answers does not arrive."""
+    """Blocks the path from the receiver to the sender."""
 
     def block(machine: CoreMachine, seconds: float) -> None:
         schedule.faults.isolate(machine, seconds, others=[sender], incoming=False)
@@ -171,12 +174,12 @@
 
 
 def terminate_sender(schedule: FaultSchedule, sender: CoreMachine, receiver: CoreMachine) -> None:
-    """The sender is told to end."""
+    """Terminates the sender's process by SIGTERM."""
     schedule.inject(lambda machine, seconds: schedule.faults.terminate(machine), sender, seconds=9.0)
 
 
 def throttle(schedule: FaultSchedule) -> None:
-    """Some core machines, or all, have a quota of the processor. None is lost by it."""
+    """Limits some or all core machines to a CPU quota. None of them counts as lost."""
     cores = schedule.system.cores
     share = schedule.random.choice((0.3, 0.5, 0.8))
     seconds = schedule.random.uniform(1.0, 6.0)
@@ -185,7 +188,7 @@
 
 
 def replace_member(schedule: FaultSchedule) -> None:
-    """A machine is gone for good; a new one with an empty disk takes its place at another address."""
+    """Removes a machine for good; a new one with an empty disk and another address takes its place."""
     machine = schedule.pick_machine()
     first_cores = 2 * schedule.system.parameters.tolerated + 1
     if machine is None or schedule.system.cores_made >= first_cores + MOST_REPLACED:
@@ -197,7 +200,7 @@
 
 
 def terminate_beside_wipe(schedule: FaultSchedule) -> None:
-    """A machine loses its disk; before it counts again another is told to end, which may not go yet."""
+    """Wipes a machine, then terminates another one, which must not leave before the first has caught up."""
     first = schedule.pick_machine()
     if first is None or not schedule.may_lose_all():
         return
