--- a/shedgrade/simulation/system/__main__.py
+++ b/shedgrade/simulation/system/__main__.py
@@ -1,17 +1,17 @@
-"""Days of the whole system by seed.
+"""Runs simulations of the whole system, one for each seed.
 
 Usage:
   shedgrade.simulation.system --seeds A:B [--profile NAME] [--tolerated N] [--length S] [--jobs N]
                               [--trace] [--log]
 
 Options:
-  --seeds A:B       Seeds from A up to, not with, B.
-  --profile NAME    calm, fair, planned (stops of edges beside look-ups), storm or targeted (faults at
-                    messages of the core) [default: fair].
-  --tolerated N     Machines lost at once that every promise outlives [default: 1].
-  --length S        Seconds of virtual time with faults [default: 20].
-  --jobs N          Processes [default: 2].
-  --trace           Print what happens; in one process.
+  --seeds A:B       Seeds from A up to, but not including, B.
+  --profile NAME    calm, fair, planned (edges terminated during look-ups), storm or targeted (faults at
+                    replication messages of the core) [default: fair].
+  --tolerated N     Machines lost at the same time that the system must tolerate [default: 1].
+  --length S        Duration of the phase with faults in seconds of virtual time [default: 20].
+  --jobs N          Number of processes [default: 2].
+  --trace           Print the events of each run; uses one process.
   --log             Print the programs' log lines too.
 """
 
@@ -25,9 +25,9 @@
 
 
 def main() -> int:
-    """Plays the seeds, prints each finding, and ends with 1 if there was any."""
+    """Simulates each seed and prints its findings; returns 1 if there were any, else 0."""
     options = docopt(__doc__)
-    if os.environ.get("PYTHONHASHSEED") is None:  # days don't hang on it; this makes sure
+    if os.environ.get("PYTHONHASHSEED") is None:  # rules out that the hash seed changes a run
         os.environ["PYTHONHASHSEED"] = "0"
         os.execv(sys.executable, [sys.executable, "-m", "shedgrade.simulation.system", *sys.argv[1:]])
     first, _, last = options["--seeds"].partition(":")
@@ -50,8 +50,8 @@
             )
     print(
         f"{len(jobs)} seeds of {profile}, t = {tolerated}, {length:.0f} s: {failed} with findings, "
-        f"{operations} calls, {time.perf_counter() - begun:.0f} s, {sum(taken) / len(taken):.2f} s a day, "
-        f"the longest {max(taken):.2f} s"
+        f"{operations} operations, {time.perf_counter() - begun:.0f} s in total, "
+        f"{sum(taken) / len(taken):.2f} s per run, {max(taken):.2f} s at most"
     )
     return 1 if failed else 0
 
