--- a/shedgrade/simulation/system/caller.py
+++ b/shedgrade/simulation/system/caller.py
@@ -20,14 +20,14 @@
 from shedgrade.simulation.system.process_loop import ProcessLoop
 
 ATTEMPT_TIMEOUT_S = 1.0  # time without received data after which an attempt fails
-MEGABYTE_TIMEOUT_S = 2.0  # added to the timeout for each megabyte of the request body
+EXTRA_TIMEOUT_PER_MEGABYTE_S = 2.0  # added to the timeout for each megabyte of the request body
 FIRST_BACKOFF_S, LONGEST_BACKOFF_S = 0.05, 1.0
 BACKOFF_FACTOR = 1.6
-MOST_REDIRECTS = 2
+MAX_REDIRECTS = 2
 TEMPORARY_REDIRECT = 307
-RETRYABLE = frozenset((408, 429))  # all 5xx are retryable too
-FINAL = frozenset((400, 409, 412, 413, 422))
-MOST_OTHER_REJECTIONS = 3  # responses with any other 4xx after which the call ends
+RETRYABLE_STATUSES = frozenset((408, 429))  # all 5xx are retryable too
+FINAL_STATUSES = frozenset((400, 409, 412, 413, 422))
+MAX_OTHER_REJECTIONS = 3  # responses with any other 4xx after which the call ends
 
 
 class MemberAddress(NamedTuple):
@@ -76,12 +76,12 @@
     @property
     def is_retryable(self) -> bool:
         """Whether the response leaves open if the request was carried out, or asks for a retry."""
-        return self.status >= 500 or self.status in RETRYABLE
+        return self.status >= 500 or self.status in RETRYABLE_STATUSES
 
     @property
     def is_final(self) -> bool:
         """Whether a retry would get the same response."""
-        return self.status in FINAL or not 400 <= self.status < 500
+        return self.status in FINAL_STATUSES or not 400 <= self.status < 500
 
 
 class ResponseReader(asyncio.Protocol):
@@ -179,7 +179,7 @@
                 if response.is_final:
                     return response
                 rejections += 1
-                if rejections >= MOST_OTHER_REJECTIONS:
+                if rejections >= MAX_OTHER_REJECTIONS:
                     return response
             last = member
             await asyncio.sleep(backoff * self.random.uniform(0.5, 1.0))
@@ -189,11 +189,11 @@
     async def follow(self, operation: Operation, request: Request, member: MemberAddress) -> Response | None:
         """Sends a request to a member and follows its redirects.
 
-        Returns None if an attempt failed, or after more than MOST_REDIRECTS redirects.
+        Returns None if an attempt failed, or after more than MAX_REDIRECTS redirects.
         """
         name, ip = member
         port = self.port
-        for _ in range(1 + MOST_REDIRECTS):
+        for _ in range(1 + MAX_REDIRECTS):
             response = await self.attempt(operation, request, name, ip, port)
             if response is None or response.status != TEMPORARY_REDIRECT:
                 return response
@@ -214,7 +214,7 @@
         time = self.loop.virtual_time
         attempt = Attempt(name, time.now)
         operation.attempts.append(attempt)
-        timeout = self.timeout_s + MEGABYTE_TIMEOUT_S * len(request.body) / 1e6
+        timeout = self.timeout_s + EXTRA_TIMEOUT_PER_MEGABYTE_S * len(request.body) / 1e6
         transport: asyncio.Transport | None = None
         try:
             async with asyncio.timeout(timeout) as deadline:
--- a/shedgrade/simulation/system/clients.py
+++ b/shedgrade/simulation/system/clients.py
@@ -24,7 +24,7 @@
     from shedgrade.simulation.system.simulated_system import SimulatedSystem
 
 DIRECTORY_TIMEOUT_S = 1.0
-MOST_DIRECTORIES = 3  # directories asked in one look-up
+MAX_DIRECTORIES = 3  # directories asked in one look-up
 LOOKUP_INTERVAL_S = 0.25  # mean pause; it stands for many clients with one look-up a second each
 
 
@@ -84,7 +84,7 @@
     def directories(self) -> list[Machine[ControlPlane]]:
         """Returns the core machines to ask, in order; those of the client's region come first."""
         return sorted(self.system.cores, key=lambda machine: machine.host.region != self.region)[
-            :MOST_DIRECTORIES
+            :MAX_DIRECTORIES
         ]
 
     async def ask(self, directory: str, ip: str) -> Resolution:
--- a/shedgrade/simulation/system/directory_checkers.py
+++ b/shedgrade/simulation/system/directory_checkers.py
@@ -12,8 +12,8 @@
 from shedgrade.simulation.system.simulated_system import SimulatedSystem
 
 # Time after the end of an edge's process from which directories must not list it: contactMs plus 3 s.
-NAMED_AFTER_END_S = 7.0
-STARTS, ENDS = ("start",), ("ended", "kill", "power lost")  # events of machines in the trace
+MAX_LISTED_AFTER_END_S = 7.0
+START_EVENTS, END_EVENTS = ("start",), ("ended", "kill", "power lost")  # events of machines in the trace
 
 
 def check_directory(system: SimulatedSystem) -> list[Finding]:
@@ -47,7 +47,7 @@
 def check_liveness(
     resolution: Resolution, edges: list[str], spans: dict[str, list[TimeSpan]]
 ) -> list[Finding]:
-    """Checks that no listed edge had ended more than NAMED_AFTER_END_S before the look-up and stayed down."""
+    """Checks that no listed edge was down since more than MAX_LISTED_AFTER_END_S before the look-up."""
     return [
         Finding(
             FindingKind.ENDED_EDGE_LISTED,
@@ -56,7 +56,7 @@
         )
         for edge in edges
         for ended, started in spans.get(edge, ())
-        if ended + NAMED_AFTER_END_S < resolution.invoked_at and resolution.completed_at < started
+        if ended + MAX_LISTED_AFTER_END_S < resolution.invoked_at and resolution.completed_at < started
     ]
 
 
@@ -65,9 +65,9 @@
     ended: dict[str, float] = {}
     spans: dict[str, list[TimeSpan]] = {}
     for at, what, machine in history.events:
-        if what in ENDS:
+        if what in END_EVENTS:
             ended.setdefault(machine, at)
-        elif what in STARTS and machine in ended:
+        elif what in START_EVENTS and machine in ended:
             spans.setdefault(machine, []).append(TimeSpan(ended.pop(machine), at))
     for machine, at in ended.items():
         spans.setdefault(machine, []).append(TimeSpan(at, FOREVER))
--- a/shedgrade/simulation/system/disk.py
+++ b/shedgrade/simulation/system/disk.py
@@ -18,7 +18,7 @@
 
 WriteDone = Callable[[int, bool], None]  # (token, whether the write succeeded)
 
-MOST_OPERATIONS = 8  # file operations of a write that a crash lets through, at most
+MAX_OPERATIONS_BEFORE_CRASH = 8  # file operations of a write that a crash lets through, at most
 
 
 class CrashError(BaseException):
@@ -133,7 +133,7 @@
         disk = self.machine_disk
         if not self.queue or not self.busy:
             return
-        left = disk.random.randint(0, MOST_OPERATIONS)
+        left = disk.random.randint(0, MAX_OPERATIONS_BEFORE_CRASH)
 
         def crash_at(operation: str, name: str) -> None:
             nonlocal left
--- a/shedgrade/simulation/system/fault_schedule.py
+++ b/shedgrade/simulation/system/fault_schedule.py
@@ -24,7 +24,7 @@
 FAIR_GAPS_S = (0.1, 0.5, 1.5, 4.0)
 STORM_GAPS_S = (0.05, 0.3, 0.8, 2.0)
 TERMINATION_S = 9.0  # time from SIGTERM until the process runs again
-LONG_CUT_S = 20.0
+LONG_ISOLATION_S = 20.0
 RESTART_ALL_S = 2.5  # time within which all machines return
 
 CoreMachine = Machine[ControlPlane]
@@ -200,9 +200,9 @@
         self.inject(self.faults.isolate)
 
     def isolate_for_long(self) -> None:
-        """Cuts a machine off for LONG_CUT_S; only in runs of more than twice that length."""
-        if self.system.parameters.length > 2 * LONG_CUT_S:
-            self.inject(self.faults.isolate, seconds=LONG_CUT_S)
+        """Cuts a machine off for LONG_ISOLATION_S; only in runs of more than twice that length."""
+        if self.system.parameters.length > 2 * LONG_ISOLATION_S:
+            self.inject(self.faults.isolate, seconds=LONG_ISOLATION_S)
 
     def isolate_one_way(self) -> None:
         """Blocks one direction of the links between a machine and the other core machines."""
--- a/shedgrade/simulation/system/machine.py
+++ b/shedgrade/simulation/system/machine.py
@@ -19,7 +19,7 @@
 if TYPE_CHECKING:
     from shedgrade.simulation.system.simulated_system import SimulatedSystem
 
-EPOCH = 1_790_000_000.0  # time of day at virtual time 0, seconds since 1970
+TIME_OF_DAY_AT_START_S = 1_790_000_000.0  # seconds since 1970, at virtual time 0
 RESTART_DELAY_S = 0.3  # time until the platform restarts a process that has ended
 
 
@@ -119,7 +119,7 @@
 
     def time_of_day(self) -> float:
         """Returns the time of day that the machine's clock shows, in seconds since 1970."""
-        return EPOCH + self.system.time.now + self.clock_skew
+        return TIME_OF_DAY_AT_START_S + self.system.time.now + self.clock_skew
 
     # --- process
 
--- a/shedgrade/simulation/system/message_faults.py
+++ b/shedgrade/simulation/system/message_faults.py
@@ -26,9 +26,9 @@
 CoreMachine = Machine[ControlPlane]
 StrikeFault = Callable[["FaultSchedule", CoreMachine, CoreMachine], None]  # (schedule, sender, receiver)
 
-LEAST_DELAY_S, MOST_DELAY_S = 0.05, 3.0  # range of the delay of a late message
-MOST_REPLACED = 2  # machines replaced in one run, so that one of the three seed addresses stays in use
-CRASH_AFTER_S = 0.08  # longest time until a machine loses power
+MIN_DELAY_S, MAX_DELAY_S = 0.05, 3.0  # range of the delay of a late message
+MAX_REPLACED_MACHINES = 2  # in one run; one of the three seed addresses stays in use
+MAX_CRASH_DELAY_S = 0.08  # longest time until a machine loses power
 
 encode = msgspec.msgpack.Encoder().encode
 
@@ -65,7 +65,7 @@
 
     def deliver_late(self, sender: CoreMachine, address: str, message: m.Message) -> None:
         """Schedules the delivery of a message after a random delay."""
-        delay = self.random.uniform(LEAST_DELAY_S, MOST_DELAY_S)
+        delay = self.random.uniform(MIN_DELAY_S, MAX_DELAY_S)
         body = REPLICATION_CHANNEL + encode(message)
         link = sender.program.own if sender.program is not None else ""
         self.system.time.after(delay, self.deliver, sender, link, address, body)
@@ -144,16 +144,16 @@
         if not schedule.ended:
             schedule.inject(schedule.faults.power_off, receiver)
 
-    schedule.system.time.after(schedule.random.uniform(0.0, CRASH_AFTER_S), power_off)
+    schedule.system.time.after(schedule.random.uniform(0.0, MAX_CRASH_DELAY_S), power_off)
 
 
 def crash_before_sync(schedule: FaultSchedule, sender: CoreMachine, receiver: CoreMachine) -> None:
     """Stalls the receiver's disk, then cuts its power, so that a write isn't synced before the crash."""
 
     def stall_and_crash(machine: CoreMachine, seconds: float) -> None:
-        schedule.faults.stall_disk(machine, CRASH_AFTER_S + seconds)
+        schedule.faults.stall_disk(machine, MAX_CRASH_DELAY_S + seconds)
         schedule.system.time.after(
-            schedule.random.uniform(0.02, CRASH_AFTER_S), schedule.faults.power_off, machine, seconds
+            schedule.random.uniform(0.02, MAX_CRASH_DELAY_S), schedule.faults.power_off, machine, seconds
         )
 
     schedule.inject(stall_and_crash, receiver)
@@ -191,7 +191,7 @@
     """Removes a machine for good; a new one with an empty disk and another address takes its place."""
     machine = schedule.pick_machine()
     first_cores = 2 * schedule.system.parameters.tolerated + 1
-    if machine is None or schedule.system.cores_made >= first_cores + MOST_REPLACED:
+    if machine is None or schedule.system.cores_made >= first_cores + MAX_REPLACED_MACHINES:
         return
     down_s = schedule.random.uniform(0.0, 1.0)
     schedule.mark_lost(machine, down_s)
--- a/shedgrade/simulation/system/network.py
+++ b/shedgrade/simulation/system/network.py
@@ -22,8 +22,8 @@
 from shedgrade.simulation.system.virtual_time import VirtualTime
 
 SYN_RETRIES_S = (1.0, 2.0, 4.0, 8.0)  # delays before each retransmission of an unanswered SYN
-SWEEP_S = 0.25  # interval between two checks of the connections' timeouts
-MOST_DATAGRAMS = 64  # unread datagrams that a socket holds
+SWEEP_INTERVAL_S = 0.25  # interval between two checks of the connections' timeouts
+MAX_UNREAD_DATAGRAMS = 64  # unread datagrams that a socket holds
 PACKET_DELAY_S = 0.00005  # processing time of a packet in the hosts
 FIRST_DESCRIPTOR = 1001
 FIRST_PORT, LAST_PORT = 32769, 60999  # range of local ports of connecting sockets
@@ -78,7 +78,7 @@
         self.sockets: dict[int, SimulatedSocket] = {}
         self.listeners: dict[Address, SimulatedSocket] = {}
         self.datagram_sockets: dict[Address, DatagramTransport] = {}
-        time.after(SWEEP_S, self.sweep)
+        time.after(SWEEP_INTERVAL_S, self.sweep)
 
     def check_invariants(self) -> None:
         """Raises AssertionError if the attributes contradict each other."""
@@ -124,7 +124,7 @@
         """Checks the timeouts of all connections, and schedules the next check."""
         for connection in list(self.connections):
             connection.check_timeouts(self.time.now)
-        self.time.after(SWEEP_S, self.sweep)
+        self.time.after(SWEEP_INTERVAL_S, self.sweep)
 
     # --- sockets
 
@@ -286,8 +286,8 @@
             self.network.send_datagram(self.handle.host, self.handle.address, addr, bytes(data))
 
     def arrived(self, data: bytes, origin: Address) -> None:
-        """Queues a received datagram; drops it if MOST_DATAGRAMS are unread."""
-        if len(self.unread) < MOST_DATAGRAMS:
+        """Queues a received datagram; drops it if MAX_UNREAD_DATAGRAMS are unread."""
+        if len(self.unread) < MAX_UNREAD_DATAGRAMS:
             self.unread.append((data, origin))
             if len(self.unread) == 1:
                 self.handle.loop.io_soon(self.read)
