--- a/shedgrade/simulation/system/disk.py
+++ b/shedgrade/simulation/system/disk.py
@@ -61,7 +61,7 @@
         """Sets whether writes hang. Once they no longer do, the queued writes proceed."""
         self.stalled = stalled
         if not stalled and self.worker is not None:
-            self.worker.begin()
+            self.worker.start_next_write()
 
     def crash(self) -> None:
         """Handles the end of the process: the write in progress is interrupted at a random file operation."""
@@ -98,24 +98,24 @@
     def write(self, token: int, changes: Mapping[str, bytes | None]) -> None:
         """Queues a write."""
         self.queue.append(QueuedWrite(token, changes))
-        self.begin()
+        self.start_next_write()
 
-    def begin(self) -> None:
+    def start_next_write(self) -> None:
         """Starts the next write if the disk is idle and isn't stalled."""
         disk = self.machine_disk
         if self.busy or disk.stalled or not self.queue or disk.worker is not self:
             return
         self.busy = True
         delay = disk.latency_s * disk.slowness * (0.5 + disk.random.random())
-        self.loop.virtual_time.after(delay, self.finish)
+        self.loop.virtual_time.after(delay, self.complete_write)
 
-    def finish(self) -> None:
+    def complete_write(self) -> None:
         """Completes the write in progress, or later if the disk is stalled or the process is stopped."""
         disk = self.machine_disk
         if disk.worker is not self:
             return
         if disk.stalled or self.loop.stopped:  # SIGSTOP stops all threads of a process, the disk thread too
-            self.loop.virtual_time.after(disk.latency_s, self.finish)
+            self.loop.virtual_time.after(disk.latency_s, self.complete_write)
             return
         token, changes = self.queue.popleft()
         try:
@@ -126,28 +126,28 @@
             succeeded = False
         self.busy = False
         self.loop.call_soon_threadsafe(self.done, token, succeeded)
-        self.begin()
+        self.start_next_write()
 
     def crash(self) -> None:
         """Performs the write in progress up to a random file operation, because the process ended."""
         disk = self.machine_disk
         if not self.queue or not self.busy:
             return
-        left = disk.random.randint(0, MAX_OPERATIONS_BEFORE_CRASH)
+        operations_left = disk.random.randint(0, MAX_OPERATIONS_BEFORE_CRASH)
 
         def crash_at(operation: str, name: str) -> None:
-            nonlocal left
-            if left == 0:
+            nonlocal operations_left
+            if operations_left == 0:
                 raise CrashError
-            left -= 1
+            operations_left -= 1
 
-        before, disk.files.on_operation = disk.files.on_operation, crash_at
+        previous_hook, disk.files.on_operation = disk.files.on_operation, crash_at
         try:
             self.store.write(self.queue[0].changes)
         except (CrashError, OSError):
             pass
         finally:
-            disk.files.on_operation = before
+            disk.files.on_operation = previous_hook
 
     def close(self) -> None:
         """Drops the queued writes."""
--- a/shedgrade/simulation/system/network.py
+++ b/shedgrade/simulation/system/network.py
@@ -246,21 +246,21 @@
         network, client = self.network, self.handle.host
         if not self.host.powered or self.connection.accepted or network.blocked(self.host, client):
             return
-        back = network.delay(self.host, client, self.connection.random)
+        return_delay = network.delay(self.host, client, self.connection.random)
         listener = network.listeners.get(self.address)
         if listener is None:
             refused = ConnectionRefusedError(errno.ECONNREFUSED, os.strerror(errno.ECONNREFUSED))
-            network.time.after(back, self.handle.loop.io_soon, self.answer, refused)
+            network.time.after(return_delay, self.handle.loop.io_soon, self.set_result, refused)
             return
         self.connection.accept(listener)
-        network.time.after(back, self.answer_arrives)
+        network.time.after(return_delay, self.syn_ack_arrives)
 
-    def answer_arrives(self) -> None:
+    def syn_ack_arrives(self) -> None:
         """Handles the SYN-ACK's arrival: the process learns the result when it next runs."""
         if self.handle.open and self.handle.host.powered:
-            self.handle.loop.io_soon(self.answer, None)
+            self.handle.loop.io_soon(self.set_result, None)
 
-    def answer(self, failure: OSError | None) -> None:
+    def set_result(self, failure: OSError | None) -> None:
         """Sets the result in the process: established if `failure` is None."""
         if self.connected.done():
             return
