--- a/shedgrade/simulation/system/fault_schedule.py
+++ b/shedgrade/simulation/system/fault_schedule.py
@@ -111,17 +111,17 @@
         lost = self.lost_machines()
         if self.is_fair and len(lost) >= self.system.parameters.tolerated:
             return None
-        free = [
+        candidates = [
             machine
             for machine in self.system.cores
             if machine.responsive and (machine.name not in lost or not self.is_fair)
         ]
         if preferred is not None:
-            return preferred if preferred in free else None
+            return preferred if preferred in candidates else None
         primary = self.system.primary()
-        if primary is not None and primary in free and self.random.random() < 0.5:
+        if primary is not None and primary in candidates and self.random.random() < 0.5:
             return primary
-        return self.random.choice(free) if free else None
+        return self.random.choice(candidates) if candidates else None
 
     def random_duration(self) -> float:
         """Returns a random duration of a fault, in seconds."""
--- a/shedgrade/simulation/system/faults.py
+++ b/shedgrade/simulation/system/faults.py
@@ -32,13 +32,13 @@
     def undo_after(self, seconds: float, undo: Callable[[], object]) -> None:
         """Calls `undo` once: after `seconds`, or earlier when `end_all` is called."""
 
-        def once() -> None:
-            if once in self.undo_calls:
-                self.undo_calls.remove(once)
+        def undo_once() -> None:
+            if undo_once in self.undo_calls:
+                self.undo_calls.remove(undo_once)
                 undo()
 
-        self.undo_calls.append(once)
-        self.time.after(seconds, once)
+        self.undo_calls.append(undo_once)
+        self.time.after(seconds, undo_once)
 
     def end_all(self) -> None:
         """Ends all faults, and makes every machine run."""
@@ -69,15 +69,15 @@
         self.log_event(f"quota of {share:.2f} for {seconds:.2f}", machine.name)
         active = True
 
-        def run() -> None:
+        def resume() -> None:
             if active and machine.loop is loop:
-                self.time.after(share * QUOTA_PERIOD_S, wait)
+                self.time.after(share * QUOTA_PERIOD_S, pause)
                 machine.resume_quota()
 
-        def wait() -> None:
+        def pause() -> None:
             if active and machine.loop is loop:
                 machine.exhaust_quota()
-                self.time.after((1.0 - share) * QUOTA_PERIOD_S, run)
+                self.time.after((1.0 - share) * QUOTA_PERIOD_S, resume)
 
         def undo() -> None:
             nonlocal active
@@ -85,7 +85,7 @@
             if machine.loop is loop:
                 machine.resume_quota()
 
-        run()
+        resume()
         self.undo_after(seconds, undo)
 
     def kill(self, machine: AnyMachine, seconds: float) -> None:
--- a/shedgrade/simulation/system/message_faults.py
+++ b/shedgrade/simulation/system/message_faults.py
@@ -24,7 +24,7 @@
     from shedgrade.simulation.system.simulated_system import SimulatedSystem
 
 CoreMachine = Machine[ControlPlane]
-StrikeFault = Callable[["FaultSchedule", CoreMachine, CoreMachine], None]  # (schedule, sender, receiver)
+InjectAtMessage = Callable[["FaultSchedule", CoreMachine, CoreMachine], None]  # (schedule, sender, receiver)
 
 MIN_DELAY_S, MAX_DELAY_S = 0.05, 3.0  # range of the delay of a late message
 MAX_REPLACED_MACHINES = 2  # in one run; one of the three seed addresses stays in use
@@ -83,8 +83,8 @@
     """Ignores the response to a message delivered late."""
 
 
-def at_next(message_type: type[m.Message], strike: StrikeFault) -> InjectFault:
-    """Returns a fault that calls `strike` when the next message of this type is sent."""
+def at_next(message_type: type[m.Message], inject: InjectAtMessage) -> InjectFault:
+    """Returns a fault that calls `inject` when the next message of this type is sent."""
 
     def arm(schedule: FaultSchedule) -> None:
         def on_send(sender: CoreMachine, address: str, message: m.Message) -> bool:
@@ -93,12 +93,12 @@
             receiver = schedule.system.core_at(address)
             if receiver is not None:
                 # Runs after the current event, in which the message is still sent; it may arrive.
-                schedule.system.time.after(0.0, strike, schedule, sender, receiver)
+                schedule.system.time.after(0.0, inject, schedule, sender, receiver)
             return receiver is not None
 
         schedule.system.monitor.triggers.append(on_send)
 
-    arm.__name__ = f"at_next_{message_type.__name__}_{strike.__name__}"
+    arm.__name__ = f"at_next_{message_type.__name__}_{inject.__name__}"
     return arm
 
 
