--- a/shedgrade/simulation/system/__main__.py
+++ b/shedgrade/simulation/system/__main__.py
@@ -36,12 +36,12 @@
         SeedJob(seed, tolerated, profile, length, options["--trace"], options["--log"])
         for seed in range(int(first), int(last))
     ]
-    begun, failed, operations, taken = time.perf_counter(), 0, 0, []
+    started_at, failed_seeds, operations, durations_s = time.perf_counter(), 0, 0, []
     for result in run_seeds(jobs, 1 if options["--trace"] else int(options["--jobs"])):
         operations += result.operations
-        taken.append(result.seconds)
+        durations_s.append(result.seconds)
         if result.findings:
-            failed += 1
+            failed_seeds += 1
             print(
                 f"seed {result.job.seed}: {len(result.findings)} findings",
                 *result.findings[:6],
@@ -49,11 +49,11 @@
                 flush=True,
             )
     print(
-        f"{len(jobs)} seeds of {profile}, t = {tolerated}, {length:.0f} s: {failed} with findings, "
-        f"{operations} operations, {time.perf_counter() - begun:.0f} s in total, "
-        f"{sum(taken) / len(taken):.2f} s per run, {max(taken):.2f} s at most"
+        f"{len(jobs)} seeds of {profile}, t = {tolerated}, {length:.0f} s: {failed_seeds} with findings, "
+        f"{operations} operations, {time.perf_counter() - started_at:.0f} s in total, "
+        f"{sum(durations_s) / len(durations_s):.2f} s per run, {max(durations_s):.2f} s at most"
     )
-    return 1 if failed else 0
+    return 1 if failed_seeds else 0
 
 
 if __name__ == "__main__":
--- a/shedgrade/simulation/system/caller.py
+++ b/shedgrade/simulation/system/caller.py
@@ -168,11 +168,11 @@
         first attempt; without it the member is chosen at random.
         """
         backoff = FIRST_BACKOFF_S
-        last: MemberAddress | None = None
+        last_member: MemberAddress | None = None
         rejections = 0
         while self.loop.time() < until:
             members = self.members()
-            choices = [member for member in members if member != last] or members
+            choices = [member for member in members if member != last_member] or members
             member, first = first or self.random.choice(choices), None
             response = await self.follow(operation, request, member)
             if response is not None and not response.is_retryable:
@@ -181,7 +181,7 @@
                 rejections += 1
                 if rejections >= MAX_OTHER_REJECTIONS:
                     return response
-            last = member
+            last_member = member
             await asyncio.sleep(backoff * self.random.uniform(0.5, 1.0))
             backoff = min(BACKOFF_FACTOR * backoff, LONGEST_BACKOFF_S)
         return None
--- a/shedgrade/simulation/system/checkers.py
+++ b/shedgrade/simulation/system/checkers.py
@@ -58,11 +58,11 @@
     reads = [operation for operation in completed if operation.kind is OperationKind.GET]
     reads.sort(key=lambda operation: operation.invoked_at)
     known = 0
-    taken_in = 0
+    next_completed = 0
     for read in reads:
-        while taken_in < len(completed) and completed[taken_in].completed_at < read.invoked_at:
-            known = max(known, known_version(completed[taken_in]))
-            taken_in += 1
+        while next_completed < len(completed) and completed[next_completed].completed_at < read.invoked_at:
+            known = max(known, known_version(completed[next_completed]))
+            next_completed += 1
         version = read.body_version if read.status == OK else 0
         if read.status not in (OK, NOT_FOUND):
             violations.append(
@@ -112,15 +112,15 @@
 def check_latency(history: History) -> list[Finding]:
     """Checks that no command waits longer than ACKNOWLEDGE_WITHIN_S while the core is stable."""
     violations: list[Finding] = []
-    orders = [operation for operation in history.operations if operation.kind is not OperationKind.GET]
+    commands = [operation for operation in history.operations if operation.kind is not OperationKind.GET]
     for start, end in stable_spans(history.unstable_spans, history.end, STABLE_AFTER_S):
-        for order in orders:
-            since = max(order.invoked_at, start)
-            waited = min(order.completed_at, end) - since
+        for command in commands:
+            since = max(command.invoked_at, start)
+            waited = min(command.completed_at, end) - since
             if waited > ACKNOWLEDGE_WITHIN_S:
                 detail = (
-                    f"{order.operator}'s {order.kind} {order.version}{order.zone} waits {waited:.2f} s "
-                    f"from {since:.3f}"
+                    f"{command.operator}'s {command.kind} {command.version}{command.zone} waits "
+                    f"{waited:.2f} s from {since:.3f}"
                 )
                 violations.append(Finding(FindingKind.SLOW_COMMAND, detail))
     return violations
--- a/shedgrade/simulation/system/configurations.py
+++ b/shedgrade/simulation/system/configurations.py
@@ -87,11 +87,11 @@
 
 def label_of(configuration: bytes) -> str:
     """Returns the label of an encoded configuration, or "" if it is empty."""
-    found = LABEL.search(configuration[:200])
-    return found[1].decode() if found else ""
+    match = LABEL.search(configuration[:200])
+    return match[1].decode() if match else ""
 
 
 def version_of(configuration: bytes) -> int:
     """Returns the version of an encoded configuration, or 0 if it is empty."""
-    found = VERSION.search(configuration[:200])
-    return int(found[1]) if found else 0
+    match = VERSION.search(configuration[:200])
+    return int(match[1]) if match else 0
--- a/shedgrade/simulation/system/directory_checkers.py
+++ b/shedgrade/simulation/system/directory_checkers.py
@@ -33,14 +33,16 @@
     """Checks that all listed edges are in a home region or in the client's region."""
     if not homes:
         return []
-    abroad = sorted({region for region in regions if region != resolution.region and region not in homes})
+    foreign_regions = sorted(
+        {region for region in regions if region != resolution.region and region not in homes}
+    )
     return [
         Finding(
             FindingKind.FOREIGN_REGION,
             f"{resolution.directory} sends {resolution.client} of {resolution.region} to {region} at "
             f"{resolution.completed_at:.3f}",
         )
-        for region in abroad
+        for region in foreign_regions
     ]
 
 
@@ -64,10 +66,10 @@
     """Returns, by machine, the spans from the end of a process to the next start."""
     ended: dict[str, float] = {}
     spans: dict[str, list[TimeSpan]] = {}
-    for at, what, machine in history.events:
-        if what in END_EVENTS:
+    for at, event, machine in history.events:
+        if event in END_EVENTS:
             ended.setdefault(machine, at)
-        elif what in START_EVENTS and machine in ended:
+        elif event in START_EVENTS and machine in ended:
             spans.setdefault(machine, []).append(TimeSpan(ended.pop(machine), at))
     for machine, at in ended.items():
         spans.setdefault(machine, []).append(TimeSpan(at, FOREVER))
--- a/shedgrade/simulation/system/edge_checkers.py
+++ b/shedgrade/simulation/system/edge_checkers.py
@@ -16,10 +16,10 @@
     violations: list[Finding] = []
     last: dict[tuple[str, int], EdgeView] = {}
     for view in history.views:
-        before = last.get((view.edge, view.incarnation))
-        if before is not None and (view.position <= before.position or view.version < before.version):
+        previous = last.get((view.edge, view.incarnation))
+        if previous is not None and (view.position <= previous.position or view.version < previous.version):
             detail = (
-                f"{view.edge} at {view.at:.3f}: {before.position} with version {before.version}, "
+                f"{view.edge} at {view.at:.3f}: {previous.position} with version {previous.version}, "
                 f"then {view.position} with version {view.version}"
             )
             violations.append(Finding(FindingKind.EDGE_REGRESSION, detail))
