--- a/shedgrade/simulation/system/edge_checkers.py
+++ b/shedgrade/simulation/system/edge_checkers.py
@@ -1,4 +1,7 @@
-"""Checkers of the control states that edges applied. Each returns its findings."""
+"""Checkers of the control states that edges applied. Each returns its findings.
+
+An edge is in touch with the core while it runs and reaches every core member that reaches a majority.
+"""
 
 from __future__ import annotations
 
--- a/shedgrade/simulation/system/history.py
+++ b/shedgrade/simulation/system/history.py
@@ -21,7 +21,7 @@
 
 
 class OperationKind(StrEnum):
-    """The kind of an operator's call. The value is its HTTP method."""
+    """The kind of an operator's call. The value is its HTTP method; a delta is a PUT sent as PATCH."""
 
     PUT = "PUT"
     GET = "GET"
