--- a/shedgrade/simulation/system/disk.py
+++ b/shedgrade/simulation/system/disk.py
@@ -44,7 +44,7 @@
         random: source of the random choices.
         latency_s: mean duration of a write without faults, seconds.
         files: content of the disk.
-        slowness: factor by which a write takes longer; 1.0 without faults.
+        latency_factor: factor by which a write takes longer; 1.0 without faults.
         stalled: whether writes hang.
         worker: the worker of the running process; None while no process runs.
     """
@@ -53,7 +53,7 @@
         self.random = random
         self.latency_s = latency_s
         self.files = SimulatedDisk(random)
-        self.slowness = 1.0
+        self.latency_factor = 1.0
         self.stalled = False
         self.worker: DiskWorker | None = None
 
@@ -106,7 +106,7 @@
         if self.busy or disk.stalled or not self.queue or disk.worker is not self:
             return
         self.busy = True
-        delay = disk.latency_s * disk.slowness * (0.5 + disk.random.random())
+        delay = disk.latency_s * disk.latency_factor * (0.5 + disk.random.random())
         self.loop.virtual_time.after(delay, self.complete_write)
 
     def complete_write(self) -> None:
--- a/shedgrade/simulation/system/fault_schedule.py
+++ b/shedgrade/simulation/system/fault_schedule.py
@@ -254,8 +254,8 @@
 
     def slow_disk(self) -> None:
         """Makes a disk's writes many times slower."""
-        slowness = self.random.choice((5.0, 20.0, 100.0))
-        self.inject(lambda machine, seconds: self.faults.slow_disk(machine, seconds, slowness))
+        latency_factor = self.random.choice((5.0, 20.0, 100.0))
+        self.inject(lambda machine, seconds: self.faults.slow_disk(machine, seconds, latency_factor))
 
     def fill_disk(self) -> None:
         """Makes a disk's writes fail because it is full."""
@@ -339,10 +339,10 @@
         regions = sorted({edge.host.region for edge in self.system.edges})
         chosen = self.random.sample(regions, self.random.randint(1, len(regions)))
         gap, down_s = self.random.choice((0.0, 0.3, 1.5)), self.random.choice((0.0, 8.5))
-        for order, region in enumerate(chosen):
+        for index, region in enumerate(chosen):
             for edge in self.system.edges:
                 if edge.host.region == region:
-                    self.system.time.after(gap * order, self.faults.terminate, edge, GRACE_S, down_s)
+                    self.system.time.after(gap * index, self.faults.terminate, edge, GRACE_S, down_s)
 
     def edge_fault(self) -> None:
         """Kills or stops an edge's process, or cuts the edge off from some core machines."""
--- a/shedgrade/simulation/system/faults.py
+++ b/shedgrade/simulation/system/faults.py
@@ -140,12 +140,12 @@
         """Blocks paths for `seconds`; TCP data in flight on them is delivered after that."""
         paths = tuple(paths)
         subject = " ".join(f"{sender}>{receiver}" for sender, receiver in paths)
-        self.log_event(f"cut for {seconds:.2f}", subject)
+        self.log_event(f"paths blocked for {seconds:.2f}", subject)
         for path in paths:
             self.network.block(*path)
 
         def unblock() -> None:
-            self.log_event("cut ended", subject)
+            self.log_event("paths unblocked", subject)
             for path in paths:
                 self.network.unblock(*path)
 
@@ -210,11 +210,11 @@
         machine.disk.set_stalled(True)
         self.undo_after(seconds, lambda: machine.disk.set_stalled(False))
 
-    def slow_disk(self, machine: AnyMachine, seconds: float, slowness: float) -> None:
-        """Makes writes to a machine's disk take `slowness` times as long."""
-        self.log_event(f"disk slow by {slowness:.0f} for {seconds:.2f}", machine.name)
-        machine.disk.slowness = slowness
-        self.undo_after(seconds, lambda: setattr(machine.disk, "slowness", 1.0))
+    def slow_disk(self, machine: AnyMachine, seconds: float, latency_factor: float) -> None:
+        """Makes writes to a machine's disk take `latency_factor` times as long."""
+        self.log_event(f"disk slow by {latency_factor:.0f} for {seconds:.2f}", machine.name)
+        machine.disk.latency_factor = latency_factor
+        self.undo_after(seconds, lambda: setattr(machine.disk, "latency_factor", 1.0))
 
     def fill_disk(self, machine: AnyMachine, seconds: float) -> None:
         """Makes writes to a machine's disk fail for `seconds`, because it is full."""
