--- a/shedgrade/cli/__init__.py
+++ b/shedgrade/cli/__init__.py
@@ -1,4 +1,4 @@
-"""The command line: the daemon's commands here, each further group in a module imported when it is called."""
+"""The command line: the commands of the daemon, and groups whose modules are imported only when called."""
 
 import asyncio
 import sys
@@ -21,22 +21,24 @@
     add_completion=False,
     pretty_exceptions_enable=False,
 )
-ConfigFile = Annotated[Path | None, typer.Option("--config", help="JSON file; GW_CONFIG names it otherwise.")]
+ConfigFile = Annotated[
+    Path | None, typer.Option("--config", help="JSON file; without it, the file that GW_CONFIG names.")
+]
 FeaturesFile = Annotated[
-    Path | None, typer.Option("--features", help="TOML: what is on beyond the platform's own; see deploy/.")
+    Path | None, typer.Option("--features", help="TOML file that turns on optional features; see deploy/.")
 ]
 LogLevel = Annotated[str, typer.Option(help="DEBUG, INFO, WARNING or ERROR.")]
 LogFormat = Annotated[str, typer.Option(help="text or json.")]
 
 
 def fail(error: Exception) -> NoReturn:
-    """One line on standard error, and exit 2."""
+    """Prints the error in one line on standard error and exits with status 2."""
     print(f"shedgrade: {' '.join(str(error).split())}", file=sys.stderr)
     raise typer.Exit(2)
 
 
 def start_log(level: str, form: str) -> None:
-    """Sends the log to standard error; exit 2 for a level or form that there is not."""
+    """Sends the log to standard error. Exits with status 2 if the level or the format is unknown."""
     try:
         log_to_stderr(level, form)
     except ValueError as wrong:
@@ -44,7 +46,8 @@
 
 
 def with_features(config: Config, path: Path | None, loop: asyncio.AbstractEventLoop) -> Sidecar:
-    """The sidecar with what the features file switches on; without one, nothing of it is imported."""
+    """Builds the sidecar with the features that the file turns on. Modules that no feature needs are not
+    imported."""
     if path is None:
         return Sidecar(config, loop)
     from shedgrade.sidecar.lifecycle.features import load_features
@@ -62,7 +65,7 @@
 
         parts.append(ShadowPolicyPart(features.watch, str(path), parts[0].decisions if parts else None))
     if parts:
-        # The outermost stands in the decisions' place and makes the one within it.
+        # Each part wraps the decisions of the part before it, so the sidecar gets the last one's.
         sidecar = Sidecar(config, loop, parts[-1].decisions)
         for part in parts:
             part.join(sidecar)
@@ -113,7 +116,7 @@
 def check_config(
     config: ConfigFile = None, features: FeaturesFile = None, log_format: LogFormat = "text"
 ) -> None:
-    """Read the configuration as `serve` would, and say whether it would start."""
+    """Read the configuration as `serve` does, and report whether it would start."""
     start_log("INFO", log_format)
 
     async def check() -> Sidecar:
@@ -132,7 +135,7 @@
 
 @app.command(context_settings=PASSED_ON)
 def saved(context: typer.Context) -> None:
-    """Look at, check or compact a folder of saved lists: `shedgrade saved --help`."""
+    """Show, check or compact a folder of saved lists: `shedgrade saved --help`."""
     from shedgrade.cli.saved import app as commands
 
     commands(context.args, prog_name="shedgrade saved")
--- a/shedgrade/cli/saved.py
+++ b/shedgrade/cli/saved.py
@@ -1,4 +1,4 @@
-"""`shedgrade saved show|check|compact FOLDER`."""
+"""The commands `shedgrade saved show|check|compact FOLDER`."""
 
 import os
 from pathlib import Path
@@ -15,17 +15,17 @@
 from shedgrade.sidecar.endpoint_snapshot.wall_clock import WallClock
 
 app = typer.Typer(
-    help="Folders in which sidecars keep their lists.",
+    help="Inspect the folders in which sidecars save their endpoint lists.",
     no_args_is_help=True,
     add_completion=False,
     pretty_exceptions_enable=False,
 )
 Folder = Annotated[Path, typer.Argument(help="The folder that [saved] names.")]
-Owner = Annotated[str, typer.Option(help="The sidecar's name; the folder's own if left out.")]
+Owner = Annotated[str, typer.Option(help="The sidecar's name; by default the owner named in the folder.")]
 
 
 def owner_of(files: Files) -> str:
-    """The name in the newest snapshot that can be read."""
+    """Returns the owner named in the newest readable snapshot, or "" if there is none."""
     from shedgrade import file_frames
 
     for name in sorted(
@@ -43,7 +43,7 @@
 
 
 def read(folder: Path, owner: str) -> Recovered:
-    """What a start would find; exit 2 if the folder can't be read."""
+    """Recovers the state as a start would. Exits with status 2 if the folder can't be read."""
     files = Files(folder)
     try:
         return recover(files, owner or owner_of(files))
@@ -53,7 +53,7 @@
 
 @app.command()
 def show(folder: Folder, owner: Owner = "") -> None:
-    """What a start would find: each row with its age and the way it would be used."""
+    """Show what a start would recover: each endpoint with its age and its level of trust."""
     found = read(folder, owner)
     snapshot, now = found.snapshot, WallClock().now()
     confirmed = f"{age_s(snapshot.confirmed_at, now):.0f} s ago" if snapshot.confirmed_at else "never"
@@ -72,7 +72,7 @@
 
 @app.command()
 def check(folder: Folder, owner: Owner = "") -> None:
-    """Reads everything; exit 0 if all is sound, 1 with a line for each file that is not. Changes nothing."""
+    """Read every file; exit 0 if all are valid, 1 with a line for each that is not. Changes nothing."""
     found = read(folder, owner)
     for damaged in found.damaged:
         print(f"{damaged.name}: {damaged.reason}")
@@ -88,13 +88,13 @@
 
 
 def print_event(event: StoreEvent) -> None:
-    """What the store has to say, for whoever called."""
+    """Prints an event of the store."""
     print(f"{event.event}: {event.error}" if event.error else event.event)
 
 
 @app.command()
 def compact(folder: Folder, owner: Owner = "") -> None:
-    """Writes a snapshot anew and drops what it replaces; not while a sidecar has the folder."""
+    """Write a new snapshot and remove the files that it replaces; fails while a sidecar uses the folder."""
     files = Files(folder)
     if not folder.is_dir():
         fail(ValueError(f"{folder}: no such folder"))
--- a/shedgrade/sidecar/endpoint_snapshot/__init__.py
+++ b/shedgrade/sidecar/endpoint_snapshot/__init__.py
@@ -1,1 +1,1 @@
-"""The list of upstreams and what was learned of them on disk, and how far that is trusted at a start."""
+"""The endpoint list and the learned state saved on disk, and how far they are trusted after a restart."""
--- a/shedgrade/sidecar/endpoint_snapshot/config.py
+++ b/shedgrade/sidecar/endpoint_snapshot/config.py
@@ -11,11 +11,16 @@
 
 
 class Saved(Struct, kw_only=True, forbid_unknown_fields=True):
-    """`folder`: of this sidecar alone, kept across restarts; made if it is not there, mode 700.
-
-    `sync`: when what was written is forced to the disk: always (each batch), interval (every `sync_s`
-    seconds at most), never. `state_s`: how often what was learned is saved, in seconds. `trust`: how far
-    saved endpoints are used.
+    """Where and how the endpoint list is saved.
+
+    Attributes:
+        folder: the directory; it belongs to this sidecar alone, is kept across restarts, and is created with
+            mode 700 if it is missing.
+        sync: when written data is forced to the disk: always (after each batch), interval (every `sync_s`
+            seconds at most), never.
+        sync_s: the shortest time between two syncs, in seconds; only for `interval`.
+        state_s: the interval at which the learned state is saved, in seconds.
+        trust: how far saved endpoints are used.
     """
 
     folder: str
@@ -25,7 +30,7 @@
     trust: Trusting = field(default_factory=Trusting)
 
     def problems(self) -> Iterator[tuple[str, str]]:
-        """Yields (key, reason) of what types alone do not show."""
+        """Yields (key, reason) for each value that the types alone do not rule out."""
         if not self.folder:
             yield "folder", "is empty"
         if self.trust.as_told_s < 0 or self.trust.cautious_s < self.trust.as_told_s:
--- a/shedgrade/sidecar/endpoint_snapshot/files.py
+++ b/shedgrade/sidecar/endpoint_snapshot/files.py
@@ -1,4 +1,5 @@
-"""The few file operations that the store needs, so that tests can put a disk of their own in their place."""
+"""The file operations that the store needs, behind a class for which tests can substitute a disk in
+memory."""
 
 import contextlib
 import fcntl
@@ -7,11 +8,11 @@
 
 
 class LockedError(OSError):
-    """Another process has the folder."""
+    """Another process has locked the folder."""
 
 
 class Files:
-    """One folder on a real disk. OSError from any call is the store's to handle."""
+    """One folder on a real disk. Any call may raise OSError, which the store handles."""
 
     def __init__(self, folder: Path) -> None:
         self.folder = Path(folder)
@@ -19,11 +20,12 @@
         self.lock_handle: int | None = None
 
     def make(self) -> None:
-        """Makes the folder, for this user only, if it is not there."""
+        """Creates the folder with mode 700 if it does not exist."""
         self.folder.mkdir(mode=0o700, parents=True, exist_ok=True)
 
     def foreign(self) -> str:
-        """Why the folder should not be trusted, or "": another user's, or writable by others."""
+        """Returns why the folder must not be trusted (another user owns it, or others may write to it), or
+        ""."""
         stat = self.folder.stat()
         if stat.st_uid != os.geteuid():
             return f"belongs to user {stat.st_uid}"
@@ -32,7 +34,7 @@
         return ""
 
     def lock(self) -> None:
-        """LockedError if another process has the folder."""
+        """Takes an exclusive lock on the folder. LockedError if another process holds it."""
         handle = os.open(self.folder / "lock", os.O_RDWR | os.O_CREAT | os.O_CLOEXEC, 0o600)
         try:
             fcntl.flock(handle, fcntl.LOCK_EX | fcntl.LOCK_NB)
@@ -42,15 +44,16 @@
         self.lock_handle = handle
 
     def names(self) -> list[str]:
-        """Of all files in the folder."""
+        """The names of all files in the folder, sorted."""
         return sorted(os.listdir(self.folder))
 
     def read(self, name: str) -> bytes:
-        """The whole file."""
+        """Returns the content of the file."""
         return (self.folder / name).read_bytes()
 
     def append(self, name: str, data: bytes) -> None:
-        """Opens at the first call, then writes to the end; a short write is gone on with."""
+        """Appends data, opening the file at the first call; a short write is continued until all is
+        written."""
         handle = self.handles.get(name)
         if handle is None:
             flags = os.O_WRONLY | os.O_CREAT | os.O_APPEND | os.O_CLOEXEC
@@ -60,21 +63,21 @@
             view = view[os.write(handle, view) :]
 
     def sync(self, name: str) -> None:
-        """Forces what was appended to the disk."""
+        """Forces what was appended to this file to the disk."""
         os.fsync(self.handles[name])
 
     def close(self, name: str) -> None:
-        """Nothing more is appended to this file."""
+        """Closes the handle of a file to which nothing more is appended."""
         handle = self.handles.pop(name, None)
         if handle is not None:
             os.close(handle)
 
     def rename(self, old: str, new: str) -> None:
-        """Takes the place of a file of that name, if there is one."""
+        """Renames a file, replacing any file that has the new name."""
         os.rename(self.folder / old, self.folder / new)
 
     def remove(self, name: str) -> None:
-        """The file is no more."""
+        """Deletes the file."""
         os.unlink(self.folder / name)
 
     def sync_folder(self) -> None:
@@ -86,7 +89,7 @@
             os.close(handle)
 
     def release(self) -> None:
-        """Closes all files and gives the folder up."""
+        """Closes all files and releases the lock on the folder."""
         for name in list(self.handles):
             with contextlib.suppress(OSError):
                 self.close(name)
--- a/shedgrade/sidecar/endpoint_snapshot/recovery.py
+++ b/shedgrade/sidecar/endpoint_snapshot/recovery.py
@@ -1,7 +1,8 @@
-"""From what lies in a folder to the newest sound snapshot. Reads through `Files`, decides without more I/O.
+"""Recovers the newest valid snapshot from the files in a folder. All I/O is reading through `Files`.
 
-A folder holds `snapshot-N` and `log-N`: the log goes on from the snapshot of its number. N and N-1 are kept.
-What is not sound is named for being set aside; nothing is ever deleted here.
+A folder holds `snapshot-N` and `log-N`: the log holds the records that follow the snapshot of its number. The
+files of N and N-1 are kept. Files that fail validation are reported so that the store renames them; nothing
+is deleted here.
 """
 
 import re
@@ -14,12 +15,12 @@
 from shedgrade.sidecar.endpoint_snapshot.snapshot import Record, Snapshot
 
 FILE_NAME = re.compile(r"(snapshot|log)-(\d{1,18})$")
-END = {"k": "end"}  # the last record of a snapshot's file
-UNKNOWN = -1  # a length
+END = {"k": "end"}  # the last record of a snapshot file
+UNKNOWN = -1  # the length of a log that is not valid to its end
 
 
 class DamagedFile(NamedTuple):
-    """A file that is to be set aside, and why."""
+    """A file that is to be set aside, and the reason."""
 
     name: str
     reason: str
@@ -28,9 +29,13 @@
 class Recovered(Struct):
     """What was found in a folder.
 
-    `snapshot`: the newest sound one, empty if there is none. `number`: the highest number used in the folder.
-    `records`: how many were read. `log_length`: bytes of the last log if it is sound to its end, else
-    UNKNOWN. `damaged`: files to set aside. `newer`: files of a later version, which must not be written over.
+    Attributes:
+        snapshot: the newest valid one with the records of its logs applied; empty if there is none.
+        number: the highest number that a file in the folder has.
+        records: the number of records read.
+        log_length: the size of the last log in bytes if it is valid to its end, else UNKNOWN.
+        damaged: files to set aside.
+        newer: files of a later format version, which must not be overwritten.
     """
 
     snapshot: Snapshot
@@ -41,33 +46,33 @@
     newer: list[str] = field(default_factory=list)
 
     def summary(self) -> str:
-        """What was not in order, in one line; "" if all was."""
+        """Damaged and newer files in one line; "" if there are none."""
         parts = [f"{one.name}: {one.reason}" for one in self.damaged]
         return "; ".join([*parts, *(f"{name}: of a newer version" for name in self.newer)])
 
 
 def recover(files: Files, owner: str) -> Recovered:
-    """The newest sound state of this owner. OSError only if the folder itself can't be listed."""
+    """Returns the newest valid state of this owner. OSError only if the folder itself can't be listed."""
     return Recovery(files, owner).run()
 
 
 def rebuild(records: list[Record], snapshot: Snapshot) -> str:
-    """Applies records up to the first that is none of ours; why it stopped, or ""."""
+    """Applies records up to the first invalid one. Returns why it stopped there, or ""."""
     for number, record in enumerate(records):
         try:
             snapshot.apply(record)
         except (KeyError, TypeError, ValueError, AttributeError) as error:
-            return f"record {number} is not one of ours ({type(error).__name__}: {error})"
+            return f"record {number} is invalid ({type(error).__name__}: {error})"
     return ""
 
 
 class Recovery:
-    """One reading of a folder.
+    """One pass over the files of a folder.
 
     Attributes:
-        found: what has been found so far.
-        base: the number of the snapshot that is gone on from; None if there is no sound one.
-        log_length: of the log before, UNKNOWN if it was not sound to its end.
+        found: the result so far.
+        base: the number of the snapshot in use; None if no valid one was found.
+        log_length: the size of the previous log in bytes; UNKNOWN if it was not valid to its end.
     """
 
     def __init__(self, files: Files, owner: str) -> None:
@@ -78,7 +83,7 @@
         self.log_length = UNKNOWN
 
     def run(self) -> Recovered:
-        """Reads the snapshots, the newest first, then the logs from there on."""
+        """Reads snapshots from the newest down to the first valid one, then the logs from its number on."""
         snapshots: dict[int, str] = {}
         logs: dict[int, str] = {}
         for name in self.files.names():
@@ -96,15 +101,18 @@
         return self.found
 
     def read_snapshot(self, number: int, name: str) -> bool:
-        """Whether this one is sound, and so gone on from."""
+        """Reads one snapshot. Returns whether it is valid and of this owner, and so becomes the base."""
         snapshot = Snapshot()
         try:
             stated, records, reason = file_frames.read(self.files.read(name), file_frames.SNAPSHOT)
             if stated != number:
-                raise file_frames.FormatError(f"says it is number {stated}")
-            # A snapshot is written whole before it gets its name: one that is not whole is damaged.
+                raise file_frames.FormatError(f"its header has number {stated}")
+            # A snapshot is renamed to this name only once it is written in full: an incomplete one is
+            # damaged.
             end = records.pop() if records else {}
-            reason = reason or ("" if end == END else "no end") or rebuild(records, snapshot)
+            reason = (
+                reason or ("" if end == END else "the end record is missing") or rebuild(records, snapshot)
+            )
             if reason:
                 raise file_frames.FormatError(reason)
         except file_frames.NewerVersionError:
@@ -122,8 +130,8 @@
         return True
 
     def read_log(self, number: int, name: str) -> int:
-        """Applies one log, as far as it is sound and goes on from what was read before. Returns its length,
-        UNKNOWN if it is not sound to its end."""
+        """Applies the valid part of one log, if it continues what was read before. Returns the log's length
+        in bytes, or UNKNOWN if it is not valid to its end."""
         try:
             data = self.files.read(name)
             _, records, reason = file_frames.read(data, file_frames.LOG)
@@ -152,8 +160,8 @@
         return UNKNOWN if reason else len(data)
 
     def follows(self, number: int, head: Record) -> bool:
-        """Whether a log goes on from its snapshot, or from the whole of the log before. Without either, what
-        it says lacks its beginning, and only a record with a complete list can be begun with."""
+        """Whether a log continues its own snapshot, or the complete log before it. Otherwise earlier records
+        are missing, and its records apply only from the first one with a complete list on."""
         if number == self.base:
             return True
         return (
@@ -161,12 +169,12 @@
         )
 
     def set_aside(self, name: str, reason: str) -> None:
-        """The file is damaged."""
+        """Records a damaged file."""
         self.found.damaged.append(DamagedFile(name, reason))
 
 
 def first_complete_list(records: list[Record]) -> int | None:
-    """The place of the first record with a complete list."""
+    """The index of the first record with a complete list, or None."""
     for place, record in enumerate(records):
         if record.get("k") == "list" and record.get("whole") is True:
             return place
--- a/shedgrade/sidecar/endpoint_snapshot/snapshot.py
+++ b/shedgrade/sidecar/endpoint_snapshot/snapshot.py
@@ -1,8 +1,9 @@
-"""The snapshot, without I/O: what discovery last said of each upstream, when, and what was learned of it.
+"""The snapshot, without I/O: the last description of each upstream by discovery, its time, and the learned
+state.
 
-It is told by records and gives records: a snapshot is the sum of its records, whatever file they stood in.
-Times are Unix milliseconds of the wall clock, beside the boot's own clock where there is one. The keys of the
-records are on disk: they stay.
+A snapshot is built by applying records and is written as records: it depends only on their sequence, not on
+the files that held them. Times are Unix milliseconds of the wall clock, together with the time since boot
+where the kernel names the boot. The keys of the records are stored on disk and must not change.
 """
 
 from math import inf
@@ -10,24 +11,30 @@
 
 from msgspec import Struct, structs
 
-REMOVALS_KEPT_MS = 7 * 24 * 3_600_000  # a week, longer than any list is of use
-MAX_REMOVALS = 20_000  # remembered, the oldest go first
+REMOVALS_KEPT_MS = 7 * 24 * 3_600_000  # a week, longer than a saved list is of use
+MAX_REMOVALS = 20_000  # the oldest are forgotten first
 STATES = ("in_service", "terminating", "terminated")
 
-Record = dict[str, Any]  # one record of a file; `k` names its kind
-Entry = dict[str, Any]  # one upstream in discovery's form
+Record = dict[str, Any]  # one record of a file; `k` is its kind
+Entry = dict[str, Any]  # one upstream in the format of discovery
 
 
 class Moment(Struct, frozen=True):
-    """A point in time by both clocks; on disk by position."""
+    """A point in time by both clocks; stored on disk as an array of the fields in this order.
+
+    Attributes:
+        wall_ms: Unix time, in milliseconds.
+        boot_id: the identifier of the machine's boot; "" if the kernel does not name it.
+        since_boot_ms: time since that boot, in milliseconds.
+    """
 
     wall_ms: int
-    boot_id: str = ""  # of the machine; "" if the kernel does not name it
+    boot_id: str = ""
     since_boot_ms: int = 0
 
 
 class EndpointState(Struct):
-    """One upstream as discovery described it, and when that was last confirmed."""
+    """One upstream as discovery described it, and when discovery last confirmed it."""
 
     entry: Entry
     confirmed_at: Moment
@@ -39,10 +46,11 @@
 
 
 def age_s(then: Moment, now: Moment) -> float:
-    """Seconds from then to now; inf where the clocks cannot tell.
+    """Seconds from `then` to `now`; inf where the clocks do not show the age.
 
-    Guards against a wall clock that jumped: within one boot its own clock counts. Across boots only the wall
-    clock is left, and one that now stands before `then` has jumped back: the age is unknown, not small.
+    Guards against a wall clock that jumped. Within one boot the time since boot is used. Across boots only
+    the wall clock is left: if it now stands before `then` it has jumped back, and the age is unknown, not
+    small.
     """
     if then.boot_id and then.boot_id == now.boot_id:
         return max(0.0, (now.since_boot_ms - then.since_boot_ms) / 1000)
@@ -55,13 +63,14 @@
     """Everything that is kept across restarts.
 
     Attributes:
-        endpoints: by id, those that the list holds.
-        removed: by id, when those that it holds no more were removed, the oldest first; none is in
-            `endpoints` unless a file was put together from parts.
-        generation: of the list.
-        confirmed_at: when discovery last answered anything sound; None if never.
-        learned, learned_at: the balancer's state as it was exported, and when; both None or neither.
-        quota: what quotas have counted and owe, with its own moments.
+        endpoints: by id, the endpoints in the list.
+        removed: by id, when an endpoint that is no longer in the list was removed, the oldest first. An id is
+            not in `endpoints` as well, unless the snapshot was recovered from several files.
+        generation: the generation of the list.
+        confirmed_at: when discovery last gave a valid answer; None if never.
+        learned, learned_at: the exported state of the balancer, and when it was saved; either both or neither
+            is None.
+        quota: the counts and debts of the quotas, with their own times.
         owner: the name of the sidecar; "" before its first record.
     """
 
@@ -78,7 +87,7 @@
     # --- records
 
     def apply(self, record: Record) -> None:
-        """Takes one record. KeyError, TypeError or ValueError if it is none of ours."""
+        """Applies one record. KeyError, TypeError or ValueError if it is invalid."""
         match record["k"]:
             case "owner":
                 self.owner = str(record["name"])
@@ -101,7 +110,7 @@
                 raise ValueError(f"record {kind!r} is unknown")
 
     def apply_list(self, entries: list[Entry], complete: bool, generation: int, at: Moment) -> None:
-        """What discovery said: all of the list, or what changed."""
+        """Applies an answer of discovery: the complete list, or its changes."""
         if complete:
             named = {entry["instanceId"] for entry in entries}
             for name in [name for name in self.endpoints if name not in named]:
@@ -120,7 +129,7 @@
         self.confirm(at, generation)
 
     def remove(self, name: str, at: Moment) -> None:
-        """The list holds it no more; that is remembered."""
+        """Removes an endpoint from the list and remembers the time of its removal."""
         self.endpoints.pop(name, None)
         self.removed.pop(name, None)
         self.removed[name] = at
@@ -128,12 +137,12 @@
             del self.removed[next(iter(self.removed))]
 
     def confirm(self, at: Moment, generation: int) -> None:
-        """An answer without changes confirms every endpoint there is."""
+        """Records an answer of discovery; one without changes confirms every endpoint in the list."""
         self.generation = generation
         self.confirmed_at = at
 
     def records(self, now: Moment) -> list[Record]:
-        """All of it as records; removals older than they are kept for are left out."""
+        """The whole snapshot as records, without the removals older than REMOVALS_KEPT_MS."""
         found: list[Record] = [{"k": "owner", "name": self.owner}]
         found += [
             {"k": "row", "told": one.entry, "at": structs.astuple(one.confirmed_at)}
@@ -154,7 +163,7 @@
         return found
 
     def check_invariants(self) -> None:
-        """AssertionError if the parts contradict each other."""
+        """AssertionError if the fields contradict each other."""
         assert (self.learned is None) == (self.learned_at is None)
         assert len(self.removed) <= MAX_REMOVALS
         assert all(one.entry["instanceId"] == name for name, one in self.endpoints.items())
@@ -162,6 +171,6 @@
 
 
 def parse_moment(fields: list[Any]) -> Moment:
-    """A moment by position. TypeError or ValueError if it is none."""
+    """Decodes a Moment from its array. TypeError or ValueError if it is not one."""
     wall_ms, boot_id, since_boot_ms = fields
     return Moment(int(wall_ms), str(boot_id), int(since_boot_ms))
--- a/shedgrade/sidecar/endpoint_snapshot/source.py
+++ b/shedgrade/sidecar/endpoint_snapshot/source.py
@@ -1,5 +1,5 @@
-"""The saved list as a source of the list, and as the keeper of what discovery says. The edge: it decides
-nothing."""
+"""Starts a sidecar from its saved endpoint list, and saves what discovery answers. Connects the store, the
+trust rules and the log; the decisions are made in those modules."""
 
 from collections import Counter
 from math import inf
@@ -19,15 +19,21 @@
 from shedgrade.sidecar.learned_state_file import from_disk, to_disk
 from shedgrade.upstream_pool.errors import ConfigError
 
-# About how many bytes a record has, and each entry in it.
+# Estimated sizes in bytes: of a record, and of each entry in it.
 LIST_BYTES, LIST_ENTRY_BYTES = 300, 300
 LEARNED_BYTES, LEARNED_ENTRY_BYTES = 500, 60
 QUOTA_BYTES, QUOTA_ENTRY_BYTES = 500, 100
 
 
 class InitialList(Struct):
-    """What to start from. `message`: a list in discovery's form. `doubted`: ids by level of trust, of those
-    that are not used as told. `learned`, `learned_age_s`: what was learned, if any."""
+    """The list and state that a sidecar starts from.
+
+    Attributes:
+        message: the list in the format of discovery.
+        doubted: ids by level of trust, of the endpoints below AS_TOLD.
+        learned: the learned state, if there is any.
+        learned_age_s: the age of `learned`, in seconds.
+    """
 
     message: dict[str, Any]
     doubted: dict[str, list[str]]
@@ -36,7 +42,7 @@
 
 
 def log_event(event: StoreEvent) -> None:
-    """An event of the store, as a log line."""
+    """Writes an event of the store to the log."""
     if event.error:
         logger.bind(error=event.error).log(event.level, event.event)
     else:
@@ -47,8 +53,9 @@
     """One sidecar's saved list.
 
     Attributes:
-        recovered: what was on disk; there after `open`.
-        entries, generation: what discovery has said, for a snapshot after records were lost.
+        recovered: what was found on disk; set by `open`.
+        entries, generation: the list as discovery last gave it, for a full snapshot after records were
+            dropped.
     """
 
     recovered: Recovered
@@ -73,8 +80,8 @@
     # --- the start
 
     def open(self) -> None:
-        """ConfigError if another process has the folder; anything else is logged in one line and gone on
-        without."""
+        """Recovers the saved state. ConfigError if another process has locked the folder; any other failure
+        is logged, and the sidecar starts without saved state."""
         try:
             self.recovered = self.store.open()
         except LockedError as locked:
@@ -82,7 +89,7 @@
         self.store.reread = self.complete_list
 
     def initial_list(self) -> InitialList | None:
-        """What to start from; None if nothing saved can be used."""
+        """The list and state to start from; None if no saved endpoint can be used."""
         snapshot, now = self.recovered.snapshot, self.clock.now()
         verdicts = assess(snapshot, now, self.config.trust)
         usable = [verdict for verdict in verdicts if verdict.level != NEVER]
@@ -100,19 +107,19 @@
         return InitialList(list_message(snapshot, usable), doubted, learned, learned_age_s)
 
     def learned_state(self, initial: InitialList, known: dict[str, int]) -> dict[str, Any] | None:
-        """What was learned, by index; None if it is of no use. `known`: indices by id."""
+        """The learned state by index, or None if there is none or it is invalid. `known`: indices by id."""
         if initial.learned is None:
             return None
         return from_disk(initial.learned, known, self.zones, self.machine_types)
 
     def start(self) -> None:
-        """From now on what is handed over is written."""
+        """Starts writing the records that are saved."""
         self.store.start()
 
-    # --- what is saved
+    # --- saving
 
     def save_list(self, message: dict[str, Any]) -> None:
-        """A sound answer of discovery, changes or none: either confirms the list."""
+        """Saves a valid answer of discovery; with or without changes, it confirms the list."""
         at = structs.astuple(self.clock.now())
         entries, complete, self.generation = message["instances"], message["reset"], message["generation"]
         if complete:
@@ -136,35 +143,35 @@
             self.store.put({"k": "confirmed", "generation": self.generation, "at": at})
 
     def complete_list(self) -> list[Record]:
-        """The list as it stands, as one record: read by the store's thread after it had to drop records."""
+        """The current list as one record. The store's thread calls this after it had to drop records."""
         entries = list(self.entries.copy().values())
         at = structs.astuple(self.clock.now())
         return [{"k": "list", "rows": entries, "whole": True, "generation": self.generation, "at": at}]
 
     def save_learned(self, state: dict[str, Any], ids: list[str]) -> None:
-        """What the balancer has learned. `ids`: by index of the upstream."""
+        """Saves the learned state of the balancer. `ids`: by index of the upstream."""
         stored = to_disk(state, ids, self.zones, self.machine_types)
         record = {"k": "state", "state": stored, "at": structs.astuple(self.clock.now())}
         self.store.put(record, LEARNED_BYTES + LEARNED_ENTRY_BYTES * len(state["ups"]))
 
     def save_quota(self, state: dict[str, Any]) -> None:
-        """What quotas have counted and owe."""
+        """Saves the counts and debts of the quotas."""
         size = QUOTA_BYTES + QUOTA_ENTRY_BYTES * len(state["counted"])
         self.store.put({"k": "quota", "state": state}, size)
 
     def close(self) -> None:
-        """Writes what waits."""
+        """Writes the queued records and closes the store."""
         self.store.close()
 
 
 def list_message(snapshot: Snapshot, usable: list[Verdict]) -> dict[str, Any]:
-    """A complete list in discovery's form."""
+    """A complete list in the format of discovery."""
     entries = [verdict.entry for verdict in usable]
     return {"generation": snapshot.generation, "reset": True, "instances": entries}
 
 
 def log_verdicts(verdicts: list[Verdict], usable: list[Verdict]) -> None:
-    """One line on what the sidecar starts from; a warning if some of it is a last resort."""
+    """Logs how many saved endpoints are used at each level; a warning if any is a last resort."""
     counts = Counter(verdict.level for verdict in verdicts)
     ages = sorted(verdict.age_s for verdict in usable)
     levels = {level.replace(" ", "_"): count for level, count in counts.items()}
--- a/shedgrade/sidecar/endpoint_snapshot/store.py
+++ b/shedgrade/sidecar/endpoint_snapshot/store.py
@@ -1,8 +1,9 @@
-"""The store: a folder with a snapshot and a log, written by a thread of its own, off the loop's path.
+"""The store: a folder with a snapshot and a log, written by a thread of its own so that the event loop never
+waits for the disk.
 
-The loop hands over records and goes on; the thread frames, writes, syncs and compacts. A disk that is slow,
-full or broken holds nobody: what waits is bounded, and when the bound is met or a write fails, the records
-that wait are dropped and a new file of the whole snapshot is due as soon as the disk takes one again.
+The event loop queues records; the thread encodes, writes, syncs and compacts them. A disk that is slow, full
+or broken blocks nobody: the queue is bounded, and when it overflows or a write fails, the queued records are
+dropped and a full snapshot is written as soon as the disk accepts writes again.
 """
 
 import threading
@@ -17,16 +18,16 @@
 from shedgrade.sidecar.endpoint_snapshot.recovery import END, UNKNOWN, Recovered, recover
 from shedgrade.sidecar.endpoint_snapshot.snapshot import Moment, Record, Snapshot
 
-MAX_QUEUED_BYTES = 4 * 1024 * 1024  # of records that wait for the disk: a minute of heavy churn
-RECORD_BYTES = 200  # what a record counts for where its size is not stated
-RETRY_INTERVAL_S = 5.0  # until a disk that failed is tried again
-CLOSE_TIMEOUT_S = 2.0  # a disk that hangs must not hold the exit
-COMPACT_FACTOR = 4  # times a snapshot's size that a log may get to
-MIN_COMPACTED_BYTES = 256 * 1024  # under which a log is not worth compacting
+MAX_QUEUED_BYTES = 4 * 1024 * 1024  # records that wait for the disk: a minute of heavy churn
+RECORD_BYTES = 200  # the estimated size of a record whose size is not given
+RETRY_INTERVAL_S = 5.0  # between attempts to write to a disk that failed
+CLOSE_TIMEOUT_S = 2.0  # a disk that hangs must not delay the exit
+COMPACT_FACTOR = 4  # a log is compacted beyond this multiple of the snapshot's size
+MIN_COMPACTED_BYTES = 256 * 1024  # a smaller log is not worth compacting
 
 
 class StoreEvent(Struct, frozen=True):
-    """Something for the log: a level, a constant text, and why."""
+    """An event to log: its level, a constant text, and the error if there is one."""
 
     level: str
     event: str
@@ -34,29 +35,35 @@
 
 
 class Batch(Struct):
-    """What the thread takes from the queue at once."""
+    """The records that the thread takes from the queue at once.
+
+    Attributes:
+        records: in the order in which they were queued.
+        lost: records before these were dropped.
+        last: the store is closing.
+    """
 
     records: list[Record]
-    lost: bool  # records before these were dropped
-    last: bool  # the store is closing
+    lost: bool
+    last: bool
 
 
 class Store:
-    """One folder, one owner. `open` recovers; `put` hands over; `close` writes what is left.
+    """One folder with one owner. `open` recovers it; `put` queues a record; `close` writes what is queued.
 
-    `sync`: always (after each batch), interval (at most every `sync_s`), never (left to the kernel).
-    Snapshots are synced before they get their name unless it is never.
+    `sync`: always (after each batch), interval (every `sync_s` seconds at most), never (left to the kernel).
+    Unless it is never, a snapshot is synced before it is renamed to its name.
 
     Attributes:
-        snapshot: the thread's own: what is on disk once all that waits is written.
-        number: of the newest snapshot and log.
-        queue, queued_bytes, lost, closing: under `lock`; records that wait, about how many bytes they have,
-            whether some were dropped, whether `close` was called.
-        broken: the last write failed; the next one is a whole snapshot.
-        log_bytes, snapshot_bytes: of the newest files.
-        unsynced, synced_at: whether the log has something that was not forced to the disk; when it was.
-        bytes_written, writes: since the start, for measurements.
-        reread: gives the list as the loop has it, after records were lost.
+        snapshot: the state on disk once all queued records are written; only the thread uses it.
+        number: the number of the newest snapshot and log.
+        queue, queued_bytes, lost, closing: guarded by `lock`; the queued records, their estimated size,
+            whether records were dropped, whether `close` was called.
+        broken: the last write failed; the next one is a full snapshot.
+        log_bytes, snapshot_bytes: the sizes of the newest files.
+        unsynced, synced_at: whether the log holds data that was not synced; when it was last synced.
+        bytes_written, writes: totals since the start, for measurements.
+        reread: returns the event loop's current list as records, after records were dropped.
     """
 
     def __init__(
@@ -94,10 +101,10 @@
     # --- opening
 
     def open(self) -> Recovered:
-        """Locks, recovers, sets aside what is damaged, and begins a new snapshot.
+        """Locks the folder, recovers its state, renames damaged files, and begins a new snapshot.
 
-        Whatever is wrong with the disk, it returns: with what could be read, or an empty snapshot.
-        LockedError only.
+        Returns despite any fault of the disk, with the state that could be read or an empty snapshot. Raises
+        only LockedError.
         """
         if not self.claim_folder():
             return Recovered(Snapshot())
@@ -124,7 +131,8 @@
         return found
 
     def claim_folder(self) -> bool:
-        """Makes and locks the folder. False if it must not be used. LockedError if another process has it."""
+        """Creates and locks the folder. False if it must not be used. LockedError if another process has
+        locked it."""
         try:
             self.files.make()
             foreign = self.files.foreign()
@@ -136,13 +144,13 @@
         except LockedError:
             raise
         except OSError as failure:
-            # It may still be readable: a folder that is read-only tells what it holds.
+            # The folder may still be readable: the state in a read-only folder is recovered.
             self.report_failure("saved endpoint list cannot be written", failure)
             self.broken = True
         return True
 
     def set_aside(self, found: Recovered) -> None:
-        """Gives what is damaged another name; it is never deleted."""
+        """Renames damaged files; they are never deleted."""
         taken = set(self.files.names())
         for damaged in found.damaged:
             name, number = f"{damaged.name}.damaged", 1
@@ -155,12 +163,12 @@
     # --- files
 
     def begin_files(self, gap: bool = False) -> None:
-        """A snapshot under the next number, then an empty log; the ones before the last go.
+        """Writes a snapshot under the next number, begins an empty log, and removes older files.
 
-        `gap`: the log before lacks something that the snapshot holds.
+        `gap`: the previous log lacks records that are in the snapshot.
         """
         if self.unsynced and self.sync != "never" and not gap:
-            self.files.sync(f"log-{self.number}")  # or the gap would be there after a power cut
+            self.files.sync(f"log-{self.number}")  # or its unsynced end could be lost in a power cut
             self.unsynced = False
         before, self.number = self.number, self.write_snapshot(self.number + 1)
         self.files.close(f"log-{before}")
@@ -169,7 +177,7 @@
         self.remove_old()
 
     def write_snapshot(self, number: int) -> int:
-        """Writes the file under another name, and renames it once it is complete. Returns its number."""
+        """Writes a snapshot under a temporary name and renames it once it is complete. Returns its number."""
         temporary = f"snapshot-{number}.new"
         records = [*self.snapshot.records(self.now()), END]
         frames = b"".join(file_frames.frame(record) for record in records)
@@ -188,8 +196,8 @@
         return number
 
     def begin_log(self, before: int, length_before: int) -> None:
-        """An empty log. It says which one it goes on from, and how long that was: without its snapshot, a gap
-        shows."""
+        """Begins a log. Its first record names the log before and its length, so that a gap between the two
+        is detected if the snapshot is unusable."""
         head = {"k": "owner", "name": self.owner, "after": before, "size": length_before}
         data = file_frames.header(file_frames.LOG, self.number) + file_frames.frame(head)
         self.write(f"log-{self.number}", data)
@@ -199,26 +207,25 @@
         self.log_bytes = len(data)
 
     def remove_old(self) -> None:
-        """The files before the last ones go; the last ones stay, in case the newest turn out unreadable."""
+        """Removes files of numbers below the previous one, which is kept in case the newest is unreadable."""
         for name in self.files.names():
             kind, _, rest = name.partition("-")
             if kind in ("snapshot", "log") and rest.isdigit() and int(rest) < self.number - 1:
                 self.files.remove(name)
 
     def write(self, name: str, data: bytes) -> None:
-        """Appends to a file, and counts it."""
+        """Appends to a file and counts the bytes and the write."""
         self.files.append(name, data)
         self.bytes_written += len(data)
         self.writes += 1
 
-    # --- the loop's side
+    # --- called by the event loop
 
     def put(self, record: Record, size: int = 0) -> None:
-        """Hands over one record; never waits for the disk. `size`: about how many bytes it has."""
+        """Queues one record; never waits for the disk. `size`: its estimated size in bytes."""
         with self.lock:
             if self.queued_bytes > MAX_QUEUED_BYTES:
-                # Guards against a disk that stands still: what waits is dropped, a snapshot will make up
-                # for it.
+                # Guards against a disk that hangs: the queue is dropped, and a full snapshot replaces it.
                 self.queue.clear()
                 self.queued_bytes, self.lost = 0, True
             self.queue.append(record)
@@ -226,12 +233,12 @@
             self.lock.notify()
 
     def start(self) -> None:
-        """Starts the thread that writes."""
+        """Starts the writer thread."""
         self.thread = threading.Thread(target=self.run, name="saved", daemon=True)
         self.thread.start()
 
     def close(self, timeout_s: float = CLOSE_TIMEOUT_S) -> None:
-        """Writes what waits, as far as the time allows."""
+        """Writes the queued records, for at most `timeout_s` seconds, and releases the folder."""
         with self.lock:
             self.closing = True
             self.lock.notify()
@@ -240,10 +247,10 @@
         if self.thread is None or not self.thread.is_alive():
             self.files.release()
 
-    # --- the thread's side
+    # --- called by the writer thread
 
     def run(self) -> None:
-        """Writes batch after batch until the store closes."""
+        """Writes batches until the store closes."""
         while True:
             batch = self.next_batch()
             self.write_batch(batch.records, batch.lost)
@@ -255,7 +262,7 @@
                         self.lock.wait_for(lambda: self.closing, RETRY_INTERVAL_S)
 
     def next_batch(self) -> Batch:
-        """Waits for records, or for the time at which the log is to be synced."""
+        """Waits for records, or until the log is due to be synced, and returns the queue."""
         with self.lock:
             while not self.queue and not self.closing:
                 timeout_s = self.sync_s if self.unsynced and self.sync == "interval" else None
@@ -267,11 +274,12 @@
             return batch
 
     def write_batch(self, records: list[Record], lost: bool) -> None:
-        """The snapshot in memory first, as it holds whatever the disk does, then the files."""
+        """Applies a batch to the snapshot in memory, which succeeds whatever the disk does, then writes
+        it."""
         self.apply(records, lost)
         try:
             if self.broken or lost:
-                self.begin_files(gap=True)  # what was lost in between is in the snapshot
+                self.begin_files(gap=True)  # the snapshot holds the records that the log lacks
                 if self.broken:
                     self.broken = False
                     self.report(StoreEvent("INFO", "saved endpoint list written again"))
@@ -288,7 +296,8 @@
             self.on_failure(failure)
 
     def apply(self, records: list[Record], lost: bool) -> None:
-        """Brings the snapshot in memory up to date."""
+        """Applies records to the snapshot in memory, beginning from the event loop's list if some were
+        lost."""
         if lost and self.reread is not None:
             self.snapshot = Snapshot()
             self.snapshot.owner = self.owner
@@ -300,7 +309,7 @@
                 self.report(StoreEvent("ERROR", "saved endpoint list: record not applied", repr(error)))
 
     def sync_log(self) -> None:
-        """Forces the log to the disk, if that is due."""
+        """Syncs the log if it is due."""
         at = time.monotonic()
         due = self.sync == "always" or (self.sync == "interval" and at >= self.synced_at + self.sync_s)
         if self.unsynced and due:
@@ -308,11 +317,11 @@
             self.unsynced, self.synced_at = False, at
 
     def on_failure(self, failure: OSError) -> None:
-        """The disk refused; once it takes something again, a whole snapshot is written."""
+        """Marks the disk as broken, so that the next successful write is a full snapshot."""
         if not self.broken:
             self.report_failure("saved endpoint list cannot be written", failure)
         self.broken = True
 
     def report_failure(self, event: str, failure: OSError) -> None:
-        """The service goes on without the disk."""
+        """Reports a failure of the disk as a warning, since the sidecar goes on serving without it."""
         self.report(StoreEvent("WARNING", event, failure.strerror or str(failure)))
--- a/shedgrade/sidecar/endpoint_snapshot/trust.py
+++ b/shedgrade/sidecar/endpoint_snapshot/trust.py
@@ -1,12 +1,13 @@
-"""How far each saved endpoint is trusted at a start, without I/O: a pure function of the snapshot, its age
-and settings.
-
-Four levels, from most to least:
-  AS_TOLD      confirmed seconds ago: used as discovery said.
-  CAUTIOUS     older: one request at a time until it has shown itself sound, as an upstream that returns.
-  LAST_RESORT  very old: used only when nothing else is left, one at a time, then as CAUTIOUS once it has
-               answered.
-  NEVER        draining, removed, or its address given to another since: never used as ready.
+"""How far each saved endpoint is trusted at a start: a pure function of the snapshot, its age and the
+settings.
+
+There are four levels, from the highest to the lowest:
+  AS_TOLD      confirmed seconds ago: used as discovery described it.
+  CAUTIOUS     older: gets one request at a time until it has passed probation, as an ejected upstream does
+               when it returns.
+  LAST_RESORT  very old: used only when no other upstream is left, one request at a time; after its first
+               answer treated as CAUTIOUS.
+  NEVER        draining, removed, or its address was given to another endpoint since: never used as ready.
 """
 
 from math import inf
@@ -22,10 +23,16 @@
 
 
 class Trusting(Struct, kw_only=True, forbid_unknown_fields=True):
-    """Ages in seconds; the table `[saved.trust]`. `as_told_s`: a quiet list is confirmed every 20 s, when a
-    watch ends; with a restart's few seconds on top, 30. `cautious_s`: an hour, the span of a release day.
-    `ends`: answers that an upstream must give before it gets more than one request at a time: three in a row
-    are no luck. `blind`: all as told (for comparison).
+    """The table `[saved.trust]`.
+
+    Attributes:
+        as_told_s: the age up to which an endpoint is used as discovery described it, in seconds. A list
+            without changes is confirmed every 20 s, when a watch ends; with the few seconds of a restart, 30.
+        cautious_s: the age up to which an endpoint is CAUTIOUS, in seconds; an hour is the span of a release
+            day.
+        ends: the answers that an upstream must give before it gets more than one request at a time; three in
+            a row are no coincidence.
+        blind: every usable endpoint is AS_TOLD, whatever its age (for comparison).
     """
 
     as_told_s: float = 30.0
@@ -35,7 +42,7 @@
 
 
 class Verdict(Struct):
-    """One saved endpoint, how far it is trusted, and how long ago discovery confirmed it."""
+    """One saved endpoint, its level of trust, and the seconds since discovery confirmed it."""
 
     entry: Entry
     level: str
@@ -43,8 +50,8 @@
 
 
 def assess(snapshot: Snapshot, now: Moment, trusting: Trusting) -> list[Verdict]:
-    """Every saved endpoint with its level, in the order in which they were saved."""
-    # A complete list, or an answer that nothing has changed, confirms all; a change confirms its own.
+    """Returns every saved endpoint with its level, in the order of the snapshot."""
+    # A complete list, or an answer without changes, confirms every endpoint; a change only those it names.
     list_age_s = age_s(snapshot.confirmed_at, now) if snapshot.confirmed_at is not None else inf
     holders = address_holders(snapshot)
     found = []
@@ -62,7 +69,7 @@
 
 
 def address_holders(snapshot: Snapshot) -> dict[str, str]:
-    """By address, the id that has it: of two endpoints at one address the one described later."""
+    """Maps each address to the id that holds it: of two endpoints at one address, the one confirmed later."""
     holders: dict[str, str] = {}
     for name, endpoint in snapshot.endpoints.items():
         address = endpoint.entry.get("hostPort", "")
@@ -73,7 +80,7 @@
 
 
 def is_newer(one: Moment, other: Moment) -> bool:
-    """Whether it is not before the other, by the boot's clock where both have the same."""
+    """Whether `one` is not before `other`; compares the time since boot if both are of the same boot."""
     if one.boot_id and one.boot_id == other.boot_id:
         return one.since_boot_ms >= other.since_boot_ms
     return one.wall_ms >= other.wall_ms
--- a/shedgrade/sidecar/endpoint_snapshot/wall_clock.py
+++ b/shedgrade/sidecar/endpoint_snapshot/wall_clock.py
@@ -1,5 +1,5 @@
-"""The two clocks by which an age is told: the wall's, and this boot's, which counts through sleep and never
-jumps."""
+"""The two clocks by which an age is measured: the wall clock, and the time since boot, which includes
+suspension and never jumps."""
 
 import time
 from pathlib import Path
@@ -10,7 +10,7 @@
 
 
 class WallClock:
-    """Reads both. Where the kernel does not name its boot, only the wall clock is left."""
+    """Reads both clocks. Where the kernel does not name the boot, only the wall clock can be compared."""
 
     def __init__(self) -> None:
         try:
@@ -19,6 +19,6 @@
             self.boot_id = ""
 
     def now(self) -> Moment:
-        """This moment by both."""
+        """The current time by both clocks."""
         since_boot_ms = time.clock_gettime_ns(time.CLOCK_BOOTTIME) // 1_000_000
         return Moment(time.time_ns() // 1_000_000, self.boot_id, since_boot_ms)
--- a/tests/sidecar/endpoint_snapshot/test_store.py
+++ b/tests/sidecar/endpoint_snapshot/test_store.py
@@ -195,7 +195,7 @@
         file_frames.frame({"k": "surprise"}) + file_frames.frame(listed(90, whole=True)),
     )
     found = recover(disk, "n1")
-    assert told(found.snapshot) == snapshots()[-1] and "not one of ours" in found.damaged[0][1]
+    assert told(found.snapshot) == snapshots()[-1] and "record 7 is invalid" in found.damaged[0][1]
 
 
 def test_a_disk_that_fails_and_comes_back_gets_a_whole_snapshot_and_one_line_each():
