--- a/shedgrade/sidecar/tunnel/__init__.py
+++ b/shedgrade/sidecar/tunnel/__init__.py
@@ -1,1 +1,2 @@
-"""Tunnels in (SOCKS5, CONNECT) and dialling out through proxies, on the same pools, decisions and rules."""
+"""Tunnel listeners (SOCKS5, CONNECT) and connecting to upstreams through proxies. Both use the same pools,
+the same balancing decisions and the same rules as plain RPCs."""
--- a/shedgrade/sidecar/tunnel/assemble.py
+++ b/shedgrade/sidecar/tunnel/assemble.py
@@ -1,4 +1,4 @@
-"""Puts tunnels, further pools and proxies together from the features file: one part of the sidecar."""
+"""The sidecar feature that sets up tunnels, further pools and proxies from the features file."""
 
 import hashlib
 from pathlib import Path
@@ -19,17 +19,17 @@
 
 
 def pool_settings(main: dict, given: PoolTable) -> dict:
-    """The platform's settings with the pool's own methods and zones."""
+    """The platform's settings, with the pool's methods and its zones if it names any."""
     methods = [{**msgspec.to_builtins(method), "stream": False} for method in given.methods]
     zones = given.zones or main["zones"]
     return {**main, "methods": methods, "zones": zones, "az": main["az"] if main["az"] < len(zones) else 0}
 
 
 class TunnelPart(Feature):
-    """What the features file adds beside the platform's own front; Sidecar starts, drains and ends it."""
+    """The tunnels, pools and proxies of the features file. The sidecar starts, drains and closes them."""
 
     def __init__(self, sidecar, features) -> None:
-        """ConfigError for what can't be."""
+        """ConfigError if a pool's settings or a file of credentials are invalid."""
         self.sidecar, self.features = sidecar, features
         loop, budget, config = sidecar.loop, sidecar.budget, sidecar.config
         self.pools: dict[str, Pool] = {MAIN: sidecar.pool}
@@ -92,7 +92,7 @@
             self.sidecar.config.seed,
         )
 
-    # --- as the sidecar goes through its phases
+    # --- called by the sidecar
 
     def start(self) -> None:
         for name, given in self.features.pools.items():
@@ -111,7 +111,7 @@
             own = {self.sidecar.config.listen, *self.tunnels.addresses()}
             for proxy in self.proxies.values():
                 if proxy.address in own:
-                    raise ConfigError(f"proxies.{proxy.name}.address: leads back to this sidecar")
+                    raise ConfigError(f"proxies.{proxy.name}.address: is an address of this sidecar")
             for pool in self.pools.values():
                 pool.connections.own_addresses = own
 
@@ -122,11 +122,12 @@
         except OSError as failure:
             raise ConfigError(f"{key}: {path}: {failure.strerror}") from failure
         except (orjson.JSONDecodeError, ListError) as wrong:
-            raise ConfigError(f"{key}: {path}: no list ({wrong})") from wrong
+            raise ConfigError(f"{key}: {path}: not a valid list ({wrong})") from wrong
         pool.take_over("file")
 
     def reload(self, features) -> None:
-        """A reload that was checked: routes and limits of tunnels hold at once, the rest is for a start."""
+        """Applies a validated reload: routes and limits of tunnels take effect at once; pools, proxies and
+        adding or removing the tunnel table need a restart, which is logged."""
         for name, given in self.features.pools.items():
             if name != MAIN:
                 self.pools[name].retuned(pool_settings(self.sidecar.config.settings, given))
@@ -157,7 +158,7 @@
                 front.close_idle()
 
     def in_flight(self) -> int:
-        """Connections and RPCs that are still to end."""
+        """The connections and RPCs that the drain still waits for."""
         found = sum(
             len(self.fronts[name].clients) + len(pool.dispatcher.active_requests)
             for name, pool in self.pools.items()
--- a/shedgrade/sidecar/tunnel/config.py
+++ b/shedgrade/sidecar/tunnel/config.py
@@ -16,7 +16,15 @@
 
 
 class RouteTable(Struct, kw_only=True, forbid_unknown_fields=True):
-    """One route: which destinations, and where they lead. `use`: opaque, inspected or refuse."""
+    """One route: the destinations that it matches, and what becomes of their tunnels.
+
+    Attributes:
+        names, suffixes, ranges: host names, domain suffixes and address ranges; one of them must match.
+        ports: ports or [low, high] pairs; any port if there is none.
+        use: opaque (bytes are relayed), inspected (each request inside is an RPC) or refuse.
+        pool: the pool of the upstreams.
+        method: the pool's method as which an opaque tunnel is opened.
+    """
 
     names: list[str] = field(default_factory=list)
     suffixes: list[str] = field(default_factory=list)
@@ -28,12 +36,18 @@
 
 
 class Tunnel(Struct, kw_only=True, forbid_unknown_fields=True):
-    """Listeners for tunnels. `users`: a file of `user:password` lines, mode 600; none asks for no login.
-
-    `handshake_ms`: within which a handshake must be whole. `open_ms`: within which an opaque tunnel is open
-    or refused. `idle_s`, `life_s`: an opaque tunnel with no byte for so long, or so old, is closed. `most`:
-    tunnels and handshakes at once; two descriptors each for opaque ones. `buffer`: bytes that wait in a
-    direction. `drain_s`: how long an opaque tunnel whose upstream drains may still bring answers.
+    """Listeners and limits of tunnels.
+
+    Attributes:
+        socks, connect: listen addresses; "" for no such listener.
+        users: a file of `user:password` lines, mode 600; without one no login is required.
+        handshake_ms: the time for a complete handshake, in milliseconds.
+        open_ms: the time until an opaque tunnel is open or refused, in milliseconds.
+        idle_s, life_s: an opaque tunnel without a byte for so long, or so old, is closed; in seconds.
+        most: the limit of concurrent tunnels and handshakes; an opaque tunnel has two descriptors.
+        buffer: bytes that may be buffered in each direction.
+        drain_s: how long an opaque tunnel to a draining upstream may still receive answers, in seconds.
+        routes: the first that matches applies.
     """
 
     socks: str = ""
@@ -50,7 +64,13 @@
 
 
 class ProxyTable(Struct, kw_only=True, forbid_unknown_fields=True):
-    """A proxy to dial through. `login`: a file of one line `user:password`, mode 600."""
+    """A proxy to connect through.
+
+    Attributes:
+        kind, address: its protocol and `host:port`.
+        login: a file of one `user:password` line, mode 600; "" for no login.
+        handshake_ms: the time for a complete handshake with the proxy, in milliseconds.
+    """
 
     kind: Literal["socks5", "connect"]
     address: str
@@ -59,7 +79,7 @@
 
 
 class MethodTable(Struct, kw_only=True, forbid_unknown_fields=True):
-    """A method of a pool, as the platform's settings have it."""
+    """A method of a pool; the fields are those of a method in the platform's settings."""
 
     name: str
     idempotency: Literal["repeatable", "by_key", "once"] = "once"
@@ -72,10 +92,14 @@
 
 
 class PoolTable(Struct, kw_only=True, forbid_unknown_fields=True):
-    """A pool of its own, or (`main`) how the platform's is dialled. `discovery` or `list` (a file in
-    discovery's form) says who is in it; `zones` and limits are the platform's unless said.
-
-    `proxies`: through which it is dialled, in turn; `direct`: what happens when none of them works.
+    """A further pool of upstreams, or (`main`) how the platform's pool is connected to.
+
+    Attributes:
+        discovery, file: the address of discovery, or a file in its format, that lists the upstreams.
+        methods: the methods of the pool.
+        zones: the zones of the pool; the platform's zones if it names none. Limits are always the platform's.
+        proxies: names of the proxies through which upstreams are dialled, in rotation.
+        direct: whether upstreams are dialled directly if no proxy works.
     """
 
     discovery: str = ""
@@ -87,8 +111,8 @@
 
 
 def secret(path: str, key: str) -> list[tuple[str, str]]:
-    """`user:password` lines of a file that only its owner may read. ConfigError names the key, never the
-    line."""
+    """Reads `user:password` lines from a file that only its owner may access. ConfigError names the key and
+    the number of the entry, never its text."""
     try:
         if os.stat(path).st_mode & 0o077:
             raise ConfigError(f"{key}: {path} may be read by others: chmod 600")
@@ -102,12 +126,12 @@
             raise ConfigError(f"{key}: {path}: entry {number} is not user:password of at most 255 bytes each")
         found.append((user, password))
     if not found:
-        raise ConfigError(f"{key}: {path} holds no entry")
+        raise ConfigError(f"{key}: {path} has no entry")
     return found
 
 
 def table(tunnel: Tunnel, pools: dict[str, set[str]]) -> routes.Table:
-    """The checked route table. `pools`: their names with the methods of each."""
+    """Builds the validated route table. `pools`: by pool, the names of its methods."""
     found = []
     for number, given in enumerate(tunnel.routes):
         key = f"tunnel.routes[{number}]"
@@ -124,16 +148,16 @@
         except routes.RouteError as wrong:
             raise ConfigError(f"{key}.{wrong}") from wrong
         if not (route.names or route.suffixes or route.ranges):
-            raise ConfigError(f"{key}: names, suffixes or ranges must say what it is for")
+            raise ConfigError(f"{key}: one of names, suffixes and ranges is required")
         if route.use != routes.REFUSE and route.pool not in pools:
-            raise ConfigError(f"{key}.pool: {route.pool!r} is none of {', '.join(sorted(pools))}")
+            raise ConfigError(f"{key}.pool: {route.pool!r} is not one of {', '.join(sorted(pools))}")
         if route.use == routes.OPAQUE and route.method not in pools[route.pool]:
             raise ConfigError(
-                f"{key}.method: {route.method!r} is none of pool {route.pool}'s: "
+                f"{key}.method: {route.method!r} is not a method of pool {route.pool}: "
                 f"{', '.join(sorted(pools[route.pool]))}"
             )
         if route.use != routes.OPAQUE and route.method:
-            raise ConfigError(f"{key}.method: only an opaque tunnel is opened as a method")
+            raise ConfigError(f"{key}.method: only an opaque route has a method")
         found.append(route)
     return routes.Table(found)
 
@@ -141,7 +165,7 @@
 def check(
     tunnel: Tunnel | None, pools: dict[str, PoolTable], proxies: dict[str, ProxyTable], main_methods: set[str]
 ) -> None:
-    """What no single table shows. ConfigError: key and reason."""
+    """Checks the tables against each other. ConfigError with a key and a reason."""
     for name, one in proxies.items():
         parse_address(one.address, f"proxies.{name}.address")
         if one.login:
@@ -150,25 +174,27 @@
         key = f"pools.{name}"
         for other in pool.proxies:
             if other not in proxies:
-                raise ConfigError(f"{key}.proxies: {other!r} is none of [proxies]")
+                raise ConfigError(f"{key}.proxies: {other!r} is not in [proxies]")
         if pool.direct == "fallback" and not pool.proxies:
-            raise ConfigError(f"{key}.direct: no proxies to fall back from")
+            raise ConfigError(f"{key}.direct: fallback requires proxies")
         if name == MAIN:
             if pool.discovery or pool.file or pool.methods or pool.zones:
-                raise ConfigError(f"{key}: the platform says who is in it: only proxies and direct here")
+                raise ConfigError(
+                    f"{key}: the platform lists its upstreams: only proxies and direct are allowed"
+                )
             continue
         if bool(pool.discovery) == bool(pool.file):
-            raise ConfigError(f"{key}: one of discovery and file must say who is in it")
+            raise ConfigError(f"{key}: exactly one of discovery and file is required")
         if pool.discovery:
             parse_address(pool.discovery, f"{key}.discovery")
         if pool.methods is None:
             raise ConfigError(f"{key}.methods: missing")
         given = [method.name for method in pool.methods]
         if len(set(given)) < len(given):
-            raise ConfigError(f"{key}.methods: a name stands there twice")
+            raise ConfigError(f"{key}.methods: a name is repeated")
     if tunnel is not None:
         if not tunnel.socks and not tunnel.connect:
-            raise ConfigError("tunnel: neither socks nor connect says where to listen")
+            raise ConfigError("tunnel: socks or connect is required")
         for key in ("socks", "connect"):
             if getattr(tunnel, key):
                 parse_address(getattr(tunnel, key), f"tunnel.{key}")
--- a/shedgrade/sidecar/tunnel/connect.py
+++ b/shedgrade/sidecar/tunnel/connect.py
@@ -1,6 +1,7 @@
-"""HTTP CONNECT (RFC 9110, 9.3.6; RFC 9112), both sides, without I/O; the interface is that of `socks`.
+"""HTTP CONNECT (RFC 9110, 9.3.6; RFC 9112), server and client side, without I/O; the interface is that of
+`socks`.
 
-Heads are read strictly: what two readers could take differently is refused.
+Heads are parsed strictly: a head that two parsers could read differently is refused.
 """
 
 import base64
@@ -10,7 +11,7 @@
 
 from shedgrade.sidecar.tunnel.destinations import Destination, DestinationError, authority
 
-LONGEST = 16 * 1024  # bytes of a head: a tunnel's needs few
+LONGEST = 16 * 1024  # bytes of a head; a CONNECT request needs few
 TOKEN = re.compile(rb"[!#$%&'*+.^_`|~0-9A-Za-z-]+$")
 ENDED = b"\r\n\r\n"
 STATUSES = {
@@ -24,16 +25,17 @@
     504: b"Gateway Timeout",
     508: b"Loop Detected",
 }
-# A proxy that says so was told, or found, that the far end can't be reached: nothing ran there.
+# Statuses by which a proxy says that the upstream can't be reached, so that no request was executed there.
 UNREACHED = (502, 503, 504)
 
 
 class HeadError(ValueError):
-    """A head that can't be used; carries the status that says so."""
+    """An invalid head; the argument is the HTTP status to answer with."""
 
 
 def fields(lines: list[bytes]) -> list[tuple[bytes, bytes]]:
-    """Header fields, names in lower case. Folded lines, blanks before the colon and odd bytes are refused."""
+    """Parses header fields; names are lower-cased. HeadError for folded lines, whitespace before the colon
+    and control characters."""
     found = []
     for line in lines:
         name, colon, value = line.partition(b":")
@@ -47,13 +49,13 @@
 
 
 class Gathering:
-    """Bytes up to the end of a head, and what stands behind it."""
+    """Buffers bytes up to the end of a head; `rest` holds the bytes after it."""
 
     def __init__(self) -> None:
         self.buffer, self.out, self.rest = bytearray(), bytearray(), b""
 
     def head(self, data: bytes) -> list[bytes] | None:
-        """The head's lines once it is whole. HeadError if it gets too long."""
+        """Adds data. Returns the head's lines once it is complete, else None. HeadError if it is too long."""
         start = max(0, len(self.buffer) - 3)
         self.buffer += data
         end = self.buffer.find(ENDED, start)
@@ -79,10 +81,10 @@
 
 
 class Accepting(Gathering):
-    """The server's side."""
+    """The server side of a handshake."""
 
     def __init__(self, allowed: Callable[[str, str], bool] | None = None, own: str = "") -> None:
-        """`own`: the name under which this side signs `Via`; met in a request, it came round in a loop."""
+        """`own`: this side's name in `Via`; a request that already carries it is in a loop and refused."""
         super().__init__()
         self.allowed, self.own = allowed, own.encode()
         self.asked: Destination | None = None
@@ -118,7 +120,7 @@
         hosts = [value for name, value in told if name == b"host"]
         if len(hosts) > 1 or (not hosts and parts[2] == b"HTTP/1.1"):
             raise HeadError(400)
-        # A CONNECT has no body; what says that it has may be read differently behind us.
+        # A CONNECT has no body; a request that announces one could be framed differently by the next hop.
         if any(
             name == b"transfer-encoding" or (name == b"content-length" and value != b"0")
             for name, value in told
@@ -149,13 +151,14 @@
         return b"HTTP/1.1 200 Connection established\r\n\r\n"
 
     def refused(self, why: str, wait: int = 0) -> bytes:
-        """`why`: route, exhausted, errored or unreachable; `wait`: tenths of a ms to stay away, or 0."""
+        """The refusal. `why`: route, exhausted, errored or unreachable; `wait`: tenths of a millisecond after
+        which to retry, or 0."""
         status = {"route": 403, "exhausted": 503, "unreachable": 504}.get(why, 502)
         return answer(status, *((b"Retry-After: %.3f" % (wait / 10_000),) if wait else ()))
 
 
 class Dialling(Gathering):
-    """The client's side."""
+    """The client side of a handshake."""
 
     def __init__(self, where: Destination, login: tuple[str, str] | None = None, own: str = "") -> None:
         super().__init__()
@@ -183,7 +186,7 @@
             if lines is not None:
                 self.take(lines)
         except HeadError:
-            self.failed, self.rest = "the proxy's answer can't be read", b""
+            self.failed, self.rest = "the proxy's answer is invalid", b""
 
     @staticmethod
     def status(line: bytes) -> int:
@@ -203,7 +206,8 @@
     def take(self, lines: list[bytes]) -> None:
         status = self.status(lines[0])
         fields(lines[1:])
-        if 200 <= status < 300:  # lengths in a 2xx to CONNECT are to be ignored (RFC 9110)
+        # Content-Length and Transfer-Encoding in a 2xx to CONNECT are ignored (RFC 9110).
+        if 200 <= status < 300:
             self.done = True
         else:
             self.failed, self.unreached, self.rest = f"the proxy: status {status}", status in UNREACHED, b""
--- a/shedgrade/sidecar/tunnel/dialler.py
+++ b/shedgrade/sidecar/tunnel/dialler.py
@@ -1,5 +1,5 @@
-"""Dialling upstreams through proxies: several, each with its own health, never bypassed unless the pool
-says so."""
+"""Connecting to upstreams through proxies. Each proxy has its own health; proxies are bypassed only if the
+pool allows it."""
 
 import asyncio
 from collections.abc import Callable
@@ -10,12 +10,14 @@
 from shedgrade.sidecar.tunnel import connect, socks
 from shedgrade.sidecar.tunnel.destinations import destination
 
-REST = (1.0, 8.0)  # s that a proxy which failed is left alone: doubled by each failure, to the second
+# The time for which a failed proxy is ejected, in seconds: the first is doubled by each failure in a row, up
+# to the second.
+REST = (1.0, 8.0)
 
 
 class DialError(OSError):
-    """`outcome`: what the decisions are told. UNSENT blames no upstream; UNCONNECTED says it can't be
-    reached."""
+    """No connection was made. `outcome`, for the balancer: UNSENT (no fault of the upstream) or UNCONNECTED
+    (the proxy says that the upstream can't be reached)."""
 
     def __init__(self, outcome: int, why: str) -> None:
         super().__init__(why)
@@ -23,7 +25,7 @@
 
 
 class Proxy:
-    """One proxy, and how it has been doing. Decides nothing of upstreams."""
+    """One proxy and its health: failures in a row, and until when it is ejected."""
 
     def __init__(
         self, name: str, kind: str, address: tuple[str, int], login: tuple[str, str] | None, handshake: float
@@ -32,8 +34,7 @@
         self.failures, self.aside_until, self.open = 0, 0.0, 0
 
     def failed(self, now: float, why: str) -> None:
-        """Guards against a proxy that is gone: it is left alone for a while, longer with each failure in a
-        row."""
+        """Ejects the proxy after a failure, for longer with each failure in a row."""
         if now >= self.aside_until:
             if not self.failures:
                 logger.warning("proxy failed, ejected for now", proxy=self.name, error=why)
@@ -47,13 +48,14 @@
 
 
 def order(proxies: list[Proxy], turn: int, now: float) -> list[Proxy]:
-    """Who is tried first: the well ones in rotation, then those aside, the first to return first."""
+    """The order in which proxies are tried: healthy ones in rotation, then ejected ones, the earliest to
+    return first."""
     turned = proxies[turn % len(proxies) :] + proxies[: turn % len(proxies)]
     return sorted(turned, key=lambda proxy: proxy.aside_until if proxy.aside_until > now else 0.0)
 
 
 class Handshake(asyncio.Protocol):
-    """Carries one handshake with a proxy; afterwards the transport is another protocol's."""
+    """Runs one handshake with a proxy; afterwards the transport is given to another protocol."""
 
     def __init__(self, codec) -> None:
         self.codec, self.transport = codec, None
@@ -69,7 +71,7 @@
         if out:
             self.transport.write(out)
         if (self.codec.done or self.codec.failed) and not self.ended.done():
-            # What follows belongs to the tunnel's own protocol, which is not there yet.
+            # Bytes after the handshake belong to the tunnel's own protocol, which is not attached yet.
             self.transport.pause_reading()
             self.ended.set_result(None)
 
@@ -80,8 +82,10 @@
 
 
 class Dialler:
-    """Opens connections for a pool's caller; `proxied` tells it that a slow dial says nothing of the
-    upstream."""
+    """Opens connections for a connection pool through its proxies.
+
+    `proxied` tells the pool that a slow connection attempt says nothing about the upstream.
+    """
 
     def __init__(self, loop, proxies: list[Proxy], own: str, fallback: bool) -> None:
         self.loop, self.proxies, self.own, self.fallback = loop, proxies, own, fallback
@@ -89,7 +93,7 @@
         self.turn = 0
 
     async def __call__(self, factory: Callable, address: tuple[str, int]) -> tuple:
-        """Transport and protocol, or DialError. At most two proxies are tried for one connection."""
+        """Returns (transport, protocol), or raises DialError. At most two proxies are tried."""
         self.turn += 1
         now, last = self.loop.time(), None
         for proxy in order(self.proxies, self.turn, now)[:2]:
@@ -106,7 +110,7 @@
             return made
         if self.fallback:
             return await self.loop.create_connection(factory, *address)
-        raise last or DialError(load_balancing.UNSENT, "every proxy is left alone for now")
+        raise last or DialError(load_balancing.UNSENT, "every proxy is ejected")
 
     async def through(self, proxy: Proxy, factory: Callable, address: tuple[str, int]) -> tuple:
         where = destination(*address)
@@ -117,14 +121,14 @@
         )
         transport = None
         try:
-            # The whole of it, however the bytes dribble.
+            # The timeout covers the complete handshake, however slowly its bytes arrive.
             async with asyncio.timeout(proxy.handshake):
                 transport, talk = await self.loop.create_connection(lambda: Handshake(codec), *proxy.address)
                 await talk.ended
         except (OSError, TimeoutError) as failure:
             if transport is not None:
                 transport.abort()
-            why = "no handshake in time" if isinstance(failure, TimeoutError) else str(failure)
+            why = "the handshake timed out" if isinstance(failure, TimeoutError) else str(failure)
             proxy.failed(self.loop.time(), why)
             raise DialError(load_balancing.UNSENT, f"proxy {proxy.name}: {why}") from failure
         except asyncio.CancelledError:
@@ -134,17 +138,16 @@
         if not codec.done:
             transport.abort()
             if codec.unreached:
-                proxy.worked()  # it answered: the failure is the upstream's
+                proxy.worked()  # the proxy answered: the failure is the upstream's
                 raise DialError(load_balancing.UNCONNECTED, f"proxy {proxy.name}: {codec.failed}")
             proxy.failed(self.loop.time(), codec.failed)
             raise DialError(load_balancing.UNSENT, f"proxy {proxy.name}: {codec.failed}")
         if codec.rest or transport.is_closing():
-            # Bytes ahead of any request, or an end right behind the 200: not a connection to send anything
-            # on.
+            # Bytes before any request, or a close right after the handshake: the connection is unusable.
             transport.abort()
-            proxy.failed(self.loop.time(), "bytes or an end right behind its answer")
+            proxy.failed(self.loop.time(), "data or a close right after the handshake")
             raise DialError(
-                load_balancing.UNSENT, f"proxy {proxy.name}: bytes or an end right behind its answer"
+                load_balancing.UNSENT, f"proxy {proxy.name}: data or a close right after the handshake"
             )
         link = factory()
         transport.set_protocol(link)
--- a/shedgrade/sidecar/tunnel/listener.py
+++ b/shedgrade/sidecar/tunnel/listener.py
@@ -1,8 +1,9 @@
-"""The edge that accepts tunnels: handshakes, then an inspected connection or an opaque relay. Decides
-nothing.
+"""Accepts tunnels: runs their handshakes, then attaches an inspected connection or an opaque relay. Routing
+and balancing decisions are made elsewhere.
 
-A tunnel's client is answered once: granted, or refused by route, exhausted, errored. Handshakes and tunnels
-are bounded in number, time and bytes; what goes on in an inspected one is the application's protocol as ever.
+The client of a tunnel gets one answer: granted, or refused as route, exhausted or errored. Handshakes and
+opaque tunnels are bounded in number, time and bytes. An inspected tunnel carries the application's protocol,
+handled as on a plain connection.
 """
 
 import asyncio
@@ -23,30 +24,32 @@
 from shedgrade.upstream_pool.front import Front
 from shedgrade.upstream_pool.pool import Pool
 
-AT_ONCE = 32  # connections accepted in one pass of the loop
-LOOK = 0.25  # s between two looks at what is overdue
-AHEAD = 64 * 1024  # bytes that a client may send ahead of the answer to its handshake
-BETWEEN = 10.0  # s between two lines about the same trouble
-FLUSHED = 10.0  # s for an upstream to take what a client that has gone had sent
-KEPT = 0.5  # of the drain's grace: then nothing more goes to the upstream; the rest is for what
-# is on its way
-SPREAD = 0.5  # of drain_s: the ends of tunnels to one draining upstream are spread over it
+AT_ONCE = 32  # connections accepted in one iteration of the event loop
+LOOK = 0.25  # seconds between two checks for timeouts
+AHEAD = 64 * 1024  # bytes that a client may send before the answer to its handshake
+BETWEEN = 10.0  # seconds between two log lines about reaching the limit of tunnels
+FLUSHED = 10.0  # seconds for an upstream to read the bytes of a client that has closed
+# The share of the drain's grace after which nothing more is sent to the upstream; the rest is for bytes in
+# flight.
+KEPT = 0.5
+# The ends of tunnels to one draining upstream are spread over this share of drain_s.
+SPREAD = 0.5
 
 
 class Opening(Request):
-    """What an opaque tunnel asks of the core: to be opened somewhere, and to stay there."""
+    """The request to the dispatcher to open an opaque tunnel; it lasts as long as the tunnel."""
 
     stream = StreamLink
 
 
 class TunnelConnection(Side):
-    """A client's connection, from its handshake on."""
+    """A client's connection, from its handshake to the end of its tunnel."""
 
     def __init__(self, tunnels: "Tunnels", codec) -> None:
         super().__init__(tunnels.config.buffer)
         self.tunnels, self.codec = tunnels, codec
         self.active_request: ActiveRequest | None = None
-        self.asked_at = None  # the destination, kept for a reload
+        self.asked_at = None  # the destination, checked against the new routes after a reload
         self.answered = self.open = self.draining = False
         self.since = tunnels.loop.time()
         self.timers: list[asyncio.TimerHandle] = []
@@ -99,7 +102,7 @@
         )
 
     def refuse(self, why: str, wait: int = 0) -> None:
-        """The one answer to its handshake, after which the connection ends."""
+        """Answers the handshake with a refusal and closes the connection."""
         if not self.answered:
             self.answered = True
             if not self.transport.is_closing():
@@ -107,7 +110,7 @@
                 self.transport.close()
 
     def inspect(self, front: Front) -> None:
-        """From here on the application's own protocol is spoken, on the pool's front."""
+        """Grants the tunnel and hands the connection to the pool's front, as a plain RPC connection."""
         self.answered = True
         self.transport.write(self.codec.granted())
         inside = RpcConnection(front, self.codec.user)
@@ -123,14 +126,14 @@
             while part:
                 space = inside.get_buffer(len(part))
                 size = min(len(space), len(part))
-                if not size:  # it can't take that much yet: nobody sends so much ahead in good faith
+                if not size:  # no buffer space: a legitimate client does not send so much ahead
                     inside.cut()
                     break
                 space[:size] = part[:size]
                 inside.buffer_updated(size)
                 part = part[size:]
 
-    # --- what the core says of an opaque tunnel
+    # --- called by the dispatcher, for an opaque tunnel
 
     def opened(self, link: StreamLink) -> None:
         if self.lost or self.transport.is_closing():
@@ -144,7 +147,7 @@
             link.transport.write(self.codec.rest)
         self.codec = None
         link.transport.resume_reading()
-        if self.ended:  # it closed its half while it waited
+        if self.ended:  # the client closed its half while it waited
             link.transport.write_eof()
         else:
             self.transport.resume_reading()
@@ -152,7 +155,7 @@
             self.upstream_drains()
 
     def completed(self, answer) -> None:
-        """The upstream's side has ended; what it sent is still being written."""
+        """The upstream's side has closed; closing the transport still writes the bytes that it sent."""
         self.finish()
 
     def exhausted(self, wait: int) -> None:
@@ -163,13 +166,13 @@
         self.finish()
 
     def has_left(self) -> bool:
-        """Gone for good, be it that the loop has not seen it: a half that is closed may still want its
-        tunnel."""
+        """Whether the client has left, even if the event loop has not noticed. A half-close does not count:
+        such a client may still want its tunnel."""
         if self.lost or self.transport.is_closing():
             return True
         poll = select.poll()
         poll.register(self.transport.get_extra_info("socket").fileno(), 0)
-        return bool(poll.poll(0))  # an error or a hang-up is told unasked
+        return bool(poll.poll(0))  # POLLERR and POLLHUP are always reported
 
     def close(self) -> None:
         self.finish()
@@ -178,16 +181,17 @@
         if not self.transport.is_closing():
             self.transport.close()
 
-    # --- ends
+    # --- closing
 
     def eof_received(self) -> bool:
         if not self.open:
             self.ended = True
-            return self.active_request is not None  # asked and waiting: its answer can still be read
+            # A client that waits for its answer can still read it.
+            return self.active_request is not None
         return super().eof_received()
 
     def other_lost(self, failure) -> None:
-        """A reset upstream is a reset client."""
+        """Closes the client's side after the upstream's; a reset is passed on as a reset."""
         if failure is not None:
             self.reset()
         else:
@@ -201,7 +205,8 @@
         if self.open:
             self.tunnels.bytes_moved += self.moved + self.peer.moved
             if failure is None and not self.peer.lost:
-                self.peer.transport.close()  # it flushes what is on its way, then ends as completed
+                # The bytes in flight are flushed; the transmission then ends as completed.
+                self.peer.transport.close()
                 self.tunnels.loop.call_later(FLUSHED, self.peer.reset)
                 return
         if self.active_request is not None and not self.active_request.done:
@@ -211,11 +216,11 @@
         return self.draining
 
     def upstream_drains(self) -> None:
-        """Rule 3: what the client sends from the grace on would be new to a drained upstream.
+        """Rule 3: bytes that the client sends after the grace would be new requests to a drained upstream.
 
-        Within the grace its bytes go on (one is in the middle of a claim); then the upstream's half is
-        ended and only answers come, for a while that differs from tunnel to tunnel, so that successors are
-        not stormed.
+        Within the grace they are still relayed, since a request may be half sent. Then the half towards the
+        upstream is closed, and only answers are relayed, for a time that differs from tunnel to tunnel so
+        that the clients do not all reconnect at once.
         """
         if self.open and not self.draining and not self.timers:
             grace = self.tunnels.grace(self.peer)
@@ -235,14 +240,14 @@
     def overdue(self, now: float) -> None:
         config = self.tunnels.config
         if not self.open:
-            # However slowly a handshake dribbles, it is whole in time or over.
+            # The whole handshake has one deadline, however slowly its bytes arrive.
             if self.active_request is None and now - self.since > config.handshake_ms / 1000:
                 self.answered = True
                 self.abort()
         elif self.broken() or self.peer.broken():
             self.reset_both()
         elif now - self.used > config.idle_s or now - self.since > config.life_s:
-            # An orderly close waits for what is unsent, which is for a peer that may never read it.
+            # A graceful close would wait until unsent bytes are written, but the peer may never read them.
             if self.unsent() or self.peer.unsent():
                 self.reset_both()
             else:
@@ -255,7 +260,7 @@
 
 
 class Tunnels:
-    """All listeners and tunnels of the process."""
+    """All tunnel listeners and tunnels of the process."""
 
     def __init__(
         self,
@@ -288,7 +293,7 @@
         return hmac.compare_digest(known.encode(), password.encode()) and user in self.users
 
     def listen(self) -> None:
-        """OSError if an address can't be listened on."""
+        """Opens the listeners. OSError if an address can't be listened on."""
         from shedgrade.sidecar.lifecycle.config import parse_address
 
         for kind in ("socks", "connect"):
@@ -318,7 +323,8 @@
             except OSError as failure:
                 logger.warning("accepting tunnels failed", error=failure.strerror)
                 return
-            # Guards plain RPCs: tunnels have a number of their own, and never the last descriptors.
+            # Reserves capacity for plain RPCs: tunnels have their own limit and never use the last
+            # descriptors.
             if len(self.live) + len(self.taking) >= self.config.most or self.budget.full(8):
                 self.refused["full"] += 1
                 connection.close()
@@ -347,7 +353,7 @@
             self.budget.others -= 1
 
     def grace(self, link: StreamLink) -> float:
-        """Seconds after which nothing new may go to an upstream that drains."""
+        """Seconds after which nothing new may be sent to a draining upstream."""
         return next(pool.grace for pool in self.pools.values() if pool.connections is link.connections)
 
     def look(self) -> None:
@@ -358,13 +364,13 @@
             self.loop.call_later(LOOK, self.look)
 
     def renew(self, config: Tunnel, table: Table) -> None:
-        """A reload: new tunnels go by the new table; those whose route is gone end in order."""
+        """Applies a reload: new tunnels use the new routes; open ones without a route are drained."""
         self.config, self.table = config, table
         for tunnel in list(self.live):
             if tunnel.open and tunnel.asked_at is not None and table.find(tunnel.asked_at) is None:
                 tunnel.upstream_drains()
 
-    # --- the process's end
+    # --- shutdown
 
     def waiting(self) -> bool:
         poll = select.poll()
@@ -380,7 +386,7 @@
         self.sockets = []
 
     def drain(self) -> None:
-        """The process leaves: opaque tunnels end their half toward the upstream, answers still come."""
+        """Closes the half of each opaque tunnel towards its upstream; answers are still relayed."""
         for tunnel in list(self.live):
             if tunnel.open and not tunnel.draining:
                 tunnel.stop_sending()
--- a/shedgrade/sidecar/tunnel/relay.py
+++ b/shedgrade/sidecar/tunnel/relay.py
@@ -1,7 +1,7 @@
-"""The two sides of an opaque tunnel: bytes both ways, bounded, half-closes kept. Decides nothing.
+"""The two sides of an opaque tunnel: relays bytes in both directions, with bounded buffers and half-closes.
 
-Each side reads only while the other has room (`most` bytes wait at the most), so a peer that reads nothing
-stops its other end, not this process's memory.
+Each side is read only while the write buffer of the other has room (`most` bytes at the most), so a peer that
+stops reading makes its counterpart wait instead of growing this process's memory.
 """
 
 import asyncio
@@ -11,13 +11,23 @@
 
 
 class Side(asyncio.Protocol):
-    """What both sides share. `peer` is the other one, once there is one."""
+    """Behaviour that both sides share.
+
+    Attributes:
+        most: the limit of the write buffer, in bytes.
+        peer: the other side, once the tunnel is open.
+        moved: bytes received on this side.
+        paused: this side is not read because the other side's write buffer is full.
+        ended: this side has sent its end of file.
+        lost: the connection is closed.
+        used: the event loop's time of the last byte in either direction, in seconds.
+    """
 
     def __init__(self, most: int) -> None:
         self.most, self.transport, self.peer = most, None, None
-        self.moved = 0  # bytes that came in here
-        self.paused = False  # not read from, for lack of room on the other side
-        self.ended = self.lost = False  # its end of file has come; the connection is gone
+        self.moved = 0
+        self.paused = False
+        self.ended = self.lost = False
         self.used = 0.0
 
     def connection_made(self, transport) -> None:
@@ -48,7 +58,7 @@
         return 0 if self.transport.is_closing() else self.transport.get_write_buffer_size()
 
     def broken(self) -> bool:
-        """Reset while nothing is read from it, which the loop does not see."""
+        """Whether the connection was reset while it is not read, which the event loop does not notice."""
         if not self.paused or self.transport.is_closing():
             return False
         poll = select.poll()
@@ -56,11 +66,11 @@
         return any(event & (select.POLLERR | select.POLLHUP) for _, event in poll.poll(0))
 
     def held(self) -> bool:
-        """Nothing may be read from it now, whatever room there is."""
+        """Whether reading must stay paused even if the other side has room."""
         return False
 
     def eof_received(self) -> bool:
-        """Its half is over: the other side is told, and goes on in its own direction."""
+        """Passes the end of file on; the other direction stays open."""
         self.ended = True
         if self.peer is None:
             return False
@@ -76,7 +86,7 @@
             self.transport.abort()
 
     def reset(self) -> None:
-        """Ends with a reset: an orderly end would tell the other side that all had come."""
+        """Ends with a reset: a graceful close would tell the peer that all bytes had arrived."""
         if self.transport.is_closing():
             return
         handle = socket.socket(fileno=self.transport.get_extra_info("socket").fileno())
@@ -90,9 +100,9 @@
 
 
 class StreamLink(Side):
-    """The upstream's side: the transmission that counts in flight for as long as this is open."""
+    """The upstream's side. Its transmission counts as in flight for as long as the connection is open."""
 
-    whole = True  # whatever is opened may have run, as far as anybody here can tell
+    whole = True  # the upstream may have executed what was sent: the bytes of a tunnel are not parsed
 
     def __init__(self, connections, upstream: int, address: tuple[str, int]) -> None:
         super().__init__(connections.stream_buffer)
@@ -106,7 +116,7 @@
 
     def connection_made(self, transport) -> None:
         super().connection_made(transport)
-        transport.pause_reading()  # until the client's side is told
+        transport.pause_reading()  # until the client's side is open
 
     def begin(self, transmission, now: int) -> None:
         self.transmission, transmission.link, transmission.first_on_connection = transmission, self, True
@@ -132,15 +142,15 @@
             self.peer.other_lost(failure)
 
     def abort(self) -> None:
-        """Stopped by the turn: its end is told there, not here."""
+        """Aborts for the dispatcher, which records the end of the transmission itself."""
         self.transmission = None
         super().abort()
 
     cut = abort
 
     def drain(self) -> None:
-        """The upstream drains or is gone: from the grace on nothing new goes to it, its answers still
-        come."""
+        """The upstream drains or was removed: nothing new is sent to it after the grace, its answers are
+        still relayed."""
         if not self.draining:
             self.draining = True
             if self.peer is not None:
--- a/shedgrade/sidecar/tunnel/routes.py
+++ b/shedgrade/sidecar/tunnel/routes.py
@@ -1,5 +1,5 @@
-"""The route table, without I/O: from a destination to a pool and a way of use, or to refusal. First match
-wins."""
+"""The route table, without I/O: maps a destination to a pool and a way to use it, or refuses it. The first
+match applies."""
 
 import ipaddress
 
@@ -11,11 +11,19 @@
 
 
 class RouteError(ValueError):
-    """A route that can't be: its key and the reason."""
+    """An invalid route; the text has its key and the reason."""
 
 
 class Route(Struct):
-    """One row, checked. `method`: of the pool's settings, as which an opaque tunnel is opened."""
+    """One validated route.
+
+    Attributes:
+        names, suffixes, ranges: host names, suffixes with a leading dot, and IP networks; one must match.
+        ports: (low, high) pairs, both inclusive; any port if empty.
+        use: OPAQUE, INSPECTED or REFUSE.
+        pool: the name of the pool.
+        method: the method in the pool's settings as which an opaque tunnel is opened.
+    """
 
     names: frozenset[str]
     suffixes: tuple[str, ...]
@@ -47,7 +55,7 @@
 
 
 def suffixes(texts: list[str]) -> tuple[str, ...]:
-    """`.example.test` matches what stands below it, not itself, and never half a label."""
+    """Parses suffixes: `.example.test` matches the names below it, neither itself nor part of a label."""
     found = []
     for text in texts:
         if not text.startswith("."):
@@ -71,19 +79,19 @@
     for one in given:
         low, high = one if isinstance(one, list) else (one, one)
         if not 0 < low <= high < 65536:
-            raise RouteError(f"ports: {one}")
+            raise RouteError(f"ports: {one} is neither a port nor a range of ports")
         found.append((low, high))
     return tuple(found)
 
 
 class Table:
-    """All routes in their order. What none names is refused: this is no open relay."""
+    """All routes in order. A destination without a route is refused, so the listener is no open relay."""
 
     def __init__(self, routes: list[Route]) -> None:
         self.routes = routes
 
     def find(self, where: Destination) -> Route | None:
-        """The route to follow, or None for refusal."""
+        """The route for a destination, or None if it is refused."""
         for route in self.routes:
             if route.matches(where):
                 return None if route.use == REFUSE else route
--- a/shedgrade/sidecar/tunnel/socks.py
+++ b/shedgrade/sidecar/tunnel/socks.py
@@ -1,7 +1,7 @@
-"""SOCKS5 (RFC 1928) with user and password (RFC 1929), both sides, without I/O.
+"""SOCKS5 (RFC 1928) with user and password (RFC 1929), server and client side, without I/O.
 
-Either side is fed bytes as they come (`receive`) and says what to send (`take_out`). However the stream is
-split, the same bytes give the same result; what stands behind the handshake is kept in `rest`.
+Each side takes bytes as they arrive (`receive`) and returns the bytes to send (`take_out`). The result does
+not depend on how the stream is split; bytes after the handshake are kept in `rest`.
 """
 
 import ipaddress
@@ -14,9 +14,9 @@
 CONNECT = 1
 IPV4, NAME, IPV6 = 1, 3, 4
 GRANTED, FAILURE, NOT_ALLOWED, NET, HOST, REFUSED, TTL, COMMAND, ADDRESS = range(9)
-# Reserved, IPv4, 0.0.0.0:0: where this side is bound is nobody's matter.
+# The bound address of a reply (reserved byte, IPv4, 0.0.0.0:0): clients have no use for the real one.
 NOWHERE = b"\x00\x01\x00\x00\x00\x00\x00\x00"
-# What may come of asking again elsewhere: these tell that the far end was not reached, so nothing ran there.
+# Replies that say that the upstream was not reached, so that no request was executed there.
 UNREACHED = {
     NET: "network unreachable",
     HOST: "host unreachable",
@@ -32,7 +32,7 @@
 
 
 def spell(where: Destination) -> bytes:
-    """A destination as the protocol writes it."""
+    """Encodes a destination: address type, address and port."""
     if where.address:
         address = ipaddress.ip_address(where.host)
         return bytes([IPV4 if address.version == 4 else IPV6]) + address.packed + where.port.to_bytes(2)
@@ -41,10 +41,10 @@
 
 
 class Accepting:
-    """The server's side of a handshake: `asked` once the destination is known, `failed` when it is over."""
+    """The server side of a handshake. `asked` is set once the destination is known, `failed` if it failed."""
 
     def __init__(self, allowed: Callable[[str, str], bool] | None = None) -> None:
-        """`allowed`: checks user and password; None asks for neither."""
+        """`allowed`: checks user and password; without it no login is required."""
         self.allowed, self.buffer, self.out = allowed, bytearray(), bytearray()
         self.asked: Destination | None = None
         self.failed, self.user, self.rest = "", "", b""
@@ -82,7 +82,7 @@
         methods = self.used(2 + self.buffer[1])[2:]
         wanted = NONE if self.allowed is None else PASSWORD
         if wanted not in methods:
-            return self.fail("no common way to log in", bytes([VERSION, NO_METHOD]))
+            return self.fail("no acceptable authentication method", bytes([VERSION, NO_METHOD]))
         self.out += bytes([VERSION, wanted])
         self.step = self.request if self.allowed is None else self.login
         return True
@@ -136,13 +136,13 @@
         return self.reply(GRANTED)
 
     def refused(self, why: str, wait: int = 0) -> bytes:
-        """`why`: route, exhausted, errored or unreachable, as the edge tells it."""
+        """The refusal. `why`: route, exhausted, errored or unreachable."""
         return self.reply({"route": NOT_ALLOWED, "unreachable": HOST}.get(why, FAILURE))
 
 
 class Dialling:
-    """The client's side: `done` once the tunnel is open; else `failed` says why and `unreached` whose
-    failure."""
+    """The client side of a handshake. `done` is set once the tunnel is open; otherwise `failed` is the
+    reason, and `unreached` says that it lies with the destination, not with the proxy."""
 
     def __init__(self, where: Destination, login: tuple[str, str] | None = None) -> None:
         self.where, self.login, self.buffer = where, login, bytearray()
@@ -173,7 +173,7 @@
             return False
         version, method = self.used(2)
         if version != VERSION or method != (PASSWORD if self.login else NONE):
-            return self.fail(f"the proxy wants method {method} of version {version}")
+            return self.fail(f"the proxy chose method {method} in version {version}")
         if self.login:
             user, password = (part.encode() for part in self.login)
             self.out += bytes([AUTH_VERSION, len(user)]) + user + bytes([len(password)]) + password
