--- a/shedgrade/sidecar/endpoint_snapshot/recovery.py
+++ b/shedgrade/sidecar/endpoint_snapshot/recovery.py
@@ -15,8 +15,8 @@
 from shedgrade.sidecar.endpoint_snapshot.snapshot import Record, Snapshot
 
 FILE_NAME = re.compile(r"(snapshot|log)-(\d{1,18})$")
-END = {"k": "end"}  # the last record of a snapshot file
-UNKNOWN = -1  # the length of a log that is not valid to its end
+END_RECORD = {"k": "end"}  # the last record of a snapshot file
+UNKNOWN_LENGTH = -1  # the length of a log that is not valid to its end
 
 
 class DamagedFile(NamedTuple):
@@ -33,7 +33,7 @@
         snapshot: the newest valid one with the records of its logs applied; empty if there is none.
         number: the highest number that a file in the folder has.
         records: the number of records read.
-        log_length: the size of the last log in bytes if it is valid to its end, else UNKNOWN.
+        log_length: the size of the last log in bytes if it is valid to its end, else UNKNOWN_LENGTH.
         damaged: files to set aside.
         newer: files of a later format version, which must not be overwritten.
     """
@@ -41,7 +41,7 @@
     snapshot: Snapshot
     number: int = 0
     records: int = 0
-    log_length: int = UNKNOWN
+    log_length: int = UNKNOWN_LENGTH
     damaged: list[DamagedFile] = field(default_factory=list)
     newer: list[str] = field(default_factory=list)
 
@@ -72,7 +72,7 @@
     Attributes:
         found: the result so far.
         base: the number of the snapshot in use; None if no valid one was found.
-        log_length: the size of the previous log in bytes; UNKNOWN if it was not valid to its end.
+        log_length: the size of the previous log in bytes; UNKNOWN_LENGTH if it was not valid to its end.
     """
 
     def __init__(self, files: Files, owner: str) -> None:
@@ -80,7 +80,7 @@
         self.owner = owner
         self.found = Recovered(Snapshot())
         self.base: int | None = None
-        self.log_length = UNKNOWN
+        self.log_length = UNKNOWN_LENGTH
 
     def run(self) -> Recovered:
         """Reads snapshots from the newest down to the first valid one, then the logs from its number on."""
@@ -111,7 +111,9 @@
             # damaged.
             end = records.pop() if records else {}
             reason = (
-                reason or ("" if end == END else "the end record is missing") or rebuild(records, snapshot)
+                reason
+                or ("" if end == END_RECORD else "the end record is missing")
+                or rebuild(records, snapshot)
             )
             if reason:
                 raise file_frames.FormatError(reason)
@@ -131,24 +133,24 @@
 
     def read_log(self, number: int, name: str) -> int:
         """Applies the valid part of one log, if it continues what was read before. Returns the log's length
-        in bytes, or UNKNOWN if it is not valid to its end."""
+        in bytes, or UNKNOWN_LENGTH if it is not valid to its end."""
         try:
             data = self.files.read(name)
             _, records, reason = file_frames.read(data, file_frames.LOG)
         except file_frames.NewerVersionError:
             self.found.newer.append(name)
-            return UNKNOWN
+            return UNKNOWN_LENGTH
         except (file_frames.FormatError, OSError) as error:
             self.set_aside(name, getattr(error, "strerror", None) or str(error))
-            return UNKNOWN
+            return UNKNOWN_LENGTH
         head = records[0] if records and records[0].get("k") == "owner" else {}
         if head and head.get("name") != self.owner:
             self.set_aside(name, f"belongs to {head.get('name')!r}")
-            return UNKNOWN
+            return UNKNOWN_LENGTH
         if not self.follows(number, head):
             start = first_complete_list(records)
             if start is None or head.get("name") != self.owner:
-                return UNKNOWN
+                return UNKNOWN_LENGTH
             self.found.snapshot = Snapshot()
             self.found.snapshot.owner = self.owner
             records = records[start:]
@@ -157,7 +159,7 @@
         reason = reason or stopped
         if reason:
             self.set_aside(name, reason)
-        return UNKNOWN if reason else len(data)
+        return UNKNOWN_LENGTH if reason else len(data)
 
     def follows(self, number: int, head: Record) -> bool:
         """Whether a log continues its own snapshot, or the complete log before it. Otherwise earlier records
--- a/shedgrade/sidecar/endpoint_snapshot/store.py
+++ b/shedgrade/sidecar/endpoint_snapshot/store.py
@@ -15,7 +15,7 @@
 
 from shedgrade import file_frames
 from shedgrade.sidecar.endpoint_snapshot.files import Files, LockedError
-from shedgrade.sidecar.endpoint_snapshot.recovery import END, UNKNOWN, Recovered, recover
+from shedgrade.sidecar.endpoint_snapshot.recovery import END_RECORD, UNKNOWN_LENGTH, Recovered, recover
 from shedgrade.sidecar.endpoint_snapshot.snapshot import Moment, Record, Snapshot
 
 MAX_QUEUED_BYTES = 4 * 1024 * 1024  # records that wait for the disk: a minute of heavy churn
@@ -172,14 +172,14 @@
             self.unsynced = False
         before, self.number = self.number, self.write_snapshot(self.number + 1)
         self.files.close(f"log-{before}")
-        self.begin_log(before, UNKNOWN if gap else self.log_bytes)
+        self.begin_log(before, UNKNOWN_LENGTH if gap else self.log_bytes)
         self.unsynced = False
         self.remove_old()
 
     def write_snapshot(self, number: int) -> int:
         """Writes a snapshot under a temporary name and renames it once it is complete. Returns its number."""
         temporary = f"snapshot-{number}.new"
-        records = [*self.snapshot.records(self.now()), END]
+        records = [*self.snapshot.records(self.now()), END_RECORD]
         frames = b"".join(file_frames.frame(record) for record in records)
         data = file_frames.header(file_frames.SNAPSHOT, number) + frames
         for name in self.files.names():
--- a/shedgrade/sidecar/tunnel/assemble.py
+++ b/shedgrade/sidecar/tunnel/assemble.py
@@ -10,7 +10,7 @@
 from shedgrade.http.discovery_connection import ListError
 from shedgrade.sidecar.lifecycle.config import parse_address
 from shedgrade.sidecar.lifecycle.feature import Feature
-from shedgrade.sidecar.tunnel.config import MAIN, PoolTable, ProxyTable, secret, table
+from shedgrade.sidecar.tunnel.config import MAIN_POOL, PoolTable, ProxyTable, secret, table
 from shedgrade.sidecar.tunnel.dialler import Dialler, Proxy
 from shedgrade.sidecar.tunnel.listener import Tunnels
 from shedgrade.upstream_pool.errors import ConfigError
@@ -32,9 +32,9 @@
         """ConfigError if a pool's settings or a file of credentials are invalid."""
         self.sidecar, self.features = sidecar, features
         loop, budget, config = sidecar.loop, sidecar.budget, sidecar.config
-        self.pools: dict[str, Pool] = {MAIN: sidecar.pool}
+        self.pools: dict[str, Pool] = {MAIN_POOL: sidecar.pool}
         for name, given in features.pools.items():
-            if name != MAIN:
+            if name != MAIN_POOL:
                 seed = int.from_bytes(hashlib.sha256(f"{config.seed}/{name}".encode()).digest()[:8])
                 try:
                     settings = pool_settings(config.settings, given)
@@ -52,7 +52,7 @@
                 connections.proxied = True
         self.fronts = {
             name: sidecar.front
-            if name == MAIN
+            if name == MAIN_POOL
             else Front(loop, pool, budget, sidecar.is_ready, sidecar.is_draining)
             for name, pool in self.pools.items()
         }
@@ -96,7 +96,7 @@
 
     def start(self) -> None:
         for name, given in self.features.pools.items():
-            if name == MAIN:
+            if name == MAIN_POOL:
                 continue
             pool = self.pools[name]
             if given.file:
@@ -129,7 +129,7 @@
         """Applies a validated reload: routes and limits of tunnels take effect at once; pools, proxies and
         adding or removing the tunnel table need a restart, which is logged."""
         for name, given in self.features.pools.items():
-            if name != MAIN:
+            if name != MAIN_POOL:
                 self.pools[name].retuned(pool_settings(self.sidecar.config.settings, given))
         later = [key for key in ("pools", "proxies") if getattr(features, key) != getattr(self.features, key)]
         if (features.tunnel is None) != (self.tunnels is None):
@@ -141,7 +141,7 @@
 
     def tick(self) -> None:
         for name, front in self.fronts.items():
-            if name != MAIN:
+            if name != MAIN_POOL:
                 front.look_after()
 
     def has_pending_connections(self) -> bool:
@@ -154,7 +154,7 @@
 
     def close_idle(self) -> None:
         for name, front in self.fronts.items():
-            if name != MAIN:
+            if name != MAIN_POOL:
                 front.close_idle()
 
     def in_flight(self) -> int:
@@ -162,12 +162,12 @@
         found = sum(
             len(self.fronts[name].clients) + len(pool.dispatcher.active_requests)
             for name, pool in self.pools.items()
-            if name != MAIN
+            if name != MAIN_POOL
         )
         return found + (len(self.tunnels.live) if self.tunnels is not None else 0)
 
     def own_pools(self) -> list[Pool]:
-        return [pool for name, pool in self.pools.items() if name != MAIN]
+        return [pool for name, pool in self.pools.items() if name != MAIN_POOL]
 
     def close(self) -> None:
         if self.tunnels is not None:
@@ -177,5 +177,5 @@
                 "tunnel totals", inspected=self.tunnels.inspected, bytes_relayed=moved, refused=refused
             )
         for name, pool in self.pools.items():
-            if name != MAIN:
+            if name != MAIN_POOL:
                 pool.unfollow()
--- a/shedgrade/sidecar/tunnel/config.py
+++ b/shedgrade/sidecar/tunnel/config.py
@@ -12,7 +12,7 @@
 
 Ms = Annotated[float, Meta(gt=0)]
 Seconds = Annotated[float, Meta(gt=0)]
-MAIN = "main"  # the platform's own pool
+MAIN_POOL = "main"  # the platform's own pool
 
 
 class RouteTable(Struct, kw_only=True, forbid_unknown_fields=True):
@@ -31,7 +31,7 @@
     ranges: list[str] = field(default_factory=list)
     ports: list[int | Annotated[list[int], Meta(min_length=2, max_length=2)]] = field(default_factory=list)
     use: Literal["opaque", "inspected", "refuse"]
-    pool: str = MAIN
+    pool: str = MAIN_POOL
     method: str = ""
 
 
@@ -177,7 +177,7 @@
                 raise ConfigError(f"{key}.proxies: {other!r} is not in [proxies]")
         if pool.direct == "fallback" and not pool.proxies:
             raise ConfigError(f"{key}.direct: fallback requires proxies")
-        if name == MAIN:
+        if name == MAIN_POOL:
             if pool.discovery or pool.file or pool.methods or pool.zones:
                 raise ConfigError(
                     f"{key}: the platform lists its upstreams: only proxies and direct are allowed"
@@ -203,6 +203,6 @@
         known = {
             name: {method.name for method in pool.methods or ()}
             for name, pool in pools.items()
-            if name != MAIN
+            if name != MAIN_POOL
         }
-        table(tunnel, {MAIN: main_methods, **known})
+        table(tunnel, {MAIN_POOL: main_methods, **known})
--- a/shedgrade/sidecar/tunnel/connect.py
+++ b/shedgrade/sidecar/tunnel/connect.py
@@ -11,9 +11,9 @@
 
 from shedgrade.sidecar.tunnel.destinations import Destination, DestinationError, authority
 
-LONGEST = 16 * 1024  # bytes of a head; a CONNECT request needs few
+MAX_HEAD_BYTES = 16 * 1024  # bytes of a head; a CONNECT request needs few
 TOKEN = re.compile(rb"[!#$%&'*+.^_`|~0-9A-Za-z-]+$")
-ENDED = b"\r\n\r\n"
+END_OF_HEAD = b"\r\n\r\n"
 STATUSES = {
     400: b"Bad Request",
     403: b"Forbidden",
@@ -26,7 +26,7 @@
     508: b"Loop Detected",
 }
 # Statuses by which a proxy says that the upstream can't be reached, so that no request was executed there.
-UNREACHED = (502, 503, 504)
+UNREACHABLE_STATUSES = (502, 503, 504)
 
 
 class HeadError(ValueError):
@@ -58,9 +58,9 @@
         """Adds data. Returns the head's lines once it is complete, else None. HeadError if it is too long."""
         start = max(0, len(self.buffer) - 3)
         self.buffer += data
-        end = self.buffer.find(ENDED, start)
-        if end < 0 or end > LONGEST:
-            if len(self.buffer) > LONGEST:
+        end = self.buffer.find(END_OF_HEAD, start)
+        if end < 0 or end > MAX_HEAD_BYTES:
+            if len(self.buffer) > MAX_HEAD_BYTES:
                 raise HeadError(431)
             return None
         lines = bytes(self.buffer[:end]).split(b"\r\n")
@@ -77,7 +77,7 @@
 
 def answer(status: int, *more: bytes) -> bytes:
     first = b"HTTP/1.1 %d %s" % (status, STATUSES[status])
-    return b"\r\n".join([first, *more, b"Content-Length: 0", b"Connection: close"]) + ENDED
+    return b"\r\n".join([first, *more, b"Content-Length: 0", b"Connection: close"]) + END_OF_HEAD
 
 
 class Accepting(Gathering):
@@ -170,7 +170,7 @@
             lines.append(b"Proxy-Authorization: Basic " + base64.b64encode(":".join(login).encode()))
         if own:
             lines.append(b"Via: 1.1 " + own.encode())
-        self.out += b"\r\n".join(lines) + ENDED
+        self.out += b"\r\n".join(lines) + END_OF_HEAD
 
     def receive(self, data: bytes) -> None:
         if self.failed:
@@ -210,4 +210,8 @@
         if 200 <= status < 300:
             self.done = True
         else:
-            self.failed, self.unreached, self.rest = f"the proxy: status {status}", status in UNREACHED, b""
+            self.failed, self.unreached, self.rest = (
+                f"the proxy: status {status}",
+                status in UNREACHABLE_STATUSES,
+                b"",
+            )
--- a/shedgrade/sidecar/tunnel/dialler.py
+++ b/shedgrade/sidecar/tunnel/dialler.py
@@ -12,7 +12,7 @@
 
 # The time for which a failed proxy is ejected, in seconds: the first is doubled by each failure in a row, up
 # to the second.
-REST = (1.0, 8.0)
+EJECTION_S = (1.0, 8.0)
 
 
 class DialError(OSError):
@@ -39,7 +39,7 @@
             if not self.failures:
                 logger.warning("proxy failed, ejected for now", proxy=self.name, error=why)
             self.failures += 1
-            self.aside_until = now + min(REST[1], REST[0] * 2 ** (self.failures - 1))
+            self.aside_until = now + min(EJECTION_S[1], EJECTION_S[0] * 2 ** (self.failures - 1))
 
     def worked(self) -> None:
         if self.failures:
--- a/shedgrade/sidecar/tunnel/listener.py
+++ b/shedgrade/sidecar/tunnel/listener.py
@@ -24,16 +24,16 @@
 from shedgrade.upstream_pool.front import Front
 from shedgrade.upstream_pool.pool import Pool
 
-AT_ONCE = 32  # connections accepted in one iteration of the event loop
-LOOK = 0.25  # seconds between two checks for timeouts
-AHEAD = 64 * 1024  # bytes that a client may send before the answer to its handshake
-BETWEEN = 10.0  # seconds between two log lines about reaching the limit of tunnels
-FLUSHED = 10.0  # seconds for an upstream to read the bytes of a client that has closed
+MAX_ACCEPTS_PER_ITERATION = 32  # connections accepted in one iteration of the event loop
+TIMEOUT_CHECK_INTERVAL_S = 0.25  # seconds between two checks for timeouts
+MAX_EARLY_BYTES = 64 * 1024  # bytes that a client may send before the answer to its handshake
+LIMIT_LOG_INTERVAL_S = 10.0  # seconds between two log lines about reaching the limit of tunnels
+FLUSH_TIMEOUT_S = 10.0  # seconds for an upstream to read the bytes of a client that has closed
 # The share of the drain's grace after which nothing more is sent to the upstream; the rest is for bytes in
 # flight.
-KEPT = 0.5
+SENDING_SHARE_OF_GRACE = 0.5
 # The ends of tunnels to one draining upstream are spread over this share of drain_s.
-SPREAD = 0.5
+DRAIN_END_SPREAD = 0.5
 
 
 class Opening(Request):
@@ -75,7 +75,7 @@
             self.transport.close()
         elif self.codec.asked is not None and self.active_request is None:
             self.route()
-        elif len(self.codec.rest) > AHEAD:
+        elif len(self.codec.rest) > MAX_EARLY_BYTES:
             self.transport.pause_reading()
 
     def route(self) -> None:
@@ -207,7 +207,7 @@
             if failure is None and not self.peer.lost:
                 # The bytes in flight are flushed; the transmission then ends as completed.
                 self.peer.transport.close()
-                self.tunnels.loop.call_later(FLUSHED, self.peer.reset)
+                self.tunnels.loop.call_later(FLUSH_TIMEOUT_S, self.peer.reset)
                 return
         if self.active_request is not None and not self.active_request.done:
             self.dispatcher.client_disconnected(self.active_request)
@@ -224,9 +224,11 @@
         """
         if self.open and not self.draining and not self.timers:
             grace = self.tunnels.grace(self.peer)
-            self.timers.append(self.tunnels.loop.call_later(grace * KEPT, self.stop_sending))
+            self.timers.append(
+                self.tunnels.loop.call_later(grace * SENDING_SHARE_OF_GRACE, self.stop_sending)
+            )
             last = self.tunnels.config.drain_s
-            spread = self.tunnels.chance.uniform(1 - SPREAD, 1.0)
+            spread = self.tunnels.chance.uniform(1 - DRAIN_END_SPREAD, 1.0)
             self.timers.append(self.tunnels.loop.call_later(grace + last * spread, self.finish))
 
     def stop_sending(self) -> None:
@@ -283,7 +285,7 @@
         self.sockets: list[tuple[socket.socket, str]] = []
         self.refused: Counter = Counter()
         self.inspected = self.bytes_moved = 0
-        self.full_told = -BETWEEN
+        self.full_told = -LIMIT_LOG_INTERVAL_S
         self.closing = False
 
     def allowed(self, user: str, password: str) -> bool:
@@ -315,7 +317,7 @@
         return socks.Accepting(allowed) if kind == "socks" else connect.Accepting(allowed, self.own)
 
     def accept(self, made: socket.socket, kind: str) -> None:
-        for _ in range(AT_ONCE):
+        for _ in range(MAX_ACCEPTS_PER_ITERATION):
             try:
                 connection, _ = made.accept()
             except (BlockingIOError, ConnectionAbortedError):
@@ -328,7 +330,7 @@
             if len(self.live) + len(self.taking) >= self.config.most or self.budget.full(8):
                 self.refused["full"] += 1
                 connection.close()
-                if self.loop.time() >= self.full_told + BETWEEN:
+                if self.loop.time() >= self.full_told + LIMIT_LOG_INTERVAL_S:
                     self.full_told = self.loop.time()
                     logger.warning("tunnel limit reached, new tunnels closed", tunnels=len(self.live))
                 continue
@@ -361,7 +363,7 @@
         for tunnel in list(self.live):
             tunnel.overdue(now)
         if not self.closing or self.live:
-            self.loop.call_later(LOOK, self.look)
+            self.loop.call_later(TIMEOUT_CHECK_INTERVAL_S, self.look)
 
     def renew(self, config: Tunnel, table: Table) -> None:
         """Applies a reload: new tunnels use the new routes; open ones without a route are drained."""
--- a/shedgrade/sidecar/tunnel/socks.py
+++ b/shedgrade/sidecar/tunnel/socks.py
@@ -10,24 +10,34 @@
 from shedgrade.sidecar.tunnel.destinations import Destination, DestinationError, destination
 
 VERSION, AUTH_VERSION = 5, 1
-NONE, PASSWORD, NO_METHOD = 0x00, 0x02, 0xFF
+NO_AUTHENTICATION, USERNAME_PASSWORD, NO_ACCEPTABLE_METHOD = 0x00, 0x02, 0xFF
 CONNECT = 1
-IPV4, NAME, IPV6 = 1, 3, 4
-GRANTED, FAILURE, NOT_ALLOWED, NET, HOST, REFUSED, TTL, COMMAND, ADDRESS = range(9)
+IPV4, DOMAIN_NAME, IPV6 = 1, 3, 4
+(
+    SUCCEEDED,
+    GENERAL_FAILURE,
+    NOT_ALLOWED,
+    NETWORK_UNREACHABLE,
+    HOST_UNREACHABLE,
+    CONNECTION_REFUSED,
+    TTL_EXPIRED,
+    COMMAND_NOT_SUPPORTED,
+    ADDRESS_TYPE_NOT_SUPPORTED,
+) = range(9)
 # The bound address of a reply (reserved byte, IPv4, 0.0.0.0:0): clients have no use for the real one.
-NOWHERE = b"\x00\x01\x00\x00\x00\x00\x00\x00"
+UNSPECIFIED_ADDRESS = b"\x00\x01\x00\x00\x00\x00\x00\x00"
 # Replies that say that the upstream was not reached, so that no request was executed there.
-UNREACHED = {
-    NET: "network unreachable",
-    HOST: "host unreachable",
-    REFUSED: "connection refused",
-    TTL: "TTL expired",
+UNREACHABLE_REPLIES = {
+    NETWORK_UNREACHABLE: "network unreachable",
+    HOST_UNREACHABLE: "host unreachable",
+    CONNECTION_REFUSED: "connection refused",
+    TTL_EXPIRED: "TTL expired",
 }
-REASONS = {
-    FAILURE: "general failure",
+FAILURE_REPLIES = {
+    GENERAL_FAILURE: "general failure",
     NOT_ALLOWED: "not allowed",
-    COMMAND: "command not supported",
-    ADDRESS: "address type not supported",
+    COMMAND_NOT_SUPPORTED: "command not supported",
+    ADDRESS_TYPE_NOT_SUPPORTED: "address type not supported",
 }
 
 
@@ -37,7 +47,7 @@
         address = ipaddress.ip_address(where.host)
         return bytes([IPV4 if address.version == 4 else IPV6]) + address.packed + where.port.to_bytes(2)
     name = where.host.encode("ascii")
-    return bytes([NAME, len(name)]) + name + where.port.to_bytes(2)
+    return bytes([DOMAIN_NAME, len(name)]) + name + where.port.to_bytes(2)
 
 
 class Accepting:
@@ -80,9 +90,9 @@
         if len(self.buffer) < 2 or len(self.buffer) < 2 + self.buffer[1]:
             return False
         methods = self.used(2 + self.buffer[1])[2:]
-        wanted = NONE if self.allowed is None else PASSWORD
+        wanted = NO_AUTHENTICATION if self.allowed is None else USERNAME_PASSWORD
         if wanted not in methods:
-            return self.fail("no acceptable authentication method", bytes([VERSION, NO_METHOD]))
+            return self.fail("no acceptable authentication method", bytes([VERSION, NO_ACCEPTABLE_METHOD]))
         self.out += bytes([VERSION, wanted])
         self.step = self.request if self.allowed is None else self.login
         return True
@@ -106,14 +116,14 @@
     def request(self) -> bool:
         buffer = self.buffer
         if buffer and buffer[0] != VERSION:
-            return self.fail(f"version {buffer[0]}", self.reply(FAILURE))
+            return self.fail(f"version {buffer[0]}", self.reply(GENERAL_FAILURE))
         if len(buffer) < 4:
             return False
         if buffer[1] != CONNECT:
-            return self.fail(f"command {buffer[1]}", self.reply(COMMAND))
-        if buffer[3] not in (IPV4, NAME, IPV6):
-            return self.fail(f"address type {buffer[3]}", self.reply(ADDRESS))
-        if buffer[3] == NAME and len(buffer) < 5:
+            return self.fail(f"command {buffer[1]}", self.reply(COMMAND_NOT_SUPPORTED))
+        if buffer[3] not in (IPV4, DOMAIN_NAME, IPV6):
+            return self.fail(f"address type {buffer[3]}", self.reply(ADDRESS_TYPE_NOT_SUPPORTED))
+        if buffer[3] == DOMAIN_NAME and len(buffer) < 5:
             return False
         size = {IPV4: 4, IPV6: 16}.get(buffer[3]) or 1 + buffer[4]
         if len(buffer) < 4 + size + 2:
@@ -121,23 +131,27 @@
         part = self.used(4 + size + 2)
         port = int.from_bytes(part[-2:])
         try:
-            host = part[5:-2].decode("ascii") if part[3] == NAME else str(ipaddress.ip_address(part[4:-2]))
+            host = (
+                part[5:-2].decode("ascii")
+                if part[3] == DOMAIN_NAME
+                else str(ipaddress.ip_address(part[4:-2]))
+            )
             self.asked = destination(host, port)
         except (DestinationError, UnicodeDecodeError) as wrong:
-            return self.fail(f"destination: {wrong}", self.reply(FAILURE))
+            return self.fail(f"destination: {wrong}", self.reply(GENERAL_FAILURE))
         self.rest = self.used(len(self.buffer))
         return False
 
     @staticmethod
     def reply(code: int) -> bytes:
-        return bytes([VERSION, code]) + NOWHERE
+        return bytes([VERSION, code]) + UNSPECIFIED_ADDRESS
 
     def granted(self) -> bytes:
-        return self.reply(GRANTED)
+        return self.reply(SUCCEEDED)
 
     def refused(self, why: str, wait: int = 0) -> bytes:
         """The refusal. `why`: route, exhausted, errored or unreachable."""
-        return self.reply({"route": NOT_ALLOWED, "unreachable": HOST}.get(why, FAILURE))
+        return self.reply({"route": NOT_ALLOWED, "unreachable": HOST_UNREACHABLE}.get(why, GENERAL_FAILURE))
 
 
 class Dialling:
@@ -146,7 +160,7 @@
 
     def __init__(self, where: Destination, login: tuple[str, str] | None = None) -> None:
         self.where, self.login, self.buffer = where, login, bytearray()
-        self.out = bytearray([VERSION, 1, PASSWORD if login else NONE])
+        self.out = bytearray([VERSION, 1, USERNAME_PASSWORD if login else NO_AUTHENTICATION])
         self.done = self.unreached = False
         self.failed, self.rest = "", b""
         self.step = self.chosen
@@ -172,7 +186,7 @@
         if len(self.buffer) < 2:
             return False
         version, method = self.used(2)
-        if version != VERSION or method != (PASSWORD if self.login else NONE):
+        if version != VERSION or method != (USERNAME_PASSWORD if self.login else NO_AUTHENTICATION):
             return self.fail(f"the proxy chose method {method} in version {version}")
         if self.login:
             user, password = (part.encode() for part in self.login)
@@ -200,12 +214,12 @@
             return self.fail(f"the proxy answers in version {buffer[0]}")
         if len(buffer) < 4:
             return False
-        if buffer[1] != GRANTED:
-            why = UNREACHED.get(buffer[1]) or REASONS.get(buffer[1], f"code {buffer[1]}")
-            return self.fail(f"the proxy: {why}", buffer[1] in UNREACHED)
-        if buffer[3] == NAME and len(buffer) < 5:
+        if buffer[1] != SUCCEEDED:
+            why = UNREACHABLE_REPLIES.get(buffer[1]) or FAILURE_REPLIES.get(buffer[1], f"code {buffer[1]}")
+            return self.fail(f"the proxy: {why}", buffer[1] in UNREACHABLE_REPLIES)
+        if buffer[3] == DOMAIN_NAME and len(buffer) < 5:
             return False
-        size = {IPV4: 4, IPV6: 16}.get(buffer[3]) or (1 + buffer[4] if buffer[3] == NAME else 0)
+        size = {IPV4: 4, IPV6: 16}.get(buffer[3]) or (1 + buffer[4] if buffer[3] == DOMAIN_NAME else 0)
         if not size:
             return self.fail(f"the proxy answers with address type {buffer[3]}")
         if len(buffer) < 4 + size + 2:
--- a/tests/sidecar/tunnel/test_codecs.py
+++ b/tests/sidecar/tunnel/test_codecs.py
@@ -132,7 +132,9 @@
         (8, False),
         (99, False),
     ):
-        codec = feed(socks.Dialling(Destination("a", 1)), b"\x05\x00\x05" + bytes([code]) + socks.NOWHERE)
+        codec = feed(
+            socks.Dialling(Destination("a", 1)), b"\x05\x00\x05" + bytes([code]) + socks.UNSPECIFIED_ADDRESS
+        )
         assert codec.failed and codec.unreached == unreached, code
     for status, unreached in (
         (502, True),
@@ -150,7 +152,7 @@
 def test_refusals_have_the_proper_codes():
     bind = feed(socks.Accepting(), SOCKS + b"\x05\x02\x00\x01\x7f\x00\x00\x01\x00\x50")
     udp = feed(socks.Accepting(), SOCKS + b"\x05\x03\x00\x01\x7f\x00\x00\x01\x00\x50")
-    assert bind.out[2 + 1] == udp.out[2 + 1] == socks.COMMAND
+    assert bind.out[2 + 1] == udp.out[2 + 1] == socks.COMMAND_NOT_SUPPORTED
     assert feed(socks.Accepting(allowed), b"\x05\x01\x00").out == b"\x05\xff"
     wrong = feed(socks.Accepting(allowed), b"\x05\x01\x02\x01\x01u\x01w")
     assert wrong.out.endswith(b"\x01\x01") and wrong.failed == "login refused"
