--- a/shedgrade/cli/__init__.py
+++ b/shedgrade/cli/__init__.py
@@ -79,9 +79,9 @@
 
         sidecar.features.append(QuotaFeature(sidecar, features.quota))
     if features.tunnel is not None or features.pools:
-        from shedgrade.sidecar.tunnel.assemble import TunnelPart
+        from shedgrade.sidecar.tunnel.assemble import TunnelFeature
 
-        sidecar.features.append(TunnelPart(sidecar, features))
+        sidecar.features.append(TunnelFeature(sidecar, features))
     return sidecar
 
 
--- a/shedgrade/sidecar/tunnel/assemble.py
+++ b/shedgrade/sidecar/tunnel/assemble.py
@@ -10,7 +10,13 @@
 from shedgrade.http.discovery_connection import ListError
 from shedgrade.sidecar.lifecycle.config import parse_address
 from shedgrade.sidecar.lifecycle.feature import Feature
-from shedgrade.sidecar.tunnel.config import MAIN_POOL, PoolTable, ProxyTable, secret, table
+from shedgrade.sidecar.tunnel.config import (
+    MAIN_POOL,
+    PoolTable,
+    ProxyTable,
+    build_route_table,
+    read_credentials,
+)
 from shedgrade.sidecar.tunnel.dialler import Dialler, Proxy
 from shedgrade.sidecar.tunnel.listener import Tunnels
 from shedgrade.upstream_pool.errors import ConfigError
@@ -25,7 +31,7 @@
     return {**main, "methods": methods, "zones": zones, "az": main["az"] if main["az"] < len(zones) else 0}
 
 
-class TunnelPart(Feature):
+class TunnelFeature(Feature):
     """The tunnels, pools and proxies of the features file. The sidecar starts, drains and closes them."""
 
     def __init__(self, sidecar, features) -> None:
@@ -60,7 +66,7 @@
 
     @staticmethod
     def proxy(name: str, given: ProxyTable) -> Proxy:
-        login = secret(given.login, f"proxies.{name}.login")[0] if given.login else None
+        login = read_credentials(given.login, f"proxies.{name}.login")[0] if given.login else None
         return Proxy(
             name,
             given.kind,
@@ -70,14 +76,14 @@
         )
 
     def routes(self, features):
-        return table(
+        return build_route_table(
             features.tunnel,
             {name: {method.decode() for method in pool.methods} for name, pool in self.pools.items()},
         )
 
     def make_tunnels(self) -> Tunnels:
         given = self.features.tunnel
-        users = dict(secret(given.users, "tunnel.users")) if given.users else None
+        users = dict(read_credentials(given.users, "tunnel.users")) if given.users else None
         for pool in self.pools.values():
             pool.connections.stream_buffer = given.buffer
         return Tunnels(
--- a/shedgrade/sidecar/tunnel/config.py
+++ b/shedgrade/sidecar/tunnel/config.py
@@ -110,7 +110,7 @@
     direct: Literal["never", "fallback"] = "never"
 
 
-def secret(path: str, key: str) -> list[tuple[str, str]]:
+def read_credentials(path: str, key: str) -> list[tuple[str, str]]:
     """Reads `user:password` lines from a file that only its owner may access. ConfigError names the key and
     the number of the entry, never its text."""
     try:
@@ -130,17 +130,17 @@
     return found
 
 
-def table(tunnel: Tunnel, pools: dict[str, set[str]]) -> routes.Table:
+def build_route_table(tunnel: Tunnel, pools: dict[str, set[str]]) -> routes.Table:
     """Builds the validated route table. `pools`: by pool, the names of its methods."""
     found = []
     for number, given in enumerate(tunnel.routes):
         key = f"tunnel.routes[{number}]"
         try:
             route = routes.Route(
-                routes.names(given.names),
-                routes.suffixes(given.suffixes),
-                routes.ranges(given.ranges),
-                routes.ports(given.ports),
+                routes.parse_names(given.names),
+                routes.parse_suffixes(given.suffixes),
+                routes.parse_ranges(given.ranges),
+                routes.parse_ports(given.ports),
                 given.use,
                 given.pool,
                 given.method,
@@ -169,7 +169,7 @@
     for name, one in proxies.items():
         parse_address(one.address, f"proxies.{name}.address")
         if one.login:
-            secret(one.login, f"proxies.{name}.login")
+            read_credentials(one.login, f"proxies.{name}.login")
     for name, pool in pools.items():
         key = f"pools.{name}"
         for other in pool.proxies:
@@ -199,10 +199,10 @@
             if getattr(tunnel, key):
                 parse_address(getattr(tunnel, key), f"tunnel.{key}")
         if tunnel.users:
-            secret(tunnel.users, "tunnel.users")
+            read_credentials(tunnel.users, "tunnel.users")
         known = {
             name: {method.name for method in pool.methods or ()}
             for name, pool in pools.items()
             if name != MAIN_POOL
         }
-        table(tunnel, {MAIN_POOL: main_methods, **known})
+        build_route_table(tunnel, {MAIN_POOL: main_methods, **known})
--- a/shedgrade/sidecar/tunnel/connect.py
+++ b/shedgrade/sidecar/tunnel/connect.py
@@ -33,7 +33,7 @@
     """An invalid head; the argument is the HTTP status to answer with."""
 
 
-def fields(lines: list[bytes]) -> list[tuple[bytes, bytes]]:
+def parse_fields(lines: list[bytes]) -> list[tuple[bytes, bytes]]:
     """Parses header fields; names are lower-cased. HeadError for folded lines, whitespace before the colon
     and control characters."""
     found = []
@@ -48,7 +48,7 @@
     return found
 
 
-class Gathering:
+class HeadReader:
     """Buffers bytes up to the end of a head; `rest` holds the bytes after it."""
 
     def __init__(self) -> None:
@@ -75,12 +75,12 @@
         return out
 
 
-def answer(status: int, *more: bytes) -> bytes:
+def response(status: int, *more: bytes) -> bytes:
     first = b"HTTP/1.1 %d %s" % (status, STATUSES[status])
     return b"\r\n".join([first, *more, b"Content-Length: 0", b"Connection: close"]) + END_OF_HEAD
 
 
-class Accepting(Gathering):
+class Accepting(HeadReader):
     """The server side of a handshake."""
 
     def __init__(self, allowed: Callable[[str, str], bool] | None = None, own: str = "") -> None:
@@ -103,7 +103,7 @@
         except HeadError as wrong:
             status = wrong.args[0]
             self.failed, self.rest = f"status {status}", b""
-            self.out += answer(
+            self.out += response(
                 status,
                 *{405: (b"Allow: CONNECT",), 407: (b'Proxy-Authenticate: Basic realm="shedgrade"',)}.get(
                     status, ()
@@ -116,7 +116,7 @@
             raise HeadError(400)
         if parts[0] != b"CONNECT":
             raise HeadError(405)
-        told = fields(lines[1:])
+        told = parse_fields(lines[1:])
         hosts = [value for name, value in told if name == b"host"]
         if len(hosts) > 1 or (not hosts and parts[2] == b"HTTP/1.1"):
             raise HeadError(400)
@@ -154,10 +154,10 @@
         """The refusal. `why`: route, exhausted, errored or unreachable; `wait`: tenths of a millisecond after
         which to retry, or 0."""
         status = {"route": 403, "exhausted": 503, "unreachable": 504}.get(why, 502)
-        return answer(status, *((b"Retry-After: %.3f" % (wait / 10_000),) if wait else ()))
+        return response(status, *((b"Retry-After: %.3f" % (wait / 10_000),) if wait else ()))
 
 
-class Dialling(Gathering):
+class Dialling(HeadReader):
     """The client side of a handshake."""
 
     def __init__(self, where: Destination, login: tuple[str, str] | None = None, own: str = "") -> None:
@@ -205,7 +205,7 @@
 
     def take(self, lines: list[bytes]) -> None:
         status = self.status(lines[0])
-        fields(lines[1:])
+        parse_fields(lines[1:])
         # Content-Length and Transfer-Encoding in a 2xx to CONNECT are ignored (RFC 9110).
         if 200 <= status < 300:
             self.done = True
--- a/shedgrade/sidecar/tunnel/dialler.py
+++ b/shedgrade/sidecar/tunnel/dialler.py
@@ -31,27 +31,27 @@
         self, name: str, kind: str, address: tuple[str, int], login: tuple[str, str] | None, handshake: float
     ) -> None:
         self.name, self.kind, self.address, self.login, self.handshake = name, kind, address, login, handshake
-        self.failures, self.aside_until, self.open = 0, 0.0, 0
+        self.failures, self.ejected_until, self.open = 0, 0.0, 0
 
-    def failed(self, now: float, why: str) -> None:
+    def record_failure(self, now: float, why: str) -> None:
         """Ejects the proxy after a failure, for longer with each failure in a row."""
-        if now >= self.aside_until:
+        if now >= self.ejected_until:
             if not self.failures:
                 logger.warning("proxy failed, ejected for now", proxy=self.name, error=why)
             self.failures += 1
-            self.aside_until = now + min(EJECTION_S[1], EJECTION_S[0] * 2 ** (self.failures - 1))
+            self.ejected_until = now + min(EJECTION_S[1], EJECTION_S[0] * 2 ** (self.failures - 1))
 
-    def worked(self) -> None:
+    def record_success(self) -> None:
         if self.failures:
             logger.info("proxy recovered", proxy=self.name)
-        self.failures, self.aside_until = 0, 0.0
+        self.failures, self.ejected_until = 0, 0.0
 
 
-def order(proxies: list[Proxy], turn: int, now: float) -> list[Proxy]:
+def order_by_health(proxies: list[Proxy], rotation: int, now: float) -> list[Proxy]:
     """The order in which proxies are tried: healthy ones in rotation, then ejected ones, the earliest to
     return first."""
-    turned = proxies[turn % len(proxies) :] + proxies[: turn % len(proxies)]
-    return sorted(turned, key=lambda proxy: proxy.aside_until if proxy.aside_until > now else 0.0)
+    rotated = proxies[rotation % len(proxies) :] + proxies[: rotation % len(proxies)]
+    return sorted(rotated, key=lambda proxy: proxy.ejected_until if proxy.ejected_until > now else 0.0)
 
 
 class Handshake(asyncio.Protocol):
@@ -90,29 +90,29 @@
     def __init__(self, loop, proxies: list[Proxy], own: str, fallback: bool) -> None:
         self.loop, self.proxies, self.own, self.fallback = loop, proxies, own, fallback
         self.proxied = True
-        self.turn = 0
+        self.rotation = 0
 
     async def __call__(self, factory: Callable, address: tuple[str, int]) -> tuple:
         """Returns (transport, protocol), or raises DialError. At most two proxies are tried."""
-        self.turn += 1
+        self.rotation += 1
         now, last = self.loop.time(), None
-        for proxy in order(self.proxies, self.turn, now)[:2]:
-            if proxy.aside_until > now and (last is not None or self.fallback):
+        for proxy in order_by_health(self.proxies, self.rotation, now)[:2]:
+            if proxy.ejected_until > now and (last is not None or self.fallback):
                 break
             try:
-                made = await self.through(proxy, factory, address)
+                made = await self.connect_through(proxy, factory, address)
             except DialError as failure:
                 last = failure
                 if failure.outcome == load_balancing.UNCONNECTED:
                     raise
                 continue
-            proxy.worked()
+            proxy.record_success()
             return made
         if self.fallback:
             return await self.loop.create_connection(factory, *address)
         raise last or DialError(load_balancing.UNSENT, "every proxy is ejected")
 
-    async def through(self, proxy: Proxy, factory: Callable, address: tuple[str, int]) -> tuple:
+    async def connect_through(self, proxy: Proxy, factory: Callable, address: tuple[str, int]) -> tuple:
         where = destination(*address)
         codec = (
             socks.Dialling(where, proxy.login)
@@ -123,13 +123,15 @@
         try:
             # The timeout covers the complete handshake, however slowly its bytes arrive.
             async with asyncio.timeout(proxy.handshake):
-                transport, talk = await self.loop.create_connection(lambda: Handshake(codec), *proxy.address)
-                await talk.ended
+                transport, protocol = await self.loop.create_connection(
+                    lambda: Handshake(codec), *proxy.address
+                )
+                await protocol.ended
         except (OSError, TimeoutError) as failure:
             if transport is not None:
                 transport.abort()
             why = "the handshake timed out" if isinstance(failure, TimeoutError) else str(failure)
-            proxy.failed(self.loop.time(), why)
+            proxy.record_failure(self.loop.time(), why)
             raise DialError(load_balancing.UNSENT, f"proxy {proxy.name}: {why}") from failure
         except asyncio.CancelledError:
             if transport is not None:
@@ -138,19 +140,19 @@
         if not codec.done:
             transport.abort()
             if codec.unreached:
-                proxy.worked()  # the proxy answered: the failure is the upstream's
+                proxy.record_success()  # the proxy answered: the failure is the upstream's
                 raise DialError(load_balancing.UNCONNECTED, f"proxy {proxy.name}: {codec.failed}")
-            proxy.failed(self.loop.time(), codec.failed)
+            proxy.record_failure(self.loop.time(), codec.failed)
             raise DialError(load_balancing.UNSENT, f"proxy {proxy.name}: {codec.failed}")
         if codec.rest or transport.is_closing():
             # Bytes before any request, or a close right after the handshake: the connection is unusable.
             transport.abort()
-            proxy.failed(self.loop.time(), "data or a close right after the handshake")
+            proxy.record_failure(self.loop.time(), "data or a close right after the handshake")
             raise DialError(
                 load_balancing.UNSENT, f"proxy {proxy.name}: data or a close right after the handshake"
             )
-        link = factory()
-        transport.set_protocol(link)
-        link.connection_made(transport)
+        connection = factory()
+        transport.set_protocol(connection)
+        connection.connection_made(transport)
         transport.resume_reading()
-        return transport, link
+        return transport, connection
--- a/shedgrade/sidecar/tunnel/listener.py
+++ b/shedgrade/sidecar/tunnel/listener.py
@@ -19,7 +19,7 @@
 from shedgrade.in_flight import ActiveRequest, Request
 from shedgrade.sidecar.tunnel import connect, socks
 from shedgrade.sidecar.tunnel.config import Tunnel
-from shedgrade.sidecar.tunnel.relay import Side, StreamLink
+from shedgrade.sidecar.tunnel.relay import StreamLink, TunnelSide
 from shedgrade.sidecar.tunnel.routes import INSPECTED, Table
 from shedgrade.upstream_pool.front import Front
 from shedgrade.upstream_pool.pool import Pool
@@ -36,13 +36,13 @@
 DRAIN_END_SPREAD = 0.5
 
 
-class Opening(Request):
+class TunnelRequest(Request):
     """The request to the dispatcher to open an opaque tunnel; it lasts as long as the tunnel."""
 
     stream = StreamLink
 
 
-class TunnelConnection(Side):
+class TunnelConnection(TunnelSide):
     """A client's connection, from its handshake to the end of its tunnel."""
 
     def __init__(self, tunnels: "Tunnels", codec) -> None:
@@ -91,7 +91,7 @@
             return
         self.transport.pause_reading()
         self.active_request = ActiveRequest(
-            self, Opening(b"tunnel-%d" % next(self.tunnels.number), b"", b"", [], b""), self.codec.user
+            self, TunnelRequest(b"tunnel-%d" % next(self.tunnels.number), b"", b"", [], b""), self.codec.user
         )
         self.dispatcher = pool.dispatcher
         self.dispatcher.submit(
--- a/shedgrade/sidecar/tunnel/relay.py
+++ b/shedgrade/sidecar/tunnel/relay.py
@@ -10,7 +10,7 @@
 import struct
 
 
-class Side(asyncio.Protocol):
+class TunnelSide(asyncio.Protocol):
     """Behaviour that both sides share.
 
     Attributes:
@@ -35,7 +35,7 @@
         transport.set_write_buffer_limits(high=self.most)
         self.used = asyncio.get_running_loop().time()
 
-    def join(self, peer: "Side") -> None:
+    def join(self, peer: "TunnelSide") -> None:
         self.peer, peer.peer = peer, self
 
     def data_received(self, data: bytes) -> None:
@@ -99,7 +99,7 @@
         self.transport.abort()
 
 
-class StreamLink(Side):
+class StreamLink(TunnelSide):
     """The upstream's side. Its transmission counts as in flight for as long as the connection is open."""
 
     whole = True  # the upstream may have executed what was sent: the bytes of a tunnel are not parsed
--- a/shedgrade/sidecar/tunnel/routes.py
+++ b/shedgrade/sidecar/tunnel/routes.py
@@ -44,7 +44,7 @@
         return where.host in self.names or any(where.host.endswith(suffix) for suffix in self.suffixes)
 
 
-def names(texts: list[str]) -> frozenset[str]:
+def parse_names(texts: list[str]) -> frozenset[str]:
     found = set()
     for text in texts:
         try:
@@ -54,7 +54,7 @@
     return frozenset(found)
 
 
-def suffixes(texts: list[str]) -> tuple[str, ...]:
+def parse_suffixes(texts: list[str]) -> tuple[str, ...]:
     """Parses suffixes: `.example.test` matches the names below it, neither itself nor part of a label."""
     found = []
     for text in texts:
@@ -67,14 +67,14 @@
     return tuple(found)
 
 
-def ranges(texts: list[str]) -> tuple:
+def parse_ranges(texts: list[str]) -> tuple:
     try:
         return tuple(ipaddress.ip_network(text) for text in texts)
     except ValueError as wrong:
         raise RouteError(f"ranges: {wrong}") from wrong
 
 
-def ports(given: list) -> tuple[tuple[int, int], ...]:
+def parse_ports(given: list) -> tuple[tuple[int, int], ...]:
     found = []
     for one in given:
         low, high = one if isinstance(one, list) else (one, one)
--- a/shedgrade/sidecar/tunnel/socks.py
+++ b/shedgrade/sidecar/tunnel/socks.py
@@ -41,7 +41,7 @@
 }
 
 
-def spell(where: Destination) -> bytes:
+def encode_destination(where: Destination) -> bytes:
     """Encodes a destination: address type, address and port."""
     if where.address:
         address = ipaddress.ip_address(where.host)
@@ -205,7 +205,7 @@
         return True
 
     def ask(self) -> None:
-        self.out += bytes([VERSION, CONNECT, 0]) + spell(self.where)
+        self.out += bytes([VERSION, CONNECT, 0]) + encode_destination(self.where)
         self.step = self.answered
 
     def answered(self) -> bool:
--- a/tests/sidecar/tunnel/test_codecs.py
+++ b/tests/sidecar/tunnel/test_codecs.py
@@ -221,10 +221,10 @@
     return routes.Table(
         [
             routes.Route(
-                routes.names(row.get("names", [])),
-                routes.suffixes(row.get("suffixes", [])),
-                routes.ranges(row.get("ranges", [])),
-                routes.ports(row.get("ports", [])),
+                routes.parse_names(row.get("names", [])),
+                routes.parse_suffixes(row.get("suffixes", [])),
+                routes.parse_ranges(row.get("ranges", [])),
+                routes.parse_ports(row.get("ports", [])),
                 row.get("use", "opaque"),
                 row.get("pool", "p"),
             )
--- a/tests/sidecar/tunnel/test_tunnels.py
+++ b/tests/sidecar/tunnel/test_tunnels.py
@@ -27,7 +27,7 @@
 
 from shedgrade import load_balancing
 from shedgrade.sidecar.lifecycle.features import load_features
-from shedgrade.sidecar.tunnel.assemble import TunnelPart
+from shedgrade.sidecar.tunnel.assemble import TunnelFeature
 from shedgrade.upstream_pool.errors import ConfigError
 
 PATIENT = method("once", soft=2e4, hard=2e4)
@@ -66,7 +66,7 @@
         place.close()
         self.features_path = place.name
         self.sidecar.load_features = lambda: load_features(place.name, {"m"})
-        self.part = TunnelPart(self.sidecar, self.sidecar.load_features())
+        self.part = TunnelFeature(self.sidecar, self.sidecar.load_features())
         self.sidecar.features.append(self.part)
 
     async def __aexit__(self, *args):
