--- a/shedgrade/cli/__init__.py
+++ b/shedgrade/cli/__init__.py
@@ -41,8 +41,8 @@
     """Sends the log to standard error. Exits with status 2 if the level or the format is unknown."""
     try:
         log_to_stderr(level, form)
-    except ValueError as wrong:
-        fail(wrong)
+    except ValueError as error:
+        fail(error)
 
 
 def with_features(config: Config, path: Path | None, loop: asyncio.AbstractEventLoop) -> Sidecar:
@@ -102,8 +102,8 @@
 
     try:
         uvloop.run(run())
-    except ConfigError as wrong:
-        fail(wrong)
+    except ConfigError as error:
+        fail(error)
 
 
 @app.command()
@@ -124,8 +124,8 @@
 
     try:
         sidecar = asyncio.run(check())
-    except ConfigError as wrong:
-        fail(wrong)
+    except ConfigError as error:
+        fail(error)
     known = (sidecar.config.known or {}).get("instances", [])
     print(f"{sidecar.config.name}: {len(sidecar.pool.methods)} methods, {len(known)} upstreams known, good")
 
--- a/shedgrade/sidecar/tunnel/assemble.py
+++ b/shedgrade/sidecar/tunnel/assemble.py
@@ -45,15 +45,18 @@
                 try:
                     settings = pool_settings(config.settings, given)
                     self.pools[name] = Pool(name, settings, seed, loop, sidecar.clock, budget)
-                except ConfigError as wrong:
-                    raise ConfigError(f"pools.{name}: {wrong}") from wrong
-        self.own = f"shedgrade-{config.name}"
+                except ConfigError as error:
+                    raise ConfigError(f"pools.{name}: {error}") from error
+        self.via_name = f"shedgrade-{config.name}"
         self.proxies = {name: self.proxy(name, given) for name, given in features.proxies.items()}
         for name, given in features.pools.items():
             if given.proxies:
                 connections = self.pools[name].connections
                 connections.connect = Dialler(
-                    loop, [self.proxies[one] for one in given.proxies], self.own, given.direct == "fallback"
+                    loop,
+                    [self.proxies[one] for one in given.proxies],
+                    self.via_name,
+                    given.direct == "fallback",
                 )
                 connections.proxied = True
         self.fronts = {
@@ -93,7 +96,7 @@
             self.pools,
             self.fronts,
             users,
-            self.own,
+            self.via_name,
             self.sidecar.budget,
             self.sidecar.config.seed,
         )
@@ -114,12 +117,12 @@
                 self.tunnels.listen()
             except OSError as failure:
                 raise ConfigError(f"tunnel: cannot listen: {failure.strerror}") from failure
-            own = {self.sidecar.config.listen, *self.tunnels.addresses()}
+            own_addresses = {self.sidecar.config.listen, *self.tunnels.addresses()}
             for proxy in self.proxies.values():
-                if proxy.address in own:
+                if proxy.address in own_addresses:
                     raise ConfigError(f"proxies.{proxy.name}.address: is an address of this sidecar")
             for pool in self.pools.values():
-                pool.connections.own_addresses = own
+                pool.connections.own_addresses = own_addresses
 
     @staticmethod
     def read_list(pool: Pool, path: str, key: str) -> None:
@@ -127,8 +130,8 @@
             pool.listed(orjson.loads(Path(path).read_bytes()), asked=False)
         except OSError as failure:
             raise ConfigError(f"{key}: {path}: {failure.strerror}") from failure
-        except (orjson.JSONDecodeError, ListError) as wrong:
-            raise ConfigError(f"{key}: {path}: not a valid list ({wrong})") from wrong
+        except (orjson.JSONDecodeError, ListError) as error:
+            raise ConfigError(f"{key}: {path}: not a valid list ({error})") from error
         pool.take_over("file")
 
     def reload(self, features) -> None:
--- a/shedgrade/sidecar/tunnel/config.py
+++ b/shedgrade/sidecar/tunnel/config.py
@@ -145,8 +145,8 @@
                 given.pool,
                 given.method,
             )
-        except routes.RouteError as wrong:
-            raise ConfigError(f"{key}.{wrong}") from wrong
+        except routes.RouteError as error:
+            raise ConfigError(f"{key}.{error}") from error
         if not (route.names or route.suffixes or route.ranges):
             raise ConfigError(f"{key}: one of names, suffixes and ranges is required")
         if route.use != routes.REFUSE and route.pool not in pools:
--- a/shedgrade/sidecar/tunnel/connect.py
+++ b/shedgrade/sidecar/tunnel/connect.py
@@ -54,7 +54,7 @@
     def __init__(self) -> None:
         self.buffer, self.out, self.rest = bytearray(), bytearray(), b""
 
-    def head(self, data: bytes) -> list[bytes] | None:
+    def read_head(self, data: bytes) -> list[bytes] | None:
         """Adds data. Returns the head's lines once it is complete, else None. HeadError if it is too long."""
         start = max(0, len(self.buffer) - 3)
         self.buffer += data
@@ -83,25 +83,28 @@
 class Accepting(HeadReader):
     """The server side of a handshake."""
 
-    def __init__(self, allowed: Callable[[str, str], bool] | None = None, own: str = "") -> None:
-        """`own`: this side's name in `Via`; a request that already carries it is in a loop and refused."""
+    def __init__(
+        self, check_credentials: Callable[[str, str], bool] | None = None, via_name: str = ""
+    ) -> None:
+        """`check_credentials`: checks user and password; without it no login is required. `via_name`: this
+        side's name in `Via`; a request that already carries it is in a loop and is refused."""
         super().__init__()
-        self.allowed, self.own = allowed, own.encode()
-        self.asked: Destination | None = None
+        self.check_credentials, self.via_name = check_credentials, via_name.encode()
+        self.destination: Destination | None = None
         self.failed, self.user = "", ""
 
     def receive(self, data: bytes) -> None:
         if self.failed:
             return
-        if self.asked is not None:
+        if self.destination is not None:
             self.rest += data
             return
         try:
-            lines = self.head(data)
+            lines = self.read_head(data)
             if lines is not None:
-                self.take(lines)
-        except HeadError as wrong:
-            status = wrong.args[0]
+                self.handle_head(lines)
+        except HeadError as error:
+            status = error.args[0]
             self.failed, self.rest = f"status {status}", b""
             self.out += response(
                 status,
@@ -110,40 +113,42 @@
                 ),
             )
 
-    def take(self, lines: list[bytes]) -> None:
+    def handle_head(self, lines: list[bytes]) -> None:
         parts = lines[0].split(b" ")
         if len(parts) != 3 or parts[2] not in (b"HTTP/1.1", b"HTTP/1.0") or not TOKEN.match(parts[0]):
             raise HeadError(400)
         if parts[0] != b"CONNECT":
             raise HeadError(405)
-        told = parse_fields(lines[1:])
-        hosts = [value for name, value in told if name == b"host"]
+        headers = parse_fields(lines[1:])
+        hosts = [value for name, value in headers if name == b"host"]
         if len(hosts) > 1 or (not hosts and parts[2] == b"HTTP/1.1"):
             raise HeadError(400)
         # A CONNECT has no body; a request that announces one could be framed differently by the next hop.
         if any(
             name == b"transfer-encoding" or (name == b"content-length" and value != b"0")
-            for name, value in told
+            for name, value in headers
         ):
             raise HeadError(400)
-        if self.own and any(name == b"via" and self.own in value.split() for name, value in told):
+        if self.via_name and any(
+            name == b"via" and self.via_name in value.split() for name, value in headers
+        ):
             raise HeadError(508)
-        if self.allowed is not None:
-            self.login([value for name, value in told if name == b"proxy-authorization"])
+        if self.check_credentials is not None:
+            self.check_login([value for name, value in headers if name == b"proxy-authorization"])
         try:
-            self.asked = authority(parts[1].decode("ascii"))
-        except (DestinationError, UnicodeDecodeError) as wrong:
-            raise HeadError(400) from wrong
+            self.destination = authority(parts[1].decode("ascii"))
+        except (DestinationError, UnicodeDecodeError) as error:
+            raise HeadError(400) from error
 
-    def login(self, values: list[bytes]) -> None:
+    def check_login(self, values: list[bytes]) -> None:
         if len(values) != 1:
             raise HeadError(407)
         scheme, _, text = values[0].partition(b" ")
         try:
             user, colon, password = base64.b64decode(text.strip(), validate=True).decode().partition(":")
-        except (binascii.Error, UnicodeDecodeError) as wrong:
-            raise HeadError(407) from wrong
-        if scheme.lower() != b"basic" or not colon or not self.allowed(user, password):
+        except (binascii.Error, UnicodeDecodeError) as error:
+            raise HeadError(407) from error
+        if scheme.lower() != b"basic" or not colon or not self.check_credentials(user, password):
             raise HeadError(407)
         self.user = user
 
@@ -160,16 +165,16 @@
 class Dialling(HeadReader):
     """The client side of a handshake."""
 
-    def __init__(self, where: Destination, login: tuple[str, str] | None = None, own: str = "") -> None:
+    def __init__(self, target: Destination, login: tuple[str, str] | None = None, via_name: str = "") -> None:
         super().__init__()
-        self.done = self.unreached = False
+        self.done = self.unreachable = False
         self.failed = ""
-        place = str(where).encode()
-        lines = [b"CONNECT %s HTTP/1.1" % place, b"Host: %s" % place]
+        address = str(target).encode()
+        lines = [b"CONNECT %s HTTP/1.1" % address, b"Host: %s" % address]
         if login:
             lines.append(b"Proxy-Authorization: Basic " + base64.b64encode(":".join(login).encode()))
-        if own:
-            lines.append(b"Via: 1.1 " + own.encode())
+        if via_name:
+            lines.append(b"Via: 1.1 " + via_name.encode())
         self.out += b"\r\n".join(lines) + END_OF_HEAD
 
     def receive(self, data: bytes) -> None:
@@ -179,12 +184,12 @@
             self.rest += data
             return
         try:
-            lines = self.head(data)
-            while lines is not None and self.interim(lines):
+            lines = self.read_head(data)
+            while lines is not None and self.is_interim(lines):
                 data, self.rest = self.rest, b""
-                lines = self.head(data)
+                lines = self.read_head(data)
             if lines is not None:
-                self.take(lines)
+                self.handle_head(lines)
         except HeadError:
             self.failed, self.rest = "the proxy's answer is invalid", b""
 
@@ -200,17 +205,17 @@
             raise HeadError(400)
         return int(parts[1])
 
-    def interim(self, lines: list[bytes]) -> bool:
+    def is_interim(self, lines: list[bytes]) -> bool:
         return self.status(lines[0]) < 200
 
-    def take(self, lines: list[bytes]) -> None:
+    def handle_head(self, lines: list[bytes]) -> None:
         status = self.status(lines[0])
         parse_fields(lines[1:])
         # Content-Length and Transfer-Encoding in a 2xx to CONNECT are ignored (RFC 9110).
         if 200 <= status < 300:
             self.done = True
         else:
-            self.failed, self.unreached, self.rest = (
+            self.failed, self.unreachable, self.rest = (
                 f"the proxy: status {status}",
                 status in UNREACHABLE_STATUSES,
                 b"",
--- a/shedgrade/sidecar/tunnel/dialler.py
+++ b/shedgrade/sidecar/tunnel/dialler.py
@@ -87,8 +87,8 @@
     `proxied` tells the pool that a slow connection attempt says nothing about the upstream.
     """
 
-    def __init__(self, loop, proxies: list[Proxy], own: str, fallback: bool) -> None:
-        self.loop, self.proxies, self.own, self.fallback = loop, proxies, own, fallback
+    def __init__(self, loop, proxies: list[Proxy], via_name: str, fallback: bool) -> None:
+        self.loop, self.proxies, self.via_name, self.fallback = loop, proxies, via_name, fallback
         self.proxied = True
         self.rotation = 0
 
@@ -113,11 +113,11 @@
         raise last or DialError(load_balancing.UNSENT, "every proxy is ejected")
 
     async def connect_through(self, proxy: Proxy, factory: Callable, address: tuple[str, int]) -> tuple:
-        where = destination(*address)
+        target = destination(*address)
         codec = (
-            socks.Dialling(where, proxy.login)
+            socks.Dialling(target, proxy.login)
             if proxy.kind == "socks5"
-            else connect.Dialling(where, proxy.login, self.own)
+            else connect.Dialling(target, proxy.login, self.via_name)
         )
         transport = None
         try:
@@ -139,7 +139,7 @@
             raise
         if not codec.done:
             transport.abort()
-            if codec.unreached:
+            if codec.unreachable:
                 proxy.record_success()  # the proxy answered: the failure is the upstream's
                 raise DialError(load_balancing.UNCONNECTED, f"proxy {proxy.name}: {codec.failed}")
             proxy.record_failure(self.loop.time(), codec.failed)
--- a/shedgrade/sidecar/tunnel/listener.py
+++ b/shedgrade/sidecar/tunnel/listener.py
@@ -49,7 +49,7 @@
         super().__init__(tunnels.config.buffer)
         self.tunnels, self.codec = tunnels, codec
         self.active_request: ActiveRequest | None = None
-        self.asked_at = None  # the destination, checked against the new routes after a reload
+        self.destination = None  # checked against the new routes after a reload
         self.answered = self.open = self.draining = False
         self.since = tunnels.loop.time()
         self.timers: list[asyncio.TimerHandle] = []
@@ -73,14 +73,14 @@
         if self.codec.failed:
             self.answered = True
             self.transport.close()
-        elif self.codec.asked is not None and self.active_request is None:
+        elif self.codec.destination is not None and self.active_request is None:
             self.route()
         elif len(self.codec.rest) > MAX_EARLY_BYTES:
             self.transport.pause_reading()
 
     def route(self) -> None:
-        where = self.asked_at = self.codec.asked
-        route = self.tunnels.table.find(where)
+        target = self.destination = self.codec.destination
+        route = self.tunnels.table.find(target)
         if route is None:
             self.tunnels.refused["route"] += 1
             self.refuse("route")
@@ -272,12 +272,12 @@
         pools: dict[str, Pool],
         fronts: dict[str, Front],
         users: dict[str, str] | None,
-        own: str,
+        via_name: str,
         budget,
         seed: int,
     ) -> None:
         self.loop, self.config, self.table, self.pools, self.fronts = loop, config, table, pools, fronts
-        self.users, self.own, self.budget = users, own, budget
+        self.users, self.via_name, self.budget = users, via_name, budget
         self.chance = Random(f"{seed}/tunnels")
         self.number = count()
         self.live: dict[TunnelConnection, None] = {}
@@ -288,7 +288,7 @@
         self.full_told = -LIMIT_LOG_INTERVAL_S
         self.closing = False
 
-    def allowed(self, user: str, password: str) -> bool:
+    def check_credentials(self, user: str, password: str) -> bool:
         import hmac
 
         known = self.users.get(user, "")
@@ -313,8 +313,12 @@
         return {made.getsockname()[:2] for made, _ in self.sockets}
 
     def codec(self, kind: str):
-        allowed = None if self.users is None else self.allowed
-        return socks.Accepting(allowed) if kind == "socks" else connect.Accepting(allowed, self.own)
+        check_credentials = None if self.users is None else self.check_credentials
+        return (
+            socks.Accepting(check_credentials)
+            if kind == "socks"
+            else connect.Accepting(check_credentials, self.via_name)
+        )
 
     def accept(self, made: socket.socket, kind: str) -> None:
         for _ in range(MAX_ACCEPTS_PER_ITERATION):
@@ -369,7 +373,7 @@
         """Applies a reload: new tunnels use the new routes; open ones without a route are drained."""
         self.config, self.table = config, table
         for tunnel in list(self.live):
-            if tunnel.open and tunnel.asked_at is not None and table.find(tunnel.asked_at) is None:
+            if tunnel.open and tunnel.destination is not None and table.find(tunnel.destination) is None:
                 tunnel.upstream_drains()
 
     # --- shutdown
--- a/shedgrade/sidecar/tunnel/routes.py
+++ b/shedgrade/sidecar/tunnel/routes.py
@@ -33,15 +33,15 @@
     pool: str = ""
     method: str = ""
 
-    def matches(self, where: Destination) -> bool:
-        if self.ports and not any(low <= where.port <= high for low, high in self.ports):
+    def matches(self, target: Destination) -> bool:
+        if self.ports and not any(low <= target.port <= high for low, high in self.ports):
             return False
-        if where.address:
-            address = ipaddress.ip_address(where.host)
-            return where.host in self.names or any(
+        if target.address:
+            address = ipaddress.ip_address(target.host)
+            return target.host in self.names or any(
                 address.version == one.version and address in one for one in self.ranges
             )
-        return where.host in self.names or any(where.host.endswith(suffix) for suffix in self.suffixes)
+        return target.host in self.names or any(target.host.endswith(suffix) for suffix in self.suffixes)
 
 
 def parse_names(texts: list[str]) -> frozenset[str]:
@@ -49,8 +49,8 @@
     for text in texts:
         try:
             found.add(destination(text, 1).host)
-        except DestinationError as wrong:
-            raise RouteError(f"names: {wrong}") from wrong
+        except DestinationError as error:
+            raise RouteError(f"names: {error}") from error
     return frozenset(found)
 
 
@@ -62,16 +62,16 @@
             raise RouteError(f"suffixes: {text!r} does not begin with a dot")
         try:
             found.append("." + destination(text[1:], 1).host)
-        except DestinationError as wrong:
-            raise RouteError(f"suffixes: {wrong}") from wrong
+        except DestinationError as error:
+            raise RouteError(f"suffixes: {error}") from error
     return tuple(found)
 
 
 def parse_ranges(texts: list[str]) -> tuple:
     try:
         return tuple(ipaddress.ip_network(text) for text in texts)
-    except ValueError as wrong:
-        raise RouteError(f"ranges: {wrong}") from wrong
+    except ValueError as error:
+        raise RouteError(f"ranges: {error}") from error
 
 
 def parse_ports(given: list) -> tuple[tuple[int, int], ...]:
@@ -90,9 +90,9 @@
     def __init__(self, routes: list[Route]) -> None:
         self.routes = routes
 
-    def find(self, where: Destination) -> Route | None:
+    def find(self, target: Destination) -> Route | None:
         """The route for a destination, or None if it is refused."""
         for route in self.routes:
-            if route.matches(where):
+            if route.matches(target):
                 return None if route.use == REFUSE else route
         return None
--- a/shedgrade/sidecar/tunnel/socks.py
+++ b/shedgrade/sidecar/tunnel/socks.py
@@ -41,40 +41,41 @@
 }
 
 
-def encode_destination(where: Destination) -> bytes:
+def encode_destination(target: Destination) -> bytes:
     """Encodes a destination: address type, address and port."""
-    if where.address:
-        address = ipaddress.ip_address(where.host)
-        return bytes([IPV4 if address.version == 4 else IPV6]) + address.packed + where.port.to_bytes(2)
-    name = where.host.encode("ascii")
-    return bytes([DOMAIN_NAME, len(name)]) + name + where.port.to_bytes(2)
+    if target.address:
+        address = ipaddress.ip_address(target.host)
+        return bytes([IPV4 if address.version == 4 else IPV6]) + address.packed + target.port.to_bytes(2)
+    name = target.host.encode("ascii")
+    return bytes([DOMAIN_NAME, len(name)]) + name + target.port.to_bytes(2)
 
 
 class Accepting:
-    """The server side of a handshake. `asked` is set once the destination is known, `failed` if it failed."""
+    """The server side of a handshake. `destination` is set once it is known, `failed` if the handshake
+    failed."""
 
-    def __init__(self, allowed: Callable[[str, str], bool] | None = None) -> None:
-        """`allowed`: checks user and password; without it no login is required."""
-        self.allowed, self.buffer, self.out = allowed, bytearray(), bytearray()
-        self.asked: Destination | None = None
+    def __init__(self, check_credentials: Callable[[str, str], bool] | None = None) -> None:
+        """`check_credentials`: checks user and password; without it no login is required."""
+        self.check_credentials, self.buffer, self.out = check_credentials, bytearray(), bytearray()
+        self.destination: Destination | None = None
         self.failed, self.user, self.rest = "", "", b""
-        self.step = self.greeting
+        self.step = self.read_greeting
 
     def receive(self, data: bytes) -> None:
         if self.failed:
             return
-        if self.asked is not None:
+        if self.destination is not None:
             self.rest += data
             return
         self.buffer += data
-        while not self.failed and self.asked is None and self.step():
+        while not self.failed and self.destination is None and self.step():
             pass
 
     def take_out(self) -> bytes:
         out, self.out = bytes(self.out), bytearray()
         return out
 
-    def used(self, count: int) -> bytes:
+    def consume(self, count: int) -> bytes:
         part = bytes(self.buffer[:count])
         del self.buffer[:count]
         return part
@@ -84,20 +85,20 @@
         self.out += reply
         return False
 
-    def greeting(self) -> bool:
+    def read_greeting(self) -> bool:
         if self.buffer and self.buffer[0] != VERSION:
             return self.fail(f"version {self.buffer[0]}")
         if len(self.buffer) < 2 or len(self.buffer) < 2 + self.buffer[1]:
             return False
-        methods = self.used(2 + self.buffer[1])[2:]
-        wanted = NO_AUTHENTICATION if self.allowed is None else USERNAME_PASSWORD
+        methods = self.consume(2 + self.buffer[1])[2:]
+        wanted = NO_AUTHENTICATION if self.check_credentials is None else USERNAME_PASSWORD
         if wanted not in methods:
             return self.fail("no acceptable authentication method", bytes([VERSION, NO_ACCEPTABLE_METHOD]))
         self.out += bytes([VERSION, wanted])
-        self.step = self.request if self.allowed is None else self.login
+        self.step = self.read_request if self.check_credentials is None else self.read_login
         return True
 
-    def login(self) -> bool:
+    def read_login(self) -> bool:
         if self.buffer and self.buffer[0] != AUTH_VERSION:
             return self.fail(f"login version {self.buffer[0]}", bytes([AUTH_VERSION, 1]))
         if len(self.buffer) < 2 or len(self.buffer) < 3 + self.buffer[1]:
@@ -105,15 +106,15 @@
         user = self.buffer[1]
         if len(self.buffer) < 3 + user + self.buffer[2 + user]:
             return False
-        part = self.used(3 + user + self.buffer[2 + user])
+        part = self.consume(3 + user + self.buffer[2 + user])
         self.user = part[2 : 2 + user].decode("utf-8", "replace")
-        if not self.allowed(self.user, part[3 + user :].decode("utf-8", "replace")):
+        if not self.check_credentials(self.user, part[3 + user :].decode("utf-8", "replace")):
             return self.fail("login refused", bytes([AUTH_VERSION, 1]))
         self.out += bytes([AUTH_VERSION, 0])
-        self.step = self.request
+        self.step = self.read_request
         return True
 
-    def request(self) -> bool:
+    def read_request(self) -> bool:
         buffer = self.buffer
         if buffer and buffer[0] != VERSION:
             return self.fail(f"version {buffer[0]}", self.reply(GENERAL_FAILURE))
@@ -128,7 +129,7 @@
         size = {IPV4: 4, IPV6: 16}.get(buffer[3]) or 1 + buffer[4]
         if len(buffer) < 4 + size + 2:
             return False
-        part = self.used(4 + size + 2)
+        part = self.consume(4 + size + 2)
         port = int.from_bytes(part[-2:])
         try:
             host = (
@@ -136,10 +137,10 @@
                 if part[3] == DOMAIN_NAME
                 else str(ipaddress.ip_address(part[4:-2]))
             )
-            self.asked = destination(host, port)
-        except (DestinationError, UnicodeDecodeError) as wrong:
-            return self.fail(f"destination: {wrong}", self.reply(GENERAL_FAILURE))
-        self.rest = self.used(len(self.buffer))
+            self.destination = destination(host, port)
+        except (DestinationError, UnicodeDecodeError) as error:
+            return self.fail(f"destination: {error}", self.reply(GENERAL_FAILURE))
+        self.rest = self.consume(len(self.buffer))
         return False
 
     @staticmethod
@@ -156,14 +157,14 @@
 
 class Dialling:
     """The client side of a handshake. `done` is set once the tunnel is open; otherwise `failed` is the
-    reason, and `unreached` says that it lies with the destination, not with the proxy."""
+    reason, and `unreachable` says that it lies with the destination, not with the proxy."""
 
-    def __init__(self, where: Destination, login: tuple[str, str] | None = None) -> None:
-        self.where, self.login, self.buffer = where, login, bytearray()
+    def __init__(self, target: Destination, login: tuple[str, str] | None = None) -> None:
+        self.target, self.login, self.buffer = target, login, bytearray()
         self.out = bytearray([VERSION, 1, USERNAME_PASSWORD if login else NO_AUTHENTICATION])
-        self.done = self.unreached = False
+        self.done = self.unreachable = False
         self.failed, self.rest = "", b""
-        self.step = self.chosen
+        self.step = self.read_method
 
     def receive(self, data: bytes) -> None:
         if self.failed:
@@ -176,39 +177,39 @@
             pass
 
     take_out = Accepting.take_out
-    used = Accepting.used
+    consume = Accepting.consume
 
-    def fail(self, why: str, unreached: bool = False) -> bool:
-        self.failed, self.unreached = why, unreached
+    def fail(self, why: str, unreachable: bool = False) -> bool:
+        self.failed, self.unreachable = why, unreachable
         return False
 
-    def chosen(self) -> bool:
+    def read_method(self) -> bool:
         if len(self.buffer) < 2:
             return False
-        version, method = self.used(2)
+        version, method = self.consume(2)
         if version != VERSION or method != (USERNAME_PASSWORD if self.login else NO_AUTHENTICATION):
             return self.fail(f"the proxy chose method {method} in version {version}")
         if self.login:
             user, password = (part.encode() for part in self.login)
             self.out += bytes([AUTH_VERSION, len(user)]) + user + bytes([len(password)]) + password
-            self.step = self.logged_in
+            self.step = self.read_login_reply
         else:
-            self.ask()
+            self.send_request()
         return True
 
-    def logged_in(self) -> bool:
+    def read_login_reply(self) -> bool:
         if len(self.buffer) < 2:
             return False
-        if self.used(2)[1] != 0:
+        if self.consume(2)[1] != 0:
             return self.fail("the proxy refused the login")
-        self.ask()
+        self.send_request()
         return True
 
-    def ask(self) -> None:
-        self.out += bytes([VERSION, CONNECT, 0]) + encode_destination(self.where)
-        self.step = self.answered
+    def send_request(self) -> None:
+        self.out += bytes([VERSION, CONNECT, 0]) + encode_destination(self.target)
+        self.step = self.read_reply
 
-    def answered(self) -> bool:
+    def read_reply(self) -> bool:
         buffer = self.buffer
         if buffer and buffer[0] != VERSION:
             return self.fail(f"the proxy answers in version {buffer[0]}")
@@ -224,6 +225,6 @@
             return self.fail(f"the proxy answers with address type {buffer[3]}")
         if len(buffer) < 4 + size + 2:
             return False
-        self.used(4 + size + 2)
-        self.rest, self.done = self.used(len(self.buffer)), True
+        self.consume(4 + size + 2)
+        self.rest, self.done = self.consume(len(self.buffer)), True
         return False
--- a/tests/sidecar/tunnel/proxies.py
+++ b/tests/sidecar/tunnel/proxies.py
@@ -12,7 +12,7 @@
 
     def __init__(self, kind, how="well", users=None):
         self.kind, self.how, self.users = kind, how, users
-        self.asked, self.tasks, self.writers = [], set(), set()
+        self.requested, self.tasks, self.writers = [], set(), set()
 
     async def start(self):
         self.server = await asyncio.start_server(self.serve, "127.0.0.1", 0)
@@ -31,7 +31,7 @@
         allowed = None if self.users is None else lambda user, word: self.users.get(user) == word
         codec = socks.Accepting(allowed) if self.kind == "socks5" else connect.Accepting(allowed)
         try:
-            while codec.asked is None and not codec.failed:
+            while codec.destination is None and not codec.failed:
                 data = await reader.read(4096)
                 if not data:
                     return
@@ -41,7 +41,7 @@
                 writer.write(codec.take_out())
             if codec.failed:
                 return
-            self.asked.append(codec.asked)
+            self.requested.append(codec.destination)
             await self.go_on(codec, reader, writer)
         except (OSError, asyncio.CancelledError, asyncio.IncompleteReadError):
             pass
@@ -65,7 +65,7 @@
             for byte in granted:
                 writer.write(bytes([byte]))
                 await asyncio.sleep(0.5)
-        inner, outer = await asyncio.open_connection(codec.asked.host, codec.asked.port)
+        inner, outer = await asyncio.open_connection(codec.destination.host, codec.destination.port)
         writer.write(granted + (b"extra bytes" if self.how == "extra" else b""))
         if self.how == "reset":
             await writer.drain()
@@ -89,8 +89,8 @@
 async def through(place, kind, host, port, login=None, ahead=b""):
     """A client's tunnel: (codec, reader, writer); the codec says whether it is open. `ahead` goes unasked."""
     reader, writer = await asyncio.open_connection(*place)
-    where = destination(host, port)
-    codec = socks.Dialling(where, login) if kind == "socks" else connect.Dialling(where, login)
+    target = destination(host, port)
+    codec = socks.Dialling(target, login) if kind == "socks" else connect.Dialling(target, login)
     writer.write(codec.take_out() + (ahead if kind == "connect" else b""))
     async with asyncio.timeout(20):
         while not codec.done and not codec.failed:
--- a/tests/sidecar/tunnel/test_codecs.py
+++ b/tests/sidecar/tunnel/test_codecs.py
@@ -16,13 +16,13 @@
 
 def shape(codec):
     return (
-        getattr(codec, "asked", None),
+        getattr(codec, "destination", None),
         getattr(codec, "done", None),
         codec.failed,
         codec.rest,
         bytes(codec.out),
         getattr(codec, "user", None),
-        getattr(codec, "unreached", None),
+        getattr(codec, "unreachable", None),
     )
 
 
@@ -102,27 +102,31 @@
     st.binary(max_size=20),
 )
 def test_both_sides_understand_each_other(host, port, with_login, ahead):
-    where = destination(host, port)
+    target = destination(host, port)
     for accepting, dialling in (
         (
             socks.Accepting(allowed if with_login else None),
-            socks.Dialling(where, LOGIN if with_login else None),
+            socks.Dialling(target, LOGIN if with_login else None),
         ),
         (
             connect.Accepting(allowed if with_login else None),
-            connect.Dialling(where, LOGIN if with_login else None),
+            connect.Dialling(target, LOGIN if with_login else None),
         ),
     ):
         for _ in range(4):
             accepting.receive(dialling.take_out())
             dialling.receive(accepting.take_out())
-        assert accepting.asked == where and not accepting.failed and (accepting.user == "user") == with_login
+        assert (
+            accepting.destination == target
+            and not accepting.failed
+            and (accepting.user == "user") == with_login
+        )
         dialling.receive(accepting.granted() + ahead)
         assert dialling.done and dialling.rest == ahead
 
 
 def test_what_a_proxy_says_of_the_far_end_is_told_apart_from_its_own_failures():
-    for code, unreached in (
+    for code, unreachable in (
         (3, True),
         (4, True),
         (5, True),
@@ -135,8 +139,8 @@
         codec = feed(
             socks.Dialling(Destination("a", 1)), b"\x05\x00\x05" + bytes([code]) + socks.UNSPECIFIED_ADDRESS
         )
-        assert codec.failed and codec.unreached == unreached, code
-    for status, unreached in (
+        assert codec.failed and codec.unreachable == unreachable, code
+    for status, unreachable in (
         (502, True),
         (503, True),
         (504, True),
@@ -145,7 +149,7 @@
         (500, False),
     ):
         codec = feed(connect.Dialling(Destination("a", 1)), b"HTTP/1.1 %d X\r\n\r\n" % status)
-        assert codec.failed and codec.unreached == unreached, status
+        assert codec.failed and codec.unreachable == unreachable, status
     assert feed(connect.Dialling(Destination("a", 1)), b"HTTP/1.1 100 C\r\n\r\nHTTP/1.1 200 OK\r\n\r\n").done
 
 
--- a/tests/sidecar/tunnel/test_tunnels.py
+++ b/tests/sidecar/tunnel/test_tunnels.py
@@ -376,12 +376,12 @@
         there, number = set(), 0
         while len(there) < 4 or number < 12:  # what was slow on a busy machine gets fewer turns
             assert (await ask(world, request(b"x", name=f"a{number}")))[0] == 200
-            there = {f"{one.host}:{one.port}" for proxy in proxies for one in proxy.asked}
+            there = {f"{one.host}:{one.port}" for proxy in proxies for one in proxy.requested}
             number += 1
             # A connection is used again 2 ms after its answer; sooner, the same upstream is dialled anew.
             await asyncio.sleep(0.01)
         assert there == {upstream.address for upstream in world.upstreams}
-        assert [len(proxy.asked) for proxy in proxies] == [2, 2]
+        assert [len(proxy.requested) for proxy in proxies] == [2, 2]
     for proxy in proxies:
         proxy.stop()
 
@@ -400,7 +400,7 @@
             assert set(ends) <= {load_balancing.COMPLETED, load_balancing.UNSENT} | (
                 {load_balancing.DROPPED} if how == "reset" else set()
             )
-            assert len(good.asked) >= 1
+            assert len(good.requested) >= 1
         bad.stop()
         good.stop()
 
