--- a/shedgrade/sidecar/tunnel/assemble.py
+++ b/shedgrade/sidecar/tunnel/assemble.py
@@ -144,7 +144,7 @@
         if (features.tunnel is None) != (self.tunnels is None):
             later.append("tunnel")
         elif self.tunnels is not None:
-            self.tunnels.renew(features.tunnel, self.routes(features))
+            self.tunnels.reload(features.tunnel, self.routes(features))
         if later:
             logger.info("restart needed for tunnel settings", names=", ".join(later))
 
@@ -154,7 +154,7 @@
                 front.look_after()
 
     def has_pending_connections(self) -> bool:
-        return self.tunnels is not None and self.tunnels.waiting()
+        return self.tunnels is not None and self.tunnels.has_pending_connections()
 
     def stop_accepting(self) -> None:
         if self.tunnels is not None:
@@ -181,7 +181,7 @@
     def close(self) -> None:
         if self.tunnels is not None:
             self.tunnels.close()
-            moved, refused = self.tunnels.bytes_moved, dict(self.tunnels.refused)
+            moved, refused = self.tunnels.bytes_relayed, dict(self.tunnels.refused)
             logger.info(
                 "tunnel totals", inspected=self.tunnels.inspected, bytes_relayed=moved, refused=refused
             )
--- a/shedgrade/sidecar/tunnel/listener.py
+++ b/shedgrade/sidecar/tunnel/listener.py
@@ -50,15 +50,15 @@
         self.tunnels, self.codec = tunnels, codec
         self.active_request: ActiveRequest | None = None
         self.destination = None  # checked against the new routes after a reload
-        self.answered = self.open = self.draining = False
-        self.since = tunnels.loop.time()
+        self.answered = self.open = self.sending_stopped = False
+        self.accepted_at = tunnels.loop.time()
         self.timers: list[asyncio.TimerHandle] = []
 
     # --- the handshake
 
     def connection_made(self, transport) -> None:
         super().connection_made(transport)
-        self.tunnels.begun(self)
+        self.tunnels.register_connection(self)
 
     def data_received(self, data: bytes) -> None:
         if self.open:
@@ -91,7 +91,9 @@
             return
         self.transport.pause_reading()
         self.active_request = ActiveRequest(
-            self, TunnelRequest(b"tunnel-%d" % next(self.tunnels.number), b"", b"", [], b""), self.codec.user
+            self,
+            TunnelRequest(b"tunnel-%d" % next(self.tunnels.request_numbers), b"", b"", [], b""),
+            self.codec.user,
         )
         self.dispatcher = pool.dispatcher
         self.dispatcher.submit(
@@ -114,15 +116,15 @@
         self.answered = True
         self.transport.write(self.codec.granted())
         inside = RpcConnection(front, self.codec.user)
-        self.tunnels.over(self)
+        self.tunnels.unregister_connection(self)
         transport, rest = self.transport, self.codec.rest
         transport.set_protocol(inside)
         inside.connection_made(transport)
         self.tunnels.inspected += 1
-        for place in range(0, len(rest), 4096):
+        for offset in range(0, len(rest), 4096):
             if transport.is_closing():
                 break
-            part = rest[place : place + 4096]
+            part = rest[offset : offset + 4096]
             while part:
                 space = inside.get_buffer(len(part))
                 size = min(len(space), len(part))
@@ -143,16 +145,16 @@
         self.join(link)
         self.transport.write(self.codec.granted())
         if self.codec.rest:
-            self.moved += len(self.codec.rest)
+            self.bytes_received += len(self.codec.rest)
             link.transport.write(self.codec.rest)
         self.codec = None
         link.transport.resume_reading()
-        if self.ended:  # the client closed its half while it waited
+        if self.eof_seen:  # the client closed its half while it waited
             link.transport.write_eof()
         else:
             self.transport.resume_reading()
         if link.draining:
-            self.upstream_drains()
+            self.on_upstream_drain()
 
     def completed(self, answer) -> None:
         """The upstream's side has closed; closing the transport still writes the bytes that it sent."""
@@ -185,12 +187,12 @@
 
     def eof_received(self) -> bool:
         if not self.open:
-            self.ended = True
+            self.eof_seen = True
             # A client that waits for its answer can still read it.
             return self.active_request is not None
         return super().eof_received()
 
-    def other_lost(self, failure) -> None:
+    def peer_closed(self, failure) -> None:
         """Closes the client's side after the upstream's; a reset is passed on as a reset."""
         if failure is not None:
             self.reset()
@@ -201,9 +203,9 @@
         self.lost = True
         for timer in self.timers:
             timer.cancel()
-        self.tunnels.over(self)
+        self.tunnels.unregister_connection(self)
         if self.open:
-            self.tunnels.bytes_moved += self.moved + self.peer.moved
+            self.tunnels.bytes_relayed += self.bytes_received + self.peer.bytes_received
             if failure is None and not self.peer.lost:
                 # The bytes in flight are flushed; the transmission then ends as completed.
                 self.peer.transport.close()
@@ -212,45 +214,45 @@
         if self.active_request is not None and not self.active_request.done:
             self.dispatcher.client_disconnected(self.active_request)
 
-    def held(self) -> bool:
-        return self.draining
+    def is_read_blocked(self) -> bool:
+        return self.sending_stopped
 
-    def upstream_drains(self) -> None:
+    def on_upstream_drain(self) -> None:
         """Rule 3: bytes that the client sends after the grace would be new requests to a drained upstream.
 
         Within the grace they are still relayed, since a request may be half sent. Then the half towards the
         upstream is closed, and only answers are relayed, for a time that differs from tunnel to tunnel so
         that the clients do not all reconnect at once.
         """
-        if self.open and not self.draining and not self.timers:
+        if self.open and not self.sending_stopped and not self.timers:
             grace = self.tunnels.grace(self.peer)
             self.timers.append(
                 self.tunnels.loop.call_later(grace * SENDING_SHARE_OF_GRACE, self.stop_sending)
             )
             last = self.tunnels.config.drain_s
-            spread = self.tunnels.chance.uniform(1 - DRAIN_END_SPREAD, 1.0)
+            spread = self.tunnels.spread_random.uniform(1 - DRAIN_END_SPREAD, 1.0)
             self.timers.append(self.tunnels.loop.call_later(grace + last * spread, self.finish))
 
     def stop_sending(self) -> None:
-        self.draining = True
+        self.sending_stopped = True
         if not self.transport.is_closing():
             self.transport.pause_reading()
         link = self.peer
         if not link.transport.is_closing() and link.transport.can_write_eof():
             link.transport.write_eof()
 
-    def overdue(self, now: float) -> None:
+    def check_timeouts(self, now: float) -> None:
         config = self.tunnels.config
         if not self.open:
             # The whole handshake has one deadline, however slowly its bytes arrive.
-            if self.active_request is None and now - self.since > config.handshake_ms / 1000:
+            if self.active_request is None and now - self.accepted_at > config.handshake_ms / 1000:
                 self.answered = True
                 self.abort()
-        elif self.broken() or self.peer.broken():
+        elif self.was_reset() or self.peer.was_reset():
             self.reset_both()
-        elif now - self.used > config.idle_s or now - self.since > config.life_s:
+        elif now - self.last_active > config.idle_s or now - self.accepted_at > config.life_s:
             # A graceful close would wait until unsent bytes are written, but the peer may never read them.
-            if self.unsent() or self.peer.unsent():
+            if self.unsent_bytes() or self.peer.unsent_bytes():
                 self.reset_both()
             else:
                 self.finish()
@@ -278,14 +280,14 @@
     ) -> None:
         self.loop, self.config, self.table, self.pools, self.fronts = loop, config, table, pools, fronts
         self.users, self.via_name, self.budget = users, via_name, budget
-        self.chance = Random(f"{seed}/tunnels")
-        self.number = count()
+        self.spread_random = Random(f"{seed}/tunnels")
+        self.request_numbers = count()
         self.live: dict[TunnelConnection, None] = {}
-        self.taking: set[asyncio.Task] = set()
+        self.accept_tasks: set[asyncio.Task] = set()
         self.sockets: list[tuple[socket.socket, str]] = []
         self.refused: Counter = Counter()
-        self.inspected = self.bytes_moved = 0
-        self.full_told = -LIMIT_LOG_INTERVAL_S
+        self.inspected = self.bytes_relayed = 0
+        self.limit_logged_at = -LIMIT_LOG_INTERVAL_S
         self.closing = False
 
     def check_credentials(self, user: str, password: str) -> bool:
@@ -301,18 +303,18 @@
         for kind in ("socks", "connect"):
             text = getattr(self.config, kind)
             if text:
-                place = parse_address(text, kind)
-                family = socket.AF_INET6 if ":" in place[0] else socket.AF_INET
-                made = socket.create_server(place, family=family, backlog=1024)
-                made.setblocking(False)
-                self.sockets.append((made, kind))
-                self.loop.add_reader(made, self.accept, made, kind)
-        self.look()
+                address = parse_address(text, kind)
+                family = socket.AF_INET6 if ":" in address[0] else socket.AF_INET
+                listener = socket.create_server(address, family=family, backlog=1024)
+                listener.setblocking(False)
+                self.sockets.append((listener, kind))
+                self.loop.add_reader(listener, self.accept, listener, kind)
+        self.check_all_timeouts()
 
     def addresses(self) -> set[tuple[str, int]]:
-        return {made.getsockname()[:2] for made, _ in self.sockets}
+        return {listener.getsockname()[:2] for listener, _ in self.sockets}
 
-    def codec(self, kind: str):
+    def make_codec(self, kind: str):
         check_credentials = None if self.users is None else self.check_credentials
         return (
             socks.Accepting(check_credentials)
@@ -320,10 +322,10 @@
             else connect.Accepting(check_credentials, self.via_name)
         )
 
-    def accept(self, made: socket.socket, kind: str) -> None:
+    def accept(self, listener: socket.socket, kind: str) -> None:
         for _ in range(MAX_ACCEPTS_PER_ITERATION):
             try:
-                connection, _ = made.accept()
+                connection, _ = listener.accept()
             except (BlockingIOError, ConnectionAbortedError):
                 return
             except OSError as failure:
@@ -331,30 +333,30 @@
                 return
             # Reserves capacity for plain RPCs: tunnels have their own limit and never use the last
             # descriptors.
-            if len(self.live) + len(self.taking) >= self.config.most or self.budget.full(8):
+            if len(self.live) + len(self.accept_tasks) >= self.config.most or self.budget.full(8):
                 self.refused["full"] += 1
                 connection.close()
-                if self.loop.time() >= self.full_told + LIMIT_LOG_INTERVAL_S:
-                    self.full_told = self.loop.time()
+                if self.loop.time() >= self.limit_logged_at + LIMIT_LOG_INTERVAL_S:
+                    self.limit_logged_at = self.loop.time()
                     logger.warning("tunnel limit reached, new tunnels closed", tunnels=len(self.live))
                 continue
-            task = self.loop.create_task(self.take(connection, kind))
-            self.taking.add(task)
-            task.add_done_callback(self.taking.discard)
+            task = self.loop.create_task(self.start_handshake(connection, kind))
+            self.accept_tasks.add(task)
+            task.add_done_callback(self.accept_tasks.discard)
 
-    async def take(self, connection: socket.socket, kind: str) -> None:
+    async def start_handshake(self, connection: socket.socket, kind: str) -> None:
         try:
             await self.loop.connect_accepted_socket(
-                lambda: TunnelConnection(self, self.codec(kind)), connection
+                lambda: TunnelConnection(self, self.make_codec(kind)), connection
             )
         except (OSError, RuntimeError):
             connection.close()
 
-    def begun(self, tunnel: TunnelConnection) -> None:
+    def register_connection(self, tunnel: TunnelConnection) -> None:
         self.live[tunnel] = None
         self.budget.others += 1
 
-    def over(self, tunnel: TunnelConnection) -> None:
+    def unregister_connection(self, tunnel: TunnelConnection) -> None:
         if self.live.pop(tunnel, self) is None:
             self.budget.others -= 1
 
@@ -362,39 +364,39 @@
         """Seconds after which nothing new may be sent to a draining upstream."""
         return next(pool.grace for pool in self.pools.values() if pool.connections is link.connections)
 
-    def look(self) -> None:
+    def check_all_timeouts(self) -> None:
         now = self.loop.time()
         for tunnel in list(self.live):
-            tunnel.overdue(now)
+            tunnel.check_timeouts(now)
         if not self.closing or self.live:
-            self.loop.call_later(TIMEOUT_CHECK_INTERVAL_S, self.look)
+            self.loop.call_later(TIMEOUT_CHECK_INTERVAL_S, self.check_all_timeouts)
 
-    def renew(self, config: Tunnel, table: Table) -> None:
+    def reload(self, config: Tunnel, table: Table) -> None:
         """Applies a reload: new tunnels use the new routes; open ones without a route are drained."""
         self.config, self.table = config, table
         for tunnel in list(self.live):
             if tunnel.open and tunnel.destination is not None and table.find(tunnel.destination) is None:
-                tunnel.upstream_drains()
+                tunnel.on_upstream_drain()
 
     # --- shutdown
 
-    def waiting(self) -> bool:
+    def has_pending_connections(self) -> bool:
         poll = select.poll()
-        for made, _ in self.sockets:
-            poll.register(made, select.POLLIN)
-        return bool(poll.poll(0)) or bool(self.taking)
+        for listener, _ in self.sockets:
+            poll.register(listener, select.POLLIN)
+        return bool(poll.poll(0)) or bool(self.accept_tasks)
 
     def stop_accepting(self) -> None:
         self.closing = True
-        for made, _ in self.sockets:
-            self.loop.remove_reader(made)
-            made.close()
+        for listener, _ in self.sockets:
+            self.loop.remove_reader(listener)
+            listener.close()
         self.sockets = []
 
     def drain(self) -> None:
         """Closes the half of each opaque tunnel towards its upstream; answers are still relayed."""
         for tunnel in list(self.live):
-            if tunnel.open and not tunnel.draining:
+            if tunnel.open and not tunnel.sending_stopped:
                 tunnel.stop_sending()
 
     def close(self) -> None:
--- a/shedgrade/sidecar/tunnel/relay.py
+++ b/shedgrade/sidecar/tunnel/relay.py
@@ -1,7 +1,7 @@
 """The two sides of an opaque tunnel: relays bytes in both directions, with bounded buffers and half-closes.
 
-Each side is read only while the write buffer of the other has room (`most` bytes at the most), so a peer that
-stops reading makes its counterpart wait instead of growing this process's memory.
+Each side is read only while the write buffer of the other has room (`max_buffered` bytes at the most), so a
+peer that stops reading makes its counterpart wait instead of growing this process's memory.
 """
 
 import asyncio
@@ -14,33 +14,33 @@
     """Behaviour that both sides share.
 
     Attributes:
-        most: the limit of the write buffer, in bytes.
+        max_buffered: the limit of the write buffer, in bytes.
         peer: the other side, once the tunnel is open.
-        moved: bytes received on this side.
+        bytes_received: bytes that arrived on this side.
         paused: this side is not read because the other side's write buffer is full.
-        ended: this side has sent its end of file.
+        eof_seen: this side has sent its end of file.
         lost: the connection is closed.
-        used: the event loop's time of the last byte in either direction, in seconds.
+        last_active: the event loop's time of the last byte in either direction, in seconds.
     """
 
-    def __init__(self, most: int) -> None:
-        self.most, self.transport, self.peer = most, None, None
-        self.moved = 0
+    def __init__(self, max_buffered: int) -> None:
+        self.max_buffered, self.transport, self.peer = max_buffered, None, None
+        self.bytes_received = 0
         self.paused = False
-        self.ended = self.lost = False
-        self.used = 0.0
+        self.eof_seen = self.lost = False
+        self.last_active = 0.0
 
     def connection_made(self, transport) -> None:
         self.transport = transport
-        transport.set_write_buffer_limits(high=self.most)
-        self.used = asyncio.get_running_loop().time()
+        transport.set_write_buffer_limits(high=self.max_buffered)
+        self.last_active = asyncio.get_running_loop().time()
 
     def join(self, peer: "TunnelSide") -> None:
         self.peer, peer.peer = peer, self
 
     def data_received(self, data: bytes) -> None:
-        self.moved += len(data)
-        self.used = self.peer.used = asyncio.get_running_loop().time()
+        self.bytes_received += len(data)
+        self.last_active = self.peer.last_active = asyncio.get_running_loop().time()
         if not self.peer.transport.is_closing():
             self.peer.transport.write(data)
 
@@ -50,14 +50,14 @@
             self.peer.paused = True
 
     def resume_writing(self) -> None:
-        if self.peer is not None and not self.peer.transport.is_closing() and not self.peer.held():
+        if self.peer is not None and not self.peer.transport.is_closing() and not self.peer.is_read_blocked():
             self.peer.transport.resume_reading()
             self.peer.paused = False
 
-    def unsent(self) -> int:
+    def unsent_bytes(self) -> int:
         return 0 if self.transport.is_closing() else self.transport.get_write_buffer_size()
 
-    def broken(self) -> bool:
+    def was_reset(self) -> bool:
         """Whether the connection was reset while it is not read, which the event loop does not notice."""
         if not self.paused or self.transport.is_closing():
             return False
@@ -65,18 +65,18 @@
         poll.register(self.transport.get_extra_info("socket").fileno(), 0)
         return any(event & (select.POLLERR | select.POLLHUP) for _, event in poll.poll(0))
 
-    def held(self) -> bool:
+    def is_read_blocked(self) -> bool:
         """Whether reading must stay paused even if the other side has room."""
         return False
 
     def eof_received(self) -> bool:
         """Passes the end of file on; the other direction stays open."""
-        self.ended = True
+        self.eof_seen = True
         if self.peer is None:
             return False
         if not self.peer.transport.is_closing() and self.peer.transport.can_write_eof():
             self.peer.transport.write_eof()
-        if self.peer.ended:
+        if self.peer.eof_seen:
             self.peer.transport.close()
             return False
         return True
@@ -102,7 +102,8 @@
 class StreamLink(TunnelSide):
     """The upstream's side. Its transmission counts as in flight for as long as the connection is open."""
 
-    whole = True  # the upstream may have executed what was sent: the bytes of a tunnel are not parsed
+    # The upstream may have executed whatever was sent, since the bytes of a tunnel are not parsed.
+    maybe_executed = True
 
     def __init__(self, connections, upstream: int, address: tuple[str, int]) -> None:
         super().__init__(connections.stream_buffer)
@@ -112,7 +113,7 @@
         self.failure: Exception | None = None
 
     def may_have_run(self) -> bool:
-        return self.whole
+        return self.maybe_executed
 
     def connection_made(self, transport) -> None:
         super().connection_made(transport)
@@ -139,7 +140,7 @@
                 transmission, load_balancing.DROPPED if failure else load_balancing.COMPLETED, None
             )
         if self.peer is not None:
-            self.peer.other_lost(failure)
+            self.peer.peer_closed(failure)
 
     def abort(self) -> None:
         """Aborts for the dispatcher, which records the end of the transmission itself."""
@@ -154,4 +155,4 @@
         if not self.draining:
             self.draining = True
             if self.peer is not None:
-                self.peer.upstream_drains()
+                self.peer.on_upstream_drain()
--- a/tests/sidecar/tunnel/test_tunnels.py
+++ b/tests/sidecar/tunnel/test_tunnels.py
@@ -250,10 +250,10 @@
             await asyncio.sleep(0)
         await asyncio.sleep(0.5)
         held = tunnel.peer.transport.get_write_buffer_size()
-        assert held < 1_000_000 and tunnel.moved < 20_000_000
-        before = tunnel.moved
+        assert held < 1_000_000 and tunnel.bytes_received < 20_000_000
+        before = tunnel.bytes_received
         await asyncio.sleep(0.3)
-        assert tunnel.moved == before
+        assert tunnel.bytes_received == before
         writer.transport.abort()
         await until(lambda: world.flight() == 0)
     stuck.close()
