--- a/shedgrade/cli/saved.py
+++ b/shedgrade/cli/saved.py
@@ -29,7 +29,7 @@
     from shedgrade import file_frames
 
     for name in sorted(
-        (name for name in files.names() if name.startswith("snapshot-")),
+        (name for name in files.list_names() if name.startswith("snapshot-")),
         key=lambda name: (len(name), name),
         reverse=True,
     ):
@@ -98,17 +98,17 @@
     files = Files(folder)
     if not folder.is_dir():
         fail(ValueError(f"{folder}: no such folder"))
-    before = sum((folder / name).stat().st_size for name in files.names())
+    before = sum((folder / name).stat().st_size for name in files.list_names())
     store = Store(files, owner or owner_of(files), WallClock().now, report=print_event)
     try:
         store.open()
         if not store.broken:
-            store.begin_files()
-    except LockedError as locked:
-        fail(locked)
+            store.rotate_files()
+    except LockedError as error:
+        fail(error)
     except OSError as failure:
         fail(ValueError(f"{folder}: {failure.strerror}"))
     finally:
         files.release()
-    after = sum((folder / name).stat().st_size for name in files.names())
+    after = sum((folder / name).stat().st_size for name in files.list_names())
     print(f"{folder}: {before} bytes before, {after} after")
--- a/shedgrade/sidecar/endpoint_snapshot/files.py
+++ b/shedgrade/sidecar/endpoint_snapshot/files.py
@@ -19,11 +19,11 @@
         self.handles: dict[str, int] = {}
         self.lock_handle: int | None = None
 
-    def make(self) -> None:
+    def create_folder(self) -> None:
         """Creates the folder with mode 700 if it does not exist."""
         self.folder.mkdir(mode=0o700, parents=True, exist_ok=True)
 
-    def foreign(self) -> str:
+    def distrust_reason(self) -> str:
         """Returns why the folder must not be trusted (another user owns it, or others may write to it), or
         ""."""
         stat = self.folder.stat()
@@ -43,7 +43,7 @@
             raise LockedError(f"{self.folder} is in use by another process") from failure
         self.lock_handle = handle
 
-    def names(self) -> list[str]:
+    def list_names(self) -> list[str]:
         """The names of all files in the folder, sorted."""
         return sorted(os.listdir(self.folder))
 
--- a/shedgrade/sidecar/endpoint_snapshot/recovery.py
+++ b/shedgrade/sidecar/endpoint_snapshot/recovery.py
@@ -56,7 +56,7 @@
     return Recovery(files, owner).run()
 
 
-def rebuild(records: list[Record], snapshot: Snapshot) -> str:
+def apply_records(records: list[Record], snapshot: Snapshot) -> str:
     """Applies records up to the first invalid one. Returns why it stopped there, or ""."""
     for number, record in enumerate(records):
         try:
@@ -71,7 +71,7 @@
 
     Attributes:
         found: the result so far.
-        base: the number of the snapshot in use; None if no valid one was found.
+        base_number: the number of the snapshot in use; None if no valid one was found.
         log_length: the size of the previous log in bytes; UNKNOWN_LENGTH if it was not valid to its end.
     """
 
@@ -79,14 +79,14 @@
         self.files = files
         self.owner = owner
         self.found = Recovered(Snapshot())
-        self.base: int | None = None
+        self.base_number: int | None = None
         self.log_length = UNKNOWN_LENGTH
 
     def run(self) -> Recovered:
         """Reads snapshots from the newest down to the first valid one, then the logs from its number on."""
         snapshots: dict[int, str] = {}
         logs: dict[int, str] = {}
-        for name in self.files.names():
+        for name in self.files.list_names():
             match = FILE_NAME.match(name)
             if match:
                 (snapshots if match[1] == "snapshot" else logs)[int(match[2])] = name
@@ -95,7 +95,7 @@
             if self.read_snapshot(number, snapshots[number]):
                 break
         for number in sorted(logs):
-            if self.base is None or number >= self.base:
+            if self.base_number is None or number >= self.base_number:
                 self.found.log_length = self.log_length = self.read_log(number, logs[number])
         self.found.snapshot.owner = self.owner
         return self.found
@@ -104,16 +104,16 @@
         """Reads one snapshot. Returns whether it is valid and of this owner, and so becomes the base."""
         snapshot = Snapshot()
         try:
-            stated, records, reason = file_frames.read(self.files.read(name), file_frames.SNAPSHOT)
-            if stated != number:
-                raise file_frames.FormatError(f"its header has number {stated}")
+            header_number, records, reason = file_frames.read(self.files.read(name), file_frames.SNAPSHOT)
+            if header_number != number:
+                raise file_frames.FormatError(f"its header has number {header_number}")
             # A snapshot is renamed to this name only once it is written in full: an incomplete one is
             # damaged.
             end = records.pop() if records else {}
             reason = (
                 reason
                 or ("" if end == END_RECORD else "the end record is missing")
-                or rebuild(records, snapshot)
+                or apply_records(records, snapshot)
             )
             if reason:
                 raise file_frames.FormatError(reason)
@@ -121,12 +121,12 @@
             self.found.newer.append(name)
             return False
         except (file_frames.FormatError, OSError) as error:
-            self.set_aside(name, getattr(error, "strerror", None) or str(error))
+            self.report_damage(name, getattr(error, "strerror", None) or str(error))
             return False
         if snapshot.owner and snapshot.owner != self.owner:
-            self.set_aside(name, f"belongs to {snapshot.owner!r}")
+            self.report_damage(name, f"belongs to {snapshot.owner!r}")
             return False
-        self.base = number
+        self.base_number = number
         self.found.snapshot = snapshot
         self.found.records = len(records)
         return True
@@ -141,36 +141,36 @@
             self.found.newer.append(name)
             return UNKNOWN_LENGTH
         except (file_frames.FormatError, OSError) as error:
-            self.set_aside(name, getattr(error, "strerror", None) or str(error))
+            self.report_damage(name, getattr(error, "strerror", None) or str(error))
             return UNKNOWN_LENGTH
         head = records[0] if records and records[0].get("k") == "owner" else {}
         if head and head.get("name") != self.owner:
-            self.set_aside(name, f"belongs to {head.get('name')!r}")
+            self.report_damage(name, f"belongs to {head.get('name')!r}")
             return UNKNOWN_LENGTH
-        if not self.follows(number, head):
+        if not self.continues_previous(number, head):
             start = first_complete_list(records)
             if start is None or head.get("name") != self.owner:
                 return UNKNOWN_LENGTH
             self.found.snapshot = Snapshot()
             self.found.snapshot.owner = self.owner
             records = records[start:]
-        stopped = rebuild(records, self.found.snapshot)
+        stopped = apply_records(records, self.found.snapshot)
         self.found.records += len(records)
         reason = reason or stopped
         if reason:
-            self.set_aside(name, reason)
+            self.report_damage(name, reason)
         return UNKNOWN_LENGTH if reason else len(data)
 
-    def follows(self, number: int, head: Record) -> bool:
+    def continues_previous(self, number: int, head: Record) -> bool:
         """Whether a log continues its own snapshot, or the complete log before it. Otherwise earlier records
         are missing, and its records apply only from the first one with a complete list on."""
-        if number == self.base:
+        if number == self.base_number:
             return True
         return (
             self.log_length >= 0 and head.get("after") == number - 1 and head.get("size") == self.log_length
         )
 
-    def set_aside(self, name: str, reason: str) -> None:
+    def report_damage(self, name: str, reason: str) -> None:
         """Records a damaged file."""
         self.found.damaged.append(DamagedFile(name, reason))
 
--- a/shedgrade/sidecar/endpoint_snapshot/snapshot.py
+++ b/shedgrade/sidecar/endpoint_snapshot/snapshot.py
@@ -112,8 +112,8 @@
     def apply_list(self, entries: list[Entry], complete: bool, generation: int, at: Moment) -> None:
         """Applies an answer of discovery: the complete list, or its changes."""
         if complete:
-            named = {entry["instanceId"] for entry in entries}
-            for name in [name for name in self.endpoints if name not in named]:
+            listed = {entry["instanceId"] for entry in entries}
+            for name in [name for name in self.endpoints if name not in listed]:
                 self.remove(name, at)
         for entry in entries:
             name = entry["instanceId"]
--- a/shedgrade/sidecar/endpoint_snapshot/source.py
+++ b/shedgrade/sidecar/endpoint_snapshot/source.py
@@ -84,9 +84,9 @@
         is logged, and the sidecar starts without saved state."""
         try:
             self.recovered = self.store.open()
-        except LockedError as locked:
-            raise ConfigError(f"saved.folder: {locked}") from locked
-        self.store.reread = self.complete_list
+        except LockedError as error:
+            raise ConfigError(f"saved.folder: {error}") from error
+        self.store.read_current_list = self.complete_list
 
     def initial_list(self) -> InitialList | None:
         """The list and state to start from; None if no saved endpoint can be used."""
--- a/shedgrade/sidecar/endpoint_snapshot/store.py
+++ b/shedgrade/sidecar/endpoint_snapshot/store.py
@@ -63,7 +63,7 @@
         log_bytes, snapshot_bytes: the sizes of the newest files.
         unsynced, synced_at: whether the log holds data that was not synced; when it was last synced.
         bytes_written, writes: totals since the start, for measurements.
-        reread: returns the event loop's current list as records, after records were dropped.
+        read_current_list: returns the event loop's current list as records, after records were dropped.
     """
 
     def __init__(
@@ -96,7 +96,7 @@
         self.unsynced = False
         self.synced_at = 0.0
         self.thread: threading.Thread | None = None
-        self.reread: Callable[[], list[Record]] | None = None
+        self.read_current_list: Callable[[], list[Record]] | None = None
 
     # --- opening
 
@@ -123,21 +123,21 @@
         self.number = found.number
         if not self.broken:
             try:
-                self.set_aside(found)
+                self.rename_damaged(found)
                 self.log_bytes = found.log_length
-                self.begin_files(gap=found.log_length < 0)
+                self.rotate_files(gap=found.log_length < 0)
             except OSError as failure:
-                self.on_failure(failure)
+                self.handle_failure(failure)
         return found
 
     def claim_folder(self) -> bool:
         """Creates and locks the folder. False if it must not be used. LockedError if another process has
         locked it."""
         try:
-            self.files.make()
-            foreign = self.files.foreign()
-            if foreign:
-                self.report(StoreEvent("WARNING", "saved endpoint list not used", f"the folder {foreign}"))
+            self.files.create_folder()
+            reason = self.files.distrust_reason()
+            if reason:
+                self.report(StoreEvent("WARNING", "saved endpoint list not used", f"the folder {reason}"))
                 self.broken = True
                 return False
             self.files.lock()
@@ -149,9 +149,9 @@
             self.broken = True
         return True
 
-    def set_aside(self, found: Recovered) -> None:
+    def rename_damaged(self, found: Recovered) -> None:
         """Renames damaged files; they are never deleted."""
-        taken = set(self.files.names())
+        taken = set(self.files.list_names())
         for damaged in found.damaged:
             name, number = f"{damaged.name}.damaged", 1
             while name in taken:
@@ -162,7 +162,7 @@
 
     # --- files
 
-    def begin_files(self, gap: bool = False) -> None:
+    def rotate_files(self, gap: bool = False) -> None:
         """Writes a snapshot under the next number, begins an empty log, and removes older files.
 
         `gap`: the previous log lacks records that are in the snapshot.
@@ -182,7 +182,7 @@
         records = [*self.snapshot.records(self.now()), END_RECORD]
         frames = b"".join(file_frames.frame(record) for record in records)
         data = file_frames.header(file_frames.SNAPSHOT, number) + frames
-        for name in self.files.names():
+        for name in self.files.list_names():
             if name.endswith(".new"):
                 self.files.remove(name)
         self.write(temporary, data)
@@ -208,7 +208,7 @@
 
     def remove_old(self) -> None:
         """Removes files of numbers below the previous one, which is kept in case the newest is unreadable."""
-        for name in self.files.names():
+        for name in self.files.list_names():
             kind, _, rest = name.partition("-")
             if kind in ("snapshot", "log") and rest.isdigit() and int(rest) < self.number - 1:
                 self.files.remove(name)
@@ -279,7 +279,7 @@
         self.apply(records, lost)
         try:
             if self.broken or lost:
-                self.begin_files(gap=True)  # the snapshot holds the records that the log lacks
+                self.rotate_files(gap=True)  # the snapshot holds the records that the log lacks
                 if self.broken:
                     self.broken = False
                     self.report(StoreEvent("INFO", "saved endpoint list written again"))
@@ -291,17 +291,17 @@
                 self.unsynced = True
             self.sync_log()
             if self.log_bytes > max(MIN_COMPACTED_BYTES, COMPACT_FACTOR * self.snapshot_bytes):
-                self.begin_files()
+                self.rotate_files()
         except OSError as failure:
-            self.on_failure(failure)
+            self.handle_failure(failure)
 
     def apply(self, records: list[Record], lost: bool) -> None:
         """Applies records to the snapshot in memory, beginning from the event loop's list if some were
         lost."""
-        if lost and self.reread is not None:
+        if lost and self.read_current_list is not None:
             self.snapshot = Snapshot()
             self.snapshot.owner = self.owner
-            records = [*self.reread(), *records]
+            records = [*self.read_current_list(), *records]
         for record in records:
             try:
                 self.snapshot.apply(record)
@@ -316,7 +316,7 @@
             self.files.sync(f"log-{self.number}")
             self.unsynced, self.synced_at = False, at
 
-    def on_failure(self, failure: OSError) -> None:
+    def handle_failure(self, failure: OSError) -> None:
         """Marks the disk as broken, so that the next successful write is a full snapshot."""
         if not self.broken:
             self.report_failure("saved endpoint list cannot be written", failure)
--- a/shedgrade/sidecar/endpoint_snapshot/trust.py
+++ b/shedgrade/sidecar/endpoint_snapshot/trust.py
@@ -74,12 +74,12 @@
     for name, endpoint in snapshot.endpoints.items():
         address = endpoint.entry.get("hostPort", "")
         known = holders.get(address)
-        if known is None or is_newer(endpoint.confirmed_at, snapshot.endpoints[known].confirmed_at):
+        if known is None or is_not_older(endpoint.confirmed_at, snapshot.endpoints[known].confirmed_at):
             holders[address] = name
     return holders
 
 
-def is_newer(one: Moment, other: Moment) -> bool:
+def is_not_older(one: Moment, other: Moment) -> bool:
     """Whether `one` is not before `other`; compares the time since boot if both are of the same boot."""
     if one.boot_id and one.boot_id == other.boot_id:
         return one.since_boot_ms >= other.since_boot_ms
--- a/tests/sidecar/endpoint_snapshot/disk.py
+++ b/tests/sidecar/endpoint_snapshot/disk.py
@@ -12,10 +12,10 @@
         self.ops = []
         self.fail = None  # an OSError for every change from now on
 
-    def make(self):
+    def create_folder(self):
         pass
 
-    def foreign(self):
+    def distrust_reason(self):
         return ""
 
     def lock(self):
@@ -27,7 +27,7 @@
     def close(self, name):
         pass
 
-    def names(self):
+    def list_names(self):
         return sorted(self.data)
 
     def read(self, name):
--- a/tests/sidecar/endpoint_snapshot/test_store.py
+++ b/tests/sidecar/endpoint_snapshot/test_store.py
@@ -75,7 +75,7 @@
     for number, record in enumerate(STREAM):
         store.write_batch([record], False)
         if number == compact_after:
-            store.begin_files()
+            store.rotate_files()
     return store
 
 
@@ -176,7 +176,9 @@
     other = Store(MemoryDisk(disk.data), "n2", lambda: at(9))
     found = other.open()
     assert not found.snapshot.endpoints and "belongs to 'n1'" in found.summary()
-    assert "snapshot-1.damaged" in other.files.names() or "snapshot-2.damaged" in other.files.names()
+    assert (
+        "snapshot-1.damaged" in other.files.list_names() or "snapshot-2.damaged" in other.files.list_names()
+    )
     newer = bytearray(file_frames.header(file_frames.SNAPSHOT, 9))
     head = file_frames.HEADER.pack(file_frames.MAGIC, file_frames.SNAPSHOT, file_frames.VERSION + 1, 9)
     newer = head + file_frames.CHECKSUM.pack(file_frames.crc32(head))
@@ -226,7 +228,7 @@
     gate, stuck, disk = threading.Event(), threading.Event(), MemoryDisk()
     store = Store(disk, "n1", lambda: at(9), "always")
     store.open()
-    store.reread = lambda: [listed(70, entry("u7"), whole=True)]
+    store.read_current_list = lambda: [listed(70, entry("u7"), whole=True)]
     plain = disk.append
     disk.append = lambda name, data: (stuck.set(), gate.wait(20), plain(name, data))
     store.start()
