--- a/tests/sidecar/endpoint_snapshot/test_start.py
+++ b/tests/sidecar/endpoint_snapshot/test_start.py
@@ -59,7 +59,7 @@
     return summary, (tmp_path / "run" / "n0.log").read_text()
 
 
-def test_discovery_down_a_sidecar_serves_from_disk_then_yields_to_the_live_list(tmp_path):
+def test_a_sidecar_serves_from_disk_while_discovery_is_down_then_uses_the_live_list(tmp_path):
     summary, log = run(tmp_path, "sidecars.saved.stale=0.5")
     assert summary["figures"]["service"] > 0.97
     assert f"{SOURCE_CHANGED} previous=nothing source=saved" in log
@@ -70,12 +70,12 @@
     assert "12 rows, 6 removals remembered" in shown and "gone-" not in shown and "as told" in shown
 
 
-def test_without_it_nothing_is_served_until_discovery_is_back(tmp_path):
+def test_without_a_saved_list_nothing_is_served_until_discovery_is_back(tmp_path):
     summary, log = run(tmp_path, "sidecars.saved.trust=off")
     assert summary["figures"]["service"] < 0.5 and "saved" not in log
 
 
-def test_hours_old_it_is_a_last_resort_that_still_serves_and_says_so(tmp_path):
+def test_a_list_that_is_hours_old_serves_as_a_last_resort_and_is_logged(tmp_path):
     summary, log = run(
         tmp_path,
         "sidecars.saved.age_s=7200",
@@ -87,7 +87,7 @@
     assert summary["figures"]["service"] > 0.9 and summary["figures"]["fell"] == 0
 
 
-def test_every_row_stale_nobody_waits_past_his_time(tmp_path):
+def test_with_only_stale_endpoints_no_request_waits_past_its_timeout(tmp_path):
     summary, _ = run(
         tmp_path,
         "sidecars.saved.stale=1.0",
@@ -98,7 +98,7 @@
     assert summary["figures"]["unfinished"] == 0 and summary["latency_ms"]["max"] < 3400
 
 
-def test_killed_again_and_again_while_the_list_churns_it_always_starts(tmp_path):
+def test_a_sidecar_killed_repeatedly_while_the_list_changes_always_starts(tmp_path):
     line = [{"kind": "churn", "at_s": 0.5, "period_s": 0.3, "drain_ms": 400}]
     line += [
         {"kind": "sidecar_kill", "at_s": 1.5 + number * 2.0, "for_s": 0.1, "sidecar": 0}
@@ -128,13 +128,13 @@
     assert "ERROR" not in log and log.count(f"{SOURCE_CHANGED} previous=nothing source=saved") == 4
 
 
-def test_a_writer_killed_at_any_moment_leaves_what_was_told(tmp_path):
+def test_a_writer_killed_at_any_moment_leaves_a_snapshot_that_was_written(tmp_path):
     from saved import kills
 
     assert kills(60, tmp_path / "n1")["furthest generation"] > 3
 
 
-def test_a_full_disk_beside_a_serving_sidecar_costs_a_line_and_no_rpc(tmp_path):
+def test_a_folder_that_cannot_be_written_is_logged_and_the_sidecar_serves(tmp_path):
     """The folder is taken away under the running process: the next snapshot cannot be written."""
     config = {
         "name": "n1",
@@ -199,14 +199,14 @@
         ("= 1", "TOML"),
     ],
 )
-def test_a_features_file_that_is_wrong_is_refused_in_one_line(tmp_path, text, key):
+def test_an_invalid_features_file_is_refused_in_one_line(tmp_path, text, key):
     (tmp_path / "f.toml").write_text(text)
     with pytest.raises(ConfigError) as wrong:
         load_features(tmp_path / "f.toml")
     assert "f.toml" in str(wrong.value) and key in str(wrong.value) and "\n" not in str(wrong.value)
 
 
-def test_the_example_is_sound_and_off_by_default_nothing_is_imported():
+def test_the_example_is_valid_and_without_features_nothing_is_imported():
     assert load_features(ROOT / "deploy/features.example.toml").saved.trust.ends == 3
     code = (
         "import shedgrade.cli, sys; print([name for name in sys.modules if name.startswith("
@@ -275,7 +275,7 @@
 
 
 @pytest.mark.parametrize("what", ["older", "empty", "flaps"])
-def test_whatever_discovery_comes_back_with_is_taken_at_once(tmp_path, what):
+def test_the_first_answer_of_discovery_replaces_the_saved_list_at_once(tmp_path, what):
     async def answer(world):
         if what == "flaps" and world.watches < 3:
             return b"HTTP/1.1 500 X\r\nContent-Length: 0\r\n\r\n"
--- a/tests/sidecar/endpoint_snapshot/test_store.py
+++ b/tests/sidecar/endpoint_snapshot/test_store.py
@@ -79,7 +79,7 @@
     return store
 
 
-def test_a_start_finds_what_was_put_and_a_second_one_finds_it_again():
+def test_every_start_recovers_all_records():
     disk = MemoryDisk()
     written(disk)
     for _ in range(3):
@@ -93,7 +93,7 @@
 
 
 @pytest.mark.parametrize("sync", ["always", "never"])
-def test_killed_at_every_byte_recovery_finds_a_picture_that_was_told(sync):
+def test_a_kill_at_any_byte_leaves_a_snapshot_that_was_written(sync):
     disk, known, count = MemoryDisk(), snapshots(), 0
     written(disk, sync, compact_after=3)
     for upto, op in enumerate(disk.ops):
@@ -118,7 +118,7 @@
 
 
 @pytest.mark.parametrize("sync", ["always", "interval", "never"])
-def test_after_a_power_cut_at_every_write_with_unsynced_ones_lost_in_any_way(sync):
+def test_a_power_cut_loses_only_unsynced_writes(sync):
     disk, known, count = MemoryDisk(), snapshots(), 0
     written(disk, sync, compact_after=2)
     synced = 0
@@ -136,7 +136,7 @@
     assert count > 50
 
 
-def test_damage_anywhere_in_any_file_leaves_a_picture_that_was_told_and_is_set_aside():
+def test_damage_in_any_file_leaves_a_snapshot_that_was_written_and_the_file_is_renamed():
     disk, known = MemoryDisk(), snapshots()
     written(disk, compact_after=3)
     files = {name: bytes(data) for name, data in disk.data.items()}
@@ -156,7 +156,7 @@
     assert told(Store(MemoryDisk(files), "n1", lambda: at(9)).open().snapshot) == known[-1]
 
 
-def test_a_gap_between_logs_shows_and_nothing_is_built_on_it():
+def test_a_log_behind_a_gap_is_not_applied():
     disk = MemoryDisk()
     written(disk, compact_after=3)
     names = sorted(disk.data)
@@ -170,7 +170,7 @@
     assert told(snapshot) == snapshots()[-1]  # whole, it goes on from the log before
 
 
-def test_other_owners_newer_versions_and_strange_files_are_left_as_they_are():
+def test_files_of_other_owners_newer_versions_and_unknown_names_are_kept():
     disk = MemoryDisk()
     written(disk)
     other = Store(MemoryDisk(disk.data), "n2", lambda: at(9))
@@ -189,7 +189,7 @@
     assert left.read("snapshot-9") == newer and left.read("notes.txt") == b"mine" and store.number == 10
 
 
-def test_records_that_are_none_stop_there_and_keep_what_went_before():
+def test_records_before_an_invalid_one_are_kept():
     disk = MemoryDisk()
     store = written(disk)
     store.write(
@@ -200,7 +200,7 @@
     assert told(found.snapshot) == snapshots()[-1] and "record 7 is invalid" in found.damaged[0][1]
 
 
-def test_a_disk_that_fails_and_comes_back_gets_a_whole_snapshot_and_one_line_each():
+def test_a_disk_that_recovers_gets_a_full_snapshot_and_each_change_is_logged_once():
     lines = []
     disk = MemoryDisk()
     store = Store(
@@ -223,7 +223,7 @@
     assert told(recover(disk, "n1").snapshot) == snapshots()[-1]
 
 
-def test_a_slow_disk_holds_nobody_and_what_is_dropped_is_made_up_for(monkeypatch):
+def test_a_hanging_disk_blocks_no_caller_and_dropped_records_are_replaced(monkeypatch):
     monkeypatch.setattr("shedgrade.sidecar.endpoint_snapshot.store.MAX_QUEUED_BYTES", 3000)
     gate, stuck, disk = threading.Event(), threading.Event(), MemoryDisk()
     store = Store(disk, "n1", lambda: at(9), "always")
@@ -255,7 +255,7 @@
     assert len(recover(disk, "n1").snapshot.endpoints) == 5
 
 
-def test_a_real_folder_is_private_locked_and_goes_on_read_only(tmp_path):
+def test_a_real_folder_is_private_and_locked_and_an_untrusted_one_is_not_used(tmp_path):
     folder = tmp_path / "deep" / "n1"
     store = Store(Files(folder), "n1", lambda: at(9))
     store.open()
@@ -279,7 +279,7 @@
     loose.write_batch([STREAM[0]], False)  # nothing is written to it, nothing is raised
 
 
-def test_a_folder_that_cannot_be_made_or_is_a_file_starts_all_the_same(tmp_path):
+def test_a_folder_that_cannot_be_created_does_not_prevent_a_start(tmp_path):
     (tmp_path / "file").write_text("")
     lines = []
     store = Store(
--- a/tests/sidecar/endpoint_snapshot/test_trust.py
+++ b/tests/sidecar/endpoint_snapshot/test_trust.py
@@ -57,13 +57,13 @@
     assert ways(saved, now(90 * HOUR), Trusting(blind=True)) == {"u1": AS_TOLD}
 
 
-def test_an_answer_without_changes_confirms_every_row_and_a_change_its_own():
+def test_an_answer_without_changes_confirms_every_endpoint():
     saved = snapshot(("u1", "a:1", "in_service"), ("u2", "a:2", "in_service"))
     saved.confirm(now(500), 8)
     assert ways(saved, now(520), Trusting()) == {"u1": AS_TOLD, "u2": AS_TOLD}
 
 
-def test_draining_removed_and_overtaken_rows_are_never_used():
+def test_draining_removed_and_replaced_endpoints_are_never_used():
     saved = snapshot(
         ("u1", "a:1", "terminating"), ("u2", "a:2", "in_service"), ("u3", "a:3", "in_service"), gone=["u3"]
     )
@@ -82,7 +82,7 @@
 
 
 @given(st.floats(0, 1e6), st.floats(0, 1e6))
-def test_an_older_picture_is_never_trusted_more(one, other):
+def test_an_older_snapshot_is_never_trusted_more(one, other):
     order = [AS_TOLD, CAUTIOUS, LAST_RESORT]
     saved = snapshot(("u1", "a:1", "in_service"))
     found = [order.index(ways(saved, now(second), Trusting())["u1"]) for second in sorted((one, other))]
@@ -114,7 +114,7 @@
     return [(rpc, answer[0]) for rpc, answer in found if answer is not None and answer[0] >= 0]
 
 
-def test_in_doubt_an_upstream_gets_one_at_a_time_until_it_has_ended_well_often_enough():
+def test_an_unverified_upstream_gets_one_request_at_a_time_until_enough_have_succeeded():
     b = started()
     b.mark_unverified(0, [0, 1, 2, 3], 2, False)
     out = sent(b, 0, 12)
@@ -126,7 +126,7 @@
         assert (len(out) == 4) == (number == 0)
 
 
-def test_slow_ends_do_not_settle_a_doubt():
+def test_slow_answers_do_not_count_towards_probation():
     b = started()
     b.mark_unverified(0, [0, 1, 2, 3], 1, False)
     for rpc, up in sent(b, 0, 4):
@@ -134,7 +134,7 @@
     assert [b.upstreams[up].probation_successes for up in range(4)] == [1, 0, 0, 0]
 
 
-def test_a_last_resort_waits_aside_is_tried_one_by_one_and_joins_once_it_has_answered():
+def test_last_resorts_are_ejected_tried_one_at_a_time_and_reinstated_once_they_answer():
     b = started()
     b.mark_unverified(0, [0, 1, 2, 3], 1, True)
     assert not b.zones[0].rotation and b.ejected_count == 4
@@ -150,13 +150,13 @@
     assert first in b.last_resort_upstreams
 
 
-def test_what_is_sound_is_used_before_a_last_resort():
+def test_verified_upstreams_are_used_before_last_resorts():
     b = started()
     b.mark_unverified(0, [2, 3], 1, True)
     assert {up for _, up in sent(b, 0, 2)} <= {0, 1}
 
 
-def test_discovery_itself_settles_every_doubt_and_what_it_does_not_name_goes():
+def test_discovery_verifies_the_upstreams_that_it_lists_and_removes_the_others():
     b = started()
     b.mark_unverified(0, [0, 1], 3, False)
     b.mark_unverified(0, [2, 3], 3, True)
@@ -179,7 +179,7 @@
     assert set(b.take_released()) == {1, 3} - {up for _, up in out[1:]}
 
 
-def test_a_herd_spreads():
+def test_simultaneous_starts_spread_their_first_requests():
     """Hundreds start together from the same saved rows: no upstream gets more than a few of the first
     RPCs."""
     hits = [0] * 20
@@ -191,7 +191,7 @@
     assert max(hits) < 45  # 20 expected each; chance alone stays under 40 nearly always
 
 
-def test_what_was_learnt_comes_back_by_name_and_weighs_less_with_age():
+def test_learned_state_is_restored_by_name_and_weighs_less_with_age():
     b, ids = started(), ["s0", "s1", "s2", "s3"]
     for step in range(200):
         for rpc, up in sent(b, step * 100, 2):
@@ -221,7 +221,7 @@
     )
 
 
-def test_a_state_that_is_not_sound_is_left_out_whole():
+def test_an_invalid_learned_state_is_not_restored():
     b = started()
     for rpc, _ in sent(b, 0, 2):
         rpc.attempt_finished(50, 0, load_balancing.COMPLETED, 10, True)
@@ -243,7 +243,7 @@
         assert from_disk({**good, **harm}, {}, ["0"], ["k"]) is None, harm
 
 
-def test_open_streams_are_passed_over_but_fill_no_window_and_slow_no_forecast():
+def test_open_streams_count_as_background_load_only():
     b = started(2)
     for number in range(200):
         ((rpc, up),) = sent(b, number, 1)
--- a/tests/sidecar/size/test_size.py
+++ b/tests/sidecar/size/test_size.py
@@ -58,7 +58,7 @@
 
 
 @on_sockets
-async def test_the_longest_goes_through_and_more_is_413_or_a_failed_transmission():
+async def test_the_longest_body_is_relayed_and_a_longer_one_is_413_or_a_failed_transmission():
     def endless(head, body):
         yield b"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n"
         while True:
@@ -87,7 +87,7 @@
 
 
 @on_sockets
-async def test_a_long_answer_that_breaks_midway_shows_it_and_is_told_once():
+async def test_a_truncated_long_answer_is_cut_and_counted_once():
     def broken(head, body):
         yield (
             b"HTTP/1.1 200 OK\r\nContent-Length: 300000\r\n\r\n"
@@ -111,7 +111,7 @@
 
 
 @on_sockets
-async def test_a_long_answer_outlives_deadlines_once_it_has_begun_and_its_upstream_is_in_flight():
+async def test_a_long_answer_that_has_begun_outlives_its_deadline_and_counts_as_in_flight():
     def slow(head, body):
         yield b"HTTP/1.1 200 OK\r\nContent-Length: 100000\r\n\r\n"
         yield pattern(80_000)
@@ -130,7 +130,7 @@
 
 
 @on_sockets
-async def test_a_long_answer_that_comes_slowly_is_begun_in_time_whether_it_says_its_length_or_not():
+async def test_a_slow_long_answer_begins_in_time_with_or_without_a_length():
     def slow(head, body):
         said = "said" in head[0]
         yield b"HTTP/1.1 200 OK\r\n" + (
@@ -163,7 +163,7 @@
 
 
 @on_sockets
-async def test_a_long_answer_that_goes_on_in_the_pass_in_which_its_time_is_up_goes_on():
+async def test_a_long_answer_that_begins_in_the_iteration_in_which_it_expires_continues():
     async with Sized(echo) as world:
         dispatcher, response_started = (
             world.sidecar.pool.dispatcher,
@@ -182,7 +182,7 @@
 
 
 @on_sockets
-async def test_blanks_round_the_values_of_headers_are_nobodys():
+async def test_whitespace_around_header_values_is_ignored():
     async with Sized(echo) as world:
         raw = (
             b"POST /m/1 HTTP/1.1\r\nhost:api \r\nX-REQUEST-ID: \ta1\t \r\nx-timeout-ms:900 \r\n"
@@ -193,7 +193,7 @@
 
 
 @on_sockets
-async def test_time_counts_from_the_last_byte_of_a_request():
+async def test_the_timeout_counts_from_the_last_byte_of_a_request():
     async with Sized(echo) as world:
         reader, writer = await world.connect()
         body = pattern(150_000)
@@ -207,7 +207,7 @@
 
 
 @on_sockets
-async def test_a_long_request_goes_elsewhere_while_all_its_bytes_are_here_and_never_after():
+async def test_a_long_request_is_retried_only_while_all_its_bytes_are_buffered():
     async with Sized(echo, echo, methods=[method("repeatable", soft=2e4, hard=2e4)]) as world:
         body = pattern(90_000)
         world.upstreams[0].stop()  # its dials are refused
@@ -226,7 +226,7 @@
 
 
 @on_sockets
-async def test_an_upload_whose_upstream_goes_midway_never_ran_and_is_exhausted_at_once():
+async def test_an_interrupted_upload_was_not_executed_and_is_exhausted_at_once():
     async with Sized(echo, pace=200_000) as world:  # the upstream takes its time
         body = pattern(8 * MEGABYTE)
         with outcomes() as ends:
@@ -240,7 +240,7 @@
 
 
 @on_sockets
-async def test_a_client_that_leaves_in_the_middle_ends_what_it_began():
+async def test_a_client_that_leaves_during_an_upload_closes_its_upstream_connection():
     async with Sized(echo) as world:
         reader, writer = await world.connect()
         writer.write(post("Content-Length: 9000000") + pattern(300_000))
@@ -254,7 +254,7 @@
 
 
 @on_sockets
-async def test_slow_ends_are_served_and_stalled_ones_are_ended():
+async def test_slow_clients_are_served_and_stalled_ones_time_out():
     async with Sized(echo) as world:
         reader, writer = await world.connect()
         raw = post("Content-Length: 200000")
@@ -289,7 +289,7 @@
 
 
 @on_sockets
-async def test_an_answer_that_is_not_taken_is_cut_and_its_upstream_let_go():
+async def test_an_answer_that_the_client_does_not_read_is_cut_and_its_upstream_is_released():
     def long(head, body):
         yield b"HTTP/1.1 200 OK\r\nContent-Length: %d\r\n\r\n" % (30 * MEGABYTE)
         yield pattern(30 * MEGABYTE)
@@ -314,7 +314,7 @@
 
 
 @on_sockets
-async def test_all_forms_of_http():
+async def test_bodiless_answers_absolute_targets_connection_headers_and_http_1_0():
     def forms(head, body):
         verb, target, _ = head[0].split()
         if verb == "HEAD":
@@ -357,7 +357,7 @@
 
 
 @on_sockets
-async def test_a_client_of_http_1_0_gets_a_long_answer_without_length_up_to_the_close():
+async def test_an_http_1_0_client_gets_a_long_answer_without_length_up_to_the_close():
     async with Sized(in_chunks) as world:
         body = pattern(300_000)
         raw = post("Content-Length: 300000", "/m/1", "old", 15000, "1.0", "POST", "Connection: keep-alive")
@@ -367,7 +367,7 @@
 
 
 @on_sockets
-async def test_a_client_that_waits_for_100_gets_it_and_one_whose_body_is_too_long_does_not():
+async def test_expect_100_continue_is_answered_unless_the_body_is_too_long():
     async with Sized(echo) as world:
         for size in (5, 300_000):
             reader, writer = await world.connect()
@@ -426,7 +426,7 @@
 
 
 @on_sockets
-async def test_a_body_behind_another_request_is_asked_for_once_that_is_answered():
+async def test_a_pipelined_100_continue_is_sent_once_the_request_before_is_answered():
     """Both heads come in one piece, and nothing more before the client is told to go on."""
     async with Sized(echo) as world:
         reader, writer = await world.connect()
@@ -442,7 +442,7 @@
 
 
 @on_sockets
-async def test_no_body_is_asked_for_behind_the_final_answer_of_a_request_without_one():
+async def test_no_100_continue_is_sent_to_a_request_without_a_body():
     async with Sized(echo) as world:
         reader, writer = await world.connect()
         expecting = post("Content-Length: 0", "/m/1", "b", 15000, "1.1", "POST", "Expect: 100-continue")
@@ -454,7 +454,7 @@
 
 
 @on_sockets
-async def test_messages_cut_at_every_byte_are_the_same_messages():
+async def test_requests_split_at_any_byte_are_read_alike():
     async with Sized(in_chunks) as world:
         raw = (
             post(
@@ -486,7 +486,7 @@
             writer.close()
 
 
-def test_answers_cut_at_every_byte_are_the_same_answers():
+def test_answers_split_at_any_byte_are_read_alike():
     whole = [
         (
             b"HTTP/1.1 103 E\r\nA: b\r\n\r\nHTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n"
@@ -519,7 +519,7 @@
 
 
 @on_sockets
-async def test_many_long_messages_at_once_stay_within_the_memory():
+async def test_many_concurrent_long_messages_stay_within_the_memory_budget():
     def long(head, body):
         yield b"HTTP/1.1 200 OK\r\nContent-Length: %d\r\n\r\n" % (8 * MEGABYTE)
         for _ in range(128):
@@ -552,7 +552,7 @@
         await until(lambda: sidecar.budget.bytes == 0)
 
 
-def test_a_process_with_many_long_messages_keeps_its_resident_memory(tmp_path):
+def test_a_process_with_many_long_messages_stays_within_its_memory_limit(tmp_path):
     """48 MB are allowed; 20 and 80 MB go through at once."""
     bodies, answers, limit = MEGABYTE, 4 * MEGABYTE, 48
 
@@ -608,7 +608,7 @@
     scenario()
 
 
-def test_a_flow_keeps_all_until_more_than_it_keeps_has_come_and_some_was_taken():
+def test_a_flow_is_replayable_until_it_has_received_too_much_and_bytes_were_taken():
     budget, told = Budget(100, 1), []
     flow = Flow(budget, [b"a" * 70_000])
     flow.lost = lambda: told.append(flow.total_bytes)
--- a/tests/sidecar/tunnel/test_codecs.py
+++ b/tests/sidecar/tunnel/test_codecs.py
@@ -57,7 +57,7 @@
 
 @pytest.mark.parametrize("data", ASKS)
 @pytest.mark.parametrize("login", [None, allowed])
-def test_every_split_of_a_socks_request_gives_the_same(data, login):
+def test_every_split_of_a_socks_request_gives_the_same_result(data, login):
     if login:
         user, word = (part.encode() for part in LOGIN)
         data = data[:4] + b"\x01" + bytes([len(user)]) + user + bytes([len(word)]) + word + data[4:]
@@ -68,7 +68,7 @@
 
 
 @pytest.mark.parametrize("data", HEADS)
-def test_every_split_of_a_connect_request_gives_the_same(data):
+def test_every_split_of_a_connect_request_gives_the_same_result(data):
     whole = shape(feed(connect.Accepting(), data))
     for cut in range(len(data)):
         assert shape(feed(connect.Accepting(), data, (cut,))) == whole
@@ -77,7 +77,7 @@
 
 @settings(max_examples=150, deadline=None)
 @given(st.binary(max_size=60), st.lists(st.integers(0, 60), max_size=8), st.booleans())
-def test_noise_at_either_side_never_raises_and_splits_alike(noise, cuts, good_start):
+def test_random_bytes_never_raise_and_every_split_gives_the_same_result(noise, cuts, good_start):
     cuts = [cut for cut in cuts if cut <= len(noise)]
     start = b"CONNECT a:1 HTTP/1.1\r\nHost: a\r\n" if good_start else b""
     for make, data in (
@@ -101,7 +101,7 @@
     st.booleans(),
     st.binary(max_size=20),
 )
-def test_both_sides_understand_each_other(host, port, with_login, ahead):
+def test_client_and_server_complete_a_handshake(host, port, with_login, ahead):
     target = destination(host, port)
     for accepting, dialling in (
         (
@@ -125,7 +125,7 @@
         assert dialling.done and dialling.rest == ahead
 
 
-def test_what_a_proxy_says_of_the_far_end_is_told_apart_from_its_own_failures():
+def test_unreachable_destinations_are_distinguished_from_failures_of_the_proxy():
     for code, unreachable in (
         (3, True),
         (4, True),
@@ -153,7 +153,7 @@
     assert feed(connect.Dialling(Destination("a", 1)), b"HTTP/1.1 100 C\r\n\r\nHTTP/1.1 200 OK\r\n\r\n").done
 
 
-def test_refusals_have_the_proper_codes():
+def test_refusals_have_the_codes_of_the_protocols():
     bind = feed(socks.Accepting(), SOCKS + b"\x05\x02\x00\x01\x7f\x00\x00\x01\x00\x50")
     udp = feed(socks.Accepting(), SOCKS + b"\x05\x03\x00\x01\x7f\x00\x00\x01\x00\x50")
     assert bind.out[2 + 1] == udp.out[2 + 1] == socks.COMMAND_NOT_SUPPORTED
@@ -186,7 +186,7 @@
         ("a_b.c", "a_b.c"),
     ],
 )
-def test_one_spelling_for_each_place(text, host):
+def test_destinations_are_normalised(text, host):
     assert destination(text, 80).host == host
 
 
@@ -209,12 +209,12 @@
         ".a",
     ],
 )
-def test_what_is_no_place_is_refused(text):
+def test_invalid_destinations_are_refused(text):
     with pytest.raises(DestinationError):
         destination(text, 80)
 
 
-def test_an_authority_has_a_port_and_brackets():
+def test_an_authority_requires_a_port_and_brackets_around_ipv6():
     assert authority("[::1]:80") == Destination("::1", 80, True)
     for text in ("a", "a:", "a:x", "a:0", "a:65536", "::1:80", "a:+80", ":80"):
         with pytest.raises(DestinationError):
@@ -237,7 +237,7 @@
     )
 
 
-def test_the_first_route_that_matches_wins_and_none_is_refusal():
+def test_the_first_matching_route_applies_and_no_match_is_refused():
     found = table(
         {"names": ["secret.internal"], "use": "refuse"},
         {"suffixes": [".internal"], "ports": [443, [8000, 8100]], "pool": "inner"},
@@ -269,6 +269,6 @@
         {"ports": [[9, 8]]},
     ],
 )
-def test_a_route_that_cannot_be_is_refused(row):
+def test_invalid_routes_are_refused(row):
     with pytest.raises(routes.RouteError):
         table(row)
--- a/tests/sidecar/tunnel/test_tunnels.py
+++ b/tests/sidecar/tunnel/test_tunnels.py
@@ -104,7 +104,7 @@
 
 
 @on_sockets
-async def test_bytes_ahead_of_the_answer_to_the_handshake_are_not_lost():
+async def test_bytes_sent_before_the_handshake_reply_are_not_lost():
     async with TunnelWorld(echo) as world:
         for kind in KINDS:
             _, reader, _ = await through(
@@ -119,7 +119,7 @@
 
 
 @on_sockets
-async def test_an_opaque_tunnel_relays_counts_in_flight_and_keeps_half_closes():
+async def test_an_opaque_tunnel_relays_bytes_counts_as_in_flight_and_keeps_half_closes():
     async with TunnelWorld(echo) as world:
         for kind in KINDS:
             codec, reader, writer = await through(world.place(kind), kind, "raw.internal", 80)
@@ -134,7 +134,7 @@
 
 
 @on_sockets
-async def test_nothing_is_opened_for_a_tunnel_whose_client_has_reset_it_meanwhile():
+async def test_no_stream_is_opened_for_a_client_that_has_reset_its_connection():
     """Nothing is read from it while it waits, so the loop does not see its end."""
     async with TunnelWorld(serve) as world:
         gate, dialled, connections = asyncio.Event(), [], world.sidecar.pool.connections
@@ -160,7 +160,7 @@
 
 
 @on_sockets
-async def test_what_no_route_names_is_refused():
+async def test_a_destination_without_a_route_is_refused():
     async with TunnelWorld(serve) as world:
         for kind, code in (("socks", "not allowed"), ("connect", "status 403")):
             codec, _, _ = await through(world.place(kind), kind, "evil.example", 80)
@@ -169,7 +169,7 @@
 
 
 @on_sockets
-async def test_a_login_is_asked_for_where_users_are_set():
+async def test_a_login_is_required_if_users_are_configured():
     with tempfile.NamedTemporaryFile("w") as users:
         users.write("chain:secret\n")
         users.flush()
@@ -188,7 +188,7 @@
 
 
 @on_sockets
-async def test_no_upstream_is_told_at_once_in_the_proxys_own_words():
+async def test_without_an_upstream_the_handshake_is_refused_at_once():
     async with TunnelWorld(serve, dial_timeout=300.0) as world:
         world.upstreams[0].stop()
         for kind, said in (("socks", "failure"), ("connect", "status 503")):
@@ -199,7 +199,7 @@
 
 
 @on_sockets
-async def test_a_claim_in_a_tunnel_whose_upstream_starts_draining():
+async def test_a_request_in_an_opaque_tunnel_whose_upstream_starts_draining():
     """Nothing new reaches it after the grace; what it was doing is still answered; the tunnel then ends."""
     gate = asyncio.Event()
 
@@ -225,7 +225,7 @@
 
 
 @on_sockets
-async def test_inside_an_inspected_tunnel_a_drain_is_the_pools_matter():
+async def test_requests_in_an_inspected_tunnel_avoid_a_draining_upstream():
     async with TunnelWorld(echo, echo) as world:
         _, reader, writer = await through(world.socks, "socks", "claims.internal", 80)
         await world.tell(world.entry(0, "terminating"))
@@ -236,7 +236,7 @@
 
 
 @on_sockets
-async def test_a_peer_that_reads_nothing_bounds_what_waits():
+async def test_a_peer_that_reads_nothing_limits_the_buffered_bytes():
     """The other sends at full speed: what is taken from it is what the kernel and two buffers hold."""
     stuck = socket.create_server(("127.0.0.1", 0))
     async with TunnelWorld(serve, text="buffer = 16384\nidle_s = 1.5\n") as world:
@@ -260,7 +260,7 @@
 
 
 @on_sockets
-async def test_half_open_handshakes_dribbles_and_idle_tunnels_end_in_time_and_leave_room():
+async def test_incomplete_handshakes_and_idle_tunnels_time_out_and_free_their_places():
     async with TunnelWorld(echo, text="handshake_ms = 400.0\nmost = 30\nidle_s = 0.6\n") as world:
         open_ones = [await asyncio.open_connection(*world.place(KINDS[number % 2])) for number in range(60)]
         await asyncio.sleep(0.1)
@@ -324,7 +324,7 @@
 
 
 @on_sockets
-async def test_a_reload_drops_a_route_and_its_tunnels_end_in_order():
+async def test_a_reload_that_refuses_a_route_closes_its_tunnels_gracefully():
     async with TunnelWorld(echo, text="drain_s = 1.0\n") as world:
         _, reader, writer = await through(world.over, "connect", "raw.internal", 80)
         writer.write(request(b"a"))
@@ -370,7 +370,7 @@
 
 
 @on_sockets
-async def test_upstreams_are_reached_through_proxies_in_turn_and_kept():
+async def test_upstreams_are_reached_through_proxies_in_rotation_and_connections_are_kept():
     proxies = [await StandInProxy(kind).start() for kind in ("socks5", "connect")]
     async with Proxied(*[echo] * 4, proxies=proxies) as world:
         there, number = set(), 0
@@ -387,7 +387,7 @@
 
 
 @pytest.mark.parametrize("how", ["refuse", "stall", "dribble", "deny", "extra", "garbage", "reset"])
-def test_a_failing_proxy_sets_no_upstream_aside_and_the_other_one_serves(how):
+def test_a_failing_proxy_ejects_no_upstream_and_the_other_proxy_serves(how):
     @on_sockets
     async def scene():
         bad, good = await StandInProxy("connect", how).start(), await StandInProxy("socks5").start()
@@ -408,7 +408,7 @@
 
 
 @on_sockets
-async def test_a_proxys_word_that_the_host_is_unreachable_proves_that_nothing_ran():
+async def test_an_unreachable_reply_of_a_proxy_counts_as_unconnected():
     for kind in ("socks5", "connect"):
         proxy = await StandInProxy(kind, "unreachable").start()
         async with Proxied(serve, serve, proxies=[proxy]) as world:
@@ -420,7 +420,7 @@
 
 
 @on_sockets
-async def test_proxies_are_never_bypassed_unless_the_pool_says_so():
+async def test_proxies_are_never_bypassed_unless_the_pool_allows_it():
     for direct, status in (("never", 503), ("fallback", 200)):
         proxy = await StandInProxy("socks5", "refuse").start()
         async with Proxied(serve, proxies=[proxy], direct=direct) as world:
@@ -430,7 +430,7 @@
 
 
 @on_sockets
-async def test_every_proxy_stalled_the_client_has_its_answer_in_time():
+async def test_with_every_proxy_stalled_the_client_is_answered_in_time():
     proxies = [await StandInProxy(kind, "stall").start() for kind in ("socks5", "connect")]
     async with Proxied(
         serve, proxies=proxies, handshake=30_000.0, methods=[method("once", soft=800.0, hard=1500.0)]
@@ -480,7 +480,7 @@
 
 
 @on_sockets
-async def test_a_tunnel_that_leads_back_here_is_refused():
+async def test_a_tunnel_to_the_sidecar_itself_is_refused():
     async with TunnelWorld(serve) as world:
         entry = {**world.entry(0), "hostPort": host_port(world.over)}
         await world.tell(entry)
@@ -514,14 +514,14 @@
         ('[proxies.p]\nkind = "socks5"\naddress = "h:1"\nlogin = "/nowhere"', "proxies.p.login"),
     ],
 )
-def test_tables_that_are_wrong_are_refused_in_one_line(tmp_path, text, key):
+def test_invalid_tables_are_refused_in_one_line(tmp_path, text, key):
     (tmp_path / "f.toml").write_text(text)
     with pytest.raises(ConfigError) as wrong:
         load_features(tmp_path / "f.toml", {"m"})
     assert "f.toml" in str(wrong.value) and key in str(wrong.value) and "\n" not in str(wrong.value)
 
 
-def test_a_secret_that_others_may_read_is_refused_and_never_told(tmp_path):
+def test_credentials_that_others_may_read_are_refused_and_never_shown(tmp_path):
     (tmp_path / "login").write_text("user:hidden-word\n")
     (tmp_path / "login").chmod(0o644)
     (tmp_path / "f.toml").write_text(
@@ -569,7 +569,7 @@
     return str(folder / "cert.pem")
 
 
-def test_httpx_works_through_both(tmp_path):
+def test_httpx_works_through_both_protocols(tmp_path):
     """Plain HTTP inside an inspected SOCKS5 tunnel, TLS inside an opaque one by CONNECT."""
     import ssl
 
