--- a/tests/sidecar/endpoint_snapshot/disk.py
+++ b/tests/sidecar/endpoint_snapshot/disk.py
@@ -1,16 +1,23 @@
-"""A disk in memory that keeps what was written apart from what was synced, and can stop at any write."""
+"""A disk in memory that records every change, to compute what a crash after any of them may leave."""
 
 import itertools
 
 
 class MemoryDisk:
-    """Stands for `Files`. `ops` is the stream of changes; `left_after` gives what a crash there may leave."""
+    """Replaces `Files`.
+
+    Attributes:
+        operations: all changes in order, from which `files_after_kill` and `files_after_power_cut` compute
+        what
+            a crash may leave.
+        fail: an OSError that every further change raises; None if the disk works.
+    """
 
     def __init__(self, start=None):
         self.start = dict(start or {})
         self.data = {name: bytearray(data) for name, data in self.start.items()}
-        self.ops = []
-        self.fail = None  # an OSError for every change from now on
+        self.operations = []
+        self.fail = None
 
     def create_folder(self):
         pass
@@ -33,10 +40,10 @@
     def read(self, name):
         return bytes(self.data[name])
 
-    def change(self, *op):
+    def change(self, *operation):
         if self.fail is not None:
             raise self.fail
-        self.ops.append(op)
+        self.operations.append(operation)
 
     def append(self, name, data):
         self.change("append", name, bytes(data))
@@ -58,69 +65,82 @@
 
     # --- what a crash leaves
 
-    def killed(self, upto, partial):
-        """The process was killed after `upto` operations and `partial` bytes of the next: the kernel has
-        the rest."""
+    def files_after_kill(self, operation_count, partial):
+        """The files after the process was killed behind `operation_count` operations and `partial` bytes of
+        the next one. What was written survives in the kernel."""
         state = {name: bytearray(data) for name, data in self.start.items()}
-        for op in self.ops[:upto]:
-            apply(state, op)
-        if partial is not None and upto < len(self.ops) and self.ops[upto][0] == "append":
-            _, name, data = self.ops[upto]
+        for operation in self.operations[:operation_count]:
+            apply(state, operation)
+        if (
+            partial is not None
+            and operation_count < len(self.operations)
+            and self.operations[operation_count][0] == "append"
+        ):
+            _, name, data = self.operations[operation_count]
             state.setdefault(name, bytearray()).extend(data[:partial])
         return {name: bytes(data) for name, data in state.items()}
 
-    def powered_off(self, upto):
-        """Yields what may lie there after a power cut behind `upto` operations, writes not synced lost in
-        any way.
+    def files_after_power_cut(self, operation_count):
+        """Yields the files that a power cut after `operation_count` operations may leave, for each way to
+        lose unsynced writes.
 
-        A file's data is durable up to its last sync; behind it any shorter part may be there, or zeros in its
-        place. Names (creation, rename, removal) are durable at the next sync of the folder; those since then
-        happened up to any point, in their order.
+        A file's data is durable up to its last sync; after it, any shorter part may remain, or zeros in its
+        place. Renames and removals are durable from the next sync of the folder on; of those since the last
+        sync, any number from the first on may have reached the disk.
         """
-        done = self.ops[:upto]
-        last = max((place for place, op in enumerate(done) if op[0] == "sync_folder"), default=-1)
-        names = [place for place, op in enumerate(done) if place > last and op[0] in ("rename", "remove")]
+        done = self.operations[:operation_count]
+        last = max(
+            (place for place, operation in enumerate(done) if operation[0] == "sync_folder"), default=-1
+        )
+        names = [
+            place
+            for place, operation in enumerate(done)
+            if place > last and operation[0] in ("rename", "remove")
+        ]
         for kept in range(len(names) + 1):
             state, synced = (
                 {name: bytearray(data) for name, data in self.start.items()},
                 {name: len(data) for name, data in self.start.items()},
             )
             skipped = set(names[kept:])
-            lost = {}  # files whose creation was not made durable go by the name they would have had
-            for place, op in enumerate(done):
+            unrenamed = {}  # files whose rename was lost, by new name: later operations apply to the old one
+            for place, operation in enumerate(done):
                 if place in skipped:
-                    if op[0] == "rename":
-                        lost[op[2]] = op[1]
+                    if operation[0] == "rename":
+                        unrenamed[operation[2]] = operation[1]
                     continue
-                op = (op[0], *(lost.get(part, part) if isinstance(part, str) else part for part in op[1:]))
-                apply(state, op)
-                if op[0] == "sync":
-                    synced[op[1]] = len(state[op[1]])
-                elif op[0] == "rename":
-                    synced[op[2]] = synced.pop(op[1], 0)
-            loose = [name for name in state if len(state[name]) > synced.get(name, 0)]
-            for ways in itertools.product(("all", "none", "half", "zeros"), repeat=len(loose)):
+                operation = (
+                    operation[0],
+                    *(unrenamed.get(part, part) if isinstance(part, str) else part for part in operation[1:]),
+                )
+                apply(state, operation)
+                if operation[0] == "sync":
+                    synced[operation[1]] = len(state[operation[1]])
+                elif operation[0] == "rename":
+                    synced[operation[2]] = synced.pop(operation[1], 0)
+            unsynced = [name for name in state if len(state[name]) > synced.get(name, 0)]
+            for losses in itertools.product(("all", "none", "half", "zeros"), repeat=len(unsynced)):
                 found = {name: bytes(data) for name, data in state.items()}
-                for name, way in zip(loose, ways, strict=True):
-                    sure, whole = synced.get(name, 0), found[name]
-                    rest = whole[sure:]
+                for name, loss in zip(unsynced, losses, strict=True):
+                    durable_bytes, content = synced.get(name, 0), found[name]
+                    rest = content[durable_bytes:]
                     found[name] = (
-                        whole[:sure]
+                        content[:durable_bytes]
                         + {
                             "all": rest,
                             "none": b"",
                             "half": rest[: len(rest) // 2],
                             "zeros": bytes(len(rest)),
-                        }[way]
+                        }[loss]
                     )
                 yield found
 
 
-def apply(state, op):
-    if op[0] == "append":
-        state.setdefault(op[1], bytearray()).extend(op[2])
-    elif op[0] == "rename":
-        if op[1] in state:
-            state[op[2]] = state.pop(op[1])
-    elif op[0] == "remove":
-        state.pop(op[1], None)
+def apply(state, operation):
+    if operation[0] == "append":
+        state.setdefault(operation[1], bytearray()).extend(operation[2])
+    elif operation[0] == "rename":
+        if operation[1] in state:
+            state[operation[2]] = state.pop(operation[1])
+    elif operation[0] == "remove":
+        state.pop(operation[1], None)
--- a/tests/sidecar/endpoint_snapshot/test_start.py
+++ b/tests/sidecar/endpoint_snapshot/test_start.py
@@ -1,4 +1,4 @@
-"""Real sidecars that start from disk while discovery is down, on loopback; and the command line."""
+"""Sidecar processes on loopback that start from disk while discovery is down; and the command line."""
 
 import asyncio
 import json
@@ -31,9 +31,9 @@
 ROOT = Path(__file__).parents[3]
 sys.path.insert(0, str(ROOT / "benchmarks"))
 START = ROOT / "scenarios" / "saved-start.toml"
-PLAYS = 3
+MAX_RUNS = 3
 SOURCE_CHANGED = "endpoint list source changed"
-SHORT = [
+SHORT_SCENARIO = [
     "length_s=5",
     "fleet.discovery.silent_until_s=3.5",
     "load.shapes.0.rate=60",
@@ -47,12 +47,15 @@
 
 
 def run(tmp_path, *sets):
-    """A run in which the machine was so busy that the load generator waited for a core says of itself that it
-    is none; only such a one is played again."""
-    for _ in range(PLAYS):
-        summary = runner.run(load(START, [*SHORT, *sets]), tmp_path / "run")
-        waited = [why for why in summary["no_result"] if "for a core" in why]
-        if not waited or waited != summary["no_result"]:
+    """Runs the scenario and returns its summary and the sidecar's log.
+
+    A run is repeated, MAX_RUNS in all, only if the sole reason for its having no result is that the load
+    generator waited for a core on a busy machine.
+    """
+    for _ in range(MAX_RUNS):
+        summary = runner.run(load(START, [*SHORT_SCENARIO, *sets]), tmp_path / "run")
+        core_waits = [reason for reason in summary["no_result"] if "for a core" in reason]
+        if not core_waits or core_waits != summary["no_result"]:
             break
         shutil.rmtree(tmp_path / "run")
     assert not summary["no_result"] and not summary["breaches"], summary["breaches"][:3]
@@ -65,7 +68,7 @@
     assert f"{SOURCE_CHANGED} previous=nothing source=saved" in log
     assert f"{SOURCE_CHANGED} previous=saved source=discovery" in log
     assert "cautious=12" in log
-    # What was saved and is not in the live list is gone for good, and is remembered as such.
+    # Saved endpoints that are not in the live list are removed, and their removal is remembered.
     shown = CliRunner().invoke(app, ["saved", "show", str(tmp_path / "run/saved-0")]).output
     assert "12 rows, 6 removals remembered" in shown and "gone-" not in shown and "as told" in shown
 
@@ -99,15 +102,15 @@
 
 
 def test_a_sidecar_killed_repeatedly_while_the_list_changes_always_starts(tmp_path):
-    line = [{"kind": "churn", "at_s": 0.5, "period_s": 0.3, "drain_ms": 400}]
-    line += [
+    fault_schedule = [{"kind": "churn", "at_s": 0.5, "period_s": 0.3, "drain_ms": 400}]
+    fault_schedule += [
         {"kind": "sidecar_kill", "at_s": 1.5 + number * 2.0, "for_s": 0.1, "sidecar": 0}
         for number in range(3)
     ]
     scenario = load(
         START,
         [
-            *SHORT,
+            *SHORT_SCENARIO,
             "length_s=8",
             "fleet.discovery.silent_until_s=0",
             "sidecars.await_list=true",
@@ -115,7 +118,7 @@
             "callers.backoff=exponential",
         ],
     )
-    scenario.faults = [Fault(**one) for one in line]
+    scenario.faults = [Fault(**one) for one in fault_schedule]
     summary = runner.run(scenario, tmp_path / "run")
     assert not summary["breaches"], summary["breaches"][:3]
     starts = [
@@ -135,7 +138,7 @@
 
 
 def test_a_folder_that_cannot_be_written_is_logged_and_the_sidecar_serves(tmp_path):
-    """The folder is taken away under the running process: the next snapshot cannot be written."""
+    """The folder would be below a regular file, so it cannot be created and no snapshot can be written."""
     config = {
         "name": "n1",
         "listen": host_port(free_address()),
@@ -166,11 +169,11 @@
         stderr=subprocess.PIPE,
         text=True,
     )
-    awaited, late = (
+    awaited, watchdog = (
         {"saved endpoint list cannot be written", "after=serving"},
         threading.Timer(20, process.kill),
     )
-    late.start()
+    watchdog.start()
     try:
         for line in process.stderr:
             record = json.loads(line)
@@ -181,7 +184,7 @@
         process.send_signal(signal.SIGTERM)
         process.communicate()
     finally:
-        late.cancel()
+        watchdog.cancel()
     assert process.returncode == 0 and not awaited
 
 
@@ -233,11 +236,11 @@
     assert ask(app, ["saved", "show", str(tmp_path / "nowhere")]).exit_code == 2
 
 
-# --- yielding to the live list, in this process
+# --- replacing the saved list by the live one, in this process
 
 
 class SavedWorld(World):
-    """A sidecar that starts from a saved list of two rows, confirmed two minutes ago at generation 7."""
+    """A sidecar that starts from a saved list of its upstreams, confirmed two minutes ago at generation 7."""
 
     def __init__(self, folder, *scripts, answer, **more):
         super().__init__(*scripts, known=False, **more)
@@ -274,13 +277,13 @@
     return message(200, body)
 
 
-@pytest.mark.parametrize("what", ["older", "empty", "flaps"])
-def test_the_first_answer_of_discovery_replaces_the_saved_list_at_once(tmp_path, what):
+@pytest.mark.parametrize("answer_kind", ["older", "empty", "flaps"])
+def test_the_first_answer_of_discovery_replaces_the_saved_list_at_once(tmp_path, answer_kind):
     async def answer(world):
-        if what == "flaps" and world.watches < 3:
+        if answer_kind == "flaps" and world.watches < 3:
             return b"HTTP/1.1 500 X\r\nContent-Length: 0\r\n\r\n"
         await world.gate.wait()
-        rows = [] if what == "empty" else [world.entry(1)]
+        rows = [] if answer_kind == "empty" else [world.entry(1)]
         return message(200, json.dumps({"generation": 1, "reset": True, "instances": rows}).encode())
 
     @on_sockets
@@ -289,16 +292,20 @@
         world.gate = asyncio.Event()
         async with world:
             pool = world.sidecar.pool
-            for number in range(2):  # until then the saved rows serve, one RPC at a time each
+            for number in range(2):  # the saved endpoints serve meanwhile, one RPC at a time each
                 assert (await ask(world, request(name=f"a{number}")))[0] == 200
             assert pool.source == "saved" and all(
                 up.probation_successes for up in pool.balancer.upstreams.values()
             )
             world.gate.set()
-            await until(lambda: pool.source == "discovery" and pool.balancer.ready_count == (what != "empty"))
+            await until(
+                lambda: pool.source == "discovery" and pool.balancer.ready_count == (answer_kind != "empty")
+            )
             before = len(world.upstreams[0].seen)
             for number in range(4):
-                assert (await ask(world, request(name=f"b{number}")))[0] == (503 if what == "empty" else 200)
+                assert (await ask(world, request(name=f"b{number}")))[0] == (
+                    503 if answer_kind == "empty" else 200
+                )
             assert len(world.upstreams[0].seen) == before
             assert "s-0" not in pool.reader.indices.by_id and not any(
                 up.probation_successes for up in pool.balancer.upstreams.values()
