--- a/tests/sidecar/tunnel/test_codecs.py
+++ b/tests/sidecar/tunnel/test_codecs.py
@@ -1,4 +1,4 @@
-"""Both codecs and the route table, without I/O: every split gives the same, and nothing odd slips through."""
+"""The SOCKS5 and CONNECT codecs, destinations and the route table, without I/O."""
 
 import pytest
 from hypothesis import given, settings
