--- a/tests/sidecar/size/peers.py
+++ b/tests/sidecar/size/peers.py
@@ -1,4 +1,4 @@
-"""Clients and upstreams that send and take long messages, in any form of HTTP/1.1 and at any pace."""
+"""Clients and upstreams that send and read long messages, in any framing of HTTP/1.1 and at any rate."""
 
 import asyncio
 from hashlib import sha256
@@ -7,7 +7,7 @@
 
 
 def pattern(count, start=0):
-    """Bytes of which each megabyte is another."""
+    """Bytes of which every 64 KiB block is different."""
     block = bytes(range(256)) * 256
     blocks = range((start + count) // 65536 + 1)
     made = b"".join(sha256(b"%d" % number).digest() + block[32:] for number in blocks)
@@ -26,18 +26,19 @@
     return head, {name.lower(): value for name, _, value in (line.partition(": ") for line in head[1:])}
 
 
-async def read_body(reader, headers, pace=None):
-    """A body by its framing; `pace`: bytes a second."""
+async def read_body(reader, headers, bytes_per_s=None):
+    """Reads a body by its framing. `bytes_per_s`: the rate, in bytes a second; None for no limit."""
 
-    async def some(count):
-        found, owed = bytearray(), 0.0  # bytes would be copied anew for each 4 KB
+    async def read_exactly(count):
+        found, delay_s = bytearray(), 0.0  # a bytes object would be copied for each 4 KB
         while len(found) < count:
-            if pace:
-                owed += 4096 / pace
-            if owed > 0.02:  # timers take a ms or more: short sleeps would add up to a pace far below
-                await asyncio.sleep(owed)
-                owed = 0.0
-            found += await reader.readexactly(min(count - len(found), 4096 if pace else count))
+            if bytes_per_s:
+                delay_s += 4096 / bytes_per_s
+            # Timers are late by a ms or more, so many short sleeps would give a rate far below `bytes_per_s`.
+            if delay_s > 0.02:
+                await asyncio.sleep(delay_s)
+                delay_s = 0.0
+            found += await reader.readexactly(min(count - len(found), 4096 if bytes_per_s else count))
         return bytes(found)
 
     if "transfer-encoding" in headers:
@@ -48,21 +49,21 @@
                 while await reader.readuntil(b"\r\n") != b"\r\n":
                     pass
                 return b"".join(body)
-            body.append(await some(size))
+            body.append(await read_exactly(size))
             assert await reader.readexactly(2) == b"\r\n"
     if "content-length" in headers:
-        return await some(int(headers["content-length"]))
+        return await read_exactly(int(headers["content-length"]))
     return await reader.read()
 
 
 class Upstream:
-    """Reads each request whole, by its framing, then gives what `answer(head, body)` gives: pieces of bytes,
-    or numbers of seconds to wait; CLOSE ends the connection in order, RESET breaks it."""
+    """Reads each request completely, then sends what `answer(head, body)` yields: bytes, or seconds to wait;
+    CLOSE closes the connection gracefully, RESET aborts it."""
 
     CLOSE, RESET = object(), object()
 
-    def __init__(self, answer, pace=None):
-        self.answer, self.pace, self.seen, self.open = answer, pace, [], 0
+    def __init__(self, answer, bytes_per_s=None):
+        self.answer, self.bytes_per_s, self.seen, self.open = answer, bytes_per_s, [], 0
         self.writers = set()
 
     async def start(self):
@@ -77,7 +78,7 @@
             while True:
                 head, headers = await read_head(reader)
                 framed = {"content-length", "transfer-encoding"} & set(headers)
-                body = await read_body(reader, headers, self.pace) if framed else b""
+                body = await read_body(reader, headers, self.bytes_per_s) if framed else b""
                 self.seen.append((head, body))
                 for piece in self.answer(head, body):
                     if piece is self.CLOSE:
@@ -92,7 +93,7 @@
                         await asyncio.sleep(piece)
         except (asyncio.IncompleteReadError, asyncio.CancelledError, ConnectionError):
             pass
-        except RuntimeError:  # uvloop's word for reading on from a transport that was closed meanwhile
+        except RuntimeError:  # raised by uvloop for a read from a transport that was closed meanwhile
             if not writer.transport.is_closing():
                 raise
         finally:
@@ -106,36 +107,36 @@
             writer.close()
 
 
-class Sized(World):
-    """A sidecar among upstreams that take and give long messages."""
+class LongMessageWorld(World):
+    """A sidecar with upstreams that read and send long messages."""
 
-    def __init__(self, *answers, pace=None, **more):
+    def __init__(self, *answers, bytes_per_s=None, **more):
         super().__init__(*answers, **more)
-        self.pace = pace
+        self.bytes_per_s = bytes_per_s
 
     async def __aenter__(self):
         import helpers
 
-        made = helpers.Server
+        original_server = helpers.Server
         helpers.Server = lambda script: (
-            made(script) if script == self.discover else Upstream(script, self.pace)
+            original_server(script) if script == self.discover else Upstream(script, self.bytes_per_s)
         )
         try:
             return await super().__aenter__()
         finally:
-            helpers.Server = made
+            helpers.Server = original_server
 
     def bytes_held(self):
         return self.sidecar.budget.bytes
 
 
-def post(framing, target="/m/1", name="a1", wait=15000, version="1.1", verb="POST", *more):
+def post(framing, target="/m/1", name="a1", timeout_ms=15000, version="1.1", verb="POST", *extra_headers):
     lines = [
         f"{verb} {target} HTTP/{version}",
         "Host: api",
         f"X-Request-ID: {name}",
-        f"X-Timeout-Ms: {wait}",
-        *more,
+        f"X-Timeout-Ms: {timeout_ms}",
+        *extra_headers,
         *([framing] if framing else []),
         "",
         "",
@@ -143,8 +144,8 @@
     return "\r\n".join(lines).encode()
 
 
-async def exchange(world, raw, pace=None, verb="POST"):
-    """Sends and reads at once, as large messages want; status, headers and body."""
+async def exchange(world, raw, bytes_per_s=None, verb="POST"):
+    """Sends a request while reading its answer. Returns (status, headers, body)."""
     reader, writer = await world.connect()
 
     async def send():
@@ -158,7 +159,7 @@
         while head[0].split()[1] == "100":
             head, headers = await read_head(reader)
         bodiless = verb == "HEAD" or head[0].split()[1] in ("204", "304")
-        body = b"" if bodiless else await read_body(reader, headers, pace)
+        body = b"" if bodiless else await read_body(reader, headers, bytes_per_s)
         sending.cancel()
     writer.close()
     return int(head[0].split()[1]), headers, body
--- a/tests/sidecar/size/test_size.py
+++ b/tests/sidecar/size/test_size.py
@@ -1,4 +1,4 @@
-"""Long messages, slow ends, and all forms of HTTP/1.1, on loopback."""
+"""Long messages, slow clients and upstreams, and the framings of HTTP/1.1, on loopback."""
 
 import asyncio
 import subprocess
@@ -9,7 +9,7 @@
 import pytest
 from addresses import free_address, host_port
 from helpers import method, on_sockets, outcomes, until
-from peers import Sized, Upstream, chunked, exchange, pattern, post, read_body, read_head
+from peers import LongMessageWorld, Upstream, chunked, exchange, pattern, post, read_body, read_head
 
 from shedgrade import load_balancing
 from shedgrade.buffers.budget import Budget
@@ -39,7 +39,7 @@
 def test_bodies_of_any_size_and_framing_go_through_unchanged(answer, size):
     @on_sockets
     async def scenario():
-        async with Sized(answer) as world:
+        async with LongMessageWorld(answer) as world:
             body = pattern(size)
             for number, raw in enumerate(
                 (
@@ -67,7 +67,7 @@
     def either(head, body):
         return (endless if "endless" in head[0] else echo)(head, body)
 
-    async with Sized(either) as world:
+    async with LongMessageWorld(either) as world:
         body = pattern(32 * MEGABYTE)
         status, _, got = await exchange(world, post(f"Content-Length: {len(body)}") + body)
         assert status == 200 and got == body
@@ -78,7 +78,8 @@
         writer.write(post("Content-Length: 0", target="/m/endless", name="c"))
         head, headers = await read_head(reader)
         assert head[0].startswith("HTTP/1.1 200")
-        with pytest.raises((asyncio.IncompleteReadError, ConnectionError)):  # no last chunk
+        # The answer ends without its last chunk.
+        with pytest.raises((asyncio.IncompleteReadError, ConnectionError)):
             await read_body(reader, headers)
         writer.close()
         await until(
@@ -98,7 +99,7 @@
         yield 0.1
         yield Upstream.CLOSE
 
-    async with Sized(broken, broken, methods=[method("repeatable", soft=2e4, hard=2e4)]) as world:
+    async with LongMessageWorld(broken, broken, methods=[method("repeatable", soft=2e4, hard=2e4)]) as world:
         for target in ("/m/said", "/m/chunks"):
             with outcomes() as ends:
                 with pytest.raises((asyncio.IncompleteReadError, ConnectionError)):
@@ -118,40 +119,40 @@
         yield 1.0
         yield pattern(20_000, 80_000)
 
-    async with Sized(slow) as world:
-        asking = asyncio.create_task(exchange(world, post("Content-Length: 0", wait=300)))
+    async with LongMessageWorld(slow) as world:
+        exchange_task = asyncio.create_task(exchange(world, post("Content-Length: 0", timeout_ms=300)))
         up = world.sidecar.pool.balancer.upstreams[0]
         await asyncio.sleep(0.6)
         assert up.in_flight + up.background_load == 1
-        status, _, body = await asking
+        status, _, body = await exchange_task
         assert status == 200 and body == pattern(100_000)
         await until(lambda: up.in_flight == 0)
-        assert up.observed_duration < 5000  # what is learnt is the time to the first bytes
+        assert up.observed_duration < 5000  # the time to the first bytes is learned
 
 
 @on_sockets
 async def test_a_slow_long_answer_begins_in_time_with_or_without_a_length():
     def slow(head, body):
-        said = "said" in head[0]
+        has_length = "said" in head[0]
         yield b"HTTP/1.1 200 OK\r\n" + (
-            b"Content-Length: 100000 \r\n\r\n" if said else b"Transfer-Encoding:\tchunked \r\n\r\n"
+            b"Content-Length: 100000 \r\n\r\n" if has_length else b"Transfer-Encoding:\tchunked \r\n\r\n"
         )
         for at in range(0, 100_000, 10_000):
             piece = pattern(10_000, at)
-            yield piece if said else chunked(piece, 10_000)[:-5]
+            yield piece if has_length else chunked(piece, 10_000)[:-5]
             yield 0.08
-        if not said:
+        if not has_length:
             yield b"0\r\n\r\n"
 
-    def late(head, body):  # short, and late: it is given up
+    def delayed(head, body):  # a short answer that is complete only after its deadline
         yield b"HTTP/1.1 200 OK\r\nContent-Length: 1000\r\n\r\n" + b"x" * 999
         yield 0.6
         yield b"x"
 
     def either(head, body):
-        return (late if "late" in head[0] else slow)(head, body)
+        return (delayed if "late" in head[0] else slow)(head, body)
 
-    async with Sized(either, methods=[method("once", soft=400.0, hard=400.0)]) as world:
+    async with LongMessageWorld(either, methods=[method("once", soft=400.0, hard=400.0)]) as world:
         assert (await exchange(world, post("Content-Length: 0", target="/m/warm/said", name="w")))[0] == 200
         for target in ("/m/said", "/m/chunks"):
             with outcomes() as ends:
@@ -164,7 +165,7 @@
 
 @on_sockets
 async def test_a_long_answer_that_begins_in_the_iteration_in_which_it_expires_continues():
-    async with Sized(echo) as world:
+    async with LongMessageWorld(echo) as world:
         dispatcher, response_started = (
             world.sidecar.pool.dispatcher,
             world.sidecar.pool.dispatcher.response_started,
@@ -183,7 +184,7 @@
 
 @on_sockets
 async def test_whitespace_around_header_values_is_ignored():
-    async with Sized(echo) as world:
+    async with LongMessageWorld(echo) as world:
         raw = (
             b"POST /m/1 HTTP/1.1\r\nhost:api \r\nX-REQUEST-ID: \ta1\t \r\nx-timeout-ms:900 \r\n"
             b"Content-Length:  2 \r\n\r\nab"
@@ -194,10 +195,10 @@
 
 @on_sockets
 async def test_the_timeout_counts_from_the_last_byte_of_a_request():
-    async with Sized(echo) as world:
+    async with LongMessageWorld(echo) as world:
         reader, writer = await world.connect()
         body = pattern(150_000)
-        writer.write(post("Content-Length: 150000", wait=400))
+        writer.write(post("Content-Length: 150000", timeout_ms=400))
         for at in range(0, 150_000, 30_000):
             writer.write(body[at : at + 30_000])
             await asyncio.sleep(0.2)
@@ -208,9 +209,9 @@
 
 @on_sockets
 async def test_a_long_request_is_retried_only_while_all_its_bytes_are_buffered():
-    async with Sized(echo, echo, methods=[method("repeatable", soft=2e4, hard=2e4)]) as world:
+    async with LongMessageWorld(echo, echo, methods=[method("repeatable", soft=2e4, hard=2e4)]) as world:
         body = pattern(90_000)
-        world.upstreams[0].stop()  # its dials are refused
+        world.upstreams[0].stop()  # connections to it are refused
         for number in range(4):
             status, _, got = await exchange(world, post("Content-Length: 90000", name=f"a{number}") + body)
             assert status == 200 and got == body
@@ -219,7 +220,7 @@
     def resets(head, body):
         yield Upstream.RESET
 
-    async with Sized(resets, resets, methods=[method("repeatable", soft=2e4, hard=2e4)]) as world:
+    async with LongMessageWorld(resets, resets, methods=[method("repeatable", soft=2e4, hard=2e4)]) as world:
         body = pattern(2 * MEGABYTE)
         status, _, _ = await exchange(world, post(f"Content-Length: {len(body)}") + body)
         assert status == 503 and sum(len(one.seen) for one in world.upstreams) == 1
@@ -227,21 +228,21 @@
 
 @on_sockets
 async def test_an_interrupted_upload_was_not_executed_and_is_exhausted_at_once():
-    async with Sized(echo, pace=200_000) as world:  # the upstream takes its time
+    async with LongMessageWorld(echo, bytes_per_s=200_000) as world:  # the upstream reads slowly
         body = pattern(8 * MEGABYTE)
         with outcomes() as ends:
-            asking = asyncio.create_task(exchange(world, post(f"Content-Length: {len(body)}") + body))
+            exchange_task = asyncio.create_task(exchange(world, post(f"Content-Length: {len(body)}") + body))
             await until(lambda: world.upstreams[0].writers)
             await asyncio.sleep(0.2)
             for writer in world.upstreams[0].writers:
                 writer.transport.abort()
-            status, headers, _ = await asking
+            status, headers, _ = await exchange_task
             assert status == 503 and ends == [load_balancing.BROKEN] and "retry-after" in headers
 
 
 @on_sockets
 async def test_a_client_that_leaves_during_an_upload_closes_its_upstream_connection():
-    async with Sized(echo) as world:
+    async with LongMessageWorld(echo) as world:
         reader, writer = await world.connect()
         writer.write(post("Content-Length: 9000000") + pattern(300_000))
         await until(lambda: world.upstreams[0].open == 1)
@@ -255,10 +256,10 @@
 
 @on_sockets
 async def test_slow_clients_are_served_and_stalled_ones_time_out():
-    async with Sized(echo) as world:
+    async with LongMessageWorld(echo) as world:
         reader, writer = await world.connect()
         raw = post("Content-Length: 200000")
-        for at in range(0, len(raw), 20):  # a head in pieces, 1.2 s
+        for at in range(0, len(raw), 20):  # the head in pieces over 1.2 s
             writer.write(raw[at : at + 20])
             await asyncio.sleep(1.2 / (len(raw) / 20))
         body = pattern(200_000)
@@ -268,7 +269,7 @@
         head, headers = await read_head(reader)
         assert head[0].startswith("HTTP/1.1 200") and await read_body(reader, headers, 2e6) == body
         writer.close()
-        # Stalled, in a small body and in a long one; and an answer that nobody takes.
+        # Two requests that stall, in a short body and in a long one, and a client that does not read.
         ends, writers = [], []
         for name, size, sent in (("s", 900, 10), ("l", 900_000, 200_000)):
             reader, writer = await world.connect()
@@ -276,15 +277,15 @@
             ends.append(reader)
             writers.append(writer)
         await until(lambda: len(world.sidecar.front.clients) >= 2)
-        taker = await world.connect()
-        taker[1].transport.pause_reading()
+        paused_client = await world.connect()
+        paused_client[1].transport.pause_reading()
         await asyncio.sleep(0.3)
         for one in world.sidecar.front.clients:
             one.note_progress(one.bytes_received, one.progress_at - 10)
             one.front.look_after()
         for reader in ends:
             assert (await reader.read()).startswith(b"HTTP/1.1 408")
-        for one in (taker[1], *writers):
+        for one in (paused_client[1], *writers):
             one.close()
 
 
@@ -294,7 +295,7 @@
         yield b"HTTP/1.1 200 OK\r\nContent-Length: %d\r\n\r\n" % (30 * MEGABYTE)
         yield pattern(30 * MEGABYTE)
 
-    async with Sized(long) as world:
+    async with LongMessageWorld(long) as world:
         reader, writer = await world.connect()
         writer.write(post("Content-Length: 0"))
         await read_head(reader)
@@ -325,7 +326,7 @@
             yield b"HTTP/1.1 102 Wait\r\n\r\nHTTP/1.1 103 Hints\r\nLink: x\r\n\r\n"
             yield from echo(head, body)
 
-    async with Sized(forms) as world:
+    async with LongMessageWorld(forms) as world:
         status, headers, _ = await exchange(world, post("", verb="HEAD"), verb="HEAD")
         assert status == 200 and headers["content-length"] == "123456"
         for number in ("204", "304"):
@@ -358,7 +359,7 @@
 
 @on_sockets
 async def test_an_http_1_0_client_gets_a_long_answer_without_length_up_to_the_close():
-    async with Sized(in_chunks) as world:
+    async with LongMessageWorld(in_chunks) as world:
         body = pattern(300_000)
         raw = post("Content-Length: 300000", "/m/1", "old", 15000, "1.0", "POST", "Connection: keep-alive")
         status, headers, got = await exchange(world, raw + body)
@@ -368,7 +369,7 @@
 
 @on_sockets
 async def test_expect_100_continue_is_answered_unless_the_body_is_too_long():
-    async with Sized(echo) as world:
+    async with LongMessageWorld(echo) as world:
         for size in (5, 300_000):
             reader, writer = await world.connect()
             writer.write(
@@ -397,7 +398,7 @@
 
 @on_sockets
 async def test_pipelined_requests_around_a_long_one_are_answered_in_order():
-    async with Sized(echo) as world:
+    async with LongMessageWorld(echo) as world:
         long = pattern(400_000)
         raw = (
             post("Content-Length: 3", name="a")
@@ -427,8 +428,8 @@
 
 @on_sockets
 async def test_a_pipelined_100_continue_is_sent_once_the_request_before_is_answered():
-    """Both heads come in one piece, and nothing more before the client is told to go on."""
-    async with Sized(echo) as world:
+    """Both heads arrive in one write, and no body until the client gets 100 Continue."""
+    async with LongMessageWorld(echo) as world:
         reader, writer = await world.connect()
         waiting = post("Content-Length: 3", "/m/1", "b", 15000, "1.1", "POST", "Expect: 100-continue")
         writer.write(post("Content-Length: 3", name="a") + b"one" + waiting)
@@ -443,7 +444,7 @@
 
 @on_sockets
 async def test_no_100_continue_is_sent_to_a_request_without_a_body():
-    async with Sized(echo) as world:
+    async with LongMessageWorld(echo) as world:
         reader, writer = await world.connect()
         expecting = post("Content-Length: 0", "/m/1", "b", 15000, "1.1", "POST", "Expect: 100-continue")
         writer.write(post("Content-Length: 0", name="a") + expecting + post("Content-Length: 0", name="c"))
@@ -455,7 +456,7 @@
 
 @on_sockets
 async def test_requests_split_at_any_byte_are_read_alike():
-    async with Sized(in_chunks) as world:
+    async with LongMessageWorld(in_chunks) as world:
         raw = (
             post(
                 "Transfer-Encoding: chunked",
@@ -510,7 +511,7 @@
                 if end is not None:
                     yield end
 
-            async with Sized(answer) as world:
+            async with LongMessageWorld(answer) as world:
                 for number in range(len(raw) - 1):
                     status, _, body = await exchange(world, post("Content-Length: 0", name=f"a{number}"))
                     assert (status, body) == (200, b"hello world"), number + 1
@@ -525,7 +526,7 @@
         for _ in range(128):
             yield b"y" * 65536
 
-    async with Sized(long, long, long, pace=4e6) as world:
+    async with LongMessageWorld(long, long, long, bytes_per_s=4e6) as world:
         world.sidecar.budget.limit(1024, 24)
         world.sidecar.pool.balancer.latency_sums = [100.0, 150.0, 10.0, 250.0, 15.0]
         world.sidecar.pool.balancer.fit_latency()
@@ -540,20 +541,20 @@
                 await asyncio.sleep(0.01)
 
         watching = asyncio.create_task(watch())
-        asking = [
+        exchanges = [
             exchange(world, post(f"Content-Length: {len(body)}", name=f"a{number}") + body, 2e7)
             for number in range(24)
         ]
-        got = await asyncio.gather(*asking)
+        got = await asyncio.gather(*exchanges)
         watching.cancel()
         assert [status for status, _, _ in got] == [200] * 24
         assert all(len(one) == 8 * MEGABYTE for _, _, one in got)
-        assert most[0] <= sidecar.budget.max_bytes  # 240 MB went through 4
+        assert most[0] <= sidecar.budget.max_bytes  # 240 MB were relayed through a budget of 4 MB
         await until(lambda: sidecar.budget.bytes == 0)
 
 
 def test_a_process_with_many_long_messages_stays_within_its_memory_limit(tmp_path):
-    """48 MB are allowed; 20 and 80 MB go through at once."""
+    """The limit is 48 MB; 20 MB of requests and 80 MB of answers are relayed concurrently."""
     bodies, answers, limit = MEGABYTE, 4 * MEGABYTE, 48
 
     def long(head, body):
@@ -563,8 +564,8 @@
 
     @on_sockets
     async def scenario():
-        # The sidecar in this process is not used: its upstreams and its discovery are.
-        async with Sized(*[long] * 10, pace=4e6) as world:
+        # Only the upstreams and the discovery of this world are used, not its sidecar.
+        async with LongMessageWorld(*[long] * 10, bytes_per_s=4e6) as world:
             listen = free_address()
             path = tmp_path / "c.json"
             path.write_bytes(
