--- a/shedgrade/cli/__init__.py
+++ b/shedgrade/cli/__init__.py
@@ -37,10 +37,10 @@
     raise typer.Exit(2)
 
 
-def start_log(level: str, form: str) -> None:
+def start_log(level: str, log_format: str) -> None:
     """Sends the log to standard error. Exits with status 2 if the level or the format is unknown."""
     try:
-        log_to_stderr(level, form)
+        log_to_stderr(level, log_format)
     except ValueError as error:
         fail(error)
 
@@ -130,10 +130,10 @@
     print(f"{sidecar.config.name}: {len(sidecar.pool.methods)} methods, {len(known)} upstreams known, good")
 
 
-PASSED_ON = {"allow_extra_args": True, "ignore_unknown_options": True, "help_option_names": []}
+PASS_THROUGH_SETTINGS = {"allow_extra_args": True, "ignore_unknown_options": True, "help_option_names": []}
 
 
-@app.command(context_settings=PASSED_ON)
+@app.command(context_settings=PASS_THROUGH_SETTINGS)
 def saved(context: typer.Context) -> None:
     """Show, check or compact a folder of saved lists: `shedgrade saved --help`."""
     from shedgrade.cli.saved import app as commands
@@ -141,17 +141,17 @@
     commands(context.args, prog_name="shedgrade saved")
 
 
-@app.command(context_settings=PASSED_ON)
+@app.command(context_settings=PASS_THROUGH_SETTINGS)
 def replay(context: typer.Context) -> None:
     """Replay, explain, shorten a capture: `shedgrade replay --help`."""
     from shedgrade.cli.replay import replay as command
 
-    own = typer.Typer(add_completion=False, pretty_exceptions_enable=False)
-    own.command()(command)
-    own(context.args, prog_name="shedgrade replay")
+    replay_app = typer.Typer(add_completion=False, pretty_exceptions_enable=False)
+    replay_app.command()(command)
+    replay_app(context.args, prog_name="shedgrade replay")
 
 
-@app.command(context_settings=PASSED_ON)
+@app.command(context_settings=PASS_THROUGH_SETTINGS)
 def quota(context: typer.Context) -> None:
     """Check and explain quotas: `shedgrade quota --help`."""
     from shedgrade.cli.quota import app as commands
@@ -159,7 +159,7 @@
     commands(context.args, prog_name="shedgrade quota")
 
 
-@app.command(context_settings=PASSED_ON)
+@app.command(context_settings=PASS_THROUGH_SETTINGS)
 def lab(context: typer.Context) -> None:
     """Stand-in fleets, load, faults and measurements on loopback: `shedgrade lab --help`."""
     try:
--- a/shedgrade/sidecar/endpoint_snapshot/recovery.py
+++ b/shedgrade/sidecar/endpoint_snapshot/recovery.py
@@ -177,7 +177,7 @@
 
 def first_complete_list(records: list[Record]) -> int | None:
     """The index of the first record with a complete list, or None."""
-    for place, record in enumerate(records):
+    for index, record in enumerate(records):
         if record.get("k") == "list" and record.get("whole") is True:
-            return place
+            return index
     return None
--- a/shedgrade/sidecar/tunnel/assemble.py
+++ b/shedgrade/sidecar/tunnel/assemble.py
@@ -48,7 +48,7 @@
                 except ConfigError as error:
                     raise ConfigError(f"pools.{name}: {error}") from error
         self.via_name = f"shedgrade-{config.name}"
-        self.proxies = {name: self.proxy(name, given) for name, given in features.proxies.items()}
+        self.proxies = {name: self.make_proxy(name, given) for name, given in features.proxies.items()}
         for name, given in features.pools.items():
             if given.proxies:
                 connections = self.pools[name].connections
@@ -68,7 +68,8 @@
         self.tunnels = self.make_tunnels() if features.tunnel is not None else None
 
     @staticmethod
-    def proxy(name: str, given: ProxyTable) -> Proxy:
+    def make_proxy(name: str, given: ProxyTable) -> Proxy:
+        """Builds a proxy from its table and reads its login."""
         login = read_credentials(given.login, f"proxies.{name}.login")[0] if given.login else None
         return Proxy(
             name,
@@ -78,13 +79,15 @@
             given.handshake_ms / 1000,
         )
 
-    def routes(self, features):
+    def route_table(self, features):
+        """Builds the route table of these features for the pools of this process."""
         return build_route_table(
             features.tunnel,
             {name: {method.decode() for method in pool.methods} for name, pool in self.pools.items()},
         )
 
     def make_tunnels(self) -> Tunnels:
+        """Builds the listeners and sets the buffer size of streams in all pools."""
         given = self.features.tunnel
         users = dict(read_credentials(given.users, "tunnel.users")) if given.users else None
         for pool in self.pools.values():
@@ -92,7 +95,7 @@
         return Tunnels(
             self.sidecar.loop,
             given,
-            self.routes(self.features),
+            self.route_table(self.features),
             self.pools,
             self.fronts,
             users,
@@ -104,6 +107,7 @@
     # --- called by the sidecar
 
     def start(self) -> None:
+        """Starts the pools and the listeners. ConfigError if a list or an address can't be used."""
         for name, given in self.features.pools.items():
             if name == MAIN_POOL:
                 continue
@@ -126,6 +130,7 @@
 
     @staticmethod
     def read_list(pool: Pool, path: str, key: str) -> None:
+        """Fills a pool from a file in the format of discovery. ConfigError if it can't be read."""
         try:
             pool.listed(orjson.loads(Path(path).read_bytes()), asked=False)
         except OSError as failure:
@@ -140,13 +145,15 @@
         for name, given in self.features.pools.items():
             if name != MAIN_POOL:
                 self.pools[name].retuned(pool_settings(self.sidecar.config.settings, given))
-        later = [key for key in ("pools", "proxies") if getattr(features, key) != getattr(self.features, key)]
+        restart_keys = [
+            key for key in ("pools", "proxies") if getattr(features, key) != getattr(self.features, key)
+        ]
         if (features.tunnel is None) != (self.tunnels is None):
-            later.append("tunnel")
+            restart_keys.append("tunnel")
         elif self.tunnels is not None:
-            self.tunnels.reload(features.tunnel, self.routes(features))
-        if later:
-            logger.info("restart needed for tunnel settings", names=", ".join(later))
+            self.tunnels.reload(features.tunnel, self.route_table(features))
+        if restart_keys:
+            logger.info("restart needed for tunnel settings", names=", ".join(restart_keys))
 
     def tick(self) -> None:
         for name, front in self.fronts.items():
@@ -181,9 +188,9 @@
     def close(self) -> None:
         if self.tunnels is not None:
             self.tunnels.close()
-            moved, refused = self.tunnels.bytes_relayed, dict(self.tunnels.refused)
+            relayed, refused = self.tunnels.bytes_relayed, dict(self.tunnels.refused)
             logger.info(
-                "tunnel totals", inspected=self.tunnels.inspected, bytes_relayed=moved, refused=refused
+                "tunnel totals", inspected=self.tunnels.inspected, bytes_relayed=relayed, refused=refused
             )
         for name, pool in self.pools.items():
             if name != MAIN_POOL:
--- a/shedgrade/sidecar/tunnel/connect.py
+++ b/shedgrade/sidecar/tunnel/connect.py
@@ -11,7 +11,7 @@
 
 from shedgrade.sidecar.tunnel.destinations import Destination, DestinationError, authority
 
-MAX_HEAD_BYTES = 16 * 1024  # bytes of a head; a CONNECT request needs few
+MAX_HEAD_BYTES = 16 * 1024  # a CONNECT request needs far fewer
 TOKEN = re.compile(rb"[!#$%&'*+.^_`|~0-9A-Za-z-]+$")
 END_OF_HEAD = b"\r\n\r\n"
 STATUSES = {
@@ -55,7 +55,8 @@
         self.buffer, self.out, self.rest = bytearray(), bytearray(), b""
 
     def read_head(self, data: bytes) -> list[bytes] | None:
-        """Adds data. Returns the head's lines once it is complete, else None. HeadError if it is too long."""
+        """Adds data. Returns the head's lines once it is complete, else None. HeadError if it is too long or
+        has a bare CR or LF."""
         start = max(0, len(self.buffer) - 3)
         self.buffer += data
         end = self.buffer.find(END_OF_HEAD, start)
@@ -71,17 +72,19 @@
         return lines
 
     def take_out(self) -> bytes:
+        """Returns the bytes to send and forgets them."""
         out, self.out = bytes(self.out), bytearray()
         return out
 
 
 def response(status: int, *more: bytes) -> bytes:
+    """A response without a body that closes the connection. `more`: further header lines."""
     first = b"HTTP/1.1 %d %s" % (status, STATUSES[status])
     return b"\r\n".join([first, *more, b"Content-Length: 0", b"Connection: close"]) + END_OF_HEAD
 
 
 class Accepting(HeadReader):
-    """The server side of a handshake."""
+    """The server side of a handshake, with the attributes of `socks.Accepting`."""
 
     def __init__(
         self, check_credentials: Callable[[str, str], bool] | None = None, via_name: str = ""
@@ -94,6 +97,7 @@
         self.failed, self.user = "", ""
 
     def receive(self, data: bytes) -> None:
+        """Takes bytes from the client; sets `destination`, or `failed` after queuing an error response."""
         if self.failed:
             return
         if self.destination is not None:
@@ -114,6 +118,7 @@
             )
 
     def handle_head(self, lines: list[bytes]) -> None:
+        """Validates the request and sets `destination`. HeadError with the status to answer."""
         parts = lines[0].split(b" ")
         if len(parts) != 3 or parts[2] not in (b"HTTP/1.1", b"HTTP/1.0") or not TOKEN.match(parts[0]):
             raise HeadError(400)
@@ -141,6 +146,8 @@
             raise HeadError(400) from error
 
     def check_login(self, values: list[bytes]) -> None:
+        """Checks the values of Proxy-Authorization and sets `user`. HeadError 407 if they are not
+        accepted."""
         if len(values) != 1:
             raise HeadError(407)
         scheme, _, text = values[0].partition(b" ")
@@ -153,17 +160,18 @@
         self.user = user
 
     def granted(self) -> bytes:
+        """The response that opens the tunnel."""
         return b"HTTP/1.1 200 Connection established\r\n\r\n"
 
-    def refused(self, why: str, wait: int = 0) -> bytes:
-        """The refusal. `why`: route, exhausted, errored or unreachable; `wait`: tenths of a millisecond after
-        which to retry, or 0."""
-        status = {"route": 403, "exhausted": 503, "unreachable": 504}.get(why, 502)
+    def refused(self, reason: str, wait: int = 0) -> bytes:
+        """The refusal. `reason`: route, exhausted, errored or unreachable; `wait`: tenths of a millisecond
+        after which to retry, or 0."""
+        status = {"route": 403, "exhausted": 503, "unreachable": 504}.get(reason, 502)
         return response(status, *((b"Retry-After: %.3f" % (wait / 10_000),) if wait else ()))
 
 
 class Dialling(HeadReader):
-    """The client side of a handshake."""
+    """The client side of a handshake, with the attributes of `socks.Dialling`."""
 
     def __init__(self, target: Destination, login: tuple[str, str] | None = None, via_name: str = "") -> None:
         super().__init__()
@@ -178,6 +186,7 @@
         self.out += b"\r\n".join(lines) + END_OF_HEAD
 
     def receive(self, data: bytes) -> None:
+        """Takes bytes from the proxy; sets `done` or `failed`."""
         if self.failed:
             return
         if self.done:
@@ -195,6 +204,7 @@
 
     @staticmethod
     def status(line: bytes) -> int:
+        """The status code of a status line. HeadError if it is not one of HTTP/1."""
         parts = line.split(b" ", 2)
         if (
             len(parts) < 2
@@ -206,9 +216,11 @@
         return int(parts[1])
 
     def is_interim(self, lines: list[bytes]) -> bool:
+        """Whether this is a 1xx response, which the final one follows."""
         return self.status(lines[0]) < 200
 
     def handle_head(self, lines: list[bytes]) -> None:
+        """Sets `done` for a 2xx response, otherwise `failed` and `unreachable`."""
         status = self.status(lines[0])
         parse_fields(lines[1:])
         # Content-Length and Transfer-Encoding in a 2xx to CONNECT are ignored (RFC 9110).
--- a/shedgrade/sidecar/tunnel/dialler.py
+++ b/shedgrade/sidecar/tunnel/dialler.py
@@ -19,8 +19,8 @@
     """No connection was made. `outcome`, for the balancer: UNSENT (no fault of the upstream) or UNCONNECTED
     (the proxy says that the upstream can't be reached)."""
 
-    def __init__(self, outcome: int, why: str) -> None:
-        super().__init__(why)
+    def __init__(self, outcome: int, reason: str) -> None:
+        super().__init__(reason)
         self.outcome = outcome
 
 
@@ -28,20 +28,32 @@
     """One proxy and its health: failures in a row, and until when it is ejected."""
 
     def __init__(
-        self, name: str, kind: str, address: tuple[str, int], login: tuple[str, str] | None, handshake: float
+        self,
+        name: str,
+        kind: str,
+        address: tuple[str, int],
+        login: tuple[str, str] | None,
+        handshake_timeout_s: float,
     ) -> None:
-        self.name, self.kind, self.address, self.login, self.handshake = name, kind, address, login, handshake
+        self.name, self.kind, self.address, self.login, self.handshake_timeout_s = (
+            name,
+            kind,
+            address,
+            login,
+            handshake_timeout_s,
+        )
         self.failures, self.ejected_until, self.open = 0, 0.0, 0
 
-    def record_failure(self, now: float, why: str) -> None:
+    def record_failure(self, now: float, reason: str) -> None:
         """Ejects the proxy after a failure, for longer with each failure in a row."""
         if now >= self.ejected_until:
             if not self.failures:
-                logger.warning("proxy failed, ejected for now", proxy=self.name, error=why)
+                logger.warning("proxy failed, ejected for now", proxy=self.name, error=reason)
             self.failures += 1
             self.ejected_until = now + min(EJECTION_S[1], EJECTION_S[0] * 2 ** (self.failures - 1))
 
     def record_success(self) -> None:
+        """Ends the ejection and forgets earlier failures."""
         if self.failures:
             logger.info("proxy recovered", proxy=self.name)
         self.failures, self.ejected_until = 0, 0.0
@@ -84,7 +96,8 @@
 class Dialler:
     """Opens connections for a connection pool through its proxies.
 
-    `proxied` tells the pool that a slow connection attempt says nothing about the upstream.
+    A slow connection attempt through a proxy says nothing about the upstream; `proxied` on the connection
+    pool records that.
     """
 
     def __init__(self, loop, proxies: list[Proxy], via_name: str, fallback: bool) -> None:
@@ -100,19 +113,21 @@
             if proxy.ejected_until > now and (last is not None or self.fallback):
                 break
             try:
-                made = await self.connect_through(proxy, factory, address)
+                connected = await self.connect_through(proxy, factory, address)
             except DialError as failure:
                 last = failure
                 if failure.outcome == load_balancing.UNCONNECTED:
                     raise
                 continue
             proxy.record_success()
-            return made
+            return connected
         if self.fallback:
             return await self.loop.create_connection(factory, *address)
         raise last or DialError(load_balancing.UNSENT, "every proxy is ejected")
 
     async def connect_through(self, proxy: Proxy, factory: Callable, address: tuple[str, int]) -> tuple:
+        """Connects to the address through one proxy and records whether the proxy worked. DialError if there
+        is no connection."""
         target = destination(*address)
         codec = (
             socks.Dialling(target, proxy.login)
@@ -122,7 +137,7 @@
         transport = None
         try:
             # The timeout covers the complete handshake, however slowly its bytes arrive.
-            async with asyncio.timeout(proxy.handshake):
+            async with asyncio.timeout(proxy.handshake_timeout_s):
                 transport, protocol = await self.loop.create_connection(
                     lambda: Handshake(codec), *proxy.address
                 )
@@ -130,9 +145,9 @@
         except (OSError, TimeoutError) as failure:
             if transport is not None:
                 transport.abort()
-            why = "the handshake timed out" if isinstance(failure, TimeoutError) else str(failure)
-            proxy.record_failure(self.loop.time(), why)
-            raise DialError(load_balancing.UNSENT, f"proxy {proxy.name}: {why}") from failure
+            reason = "the handshake timed out" if isinstance(failure, TimeoutError) else str(failure)
+            proxy.record_failure(self.loop.time(), reason)
+            raise DialError(load_balancing.UNSENT, f"proxy {proxy.name}: {reason}") from failure
         except asyncio.CancelledError:
             if transport is not None:
                 transport.abort()
--- a/shedgrade/sidecar/tunnel/listener.py
+++ b/shedgrade/sidecar/tunnel/listener.py
@@ -24,11 +24,11 @@
 from shedgrade.upstream_pool.front import Front
 from shedgrade.upstream_pool.pool import Pool
 
-MAX_ACCEPTS_PER_ITERATION = 32  # connections accepted in one iteration of the event loop
-TIMEOUT_CHECK_INTERVAL_S = 0.25  # seconds between two checks for timeouts
+MAX_ACCEPTS_PER_ITERATION = 32  # of the event loop
+TIMEOUT_CHECK_INTERVAL_S = 0.25
 MAX_EARLY_BYTES = 64 * 1024  # bytes that a client may send before the answer to its handshake
-LIMIT_LOG_INTERVAL_S = 10.0  # seconds between two log lines about reaching the limit of tunnels
-FLUSH_TIMEOUT_S = 10.0  # seconds for an upstream to read the bytes of a client that has closed
+LIMIT_LOG_INTERVAL_S = 10.0  # between two log lines about reaching the limit of tunnels
+FLUSH_TIMEOUT_S = 10.0  # for an upstream to read the bytes of a client that has closed
 # The share of the drain's grace after which nothing more is sent to the upstream; the rest is for bytes in
 # flight.
 SENDING_SHARE_OF_GRACE = 0.5
@@ -79,6 +79,7 @@
             self.transport.pause_reading()
 
     def route(self) -> None:
+        """Refuses the tunnel, makes it an inspected one, or asks the dispatcher to open an opaque one."""
         target = self.destination = self.codec.destination
         route = self.tunnels.table.find(target)
         if route is None:
@@ -103,12 +104,12 @@
             False,
         )
 
-    def refuse(self, why: str, wait: int = 0) -> None:
+    def refuse(self, reason: str, wait: int = 0) -> None:
         """Answers the handshake with a refusal and closes the connection."""
         if not self.answered:
             self.answered = True
             if not self.transport.is_closing():
-                self.transport.write(self.codec.refused(why, wait))
+                self.transport.write(self.codec.refused(reason, wait))
                 self.transport.close()
 
     def inspect(self, front: Front) -> None:
@@ -138,6 +139,7 @@
     # --- called by the dispatcher, for an opaque tunnel
 
     def opened(self, link: StreamLink) -> None:
+        """Grants the tunnel and starts relaying: the dispatcher has connected to an upstream."""
         if self.lost or self.transport.is_closing():
             self.dispatcher.client_disconnected(self.active_request)
             return
@@ -161,9 +163,11 @@
         self.finish()
 
     def exhausted(self, wait: int) -> None:
+        """Refuses the tunnel. `wait`: tenths of a millisecond after which to retry."""
         self.refuse("exhausted", wait)
 
     def errored(self) -> None:
+        """Refuses the tunnel, or closes it if it is open."""
         self.refuse("errored")
         self.finish()
 
@@ -218,8 +222,9 @@
         return self.sending_stopped
 
     def on_upstream_drain(self) -> None:
-        """Rule 3: bytes that the client sends after the grace would be new requests to a drained upstream.
+        """Schedules the end of the tunnel, because its upstream drains or its route is gone.
 
+        Bytes that the client sends after the grace would be new requests to a drained upstream (rule 3).
         Within the grace they are still relayed, since a request may be half sent. Then the half towards the
         upstream is closed, and only answers are relayed, for a time that differs from tunnel to tunnel so
         that the clients do not all reconnect at once.
@@ -234,6 +239,7 @@
             self.timers.append(self.tunnels.loop.call_later(grace + last * spread, self.finish))
 
     def stop_sending(self) -> None:
+        """Stops reading from the client and closes the half towards the upstream."""
         self.sending_stopped = True
         if not self.transport.is_closing():
             self.transport.pause_reading()
@@ -242,6 +248,7 @@
             link.transport.write_eof()
 
     def check_timeouts(self, now: float) -> None:
+        """Ends a handshake or a tunnel that is past a time limit, or of which one side was reset."""
         config = self.tunnels.config
         if not self.open:
             # The whole handshake has one deadline, however slowly its bytes arrive.
@@ -291,6 +298,7 @@
         self.closing = False
 
     def check_credentials(self, user: str, password: str) -> bool:
+        """Whether the user has this password, compared in a time that does not show where they differ."""
         import hmac
 
         known = self.users.get(user, "")
@@ -312,6 +320,7 @@
         self.check_all_timeouts()
 
     def addresses(self) -> set[tuple[str, int]]:
+        """The addresses on which the listeners accept."""
         return {listener.getsockname()[:2] for listener, _ in self.sockets}
 
     def make_codec(self, kind: str):
@@ -323,6 +332,7 @@
         )
 
     def accept(self, listener: socket.socket, kind: str) -> None:
+        """Accepts waiting connections, up to MAX_ACCEPTS_PER_ITERATION; closes those above the limit."""
         for _ in range(MAX_ACCEPTS_PER_ITERATION):
             try:
                 connection, _ = listener.accept()
@@ -365,6 +375,7 @@
         return next(pool.grace for pool in self.pools.values() if pool.connections is link.connections)
 
     def check_all_timeouts(self) -> None:
+        """Checks all connections and schedules the next check."""
         now = self.loop.time()
         for tunnel in list(self.live):
             tunnel.check_timeouts(now)
@@ -381,12 +392,14 @@
     # --- shutdown
 
     def has_pending_connections(self) -> bool:
+        """Whether a connection waits to be accepted or is being set up."""
         poll = select.poll()
         for listener, _ in self.sockets:
             poll.register(listener, select.POLLIN)
         return bool(poll.poll(0)) or bool(self.accept_tasks)
 
     def stop_accepting(self) -> None:
+        """Closes the listeners."""
         self.closing = True
         for listener, _ in self.sockets:
             self.loop.remove_reader(listener)
--- a/shedgrade/sidecar/tunnel/relay.py
+++ b/shedgrade/sidecar/tunnel/relay.py
@@ -36,6 +36,7 @@
         self.last_active = asyncio.get_running_loop().time()
 
     def join(self, peer: "TunnelSide") -> None:
+        """Makes the two sides each other's peer."""
         self.peer, peer.peer = peer, self
 
     def data_received(self, data: bytes) -> None:
@@ -55,6 +56,7 @@
             self.peer.paused = False
 
     def unsent_bytes(self) -> int:
+        """Bytes in the write buffer; 0 if the transport is closing."""
         return 0 if self.transport.is_closing() else self.transport.get_write_buffer_size()
 
     def was_reset(self) -> bool:
@@ -120,6 +122,7 @@
         transport.pause_reading()  # until the client's side is open
 
     def begin(self, transmission, now: int) -> None:
+        """Starts the transmission of an opened tunnel and counts it with the upstream's streams."""
         self.transmission, transmission.link, transmission.first_on_connection = transmission, self, True
         self.connections.streams.setdefault(self.upstream, set()).add(self)
         self.connections.dispatcher.stream_opened(transmission)
--- a/shedgrade/sidecar/tunnel/routes.py
+++ b/shedgrade/sidecar/tunnel/routes.py
@@ -34,6 +34,7 @@
     method: str = ""
 
     def matches(self, target: Destination) -> bool:
+        """Whether the port, and the name or address, of a destination match."""
         if self.ports and not any(low <= target.port <= high for low, high in self.ports):
             return False
         if target.address:
@@ -45,6 +46,7 @@
 
 
 def parse_names(texts: list[str]) -> frozenset[str]:
+    """Normalises names and addresses. RouteError if one is invalid."""
     found = set()
     for text in texts:
         try:
@@ -55,7 +57,8 @@
 
 
 def parse_suffixes(texts: list[str]) -> tuple[str, ...]:
-    """Parses suffixes: `.example.test` matches the names below it, neither itself nor part of a label."""
+    """Parses suffixes: `.example.test` matches the names below it, neither itself nor part of a label.
+    RouteError if one is invalid."""
     found = []
     for text in texts:
         if not text.startswith("."):
@@ -68,6 +71,7 @@
 
 
 def parse_ranges(texts: list[str]) -> tuple:
+    """Parses IP networks. RouteError if one is invalid."""
     try:
         return tuple(ipaddress.ip_network(text) for text in texts)
     except ValueError as error:
@@ -75,6 +79,7 @@
 
 
 def parse_ports(given: list) -> tuple[tuple[int, int], ...]:
+    """Turns ports and [low, high] pairs into inclusive ranges. RouteError if one is invalid."""
     found = []
     for one in given:
         low, high = one if isinstance(one, list) else (one, one)
--- a/shedgrade/sidecar/tunnel/socks.py
+++ b/shedgrade/sidecar/tunnel/socks.py
@@ -62,6 +62,7 @@
         self.step = self.read_greeting
 
     def receive(self, data: bytes) -> None:
+        """Takes bytes from the client; sets `destination`, or `failed` after queuing the refusal."""
         if self.failed:
             return
         if self.destination is not None:
@@ -72,19 +73,24 @@
             pass
 
     def take_out(self) -> bytes:
+        """Returns the bytes to send and forgets them."""
         out, self.out = bytes(self.out), bytearray()
         return out
 
     def consume(self, count: int) -> bytes:
+        """Removes `count` bytes from the front of the buffer and returns them."""
         part = bytes(self.buffer[:count])
         del self.buffer[:count]
         return part
 
-    def fail(self, why: str, reply: bytes = b"") -> bool:
-        self.failed = why
+    def fail(self, reason: str, reply: bytes = b"") -> bool:
+        """Ends the handshake with a reply. Returns False, as each step does to stop reading."""
+        self.failed = reason
         self.out += reply
         return False
 
+    # Each step returns whether it consumed its message, so that the next step may run.
+
     def read_greeting(self) -> bool:
         if self.buffer and self.buffer[0] != VERSION:
             return self.fail(f"version {self.buffer[0]}")
@@ -103,12 +109,12 @@
             return self.fail(f"login version {self.buffer[0]}", bytes([AUTH_VERSION, 1]))
         if len(self.buffer) < 2 or len(self.buffer) < 3 + self.buffer[1]:
             return False
-        user = self.buffer[1]
-        if len(self.buffer) < 3 + user + self.buffer[2 + user]:
+        user_length = self.buffer[1]
+        if len(self.buffer) < 3 + user_length + self.buffer[2 + user_length]:
             return False
-        part = self.consume(3 + user + self.buffer[2 + user])
-        self.user = part[2 : 2 + user].decode("utf-8", "replace")
-        if not self.check_credentials(self.user, part[3 + user :].decode("utf-8", "replace")):
+        part = self.consume(3 + user_length + self.buffer[2 + user_length])
+        self.user = part[2 : 2 + user_length].decode("utf-8", "replace")
+        if not self.check_credentials(self.user, part[3 + user_length :].decode("utf-8", "replace")):
             return self.fail("login refused", bytes([AUTH_VERSION, 1]))
         self.out += bytes([AUTH_VERSION, 0])
         self.step = self.read_request
@@ -145,14 +151,18 @@
 
     @staticmethod
     def reply(code: int) -> bytes:
+        """A reply to the request, with an unspecified bound address."""
         return bytes([VERSION, code]) + UNSPECIFIED_ADDRESS
 
     def granted(self) -> bytes:
+        """The reply that opens the tunnel."""
         return self.reply(SUCCEEDED)
 
-    def refused(self, why: str, wait: int = 0) -> bytes:
-        """The refusal. `why`: route, exhausted, errored or unreachable."""
-        return self.reply({"route": NOT_ALLOWED, "unreachable": HOST_UNREACHABLE}.get(why, GENERAL_FAILURE))
+    def refused(self, reason: str, wait: int = 0) -> bytes:
+        """The refusal. `reason`: route, exhausted, errored or unreachable."""
+        return self.reply(
+            {"route": NOT_ALLOWED, "unreachable": HOST_UNREACHABLE}.get(reason, GENERAL_FAILURE)
+        )
 
 
 class Dialling:
@@ -167,6 +177,7 @@
         self.step = self.read_method
 
     def receive(self, data: bytes) -> None:
+        """Takes bytes from the proxy; sets `done` or `failed`."""
         if self.failed:
             return
         if self.done:
@@ -179,8 +190,9 @@
     take_out = Accepting.take_out
     consume = Accepting.consume
 
-    def fail(self, why: str, unreachable: bool = False) -> bool:
-        self.failed, self.unreachable = why, unreachable
+    def fail(self, reason: str, unreachable: bool = False) -> bool:
+        """Ends the handshake. Returns False, as each step does to stop reading."""
+        self.failed, self.unreachable = reason, unreachable
         return False
 
     def read_method(self) -> bool:
@@ -216,8 +228,8 @@
         if len(buffer) < 4:
             return False
         if buffer[1] != SUCCEEDED:
-            why = UNREACHABLE_REPLIES.get(buffer[1]) or FAILURE_REPLIES.get(buffer[1], f"code {buffer[1]}")
-            return self.fail(f"the proxy: {why}", buffer[1] in UNREACHABLE_REPLIES)
+            reason = UNREACHABLE_REPLIES.get(buffer[1]) or FAILURE_REPLIES.get(buffer[1], f"code {buffer[1]}")
+            return self.fail(f"the proxy: {reason}", buffer[1] in UNREACHABLE_REPLIES)
         if buffer[3] == DOMAIN_NAME and len(buffer) < 5:
             return False
         size = {IPV4: 4, IPV6: 16}.get(buffer[3]) or (1 + buffer[4] if buffer[3] == DOMAIN_NAME else 0)
