--- a/tests/sidecar/endpoint_snapshot/test_start.py
+++ b/tests/sidecar/endpoint_snapshot/test_start.py
@@ -204,9 +204,9 @@
 )
 def test_an_invalid_features_file_is_refused_in_one_line(tmp_path, text, key):
     (tmp_path / "f.toml").write_text(text)
-    with pytest.raises(ConfigError) as wrong:
+    with pytest.raises(ConfigError) as error:
         load_features(tmp_path / "f.toml")
-    assert "f.toml" in str(wrong.value) and key in str(wrong.value) and "\n" not in str(wrong.value)
+    assert "f.toml" in str(error.value) and key in str(error.value) and "\n" not in str(error.value)
 
 
 def test_the_example_is_valid_and_without_features_nothing_is_imported():
--- a/tests/sidecar/endpoint_snapshot/test_store.py
+++ b/tests/sidecar/endpoint_snapshot/test_store.py
@@ -112,13 +112,13 @@
             if done[0] == "append" and done[1].startswith("log")
         )
         assert newest >= min(len(written_states) - 1, max(0, whole - 3)), (operation_count, newest, whole)
-        again = Store(
+        reopened = Store(
             MemoryDisk(disk.files_after_kill(operation_count, size // 2)), "n1", lambda: moment_at(9)
         )
-        again.open()
-        assert not again.broken
-        again.write_batch([list_record(50, entry("u9"), whole=True)], False)
-        assert visible_state(recover(again.files, "n1").snapshot)[0] == {"u9": "in_service"}
+        reopened.open()
+        assert not reopened.broken
+        reopened.write_batch([list_record(50, entry("u9"), whole=True)], False)
+        assert visible_state(recover(reopened.files, "n1").snapshot)[0] == {"u9": "in_service"}
     assert count > 1000
 
 
@@ -189,14 +189,16 @@
     assert (
         "snapshot-1.damaged" in other.files.list_names() or "snapshot-2.damaged" in other.files.list_names()
     )
-    newer = bytearray(file_frames.header(file_frames.SNAPSHOT, 9))
+    newer_snapshot = bytearray(file_frames.header(file_frames.SNAPSHOT, 9))
     head = file_frames.HEADER.pack(file_frames.MAGIC, file_frames.SNAPSHOT, file_frames.VERSION + 1, 9)
-    newer = head + file_frames.CHECKSUM.pack(file_frames.crc32(head))
-    left = MemoryDisk({**disk.data, "snapshot-9": newer, "notes.txt": b"mine"})
+    newer_snapshot = head + file_frames.CHECKSUM.pack(file_frames.crc32(head))
+    left = MemoryDisk({**disk.data, "snapshot-9": newer_snapshot, "notes.txt": b"mine"})
     store = Store(left, "n1", lambda: moment_at(9))
     found = store.open()
     assert visible_state(found.snapshot) == visible_states()[-1] and "newer version" in found.summary()
-    assert left.read("snapshot-9") == newer and left.read("notes.txt") == b"mine" and store.number == 10
+    assert (
+        left.read("snapshot-9") == newer_snapshot and left.read("notes.txt") == b"mine" and store.number == 10
+    )
 
 
 def test_records_before_an_invalid_one_are_kept():
@@ -237,21 +239,25 @@
 
 def test_a_hanging_disk_blocks_no_caller_and_dropped_records_are_replaced(monkeypatch):
     monkeypatch.setattr("shedgrade.sidecar.endpoint_snapshot.store.MAX_QUEUED_BYTES", 3000)
-    gate, stuck, disk = threading.Event(), threading.Event(), MemoryDisk()
+    write_allowed, write_started, disk = threading.Event(), threading.Event(), MemoryDisk()
     store = Store(disk, "n1", lambda: moment_at(9), "always")
     store.open()
     store.read_current_list = lambda: [list_record(70, entry("u7"), whole=True)]
-    plain = disk.append
-    disk.append = lambda name, data: (stuck.set(), gate.wait(20), plain(name, data))
+    original_append = disk.append
+    disk.append = lambda name, data: (
+        write_started.set(),
+        write_allowed.wait(20),
+        original_append(name, data),
+    )
     store.start()
     store.put(list_record(19, entry("u6")))
     # Even on a busy machine, the thread hangs in a write before the other records are queued.
-    assert stuck.wait(20)
-    begun = time.monotonic()
+    assert write_started.wait(20)
+    started = time.monotonic()
     for number in range(1000):
         store.put(list_record(20 + number, entry("u6")))
-    assert time.monotonic() - begun < 5 and len(store.queue) < 20 and store.lost
-    gate.set()
+    assert time.monotonic() - started < 5 and len(store.queue) < 20 and store.lost
+    write_allowed.set()
     store.close(20)
     assert not store.thread.is_alive()
     assert set(visible_state(recover(disk, "n1").snapshot)[0]) == {"u6", "u7"}
@@ -280,19 +286,19 @@
     with pytest.raises(LockedError):
         Store(Files(folder), "n1", lambda: moment_at(9)).open()
     store.close()
-    again = Store(Files(folder), "n1", lambda: moment_at(9))
-    assert visible_state(again.open().snapshot) == visible_states()[-1]
-    again.close()
+    reopened = Store(Files(folder), "n1", lambda: moment_at(9))
+    assert visible_state(reopened.open().snapshot) == visible_states()[-1]
+    reopened.close()
     lines = []
     folder.chmod(0o777)
-    loose = Store(
+    untrusted_store = Store(
         Files(folder),
         "n1",
         lambda: moment_at(9),
         report=lambda event: lines.append(f"{event.event}: {event.error}"),
     )
-    assert not loose.open().snapshot.endpoints and "written by others" in lines[0]
-    loose.write_batch([RECORDS[0]], False)  # writes nothing to the folder and raises nothing
+    assert not untrusted_store.open().snapshot.endpoints and "written by others" in lines[0]
+    untrusted_store.write_batch([RECORDS[0]], False)  # writes nothing to the folder and raises nothing
 
 
 def test_a_folder_that_cannot_be_created_does_not_prevent_a_start(tmp_path):
--- a/tests/sidecar/tunnel/test_codecs.py
+++ b/tests/sidecar/tunnel/test_codecs.py
@@ -14,7 +14,7 @@
     return (user, password) == LOGIN
 
 
-def shape(codec):
+def codec_state(codec):
     return (
         getattr(codec, "destination", None),
         getattr(codec, "done", None),
@@ -27,24 +27,24 @@
 
 
 def feed(codec, data, cuts=()):
-    places = [0, *sorted(cuts), len(data)]
-    for start, end in zip(places, places[1:], strict=False):
+    offsets = [0, *sorted(cuts), len(data)]
+    for start, end in zip(offsets, offsets[1:], strict=False):
         codec.receive(data[start:end])
     return codec
 
 
-SOCKS = b"\x05\x02\x00\x02"
-ASKS = [
-    SOCKS + b"\x05\x01\x00\x03\x0bexample.com\x01\xbb",
-    SOCKS + b"\x05\x01\x00\x01\x7f\x00\x00\x01\x00\x50ahead",
-    SOCKS + b"\x05\x01\x00\x04" + bytes(15) + b"\x01\x1f\x90",
-    SOCKS + b"\x05\x02\x00\x01\x7f\x00\x00\x01\x00\x50",
-    SOCKS + b"\x05\x01\x00\x09rest",
+GREETING = b"\x05\x02\x00\x02"
+SOCKS_STREAMS = [
+    GREETING + b"\x05\x01\x00\x03\x0bexample.com\x01\xbb",
+    GREETING + b"\x05\x01\x00\x01\x7f\x00\x00\x01\x00\x50ahead",
+    GREETING + b"\x05\x01\x00\x04" + bytes(15) + b"\x01\x1f\x90",
+    GREETING + b"\x05\x02\x00\x01\x7f\x00\x00\x01\x00\x50",
+    GREETING + b"\x05\x01\x00\x09rest",
     b"\x04\x01",
-    SOCKS + b"\x05\x01\x00\x03\x00\x00\x50",
+    GREETING + b"\x05\x01\x00\x03\x00\x00\x50",
     b"\x05\x01\x01rest",
 ]
-HEADS = [
+CONNECT_STREAMS = [
     b"CONNECT Example.com.:443 HTTP/1.1\r\nHost: x\r\n\r\nahead",
     b"GET / HTTP/1.1\r\nHost: x\r\n\r\n",
     b"CONNECT a:1 HTTP/1.1\r\n\r\n",
@@ -55,40 +55,40 @@
 ]
 
 
-@pytest.mark.parametrize("data", ASKS)
+@pytest.mark.parametrize("data", SOCKS_STREAMS)
 @pytest.mark.parametrize("login", [None, allowed])
 def test_every_split_of_a_socks_request_gives_the_same_result(data, login):
     if login:
         user, word = (part.encode() for part in LOGIN)
         data = data[:4] + b"\x01" + bytes([len(user)]) + user + bytes([len(word)]) + word + data[4:]
-    whole = shape(feed(socks.Accepting(login), data))
+    whole = codec_state(feed(socks.Accepting(login), data))
     for cut in range(len(data)):
         for other in range(cut, len(data)):
-            assert shape(feed(socks.Accepting(login), data, (cut, other))) == whole
+            assert codec_state(feed(socks.Accepting(login), data, (cut, other))) == whole
 
 
-@pytest.mark.parametrize("data", HEADS)
+@pytest.mark.parametrize("data", CONNECT_STREAMS)
 def test_every_split_of_a_connect_request_gives_the_same_result(data):
-    whole = shape(feed(connect.Accepting(), data))
+    whole = codec_state(feed(connect.Accepting(), data))
     for cut in range(len(data)):
-        assert shape(feed(connect.Accepting(), data, (cut,))) == whole
-    assert shape(feed(connect.Accepting(), data, range(len(data)))) == whole
+        assert codec_state(feed(connect.Accepting(), data, (cut,))) == whole
+    assert codec_state(feed(connect.Accepting(), data, range(len(data)))) == whole
 
 
 @settings(max_examples=150, deadline=None)
 @given(st.binary(max_size=60), st.lists(st.integers(0, 60), max_size=8), st.booleans())
-def test_random_bytes_never_raise_and_every_split_gives_the_same_result(noise, cuts, good_start):
-    cuts = [cut for cut in cuts if cut <= len(noise)]
-    start = b"CONNECT a:1 HTTP/1.1\r\nHost: a\r\n" if good_start else b""
+def test_random_bytes_never_raise_and_every_split_gives_the_same_result(random_bytes, cuts, valid_start):
+    cuts = [cut for cut in cuts if cut <= len(random_bytes)]
+    start = b"CONNECT a:1 HTTP/1.1\r\nHost: a\r\n" if valid_start else b""
     for make, data in (
-        (lambda: socks.Accepting(allowed), SOCKS + noise),
-        (socks.Accepting, SOCKS + noise),
-        (connect.Accepting, start + noise),
-        (lambda: socks.Dialling(Destination("a", 1), LOGIN), noise),
-        (lambda: socks.Dialling(Destination("a", 1)), b"\x05\x00" + noise),
-        (lambda: connect.Dialling(Destination("a", 1)), b"HTTP/1.1 200 OK\r\n" + noise),
+        (lambda: socks.Accepting(allowed), GREETING + random_bytes),
+        (socks.Accepting, GREETING + random_bytes),
+        (connect.Accepting, start + random_bytes),
+        (lambda: socks.Dialling(Destination("a", 1), LOGIN), random_bytes),
+        (lambda: socks.Dialling(Destination("a", 1)), b"\x05\x00" + random_bytes),
+        (lambda: connect.Dialling(Destination("a", 1)), b"HTTP/1.1 200 OK\r\n" + random_bytes),
     ):
-        assert shape(feed(make(), data, cuts)) == shape(feed(make(), data))
+        assert codec_state(feed(make(), data, cuts)) == codec_state(feed(make(), data))
 
 
 @settings(max_examples=100, deadline=None)
@@ -103,7 +103,7 @@
 )
 def test_client_and_server_complete_a_handshake(host, port, with_login, ahead):
     target = destination(host, port)
-    for accepting, dialling in (
+    for server, client in (
         (
             socks.Accepting(allowed if with_login else None),
             socks.Dialling(target, LOGIN if with_login else None),
@@ -114,15 +114,11 @@
         ),
     ):
         for _ in range(4):
-            accepting.receive(dialling.take_out())
-            dialling.receive(accepting.take_out())
-        assert (
-            accepting.destination == target
-            and not accepting.failed
-            and (accepting.user == "user") == with_login
-        )
-        dialling.receive(accepting.granted() + ahead)
-        assert dialling.done and dialling.rest == ahead
+            server.receive(client.take_out())
+            client.receive(server.take_out())
+        assert server.destination == target and not server.failed and (server.user == "user") == with_login
+        client.receive(server.granted() + ahead)
+        assert client.done and client.rest == ahead
 
 
 def test_unreachable_destinations_are_distinguished_from_failures_of_the_proxy():
@@ -154,12 +150,12 @@
 
 
 def test_refusals_have_the_codes_of_the_protocols():
-    bind = feed(socks.Accepting(), SOCKS + b"\x05\x02\x00\x01\x7f\x00\x00\x01\x00\x50")
-    udp = feed(socks.Accepting(), SOCKS + b"\x05\x03\x00\x01\x7f\x00\x00\x01\x00\x50")
+    bind = feed(socks.Accepting(), GREETING + b"\x05\x02\x00\x01\x7f\x00\x00\x01\x00\x50")
+    udp = feed(socks.Accepting(), GREETING + b"\x05\x03\x00\x01\x7f\x00\x00\x01\x00\x50")
     assert bind.out[2 + 1] == udp.out[2 + 1] == socks.COMMAND_NOT_SUPPORTED
     assert feed(socks.Accepting(allowed), b"\x05\x01\x00").out == b"\x05\xff"
-    wrong = feed(socks.Accepting(allowed), b"\x05\x01\x02\x01\x01u\x01w")
-    assert wrong.out.endswith(b"\x01\x01") and wrong.failed == "login refused"
+    failed_login = feed(socks.Accepting(allowed), b"\x05\x01\x02\x01\x01u\x01w")
+    assert failed_login.out.endswith(b"\x01\x01") and failed_login.failed == "login refused"
     for raw, status in (
         (b"CONNECT a:1 HTTP/1.1\r\nHost: a\r\n\r\n", 407),
         (b"POST / HTTP/1.1\r\nHost: a\r\n\r\n", 405),
--- a/tests/sidecar/tunnel/test_tunnels.py
+++ b/tests/sidecar/tunnel/test_tunnels.py
@@ -287,7 +287,7 @@
         assert len(world.part.tunnels.live) <= 30
         assert (await ask(world))[0] == 200  # plain RPCs are served meanwhile
 
-        async def dribble(streams):
+        async def send_slowly(streams):
             try:
                 for byte in b"CONNECT raw.internal:80 HTTP/1.1":
                     streams[1].write(bytes([byte]))
@@ -295,7 +295,7 @@
             except OSError:
                 pass
 
-        tasks = [asyncio.create_task(dribble(streams)) for streams in open_ones[:5]]
+        tasks = [asyncio.create_task(send_slowly(streams)) for streams in open_ones[:5]]
         await until(lambda: not world.part.tunnels.live)
         for task in tasks:
             task.cancel()
@@ -538,9 +538,9 @@
 )
 def test_invalid_tables_are_refused_in_one_line(tmp_path, text, key):
     (tmp_path / "f.toml").write_text(text)
-    with pytest.raises(ConfigError) as wrong:
+    with pytest.raises(ConfigError) as error:
         load_features(tmp_path / "f.toml", {"m"})
-    assert "f.toml" in str(wrong.value) and key in str(wrong.value) and "\n" not in str(wrong.value)
+    assert "f.toml" in str(error.value) and key in str(error.value) and "\n" not in str(error.value)
 
 
 def test_credentials_that_others_may_read_are_refused_and_never_shown(tmp_path):
@@ -549,13 +549,13 @@
     (tmp_path / "f.toml").write_text(
         f'[proxies.p]\nkind = "socks5"\naddress = "h:1"\nlogin = "{tmp_path}/login"\n'
     )
-    with pytest.raises(ConfigError, match="chmod 600") as wrong:
+    with pytest.raises(ConfigError, match="chmod 600") as error:
         load_features(tmp_path / "f.toml")
     (tmp_path / "login").chmod(0o600)
     (tmp_path / "login").write_text("hidden-word\n")
     with pytest.raises(ConfigError, match="entry 1") as other:
         load_features(tmp_path / "f.toml")
-    assert "hidden" not in str(wrong.value) + str(other.value)
+    assert "hidden" not in str(error.value) + str(other.value)
 
 
 # --- with a common client library
