--- a/shedgrade/sidecar/tunnel/listener.py
+++ b/shedgrade/sidecar/tunnel/listener.py
@@ -1,8 +1,9 @@
-"""The edge that accepts tunnels: handshakes, then an inspected connection or an opaque relay. Decides
-nothing.
+"""Accepts tunnels: runs their handshakes, then attaches an inspected connection or an opaque relay. Routing
+and balancing decisions are made elsewhere.
 
-A tunnel's client is answered once: granted, or refused by route, exhausted, errored. Handshakes and tunnels
-are bounded in number, time and bytes; what goes on in an inspected one is the application's protocol as ever.
+The client of a tunnel gets one answer: granted, or refused as route, exhausted or errored. Handshakes and
+opaque tunnels are bounded in number, time and bytes. An inspected tunnel carries the application's protocol,
+handled as on a plain connection.
 """
 
 import asyncio
@@ -18,44 +19,46 @@
 from shedgrade.in_flight import ActiveRequest, Request
 from shedgrade.sidecar.tunnel import connect, socks
 from shedgrade.sidecar.tunnel.config import Tunnel
-from shedgrade.sidecar.tunnel.relay import Side, StreamLink
+from shedgrade.sidecar.tunnel.relay import StreamLink, TunnelSide
 from shedgrade.sidecar.tunnel.routes import INSPECTED, Table
 from shedgrade.upstream_pool.front import Front
 from shedgrade.upstream_pool.pool import Pool
 
-AT_ONCE = 32  # connections accepted in one pass of the loop
-LOOK = 0.25  # s between two looks at what is overdue
-AHEAD = 64 * 1024  # bytes that a client may send ahead of the answer to its handshake
-BETWEEN = 10.0  # s between two lines about the same trouble
-FLUSHED = 10.0  # s for an upstream to take what a client that has gone had sent
-KEPT = 0.5  # of the drain's grace: then nothing more goes to the upstream; the rest is for what
-# is on its way
-SPREAD = 0.5  # of drain_s: the ends of tunnels to one draining upstream are spread over it
+MAX_ACCEPTS_PER_ITERATION = 32  # of the event loop
+TIMEOUT_CHECK_INTERVAL_S = 0.25
+MAX_EARLY_BYTES = 64 * 1024  # bytes that a client may send before the answer to its handshake
+LIMIT_LOG_INTERVAL_S = 10.0  # between two log lines about reaching the limit of tunnels
+FLUSH_TIMEOUT_S = 10.0  # for an upstream to read the bytes of a client that has closed
+# The share of the drain's grace after which nothing more is sent to the upstream; the rest is for bytes in
+# flight.
+SENDING_SHARE_OF_GRACE = 0.5
+# The ends of tunnels to one draining upstream are spread over this share of drain_s.
+DRAIN_END_SPREAD = 0.5
 
 
-class Opening(Request):
-    """What an opaque tunnel asks of the core: to be opened somewhere, and to stay there."""
+class TunnelRequest(Request):
+    """The request to the dispatcher to open an opaque tunnel; it lasts as long as the tunnel."""
 
     stream = StreamLink
 
 
-class TunnelConnection(Side):
-    """A client's connection, from its handshake on."""
+class TunnelConnection(TunnelSide):
+    """A client's connection, from its handshake to the end of its tunnel."""
 
     def __init__(self, tunnels: "Tunnels", codec) -> None:
         super().__init__(tunnels.config.buffer)
         self.tunnels, self.codec = tunnels, codec
         self.active_request: ActiveRequest | None = None
-        self.asked_at = None  # the destination, kept for a reload
-        self.answered = self.open = self.draining = False
-        self.since = tunnels.loop.time()
+        self.destination = None  # checked against the new routes after a reload
+        self.answered = self.open = self.sending_stopped = False
+        self.accepted_at = tunnels.loop.time()
         self.timers: list[asyncio.TimerHandle] = []
 
     # --- the handshake
 
     def connection_made(self, transport) -> None:
         super().connection_made(transport)
-        self.tunnels.begun(self)
+        self.tunnels.register_connection(self)
 
     def data_received(self, data: bytes) -> None:
         if self.open:
@@ -70,14 +73,15 @@
         if self.codec.failed:
             self.answered = True
             self.transport.close()
-        elif self.codec.asked is not None and self.active_request is None:
+        elif self.codec.destination is not None and self.active_request is None:
             self.route()
-        elif len(self.codec.rest) > AHEAD:
+        elif len(self.codec.rest) > MAX_EARLY_BYTES:
             self.transport.pause_reading()
 
     def route(self) -> None:
-        where = self.asked_at = self.codec.asked
-        route = self.tunnels.table.find(where)
+        """Refuses the tunnel, makes it an inspected one, or asks the dispatcher to open an opaque one."""
+        target = self.destination = self.codec.destination
+        route = self.tunnels.table.find(target)
         if route is None:
             self.tunnels.refused["route"] += 1
             self.refuse("route")
@@ -88,7 +92,9 @@
             return
         self.transport.pause_reading()
         self.active_request = ActiveRequest(
-            self, Opening(b"tunnel-%d" % next(self.tunnels.number), b"", b"", [], b""), self.codec.user
+            self,
+            TunnelRequest(b"tunnel-%d" % next(self.tunnels.request_numbers), b"", b"", [], b""),
+            self.codec.user,
         )
         self.dispatcher = pool.dispatcher
         self.dispatcher.submit(
@@ -98,41 +104,42 @@
             False,
         )
 
-    def refuse(self, why: str, wait: int = 0) -> None:
-        """The one answer to its handshake, after which the connection ends."""
+    def refuse(self, reason: str, wait: int = 0) -> None:
+        """Answers the handshake with a refusal and closes the connection."""
         if not self.answered:
             self.answered = True
             if not self.transport.is_closing():
-                self.transport.write(self.codec.refused(why, wait))
+                self.transport.write(self.codec.refused(reason, wait))
                 self.transport.close()
 
     def inspect(self, front: Front) -> None:
-        """From here on the application's own protocol is spoken, on the pool's front."""
+        """Grants the tunnel and hands the connection to the pool's front, as a plain RPC connection."""
         self.answered = True
         self.transport.write(self.codec.granted())
         inside = RpcConnection(front, self.codec.user)
-        self.tunnels.over(self)
+        self.tunnels.unregister_connection(self)
         transport, rest = self.transport, self.codec.rest
         transport.set_protocol(inside)
         inside.connection_made(transport)
         self.tunnels.inspected += 1
-        for place in range(0, len(rest), 4096):
+        for offset in range(0, len(rest), 4096):
             if transport.is_closing():
                 break
-            part = rest[place : place + 4096]
+            part = rest[offset : offset + 4096]
             while part:
                 space = inside.get_buffer(len(part))
                 size = min(len(space), len(part))
-                if not size:  # it can't take that much yet: nobody sends so much ahead in good faith
+                if not size:  # no buffer space: a legitimate client does not send so much ahead
                     inside.cut()
                     break
                 space[:size] = part[:size]
                 inside.buffer_updated(size)
                 part = part[size:]
 
-    # --- what the core says of an opaque tunnel
+    # --- called by the dispatcher, for an opaque tunnel
 
     def opened(self, link: StreamLink) -> None:
+        """Grants the tunnel and starts relaying: the dispatcher has connected to an upstream."""
         if self.lost or self.transport.is_closing():
             self.dispatcher.client_disconnected(self.active_request)
             return
@@ -140,36 +147,38 @@
         self.join(link)
         self.transport.write(self.codec.granted())
         if self.codec.rest:
-            self.moved += len(self.codec.rest)
+            self.bytes_received += len(self.codec.rest)
             link.transport.write(self.codec.rest)
         self.codec = None
         link.transport.resume_reading()
-        if self.ended:  # it closed its half while it waited
+        if self.eof_seen:  # the client closed its half while it waited
             link.transport.write_eof()
         else:
             self.transport.resume_reading()
         if link.draining:
-            self.upstream_drains()
+            self.on_upstream_drain()
 
     def completed(self, answer) -> None:
-        """The upstream's side has ended; what it sent is still being written."""
+        """The upstream's side has closed; closing the transport still writes the bytes that it sent."""
         self.finish()
 
     def exhausted(self, wait: int) -> None:
+        """Refuses the tunnel. `wait`: tenths of a millisecond after which to retry."""
         self.refuse("exhausted", wait)
 
     def errored(self) -> None:
+        """Refuses the tunnel, or closes it if it is open."""
         self.refuse("errored")
         self.finish()
 
     def has_left(self) -> bool:
-        """Gone for good, be it that the loop has not seen it: a half that is closed may still want its
-        tunnel."""
+        """Whether the client has left, even if the event loop has not noticed. A half-close does not count:
+        such a client may still want its tunnel."""
         if self.lost or self.transport.is_closing():
             return True
         poll = select.poll()
         poll.register(self.transport.get_extra_info("socket").fileno(), 0)
-        return bool(poll.poll(0))  # an error or a hang-up is told unasked
+        return bool(poll.poll(0))  # POLLERR and POLLHUP are always reported
 
     def close(self) -> None:
         self.finish()
@@ -178,16 +187,17 @@
         if not self.transport.is_closing():
             self.transport.close()
 
-    # --- ends
+    # --- closing
 
     def eof_received(self) -> bool:
         if not self.open:
-            self.ended = True
-            return self.active_request is not None  # asked and waiting: its answer can still be read
+            self.eof_seen = True
+            # A client that waits for its answer can still read it.
+            return self.active_request is not None
         return super().eof_received()
 
-    def other_lost(self, failure) -> None:
-        """A reset upstream is a reset client."""
+    def peer_closed(self, failure) -> None:
+        """Closes the client's side after the upstream's; a reset is passed on as a reset."""
         if failure is not None:
             self.reset()
         else:
@@ -197,53 +207,59 @@
         self.lost = True
         for timer in self.timers:
             timer.cancel()
-        self.tunnels.over(self)
+        self.tunnels.unregister_connection(self)
         if self.open:
-            self.tunnels.bytes_moved += self.moved + self.peer.moved
+            self.tunnels.bytes_relayed += self.bytes_received + self.peer.bytes_received
             if failure is None and not self.peer.lost:
-                self.peer.transport.close()  # it flushes what is on its way, then ends as completed
-                self.tunnels.loop.call_later(FLUSHED, self.peer.reset)
+                # The bytes in flight are flushed; the transmission then ends as completed.
+                self.peer.transport.close()
+                self.tunnels.loop.call_later(FLUSH_TIMEOUT_S, self.peer.reset)
                 return
         if self.active_request is not None and not self.active_request.done:
             self.dispatcher.client_disconnected(self.active_request)
 
-    def held(self) -> bool:
-        return self.draining
+    def is_read_blocked(self) -> bool:
+        return self.sending_stopped
 
-    def upstream_drains(self) -> None:
-        """Rule 3: what the client sends from the grace on would be new to a drained upstream.
+    def on_upstream_drain(self) -> None:
+        """Schedules the end of the tunnel, because its upstream drains or its route is gone.
 
-        Within the grace its bytes go on (one is in the middle of a claim); then the upstream's half is
-        ended and only answers come, for a while that differs from tunnel to tunnel, so that successors are
-        not stormed.
+        Bytes that the client sends after the grace would be new requests to a drained upstream (rule 3).
+        Within the grace they are still relayed, since a request may be half sent. Then the half towards the
+        upstream is closed, and only answers are relayed, for a time that differs from tunnel to tunnel so
+        that the clients do not all reconnect at once.
         """
-        if self.open and not self.draining and not self.timers:
+        if self.open and not self.sending_stopped and not self.timers:
             grace = self.tunnels.grace(self.peer)
-            self.timers.append(self.tunnels.loop.call_later(grace * KEPT, self.stop_sending))
+            self.timers.append(
+                self.tunnels.loop.call_later(grace * SENDING_SHARE_OF_GRACE, self.stop_sending)
+            )
             last = self.tunnels.config.drain_s
-            spread = self.tunnels.chance.uniform(1 - SPREAD, 1.0)
+            spread = self.tunnels.spread_random.uniform(1 - DRAIN_END_SPREAD, 1.0)
             self.timers.append(self.tunnels.loop.call_later(grace + last * spread, self.finish))
 
     def stop_sending(self) -> None:
-        self.draining = True
+        """Stops reading from the client and closes the half towards the upstream."""
+        self.sending_stopped = True
         if not self.transport.is_closing():
             self.transport.pause_reading()
         link = self.peer
         if not link.transport.is_closing() and link.transport.can_write_eof():
             link.transport.write_eof()
 
-    def overdue(self, now: float) -> None:
+    def check_timeouts(self, now: float) -> None:
+        """Ends a handshake or a tunnel that is past a time limit, or of which one side was reset."""
         config = self.tunnels.config
         if not self.open:
-            # However slowly a handshake dribbles, it is whole in time or over.
-            if self.active_request is None and now - self.since > config.handshake_ms / 1000:
+            # The whole handshake has one deadline, however slowly its bytes arrive.
+            if self.active_request is None and now - self.accepted_at > config.handshake_ms / 1000:
                 self.answered = True
                 self.abort()
-        elif self.broken() or self.peer.broken():
+        elif self.was_reset() or self.peer.was_reset():
             self.reset_both()
-        elif now - self.used > config.idle_s or now - self.since > config.life_s:
-            # An orderly close waits for what is unsent, which is for a peer that may never read it.
-            if self.unsent() or self.peer.unsent():
+        elif now - self.last_active > config.idle_s or now - self.accepted_at > config.life_s:
+            # A graceful close would wait until unsent bytes are written, but the peer may never read them.
+            if self.unsent_bytes() or self.peer.unsent_bytes():
                 self.reset_both()
             else:
                 self.finish()
@@ -255,7 +271,7 @@
 
 
 class Tunnels:
-    """All listeners and tunnels of the process."""
+    """All tunnel listeners and tunnels of the process."""
 
     def __init__(
         self,
@@ -265,124 +281,135 @@
         pools: dict[str, Pool],
         fronts: dict[str, Front],
         users: dict[str, str] | None,
-        own: str,
+        via_name: str,
         budget,
         seed: int,
     ) -> None:
         self.loop, self.config, self.table, self.pools, self.fronts = loop, config, table, pools, fronts
-        self.users, self.own, self.budget = users, own, budget
-        self.chance = Random(f"{seed}/tunnels")
-        self.number = count()
+        self.users, self.via_name, self.budget = users, via_name, budget
+        self.spread_random = Random(f"{seed}/tunnels")
+        self.request_numbers = count()
         self.live: dict[TunnelConnection, None] = {}
-        self.taking: set[asyncio.Task] = set()
+        self.accept_tasks: set[asyncio.Task] = set()
         self.sockets: list[tuple[socket.socket, str]] = []
         self.refused: Counter = Counter()
-        self.inspected = self.bytes_moved = 0
-        self.full_told = -BETWEEN
+        self.inspected = self.bytes_relayed = 0
+        self.limit_logged_at = -LIMIT_LOG_INTERVAL_S
         self.closing = False
 
-    def allowed(self, user: str, password: str) -> bool:
+    def check_credentials(self, user: str, password: str) -> bool:
+        """Whether the user has this password, compared in a time that does not show where they differ."""
         import hmac
 
         known = self.users.get(user, "")
         return hmac.compare_digest(known.encode(), password.encode()) and user in self.users
 
     def listen(self) -> None:
-        """OSError if an address can't be listened on."""
+        """Opens the listeners. OSError if an address can't be listened on."""
         from shedgrade.sidecar.lifecycle.config import parse_address
 
         for kind in ("socks", "connect"):
             text = getattr(self.config, kind)
             if text:
-                place = parse_address(text, kind)
-                family = socket.AF_INET6 if ":" in place[0] else socket.AF_INET
-                made = socket.create_server(place, family=family, backlog=1024)
-                made.setblocking(False)
-                self.sockets.append((made, kind))
-                self.loop.add_reader(made, self.accept, made, kind)
-        self.look()
+                address = parse_address(text, kind)
+                family = socket.AF_INET6 if ":" in address[0] else socket.AF_INET
+                listener = socket.create_server(address, family=family, backlog=1024)
+                listener.setblocking(False)
+                self.sockets.append((listener, kind))
+                self.loop.add_reader(listener, self.accept, listener, kind)
+        self.check_all_timeouts()
 
     def addresses(self) -> set[tuple[str, int]]:
-        return {made.getsockname()[:2] for made, _ in self.sockets}
-
-    def codec(self, kind: str):
-        allowed = None if self.users is None else self.allowed
-        return socks.Accepting(allowed) if kind == "socks" else connect.Accepting(allowed, self.own)
+        """The addresses on which the listeners accept."""
+        return {listener.getsockname()[:2] for listener, _ in self.sockets}
+
+    def make_codec(self, kind: str):
+        check_credentials = None if self.users is None else self.check_credentials
+        return (
+            socks.Accepting(check_credentials)
+            if kind == "socks"
+            else connect.Accepting(check_credentials, self.via_name)
+        )
 
-    def accept(self, made: socket.socket, kind: str) -> None:
-        for _ in range(AT_ONCE):
+    def accept(self, listener: socket.socket, kind: str) -> None:
+        """Accepts waiting connections, up to MAX_ACCEPTS_PER_ITERATION; closes those above the limit."""
+        for _ in range(MAX_ACCEPTS_PER_ITERATION):
             try:
-                connection, _ = made.accept()
+                connection, _ = listener.accept()
             except (BlockingIOError, ConnectionAbortedError):
                 return
             except OSError as failure:
                 logger.warning("accepting tunnels failed", error=failure.strerror)
                 return
-            # Guards plain RPCs: tunnels have a number of their own, and never the last descriptors.
-            if len(self.live) + len(self.taking) >= self.config.most or self.budget.full(8):
+            # Reserves capacity for plain RPCs: tunnels have their own limit and never use the last
+            # descriptors.
+            if len(self.live) + len(self.accept_tasks) >= self.config.most or self.budget.full(8):
                 self.refused["full"] += 1
                 connection.close()
-                if self.loop.time() >= self.full_told + BETWEEN:
-                    self.full_told = self.loop.time()
+                if self.loop.time() >= self.limit_logged_at + LIMIT_LOG_INTERVAL_S:
+                    self.limit_logged_at = self.loop.time()
                     logger.warning("tunnel limit reached, new tunnels closed", tunnels=len(self.live))
                 continue
-            task = self.loop.create_task(self.take(connection, kind))
-            self.taking.add(task)
-            task.add_done_callback(self.taking.discard)
+            task = self.loop.create_task(self.start_handshake(connection, kind))
+            self.accept_tasks.add(task)
+            task.add_done_callback(self.accept_tasks.discard)
 
-    async def take(self, connection: socket.socket, kind: str) -> None:
+    async def start_handshake(self, connection: socket.socket, kind: str) -> None:
         try:
             await self.loop.connect_accepted_socket(
-                lambda: TunnelConnection(self, self.codec(kind)), connection
+                lambda: TunnelConnection(self, self.make_codec(kind)), connection
             )
         except (OSError, RuntimeError):
             connection.close()
 
-    def begun(self, tunnel: TunnelConnection) -> None:
+    def register_connection(self, tunnel: TunnelConnection) -> None:
         self.live[tunnel] = None
         self.budget.others += 1
 
-    def over(self, tunnel: TunnelConnection) -> None:
+    def unregister_connection(self, tunnel: TunnelConnection) -> None:
         if self.live.pop(tunnel, self) is None:
             self.budget.others -= 1
 
     def grace(self, link: StreamLink) -> float:
-        """Seconds after which nothing new may go to an upstream that drains."""
+        """Seconds after which nothing new may be sent to a draining upstream."""
         return next(pool.grace for pool in self.pools.values() if pool.connections is link.connections)
 
-    def look(self) -> None:
+    def check_all_timeouts(self) -> None:
+        """Checks all connections and schedules the next check."""
         now = self.loop.time()
         for tunnel in list(self.live):
-            tunnel.overdue(now)
+            tunnel.check_timeouts(now)
         if not self.closing or self.live:
-            self.loop.call_later(LOOK, self.look)
+            self.loop.call_later(TIMEOUT_CHECK_INTERVAL_S, self.check_all_timeouts)
 
-    def renew(self, config: Tunnel, table: Table) -> None:
-        """A reload: new tunnels go by the new table; those whose route is gone end in order."""
+    def reload(self, config: Tunnel, table: Table) -> None:
+        """Applies a reload: new tunnels use the new routes; open ones without a route are drained."""
         self.config, self.table = config, table
         for tunnel in list(self.live):
-            if tunnel.open and tunnel.asked_at is not None and table.find(tunnel.asked_at) is None:
-                tunnel.upstream_drains()
+            if tunnel.open and tunnel.destination is not None and table.find(tunnel.destination) is None:
+                tunnel.on_upstream_drain()
 
-    # --- the process's end
+    # --- shutdown
 
-    def waiting(self) -> bool:
+    def has_pending_connections(self) -> bool:
+        """Whether a connection waits to be accepted or is being set up."""
         poll = select.poll()
-        for made, _ in self.sockets:
-            poll.register(made, select.POLLIN)
-        return bool(poll.poll(0)) or bool(self.taking)
+        for listener, _ in self.sockets:
+            poll.register(listener, select.POLLIN)
+        return bool(poll.poll(0)) or bool(self.accept_tasks)
 
     def stop_accepting(self) -> None:
+        """Closes the listeners."""
         self.closing = True
-        for made, _ in self.sockets:
-            self.loop.remove_reader(made)
-            made.close()
+        for listener, _ in self.sockets:
+            self.loop.remove_reader(listener)
+            listener.close()
         self.sockets = []
 
     def drain(self) -> None:
-        """The process leaves: opaque tunnels end their half toward the upstream, answers still come."""
+        """Closes the half of each opaque tunnel towards its upstream; answers are still relayed."""
         for tunnel in list(self.live):
-            if tunnel.open and not tunnel.draining:
+            if tunnel.open and not tunnel.sending_stopped:
                 tunnel.stop_sending()
 
     def close(self) -> None:
--- a/shedgrade/sidecar/tunnel/relay.py
+++ b/shedgrade/sidecar/tunnel/relay.py
@@ -1,7 +1,7 @@
-"""The two sides of an opaque tunnel: bytes both ways, bounded, half-closes kept. Decides nothing.
+"""The two sides of an opaque tunnel: relays bytes in both directions, with bounded buffers and half-closes.
 
-Each side reads only while the other has room (`most` bytes wait at the most), so a peer that reads nothing
-stops its other end, not this process's memory.
+Each side is read only while the write buffer of the other has room (`max_buffered` bytes at the most), so a
+peer that stops reading makes its counterpart wait instead of growing this process's memory.
 """
 
 import asyncio
@@ -10,27 +10,38 @@
 import struct
 
 
-class Side(asyncio.Protocol):
-    """What both sides share. `peer` is the other one, once there is one."""
+class TunnelSide(asyncio.Protocol):
+    """Behaviour that both sides share.
 
-    def __init__(self, most: int) -> None:
-        self.most, self.transport, self.peer = most, None, None
-        self.moved = 0  # bytes that came in here
-        self.paused = False  # not read from, for lack of room on the other side
-        self.ended = self.lost = False  # its end of file has come; the connection is gone
-        self.used = 0.0
+    Attributes:
+        max_buffered: the limit of the write buffer, in bytes.
+        peer: the other side, once the tunnel is open.
+        bytes_received: bytes that arrived on this side.
+        paused: this side is not read because the other side's write buffer is full.
+        eof_seen: this side has sent its end of file.
+        lost: the connection is closed.
+        last_active: the event loop's time of the last byte in either direction, in seconds.
+    """
+
+    def __init__(self, max_buffered: int) -> None:
+        self.max_buffered, self.transport, self.peer = max_buffered, None, None
+        self.bytes_received = 0
+        self.paused = False
+        self.eof_seen = self.lost = False
+        self.last_active = 0.0
 
     def connection_made(self, transport) -> None:
         self.transport = transport
-        transport.set_write_buffer_limits(high=self.most)
-        self.used = asyncio.get_running_loop().time()
+        transport.set_write_buffer_limits(high=self.max_buffered)
+        self.last_active = asyncio.get_running_loop().time()
 
-    def join(self, peer: "Side") -> None:
+    def join(self, peer: "TunnelSide") -> None:
+        """Makes the two sides each other's peer."""
         self.peer, peer.peer = peer, self
 
     def data_received(self, data: bytes) -> None:
-        self.moved += len(data)
-        self.used = self.peer.used = asyncio.get_running_loop().time()
+        self.bytes_received += len(data)
+        self.last_active = self.peer.last_active = asyncio.get_running_loop().time()
         if not self.peer.transport.is_closing():
             self.peer.transport.write(data)
 
@@ -40,33 +51,34 @@
             self.peer.paused = True
 
     def resume_writing(self) -> None:
-        if self.peer is not None and not self.peer.transport.is_closing() and not self.peer.held():
+        if self.peer is not None and not self.peer.transport.is_closing() and not self.peer.is_read_blocked():
             self.peer.transport.resume_reading()
             self.peer.paused = False
 
-    def unsent(self) -> int:
+    def unsent_bytes(self) -> int:
+        """Bytes in the write buffer; 0 if the transport is closing."""
         return 0 if self.transport.is_closing() else self.transport.get_write_buffer_size()
 
-    def broken(self) -> bool:
-        """Reset while nothing is read from it, which the loop does not see."""
+    def was_reset(self) -> bool:
+        """Whether the connection was reset while it is not read, which the event loop does not notice."""
         if not self.paused or self.transport.is_closing():
             return False
         poll = select.poll()
         poll.register(self.transport.get_extra_info("socket").fileno(), 0)
         return any(event & (select.POLLERR | select.POLLHUP) for _, event in poll.poll(0))
 
-    def held(self) -> bool:
-        """Nothing may be read from it now, whatever room there is."""
+    def is_read_blocked(self) -> bool:
+        """Whether reading must stay paused even if the other side has room."""
         return False
 
     def eof_received(self) -> bool:
-        """Its half is over: the other side is told, and goes on in its own direction."""
-        self.ended = True
+        """Passes the end of file on; the other direction stays open."""
+        self.eof_seen = True
         if self.peer is None:
             return False
         if not self.peer.transport.is_closing() and self.peer.transport.can_write_eof():
             self.peer.transport.write_eof()
-        if self.peer.ended:
+        if self.peer.eof_seen:
             self.peer.transport.close()
             return False
         return True
@@ -76,7 +88,7 @@
             self.transport.abort()
 
     def reset(self) -> None:
-        """Ends with a reset: an orderly end would tell the other side that all had come."""
+        """Ends with a reset: a graceful close would tell the peer that all bytes had arrived."""
         if self.transport.is_closing():
             return
         handle = socket.socket(fileno=self.transport.get_extra_info("socket").fileno())
@@ -89,10 +101,11 @@
         self.transport.abort()
 
 
-class StreamLink(Side):
-    """The upstream's side: the transmission that counts in flight for as long as this is open."""
+class StreamLink(TunnelSide):
+    """The upstream's side. Its transmission counts as in flight for as long as the connection is open."""
 
-    whole = True  # whatever is opened may have run, as far as anybody here can tell
+    # The upstream may have executed whatever was sent, since the bytes of a tunnel are not parsed.
+    maybe_executed = True
 
     def __init__(self, connections, upstream: int, address: tuple[str, int]) -> None:
         super().__init__(connections.stream_buffer)
@@ -102,13 +115,14 @@
         self.failure: Exception | None = None
 
     def may_have_run(self) -> bool:
-        return self.whole
+        return self.maybe_executed
 
     def connection_made(self, transport) -> None:
         super().connection_made(transport)
-        transport.pause_reading()  # until the client's side is told
+        transport.pause_reading()  # until the client's side is open
 
     def begin(self, transmission, now: int) -> None:
+        """Starts the transmission of an opened tunnel and counts it with the upstream's streams."""
         self.transmission, transmission.link, transmission.first_on_connection = transmission, self, True
         self.connections.streams.setdefault(self.upstream, set()).add(self)
         self.connections.dispatcher.stream_opened(transmission)
@@ -129,19 +143,19 @@
                 transmission, load_balancing.DROPPED if failure else load_balancing.COMPLETED, None
             )
         if self.peer is not None:
-            self.peer.other_lost(failure)
+            self.peer.peer_closed(failure)
 
     def abort(self) -> None:
-        """Stopped by the turn: its end is told there, not here."""
+        """Aborts for the dispatcher, which records the end of the transmission itself."""
         self.transmission = None
         super().abort()
 
     cut = abort
 
     def drain(self) -> None:
-        """The upstream drains or is gone: from the grace on nothing new goes to it, its answers still
-        come."""
+        """The upstream drains or was removed: nothing new is sent to it after the grace, its answers are
+        still relayed."""
         if not self.draining:
             self.draining = True
             if self.peer is not None:
-                self.peer.upstream_drains()
+                self.peer.on_upstream_drain()
