--- a/shedgrade/simulation/system/patched_modules.py
+++ b/shedgrade/simulation/system/patched_modules.py
@@ -1,7 +1,7 @@
-"""Stand-ins for modules of the standard library, for the programs' modules that open sockets by themselves.
+"""Replacements for standard library modules in the programs' modules that open sockets themselves.
 
-The peer transport and the HTTP server open sockets by `socket` and hand them to their loop. While
-`patched_modules()` lasts, those modules see a `socket` whose sockets are of the process that runs then.
+The peer transport and the HTTP server open sockets through `socket` and pass them to their event loop. Inside
+`patched_modules()` these modules use a simulated `socket`, whose sockets belong to the running process.
 """
 
 from __future__ import annotations
@@ -25,32 +25,32 @@
 
 
 def running_loop() -> ProcessLoop:
-    """The loop of the simulated process that runs now. RuntimeError if none does."""
+    """The event loop of the running simulated process. RuntimeError if none is running."""
     loop = events._get_running_loop()
     if not isinstance(loop, ProcessLoop):
-        raise RuntimeError("no simulated process runs now")
+        raise RuntimeError("no simulated process is running")
     return loop
 
 
 def new_socket() -> SimulatedSocket:
-    """A new socket of the process that runs now."""
+    """A new socket of the running process."""
     loop = running_loop()
     return network_of(loop).socket(loop)
 
 
 def open_socket(descriptor: int) -> SimulatedSocket | None:
-    """The open socket with that descriptor."""
+    """The open socket with this descriptor, None if there is none."""
     return network_of(running_loop()).sockets.get(descriptor)
 
 
 def network_of(loop: ProcessLoop) -> Network:
-    """The network that makes a loop's sockets."""
+    """The network of a loop's sockets."""
     assert isinstance(loop.network, Network)
     return loop.network
 
 
 class SocketModule:
-    """Stands for the module `socket`."""
+    """Replaces the module `socket`."""
 
     def __getattr__(self, name: str) -> object:
         return getattr(socket, name)
@@ -59,14 +59,14 @@
     def socket(
         family: int = 0, kind: int = 0, protocol: int = 0, fileno: int | None = None
     ) -> SimulatedSocket | BorrowedSocket:
-        """A new socket, or a second hold of an open one."""
+        """A new socket, or a second socket object for the open descriptor `fileno`."""
         if fileno is None:
             return new_socket()
         return BorrowedSocket(open_socket(fileno))
 
     @staticmethod
     def create_server(address: Address, **more: Any) -> SimulatedSocket:
-        """A new listening socket."""
+        """A new socket that listens at `address`."""
         handle = new_socket()
         handle.bind(address)
         handle.listen()
@@ -74,30 +74,31 @@
 
 
 class BorrowedSocket:
-    """A second hold of an open socket, by its descriptor."""
+    """A second socket object for an open descriptor."""
 
     def __init__(self, handle: SimulatedSocket | None) -> None:
         self.handle = handle
 
     def shutdown(self, how: int) -> None:
-        """As `socket.shutdown`. OSError if the socket is closed."""
+        """As `socket.shutdown`. OSError if the descriptor is closed."""
         if self.handle is None:
-            raise OSError("no such socket")
+            raise OSError("no open socket with this descriptor")
         self.handle.shutdown(how)
 
     def detach(self) -> None:
-        """The other hold stays."""
+        """Does nothing: the first socket object keeps the descriptor."""
 
 
 class Poll:
-    """Stands for `select.poll`: whether a listening socket has connections, or the other side of one has
-    ended it."""
+    """Replaces `select.poll`: a listening socket is ready if connections wait, a connected one if the other
+    side has ended the connection."""
 
     def __init__(self) -> None:
         self.handles: list[SimulatedSocket] = []
 
     def register(self, target: SimulatedSocket | int, events: int) -> None:
-        """Watches a socket, or the one with that descriptor. ValueError if it is closed."""
+        """Adds a socket, by itself or by its descriptor. ValueError if it is closed; a descriptor that is not
+        open is ignored."""
         handle = open_socket(target) if isinstance(target, int) else target
         if handle is None:
             return
@@ -106,23 +107,24 @@
         self.handles.append(handle)
 
     def poll(self, timeout: float) -> list[SimulatedSocket]:
-        """Those that are ready now; it never waits."""
+        """The sockets that are ready now. Never waits."""
         return [handle for handle in self.handles if handle.backlog or handle.other_side_ended()]
 
 
 class SelectModule:
-    """Stands for the module `select`."""
+    """Replaces the module `select`."""
 
     POLLIN, POLLRDHUP = select.POLLIN, select.POLLRDHUP
     poll = Poll
 
 
 class FcntlModule:
-    """Stands for `fcntl`: how many bytes of a connection its kernel holds."""
+    """Replaces the module `fcntl`: returns how many bytes of a connection its kernel holds."""
 
     @staticmethod
     def ioctl(descriptor: int, request: int, buffer: bytes) -> bytes:
-        """For FIONREAD (bytes unread) and TIOCOUTQ (bytes not acknowledged)."""
+        """Supports FIONREAD (bytes unread) and TIOCOUTQ (bytes not acknowledged). OSError if the descriptor
+        is not a connected socket."""
         handle = open_socket(descriptor)
         if handle is None or handle.endpoint is None:
             raise OSError(errno.EBADF, os.strerror(errno.EBADF))
@@ -134,28 +136,28 @@
 
 
 class NoCollector:
-    """Stands for `gc` in programs that collect once at their start: one interpreter holds them all."""
+    """Replaces `gc` in programs that collect garbage at their start: they all share one interpreter."""
 
     @staticmethod
     def collect() -> None:
-        """Left to the interpreter."""
+        """Does nothing: garbage collection is left to the interpreter."""
 
     @staticmethod
     def freeze() -> None:
-        """Left to the interpreter."""
+        """Does nothing: garbage collection is left to the interpreter."""
 
 
 class SteadyClock:
-    """Stands for `shedgrade.runtime.clock.Clock`: the steady clock of the process that runs."""
+    """Replaces `shedgrade.runtime.clock.Clock`: the steady clock of the running process."""
 
     @staticmethod
     def now() -> int:
-        """In tenths of a millisecond."""
+        """The time in tenths of a millisecond."""
         return int(running_loop().time() * 10_000)
 
     @staticmethod
     def on_monotonic(at: float) -> float:
-        """A reading in seconds."""
+        """Converts a time of this clock to seconds."""
         return at / 10_000
 
 
@@ -176,7 +178,7 @@
 
 
 class Replaced(NamedTuple):
-    """What was replaced in a module."""
+    """A module's attribute that was replaced, with its original value."""
 
     module: ModuleType
     name: str
@@ -185,7 +187,7 @@
 
 @contextmanager
 def patched_modules() -> Iterator[None]:
-    """Simulated sockets are in place for as long as the block lasts; it may stand inside another."""
+    """Installs the replacements for the duration of the block. Blocks may be nested."""
     replaced: list[Replaced] = []
     try:
         for module, name, stand_in in REPLACED:
--- a/shedgrade/simulation/system/process_loop.py
+++ b/shedgrade/simulation/system/process_loop.py
@@ -1,7 +1,7 @@
 """The event loop of a simulated process.
 
-`ProcessLoop` is the part of `asyncio.AbstractEventLoop` that the programs use. A process that is stopped
-keeps its events until it is thawed; one that has ended runs none any more.
+`ProcessLoop` implements the part of `asyncio.AbstractEventLoop` that the programs use. A process that is
+stopped keeps its events until it is resumed; a process that has ended runs none.
 """
 
 from __future__ import annotations
@@ -16,7 +16,7 @@
 
 T = TypeVar("T")
 ProtocolFactory = Callable[[], Any]
-Context = dict[str, Any]  # as asyncio hands it to exception handlers
+Context = dict[str, Any]  # as asyncio passes it to exception handlers
 
 
 class LoopSocket(Protocol):
@@ -26,28 +26,28 @@
 
     @property
     def backlog(self) -> Sized:
-        """Connections that are not accepted yet."""
+        """Connections that the process has not accepted yet."""
 
     def fileno(self) -> int:
-        """Its descriptor."""
+        """The file descriptor."""
 
     def bind(self, address: Address) -> None:
-        """Takes a local address."""
+        """Binds the socket to a local address."""
 
     def listen(self, backlog: int = 0) -> None:
-        """Accepts connections from now on."""
+        """Starts to accept connections."""
 
     def accept(self) -> tuple[LoopSocket, Address]:
-        """The next connection."""
+        """Takes the next connection and its peer's address."""
 
     def attach(self, protocol: Any) -> tuple[asyncio.Transport, Any]:
-        """Makes the transport of a connected socket."""
+        """Makes the transport of a connected socket, and returns it with its protocol."""
 
     def close(self) -> None:
-        """Closes it."""
+        """Closes the socket."""
 
     def lose_power(self) -> None:
-        """Its machine forgets it."""
+        """Drops the socket without a packet to the other side, as the machine loses power."""
 
 
 class LoopNetwork(Protocol):
@@ -57,10 +57,10 @@
         """A new socket of the loop's process."""
 
     async def connect(self, handle: Any, address: Address) -> None:
-        """Connects a socket."""
+        """Connects a socket to an address."""
 
     def open_datagrams(self, handle: Any, protocol: Any) -> tuple[asyncio.DatagramTransport, Any]:
-        """Makes the transport of a bound UDP socket."""
+        """Makes the transport of a bound UDP socket, and returns it with its protocol."""
 
 
 class BoundCall(NamedTuple):
@@ -70,21 +70,21 @@
     args: tuple[Any, ...]
 
     def __call__(self) -> None:
-        """Calls it."""
+        """Calls the callback."""
         self.callback(*self.args)
 
 
 class ProcessLoop(asyncio.AbstractEventLoop):
-    """The event loop of one process, on the shared time.
+    """The event loop of one process, in virtual time.
 
     Attributes:
-        offset: reading of the process's steady clock at virtual time 0, seconds.
-        alive: the process has not ended.
-        stopped: the process stands still (SIGSTOP).
-        held_events: what fell due while it was stopped; empty otherwise.
-        faults: contexts that reached `call_exception_handler`.
+        offset: reading of the process's steady clock at virtual time 0, s.
+        alive: whether the process has not ended.
+        stopped: whether the process is stopped (SIGSTOP).
+        held_events: events that fell due while the process was stopped; empty otherwise.
+        faults: contexts that were passed to `call_exception_handler`.
         sockets: open sockets of the process.
-        readers: by descriptor, what is called when a listening socket has connections.
+        readers: callback of each listening socket for new connections, by descriptor.
     """
 
     def __init__(
@@ -106,7 +106,7 @@
     # --- running
 
     def run_event(self, event: Event) -> None:
-        """Runs an event that is due."""
+        """Runs an event that is due. Holds it while the process is stopped, drops it after its end."""
         if not self.alive:
             return
         if self.stopped:
@@ -119,17 +119,18 @@
         events._set_running_loop(self)
         try:
             callback(*args)
-        except Exception as failure:  # as any event loop: a callback that fails doesn't end the process
+        except Exception as failure:  # as in any event loop, a failing callback does not end the process
             self.call_exception_handler({"message": "a callback failed", "exception": failure})
         finally:
             events._set_running_loop(None)
 
     def stop_process(self) -> None:
-        """SIGSTOP."""
+        """Stops the process, as by SIGSTOP."""
         self.stopped = True
 
     def thaw(self, io_first: bool) -> None:
-        """SIGCONT. What fell due runs now: timers in the order of their times, and what sockets have."""
+        """Resumes the process, as by SIGCONT. The held events run now: timers in the order of their due
+        times, socket events before them if `io_first`, else after them."""
         if not self.stopped:
             return
         self.stopped = False
@@ -140,18 +141,18 @@
             self.virtual_time.push(self.virtual_time.now, event)
 
     def end(self) -> None:
-        """The process is gone; its sockets are the network's matter."""
+        """Ends the process: no more events run. Its sockets stay open; the caller closes them."""
         self.alive = False
         self.held_events = []
 
-    # --- what a program asks of its loop
+    # --- asyncio's interface
 
     def time(self) -> float:
-        """The process's steady clock, seconds."""
+        """The process's steady clock, s."""
         return self.virtual_time.now + self.offset
 
     def call_soon(self, callback: Callback, *args: Any, context: Any = None) -> Event:  # type: ignore[override]
-        """As asyncio's; the handle is an `Event`."""
+        """As in asyncio; the handle is an `Event`."""
         now = self.virtual_time.now
         event = Event(self, callback, args, now + self.offset)
         self.virtual_time.push(now, event)
@@ -160,78 +161,78 @@
     call_soon_threadsafe = call_soon  # type: ignore[assignment]
 
     def io_soon(self, callback: Callback, *args: Any) -> None:
-        """A socket of this process is ready."""
+        """Schedules a callback for a socket of this process that is ready."""
         now = self.virtual_time.now
         self.virtual_time.push(now, Event(self, callback, args, now + self.offset, True))
 
     def call_later(self, delay: float, callback: Callback, *args: Any, context: Any = None) -> Event:  # type: ignore[override]
-        """As asyncio's; the handle is an `Event`."""
+        """As in asyncio; the handle is an `Event`."""
         return self.call_at(self.time() + delay, callback, *args)
 
     def call_at(self, when: float, callback: Callback, *args: Any, context: Any = None) -> Event:  # type: ignore[override]
-        """As asyncio's; the handle is an `Event`."""
+        """As in asyncio; the handle is an `Event`."""
         event = Event(self, callback, args, when)
         self.virtual_time.push(when - self.offset, event)
         return event
 
     def create_future(self) -> asyncio.Future[Any]:
-        """As asyncio's."""
+        """As in asyncio."""
         return asyncio.Future(loop=self)
 
     def create_task(  # type: ignore[override]
         self, coro: Coroutine[Any, Any, T], *, name: str | None = None, context: Any = None
     ) -> asyncio.Task[T]:
-        """As asyncio's."""
+        """As in asyncio."""
         return asyncio.Task(coro, loop=self, name=name)
 
     def get_debug(self) -> bool:
-        """Never in debug mode."""
+        """Always False."""
         return False
 
     def is_running(self) -> bool:
-        """Until the process has ended."""
+        """Whether the process has not ended."""
         return self.alive
 
     def is_closed(self) -> bool:
-        """Once the process has ended."""
+        """Whether the process has ended."""
         return not self.alive
 
     def set_exception_handler(self, handler: Callable[[ProcessLoop, Context], object] | None) -> None:  # type: ignore[override]
-        """As asyncio's."""
+        """As in asyncio."""
         self.exception_handler = handler
 
     def call_exception_handler(self, context: Context) -> None:
-        """Keeps the context as a fault, and hands it to the program's handler."""
+        """Records the context as a fault, and passes it to the program's handler."""
         if not self.alive:
-            return  # tasks of a process that ended are destroyed while they wait
+            return  # the pending tasks of a process that has ended are destroyed
         self.faults.append(context)
         if self.exception_handler is not None:
             self.exception_handler(self, context)
 
     def add_signal_handler(self, sig: int, callback: Callback, *args: Any) -> None:  # type: ignore[override]
-        """As asyncio's."""
+        """As in asyncio."""
         self.signal_handlers[sig] = BoundCall(callback, args)
 
     def remove_signal_handler(self, sig: int) -> bool:
-        """As asyncio's."""
+        """As in asyncio."""
         return self.signal_handlers.pop(sig, None) is not None
 
     def signal(self, number: int) -> None:
-        """The process gets a signal that it handles."""
+        """Delivers a signal to the process. KeyError if it has no handler for the signal."""
         callback, args = self.signal_handlers[number]
         self.io_soon(callback, *args)
 
     # --- sockets
 
     def add_reader(self, fd: LoopSocket, callback: Callback, *args: Any) -> None:  # type: ignore[override]
-        """As asyncio's, for listening sockets only."""
+        """As in asyncio, for listening sockets only."""
         self.readers[fd.fileno()] = BoundCall(callback, args)
         fd.on_backlog = lambda: self.run_reader(fd)
         if fd.backlog:
             self.io_soon(self.run_reader, fd)
 
     def run_reader(self, handle: LoopSocket) -> None:
-        """A listening socket has connections: its reader is called as long as there are any."""
+        """Calls the reader of a listening socket, repeatedly as long as connections wait."""
         reader = self.readers.get(handle.fileno())
         if reader is not None:
             reader()
@@ -239,12 +240,12 @@
                 self.io_soon(self.run_reader, handle)
 
     def remove_reader(self, fd: LoopSocket) -> bool:  # type: ignore[override]
-        """As asyncio's."""
+        """As in asyncio."""
         fd.on_backlog = None
         return self.readers.pop(fd.fileno(), None) is not None
 
     async def sock_connect(self, sock: LoopSocket, address: Address) -> None:  # type: ignore[override]
-        """As asyncio's."""
+        """As in asyncio."""
         await self.network.connect(sock, address)
 
     async def create_connection(  # type: ignore[override]
@@ -256,7 +257,7 @@
         sock: LoopSocket | None = None,
         **more: Any,
     ) -> tuple[asyncio.Transport, Any]:
-        """As asyncio's."""
+        """As in asyncio."""
         if sock is None:
             sock = self.network.socket(self)
             await self.network.connect(sock, (host, port))
@@ -265,7 +266,7 @@
     async def connect_accepted_socket(  # type: ignore[override]
         self, protocol_factory: ProtocolFactory, sock: LoopSocket, **more: Any
     ) -> tuple[asyncio.Transport, Any]:
-        """As asyncio's."""
+        """As in asyncio."""
         return sock.attach(protocol_factory())
 
     async def create_server(  # type: ignore[override]
@@ -277,7 +278,7 @@
         sock: LoopSocket | None = None,
         **more: Any,
     ) -> SimulatedServer:
-        """As asyncio's."""
+        """As in asyncio."""
         if sock is None:
             sock = self.network.socket(self)
             sock.bind((host, port))
@@ -295,23 +296,23 @@
     async def create_datagram_endpoint(  # type: ignore[override]
         self, protocol_factory: ProtocolFactory, *, sock: LoopSocket | None = None, **more: Any
     ) -> tuple[asyncio.DatagramTransport, Any]:
-        """As asyncio's, with a bound socket."""
+        """As in asyncio, with a bound socket."""
         return self.network.open_datagrams(sock, protocol_factory())
 
 
 def new_process_loop(
     virtual_time: VirtualTime, network: LoopNetwork, host: Host, offset: float = 0.0
 ) -> ProcessLoop:
-    """The loop of a new process. What it lacks of an event loop the programs don't use."""
+    """Makes the event loop of a new process. Programs do not use the abstract methods that it lacks."""
     return ProcessLoop(virtual_time, network, host, offset)  # type: ignore[abstract]
 
 
 class SimulatedServer:
-    """What `create_server` gives back."""
+    """The server that `create_server` returns."""
 
     def __init__(self, socket: LoopSocket) -> None:
         self.socket = socket
 
     def close(self) -> None:
-        """Accepts no more connections."""
+        """Stops accepting connections."""
         self.socket.close()
--- a/shedgrade/simulation/system/simulated_socket.py
+++ b/shedgrade/simulation/system/simulated_socket.py
@@ -1,4 +1,4 @@
-"""What stands for `socket.socket` in a simulated process."""
+"""The replacement for `socket.socket` in a simulated process."""
 
 from __future__ import annotations
 
@@ -22,22 +22,22 @@
         """A free local port."""
 
     def start_listening(self, handle: SimulatedSocket) -> None:
-        """Connections to the address of a socket go to it."""
+        """Directs connections to the socket's address to this socket."""
 
     def forget(self, handle: SimulatedSocket) -> None:
-        """A socket is closed."""
+        """Removes a socket that is closed, or whose machine lost power."""
 
 
 class SimulatedSocket:
     """A socket: listening, connected, or bound for datagrams.
 
     Attributes:
-        descriptor: its number while it is open.
+        descriptor: its file descriptor while it is open.
         address, peer_address: None until they are known.
-        backlog: accepted by the kernel, and not by the process; only of a listening socket.
+        backlog: connections accepted by the kernel and not by the process; only of a listening socket.
         on_backlog: called when the backlog grows.
-        endpoint: its side of a connection, None if it has none.
-        user_timeout: TCP_USER_TIMEOUT in seconds, 0 for none.
+        endpoint: the socket's side of a connection; None if it has none.
+        user_timeout: TCP_USER_TIMEOUT, s; 0: none.
         keepalive: SO_KEEPALIVE.
     """
 
@@ -56,48 +56,48 @@
 
     @property
     def host(self) -> Host:
-        """The machine of its process."""
+        """The machine of the socket's process."""
         return self.loop.host
 
     def setblocking(self, flag: bool) -> None:
-        """They never block."""
+        """Does nothing: simulated sockets never block."""
 
     def setsockopt(self, level: int, option: int, value: int) -> None:
-        """Takes the options that the simulation knows; others do nothing."""
+        """Sets an option that the simulation supports; ignores all others."""
         if level == socket.IPPROTO_TCP and option == socket.TCP_USER_TIMEOUT:
             self.user_timeout = value / 1000
         elif level == socket.SOL_SOCKET and option == socket.SO_KEEPALIVE:
             self.keepalive = bool(value)
 
     def bind(self, address: Address) -> None:
-        """Takes a local address; port 0 is any free one."""
+        """Binds the socket to a local address; port 0 selects a free port."""
         self.address = address[0], address[1] or self.network.next_port()
 
     def listen(self, backlog: int = 0) -> None:
-        """Accepts connections from now on."""
+        """Starts to accept connections."""
         self.network.start_listening(self)
 
     def add_to_backlog(self, handle: SimulatedSocket) -> None:
-        """A connection has come; the process accepts it when it runs."""
+        """Adds a connection, which the process accepts when it runs."""
         self.backlog.append(handle)
         if self.on_backlog is not None:
             self.loop.io_soon(self.take_backlog)
 
     def take_backlog(self) -> None:
-        """Calls the process's reader, if there are still connections."""
+        """Calls the process's reader if connections still wait to be accepted."""
         if self.open and self.backlog and self.on_backlog is not None:
             self.on_backlog()
 
     def accept(self) -> tuple[SimulatedSocket, Address]:
-        """The next connection and its peer's address. BlockingIOError if there is none."""
+        """Takes the next connection and its peer's address. BlockingIOError if there is none."""
         if not self.backlog:
             raise BlockingIOError(errno.EAGAIN, os.strerror(errno.EAGAIN))
         handle = self.backlog.popleft()
-        assert handle.peer_address is not None, "a connection without a peer"
+        assert handle.peer_address is not None, "an accepted connection has no peer address"
         return handle, handle.peer_address
 
     def attach(self, protocol: Any) -> tuple[StreamTransport, Any]:
-        """Makes the transport of a connected socket."""
+        """Makes the transport of a connected socket, and returns it with its protocol."""
         endpoint = self.endpoint
         assert endpoint is not None, "not connected"
         transport = StreamTransport(self, endpoint, protocol)
@@ -108,25 +108,25 @@
         return transport, protocol
 
     def other_side_ended(self) -> bool:
-        """A FIN, a reset or a failure has come, whether its process has read it or not."""
+        """Whether a FIN, a reset or a failure has arrived, read by the process or not."""
         endpoint = self.endpoint
         return endpoint is not None and (not endpoint.open or endpoint.incoming.end_arrived)
 
     def fileno(self) -> int:
-        """Its descriptor; -1 once it is closed."""
+        """The file descriptor; -1 once the socket is closed."""
         return self.descriptor if self.open else -1
 
     def getsockname(self) -> Address | None:
-        """Its local address."""
+        """The local address."""
         return self.address
 
     def shutdown(self, how: int) -> None:
-        """Does nothing. OSError if it isn't connected."""
+        """Does nothing. OSError if the socket is not connected."""
         if self.endpoint is None or not self.endpoint.open:
             raise OSError(errno.ENOTCONN, os.strerror(errno.ENOTCONN))
 
     def close(self) -> None:
-        """Closes it, and connections that the process has not accepted."""
+        """Closes the socket, and the connections that the process has not accepted."""
         if not self.open:
             return
         self.network.forget(self)
@@ -139,7 +139,7 @@
             self.endpoint.close()
 
     def lose_power(self) -> None:
-        """The machine forgets it without a word."""
+        """Drops the socket without a packet to the other side, as the machine loses power."""
         self.network.forget(self)
         self.open = False
         if self.endpoint is not None:
--- a/shedgrade/simulation/system/stream_transport.py
+++ b/shedgrade/simulation/system/stream_transport.py
@@ -1,4 +1,4 @@
-"""A simulated process's hold of one side of a TCP connection, as asyncio knows it."""
+"""The asyncio transport of a simulated process for one side of a TCP connection."""
 
 from __future__ import annotations
 
@@ -22,7 +22,7 @@
 
     @property
     def loop(self) -> ProcessLoop:
-        """Of its process."""
+        """The event loop of the socket's process."""
 
     @property
     def address(self) -> Address | None:
@@ -33,18 +33,19 @@
         """The address of the other side."""
 
     def close(self) -> None:
-        """Closes it."""
+        """Closes the socket."""
 
 
 class StreamTransport(asyncio.Transport):
-    """The process's hold of one side.
+    """The transport by which a process uses one side of a connection.
 
     Attributes:
         high_water, low_water: bytes in the write buffer above which the protocol pauses writing, and below
             which it resumes.
-        closing: the process closes it; what it wrote is still sent.
-        closed: the protocol's connection is lost, or will be in the next event.
-        paused_reading, paused_writing: by the protocol, and of the protocol.
+        closing: whether the process has closed the transport; bytes that it wrote before are still sent.
+        closed: whether the protocol's `connection_lost` was called or is scheduled.
+        paused_reading: whether the protocol has paused reading.
+        paused_writing: whether the transport has paused the protocol's writing.
     """
 
     def __init__(self, handle: TransportSocket, endpoint: Endpoint, protocol: Any) -> None:
@@ -64,20 +65,20 @@
     # --- state
 
     def loop_ended(self) -> bool:
-        """The process is gone."""
+        """Whether the process has ended."""
         return not self.loop.alive
 
     def io_soon(self, callback: Callable[..., Any]) -> None:
-        """Calls back in the process, as its loop does when a socket is ready."""
+        """Schedules a callback in the process, as its loop does when a socket is ready."""
         self.loop.io_soon(callback)
 
     @property
     def waits_for_room(self) -> bool:
-        """The process waits until what it wrote has left it."""
+        """Whether the process waits for written bytes to leave it."""
         return not self.closed and (self.paused_writing or self.closing)
 
     def get_extra_info(self, name: str, default: Any = None) -> Any:
-        """As asyncio's, for "socket", "peername" and "sockname"."""
+        """As in asyncio, for "socket", "peername" and "sockname"."""
         values = {
             "socket": self.handle,
             "peername": self.handle.peer_address,
@@ -86,34 +87,34 @@
         return values.get(name, default)
 
     def is_closing(self) -> bool:
-        """As asyncio's."""
+        """As in asyncio."""
         return self.closing or self.closed
 
     def get_protocol(self) -> Any:
-        """As asyncio's."""
+        """As in asyncio."""
         return self.protocol
 
     # --- writing
 
     def set_write_buffer_limits(self, high: int | None = None, low: int | None = None) -> None:
-        """As asyncio's, in bytes."""
+        """As in asyncio, in bytes."""
         self.high_water = HIGH_WATER if high is None else high
         self.low_water = self.high_water // 4 if low is None else low
 
     def get_write_buffer_size(self) -> int:
-        """Bytes that the kernel has not taken."""
+        """Number of bytes that the kernel has not taken."""
         return max(0, self.endpoint.out.outstanding() - SEND_BUFFER)
 
     def can_write_eof(self) -> bool:
-        """As asyncio's."""
+        """As in asyncio."""
         return True
 
     def write_eof(self) -> None:
-        """As asyncio's."""
+        """As in asyncio."""
         self.endpoint.out.write(FIN)
 
     def write(self, data: Any) -> None:
-        """As asyncio's."""
+        """As in asyncio."""
         if self.closed or self.closing or not data:
             return
         self.endpoint.out.write(bytes(data))
@@ -123,7 +124,7 @@
             self.endpoint.out.schedule_push()
 
     def drained(self) -> None:
-        """Some of what was written has left the process."""
+        """Called when written bytes have left the process: resumes writing, or completes a close."""
         left = self.get_write_buffer_size()
         if self.paused_writing and left <= self.low_water:
             self.paused_writing = False
@@ -132,28 +133,28 @@
             self.finish(None)
 
     def resume_writing(self) -> None:
-        """The protocol may write again."""
+        """Tells the protocol that it may write again."""
         if not self.closed:
             self.protocol.resume_writing()
 
     # --- reading
 
     def pause_reading(self) -> None:
-        """As asyncio's."""
+        """As in asyncio."""
         self.paused_reading = True
 
     def resume_reading(self) -> None:
-        """As asyncio's."""
+        """As in asyncio."""
         if self.paused_reading:
             self.paused_reading = False
             self.endpoint.notify()
 
     def is_reading(self) -> bool:
-        """As asyncio's."""
+        """As in asyncio."""
         return not self.paused_reading and not self.is_closing()
 
     def read_all(self) -> None:
-        """Hands to the protocol what lies unread, until it pauses."""
+        """Passes unread bytes and ends to the protocol until it pauses reading."""
         stream = self.endpoint.incoming
         has_read = False
         while not (self.paused_reading or self.closing or self.closed):
@@ -163,10 +164,10 @@
             has_read = True
             self.hand_over(stream, item)
         if has_read and not self.closed and not self.closing and stream.queue:
-            stream.push()  # there is room in the window again
+            stream.push()  # the window has room again
 
     def hand_over(self, stream: Stream, item: Received) -> None:
-        """Gives bytes or an end to the protocol."""
+        """Passes bytes or an end to the protocol."""
         if isinstance(item, bytes):
             if self.buffered:
                 self.fill_buffer(stream, item)
@@ -180,7 +181,7 @@
             self.close()
 
     def fill_buffer(self, stream: Stream, data: bytes) -> None:
-        """Puts bytes into the buffer of a `BufferedProtocol`; what does not fit stays unread."""
+        """Copies bytes into the buffer of a `BufferedProtocol`; bytes that do not fit stay unread."""
         space = self.protocol.get_buffer(-1)
         size = min(len(space), len(data))
         space[:size] = data[:size]
@@ -189,10 +190,10 @@
         del space
         self.protocol.buffer_updated(size)
 
-    # --- the end
+    # --- closing
 
     def close(self) -> None:
-        """As asyncio's: what was written is still sent."""
+        """As in asyncio: bytes that were written are still sent."""
         if self.closing or self.closed:
             return
         self.closing = True
@@ -201,13 +202,13 @@
             self.endpoint.out.schedule_push()
 
     def abort(self) -> None:
-        """As asyncio's: what has not left the process is lost."""
+        """As in asyncio: bytes that have not left the process are lost."""
         out = self.endpoint.out
         out.truncate(out.outstanding() - SEND_BUFFER)
         self.finish(None)
 
     def finish(self, failure: Exception | None) -> None:
-        """Closes the socket; the protocol is told in the next event."""
+        """Closes the socket, and schedules the protocol's `connection_lost`."""
         if self.closed:
             return
         self.closed = True
--- a/shedgrade/simulation/system/tcp_connection.py
+++ b/shedgrade/simulation/system/tcp_connection.py
@@ -12,7 +12,7 @@
 from shedgrade.simulation.system.tcp_endpoint import Endpoint
 from shedgrade.simulation.system.tcp_stream import Paths, Stream
 
-KEEPALIVE_S = 3.0  # without contact, after which probes have found a connection dead
+KEEPALIVE_S = 3.0  # time without contact after which keep-alive probes end a connection
 
 
 class ConnectionNetwork(Paths, Protocol):
@@ -22,21 +22,21 @@
         """A new socket of a process."""
 
     def add_connection(self, connection: Connection) -> None:
-        """A connection is up."""
+        """Adds a connection that is established."""
 
     def remove_connection(self, connection: Connection) -> None:
-        """Nothing is left of a connection."""
+        """Removes a connection that has ended on both sides."""
 
 
 class Connection:
     """Both sides and both directions of a connection.
 
     Attributes:
-        client: the socket that dialled `address`.
-        random: draws the delays of this connection.
-        accepted: the opening packet has reached a listening socket.
-        closed: both sides have closed, and nothing is under way.
-        near, far: the side that dialled, and the other.
+        client: the socket that connected to `address`.
+        random: generator of this connection's delays.
+        accepted: whether the SYN has reached a listening socket.
+        closed: whether both sides have closed and nothing is left to send.
+        near, far: the endpoints of the client and of the server.
     """
 
     def __init__(
@@ -67,7 +67,7 @@
         self.far.check_invariants()
 
     def accept(self, listener: SimulatedSocket) -> None:
-        """The opening packet reached a listening socket."""
+        """Called when the SYN reaches a listening socket: adds the server's socket to its backlog."""
         self.accepted = True
         self.network.add_connection(self)
         self.near.contact_at = self.far.contact_at = self.network.time.now
@@ -79,30 +79,30 @@
         listener.add_to_backlog(handle)
 
     def established(self) -> None:
-        """The process that dialled knows that the connection is up."""
+        """Called when the client's process learns that the connection is established."""
         self.client.peer_address = self.address
 
     def path_unblocked(self, sender: str, receiver: str) -> None:
-        """A path is open again, by the IPs of its ends."""
+        """Called when the path from one IP to the other is open again."""
         for endpoint, other in ((self.near, self.far), (self.far, self.near)):
             if (endpoint.host.ip, other.host.ip) == (sender, receiver):
                 endpoint.out.path_unblocked()
                 endpoint.incoming.return_path_unblocked()
 
     def reset(self, by: Endpoint) -> None:
-        """`by` answers with RST what it doesn't know."""
+        """Sends RST from the endpoint `by`, in answer to bytes for a connection that is not open there."""
         other = self.far if by is self.near else self.near
         network = self.network
         if not network.blocked(by.host, other.host):
             network.time.after(network.delay(by.host, other.host, self.random), other.reset_arrived)
 
     def reset_both(self) -> None:
-        """A fault: both sides find the connection reset."""
+        """Resets the connection on both sides, as an injected fault."""
         self.near.reset_arrived()
         self.far.reset_arrived()
 
     def check_timeouts(self, now: float) -> None:
-        """Ends a side whose bytes stay unacknowledged, or that keep-alive probes find dead."""
+        """Fails each side whose bytes stay unacknowledged for too long or whose keep-alive probes fail."""
         if self.closed or self.close_if_over():
             return
         network, near, far = self.network, self.near, self.far
@@ -111,14 +111,14 @@
             self.check_timeout(endpoint, other, reachable, now)
 
     def check_timeout(self, endpoint: Endpoint, other: Endpoint, reachable: bool, now: float) -> None:
-        """One side's part of `check_timeouts`."""
+        """Checks the timeouts of one side."""
         handle = endpoint.handle
         if not endpoint.open or handle is None or not endpoint.host.powered:
             return
         if reachable and other.host.powered:
             endpoint.contact_at = now
             if other.power_lost and (handle.keepalive or endpoint.out.flight):
-                endpoint.reset_arrived()  # its probe found a machine that knows nothing of it
+                endpoint.reset_arrived()  # the other machine lost power and answers the probe with RST
                 return
         since = endpoint.out.unacknowledged_since()
         overdue = since is not None and handle.user_timeout > 0 and now - since > handle.user_timeout
@@ -126,7 +126,7 @@
             endpoint.fail(errno.ETIMEDOUT)
 
     def close_if_over(self) -> bool:
-        """Forgets the connection once both sides have closed and nothing is under way; whether it has."""
+        """Removes the connection if both sides have closed and nothing is left to send. Returns `closed`."""
         near, far = self.near, self.far
         if near.open or far.open:
             return self.closed
--- a/shedgrade/simulation/system/tcp_endpoint.py
+++ b/shedgrade/simulation/system/tcp_endpoint.py
@@ -1,4 +1,4 @@
-"""One side of a simulated TCP connection, as its machine's kernel has it."""
+"""One side of a simulated TCP connection, as its machine's kernel holds it."""
 
 from __future__ import annotations
 
@@ -15,30 +15,30 @@
     """The connection of an endpoint."""
 
     def reset(self, by: Endpoint) -> None:
-        """An endpoint answers with RST what it doesn't know."""
+        """Sends RST from an endpoint, in answer to bytes for a connection that is not open there."""
 
     def close_if_over(self) -> bool:
-        """Forgets the connection if nothing is left of it."""
+        """Removes the connection once both sides have closed and nothing is left to send."""
 
 
 class EndpointTransport(Protocol):
-    """The process's hold of an endpoint."""
+    """The transport by which a process uses an endpoint."""
 
     @property
     def waits_for_room(self) -> bool:
-        """The process has written more than the kernel takes."""
+        """Whether the process has written more than the kernel takes."""
 
     def drained(self) -> None:
-        """Some of what was written has left the process."""
+        """Called when written bytes have left the process."""
 
     def loop_ended(self) -> bool:
-        """The process is gone."""
+        """Whether the process has ended."""
 
     def io_soon(self, callback: Callable[..., Any]) -> None:
-        """Calls back in the process, as its loop does when a socket is ready."""
+        """Schedules a callback in the process, as its loop does when a socket is ready."""
 
     def read_all(self) -> None:
-        """Hands to the process what lies unread."""
+        """Passes the unread bytes and ends to the process."""
 
 
 class EndpointSocket(Protocol):
@@ -52,14 +52,14 @@
     """One side of a connection in its machine's kernel.
 
     Attributes:
-        transport: the process's hold, once there is one.
-        handle: the socket, once there is one.
-        open: the process has not closed it.
-        power_lost: the machine lost power, and the kernel knows nothing of the connection any more; it is
-            not open then.
-        notified: the process will be told that there is something to read.
-        contact_at: virtual time of the last sign of the other side.
-        out, incoming: the two directions.
+        transport: the process's transport; None until it is made.
+        handle: the socket; None until there is one.
+        open: whether the process has not closed the connection.
+        power_lost: whether the machine lost power, so that its kernel no longer has the connection; `open`
+            is False then.
+        notified: whether the process is already scheduled to read.
+        contact_at: virtual time of the last contact with the other side, s.
+        out, incoming: the streams of the two directions.
     """
 
     out: Stream
@@ -83,16 +83,16 @@
 
     @property
     def waits_for_room(self) -> bool:
-        """The process has written more than the kernel takes."""
+        """Whether the process has written more than the kernel takes."""
         return self.transport is not None and self.transport.waits_for_room
 
     def drained(self) -> None:
-        """Some of what was written has left the process."""
+        """Called when written bytes have left the process."""
         if self.transport is not None and self.transport.waits_for_room:
             self.transport.drained()
 
     def received(self, stream: Stream, payload: Payload) -> None:
-        """A segment has arrived. Bytes for a connection that is closed here are answered with RST."""
+        """Called when a segment arrives. Bytes for a connection that is not open are answered with RST."""
         if not self.open or self.power_lost:
             if isinstance(payload, bytes):
                 self.connection.reset(self)
@@ -103,7 +103,7 @@
         self.notify()
 
     def reset_arrived(self) -> None:
-        """The other side has answered with RST: nothing is sent any more."""
+        """Called when the other side's RST arrives: nothing more is sent, and the process reads the reset."""
         if self.open and self.host.powered:
             self.out.ended = True
             self.out.drop()
@@ -111,19 +111,19 @@
             self.notify()
 
     def notify(self) -> None:
-        """Tells the process that there is something to read."""
+        """Schedules the process to read."""
         if self.transport is not None and not self.notified and not self.transport.loop_ended():
             self.notified = True
             self.transport.io_soon(self.readable)
 
     def readable(self) -> None:
-        """The process reads."""
+        """Called in the process, which reads."""
         self.notified = False
         if self.transport is not None:
             self.transport.read_all()
 
     def fail(self, number: int) -> None:
-        """The kernel gives the connection up; `number`: the errno that the process reads."""
+        """Ends the connection with the error `number` (an errno), which the process reads."""
         if not self.open:
             return
         self.out.drop()
@@ -132,7 +132,7 @@
         self.notify()
 
     def close(self) -> None:
-        """The process lets go of it: FIN after what the kernel holds, RST if bytes lie unread."""
+        """Closes this side: sends FIN after the bytes that the kernel holds, RST if bytes are unread."""
         if not self.open:
             return
         self.open = False
@@ -143,11 +143,11 @@
             self.out.write(FIN)
         self.incoming.discard_unread()
         if self.incoming.queue:
-            self.incoming.push()  # there is room for what is answered by a reset
+            self.incoming.push()  # the window has room again; the bytes will be answered with RST
         self.connection.close_if_over()
 
     def lose_power(self) -> None:
-        """The machine forgets the connection without a word."""
+        """Drops the connection without a packet to the other side, as the machine loses power."""
         self.open = False
         self.power_lost = True
         self.out.drop()
--- a/shedgrade/simulation/system/tcp_segment.py
+++ b/shedgrade/simulation/system/tcp_segment.py
@@ -1,11 +1,11 @@
-"""What travels on a simulated TCP connection: bytes, and the end of a direction in line with them."""
+"""Segments of a simulated TCP connection: bytes, or the end of a direction in order with them."""
 
 from __future__ import annotations
 
 from enum import Enum
 
-SEND_BUFFER = 128 * 1024  # bytes that the sender's kernel takes from its process
-SEGMENT = 32 * 1024  # bytes that travel together at the most
+SEND_BUFFER = 128 * 1024  # bytes that the sender's kernel buffers for its process
+SEGMENT = 32 * 1024  # most bytes in one segment
 NEVER = float("inf")  # s
 
 
@@ -19,13 +19,14 @@
 FIN, RESET = EndOfStream.FIN, EndOfStream.RESET
 
 Payload = bytes | EndOfStream
-Received = Payload | OSError  # an OSError: the receiver's own kernel has given the connection up
+Received = Payload | OSError  # an OSError: the receiver's own kernel has ended the connection
 
 
 class Segment:
-    """Bytes, or an end, on their way. Times in s.
+    """Bytes or an end in transit. Times in s.
 
-    `acknowledged_at`: when its sender knows that it has arrived; infinite until that is known.
+    Attributes:
+        acknowledged_at: when the sender gets the acknowledgement; infinite until that time is known.
     """
 
     __slots__ = ("payload", "size", "sent_at", "delivered", "acknowledged_at")
--- a/shedgrade/simulation/system/tcp_stream.py
+++ b/shedgrade/simulation/system/tcp_stream.py
@@ -1,10 +1,10 @@
 """One direction of a simulated TCP connection.
 
-Bytes wait at the sender, travel in segments through a window, lie unread in the receiver's buffer and are
-read by its process, which may be stopped meanwhile. Ends of a direction (FIN, RST) travel and wait in line
-with the bytes, as what was received before a reset can still be read.
+Bytes are queued at the sender, sent in segments within a window, buffered unread at the receiver, and read by
+the receiver's process, which may be stopped meanwhile. The end of a direction (FIN or RST) is queued and sent
+in order with the bytes, because bytes that were received before a reset can still be read.
 
-A stream knows its two ends and its connection by the protocols of this module only.
+A stream uses its two endpoints and its connection only through the protocols of this module.
 """
 
 from __future__ import annotations
@@ -23,12 +23,12 @@
 )
 from shedgrade.simulation.system.virtual_time import VirtualTime
 
-HEADER_BYTES = 60  # of each segment on its link
-RESEND_WITHIN_S = 0.3  # of the end of a cut: what it held has been sent again
+HEADER_BYTES = 60  # added to each segment on its link
+RESEND_WITHIN_S = 0.3  # from the end of a cut until the segments that it held have been sent again
 
 
 class Paths(Protocol):
-    """The network, as streams see it. `window`: bytes that may be unread or under way in one direction."""
+    """The network, as streams use it. `window`: most bytes unread or in flight in one direction."""
 
     window: int
 
@@ -37,57 +37,57 @@
         """Virtual time."""
 
     def delay(self, sender: Host, receiver: Host, random: Random) -> float:
-        """Seconds that a packet is under way."""
+        """One-way delay of a packet, s."""
 
     def blocked(self, sender: Host, receiver: Host) -> bool:
-        """Whether a cut lies on this path."""
+        """Whether a cut blocks this path."""
 
 
 class StreamConnection(Protocol):
-    """The connection of a stream. `closed`: both sides have closed, and nothing is under way."""
+    """The connection of a stream. `closed`: both sides have closed, and nothing is left to send."""
 
     closed: bool
 
     @property
     def random(self) -> Random:
-        """Draws the delays of this connection."""
+        """Generator of this connection's delays."""
 
 
 class StreamEnd(Protocol):
-    """One side of a connection, as its streams see it. `power_lost`: its kernel has forgotten it."""
+    """One side of a connection, as its streams use it. `power_lost`: its machine has lost power since."""
 
     power_lost: bool
 
     @property
     def host(self) -> Host:
-        """Its machine."""
+        """The machine of this side."""
 
     @property
     def waits_for_room(self) -> bool:
-        """Its process has written more than the kernel takes."""
+        """Whether the process has written more than the kernel takes."""
 
     def drained(self) -> None:
-        """Some of what was written has left the process."""
+        """Called when written bytes have left the process."""
 
     def received(self, stream: Stream, payload: Payload) -> None:
-        """A segment has arrived."""
+        """Called when a segment arrives."""
 
 
 class Stream:
     """One direction of a connection.
 
     Attributes:
-        queue: what the sender has written and not sent yet, in order.
-        queued_bytes: bytes of it.
+        queue: bytes and ends that were written and not sent yet, in order.
+        queued_bytes: number of bytes in `queue`.
         flight: segments that were sent and not acknowledged, in order.
-        in_flight_bytes: bytes of them.
+        in_flight_bytes: number of bytes in `flight`.
         held: segments that wait for the end of a cut; nothing is sent past them.
-        last_arrival: when the last segment that was sent arrives; later ones keep the order.
-        unread: what the receiver's process has not read.
-        unread_bytes: bytes of it.
-        ended: a FIN or RESET was written: nothing follows.
-        push_scheduled: `push` will be called when the next acknowledgement comes.
-        end_arrived: the receiver's kernel knows that nothing follows.
+        last_arrival: arrival time of the segment that was sent last, s; later segments don't overtake it.
+        unread: bytes and ends that the receiver's process has not read.
+        unread_bytes: number of bytes in `unread`.
+        ended: whether a FIN or RESET was written; nothing follows it.
+        push_scheduled: whether `push` will be called when the next acknowledgement arrives.
+        end_arrived: whether the receiver's kernel knows that nothing follows.
     """
 
     def __init__(
@@ -111,7 +111,7 @@
         self.end_arrived = False
 
     def check_invariants(self) -> None:
-        """AssertionError if the counts of bytes are wrong."""
+        """AssertionError if the byte counts are wrong."""
         assert self.queued_bytes == sum(len(item) for item in self.queue if isinstance(item, bytes))
         assert self.in_flight_bytes == sum(segment.size for segment in self.flight)
         assert self.unread_bytes == sum(len(item) for item in self.unread if isinstance(item, bytes))
@@ -119,7 +119,7 @@
     # --- the sender's side
 
     def write(self, payload: Payload) -> None:
-        """Sends bytes or an end after what was written before; nothing after an end."""
+        """Queues bytes or an end, and sends what the window allows. Ignored after an end."""
         if self.ended:
             return
         self.queue.append(payload)
@@ -130,18 +130,18 @@
         self.push()
 
     def outstanding(self) -> int:
-        """Bytes that the sender's kernel or process still holds."""
+        """Number of bytes that the sender's process or kernel still holds, sent or not."""
         self.take_acknowledgements()
         return self.queued_bytes + self.in_flight_bytes
 
     def take_acknowledgements(self) -> None:
-        """Forgets segments that are acknowledged by now."""
+        """Removes the segments that are acknowledged by now."""
         now, flight = self.time.now, self.flight
         while flight and flight[0].acknowledged_at <= now:
             self.in_flight_bytes -= flight.popleft().size
 
     def push(self) -> None:
-        """Sends what the window lets through."""
+        """Sends queued bytes as far as the window allows."""
         self.take_acknowledgements()
         while self.queue:
             payload = self.next_payload()
@@ -156,7 +156,7 @@
         self.sender.drained()
 
     def next_payload(self) -> Payload | None:
-        """Takes what the next segment holds off the queue; None if the window is full."""
+        """Takes the payload of the next segment off the queue. None if the window is full."""
         payload = self.queue[0]
         if not isinstance(payload, bytes):
             return self.queue.popleft()
@@ -173,7 +173,7 @@
         return payload
 
     def schedule_push(self) -> None:
-        """Pushes again when the next acknowledgement comes. Without one in sight there is nothing to do: an
+        """Schedules a push at the next acknowledgement. None is needed if no acknowledgement is expected: an
         arrival, a read or the end of a cut will push."""
         at = self.flight[0].acknowledged_at if self.flight else NEVER
         if at != NEVER and not self.push_scheduled:
@@ -181,13 +181,13 @@
             self.time.at(at, self.push_again)
 
     def push_again(self) -> None:
-        """An acknowledgement is due."""
+        """Called when an acknowledgement is due."""
         self.push_scheduled = False
         if not self.connection.closed:
             self.push()
 
     def transmit(self, segment: Segment, delay_s: float = 0.0) -> None:
-        """Sends a segment, in `delay_s`; a cut holds it."""
+        """Sends a segment after `delay_s`; a cut holds it."""
         sender, receiver = self.sender.host, self.receiver.host
         if self.held or self.network.blocked(sender, receiver):
             self.held.append(segment)
@@ -201,13 +201,13 @@
         self.time.at(self.last_arrival, self.arrive, segment)
 
     def drop(self) -> None:
-        """What the sender's kernel holds is lost."""
+        """Drops what the sender's kernel has not sent."""
         self.queue.clear()
         self.held.clear()
         self.queued_bytes = 0
 
     def truncate(self, surplus: int) -> None:
-        """The last `surplus` bytes of the queue, or some more, are lost."""
+        """Drops at least the last `surplus` bytes of the queue, in whole payloads and up to a FIN or RST."""
         while surplus > 0 and self.queue:
             payload = self.queue[-1]
             if not isinstance(payload, bytes):
@@ -216,10 +216,10 @@
             self.queued_bytes -= len(payload)
             surplus -= len(payload)
 
-    # --- the way
+    # --- transit
 
     def arrive(self, segment: Segment) -> None:
-        """A segment reaches the receiver's machine, unless a cut holds it on its way."""
+        """Delivers a segment to the receiver's machine, or holds it if a cut blocks its path."""
         sender, receiver = self.sender.host, self.receiver.host
         if self.held or self.network.blocked(sender, receiver):
             if not self.sender.power_lost:
@@ -236,7 +236,7 @@
         self.receiver.received(self, segment.payload)
 
     def path_unblocked(self) -> None:
-        """The way of this direction is open again: what was held is sent again."""
+        """Called when the path of this direction is open again: the held segments are sent again."""
         held, self.held = self.held, []
         if held and not self.sender.power_lost:
             delay = self.connection.random.random() * RESEND_WITHIN_S
@@ -244,7 +244,7 @@
                 self.transmit(segment, delay)
 
     def return_path_unblocked(self) -> None:
-        """Acknowledgements of what was delivered arrive after all."""
+        """Called when the return path is open again: acknowledgements of delivered segments arrive late."""
         now = self.time.now
         for segment in self.flight:
             if segment.delivered and segment.acknowledged_at == NEVER:
@@ -253,14 +253,14 @@
             self.schedule_push()
 
     def unacknowledged_since(self) -> float | None:
-        """When the oldest segment that is not acknowledged was sent; None if there is none."""
+        """Time at which the oldest unacknowledged segment was sent, s. None if there is none."""
         self.take_acknowledgements()
         return self.flight[0].sent_at if self.flight else None
 
     # --- the receiver's side
 
     def add_unread(self, item: Received) -> None:
-        """Bytes or an end have reached the receiver's kernel."""
+        """Adds bytes or an end that have reached the receiver's kernel."""
         self.unread.append(item)
         if isinstance(item, bytes):
             self.unread_bytes += len(item)
@@ -268,7 +268,7 @@
             self.end_arrived = True
 
     def read(self) -> Received | None:
-        """The next bytes or end that lie unread."""
+        """Takes the next unread bytes or end. None if there are none."""
         if not self.unread:
             return None
         item = self.unread.popleft()
@@ -277,11 +277,11 @@
         return item
 
     def put_back(self, data: bytes) -> None:
-        """Bytes that were read, and for which the process has no room."""
+        """Makes bytes unread again for which the process has no room."""
         self.unread.appendleft(data)
         self.unread_bytes += len(data)
 
     def discard_unread(self) -> None:
-        """The receiver's process reads nothing more."""
+        """Drops unread bytes: the receiver's process reads nothing more."""
         self.unread.clear()
         self.unread_bytes = 0
--- a/shedgrade/simulation/system/virtual_time.py
+++ b/shedgrade/simulation/system/virtual_time.py
@@ -1,4 +1,4 @@
-"""Virtual time that all simulated processes share. Nothing waits: time jumps from one event to the next."""
+"""Virtual time, shared by all simulated processes. It jumps from one event to the next without waiting."""
 
 from __future__ import annotations
 
@@ -18,13 +18,13 @@
 
 
 class Event:
-    """One callback and its time. It is also the handle that an event loop gives back.
+    """A scheduled callback. It is also the handle that an event loop returns.
 
     Attributes:
-        loop: the process that it runs in, None for the simulation itself.
+        loop: the process that it runs in; None: the simulation itself.
         callback: None once it has run or was cancelled.
-        due: on the clock of its process, seconds.
-        is_io: a socket is ready, rather than a timer due.
+        due: time at which it is due on the clock of its process, s.
+        is_io: whether a socket is ready, rather than a timer due.
     """
 
     __slots__ = ("loop", "callback", "args", "due", "is_io")
@@ -44,12 +44,12 @@
         self.is_io = is_io
 
     def cancel(self) -> None:
-        """It will not run."""
+        """Cancels the callback."""
         self.callback = None
         self.args = ()
 
     def cancelled(self) -> bool:
-        """Whether it will not run, or has run."""
+        """Whether the callback was cancelled or has run."""
         return self.callback is None
 
     def when(self) -> float:
@@ -61,9 +61,9 @@
     """Runs events in the order of their times; equal times in the order in which they were scheduled.
 
     Attributes:
-        now: seconds; never decreases.
-        heap: (time, sequence number, event) of those that have not run.
-        count: events that were ever scheduled.
+        now: current virtual time, s; never decreases.
+        heap: (time, sequence number, event) of each event that has not run.
+        count: number of events scheduled so far.
     """
 
     def __init__(self) -> None:
@@ -72,22 +72,22 @@
         self.count = 0
 
     def at(self, time: float, callback: Callback, *args: Any) -> Event:
-        """Calls outside of any process, at `time` (s); now if that is past."""
+        """Schedules a callback outside of any process at `time` (s), or now if that is past."""
         event = Event(None, callback, args, time)
         self.push(time, event)
         return event
 
     def after(self, delay_s: float, callback: Callback, *args: Any) -> Event:
-        """Calls outside of any process, in `delay_s`."""
+        """Schedules a callback outside of any process in `delay_s`."""
         return self.at(self.now + delay_s, callback, *args)
 
     def push(self, time: float, event: Event) -> None:
-        """Schedules an event."""
+        """Schedules an event at `time` (s), or now if that is past."""
         self.count += 1
         heappush(self.heap, (time if time > self.now else self.now, self.count, event))
 
     def run(self, until: float) -> None:
-        """Runs all events up to that time (s). May be called from within a running event loop."""
+        """Runs all events up to the time `until` (s). May be called within a running event loop."""
         heap = self.heap
         outer = events._get_running_loop()
         try:
