--- a/shedgrade/simulation/system/operators.py
+++ b/shedgrade/simulation/system/operators.py
@@ -1,7 +1,7 @@
 """Operators of a simulated system.
 
-They race on one base and one version, evacuate zones and take that back, read, and send again what got no
-clear answer.
+Operators send concurrent configuration changes with the same base and version, evacuate zones and end
+evacuations, read the configuration, and retry calls that got no clear answer.
 """
 
 from __future__ import annotations
@@ -18,17 +18,21 @@
 if TYPE_CHECKING:
     from shedgrade.simulation.system.simulated_system import SimulatedSystem
 
-ZONE_ORDER_TIMEOUT_S = 5.0  # for which an evacuation is sent again; then its operator goes on
-REPEATED_SHARE = 0.15  # of acknowledged changes, which are sent once more, as they were
-DELTA_EACH = 3  # of so many changes of one operator, one is of named items alone, where it can be
+ZONE_ORDER_TIMEOUT_S = 5.0  # time after which the operator no longer retries a zone command
+REPEATED_SHARE = 0.15  # share of acknowledged changes that are sent a second time, unchanged
+DELTA_EACH = 3  # one in so many changes of an operator is a delta, where deltas are allowed
 
 
 class Operator:
-    """Sends orders until `stopped`. Up to `at_once` calls are under way together: one change of the
-    configuration, one order for each zone of its own, and reads.
+    """Sends operations until `stopped` is set.
 
-    `pace_s`: mean pause between two operations; `padding`: bytes by which configurations are longer;
-    `known_version`: the newest that it knows.
+    Up to `at_once` calls are in progress at the same time: one configuration change, one command for each of
+    the operator's zones, and reads.
+
+    Attributes:
+        pace_s: mean pause between two operations, s.
+        padding: bytes added to each configuration.
+        known_version: the newest version that the operator knows.
     """
 
     def __init__(
@@ -58,7 +62,7 @@
         self.tasks: list[asyncio.Task[None]] = []
 
     def start(self) -> None:
-        """Begins its tasks."""
+        """Starts the operator's tasks."""
         zones = self.zones[: self.at_once - 1]
         work = [self.change_configurations(), *(self.evacuate_and_return(zone) for zone in zones)]
         work += [self.read_repeatedly() for _ in range(self.at_once - len(work))]
@@ -66,7 +70,7 @@
 
     @property
     def finished(self) -> bool:
-        """No operation is under way, and none will be."""
+        """Whether no operation is in progress and none will follow."""
         return all(task.done() for task in self.tasks)
 
     # --- one operation
@@ -78,7 +82,11 @@
         until: float = float("inf"),
         first: MemberAddress | None = None,
     ) -> Response | None:
-        """Sends it until there is a clear answer or `until` is past; to `first` at first, if that is said."""
+        """Sends the request until there is a clear answer or the loop's time `until` is past.
+
+        `first`: the member that gets the first attempt, None: a random one. Returns the clear answer, or None
+        if there was none in time.
+        """
         history = self.system.history
         history.operations.append(operation)
         response = await self.caller.call(operation, request, until, first)
@@ -99,7 +107,10 @@
         repeat_of: Operation | None = None,
         first: MemberAddress | None = None,
     ) -> Operation:
-        """Puts a configuration on top of version `base`; `first`: the member that is asked first."""
+        """Puts a configuration on top of version `base`.
+
+        `repeat_of`: the acknowledged operation that this one repeats. `first`: as in `perform`.
+        """
         operation = Operation(
             self.name,
             OperationKind.PUT,
@@ -119,7 +130,7 @@
         return operation
 
     def sends_delta(self, base: int) -> bool:
-        """Of named items alone; days with homes keep to whole configurations."""
+        """Whether the next change is a delta (named items only). Runs with home regions send none."""
         return base > 0 and self.changes_made % DELTA_EACH == 1 and not self.system.parameters.homes
 
     async def get(self, first: MemberAddress | None = None) -> Operation:
@@ -131,20 +142,20 @@
     async def order_zone(
         self, kind: OperationKind, zone: str, first: MemberAddress | None = None
     ) -> Operation:
-        """Evacuates a zone, or takes that back."""
+        """Evacuates a zone or ends its evacuation, as `kind` says."""
         operation = Operation(self.name, kind, self.loop.virtual_time.now, zone=zone)
         until = self.loop.time() + ZONE_ORDER_TIMEOUT_S
         await self.perform(operation, Request(kind.value, f"/evacuation/{zone}"), until, first)
         return operation
 
     async def pause(self) -> None:
-        """Between two operations."""
+        """Waits for a random time between two operations."""
         await asyncio.sleep(self.pace_s * self.random.uniform(0.1, 2.0))
 
-    # --- what it does all day
+    # --- tasks
 
     async def change_configurations(self) -> None:
-        """Puts one configuration after the other; reads the newest version where another was taken."""
+        """Puts one configuration after another. Reads the newest version after a change was refused."""
         while not self.stopped:
             self.changes_made += 1
             operation = await self.put(
@@ -162,7 +173,7 @@
             await self.pause()
 
     async def evacuate_and_return(self, zone: str) -> None:
-        """Evacuates a zone and takes that back, by turns."""
+        """Evacuates a zone and ends its evacuation by turns."""
         kind = OperationKind.EVACUATE
         while not self.stopped:
             await self.pause()
--- a/shedgrade/simulation/system/platform.py
+++ b/shedgrade/simulation/system/platform.py
@@ -1,4 +1,4 @@
-"""A stand-in for the platform's list of upstreams, on the program's own HTTP server."""
+"""A simulated platform API that lists the upstream instances, on the program's own HTTP server."""
 
 from __future__ import annotations
 
@@ -13,12 +13,15 @@
 from shedgrade.simulation.system.process_loop import ProcessLoop
 
 PORT = 8266
-CHANGE_SHARE = 0.05  # of the polls before which an instance changes its state
+CHANGE_SHARE = 0.05  # probability that an instance changes its state before a poll is answered
 
 
 class PlatformList:
-    """Serves `GET /instances`. An instance changes its state now and then; `polled_at`: virtual times of the
-    requests, in order."""
+    """Serves `GET /instances`. Instances change their states from time to time.
+
+    Attributes:
+        polled_at: virtual times of the requests, s, in order.
+    """
 
     def __init__(
         self, loop: ProcessLoop, ip: str, zones: list[str], random: Random, per_zone: int = 2
@@ -31,7 +34,7 @@
 
     @staticmethod
     def instance(zone: str, number: int) -> dict[str, object]:
-        """An instance as the platform's list has it."""
+        """An instance as the platform's API lists it."""
         return {
             "instanceId": f"i-{zone}-{number}",
             "service": "lm",
@@ -44,7 +47,7 @@
         }
 
     def handle(self, request: object, respond: Callable[[Reply], None]) -> None:
-        """Answers a request with the whole list."""
+        """Answers any request with the whole list."""
         self.polled_at.append(self.loop.virtual_time.now)
         if self.random.random() < CHANGE_SHARE:
             one = self.random.choice(self.instances)
--- a/shedgrade/simulation/system/reachability.py
+++ b/shedgrade/simulation/system/reachability.py
@@ -1,6 +1,6 @@
-"""When members and edges were out of reach of a majority of the core.
+"""Records when members and edges could not reach a majority of the core.
 
-A member that is can confirm nothing; an edge that is need learn nothing.
+During such times a member can confirm nothing, and an edge does not have to learn anything.
 """
 
 from __future__ import annotations
@@ -15,18 +15,18 @@
 
 
 class ReachabilityMonitor:
-    """Records spans in the history, whenever a path, a process or a machine changed.
+    """Records spans in the history whenever a path, a process or a machine changes.
 
-    `history.isolated`: a member had no path both ways to so many running members that they are a majority
-    with it, nor to a member that had. `history.out_of_touch`: an edge did not run, or some member with a
-    majority was out of its reach, or no member had one.
+    `history.isolated`: a member had no paths in both directions to enough running members to form a majority
+    with them, nor to a member that had such paths. `history.out_of_touch`: an edge was not running, could not
+    reach some member that had a majority, or no member had one.
     """
 
     def __init__(self, system: SimulatedSystem) -> None:
         self.system = system
 
     def update(self) -> None:
-        """Looks at all paths again."""
+        """Evaluates all paths again."""
         cores, history = self.system.cores, self.system.history
         peers = {
             machine.name: [other for other in cores if other is not machine and self.reaches(machine, other)]
@@ -38,7 +38,7 @@
             if machine.responsive and 2 * (1 + len(peers[machine.name])) > len(cores)
         ]
         for machine in cores:
-            # One that reaches a member with a majority may forward a call to it.
+            # A member that reaches another with a majority may forward a call to it.
             connected = machine in with_majority or any(
                 other in with_majority for other in peers[machine.name]
             )
@@ -52,7 +52,7 @@
             self.record(history.out_of_touch, edge.name, not in_touch)
 
     def record(self, spans_by_name: dict[str, list[OpenSpan]], name: str, holds: bool) -> None:
-        """Opens a span of this name if the condition begins to hold, and ends it if it ceases to."""
+        """Opens a span of this name when the condition begins to hold, and ends it when it ceases to."""
         spans = spans_by_name.setdefault(name, [])
         is_open = bool(spans) and spans[-1].is_open
         if holds and not is_open:
@@ -61,7 +61,7 @@
             spans[-1].end = self.system.time.now
 
     def reaches(self, machine: Machine, other: Machine) -> bool:
-        """Whether there is a path both ways, and the other one runs."""
+        """Whether there are paths in both directions and `other` is running."""
         network = self.system.network
         return other.responsive and not (
             network.blocked(machine.host, other.host) or network.blocked(other.host, machine.host)
--- a/shedgrade/simulation/system/replication_monitor.py
+++ b/shedgrade/simulation/system/replication_monitor.py
@@ -1,15 +1,15 @@
-"""Observes what core members send and what their disks hold, and checks the rules that their safety rests on.
+"""Observes the messages and disks of core members, and checks the safety rules of the replication protocol.
 
-A broken rule is found on the message that breaks it, whether or not the day went on to lose something by it.
+A violation is found at the message that breaks the rule, even if the run loses nothing by it.
 The rules (Vertical Paxos; `replication/quorums.py`):
 
-- a promise, an installed epoch and a write are acknowledged only once they are synced;
-- what a primary calls committed was synced by t + 1 members, itself included;
-- after its promise of an epoch a member acknowledges nothing of an older one;
+- a promise, an installed epoch or a write is acknowledged only after it was synced;
+- a state that a primary calls committed was synced by t + 1 members, including the primary;
+- a member that promised an epoch acknowledges nothing of an older epoch;
 - an active epoch was promised by a majority of the members of the active epoch before it, and its holders are
-  members of both and a majority of each;
-- a member that leaves before its time leaves the newest committed state on the disks of a majority, at
-  least t.
+  members of both epochs and a majority of each;
+- a member that leaves before it has to leaves the newest committed state on the disks of a majority, and of
+  at least t members.
 """
 
 from __future__ import annotations
@@ -44,13 +44,13 @@
     from shedgrade.simulation.system.simulated_system import SimulatedSystem
 
 NOWHERE = LogPosition(0, 0)
-FORCED_LEAVE_S = LINGER_S + KILL_MARGIN_S + 0.05  # before SIGKILL, when a process ends whoever stays
+FORCED_LEAVE_S = LINGER_S + KILL_MARGIN_S + 0.05  # before SIGKILL: a process exits without waiting for others
 Trigger = Callable[["Machine[ControlPlane]", str, Message], bool]
 
 
 @dataclass(slots=True)
 class DurableState:
-    """What a disk holds for certain. An absent value is 0."""
+    """The values that are known to be synced to a disk. An absent value is 0."""
 
     incarnation: int = 0
     promised_epoch: int = 0
@@ -60,7 +60,7 @@
 
 
 def decode_durable_state(values: Mapping[str, bytes]) -> DurableState:
-    """Of the values on a disk; `Store.values` are those that are known to be synced."""
+    """Decodes the values of a disk. `Store.values` holds only values that are known to be synced."""
     found = DurableState()
     if INCARNATION_KEY in values:
         found.incarnation = msgspec.msgpack.decode(values[INCARNATION_KEY], type=int)
@@ -76,10 +76,12 @@
 
 @dataclass(slots=True)
 class EpochRecord:
-    """What was seen of one epoch number.
+    """What was observed of one epoch number.
 
-    `promised_by`: incarnations that promised it, its candidate included; `founders`: by link address, the
-    incarnation of a founder that promised. `config`: as its primary named it once it was active, None before.
+    Attributes:
+        promised_by: incarnations that promised the epoch, including its candidate.
+        founders: by link address, the incarnation of each founder that promised the epoch.
+        config: the configuration of its primary once the epoch was active; None before.
     """
 
     promised_by: set[int] = field(default_factory=set)
@@ -88,14 +90,17 @@
 
 
 class ReplicationMonitor:
-    """Of one system. `findings`: at most one of each kind for each machine's process.
-
-    `promised`: by incarnation, the highest epoch number whose promise it sent.
-    `durable_positions`: by incarnation, the newest position on its disk when it acknowledged something.
-    `epochs`: by number.
-    `newest_committed`: the newest position that any member reported as committed.
-    `triggers`: called with (sender, link address of the receiver, message) at each sending, and removed once
-    they return True.
+    """Checks the replication protocol of one system.
+
+    Attributes:
+        findings: at most one of each kind for each process of a machine.
+        promised: by incarnation, the highest epoch number that it promised in a message.
+        durable_positions: by incarnation, the newest position on its disk when it acknowledged a write or
+            reported a committed state.
+        epochs: records by epoch number.
+        newest_committed: the newest position that any member reported as committed.
+        triggers: called with (sender, link address of the receiver, message) for each message that is sent;
+            removed once they return True.
     """
 
     def __init__(self, system: SimulatedSystem) -> None:
@@ -109,7 +114,7 @@
         self.triggers: list[Trigger] = []
 
     def observe(self, machine: Machine[ControlPlane], plane: ControlPlane) -> None:
-        """Looks at each message that this process sends from now on, and at its end."""
+        """Observes the messages that this process sends from now on, and its exit."""
         transport, driver = plane.member.transport, plane.driver
         send, carry_out = transport.send, driver.carry_out
 
@@ -129,7 +134,7 @@
         setattr(driver, "carry_out", observed_carry_out)  # noqa: B010
 
     def report(self, kind: FindingKind, machine: Machine[ControlPlane], detail: str) -> None:
-        """Adds a finding about a machine, unless its present process has one of that kind."""
+        """Adds a finding about a machine, unless its current process already has one of this kind."""
         key = kind, machine.name, machine.incarnation
         if key not in self.reported:
             self.reported.add(key)
@@ -141,7 +146,7 @@
         return self.epochs.setdefault(number, EpochRecord())
 
     def note_committed(self, machine: Machine[ControlPlane], reported: tuple[int, int]) -> None:
-        """A member reports a committed state there."""
+        """Checks a position that a member reports as committed: enough disks must hold it."""
         position = LogPosition(*reported)
         program = machine.program
         if program is not None and program.member.primary_role.active and position > self.newest_committed:
@@ -153,7 +158,7 @@
         self.newest_committed = max(self.newest_committed, position)
 
     def note_durable(self, plane: ControlPlane) -> DurableState:
-        """Takes in what the disk of this process holds, and returns it."""
+        """Records the position on this process's disk, and returns the state of the disk."""
         durable = decode_durable_state(plane.store.values)
         known = self.durable_positions.get(durable.incarnation, NOWHERE)
         self.durable_positions[durable.incarnation] = max(known, durable.log_position)
@@ -162,7 +167,7 @@
     # --- messages
 
     def on_send(self, machine: Machine[ControlPlane], plane: ControlPlane, message: Message) -> None:
-        """A member sends a message."""
+        """Checks a message that a member sends."""
         match message:
             case Prepare():
                 self.on_prepare(machine, plane, message)
@@ -176,11 +181,11 @@
                 self.on_heartbeat(plane, message)
 
     def on_prepare(self, machine: Machine[ControlPlane], plane: ControlPlane, prepare: Prepare) -> None:
-        """A candidate has promised the epoch to itself."""
+        """Checks the prepare message of a candidate, which has promised the epoch to itself."""
         self.note_promise(machine, plane, prepare.incarnation, prepare.number)
 
     def on_promise(self, machine: Machine[ControlPlane], plane: ControlPlane, promise: Promise) -> None:
-        """A member promises an epoch to a candidate."""
+        """Checks a member's promise of an epoch to a candidate."""
         if promise.founding:
             self.epoch(promise.number).founders[promise.address] = promise.incarnation
         self.note_promise(machine, plane, promise.incarnation, promise.number)
@@ -188,7 +193,7 @@
     def note_promise(
         self, machine: Machine[ControlPlane], plane: ControlPlane, incarnation: int, number: int
     ) -> None:
-        """The promise must be synced, by this incarnation."""
+        """Records a promise. This incarnation must have synced it."""
         durable = decode_durable_state(plane.store.values)
         if durable.promised_epoch < number or durable.incarnation != incarnation:
             detail = f"{incarnation} promises {number}, its disk has {durable}"
@@ -197,7 +202,7 @@
         self.promised[incarnation] = max(number, self.promised.get(incarnation, 0))
 
     def on_installed(self, machine: Machine[ControlPlane], plane: ControlPlane, installed: Installed) -> None:
-        """A holder has written an epoch."""
+        """Checks a holder's message that it has written an epoch."""
         durable = self.note_durable(plane)
         if durable.accepted_epoch < installed.number:
             detail = f"installed {installed.number}, its disk has {durable}"
@@ -205,36 +210,38 @@
         self.check_fence(machine, installed.incarnation, installed.number, "installs")
 
     def on_ack(self, machine: Machine[ControlPlane], plane: ControlPlane, ack: Ack) -> None:
-        """A follower acknowledges the primary of an epoch."""
+        """Checks a follower's acknowledgement to the primary of an epoch."""
         if ack.durable_sequence >= 0:
             durable = self.note_durable(plane)
             held = durable.log_position.sequence if durable.accepted_epoch == ack.epoch else -1
             if held < ack.durable_sequence:
                 detail = f"acknowledges {ack.durable_sequence} of epoch {ack.epoch}, its disk has {durable}"
                 self.report(FindingKind.WRITE_NOT_DURABLE, machine, detail)
-        # A leaving member may tell an older primary that it leaves, and says what it has promised since.
+        # A leaving member may tell the primary of an older epoch that it leaves; the message then carries the
+        # epoch that it has promised since.
         counts = ack.read_index_round > 0 or ack.received_sequence >= 0 or ack.promised_epoch <= ack.epoch
         if counts and plane.member.replica.has_member(ack.incarnation):
             self.check_fence(machine, ack.incarnation, ack.epoch, "acknowledges")
 
     def check_fence(self, machine: Machine[ControlPlane], incarnation: int, epoch: int, what: str) -> None:
-        """A member that promised a newer epoch does nothing for an older one."""
+        """Reports a member that acts for an older epoch than it has promised."""
         promised = self.promised.get(incarnation, 0)
         if promised > epoch:
             detail = f"{incarnation} {what} epoch {epoch} after its promise of {promised}"
             self.report(FindingKind.FENCE_BROKEN, machine, detail)
 
     def on_heartbeat(self, plane: ControlPlane, heartbeat: Heartbeat) -> None:
-        """A primary acts in an active epoch."""
+        """Records the configuration of an active epoch, whose primary sends heartbeats."""
         record = self.epoch(heartbeat.epoch)
         config = plane.member.replica.epoch_config
         if record.config is None and config.number == heartbeat.epoch:
             record.config = config
 
-    # --- a planned end
+    # --- planned leave
 
     def on_exit(self, machine: Machine[ControlPlane], plane: ControlPlane) -> None:
-        """A member ends by itself. Shortly before it would be killed it has to, whoever stays."""
+        """Checks that a member that exits by itself leaves enough copies. Shortly before SIGKILL it exits
+        whoever remains."""
         member = plane.member
         if self.system.time.now >= machine.kill_at - FORCED_LEAVE_S or len(member.members) == 1:
             return
@@ -246,24 +253,24 @@
             if other is not machine and self.newest_on_disk(other) >= self.newest_committed
         ]
         if len(copies) < max(majority(member.members), self.system.parameters.tolerated):
-            detail = f"leaves {self.newest_committed} to {copies}"
+            detail = f"{self.newest_committed} is on the disks of {copies} only"
             self.report(FindingKind.LEFT_WITHOUT_COPIES, machine, detail)
 
     def all_leave(self) -> bool:
-        """Every process of the core was told to end: nobody can take over."""
+        """Whether every core process was told to terminate, so that none can take over."""
         now = self.system.time.now
         return all(now < core.kill_at < FOREVER for core in self.system.cores)
 
     def newest_on_disk(self, machine: Machine[ControlPlane]) -> LogPosition:
-        """Of the state on a machine's disk, whether a process runs on it or not."""
+        """The position of the state on a machine's disk, whether a process runs on it or not."""
         if machine.program is not None:
             return decode_durable_state(machine.program.store.values).log_position
         return decode_durable_state(recover(machine.disk.files.files).values).log_position
 
-    # --- at the end of a day
+    # --- at the end of a run
 
     def check(self) -> list[Finding]:
-        """All findings, those about quorums of active epochs included."""
+        """All findings, including those about quorums of active epochs."""
         found = list(self.findings)
         active = [number for number, record in sorted(self.epochs.items()) if record.config is not None]
         for before, number in zip(active, active[1:], strict=False):
@@ -271,7 +278,7 @@
         return found
 
     def check_quorum(self, before: int, number: int) -> list[Finding]:
-        """Of two active epochs, no active one between them."""
+        """Checks the quorum of active epoch `number`; `before` is the active epoch before it."""
         members = self.members_of(before)
         record = self.epochs[number]
         config = record.config
@@ -279,17 +286,17 @@
         promised = sum(peer.incarnation in record.promised_by for peer in members)
         found: list[Finding] = []
         if promised < majority(members):
-            detail = f"{number} has promises of {promised} of the {len(members)} members of {before}"
+            detail = f"epoch {number} has promises of {promised} of {len(members)} members of epoch {before}"
             found.append(Finding(FindingKind.EPOCH_WITHOUT_QUORUM, detail))
         both = {peer.incarnation for peer in members} & {peer.incarnation for peer in config.members}
         least = max(majority(members), majority(config.members))
         if not both.issuperset(config.holders) or len(config.holders) < least:
-            detail = f"{number} is held by {config.holders}, members of both are {sorted(both)}"
+            detail = f"epoch {number} is held by {config.holders}; members of both epochs are {sorted(both)}"
             found.append(Finding(FindingKind.EPOCH_WITHOUT_QUORUM, detail))
         return found
 
     def members_of(self, number: int) -> tuple[Peer, ...]:
-        """Of an active epoch, founders that it doesn't know by their incarnation filled in."""
+        """The members of an active epoch. Founders that it lists without an incarnation get the known one."""
         config = self.epochs[number].config
         assert config is not None
         founders: dict[str, int] = {}
--- a/shedgrade/simulation/system/script.py
+++ b/shedgrade/simulation/system/script.py
@@ -1,4 +1,4 @@
-"""Scripted runs: a calm system, operators that do what they are told, faults at exact times.
+"""Scripted runs: operators send only the scripted calls, and faults are injected at exact times only.
 
 script = Script(seed=1)
 script.until_ready()
@@ -24,11 +24,11 @@
 from shedgrade.simulation.system.simulated_system import SimulatedSystem, SystemParameters
 
 READY_WITHIN_S = 5.0
-STEP_S = 0.05  # between two looks at a condition
+STEP_S = 0.05  # between two evaluations of a condition
 
 
 class Script:
-    """One scripted run. `operators` only make the calls that are started by `call`."""
+    """One scripted run. The operators send only the operations that `call` starts."""
 
     def __init__(self, seed: int = 1, **parameters: Any) -> None:
         """`parameters`: fields of `SystemParameters`."""
@@ -42,38 +42,38 @@
     # --- time
 
     def run(self, seconds: float) -> None:
-        """Plays for so many seconds."""
+        """Runs the system for `seconds` of virtual time."""
         self.system.run(self.system.time.now + seconds)
 
     def at(self, seconds: float, callback: Callable[..., object], *args: Any) -> None:
-        """Calls it so many seconds from now."""
+        """Schedules a callback in `seconds` of virtual time."""
         self.system.time.after(seconds, callback, *args)
 
     def run_until(self, condition: Callable[[], object], within: float) -> bool:
-        """Plays until the condition holds, and says whether it did in time."""
+        """Runs the system until the condition holds, for `within` s at most. Returns whether it holds."""
         end = self.system.time.now + within
         while not condition() and self.system.time.now < end:
             self.run(STEP_S)
         return bool(condition())
 
     def until_ready(self) -> None:
-        """Starts everything, and puts a first configuration."""
+        """Starts the system and puts a first configuration. AssertionError if that takes too long."""
         self.system.start()
         if not self.run_until(self.system.primary, READY_WITHIN_S):
-            raise AssertionError("no primary")
+            raise AssertionError("the core has no primary in time")
         first = self.call(self.operator.put(0, 1, "first"))
         if not self.run_until(lambda: first.acknowledged and self.everywhere(1), READY_WITHIN_S):
-            raise AssertionError(f"no first configuration: {first}")
+            raise AssertionError(f"the first configuration is not on all edges in time: {first}")
 
     def everywhere(self, version: int) -> bool:
-        """Every edge has this version, or a newer one."""
+        """Whether every edge has this version or a newer one."""
         last = {view.edge: view.version for view in self.system.history.views}
         return all(last.get(edge.name, 0) >= version for edge in self.system.edges)
 
     # --- calls
 
     def call(self, work: Coroutine[Any, Any, Operation]) -> Operation:
-        """Starts one of an operator's operations, which is filled in as time goes on."""
+        """Starts an operator's operation and returns it; it is filled in as virtual time passes."""
         operations = self.system.history.operations
         before = len(operations)
         loop = self.operator.loop
@@ -82,22 +82,22 @@
         return operations[before]
 
     def keep(self, task: asyncio.Task[Any]) -> None:
-        """The operator holds its tasks."""
+        """Adds a task to the operator, which keeps a reference to it."""
         self.operator.tasks.append(task)
 
     @staticmethod
     def member(machine: Machine[Any]) -> MemberAddress:
-        """As a caller names it, for its first attempt."""
+        """A machine's address, for the argument `first` of an operation."""
         return MemberAddress(machine.name, machine.host.ip)
 
-    # --- what came of it
+    # --- results
 
     def newest(self) -> CommittedState:
         """The newest control state that any member reported as committed."""
         return self.system.committed_states[max(self.system.committed_states)]
 
     def findings(self, timely: bool = False) -> list[Finding]:
-        """Ends the run and checks all of it."""
+        """Ends the run and returns all findings. `timely`: times are checked too."""
         self.system.history.end = self.system.time.now
         try:
             return check(self.system, timely)
--- a/shedgrade/simulation/system/seed_runner.py
+++ b/shedgrade/simulation/system/seed_runner.py
@@ -1,4 +1,4 @@
-"""Many days by seed, over a few processes."""
+"""Runs many seeds in several processes."""
 
 from __future__ import annotations
 
@@ -14,7 +14,7 @@
 
 @dataclass(frozen=True, slots=True)
 class SeedJob:
-    """A day to be played. `length`: s of virtual time with faults."""
+    """A run to be played. `length`: virtual time with faults, s."""
 
     seed: int
     tolerated: int = 1
@@ -26,7 +26,7 @@
 
 @dataclass(frozen=True, slots=True)
 class SeedResult:
-    """What came of a job. `operations`: how many were invoked; `seconds`: real ones."""
+    """The result of a job. `operations`: number of invoked operations; `seconds`: real time of the run."""
 
     job: SeedJob
     findings: list[Finding]
@@ -35,19 +35,19 @@
 
 
 def run_seed(job: SeedJob) -> SeedResult:
-    """One day. A seed that raises is a finding like others."""
+    """Runs one seed. An exception is reported as a finding."""
     begun = time.perf_counter()
     operations = 0
     try:
         day = SimulationRun(job.seed, job.tolerated, job.profile, job.length, trace=job.trace, log=job.log)
         findings = day.play()
         operations = len(day.system.history.operations)
-    except Exception:  # at the border of a seed: the others go on
+    except Exception:  # a failing seed must not end the other runs
         findings = [Finding(FindingKind.SIMULATION_FAULT, traceback.format_exc())]
     return SeedResult(job, findings, operations, time.perf_counter() - begun)
 
 
 def run_seeds(jobs: Iterable[SeedJob], processes: int) -> Iterator[SeedResult]:
-    """All days, in the order of the jobs."""
+    """Runs all jobs, and yields their results in the order of the jobs."""
     with ProcessPoolExecutor(processes) as pool:
         yield from pool.map(run_seed, jobs, chunksize=2)
--- a/shedgrade/simulation/system/simulated_system.py
+++ b/shedgrade/simulation/system/simulated_system.py
@@ -1,4 +1,4 @@
-"""A simulated system: real control planes and data planes, operators, the platform's list, and a network."""
+"""A simulated system: real control planes and data planes, operators, a platform API, and a network."""
 
 from __future__ import annotations
 
@@ -42,29 +42,32 @@
 
 CONTROL, DIRECTORY, FRONT, READINESS, LINK = 8262, 8264, 8263, 8268, 7300  # ports
 PLATFORM_IP = "10.200.0.4"
-SAMPLE_S = 0.05  # between two looks at who holds the lease of the poller
+SAMPLE_S = 0.05  # between two checks of who holds the poller's lease
 GRACE_S = 8.0  # from SIGTERM to SIGKILL
-START_WITHIN_S = 0.3  # all machines
+START_WITHIN_S = 0.3  # in which all machines start
 
 
 @dataclass(frozen=True, slots=True)
 class SystemParameters:
-    """What a day is made of. Times in s, sizes in bytes, `bandwidth` in bytes a second (0: unlimited).
+    """Parameters of a run. Times in s, sizes in bytes, `bandwidth` in bytes per second (0: unlimited).
 
     Attributes:
-        tolerated: machines lost at once that every promise outlives; the core has twice as many and one.
-        edges, operators, clients: how many; clients look their host up, in the regions by turns.
-        at_once: operations that an operator has under way at the most.
-        length: of the day, with faults.
-        between: one-way delay between regions; `jitter`: share of it that is added at random, at most.
-        window: of a TCP connection.
-        disk_latency: mean time of a write.
-        padding: bytes by which configurations are longer.
+        tolerated: machine losses at one time under which every guarantee holds; the core has
+            2 * `tolerated` + 1 machines.
+        edges, operators, clients: number of each. Clients look up their host; regions are assigned in turn.
+        at_once: most operations that an operator has in progress at the same time.
+        length: length of the part of the run with faults.
+        between: one-way delay between regions.
+        jitter: largest random addition to a delay, as a share of the delay.
+        window: window of a TCP connection.
+        disk_latency: mean time of a disk write.
+        padding: bytes added to each configuration.
         pace: mean pause of an operator between two operations.
-        answers_lost, datagram_loss: probabilities.
-        delayed: share of the replication messages that arrive once more, seconds later.
-        silence: without an answer, after which an operator sends again.
-        zones: how many; at least 3.
+        answers_lost: probability that the answer to an operator's request is lost.
+        datagram_loss: probability that a datagram is lost.
+        delayed: share of the replication messages that are delivered a second time, seconds later.
+        silence: time without an answer after which an operator retries.
+        zones: number of zones, at least 3.
         homes: home regions of one of the routes.
         control_plane, data_plane: the programs under test.
     """
@@ -96,25 +99,26 @@
 
 
 class DiscardingLogger:
-    """Takes the programs' log lines and keeps none."""
+    """Discards the programs' log lines."""
 
     def __getattr__(self, name: str) -> Callable[..., None]:
         return lambda *args, **more: None
 
 
 class SimulatedSystem:
-    """All machines of one day. Drive it by `run(until)`; everything that is called goes through `time`.
+    """All machines of one run, driven by `run(until)`. Every event is scheduled on `time`.
 
     Attributes:
-        cores, edges: machines by their order; `platform`: the one with the platform's list.
-        operators, clients: what sends requests.
-        zones: region by zone.
+        cores, edges: machines in the order of their numbers.
+        platform: the machine that serves the platform's list.
+        operators, clients: senders of requests.
+        zones: region of each zone.
         seeds: addresses of the founding core members.
-        cores_made: how many core machines there ever were.
-        committed_states: control states by their position, as any member reported them.
-        monitor: what core members send, against the rules of their protocol.
-        delayed_messages: what of it arrives once more, later.
-        on_acknowledged: called once with the next operation that is acknowledged.
+        cores_made: number of core machines made so far, including replaced ones.
+        committed_states: control states that any member reported as committed, by position.
+        monitor: checks the replication messages and the disks of the core members.
+        delayed_messages: delivers some replication messages a second time, later.
+        on_acknowledged: called once, with the next change or zone command that is acknowledged.
     """
 
     def __init__(
@@ -125,8 +129,8 @@
         trace: bool = False,
         log: bool = False,
     ) -> None:
-        """`trace`: events are printed; `log`: so are the programs' log lines. The order of the draws is
-        fixed: a seed stands for the same history for good."""
+        """`trace`: print events; `log`: print the programs' log lines too. The order of the random draws is
+        fixed, so a seed always stands for the same history."""
         self.seed = seed
         self.parameters = parameters
         self.random = Random(seed)
@@ -165,12 +169,12 @@
 
     @staticmethod
     def core_ip(number: int) -> str:
-        """The address of a core machine, from 0."""
+        """The IP address of a core machine; numbers start at 0."""
         return f"10.{number % 3 + 1}.0.{number + 1}"
 
     @staticmethod
     def region(number: int) -> str:
-        """The region of the machine, operator, client or zone of that number."""
+        """The region of the machine, operator, client or zone with this number."""
         return f"region-{number % 3 + 1}"
 
     def zone_of(self, region: str) -> str:
@@ -178,7 +182,7 @@
         return next(zone for zone, its_region in self.zones.items() if its_region == region)
 
     def settings(self, machine: Machine[Any], role: str, listen: Mapping[str, int], **more: Any) -> Settings:
-        """A process's settings, as its file would give them."""
+        """The settings of a process, as read from its settings file."""
         ip, region = machine.host.ip, machine.host.region
         return read_settings(
             {
@@ -202,12 +206,12 @@
         )
 
     def core_settings(self, machine: Machine[ControlPlane]) -> Settings:
-        """Of a control plane."""
+        """The settings of a control plane."""
         listen = {"control": CONTROL, "directory": DIRECTORY}
         return self.settings(machine, "core", listen, dataDir="/data", initialStart=machine.founding)
 
     def edge_settings(self, machine: Machine[DataPlane]) -> Settings:
-        """Of a data plane."""
+        """The settings of a data plane."""
         return self.settings(machine, "edge", {"front": FRONT, "readiness": READINESS}, initialStart=False)
 
     # --- machines, operators, clients
@@ -229,18 +233,18 @@
         return machine
 
     def replace_core(self, gone: Machine[ControlPlane]) -> Machine[ControlPlane]:
-        """A machine with an empty disk, in the region and in the place of one that is gone for good."""
+        """Replaces a lost machine by a new one with an empty disk and without power, in the same region."""
         self.cores_made += 1
-        number = int(gone.name.split("-")[1]) - 1 + 3 * self.cores_made  # of the same region
+        number = int(gone.name.split("-")[1]) - 1 + 3 * self.cores_made  # in the same region
         successor = self.make_core(number)
         successor.founding = False
         successor.host.powered = False
         self.cores[self.cores.index(gone)] = successor
-        self.history.log(f"takes the place of {gone.name}", successor.name)
+        self.history.log(f"replaces {gone.name}", successor.name)
         return successor
 
     def core_at(self, address: str) -> Machine[ControlPlane] | None:
-        """The core machine with that link address."""
+        """The core machine with this link address, None if there is none."""
         ip = address.partition(":")[0]
         return next((machine for machine in self.cores if machine.host.ip == ip), None)
 
@@ -257,7 +261,7 @@
         return Machine(self, f"edge-{number + 1}", host, make_observed)
 
     def make_platform(self) -> Machine[PlatformList]:
-        """The machine with the platform's list."""
+        """The machine that serves the platform's list."""
         host = self.network.add(Host(PLATFORM_IP, "platform"))
         random = Random(self.random.getrandbits(64))
 
@@ -267,7 +271,7 @@
         return Machine(self, "platform", host, make)
 
     def make_operator(self, number: int) -> Operator:
-        """An operator, with zones of its own."""
+        """An operator, with its own share of the zones."""
         parameters = self.parameters
         name = f"operator-{number + 1}"
         host = self.network.add(Host(f"10.{number % 3 + 1}.9.{number + 1}", self.region(number)))
@@ -291,15 +295,16 @@
         return Client(self, f"client-{number + 1}", loop, zone, region, DIRECTORY, random)
 
     def machines(self) -> list[Machine[Any]]:
-        """All that may fail."""
+        """All machines that may fail."""
         return [*self.cores, *self.edges, self.platform]
 
     def members(self) -> list[MemberAddress]:
-        """Members as operators find them in their list: all, also those that are down."""
+        """The core members as operators list them: all of them, including those that are down."""
         return [MemberAddress(machine.name, machine.host.ip) for machine in self.cores]
 
     def primary(self) -> Machine[ControlPlane] | None:
-        """The core machine that acts as primary, and is not stopped; of several the newest."""
+        """The core machine that acts as primary and is not stopped; the one with the newest epoch if several
+        do, None if none does."""
         newest, newest_epoch = None, -1
         for machine in self.cores:
             program = machine.program
@@ -309,10 +314,10 @@
                 newest, newest_epoch = machine, program.member.epoch
         return newest
 
-    # --- what is observed
+    # --- observation
 
     def observe_core(self, machine: Machine[ControlPlane], plane: ControlPlane) -> None:
-        """Records what a control plane's member reports as committed, and what it tells edges and members."""
+        """Records the states that a control plane reports as committed, and its answers and messages."""
         self.monitor.observe(machine, plane)
         self.observe_watch_answers(machine, plane)
         take_control = plane.hub.apply_control_state
@@ -321,10 +326,10 @@
             self.record_committed(machine, (epoch, sequence), state)
             take_control(now, epoch, sequence, state)
 
-        setattr(plane.hub, "apply_control_state", control)  # noqa: B010 (the type checker refuses a method's name)
+        setattr(plane.hub, "apply_control_state", control)  # noqa: B010 (type checkers reject the assignment)
 
     def observe_watch_answers(self, machine: Machine[ControlPlane], plane: ControlPlane) -> None:
-        """Records as of when a control plane vouches for the state that an edge has with an answer."""
+        """Records as of which time a control plane's answer confirms the state that an edge then holds."""
         answer = plane.hub.answer
 
         def observed_answer(now: float, watch: PendingWatch, deltas: Deltas) -> None:
@@ -347,7 +352,8 @@
     def record_committed(
         self, machine: Machine[ControlPlane], position: Position, state: Mapping[str, bytes]
     ) -> None:
-        """A member reports a committed state: there is one at each position, whichever member reports it."""
+        """Records a committed state that a member reports. All members must report the same state at a
+        position."""
         zones = state.get("evacuations") or b"[]"
         committed = CommittedState(
             position,
@@ -362,14 +368,14 @@
             self.committed_states[position] = committed
             evacuations = sorted(committed.evacuations)
             self.history.log(
-                f"finished {position} {committed.version} {committed.key} {evacuations}", machine.name
+                f"committed {position} {committed.version} {committed.key} {evacuations}", machine.name
             )
         elif not known.is_same_state(committed):
             detail = f"at {position}: {known} and {committed} at {machine.name}"
             self.history.violations.append(Finding(FindingKind.DIVERGENT_STATES, detail))
 
     def observe_edge(self, machine: Machine[DataPlane], plane: DataPlane) -> None:
-        """Records what an edge has in force."""
+        """Records the control states that an edge applies."""
         apply = plane.state.apply
         key = ""
 
@@ -383,26 +389,26 @@
                         key = label_of(update.configuration)
                     self.record_edge_view(machine, update, key)
 
-        setattr(plane.state, "apply", applied)  # noqa: B010 (the type checker refuses a method's name)
+        setattr(plane.state, "apply", applied)  # noqa: B010 (type checkers reject the assignment)
 
     def record_edge_view(self, machine: Machine[DataPlane], change: ControlChange, key: str) -> None:
-        """An edge has applied a control state, with the configuration of that key."""
+        """Records that an edge has applied a control state; `key`: the key of its configuration."""
         position = change.epoch, change.sequence
         evacuations = tuple(change.evacuations)
         view = EdgeView(
             self.time.now, machine.name, machine.incarnation, position, change.version, key, evacuations
         )
         self.history.views.append(view)
-        self.history.log(f"learns {position} {change.version} {key} {list(evacuations)}", machine.name)
+        self.history.log(f"applied {position} {change.version} {key} {list(evacuations)}", machine.name)
 
     def acknowledged(self, operation: Operation) -> None:
-        """A change or an order was acknowledged; some faults are injected right then."""
+        """Called when a change or a zone command is acknowledged; some faults are injected at that moment."""
         if self.on_acknowledged is not None:
             inject, self.on_acknowledged = self.on_acknowledged, None
             inject(operation)
 
     def check_poller(self) -> None:
-        """At most one core machine holds the lease for polling the platform's list."""
+        """Checks every SAMPLE_S that at most one core machine holds the lease for polling the platform."""
         holders = [
             machine.name
             for machine in self.cores
@@ -417,7 +423,7 @@
         self.time.after(SAMPLE_S, self.check_poller)
 
     def faults(self) -> list[Finding]:
-        """Exceptions that no program caught."""
+        """Findings for uncaught exceptions of the programs, and of the simulated operators and clients."""
         found: list[Finding] = []
         for machine in self.machines():
             contexts = machine.faults + (machine.loop.faults if machine.loop else [])
@@ -437,7 +443,7 @@
         return [operator.loop for operator in self.operators] + [client.loop for client in self.clients]
 
     def check_invariants(self) -> None:
-        """AssertionError if a machine, the network or a program contradicts itself."""
+        """AssertionError if a machine, the network or a program is in an inconsistent state."""
         for machine in self.machines():
             machine.check_invariants()
         self.network.check_invariants()
@@ -445,7 +451,7 @@
     # --- time
 
     def start(self) -> None:
-        """Everything starts within START_WITHIN_S, operators and clients a little later."""
+        """Starts all machines within START_WITHIN_S, and operators and clients a little later."""
         self.platform.start()
         starting: list[Machine[Any]] = [*self.cores, *self.edges]
         for machine in starting:
@@ -457,7 +463,7 @@
         self.check_poller()
 
     def run(self, until: float) -> None:
-        """Plays up to that virtual time (s)."""
+        """Runs the system up to the virtual time `until` (s)."""
         before = dict(logger.__dict__)
         if not self.log:
             set_sink(DiscardingLogger())
@@ -469,7 +475,7 @@
             logger.__dict__.update(before)
 
     def close(self) -> None:
-        """All processes are gone; what they leave runs no more."""
+        """Ends all processes; none of their pending events run any more."""
         for machine in self.machines():
             if machine.loop is not None:
                 machine.loop.end()
--- a/shedgrade/simulation/system/simulation_run.py
+++ b/shedgrade/simulation/system/simulation_run.py
@@ -1,4 +1,4 @@
-"""A day by seed: its parameters are drawn, faults are injected and ended, and the history is checked."""
+"""One run by seed: draws its parameters, injects and ends faults, and checks the history."""
 
 from __future__ import annotations
 
@@ -14,16 +14,16 @@
 from shedgrade.simulation.system.simulated_system import START_WITHIN_S, SimulatedSystem, SystemParameters
 
 PROFILES = ("calm", "fair", "planned", "storm", "targeted")
-HOMES = ("region-1", "region-2")  # of one route, in days with planned stops
-RECOVERY_S = 9.0  # after the last fault, in which orders go on
-LAST_OPERATIONS_S = 15.0  # after which every operation has completed, at the latest
-LEARN_S = 3.0  # after the last answer, in which edges learn it
+HOMES = ("region-1", "region-2")  # home regions of one route, in runs with planned stops
+RECOVERY_S = 9.0  # after the last fault; operators still send operations
+LAST_OPERATIONS_S = 15.0  # longest time for the last operations to complete
+LEARN_S = 3.0  # after the last answer, for edges to learn the last changes
 KILOBYTE = 1024
-MEGABIT = 125_000  # bytes a second
+MEGABIT = 125_000  # bytes per second
 
 
 def draw_parameters(seed: int, tolerated: int, profile: str, length: float = 20.0) -> SystemParameters:
-    """The parameters of a seed's day."""
+    """Draws the parameters of a seed's run."""
     random = Random(f"{seed} {tolerated} {profile}")
     padding = random.choice((0, 0, 0, 0, 20, 100, 500, 2000)) * KILOBYTE
     bandwidth = random.choice((0.0, 0.0, 1000.0, 100.0, 20.0, 5.0)) * MEGABIT
@@ -54,7 +54,7 @@
 
 
 class SimulationRun:
-    """One seed's day. `system` may be looked at afterwards."""
+    """The run of one seed. `system` may be inspected afterwards."""
 
     def __init__(
         self,
@@ -75,7 +75,7 @@
         self.schedule = FaultSchedule(self.system, self.faults, profile, Random(self.system.random.random()))
 
     def play(self) -> list[Finding]:
-        """Start, faults, recovery, the last operations. Returns the findings."""
+        """Plays the start, faults, recovery and the last operations. Returns the findings."""
         system, length = self.system, self.parameters.length
         try:
             system.history.unstable_spans.append(TimeSpan(0.0, START_WITHIN_S))
@@ -100,7 +100,7 @@
             system.close()
 
     def timely(self) -> bool:
-        """Times are checked only where answers come and links carry what is sent."""
+        """Whether times are checked: not in storms, nor if answers are lost or changes are too large."""
         parameters = self.parameters
         return (
             self.profile != "storm" and not parameters.answers_lost and parameters.padding <= 100 * KILOBYTE
--- a/shedgrade/simulation/system/state_checkers.py
+++ b/shedgrade/simulation/system/state_checkers.py
@@ -1,4 +1,4 @@
-"""Checkers of the committed control states against operators' calls. Each returns its findings."""
+"""Checkers that compare the committed control states with operators' calls. Each returns its findings."""
 
 from __future__ import annotations
 
@@ -16,7 +16,7 @@
 
 
 def check_states(states: States, history: History) -> list[Finding]:
-    """All checks of this module. `states`: by position."""
+    """Runs all checks of this module. `states`: in order of their positions."""
     puts = [operation for operation in history.operations if operation.kind is OperationKind.PUT]
     violations = check_single_chain(states, puts)
     violations += check_acknowledged(states, puts)
@@ -25,12 +25,12 @@
     violations += check_zones(states, history)
     violations += check_freshness(states, history)
     if not states:
-        return [*violations, Finding(FindingKind.NOTHING_COMMITTED, "in the whole day")]
+        return [*violations, Finding(FindingKind.NOTHING_COMMITTED, "in the whole run")]
     return violations + check_final_version(states[-1], puts) + check_final_zones(states[-1], history)
 
 
 def check_single_chain(states: States, puts: list[Operation]) -> list[Finding]:
-    """Versions only grow from state to state, and each change was made on top of the one before it."""
+    """Checks that versions only increase, and that each change was made on top of the state before it."""
     violations: list[Finding] = []
     version, key = 0, ""
     bases: dict[tuple[int, str], set[int]] = {}
@@ -46,7 +46,7 @@
         elif sent_on is None:
             violations.append(Finding(FindingKind.BROKEN_CHAIN, f"nobody sent {state.version} {state.key}"))
         elif max(sent_on) < version:
-            # Positions that nobody saw may lie between; then the base is a newer one.
+            # No member may have reported some positions in between; then the base is a newer version.
             detail = f"{state.version} {state.key}, made on top of {sent_on}, follows {version}"
             violations.append(Finding(FindingKind.BROKEN_CHAIN, detail))
         version, key = state.version, state.key
@@ -54,7 +54,7 @@
 
 
 def check_acknowledged(states: States, puts: list[Operation]) -> list[Finding]:
-    """What was acknowledged was committed; one change for each base and each version."""
+    """Checks that acknowledged changes were committed: one at most for each base and for each version."""
     violations: list[Finding] = []
     committed = {(state.version, state.key) for state in states}
     by_base: dict[int, str] = {}
@@ -63,7 +63,7 @@
         if not put.acknowledged:
             continue
         if (put.version, put.key) not in committed:
-            detail = f"never in place: {put.version} {put.key}"
+            detail = f"never committed: {put.version} {put.key}"
             violations.append(Finding(FindingKind.LOST_ACKNOWLEDGEMENT, detail))
         other = by_base.setdefault(put.base, put.key)
         if other != put.key:
@@ -77,7 +77,7 @@
 
 
 def check_refused(states: States, history: History, puts: list[Operation]) -> list[Finding]:
-    """A refused change is never in place, and one that was taken never refused; a valid one gets no 400."""
+    """Checks that a refused change is never applied, and that changes, all valid, are refused by 412 only."""
     violations: list[Finding] = []
     in_place = {state.key for state in states} | {view.key for view in history.views}
     for put in puts:
@@ -95,7 +95,7 @@
 
 
 def check_refusals_founded(states: States, puts: list[Operation]) -> list[Finding]:
-    """A change is refused for its base only if another version than that was in place at some moment of the
+    """Checks that a change is refused for its base only if another version was in place at some moment of the
     call."""
     violations: list[Finding] = []
     by_time = sorted(states, key=lambda state: state.at)
@@ -107,13 +107,13 @@
         in_place = by_time[max(first - 1, 0) : bisect_right(times, put.completed_at)]
         before_all = first == 0 and put.base == 0
         if all(state.version == put.base for state in in_place) and (in_place or before_all):
-            detail = f"{put.version} {put.key} at {put.completed_at:.3f}, {put.base} was in place all along"
+            detail = f"{put.version} {put.key} at {put.completed_at:.3f}, {put.base} was in place throughout"
             violations.append(Finding(FindingKind.UNFOUNDED_REFUSAL, detail))
     return violations
 
 
 def check_freshness(states: States, history: History) -> list[Finding]:
-    """A member vouches for no state as of a time when a newer one had been committed."""
+    """Checks that no member confirms a state as of a time when a newer one had been committed."""
     violations: list[Finding] = []
     by_time = sorted(states, key=lambda state: state.at)
     times = [state.at for state in by_time]
@@ -123,17 +123,17 @@
         if known and newest[known - 1] > tuple(answer.position):
             detail = (
                 f"{answer.member} tells {answer.edge} at {answer.at:.3f} that {answer.position} is the "
-                f"newest as of {answer.confirmed_at:.3f}, when {newest[known - 1]} was committed"
+                f"newest as of {answer.confirmed_at:.3f}, when {newest[known - 1]} had been committed"
             )
             violations.append(Finding(FindingKind.STALE_CALLED_FRESH, detail))
     return violations
 
 
 def check_zones(states: States, history: History) -> list[Finding]:
-    """An order about a zone does nothing once its operator has ended it and a newer one was acknowledged.
+    """Checks that no zone command takes effect after its end and after the acknowledgement of a newer one.
 
-    A change of a zone must have an order that was under way when it was first seen, or that ended without a
-    clear answer and with no newer one acknowledged since.
+    A change of a zone must have a command that was in progress when the change was first seen, or that ended
+    without a clear answer and with no newer command acknowledged since.
     """
     violations: list[Finding] = []
     orders: dict[str, list[Operation]] = {}
@@ -150,7 +150,7 @@
 
 
 def check_late_order(zone: str, kind: OperationKind, at: float, orders: list[Operation]) -> list[Finding]:
-    """Whether the change of a zone that was first seen at `at` has an order that may still take effect."""
+    """Checks that the change of a zone, first seen at `at` (s), has a command that may still take effect."""
     begun = [order for order in orders if order.kind is kind and order.invoked_at <= at]
     if any(order.completed_at >= at for order in begun):
         return []
@@ -164,15 +164,16 @@
 
 
 def check_final_version(final: CommittedState, puts: list[Operation]) -> list[Finding]:
-    """The newest acknowledged version is in the last state, or an older one than that."""
+    """Checks that the last state has the newest acknowledged version or a newer one."""
     newest = max((put.version for put in puts if put.acknowledged), default=0)
     if final.version < newest:
-        return [Finding(FindingKind.LOST_ACKNOWLEDGEMENT, f"{newest}, the last state has {final.version}")]
+        return [Finding(FindingKind.LOST_ACKNOWLEDGEMENT, f"{newest}; the last state has {final.version}")]
     return []
 
 
 def check_final_zones(final: CommittedState, history: History) -> list[Finding]:
-    """The newest acknowledged order of a zone holds, unless one of the other kind was unclear after it."""
+    """Checks that each zone's newest acknowledged command holds in the last state, unless a command of the
+    other kind may have taken effect after it."""
     violations: list[Finding] = []
     for zone in sorted({operation.zone for operation in history.operations if operation.zone}):
         orders = [operation for operation in history.operations if operation.zone == zone]
