--- a/shedgrade/simulation/system/patched_modules.py
+++ b/shedgrade/simulation/system/patched_modules.py
@@ -38,7 +38,7 @@
     return network_of(loop).socket(loop)
 
 
-def open_socket(descriptor: int) -> SimulatedSocket | None:
+def find_socket(descriptor: int) -> SimulatedSocket | None:
     """The open socket with this descriptor, None if there is none."""
     return network_of(running_loop()).sockets.get(descriptor)
 
@@ -58,14 +58,14 @@
     @staticmethod
     def socket(
         family: int = 0, kind: int = 0, protocol: int = 0, fileno: int | None = None
-    ) -> SimulatedSocket | BorrowedSocket:
+    ) -> SimulatedSocket | DuplicateSocket:
         """A new socket, or a second socket object for the open descriptor `fileno`."""
         if fileno is None:
             return new_socket()
-        return BorrowedSocket(open_socket(fileno))
+        return DuplicateSocket(find_socket(fileno))
 
     @staticmethod
-    def create_server(address: Address, **more: Any) -> SimulatedSocket:
+    def create_server(address: Address, **options: Any) -> SimulatedSocket:
         """A new socket that listens at `address`."""
         handle = new_socket()
         handle.bind(address)
@@ -73,7 +73,7 @@
         return handle
 
 
-class BorrowedSocket:
+class DuplicateSocket:
     """A second socket object for an open descriptor."""
 
     def __init__(self, handle: SimulatedSocket | None) -> None:
@@ -99,7 +99,7 @@
     def register(self, target: SimulatedSocket | int, events: int) -> None:
         """Adds a socket, by itself or by its descriptor. ValueError if it is closed; a descriptor that is not
         open is ignored."""
-        handle = open_socket(target) if isinstance(target, int) else target
+        handle = find_socket(target) if isinstance(target, int) else target
         if handle is None:
             return
         if handle.fileno() < 0:
@@ -125,7 +125,7 @@
     def ioctl(descriptor: int, request: int, buffer: bytes) -> bytes:
         """Supports FIONREAD (bytes unread) and TIOCOUTQ (bytes not acknowledged). OSError if the descriptor
         is not a connected socket."""
-        handle = open_socket(descriptor)
+        handle = find_socket(descriptor)
         if handle is None or handle.endpoint is None:
             raise OSError(errno.EBADF, os.strerror(errno.EBADF))
         sizes = {
@@ -135,7 +135,7 @@
         return sizes[request].to_bytes(len(buffer), "little")
 
 
-class NoCollector:
+class NoOpGarbageCollector:
     """Replaces `gc` in programs that collect garbage at their start: they all share one interpreter."""
 
     @staticmethod
@@ -161,7 +161,7 @@
         return at / 10_000
 
 
-REPLACED = (
+REPLACEMENTS = (
     ("shedgrade.peer_transport.tcp", "socket", SocketModule()),
     ("shedgrade.peer_transport.udp", "socket", SocketModule()),
     ("shedgrade.http.socket_state", "socket", SocketModule()),
@@ -171,13 +171,13 @@
     ("shedgrade.http.listener", "select", SelectModule()),
     ("shedgrade.http.server", "select", SelectModule()),
     ("shedgrade.http.server_connection", "select", SelectModule()),
-    ("shedgrade.controlplane.plane", "gc", NoCollector()),
-    ("shedgrade.dataplane.plane", "gc", NoCollector()),
+    ("shedgrade.controlplane.plane", "gc", NoOpGarbageCollector()),
+    ("shedgrade.dataplane.plane", "gc", NoOpGarbageCollector()),
     ("shedgrade.dataplane.plane", "Clock", SteadyClock),
 )
 
 
-class Replaced(NamedTuple):
+class PatchedAttribute(NamedTuple):
     """A module's attribute that was replaced, with its original value."""
 
     module: ModuleType
@@ -188,12 +188,12 @@
 @contextmanager
 def patched_modules() -> Iterator[None]:
     """Installs the replacements for the duration of the block. Blocks may be nested."""
-    replaced: list[Replaced] = []
+    replaced: list[PatchedAttribute] = []
     try:
-        for module, name, stand_in in REPLACED:
+        for module, name, replacement in REPLACEMENTS:
             target = importlib.import_module(module)
-            replaced.append(Replaced(target, name, getattr(target, name)))
-            setattr(target, name, stand_in)
+            replaced.append(PatchedAttribute(target, name, getattr(target, name)))
+            setattr(target, name, replacement)
         yield
     finally:
         for target, name, value in reversed(replaced):
