--- a/shedgrade/simulation/system/operators.py
+++ b/shedgrade/simulation/system/operators.py
@@ -18,9 +18,9 @@
 if TYPE_CHECKING:
     from shedgrade.simulation.system.simulated_system import SimulatedSystem
 
-ZONE_ORDER_TIMEOUT_S = 5.0  # time after which the operator no longer retries a zone command
-REPEATED_SHARE = 0.15  # share of acknowledged changes that are sent a second time, unchanged
-DELTA_EACH = 3  # one in so many changes of an operator is a delta, where deltas are allowed
+ZONE_COMMAND_TIMEOUT_S = 5.0  # time after which the operator no longer retries a zone command
+REPEAT_PROBABILITY = 0.15  # that an acknowledged change is sent a second time, unchanged
+CHANGES_PER_DELTA = 3  # of one operator, where deltas are allowed
 
 
 class Operator:
@@ -64,9 +64,9 @@
     def start(self) -> None:
         """Starts the operator's tasks."""
         zones = self.zones[: self.at_once - 1]
-        work = [self.change_configurations(), *(self.evacuate_and_return(zone) for zone in zones)]
-        work += [self.read_repeatedly() for _ in range(self.at_once - len(work))]
-        self.tasks = [self.loop.create_task(one) for one in work]
+        coroutines = [self.change_configurations(), *(self.evacuate_and_return(zone) for zone in zones)]
+        coroutines += [self.read_repeatedly() for _ in range(self.at_once - len(coroutines))]
+        self.tasks = [self.loop.create_task(coroutine) for coroutine in coroutines]
 
     @property
     def finished(self) -> bool:
@@ -120,7 +120,7 @@
             key=label,
             repeat_of=repeat_of,
         )
-        operation.delta = repeat_of.delta if repeat_of is not None else self.sends_delta(base)
+        operation.delta = repeat_of.delta if repeat_of is not None else self.is_delta_due(base)
         if operation.delta:
             request = Request("PATCH", "/configuration", delta(version, label), base)
         else:
@@ -129,9 +129,9 @@
         await self.perform(operation, request, first=first)
         return operation
 
-    def sends_delta(self, base: int) -> bool:
+    def is_delta_due(self, base: int) -> bool:
         """Whether the next change is a delta (named items only). Runs with home regions send none."""
-        return base > 0 and self.changes_made % DELTA_EACH == 1 and not self.system.parameters.homes
+        return base > 0 and self.changes_made % CHANGES_PER_DELTA == 1 and not self.system.parameters.homes
 
     async def get(self, first: MemberAddress | None = None) -> Operation:
         """Reads the configuration."""
@@ -144,7 +144,7 @@
     ) -> Operation:
         """Evacuates a zone or ends its evacuation, as `kind` says."""
         operation = Operation(self.name, kind, self.loop.virtual_time.now, zone=zone)
-        until = self.loop.time() + ZONE_ORDER_TIMEOUT_S
+        until = self.loop.time() + ZONE_COMMAND_TIMEOUT_S
         await self.perform(operation, Request(kind.value, f"/evacuation/{zone}"), until, first)
         return operation
 
@@ -165,7 +165,7 @@
             )
             if operation.acknowledged:
                 self.known_version = operation.version
-                if self.random.random() < REPEATED_SHARE:
+                if self.random.random() < REPEAT_PROBABILITY:
                     await self.put(operation.base, operation.version, operation.key, operation)
             else:
                 read = await self.get()
