--- a/shedgrade/simulation/system/state_checkers.py
+++ b/shedgrade/simulation/system/state_checkers.py
@@ -9,7 +9,7 @@
 from shedgrade.simulation.system.findings import Finding, FindingKind
 from shedgrade.simulation.system.history import CommittedState, History, Operation, OperationKind
 
-ORDERS_OF_ZONES = (OperationKind.EVACUATE, OperationKind.RETURN)
+ZONE_COMMAND_KINDS = (OperationKind.EVACUATE, OperationKind.RETURN)
 PRECONDITION_FAILED = 412
 
 States = Sequence[CommittedState]
@@ -21,7 +21,7 @@
     violations = check_single_chain(states, puts)
     violations += check_acknowledged(states, puts)
     violations += check_refused(states, history, puts)
-    violations += check_refusals_founded(states, puts)
+    violations += check_refusals_justified(states, puts)
     violations += check_zones(states, history)
     violations += check_freshness(states, history)
     if not states:
@@ -94,7 +94,7 @@
     return violations
 
 
-def check_refusals_founded(states: States, puts: list[Operation]) -> list[Finding]:
+def check_refusals_justified(states: States, puts: list[Operation]) -> list[Finding]:
     """Checks that a change is refused for its base only if another version was in place at some moment of the
     call."""
     violations: list[Finding] = []
@@ -136,28 +136,28 @@
     without a clear answer and with no newer command acknowledged since.
     """
     violations: list[Finding] = []
-    orders: dict[str, list[Operation]] = {}
+    commands: dict[str, list[Operation]] = {}
     for operation in history.operations:
-        if operation.kind in ORDERS_OF_ZONES:
-            orders.setdefault(operation.zone, []).append(operation)
+        if operation.kind in ZONE_COMMAND_KINDS:
+            commands.setdefault(operation.zone, []).append(operation)
     evacuated: frozenset[str] = frozenset()
     for state in states:
         for zone in sorted(state.evacuations ^ evacuated):
             kind = OperationKind.EVACUATE if zone in state.evacuations else OperationKind.RETURN
-            violations += check_late_order(zone, kind, state.at, orders.get(zone, []))
+            violations += check_late_command(zone, kind, state.at, commands.get(zone, []))
         evacuated = state.evacuations
     return violations
 
 
-def check_late_order(zone: str, kind: OperationKind, at: float, orders: list[Operation]) -> list[Finding]:
+def check_late_command(zone: str, kind: OperationKind, at: float, commands: list[Operation]) -> list[Finding]:
     """Checks that the change of a zone, first seen at `at` (s), has a command that may still take effect."""
-    begun = [order for order in orders if order.kind is kind and order.invoked_at <= at]
-    if any(order.completed_at >= at for order in begun):
+    started = [command for command in commands if command.kind is kind and command.invoked_at <= at]
+    if any(command.completed_at >= at for command in started):
         return []
-    newer = [order for order in orders if order.acknowledged and order.completed_at < at]
-    newest = max(newer, key=lambda order: order.invoked_at, default=None)
-    unclear = [order for order in begun if not order.acknowledged]
-    if any(newest is None or order.completed_at >= newest.invoked_at for order in unclear):
+    newer = [command for command in commands if command.acknowledged and command.completed_at < at]
+    newest = max(newer, key=lambda command: command.invoked_at, default=None)
+    indeterminate = [command for command in started if not command.acknowledged]
+    if any(newest is None or command.completed_at >= newest.invoked_at for command in indeterminate):
         return []
     last = f"{newest.kind} acknowledged at {newest.completed_at:.3f}" if newest else "nothing acknowledged"
     return [Finding(FindingKind.LATE_ZONE_COMMAND, f"{kind} of {zone} takes effect at {at:.3f} after {last}")]
@@ -176,11 +176,12 @@
     other kind may have taken effect after it."""
     violations: list[Finding] = []
     for zone in sorted({operation.zone for operation in history.operations if operation.zone}):
-        orders = [operation for operation in history.operations if operation.zone == zone]
-        acknowledged = [order for order in orders if order.acknowledged]
-        newest = max(acknowledged, key=lambda order: order.invoked_at, default=None)
+        commands = [operation for operation in history.operations if operation.zone == zone]
+        acknowledged = [command for command in commands if command.acknowledged]
+        newest = max(acknowledged, key=lambda command: command.invoked_at, default=None)
         if newest is None or any(
-            order.kind is not newest.kind and order.completed_at >= newest.invoked_at for order in orders
+            command.kind is not newest.kind and command.completed_at >= newest.invoked_at
+            for command in commands
         ):
             continue
         if (zone in final.evacuations) != (newest.kind is OperationKind.EVACUATE):
