--- a/shedgrade/simulation/system/operators.py
+++ b/shedgrade/simulation/system/operators.py
@@ -20,7 +20,7 @@
 
 ZONE_COMMAND_TIMEOUT_S = 5.0  # time after which the operator no longer retries a zone command
 REPEAT_PROBABILITY = 0.15  # that an acknowledged change is sent a second time, unchanged
-CHANGES_PER_DELTA = 3  # of one operator, where deltas are allowed
+CHANGES_PER_DELTA = 3  # of these changes of an operator one is a delta, where deltas are allowed
 
 
 class Operator:
--- a/shedgrade/simulation/system/simulated_socket.py
+++ b/shedgrade/simulation/system/simulated_socket.py
@@ -81,9 +81,9 @@
         """Adds a connection, which the process accepts when it runs."""
         self.backlog.append(handle)
         if self.on_backlog is not None:
-            self.loop.io_soon(self.take_backlog)
+            self.loop.io_soon(self.notify_reader)
 
-    def take_backlog(self) -> None:
+    def notify_reader(self) -> None:
         """Calls the process's reader if connections still wait to be accepted."""
         if self.open and self.backlog and self.on_backlog is not None:
             self.on_backlog()
--- a/shedgrade/simulation/system/stream_transport.py
+++ b/shedgrade/simulation/system/stream_transport.py
@@ -11,7 +11,7 @@
 from shedgrade.simulation.system.host import Address
 from shedgrade.simulation.system.process_loop import ProcessLoop
 from shedgrade.simulation.system.tcp_endpoint import Endpoint
-from shedgrade.simulation.system.tcp_segment import FIN, RESET, SEND_BUFFER, Received
+from shedgrade.simulation.system.tcp_segment import FIN, RESET, SEND_BUFFER_BYTES, Received
 from shedgrade.simulation.system.tcp_stream import Stream
 
 HIGH_WATER, LOW_WATER = 64 * 1024, 16 * 1024  # bytes, as in asyncio
@@ -64,7 +64,7 @@
 
     # --- state
 
-    def loop_ended(self) -> bool:
+    def process_ended(self) -> bool:
         """Whether the process has ended."""
         return not self.loop.alive
 
@@ -73,7 +73,7 @@
         self.loop.io_soon(callback)
 
     @property
-    def waits_for_room(self) -> bool:
+    def awaits_drain(self) -> bool:
         """Whether the process waits for written bytes to leave it."""
         return not self.closed and (self.paused_writing or self.closing)
 
@@ -103,7 +103,7 @@
 
     def get_write_buffer_size(self) -> int:
         """Number of bytes that the kernel has not taken."""
-        return max(0, self.endpoint.out.outstanding() - SEND_BUFFER)
+        return max(0, self.endpoint.out.outstanding() - SEND_BUFFER_BYTES)
 
     def can_write_eof(self) -> bool:
         """As in asyncio."""
@@ -153,20 +153,20 @@
         """As in asyncio."""
         return not self.paused_reading and not self.is_closing()
 
-    def read_all(self) -> None:
+    def deliver_unread(self) -> None:
         """Passes unread bytes and ends to the protocol until it pauses reading."""
         stream = self.endpoint.incoming
-        has_read = False
+        has_delivered = False
         while not (self.paused_reading or self.closing or self.closed):
             item = stream.read()
             if item is None:
                 break
-            has_read = True
-            self.hand_over(stream, item)
-        if has_read and not self.closed and not self.closing and stream.queue:
+            has_delivered = True
+            self.deliver(stream, item)
+        if has_delivered and not self.closed and not self.closing and stream.queue:
             stream.push()  # the window has room again
 
-    def hand_over(self, stream: Stream, item: Received) -> None:
+    def deliver(self, stream: Stream, item: Received) -> None:
         """Passes bytes or an end to the protocol."""
         if isinstance(item, bytes):
             if self.buffered:
@@ -204,7 +204,7 @@
     def abort(self) -> None:
         """As in asyncio: bytes that have not left the process are lost."""
         out = self.endpoint.out
-        out.truncate(out.outstanding() - SEND_BUFFER)
+        out.truncate(out.outstanding() - SEND_BUFFER_BYTES)
         self.finish(None)
 
     def finish(self, failure: Exception | None) -> None:
--- a/shedgrade/simulation/system/tcp_connection.py
+++ b/shedgrade/simulation/system/tcp_connection.py
@@ -10,12 +10,12 @@
 from shedgrade.simulation.system.process_loop import ProcessLoop
 from shedgrade.simulation.system.simulated_socket import SimulatedSocket
 from shedgrade.simulation.system.tcp_endpoint import Endpoint
-from shedgrade.simulation.system.tcp_stream import Paths, Stream
+from shedgrade.simulation.system.tcp_stream import Stream, StreamNetwork
 
 KEEPALIVE_S = 3.0  # time without contact after which keep-alive probes end a connection
 
 
-class ConnectionNetwork(Paths, Protocol):
+class ConnectionNetwork(StreamNetwork, Protocol):
     """The network, as a connection uses it."""
 
     def socket(self, loop: ProcessLoop) -> SimulatedSocket:
@@ -103,7 +103,7 @@
 
     def check_timeouts(self, now: float) -> None:
         """Fails each side whose bytes stay unacknowledged for too long or whose keep-alive probes fail."""
-        if self.closed or self.close_if_over():
+        if self.closed or self.remove_if_finished():
             return
         network, near, far = self.network, self.near, self.far
         reachable = not (network.blocked(near.host, far.host) or network.blocked(far.host, near.host))
@@ -117,7 +117,7 @@
             return
         if reachable and other.host.powered:
             endpoint.contact_at = now
-            if other.power_lost and (handle.keepalive or endpoint.out.flight):
+            if other.power_lost and (handle.keepalive or endpoint.out.in_flight):
                 endpoint.reset_arrived()  # the other machine lost power and answers the probe with RST
                 return
         since = endpoint.out.unacknowledged_since()
@@ -125,7 +125,7 @@
         if overdue or (handle.keepalive and now - endpoint.contact_at > KEEPALIVE_S):
             endpoint.fail(errno.ETIMEDOUT)
 
-    def close_if_over(self) -> bool:
+    def remove_if_finished(self) -> bool:
         """Removes the connection if both sides have closed and nothing is left to send. Returns `closed`."""
         near, far = self.near, self.far
         if near.open or far.open:
--- a/shedgrade/simulation/system/tcp_endpoint.py
+++ b/shedgrade/simulation/system/tcp_endpoint.py
@@ -17,7 +17,7 @@
     def reset(self, by: Endpoint) -> None:
         """Sends RST from an endpoint, in answer to bytes for a connection that is not open there."""
 
-    def close_if_over(self) -> bool:
+    def remove_if_finished(self) -> bool:
         """Removes the connection once both sides have closed and nothing is left to send."""
 
 
@@ -25,19 +25,19 @@
     """The transport by which a process uses an endpoint."""
 
     @property
-    def waits_for_room(self) -> bool:
+    def awaits_drain(self) -> bool:
         """Whether the process has written more than the kernel takes."""
 
     def drained(self) -> None:
         """Called when written bytes have left the process."""
 
-    def loop_ended(self) -> bool:
+    def process_ended(self) -> bool:
         """Whether the process has ended."""
 
     def io_soon(self, callback: Callable[..., Any]) -> None:
         """Schedules a callback in the process, as its loop does when a socket is ready."""
 
-    def read_all(self) -> None:
+    def deliver_unread(self) -> None:
         """Passes the unread bytes and ends to the process."""
 
 
@@ -82,13 +82,13 @@
         self.incoming.check_invariants()
 
     @property
-    def waits_for_room(self) -> bool:
+    def awaits_drain(self) -> bool:
         """Whether the process has written more than the kernel takes."""
-        return self.transport is not None and self.transport.waits_for_room
+        return self.transport is not None and self.transport.awaits_drain
 
     def drained(self) -> None:
         """Called when written bytes have left the process."""
-        if self.transport is not None and self.transport.waits_for_room:
+        if self.transport is not None and self.transport.awaits_drain:
             self.transport.drained()
 
     def received(self, stream: Stream, payload: Payload) -> None:
@@ -112,7 +112,7 @@
 
     def notify(self) -> None:
         """Schedules the process to read."""
-        if self.transport is not None and not self.notified and not self.transport.loop_ended():
+        if self.transport is not None and not self.notified and not self.transport.process_ended():
             self.notified = True
             self.transport.io_soon(self.readable)
 
@@ -120,7 +120,7 @@
         """Called in the process, which reads."""
         self.notified = False
         if self.transport is not None:
-            self.transport.read_all()
+            self.transport.deliver_unread()
 
     def fail(self, number: int) -> None:
         """Ends the connection with the error `number` (an errno), which the process reads."""
@@ -144,7 +144,7 @@
         self.incoming.discard_unread()
         if self.incoming.queue:
             self.incoming.push()  # the window has room again; the bytes will be answered with RST
-        self.connection.close_if_over()
+        self.connection.remove_if_finished()
 
     def lose_power(self) -> None:
         """Drops the connection without a packet to the other side, as the machine loses power."""
@@ -152,4 +152,4 @@
         self.power_lost = True
         self.out.drop()
         self.out.ended = True
-        self.connection.close_if_over()
+        self.connection.remove_if_finished()
--- a/shedgrade/simulation/system/tcp_segment.py
+++ b/shedgrade/simulation/system/tcp_segment.py
@@ -4,8 +4,8 @@
 
 from enum import Enum
 
-SEND_BUFFER = 128 * 1024  # bytes that the sender's kernel buffers for its process
-SEGMENT = 32 * 1024  # most bytes in one segment
+SEND_BUFFER_BYTES = 128 * 1024  # in the sender's kernel
+MAX_SEGMENT_BYTES = 32 * 1024
 NEVER = float("inf")  # s
 
 
--- a/shedgrade/simulation/system/tcp_stream.py
+++ b/shedgrade/simulation/system/tcp_stream.py
@@ -15,8 +15,8 @@
 
 from shedgrade.simulation.system.host import Host
 from shedgrade.simulation.system.tcp_segment import (
+    MAX_SEGMENT_BYTES,
     NEVER,
-    SEGMENT,
     Payload,
     Received,
     Segment,
@@ -24,10 +24,10 @@
 from shedgrade.simulation.system.virtual_time import VirtualTime
 
 HEADER_BYTES = 60  # added to each segment on its link
-RESEND_WITHIN_S = 0.3  # from the end of a cut until the segments that it held have been sent again
+MAX_RESEND_DELAY_S = 0.3  # from the end of a cut until a segment that it held is sent again
 
 
-class Paths(Protocol):
+class StreamNetwork(Protocol):
     """The network, as streams use it. `window`: most bytes unread or in flight in one direction."""
 
     window: int
@@ -53,7 +53,7 @@
         """Generator of this connection's delays."""
 
 
-class StreamEnd(Protocol):
+class StreamEndpoint(Protocol):
     """One side of a connection, as its streams use it. `power_lost`: its machine has lost power since."""
 
     power_lost: bool
@@ -63,7 +63,7 @@
         """The machine of this side."""
 
     @property
-    def waits_for_room(self) -> bool:
+    def awaits_drain(self) -> bool:
         """Whether the process has written more than the kernel takes."""
 
     def drained(self) -> None:
@@ -79,8 +79,8 @@
     Attributes:
         queue: bytes and ends that were written and not sent yet, in order.
         queued_bytes: number of bytes in `queue`.
-        flight: segments that were sent and not acknowledged, in order.
-        in_flight_bytes: number of bytes in `flight`.
+        in_flight: segments that were sent and not acknowledged, in order.
+        in_flight_bytes: number of bytes in `in_flight`.
         held: segments that wait for the end of a cut; nothing is sent past them.
         last_arrival: arrival time of the segment that was sent last, s; later segments don't overtake it.
         unread: bytes and ends that the receiver's process has not read.
@@ -91,7 +91,11 @@
     """
 
     def __init__(
-        self, network: Paths, connection: StreamConnection, sender: StreamEnd, receiver: StreamEnd
+        self,
+        network: StreamNetwork,
+        connection: StreamConnection,
+        sender: StreamEndpoint,
+        receiver: StreamEndpoint,
     ) -> None:
         self.network = network
         self.connection = connection
@@ -100,7 +104,7 @@
         self.time = network.time
         self.queue: deque[Payload] = deque()
         self.queued_bytes = 0
-        self.flight: deque[Segment] = deque()
+        self.in_flight: deque[Segment] = deque()
         self.in_flight_bytes = 0
         self.held: list[Segment] = []
         self.last_arrival = 0.0
@@ -113,7 +117,7 @@
     def check_invariants(self) -> None:
         """AssertionError if the byte counts are wrong."""
         assert self.queued_bytes == sum(len(item) for item in self.queue if isinstance(item, bytes))
-        assert self.in_flight_bytes == sum(segment.size for segment in self.flight)
+        assert self.in_flight_bytes == sum(segment.size for segment in self.in_flight)
         assert self.unread_bytes == sum(len(item) for item in self.unread if isinstance(item, bytes))
 
     # --- the sender's side
@@ -136,9 +140,9 @@
 
     def take_acknowledgements(self) -> None:
         """Removes the segments that are acknowledged by now."""
-        now, flight = self.time.now, self.flight
-        while flight and flight[0].acknowledged_at <= now:
-            self.in_flight_bytes -= flight.popleft().size
+        now, in_flight = self.time.now, self.in_flight
+        while in_flight and in_flight[0].acknowledged_at <= now:
+            self.in_flight_bytes -= in_flight.popleft().size
 
     def push(self) -> None:
         """Sends queued bytes as far as the window allows."""
@@ -148,10 +152,10 @@
             if payload is None:
                 break
             segment = Segment(payload, self.time.now)
-            self.flight.append(segment)
+            self.in_flight.append(segment)
             self.in_flight_bytes += segment.size
             self.transmit(segment)
-        if self.queue or self.sender.waits_for_room:
+        if self.queue or self.sender.awaits_drain:
             self.schedule_push()
         self.sender.drained()
 
@@ -163,7 +167,7 @@
         room = self.network.window - self.in_flight_bytes - self.unread_bytes
         if room <= 0:
             return None
-        size = min(room, SEGMENT)
+        size = min(room, MAX_SEGMENT_BYTES)
         if len(payload) > size:
             self.queue[0] = payload[size:]
             payload = payload[:size]
@@ -175,12 +179,12 @@
     def schedule_push(self) -> None:
         """Schedules a push at the next acknowledgement. None is needed if no acknowledgement is expected: an
         arrival, a read or the end of a cut will push."""
-        at = self.flight[0].acknowledged_at if self.flight else NEVER
+        at = self.in_flight[0].acknowledged_at if self.in_flight else NEVER
         if at != NEVER and not self.push_scheduled:
             self.push_scheduled = True
-            self.time.at(at, self.push_again)
+            self.time.at(at, self.push_due)
 
-    def push_again(self) -> None:
+    def push_due(self) -> None:
         """Called when an acknowledgement is due."""
         self.push_scheduled = False
         if not self.connection.closed:
@@ -229,9 +233,9 @@
             return
         segment.delivered = True
         if not self.network.blocked(receiver, sender):
-            back = self.network.delay(receiver, sender, self.connection.random)
-            segment.acknowledged_at = self.time.now + back
-            if self.queue or self.sender.waits_for_room:
+            return_delay_s = self.network.delay(receiver, sender, self.connection.random)
+            segment.acknowledged_at = self.time.now + return_delay_s
+            if self.queue or self.sender.awaits_drain:
                 self.schedule_push()
         self.receiver.received(self, segment.payload)
 
@@ -239,23 +243,23 @@
         """Called when the path of this direction is open again: the held segments are sent again."""
         held, self.held = self.held, []
         if held and not self.sender.power_lost:
-            delay = self.connection.random.random() * RESEND_WITHIN_S
+            delay = self.connection.random.random() * MAX_RESEND_DELAY_S
             for segment in held:
                 self.transmit(segment, delay)
 
     def return_path_unblocked(self) -> None:
         """Called when the return path is open again: acknowledgements of delivered segments arrive late."""
         now = self.time.now
-        for segment in self.flight:
+        for segment in self.in_flight:
             if segment.delivered and segment.acknowledged_at == NEVER:
-                segment.acknowledged_at = now + self.connection.random.random() * RESEND_WITHIN_S
-        if self.queue or self.sender.waits_for_room:
+                segment.acknowledged_at = now + self.connection.random.random() * MAX_RESEND_DELAY_S
+        if self.queue or self.sender.awaits_drain:
             self.schedule_push()
 
     def unacknowledged_since(self) -> float | None:
         """Time at which the oldest unacknowledged segment was sent, s. None if there is none."""
         self.take_acknowledgements()
-        return self.flight[0].sent_at if self.flight else None
+        return self.in_flight[0].sent_at if self.in_flight else None
 
     # --- the receiver's side
 
