--- a/shedgrade/simulation/system/replication_monitor.py
+++ b/shedgrade/simulation/system/replication_monitor.py
@@ -43,7 +43,7 @@
     from shedgrade.simulation.system.machine import Machine
     from shedgrade.simulation.system.simulated_system import SimulatedSystem
 
-NOWHERE = LogPosition(0, 0)
+INITIAL_POSITION = LogPosition(0, 0)
 FORCED_LEAVE_S = LINGER_S + KILL_MARGIN_S + 0.05  # before SIGKILL: a process exits without waiting for others
 Trigger = Callable[["Machine[ControlPlane]", str, Message], bool]
 
@@ -55,23 +55,23 @@
     incarnation: int = 0
     promised_epoch: int = 0
     accepted_epoch: int = 0
-    log_position: LogPosition = NOWHERE
+    log_position: LogPosition = INITIAL_POSITION
     config_number: int = 0
 
 
 def decode_durable_state(values: Mapping[str, bytes]) -> DurableState:
     """Decodes the values of a disk. `Store.values` holds only values that are known to be synced."""
-    found = DurableState()
+    state = DurableState()
     if INCARNATION_KEY in values:
-        found.incarnation = msgspec.msgpack.decode(values[INCARNATION_KEY], type=int)
+        state.incarnation = msgspec.msgpack.decode(values[INCARNATION_KEY], type=int)
     if PROMISE_KEY in values:
-        found.promised_epoch = msgspec.msgpack.decode(values[PROMISE_KEY], type=tuple[int, int])[0]
+        state.promised_epoch = msgspec.msgpack.decode(values[PROMISE_KEY], type=tuple[int, int])[0]
     if POSITION_KEY in values:
         position = msgspec.msgpack.decode(values[POSITION_KEY], type=tuple[int, LogPosition])
-        found.accepted_epoch, found.log_position = position
+        state.accepted_epoch, state.log_position = position
     if EPOCH_KEY in values:
-        found.config_number = msgspec.msgpack.decode(values[EPOCH_KEY], type=EpochConfig).number
-    return found
+        state.config_number = msgspec.msgpack.decode(values[EPOCH_KEY], type=EpochConfig).number
+    return state
 
 
 @dataclass(slots=True)
@@ -110,7 +110,7 @@
         self.promised: dict[int, int] = {}
         self.durable_positions: dict[int, LogPosition] = {}
         self.epochs: dict[int, EpochRecord] = {}
-        self.newest_committed = NOWHERE
+        self.newest_committed = INITIAL_POSITION
         self.triggers: list[Trigger] = []
 
     def observe(self, machine: Machine[ControlPlane], plane: ControlPlane) -> None:
@@ -121,7 +121,9 @@
         def observed_send(address: str, message: Message) -> None:
             self.on_send(machine, plane, message)
             self.system.delayed_messages.on_send(machine, address, message)
-            self.triggers[:] = [each for each in self.triggers if not each(machine, address, message)]
+            self.triggers[:] = [
+                trigger for trigger in self.triggers if not trigger(machine, address, message)
+            ]
             if not self.system.delayed_messages.holds(machine, address, message):
                 send(address, message)
 
@@ -145,22 +147,22 @@
         """The record of an epoch number."""
         return self.epochs.setdefault(number, EpochRecord())
 
-    def note_committed(self, machine: Machine[ControlPlane], reported: tuple[int, int]) -> None:
+    def record_committed_position(self, machine: Machine[ControlPlane], reported: tuple[int, int]) -> None:
         """Checks a position that a member reports as committed: enough disks must hold it."""
         position = LogPosition(*reported)
         program = machine.program
         if program is not None and program.member.primary_role.active and position > self.newest_committed:
-            self.note_durable(program)
+            self.record_durable_state(program)
             copies = sum(durable >= position for durable in self.durable_positions.values())
             if copies <= self.system.parameters.tolerated:
                 detail = f"{position} is committed with {copies} copies"
                 self.report(FindingKind.COMMITTED_TOO_EARLY, machine, detail)
         self.newest_committed = max(self.newest_committed, position)
 
-    def note_durable(self, plane: ControlPlane) -> DurableState:
+    def record_durable_state(self, plane: ControlPlane) -> DurableState:
         """Records the position on this process's disk, and returns the state of the disk."""
         durable = decode_durable_state(plane.store.values)
-        known = self.durable_positions.get(durable.incarnation, NOWHERE)
+        known = self.durable_positions.get(durable.incarnation, INITIAL_POSITION)
         self.durable_positions[durable.incarnation] = max(known, durable.log_position)
         return durable
 
@@ -182,15 +184,15 @@
 
     def on_prepare(self, machine: Machine[ControlPlane], plane: ControlPlane, prepare: Prepare) -> None:
         """Checks the prepare message of a candidate, which has promised the epoch to itself."""
-        self.note_promise(machine, plane, prepare.incarnation, prepare.number)
+        self.record_promise(machine, plane, prepare.incarnation, prepare.number)
 
     def on_promise(self, machine: Machine[ControlPlane], plane: ControlPlane, promise: Promise) -> None:
         """Checks a member's promise of an epoch to a candidate."""
         if promise.founding:
             self.epoch(promise.number).founders[promise.address] = promise.incarnation
-        self.note_promise(machine, plane, promise.incarnation, promise.number)
+        self.record_promise(machine, plane, promise.incarnation, promise.number)
 
-    def note_promise(
+    def record_promise(
         self, machine: Machine[ControlPlane], plane: ControlPlane, incarnation: int, number: int
     ) -> None:
         """Records a promise. This incarnation must have synced it."""
@@ -203,7 +205,7 @@
 
     def on_installed(self, machine: Machine[ControlPlane], plane: ControlPlane, installed: Installed) -> None:
         """Checks a holder's message that it has written an epoch."""
-        durable = self.note_durable(plane)
+        durable = self.record_durable_state(plane)
         if durable.accepted_epoch < installed.number:
             detail = f"installed {installed.number}, its disk has {durable}"
             self.report(FindingKind.WRITE_NOT_DURABLE, machine, detail)
@@ -212,9 +214,9 @@
     def on_ack(self, machine: Machine[ControlPlane], plane: ControlPlane, ack: Ack) -> None:
         """Checks a follower's acknowledgement to the primary of an epoch."""
         if ack.durable_sequence >= 0:
-            durable = self.note_durable(plane)
-            held = durable.log_position.sequence if durable.accepted_epoch == ack.epoch else -1
-            if held < ack.durable_sequence:
+            durable = self.record_durable_state(plane)
+            synced_sequence = durable.log_position.sequence if durable.accepted_epoch == ack.epoch else -1
+            if synced_sequence < ack.durable_sequence:
                 detail = f"acknowledges {ack.durable_sequence} of epoch {ack.epoch}, its disk has {durable}"
                 self.report(FindingKind.WRITE_NOT_DURABLE, machine, detail)
         # A leaving member may tell the primary of an older epoch that it leaves; the message then carries the
@@ -223,11 +225,11 @@
         if counts and plane.member.replica.has_member(ack.incarnation):
             self.check_fence(machine, ack.incarnation, ack.epoch, "acknowledges")
 
-    def check_fence(self, machine: Machine[ControlPlane], incarnation: int, epoch: int, what: str) -> None:
+    def check_fence(self, machine: Machine[ControlPlane], incarnation: int, epoch: int, action: str) -> None:
         """Reports a member that acts for an older epoch than it has promised."""
         promised = self.promised.get(incarnation, 0)
         if promised > epoch:
-            detail = f"{incarnation} {what} epoch {epoch} after its promise of {promised}"
+            detail = f"{incarnation} {action} epoch {epoch} after its promise of {promised}"
             self.report(FindingKind.FENCE_BROKEN, machine, detail)
 
     def on_heartbeat(self, plane: ControlPlane, heartbeat: Heartbeat) -> None:
@@ -245,7 +247,7 @@
         member = plane.member
         if self.system.time.now >= machine.kill_at - FORCED_LEAVE_S or len(member.members) == 1:
             return
-        if not member.is_voter() or self.all_leave():
+        if not member.is_voter() or self.all_terminating():
             return
         copies = [
             other.name
@@ -256,7 +258,7 @@
             detail = f"{self.newest_committed} is on the disks of {copies} only"
             self.report(FindingKind.LEFT_WITHOUT_COPIES, machine, detail)
 
-    def all_leave(self) -> bool:
+    def all_terminating(self) -> bool:
         """Whether every core process was told to terminate, so that none can take over."""
         now = self.system.time.now
         return all(now < core.kill_at < FOREVER for core in self.system.cores)
@@ -271,11 +273,11 @@
 
     def check(self) -> list[Finding]:
         """All findings, including those about quorums of active epochs."""
-        found = list(self.findings)
+        findings = list(self.findings)
         active = [number for number, record in sorted(self.epochs.items()) if record.config is not None]
         for before, number in zip(active, active[1:], strict=False):
-            found += self.check_quorum(before, number)
-        return found
+            findings += self.check_quorum(before, number)
+        return findings
 
     def check_quorum(self, before: int, number: int) -> list[Finding]:
         """Checks the quorum of active epoch `number`; `before` is the active epoch before it."""
@@ -284,16 +286,18 @@
         config = record.config
         assert config is not None
         promised = sum(peer.incarnation in record.promised_by for peer in members)
-        found: list[Finding] = []
+        findings: list[Finding] = []
         if promised < majority(members):
             detail = f"epoch {number} has promises of {promised} of {len(members)} members of epoch {before}"
-            found.append(Finding(FindingKind.EPOCH_WITHOUT_QUORUM, detail))
-        both = {peer.incarnation for peer in members} & {peer.incarnation for peer in config.members}
-        least = max(majority(members), majority(config.members))
-        if not both.issuperset(config.holders) or len(config.holders) < least:
-            detail = f"epoch {number} is held by {config.holders}; members of both epochs are {sorted(both)}"
-            found.append(Finding(FindingKind.EPOCH_WITHOUT_QUORUM, detail))
-        return found
+            findings.append(Finding(FindingKind.EPOCH_WITHOUT_QUORUM, detail))
+        common = {peer.incarnation for peer in members} & {peer.incarnation for peer in config.members}
+        min_holders = max(majority(members), majority(config.members))
+        if not common.issuperset(config.holders) or len(config.holders) < min_holders:
+            detail = (
+                f"epoch {number} is held by {config.holders}; members of both epochs are {sorted(common)}"
+            )
+            findings.append(Finding(FindingKind.EPOCH_WITHOUT_QUORUM, detail))
+        return findings
 
     def members_of(self, number: int) -> tuple[Peer, ...]:
         """The members of an active epoch. Founders that it lists without an incarnation get the known one."""
--- a/shedgrade/simulation/system/simulated_system.py
+++ b/shedgrade/simulation/system/simulated_system.py
@@ -362,7 +362,7 @@
             frozenset(zone for zone in self.zones if f'"{zone}"'.encode() in zones),
             self.time.now,
         )
-        self.monitor.note_committed(machine, position)
+        self.monitor.record_committed_position(machine, position)
         known = self.committed_states.get(position)
         if known is None:
             self.committed_states[position] = committed
