--- a/shedgrade/simulation/system/simulated_system.py
+++ b/shedgrade/simulation/system/simulated_system.py
@@ -42,7 +42,7 @@
 
 CONTROL, DIRECTORY, FRONT, READINESS, LINK = 8262, 8264, 8263, 8268, 7300  # ports
 PLATFORM_IP = "10.200.0.4"
-SAMPLE_S = 0.05  # between two checks of who holds the poller's lease
+LEASE_CHECK_INTERVAL_S = 0.05  # for the lease of the poller
 GRACE_S = 8.0  # from SIGTERM to SIGKILL
 START_WITHIN_S = 0.3  # in which all machines start
 
@@ -102,7 +102,7 @@
     """Discards the programs' log lines."""
 
     def __getattr__(self, name: str) -> Callable[..., None]:
-        return lambda *args, **more: None
+        return lambda *args, **kwargs: None
 
 
 class SimulatedSystem:
@@ -181,7 +181,9 @@
         """The first zone of a region."""
         return next(zone for zone, its_region in self.zones.items() if its_region == region)
 
-    def settings(self, machine: Machine[Any], role: str, listen: Mapping[str, int], **more: Any) -> Settings:
+    def settings(
+        self, machine: Machine[Any], role: str, listen: Mapping[str, int], **overrides: Any
+    ) -> Settings:
         """The settings of a process, as read from its settings file."""
         ip, region = machine.host.ip, machine.host.region
         return read_settings(
@@ -201,7 +203,7 @@
                 "toleratedLosses": {"machines": self.parameters.tolerated},
                 "timingBounds": {"graceS": GRACE_S},
                 "cloudApi": {"address": f"{PLATFORM_IP}:{PORT}", "ratePerS": 40.0, "maxLagMs": 100},
-                **more,
+                **overrides,
             }
         )
 
@@ -232,15 +234,15 @@
         machine.founding = True
         return machine
 
-    def replace_core(self, gone: Machine[ControlPlane]) -> Machine[ControlPlane]:
+    def replace_core(self, replaced: Machine[ControlPlane]) -> Machine[ControlPlane]:
         """Replaces a lost machine by a new one with an empty disk and without power, in the same region."""
         self.cores_made += 1
-        number = int(gone.name.split("-")[1]) - 1 + 3 * self.cores_made  # in the same region
+        number = int(replaced.name.split("-")[1]) - 1 + 3 * self.cores_made  # in the same region
         successor = self.make_core(number)
         successor.founding = False
         successor.host.powered = False
-        self.cores[self.cores.index(gone)] = successor
-        self.history.log(f"replaces {gone.name}", successor.name)
+        self.cores[self.cores.index(replaced)] = successor
+        self.history.log(f"replaces {replaced.name}", successor.name)
         return successor
 
     def core_at(self, address: str) -> Machine[ControlPlane] | None:
@@ -320,17 +322,17 @@
         """Records the states that a control plane reports as committed, and its answers and messages."""
         self.monitor.observe(machine, plane)
         self.observe_watch_answers(machine, plane)
-        take_control = plane.hub.apply_control_state
+        apply_control_state = plane.hub.apply_control_state
 
-        def control(now: float, epoch: int, sequence: int, state: Mapping[str, bytes]) -> None:
+        def observed_apply(now: float, epoch: int, sequence: int, state: Mapping[str, bytes]) -> None:
             self.record_committed(machine, (epoch, sequence), state)
-            take_control(now, epoch, sequence, state)
+            apply_control_state(now, epoch, sequence, state)
 
-        setattr(plane.hub, "apply_control_state", control)  # noqa: B010 (type checkers reject the assignment)
+        setattr(plane.hub, "apply_control_state", observed_apply)  # noqa: B010 (type checkers reject the assignment)
 
     def observe_watch_answers(self, machine: Machine[ControlPlane], plane: ControlPlane) -> None:
         """Records as of which time a control plane's answer confirms the state that an edge then holds."""
-        answer = plane.hub.answer
+        original_answer = plane.hub.answer
 
         def observed_answer(now: float, watch: PendingWatch, deltas: Deltas) -> None:
             def respond(response: WatchResponse) -> None:
@@ -345,7 +347,7 @@
                     )
                 watch.respond(response)
 
-            answer(now, PendingWatch(watch.request, respond, watch.at), deltas)
+            original_answer(now, PendingWatch(watch.request, respond, watch.at), deltas)
 
         setattr(plane.hub, "answer", observed_answer)  # noqa: B010
 
@@ -376,13 +378,13 @@
 
     def observe_edge(self, machine: Machine[DataPlane], plane: DataPlane) -> None:
         """Records the control states that an edge applies."""
-        apply = plane.state.apply
+        original_apply = plane.state.apply
         key = ""
 
         def applied(updates: Iterable[object]) -> None:
             nonlocal key
             updates = list(updates)
-            apply(updates)
+            original_apply(updates)
             for update in updates:
                 if isinstance(update, ControlChange):
                     if update.configuration:
@@ -407,8 +409,8 @@
             inject, self.on_acknowledged = self.on_acknowledged, None
             inject(operation)
 
-    def check_poller(self) -> None:
-        """Checks every SAMPLE_S that at most one core machine holds the lease for polling the platform."""
+    def check_poller_lease(self) -> None:
+        """Checks periodically that at most one core machine holds the lease for polling the platform."""
         holders = [
             machine.name
             for machine in self.cores
@@ -420,14 +422,14 @@
         if len(holders) > 1:
             detail = f"at {self.time.now:.3f}: {holders}"
             self.history.violations.append(Finding(FindingKind.TWO_LEASE_HOLDERS, detail))
-        self.time.after(SAMPLE_S, self.check_poller)
+        self.time.after(LEASE_CHECK_INTERVAL_S, self.check_poller_lease)
 
     def faults(self) -> list[Finding]:
         """Findings for uncaught exceptions of the programs, and of the simulated operators and clients."""
-        found: list[Finding] = []
+        findings: list[Finding] = []
         for machine in self.machines():
             contexts = machine.faults + (machine.loop.faults if machine.loop else [])
-            found += [
+            findings += [
                 Finding(
                     FindingKind.PROGRAM_FAULT,
                     f"at {machine.name}: {context.get('message')}: {context.get('exception')!r}",
@@ -435,8 +437,8 @@
                 for context in contexts
             ]
         for loop in self.caller_loops():
-            found += [Finding(FindingKind.SIMULATION_FAULT, repr(context)) for context in loop.faults]
-        return found
+            findings += [Finding(FindingKind.SIMULATION_FAULT, repr(context)) for context in loop.faults]
+        return findings
 
     def caller_loops(self) -> list[ProcessLoop]:
         """The event loops of operators and clients."""
@@ -460,7 +462,7 @@
             self.time.after(0.5 + self.random.random(), operator.loop.call_soon, operator.start)
         for client in self.clients:
             self.time.after(0.5 + self.random.random(), client.loop.call_soon, client.start)
-        self.check_poller()
+        self.check_poller_lease()
 
     def run(self, until: float) -> None:
         """Runs the system up to the virtual time `until` (s)."""
