--- a/shedgrade/simulation/system/platform.py
+++ b/shedgrade/simulation/system/platform.py
@@ -13,7 +13,7 @@
 from shedgrade.simulation.system.process_loop import ProcessLoop
 
 PORT = 8266
-CHANGE_SHARE = 0.05  # probability that an instance changes its state before a poll is answered
+STATE_CHANGE_PROBABILITY = 0.05  # of one instance, at each poll
 
 
 class PlatformList:
@@ -49,9 +49,9 @@
     def handle(self, request: object, respond: Callable[[Reply], None]) -> None:
         """Answers any request with the whole list."""
         self.polled_at.append(self.loop.virtual_time.now)
-        if self.random.random() < CHANGE_SHARE:
-            one = self.random.choice(self.instances)
-            one["state"] = "draining" if one["state"] == "available" else "available"
+        if self.random.random() < STATE_CHANGE_PROBABILITY:
+            instance = self.random.choice(self.instances)
+            instance["state"] = "draining" if instance["state"] == "available" else "available"
         respond(Reply(200, orjson.dumps({"instanceList": self.instances, "nextToken": None})))
 
     async def serve(self) -> None:
--- a/shedgrade/simulation/system/process_loop.py
+++ b/shedgrade/simulation/system/process_loop.py
@@ -136,8 +136,8 @@
         self.stopped = False
         held, self.held_events = self.held_events, []
         timers = sorted((event for event in held if not event.is_io), key=lambda event: event.due)
-        from_sockets = [event for event in held if event.is_io]
-        for event in from_sockets + timers if io_first else timers + from_sockets:
+        io_events = [event for event in held if event.is_io]
+        for event in io_events + timers if io_first else timers + io_events:
             self.virtual_time.push(self.virtual_time.now, event)
 
     def end(self) -> None:
@@ -255,7 +255,7 @@
         port: int = 0,
         *,
         sock: LoopSocket | None = None,
-        **more: Any,
+        **options: Any,
     ) -> tuple[asyncio.Transport, Any]:
         """As in asyncio."""
         if sock is None:
@@ -264,7 +264,7 @@
         return sock.attach(protocol_factory())
 
     async def connect_accepted_socket(  # type: ignore[override]
-        self, protocol_factory: ProtocolFactory, sock: LoopSocket, **more: Any
+        self, protocol_factory: ProtocolFactory, sock: LoopSocket, **options: Any
     ) -> tuple[asyncio.Transport, Any]:
         """As in asyncio."""
         return sock.attach(protocol_factory())
@@ -276,7 +276,7 @@
         port: int = 0,
         *,
         sock: LoopSocket | None = None,
-        **more: Any,
+        **options: Any,
     ) -> SimulatedServer:
         """As in asyncio."""
         if sock is None:
@@ -294,7 +294,7 @@
         return SimulatedServer(listener)
 
     async def create_datagram_endpoint(  # type: ignore[override]
-        self, protocol_factory: ProtocolFactory, *, sock: LoopSocket | None = None, **more: Any
+        self, protocol_factory: ProtocolFactory, *, sock: LoopSocket | None = None, **options: Any
     ) -> tuple[asyncio.DatagramTransport, Any]:
         """As in asyncio, with a bound socket."""
         return self.network.open_datagrams(sock, protocol_factory())
--- a/shedgrade/simulation/system/seed_runner.py
+++ b/shedgrade/simulation/system/seed_runner.py
@@ -36,15 +36,15 @@
 
 def run_seed(job: SeedJob) -> SeedResult:
     """Runs one seed. An exception is reported as a finding."""
-    begun = time.perf_counter()
+    started_at = time.perf_counter()
     operations = 0
     try:
-        day = SimulationRun(job.seed, job.tolerated, job.profile, job.length, trace=job.trace, log=job.log)
-        findings = day.play()
-        operations = len(day.system.history.operations)
+        run = SimulationRun(job.seed, job.tolerated, job.profile, job.length, trace=job.trace, log=job.log)
+        findings = run.play()
+        operations = len(run.system.history.operations)
     except Exception:  # a failing seed must not end the other runs
         findings = [Finding(FindingKind.SIMULATION_FAULT, traceback.format_exc())]
-    return SeedResult(job, findings, operations, time.perf_counter() - begun)
+    return SeedResult(job, findings, operations, time.perf_counter() - started_at)
 
 
 def run_seeds(jobs: Iterable[SeedJob], processes: int) -> Iterator[SeedResult]:
--- a/shedgrade/simulation/system/simulation_run.py
+++ b/shedgrade/simulation/system/simulation_run.py
@@ -17,7 +17,7 @@
 HOMES = ("region-1", "region-2")  # home regions of one route, in runs with planned stops
 RECOVERY_S = 9.0  # after the last fault; operators still send operations
 LAST_OPERATIONS_S = 15.0  # longest time for the last operations to complete
-LEARN_S = 3.0  # after the last answer, for edges to learn the last changes
+PROPAGATION_S = 3.0  # after the last answer, for edges to learn the last changes
 KILOBYTE = 1024
 MEGABIT = 125_000  # bytes per second
 
@@ -30,7 +30,9 @@
     if padding > 100 * KILOBYTE and 0.0 < bandwidth < 100 * MEGABIT:
         bandwidth = 100.0 * MEGABIT  # each change is sent to every member and edge
     window = 4096 if padding > 100 * KILOBYTE else random.choice((128, 512, 4096))
-    more: dict[str, Any] = {"edges": 6, "clients": 6, "homes": HOMES} if profile == "planned" else {}
+    profile_parameters: dict[str, Any] = (
+        {"edges": 6, "clients": 6, "homes": HOMES} if profile == "planned" else {}
+    )
     return replace(
         SystemParameters(
             tolerated=tolerated,
@@ -48,7 +50,7 @@
             answers_lost=random.choice((0.0, 0.0, 0.1, 0.4, 0.7)),
             datagram_loss=random.choice((0.0, 0.02, 0.2)),
         ),
-        **more,
+        **profile_parameters,
         delayed=random.choice((0.0, 0.01, 0.1)) if profile == "targeted" else 0.0,
     )
 
@@ -81,8 +83,8 @@
             system.history.unstable_spans.append(TimeSpan(0.0, START_WITHIN_S))
             system.start()
             if self.profile != "calm":
-                first = system.random.uniform(1.5, 4.0)
-                system.time.at(first, self.schedule.next)
+                first_fault_at = system.random.uniform(1.5, 4.0)
+                system.time.at(first_fault_at, self.schedule.next)
             system.run(length)
             self.schedule.end()
             system.run(length + RECOVERY_S)
@@ -91,15 +93,15 @@
             for client in system.clients:
                 client.stopped = True
             until = length + RECOVERY_S + LAST_OPERATIONS_S
-            while system.time.now < until and not all(one.finished for one in system.operators):
+            while system.time.now < until and not all(operator.finished for operator in system.operators):
                 system.run(system.time.now + 0.5)
-            system.run(system.time.now + LEARN_S)
+            system.run(system.time.now + PROPAGATION_S)
             system.history.end = system.time.now
-            return check(system, self.timely())
+            return check(system, self.checks_timing())
         finally:
             system.close()
 
-    def timely(self) -> bool:
+    def checks_timing(self) -> bool:
         """Whether times are checked: not in storms, nor if answers are lost or changes are too large."""
         parameters = self.parameters
         return (
