--- a/shedgrade/simulation/system/patched_modules.py
+++ b/shedgrade/simulation/system/patched_modules.py
@@ -1,4 +1,4 @@
-"""Replacements for standard library modules in the programs' modules that open sockets themselves.
+"""Replacements for standard library modules, and for the clock, in the programs' own modules.
 
 The peer transport and the HTTP server open sockets through `socket` and pass them to their event loop. Inside
 `patched_modules()` these modules use a simulated `socket`, whose sockets belong to the running process.
--- a/shedgrade/simulation/system/replication_monitor.py
+++ b/shedgrade/simulation/system/replication_monitor.py
@@ -95,8 +95,8 @@
     Attributes:
         findings: at most one of each kind for each process of a machine.
         promised: by incarnation, the highest epoch number that it promised in a message.
-        durable_positions: by incarnation, the newest position on its disk when it acknowledged a write or
-            reported a committed state.
+        durable_positions: by incarnation, the newest position seen on its disk, which is read when it
+            acknowledges an epoch or a write, or commits as primary.
         epochs: records by epoch number.
         newest_committed: the newest position that any member reported as committed.
         triggers: called with (sender, link address of the receiver, message) for each message that is sent;
--- a/shedgrade/simulation/system/script.py
+++ b/shedgrade/simulation/system/script.py
@@ -60,10 +60,10 @@
         """Starts the system and puts a first configuration. AssertionError if that takes too long."""
         self.system.start()
         if not self.run_until(self.system.primary, READY_WITHIN_S):
-            raise AssertionError("the core has no primary in time")
+            raise AssertionError("no primary was elected in time")
         first = self.call(self.operator.put(0, 1, "first"))
         if not self.run_until(lambda: first.acknowledged and self.everywhere(1), READY_WITHIN_S):
-            raise AssertionError(f"the first configuration is not on all edges in time: {first}")
+            raise AssertionError(f"the first configuration did not reach all edges in time: {first}")
 
     def everywhere(self, version: int) -> bool:
         """Whether every edge has this version or a newer one."""
--- a/shedgrade/simulation/system/simulated_system.py
+++ b/shedgrade/simulation/system/simulated_system.py
@@ -113,7 +113,7 @@
         platform: the machine that serves the platform's list.
         operators, clients: senders of requests.
         zones: region of each zone.
-        seeds: addresses of the founding core members.
+        seeds: addresses of the first three core machines, the seed nodes of every process.
         cores_made: number of core machines made so far, including replaced ones.
         committed_states: control states that any member reported as committed, by position.
         monitor: checks the replication messages and the disks of the core members.
--- a/shedgrade/simulation/system/state_checkers.py
+++ b/shedgrade/simulation/system/state_checkers.py
@@ -77,7 +77,7 @@
 
 
 def check_refused(states: States, history: History, puts: list[Operation]) -> list[Finding]:
-    """Checks that a refused change is never applied, and that changes, all valid, are refused by 412 only."""
+    """Checks that a refused change never takes effect and that, as all changes are valid, each got a 412."""
     violations: list[Finding] = []
     in_place = {state.key for state in states} | {view.key for view in history.views}
     for put in puts:
@@ -167,7 +167,9 @@
     """Checks that the last state has the newest acknowledged version or a newer one."""
     newest = max((put.version for put in puts if put.acknowledged), default=0)
     if final.version < newest:
-        return [Finding(FindingKind.LOST_ACKNOWLEDGEMENT, f"{newest}; the last state has {final.version}")]
+        return [
+            Finding(FindingKind.LOST_ACKNOWLEDGEMENT, f"version {newest}; the last state has {final.version}")
+        ]
     return []
 
 
--- a/shedgrade/simulation/system/tcp_stream.py
+++ b/shedgrade/simulation/system/tcp_stream.py
@@ -248,7 +248,7 @@
                 self.transmit(segment, delay)
 
     def return_path_unblocked(self) -> None:
-        """Called when the return path is open again: acknowledgements of delivered segments arrive late."""
+        """Called when the return path is open again: schedules acknowledgements that were blocked."""
         now = self.time.now
         for segment in self.in_flight:
             if segment.delivered and segment.acknowledged_at == NEVER:
