--- a/shedgrade/simulation/system/simulated_system.py
+++ b/shedgrade/simulation/system/simulated_system.py
@@ -66,7 +66,7 @@
         answers_lost: probability that the answer to an operator's request is lost.
         datagram_loss: probability that a datagram is lost.
         delayed: share of the replication messages that are delivered a second time, seconds later.
-        silence: time without an answer after which an operator retries.
+        attempt_timeout: time without an answer after which an operator retries.
         zones: number of zones, at least 3.
         homes: home regions of one of the routes.
         control_plane, data_plane: the programs under test.
@@ -86,7 +86,7 @@
     pace: float = 0.4
     answers_lost: float = 0.0
     delayed: float = 0.0
-    silence: float = ATTEMPT_TIMEOUT_S
+    attempt_timeout: float = ATTEMPT_TIMEOUT_S
     datagram_loss: float = 0.02
     zones: int = 3
     clients: int = 0
@@ -280,7 +280,7 @@
         loop = new_process_loop(self.time, self.network, host)
         random = Random(self.random.getrandbits(64))
         caller = Caller(
-            loop, name, self.members, CONTROL, random, parameters.answers_lost, parameters.silence
+            loop, name, self.members, CONTROL, random, parameters.answers_lost, parameters.attempt_timeout
         )
         zones = tuple(list(self.zones)[number :: parameters.operators])
         return Operator(
