--- a/shedgrade/simulation/system/simulation_run.py
+++ b/shedgrade/simulation/system/simulation_run.py
@@ -1,4 +1,4 @@
-"""A day by seed: its parameters are drawn, faults are injected and ended, and the history is checked."""
+"""One run by seed: draws its parameters, injects and ends faults, and checks the history."""
 
 from __future__ import annotations
 
@@ -14,23 +14,25 @@
 from shedgrade.simulation.system.simulated_system import START_WITHIN_S, SimulatedSystem, SystemParameters
 
 PROFILES = ("calm", "fair", "planned", "storm", "targeted")
-HOMES = ("region-1", "region-2")  # of one route, in days with planned stops
-RECOVERY_S = 9.0  # after the last fault, in which orders go on
-LAST_OPERATIONS_S = 15.0  # after which every operation has completed, at the latest
-LEARN_S = 3.0  # after the last answer, in which edges learn it
+HOMES = ("region-1", "region-2")  # home regions of one route, in runs with planned stops
+RECOVERY_S = 9.0  # after the last fault; operators still send operations
+LAST_OPERATIONS_S = 15.0  # longest time for the last operations to complete
+PROPAGATION_S = 3.0  # after the last answer, for edges to learn the last changes
 KILOBYTE = 1024
-MEGABIT = 125_000  # bytes a second
+MEGABIT = 125_000  # bytes per second
 
 
 def draw_parameters(seed: int, tolerated: int, profile: str, length: float = 20.0) -> SystemParameters:
-    """The parameters of a seed's day."""
+    """Draws the parameters of a seed's run."""
     random = Random(f"{seed} {tolerated} {profile}")
     padding = random.choice((0, 0, 0, 0, 20, 100, 500, 2000)) * KILOBYTE
     bandwidth = random.choice((0.0, 0.0, 1000.0, 100.0, 20.0, 5.0)) * MEGABIT
     if padding > 100 * KILOBYTE and 0.0 < bandwidth < 100 * MEGABIT:
         bandwidth = 100.0 * MEGABIT  # each change is sent to every member and edge
     window = 4096 if padding > 100 * KILOBYTE else random.choice((128, 512, 4096))
-    more: dict[str, Any] = {"edges": 6, "clients": 6, "homes": HOMES} if profile == "planned" else {}
+    profile_parameters: dict[str, Any] = (
+        {"edges": 6, "clients": 6, "homes": HOMES} if profile == "planned" else {}
+    )
     return replace(
         SystemParameters(
             tolerated=tolerated,
@@ -48,13 +50,13 @@
             answers_lost=random.choice((0.0, 0.0, 0.1, 0.4, 0.7)),
             datagram_loss=random.choice((0.0, 0.02, 0.2)),
         ),
-        **more,
+        **profile_parameters,
         delayed=random.choice((0.0, 0.01, 0.1)) if profile == "targeted" else 0.0,
     )
 
 
 class SimulationRun:
-    """One seed's day. `system` may be looked at afterwards."""
+    """The run of one seed. `system` may be inspected afterwards."""
 
     def __init__(
         self,
@@ -75,14 +77,14 @@
         self.schedule = FaultSchedule(self.system, self.faults, profile, Random(self.system.random.random()))
 
     def play(self) -> list[Finding]:
-        """Start, faults, recovery, the last operations. Returns the findings."""
+        """Plays the start, faults, recovery and the last operations. Returns the findings."""
         system, length = self.system, self.parameters.length
         try:
             system.history.unstable_spans.append(TimeSpan(0.0, START_WITHIN_S))
             system.start()
             if self.profile != "calm":
-                first = system.random.uniform(1.5, 4.0)
-                system.time.at(first, self.schedule.next)
+                first_fault_at = system.random.uniform(1.5, 4.0)
+                system.time.at(first_fault_at, self.schedule.next)
             system.run(length)
             self.schedule.end()
             system.run(length + RECOVERY_S)
@@ -91,16 +93,16 @@
             for client in system.clients:
                 client.stopped = True
             until = length + RECOVERY_S + LAST_OPERATIONS_S
-            while system.time.now < until and not all(one.finished for one in system.operators):
+            while system.time.now < until and not all(operator.finished for operator in system.operators):
                 system.run(system.time.now + 0.5)
-            system.run(system.time.now + LEARN_S)
+            system.run(system.time.now + PROPAGATION_S)
             system.history.end = system.time.now
-            return check(system, self.timely())
+            return check(system, self.checks_timing())
         finally:
             system.close()
 
-    def timely(self) -> bool:
-        """Times are checked only where answers come and links carry what is sent."""
+    def checks_timing(self) -> bool:
+        """Whether times are checked: not in storms, nor if answers are lost or changes are too large."""
         parameters = self.parameters
         return (
             self.profile != "storm" and not parameters.answers_lost and parameters.padding <= 100 * KILOBYTE
