--- a/shedgrade/load_balancing/__init__.py
+++ b/shedgrade/load_balancing/__init__.py
@@ -4,7 +4,7 @@
   b = Balancer(settings, seed, now)       settings: a mapping; upstreams, methods, zones are small indices
   b.list_changed(now, rows, whole, asked) rows: (upstream, zone, state, started, cell, mark, size, kind)
   b.mark_unverified(now, upstreams, ends, last)  marks rows of an older source than discovery as unverified
-  b.update_settings(settings)             applies other settings; requests in hand keep their method
+  b.update_settings(settings)             applies other settings; active requests keep their method
   b.set_slow_start_share(share)           sets this process's share of the slow start rate
   b.set_withdrawn(now, upstream, withdrawn)  operators withdraw an upstream, or reinstate it
   b.list_failed(now)                      the request for the list failed, or the subscription broke
@@ -15,10 +15,10 @@
   rpc.response_started(long_lived)        a streamed response has begun; long_lived: a stream is open
   rpc.body_received(now, deadline, here, whole)  bytes of a long request; here: all are still buffered; whole:
                                           the last one has come
-  rpc.client_disconnected(now)            the client has left
+  rpc.client_disconnected(now)            the client has disconnected
   b.due(now)                              yields the handles to decide on again; b.wake_at(): when to call it
   b.wants_list(now)                       True: subscribe to the list of upstreams now
-  b.draw_admission(method)                a draw by which a gate rejects requests of low payoff first
+  b.draw_admission(method)                a random number by which a gate rejects low payoffs first
   b.take_released()                       returns forgotten upstreams, whose indices are free
 """
 
--- a/shedgrade/load_balancing/balancer.py
+++ b/shedgrade/load_balancing/balancer.py
@@ -16,11 +16,11 @@
 from .upstream import DECAY_TIME, SECOND, DecayingRatio, Upstream
 from .zones import Zone, ZoneSelectionPolicy
 
-# Share of the soft deadline at which concurrency limits hold the mean duration; one attempt in seven is then
+# Share of the soft deadline at which concurrency limits keep the mean duration; one attempt in seven is then
 # late.
 LATENCY_TARGET_SHARE = 0.6
-# Multiple of a tenant's even share that counts as within it, besides three requests: random variation is
-# seldom larger.
+# A tenant stays within its share up to this multiple of its even share, plus three requests: random variation
+# is seldom larger.
 TENANT_SHARE_SLACK = 1.2
 
 
@@ -52,14 +52,15 @@
         self.upstreams: dict[int, Upstream] = {}
         # Unverified upstreams, used as a last resort only.
         self.last_resort_upstreams: dict[int, Upstream] = {}
-        self.released_indices: list[int] = []  # forgotten, not yet returned by `take_released`
-        self.reinstated: list[Upstream] = []  # put back by operators, not used since
-        self.slow_start_share = 1.0  # of the slow start rate; another process has the rest
-        self.ready_count = self.ejected_count = 0  # ready upstreams, and the ejected ones of these
+        self.released_indices: list[int] = []  # freed, not yet returned by `take_released`
+        self.reinstated: list[Upstream] = []  # reinstated by operators, and sent no request since
+        self.slow_start_share = 1.0  # of the slow start rate; in an upgrade another process has the rest
+        self.ready_count = self.ejected_count = 0  # ready upstreams, and how many of them are ejected
         self.total_capacity = 0.0  # sum of the listed sizes
-        self.hardware_durations: dict[int, list] = {}  # by hardware class: observed, expected, as of
+        # By hardware class: sums of observed and expected durations, and the time of the last update.
+        self.hardware_durations: dict[int, list] = {}
         self.decay_time = DECAY_TIME
-        # Attempts that took an upstream's time, over the time elapsed.
+        # Rate of attempts that completed or timed out: their number over the time elapsed.
         self.finish_rate = DecayingRatio(1.0, now)
         self.zones = [Zone(self.random()) for _ in settings["zones"]]
         self.timers = []
@@ -67,16 +68,19 @@
         self.next_sequence = count().__next__
         self.in_flight = 0
         self.retry_tokens = 5.0
-        # Sums of the line fitted to durations by own requests in flight at the upstream, over all upstreams.
-        # The initial values assume that an upstream completes two concurrent requests within CAPACITY_SHARE
-        # of the soft deadline.
+        # Sums from which a line is fitted to the durations of attempts at all upstreams, by the requests that
+        # this process had in flight at the upstream. The initial values assume that an upstream completes two
+        # concurrent requests within CAPACITY_SHARE of the soft deadline.
         soft = CAPACITY_SHARE * self.shortest_soft_deadline
         self.latency_sums = [1.0, 2.0, soft, 4.0, 2 * soft]
         self.latency_sums_at = now
         self.fit_latency()
 
     def update_settings(self, settings: dict) -> None:
-        """Applies other settings. Requests in hand keep their method; fewer attempts bind them at once."""
+        """Applies other settings.
+
+        Active requests keep their method; a lower limit on attempts applies to them at once.
+        """
         limits, rules = settings["limits"], settings["rules"]
         self.max_attempts = limits["most_transmissions"]
         self.hedging = limits["parallel_tries"]
@@ -100,8 +104,8 @@
         for zone in self.zones:
             zone.changed = True
         self.list_updated()
-        # By tenant: the requests within DECAY_TIME that are its share at this sidecar, if all sidecars get
-        # equal parts; its failures; the requests seen.
+        # By tenant: the requests within DECAY_TIME that are the tenant's share at this sidecar, if all
+        # sidecars get equal parts; the tenant's failure ratio; its recent requests.
         self.tenant_shares = [
             TENANT_SHARE_SLACK * tenant["allowance_per_s"] * DECAY_TIME / SECOND / self.sidecar_count + 3
             for tenant in settings.get("customers", ())
--- a/shedgrade/load_balancing/endpoint_list.py
+++ b/shedgrade/load_balancing/endpoint_list.py
@@ -1,4 +1,4 @@
-"""The endpoint list: applies its updates and decides when an upstream is forgotten."""
+"""Applies updates of the endpoint list, and decides when the state of a removed upstream is discarded."""
 
 from math import inf
 
@@ -7,19 +7,20 @@
 from .upstream import SECOND, Upstream
 from .zones import DROP_THRESHOLD
 
-RECENTLY_USED = 60 * SECOND  # an upstream used within this is in use: maintenance takes seconds to a minute
-LAST_RESORT_EJECTION = 10**9 * SECOND  # ejected until it has answered: longer than any process runs
+# An upstream that was sent a request within this time is in use: maintenance takes seconds to a minute.
+RECENTLY_USED = 60 * SECOND
+LAST_RESORT_EJECTION = 10**9 * SECOND  # longer than any process runs: only an answer ends the ejection
 LOAD_SMOOTHING = 0.4  # weight of a new load report: a single one may be noise, three or four are not
 
 
 class EndpointList(BalancerState):
-    """Keeps the list of upstreams, their states and the counts over it."""
+    """Keeps the list of upstreams, their states, and the counts of ready and ejected upstreams."""
 
     def list_changed(self, now: int, rows: list, whole: bool, asked: bool) -> None:
         """Applies rows of the endpoint list.
 
-        `whole`: the rows are the complete list, and upstreams that they do not name are gone. `asked`: they
-        answer a request for the list.
+        `whole`: the rows are the complete list, and upstreams without a row are removed. `asked`: the rows
+        are the answer to a request for the list.
         """
         if asked:
             self.list_requested, self.list_subscribed, self.list_request_backoff = False, True, SECOND
@@ -59,7 +60,7 @@
                     nominal,
                 )
             if asked and upstream.probation_successes:
-                # Discovery lists it, which verifies an entry of an older source.
+                # Discovery lists the upstream, which verifies an entry of an older source.
                 upstream.probation_successes, upstream.half_open = 0, False
                 if self.last_resort_upstreams.pop(index, None):
                     self.readmit(upstream)
@@ -68,9 +69,10 @@
         self.list_updated()
 
     def stays_while_delisted(self, upstream: Upstream) -> bool:
-        """Returns whether an upstream that left the list stays in use.
+        """Returns whether an upstream that was removed from the list stays in use.
 
-        Where only draining binds, a ready one stays until it fails, at first with one request at a time.
+        With the setting `dropped_stay_open` only draining ends the use of a healthy upstream: a ready
+        upstream that is removed stays in use until it fails, at first with one request at a time.
         """
         if self.keeps_delisted and upstream.listed and not upstream.delisted:
             upstream.delisted = upstream.half_open = True
@@ -79,8 +81,8 @@
     def set_withdrawn(self, now: int, index: int, withdrawn: bool) -> None:
         """Withdraws an upstream by operators' order, or reinstates it.
 
-        A withdrawn one counts as draining. A reinstated one warms up, whatever the list says, and has no
-        health history.
+        A withdrawn upstream counts as draining. A reinstated upstream warms up, whatever the list says, and
+        has no health history.
         """
         upstream = self.upstreams.get(index) or self.upstreams.setdefault(
             index, Upstream(index, self.random())
@@ -122,7 +124,8 @@
     ) -> None:
         """Changes an upstream's zone, state and size, with the counts and rotations that depend on them.
 
-        The cost of a list change follows the upstreams that it names: rotations lose and gain only those.
+        The cost of a list change grows with the upstreams that it names: only those enter or leave a
+        rotation.
         """
         available = state == READY and not upstream.withdrawn
         self.ready_count, self.total_capacity = (
@@ -162,9 +165,9 @@
             (zone.rotation.append if wanted else zone.rotation.remove)(upstream)
 
     def release_if_unused(self, upstream: Upstream) -> None:
-        """Forgets a removed upstream with nothing outstanding.
+        """Discards the state of a removed upstream that has no load.
 
-        Its index may be reused by another upstream, which must not inherit its state.
+        Another upstream may reuse the index, and must not inherit the state.
         """
         # A reinstated upstream is kept, as it has to warm up when it is listed again.
         if (
@@ -179,7 +182,7 @@
             self.released_indices.append(upstream.index)
 
     def take_released(self) -> list[int]:
-        """Returns the upstreams forgotten since the last call, except those that were listed again."""
+        """Returns the indices freed since the last call, except those of upstreams that were listed again."""
         remaining, self.released_indices = (
             [index for index in self.released_indices if index not in self.upstreams],
             [],
@@ -187,10 +190,10 @@
         return remaining
 
     def mark_unverified(self, now: int, upstreams: list[int], ends: int, last: bool) -> None:
-        """Marks upstreams of a list older than discovery's: each may be gone, replaced or just started.
+        """Marks upstreams of a list older than discovery's: each may be stopped, replaced or just started.
 
-        Each gets one request at a time until `ends` attempts complete in about the usual time. With `last` it
-        is used only as a last resort, until an attempt there completes or discovery lists it.
+        Each gets one request at a time until `ends` attempts complete in about the usual time. With `last`
+        each is used only as a last resort, until it completes an attempt or discovery lists it.
         """
         for upstream in (self.upstreams[index] for index in upstreams):
             upstream.probation_successes, upstream.half_open = ends, True
--- a/shedgrade/load_balancing/learned_state.py
+++ b/shedgrade/load_balancing/learned_state.py
@@ -42,9 +42,9 @@
 def restore(balancer: Balancer, now: int, state: dict, age: float) -> None:
     """Restores what `export` returned `age` seconds ago; the older it is, the less it weighs.
 
-    The caller has checked its format. Concurrency limits hold for as long as an overload lasts: older than
-    MAX_DECAY_TIME, they are not restored but found anew. A wrapper of the balancer (capture, watch) handles
-    the call in its own `restore` and passes it on.
+    The caller has checked the format of `state`. A concurrency limit is valid for about as long as an
+    overload lasts: limits older than MAX_DECAY_TIME are not restored but determined anew. A wrapper of the
+    balancer (capture, watch) handles the call in its own `restore` and passes it on.
     """
     if hasattr(balancer, "restore"):
         balancer.restore(now, state, age)
@@ -52,7 +52,7 @@
     if state["v"] != 1:
         return
     keep = exp(-age * SECOND / MAX_DECAY_TIME)
-    # The weight of one attempt stays: it is better evidence than the initial assumption.
+    # Keeps at least the weight of one attempt: one attempt is better evidence than the initial assumption.
     part = max(keep, 1 / max(1.0, state["sums"][0]))
     balancer.latency_sums, balancer.latency_sums_at = [total * part for total in state["sums"]], now
     balancer.decay_time = balancer.finish_rate.denominator = state["memory"]
@@ -83,5 +83,5 @@
             if 0 < back_at - used < RECENTLY_USED:
                 balancer.reinstated.append(upstream)
     for upstream in balancer.upstreams.values():
-        # The previous process has used the credit.
+        # The previous process has used the slow start credit.
         upstream.slow_start_credit, upstream.slow_start_updated_at = 0.0, now
--- a/shedgrade/load_balancing/outlier_detection.py
+++ b/shedgrade/load_balancing/outlier_detection.py
@@ -16,28 +16,29 @@
 from .state import BalancerState
 from .upstream import DECAY_TIME, MAX_DECAY_TIME, SECOND, DecayingRatio, Upstream
 
-ENOUGH_SAMPLES = 30  # finished attempts; a mean of so many is within a fifth
+ENOUGH_SAMPLES = 30  # finished attempts; the mean of so many is accurate to a fifth
 # Multiple of the usual duration up to which an attempt counts as good: a warming upstream exceeds it, random
-# variation seldom does, three times over.
+# variation seldom does so three times.
 PROBATION_SLOWDOWN = 2.0
-CAPACITY_SHARE = 0.6  # of the time left, within which a further request must be expected to finish
-# Share of a duration that is attributed to queueing at least: guards against overload levels not seen yet.
+# Share of the time left within which one more request to a busy upstream must be expected to finish.
+CAPACITY_SHARE = 0.6
+# Smallest share of a duration that is attributed to queueing: guards against overload levels not seen yet.
 MIN_QUEUEING_SHARE = 0.5
 # Multiple of the share of the soft deadline that other methods take, above which a method is slow by itself.
 SLOW_METHOD_FACTOR = 2.0
-# Failures are attributed to the method or tenant of a request above this multiple of the failure ratio of the
-# other ones, plus the excess.
+# Failures are attributed to the method or tenant of a request if its failure ratio is above this multiple of
+# the ratio of all other methods or tenants, plus REQUEST_FAILURE_EXCESS.
 REQUEST_FAILURE_FACTOR = 3.0
-REQUEST_FAILURE_EXCESS = 0.05  # of the finished attempts
+REQUEST_FAILURE_EXCESS = 0.05  # share of the finished attempts
 
 
 class OutlierDetection(BalancerState):
-    """Estimates durations, and ejects upstreams that fail or refuse."""
+    """Estimates durations, and ejects upstreams that fail or refuse connections."""
 
     def has_capacity(self, upstream: Upstream, now: int, remaining: int, expected: float) -> bool:
         """Returns whether an upstream may take one more request.
 
-        Guards against overload: a busy one takes it only if it should finish well within the time left.
+        Guards against overload: a busy upstream takes one only if it should finish well within the time left.
         """
         if (upstream.half_open and upstream.in_flight) or (
             self.is_warming_up(upstream, now) and not self.has_slow_start_credit(upstream, now)
@@ -48,9 +49,10 @@
         )
 
     def fit_latency(self) -> None:
-        """Fits the line of durations by the number of requests in flight."""
+        """Fits a line to the durations of attempts by the number of requests in flight at the upstream."""
         ends, concurrency, duration, square, both = self.latency_sums
-        # The origin counts as one more point, so a balancer that only ever has one in flight assumes a queue.
+        # The origin counts as one more point, so that a balancer that never has more than one request in
+        # flight at an upstream attributes part of the duration to queueing.
         spread = (ends + 1) * square - concurrency * concurrency
         slope = ((ends + 1) * both - concurrency * duration) / spread if spread > 0 else 0.0
         self.latency_slope = min(
@@ -59,7 +61,10 @@
         self.latency_base = (duration - self.latency_slope * concurrency) / ends
 
     def baseline_duration(self, upstream: Upstream, concurrency: int) -> float:
-        """Returns the duration expected of a warm upstream of its size and class, whatever its own record."""
+        """Returns the duration expected of a warm upstream of the same size and hardware class.
+
+        The upstream's own durations are not taken into account.
+        """
         return (
             (self.latency_base + self.latency_slope * concurrency)
             * self.hardware_factor(upstream)
@@ -68,16 +73,19 @@
         )
 
     def hardware_factor(self, upstream: Upstream) -> float:
-        """Returns how slow the upstream's hardware class is, 1.0 for the mean.
+        """Returns how many times slower than the mean the upstream's hardware class is; 1.0 for the mean.
 
-        All upstreams of a class share its record: guards against too little evidence on a single one.
+        All upstreams of a class count: guards against too little evidence on a single one.
         """
         durations = self.hardware_durations.get(upstream.hardware)
         prior = self.latency_base + self.latency_slope
         return (durations[0] + prior) / (durations[1] + prior) if durations else 1.0
 
     def expected_duration(self, upstream: Upstream, now: int) -> float:
-        """Returns the expected duration of one more attempt there; one usual attempt is added as a prior."""
+        """Returns the expected duration of one more attempt at the upstream.
+
+        The prior is one attempt of the usual duration.
+        """
         upstream.decay(now, self.decay_time)
         prior = self.latency_base + self.latency_slope
         slowness = (upstream.observed_duration + prior) / (upstream.foreseen_duration + prior)
@@ -235,8 +243,8 @@
             self.update_entry(upstream, upstream.zone, REMOVED)
             self.list_updated()
             return
-        # Guards against a fault of this side, or of all upstreams at once: without certainty at most half of
-        # them are ejected.
+        # Guards against a fault of this process, or of all upstreams at once: unless `certain`, at most half
+        # of the ready upstreams are ejected.
         if not certain and 2 * (self.ejected_count + 1) > self.ready_count:
             return
         upstream.ejected_until = now + int(self.uniform(2, 3) * SECOND)
--- a/shedgrade/load_balancing/rpc.py
+++ b/shedgrade/load_balancing/rpc.py
@@ -15,7 +15,8 @@
 
 LIMIT_STEP = 0.1  # relative change of a limit by an attempt that takes no time, or twice the target
 RAMP_STEP = 0.4  # requests that a limit gains per completion until the first late one: ramps up in seconds
-MIN_LIMIT_GROWTH = 1.05  # of a limit for any completion in time; else the limits of busy balancers would lag
+# Least growth of a limit above 1 by a completion in time; with less, limits of busy balancers would lag.
+MIN_LIMIT_GROWTH = 1.05
 
 
 class Method:
@@ -42,8 +43,9 @@
         self.soft_deadline, self.hard_deadline = (
             max(1, int(settings[key] * 10)) for key in ("soft_deadline", "hard_deadline")
         )
-        self.longest_timeout = longest_timeout  # longest time that a client has waited for one try
-        # Duration over the usual one of all methods; failed over finished attempts.
+        self.longest_timeout = longest_timeout  # longest timeout of a client's request so far
+        # Ratio of the method's durations to the usual ones of all methods; ratio of its failed to its
+        # finished attempts.
         self.relative_duration = DecayingRatio()
         self.failure_ratio = DecayingRatio()
         self.payoff = settings["payoff"]
@@ -52,18 +54,18 @@
         self.deduplicated = settings["idempotency"] == "by_key"
         self.dedup_scope = settings["group"] if self.deduplicated else "all"
         self.dedup_window = int(settings["repeat_window"] * 10) if self.deduplicated else 0
-        # Retries after an attempt that may have run are in proportion to the payoff: the method with the
-        # highest one may use all remaining attempts.
+        # The number of retries after an attempt that may have run is proportional to the payoff, which is
+        # what an answer is worth: the method of the highest payoff may use all remaining attempts.
         self.max_retries = max(1, round((max_attempts - 1) * self.payoff / top_payoff)) if top_payoff else 1
 
 
 class Rpc:
     """One request; its later events are calls on this handle. Times are in tenths of a millisecond.
 
-    A queued request has nothing outstanding.
+    A queued request has no outstanding attempt.
 
     tag: the caller's own reference to the request
-    arrived_at: arrival, of its first try if a retry reveals it
+    arrived_at: time of arrival; for a retry that of its first try, where the timeout reveals it
     soft_deadline_at: time after which an answer is worth less
     answer_by: time by which it must be answered
     attempts: upstream of each attempt
@@ -73,11 +75,11 @@
     hedge_at: time from which a second attempt may run beside the first, None for never
     queue_entry: its entry in the queue, None while it is not queued
     done: it has its final answer
-    overtaken: requests of higher payoff took its place in the queue, so it ends at once
-    admission_draw: from 0 to 1, compared with the fraction of a concurrency limit
+    overtaken: requests of higher payoff took its place in the queue, so it is answered at once
+    admission_draw: from 0 to 1, compared with the fractional part of a concurrency limit
     payoff: what an answer is worth
     long_lived: it counts as background load
-    body_buffered: all bytes of a long request are still here, None for a short one
+    body_buffered: whether all bytes of a long request are still buffered, None for a short request
     rejecting_zones: zones in which an upstream rejected it
     tenant: index of its tenant
     """
@@ -120,7 +122,6 @@
         self.tag = tag
         self.tenant = tenant
         self.set_deadlines(now, deadline, retry)
-        # By attempt: its upstream; when it was sent, None if it never ran.
         self.attempts = []
         self.sent_at = []
         self.outstanding = {}
@@ -128,7 +129,6 @@
         self.hedge_at = None
         self.queue_entry = None
         self.done = False
-        # An open stream; overtaken in the queue, to be answered at once; a long request with all bytes here.
         self.long_lived = False
         self.overtaken = False
         self.body_buffered = None
@@ -139,15 +139,16 @@
     def set_deadlines(self, now: int, deadline: int, retry: bool = False) -> None:
         """Sets the times that follow from the client's deadline and the method's settings."""
         balancer, method = self.balancer, self.method
-        # Guards against work for a client that has given up: a marked retry that the hard deadline cuts short
-        # reveals when its first try came, and the soft deadline runs from there. A timeout shorter by up to a
-        # sixteenth is attributed to a late event loop.
+        # Guards against work for a client that has given up: a marked retry with a shorter timeout was cut
+        # short by the hard deadline, which reveals when the first try arrived. The soft deadline counts from
+        # that time. A timeout shorter by up to a sixteenth is attributed to a late event loop.
         method.longest_timeout = max(method.longest_timeout, deadline - now)
         cut = retry and deadline - now < method.longest_timeout - max(
             balancer.deadline_margin, method.longest_timeout // 16
         )
         self.arrived_at = now = min(now, deadline - method.hard_deadline) if cut else now
-        # An answer is due two ticks early, so that a timeout is still answered before the deadline.
+        # Answers are due `deadline_margin`, which is two ticks, before the deadline: a client whose attempt
+        # times out is then still answered in time.
         self.soft_deadline_at = min(now + method.soft_deadline, deadline) - balancer.deadline_margin
         self.answer_by = (
             deadline - balancer.deadline_margin if method.overdue_payoff else self.soft_deadline_at
@@ -156,11 +157,12 @@
     def body_received(self, now: int, deadline: int, here: bool, whole: bool) -> int:
         """Sets the deadlines of a long request, whose time counts from its last byte; returns its time limit.
 
-        `here`: all bytes are still buffered, without which it is not sent again. `whole`: the last byte came.
+        `here`: all bytes are still buffered; if not, the request is not sent again. `whole`: the last byte
+        has arrived.
         """
         self.body_buffered = here
         self.set_deadlines(now, deadline)
-        self.set_long_lived(not whole)  # an upstream starts on it once it is complete
+        self.set_long_lived(not whole)  # an upstream starts on a request once it is complete
         return max(1, self.answer_by - now)
 
     def first_possibly_executed(self) -> int | None:
@@ -174,7 +176,8 @@
     def may_send_to(self, upstream: Upstream, now: int) -> bool:
         """Returns whether the request may be sent to the upstream.
 
-        One that may have run is sent again only where its method permits, so that no effect happens twice.
+        A request that may have run is sent again only where its method permits it, so that no effect happens
+        twice.
         """
         method, first = self.method, self.first_possibly_executed()
         if first is None or method.idempotent:
@@ -235,8 +238,9 @@
             )
         ):
             return None if self.outstanding else self.final_answer(now)
-        # Another zone has a price, so the own zone first gets that share of the soft deadline to free
-        # capacity, or a quarter of what the soft deadline leaves beside the typical duration.
+        # Sending to another zone has a price, so the request first waits for capacity in its own zone: for
+        # that share of the soft deadline, or a quarter of what the typical duration leaves of it if that is
+        # longer.
         own_zone_until = self.arrived_at + int(
             max(
                 balancer.cross_zone_price * method.soft_deadline,
@@ -259,7 +263,7 @@
         balancer, method = self.balancer, self.method
         balancer.dequeue(self)
         if not self.attempts and balancer.method_slowness(method) > 1:
-            self.long_lived = True  # it keeps its place for long, as an open stream does
+            self.long_lived = True  # it occupies its upstream for long, as an open stream does
         if is_retry:
             self.retries += 1
             balancer.retry_tokens -= 1
@@ -278,7 +282,8 @@
                     self.hedge_at = now + hedge_delay
                     heappush(balancer.timers, (self.hedge_at, balancer.next_sequence(), self))
                 elif upstream.failures > upstream.successes:
-                    # Only where more attempts failed than completed lately: elsewhere the cut work is lost.
+                    # Only at an upstream with more failed than completed attempts lately: at any other, the
+                    # work of the attempt that is cut short would be lost.
                     limit = min(limit, hedge_delay)
         balancer.add_load(upstream, 1 - self.long_lived, int(self.long_lived))
         self.outstanding[len(self.attempts)] = max(1, upstream.in_flight) + upstream.reported_load
@@ -290,15 +295,16 @@
     def attempt_finished(
         self, now: int, attempt: int, outcome: int, duration: int, answered: bool, first_on_connection=False
     ) -> list[int]:
-        """Records the outcome of an attempt; returns the attempts to stop. `answered`: the client has its
-        answer.
+        """Records the outcome of an attempt; returns the attempts to stop.
+
+        `answered`: the client has its answer.
         """
         balancer, upstream = self.balancer, self.attempts[attempt]
         zone = balancer.zones[upstream.zone]
         concurrency = self.outstanding.pop(attempt)
         balancer.add_load(upstream, self.long_lived - 1, -self.long_lived)
-        # Guards against limits that lag: where attempts finish seldom, each counts for more, as if all came
-        # at one rate.
+        # Guards against limits that lag: where attempts finish seldom, each changes the limit by more, as if
+        # attempts finished at the same rate in every zone.
         gain = min(5.0, 0.3 + 3 * (now - zone.last_finished_at) / SECOND)
         zone.last_finished_at = now
         if outcome in (TIMED_OUT, COMPLETED) and not first_on_connection:
@@ -328,7 +334,10 @@
         return self.finish() if answered and not self.done else []
 
     def response_started(self, long_lived: bool = False) -> None:
-        """Records that a streamed response has begun: it is the client's, so no other attempt may follow."""
+        """Records that a streamed response has begun.
+
+        The client receives it from now on, so no other attempt may follow.
+        """
         self.hedge_at = None
         self.set_long_lived(long_lived or self.long_lived)
 
@@ -344,5 +353,5 @@
                 self.balancer.add_load(self.attempts[attempt], 1 - 2 * long_lived, 2 * long_lived - 1)
 
     def client_disconnected(self, now: int) -> list[int]:
-        """Ends the request of a client that has left; returns the attempts to stop."""
+        """Ends the request of a client that has disconnected; returns the attempts to stop."""
         return self.finish()
--- a/shedgrade/load_balancing/slow_start.py
+++ b/shedgrade/load_balancing/slow_start.py
@@ -16,9 +16,10 @@
 
     def has_slow_start_credit(self, upstream: Upstream, now: int) -> bool:
         """Returns whether this process's share of a warming upstream's rate allows one more request now."""
-        # The share follows this process's own completions at a warm upstream of like size and class: of equal
-        # shares among hundreds of processes most would lie unused. It is taken over the time observed so far,
-        # or no process would have a share after a restart of all. 3/4 of it allows for random variation.
+        # The rate follows this process's own completions at a warm upstream of like size and class: of equal
+        # shares among hundreds of processes most would not be used. The completions are taken over the time
+        # observed so far, or no process would have a share after a restart of all processes. 3/4 of the rate
+        # allows for random variation.
         rate = (
             self.finish_rate.numerator
             / max(SECOND, self.finish_rate.denominator + now - self.finish_rate.decayed_at)
@@ -42,7 +43,7 @@
         return upstream.slow_start_credit >= 1
 
     def slow_start_fraction(self, upstream: Upstream, now: int) -> float:
-        """Returns the share of its capacity that an upstream has at least, by the settings."""
+        """Returns the least share of its capacity that an upstream has now, by the settings."""
         grown = (
             max(0, now - upstream.started_at) / self.slow_start_period
             if self.is_warming_up(upstream, now)
--- a/shedgrade/load_balancing/state.py
+++ b/shedgrade/load_balancing/state.py
@@ -25,7 +25,7 @@
     own_zone: int  # this process's zone, as an index of `zones`
     sidecar_count: int  # processes that share the upstreams
     sidecar_number: int  # index of this process, from 0
-    max_attempts: int  # of one request
+    max_attempts: int  # per request
     hedging: bool  # a second attempt may run beside the first
     cancels_attempts: bool  # attempts that no client waits for are stopped
     max_retry_after: int  # longest retry delay that a client is told; 0: none is told
@@ -34,20 +34,21 @@
     mean_payoff: float  # of all methods
     excess_payoff: float  # share of its payoff that a request beyond its tenant's share earns
     latency_target: float  # share of the soft deadline that concurrency limits aim at
-    cross_zone_price: float  # of a request sent to another zone, as a share of the soft deadline
+    cross_zone_price: float  # price of a request to another zone, as a share of the soft deadline
     connections_multiplexed: bool  # one connection carries several requests
     uses_subset: bool  # each zone's rotation is a subset of its upstreams
-    keeps_delisted: bool  # an upstream that leaves the list while it is ready stays in use until it fails
+    keeps_delisted: bool  # an upstream removed from the list while it is ready stays in use until it fails
     slow_start_period: int  # time for which an upstream warms up after its start
     slow_start_floor: float  # share of its capacity that an upstream has at its start
-    slow_start_headroom: float  # multiple of its capacity that all processes may send a warming upstream
-    slow_start_share: float  # of this process, where an upgrade runs two
+    # Multiple of a warming upstream's capacity that all processes together may send it.
+    slow_start_headroom: float
+    slow_start_share: float  # this process's share of the slow start rate; an upgrade runs two processes
     capacity_follows_load: bool  # the listed size shrinks with an upstream's load
     tenant_shares: list[float]  # by tenant: requests within DECAY_TIME that are its share at this process
 
     # Requests for the list.
     subscribes_to_list: bool
-    list_subscribed: bool  # an answer came; False while `list_requested`
+    list_subscribed: bool  # a request for the list was answered; False while `list_requested`
     list_requested: bool
     list_request_at: int  # earliest time of the next request
     list_request_backoff: int
@@ -56,29 +57,29 @@
     # Upstreams and zones.
     upstreams: "dict[int, Upstream]"
     zones: "list[Zone]"
-    last_resort_upstreams: "dict[int, Upstream]"  # unverified, used where no other upstream is left
-    released_indices: list[int]  # forgotten, not yet returned by `take_released`
-    reinstated: "list[Upstream]"  # put back by operators, not used since
+    last_resort_upstreams: "dict[int, Upstream]"  # unverified, used where no other upstream can be chosen
+    released_indices: list[int]  # freed, not yet returned by `take_released`
+    reinstated: "list[Upstream]"  # reinstated by operators, and sent no request since
     ready_count: int  # listed upstreams
     ejected_count: int  # of these, the ejected ones
     total_capacity: float  # of listed upstreams
     in_flight: int  # requests at all upstreams, without background load
-    nominal_capacity: dict[int, float]  # by hardware class: of an idle upstream
+    nominal_capacity: dict[int, float]  # by hardware class: the capacity of an idle upstream
 
-    # Evidence, which decays.
-    hardware_durations: dict[int, list[float]]  # by hardware class: observed, expected, as of
-    decay_time: float  # time constant of durations, DECAY_TIME to MAX_DECAY_TIME
-    finish_rate: "DecayingRatio"  # attempts that took an upstream's time, over the time elapsed
+    # Statistics, which decay.
+    hardware_durations: dict[int, list[float]]  # by hardware class: observed sum, expected sum, last update
+    decay_time: float  # time constant of the statistics of durations, DECAY_TIME to MAX_DECAY_TIME
+    finish_rate: "DecayingRatio"  # attempts that completed or timed out, over the time elapsed
     # Sums of the fitted line: attempts, concurrency, duration, concurrency squared, concurrency * duration.
     latency_sums: list[float]
     latency_sums_at: int
     latency_base: float  # duration at zero concurrency, by the fitted line
     latency_slope: float  # additional duration per request in flight
     tenant_failures: "list[DecayingRatio]"
-    tenant_counts: list[tuple[float, int]]  # by tenant: recent requests, as of
+    tenant_counts: list[tuple[float, int]]  # by tenant: recent requests, and the time of the last update
 
     # Requests that wait, and retries.
     queue: "list[QueueEntry]"  # sorted, the highest payoff first
-    timers: "list[Timer]"  # a heap
-    next_sequence: Callable[[], int]  # keeps equal entries of queue and heap in order
+    timers: "list[Timer]"  # a heap, ordered by due time
+    next_sequence: Callable[[], int]  # orders equal entries of `queue` and `timers` by insertion
     retry_tokens: float  # at most 10: each request adds a tenth, each retry takes one
--- a/shedgrade/load_balancing/subset_assignment.py
+++ b/shedgrade/load_balancing/subset_assignment.py
@@ -1,6 +1,6 @@
 """Deterministic assignment of upstreams to sidecars, balanced and stable: docs/design/fleet.md. No I/O.
 
-Each sidecar computes its own subset alone, from what all of them know: the list, their count, its number.
+Each sidecar computes its own subset alone, from the endpoint list, the count of sidecars and its own number.
 """
 
 from bisect import bisect_left
@@ -8,12 +8,13 @@
 from math import gcd
 from operator import itemgetter
 
-STRATA = 5  # groups of a zone's sidecars; at the usual coverage an upstream takes one sidecar of each
+# Groups into which a zone's sidecars are divided; an upstream is usually assigned to one sidecar of each.
+STRATA = 5
 
 
-@lru_cache(1 << 12)  # the same upstreams are assigned again at each change
+@lru_cache(1 << 12)  # each change of the list hashes the same upstreams again
 def mixed(mark: int, salt: int) -> int:
-    """Returns a 64-bit hash; close marks or salts give unrelated values."""
+    """Returns a 64-bit hash of two numbers; close numbers give unrelated hashes."""
     bits = (mark * 0x9E3779B97F4A7C15 + salt * 0xD1B54A32D192ED03 + 0x632BE59BD9B4E019) % 2**64
     bits = (bits ^ bits >> 32) * 0xBF58476D1CE4E5B9 % 2**64
     return bits ^ bits >> 29
@@ -22,16 +23,18 @@
 def dealt(ups: list, zones: int, place: int, count: int, near: float, far: float, least: int) -> set[tuple]:
     """Returns the subset of `ups` that the sidecar numbered `place` of `count` uses.
 
-    `ups`: sorted rows (mark, size, zone, ...), those of its own zone (`far` 0) or those of all other zones.
+    `ups`: sorted rows (mark, size, zone, ...), those of the sidecar's own zone (`far` 0) or those of all
+    other zones. `mark`: hash of the upstream's id.
 
-    Each upstream takes `near` sidecars of its zone and `far` of the others, in proportion to its size: in
-    each stratum the one with fewer upstreams of two that its hash selects. Then sidecars with fewer than
-    `least` take one from a sidecar with more.
+    An upstream of mean size is assigned to `near` sidecars of its own zone and to `far` sidecars of the other
+    zones, a larger upstream to proportionally more. Its picks go to the strata in turn: within a stratum its
+    hash selects two sidecars, and the one with fewer upstreams gets it. A sidecar that has fewer than `least`
+    upstreams in the end takes over upstreams of sidecars with more.
     """
     if not ups:
         return set()
     home_zone, position = place % zones, place // zones
-    # Sidecars of its zone, by the count or its own number; numbers go round the zones.
+    # Sidecars in the own zone: sidecar numbers go round the zones. `count` may lag behind `place`.
     zone_sidecars = max((count - home_zone + zones - 1) // zones, position + 1)
     strata = min(STRATA, zone_sidecars)
     stratum, size = position % strata, (zone_sidecars - position % strata + strata - 1) // strata
@@ -53,7 +56,7 @@
             levels = range(min((picks - first + cells - 1) // cells, size))
             pending_picks.extend((level, bits + (far > 0), index) for level in levels)
     holders: list[list[int]] = [[] for _ in ups]
-    # By level: a change of the last picks leaves the earlier ones as they were.
+    # By level: a change of an upstream's last picks leaves its earlier picks as they were.
     pending_picks.sort(key=itemgetter(0))
     for level, bits, up in pending_picks:
         bits = mixed(bits, level)
@@ -71,11 +74,13 @@
             holders[up].append(first_choice)
     for rank, part in enumerate(subsets):
         if len(part) < min(least, len(ups)):
-            # From a position of its own, by mark: shortages elsewhere and list changes move few upstreams.
+            # Starts at a hash of the sidecar's position: shortages of other sidecars and changes of the list
+            # then change few assignments.
             salt = mixed((rank * strata + stratum) * zones + home_zone, least) % (ups[-1][0] + 1)
             start = bisect_left(ups, (salt,))
             order = [up for up in (*range(start, len(ups)), *range(start)) if up not in part]
-            # First from a sidecar with more than `least`; if there is none, shared with the holders.
+            # Takes over from sidecars with more than `least`; if that is not enough, shares with other
+            # sidecars.
             for sharing in (False, True):
                 for up in order:
                     donor = next((other for other in holders[up] if len(subsets[other]) > least), None)
--- a/shedgrade/load_balancing/subsetting.py
+++ b/shedgrade/load_balancing/subsetting.py
@@ -12,7 +12,7 @@
 # Upstreams of its own zone that a sidecar uses: least and mean.
 MULTIPLEXED_CONNECTIONS, EXCLUSIVE_CONNECTIONS = (1, 1.2), (3, 3.4)
 OTHER_ZONES = (1, 1.2)  # upstreams of all other zones together that a sidecar uses: least and mean
-MAX_SIDECARS = 30_000  # sidecars with a subset of their own; beyond it some share one
+MAX_SIDECARS = 30_000  # sidecars that have a subset of their own; of more sidecars, some have the same subset
 
 
 class Subsetting(BalancerState):
--- a/shedgrade/load_balancing/upstream.py
+++ b/shedgrade/load_balancing/upstream.py
@@ -5,8 +5,9 @@
 from .outcomes import REMOVED
 
 SECOND = 10_000
-DECAY_TIME = 5 * SECOND  # statistics decay over 5 s: hundreds of requests of a busy balancer
-# With little traffic they decay over the time that brings enough samples, up to the length of an overload.
+DECAY_TIME = 5 * SECOND  # time constant of statistics; in 5 s a busy balancer sends hundreds of requests
+# With little traffic statistics decay over the time that yields enough samples, at most over this time: the
+# length of an overload.
 MAX_DECAY_TIME = 30 * SECOND
 
 
@@ -18,31 +19,31 @@
     zone: index of its zone, None until it is listed
     cell: failure domain within which some methods may be retried
     state: READY, DRAINING or REMOVED
-    listed_start: its start by the list
-    started_at: its start for slow start, the later of `listed_start` and `reinstated_at`
+    listed_start: its start time by the list
+    started_at: time from which slow start counts, the later of `listed_start` and `reinstated_at`
     id_hash: hash of its id, the same in all processes
     capacity: its size relative to others
     hardware: its hardware class
-    reported_load: requests a core
+    reported_load: requests per core, derived from the listed size
     listed: READY and not withdrawn
-    withdrawn: taken out by operators
-    reinstated_at: when operators put it back, 0 for never
-    delisted: gone from the list, and used until it fails
+    withdrawn: taken out of use by operators
+    reinstated_at: when operators reinstated it, 0 for never
+    delisted: removed from the list, and in use until it fails
 
     Load:
-    in_flight: requests of this process
+    in_flight: requests of this process in flight at the upstream
     background_load: open streams, and other edges' requests
     last_used_at: when it was last sent a request
 
     Health, as of `decayed_at`:
-    observed_duration, foreseen_duration: sums of durations; their ratio is how slow it is
+    observed_duration, foreseen_duration: sums of durations; their ratio is its slowness
     successes, failures: decaying counts
     ejected_until: not in rotation until then, 0 for not ejected
     half_open: one request at a time until one succeeds
     probation_successes: successes still required before it is trusted
 
     Shares:
-    rotation_credit: from 1 on it takes its turn
+    rotation_credit: the upstream takes its turn in the rotation if this is 1 or more
     slow_start_credit: at most 1, as of `slow_start_updated_at`; at 1 it may get a request while it warms up
     """
 
@@ -83,19 +84,17 @@
         self.cell = 0
         self.state = REMOVED
         self.started_at = self.in_flight = 0
-        # Withdrawn by operators; gone from the list; reinstated at.
         self.withdrawn = False
         self.delisted = False
         self.reinstated_at = 0
-        # Its start by the list; when it was last sent a request.
         self.listed_start = 0
         self.last_used_at = -MAX_DECAY_TIME
         self.id_hash = None
         self.capacity = 1.0
         self.hardware = None
         self.listed = False
-        self.reported_load = 0.0  # requests a core, derived from the listed size
-        self.background_load = 0  # open streams there: load, but no work in flight
+        self.reported_load = 0.0
+        self.background_load = 0  # open streams at the upstream: load, but no work in flight
         self.probation_successes = 0  # successes required before it gets more than one request at a time
         self.rotation_credit = self.slow_start_credit = initial_credit
         self.reset_health()
--- a/shedgrade/load_balancing/zones.py
+++ b/shedgrade/load_balancing/zones.py
@@ -1,4 +1,4 @@
-"""Choice of a zone and of the next upstream in its rotation, and the last resort."""
+"""Choice of a zone and of the next upstream in its rotation; as a last resort, of an ejected upstream."""
 
 from math import exp, inf
 
@@ -6,12 +6,16 @@
 from .state import BalancerState
 from .upstream import MAX_DECAY_TIME, DecayingRatio, Upstream
 
-DROP_THRESHOLD = 3.0  # in flight per ready upstream, from which a zone is skipped: 2 to 4 differ little
-LOAD_MARGIN = 0.5  # in flight above the zone's mean, from which an upstream is skipped: half is not chance
-ALWAYS_FAST_SHARE = 0.15  # of the shortest soft deadline: an upstream expected within it takes all its turns
-FAST_FACTOR = 0.7  # of the zone's mean duration: faster upstreams take all turns, slower ones fewer of them
+# Requests in flight per upstream, from which on the most loaded zone is skipped: 2 to 4 differ little.
+DROP_THRESHOLD = 3.0
+# Requests in flight above the zone's mean, beyond which an upstream is skipped: half a request is not chance.
+LOAD_MARGIN = 0.5
+# Share of the shortest soft deadline: an upstream expected to answer within it takes all its turns.
+ALWAYS_FAST_SHARE = 0.15
+# Share of the zone's mean duration: faster upstreams take all their turns, slower upstreams fewer.
+FAST_FACTOR = 0.7
 MAX_CANDIDATES = 16  # upstreams examined for one choice: the work does not grow with the fleet
-LIGHT_LOAD = 1.5  # reported requests a core, below which a zone takes more, up to twice its limit
+LIGHT_LOAD = 1.5  # reported requests per core, below which a zone takes more, up to twice its limit
 
 
 class Zone:
@@ -23,13 +27,13 @@
     subset: upstreams that this process uses, None for all
     mean_subset_size: mean number of its upstreams that a sidecar uses
     in_flight, background_load: sums over its upstreams
-    concurrency_limit: requests in flight from which on it takes no more, inf until it is first listed
+    concurrency_limit: requests in flight from which on the zone takes no more, inf until it has upstreams
     limit_ramping: True until the first late completion
     limit_read_at: when the limit was last read
     last_finished_at: when an attempt last finished
     typical_duration: mean expected duration over the rotation
-    reported_load: requests a core, by the list
-    late_ratio: late over all completions
+    reported_load: mean load of its upstreams by the list, in requests per core
+    late_ratio: late completions over all completions
     changed: the subset is to be assigned again
     number: index of its region, set in model routing only
     """
@@ -65,14 +69,14 @@
         self.limit_ramping = True
         self.reported_load = 0.0
         self.late_ratio = DecayingRatio()
-        self.mean_subset_size = 0.0  # upstreams of it that a sidecar uses on the mean
+        self.mean_subset_size = 0.0
 
     def is_full(self, rpc: Rpc) -> bool:
         """Returns whether the concurrency limit keeps the request out.
 
-        The fraction of a limit admits that fraction of requests, by the admission draw of each. The load that
-        the list reports cuts the limit where the mean expected duration exceeds the soft deadline, and raises
-        it where the load is light.
+        The fractional part of a limit admits about that part of the requests: each request's admission draw
+        is compared with it. The load that the list reports lowers the limit where the mean expected duration
+        exceeds the soft deadline, and raises the limit where the load is light.
         """
         window = self.concurrency_limit
         if self.reported_load:
@@ -96,8 +100,8 @@
     def choose_upstream(self, now: int, rpc: Rpc, prefer_own_zone: bool) -> Upstream | None:
         """Returns the upstream for the next attempt, None if none may take it now.
 
-        The most loaded zone is skipped if it is at the threshold. The own zone comes first, then the others
-        by a draw weighted by their size; within a zone the rotation decides.
+        The most loaded zone is skipped if its load is `drop_threshold` or more. The own zone comes first,
+        then the other zones by a draw weighted by their size; within a zone the rotation decides.
         """
         for upstream in self.reinstated:
             if (
@@ -109,15 +113,17 @@
                     upstream, now, rpc.soft_deadline_at - now, self.expected_duration(upstream, now)
                 )
             ):
-                # Guards against a reinstated upstream that a sidecar with little traffic, or one of another
-                # zone, never tries again: one request, within the slow start rate, shows that it is healthy.
+                # Guards against a reinstated upstream that a sidecar with little traffic, or a sidecar of
+                # another zone, never tries again: one request, within the slow start rate, shows that it is
+                # healthy.
                 self.reinstated.remove(upstream)
                 return self.charge_slow_start(upstream, now)
         worst, highest_load, open_zones = None, self.drop_threshold, []
         for zone in self.zones:
             if rpc.may_use_zone(zone):
                 if zone.concurrency_limit < 1:
-                    # A limit that holds back a part of all requests decays while nothing confirms it.
+                    # A limit below 1 rejects some requests even while none is in flight. It returns towards 1
+                    # over MAX_DECAY_TIME unless late attempts lower it again.
                     zone.concurrency_limit **= exp((zone.limit_read_at - now) / MAX_DECAY_TIME)
                 zone.limit_read_at = now
                 open_zones.append(zone)
@@ -179,8 +185,8 @@
             )
             if not self.has_capacity(upstream, now, remaining, expected):
                 continue
-            # Guards against mixed speeds: over time the slower an upstream, the fewer turns it gets, and
-            # requests of high payoff, with most to lose, go elsewhere. A fast upstream takes every turn.
+            # Guards against mixed speeds: the slower an upstream, the fewer turns it takes, and requests of
+            # high payoff, which lose most by a late answer, skip it. A fast upstream takes every turn.
             fast_duration = max(
                 ALWAYS_FAST_SHARE * self.shortest_soft_deadline, FAST_FACTOR * zone.typical_duration
             )
@@ -205,7 +211,8 @@
     def last_resort(self, now: int, rpc: Rpc) -> Upstream | None:
         """Returns the idle ready upstream whose ejection ends first, None if there is none.
 
-        For use where no upstream is eligible and no attempt outstanding; it gets one request at a time.
+        For use where no upstream is eligible and no attempt is outstanding; the upstream gets one request at
+        a time.
         """
         best, ups = None, list((self.last_resort_upstreams or self.upstreams).values())
         start = int(self.random() * len(ups))
