--- a/shedgrade/model_routing/balancer.py
+++ b/shedgrade/model_routing/balancer.py
@@ -13,13 +13,14 @@
 from shedgrade.model_routing.retry_budget import RetryBudget
 from shedgrade.model_routing.slow_start import SlowStartShares
 
-LOAD_MARGIN = 1.0  # in flight over the region's mean, up to which the holder of a prompt's prefix is chosen
-# Tokens of a prefix from which on its holder in another region is chosen: prefilling so many takes as long as
-# the way there.
+# Requests in flight above the region's mean, up to which an upstream that caches a prompt's prefix is chosen.
+LOAD_MARGIN = 1.0
+# Length of a prefix from which on an upstream of another region that caches it is chosen: prefilling so many
+# tokens takes as long as the way to that region.
 FAR_PREFIX_TOKENS = 2048
 TOKENS_PER_LOAD_UNIT = 2048  # tokens of a prompt that weigh as much as a request in flight during the prefill
-MAX_PREFILL_LOAD = 16  # in units of a request in flight, of one prompt
-MAX_TRANSMISSIONS = 6  # of one try, those that never arrived included
+MAX_PREFILL_LOAD = 16  # largest load of one prompt's prefill, in requests in flight
+MAX_TRANSMISSIONS = 6  # per try of a client, including those that never arrived
 RETRY_AFTER_RANGE_S = (0.25, 0.75)  # random, so that refused clients do not come back all at once
 
 
@@ -56,14 +57,14 @@
 
 
 class NoPrefixIndex:
-    """Stands in where no prefix index is kept: no upstream holds anything."""
+    """Used where no prefix index is kept: knows of no upstream that caches a prefix."""
 
     def holders(self, key: int) -> Mapping[int, float]:
-        """Returns the upstreams that hold a prefix, none."""
+        """Returns the upstreams that cache a prefix: none."""
         return {}
 
     def saw(self, key: int, mark: int) -> None:
-        """Ignores that an upstream holds a prefix."""
+        """Ignores that an upstream caches a prefix."""
 
 
 class ServingBalancer(FleetLoad, SlowStartShares, Balancer):
@@ -78,7 +79,7 @@
     def __init__(
         self, regions: list[str], own: int, seed: int, now: int, repeats: RetryBudget, name: str = ""
     ) -> None:
-        self.warming_up_until: dict[int, int] = {}  # by upstream, from the list
+        self.warming_up_until: dict[int, int] = {}  # by upstream: the end of its warm-up, from the list
         self.remote_loads: dict[int, int] = {}
         self.prefix_affinity = PrefixAffinity()
         self.retry_budget = repeats
@@ -111,10 +112,11 @@
         return upstream or self.last_resort(now, rpc)
 
     def prefix_holder_elsewhere(self, now: int, rpc: ServingRpc) -> Upstream | None:
-        """Returns the upstream of another region that is preferred to the own one, None for none.
+        """Returns an upstream of another region that is preferred to the own region, None for none.
 
-        It is on record as holding a long prompt's prefix, which the own region would prefill anew. Its region
-        must be below the drop threshold, and it must not be well above that region's mean load.
+        By the prefix index the upstream caches the prefix of a long prompt, which the own region would
+        prefill anew. The upstream's region must be below the drop threshold, and the upstream not well above
+        that region's mean load.
         """
         wants: RoutingConstraints = rpc.tag.wants
         if wants.prefix_tokens < FAR_PREFIX_TOKENS or rpc.attempts:
@@ -149,16 +151,17 @@
         return best and self.charge_slow_start(best, now)
 
     def admission_threshold(self, zone: Zone, wants: RoutingConstraints) -> float:
-        """Returns the load up to which the holder of a prompt's prefix is chosen.
+        """Returns the load up to which an upstream that caches a prompt's prefix is chosen.
 
-        It is the region's mean, a margin, and the load of prefilling the prefix anew elsewhere.
+        It is the sum of the region's mean, a margin, and the load of prefilling the prefix at another
+        upstream.
         """
         return self.mean_load(zone) + LOAD_MARGIN + wants.prefix_tokens / TOKENS_PER_LOAD_UNIT
 
     def prefill_load(self, upstream: Upstream, wants: RoutingConstraints) -> int:
-        """Returns the load of prefilling a prompt there.
+        """Returns the load of prefilling a prompt at the upstream.
 
-        It counts beside the request in flight until the first event of the answer.
+        It is added to that of the request in flight until the first event of the answer.
         """
         kept = (
             wants.prefix_tokens
@@ -168,7 +171,7 @@
         return max(0, min(MAX_PREFILL_LOAD, (wants.prompt_tokens - kept) // TOKENS_PER_LOAD_UNIT))
 
     def has_capacity(self, upstream: Upstream, now: int, remaining: int, expected: float) -> bool:
-        """Returns whether it may take one more; only half-open and warming upstreams are limited.
+        """Returns whether the upstream may take one more; only half-open and warming upstreams are limited.
 
         A stream has no expected duration.
         """
@@ -193,7 +196,7 @@
         """Records nothing: the duration of a stream follows its length, not its upstream."""
 
     def next_in_rotation(self, zone: Zone, now: int, rpc: ServingRpc, remaining: int) -> Upstream | None:
-        """Returns an upstream that holds the prompt's prefix, else the next in rotation."""
+        """Returns an upstream expected to cache the prompt's prefix, else the next in rotation."""
         wants: RoutingConstraints = rpc.tag.wants
         if wants.prefix_key and len(zone.rotation) > 1:
             load_limit = self.admission_threshold(zone, wants)
@@ -210,14 +213,14 @@
         return super().next_in_rotation(zone, now, rpc, remaining)
 
     def served(self, now: int, upstream: Upstream, wants: RoutingConstraints) -> None:
-        """Handles that an attempt was completed there; nothing to do here."""
+        """Does nothing when the upstream has completed an attempt."""
 
     def retry_after(self, now: int, rpc: ServingRpc) -> int:
         """Returns when a refused client may come back, spread at random."""
         return int(self.uniform(*RETRY_AFTER_RANGE_S) * SECOND)
 
     def release_if_unused(self, upstream: Upstream) -> None:
-        """Forgets an unused upstream, and until when it was warming up."""
+        """Forgets an unused upstream, and the end of its warm-up."""
         super().release_if_unused(upstream)
         if upstream.index not in self.upstreams:
             self.warming_up_until.pop(upstream.index, None)
--- a/shedgrade/model_routing/fleet_load.py
+++ b/shedgrade/model_routing/fleet_load.py
@@ -7,9 +7,10 @@
 from shedgrade.load_balancing.zones import Zone
 from shedgrade.model_routing.request import ServingRpc
 
-SLOTS_SHARE = 1 / 3  # of an upstream's slots in use on the mean, from which on a region may be skipped
-LEAST_THRESHOLD = 2.0  # requests in flight per upstream, where slots are few or not reported
-# Of the most to the least loaded region: below it, moving there gains less than the way costs.
+SLOTS_SHARE = 1 / 3  # mean share of an upstream's slots in use, from which on a region may be skipped
+LEAST_THRESHOLD = 2.0  # drop threshold in requests in flight per upstream, if slots are few or not reported
+# Load of the most loaded region over that of the least loaded: below it, moving a request to the other region
+# gains less than the way costs.
 MIN_LOAD_RATIO = 1.5
 
 
@@ -23,7 +24,7 @@
 
     remote_loads: dict[int, int]  # by upstream: requests of other edges
     slots = 0  # requests that an upstream processes at a time; 0: not reported
-    drop_threshold = LEAST_THRESHOLD  # of `Balancer`
+    drop_threshold = LEAST_THRESHOLD  # replaces that of `Balancer`
 
     def set_slots(self, slots: int) -> None:
         """Sets how many requests each upstream processes at a time; 0: not reported."""
@@ -51,7 +52,7 @@
             self.add_load(upstream, 0, load - before)
 
     def release_if_unused(self, upstream: Upstream) -> None:
-        """Forgets an unused upstream, also while other edges have requests there."""
+        """Forgets an unused upstream, also while other edges have requests at it."""
         if upstream.state == REMOVED and upstream.zone is not None:
             self.set_remote_load(upstream, 0)
         super().release_if_unused(upstream)
@@ -61,11 +62,12 @@
         return (zone.in_flight + zone.background_load) / len(zone.rotation)
 
     def overloaded_region(self, rpc: ServingRpc) -> int | None:
-        """Returns the region with the highest load of all edges, None if no region is to be skipped.
+        """Returns the number of the region that the request skips as overloaded, None for none.
 
-        It is skipped if it is at the threshold and another region has much less load.
-        Each request draws a threshold of its own, from the drop threshold to twice that: guards against a
-        fleet that leaves a region all at once, and comes back all at once.
+        It is the region with the highest load, counting the requests of all edges. It is skipped if its load
+        is at the request's threshold, and at least MIN_LOAD_RATIO times that of the least loaded region. Each
+        request draws a threshold between the drop threshold and twice the drop threshold: guards against a
+        fleet whose edges all leave a region at once, and all come back at once.
         """
         if not self.slots or not self.remote_loads:
             return None
--- a/shedgrade/model_routing/request.py
+++ b/shedgrade/model_routing/request.py
@@ -61,10 +61,10 @@
 class ServingRpc(Rpc):
     """A model request: retried only if it provably did not run or may run again, within the retry budget.
 
-    attempts_arrived: attempts that reached an upstream or may still, those of earlier legs included
+    attempts_arrived: attempts that reached an upstream or may still reach it, including earlier legs'
     rejections: attempts that an upstream rejected, or whose connection broke
     prefill_load: load that its prompt adds to its upstream until the prefill has ended
-    overloaded_region: the region that all edges together overload, None for none
+    overloaded_region: number of the region that it skips as all edges together overload it, None for none
     """
 
     __slots__ = ("attempts_arrived", "rejections", "prefill_load", "overloaded_region")
@@ -156,8 +156,8 @@
     def response_started(self, long_lived: bool = False) -> None:
         """Records that a stream has begun, which ends its prefill.
 
-        It keeps a place at its upstream: sending adds it to the requests in flight, and only its outcome
-        removes it.
+        The stream still counts as in flight at its upstream: `transmit` adds it, and only its outcome removes
+        it.
         """
         self.hedge_at = None
         for attempt in self.outstanding:
--- a/shedgrade/model_routing/retry_budget.py
+++ b/shedgrade/model_routing/retry_budget.py
@@ -1,4 +1,4 @@
-"""The fleet's retry budget: requests that arrive at a service beyond the first arrival of each.
+"""The fleet's retry budget: limits the arrivals of requests at a service beyond the first arrival of each.
 
 Over all sidecars retries may not exceed a ratio of the requests plus a slack within a window. Each sidecar
 keeps to the ratio of its own requests and to its share of the slack, which is divided by the largest count of
@@ -16,7 +16,7 @@
     """Counts requests and retries by tenths of a window.
 
     ratio: allowed retries per request
-    slack: allowed retries besides, for the whole fleet
+    slack: retries allowed in addition to the ratio, for the whole fleet
     window: length of the sliding window, in tenths of a ms
     """
 
@@ -30,8 +30,10 @@
         self.requests = self.retries = 0
 
     def retune(self, ratio: float, slack: float, window: int) -> None:
-        """Sets other bounds. With another window, earlier retries count on and earlier requests don't: guards
-        against more retries than either window allows.
+        """Sets other bounds.
+
+        With another window, earlier retries still count and earlier requests do not: guards against more
+        retries than either window allows.
         """
         self.ratio, self.slack, window = ratio, slack, max(SECOND, window)
         if window == self.window:
@@ -41,7 +43,7 @@
         self.counts = deque([[newest // self.slot_length, 0, self.retries]])
 
     def advance(self, now: int) -> None:
-        """Drops the counts that have left the window."""
+        """Removes the counts that are older than the window."""
         slot = now // self.slot_length
         while self.counts and self.counts[0][0] < slot - 10:
             _, requests, retries = self.counts.popleft()
@@ -63,7 +65,7 @@
         self.add(now, int(not is_retry), int(is_retry))
 
     def record_not_arrived(self, now: int, is_retry: bool) -> None:
-        """Takes back the count of an attempt that never arrived."""
+        """Subtracts the count of an attempt that never arrived."""
         self.add(now, -int(not is_retry), -int(is_retry))
 
     def allows_retry(self, now: int) -> bool:
--- a/shedgrade/model_routing/slow_start.py
+++ b/shedgrade/model_routing/slow_start.py
@@ -2,7 +2,7 @@
 
 The share of each of a hundred sidecars would be under one request in several seconds, and a burst of one
 request from each would far exceed the bound. So few sidecars send to a warming upstream, chosen by a hash of
-both names (rendezvous hashing), and they divide its rate among themselves.
+the upstream's id and the sidecar's name (rendezvous hashing), and they divide its rate among themselves.
 """
 
 from zlib import crc32
