--- a/shedgrade/in_flight.py
+++ b/shedgrade/in_flight.py
@@ -4,10 +4,10 @@
 
 
 class Request:
-    """A client's request, as far as it is forwarded to an upstream."""
+    """The part of a client's request that is forwarded to an upstream."""
 
     __slots__ = ("name", "verb", "target", "headers", "body", "flow", "length")
-    stream = None  # the class of connection that carries it, if it opens a lasting stream
+    stream = None  # the class of connection that carries the request, if it opens a long-lived stream
 
     def __init__(
         self,
@@ -19,7 +19,7 @@
         flow=None,
         length: int | None = None,
     ) -> None:
-        """`flow`: the bytes of a long body as they come; `length`: of that body, if it was declared."""
+        """`flow`: the bytes of a long body as they arrive; `length`: its length, if it was declared."""
         self.name = name
         self.verb = verb
         self.target = target
@@ -45,7 +45,7 @@
         flow=None,
         length: int | None = None,
     ) -> None:
-        """`length`: of a body that comes as a flow, or of one that HEAD leaves out, if it was declared."""
+        """`length`: of a body that arrives as a flow, or of one that HEAD leaves out, if it was declared."""
         self.headers = headers
         self.body = body
         self.status = status
@@ -56,11 +56,11 @@
 class ActiveRequest:
     """One active request: its client, the request, the balancer's handle and the outstanding transmissions.
 
-    The client is told the end by one call of `completed(answer)`, `exhausted(wait)` or `errored()`: whatever
-    its protocol, that is all that the dispatcher knows of it. The client of a stream is told `opened(link)`
-    before that; from then on the stream counts as in flight at its upstream, is never sent to another one,
-    and its end ends both sides. Before anything is sent the client is asked whether it `has_left()`, and told
-    to `close()` if so.
+    The dispatcher knows nothing of the client's protocol. It ends a request by one call of
+    `client.completed(answer)`, `client.exhausted(wait)` or `client.errored()`. For a stream it calls
+    `client.opened(link)` before that; from then on the stream counts as in flight at its upstream, is never
+    sent to another upstream, and its end at one side ends the other side. Before it sends anything the
+    dispatcher calls `client.has_left()`, and `client.close()` if the client has disconnected.
     """
 
     __slots__ = (
@@ -76,7 +76,7 @@
         "timeout_ms",
         "client_checked_at",
     )
-    latest_end = inf  # when an answer that still comes is ended, in tenths of a ms on the clock
+    latest_end = inf  # time at which an answer still being received is cut, in tenths of a ms on the clock
 
     def __init__(self, client: object, request: Request, who: str = "") -> None:
         """`who`: the name under which the connection has logged in, if any."""
@@ -86,10 +86,10 @@
         self.rpc = None
         self.done = False
         self.stream_is_open = False
-        self.is_body_incomplete = request.flow is not None  # its last byte has not come
+        self.is_body_incomplete = request.flow is not None  # the last byte of the body has not arrived
         self.timeout_ms = 0  # ms that the client waits, from the request's last byte
         self.client_checked_at = 0  # when its client was last seen connected
-        self.gate_tickets: tuple = ()  # of the gates that admitted it
+        self.gate_tickets: tuple = ()  # tickets of the gates that admitted the request
         self.transmissions: dict[int, Transmission] = {}
 
 
@@ -115,18 +115,18 @@
         self.sent_at = sent
         self.expires_at = until
         self.connect_expires_at = None
-        # `first_on_connection`: no request was sent on the link before.
+        # `first_on_connection`: the connection has carried no request before.
         self.link = None
         self.first_on_connection = False
-        self.response_began_at: int | None = None  # when a long answer began to be forwarded
+        self.response_began_at: int | None = None  # time at which a long answer began to be forwarded
 
     def is_outstanding(self) -> bool:
-        """Returns whether its end has not been reported; events after that are ignored."""
+        """Returns whether the transmission's end has not been reported; events after its end are ignored."""
         return self.active_request.transmissions.get(self.attempt) is self
 
 
 class ActiveRequests:
-    """All active requests, and the bytes that they hold."""
+    """All active requests, and their bytes in the buffer budget."""
 
     def __init__(self, budget) -> None:
         self.budget = budget
--- a/shedgrade/request_dispatch.py
+++ b/shedgrade/request_dispatch.py
@@ -1,4 +1,5 @@
 """Dispatch of requests: gathers events, passes them to the balancer together and carries out its decisions.
+
 Nothing else calls the balancer. A pass starts with the loop's next iteration after an event was gathered, so
 all that one iteration of the loop read is decided on together. One timer, set to the earliest time that the
 balancer or a transmission waits for, starts a pass when nothing else does.
@@ -14,11 +15,11 @@
 from shedgrade.runtime.log import logger
 
 # All in tenths of a ms.
-STALLED_RESPONSE_TIMEOUT = 100_000  # without a byte of a long answer, after which it counts as broken
-CLIENT_CHECK_INTERVAL = 100  # after which a client is checked again, well within the 300 ms allowed
+STALLED_RESPONSE_TIMEOUT = 100_000  # without a byte of a long answer; after it the answer counts as broken
+CLIENT_CHECK_INTERVAL = 100  # between two checks that a client is connected, well within the 300 ms allowed
 BEYOND_ALL_DEADLINES = 10**8  # longer than any deadline: added to the time, it makes every deadline pass
-RESPONSE_ALLOWANCE = 20  # that an answer takes to leave this process at least, on an idle loop
-# Lag allowed for at most, well within a tick: a retry is recognized by its client's timeout.
+RESPONSE_ALLOWANCE = 20  # least time that an answer takes to leave this process, on an idle loop
+# Longest lag that deadlines allow for, well within a tick: a retry is recognized by its client's timeout.
 MAX_LAG = 50
 
 
@@ -44,7 +45,8 @@
         self.events: list[tuple] = []
         self.actions: list[tuple] = []
         self.active_requests = ActiveRequests(budget)
-        self.gates: tuple = ()  # each may refuse a request before the balancer, and is told its end once
+        # Each may refuse a request before the balancer gets it, and is told once that an admitted one ended.
+        self.gates: tuple = ()
         self.observers: tuple = ()  # each is called after every pass
         self.expiries: list[tuple] = []  # (time, sequence number, transmission): when its time limit ends
         self.sequence = count()
@@ -77,19 +79,19 @@
         self.gather(self.on_attempt_finished, transmission, outcome, answer, self.clock.now())
 
     def body_received(self, active_request: ActiveRequest, here: bool, whole: bool) -> None:
-        """Reports bytes of a long request. `here`: all are still buffered; `whole`: the last one has come."""
+        """Reports bytes of a body. `here`: all are still buffered; `whole`: the last one has arrived."""
         self.gather(self.on_body_received, active_request, here, whole, self.clock.now())
 
     def response_started(self, transmission: Transmission, answer: Answer, at: int) -> None:
-        """Reports that a long answer has begun, its head at `at`; it belongs to its client now."""
+        """Reports that a long answer has begun, its head at `at`; it is then forwarded to its client."""
         self.gather(self.on_response_started, transmission, answer, at)
 
     def stream_opened(self, transmission: Transmission) -> None:
-        """Reports that a stream's connection is up; it belongs to its client now."""
+        """Reports that a stream's connection is established; the stream is then passed to its client."""
         self.gather(self.on_stream_opened, transmission)
 
     def client_disconnected(self, active_request: ActiveRequest) -> None:
-        """Reports that the request's client has left."""
+        """Reports that the request's client has disconnected."""
         self.gather(self.on_client_disconnected, active_request)
 
     def list_changed(self, rows: list, whole: bool, asked: bool) -> None:
@@ -105,7 +107,7 @@
         self.gather(lambda now: self.balancer.list_failed(now))
 
     def mark_unverified(self, upstreams: list[int], ends: int, last: bool) -> None:
-        """Marks upstreams that a source older than discovery lists."""
+        """Marks upstreams of a list older than discovery's as unverified."""
         self.gather(lambda now: self.balancer.mark_unverified(now, upstreams, ends, last))
 
     def restore(self, state: dict, age: float) -> None:
@@ -170,7 +172,7 @@
             observer.after_turn(now, self.lag)
 
     def guarded(self, call: Callable, *args) -> None:
-        """Calls, and guards against a fault in this process: it costs one request, not the process."""
+        """Calls `call`. An exception ends the requests among its arguments, not the process."""
         try:
             call(*args)
         except Exception as failure:
@@ -240,7 +242,8 @@
         if active_request.done:
             return
         if active_request.client.has_left():
-            # Guards against work for no client: a request that waited unread is read before its client's end.
+            # Guards against work for no client: a request whose bytes waited unread is read before the end of
+            # its client's connection.
             self.finish(active_request)
             active_request.client.close()
             return
@@ -269,7 +272,7 @@
         if not transmission.is_outstanding():
             return  # its end was reported before
         del active_request.transmissions[tx]
-        # A stream that was open is never retried: whatever ended it ends the request.
+        # A stream that was open is never retried: any end of the attempt ends the request.
         served = (
             outcome == load_balancing.COMPLETED or active_request.stream_is_open
         ) and not active_request.done
@@ -306,7 +309,7 @@
                     self.add_expiry(transmission, transmission.expires_at)
 
     def on_response_started(self, now: int, transmission: Transmission, answer: Answer, at: int) -> None:
-        """Gives a long answer that has begun to its client; all other attempts are stopped."""
+        """Passes a long answer that has begun to its client; all other attempts are stopped."""
         active_request = transmission.active_request
         if not transmission.is_outstanding() or active_request.done:
             return
@@ -323,7 +326,7 @@
         self.actions.append((active_request.client.flowing, (answer,)))
 
     def on_stream_opened(self, now: int, transmission: Transmission) -> None:
-        """Gives an open stream to its client; it lasts until either side ends it."""
+        """Passes an open stream to its client; the stream lasts until either side ends it."""
         active_request = transmission.active_request
         if transmission.is_outstanding() and not active_request.done:
             active_request.stream_is_open, transmission.expires_at = True, load_balancing.inf
@@ -331,7 +334,7 @@
             self.actions.append((active_request.client.opened, (transmission.link,)))
 
     def on_client_disconnected(self, now: int, active_request: ActiveRequest) -> None:
-        """Ends the request of a client that has left, and stops its attempts."""
+        """Ends the request of a client that has disconnected, and stops its attempts."""
         if active_request.done:
             return
         self.finish(active_request)
@@ -382,7 +385,7 @@
             heappush(self.expiries, (until, next(self.sequence), transmission))
 
     def finish(self, active_request: ActiveRequest) -> None:
-        """Ends a request that is answered or whose client has left; releases its memory and gate tickets."""
+        """Ends a request that is answered or has lost its client; releases its memory and gate tickets."""
         active_request.done = True
         self.active_requests.remove(active_request)
         if active_request.request.flow is not None:
@@ -420,11 +423,11 @@
             self.add_expiry(transmission, transmission.connect_expires_at)
 
     def may_still_send(self, transmission: Transmission, now: int) -> bool:
-        """Returns whether to send, right before the first byte: a client waits, there is time, the upstream
-        is listed.
+        """Returns whether to send, right before the first byte.
 
-        Guards against events during the wait before it, for a pass or for a connection to come up: a drain,
-        the end of its time, a client that left. The client's end may be unread yet, as reads are paused while
+        A client must wait, there must be time left, and the upstream must be listed. Guards against events
+        during the wait for a pass or for a connection: a drain, the end of the attempt's time limit, a client
+        that disconnected. The end of the client's connection may be unread yet, as reads are paused while
         much of its data is unread, or the loop was blocked.
         """
         active_request = transmission.active_request
@@ -442,9 +445,10 @@
         return True
 
     def response_expires_at(self, transmission: Transmission, now: int) -> float:
-        """Returns until when a long answer may go on; `now`, if none has begun or it has stalled.
+        """Returns the time until which a long answer may go on; `now` if no answer has begun.
 
-        Only the latest deadline of a request cuts a long answer that still comes or waits for its client.
+        For an answer that has stalled, that time has passed. An answer that makes progress, or waits for its
+        client, is cut only at the request's `latest_end`.
         """
         if transmission.response_began_at is not None:
             moved = transmission.link.moved()
@@ -455,9 +459,10 @@
         return self.response_time_limit(transmission.active_request, moved)
 
     def response_time_limit(self, active_request: ActiveRequest, moved: int) -> float:
-        """Returns until when an answer that last progressed at `moved` may go on.
+        """Returns the time until which a long answer may go on that last made progress at `moved`.
 
-        Where a request has a latest end, silence ends its answer no sooner.
+        A request with a `latest_end` may go on until then; any other is cut after STALLED_RESPONSE_TIMEOUT
+        without progress.
         """
         return (
             moved + STALLED_RESPONSE_TIMEOUT
@@ -466,7 +471,7 @@
         )
 
     def expire(self, now: int) -> None:
-        """Ends transmissions whose time limit has passed, or whose connection did not come up in time."""
+        """Ends transmissions whose time limit has passed, or whose connection was not established in time."""
         while self.expiries and self.expiries[0][0] <= now:
             transmission = heappop(self.expiries)[2]
             if not transmission.is_outstanding():
@@ -484,7 +489,7 @@
                 outcome = load_balancing.TIMED_OUT
                 logger.debug("attempt timed out", upstream=upstream)
             else:
-                # A request that is still coming in may be late by its client's fault.
+                # A request whose body is still arriving may be late by its client's fault.
                 upstreams_part = dialling or not transmission.active_request.is_body_incomplete
                 late = (
                     upstreams_part
--- a/shedgrade/simulator_adapter/__main__.py
+++ b/shedgrade/simulator_adapter/__main__.py
@@ -10,4 +10,4 @@
     except (BadInputError, DecisionError) as failure:
         sys.exit(f"benchlink: {failure}")
     except BrokenPipeError:
-        sys.exit("benchlink: the reader of the replies is gone")
+        sys.exit("benchlink: the reader of the replies has closed the pipe")
--- a/shedgrade/simulator_adapter/wire.py
+++ b/shedgrade/simulator_adapter/wire.py
@@ -165,7 +165,7 @@
         if outcome is None:
             raise BadInputError("how", f"{event['how']!r} is unknown")
         if tx not in rpc.outstanding:
-            raise BadInputError("copy", f"transmission {tx} of {rpc.tag} is not out")
+            raise BadInputError("copy", f"transmission {tx} of {rpc.tag} is not outstanding")
         self.stop(
             rpc,
             rpc.attempt_finished(
@@ -176,7 +176,7 @@
         self.write_decision(rpc, now, out)
 
     def abandoned(self, event: dict, now: int, lists: dict, out: list) -> None:
-        """Handles a client that left."""
+        """Handles the disconnect of a request's client."""
         rpc = self.rpcs.get(event["txn"])
         if rpc is not None:
             self.stop(rpc, rpc.client_disconnected(now), out)
@@ -187,7 +187,7 @@
         self.timer_at = inf
 
     def echo(self, event: dict, now: int, lists: dict, out: list) -> None:
-        """Refuses an echo: upstreams are never polled. Raises BadInputError."""
+        """Rejects an upstream's answer to a poll: upstreams are never polled. Raises BadInputError."""
         raise BadInputError("upstream", f"{event['upstream']!r} was not polled")
 
     def accepted(self, event: dict, now: int, lists: dict, out: list) -> None:
@@ -200,11 +200,11 @@
     # --- answers
 
     def write_reply(self, out: list, verb: str, **fields) -> None:
-        """Appends one line of output."""
+        """Appends a reply of this sidecar to the output of the batch."""
         out.append(orjson.dumps({"verb": verb, "sidecar_id": self.number, **fields}))
 
     def stop(self, rpc: Rpc, attempts: list, out: list) -> None:
-        """Writes which transmissions to stop."""
+        """Writes a `stop_attempt` reply for each of these attempts."""
         for tx in attempts:
             self.write_reply(out, "stop_attempt", txn=rpc.tag, copy=tx)
 
@@ -225,7 +225,7 @@
             self.rpcs.pop(rpc.tag, None)
 
     def close_batch(self, now: int, out: list) -> None:
-        """Ends a batch, after all its events: due requests, the list, the timer."""
+        """Ends a batch after all its events: decides on due requests, requests the list, sets the timer."""
         balancer = self.balancer
         for rpc in balancer.due(now):
             self.write_decision(rpc, now, out)
@@ -278,7 +278,7 @@
 
 
 def call_balancer(number: int, call, *args) -> None:
-    """Calls; an exception of the balancer is raised as DecisionError."""
+    """Calls a function of a sidecar; an exception of the balancer is raised as DecisionError."""
     try:
         call(*args)
     except BadInputError:
--- a/shedgrade/upstream_pool/front.py
+++ b/shedgrade/upstream_pool/front.py
@@ -1,4 +1,4 @@
-"""The client side of a pool: what listeners use, and the client connections that they hold open."""
+"""The client side of a pool: what listeners use, and the open connections of clients."""
 
 import asyncio
 from collections.abc import Callable
@@ -12,15 +12,16 @@
     from shedgrade.upstream_pool.pool import Pool
 
 CROWDED_LOG_INTERVAL_S = 10.0  # s between two log lines about connections over budget
-# Divisor of the connection budget, from which part on answers close their connection. Normal operation uses a
-# tenth, and clients, which hold a third of the descriptors at most, have as many again.
+# Divisor of the largest number of client connections: from the quotient on, answers close their connection.
+# Normal operation uses a tenth, and clients, which hold a third of the descriptors at most, have as many
+# again.
 CROWDED_DIVISOR = 4
-STALL_THRESHOLD_S = 0.5  # s without a check, which comes every 0.25 s: the process did not run
+STALL_THRESHOLD_S = 0.5  # s since the last check, which is due every 0.25 s: the process has not run
 STALL_AFTERMATH_S = 1.0  # s after a stall in which data that waited in the kernel is still being read
 
 
 class Front:
-    """The client side of one pool: its connections, the least recently used first, and the room for more."""
+    """The client side of one pool: its client connections by last use, and the limits on them."""
 
     def __init__(
         self,
@@ -49,7 +50,7 @@
         return self.pool.tenants
 
     def tenant_of(self, name: bytes) -> int:
-        """Returns a tenant's number by its name in the settings; unnamed tenants have no share here."""
+        """Returns a tenant's number by its name in the settings; other tenants have no share at this pool."""
         return self.pool.tenant_names.get(name, self.pool.tenants)
 
     def opened(self, connection) -> None:
@@ -71,16 +72,16 @@
         """Returns whether answers should close their connection.
 
         Guards against connections that send one request and stay open: the clients run out of connections
-        before this side does.
+        before this process does.
         """
         return len(self.clients) >= self.budget.max_clients // CROWDED_DIVISOR
 
     def make_room(self) -> bool:
         """Makes room for one more client connection: the least recently used idle one is closed.
 
-        Returns whether there is room. Guards against many clients at once: those that wait are accepted as
-        soon as others are closed. Descriptors closed in one iteration of the loop are free in the next; the
-        reserve holds as many as one iteration accepts.
+        Returns whether there is room. Guards against many clients at once: connections that wait for accept
+        are accepted as soon as others are closed. Descriptors closed in one iteration of the loop are free in
+        the next; the reserve holds as many as one iteration accepts.
         """
         if not self.budget.full_of_clients(len(self.accepting)):
             return True
--- a/shedgrade/upstream_pool/pool.py
+++ b/shedgrade/upstream_pool/pool.py
@@ -57,7 +57,7 @@
         self.watch: DiscoveryWatch | None = None
         self.watching: asyncio.Task | None = None
         self.saved = None  # a SavedList, if the list is saved to disk
-        self.source = "nothing"  # the source of the list that is in charge
+        self.source = "nothing"  # the source of the list in use
         self.listed_once = False
 
     def take_settings(self, settings: dict) -> tuple[int, int]:
@@ -95,10 +95,10 @@
             self.source = source
 
     def listed(self, message: object, asked: bool = True, part: bool = False) -> None:
-        """Applies a message of the list, which is in force from the next pass on.
+        """Applies a message of the endpoint list, which is in force from the next pass on.
 
-        `asked`: it comes from discovery. `part`: its valid part is applied. Raises ListError for what is no
-        list.
+        `asked`: the message comes from discovery. `part`: entries that are not valid are left out. Raises
+        ListError for a message that is not a list.
         """
         rows, whole, moved = self.reader.read(message, part)
         quiet = self.reader.weights_only
@@ -110,7 +110,8 @@
                 taken = [] if quiet else self.reader.taken
                 self.saved.save_list({**message, "instances": taken} if quiet or part else message)
         draining = [row[0] for row in rows if row[2] != load_balancing.READY]
-        # First of all, so that attempts whose upstream is withdrawn are decided anew by this list.
+        # Before the connections are withdrawn, so that attempts at a withdrawn upstream are decided anew by
+        # this list.
         self.dispatcher.list_changed(rows, whole, asked)
         for upstream in (*moved, *draining):
             self.connections.withdraw(upstream)
@@ -145,13 +146,16 @@
             self.watch = None
 
     def move(self, address: tuple[str, int]) -> None:
-        """Watches discovery at another address, whose versions count anew: its whole list comes first."""
+        """Watches discovery at another address.
+
+        Versions count anew at the other address, so the whole list is read first.
+        """
         self.unfollow()
         self.reader.version = None
         self.follow(address)
 
     def forget(self, upstream: int) -> None:
-        """Forgets an upstream that is gone with nothing outstanding; its records would stay for good."""
+        """Forgets a removed upstream that has nothing outstanding, or its records would stay for good."""
         self.reader.forget(upstream)
         self.connections.forget(upstream)
         self.connections.last_response_at.pop(upstream, None)
