--- a/shedgrade/load_balancing/subset_assignment.py
+++ b/shedgrade/load_balancing/subset_assignment.py
@@ -34,36 +34,40 @@
     if not ups:
         return set()
     home_zone, position = place % zones, place // zones
-    # Sidecars in the own zone: sidecar numbers go round the zones. `count` may lag behind `place`.
+    # Sidecars in the own zone: sidecar numbers go round the zones. `count` may be too low for `place`.
     zone_sidecars = max((count - home_zone + zones - 1) // zones, position + 1)
     strata = min(STRATA, zone_sidecars)
     stratum, size = position % strata, (zone_sidecars - position % strata + strata - 1) // strata
+    # A pick is one assignment of an upstream to a sidecar. The picks of an upstream go round the cells, which
+    # are the strata of one zone or the pairs of another zone and a stratum: pick k falls into the cell
+    # (hash + k * step) % cells. `first_pick` is the first one that falls into this sidecar's stratum.
     cells = strata * (zones - 1 if far else 1)
     step = next(step for step in range(max(1, cells * 5 // 8), cells + 1) if gcd(step, cells) == 1)
-    back, half = pow(step, -1, cells) if cells > 1 else 0, (1 << (size - 1).bit_length()) - 1
+    step_inverse, index_mask = pow(step, -1, cells) if cells > 1 else 0, (1 << (size - 1).bit_length()) - 1
     subsets, mean, pending_picks = [set[int]() for _ in range(size)], sum(up[1] for up in ups) / len(ups), []
     near, far = near / mean, far / mean
     most = max(up[1] for up in ups) * (far or near) + 1
     cell, base = stratum, stratum * (zones - 1) - 1
     for index, up in enumerate(ups):
-        bits = mixed(up[0], up[2])
+        hash_bits = mixed(up[0], up[2])
         if far:
             cell = base + (home_zone - up[2]) % zones
-        first = (cell - (bits >> 16)) * back % cells  # the first pick that falls into this stratum
-        if first < most:
-            exact, rounding = near * up[1], bits % 65536 / 65536  # near and far are rounded together
+        first_pick = (cell - (hash_bits >> 16)) * step_inverse % cells
+        if first_pick < most:
+            # The hash decides on rounding up; the sum of near and far is rounded rather than each.
+            exact, rounding = near * up[1], hash_bits % 65536 / 65536
             picks = int((far * up[1] + (exact + rounding) % 1 if far else exact + rounding) + 1e-9)
-            levels = range(min((picks - first + cells - 1) // cells, size))
-            pending_picks.extend((level, bits + (far > 0), index) for level in levels)
+            levels = range(min((picks - first_pick + cells - 1) // cells, size))
+            pending_picks.extend((level, hash_bits + (far > 0), index) for level in levels)
     holders: list[list[int]] = [[] for _ in ups]
-    # By level: a change of an upstream's last picks leaves its earlier picks as they were.
+    # Earlier picks of all upstreams go first: a change of an upstream's last picks leaves them as they were.
     pending_picks.sort(key=itemgetter(0))
-    for level, bits, up in pending_picks:
-        bits = mixed(bits, level)
-        first_choice, second_choice = bits & half, bits >> 32 & half
+    for level, hash_bits, up in pending_picks:
+        hash_bits = mixed(hash_bits, level)
+        first_choice, second_choice = hash_bits & index_mask, hash_bits >> 32 & index_mask
         first_choice, second_choice = (
-            first_choice if first_choice < size else first_choice & half >> 1,
-            second_choice if second_choice < size else second_choice & half >> 1,
+            first_choice if first_choice < size else first_choice & index_mask >> 1,
+            second_choice if second_choice < size else second_choice & index_mask >> 1,
         )
         if up in subsets[first_choice] or (
             len(subsets[second_choice]) < len(subsets[first_choice]) and up not in subsets[second_choice]
