--- a/shedgrade/model_routing/request.py
+++ b/shedgrade/model_routing/request.py
@@ -6,7 +6,7 @@
 from shedgrade.load_balancing.zones import Zone
 from shedgrade.prefix_cache_index import prefix_key
 
-IDEMPOTENT, ONCE = range(2)  # the two methods: may run several times, or at most once a try
+IDEMPOTENT, ONCE = range(2)  # the two methods: may run several times, or at most once per try of a client
 NOT_DELIVERED = (UNSENT, UNCONNECTED)  # outcomes after which the upstream has received nothing of the request
 
 
@@ -61,7 +61,7 @@
 class ServingRpc(Rpc):
     """A model request: retried only if it provably did not run or may run again, within the retry budget.
 
-    attempts_arrived: attempts that reached an upstream or may still reach it, including earlier legs'
+    attempts_arrived: attempts that reached an upstream or may still reach it, including those of earlier legs
     rejections: attempts that an upstream rejected, or whose connection broke
     prefill_load: load that its prompt adds to its upstream until the prefill has ended
     overloaded_region: number of the region that it skips as all edges together overload it, None for none
