--- a/shedgrade/cli/lab.py
+++ b/shedgrade/cli/lab.py
@@ -32,7 +32,7 @@
 
 
 def read(path: Path, sets: list[str] | None) -> Scenario:
-    """A scenario with its changes; exit 2 if it is not sound."""
+    """Reads a scenario and applies the changes; exits with 2 if it is not valid."""
     try:
         return load_scenario(path, sets or [])
     except ScenarioError as wrong:
@@ -40,13 +40,13 @@
 
 
 def show(line: str) -> None:
-    """A progress line on a terminal, nothing elsewhere."""
+    """Shows a progress line if stderr is a terminal."""
     if sys.stderr.isatty():
         print(f"\r{line}", end="", file=sys.stderr, flush=True)
 
 
 def line_by_line(line: str) -> None:
-    """A progress line in the log."""
+    """Logs a progress line."""
     logger.info("{}", line)
 
 
@@ -91,7 +91,7 @@
 
 
 def variants(first: Path, second: Path | None, sets: tuple, checkouts: tuple) -> list[tuple[str, Scenario]]:
-    """A and B of a comparison, each with its own changes and checkout."""
+    """Returns variants A and B of a comparison, each with its own changes and checkout."""
     paths = first, second or first
     found = [read(path, own) for path, own in zip(paths, sets, strict=True)]
     for scenario, checkout in zip(found, checkouts, strict=True):
--- a/shedgrade/lab/baselines.py
+++ b/shedgrade/lab/baselines.py
@@ -1,7 +1,7 @@
-"""Baselines for comparison, in the lab only: the same sidecar with another choice of upstream.
+"""Baseline policies for comparison, in the lab only: the same sidecar with another choice of upstream.
 
-Each keeps what the module keeps for the four rules on its own account (repeats, drains), and has none of its
-guards: no zones, no windows, nobody set aside, nothing held, no care for cold upstreams.
+Each keeps what the load balancer does for the four rules by itself (limits on repeats, drains) and has none
+of its protections: no zones, no windows, no ejection, no queue, no slow start for cold upstreams.
 """
 
 from random import Random
@@ -10,7 +10,7 @@
 
 
 class Baseline(load_balancing.Balancer):
-    """The module with the choice taken out of it."""
+    """The load balancer without its choice of upstream, which a subclass supplies."""
 
     def __init__(self, settings: dict, seed: int, now: int) -> None:
         super().__init__(settings, seed, now)
@@ -41,14 +41,14 @@
 
 
 class RandomChoice(Baseline):
-    """Any upstream, all alike."""
+    """Chooses among all upstreams with equal probability."""
 
     def among(self, there: list[load_balancing.Upstream]) -> load_balancing.Upstream:
         return self.picks.choice(there)
 
 
 class Rotation(Baseline):
-    """One after another over the whole list."""
+    """Chooses the upstreams in turn (round robin)."""
 
     def among(self, there: list[load_balancing.Upstream]) -> load_balancing.Upstream:
         self.turn_now += 1
@@ -56,7 +56,7 @@
 
 
 class LeastInFlight(Baseline):
-    """The fewest of this sidecar's RPCs in flight; chance among equals."""
+    """Chooses the upstream with the fewest RPCs of this sidecar in flight; at random among equals."""
 
     def among(self, there: list[load_balancing.Upstream]) -> load_balancing.Upstream:
         least = min(up.in_flight for up in there)
--- a/shedgrade/lab/capacity.py
+++ b/shedgrade/lab/capacity.py
@@ -1,9 +1,9 @@
-"""What a stand-in upstream can do, without I/O: the same in real and in simulated time.
+"""Models the capacity of a stand-in upstream, without I/O; real and simulated time use the same model.
 
-All RPCs in work on one upstream progress alike, so one clock of work, advanced exactly through the rising
-capacity of a cold start, tells when each ends. Told: `take`, `cancel`, `speed_now`, `drain`. Answers: `ends`,
-`next_end`, `fell`. Times are seconds on any one clock; work is milliseconds on a core of speed 1. No chance
-in here.
+All RPCs that run on one upstream progress at the same rate. A single work clock, advanced exactly through the
+rising capacity of a cold start, therefore gives the end of each RPC. Inputs: `take`, `cancel`, `speed_now`
+and `draining`. Outputs: `ends`, `next_end` and `fell`. Times are in seconds on any one clock; work is in
+milliseconds on a core of speed 1. The model draws no random numbers.
 """
 
 from collections import deque
@@ -14,7 +14,7 @@
 
 
 class Capacity:
-    """One upstream's cores, queue, warmth and the window that it may fall over in."""
+    """The cores, queue, warm-up and overload window of one upstream."""
 
     def __init__(
         self,
@@ -34,38 +34,38 @@
         self.cold_from, self.cold = (cold_from, cold) if cold > 0 else (1.0, 0.0)
         self.fall_multiple, self.overload = fall_multiple, overload
         self.crowd_at, self.crowd_slow = crowd_at, crowd_slow
-        self.factor = 1.0  # what a neighbour leaves of the machine; 0 while it hangs
-        self.at, self.worked = started, 0.0  # the work clock: ms of work done by each busy core so far
+        self.factor = 1.0  # share of the machine that a noisy neighbour leaves; 0 while the upstream hangs
+        self.at, self.worked = started, 0.0  # work clock: ms of work done by each busy core so far
         self.heap: list[tuple[float, int, object]] = []
-        self.running: dict[object, float] = {}  # key to where the work clock must get for it
+        self.running: dict[object, float] = {}  # key to the reading of the work clock at which the RPC ends
         self.queue: deque[tuple[object, float]] = deque()
         self.waiting: set = set()
         self.order = 0
-        self.offered: deque[tuple[float, float, str]] = deque()  # (when, work, from whom)
+        self.offered: deque[tuple[float, float, str]] = deque()  # (time, work in ms, origin)
         self.offered_sum = 0.0
         self.draining = False
-        self.fell: dict | None = None  # set once it has been pushed over: when, how much, by whom
+        self.fell: dict | None = None  # set when overload crashes it: time, offered work, limit, origins
 
-    # --- warmth
+    # --- warm-up
 
     def warmth(self, now: float) -> float:
-        """The part of its full capacity that it has now, from `cold_from` to 1."""
+        """Returns the share of its full capacity that the upstream has at `now`, from `cold_from` to 1."""
         since = now - self.started
         if since >= self.cold:
             return 1.0
         return self.cold_from + (1 - self.cold_from) * max(0.0, since) / self.cold
 
     def warm_seconds(self, now: float) -> float:
-        """The integral of warmth from the start: full-capacity seconds."""
+        """Returns the integral of `warmth` from the start to `now`, in full-capacity seconds."""
         since = now - self.started
-        if since <= 0:  # before the start it counts as at the start
+        if since <= 0:  # times before the start count with the warmth of the start
             return since * self.cold_from
         part = min(since, self.cold)
         done = self.cold_from * part + ((1 - self.cold_from) * part * part / (2 * self.cold) if part else 0.0)
         return done + since - part
 
     def when_warm_seconds(self, seconds: float) -> float:
-        """The moment at which `warm_seconds` gets there."""
+        """Returns the time at which `warm_seconds` reaches `seconds`."""
         whole = (self.cold_from + 1) / 2 * self.cold
         if seconds >= whole:
             return self.started + self.cold + seconds - whole
@@ -76,10 +76,10 @@
             return self.started + seconds / self.cold_from
         return self.started + (sqrt(self.cold_from**2 + 2 * rise * seconds) - self.cold_from) / rise
 
-    # --- the clock of work
+    # --- work clock
 
     def pace(self) -> float:
-        """Milliseconds of work a busy core does in a full-capacity second, now."""
+        """Returns the work in ms that a busy core does in a full-capacity second, at the present load."""
         held = len(self.running) + len(self.waiting)
         over = max(0.0, held / self.cores - self.crowd_at)
         return 1000 * self.speed * self.factor / (1 + self.crowd_slow * over)
@@ -90,7 +90,7 @@
             self.at = now
 
     def next_end(self) -> float:
-        """When the next RPC in work ends if nothing changes; inf if none does."""
+        """Returns when the next running RPC ends if nothing changes; inf if none does."""
         while self.heap and self.running.get(self.heap[0][2]) != self.heap[0][0]:
             heappop(self.heap)
         pace = self.pace()
@@ -100,7 +100,10 @@
         return max(self.at, self.when_warm_seconds(self.warm_seconds(self.at) + left))
 
     def ends(self, now: float) -> list[tuple[float, object]]:
-        """What has ended by now, as (when, key), each end letting in what waits."""
+        """Removes the RPCs that have ended by `now` and returns them as (time, key).
+
+        Each end starts the next queued RPC.
+        """
         found = []
         while (at := self.next_end()) <= now:
             self.advance(at)
@@ -124,10 +127,14 @@
         self.running[key] = self.worked + work
         heappush(self.heap, (self.running[key], self.order, key))
 
-    # --- what it is told
+    # --- inputs
 
     def take(self, now: float, key: object, work: float, whom: str = "") -> str:
-        """One RPC arrives: TAKEN, or turned AWAY, or DOWN. What arrives counts as offered in any case."""
+        """Takes an arriving RPC.
+
+        Returns TAKEN, AWAY if the RPC is rejected, or DOWN if overload has crashed the upstream. A rejected
+        RPC counts as offered work too.
+        """
         if self.fell is not None or self.push(now, work, whom):
             return DOWN
         if self.draining or (len(self.running) >= self.cores and len(self.waiting) >= self.queue_cap):
@@ -141,7 +148,7 @@
         return TAKEN
 
     def push(self, now: float, work: float, whom: str) -> bool:
-        """Books what was offered; True if this pushes a cold upstream over."""
+        """Adds to the offered work; returns True if that crashes the upstream, as it can while cold."""
         if now >= self.started + self.cold:
             self.offered.clear()
             return False
@@ -168,12 +175,12 @@
         return True
 
     def limit(self, now: float) -> float:
-        """Work (ms) that may be offered within the window that ends now."""
+        """Returns the work in ms that may be offered within the `overload` seconds that end at `now`."""
         warm = self.warm_seconds(now) - self.warm_seconds(now - self.overload)
         return self.fall_multiple * 1000 * self.speed * self.cores * warm
 
     def cancel(self, now: float, key: object) -> bool:
-        """Stops an RPC; False if it is not here any more."""
+        """Cancels an RPC; returns False if the upstream no longer holds it."""
         self.advance(now)
         if key in self.waiting:
             self.waiting.discard(key)
@@ -184,10 +191,10 @@
         return True
 
     def speed_now(self, now: float, factor: float) -> None:
-        """From now on a neighbour leaves this part of the machine."""
+        """Sets the share of the machine that a noisy neighbour leaves from `now` on."""
         self.advance(now)
         self.factor = factor
 
     def ran(self, key: object) -> bool:
-        """It is in work, not merely waiting."""
+        """Returns whether the RPC is running, not merely queued."""
         return key in self.running
--- a/shedgrade/lab/experiments.py
+++ b/shedgrade/lab/experiments.py
@@ -1,4 +1,4 @@
-"""Several runs as one experiment: variants interleaved within each round, compared in pairs."""
+"""Runs variants of a scenario as one experiment: interleaved within each round, compared in pairs."""
 
 import os
 import signal
@@ -16,7 +16,7 @@
 from shedgrade.lab.statistics import interval
 from shedgrade.lab.worker import tied
 
-# Figure to how it is read off a summary; and whether more of it is better.
+# By name of the figure: the function that reads it from a summary, and whether a higher value is better.
 FIGURES: dict[str, tuple[Callable[[dict], float], bool]] = {
     "service": (lambda s: s["figures"]["service"], True),
     "p50 ms": (lambda s: s["latency_ms"].get("p50", 0.0), False),
@@ -31,7 +31,10 @@
 
 
 def one(scenario: Scenario, folder: Path, cores: list[int] | None = None) -> dict:
-    """One run in a process of its own, on these cores; its summary. LabError if there was none."""
+    """Runs a scenario in a process of its own, pinned to `cores`; returns its summary.
+
+    Raises LabError if the process fails.
+    """
     import sys
 
     folder.mkdir(parents=True, exist_ok=True)
@@ -55,7 +58,7 @@
 
 
 def lanes_of(lanes: int) -> list[list[int]]:
-    """The cores shared out evenly."""
+    """Splits the available cores evenly into lanes, at most one lane per core."""
     cores = sorted(os.sched_getaffinity(0))
     each = max(1, len(cores) // lanes)
     return [cores[lane * each : (lane + 1) * each] for lane in range(min(lanes, len(cores)))]
@@ -68,10 +71,10 @@
     lanes: int = 1,
     tell: Callable[[str], None] = lambda line: None,
 ) -> dict[str, list[dict | None]]:
-    """Each variant once a round, with the round's own seed; the order turns from round to round.
+    """Runs each variant once a round, with a seed for each round; the order alternates between rounds.
 
-    A run that is no result is made once more; if it is none again, its place holds None and its pair is
-    left out.
+    A run without a valid result is repeated once. If the repetition has none either, its place holds None and
+    its pair is left out.
     """
     found: dict[str, list[dict | None]] = {label: [None] * rounds for label, _ in variants}
     jobs = []
@@ -111,12 +114,12 @@
 
 
 def pairs(first: list[dict | None], second: list[dict | None], read: Callable[[dict], float]) -> list[float]:
-    """Second less first, where both are results."""
+    """Returns the differences, second minus first, of the rounds in which both runs have a result."""
     return [read(b) - read(a) for a, b in zip(first, second, strict=True) if a is not None and b is not None]
 
 
 def table(found: dict[str, list[dict | None]]) -> list[str]:
-    """Markdown: each variant's means, and its difference to the first with its interval."""
+    """Returns a Markdown table: each variant's mean, and its difference to the first with an interval."""
     labels = list(found)
     rows = [
         f"| figure | {labels[0]} | "
@@ -140,7 +143,7 @@
 
 
 def main() -> None:
-    """One run for `one`: the scenario lies in its folder."""
+    """Runs the scenario that `one` has written to the folder given as an argument."""
     import sys
 
     from shedgrade.lab.runner import run as run_scenario
--- a/shedgrade/lab/faults.py
+++ b/shedgrade/lab/faults.py
@@ -1,8 +1,7 @@
-"""The time line: what each fault of a scenario means, step by step, without I/O.
+"""Turns the faults of a scenario into single steps on a timeline, without I/O.
 
-`plan` turns the faults into single steps in order of time. It keeps who is alive, so that overlapping
-faults pick among machines that are there, and draws from the scenario's seed. The runner carries the steps
-out.
+`plan` orders the steps by time. It tracks which machines are alive, so that overlapping faults pick among
+machines that exist, and draws from the scenario's seed. The runner carries the steps out.
 """
 
 from math import ceil
@@ -17,19 +16,30 @@
 
 
 class Machine(Struct):
-    """One stand-in upstream: where it belongs, which address slot it has, from when to when it is to be
-    used."""
+    """A stand-in upstream.
+
+    name: its id, unique in the run
+    group: index of its group in the scenario's fleet
+    zone: name of its zone
+    slot: number of its address, which a successor may reuse
+    planned: seconds of the run; from then on another fault has claimed the machine
+    """
 
     name: str
     group: int
     zone: str
     slot: int
-    planned: float = float("inf")  # from then on another fault has it
+    planned: float = float("inf")
 
 
 class Step(Struct):
-    """`who`: an upstream's name, `discovery`, or a sidecar's number as text. `what` with `args` says the
-    rest."""
+    """One action on one target.
+
+    at: seconds of the run
+    who: an upstream's name, `discovery`, or a sidecar's number as text
+    what: the action
+    args: arguments of the action
+    """
 
     at: float
     who: str
@@ -38,7 +48,7 @@
 
 
 class Planner:
-    """Who is alive, and the steps so far."""
+    """Collects the steps of all faults and tracks the machines that are alive."""
 
     def __init__(self, scenario: Scenario) -> None:
         self.scenario, self.steps = scenario, []
@@ -61,7 +71,11 @@
         self.steps.append(Step(round(at, 4), who, what, args))
 
     def pick(self, fault: Fault) -> list[Machine]:
-        """The named ones, else those of the zone or of all: the share, one at least."""
+        """Returns the machines that a fault affects: those it names, else a sample of its zone or of all.
+
+        The sample has the fault's count or share, at least one machine; a zone given without either is taken
+        whole.
+        """
         if fault.upstreams:
             return [self.first[number] for number in fault.upstreams]
         there = [
@@ -75,14 +89,14 @@
         most = len(there) if whole else fault.count or max(1, round(fault.share * len(there)))
         return self.chance.sample(there, min(most, len(there)))
 
-    # --- what machines do
+    # --- lifecycle of a machine
 
     def start(self, at: float, one: Machine) -> None:
         self.step(at, one.name, "start", group=one.group, slot=one.slot, cold=True)
         self.step(at, one.name, "list", lifecycle=IN_SERVICE, slot=one.slot, group=one.group, started=at)
 
     def leave(self, at: float, one: Machine, drain: float) -> None:
-        """In order: it drains, then goes."""
+        """Plans an orderly shutdown: the machine drains for `drain` seconds, then ends."""
         one.planned = at
         self.step(at, one.name, "drain")
         self.step(at, one.name, "list", lifecycle=TERMINATING)
@@ -174,7 +188,10 @@
                 self.step(at + max(fault.for_s, 0.0), who, "start_again")
 
     def slow(self, fault: Fault, one: Machine) -> None:
-        """For good, for a time, or on and off (`period_s`: mean seconds of either), as a neighbour does."""
+        """Slows a machine down for good, for a time, or on and off as a noisy neighbour does.
+
+        `period_s` is the mean duration in seconds of a slow phase and of a normal phase.
+        """
         at, until = fault.at_s, fault.at_s + fault.for_s if fault.for_s else self.scenario.length_s
         if not fault.period_s:
             self.switch(fault, one, "speed", {"factor": fault.factor}, {"factor": 1.0})
@@ -186,8 +203,11 @@
         self.step(until, one.name, "speed", factor=1.0)
 
     def deploy(self, fault: Fault) -> None:
-        """Successors start cold, batch by batch, as their predecessors drain. churn: one by one, for ever new
-        ids, every second one at the address of one that has gone."""
+        """Replaces machines: successors start cold, batch by batch, while their predecessors drain.
+
+        A churn replaces them one by one, each under a new id. A successor reuses, with probability 0.5, the
+        address of a machine that has gone.
+        """
         drain = fault.drain_ms / 1000
         if fault.kind == "churn":
             every = fault.period_s or 1.0
@@ -217,7 +237,7 @@
 
 
 def plan(scenario: Scenario) -> tuple[list[Machine], list[Step], list[Machine]]:
-    """The machines at the start, all steps in order, and every machine there will ever be."""
+    """Returns the machines at the start, all steps in order of time, and every machine of the run."""
     planner = Planner(scenario)
     for fault in sorted(scenario.faults, key=lambda fault: fault.at_s):
         planner.add(fault)
--- a/shedgrade/lab/judge.py
+++ b/shedgrade/lab/judge.py
@@ -1,7 +1,8 @@
-"""The judge of the four rules, without I/O: from what clients sent and got, and what upstreams saw.
+"""Checks the records of a run against the four rules, without I/O.
 
-It is told plain records (docs/operate/lab.md lists them) and trusts nothing that a sidecar says of itself.
-Each breach names its rule, what happened, and the ids and times that show it. Times are seconds of the run.
+The records (docs/operate/lab.md lists them) say what clients sent and received and what upstreams saw; what
+a sidecar reports about itself is not used. Each breach names its rule, what happened, and the ids and times
+that prove it. Times are in seconds of the run.
 """
 
 from bisect import bisect_right
@@ -11,9 +12,12 @@
 
 from shedgrade.lab.scenario import Scenario
 
-NEVER_RAN = ("away",)  # how a transmission ended that proves to the sidecar that nothing ran
-END_UNSEEN = ("cut", "open")  # nobody saw when the sidecar gave it up
-TOLD_SHARE = 2 / 3  # of what pushed an upstream over, from sidecars that knew of its start
+NEVER_RAN = ("away",)  # ends of a transmission that prove to the sidecar that the request did not run
+END_UNSEEN = ("cut", "open")  # ends that don't show when the sidecar gave the transmission up
+
+# A crash of a cold upstream is a breach if at least this share of the work that was offered to it came from
+# sidecars that had been told of its start.
+TOLD_SHARE = 2 / 3
 
 
 class Breach(Struct):
@@ -23,7 +27,7 @@
 
 
 class Evidence:
-    """All records of a run, sorted by what they tell."""
+    """The records of a run, grouped by kind."""
 
     def __init__(self, records) -> None:
         self.tries: dict[str, dict] = {}
@@ -50,7 +54,10 @@
             found.sort(key=lambda tx: tx["begun"])
 
     def spans(self, sidecar: int, begin: str, ends: tuple[str, ...]) -> list[tuple[float, float]]:
-        """From each event `begin` to the next of `ends`."""
+        """Returns the time spans of a sidecar from each event `begin` to the next event in `ends`.
+
+        A span that never ends reaches to infinity.
+        """
         found, since = [], None
         for event in sorted(self.sidecars[sidecar], key=lambda event: event["at"]):
             if event["what"] == begin and since is None:
@@ -62,13 +69,13 @@
 
 
 def origin_of(name: str) -> int | None:
-    """The sidecar that an id belongs to; None for ids that are no client's."""
+    """Returns the number of the sidecar that an id belongs to; None for an id that no client uses."""
     head = name.split(".", 1)[0]
     return int(head[1:]) if head[:1] == "n" and head[1:].isdigit() else None
 
 
 class Judge:
-    """One look over all evidence; `breaches` holds what was found."""
+    """Checks all records in one call; `breaches` collects what it finds."""
 
     def __init__(self, scenario: Scenario, evidence: Evidence) -> None:
         self.scenario, self.evidence = scenario, evidence
@@ -93,7 +100,7 @@
         return any(begin <= until and end >= since for since, until in spans)
 
     def excused(self, origin: int, begin: float, end: float) -> bool:
-        """The sidecar stood still, or had been killed or told to leave: what it held is its client's."""
+        """Returns whether the sidecar was stopped, killed or leaving, so that its client bears the loss."""
         return any(
             self.within(spans[origin], begin - self.grace, end + self.grace)
             for spans in (self.stopped, self.dead)
@@ -115,12 +122,12 @@
                     self.found(1, "a sidecar crashed", sidecar=number, code=event["code"], at=event["at"])
         return self.breaches
 
-    # --- rule 1: one final answer in time, nothing sent after it
+    # --- rule 1: each try gets one final answer in time, and nothing is sent after it
 
     def answered(self, one: dict) -> None:
         name, sent = one["id"], self.evidence.sent.get(one["id"], [])
         if one["sent"] is None:
-            return  # not taken: its last byte was never written
+            return  # the request was never accepted: its last byte was not written
         if not self.excused(one["origin"], one["sent"], one["end"]):
             if one["how"] == "lost" and (sent or not one["first"]):
                 self.found(
@@ -146,7 +153,7 @@
         if one["how"] == "served":
             self.made(one, sent)
         for tx in sent:
-            # A sidecar that stood still reads the request, and only then that its client has left.
+            # After a stop, a sidecar reads the request first and only then sees that its client has left.
             if one["how"] == "gave_up" and self.within(self.stopped[one["origin"]], one["sent"], one["end"]):
                 continue
             if tx["begun"] > one["end"] + self.grace and name not in self.evidence.resent:
@@ -160,7 +167,7 @@
                 )
 
     def made(self, one: dict, sent: list[dict]) -> None:
-        """An answer must be the one that an upstream made for this request."""
+        """Requires that an upstream made this answer for this request."""
         words = one["got"].split(" ")
         makers = [tx["up"] for tx in sent if tx["how"] == "done" and tx["begun"] <= one["end"]]
         if len(words) != 3 or words[0] != one["id"] or words[1] not in makers:
@@ -188,16 +195,16 @@
                     2, "a bad client's request was passed on", id=bad["id"], kind=bad["kind"], at=bad["at"]
                 )
 
-    # --- rule 2: no effect twice
+    # --- rule 2: no effect happens twice
 
     def repeated(self, name: str, sent: list[dict]) -> None:
         one = self.evidence.tries.get(name)
         if one is None or len(sent) < 2:
             return
         if name in self.evidence.resent and self.within(self.dead[one["origin"]], one["at"], one["end"]):
-            return  # its client sent it again, to a sidecar that knows nothing of the first
+            return  # the client sent it again to a restarted sidecar, which does not know the first one
         method = self.methods[one["method"]]
-        first = None  # the first that may have run
+        first = None  # the first transmission that may have run
         for before, tx in zip(sent, sent[1:], strict=False):
             if first is None and before["how"] not in NEVER_RAN:
                 first = before
@@ -235,7 +242,7 @@
         return inside and (method.group != "zone" or first["zone"] == again["zone"])
 
     def refused(self, one: dict) -> None:
-        """A refusal says that trying again is harmless."""
+        """Requires that a refused request did not run, as a refusal says that a retry is harmless."""
         method = self.methods[one["method"]]
         if (
             one["how"] != "refused"
@@ -256,7 +263,7 @@
                 )
 
     def chains(self) -> None:
-        """What took effect more than once over a client's tries, where a refusal had called another
+        """Finds requests that ran more than once over a client's tries, where a refusal had called a retry
         harmless."""
         ran: dict[tuple, list] = defaultdict(list)
         for name, sent in self.evidence.sent.items():
@@ -274,7 +281,7 @@
                     times=[tx["begun"] for tx, _ in found],
                 )
 
-    # --- rule 3: drains kept
+    # --- rule 3: no sidecar sends to an upstream that drains
 
     def drains(self) -> None:
         limit = self.scenario.settings.stop_sending_ms / 1000 + self.grace
@@ -297,7 +304,11 @@
                         )
 
     def told_by(self) -> dict[int, dict[str, tuple[list, list]]]:
-        """By sidecar and upstream: when what it was told of it changed, and to what. A restart forgets."""
+        """Returns, by sidecar and upstream, the times and lifecycle states that the sidecar was told.
+
+        A time is listed only where the state changed. After a restart of the sidecar, its upstreams count as
+        in service, as it has forgotten what it was told.
+        """
         events: dict[int, list] = defaultdict(list)
         for one in self.evidence.told:
             events[one["sidecar"]].append((one["at"], "told", one["up"], one["lifecycle"]))
@@ -328,7 +339,7 @@
             by[sidecar] = state
         return by
 
-    # --- rule 4: no cold upstream pushed over
+    # --- rule 4: no cold upstream is crashed by overload
 
     def falls(self) -> None:
         first: dict[tuple[int, str], float] = {}
@@ -356,5 +367,5 @@
 
 
 def judge(scenario: Scenario, records) -> list[Breach]:
-    """All breaches of the four rules that these records show."""
+    """Returns all breaches of the four rules that these records show."""
     return Judge(scenario, Evidence(records))()
--- a/shedgrade/lab/report.py
+++ b/shedgrade/lab/report.py
@@ -1,4 +1,4 @@
-"""A run as one page: HTML with its plots inside, or Markdown. Reads a results folder, cut off or whole."""
+"""Renders a results folder, complete or cut off, as one page: HTML with embedded plots, or Markdown."""
 
 import base64
 import html
@@ -10,12 +10,12 @@
 from shedgrade.lab import results
 from shedgrade.lab.scenario import Scenario
 
-BIN = 0.5  # s that one point of a plot stands for
+BIN = 0.5  # s between two points of a plot
 COLOURS = {"asked": "#888888", "served": "#1b7f3b", "in time": "#2255aa"}
 
 
 def summary_lines(summary: dict) -> list[str]:
-    """The run in a few lines, for a terminal."""
+    """Returns a summary of the run in a few lines, for a terminal."""
     said, ms, late = summary["figures"], summary["latency_ms"], summary["lateness_ms"]
     found = [
         f"{summary['name']} ({summary['state']}): {said['asked']} RPCs, {said['served']} served, "
@@ -59,7 +59,7 @@
 
 
 def bins(times: list[float], length: float) -> list[float]:
-    """Counts a second."""
+    """Returns the rate of events a second in each bin."""
     counts = [0] * (int(length / BIN) + 1)
     for at in times:
         if 0 <= at < length:
@@ -68,7 +68,10 @@
 
 
 def plots(folder: Path, scenario: Scenario) -> list[tuple[str, bytes]]:
-    """(title, PNG) of rate, tails, in flight by zone, sidecars; the time line of faults in each."""
+    """Returns plots as (title, PNG): rate, latency tails, transmissions in flight by zone, sidecar memory.
+
+    Each plot marks the times of the faults.
+    """
     import matplotlib
 
     matplotlib.use("Agg")
@@ -180,7 +183,7 @@
 
 
 def write(folder: Path, form: str = "html", out: Path | None = None) -> Path:
-    """`form`: html (one file, plots inside) or md (plots beside it)."""
+    """Writes the report and returns its path. `form`: html (plots embedded) or md (plots beside the file)."""
     scenario = results.scenario_of(folder)
     summary = results.summarize(folder)
     made = plots(folder, scenario)
--- a/shedgrade/lab/results.py
+++ b/shedgrade/lab/results.py
@@ -1,9 +1,9 @@
-"""What a run leaves: a folder of JSON Lines and histograms, and the figures that are read off them.
+"""Reads and writes the results folder of a run: JSON Lines, histograms, and the figures computed from them.
 
     scenario.json  state.json  events.jsonl  samples.jsonl  fleet-N.jsonl  clients-N.jsonl
     clients-N.hist.json  summary.json  n0.log ...
 
-A folder whose run was killed is read as far as it goes, and says that it was cut off.
+A folder whose run was killed is read up to its last whole record, and its state is "cut off".
 """
 
 import os
@@ -19,8 +19,8 @@
 from shedgrade.lab.scenario import Scenario
 
 ROOT = Path(__file__).resolve().parents[2]
-OVER = (0.5, 1.0, 1.5)  # s: the shares of RPCs that took longer
-WAITED = 0.05  # of the run that a generator may have waited for a core
+OVER = (0.5, 1.0, 1.5)  # s; the figures give the share of RPCs that took longer than each
+WAITED = 0.05  # greatest share of the run for which a generator may wait for a core
 
 
 def new_folder(base: Path, name: str) -> Path:
@@ -32,7 +32,7 @@
 
 
 def state_of(folder: Path) -> tuple[str, str]:
-    """How the run stands: running, done, failed or cut off, and why."""
+    """Returns the state of the run (running, done, failed or cut off) and its reason."""
     try:
         told = orjson.loads((folder / "state.json").read_bytes())
     except (OSError, orjson.JSONDecodeError):
@@ -46,7 +46,7 @@
 
 
 def lines(path: Path):
-    """Whole records; a last one that was cut is left out."""
+    """Yields whole records; a truncated last record is left out."""
     with path.open("rb") as file:
         for line in file:
             try:
@@ -56,7 +56,7 @@
 
 
 def records(folder: Path):
-    """All records of a run."""
+    """Yields all records of a run."""
     for path in sorted(
         (*folder.glob("fleet-*.jsonl"), *folder.glob("clients-*.jsonl"), *folder.glob("events.jsonl"))
     ):
@@ -68,8 +68,10 @@
 
 
 def merged(folder: Path) -> tuple[dict[str, HdrHistogram], dict]:
-    """The histograms of all generators added up (never their percentiles averaged), and what else they
-    say."""
+    """Returns the histograms and other statistics of all generators together.
+
+    Histograms are added up, as percentiles can't be averaged.
+    """
     sums: dict[str, HdrHistogram] = {}
     said = {"late": 0, "troubles": [], "run_delay": 0.0, "rpcs": 0}
     for path in sorted(folder.glob("clients-*.hist.json")):
@@ -87,7 +89,7 @@
 
 
 def spread(one: HdrHistogram | None) -> dict:
-    """Percentiles in ms."""
+    """Returns percentiles, maximum and mean in ms, and the count of a histogram in microseconds."""
     if one is None or not one.total_count:
         return {}
     found = {f"p{p:g}": one.get_value_at_percentile(p) / 1000 for p in (50, 90, 99, 99.9)}
@@ -100,7 +102,14 @@
 
 
 def processes(folder: Path) -> dict:
-    """By sidecar process: CPU seconds from the first look to the last, peak memory (MiB), descriptors."""
+    """Returns the resource use of all sidecar processes together.
+
+    cpu: CPU seconds from each process's first sample to its last, summed
+    span: longest time between first and last sample, s
+    peak_mb: greatest peak memory of a process, MiB
+    fds: greatest number of open file descriptors
+    delay: time spent runnable but waiting for a core, from first sample to last, summed, s
+    """
     by: dict[int, list[dict]] = {}
     path = folder / "samples.jsonl"
     for entry in lines(path) if path.exists() else ():
@@ -115,7 +124,7 @@
 
 
 def invalid(scenario: Scenario, folder: Path, late: HdrHistogram | None, said: dict) -> list[str]:
-    """Why this run is no result; empty if it is one."""
+    """Returns the reasons why this run is no valid result; empty if it is one."""
     why = []
     state, reason = state_of(folder)
     if state in ("cut off", "failed"):
@@ -134,7 +143,7 @@
 
 
 def figures(scenario: Scenario, found: list[dict], folder: Path) -> dict:
-    """The run in figures, from its records alone."""
+    """Returns the figures of the run, computed from its records and process samples."""
     methods = {method.name: method for method in scenario.methods}
     rpcs = [one for one in found if one["k"] == "rpc" and one["due"] >= scenario.warmup_s]
     tries = [one for one in found if one["k"] == "try" and one["due"] >= scenario.warmup_s]
@@ -197,7 +206,7 @@
 
 
 def summarize(folder: Path) -> dict:
-    """Figures, breaches and whether it is a result at all; written to summary.json too."""
+    """Returns figures, breaches and the reasons against a valid result; writes them to summary.json too."""
     scenario = scenario_of(folder)
     found = list(records(folder))
     sums, said = merged(folder)
--- a/shedgrade/lab/statistics.py
+++ b/shedgrade/lab/statistics.py
@@ -1,16 +1,17 @@
-"""Paired comparisons and knees, without I/O."""
+"""Paired comparisons, knees of parameter sweeps and growth rates, without I/O."""
 
 from collections.abc import Callable
 from random import Random
 from statistics import fmean
 
-RESAMPLES = 4_000  # the ends of a 95% interval are then steady to a few percent of its width
+RESAMPLES = 4_000  # keeps the ends of a 95% interval steady to a few percent of its width
 
 
 def interval(differences: list[float], seed: int = 1, level: float = 0.95) -> tuple[float, float, float]:
-    """Mean of paired differences and its bootstrap interval (percentile method).
+    """Returns the mean of paired differences and the ends of its bootstrap interval (percentile method).
 
     With fewer than three pairs there is no interval: its ends are the least and the greatest difference.
+    Raises ValueError if there are no pairs.
     """
     if not differences:
         raise ValueError("no pairs")
@@ -24,7 +25,7 @@
 
 
 def knee(points: list[tuple[float, float]], holds: Callable[[float], bool]) -> float | None:
-    """The greatest value, in rising order, up to which the figure holds without a gap; None if none does."""
+    """Returns the greatest value up to which the figure holds at every point; None if it holds at none."""
     best = None
     for value, figure in sorted(points):
         if not holds(figure):
@@ -34,7 +35,10 @@
 
 
 def growth(points: list[tuple[float, float]]) -> float:
-    """The exponent of a power law through (size, cost): 0 is flat, 1 is linear. By least squares of logs."""
+    """Returns the exponent of a power law through points (size, cost): 0 is constant, 1 is linear.
+
+    The logarithms are fitted by least squares.
+    """
     from math import log
 
     xs, ys = [log(x) for x, _ in points], [log(y) for _, y in points]
--- a/shedgrade/lab/trace.py
+++ b/shedgrade/lab/trace.py
@@ -1,11 +1,12 @@
-"""Recorded traces: reading (JSON Lines, CSV), linking retries to their first tries, writing. A trace row is
-one try.
-
-at_ms      when it was sent, from the start of the trace
-id         its id; new with every try
-retry_of   the id of the try that it repeats (of the first or of the one before it); empty for a first try
-method, origin, work_ms, wait_ms, body     optional; origin counts the sidecars from 0
-status, latency_ms                         in what a run exports; not needed to replay
+"""Reads and writes recorded traces (JSON Lines, CSV) and links retries to their first tries.
+
+A row of a trace is one try:
+
+at_ms      when it was sent, ms from the start of the trace
+id         its id; each try has a new one
+retry_of   the id of the try that it repeats (the first one or the one before it); empty for a first try
+method, origin, work_ms, wait_ms, body     optional; origin is a sidecar's number, from 0
+status, latency_ms                         written when a run is exported; not needed for a replay
 """
 
 import csv
@@ -33,7 +34,10 @@
 
 
 def read(path: str | Path) -> list[Row]:
-    """Rows in order of time. Errors name the file and the line."""
+    """Returns the rows of a file in order of time.
+
+    Raises ScenarioError, which names the file and the line.
+    """
     path = Path(path)
     try:
         text = path.read_text(encoding="utf-8")
@@ -56,9 +60,10 @@
 
 
 def link(rows: list[Row], name: str = "trace") -> list[tuple[Row, list[Row]]]:
-    """Each first try with its retries in order; a retry may name the first try or any later one.
+    """Returns each first try with its retries in order; a retry may name the first try or any later one.
 
     A retry whose first try is not in the trace (it began before the recording) counts as a first try itself.
+    Raises ScenarioError if two rows have the same id.
     """
     first: dict[str, str] = {}
     chains: dict[str, list[Row]] = {}
@@ -72,7 +77,7 @@
 
 
 def schedule(rows: list[Row], scenario: Scenario) -> list[Arrival]:
-    """The trace as arrivals: one for each first try, from the trace's first moment on."""
+    """Returns the trace as arrivals, one for each first try, timed from the first row of the trace."""
     load, name = scenario.load, scenario.load.trace.file
     speed, known = load.trace.speed, {method.name for method in scenario.methods}
     if not rows:
@@ -109,7 +114,7 @@
 
 
 def write(path: str | Path, rows: list[Row]) -> None:
-    """JSON Lines, or CSV by the name's ending."""
+    """Writes the rows as CSV if the name ends in .csv, else as JSON Lines."""
     path = Path(path)
     if path.suffix == ".csv":
         with path.open("w", newline="", encoding="utf-8") as file:
@@ -121,7 +126,7 @@
 
 
 def rows_of(tries: list[dict]) -> list[Row]:
-    """A run's records of tries as a trace; latency counts from the first try's intended moment."""
+    """Returns a run's records of tries as a trace; latency counts from the first try's intended time."""
     firsts: dict[int, str] = {}
     found = []
     for one in sorted(tries, key=lambda one: (one["rpc"], one["n"])):
