--- a/shedgrade/lab/baselines.py
+++ b/shedgrade/lab/baselines.py
@@ -14,8 +14,8 @@
 
     def __init__(self, settings: dict, seed: int, now: int) -> None:
         super().__init__(settings, seed, now)
-        self.turn_now = 0
-        self.picks = Random(f"{seed}/baseline")
+        self.rotation_position = 0
+        self.choice_random = Random(f"{seed}/baseline")
 
     def usable(self, now: int, rpc: load_balancing.Rpc) -> list[load_balancing.Upstream]:
         return [
@@ -27,10 +27,10 @@
     def choose_upstream(
         self, now: int, rpc: load_balancing.Rpc, stay: bool
     ) -> load_balancing.Upstream | None:
-        there = self.usable(now, rpc)
-        return self.among(there) if there else None
+        usable = self.usable(now, rpc)
+        return self.choose_from(usable) if usable else None
 
-    def among(self, there: list[load_balancing.Upstream]) -> load_balancing.Upstream:
+    def choose_from(self, upstreams: list[load_balancing.Upstream]) -> load_balancing.Upstream:
         raise NotImplementedError
 
     def enqueue(self, now: int, rpc: load_balancing.Rpc, until: int) -> bool:
@@ -43,24 +43,24 @@
 class RandomChoice(Baseline):
     """Chooses among all upstreams with equal probability."""
 
-    def among(self, there: list[load_balancing.Upstream]) -> load_balancing.Upstream:
-        return self.picks.choice(there)
+    def choose_from(self, upstreams: list[load_balancing.Upstream]) -> load_balancing.Upstream:
+        return self.choice_random.choice(upstreams)
 
 
 class Rotation(Baseline):
     """Chooses the upstreams in turn (round robin)."""
 
-    def among(self, there: list[load_balancing.Upstream]) -> load_balancing.Upstream:
-        self.turn_now += 1
-        return there[self.turn_now % len(there)]
+    def choose_from(self, upstreams: list[load_balancing.Upstream]) -> load_balancing.Upstream:
+        self.rotation_position += 1
+        return upstreams[self.rotation_position % len(upstreams)]
 
 
 class LeastInFlight(Baseline):
     """Chooses the upstream with the fewest RPCs of this sidecar in flight; at random among equals."""
 
-    def among(self, there: list[load_balancing.Upstream]) -> load_balancing.Upstream:
-        least = min(up.in_flight for up in there)
-        return self.picks.choice([up for up in there if up.in_flight == least])
+    def choose_from(self, upstreams: list[load_balancing.Upstream]) -> load_balancing.Upstream:
+        least = min(up.in_flight for up in upstreams)
+        return self.choice_random.choice([up for up in upstreams if up.in_flight == least])
 
 
 POLICIES = {"random": RandomChoice, "rotation": Rotation, "least": LeastInFlight}
--- a/shedgrade/lab/capacity.py
+++ b/shedgrade/lab/capacity.py
@@ -80,9 +80,9 @@
 
     def pace(self) -> float:
         """Returns the work in ms that a busy core does in a full-capacity second, at the present load."""
-        held = len(self.running) + len(self.waiting)
-        over = max(0.0, held / self.cores - self.crowd_at)
-        return 1000 * self.speed * self.factor / (1 + self.crowd_slow * over)
+        load = len(self.running) + len(self.waiting)
+        excess = max(0.0, load / self.cores - self.crowd_at)
+        return 1000 * self.speed * self.factor / (1 + self.crowd_slow * excess)
 
     def advance(self, now: float) -> None:
         if now > self.at:
@@ -104,18 +104,18 @@
 
         Each end starts the next queued RPC.
         """
-        found = []
+        ended = []
         while (at := self.next_end()) <= now:
             self.advance(at)
             target, _, key = heappop(self.heap)
             self.worked = max(self.worked, target)
             del self.running[key]
-            found.append((at, key))
-            self.fill()
+            ended.append((at, key))
+            self.start_queued()
         self.advance(now)
-        return found
+        return ended
 
-    def fill(self) -> None:
+    def start_queued(self) -> None:
         while self.queue and len(self.running) < self.cores:
             key, work = self.queue.popleft()
             if key in self.waiting:
@@ -129,13 +129,13 @@
 
     # --- inputs
 
-    def take(self, now: float, key: object, work: float, whom: str = "") -> str:
+    def take(self, now: float, key: object, work: float, origin: str = "") -> str:
         """Takes an arriving RPC.
 
         Returns TAKEN, AWAY if the RPC is rejected, or DOWN if overload has crashed the upstream. A rejected
         RPC counts as offered work too.
         """
-        if self.fell is not None or self.push(now, work, whom):
+        if self.fell is not None or self.record_offered(now, work, origin):
             return DOWN
         if self.draining or (len(self.running) >= self.cores and len(self.waiting) >= self.queue_cap):
             return AWAY
@@ -147,26 +147,26 @@
             self.queue.append((key, work))
         return TAKEN
 
-    def push(self, now: float, work: float, whom: str) -> bool:
+    def record_offered(self, now: float, work: float, origin: str) -> bool:
         """Adds to the offered work; returns True if that crashes the upstream, as it can while cold."""
         if now >= self.started + self.cold:
             self.offered.clear()
             return False
-        self.offered.append((now, work, whom))
+        self.offered.append((now, work, origin))
         self.offered_sum += work
         while self.offered[0][0] <= now - self.overload:
             self.offered_sum -= self.offered.popleft()[1]
-        room = self.limit(now)
-        if self.offered_sum <= room:
+        limit = self.limit(now)
+        if self.offered_sum <= limit:
             return False
-        by: dict[str, float] = {}
-        for _, part, origin in self.offered:
-            by[origin] = round(by.get(origin, 0.0) + part, 3)
+        work_by_origin: dict[str, float] = {}
+        for _, offered_work, sender in self.offered:
+            work_by_origin[sender] = round(work_by_origin.get(sender, 0.0) + offered_work, 3)
         self.fell = {
             "at": now,
             "offered": self.offered_sum,
-            "limit": room,
-            "by": by,
+            "limit": limit,
+            "by": work_by_origin,
             "since": self.offered[0][0],
         }
         self.running.clear()
@@ -176,8 +176,8 @@
 
     def limit(self, now: float) -> float:
         """Returns the work in ms that may be offered within the `overload` seconds that end at `now`."""
-        warm = self.warm_seconds(now) - self.warm_seconds(now - self.overload)
-        return self.fall_multiple * 1000 * self.speed * self.cores * warm
+        warm_seconds = self.warm_seconds(now) - self.warm_seconds(now - self.overload)
+        return self.fall_multiple * 1000 * self.speed * self.cores * warm_seconds
 
     def cancel(self, now: float, key: object) -> bool:
         """Cancels an RPC; returns False if the upstream no longer holds it."""
@@ -187,7 +187,7 @@
             return True
         if self.running.pop(key, None) is None:
             return False
-        self.fill()
+        self.start_queued()
         return True
 
     def speed_now(self, now: float, factor: float) -> None:
--- a/shedgrade/lab/faults.py
+++ b/shedgrade/lab/faults.py
@@ -63,9 +63,9 @@
     def machine(self, group: int, slot: int | None = None) -> Machine:
         number = len(self.machines)
         zone = self.scenario.fleet.groups[group].zone
-        made = Machine(f"u{number:04d}", group, zone, number if slot is None else slot)
-        self.machines.append(made)
-        return made
+        machine = Machine(f"u{number:04d}", group, zone, number if slot is None else slot)
+        self.machines.append(machine)
+        return machine
 
     def step(self, at: float, who: str, what: str, **args) -> None:
         self.steps.append(Step(round(at, 4), who, what, args))
@@ -78,54 +78,56 @@
         """
         if fault.upstreams:
             return [self.first[number] for number in fault.upstreams]
-        there = [
-            one
-            for one in self.alive
-            if one.planned > fault.at_s and (not fault.zone or one.zone == fault.zone)
+        candidates = [
+            machine
+            for machine in self.alive
+            if machine.planned > fault.at_s and (not fault.zone or machine.zone == fault.zone)
         ]
-        if not there:
+        if not candidates:
             return []
         whole = fault.zone and not fault.share and not fault.count
-        most = len(there) if whole else fault.count or max(1, round(fault.share * len(there)))
-        return self.chance.sample(there, min(most, len(there)))
+        wanted = len(candidates) if whole else fault.count or max(1, round(fault.share * len(candidates)))
+        return self.chance.sample(candidates, min(wanted, len(candidates)))
 
     # --- lifecycle of a machine
 
-    def start(self, at: float, one: Machine) -> None:
-        self.step(at, one.name, "start", group=one.group, slot=one.slot, cold=True)
-        self.step(at, one.name, "list", lifecycle=IN_SERVICE, slot=one.slot, group=one.group, started=at)
+    def start(self, at: float, machine: Machine) -> None:
+        self.step(at, machine.name, "start", group=machine.group, slot=machine.slot, cold=True)
+        self.step(
+            at, machine.name, "list", lifecycle=IN_SERVICE, slot=machine.slot, group=machine.group, started=at
+        )
 
-    def leave(self, at: float, one: Machine, drain: float) -> None:
+    def leave(self, at: float, machine: Machine, drain: float) -> None:
         """Plans an orderly shutdown: the machine drains for `drain` seconds, then ends."""
-        one.planned = at
-        self.step(at, one.name, "drain")
-        self.step(at, one.name, "list", lifecycle=TERMINATING)
-        self.step(at + drain, one.name, "kill")
-        self.step(at + drain, one.name, "list", lifecycle=TERMINATED)
-        self.alive.remove(one)
-
-    def successor(self, at: float, one: Machine, slot: int | None = None) -> Machine:
-        fresh = self.machine(one.group, slot)
-        self.start(at, fresh)
-        self.alive.append(fresh)
-        return fresh
-
-    def die(self, at: float, one: Machine, back: float | None, elsewhere: bool) -> None:
-        self.step(at, one.name, "kill")
-        self.step(at, one.name, "list", lifecycle=TERMINATED)
-        if back is None:
-            one.planned = at
-            if one in self.alive:
-                self.alive.remove(one)
+        machine.planned = at
+        self.step(at, machine.name, "drain")
+        self.step(at, machine.name, "list", lifecycle=TERMINATING)
+        self.step(at + drain, machine.name, "kill")
+        self.step(at + drain, machine.name, "list", lifecycle=TERMINATED)
+        self.alive.remove(machine)
+
+    def successor(self, at: float, machine: Machine, slot: int | None = None) -> Machine:
+        successor = self.machine(machine.group, slot)
+        self.start(at, successor)
+        self.alive.append(successor)
+        return successor
+
+    def die(self, at: float, machine: Machine, restart_at: float | None, new_address: bool) -> None:
+        self.step(at, machine.name, "kill")
+        self.step(at, machine.name, "list", lifecycle=TERMINATED)
+        if restart_at is None:
+            machine.planned = at
+            if machine in self.alive:
+                self.alive.remove(machine)
         else:
-            if elsewhere:
-                one.slot = self.machine(one.group).slot
-            self.start(back, one)
+            if new_address:
+                machine.slot = self.machine(machine.group).slot
+            self.start(restart_at, machine)
 
-    def switch(self, fault: Fault, one: Machine, what: str, on: dict, off: dict) -> None:
-        self.step(fault.at_s, one.name, what, **on)
+    def switch(self, fault: Fault, machine: Machine, what: str, on: dict, off: dict) -> None:
+        self.step(fault.at_s, machine.name, what, **on)
         if fault.for_s:
-            self.step(fault.at_s + fault.for_s, one.name, what, **off)
+            self.step(fault.at_s + fault.for_s, machine.name, what, **off)
 
     # --- faults
 
@@ -133,30 +135,30 @@
         at, until = fault.at_s, fault.at_s + fault.for_s
         kind = fault.kind
         if kind in ("kill", "restart"):
-            for one in self.pick(fault):
-                self.die(at, one, until if kind == "restart" else None, fault.elsewhere)
+            for machine in self.pick(fault):
+                self.die(at, machine, until if kind == "restart" else None, fault.elsewhere)
         elif kind == "slow":
-            for one in self.pick(fault):
-                self.slow(fault, one)
+            for machine in self.pick(fault):
+                self.slow(fault, machine)
         elif kind in ("hang", "refuse"):
-            for one in self.pick(fault):
-                self.switch(fault, one, kind, {"on": True}, {"on": False})
+            for machine in self.pick(fault):
+                self.switch(fault, machine, kind, {"on": True}, {"on": False})
         elif kind == "spoil":
-            for one in self.pick(fault):
-                self.switch(fault, one, kind, {"share": fault.factor}, {"share": 0.0})
+            for machine in self.pick(fault):
+                self.switch(fault, machine, kind, {"share": fault.factor}, {"share": 0.0})
         elif kind == "cut":
-            for one in self.pick(fault):
-                self.switch(fault, one, kind, {"zones": [ALL]}, {"zones": []})
+            for machine in self.pick(fault):
+                self.switch(fault, machine, kind, {"zones": [ALL]}, {"zones": []})
         elif kind == "reset":
-            for one in self.pick(fault):
-                self.step(at, one.name, "reset")
+            for machine in self.pick(fault):
+                self.step(at, machine.name, "reset")
         elif kind == "drain":
-            for one in self.pick(fault):
-                self.leave(at, one, fault.drain_ms / 1000)
+            for machine in self.pick(fault):
+                self.leave(at, machine, fault.drain_ms / 1000)
         elif kind == "shrink":
             chosen = self.pick(fault)
-            for number, one in enumerate(chosen):
-                self.leave(at + fault.for_s * number / max(1, len(chosen)), one, fault.drain_ms / 1000)
+            for number, machine in enumerate(chosen):
+                self.leave(at + fault.for_s * number / max(1, len(chosen)), machine, fault.drain_ms / 1000)
         elif kind == "grow":
             models = self.pick(Fault(kind="grow", at_s=at, zone=fault.zone, share=1.0)) or self.first
             for number in range(fault.count or 1):
@@ -164,16 +166,16 @@
         elif kind in ("deploy", "churn"):
             self.deploy(fault)
         elif kind == "zone_loss":
-            for one in [one for one in self.alive if one.zone == fault.zone]:
+            for machine in [machine for machine in self.alive if machine.zone == fault.zone]:
                 if fault.silent:
-                    self.switch(fault, one, "cut", {"zones": [ALL]}, {"zones": []})
+                    self.switch(fault, machine, "cut", {"zones": [ALL]}, {"zones": []})
                 else:
-                    self.die(at, one, until if fault.for_s else None, False)
+                    self.die(at, machine, until if fault.for_s else None, False)
         elif kind == "zone_cut":
             others = [zone for zone in self.scenario.fleet.zones if zone != fault.zone]
-            for one in self.alive:
-                there = others if one.zone == fault.zone else [fault.zone]
-                self.switch(fault, one, "cut", {"zones": there}, {"zones": []})
+            for machine in self.alive:
+                unreachable = others if machine.zone == fault.zone else [fault.zone]
+                self.switch(fault, machine, "cut", {"zones": unreachable}, {"zones": []})
         elif kind.startswith("discovery"):
             self.step(at, "discovery", kind, on=True, late=fault.late_ms / 1000)
             if fault.for_s:
@@ -187,20 +189,20 @@
             elif what in ("kill", "term"):
                 self.step(at + max(fault.for_s, 0.0), who, "start_again")
 
-    def slow(self, fault: Fault, one: Machine) -> None:
+    def slow(self, fault: Fault, machine: Machine) -> None:
         """Slows a machine down for good, for a time, or on and off as a noisy neighbour does.
 
         `period_s` is the mean duration in seconds of a slow phase and of a normal phase.
         """
         at, until = fault.at_s, fault.at_s + fault.for_s if fault.for_s else self.scenario.length_s
         if not fault.period_s:
-            self.switch(fault, one, "speed", {"factor": fault.factor}, {"factor": 1.0})
+            self.switch(fault, machine, "speed", {"factor": fault.factor}, {"factor": 1.0})
             return
         on = True
         while at < until:
-            self.step(at, one.name, "speed", factor=fault.factor if on else 1.0)
+            self.step(at, machine.name, "speed", factor=fault.factor if on else 1.0)
             at, on = at + fault.period_s * self.chance.uniform(0.5, 1.5), not on
-        self.step(until, one.name, "speed", factor=1.0)
+        self.step(until, machine.name, "speed", factor=1.0)
 
     def deploy(self, fault: Fault) -> None:
         """Replaces machines: successors start cold, batch by batch, while their predecessors drain.
@@ -214,15 +216,15 @@
             at, gone = fault.at_s, []
             until = fault.at_s + (fault.for_s or self.scenario.length_s - fault.at_s)
             while at < until and self.alive:
-                one = self.chance.choice(self.alive)
-                ready = [old for old in gone if old[0] <= at]
+                machine = self.chance.choice(self.alive)
+                reusable = [departed for departed in gone if departed[0] <= at]
                 slot = None
-                if ready and self.chance.random() < 0.5:
-                    gone.remove(ready[0])
-                    slot = ready[0][1]
-                self.successor(at, one, slot)
-                self.leave(at, one, drain)
-                gone.append((at + drain + 0.2, one.slot))
+                if reusable and self.chance.random() < 0.5:
+                    gone.remove(reusable[0])
+                    slot = reusable[0][1]
+                self.successor(at, machine, slot)
+                self.leave(at, machine, drain)
+                gone.append((at + drain + 0.2, machine.slot))
                 at += every
             return
         whole = Fault(kind="deploy", at_s=fault.at_s, zone=fault.zone, share=fault.share or 1.0)
@@ -231,9 +233,9 @@
         batches = ceil(len(chosen) / size)
         for number in range(batches):
             at = fault.at_s + fault.for_s * number / max(1, batches)
-            for one in chosen[number * size : (number + 1) * size]:
-                self.successor(at, one)
-                self.leave(at, one, drain)
+            for machine in chosen[number * size : (number + 1) * size]:
+                self.successor(at, machine)
+                self.leave(at, machine, drain)
 
 
 def plan(scenario: Scenario) -> tuple[list[Machine], list[Step], list[Machine]]:
