--- a/shedgrade/cli/lab.py
+++ b/shedgrade/cli/lab.py
@@ -28,15 +28,15 @@
     list[str] | None, typer.Option("--set", help="key.path=value, changes the scenario; repeatable.")
 ]
 Out = Annotated[Path, typer.Option("--out", help="Folder in which each run gets a folder of its own.")]
-FOUND = Path("found")
+DEFAULT_OUT = Path("found")
 
 
 def read(path: Path, sets: list[str] | None) -> Scenario:
     """Reads a scenario and applies the changes; exits with 2 if it is not valid."""
     try:
         return load_scenario(path, sets or [])
-    except ScenarioError as wrong:
-        fail(wrong)
+    except ScenarioError as error:
+        fail(error)
 
 
 def show(line: str) -> None:
@@ -45,7 +45,7 @@
         print(f"\r{line}", end="", file=sys.stderr, flush=True)
 
 
-def line_by_line(line: str) -> None:
+def log_line(line: str) -> None:
     """Logs a progress line."""
     logger.info("{}", line)
 
@@ -54,22 +54,22 @@
 def run(
     scenario: Path,
     sets: Sets = None,
-    out: Out = FOUND,
+    out: Out = DEFAULT_OUT,
     seed: int | None = None,
     page: Annotated[str, typer.Option("--report", help="html, md or none.")] = "html",
     log_format: LogFormat = "text",
 ) -> None:
     """Run one scenario. Exit 0 if the rules were kept, 3 if one was broken, 4 if the run is no result."""
     start_log("INFO", log_format)
-    told = read(scenario, sets)
+    loaded = read(scenario, sets)
     if seed is not None:
-        told.seed = seed
-    folder = results.new_folder(out, told.name)
+        loaded.seed = seed
+    folder = results.new_folder(out, loaded.name)
     try:
-        summary = run_scenario(told, folder, show)
-    except LabError as wrong:
+        summary = run_scenario(loaded, folder, show)
+    except LabError as error:
         show("\n")
-        fail(wrong)
+        fail(error)
     show("\n")
     for line in report.summary_lines(summary):
         print(line)
@@ -82,22 +82,24 @@
 def check(scenarios: list[Path], sets: Sets = None) -> None:
     """Read scenarios as `run` would; exit 2 and one line for the first that is not sound."""
     for path in scenarios:
-        told = read(path, sets)
+        loaded = read(path, sets)
         try:
-            count = len(schedule(told))
-        except ScenarioError as wrong:
-            fail(wrong)
-        print(f"{path}: {told.name}, {count} RPCs in {told.length_s:g} s, {len(told.faults)} faults, good")
+            count = len(schedule(loaded))
+        except ScenarioError as error:
+            fail(error)
+        print(
+            f"{path}: {loaded.name}, {count} RPCs in {loaded.length_s:g} s, {len(loaded.faults)} faults, good"
+        )
 
 
 def variants(first: Path, second: Path | None, sets: tuple, checkouts: tuple) -> list[tuple[str, Scenario]]:
     """Returns variants A and B of a comparison, each with its own changes and checkout."""
     paths = first, second or first
-    found = [read(path, own) for path, own in zip(paths, sets, strict=True)]
-    for scenario, checkout in zip(found, checkouts, strict=True):
+    scenarios = [read(path, own_sets) for path, own_sets in zip(paths, sets, strict=True)]
+    for scenario, checkout in zip(scenarios, checkouts, strict=True):
         if checkout:
             scenario.sidecars.checkout = str(checkout)
-    return [("A", found[0]), ("B", found[1])]
+    return [("A", scenarios[0]), ("B", scenarios[1])]
 
 
 @app.command()
@@ -111,7 +113,7 @@
     checkout_b: Annotated[Path | None, typer.Option(help="Another clone, whose sidecar is B's.")] = None,
     rounds: Annotated[int, typer.Option(min=1)] = 6,
     lanes: Annotated[int, typer.Option(min=1)] = 1,
-    out: Out = FOUND,
+    out: Out = DEFAULT_OUT,
     log_format: LogFormat = "text",
 ) -> None:
     """Two scenarios, configurations or checkouts: interleaved runs, paired differences with their
@@ -124,9 +126,9 @@
         (checkout_a, checkout_b),
     )
     folder = results.new_folder(out, "compare")
-    found = experiments.series(both, rounds, folder, lanes, line_by_line)
-    print("\n".join(experiments.table(found)))
-    (folder / "compare.md").write_text("\n".join(experiments.table(found)) + "\n")
+    summaries = experiments.series(both, rounds, folder, lanes, log_line)
+    print("\n".join(experiments.table(summaries)))
+    (folder / "compare.md").write_text("\n".join(experiments.table(summaries)) + "\n")
 
 
 @app.command()
@@ -135,23 +137,23 @@
     sets: Sets = None,
     rounds: Annotated[int, typer.Option(min=1)] = 4,
     lanes: Annotated[int, typer.Option(min=1)] = 1,
-    out: Out = FOUND,
+    out: Out = DEFAULT_OUT,
     log_format: LogFormat = "text",
 ) -> None:
     """The mechanism beside random choice, plain rotation and least in flight, in pairs."""
     start_log("INFO", log_format)
-    told = read(scenario, sets)
-    four = [
+    loaded = read(scenario, sets)
+    policies = [
         (
             policy,
-            msgspec.structs.replace(told, sidecars=msgspec.structs.replace(told.sidecars, policy=policy)),
+            msgspec.structs.replace(loaded, sidecars=msgspec.structs.replace(loaded.sidecars, policy=policy)),
         )
         for policy in ("shedgrade", "random", "rotation", "least")
     ]
-    folder = results.new_folder(out, f"baselines-{told.name}")
-    found = experiments.series(four, rounds, folder, lanes, line_by_line)
-    print(f"## {told.name}\n\n" + "\n".join(experiments.table(found)))
-    (folder / "baselines.md").write_text("\n".join(experiments.table(found)) + "\n")
+    folder = results.new_folder(out, f"baselines-{loaded.name}")
+    summaries = experiments.series(policies, rounds, folder, lanes, log_line)
+    print(f"## {loaded.name}\n\n" + "\n".join(experiments.table(summaries)))
+    (folder / "baselines.md").write_text("\n".join(experiments.table(summaries)) + "\n")
 
 
 @app.command()
@@ -163,7 +165,7 @@
     sets: Sets = None,
     rounds: Annotated[int, typer.Option(min=1)] = 1,
     lanes: Annotated[int, typer.Option(min=1)] = 1,
-    out: Out = FOUND,
+    out: Out = DEFAULT_OUT,
     log_format: LogFormat = "text",
 ) -> None:
     """One parameter over values; finds the knee."""
@@ -171,41 +173,41 @@
     given = [value.strip() for value in values.split(",")]
     runs = [(f"{param}={value}", read(scenario, [*(sets or []), f"{param}={value}"])) for value in given]
     folder = results.new_folder(out, f"sweep-{runs[0][1].name}")
-    found = experiments.series(runs, rounds, folder, lanes, line_by_line)
+    summaries = experiments.series(runs, rounds, folder, lanes, log_line)
     rows = [
         f"| {param} | RPCs/s | service | p50 ms | p99 ms | max ms | CPU us/RPC | CPU share | peak MB "
         "| breaches |",
         "|" + " --- |" * 10,
     ]
     points = []
-    for value, (label, told) in zip(given, runs, strict=True):
-        sound = [one for one in found[label] if one is not None]
-        if not sound:
+    for value, (label, loaded) in zip(given, runs, strict=True):
+        valid = [summary for summary in summaries[label] if summary is not None]
+        if not valid:
             rows.append(f"| {value} | no result |" + " |" * 8)
             continue
 
-        def mean(read_one, sound=sound) -> float:
-            return sum(read_one(one) for one in sound) / len(sound)
+        def mean(read_one, valid=valid) -> float:
+            return sum(read_one(summary) for summary in valid) / len(valid)
 
-        service = mean(lambda one: one["figures"]["service"])
+        service = mean(lambda summary: summary["figures"]["service"])
         points.append((float(value), service))
-        span = told.length_s - told.warmup_s
+        span = loaded.length_s - loaded.warmup_s
         rows.append(
-            f"| {value} | {mean(lambda one: one['figures']['asked']) / span:.0f} | {service:.4f} | "
+            f"| {value} | {mean(lambda summary: summary['figures']['asked']) / span:.0f} | {service:.4f} | "
             + " | ".join(
-                f"{mean(lambda one, key=key: one['latency_ms'].get(key, 0)):.1f}"
+                f"{mean(lambda summary, key=key: summary['latency_ms'].get(key, 0)):.1f}"
                 for key in ("p50", "p99", "max")
             )
-            + f" | {mean(lambda one: one['figures']['cpu_us_per_rpc']):.0f}"
-            f" | {mean(lambda one: one['figures']['cpu_share']):.2f}"
-            f" | {mean(lambda one: one['figures']['peak_mb']):.0f}"
-            f" | {mean(lambda one: len(one['breaches'])):.1f} |"
+            + f" | {mean(lambda summary: summary['figures']['cpu_us_per_rpc']):.0f}"
+            f" | {mean(lambda summary: summary['figures']['cpu_share']):.2f}"
+            f" | {mean(lambda summary: summary['figures']['peak_mb']):.0f}"
+            f" | {mean(lambda summary: len(summary['breaches'])):.1f} |"
         )
-    best = knee(points, lambda service: service >= floor)
+    knee_value = knee(points, lambda service: service >= floor)
     rows += [
         "",
-        f"Knee: service stays at {floor:g} or more up to {param} = {best:g}."
-        if best is not None
+        f"Knee: service stays at {floor:g} or more up to {param} = {knee_value:g}."
+        if knee_value is not None
         else f"Knee: service is under {floor:g} at every value.",
     ]
     print("\n".join(rows))
@@ -217,34 +219,38 @@
     scenarios: list[Path],
     sets: Sets = None,
     lanes: Annotated[int, typer.Option(min=1)] = 1,
-    out: Out = FOUND,
+    out: Out = DEFAULT_OUT,
     log_format: LogFormat = "text",
 ) -> None:
     """Each scenario once, a line for each. Exit 3 if a rule was broken, 4 if a run was no result."""
     start_log("WARNING", log_format)
-    told = [read(path, sets) for path in scenarios]
+    loaded = [read(path, sets) for path in scenarios]
     folder = results.new_folder(out, "suite")
-    found = experiments.series([(one.name, one) for one in told], 1, folder, lanes, line_by_line)
+    summaries = experiments.series(
+        [(scenario.name, scenario) for scenario in loaded], 1, folder, lanes, log_line
+    )
     print("| scenario | RPCs | service | p50 ms | p99 ms | max ms | transmissions | fell over | breaches |")
     print("|" + " --- |" * 9)
-    for one in told:
-        summary = found[one.name][0]
+    for scenario in loaded:
+        summary = summaries[scenario.name][0]
         if summary is None:
-            print(f"| {one.name} | no result |" + " |" * 7)
+            print(f"| {scenario.name} | no result |" + " |" * 7)
             continue
-        said, ms = summary["figures"], summary["latency_ms"]
+        figures, latency = summary["figures"], summary["latency_ms"]
         rules = ", ".join(
-            f"{len(own)} of rule {rule}"
+            f"{len(broken)} of rule {rule}"
             for rule in (1, 2, 3, 4)
-            if (own := [breach for breach in summary["breaches"] if breach["rule"] == rule])
+            if (broken := [breach for breach in summary["breaches"] if breach["rule"] == rule])
         )
         print(
-            f"| {one.name} | {said['asked']} | {said['service']:.4f} | {ms.get('p50', 0):.1f} "
-            f"| {ms.get('p99', 0):.1f} | {ms.get('max', 0):.1f} | {said['transmissions']:.3f} "
-            f"| {said['fell']} | {rules or 'none'} |"
+            f"| {scenario.name} | {figures['asked']} | {figures['service']:.4f} "
+            f"| {latency.get('p50', 0):.1f} | {latency.get('p99', 0):.1f} | {latency.get('max', 0):.1f} "
+            f"| {figures['transmissions']:.3f} | {figures['fell']} | {rules or 'none'} |"
         )
-    sound = [runs[0] for runs in found.values()]
-    raise typer.Exit(4 if None in sound else 3 if any(one["breaches"] for one in sound) else 0)
+    first_runs = [runs[0] for runs in summaries.values()]
+    raise typer.Exit(
+        4 if None in first_runs else 3 if any(summary["breaches"] for summary in first_runs) else 0
+    )
 
 
 @app.command(name="report")
@@ -264,7 +270,7 @@
     """A run as a trace that a scenario can read (`load.trace.file`)."""
     if not (folder / "scenario.json").exists():
         fail(ValueError(f"{folder}: no results folder"))
-    rows = trace.rows_of([one for one in results.records(folder) if one["k"] == "try"])
+    rows = trace.rows_of([record for record in results.records(folder) if record["k"] == "try"])
     trace.write(out, rows)
     print(f"{out}: {len(rows)} tries, {sum(not row.retry_of for row in rows)} RPCs")
 
@@ -275,8 +281,8 @@
     points = []
     print("| upstreams | us an RPC | us a change of the list |\n| --- | --- | --- |")
     for count in upstreams.split(","):
-        found = cost(int(count), rpcs)
-        points.append((found["upstreams"], found["rpc_us"]))
-        print(f"| {found['upstreams']} | {found['rpc_us']} | {found['change_us']} |", flush=True)
+        costs = cost(int(count), rpcs)
+        points.append((costs["upstreams"], costs["rpc_us"]))
+        print(f"| {costs['upstreams']} | {costs['rpc_us']} | {costs['change_us']} |", flush=True)
     if len(points) > 1:
         print(f"\nThe cost of an RPC grows with the list to the power {growth(points):.2f}.")
--- a/shedgrade/lab/experiments.py
+++ b/shedgrade/lab/experiments.py
@@ -39,7 +39,7 @@
 
     folder.mkdir(parents=True, exist_ok=True)
     (folder / "given.json").write_bytes(msgspec.json.encode(scenario))
-    made = run(
+    process = run(
         [sys.executable, "-m", "shedgrade.lab.experiments", str(folder)],
         stdin=DEVNULL,
         stdout=DEVNULL,
@@ -48,11 +48,11 @@
         check=False,
         preexec_fn=tied(cores, signal.SIGTERM),
     )
-    if made.returncode:
+    if process.returncode:
         raise LabError(
-            made.stderr.decode(errors="replace").strip().splitlines()[-1]
-            if made.stderr
-            else f"exit {made.returncode}"
+            process.stderr.decode(errors="replace").strip().splitlines()[-1]
+            if process.stderr
+            else f"exit {process.returncode}"
         )
     return orjson.loads((folder / "summary.json").read_bytes())
 
@@ -60,8 +60,10 @@
 def lanes_of(lanes: int) -> list[list[int]]:
     """Splits the available cores evenly into lanes, at most one lane per core."""
     cores = sorted(os.sched_getaffinity(0))
-    each = max(1, len(cores) // lanes)
-    return [cores[lane * each : (lane + 1) * each] for lane in range(min(lanes, len(cores)))]
+    cores_per_lane = max(1, len(cores) // lanes)
+    return [
+        cores[lane * cores_per_lane : (lane + 1) * cores_per_lane] for lane in range(min(lanes, len(cores)))
+    ]
 
 
 def series(
@@ -69,77 +71,85 @@
     rounds: int,
     folder: Path,
     lanes: int = 1,
-    tell: Callable[[str], None] = lambda line: None,
+    report_progress: Callable[[str], None] = lambda line: None,
 ) -> dict[str, list[dict | None]]:
     """Runs each variant once a round, with a seed for each round; the order alternates between rounds.
 
     A run without a valid result is repeated once. If the repetition has none either, its place holds None and
     its pair is left out.
     """
-    found: dict[str, list[dict | None]] = {label: [None] * rounds for label, _ in variants}
+    summaries: dict[str, list[dict | None]] = {label: [None] * rounds for label, _ in variants}
     jobs = []
     for number in range(rounds):
-        turned = variants if number % 2 == 0 else variants[::-1]
-        jobs += [(number, label, scenario) for label, scenario in turned]
-    free = lanes_of(lanes)
+        ordered = variants if number % 2 == 0 else variants[::-1]
+        jobs += [(number, label, scenario) for label, scenario in ordered]
+    free_lanes = lanes_of(lanes)
 
-    def work(job: tuple[int, str, Scenario]) -> None:
+    def run_job(job: tuple[int, str, Scenario]) -> None:
         number, label, scenario = job
-        cores = free.pop()
+        cores = free_lanes.pop()
         try:
             scenario = msgspec.structs.replace(scenario, seed=scenario.seed + number)
             for attempt in range(2):
                 try:
-                    told = one(
+                    summary = one(
                         scenario, folder / f"{label.replace('/', '_')}-{number}{'-again' * attempt}", cores
                     )
-                except LabError as wrong:
-                    tell(f"{label} {number}: {wrong}")
+                except LabError as error:
+                    report_progress(f"{label} {number}: {error}")
                     continue
-                if told["no_result"]:
-                    tell(f"{label} {number}: no result: {told['no_result'][0]}")
+                if summary["no_result"]:
+                    report_progress(f"{label} {number}: no result: {summary['no_result'][0]}")
                     continue
-                found[label][number] = told
-                tell(
-                    f"{label} {number}: service {told['figures']['service']:.4f}, p99 "
-                    f"{told['latency_ms'].get('p99', 0):.1f} ms, {len(told['breaches'])} breaches"
+                summaries[label][number] = summary
+                report_progress(
+                    f"{label} {number}: service {summary['figures']['service']:.4f}, p99 "
+                    f"{summary['latency_ms'].get('p99', 0):.1f} ms, {len(summary['breaches'])} breaches"
                 )
                 return
         finally:
-            free.append(cores)
+            free_lanes.append(cores)
 
-    with ThreadPoolExecutor(len(free)) as pool:
-        list(pool.map(work, jobs))
-    return found
+    with ThreadPoolExecutor(len(free_lanes)) as pool:
+        list(pool.map(run_job, jobs))
+    return summaries
 
 
-def pairs(first: list[dict | None], second: list[dict | None], read: Callable[[dict], float]) -> list[float]:
+def pairs(
+    first: list[dict | None], second: list[dict | None], read_figure: Callable[[dict], float]
+) -> list[float]:
     """Returns the differences, second minus first, of the rounds in which both runs have a result."""
-    return [read(b) - read(a) for a, b in zip(first, second, strict=True) if a is not None and b is not None]
+    return [
+        read_figure(b) - read_figure(a)
+        for a, b in zip(first, second, strict=True)
+        if a is not None and b is not None
+    ]
 
 
-def table(found: dict[str, list[dict | None]]) -> list[str]:
+def table(summaries: dict[str, list[dict | None]]) -> list[str]:
     """Returns a Markdown table: each variant's mean, and its difference to the first with an interval."""
-    labels = list(found)
+    labels = list(summaries)
     rows = [
         f"| figure | {labels[0]} | "
         + " | ".join(f"{label} | less {labels[0]} (95%)" for label in labels[1:])
         + " |",
         "|" + " --- |" * (2 * len(labels)),
     ]
-    for name, (read, _) in FIGURES.items():
+    for name, (read_figure, _) in FIGURES.items():
         cells = []
         for label in labels:
-            own = [read(told) for told in found[label] if told is not None]
-            cells.append(f"{sum(own) / len(own):.4g}" if own else "-")
+            values = [read_figure(summary) for summary in summaries[label] if summary is not None]
+            cells.append(f"{sum(values) / len(values):.4g}" if values else "-")
             if label != labels[0]:
-                differences = pairs(found[labels[0]], found[label], read)
+                differences = pairs(summaries[labels[0]], summaries[label], read_figure)
                 cells.append(
                     "{:+.4g} ({:+.4g} to {:+.4g})".format(*interval(differences)) if differences else "-"
                 )
         rows.append(f"| {name} | " + " | ".join(cells) + " |")
-    counted = ", ".join(f"{label} {sum(told is not None for told in runs)}" for label, runs in found.items())
-    return [*rows, "", f"Runs counted: {counted}."]
+    counts = ", ".join(
+        f"{label} {sum(summary is not None for summary in runs)}" for label, runs in summaries.items()
+    )
+    return [*rows, "", f"Runs counted: {counts}."]
 
 
 def main() -> None:
@@ -152,8 +162,8 @@
     scenario = msgspec.json.decode((folder / "given.json").read_bytes(), type=Scenario)
     try:
         run_scenario(scenario, folder)
-    except LabError as wrong:
-        print(wrong, file=sys.stderr)
+    except LabError as error:
+        print(error, file=sys.stderr)
         sys.exit(1)
 
 
--- a/shedgrade/lab/results.py
+++ b/shedgrade/lab/results.py
@@ -19,30 +19,30 @@
 from shedgrade.lab.scenario import Scenario
 
 ROOT = Path(__file__).resolve().parents[2]
-OVER = (0.5, 1.0, 1.5)  # s; the figures give the share of RPCs that took longer than each
-WAITED = 0.05  # greatest share of the run for which a generator may wait for a core
+LATENCY_LIMITS_S = (0.5, 1.0, 1.5)  # s; the figures give the share of RPCs that took longer than each
+MAX_RUN_DELAY_SHARE = 0.05  # greatest share of the run for which a generator may wait for a core
 
 
 def new_folder(base: Path, name: str) -> Path:
     return base / f"{time.strftime('%Y%m%dT%H%M%S')}-{name}-{os.getpid()}"
 
 
-def put_state(folder: Path, state: str, why: str = "") -> None:
-    (folder / "state.json").write_bytes(orjson.dumps({"state": state, "why": why, "pid": os.getpid()}))
+def put_state(folder: Path, state: str, reason: str = "") -> None:
+    (folder / "state.json").write_bytes(orjson.dumps({"state": state, "why": reason, "pid": os.getpid()}))
 
 
 def state_of(folder: Path) -> tuple[str, str]:
     """Returns the state of the run (running, done, failed or cut off) and its reason."""
     try:
-        told = orjson.loads((folder / "state.json").read_bytes())
+        stored = orjson.loads((folder / "state.json").read_bytes())
     except (OSError, orjson.JSONDecodeError):
         return "cut off", "no state was written"
-    if told["state"] == "running":
+    if stored["state"] == "running":
         try:
-            os.kill(told["pid"], 0)
+            os.kill(stored["pid"], 0)
         except OSError:
             return "cut off", "its process was killed"
-    return told["state"], told["why"]
+    return stored["state"], stored["why"]
 
 
 def lines(path: Path):
@@ -72,32 +72,34 @@
 
     Histograms are added up, as percentiles can't be averaged.
     """
-    sums: dict[str, HdrHistogram] = {}
-    said = {"late": 0, "troubles": [], "run_delay": 0.0, "rpcs": 0}
+    histograms: dict[str, HdrHistogram] = {}
+    statistics = {"late": 0, "troubles": [], "run_delay": 0.0, "rpcs": 0}
     for path in sorted(folder.glob("clients-*.hist.json")):
         try:
-            told = orjson.loads(path.read_bytes())
+            stored = orjson.loads(path.read_bytes())
         except orjson.JSONDecodeError:
             continue
-        for name, text in told["histograms"].items():
-            sums.setdefault(name, histogram()).decode_and_add(text)
-        said["late"] += told["late"]
-        said["troubles"] += told["troubles"]
-        said["run_delay"] = max(said["run_delay"], told["run_delay"])
-        said["rpcs"] += told["counts"]["rpcs"]
-    return sums, said
+        for name, text in stored["histograms"].items():
+            histograms.setdefault(name, histogram()).decode_and_add(text)
+        statistics["late"] += stored["late"]
+        statistics["troubles"] += stored["troubles"]
+        statistics["run_delay"] = max(statistics["run_delay"], stored["run_delay"])
+        statistics["rpcs"] += stored["counts"]["rpcs"]
+    return histograms, statistics
 
 
-def spread(one: HdrHistogram | None) -> dict:
+def spread(recorded: HdrHistogram | None) -> dict:
     """Returns percentiles, maximum and mean in ms, and the count of a histogram in microseconds."""
-    if one is None or not one.total_count:
+    if recorded is None or not recorded.total_count:
         return {}
-    found = {f"p{p:g}": one.get_value_at_percentile(p) / 1000 for p in (50, 90, 99, 99.9)}
+    percentiles = {f"p{p:g}": recorded.get_value_at_percentile(p) / 1000 for p in (50, 90, 99, 99.9)}
     return {
-        **found,
-        "max": one.max_value / 1000 if hasattr(one, "max_value") else one.get_value_at_percentile(100) / 1000,
-        "mean": round(one.get_mean_value() / 1000, 3),
-        "count": one.total_count,
+        **percentiles,
+        "max": recorded.max_value / 1000
+        if hasattr(recorded, "max_value")
+        else recorded.get_value_at_percentile(100) / 1000,
+        "mean": round(recorded.get_mean_value() / 1000, 3),
+        "count": recorded.total_count,
     }
 
 
@@ -110,119 +112,129 @@
     fds: greatest number of open file descriptors
     delay: time spent runnable but waiting for a core, from first sample to last, summed, s
     """
-    by: dict[int, list[dict]] = {}
+    samples_by_pid: dict[int, list[dict]] = {}
     path = folder / "samples.jsonl"
-    for entry in lines(path) if path.exists() else ():
-        by.setdefault(entry["pid"], []).append(entry)
+    for sample in lines(path) if path.exists() else ():
+        samples_by_pid.setdefault(sample["pid"], []).append(sample)
     return {
-        "cpu": sum(found[-1]["cpu"] - found[0]["cpu"] for found in by.values()),
-        "span": max((found[-1]["at"] - found[0]["at"] for found in by.values()), default=0.0),
-        "peak_mb": max((found[-1]["peak"] for found in by.values()), default=0) / 1024,
-        "fds": max((entry["fds"] for found in by.values() for entry in found), default=0),
-        "delay": sum(found[-1]["delay"] - found[0]["delay"] for found in by.values()),
+        "cpu": sum(samples[-1]["cpu"] - samples[0]["cpu"] for samples in samples_by_pid.values()),
+        "span": max(
+            (samples[-1]["at"] - samples[0]["at"] for samples in samples_by_pid.values()), default=0.0
+        ),
+        "peak_mb": max((samples[-1]["peak"] for samples in samples_by_pid.values()), default=0) / 1024,
+        "fds": max((sample["fds"] for samples in samples_by_pid.values() for sample in samples), default=0),
+        "delay": sum(samples[-1]["delay"] - samples[0]["delay"] for samples in samples_by_pid.values()),
     }
 
 
-def invalid(scenario: Scenario, folder: Path, late: HdrHistogram | None, said: dict) -> list[str]:
+def invalid(scenario: Scenario, folder: Path, lateness: HdrHistogram | None, statistics: dict) -> list[str]:
     """Returns the reasons why this run is no valid result; empty if it is one."""
-    why = []
+    reasons = []
     state, reason = state_of(folder)
     if state in ("cut off", "failed"):
-        why.append(f"{state}: {reason}")
-    count = late.total_count if late is not None else 0
-    if count and said["late"] > scenario.load.late_share * count:
-        why.append(
-            f"the generator was late: {said['late']} of {count} RPCs went out over {scenario.load.late_ms:g} "
-            f"ms after their moment, at worst {late.get_value_at_percentile(100) / 1000:.0f} ms"
+        reasons.append(f"{state}: {reason}")
+    count = lateness.total_count if lateness is not None else 0
+    if count and statistics["late"] > scenario.load.late_share * count:
+        reasons.append(
+            f"the generator was late: {statistics['late']} of {count} RPCs went out over "
+            f"{scenario.load.late_ms:g} ms after their moment, "
+            f"at worst {lateness.get_value_at_percentile(100) / 1000:.0f} ms"
         )
-    if said["run_delay"] > WAITED * scenario.length_s:
-        why.append(
-            f"a generator waited {said['run_delay']:.1f} s for a core: it shares them with what it measures"
+    if statistics["run_delay"] > MAX_RUN_DELAY_SHARE * scenario.length_s:
+        reasons.append(
+            f"a generator waited {statistics['run_delay']:.1f} s for a core: "
+            "it shares them with what it measures"
         )
-    return why + said["troubles"]
+    return reasons + statistics["troubles"]
 
 
-def figures(scenario: Scenario, found: list[dict], folder: Path) -> dict:
+def figures(scenario: Scenario, all_records: list[dict], folder: Path) -> dict:
     """Returns the figures of the run, computed from its records and process samples."""
     methods = {method.name: method for method in scenario.methods}
-    rpcs = [one for one in found if one["k"] == "rpc" and one["due"] >= scenario.warmup_s]
-    tries = [one for one in found if one["k"] == "try" and one["due"] >= scenario.warmup_s]
-    sent = [
-        one
-        for one in found
-        if one["k"] == "tx" and ".closed" not in one["id"] and one["begun"] >= scenario.warmup_s
+    rpcs = [record for record in all_records if record["k"] == "rpc" and record["due"] >= scenario.warmup_s]
+    tries = [record for record in all_records if record["k"] == "try" and record["due"] >= scenario.warmup_s]
+    transmissions = [
+        record
+        for record in all_records
+        if record["k"] == "tx" and ".closed" not in record["id"] and record["begun"] >= scenario.warmup_s
     ]
-    ended = {(one["rpc"]) for one in found if one["k"] == "rpc"}
-    open_rpcs = {one["rpc"]: one for one in tries if one["rpc"] not in ended}
-    asked = sum(methods[one["method"]].payoff for one in rpcs) + sum(
-        methods[one["method"]].payoff for one in open_rpcs.values()
+    ended = {(record["rpc"]) for record in all_records if record["k"] == "rpc"}
+    open_rpcs = {record["rpc"]: record for record in tries if record["rpc"] not in ended}
+    possible = sum(methods[record["method"]].payoff for record in rpcs) + sum(
+        methods[record["method"]].payoff for record in open_rpcs.values()
     )
-    paid = in_time = 0.0
-    for one in rpcs:
-        method, took = methods[one["method"]], one["end"] - one["due"]
-        if one["how"] == "served":
-            soon = took <= method.soft_ms / 1000
-            in_time += soon
-            paid += method.payoff if soon else method.late_payoff
+    earned = in_time = 0.0
+    for record in rpcs:
+        method, took = methods[record["method"]], record["end"] - record["due"]
+        if record["how"] == "served":
+            within_soft_deadline = took <= method.soft_ms / 1000
+            in_time += within_soft_deadline
+            earned += method.payoff if within_soft_deadline else method.late_payoff
     count = len(rpcs) + len(open_rpcs)
-    hows = {}
-    for one in rpcs:
-        hows[one["how"]] = hows.get(one["how"], 0) + 1
-    works = [tx for tx in sent if tx["how"] != "away"]
-    own = [
+    outcomes = {}
+    for record in rpcs:
+        outcomes[record["how"]] = outcomes.get(record["how"], 0) + 1
+    executed = [tx for tx in transmissions if tx["how"] != "away"]
+    own_zones = [
         scenario.fleet.zones.index(scenario.zone_of(int(tx["id"].split(".")[0][1:])))
-        for tx in sent
+        for tx in transmissions
         if tx["id"][0] == "n"
     ]
     crossed = sum(
-        zone != tx["zone"] for zone, tx in zip(own, (t for t in sent if t["id"][0] == "n"), strict=True)
+        zone != tx["zone"]
+        for zone, tx in zip(own_zones, (t for t in transmissions if t["id"][0] == "n"), strict=True)
     )
-    use = processes(folder)
-    span = max(0.001, use["span"])
-    served_work = sum(tx["work"] for tx in sent if tx["how"] == "done")
+    usage = processes(folder)
+    span = max(0.001, usage["span"])
+    served_work = sum(tx["work"] for tx in transmissions if tx["how"] == "done")
     return {
         "asked": count,
-        "served": hows.get("served", 0),
+        "served": outcomes.get("served", 0),
         "in_time": int(in_time),
-        "hows": hows,
+        "hows": outcomes,
         "unfinished": len(open_rpcs),
-        "service": round(paid / asked, 5) if asked else 0.0,
+        "service": round(earned / possible, 5) if possible else 0.0,
         "tries": round(len(tries) / count, 4) if count else 0.0,
-        "transmissions": round(len(sent) / max(1, len(tries)), 4),
-        "crossed": round(crossed / max(1, len(sent)), 4),
-        "wasted": round(1 - served_work / max(0.001, sum(tx["work"] for tx in works)), 4),
+        "transmissions": round(len(transmissions) / max(1, len(tries)), 4),
+        "crossed": round(crossed / max(1, len(transmissions)), 4),
+        "wasted": round(1 - served_work / max(0.001, sum(tx["work"] for tx in executed)), 4),
         **{
             f"over_{limit:g}s": round(
-                sum(one["end"] - one["due"] > limit for one in rpcs) / max(1, len(rpcs)), 5
+                sum(record["end"] - record["due"] > limit for record in rpcs) / max(1, len(rpcs)), 5
             )
-            for limit in OVER
+            for limit in LATENCY_LIMITS_S
         },
-        "cpu_us_per_rpc": round(1e6 * use["cpu"] / max(1, sum(one["k"] == "try" for one in found)), 1),
-        "cpu_share": round(use["cpu"] / span / scenario.sidecars.count, 4),
-        "peak_mb": round(use["peak_mb"], 1),
-        "fds": use["fds"],
-        "fell": sum(one["k"] == "fell" for one in found),
+        "cpu_us_per_rpc": round(
+            1e6 * usage["cpu"] / max(1, sum(record["k"] == "try" for record in all_records)), 1
+        ),
+        "cpu_share": round(usage["cpu"] / span / scenario.sidecars.count, 4),
+        "peak_mb": round(usage["peak_mb"], 1),
+        "fds": usage["fds"],
+        "fell": sum(record["k"] == "fell" for record in all_records),
     }
 
 
 def summarize(folder: Path) -> dict:
     """Returns figures, breaches and the reasons against a valid result; writes them to summary.json too."""
     scenario = scenario_of(folder)
-    found = list(records(folder))
-    sums, said = merged(folder)
-    breaches = judge(scenario, found)
-    bad = [one for one in found if one["k"] == "bad"]
+    all_records = list(records(folder))
+    histograms, statistics = merged(folder)
+    breaches = judge(scenario, all_records)
+    bad_clients = [record for record in all_records if record["k"] == "bad"]
     summary = {
         "name": scenario.name,
         "state": state_of(folder)[0],
-        "no_result": invalid(scenario, folder, sums.get("lateness"), said),
-        "figures": figures(scenario, found, folder),
-        "latency_ms": spread(sums.get("latency")),
-        "served_ms": spread(sums.get("served")),
-        "lateness_ms": spread(sums.get("lateness")),
-        "closed_ms": spread(sums.get("closed")),
-        "breaches": [msgspec.to_builtins(one) for one in breaches],
-        "bad_clients": {"count": len(bad), "neither": sum(one["how"] == "neither" for one in bad)},
+        "no_result": invalid(scenario, folder, histograms.get("lateness"), statistics),
+        "figures": figures(scenario, all_records, folder),
+        "latency_ms": spread(histograms.get("latency")),
+        "served_ms": spread(histograms.get("served")),
+        "lateness_ms": spread(histograms.get("lateness")),
+        "closed_ms": spread(histograms.get("closed")),
+        "breaches": [msgspec.to_builtins(record) for record in breaches],
+        "bad_clients": {
+            "count": len(bad_clients),
+            "neither": sum(record["how"] == "neither" for record in bad_clients),
+        },
     }
     (folder / "summary.json").write_bytes(orjson.dumps(summary, option=orjson.OPT_INDENT_2))
     return summary
--- a/shedgrade/lab/statistics.py
+++ b/shedgrade/lab/statistics.py
@@ -18,10 +18,10 @@
     mean = fmean(differences)
     if len(differences) < 3:
         return mean, min(differences), max(differences)
-    chance = Random(seed)
-    means = sorted(fmean(chance.choices(differences, k=len(differences))) for _ in range(RESAMPLES))
-    edge = (1 - level) / 2
-    return mean, means[int(edge * RESAMPLES)], means[int((1 - edge) * RESAMPLES) - 1]
+    generator = Random(seed)
+    means = sorted(fmean(generator.choices(differences, k=len(differences))) for _ in range(RESAMPLES))
+    tail = (1 - level) / 2
+    return mean, means[int(tail * RESAMPLES)], means[int((1 - tail) * RESAMPLES) - 1]
 
 
 def knee(points: list[tuple[float, float]], holds: Callable[[float], bool]) -> float | None:
@@ -42,6 +42,6 @@
     from math import log
 
     xs, ys = [log(x) for x, _ in points], [log(y) for _, y in points]
-    mx, my = fmean(xs), fmean(ys)
-    below = sum((x - mx) ** 2 for x in xs)
-    return sum((x - mx) * (y - my) for x, y in zip(xs, ys, strict=True)) / below if below else 0.0
+    mean_x, mean_y = fmean(xs), fmean(ys)
+    squares = sum((x - mean_x) ** 2 for x in xs)
+    return sum((x - mean_x) * (y - mean_y) for x, y in zip(xs, ys, strict=True)) / squares if squares else 0.0
--- a/shedgrade/lab/trace.py
+++ b/shedgrade/lab/trace.py
@@ -54,8 +54,8 @@
             for number, line in enumerate(text.splitlines(), 1):  # noqa: B007
                 if line.strip():
                     rows.append(msgspec.json.decode(line, type=Row))
-    except (msgspec.DecodeError, msgspec.ValidationError, csv.Error) as wrong:
-        raise ScenarioError(f"{path}: line {number}: {wrong}") from wrong
+    except (msgspec.DecodeError, msgspec.ValidationError, csv.Error) as error:
+        raise ScenarioError(f"{path}: line {number}: {error}") from error
     return sorted(rows, key=lambda row: row.at_ms)
 
 
@@ -83,26 +83,26 @@
     if not rows:
         raise ScenarioError(f"{name}: no rows")
     start = rows[0].at_ms
-    kinds = {one.method: number for number, one in reversed(list(enumerate(load.classes)))}
-    found = []
-    for number, (first, again) in enumerate(link(rows, name)):
+    classes = {load_class.method: number for number, load_class in reversed(list(enumerate(load.classes)))}
+    arrivals = []
+    for number, (first, retries) in enumerate(link(rows, name)):
         method = first.method or scenario.methods[0].name
         if method not in known:
             raise ScenarioError(f"{name}: id {first.id!r}: method {method!r} is not in the scenario")
-        at = (first.at_ms - start) / 1000 / speed
-        if at >= scenario.length_s:
+        sent_at = (first.at_ms - start) / 1000 / speed
+        if sent_at >= scenario.length_s:
             continue
         recorded = None
         if load.trace.retries == "recorded":
-            recorded = [(row.at_ms - first.at_ms) / 1000 / speed for row in again]
-        kind = kinds.get(method, 0)
-        work = first.work_ms or (load.classes[kind].work_ms if load.classes else 1.0)
-        found.append(
+            recorded = [(row.at_ms - first.at_ms) / 1000 / speed for row in retries]
+        class_number = classes.get(method, 0)
+        work = first.work_ms or (load.classes[class_number].work_ms if load.classes else 1.0)
+        arrivals.append(
             Arrival(
                 number,
-                round(at, 6),
+                round(sent_at, 6),
                 first.origin % scenario.sidecars.count,
-                kind,
+                class_number,
                 work,
                 method,
                 first.body,
@@ -110,7 +110,7 @@
                 first.wait_ms,
             )
         )
-    return sorted(found, key=lambda arrival: arrival.at)
+    return sorted(arrivals, key=lambda arrival: arrival.at)
 
 
 def write(path: str | Path, rows: list[Row]) -> None:
@@ -128,21 +128,21 @@
 def rows_of(tries: list[dict]) -> list[Row]:
     """Returns a run's records of tries as a trace; latency counts from the first try's intended time."""
     firsts: dict[int, str] = {}
-    found = []
-    for one in sorted(tries, key=lambda one: (one["rpc"], one["n"])):
-        first = firsts.setdefault(one["rpc"], one["id"])
-        found.append(
+    rows = []
+    for attempt in sorted(tries, key=lambda attempt: (attempt["rpc"], attempt["n"])):
+        first_id = firsts.setdefault(attempt["rpc"], attempt["id"])
+        rows.append(
             Row(
-                at_ms=round(one["at"] * 1000, 3),
-                id=one["id"],
-                retry_of="" if first == one["id"] else first,
-                method=one["method"],
-                origin=one["origin"],
-                work_ms=one["work"],
-                wait_ms=one["wait"] * 1000,
-                body=one["body"],
-                status=one["status"],
-                latency_ms=round((one["end"] - one["due"]) * 1000, 3),
+                at_ms=round(attempt["at"] * 1000, 3),
+                id=attempt["id"],
+                retry_of="" if first_id == attempt["id"] else first_id,
+                method=attempt["method"],
+                origin=attempt["origin"],
+                work_ms=attempt["work"],
+                wait_ms=attempt["wait"] * 1000,
+                body=attempt["body"],
+                status=attempt["status"],
+                latency_ms=round((attempt["end"] - attempt["due"]) * 1000, 3),
             )
         )
-    return sorted(found, key=lambda row: row.at_ms)
+    return sorted(rows, key=lambda row: row.at_ms)
