--- a/shedgrade/lab/system/__init__.py
+++ b/shedgrade/lab/system/__init__.py
@@ -1,4 +1,4 @@
-"""The whole system among stand-ins on loopback: real processes of both programs, everybody else played here.
+"""Runs the whole system on loopback: real processes of both programs, and stand-ins for every other party.
 
-Source: the operators' PROTOCOL, RULES and DEPLOY. Nothing that serves imports it.
+Sources: the operators' PROTOCOL, RULES and DEPLOY. Neither program imports this package.
 """
--- a/shedgrade/lab/system/calls.py
+++ b/shedgrade/lab/system/calls.py
@@ -1,14 +1,14 @@
-"""Short HTTP calls, each on a connection of its own, as operators and resolving clients make them."""
+"""Sends short HTTP calls, each on a connection of its own, as operators and resolving clients do."""
 
 import asyncio
 
 import httptools
 
-FAILURES = (OSError, EOFError, httptools.HttpParserError)  # a TimeoutError is an OSError
+FAILURES = (OSError, EOFError, httptools.HttpParserError)  # includes TimeoutError, which is an OSError
 
 
 class Answer:
-    """Gathers one answer. `status` is 0 until its head is whole."""
+    """Collects one response. `status` is 0 until its headers are complete."""
 
     def __init__(self) -> None:
         self.parser = httptools.HttpResponseParser(self)
@@ -36,7 +36,10 @@
     *,
     timeout: float = 1.0,
 ) -> Answer:
-    """The whole answer. One of `FAILURES` if none comes within `timeout` s."""
+    """Sends a request and returns the complete response.
+
+    Raises one of `FAILURES` if none arrives within `timeout` seconds.
+    """
     host, _, port = address.rpartition(":")
     async with asyncio.timeout(timeout):
         reader, writer = await asyncio.open_connection(host, int(port))
@@ -50,7 +53,7 @@
             while not answer.whole:
                 data = await reader.read(65536)
                 if not data:
-                    raise EOFError(f"{address} closed without an answer")
+                    raise EOFError(f"{address} closed the connection before the response was complete")
                 answer.parser.feed_data(data)
             return answer
         finally:
--- a/shedgrade/lab/system/clients.py
+++ b/shedgrade/lab/system/clients.py
@@ -1,4 +1,4 @@
-"""Clients: they ask where to go, keep connections or open new ones, and try again as PROTOCOL says."""
+"""Stand-in clients: they resolve addresses, keep or open connections and retry as PROTOCOL says."""
 
 import asyncio
 import json
@@ -10,19 +10,25 @@
 from shedgrade.lab.system.history import Asked, History, Kind, Try
 from shedgrade.lab.system.link import ClientLink
 
-ASKED = 3  # registries that a client tries
-MORE = 3  # times as long as told that some clients hold an answer
-OPENS = 1.0  # s for a new connection to come up
-PROMISES = frozenset((408, 421, 429, 503))
-FINAL = frozenset((400, 401, 404, 413, 431))
+ASKED = 3  # registries that a client asks at the most
+MORE = 3  # some clients keep a resolution for this multiple of its time to live
+OPENS = 1.0  # s for a new connection
+PROMISES = frozenset((408, 421, 429, 503))  # promise that the request did not run
+FINAL = frozenset((400, 401, 404, 413, 431))  # forbid a retry
 AVOIDS = 5.0  # s for which an address that failed is skipped
-PAUSE = 0.02  # s before a try of its own accord
-SILENCE = 2.0  # s without a word after which a stream is given up, at the least
-KEEPS = 0.7  # of the tries that use a connection which is kept
+PAUSE = 0.02  # s before a retry without Retry-After
+SILENCE = 2.0  # least s without data after which a stream is given up
+KEEPS = 0.7  # share of the first tries that use a kept connection, if there is one
 
 
 class Clients:
-    """Those of one zone. `registries`: directory addresses, nearest first."""
+    """The clients of one zone.
+
+    registries: addresses of the directory, nearest first
+    told: the history to which requests and tries are added
+    clock: returns the time, s
+    ttl_max: longest time to live that is accepted for a resolution, s
+    """
 
     def __init__(
         self,
@@ -43,10 +49,13 @@
         self.kept: dict[str, list[ClientLink]] = {}
         self.holds_long = random.random() < 0.2
 
-    # --- where to go
+    # --- address resolution
 
     async def resolve(self, host: str) -> None:
-        """One answer for all that wait for it; the old one is held where none is to be had."""
+        """Refreshes expired addresses, with one call for all requests that wait for it.
+
+        Waits for the call only if there are no addresses; old ones stay in use until a registry answers.
+        """
         if self.clock() < self.until:
             return
         if self.resolving is None or self.resolving.done():
@@ -79,7 +88,7 @@
     # --- one request
 
     async def play(self, number: int, kind: Kind) -> Asked:
-        """Until it is served, refused for good, or its time is up."""
+        """Sends a request and its retries until it is served or refused for good, or its deadline passes."""
         now = self.clock()
         asked = Asked(number, kind, self.zone, now)
         self.history.requests.append(asked)
@@ -108,7 +117,7 @@
         return asked
 
     def again(self, one: Try) -> bool:
-        """Whether another try may be made after this one."""
+        """Returns whether another try may follow this one."""
         if one.status in FINAL and one.whole:
             return False
         return (
@@ -118,7 +127,7 @@
         )
 
     async def once(self, asked: Asked, turn: int, until: float, after: int) -> Try | None:
-        """One try; None if there is no address to try."""
+        """Makes one try; returns None if there is no address to send it to."""
         kind, random = asked.kind, self.random
         address = self.choose()
         if address is None:
--- a/shedgrade/lab/system/demo.py
+++ b/shedgrade/lab/system/demo.py
@@ -1,4 +1,4 @@
-"""The demonstration: a small deployment under traffic, with troubles, and the judge's verdict at its end."""
+"""The demonstration: a small deployment under traffic and faults, checked against the rules at its end."""
 
 import asyncio
 import os
@@ -53,11 +53,11 @@
     Kind("find", "safe", HOST, "/find/", LOOKUP, 8.0, 3_000, 300),
     Kind("book", "unsafe", HOST, "/book/", LOOKUP, 4.0, 3_000, 300),
 ]
-STARTS = 30.0  # s for the system to start, at the most
+STARTS = 30.0  # greatest time for the system to start, s
 
 
 def network() -> str:
-    """The first three numbers of addresses that no other run on this machine uses."""
+    """Returns the first three numbers of loopback addresses that no other run on this machine uses."""
     own = os.getpid()
     return f"127.{16 + own // 250 % 200}.{own % 250}"
 
@@ -76,7 +76,10 @@
 
 
 def configuration(version: int, kinds: list[Kind], services: list[str], **moved: float) -> dict:
-    """`moved`: time-outs in ms, by the name of a kind."""
+    """Returns a configuration for these kinds and services.
+
+    `moved` gives, by the name of a kind, a time-out in ms in place of its deadline.
+    """
     routes = [
         {
             "name": kind.name,
@@ -120,7 +123,7 @@
 
 
 class Demo:
-    """`say` is handed each line."""
+    """The steps of the demonstration; `say` is called with each line of its report."""
 
     def __init__(self, world: World, lines: Lines, say: Callable[[str], None]) -> None:
         self.world, self.lines, self.say = world, lines, say
@@ -135,7 +138,7 @@
         self.lines.note(f"version {version} acknowledged after {put.ended_at - put.sent_at:.2f} s")
 
     async def race(self, one: int, other: int) -> None:
-        """Two operators on top of one version."""
+        """Two operators put different versions on top of the same one at once."""
         world = self.world
         puts = await asyncio.gather(
             *(
@@ -155,7 +158,7 @@
         )
 
     async def spoil(self, version: int) -> None:
-        """A configuration that names an unknown service."""
+        """Puts a configuration that names an unknown service."""
         wrong = configuration(version, KINDS, [MODEL])
         put = await self.world.operator.put(wrong, self.version, valid=False)
         self.lines.note(f"an invalid configuration is answered {put.status}")
@@ -171,7 +174,7 @@
         self.lines.note(f"{name} is started again")
 
     async def cut(self, region: str, away: float) -> None:
-        """Its processes stand still and say nothing, as behind a cut."""
+        """Suspends all processes of a region for `away` seconds, as if a partition cut it off."""
         world = self.world
         names = [machine.name for machine in world.site.machines() if machine.region == region]
         number = world.trouble(f"{region} cut off")
@@ -200,7 +203,8 @@
         self.lines.note("it comes back, cold")
 
     async def play(self) -> None:
-        """About 40 s. The last troubles leave time for the bounds of evacuations to be looked at in calm."""
+        """Runs the steps, about 40 s. After the last faults there is calm, in which the bounds of evacuations
+        can be checked."""
         world = self.world
         begun = world.clock()
         told = [
@@ -229,13 +233,13 @@
 
 
 async def begin(world: World) -> None:
-    """Until every client would be told of an edge that serves."""
+    """Waits until each client's directory would return an edge that serves."""
     await world.until(world.serving, STARTS)
     world.calmed(world.starting)
 
 
 async def run(seed: int, say: Callable[[str], None]) -> list[Breach]:
-    """The whole demonstration; the breaches that the judge found."""
+    """Runs the whole demonstration; returns the breaches that the judge found."""
     site = demo_site()
     with tempfile.TemporaryDirectory(prefix="shedgrade-demo-") as folder:
         async with World(site, Path(folder), SERVICES, ENGINES, KINDS, seed) as world:
--- a/shedgrade/lab/system/fleet.py
+++ b/shedgrade/lab/system/fleet.py
@@ -1,4 +1,4 @@
-"""The upstreams of a site: they start, crash, come back and leave, and the platform's list follows."""
+"""The upstreams of a site: starts, crashes, restarts and drains, with the platform's list kept up to date."""
 
 from random import Random
 
@@ -8,11 +8,19 @@
 from shedgrade.lab.system.platform import AVAILABLE, DRAINING, Entry, InstanceDirectory
 from shedgrade.lab.system.site import Site
 
-CRASHED_SHOWN = 2.0  # s for which one that crashed stays on the list
+CRASHED_SHOWN = 2.0  # s for which a crashed upstream stays on the list
 
 
 class Fleet:
-    """`services`: of each upstream, by number; `engines`: settings by service."""
+    """Runs the upstreams of a site.
+
+    services: the service of each upstream, by its number
+    engines: engine settings by service
+    directory: the platform's list, which follows the upstreams
+    told: the history to which runs and disturbances are added
+    key: signs the seals of answers
+    behaviour: further settings of every upstream
+    """
 
     def __init__(
         self,
@@ -34,7 +42,7 @@
         self.timers: list = []
 
     async def start(self, number: int, *, cold: bool = False) -> EngineServer:
-        """A new incarnation."""
+        """Starts a new incarnation of an upstream."""
         service, zone = self.services[number], self.site.engines[number]
         settings = self.engines[service]
         upstream = Upstream(
@@ -73,7 +81,7 @@
             await self.start(number)
 
     def crash(self, number: int) -> None:
-        """Gone at once; the list shows it for a while still."""
+        """Stops an upstream at once; the list shows it for `CRASHED_SHOWN` seconds more."""
         self.servers[number].close()
         self.crashed(number)
 
@@ -83,7 +91,10 @@
         self.later(CRASHED_SHOWN, self.forget, server.upstream.instance)
 
     def drain(self, number: int) -> None:
-        """It is about to end: the list says so first, and it serves for `drainMs` and somewhat longer."""
+        """Drains an upstream.
+
+        The list shows this first; the upstream then serves for `drainMs`, the lag of the list and 1 s more.
+        """
         server = self.servers.pop(number)
         server.drain()
         self.entries[server.upstream.instance].state = DRAINING
--- a/shedgrade/lab/system/history.py
+++ b/shedgrade/lab/system/history.py
@@ -1,19 +1,37 @@
-"""What the clients, upstreams, operators and the platform saw: all that the judge goes by. Times are of one
-clock, in s."""
+"""Records what clients, upstreams, operators and the platform saw; the judge uses nothing else.
+
+All times are seconds of one clock.
+"""
 
 from dataclasses import dataclass, field
 
 from shedgrade.engines.records import Run
 
-# How a try ended, where no answer came.
+# How a try ended that got no complete answer.
 CLOSED, SILENT, UNCONNECTED, GIVEN_UP = "closed", "silent", "unconnected", "given up"
 
 
 @dataclass(frozen=True, slots=True)
 class Kind:
-    """A kind of request. `route_class`: "safe", "unsafe" or "streaming". `shared`: parts of the prompt that
-    requests have in common, `own`: tokens that they don't; `out`: tokens of the answer; `retries`: further
-    tries of a client. Spans in ms, `rate` a second."""
+    """A kind of request.
+
+    name: name of its route
+    route_class: "safe", "unsafe" or "streaming"
+    host, prefix: host and path prefix of its targets
+    service: the service that serves it
+    rate: requests a second
+    deadline_ms: time after which a client gives up, ms
+    target_ms: targetMs of its route, ms
+    shared: parts of the prompt that requests have in common, as (name, tokens)
+    own: tokens of the prompt that no other request has
+    out: tokens of the answer
+    retries: further tries of a client
+    resumable: whether a stream that broke off may be resumed behind its last event
+    gap_ms: gap_aim_ms of its route, ms
+    homes: the regions in which it may be served; empty for all
+    answer_bytes: size of an answer that is no stream
+    stride: tokens of an event
+    """
 
     name: str
     route_class: str
@@ -44,15 +62,28 @@
 
     @property
     def events(self) -> int:
-        """Of a whole answer."""
+        """Returns the number of events of a complete answer."""
         return -(-self.out // self.stride)
 
 
 @dataclass(slots=True)
 class Try:
-    """`asked`: digest of the request; `status` 0: no answer came; `whole`: the answer came to its end;
-    `after`: the last event that the client had before; `events`: (id, mark, when) as they came; `failure`:
-    one of the words above, or "", `surplus`: bytes came that belong to no request."""
+    """A try of a request, as its client saw it.
+
+    attempt: id of the try
+    request: number of the request
+    asked: digest of the request
+    sidecar: the address that it was sent to
+    sent_at, first_at, ended_at: when it was sent, when data of its answer first arrived, when it ended
+    status: HTTP status; 0 if no answer arrived
+    whole: whether the answer arrived completely
+    echoed, seal, encoding: Attempt-Id, Server-Seal and Content-Encoding of the answer
+    after: the last event that the client had before this try
+    events: (id, mark, time) of each event, in order of arrival
+    failure: one of the constants above; "" if none applies
+    surplus: whether bytes arrived that belong to no request
+    retry_after: the answer's Retry-After, s
+    """
 
     attempt: str
     request: int
@@ -84,7 +115,10 @@
 
 @dataclass(slots=True)
 class Asked:
-    """One request of a client, with its tries. `outcome`: "served", "refused" or "failed" at its end."""
+    """A request of a client with its tries.
+
+    `outcome` is "" until the request ends as "served", "refused" or "failed".
+    """
 
     number: int
     kind: Kind
@@ -98,8 +132,15 @@
 
 @dataclass(slots=True)
 class Order:
-    """An operator's. `verb`: "put", "evacuate" or "return"; `base`, `version`, `body`: of a configuration;
-    `status`: its clear answer, 0 if none came; `valid`: it can be taken."""
+    """An order of an operator.
+
+    verb: "put", "evacuate" or "return"
+    status: status of the clear answer; 0 if none arrived
+    zone: the zone of an evacuation or return
+    base, version, body: of a configuration: the version that it replaces, its own version, its JSON text
+    valid: whether the configuration may be accepted
+    said: the beginning of the answer's body
+    """
 
     verb: str
     sent_at: float
@@ -119,7 +160,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Breach:
-    """A rule, by its name in RULES, that was broken."""
+    """A breach of a rule, which is given by its name in RULES."""
 
     rule: str
     text: str
@@ -130,9 +171,15 @@
 
 @dataclass(slots=True)
 class History:
-    """`troubles`: (from, to, what): times in which rules bound by time do not hold; `drained`: by instance,
-    when the list first showed it leaving; `read_back`: the configuration at the end, None: none came;
-    `edge_regions`: by the address at which clients reach an edge."""
+    """All observations of a run.
+
+    troubles: (from, to, what) of disturbances, during which rules with time bounds do not apply
+    drained: by instance, when the list first did not show it as available any more
+    stray: descriptions of bytes that belong to no request
+    read_back: the configuration read at the end; None if none was returned
+    evacuated_at_end: zones that were evacuated at the end; None if no member answered
+    edge_regions: the region of an edge, by the address at which clients reach it
+    """
 
     requests: list[Asked] = field(default_factory=list)
     tries: dict[str, Try] = field(default_factory=dict)
@@ -146,5 +193,5 @@
     edge_regions: dict[str, str] = field(default_factory=dict)
 
     def calm(self, start: float, end: float) -> bool:
-        """No trouble touches the span."""
+        """Returns whether no disturbance overlaps the span."""
         return not any(begun < end and over > start for begun, over, _ in self.troubles)
--- a/shedgrade/lab/system/judge.py
+++ b/shedgrade/lab/system/judge.py
@@ -1,5 +1,5 @@
-"""Judges a history by the operators' RULES, from outside: only by what clients, upstreams, operators and the
-platform saw. Rules bound by time are looked at where no trouble was near.
+"""Checks a history against the operators' RULES, using only what clients, upstreams, operators and the
+platform saw. Rules with time bounds are checked only where no disturbance was near.
 """
 
 from collections import Counter, defaultdict
@@ -11,15 +11,20 @@
 from shedgrade.lab.system.history import Breach, History, Try
 from shedgrade.lab.system.orders import Configurations
 
-PROMISES = frozenset((408, 421, 429, 503))
-LED_ABROAD = 0.05  # of the requests with homes; beyond it those that the directory led elsewhere count
+PROMISES = frozenset((408, 421, 429, 503))  # promise that the request did not run
+LED_ABROAD = 0.05  # greatest share of requests with homes that the directory may lead to other regions
 
 
 def judge(
     told: History, key: bytes, zones: dict[str, str], bounds: dict[str, float], *, cold_rate: float = 0.0
 ) -> list[Breach]:
-    """All breaches. `key`: of the seals; `zones`: their regions; `cold_rate`: requests a second that a cold
-    upstream bears, 0: none is cold."""
+    """Returns all breaches.
+
+    key: key of the seals
+    zones: the region of each zone
+    bounds: the time bounds and limits of the rules, by their names in the settings
+    cold_rate: requests a second that a cold upstream can serve; 0 if no upstream is cold
+    """
     runs: dict[str, list[Run]] = defaultdict(list)
     for run in told.runs:
         runs[run.attempt].append(run)
@@ -46,7 +51,7 @@
 
 
 def answer(one: Try, runs: list[Run], key: bytes) -> Iterator[Breach]:
-    """A success is an upstream's, whole, in order, and of this request."""
+    """A successful answer must be an upstream's, complete and in order, and belong to this request."""
     name = f"{one.kind.name} {one.attempt}"
     if one.surplus:
         yield Breach("MIXED", f"{name}: more than its answer came")
@@ -83,7 +88,7 @@
 
 
 def promises(one: Try, runs: list[Run]) -> Iterator[Breach]:
-    """At most one run of what may not be repeated, and none where the answer promised that."""
+    """A request that may not be repeated runs at most once, and not at all if its answer promised that."""
     ran = [run.instance for run in runs if run.ran_at is not None]
     if one.kind.idempotent:
         return
@@ -94,7 +99,7 @@
 
 
 def lost(told: History, runs: dict[str, list[Run]]) -> Iterator[Breach]:
-    """In calm, a request that was passed on gets a whole answer, unless its upstream broke off."""
+    """Without a disturbance, a request that was passed on gets an answer unless its upstream broke off."""
     for one in told.tries.values():
         passed = runs[one.attempt]
         broke = any(run.outcome in ("cut", "late") for run in passed)
@@ -119,7 +124,7 @@
 
 
 def led_abroad(told: History) -> Iterator[Breach]:
-    """The directory sends clients to machines at home, or in their own region."""
+    """The directory must lead clients to home regions of the request or to their own region."""
     bound = [one for one in told.tries.values() if one.kind.homes and one.sidecar in told.edge_regions]
     abroad = [one for one in bound if told.edge_regions[one.sidecar] not in (*one.kind.homes, one.region)]
     if len(abroad) > LED_ABROAD * len(bound):
@@ -173,7 +178,7 @@
 
 
 def retries(told: History, bounds: dict[str, float]) -> Iterator[Breach]:
-    """Arrivals beyond the first of each try, in every window, against the budget of all sidecars."""
+    """Limits arrivals beyond the first of each try, in every window, to the retry budget of all sidecars."""
     window, ratio, slack = bounds["retryWindowS"], bounds["retryBudgetRatio"], bounds["retrySlack"]
     seen: Counter = Counter()
     repeats: dict[str, list[float]] = defaultdict(list)
@@ -208,7 +213,7 @@
 
 
 def verdict(found: list[Breach]) -> str:
-    """One line a rule."""
+    """Returns one line for each rule that was broken."""
     counts = Counter(breach.rule for breach in found)
     return (
         "\n".join(
--- a/shedgrade/lab/system/launcher.py
+++ b/shedgrade/lab/system/launcher.py
@@ -1,4 +1,4 @@
-"""Starts the two programs as real processes, and ends each by its own id."""
+"""Starts the two programs as real processes and ends each by its own process id."""
 
 import asyncio
 import os
@@ -11,12 +11,14 @@
 
 ROOT = Path(__file__).resolve().parents[3]
 PROGRAMS = {True: "shedgrade.controlplane", False: "shedgrade.dataplane"}
-SAID = 1500  # characters of what a process wrote that are shown
+SAID = 1500  # shown characters of a process's output
 
 
 class Launcher:
-    """`folder`: an empty one, for settings, disks and what processes write. Each machine's process is known
-    by the machine's name."""
+    """Runs the process of each machine, by the machine's name.
+
+    `folder` must be empty; it receives settings, data directories and the output of processes.
+    """
 
     def __init__(self, site: Site, folder: Path) -> None:
         self.site, self.folder = site, folder
@@ -32,12 +34,15 @@
         return self.folder / f"{name}.log"
 
     def said(self, name: str) -> str:
-        """The end of what its processes wrote."""
+        """Returns the end of the output of a machine's processes."""
         log = self.log(name)
         return log.read_text(errors="replace")[-SAID:] if log.exists() else ""
 
     async def start(self, name: str) -> None:
-        """With the settings of this moment; the first time of all of them is the system's first start."""
+        """Starts a machine's process with the present settings.
+
+        The first start of each machine is part of the first start of the system.
+        """
         machine = self.machines[name]
         disk, path = self.disk(machine), self.folder / f"{name}.yaml"
         if disk is not None:
@@ -74,7 +79,7 @@
         self.frozen.discard(name)
 
     async def stop(self, name: str) -> int:
-        """SIGTERM, and SIGKILL after `graceS`, as the platform does it. Its exit status."""
+        """Sends SIGTERM, and SIGKILL after `graceS`, as the platform does. Returns the exit status."""
         self.send(name, signal.SIGTERM)
         try:
             async with asyncio.timeout(self.site.bounds["graceS"]):
@@ -84,7 +89,7 @@
         return self.processes[name].returncode
 
     def freeze(self, name: str) -> None:
-        """It says nothing any more, like a machine behind a cut."""
+        """Suspends a process, which then sends nothing, like a machine behind a network partition."""
         self.send(name, signal.SIGSTOP)
         self.frozen.add(name)
 
@@ -93,17 +98,17 @@
         self.frozen.discard(name)
 
     def wipe(self, name: str) -> None:
-        """Its disk is lost. Only while its process does not run."""
+        """Deletes a machine's data directory. Raises RuntimeError while its process runs."""
         if self.running(name):
-            raise RuntimeError(f"{name} runs")
+            raise RuntimeError(f"{name} is running; its disk can't be wiped")
         shutil.rmtree(self.folder / name, ignore_errors=True)
 
     async def close(self) -> None:
-        """Ends all that still run, each by its id."""
+        """Kills every process that still runs."""
         for name in list(self.frozen):
             self.thaw(name)
         await asyncio.gather(*(self.kill(name) for name in self.processes if self.running(name)))
 
     def ended(self) -> list[str]:
-        """Those that have ended, by whatever cause."""
+        """Returns the machines whose process has ended, for whatever reason."""
         return [name for name in self.processes if not self.running(name)]
--- a/shedgrade/lab/system/lines.py
+++ b/shedgrade/lab/system/lines.py
@@ -1,4 +1,4 @@
-"""One line a second about a world that runs."""
+"""Reports a running world in one line a second."""
 
 import asyncio
 from collections.abc import Callable
@@ -8,7 +8,7 @@
 
 
 def quantile(values: list[float], part: float) -> float:
-    """The smallest value that at least `part` of them don't exceed; 0 without any.
+    """Returns the smallest value that at least the share `part` of them don't exceed; 0 without any.
 
     >>> quantile([3.0, 1.0, 2.0], 0.5), quantile([], 0.5)
     (2.0, 0.0)
@@ -19,18 +19,18 @@
 
 
 class Lines:
-    """`served`, `refused`, `failed`: requests that have come to their end since the beginning."""
+    """Reports progress. `served`, `refused` and `failed` count the requests that have ended so far."""
 
     def __init__(self, world: World, say: Callable[[str], None]) -> None:
         self.world, self.say = world, say
         self.notes: list[str] = []
         self.served = self.refused = self.failed = 0
         self.firsts: list[float] = []
-        self.seen = 0  # requests that were looked at and have come to their end
+        self.seen = 0  # requests that have been moved to `open`
         self.open: list[Asked] = []
 
     def note(self, text: str) -> None:
-        """Stands at the end of the next line."""
+        """Adds a note to the end of the next line."""
         self.notes.append(text)
 
     async def tell(self) -> None:
@@ -58,7 +58,7 @@
         )
 
     def take(self) -> list[Asked]:
-        """The requests that have come to their end since the last look."""
+        """Returns the requests that have ended since the last call."""
         requests = self.world.history.requests
         self.open += requests[self.seen :]
         self.seen = len(requests)
@@ -75,7 +75,7 @@
         return sum(one.outcome == outcome for one in ended)
 
     def sums(self) -> str:
-        """Of all that was asked."""
+        """Returns the totals of all requests."""
         self.take()
         firsts = [first * 1000 for first in self.firsts]
         tries, runs = len(self.world.history.tries), len(self.world.history.runs)
--- a/shedgrade/lab/system/link.py
+++ b/shedgrade/lab/system/link.py
@@ -1,4 +1,4 @@
-"""One connection of a client to a sidecar: what comes is read strictly, what belongs to nobody is told."""
+"""A client's connection to a sidecar: parses answers strictly, records bytes that belong to no request."""
 
 import asyncio
 import contextlib
@@ -14,7 +14,7 @@
 
 
 class ClientLink(asyncio.Protocol):
-    """`stray`: is told of bytes that come while no request waits."""
+    """Carries one try at a time; `stray` collects descriptions of bytes that arrive while none waits."""
 
     def __init__(self, clock, stray: list[str]) -> None:
         self.clock, self.stray = clock, stray
@@ -25,7 +25,7 @@
         self.lost = self.over = self.last = False
         self.idle_until = float("inf")
         self.part = b""
-        self.begun = False  # an answer has begun that is not whole
+        self.begun = False  # whether an answer has begun and is not complete
         self.headers: dict[str, str] = {}
 
     def connection_made(self, transport) -> None:
@@ -34,7 +34,7 @@
     def connection_lost(self, failure: Exception | None) -> None:
         if self.one is not None and not self.over and self.one.status and failure is None:
             with contextlib.suppress(httptools.HttpParserError):
-                self.parser.feed_data(b"")  # an answer without a length ends here
+                self.parser.feed_data(b"")  # the end of an answer without a length
         self.lost = True
         self.came.set()
 
@@ -117,11 +117,13 @@
         self.one.whole = True
         self.one.first_at = self.one.first_at or self.clock()
 
-    # --- what the client does
+    # --- calls of the client
 
     async def exchange(self, one: Try, request: bytes, until: float, silence: float) -> None:
-        """Sends it and waits for its answer; fills in `one`. Ends at `until`, or after `silence` s without a
-        word."""
+        """Sends a request, waits for its answer and fills in `one`.
+
+        Gives up at the time `until`, or after `silence` seconds without data.
+        """
         self.one, self.part, self.over = one, b"", False
         if self.lost or self.transport.is_closing():
             one.failure = history.CLOSED
@@ -141,7 +143,7 @@
             one.failure = history.CLOSED
 
     def usable(self, now: float) -> bool:
-        """For another request; one that is about to be idle for too long is none."""
+        """Returns whether another request may be sent; not if the idle time-out ends within 0.5 s."""
         return (
             self.over
             and not (self.lost or self.last or self.transport.is_closing())
--- a/shedgrade/lab/system/operators.py
+++ b/shedgrade/lab/system/operators.py
@@ -1,4 +1,7 @@
-"""Operators: configurations, evacuations, reading back. Source: PROTOCOL, "The operator's API"."""
+"""Operators, who put configurations, evacuate zones and read back.
+
+Source: PROTOCOL, "The operator's API".
+"""
 
 import asyncio
 import json
@@ -9,22 +12,28 @@
 from shedgrade.lab.system.calls import FAILURES, Answer, call
 from shedgrade.lab.system.history import History, Order
 
-ENDS = frozenset((400, 409, 412, 413, 422))
-AGAIN = frozenset((408, 429))
-TRIES = 3  # of any other 4xx
-SILENCE = 1.0
-FIRST_PAUSE, LONGEST_PAUSE = 0.05, 0.5
+ENDS = frozenset((400, 409, 412, 413, 422))  # clear refusals
+AGAIN = frozenset((408, 429))  # retried without a limit on their number
+TRIES = 3  # answers with any other 4xx after which the last one counts
+SILENCE = 1.0  # s for one call
+FIRST_PAUSE, LONGEST_PAUSE = 0.05, 0.5  # s between two calls
 
 
 class Operator:
-    """`addresses`: of control; `limit`: s for which an order may be sent again."""
+    """An operator.
+
+    addresses: addresses of the control plane
+    told: the history to which orders are added
+    clock: returns the time, s
+    limit: time for which an evacuation may be retried, s; a configuration has four times as long
+    """
 
     def __init__(self, addresses: Sequence[str], told: History, random: Random, clock, limit: float) -> None:
         self.addresses, self.history, self.random = list(addresses), told, random
         self.clock, self.limit = clock, limit
 
     async def put(self, configuration: dict, base: int, *, valid: bool = True) -> Order:
-        """Sent unchanged until it gets a clear answer."""
+        """Sends a configuration, unchanged, until it gets a clear answer."""
         body = json.dumps(configuration).encode()
         version = configuration.get("configVersion", 0)
         order = Order("put", self.clock(), base=base, version=version, body=body, valid=valid)
@@ -51,14 +60,14 @@
         return order
 
     async def read_back(self, limit: float) -> bytes | None:
-        """The newest configuration, for as long as it takes up to `limit` s."""
+        """Returns the newest configuration; None if none arrives within `limit` seconds."""
         answer = await self.ask("GET", "/configuration", None, {}, self.clock() + limit)
         return answer.body if answer is not None and answer.status == 200 else None
 
     async def ask(
         self, method: str, path: str, body: bytes | None, headers: dict, until: float
     ) -> Answer | None:
-        """The first clear answer; None if none came by `until`."""
+        """Returns the first clear answer; None if none arrives by the time `until`."""
         turn, others, pause = self.random.randrange(len(self.addresses)), 0, FIRST_PAUSE
         while (left := until - self.clock()) > 0:
             address = self.addresses[turn % len(self.addresses)]
@@ -80,18 +89,18 @@
     async def follow(
         self, address: str, method: str, path: str, body: bytes | None, headers: dict, timeout: float
     ) -> Answer:
-        """One address, and where it sends on to: twice at the most."""
+        """Calls one address and follows at most two redirects. Raises ValueError beyond that."""
         for _ in range(3):
             answer = await call(address, method, path, body, headers, timeout=timeout)
             if answer.status != 307:
                 return answer
             target = urlsplit(answer.headers.get("location", ""))
             address, path = target.netloc, target.path
-        raise ValueError("is sent on too often")
+        raise ValueError("more than two redirects")
 
 
 async def statuses(addresses: Sequence[str]) -> list[dict]:
-    """What each member that answers says of the system."""
+    """Returns the status reported by each member that answers."""
 
     async def one(address: str) -> dict | None:
         try:
--- a/shedgrade/lab/system/orders.py
+++ b/shedgrade/lab/system/orders.py
@@ -1,4 +1,4 @@
-"""The part of the judge that looks at orders: what was taken, what is in force, what is kept."""
+"""Checks orders against the rules: which were accepted, which are in force, which were kept."""
 
 import json
 from collections import defaultdict
@@ -8,19 +8,23 @@
 
 
 class Configurations:
-    """What each configuration that was sent allows. `taken`: those acknowledged, oldest first; `unclear`:
-    those that got no clear answer and may be in force."""
+    """The configurations that were sent and are valid.
+
+    taken: those that were acknowledged, oldest version first
+    unclear: those without a clear answer, which may be in force
+    refused: those that were refused
+    """
 
     def __init__(self, orders: Iterable[Order]) -> None:
         puts = [order for order in orders if order.verb == "put" and order.valid]
-        # Sent twice, the same configuration is one.
+        # A configuration that was sent twice may stand here twice; both have the same version.
         self.taken = sorted((order for order in puts if order.taken), key=lambda order: order.version)
         self.unclear = [order for order in puts if not order.status]
         self.refused = [order for order in puts if order.status and not order.taken]
 
     @staticmethod
     def services(order: Order, host: str, target: str) -> frozenset[str] | None:
-        """The services that a request may go to; None without a route."""
+        """Returns the services to which a request may be routed; None without a route."""
         best, found = -1, None
         for route in json.loads(order.body)["routeList"]:
             prefix = route["pathPrefix"]
@@ -30,15 +34,18 @@
         return found
 
     def may_be_in_force(self, sent_at: float, slack: float, calm: bool) -> list[Order]:
-        """For a request sent then: the newest that was acknowledged `slack` s before, and what came later;
-        all that were ever taken where it was not calm."""
+        """Returns the configurations that may be in force for a request sent at `sent_at`.
+
+        These are the newest that was acknowledged more than `slack` seconds before and all later versions.
+        After a disturbance (`calm` is false) they are all that were accepted or got no clear answer.
+        """
         old = [order for order in self.taken if order.ended_at + slack < sent_at] if calm else []
         least = old[-1].version if old else 0
         return [order for order in (*self.taken, *self.unclear) if order.version >= least]
 
 
 def taken(told: History) -> Iterator[Breach]:
-    """No invalid configuration is acknowledged, and of two on top of one version at most one."""
+    """No invalid configuration is acknowledged, and at most one of those that replace the same version."""
     bases = defaultdict(set)
     for order in told.orders:
         if order.verb == "put" and order.taken:
@@ -51,7 +58,10 @@
 
 
 def acknowledged(told: History, bounds: dict[str, float]) -> Iterator[Breach]:
-    """In calm, every proper order is answered within `ackMs`; a configuration has 3 ms more a route."""
+    """Without a disturbance, each order that is taken or gets no clear answer ends within `ackMs`.
+
+    A configuration has 3 ms more for each of its routes.
+    """
     contact, limit = bounds["contactMs"] / 1000, bounds["ackMs"] / 1000
     for order in told.orders:
         allowance = 0.003 * len(json.loads(order.body)["routeList"]) if order.body else 0.0
@@ -62,7 +72,7 @@
 
 
 def in_force(told: History, configurations: Configurations, bounds: dict[str, float]) -> Iterator[Breach]:
-    """Each run, and each 404, is as a configuration allows that may be in force."""
+    """Each run, and each 404, agrees with a configuration that may be in force."""
     apply, contact = bounds["configApplyMs"] / 1000, bounds["contactMs"] / 1000
     ever = [*configurations.taken, *configurations.unclear, *configurations.refused]
     for run in told.runs:
@@ -94,7 +104,7 @@
 
 
 def kept(told: History) -> Iterator[Breach]:
-    """What was acknowledged is there at the end."""
+    """Acknowledged orders are in effect at the end."""
     puts = [order for order in told.orders if order.verb == "put" and order.valid]
     acknowledged = max((order.version for order in puts if order.taken), default=0)
     if acknowledged:
@@ -116,5 +126,5 @@
 
 
 def last_orders(told: History) -> dict[str, Order]:
-    """Of each zone."""
+    """Returns the last order for each zone."""
     return {order.zone: order for order in told.orders if order.zone}
--- a/shedgrade/lab/system/platform.py
+++ b/shedgrade/lab/system/platform.py
@@ -1,4 +1,4 @@
-"""The platform's list of upstreams. Source: PROTOCOL, "Service discovery"."""
+"""Stand-in for the platform's list of upstreams. Source: PROTOCOL, "Service discovery"."""
 
 import json
 from collections import deque
@@ -9,14 +9,19 @@
 from shedgrade.http.server import HttpServer, Reply, Request, failure
 from shedgrade.runtime.log import logger
 
-PAGE = 50  # entries of a page
+PAGE = 50  # entries on a page
 AVAILABLE, DRAINING = "available", "draining"
 
 
 @dataclass(slots=True)
 class Entry:
-    """An upstream on the list. `cold_until`, `gone_at`: on the caller's clock; `gone_at`: when one that is
-    taken away at short notice is gone."""
+    """An upstream on the list.
+
+    slots: number of its slots
+    state: AVAILABLE or DRAINING
+    cold_until: when its cold start ends, on the caller's clock, s
+    gone_at: when it is gone, on the caller's clock, s; None unless it is taken away at short notice
+    """
 
     instance: str
     service: str
@@ -46,17 +51,18 @@
 
 
 class InstanceDirectory:
-    """The list as it is, and as it is shown: `lag` s later. `rate`: calls a second of all callers."""
+    """The list as it is, and as callers see it `lag` seconds later. `rate`: calls a second allowed to all
+    callers together."""
 
     def __init__(self, lag: float, rate: float) -> None:
         self.lag, self.rate = lag, rate
         self.versions: deque[tuple[float, tuple[Entry, ...]]] = deque([(float("-inf"), ())])
         self.calls: deque[float] = deque()
         self.refused = 0
-        self.shown_draining: dict[str, float] = {}  # by instance: when the list first showed it leaving
+        self.shown_draining: dict[str, float] = {}  # by instance: when it is first not shown as available
 
     def set(self, now: float, entries: list[Entry]) -> None:
-        """The list is these from now on; those who ask see it once the lag has passed."""
+        """Replaces the list at the time `now`; callers see the change after the lag."""
         copies = tuple(Entry(*(getattr(entry, name) for name in Entry.__slots__)) for entry in entries)
         before = {entry.instance for entry in self.versions[-1][1] if entry.state == AVAILABLE}
         self.versions.append((now, copies))
@@ -79,7 +85,7 @@
         return True
 
     def page(self, now: float, zone: str | None, token: str | None) -> dict:
-        """Entries from where the token says, and the token of the next page."""
+        """Returns the page of the list at which `token` points, with the token of the next page."""
         shown = [entry for entry in self.shown(now) if zone in (None, "", entry.zone)]
         digits = (token or "p-0").removeprefix("p-")
         first = int(digits) if digits.isdigit() else 0
@@ -91,7 +97,7 @@
 
 
 class PlatformServer:
-    """`GET /instances` on one address."""
+    """Serves `GET /instances` on one address."""
 
     def __init__(
         self, loop, address: tuple[str, int], directory: InstanceDirectory, clock: Callable[[], float]
--- a/shedgrade/lab/system/site.py
+++ b/shedgrade/lab/system/site.py
@@ -8,7 +8,7 @@
 CORE, EDGE = "core", "edge"
 CONTROL, DIRECTORY, FRONT, READINESS, PLATFORM, ENGINE = 8262, 8263, 8161, 8162, 8266, 9000
 INTERNAL = (7300, 7315)
-FIRST_ENGINE, PLATFORM_HOST = 100, 250  # last numbers of addresses
+FIRST_ENGINE, PLATFORM_HOST = 100, 250  # last numbers of the addresses of the first engine and the platform
 BOUNDS = {
     "seedLagS": 3,
     "reuseAfterS": 2,
@@ -36,7 +36,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Machine:
-    """`kind`: CORE or EDGE."""
+    """A machine that runs one process. `kind`: CORE or EDGE."""
 
     name: str
     kind: str
@@ -50,8 +50,16 @@
 
 @dataclass(slots=True)
 class Site:
-    """`network`: the first three numbers of all addresses, so that two sites at once don't meet; `zones`:
-    with their regions; `cores`, `edges`, `engines`: the zone of each; `tolerated`: machines."""
+    """The machines and settings of a deployment.
+
+    network: first three numbers of all addresses; two sites that run at once need different ones
+    zones: the region of each zone
+    cores, edges, engines: the zone of each core, edge and upstream
+    tolerated: number of machines that may be lost
+    bounds: time bounds and limits of the rules, by their names in the settings
+    rate_per_s: calls a second that the platform allows
+    max_lag_ms: lag of the platform's list, ms
+    """
 
     network: str
     zones: dict[str, str]
@@ -83,11 +91,12 @@
         return f"{self.network}.{PLATFORM_HOST}", PLATFORM
 
     def engine(self, number: int) -> tuple[str, int]:
-        """The address of one of the upstreams, from 0."""
+        """Returns the address of the upstream with this number, from 0."""
         return f"{self.network}.{FIRST_ENGINE + number}", ENGINE
 
     def settings(self, machine: Machine, folder: Path | None, first: bool) -> dict:
-        """As in DEPLOY, "Settings of a process". `first`: the first start of the whole system."""
+        """Returns settings as in DEPLOY, "Settings of a process". `first`: whether the system starts for the
+        first time."""
         core = machine.kind == CORE
         listen = (
             {"control": CONTROL, "directory": DIRECTORY} if core else {"front": FRONT, "readiness": READINESS}
@@ -130,5 +139,5 @@
         }
 
     def write(self, machine: Machine, path: Path, folder: Path | None, first: bool) -> None:
-        """The settings file of a machine's process."""
+        """Writes the settings file of a machine's process."""
         path.write_text(yaml.safe_dump(self.settings(machine, folder, first), sort_keys=False))
--- a/shedgrade/lab/system/world.py
+++ b/shedgrade/lab/system/world.py
@@ -1,4 +1,4 @@
-"""A site with all its parts: processes, platform, upstreams, clients, operators."""
+"""Runs a site with all its parts: processes, platform, upstreams, clients, operators."""
 
 import asyncio
 from collections.abc import Callable
@@ -14,11 +14,16 @@
 from shedgrade.lab.system.platform import InstanceDirectory, PlatformServer
 from shedgrade.lab.system.site import CORE, DIRECTORY, EDGE, FRONT, Site
 
-LOOK = 0.05  # s between two looks at something that others bring about
+LOOK = 0.05  # s between two checks of an awaited condition
 
 
 class World:
-    """Brings a site up and down. `services`: of each upstream; `kinds`: what clients ask for."""
+    """Starts and stops a site.
+
+    services: the service of each upstream, by its number
+    engines: engine settings by service
+    kinds: the kinds of requests that clients send
+    """
 
     def __init__(
         self,
@@ -67,12 +72,12 @@
         )
 
     def registries(self, zone: str) -> list[str]:
-        """Nearest first."""
+        """Returns the addresses of the directory, nearest to the zone first."""
         region = self.site.zones[zone]
         near = sorted(self.site.of(CORE), key=lambda core: (core.zone != zone, core.region != region))
         return [core.address(DIRECTORY) for core in near]
 
-    # --- up and down
+    # --- start and stop
 
     async def __aenter__(self) -> "World":
         self.starting = self.trouble("the system starts")
@@ -86,7 +91,7 @@
         return self
 
     async def __aexit__(self, kind, failure: BaseException | None, trace) -> None:
-        """What each process and member said goes with a failure, as its folder may be gone afterwards."""
+        """Adds the output and status of each process to a failure, as the folder may be gone afterwards."""
         if failure is not None:
             for name in self.launcher.machines:
                 state = "runs" if self.launcher.running(name) else "does not run"
@@ -105,8 +110,10 @@
         await asyncio.sleep(0)
 
     async def until(self, condition: Callable[[], object], limit: float) -> object:
-        """What `condition` (plain, or a coroutine function) says once it is true. TimeoutError after `limit`
-        s."""
+        """Returns the result of `condition`, a function or coroutine function, once it is true.
+
+        Raises TimeoutError after `limit` seconds.
+        """
         async with asyncio.timeout(limit):
             while True:
                 told = condition()
@@ -116,18 +123,18 @@
                     return told
                 await asyncio.sleep(LOOK)
 
-    # --- what is known of the system
+    # --- state of the system
 
     async def status(self) -> list[dict]:
         return await statuses(self.site.control())
 
     async def primary(self) -> str | None:
-        """The name of the machine that acts as primary, by the newest epoch that any member tells of."""
+        """Returns the primary's machine, by the newest epoch that a member reports; None without one."""
         told = [one for one in await self.status() if one["role"] == "primary"]
         return max(told, key=lambda one: one["epoch"])["node"] if told else None
 
     async def in_force(self) -> dict[str, int | None]:
-        """The version that each edge holds, as its member knows it."""
+        """Returns the newest configuration version of each edge, as members report it."""
         held: dict[str, int | None] = {}
         for status in await self.status():
             for edge in status["edges"]:
@@ -136,7 +143,7 @@
         return held
 
     async def serving(self) -> bool:
-        """Every client would be told of some edge."""
+        """Returns whether each zone's clients have the address of some edge."""
         for clients in self.clients.values():
             await clients.resolve(self.kinds[0].host)
         return all(clients.addresses for clients in self.clients.values())
@@ -144,7 +151,7 @@
     # --- traffic
 
     def traffic(self, share: float = 1.0) -> None:
-        """An open loop: each kind at its rate, from every zone alike, by chance."""
+        """Starts open-loop traffic: Poisson arrivals of each kind at its rate, from a random zone each."""
         for kind in self.kinds:
             task = self.loop.create_task(self.arrivals(kind, share, Random(self.random.getrandbits(32))))
             self.generating.append(task)
@@ -157,7 +164,7 @@
             self.ask(kind, random.choice(list(self.clients)))
 
     def ask(self, kind: Kind, zone: str) -> asyncio.Task:
-        """One request of a client in a zone; the task's result is its `Asked`."""
+        """Sends a request from a client in a zone; the task's result is its `Asked`."""
         self.number += 1
         task = self.loop.create_task(self.clients[zone].play(self.number, kind))
         self.tasks.add(task)
@@ -165,17 +172,20 @@
         return task
 
     async def quiet(self) -> list[Asked]:
-        """No more requests; those in hand come to their end."""
+        """Stops new requests and waits for those in flight."""
         for task in self.generating:
             task.cancel()
         await asyncio.gather(*self.generating, return_exceptions=True)
         self.generating.clear()
         return list(await asyncio.gather(*self.tasks))
 
-    # --- troubles
+    # --- disturbances
 
     def trouble(self, what: str) -> int:
-        """From now on, until `calmed`; rules bound by time do not hold. Its number."""
+        """Begins a disturbance and returns its number.
+
+        Until `calmed`, rules with time bounds do not apply.
+        """
         self.history.troubles.append((self.clock(), float("inf"), what))
         return len(self.history.troubles) - 1
 
@@ -184,13 +194,13 @@
         self.history.troubles[number] = (begun, self.clock() + self.site.bounds["contactMs"] / 1000, what)
 
     async def kill(self, name: str) -> int:
-        """Number of the trouble."""
+        """Kills a machine's process; returns the number of the disturbance."""
         number = self.trouble(f"{name} killed")
         await self.launcher.kill(name)
         return number
 
     async def read_back(self) -> None:
-        """At the end: what the system says it holds."""
+        """Records, at the end, the configuration and the evacuations that the system reports."""
         self.history.read_back = await self.operator.read_back(2 * self.site.bounds["contactMs"] / 1000)
         told = await self.status()
         if told:
