--- a/shedgrade/lab/system/clients.py
+++ b/shedgrade/lab/system/clients.py
@@ -10,15 +10,15 @@
 from shedgrade.lab.system.history import Asked, History, Kind, Try
 from shedgrade.lab.system.link import ClientLink
 
-ASKED = 3  # registries that a client asks at the most
-MORE = 3  # some clients keep a resolution for this multiple of its time to live
-OPENS = 1.0  # s for a new connection
-PROMISES = frozenset((408, 421, 429, 503))  # promise that the request did not run
-FINAL = frozenset((400, 401, 404, 413, 431))  # forbid a retry
-AVOIDS = 5.0  # s for which an address that failed is skipped
-PAUSE = 0.02  # s before a retry without Retry-After
-SILENCE = 2.0  # least s without data after which a stream is given up
-KEEPS = 0.7  # share of the first tries that use a kept connection, if there is one
+MAX_REGISTRIES_ASKED = 3
+STALE_TTL_FACTOR = 3  # some clients keep a resolution for this multiple of its time to live
+CONNECT_TIMEOUT_S = 1.0
+NOT_EXECUTED_STATUSES = frozenset((408, 421, 429, 503))  # promise that the request did not run
+FINAL_STATUSES = frozenset((400, 401, 404, 413, 431))  # forbid a retry
+FAILED_ADDRESS_SKIP_S = 5.0
+RETRY_PAUSE_S = 0.02  # s before a retry without Retry-After
+MIN_STREAM_SILENCE_S = 2.0  # least s without data after which a stream is given up
+KEPT_CONNECTION_SHARE = 0.7  # share of the first tries that use a kept connection, if there is one
 
 
 class Clients:
@@ -43,11 +43,11 @@
         self.zone, self.region, self.registries = zone, region, registries
         self.history, self.random, self.clock, self.ttl_max = told, random, clock, ttl_max
         self.addresses: list[str] = []
-        self.until = 0.0
+        self.addresses_valid_until = 0.0
         self.resolving: asyncio.Task | None = None
-        self.failed: dict[str, float] = {}
-        self.kept: dict[str, list[ClientLink]] = {}
-        self.holds_long = random.random() < 0.2
+        self.skipped_until: dict[str, float] = {}
+        self.kept_connections: dict[str, list[ClientLink]] = {}
+        self.keeps_stale = random.random() < 0.2
 
     # --- address resolution
 
@@ -56,16 +56,16 @@
 
         Waits for the call only if there are no addresses; old ones stay in use until a registry answers.
         """
-        if self.clock() < self.until:
+        if self.clock() < self.addresses_valid_until:
             return
         if self.resolving is None or self.resolving.done():
-            self.resolving = asyncio.get_running_loop().create_task(self.ask(host))
+            self.resolving = asyncio.get_running_loop().create_task(self.query_registries(host))
         if not self.addresses:
             await asyncio.shield(self.resolving)
 
-    async def ask(self, host: str) -> None:
+    async def query_registries(self, host: str) -> None:
         path = f"/resolution?name={host}&region={self.region}&zone={self.zone}"
-        for registry in self.registries[:ASKED]:
+        for registry in self.registries[:MAX_REGISTRIES_ASKED]:
             try:
                 answer = await call(registry, "GET", path, timeout=1.0)
                 told = json.loads(answer.body) if answer.status == 200 else {}
@@ -73,16 +73,16 @@
             except (*FAILURES, ValueError, KeyError, TypeError):
                 continue
             self.addresses = addresses
-            held = min(ttl, self.ttl_max) * (MORE if self.holds_long else 1)
-            self.until = self.clock() + held
-            for address in [one for one in self.kept if one not in addresses]:
-                for link in self.kept.pop(address):
+            held = min(ttl, self.ttl_max) * (STALE_TTL_FACTOR if self.keeps_stale else 1)
+            self.addresses_valid_until = self.clock() + held
+            for address in [one for one in self.kept_connections if one not in addresses]:
+                for link in self.kept_connections.pop(address):
                     link.close()
             return
 
     def choose(self) -> str | None:
         now = self.clock()
-        well = [one for one in self.addresses if self.failed.get(one, 0.0) <= now]
+        well = [one for one in self.addresses if self.skipped_until.get(one, 0.0) <= now]
         return self.random.choice(well or self.addresses) if self.addresses else None
 
     # --- one request
@@ -97,9 +97,9 @@
             if until - self.clock() < 0.01:
                 break
             await self.resolve(kind.host)
-            one = await self.once(asked, turn, until, after)
+            one = await self.try_once(asked, turn, until, after)
             if one is None:
-                await asyncio.sleep(min(PAUSE * 5, max(0.0, until - self.clock())))
+                await asyncio.sleep(min(RETRY_PAUSE_S * 5, max(0.0, until - self.clock())))
                 continue
             if one.events:
                 after = one.events[-1][0]
@@ -107,26 +107,30 @@
             if one.success:
                 asked.outcome, asked.first_at = "served", asked.first_at or one.first_at
                 break
-            if not self.again(one):
+            if not self.may_retry(one):
                 break
-            wait = PAUSE if one.retry_after is None else min(one.retry_after, (until - self.clock()) / 3)
+            wait = (
+                RETRY_PAUSE_S if one.retry_after is None else min(one.retry_after, (until - self.clock()) / 3)
+            )
             await asyncio.sleep(max(0.0, min(wait, until - self.clock())))
         asked.ended_at = self.clock()
         if not asked.outcome:
-            asked.outcome = "refused" if asked.tries and asked.tries[-1].status in PROMISES else "failed"
+            asked.outcome = (
+                "refused" if asked.tries and asked.tries[-1].status in NOT_EXECUTED_STATUSES else "failed"
+            )
         return asked
 
-    def again(self, one: Try) -> bool:
+    def may_retry(self, one: Try) -> bool:
         """Returns whether another try may follow this one."""
-        if one.status in FINAL and one.whole:
+        if one.status in FINAL_STATUSES and one.whole:
             return False
         return (
             one.kind.idempotent
-            or (one.whole and one.status in PROMISES)
+            or (one.whole and one.status in NOT_EXECUTED_STATUSES)
             or (one.failure == history.UNCONNECTED)
         )
 
-    async def once(self, asked: Asked, turn: int, until: float, after: int) -> Try | None:
+    async def try_once(self, asked: Asked, turn: int, until: float, after: int) -> Try | None:
         """Makes one try; returns None if there is no address to send it to."""
         kind, random = asked.kind, self.random
         address = self.choose()
@@ -147,15 +151,15 @@
         )
         asked.tries.append(one)
         self.history.tries[one.attempt] = one
-        link = self.take(address) if turn == 0 and random.random() < KEEPS else None
+        link = self.take_kept(address) if turn == 0 and random.random() < KEPT_CONNECTION_SHARE else None
         if link is None:
-            link = await self.open(address)
+            link = await self.connect(address)
         if link is None:
             one.failure, one.ended_at = history.UNCONNECTED, self.clock()
-            self.failed[address] = self.clock() + AVOIDS
+            self.skipped_until[address] = self.clock() + FAILED_ADDRESS_SKIP_S
             return one
         silence = (
-            max(SILENCE, 4 * kind.target_ms / 1000, 8 * kind.gap_ms / 1000)
+            max(MIN_STREAM_SILENCE_S, 4 * kind.target_ms / 1000, 8 * kind.gap_ms / 1000)
             if kind.streams
             else (float("inf"))
         )
@@ -163,8 +167,8 @@
         await link.exchange(one, self.request(one, body, left), until, silence)
         one.ended_at = self.clock()
         if one.failure:
-            self.failed[address] = self.clock() + AVOIDS
-        self.give_back(address, link)
+            self.skipped_until[address] = self.clock() + FAILED_ADDRESS_SKIP_S
+        self.keep_or_close(address, link)
         return one
 
     def request(self, one: Try, body: bytes, left: float) -> bytes:
@@ -190,8 +194,8 @@
 
     # --- connections
 
-    def take(self, address: str) -> ClientLink | None:
-        links = self.kept.get(address, [])
+    def take_kept(self, address: str) -> ClientLink | None:
+        links = self.kept_connections.get(address, [])
         while links:
             link = links.pop()
             if link.usable(self.clock()):
@@ -199,10 +203,10 @@
             link.close()
         return None
 
-    async def open(self, address: str) -> ClientLink | None:
+    async def connect(self, address: str) -> ClientLink | None:
         host, _, port = address.rpartition(":")
         try:
-            async with asyncio.timeout(OPENS):
+            async with asyncio.timeout(CONNECT_TIMEOUT_S):
                 loop = asyncio.get_running_loop()
                 _, link = await loop.create_connection(
                     lambda: ClientLink(self.clock, self.history.stray), host, int(port)
@@ -211,15 +215,15 @@
             return None
         return link
 
-    def give_back(self, address: str, link: ClientLink) -> None:
+    def keep_or_close(self, address: str, link: ClientLink) -> None:
         if link.usable(self.clock()) and address in self.addresses:
-            self.kept.setdefault(address, []).append(link)
+            self.kept_connections.setdefault(address, []).append(link)
         else:
             link.close()
 
     def close(self) -> None:
         if self.resolving is not None:
             self.resolving.cancel()
-        for links in self.kept.values():
+        for links in self.kept_connections.values():
             for link in links:
                 link.close()
--- a/shedgrade/lab/system/demo.py
+++ b/shedgrade/lab/system/demo.py
@@ -53,7 +53,7 @@
     Kind("find", "safe", HOST, "/find/", LOOKUP, 8.0, 3_000, 300),
     Kind("book", "unsafe", HOST, "/book/", LOOKUP, 4.0, 3_000, 300),
 ]
-STARTS = 30.0  # greatest time for the system to start, s
+START_TIMEOUT_S = 30.0  # greatest time for the system to start, s
 
 
 def network() -> str:
@@ -165,7 +165,7 @@
 
     async def kill_primary(self, away: float) -> None:
         world = self.world
-        name = await world.until(world.primary, STARTS)
+        name = await world.until(world.primary, START_TIMEOUT_S)
         number = await world.kill(name)
         self.lines.note(f"{name}, the primary, is killed")
         await asyncio.sleep(away)
@@ -234,7 +234,7 @@
 
 async def begin(world: World) -> None:
     """Waits until each client's directory would return an edge that serves."""
-    await world.until(world.serving, STARTS)
+    await world.until(world.serving, START_TIMEOUT_S)
     world.calmed(world.starting)
 
 
--- a/shedgrade/lab/system/fleet.py
+++ b/shedgrade/lab/system/fleet.py
@@ -8,7 +8,7 @@
 from shedgrade.lab.system.platform import AVAILABLE, DRAINING, Entry, InstanceDirectory
 from shedgrade.lab.system.site import Site
 
-CRASHED_SHOWN = 2.0  # s for which a crashed upstream stays on the list
+CRASHED_SHOWN_S = 2.0  # s for which a crashed upstream stays on the list
 
 
 class Fleet:
@@ -81,14 +81,14 @@
             await self.start(number)
 
     def crash(self, number: int) -> None:
-        """Stops an upstream at once; the list shows it for `CRASHED_SHOWN` seconds more."""
+        """Stops an upstream at once; the list shows it for `CRASHED_SHOWN_S` seconds more."""
         self.servers[number].close()
         self.crashed(number)
 
     def crashed(self, number: int) -> None:
         now, server = self.loop.time(), self.servers.pop(number)
-        self.history.troubles.append((now, now + CRASHED_SHOWN, f"{server.upstream.instance} crashed"))
-        self.later(CRASHED_SHOWN, self.forget, server.upstream.instance)
+        self.history.troubles.append((now, now + CRASHED_SHOWN_S, f"{server.upstream.instance} crashed"))
+        self.later(CRASHED_SHOWN_S, self.forget, server.upstream.instance)
 
     def drain(self, number: int) -> None:
         """Drains an upstream.
--- a/shedgrade/lab/system/judge.py
+++ b/shedgrade/lab/system/judge.py
@@ -11,8 +11,10 @@
 from shedgrade.lab.system.history import Breach, History, Try
 from shedgrade.lab.system.orders import Configurations
 
-PROMISES = frozenset((408, 421, 429, 503))  # promise that the request did not run
-LED_ABROAD = 0.05  # greatest share of requests with homes that the directory may lead to other regions
+NOT_EXECUTED_STATUSES = frozenset((408, 421, 429, 503))  # promise that the request did not run
+MAX_LED_ABROAD_SHARE = (
+    0.05  # greatest share of requests with homes that the directory may lead to other regions
+)
 
 
 def judge(
@@ -94,7 +96,7 @@
         return
     if len(ran) > 1:
         yield Breach("TWICE", f"{one.kind.name} {one.attempt} ran at {', '.join(ran)}")
-    if ran and one.whole and one.status in PROMISES:
+    if ran and one.whole and one.status in NOT_EXECUTED_STATUSES:
         yield Breach("REFUSED", f"{one.kind.name} {one.attempt} ran, and was answered {one.status}")
 
 
@@ -127,7 +129,7 @@
     """The directory must lead clients to home regions of the request or to their own region."""
     bound = [one for one in told.tries.values() if one.kind.homes and one.sidecar in told.edge_regions]
     abroad = [one for one in bound if told.edge_regions[one.sidecar] not in (*one.kind.homes, one.region)]
-    if len(abroad) > LED_ABROAD * len(bound):
+    if len(abroad) > MAX_LED_ABROAD_SHARE * len(bound):
         yield Breach(
             "HOME",
             f"{len(abroad)} of {len(bound)} requests with homes were led to other regions, "
--- a/shedgrade/lab/system/launcher.py
+++ b/shedgrade/lab/system/launcher.py
@@ -11,7 +11,7 @@
 
 ROOT = Path(__file__).resolve().parents[3]
 PROGRAMS = {True: "shedgrade.controlplane", False: "shedgrade.dataplane"}
-SAID = 1500  # shown characters of a process's output
+OUTPUT_TAIL_CHARACTERS = 1500
 
 
 class Launcher:
@@ -36,7 +36,7 @@
     def said(self, name: str) -> str:
         """Returns the end of the output of a machine's processes."""
         log = self.log(name)
-        return log.read_text(errors="replace")[-SAID:] if log.exists() else ""
+        return log.read_text(errors="replace")[-OUTPUT_TAIL_CHARACTERS:] if log.exists() else ""
 
     async def start(self, name: str) -> None:
         """Starts a machine's process with the present settings.
--- a/shedgrade/lab/system/operators.py
+++ b/shedgrade/lab/system/operators.py
@@ -12,11 +12,11 @@
 from shedgrade.lab.system.calls import FAILURES, Answer, call
 from shedgrade.lab.system.history import History, Order
 
-ENDS = frozenset((400, 409, 412, 413, 422))  # clear refusals
-AGAIN = frozenset((408, 429))  # retried without a limit on their number
-TRIES = 3  # answers with any other 4xx after which the last one counts
-SILENCE = 1.0  # s for one call
-FIRST_PAUSE, LONGEST_PAUSE = 0.05, 0.5  # s between two calls
+FINAL_STATUSES = frozenset((400, 409, 412, 413, 422))  # clear refusals
+RETRIED_STATUSES = frozenset((408, 429))  # retried without a limit on their number
+MAX_OTHER_REFUSALS = 3  # answers with any other 4xx after which the last one counts
+CALL_TIMEOUT_S = 1.0
+FIRST_PAUSE_S, LONGEST_PAUSE_S = 0.05, 0.5  # s between two calls
 
 
 class Operator:
@@ -68,22 +68,22 @@
         self, method: str, path: str, body: bytes | None, headers: dict, until: float
     ) -> Answer | None:
         """Returns the first clear answer; None if none arrives by the time `until`."""
-        turn, others, pause = self.random.randrange(len(self.addresses)), 0, FIRST_PAUSE
+        turn, others, pause = self.random.randrange(len(self.addresses)), 0, FIRST_PAUSE_S
         while (left := until - self.clock()) > 0:
             address = self.addresses[turn % len(self.addresses)]
             try:
-                answer = await self.follow(address, method, path, body, headers, min(SILENCE, left))
+                answer = await self.follow(address, method, path, body, headers, min(CALL_TIMEOUT_S, left))
             except (*FAILURES, ValueError):
                 answer = None
-            if answer is not None and (answer.status < 300 or answer.status in ENDS):
+            if answer is not None and (answer.status < 300 or answer.status in FINAL_STATUSES):
                 return answer
-            if answer is not None and 400 <= answer.status < 500 and answer.status not in AGAIN:
+            if answer is not None and 400 <= answer.status < 500 and answer.status not in RETRIED_STATUSES:
                 others += 1
-                if others >= TRIES:
+                if others >= MAX_OTHER_REFUSALS:
                     return answer
             turn += 1
             await asyncio.sleep(max(0.0, min(pause * self.random.uniform(0.5, 1.0), until - self.clock())))
-            pause = min(2 * pause, LONGEST_PAUSE)
+            pause = min(2 * pause, LONGEST_PAUSE_S)
         return None
 
     async def follow(
--- a/shedgrade/lab/system/platform.py
+++ b/shedgrade/lab/system/platform.py
@@ -9,7 +9,7 @@
 from shedgrade.http.server import HttpServer, Reply, Request, failure
 from shedgrade.runtime.log import logger
 
-PAGE = 50  # entries on a page
+PAGE_SIZE = 50  # entries on a page
 AVAILABLE, DRAINING = "available", "draining"
 
 
@@ -89,10 +89,10 @@
         shown = [entry for entry in self.shown(now) if zone in (None, "", entry.zone)]
         digits = (token or "p-0").removeprefix("p-")
         first = int(digits) if digits.isdigit() else 0
-        rest = first + PAGE < len(shown)
+        rest = first + PAGE_SIZE < len(shown)
         return {
-            "instanceList": [entry.told(now) for entry in shown[first : first + PAGE]],
-            "nextToken": f"p-{first + PAGE}" if rest else None,
+            "instanceList": [entry.told(now) for entry in shown[first : first + PAGE_SIZE]],
+            "nextToken": f"p-{first + PAGE_SIZE}" if rest else None,
         }
 
 
--- a/shedgrade/lab/system/world.py
+++ b/shedgrade/lab/system/world.py
@@ -14,7 +14,7 @@
 from shedgrade.lab.system.platform import InstanceDirectory, PlatformServer
 from shedgrade.lab.system.site import CORE, DIRECTORY, EDGE, FRONT, Site
 
-LOOK = 0.05  # s between two checks of an awaited condition
+POLL_INTERVAL_S = 0.05  # s between two checks of an awaited condition
 
 
 class World:
@@ -121,7 +121,7 @@
                     told = await told
                 if told:
                     return told
-                await asyncio.sleep(LOOK)
+                await asyncio.sleep(POLL_INTERVAL_S)
 
     # --- state of the system
 
--- a/tests/lab_system/test_system_platform.py
+++ b/tests/lab_system/test_system_platform.py
@@ -5,7 +5,7 @@
 from dataclasses import replace
 
 from shedgrade.lab.system.calls import call
-from shedgrade.lab.system.platform import DRAINING, PAGE, Entry, InstanceDirectory, PlatformServer
+from shedgrade.lab.system.platform import DRAINING, PAGE_SIZE, Entry, InstanceDirectory, PlatformServer
 
 
 def entry(number=1, zone="quay", **more):
@@ -50,7 +50,9 @@
 
 def test_pages_follow_each_other_and_zones_are_told_apart():
     directory = InstanceDirectory(0.0, 10)
-    directory.set(0.0, [entry(number, "quay" if number % 2 else "mill") for number in range(2 * PAGE + 3)])
+    directory.set(
+        0.0, [entry(number, "quay" if number % 2 else "mill") for number in range(2 * PAGE_SIZE + 3)]
+    )
     seen, token = [], None
     while True:
         page = directory.page(1.0, None, token)
@@ -58,9 +60,9 @@
         token = page["nextToken"]
         if token is None:
             break
-    assert seen == [f"i-{number}" for number in range(2 * PAGE + 3)]
-    assert len(names(directory.page(1.0, "mill", None))) == PAGE
-    assert {one["zone"] for one in directory.page(1.0, "mill", f"p-{PAGE}")["instanceList"]} == {"mill"}
+    assert seen == [f"i-{number}" for number in range(2 * PAGE_SIZE + 3)]
+    assert len(names(directory.page(1.0, "mill", None))) == PAGE_SIZE
+    assert {one["zone"] for one in directory.page(1.0, "mill", f"p-{PAGE_SIZE}")["instanceList"]} == {"mill"}
 
 
 def test_an_entry_tells_how_long_it_is_cold_and_how_long_it_has_left():
