--- a/shedgrade/lab/system/judge.py
+++ b/shedgrade/lab/system/judge.py
@@ -12,9 +12,8 @@
 from shedgrade.lab.system.orders import Configurations
 
 NOT_EXECUTED_STATUSES = frozenset((408, 421, 429, 503))  # promise that the request did not run
-MAX_LED_ABROAD_SHARE = (
-    0.05  # greatest share of requests with homes that the directory may lead to other regions
-)
+# Greatest share of requests with homes that the directory may lead to other regions.
+MAX_LED_ABROAD_SHARE = 0.05
 
 
 def judge(
@@ -32,32 +31,32 @@
         runs[run.attempt].append(run)
     found: list[Breach] = [Breach("MIXED", text) for text in told.stray]
     for one in told.tries.values():
-        found += answer(one, runs[one.attempt], key)
-        found += promises(one, runs[one.attempt])
-    found += arrivals(told, zones)
-    found += led_abroad(told)
-    found += evacuated(told, bounds)
-    found += drained(told, bounds)
-    found += retries(told, bounds)
-    found += cold(told, bounds, cold_rate)
-    found += lost(told, runs)
+        found += answer_breaches(one, runs[one.attempt], key)
+        found += repeat_breaches(one, runs[one.attempt])
+    found += arrival_breaches(told, zones)
+    found += redirection_breaches(told)
+    found += evacuation_breaches(told, bounds)
+    found += drain_breaches(told, bounds)
+    found += retry_budget_breaches(told, bounds)
+    found += cold_start_breaches(told, bounds, cold_rate)
+    found += lost_answer_breaches(told, runs)
     configurations = Configurations(told.orders)
-    found += orders.taken(told)
-    found += orders.acknowledged(told, bounds)
-    found += orders.in_force(told, configurations, bounds)
-    found += orders.kept(told)
+    found += orders.acceptance_breaches(told)
+    found += orders.acknowledgement_breaches(told, bounds)
+    found += orders.routing_breaches(told, configurations, bounds)
+    found += orders.durability_breaches(told)
     return found
 
 
 # --- answers
 
 
-def answer(one: Try, runs: list[Run], key: bytes) -> Iterator[Breach]:
+def answer_breaches(one: Try, runs: list[Run], key: bytes) -> Iterator[Breach]:
     """A successful answer must be an upstream's, complete and in order, and belong to this request."""
     name = f"{one.kind.name} {one.attempt}"
     if one.surplus:
         yield Breach("MIXED", f"{name}: more than its answer came")
-    yield from events(one, name)
+    yield from event_breaches(one, name)
     if not one.success:
         return
     if one.echoed and one.echoed != one.attempt:
@@ -77,7 +76,7 @@
         yield Breach("MIXED", f"{name}: {len(one.body)} bytes that are not the upstream's answer")
 
 
-def events(one: Try, name: str) -> Iterator[Breach]:
+def event_breaches(one: Try, name: str) -> Iterator[Breach]:
     expected = one.after + 1
     for number, mark, _ in one.events:
         if number != expected:
@@ -89,7 +88,7 @@
         expected += 1
 
 
-def promises(one: Try, runs: list[Run]) -> Iterator[Breach]:
+def repeat_breaches(one: Try, runs: list[Run]) -> Iterator[Breach]:
     """A request that may not be repeated runs at most once, and not at all if its answer promised that."""
     ran = [run.instance for run in runs if run.ran_at is not None]
     if one.kind.idempotent:
@@ -100,7 +99,7 @@
         yield Breach("REFUSED", f"{one.kind.name} {one.attempt} ran, and was answered {one.status}")
 
 
-def lost(told: History, runs: dict[str, list[Run]]) -> Iterator[Breach]:
+def lost_answer_breaches(told: History, runs: dict[str, list[Run]]) -> Iterator[Breach]:
     """Without a disturbance, a request that was passed on gets an answer unless its upstream broke off."""
     for one in told.tries.values():
         passed = runs[one.attempt]
@@ -112,7 +111,7 @@
 # --- what arrives at upstreams
 
 
-def arrivals(told: History, zones: dict[str, str]) -> Iterator[Breach]:
+def arrival_breaches(told: History, zones: dict[str, str]) -> Iterator[Breach]:
     for run in told.runs:
         one = told.tries.get(run.attempt)
         if one is None:
@@ -125,7 +124,7 @@
             yield Breach("HOME", f"{one.kind.name} {run.attempt} arrived in {zones[run.zone]}, not at home")
 
 
-def led_abroad(told: History) -> Iterator[Breach]:
+def redirection_breaches(told: History) -> Iterator[Breach]:
     """The directory must lead clients to home regions of the request or to their own region."""
     bound = [one for one in told.tries.values() if one.kind.homes and one.sidecar in told.edge_regions]
     abroad = [one for one in bound if told.edge_regions[one.sidecar] not in (*one.kind.homes, one.region)]
@@ -137,7 +136,7 @@
         )
 
 
-def evacuated(told: History, bounds: dict[str, float]) -> Iterator[Breach]:
+def evacuation_breaches(told: History, bounds: dict[str, float]) -> Iterator[Breach]:
     spans = []
     for order in told.orders:
         if order.verb == "evacuate" and order.taken:
@@ -165,7 +164,7 @@
                 yield Breach("EVAC", f"{run.attempt} arrived in {zone} {run.at - begins:.2f} s late")
 
 
-def drained(told: History, bounds: dict[str, float]) -> Iterator[Breach]:
+def drain_breaches(told: History, bounds: dict[str, float]) -> Iterator[Breach]:
     contact = bounds["contactMs"] / 1000
     for run in told.runs:
         shown = told.drained.get(run.instance)
@@ -179,7 +178,7 @@
             yield Breach("DRAIN", f"{run.attempt} arrived at {run.instance} {late:.2f} s late")
 
 
-def retries(told: History, bounds: dict[str, float]) -> Iterator[Breach]:
+def retry_budget_breaches(told: History, bounds: dict[str, float]) -> Iterator[Breach]:
     """Limits arrivals beyond the first of each try, in every window, to the retry budget of all sidecars."""
     window, ratio, slack = bounds["retryWindowS"], bounds["retryBudgetRatio"], bounds["retrySlack"]
     seen: Counter = Counter()
@@ -200,7 +199,7 @@
                 break
 
 
-def cold(told: History, bounds: dict[str, float], rate: float) -> Iterator[Breach]:
+def cold_start_breaches(told: History, bounds: dict[str, float], rate: float) -> Iterator[Breach]:
     if not rate:
         return
     most = rate * bounds["coldExcess"] + bounds["coldSlack"]
--- a/shedgrade/lab/system/orders.py
+++ b/shedgrade/lab/system/orders.py
@@ -23,7 +23,7 @@
         self.refused = [order for order in puts if order.status and not order.taken]
 
     @staticmethod
-    def services(order: Order, host: str, target: str) -> frozenset[str] | None:
+    def services_for(order: Order, host: str, target: str) -> frozenset[str] | None:
         """Returns the services to which a request may be routed; None without a route."""
         best, found = -1, None
         for route in json.loads(order.body)["routeList"]:
@@ -44,7 +44,7 @@
         return [order for order in (*self.taken, *self.unclear) if order.version >= least]
 
 
-def taken(told: History) -> Iterator[Breach]:
+def acceptance_breaches(told: History) -> Iterator[Breach]:
     """No invalid configuration is acknowledged, and at most one of those that replace the same version."""
     bases = defaultdict(set)
     for order in told.orders:
@@ -57,7 +57,7 @@
             yield Breach("CONFIG", f"{len(bodies)} changes on top of version {base} were acknowledged")
 
 
-def acknowledged(told: History, bounds: dict[str, float]) -> Iterator[Breach]:
+def acknowledgement_breaches(told: History, bounds: dict[str, float]) -> Iterator[Breach]:
     """Without a disturbance, each order that is taken or gets no clear answer ends within `ackMs`.
 
     A configuration has 3 ms more for each of its routes.
@@ -71,7 +71,9 @@
             yield Breach("Acks", f"{order.verb} {order.zone or order.version} waited {took:.1f} s")
 
 
-def in_force(told: History, configurations: Configurations, bounds: dict[str, float]) -> Iterator[Breach]:
+def routing_breaches(
+    told: History, configurations: Configurations, bounds: dict[str, float]
+) -> Iterator[Breach]:
     """Each run, and each 404, agrees with a configuration that may be in force."""
     apply, contact = bounds["configApplyMs"] / 1000, bounds["contactMs"] / 1000
     ever = [*configurations.taken, *configurations.unclear, *configurations.refused]
@@ -80,12 +82,12 @@
         if one is None or run.ran_at is None:
             continue
         host, target = one.kind.host, one.target
-        if not allowed(ever, host, target, run.service):
+        if not is_allowed(ever, host, target, run.service):
             yield Breach("ROUTE", f"{run.service} ran {run.target}, which no configuration allows")
             continue
         calm = told.calm(one.sent_at - contact, run.at)
         may = configurations.may_be_in_force(one.sent_at, apply, calm)
-        if not allowed(may, host, target, run.service):
+        if not is_allowed(may, host, target, run.service):
             yield Breach("CONFIG", f"{run.service} ran {run.target}, as only old or refused versions allow")
     for one in told.tries.values():
         calm = told.calm(one.sent_at - contact, one.ended_at)
@@ -94,16 +96,16 @@
             one.whole
             and one.status == 404
             and may
-            and all(configurations.services(order, one.kind.host, one.target) for order in may)
+            and all(configurations.services_for(order, one.kind.host, one.target) for order in may)
         ):
             yield Breach("CONFIG", f"{one.target} is answered 404 by {one.sidecar}, but has a route")
 
 
-def allowed(may: Iterable[Order], host: str, target: str, service: str) -> bool:
-    return any(service in (Configurations.services(order, host, target) or ()) for order in may)
+def is_allowed(may: Iterable[Order], host: str, target: str, service: str) -> bool:
+    return any(service in (Configurations.services_for(order, host, target) or ()) for order in may)
 
 
-def kept(told: History) -> Iterator[Breach]:
+def durability_breaches(told: History) -> Iterator[Breach]:
     """Acknowledged orders are in effect at the end."""
     puts = [order for order in told.orders if order.verb == "put" and order.valid]
     acknowledged = max((order.version for order in puts if order.taken), default=0)
@@ -120,11 +122,11 @@
             elif told.read_back not in sent:
                 yield Breach("CONFIG", f"what was read back as version {version} is not what was sent")
     if told.evacuated_at_end is not None:
-        for zone, last in last_orders(told).items():
+        for zone, last in last_orders_by_zone(told).items():
             if last.taken and (last.verb == "evacuate") != (zone in told.evacuated_at_end):
                 yield Breach("LOST", f"the last order for {zone}, {last.verb}, is not there at the end")
 
 
-def last_orders(told: History) -> dict[str, Order]:
+def last_orders_by_zone(told: History) -> dict[str, Order]:
     """Returns the last order for each zone."""
     return {order.zone: order for order in told.orders if order.zone}
