--- a/shedgrade/lab/system/clients.py
+++ b/shedgrade/lab/system/clients.py
@@ -7,7 +7,7 @@
 from shedgrade.engines import content
 from shedgrade.lab.system import history
 from shedgrade.lab.system.calls import FAILURES, call
-from shedgrade.lab.system.history import Asked, History, Kind, Try
+from shedgrade.lab.system.history import ClientRequest, History, Kind, Try
 from shedgrade.lab.system.link import ClientLink
 
 MAX_REGISTRIES_ASKED = 3
@@ -87,10 +87,10 @@
 
     # --- one request
 
-    async def play(self, number: int, kind: Kind) -> Asked:
+    async def play(self, number: int, kind: Kind) -> ClientRequest:
         """Sends a request and its retries until it is served or refused for good, or its deadline passes."""
         now = self.clock()
-        asked = Asked(number, kind, self.zone, now)
+        asked = ClientRequest(number, kind, self.zone, now)
         self.history.requests.append(asked)
         until, after = now + kind.deadline_ms / 1000, 0
         for turn in range(1 + kind.retries):
@@ -130,7 +130,7 @@
             or (one.failure == history.UNCONNECTED)
         )
 
-    async def try_once(self, asked: Asked, turn: int, until: float, after: int) -> Try | None:
+    async def try_once(self, asked: ClientRequest, turn: int, until: float, after: int) -> Try | None:
         """Makes one try; returns None if there is no address to send it to."""
         kind, random = asked.kind, self.random
         address = self.choose()
@@ -147,7 +147,7 @@
             self.region,
             address,
             self.clock(),
-            after=after,
+            last_event_before=after,
         )
         asked.tries.append(one)
         self.history.tries[one.attempt] = one
@@ -181,15 +181,15 @@
             f"Content-Length: {len(body)}",
         ]
         if kind.streams:
-            tokens = sum(count for _, count in kind.shared) + kind.own
-            parts = [*kind.shared, (f"{one.request:08x}", kind.own)]
+            tokens = sum(count for _, count in kind.shared_prompt) + kind.own_tokens
+            parts = [*kind.shared_prompt, (f"{one.request:08x}", kind.own_tokens)]
             lines += [
                 "Model-Name: m",
-                f"Token-Usage: {tokens},{kind.out}",
+                f"Token-Usage: {tokens},{kind.answer_tokens}",
                 "Prompt-Prefix: " + ",".join(f"{name}:{count}" for name, count in parts),
             ]
-        if one.after:
-            lines.append(f"Last-Event-Id: {one.after}")
+        if one.last_event_before:
+            lines.append(f"Last-Event-Id: {one.last_event_before}")
         return "\r\n".join(lines).encode() + b"\r\n\r\n" + body
 
     # --- connections
--- a/shedgrade/lab/system/demo.py
+++ b/shedgrade/lab/system/demo.py
@@ -34,7 +34,7 @@
         (("5c1e07a2", 2400),),
         600,
         50,
-        homes=("north", "west"),
+        home_regions=("north", "west"),
     ),
     Kind(
         "reply",
@@ -94,7 +94,7 @@
             "sessionAffinity": kind.streams,
             "resumable": kind.resumable,
             "gap_aim_ms": kind.gap_ms,
-            "homeRegions": list(kind.homes),
+            "homeRegions": list(kind.home_regions),
         }
         for kind in kinds
     ]
@@ -132,8 +132,8 @@
     async def configure(self, version: int, **moved: float) -> None:
         told = configuration(version, KINDS, list(ENGINES), **moved)
         put = await self.world.operator.put(told, self.version)
-        if not put.taken:
-            raise RuntimeError(f"version {version} is answered {put.status}: {put.said}")
+        if not put.accepted:
+            raise RuntimeError(f"version {version} is answered {put.status}: {put.answer_text}")
         self.version = version
         self.lines.note(f"version {version} acknowledged after {put.ended_at - put.sent_at:.2f} s")
 
@@ -148,7 +148,7 @@
                 for version in (one, other)
             )
         )
-        self.version = max((put.version for put in puts if put.taken), default=self.version)
+        self.version = max((put.version for put in puts if put.accepted), default=self.version)
         self.lines.note(
             "two operators at once: "
             + ", ".join(
--- a/shedgrade/lab/system/fleet.py
+++ b/shedgrade/lab/system/fleet.py
@@ -87,7 +87,7 @@
 
     def crashed(self, number: int) -> None:
         now, server = self.loop.time(), self.servers.pop(number)
-        self.history.troubles.append((now, now + CRASHED_SHOWN_S, f"{server.upstream.instance} crashed"))
+        self.history.disturbances.append((now, now + CRASHED_SHOWN_S, f"{server.upstream.instance} crashed"))
         self.later(CRASHED_SHOWN_S, self.forget, server.upstream.instance)
 
     def drain(self, number: int) -> None:
--- a/shedgrade/lab/system/history.py
+++ b/shedgrade/lab/system/history.py
@@ -22,13 +22,13 @@
     rate: requests a second
     deadline_ms: time after which a client gives up, ms
     target_ms: targetMs of its route, ms
-    shared: parts of the prompt that requests have in common, as (name, tokens)
-    own: tokens of the prompt that no other request has
-    out: tokens of the answer
+    shared_prompt: parts of the prompt that requests have in common, as (name, tokens)
+    own_tokens: tokens of the prompt that no other request has
+    answer_tokens: tokens of the answer
     retries: further tries of a client
     resumable: whether a stream that broke off may be resumed behind its last event
     gap_ms: gap_aim_ms of its route, ms
-    homes: the regions in which it may be served; empty for all
+    home_regions: the regions in which it may be served; empty for all
     answer_bytes: size of an answer that is no stream
     stride: tokens of an event
     """
@@ -41,14 +41,14 @@
     rate: float
     deadline_ms: int
     target_ms: int
-    shared: tuple[tuple[str, int], ...] = ()
-    own: int = 0
-    out: int = 0
+    shared_prompt: tuple[tuple[str, int], ...] = ()
+    own_tokens: int = 0
+    answer_tokens: int = 0
     retries: int = 1
     resumable: bool = False
     gap_ms: int = 400
     priority: int = 1
-    homes: tuple[str, ...] = ()
+    home_regions: tuple[str, ...] = ()
     answer_bytes: int = 800
     stride: int = 5
 
@@ -63,7 +63,7 @@
     @property
     def events(self) -> int:
         """Returns the number of events of a complete answer."""
-        return -(-self.out // self.stride)
+        return -(-self.answer_tokens // self.stride)
 
 
 @dataclass(slots=True)
@@ -72,16 +72,16 @@
 
     attempt: id of the try
     request: number of the request
-    asked: digest of the request
+    digest: digest of the request
     sidecar: the address that it was sent to
     sent_at, first_at, ended_at: when it was sent, when data of its answer first arrived, when it ended
     status: HTTP status; 0 if no answer arrived
     whole: whether the answer arrived completely
-    echoed, seal, encoding: Attempt-Id, Server-Seal and Content-Encoding of the answer
-    after: the last event that the client had before this try
+    echoed_attempt, seal, encoding: Attempt-Id, Server-Seal and Content-Encoding of the answer
+    last_event_before: the last event that the client had before this try
     events: (id, mark, time) of each event, in order of arrival
     failure: one of the constants above; "" if none applies
-    surplus: whether bytes arrived that belong to no request
+    unexpected_bytes: whether bytes arrived that belong to no request
     retry_after: the answer's Retry-After, s
     """
 
@@ -89,7 +89,7 @@
     request: int
     kind: Kind
     target: str
-    asked: bytes
+    digest: bytes
     zone: str
     region: str
     sidecar: str = ""
@@ -98,14 +98,14 @@
     ended_at: float = 0.0
     status: int = 0
     whole: bool = False
-    echoed: str = ""
+    echoed_attempt: str = ""
     seal: str = ""
     encoding: str = ""
     body: bytes = b""
-    after: int = 0
+    last_event_before: int = 0
     events: list[tuple[int, str, float]] = field(default_factory=list)
     failure: str = ""
-    surplus: bool = False
+    unexpected_bytes: bool = False
     retry_after: float | None = None
 
     @property
@@ -114,7 +114,7 @@
 
 
 @dataclass(slots=True)
-class Asked:
+class ClientRequest:
     """A request of a client with its tries.
 
     `outcome` is "" until the request ends as "served", "refused" or "failed".
@@ -139,7 +139,7 @@
     zone: the zone of an evacuation or return
     base, version, body: of a configuration: the version that it replaces, its own version, its JSON text
     valid: whether the configuration may be accepted
-    said: the beginning of the answer's body
+    answer_text: the beginning of the answer's body
     """
 
     verb: str
@@ -151,10 +151,10 @@
     version: int = 0
     body: bytes = b""
     valid: bool = True
-    said: str = ""
+    answer_text: str = ""
 
     @property
-    def taken(self) -> bool:
+    def accepted(self) -> bool:
         return self.status // 100 == 2
 
 
@@ -173,7 +173,7 @@
 class History:
     """All observations of a run.
 
-    troubles: (from, to, what) of disturbances, during which rules with time bounds do not apply
+    disturbances: (from, to, what) of disturbances, during which rules with time bounds do not apply
     drained: by instance, when the list first did not show it as available any more
     stray: descriptions of bytes that belong to no request
     read_back: the configuration read at the end; None if none was returned
@@ -181,17 +181,17 @@
     edge_regions: the region of an edge, by the address at which clients reach it
     """
 
-    requests: list[Asked] = field(default_factory=list)
+    requests: list[ClientRequest] = field(default_factory=list)
     tries: dict[str, Try] = field(default_factory=dict)
     runs: list[Run] = field(default_factory=list)
     orders: list[Order] = field(default_factory=list)
-    troubles: list[tuple[float, float, str]] = field(default_factory=list)
+    disturbances: list[tuple[float, float, str]] = field(default_factory=list)
     drained: dict[str, float] = field(default_factory=dict)
     stray: list[str] = field(default_factory=list)
     read_back: bytes | None = None
     evacuated_at_end: tuple[str, ...] | None = None
     edge_regions: dict[str, str] = field(default_factory=dict)
 
-    def calm(self, start: float, end: float) -> bool:
+    def is_undisturbed(self, start: float, end: float) -> bool:
         """Returns whether no disturbance overlaps the span."""
-        return not any(begun < end and over > start for begun, over, _ in self.troubles)
+        return not any(begun < end and over > start for begun, over, _ in self.disturbances)
--- a/shedgrade/lab/system/judge.py
+++ b/shedgrade/lab/system/judge.py
@@ -54,35 +54,35 @@
 def answer_breaches(one: Try, runs: list[Run], key: bytes) -> Iterator[Breach]:
     """A successful answer must be an upstream's, complete and in order, and belong to this request."""
     name = f"{one.kind.name} {one.attempt}"
-    if one.surplus:
+    if one.unexpected_bytes:
         yield Breach("MIXED", f"{name}: more than its answer came")
     yield from event_breaches(one, name)
     if not one.success:
         return
-    if one.echoed and one.echoed != one.attempt:
-        yield Breach("MIXED", f"{name}: the answer is {one.echoed}'s")
+    if one.echoed_attempt and one.echoed_attempt != one.attempt:
+        yield Breach("MIXED", f"{name}: the answer is {one.echoed_attempt}'s")
     if one.encoding:
         yield Breach("MIXED", f"{name}: the answer is encoded")
-    by = content.sealed_by(key, one.seal, one.attempt, one.asked)
+    by = content.sealed_by(key, one.seal, one.attempt, one.digest)
     if by is None:
         yield Breach("MIXED", f"{name}: a success with the seal {one.seal!r}")
     elif not any(run.instance == by and run.ran_at is not None for run in runs):
         yield Breach("MIXED", f"{name}: sealed by {by}, which did not run it")
     if one.kind.streams:
-        last = one.events[-1][0] if one.events else one.after
+        last = one.events[-1][0] if one.events else one.last_event_before
         if last != one.kind.events:
             yield Breach("ORDER", f"{name}: ends as complete at event {last} of {one.kind.events}")
-    elif one.body != content.body(one.asked, one.kind.answer_bytes):
+    elif one.body != content.body(one.digest, one.kind.answer_bytes):
         yield Breach("MIXED", f"{name}: {len(one.body)} bytes that are not the upstream's answer")
 
 
 def event_breaches(one: Try, name: str) -> Iterator[Breach]:
-    expected = one.after + 1
+    expected = one.last_event_before + 1
     for number, mark, _ in one.events:
         if number != expected:
             yield Breach("ORDER", f"{name}: event {number} where {expected} was due")
             return
-        if mark != content.mark(one.asked, number):
+        if mark != content.mark(one.digest, number):
             yield Breach("MIXED", f"{name}: event {number} is not this request's")
             return
         expected += 1
@@ -104,7 +104,12 @@
     for one in told.tries.values():
         passed = runs[one.attempt]
         broke = any(run.outcome in ("cut", "late") for run in passed)
-        if one.failure == history.CLOSED and passed and not broke and told.calm(one.sent_at, one.ended_at):
+        if (
+            one.failure == history.CLOSED
+            and passed
+            and not broke
+            and told.is_undisturbed(one.sent_at, one.ended_at)
+        ):
             yield Breach("LOST", f"{one.kind.name} {one.attempt} at {one.sidecar} ends without an answer")
 
 
@@ -117,17 +122,19 @@
         if one is None:
             yield Breach("UNASKED", f"{run.instance} was sent {run.attempt!r}, which no client sent")
             continue
-        if (run.method, run.target, run.asked) != ("POST", one.target, one.asked):
+        if (run.method, run.target, run.asked) != ("POST", one.target, one.digest):
             yield Breach("UNASKED", f"{run.instance} was sent {run.attempt} changed")
-        homes = one.kind.homes
+        homes = one.kind.home_regions
         if homes and zones[run.zone] not in homes:
             yield Breach("HOME", f"{one.kind.name} {run.attempt} arrived in {zones[run.zone]}, not at home")
 
 
 def redirection_breaches(told: History) -> Iterator[Breach]:
     """The directory must lead clients to home regions of the request or to their own region."""
-    bound = [one for one in told.tries.values() if one.kind.homes and one.sidecar in told.edge_regions]
-    abroad = [one for one in bound if told.edge_regions[one.sidecar] not in (*one.kind.homes, one.region)]
+    bound = [one for one in told.tries.values() if one.kind.home_regions and one.sidecar in told.edge_regions]
+    abroad = [
+        one for one in bound if told.edge_regions[one.sidecar] not in (*one.kind.home_regions, one.region)
+    ]
     if len(abroad) > MAX_LED_ABROAD_SHARE * len(bound):
         yield Breach(
             "HOME",
@@ -139,7 +146,7 @@
 def evacuation_breaches(told: History, bounds: dict[str, float]) -> Iterator[Breach]:
     spans = []
     for order in told.orders:
-        if order.verb == "evacuate" and order.taken:
+        if order.verb == "evacuate" and order.accepted:
             returns = [
                 other.sent_at
                 for other in told.orders
@@ -159,7 +166,7 @@
                 run.zone == zone
                 and begins < run.at < ends
                 and not run.outcome.startswith("421")
-                and (told.calm(run.at - contact, run.at))
+                and (told.is_undisturbed(run.at - contact, run.at))
             ):
                 yield Breach("EVAC", f"{run.attempt} arrived in {zone} {run.at - begins:.2f} s late")
 
@@ -173,7 +180,7 @@
             late is not None
             and late > 0
             and not run.outcome.startswith("421")
-            and (told.calm(run.at - contact, run.at))
+            and (told.is_undisturbed(run.at - contact, run.at))
         ):
             yield Breach("DRAIN", f"{run.attempt} arrived at {run.instance} {late:.2f} s late")
 
--- a/shedgrade/lab/system/lines.py
+++ b/shedgrade/lab/system/lines.py
@@ -3,7 +3,7 @@
 import asyncio
 from collections.abc import Callable
 
-from shedgrade.lab.system.history import Asked
+from shedgrade.lab.system.history import ClientRequest
 from shedgrade.lab.system.world import World
 
 
@@ -27,7 +27,7 @@
         self.served = self.refused = self.failed = 0
         self.firsts: list[float] = []
         self.seen = 0  # requests that have been moved to `open`
-        self.open: list[Asked] = []
+        self.open: list[ClientRequest] = []
 
     def note(self, text: str) -> None:
         """Adds a note to the end of the next line."""
@@ -57,7 +57,7 @@
             f"primary {primary or '-'}{'  | ' + notes if notes else ''}"
         )
 
-    def take(self) -> list[Asked]:
+    def take(self) -> list[ClientRequest]:
         """Returns the requests that have ended since the last call."""
         requests = self.world.history.requests
         self.open += requests[self.seen :]
@@ -71,7 +71,7 @@
         return ended
 
     @staticmethod
-    def count(ended: list[Asked], outcome: str) -> int:
+    def count(ended: list[ClientRequest], outcome: str) -> int:
         return sum(one.outcome == outcome for one in ended)
 
     def sums(self) -> str:
--- a/shedgrade/lab/system/link.py
+++ b/shedgrade/lab/system/link.py
@@ -46,14 +46,14 @@
         try:
             self.parser.feed_data(data)
         except httptools.HttpParserError as wrong:
-            self.one.surplus = True
+            self.one.unexpected_bytes = True
             self.stray.append(f"no answer came to {self.one.attempt}: {wrong}")
             self.transport.abort()
 
     def strayed(self, data: bytes) -> None:
         self.last = True
         if self.one is not None:
-            self.one.surplus = True
+            self.one.unexpected_bytes = True
         self.stray.append(f"{data[:60]!r} came where no request waits")
 
     # --- an answer
@@ -72,7 +72,7 @@
         if self.over or status < 200:
             return
         one.status = status
-        one.echoed, one.seal = headers.get("attempt-id", ""), headers.get("server-seal", "")
+        one.echoed_attempt, one.seal = headers.get("attempt-id", ""), headers.get("server-seal", "")
         one.encoding = headers.get("content-encoding", "")
         try:
             one.retry_after = float(headers["retry-after"])
--- a/shedgrade/lab/system/operators.py
+++ b/shedgrade/lab/system/operators.py
@@ -56,7 +56,7 @@
         answer = await self.ask(method, path, body, headers, self.clock() + limit)
         order.ended_at = self.clock()
         if answer is not None:
-            order.status, order.said = answer.status, answer.body[:300].decode(errors="replace")
+            order.status, order.answer_text = answer.status, answer.body[:300].decode(errors="replace")
         return order
 
     async def read_back(self, limit: float) -> bytes | None:
--- a/shedgrade/lab/system/orders.py
+++ b/shedgrade/lab/system/orders.py
@@ -10,7 +10,7 @@
 class Configurations:
     """The configurations that were sent and are valid.
 
-    taken: those that were acknowledged, oldest version first
+    accepted: those that were acknowledged, oldest version first
     unclear: those without a clear answer, which may be in force
     refused: those that were refused
     """
@@ -18,9 +18,9 @@
     def __init__(self, orders: Iterable[Order]) -> None:
         puts = [order for order in orders if order.verb == "put" and order.valid]
         # A configuration that was sent twice may stand here twice; both have the same version.
-        self.taken = sorted((order for order in puts if order.taken), key=lambda order: order.version)
+        self.accepted = sorted((order for order in puts if order.accepted), key=lambda order: order.version)
         self.unclear = [order for order in puts if not order.status]
-        self.refused = [order for order in puts if order.status and not order.taken]
+        self.refused = [order for order in puts if order.status and not order.accepted]
 
     @staticmethod
     def services_for(order: Order, host: str, target: str) -> frozenset[str] | None:
@@ -39,16 +39,16 @@
         These are the newest that was acknowledged more than `slack` seconds before and all later versions.
         After a disturbance (`calm` is false) they are all that were accepted or got no clear answer.
         """
-        old = [order for order in self.taken if order.ended_at + slack < sent_at] if calm else []
+        old = [order for order in self.accepted if order.ended_at + slack < sent_at] if calm else []
         least = old[-1].version if old else 0
-        return [order for order in (*self.taken, *self.unclear) if order.version >= least]
+        return [order for order in (*self.accepted, *self.unclear) if order.version >= least]
 
 
 def acceptance_breaches(told: History) -> Iterator[Breach]:
     """No invalid configuration is acknowledged, and at most one of those that replace the same version."""
     bases = defaultdict(set)
     for order in told.orders:
-        if order.verb == "put" and order.taken:
+        if order.verb == "put" and order.accepted:
             if not order.valid:
                 yield Breach("CONFIG", f"invalid version {order.version} was acknowledged")
             bases[order.base].add(order.body)
@@ -58,7 +58,7 @@
 
 
 def acknowledgement_breaches(told: History, bounds: dict[str, float]) -> Iterator[Breach]:
-    """Without a disturbance, each order that is taken or gets no clear answer ends within `ackMs`.
+    """Without a disturbance, each order that is accepted or gets no clear answer ends within `ackMs`.
 
     A configuration has 3 ms more for each of its routes.
     """
@@ -66,8 +66,12 @@
     for order in told.orders:
         allowance = 0.003 * len(json.loads(order.body)["routeList"]) if order.body else 0.0
         took = order.ended_at - order.sent_at
-        proper = order.valid and (order.taken or not order.status)
-        if proper and took > limit + allowance and told.calm(order.sent_at - contact, order.ended_at):
+        proper = order.valid and (order.accepted or not order.status)
+        if (
+            proper
+            and took > limit + allowance
+            and told.is_undisturbed(order.sent_at - contact, order.ended_at)
+        ):
             yield Breach("Acks", f"{order.verb} {order.zone or order.version} waited {took:.1f} s")
 
 
@@ -76,7 +80,7 @@
 ) -> Iterator[Breach]:
     """Each run, and each 404, agrees with a configuration that may be in force."""
     apply, contact = bounds["configApplyMs"] / 1000, bounds["contactMs"] / 1000
-    ever = [*configurations.taken, *configurations.unclear, *configurations.refused]
+    ever = [*configurations.accepted, *configurations.unclear, *configurations.refused]
     for run in told.runs:
         one = told.tries.get(run.attempt)
         if one is None or run.ran_at is None:
@@ -85,12 +89,12 @@
         if not is_allowed(ever, host, target, run.service):
             yield Breach("ROUTE", f"{run.service} ran {run.target}, which no configuration allows")
             continue
-        calm = told.calm(one.sent_at - contact, run.at)
+        calm = told.is_undisturbed(one.sent_at - contact, run.at)
         may = configurations.may_be_in_force(one.sent_at, apply, calm)
         if not is_allowed(may, host, target, run.service):
             yield Breach("CONFIG", f"{run.service} ran {run.target}, as only old or refused versions allow")
     for one in told.tries.values():
-        calm = told.calm(one.sent_at - contact, one.ended_at)
+        calm = told.is_undisturbed(one.sent_at - contact, one.ended_at)
         may = configurations.may_be_in_force(one.sent_at, apply, calm)
         if (
             one.whole
@@ -108,14 +112,16 @@
 def durability_breaches(told: History) -> Iterator[Breach]:
     """Acknowledged orders are in effect at the end."""
     puts = [order for order in told.orders if order.verb == "put" and order.valid]
-    acknowledged = max((order.version for order in puts if order.taken), default=0)
+    acknowledged = max((order.version for order in puts if order.accepted), default=0)
     if acknowledged:
         if told.read_back is None:
             yield Breach("CONFIG", "no configuration came when it was read back")
         else:
             version = json.loads(told.read_back)["configVersion"]
             sent = {
-                order.body for order in puts if order.version == version and (order.taken or not order.status)
+                order.body
+                for order in puts
+                if order.version == version and (order.accepted or not order.status)
             }
             if version < acknowledged:
                 yield Breach("LOST", f"version {version} was read back, {acknowledged} had been acknowledged")
@@ -123,7 +129,7 @@
                 yield Breach("CONFIG", f"what was read back as version {version} is not what was sent")
     if told.evacuated_at_end is not None:
         for zone, last in last_orders_by_zone(told).items():
-            if last.taken and (last.verb == "evacuate") != (zone in told.evacuated_at_end):
+            if last.accepted and (last.verb == "evacuate") != (zone in told.evacuated_at_end):
                 yield Breach("LOST", f"the last order for {zone}, {last.verb}, is not there at the end")
 
 
--- a/shedgrade/lab/system/world.py
+++ b/shedgrade/lab/system/world.py
@@ -8,7 +8,7 @@
 from shedgrade.engines import EngineSettings
 from shedgrade.lab.system.clients import Clients
 from shedgrade.lab.system.fleet import Fleet
-from shedgrade.lab.system.history import Asked, History, Kind
+from shedgrade.lab.system.history import ClientRequest, History, Kind
 from shedgrade.lab.system.launcher import Launcher
 from shedgrade.lab.system.operators import Operator, statuses
 from shedgrade.lab.system.platform import InstanceDirectory, PlatformServer
@@ -164,14 +164,14 @@
             self.ask(kind, random.choice(list(self.clients)))
 
     def ask(self, kind: Kind, zone: str) -> asyncio.Task:
-        """Sends a request from a client in a zone; the task's result is its `Asked`."""
+        """Sends a request from a client in a zone; the task's result is its `ClientRequest`."""
         self.number += 1
         task = self.loop.create_task(self.clients[zone].play(self.number, kind))
         self.tasks.add(task)
         task.add_done_callback(self.tasks.discard)
         return task
 
-    async def quiet(self) -> list[Asked]:
+    async def quiet(self) -> list[ClientRequest]:
         """Stops new requests and waits for those in flight."""
         for task in self.generating:
             task.cancel()
@@ -186,12 +186,12 @@
 
         Until `calmed`, rules with time bounds do not apply.
         """
-        self.history.troubles.append((self.clock(), float("inf"), what))
-        return len(self.history.troubles) - 1
+        self.history.disturbances.append((self.clock(), float("inf"), what))
+        return len(self.history.disturbances) - 1
 
     def calmed(self, number: int) -> None:
-        begun, _, what = self.history.troubles[number]
-        self.history.troubles[number] = (begun, self.clock() + self.site.bounds["contactMs"] / 1000, what)
+        begun, _, what = self.history.disturbances[number]
+        self.history.disturbances[number] = (begun, self.clock() + self.site.bounds["contactMs"] / 1000, what)
 
     async def kill(self, name: str) -> int:
         """Kills a machine's process; returns the number of the disturbance."""
--- a/tests/lab_system/test_system_clients.py
+++ b/tests/lab_system/test_system_clients.py
@@ -184,7 +184,7 @@
 def test_a_cut_stream_is_taken_up_behind_its_last_event():
     asked, sidecar, _ = play("reply", stream(1, 2, 3, ends=False), stream(*range(4, 25)))
     assert asked.outcome == "served" and sidecar.requests[1]["last-event-id"] == "3"
-    assert "last-event-id" not in sidecar.requests[0] and asked.tries[1].after == 3
+    assert "last-event-id" not in sidecar.requests[0] and asked.tries[1].last_event_before == 3
     assert [number for one in asked.tries for number, _, _ in one.events] == list(range(1, 25))
 
 
@@ -212,7 +212,7 @@
         return answer()(request, writer)
 
     asked, _, group = play("find", twice)
-    assert asked.tries[0].surplus and group.history.stray
+    assert asked.tries[0].unexpected_bytes and group.history.stray
 
 
 def test_an_address_that_failed_is_skipped():
@@ -279,7 +279,7 @@
 def test_a_put_is_sent_unchanged_until_it_gets_a_clear_answer():
     replies = [Reply(503), Reply(429), Reply(200)]
     order, seen, operator = operate(lambda number, request: replies.pop(0), lambda one: one.put(FIRST, 0))
-    assert order.taken and len(seen) == 3 and len({request.body for _, request in seen}) == 1
+    assert order.accepted and len(seen) == 3 and len({request.body for _, request in seen}) == 1
     assert all(request.headers[b"if-match"] == b"0" for _, request in seen)
     assert {number for number, _ in seen} == {0, 1} and operator.history.orders == [order]
 
@@ -298,15 +298,15 @@
         return Reply(200)
 
     order, seen, _ = operate(script, lambda one: one.put(FIRST, 0))
-    assert order.taken and seen[1][1].path == b"/elsewhere" and seen[1][1].body == seen[0][1].body
+    assert order.accepted and seen[1][1].path == b"/elsewhere" and seen[1][1].body == seen[0][1].body
 
 
 def test_evacuations_are_sent_for_a_limited_time():
     order, seen, _ = operate(lambda number, request: Reply(503), lambda one: one.evacuate("quay"))
-    assert order.status == 0 and not order.taken and len(seen) > 2
+    assert order.status == 0 and not order.accepted and len(seen) > 2
     assert seen[0][1].method == b"POST" and seen[0][1].path == b"/evacuation/quay"
     order, seen, _ = operate(lambda number, request: Reply(200), lambda one: one.take_back("quay"))
-    assert order.taken and seen[0][1].method == b"DELETE"
+    assert order.accepted and seen[0][1].method == b"DELETE"
 
 
 def test_reading_back_gives_what_is_there():
--- a/tests/lab_system/test_system_judge.py
+++ b/tests/lab_system/test_system_judge.py
@@ -44,11 +44,11 @@
         True,
         f"t-{number}",
     )
-    one.seal = content.seal(KEY, "i-1", one.attempt, one.asked)
+    one.seal = content.seal(KEY, "i-1", one.attempt, one.digest)
     if told.streams:
-        one.events = [(event, content.mark(one.asked, event), at) for event in range(1, told.events + 1)]
+        one.events = [(event, content.mark(one.digest, event), at) for event in range(1, told.events + 1)]
     else:
-        one.body = content.body(one.asked, told.answer_bytes)
+        one.body = content.body(one.digest, told.answer_bytes)
     for name, value in more.items():
         setattr(one, name, value)
     return one
@@ -64,7 +64,7 @@
             one.attempt,
             "POST",
             one.target,
-            one.asked,
+            one.digest,
             ran_at=one.sent_at + 0.02,
             outcome="done",
         ),
@@ -101,9 +101,9 @@
         {"seal": ""},
         {"seal": "i-1.0000"},
         {"body": b"half"},
-        {"echoed": "t-9"},
+        {"echoed_attempt": "t-9"},
         {"encoding": "gzip"},
-        {"surplus": True},
+        {"unexpected_bytes": True},
     ],
 )
 def test_a_success_that_is_not_the_upstreams_is_mixed(spoil):
@@ -143,12 +143,12 @@
 def test_a_stream_is_whole_over_two_tries():
     first = a_try("reply", 1, whole=False, failure=history.CLOSED)
     first.events = first.events[:6]
-    second = a_try("reply", 2, after=6)
+    second = a_try("reply", 2, last_event_before=6)
     second.events = second.events[6:]
     told = past(first, second)
     told.runs[0].outcome = "cut"
     assert rules(told) == []
-    second.after = 5
+    second.last_event_before = 5
     assert rules(told) == ["ORDER"]
 
 
@@ -192,7 +192,7 @@
             ("north", "3:80", (21, 22)),
         ]
     )
-    assert KIND["digest"].homes == ("north", "west")
+    assert KIND["digest"].home_regions == ("north", "west")
     assert rules(past(*home, *own, abroad[0], edge_regions=regions)) == []
     assert rules(past(*home, *own, *abroad, edge_regions=regions)) == ["HOME"]
 
@@ -209,7 +209,7 @@
         told.runs[0].at = at
         assert rules(told) == []
     told.runs[0].at = 19.0
-    told.troubles.append((12.0, 16.0, "a cut"))
+    told.disturbances.append((12.0, 16.0, "a cut"))
     assert rules(told) == []
 
 
@@ -224,7 +224,7 @@
     one = a_try(whole=False, status=0, failure=history.CLOSED, seal="", body=b"")
     assert rules(past(one)) == ["LOST"]
     assert rules(past(one, runs=[a_run(one, outcome="cut")])) == []
-    assert rules(past(one, troubles=[(9.0, 11.0, "a kill")])) == []
+    assert rules(past(one, disturbances=[(9.0, 11.0, "a kill")])) == []
 
 
 def test_a_service_that_no_configuration_allows_breaks_route():
@@ -242,7 +242,7 @@
     orders = [put(1, 0), moved()]
     assert rules(past(a_try(at=9.0), orders=orders)) == ["CONFIG"]
     assert rules(past(a_try(at=8.0), orders=orders)) == []
-    assert rules(past(a_try(at=9.0), orders=orders, troubles=[(4.0, 6.0, "a kill")])) == []
+    assert rules(past(a_try(at=9.0), orders=orders, disturbances=[(4.0, 6.0, "a kill")])) == []
 
 
 def test_a_configuration_that_lost_a_race_is_in_force_nowhere():
@@ -272,7 +272,7 @@
     orders = [replace(put(1, 0), sent_at=10.0, ended_at=15.2)]
     assert rules(past(orders=orders)) == ["Acks"]
     assert rules(past(orders=[replace(orders[0], ended_at=15.01)])) == []
-    assert rules(past(orders=orders, troubles=[(5.0, 6.5, "a kill")])) == []
+    assert rules(past(orders=orders, disturbances=[(5.0, 6.5, "a kill")])) == []
     late = [put(1, 0), Order("evacuate", 10.0, 15.2, 0, "quay")]
     told = past(orders=late, read_back=late[0].body)
     assert rules(told) == ["Acks"]
--- a/tests/lab_system/test_system_launcher.py
+++ b/tests/lab_system/test_system_launcher.py
@@ -93,7 +93,7 @@
             assert fleet.available() == 1 and first.draining and first.upstream.instance in told.drained
             fleet.crash(1)
             again = await fleet.start(1)
-            assert again.upstream.instance != second.upstream.instance and told.troubles
+            assert again.upstream.instance != second.upstream.instance and told.disturbances
             assert again.upstream.address == second.upstream.address
             fleet.gone(first)
             assert len(fleet.entries) == 2
--- a/tests/lab_system/test_system_short.py
+++ b/tests/lab_system/test_system_short.py
@@ -31,7 +31,7 @@
 
         await world.until(whole, START)
         first = await world.operator.put(demo.configuration(1, demo.KINDS, list(ENGINES)), 0)
-        assert first.taken, first.said
+        assert first.accepted, first.answer_text
         await demo.begin(world)
         digest, reply, find, book = demo.KINDS
         for zone in ZONES:
@@ -47,7 +47,7 @@
         primary = await world.until(world.primary, 10)
         number = await world.kill(primary)
         second = await world.operator.put(demo.configuration(4, demo.KINDS, list(ENGINES), find=2_500), 1)
-        assert second.taken, second.said
+        assert second.accepted, second.answer_text
         assert await served(world, "fell", reply, 3) == ["served"] * 3
         await world.launcher.start(primary)
         await world.until(whole, START)
@@ -56,7 +56,7 @@
 
         await world.until(in_force, 10)
         evacuated = await world.operator.evacuate("fell")
-        assert evacuated.taken
+        assert evacuated.accepted
         await world.quiet()
         await world.read_back()
         assert world.launcher.ended() == []
