--- a/shedgrade/lab/system/clients.py
+++ b/shedgrade/lab/system/clients.py
@@ -8,7 +8,7 @@
 from shedgrade.lab.system import history
 from shedgrade.lab.system.calls import FAILURES, call
 from shedgrade.lab.system.history import ClientRequest, History, Kind, Try
-from shedgrade.lab.system.link import ClientLink
+from shedgrade.lab.system.link import ClientConnection
 
 MAX_REGISTRIES_ASKED = 3
 STALE_TTL_FACTOR = 3  # some clients keep a resolution for this multiple of its time to live
@@ -46,7 +46,7 @@
         self.addresses_valid_until = 0.0
         self.resolving: asyncio.Task | None = None
         self.skipped_until: dict[str, float] = {}
-        self.kept_connections: dict[str, list[ClientLink]] = {}
+        self.kept_connections: dict[str, list[ClientConnection]] = {}
         self.keeps_stale = random.random() < 0.2
 
     # --- address resolution
@@ -194,7 +194,7 @@
 
     # --- connections
 
-    def take_kept(self, address: str) -> ClientLink | None:
+    def take_kept(self, address: str) -> ClientConnection | None:
         links = self.kept_connections.get(address, [])
         while links:
             link = links.pop()
@@ -203,19 +203,19 @@
             link.close()
         return None
 
-    async def connect(self, address: str) -> ClientLink | None:
+    async def connect(self, address: str) -> ClientConnection | None:
         host, _, port = address.rpartition(":")
         try:
             async with asyncio.timeout(CONNECT_TIMEOUT_S):
                 loop = asyncio.get_running_loop()
                 _, link = await loop.create_connection(
-                    lambda: ClientLink(self.clock, self.history.stray), host, int(port)
+                    lambda: ClientConnection(self.clock, self.history.stray), host, int(port)
                 )
         except OSError:
             return None
         return link
 
-    def keep_or_close(self, address: str, link: ClientLink) -> None:
+    def keep_or_close(self, address: str, link: ClientConnection) -> None:
         if link.usable(self.clock()) and address in self.addresses:
             self.kept_connections.setdefault(address, []).append(link)
         else:
--- a/shedgrade/lab/system/demo.py
+++ b/shedgrade/lab/system/demo.py
@@ -9,7 +9,7 @@
 from shedgrade.engines import EngineSettings
 from shedgrade.lab.system.history import Breach, Kind
 from shedgrade.lab.system.judge import judge, verdict
-from shedgrade.lab.system.lines import Lines
+from shedgrade.lab.system.lines import ProgressReporter
 from shedgrade.lab.system.site import CORE, EDGE, Site
 from shedgrade.lab.system.world import World
 
@@ -56,7 +56,7 @@
 START_TIMEOUT_S = 30.0  # greatest time for the system to start, s
 
 
-def network() -> str:
+def loopback_prefix() -> str:
     """Returns the first three numbers of loopback addresses that no other run on this machine uses."""
     own = os.getpid()
     return f"127.{16 + own // 250 % 200}.{own % 250}"
@@ -64,7 +64,7 @@
 
 def demo_site() -> Site:
     return Site(
-        network(),
+        loopback_prefix(),
         ZONES,
         ("quay", "fell", "dale"),
         ("quay", "mill", "fell", "dale"),
@@ -75,10 +75,10 @@
 SERVICES = [MODEL, MODEL, MODEL, MODEL, LOOKUP, LOOKUP]
 
 
-def configuration(version: int, kinds: list[Kind], services: list[str], **moved: float) -> dict:
+def configuration(version: int, kinds: list[Kind], services: list[str], **timeouts_ms: float) -> dict:
     """Returns a configuration for these kinds and services.
 
-    `moved` gives, by the name of a kind, a time-out in ms in place of its deadline.
+    `timeouts_ms` gives, by the name of a kind, a time-out in place of its deadline.
     """
     routes = [
         {
@@ -86,7 +86,7 @@
             "host": kind.host,
             "pathPrefix": kind.prefix,
             "routeClass": kind.route_class,
-            "timeoutMs": moved.get(kind.name, kind.deadline_ms),
+            "timeoutMs": timeouts_ms.get(kind.name, kind.deadline_ms),
             "targetMs": kind.target_ms,
             "priority": kind.priority,
             "service": kind.service,
@@ -125,19 +125,19 @@
 class Demo:
     """The steps of the demonstration; `say` is called with each line of its report."""
 
-    def __init__(self, world: World, lines: Lines, say: Callable[[str], None]) -> None:
-        self.world, self.lines, self.say = world, lines, say
+    def __init__(self, world: World, lines: ProgressReporter, say: Callable[[str], None]) -> None:
+        self.world, self.lines, self.write_line = world, lines, say
         self.version = 0
 
-    async def configure(self, version: int, **moved: float) -> None:
-        told = configuration(version, KINDS, list(ENGINES), **moved)
+    async def configure(self, version: int, **timeouts_ms: float) -> None:
+        told = configuration(version, KINDS, list(ENGINES), **timeouts_ms)
         put = await self.world.operator.put(told, self.version)
         if not put.accepted:
             raise RuntimeError(f"version {version} is answered {put.status}: {put.answer_text}")
         self.version = version
         self.lines.note(f"version {version} acknowledged after {put.ended_at - put.sent_at:.2f} s")
 
-    async def race(self, one: int, other: int) -> None:
+    async def put_concurrently(self, one: int, other: int) -> None:
         """Two operators put different versions on top of the same one at once."""
         world = self.world
         puts = await asyncio.gather(
@@ -157,7 +157,7 @@
             )
         )
 
-    async def spoil(self, version: int) -> None:
+    async def put_invalid(self, version: int) -> None:
         """Puts a configuration that names an unknown service."""
         wrong = configuration(version, KINDS, [MODEL])
         put = await self.world.operator.put(wrong, self.version, valid=False)
@@ -165,33 +165,33 @@
 
     async def kill_primary(self, away: float) -> None:
         world = self.world
-        name = await world.until(world.primary, START_TIMEOUT_S)
+        name = await world.wait_until(world.primary, START_TIMEOUT_S)
         number = await world.kill(name)
         self.lines.note(f"{name}, the primary, is killed")
         await asyncio.sleep(away)
         await world.launcher.start(name)
-        world.calmed(number)
+        world.end_disturbance(number)
         self.lines.note(f"{name} is started again")
 
-    async def cut(self, region: str, away: float) -> None:
+    async def suspend_region(self, region: str, away: float) -> None:
         """Suspends all processes of a region for `away` seconds, as if a partition cut it off."""
         world = self.world
         names = [machine.name for machine in world.site.machines() if machine.region == region]
-        number = world.trouble(f"{region} cut off")
+        number = world.begin_disturbance(f"{region} cut off")
         for name in names:
-            world.launcher.freeze(name)
+            world.launcher.suspend(name)
         self.lines.note(f"{region} stands still: {', '.join(names)}")
         await asyncio.sleep(away)
         for name in names:
-            world.launcher.thaw(name)
-        world.calmed(number)
+            world.launcher.resume(name)
+        world.end_disturbance(number)
         self.lines.note(f"{region} goes on")
 
     async def evacuate(self, zone: str, lasts: float) -> None:
         order = await self.world.operator.evacuate(zone)
         self.lines.note(f"{zone} evacuated, acknowledged after {order.ended_at - order.sent_at:.2f} s")
         await asyncio.sleep(lasts)
-        await self.world.operator.take_back(zone)
+        await self.world.operator.return_zone(zone)
         self.lines.note(f"{zone} takes requests again")
 
     async def crash(self, number: int, away: float) -> None:
@@ -202,7 +202,7 @@
         await fleet.start(number, cold=True)
         self.lines.note("it comes back, cold")
 
-    async def play(self) -> None:
+    async def run_steps(self) -> None:
         """Runs the steps, about 40 s. After the last faults there is calm, in which the bounds of evacuations
         can be checked."""
         world = self.world
@@ -210,14 +210,14 @@
         told = [
             (5, self.configure(5, reply=9_000)),
             (9, self.kill_primary(3.0)),
-            (17, self.cut("west", 4.0)),
-            (25, self.race(8, 9)),
-            (26.5, self.spoil(12)),
+            (17, self.suspend_region("west", 4.0)),
+            (25, self.put_concurrently(8, 9)),
+            (26.5, self.put_invalid(12)),
             (28, self.evacuate("mill", 9.0)),
             (38, self.crash(5, 2.0)),
         ]
-        world.traffic()
-        lines = asyncio.create_task(self.lines.tell())
+        world.start_traffic()
+        lines = asyncio.create_task(self.lines.report_every_second())
 
         async def after(at: float, step) -> None:
             await asyncio.sleep(max(0.0, begun + at - world.clock()))
@@ -232,10 +232,10 @@
             lines.cancel()
 
 
-async def begin(world: World) -> None:
+async def wait_for_start(world: World) -> None:
     """Waits until each client's directory would return an edge that serves."""
-    await world.until(world.serving, START_TIMEOUT_S)
-    world.calmed(world.starting)
+    await world.wait_until(world.clients_have_addresses, START_TIMEOUT_S)
+    world.end_disturbance(world.startup_disturbance)
 
 
 async def run(seed: int, say: Callable[[str], None]) -> list[Breach]:
@@ -244,19 +244,19 @@
     with tempfile.TemporaryDirectory(prefix="shedgrade-demo-") as folder:
         async with World(site, Path(folder), SERVICES, ENGINES, KINDS, seed) as world:
             say(
-                f"{len(site.of(CORE))} cores, {len(site.of(EDGE))} edges, {len(SERVICES)} upstreams in "
-                f"{len(set(ZONES.values()))} regions; seed {seed}"
+                f"{len(site.machines_of(CORE))} cores, {len(site.machines_of(EDGE))} edges, "
+                f"{len(SERVICES)} upstreams in {len(set(ZONES.values()))} regions; seed {seed}"
             )
-            lines = Lines(world, say)
+            lines = ProgressReporter(world, say)
             demo = Demo(world, lines, say)
             await demo.configure(1)
-            await begin(world)
-            await demo.play()
-            await world.quiet()
+            await wait_for_start(world)
+            await demo.run_steps()
+            await world.finish_requests()
             await world.read_back()
-            say(lines.sums())
+            say(lines.totals())
             found = judge(world.history, world.key, ZONES, site.bounds, cold_rate=COLD_RATE)
-            for name in world.launcher.ended():
+            for name in world.launcher.ended_machines():
                 found.append(Breach("Fault", f"{name} ended by itself"))
             if not lines.served:
                 found.append(Breach("Fault", "no request was served"))
--- a/shedgrade/lab/system/fleet.py
+++ b/shedgrade/lab/system/fleet.py
@@ -36,7 +36,7 @@
     ) -> None:
         self.loop, self.site, self.services, self.engines = loop, site, services, engines
         self.directory, self.history, self.random, self.key = directory, told, random, key
-        self.behaviour = behaviour
+        self.upstream_options = behaviour
         self.servers: dict[int, EngineServer] = {}
         self.entries: dict[str, Entry] = {}
         self.timers: list = []
@@ -49,9 +49,9 @@
             f"i-{self.random.getrandbits(32):08x}",
             service,
             zone,
-            self.site.engine(number),
+            self.site.engine_address(number),
             self.key,
-            **self.behaviour,
+            **self.upstream_options,
         )
         now = self.loop.time()
         engine = Engine(settings, now, cold=cold)
@@ -61,7 +61,7 @@
             engine,
             Random(self.random.getrandbits(32)),
             self.history.runs.append,
-            lambda: self.crashed(number),
+            lambda: self.handle_crash(number),
         )
         await server.start()
         self.servers[number] = server
@@ -73,7 +73,7 @@
             settings.slots,
             cold_until=engine.cold_until,
         )
-        self.tell()
+        self.publish_list()
         return server
 
     async def start_all(self) -> None:
@@ -83,12 +83,12 @@
     def crash(self, number: int) -> None:
         """Stops an upstream at once; the list shows it for `CRASHED_SHOWN_S` seconds more."""
         self.servers[number].close()
-        self.crashed(number)
+        self.handle_crash(number)
 
-    def crashed(self, number: int) -> None:
+    def handle_crash(self, number: int) -> None:
         now, server = self.loop.time(), self.servers.pop(number)
         self.history.disturbances.append((now, now + CRASHED_SHOWN_S, f"{server.upstream.instance} crashed"))
-        self.later(CRASHED_SHOWN_S, self.forget, server.upstream.instance)
+        self.call_later(CRASHED_SHOWN_S, self.remove_entry, server.upstream.instance)
 
     def drain(self, number: int) -> None:
         """Drains an upstream.
@@ -98,26 +98,26 @@
         server = self.servers.pop(number)
         server.drain()
         self.entries[server.upstream.instance].state = DRAINING
-        self.tell()
+        self.publish_list()
         lasts = self.site.bounds["drainMs"] / 1000 + self.directory.lag + 1.0
-        self.later(lasts, self.gone, server)
+        self.call_later(lasts, self.remove, server)
 
-    def gone(self, server: EngineServer) -> None:
+    def remove(self, server: EngineServer) -> None:
         server.close()
-        self.forget(server.upstream.instance)
+        self.remove_entry(server.upstream.instance)
 
-    def forget(self, instance: str) -> None:
+    def remove_entry(self, instance: str) -> None:
         self.entries.pop(instance, None)
-        self.tell()
+        self.publish_list()
 
-    def tell(self) -> None:
-        self.directory.set(self.loop.time(), list(self.entries.values()))
+    def publish_list(self) -> None:
+        self.directory.replace_entries(self.loop.time(), list(self.entries.values()))
         self.history.drained = self.directory.shown_draining
 
     def available(self) -> int:
         return sum(entry.state == AVAILABLE for entry in self.entries.values())
 
-    def later(self, delay: float, call, *given) -> None:
+    def call_later(self, delay: float, call, *given) -> None:
         self.timers.append(self.loop.call_later(delay, call, *given))
 
     def close(self) -> None:
--- a/shedgrade/lab/system/launcher.py
+++ b/shedgrade/lab/system/launcher.py
@@ -24,18 +24,18 @@
         self.site, self.folder = site, folder
         self.machines = {machine.name: machine for machine in site.machines()}
         self.processes: dict[str, asyncio.subprocess.Process] = {}
-        self.started: set[str] = set()
-        self.frozen: set[str] = set()
+        self.ever_started: set[str] = set()
+        self.suspended: set[str] = set()
 
-    def disk(self, machine: Machine) -> Path | None:
+    def data_directory(self, machine: Machine) -> Path | None:
         return self.folder / machine.name if machine.kind == CORE else None
 
-    def log(self, name: str) -> Path:
+    def log_path(self, name: str) -> Path:
         return self.folder / f"{name}.log"
 
-    def said(self, name: str) -> str:
+    def output_tail(self, name: str) -> str:
         """Returns the end of the output of a machine's processes."""
-        log = self.log(name)
+        log = self.log_path(name)
         return log.read_text(errors="replace")[-OUTPUT_TAIL_CHARACTERS:] if log.exists() else ""
 
     async def start(self, name: str) -> None:
@@ -44,13 +44,13 @@
         The first start of each machine is part of the first start of the system.
         """
         machine = self.machines[name]
-        disk, path = self.disk(machine), self.folder / f"{name}.yaml"
+        disk, path = self.data_directory(machine), self.folder / f"{name}.yaml"
         if disk is not None:
             disk.mkdir(exist_ok=True)
-        self.site.write(machine, path, disk, name not in self.started)
-        self.started.add(name)
+        self.site.write_settings(machine, path, disk, name not in self.ever_started)
+        self.ever_started.add(name)
         told = {**os.environ, "SHEDGRADE_BOOT": str(path), "PYTHONPATH": str(ROOT)}
-        with self.log(name).open("ab") as log:
+        with self.log_path(name).open("ab") as log:
             self.processes[name] = await asyncio.create_subprocess_exec(
                 sys.executable,
                 "-m",
@@ -69,18 +69,18 @@
         process = self.processes.get(name)
         return process is not None and process.returncode is None
 
-    def send(self, name: str, number: signal.Signals) -> None:
+    def send_signal_to(self, name: str, number: signal.Signals) -> None:
         if self.running(name):
             self.processes[name].send_signal(number)
 
     async def kill(self, name: str) -> None:
-        self.send(name, signal.SIGKILL)
+        self.send_signal_to(name, signal.SIGKILL)
         await self.processes[name].wait()
-        self.frozen.discard(name)
+        self.suspended.discard(name)
 
     async def stop(self, name: str) -> int:
         """Sends SIGTERM, and SIGKILL after `graceS`, as the platform does. Returns the exit status."""
-        self.send(name, signal.SIGTERM)
+        self.send_signal_to(name, signal.SIGTERM)
         try:
             async with asyncio.timeout(self.site.bounds["graceS"]):
                 await self.processes[name].wait()
@@ -88,16 +88,16 @@
             await self.kill(name)
         return self.processes[name].returncode
 
-    def freeze(self, name: str) -> None:
+    def suspend(self, name: str) -> None:
         """Suspends a process, which then sends nothing, like a machine behind a network partition."""
-        self.send(name, signal.SIGSTOP)
-        self.frozen.add(name)
+        self.send_signal_to(name, signal.SIGSTOP)
+        self.suspended.add(name)
 
-    def thaw(self, name: str) -> None:
-        self.send(name, signal.SIGCONT)
-        self.frozen.discard(name)
+    def resume(self, name: str) -> None:
+        self.send_signal_to(name, signal.SIGCONT)
+        self.suspended.discard(name)
 
-    def wipe(self, name: str) -> None:
+    def wipe_disk(self, name: str) -> None:
         """Deletes a machine's data directory. Raises RuntimeError while its process runs."""
         if self.running(name):
             raise RuntimeError(f"{name} is running; its disk can't be wiped")
@@ -105,10 +105,10 @@
 
     async def close(self) -> None:
         """Kills every process that still runs."""
-        for name in list(self.frozen):
-            self.thaw(name)
+        for name in list(self.suspended):
+            self.resume(name)
         await asyncio.gather(*(self.kill(name) for name in self.processes if self.running(name)))
 
-    def ended(self) -> list[str]:
+    def ended_machines(self) -> list[str]:
         """Returns the machines whose process has ended, for whatever reason."""
         return [name for name in self.processes if not self.running(name)]
--- a/shedgrade/lab/system/lines.py
+++ b/shedgrade/lab/system/lines.py
@@ -18,34 +18,34 @@
     return sorted(values)[max(0, -int(-len(values) * part // 1) - 1)]
 
 
-class Lines:
+class ProgressReporter:
     """Reports progress. `served`, `refused` and `failed` count the requests that have ended so far."""
 
     def __init__(self, world: World, say: Callable[[str], None]) -> None:
-        self.world, self.say = world, say
+        self.world, self.write_line = world, say
         self.notes: list[str] = []
         self.served = self.refused = self.failed = 0
-        self.firsts: list[float] = []
-        self.seen = 0  # requests that have been moved to `open`
-        self.open: list[ClientRequest] = []
+        self.first_event_delays: list[float] = []
+        self.collected = 0  # requests that have been moved to `open_requests`
+        self.open_requests: list[ClientRequest] = []
 
     def note(self, text: str) -> None:
         """Adds a note to the end of the next line."""
         self.notes.append(text)
 
-    async def tell(self) -> None:
+    async def report_every_second(self) -> None:
         begun, turn = self.world.clock(), 0
         while True:
             turn += 1
             await asyncio.sleep(max(0.0, begun + turn - self.world.clock()))
-            self.say(await self.line(turn))
+            self.write_line(await self.next_line(turn))
 
-    async def line(self, turn: int) -> str:
-        ended = self.take()
+    async def next_line(self, turn: int) -> str:
+        ended = self.collect_ended()
         served = [one for one in ended if one.outcome == "served"]
         firsts = [(one.first_at - one.at) * 1000 for one in served if one.first_at is not None]
         held, status, primary = await asyncio.gather(
-            self.world.in_force(), self.world.status(), self.world.primary()
+            self.world.edge_versions(), self.world.status(), self.world.primary()
         )
         versions = sorted({version for version in held.values() if version is not None})
         told = "-".join(map(str, dict.fromkeys((versions[0], versions[-1])))) if versions else "?"
@@ -57,27 +57,29 @@
             f"primary {primary or '-'}{'  | ' + notes if notes else ''}"
         )
 
-    def take(self) -> list[ClientRequest]:
+    def collect_ended(self) -> list[ClientRequest]:
         """Returns the requests that have ended since the last call."""
         requests = self.world.history.requests
-        self.open += requests[self.seen :]
-        self.seen = len(requests)
-        ended = [one for one in self.open if one.outcome]
-        self.open = [one for one in self.open if not one.outcome]
+        self.open_requests += requests[self.collected :]
+        self.collected = len(requests)
+        ended = [one for one in self.open_requests if one.outcome]
+        self.open_requests = [one for one in self.open_requests if not one.outcome]
         self.served += self.count(ended, "served")
         self.refused += self.count(ended, "refused")
         self.failed += self.count(ended, "failed")
-        self.firsts += [one.first_at - one.at for one in ended if one.outcome == "served" and one.first_at]
+        self.first_event_delays += [
+            one.first_at - one.at for one in ended if one.outcome == "served" and one.first_at
+        ]
         return ended
 
     @staticmethod
     def count(ended: list[ClientRequest], outcome: str) -> int:
         return sum(one.outcome == outcome for one in ended)
 
-    def sums(self) -> str:
+    def totals(self) -> str:
         """Returns the totals of all requests."""
-        self.take()
-        firsts = [first * 1000 for first in self.firsts]
+        self.collect_ended()
+        firsts = [first * 1000 for first in self.first_event_delays]
         tries, runs = len(self.world.history.tries), len(self.world.history.runs)
         return (
             f"served {self.served}, refused {self.refused}, failed {self.failed}; first event p50 "
--- a/shedgrade/lab/system/link.py
+++ b/shedgrade/lab/system/link.py
@@ -13,63 +13,63 @@
 END = re.compile(rb"\r?\n\r?\n")
 
 
-class ClientLink(asyncio.Protocol):
+class ClientConnection(asyncio.Protocol):
     """Carries one try at a time; `stray` collects descriptions of bytes that arrive while none waits."""
 
     def __init__(self, clock, stray: list[str]) -> None:
         self.clock, self.stray = clock, stray
         self.parser = httptools.HttpResponseParser(self)
         self.transport = None
-        self.one: Try | None = None
-        self.came = asyncio.Event()
-        self.lost = self.over = self.last = False
+        self.current_try: Try | None = None
+        self.activity = asyncio.Event()
+        self.disconnected = self.complete = self.must_close = False
         self.idle_until = float("inf")
-        self.part = b""
-        self.begun = False  # whether an answer has begun and is not complete
+        self.partial_event = b""
+        self.answer_begun = False  # whether an answer has begun and is not complete
         self.headers: dict[str, str] = {}
 
     def connection_made(self, transport) -> None:
         self.transport = transport
 
     def connection_lost(self, failure: Exception | None) -> None:
-        if self.one is not None and not self.over and self.one.status and failure is None:
+        if self.current_try is not None and not self.complete and self.current_try.status and failure is None:
             with contextlib.suppress(httptools.HttpParserError):
                 self.parser.feed_data(b"")  # the end of an answer without a length
-        self.lost = True
-        self.came.set()
+        self.disconnected = True
+        self.activity.set()
 
     def data_received(self, data: bytes) -> None:
-        self.came.set()
-        if self.one is None or self.over:
-            self.strayed(data)
+        self.activity.set()
+        if self.current_try is None or self.complete:
+            self.record_stray(data)
             return
         try:
             self.parser.feed_data(data)
         except httptools.HttpParserError as wrong:
-            self.one.unexpected_bytes = True
-            self.stray.append(f"no answer came to {self.one.attempt}: {wrong}")
+            self.current_try.unexpected_bytes = True
+            self.stray.append(f"no answer came to {self.current_try.attempt}: {wrong}")
             self.transport.abort()
 
-    def strayed(self, data: bytes) -> None:
-        self.last = True
-        if self.one is not None:
-            self.one.unexpected_bytes = True
+    def record_stray(self, data: bytes) -> None:
+        self.must_close = True
+        if self.current_try is not None:
+            self.current_try.unexpected_bytes = True
         self.stray.append(f"{data[:60]!r} came where no request waits")
 
     # --- an answer
 
     def on_message_begin(self) -> None:
-        if self.over:
-            self.strayed(b"a further answer")
-        self.headers, self.begun = {}, True
+        if self.complete:
+            self.record_stray(b"a further answer")
+        self.headers, self.answer_begun = {}, True
 
     def on_header(self, name: bytes, value: bytes) -> None:
         self.headers[name.decode("latin-1").lower()] = value.decode("latin-1")
 
     def on_headers_complete(self) -> None:
-        one, headers = self.one, self.headers
+        one, headers = self.current_try, self.headers
         status = self.parser.get_status_code()
-        if self.over or status < 200:
+        if self.complete or status < 200:
             return
         one.status = status
         one.echoed_attempt, one.seal = headers.get("attempt-id", ""), headers.get("server-seal", "")
@@ -81,14 +81,14 @@
         told = TIMEOUT.search(headers.get("keep-alive", ""))
         if told:
             self.idle_until = self.clock() + int(told[1])
-        self.last = not self.parser.should_keep_alive()
+        self.must_close = not self.parser.should_keep_alive()
 
     def on_body(self, body: bytes) -> None:
-        one = self.one
-        if self.over:
+        one = self.current_try
+        if self.complete:
             return
         if one.kind.streams and one.status == 200:
-            self.events(one, self.part + body)
+            self.events(one, self.partial_event + body)
         else:
             one.body += body
             one.first_at = one.first_at or self.clock()
@@ -108,14 +108,14 @@
                 )
             )
             one.first_at = one.first_at or now
-        self.part = text[whole:]
+        self.partial_event = text[whole:]
 
     def on_message_complete(self) -> None:
-        if self.one.status < 200:
+        if self.current_try.status < 200:
             return
-        self.begun, self.over = False, True
-        self.one.whole = True
-        self.one.first_at = self.one.first_at or self.clock()
+        self.answer_begun, self.complete = False, True
+        self.current_try.whole = True
+        self.current_try.first_at = self.current_try.first_at or self.clock()
 
     # --- calls of the client
 
@@ -124,32 +124,32 @@
 
         Gives up at the time `until`, or after `silence` seconds without data.
         """
-        self.one, self.part, self.over = one, b"", False
-        if self.lost or self.transport.is_closing():
+        self.current_try, self.partial_event, self.complete = one, b"", False
+        if self.disconnected or self.transport.is_closing():
             one.failure = history.CLOSED
             return
         self.transport.write(request)
-        while not self.over and not self.lost:
-            self.came.clear()
+        while not self.complete and not self.disconnected:
+            self.activity.clear()
             left = until - self.clock()
             try:
                 async with asyncio.timeout(max(0.0, min(left, silence))):
-                    await self.came.wait()
+                    await self.activity.wait()
             except TimeoutError:
                 one.failure = history.GIVEN_UP if left <= silence else history.SILENT
                 self.transport.abort()
                 return
-        if not self.over:
+        if not self.complete:
             one.failure = history.CLOSED
 
     def usable(self, now: float) -> bool:
         """Returns whether another request may be sent; not if the idle time-out ends within 0.5 s."""
         return (
-            self.over
-            and not (self.lost or self.last or self.transport.is_closing())
+            self.complete
+            and not (self.disconnected or self.must_close or self.transport.is_closing())
             and (now < self.idle_until - 0.5)
         )
 
     def close(self) -> None:
-        if self.transport is not None and not self.lost:
+        if self.transport is not None and not self.disconnected:
             self.transport.close()
--- a/shedgrade/lab/system/operators.py
+++ b/shedgrade/lab/system/operators.py
@@ -30,7 +30,7 @@
 
     def __init__(self, addresses: Sequence[str], told: History, random: Random, clock, limit: float) -> None:
         self.addresses, self.history, self.random = list(addresses), told, random
-        self.clock, self.limit = clock, limit
+        self.clock, self.retry_limit = clock, limit
 
     async def put(self, configuration: dict, base: int, *, valid: bool = True) -> Order:
         """Sends a configuration, unchanged, until it gets a clear answer."""
@@ -38,22 +38,22 @@
         version = configuration.get("configVersion", 0)
         order = Order("put", self.clock(), base=base, version=version, body=body, valid=valid)
         headers = {"If-Match": str(base)}
-        return await self.give(order, "PUT", "/configuration", body, headers, 4 * self.limit)
+        return await self.send_order(order, "PUT", "/configuration", body, headers, 4 * self.retry_limit)
 
     async def evacuate(self, zone: str) -> Order:
         order = Order("evacuate", self.clock(), zone=zone)
         empty = {"Content-Length": "0"}
-        return await self.give(order, "POST", f"/evacuation/{zone}", None, empty, self.limit)
+        return await self.send_order(order, "POST", f"/evacuation/{zone}", None, empty, self.retry_limit)
 
-    async def take_back(self, zone: str) -> Order:
+    async def return_zone(self, zone: str) -> Order:
         order = Order("return", self.clock(), zone=zone)
-        return await self.give(order, "DELETE", f"/evacuation/{zone}", None, {}, self.limit)
+        return await self.send_order(order, "DELETE", f"/evacuation/{zone}", None, {}, self.retry_limit)
 
-    async def give(
+    async def send_order(
         self, order: Order, method: str, path: str, body: bytes | None, headers: dict, limit: float
     ) -> Order:
         self.history.orders.append(order)
-        answer = await self.ask(method, path, body, headers, self.clock() + limit)
+        answer = await self.call_until_clear(method, path, body, headers, self.clock() + limit)
         order.ended_at = self.clock()
         if answer is not None:
             order.status, order.answer_text = answer.status, answer.body[:300].decode(errors="replace")
@@ -61,10 +61,10 @@
 
     async def read_back(self, limit: float) -> bytes | None:
         """Returns the newest configuration; None if none arrives within `limit` seconds."""
-        answer = await self.ask("GET", "/configuration", None, {}, self.clock() + limit)
+        answer = await self.call_until_clear("GET", "/configuration", None, {}, self.clock() + limit)
         return answer.body if answer is not None and answer.status == 200 else None
 
-    async def ask(
+    async def call_until_clear(
         self, method: str, path: str, body: bytes | None, headers: dict, until: float
     ) -> Answer | None:
         """Returns the first clear answer; None if none arrives by the time `until`."""
@@ -72,7 +72,9 @@
         while (left := until - self.clock()) > 0:
             address = self.addresses[turn % len(self.addresses)]
             try:
-                answer = await self.follow(address, method, path, body, headers, min(CALL_TIMEOUT_S, left))
+                answer = await self.call_with_redirects(
+                    address, method, path, body, headers, min(CALL_TIMEOUT_S, left)
+                )
             except (*FAILURES, ValueError):
                 answer = None
             if answer is not None and (answer.status < 300 or answer.status in FINAL_STATUSES):
@@ -86,7 +88,7 @@
             pause = min(2 * pause, LONGEST_PAUSE_S)
         return None
 
-    async def follow(
+    async def call_with_redirects(
         self, address: str, method: str, path: str, body: bytes | None, headers: dict, timeout: float
     ) -> Answer:
         """Calls one address and follows at most two redirects. Raises ValueError beyond that."""
--- a/shedgrade/lab/system/platform.py
+++ b/shedgrade/lab/system/platform.py
@@ -32,7 +32,7 @@
     cold_until: float = 0.0
     gone_at: float | None = None
 
-    def told(self, now: float) -> dict:
+    def as_json(self, now: float) -> dict:
         told = {
             "instanceId": self.instance,
             "service": self.service,
@@ -61,7 +61,7 @@
         self.refused = 0
         self.shown_draining: dict[str, float] = {}  # by instance: when it is first not shown as available
 
-    def set(self, now: float, entries: list[Entry]) -> None:
+    def replace_entries(self, now: float, entries: list[Entry]) -> None:
         """Replaces the list at the time `now`; callers see the change after the lag."""
         copies = tuple(Entry(*(getattr(entry, name) for name in Entry.__slots__)) for entry in entries)
         before = {entry.instance for entry in self.versions[-1][1] if entry.state == AVAILABLE}
@@ -70,12 +70,12 @@
         for name in before - after:
             self.shown_draining.setdefault(name, now + self.lag)
 
-    def shown(self, now: float) -> tuple[Entry, ...]:
+    def entries_shown(self, now: float) -> tuple[Entry, ...]:
         while len(self.versions) > 1 and self.versions[1][0] <= now - self.lag:
             self.versions.popleft()
         return self.versions[0][1]
 
-    def allows(self, now: float) -> bool:
+    def admit_call(self, now: float) -> bool:
         while self.calls and self.calls[0] <= now - 1.0:
             self.calls.popleft()
         if len(self.calls) >= self.rate:
@@ -86,12 +86,12 @@
 
     def page(self, now: float, zone: str | None, token: str | None) -> dict:
         """Returns the page of the list at which `token` points, with the token of the next page."""
-        shown = [entry for entry in self.shown(now) if zone in (None, "", entry.zone)]
+        shown = [entry for entry in self.entries_shown(now) if zone in (None, "", entry.zone)]
         digits = (token or "p-0").removeprefix("p-")
         first = int(digits) if digits.isdigit() else 0
         rest = first + PAGE_SIZE < len(shown)
         return {
-            "instanceList": [entry.told(now) for entry in shown[first : first + PAGE_SIZE]],
+            "instanceList": [entry.as_json(now) for entry in shown[first : first + PAGE_SIZE]],
             "nextToken": f"p-{first + PAGE_SIZE}" if rest else None,
         }
 
@@ -115,7 +115,7 @@
         now = self.clock()
         if request.method != b"GET" or request.path != b"/instances":
             tell(failure(404, Finding("request", "no such call")))
-        elif not self.directory.allows(now):
+        elif not self.directory.admit_call(now):
             tell(Reply(429))
         else:
             page = self.directory.page(now, request.query.get("zone"), request.query.get("pageToken"))
--- a/shedgrade/lab/system/site.py
+++ b/shedgrade/lab/system/site.py
@@ -81,16 +81,16 @@
             for number, zone in enumerate(zones)
         ]
 
-    def of(self, kind: str) -> list[Machine]:
+    def machines_of(self, kind: str) -> list[Machine]:
         return [machine for machine in self.machines() if machine.kind == kind]
 
-    def control(self) -> list[str]:
-        return [machine.address(CONTROL) for machine in self.of(CORE)]
+    def control_addresses(self) -> list[str]:
+        return [machine.address(CONTROL) for machine in self.machines_of(CORE)]
 
-    def platform(self) -> tuple[str, int]:
+    def platform_address(self) -> tuple[str, int]:
         return f"{self.network}.{PLATFORM_HOST}", PLATFORM
 
-    def engine(self, number: int) -> tuple[str, int]:
+    def engine_address(self, number: int) -> tuple[str, int]:
         """Returns the address of the upstream with this number, from 0."""
         return f"{self.network}.{FIRST_ENGINE + number}", ENGINE
 
@@ -112,7 +112,7 @@
             "zones": self.zones,
             "listenAddresses": {name: machine.address(port) for name, port in listen.items()},
             "internalPortRange": list(INTERNAL),
-            "seedNodes": self.control()[:3],
+            "seedNodes": self.control_addresses()[:3],
             "initialStart": first,
             "lossCounted": core,
             "limits": {
@@ -131,13 +131,13 @@
             "toleratedLosses": {"machines": self.tolerated, "zones": 1, "regions": 1},
             "timingBounds": self.bounds,
             "cloudApi": {
-                "address": "{}:{}".format(*self.platform()),
+                "address": "{}:{}".format(*self.platform_address()),
                 "ratePerS": self.rate_per_s,
                 "dutyList": [],
                 "maxLagMs": self.max_lag_ms,
             },
         }
 
-    def write(self, machine: Machine, path: Path, folder: Path | None, first: bool) -> None:
+    def write_settings(self, machine: Machine, path: Path, folder: Path | None, first: bool) -> None:
         """Writes the settings file of a machine's process."""
         path.write_text(yaml.safe_dump(self.settings(machine, folder, first), sort_keys=False))
--- a/shedgrade/lab/system/world.py
+++ b/shedgrade/lab/system/world.py
@@ -38,9 +38,11 @@
         self.loop = asyncio.get_running_loop()
         self.clock = self.loop.time
         self.key = self.random.randbytes(16)
-        self.history = History(edge_regions={edge.address(FRONT): edge.region for edge in site.of(EDGE)})
+        self.history = History(
+            edge_regions={edge.address(FRONT): edge.region for edge in site.machines_of(EDGE)}
+        )
         self.directory = InstanceDirectory(site.max_lag_ms / 1000, site.rate_per_s)
-        self.platform = PlatformServer(self.loop, site.platform(), self.directory, self.clock)
+        self.platform = PlatformServer(self.loop, site.platform_address(), self.directory, self.clock)
         self.fleet = Fleet(
             self.loop, site, services, engines, self.directory, self.history, Random(seed + 1), self.key
         )
@@ -58,13 +60,13 @@
             )
             for zone, region in site.zones.items()
         }
-        self.tasks: set[asyncio.Task] = set()
-        self.number = 0
-        self.generating: list[asyncio.Task] = []
+        self.request_tasks: set[asyncio.Task] = set()
+        self.requests_sent = 0
+        self.arrival_tasks: list[asyncio.Task] = []
 
     def make_operator(self) -> Operator:
         return Operator(
-            self.site.control(),
+            self.site.control_addresses(),
             self.history,
             Random(self.random.getrandbits(32)),
             self.clock,
@@ -74,13 +76,15 @@
     def registries(self, zone: str) -> list[str]:
         """Returns the addresses of the directory, nearest to the zone first."""
         region = self.site.zones[zone]
-        near = sorted(self.site.of(CORE), key=lambda core: (core.zone != zone, core.region != region))
+        near = sorted(
+            self.site.machines_of(CORE), key=lambda core: (core.zone != zone, core.region != region)
+        )
         return [core.address(DIRECTORY) for core in near]
 
     # --- start and stop
 
     async def __aenter__(self) -> "World":
-        self.starting = self.trouble("the system starts")
+        self.startup_disturbance = self.begin_disturbance("the system starts")
         try:
             await self.platform.start()
             await self.fleet.start_all()
@@ -95,13 +99,13 @@
         if failure is not None:
             for name in self.launcher.machines:
                 state = "runs" if self.launcher.running(name) else "does not run"
-                failure.add_note(f"{name} {state}: {self.launcher.said(name)}")
+                failure.add_note(f"{name} {state}: {self.launcher.output_tail(name)}")
             for status in await self.status():
                 failure.add_note(f"{status['node']}: {status}")
         await self.close()
 
     async def close(self) -> None:
-        await self.quiet()
+        await self.finish_requests()
         await self.launcher.close()
         for clients in self.clients.values():
             clients.close()
@@ -109,7 +113,7 @@
         self.platform.close()
         await asyncio.sleep(0)
 
-    async def until(self, condition: Callable[[], object], limit: float) -> object:
+    async def wait_until(self, condition: Callable[[], object], limit: float) -> object:
         """Returns the result of `condition`, a function or coroutine function, once it is true.
 
         Raises TimeoutError after `limit` seconds.
@@ -126,14 +130,14 @@
     # --- state of the system
 
     async def status(self) -> list[dict]:
-        return await statuses(self.site.control())
+        return await statuses(self.site.control_addresses())
 
     async def primary(self) -> str | None:
         """Returns the primary's machine, by the newest epoch that a member reports; None without one."""
         told = [one for one in await self.status() if one["role"] == "primary"]
         return max(told, key=lambda one: one["epoch"])["node"] if told else None
 
-    async def in_force(self) -> dict[str, int | None]:
+    async def edge_versions(self) -> dict[str, int | None]:
         """Returns the newest configuration version of each edge, as members report it."""
         held: dict[str, int | None] = {}
         for status in await self.status():
@@ -142,7 +146,7 @@
                     held[edge["name"]] = max(edge["configVersion"], held.get(edge["name"]) or 0)
         return held
 
-    async def serving(self) -> bool:
+    async def clients_have_addresses(self) -> bool:
         """Returns whether each zone's clients have the address of some edge."""
         for clients in self.clients.values():
             await clients.resolve(self.kinds[0].host)
@@ -150,52 +154,52 @@
 
     # --- traffic
 
-    def traffic(self, share: float = 1.0) -> None:
+    def start_traffic(self, share: float = 1.0) -> None:
         """Starts open-loop traffic: Poisson arrivals of each kind at its rate, from a random zone each."""
         for kind in self.kinds:
-            task = self.loop.create_task(self.arrivals(kind, share, Random(self.random.getrandbits(32))))
-            self.generating.append(task)
+            task = self.loop.create_task(self.send_at_rate(kind, share, Random(self.random.getrandbits(32))))
+            self.arrival_tasks.append(task)
 
-    async def arrivals(self, kind: Kind, share: float, random: Random) -> None:
+    async def send_at_rate(self, kind: Kind, share: float, random: Random) -> None:
         at = self.clock()
         while True:
             at += random.expovariate(kind.rate * share)
             await asyncio.sleep(max(0.0, at - self.clock()))
-            self.ask(kind, random.choice(list(self.clients)))
+            self.send_request(kind, random.choice(list(self.clients)))
 
-    def ask(self, kind: Kind, zone: str) -> asyncio.Task:
+    def send_request(self, kind: Kind, zone: str) -> asyncio.Task:
         """Sends a request from a client in a zone; the task's result is its `ClientRequest`."""
-        self.number += 1
-        task = self.loop.create_task(self.clients[zone].play(self.number, kind))
-        self.tasks.add(task)
-        task.add_done_callback(self.tasks.discard)
+        self.requests_sent += 1
+        task = self.loop.create_task(self.clients[zone].play(self.requests_sent, kind))
+        self.request_tasks.add(task)
+        task.add_done_callback(self.request_tasks.discard)
         return task
 
-    async def quiet(self) -> list[ClientRequest]:
+    async def finish_requests(self) -> list[ClientRequest]:
         """Stops new requests and waits for those in flight."""
-        for task in self.generating:
+        for task in self.arrival_tasks:
             task.cancel()
-        await asyncio.gather(*self.generating, return_exceptions=True)
-        self.generating.clear()
-        return list(await asyncio.gather(*self.tasks))
+        await asyncio.gather(*self.arrival_tasks, return_exceptions=True)
+        self.arrival_tasks.clear()
+        return list(await asyncio.gather(*self.request_tasks))
 
     # --- disturbances
 
-    def trouble(self, what: str) -> int:
+    def begin_disturbance(self, what: str) -> int:
         """Begins a disturbance and returns its number.
 
-        Until `calmed`, rules with time bounds do not apply.
+        Until `end_disturbance`, rules with time bounds do not apply.
         """
         self.history.disturbances.append((self.clock(), float("inf"), what))
         return len(self.history.disturbances) - 1
 
-    def calmed(self, number: int) -> None:
+    def end_disturbance(self, number: int) -> None:
         begun, _, what = self.history.disturbances[number]
         self.history.disturbances[number] = (begun, self.clock() + self.site.bounds["contactMs"] / 1000, what)
 
     async def kill(self, name: str) -> int:
         """Kills a machine's process; returns the number of the disturbance."""
-        number = self.trouble(f"{name} killed")
+        number = self.begin_disturbance(f"{name} killed")
         await self.launcher.kill(name)
         return number
 
--- a/tests/lab_system/test_system_clients.py
+++ b/tests/lab_system/test_system_clients.py
@@ -305,7 +305,7 @@
     order, seen, _ = operate(lambda number, request: Reply(503), lambda one: one.evacuate("quay"))
     assert order.status == 0 and not order.accepted and len(seen) > 2
     assert seen[0][1].method == b"POST" and seen[0][1].path == b"/evacuation/quay"
-    order, seen, _ = operate(lambda number, request: Reply(200), lambda one: one.take_back("quay"))
+    order, seen, _ = operate(lambda number, request: Reply(200), lambda one: one.return_zone("quay"))
     assert order.accepted and seen[0][1].method == b"DELETE"
 
 
--- a/tests/lab_system/test_system_launcher.py
+++ b/tests/lab_system/test_system_launcher.py
@@ -25,15 +25,15 @@
     assert len({machine.ip for machine in machines}) == len(machines) == 7
     for machine in machines:
         path = tmp_path / f"{machine.name}.yaml"
-        site.write(machine, path, tmp_path if machine.kind == CORE else None, True)
+        site.write_settings(machine, path, tmp_path if machine.kind == CORE else None, True)
         settings = validation.validate(yaml.safe_load(path.read_text()))
         assert settings.node_name == machine.name and settings.initial_start
-        assert settings.seeds == tuple(site.control()) and settings.tolerated.machines == 1
+        assert settings.seeds == tuple(site.control_addresses()) and settings.tolerated.machines == 1
         assert set(settings.listen) == (
             {"control", "directory"} if machine.kind == CORE else {"front", "readiness"}
         )
         assert (settings.data_dir is None) == (machine.kind == EDGE)
-        assert settings.cloud_api.address == site.platform()
+        assert settings.cloud_api.address == site.platform_address()
 
 
 async def said(launcher, name, port):
@@ -58,11 +58,11 @@
             await asyncio.gather(said(launcher, "core-1", 8262), said(launcher, "edge-1", 8161))
             ids = {name: process.pid for name, process in launcher.processes.items()}
             with pytest.raises(RuntimeError):
-                launcher.wipe("core-1")
+                launcher.wipe_disk("core-1")
             await launcher.kill("core-1")
-            assert launcher.ended() == ["core-1"] and launcher.running("edge-1")
+            assert launcher.ended_machines() == ["core-1"] and launcher.running("edge-1")
             (tmp_path / "core-1" / "left").write_bytes(b"on its disk")
-            launcher.wipe("core-1")
+            launcher.wipe_disk("core-1")
             assert not (tmp_path / "core-1").exists()
             await launcher.start("core-1")
             told = yaml.safe_load((tmp_path / "core-1.yaml").read_text())
@@ -86,7 +86,7 @@
         fleet = Fleet(loop, site, ["lm", "lm"], engines, directory, told, Random(1), b"k")
         try:
             first, second = await fleet.start(0), await fleet.start(1, cold=True)
-            shown = {one.instance: one for one in directory.shown(loop.time())}
+            shown = {one.instance: one for one in directory.entries_shown(loop.time())}
             assert set(shown) == {first.upstream.instance, second.upstream.instance}
             assert shown[second.upstream.instance].cold_until > loop.time() + 4
             fleet.drain(0)
@@ -95,7 +95,7 @@
             again = await fleet.start(1)
             assert again.upstream.instance != second.upstream.instance and told.disturbances
             assert again.upstream.address == second.upstream.address
-            fleet.gone(first)
+            fleet.remove(first)
             assert len(fleet.entries) == 2
         finally:
             fleet.close()
--- a/tests/lab_system/test_system_platform.py
+++ b/tests/lab_system/test_system_platform.py
@@ -27,11 +27,11 @@
 
 def test_the_list_trails_by_its_lag():
     directory = InstanceDirectory(0.5, 10)
-    directory.set(1.0, [entry()])
+    directory.replace_entries(1.0, [entry()])
     assert names(directory.page(1.4, None, None)) == []
     assert names(directory.page(1.6, None, None)) == ["i-1"]
-    directory.set(2.0, [entry(), entry(2)])
-    directory.set(2.1, [entry(2)])
+    directory.replace_entries(2.0, [entry(), entry(2)])
+    directory.replace_entries(2.1, [entry(2)])
     assert names(directory.page(2.3, None, None)) == ["i-1"]
     assert names(directory.page(2.55, None, None)) == ["i-1", "i-2"]
     assert names(directory.page(2.7, None, None)) == ["i-2"]
@@ -40,17 +40,17 @@
 def test_what_changes_later_is_not_shown_sooner():
     directory = InstanceDirectory(0.5, 10)
     one = entry()
-    directory.set(1.0, [one])
+    directory.replace_entries(1.0, [one])
     one.state = DRAINING
     assert directory.page(2.0, None, None)["instanceList"][0]["state"] == "available"
-    directory.set(2.0, [one])
+    directory.replace_entries(2.0, [one])
     assert directory.page(2.6, None, None)["instanceList"][0]["state"] == "draining"
     assert directory.shown_draining == {"i-1": 2.5}
 
 
 def test_pages_follow_each_other_and_zones_are_told_apart():
     directory = InstanceDirectory(0.0, 10)
-    directory.set(
+    directory.replace_entries(
         0.0, [entry(number, "quay" if number % 2 else "mill") for number in range(2 * PAGE_SIZE + 3)]
     )
     seen, token = [], None
@@ -66,9 +66,9 @@
 
 
 def test_an_entry_tells_how_long_it_is_cold_and_how_long_it_has_left():
-    told = replace(entry(), cold_until=3.0, gone_at=2.5).told(1.0)
+    told = replace(entry(), cold_until=3.0, gone_at=2.5).as_json(1.0)
     assert told["coldLeftMs"] == 2000 and told["timeLeftMs"] == 1500
-    assert "timeLeftMs" not in entry().told(1.0) and entry(cold_until=3.0).told(4.0)["coldLeftMs"] == 0
+    assert "timeLeftMs" not in entry().as_json(1.0) and entry(cold_until=3.0).as_json(4.0)["coldLeftMs"] == 0
 
 
 def test_calls_beyond_the_rate_get_429():
@@ -76,7 +76,7 @@
         loop = asyncio.get_running_loop()
         now = [100.0]
         directory = InstanceDirectory(0.0, 3)
-        directory.set(0.0, [entry()])
+        directory.replace_entries(0.0, [entry()])
         server = PlatformServer(loop, ("127.0.0.1", 0), directory, lambda: now[0])
         await server.start()
         address = f"127.0.0.1:{server.server.port}"
--- a/tests/lab_system/test_system_short.py
+++ b/tests/lab_system/test_system_short.py
@@ -18,7 +18,7 @@
 
 
 async def served(world, zone, kind, count=1):
-    ended = await asyncio.gather(*(world.ask(kind, zone) for _ in range(count)))
+    ended = await asyncio.gather(*(world.send_request(kind, zone) for _ in range(count)))
     return [one.outcome for one in ended]
 
 
@@ -29,10 +29,10 @@
         async def whole():
             return len(await world.status()) == 3
 
-        await world.until(whole, START)
+        await world.wait_until(whole, START)
         first = await world.operator.put(demo.configuration(1, demo.KINDS, list(ENGINES)), 0)
         assert first.accepted, first.answer_text
-        await demo.begin(world)
+        await demo.wait_for_start(world)
         digest, reply, find, book = demo.KINDS
         for zone in ZONES:
             for kind in (reply, find, book):
@@ -40,26 +40,26 @@
         assert await served(world, "quay", digest) == ["served"]
 
         async def in_force():
-            held = await world.in_force()
+            held = await world.edge_versions()
             return len(held) == 2 and set(held.values()) == {4}
 
-        world.traffic()
-        primary = await world.until(world.primary, 10)
+        world.start_traffic()
+        primary = await world.wait_until(world.primary, 10)
         number = await world.kill(primary)
         second = await world.operator.put(demo.configuration(4, demo.KINDS, list(ENGINES), find=2_500), 1)
         assert second.accepted, second.answer_text
         assert await served(world, "fell", reply, 3) == ["served"] * 3
         await world.launcher.start(primary)
-        await world.until(whole, START)
-        world.calmed(number)
-        assert await world.until(world.primary, 10) not in (None, primary)
+        await world.wait_until(whole, START)
+        world.end_disturbance(number)
+        assert await world.wait_until(world.primary, 10) not in (None, primary)
 
-        await world.until(in_force, 10)
+        await world.wait_until(in_force, 10)
         evacuated = await world.operator.evacuate("fell")
         assert evacuated.accepted
-        await world.quiet()
+        await world.finish_requests()
         await world.read_back()
-        assert world.launcher.ended() == []
+        assert world.launcher.ended_machines() == []
         assert world.history.evacuated_at_end == ("fell",)
         found = judge(world.history, world.key, ZONES, site.bounds)
         assert not found, verdict(found)
