--- a/shedgrade/lab/system/clients.py
+++ b/shedgrade/lab/system/clients.py
@@ -25,7 +25,7 @@
     """The clients of one zone.
 
     registries: addresses of the directory, nearest first
-    told: the history to which requests and tries are added
+    observed: the history to which requests and tries are added
     clock: returns the time, s
     ttl_max: longest time to live that is accepted for a resolution, s
     """
@@ -35,13 +35,13 @@
         zone: str,
         region: str,
         registries: list[str],
-        told: History,
+        observed: History,
         random: Random,
         clock,
         ttl_max: float,
     ) -> None:
         self.zone, self.region, self.registries = zone, region, registries
-        self.history, self.random, self.clock, self.ttl_max = told, random, clock, ttl_max
+        self.history, self.random, self.clock, self.ttl_max = observed, random, clock, ttl_max
         self.addresses: list[str] = []
         self.addresses_valid_until = 0.0
         self.resolving: asyncio.Task | None = None
@@ -68,78 +68,82 @@
         for registry in self.registries[:MAX_REGISTRIES_ASKED]:
             try:
                 answer = await call(registry, "GET", path, timeout=1.0)
-                told = json.loads(answer.body) if answer.status == 200 else {}
-                addresses, ttl = list(told["addressList"]), float(told["ttlS"])
+                resolution = json.loads(answer.body) if answer.status == 200 else {}
+                addresses, ttl = list(resolution["addressList"]), float(resolution["ttlS"])
             except (*FAILURES, ValueError, KeyError, TypeError):
                 continue
             self.addresses = addresses
-            held = min(ttl, self.ttl_max) * (STALE_TTL_FACTOR if self.keeps_stale else 1)
-            self.addresses_valid_until = self.clock() + held
-            for address in [one for one in self.kept_connections if one not in addresses]:
+            lifetime = min(ttl, self.ttl_max) * (STALE_TTL_FACTOR if self.keeps_stale else 1)
+            self.addresses_valid_until = self.clock() + lifetime
+            for address in [known for known in self.kept_connections if known not in addresses]:
                 for link in self.kept_connections.pop(address):
                     link.close()
             return
 
     def choose(self) -> str | None:
         now = self.clock()
-        well = [one for one in self.addresses if self.skipped_until.get(one, 0.0) <= now]
-        return self.random.choice(well or self.addresses) if self.addresses else None
+        usable = [address for address in self.addresses if self.skipped_until.get(address, 0.0) <= now]
+        return self.random.choice(usable or self.addresses) if self.addresses else None
 
     # --- one request
 
     async def play(self, number: int, kind: Kind) -> ClientRequest:
         """Sends a request and its retries until it is served or refused for good, or its deadline passes."""
         now = self.clock()
-        asked = ClientRequest(number, kind, self.zone, now)
-        self.history.requests.append(asked)
-        until, after = now + kind.deadline_ms / 1000, 0
-        for turn in range(1 + kind.retries):
-            if until - self.clock() < 0.01:
+        request = ClientRequest(number, kind, self.zone, now)
+        self.history.requests.append(request)
+        deadline, last_event = now + kind.deadline_ms / 1000, 0
+        for try_number in range(1 + kind.retries):
+            if deadline - self.clock() < 0.01:
                 break
             await self.resolve(kind.host)
-            one = await self.try_once(asked, turn, until, after)
-            if one is None:
-                await asyncio.sleep(min(RETRY_PAUSE_S * 5, max(0.0, until - self.clock())))
+            client_try = await self.try_once(request, try_number, deadline, last_event)
+            if client_try is None:
+                await asyncio.sleep(min(RETRY_PAUSE_S * 5, max(0.0, deadline - self.clock())))
                 continue
-            if one.events:
-                after = one.events[-1][0]
-                asked.first_at = asked.first_at or one.first_at
-            if one.success:
-                asked.outcome, asked.first_at = "served", asked.first_at or one.first_at
+            if client_try.events:
+                last_event = client_try.events[-1][0]
+                request.first_at = request.first_at or client_try.first_at
+            if client_try.success:
+                request.outcome, request.first_at = "served", request.first_at or client_try.first_at
                 break
-            if not self.may_retry(one):
+            if not self.may_retry(client_try):
                 break
             wait = (
-                RETRY_PAUSE_S if one.retry_after is None else min(one.retry_after, (until - self.clock()) / 3)
+                RETRY_PAUSE_S
+                if client_try.retry_after is None
+                else min(client_try.retry_after, (deadline - self.clock()) / 3)
             )
-            await asyncio.sleep(max(0.0, min(wait, until - self.clock())))
-        asked.ended_at = self.clock()
-        if not asked.outcome:
-            asked.outcome = (
-                "refused" if asked.tries and asked.tries[-1].status in NOT_EXECUTED_STATUSES else "failed"
+            await asyncio.sleep(max(0.0, min(wait, deadline - self.clock())))
+        request.ended_at = self.clock()
+        if not request.outcome:
+            request.outcome = (
+                "refused" if request.tries and request.tries[-1].status in NOT_EXECUTED_STATUSES else "failed"
             )
-        return asked
+        return request
 
-    def may_retry(self, one: Try) -> bool:
+    def may_retry(self, client_try: Try) -> bool:
         """Returns whether another try may follow this one."""
-        if one.status in FINAL_STATUSES and one.whole:
+        if client_try.status in FINAL_STATUSES and client_try.whole:
             return False
         return (
-            one.kind.idempotent
-            or (one.whole and one.status in NOT_EXECUTED_STATUSES)
-            or (one.failure == history.UNCONNECTED)
+            client_try.kind.idempotent
+            or (client_try.whole and client_try.status in NOT_EXECUTED_STATUSES)
+            or (client_try.failure == history.UNCONNECTED)
         )
 
-    async def try_once(self, asked: ClientRequest, turn: int, until: float, after: int) -> Try | None:
+    async def try_once(
+        self, request: ClientRequest, try_number: int, deadline: float, last_event: int
+    ) -> Try | None:
         """Makes one try; returns None if there is no address to send it to."""
-        kind, random = asked.kind, self.random
+        kind, random = request.kind, self.random
         address = self.choose()
         if address is None:
             return None
-        target, body = f"{kind.prefix}{asked.number:x}", f"prompt {asked.number}".encode()
-        one = Try(
+        target, body = f"{kind.prefix}{request.number:x}", f"prompt {request.number}".encode()
+        client_try = Try(
             f"{random.getrandbits(64):016x}",
-            asked.number,
+            request.number,
             kind,
             target,
             content.digest(b"POST", target.encode(), body),
@@ -147,60 +151,62 @@
             self.region,
             address,
             self.clock(),
-            last_event_before=after,
+            last_event_before=last_event,
         )
-        asked.tries.append(one)
-        self.history.tries[one.attempt] = one
-        link = self.take_kept(address) if turn == 0 and random.random() < KEPT_CONNECTION_SHARE else None
-        if link is None:
-            link = await self.connect(address)
-        if link is None:
-            one.failure, one.ended_at = history.UNCONNECTED, self.clock()
+        request.tries.append(client_try)
+        self.history.tries[client_try.attempt] = client_try
+        connection = (
+            self.take_kept(address) if try_number == 0 and random.random() < KEPT_CONNECTION_SHARE else None
+        )
+        if connection is None:
+            connection = await self.connect(address)
+        if connection is None:
+            client_try.failure, client_try.ended_at = history.UNCONNECTED, self.clock()
             self.skipped_until[address] = self.clock() + FAILED_ADDRESS_SKIP_S
-            return one
+            return client_try
         silence = (
             max(MIN_STREAM_SILENCE_S, 4 * kind.target_ms / 1000, 8 * kind.gap_ms / 1000)
             if kind.streams
             else (float("inf"))
         )
-        left = until - self.clock()
-        await link.exchange(one, self.request(one, body, left), until, silence)
-        one.ended_at = self.clock()
-        if one.failure:
+        time_left = deadline - self.clock()
+        await connection.exchange(client_try, self.request(client_try, body, time_left), deadline, silence)
+        client_try.ended_at = self.clock()
+        if client_try.failure:
             self.skipped_until[address] = self.clock() + FAILED_ADDRESS_SKIP_S
-        self.keep_or_close(address, link)
-        return one
+        self.keep_or_close(address, connection)
+        return client_try
 
-    def request(self, one: Try, body: bytes, left: float) -> bytes:
-        kind = one.kind
+    def request(self, client_try: Try, body: bytes, time_left: float) -> bytes:
+        kind = client_try.kind
         lines = [
-            f"POST {one.target} HTTP/1.1",
+            f"POST {client_try.target} HTTP/1.1",
             f"Host: {kind.host}",
-            f"Attempt-Id: {one.attempt}",
-            f"Time-Remaining: {max(1, int(left * 1000))}",
+            f"Attempt-Id: {client_try.attempt}",
+            f"Time-Remaining: {max(1, int(time_left * 1000))}",
             f"Content-Length: {len(body)}",
         ]
         if kind.streams:
             tokens = sum(count for _, count in kind.shared_prompt) + kind.own_tokens
-            parts = [*kind.shared_prompt, (f"{one.request:08x}", kind.own_tokens)]
+            parts = [*kind.shared_prompt, (f"{client_try.request:08x}", kind.own_tokens)]
             lines += [
                 "Model-Name: m",
                 f"Token-Usage: {tokens},{kind.answer_tokens}",
                 "Prompt-Prefix: " + ",".join(f"{name}:{count}" for name, count in parts),
             ]
-        if one.last_event_before:
-            lines.append(f"Last-Event-Id: {one.last_event_before}")
+        if client_try.last_event_before:
+            lines.append(f"Last-Event-Id: {client_try.last_event_before}")
         return "\r\n".join(lines).encode() + b"\r\n\r\n" + body
 
     # --- connections
 
     def take_kept(self, address: str) -> ClientConnection | None:
-        links = self.kept_connections.get(address, [])
-        while links:
-            link = links.pop()
-            if link.usable(self.clock()):
-                return link
-            link.close()
+        connections = self.kept_connections.get(address, [])
+        while connections:
+            connection = connections.pop()
+            if connection.usable(self.clock()):
+                return connection
+            connection.close()
         return None
 
     async def connect(self, address: str) -> ClientConnection | None:
@@ -208,22 +214,22 @@
         try:
             async with asyncio.timeout(CONNECT_TIMEOUT_S):
                 loop = asyncio.get_running_loop()
-                _, link = await loop.create_connection(
+                _, connection = await loop.create_connection(
                     lambda: ClientConnection(self.clock, self.history.stray), host, int(port)
                 )
         except OSError:
             return None
-        return link
+        return connection
 
-    def keep_or_close(self, address: str, link: ClientConnection) -> None:
-        if link.usable(self.clock()) and address in self.addresses:
-            self.kept_connections.setdefault(address, []).append(link)
+    def keep_or_close(self, address: str, connection: ClientConnection) -> None:
+        if connection.usable(self.clock()) and address in self.addresses:
+            self.kept_connections.setdefault(address, []).append(connection)
         else:
-            link.close()
+            connection.close()
 
     def close(self) -> None:
         if self.resolving is not None:
             self.resolving.cancel()
-        for links in self.kept_connections.values():
-            for link in links:
-                link.close()
+        for connections in self.kept_connections.values():
+            for connection in connections:
+                connection.close()
--- a/shedgrade/lab/system/demo.py
+++ b/shedgrade/lab/system/demo.py
@@ -130,14 +130,14 @@
         self.version = 0
 
     async def configure(self, version: int, **timeouts_ms: float) -> None:
-        told = configuration(version, KINDS, list(ENGINES), **timeouts_ms)
-        put = await self.world.operator.put(told, self.version)
+        settings = configuration(version, KINDS, list(ENGINES), **timeouts_ms)
+        put = await self.world.operator.put(settings, self.version)
         if not put.accepted:
             raise RuntimeError(f"version {version} is answered {put.status}: {put.answer_text}")
         self.version = version
         self.lines.note(f"version {version} acknowledged after {put.ended_at - put.sent_at:.2f} s")
 
-    async def put_concurrently(self, one: int, other: int) -> None:
+    async def put_concurrently(self, first_version: int, second_version: int) -> None:
         """Two operators put different versions on top of the same one at once."""
         world = self.world
         puts = await asyncio.gather(
@@ -145,7 +145,7 @@
                 world.make_operator().put(
                     configuration(version, KINDS, list(ENGINES), find=2_000 + version), self.version
                 )
-                for version in (one, other)
+                for version in (first_version, second_version)
             )
         )
         self.version = max((put.version for put in puts if put.accepted), default=self.version)
@@ -159,46 +159,46 @@
 
     async def put_invalid(self, version: int) -> None:
         """Puts a configuration that names an unknown service."""
-        wrong = configuration(version, KINDS, [MODEL])
-        put = await self.world.operator.put(wrong, self.version, valid=False)
+        invalid = configuration(version, KINDS, [MODEL])
+        put = await self.world.operator.put(invalid, self.version, valid=False)
         self.lines.note(f"an invalid configuration is answered {put.status}")
 
-    async def kill_primary(self, away: float) -> None:
+    async def kill_primary(self, downtime: float) -> None:
         world = self.world
         name = await world.wait_until(world.primary, START_TIMEOUT_S)
-        number = await world.kill(name)
+        disturbance = await world.kill(name)
         self.lines.note(f"{name}, the primary, is killed")
-        await asyncio.sleep(away)
+        await asyncio.sleep(downtime)
         await world.launcher.start(name)
-        world.end_disturbance(number)
+        world.end_disturbance(disturbance)
         self.lines.note(f"{name} is started again")
 
-    async def suspend_region(self, region: str, away: float) -> None:
+    async def suspend_region(self, region: str, duration: float) -> None:
         """Suspends all processes of a region for `away` seconds, as if a partition cut it off."""
         world = self.world
         names = [machine.name for machine in world.site.machines() if machine.region == region]
-        number = world.begin_disturbance(f"{region} cut off")
+        disturbance = world.begin_disturbance(f"{region} cut off")
         for name in names:
             world.launcher.suspend(name)
         self.lines.note(f"{region} stands still: {', '.join(names)}")
-        await asyncio.sleep(away)
+        await asyncio.sleep(duration)
         for name in names:
             world.launcher.resume(name)
-        world.end_disturbance(number)
+        world.end_disturbance(disturbance)
         self.lines.note(f"{region} goes on")
 
-    async def evacuate(self, zone: str, lasts: float) -> None:
+    async def evacuate(self, zone: str, duration: float) -> None:
         order = await self.world.operator.evacuate(zone)
         self.lines.note(f"{zone} evacuated, acknowledged after {order.ended_at - order.sent_at:.2f} s")
-        await asyncio.sleep(lasts)
+        await asyncio.sleep(duration)
         await self.world.operator.return_zone(zone)
         self.lines.note(f"{zone} takes requests again")
 
-    async def crash(self, number: int, away: float) -> None:
+    async def crash(self, number: int, downtime: float) -> None:
         fleet = self.world.fleet
         self.lines.note(f"an upstream of {fleet.services[number]} crashes")
         fleet.crash(number)
-        await asyncio.sleep(away)
+        await asyncio.sleep(downtime)
         await fleet.start(number, cold=True)
         self.lines.note("it comes back, cold")
 
@@ -206,8 +206,8 @@
         """Runs the steps, about 40 s. After the last faults there is calm, in which the bounds of evacuations
         can be checked."""
         world = self.world
-        begun = world.clock()
-        told = [
+        started_at = world.clock()
+        schedule = [
             (5, self.configure(5, reply=9_000)),
             (9, self.kill_primary(3.0)),
             (17, self.suspend_region("west", 4.0)),
@@ -220,12 +220,12 @@
         lines = asyncio.create_task(self.lines.report_every_second())
 
         async def after(at: float, step) -> None:
-            await asyncio.sleep(max(0.0, begun + at - world.clock()))
+            await asyncio.sleep(max(0.0, started_at + at - world.clock()))
             await step
 
         try:
             async with asyncio.TaskGroup() as steps:
-                for at, step in told:
+                for at, step in schedule:
                     steps.create_task(after(at, step))
                 steps.create_task(asyncio.sleep(42))
         finally:
@@ -255,10 +255,10 @@
             await world.finish_requests()
             await world.read_back()
             say(lines.totals())
-            found = judge(world.history, world.key, ZONES, site.bounds, cold_rate=COLD_RATE)
+            breaches = judge(world.history, world.key, ZONES, site.bounds, cold_rate=COLD_RATE)
             for name in world.launcher.ended_machines():
-                found.append(Breach("Fault", f"{name} ended by itself"))
+                breaches.append(Breach("Fault", f"{name} ended by itself"))
             if not lines.served:
-                found.append(Breach("Fault", "no request was served"))
-            say(f"verdict: {verdict(found)}")
-            return found
+                breaches.append(Breach("Fault", "no request was served"))
+            say(f"verdict: {verdict(breaches)}")
+            return breaches
--- a/shedgrade/lab/system/fleet.py
+++ b/shedgrade/lab/system/fleet.py
@@ -17,7 +17,7 @@
     services: the service of each upstream, by its number
     engines: engine settings by service
     directory: the platform's list, which follows the upstreams
-    told: the history to which runs and disturbances are added
+    observed: the history to which runs and disturbances are added
     key: signs the seals of answers
     behaviour: further settings of every upstream
     """
@@ -29,13 +29,13 @@
         services: list[str],
         engines: dict[str, EngineSettings],
         directory: InstanceDirectory,
-        told: History,
+        observed: History,
         random: Random,
         key: bytes,
         **behaviour: object,
     ) -> None:
         self.loop, self.site, self.services, self.engines = loop, site, services, engines
-        self.directory, self.history, self.random, self.key = directory, told, random, key
+        self.directory, self.history, self.random, self.key = directory, observed, random, key
         self.upstream_options = behaviour
         self.servers: dict[int, EngineServer] = {}
         self.entries: dict[str, Entry] = {}
@@ -99,8 +99,8 @@
         server.drain()
         self.entries[server.upstream.instance].state = DRAINING
         self.publish_list()
-        lasts = self.site.bounds["drainMs"] / 1000 + self.directory.lag + 1.0
-        self.call_later(lasts, self.remove, server)
+        shutdown_delay = self.site.bounds["drainMs"] / 1000 + self.directory.lag + 1.0
+        self.call_later(shutdown_delay, self.remove, server)
 
     def remove(self, server: EngineServer) -> None:
         server.close()
@@ -117,8 +117,8 @@
     def available(self) -> int:
         return sum(entry.state == AVAILABLE for entry in self.entries.values())
 
-    def call_later(self, delay: float, call, *given) -> None:
-        self.timers.append(self.loop.call_later(delay, call, *given))
+    def call_later(self, delay: float, callback, *arguments) -> None:
+        self.timers.append(self.loop.call_later(delay, callback, *arguments))
 
     def close(self) -> None:
         for timer in self.timers:
--- a/shedgrade/lab/system/judge.py
+++ b/shedgrade/lab/system/judge.py
@@ -17,7 +17,7 @@
 
 
 def judge(
-    told: History, key: bytes, zones: dict[str, str], bounds: dict[str, float], *, cold_rate: float = 0.0
+    observed: History, key: bytes, zones: dict[str, str], bounds: dict[str, float], *, cold_rate: float = 0.0
 ) -> list[Breach]:
     """Returns all breaches.
 
@@ -27,132 +27,148 @@
     cold_rate: requests a second that a cold upstream can serve; 0 if no upstream is cold
     """
     runs: dict[str, list[Run]] = defaultdict(list)
-    for run in told.runs:
+    for run in observed.runs:
         runs[run.attempt].append(run)
-    found: list[Breach] = [Breach("MIXED", text) for text in told.stray]
-    for one in told.tries.values():
-        found += answer_breaches(one, runs[one.attempt], key)
-        found += repeat_breaches(one, runs[one.attempt])
-    found += arrival_breaches(told, zones)
-    found += redirection_breaches(told)
-    found += evacuation_breaches(told, bounds)
-    found += drain_breaches(told, bounds)
-    found += retry_budget_breaches(told, bounds)
-    found += cold_start_breaches(told, bounds, cold_rate)
-    found += lost_answer_breaches(told, runs)
-    configurations = Configurations(told.orders)
-    found += orders.acceptance_breaches(told)
-    found += orders.acknowledgement_breaches(told, bounds)
-    found += orders.routing_breaches(told, configurations, bounds)
-    found += orders.durability_breaches(told)
-    return found
+    breaches: list[Breach] = [Breach("MIXED", text) for text in observed.stray]
+    for client_try in observed.tries.values():
+        breaches += answer_breaches(client_try, runs[client_try.attempt], key)
+        breaches += repeat_breaches(client_try, runs[client_try.attempt])
+    breaches += arrival_breaches(observed, zones)
+    breaches += redirection_breaches(observed)
+    breaches += evacuation_breaches(observed, bounds)
+    breaches += drain_breaches(observed, bounds)
+    breaches += retry_budget_breaches(observed, bounds)
+    breaches += cold_start_breaches(observed, bounds, cold_rate)
+    breaches += lost_answer_breaches(observed, runs)
+    configurations = Configurations(observed.orders)
+    breaches += orders.acceptance_breaches(observed)
+    breaches += orders.acknowledgement_breaches(observed, bounds)
+    breaches += orders.routing_breaches(observed, configurations, bounds)
+    breaches += orders.durability_breaches(observed)
+    return breaches
 
 
 # --- answers
 
 
-def answer_breaches(one: Try, runs: list[Run], key: bytes) -> Iterator[Breach]:
+def answer_breaches(client_try: Try, runs: list[Run], key: bytes) -> Iterator[Breach]:
     """A successful answer must be an upstream's, complete and in order, and belong to this request."""
-    name = f"{one.kind.name} {one.attempt}"
-    if one.unexpected_bytes:
+    name = f"{client_try.kind.name} {client_try.attempt}"
+    if client_try.unexpected_bytes:
         yield Breach("MIXED", f"{name}: more than its answer came")
-    yield from event_breaches(one, name)
-    if not one.success:
+    yield from event_breaches(client_try, name)
+    if not client_try.success:
         return
-    if one.echoed_attempt and one.echoed_attempt != one.attempt:
-        yield Breach("MIXED", f"{name}: the answer is {one.echoed_attempt}'s")
-    if one.encoding:
+    if client_try.echoed_attempt and client_try.echoed_attempt != client_try.attempt:
+        yield Breach("MIXED", f"{name}: the answer is {client_try.echoed_attempt}'s")
+    if client_try.encoding:
         yield Breach("MIXED", f"{name}: the answer is encoded")
-    by = content.sealed_by(key, one.seal, one.attempt, one.digest)
-    if by is None:
-        yield Breach("MIXED", f"{name}: a success with the seal {one.seal!r}")
-    elif not any(run.instance == by and run.ran_at is not None for run in runs):
-        yield Breach("MIXED", f"{name}: sealed by {by}, which did not run it")
-    if one.kind.streams:
-        last = one.events[-1][0] if one.events else one.last_event_before
-        if last != one.kind.events:
-            yield Breach("ORDER", f"{name}: ends as complete at event {last} of {one.kind.events}")
-    elif one.body != content.body(one.digest, one.kind.answer_bytes):
-        yield Breach("MIXED", f"{name}: {len(one.body)} bytes that are not the upstream's answer")
-
-
-def event_breaches(one: Try, name: str) -> Iterator[Breach]:
-    expected = one.last_event_before + 1
-    for number, mark, _ in one.events:
+    sealed_by = content.sealed_by(key, client_try.seal, client_try.attempt, client_try.digest)
+    if sealed_by is None:
+        yield Breach("MIXED", f"{name}: a success with the seal {client_try.seal!r}")
+    elif not any(run.instance == sealed_by and run.ran_at is not None for run in runs):
+        yield Breach("MIXED", f"{name}: sealed by {sealed_by}, which did not run it")
+    if client_try.kind.streams:
+        last = client_try.events[-1][0] if client_try.events else client_try.last_event_before
+        if last != client_try.kind.events:
+            yield Breach("ORDER", f"{name}: ends as complete at event {last} of {client_try.kind.events}")
+    elif client_try.body != content.body(client_try.digest, client_try.kind.answer_bytes):
+        yield Breach("MIXED", f"{name}: {len(client_try.body)} bytes that are not the upstream's answer")
+
+
+def event_breaches(client_try: Try, name: str) -> Iterator[Breach]:
+    expected = client_try.last_event_before + 1
+    for number, mark, _ in client_try.events:
         if number != expected:
             yield Breach("ORDER", f"{name}: event {number} where {expected} was due")
             return
-        if mark != content.mark(one.digest, number):
+        if mark != content.mark(client_try.digest, number):
             yield Breach("MIXED", f"{name}: event {number} is not this request's")
             return
         expected += 1
 
 
-def repeat_breaches(one: Try, runs: list[Run]) -> Iterator[Breach]:
+def repeat_breaches(client_try: Try, runs: list[Run]) -> Iterator[Breach]:
     """A request that may not be repeated runs at most once, and not at all if its answer promised that."""
-    ran = [run.instance for run in runs if run.ran_at is not None]
-    if one.kind.idempotent:
+    ran_at_instances = [run.instance for run in runs if run.ran_at is not None]
+    if client_try.kind.idempotent:
         return
-    if len(ran) > 1:
-        yield Breach("TWICE", f"{one.kind.name} {one.attempt} ran at {', '.join(ran)}")
-    if ran and one.whole and one.status in NOT_EXECUTED_STATUSES:
-        yield Breach("REFUSED", f"{one.kind.name} {one.attempt} ran, and was answered {one.status}")
+    if len(ran_at_instances) > 1:
+        yield Breach(
+            "TWICE", f"{client_try.kind.name} {client_try.attempt} ran at {', '.join(ran_at_instances)}"
+        )
+    if ran_at_instances and client_try.whole and client_try.status in NOT_EXECUTED_STATUSES:
+        yield Breach(
+            "REFUSED",
+            f"{client_try.kind.name} {client_try.attempt} ran, and was answered {client_try.status}",
+        )
 
 
-def lost_answer_breaches(told: History, runs: dict[str, list[Run]]) -> Iterator[Breach]:
+def lost_answer_breaches(observed: History, runs: dict[str, list[Run]]) -> Iterator[Breach]:
     """Without a disturbance, a request that was passed on gets an answer unless its upstream broke off."""
-    for one in told.tries.values():
-        passed = runs[one.attempt]
-        broke = any(run.outcome in ("cut", "late") for run in passed)
+    for client_try in observed.tries.values():
+        runs_of_try = runs[client_try.attempt]
+        broken_off = any(run.outcome in ("cut", "late") for run in runs_of_try)
         if (
-            one.failure == history.CLOSED
-            and passed
-            and not broke
-            and told.is_undisturbed(one.sent_at, one.ended_at)
+            client_try.failure == history.CLOSED
+            and runs_of_try
+            and not broken_off
+            and observed.is_undisturbed(client_try.sent_at, client_try.ended_at)
         ):
-            yield Breach("LOST", f"{one.kind.name} {one.attempt} at {one.sidecar} ends without an answer")
+            yield Breach(
+                "LOST",
+                f"{client_try.kind.name} {client_try.attempt} at {client_try.sidecar} ends without an answer",
+            )
 
 
 # --- what arrives at upstreams
 
 
-def arrival_breaches(told: History, zones: dict[str, str]) -> Iterator[Breach]:
-    for run in told.runs:
-        one = told.tries.get(run.attempt)
-        if one is None:
+def arrival_breaches(observed: History, zones: dict[str, str]) -> Iterator[Breach]:
+    for run in observed.runs:
+        client_try = observed.tries.get(run.attempt)
+        if client_try is None:
             yield Breach("UNASKED", f"{run.instance} was sent {run.attempt!r}, which no client sent")
             continue
-        if (run.method, run.target, run.asked) != ("POST", one.target, one.digest):
+        if (run.method, run.target, run.asked) != ("POST", client_try.target, client_try.digest):
             yield Breach("UNASKED", f"{run.instance} was sent {run.attempt} changed")
-        homes = one.kind.home_regions
-        if homes and zones[run.zone] not in homes:
-            yield Breach("HOME", f"{one.kind.name} {run.attempt} arrived in {zones[run.zone]}, not at home")
+        home_regions = client_try.kind.home_regions
+        if home_regions and zones[run.zone] not in home_regions:
+            yield Breach(
+                "HOME", f"{client_try.kind.name} {run.attempt} arrived in {zones[run.zone]}, not at home"
+            )
 
 
-def redirection_breaches(told: History) -> Iterator[Breach]:
+def redirection_breaches(observed: History) -> Iterator[Breach]:
     """The directory must lead clients to home regions of the request or to their own region."""
-    bound = [one for one in told.tries.values() if one.kind.home_regions and one.sidecar in told.edge_regions]
+    restricted = [
+        client_try
+        for client_try in observed.tries.values()
+        if client_try.kind.home_regions and client_try.sidecar in observed.edge_regions
+    ]
     abroad = [
-        one for one in bound if told.edge_regions[one.sidecar] not in (*one.kind.home_regions, one.region)
+        client_try
+        for client_try in restricted
+        if observed.edge_regions[client_try.sidecar] not in (*client_try.kind.home_regions, client_try.region)
     ]
-    if len(abroad) > MAX_LED_ABROAD_SHARE * len(bound):
+    if len(abroad) > MAX_LED_ABROAD_SHARE * len(restricted):
         yield Breach(
             "HOME",
-            f"{len(abroad)} of {len(bound)} requests with homes were led to other regions, "
+            f"{len(abroad)} of {len(restricted)} requests with homes were led to other regions, "
             f"the first {abroad[0].attempt} to {abroad[0].sidecar}",
         )
 
 
-def evacuation_breaches(told: History, bounds: dict[str, float]) -> Iterator[Breach]:
-    spans = []
-    for order in told.orders:
+def evacuation_breaches(observed: History, bounds: dict[str, float]) -> Iterator[Breach]:
+    evacuations = []
+    for order in observed.orders:
         if order.verb == "evacuate" and order.accepted:
             returns = [
                 other.sent_at
-                for other in told.orders
+                for other in observed.orders
                 if other.verb == "return" and (other.zone == order.zone and other.sent_at > order.sent_at)
             ]
-            spans.append(
+            evacuations.append(
                 (
                     order.zone,
                     order.ended_at + bounds["evacuationMs"] / 1000,
@@ -160,72 +176,77 @@
                 )
             )
     contact = bounds["contactMs"] / 1000
-    for run in told.runs:
-        for zone, begins, ends in spans:
+    for run in observed.runs:
+        for zone, begins, ends in evacuations:
             if (
                 run.zone == zone
                 and begins < run.at < ends
                 and not run.outcome.startswith("421")
-                and (told.is_undisturbed(run.at - contact, run.at))
+                and (observed.is_undisturbed(run.at - contact, run.at))
             ):
                 yield Breach("EVAC", f"{run.attempt} arrived in {zone} {run.at - begins:.2f} s late")
 
 
-def drain_breaches(told: History, bounds: dict[str, float]) -> Iterator[Breach]:
+def drain_breaches(observed: History, bounds: dict[str, float]) -> Iterator[Breach]:
     contact = bounds["contactMs"] / 1000
-    for run in told.runs:
-        shown = told.drained.get(run.instance)
-        late = None if shown is None else run.at - shown - bounds["drainMs"] / 1000
+    for run in observed.runs:
+        drained_at = observed.drained.get(run.instance)
+        lateness = None if drained_at is None else run.at - drained_at - bounds["drainMs"] / 1000
         if (
-            late is not None
-            and late > 0
+            lateness is not None
+            and lateness > 0
             and not run.outcome.startswith("421")
-            and (told.is_undisturbed(run.at - contact, run.at))
+            and (observed.is_undisturbed(run.at - contact, run.at))
         ):
-            yield Breach("DRAIN", f"{run.attempt} arrived at {run.instance} {late:.2f} s late")
+            yield Breach("DRAIN", f"{run.attempt} arrived at {run.instance} {lateness:.2f} s late")
 
 
-def retry_budget_breaches(told: History, bounds: dict[str, float]) -> Iterator[Breach]:
+def retry_budget_breaches(observed: History, bounds: dict[str, float]) -> Iterator[Breach]:
     """Limits arrivals beyond the first of each try, in every window, to the retry budget of all sidecars."""
     window, ratio, slack = bounds["retryWindowS"], bounds["retryBudgetRatio"], bounds["retrySlack"]
-    seen: Counter = Counter()
+    arrivals: Counter = Counter()
     repeats: dict[str, list[float]] = defaultdict(list)
-    for run in sorted(told.runs, key=lambda run: run.at):
-        seen[run.attempt] += 1
-        if seen[run.attempt] > 1:
+    for run in sorted(observed.runs, key=lambda run: run.at):
+        arrivals[run.attempt] += 1
+        if arrivals[run.attempt] > 1:
             repeats[run.service].append(run.at)
     for service, times in repeats.items():
-        sent = [one.sent_at for one in told.tries.values() if one.kind.service == service]
+        request_times = [
+            client_try.sent_at for client_try in observed.tries.values() if client_try.kind.service == service
+        ]
         for end in times:
             count = sum(end - window < at <= end for at in times)
-            most = max(
-                sum(end - back - window < at <= end - back for at in sent) for back in (0, window / 2, window)
+            requests = max(
+                sum(end - back - window < at <= end - back for at in request_times)
+                for back in (0, window / 2, window)
             )
-            if count > ratio * most + slack:
-                yield Breach("BUDGET", f"{count} repeats at {service} within {window} s, for {most} requests")
+            if count > ratio * requests + slack:
+                yield Breach(
+                    "BUDGET", f"{count} repeats at {service} within {window} s, for {requests} requests"
+                )
                 break
 
 
-def cold_start_breaches(told: History, bounds: dict[str, float], rate: float) -> Iterator[Breach]:
+def cold_start_breaches(observed: History, bounds: dict[str, float], rate: float) -> Iterator[Breach]:
     if not rate:
         return
-    most = rate * bounds["coldExcess"] + bounds["coldSlack"]
-    times: dict[str, list[float]] = defaultdict(list)
-    for run in told.runs:
+    limit = rate * bounds["coldExcess"] + bounds["coldSlack"]
+    times_by_instance: dict[str, list[float]] = defaultdict(list)
+    for run in observed.runs:
         if run.cold and not run.outcome.startswith("421"):
-            times[run.instance].append(run.at)
-    for instance, came in times.items():
-        worst = max(sum(at - 1.0 < other <= at for other in came) for at in came)
-        if worst > most:
-            yield Breach("FAILBACK", f"{instance} was sent {worst} in a second while cold, not {most:g}")
+            times_by_instance[run.instance].append(run.at)
+    for instance, arrivals in times_by_instance.items():
+        highest = max(sum(at - 1.0 < other <= at for other in arrivals) for at in arrivals)
+        if highest > limit:
+            yield Breach("FAILBACK", f"{instance} was sent {highest} in a second while cold, not {limit:g}")
 
 
-def verdict(found: list[Breach]) -> str:
+def verdict(breaches: list[Breach]) -> str:
     """Returns one line for each rule that was broken."""
-    counts = Counter(breach.rule for breach in found)
+    counts = Counter(breach.rule for breach in breaches)
     return (
         "\n".join(
-            f"{rule} broken {count} times: {next(b.text for b in found if b.rule == rule)}"
+            f"{rule} broken {count} times: {next(b.text for b in breaches if b.rule == rule)}"
             for rule, count in sorted(counts.items())
         )
         or "no rule was broken"
--- a/shedgrade/lab/system/launcher.py
+++ b/shedgrade/lab/system/launcher.py
@@ -44,19 +44,19 @@
         The first start of each machine is part of the first start of the system.
         """
         machine = self.machines[name]
-        disk, path = self.data_directory(machine), self.folder / f"{name}.yaml"
-        if disk is not None:
-            disk.mkdir(exist_ok=True)
-        self.site.write_settings(machine, path, disk, name not in self.ever_started)
+        data_directory, path = self.data_directory(machine), self.folder / f"{name}.yaml"
+        if data_directory is not None:
+            data_directory.mkdir(exist_ok=True)
+        self.site.write_settings(machine, path, data_directory, name not in self.ever_started)
         self.ever_started.add(name)
-        told = {**os.environ, "SHEDGRADE_BOOT": str(path), "PYTHONPATH": str(ROOT)}
+        environment = {**os.environ, "SHEDGRADE_BOOT": str(path), "PYTHONPATH": str(ROOT)}
         with self.log_path(name).open("ab") as log:
             self.processes[name] = await asyncio.create_subprocess_exec(
                 sys.executable,
                 "-m",
                 PROGRAMS[machine.kind == CORE],
                 cwd=ROOT,
-                env=told,
+                env=environment,
                 stdout=log,
                 stderr=log,
                 stdin=asyncio.subprocess.DEVNULL,
--- a/shedgrade/lab/system/lines.py
+++ b/shedgrade/lab/system/lines.py
@@ -34,26 +34,28 @@
         self.notes.append(text)
 
     async def report_every_second(self) -> None:
-        begun, turn = self.world.clock(), 0
+        started_at, turn = self.world.clock(), 0
         while True:
             turn += 1
-            await asyncio.sleep(max(0.0, begun + turn - self.world.clock()))
+            await asyncio.sleep(max(0.0, started_at + turn - self.world.clock()))
             self.write_line(await self.next_line(turn))
 
     async def next_line(self, turn: int) -> str:
         ended = self.collect_ended()
-        served = [one for one in ended if one.outcome == "served"]
-        firsts = [(one.first_at - one.at) * 1000 for one in served if one.first_at is not None]
-        held, status, primary = await asyncio.gather(
+        served = [request for request in ended if request.outcome == "served"]
+        firsts = [
+            (request.first_at - request.at) * 1000 for request in served if request.first_at is not None
+        ]
+        versions_by_edge, status, primary = await asyncio.gather(
             self.world.edge_versions(), self.world.status(), self.world.primary()
         )
-        versions = sorted({version for version in held.values() if version is not None})
-        told = "-".join(map(str, dict.fromkeys((versions[0], versions[-1])))) if versions else "?"
+        versions = sorted({version for version in versions_by_edge.values() if version is not None})
+        version_range = "-".join(map(str, dict.fromkeys((versions[0], versions[-1])))) if versions else "?"
         notes, self.notes = "; ".join(self.notes), []
         return (
             f"{turn:3d} s  served {len(served):3d}  refused {self.count(ended, 'refused'):2d}  failed "
             f"{self.count(ended, 'failed'):2d}  first event p50 {quantile(firsts, 0.5):4.0f} "
-            f"p99 {quantile(firsts, 0.99):4.0f} ms  version {told}  members {len(status)}  "
+            f"p99 {quantile(firsts, 0.99):4.0f} ms  version {version_range}  members {len(status)}  "
             f"primary {primary or '-'}{'  | ' + notes if notes else ''}"
         )
 
@@ -62,19 +64,21 @@
         requests = self.world.history.requests
         self.open_requests += requests[self.collected :]
         self.collected = len(requests)
-        ended = [one for one in self.open_requests if one.outcome]
-        self.open_requests = [one for one in self.open_requests if not one.outcome]
+        ended = [request for request in self.open_requests if request.outcome]
+        self.open_requests = [request for request in self.open_requests if not request.outcome]
         self.served += self.count(ended, "served")
         self.refused += self.count(ended, "refused")
         self.failed += self.count(ended, "failed")
         self.first_event_delays += [
-            one.first_at - one.at for one in ended if one.outcome == "served" and one.first_at
+            request.first_at - request.at
+            for request in ended
+            if request.outcome == "served" and request.first_at
         ]
         return ended
 
     @staticmethod
     def count(ended: list[ClientRequest], outcome: str) -> int:
-        return sum(one.outcome == outcome for one in ended)
+        return sum(request.outcome == outcome for request in ended)
 
     def totals(self) -> str:
         """Returns the totals of all requests."""
--- a/shedgrade/lab/system/link.py
+++ b/shedgrade/lab/system/link.py
@@ -45,9 +45,9 @@
             return
         try:
             self.parser.feed_data(data)
-        except httptools.HttpParserError as wrong:
+        except httptools.HttpParserError as error:
             self.current_try.unexpected_bytes = True
-            self.stray.append(f"no answer came to {self.current_try.attempt}: {wrong}")
+            self.stray.append(f"no answer came to {self.current_try.attempt}: {error}")
             self.transport.abort()
 
     def record_stray(self, data: bytes) -> None:
@@ -67,48 +67,51 @@
         self.headers[name.decode("latin-1").lower()] = value.decode("latin-1")
 
     def on_headers_complete(self) -> None:
-        one, headers = self.current_try, self.headers
+        current_try, headers = self.current_try, self.headers
         status = self.parser.get_status_code()
         if self.complete or status < 200:
             return
-        one.status = status
-        one.echoed_attempt, one.seal = headers.get("attempt-id", ""), headers.get("server-seal", "")
-        one.encoding = headers.get("content-encoding", "")
+        current_try.status = status
+        current_try.echoed_attempt, current_try.seal = (
+            headers.get("attempt-id", ""),
+            headers.get("server-seal", ""),
+        )
+        current_try.encoding = headers.get("content-encoding", "")
         try:
-            one.retry_after = float(headers["retry-after"])
+            current_try.retry_after = float(headers["retry-after"])
         except (KeyError, ValueError):
-            one.retry_after = None
-        told = TIMEOUT.search(headers.get("keep-alive", ""))
-        if told:
-            self.idle_until = self.clock() + int(told[1])
+            current_try.retry_after = None
+        keep_alive = TIMEOUT.search(headers.get("keep-alive", ""))
+        if keep_alive:
+            self.idle_until = self.clock() + int(keep_alive[1])
         self.must_close = not self.parser.should_keep_alive()
 
     def on_body(self, body: bytes) -> None:
-        one = self.current_try
+        current_try = self.current_try
         if self.complete:
             return
-        if one.kind.streams and one.status == 200:
-            self.events(one, self.partial_event + body)
+        if current_try.kind.streams and current_try.status == 200:
+            self.events(current_try, self.partial_event + body)
         else:
-            one.body += body
-            one.first_at = one.first_at or self.clock()
+            current_try.body += body
+            current_try.first_at = current_try.first_at or self.clock()
 
-    def events(self, one: Try, text: bytes) -> None:
-        whole, now = 0, self.clock()
+    def events(self, current_try: Try, text: bytes) -> None:
+        consumed, now = 0, self.clock()
         for end in END.finditer(text):
-            lines = text[whole : end.start()].splitlines()
+            lines = text[consumed : end.start()].splitlines()
             fields = dict(line.split(b": ", 1) for line in lines if b": " in line)
-            whole = end.end()
+            consumed = end.end()
             number = fields.get(b"id", b"")
-            one.events.append(
+            current_try.events.append(
                 (
                     int(number) if number.isdigit() else -1,
                     fields.get(b"data", b"").split(b" ")[0].decode("latin-1"),
                     now,
                 )
             )
-            one.first_at = one.first_at or now
-        self.partial_event = text[whole:]
+            current_try.first_at = current_try.first_at or now
+        self.partial_event = text[consumed:]
 
     def on_message_complete(self) -> None:
         if self.current_try.status < 200:
@@ -119,28 +122,28 @@
 
     # --- calls of the client
 
-    async def exchange(self, one: Try, request: bytes, until: float, silence: float) -> None:
-        """Sends a request, waits for its answer and fills in `one`.
+    async def exchange(self, new_try: Try, request: bytes, deadline: float, silence: float) -> None:
+        """Sends a request, waits for its answer and fills in `new_try`.
 
-        Gives up at the time `until`, or after `silence` seconds without data.
+        Gives up at the time `deadline`, or after `silence` seconds without data.
         """
-        self.current_try, self.partial_event, self.complete = one, b"", False
+        self.current_try, self.partial_event, self.complete = new_try, b"", False
         if self.disconnected or self.transport.is_closing():
-            one.failure = history.CLOSED
+            new_try.failure = history.CLOSED
             return
         self.transport.write(request)
         while not self.complete and not self.disconnected:
             self.activity.clear()
-            left = until - self.clock()
+            time_left = deadline - self.clock()
             try:
-                async with asyncio.timeout(max(0.0, min(left, silence))):
+                async with asyncio.timeout(max(0.0, min(time_left, silence))):
                     await self.activity.wait()
             except TimeoutError:
-                one.failure = history.GIVEN_UP if left <= silence else history.SILENT
+                new_try.failure = history.GIVEN_UP if time_left <= silence else history.SILENT
                 self.transport.abort()
                 return
         if not self.complete:
-            one.failure = history.CLOSED
+            new_try.failure = history.CLOSED
 
     def usable(self, now: float) -> bool:
         """Returns whether another request may be sent; not if the idle time-out ends within 0.5 s."""
--- a/shedgrade/lab/system/operators.py
+++ b/shedgrade/lab/system/operators.py
@@ -23,14 +23,16 @@
     """An operator.
 
     addresses: addresses of the control plane
-    told: the history to which orders are added
+    observed: the history to which orders are added
     clock: returns the time, s
-    limit: time for which an evacuation may be retried, s; a configuration has four times as long
+    retry_limit: time for which an evacuation may be retried, s; a configuration has four times as long
     """
 
-    def __init__(self, addresses: Sequence[str], told: History, random: Random, clock, limit: float) -> None:
-        self.addresses, self.history, self.random = list(addresses), told, random
-        self.clock, self.retry_limit = clock, limit
+    def __init__(
+        self, addresses: Sequence[str], observed: History, random: Random, clock, retry_limit: float
+    ) -> None:
+        self.addresses, self.history, self.random = list(addresses), observed, random
+        self.clock, self.retry_limit = clock, retry_limit
 
     async def put(self, configuration: dict, base: int, *, valid: bool = True) -> Order:
         """Sends a configuration, unchanged, until it gets a clear answer."""
@@ -65,26 +67,26 @@
         return answer.body if answer is not None and answer.status == 200 else None
 
     async def call_until_clear(
-        self, method: str, path: str, body: bytes | None, headers: dict, until: float
+        self, method: str, path: str, body: bytes | None, headers: dict, deadline: float
     ) -> Answer | None:
-        """Returns the first clear answer; None if none arrives by the time `until`."""
-        turn, others, pause = self.random.randrange(len(self.addresses)), 0, FIRST_PAUSE_S
-        while (left := until - self.clock()) > 0:
+        """Returns the first clear answer; None if none arrives by the time `deadline`."""
+        turn, other_refusals, pause = self.random.randrange(len(self.addresses)), 0, FIRST_PAUSE_S
+        while (time_left := deadline - self.clock()) > 0:
             address = self.addresses[turn % len(self.addresses)]
             try:
                 answer = await self.call_with_redirects(
-                    address, method, path, body, headers, min(CALL_TIMEOUT_S, left)
+                    address, method, path, body, headers, min(CALL_TIMEOUT_S, time_left)
                 )
             except (*FAILURES, ValueError):
                 answer = None
             if answer is not None and (answer.status < 300 or answer.status in FINAL_STATUSES):
                 return answer
             if answer is not None and 400 <= answer.status < 500 and answer.status not in RETRIED_STATUSES:
-                others += 1
-                if others >= MAX_OTHER_REFUSALS:
+                other_refusals += 1
+                if other_refusals >= MAX_OTHER_REFUSALS:
                     return answer
             turn += 1
-            await asyncio.sleep(max(0.0, min(pause * self.random.uniform(0.5, 1.0), until - self.clock())))
+            await asyncio.sleep(max(0.0, min(pause * self.random.uniform(0.5, 1.0), deadline - self.clock())))
             pause = min(2 * pause, LONGEST_PAUSE_S)
         return None
 
@@ -104,12 +106,12 @@
 async def statuses(addresses: Sequence[str]) -> list[dict]:
     """Returns the status reported by each member that answers."""
 
-    async def one(address: str) -> dict | None:
+    async def status_of(address: str) -> dict | None:
         try:
             answer = await call(address, "GET", "/status", timeout=0.5)
             return json.loads(answer.body) if answer.status == 200 else None
         except (*FAILURES, ValueError):
             return None
 
-    told = await asyncio.gather(*map(one, addresses))
-    return [status for status in told if status is not None]
+    answers = await asyncio.gather(*map(status_of, addresses))
+    return [status for status in answers if status is not None]
--- a/shedgrade/lab/system/platform.py
+++ b/shedgrade/lab/system/platform.py
@@ -33,7 +33,7 @@
     gone_at: float | None = None
 
     def as_json(self, now: float) -> dict:
-        told = {
+        fields = {
             "instanceId": self.instance,
             "service": self.service,
             "address": self.address,
@@ -46,8 +46,8 @@
             "modelList": [{"name": "m", "configVersion": 1, "adapterList": []}],
         }
         if self.gone_at is not None:
-            told["timeLeftMs"] = max(0, round((self.gone_at - now) * 1000))
-        return told
+            fields["timeLeftMs"] = max(0, round((self.gone_at - now) * 1000))
+        return fields
 
 
 class InstanceDirectory:
--- a/shedgrade/lab/system/world.py
+++ b/shedgrade/lab/system/world.py
@@ -120,11 +120,11 @@
         """
         async with asyncio.timeout(limit):
             while True:
-                told = condition()
-                if asyncio.iscoroutine(told):
-                    told = await told
-                if told:
-                    return told
+                result = condition()
+                if asyncio.iscoroutine(result):
+                    result = await result
+                if result:
+                    return result
                 await asyncio.sleep(POLL_INTERVAL_S)
 
     # --- state of the system
@@ -134,17 +134,17 @@
 
     async def primary(self) -> str | None:
         """Returns the primary's machine, by the newest epoch that a member reports; None without one."""
-        told = [one for one in await self.status() if one["role"] == "primary"]
-        return max(told, key=lambda one: one["epoch"])["node"] if told else None
+        primaries = [status for status in await self.status() if status["role"] == "primary"]
+        return max(primaries, key=lambda status: status["epoch"])["node"] if primaries else None
 
     async def edge_versions(self) -> dict[str, int | None]:
         """Returns the newest configuration version of each edge, as members report it."""
-        held: dict[str, int | None] = {}
+        versions: dict[str, int | None] = {}
         for status in await self.status():
             for edge in status["edges"]:
                 if edge["configVersion"] is not None:
-                    held[edge["name"]] = max(edge["configVersion"], held.get(edge["name"]) or 0)
-        return held
+                    versions[edge["name"]] = max(edge["configVersion"], versions.get(edge["name"]) or 0)
+        return versions
 
     async def clients_have_addresses(self) -> bool:
         """Returns whether each zone's clients have the address of some edge."""
@@ -194,8 +194,8 @@
         return len(self.history.disturbances) - 1
 
     def end_disturbance(self, number: int) -> None:
-        begun, _, what = self.history.disturbances[number]
-        self.history.disturbances[number] = (begun, self.clock() + self.site.bounds["contactMs"] / 1000, what)
+        begin, _, what = self.history.disturbances[number]
+        self.history.disturbances[number] = (begin, self.clock() + self.site.bounds["contactMs"] / 1000, what)
 
     async def kill(self, name: str) -> int:
         """Kills a machine's process; returns the number of the disturbance."""
@@ -206,6 +206,8 @@
     async def read_back(self) -> None:
         """Records, at the end, the configuration and the evacuations that the system reports."""
         self.history.read_back = await self.operator.read_back(2 * self.site.bounds["contactMs"] / 1000)
-        told = await self.status()
-        if told:
-            self.history.evacuated_at_end = tuple(max(told, key=lambda one: one["finished"])["evacuations"])
+        statuses_at_end = await self.status()
+        if statuses_at_end:
+            self.history.evacuated_at_end = tuple(
+                max(statuses_at_end, key=lambda status: status["finished"])["evacuations"]
+            )
