--- a/tests/lab_system/test_system_clients.py
+++ b/tests/lab_system/test_system_clients.py
@@ -1,4 +1,4 @@
-"""Clients and operators of the lab among scripted peers: they try again as PROTOCOL says, and no more."""
+"""Stand-in clients and operators against scripted servers: they retry as PROTOCOL says, and no more."""
 
 import asyncio
 import json
@@ -21,7 +21,7 @@
 
 
 class Sidecar:
-    """Answers each request as the next of `script` says; the last one goes on."""
+    """Answers each request with the next step of `script`, and all further ones with the last step."""
 
     def __init__(self, *script):
         self.script, self.requests, self.connections, self.writers = list(script), [], 0, []
@@ -47,32 +47,32 @@
             writer.close()
 
 
-def answer(status=200, body=b"x", **more):
+def answer(status=200, body=b"x", **headers):
     def step(request, writer):
         lines = [
             f"HTTP/1.1 {status} Word",
             f"Attempt-Id: {request['attempt-id']}",
             f"Content-Length: {len(body)}",
         ]
-        lines += [f"{name.replace('_', '-')}: {value}" for name, value in more.items()]
+        lines += [f"{name.replace('_', '-')}: {value}" for name, value in headers.items()]
         writer.write("\r\n".join(lines).encode() + b"\r\n\r\n" + body)
-        return more.get("Connection") != "close"
+        return headers.get("Connection") != "close"
 
     return step
 
 
-def stream(*events, ends=True):
+def stream(*events, complete=True):
     def step(request, writer):
         writer.write(
             b"HTTP/1.1 200 OK\r\nAttempt-Id: %b\r\nTransfer-Encoding: chunked\r\n\r\n"
             % request["attempt-id"].encode()
         )
         for number in events:
-            piece = content.event(request["asked"], number, 5)
-            writer.write(b"%x\r\n%b\r\n" % (len(piece), piece))
-        if ends:
+            event = content.event(request["asked"], number, 5)
+            writer.write(b"%x\r\n%b\r\n" % (len(event), event))
+        if complete:
             writer.write(b"0\r\n\r\n")
-        return ends
+        return complete
 
     return step
 
@@ -87,24 +87,30 @@
 
 @asynccontextmanager
 async def clients(*sidecars, registries=None):
-    """Clients that are told of these sidecars."""
+    """Clients for which a directory resolves to these sidecars."""
     loop = asyncio.get_running_loop()
     servers = [await asyncio.start_server(sidecar.serve, "127.0.0.1", 0) for sidecar in sidecars]
     for sidecar, server in zip(sidecars, servers, strict=True):
         sidecar.address = f"127.0.0.1:{server.sockets[0].getsockname()[1]}"
-    told, asked = History(), []
+    observed, queries = History(), []
 
-    def resolve(request, tell):
-        asked.append(request.query)
+    def resolve(request, respond):
+        queries.append(request.query)
         addresses = [sidecar.address for sidecar in sidecars]
-        tell(Reply(200, json.dumps({"addressList": addresses, "ttlS": 60}).encode()))
+        respond(Reply(200, json.dumps({"addressList": addresses, "ttlS": 60}).encode()))
 
     registry = HttpServer(loop, ("127.0.0.1", 0), resolve, logger)
     await registry.start()
     group = Clients(
-        "quay", "north", [*(registries or ()), f"127.0.0.1:{registry.port}"], told, Random(1), loop.time, 60
+        "quay",
+        "north",
+        [*(registries or ()), f"127.0.0.1:{registry.port}"],
+        observed,
+        Random(1),
+        loop.time,
+        60,
     )
-    group.asked = asked
+    group.queries = queries
     try:
         async with asyncio.timeout(15):
             yield group
@@ -119,24 +125,24 @@
         await asyncio.sleep(0)
 
 
-def play(kind, *script, **more):
-    """The request as it ended, with the sidecar that answered it."""
+def play(kind, *script, **options):
+    """Plays one request against a scripted sidecar; returns the request, the sidecar and the clients."""
 
-    async def story():
+    async def scenario():
         sidecar = Sidecar(*script)
-        async with clients(sidecar, **more) as group:
+        async with clients(sidecar, **options) as group:
             return await group.play(1, KIND[kind]), sidecar, group
 
-    return asyncio.run(story())
+    return asyncio.run(scenario())
 
 
-def test_a_request_is_served_and_says_what_the_protocol_asks_for():
+def test_a_request_is_served_and_has_the_headers_of_the_protocol():
     asked, sidecar, group = play("reply", stream(*range(1, 25)))
     request = sidecar.requests[0]
     assert asked.outcome == "served" and len(asked.tries) == 1 and asked.tries[0].events[-1][0] == 24
     assert request["token-usage"] == "600,120" and request["prompt-prefix"] == "91bd3f06:200,00000001:400"
     assert 9_000 < int(request["time-remaining"]) <= 10_000 and request["host"] == KIND["reply"].host
-    assert group.asked == [{"name": KIND["reply"].host, "region": "north", "zone": "quay"}]
+    assert group.queries == [{"name": KIND["reply"].host, "region": "north", "zone": "quay"}]
 
 
 @pytest.mark.parametrize(
@@ -156,22 +162,22 @@
         ("digest", 502, 1),
     ],
 )
-def test_what_is_tried_again_after_a_failure(kind, status, tries):
+def test_which_statuses_are_retried(kind, status, tries):
     events = stream(*range(1, KIND[kind].events + 1)) if KIND[kind].streams else answer()
     asked, sidecar, _ = play(kind, answer(status), events)
     assert len(sidecar.requests) == tries
     assert asked.outcome == ("served" if tries == 2 else "failed")
     assert len({request["attempt-id"] for request in sidecar.requests}) == tries
-    assert sidecar.connections == tries  # each further try is on a new connection
+    assert sidecar.connections == tries  # each retry uses a new connection
 
 
 @pytest.mark.parametrize("kind, tries", [("find", 2), ("book", 1)])
-def test_a_closed_connection_is_tried_again_where_a_repeat_does_no_harm(kind, tries):
+def test_only_an_idempotent_request_is_retried_after_a_closed_connection(kind, tries):
     asked, sidecar, _ = play(kind, closes, answer())
     assert len(sidecar.requests) == tries and asked.tries[0].failure == history.CLOSED
 
 
-def test_a_refusal_at_the_end_is_told_apart_from_a_failure():
+def test_a_last_refusal_is_not_counted_as_a_failure():
     asked, sidecar, _ = play("book", answer(503))
     assert asked.outcome == "refused" and len(sidecar.requests) == 3
 
@@ -181,32 +187,32 @@
     assert asked.tries[1].sent_at - asked.tries[0].ended_at >= 0.29
 
 
-def test_a_cut_stream_is_taken_up_behind_its_last_event():
-    asked, sidecar, _ = play("reply", stream(1, 2, 3, ends=False), stream(*range(4, 25)))
+def test_a_broken_stream_is_resumed_after_its_last_event():
+    asked, sidecar, _ = play("reply", stream(1, 2, 3, complete=False), stream(*range(4, 25)))
     assert asked.outcome == "served" and sidecar.requests[1]["last-event-id"] == "3"
     assert "last-event-id" not in sidecar.requests[0] and asked.tries[1].last_event_before == 3
     assert [number for one in asked.tries for number, _, _ in one.events] == list(range(1, 25))
 
 
-def test_a_cut_stream_that_can_not_be_resumed_is_not_tried_again():
-    asked, sidecar, _ = play("digest", stream(1, 2, ends=False), stream(1))
+def test_a_broken_stream_that_is_not_resumable_is_not_retried():
+    asked, sidecar, _ = play("digest", stream(1, 2, complete=False), stream(1))
     assert asked.outcome == "failed" and len(sidecar.requests) == 1
 
 
-def test_connections_are_kept_unless_told_otherwise():
-    async def story(step):
+def test_connections_are_kept_unless_the_answer_forbids_it():
+    async def count_connections(step):
         sidecar = Sidecar(step)
         async with clients(sidecar) as group:
             for number in range(12):
                 await group.play(number, KIND["find"])
         return sidecar.connections
 
-    assert asyncio.run(story(answer())) < 12
-    assert asyncio.run(story(answer(Connection="close"))) == 12
-    assert asyncio.run(story(answer(Keep_Alive="timeout=0"))) == 12
+    assert asyncio.run(count_connections(answer())) < 12
+    assert asyncio.run(count_connections(answer(Connection="close"))) == 12
+    assert asyncio.run(count_connections(answer(Keep_Alive="timeout=0"))) == 12
 
 
-def test_a_second_answer_is_told():
+def test_a_second_answer_is_recorded():
     def twice(request, writer):
         answer()(request, writer)
         return answer()(request, writer)
@@ -216,13 +222,13 @@
 
 
 def test_an_address_that_failed_is_skipped():
-    async def story():
+    async def scenario():
         sidecars = Sidecar(closes), Sidecar(answer())
         async with clients(*sidecars) as group:
             ended = [await group.play(number, KIND["find"]) for number in range(8)]
         assert all(asked.outcome == "served" for asked in ended) and len(sidecars[0].requests) <= 1
 
-    asyncio.run(story())
+    asyncio.run(scenario())
 
 
 def test_the_next_registry_is_asked_when_one_fails():
@@ -231,29 +237,34 @@
 
 
 def test_a_client_gives_up_at_its_deadline():
-    async def story():
+    async def scenario():
         async with clients(Sidecar(silent)) as group:
             asked = await group.play(1, replace(KIND["book"], deadline_ms=200))
         assert asked.outcome == "failed" and asked.tries[0].failure == history.GIVEN_UP
 
-    asyncio.run(story())
+    asyncio.run(scenario())
 
 
 # --- operators
 
 
-def operate(script, story, count=2):
-    """`script(address number, request)` gives each reply, or None for no answer."""
+def operate(script, scenario, count=2):
+    """Runs `scenario(operator)` against `count` servers.
+
+    Returns its result, the requests that the servers saw and the operator.
+
+    `script(server number, request)` returns each reply, or None for no answer.
+    """
 
     async def run():
         loop, servers, seen = asyncio.get_running_loop(), [], []
 
         def handler(number):
-            def handle(request, tell):
+            def handle(request, respond):
                 seen.append((number, request))
                 reply = script(number, request)
                 if reply is not None:
-                    tell(reply)
+                    respond(reply)
 
             return handle
 
@@ -265,7 +276,7 @@
         operator.ports = [server.port for server in servers]
         try:
             async with asyncio.timeout(15):
-                return await story(operator), seen, operator
+                return await scenario(operator), seen, operator
         finally:
             for server in servers:
                 server.close()
@@ -285,12 +296,12 @@
 
 
 @pytest.mark.parametrize("status, calls", [(400, 1), (409, 1), (412, 1), (413, 1), (422, 1), (403, 3)])
-def test_a_call_ends_at_once_on_a_clear_refusal_and_on_another_at_the_third_try(status, calls):
+def test_a_clear_refusal_ends_a_call_at_once_and_another_4xx_at_the_third_try(status, calls):
     order, seen, _ = operate(lambda number, request: Reply(status), lambda one: one.put(FIRST, 0))
     assert order.status == status and len(seen) == calls
 
 
-def test_it_follows_where_it_is_sent():
+def test_redirects_are_followed():
     def script(number, request):
         if request.path == b"/configuration":
             location = b"http://%s/elsewhere" % request.headers[b"host"]
@@ -301,7 +312,7 @@
     assert order.accepted and seen[1][1].path == b"/elsewhere" and seen[1][1].body == seen[0][1].body
 
 
-def test_evacuations_are_sent_for_a_limited_time():
+def test_evacuations_are_retried_for_a_limited_time():
     order, seen, _ = operate(lambda number, request: Reply(503), lambda one: one.evacuate("quay"))
     assert order.status == 0 and not order.accepted and len(seen) > 2
     assert seen[0][1].method == b"POST" and seen[0][1].path == b"/evacuation/quay"
@@ -309,7 +320,7 @@
     assert order.accepted and seen[0][1].method == b"DELETE"
 
 
-def test_reading_back_gives_what_is_there():
+def test_read_back_returns_the_configuration_or_none():
     body, _, _ = operate(lambda number, request: Reply(200, b"{}"), lambda one: one.read_back(1.0))
     assert body == b"{}"
     body, _, _ = operate(lambda number, request: Reply(503), lambda one: one.read_back(0.3))
--- a/tests/lab_system/test_system_command.py
+++ b/tests/lab_system/test_system_command.py
@@ -1,4 +1,4 @@
-"""The demonstration as a command: its exit says what the judge found."""
+"""The exit status of the demonstration command follows from the breaches found."""
 
 import pytest
 
@@ -6,21 +6,21 @@
 from shedgrade.lab.system.history import Breach
 
 
-@pytest.mark.parametrize("found, status", [([], 0), ([Breach("TWICE", "a request")], 1)])
-def test_the_exit_tells_whether_a_rule_broke(monkeypatch, capsys, found, status):
+@pytest.mark.parametrize("breaches, status", [([], 0), ([Breach("TWICE", "a request")], 1)])
+def test_the_exit_status_tells_whether_a_rule_was_broken(monkeypatch, capsys, breaches, status):
     seeds = []
 
-    async def played(seed, say):
+    async def fake_run(seed, say):
         seeds.append(seed)
         say("a line")
-        return found
+        return breaches
 
-    monkeypatch.setattr(command, "run", played)
+    monkeypatch.setattr(command, "run", fake_run)
     assert command.main(["--seed", "7"]) == status and seeds == [7]
     assert capsys.readouterr().out == "a line\n"
 
 
-def test_wrong_usage_is_told(capsys):
+def test_wrong_usage_is_reported(capsys):
     assert command.main(["--seed", "x"]) == 2 and "--seed" in capsys.readouterr().err
     with pytest.raises(SystemExit):
         command.main(["--what"])
--- a/tests/lab_system/test_system_platform.py
+++ b/tests/lab_system/test_system_platform.py
@@ -1,4 +1,4 @@
-"""The platform's list as a stand-in: what is shown when, pages, the rate, what leaves."""
+"""The stand-in for the platform's list: its lag, pages, call rate and draining entries."""
 
 import asyncio
 import json
@@ -8,7 +8,7 @@
 from shedgrade.lab.system.platform import DRAINING, PAGE_SIZE, Entry, InstanceDirectory, PlatformServer
 
 
-def entry(number=1, zone="quay", **more):
+def entry(number=1, zone="quay", **fields):
     return Entry(
         **{
             "instance": f"i-{number}",
@@ -16,7 +16,7 @@
             "address": "127.0.0.1:9000",
             "zone": zone,
             "slots": 4,
-            **more,
+            **fields,
         }
     )
 
@@ -25,7 +25,7 @@
     return [one["instanceId"] for one in page["instanceList"]]
 
 
-def test_the_list_trails_by_its_lag():
+def test_the_list_is_shown_after_its_lag():
     directory = InstanceDirectory(0.5, 10)
     directory.replace_entries(1.0, [entry()])
     assert names(directory.page(1.4, None, None)) == []
@@ -37,7 +37,7 @@
     assert names(directory.page(2.7, None, None)) == ["i-2"]
 
 
-def test_what_changes_later_is_not_shown_sooner():
+def test_a_later_change_of_an_entry_is_not_shown_early():
     directory = InstanceDirectory(0.5, 10)
     one = entry()
     directory.replace_entries(1.0, [one])
@@ -48,7 +48,7 @@
     assert directory.shown_draining == {"i-1": 2.5}
 
 
-def test_pages_follow_each_other_and_zones_are_told_apart():
+def test_pages_follow_each_other_and_zones_are_filtered():
     directory = InstanceDirectory(0.0, 10)
     directory.replace_entries(
         0.0, [entry(number, "quay" if number % 2 else "mill") for number in range(2 * PAGE_SIZE + 3)]
@@ -65,14 +65,14 @@
     assert {one["zone"] for one in directory.page(1.0, "mill", f"p-{PAGE_SIZE}")["instanceList"]} == {"mill"}
 
 
-def test_an_entry_tells_how_long_it_is_cold_and_how_long_it_has_left():
-    told = replace(entry(), cold_until=3.0, gone_at=2.5).as_json(1.0)
-    assert told["coldLeftMs"] == 2000 and told["timeLeftMs"] == 1500
+def test_an_entry_gives_the_remaining_cold_time_and_lifetime():
+    fields = replace(entry(), cold_until=3.0, gone_at=2.5).as_json(1.0)
+    assert fields["coldLeftMs"] == 2000 and fields["timeLeftMs"] == 1500
     assert "timeLeftMs" not in entry().as_json(1.0) and entry(cold_until=3.0).as_json(4.0)["coldLeftMs"] == 0
 
 
 def test_calls_beyond_the_rate_get_429():
-    async def story():
+    async def scenario():
         loop = asyncio.get_running_loop()
         now = [100.0]
         directory = InstanceDirectory(0.0, 3)
@@ -88,4 +88,4 @@
         assert (await call(address, "GET", "/other")).status == 404
         server.close()
 
-    asyncio.run(story())
+    asyncio.run(scenario())
--- a/tests/lab_system/test_system_short.py
+++ b/tests/lab_system/test_system_short.py
@@ -1,4 +1,4 @@
-"""The whole system as real processes: traffic, the primary killed under it, and the judge's verdict."""
+"""The whole system as real processes under traffic: its primary is killed, and no rule may be broken."""
 
 import asyncio
 import os
@@ -13,11 +13,11 @@
 from shedgrade.lab.system.world import World
 
 ZONES = {"quay": "north", "fell": "west"}
-START = 10  # s that a process may take to start, or to serve again
+START_TIMEOUT_S = 10  # for a process to start or to serve again
 ENGINES = {demo.MODEL: EngineSettings(step_s=0.002), demo.LOOKUP: EngineSettings(step_s=0.002)}
 
 
-async def served(world, zone, kind, count=1):
+async def outcomes_of(world, zone, kind, count=1):
     ended = await asyncio.gather(*(world.send_request(kind, zone) for _ in range(count)))
     return [one.outcome for one in ended]
 
@@ -26,20 +26,20 @@
     site = Site(claim_network(), ZONES, ("quay", "fell", "quay"), ("quay", "fell"), ("quay", "fell"))
     async with World(site, folder, [demo.MODEL, demo.LOOKUP], ENGINES, demo.KINDS, 7) as world:
 
-        async def whole():
+        async def all_members_answer():
             return len(await world.status()) == 3
 
-        await world.wait_until(whole, START)
+        await world.wait_until(all_members_answer, START_TIMEOUT_S)
         first = await world.operator.put(demo.configuration(1, demo.KINDS, list(ENGINES)), 0)
         assert first.accepted, first.answer_text
         await demo.wait_for_start(world)
         digest, reply, find, book = demo.KINDS
         for zone in ZONES:
             for kind in (reply, find, book):
-                assert await served(world, zone, kind) == ["served"]
-        assert await served(world, "quay", digest) == ["served"]
+                assert await outcomes_of(world, zone, kind) == ["served"]
+        assert await outcomes_of(world, "quay", digest) == ["served"]
 
-        async def in_force():
+        async def new_version_in_force():
             held = await world.edge_versions()
             return len(held) == 2 and set(held.values()) == {4}
 
@@ -48,13 +48,13 @@
         number = await world.kill(primary)
         second = await world.operator.put(demo.configuration(4, demo.KINDS, list(ENGINES), find=2_500), 1)
         assert second.accepted, second.answer_text
-        assert await served(world, "fell", reply, 3) == ["served"] * 3
+        assert await outcomes_of(world, "fell", reply, 3) == ["served"] * 3
         await world.launcher.start(primary)
-        await world.wait_until(whole, START)
+        await world.wait_until(all_members_answer, START_TIMEOUT_S)
         world.end_disturbance(number)
         assert await world.wait_until(world.primary, 10) not in (None, primary)
 
-        await world.wait_until(in_force, 10)
+        await world.wait_until(new_version_in_force, 10)
         evacuated = await world.operator.evacuate("fell")
         assert evacuated.accepted
         await world.finish_requests()
@@ -68,11 +68,11 @@
     return [process.pid for process in world.launcher.processes.values()]
 
 
-def test_a_system_of_five_machines_outlives_its_primary_and_breaks_no_rule(tmp_path):
-    async def story():
+def test_a_system_of_five_machines_survives_its_primary_and_breaks_no_rule(tmp_path):
+    async def scenario():
         async with asyncio.timeout(90):
             return await play(tmp_path)
 
-    for process in asyncio.run(story()):
+    for process in asyncio.run(scenario()):
         with pytest.raises(ProcessLookupError):
             os.kill(process, 0)
