--- a/shedgrade/lab/experiments.py
+++ b/shedgrade/lab/experiments.py
@@ -30,7 +30,7 @@
 }
 
 
-def one(scenario: Scenario, folder: Path, cores: list[int] | None = None) -> dict:
+def run_in_process(scenario: Scenario, folder: Path, cores: list[int] | None = None) -> dict:
     """Runs a scenario in a process of its own, pinned to `cores`; returns its summary.
 
     Raises LabError if the process fails.
@@ -92,7 +92,7 @@
             scenario = msgspec.structs.replace(scenario, seed=scenario.seed + number)
             for attempt in range(2):
                 try:
-                    summary = one(
+                    summary = run_in_process(
                         scenario, folder / f"{label.replace('/', '_')}-{number}{'-again' * attempt}", cores
                     )
                 except LabError as error:
@@ -153,7 +153,7 @@
 
 
 def main() -> None:
-    """Runs the scenario that `one` has written to the folder given as an argument."""
+    """Runs the scenario that `run_in_process` has written to the folder given as an argument."""
     import sys
 
     from shedgrade.lab.runner import run as run_scenario
--- a/shedgrade/lab/system/clients.py
+++ b/shedgrade/lab/system/clients.py
@@ -87,7 +87,7 @@
 
     # --- one request
 
-    async def play(self, number: int, kind: Kind) -> ClientRequest:
+    async def send_with_retries(self, number: int, kind: Kind) -> ClientRequest:
         """Sends a request and its retries until it is served or refused for good, or its deadline passes."""
         now = self.clock()
         request = ClientRequest(number, kind, self.zone, now)
--- a/shedgrade/lab/system/link.py
+++ b/shedgrade/lab/system/link.py
@@ -9,8 +9,8 @@
 from shedgrade.lab.system import history
 from shedgrade.lab.system.history import Try
 
-TIMEOUT = re.compile(r"timeout\s*=\s*(\d+)", re.IGNORECASE)
-END = re.compile(rb"\r?\n\r?\n")
+KEEP_ALIVE_TIMEOUT = re.compile(r"timeout\s*=\s*(\d+)", re.IGNORECASE)
+EVENT_END = re.compile(rb"\r?\n\r?\n")
 
 
 class ClientConnection(asyncio.Protocol):
@@ -81,7 +81,7 @@
             current_try.retry_after = float(headers["retry-after"])
         except (KeyError, ValueError):
             current_try.retry_after = None
-        keep_alive = TIMEOUT.search(headers.get("keep-alive", ""))
+        keep_alive = KEEP_ALIVE_TIMEOUT.search(headers.get("keep-alive", ""))
         if keep_alive:
             self.idle_until = self.clock() + int(keep_alive[1])
         self.must_close = not self.parser.should_keep_alive()
@@ -91,14 +91,14 @@
         if self.complete:
             return
         if current_try.kind.streams and current_try.status == 200:
-            self.events(current_try, self.partial_event + body)
+            self.parse_events(current_try, self.partial_event + body)
         else:
             current_try.body += body
             current_try.first_at = current_try.first_at or self.clock()
 
-    def events(self, current_try: Try, text: bytes) -> None:
+    def parse_events(self, current_try: Try, text: bytes) -> None:
         consumed, now = 0, self.clock()
-        for end in END.finditer(text):
+        for end in EVENT_END.finditer(text):
             lines = text[consumed : end.start()].splitlines()
             fields = dict(line.split(b": ", 1) for line in lines if b": " in line)
             consumed = end.end()
--- a/shedgrade/lab/system/world.py
+++ b/shedgrade/lab/system/world.py
@@ -170,7 +170,7 @@
     def send_request(self, kind: Kind, zone: str) -> asyncio.Task:
         """Sends a request from a client in a zone; the task's result is its `ClientRequest`."""
         self.requests_sent += 1
-        task = self.loop.create_task(self.clients[zone].play(self.requests_sent, kind))
+        task = self.loop.create_task(self.clients[zone].send_with_retries(self.requests_sent, kind))
         self.request_tasks.add(task)
         task.add_done_callback(self.request_tasks.discard)
         return task
--- a/tests/lab_system/test_system_clients.py
+++ b/tests/lab_system/test_system_clients.py
@@ -131,15 +131,19 @@
     async def scenario():
         sidecar = Sidecar(*script)
         async with clients(sidecar, **options) as group:
-            return await group.play(1, KIND[kind]), sidecar, group
+            return await group.send_with_retries(1, KIND[kind]), sidecar, group
 
     return asyncio.run(scenario())
 
 
 def test_a_request_is_served_and_has_the_headers_of_the_protocol():
-    asked, sidecar, group = play("reply", stream(*range(1, 25)))
+    client_request, sidecar, group = play("reply", stream(*range(1, 25)))
     request = sidecar.requests[0]
-    assert asked.outcome == "served" and len(asked.tries) == 1 and asked.tries[0].events[-1][0] == 24
+    assert (
+        client_request.outcome == "served"
+        and len(client_request.tries) == 1
+        and client_request.tries[0].events[-1][0] == 24
+    )
     assert request["token-usage"] == "600,120" and request["prompt-prefix"] == "91bd3f06:200,00000001:400"
     assert 9_000 < int(request["time-remaining"]) <= 10_000 and request["host"] == KIND["reply"].host
     assert group.queries == [{"name": KIND["reply"].host, "region": "north", "zone": "quay"}]
@@ -164,39 +168,39 @@
 )
 def test_which_statuses_are_retried(kind, status, tries):
     events = stream(*range(1, KIND[kind].events + 1)) if KIND[kind].streams else answer()
-    asked, sidecar, _ = play(kind, answer(status), events)
+    client_request, sidecar, _ = play(kind, answer(status), events)
     assert len(sidecar.requests) == tries
-    assert asked.outcome == ("served" if tries == 2 else "failed")
+    assert client_request.outcome == ("served" if tries == 2 else "failed")
     assert len({request["attempt-id"] for request in sidecar.requests}) == tries
     assert sidecar.connections == tries  # each retry uses a new connection
 
 
 @pytest.mark.parametrize("kind, tries", [("find", 2), ("book", 1)])
 def test_only_an_idempotent_request_is_retried_after_a_closed_connection(kind, tries):
-    asked, sidecar, _ = play(kind, closes, answer())
-    assert len(sidecar.requests) == tries and asked.tries[0].failure == history.CLOSED
+    client_request, sidecar, _ = play(kind, closes, answer())
+    assert len(sidecar.requests) == tries and client_request.tries[0].failure == history.CLOSED
 
 
 def test_a_last_refusal_is_not_counted_as_a_failure():
-    asked, sidecar, _ = play("book", answer(503))
-    assert asked.outcome == "refused" and len(sidecar.requests) == 3
+    client_request, sidecar, _ = play("book", answer(503))
+    assert client_request.outcome == "refused" and len(sidecar.requests) == 3
 
 
 def test_retry_after_is_honoured():
-    asked, sidecar, _ = play("find", answer(503, Retry_After="0.3"), answer())
-    assert asked.tries[1].sent_at - asked.tries[0].ended_at >= 0.29
+    client_request, sidecar, _ = play("find", answer(503, Retry_After="0.3"), answer())
+    assert client_request.tries[1].sent_at - client_request.tries[0].ended_at >= 0.29
 
 
 def test_a_broken_stream_is_resumed_after_its_last_event():
-    asked, sidecar, _ = play("reply", stream(1, 2, 3, complete=False), stream(*range(4, 25)))
-    assert asked.outcome == "served" and sidecar.requests[1]["last-event-id"] == "3"
-    assert "last-event-id" not in sidecar.requests[0] and asked.tries[1].last_event_before == 3
-    assert [number for one in asked.tries for number, _, _ in one.events] == list(range(1, 25))
+    client_request, sidecar, _ = play("reply", stream(1, 2, 3, complete=False), stream(*range(4, 25)))
+    assert client_request.outcome == "served" and sidecar.requests[1]["last-event-id"] == "3"
+    assert "last-event-id" not in sidecar.requests[0] and client_request.tries[1].last_event_before == 3
+    assert [number for one in client_request.tries for number, _, _ in one.events] == list(range(1, 25))
 
 
 def test_a_broken_stream_that_is_not_resumable_is_not_retried():
-    asked, sidecar, _ = play("digest", stream(1, 2, complete=False), stream(1))
-    assert asked.outcome == "failed" and len(sidecar.requests) == 1
+    client_request, sidecar, _ = play("digest", stream(1, 2, complete=False), stream(1))
+    assert client_request.outcome == "failed" and len(sidecar.requests) == 1
 
 
 def test_connections_are_kept_unless_the_answer_forbids_it():
@@ -204,7 +208,7 @@
         sidecar = Sidecar(step)
         async with clients(sidecar) as group:
             for number in range(12):
-                await group.play(number, KIND["find"])
+                await group.send_with_retries(number, KIND["find"])
         return sidecar.connections
 
     assert asyncio.run(count_connections(answer())) < 12
@@ -217,30 +221,33 @@
         answer()(request, writer)
         return answer()(request, writer)
 
-    asked, _, group = play("find", twice)
-    assert asked.tries[0].unexpected_bytes and group.history.stray
+    client_request, _, group = play("find", twice)
+    assert client_request.tries[0].unexpected_bytes and group.history.stray
 
 
 def test_an_address_that_failed_is_skipped():
     async def scenario():
         sidecars = Sidecar(closes), Sidecar(answer())
         async with clients(*sidecars) as group:
-            ended = [await group.play(number, KIND["find"]) for number in range(8)]
-        assert all(asked.outcome == "served" for asked in ended) and len(sidecars[0].requests) <= 1
+            ended = [await group.send_with_retries(number, KIND["find"]) for number in range(8)]
+        assert (
+            all(client_request.outcome == "served" for client_request in ended)
+            and len(sidecars[0].requests) <= 1
+        )
 
     asyncio.run(scenario())
 
 
 def test_the_next_registry_is_asked_when_one_fails():
-    asked, _, _ = play("find", answer(), registries=["127.0.0.1:1"])
-    assert asked.outcome == "served"
+    client_request, _, _ = play("find", answer(), registries=["127.0.0.1:1"])
+    assert client_request.outcome == "served"
 
 
 def test_a_client_gives_up_at_its_deadline():
     async def scenario():
         async with clients(Sidecar(silent)) as group:
-            asked = await group.play(1, replace(KIND["book"], deadline_ms=200))
-        assert asked.outcome == "failed" and asked.tries[0].failure == history.GIVEN_UP
+            client_request = await group.send_with_retries(1, replace(KIND["book"], deadline_ms=200))
+        assert client_request.outcome == "failed" and client_request.tries[0].failure == history.GIVEN_UP
 
     asyncio.run(scenario())
 
