--- a/shedgrade/lab/system/__main__.py
+++ b/shedgrade/lab/system/__main__.py
@@ -22,8 +22,8 @@
     if not seed.isdigit():
         print("--seed: is no whole number", file=sys.stderr)
         return 2
-    found = asyncio.run(run(int(seed), lambda line: print(line, flush=True)))
-    return 1 if found else 0
+    breaches = asyncio.run(run(int(seed), lambda line: print(line, flush=True)))
+    return 1 if breaches else 0
 
 
 if __name__ == "__main__":
--- a/tests/lab_system/test_system_clients.py
+++ b/tests/lab_system/test_system_clients.py
@@ -195,7 +195,9 @@
     client_request, sidecar, _ = play("reply", stream(1, 2, 3, complete=False), stream(*range(4, 25)))
     assert client_request.outcome == "served" and sidecar.requests[1]["last-event-id"] == "3"
     assert "last-event-id" not in sidecar.requests[0] and client_request.tries[1].last_event_before == 3
-    assert [number for one in client_request.tries for number, _, _ in one.events] == list(range(1, 25))
+    assert [number for client_try in client_request.tries for number, _, _ in client_try.events] == list(
+        range(1, 25)
+    )
 
 
 def test_a_broken_stream_that_is_not_resumable_is_not_retried():
--- a/tests/lab_system/test_system_judge.py
+++ b/tests/lab_system/test_system_judge.py
@@ -93,8 +93,8 @@
 @pytest.mark.parametrize("kind", list(KIND))
 def test_a_valid_history_breaks_no_rule(kind):
     observed = observed_history(*(a_try(kind, number, 10.0 + number) for number in range(5)))
-    found = judge(observed, KEY, ZONES, BOUNDS, cold_rate=5.0)
-    assert found == [] and verdict(found) == "no rule was broken"
+    breaches = judge(observed, KEY, ZONES, BOUNDS, cold_rate=5.0)
+    assert breaches == [] and verdict(breaches) == "no rule was broken"
 
 
 @pytest.mark.parametrize(
@@ -341,5 +341,5 @@
 
 
 def test_a_verdict_names_each_rule_once():
-    found = judge(observed_history(a_try(seal="")), KEY, ZONES, BOUNDS)
-    assert verdict(found).startswith("MIXED broken 1 times: book t-1")
+    breaches = judge(observed_history(a_try(seal="")), KEY, ZONES, BOUNDS)
+    assert verdict(breaches).startswith("MIXED broken 1 times: book t-1")
--- a/tests/lab_system/test_system_launcher.py
+++ b/tests/lab_system/test_system_launcher.py
@@ -88,7 +88,7 @@
         fleet = Fleet(loop, site, ["lm", "lm"], engines, directory, observed, Random(1), b"k")
         try:
             first, second = await fleet.start(0), await fleet.start(1, cold=True)
-            shown = {one.instance: one for one in directory.entries_shown(loop.time())}
+            shown = {entry.instance: entry for entry in directory.entries_shown(loop.time())}
             assert set(shown) == {first.upstream.instance, second.upstream.instance}
             assert shown[second.upstream.instance].cold_until > loop.time() + 4
             fleet.drain(0)
--- a/tests/lab_system/test_system_platform.py
+++ b/tests/lab_system/test_system_platform.py
@@ -39,11 +39,11 @@
 
 def test_a_later_change_of_an_entry_is_not_shown_early():
     directory = InstanceDirectory(0.5, 10)
-    one = entry()
-    directory.replace_entries(1.0, [one])
-    one.state = DRAINING
+    listed = entry()
+    directory.replace_entries(1.0, [listed])
+    listed.state = DRAINING
     assert directory.page(2.0, None, None)["instanceList"][0]["state"] == "available"
-    directory.replace_entries(2.0, [one])
+    directory.replace_entries(2.0, [listed])
     assert directory.page(2.6, None, None)["instanceList"][0]["state"] == "draining"
     assert directory.shown_draining == {"i-1": 2.5}
 
--- a/tests/lab_system/test_system_short.py
+++ b/tests/lab_system/test_system_short.py
@@ -19,7 +19,7 @@
 
 async def outcomes_of(world, zone, kind, count=1):
     ended = await asyncio.gather(*(world.send_request(kind, zone) for _ in range(count)))
-    return [one.outcome for one in ended]
+    return [request.outcome for request in ended]
 
 
 async def play(folder):
@@ -61,9 +61,9 @@
         await world.read_back()
         assert world.launcher.ended_machines() == []
         assert world.history.evacuated_at_end == ("fell",)
-        found = judge(world.history, world.key, ZONES, site.bounds)
-        assert not found, verdict(found)
-        outcomes = [one.outcome for one in world.history.requests]
+        breaches = judge(world.history, world.key, ZONES, site.bounds)
+        assert not breaches, verdict(breaches)
+        outcomes = [request.outcome for request in world.history.requests]
         assert outcomes.count("served") > 0.9 * len(outcomes) and len(outcomes) > 20
     return [process.pid for process in world.launcher.processes.values()]
 
