--- a/shedgrade/lab/system/fleet.py
+++ b/shedgrade/lab/system/fleet.py
@@ -1,4 +1,4 @@
-"""The upstreams of a site: they start, crash, come back and leave, and the platform's list follows."""
+"""The upstreams of a site: starts, crashes, restarts and drains, with the platform's list kept up to date."""
 
 from random import Random
 
@@ -8,11 +8,19 @@
 from shedgrade.lab.system.platform import AVAILABLE, DRAINING, Entry, InstanceDirectory
 from shedgrade.lab.system.site import Site
 
-CRASHED_SHOWN = 2.0  # s for which one that crashed stays on the list
+CRASHED_SHOWN_S = 2.0  # s for which a crashed upstream stays on the list
 
 
 class Fleet:
-    """`services`: of each upstream, by number; `engines`: settings by service."""
+    """Runs the upstreams of a site.
+
+    services: the service of each upstream, by its number
+    engines: engine settings by service
+    directory: the platform's list, which follows the upstreams
+    observed: the history to which runs and disturbances are added
+    key: signs the seals of answers
+    behaviour: further settings of every upstream
+    """
 
     def __init__(
         self,
@@ -21,29 +29,29 @@
         services: list[str],
         engines: dict[str, EngineSettings],
         directory: InstanceDirectory,
-        told: History,
+        observed: History,
         random: Random,
         key: bytes,
         **behaviour: object,
     ) -> None:
         self.loop, self.site, self.services, self.engines = loop, site, services, engines
-        self.directory, self.history, self.random, self.key = directory, told, random, key
-        self.behaviour = behaviour
+        self.directory, self.history, self.random, self.key = directory, observed, random, key
+        self.upstream_options = behaviour
         self.servers: dict[int, EngineServer] = {}
         self.entries: dict[str, Entry] = {}
         self.timers: list = []
 
     async def start(self, number: int, *, cold: bool = False) -> EngineServer:
-        """A new incarnation."""
+        """Starts a new incarnation of an upstream."""
         service, zone = self.services[number], self.site.engines[number]
         settings = self.engines[service]
         upstream = Upstream(
             f"i-{self.random.getrandbits(32):08x}",
             service,
             zone,
-            self.site.engine(number),
+            self.site.engine_address(number),
             self.key,
-            **self.behaviour,
+            **self.upstream_options,
         )
         now = self.loop.time()
         engine = Engine(settings, now, cold=cold)
@@ -53,7 +61,7 @@
             engine,
             Random(self.random.getrandbits(32)),
             self.history.runs.append,
-            lambda: self.crashed(number),
+            lambda: self.handle_crash(number),
         )
         await server.start()
         self.servers[number] = server
@@ -65,7 +73,7 @@
             settings.slots,
             cold_until=engine.cold_until,
         )
-        self.tell()
+        self.publish_list()
         return server
 
     async def start_all(self) -> None:
@@ -73,41 +81,44 @@
             await self.start(number)
 
     def crash(self, number: int) -> None:
-        """Gone at once; the list shows it for a while still."""
+        """Stops an upstream at once; the list shows it for `CRASHED_SHOWN_S` seconds more."""
         self.servers[number].close()
-        self.crashed(number)
+        self.handle_crash(number)
 
-    def crashed(self, number: int) -> None:
+    def handle_crash(self, number: int) -> None:
         now, server = self.loop.time(), self.servers.pop(number)
-        self.history.troubles.append((now, now + CRASHED_SHOWN, f"{server.upstream.instance} crashed"))
-        self.later(CRASHED_SHOWN, self.forget, server.upstream.instance)
+        self.history.disturbances.append((now, now + CRASHED_SHOWN_S, f"{server.upstream.instance} crashed"))
+        self.call_later(CRASHED_SHOWN_S, self.remove_entry, server.upstream.instance)
 
     def drain(self, number: int) -> None:
-        """It is about to end: the list says so first, and it serves for `drainMs` and somewhat longer."""
+        """Drains an upstream.
+
+        The list shows this first; the upstream then serves for `drainMs`, the lag of the list and 1 s more.
+        """
         server = self.servers.pop(number)
         server.drain()
         self.entries[server.upstream.instance].state = DRAINING
-        self.tell()
-        lasts = self.site.bounds["drainMs"] / 1000 + self.directory.lag + 1.0
-        self.later(lasts, self.gone, server)
+        self.publish_list()
+        shutdown_delay = self.site.bounds["drainMs"] / 1000 + self.directory.lag + 1.0
+        self.call_later(shutdown_delay, self.remove, server)
 
-    def gone(self, server: EngineServer) -> None:
+    def remove(self, server: EngineServer) -> None:
         server.close()
-        self.forget(server.upstream.instance)
+        self.remove_entry(server.upstream.instance)
 
-    def forget(self, instance: str) -> None:
+    def remove_entry(self, instance: str) -> None:
         self.entries.pop(instance, None)
-        self.tell()
+        self.publish_list()
 
-    def tell(self) -> None:
-        self.directory.set(self.loop.time(), list(self.entries.values()))
+    def publish_list(self) -> None:
+        self.directory.replace_entries(self.loop.time(), list(self.entries.values()))
         self.history.drained = self.directory.shown_draining
 
     def available(self) -> int:
         return sum(entry.state == AVAILABLE for entry in self.entries.values())
 
-    def later(self, delay: float, call, *given) -> None:
-        self.timers.append(self.loop.call_later(delay, call, *given))
+    def call_later(self, delay: float, callback, *arguments) -> None:
+        self.timers.append(self.loop.call_later(delay, callback, *arguments))
 
     def close(self) -> None:
         for timer in self.timers:
--- a/shedgrade/lab/system/link.py
+++ b/shedgrade/lab/system/link.py
@@ -1,4 +1,4 @@
-"""One connection of a client to a sidecar: what comes is read strictly, what belongs to nobody is told."""
+"""A client's connection to a sidecar: parses answers strictly, records bytes that belong to no request."""
 
 import asyncio
 import contextlib
@@ -9,145 +9,150 @@
 from shedgrade.lab.system import history
 from shedgrade.lab.system.history import Try
 
-TIMEOUT = re.compile(r"timeout\s*=\s*(\d+)", re.IGNORECASE)
-END = re.compile(rb"\r?\n\r?\n")
+KEEP_ALIVE_TIMEOUT = re.compile(r"timeout\s*=\s*(\d+)", re.IGNORECASE)
+EVENT_END = re.compile(rb"\r?\n\r?\n")
 
 
-class ClientLink(asyncio.Protocol):
-    """`stray`: is told of bytes that come while no request waits."""
+class ClientConnection(asyncio.Protocol):
+    """Carries one try at a time; `stray` collects descriptions of bytes that arrive while none waits."""
 
     def __init__(self, clock, stray: list[str]) -> None:
         self.clock, self.stray = clock, stray
         self.parser = httptools.HttpResponseParser(self)
         self.transport = None
-        self.one: Try | None = None
-        self.came = asyncio.Event()
-        self.lost = self.over = self.last = False
+        self.current_try: Try | None = None
+        self.activity = asyncio.Event()
+        self.disconnected = self.complete = self.must_close = False
         self.idle_until = float("inf")
-        self.part = b""
-        self.begun = False  # an answer has begun that is not whole
+        self.partial_event = b""
+        self.answer_begun = False  # whether an answer has begun and is not complete
         self.headers: dict[str, str] = {}
 
     def connection_made(self, transport) -> None:
         self.transport = transport
 
     def connection_lost(self, failure: Exception | None) -> None:
-        if self.one is not None and not self.over and self.one.status and failure is None:
+        if self.current_try is not None and not self.complete and self.current_try.status and failure is None:
             with contextlib.suppress(httptools.HttpParserError):
-                self.parser.feed_data(b"")  # an answer without a length ends here
-        self.lost = True
-        self.came.set()
+                self.parser.feed_data(b"")  # the end of an answer without a length
+        self.disconnected = True
+        self.activity.set()
 
     def data_received(self, data: bytes) -> None:
-        self.came.set()
-        if self.one is None or self.over:
-            self.strayed(data)
+        self.activity.set()
+        if self.current_try is None or self.complete:
+            self.record_stray(data)
             return
         try:
             self.parser.feed_data(data)
-        except httptools.HttpParserError as wrong:
-            self.one.surplus = True
-            self.stray.append(f"no answer came to {self.one.attempt}: {wrong}")
+        except httptools.HttpParserError as error:
+            self.current_try.unexpected_bytes = True
+            self.stray.append(f"no answer came to {self.current_try.attempt}: {error}")
             self.transport.abort()
 
-    def strayed(self, data: bytes) -> None:
-        self.last = True
-        if self.one is not None:
-            self.one.surplus = True
+    def record_stray(self, data: bytes) -> None:
+        self.must_close = True
+        if self.current_try is not None:
+            self.current_try.unexpected_bytes = True
         self.stray.append(f"{data[:60]!r} came where no request waits")
 
     # --- an answer
 
     def on_message_begin(self) -> None:
-        if self.over:
-            self.strayed(b"a further answer")
-        self.headers, self.begun = {}, True
+        if self.complete:
+            self.record_stray(b"a further answer")
+        self.headers, self.answer_begun = {}, True
 
     def on_header(self, name: bytes, value: bytes) -> None:
         self.headers[name.decode("latin-1").lower()] = value.decode("latin-1")
 
     def on_headers_complete(self) -> None:
-        one, headers = self.one, self.headers
+        current_try, headers = self.current_try, self.headers
         status = self.parser.get_status_code()
-        if self.over or status < 200:
+        if self.complete or status < 200:
             return
-        one.status = status
-        one.echoed, one.seal = headers.get("attempt-id", ""), headers.get("server-seal", "")
-        one.encoding = headers.get("content-encoding", "")
+        current_try.status = status
+        current_try.echoed_attempt, current_try.seal = (
+            headers.get("attempt-id", ""),
+            headers.get("server-seal", ""),
+        )
+        current_try.encoding = headers.get("content-encoding", "")
         try:
-            one.retry_after = float(headers["retry-after"])
+            current_try.retry_after = float(headers["retry-after"])
         except (KeyError, ValueError):
-            one.retry_after = None
-        told = TIMEOUT.search(headers.get("keep-alive", ""))
-        if told:
-            self.idle_until = self.clock() + int(told[1])
-        self.last = not self.parser.should_keep_alive()
+            current_try.retry_after = None
+        keep_alive = KEEP_ALIVE_TIMEOUT.search(headers.get("keep-alive", ""))
+        if keep_alive:
+            self.idle_until = self.clock() + int(keep_alive[1])
+        self.must_close = not self.parser.should_keep_alive()
 
     def on_body(self, body: bytes) -> None:
-        one = self.one
-        if self.over:
+        current_try = self.current_try
+        if self.complete:
             return
-        if one.kind.streams and one.status == 200:
-            self.events(one, self.part + body)
+        if current_try.kind.streams and current_try.status == 200:
+            self.parse_events(current_try, self.partial_event + body)
         else:
-            one.body += body
-            one.first_at = one.first_at or self.clock()
+            current_try.body += body
+            current_try.first_at = current_try.first_at or self.clock()
 
-    def events(self, one: Try, text: bytes) -> None:
-        whole, now = 0, self.clock()
-        for end in END.finditer(text):
-            lines = text[whole : end.start()].splitlines()
+    def parse_events(self, current_try: Try, text: bytes) -> None:
+        consumed, now = 0, self.clock()
+        for end in EVENT_END.finditer(text):
+            lines = text[consumed : end.start()].splitlines()
             fields = dict(line.split(b": ", 1) for line in lines if b": " in line)
-            whole = end.end()
+            consumed = end.end()
             number = fields.get(b"id", b"")
-            one.events.append(
+            current_try.events.append(
                 (
                     int(number) if number.isdigit() else -1,
                     fields.get(b"data", b"").split(b" ")[0].decode("latin-1"),
                     now,
                 )
             )
-            one.first_at = one.first_at or now
-        self.part = text[whole:]
+            current_try.first_at = current_try.first_at or now
+        self.partial_event = text[consumed:]
 
     def on_message_complete(self) -> None:
-        if self.one.status < 200:
+        if self.current_try.status < 200:
             return
-        self.begun, self.over = False, True
-        self.one.whole = True
-        self.one.first_at = self.one.first_at or self.clock()
-
-    # --- what the client does
-
-    async def exchange(self, one: Try, request: bytes, until: float, silence: float) -> None:
-        """Sends it and waits for its answer; fills in `one`. Ends at `until`, or after `silence` s without a
-        word."""
-        self.one, self.part, self.over = one, b"", False
-        if self.lost or self.transport.is_closing():
-            one.failure = history.CLOSED
+        self.answer_begun, self.complete = False, True
+        self.current_try.whole = True
+        self.current_try.first_at = self.current_try.first_at or self.clock()
+
+    # --- calls of the client
+
+    async def exchange(self, new_try: Try, request: bytes, deadline: float, silence: float) -> None:
+        """Sends a request, waits for its answer and fills in `new_try`.
+
+        Gives up at the time `deadline`, or after `silence` seconds without data.
+        """
+        self.current_try, self.partial_event, self.complete = new_try, b"", False
+        if self.disconnected or self.transport.is_closing():
+            new_try.failure = history.CLOSED
             return
         self.transport.write(request)
-        while not self.over and not self.lost:
-            self.came.clear()
-            left = until - self.clock()
+        while not self.complete and not self.disconnected:
+            self.activity.clear()
+            time_left = deadline - self.clock()
             try:
-                async with asyncio.timeout(max(0.0, min(left, silence))):
-                    await self.came.wait()
+                async with asyncio.timeout(max(0.0, min(time_left, silence))):
+                    await self.activity.wait()
             except TimeoutError:
-                one.failure = history.GIVEN_UP if left <= silence else history.SILENT
+                new_try.failure = history.GIVEN_UP if time_left <= silence else history.SILENT
                 self.transport.abort()
                 return
-        if not self.over:
-            one.failure = history.CLOSED
+        if not self.complete:
+            new_try.failure = history.CLOSED
 
     def usable(self, now: float) -> bool:
-        """For another request; one that is about to be idle for too long is none."""
+        """Returns whether another request may be sent; not if the idle time-out ends within 0.5 s."""
         return (
-            self.over
-            and not (self.lost or self.last or self.transport.is_closing())
+            self.complete
+            and not (self.disconnected or self.must_close or self.transport.is_closing())
             and (now < self.idle_until - 0.5)
         )
 
     def close(self) -> None:
-        if self.transport is not None and not self.lost:
+        if self.transport is not None and not self.disconnected:
             self.transport.close()
--- a/shedgrade/lab/system/platform.py
+++ b/shedgrade/lab/system/platform.py
@@ -1,4 +1,4 @@
-"""The platform's list of upstreams. Source: PROTOCOL, "Service discovery"."""
+"""Stand-in for the platform's list of upstreams. Source: PROTOCOL, "Service discovery"."""
 
 import json
 from collections import deque
@@ -9,14 +9,19 @@
 from shedgrade.http.server import HttpServer, Reply, Request, failure
 from shedgrade.runtime.log import logger
 
-PAGE = 50  # entries of a page
+PAGE_SIZE = 50  # entries on a page
 AVAILABLE, DRAINING = "available", "draining"
 
 
 @dataclass(slots=True)
 class Entry:
-    """An upstream on the list. `cold_until`, `gone_at`: on the caller's clock; `gone_at`: when one that is
-    taken away at short notice is gone."""
+    """An upstream on the list.
+
+    slots: number of its slots
+    state: AVAILABLE or DRAINING
+    cold_until: when its cold start ends, on the caller's clock, s
+    gone_at: when it is gone, on the caller's clock, s; None unless it is taken away at short notice
+    """
 
     instance: str
     service: str
@@ -27,8 +32,8 @@
     cold_until: float = 0.0
     gone_at: float | None = None
 
-    def told(self, now: float) -> dict:
-        told = {
+    def as_json(self, now: float) -> dict:
+        fields = {
             "instanceId": self.instance,
             "service": self.service,
             "address": self.address,
@@ -41,22 +46,23 @@
             "modelList": [{"name": "m", "configVersion": 1, "adapterList": []}],
         }
         if self.gone_at is not None:
-            told["timeLeftMs"] = max(0, round((self.gone_at - now) * 1000))
-        return told
+            fields["timeLeftMs"] = max(0, round((self.gone_at - now) * 1000))
+        return fields
 
 
 class InstanceDirectory:
-    """The list as it is, and as it is shown: `lag` s later. `rate`: calls a second of all callers."""
+    """The list as it is, and as callers see it `lag` seconds later. `rate`: calls a second allowed to all
+    callers together."""
 
     def __init__(self, lag: float, rate: float) -> None:
         self.lag, self.rate = lag, rate
         self.versions: deque[tuple[float, tuple[Entry, ...]]] = deque([(float("-inf"), ())])
         self.calls: deque[float] = deque()
         self.refused = 0
-        self.shown_draining: dict[str, float] = {}  # by instance: when the list first showed it leaving
+        self.shown_draining: dict[str, float] = {}  # by instance: when it is first not shown as available
 
-    def set(self, now: float, entries: list[Entry]) -> None:
-        """The list is these from now on; those who ask see it once the lag has passed."""
+    def replace_entries(self, now: float, entries: list[Entry]) -> None:
+        """Replaces the list at the time `now`; callers see the change after the lag."""
         copies = tuple(Entry(*(getattr(entry, name) for name in Entry.__slots__)) for entry in entries)
         before = {entry.instance for entry in self.versions[-1][1] if entry.state == AVAILABLE}
         self.versions.append((now, copies))
@@ -64,12 +70,12 @@
         for name in before - after:
             self.shown_draining.setdefault(name, now + self.lag)
 
-    def shown(self, now: float) -> tuple[Entry, ...]:
+    def entries_shown(self, now: float) -> tuple[Entry, ...]:
         while len(self.versions) > 1 and self.versions[1][0] <= now - self.lag:
             self.versions.popleft()
         return self.versions[0][1]
 
-    def allows(self, now: float) -> bool:
+    def admit_call(self, now: float) -> bool:
         while self.calls and self.calls[0] <= now - 1.0:
             self.calls.popleft()
         if len(self.calls) >= self.rate:
@@ -79,19 +85,19 @@
         return True
 
     def page(self, now: float, zone: str | None, token: str | None) -> dict:
-        """Entries from where the token says, and the token of the next page."""
-        shown = [entry for entry in self.shown(now) if zone in (None, "", entry.zone)]
+        """Returns the page of the list at which `token` points, with the token of the next page."""
+        shown = [entry for entry in self.entries_shown(now) if zone in (None, "", entry.zone)]
         digits = (token or "p-0").removeprefix("p-")
         first = int(digits) if digits.isdigit() else 0
-        rest = first + PAGE < len(shown)
+        rest = first + PAGE_SIZE < len(shown)
         return {
-            "instanceList": [entry.told(now) for entry in shown[first : first + PAGE]],
-            "nextToken": f"p-{first + PAGE}" if rest else None,
+            "instanceList": [entry.as_json(now) for entry in shown[first : first + PAGE_SIZE]],
+            "nextToken": f"p-{first + PAGE_SIZE}" if rest else None,
         }
 
 
 class PlatformServer:
-    """`GET /instances` on one address."""
+    """Serves `GET /instances` on one address."""
 
     def __init__(
         self, loop, address: tuple[str, int], directory: InstanceDirectory, clock: Callable[[], float]
@@ -109,7 +115,7 @@
         now = self.clock()
         if request.method != b"GET" or request.path != b"/instances":
             tell(failure(404, Finding("request", "no such call")))
-        elif not self.directory.allows(now):
+        elif not self.directory.admit_call(now):
             tell(Reply(429))
         else:
             page = self.directory.page(now, request.query.get("zone"), request.query.get("pageToken"))
--- a/shedgrade/lab/trace.py
+++ b/shedgrade/lab/trace.py
@@ -1,11 +1,12 @@
-"""Recorded traces: reading (JSON Lines, CSV), linking retries to their first tries, writing. A trace row is
-one try.
-
-at_ms      when it was sent, from the start of the trace
-id         its id; new with every try
-retry_of   the id of the try that it repeats (of the first or of the one before it); empty for a first try
-method, origin, work_ms, wait_ms, body     optional; origin counts the sidecars from 0
-status, latency_ms                         in what a run exports; not needed to replay
+"""Reads and writes recorded traces (JSON Lines, CSV) and links retries to their first tries.
+
+A row of a trace is one try:
+
+at_ms      when it was sent, ms from the start of the trace
+id         its id; each try has a new one
+retry_of   the id of the try that it repeats (the first one or the one before it); empty for a first try
+method, origin, work_ms, wait_ms, body     optional; origin is a sidecar's number, from 0
+status, latency_ms                         written when a run is exported; not needed for a replay
 """
 
 import csv
@@ -33,7 +34,10 @@
 
 
 def read(path: str | Path) -> list[Row]:
-    """Rows in order of time. Errors name the file and the line."""
+    """Returns the rows of a file in order of time.
+
+    Raises ScenarioError, which names the file and the line.
+    """
     path = Path(path)
     try:
         text = path.read_text(encoding="utf-8")
@@ -50,15 +54,16 @@
             for number, line in enumerate(text.splitlines(), 1):  # noqa: B007
                 if line.strip():
                     rows.append(msgspec.json.decode(line, type=Row))
-    except (msgspec.DecodeError, msgspec.ValidationError, csv.Error) as wrong:
-        raise ScenarioError(f"{path}: line {number}: {wrong}") from wrong
+    except (msgspec.DecodeError, msgspec.ValidationError, csv.Error) as error:
+        raise ScenarioError(f"{path}: line {number}: {error}") from error
     return sorted(rows, key=lambda row: row.at_ms)
 
 
 def link(rows: list[Row], name: str = "trace") -> list[tuple[Row, list[Row]]]:
-    """Each first try with its retries in order; a retry may name the first try or any later one.
+    """Returns each first try with its retries in order; a retry may name the first try or any later one.
 
     A retry whose first try is not in the trace (it began before the recording) counts as a first try itself.
+    Raises ScenarioError if two rows have the same id.
     """
     first: dict[str, str] = {}
     chains: dict[str, list[Row]] = {}
@@ -72,32 +77,32 @@
 
 
 def schedule(rows: list[Row], scenario: Scenario) -> list[Arrival]:
-    """The trace as arrivals: one for each first try, from the trace's first moment on."""
+    """Returns the trace as arrivals, one for each first try, timed from the first row of the trace."""
     load, name = scenario.load, scenario.load.trace.file
     speed, known = load.trace.speed, {method.name for method in scenario.methods}
     if not rows:
         raise ScenarioError(f"{name}: no rows")
     start = rows[0].at_ms
-    kinds = {one.method: number for number, one in reversed(list(enumerate(load.classes)))}
-    found = []
-    for number, (first, again) in enumerate(link(rows, name)):
+    classes = {load_class.method: number for number, load_class in reversed(list(enumerate(load.classes)))}
+    arrivals = []
+    for number, (first, retries) in enumerate(link(rows, name)):
         method = first.method or scenario.methods[0].name
         if method not in known:
             raise ScenarioError(f"{name}: id {first.id!r}: method {method!r} is not in the scenario")
-        at = (first.at_ms - start) / 1000 / speed
-        if at >= scenario.length_s:
+        sent_at = (first.at_ms - start) / 1000 / speed
+        if sent_at >= scenario.length_s:
             continue
         recorded = None
         if load.trace.retries == "recorded":
-            recorded = [(row.at_ms - first.at_ms) / 1000 / speed for row in again]
-        kind = kinds.get(method, 0)
-        work = first.work_ms or (load.classes[kind].work_ms if load.classes else 1.0)
-        found.append(
+            recorded = [(row.at_ms - first.at_ms) / 1000 / speed for row in retries]
+        class_number = classes.get(method, 0)
+        work = first.work_ms or (load.classes[class_number].work_ms if load.classes else 1.0)
+        arrivals.append(
             Arrival(
                 number,
-                round(at, 6),
+                round(sent_at, 6),
                 first.origin % scenario.sidecars.count,
-                kind,
+                class_number,
                 work,
                 method,
                 first.body,
@@ -105,11 +110,11 @@
                 first.wait_ms,
             )
         )
-    return sorted(found, key=lambda arrival: arrival.at)
+    return sorted(arrivals, key=lambda arrival: arrival.at)
 
 
 def write(path: str | Path, rows: list[Row]) -> None:
-    """JSON Lines, or CSV by the name's ending."""
+    """Writes the rows as CSV if the name ends in .csv, else as JSON Lines."""
     path = Path(path)
     if path.suffix == ".csv":
         with path.open("w", newline="", encoding="utf-8") as file:
@@ -121,23 +126,23 @@
 
 
 def rows_of(tries: list[dict]) -> list[Row]:
-    """A run's records of tries as a trace; latency counts from the first try's intended moment."""
+    """Returns a run's records of tries as a trace; latency counts from the first try's intended time."""
     firsts: dict[int, str] = {}
-    found = []
-    for one in sorted(tries, key=lambda one: (one["rpc"], one["n"])):
-        first = firsts.setdefault(one["rpc"], one["id"])
-        found.append(
+    rows = []
+    for attempt in sorted(tries, key=lambda attempt: (attempt["rpc"], attempt["n"])):
+        first_id = firsts.setdefault(attempt["rpc"], attempt["id"])
+        rows.append(
             Row(
-                at_ms=round(one["at"] * 1000, 3),
-                id=one["id"],
-                retry_of="" if first == one["id"] else first,
-                method=one["method"],
-                origin=one["origin"],
-                work_ms=one["work"],
-                wait_ms=one["wait"] * 1000,
-                body=one["body"],
-                status=one["status"],
-                latency_ms=round((one["end"] - one["due"]) * 1000, 3),
+                at_ms=round(attempt["at"] * 1000, 3),
+                id=attempt["id"],
+                retry_of="" if first_id == attempt["id"] else first_id,
+                method=attempt["method"],
+                origin=attempt["origin"],
+                work_ms=attempt["work"],
+                wait_ms=attempt["wait"] * 1000,
+                body=attempt["body"],
+                status=attempt["status"],
+                latency_ms=round((attempt["end"] - attempt["due"]) * 1000, 3),
             )
         )
-    return sorted(found, key=lambda row: row.at_ms)
+    return sorted(rows, key=lambda row: row.at_ms)
