--- a/shedgrade/file_frames.py
+++ b/shedgrade/file_frames.py
@@ -88,9 +88,10 @@
 
 
 def read(data: bytes, kind: bytes) -> FileContent:
-    """Returns the content of a whole file of this kind.
+    """Returns the content of a whole file. `kind`: the kind that its header must have.
 
-    Raises FormatError if the header is damaged, NewerVersionError if its version is later than VERSION.
+    Raises FormatError if the header is damaged or of another kind, NewerVersionError if its version is later
+    than VERSION.
     """
     number = read_header(data, kind)
     records: list[Record] = []
@@ -105,14 +106,14 @@
 
 
 def read_header(data: bytes, kind: bytes) -> int:
-    """Returns the number in the header of a file of this kind. Raises the same errors as `read`."""
+    """Returns the number in the header of a file of kind `kind`. Raises the same errors as `read`."""
     if not data:
         raise FormatError("empty")
     if len(data) < HEADER_BYTES:
         raise FormatError("shorter than a header")
     magic, found_kind, version, number = HEADER.unpack_from(data)
     if magic != MAGIC or found_kind != kind:
-        raise FormatError("not a file of this kind")
+        raise FormatError("unexpected magic number or file kind")
     if CHECKSUM.unpack_from(data, HEADER.size)[0] != crc32(data[: HEADER.size]):
         raise FormatError("header damaged")
     if version > VERSION:
--- a/shedgrade/replication/acceptor.py
+++ b/shedgrade/replication/acceptor.py
@@ -118,7 +118,10 @@
     # --- candidates
 
     def on_prepare(self, now: float, sender: str, prepare: Prepare) -> None:
-        """Promises the candidate to accept nothing of a lower epoch, unless a higher one was promised."""
+        """Promises the candidate to accept nothing of an epoch below the one that it campaigns for.
+
+        Refuses if this member has promised a higher epoch, or the same one to another candidate.
+        """
         member, replica = self.member, self.member.replica
         if prepare.epoch_config.active:
             member.learn_epoch(now, prepare.epoch_config)
@@ -148,7 +151,7 @@
             member.send(sender, member.own_promise(number))
 
     def refuse(self, sender: str, number: int) -> None:
-        """Tells the sender of a message of epoch `number` that a higher one is promised or known here."""
+        """Tells the sender of a message of epoch `number` that this member promised or knows a higher one."""
         replica = self.member.replica
         promised = replica.promised_epoch.number
         self.member.send(sender, Refusal(replica.incarnation, number, promised, replica.epoch_config))
@@ -243,7 +246,7 @@
             member.start_election(now)
 
     def follow_primary(self, now: float, sender: str, epoch: int, config: EpochConfig | None) -> bool:
-        """Whether the sender is the primary of the newest epoch known here. If so, it counts as heard."""
+        """Whether the sender is the primary of the newest known epoch. If so, the primary counts as heard."""
         member, replica = self.member, self.member.replica
         if config is not None and config.number == epoch and epoch >= replica.promised_epoch.number:
             replica.adopt_epoch_config(now, config)
@@ -252,7 +255,7 @@
             self.refuse(sender, epoch)
             return False
         if epoch > known_epoch:
-            # the configuration is missing here: the ack says so, and the primary sends it
+            # this member lacks the epoch's configuration: the ack says so, and the primary sends it
             self.send_ack(now, sender, epoch, 0)
             return False
         if not replica.epoch_config.active and replica.accepted_epoch != epoch:
--- a/shedgrade/replication/acknowledgement_times.py
+++ b/shedgrade/replication/acknowledgement_times.py
@@ -1,4 +1,6 @@
-"""When a follower acknowledged the rounds of its primary, by its own clock; this bounds a heartbeat's age.
+"""Records when a follower acknowledged the primary's rounds, on its own clock, to bound a heartbeat's age.
+
+A round is a numbered request of the primary to confirm that it is still the primary; heartbeats carry it.
 
 A heartbeat may be in transit for seconds, since the kernel retransmits what a broken path delayed, and the
 receiver cannot tell that from the bytes. Each heartbeat therefore names the newest round whose
@@ -24,7 +26,7 @@
 
 
 class AcknowledgementTimes:
-    """When one follower acknowledged the rounds of the primary of one epoch.
+    """The times at which one follower acknowledged the rounds of one epoch.
 
     `epoch`: the epoch of the rounds.
     `rounds`: the newest rounds acknowledged, oldest first. Invariant: numbers and times increase.
--- a/shedgrade/replication/candidate.py
+++ b/shedgrade/replication/candidate.py
@@ -322,7 +322,7 @@
         return tuple(each.incarnation for each in eligible[: needed.target])
 
     def install_or_fetch(self, now: float, best: Promise) -> None:
-        """Installs the epoch with the state of the promise `best`, after fetching it if it isn't here."""
+        """Installs the epoch with the state of the promise `best`, after fetching it if it is missing."""
         replica = self.member.replica
         if (best.accepted_epoch, best.log_position) == (replica.accepted_epoch, replica.log_position):
             self.install(now, replica.log_position, replica.state)
@@ -359,7 +359,7 @@
     # --- fetch and install
 
     def fetch(self, now: float, best: Promise) -> None:
-        """Requests the state from the sender of the promise `best`, as a difference to the state here."""
+        """Requests the state from the sender of the promise `best`, as a difference to the own state."""
         replica = self.member.replica
         self.resend_at = now + 4 * self.member.timing.resend_interval_s
         address = self.member.peers.address_of(best.incarnation, best.address)
@@ -388,7 +388,7 @@
         self.keep_alive_at = now + timing.heartbeat_interval_s
         is_own_state = position == replica.log_position
         if not is_own_state:
-            # the commands decided here are not in the log that the epoch continues
+            # the commands that this process decided are not in the log that the epoch continues
             member.primary_role.abandon(now)
         replica.install_epoch(
             now,
--- a/shedgrade/replication/chunking.py
+++ b/shedgrade/replication/chunking.py
@@ -58,15 +58,17 @@
 
 
 class OutgoingTransfer:
-    """One message in transit. Times are seconds of the steady clock.
+    """One message that is queued or in transit. Times are seconds of the steady clock.
 
-    `message`, `subject`: the message, and what identifies its content.
+    `message`: the message.
+    `subject`: identifies the content of `message`, so that the same content is not queued twice.
     `id`: random number of the transfer.
     `body`: the encoded message, None until the transfer begins.
     `count`: number of chunks of `body`.
     `next`: index of the first chunk that the receiver lacks.
-    `sent`: index of the next chunk to be sent. Invariant: `next` <= `sent` <= `count`.
-    `first_unsent`: index of the first chunk that was never sent.
+    `sent`: index of the next chunk to be sent; goes back to `next` when chunks are sent again.
+    Invariant: `next` <= `sent` <= `count`.
+    `first_unsent`: index of the first chunk that was never sent; above `sent` while chunks are sent again.
     `window`: maximum number of unacknowledged chunks.
     `sent_at`: when each chunk was sent, for chunks sent exactly once and not acknowledged.
     `resend_at`: when a chunk is sent again as a probe, if no ack arrives before.
@@ -107,7 +109,10 @@
         self.progress_at = 0.0
 
     def begin(self, now: float, resend_after_s: float) -> None:
-        """Encodes the message when the transfers before it have ended."""
+        """Encodes the message. Called when the transfer is the first in its queue.
+
+        `resend_after_s`: the resend interval in seconds until the first probe.
+        """
         self.body = memoryview(_encode(self.message))
         self.count = -(-len(self.body) // CHUNK_BYTES)
         self.progress_at = now
--- a/shedgrade/replication/effects.py
+++ b/shedgrade/replication/effects.py
@@ -61,7 +61,9 @@
 class Decision:
     """Result of `decide` for a command.
 
-    Without `changes`, `outcome` is answered once the state that it was decided on is confirmed as the newest.
+    `changes`: changes of the state; empty if the command changes nothing.
+    `outcome`: the answer to the command, given once the changes are committed. Without changes, it is given
+    once a round confirms that the command was decided on the newest state.
     """
 
     changes: Changes = field(default_factory=dict)
@@ -70,7 +72,7 @@
 
 @dataclass(slots=True)
 class Unavailable:
-    """The request had no effect; the client may retry it here or at another process."""
+    """The request had no effect; the client may retry it at this or another process."""
 
 
 @dataclass(slots=True)
@@ -80,7 +82,8 @@
 
 @dataclass(slots=True)
 class RedirectToPrimary:
-    """Link address of the primary. The same command may be sent there, whatever its outcome here was."""
+    """Link address of the primary. The same command may be sent to the primary, whatever its outcome at this
+    member was."""
 
     address: str
 
--- a/shedgrade/replication/holder_supervision.py
+++ b/shedgrade/replication/holder_supervision.py
@@ -72,11 +72,12 @@
         replaced = unhealthy | leaving
         eligible = self.eligible_members(now, replaced)
         change = member.reconfiguration.next_change(now, primary, member.replica.epoch_config)
-        # a leaving holder stays until another one can replace it
+        # If too few members can replace all of them, only the unhealthy holders are replaced, and a leaving
+        # member may hold the state.
         if unhealthy and len(eligible) < len(primary.holders):
             replaced = unhealthy
             eligible += self.leaving_members(now, unhealthy)
-        required_holders = max(len(member.members) // 2, member.tolerated)  # besides this process
+        required_holders = max(len(member.members) // 2, member.tolerated)  # without this process
         can_replace = bool(replaced) and len(eligible) >= len(primary.holders)
         can_add = len(primary.holders) < required_holders <= len(eligible)
         # a new member may replace a leaving holder
--- a/shedgrade/replication/messages.py
+++ b/shedgrade/replication/messages.py
@@ -36,8 +36,11 @@
 
 
 class EpochConfig(Struct, frozen=True, array_like=True):
-    """Members, holders and primary of an epoch. `holders` and `primary` are incarnations.
+    """Members, holders and primary of an epoch.
 
+    `primary`: incarnation of the primary.
+    `holders`: incarnations of the members that store the replicated state, including the primary. The other
+    members are witnesses, which only vote.
     `before`: the members of the last epoch that is known to have been active.
     `active`: whether all holders are known to have installed the epoch. Until then a candidate needs a
     majority of `members` and one of `before`, since another epoch may have been formed from `before`.
@@ -67,7 +70,7 @@
 
 
 class PrimaryHint(Struct, frozen=True, tag="Whereabouts", array_like=True):
-    """Reply to a join request from a process that is not the primary.
+    """Reply of a process that is not the primary to a join request.
 
     `primary`: link address of the primary if the sender hears it, else None.
     `epoch_config`: the newest one that the sender knows.
@@ -139,7 +142,11 @@
 
 
 class Refusal(Struct, frozen=True, tag="Refusal", array_like=True):
-    """Rejects a message: its sender has promised a higher epoch than `number`, or knows a newer one."""
+    """Rejects a message of epoch `number`, as the sender of the refusal promised or knows a higher epoch.
+
+    `promised_epoch`: the highest epoch number that the sender of the refusal has promised.
+    `epoch_config`: the newest one that this sender knows.
+    """
 
     incarnation: int
     number: int
@@ -148,9 +155,11 @@
 
 
 class Fetch(Struct, frozen=True, tag="Fetch", array_like=True):
-    """A candidate requests the state that a promise named.
+    """Request of a candidate for the state that a member offered in its promise.
 
-    `log_position`, `committed`: positions of the two states that the candidate has itself.
+    `log_position`: position of the candidate's stored state.
+    `committed`: position of the committed state that the candidate has in memory. The reply may contain only
+    the changes since one of the two positions.
     """
 
     number: int
@@ -161,7 +170,7 @@
 class Transfer(Struct, frozen=True, tag="Transfer", array_like=True):
     """Reply to `Fetch`.
 
-    With `base` the changes lead from there to `log_position`, else they are the whole state.
+    `changes`: the changes from `base` to `log_position`; the whole state if `base` is None.
     """
 
     number: int
@@ -173,7 +182,7 @@
 class Install(Struct, frozen=True, tag="Install", array_like=True):
     """A new epoch, sent to one of its holders.
 
-    With `base` the changes lead from there to `log_position`, else they are the whole state.
+    `changes`: the changes from `base` to `log_position`; the whole state if `base` is None.
     """
 
     epoch_config: EpochConfig
@@ -201,8 +210,8 @@
 class CatchUp(Struct, frozen=True, tag="Learn", array_like=True):
     """Committed state for a process that is not a holder.
 
-    With `base` the changes lead to `log_position` from there, and from each log position between the two;
-    else they are the whole state.
+    `changes`: the changes from `base`, or from any log position after it, to `log_position`; the whole state
+    if `base` is None.
     """
 
     epoch: int
--- a/shedgrade/replication/primary.py
+++ b/shedgrade/replication/primary.py
@@ -36,7 +36,7 @@
     `active`: whether this process is the primary of `epoch`. While it is false no command is decided or
     answered and nothing is sent; all else is kept during an election of this process itself (`pause`).
     `epoch`: number of the epoch that this process led last, 0 before the first one. Invariant while active:
-    the state here was accepted in it, and no higher epoch was promised to another.
+    this process accepted its state in `epoch`, and promised no higher epoch to another process.
     `holders`: incarnations of the other holders. Invariant while active: each is one of `followers`.
     `followers`: by incarnation, all processes heard, members and others; empty while another one leads.
     `current_incarnations`: by link address, the incarnation that was last heard there. A follower whose
--- a/shedgrade/replication/reconfiguration.py
+++ b/shedgrade/replication/reconfiguration.py
@@ -128,7 +128,11 @@
         ]
 
     def on_primary_hint(self, now: float, sender: str, hint: PrimaryHint) -> None:
-        """Handles the reply to a join request from a process that is not the primary."""
+        """Handles the reply of a process that is not the primary to this process's join request.
+
+        Adopts the epoch in the hint if it is active, and sends the next join request to the address that the
+        hint gives for the primary.
+        """
         config = hint.epoch_config
         if config.active:
             if config.number > self.member.epoch:
--- a/shedgrade/replication/replica_state.py
+++ b/shedgrade/replication/replica_state.py
@@ -197,9 +197,12 @@
         changes: Changes | None,
         on_durable: DurableCallback,
     ) -> None:
-        """Accepts an epoch with this state, as one of its holders.
+        """Accepts an epoch in which this process is a holder, and stores its state.
 
-        `changes` lead from the present state to the new one; None if all of it may differ.
+        `position`: log position of the last change in `state`.
+
+        `changes` lead from the present state to `state`; None if all of it may differ. `on_durable` is called
+        once the epoch and the state are synced.
         """
         saved: Changes = {EPOCH_KEY: _encode(config), POSITION_KEY: _encode((config.number, position))}
         if self.promised_epoch != (config.number, config.primary):
@@ -248,7 +251,7 @@
     # --- differences between states
 
     def committed_changes_since(self, *bases: LogPosition) -> tuple[LogPosition | None, Changes]:
-        """Returns the newest base that is known and the changes from there to the committed state.
+        """Returns the newest known base and the changes from that base to the committed state.
 
         (None, the whole state) if no base is known.
         """
@@ -256,7 +259,7 @@
         return self.changes_between(usable, self.committed.state)
 
     def changes_since(self, *bases: LogPosition) -> tuple[LogPosition | None, Changes]:
-        """Returns the newest base that is known and the changes from there to this member's log position.
+        """Returns the newest known base and the changes from that base to this member's log position.
 
         (None, the whole state) if no base is known.
         """
@@ -265,7 +268,7 @@
     def changes_between(
         self, bases: Sequence[LogPosition], state: ReplicatedState
     ) -> tuple[LogPosition | None, Changes]:
-        """Returns the newest base that is known and the changes from there to `state`.
+        """Returns the newest known base and the changes from that base to `state`.
 
         (None, the whole state) if no base is known.
         """
--- a/shedgrade/storage/files.py
+++ b/shedgrade/storage/files.py
@@ -32,7 +32,7 @@
         """Makes a file's content durable."""
 
     def sync_folder(self) -> None:
-        """Makes the names in the folder durable."""
+        """Syncs the folder: makes its directory entries durable."""
 
     def close(self) -> None:
         """Closes the open files."""
@@ -85,7 +85,7 @@
         os.fdatasync(self.descriptor(name))
 
     def sync_folder(self) -> None:
-        """Makes the names in the folder durable."""
+        """Syncs the folder: makes its directory entries durable."""
         sync_folder(self.folder)
 
     def close(self) -> None:
@@ -105,7 +105,7 @@
 
 
 def sync_folder(folder: Path) -> None:
-    """Makes the names in a folder durable."""
+    """Syncs a folder: makes its directory entries durable."""
     descriptor = os.open(folder, os.O_RDONLY | os.O_DIRECTORY | os.O_CLOEXEC)
     try:
         os.fsync(descriptor)
--- a/shedgrade/storage/layout.py
+++ b/shedgrade/storage/layout.py
@@ -44,7 +44,7 @@
 class LogContent:
     """Content of a write-ahead log.
 
-    `base_lsn`: LSN of its slot, UNKNOWN_LSN if the header is damaged.
+    `base_lsn`: LSN of the slot that the log continues, UNKNOWN_LSN if the header is damaged.
     `changes`: the changes of the sound records in sequence.
     `damage`: why reading stopped before the end, "" if it did not.
     `lsn_after_damage`: the highest LSN of a sound record after the damage, UNKNOWN_LSN if none is above the
@@ -71,7 +71,7 @@
 
 
 def encode_log_header(base_lsn: int) -> bytes:
-    """Returns the header of the log of the slot with this LSN."""
+    """Returns the header of the log that continues the slot with LSN `base_lsn`."""
     return file_frames.header(LOG_KIND, base_lsn)
 
 
