--- a/shedgrade/controlplane/channels.py
+++ b/shedgrade/controlplane/channels.py
@@ -33,7 +33,7 @@
     """The outcome of a command or read.
 
     Attributes:
-        reply: the reply to a command; None for a read, and if the outcome is not known here.
+        reply: the reply to a command; None for a read, and if the responding member doesn't know the outcome.
         state: the result of a read, as `read_response` returns it.
     """
 
--- a/shedgrade/controlplane/command_router.py
+++ b/shedgrade/controlplane/command_router.py
@@ -36,7 +36,9 @@
 RETRY_DELAY_S = 0.05  # before the next attempt
 # After this time without a primary, calls are rejected at once: no member took over.
 NO_PRIMARY_TIMEOUT_S = 2.0
-SLOWEST_BYTES_PER_SECOND = 250_000  # of a large body, as in replication; extends the time limits
+# Slowest rate at which a large body is forwarded, by which time limits are extended; the same as
+# `Timing.bytes_per_second` of replication.
+SLOWEST_BYTES_PER_SECOND = 250_000
 # Delay between reading a zone's command and the first attempt, in which the end of its connection may arrive:
 # when a partition between caller and member ends, both arrive together or a round trip apart.
 CLOSE_DELAY_S = 0.1
@@ -80,7 +82,7 @@
 
 
 class PendingCommand:
-    """A command, or a read (`command` is None), from its arrival here until its caller has a response.
+    """A command, or a read (`command` is None), from its arrival until its caller has a response.
 
     Attributes:
         extra_wait_s: time added to the time limits for a large body.
@@ -118,8 +120,8 @@
                 self.on_decision(ForwardedResponse(outcome))
 
     async def forward(self, address: str) -> None:
-        """Sends the command or read to the primary. A read names the version that this member holds, so that
-        a slow link does not carry a configuration that is here already."""
+        """Sends the command or read to the primary. A read names the configuration version that this
+        member has, so that a slow link does not carry a configuration that the member has already."""
         known = self.router.member.committed.state if self.command is None else {}
         held_version = configuration_version(known)
         request = COMMAND_CHANNEL + channels.encode(ForwardedRequest(self.command, held_version))
@@ -160,7 +162,7 @@
 
 
 class PendingZoneCommand(PendingCommand):
-    """A command for a zone, from its arrival here until its caller has a response.
+    """A command for a zone, from its arrival until its caller has a response.
 
     Attributes:
         zone_command: the command as it was received.
@@ -255,8 +257,9 @@
         assert all(0 < ticket <= self.last_ticket for ticket in self.on_outcomes), "unknown ticket"
 
     def submit(self, command: Command, respond: RespondToCommand, caller: Caller = UNKNOWN_CALLER) -> None:
-        """Calls `respond` with the decision's reply. None: the outcome is unknown here, and the caller has to
-        send the command again, to any member; a change that was accepted before is recognized then."""
+        """Calls `respond` with the decision's reply. None: this member doesn't know the outcome, and
+        the caller has to send the command again, to any member; a change that was accepted before is
+        recognized then."""
 
         def on_response(response: ForwardedResponse | None) -> None:
             reply = response.reply if response is not None else None
--- a/shedgrade/controlplane/commands.py
+++ b/shedgrade/controlplane/commands.py
@@ -141,8 +141,8 @@
 def is_already_applied(
     state: Mapping[str, bytes], command: ConfigurationCommand, status: AcceptanceStatus
 ) -> bool:
-    """Whether the command was accepted before. A caller that got no clear response sends its command again,
-    perhaps after further versions were accepted. A PUT of the configuration in force counts as accepted too.
+    """Whether the command was accepted earlier, or is a PUT of the current configuration. A caller that got
+    no definite response sends its command again, perhaps after further versions were accepted.
     """
     return status is AcceptanceStatus.ACCEPTED or (
         isinstance(command, PutConfiguration)
--- a/shedgrade/controlplane/configuration_validation.py
+++ b/shedgrade/controlplane/configuration_validation.py
@@ -165,8 +165,8 @@
 
 
 def scalar(kind: Any, value: Any, place: str, findings: Findings) -> Any:
-    """A string, a number or a boolean; None, with a finding, if the value is not of this kind. A whole number
-    may also be written as 5.0."""
+    """Returns a value of type `kind`: a string, a number or a boolean. None, with a finding, if the value has
+    another type. A whole number may also be written as 5.0."""
     found = type(value)
     if found is kind or (kind is float and found is int):
         return value
--- a/shedgrade/controlplane/delta.py
+++ b/shedgrade/controlplane/delta.py
@@ -1,9 +1,9 @@
 """A delta: a change of some named items of a configuration (`PATCH /configuration`).
 
 This module validates, applies and makes deltas. Items are merged as the bytes that were received, so fields
-that are unknown here are kept. The member that receives a delta validates each item by itself; the primary,
-which knows the configuration that the delta builds on, checks the references between all items. That check
-costs little more than finding the names in the existing configuration.
+that this version does not know are kept. The member that receives a delta validates each item by itself; the
+primary, which knows the configuration that the delta builds on, checks the references between all items. That
+check costs little more than finding the names in the existing configuration.
 
 Source: PROTOCOL with LATER, "The operator's API".
 """
@@ -62,7 +62,7 @@
 
 
 class Item(msgspec.Struct):
-    """One item of a merged list. `place`: its place in the delta, or in the configuration it builds on."""
+    """One item of a merged list. `place`: its place in the delta, or in the base configuration."""
 
     name: str
     raw: msgspec.Raw
--- a/shedgrade/controlplane/directory.py
+++ b/shedgrade/controlplane/directory.py
@@ -65,8 +65,8 @@
             request: the HTTP request.
             edges: edges that were heard from lately and are not closed.
             stranded: hosts, in lower case, that these edges can't serve while they are cut off.
-            homes: `homes(host)` returns the regions other than its own to which a client may be sent; called
-                only if the client's region has no ready edge.
+            homes: `homes(host)` returns the regions, other than the client's own, to which the client may be
+                sent; called only if the client's region has no ready edge.
         """
         match self.calls.find(request.method, request.path):
             case Match(call):
@@ -142,7 +142,8 @@
 
 
 def admissible(edges: list[EdgeRecord], regions: Regions) -> list[EdgeRecord]:
-    """The edges in regions other than its own to which a client may be sent."""
+    """The edges in `regions`: the regions, other than the client's own, to which the client may be sent. All
+    edges if `regions` is None."""
     return edges if regions is None else [edge for edge in edges if edge.region in regions]
 
 
--- a/shedgrade/controlplane/endpoint_list.py
+++ b/shedgrade/controlplane/endpoint_list.py
@@ -25,8 +25,8 @@
 from shedgrade.runtime.log import logger
 
 MAX_HISTORY = 256  # changes from which deltas are made; a receiver with an older list is sent the full one
-COUNTDOWN_TOLERANCE_S = 1.0  # by which an end may shift without being a change: lag and delay
-WARM_UP_EXTENSION_S = 0.3  # the same for a later end of a warm-up, which is to be passed on sooner
+COUNTDOWN_TOLERANCE_S = 1.0  # shift of a countdown's end that is no change, but lag and delay
+WARM_UP_EXTENSION_S = 0.3  # the tolerance for a later end of a warm-up, which is to be passed on sooner
 STALE_BY_S = 3.0  # a list of a lower version replaces one of a higher version that is older by more than this
 MAX_REPORTED = 1024  # faults that are remembered, so that each is logged once
 MAX_LOGGED_CHARACTERS = 300  # of an invalid entry
@@ -87,10 +87,10 @@
     """The list, its version and its age. Methods with an optional `now` read the clock if it is None.
 
     Attributes:
-        clock: returns seconds that never fall.
+        clock: returns a monotonic time in seconds.
         term, number: the version; (0, 0) while nothing is known.
         own_term: the term under which this process polls the platform; None while it does not.
-        skipped_numbers: how many numbers the next change leaves out.
+        skipped_numbers: how many version numbers the next change skips, see `begin_term`.
         confirmed_at: when the platform last confirmed the whole list; None if it never did.
         endpoints: by id.
         history: for each of the newest changes the version before it, and the ids that it changed or removed.
@@ -130,7 +130,7 @@
 
     def begin_term(self, term: int, skipped_numbers: int = 0) -> None:
         """Starts polling by this process under a term that no other process has. The next list gets this
-        term, even if nothing changed, and its number leaves out `skipped_numbers` others.
+        term, even if nothing changed, and its number skips `skipped_numbers` numbers.
         """
         self.own_term = term if term >= self.term else self.term + 1
         self.skipped_numbers = skipped_numbers
@@ -149,7 +149,8 @@
         received = self.parse_entries(now, entries)
         if entries and not received:
             return False  # guards against a response with invalid entries only: it would remove all endpoints
-        # Guards against a response that waited unread while this process was stopped.
+        # The list is as old as its request: the response may have waited unread while this process was
+        # suspended.
         self.confirmed_at = now if requested_at is None else requested_at
         touched = {name for name in self.endpoints if name not in received}
         for name, new in received.items():
@@ -232,7 +233,8 @@
         if (term, number) == self.version:
             return EndpointUpdate(self.term, self.number, age_s, term, number)
         touched: set[str] = set()
-        for before, ids in reversed(self.history if number else ()):  # number 0: the receiver has no list
+        # a receiver with version number 0 has no list, and is sent the full one
+        for before, ids in reversed(self.history if number else ()):
             touched |= ids
             if before == (term, number):
                 changed = tuple(self.endpoints[name].at(now) for name in touched if name in self.endpoints)
@@ -244,7 +246,7 @@
         """Applies an update of another member. Returns whether the list changed.
 
         Sets `needs_request` if the update belongs to a newer list but is a delta from another version than
-        this list's: the caller sends `request()`. `unread_s`: time that the message may have waited here.
+        this list's: the caller sends `request()`. `unread_s`: time that the message may have waited unread.
         """
         now = self.clock() if now is None else now
         age_s = message.age_s + unread_s
--- a/shedgrade/controlplane/home_regions.py
+++ b/shedgrade/controlplane/home_regions.py
@@ -7,14 +7,15 @@
 from shedgrade.configuration import parse
 
 Regions = frozenset[str] | None
-"""Regions other than its own to which a client may be sent; None: all."""
+"""Regions, other than the client's own, to which a client may be sent; None: all."""
 
 ANYWHERE: Regions = None  # no route of the host has home regions
 NOWHERE_ELSE: Regions = frozenset()  # only the client's own region
 
 
 class HomeRegions:
-    """The regions other than their own to which clients of a host may be sent, cached for one configuration.
+    """The regions, other than the client's own, to which clients of a host may be sent, cached for one
+    configuration.
 
     Attributes:
         configuration: the configuration from which `by_host` was computed; None before the first.
--- a/shedgrade/controlplane/message_dispatcher.py
+++ b/shedgrade/controlplane/message_dispatcher.py
@@ -103,8 +103,8 @@
         self.dispatch(sender, frame.body, lambda body: self.messenger.links.send(sender, body))
 
     def track_edge(self, connection: PeerConnection, sender: str) -> None:
-        """Records the connection of an edge. A dead edge's connection ends before its next watch is due, so
-        that clients are no longer sent to it from then on."""
+        """Records the connection of an edge. When the connection closes, clients are no longer sent to the
+        edge: a dead edge is noticed before its next watch request is due."""
         if self.edge_connections.get(sender) is not connection:
             self.edge_connections[sender] = connection
             connection.on_close.append(lambda: self.on_edge_disconnected(connection, sender))
--- a/shedgrade/controlplane/operator_api.py
+++ b/shedgrade/controlplane/operator_api.py
@@ -38,7 +38,7 @@
 
 
 class Router(Protocol):
-    """Access to the primary, as by `CommandRouter`. A response of None: the outcome is unknown here."""
+    """Access to the primary, as by `CommandRouter`. A response of None: the outcome is unknown."""
 
     def submit(self, command: Command, respond: RespondToCommand, caller: Caller) -> None:
         """Calls `respond` with the outcome of the command."""
@@ -66,7 +66,7 @@
 
 
 def caller_of(request: Request) -> Caller:
-    """The caller that waits for the response to this request."""
+    """The client of a request: when the request arrived, and whether the client has disconnected."""
     return Caller(request.arrived_after, request.caller_gone)
 
 
@@ -87,7 +87,7 @@
     """Dispatches the operators' calls by method and path.
 
     Attributes:
-        checked: versions of changes that were found valid here, oldest first; at most CHECKED_CHANGES.
+        checked: versions of changes that this member found valid, oldest first; at most CHECKED_CHANGES.
     """
 
     def __init__(self, router: Router, status: Callable[[], Mapping[str, Any]] | None = None) -> None:
--- a/shedgrade/controlplane/references.py
+++ b/shedgrade/controlplane/references.py
@@ -1,7 +1,7 @@
 """Checks of the references between the elements of one configuration.
 
-The protocols below name the attributes that are read of an element. Elements are models of
-`shedgrade.configuration`, or the few fields that `delta.py` decodes of each.
+The Protocol classes below declare the attributes of an element that the checks use. An element is a model of
+`shedgrade.configuration`, or a struct of `delta.py` that has only these attributes.
 
 Source: PROTOCOL, "The operator's API".
 """
--- a/shedgrade/controlplane/role_election.py
+++ b/shedgrade/controlplane/role_election.py
@@ -119,8 +119,8 @@
         voted_term: the highest term for which this member voted or acknowledged a heartbeat. Never falls; a
             leader's is its own term.
         voted_for: the candidate of `voted_term`; a leader's is this member.
-        holder: the other member that was last heard as the holder. Empty if there was none, if it released
-            the role, and while this member is a candidate or leader.
+        holder: the other member that was last heard as the holder of the role. Empty if there was none, if it
+            released the role, and while this member is a candidate or leader.
         holder_term: term of `holder`.
         holder_heard_at: when `holder` was last heard; HOLDER_TIMEOUT_S before the start if never.
         released_term: the highest term whose holder released the role. Heartbeats up to it are refused.
@@ -211,7 +211,8 @@
         return len(self.members()) // 2 + 1
 
     def is_holder_alive(self, now: float) -> bool:
-        """Returns whether another member was heard as the holder so recently that votes are withheld."""
+        """Returns whether another member was heard as the holder of the role so recently that this member
+        gives no vote."""
         return bool(self.holder) and now < self.holder_heard_at + VOTE_WITHHELD_S
 
     def wake_at(self) -> float:
--- a/shedgrade/ctl/client.py
+++ b/shedgrade/ctl/client.py
@@ -18,13 +18,14 @@
 from shedgrade.ctl.output import InputError, NoAnswerError, RejectedError
 from shedgrade.findings import Finding
 
-MAX_REDIRECTS = 2  # followed from one address
-ANSWER_TIMEOUT_S = 1.0  # without an answer, after which the next address is tried
+MAX_REDIRECTS = 2  # redirects followed for a request to one address
+ANSWER_TIMEOUT_S = 1.0  # time without an answer after which the next address is tried
 MIN_TIMEOUT_S = 0.001
 UPLOAD_BYTES_PER_S = 1_000_000  # rate at which a server is assumed to receive a large body
 MIN_BACKOFF_S, MAX_BACKOFF_S = 0.05, 1.0  # before the next attempt
 DEADLINE_S = 10.0
-EVACUATION_DEADLINE_S = 5.0  # of evacuate and return, which may be sent again for `ackMs` at the most
+# Default deadline of evacuate and return, which may be repeated for no longer than the bound `ackMs`, 5 s.
+EVACUATION_DEADLINE_S = 5.0
 MAX_DEADLINE_S = 3600
 FINAL_STATUSES = frozenset((400, 409, 412, 413, 422))
 RETRIED_STATUSES = frozenset((408, 429))
--- a/shedgrade/ctl/config.py
+++ b/shedgrade/ctl/config.py
@@ -30,7 +30,7 @@
 
 
 def patch(options: Options, output: Output, connect: Connect) -> ExitCode:
-    """Sends a delta. The control plane alone checks what depends on the configuration it builds on."""
+    """Validates and sends a delta. References to the base configuration are checked by the control plane."""
     from shedgrade.controlplane.delta import read_delta  # imported late: it imports pyserde
 
     client = connect()
