--- a/shedgrade/dataplane/control_client.py
+++ b/shedgrade/dataplane/control_client.py
@@ -305,7 +305,8 @@
         try:
             brought_news = self.received.take(now, response)
         except ValueError as error:
-            # Guards against a member whose responses can't be decoded: another one is asked.
+            # Guards against a member whose responses can't be decoded: it counts as failed, so that another
+            # member is asked, unless a newer request to it is pending.
             logger.warning("watch response rejected", member=event.address, error=error)
             if member is not None and (request is member.pending or member.pending is None):
                 self._note_failure(now, member)
@@ -382,8 +383,9 @@
         )
 
     def _next_requests(self, now: float) -> list[tuple[CoreMember, float]]:
-        """Returns the members that are due a request that is not a probe, each with the time: the preferred
-        member, or any STARTING_REQUESTS while no member is preferred."""
+        """Returns the members that are due a request other than a probe, each with the time: the preferred
+        member if there is one. Otherwise as many members as bring the pending requests to
+        STARTING_REQUESTS."""
         if self.preferred_member is not None:
             if self.preferred_member.pending is not None:
                 return []
--- a/shedgrade/dataplane/control_exchange.py
+++ b/shedgrade/dataplane/control_exchange.py
@@ -97,8 +97,8 @@
         request = instruction.request
         reads: tuple = ()
         if not instruction.is_probe:
-            # Each member has its own versions of the prefix cache index: a probe of another member doesn't
-            # request it.
+            # A probe neither reports prefix reads nor requests the prefix cache index, since each member has
+            # its own versions of the index.
             reads = self._prefix_index.take_unsent()
             request = msgspec.structs.replace(
                 request, prefix_reads=reads, prefix_index_version=self._prefix_index.version
--- a/shedgrade/dataplane/engine_connection.py
+++ b/shedgrade/dataplane/engine_connection.py
@@ -85,7 +85,7 @@
                 self.accept_success(named_headers)
 
     def attribution(self) -> Attribution:
-        """Whose response it is whose head was received."""
+        """Returns which request the response belongs to, once its head was received."""
         sole_request = self.transmission.first_on_connection and not self.surplus_received
         return attribute(self.headers, self.transmission.active_request.request.name, sole_request)
 
--- a/shedgrade/dataplane/front.py
+++ b/shedgrade/dataplane/front.py
@@ -13,7 +13,7 @@
 
 
 class IngressFront(Front):
-    """The front of the data plane. `plane` owns the routes and services."""
+    """The `Front` of the data plane's client connections. `plane` owns the routes and services."""
 
     def __init__(self, loop, plane, budget, random: Random) -> None:
         self.plane, self.random, self.clock = plane, random, plane.clock
--- a/shedgrade/dataplane/ingress.py
+++ b/shedgrade/dataplane/ingress.py
@@ -139,14 +139,15 @@
         service.dispatcher.submit(active_request, route.method, wait_ms, False)
 
     def reject_not_served(self) -> None:
-        """Rejects a request that is not served here: it did not run, and is retried on another connection."""
+        """Rejects a request because this process has no routes yet, or drains: the request did not run, and
+        the client can retry it on another connection."""
         self.closing = True
         self.exhausted(self.front.retry_after_ticks())
 
     def resume(self, last_id: bytes | None) -> bool:
         """Continues a stream that an upstream broke off, at another one. Returns False if that is impossible:
         the client left, too little time or no attempt is left, the fleet's retry budget is used up, or the
-        request's body is no longer held."""
+        request's body is no longer buffered."""
         previous = self.current_exchange
         remaining_ms = (previous.deadline - self.front.clock.now()) // 10
         attempts = previous.rpc.attempts_arrived if previous.rpc is not None else previous.wants.max_attempts
--- a/shedgrade/dataplane/received_state.py
+++ b/shedgrade/dataplane/received_state.py
@@ -43,9 +43,9 @@
         counts: edges and core members according to the last fresh response; None until there is one.
         last_response_at: time of the last response of any member; None until there is one.
         control_applied: whether any control state was released. From then on none is withheld.
-        withheld: control state that was received before any was released, in order; a stale member's waits
-            here. Guards against an edge that starts and serves by the state of a member on the minority side
-            of a partition.
+        withheld: control state that was received and not released, in order. Before the first release, the
+            state of a stale member waits in this list. Guards against an edge that starts and serves by the
+            state of a member on the minority side of a partition.
         withheld_until: when withheld state is released at the latest; inf while nothing is withheld.
         updates: the updates to apply, in order. The owner removes them.
     """
@@ -109,7 +109,9 @@
             return None
         configuration = decompress_configuration(change)
         if configuration is None and change.version != self.configuration_version:
-            return None  # answers an older request: the omitted configuration is not the one received since
+            # The member omitted the configuration that this edge had when it sent the request, but the edge
+            # has received another version since.
+            return None
         if change.version == self.configuration_version:
             configuration = None
         return msgspec.structs.replace(change, configuration=configuration or None, compressed=False)
--- a/shedgrade/dataplane/streams.py
+++ b/shedgrade/dataplane/streams.py
@@ -13,7 +13,8 @@
 
 class ResumableStream:
     """The client of an exchange as the dispatcher sees it: forwards complete events to the client connection.
-    When an upstream breaks off, resumes the stream at another one, after the last forwarded event.
+    When an upstream breaks off, resumes the stream at another one, after the last forwarded event. A leg is
+    the part of a stream that one upstream serves.
 
     The answer keeps the head of its first upstream, including the seal. Since only complete events are
     forwarded, no part of one is sent twice and no event is assembled from two runs.
@@ -28,7 +29,8 @@
     """
 
     def __init__(self, connection, budget, resume) -> None:
-        """`resume(last_id)`: starts another leg; returns False if that is impossible."""
+        """`resume(last_id)`: starts a leg at another upstream, after the event `last_id`; returns False if
+        that is impossible."""
         self.connection, self.budget, self.resume = connection, budget, resume
         self.output: Flow | None = None
         self.source: Flow | None = None
@@ -60,7 +62,8 @@
         self.forward_received()
 
     def completed(self, answer: Answer | None) -> None:
-        """The response of this leg has ended; None if it broke off, and the rest is requested elsewhere."""
+        """The response of the current leg has ended. `answer`: None if the response broke off, in which case
+        the rest is requested from another upstream."""
         if self.output is None:
             self.connection.completed(answer)
         elif answer is not None:
@@ -72,11 +75,11 @@
                 self.truncate()
 
     def exhausted(self, wait: int) -> None:
-        """No upstream accepts this leg; `wait`: tenths of a ms after which a retry may succeed."""
+        """No upstream accepts the current leg; `wait`: tenths of a ms after which a retry may succeed."""
         self.connection.exhausted(wait) if self.output is None else self.truncate()
 
     def errored(self) -> None:
-        """This leg has failed and may have run."""
+        """The current leg has failed, and its upstream may have processed the request."""
         self.connection.errored() if self.output is None else self.truncate()
 
     # --- forwarding of events
@@ -126,7 +129,7 @@
             self.truncate()
 
     def detach(self) -> None:
-        """Stops reading this leg's response."""
+        """Stops reading the response of the current leg."""
         if self.source is not None:
             self.source.news = nothing
             self.source = None
--- a/shedgrade/engines/engine.py
+++ b/shedgrade/engines/engine.py
@@ -250,7 +250,7 @@
         job.own_tokens, job.pinned_parts, job.uncached_parts = 0, [], []
 
     def mark_started(self, job: Job) -> None:
-        """Reports that the request runs; only once, also if it was preempted since."""
+        """Reports that the request has started; not reported again when it resumes after a preemption."""
         if not job.started:
             job.started = True
             self.effects.append(Started(job.number))
