--- a/shedgrade/buffers/budget.py
+++ b/shedgrade/buffers/budget.py
@@ -2,7 +2,8 @@
 
 # Descriptors kept for other use: epoll, pipes, standard streams, discovery, and sockets that are closing.
 RESERVE = 64
-# A body exists in at most five copies (two rings, parser, request, answer); the program counts as a sixth.
+# A message body exists in at most five copies at once (two rings, parser, request, answer). One sixth of
+# the memory is left for the program itself.
 MEMORY_DIVISOR = 6
 
 
--- a/shedgrade/http/endpoint_discovery.py
+++ b/shedgrade/http/endpoint_discovery.py
@@ -17,8 +17,9 @@
 WATCH_WAIT_MS = 3_000
 FIRST_WATCH_WAIT_MS = 100  # the same for the first call after a failure: its response shows a working agent
 SILENCE_TIMEOUT_S = 1.0  # time beyond that wait, or since the last bytes, after which it counts as silent
-# The same for the first call where lists are requested and calls wait in a queue. With a shorter one all work
-# went into calls that had been given up: in a test with 60 sidecars, none was served.
+# Replaces SILENCE_TIMEOUT_S for the first call, also after a failure, of a service that queues calls and
+# sends lists on request only. With a shorter time-out the service worked only on calls that had been given
+# up: in a test with 60 sidecars, none was served.
 ON_REQUEST_TIMEOUT_S = 3.0
 COMPLETE_TIMEOUT_S = 4.0  # from the first byte of a response to its last, however slowly bytes come
 # Backoff between attempts. The agent is on this machine, and what it learns at the end of an outage counts at
@@ -68,7 +69,7 @@
         try:
             version, whole = message["generation"], message["reset"]
             if type(version) is not int or type(whole) is not bool:
-                raise ListError("generation or reset has the wrong type")
+                raise ListError("generation or reset of the discovery response has the wrong type")
             # A change contains what changed; an entry for a removed upstream may contain nothing else.
             # Guards against a list that stops at one change: an entry that drains or removes an unknown or
             # forgotten upstream changes nothing, but is incomplete, and would be rejected each time.
--- a/shedgrade/http/inbound_connection.py
+++ b/shedgrade/http/inbound_connection.py
@@ -22,7 +22,8 @@
 
 
 class InboundConnection(ResponseWriter):
-    """Handles one request at a time; later ones wait in the ring, or parsed in `parsed_requests`.
+    """Handles one request at a time. Later requests wait unparsed in the `incoming` ring, or parsed in
+    `parsed_requests`. A long request or response is one whose body is forwarded while it is received.
 
     Attributes:
         reading: a loop of `read` is running.
@@ -41,7 +42,7 @@
     def take_request(
         self, verb: bytes, target: bytes, headers: Headers, body: bytes, flow: Flow | None = None
     ) -> None:
-        """Handles a request: admits or answers it. `flow`: the body of a long one, which is still coming."""
+        """Handles a request: admits or answers it. `flow`: body of a long request, still arriving."""
         raise NotImplementedError
 
     def headers_by_name(self, headers: Headers) -> dict[bytes, bytes] | None:
@@ -244,9 +245,9 @@
             self.write(b"HTTP/1.1 100 Continue\r\n\r\n")
 
     def reject_partial_request(self) -> None:
-        """Drops a long request that turned out to be invalid.
+        """Drops an incomplete long request that turned out to be invalid.
 
-        Its last byte was not forwarded, so it never ran.
+        Its last byte was not forwarded, so no upstream processed it.
         """
         self.request_begun = False
         was_active = self.active_request is not None
--- a/shedgrade/http/response_writer.py
+++ b/shedgrade/http/response_writer.py
@@ -11,7 +11,7 @@
 
 
 class ResponseWriter(RequestParser):
-    """Writes responses.
+    """Writes responses. A long response is one whose body is forwarded while it is received.
 
     The dispatcher ends the current request by `completed`, `exhausted` or `errored`.
 
--- a/shedgrade/http/server_connection.py
+++ b/shedgrade/http/server_connection.py
@@ -29,7 +29,9 @@
     500: b"Internal Server Error",
 }
 MAX_BODY_BYTES = 8 * 1024 * 1024
-MAX_RAW_HEAD_BYTES = 4 * MAX_HEAD_BYTES  # all bytes of a head, with those that the parser has not reported
+# Limit for the received bytes of an incomplete head, including bytes that the parser buffers. MAX_HEAD_BYTES
+# limits the fields that the parser has reported.
+MAX_RAW_HEAD_BYTES = 4 * MAX_HEAD_BYTES
 IDLE_TIMEOUT_S = 30.0  # between two requests
 REQUEST_TIMEOUT_S = 10.0  # for the head, and then for each BODY_STEP_BYTES of the body
 BODY_STEP_BYTES = 64 * 1024
--- a/shedgrade/http/upstream_connection.py
+++ b/shedgrade/http/upstream_connection.py
@@ -67,7 +67,8 @@
 class UpstreamConnection(Connection):
     """A connection to an upstream, which carries one transmission at a time.
 
-    Times are tenths of a ms on the clock.
+    Times are tenths of a ms on the clock. A long request or response is one whose body is forwarded while it
+    is received.
 
     Attributes:
         transmission: the current transmission; None between two, and after it was given up.
@@ -374,7 +375,9 @@
         Raises ResponseError if the response can't be forwarded.
         """
         if self.status // 100 != 2 or self.transmission is None or self.request_flow is not None:
-            raise ResponseError("a long response can't be forwarded")
+            raise ResponseError(
+                "response is too long to buffer, and no 2xx response to a completely sent request"
+            )
         body = self.body
         self.body = []
         self.add_to_budget(-self.budgeted_bytes)
--- a/shedgrade/http/upstream_protocol.py
+++ b/shedgrade/http/upstream_protocol.py
@@ -1,4 +1,4 @@
-"""The differences between the protocols of upstreams, as an object for the connections that send to them."""
+"""What depends on the protocol of an upstream: header lines of requests, and the meaning of rejections."""
 
 from typing import Protocol
 
--- a/shedgrade/membership/gossip.py
+++ b/shedgrade/membership/gossip.py
@@ -75,7 +75,7 @@
         self.carry_out()
 
     def on_timer(self) -> None:
-        """Runs what is due in the view."""
+        """Runs the time-outs, shuffles and pings of the view that are due."""
         self.timer = None
         self.view.tick(self.loop.time())
         self.carry_out()
--- a/shedgrade/membership/view.py
+++ b/shedgrade/membership/view.py
@@ -41,11 +41,12 @@
 FAST_PERIOD_S = 0.4  # between shuffles while there are fewer than FEW_NEIGHBOURS
 FEW_NEIGHBOURS = 3
 FIRST_SHUFFLE_S = 0.2  # the first shuffle follows the start after a random delay up to this
-REJOIN_PING_PERIODS = 2  # between pings of a dropped node
-MAX_CONTACT_PING_PERIODS = 25  # longest interval between pings of contacts that no descriptor mentions
+REJOIN_PING_PERIODS = 2  # shuffle periods between two pings of a dropped node
+# Shuffle periods; the longest interval between pings of contacts that no descriptor mentions.
+MAX_CONTACT_PING_PERIODS = 25
 CONTACT_SILENCE_S = 120.0  # without a descriptor of a contact; it may be in a separated part of the system
-CONTACTS_PINGED = 3  # at once
-INDIRECT_PING_HELPERS = 2  # asked to ping a partner that doesn't answer
+CONTACTS_PINGED = 3  # contacts pinged at once
+INDIRECT_PING_HELPERS = 2  # members asked to ping a partner that doesn't answer
 MAX_RELAYED_PINGS = 64
 
 
@@ -190,8 +191,8 @@
     # --- calls by the program
 
     def add_contacts(self, nodes: Iterable[Node]) -> None:
-        """Adds contacts that were not learnt by gossip. One with a name becomes a neighbour if the view has
-        room; the others are only sent shuffles and pings. Raises ValueError if an address is invalid."""
+        """Adds contacts, which were not learnt by gossip and are sent shuffles and pings. A contact whose
+        name is known becomes a neighbour if the view has room. Raises ValueError if an address is invalid."""
         table = self.table
         for node in nodes:
             parse_address(node.address)
@@ -245,7 +246,7 @@
             self.ping_contacts(now)
 
     def postpone_timeouts(self, late_s: float) -> None:
-        """Extends all time-outs by `late_s`, in which this process was stopped and handled no answers."""
+        """Extends all time-outs by `late_s`, in which this process was suspended and handled no answers."""
         for pending in self.pending_shuffles.values():
             pending.deadline += late_s
         for entry in self.table.entries.values():
--- a/shedgrade/process_settings/validation.py
+++ b/shedgrade/process_settings/validation.py
@@ -79,7 +79,7 @@
             return validator(value)
         except InvalidValueError as error:
             self.findings.add(f"{self.path}{name}{error.path}", error.text)
-            return cast(T, None)  # never used, as in `required`
+            return cast(T, None)  # never used: the finding ends in a SettingsError
 
 
 def validate(document: Mapping[Any, object]) -> Settings:
