--- a/shedgrade/lab/scenario.py
+++ b/shedgrade/lab/scenario.py
@@ -1,7 +1,8 @@
-"""A scenario: fleet, sidecars, load, faults, length and seed, read from TOML and checked as a whole.
+"""Scenarios of the lab: fleet, sidecars, load, faults, length and seed, read from TOML and validated.
 
-Times end in `_s` (seconds) or `_ms` (milliseconds); work is in milliseconds on one core of speed 1. A range
-is a list of two figures. Whatever is wrong is told by `ScenarioError`: one line with the file and the key.
+Keys that end in `_s` are in seconds, keys that end in `_ms` in milliseconds. Work is in milliseconds on one
+core of speed 1. A range is a list of its lower and its upper bound. An invalid scenario raises
+`ScenarioError`, a one-line message with the file and the key.
 """
 
 import tomllib
@@ -19,20 +20,29 @@
 
 
 class ScenarioError(Exception):
-    """One line: file, key, what is wrong."""
+    """The scenario is invalid; one line with the file, the key and the reason."""
 
 
 class Part(Struct, forbid_unknown_fields=True, kw_only=True):
-    """A table in which an unknown key is an error."""
+    """A table of the scenario file; an unknown key in it is an error."""
 
 
 class Group(Part, kw_only=True):
-    """Upstreams alike: cores, speed, what may wait, and how they start, crowd and fall.
-
-    `cold_from` is the part of its capacity that one has right after its start, which grows evenly to the
-    whole within `cold_ms`. Sent more than `fall_multiple` times its present capacity over `overload_ms` while
-    cold, it falls over and stays down. Past `crowd_at` RPCs held a core each further one slows it by
-    `crowd_slow`.
+    """Identical upstreams: their cores, speed and queue, and how they behave when cold or overloaded.
+
+    speed: factor on the work that one core does in a millisecond
+    speed_spread: largest deviation of an upstream's speed from `speed`, as a share of it
+    queue: RPCs that may wait for a core
+    cold_from: share of its full capacity that an upstream has right after its start
+    cold_ms: time until capacity has grown linearly from `cold_from` to 1
+    fall_multiple, overload_ms: a cold upstream crashes and stays down when the work that it receives within
+        `overload_ms` exceeds `fall_multiple` times its capacity in that time
+    crowd_at, crowd_slow: with more than `crowd_at` RPCs held per core, work takes longer by the factor
+        1 + `crowd_slow` x the excess
+    connections: most open connections; an upstream closes further ones at once
+    handshake_ms: work that the first RPC of a connection adds
+    error_rate: share of RPCs that are answered with 500 after they have run
+    cancels: whether work stops when its connection closes
     """
 
     zone: str
@@ -56,8 +66,11 @@
 
 
 class Discovery(Part, kw_only=True):
-    """`notice_ms`: how late a change reaches a sidecar's agent, drawn anew for each sidecar and change.
-    `silent_until_s`: it is down from before the sidecars start until then.
+    """Stand-in discovery.
+
+    silent_until_s: discovery does not answer from before the sidecars start until this time
+    notice_ms: range of the delay until a change reaches a sidecar's agent, drawn anew for each sidecar and
+        change
     """
 
     silent_until_s: NotNegative = 0.0
@@ -66,6 +79,12 @@
 
 
 class Fleet(Part, kw_only=True):
+    """The upstreams and the network between zones.
+
+    processes: processes that the upstreams are divided among
+    same_ms, cross_ms: one-way latency of calls within a zone and between two zones
+    """
+
     zones: Annotated[list[str], Meta(min_length=1, max_length=40)] = field(default_factory=lambda: ["a"])
     groups: Annotated[list[Group], Meta(min_length=1)]
     processes: Annotated[int, Meta(ge=1, le=16)] = 1
@@ -75,12 +94,15 @@
 
 
 class SavedStart(Part, kw_only=True):
-    """Sidecars keep their list on disk, and start from a folder that is prepared here.
-
-    `age_s`: when discovery last confirmed it. `stale`: the share of its rows whose upstreams are gone; a
-    third of their addresses refuse, a third are silent, a third belong to others now. What took their place
-    is not in it. `cold`: upstreams in it were restarted just now. `trust`: graded as shipped, blind, or
-    off: no saved list.
+    """Sidecars keep their list on disk, and start from a saved list that the lab prepares.
+
+    age_s: time since discovery last confirmed the saved list
+    stale: share of its rows whose upstreams are gone; a third of their addresses refuse connections, a third
+        do not answer, and a third belong to other upstreams now. The replacements are not in the saved list.
+    cold: whether the upstreams in the list were restarted just before the run
+    trust: `graded` as the sidecar ships, `blind`, or `off` for no saved list
+    sync: when the sidecar syncs the list to disk
+    prepared: whether the lab writes the saved list before the sidecars start
     """
 
     age_s: NotNegative = 60.0
@@ -92,14 +114,19 @@
 
 
 class Sidecars(Part, kw_only=True):
-    """`quota`: the table `[quota]` of their features file, as it stands there. `tunnels`: listeners for them.
-    `capture`: what the decisions are told is kept, in memory or as files in the run's folder.
-
-    `known`: the list that the configuration brings: the first one, or none. `await_list`: the load begins
-    once every sidecar knows a list, not merely once it listens.
-
-    `policy` other than shedgrade is a baseline of the lab; `checkout` is another clone of this
-    repository."""
+    """The sidecars of the run.
+
+    zones: zone of each sidecar; assigned in rotation over the fleet's zones if empty
+    sockets: limit on the sidecar's sockets
+    policy: `shedgrade`, or a baseline policy of the lab
+    checkout: path of another clone of this repository whose code the sidecars run
+    pin: whether each sidecar gets a core of its own
+    known: which list the configuration contains: the first one, or none
+    await_list: the load starts once every sidecar has a list, and not merely once it listens
+    tunnels: whether the sidecars listen for SOCKS5 and CONNECT tunnels
+    quota: the table `[quota]` of the sidecars' features file, copied as it is
+    capture: whether the inputs of decisions are kept, in memory (`ring`) or as files in the run's folder
+    """
 
     count: Annotated[int, Meta(ge=1, le=200)] = 1
     zones: list[str] = field(default_factory=list)
@@ -118,6 +145,15 @@
 
 
 class Method(Part, kw_only=True):
+    """One method of the service.
+
+    repeats: whether a request that may have run may be sent again: always, where and as long as the service
+        deduplicates it, or never
+    group: upstreams that share the deduplication state
+    window_ms: how long a request is deduplicated
+    payoff, late_payoff: value of an answer until the soft deadline, and after it
+    """
+
     name: str
     repeats: Literal["retriable", "deduped", "non-retriable"] = "non-retriable"
     group: Literal["all", "zone", "cell"] = "all"
@@ -129,7 +165,7 @@
 
 
 class Settings(Part, kw_only=True):
-    """What the platform's settings say to the sidecars, beside the methods."""
+    """Settings that the platform gives to the sidecars, apart from the methods."""
 
     most_transmissions: Count = 3
     parallel_tries: bool = False
@@ -142,11 +178,13 @@
 
 
 class Shape(Part, kw_only=True):
-    """One component of the rate, in RPCs a second; the rate is the sum of all.
+    """One component of the rate, in RPCs per second; the rate is the sum of all components.
 
-    steady: `rate`. ramp: from `rate` to `to` between `from_s` and `until_s`, then `to`. step: `rate` between
-    them. burst: rises to `rate` at their middle and falls again, by a raised cosine. wave: `rate` x (1 +
-    `swing` x sin) of `period_s`.
+    steady: `rate`.
+    ramp: from `rate` to `to` between `from_s` and `until_s`, then `to`.
+    step: `rate` between `from_s` and `until_s`, else 0.
+    burst: a raised cosine that peaks at `rate` halfway between `from_s` and `until_s`.
+    wave: `rate` x (1 + `swing` x sin), with the period `period_s`.
     """
 
     kind: Literal["steady", "ramp", "step", "burst", "wave"]
@@ -159,6 +197,15 @@
 
 
 class Class(Part, kw_only=True):
+    """A class of RPCs in the load.
+
+    share: weight of the class among all classes
+    work_ms, dist, cv: mean, distribution and coefficient of variation of the work
+    tail_share, tail_times: share of RPCs whose work is multiplied by `tail_times`
+    body: size of request and response bodies, bytes
+    attrs: value of the header `X-Attrs`; not sent if empty
+    """
+
     method: str
     share: Positive = 1.0
     work_ms: Positive = 10.0
@@ -171,8 +218,12 @@
 
 
 class Trace(Part, kw_only=True):
-    """`retries`: recorded ones are sent as recorded (and count with their first try), or the callers' own
-    are."""
+    """A recorded trace that replaces the shapes of the load.
+
+    retries: `recorded` retries are sent as recorded and count with their first try; with `own`, the callers
+        follow their own retry rule
+    speed: factor by which the replay is faster than the recording
+    """
 
     file: str
     retries: Literal["recorded", "own"] = "own"
@@ -180,8 +231,17 @@
 
 
 class Load(Part, kw_only=True):
-    """`via`: clients reach their sidecar through inspected tunnels, to `lab.internal`, and keep them as they
-    keep connections. `late_ms`, `late_share`: how late the generator may be for how many RPCs.
+    """The load that the generators offer.
+
+    scale: factor on the rate of all shapes
+    origins: weight of each sidecar's clients; equal if empty
+    processes: generator processes that the load is divided among
+    via: clients reach their sidecar through inspected tunnels to `lab.internal`, and reuse a tunnel together
+        with the connection inside it
+    late_ms, late_share: the run is invalid if the generator sends more than `late_share` of RPCs more than
+        `late_ms` after their intended time
+    closed: workers of an additional closed loop; 0 for none
+    bad_clients: misbehaving clients per second
     """
 
     arrivals: Literal["poisson", "constant"] = "poisson"
@@ -199,7 +259,14 @@
 
 
 class Callers(Part, kw_only=True):
-    """How clients behave: `wait_ms` is a try's give-up time (0: the method's hard deadline)."""
+    """How clients behave.
+
+    wait_ms: time after which a client gives up a try; 0 for the method's hard deadline
+    retries: most tries after the first one
+    honours_retry_after: whether a retry waits at least as long as `Retry-After` of a refusal says
+    marks_retry: whether retries carry the header `X-Retried`
+    connections: most open connections to one sidecar from one generator process
+    """
 
     wait_ms: NotNegative = 0.0
     retries: Annotated[int, Meta(ge=0, le=20)] = 0
@@ -211,7 +278,7 @@
 
 
 class Fault(Part, kw_only=True):
-    """One entry of the time line. What each `kind` takes: docs/operate/lab.md."""
+    """One fault of the schedule; docs/operate/lab.md lists the keys that each `kind` uses."""
 
     kind: Literal[
         "kill",
@@ -254,12 +321,18 @@
 
 
 class Judging(Part, kw_only=True):
-    """`grace_ms`: what a loaded machine may add to each time limit; the platform's own is 50."""
+    """`grace_ms`: tolerance on each time limit for a loaded machine; the platform's own is 50 ms."""
 
     grace_ms: NotNegative = 50.0
 
 
 class Scenario(Part, kw_only=True):
+    """A complete scenario.
+
+    about: description for readers of the report
+    warmup_s: RPCs that are due earlier count in no latency or service figure
+    """
+
     name: str
     about: str = ""
     seed: int = 1
@@ -275,7 +348,7 @@
     judging: Judging = field(default_factory=Judging)
 
     def zone_of(self, sidecar: int) -> str:
-        """The zone of a sidecar by its number; without `sidecars.zones` they go round the zones."""
+        """The zone of a sidecar; without `sidecars.zones`, sidecars are assigned to zones in rotation."""
         zones = self.sidecars.zones or self.fleet.zones
         return zones[sidecar % len(zones)]
 
@@ -284,7 +357,7 @@
 
 
 def problems(scenario: Scenario):
-    """Yields (key, reason) of what types alone do not show."""
+    """Yields (key, reason) for each rule between keys that the scenario breaks; types are checked before."""
     zones, methods = scenario.fleet.zones, [method.name for method in scenario.methods]
     for names, key in ((zones, "fleet.zones"), (methods, "methods")):
         if len(set(names)) < len(names):
@@ -339,6 +412,10 @@
 
 
 def parse(text: bytes, name: str) -> Scenario:
+    """Parses and validates a TOML scenario; `name` stands for the file in errors.
+
+    Raises ScenarioError.
+    """
     try:
         tree = tomllib.loads(text.decode())
     except (tomllib.TOMLDecodeError, UnicodeDecodeError) as wrong:
@@ -347,6 +424,7 @@
 
 
 def convert(tree: dict, name: str) -> Scenario:
+    """Validates a parsed scenario; `name` stands for the file in errors. Raises ScenarioError."""
     try:
         scenario = msgspec.convert(tree, Scenario)
     except msgspec.ValidationError as wrong:
@@ -358,7 +436,11 @@
 
 
 def load(path: str | Path, sets: list[str] = ()) -> Scenario:
-    """Reads a scenario; `sets` are changes of the form key.path=value, the value in TOML or a plain word."""
+    """Reads and validates a scenario file; a relative trace path counts from the file's folder.
+
+    `sets` are overrides of the form key.path=value, with the value in TOML or as a bare string. Raises
+    ScenarioError.
+    """
     try:
         text = Path(path).read_bytes()
     except OSError as failure:
@@ -376,6 +458,7 @@
 
 
 def put(tree: dict, change: str, name: str) -> None:
+    """Applies one override of the form key.path=value to the tree. Raises ScenarioError."""
     path, equals, text = change.partition("=")
     if not equals:
         raise ScenarioError(f"{name}: {change}: not of the form key=value")
