--- a/shedgrade/lab/arrivals.py
+++ b/shedgrade/lab/arrivals.py
@@ -1,7 +1,7 @@
-"""Open-loop arrivals: when each RPC is meant to be sent, whatever becomes of those before it. No I/O.
+"""Open-loop arrivals: the scheduled time of each RPC, independent of earlier responses. No I/O.
 
-A schedule is drawn once from the scenario's seed and is the same in every process; each generator takes every
-n-th RPC of it. Times are seconds from the start of the run.
+A schedule is drawn once from the scenario's seed; with n generators, each takes every n-th RPC of it. Times
+are seconds from the start of the run.
 """
 
 from math import cos, exp, log, pi, sin, sqrt
@@ -13,7 +13,7 @@
 
 
 def rate_of(shape: Shape, at: float) -> float:
-    """RPCs a second that one component asks for at this moment."""
+    """The rate of one component at this time, RPCs per second."""
     if shape.kind == "steady":
         return shape.rate
     if shape.kind == "wave":
@@ -30,18 +30,18 @@
 
 
 def rate(load: Load, at: float) -> float:
-    """The sum of all components, times the scale."""
+    """The sum of all components at this time, times the scale, RPCs per second."""
     return load.scale * sum(rate_of(shape, at) for shape in load.shapes)
 
 
 def top_rate(load: Load) -> float:
-    """No moment asks for more."""
+    """An upper bound of the rate over the whole run, RPCs per second."""
     most = {"ramp": lambda s: max(s.rate, s.to), "wave": lambda s: s.rate * (1 + s.swing)}
     return load.scale * sum(most.get(shape.kind, lambda s: s.rate)(shape) for shape in load.shapes)
 
 
 def moments(load: Load, length: float, chance: Random):
-    """Yields the times of arrivals: Poisson by thinning, or constant by the integral of the rate."""
+    """Yields arrival times: a Poisson process by thinning, or constant ones by integration of the rate."""
     top = top_rate(load)
     if top <= 0:
         return
@@ -51,9 +51,9 @@
             if chance.random() * top < rate(load, at):
                 yield at
         return
-    # Constant: one whenever the integral passes a whole number. Steps of a millisecond at most, the place
-    # within
-    # a step by the mean rate there: exact for steady parts, within a microsecond for the others.
+    # Constant arrivals: one each time the integral of the rate passes n + 0.5. It is integrated in steps of a
+    # millisecond, and the time within a step follows from the mean rate there: exact for steady parts, within
+    # a microsecond for the others.
     step, sofar, due = 0.001, 0.0, 0.5
     while at < length:
         here = rate(load, at + step / 2) * step
@@ -66,7 +66,7 @@
 
 
 def draw_work(kind: Class, chance: Random) -> float:
-    """Work of one RPC in ms, of the class's mean; the tail comes on top."""
+    """Draws the work of one RPC in ms; `work_ms` is the mean before the factor of the tail."""
     if kind.dist == "constant" or not kind.cv:
         work = kind.work_ms
     elif kind.dist == "exponential":
@@ -83,7 +83,7 @@
 
 
 def schedule(scenario: Scenario) -> list[Arrival]:
-    """All arrivals of a run, in order. With a trace: the trace's instead of the shapes'."""
+    """All arrivals of a run in order of time, from the scenario's trace or, without one, from its shapes."""
     load = scenario.load
     if load.trace is not None:
         return trace.schedule(trace.read(load.trace.file), scenario)
@@ -110,5 +110,5 @@
 
 
 def stalled(times: list[float], start: float, length: float, over: float) -> int:
-    """How many of these arrivals must wait longer than `over` seconds if all stands still for `length`."""
+    """The number of arrivals that wait longer than `over` s if nothing is served for `length` s."""
     return sum(start <= at < start + length - over for at in times)
--- a/shedgrade/lab/callers.py
+++ b/shedgrade/lab/callers.py
@@ -1,4 +1,4 @@
-"""How callers behave after a try that did not serve, without I/O: whether to try again, and when."""
+"""The callers' retry rule: whether and when to send again after a try that was not served. No I/O."""
 
 from random import Random
 
@@ -16,7 +16,11 @@
 
 
 def may_repeat(method: Method, outcome: str, since_first: float) -> bool:
-    """A refusal or a sidecar that was not reached proves that nothing ran; else the method must allow it."""
+    """Whether an RPC may be sent again after this outcome, `since_first` s after its first try.
+
+    A refusal or an unreachable sidecar proves that nothing ran. After any other failure the method must allow
+    repeats.
+    """
     if outcome in (REFUSED, UNREACHABLE):
         return True
     if outcome in (SERVED, BAD):
@@ -35,7 +39,12 @@
     retry_after: float,
     chance: Random,
 ) -> float | None:
-    """Seconds until the next try, or None. `tries` were made so far; `retry_after` is what a refusal said."""
+    """Seconds until the next try, or None for no further try.
+
+    tries: tries so far
+    since_first: seconds since the first try
+    retry_after: seconds from the refusal's Retry-After header, 0 without one
+    """
     if tries > callers.retries or not may_repeat(method, outcome, since_first):
         return None
     wait = 0.0
--- a/shedgrade/lab/generator.py
+++ b/shedgrade/lab/generator.py
@@ -1,8 +1,8 @@
-"""The open-loop load generator: sends each RPC when the schedule means it, and counts latency from that
-moment.
+"""The open-loop load generator: sends each RPC at its scheduled time and measures latency from that time.
 
-It proves its schedule: `lateness` holds, for each first try, how long after its intended moment its last byte
-was written. Clients keep connections, give a try up after their own time, retry as the callers' rule says.
+The histogram `lateness` shows how well the schedule was kept: for each first try, the time from its scheduled
+moment until the generator began it. Clients reuse connections, give a try up after its own timeout, and retry
+by the callers' rule.
 """
 
 import asyncio
@@ -18,16 +18,21 @@
 from shedgrade.lab.arrival import Arrival
 from shedgrade.lab.scenario import Scenario
 
-TOP = 3_600_000_000  # microseconds that a histogram holds: an hour
+TOP = 3_600_000_000  # largest value that a histogram holds, in microseconds: one hour
 
 
 def histogram() -> HdrHistogram:
-    """Microseconds, three significant figures."""
+    """An empty histogram of microseconds with three significant figures."""
     return HdrHistogram(1, TOP, 3)
 
 
 class Rpc:
-    """One RPC with all its tries."""
+    """One RPC with all its tries.
+
+    done: whether the final outcome is recorded
+    pending: recorded retries that are not yet due
+    first_sent: when the first try was written, s; None before
+    """
 
     __slots__ = ("arrival", "tries", "done", "status", "end", "pending", "first_sent")
 
@@ -37,24 +42,33 @@
 
 
 class Try:
-    """One request as one client sends it."""
+    """One request as one client sends it.
+
+    n: number of tries of the RPC before this one
+    name: request ID
+    at, sent: when the try began and when its request was written, s; `sent` is None before
+    wait: time until the client gives up, s
+    resent: whether it was sent a second time because its connection had closed
+    over: whether its outcome is recorded
+    first: whether it is the first request on its connection
+    """
 
     __slots__ = ("rpc", "n", "name", "at", "sent", "wait", "link", "timer", "resent", "over", "first")
 
     def __init__(self, rpc: Rpc, n: int, name: str, at: float, wait: float) -> None:
         self.rpc, self.n, self.name, self.at, self.wait = rpc, n, name, at, wait
         self.sent, self.link, self.timer, self.resent, self.over = None, None, None, False, False
-        self.first = False  # the first request on its connection
+        self.first = False
 
 
 class ClientLink(asyncio.Protocol):
-    """One connection to a sidecar; one request at a time."""
+    """One connection to a sidecar; it carries one request at a time."""
 
     def __init__(self, origin: "Origin") -> None:
         self.origin, self.transport, self.one = origin, None, None
         self.parser = httptools.HttpResponseParser(self)
         self.used = self.lost = False
-        self.lingering: Try | None = None  # given up; its answer would be late
+        self.lingering: Try | None = None  # try that was given up; a response to it is recorded as late
         self.clear()
 
     def clear(self) -> None:
@@ -91,7 +105,7 @@
 
 
 class Origin:
-    """The clients beside one sidecar: its connections, idle and busy."""
+    """The clients of one sidecar, with their idle connections and the number of all connections."""
 
     def __init__(self, generator: "Generator", number: int, place: tuple[str, int]) -> None:
         self.generator, self.number, self.place = generator, number, place
@@ -130,7 +144,7 @@
         return await self.generator.loop.create_connection(lambda: ClientLink(self), *self.place)
 
     async def tunnel(self):
-        """Through a tunnel of its own, which is kept with the connection inside it."""
+        """Connects through a new tunnel, which stays open as long as the connection inside it."""
         from shedgrade.sidecar.tunnel import connect, socks
         from shedgrade.sidecar.tunnel.destinations import destination
         from shedgrade.sidecar.tunnel.dialler import Handshake
@@ -158,7 +172,7 @@
         attrs = kinds[arrival.kind].attrs if arrival.kind < len(kinds) else ""
         if attrs:
             marks += b"X-Attrs: %s\r\n" % attrs.encode()
-        # The method follows from whether it may be repeated, as the platform's clients do it.
+        # Retriable methods are sent as GET, all others as POST, as the platform's clients do.
         body = b"" if self.generator.verbs[arrival.method] == b"GET" else b"x" * arrival.body
         link.transport.write(
             b"%s /%s/%d HTTP/1.1\r\nHost: lab\r\nX-Request-ID: %s\r\nX-Timeout-Ms: %d\r\nX-Lab-Work: %.4f\r\n"
@@ -219,7 +233,7 @@
             link.lingering = None
         if one is None or one.over:
             return
-        # A kept connection that the sidecar closed as the request crossed it: once more, on a new one.
+        # The sidecar closed an idle connection while the request was in transit: resend it once on a new one.
         if link.used and not link.begun and not one.resent:
             one.resent = True
             self.generator.record(
@@ -232,7 +246,7 @@
 
 
 class Generator:
-    """Sends the schedule, or its part of it."""
+    """Sends the schedule, or the part of it that belongs to this process."""
 
     def __init__(
         self,
@@ -268,7 +282,7 @@
         self.step()
 
     def step(self) -> None:
-        """Sends all that is due; nothing that came back or did not has a say in when."""
+        """Sends all RPCs that are due, regardless of the outcome of earlier ones."""
         now = self.now()
         while self.next < len(self.arrivals) and self.arrivals[self.next].at <= now:
             arrival = self.arrivals[self.next]
@@ -287,7 +301,7 @@
             self.finished.set()
 
     def recorded(self, rpc: Rpc) -> None:
-        """A retry that the trace holds: sent as recorded, unless the RPC has been served since."""
+        """Sends a retry of the trace at its recorded time, unless the RPC has been served since."""
         rpc.pending -= 1
         if not rpc.done:
             self.attempt(rpc, self.now())
@@ -306,7 +320,7 @@
         rpc = one.rpc
         if one.n == 0 and rpc.first_sent is None:
             rpc.first_sent = one.sent
-            # What waits for the sidecar's machine to take the connection is not the generator's lateness.
+            # Time to connect does not count as lateness: the sidecar's host causes it, not the generator.
             late = max(0.0, one.at - rpc.arrival.at)
             self.lateness.record_value(max(1, round(late * 1e6)))
             self.late += late * 1000 > self.scenario.load.late_ms
@@ -317,7 +331,7 @@
         link = one.link
         if link is not None and link.one is one:
             link.one, link.lingering = None, one
-            # Read a while longer: was its answer late, or lost?
+            # Keep reading for the grace time, to tell a late response from a lost one.
             self.loop.call_later(self.scenario.judging.grace_ms / 1000, self.hang_up, link)
         self.over(one, callers.GAVE_UP)
 
@@ -335,7 +349,7 @@
         retry_after: float = 0.0,
         note: str = "",
     ) -> None:
-        """A try has ended, in whatever way."""
+        """Records the outcome of a try, then retries the RPC or ends it."""
         one.over = True
         one.timer.cancel()
         rpc, now = one.rpc, self.now()
@@ -407,9 +421,9 @@
 
 
 class Closed:
-    """A closed loop, for comparison only: each worker sends its next RPC when it has its answer.
+    """A closed loop, for comparison only: each worker sends its next RPC after the response to its last one.
 
-    What it reports hides stalls (coordinated omission): while all stands still it sends nothing.
+    Its latencies hide stalls (coordinated omission), because no worker sends anything during a stall.
     """
 
     def __init__(self, generator: Generator, workers: int) -> None:
