--- a/shedgrade/lab/listing.py
+++ b/shedgrade/lab/listing.py
@@ -1,5 +1,4 @@
-"""Stand-in discovery: an agent for each sidecar, with generations, watches, late notice, silence and
-resets."""
+"""Stand-in discovery: one agent for each sidecar, with generations, watches, delays, outages and resets."""
 
 import asyncio
 import json
@@ -11,7 +10,7 @@
 
 
 class Agent:
-    """What one sidecar's agent has been sent so far, and the watch that waits on it."""
+    """The agent of one sidecar: the list that it serves, and the connections that watch it."""
 
     def __init__(self, discovery: "Discovery", number: int) -> None:
         self.discovery, self.number = discovery, number
@@ -19,7 +18,7 @@
         self.waiting: set[AgentLink] = set()
         self.links: set[AgentLink] = set()
         self.servers: list = []
-        self.backlog: list[tuple[dict, float]] = []  # what came while discovery was silent
+        self.backlog: list[tuple[dict, float]] = []  # changes received while discovery was silent
 
     def sent(self, entry: dict) -> None:
         if self.discovery.silent:
@@ -46,12 +45,12 @@
                 link.reply()
 
     def reset(self) -> None:
-        """Counts anew: whoever asks for what is newer gets the whole list."""
+        """Restarts the generations, so that every watch receives the whole list."""
         self.generation, self.changes = 1, []
         self.wake()
 
     def answer(self, after: int | None) -> dict | None:
-        """The list, or what is newer; None: nothing newer yet."""
+        """The whole list, or its changes after this generation; None if there are no newer changes."""
         oldest = self.changes[0][0] - 1 if self.changes else self.generation
         if after is None or after > self.generation or after < min(oldest, self.generation):
             return {"generation": self.generation, "reset": True, "instances": list(self.entries.values())}
@@ -62,7 +61,7 @@
 
 
 class AgentLink(asyncio.Protocol):
-    """One connection from the sidecar to its agent."""
+    """One connection from a sidecar to its agent."""
 
     def __init__(self, agent: Agent, place: tuple[str, int]) -> None:
         self.place = place
@@ -129,7 +128,7 @@
 
 
 class Discovery:
-    """All agents. A change reaches each of them after a delay of its own."""
+    """All agents; each change reaches each agent after a delay of its own."""
 
     def __init__(
         self,
@@ -144,10 +143,11 @@
         self.chance = Random(f"{seed}/discovery")
         self.agents = [Agent(self, number) for number in range(agents)]
         self.silent, self.late = False, 0.0
-        self.last: dict[tuple[int, str], float] = {}  # changes of one upstream keep their order
+        # Time of the last change by agent and upstream: changes of one upstream keep their order.
+        self.last: dict[tuple[int, str], float] = {}
 
     async def listen(self, places: list[list[tuple[str, int]]]) -> None:
-        """Each agent listens at two addresses, so that a new configuration can name the other."""
+        """Opens two addresses for each agent, so that a new configuration can name the other one."""
         for agent, own in zip(self.agents, places, strict=True):
             for place in own:
                 agent.servers.append(
@@ -157,7 +157,10 @@
                 )
 
     async def move(self, number: int, old: int, place: tuple[str, int], fresh: tuple[str, int]) -> None:
-        """The old address takes no new connection, and closes the open ones after 1.5 s."""
+        """Moves an agent from its old address to its other one.
+
+        The old address takes no new connections from now on, and open ones are reset after 1.5 s.
+        """
         agent = self.agents[number]
         if not agent.servers[1 - old].is_serving():
             agent.servers[1 - old] = await self.loop.create_server(lambda: AgentLink(agent, fresh), *fresh)
@@ -166,12 +169,12 @@
         self.loop.call_later(1.5, lambda: [link.transport.abort() for link in leaving])
 
     def begin(self, entries: list[list[dict]]) -> None:
-        """The list as everyone has it at the start; one for each agent."""
+        """Sets the initial list of each agent."""
         for agent, own in zip(self.agents, entries, strict=True):
             agent.entries = {entry["instanceId"]: entry for entry in own}
 
     def change(self, entries: list[dict]) -> None:
-        """One upstream's change; one entry for each agent, as addresses differ by zone."""
+        """Announces one upstream's change, with an entry for each agent, as addresses differ by zone."""
         for agent, entry in zip(self.agents, entries, strict=True):
             delay = self.chance.uniform(*self.notice) + self.late
             key = agent.number, entry["instanceId"]
@@ -180,6 +183,7 @@
             self.loop.call_later(at - self.now(), agent.sent, entry)
 
     def gone(self, on: bool) -> None:
+        """Stops all responses if `on`; otherwise applies the changes held back and resumes them."""
         self.silent = on
         if not on:
             for agent in self.agents:
--- a/shedgrade/lab/misbehaving_clients.py
+++ b/shedgrade/lab/misbehaving_clients.py
@@ -1,13 +1,14 @@
-"""Clients that send what no sidecar can use. Each is owed an error or a close within 3 s of connecting."""
+"""Clients that send invalid requests, which a sidecar must answer with an error or a close within 3 s."""
 
 import asyncio
 from collections.abc import Callable
 from random import Random
 
-OWED = 3.0  # s: the platform's own figure
+OWED = 3.0  # s from connecting, the limit that the platform states
 
 
 def good(name: str, method: str, *headers: str, length: object = 0, target: str = "") -> bytes:
+    """A well-formed request, apart from the parts that the caller replaces."""
     lines = [
         f"POST {target or '/' + method} HTTP/1.1",
         "Host: lab",
@@ -39,7 +40,7 @@
 
 
 class Rude:
-    """So many bad clients a second, each of a kind drawn by seed; one record for each."""
+    """Runs misbehaving clients at a mean rate per second, each of a random kind, with one record for each."""
 
     def __init__(
         self,
--- a/shedgrade/lab/upstreams.py
+++ b/shedgrade/lab/upstreams.py
@@ -1,9 +1,8 @@
-"""Stand-in upstreams on loopback: the platform's HTTP, with the capacity model behind it. Decides nothing
-itself.
+"""Stand-in upstreams on loopback: the platform's HTTP interface in front of the capacity model.
 
-An upstream listens on one address for each zone that calls come from, so that links between zones can be
-cut and be given a latency. What it saw goes to `record`: one entry for each transmission, when its end is
-known.
+An upstream listens on one address for each zone that calls come from, so that links between zones can be cut
+and be given a latency. `record` receives one entry for each transmission, once its end is known. The
+upstreams make no decisions of their own.
 """
 
 import asyncio
@@ -22,26 +21,27 @@
 
 REASONS = {200: b"OK", 400: b"Bad Request", 404: b"Not Found", 500: b"Oops", 503: b"Busy"}
 LONGEST = 80 * 1024
-# How answers are spoilt (the request has run), and how good ones bring more than belongs to them.
+# Corrupt responses to requests that have run.
 SPOILT = ("noise", "endless", "short", "huge", "both", "cut")
+# Correct responses with excess data before or after them.
 EXTRA = ("twice", "behind", "ahead")
 
 
 def address(zone: int, slot: int, port: int) -> tuple[str, int]:
-    """Where the upstream in this slot listens for calls from this zone."""
+    """The address on which the upstream in this slot listens for calls from this zone."""
     return f"127.{20 + zone}.{slot // 250}.{1 + slot % 250}", port
 
 
 class Link(asyncio.Protocol):
-    """One connection from a sidecar; one request at a time."""
+    """One connection from a sidecar; it carries one request at a time."""
 
     def __init__(self, server: "Upstream", origin: int) -> None:
         self.server, self.origin = server, origin
         self.parser = httptools.HttpRequestParser(self)
         self.transport: asyncio.Transport | None = None
-        self.entry: dict | None = None  # the transmission in hand
+        self.entry: dict | None = None  # record of the transmission in progress
         self.first = True
-        self.dead = False  # silent from now on: cut off
+        self.dead = False  # cut off: nothing is read or written any more
         self.used = server.loop.time()
         self.clear()
 
@@ -103,7 +103,7 @@
             self.used = self.server.loop.time()
 
     def reset(self) -> None:
-        """Ends with a reset, as the kernel does for a process that died."""
+        """Closes the connection with a TCP reset, as the kernel does for a process that died."""
         raw = self.transport.get_extra_info("socket")
         if raw is not None and not self.transport.is_closing():
             with contextlib.suppress(OSError):
@@ -112,7 +112,7 @@
 
 
 class Upstream:
-    """One stand-in, from its start to its end; a restart is another object."""
+    """One stand-in upstream from its start to its end; a restart creates another object."""
 
     def __init__(
         self,
@@ -151,10 +151,10 @@
         self.cut_zones: set[int] = set()
         self.spoil, self.number = 0.0, 0
         self.timer, self.timer_at = None, inf
-        self.keys: dict[tuple, dict] = {}  # what is in work or waits, by the model's key
+        self.keys: dict[tuple, dict] = {}  # records of running and queued transmissions by the model's key
 
     def warm_from_now(self) -> None:
-        """The load begins: what started cold before it does so now, by the run's own clock."""
+        """Starts the cold phase at the start of the load for an upstream that was created before it."""
         if self.capacity.started < -1000:
             self.capacity.started = self.capacity.at = self.now()
 
@@ -203,7 +203,7 @@
             made.close()
 
     def sweep(self) -> None:
-        """Closes what stood idle for too long."""
+        """Closes connections that have been idle for too long."""
         if self.stopped:
             return
         late = self.loop.time() - self.group.idle_close_ms / 1000
@@ -266,7 +266,7 @@
         link.answer(503, b"", b"X-Not-Processed: 1")
 
     def told(self, link: Link, how: str) -> None:
-        """The transmission's end is known: it goes to the record."""
+        """Ends the transmission in progress on a connection and writes its record, with the outcome `how`."""
         entry, link.entry = link.entry, None
         self.keys.pop(entry.pop("key", None), None)
         entry.pop("link", None)
@@ -275,7 +275,7 @@
         self.record(entry)
 
     def left(self, link: Link) -> None:
-        """The connection ended under a transmission: given up by the sidecar, or cut by a fault here."""
+        """Ends a transmission whose connection closed: the sidecar gave it up, or a fault cut it."""
         key = link.entry.get("key")
         if key is not None and key in self.keys:
             now = self.now()
@@ -353,7 +353,7 @@
     # --- faults
 
     def fall(self) -> None:
-        """Pushed over while cold: it stays down, silent and refusing."""
+        """Stays down after the overload of a cold start, and records it."""
         if not self.stopped:
             self.record(
                 {"k": "fell", "up": self.name, "cold_since": self.capacity.started, **self.capacity.fell}
@@ -361,7 +361,7 @@
             self.kill()
 
     def kill(self) -> None:
-        """The process dies: connections are reset, new ones refused."""
+        """Acts as if the process died: open connections are reset, new ones refused."""
         self.finish(self.now())
         self.stopped = True
         for zone in list(self.listeners):
@@ -377,7 +377,7 @@
         self.arm()
 
     def hang(self, on: bool) -> None:
-        """Takes work, answers nothing, and does none; what is held goes on afterwards."""
+        """Accepts requests but stops all work and responses while on; resumes them afterwards."""
         now = self.now()
         self.finish(now)
         self.hanging = on
@@ -385,7 +385,7 @@
         self.arm()
 
     def refuse(self, on: bool) -> None:
-        """New connections are refused, and what comes on old ones is turned away."""
+        """Refuses new connections, and answers 503 to requests on open ones."""
         self.refusing = on
         if self.stopped:
             return
@@ -401,7 +401,7 @@
         self.arm()
 
     def reset(self) -> None:
-        """All connections are reset; the process lives, and what it was doing has run."""
+        """Resets all connections and cancels their work, which counts as run where it had begun."""
         for link in list(self.links):
             if link.entry is not None:
                 key = link.entry.get("key")
@@ -413,11 +413,15 @@
         self.arm()
 
     def drain(self) -> None:
-        """Finishes what it has; what comes now is turned away."""
+        """Completes the requests that it holds, and answers 503 to new ones."""
         self.draining = self.capacity.draining = True
 
     def cut(self, zones: set[int]) -> None:
-        """No word passes from these zones: what is open stays open and silent, what is new never comes up."""
+        """Cuts the network to these zones, and restores it to zones that were cut before.
+
+        Open connections stay open without traffic, and are reset once the zone is restored. New connections
+        are not answered.
+        """
         back, self.cut_zones = self.cut_zones - zones, zones
         for link in self.links:
             if link.origin in zones and not link.dead:
@@ -436,7 +440,7 @@
                 self.fill(zone, place)
 
     def fill(self, zone: int, place: socket.socket) -> None:
-        """A full queue of the kernel drops what comes: no answer, as from a machine that is gone."""
+        """Fills the accept queue, so that the kernel drops new connections as if the machine were gone."""
         place.listen(0)
         for _ in range(3):
             one = socket.socket()
