--- a/shedgrade/lab/decisions.py
+++ b/shedgrade/lab/decisions.py
@@ -1,4 +1,4 @@
-"""What a decision costs as the list grows: the module alone, in one process, no sockets."""
+"""CPU cost of load-balancing decisions by size of the upstream list, in one process without sockets."""
 
 import time
 from random import Random
@@ -7,6 +7,7 @@
 
 
 def settings(zones: int) -> dict:
+    """Minimal balancer settings with one method and this many zones."""
     return {
         "az": 0,
         "balancers": 4,
@@ -48,9 +49,10 @@
 
 
 def cost(upstreams: int, rpcs: int = 20_000, zones: int = 4, seed: int = 1) -> dict:
-    """CPU microseconds an RPC (take, decide, end, decide) and a list change of one upstream, at this many.
+    """CPU microseconds per RPC and per list change of one upstream, with this many upstreams.
 
-    RPCs overlap: a tenth as many as upstreams are out at any moment, four at least. Times taken are drawn.
+    An RPC is admitted, decided, ended and decided again. As many RPCs are open at any time as a tenth of the
+    upstreams, and at least four; a random one of them ends next.
     """
     chance = Random(seed)
     balancer = load_balancing.Balancer(settings(zones), seed, 0)
--- a/shedgrade/lab/prepared.py
+++ b/shedgrade/lab/prepared.py
@@ -1,5 +1,4 @@
-"""Saved folders for sidecars to start from: of a stated age, with a stated share of rows whose upstreams
-are gone."""
+"""Saved lists for sidecars to start from, of a given age and with a given share of upstreams gone."""
 
 import json
 from pathlib import Path
@@ -13,11 +12,11 @@
 from shedgrade.sidecar.endpoint_snapshot.store import Store
 from shedgrade.sidecar.endpoint_snapshot.wall_clock import WallClock
 
-NOWHERE = 240  # slots from which addresses lead nowhere, or to a silent stand-in
+NOWHERE = 240  # highest slot whose address refuses connections or belongs to a silent stand-in
 
 
 def entry(scenario: Scenario, name: str, group: int, slot: int, port: int, zone: int) -> dict:
-    """One upstream in discovery's form, at its address for calls from this zone."""
+    """One upstream as discovery lists it, with its address for calls from this zone."""
     host, port = address(zone, slot, port)
     model = scenario.fleet.groups[group]
     return {
@@ -33,10 +32,10 @@
 
 
 def rows(scenario: Scenario, first: list[Machine]) -> tuple[list[tuple[str, int, int]], list[dict]]:
-    """What the saved list names, as (id, group, slot), and the silent stand-ins that this needs.
+    """The upstreams of the saved list as (id, group, slot), and the silent stand-ins that the list needs.
 
-    Of each zone the stated share is gone, by seed: in its place stands a row that refuses, is silent, or
-    leads to another upstream.
+    The scenario's share of upstreams is gone; the seed decides which. Each is replaced by a row whose address
+    refuses connections, does not answer, or belongs to another upstream.
     """
     saved = scenario.sidecars.saved
     chance = Random(f"{scenario.seed}/saved")
@@ -51,13 +50,16 @@
         if kind == 1:
             silent.append({"name": name, "group": one.group, "slot": slot})
         elif kind == 2:
-            slot = one.slot  # where it was, another one lives now, which is not in the saved list
+            slot = one.slot  # the current upstream at this address is not in the saved list
         found.append((name, one.group, slot))
     return found, silent
 
 
 def config(scenario: Scenario, saved: SavedStart | None, folder: Path, listens: tuple[str, str]) -> str:
-    """The features file of one sidecar; "" if nothing is on. `listens`: SOCKS5 and CONNECT."""
+    """The features file of one sidecar; "" if it uses no features.
+
+    `listens` are the addresses of its SOCKS5 and CONNECT listeners.
+    """
     text = ""
     if saved is not None:
         text += f'[saved]\nfolder = "{folder}"\nsync = "{saved.sync}"\nstate_s = 1.0\n'
@@ -76,7 +78,7 @@
 
 
 def inline(name: str, table: dict) -> str:
-    """A table as TOML, on one line a key."""
+    """A TOML table with one key per line; nested tables are inline."""
 
     def spell(value: object) -> str:
         if isinstance(value, dict):
@@ -91,7 +93,7 @@
 def write(
     scenario: Scenario, number: int, named: list[tuple[str, int, int]], port: int, folder: Path
 ) -> None:
-    """The folder of one sidecar, as it would have been left `age_s` ago."""
+    """Writes the folder of one sidecar as if discovery had last confirmed its list `age_s` seconds ago."""
     saved, now = scenario.sidecars.saved, WallClock().now()
     back = round(saved.age_s * 1000)
     then = Moment(now.wall_ms - back, now.boot_id, now.since_boot_ms - back)
--- a/shedgrade/lab/processes.py
+++ b/shedgrade/lab/processes.py
@@ -1,4 +1,4 @@
-"""Processes of a lab run: their lines of JSON, their use of the machine, ports and descriptors for them."""
+"""Processes of a lab run: messages as JSON lines, resource usage, and free ports and descriptors for them."""
 
 import asyncio
 import contextlib
@@ -14,16 +14,19 @@
 from shedgrade.lab.worker import raise_limit
 
 CLOCK_TICKS_PER_SECOND = os.sysconf("SC_CLK_TCK")
-FIRST_PORT, LAST_PORT = 18_000, 32_000  # below those that the kernel gives out
+FIRST_PORT, LAST_PORT = 18_000, 32_000  # below the kernel's ephemeral ports
 PORT_ATTEMPTS = 200
 
 
 class LabError(Exception):
-    """The run cannot be made, or was none: one line."""
+    """The run cannot be made or has failed; the message is one line."""
 
 
 def free_port(chance: random.Random) -> int:
-    """A port that nobody has on any address, below those that the kernel gives out."""
+    """A random port that is free on all addresses and lies below the kernel's ephemeral ports.
+
+    Raises LabError if none is found.
+    """
     for _ in range(PORT_ATTEMPTS):
         port = chance.randrange(FIRST_PORT, LAST_PORT)
         with socket.socket() as probe:
@@ -36,11 +39,14 @@
 
 
 def need_descriptors(scenario: Scenario, machines: int) -> None:
-    """Guards against a half result: the lab must not run out before the sidecar does."""
+    """Raises LabError if the lab might run out of descriptors, which would falsify the results.
+
+    `machines` counts all upstreams of the run.
+    """
     have = raise_limit()
     sidecars, zones = scenario.sidecars, len(scenario.fleet.zones)
     fleet = machines * zones + sidecars.count * sidecars.sockets // scenario.fleet.processes + 100
-    # What the sidecars can hold open is the most that clients can; a stall adds what arrives meanwhile.
+    # Clients hold at most as many connections as the sidecars can; during a stall, arrivals add to them.
     longest = max(method.hard_ms for method in scenario.methods) / 1000
     crowd = min(
         scenario.callers.connections * sidecars.count,
@@ -55,7 +61,13 @@
 
 
 def stat_of(pid: int) -> dict | None:
-    """CPU seconds, resident and peak memory (KiB), open descriptors, seconds without a core."""
+    """Resource usage of a process from /proc; None if it is gone.
+
+    cpu: CPU time, s
+    rss, peak: resident memory and its peak, KiB
+    delay: time runnable without a core, s
+    fds: open descriptors
+    """
     try:
         fields = Path(f"/proc/{pid}/stat").read_text().rpartition(")")[2].split()
         status = dict(line.split(":", 1) for line in Path(f"/proc/{pid}/status").read_text().splitlines())
@@ -72,7 +84,7 @@
 
 
 class Process:
-    """One process of the run: lines of JSON in and out."""
+    """One process of the run, with messages to and from it as JSON lines."""
 
     def __init__(self, name: str, process: asyncio.subprocess.Process) -> None:
         self.name, self.process = name, process
@@ -90,6 +102,10 @@
             self.process.stdin.write(orjson.dumps(what, option=orjson.OPT_APPEND_NEWLINE))
 
     async def expect(self, what: str, limit: float) -> dict:
+        """Waits for a message of this kind and drops all others.
+
+        Raises LabError if the process ends or `limit` seconds pass.
+        """
         try:
             async with asyncio.timeout(limit):
                 while True:
--- a/shedgrade/lab/runner.py
+++ b/shedgrade/lab/runner.py
@@ -1,6 +1,7 @@
-"""Runs one scenario: starts fleet, sidecars and generators as processes, carries out the time line, judges.
+"""Runs one scenario: starts fleet, sidecars and generators as processes, injects the faults, and judges.
 
-Everything is on loopback. What is started here is ended here, by its process id, whatever happens.
+All traffic is on loopback. The runner ends every process that it started, by its process ID, however the run
+ends.
 """
 
 import asyncio
@@ -23,18 +24,18 @@
 from shedgrade.lab.sidecar_config import sidecar_config
 from shedgrade.lab.worker import tied
 
-READY = 30.0  # s until all processes are up: compiling and importing on a loaded machine included
-AFTER = 3.0  # s beyond the longest deadline and retry chain until what is still out is given up
-SAMPLE = 0.25  # s between two looks at the sidecars' memory, CPU and descriptors
+READY = 30.0  # s until all processes are up; includes compiling and importing on a loaded machine
+AFTER = 3.0  # s beyond the longest deadline and retry chain after which open RPCs are abandoned
+SAMPLE = 0.25  # s between two samples of the sidecars' memory, CPU and descriptors
 
 
 class Run:
-    """One run of one scenario into one folder."""
+    """One run of a scenario, with its results in one folder."""
 
     def __init__(
         self, scenario: Scenario, folder: Path, progress: Callable[[str], None] = lambda line: None
     ) -> None:
-        # Resolved: a sidecar of another checkout has another working directory.
+        # Absolute, because a sidecar of another checkout has another working directory.
         self.scenario, self.folder, self.progress = scenario, folder.resolve(), progress
         self.fleet: list[Process] = []
         self.generators: list[Process] = []
@@ -54,7 +55,11 @@
     # --- processes
 
     def share_cores(self) -> tuple[list[list[int]], list[int]]:
-        """One core for each sidecar if there are enough, the rest for the lab; all for all otherwise."""
+        """Core lists for each sidecar and for the lab.
+
+        With `pin` and at least two cores more than sidecars, each sidecar has a core of its own and the lab
+        the others; otherwise all share all cores.
+        """
         count = self.scenario.sidecars.count
         if not self.scenario.sidecars.pin or len(self.cores) < count + 2:
             return [self.cores] * count, self.cores
@@ -114,7 +119,10 @@
         self.event(k="sidecar", sidecar=number, what="start", pid=process.pid)
 
     async def up(self, number: int) -> None:
-        """Until `GET /up` there answers 200."""
+        """Waits until the sidecar answers 200 to `GET /up`, or anything at all without `await_list`.
+
+        Raises LabError if the sidecar exits or is not up in time.
+        """
         until = time.monotonic() + READY
         while time.monotonic() < until:
             process = self.sidecars[number].process
@@ -321,7 +329,7 @@
                 told = asyncio.create_task(one.expect("sent", max(1.0, limit - self.now())))
                 await asyncio.wait((told, line), return_when=asyncio.FIRST_COMPLETED)
                 if line.done():
-                    line.result()  # a fault of the time line ends the run
+                    line.result()  # an error in the fault schedule ends the run
                 await told
         finally:
             for task in (*tasks, line):
@@ -329,7 +337,7 @@
             await asyncio.gather(*tasks, line, return_exceptions=True)
 
     async def end(self) -> None:
-        """In order: sidecars drain, generators and fleet save. Each by its own id."""
+        """Ends the run in order: sidecars drain, then generators and fleet save their records."""
         for number, one in enumerate(self.sidecars):
             if one is not None and one.process.returncode is None:
                 self.event(k="sidecar", sidecar=number, what="end")
@@ -348,7 +356,7 @@
             with contextlib.suppress(TimeoutError):
                 async with asyncio.timeout(longest + 2):
                     await one.process.wait()
-            # One that was told to leave while it was still starting has not crashed.
+            # A sidecar that was told to exit while it was still starting has not crashed.
             if one.process.returncode not in (None, 0, -signal.SIGTERM):
                 self.event(k="sidecar", sidecar=number, what="crash", code=one.process.returncode)
 
@@ -362,7 +370,7 @@
             log.close()
 
     async def __call__(self) -> dict:
-        """Makes the run; returns its summary. LabError if there was none."""
+        """Carries out the run; returns its summary. Raises LabError if the run fails."""
         self.folder.mkdir(parents=True, exist_ok=True)
         (self.folder / "scenario.json").write_bytes(msgspec.json.encode(self.scenario))
         results.put_state(self.folder, "running")
@@ -383,7 +391,7 @@
 
 
 def run(scenario: Scenario, folder: Path, progress: Callable[[str], None] = lambda line: None) -> dict:
-    """Runs a scenario; SIGINT and SIGTERM cut it off in order, and the folder says so."""
+    """Runs a scenario; SIGINT and SIGTERM end it in order, and the folder's state is then `cut off`."""
 
     async def guarded() -> dict:
         task = asyncio.create_task(Run(scenario, folder, progress)())
--- a/shedgrade/lab/sidecar.py
+++ b/shedgrade/lab/sidecar.py
@@ -1,5 +1,7 @@
-"""A sidecar with a baseline in the module's place: `python -m shedgrade.lab.sidecar POLICY`, else as
-`serve`."""
+"""A sidecar that balances by a baseline policy of the lab: `python -m shedgrade.lab.sidecar POLICY`.
+
+Apart from the policy it works as `shedgrade serve` does.
+"""
 
 import asyncio
 import sys
--- a/shedgrade/lab/sidecar_config.py
+++ b/shedgrade/lab/sidecar_config.py
@@ -1,4 +1,4 @@
-"""The configuration file of a sidecar in a lab run, made from the scenario."""
+"""The configuration file of one sidecar in a lab run, built from the scenario."""
 
 import random
 
@@ -10,13 +10,13 @@
 def sidecar_config(
     scenario: Scenario, number: int, port: int, listen: tuple, agents: list, machines: list[faults.Machine]
 ) -> dict:
-    """What the platform would tell this sidecar, the last known list included."""
+    """The configuration that the platform would give this sidecar, with the initial list if it is known."""
     zones = scenario.fleet.zones
     zone = zones.index(scenario.zone_of(number))
     said = scenario.settings
     kinds = list(dict.fromkeys(group.kind for group in scenario.fleet.groups))
     repeats = {"retriable": "repeatable", "deduped": "by_key", "non-retriable": "once"}
-    # What is stated of cold upstreams is the least that holds for any of them.
+    # The rules for cold upstreams state the weakest values of any group, as they must hold for all of them.
     cold_from = min(group.cold_from for group in scenario.fleet.groups)
     cold = max(group.cold_ms for group in scenario.fleet.groups)
     known = None
--- a/shedgrade/lab/worker.py
+++ b/shedgrade/lab/worker.py
@@ -1,8 +1,9 @@
-"""A process of the lab: part of the fleet, or a generator. Started by the runner, told by lines of JSON.
+"""A worker process of a lab run: part of the fleet, or a generator.
 
-First line in: what it is. Then `go` with the moment that counts as 0, later steps. Lines out: `ready`,
-`done`. Records go to a file of its own, several times a second, so that a run that is killed leaves what it
-had.
+The runner sends it JSON lines: the task first, then `go` with the time that counts as 0, then steps of the
+fault schedule, and `end`. The worker answers `ready` and `done`; a generator also says `sent` once all its
+RPCs are over. Records are written to a file of the worker's own several times per second, so that a run that
+is killed keeps what it has recorded.
 """
 
 import asyncio
@@ -23,12 +24,12 @@
 from shedgrade.lab.arrival import Arrival
 from shedgrade.lab.scenario import Scenario
 
-PARENT_GONE = 1  # prctl(2): PR_SET_PDEATHSIG
-FLUSH = 0.2  # s between two writes of records
+PARENT_GONE = 1  # PR_SET_PDEATHSIG of prctl(2)
+FLUSH = 0.2  # interval between two writes of records, s
 
 
 class Clock:
-    """Seconds from the start of the load; long before it until that is known."""
+    """Seconds since the start of the load; far below 0 until that start is known."""
 
     def __init__(self) -> None:
         self.zero = time.monotonic() + 10_000
@@ -38,7 +39,7 @@
 
 
 class Records:
-    """Gathers entries and writes them as JSON Lines."""
+    """Collects records and writes them to a file as JSON Lines."""
 
     def __init__(self, path: str) -> None:
         self.file, self.entries = open(path, "ab", buffering=0), []  # noqa: SIM115
@@ -55,7 +56,7 @@
 
 
 def raise_limit() -> int:
-    """As many descriptors as this user may have; returns how many."""
+    """Raises the soft limit on open descriptors to the hard limit; returns the limit in effect."""
     soft, hard = resource.getrlimit(resource.RLIMIT_NOFILE)
     if soft < hard:
         with contextlib.suppress(OSError, ValueError):
@@ -64,9 +65,10 @@
 
 
 def tied(cores: list[int] | None, number: int) -> Callable[[], None]:
-    """For a new process, before it begins: its cores, and the signal it gets when whoever started it is gone.
+    """Returns a `preexec_fn` that pins the new process to cores and sets the signal for its parent's death.
 
-    Guards against processes left over: a runner that is killed can end nothing any more. Linux only.
+    The signal prevents leftover processes, since a runner that was killed cannot stop what it started. Linux
+    only.
     """
     libc = ctypes.CDLL(None)
 
@@ -79,7 +81,7 @@
 
 
 def run_delay() -> float:
-    """Seconds that this process was ready to run and had no core; 0 where the kernel does not tell."""
+    """Seconds for which this process was runnable but had no core; 0 where the kernel does not report it."""
     try:
         return int(Path("/proc/self/schedstat").read_text().split()[1]) / 1e9
     except (OSError, IndexError, ValueError):
@@ -87,12 +89,13 @@
 
 
 def say(**what) -> None:
+    """Sends one message to the runner, as a line of JSON on stdout."""
     sys.stdout.buffer.write(orjson.dumps(what, option=orjson.OPT_APPEND_NEWLINE))
     sys.stdout.buffer.flush()
 
 
 class Worker:
-    """Reads commands, flushes records; its role does the work."""
+    """Reads commands from the runner and writes records; a subclass for each role does the work."""
 
     def __init__(self, task: dict, loop: asyncio.AbstractEventLoop) -> None:
         self.task, self.loop, self.clock = task, loop, Clock()
@@ -123,15 +126,16 @@
         self.record.flush()
 
     def go(self) -> None:
-        """The load begins at 0."""
+        """Called when the runner has announced the start of the load."""
 
     async def step(self, command: dict) -> None:
-        """A step of the time line."""
+        """Carries out one step of the fault schedule."""
 
     async def start(self) -> None:
-        """Whatever must stand before `ready`."""
+        """Sets up everything that must exist before the worker reports `ready`."""
 
     async def finish(self) -> dict:
+        """Ends the work; returns the figures for the `done` message."""
         return {}
 
     async def run(self) -> None:
@@ -150,7 +154,7 @@
 
 
 class FleetWorker(Worker):
-    """Some of the upstreams, and in the first one discovery."""
+    """Some of the upstreams; the first fleet worker also runs discovery."""
 
     async def start(self) -> None:
         from shedgrade.lab.listing import Discovery
@@ -295,7 +299,7 @@
 
 
 class GeneratorWorker(Worker):
-    """Its part of the schedule."""
+    """Sends this worker's part of the load."""
 
     async def start(self) -> None:
         from shedgrade.lab.generator import Closed, Generator
@@ -343,7 +347,7 @@
             await asyncio.sleep(0.05)
         await self.generator.finished.wait()
         await asyncio.gather(*self.others)
-        await asyncio.sleep(0.1)  # what comes too late for its client is still noted
+        await asyncio.sleep(0.1)  # late responses are still recorded
         say(what="sent", **self.generator.counts)
 
     def save(self) -> None:
@@ -376,7 +380,8 @@
         while True:
             await asyncio.sleep(FLUSH)
             self.record.flush()
-            if int(self.clock() / FLUSH) % 10 == 0:  # histograms every two seconds: they cost more
+            # Saving histograms costs more than flushing records, so it happens every two seconds.
+            if int(self.clock() / FLUSH) % 10 == 0:
                 self.save()
 
     async def finish(self) -> dict:
