--- a/tests/lab/rogue.py
+++ b/tests/lab/rogue.py
@@ -1,4 +1,4 @@
-"""A sidecar that breaks the rules on purpose, each in its turn: what the judge must catch on sockets."""
+"""A sidecar that breaks one rule after the other, so that the judge can be tested on real sockets."""
 
 import asyncio
 import itertools
--- a/tests/lab/test_capacity.py
+++ b/tests/lab/test_capacity.py
@@ -1,4 +1,4 @@
-"""The fleet's model without I/O: against its stated curves, and against a plain slow model."""
+"""The capacity model without I/O: against its stated curves, and against a simulation in small steps."""
 
 from math import inf, isclose
 
@@ -17,7 +17,7 @@
 
 
 def test_a_cold_one_does_just_what_its_curve_allows():
-    # Kept busy, two cores end the integral of warmth: 2 x 1000 x (0.2 x 4 + 0.8 x 16 / 20) ms in 4 s.
+    # Kept busy, two cores do the integral of warmth: 2 x 1000 x (0.2 x 4 + 0.8 x 16 / 20) ms of work in 4 s.
     up = Capacity(2, 1.0, 10_000, 0.0, cold_from=0.2, cold=10.0, fall_multiple=inf)
     for number in range(5000):
         assert up.take(0.0, number, 1.0) == TAKEN
@@ -39,7 +39,7 @@
         up = Capacity(1, 1.0, 10_000, 0.0, cold_from=0.1, cold=20.0, fall_multiple=3.0, overload=2.0)
         return up, [up.take(0.01 * step, step, work, "n0") for step in range(100)]
 
-    # In the second up to then it may be offered 3 x 1000 x the warm seconds of the window, about 650 ms.
+    # After a second, the limit is 3 x 1000 x the warm seconds of the window, about 650 ms.
     up, verdicts = push(6.0)
     assert DOWN not in verdicts and up.fell is None
     up, verdicts = push(8.0)
@@ -54,7 +54,8 @@
     assert up.next_end() == pytest.approx(0.010)
     for key in range(1, 4):
         up.take(0.0, key, 10.0)
-    assert up.next_end() == pytest.approx(0.020)  # four held by one core: two over, half the pace
+    # One core holds four RPCs, two more than `crowd_at`, which halves the pace.
+    assert up.next_end() == pytest.approx(0.020)
     up.speed_now(0.005, 0.0)
     assert up.next_end() == inf and up.ends(9.0) == []
     up.speed_now(9.0, 1.0)
@@ -62,7 +63,7 @@
 
 
 class Plain:
-    """The same by steps of a tenth of a millisecond."""
+    """The same model, simulated in steps of a tenth of a millisecond."""
 
     def __init__(self, cores, queue, cold_from, cold):
         self.cores, self.cap, self.cold_from, self.cold = cores, queue, cold_from, cold
@@ -111,11 +112,11 @@
         ended += up.ends(at / 1e4)
         busy = len(up.running), len(up.waiting)
         if busy != (len(plain.running), len(plain.queue)):
-            return  # an end within one step of the plain model: from here on the two may differ
+            return  # an RPC ended within one step of the simulation: from here on the two may differ
         assert up.take(at / 1e4, key, work) == plain.take(key, work)
     plain.to(at + 100_000)
     ended += up.ends(at / 1e4 + 10)
     assert {key for _, key in ended} == {key for _, key in plain.ended}
     slow = {key: when / 1e4 for when, key in plain.ended}
-    # Each job rounds up to a step there; a chain of them adds up.
+    # The simulation rounds each RPC up to a step, and the errors of consecutive RPCs add up.
     assert all(abs(slow[key] - when) < 2e-4 * (len(jobs) + 1) for when, key in ended)
--- a/tests/lab/test_faults.py
+++ b/tests/lab/test_faults.py
@@ -1,4 +1,4 @@
-"""The time line and the scenarios, without I/O: what each fault comes to, and what is refused."""
+"""The fault schedule and scenario validation, without I/O: the steps of each fault, and what is rejected."""
 
 from collections import Counter
 from pathlib import Path
@@ -132,17 +132,17 @@
 
 GOOD = (SCENARIOS / "demo.toml").read_text()
 BAD = {
-    "no TOML": ("name", "= =", "not TOML"),
+    "not TOML": ("name", "= =", "not TOML"),
     "unknown key": ("seed = 1", "sede = 1", "sede"),
     "wrong type": ("seed = 1", 'seed = "one"', "seed"),
-    "no method": ('method = "claim"', 'method = "x"', "classes[0]"),
+    "unknown method": ('method = "claim"', 'method = "x"', "classes[0]"),
     "soft over hard": ("soft_ms = 300.0", "soft_ms = 900.0", "methods[0].soft_ms"),
     "negative": ("rate = 230.0", "rate = -1.0", "shapes[0].rate"),
-    "no zone": ('zone = "north"', 'zone = "n"', "groups[0]"),
-    "too late": ("at_s = 8.0", "at_s = 31.0", "faults[0].at_s"),
-    "no fault": ('"deploy"', '"melt"', "faults[0].kind"),
-    "warm-up": ("warmup_s = 2.0", "warmup_s = 30.0", "warmup_s"),
-    "shape": ('"wave"', '"cliff"', "shapes[0].kind"),
+    "unknown zone": ('zone = "north"', 'zone = "n"', "groups[0]"),
+    "fault after the end": ("at_s = 8.0", "at_s = 31.0", "faults[0].at_s"),
+    "unknown fault": ('"deploy"', '"melt"', "faults[0].kind"),
+    "warm-up over the length": ("warmup_s = 2.0", "warmup_s = 30.0", "warmup_s"),
+    "unknown shape": ('"wave"', '"cliff"', "shapes[0].kind"),
 }
 
 
--- a/tests/lab/test_judge.py
+++ b/tests/lab/test_judge.py
@@ -1,4 +1,4 @@
-"""The judge on planted breaches, one by one, and on what only looks like one."""
+"""The judge on records of single breaches, and on harmless records that resemble breaches."""
 
 import pytest
 
@@ -86,9 +86,9 @@
         "after the final",
         [client("failed", got="", end=1.2), tx("away", ran=False), tx(begun=1.4, end=1.5)],
     ),
-    "made up": (1, "no upstream made", [client(got="all is well"), tx()]),
-    "of another": (1, "no upstream made", [client(got="n0.0.2.0 u1 3"), tx()]),
-    "of a spoilt one": (1, "no upstream made", [client(), tx("spoilt")]),
+    "made-up answer": (1, "no upstream made", [client(got="all is well"), tx()]),
+    "answer to another request": (1, "no upstream made", [client(got="n0.0.2.0 u1 3"), tx()]),
+    "answer from a corrupt response": (1, "no upstream made", [client(), tx("spoilt")]),
     "second answer": (
         1,
         "second answer",
@@ -100,19 +100,19 @@
         "bad client",
         [{"k": "bad", "id": "bad1", "kind": "noise", "how": "200", "at": 1.0}],
     ),
-    "smuggled": (
+    "bad request passed on": (
         2,
         "passed on",
         [{"k": "bad", "id": "bad1", "kind": "both", "how": "400", "at": 1.0}, tx(name="bad1")],
     ),
     "repeated": (2, "sent again", [client(got="n0.0.1.0 u2 3"), *RESENT]),
     "refused": (2, "refused although", [client("refused", got=""), tx("left")]),
-    "two at once": (
+    "two transmissions at once": (
         2,
         "at once",
         [client(method="safe", got="n0.0.1.0 u2 3"), tx("left", end=1.19), tx(begun=1.05, end=1.18, up="u2")],
     ),
-    "deduped elsewhere": (
+    "deduped in another zone": (
         2,
         "deduped",
         [client(method="keyed"), tx("reset", end=1.05), tx(begun=1.1, zone=1)],
@@ -122,7 +122,7 @@
         "deduped",
         [client(method="keyed", end=1.45), tx("reset", end=1.05), tx(begun=1.4)],
     ),
-    "twice by a refusal": (
+    "took effect twice after a refusal": (
         2,
         "took effect twice",
         [
@@ -133,12 +133,12 @@
         ],
     ),
     "drain": (3, "drains", [told(at=0.4), *GOOD]),
-    "gone from a whole list": (
+    "missing from a full list": (
         3,
         "drains",
         [told(lifecycle="in_service", at=0.1), {"k": "whole", "sidecar": 0, "at": 0.2, "ups": ["u2"]}, *GOOD],
     ),
-    "pushed over": (4, "pushed over", [told("u9", 4.5, "in_service"), fell(n0=80.0, n1=10.0)]),
+    "cold upstream overloaded": (4, "pushed over", [told("u9", 4.5, "in_service"), fell(n0=80.0, n1=10.0)]),
 }
 
 
@@ -147,7 +147,7 @@
     rule, what, records = PLANTED[name]
     found = judge(scenario(), records)
     assert any(one.rule == rule and what in one.what and one.evidence for one in found), found
-    assert all(one.rule == rule or name == "twice by a refusal" for one in found), found
+    assert all(one.rule == rule or name == "took effect twice after a refusal" for one in found), found
 
 
 HARMLESS = {
@@ -161,9 +161,14 @@
     "deduped in its zone and window": [client(method="keyed", got="n0.0.1.0 u2 3"), *RESENT],
     "refused, nothing ran": [client("refused", got=""), tx("away", ran=False)],
     "failed after it ran": [client("failed", got=""), tx("error")],
-    "killed while it was held": [client("lost", got=""), tx("left"), event("kill", 1.1), event("start", 1.6)],
-    "stood still": [client("gave_up", got="", end=1.5), event("stop", 1.1), event("continue", 3.0)],
-    "sent as it woke, its client gone": [
+    "sidecar was killed while it held the request": [
+        client("lost", got=""),
+        tx("left"),
+        event("kill", 1.1),
+        event("start", 1.6),
+    ],
+    "sidecar was stopped": [client("gave_up", got="", end=1.5), event("stop", 1.1), event("continue", 3.0)],
+    "sent on resuming, after its client left": [
         client("gave_up", got="", end=1.5),
         tx(begun=3.01, end=3.1),
         event("stop", 1.1),
@@ -177,10 +182,10 @@
     "first on a connection that was closed": [client("lost", got="", first=True)],
     "never written": [{**client("unreachable", got=""), "sent": None}],
     "within the drain's grace": [told(at=0.6), *GOOD],
-    "told to the other sidecar": [told(at=0.1, sidecar=1), *GOOD],
+    "drain told to the other sidecar": [told(at=0.1, sidecar=1), *GOOD],
     "in service again": [told(at=0.1), told(at=0.3, lifecycle="in_service"), *GOOD],
     "forgotten by a restart": [told(at=0.1), event("start", 0.5), *GOOD],
-    "fell by those who did not know": [told("u9", 4.5, "in_service"), fell(n0=40.0, n1=50.0)],
+    "overloaded by sidecars that did not know of it": [told("u9", 4.5, "in_service"), fell(n0=40.0, n1=50.0)],
 }
 
 
@@ -190,4 +195,4 @@
 
 
 def test_two_at_once_is_allowed_where_the_settings_allow_it():
-    assert not judge(scenario(parallel_tries=True), PLANTED["two at once"][2])
+    assert not judge(scenario(parallel_tries=True), PLANTED["two transmissions at once"][2])
--- a/tests/lab/test_load.py
+++ b/tests/lab/test_load.py
@@ -1,4 +1,4 @@
-"""Arrivals, traces and the callers' rule, without I/O."""
+"""Arrivals, traces and the callers' retry rule, without I/O."""
 
 from random import Random
 
@@ -61,7 +61,7 @@
     assert abs(len(list(moments(ramp, 10.0, Random(1)))) - 500) <= 1
     ramp.arrivals = "poisson"
     times = list(moments(ramp, 10.0, Random(3)))
-    # Within four standard deviations of 500, and a quarter of them in the first half.
+    # Four standard deviations around 500, and around a quarter of the arrivals in the first half.
     assert abs(len(times) - 500) < 90 and 0.15 < sum(at < 5 for at in times) / len(times) < 0.35
 
 
--- a/tests/lab/test_run.py
+++ b/tests/lab/test_run.py
@@ -1,4 +1,4 @@
-"""Whole runs on loopback, short: real sidecars, stand-ins, faults, and the judge over all of it."""
+"""Whole runs on loopback, short: real sidecars, stand-in upstreams, faults, and the judge on the results."""
 
 import asyncio
 import os
@@ -29,7 +29,7 @@
 pytestmark = pytest.mark.usefixtures("lab_cores")
 ROOT = Path(__file__).parents[2]
 SCENARIOS = ROOT / "scenarios"
-# CI's machine may be busy: what is judged here is never how fast it is, so deadlines and graces are wide.
+# CI machines may be busy and no test here judges speed, so deadlines and grace times are generous.
 TREE = {
     "name": "t",
     "length_s": 3.0,
@@ -65,7 +65,7 @@
 
 
 def test_a_calm_run_serves_all_keeps_the_rules_and_leaves_its_folder(tmp_path, monkeypatch):
-    monkeypatch.chdir(tmp_path)  # not where the program lies, and the folder is named from here
+    monkeypatch.chdir(tmp_path)  # not the repository, and the run's folder is a relative path
     scenario = tree(
         load={**TREE["load"], "processes": 2}, fleet={**TREE["fleet"], "processes": 2, "cross_ms": 2.0}
     )
@@ -91,7 +91,7 @@
     start, length = marks["stop"], marks["continue"] - marks["stop"]
     times = [arrival.at for arrival in schedule(scenario)]
     rpcs = [one for one in results.records(tmp_path / "run") if one["k"] == "rpc"]
-    # What was due within the stall waits for its end, and then for what stands before it.
+    # RPCs due within the stall wait for its end, and then for the RPCs queued before them.
     after = [one["end"] - start - length for one in rpcs if start <= one["due"] < start + length - 0.1]
     drained = max(after)
     assert abs(len(after) - stalled(times, start, length, 0.1)) <= 2 and min(after) > -0.02
@@ -109,7 +109,7 @@
 
 
 def test_every_fault_once_and_the_sidecar_keeps_the_rules(tmp_path):
-    """Not that it serves well: that each fault is carried out, and that the judge finds nothing."""
+    """Each fault is carried out, and the judge finds no breach; how well the sidecar serves is not tested."""
 
     def one(kind, at, **more):
         return {"kind": kind, "at_s": at, **more}
@@ -200,7 +200,7 @@
         settings={"stop_sending_ms": 100.0},
         faults=line,
     )
-    # It never asks discovery; what it would have been told is planted as its agent's word.
+    # The rogue never asks discovery, so the test adds the record of what its agent would have told it.
     folder = tmp_path / "run"
     runner.run(scenario, folder)
     with (folder / "events.jsonl").open("ab") as file:
@@ -235,7 +235,7 @@
             }
         ],
     }
-    # 2.4 s of work a second over four upstreams: 300 ms for each in a window in which a cold one may have 60.
+    # 2.4 s of work per second over four upstreams: 300 ms each per window, where a cold one may get 60 ms.
     line = [{"kind": "grow", "at_s": 0.5, "count": 2}]
     load = {**TREE["load"], "classes": [{"method": "once", "work_ms": 60.0}]}
     scenario = tree(fleet=fleet, faults=line, load=load, sidecars={"count": 1, "policy": "rotation"})
@@ -266,10 +266,10 @@
 
 
 def test_recorded_retries_count_with_their_first_try(tmp_path):
-    # Every upstream hangs for the first second: the retries recorded at 1.2 s are what gets served.
+    # Every upstream hangs for the first 1.2 s, so that only the retries, due from 1.5 s on, are served.
     rows = []
     for number in range(20):
-        # The first is due with the hang itself: it is too long to be served before the hang takes hold.
+        # The first RPC is due together with the hang: its work is too long to end before the hang begins.
         rows.append(
             trace.Row(
                 at_ms=100 + number * 5 + 300 * bool(number),
@@ -289,7 +289,8 @@
     summary = run(tmp_path, scenario)
     said = summary["figures"]
     assert said["asked"] == 20 and said["served"] == 20 and said["tries"] == 2.0
-    assert 1180 <= summary["latency_ms"]["p50"] < 3000  # from the first try, not from the retry
+    # Latency counts from the first try, not from the retry.
+    assert 1180 <= summary["latency_ms"]["p50"] < 3000
 
 
 def test_a_run_killed_half_way_leaves_what_it_had_and_is_marked(tmp_path):
@@ -308,7 +309,7 @@
         time.sleep(0.2)
     process.kill()
     process.wait()
-    time.sleep(1.0)  # the workers see their input end, sidecars end with their runner
+    time.sleep(1.0)  # workers exit at the end of their input, sidecars when their runner dies
     summary = results.summarize(folder)
     assert summary["state"] == "cut off" and "cut off" in summary["no_result"][0]
     assert summary["figures"]["asked"] > 0 and report.write(folder).exists()
