--- a/tests/lab/rogue.py
+++ b/tests/lab/rogue.py
@@ -5,7 +5,7 @@
 import json
 import os
 
-SINS = ("none", "lose", "twice", "invent", "mute", "after", "refuse")
+VIOLATIONS = ("none", "lose", "twice", "invent", "mute", "after", "refuse")
 
 
 async def head_and_body(reader):
@@ -41,21 +41,21 @@
                     writer.write(b"HTTP/1.1 200 OK\r\nContent-Length: 0\r\n\r\n")
                     continue
                 raw, number = head + body, next(turn)
-                sin = SINS[number % len(SINS)]
+                violation = VIOLATIONS[number % len(VIOLATIONS)]
                 got, status = b"", b"200 OK"
-                if sin == "invent":
+                if violation == "invent":
                     got = b"all is well"
-                elif sin != "mute":
+                elif violation != "mute":
                     got = await forward(ups[number % len(ups)], raw)
-                if sin == "lose":
+                if violation == "lose":
                     break
-                if sin == "twice":
+                if violation == "twice":
                     got = await forward(ups[(number + 1) % len(ups)], raw)
-                if sin == "refuse":
+                if violation == "refuse":
                     status, got = b"503 Busy", b""
-                if sin != "mute":
+                if violation != "mute":
                     writer.write(b"HTTP/1.1 %s\r\nContent-Length: %d\r\n\r\n%s" % (status, len(got), got))
-                if sin == "after":
+                if violation == "after":
                     await asyncio.sleep(0.4)
                     await forward(ups[number % len(ups)], raw)
         except (OSError, asyncio.IncompleteReadError):
--- a/tests/lab/test_faults.py
+++ b/tests/lab/test_faults.py
@@ -38,7 +38,7 @@
     return [(step.at, step.who, step.what) for step in planned(*faults, **more)[1]]
 
 
-def test_a_deploy_replaces_in_batches_each_once_and_successors_start_before_the_old_go():
+def test_a_deploy_replaces_each_upstream_once_in_batches_and_starts_successors_first():
     first, line, machines = planned(
         {"kind": "deploy", "at_s": 2.0, "for_s": 10.0, "batch": 0.2, "drain_ms": 1500}
     )
@@ -51,7 +51,7 @@
     assert [one.zone for one in machines[10:]].count("a") == 6
 
 
-def test_overlapping_faults_pick_among_those_still_there():
+def test_overlapping_faults_pick_only_upstreams_that_are_alive():
     _, line, _ = planned(
         {"kind": "deploy", "at_s": 1.0, "for_s": 5.0, "drain_ms": 500},
         {"kind": "shrink", "at_s": 8.0, "share": 0.5, "drain_ms": 500},
@@ -61,7 +61,7 @@
     assert max(kills.values()) == 1 and len(kills) == 20
 
 
-def test_each_switch_goes_on_and_off():
+def test_lasting_faults_are_switched_on_and_off():
     for kind in ("hang", "refuse", "cut", "spoil"):
         assert [
             (at, what) for at, _, what in steps({"kind": kind, "at_s": 1, "for_s": 2, "upstreams": [3]})
@@ -73,7 +73,7 @@
     assert [at for at, _, _ in steps({"kind": "sidecar_kill", "at_s": 1, "for_s": 2})] == [1, 3]
 
 
-def test_a_zone_is_lost_loudly_or_silently_and_links_are_cut_both_ways():
+def test_a_zone_loss_kills_or_cuts_its_upstreams_and_a_zone_cut_works_both_ways():
     loud = Counter(what for _, _, what in steps({"kind": "zone_loss", "at_s": 1, "for_s": 2, "zone": "b"}))
     assert loud == {"kill": 4, "list": 8, "start": 4}
     quiet = Counter(
@@ -86,7 +86,7 @@
     assert sum(step.args["zones"] == ["b"] for step in line) == 6
 
 
-def test_a_restart_elsewhere_has_another_address_and_churn_uses_old_ones_again():
+def test_a_restart_elsewhere_has_another_address_and_churn_reuses_addresses():
     first, line, _ = planned({"kind": "restart", "at_s": 1, "for_s": 1, "upstreams": [0], "elsewhere": True})
     start = next(step for step in line if step.what == "start")
     assert start.who == first[0].name and start.args["slot"] != 0
@@ -96,12 +96,12 @@
     assert len({one.name for one in machines}) == len(machines)
 
 
-def test_the_same_seed_plans_the_same():
+def test_the_same_seed_gives_the_same_plan():
     faults = {"kind": "restart", "at_s": 1, "for_s": 2, "share": 0.3}, {"kind": "churn", "at_s": 4}
     assert steps(*faults) == steps(*faults) != steps(*faults, seed=9)
 
 
-def test_every_shipped_scenario_is_sound():
+def test_every_shipped_scenario_is_valid():
     paths = sorted(SCENARIOS.glob("*.toml"))
     kinds = {fault.kind for path in paths for fault in load(path).faults}
     assert len(paths) > 20 and all(schedule(load(path)) for path in paths)
@@ -147,19 +147,19 @@
 
 
 @pytest.mark.parametrize("name", BAD)
-def test_a_malformed_scenario_is_refused_in_one_line_with_file_and_key(tmp_path, name):
+def test_a_malformed_scenario_is_rejected_in_one_line_with_file_and_key(tmp_path, name):
     old, new, key = BAD[name]
     assert old in GOOD
     (tmp_path / "bad.toml").write_text(GOOD.replace(old, new, 1))
-    ended = CliRunner().invoke(app, ["lab", "check", str(tmp_path / "bad.toml")])
-    said = ended.stderr.strip()
-    assert ended.exit_code == 2 and "\n" not in said and "bad.toml" in said and key in said, said
+    result = CliRunner().invoke(app, ["lab", "check", str(tmp_path / "bad.toml")])
+    error = result.stderr.strip()
+    assert result.exit_code == 2 and "\n" not in error and "bad.toml" in error and key in error, error
 
 
-def test_changes_from_the_command_line_are_checked_as_the_file_is():
+def test_overrides_from_the_command_line_are_validated_like_the_file():
     path = SCENARIOS / "demo.toml"
-    told = load(path, ["load.scale=2", "sidecars.policy=random", "fleet.groups.1.cores=3"])
-    assert (told.load.scale, told.sidecars.policy, told.fleet.groups[1].cores) == (2.0, "random", 3)
+    changed = load(path, ["load.scale=2", "sidecars.policy=random", "fleet.groups.1.cores=3"])
+    assert (changed.load.scale, changed.sidecars.policy, changed.fleet.groups[1].cores) == (2.0, "random", 3)
     for change in ("load.scal=2", "load.scale=-1", "load", "fleet.groups.9.cores=3"):
         with pytest.raises(ScenarioError, match="demo.toml"):
             load(path, [change])
--- a/tests/lab/test_judge.py
+++ b/tests/lab/test_judge.py
@@ -73,7 +73,7 @@
 
 GOOD = [client(), tx()]
 RESENT = [tx("reset", end=1.05), tx(begun=1.06, up="u2")]
-PLANTED = {
+BREACHES = {
     "lost": (1, "lost", [client("lost", got=""), tx("left")]),
     "unanswered": (1, "in time", [client("gave_up", got="", end=1.5), tx("left")]),
     "answered late": (
@@ -142,9 +142,9 @@
 }
 
 
-@pytest.mark.parametrize("name", PLANTED)
-def test_a_planted_breach_is_named_with_its_evidence(name):
-    rule, what, records = PLANTED[name]
+@pytest.mark.parametrize("name", BREACHES)
+def test_a_breach_is_reported_with_its_evidence(name):
+    rule, what, records = BREACHES[name]
     found = judge(scenario(), records)
     assert any(one.rule == rule and what in one.what and one.evidence for one in found), found
     assert all(one.rule == rule or name == "took effect twice after a refusal" for one in found), found
@@ -190,9 +190,9 @@
 
 
 @pytest.mark.parametrize("name", HARMLESS)
-def test_what_only_looks_like_a_breach_is_none(name):
+def test_harmless_records_are_no_breach(name):
     assert judge(scenario(), HARMLESS[name]) == []
 
 
-def test_two_at_once_is_allowed_where_the_settings_allow_it():
-    assert not judge(scenario(parallel_tries=True), PLANTED["two transmissions at once"][2])
+def test_parallel_tries_are_allowed_where_the_settings_allow_them():
+    assert not judge(scenario(parallel_tries=True), BREACHES["two transmissions at once"][2])
--- a/tests/lab/test_load.py
+++ b/tests/lab/test_load.py
@@ -52,7 +52,7 @@
     assert rate(load, 9.0) == pytest.approx(2 * (10 + 20 + 8 + 4 * 1.5))
 
 
-def test_constant_arrivals_are_even_and_poisson_ones_are_as_many_as_asked():
+def test_constant_arrivals_are_even_and_poisson_arrivals_match_the_rate():
     load = Load(arrivals="constant", shapes=[Shape(kind="steady", rate=100)])
     times = list(moments(load, 10.0, Random(1)))
     gaps = [b - a for a, b in zip(times, times[1:], strict=False)]
@@ -73,12 +73,12 @@
     assert 4.2 < sum(works) / len(works) < 5.8
 
 
-def test_what_a_stall_must_do_to_the_tail_follows_from_the_schedule():
+def test_the_rpcs_delayed_by_a_stall_follow_from_the_schedule():
     times = [number / 100 for number in range(1000)]
     assert [stalled(times, 3.0, 2.0, over) for over in (0, 0.5, 1.0, 1.5)] == [200, 150, 100, 50]
 
 
-def test_a_trace_comes_back_as_it_was_written(tmp_path):
+def test_a_trace_is_read_back_as_it_was_written(tmp_path):
     rows = [
         trace.Row(at_ms=0.0, id="a", method="m", work_ms=3.5, origin=1),
         trace.Row(at_ms=40.5, id="b", method="r", wait_ms=200.0),
@@ -123,11 +123,11 @@
         ("at_ms\n1\n", "line 2"),
     ],
 )
-def test_a_trace_that_is_none_is_told_by_file_and_line(tmp_path, text, said):
+def test_an_invalid_trace_is_reported_with_file_and_line(tmp_path, text, said):
     (tmp_path / "bad.csv").write_text(text)
-    with pytest.raises(ScenarioError) as wrong:
+    with pytest.raises(ScenarioError) as error:
         schedule(scenario(load={**SMALL["load"], "trace": {"file": str(tmp_path / "bad.csv")}}))
-    assert "bad.csv" in str(wrong.value) and said in str(wrong.value) and "\n" not in str(wrong.value)
+    assert "bad.csv" in str(error.value) and said in str(error.value) and "\n" not in str(error.value)
 
 
 def test_a_runs_records_export_as_a_trace_that_links_its_retries():
@@ -155,7 +155,7 @@
     ]
 
 
-def test_callers_try_again_only_where_it_is_harmless():
+def test_callers_retry_only_where_a_repeat_is_harmless():
     three = Callers(retries=2, backoff="exponential", backoff_ms=100)
     once, safe = Method(name="m"), Method(name="r", repeats="retriable")
     keyed = Method(name="k", repeats="deduped", window_ms=500)
--- a/tests/lab/test_run.py
+++ b/tests/lab/test_run.py
@@ -64,7 +64,7 @@
     return runner.run(scenario, tmp_path / "run")
 
 
-def test_a_calm_run_serves_all_keeps_the_rules_and_leaves_its_folder(tmp_path, monkeypatch):
+def test_a_run_without_faults_serves_every_rpc_without_breaches_and_writes_its_folder(tmp_path, monkeypatch):
     monkeypatch.chdir(tmp_path)  # not the repository, and the run's folder is a relative path
     scenario = tree(
         load={**TREE["load"], "processes": 2}, fleet={**TREE["fleet"], "processes": 2, "cross_ms": 2.0}
@@ -173,7 +173,7 @@
     report.write(tmp_path / "run")
 
 
-def test_the_judge_catches_on_sockets_what_a_rogue_does(tmp_path, monkeypatch):
+def test_the_judge_catches_a_sidecar_that_breaks_the_rules(tmp_path, monkeypatch):
     async def start(self, number):
         with (self.folder / "rogue.log").open("ab") as log:
             process = await asyncio.create_subprocess_exec(
@@ -219,7 +219,7 @@
     }, found
 
 
-def test_a_policy_without_care_for_the_cold_pushes_them_over_and_is_told(tmp_path):
+def test_a_policy_that_ignores_cold_starts_overloads_upstreams_and_is_reported(tmp_path):
     fleet = {
         "zones": ["a"],
         "discovery": {"notice_ms": [0.0, 10.0]},
@@ -243,7 +243,7 @@
     assert {one["rule"] for one in summary["breaches"]} == {4} and summary["figures"]["fell"] == 2
 
 
-def test_a_generator_that_stood_still_says_that_the_run_is_no_result(tmp_path):
+def test_a_generator_that_was_stopped_makes_the_run_invalid(tmp_path):
     async def scene():
         made = Run(tree(load={**TREE["load"], "late_ms": 100.0}), tmp_path / "run")
         going = asyncio.create_task(made())
@@ -258,7 +258,7 @@
     assert "the generator was late" in summary["no_result"][0] and summary["lateness_ms"]["max"] > 700
 
 
-def test_a_generator_that_had_no_core_of_its_own_says_so(tmp_path):
+def test_a_generator_that_waited_for_a_core_makes_the_run_invalid(tmp_path):
     results.put_state(tmp_path, "done")
     said = {"late": 0, "troubles": [], "run_delay": 0.1}
     assert results.invalid(tree(), tmp_path, None, said) == []
@@ -293,7 +293,7 @@
     assert 1180 <= summary["latency_ms"]["p50"] < 3000
 
 
-def test_a_run_killed_half_way_leaves_what_it_had_and_is_marked(tmp_path):
+def test_a_run_killed_halfway_keeps_its_records_and_is_marked(tmp_path):
     (tmp_path / "t.json").write_bytes(orjson.dumps({**TREE, "length_s": 20.0}))
     code = (
         "import orjson, sys; from pathlib import Path; from shedgrade.lab import runner, scenario\n"
@@ -318,7 +318,7 @@
             assert processes.stat_of(one["pid"]) is None
 
 
-def test_descriptors_that_would_run_out_are_told_before_the_run(tmp_path, monkeypatch):
+def test_a_shortage_of_descriptors_is_reported_before_the_run(tmp_path, monkeypatch):
     monkeypatch.setattr(processes, "raise_limit", lambda: 300)
     with pytest.raises(LabError, match="descriptors.*ulimit"):
         run(tmp_path, tree(sidecars={"count": 4}))
