--- a/shedgrade/lab/worker.py
+++ b/shedgrade/lab/worker.py
@@ -302,7 +302,7 @@
     """Sends this worker's part of the load."""
 
     async def start(self) -> None:
-        from shedgrade.lab.generator import Closed, Generator
+        from shedgrade.lab.generator import ClosedLoop, Generator
         from shedgrade.lab.misbehaving_clients import Rude
 
         task, scenario = self.task, self.scenario
@@ -312,7 +312,9 @@
             self.loop, self.clock, scenario, arrivals, places, self.record, task["number"]
         )
         first = task["number"] == 0
-        self.closed = Closed(self.generator, scenario.load.closed) if first and scenario.load.closed else None
+        self.closed = (
+            ClosedLoop(self.generator, scenario.load.closed) if first and scenario.load.closed else None
+        )
         self.rude = (
             Rude(
                 self.clock,
