--- a/shedgrade/lab/callers.py
+++ b/shedgrade/lab/callers.py
@@ -30,14 +30,14 @@
     return method.repeats == "deduped" and method.group == "all" and since_first <= method.window_ms / 1000
 
 
-def next_try(
+def retry_delay(
     callers: Callers,
     method: Method,
     outcome: str,
     tries: int,
     since_first: float,
     retry_after: float,
-    chance: Random,
+    rng: Random,
 ) -> float | None:
     """Seconds until the next try, or None for no further try.
 
@@ -47,11 +47,11 @@
     """
     if tries > callers.retries or not may_repeat(method, outcome, since_first):
         return None
-    wait = 0.0
+    delay = 0.0
     if callers.backoff == "fixed":
-        wait = callers.backoff_ms / 1000
+        delay = callers.backoff_ms / 1000
     elif callers.backoff == "exponential":
-        wait = callers.backoff_ms / 1000 * 2 ** (tries - 1) * chance.uniform(0.5, 1.0)
+        delay = callers.backoff_ms / 1000 * 2 ** (tries - 1) * rng.uniform(0.5, 1.0)
     if callers.honours_retry_after and outcome == REFUSED:
-        wait = max(wait, retry_after)
-    return wait
+        delay = max(delay, retry_after)
+    return delay
--- a/shedgrade/lab/decisions.py
+++ b/shedgrade/lab/decisions.py
@@ -54,37 +54,37 @@
     An RPC is admitted, decided, ended and decided again. As many RPCs are open at any time as a tenth of the
     upstreams, and at least four; a random one of them ends next.
     """
-    chance = Random(seed)
+    rng = Random(seed)
     balancer = load_balancing.Balancer(settings(zones), seed, 0)
     rows = [
         (number, number % zones, load_balancing.READY, 0, 0, number, 1.0, 0) for number in range(upstreams)
     ]
     balancer.list_changed(0, rows, True, True)
-    now, out, most = 0, [], max(4, upstreams // 10)
-    begun = time.process_time()
+    now, open_rpcs, open_limit = 0, [], max(4, upstreams // 10)
+    started = time.process_time()
     for _ in range(rpcs):
         now += 10
         rpc = balancer.admit(now, 0, now + 12_000)
-        answer = rpc.decide(now)
-        if answer is not None and answer[0] >= 0:
-            out.append((rpc, now))
-        if len(out) >= most:
-            rpc, sent = out.pop(chance.randrange(len(out)))
+        decision = rpc.decide(now)
+        if decision is not None and decision[0] >= 0:
+            open_rpcs.append((rpc, now))
+        if len(open_rpcs) >= open_limit:
+            rpc, sent = open_rpcs.pop(rng.randrange(len(open_rpcs)))
             rpc.attempt_finished(now, 0, load_balancing.COMPLETED, max(1, min(now - sent, 500)), True)
             rpc.decide(now)
         for rpc in balancer.due(now):
-            answer = rpc.decide(now)
-            if answer is not None and answer[0] >= 0:
-                out.append((rpc, now))
+            decision = rpc.decide(now)
+            if decision is not None and decision[0] >= 0:
+                open_rpcs.append((rpc, now))
         balancer.take_released()
-    each = (time.process_time() - begun) / rpcs * 1e6
-    begun, changes = time.process_time(), 500
+    rpc_us = (time.process_time() - started) / rpcs * 1e6
+    started, changes = time.process_time(), 500
     for number in range(changes):
         row = list(rows[number % upstreams])
         row[2] = load_balancing.DRAINING if number % 2 == 0 else load_balancing.READY
         balancer.list_changed(now, [tuple(row)], False, True)
     return {
         "upstreams": upstreams,
-        "rpc_us": round(each, 2),
-        "change_us": round((time.process_time() - begun) / changes * 1e6, 2),
+        "rpc_us": round(rpc_us, 2),
+        "change_us": round((time.process_time() - started) / changes * 1e6, 2),
     }
--- a/shedgrade/lab/generator.py
+++ b/shedgrade/lab/generator.py
@@ -400,7 +400,7 @@
             if not rpc.pending:
                 self.finish_rpc(rpc, outcome, now)
         else:
-            wait = callers.next_try(
+            wait = callers.retry_delay(
                 self.scenario.callers, method, outcome, rpc.tries, now - arrival.at, retry_after, self.rng
             )
             if wait is None:
--- a/shedgrade/lab/misbehaving_clients.py
+++ b/shedgrade/lab/misbehaving_clients.py
@@ -4,10 +4,10 @@
 from collections.abc import Callable
 from random import Random
 
-OWED = 3.0  # s from connecting, the limit that the platform states
+RESPONSE_LIMIT_S = 3.0  # from connecting, the limit that the platform states
 
 
-def good(name: str, method: str, *headers: str, length: object = 0, target: str = "") -> bytes:
+def valid_request(name: str, method: str, *headers: str, length: object = 0, target: str = "") -> bytes:
     """A well-formed request, apart from the parts that the caller replaces."""
     lines = [
         f"POST {target or '/' + method} HTTP/1.1",
@@ -24,53 +24,57 @@
 
 KINDS: dict[str, Callable[[str, str], bytes]] = {
     "noise": lambda name, method: b"\x00\xff\x13nonsense\r\n\r\n",
-    "endless head": lambda name, method: good(name, method, *(f"X-{n}: {'h' * 900}" for n in range(100))),
-    "negative length": lambda name, method: good(name, method, length=-5),
-    "huge length": lambda name, method: good(name, method, length=60_000_000),
-    "two lengths": lambda name, method: good(name, method, "Content-Length: 4"),
-    "both framings": lambda name, method: good(name, method, "Transfer-Encoding: chunked") + b"0\r\n\r\n",
-    "no such method": lambda name, method: good(name, method, target="/no-such-method-here"),
-    "senseless deadline": lambda name, method: good(name, method).replace(b"900", b"soon"),
-    "no id": lambda name, method: good(name, method).replace(
+    "endless head": lambda name, method: valid_request(
+        name, method, *(f"X-{n}: {'h' * 900}" for n in range(100))
+    ),
+    "negative length": lambda name, method: valid_request(name, method, length=-5),
+    "huge length": lambda name, method: valid_request(name, method, length=60_000_000),
+    "two lengths": lambda name, method: valid_request(name, method, "Content-Length: 4"),
+    "both framings": lambda name, method: (
+        valid_request(name, method, "Transfer-Encoding: chunked") + b"0\r\n\r\n"
+    ),
+    "no such method": lambda name, method: valid_request(name, method, target="/no-such-method-here"),
+    "senseless deadline": lambda name, method: valid_request(name, method).replace(b"900", b"soon"),
+    "no id": lambda name, method: valid_request(name, method).replace(
         b"X-Request-ID: " + name.encode() + b"\r\n", b""
     ),
-    "half a request": lambda name, method: good(name, method, length=10) + b"half",
+    "half a request": lambda name, method: valid_request(name, method, length=10) + b"half",
     "silence": lambda name, method: b"",
 }
 
 
-class Rude:
+class MisbehavingClients:
     """Runs misbehaving clients at a mean rate per second, each of a random kind, with one record for each."""
 
     def __init__(
         self,
         clock: Callable[[], float],
-        place: tuple[str, int],
+        address: tuple[str, int],
         method: str,
         rate: float,
         length: float,
         seed: int,
         record: Callable[[dict], None],
     ) -> None:
-        self.now, self.place, self.method, self.rate, self.length = clock, place, method, rate, length
-        self.chance, self.record = Random(f"{seed}/rude"), record
+        self.now, self.address, self.method, self.rate, self.length = clock, address, method, rate, length
+        self.rng, self.record = Random(f"{seed}/rude"), record
         self.tasks: set[asyncio.Task] = set()
 
     async def run(self) -> None:
         number, kinds = 0, list(KINDS)
         while self.now() < self.length:
-            task = asyncio.create_task(self.one(self.chance.choice(kinds), f"bad{number}"))
+            task = asyncio.create_task(self.run_client(self.rng.choice(kinds), f"bad{number}"))
             self.tasks.add(task)
             task.add_done_callback(self.tasks.discard)
             number += 1
-            await asyncio.sleep(self.chance.expovariate(self.rate))
+            await asyncio.sleep(self.rng.expovariate(self.rate))
         await asyncio.gather(*self.tasks)
 
-    async def one(self, kind: str, name: str) -> None:
-        begun, how, writer = self.now(), "neither", None
+    async def run_client(self, kind: str, name: str) -> None:
+        started, how, writer = self.now(), "neither", None
         try:
-            async with asyncio.timeout(OWED + 1):
-                reader, writer = await asyncio.open_connection(*self.place)
+            async with asyncio.timeout(RESPONSE_LIMIT_S + 1):
+                reader, writer = await asyncio.open_connection(*self.address)
                 writer.write(KINDS[kind](name, self.method))
                 line = await reader.readline()
                 how = line.split(b" ")[1].decode() if line.startswith(b"HTTP/1.1 ") else "closed"
@@ -86,8 +90,8 @@
                 "k": "bad",
                 "kind": kind,
                 "how": how,
-                "at": round(begun, 6),
-                "took": round(self.now() - begun, 6),
+                "at": round(started, 6),
+                "took": round(self.now() - started, 6),
                 "id": name,
             }
         )
--- a/shedgrade/lab/prepared.py
+++ b/shedgrade/lab/prepared.py
@@ -12,18 +12,18 @@
 from shedgrade.sidecar.endpoint_snapshot.store import Store
 from shedgrade.sidecar.endpoint_snapshot.wall_clock import WallClock
 
-NOWHERE = 240  # highest slot whose address refuses connections or belongs to a silent stand-in
+HIGHEST_GONE_SLOT = 240  # highest slot whose address refuses connections or belongs to a silent stand-in
 
 
 def entry(scenario: Scenario, name: str, group: int, slot: int, port: int, zone: int) -> dict:
     """One upstream as discovery lists it, with its address for calls from this zone."""
     host, port = address(zone, slot, port)
-    model = scenario.fleet.groups[group]
+    settings = scenario.fleet.groups[group]
     return {
         "instanceId": name,
         "hostPort": f"{host}:{port}",
-        "zone": model.zone,
-        "machineType": model.kind,
+        "zone": settings.zone,
+        "machineType": settings.kind,
         "cell": 0,
         "lifecycle": "in_service",
         "weight": 1.0,
@@ -31,31 +31,33 @@
     }
 
 
-def rows(scenario: Scenario, first: list[Machine]) -> tuple[list[tuple[str, int, int]], list[dict]]:
+def saved_rows(scenario: Scenario, first: list[Machine]) -> tuple[list[tuple[str, int, int]], list[dict]]:
     """The upstreams of the saved list as (id, group, slot), and the silent stand-ins that the list needs.
 
     The scenario's share of upstreams is gone; the seed decides which. Each is replaced by a row whose address
     refuses connections, does not answer, or belongs to another upstream.
     """
     saved = scenario.sidecars.saved
-    chance = Random(f"{scenario.seed}/saved")
-    gone = set(chance.sample(range(len(first)), round(saved.stale * len(first))))
-    found, silent = [], []
-    for number, one in enumerate(first):
+    rng = Random(f"{scenario.seed}/saved")
+    gone = set(rng.sample(range(len(first)), round(saved.stale * len(first))))
+    rows, silent = [], []
+    for number, machine in enumerate(first):
         if number not in gone:
-            found.append((one.name, one.group, one.slot))
+            rows.append((machine.name, machine.group, machine.slot))
             continue
-        name, slot = f"gone-{number}", NOWHERE - number
-        kind = number % 3
-        if kind == 1:
-            silent.append({"name": name, "group": one.group, "slot": slot})
-        elif kind == 2:
-            slot = one.slot  # the current upstream at this address is not in the saved list
-        found.append((name, one.group, slot))
-    return found, silent
-
-
-def config(scenario: Scenario, saved: SavedStart | None, folder: Path, listens: tuple[str, str]) -> str:
+        name, slot = f"gone-{number}", HIGHEST_GONE_SLOT - number
+        problem = number % 3
+        if problem == 1:
+            silent.append({"name": name, "group": machine.group, "slot": slot})
+        elif problem == 2:
+            slot = machine.slot  # the current upstream at this address is not in the saved list
+        rows.append((name, machine.group, slot))
+    return rows, silent
+
+
+def features_file(
+    scenario: Scenario, saved: SavedStart | None, folder: Path, listens: tuple[str, str]
+) -> str:
     """The features file of one sidecar; "" if it uses no features.
 
     `listens` are the addresses of its SOCKS5 and CONNECT listeners.
@@ -73,34 +75,40 @@
         files = str(scenario.sidecars.capture == "files").lower()
         text += f'[capture]\nfolder = "{folder}-capture"\ncontinuous = {files}\n'
     if scenario.sidecars.quota is not None:
-        text += inline("quota", scenario.sidecars.quota)
+        text += toml_table("quota", scenario.sidecars.quota)
     return text
 
 
-def inline(name: str, table: dict) -> str:
+def toml_table(name: str, table: dict) -> str:
     """A TOML table with one key per line; nested tables are inline."""
 
-    def spell(value: object) -> str:
+    def toml_value(value: object) -> str:
         if isinstance(value, dict):
-            return "{" + ", ".join(f"{json.dumps(key)} = {spell(one)}" for key, one in value.items()) + "}"
+            return (
+                "{"
+                + ", ".join(f"{json.dumps(key)} = {toml_value(item)}" for key, item in value.items())
+                + "}"
+            )
         if isinstance(value, list):
-            return "[" + ", ".join(spell(one) for one in value) + "]"
+            return "[" + ", ".join(toml_value(item) for item in value) + "]"
         return json.dumps(value)
 
-    return f"[{name}]\n" + "".join(f"{key} = {spell(value)}\n" for key, value in table.items())
+    return f"[{name}]\n" + "".join(f"{key} = {toml_value(value)}\n" for key, value in table.items())
 
 
-def write(
+def write_saved_list(
     scenario: Scenario, number: int, named: list[tuple[str, int, int]], port: int, folder: Path
 ) -> None:
     """Writes the folder of one sidecar as if discovery had last confirmed its list `age_s` seconds ago."""
     saved, now = scenario.sidecars.saved, WallClock().now()
-    back = round(saved.age_s * 1000)
-    then = Moment(now.wall_ms - back, now.boot_id, now.since_boot_ms - back)
+    age_ms = round(saved.age_s * 1000)
+    saved_at = Moment(now.wall_ms - age_ms, now.boot_id, now.since_boot_ms - age_ms)
     zone = scenario.fleet.zones.index(scenario.zone_of(number))
-    store = Store(Files(folder), f"n{number}", lambda: then, "never")
+    store = Store(Files(folder), f"n{number}", lambda: saved_at, "never")
     store.open()
-    at = [then.wall_ms, then.boot_id, then.since_boot_ms]
-    told = [entry(scenario, name, group, slot, port, zone) for name, group, slot in named]
-    store.write_batch([{"k": "list", "rows": told, "whole": True, "generation": 7, "at": at}], False)
+    confirmed_at = [saved_at.wall_ms, saved_at.boot_id, saved_at.since_boot_ms]
+    entries = [entry(scenario, name, group, slot, port, zone) for name, group, slot in named]
+    store.write_batch(
+        [{"k": "list", "rows": entries, "whole": True, "generation": 7, "at": confirmed_at}], False
+    )
     store.close()
--- a/shedgrade/lab/processes.py
+++ b/shedgrade/lab/processes.py
@@ -9,7 +9,7 @@
 
 import orjson
 
-from shedgrade.lab.arrivals import top_rate
+from shedgrade.lab.arrivals import max_rate
 from shedgrade.lab.scenario import Scenario
 from shedgrade.lab.worker import raise_limit
 
@@ -50,7 +50,7 @@
     longest = max(method.hard_ms for method in scenario.methods) / 1000
     crowd = min(
         scenario.callers.connections * sidecars.count,
-        sidecars.count * sidecars.sockets + top_rate(scenario.load) * longest,
+        sidecars.count * sidecars.sockets + max_rate(scenario.load) * longest,
     )
     for what, need in (("the fleet", fleet), ("a generator", int(crowd) // scenario.load.processes + 100)):
         if need > have:
--- a/shedgrade/lab/runner.py
+++ b/shedgrade/lab/runner.py
@@ -169,7 +169,7 @@
         known = [msgspec.to_builtins(one) for one in first]
         saved = scenario.sidecars.saved
         saved = saved if saved and saved.trust != "off" else None
-        named, silent = prepared.rows(scenario, first) if saved else ([], [])
+        named, silent = prepared.saved_rows(scenario, first) if saved else ([], [])
         for number in range(scenario.fleet.processes):
             own = [one for one in known if self.owner[one["name"]] == number]
             self.fleet.append(
@@ -191,11 +191,11 @@
         for number in range(count):
             folder = self.folder / f"saved-{number}"
             listens = tuple("{}:{}".format(*one[number]) for one in self.tunnels.values())
-            features = prepared.config(scenario, saved, folder, listens)
+            features = prepared.features_file(scenario, saved, folder, listens)
             if features:
                 (self.folder / f"n{number}.toml").write_text(features)
             if saved and saved.prepared:
-                prepared.write(scenario, number, named, port, folder)
+                prepared.write_saved_list(scenario, number, named, port, folder)
             config = sidecar_config(scenario, number, port, self.listens[number], self.agents[number], first)
             (self.folder / f"n{number}.json").write_bytes(orjson.dumps(config))
             await self.start_sidecar(number)
--- a/shedgrade/lab/worker.py
+++ b/shedgrade/lab/worker.py
@@ -303,7 +303,7 @@
 
     async def start(self) -> None:
         from shedgrade.lab.generator import ClosedLoop, Generator
-        from shedgrade.lab.misbehaving_clients import Rude
+        from shedgrade.lab.misbehaving_clients import MisbehavingClients
 
         task, scenario = self.task, self.scenario
         arrivals = [msgspec.convert(one, Arrival) for one in task["arrivals"]]
@@ -315,8 +315,8 @@
         self.closed = (
             ClosedLoop(self.generator, scenario.load.closed) if first and scenario.load.closed else None
         )
-        self.rude = (
-            Rude(
+        self.misbehaving_clients = (
+            MisbehavingClients(
                 self.clock,
                 places[0],
                 scenario.methods[0].name,
@@ -333,7 +333,9 @@
     def go(self) -> None:
         self.delay = run_delay()
         self.loop.call_later(max(0.0, -self.clock()), self.generator.begin)
-        self.others = [asyncio.create_task(self.later(one)) for one in (self.closed, self.rude) if one]
+        self.others = [
+            asyncio.create_task(self.later(one)) for one in (self.closed, self.misbehaving_clients) if one
+        ]
 
     async def later(self, one) -> None:
         await asyncio.sleep(max(0.0, -self.clock()))
--- a/tests/lab/test_load.py
+++ b/tests/lab/test_load.py
@@ -6,7 +6,7 @@
 import pytest
 
 from shedgrade.lab import callers, trace
-from shedgrade.lab.arrivals import moments, rate, schedule, stalled
+from shedgrade.lab.arrivals import arrival_times, delayed_by_stall, rate, schedule
 from shedgrade.lab.scenario import (
     Callers,
     Load,
@@ -54,13 +54,13 @@
 
 def test_constant_arrivals_are_even_and_poisson_arrivals_match_the_rate():
     load = Load(arrivals="constant", shapes=[Shape(kind="steady", rate=100)])
-    times = list(moments(load, 10.0, Random(1)))
+    times = list(arrival_times(load, 10.0, Random(1)))
     gaps = [b - a for a, b in zip(times, times[1:], strict=False)]
     assert len(times) == 1000 and max(gaps) - min(gaps) < 1e-6
     ramp = Load(arrivals="constant", shapes=[Shape(kind="ramp", rate=0, to=100, from_s=0, until_s=10)])
-    assert abs(len(list(moments(ramp, 10.0, Random(1)))) - 500) <= 1
+    assert abs(len(list(arrival_times(ramp, 10.0, Random(1)))) - 500) <= 1
     ramp.arrivals = "poisson"
-    times = list(moments(ramp, 10.0, Random(3)))
+    times = list(arrival_times(ramp, 10.0, Random(3)))
     # Four standard deviations around 500, and around a quarter of the arrivals in the first half.
     assert abs(len(times) - 500) < 90 and 0.15 < sum(at < 5 for at in times) / len(times) < 0.35
 
@@ -75,7 +75,7 @@
 
 def test_the_rpcs_delayed_by_a_stall_follow_from_the_schedule():
     times = [number / 100 for number in range(1000)]
-    assert [stalled(times, 3.0, 2.0, over) for over in (0, 0.5, 1.0, 1.5)] == [200, 150, 100, 50]
+    assert [delayed_by_stall(times, 3.0, 2.0, over) for over in (0, 0.5, 1.0, 1.5)] == [200, 150, 100, 50]
 
 
 def test_a_trace_is_read_back_as_it_was_written(tmp_path):
@@ -162,7 +162,7 @@
     zoned = Method(name="z", repeats="deduped", group="zone", window_ms=500)
 
     def again(method, outcome, tries=1, since=0.1, after=0.0):
-        return callers.next_try(three, method, outcome, tries, since, after, Random(1))
+        return callers.retry_delay(three, method, outcome, tries, since, after, Random(1))
 
     assert again(once, callers.FAILED) is again(once, callers.GAVE_UP) is again(zoned, callers.LOST) is None
     assert again(once, callers.REFUSED) is not None and again(once, callers.UNREACHABLE) is not None
--- a/tests/lab/test_run.py
+++ b/tests/lab/test_run.py
@@ -21,7 +21,7 @@
     runner,
     trace,
 )
-from shedgrade.lab.arrivals import schedule, stalled
+from shedgrade.lab.arrivals import delayed_by_stall, schedule
 from shedgrade.lab.processes import LabError
 from shedgrade.lab.runner import Run
 from shedgrade.lab.scenario import convert, load
@@ -94,14 +94,14 @@
     # RPCs due within the stall wait for its end, and then for the RPCs queued before them.
     after = [one["end"] - start - length for one in rpcs if start <= one["due"] < start + length - 0.1]
     drained = max(after)
-    assert abs(len(after) - stalled(times, start, length, 0.1)) <= 2 and min(after) > -0.02
+    assert abs(len(after) - delayed_by_stall(times, start, length, 0.1)) <= 2 and min(after) > -0.02
     assert length * 1000 - 20 <= summary["latency_ms"]["max"] <= (length + drained + 0.02) * 1000
     for over in (0.5, 1.0, 1.5):
         found = sum(one["end"] - one["due"] > over for one in rpcs)
         assert (
-            stalled(times, start, length, over) - 1
+            delayed_by_stall(times, start, length, over) - 1
             <= found
-            <= stalled(times, start, length + drained, over) + 1
+            <= delayed_by_stall(times, start, length + drained, over) + 1
         )
         assert summary["figures"][f"over_{over:g}s"] == pytest.approx(found / len(times), abs=1e-4)
     assert summary["latency_ms"]["p99"] > 1500
