--- a/shedgrade/lab/listing.py
+++ b/shedgrade/lab/listing.py
@@ -15,12 +15,12 @@
     def __init__(self, discovery: "Discovery", number: int) -> None:
         self.discovery, self.number = discovery, number
         self.generation, self.entries, self.changes = 1, {}, []
-        self.waiting: set[AgentLink] = set()
+        self.watchers: set[AgentLink] = set()
         self.links: set[AgentLink] = set()
         self.servers: list = []
         self.backlog: list[tuple[dict, float]] = []  # changes received while discovery was silent
 
-    def sent(self, entry: dict) -> None:
+    def apply_change(self, entry: dict) -> None:
         if self.discovery.silent:
             self.backlog.append(entry)
             return
@@ -30,42 +30,42 @@
         self.changes.append((self.generation, entry))
         if entry["lifecycle"] == "terminated":
             del self.entries[name]
-        self.wake()
+        self.answer_watchers()
 
-    def wake(self) -> None:
-        for link in list(self.waiting):
+    def answer_watchers(self) -> None:
+        for link in list(self.watchers):
             link.reply()
 
     def resume(self) -> None:
         backlog, self.backlog = self.backlog, []
         for entry in backlog:
-            self.sent(entry)
+            self.apply_change(entry)
         for link in list(self.links):
-            if link.asked is not None:
+            if link.pending_request is not None:
                 link.reply()
 
     def reset(self) -> None:
         """Restarts the generations, so that every watch receives the whole list."""
         self.generation, self.changes = 1, []
-        self.wake()
+        self.answer_watchers()
 
-    def answer(self, after: int | None) -> dict | None:
+    def list_after(self, after: int | None) -> dict | None:
         """The whole list, or its changes after this generation; None if there are no newer changes."""
         oldest = self.changes[0][0] - 1 if self.changes else self.generation
         if after is None or after > self.generation or after < min(oldest, self.generation):
             return {"generation": self.generation, "reset": True, "instances": list(self.entries.values())}
-        fresh = [entry for generation, entry in self.changes if generation > after]
-        if not fresh:
+        newer = [entry for generation, entry in self.changes if generation > after]
+        if not newer:
             return None
-        return {"generation": self.generation, "reset": False, "instances": fresh}
+        return {"generation": self.generation, "reset": False, "instances": newer}
 
 
 class AgentLink(asyncio.Protocol):
     """One connection from a sidecar to its agent."""
 
-    def __init__(self, agent: Agent, place: tuple[str, int]) -> None:
-        self.place = place
-        self.agent, self.transport, self.asked, self.timer = agent, None, None, None
+    def __init__(self, agent: Agent, address: tuple[str, int]) -> None:
+        self.address = address
+        self.agent, self.transport, self.pending_request, self.timer = agent, None, None, None
         self.parser, self.url = httptools.HttpRequestParser(self), b""
 
     def connection_made(self, transport) -> None:
@@ -74,7 +74,7 @@
 
     def connection_lost(self, failure) -> None:
         self.agent.links.discard(self)
-        self.agent.waiting.discard(self)
+        self.agent.watchers.discard(self)
         if self.timer is not None:
             self.timer.cancel()
 
@@ -92,34 +92,34 @@
         self.url = b""
         query = parse_qs(parts.query)
         after = int(query["after"][0]) if "after" in query else None
-        self.asked = after, parts.path
+        self.pending_request = after, parts.path
         if parts.path != "/discovery/hosts":
             self.write(404, b"{}")
         elif not self.agent.discovery.silent:
             wait = min(60_000, int(query.get("wait_ms", ["0"])[0])) / 1000
-            if self.agent.answer(after) is None and wait:
-                self.agent.waiting.add(self)
+            if self.agent.list_after(after) is None and wait:
+                self.agent.watchers.add(self)
                 self.timer = self.agent.discovery.loop.call_later(wait, self.reply)
             else:
                 self.reply()
 
     def reply(self) -> None:
-        if self.asked is None or self.agent.discovery.silent:
+        if self.pending_request is None or self.agent.discovery.silent:
             return
-        self.agent.waiting.discard(self)
+        self.agent.watchers.discard(self)
         if self.timer is not None:
             self.timer.cancel()
             self.timer = None
-        told = self.agent.answer(self.asked[0]) or {
+        answer = self.agent.list_after(self.pending_request[0]) or {
             "generation": self.agent.generation,
             "reset": False,
             "instances": [],
         }
-        self.agent.discovery.told(self.agent.number, told)
-        self.write(200, json.dumps(told).encode())
+        self.agent.discovery.record_answer(self.agent.number, answer)
+        self.write(200, json.dumps(answer).encode())
 
     def write(self, status: int, body: bytes) -> None:
-        self.asked = None
+        self.pending_request = None
         if not self.transport.is_closing():
             self.transport.write(
                 b"HTTP/1.1 %d OK\r\nContent-Type: application/json\r\n"
@@ -135,54 +135,58 @@
         loop,
         clock: Callable[[], float],
         agents: int,
-        notice: list[float],
+        delay_range: list[float],
         seed: int,
         record: Callable[[dict], None],
     ) -> None:
-        self.loop, self.now, self.notice, self.record = loop, clock, notice, record
-        self.chance = Random(f"{seed}/discovery")
+        self.loop, self.now, self.delay_range, self.record = loop, clock, delay_range, record
+        self.rng = Random(f"{seed}/discovery")
         self.agents = [Agent(self, number) for number in range(agents)]
-        self.silent, self.late = False, 0.0
+        self.silent, self.extra_delay = False, 0.0
         # Time of the last change by agent and upstream: changes of one upstream keep their order.
-        self.last: dict[tuple[int, str], float] = {}
+        self.last_change_at: dict[tuple[int, str], float] = {}
 
-    async def listen(self, places: list[list[tuple[str, int]]]) -> None:
+    async def listen(self, addresses: list[list[tuple[str, int]]]) -> None:
         """Opens two addresses for each agent, so that a new configuration can name the other one."""
-        for agent, own in zip(self.agents, places, strict=True):
-            for place in own:
+        for agent, agent_addresses in zip(self.agents, addresses, strict=True):
+            for address in agent_addresses:
                 agent.servers.append(
                     await self.loop.create_server(
-                        lambda agent=agent, place=place: AgentLink(agent, place), *place
+                        lambda agent=agent, address=address: AgentLink(agent, address), *address
                     )
                 )
 
-    async def move(self, number: int, old: int, place: tuple[str, int], fresh: tuple[str, int]) -> None:
+    async def move(
+        self, number: int, old: int, address: tuple[str, int], new_address: tuple[str, int]
+    ) -> None:
         """Moves an agent from its old address to its other one.
 
         The old address takes no new connections from now on, and open ones are reset after 1.5 s.
         """
         agent = self.agents[number]
         if not agent.servers[1 - old].is_serving():
-            agent.servers[1 - old] = await self.loop.create_server(lambda: AgentLink(agent, fresh), *fresh)
+            agent.servers[1 - old] = await self.loop.create_server(
+                lambda: AgentLink(agent, new_address), *new_address
+            )
         agent.servers[old].close()
-        leaving = [link for link in agent.links if link.place == place]
-        self.loop.call_later(1.5, lambda: [link.transport.abort() for link in leaving])
+        closing_links = [link for link in agent.links if link.address == address]
+        self.loop.call_later(1.5, lambda: [link.transport.abort() for link in closing_links])
 
-    def begin(self, entries: list[list[dict]]) -> None:
+    def set_initial_lists(self, entries: list[list[dict]]) -> None:
         """Sets the initial list of each agent."""
-        for agent, own in zip(self.agents, entries, strict=True):
-            agent.entries = {entry["instanceId"]: entry for entry in own}
+        for agent, agent_entries in zip(self.agents, entries, strict=True):
+            agent.entries = {entry["instanceId"]: entry for entry in agent_entries}
 
     def change(self, entries: list[dict]) -> None:
         """Announces one upstream's change, with an entry for each agent, as addresses differ by zone."""
         for agent, entry in zip(self.agents, entries, strict=True):
-            delay = self.chance.uniform(*self.notice) + self.late
+            delay = self.rng.uniform(*self.delay_range) + self.extra_delay
             key = agent.number, entry["instanceId"]
-            at = max(self.now() + delay, self.last.get(key, 0.0) + 0.001)
-            self.last[key] = at
-            self.loop.call_later(at - self.now(), agent.sent, entry)
+            at = max(self.now() + delay, self.last_change_at.get(key, 0.0) + 0.001)
+            self.last_change_at[key] = at
+            self.loop.call_later(at - self.now(), agent.apply_change, entry)
 
-    def gone(self, on: bool) -> None:
+    def set_silent(self, on: bool) -> None:
         """Stops all responses if `on`; otherwise applies the changes held back and resumes them."""
         self.silent = on
         if not on:
@@ -193,7 +197,7 @@
         for agent in self.agents:
             agent.reset()
 
-    def told(self, number: int, message: dict) -> None:
+    def record_answer(self, number: int, message: dict) -> None:
         now = round(self.now(), 6)
         for entry in message["instances"]:
             self.record(
--- a/shedgrade/lab/worker.py
+++ b/shedgrade/lab/worker.py
@@ -178,7 +178,7 @@
                 scenario.seed,
                 self.record,
             )
-            self.discovery.begin(
+            self.discovery.set_initial_lists(
                 [
                     [self.entry(one["name"], one["group"], one["slot"], number, 0) for one in task["known"]]
                     for number in range(scenario.sidecars.count)
@@ -190,7 +190,7 @@
     def go(self) -> None:
         until = self.scenario.fleet.discovery.silent_until_s
         if self.discovery and until:
-            self.loop.call_later(until - self.clock(), self.discovery.gone, False)
+            self.loop.call_later(until - self.clock(), self.discovery.set_silent, False)
         for one in self.ups.values():
             one.warm_from_now()
 
@@ -242,9 +242,9 @@
             self.list(who, args)
         elif who == "discovery":
             if what == "discovery_gone":
-                self.discovery.gone(args["on"])
+                self.discovery.set_silent(args["on"])
             elif what == "discovery_late":
-                self.discovery.late = args["late"]
+                self.discovery.extra_delay = args["late"]
             elif what == "discovery_reset":
                 self.discovery.reset()
             else:
