--- a/shedgrade/lab/processes.py
+++ b/shedgrade/lab/processes.py
@@ -22,13 +22,13 @@
     """The run cannot be made or has failed; the message is one line."""
 
 
-def free_port(chance: random.Random) -> int:
+def free_port(rng: random.Random) -> int:
     """A random port that is free on all addresses and lies below the kernel's ephemeral ports.
 
     Raises LabError if none is found.
     """
     for _ in range(PORT_ATTEMPTS):
-        port = chance.randrange(FIRST_PORT, LAST_PORT)
+        port = rng.randrange(FIRST_PORT, LAST_PORT)
         with socket.socket() as probe:
             try:
                 probe.bind(("0.0.0.0", port))
@@ -38,24 +38,27 @@
     raise LabError(f"no free port between {FIRST_PORT} and {LAST_PORT}")
 
 
-def need_descriptors(scenario: Scenario, machines: int) -> None:
+def check_descriptors(scenario: Scenario, machines: int) -> None:
     """Raises LabError if the lab might run out of descriptors, which would falsify the results.
 
     `machines` counts all upstreams of the run.
     """
-    have = raise_limit()
+    available = raise_limit()
     sidecars, zones = scenario.sidecars, len(scenario.fleet.zones)
     fleet = machines * zones + sidecars.count * sidecars.sockets // scenario.fleet.processes + 100
     # Clients hold at most as many connections as the sidecars can; during a stall, arrivals add to them.
     longest = max(method.hard_ms for method in scenario.methods) / 1000
-    crowd = min(
+    most_connections = min(
         scenario.callers.connections * sidecars.count,
         sidecars.count * sidecars.sockets + max_rate(scenario.load) * longest,
     )
-    for what, need in (("the fleet", fleet), ("a generator", int(crowd) // scenario.load.processes + 100)):
-        if need > have:
+    for what, need in (
+        ("the fleet", fleet),
+        ("a generator", int(most_connections) // scenario.load.processes + 100),
+    ):
+        if need > available:
             raise LabError(
-                f"{what} may need {need} descriptors and may have {have} (ulimit -n): raise it, or "
+                f"{what} may need {need} descriptors and may have {available} (ulimit -n): raise it, or "
                 "share the work among more processes"
             )
 
@@ -88,16 +91,16 @@
 
     def __init__(self, name: str, process: asyncio.subprocess.Process) -> None:
         self.name, self.process = name, process
-        self.heard: asyncio.Queue = asyncio.Queue()
+        self.messages: asyncio.Queue = asyncio.Queue()
         self.reading = asyncio.create_task(self.read()) if process.stdout else None
 
     async def read(self) -> None:
         while line := await self.process.stdout.readline():
             with contextlib.suppress(orjson.JSONDecodeError):
-                self.heard.put_nowait(orjson.loads(line))
-        self.heard.put_nowait({"what": "gone"})
+                self.messages.put_nowait(orjson.loads(line))
+        self.messages.put_nowait({"what": "gone"})
 
-    def tell(self, **what) -> None:
+    def send(self, **what) -> None:
         if self.process.returncode is None:
             self.process.stdin.write(orjson.dumps(what, option=orjson.OPT_APPEND_NEWLINE))
 
@@ -109,10 +112,10 @@
         try:
             async with asyncio.timeout(limit):
                 while True:
-                    told = await self.heard.get()
-                    if told["what"] == what:
-                        return told
-                    if told["what"] == "gone":
+                    message = await self.messages.get()
+                    if message["what"] == what:
+                        return message
+                    if message["what"] == "gone":
                         raise LabError(f"{self.name} ended by itself; its log says why")
         except TimeoutError:
             raise LabError(f"{self.name} said nothing for {limit:g} s") from None
--- a/tests/lab/test_run.py
+++ b/tests/lab/test_run.py
@@ -247,7 +247,7 @@
     async def scene():
         made = Run(tree(load={**TREE["load"], "late_ms": 100.0}), tmp_path / "run")
         going = asyncio.create_task(made())
-        while not made.zero or made.now() < 1.0:
+        while not made.start_time or made.now() < 1.0:
             await asyncio.sleep(0.05)
         made.generators[0].process.send_signal(signal.SIGSTOP)
         await asyncio.sleep(1.0)
