--- a/shedgrade/lab/upstreams.py
+++ b/shedgrade/lab/upstreams.py
@@ -22,9 +22,9 @@
 REASONS = {200: b"OK", 400: b"Bad Request", 404: b"Not Found", 500: b"Oops", 503: b"Busy"}
 LONGEST = 80 * 1024
 # Corrupt responses to requests that have run.
-SPOILT = ("noise", "endless", "short", "huge", "both", "cut")
+CORRUPT_RESPONSES = ("noise", "endless", "short", "huge", "both", "cut")
 # Correct responses with excess data before or after them.
-EXTRA = ("twice", "behind", "ahead")
+EXCESS_RESPONSES = ("twice", "behind", "ahead")
 
 
 def address(zone: int, slot: int, port: int) -> tuple[str, int]:
@@ -41,8 +41,8 @@
         self.transport: asyncio.Transport | None = None
         self.entry: dict | None = None  # record of the transmission in progress
         self.first = True
-        self.dead = False  # cut off: nothing is read or written any more
-        self.used = server.loop.time()
+        self.cut_off = False  # if set, nothing is read or written any more
+        self.last_used_at = server.loop.time()
         self.clear()
 
     def clear(self) -> None:
@@ -55,10 +55,10 @@
     def connection_lost(self, failure) -> None:
         self.server.links.discard(self)
         if self.entry is not None:
-            self.server.left(self)
+            self.server.connection_ended(self)
 
     def data_received(self, data: bytes) -> None:
-        if self.dead:
+        if self.cut_off:
             return
         if self.begun is None:
             self.begun = self.server.now()
@@ -84,7 +84,7 @@
         if name is None or self.entry is not None:
             self.answer(404 if name is None else 400, b"", last=True)
             return
-        self.server.arrived(self, name.decode("latin-1"), target, headers, begun, size)
+        self.server.request_received(self, name.decode("latin-1"), target, headers, begun, size)
 
     def answer(self, status: int, body: bytes, *headers: bytes, last: bool = False) -> None:
         lines = b"".join(b"%s\r\n" % header for header in headers)
@@ -98,9 +98,9 @@
             self.transport.close()
 
     def send(self, data: bytes) -> None:
-        if not self.dead and not self.transport.is_closing():
+        if not self.cut_off and not self.transport.is_closing():
             self.transport.write(data)
-            self.used = self.server.loop.time()
+            self.last_used_at = self.server.loop.time()
 
     def reset(self) -> None:
         """Closes the connection with a TCP reset, as the kernel does for a process that died."""
@@ -130,11 +130,11 @@
     ) -> None:
         self.loop, self.now, self.name, self.group, self.record = loop, clock, name, group, record
         self.zone, self.slot, self.port, self.latency = zone, slot, port, latency
-        self.chance = Random(f"{seed}/{name}")
+        self.rng = Random(f"{seed}/{name}")
         spread = group.speed_spread
         self.capacity = Capacity(
             group.cores,
-            group.speed * (1 + self.chance.uniform(-spread, spread)),
+            group.speed * (1 + self.rng.uniform(-spread, spread)),
             group.queue,
             clock(),
             cold_from=group.cold_from,
@@ -149,11 +149,11 @@
         self.fillers: list[socket.socket] = []
         self.hanging = self.refusing = self.draining = self.stopped = False
         self.cut_zones: set[int] = set()
-        self.spoil, self.number = 0.0, 0
+        self.corrupt_share, self.number = 0.0, 0
         self.timer, self.timer_at = None, inf
-        self.keys: dict[tuple, dict] = {}  # records of running and queued transmissions by the model's key
+        self.transmissions: dict[tuple, dict] = {}  # running and queued ones by the model's key
 
-    def warm_from_now(self) -> None:
+    def begin_cold_phase(self) -> None:
         """Starts the cold phase at the start of the load for an upstream that was created before it."""
         if self.capacity.started < -1000:
             self.capacity.started = self.capacity.at = self.now()
@@ -162,28 +162,28 @@
 
     def listen(self) -> None:
         for zone in range(len(self.latency)):
-            self.open(zone)
-        self.loop.call_later(1.0, self.sweep)
+            self.open_listener(zone)
+        self.loop.call_later(1.0, self.close_idle)
 
-    def open(self, zone: int) -> None:
-        place = socket.create_server(address(zone, self.slot, self.port), backlog=1024)
-        place.setblocking(False)
-        self.listeners[zone] = place
-        self.loop.add_reader(place, self.accept, zone)
+    def open_listener(self, zone: int) -> None:
+        listener = socket.create_server(address(zone, self.slot, self.port), backlog=1024)
+        listener.setblocking(False)
+        self.listeners[zone] = listener
+        self.loop.add_reader(listener, self.accept, zone)
 
-    def shut(self, zone: int) -> None:
-        place = self.listeners.pop(zone, None)
-        if place is not None:
-            self.loop.remove_reader(place)
-            place.close()
+    def close_listener(self, zone: int) -> None:
+        listener = self.listeners.pop(zone, None)
+        if listener is not None:
+            self.loop.remove_reader(listener)
+            listener.close()
 
     def accept(self, zone: int) -> None:
         for _ in range(64):
-            place = self.listeners.get(zone)
-            if place is None:
+            listener = self.listeners.get(zone)
+            if listener is None:
                 return
             try:
-                made, _ = place.accept()
+                accepted, _ = listener.accept()
             except (BlockingIOError, ConnectionAbortedError):
                 return
             except OSError as failure:
@@ -191,29 +191,31 @@
                     self.record({"k": "trouble", "what": f"{self.name}: descriptors ran out in the fleet"})
                 return
             if len(self.links) >= self.group.connections:
-                made.close()
+                accepted.close()
                 continue
-            made.setsockopt(socket.IPPROTO_TCP, socket.TCP_NODELAY, 1)
-            self.loop.create_task(self.take(made, zone))
+            accepted.setsockopt(socket.IPPROTO_TCP, socket.TCP_NODELAY, 1)
+            self.loop.create_task(self.set_up_connection(accepted, zone))
 
-    async def take(self, made: socket.socket, zone: int) -> None:
+    async def set_up_connection(self, accepted: socket.socket, zone: int) -> None:
         try:
-            await self.loop.connect_accepted_socket(lambda: Link(self, zone), made)
+            await self.loop.connect_accepted_socket(lambda: Link(self, zone), accepted)
         except OSError:
-            made.close()
+            accepted.close()
 
-    def sweep(self) -> None:
+    def close_idle(self) -> None:
         """Closes connections that have been idle for too long."""
         if self.stopped:
             return
-        late = self.loop.time() - self.group.idle_close_ms / 1000
-        for link in [link for link in self.links if link.entry is None and link.used < late]:
+        oldest = self.loop.time() - self.group.idle_close_ms / 1000
+        for link in [link for link in self.links if link.entry is None and link.last_used_at < oldest]:
             link.transport.close()
-        self.loop.call_later(1.0, self.sweep)
+        self.loop.call_later(1.0, self.close_idle)
 
     # --- transmissions
 
-    def arrived(self, link: Link, name: str, target: bytes, headers: dict, begun: float, size: int) -> None:
+    def request_received(
+        self, link: Link, name: str, target: bytes, headers: dict, begun: float, size: int
+    ) -> None:
         now = self.now()
         work = float(headers.get(b"x-lab-work", b"1"))
         if link.first:
@@ -234,61 +236,61 @@
         link.first = False
         entry["pad"] = int(headers.get(b"x-lab-body", b"16"))
         if self.refusing or self.draining:
-            self.away(link)
+            self.reject(link)
             return
         delay = self.latency[link.origin]
         if delay:
-            self.loop.call_later(delay, self.queue, link, entry)
+            self.loop.call_later(delay, self.enqueue, link, entry)
         else:
-            self.queue(link, entry)
+            self.enqueue(link, entry)
 
-    def queue(self, link: Link, entry: dict) -> None:
+    def enqueue(self, link: Link, entry: dict) -> None:
         if link.entry is not entry or self.stopped:
             return
         now = self.now()
-        self.finish(now)
+        self.complete_finished(now)
         key = (id(link), self.number)
         self.number += 1
         entry["key"] = key
-        whom = entry["id"].split(".", 1)[0]
-        verdict = self.capacity.take(now, key, entry["work"], whom)
+        sidecar = entry["id"].split(".", 1)[0]
+        verdict = self.capacity.take(now, key, entry["work"], sidecar)
         if verdict == DOWN:
-            self.fall()
+            self.crash_from_overload()
         elif verdict == AWAY:
-            self.away(link)
+            self.reject(link)
         else:
             entry["link"] = link
-            self.keys[key] = entry
-            self.arm()
+            self.transmissions[key] = entry
+            self.set_timer()
 
-    def away(self, link: Link) -> None:
-        self.told(link, "away")
+    def reject(self, link: Link) -> None:
+        self.end_transmission(link, "away")
         link.answer(503, b"", b"X-Not-Processed: 1")
 
-    def told(self, link: Link, how: str) -> None:
+    def end_transmission(self, link: Link, how: str) -> None:
         """Ends the transmission in progress on a connection and writes its record, with the outcome `how`."""
         entry, link.entry = link.entry, None
-        self.keys.pop(entry.pop("key", None), None)
+        self.transmissions.pop(entry.pop("key", None), None)
         entry.pop("link", None)
         entry.pop("pad", None)
         entry["how"], entry["end"] = how, round(self.now(), 6)
         self.record(entry)
 
-    def left(self, link: Link) -> None:
+    def connection_ended(self, link: Link) -> None:
         """Ends a transmission whose connection closed: the sidecar gave it up, or a fault cut it."""
         key = link.entry.get("key")
-        if key is not None and key in self.keys:
+        if key is not None and key in self.transmissions:
             now = self.now()
-            self.finish(now)
+            self.complete_finished(now)
             if link.entry is None:
                 return
             link.entry["ran"] = link.entry["ran"] or self.capacity.ran(key)
             if self.group.cancels:
                 self.capacity.cancel(now, key)
-                self.arm()
-        self.told(link, "cut" if link.dead else "left")
+                self.set_timer()
+        self.end_transmission(link, "cut" if link.cut_off else "left")
 
-    def arm(self) -> None:
+    def set_timer(self) -> None:
         at = inf if self.hanging or self.stopped else self.capacity.next_end()
         if at == self.timer_at:
             return
@@ -296,18 +298,18 @@
             self.timer.cancel()
         self.timer, self.timer_at = None, at
         if at < inf:
-            self.timer = self.loop.call_later(max(0.0, at - self.now()), self.due)
+            self.timer = self.loop.call_later(max(0.0, at - self.now()), self.timer_expired)
 
-    def due(self) -> None:
+    def timer_expired(self) -> None:
         self.timer, self.timer_at = None, inf
-        self.finish(self.now())
-        self.arm()
+        self.complete_finished(self.now())
+        self.set_timer()
 
-    def finish(self, now: float) -> None:
+    def complete_finished(self, now: float) -> None:
         if self.hanging:
             return
         for _, key in self.capacity.ends(now):
-            entry = self.keys.get(key)
+            entry = self.transmissions.get(key)
             if entry is None:
                 continue
             entry["ran"] = True
@@ -318,25 +320,25 @@
                 self.reply(link, entry)
 
     def reply(self, link: Link, entry: dict) -> None:
-        if link.entry is not entry or link.dead:
+        if link.entry is not entry or link.cut_off:
             return
         body = f"{entry['id']} {self.name} {self.number}".encode()
         body += b" " * max(0, entry.pop("pad") - len(body))
-        if self.group.error_rate and self.chance.random() < self.group.error_rate:
-            self.told(link, "error")
+        if self.group.error_rate and self.rng.random() < self.group.error_rate:
+            self.end_transmission(link, "error")
             link.answer(500, b"")
-        elif self.spoil and self.chance.random() < self.spoil:
-            self.spoiled(link, body, self.chance.choice(SPOILT + EXTRA))
+        elif self.corrupt_share and self.rng.random() < self.corrupt_share:
+            self.send_corrupted(link, body, self.rng.choice(CORRUPT_RESPONSES + EXCESS_RESPONSES))
         else:
-            self.told(link, "done")
+            self.end_transmission(link, "done")
             link.answer(200, body)
 
-    def spoiled(self, link: Link, body: bytes, kind: str) -> None:
+    def send_corrupted(self, link: Link, body: bytes, kind: str) -> None:
         good = b"HTTP/1.1 200 OK\r\nContent-Length: %d\r\n\r\n%s" % (len(body), body)
-        self.told(link, "done" if kind in EXTRA else "spoilt")
+        self.end_transmission(link, "done" if kind in EXCESS_RESPONSES else "spoilt")
         link.send(
             {
-                "noise": bytes(self.chance.randrange(256) for _ in range(200)) + b"\r\n\r\n",
+                "noise": bytes(self.rng.randrange(256) for _ in range(200)) + b"\r\n\r\n",
                 "endless": b"HTTP/1.1 200 OK\r\n" + b"X-More: x\r\n" * 8000,
                 "short": b"HTTP/1.1 200 OK\r\nContent-Length: zzz\r\n\r\n" + body,
                 "huge": b"HTTP/1.1 200 OK\r\nContent-Length: 3000000000\r\n\r\n" + body * 100,
@@ -352,7 +354,7 @@
 
     # --- faults
 
-    def fall(self) -> None:
+    def crash_from_overload(self) -> None:
         """Stays down after the overload of a cold start, and records it."""
         if not self.stopped:
             self.record(
@@ -362,27 +364,27 @@
 
     def kill(self) -> None:
         """Acts as if the process died: open connections are reset, new ones refused."""
-        self.finish(self.now())
+        self.complete_finished(self.now())
         self.stopped = True
         for zone in list(self.listeners):
-            self.shut(zone)
-        for one in self.fillers:
-            one.close()
+            self.close_listener(zone)
+        for filler in self.fillers:
+            filler.close()
         for link in list(self.links):
             if link.entry is not None:
                 key = link.entry.get("key")
                 link.entry["ran"] = link.entry["ran"] or (key is not None and self.capacity.ran(key))
-                self.told(link, "died")
+                self.end_transmission(link, "died")
             link.reset()
-        self.arm()
+        self.set_timer()
 
     def hang(self, on: bool) -> None:
         """Accepts requests but stops all work and responses while on; resumes them afterwards."""
         now = self.now()
-        self.finish(now)
+        self.complete_finished(now)
         self.hanging = on
         self.capacity.speed_now(now, 0.0 if on else 1.0)
-        self.arm()
+        self.set_timer()
 
     def refuse(self, on: bool) -> None:
         """Refuses new connections, and answers 503 to requests on open ones."""
@@ -391,14 +393,14 @@
             return
         for zone in range(len(self.latency)):
             if on:
-                self.shut(zone)
+                self.close_listener(zone)
             elif zone not in self.listeners:
-                self.open(zone)
+                self.open_listener(zone)
 
-    def speed(self, factor: float) -> None:
-        self.finish(self.now())
+    def set_speed(self, factor: float) -> None:
+        self.complete_finished(self.now())
         self.capacity.speed_now(self.now(), factor)
-        self.arm()
+        self.set_timer()
 
     def reset(self) -> None:
         """Resets all connections and cancels their work, which counts as run where it had begun."""
@@ -408,9 +410,9 @@
                 link.entry["ran"] = link.entry["ran"] or (key is not None and self.capacity.ran(key))
                 if key is not None:
                     self.capacity.cancel(self.now(), key)
-                self.told(link, "reset")
+                self.end_transmission(link, "reset")
             link.reset()
-        self.arm()
+        self.set_timer()
 
     def drain(self) -> None:
         """Completes the requests that it holds, and answers 503 to new ones."""
@@ -422,28 +424,28 @@
         Open connections stay open without traffic, and are reset once the zone is restored. New connections
         are not answered.
         """
-        back, self.cut_zones = self.cut_zones - zones, zones
+        restored_zones, self.cut_zones = self.cut_zones - zones, zones
         for link in self.links:
-            if link.origin in zones and not link.dead:
-                link.dead = True
+            if link.origin in zones and not link.cut_off:
+                link.cut_off = True
                 link.transport.pause_reading()
-        for link in [link for link in self.links if link.dead and link.origin in back]:
+        for link in [link for link in self.links if link.cut_off and link.origin in restored_zones]:
             link.reset()
-        for zone in back:
-            self.shut(zone)
+        for zone in restored_zones:
+            self.close_listener(zone)
             if not self.stopped:
-                self.open(zone)
+                self.open_listener(zone)
         for zone in zones:
-            place = self.listeners.get(zone)
-            if place is not None:
-                self.loop.remove_reader(place)
-                self.fill(zone, place)
+            listener = self.listeners.get(zone)
+            if listener is not None:
+                self.loop.remove_reader(listener)
+                self.fill_accept_queue(zone, listener)
 
-    def fill(self, zone: int, place: socket.socket) -> None:
+    def fill_accept_queue(self, zone: int, listener: socket.socket) -> None:
         """Fills the accept queue, so that the kernel drops new connections as if the machine were gone."""
-        place.listen(0)
+        listener.listen(0)
         for _ in range(3):
-            one = socket.socket()
-            one.setblocking(False)
-            one.connect_ex(place.getsockname())
-            self.fillers.append(one)
+            filler = socket.socket()
+            filler.setblocking(False)
+            filler.connect_ex(listener.getsockname())
+            self.fillers.append(filler)
--- a/shedgrade/lab/worker.py
+++ b/shedgrade/lab/worker.py
@@ -24,18 +24,18 @@
 from shedgrade.lab.arrival import Arrival
 from shedgrade.lab.scenario import Scenario
 
-PARENT_GONE = 1  # PR_SET_PDEATHSIG of prctl(2)
-FLUSH = 0.2  # interval between two writes of records, s
+PR_SET_PDEATHSIG = 1  # option of prctl(2)
+FLUSH_INTERVAL_S = 0.2  # between two writes of records
 
 
 class Clock:
     """Seconds since the start of the load; far below 0 until that start is known."""
 
     def __init__(self) -> None:
-        self.zero = time.monotonic() + 10_000
+        self.start_time = time.monotonic() + 10_000
 
     def __call__(self) -> float:
-        return time.monotonic() - self.zero
+        return time.monotonic() - self.start_time
 
 
 class Records:
@@ -75,7 +75,7 @@
     def begin() -> None:
         if cores:
             os.sched_setaffinity(0, cores)
-        libc.prctl(PARENT_GONE, int(number))
+        libc.prctl(PR_SET_PDEATHSIG, int(number))
 
     return begin
 
@@ -88,7 +88,7 @@
         return 0.0
 
 
-def say(**what) -> None:
+def send_message(**what) -> None:
     """Sends one message to the runner, as a line of JSON on stdout."""
     sys.stdout.buffer.write(orjson.dumps(what, option=orjson.OPT_APPEND_NEWLINE))
     sys.stdout.buffer.flush()
@@ -109,26 +109,26 @@
         while line := await reader.readline():
             command = orjson.loads(line)
             if command["what"] == "go":
-                self.clock.zero = command["zero"]
-                self.go()
+                self.clock.start_time = command["zero"]
+                self.load_starts()
             elif command["what"] == "end":
                 break
             else:
-                await self.step(command)
+                await self.apply_step(command)
         self.ended.set()
 
-    async def flushing(self) -> None:
+    async def flush_periodically(self) -> None:
         while True:
-            await asyncio.sleep(FLUSH)
+            await asyncio.sleep(FLUSH_INTERVAL_S)
             self.save()
 
     def save(self) -> None:
         self.record.flush()
 
-    def go(self) -> None:
+    def load_starts(self) -> None:
         """Called when the runner has announced the start of the load."""
 
-    async def step(self, command: dict) -> None:
+    async def apply_step(self, command: dict) -> None:
         """Carries out one step of the fault schedule."""
 
     async def start(self) -> None:
@@ -142,15 +142,15 @@
         await self.start()
         gc.collect()
         gc.freeze()
-        say(what="ready")
+        send_message(what="ready")
         reading = asyncio.create_task(self.commands())
-        flushing = asyncio.create_task(self.flushing())
+        flushing = asyncio.create_task(self.flush_periodically())
         await self.ended.wait()
-        told = await self.finish()
+        figures = await self.finish()
         flushing.cancel()
         reading.cancel()
         self.save()
-        say(what="done", **told)
+        send_message(what="done", **figures)
 
 
 class FleetWorker(Worker):
@@ -159,15 +159,17 @@
     async def start(self) -> None:
         from shedgrade.lab.listing import Discovery
 
-        self.ups, self.gone = {}, []
+        self.upstreams, self.gone = {}, []
         scenario, task = self.scenario, self.task
         self.zones = {name: number for number, name in enumerate(scenario.fleet.zones)}
         saved = scenario.sidecars.saved
-        for one in task["machines"]:
-            self.up(one["name"], one["group"], one["slot"], bool(saved and saved.cold))
-        for one in task["silent"]:
-            self.up(one["name"], one["group"], one["slot"], False)
-            self.ups[one["name"]].cut(set(self.zones.values()))
+        for machine in task["machines"]:
+            self.start_upstream(
+                machine["name"], machine["group"], machine["slot"], bool(saved and saved.cold)
+            )
+        for machine in task["silent"]:
+            self.start_upstream(machine["name"], machine["group"], machine["slot"], False)
+            self.upstreams[machine["name"]].cut(set(self.zones.values()))
         self.discovery = None
         if task["agents"]:
             self.discovery = Discovery(
@@ -180,21 +182,24 @@
             )
             self.discovery.set_initial_lists(
                 [
-                    [self.entry(one["name"], one["group"], one["slot"], number, 0) for one in task["known"]]
+                    [
+                        self.entry(machine["name"], machine["group"], machine["slot"], number, 0)
+                        for machine in task["known"]
+                    ]
                     for number in range(scenario.sidecars.count)
                 ]
             )
             await self.discovery.listen(task["agents"])
             self.discovery.silent = scenario.fleet.discovery.silent_until_s > 0
 
-    def go(self) -> None:
+    def load_starts(self) -> None:
         until = self.scenario.fleet.discovery.silent_until_s
         if self.discovery and until:
             self.loop.call_later(until - self.clock(), self.discovery.set_silent, False)
-        for one in self.ups.values():
-            one.warm_from_now()
+        for upstream in self.upstreams.values():
+            upstream.begin_cold_phase()
 
-    def up(self, name: str, group: int, slot: int, cold: bool) -> None:
+    def start_upstream(self, name: str, group: int, slot: int, cold: bool) -> None:
         from shedgrade.lab.upstreams import Upstream
 
         fleet = self.scenario.fleet
@@ -203,7 +208,7 @@
         latency = [
             (fleet.same_ms if origin == zone else fleet.cross_ms) / 1000 for origin in range(len(self.zones))
         ]
-        one = Upstream(
+        upstream = Upstream(
             self.loop,
             self.clock,
             name,
@@ -216,8 +221,8 @@
             self.scenario.seed,
             self.record,
         )
-        one.listen()
-        self.ups[name] = one
+        upstream.listen()
+        self.upstreams[name] = upstream
 
     def entry(self, name: str, group: int, slot: int, sidecar: int, started: int) -> dict:
         from shedgrade.lab.upstreams import address
@@ -236,10 +241,10 @@
             "startedAtMs": started,
         }
 
-    async def step(self, command: dict) -> None:
+    async def apply_step(self, command: dict) -> None:
         who, what, args = command["who"], command["what"], command["args"]
         if what == "list":
-            self.list(who, args)
+            self.announce(who, args)
         elif who == "discovery":
             if what == "discovery_gone":
                 self.discovery.set_silent(args["on"])
@@ -252,12 +257,12 @@
                     args["number"], args["old"], tuple(args["place"]), tuple(args["fresh"])
                 )
         elif what == "start":
-            old = self.ups.get(who)
+            old = self.upstreams.get(who)
             if old is not None and not old.stopped:
                 old.kill()
-            self.up(who, args["group"], args["slot"], args["cold"])
-        elif who in self.ups:
-            one = self.ups[who]
+            self.start_upstream(who, args["group"], args["slot"], args["cold"])
+        elif who in self.upstreams:
+            one = self.upstreams[who]
             if one.stopped:
                 return
             if what == "kill":
@@ -265,9 +270,9 @@
             elif what in ("hang", "refuse"):
                 getattr(one, what)(args["on"])
             elif what == "speed":
-                one.speed(args["factor"])
+                one.set_speed(args["factor"])
             elif what == "spoil":
-                one.spoil = args["share"]
+                one.corrupt_share = args["share"]
             elif what == "cut":
                 zones = args["zones"]
                 one.cut(set(self.zones.values()) if "*" in zones else {self.zones[name] for name in zones})
@@ -276,7 +281,7 @@
             elif what == "drain":
                 one.drain()
 
-    def list(self, who: str, args: dict) -> None:
+    def announce(self, who: str, args: dict) -> None:
         if args["lifecycle"] == "in_service":
             started = round(time.time() * 1000)
             entries = [
@@ -291,10 +296,10 @@
         self.discovery.change(entries)
 
     async def finish(self) -> dict:
-        for one in self.ups.values():
-            for link in list(one.links):
+        for upstream in self.upstreams.values():
+            for link in list(upstream.links):
                 if link.entry is not None:
-                    one.told(link, "open")
+                    upstream.end_transmission(link, "open")
         return {"run_delay": run_delay(), "cpu": sum(os.times()[:2])}
 
 
@@ -306,7 +311,7 @@
         from shedgrade.lab.misbehaving_clients import MisbehavingClients
 
         task, scenario = self.task, self.scenario
-        arrivals = [msgspec.convert(one, Arrival) for one in task["arrivals"]]
+        arrivals = [msgspec.convert(arrival, Arrival) for arrival in task["arrivals"]]
         places = [tuple(place) for place in task["sidecars"]]
         self.generator = Generator(
             self.loop, self.clock, scenario, arrivals, places, self.record, task["number"]
@@ -328,31 +333,33 @@
             if first and scenario.load.bad_clients
             else None
         )
-        self.delay = 0.0
+        self.run_delay_at_start = 0.0
 
-    def go(self) -> None:
-        self.delay = run_delay()
+    def load_starts(self) -> None:
+        self.run_delay_at_start = run_delay()
         self.loop.call_later(max(0.0, -self.clock()), self.generator.begin)
-        self.others = [
-            asyncio.create_task(self.later(one)) for one in (self.closed, self.misbehaving_clients) if one
+        self.extra_tasks = [
+            asyncio.create_task(self.run_from_start(client_load))
+            for client_load in (self.closed, self.misbehaving_clients)
+            if client_load
         ]
 
-    async def later(self, one) -> None:
+    async def run_from_start(self, client_load) -> None:
         await asyncio.sleep(max(0.0, -self.clock()))
-        await one.run()
+        await client_load.run()
 
     async def commands(self) -> None:
-        waiting = asyncio.create_task(self.all_done())
+        waiting = asyncio.create_task(self.report_completion())
         await super().commands()
         waiting.cancel()
 
-    async def all_done(self) -> None:
+    async def report_completion(self) -> None:
         while self.clock() < 0:
             await asyncio.sleep(0.05)
         await self.generator.finished.wait()
-        await asyncio.gather(*self.others)
+        await asyncio.gather(*self.extra_tasks)
         await asyncio.sleep(0.1)  # late responses are still recorded
-        say(what="sent", **self.generator.counts)
+        send_message(what="sent", **self.generator.counts)
 
     def save(self) -> None:
         super().save()
@@ -364,28 +371,28 @@
         }
         if self.closed:
             histograms["closed"] = self.closed.latency
-        told = {name: one.encode().decode() for name, one in histograms.items()}
+        encoded = {name: histogram.encode().decode() for name, histogram in histograms.items()}
         path = Path(self.task["histograms"])
-        fresh = path.with_suffix(".new")
-        fresh.write_bytes(
+        new_path = path.with_suffix(".new")
+        new_path.write_bytes(
             orjson.dumps(
                 {
                     "late": generator.late,
                     "troubles": generator.troubles,
-                    "run_delay": run_delay() - self.delay,
+                    "run_delay": run_delay() - self.run_delay_at_start,
                     "counts": generator.counts,
-                    "histograms": told,
+                    "histograms": encoded,
                 }
             )
         )
-        fresh.replace(path)
+        new_path.replace(path)
 
-    async def flushing(self) -> None:
+    async def flush_periodically(self) -> None:
         while True:
-            await asyncio.sleep(FLUSH)
+            await asyncio.sleep(FLUSH_INTERVAL_S)
             self.record.flush()
             # Saving histograms costs more than flushing records, so it happens every two seconds.
-            if int(self.clock() / FLUSH) % 10 == 0:
+            if int(self.clock() / FLUSH_INTERVAL_S) % 10 == 0:
                 self.save()
 
     async def finish(self) -> dict:
