--- a/shedgrade/lab/scenario.py
+++ b/shedgrade/lab/scenario.py
@@ -23,11 +23,11 @@
     """The scenario is invalid; one line with the file, the key and the reason."""
 
 
-class Part(Struct, forbid_unknown_fields=True, kw_only=True):
+class Table(Struct, forbid_unknown_fields=True, kw_only=True):
     """A table of the scenario file; an unknown key in it is an error."""
 
 
-class Group(Part, kw_only=True):
+class Group(Table, kw_only=True):
     """Identical upstreams: their cores, speed and queue, and how they behave when cold or overloaded.
 
     speed: factor on the work that one core does in a millisecond
@@ -65,7 +65,7 @@
     cancels: bool = True
 
 
-class Discovery(Part, kw_only=True):
+class Discovery(Table, kw_only=True):
     """Stand-in discovery.
 
     silent_until_s: discovery does not answer from before the sidecars start until this time
@@ -78,7 +78,7 @@
     notice_ms: Range = field(default_factory=lambda: [50.0, 200.0])
 
 
-class Fleet(Part, kw_only=True):
+class Fleet(Table, kw_only=True):
     """The upstreams and the network between zones.
 
     processes: processes that the upstreams are divided among
@@ -93,7 +93,7 @@
     discovery: Discovery = field(default_factory=Discovery)
 
 
-class SavedStart(Part, kw_only=True):
+class SavedStart(Table, kw_only=True):
     """Sidecars keep their list on disk, and start from a saved list that the lab prepares.
 
     age_s: time since discovery last confirmed the saved list
@@ -113,7 +113,7 @@
     prepared: bool = True
 
 
-class Sidecars(Part, kw_only=True):
+class Sidecars(Table, kw_only=True):
     """The sidecars of the run.
 
     zones: zone of each sidecar; assigned in rotation over the fleet's zones if empty
@@ -144,7 +144,7 @@
     log_level: Literal["DEBUG", "INFO", "WARNING", "ERROR"] = "INFO"
 
 
-class Method(Part, kw_only=True):
+class Method(Table, kw_only=True):
     """One method of the service.
 
     repeats: whether a request that may have run may be sent again: always, where and as long as the service
@@ -164,7 +164,7 @@
     hard_ms: Positive = 1_200.0
 
 
-class Settings(Part, kw_only=True):
+class Settings(Table, kw_only=True):
     """Settings that the platform gives to the sidecars, apart from the methods."""
 
     most_transmissions: Count = 3
@@ -177,7 +177,7 @@
     cross_price: NotNegative = 0.02
 
 
-class Shape(Part, kw_only=True):
+class Shape(Table, kw_only=True):
     """One component of the rate, in RPCs per second; the rate is the sum of all components.
 
     steady: `rate`.
@@ -196,7 +196,7 @@
     swing: Share = 0.5
 
 
-class Class(Part, kw_only=True):
+class Class(Table, kw_only=True):
     """A class of RPCs in the load.
 
     share: weight of the class among all classes
@@ -217,7 +217,7 @@
     attrs: str = ""
 
 
-class Trace(Part, kw_only=True):
+class Trace(Table, kw_only=True):
     """A recorded trace that replaces the shapes of the load.
 
     retries: `recorded` retries are sent as recorded and count with their first try; with `own`, the callers
@@ -230,7 +230,7 @@
     speed: Positive = 1.0
 
 
-class Load(Part, kw_only=True):
+class Load(Table, kw_only=True):
     """The load that the generators offer.
 
     scale: factor on the rate of all shapes
@@ -258,7 +258,7 @@
     bad_clients: NotNegative = 0.0
 
 
-class Callers(Part, kw_only=True):
+class Callers(Table, kw_only=True):
     """How clients behave.
 
     wait_ms: time after which a client gives up a try; 0 for the method's hard deadline
@@ -277,7 +277,7 @@
     connections: Count = 2_000
 
 
-class Fault(Part, kw_only=True):
+class Fault(Table, kw_only=True):
     """One fault of the schedule; docs/operate/lab.md lists the keys that each `kind` uses."""
 
     kind: Literal[
@@ -320,13 +320,13 @@
     count: Annotated[int, Meta(ge=0)] = 0
 
 
-class Judging(Part, kw_only=True):
+class Judging(Table, kw_only=True):
     """`grace_ms`: tolerance on each time limit for a loaded machine; the platform's own is 50 ms."""
 
     grace_ms: NotNegative = 50.0
 
 
-class Scenario(Part, kw_only=True):
+class Scenario(Table, kw_only=True):
     """A complete scenario.
 
     about: description for readers of the report
@@ -378,9 +378,9 @@
         yield "load.shapes", "no load: give shapes, a trace or closed"
     if not load.classes and load.trace is None:
         yield "load.classes", "missing"
-    for number, one in enumerate(load.classes):
-        if one.method not in methods:
-            yield f"load.classes[{number}].method", f"{one.method!r} is not in methods"
+    for number, load_class in enumerate(load.classes):
+        if load_class.method not in methods:
+            yield f"load.classes[{number}].method", f"{load_class.method!r} is not in methods"
     for number, shape in enumerate(load.shapes):
         if shape.kind in ("ramp", "step", "burst") and shape.until_s <= shape.from_s:
             yield f"load.shapes[{number}].until_s", f"{shape.until_s:g} is not after from_s {shape.from_s:g}"
@@ -406,9 +406,9 @@
             yield f"{key}.zone", "missing"
         if fault.kind.startswith("sidecar") and fault.sidecar >= scenario.sidecars.count:
             yield f"{key}.sidecar", f"{fault.sidecar} of {scenario.sidecars.count} sidecars, counted from 0"
-        for one in fault.upstreams:
-            if not 0 <= one < upstreams:
-                yield f"{key}.upstreams", f"{one} of {upstreams} upstreams, counted from 0"
+        for upstream in fault.upstreams:
+            if not 0 <= upstream < upstreams:
+                yield f"{key}.upstreams", f"{upstream} of {upstreams} upstreams, counted from 0"
 
 
 def parse(text: bytes, name: str) -> Scenario:
@@ -418,8 +418,8 @@
     """
     try:
         tree = tomllib.loads(text.decode())
-    except (tomllib.TOMLDecodeError, UnicodeDecodeError) as wrong:
-        raise ScenarioError(f"{name}: not TOML: {wrong}") from wrong
+    except (tomllib.TOMLDecodeError, UnicodeDecodeError) as error:
+        raise ScenarioError(f"{name}: not TOML: {error}") from error
     return convert(tree, name)
 
 
@@ -427,18 +427,18 @@
     """Validates a parsed scenario; `name` stands for the file in errors. Raises ScenarioError."""
     try:
         scenario = msgspec.convert(tree, Scenario)
-    except msgspec.ValidationError as wrong:
-        what, _, where = str(wrong).partition(" - at `")
-        raise ScenarioError(f"{name}: {where.rstrip('`').removeprefix('$.') or 'file'}: {what}") from wrong
+    except msgspec.ValidationError as error:
+        reason, _, key = str(error).partition(" - at `")
+        raise ScenarioError(f"{name}: {key.rstrip('`').removeprefix('$.') or 'file'}: {reason}") from error
     for key, reason in problems(scenario):
         raise ScenarioError(f"{name}: {key}: {reason}")
     return scenario
 
 
-def load(path: str | Path, sets: list[str] = ()) -> Scenario:
+def load(path: str | Path, overrides: list[str] = ()) -> Scenario:
     """Reads and validates a scenario file; a relative trace path counts from the file's folder.
 
-    `sets` are overrides of the form key.path=value, with the value in TOML or as a bare string. Raises
+    `overrides` have the form key.path=value, with the value in TOML or as a bare string. Raises
     ScenarioError.
     """
     try:
@@ -446,33 +446,33 @@
     except OSError as failure:
         raise ScenarioError(f"{path}: {failure.strerror}") from failure
     scenario = parse(text, str(path))
-    if sets:
+    if overrides:
         tree = msgspec.to_builtins(scenario)
-        for change in sets:
-            put(tree, change, str(path))
-        scenario = convert(tree, f"{path} with {', '.join(sets)}")
+        for override in overrides:
+            apply_override(tree, override, str(path))
+        scenario = convert(tree, f"{path} with {', '.join(overrides)}")
     base = Path(path).parent
     if scenario.load.trace is not None and not Path(scenario.load.trace.file).is_absolute():
         scenario.load.trace.file = str(base / scenario.load.trace.file)
     return scenario
 
 
-def put(tree: dict, change: str, name: str) -> None:
+def apply_override(tree: dict, override: str, name: str) -> None:
     """Applies one override of the form key.path=value to the tree. Raises ScenarioError."""
-    path, equals, text = change.partition("=")
-    if not equals:
-        raise ScenarioError(f"{name}: {change}: not of the form key=value")
+    path, separator, text = override.partition("=")
+    if not separator:
+        raise ScenarioError(f"{name}: {override}: not of the form key=value")
     try:
         value = tomllib.loads(f"v = {text}")["v"]
     except tomllib.TOMLDecodeError:
         value = text
-    place, keys = tree, path.strip().split(".")
+    table, keys = tree, path.strip().split(".")
     try:
         for key in keys[:-1]:
-            place = place[int(key)] if isinstance(place, list) else place[key]
-        if isinstance(place, list):
-            place[int(keys[-1])] = value
+            table = table[int(key)] if isinstance(table, list) else table[key]
+        if isinstance(table, list):
+            table[int(keys[-1])] = value
         else:
-            place[keys[-1]] = value
-    except (KeyError, IndexError, ValueError, TypeError) as wrong:
-        raise ScenarioError(f"{name}: {path}: no such key") from wrong
+            table[keys[-1]] = value
+    except (KeyError, IndexError, ValueError, TypeError) as error:
+        raise ScenarioError(f"{name}: {path}: no such key") from error
--- a/shedgrade/lab/sidecar_config.py
+++ b/shedgrade/lab/sidecar_config.py
@@ -13,7 +13,7 @@
     """The configuration that the platform would give this sidecar, with the initial list if it is known."""
     zones = scenario.fleet.zones
     zone = zones.index(scenario.zone_of(number))
-    said = scenario.settings
+    platform_settings = scenario.settings
     kinds = list(dict.fromkeys(group.kind for group in scenario.fleet.groups))
     repeats = {"retriable": "repeatable", "deduped": "by_key", "non-retriable": "once"}
     # The rules for cold upstreams state the weakest values of any group, as they must hold for all of them.
@@ -21,7 +21,9 @@
     cold = max(group.cold_ms for group in scenario.fleet.groups)
     known = None
     if scenario.sidecars.known == "first":
-        instances = [entry(scenario, one.name, one.group, one.slot, port, zone) for one in machines]
+        instances = [
+            entry(scenario, machine.name, machine.group, machine.slot, port, zone) for machine in machines
+        ]
         known = {"generation": 1, "reset": True, "instances": instances}
     return {
         "name": f"n{number}",
@@ -38,7 +40,7 @@
             "my_number": number,
             "zones": zones,
             "shapes": kinds,
-            "prices": {"cross_zone": said.cross_price},
+            "prices": {"cross_zone": platform_settings.cross_price},
             "customers": [],
             "report": {"fields": [], "via": "off"},
             "methods": [
@@ -56,14 +58,14 @@
                 for method in scenario.methods
             ],
             "limits": {
-                "most_transmissions": said.most_transmissions,
-                "parallel_tries": said.parallel_tries,
-                "cancelling": said.cancelling,
-                "retry_after": said.retry_after,
-                "max_retry_after": said.max_retry_after_ms,
+                "most_transmissions": platform_settings.most_transmissions,
+                "parallel_tries": platform_settings.parallel_tries,
+                "cancelling": platform_settings.cancelling,
+                "retry_after": platform_settings.retry_after,
+                "max_retry_after": platform_settings.max_retry_after_ms,
                 "probes": False,
                 "may_tell": False,
-                "dial_timeout": said.dial_timeout_ms,
+                "dial_timeout": platform_settings.dial_timeout_ms,
                 "idle_close": min(group.idle_close_ms for group in scenario.fleet.groups),
             },
             "rules": {
@@ -72,7 +74,7 @@
                 "cold_from": cold_from,
                 "fall_multiple": min(group.fall_multiple for group in scenario.fleet.groups),
                 "overload_for": min(group.overload_ms for group in scenario.fleet.groups),
-                "stop_sending_within": said.stop_sending_ms,
+                "stop_sending_within": platform_settings.stop_sending_ms,
             },
         },
     }
--- a/shedgrade/lab/worker.py
+++ b/shedgrade/lab/worker.py
@@ -262,24 +262,26 @@
                 old.kill()
             self.start_upstream(who, args["group"], args["slot"], args["cold"])
         elif who in self.upstreams:
-            one = self.upstreams[who]
-            if one.stopped:
+            upstream = self.upstreams[who]
+            if upstream.stopped:
                 return
             if what == "kill":
-                one.kill()
+                upstream.kill()
             elif what in ("hang", "refuse"):
-                getattr(one, what)(args["on"])
+                getattr(upstream, what)(args["on"])
             elif what == "speed":
-                one.set_speed(args["factor"])
+                upstream.set_speed(args["factor"])
             elif what == "spoil":
-                one.corrupt_share = args["share"]
+                upstream.corrupt_share = args["share"]
             elif what == "cut":
                 zones = args["zones"]
-                one.cut(set(self.zones.values()) if "*" in zones else {self.zones[name] for name in zones})
+                upstream.cut(
+                    set(self.zones.values()) if "*" in zones else {self.zones[name] for name in zones}
+                )
             elif what == "reset":
-                one.reset()
+                upstream.reset()
             elif what == "drain":
-                one.drain()
+                upstream.drain()
 
     def announce(self, who: str, args: dict) -> None:
         if args["lifecycle"] == "in_service":
