--- a/tests/lab/test_faults.py
+++ b/tests/lab/test_faults.py
@@ -74,13 +74,15 @@
 
 
 def test_a_zone_loss_kills_or_cuts_its_upstreams_and_a_zone_cut_works_both_ways():
-    loud = Counter(what for _, _, what in steps({"kind": "zone_loss", "at_s": 1, "for_s": 2, "zone": "b"}))
-    assert loud == {"kill": 4, "list": 8, "start": 4}
-    quiet = Counter(
+    announced = Counter(
+        what for _, _, what in steps({"kind": "zone_loss", "at_s": 1, "for_s": 2, "zone": "b"})
+    )
+    assert announced == {"kill": 4, "list": 8, "start": 4}
+    silent = Counter(
         what
         for _, _, what in steps({"kind": "zone_loss", "at_s": 1, "for_s": 2, "zone": "b", "silent": True})
     )
-    assert quiet == {"cut": 8}
+    assert silent == {"cut": 8}
     _, line, _ = planned({"kind": "zone_cut", "at_s": 1, "for_s": 2, "zone": "b"})
     assert sum(step.args["zones"] == ["a"] for step in line) == 4
     assert sum(step.args["zones"] == ["b"] for step in line) == 6
--- a/tests/lab/test_load.py
+++ b/tests/lab/test_load.py
@@ -114,7 +114,7 @@
 
 
 @pytest.mark.parametrize(
-    "text, said",
+    "text, expected",
     [
         ("at_ms,id\n1,a\nx,b\n", "line 3"),
         ("at_ms,id\n1,a\n2,a\n", "twice"),
@@ -123,11 +123,11 @@
         ("at_ms\n1\n", "line 2"),
     ],
 )
-def test_an_invalid_trace_is_reported_with_file_and_line(tmp_path, text, said):
+def test_an_invalid_trace_is_reported_with_file_and_line(tmp_path, text, expected):
     (tmp_path / "bad.csv").write_text(text)
     with pytest.raises(ScenarioError) as error:
         schedule(scenario(load={**SMALL["load"], "trace": {"file": str(tmp_path / "bad.csv")}}))
-    assert "bad.csv" in str(error.value) and said in str(error.value) and "\n" not in str(error.value)
+    assert "bad.csv" in str(error.value) and expected in str(error.value) and "\n" not in str(error.value)
 
 
 def test_a_runs_records_export_as_a_trace_that_links_its_retries():
@@ -156,13 +156,13 @@
 
 
 def test_callers_retry_only_where_a_repeat_is_harmless():
-    three = Callers(retries=2, backoff="exponential", backoff_ms=100)
+    retrying = Callers(retries=2, backoff="exponential", backoff_ms=100)
     once, safe = Method(name="m"), Method(name="r", repeats="retriable")
     keyed = Method(name="k", repeats="deduped", window_ms=500)
     zoned = Method(name="z", repeats="deduped", group="zone", window_ms=500)
 
     def again(method, outcome, tries=1, since=0.1, after=0.0):
-        return callers.retry_delay(three, method, outcome, tries, since, after, Random(1))
+        return callers.retry_delay(retrying, method, outcome, tries, since, after, Random(1))
 
     assert again(once, callers.FAILED) is again(once, callers.GAVE_UP) is again(zoned, callers.LOST) is None
     assert again(once, callers.REFUSED) is not None and again(once, callers.UNREACHABLE) is not None
--- a/tests/lab/test_run.py
+++ b/tests/lab/test_run.py
@@ -70,17 +70,17 @@
         load={**TREE["load"], "processes": 2}, fleet={**TREE["fleet"], "processes": 2, "cross_ms": 2.0}
     )
     summary = run(Path(), scenario)
-    said = summary["figures"]
+    figures = summary["figures"]
     assert summary["state"] == "done" and not summary["breaches"] and not summary["no_result"]
-    assert said["asked"] == said["served"] == len(schedule(scenario)) == summary["latency_ms"]["count"]
-    assert said["cpu_us_per_rpc"] > 0 and 5 < said["peak_mb"] < 192
+    assert figures["asked"] == figures["served"] == len(schedule(scenario)) == summary["latency_ms"]["count"]
+    assert figures["cpu_us_per_rpc"] > 0 and 5 < figures["peak_mb"] < 192
     for form, start in (("html", "<!doctype html>"), ("md", "# t")):
         assert report.write(tmp_path / "run", form).read_text().startswith(start)
     assert (
         CliRunner().invoke(app, ["lab", "export", str(tmp_path / "run"), str(tmp_path / "t.csv")]).exit_code
         == 0
     )
-    assert len(trace.read(tmp_path / "t.csv")) == said["asked"]
+    assert len(trace.read(tmp_path / "t.csv")) == figures["asked"]
 
 
 def test_the_tail_of_a_known_stall_is_reported_in_full_and_a_closed_loop_hides_it(tmp_path):
@@ -145,8 +145,8 @@
         load={**TREE["load"], "bad_clients": 8.0},
     )
     summary = run(tmp_path, scenario)
-    done = {one["what"] for one in results.lines(tmp_path / "run/events.jsonl") if one["k"] == "fault"}
-    assert done >= {
+    fault_steps = {one["what"] for one in results.lines(tmp_path / "run/events.jsonl") if one["k"] == "fault"}
+    assert fault_steps >= {
         "kill",
         "start",
         "hang",
@@ -167,8 +167,8 @@
         "list",
     }
     assert not summary["breaches"], summary["breaches"][:3]
-    hows = {one["how"] for one in results.records(tmp_path / "run") if one["k"] == "tx"}
-    assert hows >= {"done", "spoilt"} and summary["figures"]["served"] > 200
+    outcomes = {one["how"] for one in results.records(tmp_path / "run") if one["k"] == "tx"}
+    assert outcomes >= {"done", "spoilt"} and summary["figures"]["served"] > 200
     assert summary["bad_clients"]["count"] > 20 and summary["bad_clients"]["neither"] == 0
     report.write(tmp_path / "run")
 
@@ -244,25 +244,28 @@
 
 
 def test_a_generator_that_was_stopped_makes_the_run_invalid(tmp_path):
-    async def scene():
-        made = Run(tree(load={**TREE["load"], "late_ms": 100.0}), tmp_path / "run")
-        going = asyncio.create_task(made())
-        while not made.start_time or made.now() < 1.0:
+    async def stop_generator_during_run():
+        lab_run = Run(tree(load={**TREE["load"], "late_ms": 100.0}), tmp_path / "run")
+        running = asyncio.create_task(lab_run())
+        while not lab_run.start_time or lab_run.now() < 1.0:
             await asyncio.sleep(0.05)
-        made.generators[0].process.send_signal(signal.SIGSTOP)
+        lab_run.generators[0].process.send_signal(signal.SIGSTOP)
         await asyncio.sleep(1.0)
-        made.generators[0].process.send_signal(signal.SIGCONT)
-        return await going
+        lab_run.generators[0].process.send_signal(signal.SIGCONT)
+        return await running
 
-    summary = asyncio.run(scene())
+    summary = asyncio.run(stop_generator_during_run())
     assert "the generator was late" in summary["no_result"][0] and summary["lateness_ms"]["max"] > 700
 
 
 def test_a_generator_that_waited_for_a_core_makes_the_run_invalid(tmp_path):
     results.put_state(tmp_path, "done")
-    said = {"late": 0, "troubles": [], "run_delay": 0.1}
-    assert results.invalid(tree(), tmp_path, None, said) == []
-    assert "waited 0.2 s for a core" in results.invalid(tree(), tmp_path, None, {**said, "run_delay": 0.2})[0]
+    reported = {"late": 0, "troubles": [], "run_delay": 0.1}
+    assert results.invalid(tree(), tmp_path, None, reported) == []
+    assert (
+        "waited 0.2 s for a core"
+        in results.invalid(tree(), tmp_path, None, {**reported, "run_delay": 0.2})[0]
+    )
 
 
 def test_recorded_retries_count_with_their_first_try(tmp_path):
@@ -287,8 +290,8 @@
         faults=[{"kind": "hang", "at_s": 0.0, "for_s": 1.2, "share": 1.0}],
     )
     summary = run(tmp_path, scenario)
-    said = summary["figures"]
-    assert said["asked"] == 20 and said["served"] == 20 and said["tries"] == 2.0
+    figures = summary["figures"]
+    assert figures["asked"] == 20 and figures["served"] == 20 and figures["tries"] == 2.0
     # Latency counts from the first try, not from the retry.
     assert 1180 <= summary["latency_ms"]["p50"] < 3000
 
