--- a/shedgrade/lab/listing.py
+++ b/shedgrade/lab/listing.py
@@ -45,7 +45,7 @@
                 link.reply()
 
     def reset(self) -> None:
-        """Restarts the generations, so that every watch receives the whole list."""
+        """Restarts the generations; a request for changes after a higher one receives the whole list."""
         self.generation, self.changes = 1, []
         self.answer_watchers()
 
--- a/shedgrade/lab/runner.py
+++ b/shedgrade/lab/runner.py
@@ -177,14 +177,14 @@
         saved = saved if saved and saved.trust != "off" else None
         named, silent = prepared.saved_rows(scenario, first) if saved else ([], [])
         for number in range(scenario.fleet.processes):
-            own = [machine for machine in known if self.owner[machine["name"]] == number]
+            own_machines = [machine for machine in known if self.owner[machine["name"]] == number]
             self.fleet.append(
                 await self.start_worker(
                     f"fleet-{number}",
                     {
                         "role": "fleet",
                         "port": port,
-                        "machines": own,
+                        "machines": own_machines,
                         "known": known,
                         "silent": silent if number == 0 else [],
                         "cores": lab_cores,
@@ -209,16 +209,16 @@
             )
             (self.folder / f"n{number}.json").write_bytes(orjson.dumps(config))
             await self.start_sidecar(number)
-        parts = scenario.load.processes
-        for number in range(parts):
-            own = [msgspec.to_builtins(arrival) for arrival in arrivals[number::parts]]
+        process_count = scenario.load.processes
+        for number in range(process_count):
+            own_arrivals = [msgspec.to_builtins(arrival) for arrival in arrivals[number::process_count]]
             self.generators.append(
                 await self.start_worker(
                     f"clients-{number}",
                     {
                         "role": "generator",
                         "number": number,
-                        "arrivals": own,
+                        "arrivals": own_arrivals,
                         "sidecars": self.tunnels.get(scenario.load.via, self.listen_addresses),
                         "cores": lab_cores,
                         "histograms": str(self.folder / f"clients-{number}.hist.json"),
@@ -273,13 +273,16 @@
             path = self.folder / f"n{number}.json"
             config = orjson.loads(path.read_bytes())
             old, self.current_agent[number] = self.current_agent[number], 1 - self.current_agent[number]
-            place, fresh = self.agent_addresses[number][old], self.agent_addresses[number][1 - old]
-            config["discovery"] = "{}:{}".format(*fresh)
+            old_address, new_address = (
+                self.agent_addresses[number][old],
+                self.agent_addresses[number][1 - old],
+            )
+            config["discovery"] = "{}:{}".format(*new_address)
             path.write_bytes(orjson.dumps(config))
             self.fleet[0].send(
                 who="discovery",
                 what="move",
-                args={"number": number, "old": old, "place": place, "fresh": fresh},
+                args={"number": number, "old": old, "place": old_address, "fresh": new_address},
             )
             sidecar.process.send_signal(signal.SIGHUP)
 
--- a/shedgrade/lab/upstreams.py
+++ b/shedgrade/lab/upstreams.py
@@ -46,7 +46,7 @@
         self.clear()
 
     def clear(self) -> None:
-        self.headers, self.target, self.size, self.begun = {}, b"", 0, None
+        self.headers, self.target, self.size, self.request_started = {}, b"", 0, None
 
     def connection_made(self, transport) -> None:
         self.transport = transport
@@ -60,8 +60,8 @@
     def data_received(self, data: bytes) -> None:
         if self.cut_off:
             return
-        if self.begun is None:
-            self.begun = self.server.now()
+        if self.request_started is None:
+            self.request_started = self.server.now()
         try:
             self.parser.feed_data(data)
         except (httptools.HttpParserError, httptools.HttpParserUpgrade):
@@ -77,14 +77,14 @@
         self.size += len(body)
 
     def on_message_complete(self) -> None:
-        headers, target, begun = self.headers, self.target, self.begun
+        headers, target, request_started = self.headers, self.target, self.request_started
         size = self.size
         self.clear()
         name = headers.get(b"x-request-id")
         if name is None or self.entry is not None:
             self.answer(404 if name is None else 400, b"", last=True)
             return
-        self.server.request_received(self, name.decode("latin-1"), target, headers, begun, size)
+        self.server.request_received(self, name.decode("latin-1"), target, headers, request_started, size)
 
     def answer(self, status: int, body: bytes, *headers: bytes, last: bool = False) -> None:
         lines = b"".join(b"%s\r\n" % header for header in headers)
@@ -214,7 +214,7 @@
     # --- transmissions
 
     def request_received(
-        self, link: Link, name: str, target: bytes, headers: dict, begun: float, size: int
+        self, link: Link, name: str, target: bytes, headers: dict, request_started: float, size: int
     ) -> None:
         now = self.now()
         work = float(headers.get(b"x-lab-work", b"1"))
@@ -226,7 +226,7 @@
             "up": self.name,
             "zone": self.zone,
             "from": link.origin,
-            "begun": round(begun, 6),
+            "begun": round(request_started, 6),
             "whole": round(now, 6),
             "work": work,
             "fresh": link.first,
--- a/shedgrade/lab/worker.py
+++ b/shedgrade/lab/worker.py
@@ -103,14 +103,14 @@
         self.record = Records(task["records"])
         self.ended = asyncio.Event()
 
-    async def commands(self) -> None:
+    async def read_commands(self) -> None:
         reader = asyncio.StreamReader(limit=64 * 1024 * 1024)
         await self.loop.connect_read_pipe(lambda: asyncio.StreamReaderProtocol(reader), sys.stdin)
         while line := await reader.readline():
             command = orjson.loads(line)
             if command["what"] == "go":
                 self.clock.start_time = command["zero"]
-                self.load_starts()
+                self.on_load_start()
             elif command["what"] == "end":
                 break
             else:
@@ -125,7 +125,7 @@
     def save(self) -> None:
         self.record.flush()
 
-    def load_starts(self) -> None:
+    def on_load_start(self) -> None:
         """Called when the runner has announced the start of the load."""
 
     async def apply_step(self, command: dict) -> None:
@@ -143,7 +143,7 @@
         gc.collect()
         gc.freeze()
         send_message(what="ready")
-        reading = asyncio.create_task(self.commands())
+        reading = asyncio.create_task(self.read_commands())
         flushing = asyncio.create_task(self.flush_periodically())
         await self.ended.wait()
         figures = await self.finish()
@@ -192,7 +192,7 @@
             await self.discovery.listen(task["agents"])
             self.discovery.silent = scenario.fleet.discovery.silent_until_s > 0
 
-    def load_starts(self) -> None:
+    def on_load_start(self) -> None:
         until = self.scenario.fleet.discovery.silent_until_s
         if self.discovery and until:
             self.loop.call_later(until - self.clock(), self.discovery.set_silent, False)
@@ -314,9 +314,9 @@
 
         task, scenario = self.task, self.scenario
         arrivals = [msgspec.convert(arrival, Arrival) for arrival in task["arrivals"]]
-        places = [tuple(place) for place in task["sidecars"]]
+        addresses = [tuple(address) for address in task["sidecars"]]
         self.generator = Generator(
-            self.loop, self.clock, scenario, arrivals, places, self.record, task["number"]
+            self.loop, self.clock, scenario, arrivals, addresses, self.record, task["number"]
         )
         first = task["number"] == 0
         self.closed = (
@@ -325,7 +325,7 @@
         self.misbehaving_clients = (
             MisbehavingClients(
                 self.clock,
-                places[0],
+                addresses[0],
                 scenario.methods[0].name,
                 scenario.load.bad_clients,
                 scenario.length_s,
@@ -337,7 +337,7 @@
         )
         self.run_delay_at_start = 0.0
 
-    def load_starts(self) -> None:
+    def on_load_start(self) -> None:
         self.run_delay_at_start = run_delay()
         self.loop.call_later(max(0.0, -self.clock()), self.generator.begin)
         self.extra_tasks = [
@@ -350,9 +350,9 @@
         await asyncio.sleep(max(0.0, -self.clock()))
         await client_load.run()
 
-    async def commands(self) -> None:
+    async def read_commands(self) -> None:
         waiting = asyncio.create_task(self.report_completion())
-        await super().commands()
+        await super().read_commands()
         waiting.cancel()
 
     async def report_completion(self) -> None:
--- a/tests/lab/rogue.py
+++ b/tests/lab/rogue.py
@@ -30,7 +30,7 @@
 async def main():
     with open(os.environ["GW_CONFIG"]) as file:
         config = json.load(file)
-    ups = [one["hostPort"] for one in config["known"]["instances"]]
+    upstreams = [instance["hostPort"] for instance in config["known"]["instances"]]
     turn = itertools.count()
 
     async def serve(reader, writer):
@@ -42,22 +42,24 @@
                     continue
                 raw, number = head + body, next(turn)
                 violation = VIOLATIONS[number % len(VIOLATIONS)]
-                got, status = b"", b"200 OK"
+                answer, status = b"", b"200 OK"
                 if violation == "invent":
-                    got = b"all is well"
+                    answer = b"all is well"
                 elif violation != "mute":
-                    got = await forward(ups[number % len(ups)], raw)
+                    answer = await forward(upstreams[number % len(upstreams)], raw)
                 if violation == "lose":
                     break
                 if violation == "twice":
-                    got = await forward(ups[(number + 1) % len(ups)], raw)
+                    answer = await forward(upstreams[(number + 1) % len(upstreams)], raw)
                 if violation == "refuse":
-                    status, got = b"503 Busy", b""
+                    status, answer = b"503 Busy", b""
                 if violation != "mute":
-                    writer.write(b"HTTP/1.1 %s\r\nContent-Length: %d\r\n\r\n%s" % (status, len(got), got))
+                    writer.write(
+                        b"HTTP/1.1 %s\r\nContent-Length: %d\r\n\r\n%s" % (status, len(answer), answer)
+                    )
                 if violation == "after":
                     await asyncio.sleep(0.4)
-                    await forward(ups[number % len(ups)], raw)
+                    await forward(upstreams[number % len(upstreams)], raw)
         except (OSError, asyncio.IncompleteReadError):
             pass
         writer.close()
--- a/tests/lab/test_faults.py
+++ b/tests/lab/test_faults.py
@@ -39,25 +39,27 @@
 
 
 def test_a_deploy_replaces_each_upstream_once_in_batches_and_starts_successors_first():
-    first, line, machines = planned(
+    first, timeline, machines = planned(
         {"kind": "deploy", "at_s": 2.0, "for_s": 10.0, "batch": 0.2, "drain_ms": 1500}
     )
-    starts = [step for step in line if step.what == "start"]
-    kills = Counter(step.who for step in line if step.what == "kill")
+    starts = [step for step in timeline if step.what == "start"]
+    kills = Counter(step.who for step in timeline if step.what == "kill")
     assert len(starts) == 10 and len(machines) == 20 and kills == {one.name: 1 for one in first}
     assert Counter(step.at for step in starts) == {2.0: 2, 4.0: 2, 6.0: 2, 8.0: 2, 10.0: 2}
-    told = [step.args["lifecycle"] for step in line if step.who == first[0].name and step.what == "list"]
-    assert told == ["terminating", "terminated"]
+    states = [
+        step.args["lifecycle"] for step in timeline if step.who == first[0].name and step.what == "list"
+    ]
+    assert states == ["terminating", "terminated"]
     assert [one.zone for one in machines[10:]].count("a") == 6
 
 
 def test_overlapping_faults_pick_only_upstreams_that_are_alive():
-    _, line, _ = planned(
+    _, timeline, _ = planned(
         {"kind": "deploy", "at_s": 1.0, "for_s": 5.0, "drain_ms": 500},
         {"kind": "shrink", "at_s": 8.0, "share": 0.5, "drain_ms": 500},
         {"kind": "kill", "at_s": 12.0, "share": 1.0},
     )
-    kills = Counter(step.who for step in line if step.what == "kill")
+    kills = Counter(step.who for step in timeline if step.what == "kill")
     assert max(kills.values()) == 1 and len(kills) == 20
 
 
@@ -83,17 +85,19 @@
         for _, _, what in steps({"kind": "zone_loss", "at_s": 1, "for_s": 2, "zone": "b", "silent": True})
     )
     assert silent == {"cut": 8}
-    _, line, _ = planned({"kind": "zone_cut", "at_s": 1, "for_s": 2, "zone": "b"})
-    assert sum(step.args["zones"] == ["a"] for step in line) == 4
-    assert sum(step.args["zones"] == ["b"] for step in line) == 6
+    _, timeline, _ = planned({"kind": "zone_cut", "at_s": 1, "for_s": 2, "zone": "b"})
+    assert sum(step.args["zones"] == ["a"] for step in timeline) == 4
+    assert sum(step.args["zones"] == ["b"] for step in timeline) == 6
 
 
 def test_a_restart_elsewhere_has_another_address_and_churn_reuses_addresses():
-    first, line, _ = planned({"kind": "restart", "at_s": 1, "for_s": 1, "upstreams": [0], "elsewhere": True})
-    start = next(step for step in line if step.what == "start")
+    first, timeline, _ = planned(
+        {"kind": "restart", "at_s": 1, "for_s": 1, "upstreams": [0], "elsewhere": True}
+    )
+    start = next(step for step in timeline if step.what == "start")
     assert start.who == first[0].name and start.args["slot"] != 0
-    _, line, machines = planned({"kind": "churn", "at_s": 1, "period_s": 0.5, "drain_ms": 500})
-    slots = Counter(step.args["slot"] for step in line if step.what == "start")
+    _, timeline, machines = planned({"kind": "churn", "at_s": 1, "period_s": 0.5, "drain_ms": 500})
+    slots = Counter(step.args["slot"] for step in timeline if step.what == "start")
     assert len(machines) > 50 and max(slots.values()) > 1
     assert len({one.name for one in machines}) == len(machines)
 
--- a/tests/lab/test_run.py
+++ b/tests/lab/test_run.py
@@ -114,7 +114,7 @@
     def one(kind, at, **more):
         return {"kind": kind, "at_s": at, **more}
 
-    line = [
+    planned_faults = [
         one("kill", 0.5, upstreams=[0]),
         one("restart", 0.7, for_s=1, upstreams=[1], elsewhere=True),
         one("hang", 0.9, for_s=1.0, upstreams=[3]),
@@ -140,7 +140,7 @@
     ]
     scenario = tree(
         length_s=9.5,
-        faults=line,
+        faults=planned_faults,
         callers={"retries": 2, "backoff": "exponential"},
         load={**TREE["load"], "bad_clients": 8.0},
     )
@@ -187,7 +187,7 @@
         self.sidecars[number] = processes.Process("rogue", process)
 
     monkeypatch.setattr(Run, "start_sidecar", start)
-    line = [
+    planned_faults = [
         {"kind": "drain", "at_s": 0.5, "upstreams": [0], "drain_ms": 2400},
         {"kind": "restart", "at_s": 0.2, "for_s": 0.2, "upstreams": [1, 4]},
     ]
@@ -198,7 +198,7 @@
             for name, repeats in (("once", "non-retriable"), ("safe", "non-retriable"))
         ],
         settings={"stop_sending_ms": 100.0},
-        faults=line,
+        faults=planned_faults,
     )
     # The rogue never asks discovery, so the test adds the record of what its agent would have told it.
     folder = tmp_path / "run"
@@ -236,9 +236,11 @@
         ],
     }
     # 2.4 s of work per second over four upstreams: 300 ms each per window, where a cold one may get 60 ms.
-    line = [{"kind": "grow", "at_s": 0.5, "count": 2}]
+    planned_faults = [{"kind": "grow", "at_s": 0.5, "count": 2}]
     load = {**TREE["load"], "classes": [{"method": "once", "work_ms": 60.0}]}
-    scenario = tree(fleet=fleet, faults=line, load=load, sidecars={"count": 1, "policy": "rotation"})
+    scenario = tree(
+        fleet=fleet, faults=planned_faults, load=load, sidecars={"count": 1, "policy": "rotation"}
+    )
     summary = run(tmp_path, scenario)
     assert {one["rule"] for one in summary["breaches"]} == {4} and summary["figures"]["fell"] == 2
 
