--- a/shedgrade/lab/callers.py
+++ b/shedgrade/lab/callers.py
@@ -1,4 +1,4 @@
-"""How callers behave after a try that did not serve, without I/O: whether to try again, and when."""
+"""The callers' retry rule: whether and when to send again after a try that was not served. No I/O."""
 
 from random import Random
 
@@ -16,7 +16,11 @@
 
 
 def may_repeat(method: Method, outcome: str, since_first: float) -> bool:
-    """A refusal or a sidecar that was not reached proves that nothing ran; else the method must allow it."""
+    """Whether an RPC may be sent again after this outcome, `since_first` s after its first try.
+
+    A refusal or an unreachable sidecar proves that nothing ran. After any other failure the method must allow
+    repeats.
+    """
     if outcome in (REFUSED, UNREACHABLE):
         return True
     if outcome in (SERVED, BAD):
@@ -26,23 +30,28 @@
     return method.repeats == "deduped" and method.group == "all" and since_first <= method.window_ms / 1000
 
 
-def next_try(
+def retry_delay(
     callers: Callers,
     method: Method,
     outcome: str,
     tries: int,
     since_first: float,
     retry_after: float,
-    chance: Random,
+    rng: Random,
 ) -> float | None:
-    """Seconds until the next try, or None. `tries` were made so far; `retry_after` is what a refusal said."""
+    """Seconds until the next try, or None for no further try.
+
+    tries: tries so far
+    since_first: seconds since the first try
+    retry_after: seconds from the refusal's Retry-After header, 0 without one
+    """
     if tries > callers.retries or not may_repeat(method, outcome, since_first):
         return None
-    wait = 0.0
+    delay = 0.0
     if callers.backoff == "fixed":
-        wait = callers.backoff_ms / 1000
+        delay = callers.backoff_ms / 1000
     elif callers.backoff == "exponential":
-        wait = callers.backoff_ms / 1000 * 2 ** (tries - 1) * chance.uniform(0.5, 1.0)
+        delay = callers.backoff_ms / 1000 * 2 ** (tries - 1) * rng.uniform(0.5, 1.0)
     if callers.honours_retry_after and outcome == REFUSED:
-        wait = max(wait, retry_after)
-    return wait
+        delay = max(delay, retry_after)
+    return delay
--- a/shedgrade/lab/worker.py
+++ b/shedgrade/lab/worker.py
@@ -1,8 +1,9 @@
-"""A process of the lab: part of the fleet, or a generator. Started by the runner, told by lines of JSON.
+"""A worker process of a lab run: part of the fleet, or a generator.
 
-First line in: what it is. Then `go` with the moment that counts as 0, later steps. Lines out: `ready`,
-`done`. Records go to a file of its own, several times a second, so that a run that is killed leaves what it
-had.
+The runner sends it JSON lines: the task first, then `go` with the time that counts as 0, then steps of the
+fault schedule, and `end`. The worker answers `ready` and `done`; a generator also says `sent` once all its
+RPCs are over. Records are written to a file of the worker's own several times per second, so that a run that
+is killed keeps what it has recorded.
 """
 
 import asyncio
@@ -23,22 +24,22 @@
 from shedgrade.lab.arrival import Arrival
 from shedgrade.lab.scenario import Scenario
 
-PARENT_GONE = 1  # prctl(2): PR_SET_PDEATHSIG
-FLUSH = 0.2  # s between two writes of records
+PR_SET_PDEATHSIG = 1  # option of prctl(2)
+FLUSH_INTERVAL_S = 0.2  # between two writes of records
 
 
 class Clock:
-    """Seconds from the start of the load; long before it until that is known."""
+    """Seconds since the start of the load; far below 0 until that start is known."""
 
     def __init__(self) -> None:
-        self.zero = time.monotonic() + 10_000
+        self.start_time = time.monotonic() + 10_000
 
     def __call__(self) -> float:
-        return time.monotonic() - self.zero
+        return time.monotonic() - self.start_time
 
 
 class Records:
-    """Gathers entries and writes them as JSON Lines."""
+    """Collects records and writes them to a file as JSON Lines."""
 
     def __init__(self, path: str) -> None:
         self.file, self.entries = open(path, "ab", buffering=0), []  # noqa: SIM115
@@ -55,7 +56,7 @@
 
 
 def raise_limit() -> int:
-    """As many descriptors as this user may have; returns how many."""
+    """Raises the soft limit on open descriptors to the hard limit; returns the limit in effect."""
     soft, hard = resource.getrlimit(resource.RLIMIT_NOFILE)
     if soft < hard:
         with contextlib.suppress(OSError, ValueError):
@@ -64,35 +65,37 @@
 
 
 def tied(cores: list[int] | None, number: int) -> Callable[[], None]:
-    """For a new process, before it begins: its cores, and the signal it gets when whoever started it is gone.
+    """Returns a `preexec_fn` that pins the new process to cores and sets the signal for its parent's death.
 
-    Guards against processes left over: a runner that is killed can end nothing any more. Linux only.
+    The signal prevents leftover processes, since a runner that was killed cannot stop what it started. Linux
+    only.
     """
     libc = ctypes.CDLL(None)
 
     def begin() -> None:
         if cores:
             os.sched_setaffinity(0, cores)
-        libc.prctl(PARENT_GONE, int(number))
+        libc.prctl(PR_SET_PDEATHSIG, int(number))
 
     return begin
 
 
 def run_delay() -> float:
-    """Seconds that this process was ready to run and had no core; 0 where the kernel does not tell."""
+    """Seconds for which this process was runnable but had no core; 0 where the kernel does not report it."""
     try:
         return int(Path("/proc/self/schedstat").read_text().split()[1]) / 1e9
     except (OSError, IndexError, ValueError):
         return 0.0
 
 
-def say(**what) -> None:
+def send_message(**what) -> None:
+    """Sends one message to the runner, as a line of JSON on stdout."""
     sys.stdout.buffer.write(orjson.dumps(what, option=orjson.OPT_APPEND_NEWLINE))
     sys.stdout.buffer.flush()
 
 
 class Worker:
-    """Reads commands, flushes records; its role does the work."""
+    """Reads commands from the runner and writes records; a subclass for each role does the work."""
 
     def __init__(self, task: dict, loop: asyncio.AbstractEventLoop) -> None:
         self.task, self.loop, self.clock = task, loop, Clock()
@@ -100,70 +103,73 @@
         self.record = Records(task["records"])
         self.ended = asyncio.Event()
 
-    async def commands(self) -> None:
+    async def read_commands(self) -> None:
         reader = asyncio.StreamReader(limit=64 * 1024 * 1024)
         await self.loop.connect_read_pipe(lambda: asyncio.StreamReaderProtocol(reader), sys.stdin)
         while line := await reader.readline():
             command = orjson.loads(line)
             if command["what"] == "go":
-                self.clock.zero = command["zero"]
-                self.go()
+                self.clock.start_time = command["zero"]
+                self.on_load_start()
             elif command["what"] == "end":
                 break
             else:
-                await self.step(command)
+                await self.apply_step(command)
         self.ended.set()
 
-    async def flushing(self) -> None:
+    async def flush_periodically(self) -> None:
         while True:
-            await asyncio.sleep(FLUSH)
+            await asyncio.sleep(FLUSH_INTERVAL_S)
             self.save()
 
     def save(self) -> None:
         self.record.flush()
 
-    def go(self) -> None:
-        """The load begins at 0."""
+    def on_load_start(self) -> None:
+        """Called when the runner has announced the start of the load."""
 
-    async def step(self, command: dict) -> None:
-        """A step of the time line."""
+    async def apply_step(self, command: dict) -> None:
+        """Carries out one step of the fault schedule."""
 
     async def start(self) -> None:
-        """Whatever must stand before `ready`."""
+        """Sets up everything that must exist before the worker reports `ready`."""
 
     async def finish(self) -> dict:
+        """Ends the work; returns the figures for the `done` message."""
         return {}
 
     async def run(self) -> None:
         await self.start()
         gc.collect()
         gc.freeze()
-        say(what="ready")
-        reading = asyncio.create_task(self.commands())
-        flushing = asyncio.create_task(self.flushing())
+        send_message(what="ready")
+        reading = asyncio.create_task(self.read_commands())
+        flushing = asyncio.create_task(self.flush_periodically())
         await self.ended.wait()
-        told = await self.finish()
+        figures = await self.finish()
         flushing.cancel()
         reading.cancel()
         self.save()
-        say(what="done", **told)
+        send_message(what="done", **figures)
 
 
 class FleetWorker(Worker):
-    """Some of the upstreams, and in the first one discovery."""
+    """Some of the upstreams; the first fleet worker also runs discovery."""
 
     async def start(self) -> None:
         from shedgrade.lab.listing import Discovery
 
-        self.ups, self.gone = {}, []
+        self.upstreams, self.gone = {}, []
         scenario, task = self.scenario, self.task
         self.zones = {name: number for number, name in enumerate(scenario.fleet.zones)}
         saved = scenario.sidecars.saved
-        for one in task["machines"]:
-            self.up(one["name"], one["group"], one["slot"], bool(saved and saved.cold))
-        for one in task["silent"]:
-            self.up(one["name"], one["group"], one["slot"], False)
-            self.ups[one["name"]].cut(set(self.zones.values()))
+        for machine in task["machines"]:
+            self.start_upstream(
+                machine["name"], machine["group"], machine["slot"], bool(saved and saved.cold)
+            )
+        for machine in task["silent"]:
+            self.start_upstream(machine["name"], machine["group"], machine["slot"], False)
+            self.upstreams[machine["name"]].cut(set(self.zones.values()))
         self.discovery = None
         if task["agents"]:
             self.discovery = Discovery(
@@ -174,23 +180,26 @@
                 scenario.seed,
                 self.record,
             )
-            self.discovery.begin(
+            self.discovery.set_initial_lists(
                 [
-                    [self.entry(one["name"], one["group"], one["slot"], number, 0) for one in task["known"]]
+                    [
+                        self.entry(machine["name"], machine["group"], machine["slot"], number, 0)
+                        for machine in task["known"]
+                    ]
                     for number in range(scenario.sidecars.count)
                 ]
             )
             await self.discovery.listen(task["agents"])
             self.discovery.silent = scenario.fleet.discovery.silent_until_s > 0
 
-    def go(self) -> None:
+    def on_load_start(self) -> None:
         until = self.scenario.fleet.discovery.silent_until_s
         if self.discovery and until:
-            self.loop.call_later(until - self.clock(), self.discovery.gone, False)
-        for one in self.ups.values():
-            one.warm_from_now()
+            self.loop.call_later(until - self.clock(), self.discovery.set_silent, False)
+        for upstream in self.upstreams.values():
+            upstream.begin_cold_phase()
 
-    def up(self, name: str, group: int, slot: int, cold: bool) -> None:
+    def start_upstream(self, name: str, group: int, slot: int, cold: bool) -> None:
         from shedgrade.lab.upstreams import Upstream
 
         fleet = self.scenario.fleet
@@ -199,7 +208,7 @@
         latency = [
             (fleet.same_ms if origin == zone else fleet.cross_ms) / 1000 for origin in range(len(self.zones))
         ]
-        one = Upstream(
+        upstream = Upstream(
             self.loop,
             self.clock,
             name,
@@ -212,8 +221,8 @@
             self.scenario.seed,
             self.record,
         )
-        one.listen()
-        self.ups[name] = one
+        upstream.listen()
+        self.upstreams[name] = upstream
 
     def entry(self, name: str, group: int, slot: int, sidecar: int, started: int) -> dict:
         from shedgrade.lab.upstreams import address
@@ -232,15 +241,15 @@
             "startedAtMs": started,
         }
 
-    async def step(self, command: dict) -> None:
+    async def apply_step(self, command: dict) -> None:
         who, what, args = command["who"], command["what"], command["args"]
         if what == "list":
-            self.list(who, args)
+            self.announce(who, args)
         elif who == "discovery":
             if what == "discovery_gone":
-                self.discovery.gone(args["on"])
+                self.discovery.set_silent(args["on"])
             elif what == "discovery_late":
-                self.discovery.late = args["late"]
+                self.discovery.extra_delay = args["late"]
             elif what == "discovery_reset":
                 self.discovery.reset()
             else:
@@ -248,31 +257,33 @@
                     args["number"], args["old"], tuple(args["place"]), tuple(args["fresh"])
                 )
         elif what == "start":
-            old = self.ups.get(who)
+            old = self.upstreams.get(who)
             if old is not None and not old.stopped:
                 old.kill()
-            self.up(who, args["group"], args["slot"], args["cold"])
-        elif who in self.ups:
-            one = self.ups[who]
-            if one.stopped:
+            self.start_upstream(who, args["group"], args["slot"], args["cold"])
+        elif who in self.upstreams:
+            upstream = self.upstreams[who]
+            if upstream.stopped:
                 return
             if what == "kill":
-                one.kill()
+                upstream.kill()
             elif what in ("hang", "refuse"):
-                getattr(one, what)(args["on"])
+                getattr(upstream, what)(args["on"])
             elif what == "speed":
-                one.speed(args["factor"])
+                upstream.set_speed(args["factor"])
             elif what == "spoil":
-                one.spoil = args["share"]
+                upstream.corrupt_share = args["share"]
             elif what == "cut":
                 zones = args["zones"]
-                one.cut(set(self.zones.values()) if "*" in zones else {self.zones[name] for name in zones})
+                upstream.cut(
+                    set(self.zones.values()) if "*" in zones else {self.zones[name] for name in zones}
+                )
             elif what == "reset":
-                one.reset()
+                upstream.reset()
             elif what == "drain":
-                one.drain()
+                upstream.drain()
 
-    def list(self, who: str, args: dict) -> None:
+    def announce(self, who: str, args: dict) -> None:
         if args["lifecycle"] == "in_service":
             started = round(time.time() * 1000)
             entries = [
@@ -287,32 +298,34 @@
         self.discovery.change(entries)
 
     async def finish(self) -> dict:
-        for one in self.ups.values():
-            for link in list(one.links):
+        for upstream in self.upstreams.values():
+            for link in list(upstream.links):
                 if link.entry is not None:
-                    one.told(link, "open")
+                    upstream.end_transmission(link, "open")
         return {"run_delay": run_delay(), "cpu": sum(os.times()[:2])}
 
 
 class GeneratorWorker(Worker):
-    """Its part of the schedule."""
+    """Sends this worker's part of the load."""
 
     async def start(self) -> None:
-        from shedgrade.lab.generator import Closed, Generator
-        from shedgrade.lab.misbehaving_clients import Rude
+        from shedgrade.lab.generator import ClosedLoop, Generator
+        from shedgrade.lab.misbehaving_clients import MisbehavingClients
 
         task, scenario = self.task, self.scenario
-        arrivals = [msgspec.convert(one, Arrival) for one in task["arrivals"]]
-        places = [tuple(place) for place in task["sidecars"]]
+        arrivals = [msgspec.convert(arrival, Arrival) for arrival in task["arrivals"]]
+        addresses = [tuple(address) for address in task["sidecars"]]
         self.generator = Generator(
-            self.loop, self.clock, scenario, arrivals, places, self.record, task["number"]
+            self.loop, self.clock, scenario, arrivals, addresses, self.record, task["number"]
         )
         first = task["number"] == 0
-        self.closed = Closed(self.generator, scenario.load.closed) if first and scenario.load.closed else None
-        self.rude = (
-            Rude(
+        self.closed = (
+            ClosedLoop(self.generator, scenario.load.closed) if first and scenario.load.closed else None
+        )
+        self.misbehaving_clients = (
+            MisbehavingClients(
                 self.clock,
-                places[0],
+                addresses[0],
                 scenario.methods[0].name,
                 scenario.load.bad_clients,
                 scenario.length_s,
@@ -322,29 +335,33 @@
             if first and scenario.load.bad_clients
             else None
         )
-        self.delay = 0.0
+        self.run_delay_at_start = 0.0
 
-    def go(self) -> None:
-        self.delay = run_delay()
+    def on_load_start(self) -> None:
+        self.run_delay_at_start = run_delay()
         self.loop.call_later(max(0.0, -self.clock()), self.generator.begin)
-        self.others = [asyncio.create_task(self.later(one)) for one in (self.closed, self.rude) if one]
+        self.extra_tasks = [
+            asyncio.create_task(self.run_from_start(client_load))
+            for client_load in (self.closed, self.misbehaving_clients)
+            if client_load
+        ]
 
-    async def later(self, one) -> None:
+    async def run_from_start(self, client_load) -> None:
         await asyncio.sleep(max(0.0, -self.clock()))
-        await one.run()
+        await client_load.run()
 
-    async def commands(self) -> None:
-        waiting = asyncio.create_task(self.all_done())
-        await super().commands()
+    async def read_commands(self) -> None:
+        waiting = asyncio.create_task(self.report_completion())
+        await super().read_commands()
         waiting.cancel()
 
-    async def all_done(self) -> None:
+    async def report_completion(self) -> None:
         while self.clock() < 0:
             await asyncio.sleep(0.05)
         await self.generator.finished.wait()
-        await asyncio.gather(*self.others)
-        await asyncio.sleep(0.1)  # what comes too late for its client is still noted
-        say(what="sent", **self.generator.counts)
+        await asyncio.gather(*self.extra_tasks)
+        await asyncio.sleep(0.1)  # late responses are still recorded
+        send_message(what="sent", **self.generator.counts)
 
     def save(self) -> None:
         super().save()
@@ -356,27 +373,28 @@
         }
         if self.closed:
             histograms["closed"] = self.closed.latency
-        told = {name: one.encode().decode() for name, one in histograms.items()}
+        encoded = {name: histogram.encode().decode() for name, histogram in histograms.items()}
         path = Path(self.task["histograms"])
-        fresh = path.with_suffix(".new")
-        fresh.write_bytes(
+        new_path = path.with_suffix(".new")
+        new_path.write_bytes(
             orjson.dumps(
                 {
                     "late": generator.late,
                     "troubles": generator.troubles,
-                    "run_delay": run_delay() - self.delay,
+                    "run_delay": run_delay() - self.run_delay_at_start,
                     "counts": generator.counts,
-                    "histograms": told,
+                    "histograms": encoded,
                 }
             )
         )
-        fresh.replace(path)
+        new_path.replace(path)
 
-    async def flushing(self) -> None:
+    async def flush_periodically(self) -> None:
         while True:
-            await asyncio.sleep(FLUSH)
+            await asyncio.sleep(FLUSH_INTERVAL_S)
             self.record.flush()
-            if int(self.clock() / FLUSH) % 10 == 0:  # histograms every two seconds: they cost more
+            # Saving histograms costs more than flushing records, so it happens every two seconds.
+            if int(self.clock() / FLUSH_INTERVAL_S) % 10 == 0:
                 self.save()
 
     async def finish(self) -> dict:
--- a/tests/lab/rogue.py
+++ b/tests/lab/rogue.py
@@ -1,11 +1,11 @@
-"""A sidecar that breaks the rules on purpose, each in its turn: what the judge must catch on sockets."""
+"""A sidecar that breaks one rule after the other, so that the judge can be tested on real sockets."""
 
 import asyncio
 import itertools
 import json
 import os
 
-SINS = ("none", "lose", "twice", "invent", "mute", "after", "refuse")
+VIOLATIONS = ("none", "lose", "twice", "invent", "mute", "after", "refuse")
 
 
 async def head_and_body(reader):
@@ -30,7 +30,7 @@
 async def main():
     with open(os.environ["GW_CONFIG"]) as file:
         config = json.load(file)
-    ups = [one["hostPort"] for one in config["known"]["instances"]]
+    upstreams = [instance["hostPort"] for instance in config["known"]["instances"]]
     turn = itertools.count()
 
     async def serve(reader, writer):
@@ -41,23 +41,25 @@
                     writer.write(b"HTTP/1.1 200 OK\r\nContent-Length: 0\r\n\r\n")
                     continue
                 raw, number = head + body, next(turn)
-                sin = SINS[number % len(SINS)]
-                got, status = b"", b"200 OK"
-                if sin == "invent":
-                    got = b"all is well"
-                elif sin != "mute":
-                    got = await forward(ups[number % len(ups)], raw)
-                if sin == "lose":
+                violation = VIOLATIONS[number % len(VIOLATIONS)]
+                answer, status = b"", b"200 OK"
+                if violation == "invent":
+                    answer = b"all is well"
+                elif violation != "mute":
+                    answer = await forward(upstreams[number % len(upstreams)], raw)
+                if violation == "lose":
                     break
-                if sin == "twice":
-                    got = await forward(ups[(number + 1) % len(ups)], raw)
-                if sin == "refuse":
-                    status, got = b"503 Busy", b""
-                if sin != "mute":
-                    writer.write(b"HTTP/1.1 %s\r\nContent-Length: %d\r\n\r\n%s" % (status, len(got), got))
-                if sin == "after":
+                if violation == "twice":
+                    answer = await forward(upstreams[(number + 1) % len(upstreams)], raw)
+                if violation == "refuse":
+                    status, answer = b"503 Busy", b""
+                if violation != "mute":
+                    writer.write(
+                        b"HTTP/1.1 %s\r\nContent-Length: %d\r\n\r\n%s" % (status, len(answer), answer)
+                    )
+                if violation == "after":
                     await asyncio.sleep(0.4)
-                    await forward(ups[number % len(ups)], raw)
+                    await forward(upstreams[number % len(upstreams)], raw)
         except (OSError, asyncio.IncompleteReadError):
             pass
         writer.close()
--- a/tests/lab/test_faults.py
+++ b/tests/lab/test_faults.py
@@ -1,4 +1,4 @@
-"""The time line and the scenarios, without I/O: what each fault comes to, and what is refused."""
+"""The fault schedule and scenario validation, without I/O: the steps of each fault, and what is rejected."""
 
 from collections import Counter
 from pathlib import Path
@@ -38,30 +38,32 @@
     return [(step.at, step.who, step.what) for step in planned(*faults, **more)[1]]
 
 
-def test_a_deploy_replaces_in_batches_each_once_and_successors_start_before_the_old_go():
-    first, line, machines = planned(
+def test_a_deploy_replaces_each_upstream_once_in_batches_and_starts_successors_first():
+    first, timeline, machines = planned(
         {"kind": "deploy", "at_s": 2.0, "for_s": 10.0, "batch": 0.2, "drain_ms": 1500}
     )
-    starts = [step for step in line if step.what == "start"]
-    kills = Counter(step.who for step in line if step.what == "kill")
+    starts = [step for step in timeline if step.what == "start"]
+    kills = Counter(step.who for step in timeline if step.what == "kill")
     assert len(starts) == 10 and len(machines) == 20 and kills == {one.name: 1 for one in first}
     assert Counter(step.at for step in starts) == {2.0: 2, 4.0: 2, 6.0: 2, 8.0: 2, 10.0: 2}
-    told = [step.args["lifecycle"] for step in line if step.who == first[0].name and step.what == "list"]
-    assert told == ["terminating", "terminated"]
+    states = [
+        step.args["lifecycle"] for step in timeline if step.who == first[0].name and step.what == "list"
+    ]
+    assert states == ["terminating", "terminated"]
     assert [one.zone for one in machines[10:]].count("a") == 6
 
 
-def test_overlapping_faults_pick_among_those_still_there():
-    _, line, _ = planned(
+def test_overlapping_faults_pick_only_upstreams_that_are_alive():
+    _, timeline, _ = planned(
         {"kind": "deploy", "at_s": 1.0, "for_s": 5.0, "drain_ms": 500},
         {"kind": "shrink", "at_s": 8.0, "share": 0.5, "drain_ms": 500},
         {"kind": "kill", "at_s": 12.0, "share": 1.0},
     )
-    kills = Counter(step.who for step in line if step.what == "kill")
+    kills = Counter(step.who for step in timeline if step.what == "kill")
     assert max(kills.values()) == 1 and len(kills) == 20
 
 
-def test_each_switch_goes_on_and_off():
+def test_lasting_faults_are_switched_on_and_off():
     for kind in ("hang", "refuse", "cut", "spoil"):
         assert [
             (at, what) for at, _, what in steps({"kind": kind, "at_s": 1, "for_s": 2, "upstreams": [3]})
@@ -73,35 +75,39 @@
     assert [at for at, _, _ in steps({"kind": "sidecar_kill", "at_s": 1, "for_s": 2})] == [1, 3]
 
 
-def test_a_zone_is_lost_loudly_or_silently_and_links_are_cut_both_ways():
-    loud = Counter(what for _, _, what in steps({"kind": "zone_loss", "at_s": 1, "for_s": 2, "zone": "b"}))
-    assert loud == {"kill": 4, "list": 8, "start": 4}
-    quiet = Counter(
+def test_a_zone_loss_kills_or_cuts_its_upstreams_and_a_zone_cut_works_both_ways():
+    announced = Counter(
+        what for _, _, what in steps({"kind": "zone_loss", "at_s": 1, "for_s": 2, "zone": "b"})
+    )
+    assert announced == {"kill": 4, "list": 8, "start": 4}
+    silent = Counter(
         what
         for _, _, what in steps({"kind": "zone_loss", "at_s": 1, "for_s": 2, "zone": "b", "silent": True})
     )
-    assert quiet == {"cut": 8}
-    _, line, _ = planned({"kind": "zone_cut", "at_s": 1, "for_s": 2, "zone": "b"})
-    assert sum(step.args["zones"] == ["a"] for step in line) == 4
-    assert sum(step.args["zones"] == ["b"] for step in line) == 6
+    assert silent == {"cut": 8}
+    _, timeline, _ = planned({"kind": "zone_cut", "at_s": 1, "for_s": 2, "zone": "b"})
+    assert sum(step.args["zones"] == ["a"] for step in timeline) == 4
+    assert sum(step.args["zones"] == ["b"] for step in timeline) == 6
 
 
-def test_a_restart_elsewhere_has_another_address_and_churn_uses_old_ones_again():
-    first, line, _ = planned({"kind": "restart", "at_s": 1, "for_s": 1, "upstreams": [0], "elsewhere": True})
-    start = next(step for step in line if step.what == "start")
+def test_a_restart_elsewhere_has_another_address_and_churn_reuses_addresses():
+    first, timeline, _ = planned(
+        {"kind": "restart", "at_s": 1, "for_s": 1, "upstreams": [0], "elsewhere": True}
+    )
+    start = next(step for step in timeline if step.what == "start")
     assert start.who == first[0].name and start.args["slot"] != 0
-    _, line, machines = planned({"kind": "churn", "at_s": 1, "period_s": 0.5, "drain_ms": 500})
-    slots = Counter(step.args["slot"] for step in line if step.what == "start")
+    _, timeline, machines = planned({"kind": "churn", "at_s": 1, "period_s": 0.5, "drain_ms": 500})
+    slots = Counter(step.args["slot"] for step in timeline if step.what == "start")
     assert len(machines) > 50 and max(slots.values()) > 1
     assert len({one.name for one in machines}) == len(machines)
 
 
-def test_the_same_seed_plans_the_same():
+def test_the_same_seed_gives_the_same_plan():
     faults = {"kind": "restart", "at_s": 1, "for_s": 2, "share": 0.3}, {"kind": "churn", "at_s": 4}
     assert steps(*faults) == steps(*faults) != steps(*faults, seed=9)
 
 
-def test_every_shipped_scenario_is_sound():
+def test_every_shipped_scenario_is_valid():
     paths = sorted(SCENARIOS.glob("*.toml"))
     kinds = {fault.kind for path in paths for fault in load(path).faults}
     assert len(paths) > 20 and all(schedule(load(path)) for path in paths)
@@ -132,34 +138,34 @@
 
 GOOD = (SCENARIOS / "demo.toml").read_text()
 BAD = {
-    "no TOML": ("name", "= =", "not TOML"),
+    "not TOML": ("name", "= =", "not TOML"),
     "unknown key": ("seed = 1", "sede = 1", "sede"),
     "wrong type": ("seed = 1", 'seed = "one"', "seed"),
-    "no method": ('method = "claim"', 'method = "x"', "classes[0]"),
+    "unknown method": ('method = "claim"', 'method = "x"', "classes[0]"),
     "soft over hard": ("soft_ms = 300.0", "soft_ms = 900.0", "methods[0].soft_ms"),
     "negative": ("rate = 230.0", "rate = -1.0", "shapes[0].rate"),
-    "no zone": ('zone = "north"', 'zone = "n"', "groups[0]"),
-    "too late": ("at_s = 8.0", "at_s = 31.0", "faults[0].at_s"),
-    "no fault": ('"deploy"', '"melt"', "faults[0].kind"),
-    "warm-up": ("warmup_s = 2.0", "warmup_s = 30.0", "warmup_s"),
-    "shape": ('"wave"', '"cliff"', "shapes[0].kind"),
+    "unknown zone": ('zone = "north"', 'zone = "n"', "groups[0]"),
+    "fault after the end": ("at_s = 8.0", "at_s = 31.0", "faults[0].at_s"),
+    "unknown fault": ('"deploy"', '"melt"', "faults[0].kind"),
+    "warm-up over the length": ("warmup_s = 2.0", "warmup_s = 30.0", "warmup_s"),
+    "unknown shape": ('"wave"', '"cliff"', "shapes[0].kind"),
 }
 
 
 @pytest.mark.parametrize("name", BAD)
-def test_a_malformed_scenario_is_refused_in_one_line_with_file_and_key(tmp_path, name):
+def test_a_malformed_scenario_is_rejected_in_one_line_with_file_and_key(tmp_path, name):
     old, new, key = BAD[name]
     assert old in GOOD
     (tmp_path / "bad.toml").write_text(GOOD.replace(old, new, 1))
-    ended = CliRunner().invoke(app, ["lab", "check", str(tmp_path / "bad.toml")])
-    said = ended.stderr.strip()
-    assert ended.exit_code == 2 and "\n" not in said and "bad.toml" in said and key in said, said
+    result = CliRunner().invoke(app, ["lab", "check", str(tmp_path / "bad.toml")])
+    error = result.stderr.strip()
+    assert result.exit_code == 2 and "\n" not in error and "bad.toml" in error and key in error, error
 
 
-def test_changes_from_the_command_line_are_checked_as_the_file_is():
+def test_overrides_from_the_command_line_are_validated_like_the_file():
     path = SCENARIOS / "demo.toml"
-    told = load(path, ["load.scale=2", "sidecars.policy=random", "fleet.groups.1.cores=3"])
-    assert (told.load.scale, told.sidecars.policy, told.fleet.groups[1].cores) == (2.0, "random", 3)
+    changed = load(path, ["load.scale=2", "sidecars.policy=random", "fleet.groups.1.cores=3"])
+    assert (changed.load.scale, changed.sidecars.policy, changed.fleet.groups[1].cores) == (2.0, "random", 3)
     for change in ("load.scal=2", "load.scale=-1", "load", "fleet.groups.9.cores=3"):
         with pytest.raises(ScenarioError, match="demo.toml"):
             load(path, [change])
--- a/tests/lab/test_load.py
+++ b/tests/lab/test_load.py
@@ -1,4 +1,4 @@
-"""Arrivals, traces and the callers' rule, without I/O."""
+"""Arrivals, traces and the callers' retry rule, without I/O."""
 
 from random import Random
 
@@ -6,7 +6,7 @@
 import pytest
 
 from shedgrade.lab import callers, trace
-from shedgrade.lab.arrivals import moments, rate, schedule, stalled
+from shedgrade.lab.arrivals import arrival_times, delayed_by_stall, rate, schedule
 from shedgrade.lab.scenario import (
     Callers,
     Load,
@@ -52,16 +52,16 @@
     assert rate(load, 9.0) == pytest.approx(2 * (10 + 20 + 8 + 4 * 1.5))
 
 
-def test_constant_arrivals_are_even_and_poisson_ones_are_as_many_as_asked():
+def test_constant_arrivals_are_even_and_poisson_arrivals_match_the_rate():
     load = Load(arrivals="constant", shapes=[Shape(kind="steady", rate=100)])
-    times = list(moments(load, 10.0, Random(1)))
+    times = list(arrival_times(load, 10.0, Random(1)))
     gaps = [b - a for a, b in zip(times, times[1:], strict=False)]
     assert len(times) == 1000 and max(gaps) - min(gaps) < 1e-6
     ramp = Load(arrivals="constant", shapes=[Shape(kind="ramp", rate=0, to=100, from_s=0, until_s=10)])
-    assert abs(len(list(moments(ramp, 10.0, Random(1)))) - 500) <= 1
+    assert abs(len(list(arrival_times(ramp, 10.0, Random(1)))) - 500) <= 1
     ramp.arrivals = "poisson"
-    times = list(moments(ramp, 10.0, Random(3)))
-    # Within four standard deviations of 500, and a quarter of them in the first half.
+    times = list(arrival_times(ramp, 10.0, Random(3)))
+    # Four standard deviations around 500, and around a quarter of the arrivals in the first half.
     assert abs(len(times) - 500) < 90 and 0.15 < sum(at < 5 for at in times) / len(times) < 0.35
 
 
@@ -73,12 +73,12 @@
     assert 4.2 < sum(works) / len(works) < 5.8
 
 
-def test_what_a_stall_must_do_to_the_tail_follows_from_the_schedule():
+def test_the_rpcs_delayed_by_a_stall_follow_from_the_schedule():
     times = [number / 100 for number in range(1000)]
-    assert [stalled(times, 3.0, 2.0, over) for over in (0, 0.5, 1.0, 1.5)] == [200, 150, 100, 50]
+    assert [delayed_by_stall(times, 3.0, 2.0, over) for over in (0, 0.5, 1.0, 1.5)] == [200, 150, 100, 50]
 
 
-def test_a_trace_comes_back_as_it_was_written(tmp_path):
+def test_a_trace_is_read_back_as_it_was_written(tmp_path):
     rows = [
         trace.Row(at_ms=0.0, id="a", method="m", work_ms=3.5, origin=1),
         trace.Row(at_ms=40.5, id="b", method="r", wait_ms=200.0),
@@ -114,7 +114,7 @@
 
 
 @pytest.mark.parametrize(
-    "text, said",
+    "text, expected",
     [
         ("at_ms,id\n1,a\nx,b\n", "line 3"),
         ("at_ms,id\n1,a\n2,a\n", "twice"),
@@ -123,11 +123,11 @@
         ("at_ms\n1\n", "line 2"),
     ],
 )
-def test_a_trace_that_is_none_is_told_by_file_and_line(tmp_path, text, said):
+def test_an_invalid_trace_is_reported_with_file_and_line(tmp_path, text, expected):
     (tmp_path / "bad.csv").write_text(text)
-    with pytest.raises(ScenarioError) as wrong:
+    with pytest.raises(ScenarioError) as error:
         schedule(scenario(load={**SMALL["load"], "trace": {"file": str(tmp_path / "bad.csv")}}))
-    assert "bad.csv" in str(wrong.value) and said in str(wrong.value) and "\n" not in str(wrong.value)
+    assert "bad.csv" in str(error.value) and expected in str(error.value) and "\n" not in str(error.value)
 
 
 def test_a_runs_records_export_as_a_trace_that_links_its_retries():
@@ -155,14 +155,14 @@
     ]
 
 
-def test_callers_try_again_only_where_it_is_harmless():
-    three = Callers(retries=2, backoff="exponential", backoff_ms=100)
+def test_callers_retry_only_where_a_repeat_is_harmless():
+    retrying = Callers(retries=2, backoff="exponential", backoff_ms=100)
     once, safe = Method(name="m"), Method(name="r", repeats="retriable")
     keyed = Method(name="k", repeats="deduped", window_ms=500)
     zoned = Method(name="z", repeats="deduped", group="zone", window_ms=500)
 
     def again(method, outcome, tries=1, since=0.1, after=0.0):
-        return callers.next_try(three, method, outcome, tries, since, after, Random(1))
+        return callers.retry_delay(retrying, method, outcome, tries, since, after, Random(1))
 
     assert again(once, callers.FAILED) is again(once, callers.GAVE_UP) is again(zoned, callers.LOST) is None
     assert again(once, callers.REFUSED) is not None and again(once, callers.UNREACHABLE) is not None
--- a/tests/lab/test_run.py
+++ b/tests/lab/test_run.py
@@ -1,4 +1,4 @@
-"""Whole runs on loopback, short: real sidecars, stand-ins, faults, and the judge over all of it."""
+"""Whole runs on loopback, short: real sidecars, stand-in upstreams, faults, and the judge on the results."""
 
 import asyncio
 import os
@@ -21,7 +21,7 @@
     runner,
     trace,
 )
-from shedgrade.lab.arrivals import schedule, stalled
+from shedgrade.lab.arrivals import delayed_by_stall, schedule
 from shedgrade.lab.processes import LabError
 from shedgrade.lab.runner import Run
 from shedgrade.lab.scenario import convert, load
@@ -29,7 +29,7 @@
 pytestmark = pytest.mark.usefixtures("lab_cores")
 ROOT = Path(__file__).parents[2]
 SCENARIOS = ROOT / "scenarios"
-# CI's machine may be busy: what is judged here is never how fast it is, so deadlines and graces are wide.
+# CI machines may be busy and no test here judges speed, so deadlines and grace times are generous.
 TREE = {
     "name": "t",
     "length_s": 3.0,
@@ -64,23 +64,23 @@
     return runner.run(scenario, tmp_path / "run")
 
 
-def test_a_calm_run_serves_all_keeps_the_rules_and_leaves_its_folder(tmp_path, monkeypatch):
-    monkeypatch.chdir(tmp_path)  # not where the program lies, and the folder is named from here
+def test_a_run_without_faults_serves_every_rpc_without_breaches_and_writes_its_folder(tmp_path, monkeypatch):
+    monkeypatch.chdir(tmp_path)  # not the repository, and the run's folder is a relative path
     scenario = tree(
         load={**TREE["load"], "processes": 2}, fleet={**TREE["fleet"], "processes": 2, "cross_ms": 2.0}
     )
     summary = run(Path(), scenario)
-    said = summary["figures"]
+    figures = summary["figures"]
     assert summary["state"] == "done" and not summary["breaches"] and not summary["no_result"]
-    assert said["asked"] == said["served"] == len(schedule(scenario)) == summary["latency_ms"]["count"]
-    assert said["cpu_us_per_rpc"] > 0 and 5 < said["peak_mb"] < 192
+    assert figures["asked"] == figures["served"] == len(schedule(scenario)) == summary["latency_ms"]["count"]
+    assert figures["cpu_us_per_rpc"] > 0 and 5 < figures["peak_mb"] < 192
     for form, start in (("html", "<!doctype html>"), ("md", "# t")):
         assert report.write(tmp_path / "run", form).read_text().startswith(start)
     assert (
         CliRunner().invoke(app, ["lab", "export", str(tmp_path / "run"), str(tmp_path / "t.csv")]).exit_code
         == 0
     )
-    assert len(trace.read(tmp_path / "t.csv")) == said["asked"]
+    assert len(trace.read(tmp_path / "t.csv")) == figures["asked"]
 
 
 def test_the_tail_of_a_known_stall_is_reported_in_full_and_a_closed_loop_hides_it(tmp_path):
@@ -91,17 +91,17 @@
     start, length = marks["stop"], marks["continue"] - marks["stop"]
     times = [arrival.at for arrival in schedule(scenario)]
     rpcs = [one for one in results.records(tmp_path / "run") if one["k"] == "rpc"]
-    # What was due within the stall waits for its end, and then for what stands before it.
+    # RPCs due within the stall wait for its end, and then for the RPCs queued before them.
     after = [one["end"] - start - length for one in rpcs if start <= one["due"] < start + length - 0.1]
     drained = max(after)
-    assert abs(len(after) - stalled(times, start, length, 0.1)) <= 2 and min(after) > -0.02
+    assert abs(len(after) - delayed_by_stall(times, start, length, 0.1)) <= 2 and min(after) > -0.02
     assert length * 1000 - 20 <= summary["latency_ms"]["max"] <= (length + drained + 0.02) * 1000
     for over in (0.5, 1.0, 1.5):
         found = sum(one["end"] - one["due"] > over for one in rpcs)
         assert (
-            stalled(times, start, length, over) - 1
+            delayed_by_stall(times, start, length, over) - 1
             <= found
-            <= stalled(times, start, length + drained, over) + 1
+            <= delayed_by_stall(times, start, length + drained, over) + 1
         )
         assert summary["figures"][f"over_{over:g}s"] == pytest.approx(found / len(times), abs=1e-4)
     assert summary["latency_ms"]["p99"] > 1500
@@ -109,12 +109,12 @@
 
 
 def test_every_fault_once_and_the_sidecar_keeps_the_rules(tmp_path):
-    """Not that it serves well: that each fault is carried out, and that the judge finds nothing."""
+    """Each fault is carried out, and the judge finds no breach; how well the sidecar serves is not tested."""
 
     def one(kind, at, **more):
         return {"kind": kind, "at_s": at, **more}
 
-    line = [
+    planned_faults = [
         one("kill", 0.5, upstreams=[0]),
         one("restart", 0.7, for_s=1, upstreams=[1], elsewhere=True),
         one("hang", 0.9, for_s=1.0, upstreams=[3]),
@@ -140,13 +140,13 @@
     ]
     scenario = tree(
         length_s=9.5,
-        faults=line,
+        faults=planned_faults,
         callers={"retries": 2, "backoff": "exponential"},
         load={**TREE["load"], "bad_clients": 8.0},
     )
     summary = run(tmp_path, scenario)
-    done = {one["what"] for one in results.lines(tmp_path / "run/events.jsonl") if one["k"] == "fault"}
-    assert done >= {
+    fault_steps = {one["what"] for one in results.lines(tmp_path / "run/events.jsonl") if one["k"] == "fault"}
+    assert fault_steps >= {
         "kill",
         "start",
         "hang",
@@ -167,13 +167,13 @@
         "list",
     }
     assert not summary["breaches"], summary["breaches"][:3]
-    hows = {one["how"] for one in results.records(tmp_path / "run") if one["k"] == "tx"}
-    assert hows >= {"done", "spoilt"} and summary["figures"]["served"] > 200
+    outcomes = {one["how"] for one in results.records(tmp_path / "run") if one["k"] == "tx"}
+    assert outcomes >= {"done", "spoilt"} and summary["figures"]["served"] > 200
     assert summary["bad_clients"]["count"] > 20 and summary["bad_clients"]["neither"] == 0
     report.write(tmp_path / "run")
 
 
-def test_the_judge_catches_on_sockets_what_a_rogue_does(tmp_path, monkeypatch):
+def test_the_judge_catches_a_sidecar_that_breaks_the_rules(tmp_path, monkeypatch):
     async def start(self, number):
         with (self.folder / "rogue.log").open("ab") as log:
             process = await asyncio.create_subprocess_exec(
@@ -187,7 +187,7 @@
         self.sidecars[number] = processes.Process("rogue", process)
 
     monkeypatch.setattr(Run, "start_sidecar", start)
-    line = [
+    planned_faults = [
         {"kind": "drain", "at_s": 0.5, "upstreams": [0], "drain_ms": 2400},
         {"kind": "restart", "at_s": 0.2, "for_s": 0.2, "upstreams": [1, 4]},
     ]
@@ -198,9 +198,9 @@
             for name, repeats in (("once", "non-retriable"), ("safe", "non-retriable"))
         ],
         settings={"stop_sending_ms": 100.0},
-        faults=line,
+        faults=planned_faults,
     )
-    # It never asks discovery; what it would have been told is planted as its agent's word.
+    # The rogue never asks discovery, so the test adds the record of what its agent would have told it.
     folder = tmp_path / "run"
     runner.run(scenario, folder)
     with (folder / "events.jsonl").open("ab") as file:
@@ -219,7 +219,7 @@
     }, found
 
 
-def test_a_policy_without_care_for_the_cold_pushes_them_over_and_is_told(tmp_path):
+def test_a_policy_that_ignores_cold_starts_overloads_upstreams_and_is_reported(tmp_path):
     fleet = {
         "zones": ["a"],
         "discovery": {"notice_ms": [0.0, 10.0]},
@@ -235,41 +235,46 @@
             }
         ],
     }
-    # 2.4 s of work a second over four upstreams: 300 ms for each in a window in which a cold one may have 60.
-    line = [{"kind": "grow", "at_s": 0.5, "count": 2}]
+    # 2.4 s of work per second over four upstreams: 300 ms each per window, where a cold one may get 60 ms.
+    planned_faults = [{"kind": "grow", "at_s": 0.5, "count": 2}]
     load = {**TREE["load"], "classes": [{"method": "once", "work_ms": 60.0}]}
-    scenario = tree(fleet=fleet, faults=line, load=load, sidecars={"count": 1, "policy": "rotation"})
+    scenario = tree(
+        fleet=fleet, faults=planned_faults, load=load, sidecars={"count": 1, "policy": "rotation"}
+    )
     summary = run(tmp_path, scenario)
     assert {one["rule"] for one in summary["breaches"]} == {4} and summary["figures"]["fell"] == 2
 
 
-def test_a_generator_that_stood_still_says_that_the_run_is_no_result(tmp_path):
-    async def scene():
-        made = Run(tree(load={**TREE["load"], "late_ms": 100.0}), tmp_path / "run")
-        going = asyncio.create_task(made())
-        while not made.zero or made.now() < 1.0:
+def test_a_generator_that_was_stopped_makes_the_run_invalid(tmp_path):
+    async def stop_generator_during_run():
+        lab_run = Run(tree(load={**TREE["load"], "late_ms": 100.0}), tmp_path / "run")
+        running = asyncio.create_task(lab_run())
+        while not lab_run.start_time or lab_run.now() < 1.0:
             await asyncio.sleep(0.05)
-        made.generators[0].process.send_signal(signal.SIGSTOP)
+        lab_run.generators[0].process.send_signal(signal.SIGSTOP)
         await asyncio.sleep(1.0)
-        made.generators[0].process.send_signal(signal.SIGCONT)
-        return await going
+        lab_run.generators[0].process.send_signal(signal.SIGCONT)
+        return await running
 
-    summary = asyncio.run(scene())
+    summary = asyncio.run(stop_generator_during_run())
     assert "the generator was late" in summary["no_result"][0] and summary["lateness_ms"]["max"] > 700
 
 
-def test_a_generator_that_had_no_core_of_its_own_says_so(tmp_path):
+def test_a_generator_that_waited_for_a_core_makes_the_run_invalid(tmp_path):
     results.put_state(tmp_path, "done")
-    said = {"late": 0, "troubles": [], "run_delay": 0.1}
-    assert results.invalid(tree(), tmp_path, None, said) == []
-    assert "waited 0.2 s for a core" in results.invalid(tree(), tmp_path, None, {**said, "run_delay": 0.2})[0]
+    reported = {"late": 0, "troubles": [], "run_delay": 0.1}
+    assert results.invalid(tree(), tmp_path, None, reported) == []
+    assert (
+        "waited 0.2 s for a core"
+        in results.invalid(tree(), tmp_path, None, {**reported, "run_delay": 0.2})[0]
+    )
 
 
 def test_recorded_retries_count_with_their_first_try(tmp_path):
-    # Every upstream hangs for the first second: the retries recorded at 1.2 s are what gets served.
+    # Every upstream hangs for the first 1.2 s, so that only the retries, due from 1.5 s on, are served.
     rows = []
     for number in range(20):
-        # The first is due with the hang itself: it is too long to be served before the hang takes hold.
+        # The first RPC is due together with the hang: its work is too long to end before the hang begins.
         rows.append(
             trace.Row(
                 at_ms=100 + number * 5 + 300 * bool(number),
@@ -287,12 +292,13 @@
         faults=[{"kind": "hang", "at_s": 0.0, "for_s": 1.2, "share": 1.0}],
     )
     summary = run(tmp_path, scenario)
-    said = summary["figures"]
-    assert said["asked"] == 20 and said["served"] == 20 and said["tries"] == 2.0
-    assert 1180 <= summary["latency_ms"]["p50"] < 3000  # from the first try, not from the retry
+    figures = summary["figures"]
+    assert figures["asked"] == 20 and figures["served"] == 20 and figures["tries"] == 2.0
+    # Latency counts from the first try, not from the retry.
+    assert 1180 <= summary["latency_ms"]["p50"] < 3000
 
 
-def test_a_run_killed_half_way_leaves_what_it_had_and_is_marked(tmp_path):
+def test_a_run_killed_halfway_keeps_its_records_and_is_marked(tmp_path):
     (tmp_path / "t.json").write_bytes(orjson.dumps({**TREE, "length_s": 20.0}))
     code = (
         "import orjson, sys; from pathlib import Path; from shedgrade.lab import runner, scenario\n"
@@ -308,7 +314,7 @@
         time.sleep(0.2)
     process.kill()
     process.wait()
-    time.sleep(1.0)  # the workers see their input end, sidecars end with their runner
+    time.sleep(1.0)  # workers exit at the end of their input, sidecars when their runner dies
     summary = results.summarize(folder)
     assert summary["state"] == "cut off" and "cut off" in summary["no_result"][0]
     assert summary["figures"]["asked"] > 0 and report.write(folder).exists()
@@ -317,7 +323,7 @@
             assert processes.stat_of(one["pid"]) is None
 
 
-def test_descriptors_that_would_run_out_are_told_before_the_run(tmp_path, monkeypatch):
+def test_a_shortage_of_descriptors_is_reported_before_the_run(tmp_path, monkeypatch):
     monkeypatch.setattr(processes, "raise_limit", lambda: 300)
     with pytest.raises(LabError, match="descriptors.*ulimit"):
         run(tmp_path, tree(sidecars={"count": 4}))
