--- a/shedgrade/cli/quota.py
+++ b/shedgrade/cli/quota.py
@@ -37,7 +37,7 @@
     except ConfigError as error:
         fail(error)
     if quota is None:
-        fail(ValueError(f"{path}: no [quota]"))
+        fail(ValueError(f"{path}: the file has no table [quota]"))
     return quota
 
 
@@ -116,7 +116,7 @@
 def replay(gate: Gate, rows: list["Row"], default_identity: str) -> Iterator[bool]:
     """Replays each row in turn; prints and yields whether it was admitted.
 
-    An admitted row settles when its work is done.
+    An admitted row is settled when its work is done.
     """
     running: list[tuple[int, int, Ticket, int]] = []  # a heap of (end, order, ticket, work)
     order = count()
@@ -144,7 +144,7 @@
 
 
 def describe_refusal(refusal: Refusal, leaf: Node, now: int) -> str:
-    """Describes which limit refused and why, the account's position, and when there may be room."""
+    """Describes which limit refused and why, the use and debts of its account, and when there may be room."""
     limit = refusal.limit
     account = next(
         (candidate for candidate in leaf.path if candidate.name == refusal.node and candidate.limit == limit),
--- a/shedgrade/sidecar/quota/accounts.py
+++ b/shedgrade/sidecar/quota/accounts.py
@@ -13,9 +13,11 @@
 from shedgrade.sidecar.quota.sliding_window import SlidingWindow
 
 INSTALMENT_DIVISOR = 2  # an instalment is at most half of a guarantee, so that no borrower is starved
-# Up to 1/16 of a ceiling is withheld from requests of low payoff, by their draw.
+# Up to 1/16 of the parent's ceiling is withheld from requests of low payoff, in proportion to their
+# admission draw.
 LOW_VALUE_RESERVE_DIVISOR = 16
-# Siblings don't compete, and nothing is paced, while use and entitlements fill at most half of the ceiling.
+# Siblings don't compete, and nothing is paced, while the parent's use and the unused entitlements of its
+# children fill at most half of its ceiling.
 UNCONTENDED_DIVISOR = 2
 
 
@@ -36,7 +38,8 @@
         credit: by how much running instalments raise the entitlement; negative where they lower it.
         debt: what it owes its siblings; at most `credit_limit`, unless that was lowered since.
         credit_limit: the most that it may owe at any time.
-        lead, lead_updated_at: state of the parent's `FairPacing`; valid only while this account is paced.
+        lead: use beyond the entitlement, less its decay, as a fixed-point number (see `pacing.py`).
+        lead_updated_at: when `lead` was last decayed. Both are valid only while this account is paced.
         last_request_at: when it last asked under contention, admitted or refused.
         loan_rate: the even rate of an account that may borrow; None until its first use under contention.
         lends_to: names of the siblings that it lends to; None for all.
@@ -113,8 +116,9 @@
                 self.terms.guaranteed[self] = None
         self.weight = limit.weight
         self.guarantee = guarantee
-        # All its debts at any time fit into the instalments, of two windows each, that `repay_windows` holds:
-        # one window less for the rounding to slots, and one instalment less for the one that may be running.
+        # The account's debts at any time fit into the instalments, of two windows each, that end within
+        # `repay_windows`: one window less for the rounding to slots, and one instalment less for the one that
+        # may be running.
         self.credit_limit = self.max_instalment() * max(0, (self.terms.repay_windows - 1) // 2 - 1)
         if self.debt and pool is not None:
             pool.repayment.reschedule(self)
@@ -125,13 +129,16 @@
         return self.guarantee // INSTALMENT_DIVISOR
 
     def entitlement(self) -> int:
-        """Returns what the account may use whatever its siblings use: its guarantee plus its credit."""
+        """Returns what the account may use whatever its siblings use: its guarantee, plus its credit.
+
+        The credit is what siblings are repaying to it now, negative for what it is repaying to them.
+        """
         return max(0, self.guarantee + self.credit)
 
     # --- use
 
     def used(self, now: int) -> int:
-        """Returns the use that counts now, in flight or in the window."""
+        """Returns the account's use at `now`: amounts in flight, or those within the window."""
         if self.window is None:
             return self.in_flight
         self.window.advance(now)
@@ -166,7 +173,7 @@
         return slot
 
     def refund(self, now: int, slot: int, amount: int) -> None:
-        """Takes back an amount that was charged in that slot, as far as it still counts."""
+        """Takes back an amount that was charged in that slot, unless the slot has left the window."""
         if self.window is None:
             self.in_flight -= amount
         else:
@@ -199,7 +206,7 @@
         return window.used + amount <= self.ceiling
 
     def fits_among_siblings(self, now: int, amount: int, admission_draw: float) -> bool:
-        """Returns whether the amount fits beside the entitlements and the pace of the siblings.
+        """Returns whether the amount is free of the siblings' entitlements, or lent by them, and keeps the pace.
 
         `within_ceiling` must have been called before, for this account and its parent, as it advances their
         windows. `admission_draw`: 0 to 1, low for requests of high payoff.
@@ -268,7 +275,7 @@
         """Ends the account of a removed node or limit; returns the sum of the debts that are forgiven.
 
         From now on it has no guarantee. Its use counts until it leaves the window; requests in flight still
-        settle here.
+        settle in this account.
         """
         pool = self.pool
         if pool is None:
--- a/shedgrade/sidecar/quota/builder.py
+++ b/shedgrade/sidecar/quota/builder.py
@@ -83,7 +83,7 @@
 def resolve_limits(table: NodeTable, parent: Node | None) -> tuple[Limit, ...]:
     """Returns the limits of the table, and the parent's ceiling for each limit that only the parent has.
 
-    So siblings without a limit of their own count among those that have one.
+    So a child without a limit of its own has an account too, and competes with the siblings that have one.
     """
     limits = [
         Limit(
--- a/shedgrade/sidecar/quota/config.py
+++ b/shedgrade/sidecar/quota/config.py
@@ -5,7 +5,8 @@
 from msgspec import Meta, Struct, field
 
 Count = Annotated[int, Meta(ge=0, le=2**53)]
-# In windows: two for an instalment, two for one that may be running, and one for the rounding to slots.
+# In windows: two for an instalment, two for another one that may be running before it, and one for the
+# rounding to slots.
 MIN_REPAY_WINDOWS = 5
 MAX_REPAY_WINDOWS = 40
 
@@ -31,12 +32,12 @@
 
     Attributes:
         limits: the node's own limits.
-        weight: for sharing what no sibling is entitled to.
+        weight: the node's weight in sharing what no sibling is entitled to.
         lends_to: names of the siblings that may borrow what the node leaves unused; all if absent, none if
             empty.
-        children: by name.
-        template: of the children that `children` does not name, made at their first use; a table, or the name
-            of one of `[quota.templates]`.
+        children: the nodes below this one, by name.
+        template: the table from which a child that `children` does not name is made at its first use; given
+            as a table, or as the name of one in `[quota.templates]`.
     """
 
     limits: list[LimitTable] = field(default_factory=list)
@@ -68,7 +69,8 @@
     Attributes:
         identity: names of headers, or of attributes in `X-Attrs`, from the outermost to the leaf, e.g.
             ["org", "chain", "store"].
-        source: of the identity: attrs (`X-Attrs`), header, or login (the tunnel's user, as ORG/CHAIN/STORE).
+        source: where the identity is read from: attrs (`X-Attrs`), header, or login (the tunnel's user, as
+            ORG/CHAIN/STORE).
         share: this sidecar's part of every limit, where the configuration splits the fleet's traffic.
         reserve: the part of each guarantee that is never lent.
         repay_windows: every loan is repaid within this many windows of its limit.
--- a/shedgrade/sidecar/quota/feature.py
+++ b/shedgrade/sidecar/quota/feature.py
@@ -1,5 +1,5 @@
-"""Quotas as a feature of the sidecar: a gate before the platform's own pool. The counts are saved with the
-endpoint list, if that is saved."""
+"""Quotas as a feature of the sidecar: a gate before the platform's own pool. The use and the debts are saved
+with the endpoint list, if that is saved."""
 
 import time
 from typing import TYPE_CHECKING, Any
@@ -34,7 +34,7 @@
         self.update_count_header(quota)
 
     def update_count_header(self, quota: Quota) -> None:
-        """Sets the header of upstreams' counts; none unless the fleet's limits are split by traffic."""
+        """Sets the header in which upstreams report their counts; none without `[quota.fleet]`."""
         connections: Any = self.pool.connections  # its class has no types yet
         fleet = quota.fleet
         connections.count_header = fleet.header.lower().encode() if fleet is not None else b""
@@ -75,7 +75,7 @@
         self.gate.payoffs_equal = len({method["payoff"] for method in self.methods}) < 2
 
     def tick(self) -> None:
-        """Updates the share of the fleet; saves and logs every SAVE_INTERVAL_S."""
+        """Updates this sidecar's share; every SAVE_INTERVAL_S, saves the state and logs new refusals."""
         self.gate.refresh_share(wall_clock_ms() * 10, len(self.pool.balancer.upstreams))
         now = time.monotonic()
         if now < self.saved_at + SAVE_INTERVAL_S:
@@ -99,7 +99,7 @@
             self.pool.saved.save_quota(export(self.gate.tree, self.pool.clock.now(), wall_clock_ms()))
 
     def close(self) -> None:
-        """Saves, and logs debts and refusals, as the sidecar ends."""
+        """Saves the use and the debts; logs the debts and the refusals of the whole run."""
         self.save()
         debts = list(self.gate.tree.debts())
         if debts:
--- a/shedgrade/sidecar/quota/fleet_share.py
+++ b/shedgrade/sidecar/quota/fleet_share.py
@@ -1,9 +1,9 @@
 """This sidecar's share of the fleet's limits, computed from the observed traffic. No I/O.
 
 Each sidecar sees only its own traffic, but an upstream sees that of all sidecars: its count, sent with each
-answer, shows which part of its answers went to this sidecar. The mean of these parts over *all* listed
-upstreams, with 0 for those that this sidecar never uses, is its share; over all sidecars these means add up
-to 1 at most, whichever zones they prefer.
+answer, shows which part of its answers went to this sidecar. The mean of these parts over *all* upstreams in
+the endpoint list, with 0 for those that this sidecar never uses, is its share; over all sidecars these means
+add up to 1 at most, whichever zones they prefer.
 
 Parts are taken over epochs that begin at the same wall-clock times everywhere; the share in use is the
 minimum of the last EPOCHS_KEPT epochs. Sidecars whose clocks differ by less than an epoch have an epoch in
@@ -23,11 +23,11 @@
 
 
 class UpstreamCount(Struct):
-    """What one upstream has answered in total, by its own count, and how much of it to this sidecar."""
+    """Answers of one upstream: to all sidecars, by the upstream's own count, and to this sidecar."""
 
-    epoch_start: int  # its count at the last answer of the previous epoch
-    latest: int  # its count at the latest answer
-    own_answers: int = 0  # answers between the two that this sidecar received
+    epoch_start: int  # the upstream's count at the last answer of the previous epoch
+    latest: int  # the upstream's count at the latest answer
+    own_answers: int = 0  # answers to this sidecar after the one at `epoch_start`
 
 
 class FleetShare:
@@ -36,7 +36,7 @@
     Attributes:
         epoch_length, sidecar_count, even_part: from the configuration; `even_part` in millionths.
         counts: by index of the upstream, for upstreams that answered in this epoch or the previous one.
-        upstream_count: the number of listed upstreams.
+        upstream_count: the number of upstreams in the endpoint list.
         current_epoch: the number of the current epoch; -1 before the first call of `share_at`.
         parts: this sidecar's part of the answers in each of the last epochs, in millionths, the newest first.
         agreed_part: a part that sidecars agreed on, in millionths; None to use the observed `parts`.
@@ -53,7 +53,7 @@
         self.agreed_part: int | None = None
 
     def set_upstreams(self, upstream_count: int) -> None:
-        """Sets the number of listed upstreams."""
+        """Sets the number of upstreams in the endpoint list, over which the parts are averaged."""
         self.upstream_count = upstream_count
 
     def share_at(self, wall_time: int) -> int:
--- a/shedgrade/sidecar/quota/gate.py
+++ b/shedgrade/sidecar/quota/gate.py
@@ -25,7 +25,7 @@
     Attributes:
         quota: the configuration in force.
         tree, default_leaf: the tree of quotas, and its leaf of unknown identities.
-        payoffs_equal: whether all methods have the same payoff, so that the balancer's draw is not used.
+        payoffs_equal: whether all methods have the same payoff, so that the admission draw is not used.
         identity_names: names of the headers or attributes that identify the client, in lower case.
         estimates: by method, the mean work in ms; missing until the method's first request has ended.
         refused: the number of refusals by name of the node.
--- a/shedgrade/sidecar/quota/lending.py
+++ b/shedgrade/sidecar/quota/lending.py
@@ -13,7 +13,7 @@
 A lender that is refused within its entitlement has lent too much. From that moment nothing is lent under this
 parent (*recall*): after one window and one slot, all use that counts was admitted with every entitlement left
 free, so every child has its own in full. What the lender was refused is a debt of the heaviest borrower
-(`repayment.py`). A loan that its lender never missed ends with the window in which it was given. The reasons
+(`repayment.py`). A loan for which no lender was refused ends when its use leaves the window. The reasons
 for this design are in docs/design/quotas.md.
 """
 
@@ -27,8 +27,10 @@
 if TYPE_CHECKING:
     from shedgrade.sidecar.quota.accounts import Account
 
-BORROWERS_EXAMINED = 32  # to find the heaviest, so that the work does not grow with the number of siblings
-IN_FLIGHT_PERIOD = 10_000  # tenths of a ms; stands for the window of a limit that has none
+# Children examined for the one that uses most beyond its guarantee, so that the work does not grow with the
+# number of siblings.
+BORROWERS_EXAMINED = 32
+IN_FLIGHT_PERIOD = 10_000  # tenths of a ms; the window length assumed for a limit without a window
 
 
 class LendingPool:
@@ -122,7 +124,11 @@
         return rate is None or window is None or rate.conforms(now, window.slot_length)
 
     def is_recalling(self, now: int) -> bool:
-        """Returns whether nothing is lent: a lender was refused within its entitlement, or is still owed."""
+        """Returns whether lending is suspended.
+
+        It is for one window and slot after a lender was refused within its entitlement, and until all debts
+        among the children are repaid.
+        """
         return now < self.recall_until or self.repayment.outstanding > 0
 
     def record_refusal(self, now: int, account: "Account", amount: int, is_retry: bool) -> None:
@@ -136,17 +142,17 @@
             return
         self.recall_until = now + self.window_length()
         if is_retry or account.used(now) + amount > account.guarantee:
-            # A retry makes no second debt. What the child lacks of a repayment was no loan of its own, so
-            # that makes no debt either.
+            # A retry makes no second debt. An amount above the guarantee was to come from a repayment to the
+            # child and is no loan of the child's, so that its refusal makes no debt either.
             return
         borrower = self.heaviest_borrower(now, account, amount)
         if borrower is not None:
             self.repayment.add_debt(now, account, borrower, amount)
 
     def heaviest_borrower(self, now: int, lender: "Account", amount: int) -> "Account | None":
-        """Returns the child that uses most beyond its guarantee, of those that asked last.
+        """Returns the child that uses most beyond its guarantee, of the most recently active paced children.
 
-        None if there is none, or if it can't owe the amount as well.
+        None if no child does, or if that child's debt can't grow by the amount.
         """
         heaviest, largest_excess = None, 0
         for number, child in enumerate(reversed(self.pacing.children)):
--- a/shedgrade/sidecar/quota/limits.py
+++ b/shedgrade/sidecar/quota/limits.py
@@ -18,7 +18,7 @@
     window: int  # tenths of a millisecond; 0 for requests in flight
     ceiling: int  # the most that is ever admitted, borrowed amounts included
     guarantee: int = 0  # the part of the parent's ceiling that is set aside for this node
-    weight: int = 1  # for sharing what no sibling is entitled to
+    weight: int = 1  # of the node, in sharing what no sibling is entitled to
 
     @property
     def key(self) -> tuple[str, int]:
--- a/shedgrade/sidecar/quota/pacing.py
+++ b/shedgrade/sidecar/quota/pacing.py
@@ -1,8 +1,9 @@
 """Pacing of use beyond the entitlement: an even rate (GCRA), and fair shares by weight. No I/O.
 
 Accounts that use more than their entitlement are paced by the `FairPacing` of their parent. Each has a
-*lead*: what it has taken beyond its entitlement, less what has decayed since, at the rate of its weighted
-part of what all of them share. While several accounts contend, those with a large lead are held back.
+*lead*: the amount that it has taken beyond its entitlement. The lead decays at the account's fair rate: its
+weighted part of what all paced accounts share, per window. An account with a large lead is ahead of its pace
+and is held back while other accounts are paced too.
 """
 
 from typing import TYPE_CHECKING
@@ -11,9 +12,9 @@
     from shedgrade.sidecar.quota.accounts import Account
     from shedgrade.sidecar.quota.lending import LendingPool
 
-FRACTION_BITS = 16  # fraction bits of leads and rates, which are fixed-point numbers
+FRACTION_BITS = 16  # of leads (see above) and arrival times, which are fixed-point numbers
 CONTENTION_HEADROOM_DIVISOR = 8  # 1/8 of the ceiling is left to the accounts that are behind their pace
-# Paced accounts checked for each one that is added, so that idle ones do not stay for long.
+# Paced accounts checked for idleness at a time, so that idle ones are removed soon at a bounded cost.
 MAX_IDLE_CHECKS = 2
 FIXED_POINT_ONE = 1 << FRACTION_BITS  # an amount of 1 as a fixed-point number
 
@@ -21,8 +22,8 @@
 class EvenRate:
     """An amount per window, taken evenly: generic cell rate algorithm (ITU-T I.371), as a virtual schedule.
 
-    What is taken in one burst also leaves the window in one, and until then nothing becomes free for
-    siblings.
+    Amounts that are taken in one burst leave the sliding window all at once, a window later, and siblings get
+    no room until then. Amounts that are taken evenly also leave evenly.
     """
 
     __slots__ = ("theoretical_arrival",)
@@ -74,7 +75,7 @@
             self.total_weight -= account.weight
 
     def set_weight(self, account: "Account", weight: int) -> None:
-        """Sets the weight of this account, paced or not."""
+        """Sets the account's weight; updates `total_weight` if the account is among the paced `children`."""
         if account in self.children:
             self.total_weight += weight - account.weight
         account.weight = weight
@@ -95,7 +96,7 @@
         self.remove_idle(now)
 
     def decay_lead(self, now: int, account: "Account") -> None:
-        """Decays the account's lead for the time since its last update."""
+        """Decays the account's lead, its use beyond the entitlement, for the time since the last update."""
         elapsed = now - account.lead_updated_at
         if account.lead and elapsed > 0:
             shareable = self.pool.shareable() << FRACTION_BITS
@@ -104,7 +105,10 @@
         account.lead_updated_at = max(now, account.lead_updated_at)
 
     def remove_idle(self, now: int) -> None:
-        """Removes accounts without a lead that asked for nothing within a window; at most MAX_IDLE_CHECKS."""
+        """Stops pacing idle accounts: their lead has decayed to 0, and they sent no request within a window.
+
+        Checks the least recently active accounts, at most MAX_IDLE_CHECKS of them.
+        """
         for _ in range(min(MAX_IDLE_CHECKS, len(self.children))):
             account = next(iter(self.children))
             self.decay_lead(now, account)
@@ -113,7 +117,7 @@
             self.remove(account)
 
     def must_yield(self, now: int, account: "Account") -> bool:
-        """Returns whether the account is ahead of its pace while others also want unentitled room."""
+        """Returns whether the account's lead is too large while other accounts are paced too."""
         if account not in self.children or len(self.children) == 1:
             return False
         self.decay_lead(now, account)
--- a/shedgrade/sidecar/quota/repayment.py
+++ b/shedgrade/sidecar/quota/repayment.py
@@ -17,7 +17,7 @@
 
 MAX_DEBT_HISTORY = 1000  # for reports, repaid ones included
 INSTALMENT_WINDOWS = 2  # the duration of an instalment, in windows
-# Tenths of a ms for which an instalment of a limit without a window takes further debts.
+# Tenths of a ms for which an instalment of a limit without a window accepts further debts.
 IN_FLIGHT_OPEN_PERIOD = 500
 
 
@@ -45,7 +45,7 @@
 
 
 class UnscheduledDebt(Struct, eq=False):
-    """The part of a debt that no instalment has taken up yet."""
+    """The part of a debt that is not yet included in an instalment."""
 
     lender: "Account"
     debt: Debt
@@ -62,7 +62,10 @@
 
 
 class Instalment(Struct, eq=False):
-    """What one borrower is repaying now. Times in tenths of a millisecond."""
+    """The amounts that one borrower is repaying to its lenders now. Times in tenths of a millisecond.
+
+    For two windows these amounts are moved from the borrower's entitlement to those of the lenders.
+    """
 
     ends_at: int
     parts: list[InstalmentPart]
@@ -82,8 +85,9 @@
     """All debts among the children of one account.
 
     Attributes:
-        unscheduled: by borrower, debts that wait for an instalment, the oldest first; no queue is empty.
-        running: by borrower, the instalment that it is repaying now.
+        unscheduled: by borrower, the debts that are not yet included in an instalment, the oldest first; a
+            borrower without such debts has no queue.
+        running: by borrower, its current instalment.
         outstanding: the sum of what is not yet repaid, scheduled or not.
         history: the newest debts, repaid and forgiven ones included.
     """
@@ -98,7 +102,7 @@
         self.history: deque[Debt] = deque(maxlen=MAX_DEBT_HISTORY)
 
     def add_debt(self, now: int, lender: "Account", borrower: "Account", amount: int) -> Debt:
-        """Adds a debt to what the borrower owes, and begins or extends its instalment; returns the debt."""
+        """Adds a debt to what the borrower owes, and begins or extends the borrower's instalment."""
         due = now + borrower.terms.repay_windows * self.pool.window_length()
         debt = Debt(lender.name, borrower.name, lender.limit.key, amount, now, due)
         self.history.append(debt)
@@ -116,7 +120,7 @@
     def begin_instalment(self, now: int, borrower: "Account", reopened: Instalment | None = None) -> None:
         """Begins an instalment with the borrower's oldest debts, up to the most that one instalment repays.
 
-        `reopened`: an instalment that still takes further debts, and is extended by this one.
+        `reopened`: an instalment that still accepts debts; the new one replaces and extends it.
         """
         parts = list(reopened.parts) if reopened is not None else []
         open_until = reopened.open_until if reopened is not None else now + self.open_length()
@@ -144,14 +148,14 @@
     def complete_due(self, now: int) -> None:
         """Ends the instalments whose time is over.
 
-        Each borrower's next one begins when the last one ended, even if that was long ago.
+        A borrower's next instalment begins at the end of the last one, even if that was long ago.
         """
         for borrower in list(self.running):
             while borrower in self.running and self.running[borrower].ends_at <= now:
                 self.complete(borrower)
 
     def complete(self, borrower: "Account") -> None:
-        """Ends a running instalment as paid: entitlements return, and the next instalment begins."""
+        """Ends a running instalment as paid: entitlements are restored, and the next instalment begins."""
         instalment = self.running.pop(borrower)
         for part in instalment.parts:
             self.return_entitlement(borrower, part)
@@ -166,7 +170,7 @@
     def reschedule(self, borrower: "Account") -> None:
         """Reduces the running instalment if the borrower's guarantee is now lower than what it repays.
 
-        If nothing is left to repay from, its debts are forgiven.
+        If the guarantee is too low for any instalment, the borrower's debts are forgiven.
         """
         if not borrower.max_instalment():
             borrower.terms.forgiven += self.forgive(borrower)
@@ -190,7 +194,7 @@
         )
 
     def forgive_between(self, account: "Account", borrower: "Account") -> int:
-        """Forgives the borrower's debts, or only those to the account if that is another; returns the sum."""
+        """Forgives the borrower's debts to `account`, or all if it is `account` itself; returns the sum."""
         queue = self.unscheduled.pop(borrower, deque())
         instalment = self.running.pop(borrower, None)
         parts = instalment.parts if instalment is not None else []
@@ -231,7 +235,7 @@
         return list(open_debts.values())
 
     def open_length(self) -> int:
-        """Returns for how long an instalment takes further debts, in tenths of a millisecond."""
+        """Returns for how long an instalment accepts further debts, in tenths of a millisecond."""
         window = self.pool.account.window
         return window.slot_length if window is not None else IN_FLIGHT_OPEN_PERIOD
 
@@ -242,7 +246,7 @@
 
     @staticmethod
     def return_entitlement(borrower: "Account", part: InstalmentPart) -> None:
-        """Gives back what an instalment had moved from the borrower to a lender."""
+        """Moves the entitlement of an instalment's part back from the lender to the borrower."""
         part.lender.credit -= part.amount
         borrower.credit += part.amount
 
--- a/shedgrade/sidecar/quota/sliding_window.py
+++ b/shedgrade/sidecar/quota/sliding_window.py
@@ -1,8 +1,8 @@
 """A sliding window of integer amounts, without I/O: its bound holds over every interval of its length.
 
-The window is divided into SLOTS slots, use is counted by slot, and one slot more than the window is long
-counts. So any interval of the window's length, wherever it begins, lies within the counted slots, and its use
-can't exceed the limit. In exchange, up to 1/SLOTS of the limit may stay unused.
+The window is divided into SLOTS slots, and use is counted by slot. The counted slots are one more than the
+window is long. So any interval of the window's length, wherever it begins, lies within the counted slots, and
+its use can't exceed the limit. In exchange, up to 1/SLOTS of the limit may stay unused.
 """
 
 from typing import NamedTuple
@@ -22,8 +22,8 @@
 
     Attributes:
         length, slot_length: of the window and of one slot, in tenths of a ms.
-        slots: amounts by slot number modulo SLOTS + 1; None while nothing counts, so that idle leaves take no
-            memory for them.
+        slots: amounts by slot number modulo SLOTS + 1; None while the window has no use, so that idle
+            leaves take no memory for them.
         current_slot: the number of the newest slot; valid only while `slots` is not None.
         used: the sum of `slots`.
     """
@@ -57,7 +57,7 @@
             self.slots = None
 
     def open_slots(self, now: int) -> list[int]:
-        """Returns the slots; makes them, empty, at `now` if there are none."""
+        """Returns the slots; creates empty ones, with the current slot at `now`, if there are none."""
         if self.slots is None:
             self.slots = [0] * (SLOTS + 1)
             self.current_slot = now // self.slot_length
@@ -73,7 +73,7 @@
         return self.current_slot
 
     def subtract(self, now: int, slot: int, amount: int) -> None:
-        """Takes back an amount that was counted in that slot, as far as it still counts."""
+        """Takes back an amount that was counted in that slot, unless the slot has left the window."""
         self.advance(now)
         if self.slots is not None and self.current_slot - slot < len(self.slots):
             index = slot % len(self.slots)
@@ -82,7 +82,7 @@
             self.used -= amount
 
     def restore(self, now: int, slot: int, amount: int) -> None:
-        """Counts an amount in the current slot or an earlier one, if that slot still counts."""
+        """Counts an amount in the current slot or an earlier one, unless that slot has left the window."""
         self.advance(now)
         slots = self.open_slots(now)
         if 0 <= self.current_slot - slot < len(slots):
@@ -90,7 +90,7 @@
             self.used += amount
 
     def slots_in_use(self) -> list[SlotUse]:
-        """Returns the slots with use that counts, the oldest first."""
+        """Returns the slots of the window that have use, the oldest first."""
         if self.slots is None:
             return []
         size = len(self.slots)
--- a/shedgrade/sidecar/quota/state.py
+++ b/shedgrade/sidecar/quota/state.py
@@ -33,7 +33,10 @@
 
 
 class SavedUse(Struct, forbid_unknown_fields=True):
-    """The use of one account: its node's names below the root, and (Unix ms of its start, amount) by slot."""
+    """The use of one account: names from below the root to its node, and the use in each slot.
+
+    slots: (start of the slot in Unix ms, amount) for each slot with use.
+    """
 
     names: list[str]
     dimension: str
@@ -83,7 +86,7 @@
 
 
 def saved_use(names: list[str], account: Account, clocks: ClockPair) -> SavedUse:
-    """Returns the use that counts in the window of this account."""
+    """Returns the saved form of the use within this account's window."""
     window = account.window
     assert window is not None
     slots = [(clocks.to_wall(use.slot * window.slot_length), use.amount) for use in window.slots_in_use()]
@@ -105,7 +108,7 @@
 
 
 class Restored(Struct, frozen=True):
-    """The sums of use and debts that were restored. `problem`: why none were, "" if the state was valid."""
+    """The sums of use and debts that were restored. `problem`: why nothing was, "" if the state was valid."""
 
     counted: int = 0
     owed: int = 0
@@ -113,30 +116,33 @@
 
 
 def restore(tree: Tree, state: object, now: int, wall: int) -> Restored:
-    """Restores what still counts; reports an invalid state as a `problem` and does not raise."""
+    """Restores the use that is still within its window, and the debts.
+
+    Reports an invalid state as a `problem` and does not raise.
+    """
     try:
         saved = msgspec.convert(state, SavedState)
     except msgspec.ValidationError as error:
         return Restored(problem=str(error))
     if saved.version != STATE_VERSION:
-        return Restored(problem=f"version {saved.version}, not {STATE_VERSION}")
+        return Restored(problem=f"the state has version {saved.version}, expected {STATE_VERSION}")
     if any(amount < 0 for use in saved.use for _, amount in use.slots):
-        return Restored(problem="a count is negative")
+        return Restored(problem="the use of a slot is negative")
     if any(debt.left <= 0 for debt in saved.debts):
-        return Restored(problem="a debt is not positive")
+        return Restored(problem="the amount of a debt is not positive")
     clocks = ClockPair(now, wall)
     counted = sum(restore_use(tree, use, clocks) for use in saved.use)
     return Restored(counted, restore_debts(tree, saved.debts, clocks))
 
 
 def restore_use(tree: Tree, saved: SavedUse, clocks: ClockPair) -> int:
-    """Restores the window of one account; returns how much of it still counts."""
+    """Restores the use of one account; returns how much of it is still within the window."""
     account = find_account(tree, clocks.now, saved.names, (saved.dimension, saved.window))
     if account is None or account.window is None:
         return 0
     counted, slot_length = 0, account.window.slot_length
     for at, amount in sorted(saved.slots):
-        # Rounded up to the next slot, so that it counts for at least as long as it would have.
+        # Rounded up to the next slot, so that the use counts for at least as long as without the restart.
         slot = clocks.from_wall(at) // slot_length + 1
         if clocks.now // slot_length - slot <= SLOTS:
             account.restore_use(clocks.now, min(slot, clocks.now // slot_length), amount)
@@ -166,9 +172,9 @@
 
 
 def find_account(tree: Tree, now: int, names: list[str], key: Key) -> Account | None:
-    """Returns the account of a key at the node of these names below the root; makes dynamic leaves for it.
+    """Returns the account of a key at the node with these names below the root.
 
-    None if there is no such node or account.
+    Creates dynamic leaves that are missing. Returns None if there is no such node or account.
     """
     node: Node | None = tree.root
     for name in names:
--- a/shedgrade/sidecar/quota/tree.py
+++ b/shedgrade/sidecar/quota/tree.py
@@ -54,8 +54,8 @@
         accounts: by key of the limit, the node's use of it.
         path: the accounts in which a request needs room, from those of this node to those of the root.
         tickets: the number of requests in flight at this node, without its descendants.
-        template: what `Tree.template` makes children from that the configuration does not name; None if no
-            such children are made.
+        template: what `Tree.template` makes dynamic leaves under this node from; None if this node gets no
+            dynamic leaves.
     """
 
     __slots__ = (
@@ -139,7 +139,7 @@
             yield from child.walk()
 
     def is_idle(self, now: int) -> bool:
-        """Returns whether the node holds, owes and counts nothing, so that its removal loses nothing."""
+        """Returns whether the node can be removed: no requests, children, use in a window, debt or credit."""
         return (
             not self.tickets
             and not self.children
@@ -250,7 +250,7 @@
     def evict_idle_leaf(self, now: int) -> bool:
         """Removes one idle dynamic leaf; returns whether there was one among those examined.
 
-        Guards against made-up names: a leaf with use in any window stays, so that no client sheds its use by
+        Guards against made-up names: a leaf with use in any window stays, so that no client resets its use by
         coming back under the same name.
         """
         for key, node in list(islice(self.dynamic_leaves.items(), MAX_EVICTION_CHECKS)):
@@ -265,7 +265,7 @@
         return False
 
     def debts(self) -> Iterator[Debt]:
-        """Yields the debts that are remembered, repaid or not."""
+        """Yields the debts in the histories of all limits, repaid and forgiven ones included."""
         for node in self.root.walk():
             for account in node.accounts.values():
                 if account.children_pool is not None:
@@ -322,7 +322,7 @@
         which the child on the path is reported.
         """
         for path_account in node.path:
-            # Entitlements and sums are read below, so instalments whose time is over are ended before.
+            # Ends the instalments whose time is over, as the entitlements and sums are read below.
             if path_account.children_pool is not None:
                 path_account.children_pool.advance(now)
         by_siblings = account.used(now) + amount <= account.ceiling
