--- a/shedgrade/sidecar/admin/calls.py
+++ b/shedgrade/sidecar/admin/calls.py
@@ -22,10 +22,10 @@
         """Sends requests to this upstream again."""
 
     def drain(self) -> tuple[bool, str]:
-        """Moves clients away from this sidecar until `resume`. Returns whether it succeeded, and why."""
+        """Moves clients away from this sidecar until `resume`. Returns whether it succeeded, and a text."""
 
     def resume(self) -> tuple[bool, str]:
-        """Ends the drain. Returns whether it succeeded, and why."""
+        """Ends the drain. Returns whether it succeeded, and a text."""
 
 
 class CallError(Exception):
@@ -43,7 +43,7 @@
 
 
 def dispatch(method: bytes, target: bytes, commands: CommandHandler, reply: Reply) -> None:
-    """Executes one call. Raises CallError if there is no such call."""
+    """Executes one call. Raises CallError if the method and the target are not those of a call."""
     match split_path(target):
         case ["", "-", "ready"]:
             require_method(method, b"GET")
--- a/shedgrade/sidecar/admin/front.py
+++ b/shedgrade/sidecar/admin/front.py
@@ -7,7 +7,7 @@
 from shedgrade.http.connection import Connection
 from shedgrade.sidecar.admin.calls import CallError, CommandHandler, dispatch
 
-MAX_CONNECTIONS = 16  # open at once: a few operators' tools, and as many connections that send no full call
+MAX_CONNECTIONS = 16  # open at once: a few operators' tools, and as many clients that never send a whole call
 CALL_TIMEOUT_S = 2.0  # from connect until the connection is cut; callers wait 1 s for the response
 MAX_CALL_BYTES = 16 * 1024  # the longest part is an upstream's id
 REASONS = {
@@ -26,10 +26,10 @@
 
     Attributes:
         target: the part of the request target received so far.
-        bytes_left: bytes that the call may still take.
+        bytes_left: bytes that the rest of the call may have, of MAX_CALL_BYTES.
         complete: whether the call was received in full; bytes after it are ignored.
         answered: whether the response was written; the connection then closes.
-        opened_at: time of the connection, by the loop's clock.
+        opened_at: when the connection was accepted, by the loop's clock.
     """
 
     def __init__(self, server: "AdminServer") -> None:
@@ -43,12 +43,12 @@
         self.opened_at = server.loop.time()
 
     def connection_made(self, transport: asyncio.Transport) -> None:  # type: ignore[override]
-        """Called by the event loop."""
+        """Called by the event loop when the connection is open; registers it with the server."""
         super().connection_made(transport)
         self.server.connections[self] = None
 
     def connection_lost(self, failure: Exception | None) -> None:
-        """Called by the event loop."""
+        """Called by the event loop when the connection has closed; removes it from the server."""
         self.server.connections.pop(self, None)
         self.parser = None  # breaks the reference cycle, so that no garbage collection is needed
 
@@ -71,20 +71,20 @@
         except httptools.HttpParserUpgrade:
             pass  # no other protocol is supported; the call is complete and is executed as it is
         except httptools.HttpParserError:
-            self.answer(400, "that is no call")
+            self.answer(400, "the call is not valid HTTP")
         if self.bytes_left < 0 and not self.complete:
             self.answer(413, "the call is too long")
 
     def on_url(self, url: bytes) -> None:
-        """Called by the parser."""
+        """Called by the parser with the next part of the request target; appends the part to `target`."""
         self.target += url
 
     def on_message_complete(self) -> None:
-        """Called by the parser."""
+        """Called by the parser at the end of the call; marks the call as complete."""
         self.complete = True
 
     def execute_call(self) -> None:
-        """Executes the call."""
+        """Executes the received call; responds with an error status if the call is not valid."""
         if self.parser is None:
             return  # the connection has ended
         try:
@@ -117,7 +117,7 @@
 
 
 class AdminServer:
-    """The connections of the admin address. Room is made so that one more call can always be accepted.
+    """The connections of the admin address: at most MAX_CONNECTIONS, beyond which the oldest one is cut.
 
     Attributes:
         connections: open connections, the oldest first.
@@ -131,7 +131,7 @@
         self.accepting: set[asyncio.Task[None]] = set()
 
     def make_room(self) -> bool:
-        """Makes room for one connection, and returns whether there is room.
+        """Makes room for one more connection, and returns whether there is room.
 
         Guards against callers that connect and never complete a call: the oldest connection is cut.
         """
--- a/shedgrade/sidecar/lifecycle/feature.py
+++ b/shedgrade/sidecar/lifecycle/feature.py
@@ -8,10 +8,10 @@
 
 
 class Feature:
-    """An optional feature of the sidecar. Subclasses override the calls that they need; others do nothing."""
+    """An optional feature of the sidecar. Subclasses override the calls they need; all do nothing here."""
 
     def start(self) -> None:
-        """Called when the sidecar listens and is about to accept connections."""
+        """Called when the sidecar listens, before it accepts connections."""
 
     def reload(self, features: "Features | None") -> None:
         """Called after the configuration file was read again, with the features file if there is one.
@@ -30,14 +30,14 @@
         """Called during the drain: accepts no further connections."""
 
     def close_idle(self) -> None:
-        """Called during the drain: closes connections without a request."""
+        """Called during the drain: closes the feature's connections that have no request in flight."""
 
     def in_flight(self) -> int:
         """Returns the number of connections or requests that the drain still waits for."""
         return 0
 
     def own_pools(self) -> "list[Pool]":
-        """Returns the feature's own upstream pools, in addition to the sidecar's."""
+        """Returns the upstream pools that only this feature uses, without the sidecar's pool."""
         return []
 
     def close(self) -> None:
--- a/shedgrade/sidecar/lifecycle/features.py
+++ b/shedgrade/sidecar/lifecycle/features.py
@@ -20,7 +20,10 @@
 
 
 class Features(msgspec.Struct, kw_only=True, forbid_unknown_fields=True):
-    """The enabled features; None or empty: disabled. Each feature documents the keys of its table."""
+    """The tables of the features file, one field per table.
+
+    A feature is disabled if its field is None or empty. The class of each field documents the table's keys.
+    """
 
     saved: Saved | None = None
     capture: Capture | None = None
--- a/shedgrade/sidecar/lifecycle/hot_restart.py
+++ b/shedgrade/sidecar/lifecycle/hot_restart.py
@@ -36,10 +36,11 @@
     Attributes:
         path: Unix socket of the handover; None without TMPDIR, as the processes then share no directory.
         listener: accepts the link of a newer process; None until this one serves, or if it can't listen.
-        older, newer: the links; None if there is no such process.
+        older, newer: the links to the older and to the newer process; None if there is no such process.
         newer_accepts: whether the newer process accepts clients; False if there is none.
         start_in_standby: whether the older process was standing by at the handover.
-        announced_descriptors: the most file descriptors that the newer process was told this one may hold.
+        announced_descriptors: the most file descriptors that this process may have open, as last announced to
+            the newer one.
     """
 
     def __init__(self, sidecar: "Sidecar") -> None:
@@ -56,7 +57,10 @@
     # --- in the newer process
 
     def take_over(self) -> socket.socket | None:
-        """Takes over the state of an older process. Returns its listening socket; None if there is none."""
+        """Takes over the state of an older process and returns the older process's listening socket.
+
+        Returns None if there is no older process, or its state can't be used.
+        """
         if self.path is None:
             return None
         try:
@@ -83,7 +87,7 @@
         return listening_socket
 
     def apply_state(self, state: HandoverState) -> None:
-        """Applies the state of the older process. The list comes first: only it can be rejected."""
+        """Applies the state of the older process, the endpoint list first: only the list can be rejected."""
         sidecar, pool = self.sidecar, self.sidecar.pool
         if state.endpoint_list is not None:
             pool.listed(state.endpoint_list, asked=False)
@@ -149,7 +153,7 @@
         if message["what"] == "hello":
             self.hand_over(link, message)
         elif link is not self.newer:
-            raise HotRestartError("message before hello")
+            raise HotRestartError("a message was received before hello")
         elif message["what"] == "serving":
             self.newer_accepts = True
             self.sidecar.listener.hand_over(True)
@@ -218,7 +222,7 @@
             learned=learned,
         )
 
-    # --- in both
+    # --- in both processes
 
     def forward_command(self, command: str, upstream_id: str = "") -> None:
         """Forwards an operator's command to the other processes. `command`: one of COMMANDS."""
@@ -234,18 +238,18 @@
         """
         command, upstream_id = message["call"], message["name"]
         if type(upstream_id) is not str or command not in COMMANDS:
-            raise HotRestartError("no such command")
+            raise HotRestartError("the command is unknown, or the upstream's id is not a string")
         if onward is not None:
             onward.send(message)
         self.sidecar.commands.apply_forwarded(command, upstream_id)
 
     def restore_full_limits(self) -> None:
-        """Restores the full limits, as there is no other process."""
+        """Restores the full limits of descriptors and of slow start, as there is no other process."""
         self.sidecar.budget.share(None)
         self.sidecar.pool.dispatcher.set_slow_start_share(1.0)
 
     def tick(self) -> None:
-        """Called periodically: tells the newer process which descriptors this older one has released."""
+        """Called periodically: tells the newer process how many descriptors this older one still has open."""
         if self.newer is not None and self.newer_accepts:
             open_connections = self.sidecar.budget.connections()
             if open_connections < self.announced_descriptors:
--- a/shedgrade/sidecar/lifecycle/hot_restart_link.py
+++ b/shedgrade/sidecar/lifecycle/hot_restart_link.py
@@ -39,10 +39,10 @@
 
     Attributes:
         disabled: ids of the upstreams that operators disabled.
-        standing_by: whether an operator's drain is in force.
-        descriptors: the most file descriptors that the older process may hold.
-        endpoint_list: the list of upstreams in the format of discovery; None if there was none.
-        learned: the learned state of the balancer in the format of its file; None if there is none.
+        standing_by: whether an operator has drained the sidecar (`Phase.STANDING_BY`).
+        descriptors: the most file descriptors that the older process will have open from now on.
+        endpoint_list: the endpoint list in the format of discovery; None if the older process has none.
+        learned: what the balancer has learned, in the format of `learned_state_file`; None if nothing.
     """
 
     disabled: list[str]
@@ -59,17 +59,17 @@
             descriptors = message["holds"]
             state = cls(disabled, standing_by, descriptors, message["list"], message["learnt"])
         except KeyError as error:
-            raise HotRestartError(f"{error} is missing") from error
+            raise HotRestartError(f"the state of the older process lacks the key {error}") from error
         if not (type(disabled) is list and all(type(name) is str for name in disabled)):
-            raise HotRestartError("outs is not a list of ids")
+            raise HotRestartError("the key 'outs' is not a list of upstream ids")
         if type(standing_by) is not bool:
-            raise HotRestartError("standing_by is not a boolean")
+            raise HotRestartError("the key 'standing_by' is not a boolean")
         if type(descriptors) is not int or descriptors < 0:
-            raise HotRestartError("holds is not a count")
+            raise HotRestartError("the key 'holds' is not a number of descriptors")
         return state
 
     def to_message(self) -> Message:
-        """Returns the message, with its type and version."""
+        """Returns the state as a message, with the message's type and version."""
         return {
             "v": VERSION,
             "what": "state",
@@ -169,7 +169,7 @@
             message = orjson.loads(bytes(self.received[:line_end]))
             del self.received[: line_end + 1]
             if type(message) is not dict:
-                raise HotRestartError("the message is not an object")
+                raise HotRestartError("the message is not a JSON object")
             yield message
 
     def receive_first(self) -> tuple[Message, list[int]]:
@@ -210,7 +210,7 @@
         self.write()
 
     def write(self) -> None:
-        """Writes as much as the kernel takes, and the rest when the socket is writable."""
+        """Writes as many unsent bytes as the kernel takes, and the rest when the socket is writable."""
         try:
             while self.unsent:
                 del self.unsent[: self.socket.send(self.unsent)]
@@ -311,7 +311,7 @@
         loop.add_reader(self.socket, self.accept)
 
     def accept(self) -> None:
-        """Accepts one connection. Those of other users are closed."""
+        """Accepts one connection; closes it if the process at its other end runs as another user."""
         try:
             connection, _ = self.socket.accept()
         except OSError:
--- a/shedgrade/sidecar/lifecycle/operator_orders.py
+++ b/shedgrade/sidecar/lifecycle/operator_orders.py
@@ -12,11 +12,12 @@
 
 
 class OperatorCommands:
-    """Executes the operators' commands, here and in the other process of a hot restart.
+    """Executes the operators' commands, in this process and in the other one of a hot restart.
 
     Attributes:
-        disabled: ids of the upstreams that get no requests. Kept apart from the endpoint list: if the list
-            drops, moves or restarts an upstream, it stays disabled until an operator enables it.
+        disabled: ids of the upstreams that get no requests. A new endpoint list does not change them: an
+            upstream that the list omits, or lists with another address or start time, stays disabled until
+            an operator enables it.
     """
 
     def __init__(self, sidecar: "Sidecar") -> None:
@@ -36,7 +37,7 @@
         self.change(upstream_id, False, reply)
 
     def change(self, upstream_id: str, disable: bool, reply: Reply) -> None:
-        """Disables or enables a known upstream, here and in the other process."""
+        """Disables or enables a known upstream, in this process and in the other one of a hot restart."""
         if upstream_id not in self.disabled and upstream_id not in self.sidecar.pool.reader.indices.by_id:
             reply(False, "no upstream has that id")
             return
@@ -48,10 +49,10 @@
         self.apply(upstream_id, disable, reply)
 
     def apply(self, upstream_id: str, disable: bool, reply: Reply) -> None:
-        """Disables or enables an upstream here; calls `reply` once the balancer has applied it."""
+        """Disables or enables an upstream in this process; calls `reply` once the balancer has applied it."""
         pool = self.sidecar.pool
         (self.disabled.add if disable else self.disabled.discard)(upstream_id)
-        text = "nothing more goes there" if disable else "it is back, as cold"
+        text = "the upstream gets no further requests" if disable else "enabled, with a slow start"
         pool.dispatcher.set_withdrawn(
             pool.reader.indices.index(upstream_id), disable, lambda: reply(True, text)
         )
@@ -66,12 +67,12 @@
             self.sidecar.resume()
 
     def drain(self) -> tuple[bool, str]:
-        """Moves clients away from this sidecar until `resume`. Returns whether it succeeded, and why."""
+        """Moves clients away from this sidecar until `resume`. Returns whether it succeeded, and a text."""
         self.sidecar.hot_restart.forward_command("drain")
         return self.sidecar.stand_by(), "standing by"
 
     def resume(self) -> tuple[bool, str]:
-        """Ends the drain. Returns whether it succeeded, and why."""
+        """Ends the drain. Returns whether it succeeded, and a text."""
         self.sidecar.hot_restart.forward_command("resume")
         done = self.sidecar.resume()
-        return done, "serving" if done else "it ends"
+        return done, "serving" if done else "the sidecar is shutting down"
--- a/shedgrade/sidecar/lifecycle/phases.py
+++ b/shedgrade/sidecar/lifecycle/phases.py
@@ -4,7 +4,7 @@
 
 
 class Phase(Enum):
-    """Phase between the start and the exit of the process. The values appear in the log."""
+    """A phase between the start and the exit of the process. The values appear in the log."""
 
     STARTING = "starting"
     SERVING = "serving"
--- a/shedgrade/sidecar/lifecycle/reload.py
+++ b/shedgrade/sidecar/lifecycle/reload.py
@@ -40,7 +40,7 @@
 
 
 def reload(sidecar: "Sidecar") -> None:
-    """Reloads the configuration. An invalid file, or one that lacks previous keys, changes nothing."""
+    """Reloads the configuration. A file that is invalid, or lacks keys of the last one, changes nothing."""
     if sidecar.phase is Phase.CLOSED or sidecar.pool.watch is None:
         return
     try:
@@ -58,7 +58,7 @@
     missing = missing_key(current.contents, loaded.contents)
     if missing is not None:
         raise ConfigError(
-            f"{loaded.path}: {missing}: found nothing; expected the key, as it was there before"
+            f"{loaded.path}: {missing}: found nothing; expected the key, as the running configuration has it"
         )
     settings, restart_only = merge_settings(current.settings, loaded.settings)
     type(sidecar)(replace(loaded, settings=settings), sidecar.loop)
@@ -95,7 +95,7 @@
 
 
 def log_settings(previous: dict[str, Any], new: dict[str, Any]) -> None:
-    """Logs one line about the changed settings."""
+    """Logs the number of methods, the attempt limit and the methods that were removed."""
     methods = {method["name"] for method in new["methods"]}
     removed = {method["name"] for method in previous["methods"]} - methods
     logger.info(
--- a/shedgrade/sidecar/lifecycle/reload_signal.py
+++ b/shedgrade/sidecar/lifecycle/reload_signal.py
@@ -1,8 +1,8 @@
 """Handling of SIGHUP before the event loop handles it: by default it would end a process that is starting.
 
 The signal is ignored until the configuration is about to be read. From then on it is recorded, and leads to
-one reload once the sidecar serves. Before this module runs, the `run` line of the deploy file ignores the
-signal, in the shell and in the interpreter.
+one reload once the sidecar serves. Until this module runs, the signal is ignored because of the `trap` in the
+`run` line of the deploy file, which holds for the shell and for the interpreter that the shell starts.
 """
 
 import signal
@@ -26,5 +26,5 @@
 
 
 def reload_requested() -> bool:
-    """Returns whether SIGHUP arrived since `record_reload_signal`; the caller handles later ones."""
+    """Returns whether SIGHUP arrived since `record_reload_signal`; the caller handles later signals."""
     return recorded
--- a/shedgrade/sidecar/lifecycle/settings_checks.py
+++ b/shedgrade/sidecar/lifecycle/settings_checks.py
@@ -1,4 +1,4 @@
-"""Checks of the settings. A finding names the key, the value found and what is allowed.
+"""Checks of the settings in the configuration file. A finding names the key, the value and what is allowed.
 
 The checks use no validation library, so that a sidecar without optional features imports only what it uses
 to serve.
@@ -45,7 +45,7 @@
 def shape_problem(settings: object) -> str | None:
     """Returns one line about the first problem in the settings that describe the deployment, or None.
 
-    A missing key has its default, which fits the deployments that sidecars were first built for.
+    A missing key has its default, which fits the first kind of deployment that sidecars were built for.
     """
     if not isinstance(settings, dict):
         return Finding("settings", settings, "a table").to_line()
@@ -90,7 +90,7 @@
 
 
 def method_findings(key: str, method: object, names: set[str]) -> Iterator[Finding]:
-    """Yields findings in one method. `names`: names of the methods before it; its own is added."""
+    """Yields findings in one method. `names`: names of the methods before this one; adds its name."""
     if not isinstance(method, dict):
         yield Finding(key, method, "a table")
         return
--- a/shedgrade/sidecar/lifecycle/settings_reload.py
+++ b/shedgrade/sidecar/lifecycle/settings_reload.py
@@ -23,7 +23,7 @@
 
 
 def missing_key(previous: object, current: object, path: str = "") -> str | None:
-    """Returns the path of the first key that was there before and is missing now: the file is incomplete."""
+    """Returns the path of the first key of `previous` that `current` lacks; None if it has all keys."""
     if isinstance(previous, dict) and isinstance(current, dict):
         for key, value in previous.items():
             if key not in current:
--- a/shedgrade/sidecar/lifecycle/shutdown.py
+++ b/shedgrade/sidecar/lifecycle/shutdown.py
@@ -15,11 +15,11 @@
     from shedgrade.sidecar.lifecycle.sidecar import Sidecar
 
 LISTENER_CLOSE_DELAY_S = 0.5  # after SIGTERM
-# After SIGTERM. A request that crosses the close of its connection is sent again, and must find a process
-# that still accepts.
+# After SIGTERM. A request that is sent while its connection is being closed is sent again on a new one, which
+# a process must still accept.
 IDLE_CLOSE_DELAY_S = 0.4
-CONCLUDE_AFTER_S = 0.6  # after the longest hard deadline: remaining requests get their final answer
-FINAL_ANSWER_FLUSH_S = 0.06  # for the final answers to be sent
+CONCLUDE_AFTER_S = 0.6  # after the longest hard deadline: remaining requests are ended with a response
+FINAL_ANSWER_FLUSH_S = 0.06  # for these last responses to be sent
 POLL_INTERVAL_S = 0.05  # between two checks whether all connections are closed
 
 
@@ -28,8 +28,8 @@
 
     Attributes:
         done: set when the process may exit.
-        conclude_at: when remaining requests get their final answer, by the loop's clock; 0 before SIGTERM. A
-            reload does not change it: the time of SIGKILL was fixed when SIGTERM was sent.
+        conclude_at: when remaining requests are ended with a response, by the loop's clock; 0 before SIGTERM.
+            A reload does not change it: the time of SIGKILL was fixed when SIGTERM was sent.
     """
 
     def __init__(self, sidecar: "Sidecar") -> None:
@@ -63,7 +63,7 @@
         self.close_idle()
 
     def close_idle(self) -> None:
-        """Closes idle connections until all are closed."""
+        """Closes idle connections repeatedly, until no connection is open and no request is in flight."""
         self.sidecar.close_idle()
         if self.in_flight():
             self.loop.call_later(POLL_INTERVAL_S, self.close_idle)
@@ -77,7 +77,7 @@
         return own + sum(feature.in_flight() for feature in sidecar.features)
 
     def conclude(self) -> None:
-        """Gives all remaining requests their final answer while there is still time to send it."""
+        """Stops the attempts of all remaining requests, and responds to their clients before SIGKILL."""
         if self.done.is_set():
             return
         sidecar = self.sidecar
--- a/shedgrade/sidecar/lifecycle/sidecar.py
+++ b/shedgrade/sidecar/lifecycle/sidecar.py
@@ -32,7 +32,7 @@
     from shedgrade.sidecar.endpoint_snapshot.source import SavedList
     from shedgrade.sidecar.lifecycle.features import Features
 
-# Between two checks for overdue clients: they are to be disconnected within 3 s.
+# Between two checks for clients whose time is over: they must be disconnected within 3 s.
 TICK_INTERVAL_S = 0.25
 
 
@@ -45,14 +45,15 @@
             is no such file.
         phase: changed only by `enter`, as `phases.SUCCESSORS` allows.
         pool: the sidecar's own pool of upstreams.
-        front: the client connections of that pool.
+        front: the client connections whose requests go to that pool.
         features: the enabled optional features, started, drained and closed with the sidecar.
         listener: accepts client connections; None before `serve`.
         commands: executes the operators' commands.
         hot_restart: the links to an older and to a newer process.
-        standby: closes idle connections while the sidecar stands by.
+        standby: closes idle client connections while an operator's drain is in force (`Phase.STANDING_BY`).
         shutdown: ends the process after SIGTERM.
-        admin, admin_listener: connections of the admin address and their listener; None without one.
+        admin, admin_listener: connections of the admin address and their listener; None without an admin
+            address.
     """
 
     def __init__(
@@ -63,7 +64,8 @@
     ) -> None:
         """Raises ConfigError if the settings are invalid.
 
-        `balancer_class`: the lab passes a baseline for comparison; features wrap it.
+        `balancer_class`: called to create the balancer of the sidecar's pool. The lab passes a baseline
+            algorithm for comparison; capture and shadow policy pass a function that wraps a Balancer.
         """
         self.config = config
         self.loop = loop
@@ -138,7 +140,7 @@
         reload.reload(self)
 
     def close_idle(self) -> None:
-        """Closes client connections without a request."""
+        """Closes client connections that have no request in flight, also those of the features."""
         self.front.close_idle()
         for feature in self.features:
             feature.close_idle()
@@ -168,7 +170,7 @@
         self.listener.resume()
         self.tick()
         gc.collect()
-        gc.freeze()  # objects created at the start stay, so that collections need not scan them
+        gc.freeze()  # objects created at the start are never freed, so collections need not scan them
         self.enter(Phase.SERVING)
         self.hot_restart.start_serving()
         if reload_requested:
@@ -213,7 +215,7 @@
         connection: type,
         listening_socket: socket.socket | None = None,
     ) -> Listener:
-        """Returns a listener that does not accept yet. Raises ConfigError if it can't listen there."""
+        """Returns a listener that does not accept yet. Raises ConfigError if the address can't be used."""
         try:
             return Listener(self.loop, front, address, connection, front is self.front, listening_socket)
         except OSError as failure:
@@ -230,7 +232,7 @@
         self.budget.reserve(MAX_CONNECTIONS + 1)
 
     def tick(self) -> None:
-        """Runs the periodic checks of all parts, every TICK_INTERVAL_S."""
+        """Runs the periodic checks of all parts of the sidecar, every TICK_INTERVAL_S."""
         if self.phase is Phase.CLOSED:
             return
         self.front.look_after()
@@ -254,9 +256,9 @@
             logger.warning("configured endpoint list rejected", error=str(error))
 
     def apply_saved_list(self, saved: "SavedList") -> None:
-        """Applies the saved list as far as it is trusted.
+        """Applies the saved endpoint list as far as the list is trusted.
 
-        The full list is then requested from discovery first, and replaces it.
+        The first request to discovery then asks for the full list, which replaces the saved one.
         """
         pool = self.pool
         initial = saved.initial_list()
--- a/shedgrade/sidecar/lifecycle/standby.py
+++ b/shedgrade/sidecar/lifecycle/standby.py
@@ -1,4 +1,4 @@
-"""Standby: an operator has drained the sidecar, and the process stays until it resumes."""
+"""Standby: after an operator's `drain`, the process sends its clients away but runs on, until `resume`."""
 
 import asyncio
 from typing import TYPE_CHECKING
@@ -6,17 +6,17 @@
 if TYPE_CHECKING:
     from shedgrade.sidecar.lifecycle.sidecar import Sidecar
 
-# After the start of standby. New connections arrive for 0.3 s, and after 2 s no request may arrive on a kept
-# connection.
+# After the start of standby. Clients open new connections for 0.3 s; after 2 s no request may arrive any more
+# on an open connection.
 CLOSE_IDLE_AFTER_S = 1.0
-POLL_INTERVAL_S = 0.05  # between two passes that close idle connections
+POLL_INTERVAL_S = 0.05  # between two calls of `close_idle`
 
 
 class Standby:
     """Closes idle connections while the sidecar stands by.
 
     Attributes:
-        timer: the next pass; None unless the sidecar stands by.
+        timer: runs `close_idle` the next time; None unless the sidecar stands by.
     """
 
     def __init__(self, sidecar: "Sidecar") -> None:
@@ -28,7 +28,7 @@
         self.timer = self.sidecar.loop.call_later(CLOSE_IDLE_AFTER_S, self.close_idle)
 
     def close_idle(self) -> None:
-        """Closes idle connections, and schedules the next pass."""
+        """Closes idle connections, and schedules the next call."""
         self.sidecar.close_idle()
         self.timer = self.sidecar.loop.call_later(POLL_INTERVAL_S, self.close_idle)
 
--- a/shedgrade/sidecar/quota/accounts.py
+++ b/shedgrade/sidecar/quota/accounts.py
@@ -206,7 +206,7 @@
         return window.used + amount <= self.ceiling
 
     def fits_among_siblings(self, now: int, amount: int, admission_draw: float) -> bool:
-        """Returns whether the amount is free of the siblings' entitlements, or lent by them, and keeps the pace.
+        """Returns whether no sibling is entitled to the amount, or siblings lend it, and the pace is kept.
 
         `within_ceiling` must have been called before, for this account and its parent, as it advances their
         windows. `admission_draw`: 0 to 1, low for requests of high payoff.
