--- a/shedgrade/sidecar/lifecycle/standby.py
+++ b/shedgrade/sidecar/lifecycle/standby.py
@@ -9,7 +9,7 @@
 # After the start of standby. Clients open new connections for 0.3 s; after 2 s no request may arrive any more
 # on an open connection.
 CLOSE_IDLE_AFTER_S = 1.0
-POLL_INTERVAL_S = 0.05  # between two calls of `close_idle`
+CLOSE_IDLE_INTERVAL_S = 0.05  # between two calls of `close_idle`
 
 
 class Standby:
@@ -30,7 +30,7 @@
     def close_idle(self) -> None:
         """Closes idle connections, and schedules the next call."""
         self.sidecar.close_idle()
-        self.timer = self.sidecar.loop.call_later(POLL_INTERVAL_S, self.close_idle)
+        self.timer = self.sidecar.loop.call_later(CLOSE_IDLE_INTERVAL_S, self.close_idle)
 
     def end(self) -> None:
         """Stops closing idle connections."""
