--- a/shedgrade/cli/replay.py
+++ b/shedgrade/cli/replay.py
@@ -19,7 +19,7 @@
 from shedgrade.sidecar.capture.shortening import shorten
 from shedgrade.sidecar.capture.state import StateError
 
-MAX_PRINTED = 20  # differences between two versions that are printed; all are counted
+MAX_PRINTED = 20  # differences that are printed; all are counted
 
 TEST_TEMPLATE = '''"""Replays a capture. Written by `shedgrade replay --to-test`. {about}"""
 import base64
@@ -42,15 +42,15 @@
 
 
 def load_other_decisions(checkout: Path) -> ModuleType:
-    """Loads the load balancing decisions of another checkout. Exits if it has none."""
+    """Loads the load balancing module of another checkout. Exits if the checkout has none."""
     path = find_decisions(checkout)
     if path is None:
-        fail(ValueError(f"{checkout}: it has no shedgrade/load_balancing"))
+        fail(ValueError(f"{checkout}: the checkout has no shedgrade/load_balancing"))
     return load_decisions(path)
 
 
 def find_rpc_number(records: list[dict], text: str) -> int:
-    """Returns the number of a request, given by its id or its number (`#12`). Exits if it is not there."""
+    """Returns the number of a request, given by id or number (`#12`). Exits if the capture lacks the id."""
     if text.startswith("#") and text[1:].isdigit():
         return int(text[1:])
     for name in (hash_id(text.encode()), text.encode()):
@@ -138,7 +138,7 @@
 
 
 def compare(records: list[dict], module: ModuleType, end_time: float) -> None:
-    """Prints the results that differ with other decisions, and skips calls that make no sense for them."""
+    """Prints the results that differ with another load balancing module; skips calls that it can't make."""
     replayed = Replay(records, module, end_time=end_time, lenient=True)
     count = decision_count = 0
     for difference in replayed.run():
--- a/shedgrade/sidecar/capture/config.py
+++ b/shedgrade/sidecar/capture/config.py
@@ -9,14 +9,14 @@
 class Capture(Struct, kw_only=True, forbid_unknown_fields=True):
     """Settings of the capture.
 
-    folder: directory of this sidecar's captures, of no other sidecar's; created with mode 700. A capture is
-        written there on SIGUSR1, after an internal error, and with `continuous` all the time.
+    folder: directory of the captures of this sidecar and no other one; created with mode 700. Captures are
+        written on SIGUSR1, after an internal error, and, with `continuous`, all the time.
     memory_mb: size of the ring buffer of records, MiB.
     checkpoint_s: interval between two checkpoints, seconds.
     most_rows: calls recorded in one second; above it, recording pauses.
     ids: form in which the ids of requests are stored: as a hash, in plain text, or not at all.
     continuous: also writes all records to files as they are made.
-    keep_mb: total size of these files, MiB; the oldest are removed.
+    keep_mb: with `continuous`, total size of the captures in `folder`, MiB; the oldest are removed.
     """
 
     folder: str
--- a/shedgrade/sidecar/capture/explanation.py
+++ b/shedgrade/sidecar/capture/explanation.py
@@ -29,7 +29,7 @@
 
 
 def explaining_class(base: type) -> type:
-    """Returns a subclass of a Balancer that decides alike and adds reasons to `lines`, if that is a list."""
+    """Returns a subclass of a Balancer that decides the same and adds its reasons to `lines`, unless None."""
 
     class ExplainingBalancer(base):
         lines: list | None = None
@@ -140,7 +140,7 @@
 ) -> list[str]:
     """Returns lines that say what was decided about one request, and why.
 
-    `module`: the decisions to replay with. `until`: time at which the replay stops, tenths of a ms.
+    `module`: the load balancing module to use. `until`: time at which the replay stops, tenths of a ms.
     """
     replay = Replay(records, module, explaining_class(module.Balancer), until)
     lines: list[str] = []
@@ -181,7 +181,7 @@
             lines.append(f"{at}: the response stream is open")
 
     replay.on_call = on_call
-    # Reasons given during a call belong to its request, whose number each row holds.
+    # Reasons are collected only in calls on this request, whose number is in the row.
     replay_call = replay.make_call
 
     def make_call(now: int, row: list) -> tuple[object, object]:
--- a/shedgrade/sidecar/capture/files.py
+++ b/shedgrade/sidecar/capture/files.py
@@ -9,7 +9,7 @@
 from shedgrade import file_frames
 from shedgrade.sidecar.capture.rows import KIND
 
-FILE_BYTES = 16 * 1024 * 1024  # bytes of a file, from which the next checkpoint begins another one
+FILE_BYTES = 16 * 1024 * 1024  # size of a file, from which the next checkpoint begins another file
 MAX_PENDING_BYTES = 8 * 1024 * 1024  # bytes of records that wait for the disk, at most
 
 
@@ -21,7 +21,7 @@
     """Returns the records of one file, and the damage at which reading stopped ("" if there is none).
 
     A file that is cut off within a record is read up to there. CaptureError if the file can't be read, is no
-    capture, or has nothing that a replay may begin with.
+    capture, or has no record that a replay may begin with.
     """
     try:
         _, records, damage = file_frames.read(path.read_bytes(), KIND)
@@ -30,7 +30,7 @@
     except file_frames.FormatError as error:
         raise CaptureError(f"{path}: {error}") from error
     if not any(record["k"] in ("begin", "state") for record in records):
-        raise CaptureError(f"{path}: it has no beginning and no checkpoint{f', {damage}' if damage else ''}")
+        raise CaptureError(f"{path}: no begin record and no checkpoint{f', {damage}' if damage else ''}")
     return records, damage
 
 
@@ -40,7 +40,7 @@
 
 
 def next_number(folder: Path) -> int:
-    """Returns the number after the highest one of the captures there."""
+    """Returns the number after the highest one of the captures in the folder."""
     found = [
         int(path.stem.partition("-")[2])
         for path in folder.glob("capture-*.sgc")
@@ -96,11 +96,11 @@
         return True
 
     def is_full(self) -> bool:
-        """Returns whether the file has its size, so that a checkpoint should begin the next one."""
+        """Returns whether the current file has FILE_BYTES, so that a checkpoint should begin the next."""
         return self.size >= FILE_BYTES
 
     def run(self) -> None:
-        """Runs in the thread: writes the accepted records until `close`."""
+        """Main function of the writer's thread: writes the accepted records until `close`."""
         while True:
             with self.lock:
                 while not self.pending and not self.closing:
@@ -119,7 +119,7 @@
                     self.file.flush()
                 self.has_failed = False
             except OSError as failure:
-                # Guards against a full or broken disk: this file is abandoned, the next checkpoint opens one.
+                # Guards against a full or broken disk: this file is abandoned, a checkpoint opens the next.
                 if not self.has_failed:
                     self.on_error(str(failure.strerror))
                 self.has_failed, self.file = True, None
--- a/shedgrade/sidecar/capture/older_decisions.py
+++ b/shedgrade/sidecar/capture/older_decisions.py
@@ -1,6 +1,6 @@
-"""Load balancing decisions of another checkout, loaded beside the present ones to replay a capture with both.
+"""Loads the load balancing module of another checkout, to replay a capture with it and with the present one.
 
-An older checkout has the decisions in another folder, imports modules that have moved since, and has other
+An older checkout has the module in another folder, imports modules that have moved since, and has other
 names for methods, attributes and classes. The tables here and in `stored_names` list the older names; the
 loaded module gets the present ones as aliases, so that a replay uses one set of names.
 """
@@ -17,14 +17,15 @@
 from shedgrade.sidecar.capture.stored_names import ATTRIBUTES, CLASSES
 
 NAME = "other_decide"  # of the loaded module in `sys.modules`
-# Files in which a checkout has its decisions: the present package, older ones, or the package's own folder.
+# Files in which a checkout has its load balancing module: the present package, older places, or, in the
+# package's own folder, `__init__.py`.
 PLACES = (
     "shedgrade/load_balancing/__init__.py",
     "shedgrade/decide/__init__.py",
     "shedgrade/decide.py",
     "__init__.py",
 )
-# Module that older decisions import -> where its content is now.
+# Module that an older load balancing module imports -> where its content is now.
 MOVED_MODULES = {"shedgrade.core.dealing": "shedgrade.load_balancing.subset_assignment"}
 # By class: older name of a method -> present name.
 METHODS = {
@@ -62,7 +63,7 @@
 
 
 def load_decisions(path: Path) -> ModuleType:
-    """Returns the module at that path, with the present names. Passes errors of its import on."""
+    """Returns the module at that path, with the present names. Raises whatever its import raises."""
     folders = [str(path.parent)] if path.name == "__init__.py" else None
     spec = importlib.util.spec_from_file_location(NAME, path, submodule_search_locations=folders)
     if spec is None or spec.loader is None:
@@ -97,12 +98,12 @@
 
 
 def is_older(module: ModuleType) -> bool:
-    """Returns whether its methods have the names from before the renaming."""
+    """Returns whether the module's methods have the names from before they were renamed."""
     return not hasattr(module.Balancer, "admit")
 
 
 def add_present_names(module: ModuleType) -> None:
-    """Adds the present names of methods, attributes and classes as aliases."""
+    """Adds the present names of methods, attributes and classes to an older module, as aliases."""
     for stored, present in CLASSES.items():
         if not hasattr(module, present):
             setattr(module, present, getattr(module, stored))
--- a/shedgrade/sidecar/capture/part.py
+++ b/shedgrade/sidecar/capture/part.py
@@ -1,4 +1,7 @@
-"""Feature of the sidecar that records captures, and dumps them on SIGUSR1 and after internal errors."""
+"""Feature of the sidecar that records calls to the balancer.
+
+The records are written to a file on SIGUSR1, after internal errors, and, if configured, continuously.
+"""
 
 import signal
 from pathlib import Path
@@ -27,7 +30,7 @@
 
 
 class CapturePart(Feature):
-    """Capture as a feature. It is created before the sidecar, whose balancer `decisions` makes."""
+    """Capture as a feature. It is created before the sidecar, whose balancer `decisions` creates."""
 
     def __init__(self, config) -> None:
         self.config = config
@@ -78,7 +81,7 @@
         )
 
     def write_failed(self, error: str) -> None:
-        """Logs that the disk does not accept the capture; the sidecar serves on without it."""
+        """Logs that captures can't be written to the disk; the sidecar continues to serve."""
         logger.warning("capture write failed", error=error)
 
     def on_logged_error(self, message) -> None:
@@ -90,7 +93,7 @@
             self.sidecar.loop.call_soon(self.write_dump, "a fault")
 
     def write_dump(self, reason: str) -> None:
-        """Writes the ring to a file in a worker thread. `reason`: for the log."""
+        """Writes the records of the ring to a file, in a worker thread. `reason`: why, for the log."""
         if self.is_dumping:
             return
         self.is_dumping = True
--- a/shedgrade/sidecar/capture/recorder.py
+++ b/shedgrade/sidecar/capture/recorder.py
@@ -1,8 +1,8 @@
 """Recorder of calls: takes the balancer's place where capture is on, passes each call on, and records it.
 
-It decides nothing and changes no argument. Its cost is bounded: above `most_rows` calls in a second, or while
-dispatch passes are late, nothing is recorded. A gap record marks the pause, and a checkpoint follows once the
-load has fallen.
+The recorder decides nothing and changes no argument. Its cost is bounded: above `most_rows` calls in a
+second, or while dispatch passes are late, nothing is recorded. A gap record marks the pause, and a checkpoint
+follows once the load has fallen.
 """
 
 from collections.abc import Callable, Iterable, Iterator
@@ -39,8 +39,11 @@
 SECOND = 10_000  # tenths of a ms
 # Lag of dispatch passes, tenths of a ms, from which recording pauses. The dispatcher measures it up to 50.
 PAUSE_LAG = 40
-MANY_LIVE_RPCS = 400  # requests in flight at which a checkpoint blocks the loop for 10 ms: it is postponed
-# Factor of the checkpoint interval with so many in flight; at most 4, as a ring must hold two checkpoints.
+MANY_LIVE_RPCS = (
+    400  # requests in flight from which checkpoints are postponed, as one blocks the loop for 10 ms
+)
+# Factor of the checkpoint interval from MANY_LIVE_RPCS requests in flight on; at most 4, as a ring must hold
+# two checkpoints.
 POSTPONED_INTERVAL_FACTOR = 4
 # Tenths of a ms between two checks of load and checkpoints; between them a pass costs one comparison.
 LOAD_CHECK_INTERVAL = 500
@@ -49,12 +52,15 @@
 
 
 def hash_id(name: bytes) -> bytes:
-    """Returns the hash that a capture holds in place of an id: it can be looked up, but the id not read."""
+    """Returns the hash that a capture stores in place of an id.
+
+    Requests with a known id can be found by its hash; ids can't be read from the capture.
+    """
     return blake2b(name, digest_size=8).digest()
 
 
 class RecordedRpc:
-    """The handle of one request, as the dispatcher holds it; records the calls on it.
+    """The dispatcher's handle of one request: passes calls on to the balancer's handle, and records them.
 
     rpc: the balancer's handle.
     number: number of the request in the capture, from 1.
@@ -78,14 +84,14 @@
         return self.rpc.sent_at
 
     def first_possibly_executed(self) -> int | None:
-        """Returns the first attempt that may have been executed, as the request's handle does."""
+        """Returns the first attempt that may have been executed, from the balancer's handle."""
         return self.rpc.first_possibly_executed()
 
     def decide(self, now: int) -> tuple[int, int] | None:
         """Decides, and records the answer, except None for a request that is done."""
         answer = self.rpc.decide(now)
         if answer is None:
-            if not self.rpc.done:  # a request that is done always answers None
+            if not self.rpc.done:  # `decide` of a finished request always returns None
                 self.recorder.record_call(now, NO_DECISION, self.number)
         else:
             self.recorder.record_call(now, DECIDE, self.number, *answer)
@@ -158,12 +164,13 @@
         """Creates the balancer, and records its settings and seed.
 
         settings, seed, now: as for a Balancer.
-        ring: buffer that keeps the records.
+        ring: buffer for the latest records.
         checkpoint: interval between two checkpoints, tenths of a ms.
         most_rows: calls recorded in one second; above it, recording pauses.
         ids: form in which the ids of requests are stored: hash, plain or none.
-        write: receives each encoded record and whether a replay may begin with it; returns whether it
-            accepted the record. None without continuous capture.
+        write: passes a record on to the writer of files: gets the encoded record and whether a replay may
+            begin with it, and returns whether the writer accepted it. None if no files are written
+            continuously.
         """
         self.inner = load_balancing.Balancer(settings, seed, now)
         self.ring = ring
@@ -198,7 +205,7 @@
     # --- records
 
     def add_record(self, record: dict) -> None:
-        """Adds a record to the ring, and passes it to the writer if there is one."""
+        """Adds a record to the ring, and passes it to the writer of files if there is one."""
         data = self.ring.add(record)
         if self.write is not None and not self.write(data, record["k"] in ("begin", "state")):
             self.records_lost = True
@@ -215,7 +222,7 @@
             self.flush()
 
     def flush(self) -> None:
-        """Makes one record of the calls since the last one."""
+        """Makes one record of the calls since the last record of calls."""
         if self.rows:
             self.add_record({"k": "rows", "now": self.record_start, "r": self.rows})
             self.rows_in_second += len(self.rows)
@@ -253,7 +260,7 @@
         if now - self.second_start >= SECOND:
             self.second_start, self.rows_in_second = now, 0
         if lag >= PAUSE_LAG or self.records_lost or self.rows_in_second + len(self.rows) > self.most_rows:
-            # Guards the sidecar: under load, recording stops before any request is shed, and a gap is marked.
+            # Guards the sidecar: recording stops under load, before any request is shed; a gap is marked.
             self.flush()
             self.is_paused, self.resume_at, self.rows_in_second = True, now + RESUME_DELAY, 0
         elif self.checkpoint_wanted or now - self.checkpoint_at >= self.checkpoint * (
@@ -280,7 +287,7 @@
         )
 
     def record_fault(self, what: str) -> None:
-        """Records that an internal error was logged here. `what`: its log line."""
+        """Records that an internal error was logged at this time. `what`: the error's log line."""
         self.flush()
         self.add_record({"k": "fault", "now": self.now, "what": what})
 
@@ -318,7 +325,7 @@
         return RecordedRpc(self, rpc, self.rpc_count)
 
     def list_changed(self, now: int, rows: list, whole: bool, asked: bool) -> None:
-        """Passes the rows of the endpoint list on, and records them, with the ids of their upstreams."""
+        """Passes on rows of a changed endpoint list, and records them with the ids of their upstreams."""
         rows = list(rows)
         self.inner.list_changed(now, rows, whole, asked)
         if self.upstream_id is not None and rows and not self.is_paused:
@@ -332,12 +339,12 @@
         self.record_call(now, LIST_FAILED)
 
     def mark_unverified(self, now: int, upstreams: list[int], ends: int, last: bool) -> None:
-        """Passes the call on, and records it."""
+        """Passes on which upstreams are unverified, and records the call."""
         self.inner.mark_unverified(now, upstreams, ends, last)
         self.record_call(now, MARK_UNVERIFIED, upstreams, ends, last)
 
     def set_withdrawn(self, now: int, index: int, withdrawn: bool) -> None:
-        """Passes the operators' order on, and records it."""
+        """Passes on that operators withdrew or reinstated an upstream, and records the call."""
         self.inner.set_withdrawn(now, index, withdrawn)
         self.record_call(now, SET_WITHDRAWN, index, withdrawn)
 
@@ -348,7 +355,7 @@
         self.record_call(self.now, UPDATE_SETTINGS, settings)
 
     def set_slow_start_share(self, part: float) -> None:
-        """Passes the new share on, and records it."""
+        """Passes the new share of the slow start rate on, and records it."""
         self.inner.set_slow_start_share(part)
         self.record_call(self.now, SET_SLOW_START_SHARE, part)
 
@@ -358,11 +365,11 @@
         self.record_call(now, RESTORE, state, age)
 
     def due(self, now: int) -> Iterable[load_balancing.Rpc]:
-        """Returns the requests to decide on again; recorded if there are any."""
+        """Returns the requests to decide on again, and records them if there are any."""
         inner = self.inner
         wake_at = inner.wake_at()
         if wake_at > now and not inner.queue:
-            return ()  # the balancer would look at nothing either
+            return ()  # no request is due or queued in the balancer
         return self.record_due(now, wake_at)
 
     def record_due(self, now: int, wake_at: float) -> Iterator[load_balancing.Rpc]:
@@ -376,21 +383,21 @@
             self.record_call(now, DUE_ENDED)
 
     def wants_list(self, now: int) -> bool:
-        """Passes the question on; records the answer if it is True."""
+        """Returns whether the balancer wants an endpoint list; records the answer if it is True."""
         answer = self.inner.wants_list(now)
         if answer:
             self.record_call(now, WANTS_LIST, True)
         return answer
 
     def take_released(self) -> list[int]:
-        """Passes the call on; records the answer if it is not empty."""
+        """Returns the upstreams that the balancer has released; records them if there are any."""
         upstreams = self.inner.take_released()
         if upstreams:
             self.record_call(self.now, TAKE_RELEASED, upstreams)
         return upstreams
 
     def uniform(self, low: float, high: float) -> float:
-        """Draws a number, and records it. The caller uses it to delay its next request to discovery."""
+        """Draws a random number, and records it. The caller delays its next request to discovery by it."""
         drawn = self.inner.uniform(low, high)
         self.record_call(self.now, UNIFORM, low, high, drawn)
         return drawn
--- a/shedgrade/sidecar/capture/replay.py
+++ b/shedgrade/sidecar/capture/replay.py
@@ -1,4 +1,4 @@
-"""Replay of a capture, without I/O: makes its calls on another balancer, and reports results that differ.
+"""Replay of a capture, without I/O: makes the recorded calls on a new balancer, and reports other results.
 
 for found in Replay(records, module).run(): ...     yields each difference; none if all results are the same
 """
@@ -73,7 +73,7 @@
 
 
 class MissingError(Exception):
-    """A call refers to an object that does not exist, as in a shortened capture, or with other decisions."""
+    """A call refers to an object that does not exist, as in a shortened capture or with another module."""
 
 
 def as_decoded(value: object) -> object:
@@ -94,7 +94,7 @@
     ) -> None:
         """Prepares the replay.
 
-        module: the decisions to use.
+        module: the load balancing module to use.
         balancer_class: a subclass of the module's Balancer to use in its place.
         end_time: time at which the replay stops, tenths of a ms.
         lenient: goes on after a difference, and skips calls that can't be made.
@@ -116,7 +116,7 @@
     def run(self) -> Iterator[Difference]:
         """Makes all calls and yields each result that differs; ends at the first one unless lenient.
 
-        StateError if a checkpoint does not fit the decisions.
+        StateError if a checkpoint does not fit the load balancing module.
         """
         for now, row in calls(self.records):
             if now > self.end_time:
@@ -145,7 +145,7 @@
                     return
 
     def apply_record(self, record: dict) -> None:
-        """Applies a record that is no batch of calls."""
+        """Applies a record of any kind but a batch of calls."""
         kind = record["k"]
         if kind == "begin":
             self.settings = record["settings"]
@@ -158,7 +158,7 @@
             self.balancer = None
             self.gaps += 1
         elif kind == "state":
-            # Without a gap the replay keeps its own state; a test checks that checkpoints agree with it.
+            # Without a gap the replay keeps its own state; a test checks that checkpoints equal that state.
             if self.balancer is None:
                 self.balancer, self.rpcs = thaw(record["state"], self.module, self.balancer_class)
             self.upstream_ids |= record["names"]
@@ -174,7 +174,7 @@
     def retire_if_done(self, number: int) -> None:
         """Forgets a request that is done and has no attempt outstanding, after `MAX_FINISHED_RPCS` others.
 
-        The dispatcher may still ask for its decision in the same pass.
+        The dispatcher may still call `decide` on the request in the same dispatch pass.
         """
         rpc = self.rpcs[number]
         if rpc.done and not rpc.outstanding:
@@ -183,7 +183,7 @@
                 self.rpcs.pop(self.finished_numbers.popleft(), None)
 
     def make_call(self, now: int, row: list) -> tuple[object, object]:
-        """Makes the call of a row; returns (recorded result, result now)."""
+        """Makes the call that a row of the capture records; returns (recorded result, replayed result)."""
         balancer, op, recorded = self.balancer, row[0], row[2:]
         if op == TAKE:
             # Older captures have no tenant after the name.
--- a/shedgrade/sidecar/capture/rows.py
+++ b/shedgrade/sidecar/capture/rows.py
@@ -3,10 +3,10 @@
 A record is one of
     {"k": "begin", settings, seed, now, ...}    a balancer was created
     {"k": "state", "now", "state", "names"}     a checkpoint; a replay may begin here
-    {"k": "rows", "now", "r": [...]}            calls in order; each time is the difference to the row before
+    {"k": "rows", "now", "r": [...]}            calls in order, each with the time since the one before
     {"k": "names", "names": {index: id}}        ids of upstreams, as the endpoint list brings them
     {"k": "gap", "now", "rows", "why"}          calls that were not recorded; a checkpoint follows
-    {"k": "fault", "now", "what"}               an internal error was logged here
+    {"k": "fault", "now", "what"}               an internal error was logged at this time
 
 A row is [op, since, ...]; OPERATIONS lists the operations and their values. Results stand at the end of a
 row: a replay compares them with its own.
@@ -40,7 +40,7 @@
     UPDATE_SETTINGS,
     BODY_RECEIVED,
 ) = range(20)
-# Operation -> (its call, the values after the time since the row before).
+# Operation -> (name of its call, names of the values in its row, which follow the time since the row before).
 OPERATIONS = {
     TAKE: ("take", "rpc method give_up_at retry name tenant"),
     DECIDE: ("decide", "rpc what value"),
@@ -82,7 +82,7 @@
         self.start_count = 0
 
     def add(self, record: dict) -> bytes:
-        """Encodes and keeps a record, drops the oldest ones above the limit, and returns its bytes."""
+        """Adds a record, drops the oldest ones above the limit, and returns the encoded record."""
         data = file_frames.frame(record)
         start = record["k"] in ("begin", "state")
         self.records.append((start, data))
--- a/shedgrade/sidecar/capture/shortening.py
+++ b/shedgrade/sidecar/capture/shortening.py
@@ -1,4 +1,4 @@
-"""The shortest capture with the same outcome, by delta debugging (Zeller and Hildebrandt, 2002)."""
+"""Shortens a capture and keeps one request's outcome: delta debugging (Zeller and Hildebrandt, 2002)."""
 
 from collections.abc import Callable
 from itertools import groupby
@@ -71,8 +71,8 @@
     """Returns the capture with the fewest requests and list changes that keep the outcome of one request.
 
     Leaves out halves, then quarters and so on, as long as the outcome stays (ddmin). Results in the returned
-    capture are those of its own replay. `accepts`: returns whether an outcome is
-    accepted; by default, only the same one is.
+    capture are those of its own replay. `accepts`: returns whether an outcome is accepted; by default, only
+    that of the whole capture is.
     """
     original_outcome = outcome(records, number, module)
     accepts = accepts or (lambda found: found == original_outcome)
@@ -107,9 +107,9 @@
 
 
 def with_new_results(records: list[dict], module: ModuleType = load_balancing) -> list[dict]:
-    """Returns the capture with the results of these decisions in place of the recorded ones.
+    """Returns the capture with the results of a replay with `module` in place of the recorded ones.
 
-    Calls that can't be made are left out.
+    Calls that the replay can't make are left out.
     """
     result: list[dict] = []
     replay = Replay(records, module, lenient=True)
--- a/shedgrade/sidecar/capture/state.py
+++ b/shedgrade/sidecar/capture/state.py
@@ -1,11 +1,14 @@
 """The whole state of a balancer as plain data, and back. No I/O.
 
-    state = freeze(balancer, number)     number: returns the number of a request for its tag
-    balancer, rpcs = thaw(state, module) module: the decisions that the state is put into; rpcs: by number
+    state = freeze(balancer, number)
+    balancer, rpcs = thaw(state, module)
 
-Objects of the balancer become rows that name their fields, and refer to each other by index, so that a
-capture may begin at any time, whatever is in flight. Nothing is pickled: reading a capture executes none of
-its bytes.
+`number` is called with the `tag` of an `Rpc` and returns the number of the request. `module` is the load
+balancing module whose classes are created; `rpcs` are its requests in flight by number.
+
+Each object of the balancer becomes a row with its class and its fields by name; rows refer to each other by
+index. So a capture may begin at any time, whatever is in flight. Nothing is pickled: reading a capture
+executes none of its bytes.
 """
 
 from collections.abc import Callable, Iterable
@@ -16,12 +19,12 @@
 from shedgrade.sidecar.capture.stored_names import ATTRIBUTES, CLASSES, STORED_ATTRIBUTES, STORED_CLASSES
 
 VERSION = 6  # of the fields of the state; a state with other fields can't be restored
-# Stored name -> method of the one `Random`.
+# Stored name -> method of the balancer's random number generator, a `Random`.
 RANDOM_METHODS = {"chance": "random", "span": "uniform", "pick": "choices"}
 
 
 class StateError(Exception):
-    """A state does not fit the balancer; the text says why in one line."""
+    """A value can't be stored, or a stored state does not fit the balancer; the text says why in one line."""
 
 
 PLAIN_TYPES = frozenset((int, float, bool, str, type(None)))
@@ -103,23 +106,24 @@
 ) -> tuple[object, dict[int, object]]:
     """Returns the balancer of a stored state, and its requests in flight by number.
 
-    `module`: the decisions to use; `balancer_class`: a subclass of the module's Balancer to create instead.
+    `module`: the load balancing module to use. `balancer_class`: a subclass of the module's Balancer to use
+    instead.
     StateError if the state does not fit the module.
     """
     try:
         return restore(state, module, balancer_class or module.Balancer)
     except (AttributeError, IndexError, KeyError, TypeError, ValueError) as error:
-        raise StateError(f"the state does not fit these decisions: {error!r}") from error
+        raise StateError(f"the state does not fit the load balancing module: {error!r}") from error
 
 
 def restore(state: dict, module: ModuleType, balancer_class: type) -> tuple[object, dict[int, object]]:
     """As `thaw`, but a state that does not fit may also raise other errors."""
     if state["v"] != VERSION:
-        raise StateError(f"state of version {state['v']}")
+        raise StateError(f"the state has version {state['v']}, expected {VERSION}")
     instances = []
     for name, _ in state["rows"]:
         if name not in CLASSES:
-            raise StateError(f"unknown class {name!r}")
+            raise StateError(f"the state has an object of an unknown class {name!r}")
         cls = getattr(module, CLASSES[name])
         instances.append(cls.__new__(cls))
 
@@ -141,7 +145,7 @@
         attributes, stored_names = ATTRIBUTES[name], STORED_ATTRIBUTES[name]
         known = {stored_names.get(slot, slot) for slot in type(instance).__slots__} - {"home"}
         if not set(stored) <= known or not stored:
-            raise StateError(f"{name} has other fields: {sorted(set(stored) - known)}")
+            raise StateError(f"{name} has no fields or unknown ones: {sorted(set(stored) - known)}")
         for field, value in stored.items():
             setattr(instance, attributes.get(field, field), value if field == "tag" else decode(value))
         if name == "Rpc":
--- a/shedgrade/sidecar/capture/stored_names.py
+++ b/shedgrade/sidecar/capture/stored_names.py
@@ -2,7 +2,7 @@
 
 A checkpoint stores attributes under the names that they had when version 6 was defined. Some have been
 renamed since; these tables map the stored name to the present one. A name that is in no table is stored as
-it is. Attributes stand in a checkpoint in the order of `__slots__`, or in the order in which
+it is. A checkpoint stores attributes in the order of `__slots__`, or in the order in which
 `Balancer.__init__` sets them.
 """
 
--- a/shedgrade/sidecar/learned_state_file.py
+++ b/shedgrade/sidecar/learned_state_file.py
@@ -1,8 +1,9 @@
 """Conversion of the balancer's learned state to its stored form and back. No I/O.
 
-`load_balancing.learned_state.export` returns it by index, and the indices of upstreams, zones and machine
-types are this process's own. The stored form has names in their place, which stay valid over a restart. A
-stored state is checked as a whole: one with invalid values, or of other zones or machine types, is refused.
+`load_balancing.learned_state.export` returns the learned state (request durations, successes and failures,
+concurrency limits) by the index of upstreams, zones and machine types. These indices are valid in one process
+only; the stored form has names in their place, which are valid after a restart too. A stored state is checked
+as a whole: one with invalid values, or of other zones or machine types, is refused.
 """
 
 from collections.abc import Iterator
@@ -18,7 +19,7 @@
 
 
 class StoredLearnedState(Struct, forbid_unknown_fields=True):
-    """The balancer's export, version 1, with ids in place of indices, and the names its numbers refer to.
+    """The learned state as stored, version 1: upstreams by id, and the names of zones and machine types.
 
     The names of the encoded fields are those of stored files.
 
@@ -73,7 +74,7 @@
 def to_disk(
     state: dict[str, Any], ids: list[str], zones: list[str], machine_types: list[str]
 ) -> dict[str, Any]:
-    """Returns the stored form of the balancer's export. `ids`: ids of the upstreams by index."""
+    """Returns the stored form of what `learned_state.export` returned. `ids`: upstream ids by index."""
     return {
         **state,
         "ups": [[ids[index], *rest] for index, *rest in state["ups"]],
@@ -86,9 +87,10 @@
 def from_disk(
     state: dict[str, Any], known: dict[str, int], zones: list[str], machine_types: list[str]
 ) -> dict[str, Any] | None:
-    """Returns the state for `learned_state.restore`, None if invalid or of other zones or machine types.
+    """Returns a stored state in the form that `learned_state.restore` takes.
 
-    `known`: indices of the listed upstreams by id; others are left out.
+    Returns None if the state is invalid, or is of other zones or machine types. `known`: indices of the
+    upstreams by id; the state of other upstreams is left out.
     """
     try:
         stored = msgspec.convert(state, StoredLearnedState)
--- a/tests/sidecar/capture/test_replay.py
+++ b/tests/sidecar/capture/test_replay.py
@@ -43,7 +43,7 @@
             record["r"] = [row[:-1] if row[0] == TAKE else row for row in record["r"]]
     assert replay_without_difference(records).calls > 500
     older = next(record for record in records if record["k"] == "state")
-    with pytest.raises(StateError, match="^state of version 1$"):
+    with pytest.raises(StateError, match="^the state has version 1, expected 6$"):
         thaw({**older["state"], "v": 1}, load_balancing)
 
 
