--- a/shedgrade/sidecar/shadow_policy/config.py
+++ b/shedgrade/sidecar/shadow_policy/config.py
@@ -7,12 +7,12 @@
 
 from shedgrade.sidecar.lifecycle.settings_checks import shape_problem
 
-# Settings that must be the same for both balancers: they give names and numbers their meaning.
+# Settings that must be the same for the balancer and the follower: they give names and indices their meaning.
 SHARED_KEYS = ("methods", "zones", "az", "tick")
 
 
 def merge_settings(base: dict, over: dict) -> dict:
-    """Returns `base` with the values of `over` in place of its own, table by table."""
+    """Returns `base` with its values replaced by those of `over`, key by key, also in nested tables."""
     merged = dict(base)
     for key, value in over.items():
         base_value = base.get(key)
@@ -27,7 +27,7 @@
 class Watch(Struct, kw_only=True, forbid_unknown_fields=True):
     """Settings of the shadow policy.
 
-    settings: values that differ from the platform's settings, by their keys.
+    settings: values that differ from the platform's settings, under the same keys.
     every_s: interval between two lines in the log, seconds.
     """
 
@@ -39,7 +39,7 @@
         for key in SHARED_KEYS:
             if key in self.settings:
                 yield f"settings.{key}", "can't differ from the platform's: remove it"
-        # The platform's settings are not known here: values that depend on them are checked at the start.
+        # The platform's settings are not known yet: values that depend on them are checked at the start.
         problem = shape_problem({"balancers": 2**31, **self.settings})
         if problem is not None:
             key, _, reason = problem.partition(": ")
--- a/shedgrade/sidecar/shadow_policy/follower.py
+++ b/shedgrade/sidecar/shadow_policy/follower.py
@@ -1,8 +1,8 @@
-"""The follower: a second balancer that receives the same events, and proposes its own decisions. No I/O.
+"""The follower of a shadow policy: a second balancer that gets the same calls as the real one. No I/O.
 
-`Follower` is a Balancer under other settings. Its requests only propose a decision; the real one is then
-applied to them too (`apply_decision`), so both balancers know of the same transmissions, whatever
-was proposed.
+`Follower` is a Balancer under the settings of the shadow policy. Its requests only propose a decision. The
+real balancer's decision is then applied to them (`apply_decision`), so that both balancers know of the same
+transmissions, whatever was proposed.
 """
 
 from shedgrade import load_balancing
@@ -34,9 +34,11 @@
 
 
 class FollowerRpc(load_balancing.Rpc):
-    """A request that proposes decisions. A proposal changes only the follower's rotation and random draws.
+    """A request in the follower, the second balancer. It proposes decisions, which are not carried out.
 
-    is_proposing: a decision is only proposed, so nothing is transmitted or finished.
+    A proposal changes only the follower's rotation and random draws.
+
+    is_proposing: true during `propose`, so that nothing is transmitted or finished.
     counted_kinds: kinds of difference that were counted for this request.
     """
 
@@ -48,7 +50,11 @@
         super().__init__(*args)
 
     def propose(self, now: int) -> tuple[int, int] | None:
-        """Returns what it would decide now, without doing it."""
+        """Returns what `decide` would return now, without carrying it out.
+
+        That is (index of the upstream, 0) to transmit, (answer code below 0, retry delay) to answer, or None
+        to wait.
+        """
         self.is_proposing = True
         try:
             return self.decide(now)
@@ -56,15 +62,15 @@
             self.is_proposing = False
 
     def transmit(self, now: int, upstream: load_balancing.Upstream, is_retry: bool) -> tuple[int, int]:
-        """Registers an attempt, except for a proposal."""
+        """Registers an attempt, unless the decision is only proposed."""
         return (upstream.index, 0) if self.is_proposing else super().transmit(now, upstream, is_retry)
 
     def finish(self) -> list[int]:
-        """Ends the request, except for a proposal."""
+        """Ends the request, unless the decision is only proposed."""
         return [] if self.is_proposing else super().finish()
 
     def apply_decision(self, now: int, answer: tuple[int, int] | None) -> None:
-        """Applies the real decision."""
+        """Applies the real balancer's decision to this request."""
         if answer is None:
             return
         if answer[0] >= 0:
@@ -74,7 +80,7 @@
 
 
 class Follower(load_balancing.Balancer):
-    """A Balancer under the other settings."""
+    """A Balancer under the settings of the shadow policy."""
 
     rpc_class = FollowerRpc
 
--- a/shedgrade/sidecar/shadow_policy/part.py
+++ b/shedgrade/sidecar/shadow_policy/part.py
@@ -1,4 +1,7 @@
-"""Feature of the sidecar that compares its decisions with those under other settings, and logs the counts."""
+"""Feature of the sidecar that compares the balancer's decisions with those under other settings.
+
+The other decisions are those of a second balancer, the follower; the numbers of differences are logged.
+"""
 
 from collections.abc import Callable
 
@@ -16,14 +19,14 @@
 
 
 class ShadowPolicyPart(Feature):
-    """The shadow policy as a feature. It is created before the sidecar, whose balancer `decisions` makes."""
+    """The shadow policy as a feature, created before the sidecar, whose balancer `decisions` creates."""
 
     def __init__(self, config, path: str, make_balancer: Callable | None = None) -> None:
         """Keeps the configuration.
 
         config: settings of the shadow policy.
         path: file that they were read from, for errors.
-        make_balancer: creates the balancer, where another feature (capture) does; None for a plain Balancer.
+        make_balancer: creates the balancer to wrap: the recorder if capture is on, None for a plain Balancer.
         """
         self.config = config
         self.path = path
@@ -32,7 +35,7 @@
         self.log_at = 0
 
     def decisions(self, settings: dict, seed: int, now: int) -> ShadowedBalancer:
-        """Creates the balancer with its follower, in place of a Balancer, for the platform's own pool only.
+        """Creates a balancer with a follower, in place of a Balancer. Only the platform's own pool has one.
 
         ConfigError if the settings of the follower are not valid.
         """
@@ -61,7 +64,7 @@
         sidecar.features.append(self)
 
     def after_turn(self, now: int, lag: int) -> None:
-        """Logs the differences so far, at most once in `every_s`."""
+        """Logs the differences between the balancer and the follower so far, at most once in `every_s`."""
         if now >= self.log_at:
             self.log_at = now + int(self.config.every_s * SECOND)
             logger.info("shadow policy compared", differences=self.balancer.summary())
@@ -73,5 +76,5 @@
         logger.info("shadow policy started", settings=len(self.config.settings))
 
     def close(self) -> None:
-        """Logs the differences of the whole run."""
+        """Logs the differences between the balancer and the follower in the whole run."""
         logger.info("shadow policy compared", differences=self.balancer.summary())
--- a/shedgrade/sidecar/shadow_policy/shadow.py
+++ b/shedgrade/sidecar/shadow_policy/shadow.py
@@ -1,7 +1,8 @@
-"""Wrapper that takes the balancer's place where a shadow policy is on: passes calls on, also to the follower.
+"""Wrapper that takes the balancer's place where a shadow policy is on.
 
-Results are always those of the balancer. The follower is called after it, and is isolated: its first error is
-logged, and the follower dropped.
+It passes each call to the balancer and to the follower: a second balancer under the settings of the shadow
+policy (`follower.py`), whose decisions are only compared with the real ones. Results are always those of the
+balancer. The follower is isolated: at its first error, the error is logged and the follower is dropped.
 """
 
 from collections import Counter
@@ -15,11 +16,11 @@
 
 
 class ShadowedRpc:
-    """The handle of one request, as the dispatcher holds it; other attributes are those of the real handle.
+    """The dispatcher's handle of one request; other attributes are those of the balancer's handle.
 
     rpc: the balancer's handle.
     owner: the wrapper of the balancer.
-    shadow: the follower's handle; None if it had failed before.
+    shadow: the follower's handle; None if the follower was dropped before this request.
     """
 
     __slots__ = ("rpc", "owner", "shadow")
@@ -48,7 +49,7 @@
         answered: bool,
         first_on_connection: bool = False,
     ) -> list[int]:
-        """Passes the outcome of an attempt on, also to the follower."""
+        """Passes the outcome of an attempt to the balancer and the follower."""
         stops = self.rpc.attempt_finished(now, attempt, outcome, duration, answered, first_on_connection)
         if self.shadow is not None:
             self.owner.call_follower(
@@ -57,20 +58,20 @@
         return stops
 
     def response_started(self, long_lived: bool = False) -> None:
-        """Passes the start of the response on, also to the follower."""
+        """Passes the start of the response to the balancer and the follower."""
         self.rpc.response_started(long_lived)
         if self.shadow is not None:
             self.owner.call_follower(self.shadow.response_started, long_lived)
 
     def body_received(self, now: int, deadline: int, here: bool, whole: bool) -> int:
-        """Passes the progress of a request's body on, also to the follower."""
+        """Passes the progress of a request's body to the balancer and the follower."""
         limit = self.rpc.body_received(now, deadline, here, whole)
         if self.shadow is not None:
             self.owner.call_follower(self.shadow.body_received, now, deadline, here, whole)
         return limit
 
     def client_disconnected(self, now: int) -> list[int]:
-        """Passes the disconnect on, also to the follower."""
+        """Passes the client's disconnect to the balancer and the follower."""
         stops = self.rpc.client_disconnected(now)
         if self.shadow is not None:
             self.owner.call_follower(self.shadow.client_disconnected, now)
@@ -78,16 +79,16 @@
 
 
 class ShadowedBalancer:
-    """Takes the place of a Balancer: the same calls with the same results, compared with the follower's."""
+    """Takes the place of a Balancer: the same calls and results; compares decisions with the follower's."""
 
     def __init__(
         self, inner: object, follower: Callable[[], Follower], overlay: Callable[[dict], dict] = dict
     ) -> None:
-        """Keeps the balancer, and creates the follower.
+        """Creates the follower.
 
         inner: the balancer.
-        follower: creates the follower, under the other settings.
-        overlay: returns the follower's settings for new settings of the platform.
+        follower: creates the follower, under the settings of the shadow policy.
+        overlay: returns the follower's settings for new settings of the balancer.
         """
         self.inner = inner
         self.overlay = overlay
@@ -112,7 +113,7 @@
         logger.warning("shadow policy failed", error=repr(error))
 
     def call_follower(self, call: Callable, *args: object) -> object:
-        """Calls a method of the follower; drops the follower if it fails, so that no error gets further."""
+        """Calls a method of the follower; catches its errors, and drops the follower at the first one."""
         if self.follower is None:
             return None
         try:
@@ -122,13 +123,13 @@
             return None
 
     def compare(self, now: int, shadow: FollowerRpc, answer: tuple[int, int] | None) -> None:
-        """Counts a difference, then applies the real decision to the follower."""
+        """Counts a difference from the follower's proposal, then applies the real decision to it."""
         kind = difference_kind(shadow, answer, shadow.propose(now))
         self.count_difference(shadow, kind)
         shadow.apply_decision(now, answer)
 
     def count_difference(self, shadow: FollowerRpc, kind: str | None) -> None:
-        """Counts each kind once per request, as a queued request is decided on again and again."""
+        """Counts a kind of difference once per request, as a queued request is decided on again and again."""
         if kind is not None and kind not in shadow.counted_kinds:
             shadow.counted_kinds.add(kind)
             self.counts[kind] += 1
@@ -138,7 +139,7 @@
     def admit(
         self, now: int, method: int, deadline: int, retry: bool = False, tag: object = None, tenant: int = 0
     ) -> ShadowedRpc:
-        """Passes the request on, also to the follower."""
+        """Passes the request to the balancer and the follower."""
         rpc = self.inner.admit(now, method, deadline, retry, tag, tenant)
         self.rpc_count += 1
         shadow = self.call_follower(self.admit_to_follower, now, method, deadline, retry, tenant)
@@ -151,9 +152,9 @@
         return self.follower.admit(now, method, deadline, retry, None, tenant)
 
     def due(self, now: int) -> Iterator[load_balancing.Rpc]:
-        """Yields the requests to decide on again, while the follower goes through its own in step.
+        """Yields the balancer's requests to decide on again, and advances the follower's in step.
 
-        A request that only the follower would decide on is compared with no decision.
+        The follower's proposal for a request that only the follower yields is compared with no decision.
         """
         follower_due = self.call_follower(self.follower.due, now) if self.follower is not None else None
         for rpc in self.inner.due(now):
@@ -163,7 +164,7 @@
             pass
 
     def advance_follower(self, follower_due, expected: FollowerRpc | None, now: int) -> bool:
-        """Takes the follower's next request; returns False if it has none or this is the expected one."""
+        """Takes the follower's next request; returns False if there is none or it is the expected one."""
         shadow = next(follower_due, None)
         if shadow is None or shadow is expected:
             return False
@@ -175,77 +176,77 @@
         return True
 
     def list_changed(self, now: int, rows: list, whole: bool, asked: bool) -> None:
-        """Passes the rows of the endpoint list on, also to the follower."""
+        """Passes rows of a changed endpoint list to the balancer and the follower."""
         self.inner.list_changed(now, rows, whole, asked)
         if self.follower is not None:
             self.call_follower(self.follower.list_changed, now, rows, whole, asked)
 
     def list_failed(self, now: int) -> None:
-        """Passes the failed request for the list on, also to the follower."""
+        """Passes the failure of a list request to the balancer and the follower."""
         self.inner.list_failed(now)
         if self.follower is not None:
             self.call_follower(self.follower.list_failed, now)
 
     def mark_unverified(self, now: int, upstreams: list[int], ends: int, last: bool) -> None:
-        """Passes the call on, also to the follower."""
+        """Passes to the balancer and the follower which upstreams are unverified."""
         self.inner.mark_unverified(now, upstreams, ends, last)
         if self.follower is not None:
             self.call_follower(self.follower.mark_unverified, now, upstreams, ends, last)
 
     def set_withdrawn(self, now: int, index: int, withdrawn: bool) -> None:
-        """Passes the operators' order on, also to the follower."""
+        """Passes to the balancer and the follower that operators withdrew or reinstated an upstream."""
         self.inner.set_withdrawn(now, index, withdrawn)
         if self.follower is not None:
             self.call_follower(self.follower.set_withdrawn, now, index, withdrawn)
 
     def update_settings(self, settings: dict) -> None:
-        """Passes the new settings on; the follower gets them with its own values in place."""
+        """Passes the new settings on; the follower gets them with the values of the shadow policy."""
         self.inner.update_settings(settings)
         if self.follower is not None:
             self.call_follower(self.update_follower_settings, settings)
 
     def update_follower_settings(self, settings: dict) -> None:
-        """Gives the follower the new settings, with its own values in place."""
+        """Gives the follower the new settings, with the values of the shadow policy in place of theirs."""
         self.follower.update_settings(self.overlay(settings))
 
     def set_slow_start_share(self, part: float) -> None:
-        """Passes the new share on, also to the follower."""
+        """Passes the new share of the slow start rate to the balancer and the follower."""
         self.inner.set_slow_start_share(part)
         if self.follower is not None:
             self.call_follower(self.follower.set_slow_start_share, part)
 
     def restore(self, now: int, state: dict, age: float) -> None:
-        """Restores the learned state, also in the follower."""
+        """Restores the learned state in the balancer and the follower."""
         learned_state.restore(self.inner, now, state, age)
         if self.follower is not None:
             self.call_follower(learned_state.restore, self.follower, now, state, age)
 
     def wants_list(self, now: int) -> bool:
-        """Asks the follower too, and returns the balancer's answer."""
+        """Asks both whether they want an endpoint list now; returns the balancer's answer."""
         if self.follower is not None:
             self.call_follower(self.follower.wants_list, now)
         return self.inner.wants_list(now)
 
     def take_released(self) -> list[int]:
-        """Calls the follower too, and returns the balancer's upstreams."""
+        """Takes the released upstreams from both; returns those of the balancer."""
         if self.follower is not None:
             self.call_follower(self.follower.take_released)
         return self.inner.take_released()
 
     def draw_admission(self, method: int) -> float:
-        """Draws in the follower too, which keeps both random sequences the same."""
+        """Draws in the balancer and the follower, which keeps their random sequences the same."""
         if self.follower is not None:
             self.call_follower(self.follower.draw_admission, method)
         return self.inner.draw_admission(method)
 
     def uniform(self, low: float, high: float) -> float:
-        """Draws in the follower too, which keeps both random sequences the same."""
+        """Draws in the balancer and the follower, which keeps their random sequences the same."""
         if self.follower is not None:
             self.call_follower(self.follower.uniform, low, high)
         return self.inner.uniform(low, high)
 
     def summary(self) -> str:
-        """Returns the counts in words, for the log."""
+        """Returns the number of requests and of differences of each kind, as text for the log."""
         counts = ", ".join(f"{kind} {count}" for kind, count in sorted(self.counts.items()))
         return (
             f"{self.rpc_count} RPCs, {counts or 'no difference'}"
