--- a/shedgrade/cli/replay.py
+++ b/shedgrade/cli/replay.py
@@ -87,7 +87,7 @@
     except CaptureError as error:
         fail(error)
     if damage:
-        print(f"{file}: {damage}: read up to there")
+        print(f"{file}: {damage}: only the records before the damage are read")
     start = next((one["now"] for one in records if "now" in one), 0)
     end_time = start + until * 10 if until else float("inf")
     module = load_other_decisions(checkout) if checkout is not None else load_balancing
@@ -151,5 +151,5 @@
             )
     print(
         f"{replayed.calls} calls, {count} answers differ, {decision_count} of them decisions; "
-        f"{replayed.left_out} calls could not be made there"
+        f"{replayed.left_out} calls could not be made with the other module"
     )
--- a/shedgrade/sidecar/lifecycle/hot_restart_link.py
+++ b/shedgrade/sidecar/lifecycle/hot_restart_link.py
@@ -53,7 +53,7 @@
 
     @classmethod
     def from_message(cls, message: Message) -> "HandoverState":
-        """Raises HotRestartError if a key is missing or has the wrong type."""
+        """Parses the message. Raises HotRestartError if a key is missing or has the wrong type."""
         try:
             disabled, standing_by = message["outs"], message["standing_by"]
             descriptors = message["holds"]
--- a/shedgrade/sidecar/quota/gate.py
+++ b/shedgrade/sidecar/quota/gate.py
@@ -33,7 +33,7 @@
     """
 
     def __init__(self, quota: Quota, seed: int, payoffs: tuple[float, ...] = ()) -> None:
-        """`payoffs`: the payoff of each method."""
+        """Builds the tree of quotas. `payoffs`: the payoff of each method, by number."""
         self.quota = quota
         self.tree, self.default_leaf = build_tree(quota)
         self.random = Random(f"{seed}/quota")
--- a/tests/sidecar/capture/test_older_decisions.py
+++ b/tests/sidecar/capture/test_older_decisions.py
@@ -38,7 +38,10 @@
         app, ["replay", str(DATA / "capture" / name), "--with", str(checkout / folder)]
     )
     assert result.exit_code == 0, result.output
-    assert " calls, 0 answers differ, 0 of them decisions; 0 calls could not be made there" in result.output
+    assert (
+        " calls, 0 answers differ, 0 of them decisions; 0 calls could not be made with the other module"
+        in result.output
+    )
 
 
 def test_older_names_of_moved_modules_are_gone_once_the_decisions_are_loaded(checkout):
