--- a/shedgrade/controlplane/configuration_validation.py
+++ b/shedgrade/controlplane/configuration_validation.py
@@ -47,7 +47,7 @@
         return Error((Finding("", f"cannot be read: {wrong}"),))
     findings = Findings()
     if not isinstance(data, dict):
-        return Error((Finding("", "is not an object"),))
+        return Error((Finding("", "is no object"),))
     version = check_version(data.get("configVersion"), findings)
     routes, services, limits = (top_level_field(field, data, findings) for field in layout(Configuration)[1:])
     checks = ElementChecks(findings, service_names(services))
--- a/shedgrade/controlplane/delta.py
+++ b/shedgrade/controlplane/delta.py
@@ -84,7 +84,7 @@
         return Error((Finding("", f"cannot be read: {wrong}"),))
     findings = Findings()
     if not isinstance(data, dict):
-        return Error((Finding("", "is not an object"),))
+        return Error((Finding("", "is no object"),))
     version = check_version(data.get(VERSION), findings)
     added = read_lists(data, ADD, findings)
     removed = read_lists(data, REMOVE, findings)
@@ -121,7 +121,7 @@
     valid_lists = {}
     for list_name, values in lists.items():
         if list_name not in MODELS:
-            findings.add(f"{part}.{list_name}", "is not a list of named items")
+            findings.add(f"{part}.{list_name}", "is no list of named items")
         elif values is not None and not isinstance(values, list):
             findings.add(f"{part}.{list_name}", "is not a list")
         else:
@@ -137,7 +137,7 @@
         return
     first = first_places.setdefault(name, place)
     if first != place:
-        findings.add(place, f"{name!r} is also at {first}")
+        findings.add(place, f"{name!r} also stands at {first}")
 
 
 def apply_delta(configuration: bytes, raw: bytes, version: int) -> Result[bytes, Rejection]:
--- a/shedgrade/controlplane/directory.py
+++ b/shedgrade/controlplane/directory.py
@@ -74,7 +74,7 @@
             case NotAllowed(allowed):
                 return failure(
                     405,
-                    Finding("request", "the method is not allowed for this path"),
+                    Finding("request", "this verb is none of the call's"),
                     headers=((b"Allow", b", ".join(allowed)),),
                 )
             case _:
--- a/shedgrade/controlplane/operator_api.py
+++ b/shedgrade/controlplane/operator_api.py
@@ -32,7 +32,7 @@
 
 RETRY_AFTER = ((b"Retry-After", b"0.2"),)  # s
 CHECKED_CHANGES = 8  # valid changes whose check is not repeated: callers send them again
-UNAVAILABLE = failure(503, Finding("", "the control state is not available here"), headers=RETRY_AFTER)
+UNAVAILABLE = failure(503, Finding("", "the control state is not to be had here"), headers=RETRY_AFTER)
 
 Findings = tuple[Finding, ...]
 
@@ -113,7 +113,7 @@
             case Match(call, arguments):
                 call(request, respond, *arguments)
             case NotAllowed(allowed):
-                finding = Finding("request", "the method is not allowed for this path")
+                finding = Finding("request", "this verb is none of the call's")
                 respond(failure(405, finding, headers=((b"Allow", b", ".join(allowed)),)))
             case _:
                 respond(failure(404, Finding("request", "no such call")))
@@ -145,7 +145,7 @@
         base = if_match_version(request.headers.get(b"if-match", b""))
         findings: Findings = ()
         if base is None:
-            findings = (Finding("If-Match", "must name the version that this change builds on, or 0"),)
+            findings = (Finding("If-Match", "is to say the version that this one builds on, or 0"),)
         version = self.checked_version(kind, check, request.body)
         if version.is_error():
             findings += version.error
--- a/shedgrade/sidecar/admin/front.py
+++ b/shedgrade/sidecar/admin/front.py
@@ -71,7 +71,7 @@
         except httptools.HttpParserUpgrade:
             pass  # no other protocol is supported; the call is complete and is executed as it is
         except httptools.HttpParserError:
-            self.answer(400, "the call is not valid HTTP")
+            self.answer(400, "that is no call")
         if self.bytes_left < 0 and not self.complete:
             self.answer(413, "the call is too long")
 
--- a/shedgrade/sidecar/lifecycle/operator_orders.py
+++ b/shedgrade/sidecar/lifecycle/operator_orders.py
@@ -52,7 +52,7 @@
         """Disables or enables an upstream in this process; calls `reply` once the balancer has applied it."""
         pool = self.sidecar.pool
         (self.disabled.add if disable else self.disabled.discard)(upstream_id)
-        text = "the upstream gets no further requests" if disable else "enabled, with a slow start"
+        text = "nothing more goes there" if disable else "it is back, as cold"
         pool.dispatcher.set_withdrawn(
             pool.reader.indices.index(upstream_id), disable, lambda: reply(True, text)
         )
@@ -75,4 +75,4 @@
         """Ends the drain. Returns whether it succeeded, and a text."""
         self.sidecar.hot_restart.forward_command("resume")
         done = self.sidecar.resume()
-        return done, "serving" if done else "the sidecar is shutting down"
+        return done, "serving" if done else "it ends"
