--- a/tests/sidecar/capture/test_part.py
+++ b/tests/sidecar/capture/test_part.py
@@ -4,6 +4,7 @@
 
 import asyncio
 import os
+import re
 import runpy
 import shutil
 import signal
@@ -109,7 +110,11 @@
 
     shutil.copytree(Path(load_balancing.__file__).parent, tmp_path / "decide")
     zones = tmp_path / "decide/zones.py"
-    zones.write_text(zones.read_text().replace("LOAD_MARGIN = 0.5 ", "LOAD_MARGIN = -9.0 "))
+    source, replaced = re.subn(
+        r"^LOAD_MARGIN = .*$", "LOAD_MARGIN = -9.0", zones.read_text(), flags=re.MULTILINE
+    )
+    assert replaced == 1
+    zones.write_text(source)
     from capture_world import capture
 
     path = tmp_path / "c.sgc"
