--- a/shedgrade/buffers/flow.py
+++ b/shedgrade/buffers/flow.py
@@ -13,7 +13,7 @@
 CHUNK_BYTES = 32 * 1024  # largest chunk that is written at once
 
 
-def nothing() -> None:
+def no_op() -> None:
     """Does nothing; the default callback."""
 
 
@@ -28,46 +28,46 @@
     Attributes:
         chunks: bytes that wait to be taken.
         queued_bytes: the size of `chunks`.
-        taken: bytes that were taken and are kept for a replay; None once they are no longer kept.
+        replay_chunks: bytes that were taken and are kept for a replay; None once they are no longer kept.
         total_bytes: all bytes that were put.
-        budgeted_bytes: the size of `chunks` and `taken`, which the budget counts.
+        budgeted_bytes: the size of `chunks` and `replay_chunks`, which the budget counts.
         ended: the last byte was put.
         broken: the source has failed; all bytes were dropped.
         discarding: the sink takes nothing more; bytes that are put are dropped.
-        room: callback that wakes the source: there is space again.
-        news: callback that wakes the sink: bytes were put, or the flow has ended or broken.
-        lost: callback, called once: the flow can no longer be replayed.
+        on_space: callback that wakes the source: there is space again.
+        on_data: callback that wakes the sink: bytes were put, or the flow has ended or broken.
+        on_replay_lost: callback, called once: the flow can no longer be replayed.
     """
 
     __slots__ = (
         "budget",
         "chunks",
-        "taken",
+        "replay_chunks",
         "queued_bytes",
         "total_bytes",
         "budgeted_bytes",
         "ended",
         "broken",
         "discarding",
-        "room",
-        "news",
-        "lost",
+        "on_space",
+        "on_data",
+        "on_replay_lost",
     )
 
     def __init__(self, budget: ByteCounter, chunks: list[bytes]) -> None:
         """`chunks`: bytes that have already been received."""
         self.budget = budget
         self.chunks: deque[bytes] = deque()
-        self.taken: list[bytes] | None = []
+        self.replay_chunks: list[bytes] | None = []
         self.queued_bytes = 0
         self.total_bytes = 0
         self.budgeted_bytes = 0
         self.ended = False
         self.broken = False
         self.discarding = False
-        self.room: Callable[[], None] = nothing
-        self.news: Callable[[], None] = nothing
-        self.lost: Callable[[], None] = nothing
+        self.on_space: Callable[[], None] = no_op
+        self.on_data: Callable[[], None] = no_op
+        self.on_replay_lost: Callable[[], None] = no_op
         for chunk in chunks:
             self.put(chunk)
 
@@ -79,24 +79,24 @@
         self.chunks.append(chunk)
         self.queued_bytes += len(chunk)
         self.add_to_budget(len(chunk))
-        if self.taken is not None and self.taken and self.total_bytes > REPLAYABLE_BYTES:
-            self.let_go()
-        self.news()
+        if self.replay_chunks is not None and self.replay_chunks and self.total_bytes > REPLAYABLE_BYTES:
+            self.drop_replay()
+        self.on_data()
 
     def add_to_budget(self, more: int) -> None:
         """Adds `more` to the bytes that the budget counts for this flow."""
         self.budgeted_bytes += more
         self.budget.bytes += more
 
-    def let_go(self) -> None:
+    def drop_replay(self) -> None:
         """Drops the bytes kept for a replay."""
-        if self.taken is not None:
-            self.add_to_budget(-sum(map(len, self.taken)))
-            self.taken = None
-            self.lost()
+        if self.replay_chunks is not None:
+            self.add_to_budget(-sum(map(len, self.replay_chunks)))
+            self.replay_chunks = None
+            self.on_replay_lost()
 
     def full(self) -> bool:
-        """Whether the source must stop until `room` is called."""
+        """Whether the source must stop until `on_space` is called."""
         return self.queued_bytes >= (
             QUEUE_BYTES_UNDER_PRESSURE if self.budget.under_pressure() else QUEUE_BYTES
         ) and not (self.discarding or self.broken)
@@ -110,52 +110,52 @@
             self.chunks.appendleft(chunk[CHUNK_BYTES:])
             chunk = chunk[:CHUNK_BYTES]
         self.queued_bytes -= len(chunk)
-        if self.taken is not None:
-            self.taken.append(chunk)
+        if self.replay_chunks is not None:
+            self.replay_chunks.append(chunk)
             if self.total_bytes > REPLAYABLE_BYTES:
-                self.let_go()
+                self.drop_replay()
         else:
             self.add_to_budget(-len(chunk))
-        self.room()
+        self.on_space()
         return chunk
 
     def rewind(self) -> bool:
         """Starts again from the first byte for another sink; returns False if the bytes were dropped."""
-        if self.taken is None:
+        if self.replay_chunks is None:
             return False
-        self.queued_bytes += sum(map(len, self.taken))
-        self.chunks.extendleft(reversed(self.taken))
-        self.taken = []
+        self.queued_bytes += sum(map(len, self.replay_chunks))
+        self.chunks.extendleft(reversed(self.replay_chunks))
+        self.replay_chunks = []
         return True
 
     def end(self) -> None:
         """Marks the end of the message: the last byte was put."""
         self.ended = True
-        self.news()
+        self.on_data()
 
     def break_off(self) -> None:
         """Marks the message as broken: the source has failed, and the sink must report that to its peer."""
         self.broken = True
         self.free()
-        self.news()
+        self.on_data()
 
     def discard(self) -> None:
         """Drops present and future bytes: no sink takes them, but the source must still reach its end."""
         self.discarding = True
         self.free()
-        self.room()
+        self.on_space()
 
     def free(self) -> None:
         """Drops all bytes."""
         self.chunks.clear()
         self.queued_bytes = 0
-        self.taken = None
+        self.replay_chunks = None
         self.add_to_budget(-self.budgeted_bytes)
 
     def check_invariants(self) -> None:
         """Raises AssertionError if the counters contradict the queued or the kept bytes."""
         queued = sum(map(len, self.chunks))
-        kept = sum(map(len, self.taken or ()))
+        kept = sum(map(len, self.replay_chunks or ()))
         assert queued == self.queued_bytes, (queued, self.queued_bytes)
         assert queued + kept == self.budgeted_bytes <= self.total_bytes, self.budgeted_bytes
         assert not ((self.broken or self.discarding) and (queued or kept))
--- a/shedgrade/dataplane/ingress.py
+++ b/shedgrade/dataplane/ingress.py
@@ -133,7 +133,7 @@
         self.active_request = active_request
         self.current_exchange = active_request
         if request.flow is not None:
-            request.flow.lost = lambda: service.dispatcher.body_received(
+            request.flow.on_replay_lost = lambda: service.dispatcher.body_received(
                 active_request, False, not active_request.is_body_incomplete
             )
         service.dispatcher.submit(active_request, route.method, wait_ms, False)
--- a/shedgrade/dataplane/streams.py
+++ b/shedgrade/dataplane/streams.py
@@ -2,7 +2,7 @@
 
 import re
 
-from shedgrade.buffers.flow import Flow, nothing
+from shedgrade.buffers.flow import Flow, no_op
 from shedgrade.in_flight import Answer
 from shedgrade.runtime.log import logger
 
@@ -53,10 +53,10 @@
         first = self.output is None
         if first:
             self.output = Flow(self.budget, [])
-            self.output.let_go()
-            self.output.room = self.schedule_forwarding
+            self.output.drop_replay()
+            self.output.on_space = self.schedule_forwarding
         self.source, self.partial_event = answer.flow, b""
-        self.source.news = self.forward_received
+        self.source.on_data = self.forward_received
         if first:
             self.connection.flowing(Answer(answer.headers, b"", answer.status, self.output))
         self.forward_received()
@@ -131,7 +131,7 @@
     def detach(self) -> None:
         """Stops reading the response of the current leg."""
         if self.source is not None:
-            self.source.news = nothing
+            self.source.on_data = no_op
             self.source = None
 
     def truncate(self) -> None:
--- a/shedgrade/http/inbound_connection.py
+++ b/shedgrade/http/inbound_connection.py
@@ -3,7 +3,7 @@
 import asyncio
 import select
 
-from shedgrade.buffers.flow import QUEUE_BYTES_UNDER_PRESSURE, Flow, nothing
+from shedgrade.buffers.flow import QUEUE_BYTES_UNDER_PRESSURE, Flow, no_op
 from shedgrade.http.message_grammar import Headers
 from shedgrade.http.request_parser import InboundFront, RequestError
 from shedgrade.http.response_writer import ResponseWriter
@@ -70,10 +70,10 @@
             self.front.dispatcher.client_disconnected(self.active_request)
             self.active_request = None
         if self.request_flow is not None:
-            self.request_flow.room = nothing
+            self.request_flow.on_space = no_op
             self.request_flow.break_off()
         if self.response_flow is not None:
-            self.response_flow.news = nothing
+            self.response_flow.on_data = no_op
             self.response_flow.discard()
         self.request_flow = None
         self.response_flow = None
@@ -266,7 +266,7 @@
         assert flow is not None
         self.request_flow = None
         self.active_request = None
-        flow.room = nothing
+        flow.on_space = no_op
         flow.break_off()
         if active_request is not None:
             self.front.dispatcher.client_disconnected(active_request)
@@ -279,7 +279,7 @@
         self.add_to_budget(-self.budgeted_bytes)
         flow = Flow(self.front.budget, body)
         self.request_flow = flow
-        flow.room = self.schedule_resume
+        flow.on_space = self.schedule_resume
         self.note_progress(self.bytes_received, self.front.loop.time())
         self.expects_continue = False
         self.take_request(self.parser.get_method(), self.target, self.headers, b"", flow)
@@ -319,7 +319,7 @@
         """Called when the last byte of a long request has come."""
         if self.active_request is not None and self.active_request.request.flow is flow:
             flow.end()
-            self.front.dispatcher.body_received(self.active_request, flow.taken is not None, True)
+            self.front.dispatcher.body_received(self.active_request, flow.replay_chunks is not None, True)
         elif not self.flushing and self.response_flow is None:
             self.front.loop.call_soon(self.resume_or_close)
 
--- a/shedgrade/http/request_parser.py
+++ b/shedgrade/http/request_parser.py
@@ -8,7 +8,7 @@
 import httptools
 
 from shedgrade.buffers.budget import Budget
-from shedgrade.buffers.flow import SMALL_MESSAGE_BYTES, Flow, nothing
+from shedgrade.buffers.flow import SMALL_MESSAGE_BYTES, Flow, no_op
 from shedgrade.http.connection import Connection
 from shedgrade.http.message_grammar import (
     MAX_BODY_BYTES,
@@ -271,5 +271,5 @@
         self.request_flow = None
         self.closing = self.closing or last
         self.reset_request()
-        flow.room = nothing
+        flow.on_space = no_op
         self.flow_complete(flow)
--- a/shedgrade/http/response_writer.py
+++ b/shedgrade/http/response_writer.py
@@ -2,7 +2,7 @@
 
 from collections.abc import Iterable
 
-from shedgrade.buffers.flow import Flow, nothing
+from shedgrade.buffers.flow import Flow, no_op
 from shedgrade.http.message_grammar import REASON_PHRASES
 from shedgrade.http.request_parser import InboundFront, RequestParser
 from shedgrade.http.socket_state import reset, unread_in_kernel, unsent_bytes
@@ -60,7 +60,7 @@
         """Starts a long response."""
         self.response_flow = answer.flow
         self.responding = True
-        self.response_flow.news = self.write_flow
+        self.response_flow.on_data = self.write_flow
         self.chunked = answer.length is None and not self.http_1_0
         if self.request_method == b"HEAD":
             self.response_flow.discard()
@@ -85,7 +85,7 @@
             if piece:
                 self.write(*((b"%x\r\n" % len(piece), piece, b"\r\n") if self.chunked else (piece,)))
             elif flow.ended:
-                flow.news = nothing
+                flow.on_data = no_op
                 self.response_flow = None
                 if (not self.chunked or self.write(b"0\r\n\r\n")) and not self.responding:
                     self.response_sent()
--- a/shedgrade/http/rpc_connection.py
+++ b/shedgrade/http/rpc_connection.py
@@ -90,7 +90,7 @@
         active_request = ActiveRequest(self, request, self.user)
         self.active_request = active_request
         if request.flow is not None:
-            request.flow.lost = lambda: self.front.dispatcher.body_received(
+            request.flow.on_replay_lost = lambda: self.front.dispatcher.body_received(
                 active_request, False, not active_request.is_body_incomplete
             )
         self.front.dispatcher.submit(active_request, method, wait_ms, retried, tenant)
--- a/shedgrade/http/upstream_connection.py
+++ b/shedgrade/http/upstream_connection.py
@@ -9,7 +9,7 @@
 
 from shedgrade import load_balancing
 from shedgrade.buffers.budget import Budget
-from shedgrade.buffers.flow import QUEUE_BYTES_UNDER_PRESSURE, SMALL_MESSAGE_BYTES, Flow, nothing
+from shedgrade.buffers.flow import QUEUE_BYTES_UNDER_PRESSURE, SMALL_MESSAGE_BYTES, Flow, no_op
 from shedgrade.http.connection import Connection
 from shedgrade.http.message_grammar import (
     MAX_BODY_BYTES,
@@ -179,7 +179,7 @@
         """Sends the head of a long request, and the part of its body that has come."""
         self.fully_sent = False
         self.request_flow = flow
-        flow.news = self.send_flow
+        flow.on_data = self.send_flow
         if not flow.rewind():
             self.cut()
         elif self.write(b"".join(lines), b"\r\n"):
@@ -209,7 +209,7 @@
                 self.write(*((b"%x\r\n" % len(piece), piece, b"\r\n") if chunked else (piece,)))
             elif flow.ended:
                 self.request_flow = None
-                flow.news = nothing
+                flow.on_data = no_op
                 self.fully_sent = self.write(b"0\r\n\r\n") if chunked else True
             else:
                 return
@@ -278,12 +278,12 @@
     def end_flows(self, complete: bool) -> None:
         """Ends the flows of the transmission, as complete or broken."""
         if self.request_flow is not None:
-            self.request_flow.news = nothing
+            self.request_flow.on_data = no_op
             self.request_flow = None
         flow = self.response_flow
         if flow is not None:
             self.response_flow = None
-            flow.room = nothing
+            flow.on_space = no_op
             if complete:
                 flow.end()
             else:
@@ -383,8 +383,8 @@
         self.add_to_budget(-self.budgeted_bytes)
         flow = Flow(self.connections.budget, body)
         self.response_flow = flow
-        flow.let_go()
-        flow.room = self.schedule_resume
+        flow.drop_replay()
+        flow.on_space = self.schedule_resume
         headers = end_to_end_headers(self.headers)
         self.answer = Answer(headers, b"", self.status, flow, self.stated_length)
         self.connections.dispatcher.response_started(self.transmission, self.answer, self.head_received_at)
--- a/tests/dataplane/stepped_rig.py
+++ b/tests/dataplane/stepped_rig.py
@@ -266,7 +266,7 @@
 
     def flowing(self, answer):
         self.head, self.flow = answer, answer.flow
-        answer.flow.news = self.take
+        answer.flow.on_data = self.take
 
     def take(self):
         while piece := self.flow.take():
--- a/tests/sidecar/size/test_size.py
+++ b/tests/sidecar/size/test_size.py
@@ -612,7 +612,7 @@
 def test_a_flow_is_replayable_until_it_has_received_too_much_and_bytes_were_taken():
     budget, told = Budget(100, 1), []
     flow = Flow(budget, [b"a" * 70_000])
-    flow.lost = lambda: told.append(flow.total_bytes)
+    flow.on_replay_lost = lambda: told.append(flow.total_bytes)
     flow.check_invariants()
     assert flow.full() and flow.take() and flow.rewind() and flow.queued_bytes == 70_000
     flow.check_invariants()
