--- a/shedgrade/dataplane/ingress.py
+++ b/shedgrade/dataplane/ingress.py
@@ -87,7 +87,7 @@
             self.reject_and_close(400)
             return
         # Guards against work for a client that left while its request was unread in a stall of this process.
-        if front.stalled() and self.has_left():
+        if front.stalled() and self.has_disconnected():
             self.close()
             return
         forwarded = [
@@ -202,10 +202,10 @@
         else:
             self.answer(502)
 
-    def flowing(self, answer: Answer) -> None:
+    def response_flow_started(self, answer: Answer) -> None:
         """Starts to forward a response while it is received."""
         self.events_written, self.current_exchange.response_started_at = 0, self.front.clock.now()
-        super().flowing(answer)
+        super().response_flow_started(answer)
 
     def write(self, *pieces: bytes) -> bool:
         """Writes to the client, and counts the events of a stream."""
--- a/shedgrade/dataplane/streams.py
+++ b/shedgrade/dataplane/streams.py
@@ -40,15 +40,15 @@
 
     # --- called by the dispatcher
 
-    def has_left(self) -> bool:
+    def has_disconnected(self) -> bool:
         """Whether the client has disconnected."""
-        return self.connection.has_left()
+        return self.connection.has_disconnected()
 
     def close(self) -> None:
         """Closes the client's connection."""
         self.connection.close()
 
-    def flowing(self, answer: Answer) -> None:
+    def response_flow_started(self, answer: Answer) -> None:
         """The response of the first leg or of a further one has begun."""
         first = self.output is None
         if first:
@@ -58,7 +58,7 @@
         self.source, self.partial_event = answer.flow, b""
         self.source.on_data = self.forward_received
         if first:
-            self.connection.flowing(Answer(answer.headers, b"", answer.status, self.output))
+            self.connection.response_flow_started(Answer(answer.headers, b"", answer.status, self.output))
         self.forward_received()
 
     def completed(self, answer: Answer | None) -> None:
--- a/shedgrade/http/inbound_connection.py
+++ b/shedgrade/http/inbound_connection.py
@@ -91,7 +91,7 @@
             self.unanswered() or self.request_begun or self.incoming or unread_in_kernel(self.transport)
         )
 
-    def has_left(self) -> bool:
+    def has_disconnected(self) -> bool:
         """Whether the client has disconnected, also if its FIN or reset is still unread in the kernel."""
         if self.transport.is_closing():
             return True
@@ -298,7 +298,7 @@
         self.resume_scheduled = False
         if self.parser is None:
             return
-        if self.request_flow is not None and not self.request_flow.discarding and self.has_left():
+        if self.request_flow is not None and not self.request_flow.discarding and self.has_disconnected():
             # Guards against useless work: the rest of a long request is here, but its client has left.
             self.close()
             return
--- a/shedgrade/http/response_writer.py
+++ b/shedgrade/http/response_writer.py
@@ -56,7 +56,7 @@
         elif self.response_flow is None and not self.flushing:
             self.response_sent()
 
-    def flowing(self, answer: Answer) -> None:
+    def response_flow_started(self, answer: Answer) -> None:
         """Starts a long response."""
         self.response_flow = answer.flow
         self.responding = True
--- a/shedgrade/http/rpc_connection.py
+++ b/shedgrade/http/rpc_connection.py
@@ -78,7 +78,7 @@
         # Guards against useless work after a stall of this process: the request is read before the end of
         # its connection, which the client closed meanwhile. Requests that wait longer are checked again
         # before they are sent.
-        if self.front.stalled() and self.has_left():
+        if self.front.stalled() and self.has_disconnected():
             self.close()
             return
         if request.name in self.front.dispatcher.active_requests.request_ids:
--- a/shedgrade/in_flight.py
+++ b/shedgrade/in_flight.py
@@ -60,7 +60,7 @@
     `client.completed(answer)`, `client.exhausted(wait)` or `client.errored()`. For a stream it calls
     `client.opened(link)` before that; from then on the stream counts as in flight at its upstream, is never
     sent to another upstream, and its end at one side ends the other side. Before it sends anything the
-    dispatcher calls `client.has_left()`, and `client.close()` if the client has disconnected.
+    dispatcher calls `client.has_disconnected()`, and `client.close()` if the client has disconnected.
     """
 
     __slots__ = (
--- a/shedgrade/request_dispatch.py
+++ b/shedgrade/request_dispatch.py
@@ -241,7 +241,7 @@
         """Passes the request through the gates, then admits it to the balancer."""
         if active_request.done:
             return
-        if active_request.client.has_left():
+        if active_request.client.has_disconnected():
             # Guards against work for no client: a request whose bytes waited unread is read before the end of
             # its client's connection.
             self.finish(active_request)
@@ -323,7 +323,7 @@
         self.stop(
             now, active_request, [tx for tx in active_request.transmissions if tx != transmission.attempt]
         )
-        self.actions.append((active_request.client.flowing, (answer,)))
+        self.actions.append((active_request.client.response_flow_started, (answer,)))
 
     def on_stream_opened(self, now: int, transmission: Transmission) -> None:
         """Passes an open stream to its client; the stream lasts until either side ends it."""
@@ -437,7 +437,7 @@
         if up is None or not up.listed:
             return False
         if now - active_request.client_checked_at > CLIENT_CHECK_INTERVAL:
-            if active_request.client.has_left():
+            if active_request.client.has_disconnected():
                 self.client_disconnected(active_request)
                 active_request.client.close()
                 return False
--- a/shedgrade/sidecar/tunnel/listener.py
+++ b/shedgrade/sidecar/tunnel/listener.py
@@ -171,7 +171,7 @@
         self.refuse("errored")
         self.finish()
 
-    def has_left(self) -> bool:
+    def has_disconnected(self) -> bool:
         """Whether the client has left, even if the event loop has not noticed. A half-close does not count:
         such a client may still want its tunnel."""
         if self.lost or self.transport.is_closing():
--- a/tests/dataplane/stepped_clients.py
+++ b/tests/dataplane/stepped_clients.py
@@ -31,7 +31,7 @@
     def unsent(self):
         return 0
 
-    def has_left(self):
+    def has_disconnected(self):
         return self.transport.is_closing()
 
     def break_off(self):
--- a/tests/dataplane/stepped_rig.py
+++ b/tests/dataplane/stepped_rig.py
@@ -247,7 +247,7 @@
 
     errored = IngressConnection.errored
 
-    def has_left(self):
+    def has_disconnected(self):
         return self.disconnected
 
     def close(self):
@@ -264,7 +264,7 @@
         status = None if answer is None else self.head.status
         self.final_answers.append((status, dict(self.head.headers), self.received_body))
 
-    def flowing(self, answer):
+    def response_flow_started(self, answer):
         self.head, self.flow = answer, answer.flow
         answer.flow.on_data = self.take
 
--- a/tests/load_balancing/test_in_memory.py
+++ b/tests/load_balancing/test_in_memory.py
@@ -68,7 +68,7 @@
     def errored(self):
         self.finals.append("errored")
 
-    def has_left(self):  # never noticed by the dispatcher itself; a reported end is in `left`
+    def has_disconnected(self):  # never noticed by the dispatcher itself; a reported end is in `left`
         return False
 
 
