--- a/shedgrade/sidecar/lifecycle/hot_restart.py
+++ b/shedgrade/sidecar/lifecycle/hot_restart.py
@@ -86,8 +86,8 @@
         """Applies the state of the older process. The list comes first: only it can be rejected."""
         sidecar, pool = self.sidecar, self.sidecar.pool
         if state.endpoint_list is not None:
-            pool.listed(state.endpoint_list, asked=False)
-            pool.take_over("the older process")
+            pool.apply_list_message(state.endpoint_list, asked=False)
+            pool.set_list_source("the older process")
         if state.learned is not None:
             self.restore_learned(state.learned)
         for upstream_id in state.disabled:
@@ -201,7 +201,7 @@
         pool = self.sidecar.pool
         reader = pool.reader
         endpoint_list = None
-        if pool.listed_once:
+        if pool.has_list:
             endpoint_list = {
                 "generation": reader.version or 0,
                 "reset": True,
--- a/shedgrade/sidecar/lifecycle/reload.py
+++ b/shedgrade/sidecar/lifecycle/reload.py
@@ -73,7 +73,7 @@
     loaded, settings = checked.config, checked.settings
     if settings != sidecar.config.settings:
         log_settings(sidecar.config.settings, settings)
-        sidecar.pool.retuned(settings)
+        sidecar.pool.update_settings(settings)
     sidecar.config = replace(
         sidecar.config,
         discovery=loaded.discovery,
--- a/shedgrade/sidecar/lifecycle/shutdown.py
+++ b/shedgrade/sidecar/lifecycle/shutdown.py
@@ -44,7 +44,7 @@
         if sidecar.phase in (Phase.SERVING, Phase.STANDING_BY):
             sidecar.standby.end()
             sidecar.enter(Phase.DRAINING)
-            self.conclude_at = self.loop.time() + sidecar.pool.longest + CONCLUDE_AFTER_S
+            self.conclude_at = self.loop.time() + sidecar.pool.longest_hard_deadline_s + CONCLUDE_AFTER_S
             self.loop.call_later(IDLE_CLOSE_DELAY_S, sidecar.front.close_idle)
             self.loop.call_later(LISTENER_CLOSE_DELAY_S, self.stop_accepting)
             self.loop.call_at(self.conclude_at, self.conclude)
--- a/shedgrade/sidecar/lifecycle/sidecar.py
+++ b/shedgrade/sidecar/lifecycle/sidecar.py
@@ -98,7 +98,7 @@
 
     def is_ready(self) -> bool:
         """Returns what `/up` reports: whether clients should use this sidecar."""
-        return self.phase is Phase.SERVING and self.pool.listed_once
+        return self.phase is Phase.SERVING and self.pool.has_list
 
     def is_draining(self) -> bool:
         """Returns whether responses close their connections, so that clients go to another sidecar."""
@@ -106,7 +106,7 @@
 
     def accepts_clients(self) -> bool:
         """Returns whether this process listens and has an endpoint list, even while it stands by."""
-        return self.phase in (Phase.SERVING, Phase.STANDING_BY) and self.pool.listed_once
+        return self.phase in (Phase.SERVING, Phase.STANDING_BY) and self.pool.has_list
 
     def is_standing_by(self) -> bool:
         """Returns whether an operator has drained this sidecar."""
@@ -162,7 +162,7 @@
         self.apply_configured_list()
         self.listener = self.listen(self.config.listen, self.front, RpcConnection, listening_socket)
         self.start_admin()
-        self.pool.follow(self.config.discovery)
+        self.pool.watch_discovery(self.config.discovery)
         for feature in self.features:
             feature.start()
         self.listener.resume()
@@ -183,7 +183,7 @@
             self.admin_listener.close()
         if self.admin is not None:
             self.admin.close()
-        self.pool.unfollow()
+        self.pool.stop_watching()
         for feature in self.features:
             feature.close()
         if self.pool.saved is not None:
@@ -245,11 +245,11 @@
 
     def apply_configured_list(self) -> None:
         """Applies the list of the configuration file, unless another list is known."""
-        if not self.config.known or self.pool.listed_once:
+        if not self.config.known or self.pool.has_list:
             return
         try:
-            self.pool.listed(self.config.known, asked=False)
-            self.pool.take_over("known")
+            self.pool.apply_list_message(self.config.known, asked=False)
+            self.pool.set_list_source("known")
         except ListError as error:
             logger.warning("configured endpoint list rejected", error=str(error))
 
@@ -262,12 +262,12 @@
         initial = saved.initial_list()
         try:
             if initial is not None:
-                pool.listed(initial.message, asked=False)
+                pool.apply_list_message(initial.message, asked=False)
         except ListError as error:  # for instance, its zones are no longer in the settings
             logger.warning("saved endpoint list rejected", error=str(error))
             initial = None
         if initial is not None:
-            pool.take_over("saved")
+            pool.set_list_source("saved")
             indices = pool.reader.indices.by_id
             for level, names in initial.doubted.items():
                 rows = [indices[name] for name in names]
--- a/shedgrade/sidecar/tunnel/assemble.py
+++ b/shedgrade/sidecar/tunnel/assemble.py
@@ -115,7 +115,7 @@
             if given.file:
                 self.read_list(pool, given.file, f"pools.{name}.file")
             else:
-                pool.follow(parse_address(given.discovery, f"pools.{name}.discovery"))
+                pool.watch_discovery(parse_address(given.discovery, f"pools.{name}.discovery"))
         if self.tunnels is not None:
             try:
                 self.tunnels.listen()
@@ -132,19 +132,19 @@
     def read_list(pool: Pool, path: str, key: str) -> None:
         """Fills a pool from a file in the format of discovery. ConfigError if it can't be read."""
         try:
-            pool.listed(orjson.loads(Path(path).read_bytes()), asked=False)
+            pool.apply_list_message(orjson.loads(Path(path).read_bytes()), asked=False)
         except OSError as failure:
             raise ConfigError(f"{key}: {path}: {failure.strerror}") from failure
         except (orjson.JSONDecodeError, ListError) as error:
             raise ConfigError(f"{key}: {path}: not a valid list ({error})") from error
-        pool.take_over("file")
+        pool.set_list_source("file")
 
     def reload(self, features) -> None:
         """Applies a validated reload: routes and limits of tunnels take effect at once; pools, proxies and
         adding or removing the tunnel table need a restart, which is logged."""
         for name, given in self.features.pools.items():
             if name != MAIN_POOL:
-                self.pools[name].retuned(pool_settings(self.sidecar.config.settings, given))
+                self.pools[name].update_settings(pool_settings(self.sidecar.config.settings, given))
         restart_keys = [
             key for key in ("pools", "proxies") if getattr(features, key) != getattr(self.features, key)
         ]
@@ -194,4 +194,4 @@
             )
         for name, pool in self.pools.items():
             if name != MAIN_POOL:
-                pool.unfollow()
+                pool.stop_watching()
--- a/shedgrade/sidecar/tunnel/listener.py
+++ b/shedgrade/sidecar/tunnel/listener.py
@@ -372,7 +372,9 @@
 
     def grace(self, link: StreamLink) -> float:
         """Seconds after which nothing new may be sent to a draining upstream."""
-        return next(pool.grace for pool in self.pools.values() if pool.connections is link.connections)
+        return next(
+            pool.drain_grace_s for pool in self.pools.values() if pool.connections is link.connections
+        )
 
     def check_all_timeouts(self) -> None:
         """Checks all connections and schedules the next check."""
--- a/shedgrade/upstream_pool/pool.py
+++ b/shedgrade/upstream_pool/pool.py
@@ -23,10 +23,10 @@
 
     tenants: number of tenants in the settings
     tenant_names: numbers of tenants, by name
-    asks: the list is requested rather than pushed
+    requests_list: the list is requested rather than pushed
     methods: numbers of methods, by name
-    longest: longest hard deadline of a method, in seconds
-    grace: time within which sends to a draining upstream have to stop, in seconds
+    longest_hard_deadline_s: longest hard deadline of a method, in seconds
+    drain_grace_s: time within which sends to a draining upstream have to stop, in seconds
     """
 
     def __init__(
@@ -58,7 +58,7 @@
         self.watching: asyncio.Task | None = None
         self.saved = None  # a SavedList, if the list is saved to disk
         self.source = "nothing"  # the source of the list in use
-        self.listed_once = False
+        self.has_list = False
 
     def take_settings(self, settings: dict) -> tuple[int, int]:
         """Applies the pool's own settings; returns the limits of a dial and of an idle connection."""
@@ -68,14 +68,14 @@
             for number, customer in enumerate(settings.get("customers", ()))
             if "name" in customer
         }
-        self.asks = settings["membership_mode"] == "on_request"
+        self.requests_list = settings["membership_mode"] == "on_request"
         self.methods = {method["name"].encode(): number for number, method in enumerate(settings["methods"])}
-        self.longest = max(method["hard_deadline"] for method in settings["methods"]) / 1000
-        self.grace = settings["rules"]["stop_sending_within"] / 1000
+        self.longest_hard_deadline_s = max(method["hard_deadline"] for method in settings["methods"]) / 1000
+        self.drain_grace_s = settings["rules"]["stop_sending_within"] / 1000
         dial, idle = (tenths(settings["limits"][key]) for key in ("dial_timeout", "idle_close"))
         return dial, max(idle - IDLE_MARGIN, idle // 2)
 
-    def retuned(self, settings: dict) -> None:
+    def update_settings(self, settings: dict) -> None:
         """Applies other settings, which have been validated."""
         before = self.methods
         numbers = {
@@ -88,13 +88,13 @@
 
     # --- the list
 
-    def take_over(self, source: str) -> None:
+    def set_list_source(self, source: str) -> None:
         """Sets the one source of the list in use, such as an older process, the saved list or discovery."""
         if source != self.source:
             logger.info("endpoint list source changed", previous=self.source, source=source, pool=self.name)
             self.source = source
 
-    def listed(self, message: object, asked: bool = True, part: bool = False) -> None:
+    def apply_list_message(self, message: object, asked: bool = True, part: bool = False) -> None:
         """Applies a message of the endpoint list, which is in force from the next pass on.
 
         `asked`: the message comes from discovery. `part`: entries that are not valid are left out. Raises
@@ -103,7 +103,7 @@
         rows, whole, moved = self.reader.read(message, part)
         quiet = self.reader.weights_only
         if asked:
-            self.take_over("discovery")
+            self.set_list_source("discovery")
             if self.saved is not None:
                 # Guards the disk: weights that vary with load are of no use after a restart. An entry that is
                 # not valid is left out, as it would prevent a start from the saved list.
@@ -123,22 +123,22 @@
                 complete=whole,
                 pool=self.name,
             )
-        self.listed_once = True
+        self.has_list = True
 
-    def follow(self, address: tuple[str, int]) -> None:
+    def watch_discovery(self, address: tuple[str, int]) -> None:
         """Starts to watch discovery at this address."""
         self.watch = DiscoveryWatch(
             self.loop,
             address,
             self.reader,
-            self.listed,
+            self.apply_list_message,
             self.dispatcher.list_failed,
             self.balancer.uniform,
-            self.asks,
+            self.requests_list,
         )
         self.watching = self.loop.create_task(self.watch.run())
 
-    def unfollow(self) -> None:
+    def stop_watching(self) -> None:
         """Stops to watch discovery."""
         if self.watch is not None:
             self.watching.cancel()
@@ -150,9 +150,9 @@
 
         Versions count anew at the other address, so the whole list is read first.
         """
-        self.unfollow()
+        self.stop_watching()
         self.reader.version = None
-        self.follow(address)
+        self.watch_discovery(address)
 
     def forget(self, upstream: int) -> None:
         """Forgets a removed upstream that has nothing outstanding, or its records would stay for good."""
--- a/tests/helpers.py
+++ b/tests/helpers.py
@@ -222,7 +222,7 @@
         self.sidecar = Sidecar(self.config, asyncio.get_running_loop())
         self.prepare()
         self.serving = asyncio.create_task(self.sidecar.serve())
-        await until(lambda: self.watches and self.sidecar.pool.listed_once)
+        await until(lambda: self.watches and self.sidecar.pool.has_list)
         return self
 
     def prepare(self):
--- a/tests/sidecar/admin/test_calls.py
+++ b/tests/sidecar/admin/test_calls.py
@@ -36,7 +36,7 @@
         writer.write(b"nonsense\r\n\r\n")
         assert (await reader.read()).startswith(b"HTTP/1.1 400")
         writer.close()
-        world.sidecar.pool.listed_once = False
+        world.sidecar.pool.has_list = False
         assert (await world.call("/-/ready", "GET"))[0] == 503
 
 
--- a/tests/sidecar/admin/test_settings.py
+++ b/tests/sidecar/admin/test_settings.py
@@ -215,7 +215,9 @@
         connection[1].write(request(target="/n/1"))
         while not pool.dispatcher.events:  # the request was read and queued, but no decision made
             await asyncio.sleep(0)
-        pool.retuned({**world.conf, "methods": [method_named("n", hard_deadline=5.0), method_named("x")]})
+        pool.update_settings(
+            {**world.conf, "methods": [method_named("n", hard_deadline=5.0), method_named("x")]}
+        )
         (rpc,) = (active_request.rpc for active_request in pool.dispatcher.active_requests.requests)
         assert rpc.method.name == "n" and rpc.method.hard_deadline == 200_000
         connection[1].close()
--- a/tests/sidecar/crossings/test_customers.py
+++ b/tests/sidecar/crossings/test_customers.py
@@ -21,7 +21,7 @@
     async def scenario():
         async with RaceWorld(upstreams=1, methods=[PATIENT]) as world:
             conf = {**world.conf, "customers": TENANTS}
-            world.sidecar.pool.retuned(conf)
+            world.sidecar.pool.update_settings(conf)
             balancer, tenants = world.sidecar.pool.balancer, []
             take = balancer.admit
             balancer.admit = lambda now, method, at, retry, tag, tenant: (
--- a/tests/sidecar/crossings/test_end.py
+++ b/tests/sidecar/crossings/test_end.py
@@ -31,7 +31,7 @@
         async with RaceWorld(upstreams=2, held=(0, 1), methods=[method(kind, soft=2e4, hard=2e4)]) as world:
             asking = [asyncio.create_task(ask(world, request(b"one", name=name))) for name in ("a1", "a2")]
             await until(lambda: world.sent() == 2)
-            world.sidecar.pool.longest = -shutdown.CONCLUDE_AFTER_S + 0.1
+            world.sidecar.pool.longest_hard_deadline_s = -shutdown.CONCLUDE_AFTER_S + 0.1
             world.sidecar.drain()
             await world.serving
             await asyncio.sleep(0.05)
@@ -82,7 +82,7 @@
         await until(lambda: world.sent() == 1)
         world.sidecar.drain()
         last = world.sidecar.shutdown.conclude_at
-        world.sidecar.pool.longest *= 2
+        world.sidecar.pool.longest_hard_deadline_s *= 2
         world.sidecar.drain()
         world.sidecar.reload()  # the configuration file is missing, so the reload is rejected
         assert world.sidecar.shutdown.conclude_at == last and world.sidecar.phase is Phase.DRAINING
@@ -313,7 +313,7 @@
         ).start()
         # The list of the old agent was received but not yet applied at the move: the newer list prevails.
         pool = world.sidecar.pool
-        pool.listed(world.list(world.entry(0)))
+        pool.apply_list_message(world.list(world.entry(0)))
         host, port = other.address.split(":")
         pool.move((host, int(port)))
         await until(lambda: not pool.balancer.upstreams[0].listed)
--- a/tests/sidecar/crossings/test_watches.py
+++ b/tests/sidecar/crossings/test_watches.py
@@ -169,7 +169,7 @@
                 return world.complete_list()
 
             pool, slept = world.sidecar.pool, []
-            pool.asks = True
+            pool.requests_list = True
             world.agent.answers += [answer_when_released]
             before = len(world.agent.calls)
             host, port = world.discovery.address.split(":")
@@ -310,7 +310,7 @@
             link.get_buffer(len(raw))[: len(raw)] = raw
             link.buffer_updated(len(raw))
             world.version += 1
-            pool.listed(world.list(world.entry(drained, "terminating")))
+            pool.apply_list_message(world.list(world.entry(drained, "terminating")))
             await until(lambda world=world, pool=pool: world.bodies() and not pool.dispatcher.active_requests)
             assert not world.upstreams[drained].seen and world.upstreams[1 - drained].seen
             assert chosen[-1] == 1 - drained
--- a/tests/sidecar/process/test_sockets.py
+++ b/tests/sidecar/process/test_sockets.py
@@ -505,7 +505,7 @@
 async def test_up_reports_whether_a_list_is_known():
     async with World(serve, known=False) as world:
         assert (await ask(world, b"GET /up HTTP/1.1\r\n\r\n"))[0] == 200
-        world.sidecar.pool.listed_once = False
+        world.sidecar.pool.has_list = False
         assert (await ask(world, b"GET /up HTTP/1.1\r\n\r\n"))[0] == 503
 
 
