--- a/shedgrade/dataplane/ingress.py
+++ b/shedgrade/dataplane/ingress.py
@@ -87,7 +87,7 @@
             self.reject_and_close(400)
             return
         # Guards against work for a client that left while its request was unread in a stall of this process.
-        if front.stalled() and self.has_disconnected():
+        if front.recently_stalled() and self.has_disconnected():
             self.close()
             return
         forwarded = [
@@ -109,7 +109,7 @@
         """
         front = self.front
         service = front.service_of(route)
-        if service is None or not front.room_for(len(request)):
+        if service is None or not front.can_buffer(len(request)):
             self.exhausted(front.retry_after_ticks())
             return
         usage = token_usage(named_headers.get(b"token-usage"))
--- a/shedgrade/dataplane/plane.py
+++ b/shedgrade/dataplane/plane.py
@@ -236,7 +236,7 @@
         """Starts the periodic actions, which run once at once and then until the process exits."""
         self.repeat(HEALTH_CHECK_INTERVAL_S, self.check_health)
         # Looked up at each call: simulations replace it.
-        self.repeat(CLIENT_CHECK_INTERVAL_S, lambda: self.front.look_after())
+        self.repeat(CLIENT_CHECK_INTERVAL_S, lambda: self.front.check_timeouts())
         self.repeat(REPORT_INTERVAL_S, self.report_loads)
 
     def repeat(self, interval_s: float, action: Callable[[], None]) -> None:
--- a/shedgrade/http/request_parser.py
+++ b/shedgrade/http/request_parser.py
@@ -80,19 +80,19 @@
     def opened(self, connection: object) -> None:
         """Reports an open connection."""
 
-    def used(self, connection: object) -> None:
+    def response_sent_on(self, connection: object) -> None:
         """Reports a response on a connection."""
 
     def closed(self, connection: object) -> None:
         """Reports a lost connection."""
 
-    def crowded(self) -> bool:
+    def closes_after_response(self) -> bool:
         """Whether connections close after their next response, as there are too many."""
 
-    def room_for(self, count: int) -> bool:
+    def can_buffer(self, count: int) -> bool:
         """Whether there is memory for a request of `count` bytes."""
 
-    def stalled(self) -> bool:
+    def recently_stalled(self) -> bool:
         """Whether this process was stalled a moment ago."""
 
 
--- a/shedgrade/http/response_writer.py
+++ b/shedgrade/http/response_writer.py
@@ -47,7 +47,7 @@
             return
         self.active_request = None
         self.responding = False
-        self.front.used(self)
+        self.front.response_sent_on(self)
         if self.transport.is_closing():
             return
         if answer is None:
@@ -169,7 +169,7 @@
             # before it reads the response.
             self.request_flow.discard()
             self.closing = True
-        self.front.used(self)
+        self.front.response_sent_on(self)
         if self.transport.is_closing():
             return
         self.note_progress(self.bytes_written, self.front.loop.time())
@@ -188,7 +188,7 @@
         """Returns the bytes before the body. `framing`: the header that states the body's framing, or b""."""
         self.waiting_since = self.front.loop.time()
         # Guards requests that came early: the connection has taken them, even if they are unread.
-        if (self.front.draining() or self.front.crowded()) and not (
+        if (self.front.draining() or self.front.closes_after_response()) and not (
             self.parsed_requests or self.request_begun or self.incoming or unread_in_kernel(self.transport)
         ):
             self.closing = True
--- a/shedgrade/http/rpc_connection.py
+++ b/shedgrade/http/rpc_connection.py
@@ -78,13 +78,13 @@
         # Guards against useless work after a stall of this process: the request is read before the end of
         # its connection, which the client closed meanwhile. Requests that wait longer are checked again
         # before they are sent.
-        if self.front.stalled() and self.has_disconnected():
+        if self.front.recently_stalled() and self.has_disconnected():
             self.close()
             return
         if request.name in self.front.dispatcher.active_requests.request_ids:
             self.reject_and_close(409)  # the id is in use: the two responses could not be told apart
             return
-        if not self.front.room_for(len(request)):
+        if not self.front.can_buffer(len(request)):
             self.exhausted(0)
             return
         active_request = ActiveRequest(self, request, self.user)
--- a/shedgrade/sidecar/lifecycle/sidecar.py
+++ b/shedgrade/sidecar/lifecycle/sidecar.py
@@ -233,7 +233,7 @@
         """Runs the periodic checks of all parts, every TICK_INTERVAL_S."""
         if self.phase is Phase.CLOSED:
             return
-        self.front.look_after()
+        self.front.check_timeouts()
         if self.admin is not None:
             self.admin.cut_overdue()
         self.hot_restart.tick()
--- a/shedgrade/sidecar/tunnel/assemble.py
+++ b/shedgrade/sidecar/tunnel/assemble.py
@@ -158,7 +158,7 @@
     def tick(self) -> None:
         for name, front in self.fronts.items():
             if name != MAIN_POOL:
-                front.look_after()
+                front.check_timeouts()
 
     def has_pending_connections(self) -> bool:
         return self.tunnels is not None and self.tunnels.has_pending_connections()
--- a/shedgrade/upstream_pool/front.py
+++ b/shedgrade/upstream_pool/front.py
@@ -58,7 +58,7 @@
         self.clients[connection] = None
         self.budget.clients += 1
 
-    def used(self, connection) -> None:
+    def response_sent_on(self, connection) -> None:
         """Marks a connection that was answered as the most recently used one."""
         if self.clients.pop(connection, self) is None:
             self.clients[connection] = None
@@ -68,7 +68,7 @@
         if self.clients.pop(connection, self) is None:
             self.budget.clients -= 1
 
-    def crowded(self) -> bool:
+    def closes_after_response(self) -> bool:
         """Returns whether answers should close their connection.
 
         Guards against connections that send one request and stay open: the clients run out of connections
@@ -98,19 +98,19 @@
             logger.warning("client connections over budget, closing idle ones", connections=len(self.clients))
         return unused is not None
 
-    def room_for(self, count: int) -> bool:
+    def can_buffer(self, count: int) -> bool:
         """Returns whether a request of so many bytes may be buffered."""
         return self.budget.request_bytes + count <= self.budget.max_bytes
 
-    def look_after(self) -> None:
+    def check_timeouts(self) -> None:
         """Checks timeouts: guards against clients that send nothing, half a request, or read no answer."""
-        self.stalled()
+        self.recently_stalled()
         self.checked_at = monotonic()
         now = self.loop.time()
         for connection in list(self.clients):
             connection.check_timeouts(now)
 
-    def stalled(self) -> bool:
+    def recently_stalled(self) -> bool:
         """Returns whether this process stalled a moment ago: data read now may have waited long."""
         now = monotonic()
         if now - self.checked_at > STALL_THRESHOLD_S:
--- a/tests/sidecar/size/test_size.py
+++ b/tests/sidecar/size/test_size.py
@@ -282,7 +282,7 @@
         await asyncio.sleep(0.3)
         for one in world.sidecar.front.clients:
             one.note_progress(one.bytes_received, one.progress_at - 10)
-            one.front.look_after()
+            one.front.check_timeouts()
         for reader in ends:
             assert (await reader.read()).startswith(b"HTTP/1.1 408")
         for one in (paused_client[1], *writers):
--- a/tests/simulation/test_looks_go_on.py
+++ b/tests/simulation/test_looks_go_on.py
@@ -44,7 +44,7 @@
 @pytest.mark.parametrize(
     ("kind", "path", "name"),
     [
-        ("edges", "front", "look_after"),
+        ("edges", "front", "check_timeouts"),
         ("edges", "gossip.view", "count"),
         ("cores", "prefix_exchange", "tick"),
     ],
