--- a/benchmarks/capture.py
+++ b/benchmarks/capture.py
@@ -89,8 +89,8 @@
         for rpc in balancer.due(now):
             rpc.tag.rpc.decide(now)
         balancer.take_released()
-        if hasattr(balancer, "after_turn"):
-            balancer.after_turn(now, 0)
+        if hasattr(balancer, "after_pass"):
+            balancer.after_pass(now, 0)
     return (time.process_time() - begun) / rpcs * 1e6
 
 
--- a/shedgrade/dataplane/service.py
+++ b/shedgrade/dataplane/service.py
@@ -140,7 +140,7 @@
 
     def misdirected(self, upstream: int) -> None:
         """Another incarnation answers at this upstream's address: it is gone, whatever the list says."""
-        self.dispatcher.gather(self.eject_replaced, upstream)
+        self.dispatcher.enqueue_event(self.eject_replaced, upstream)
 
     def eject_replaced(self, now: int, upstream: int) -> None:
         """Ejects an upstream whose address another incarnation has, and closes its idle connections."""
@@ -171,7 +171,7 @@
         result = await self.connections.probe(upstream)
         if result is not ProbeResult.UP:
             logger.info("upstream unreachable", upstream=self.indices.ids[upstream], result=result.value)
-            self.dispatcher.gather(self.eject_unreachable, upstream, result)
+            self.dispatcher.enqueue_event(self.eject_unreachable, upstream, result)
 
     def eject_unreachable(self, now: int, upstream: int, result: ProbeResult) -> None:
         """Ejects an upstream. Its requests in flight are failed only if its machine is unreachable: an
--- a/shedgrade/request_dispatch.py
+++ b/shedgrade/request_dispatch.py
@@ -56,9 +56,9 @@
         self.lag = 0.0  # recent delay of passes behind their timer, tenths of a millisecond
         self.concluding = False  # the process ends now: only final answers are given
 
-    # --- gathering: called by connections, discovery and the timer
+    # --- enqueuing events: called by connections, discovery and the timer
 
-    def gather(self, call: Callable, *args) -> None:
+    def enqueue_event(self, call: Callable, *args) -> None:
         """Queues a call for the next pass, which passes the time as its first argument."""
         self.events.append((call, args))
         if not self.scheduled:
@@ -72,47 +72,47 @@
         self.active_requests.add(active_request)
         active_request.timeout_ms = wait
         at = self.clock.now()
-        self.gather(self.on_submitted, active_request, method, at + wait * 10, retry, tenant)
+        self.enqueue_event(self.on_submitted, active_request, method, at + wait * 10, retry, tenant)
 
     def attempt_finished(self, transmission: Transmission, outcome: int, answer: Answer | None) -> None:
         """Reports the end of an attempt, with its answer if there is one."""
-        self.gather(self.on_attempt_finished, transmission, outcome, answer, self.clock.now())
+        self.enqueue_event(self.on_attempt_finished, transmission, outcome, answer, self.clock.now())
 
     def body_received(self, active_request: ActiveRequest, here: bool, whole: bool) -> None:
         """Reports bytes of a body. `here`: all are still buffered; `whole`: the last one has arrived."""
-        self.gather(self.on_body_received, active_request, here, whole, self.clock.now())
+        self.enqueue_event(self.on_body_received, active_request, here, whole, self.clock.now())
 
     def response_started(self, transmission: Transmission, answer: Answer, at: int) -> None:
         """Reports that a long answer has begun, its head at `at`; it is then forwarded to its client."""
-        self.gather(self.on_response_started, transmission, answer, at)
+        self.enqueue_event(self.on_response_started, transmission, answer, at)
 
     def stream_opened(self, transmission: Transmission) -> None:
         """Reports that a stream's connection is established; the stream is then passed to its client."""
-        self.gather(self.on_stream_opened, transmission)
+        self.enqueue_event(self.on_stream_opened, transmission)
 
     def client_disconnected(self, active_request: ActiveRequest) -> None:
         """Reports that the request's client has disconnected."""
-        self.gather(self.on_client_disconnected, active_request)
+        self.enqueue_event(self.on_client_disconnected, active_request)
 
     def list_changed(self, rows: list, whole: bool, asked: bool) -> None:
         """Passes on rows of the endpoint list, as `Balancer.list_changed` takes them."""
-        self.gather(self.on_list_changed, rows, whole, asked)
+        self.enqueue_event(self.on_list_changed, rows, whole, asked)
 
     def set_withdrawn(self, upstream: int, out: bool, told: Callable[[], None]) -> None:
         """Withdraws an upstream by operators' order or reinstates it; calls `told` once that is in force."""
-        self.gather(self.on_withdrawn_changed, upstream, out, told)
+        self.enqueue_event(self.on_withdrawn_changed, upstream, out, told)
 
     def list_failed(self) -> None:
         """Reports that endpoint discovery failed."""
-        self.gather(lambda now: self.balancer.list_failed(now))
+        self.enqueue_event(lambda now: self.balancer.list_failed(now))
 
     def mark_unverified(self, upstreams: list[int], ends: int, last: bool) -> None:
         """Marks upstreams of a list older than discovery's as unverified."""
-        self.gather(lambda now: self.balancer.mark_unverified(now, upstreams, ends, last))
+        self.enqueue_event(lambda now: self.balancer.mark_unverified(now, upstreams, ends, last))
 
     def restore(self, state: dict, age: float) -> None:
         """Restores what an earlier process learned, `age` seconds ago."""
-        self.gather(lambda now: learned_state.restore(self.balancer, now, state, age))
+        self.enqueue_event(lambda now: learned_state.restore(self.balancer, now, state, age))
 
     def update_settings(self, settings: dict, numbers: dict[int, int]) -> None:
         """Applies other settings, after a pass over the events gathered so far.
@@ -126,11 +126,11 @@
                 (gate, ticket, numbers.get(method, -1), at)
                 for gate, ticket, method, at in active_request.gate_tickets
             )
-        self.gather(lambda now: None)
+        self.enqueue_event(lambda now: None)
 
     def set_slow_start_share(self, part: float) -> None:
         """Sets this process's share of the slow start rate, as two processes run during an upgrade."""
-        self.gather(lambda now: self.balancer.set_slow_start_share(part))
+        self.enqueue_event(lambda now: self.balancer.set_slow_start_share(part))
 
     def conclude(self) -> None:
         """Gives every active request its final answer, as the process ends now; nothing more is sent."""
@@ -142,7 +142,7 @@
                     load_balancing.STOPPED if self.connections.stop(transmission) else load_balancing.UNSENT
                 )
                 self.attempt_finished(transmission, outcome, None)
-            self.gather(self.on_final_answer_due, active_request)
+            self.enqueue_event(self.on_final_answer_due, active_request)
         self.run()
 
     def export(self) -> dict:
@@ -152,7 +152,7 @@
     # --- the pass
 
     def run(self) -> None:
-        """Runs a dispatch pass: expired time limits, all gathered events, due decisions, then the actions."""
+        """Runs a dispatch pass: expired time limits, all queued events, due decisions, then the actions."""
         self.scheduled = False
         now = self.clock.now()
         self.expire(now)
@@ -164,12 +164,12 @@
             actions, self.actions = self.actions, []
             for call, args in actions:
                 self.guarded(call, *args)
-        # An index is free for another upstream only now, as no gathered event names it any more.
+        # An index is free for another upstream only now, as no queued event names it any more.
         for upstream in self.balancer.take_released():
             self.release_upstream(upstream)
         self.set_timer()
         for observer in self.observers:
-            observer.after_turn(now, self.lag)
+            observer.after_pass(now, self.lag)
 
     def guarded(self, call: Callable, *args) -> None:
         """Calls `call`. An exception ends the requests among its arguments, not the process."""
@@ -225,7 +225,7 @@
         """Handles the timer: measures its lag, and starts a pass."""
         self.lag = max(self.lag * 0.99, min(MAX_LAG, self.clock.now() - self.timer_at))
         self.timer = self.timer_at = None
-        self.gather(lambda now: None)
+        self.enqueue_event(lambda now: None)
 
     # --- calls of the balancer
 
--- a/shedgrade/sidecar/capture/recorder.py
+++ b/shedgrade/sidecar/capture/recorder.py
@@ -222,7 +222,7 @@
             self.rows = []
         self.record_start = self.last_row_at
 
-    def after_turn(self, now: int, lag: int) -> None:
+    def after_pass(self, now: int, lag: int) -> None:
         """Pauses recording under load, resumes it after, and takes a checkpoint when one is due.
 
         Called after each dispatch pass, as the state is consistent only then. `lag`: the lag of passes, in
--- a/shedgrade/sidecar/shadow_policy/part.py
+++ b/shedgrade/sidecar/shadow_policy/part.py
@@ -60,7 +60,7 @@
         sidecar.pool.dispatcher.observers = (*sidecar.pool.dispatcher.observers, self)
         sidecar.features.append(self)
 
-    def after_turn(self, now: int, lag: int) -> None:
+    def after_pass(self, now: int, lag: int) -> None:
         """Logs the differences so far, at most once in `every_s`."""
         if now >= self.log_at:
             self.log_at = now + int(self.config.every_s * SECOND)
--- a/tests/dataplane/ingress_rig.py
+++ b/tests/dataplane/ingress_rig.py
@@ -107,7 +107,7 @@
         """Advances the clock, and runs what was due by then in the services of these pools."""
         self.at += int(milliseconds * 10)
         for pool in pools:
-            pool.dispatcher.gather(lambda now: None)
+            pool.dispatcher.enqueue_event(lambda now: None)
             pool.dispatcher.run()
 
 
--- a/tests/dataplane/stepped_rig.py
+++ b/tests/dataplane/stepped_rig.py
@@ -389,7 +389,7 @@
 
     def pass_time(self, milliseconds):
         self.loop.at += milliseconds * 10
-        self.pool.dispatcher.gather(lambda now: None)
+        self.pool.dispatcher.enqueue_event(lambda now: None)
 
     def on_wire(self, number, call, *arguments):
         open_wires = [wire for wire in self.wires if not wire.closing]
--- a/tests/dataplane/test_return_tried_first.py
+++ b/tests/dataplane/test_return_tried_first.py
@@ -54,7 +54,7 @@
     rig.pool.probe_silent()
     probes = list(rig.pool.tasks)
     await asyncio.gather(*probes)
-    rig.pool.dispatcher.gather(lambda now: None)  # as a timer does
+    rig.pool.dispatcher.enqueue_event(lambda now: None)  # as a timer does
     rig.pool.dispatcher.run()
     return len(probes)
 
--- a/tests/sidecar/capture/capture_world.py
+++ b/tests/sidecar/capture/capture_world.py
@@ -84,7 +84,7 @@
     def run(self, steps, lag=0):
         for _ in range(steps):
             self.step()
-            self.balancer.after_turn(self.now, lag)
+            self.balancer.after_pass(self.now, lag)
             self.now += self.chance.choice((1, 5, 10, 40))
         return self.records()
 
--- a/tests/sidecar/crossings/test_own_faults.py
+++ b/tests/sidecar/crossings/test_own_faults.py
@@ -58,7 +58,7 @@
             await until(lambda: world.sent() == 1)
             active_request = next(iter(world.sidecar.pool.dispatcher.active_requests.requests))
             rpc, active_request.rpc = active_request.rpc, FailingRpc(active_request.rpc)
-            world.sidecar.pool.dispatcher.gather(world.sidecar.pool.dispatcher.decide, active_request)
+            world.sidecar.pool.dispatcher.enqueue_event(world.sidecar.pool.dispatcher.decide, active_request)
             assert (await asking)[0] == 502
             await until(lambda: not balancer.in_flight)
             assert rpc.done and not active_request.transmissions
