--- a/shedgrade/dataplane/engine_connection_pool.py
+++ b/shedgrade/dataplane/engine_connection_pool.py
@@ -67,13 +67,13 @@
             return ProbeResult.UP if failure.errno in LOCAL_ERRORS else ProbeResult.UNREACHABLE
         if not link.lost:
             self.open.add(link)
-            self.count()
+            self.update_budget()
             self.keep(link)
         return ProbeResult.UP
 
     def fail_connections(self, upstream: int) -> None:
         """Ends all requests to an unreachable upstream at once, instead of when the kernel gives up."""
-        self.forget(upstream)
+        self.close_idle_to(upstream)
         for link in [link for link in self.open if link.upstream == upstream]:
             link.finish_transmission(load_balancing.DROPPED if link.may_have_run() else load_balancing.BROKEN)
             link.cut()
@@ -87,6 +87,6 @@
 
     def remove_upstream(self, upstream: int) -> None:
         """Removes a forgotten upstream, whose index may be reused."""
-        self.forget(upstream)
+        self.close_idle_to(upstream)
         for times in (self.last_response_at, self.last_heard_at, self.waiting_since):
             times.pop(upstream, None)
--- a/shedgrade/dataplane/front.py
+++ b/shedgrade/dataplane/front.py
@@ -57,6 +57,6 @@
     def __init__(self, plane) -> None:
         self.plane, self.dispatcher, self.connections = plane, None, self
 
-    def give_up_idle(self) -> bool:
+    def close_oldest_idle(self) -> bool:
         """Closes one idle connection to an upstream. Returns whether there was one to close."""
-        return any(service.connections.give_up_idle() for service in list(self.plane.services.values()))
+        return any(service.connections.close_oldest_idle() for service in list(self.plane.services.values()))
--- a/shedgrade/dataplane/service.py
+++ b/shedgrade/dataplane/service.py
@@ -147,7 +147,7 @@
         up = self.balancer.upstreams.get(upstream)
         if up is not None:
             self.balancer.eject(now, up, True)
-            self.connections.forget(upstream)
+            self.connections.close_idle_to(upstream)
 
     def probe_silent(self) -> None:
         """Probes upstreams that are silent or about to return from an ejection.
--- a/shedgrade/http/connection.py
+++ b/shedgrade/http/connection.py
@@ -58,7 +58,7 @@
             self.transport.pause_reading()
             self.reading_paused = True
 
-    def used(self, count: int) -> None:
+    def consume(self, count: int) -> None:
         """Removes `count` parsed bytes from the incoming ring, and resumes reading."""
         self.incoming.consume(count)
         if self.reading_paused and not self.transport.is_closing():
--- a/shedgrade/http/connection_pool.py
+++ b/shedgrade/http/connection_pool.py
@@ -40,7 +40,7 @@
         abandoned: connections whose transmission was given up, and whose response is still awaited.
         last_response_at: time of the last response of any kind, by upstream.
         connect: opens a connection; the dialler of a proxy replaces it.
-        proxied: connections go through a proxy, which may be the cause if one opens slowly.
+        uses_proxy: connections go through a proxy, which may be the cause if one opens slowly.
         own_addresses: addresses on which this process listens; no connection is opened to them.
         stream_buffer: bytes that one direction of a stream may buffer.
         streams: open streams by upstream.
@@ -73,8 +73,8 @@
         self.connecting: dict[Transmission, asyncio.Task[None]] = {}
         self.abandoned: set[UpstreamConnection] = set()
         self.last_response_at: dict[int, int] = {}
-        self.connect = self.direct
-        self.proxied = False
+        self.connect = self.connect_directly
+        self.uses_proxy = False
         self.own_addresses: set[Address] = set()
         self.stream_buffer = 65_536
         self.streams: dict[int, set] = {}
@@ -85,7 +85,7 @@
     def transmit(self, transmission: Transmission, now: int) -> None:
         """Sends a transmission on the most recently used idle connection, or on a new one."""
         for stale in (
-            *self.idle.stale(now),
+            *self.idle.pop_stale(now),
             *(link for link in self.abandoned if link.abandoned_until <= now),
         ):
             stale.abort()
@@ -97,24 +97,24 @@
         if link is not None:
             link.begin(transmission, now)
             return
-        self.count()
-        if self.budget.full() and not self.give_up_idle():
+        self.update_budget()
+        if self.budget.full() and not self.close_oldest_idle():
             self.dispatcher.attempt_finished(transmission, load_balancing.UNSENT, None)
             return
         # A slow proxy is no evidence against the upstream: only the time limit of the transmission ends the
         # dial, as unsent.
         transmission.connect_expires_at = (
-            transmission.expires_at + 1 if self.proxied else now + self.connect_timeout
+            transmission.expires_at + 1 if self.uses_proxy else now + self.connect_timeout
         )
         self.connecting[transmission] = self.loop.create_task(self.dial(transmission))
 
-    def count(self) -> None:
+    def update_budget(self) -> None:
         """Updates the budget's number of upstream connections, which is a sum over all pools."""
         held = len(self.open) + len(self.connecting)
         self.budget.upstreams += held - self.budgeted
         self.budgeted = held
 
-    async def direct(self, factory: Callable[[], Connection], address: Address) -> tuple:
+    async def connect_directly(self, factory: Callable[[], Connection], address: Address) -> tuple:
         """Opens a connection without a proxy. Raises OSError if that fails."""
         return await self.loop.create_connection(factory, *address)
 
@@ -136,12 +136,12 @@
         if not link.lost:
             self.open.add(link)
         wanted = self.connecting.pop(transmission, None) is not None
-        self.count()
+        self.update_budget()
         if not wanted:
             link.abort()
         elif link.transport.is_closing():
             self.dispatcher.attempt_finished(
-                transmission, load_balancing.UNSENT if self.proxied else load_balancing.BROKEN, None
+                transmission, load_balancing.UNSENT if self.uses_proxy else load_balancing.BROKEN, None
             )
         elif not self.dispatcher.may_still_send(transmission, now := self.clock.now()):
             link.abort()
@@ -158,7 +158,7 @@
         task = self.connecting.pop(transmission, None)
         if task is not None:
             task.cancel()
-            self.count()
+            self.update_budget()
             return False
         link = transmission.link
         if link is None or link.transmission is not transmission:
@@ -167,10 +167,14 @@
         link.abort()
         return may_have_run
 
-    def in_time(self, transmission: Transmission) -> bool:
-        """Whether a long response has begun by the time limit, see `UpstreamConnection.in_time`."""
+    def long_response_has_begun(self, transmission: Transmission) -> bool:
+        """Whether a long response has begun by the time limit, see the method of `UpstreamConnection`."""
         link = transmission.link
-        return isinstance(link, UpstreamConnection) and link.transmission is transmission and link.in_time()
+        return (
+            isinstance(link, UpstreamConnection)
+            and link.transmission is transmission
+            and link.long_response_has_begun()
+        )
 
     def give_up(self, transmission: Transmission) -> bool:
         """Stops a transmission, but keeps its connection if that has sent its first request in full.
@@ -196,23 +200,23 @@
         if transmission.link in self.abandoned:
             transmission.link.abort()
 
-    def silent(self, transmission: Transmission) -> None:
+    def no_response_received(self, transmission: Transmission) -> None:
         """Closes the idle connections to an upstream that has not responded since the transmission was sent.
 
         Guards against a machine that vanished: its open connections stay silent, or are reset by a request
         that may have run, whereas a new connection that does not open proves that no request ran.
         """
         if self.last_response_at.get(transmission.upstream, 0) < transmission.sent_at:
-            self.forget(transmission.upstream)
+            self.close_idle_to(transmission.upstream)
 
-    def give_up_idle(self) -> bool:
+    def close_oldest_idle(self) -> bool:
         """Closes the connection idle for longest, or an abandoned one; returns whether there was one."""
-        oldest = self.idle.oldest() or next(iter(self.abandoned), None)
+        oldest = self.idle.pop_oldest() or next(iter(self.abandoned), None)
         if oldest is not None:
             oldest.abort()
         return oldest is not None
 
-    def leaving(self, upstream: int) -> None:
+    def drain_streams(self, upstream: int) -> None:
         """Closes the streams of an upstream that drains or is removed, in order: no new ones go there."""
         for link in list(self.streams.get(upstream, ())):
             link.drain()
@@ -230,21 +234,21 @@
         self.idle.remove(link)
         self.open.discard(link)
         self.abandoned.discard(link)
-        self.count()
+        self.update_budget()
 
     def withdraw(self, upstream: int) -> None:
         """Ends new use of an upstream: closes idle connections, and ends as unsent what is still connecting.
 
         Guards against a connection that opens only after the grace period of a drain.
         """
-        self.forget(upstream)
-        self.leaving(upstream)
+        self.close_idle_to(upstream)
+        self.drain_streams(upstream)
         for transmission in [one for one in self.connecting if one.upstream == upstream]:
             self.connecting.pop(transmission).cancel()
             self.dispatcher.attempt_finished(transmission, load_balancing.UNSENT, None)
-        self.count()
+        self.update_budget()
 
-    def forget(self, upstream: int) -> None:
+    def close_idle_to(self, upstream: int) -> None:
         """Closes the idle connections of an upstream that was replaced, drains or is removed."""
         for link in self.idle.remove_upstream(upstream):
             link.abort()
--- a/shedgrade/http/idle_connections.py
+++ b/shedgrade/http/idle_connections.py
@@ -55,7 +55,7 @@
             del self.by_upstream[entry[0]]
         return True
 
-    def stale(self, now: int) -> list[Link]:
+    def pop_stale(self, now: int) -> list[Link]:
         """Removes and returns the connections that were idle for too long."""
         found = []
         while self.idle_since:
@@ -66,7 +66,7 @@
             found.append(link)
         return found
 
-    def oldest(self) -> Link | None:
+    def pop_oldest(self) -> Link | None:
         """Removes and returns the connection that is idle for longest; None if there is none."""
         link = next(iter(self.idle_since), None)
         if link is not None:
--- a/shedgrade/http/inbound_connection.py
+++ b/shedgrade/http/inbound_connection.py
@@ -192,7 +192,7 @@
         if self.reading:
             return
         if self.lingering:
-            self.used(len(self.incoming))
+            self.consume(len(self.incoming))
             return
         self.reading = True
         while True:
@@ -219,7 +219,7 @@
     def parse(self, part: memoryview) -> None:
         """Parses bytes of the incoming ring, and starts what does not need the complete request."""
         self.feed(part)
-        self.used(len(part))
+        self.consume(len(part))
         if (
             self.request_flow is not None
             and self.parsed_requests
--- a/shedgrade/http/response_writer.py
+++ b/shedgrade/http/response_writer.py
@@ -130,7 +130,7 @@
         else:
             self.lingering = True
             self.parsed_requests.clear()
-            self.used(len(self.incoming))
+            self.consume(len(self.incoming))
             self.transport.write_eof()
 
     def break_off(self) -> None:
--- a/shedgrade/http/server_connection.py
+++ b/shedgrade/http/server_connection.py
@@ -226,7 +226,7 @@
         self.is_reading = True
         while self.current is None and not self.flushing and not self.transport.is_closing():
             if self.is_lingering:
-                self.used(len(self.incoming))
+                self.consume(len(self.incoming))
                 break
             if self.queue:
                 self.dispatch(self.queue.popleft())
@@ -257,7 +257,7 @@
         except httptools.HttpParserError:
             if not self.stops_parsing:  # bytes after the last request are ignored
                 self.reject(400, "is no request in HTTP/1.1")
-        self.used(len(part))
+        self.consume(len(part))
         # Guards against an endless head, which the parser would buffer.
         if self.has_begun and not self.head_complete and self.raw_head_bytes > MAX_RAW_HEAD_BYTES:
             self.reject(431, "has too long a head")
--- a/shedgrade/http/upstream_connection.py
+++ b/shedgrade/http/upstream_connection.py
@@ -261,7 +261,7 @@
             self.keep_alive = False
             self.response_complete()
 
-    def moved(self) -> int:
+    def last_progress_at(self) -> int:
         """Returns when bytes of a long response last came, or had to wait for their client."""
         if self.reading_paused or (self.response_flow is not None and self.response_flow.full()):
             self.last_received_at = self.connections.clock.now()
@@ -337,7 +337,7 @@
                 self.cut()
                 self.incoming.consume(len(self.incoming))
                 break
-            self.used(len(part))
+            self.consume(len(part))
         self.feeding = False
         if self.complete:
             self.response_complete()
@@ -351,7 +351,7 @@
         ):
             self.forward_as_flow()
 
-    def in_time(self) -> bool:
+    def long_response_has_begun(self) -> bool:
         """Called at the time limit. Returns whether a long response has begun, which counts as in time.
 
         A response that may become long is forwarded from now on.
--- a/shedgrade/request_dispatch.py
+++ b/shedgrade/request_dispatch.py
@@ -1,6 +1,6 @@
 """Dispatch of requests: gathers events, passes them to the balancer together and carries out its decisions.
 
-Nothing else calls the balancer. A pass starts with the loop's next iteration after an event was gathered, so
+Nothing else calls the balancer. A pass starts with the loop's next iteration after an event was queued, so
 all that one iteration of the loop read is decided on together. One timer, set to the earliest time that the
 balancer or a transmission waits for, starts a pass when nothing else does.
 """
@@ -115,7 +115,7 @@
         self.enqueue_event(lambda now: learned_state.restore(self.balancer, now, state, age))
 
     def update_settings(self, settings: dict, numbers: dict[int, int]) -> None:
-        """Applies other settings, after a pass over the events gathered so far.
+        """Applies other settings, after a pass over the events queued so far.
 
         `numbers`: of the methods that stay, the new number by the old one.
         """
@@ -451,8 +451,8 @@
         client, is cut only at the request's `latest_end`.
         """
         if transmission.response_began_at is not None:
-            moved = transmission.link.moved()
-        elif self.connections.in_time(transmission):
+            moved = transmission.link.last_progress_at()
+        elif self.connections.long_response_has_begun(transmission):
             moved = now  # its client gets it in this pass
         else:
             return now
@@ -485,7 +485,7 @@
                 self.add_expiry(transmission, until)
                 continue
             if self.connections.give_up(transmission):
-                self.connections.silent(transmission)
+                self.connections.no_response_received(transmission)
                 outcome = load_balancing.TIMED_OUT
                 logger.debug("attempt timed out", upstream=upstream)
             else:
@@ -494,7 +494,7 @@
                 late = (
                     upstreams_part
                     and now >= (transmission.connect_expires_at or now)
-                    and not self.connections.proxied
+                    and not self.connections.uses_proxy
                 )
                 outcome = load_balancing.UNCONNECTED if late else load_balancing.UNSENT
                 logger.debug("attempt not sent in time", upstream=upstream)
--- a/shedgrade/sidecar/admin/front.py
+++ b/shedgrade/sidecar/admin/front.py
@@ -58,7 +58,7 @@
             self.bytes_left -= len(part)
             if not self.complete and not self.answered:
                 self.parse(part)
-        self.used(len(self.incoming))
+        self.consume(len(self.incoming))
         if self.complete and not self.answered:
             self.execute_call()
 
--- a/shedgrade/sidecar/tunnel/assemble.py
+++ b/shedgrade/sidecar/tunnel/assemble.py
@@ -58,7 +58,7 @@
                     self.via_name,
                     given.direct == "fallback",
                 )
-                connections.proxied = True
+                connections.uses_proxy = True
         self.fronts = {
             name: sidecar.front
             if name == MAIN_POOL
--- a/shedgrade/sidecar/tunnel/dialler.py
+++ b/shedgrade/sidecar/tunnel/dialler.py
@@ -96,13 +96,13 @@
 class Dialler:
     """Opens connections for a connection pool through its proxies.
 
-    A slow connection attempt through a proxy says nothing about the upstream; `proxied` on the connection
+    A slow connection attempt through a proxy says nothing about the upstream; `uses_proxy` on the connection
     pool records that.
     """
 
     def __init__(self, loop, proxies: list[Proxy], via_name: str, fallback: bool) -> None:
         self.loop, self.proxies, self.via_name, self.fallback = loop, proxies, via_name, fallback
-        self.proxied = True
+        self.uses_proxy = True
         self.rotation = 0
 
     async def __call__(self, factory: Callable, address: tuple[str, int]) -> tuple:
--- a/shedgrade/upstream_pool/front.py
+++ b/shedgrade/upstream_pool/front.py
@@ -85,7 +85,7 @@
         """
         if not self.budget.full_of_clients(len(self.accepting)):
             return True
-        if self.budget.full(len(self.accepting)) and self.pool.connections.give_up_idle():
+        if self.budget.full(len(self.accepting)) and self.pool.connections.close_oldest_idle():
             return True
         unused = next((one for one in self.clients if one.idle()), None) or next(
             (one for one in self.clients if not one.unanswered() and not one.unread()), None
--- a/shedgrade/upstream_pool/pool.py
+++ b/shedgrade/upstream_pool/pool.py
@@ -157,5 +157,5 @@
     def forget(self, upstream: int) -> None:
         """Forgets a removed upstream that has nothing outstanding, or its records would stay for good."""
         self.reader.forget(upstream)
-        self.connections.forget(upstream)
+        self.connections.close_idle_to(upstream)
         self.connections.last_response_at.pop(upstream, None)
--- a/tests/dataplane/test_answer_table.py
+++ b/tests/dataplane/test_answer_table.py
@@ -376,7 +376,7 @@
             pool, connecting = plane.services["lm"], asyncio.Event()
 
             async def connect(factory, address):
-                pool.connections.connect = pool.connections.direct
+                pool.connections.connect = pool.connections.connect_directly
                 connecting.set()
                 if failure is not None:
                     raise failure
--- a/tests/dataplane/test_ingress.py
+++ b/tests/dataplane/test_ingress.py
@@ -743,7 +743,7 @@
             pool.connections.connect = time_out
             task = asyncio.ensure_future(pool.probe(index))
             await task
-            pool.connections.connect = pool.connections.direct
+            pool.connections.connect = pool.connections.connect_directly
             body = await client.body()
             assert body == events(3, 4) and pool.balancer.upstreams[index].ejected_until
 
--- a/tests/load_balancing/test_in_memory.py
+++ b/tests/load_balancing/test_in_memory.py
@@ -94,13 +94,13 @@
 
     give_up = stop
 
-    def in_time(self, transmission):
+    def long_response_has_begun(self, transmission):
         return False
 
     def abandon(self, transmission):
         pass
 
-    def silent(self, transmission):
+    def no_response_received(self, transmission):
         pass
 
     def submit_request(self, number, wait):
--- a/tests/sidecar/crossings/crossing_peers.py
+++ b/tests/sidecar/crossings/crossing_peers.py
@@ -46,7 +46,7 @@
         return [body for upstream in self.upstreams for _, body in upstream.seen]
 
     async def wait_until_idle(self):
-        """Waits until no request is active and all gathered events are handled."""
+        """Waits until no request is active and all queued events are handled."""
         await until(lambda: not self.sidecar.pool.dispatcher.active_requests)
         await until(lambda: not any(getattr(one, "unread", bool)() for one in self.sidecar.front.clients))
         for _ in range(5):
--- a/tests/sidecar/crossings/test_end.py
+++ b/tests/sidecar/crossings/test_end.py
@@ -238,7 +238,7 @@
 async def test_a_dial_stopped_in_the_pass_that_opens_it_is_closed_and_counted():
     async with RaceWorld(upstreams=1, methods=[PATIENT]) as world:
         connections = world.sidecar.pool.connections
-        direct, links = connections.direct, []
+        direct, links = connections.connect_directly, []
 
         async def seen(factory, address):
             def make():
--- a/tests/sidecar/process/test_sockets.py
+++ b/tests/sidecar/process/test_sockets.py
@@ -280,7 +280,7 @@
     async with World(lambda *_: SILENT if world.sent() > 2 else message()) as world:
         connections = world.sidecar.pool.connections
         await ask(world)
-        first = connections.idle.oldest()
+        first = connections.idle.pop_oldest()
         await ask(world)
         connections.keep(first)
         assert len(connections.idle) == 2
@@ -404,7 +404,7 @@
         now = world.sidecar.clock.now()
         link = next(iter(connections.open))
         assert connections.idle.take(0, now + 500) is None and len(connections.idle) == 1
-        assert connections.idle.stale(now + 500) == [link] and len(connections.idle) == 0
+        assert connections.idle.pop_stale(now + 500) == [link] and len(connections.idle) == 0
 
 
 @on_sockets
