--- a/shedgrade/controlplane/operator_api.py
+++ b/shedgrade/controlplane/operator_api.py
@@ -67,7 +67,7 @@
 
 def caller_of(request: Request) -> Caller:
     """The client of a request: when the request arrived, and whether the client has disconnected."""
-    return Caller(request.arrived_after, request.caller_gone)
+    return Caller(request.arrived_after, request.client_disconnected)
 
 
 def http_reply(reply: CommandReply) -> Reply:
--- a/shedgrade/controlplane/plane.py
+++ b/shedgrade/controlplane/plane.py
@@ -284,9 +284,9 @@
         listen = self.settings.listen
         if "control" in listen:
             handle = self.operator_api.handle
-            earliest = self.arrivals.earliest
+            earliest_arrival = self.arrivals.earliest_arrival
             self.http_servers.append(
-                HttpServer(self.loop, listen["control"], handle, logger, earliest=earliest)
+                HttpServer(self.loop, listen["control"], handle, logger, earliest_arrival=earliest_arrival)
             )
         if "directory" in listen:
             handle = self.directory_service.resolve
--- a/shedgrade/controlplane/platform_poller.py
+++ b/shedgrade/controlplane/platform_poller.py
@@ -215,7 +215,7 @@
         sent_at = self.loop.time()
         try:
             while not response.done():
-                idle_deadline = (connection.heard or sent_at) + IDLE_TIMEOUT_S
+                idle_deadline = (connection.last_received_at or sent_at) + IDLE_TIMEOUT_S
                 remaining_s = min(idle_deadline, sent_at + RESPONSE_TIMEOUT_S) - self.loop.time()
                 if remaining_s <= 0:
                     raise TimeoutError("the platform did not respond in time")
--- a/shedgrade/http/discovery_connection.py
+++ b/shedgrade/http/discovery_connection.py
@@ -24,17 +24,17 @@
     def __init__(self) -> None:
         super().__init__()
         self.response: asyncio.Future | None = None
-        self.heard: float | None = None  # loop time when bytes of this response last came
+        self.last_received_at: float | None = None  # loop time when bytes of this response last came
 
     def call(self, target: bytes, host: bytes, answered: asyncio.Future) -> None:
         """Sends a GET; sets the result of `answered` to (status, body), or its exception."""
-        self.response, self.body, self.length, self.heard = answered, [], 0, None
+        self.response, self.body, self.length, self.last_received_at = answered, [], 0, None
         self.parser = httptools.HttpResponseParser(self)
         self.write(b"GET %s HTTP/1.1\r\nHost: %s\r\nAccept: application/json\r\n\r\n" % (target, host))
 
     def read(self) -> None:
         """Parses received bytes."""
-        self.heard = asyncio.get_running_loop().time()
+        self.last_received_at = asyncio.get_running_loop().time()
         for part in self.incoming.parts():
             try:
                 if self.response is None:
--- a/shedgrade/http/endpoint_discovery.py
+++ b/shedgrade/http/endpoint_discovery.py
@@ -45,9 +45,9 @@
         kinds: number by machine type.
         indices: index by instance id.
         addresses: address by index.
-        told: latest entry by instance id.
+        known_entries: latest entry by instance id.
         version: generation of the last list; None: the next call asks for the whole list.
-        taken: the entries of the last list that were accepted.
+        accepted_entries: the entries of the last list that were accepted.
         weights_only: the last change altered weights and nothing else.
     """
 
@@ -55,9 +55,9 @@
         self.zones = {name: number for number, name in enumerate(settings["zones"])}
         self.kinds = {name: number for number, name in enumerate(settings.get("shapes", []))}
         self.indices, self.addresses = Indices(), Addresses()
-        self.told: dict[str, dict] = {}
+        self.known_entries: dict[str, dict] = {}
         self.version: int | None = None
-        self.taken: list[dict] = []
+        self.accepted_entries: list[dict] = []
         self.weights_only = False
 
     def read(self, message: object, part: bool = False) -> tuple[list, bool, list[int]]:
@@ -87,18 +87,19 @@
             not whole
             and bool(accepted)
             and all(
-                {**instance, "weight": 0} == {**self.told.get(instance["instanceId"], {}), "weight": 0}
+                {**instance, "weight": 0}
+                == {**self.known_entries.get(instance["instanceId"], {}), "weight": 0}
                 for instance in accepted
             )
         )
         rows, moved = [], []
         for instance, (row, address) in zip(accepted, entries, strict=True):
-            self.told[row[0]] = instance
+            self.known_entries[row[0]] = instance
             row = self.indices.row(*row)
             rows.append(row)
             if self.addresses.move(row[0], address):
                 moved.append(row[0])
-        self.version, self.taken = version, accepted
+        self.version, self.accepted_entries = version, accepted
         return rows, whole, moved
 
     def complete_entry(self, instance: dict, whole: bool) -> dict | None:
@@ -107,11 +108,11 @@
             return instance
         name = instance["instanceId"]
         if (
-            name in self.told
+            name in self.known_entries
             or "hostPort" in instance
             or STATE_BY_LIFECYCLE[instance["lifecycle"]] == load_balancing.READY
         ):
-            return {**self.told.get(name, {}), **instance}
+            return {**self.known_entries.get(name, {}), **instance}
         return None
 
     def usable_entry(self, instance: object) -> dict | None:
@@ -121,7 +122,7 @@
         other values then stay as they were.
         """
         try:
-            known = self.told.get(instance["instanceId"], {})
+            known = self.known_entries.get(instance["instanceId"], {})
             lifecycle_only = (
                 {**known, "lifecycle": instance["lifecycle"]}
                 if STATE_BY_LIFECYCLE.get(instance.get("lifecycle"), load_balancing.READY)
@@ -140,7 +141,7 @@
 
     def forget(self, upstream: int) -> None:
         """Releases the index of an upstream that was removed and has nothing in flight."""
-        self.told.pop(self.indices.release(upstream), None)
+        self.known_entries.pop(self.indices.release(upstream), None)
         self.addresses.known.pop(upstream, None)
 
     def convert_entry(self, instance: dict) -> tuple[tuple, tuple]:
@@ -287,7 +288,7 @@
         expires_at, first_byte_at = self.loop.time() + first_timeout_s, None
         try:
             while not answered.done():
-                last_byte_at = self.link.heard
+                last_byte_at = self.link.last_received_at
                 if last_byte_at is not None:
                     first_byte_at = last_byte_at if first_byte_at is None else first_byte_at
                     expires_at = min(last_byte_at + SILENCE_TIMEOUT_S, first_byte_at + COMPLETE_TIMEOUT_S)
--- a/shedgrade/http/server.py
+++ b/shedgrade/http/server.py
@@ -29,7 +29,8 @@
     response to a client that has disconnected is ignored.
 
     Attributes:
-        earliest: returns the earliest time, in seconds, at which bytes that are read now can have arrived.
+        earliest_arrival: returns the earliest time, in seconds, at which bytes that are read now can have
+            arrived.
         connections: the open connections, in the order in which they were accepted.
         accepting: the listener's tasks for connections that are being set up; they count as connections.
         listener: None before `start`.
@@ -44,10 +45,10 @@
         handler: Handler,
         logger: ExceptionLogger,
         max_connections: int = MAX_CONNECTIONS,
-        earliest: Callable[[], float] | None = None,
+        earliest_arrival: Callable[[], float] | None = None,
     ) -> None:
-        """`earliest`: that of an `ArrivalClock`; the loop's time if None."""
-        self.earliest = earliest or loop.time
+        """`earliest_arrival`: that of an `ArrivalClock`; the loop's time if None."""
+        self.earliest_arrival = earliest_arrival or loop.time
         self.loop = loop
         self.address = address
         self.handler = handler
--- a/shedgrade/http/server_connection.py
+++ b/shedgrade/http/server_connection.py
@@ -156,7 +156,7 @@
         is_incomplete = self.has_begun and self.current is None
         return not self.is_idle() and not self.is_lingering and not is_incomplete
 
-    def caller_gone(self) -> bool:
+    def client_disconnected(self) -> bool:
         """Whether the client has closed its sending direction or the connection, even if that is unread."""
         return (
             self.client_finished
@@ -216,7 +216,7 @@
     def buffer_updated(self, count: int) -> None:
         """Called by the event loop: `count` bytes were read."""
         if not self.has_begun and not len(self.incoming):
-            self.arrived_after = self.server.earliest()
+            self.arrived_after = self.server.earliest_arrival()
         super().buffer_updated(count)
 
     def read(self) -> None:
@@ -338,7 +338,7 @@
             self.headers,
             b"".join(self.body_parts),
             self.arrived_after,
-            self.caller_gone,
+            self.client_disconnected,
         )
         keeps_alive = self.parser.should_keep_alive()
         self.queue.append(QueuedMessage(request, keeps_alive))
--- a/shedgrade/http/server_messages.py
+++ b/shedgrade/http/server_messages.py
@@ -13,7 +13,7 @@
 
 
 def never() -> bool:
-    """The default of `Request.caller_gone`, for a request without a connection."""
+    """The default of `Request.client_disconnected`, for a request without a connection."""
     return False
 
 
@@ -27,9 +27,10 @@
         query: decoded parameters of the query; the last value of each name.
         headers: values by lower-case name; values of the same name are joined by commas.
         body: body, or b"".
-        arrived_after: time of the server's `earliest` clock before which nothing of the request had arrived.
-        caller_gone: returns whether the client has closed the connection, or its sending direction, as far as
-            the kernel knows.
+        arrived_after: time of the server's `earliest_arrival` clock before which nothing of the request had
+            arrived.
+        client_disconnected: returns whether the client has closed the connection, or its sending direction,
+            as far as the kernel knows.
     """
 
     method: bytes
@@ -38,7 +39,7 @@
     headers: dict[bytes, bytes] = field(default_factory=dict)
     body: bytes = b""
     arrived_after: float | None = None
-    caller_gone: Callable[[], bool] = never
+    client_disconnected: Callable[[], bool] = never
 
 
 @dataclass(frozen=True, slots=True)
--- a/shedgrade/runtime/stall_detection.py
+++ b/shedgrade/runtime/stall_detection.py
@@ -34,7 +34,7 @@
     Attributes, times in seconds of `clock`:
         clock: a clock of `steady_clock`.
         last_tick_at, previous_tick_at: times of the last two ticks; of the start, before there are two.
-        before_stall_at: what `earliest` returns while the loop settles after a stall.
+        before_stall_at: what `earliest_arrival` returns while the loop settles after a stall.
         settled_at: when the loop has settled after the last stall.
         timer: of the next tick, None before `start`.
     """
@@ -71,7 +71,7 @@
         """
         return self.last_tick_at < self.settled_at
 
-    def earliest(self) -> float:
+    def earliest_arrival(self) -> float:
         """Returns a time in seconds of `clock` before which no byte that is read now arrived, except on a
         connection whose reading was paused."""
         return self.before_stall_at if self.is_settling() else self.previous_tick_at
--- a/shedgrade/sidecar/lifecycle/hot_restart.py
+++ b/shedgrade/sidecar/lifecycle/hot_restart.py
@@ -205,7 +205,7 @@
             endpoint_list = {
                 "generation": reader.version or 0,
                 "reset": True,
-                "instances": list(reader.told.values()),
+                "instances": list(reader.known_entries.values()),
             }
         learned = to_disk(
             pool.dispatcher.export(), reader.indices.ids, list(reader.zones), list(reader.kinds)
--- a/shedgrade/upstream_pool/pool.py
+++ b/shedgrade/upstream_pool/pool.py
@@ -107,7 +107,7 @@
             if self.saved is not None:
                 # Guards the disk: weights that vary with load are of no use after a restart. An entry that is
                 # not valid is left out, as it would prevent a start from the saved list.
-                taken = [] if quiet else self.reader.taken
+                taken = [] if quiet else self.reader.accepted_entries
                 self.saved.save_list({**message, "instances": taken} if quiet or part else message)
         draining = [row[0] for row in rows if row[2] != load_balancing.READY]
         # Before the connections are withdrawn, so that attempts at a withdrawn upstream are decided anew by
--- a/tests/controlplane/control_net.py
+++ b/tests/controlplane/control_net.py
@@ -242,7 +242,7 @@
         net.transmit(caller, name, lambda: self.process.loop.run(REQUEST, lambda: self.handle(request)))
 
     def handle(self, request):
-        request.arrived_after = self.process.arrivals.earliest()
+        request.arrived_after = self.process.arrivals.earliest_arrival()
         self.process.operator_api.handle(request, self.respond)
 
     def respond(self, reply):
--- a/tests/controlplane/test_control_http.py
+++ b/tests/controlplane/test_control_http.py
@@ -27,11 +27,11 @@
 class ServerHarness:
     """A server that records its requests and the callbacks that respond to them."""
 
-    def __init__(self, loop, handle=None, max_connections=server.MAX_CONNECTIONS, earliest=None):
+    def __init__(self, loop, handle=None, max_connections=server.MAX_CONNECTIONS, earliest_arrival=None):
         self.loop, self.requests, self.respond_callbacks, self.logger = loop, [], [], RecordingLogger()
         self.request_received = asyncio.Event()
         self.server = HttpServer(
-            loop, ("127.0.0.1", 0), handle or self.record, self.logger, max_connections, earliest
+            loop, ("127.0.0.1", 0), handle or self.record, self.logger, max_connections, earliest_arrival
         )
 
     def record(self, request, respond):
@@ -355,7 +355,7 @@
             await read_response(reader)
         assert [request.arrived_after for request in harness.requests] == [1, 2, 3]
 
-    run_scenario(scenario, earliest=lambda: next(times))
+    run_scenario(scenario, earliest_arrival=lambda: next(times))
 
 
 @pytest.mark.parametrize("close_kind", ["end", "close", "reset"])
@@ -367,7 +367,7 @@
         reader, writer = await harness.open()
         writer.write(b"POST /evacuation/z HTTP/1.1\r\nHost: h\r\n\r\n")
         request = await harness.wait_for_request()
-        assert not request.caller_gone()
+        assert not request.client_disconnected()
         handle = socket.socket(fileno=os.dup(writer.get_extra_info("socket").fileno()))
         handle.setblocking(False)
         if more:
@@ -380,8 +380,8 @@
         if close_kind != "end":
             writer.transport.abort()
             await next_loop_iteration(harness)  # closes the other descriptor; loopback delivers at once
-        assert request.caller_gone()
-        await wait_until(harness, request.caller_gone)
+        assert request.client_disconnected()
+        await wait_until(harness, request.client_disconnected)
         harness.respond_callbacks[0](Reply(200))
 
     run_scenario(scenario)
--- a/tests/load_balancing/test_list.py
+++ b/tests/load_balancing/test_list.py
@@ -50,4 +50,4 @@
         reader.read(
             changes_message(2, list_entry("a", "terminating"), entry)
         )  # an entry in service must be complete
-    assert reader.version == 1 and reader.told["a"]["lifecycle"] == "in_service"
+    assert reader.version == 1 and reader.known_entries["a"]["lifecycle"] == "in_service"
--- a/tests/runtime/test_stall_detection.py
+++ b/tests/runtime/test_stall_detection.py
@@ -36,7 +36,7 @@
     loop = FakeLoop()
     for _ in range(50):
         loop.advance(0.037)
-        assert loop.now - 2 * TICK_INTERVAL_S - 1e-9 <= loop.arrival_clock.earliest() <= loop.now
+        assert loop.now - 2 * TICK_INTERVAL_S - 1e-9 <= loop.arrival_clock.earliest_arrival() <= loop.now
 
 
 def test_data_read_after_a_stall_may_have_arrived_before_it():
@@ -45,11 +45,11 @@
         loop.advance(1.04)
         stalled_at = loop.now
         loop.stall(7.0, tick_first)
-        assert loop.arrival_clock.earliest() < stalled_at
+        assert loop.arrival_clock.earliest_arrival() < stalled_at
         loop.advance(SETTLING_S / 2)
-        assert loop.arrival_clock.earliest() < stalled_at
+        assert loop.arrival_clock.earliest_arrival() < stalled_at
         loop.advance(SETTLING_S)
-        assert loop.arrival_clock.earliest() > stalled_at + 7.0
+        assert loop.arrival_clock.earliest_arrival() > stalled_at + 7.0
 
 
 def test_consecutive_stalls_add_up():
@@ -59,14 +59,14 @@
     for _ in range(3):
         loop.stall(2.0, True)
         loop.advance(SETTLING_S / 2)
-        assert loop.arrival_clock.earliest() < stalled_at
+        assert loop.arrival_clock.earliest_arrival() < stalled_at
 
 
 def test_a_short_stall_moves_the_bound_back_by_less_than_half_a_second():
     loop = FakeLoop()
     loop.advance(1.0)
     loop.stall(TICK_INTERVAL_S + MAX_TICK_DELAY_S + 0.01, True)
-    assert loop.now - loop.arrival_clock.earliest() < 0.5
+    assert loop.now - loop.arrival_clock.earliest_arrival() < 0.5
 
 
 def test_close_stops_the_timer():
--- a/tests/sidecar/crossings/test_customers.py
+++ b/tests/sidecar/crossings/test_customers.py
@@ -80,7 +80,7 @@
             await until(lambda: not world.sidecar.pool.balancer.upstreams[0].listed)
             assert (
                 world.sidecar.pool.balancer.upstreams[1].listed
-                and "s-far" not in world.sidecar.pool.reader.told
+                and "s-far" not in world.sidecar.pool.reader.known_entries
             )
             # The list is requested again first, as it may have been damaged on its way.
             assert (
