--- a/shedgrade/buffers/budget.py
+++ b/shedgrade/buffers/budget.py
@@ -1,7 +1,7 @@
 """Budget for the file descriptors and the buffer memory of the process, so that neither runs out."""
 
 # Descriptors kept for other use: epoll, pipes, standard streams, discovery, and sockets that are closing.
-RESERVE = 64
+RESERVED_DESCRIPTORS = 64
 # A message body exists in at most five copies at once (two rings, parser, request, answer). One sixth of
 # the memory is left for the program itself.
 MEMORY_DIVISOR = 6
@@ -16,8 +16,8 @@
         sockets: configured limit, in descriptors.
         memory_mb: configured limit, in MB.
         reserved: descriptors reserved for the operators' address.
-        held_elsewhere: during an upgrade, in the newer process: connections of the older process. None if
-            there is no other process. Never set together with `connection_cap`.
+        older_process_connections: during an upgrade, in the newer process: connections of the older process.
+            None if there is no other process. Never set together with `connection_cap`.
         connection_cap: during an upgrade, in the older process: the largest number of connections it may
             have. None if there is no cap.
         max_connections: limit for all connections.
@@ -30,7 +30,7 @@
 
     def __init__(self, sockets: int, memory_mb: int) -> None:
         self.reserved = 0
-        self.held_elsewhere: int | None = None
+        self.older_process_connections: int | None = None
         self.connection_cap: int | None = None
         self.clients = 0
         self.upstreams = 0
@@ -43,11 +43,13 @@
         """Sets the limits, and recomputes those derived from them."""
         self.sockets = sockets
         self.memory_mb = memory_mb
-        self.max_connections = max(16, sockets - RESERVE - self.reserved - (self.held_elsewhere or 0))
+        self.max_connections = max(
+            16, sockets - RESERVED_DESCRIPTORS - self.reserved - (self.older_process_connections or 0)
+        )
         if self.connection_cap is not None:
             self.max_connections = min(self.max_connections, self.connection_cap)
         self.max_clients = self.max_connections * 3 // 4
-        upgrading = self.held_elsewhere is not None or self.connection_cap is not None
+        upgrading = self.older_process_connections is not None or self.connection_cap is not None
         self.max_bytes = memory_mb * 1024 * 1024 // MEMORY_DIVISOR // (2 if upgrading else 1)
 
     def reserve(self, count: int) -> None:
@@ -63,9 +65,9 @@
         """The number of open connections."""
         return self.clients + self.upstreams + self.others
 
-    def share(self, held_elsewhere: int | None) -> None:
+    def share(self, older_process_connections: int | None) -> None:
         """Sets the number of connections that the older process holds; None: there is no other process."""
-        self.held_elsewhere = held_elsewhere
+        self.older_process_connections = older_process_connections
         self.connection_cap = None
         self.limit(self.sockets, self.memory_mb)
 
@@ -81,13 +83,13 @@
         """
         return self.clients + coming + self.upstreams + self.others >= self.max_connections
 
-    def full_of_clients(self, coming: int = 0) -> bool:
+    def client_limit_reached(self, coming: int = 0) -> bool:
         """Whether no further client may connect; `coming` as for `full`."""
         return self.clients + coming >= self.max_clients or self.full(coming)
 
     def check_invariants(self) -> None:
         """Raises AssertionError if the counters or limits contradict the class description."""
-        assert self.held_elsewhere is None or self.connection_cap is None
+        assert self.older_process_connections is None or self.connection_cap is None
         assert min(self.clients, self.upstreams, self.others) >= 0
         assert 0 <= self.request_bytes <= self.bytes, (self.request_bytes, self.bytes)
         assert self.max_clients <= self.max_connections
--- a/shedgrade/upstream_pool/front.py
+++ b/shedgrade/upstream_pool/front.py
@@ -83,7 +83,7 @@
         are accepted as soon as others are closed. Descriptors closed in one iteration of the loop are free in
         the next; the reserve holds as many as one iteration accepts.
         """
-        if not self.budget.full_of_clients(len(self.accepting)):
+        if not self.budget.client_limit_reached(len(self.accepting)):
             return True
         if self.budget.full(len(self.accepting)) and self.pool.connections.close_oldest_idle():
             return True
--- a/tests/sidecar/admin/test_upgrade.py
+++ b/tests/sidecar/admin/test_upgrade.py
@@ -93,7 +93,7 @@
                 old.drain()
                 await until(lambda: old.phase is Phase.CLOSED)
                 await until(lambda: new.pool.balancer.slow_start_share == 1.0)
-                assert new.budget.held_elsewhere is None
+                assert new.budget.older_process_connections is None
                 for number in range(9):
                     assert (await ask(world, request(name=f"b{number}")))[0] == 200
 
--- a/tests/sidecar/process/test_sockets.py
+++ b/tests/sidecar/process/test_sockets.py
@@ -34,7 +34,7 @@
 from typer.testing import CliRunner
 
 from shedgrade import load_balancing
-from shedgrade.buffers.budget import RESERVE
+from shedgrade.buffers.budget import RESERVED_DESCRIPTORS
 from shedgrade.cli import app
 from shedgrade.http.idle_connections import IdleConnections
 from shedgrade.http.upstream_connection import UpstreamConnection
@@ -246,7 +246,7 @@
                 # A request for the whole list, and one for the watch.
                 await until(lambda seen=seen: len(other.seen) == seen + 2)
             assert old.transport.is_closing()
-            assert world.sidecar.budget.max_connections == 300 - RESERVE
+            assert world.sidecar.budget.max_connections == 300 - RESERVED_DESCRIPTORS
             assert [(await ask(world))[0] for _ in range(4)] == [200] * 4 and not world.upstreams[0].seen
             other.stop()
             logger.remove(sink)
@@ -469,7 +469,7 @@
             assert (await ask(world))[0] == 200
             kept.append(
                 (
-                    len(sidecar.pool.reader.told),
+                    len(sidecar.pool.reader.known_entries),
                     len(sidecar.pool.reader.indices.ids),
                     len(sidecar.pool.balancer.upstreams),
                     len(sidecar.pool.reader.addresses.known),
