--- a/benchmarks/choice.py
+++ b/benchmarks/choice.py
@@ -62,7 +62,7 @@
     kind: Kind
     edge: int
     came: float
-    wants: RoutingConstraints
+    constraints: RoutingConstraints
     work: Work
     rpc: object = None
     engine: int = -1
@@ -109,7 +109,7 @@
 class Tag:
     """What the handle of a request refers to."""
 
-    wants: RoutingConstraints
+    constraints: RoutingConstraints
 
 
 class Fleet:
@@ -230,7 +230,7 @@
         own = drawn(random, *kind.own)
         events = drawn(random, *kind.events, most=4)
         homes = frozenset(self.names.index(name) for name in kind.homes) or None
-        wants = RoutingConstraints(
+        constraints = RoutingConstraints(
             homes,
             f"{parts[0][0]},{parts[1][0]}".encode(),
             2 if kind.resumable else 1,
@@ -246,7 +246,7 @@
             deadline=now + kind.deadline_s,
         )
         edge = region + len(self.names) * random.randrange(self.edges // len(self.names))
-        one = Try(kind, edge, now, wants, work)
+        one = Try(kind, edge, now, constraints, work)
         result = self.outcomes[kind.name]
         result.asked += 1
         size = 0.3 + 0.7 * min(4.0, (shared + own + 10 * work.out) / mean_size(kind, self.settings.stride))
@@ -261,7 +261,7 @@
                 int(now * TICKS),
                 IDEMPOTENT if kind.resumable else ONCE,
                 int((now + kind.deadline_s) * TICKS),
-                tag=Tag(wants),
+                tag=Tag(constraints),
             )
             index, _ = one.rpc.decide(int(now * TICKS))
             if index < 0:
@@ -285,7 +285,7 @@
             waits = max(0, len(engine.jobs) + 1 - self.settings.slots)
             return 2 * far + (unread + ahead) / self.settings.prefill_per_s + 0.01 * len(engine.jobs) + waits
 
-        homes = one.wants.home_regions
+        homes = one.constraints.home_regions
         return min(
             (
                 index
--- a/shedgrade/dataplane/exchange.py
+++ b/shedgrade/dataplane/exchange.py
@@ -12,7 +12,7 @@
 
     Attributes:
         service: the service pool whose dispatcher handles the request.
-        wants: the constraints of its routing.
+        constraints: the constraints of its routing.
         failure: the last failure response that an upstream sent itself.
         streams: whether the answer is forwarded while it is received.
         priority: the priority sent to the upstream, 0 the highest; None if none is sent.
@@ -24,7 +24,7 @@
 
     __slots__ = (
         "service",
-        "wants",
+        "constraints",
         "failure",
         "streams",
         "priority",
@@ -39,14 +39,14 @@
         client: object,
         request: Request,
         service,
-        wants: RoutingConstraints,
+        constraints: RoutingConstraints,
         streams: bool,
         priority: int | None,
         deadline: int,
         usage: tuple[int, int] = (0, 0),
     ) -> None:
         super().__init__(client, request)
-        self.service, self.wants, self.streams = service, wants, streams
+        self.service, self.constraints, self.streams = service, constraints, streams
         self.priority, self.deadline = priority, deadline
         self.failure: Answer | None = None
         self.usage = usage
--- a/shedgrade/dataplane/ingress.py
+++ b/shedgrade/dataplane/ingress.py
@@ -150,41 +150,43 @@
         request's body is no longer buffered."""
         previous = self.current_exchange
         remaining_ms = (previous.deadline - self.front.clock.now()) // 10
-        attempts = previous.rpc.attempts_arrived if previous.rpc is not None else previous.wants.max_attempts
+        attempts = (
+            previous.rpc.attempts_arrived if previous.rpc is not None else previous.constraints.max_attempts
+        )
         retry_budget = previous.service.retry_budget
         if (
             self.transport is None
             or self.transport.is_closing()
             or remaining_ms < MIN_RESUME_MS
             or (
-                attempts >= previous.wants.max_attempts
+                attempts >= previous.constraints.max_attempts
                 or previous.request.flow is not None
                 or not retry_budget.allows_retry(self.front.clock.now())
             )
         ):
             return False
-        wants, request = previous.wants, previous.request
+        constraints, request = previous.constraints, previous.request
         tried_upstreams = {up.index for up in previous.rpc.attempts}
         headers = [pair for pair in request.headers if pair[0].lower() != b"last-event-id"]
         if last_id is None:
             headers = request.headers
         else:
             headers.append((b"Last-Event-Id", last_id))
-        constraints = RoutingConstraints(
-            wants.home_regions,
-            wants.prefix_key,
-            wants.max_attempts,
-            wants.latency_target,
-            wants.excluded_upstreams | tried_upstreams,
+        next_constraints = RoutingConstraints(
+            constraints.home_regions,
+            constraints.prefix_key,
+            constraints.max_attempts,
+            constraints.latency_target,
+            constraints.excluded_upstreams | tried_upstreams,
             attempts,
-            wants.prompt_tokens,
-            wants.prefix_tokens,
+            constraints.prompt_tokens,
+            constraints.prefix_tokens,
         )
         next_leg = Exchange(
             previous.client,
             Request(request.name, request.verb, request.target, headers, request.body),
             previous.service,
-            constraints,
+            next_constraints,
             True,
             previous.priority,
             previous.deadline,
@@ -231,7 +233,7 @@
                 (exchange.response_started_at - exchange.received_at) / TICKS,
                 (now - exchange.response_started_at) / TICKS,
                 self.events_written,
-                exchange.wants.prompt_tokens,
+                exchange.constraints.prompt_tokens,
             )
 
 
--- a/shedgrade/model_routing/balancer.py
+++ b/shedgrade/model_routing/balancer.py
@@ -118,10 +118,10 @@
         prefill anew. The upstream's region must be below the drop threshold, and the upstream not well above
         that region's mean load.
         """
-        wants: RoutingConstraints = rpc.tag.wants
-        if wants.prefix_tokens < FAR_PREFIX_TOKENS or rpc.attempts:
+        constraints: RoutingConstraints = rpc.tag.constraints
+        if constraints.prefix_tokens < FAR_PREFIX_TOKENS or rpc.attempts:
             return None
-        held = self.prefix_index.holders(wants.prefix_id)
+        held = self.prefix_index.holders(constraints.prefix_id)
         if not held:
             return None
         own, best = self.zones[self.own_zone], None
@@ -134,7 +134,7 @@
                 or zone.in_flight / len(zone.rotation) >= self.drop_threshold
             ):
                 continue
-            load_limit = self.admission_threshold(zone, wants)
+            load_limit = self.admission_threshold(zone, constraints)
             for upstream in zone.rotation:
                 if (
                     upstream.id_hash in held
@@ -150,25 +150,25 @@
                     best = upstream
         return best and self.charge_slow_start(best, now)
 
-    def admission_threshold(self, zone: Zone, wants: RoutingConstraints) -> float:
+    def admission_threshold(self, zone: Zone, constraints: RoutingConstraints) -> float:
         """Returns the load up to which an upstream that caches a prompt's prefix is chosen.
 
         It is the sum of the region's mean, a margin, and the load of prefilling the prefix at another
         upstream.
         """
-        return self.mean_load(zone) + LOAD_MARGIN + wants.prefix_tokens / TOKENS_PER_LOAD_UNIT
+        return self.mean_load(zone) + LOAD_MARGIN + constraints.prefix_tokens / TOKENS_PER_LOAD_UNIT
 
-    def prefill_load(self, upstream: Upstream, wants: RoutingConstraints) -> int:
+    def prefill_load(self, upstream: Upstream, constraints: RoutingConstraints) -> int:
         """Returns the load of prefilling a prompt at the upstream.
 
         It is added to that of the request in flight until the first event of the answer.
         """
         kept = (
-            wants.prefix_tokens
-            if wants.prefix_key and upstream.id_hash in self.prefix_index.holders(wants.prefix_id)
+            constraints.prefix_tokens
+            if constraints.prefix_key and upstream.id_hash in self.prefix_index.holders(constraints.prefix_id)
             else 0
         )
-        return max(0, min(MAX_PREFILL_LOAD, (wants.prompt_tokens - kept) // TOKENS_PER_LOAD_UNIT))
+        return max(0, min(MAX_PREFILL_LOAD, (constraints.prompt_tokens - kept) // TOKENS_PER_LOAD_UNIT))
 
     def has_capacity(self, upstream: Upstream, now: int, remaining: int, expected: float) -> bool:
         """Returns whether the upstream may take one more; only half-open and warming upstreams are limited.
@@ -197,12 +197,12 @@
 
     def next_in_rotation(self, zone: Zone, now: int, rpc: ServingRpc, remaining: int) -> Upstream | None:
         """Returns an upstream expected to cache the prompt's prefix, else the next in rotation."""
-        wants: RoutingConstraints = rpc.tag.wants
-        if wants.prefix_key and len(zone.rotation) > 1:
-            load_limit = self.admission_threshold(zone, wants)
-            held = self.prefix_index.holders(wants.prefix_id)
+        constraints: RoutingConstraints = rpc.tag.constraints
+        if constraints.prefix_key and len(zone.rotation) > 1:
+            load_limit = self.admission_threshold(zone, constraints)
+            held = self.prefix_index.holders(constraints.prefix_id)
             known = [upstream for upstream in zone.rotation if upstream.id_hash in held] if held else ()
-            for upstream in (*known, *self.prefix_affinity.holders(zone, wants.prefix_key)):
+            for upstream in (*known, *self.prefix_affinity.holders(zone, constraints.prefix_key)):
                 if (
                     upstream.in_flight + upstream.background_load <= load_limit
                     and upstream not in rpc.attempts
@@ -212,7 +212,7 @@
                     return self.charge_slow_start(upstream, now)
         return super().next_in_rotation(zone, now, rpc, remaining)
 
-    def served(self, now: int, upstream: Upstream, wants: RoutingConstraints) -> None:
+    def served(self, now: int, upstream: Upstream, constraints: RoutingConstraints) -> None:
         """Does nothing when the upstream has completed an attempt."""
 
     def retry_after(self, now: int, rpc: ServingRpc) -> int:
--- a/shedgrade/model_routing/request.py
+++ b/shedgrade/model_routing/request.py
@@ -72,7 +72,7 @@
     def __init__(
         self, balancer, method, now: int, deadline: int, retry: bool, tag: object, tenant: int
     ) -> None:
-        self.attempts_arrived = tag.wants.earlier_attempts
+        self.attempts_arrived = tag.constraints.earlier_attempts
         self.rejections = 0
         self.prefill_load = 0
         self.overloaded_region: int | None = None
@@ -81,12 +81,12 @@
     def set_deadlines(self, now: int, deadline: int, retry: bool = False) -> None:
         """Sets its deadlines; the latency target is the soft deadline."""
         self.arrived_at = now
-        self.soft_deadline_at = min(now + self.tag.wants.latency_target, deadline)
+        self.soft_deadline_at = min(now + self.tag.constraints.latency_target, deadline)
         self.answer_by = deadline - self.balancer.deadline_margin
 
     def may_use_zone(self, zone: Zone) -> bool:
         """Returns whether it is a home region with usable upstreams, and not the overloaded one."""
-        homes = self.tag.wants.home_regions
+        homes = self.tag.constraints.home_regions
         return (
             bool(zone.rotation)
             and zone.number != self.overloaded_region
@@ -95,10 +95,10 @@
 
     def may_send_to(self, upstream: Upstream, now: int) -> bool:
         """Returns whether the upstream is in a home region and no earlier leg of the stream ran on it."""
-        wants = self.tag.wants
+        constraints = self.tag.constraints
         return (
-            (wants.home_regions is None or upstream.zone in wants.home_regions)
-            and upstream.index not in wants.excluded_upstreams
+            (constraints.home_regions is None or upstream.zone in constraints.home_regions)
+            and upstream.index not in constraints.excluded_upstreams
             and (super().may_send_to(upstream, now))
         )
 
@@ -110,7 +110,7 @@
         is_retry = self.attempts_arrived > 0
         if (
             now >= self.answer_by
-            or self.attempts_arrived >= self.tag.wants.max_attempts
+            or self.attempts_arrived >= self.tag.constraints.max_attempts
             or len(self.attempts) >= balancer.max_attempts
             or (self.body_buffered is False and self.attempts)
             or (self.first_possibly_executed() is not None and not self.method.idempotent)
@@ -125,7 +125,7 @@
         balancer = self.balancer
         balancer.retry_budget.record_sent(now, is_retry)
         self.attempts_arrived += 1
-        self.prefill_load = balancer.prefill_load(upstream, self.tag.wants)
+        self.prefill_load = balancer.prefill_load(upstream, self.tag.constraints)
         balancer.add_load(upstream, 1, self.prefill_load)
         self.outstanding[len(self.attempts)] = max(1, upstream.in_flight)
         upstream.last_used_at = now
@@ -144,7 +144,7 @@
         elif outcome in (REJECTED, BROKEN):
             self.rejections += 1
         elif outcome == COMPLETED:
-            self.balancer.served(now, self.attempts[attempt], self.tag.wants)
+            self.balancer.served(now, self.attempts[attempt], self.tag.constraints)
         return super().attempt_finished(now, attempt, outcome, duration, answered, first_on_connection)
 
     def prefill_finished(self, attempt: int) -> None:
@@ -162,5 +162,5 @@
         self.hedge_at = None
         for attempt in self.outstanding:
             self.prefill_finished(attempt)
-            if self.tag.wants.prefix_key:
-                self.balancer.prefix_index.saw(self.tag.wants.prefix_id, self.attempts[attempt].id_hash)
+            if self.tag.constraints.prefix_key:
+                self.balancer.prefix_index.saw(self.tag.constraints.prefix_id, self.attempts[attempt].id_hash)
--- a/tests/model_routing/test_serving_choice.py
+++ b/tests/model_routing/test_serving_choice.py
@@ -21,9 +21,9 @@
     return balancer
 
 
-def submit(balancer, now=0, method=IDEMPOTENT, give_up_at=50_000, **wants):
+def submit(balancer, now=0, method=IDEMPOTENT, give_up_at=50_000, **constraints):
     rpc = balancer.admit(
-        now, method, give_up_at, False, SimpleNamespace(wants=RoutingConstraints(**wants)), 0
+        now, method, give_up_at, False, SimpleNamespace(constraints=RoutingConstraints(**constraints)), 0
     )
     return rpc, rpc.decide(now)
 
@@ -205,10 +205,10 @@
 def test_home_regions_and_the_drop_threshold_bind_holders_in_other_regions():
     balancer = make_balancer()
     balancer.prefix_index = HolderRecord({prefix_key(b"aa:6000"): {1003: 0.0}})
-    wants = {"key": b"aa:6000", "tokens": 8000, "shared": 6000}
-    assert submit(balancer, homes=frozenset({0}), **wants)[1][0] in (0, 1)
+    constraints = {"key": b"aa:6000", "tokens": 8000, "shared": 6000}
+    assert submit(balancer, homes=frozenset({0}), **constraints)[1][0] in (0, 1)
     balancer.zones[1].in_flight = 4
-    assert submit(balancer, **wants)[1][0] in (0, 1)
+    assert submit(balancer, **constraints)[1][0] in (0, 1)
 
 
 # --- requests of other edges
