--- a/benchmarks/choice.py
+++ b/benchmarks/choice.py
@@ -235,8 +235,8 @@
             f"{parts[0][0]},{parts[1][0]}".encode(),
             2 if kind.resumable else 1,
             int(kind.aim_s * TICKS),
-            tokens=shared + own,
-            shared=shared,
+            prompt_tokens=shared + own,
+            prefix_tokens=shared,
         )
         work = Work(
             shared + own,
--- a/benchmarks/system.py
+++ b/benchmarks/system.py
@@ -213,7 +213,10 @@
             ("shared parts", [b"%08x:900" % number for number in range(1000)]),
         ):
             random, flight, now = Random(1), [], 1
-            tags = [SimpleNamespace(constraints=RoutingConstraints(key=key, most=2)) for key in keys]
+            tags = [
+                SimpleNamespace(constraints=RoutingConstraints(prefix_key=key, max_attempts=2))
+                for key in keys
+            ]
 
             def one(b=balancer, random=random, flight=flight, tags=tags):
                 nonlocal now
--- a/shedgrade/dataplane/ingress.py
+++ b/shedgrade/dataplane/ingress.py
@@ -246,7 +246,12 @@
         shared_parts(named_headers.get(b"prompt-prefix")) if route.route.session_affinity else (b"", 0)
     )
     return RoutingConstraints(
-        route.home_regions, key, route.max_attempts, route.latency_target, tokens=tokens, shared=shared
+        route.home_regions,
+        key,
+        route.max_attempts,
+        route.latency_target,
+        prompt_tokens=tokens,
+        prefix_tokens=shared,
     )
 
 
--- a/shedgrade/model_routing/request.py
+++ b/shedgrade/model_routing/request.py
@@ -4,7 +4,7 @@
 from shedgrade.load_balancing.rpc import Rpc
 from shedgrade.load_balancing.upstream import Upstream
 from shedgrade.load_balancing.zones import Zone
-from shedgrade.prefix_cache_index import prefix_key
+from shedgrade.prefix_cache_index import prefix_key as prefix_id_of
 
 IDEMPOTENT, ONCE = range(2)  # the two methods: may run several times, or at most once per try of a client
 NOT_DELIVERED = (UNSENT, UNCONNECTED)  # outcomes after which the upstream has received nothing of the request
@@ -38,24 +38,24 @@
 
     def __init__(
         self,
-        homes: frozenset[int] | None = None,
-        key: bytes = b"",
-        most: int = 1,
-        target: int = 10_000,
-        avoid: frozenset[int] = frozenset(),
-        before: int = 0,
-        tokens: int = 0,
-        shared: int = 0,
+        home_regions: frozenset[int] | None = None,
+        prefix_key: bytes = b"",
+        max_attempts: int = 1,
+        latency_target: int = 10_000,
+        excluded_upstreams: frozenset[int] = frozenset(),
+        earlier_attempts: int = 0,
+        prompt_tokens: int = 0,
+        prefix_tokens: int = 0,
     ) -> None:
-        self.home_regions = homes
-        self.prefix_key = key
-        self.max_attempts = most
-        self.latency_target = target
-        self.excluded_upstreams = avoid
-        self.earlier_attempts = before
-        self.prompt_tokens = tokens
-        self.prefix_tokens = shared
-        self.prefix_id = prefix_key(key) if key else 0  # the prefix index's key
+        self.home_regions = home_regions
+        self.prefix_key = prefix_key
+        self.max_attempts = max_attempts
+        self.latency_target = latency_target
+        self.excluded_upstreams = excluded_upstreams
+        self.earlier_attempts = earlier_attempts
+        self.prompt_tokens = prompt_tokens
+        self.prefix_tokens = prefix_tokens
+        self.prefix_id = prefix_id_of(prefix_key) if prefix_key else 0  # the prefix index's key
 
 
 class ServingRpc(Rpc):
--- a/tests/dataplane/stepped_rig.py
+++ b/tests/dataplane/stepped_rig.py
@@ -352,7 +352,7 @@
             client,
             request,
             self.pool,
-            RoutingConstraints(most=MAX_ATTEMPTS),
+            RoutingConstraints(max_attempts=MAX_ATTEMPTS),
             streams,
             None,
             self.loop.now() + WAIT_MS * 10,
--- a/tests/model_routing/test_serving_choice.py
+++ b/tests/model_routing/test_serving_choice.py
@@ -42,26 +42,26 @@
 
 def test_home_regions_may_exclude_the_own_region():
     balancer = make_balancer()
-    assert {submit(balancer, homes=frozenset({1}))[1][0] for _ in range(6)} == {2, 3}
+    assert {submit(balancer, home_regions=frozenset({1}))[1][0] for _ in range(6)} == {2, 3}
 
 
 def test_without_a_ready_home_region_a_request_is_refused_at_once_with_a_retry_delay():
     balancer = make_balancer(ups=((0, 0), (1, 0)))
-    decision, wait = submit(balancer, homes=frozenset({1}))[1]
+    decision, wait = submit(balancer, home_regions=frozenset({1}))[1]
     assert decision == outcomes.EXHAUSTED and 0 < wait <= SECOND
 
 
 @pytest.mark.parametrize("outcome", [outcomes.FAILED, outcomes.DROPPED, outcomes.TIMED_OUT])
 def test_a_request_that_may_have_run_once_is_not_retried(outcome):
     balancer = make_balancer()
-    rpc, _ = submit(balancer, method=ONCE, most=3)
+    rpc, _ = submit(balancer, method=ONCE, max_attempts=3)
     rpc.attempt_finished(100, 0, outcome, 100, False)
     assert rpc.decide(100) == (outcomes.ERRORED, 0)
 
 
 def test_a_request_that_never_ran_is_retried_within_its_attempts():
     balancer = make_balancer()
-    rpc, (first, _) = submit(balancer, method=ONCE, most=2)
+    rpc, (first, _) = submit(balancer, method=ONCE, max_attempts=2)
     rpc.attempt_finished(100, 0, outcomes.REJECTED, 100, False)
     second, _ = rpc.decide(100)
     assert second != first
@@ -71,7 +71,7 @@
 
 def test_a_connection_that_never_came_up_is_no_attempt():
     balancer = make_balancer()
-    rpc, _ = submit(balancer, method=ONCE, most=1)
+    rpc, _ = submit(balancer, method=ONCE, max_attempts=1)
     rpc.attempt_finished(100, 0, outcomes.UNCONNECTED, 100, False)
     assert rpc.decide(100)[0] >= 0
     assert balancer.retry_budget.retries == 0
@@ -79,7 +79,7 @@
 
 def test_a_broken_idempotent_stream_is_retried():
     balancer = make_balancer()
-    rpc, (first, _) = submit(balancer, most=2)
+    rpc, (first, _) = submit(balancer, max_attempts=2)
     rpc.attempt_finished(100, 0, outcomes.DROPPED, 100, False)
     assert rpc.decide(100)[0] not in (first, outcomes.ERRORED, outcomes.EXHAUSTED)
 
@@ -89,7 +89,7 @@
     balancer.retry_budget.sidecar_count = 6
     retried = 0
     for number in range(20):
-        rpc, _ = submit(balancer, now=number, most=2)
+        rpc, _ = submit(balancer, now=number, max_attempts=2)
         rpc.attempt_finished(number, 0, outcomes.DROPPED, 1, False)
         retried += rpc.decide(number)[0] >= 0
     assert retried == 1  # a sixth of 12, of which four fifths are used
@@ -97,8 +97,11 @@
 
 def test_earlier_legs_count_as_attempts_and_their_upstreams_are_excluded():
     balancer = make_balancer(ups=((0, 0), (1, 0)))
-    assert submit(balancer, most=2, before=2)[1][0] == outcomes.EXHAUSTED
-    assert {submit(balancer, most=3, before=1, avoid=frozenset({0}))[1][0] for _ in range(4)} == {1}
+    assert submit(balancer, max_attempts=2, earlier_attempts=2)[1][0] == outcomes.EXHAUSTED
+    assert {
+        submit(balancer, max_attempts=3, earlier_attempts=1, excluded_upstreams=frozenset({0}))[1][0]
+        for _ in range(4)
+    } == {1}
 
 
 def test_a_stream_stays_in_flight_until_it_ends():
@@ -131,13 +134,15 @@
 
 def test_a_shared_prefix_goes_to_one_holder_in_every_sidecar():
     ups = tuple((index, 0) for index in range(12))
-    first = {submit(make_balancer(ups=ups, name=f"n{number}"), key=b"aa:100")[1][0] for number in range(8)}
+    first = {
+        submit(make_balancer(ups=ups, name=f"n{number}"), prefix_key=b"aa:100")[1][0] for number in range(8)
+    }
     assert len(first) == 1
 
 
 def test_a_holder_well_above_the_mean_load_is_skipped():
     balancer = make_balancer(ups=tuple((index, 0) for index in range(6)))
-    taken = [submit(balancer, key=b"aa:100")[1][0] for _ in range(12)]
+    taken = [submit(balancer, prefix_key=b"aa:100")[1][0] for _ in range(12)]
     assert len(set(taken)) == 6
     assert max(balancer.upstreams[index].in_flight for index in taken) <= 4
 
@@ -150,9 +155,9 @@
 
 def test_an_upstream_is_skipped_during_a_prefill_until_the_first_event():
     balancer = make_balancer(ups=((0, 0), (1, 0), (2, 0)))
-    rpc, (chosen, _) = submit(balancer, tokens=8 * 2048)
+    rpc, (chosen, _) = submit(balancer, prompt_tokens=8 * 2048)
     assert balancer.upstreams[chosen].background_load == 8
-    assert chosen not in {submit(balancer, tokens=100)[1][0] for _ in range(4)}
+    assert chosen not in {submit(balancer, prompt_tokens=100)[1][0] for _ in range(4)}
     rpc.response_started(True)
     assert balancer.upstreams[chosen].background_load == 0 and balancer.upstreams[chosen].in_flight == 1
     rpc.attempt_finished(900, 0, outcomes.COMPLETED, 10, True)
@@ -172,17 +177,19 @@
 def test_a_prefix_already_held_adds_no_prefill_load():
     balancer = make_balancer(ups=((0, 0), (1, 0)))
     balancer.prefix_index = HolderRecord()
-    rpc, (chosen, _) = submit(balancer, key=b"aa:6000", tokens=8000, shared=6000)
+    rpc, (chosen, _) = submit(balancer, prefix_key=b"aa:6000", prompt_tokens=8000, prefix_tokens=6000)
     assert balancer.upstreams[chosen].background_load == 3
     rpc.response_started(True)
     rpc.attempt_finished(900, 0, outcomes.COMPLETED, 10, True)
-    _, (chosen_again, _) = submit(balancer, now=1000, key=b"aa:6000", tokens=8000, shared=6000)
+    _, (chosen_again, _) = submit(
+        balancer, now=1000, prefix_key=b"aa:6000", prompt_tokens=8000, prefix_tokens=6000
+    )
     assert chosen_again == chosen and balancer.upstreams[chosen].background_load == 0
 
 
 def test_an_attempt_that_never_began_leaves_no_load_behind():
     balancer = make_balancer()
-    rpc, (chosen, _) = submit(balancer, method=ONCE, tokens=50_000)
+    rpc, (chosen, _) = submit(balancer, method=ONCE, prompt_tokens=50_000)
     rpc.attempt_finished(900, 0, outcomes.UNCONNECTED, 10, True)
     assert all((up.background_load, up.in_flight) == (0, 0) for up in balancer.upstreams.values())
 
@@ -190,23 +197,29 @@
 def test_a_long_prompt_goes_to_its_holder_if_the_own_region_would_prefill_it_anew():
     balancer = make_balancer()
     balancer.prefix_index = HolderRecord({prefix_key(b"aa:6000"): {1003: 0.0}})
-    assert {submit(balancer, key=b"aa:6000", tokens=8000, shared=6000)[1][0] for _ in range(2)} == {3}
-    assert submit(balancer, key=b"bb:6000", tokens=8000, shared=6000)[1][0] in (0, 1)
+    assert {
+        submit(balancer, prefix_key=b"aa:6000", prompt_tokens=8000, prefix_tokens=6000)[1][0]
+        for _ in range(2)
+    } == {3}
+    assert submit(balancer, prefix_key=b"bb:6000", prompt_tokens=8000, prefix_tokens=6000)[1][0] in (0, 1)
     balancer.prefix_index.saw(prefix_key(b"aa:6000"), 1000)
-    assert submit(balancer, now=1, key=b"aa:6000", tokens=8000, shared=6000)[1][0] in (0, 1)
+    assert submit(balancer, now=1, prefix_key=b"aa:6000", prompt_tokens=8000, prefix_tokens=6000)[1][0] in (
+        0,
+        1,
+    )
 
 
 def test_a_short_prompt_stays_in_the_own_region():
     balancer = make_balancer()
     balancer.prefix_index = HolderRecord({prefix_key(b"aa:300"): {1003: 0.0}})
-    assert submit(balancer, key=b"aa:300", tokens=800, shared=300)[1][0] in (0, 1)
+    assert submit(balancer, prefix_key=b"aa:300", prompt_tokens=800, prefix_tokens=300)[1][0] in (0, 1)
 
 
 def test_home_regions_and_the_drop_threshold_bind_holders_in_other_regions():
     balancer = make_balancer()
     balancer.prefix_index = HolderRecord({prefix_key(b"aa:6000"): {1003: 0.0}})
-    constraints = {"key": b"aa:6000", "tokens": 8000, "shared": 6000}
-    assert submit(balancer, homes=frozenset({0}), **constraints)[1][0] in (0, 1)
+    constraints = {"prefix_key": b"aa:6000", "prompt_tokens": 8000, "prefix_tokens": 6000}
+    assert submit(balancer, home_regions=frozenset({0}), **constraints)[1][0] in (0, 1)
     balancer.zones[1].in_flight = 4
     assert submit(balancer, **constraints)[1][0] in (0, 1)
 
@@ -229,9 +242,9 @@
 
 def test_the_holder_of_a_prefix_is_skipped_where_other_edges_load_it():
     balancer = make_balancer(ups=((0, 0), (1, 0), (2, 0), (3, 0)))
-    holder = submit(balancer, key=b"p:3000", shared=3000, tokens=3100)[1][0]
+    holder = submit(balancer, prefix_key=b"p:3000", prefix_tokens=3000, prompt_tokens=3100)[1][0]
     report_loads(balancer, **{f"u{holder}": 9})
-    assert submit(balancer, key=b"p:3000", shared=3000, tokens=3100)[1][0] != holder
+    assert submit(balancer, prefix_key=b"p:3000", prefix_tokens=3000, prompt_tokens=3100)[1][0] != holder
 
 
 def test_a_region_that_all_edges_together_overload_is_skipped():
@@ -296,7 +309,7 @@
 
 def test_own_loads_are_those_of_this_edge_alone():
     balancer = make_balancer()
-    _, (index, _) = submit(balancer, tokens=5000)
+    _, (index, _) = submit(balancer, prompt_tokens=5000)
     report_loads(balancer, u0=7, u1=7, u2=7)
     assert dict(balancer.own_loads()) == {1000 + index: 3}  # one in flight, and two units of prefill
 
@@ -313,7 +326,7 @@
 
 def test_a_busy_holder_is_chosen_while_prefilling_anew_would_weigh_more():
     balancer = make_balancer(ups=((0, 0), (1, 0), (2, 0), (3, 0)))
-    holder = submit(balancer, key=b"p:6144", shared=6144, tokens=6144)[1][0]
+    holder = submit(balancer, prefix_key=b"p:6144", prefix_tokens=6144, prompt_tokens=6144)[1][0]
     balancer = make_balancer(ups=((0, 0), (1, 0), (2, 0), (3, 0)))
     report_loads(balancer, **{f"u{holder}": 4})
-    assert submit(balancer, key=b"p:6144", shared=6144, tokens=6144)[1][0] == holder
+    assert submit(balancer, prefix_key=b"p:6144", prefix_tokens=6144, prompt_tokens=6144)[1][0] == holder
