--- a/benchmarks/choice.py
+++ b/benchmarks/choice.py
@@ -91,13 +91,13 @@
 
 
 class Told:
-    """The record and the loads as edges learn them: what one saw, all know a while later."""
+    """The record and the loads as edges learn them: what one recorded, all know a while later."""
 
     def __init__(self) -> None:
         self.now = 0.0
         self.seen: dict[int, dict[int, float]] = defaultdict(dict)
 
-    def saw(self, key: int, mark: int) -> None:
+    def record_holder(self, key: int, mark: int) -> None:
         self.seen[key].setdefault(mark, self.now)
 
     def holders(self, key: int) -> dict[int, float]:
@@ -137,10 +137,10 @@
         self.out: set[int] = set()
 
     def edge(self, number: int) -> ServingBalancer:
-        repeats = RetryBudget(0.2, 100.0, 10 * TICKS)
-        repeats.sidecar_count = self.edges
+        retry_budget = RetryBudget(0.2, 100.0, 10 * TICKS)
+        retry_budget.sidecar_count = self.edges
         seed, own = self.random.getrandbits(32), number % len(self.names)
-        balancer = ServingBalancer(self.names, own, seed, 0, repeats, f"edge-{number}")
+        balancer = ServingBalancer(self.names, own, seed, 0, retry_budget, f"edge-{number}")
         balancer.sidecar_count = self.edges
         balancer.prefix_index = self.told
         balancer.set_slots(self.settings.slots)
--- a/benchmarks/system.py
+++ b/benchmarks/system.py
@@ -114,8 +114,8 @@
     )
     clock, budget = Clock(), Budget(4000, 300)
 
-    def make_pool(name, repeats):
-        return ServicePool(name, state.regions, "region-0", 7, loop, clock, budget, repeats, "edge-1")
+    def make_pool(name, retry_budget):
+        return ServicePool(name, state.regions, "region-0", 7, loop, clock, budget, retry_budget, "edge-1")
 
     state = State(settings, loop.time, make_pool)
     return state
--- a/shedgrade/dataplane/service.py
+++ b/shedgrade/dataplane/service.py
@@ -29,7 +29,7 @@
         """The upstreams that cache a prefix, by id hash, each with the number of cached tokens."""
         return self.prefix_index.endpoints_caching(self.loop.time(), key)
 
-    def saw(self, key: int, id_hash: int) -> None:
+    def record_holder(self, key: int, id_hash: int) -> None:
         """Records that an upstream has processed a prompt with this prefix."""
         self.prefix_index.record_prefill(self.loop.time(), key, id_hash)
 
--- a/shedgrade/dataplane/state.py
+++ b/shedgrade/dataplane/state.py
@@ -162,7 +162,7 @@
             new_regions = sorted(set(settings.zones.values()) - set(self.regions))
             logger.warning("new regions ignored until restart", regions=", ".join(new_regions))
         for pool in self.services.values():
-            pool.retry_budget.retune(*self.retry_budget_bounds())
+            pool.retry_budget.update_bounds(*self.retry_budget_bounds())
         routes, self.routes = self.routes, None
         if routes is not None:
             self.apply_configuration(routes)  # applies the new bounds to every service
--- a/shedgrade/model_routing/balancer.py
+++ b/shedgrade/model_routing/balancer.py
@@ -63,7 +63,7 @@
         """Returns the upstreams that cache a prefix: none."""
         return {}
 
-    def saw(self, key: int, mark: int) -> None:
+    def record_holder(self, key: int, mark: int) -> None:
         """Ignores that an upstream caches a prefix."""
 
 
@@ -77,12 +77,12 @@
     rpc_class = ServingRpc
 
     def __init__(
-        self, regions: list[str], own: int, seed: int, now: int, repeats: RetryBudget, name: str = ""
+        self, regions: list[str], own: int, seed: int, now: int, retry_budget: RetryBudget, name: str = ""
     ) -> None:
         self.warming_up_until: dict[int, int] = {}  # by upstream: the end of its warm-up, from the list
         self.remote_loads: dict[int, int] = {}
         self.prefix_affinity = PrefixAffinity()
-        self.retry_budget = repeats
+        self.retry_budget = retry_budget
         self.name = name
         self.prefix_index = NoPrefixIndex()
         super().__init__(settings(regions, own), seed, now)
--- a/shedgrade/model_routing/fleet_load.py
+++ b/shedgrade/model_routing/fleet_load.py
@@ -8,7 +8,8 @@
 from shedgrade.model_routing.request import ServingRpc
 
 SLOTS_SHARE = 1 / 3  # mean share of an upstream's slots in use, from which on a region may be skipped
-LEAST_THRESHOLD = 2.0  # drop threshold in requests in flight per upstream, if slots are few or not reported
+# Drop threshold in requests in flight per upstream, if slots are few or not reported.
+MIN_DROP_THRESHOLD = 2.0
 # Load of the most loaded region over that of the least loaded: below it, moving a request to the other region
 # gains less than the way costs.
 MIN_LOAD_RATIO = 1.5
@@ -24,12 +25,12 @@
 
     remote_loads: dict[int, int]  # by upstream: requests of other edges
     slots = 0  # requests that an upstream processes at a time; 0: not reported
-    drop_threshold = LEAST_THRESHOLD  # replaces that of `Balancer`
+    drop_threshold = MIN_DROP_THRESHOLD  # replaces that of `Balancer`
 
     def set_slots(self, slots: int) -> None:
         """Sets how many requests each upstream processes at a time; 0: not reported."""
         self.slots = slots
-        self.drop_threshold = max(LEAST_THRESHOLD, SLOTS_SHARE * slots)
+        self.drop_threshold = max(MIN_DROP_THRESHOLD, SLOTS_SHARE * slots)
 
     def own_loads(self) -> Iterator[tuple[int, int]]:
         """Yields the id hash and the load of each upstream that this edge loads, prefill load included."""
--- a/shedgrade/model_routing/request.py
+++ b/shedgrade/model_routing/request.py
@@ -163,4 +163,6 @@
         for attempt in self.outstanding:
             self.prefill_finished(attempt)
             if self.tag.constraints.prefix_key:
-                self.balancer.prefix_index.saw(self.tag.constraints.prefix_id, self.attempts[attempt].id_hash)
+                self.balancer.prefix_index.record_holder(
+                    self.tag.constraints.prefix_id, self.attempts[attempt].id_hash
+                )
--- a/shedgrade/model_routing/retry_budget.py
+++ b/shedgrade/model_routing/retry_budget.py
@@ -29,7 +29,7 @@
         self.counts: deque[list[int]] = deque()  # [tenth, requests, retries], the oldest first
         self.requests = self.retries = 0
 
-    def retune(self, ratio: float, slack: float, window: int) -> None:
+    def update_bounds(self, ratio: float, slack: float, window: int) -> None:
         """Sets other bounds.
 
         With another window, earlier retries still count and earlier requests do not: guards against more
--- a/tests/model_routing/test_serving_choice.py
+++ b/tests/model_routing/test_serving_choice.py
@@ -170,7 +170,7 @@
     def holders(self, key):
         return self.get(key, {})
 
-    def saw(self, key, mark):
+    def record_holder(self, key, mark):
         self.setdefault(key, {})[mark] = 0.0
 
 
@@ -202,7 +202,7 @@
         for _ in range(2)
     } == {3}
     assert submit(balancer, prefix_key=b"bb:6000", prompt_tokens=8000, prefix_tokens=6000)[1][0] in (0, 1)
-    balancer.prefix_index.saw(prefix_key(b"aa:6000"), 1000)
+    balancer.prefix_index.record_holder(prefix_key(b"aa:6000"), 1000)
     assert submit(balancer, now=1, prefix_key=b"aa:6000", prompt_tokens=8000, prefix_tokens=6000)[1][0] in (
         0,
         1,
