--- a/shedgrade/dataplane/ingress.py
+++ b/shedgrade/dataplane/ingress.py
@@ -26,9 +26,9 @@
         """The client has disconnected."""
         active_request.service.dispatcher.client_disconnected(active_request)
 
-    def body_received(self, active_request: Exchange, here: bool, whole: bool) -> None:
+    def body_received(self, active_request: Exchange, buffered: bool, complete: bool) -> None:
         """More of a long request's body was received; see `RequestEvents`."""
-        active_request.service.dispatcher.body_received(active_request, here, whole)
+        active_request.service.dispatcher.body_received(active_request, buffered, complete)
 
 
 class IngressConnection(InboundConnection):
--- a/shedgrade/http/request_parser.py
+++ b/shedgrade/http/request_parser.py
@@ -61,10 +61,10 @@
     def client_disconnected(self, active_request: ActiveRequest) -> None:
         """Reports that the client has disconnected, or that the request will not be complete."""
 
-    def body_received(self, active_request: ActiveRequest, here: bool, whole: bool) -> None:
+    def body_received(self, active_request: ActiveRequest, buffered: bool, complete: bool) -> None:
         """Reports progress of a long request.
 
-        `here`: all its bytes are still buffered; `whole`: its last byte has come.
+        `buffered`: all its bytes are still buffered; `complete`: its last byte has come.
         """
 
 
--- a/shedgrade/load_balancing/__init__.py
+++ b/shedgrade/load_balancing/__init__.py
@@ -2,8 +2,10 @@
 
 The interface consists of the public methods of `Balancer` and `Rpc`:
   b = Balancer(settings, seed, now)       settings: a mapping; upstreams, methods, zones are small indices
-  b.list_changed(now, rows, whole, asked) rows: (upstream, zone, state, started, cell, mark, size, kind)
-  b.mark_unverified(now, upstreams, ends, last)  marks rows of an older source than discovery as unverified
+  b.list_changed(now, rows, complete, requested)
+                                          rows: (upstream, zone, state, started, cell, mark, size, kind)
+  b.mark_unverified(now, upstreams, required_successes, last_resort)
+                                          marks rows of an older source than discovery as unverified
   b.update_settings(settings)             applies other settings; active requests keep their method
   b.set_slow_start_share(share)           sets this process's share of the slow start rate
   b.set_withdrawn(now, upstream, withdrawn)  operators withdraw an upstream, or reinstate it
@@ -13,7 +15,8 @@
   rpc.attempt_finished(now, attempt, outcome, duration, answered, first_on_connection)
                                           returns the attempts to stop
   rpc.response_started(long_lived)        a streamed response has begun; long_lived: a stream is open
-  rpc.body_received(now, deadline, here, whole)  bytes of a long request; here: all are still buffered; whole:
+  rpc.body_received(now, deadline, buffered, complete)
+                                          bytes of a long request; buffered: all are still buffered; complete:
                                           the last one has come
   rpc.client_disconnected(now)            the client has disconnected
   b.due(now)                              yields the handles to decide on again; b.wake_at(): when to call it
--- a/shedgrade/load_balancing/endpoint_list.py
+++ b/shedgrade/load_balancing/endpoint_list.py
@@ -16,15 +16,15 @@
 class EndpointList(BalancerState):
     """Keeps the list of upstreams, their states, and the counts of ready and ejected upstreams."""
 
-    def list_changed(self, now: int, rows: list, whole: bool, asked: bool) -> None:
+    def list_changed(self, now: int, rows: list, complete: bool, requested: bool) -> None:
         """Applies rows of the endpoint list.
 
-        `whole`: the rows are the complete list, and upstreams without a row are removed. `asked`: the rows
-        are the answer to a request for the list.
+        `complete`: the rows are the complete list, and upstreams without a row are removed. `requested`: the
+        rows are the answer to a request for the list.
         """
-        if asked:
+        if requested:
             self.list_requested, self.list_subscribed, self.list_request_backoff = False, True, SECOND
-        if whole:
+        if complete:
             named = {row[0] for row in rows}
             for upstream in [
                 upstream
@@ -59,7 +59,7 @@
                     upstream.reported_load + LOAD_SMOOTHING * (nominal / size - 1 - upstream.reported_load),
                     nominal,
                 )
-            if asked and upstream.probation_successes:
+            if requested and upstream.probation_successes:
                 # Discovery lists the upstream, which verifies an entry of an older source.
                 upstream.probation_successes, upstream.half_open = 0, False
                 if self.last_resort_upstreams.pop(index, None):
@@ -189,15 +189,18 @@
         )
         return remaining
 
-    def mark_unverified(self, now: int, upstreams: list[int], ends: int, last: bool) -> None:
+    def mark_unverified(
+        self, now: int, upstreams: list[int], required_successes: int, last_resort: bool
+    ) -> None:
         """Marks upstreams of a list older than discovery's: each may be stopped, replaced or just started.
 
-        Each gets one request at a time until `ends` attempts complete in about the usual time. With `last`
-        each is used only as a last resort, until it completes an attempt or discovery lists it.
+        Each gets one request at a time until `required_successes` attempts complete in about the usual time.
+        With `last_resort` each is used only as a last resort, until it completes an attempt or discovery
+        lists it.
         """
         for upstream in (self.upstreams[index] for index in upstreams):
-            upstream.probation_successes, upstream.half_open = ends, True
-            if last and upstream.listed and not upstream.ejected_until:
+            upstream.probation_successes, upstream.half_open = required_successes, True
+            if last_resort and upstream.listed and not upstream.ejected_until:
                 upstream.ejected_until, self.last_resort_upstreams[upstream.index] = (
                     now + LAST_RESORT_EJECTION,
                     upstream,
--- a/shedgrade/load_balancing/rpc.py
+++ b/shedgrade/load_balancing/rpc.py
@@ -154,15 +154,15 @@
             deadline - balancer.deadline_margin if method.overdue_payoff else self.soft_deadline_at
         )
 
-    def body_received(self, now: int, deadline: int, here: bool, whole: bool) -> int:
+    def body_received(self, now: int, deadline: int, buffered: bool, complete: bool) -> int:
         """Sets the deadlines of a long request, whose time counts from its last byte; returns its time limit.
 
-        `here`: all bytes are still buffered; if not, the request is not sent again. `whole`: the last byte
-        has arrived.
+        `buffered`: all bytes are still buffered; if not, the request is not sent again. `complete`: the last
+        byte has arrived.
         """
-        self.body_buffered = here
+        self.body_buffered = buffered
         self.set_deadlines(now, deadline)
-        self.set_long_lived(not whole)  # an upstream starts on a request once it is complete
+        self.set_long_lived(not complete)  # an upstream starts on a request once it is complete
         return max(1, self.answer_by - now)
 
     def first_possibly_executed(self) -> int | None:
--- a/shedgrade/request_dispatch.py
+++ b/shedgrade/request_dispatch.py
@@ -78,9 +78,12 @@
         """Reports the end of an attempt, with its answer if there is one."""
         self.enqueue_event(self.on_attempt_finished, transmission, outcome, answer, self.clock.now())
 
-    def body_received(self, active_request: ActiveRequest, here: bool, whole: bool) -> None:
-        """Reports bytes of a body. `here`: all are still buffered; `whole`: the last one has arrived."""
-        self.enqueue_event(self.on_body_received, active_request, here, whole, self.clock.now())
+    def body_received(self, active_request: ActiveRequest, buffered: bool, complete: bool) -> None:
+        """Reports bytes of a body.
+
+        `buffered`: all are still buffered; `complete`: the last one has arrived.
+        """
+        self.enqueue_event(self.on_body_received, active_request, buffered, complete, self.clock.now())
 
     def response_started(self, transmission: Transmission, answer: Answer, at: int) -> None:
         """Reports that a long answer has begun, its head at `at`; it is then forwarded to its client."""
@@ -94,9 +97,9 @@
         """Reports that the request's client has disconnected."""
         self.enqueue_event(self.on_client_disconnected, active_request)
 
-    def list_changed(self, rows: list, whole: bool, asked: bool) -> None:
+    def list_changed(self, rows: list, complete: bool, requested: bool) -> None:
         """Passes on rows of the endpoint list, as `Balancer.list_changed` takes them."""
-        self.enqueue_event(self.on_list_changed, rows, whole, asked)
+        self.enqueue_event(self.on_list_changed, rows, complete, requested)
 
     def set_withdrawn(self, upstream: int, out: bool, told: Callable[[], None]) -> None:
         """Withdraws an upstream by operators' order or reinstates it; calls `told` once that is in force."""
@@ -106,9 +109,11 @@
         """Reports that endpoint discovery failed."""
         self.enqueue_event(lambda now: self.balancer.list_failed(now))
 
-    def mark_unverified(self, upstreams: list[int], ends: int, last: bool) -> None:
+    def mark_unverified(self, upstreams: list[int], required_successes: int, last_resort: bool) -> None:
         """Marks upstreams of a list older than discovery's as unverified."""
-        self.enqueue_event(lambda now: self.balancer.mark_unverified(now, upstreams, ends, last))
+        self.enqueue_event(
+            lambda now: self.balancer.mark_unverified(now, upstreams, required_successes, last_resort)
+        )
 
     def restore(self, state: dict, age: float) -> None:
         """Restores what an earlier process learned, `age` seconds ago."""
@@ -293,15 +298,15 @@
             self.actions.insert(done, (self.connections.abandon, (transmission,)))
 
     def on_body_received(
-        self, now: int, active_request: ActiveRequest, here: bool, whole: bool, at: int
+        self, now: int, active_request: ActiveRequest, buffered: bool, complete: bool, at: int
     ) -> None:
         """Updates the deadlines of a long request; the last byte starts its attempts' time limits."""
         if active_request.done or active_request.rpc is None:
             return
         limit = active_request.rpc.body_received(
-            now, at + active_request.timeout_ms * 10 - RESPONSE_ALLOWANCE - int(self.lag), here, whole
+            now, at + active_request.timeout_ms * 10 - RESPONSE_ALLOWANCE - int(self.lag), buffered, complete
         )
-        if whole:
+        if complete:
             active_request.is_body_incomplete = False
             for transmission in active_request.transmissions.values():
                 if transmission.response_began_at is None:
@@ -341,9 +346,9 @@
         if active_request.rpc is not None:
             self.stop(now, active_request, active_request.rpc.client_disconnected(now))
 
-    def on_list_changed(self, now: int, rows: list, whole: bool, asked: bool) -> None:
+    def on_list_changed(self, now: int, rows: list, complete: bool, requested: bool) -> None:
         """Passes rows of the list to the balancer."""
-        self.balancer.list_changed(now, rows, whole, asked)
+        self.balancer.list_changed(now, rows, complete, requested)
 
     def on_withdrawn_changed(self, now: int, upstream: int, out: bool, told: Callable[[], None]) -> None:
         """Passes an operator's order to the balancer, and calls `told` once it is in force."""
--- a/shedgrade/sidecar/capture/recorder.py
+++ b/shedgrade/sidecar/capture/recorder.py
@@ -127,10 +127,10 @@
         self.rpc.response_started(long_lived)
         self.recorder.record_call(self.recorder.now, RESPONSE_STARTED, self.number, long_lived)
 
-    def body_received(self, now: int, deadline: int, here: bool, whole: bool) -> int:
+    def body_received(self, now: int, deadline: int, buffered: bool, complete: bool) -> int:
         """Passes the progress of a request's body on, and records it with the time limit returned."""
-        limit = self.rpc.body_received(now, deadline, here, whole)
-        self.recorder.record_call(now, BODY_RECEIVED, self.number, deadline - now, here, whole, limit)
+        limit = self.rpc.body_received(now, deadline, buffered, complete)
+        self.recorder.record_call(now, BODY_RECEIVED, self.number, deadline - now, buffered, complete, limit)
         return limit
 
     def client_disconnected(self, now: int) -> list[int]:
@@ -317,24 +317,26 @@
         self.live_rpcs[self.rpc_count] = rpc
         return RecordedRpc(self, rpc, self.rpc_count)
 
-    def list_changed(self, now: int, rows: list, whole: bool, asked: bool) -> None:
+    def list_changed(self, now: int, rows: list, complete: bool, requested: bool) -> None:
         """Passes the rows of the endpoint list on, and records them, with the ids of their upstreams."""
         rows = list(rows)
-        self.inner.list_changed(now, rows, whole, asked)
+        self.inner.list_changed(now, rows, complete, requested)
         if self.upstream_id is not None and rows and not self.is_paused:
             self.flush()
             self.add_record({"k": "names", "names": {str(row[0]): self.upstream_id(row[0]) for row in rows}})
-        self.record_call(now, LIST_CHANGED, rows, whole, asked)
+        self.record_call(now, LIST_CHANGED, rows, complete, requested)
 
     def list_failed(self, now: int) -> None:
         """Passes the failed request for the list on, and records it."""
         self.inner.list_failed(now)
         self.record_call(now, LIST_FAILED)
 
-    def mark_unverified(self, now: int, upstreams: list[int], ends: int, last: bool) -> None:
+    def mark_unverified(
+        self, now: int, upstreams: list[int], required_successes: int, last_resort: bool
+    ) -> None:
         """Passes the call on, and records it."""
-        self.inner.mark_unverified(now, upstreams, ends, last)
-        self.record_call(now, MARK_UNVERIFIED, upstreams, ends, last)
+        self.inner.mark_unverified(now, upstreams, required_successes, last_resort)
+        self.record_call(now, MARK_UNVERIFIED, upstreams, required_successes, last_resort)
 
     def set_withdrawn(self, now: int, index: int, withdrawn: bool) -> None:
         """Passes the operators' order on, and records it."""
--- a/shedgrade/sidecar/shadow_policy/shadow.py
+++ b/shedgrade/sidecar/shadow_policy/shadow.py
@@ -62,11 +62,11 @@
         if self.shadow is not None:
             self.owner.call_follower(self.shadow.response_started, long_lived)
 
-    def body_received(self, now: int, deadline: int, here: bool, whole: bool) -> int:
+    def body_received(self, now: int, deadline: int, buffered: bool, complete: bool) -> int:
         """Passes the progress of a request's body on, also to the follower."""
-        limit = self.rpc.body_received(now, deadline, here, whole)
+        limit = self.rpc.body_received(now, deadline, buffered, complete)
         if self.shadow is not None:
-            self.owner.call_follower(self.shadow.body_received, now, deadline, here, whole)
+            self.owner.call_follower(self.shadow.body_received, now, deadline, buffered, complete)
         return limit
 
     def client_disconnected(self, now: int) -> list[int]:
@@ -174,11 +174,11 @@
         self.count_difference(shadow, difference_kind(shadow, None, shadow.propose(now)))
         return True
 
-    def list_changed(self, now: int, rows: list, whole: bool, asked: bool) -> None:
+    def list_changed(self, now: int, rows: list, complete: bool, requested: bool) -> None:
         """Passes the rows of the endpoint list on, also to the follower."""
-        self.inner.list_changed(now, rows, whole, asked)
+        self.inner.list_changed(now, rows, complete, requested)
         if self.follower is not None:
-            self.call_follower(self.follower.list_changed, now, rows, whole, asked)
+            self.call_follower(self.follower.list_changed, now, rows, complete, requested)
 
     def list_failed(self, now: int) -> None:
         """Passes the failed request for the list on, also to the follower."""
@@ -186,11 +186,13 @@
         if self.follower is not None:
             self.call_follower(self.follower.list_failed, now)
 
-    def mark_unverified(self, now: int, upstreams: list[int], ends: int, last: bool) -> None:
+    def mark_unverified(
+        self, now: int, upstreams: list[int], required_successes: int, last_resort: bool
+    ) -> None:
         """Passes the call on, also to the follower."""
-        self.inner.mark_unverified(now, upstreams, ends, last)
+        self.inner.mark_unverified(now, upstreams, required_successes, last_resort)
         if self.follower is not None:
-            self.call_follower(self.follower.mark_unverified, now, upstreams, ends, last)
+            self.call_follower(self.follower.mark_unverified, now, upstreams, required_successes, last_resort)
 
     def set_withdrawn(self, now: int, index: int, withdrawn: bool) -> None:
         """Passes the operators' order on, also to the follower."""
