--- a/shedgrade/dataplane/service.py
+++ b/shedgrade/dataplane/service.py
@@ -7,7 +7,7 @@
 from shedgrade.dataplane.engine_connection_pool import EngineConnectionPool, ProbeResult
 from shedgrade.dataplane.engine_protocol import EngineProtocol
 from shedgrade.dataplane.service_times import ServiceTimes
-from shedgrade.load_balancing.upstream_indices import Addresses, Indices
+from shedgrade.load_balancing.upstream_indices import UpstreamAddresses, UpstreamIndices
 from shedgrade.model_routing.balancer import ServingBalancer
 from shedgrade.model_routing.retry_budget import RetryBudget
 from shedgrade.prefix_cache_index import EdgePrefixIndex
@@ -53,7 +53,7 @@
         """`regions`: region numbers by name; `own_region`: name of this sidecar's region; `node_name`: this
         sidecar's name; `prefix_index`: which upstreams cache which prompt prefixes."""
         self.name, self.regions, self.clock, self.loop = name, regions, clock, loop
-        self.indices, self.addresses = Indices(), Addresses()
+        self.indices, self.addresses = UpstreamIndices(), UpstreamAddresses()
         self.balancer = ServingBalancer(
             list(regions), regions[own_region], seed, clock.now(), retry_budget, node_name
         )
--- a/shedgrade/http/endpoint_discovery.py
+++ b/shedgrade/http/endpoint_discovery.py
@@ -8,7 +8,7 @@
 
 from shedgrade import load_balancing
 from shedgrade.http.discovery_connection import DiscoveryConnection, ListError
-from shedgrade.load_balancing.upstream_indices import Addresses, Indices, tenths
+from shedgrade.load_balancing.upstream_indices import UpstreamAddresses, UpstreamIndices, to_tenths_of_ms
 from shedgrade.runtime.log import logger
 
 WATCH_PATH = b"/discovery/hosts"
@@ -54,7 +54,7 @@
     def __init__(self, settings: dict) -> None:
         self.zones = {name: number for number, name in enumerate(settings["zones"])}
         self.kinds = {name: number for number, name in enumerate(settings.get("shapes", []))}
-        self.indices, self.addresses = Indices(), Addresses()
+        self.indices, self.addresses = UpstreamIndices(), UpstreamAddresses()
         self.known_entries: dict[str, dict] = {}
         self.version: int | None = None
         self.accepted_entries: list[dict] = []
@@ -166,7 +166,7 @@
                 name,
                 self.zones[instance["zone"]],
                 state,
-                tenths(started),
+                to_tenths_of_ms(started),
                 cell,
                 float(weight),
                 self.kinds.get(instance.get("machineType"), 0),
--- a/shedgrade/load_balancing/subset_assignment.py
+++ b/shedgrade/load_balancing/subset_assignment.py
@@ -13,14 +13,16 @@
 
 
 @lru_cache(1 << 12)  # each change of the list hashes the same upstreams again
-def mixed(mark: int, salt: int) -> int:
+def hash_pair(mark: int, salt: int) -> int:
     """Returns a 64-bit hash of two numbers; close numbers give unrelated hashes."""
     bits = (mark * 0x9E3779B97F4A7C15 + salt * 0xD1B54A32D192ED03 + 0x632BE59BD9B4E019) % 2**64
     bits = (bits ^ bits >> 32) * 0xBF58476D1CE4E5B9 % 2**64
     return bits ^ bits >> 29
 
 
-def dealt(ups: list, zones: int, place: int, count: int, near: float, far: float, least: int) -> set[tuple]:
+def assign_subset_rows(
+    ups: list, zones: int, place: int, count: int, near: float, far: float, least: int
+) -> set[tuple]:
     """Returns the subset of `ups` that the sidecar numbered `place` of `count` uses.
 
     `ups`: sorted rows (mark, size, zone, ...), those of the sidecar's own zone (`far` 0) or those of all
@@ -49,7 +51,7 @@
     most = max(up[1] for up in ups) * (far or near) + 1
     cell, base = stratum, stratum * (zones - 1) - 1
     for index, up in enumerate(ups):
-        hash_bits = mixed(up[0], up[2])
+        hash_bits = hash_pair(up[0], up[2])
         if far:
             cell = base + (home_zone - up[2]) % zones
         first_pick = (cell - (hash_bits >> 16)) * step_inverse % cells
@@ -63,7 +65,7 @@
     # Earlier picks of all upstreams go first: a change of an upstream's last picks leaves them as they were.
     pending_picks.sort(key=itemgetter(0))
     for level, hash_bits, up in pending_picks:
-        hash_bits = mixed(hash_bits, level)
+        hash_bits = hash_pair(hash_bits, level)
         first_choice, second_choice = hash_bits & index_mask, hash_bits >> 32 & index_mask
         first_choice, second_choice = (
             first_choice if first_choice < size else first_choice & index_mask >> 1,
@@ -80,7 +82,7 @@
         if len(part) < min(least, len(ups)):
             # Starts at a hash of the sidecar's position: shortages of other sidecars and changes of the list
             # then change few assignments.
-            salt = mixed((rank * strata + stratum) * zones + home_zone, least) % (ups[-1][0] + 1)
+            salt = hash_pair((rank * strata + stratum) * zones + home_zone, least) % (ups[-1][0] + 1)
             start = bisect_left(ups, (salt,))
             order = [up for up in (*range(start, len(ups)), *range(start)) if up not in part]
             # Takes over from sidecars with more than `least`; if that is not enough, shares with other
--- a/shedgrade/load_balancing/upstream_indices.py
+++ b/shedgrade/load_balancing/upstream_indices.py
@@ -3,12 +3,12 @@
 from zlib import crc32
 
 
-def tenths(ms: float) -> int:
+def to_tenths_of_ms(ms: float) -> int:
     """Converts milliseconds, the unit of all wire formats, to the balancer's tenths of a millisecond."""
     return round(ms * 10)
 
 
-class Indices:
+class UpstreamIndices:
     """Maps ids of upstreams to small indices, which are reused once an upstream is forgotten."""
 
     def __init__(self) -> None:
@@ -41,7 +41,7 @@
         return self.index(name), zone, state, started, cell, crc32(name.encode()), size, kind
 
 
-class Addresses:
+class UpstreamAddresses:
     """The current address of each upstream, which may change when it restarts."""
 
     def __init__(self) -> None:
--- a/shedgrade/simulator_adapter/wire.py
+++ b/shedgrade/simulator_adapter/wire.py
@@ -7,7 +7,7 @@
 
 from shedgrade import load_balancing
 from shedgrade.load_balancing import Balancer, Rpc
-from shedgrade.load_balancing.upstream_indices import Indices, tenths
+from shedgrade.load_balancing.upstream_indices import UpstreamIndices, to_tenths_of_ms
 
 STATES = {"U": load_balancing.READY, "L": load_balancing.DRAINING, "D": load_balancing.REMOVED}
 OUTCOMES = {
@@ -102,7 +102,7 @@
             raise BadInputError("conf", f"setting {missing} is missing") from missing
         except (TypeError, ValueError, IndexError, AttributeError) as error:
             raise BadInputError("conf", f"a setting has the wrong form: {error}") from error
-        self.upstreams = Indices()
+        self.upstreams = UpstreamIndices()
         self.rpcs: dict[int, Rpc] = {}
         self.timer_at = inf
 
@@ -136,7 +136,7 @@
                     row["upstream"],
                     index_below(row, "locality", self.zones),
                     state,
-                    tenths(optional(row, "start_time", NUMBER, 0)),
+                    to_tenths_of_ms(optional(row, "start_time", NUMBER, 0)),
                     optional(row, "stripe", (int,), 0),
                     optional(row, "capacity_hint", NUMBER, 1),
                     optional(row, "generation_hw", (int,), 0),
@@ -169,7 +169,11 @@
         self.stop(
             rpc,
             rpc.attempt_finished(
-                now, tx, outcome, tenths(optional(event, "duration", NUMBER, 0)), event.get("settled") is True
+                now,
+                tx,
+                outcome,
+                to_tenths_of_ms(optional(event, "duration", NUMBER, 0)),
+                event.get("settled") is True,
             ),
             out,
         )
--- a/shedgrade/upstream_pool/pool.py
+++ b/shedgrade/upstream_pool/pool.py
@@ -9,7 +9,7 @@
 from shedgrade.buffers.budget import Budget
 from shedgrade.http.connection_pool import ConnectionPool
 from shedgrade.http.endpoint_discovery import DiscoveryWatch, ListReader
-from shedgrade.load_balancing.upstream_indices import tenths
+from shedgrade.load_balancing.upstream_indices import to_tenths_of_ms
 from shedgrade.request_dispatch import Dispatcher
 from shedgrade.runtime.clock import Clock
 from shedgrade.runtime.log import logger
@@ -72,7 +72,7 @@
         self.methods = {method["name"].encode(): number for number, method in enumerate(settings["methods"])}
         self.longest_hard_deadline_s = max(method["hard_deadline"] for method in settings["methods"]) / 1000
         self.drain_grace_s = settings["rules"]["stop_sending_within"] / 1000
-        dial, idle = (tenths(settings["limits"][key]) for key in ("dial_timeout", "idle_close"))
+        dial, idle = (to_tenths_of_ms(settings["limits"][key]) for key in ("dial_timeout", "idle_close"))
         return dial, max(idle - IDLE_MARGIN, idle // 2)
 
     def update_settings(self, settings: dict) -> None:
--- a/tests/sidecar/fleet/test_dealing.py
+++ b/tests/sidecar/fleet/test_dealing.py
@@ -3,7 +3,7 @@
 from hypothesis import given, settings
 from hypothesis import strategies as st
 
-from shedgrade.load_balancing.subset_assignment import dealt, mixed
+from shedgrade.load_balancing.subset_assignment import assign_subset_rows, hash_pair
 
 ZONES = st.integers(1, 4)
 
@@ -11,14 +11,16 @@
 def own_zone_subsets(ups, zones, sidecars, near, minimum, numbers=None):
     """Returns the subset of the own zone for each sidecar; sidecar numbers go round the zones."""
     return [
-        dealt([up for up in ups if up[2] == number % zones], zones, number, sidecars, near, 0.0, minimum)
+        assign_subset_rows(
+            [up for up in ups if up[2] == number % zones], zones, number, sidecars, near, 0.0, minimum
+        )
         for number in (numbers or range(sidecars))
     ]
 
 
 def upstream_rows(count, zones, seed, size=lambda number: 1.0):
     return sorted(
-        (mixed(seed, number) % 2**32, size(number), number % zones, number) for number in range(count)
+        (hash_pair(seed, number) % 2**32, size(number), number % zones, number) for number in range(count)
     )
 
 
@@ -71,4 +73,4 @@
     assert uses[4] > 2 * sum(uses) / 32
     alike = [(7, 1.0, 0, number) for number in range(12)]
     assert all(len(subset) >= 3 for subset in own_zone_subsets(alike, 1, 40, 5.0, 3))
-    assert dealt([], 3, 1, 9, 5.0, 0.0, 3) == set()
+    assert assign_subset_rows([], 3, 1, 9, 5.0, 0.0, 3) == set()
