--- a/shedgrade/dataplane/exchange.py
+++ b/shedgrade/dataplane/exchange.py
@@ -61,7 +61,7 @@
         )
 
     @property
-    def latest_end(self) -> int:
+    def hard_end(self) -> int:
         """When the exchange is ended, in tenths of a ms on the clock. Upstreams stop at the deadline, and by
         this time the bytes that they sent before it have arrived. The timeout of a long request starts at its
         last byte, once that was received."""
--- a/shedgrade/in_flight.py
+++ b/shedgrade/in_flight.py
@@ -76,13 +76,13 @@
         "timeout_ms",
         "client_checked_at",
     )
-    latest_end = inf  # time at which an answer still being received is cut, in tenths of a ms on the clock
+    hard_end = inf  # time at which an answer still being received is cut, in tenths of a ms on the clock
 
-    def __init__(self, client: object, request: Request, who: str = "") -> None:
-        """`who`: the name under which the connection has logged in, if any."""
+    def __init__(self, client: object, request: Request, client_name: str = "") -> None:
+        """`client_name`: the name under which the connection has logged in, if any."""
         self.client = client
         self.request = request
-        self.client_name = who
+        self.client_name = client_name
         self.rpc = None
         self.done = False
         self.stream_is_open = False
--- a/shedgrade/request_dispatch.py
+++ b/shedgrade/request_dispatch.py
@@ -369,7 +369,7 @@
             return
         what, value = answer
         if what >= 0:
-            until = active_request.latest_end if active_request.is_body_incomplete else now + value
+            until = active_request.hard_end if active_request.is_body_incomplete else now + value
             transmission = Transmission(
                 active_request, len(active_request.rpc.attempts) - 1, what, now, until
             )
@@ -453,7 +453,7 @@
         """Returns the time until which a long answer may go on; `now` if no answer has begun.
 
         For an answer that has stalled, that time has passed. An answer that makes progress, or waits for its
-        client, is cut only at the request's `latest_end`.
+        client, is cut only at the request's `hard_end`.
         """
         if transmission.response_began_at is not None:
             moved = transmission.link.last_progress_at()
@@ -466,13 +466,13 @@
     def response_time_limit(self, active_request: ActiveRequest, moved: int) -> float:
         """Returns the time until which a long answer may go on that last made progress at `moved`.
 
-        A request with a `latest_end` may go on until then; any other is cut after STALLED_RESPONSE_TIMEOUT
+        A request with a `hard_end` may go on until then; any other is cut after STALLED_RESPONSE_TIMEOUT
         without progress.
         """
         return (
             moved + STALLED_RESPONSE_TIMEOUT
-            if active_request.latest_end == load_balancing.inf
-            else active_request.latest_end
+            if active_request.hard_end == load_balancing.inf
+            else active_request.hard_end
         )
 
     def expire(self, now: int) -> None:
