--- a/shedgrade/sidecar/lifecycle/reload_signal.py
+++ b/shedgrade/sidecar/lifecycle/reload_signal.py
@@ -7,7 +7,7 @@
 
 import signal
 
-recorded = False
+reload_pending = False
 
 
 def ignore_reload_signal() -> None:
@@ -19,12 +19,12 @@
     """Records SIGHUP: from now on it may arrive after the configuration was read."""
 
     def record(signal_number: int, frame: object) -> None:
-        global recorded
-        recorded = True
+        global reload_pending
+        reload_pending = True
 
     signal.signal(signal.SIGHUP, record)
 
 
 def reload_requested() -> bool:
     """Returns whether SIGHUP arrived since `record_reload_signal`; the caller handles later ones."""
-    return recorded
+    return reload_pending
--- a/shedgrade/sidecar/lifecycle/shutdown.py
+++ b/shedgrade/sidecar/lifecycle/shutdown.py
@@ -18,7 +18,7 @@
 # After SIGTERM. A request that crosses the close of its connection is sent again, and must find a process
 # that still accepts.
 IDLE_CLOSE_DELAY_S = 0.4
-CONCLUDE_AFTER_S = 0.6  # after the longest hard deadline: remaining requests get their final answer
+FINAL_ANSWER_DELAY_S = 0.6  # after the longest hard deadline: remaining requests get their final answer
 FINAL_ANSWER_FLUSH_S = 0.06  # for the final answers to be sent
 POLL_INTERVAL_S = 0.05  # between two checks whether all connections are closed
 
@@ -28,15 +28,15 @@
 
     Attributes:
         done: set when the process may exit.
-        conclude_at: when remaining requests get their final answer, by the loop's clock; 0 before SIGTERM. A
-            reload does not change it: the time of SIGKILL was fixed when SIGTERM was sent.
+        final_answers_at: when remaining requests get their final answer, by the loop's clock; 0 before
+            SIGTERM. A reload does not change it: the time of SIGKILL was fixed when SIGTERM was sent.
     """
 
     def __init__(self, sidecar: "Sidecar") -> None:
         self.sidecar = sidecar
         self.loop = sidecar.loop
         self.done = asyncio.Event()
-        self.conclude_at = 0.0
+        self.final_answers_at = 0.0
 
     def begin(self) -> None:
         """Starts the shutdown at SIGTERM; has no effect the second time."""
@@ -44,10 +44,12 @@
         if sidecar.phase in (Phase.SERVING, Phase.STANDING_BY):
             sidecar.standby.end()
             sidecar.enter(Phase.DRAINING)
-            self.conclude_at = self.loop.time() + sidecar.pool.longest_hard_deadline_s + CONCLUDE_AFTER_S
+            self.final_answers_at = (
+                self.loop.time() + sidecar.pool.longest_hard_deadline_s + FINAL_ANSWER_DELAY_S
+            )
             self.loop.call_later(IDLE_CLOSE_DELAY_S, sidecar.front.close_idle)
             self.loop.call_later(LISTENER_CLOSE_DELAY_S, self.stop_accepting)
-            self.loop.call_at(self.conclude_at, self.conclude)
+            self.loop.call_at(self.final_answers_at, self.finish)
 
     def stop_accepting(self) -> None:
         """Closes the listeners once no connection waits to be accepted."""
@@ -76,7 +78,7 @@
         own = len(sidecar.front.clients) + len(sidecar.pool.dispatcher.active_requests)
         return own + sum(feature.in_flight() for feature in sidecar.features)
 
-    def conclude(self) -> None:
+    def finish(self) -> None:
         """Gives all remaining requests their final answer while there is still time to send it."""
         if self.done.is_set():
             return
--- a/shedgrade/sidecar/lifecycle/sidecar.py
+++ b/shedgrade/sidecar/lifecycle/sidecar.py
@@ -146,7 +146,7 @@
     def check_invariants(self) -> None:
         """Raises AssertionError if the parts contradict the phase."""
         assert (self.standby.timer is not None) == (self.phase is Phase.STANDING_BY)
-        assert (self.shutdown.conclude_at > 0) <= (self.phase in (Phase.DRAINING, Phase.CLOSED))
+        assert (self.shutdown.final_answers_at > 0) <= (self.phase in (Phase.DRAINING, Phase.CLOSED))
         self.hot_restart.check_invariants()
 
     # --- from start to exit
--- a/tests/sidecar/crossings/test_end.py
+++ b/tests/sidecar/crossings/test_end.py
@@ -31,7 +31,7 @@
         async with RaceWorld(upstreams=2, held=(0, 1), methods=[method(kind, soft=2e4, hard=2e4)]) as world:
             asking = [asyncio.create_task(ask(world, request(b"one", name=name))) for name in ("a1", "a2")]
             await until(lambda: world.sent() == 2)
-            world.sidecar.pool.longest_hard_deadline_s = -shutdown.CONCLUDE_AFTER_S + 0.1
+            world.sidecar.pool.longest_hard_deadline_s = -shutdown.FINAL_ANSWER_DELAY_S + 0.1
             world.sidecar.drain()
             await world.serving
             await asyncio.sleep(0.05)
@@ -51,7 +51,7 @@
         world.sidecar.drain()
         late = asyncio.create_task(ask(world, request(b"two", name="a2")))
         await until(lambda: len(world.sidecar.pool.dispatcher.active_requests) == 2)
-        world.sidecar.shutdown.conclude()
+        world.sidecar.shutdown.finish()
         assert [(await one)[0] for one in (asking, late)] == [503, 503]
         await world.serving
         assert not world.bodies()
@@ -68,7 +68,7 @@
         writer.write(request(b"one"))
         await reader.readuntil(b"\r\n\r\n")
         world.sidecar.drain()
-        world.sidecar.shutdown.conclude()
+        world.sidecar.shutdown.finish()
         with pytest.raises((asyncio.IncompleteReadError, ConnectionResetError)):
             await reader.readexactly(500_000)
         await world.serving
@@ -81,11 +81,11 @@
         asking = asyncio.create_task(ask(world, request(b"one")))
         await until(lambda: world.sent() == 1)
         world.sidecar.drain()
-        last = world.sidecar.shutdown.conclude_at
+        last = world.sidecar.shutdown.final_answers_at
         world.sidecar.pool.longest_hard_deadline_s *= 2
         world.sidecar.drain()
         world.sidecar.reload()  # the configuration file is missing, so the reload is rejected
-        assert world.sidecar.shutdown.conclude_at == last and world.sidecar.phase is Phase.DRAINING
+        assert world.sidecar.shutdown.final_answers_at == last and world.sidecar.phase is Phase.DRAINING
         world.release.set()
         assert (await asking)[0] == 200
         await world.serving
@@ -135,7 +135,7 @@
 def test_a_reload_signal_before_the_event_loop_starts_is_handled(monkeypatch):
     @on_sockets
     async def scenario():
-        monkeypatch.setattr(reload_signal, "recorded", True)
+        monkeypatch.setattr(reload_signal, "reload_pending", True)
         reloads = []
         monkeypatch.setattr(lifecycle.Sidecar, "reload", lambda sidecar: reloads.append(sidecar.phase))
         async with RaceWorld(upstreams=1):
