--- a/shedgrade/sidecar/lifecycle/config.py
+++ b/shedgrade/sidecar/lifecycle/config.py
@@ -6,7 +6,7 @@
 
 import orjson
 
-from shedgrade.sidecar.lifecycle.settings_checks import completeness_problem, shape_problem
+from shedgrade.sidecar.lifecycle.settings_checks import deployment_problem, required_settings_problem
 from shedgrade.upstream_pool.errors import ConfigError
 
 Address = tuple[str, int]  # host and port
@@ -86,7 +86,7 @@
     Raises ConfigError, KeyError, AttributeError, TypeError or ValueError if it is invalid.
     """
     limits = contents.get("limits", {})
-    problem = shape_problem(contents["settings"]) or completeness_problem(contents["settings"])
+    problem = deployment_problem(contents["settings"]) or required_settings_problem(contents["settings"])
     if problem is not None:
         raise ConfigError(f"{path}: {problem}")
     admin = contents.get("admin_addr", os.environ.get(ADMIN_VARIABLE))
--- a/shedgrade/sidecar/lifecycle/settings_checks.py
+++ b/shedgrade/sidecar/lifecycle/settings_checks.py
@@ -42,7 +42,7 @@
         return f"{self.key}: found {text}; expected {self.expected}"
 
 
-def shape_problem(settings: object) -> str | None:
+def deployment_problem(settings: object) -> str | None:
     """Returns one line about the first problem in the settings that describe the deployment, or None.
 
     A missing key has its default, which fits the deployments that sidecars were first built for.
@@ -52,7 +52,7 @@
     return first_line(shape_findings(settings))
 
 
-def completeness_problem(settings: dict[str, Any]) -> str | None:
+def required_settings_problem(settings: dict[str, Any]) -> str | None:
     """Returns one line about the first key that is missing or invalid for serving, or None."""
     return first_line(completeness_findings(settings))
 
--- a/shedgrade/sidecar/shadow_policy/config.py
+++ b/shedgrade/sidecar/shadow_policy/config.py
@@ -5,7 +5,7 @@
 
 from msgspec import Meta, Struct, field
 
-from shedgrade.sidecar.lifecycle.settings_checks import shape_problem
+from shedgrade.sidecar.lifecycle.settings_checks import deployment_problem
 
 # Settings that must be the same for both balancers: they give names and numbers their meaning.
 SHARED_KEYS = ("methods", "zones", "az", "tick")
@@ -40,7 +40,7 @@
             if key in self.settings:
                 yield f"settings.{key}", "can't differ from the platform's: remove it"
         # The platform's settings are not known here: values that depend on them are checked at the start.
-        problem = shape_problem({"balancers": 2**31, **self.settings})
+        problem = deployment_problem({"balancers": 2**31, **self.settings})
         if problem is not None:
             key, _, reason = problem.partition(": ")
             yield key, reason
--- a/shedgrade/sidecar/shadow_policy/part.py
+++ b/shedgrade/sidecar/shadow_policy/part.py
@@ -6,7 +6,7 @@
 
 from shedgrade import load_balancing
 from shedgrade.sidecar.lifecycle.feature import Feature
-from shedgrade.sidecar.lifecycle.settings_checks import shape_problem
+from shedgrade.sidecar.lifecycle.settings_checks import deployment_problem
 from shedgrade.sidecar.shadow_policy.config import merge_settings
 from shedgrade.sidecar.shadow_policy.follower import Follower
 from shedgrade.sidecar.shadow_policy.shadow import ShadowedBalancer
@@ -37,7 +37,7 @@
         ConfigError if the settings of the follower are not valid.
         """
         follower_settings = merge_settings(settings, self.config.settings)
-        problem = shape_problem(follower_settings)
+        problem = deployment_problem(follower_settings)
         if problem is None:
             try:
                 Follower(follower_settings, seed, now)
--- a/tests/load_balancing/test_parts.py
+++ b/tests/load_balancing/test_parts.py
@@ -10,7 +10,7 @@
 
 from shedgrade import load_balancing
 from shedgrade.cli import app
-from shedgrade.sidecar.lifecycle.settings_checks import shape_problem
+from shedgrade.sidecar.lifecycle.settings_checks import deployment_problem
 
 SHARED = {"multiplex": 100}
 
@@ -233,7 +233,7 @@
 )
 def test_an_invalid_setting_is_named_with_what_is_allowed(tmp_path, key, value, found):
     conf = {**World().conf, key: value}
-    assert shape_problem(conf).startswith(found) and shape_problem(World().conf) is None
+    assert deployment_problem(conf).startswith(found) and deployment_problem(World().conf) is None
     path = tmp_path / "config.json"
     path.write_bytes(
         orjson.dumps({"name": "n", "listen": "127.0.0.1:1", "discovery": "127.0.0.1:1", "settings": conf})
@@ -245,9 +245,9 @@
 
 
 def test_a_sidecar_number_out_of_range_is_refused_where_connections_are_shared():
-    wrong = shape_problem(settings(balancers=4, my_number=4, limits=SHARED))
+    wrong = deployment_problem(settings(balancers=4, my_number=4, limits=SHARED))
     assert wrong.startswith("settings.my_number: found 4")
-    assert shape_problem(settings(balancers=4, my_number=4)) is None
+    assert deployment_problem(settings(balancers=4, my_number=4)) is None
 
 
 @on_sockets
--- a/tests/sidecar/admin/test_settings.py
+++ b/tests/sidecar/admin/test_settings.py
@@ -12,7 +12,7 @@
 
 from shedgrade import load_balancing
 from shedgrade.sidecar.lifecycle.config import load_config
-from shedgrade.sidecar.lifecycle.settings_checks import completeness_problem
+from shedgrade.sidecar.lifecycle.settings_checks import required_settings_problem
 from shedgrade.sidecar.lifecycle.settings_reload import merge_settings, missing_key
 from shedgrade.upstream_pool.errors import ConfigError
 
@@ -105,7 +105,7 @@
 def test_deadlines_and_transmissions_must_be_positive_numbers(key, value):
     conf = deepcopy(World().conf)
     (conf["limits"] if key == "most_transmissions" else conf["methods"][0])[key] = value
-    assert key in completeness_problem(conf) and "\n" not in completeness_problem(conf)
+    assert key in required_settings_problem(conf) and "\n" not in required_settings_problem(conf)
 
 
 def without_key(conf, path):
@@ -135,9 +135,9 @@
         )
     ]
     key_paths += [("rules", key) for key in conf["rules"] if key != "overload_for"]
-    assert completeness_problem(conf) is None
+    assert required_settings_problem(conf) is None
     for path in key_paths:
-        assert str(path[-1]) in completeness_problem(without_key(conf, path)), path
+        assert str(path[-1]) in required_settings_problem(without_key(conf, path)), path
     assert missing_key(conf, conf) is None
     for path in [path for path in key_paths if 0 not in path] + [("customers",), ("report", "via")]:
         assert missing_key(conf, without_key(conf, path)) == ".".join(map(str, path))
--- a/tests/sidecar/crossings/test_customers.py
+++ b/tests/sidecar/crossings/test_customers.py
@@ -9,7 +9,7 @@
 
 from shedgrade import load_balancing
 from shedgrade.http import endpoint_discovery
-from shedgrade.sidecar.lifecycle.settings_checks import completeness_problem, shape_problem
+from shedgrade.sidecar.lifecycle.settings_checks import deployment_problem, required_settings_problem
 
 TENANTS = [{"name": name, "share": 0.5, "allowance_per_s": 50.0} for name in ("guild-a", "zünfte b")]
 
@@ -137,8 +137,12 @@
 )
 def test_settings_without_their_own_zone_are_rejected(changes):
     """With such settings each RPC met an IndexError, and failed."""
-    assert completeness_problem(settings(zones=1, limits={"dial_timeout": 1.0, "idle_close": 1.0})) is None
-    found = completeness_problem(settings(zones=1, limits={"dial_timeout": 1.0, "idle_close": 1.0}) | changes)
+    assert (
+        required_settings_problem(settings(zones=1, limits={"dial_timeout": 1.0, "idle_close": 1.0})) is None
+    )
+    found = required_settings_problem(
+        settings(zones=1, limits={"dial_timeout": 1.0, "idle_close": 1.0}) | changes
+    )
     assert found.startswith(f"settings.{next(iter(changes))}: found ") and "\n" not in found
 
 
@@ -193,7 +197,7 @@
         "fall_multiple": pick((0, 0.1, 3)),
         "dropped_stay_open": pick((True, False)),
     }
-    assert shape_problem(conf) is None and completeness_problem(conf) is None
+    assert deployment_problem(conf) is None and required_settings_problem(conf) is None
     balancer, now, rpcs = load_balancing.Balancer(conf, seed, 0), 1, []
     balancer.list_changed(
         now, [row(index, index % zones, started=pick((0, now))) for index in range(6)], True, True
