--- a/benchmarks/move.py
+++ b/benchmarks/move.py
@@ -17,7 +17,7 @@
 from helpers import method, settings
 
 from shedgrade import load_balancing
-from shedgrade.sidecar.shadow_policy.config import Watch
+from shedgrade.sidecar.shadow_policy.config import ShadowPolicyConfig
 from shedgrade.sidecar.shadow_policy.part import ShadowPolicyPart
 
 SIDECARS, ZONES = 300, 4
@@ -83,7 +83,9 @@
 def watch():
     def world(watched):
         if watched:
-            b = ShadowPolicyPart(Watch(settings={"limits": {"multiplex": 1}}), "f").decisions(conf(), 1, 0)
+            b = ShadowPolicyPart(ShadowPolicyConfig(settings={"limits": {"multiplex": 1}}), "f").decisions(
+                conf(), 1, 0
+            )
         else:
             b = load_balancing.Balancer(conf(), 1, 0)
         b.list_changed(0, rows(66, Random(1)), True, True)
--- a/benchmarks/saved.py
+++ b/benchmarks/saved.py
@@ -22,13 +22,13 @@
 
 sys.path.insert(0, str(Path(__file__).resolve().parents[1]))
 
-from shedgrade.sidecar.endpoint_snapshot.config import Saved
+from shedgrade.sidecar.endpoint_snapshot.config import SavedListConfig
 from shedgrade.sidecar.endpoint_snapshot.files import Files
 from shedgrade.sidecar.endpoint_snapshot.recovery import recover
 from shedgrade.sidecar.endpoint_snapshot.snapshot import Snapshot
 from shedgrade.sidecar.endpoint_snapshot.source import SavedList
 from shedgrade.sidecar.endpoint_snapshot.store import Store
-from shedgrade.sidecar.endpoint_snapshot.trust import Trusting, assess
+from shedgrade.sidecar.endpoint_snapshot.trust import TrustConfig, assess
 from shedgrade.sidecar.endpoint_snapshot.wall_clock import WallClock
 
 SETTINGS = {"zones": ["a", "b"], "shapes": ["std"]}
@@ -117,7 +117,7 @@
     """Keeping a list of `rows` under `changes` a second, what was learnt saved each 10 s."""
 
     async def scene() -> dict:
-        saved = SavedList(Saved(folder=str(folder), sync=sync), "n1", SETTINGS)
+        saved = SavedList(SavedListConfig(folder=str(folder), sync=sync), "n1", SETTINGS)
         saved.open()
         saved.initial_list()
         saved.start()
@@ -182,7 +182,7 @@
     begun = time.perf_counter()
     found = recover(Files(folder), "n1")
     read = time.perf_counter() - begun
-    verdicts = assess(found.snapshot, wall.now(), Trusting())
+    verdicts = assess(found.snapshot, wall.now(), TrustConfig())
     weighed = time.perf_counter() - begun - read
     begun = time.perf_counter()
     again = Store(Files(folder), "n1", wall.now)
@@ -334,7 +334,7 @@
 
     async def scene() -> dict:
         files = SlowFiles(folder)
-        saved = SavedList(Saved(folder=str(folder), sync="always"), "n1", SETTINGS, files=files)
+        saved = SavedList(SavedListConfig(folder=str(folder), sync="always"), "n1", SETTINGS, files=files)
         saved.open()
         saved.initial_list()
         saved.start()
--- a/shedgrade/cli/saved.py
+++ b/shedgrade/cli/saved.py
@@ -11,7 +11,7 @@
 from shedgrade.sidecar.endpoint_snapshot.recovery import Recovered, recover
 from shedgrade.sidecar.endpoint_snapshot.snapshot import age_s
 from shedgrade.sidecar.endpoint_snapshot.store import Store, StoreEvent
-from shedgrade.sidecar.endpoint_snapshot.trust import Trusting, assess
+from shedgrade.sidecar.endpoint_snapshot.trust import TrustConfig, assess
 from shedgrade.sidecar.endpoint_snapshot.wall_clock import WallClock
 
 app = typer.Typer(
@@ -62,7 +62,7 @@
         f"owner {snapshot.owner or '-'}, generation {snapshot.generation}, confirmed {confirmed}, "
         f"{len(snapshot.endpoints)} rows, {len(snapshot.removed)} removals remembered, learnt: {learned}"
     )
-    for verdict in assess(snapshot, now, Trusting()):
+    for verdict in assess(snapshot, now, TrustConfig()):
         entry = verdict.entry
         print(
             f"{entry['instanceId']}  {entry.get('hostPort', '-')}  {entry.get('zone', '-')}  "
--- a/shedgrade/sidecar/capture/config.py
+++ b/shedgrade/sidecar/capture/config.py
@@ -6,7 +6,7 @@
 from msgspec import Meta, Struct
 
 
-class Capture(Struct, kw_only=True, forbid_unknown_fields=True):
+class CaptureConfig(Struct, kw_only=True, forbid_unknown_fields=True):
     """Settings of the capture.
 
     folder: directory of this sidecar's captures, of no other sidecar's; created with mode 700. A capture is
--- a/shedgrade/sidecar/endpoint_snapshot/config.py
+++ b/shedgrade/sidecar/endpoint_snapshot/config.py
@@ -5,12 +5,12 @@
 
 from msgspec import Meta, Struct, field
 
-from shedgrade.sidecar.endpoint_snapshot.trust import Trusting
+from shedgrade.sidecar.endpoint_snapshot.trust import TrustConfig
 
 Seconds = Annotated[float, Meta(gt=0)]
 
 
-class Saved(Struct, kw_only=True, forbid_unknown_fields=True):
+class SavedListConfig(Struct, kw_only=True, forbid_unknown_fields=True):
     """Where and how the endpoint list is saved.
 
     Attributes:
@@ -27,7 +27,7 @@
     sync: Literal["always", "interval", "never"] = "interval"
     sync_s: Seconds = 1.0
     state_s: Seconds = 10.0
-    trust: Trusting = field(default_factory=Trusting)
+    trust: TrustConfig = field(default_factory=TrustConfig)
 
     def problems(self) -> Iterator[tuple[str, str]]:
         """Yields (key, reason) for each value that the types alone do not rule out."""
--- a/shedgrade/sidecar/endpoint_snapshot/source.py
+++ b/shedgrade/sidecar/endpoint_snapshot/source.py
@@ -9,7 +9,7 @@
 from loguru import logger
 from msgspec import Struct, structs
 
-from shedgrade.sidecar.endpoint_snapshot.config import Saved
+from shedgrade.sidecar.endpoint_snapshot.config import SavedListConfig
 from shedgrade.sidecar.endpoint_snapshot.files import Files, LockedError
 from shedgrade.sidecar.endpoint_snapshot.recovery import Recovered
 from shedgrade.sidecar.endpoint_snapshot.snapshot import Entry, Record, Snapshot, age_s
@@ -62,7 +62,7 @@
 
     def __init__(
         self,
-        config: Saved,
+        config: SavedListConfig,
         owner: str,
         settings: dict[str, Any],
         files: Files | None = None,
--- a/shedgrade/sidecar/endpoint_snapshot/trust.py
+++ b/shedgrade/sidecar/endpoint_snapshot/trust.py
@@ -22,7 +22,7 @@
 NEVER = "never"
 
 
-class Trusting(Struct, kw_only=True, forbid_unknown_fields=True):
+class TrustConfig(Struct, kw_only=True, forbid_unknown_fields=True):
     """The table `[saved.trust]`.
 
     Attributes:
@@ -49,7 +49,7 @@
     age_s: float
 
 
-def assess(snapshot: Snapshot, now: Moment, trusting: Trusting) -> list[Verdict]:
+def assess(snapshot: Snapshot, now: Moment, trusting: TrustConfig) -> list[Verdict]:
     """Returns every saved endpoint with its level, in the order of the snapshot."""
     # A complete list, or an answer without changes, confirms every endpoint; a change only those it names.
     list_age_s = age_s(snapshot.confirmed_at, now) if snapshot.confirmed_at is not None else inf
--- a/shedgrade/sidecar/lifecycle/features.py
+++ b/shedgrade/sidecar/lifecycle/features.py
@@ -10,11 +10,11 @@
 
 import msgspec
 
-from shedgrade.sidecar.capture.config import Capture
-from shedgrade.sidecar.endpoint_snapshot.config import Saved
+from shedgrade.sidecar.capture.config import CaptureConfig
+from shedgrade.sidecar.endpoint_snapshot.config import SavedListConfig
 from shedgrade.sidecar.quota.config import Quota
 from shedgrade.sidecar.quota.config_checks import problems as quota_problems
-from shedgrade.sidecar.shadow_policy.config import Watch
+from shedgrade.sidecar.shadow_policy.config import ShadowPolicyConfig
 from shedgrade.sidecar.tunnel.config import PoolTable, ProxyTable, Tunnel, check
 from shedgrade.upstream_pool.errors import ConfigError
 
@@ -22,10 +22,10 @@
 class Features(msgspec.Struct, kw_only=True, forbid_unknown_fields=True):
     """The enabled features; None or empty: disabled. Each feature documents the keys of its table."""
 
-    saved: Saved | None = None
-    capture: Capture | None = None
+    saved: SavedListConfig | None = None
+    capture: CaptureConfig | None = None
     quota: Quota | None = None
-    watch: Watch | None = None
+    watch: ShadowPolicyConfig | None = None
     tunnel: Tunnel | None = None
     pools: dict[str, PoolTable] = msgspec.field(default_factory=dict)
     proxies: dict[str, ProxyTable] = msgspec.field(default_factory=dict)
--- a/shedgrade/sidecar/shadow_policy/config.py
+++ b/shedgrade/sidecar/shadow_policy/config.py
@@ -24,7 +24,7 @@
     return merged
 
 
-class Watch(Struct, kw_only=True, forbid_unknown_fields=True):
+class ShadowPolicyConfig(Struct, kw_only=True, forbid_unknown_fields=True):
     """Settings of the shadow policy.
 
     settings: values that differ from the platform's settings, by their keys.
--- a/tests/sidecar/capture/test_part.py
+++ b/tests/sidecar/capture/test_part.py
@@ -16,7 +16,7 @@
 from shedgrade import file_frames
 from shedgrade.cli import app
 from shedgrade.sidecar.capture import files
-from shedgrade.sidecar.capture.config import Capture
+from shedgrade.sidecar.capture.config import CaptureConfig
 from shedgrade.sidecar.capture.files import CaptureError, Writer, load
 from shedgrade.sidecar.capture.part import CapturePart
 from shedgrade.sidecar.capture.replay import Replay
@@ -51,7 +51,7 @@
     @on_sockets
     async def scenario():
         world = CaptureWorld(echo, echo, echo)
-        world.capture = Capture(folder=str(folder), checkpoint_s=1.0, continuous=continuous)
+        world.capture = CaptureConfig(folder=str(folder), checkpoint_s=1.0, continuous=continuous)
         async with world:
             for number in range(60):
                 status, _, _ = await ask(world, request(b"x", "/m/1", 9000, f"secret-{number}"))
@@ -91,7 +91,7 @@
     @on_sockets
     async def scenario():
         world = CaptureWorld(echo)
-        world.capture = Capture(folder=str(tmp_path))
+        world.capture = CaptureConfig(folder=str(tmp_path))
         async with world:
             await ask(world, request(b"x", "/m/1", 9000, "a"))
             # Calls the log sink directly, as an error in the log itself would fail these tests.
--- a/tests/sidecar/endpoint_snapshot/test_start.py
+++ b/tests/sidecar/endpoint_snapshot/test_start.py
@@ -18,7 +18,7 @@
 from shedgrade.cli import app
 from shedgrade.lab import results, runner
 from shedgrade.lab.scenario import Fault, load
-from shedgrade.sidecar.endpoint_snapshot.config import Saved
+from shedgrade.sidecar.endpoint_snapshot.config import SavedListConfig
 from shedgrade.sidecar.endpoint_snapshot.files import Files
 from shedgrade.sidecar.endpoint_snapshot.snapshot import Moment
 from shedgrade.sidecar.endpoint_snapshot.source import SavedList
@@ -270,7 +270,7 @@
             False,
         )
         store.close()
-        self.sidecar.pool.saved = SavedList(Saved(folder=str(self.folder)), "n", self.conf)
+        self.sidecar.pool.saved = SavedList(SavedListConfig(folder=str(self.folder)), "n", self.conf)
 
 
 def serve(head, body):
--- a/tests/sidecar/endpoint_snapshot/test_trust.py
+++ b/tests/sidecar/endpoint_snapshot/test_trust.py
@@ -14,7 +14,7 @@
     CAUTIOUS,
     LAST_RESORT,
     NEVER,
-    Trusting,
+    TrustConfig,
     assess,
 )
 from shedgrade.sidecar.learned_state_file import from_disk, to_disk
@@ -53,14 +53,14 @@
         (HOUR_S + 1, LAST_RESORT),
         (90 * HOUR_S, LAST_RESORT),
     ):
-        assert levels(saved, moment_at(second), Trusting()) == {"u1": expected}
-    assert levels(saved, moment_at(90 * HOUR_S), Trusting(blind=True)) == {"u1": AS_TOLD}
+        assert levels(saved, moment_at(second), TrustConfig()) == {"u1": expected}
+    assert levels(saved, moment_at(90 * HOUR_S), TrustConfig(blind=True)) == {"u1": AS_TOLD}
 
 
 def test_an_answer_without_changes_confirms_every_endpoint():
     saved = snapshot(("u1", "a:1", "in_service"), ("u2", "a:2", "in_service"))
     saved.confirm(moment_at(500), 8)
-    assert levels(saved, moment_at(520), Trusting()) == {"u1": AS_TOLD, "u2": AS_TOLD}
+    assert levels(saved, moment_at(520), TrustConfig()) == {"u1": AS_TOLD, "u2": AS_TOLD}
 
 
 def test_draining_removed_and_replaced_endpoints_are_never_used():
@@ -70,7 +70,7 @@
     saved.apply_list(
         [{"instanceId": "u4", "hostPort": "a:2", "lifecycle": "in_service"}], False, 8, moment_at(5)
     )
-    for trusting in (Trusting(), Trusting(blind=True)):
+    for trusting in (TrustConfig(), TrustConfig(blind=True)):
         assert levels(saved, moment_at(6), trusting) == {"u1": NEVER, "u2": NEVER, "u3": NEVER, "u4": AS_TOLD}
 
 
@@ -86,7 +86,7 @@
         and age_s(moment_at(0), moment_at(3, "other", wall=-50)) == inf
     )
     saved = snapshot(("u1", "a:1", "in_service"))
-    assert levels(saved, moment_at(3, "other", wall=-50), Trusting()) == {"u1": LAST_RESORT}
+    assert levels(saved, moment_at(3, "other", wall=-50), TrustConfig()) == {"u1": LAST_RESORT}
 
 
 @given(st.floats(0, 1e6), st.floats(0, 1e6))
@@ -94,7 +94,7 @@
     order = [AS_TOLD, CAUTIOUS, LAST_RESORT]
     saved = snapshot(("u1", "a:1", "in_service"))
     found = [
-        order.index(levels(saved, moment_at(second), Trusting())["u1"]) for second in sorted((one, other))
+        order.index(levels(saved, moment_at(second), TrustConfig())["u1"]) for second in sorted((one, other))
     ]
     assert found == sorted(found)
 
--- a/tests/sidecar/shadow_policy/test_watch.py
+++ b/tests/sidecar/shadow_policy/test_watch.py
@@ -20,7 +20,7 @@
 from shedgrade.sidecar.capture.rows import KIND
 from shedgrade.sidecar.lifecycle.features import load_features
 from shedgrade.sidecar.lifecycle.sidecar import Sidecar
-from shedgrade.sidecar.shadow_policy.config import Watch
+from shedgrade.sidecar.shadow_policy.config import ShadowPolicyConfig
 from shedgrade.sidecar.shadow_policy.follower import Follower, difference_kind
 from shedgrade.sidecar.shadow_policy.part import ShadowPolicyPart
 from shedgrade.upstream_pool.errors import ConfigError
@@ -34,7 +34,7 @@
     def __init__(self, seed, over, busy=4, **more):
         self.chance, self.now = Random(seed), 100
         self.base_settings = settings(METHODS, zones=2, balancers=20, **more)
-        self.part = ShadowPolicyPart(Watch(settings=over), "features")
+        self.part = ShadowPolicyPart(ShadowPolicyConfig(settings=over), "features")
         self.watched = self.part.decisions(self.base_settings, seed, self.now)
         self.watched.list_changed(self.now, [row(up, up % 2) for up in range(8)], True, True)
         self.ends, self.answers, self.busy = [], [], busy
@@ -185,7 +185,7 @@
     """Creates the sidecar with a follower beside its balancer, as `serve` does."""
 
     def prepare(self):
-        self.part = ShadowPolicyPart(Watch(settings=self.over, every_s=1.0), "features")
+        self.part = ShadowPolicyPart(ShadowPolicyConfig(settings=self.over, every_s=1.0), "features")
         before = self.sidecar
         self.sidecar = Sidecar(before.config, before.loop, self.part.decisions)
         self.part.join(self.sidecar)
--- a/tests/stored/struct_examples.py
+++ b/tests/stored/struct_examples.py
@@ -73,9 +73,13 @@
 # Earlier class name: current module and class, for each class that was renamed, or moved elsewhere than
 # `MODULES` says.
 CLASSES: dict[str, str] = {
+    "capture.config:Capture": "sidecar.capture.config:CaptureConfig",
     "core.learnt:Export": "sidecar.learned_state_file:StoredLearnedState",
     "quota.state:Counted": "sidecar.quota.state:SavedUse",
     "quota.state:Saved": "sidecar.quota.state:SavedState",
+    "saved.config:Saved": "sidecar.endpoint_snapshot.config:SavedListConfig",
+    "saved.trust:Trusting": "sidecar.endpoint_snapshot.trust:TrustConfig",
+    "watch.config:Watch": "sidecar.shadow_policy.config:ShadowPolicyConfig",
     "replication.messages:EpochRecord": "replication.messages:EpochConfig",
     "replication.messages:Hello": "replication.messages:JoinRequest",
     "replication.messages:Learn": "replication.messages:CatchUp",
