--- a/benchmarks/capture.py
+++ b/benchmarks/capture.py
@@ -25,7 +25,7 @@
 from shedgrade.sidecar.capture.files import load
 from shedgrade.sidecar.capture.recorder import Recorder
 from shedgrade.sidecar.capture.replay import Replay
-from shedgrade.sidecar.capture.rows import TAKE, Ring, calls
+from shedgrade.sidecar.capture.rows import ADMIT, Ring, calls
 
 ROOT = Path(__file__).resolve().parents[1]
 
@@ -35,7 +35,7 @@
     print("breaches", len(told["breaches"]), "no result", told["no_result"])
     for path in sorted((place / "run").glob("*capture/*.sgc")):
         records, why = load(path)
-        rpcs = sum(row[0] == TAKE for _, row in calls(records))
+        rpcs = sum(row[0] == ADMIT for _, row in calls(records))
         begun, differences = time.perf_counter(), 0
         for _ in range(times):
             one = Replay(records)
@@ -104,7 +104,7 @@
             pairs.append((plain, drive(recorder, rpcs, upstreams) - plain))
         plain, more = min(pairs), min(pair[1] for pair in pairs)
         before, begun = ring.size, time.perf_counter()
-        recorder.save(rpcs * 5)
+        recorder.take_checkpoint(rpcs * 5)
         print(
             {
                 "upstreams": upstreams,
--- a/shedgrade/sidecar/capture/explanation.py
+++ b/shedgrade/sidecar/capture/explanation.py
@@ -6,12 +6,12 @@
 from shedgrade.sidecar.capture.older_decisions import METHODS
 from shedgrade.sidecar.capture.replay import RPC_OPERATIONS, Replay
 from shedgrade.sidecar.capture.rows import (
+    ADMIT,
     ATTEMPT_FINISHED,
     CLIENT_DISCONNECTED,
     DECIDE,
     NO_DECISION,
     RESPONSE_STARTED,
-    TAKE,
     calls,
 )
 
@@ -153,7 +153,7 @@
         if op not in RPC_OPERATIONS or values[0] != number:
             return
         at = f"{(now - admitted_at[0]) / 10:.1f} ms"
-        if op == TAKE:
+        if op == ADMIT:
             admitted_at[0] = now
             lines.append(
                 f"RPC {number}: method {values[1]}, gives up after {values[2] / 10:.0f} ms"
@@ -202,4 +202,4 @@
 
 def find_rpcs(records: list[dict], name: bytes) -> list[int]:
     """Returns the numbers of the requests with this name: an id, or the hash of one."""
-    return [row[2] for _, row in calls(records) if row[0] == TAKE and row[6] == name]
+    return [row[2] for _, row in calls(records) if row[0] == ADMIT and row[6] == name]
--- a/shedgrade/sidecar/capture/recorder.py
+++ b/shedgrade/sidecar/capture/recorder.py
@@ -11,6 +11,7 @@
 from shedgrade import load_balancing
 from shedgrade.load_balancing import learned_state
 from shedgrade.sidecar.capture.rows import (
+    ADMIT,
     ATTEMPT_FINISHED,
     BODY_RECEIVED,
     CLIENT_DISCONNECTED,
@@ -27,7 +28,6 @@
     ROWS_PER_RECORD,
     SET_SLOW_START_SHARE,
     SET_WITHDRAWN,
-    TAKE,
     TAKE_RELEASED,
     UNIFORM,
     UPDATE_SETTINGS,
@@ -248,7 +248,7 @@
             )
             self.is_paused, self.unrecorded_calls, self.rows_in_second, self.records_lost = False, 0, 0, False
             self.last_row_at = self.record_start = now
-            self.save(now)
+            self.take_checkpoint(now)
             return
         if now - self.second_start >= SECOND:
             self.second_start, self.rows_in_second = now, 0
@@ -259,9 +259,9 @@
         elif self.checkpoint_wanted or now - self.checkpoint_at >= self.checkpoint * (
             1 if len(self.live_rpcs) < MANY_LIVE_RPCS else POSTPONED_INTERVAL_FACTOR
         ):
-            self.save(now)
+            self.take_checkpoint(now)
 
-    def save(self, now: int) -> None:
+    def take_checkpoint(self, now: int) -> None:
         """Adds a checkpoint: the balancer's whole state."""
         self.flush()
         self.checkpoint_at, self.checkpoint_wanted = now, False
@@ -306,7 +306,7 @@
         name = tag.request.name if self.ids != "none" else b""
         self.record_call(
             now,
-            TAKE,
+            ADMIT,
             self.rpc_count,
             method,
             deadline - now,
--- a/shedgrade/sidecar/capture/replay.py
+++ b/shedgrade/sidecar/capture/replay.py
@@ -12,6 +12,7 @@
 from shedgrade import load_balancing
 from shedgrade.load_balancing import learned_state
 from shedgrade.sidecar.capture.rows import (
+    ADMIT,
     ATTEMPT_FINISHED,
     BODY_RECEIVED,
     CLIENT_DISCONNECTED,
@@ -28,7 +29,6 @@
     RESTORE,
     SET_SLOW_START_SHARE,
     SET_WITHDRAWN,
-    TAKE,
     TAKE_RELEASED,
     UNIFORM,
     UPDATE_SETTINGS,
@@ -41,7 +41,7 @@
 MAX_FINISHED_RPCS = 10_000
 RPC_OPERATIONS = (
     BODY_RECEIVED,
-    TAKE,
+    ADMIT,
     DECIDE,
     NO_DECISION,
     ATTEMPT_FINISHED,
@@ -185,7 +185,7 @@
     def make_call(self, now: int, row: list) -> tuple[object, object]:
         """Makes the call of a row; returns (recorded result, result now)."""
         balancer, op, recorded = self.balancer, row[0], row[2:]
-        if op == TAKE:
+        if op == ADMIT:
             # Older captures have no tenant after the name.
             number, method, timeout, retry, _, *tenant = recorded
             self.rpcs[number] = balancer.admit(now, method, now + timeout, retry, number, *tenant)
--- a/shedgrade/sidecar/capture/rows.py
+++ b/shedgrade/sidecar/capture/rows.py
@@ -19,7 +19,7 @@
 
 # Operations of rows. Captures store their numbers, so the order stays.
 (
-    TAKE,
+    ADMIT,
     DECIDE,
     NO_DECISION,
     ATTEMPT_FINISHED,
@@ -42,7 +42,7 @@
 ) = range(20)
 # Operation -> (its call, the values after the time since the row before).
 OPERATIONS = {
-    TAKE: ("take", "rpc method give_up_at retry name tenant"),
+    ADMIT: ("take", "rpc method give_up_at retry name tenant"),
     DECIDE: ("decide", "rpc what value"),
     NO_DECISION: ("decide", "rpc"),
     ATTEMPT_FINISHED: ("ended", "rpc tx outcome took settled fresh stops"),
--- a/shedgrade/sidecar/endpoint_snapshot/source.py
+++ b/shedgrade/sidecar/endpoint_snapshot/source.py
@@ -30,13 +30,13 @@
 
     Attributes:
         message: the list in the format of discovery.
-        doubted: ids by level of trust, of the endpoints below AS_TOLD.
+        unverified: ids by level of trust, of the endpoints below AS_TOLD.
         learned: the learned state, if there is any.
         learned_age_s: the age of `learned`, in seconds.
     """
 
     message: dict[str, Any]
-    doubted: dict[str, list[str]]
+    unverified: dict[str, list[str]]
     learned: dict[str, Any] | None
     learned_age_s: float
 
@@ -98,13 +98,13 @@
                 logger.warning("no saved endpoint usable", endpoints=len(verdicts))
             return None
         log_verdicts(verdicts, usable)
-        doubted: dict[str, list[str]] = {CAUTIOUS: [], LAST_RESORT: []}
+        unverified: dict[str, list[str]] = {CAUTIOUS: [], LAST_RESORT: []}
         for verdict in usable:
-            if verdict.level in doubted:
-                doubted[verdict.level].append(verdict.entry["instanceId"])
+            if verdict.level in unverified:
+                unverified[verdict.level].append(verdict.entry["instanceId"])
         learned_age_s = age_s(snapshot.learned_at, now) if snapshot.learned_at is not None else inf
         learned = snapshot.learned if learned_age_s < inf else None
-        return InitialList(list_message(snapshot, usable), doubted, learned, learned_age_s)
+        return InitialList(list_message(snapshot, usable), unverified, learned, learned_age_s)
 
     def learned_state(self, initial: InitialList, known: dict[str, int]) -> dict[str, Any] | None:
         """The learned state by index, or None if there is none or it is invalid. `known`: indices by id."""
--- a/shedgrade/sidecar/lifecycle/sidecar.py
+++ b/shedgrade/sidecar/lifecycle/sidecar.py
@@ -269,7 +269,7 @@
         if initial is not None:
             pool.set_list_source("saved")
             indices = pool.reader.indices.by_id
-            for level, names in initial.doubted.items():
+            for level, names in initial.unverified.items():
                 rows = [indices[name] for name in names]
                 pool.dispatcher.mark_unverified(rows, saved.config.trust.ends, level == "last resort")
             learned = saved.learned_state(initial, indices)
--- a/tests/sidecar/capture/test_replay.py
+++ b/tests/sidecar/capture/test_replay.py
@@ -14,7 +14,7 @@
 from shedgrade.sidecar.capture.explanation import explain, find_rpcs
 from shedgrade.sidecar.capture.recorder import RESUME_DELAY, hash_id
 from shedgrade.sidecar.capture.replay import Replay
-from shedgrade.sidecar.capture.rows import KIND, TAKE
+from shedgrade.sidecar.capture.rows import ADMIT, KIND
 from shedgrade.sidecar.capture.shortening import outcome, shorten
 from shedgrade.sidecar.capture.state import StateError, freeze, thaw
 
@@ -40,7 +40,7 @@
     records = World(3, checkpoint=2_000).run(300)
     for record in records:
         if record["k"] == "rows":
-            record["r"] = [row[:-1] if row[0] == TAKE else row for row in record["r"]]
+            record["r"] = [row[:-1] if row[0] == ADMIT else row for row in record["r"]]
     assert replay_without_difference(records).calls > 500
     older = next(record for record in records if record["k"] == "state")
     with pytest.raises(StateError, match="^state of version 1$"):
@@ -54,7 +54,7 @@
     world.balancer.list_changed(
         world.now, [row(up, up % 2, load_balancing.DRAINING) for up in (0, 1)], False, True
     )
-    world.balancer.save(world.now)
+    world.balancer.take_checkpoint(world.now)
     records = world.run(1500)
     assert world.ring.dropped and records[0]["k"] == "state"
     assert replay_without_difference(records).calls > 10
@@ -73,7 +73,7 @@
             world.now, number % 3, world.now + 9000, False, active_request
         )
         world.apply_decision(active_request, active_request.rpc.decide(world.now))
-    world.balancer.save(world.now)
+    world.balancer.take_checkpoint(world.now)
     state = world.records()[-1]["state"]
     balancer, rpcs = thaw(state, load_balancing)
     assert len(rpcs) == len(world.balancer.live_rpcs) and balancer.in_flight == world.balancer.inner.in_flight
