--- a/benchmarks/quotas.py
+++ b/benchmarks/quotas.py
@@ -185,7 +185,9 @@
         served / max(1, min(wanted, kept * length / 10_000))
         for served, wanted, kept in zip(got, asked, guarantees, strict=True)
     ]
-    late = [debt for debt in pool.repayment.history if debt.paid_at is None or debt.paid_at > debt.due]
+    late = [
+        debt for debt in pool.repayment.debt_history if debt.paid_at is None or debt.paid_at > debt.due_at
+    ]
     return {
         "reserve": reserve / 1000,
         "served a second": round(len(log) / length * 10_000),
@@ -195,10 +197,10 @@
         ],
         "Jain": round(sum(shares) ** 2 / (3 * sum(share**2 for share in shares)), 3),
         "most in 1 s (450)": most_in_any(log, 10_000),
-        "debts kept": len(pool.repayment.history),
+        "debts kept": len(pool.repayment.debt_history),
         "repaid late": len(late),
         "longest until repaid, s (due in 10.5)": max(
-            ((debt.paid_at - debt.at) / 10_000 for debt in pool.repayment.history), default=0
+            ((debt.paid_at - debt.created_at) / 10_000 for debt in pool.repayment.debt_history), default=0
         ),
     }
 
--- a/shedgrade/cli/quota.py
+++ b/shedgrade/cli/quota.py
@@ -109,7 +109,7 @@
     for node in gate.tree.root.walk():
         for account in node.accounts.values():
             if account.children_pool is not None:
-                for debt in account.children_pool.repayment.history:
+                for debt in account.children_pool.repayment.debt_history:
                     print(describe_debt(debt, account.limit))
 
 
@@ -165,6 +165,7 @@
     paid_at = debt.paid_at
     state = f"repaid at {paid_at / 10:.0f} ms" if paid_at is not None else "not yet repaid"
     return (
-        f"{debt.at / 10:.0f} ms: {debt.borrower} owes {debt.lender} {debt.amount} {format_limit(limit)}, "
-        f"due {debt.due / 10:.0f} ms, {state}"
+        f"{debt.created_at / 10:.0f} ms: {debt.borrower} owes {debt.lender} {debt.amount} "
+        f"{format_limit(limit)}, "
+        f"due {debt.due_at / 10:.0f} ms, {state}"
     )
--- a/shedgrade/sidecar/quota/feature.py
+++ b/shedgrade/sidecar/quota/feature.py
@@ -107,7 +107,7 @@
                 "quota debts at the end",
                 debts=len(debts),
                 repaid=sum(debt.paid_at is not None for debt in debts),
-                repaid_late=sum(debt.paid_at is not None and debt.paid_at > debt.due for debt in debts),
+                repaid_late=sum(debt.paid_at is not None and debt.paid_at > debt.due_at for debt in debts),
                 forgiven=sum(debt.forgiven for debt in debts),
             )
         logger.info("quota refusals at the end", by_node=dict(self.gate.refused.most_common(NODES_LOGGED)))
--- a/shedgrade/sidecar/quota/repayment.py
+++ b/shedgrade/sidecar/quota/repayment.py
@@ -28,8 +28,8 @@
         lender, borrower: full names of their nodes.
         key: dimension and window of the limit.
         amount: what the lender was refused.
-        at: when it was refused.
-        due: when the debt is repaid at the latest.
+        created_at: when it was refused.
+        due_at: when the debt is repaid at the latest.
         paid_at: when it was repaid; None until then.
         forgiven: whether it will not be repaid, as a node was removed or has nothing left to repay from.
     """
@@ -38,8 +38,8 @@
     borrower: str
     key: tuple[str, int]
     amount: int
-    at: int
-    due: int
+    created_at: int
+    due_at: int
     paid_at: int | None = None
     forgiven: bool = False
 
@@ -85,23 +85,23 @@
         unscheduled: by borrower, debts that wait for an instalment, the oldest first; no queue is empty.
         running: by borrower, the instalment that it is repaying now.
         outstanding: the sum of what is not yet repaid, scheduled or not.
-        history: the newest debts, repaid and forgiven ones included.
+        debt_history: the newest debts, repaid and forgiven ones included.
     """
 
-    __slots__ = ("pool", "unscheduled", "running", "outstanding", "history")
+    __slots__ = ("pool", "unscheduled", "running", "outstanding", "debt_history")
 
     def __init__(self, pool: "LendingPool") -> None:
         self.pool = pool
         self.unscheduled: dict[Account, deque[UnscheduledDebt]] = {}
         self.running: dict[Account, Instalment] = {}
         self.outstanding = 0
-        self.history: deque[Debt] = deque(maxlen=MAX_DEBT_HISTORY)
+        self.debt_history: deque[Debt] = deque(maxlen=MAX_DEBT_HISTORY)
 
     def add_debt(self, now: int, lender: "Account", borrower: "Account", amount: int) -> Debt:
         """Adds a debt to what the borrower owes, and begins or extends its instalment; returns the debt."""
         due = now + borrower.terms.repay_windows * self.pool.window_length()
         debt = Debt(lender.name, borrower.name, lender.limit.key, amount, now, due)
-        self.history.append(debt)
+        self.debt_history.append(debt)
         borrower.debt += amount
         self.outstanding += amount
         self.unscheduled.setdefault(borrower, deque()).append(UnscheduledDebt(lender, debt, amount))
--- a/shedgrade/sidecar/quota/state.py
+++ b/shedgrade/sidecar/quota/state.py
@@ -99,8 +99,8 @@
         dimension=dimension,
         window=window,
         left=open_debt.amount,
-        at=clocks.to_wall(open_debt.debt.at),
-        due=clocks.to_wall(open_debt.debt.due),
+        at=clocks.to_wall(open_debt.debt.created_at),
+        due=clocks.to_wall(open_debt.debt.due_at),
     )
 
 
@@ -160,7 +160,7 @@
         amount = min(saved.left, borrower.credit_limit - borrower.debt)
         if amount > 0:
             debt = lender.pool.repayment.add_debt(clocks.now, lender, borrower, amount)
-            debt.at = clocks.from_wall(saved.at)
+            debt.created_at = clocks.from_wall(saved.at)
             owed += amount
     return owed
 
--- a/shedgrade/sidecar/quota/tree.py
+++ b/shedgrade/sidecar/quota/tree.py
@@ -269,7 +269,7 @@
         for node in self.root.walk():
             for account in node.accounts.values():
                 if account.children_pool is not None:
-                    yield from account.children_pool.repayment.history
+                    yield from account.children_pool.repayment.debt_history
 
     def apply_share(self) -> None:
         """Applies a changed share at once to the accounts with a guarantee, as siblings keep room for them.
--- a/tests/sidecar/quota/test_lending.py
+++ b/tests/sidecar/quota/test_lending.py
@@ -74,7 +74,7 @@
         now += gap
         expected = reference.admits(now, name, amount, pool.conforms(account(nodes[name]).loan_rate, now))
         paced = pool.pacing.must_yield(now, account(nodes[name]))
-        debt_count = len(pool.repayment.history)
+        debt_count = len(pool.repayment.debt_history)
         decision = tree.admit(now, nodes[name], {"requests": amount})
         if isinstance(decision, Ticket):
             assert expected
@@ -86,8 +86,8 @@
             assert not expected or paced
             if not (expected and paced):
                 heaviest_borrower = (
-                    pool.repayment.history[-1].borrower.split("/")[1]
-                    if len(pool.repayment.history) > debt_count
+                    pool.repayment.debt_history[-1].borrower.split("/")[1]
+                    if len(pool.repayment.debt_history) > debt_count
                     else None
                 )
                 if decision.within_entitlement:
@@ -95,10 +95,12 @@
         assert pool.unused == sum(reference.unused(now, one) for one in children)
         assert pool.reserved == sum(reference.reserved(now, one) for one in children)
         tree.root.check_invariants()
-        assert [debt.amount for debt in pool.repayment.history] == [
+        assert [debt.amount for debt in pool.repayment.debt_history] == [
             debt["amount"] for debt in reference.debts
         ]
-        assert [debt.paid_at for debt in pool.repayment.history] == [debt["paid"] for debt in reference.debts]
+        assert [debt.paid_at for debt in pool.repayment.debt_history] == [
+            debt["paid"] for debt in reference.debts
+        ]
 
 
 @settings(max_examples=200, deadline=None)
@@ -122,7 +124,7 @@
         assert sum(start <= at < start + WINDOW_LENGTH for at in log) <= 100
     pool.advance(now + (REPAY_WINDOWS + 1) * (WINDOW_LENGTH + SLOT_LENGTH))
     assert not pool.repayment.outstanding and not pool.repayment.running and not pool.repayment.unscheduled
-    assert all(debt.paid_at <= debt.due for debt in pool.repayment.history)
+    assert all(debt.paid_at <= debt.due_at for debt in pool.repayment.debt_history)
 
 
 def test_a_lender_that_resumes_while_all_is_lent_has_its_entitlement_after_one_window_and_is_repaid():
@@ -139,9 +141,9 @@
     b, a = account(nodes["b"]), account(nodes["a"])
     assert b.entitlement() == 20 and a.entitlement() == 80
     assert spend(tree, nodes["b"], 100, later) <= 20 and spend(tree, nodes["a"], 100, later) == 80
-    pool.advance(pool.repayment.history[0].due)
+    pool.advance(pool.repayment.debt_history[0].due_at)
     assert not pool.repayment.outstanding and b.entitlement() == 40 and a.entitlement() == 60
-    assert all(one.paid_at <= one.due for one in pool.repayment.history)
+    assert all(one.paid_at <= one.due_at for one in pool.repayment.debt_history)
 
 
 def test_a_refusal_at_a_full_parent_first_ends_an_instalment_that_is_over():
@@ -167,7 +169,7 @@
         spend(tree, nodes["b"], 5, now)
         if step >= 100 and step % 2 == 0:
             refused += 1 - spend(tree, nodes["a"], 1, now)
-    assert refused == 0 and not account(tree.root).children_pool.repayment.history
+    assert refused == 0 and not account(tree.root).children_pool.repayment.debt_history
 
 
 def test_nothing_is_lent_without_a_guarantee_to_repay_from_or_by_a_non_lender():
