--- a/shedgrade/sidecar/capture/config.py
+++ b/shedgrade/sidecar/capture/config.py
@@ -27,7 +27,7 @@
     continuous: bool = False
     keep_mb: Annotated[int, Meta(ge=32)] = 256
 
-    def problems(self) -> Iterator[tuple[str, str]]:
+    def find_problems(self) -> Iterator[tuple[str, str]]:
         """Yields (key, reason) for values that the types allow and the capture does not."""
         if not self.folder:
             yield "folder", "is empty"
--- a/shedgrade/sidecar/endpoint_snapshot/config.py
+++ b/shedgrade/sidecar/endpoint_snapshot/config.py
@@ -29,7 +29,7 @@
     state_s: Seconds = 10.0
     trust: TrustConfig = field(default_factory=TrustConfig)
 
-    def problems(self) -> Iterator[tuple[str, str]]:
+    def find_problems(self) -> Iterator[tuple[str, str]]:
         """Yields (key, reason) for each value that the types alone do not rule out."""
         if not self.folder:
             yield "folder", "is empty"
--- a/shedgrade/sidecar/lifecycle/features.py
+++ b/shedgrade/sidecar/lifecycle/features.py
@@ -13,7 +13,7 @@
 from shedgrade.sidecar.capture.config import CaptureConfig
 from shedgrade.sidecar.endpoint_snapshot.config import SavedListConfig
 from shedgrade.sidecar.quota.config import Quota
-from shedgrade.sidecar.quota.config_checks import problems as quota_problems
+from shedgrade.sidecar.quota.config_checks import find_problems as find_quota_problems
 from shedgrade.sidecar.shadow_policy.config import ShadowPolicyConfig
 from shedgrade.sidecar.tunnel.config import PoolTable, ProxyTable, Tunnel, check
 from shedgrade.upstream_pool.errors import ConfigError
@@ -37,7 +37,7 @@
     Raises ConfigError with one line that names the file, the key, what was found and what is allowed.
     """
     features = parse(path, read(path))
-    for key, reason in problems(features):
+    for key, reason in find_problems(features):
         raise ConfigError(f"{path}: {key}: {reason}")
     try:
         check(features.tunnel, features.pools, features.proxies, set(methods))
@@ -66,16 +66,16 @@
         raise ConfigError(f"{path}: {key}: {reason}") from error
 
 
-def problems(features: Features) -> Iterator[tuple[str, str]]:
+def find_problems(features: Features) -> Iterator[tuple[str, str]]:
     """Yields (key, reason) for each problem that the types alone do not rule out."""
     if features.saved is not None:
-        yield from prefixed("saved", features.saved.problems())
+        yield from prefixed("saved", features.saved.find_problems())
     if features.capture is not None:
-        yield from prefixed("capture", features.capture.problems())
+        yield from prefixed("capture", features.capture.find_problems())
     if features.watch is not None:
-        yield from prefixed("watch", features.watch.problems())
+        yield from prefixed("watch", features.watch.find_problems())
     if features.quota is not None:
-        yield from prefixed("quota", quota_problems(features.quota))
+        yield from prefixed("quota", find_quota_problems(features.quota))
 
 
 def prefixed(table: str, found: Iterator[tuple[str, str]]) -> Iterator[tuple[str, str]]:
--- a/shedgrade/sidecar/quota/config_checks.py
+++ b/shedgrade/sidecar/quota/config_checks.py
@@ -9,7 +9,7 @@
 WindowKey = tuple[str, float]  # dimension, window in seconds
 
 
-def problems(quota: Quota) -> Problems:
+def find_problems(quota: Quota) -> Problems:
     """Yields all problems of the table; limits are checked only if no template contains itself."""
     yield from name_problems(quota, quota.tree, "tree")
     for name, template in quota.templates.items():
--- a/shedgrade/sidecar/shadow_policy/config.py
+++ b/shedgrade/sidecar/shadow_policy/config.py
@@ -34,7 +34,7 @@
     settings: dict = field(default_factory=dict)
     every_s: Annotated[float, Meta(ge=1, le=86_400)] = 60.0
 
-    def problems(self) -> Iterator[tuple[str, str]]:
+    def find_problems(self) -> Iterator[tuple[str, str]]:
         """Yields (key, reason) for values that the types allow and the shadow policy does not."""
         for key in SHARED_KEYS:
             if key in self.settings:
