--- a/shedgrade/sidecar/lifecycle/settings_checks.py
+++ b/shedgrade/sidecar/lifecycle/settings_checks.py
@@ -49,12 +49,12 @@
     """
     if not isinstance(settings, dict):
         return Finding("settings", settings, "a table").to_line()
-    return first_line(shape_findings(settings))
+    return first_line(deployment_findings(settings))
 
 
 def required_settings_problem(settings: dict[str, Any]) -> str | None:
     """Returns one line about the first key that is missing or invalid for serving, or None."""
-    return first_line(completeness_findings(settings))
+    return first_line(required_settings_findings(settings))
 
 
 def first_line(findings: Iterator[Finding]) -> str | None:
@@ -66,7 +66,7 @@
 # --- settings that every sidecar needs; times are in ms
 
 
-def completeness_findings(settings: dict[str, Any]) -> Iterator[Finding]:
+def required_settings_findings(settings: dict[str, Any]) -> Iterator[Finding]:
     """Yields findings in the settings that every sidecar needs."""
     for key in REQUIRED_TABLES:
         if not isinstance(settings.get(key), dict):
@@ -124,7 +124,7 @@
 # --- settings that describe the deployment
 
 
-def shape_findings(settings: dict[str, Any]) -> Iterator[Finding]:
+def deployment_findings(settings: dict[str, Any]) -> Iterator[Finding]:
     """Yields findings in the settings that describe the deployment.
 
     `limits.multiplex`: requests that a connection carries at once; above 1, each sidecar uses a subset of the
