--- a/shedgrade/load_balancing/subset_assignment.py
+++ b/shedgrade/load_balancing/subset_assignment.py
@@ -20,9 +20,7 @@
     return bits ^ bits >> 29
 
 
-def assign_subset_rows(
-    ups: list, zones: int, place: int, count: int, near: float, far: float, least: int
-) -> set[tuple]:
+def dealt(ups: list, zones: int, place: int, count: int, near: float, far: float, least: int) -> set[tuple]:
     """Returns the subset of `ups` that the sidecar numbered `place` of `count` uses.
 
     `ups`: sorted rows (mark, size, zone, ...), those of the sidecar's own zone (`far` 0) or those of all
--- a/shedgrade/load_balancing/subsetting.py
+++ b/shedgrade/load_balancing/subsetting.py
@@ -5,7 +5,7 @@
 """
 
 from .state import BalancerState
-from .subset_assignment import assign_subset_rows
+from .subset_assignment import dealt
 from .upstream import Upstream
 
 SIDECARS_PER_UPSTREAM = 5  # sidecars of its zone that use an upstream: each is then a twentieth of its load
@@ -49,7 +49,7 @@
             kept = [
                 self.upstreams[row[3]]
                 for rows, far, least in ((near, 0.0, least), (far, other, OTHER_ZONES[0]))
-                for row in sorted(assign_subset_rows(rows, zones, number, count, cover, far, least))
+                for row in sorted(dealt(rows, zones, number, count, cover, far, least))
             ]
         for place, zone in enumerate(self.zones):
             zone.ready_count = sum(upstream.zone == place for upstream in ups)
--- a/tests/sidecar/fleet/test_dealing.py
+++ b/tests/sidecar/fleet/test_dealing.py
@@ -3,7 +3,7 @@
 from hypothesis import given, settings
 from hypothesis import strategies as st
 
-from shedgrade.load_balancing.subset_assignment import assign_subset_rows, hash_pair
+from shedgrade.load_balancing.subset_assignment import dealt, hash_pair
 
 ZONES = st.integers(1, 4)
 
@@ -11,9 +11,7 @@
 def own_zone_subsets(ups, zones, sidecars, near, minimum, numbers=None):
     """Returns the subset of the own zone for each sidecar; sidecar numbers go round the zones."""
     return [
-        assign_subset_rows(
-            [up for up in ups if up[2] == number % zones], zones, number, sidecars, near, 0.0, minimum
-        )
+        dealt([up for up in ups if up[2] == number % zones], zones, number, sidecars, near, 0.0, minimum)
         for number in (numbers or range(sidecars))
     ]
 
@@ -73,4 +71,4 @@
     assert uses[4] > 2 * sum(uses) / 32
     alike = [(7, 1.0, 0, number) for number in range(12)]
     assert all(len(subset) >= 3 for subset in own_zone_subsets(alike, 1, 40, 5.0, 3))
-    assert assign_subset_rows([], 3, 1, 9, 5.0, 0.0, 3) == set()
+    assert dealt([], 3, 1, 9, 5.0, 0.0, 3) == set()
