--- a/benchmarks/choice.py
+++ b/benchmarks/choice.py
@@ -62,7 +62,7 @@
     kind: Kind
     edge: int
     came: float
-    wants: RoutingConstraints
+    constraints: RoutingConstraints
     work: Work
     rpc: object = None
     engine: int = -1
@@ -91,13 +91,13 @@
 
 
 class Told:
-    """The record and the loads as edges learn them: what one saw, all know a while later."""
+    """The record and the loads as edges learn them: what one recorded, all know a while later."""
 
     def __init__(self) -> None:
         self.now = 0.0
         self.seen: dict[int, dict[int, float]] = defaultdict(dict)
 
-    def saw(self, key: int, mark: int) -> None:
+    def record_holder(self, key: int, mark: int) -> None:
         self.seen[key].setdefault(mark, self.now)
 
     def holders(self, key: int) -> dict[int, float]:
@@ -109,7 +109,7 @@
 class Tag:
     """What the handle of a request refers to."""
 
-    wants: RoutingConstraints
+    constraints: RoutingConstraints
 
 
 class Fleet:
@@ -137,10 +137,10 @@
         self.out: set[int] = set()
 
     def edge(self, number: int) -> ServingBalancer:
-        repeats = RetryBudget(0.2, 100.0, 10 * TICKS)
-        repeats.sidecar_count = self.edges
+        retry_budget = RetryBudget(0.2, 100.0, 10 * TICKS)
+        retry_budget.sidecar_count = self.edges
         seed, own = self.random.getrandbits(32), number % len(self.names)
-        balancer = ServingBalancer(self.names, own, seed, 0, repeats, f"edge-{number}")
+        balancer = ServingBalancer(self.names, own, seed, 0, retry_budget, f"edge-{number}")
         balancer.sidecar_count = self.edges
         balancer.prefix_index = self.told
         balancer.set_slots(self.settings.slots)
@@ -230,13 +230,13 @@
         own = drawn(random, *kind.own)
         events = drawn(random, *kind.events, most=4)
         homes = frozenset(self.names.index(name) for name in kind.homes) or None
-        wants = RoutingConstraints(
+        constraints = RoutingConstraints(
             homes,
             f"{parts[0][0]},{parts[1][0]}".encode(),
             2 if kind.resumable else 1,
             int(kind.aim_s * TICKS),
-            tokens=shared + own,
-            shared=shared,
+            prompt_tokens=shared + own,
+            prefix_tokens=shared,
         )
         work = Work(
             shared + own,
@@ -246,7 +246,7 @@
             deadline=now + kind.deadline_s,
         )
         edge = region + len(self.names) * random.randrange(self.edges // len(self.names))
-        one = Try(kind, edge, now, wants, work)
+        one = Try(kind, edge, now, constraints, work)
         result = self.outcomes[kind.name]
         result.asked += 1
         size = 0.3 + 0.7 * min(4.0, (shared + own + 10 * work.out) / mean_size(kind, self.settings.stride))
@@ -261,7 +261,7 @@
                 int(now * TICKS),
                 IDEMPOTENT if kind.resumable else ONCE,
                 int((now + kind.deadline_s) * TICKS),
-                tag=Tag(wants),
+                tag=Tag(constraints),
             )
             index, _ = one.rpc.decide(int(now * TICKS))
             if index < 0:
@@ -285,7 +285,7 @@
             waits = max(0, len(engine.jobs) + 1 - self.settings.slots)
             return 2 * far + (unread + ahead) / self.settings.prefill_per_s + 0.01 * len(engine.jobs) + waits
 
-        homes = one.wants.home_regions
+        homes = one.constraints.home_regions
         return min(
             (
                 index
--- a/benchmarks/system.py
+++ b/benchmarks/system.py
@@ -114,8 +114,8 @@
     )
     clock, budget = Clock(), Budget(4000, 300)
 
-    def make_pool(name, repeats):
-        return ServicePool(name, state.regions, "region-0", 7, loop, clock, budget, repeats, "edge-1")
+    def make_pool(name, retry_budget):
+        return ServicePool(name, state.regions, "region-0", 7, loop, clock, budget, retry_budget, "edge-1")
 
     state = State(settings, loop.time, make_pool)
     return state
@@ -213,7 +213,10 @@
             ("shared parts", [b"%08x:900" % number for number in range(1000)]),
         ):
             random, flight, now = Random(1), [], 1
-            tags = [SimpleNamespace(wants=RoutingConstraints(key=key, most=2)) for key in keys]
+            tags = [
+                SimpleNamespace(constraints=RoutingConstraints(prefix_key=key, max_attempts=2))
+                for key in keys
+            ]
 
             def one(b=balancer, random=random, flight=flight, tags=tags):
                 nonlocal now
--- a/shedgrade/dataplane/ingress.py
+++ b/shedgrade/dataplane/ingress.py
@@ -26,9 +26,9 @@
         """The client has disconnected."""
         active_request.service.dispatcher.client_disconnected(active_request)
 
-    def body_received(self, active_request: Exchange, here: bool, whole: bool) -> None:
+    def body_received(self, active_request: Exchange, buffered: bool, complete: bool) -> None:
         """More of a long request's body was received; see `RequestEvents`."""
-        active_request.service.dispatcher.body_received(active_request, here, whole)
+        active_request.service.dispatcher.body_received(active_request, buffered, complete)
 
 
 class IngressConnection(InboundConnection):
@@ -87,7 +87,7 @@
             self.reject_and_close(400)
             return
         # Guards against work for a client that left while its request was unread in a stall of this process.
-        if front.stalled() and self.has_left():
+        if front.recently_stalled() and self.has_disconnected():
             self.close()
             return
         forwarded = [
@@ -109,7 +109,7 @@
         """
         front = self.front
         service = front.service_of(route)
-        if service is None or not front.room_for(len(request)):
+        if service is None or not front.can_buffer(len(request)):
             self.exhausted(front.retry_after_ticks())
             return
         usage = token_usage(named_headers.get(b"token-usage"))
@@ -133,7 +133,7 @@
         self.active_request = active_request
         self.current_exchange = active_request
         if request.flow is not None:
-            request.flow.lost = lambda: service.dispatcher.body_received(
+            request.flow.on_replay_lost = lambda: service.dispatcher.body_received(
                 active_request, False, not active_request.is_body_incomplete
             )
         service.dispatcher.submit(active_request, route.method, wait_ms, False)
@@ -150,41 +150,43 @@
         request's body is no longer buffered."""
         previous = self.current_exchange
         remaining_ms = (previous.deadline - self.front.clock.now()) // 10
-        attempts = previous.rpc.attempts_arrived if previous.rpc is not None else previous.wants.max_attempts
+        attempts = (
+            previous.rpc.attempts_arrived if previous.rpc is not None else previous.constraints.max_attempts
+        )
         retry_budget = previous.service.retry_budget
         if (
             self.transport is None
             or self.transport.is_closing()
             or remaining_ms < MIN_RESUME_MS
             or (
-                attempts >= previous.wants.max_attempts
+                attempts >= previous.constraints.max_attempts
                 or previous.request.flow is not None
                 or not retry_budget.allows_retry(self.front.clock.now())
             )
         ):
             return False
-        wants, request = previous.wants, previous.request
+        constraints, request = previous.constraints, previous.request
         tried_upstreams = {up.index for up in previous.rpc.attempts}
         headers = [pair for pair in request.headers if pair[0].lower() != b"last-event-id"]
         if last_id is None:
             headers = request.headers
         else:
             headers.append((b"Last-Event-Id", last_id))
-        constraints = RoutingConstraints(
-            wants.home_regions,
-            wants.prefix_key,
-            wants.max_attempts,
-            wants.latency_target,
-            wants.excluded_upstreams | tried_upstreams,
+        next_constraints = RoutingConstraints(
+            constraints.home_regions,
+            constraints.prefix_key,
+            constraints.max_attempts,
+            constraints.latency_target,
+            constraints.excluded_upstreams | tried_upstreams,
             attempts,
-            wants.prompt_tokens,
-            wants.prefix_tokens,
+            constraints.prompt_tokens,
+            constraints.prefix_tokens,
         )
         next_leg = Exchange(
             previous.client,
             Request(request.name, request.verb, request.target, headers, request.body),
             previous.service,
-            constraints,
+            next_constraints,
             True,
             previous.priority,
             previous.deadline,
@@ -202,10 +204,10 @@
         else:
             self.answer(502)
 
-    def flowing(self, answer: Answer) -> None:
+    def response_flow_started(self, answer: Answer) -> None:
         """Starts to forward a response while it is received."""
         self.events_written, self.current_exchange.response_started_at = 0, self.front.clock.now()
-        super().flowing(answer)
+        super().response_flow_started(answer)
 
     def write(self, *pieces: bytes) -> bool:
         """Writes to the client, and counts the events of a stream."""
@@ -231,7 +233,7 @@
                 (exchange.response_started_at - exchange.received_at) / TICKS,
                 (now - exchange.response_started_at) / TICKS,
                 self.events_written,
-                exchange.wants.prompt_tokens,
+                exchange.constraints.prompt_tokens,
             )
 
 
@@ -244,7 +246,12 @@
         shared_parts(named_headers.get(b"prompt-prefix")) if route.route.session_affinity else (b"", 0)
     )
     return RoutingConstraints(
-        route.home_regions, key, route.max_attempts, route.latency_target, tokens=tokens, shared=shared
+        route.home_regions,
+        key,
+        route.max_attempts,
+        route.latency_target,
+        prompt_tokens=tokens,
+        prefix_tokens=shared,
     )
 
 
--- a/shedgrade/http/inbound_connection.py
+++ b/shedgrade/http/inbound_connection.py
@@ -3,7 +3,7 @@
 import asyncio
 import select
 
-from shedgrade.buffers.flow import QUEUE_BYTES_UNDER_PRESSURE, Flow, nothing
+from shedgrade.buffers.flow import QUEUE_BYTES_UNDER_PRESSURE, Flow, no_op
 from shedgrade.http.message_grammar import Headers
 from shedgrade.http.request_parser import InboundFront, RequestError
 from shedgrade.http.response_writer import ResponseWriter
@@ -70,10 +70,10 @@
             self.front.dispatcher.client_disconnected(self.active_request)
             self.active_request = None
         if self.request_flow is not None:
-            self.request_flow.room = nothing
+            self.request_flow.on_space = no_op
             self.request_flow.break_off()
         if self.response_flow is not None:
-            self.response_flow.news = nothing
+            self.response_flow.on_data = no_op
             self.response_flow.discard()
         self.request_flow = None
         self.response_flow = None
@@ -91,7 +91,7 @@
             self.unanswered() or self.request_begun or self.incoming or unread_in_kernel(self.transport)
         )
 
-    def has_left(self) -> bool:
+    def has_disconnected(self) -> bool:
         """Whether the client has disconnected, also if its FIN or reset is still unread in the kernel."""
         if self.transport.is_closing():
             return True
@@ -192,7 +192,7 @@
         if self.reading:
             return
         if self.lingering:
-            self.used(len(self.incoming))
+            self.consume(len(self.incoming))
             return
         self.reading = True
         while True:
@@ -219,7 +219,7 @@
     def parse(self, part: memoryview) -> None:
         """Parses bytes of the incoming ring, and starts what does not need the complete request."""
         self.feed(part)
-        self.used(len(part))
+        self.consume(len(part))
         if (
             self.request_flow is not None
             and self.parsed_requests
@@ -266,7 +266,7 @@
         assert flow is not None
         self.request_flow = None
         self.active_request = None
-        flow.room = nothing
+        flow.on_space = no_op
         flow.break_off()
         if active_request is not None:
             self.front.dispatcher.client_disconnected(active_request)
@@ -279,7 +279,7 @@
         self.add_to_budget(-self.budgeted_bytes)
         flow = Flow(self.front.budget, body)
         self.request_flow = flow
-        flow.room = self.schedule_resume
+        flow.on_space = self.schedule_resume
         self.note_progress(self.bytes_received, self.front.loop.time())
         self.expects_continue = False
         self.take_request(self.parser.get_method(), self.target, self.headers, b"", flow)
@@ -298,7 +298,7 @@
         self.resume_scheduled = False
         if self.parser is None:
             return
-        if self.request_flow is not None and not self.request_flow.discarding and self.has_left():
+        if self.request_flow is not None and not self.request_flow.discarding and self.has_disconnected():
             # Guards against useless work: the rest of a long request is here, but its client has left.
             self.close()
             return
@@ -319,7 +319,7 @@
         """Called when the last byte of a long request has come."""
         if self.active_request is not None and self.active_request.request.flow is flow:
             flow.end()
-            self.front.dispatcher.body_received(self.active_request, flow.taken is not None, True)
+            self.front.dispatcher.body_received(self.active_request, flow.replay_chunks is not None, True)
         elif not self.flushing and self.response_flow is None:
             self.front.loop.call_soon(self.resume_or_close)
 
--- a/shedgrade/http/request_parser.py
+++ b/shedgrade/http/request_parser.py
@@ -8,7 +8,7 @@
 import httptools
 
 from shedgrade.buffers.budget import Budget
-from shedgrade.buffers.flow import SMALL_MESSAGE_BYTES, Flow, nothing
+from shedgrade.buffers.flow import SMALL_MESSAGE_BYTES, Flow, no_op
 from shedgrade.http.connection import Connection
 from shedgrade.http.message_grammar import (
     MAX_BODY_BYTES,
@@ -61,10 +61,10 @@
     def client_disconnected(self, active_request: ActiveRequest) -> None:
         """Reports that the client has disconnected, or that the request will not be complete."""
 
-    def body_received(self, active_request: ActiveRequest, here: bool, whole: bool) -> None:
+    def body_received(self, active_request: ActiveRequest, buffered: bool, complete: bool) -> None:
         """Reports progress of a long request.
 
-        `here`: all its bytes are still buffered; `whole`: its last byte has come.
+        `buffered`: all its bytes are still buffered; `complete`: its last byte has come.
         """
 
 
@@ -80,19 +80,19 @@
     def opened(self, connection: object) -> None:
         """Reports an open connection."""
 
-    def used(self, connection: object) -> None:
+    def response_sent_on(self, connection: object) -> None:
         """Reports a response on a connection."""
 
     def closed(self, connection: object) -> None:
         """Reports a lost connection."""
 
-    def crowded(self) -> bool:
+    def closes_after_response(self) -> bool:
         """Whether connections close after their next response, as there are too many."""
 
-    def room_for(self, count: int) -> bool:
+    def can_buffer(self, count: int) -> bool:
         """Whether there is memory for a request of `count` bytes."""
 
-    def stalled(self) -> bool:
+    def recently_stalled(self) -> bool:
         """Whether this process was stalled a moment ago."""
 
 
@@ -271,5 +271,5 @@
         self.request_flow = None
         self.closing = self.closing or last
         self.reset_request()
-        flow.room = nothing
+        flow.on_space = no_op
         self.flow_complete(flow)
--- a/shedgrade/model_routing/request.py
+++ b/shedgrade/model_routing/request.py
@@ -4,7 +4,7 @@
 from shedgrade.load_balancing.rpc import Rpc
 from shedgrade.load_balancing.upstream import Upstream
 from shedgrade.load_balancing.zones import Zone
-from shedgrade.prefix_cache_index import prefix_key
+from shedgrade.prefix_cache_index import prefix_key as prefix_id_of
 
 IDEMPOTENT, ONCE = range(2)  # the two methods: may run several times, or at most once per try of a client
 NOT_DELIVERED = (UNSENT, UNCONNECTED)  # outcomes after which the upstream has received nothing of the request
@@ -38,24 +38,24 @@
 
     def __init__(
         self,
-        homes: frozenset[int] | None = None,
-        key: bytes = b"",
-        most: int = 1,
-        target: int = 10_000,
-        avoid: frozenset[int] = frozenset(),
-        before: int = 0,
-        tokens: int = 0,
-        shared: int = 0,
+        home_regions: frozenset[int] | None = None,
+        prefix_key: bytes = b"",
+        max_attempts: int = 1,
+        latency_target: int = 10_000,
+        excluded_upstreams: frozenset[int] = frozenset(),
+        earlier_attempts: int = 0,
+        prompt_tokens: int = 0,
+        prefix_tokens: int = 0,
     ) -> None:
-        self.home_regions = homes
-        self.prefix_key = key
-        self.max_attempts = most
-        self.latency_target = target
-        self.excluded_upstreams = avoid
-        self.earlier_attempts = before
-        self.prompt_tokens = tokens
-        self.prefix_tokens = shared
-        self.prefix_id = prefix_key(key) if key else 0  # the prefix index's key
+        self.home_regions = home_regions
+        self.prefix_key = prefix_key
+        self.max_attempts = max_attempts
+        self.latency_target = latency_target
+        self.excluded_upstreams = excluded_upstreams
+        self.earlier_attempts = earlier_attempts
+        self.prompt_tokens = prompt_tokens
+        self.prefix_tokens = prefix_tokens
+        self.prefix_id = prefix_id_of(prefix_key) if prefix_key else 0  # the prefix index's key
 
 
 class ServingRpc(Rpc):
@@ -72,7 +72,7 @@
     def __init__(
         self, balancer, method, now: int, deadline: int, retry: bool, tag: object, tenant: int
     ) -> None:
-        self.attempts_arrived = tag.wants.earlier_attempts
+        self.attempts_arrived = tag.constraints.earlier_attempts
         self.rejections = 0
         self.prefill_load = 0
         self.overloaded_region: int | None = None
@@ -81,12 +81,12 @@
     def set_deadlines(self, now: int, deadline: int, retry: bool = False) -> None:
         """Sets its deadlines; the latency target is the soft deadline."""
         self.arrived_at = now
-        self.soft_deadline_at = min(now + self.tag.wants.latency_target, deadline)
+        self.soft_deadline_at = min(now + self.tag.constraints.latency_target, deadline)
         self.answer_by = deadline - self.balancer.deadline_margin
 
     def may_use_zone(self, zone: Zone) -> bool:
         """Returns whether it is a home region with usable upstreams, and not the overloaded one."""
-        homes = self.tag.wants.home_regions
+        homes = self.tag.constraints.home_regions
         return (
             bool(zone.rotation)
             and zone.number != self.overloaded_region
@@ -95,10 +95,10 @@
 
     def may_send_to(self, upstream: Upstream, now: int) -> bool:
         """Returns whether the upstream is in a home region and no earlier leg of the stream ran on it."""
-        wants = self.tag.wants
+        constraints = self.tag.constraints
         return (
-            (wants.home_regions is None or upstream.zone in wants.home_regions)
-            and upstream.index not in wants.excluded_upstreams
+            (constraints.home_regions is None or upstream.zone in constraints.home_regions)
+            and upstream.index not in constraints.excluded_upstreams
             and (super().may_send_to(upstream, now))
         )
 
@@ -110,7 +110,7 @@
         is_retry = self.attempts_arrived > 0
         if (
             now >= self.answer_by
-            or self.attempts_arrived >= self.tag.wants.max_attempts
+            or self.attempts_arrived >= self.tag.constraints.max_attempts
             or len(self.attempts) >= balancer.max_attempts
             or (self.body_buffered is False and self.attempts)
             or (self.first_possibly_executed() is not None and not self.method.idempotent)
@@ -125,7 +125,7 @@
         balancer = self.balancer
         balancer.retry_budget.record_sent(now, is_retry)
         self.attempts_arrived += 1
-        self.prefill_load = balancer.prefill_load(upstream, self.tag.wants)
+        self.prefill_load = balancer.prefill_load(upstream, self.tag.constraints)
         balancer.add_load(upstream, 1, self.prefill_load)
         self.outstanding[len(self.attempts)] = max(1, upstream.in_flight)
         upstream.last_used_at = now
@@ -144,7 +144,7 @@
         elif outcome in (REJECTED, BROKEN):
             self.rejections += 1
         elif outcome == COMPLETED:
-            self.balancer.served(now, self.attempts[attempt], self.tag.wants)
+            self.balancer.served(now, self.attempts[attempt], self.tag.constraints)
         return super().attempt_finished(now, attempt, outcome, duration, answered, first_on_connection)
 
     def prefill_finished(self, attempt: int) -> None:
@@ -162,5 +162,7 @@
         self.hedge_at = None
         for attempt in self.outstanding:
             self.prefill_finished(attempt)
-            if self.tag.wants.prefix_key:
-                self.balancer.prefix_index.saw(self.tag.wants.prefix_id, self.attempts[attempt].id_hash)
+            if self.tag.constraints.prefix_key:
+                self.balancer.prefix_index.record_holder(
+                    self.tag.constraints.prefix_id, self.attempts[attempt].id_hash
+                )
--- a/shedgrade/sidecar/lifecycle/hot_restart.py
+++ b/shedgrade/sidecar/lifecycle/hot_restart.py
@@ -90,8 +90,8 @@
         """Applies the state of the older process, the endpoint list first: only the list can be rejected."""
         sidecar, pool = self.sidecar, self.sidecar.pool
         if state.endpoint_list is not None:
-            pool.listed(state.endpoint_list, asked=False)
-            pool.take_over("the older process")
+            pool.apply_list_message(state.endpoint_list, asked=False)
+            pool.set_list_source("the older process")
         if state.learned is not None:
             self.restore_learned(state.learned)
         for upstream_id in state.disabled:
@@ -205,11 +205,11 @@
         pool = self.sidecar.pool
         reader = pool.reader
         endpoint_list = None
-        if pool.listed_once:
+        if pool.has_list:
             endpoint_list = {
                 "generation": reader.version or 0,
                 "reset": True,
-                "instances": list(reader.told.values()),
+                "instances": list(reader.known_entries.values()),
             }
         learned = to_disk(
             pool.dispatcher.export(), reader.indices.ids, list(reader.zones), list(reader.kinds)
--- a/shedgrade/sidecar/lifecycle/sidecar.py
+++ b/shedgrade/sidecar/lifecycle/sidecar.py
@@ -100,7 +100,7 @@
 
     def is_ready(self) -> bool:
         """Returns what `/up` reports: whether clients should use this sidecar."""
-        return self.phase is Phase.SERVING and self.pool.listed_once
+        return self.phase is Phase.SERVING and self.pool.has_list
 
     def is_draining(self) -> bool:
         """Returns whether responses close their connections, so that clients go to another sidecar."""
@@ -108,7 +108,7 @@
 
     def accepts_clients(self) -> bool:
         """Returns whether this process listens and has an endpoint list, even while it stands by."""
-        return self.phase in (Phase.SERVING, Phase.STANDING_BY) and self.pool.listed_once
+        return self.phase in (Phase.SERVING, Phase.STANDING_BY) and self.pool.has_list
 
     def is_standing_by(self) -> bool:
         """Returns whether an operator has drained this sidecar."""
@@ -148,7 +148,7 @@
     def check_invariants(self) -> None:
         """Raises AssertionError if the parts contradict the phase."""
         assert (self.standby.timer is not None) == (self.phase is Phase.STANDING_BY)
-        assert (self.shutdown.conclude_at > 0) <= (self.phase in (Phase.DRAINING, Phase.CLOSED))
+        assert (self.shutdown.final_answers_at > 0) <= (self.phase in (Phase.DRAINING, Phase.CLOSED))
         self.hot_restart.check_invariants()
 
     # --- from start to exit
@@ -164,7 +164,7 @@
         self.apply_configured_list()
         self.listener = self.listen(self.config.listen, self.front, RpcConnection, listening_socket)
         self.start_admin()
-        self.pool.follow(self.config.discovery)
+        self.pool.watch_discovery(self.config.discovery)
         for feature in self.features:
             feature.start()
         self.listener.resume()
@@ -185,7 +185,7 @@
             self.admin_listener.close()
         if self.admin is not None:
             self.admin.close()
-        self.pool.unfollow()
+        self.pool.stop_watching()
         for feature in self.features:
             feature.close()
         if self.pool.saved is not None:
@@ -235,7 +235,7 @@
         """Runs the periodic checks of all parts of the sidecar, every TICK_INTERVAL_S."""
         if self.phase is Phase.CLOSED:
             return
-        self.front.look_after()
+        self.front.check_timeouts()
         if self.admin is not None:
             self.admin.cut_overdue()
         self.hot_restart.tick()
@@ -247,11 +247,11 @@
 
     def apply_configured_list(self) -> None:
         """Applies the list of the configuration file, unless another list is known."""
-        if not self.config.known or self.pool.listed_once:
+        if not self.config.known or self.pool.has_list:
             return
         try:
-            self.pool.listed(self.config.known, asked=False)
-            self.pool.take_over("known")
+            self.pool.apply_list_message(self.config.known, asked=False)
+            self.pool.set_list_source("known")
         except ListError as error:
             logger.warning("configured endpoint list rejected", error=str(error))
 
@@ -264,14 +264,14 @@
         initial = saved.initial_list()
         try:
             if initial is not None:
-                pool.listed(initial.message, asked=False)
+                pool.apply_list_message(initial.message, asked=False)
         except ListError as error:  # for instance, its zones are no longer in the settings
             logger.warning("saved endpoint list rejected", error=str(error))
             initial = None
         if initial is not None:
-            pool.take_over("saved")
+            pool.set_list_source("saved")
             indices = pool.reader.indices.by_id
-            for level, names in initial.doubted.items():
+            for level, names in initial.unverified.items():
                 rows = [indices[name] for name in names]
                 pool.dispatcher.mark_unverified(rows, saved.config.trust.ends, level == "last resort")
             learned = saved.learned_state(initial, indices)
--- a/shedgrade/sidecar/shadow_policy/part.py
+++ b/shedgrade/sidecar/shadow_policy/part.py
@@ -9,7 +9,7 @@
 
 from shedgrade import load_balancing
 from shedgrade.sidecar.lifecycle.feature import Feature
-from shedgrade.sidecar.lifecycle.settings_checks import shape_problem
+from shedgrade.sidecar.lifecycle.settings_checks import deployment_problem
 from shedgrade.sidecar.shadow_policy.config import merge_settings
 from shedgrade.sidecar.shadow_policy.follower import Follower
 from shedgrade.sidecar.shadow_policy.shadow import ShadowedBalancer
@@ -40,7 +40,7 @@
         ConfigError if the settings of the follower are not valid.
         """
         follower_settings = merge_settings(settings, self.config.settings)
-        problem = shape_problem(follower_settings)
+        problem = deployment_problem(follower_settings)
         if problem is None:
             try:
                 Follower(follower_settings, seed, now)
@@ -63,7 +63,7 @@
         sidecar.pool.dispatcher.observers = (*sidecar.pool.dispatcher.observers, self)
         sidecar.features.append(self)
 
-    def after_turn(self, now: int, lag: int) -> None:
+    def after_pass(self, now: int, lag: int) -> None:
         """Logs the differences between the balancer and the follower so far, at most once in `every_s`."""
         if now >= self.log_at:
             self.log_at = now + int(self.config.every_s * SECOND)
--- a/shedgrade/sidecar/tunnel/listener.py
+++ b/shedgrade/sidecar/tunnel/listener.py
@@ -171,7 +171,7 @@
         self.refuse("errored")
         self.finish()
 
-    def has_left(self) -> bool:
+    def has_disconnected(self) -> bool:
         """Whether the client has left, even if the event loop has not noticed. A half-close does not count:
         such a client may still want its tunnel."""
         if self.lost or self.transport.is_closing():
@@ -372,7 +372,9 @@
 
     def grace(self, link: StreamLink) -> float:
         """Seconds after which nothing new may be sent to a draining upstream."""
-        return next(pool.grace for pool in self.pools.values() if pool.connections is link.connections)
+        return next(
+            pool.drain_grace_s for pool in self.pools.values() if pool.connections is link.connections
+        )
 
     def check_all_timeouts(self) -> None:
         """Checks all connections and schedules the next check."""
--- a/tests/load_balancing/test_in_memory.py
+++ b/tests/load_balancing/test_in_memory.py
@@ -68,7 +68,7 @@
     def errored(self):
         self.finals.append("errored")
 
-    def has_left(self):  # never noticed by the dispatcher itself; a reported end is in `left`
+    def has_disconnected(self):  # never noticed by the dispatcher itself; a reported end is in `left`
         return False
 
 
@@ -94,13 +94,13 @@
 
     give_up = stop
 
-    def in_time(self, transmission):
+    def long_response_has_begun(self, transmission):
         return False
 
     def abandon(self, transmission):
         pass
 
-    def silent(self, transmission):
+    def no_response_received(self, transmission):
         pass
 
     def submit_request(self, number, wait):
@@ -245,11 +245,11 @@
         dispatcher=dispatcher,
         budget=Budget(100, 1),
         opened=lambda _: None,
-        used=lambda _: None,
-        room_for=lambda _: True,
+        response_sent_on=lambda _: None,
+        can_buffer=lambda _: True,
         draining=lambda: False,
-        crowded=lambda: False,
-        stalled=lambda: False,
+        closes_after_response=lambda: False,
+        recently_stalled=lambda: False,
         ready=lambda: True,
         closed=lambda _: None,
         loop=SimpleNamespace(time=lambda: 0.0),
--- a/tests/sidecar/fleet/test_dealing.py
+++ b/tests/sidecar/fleet/test_dealing.py
@@ -3,7 +3,7 @@
 from hypothesis import given, settings
 from hypothesis import strategies as st
 
-from shedgrade.load_balancing.subset_assignment import dealt, mixed
+from shedgrade.load_balancing.subset_assignment import dealt, hash_pair
 
 ZONES = st.integers(1, 4)
 
@@ -18,7 +18,7 @@
 
 def upstream_rows(count, zones, seed, size=lambda number: 1.0):
     return sorted(
-        (mixed(seed, number) % 2**32, size(number), number % zones, number) for number in range(count)
+        (hash_pair(seed, number) % 2**32, size(number), number % zones, number) for number in range(count)
     )
 
 
