--- a/shedgrade/sidecar/lifecycle/shutdown.py
+++ b/shedgrade/sidecar/lifecycle/shutdown.py
@@ -28,8 +28,8 @@
 
     Attributes:
         done: set when the process may exit.
-        final_answers_at: when remaining requests are ended with a response, by the loop's clock; 0 before SIGTERM.
-            A reload does not change it: the time of SIGKILL was fixed when SIGTERM was sent.
+        final_answers_at: when remaining requests are ended with a response, by the loop's clock; 0 before
+            SIGTERM. A reload does not change it: the time of SIGKILL was fixed when SIGTERM was sent.
     """
 
     def __init__(self, sidecar: "Sidecar") -> None:
