--- a/benchmarks/choice.py
+++ b/benchmarks/choice.py
@@ -1,10 +1,10 @@
-"""Plays the data plane's choices against simulated engines, without sockets: what a policy is worth.
+"""Runs the data plane's load balancers against simulated engines, without sockets, to compare policies.
 
 Usage: python -m benchmarks.choice SCENE [--seeds N] [--seconds S] [--variant NAME]... [--jobs N]
 
-SCENE: a TOML file, see `benchmarks/scenes/`. Every edge has a real `ServingBalancer`; engines are those of
-`shedgrade.engines`. The variant `one` is no fleet: a single chooser that sees every engine's true state, the
-bound that edges are held against. All figures are simulated.
+SCENE is a TOML file, see `benchmarks/scenes/`. Every edge has a real `ServingBalancer`; the engines are those
+of `shedgrade.engines`. In the variant `one`, a single chooser that sees the true state of every engine
+replaces the edges; its result is the upper bound that the edges are compared with. All figures are simulated.
 """
 
 from __future__ import annotations
@@ -29,15 +29,32 @@
 from shedgrade.model_routing.request import IDEMPOTENT, ONCE, RoutingConstraints
 from shedgrade.model_routing.retry_budget import RetryBudget
 
-TICKS = 10_000  # of the decisions' clock, a second
-RECORD_LAG = 0.7  # s until all edges know what one has seen read
-LOAD_LAG = 0.1  # s by which what edges know of each other's load is old, on the mean
-LOAD_BEAT = 0.1  # s between two words of load
+TICKS = 10_000  # ticks of the balancers' clock per second
+RECORD_LAG = 0.7  # s from a cache entry's observation by one edge until all edges know it
+LOAD_LAG = 0.1  # mean age of the loads that edges know of each other, s
+LOAD_BEAT = 0.1  # interval between two load reports, s
 
 
 @dataclass(frozen=True)
 class Kind:
-    """A kind of request: a second over all regions; s; worth in time and late; tokens as (mean, sigma)."""
+    """A kind of request; its fields are the keys of `[[kinds]]` in a scene.
+
+    Attributes:
+        name: name in the results.
+        per_s: mean rate over all regions, requests per second.
+        aim_s: target time to the first event, s.
+        pause_s: target for the longest pause between two events, s.
+        deadline_s: time after which the engine gives up the request, s.
+        worth: value of a request of mean size that meets both targets.
+        late: factor on `worth` if a target is missed.
+        priority: priority at the engine.
+        own: tokens of the prompt that no other request shares: mean, sigma of the log-normal distribution.
+        head: first shared part of the prompt: mean tokens, sigma, number of different parts.
+        body: second shared part, in the same form.
+        events: number of events of the response: mean, sigma.
+        resumable: whether it may run twice; if so, a second attempt is allowed.
+        homes: regions that the request must stay in; empty: any region.
+    """
 
     name: str
     per_s: float
@@ -48,8 +65,8 @@
     late: float
     priority: int
     own: tuple[float, float]
-    head: tuple[float, float, int]  # first shared part: tokens, sigma, how many there are
-    body: tuple[float, float, int]  # second shared part
+    head: tuple[float, float, int]
+    body: tuple[float, float, int]
     events: tuple[float, float]
     resumable: bool = False
     homes: tuple[str, ...] = ()
@@ -57,7 +74,17 @@
 
 @dataclass
 class Try:
-    """One request under way."""
+    """One request in progress.
+
+    Attributes:
+        came: time of arrival, s.
+        rpc: its state in the edge's balancer; None in the variant `one`.
+        engine: index of the engine; -1 before it is sent.
+        far: one-way delay between the edge and the engine, s.
+        first: time of the first event at the edge, s; 0.0 before it.
+        last: time of the last event at the edge, s.
+        pause: longest pause between two events so far, s.
+    """
 
     kind: Kind
     edge: int
@@ -74,7 +101,16 @@
 
 @dataclass
 class Outcome:
-    """What became of all requests of one kind."""
+    """The results of all requests of one kind.
+
+    Attributes:
+        asked: number of requests.
+        owed: sum of their values.
+        earned: sum of the values of the completed requests, late ones reduced.
+        late: number that completed but missed a target.
+        lost: number that did not complete.
+        firsts: time to the first event of each completed request, s.
+    """
 
     asked: int = 0
     owed: float = 0.0
@@ -85,13 +121,13 @@
 
 
 def drawn(random: Random, mean: float, sigma: float, most: float = 14.0) -> int:
-    """A whole number of a log-normal with this mean."""
+    """Draws a positive integer from a log-normal distribution; it is at most `most` times the mean."""
     value = mean * exp(random.gauss(0.0, sigma) - sigma * sigma / 2)
     return max(1, int(min(value, most * mean)))
 
 
 class Told:
-    """The record and the loads as edges learn them: what one saw, all know a while later."""
+    """A prefix index that all edges share: what one edge records, all see `RECORD_LAG` later."""
 
     def __init__(self) -> None:
         self.now = 0.0
@@ -107,13 +143,13 @@
 
 @dataclass
 class Tag:
-    """What the handle of a request refers to."""
+    """What a balancer reads of a request: its routing constraints."""
 
     wants: RoutingConstraints
 
 
 class Fleet:
-    """One play of a scene."""
+    """One simulated run of a scene."""
 
     def __init__(self, scene: dict, seed: int, variant: str) -> None:
         self.scene, self.random, self.variant = scene, Random(seed), variant
@@ -273,7 +309,7 @@
         self.at(now + one.far, ("send", index, one))
 
     def best(self, now: float, region: int, one: Try) -> int:
-        """The engine at which its first event is to be expected soonest, as one who sees all would choose."""
+        """Returns the engine that should send the first event soonest, from the true state of all."""
 
         def cost(index: int) -> float:
             engine = self.engines[index]
@@ -360,7 +396,7 @@
     # --- what edges know of each other
 
     def share_loads(self, now: float) -> None:
-        """Each edge learns what all others had in flight at each engine a while ago."""
+        """Sends each edge the loads of all other edges; these are `LOAD_LAG` old on average."""
         own = [dict(balancer.own_loads()) for balancer in self.balancers]
         sums: Counter = Counter()
         for loads in own:
