--- a/benchmarks/ablation.py
+++ b/benchmarks/ablation.py
@@ -1,11 +1,11 @@
-"""Switches off one mechanism after another and prints what each is worth: means over seeds, with spread.
+"""Measures what each mechanism of load balancing is worth: runs the program without it, over several seeds.
 
 Usage: python -m benchmarks.ablation SCENE... [--seeds N] [--seconds S] [--jobs N] [--variant NAME]...
        python -m benchmarks.ablation SITE DAY --bench PROGRAM [--seeds N] [--variant NAME]...
 
-With scenes, `benchmarks/choice.py` plays them and all figures are simulated. With `--bench`, the operators'
-bench plays DAY of SITE, one play after another. Each variant of `ablations.toml` is played on a copy of the
-sources of its own; what stands in the working tree is not touched.
+Scenes are simulated by `benchmarks/choice.py`. With `--bench`, the operators' bench plays DAY of SITE, one
+run after another. Each variant of `ablations.toml` is applied to its own copy of the sources; the working
+tree is not changed. The tables show means with their standard errors.
 """
 
 from __future__ import annotations
@@ -31,7 +31,7 @@
 
 @dataclass(frozen=True)
 class Edit:
-    """In `file`, every `find` becomes `put`."""
+    """A replacement of text: in `file`, every `find` becomes `put`."""
 
     file: str
     find: str
@@ -40,7 +40,13 @@
 
 @dataclass(frozen=True)
 class Variant:
-    """One mechanism switched off. `needs`: "choice", or "bench" where only that can show it."""
+    """One mechanism switched off.
+
+    Attributes:
+        name: name of the mechanism.
+        needs: "choice", or "bench" if only the operators' bench shows the effect.
+        edits: the replacements that switch it off.
+    """
 
     name: str
     needs: str
@@ -48,22 +54,26 @@
 
 
 def variants() -> list[Variant]:
-    """As the table says."""
+    """Returns the variants listed in `ablations.toml`."""
     table = tomllib.loads(TABLE.read_text())["variant"]
     return [Variant(one["name"], one["needs"], tuple(Edit(**edit) for edit in one["edits"])) for one in table]
 
 
 def apply(edit: Edit, root: Path) -> None:
-    """ValueError if the text no longer stands there: then the variant would measure nothing."""
+    """Applies an edit to the sources in `root`.
+
+    Raises:
+        ValueError: the file no longer contains the text, so that the variant would measure nothing.
+    """
     path = root / edit.file
     text = path.read_text()
     if edit.find not in text:
-        raise ValueError(f"{edit.file}: {edit.find!r} does not stand there")
+        raise ValueError(f"{edit.file} does not contain {edit.find!r}")
     path.write_text(text.replace(edit.find, edit.put))
 
 
 def copy(variant: Variant | None, folder: Path) -> Path:
-    """The sources with the variant's edits, as a repository of its own, which the bench asks for."""
+    """Copies the sources to `folder` and applies the variant's edits; None applies none. Returns `folder`."""
     for name in COPIED:
         source = ROOT / name
         if source.is_dir():
@@ -76,7 +86,7 @@
 
 
 def played_scene(folder: Path, scene: Path, seed: int, seconds: float) -> dict[str, float]:
-    """One play by `benchmarks.choice` in a process of its own, as the sources differ."""
+    """Runs a scene with the sources in `folder`, in a process of its own; returns its figures by name."""
     program = (
         "import json, sys, tomllib; from benchmarks.choice import play;"
         "scene = tomllib.loads(open(sys.argv[1]).read());"
@@ -88,7 +98,7 @@
 
 
 def played_day(folder: Path, bench: Path, site: Path, day: str, seed: int) -> dict[str, float]:
-    """One play by the operators' bench. Broken rules are counted, so that they stand in the table."""
+    """Runs one day of the operators' bench; returns its figures by name, with the number of broken rules."""
     report = folder / f"report-{seed}.json"
     arguments = [str(bench), "run", str(site), day, "--report", str(report)]
     subprocess.run(
@@ -115,7 +125,10 @@
 
 
 def chosen(names: list[str], needs: tuple[str, ...]) -> dict[str, Variant | None]:
-    """Variants by name, the program as it is first."""
+    """Returns the variants to be measured by name, the unchanged program first.
+
+    Without `names`, these are all variants whose `needs` is in `needs`.
+    """
     wanted = {one.name: one for one in variants() if (one.name in names if names else one.needs in needs)}
     return {AS_IT_IS: None, **wanted}
 
@@ -152,13 +165,13 @@
 
 def main() -> None:
     parser = argparse.ArgumentParser(description=__doc__.splitlines()[0])
-    parser.add_argument("what", nargs="+", help="scenes, or with --bench a site file and a day")
+    parser.add_argument("what", nargs="+", help="scenes; with --bench, a site file and the name of a day")
     parser.add_argument("--bench", type=Path)
     parser.add_argument("--seeds", type=int, default=3)
     parser.add_argument("--seconds", type=float, default=24.0)
     parser.add_argument("--jobs", type=int, default=3)
     parser.add_argument("--variant", action="append", default=[])
-    parser.add_argument("--folder", type=Path, help="where copies are laid; a temporary one otherwise")
+    parser.add_argument("--folder", type=Path, help="parent of the copies; default: the temporary folder")
     options = parser.parse_args()
     with tempfile.TemporaryDirectory(dir=options.folder) as folder:
         (days if options.bench else scenes)(options, Path(folder))
--- a/tests/tools/test_ablations.py
+++ b/tests/tools/test_ablations.py
@@ -19,7 +19,7 @@
 
 def test_a_text_that_is_not_found_is_an_error(tmp_path):
     (tmp_path / "one.py").write_text("a = 1\n")
-    with pytest.raises(ValueError, match="does not stand there"):
+    with pytest.raises(ValueError, match="does not contain"):
         ablation.apply(ablation.Edit("one.py", "b = 1", ""), tmp_path)
 
 
