--- a/benchmarks/absence.py
+++ b/benchmarks/absence.py
@@ -1,6 +1,6 @@
-"""Replicas away for hundreds of changes, by seed, in parallel processes; prints the seeds with findings.
+"""Simulates outages of replicas during hundreds of changes, by seed, and prints the seeds with findings.
 
-python benchmarks/absence.py 200 --tolerated 1 --jobs 2
+Example: python benchmarks/absence.py 200 --tolerated 1 --jobs 2
 """
 
 import argparse
@@ -15,12 +15,12 @@
 
 
 def play(job: tuple[int, int]) -> tuple[int, list[str], int]:
-    """(seed, findings, acknowledged changes)"""
+    """Runs one seed; returns the seed, its findings and the number of acknowledged changes."""
     seed, tolerated = job
     try:
         run = ReplicaOutageRun(seed, tolerated)
         return seed, run.play(), sum(run.history.acknowledged)
-    except Exception:  # a seed that raises is a finding like others
+    except Exception:  # an exception is reported as a finding of its seed
         return seed, [traceback.format_exc()], 0
 
 
--- a/benchmarks/catch_up.py
+++ b/benchmarks/catch_up.py
@@ -1,6 +1,6 @@
-"""A replica that was away catches up while changes go on, in virtual time: a row for each case.
+"""Simulates the catch-up of a returned replica while changes continue; prints a table row per case.
 
-python benchmarks/catch_up.py --interval 0.1 --away 10 100 1000 --sizes 1000 300000 --jobs 2
+Example: python benchmarks/catch_up.py --interval 0.1 --away 10 100 1000 --sizes 1000 300000 --jobs 2
 """
 
 import argparse
@@ -35,21 +35,25 @@
 
 
 HEAD = (
-    "| configuration | link | one way | changes away | disk | links | caught up after | sent until then "
-    "| then behind | sent then | most queued | acknowledged |"
+    "| configuration | link | one-way delay | missed changes | disk | links | caught up after "
+    "| sent until then | lag afterwards | sent afterwards | longest queue | acknowledged |"
 )
 
 
 def main() -> None:
     parser = argparse.ArgumentParser(description=__doc__.split("\n")[0])
     parser.add_argument("--interval", type=float, default=0.1)
-    parser.add_argument("--before", type=int, default=20, help="changes before the replica goes")
+    parser.add_argument("--before", type=int, default=20, help="changes before the replica goes down")
     parser.add_argument("--away", type=int, nargs="+", default=[10, 100, 1000])
     parser.add_argument("--sizes", type=int, nargs="+", default=[1_000, 100_000, 300_000, 2_000_000])
     parser.add_argument("--megabits", type=float, nargs="+", default=[5, 86, 1000])
-    parser.add_argument("--delays", type=float, nargs="+", default=[0.001, 0.035, 0.055], help="seconds")
+    parser.add_argument(
+        "--delays", type=float, nargs="+", default=[0.001, 0.035, 0.055], help="one-way delays, seconds"
+    )
     parser.add_argument("--wiped", action="store_true")
-    parser.add_argument("--cut", type=float, default=None, help="seconds after the return")
+    parser.add_argument(
+        "--cut", type=float, default=None, help="seconds after the return at which its links fail for a while"
+    )
     parser.add_argument("--keys", action="store_true")
     parser.add_argument("--all-links", action="store_true")
     parser.add_argument("--jobs", type=int, default=2)
--- a/benchmarks/crash_points.py
+++ b/benchmarks/crash_points.py
@@ -1,6 +1,6 @@
-"""Power lost at every operation of a day of changes of the store, and again in each recovery, by enumeration.
+"""Simulates a loss of power at every operation on the store's files, and a second one during each recovery.
 
-python benchmarks/crash_points.py 500 --records 16 --second-every 1
+Example: python benchmarks/crash_points.py 500 --records 16 --second-every 1
 """
 
 import argparse
@@ -17,8 +17,10 @@
 def main() -> None:
     parser = argparse.ArgumentParser(description=__doc__.split("\n")[0])
     parser.add_argument("changes", type=int, nargs="?", default=500)
-    parser.add_argument("--records", type=int, default=16, help="of one log, so that slots change often")
-    parser.add_argument("--second-every", type=int, default=1, help="contents left with a second loss")
+    parser.add_argument("--records", type=int, default=16, help="per log; a small limit switches slots often")
+    parser.add_argument(
+        "--second-every", type=int, default=1, help="play a second loss for each n-th disk content"
+    )
     options = parser.parse_args()
     store.MAX_LOG_RECORDS = options.records
     began = time.perf_counter()
@@ -27,8 +29,8 @@
         print(finding)
     took = time.perf_counter() - began
     print(
-        f"{options.changes} changes: {report.first} losses of power, {report.second} second ones in a "
-        f"recovery, {report.deaths} deaths of the process, {len(report.violations)} findings, {took:.1f} s"
+        f"{options.changes} changes: {report.first} losses of power, {report.second} second losses during "
+        f"recovery, {report.deaths} process crashes, {len(report.violations)} findings, {took:.1f} s"
     )
     sys.exit(bool(report.violations))
 
--- a/benchmarks/own_days.py
+++ b/benchmarks/own_days.py
@@ -1,9 +1,10 @@
-"""Prints a day of our own, drawn by seed: hundreds of changes, planned stops beside troubles at any moment.
+"""Prints a test day drawn from a seed: hundreds of configuration changes, planned stops, random faults.
 
 Usage: python -m benchmarks.own_days SITE SEED [LENGTH]
 
-SITE: a site file of the operators' bench, for its zones; LENGTH: s of traffic that the day fills (150). The
-day is a TOML `[[day]]` for the bench's `run`, which plays no more than the site file's `length_s`.
+SITE is a site file of the operators' bench; its zones are used. LENGTH is the duration of the day's traffic,
+in seconds (default 150). The day is a TOML `[[day]]` table for the bench's `run`, which plays no more than
+the site file's `length_s`.
 """
 
 import sys
@@ -11,10 +12,11 @@
 from pathlib import Path
 from random import Random
 
-QUIET_AT_FIRST = 4.0  # s
-QUIET_AT_LAST = 12.0  # s, in which all is to recover
-TROUBLED = (0.0, 0.75, 0.75)  # share of the waves with a fault beside them: some days have planned work only
-ZONE_STOPS = (0.0, 0.3, 1.5)  # s between the planned stops of two zones that belong together
+QUIET_AT_FIRST = 4.0  # s before the first planned stop
+QUIET_AT_LAST = 12.0  # s without new stops at the end, in which the system must recover
+# Share of the waves of stops that have a fault beside them; on some days there are planned stops only.
+TROUBLED = (0.0, 0.75, 0.75)
+ZONE_STOPS = (0.0, 0.3, 1.5)  # s between the planned stops of two zones of one wave
 FAULTS = (
     'kind = "srv_crash", share = 0.17, for_s = 4.5',
     'kind = "srv_crash", share = 0.2, for_s = 5.0, how = "dark"',
@@ -76,13 +78,13 @@
 
 
 def stop_of_zone(random: Random, at: float, zone: str) -> str:
-    """All edges of a zone, at once or in turn."""
+    """Returns the planned stop of all edges of a zone, at once or in turn."""
     at_once, gap = random.choice(((2, 1.0), (1, 0.5), (1, 2.0), (9, 1.0)))
     return entry(at, f'kind = "roll_term", zone = "{zone}", share = 1.0, x = {at_once}, gap_s = {gap}')
 
 
 def planned_stops(random: Random, at: float, zones: list[str]) -> list[str]:
-    """One wave: of one zone, of several beside each other, of all edges in turn, or of the core."""
+    """Returns one wave of planned stops: of one or several zones, all edges in turn, the core, or a mix."""
     kind = random.choice(("zone", "zones", "zones", "all", "core", "zones and core"))
     if kind == "all":
         gap = random.choice((0.5, 1.0, 1.3, 2.0))
@@ -99,7 +101,7 @@
 
 
 def drawn(zones: list[str], seed: int, length: float) -> str:
-    """The day as TOML."""
+    """Returns the day as TOML."""
     random = Random(seed)
     last = length - QUIET_AT_LAST
     gap = random.choice((0.3, 0.5, 0.8))
--- a/benchmarks/replication_seeds.py
+++ b/benchmarks/replication_seeds.py
@@ -1,6 +1,6 @@
-"""Days of the control state by seed, in parallel processes: failing seeds, and times at their percentiles.
+"""Simulates the replicated control state by seed; prints failing seeds and percentiles of latencies.
 
-python benchmarks/replication_seeds.py 1000 --jobs 2 --profile fair --tolerated 1 --first 0
+Example: python benchmarks/replication_seeds.py 1000 --jobs 2 --profile fair --tolerated 1 --first 0
 """
 
 import argparse
@@ -17,12 +17,16 @@
 
 
 def play(job):
-    """(seed, findings, times from a primary's death to the next acknowledgement, times to acknowledge)"""
+    """Runs one seed.
+
+    Returns the seed, its findings, the times from each death of a primary to the next acknowledgement, and
+    the times to acknowledge a write while the core is stable, in seconds.
+    """
     seed, tolerated, profile = job
     try:
         cluster = SimulatedCluster(seed, tolerated, profile)
         wrong = cluster.run_and_check()
-    except Exception:  # a seed that raises is a finding like others
+    except Exception:  # an exception is reported as a finding of its seed
         return seed, [traceback.format_exc()], [], []
     history = cluster.history
     acks = sorted(
@@ -75,8 +79,8 @@
                 failed.append(seed)
                 print(f"seed {seed}: {len(wrong)} findings, first: {wrong[0]}", flush=True)
     print(f"{options.profile}, t={options.tolerated}: {len(failed)} of {len(jobs)} seeds fail")
-    print("death of the primary to the next acknowledgement,", percentiles(deaths))
-    print("acknowledgement while the core is stable,", percentiles(calm))
+    print("time from the primary's death to the next acknowledgement:", percentiles(deaths))
+    print("time to acknowledge while the core is stable:", percentiles(calm))
 
 
 if __name__ == "__main__":
--- a/benchmarks/storage.py
+++ b/benchmarks/storage.py
@@ -1,8 +1,8 @@
-"""Figures of the store on this machine's disk: `python benchmarks/storage.py [FOLDER] [SECONDS]`.
+"""Benchmarks of the store on a disk of this machine: `python benchmarks/storage.py [FOLDER] [SECONDS]`.
 
-A line for each size of value, in a state of three keys: writes a second, how long one takes, bytes handed to
-the disk and syncs for each write, the largest size of the folder, and how long a start takes. FOLDER is where
-a folder of its own is made, the system's temporary one if left out; it decides which disk is measured.
+For each size of value, with three keys in the state, a line shows writes per second, the duration of a write,
+bytes written and syncs per write, the largest size of the folder, and the duration of a start. The store is
+in a new folder below FOLDER, which selects the disk; the default is the system's temporary folder.
 """
 
 import sys
@@ -17,7 +17,7 @@
 
 
 class CountingFiles(Files):
-    """Counts what goes to the disk."""
+    """Counts the bytes written to the disk and the syncs."""
 
     def __init__(self, folder: Path) -> None:
         super().__init__(folder)
@@ -62,7 +62,7 @@
     return (
         f"{size} B: {len(took) / spent:.0f} writes/s, "
         f"median {took[len(took) // 2] * 1000:.2f} ms, p99 {took[len(took) * 99 // 100] * 1000:.2f} ms, "
-        f"{written / len(took):.0f} bytes and {syncs / len(took):.2f} syncs a write, "
+        f"{written / len(took):.0f} bytes and {syncs / len(took):.2f} syncs per write, "
         f"folder up to {largest} bytes, start {start * 1000:.1f} ms"
     )
 
