--- a/benchmarks/capture.py
+++ b/benchmarks/capture.py
@@ -1,9 +1,10 @@
-"""Figures of capture: `python benchmarks/capture.py deploy|cost|calls`. On this machine, loopback.
+"""Benchmarks of capture on loopback: `python benchmarks/capture.py deploy|cost|calls`.
 
-deploy  an overlapping deploy and shrink on real sockets, captured, replayed a hundred times (`TIMES`)
-cost    the daemon's CPU an RPC with capture off, in memory, as files; paired runs (`ROUNDS`, `LANES`)
-calls   the recorder alone, without sockets: CPU an RPC beside the decisions', bytes an RPC, a checkpoint's
-cost
+deploy  captures an overlapping deploy and shrink on real sockets and replays it `TIMES` times (default 100)
+cost    CPU of the sidecar per RPC: capture off, to memory, to files; `ROUNDS` paired runs, `LANES` at a time
+calls   the recorder without sockets: added CPU per RPC, bytes per RPC, cost of a checkpoint
+
+TIMES, ROUNDS and LANES are environment variables.
 """
 
 import os
@@ -66,7 +67,7 @@
 
 
 def drive(balancer, rpcs: int, upstreams: int) -> float:
-    """CPU microseconds an RPC of decisions that are asked as the turn asks them."""
+    """Returns the CPU time per RPC of decisions requested as the sidecar requests them, in microseconds."""
     chance = Random(1)
     balancer.list_changed(
         0,
--- a/benchmarks/door.py
+++ b/benchmarks/door.py
@@ -1,7 +1,8 @@
-"""What is lost at the door when one of two processes stops listening, by way: `python benchmarks/door.py`.
+"""Measures requests lost when one of two processes on a port stops listening: `python benchmarks/door.py`.
 
-Clients connect, send, and read one answer, as fast as they can; the old process looks at its listening
-socket every 5 ms, as a busy loop would, and gives it up after half a second. Prints a line a way.
+Clients connect, send a request and read the answer, as fast as they can. The old process accepts connections
+every 5 ms, like a busy event loop, and closes its listening socket after 0.5 s. Prints a line for each way of
+closing it.
 """
 
 import multiprocessing
@@ -13,7 +14,12 @@
 
 CLIENTS, ROUNDS = 6, 8
 SO_ATTACH_REUSEPORT_CBPF = 51
-WAYS = ("alone", "queue drained", "newcomer steered to, queue drained", "socket handed over")
+WAYS = (
+    "closed without draining",
+    "queue drained",
+    "steered to the new process, queue drained",
+    "socket handed over",
+)
 
 
 def listener(port: int) -> socket.socket:
@@ -26,7 +32,7 @@
 
 
 def steer(made: socket.socket, place: int) -> None:
-    """All new connections go to the group's socket number `place`: a filter of one instruction."""
+    """Sends all new connections to socket `place` of the SO_REUSEPORT group, by a one-instruction filter."""
     code = create_string_buffer(struct.pack("HBBI", 0x06, 0, 0, place))
     program = struct.pack("HL", 1, addressof(code))
     made.setsockopt(socket.SOL_SOCKET, SO_ATTACH_REUSEPORT_CBPF, program)
@@ -45,7 +51,7 @@
 
 
 def serve(made: socket.socket, other: socket.socket, until: float, drains: bool) -> None:
-    other.close()  # a copy that a child keeps would keep the socket open
+    other.close()  # the socket stays open as long as any process has a copy
     while time.monotonic() < until:
         accept_all(made)
         time.sleep(0.005)
@@ -75,12 +81,12 @@
         old = listener(0)
         port = old.getsockname()[1]
         new = old.dup() if way == "socket handed over" else listener(port)
-        if way.startswith("newcomer"):
+        if way.startswith("steered"):
             steer(new, 1)
         begin = time.monotonic()
         counts = [(multiprocessing.Value("i"), multiprocessing.Value("i")) for _ in range(CLIENTS)]
         children = [
-            start(target=serve, args=(old, new, begin + 0.5, way != "alone")),
+            start(target=serve, args=(old, new, begin + 0.5, way != "closed without draining")),
             start(target=serve, args=(new, old, begin + 1.2, True)),
         ]
         children += [start(target=ask, args=(port, (old, new), begin + 1.0, *pair)) for pair in counts]
@@ -98,5 +104,5 @@
 if __name__ == "__main__":
     for way in WAYS:
         lost, asked = run(way)
-        print(f"{way}: {lost} of {asked} lost in {ROUNDS} upgrades")
+        print(f"{way}: {lost} of {asked} requests lost in {ROUNDS} upgrades")
     sys.exit(0)
--- a/benchmarks/move.py
+++ b/benchmarks/move.py
@@ -1,7 +1,7 @@
-"""What deployments of the new shape cost: `python benchmarks/move.py renewal | watch`. One line a figure.
+"""Benchmarks of a large deployment, without sockets: `python benchmarks/move.py renewal|watch`.
 
-renewal: one list whose weights all moved, one change of a single upstream. watch: an RPC decided and ended,
-alone and watched, in pairs. No sockets.
+renewal  time to apply a list in which all weights changed, and one in which a single upstream changed
+watch    CPU of an RPC's decisions with and without a shadow policy, in paired runs
 """
 
 import sys
@@ -75,8 +75,8 @@
             b.list_changed(1, [(*row[:2], flip[0], *row[3:])], False, True)
 
         print(
-            f"{count} upstreams: {whole - alone:.0f} us a renewal of all weights, "
-            f"{timed(change, 200):.0f} us a change of one upstream"
+            f"{count} upstreams: {whole - alone:.0f} us to apply a list with all weights changed, "
+            f"{timed(change, 200):.0f} us with one upstream changed"
         )
 
 
@@ -106,8 +106,8 @@
     plain, watched = world(False), world(True)
     pairs = [(timed(plain, 1) / 200, timed(watched, 1) / 200) for _ in range(30)]
     print(
-        f"{median(a for a, _ in pairs):.1f} us an RPC, {median(b for _, b in pairs):.1f} us watched, "
-        f"{median(b / a for a, b in pairs):.2f} times"
+        f"{median(a for a, _ in pairs):.1f} us per RPC, {median(b for _, b in pairs):.1f} us with a shadow "
+        f"policy, ratio {median(b / a for a, b in pairs):.2f}"
     )
 
 
--- a/benchmarks/parts.py
+++ b/benchmarks/parts.py
@@ -1,9 +1,13 @@
-"""Figures of the dealing: `python benchmarks/parts.py [SIDECARSxUPSTREAMS ...]`. Deals for every sidecar.
+"""Measures the assignment of subsets: `python benchmarks/parts.py [SIDECARSxUPSTREAMS ...]`.
 
-Three zones of equal sizes, sidecars numbered over the zones in turn, connections priced. A line a size:
-sidecars an upstream (least, mean, most), their spread, what one upstream more or less and 5% more sidecars
-move (places that are new among those that were there, in `m` of all or as a share), the least of the own
-own zone, one deal's time.
+Three zones of equal size; the sidecars are numbered over the zones in turn, and connections have a price. The
+subset of every sidecar is computed. A line per size shows:
+
+- sidecars per upstream: minimum, mean and maximum, with their coefficient of variation
+- new connections after one upstream more, one less, or 5% more sidecars, among the sidecars that were there:
+  for upstreams in multiples of m, one upstream's share of all connections; for sidecars as a share of all
+- the minimum number of upstreams of a sidecar's own zone in its subset
+- the time of one assignment
 """
 
 import sys
@@ -22,7 +26,7 @@
 
 
 def rows(upstreams: int, size=lambda number: 1.0) -> list[tuple]:
-    """As a list tells them; marks as ids are hashed."""
+    """Returns the rows of an endpoint list; each has the hash of its id."""
     marks = [int.from_bytes(blake2b(b"s%d" % number, digest_size=4).digest()) for number in range(upstreams)]
     return [
         (number, number % ZONES, load_balancing.READY, 0, 0, marks[number], size(number), 0)
@@ -31,7 +35,7 @@
 
 
 def dealt(sidecars: int, told: list[tuple], numbers: range | None = None) -> list[set[int]]:
-    """By sidecar: the upstreams that it keeps to."""
+    """Returns the subset of each sidecar, as upstream indices."""
     conf, kept = settings(ZONES), []
     balancer = load_balancing.Balancer({**conf, "balancers": sidecars, "prices": {"handshake": 0.08}}, 1, 0)
     balancer.list_changed(0, told, True, True)
@@ -61,10 +65,10 @@
         balancer.assign_subset()
     took = (time.perf_counter() - begun) / 5 * 1e3
     return (
-        f"{sidecars} x {upstreams}: {min(met)}, {fmean(met):.1f}, {max(met)} sidecars an upstream, "
-        f"spread {pstdev(met) / fmean(met):.3f}, most over mean {max(met) / fmean(met):.2f}; one more "
-        f"moves {moved(kept, more) * upstreams:.1f} in m, less {moved(kept, fewer) * upstreams:.1f} in m, "
-        f"5% more sidecars {moved(kept, grown):.3f}; own zone {own} at least; {took:.1f} ms"
+        f"{sidecars} x {upstreams}: {min(met)}, {fmean(met):.1f}, {max(met)} sidecars per upstream, "
+        f"variation {pstdev(met) / fmean(met):.3f}, max/mean {max(met) / fmean(met):.2f}; one upstream more "
+        f"moves {moved(kept, more) * upstreams:.1f} m, one less {moved(kept, fewer) * upstreams:.1f} m, "
+        f"5% more sidecars {moved(kept, grown):.3f}; own zone at least {own}; {took:.1f} ms"
     )
 
 
--- a/benchmarks/quotas.py
+++ b/benchmarks/quotas.py
@@ -1,8 +1,8 @@
-"""Figures of quotas: `python benchmarks/quotas.py flood|cost`. On this machine, loopback.
+"""Benchmarks of quotas on loopback: `python benchmarks/quotas.py flood|lend|cost`.
 
-flood   three organisations behind one sidecar, one flooding, against no quota, flat ones and no lending
-lend    the same three organisations in simulated time, each awake and asleep by chance for five minutes
-cost    CPU of an admission at depth 3 with 10, 1,000 and 50,000 leaves, and memory a leaf (minutes)
+flood   three organisations behind one sidecar, one flooding: without quotas, with flat limits, without lending
+lend    the same three organisations for five minutes of simulated time, two of them active at random times
+cost    CPU of an admission at depth 3 with 10, 1,000 and 50,000 leaves, and memory per leaf; takes minutes
 """
 
 # ruff: noqa: E501
@@ -50,7 +50,7 @@
 
 
 def most_in_any(times: list[float], window: float) -> int:
-    """The most that any interval of this length holds."""
+    """Returns the largest number of times within any interval of length `window`."""
     times, start, most = sorted(times), 0, 0
     for end, at in enumerate(times):
         while times[start] <= at - window:
@@ -61,8 +61,8 @@
 
 def flood(place: Path, lanes: int) -> list[str]:
     rows = [
-        "| variant | ash | oak | flood | served a second | Jain | most in 1 s (limit 450) | in 5 s (2,200) "
-        "| refused after, p99 ms | breaches |",
+        "| variant | ash | oak | flood | served per second | Jain | max in 1 s (limit 450) | in 5 s (2,200) "
+        "| refusal delay, p99 ms | breaches |",
         "|" + " --- |" * 10,
     ]
     found = experiments.series(variants(), 1, place, lanes, lambda line: print(line, file=sys.stderr))
@@ -102,8 +102,10 @@
 
 
 def cost(leaves: int, count: int = 20_000, guaranteed: bool = False) -> dict:
-    """Three levels, two to three limits each on the way down; all leaves have been used once. With
-    `guaranteed`, every chain has a part that its siblings keep for it."""
+    """Measures admissions in a tree of three levels with two or three limits a node; all leaves are in use.
+
+    `guaranteed`: whether siblings reserve a guaranteed part for each chain.
+    """
     kept = 10**6 if guaranteed else 0
     chains = max(1, leaves // 100)
     ceiling = 10**9
@@ -142,15 +144,17 @@
         "leaves": leaves,
         "chains": chains,
         "guaranteed": guaranteed,
-        "us an admission, settled": round((time.process_time() - begun) / count * 1e6, 1),
-        "bytes a leaf, unused": round(empty),
+        "us per admission with settlement": round((time.process_time() - begun) / count * 1e6, 1),
+        "bytes per unused leaf": round(empty),
         "used": round(used),
     }
 
 
 def lend(reserve: int, guarantees: tuple[int, int, int] = (150, 150, 150), length: int = 3_000_000) -> dict:
-    """Organisations of 1,500, 300 and 300 a second while awake, under a parent of 450 a second; 1 s
-    windows.
+    """Simulates organisations of 1,500, 300 and 300 requests a second under a limit of 450 a second.
+
+    The window is 1 s. The first organisation is always active, the others are active at random times.
+    `reserve`: part of each guarantee that is never lent, in thousandths. `length`: ticks of 0.1 ms.
     """
     chance = Random(4)
     root = Node("all", None, (Limit("requests", 10_000, 450),), LendingTerms(reserve, 10))
@@ -188,16 +192,16 @@
     late = [debt for debt in pool.repayment.history if debt.paid_at is None or debt.paid_at > debt.due]
     return {
         "reserve": reserve / 1000,
-        "served a second": round(len(log) / length * 10_000),
+        "served per second": round(len(log) / length * 10_000),
         "flood, ash, oak": [round(one / length * 10_000) for one in got],
-        "of what is within their own, ash, oak": [
+        "served share of requests within guarantees, ash, oak": [
             round(one / max(1, all_), 4) for one, all_ in zip(own_got[1:], own[1:], strict=True)
         ],
         "Jain": round(sum(shares) ** 2 / (3 * sum(share**2 for share in shares)), 3),
-        "most in 1 s (450)": most_in_any(log, 10_000),
-        "debts kept": len(pool.repayment.history),
+        "max in 1 s (limit 450)": most_in_any(log, 10_000),
+        "debts": len(pool.repayment.history),
         "repaid late": len(late),
-        "longest until repaid, s (due in 10.5)": max(
+        "longest until repaid, s (limit 10.5)": max(
             ((debt.paid_at - debt.at) / 10_000 for debt in pool.repayment.history), default=0
         ),
     }
--- a/benchmarks/saved.py
+++ b/benchmarks/saved.py
@@ -1,11 +1,13 @@
-"""Figures of the saved list: `python benchmarks/saved.py WHAT`. All on this machine.
-
-matrix    service of the first 20 s with discovery down, by age and stale share, against none and blind
-kills     a writer killed outright a thousand times while its list churns
-restarts  real sidecars killed outright a thousand times in all, every second or so, while the list churns
-cost      CPU and bytes a second of keeping the list under churn
-startup   reading and beginning, by rows
-slowdisk  the loop's longest stall beside a disk that takes a second for every write
+"""Benchmarks of the saved endpoint list: `python benchmarks/saved.py NAME`. The names:
+
+matrix    service in the first 20 s while discovery is down, by age and stale share of the list; compared
+          with discovery up, no saved list, and a list that is trusted whatever its age
+kills     a writer is killed with SIGKILL a thousand times while its list changes
+restarts  real sidecars are killed with SIGKILL, a thousand times in all, about once a second, while the
+          list changes
+cost      CPU and bytes per second of saving a list that changes
+startup   time to read and assess a saved list, by its number of rows
+slowdisk  longest stall of the event loop while the disk takes a second for every write
 """
 
 import asyncio
@@ -48,7 +50,7 @@
 
 
 def stream(seed: int, rows: int = 50):
-    """Records without end: a whole list, then changes, removals and additions."""
+    """Yields endless records: a full list, then changes that each replace one instance."""
     chance, wall, generation, number = Random(seed), WallClock(), 1, rows
     alive = list(range(rows))
     fields = msgspec.structs.astuple(wall.now())
@@ -67,8 +69,7 @@
 
 
 def kills(count: int, folder: Path, most: float = 0.02, seed: int = 1) -> dict:
-    """Forks a writer, kills it after a random time, recovers, and looks whether that was told; so many
-    times."""
+    """Kills forked writers after random times and checks that each recovery finds a list that was written."""
     chance, wall = Random(seed), WallClock()
     worst, furthest = 0.0, 0
     for number in range(count):
@@ -93,7 +94,7 @@
         if found is None or not found.snapshot.generation:
             continue
         furthest = max(furthest, found.snapshot.generation)
-        # What was found is what some writer told at some moment: its own stream up to that generation.
+        # The recovered list must be one that a writer wrote: the prefix of its stream up to that generation.
         for writer in range(number, -1, -1):
             snapshot = Snapshot()
             for record in stream(writer):
@@ -114,7 +115,7 @@
 
 
 def cost(seconds: float, changes: float, rows: int, folder: Path, sync: str = "interval") -> dict:
-    """Keeping a list of `rows` under `changes` a second, what was learnt saved each 10 s."""
+    """Saves a list of `rows` entries with `changes` changes a second, and the learned state every 10 s."""
 
     async def scene() -> dict:
         saved = SavedList(Saved(folder=str(folder), sync=sync), "n1", SETTINGS)
@@ -162,7 +163,7 @@
 
 
 def startup(rows: int, folder: Path) -> dict:
-    """From a folder of so many rows to a list that can be handed over."""
+    """Measures the start from a saved list, from the folder of files to the trust assessment of each row."""
     wall = WallClock()
     store = Store(Files(folder), "n1", wall.now, "never")
     store.open()
@@ -198,7 +199,7 @@
 
 
 async def restarts(count: int, lanes: int, place: Path) -> dict:
-    """Real sidecars beside a stand-in discovery whose list changes ten times a second."""
+    """Runs and kills sidecars whose stand-in discovery changes the list ten times a second."""
     from random import Random as Chance
 
     from shedgrade.lab.listing import Discovery
@@ -319,7 +320,7 @@
 
 
 class SlowFiles(Files):
-    """A disk that takes a second for every write."""
+    """A disk that takes a second for every write while `slow`."""
 
     slow = False
 
@@ -330,7 +331,7 @@
 
 
 def slowdisk(seconds: float, folder: Path) -> dict:
-    """How late a 1 ms timer of the loop gets while discovery tells 100 changes a second."""
+    """Measures the delay of a 1 ms timer on the event loop while discovery sends 100 changes a second."""
 
     async def scene() -> dict:
         files = SlowFiles(folder)
@@ -362,7 +363,7 @@
 
 
 def matrix(lanes: int, rounds: int, out: Path, length: float = 20.0) -> list[str]:
-    """Service of the first seconds while discovery is down, by age and stale share."""
+    """Measures the service of the first seconds while discovery is down, by age and stale share."""
     from shedgrade.lab import experiments
     from shedgrade.lab.scenario import load
 
--- a/benchmarks/tunnels.py
+++ b/benchmarks/tunnels.py
@@ -1,10 +1,10 @@
-"""Figures of tunnels: `python benchmarks/tunnels.py [relay|handshakes|idle]`.
+"""Benchmarks of tunnels: `python benchmarks/tunnels.py [relay|handshakes|idle]`.
 
-A real sidecar on loopback, a stand-in upstream and the clients in processes of their own.
+A real sidecar on loopback; a stand-in upstream and the clients run in processes of their own.
 
-relay        bytes a second through one opaque tunnel, and the sidecar's CPU a GB
-handshakes   tunnels opened, granted and closed a second, and the sidecar's CPU for each
-idle         memory an idle opaque tunnel; plain RPCs (200 a second, open loop) before and beside 5,000
+relay        bytes per second through one opaque tunnel, and the sidecar's CPU per GB
+handshakes   tunnels opened and closed per second, and the sidecar's CPU per tunnel
+idle         memory per idle opaque tunnel; latency of RPCs (200 a second, open loop) before and beside 5,000
 """
 
 import asyncio
@@ -27,11 +27,11 @@
 from shedgrade.sidecar.tunnel import connect, socks
 from shedgrade.sidecar.tunnel.destinations import destination
 
-IDLE = 5_000
+IDLE = 5_000  # idle tunnels
 
 
 class Sink(asyncio.Protocol):
-    """Counts nothing, reads all, answers HTTP requests that come in one piece."""
+    """Discards what it receives, but answers HTTP requests that arrive in one piece."""
 
     def connection_made(self, transport) -> None:
         self.transport = transport
@@ -42,7 +42,7 @@
 
 
 def upstream(port: int) -> None:
-    """A process: the stand-in upstream."""
+    """Runs the stand-in upstream; the body of a process."""
 
     async def run() -> None:
         server = await asyncio.get_running_loop().create_server(Sink, "127.0.0.1", port, backlog=4096)
@@ -53,7 +53,7 @@
 
 
 class Rig:
-    """A sidecar and an upstream, as processes."""
+    """A sidecar and a stand-in upstream, as processes."""
 
     def __init__(self, place: Path) -> None:
         import random
@@ -175,7 +175,7 @@
                 process.kill()
 
     async def tunnel(self, kind: str = "connect"):
-        """Streams of one open opaque tunnel, or None."""
+        """Opens an opaque tunnel; returns its streams, or None if it was refused."""
         port = self.connect if kind == "connect" else self.socks
         reader, writer = await asyncio.open_connection("127.0.0.1", port)
         where = destination("raw.internal", 80)
@@ -237,7 +237,7 @@
 
 
 async def rpcs(rig: Rig, rate: float = 200.0, seconds: float = 10.0) -> dict:
-    """Plain RPCs, open loop over kept connections; latency from the intended moment, ms."""
+    """Sends RPCs in an open loop over kept connections; returns latencies from the scheduled start, ms."""
     pool, took, tasks, late = [], [], [], 0.0
 
     async def one(number: int, due: float) -> None:
@@ -272,7 +272,7 @@
 
 
 async def idle(rig: Rig) -> dict:
-    await rpcs(rig, seconds=3)  # warm
+    await rpcs(rig, seconds=3)  # warm-up
     before = {"tail before": await rpcs(rig), "rss MB": rig.stat()["rss"] / 1024}
     held, refused = [], 0
     while len(held) < IDLE and refused < 50:
