--- a/benchmarks/streams.py
+++ b/benchmarks/streams.py
@@ -1,8 +1,8 @@
-"""What an edge spends on requests and on events of streams: `python benchmarks/streams.py [--seconds S]`.
+"""Measures an edge's CPU per request and per streamed event: `python benchmarks/streams.py [--seconds S]`.
 
-Starts three core processes, one edge, a stand-in platform and a stand-in upstream on addresses of the
-loopback, puts a configuration, and reads the edge's processor time beside what came through: for short
-answers, and for streams of events at several numbers of streams at once. A line each.
+Starts three core processes, one edge, a stand-in platform and a stand-in upstream on loopback addresses, and
+puts a configuration. Then measures the edge's CPU time and the completed requests: for short answers, and
+for streams of events at several numbers of concurrent streams, a line each.
 """
 
 import argparse
@@ -25,7 +25,7 @@
 CORES = ("127.0.0.2", "127.0.0.3", "127.0.0.4")
 ZONES = {"zone-a": "region-a", "zone-b": "region-b", "zone-c": "region-c"}
 TICK = os.sysconf("SC_CLK_TCK")
-EVENTS = 200  # of one stream
+EVENTS = 200  # in a stream
 
 
 def settings(name: str, kind: str, ip: str, zone: str, listen: dict, folder: str | None) -> dict:
@@ -132,7 +132,7 @@
 
 
 class Load:
-    """Clients that each have one request under way; `whole` counts answers that came to their end."""
+    """Clients that each have one request in progress; counts complete answers (`whole`) and refusals."""
 
     def __init__(self) -> None:
         self.whole = self.refused = self.number = 0
@@ -159,7 +159,7 @@
 
 
 def processor(process) -> float:
-    """s spent by it so far."""
+    """Returns the CPU time that a process has used so far, in seconds."""
     fields = Path(f"/proc/{process.pid}/stat").read_text().rpartition(")")[2].split()
     return (int(fields[11]) + int(fields[12])) / TICK
 
@@ -169,7 +169,7 @@
 
 
 async def ready(path: str) -> None:
-    """Until the edge says that it serves."""
+    """Waits until the edge's readiness check succeeds."""
 
     def asks() -> bool:
         try:
@@ -221,8 +221,8 @@
             spent, took = processor(edge) - begun, loop.time() - started
             each = load.whole * (EVENTS if path == b"/stream/" else 1)
             print(
-                f"{path.decode()} {count} at once: {load.whole} whole, {load.refused} refused, "
-                f"{each / took:.0f} {'events' if path == b'/stream/' else 'requests'} a second, "
+                f"{path.decode()} {count} concurrent: {load.whole} complete, {load.refused} refused, "
+                f"{each / took:.0f} {'events' if path == b'/stream/' else 'requests'} per second, "
                 f"{spent / each * 1e6:.0f} us each, edge at {100 * spent / took:.0f}% of a core, "
                 f"{resident(edge):.1f} MB"
             )
--- a/benchmarks/system.py
+++ b/benchmarks/system.py
@@ -1,7 +1,8 @@
-"""Slopes of the system's parts: `python benchmarks/system.py [PART ...]`; `--help` names the sizes.
+"""Measures how the cost of the system's parts grows with size: `python benchmarks/system.py [PART ...]`.
 
-Parts: list, configuration, choose, hub, views. Each runs in a process of its own, one line a figure. Time
-is the processor's, of this machine; memory is resident, before and after. docs/CAPACITY.md uses them.
+Parts: list, configuration, choose, hub, views; `--help` names the sizes. Each part runs in a process of its
+own and prints a line per figure: CPU time on this machine, and growth of the resident memory.
+docs/CAPACITY.md uses the figures.
 """
 
 import argparse
@@ -20,11 +21,11 @@
 sys.path.insert(0, str(Path(__file__).resolve().parents[1]))
 
 REGIONS, ZONES, MODELS = 28, 67, 3
-HOSTS = 300  # among which routes are spread: a tenant has a prefix, not a host
+HOSTS = 300  # hosts over which the routes are spread; tenants differ by path prefix
 
 
 def spent(call, times: int = 1) -> float:
-    """ms of processor a call."""
+    """Returns the CPU time of a call, in milliseconds."""
     gc.collect()
     begun = process_time()
     for _ in range(times):
@@ -33,7 +34,7 @@
 
 
 def resident() -> float:
-    """MB now."""
+    """Returns the resident memory of this process, in MiB."""
     pages = int(Path("/proc/self/statm").read_text().split()[1])
     return pages * resource.getpagesize() / 2**20
 
@@ -43,7 +44,7 @@
 
 
 def entries(count: int) -> list[dict]:
-    """The platform's list."""
+    """Returns the platform's list of `count` upstreams."""
     return [
         {
             "instanceId": f"i-{number:08x}",
@@ -102,7 +103,7 @@
 
 
 def an_edge(loop):
-    """What an edge knows, without sockets."""
+    """Returns the control state of an edge, without sockets."""
     from shedgrade.buffers.budget import Budget
     from shedgrade.dataplane.service import ServicePool
     from shedgrade.dataplane.state import State
@@ -139,27 +140,27 @@
     state.apply_control(change(configuration(10)))
     told, held = entries(count), EndpointList(lambda: 0.0)
     held.begin_term(1)
-    print(f"core applies {count} entries of the platform: {spent(lambda: held.apply_poll(0.0, told)):.1f} ms")
-    print(f"core applies the same again: {spent(lambda: held.apply_poll(1.0, told), 3):.1f} ms")
+    print(f"core applies a list of {count} entries: {spent(lambda: held.apply_poll(0.0, told)):.1f} ms")
+    print(f"core applies the same list again: {spent(lambda: held.apply_poll(1.0, told), 3):.1f} ms")
     whole = held.update_since(0, 0, 1.0)
     raw = control_messages.encode(whole)
     print(
-        f"whole list encoded: {spent(lambda: control_messages.encode(whole), 3):.1f} ms, {len(raw)} bytes, "
-        f"{len(zlib.compress(raw, 1))} by zlib"
+        f"full list encoded: {spent(lambda: control_messages.encode(whole), 3):.1f} ms, {len(raw)} bytes, "
+        f"{len(zlib.compress(raw, 1))} with zlib"
     )
-    print(f"whole list decoded: {spent(lambda: control_messages.decode(raw), 3):.1f} ms")
+    print(f"full list decoded: {spent(lambda: control_messages.decode(raw), 3):.1f} ms")
     before = resident()
     taken = spent(lambda: state.apply_endpoint_list(control_messages.decode(raw)))
-    print(f"edge takes the whole list: {taken:.1f} ms, {resident() - before:.1f} MB more")
+    print(f"edge applies the full list: {taken:.1f} ms, {resident() - before:.1f} MB more")
     base = held.version
     told[5] = {**told[5], "state": "draining"}
-    print(f"core applies one that moved: {spent(lambda: held.apply_poll(2.0, told)):.1f} ms")
+    print(f"core applies one changed entry: {spent(lambda: held.apply_poll(2.0, told)):.1f} ms")
     delta = held.update_since(*base, 2.0)
     small = control_messages.encode(delta)
     made = spent(lambda: held.update_since(*base, 2.0), 100)
-    print(f"delta of one: {made:.4f} ms to make, {len(small)} bytes")
+    print(f"delta of one entry: {made:.4f} ms to create, {len(small)} bytes")
     taken = spent(lambda: state.apply_endpoint_list(control_messages.decode(small)), 3)
-    print(f"edge takes a delta of one: {taken:.1f} ms")
+    print(f"edge applies a delta of one entry: {taken:.1f} ms")
 
 
 def measure_configuration(options) -> None:
@@ -169,16 +170,16 @@
     raw = configuration(options.routes)
     packed = zlib.compress(raw, 1)
     print(
-        f"{options.routes} routes: {len(raw)} bytes, {len(packed)} by zlib, "
-        f"{spent(lambda: zlib.compress(raw, 1)):.1f} ms; "
-        f"unpacked in {spent(lambda: zlib.decompress(packed)):.1f} ms"
+        f"{options.routes} routes: {len(raw)} bytes, {len(packed)} with zlib; "
+        f"compressed in {spent(lambda: zlib.compress(raw, 1)):.1f} ms, "
+        f"decompressed in {spent(lambda: zlib.decompress(packed)):.1f} ms"
     )
     regions = {name: number for number, name in enumerate(sorted(set(zones().values())))}
     gc.collect()
     before, made = resident(), []
     took = spent(lambda: made.append(Routes(parse(raw), regions)))
-    print(f"edge parses it and makes its routes: {took:.1f} ms, {resident() - before:.1f} MB more")
-    print(f"of that the JSON: {spent(lambda: json.loads(raw)):.1f} ms by json")
+    print(f"edge parses it and builds its routes: {took:.1f} ms, {resident() - before:.1f} MB more")
+    print(f"of this, parsing of the JSON (json.loads): {spent(lambda: json.loads(raw)):.1f} ms")
     random, routes = Random(1), made[0]
     asked = [
         (
@@ -187,12 +188,12 @@
         )
         for _ in range(20_000)
     ]
-    print(f"a route found: {spent(lambda: [routes.find(*one) for one in asked]) / 20:.2f} us")
+    print(f"lookup of a route: {spent(lambda: [routes.find(*one) for one in asked]) / 20:.2f} us")
     from shedgrade.controlplane.configuration_validation import read_configuration
 
     before = resident()
     print(
-        f"core reads and checks it: {spent(lambda: made.append(read_configuration(raw))):.1f} ms, "
+        f"core reads and validates it: {spent(lambda: made.append(read_configuration(raw))):.1f} ms, "
         f"{resident() - before:.1f} MB more"
     )
 
@@ -207,7 +208,7 @@
         balancer = ServingBalancer(names, 0, 7, 0, RetryBudget(0.2, 52, 100_000), "edge-1")
         rows = [(index, index % regions, READY, 0, 0, 1000 + index, 1.0, 0) for index in range(count)]
         took = spent(lambda b=balancer, r=rows: b.list_changed(0, r, True, False))
-        print(f"{count} upstreams in {regions} regions listed: {took:.1f} ms")
+        print(f"list of {count} upstreams in {regions} regions applied: {took:.1f} ms")
         for shared, keys in (
             ("no shared parts", [b""]),
             ("shared parts", [b"%08x:900" % number for number in range(1000)]),
@@ -226,7 +227,7 @@
 
             spent(one, 5000)
             print(
-                f"a request taken, sent and ended, 60 in flight, {shared}: {spent(one, 10_000) * 1000:.1f} us"
+                f"request admitted, sent, ended, 60 in flight, {shared}: {spent(one, 10_000) * 1000:.1f} us"
             )
 
 
@@ -272,24 +273,24 @@
             hub.watch(0.1, control_messages.decode(frames.decode(body).body[1:]), answer)
 
     print(
-        f"{count} asks read and parked: {spent(take) / count * 1000:.0f} us each, "
-        f"ask of {len(bodies[0])} bytes, {resident() - before:.1f} MB"
+        f"{count} watch requests read and parked: {spent(take) / count * 1000:.0f} us each, "
+        f"request of {len(bodies[0])} bytes, {resident() - before:.1f} MB"
     )
     took = spent(lambda: hub.tick(1.5))
-    print(f"answered after a beat: {took / count * 1000:.0f} us each, {len(out[-1])} bytes")
+    print(f"answered at the end of their wait: {took / count * 1000:.0f} us each, {len(out[-1])} bytes")
     take()
     took = spent(lambda: control(2))
-    print(f"a configuration of {len(raw)} bytes told to all: {took:.1f} ms, {len(out[-1])} bytes each")
+    print(f"configuration of {len(raw)} bytes sent to all: {took:.1f} ms, {len(out[-1])} bytes each")
     bodies.clear()
     asks(0.0, 2)
     take()
     told[5] = {**told[5], "state": "draining"}
     held.apply_poll(1.0, told)
     took = spent(lambda: hub.set_endpoint_list(1.0, held))
-    print(f"a delta of one upstream told to all: {took:.1f} ms, {len(out[-1])} bytes each")
+    print(f"delta of one upstream sent to all: {took:.1f} ms, {len(out[-1])} bytes each")
     word = control_messages.encode(hub.edges.own_edges(1.0))
     took = spent(lambda: control_messages.encode(hub.edges.own_edges(1.0)))
-    print(f"word to another member of {count} edges: {took:.1f} ms, {len(word)} bytes")
+    print(f"report of {count} edges to another member: {took:.1f} ms, {len(word)} bytes")
 
 
 def measure_views(options) -> None:
@@ -317,7 +318,7 @@
     begun = process_time()
     for step in range(seconds * 20):
         now = step / 20
-        if step == seconds * 10:  # half of the time is for the views to fill
+        if step == seconds * 10:  # the views fill during the first half, which is not measured
             sent = bytes_sent = 0
             begun = process_time()
         due = [view for view in views.values() if view.wake_at() <= now]
@@ -336,12 +337,12 @@
             busy = met
     half = seconds / 2
     print(
-        f"{count} views, a second and view: {(process_time() - begun) / half / count * 1000:.2f} ms, "
+        f"{count} views, per view and second: {(process_time() - begun) / half / count * 1000:.2f} ms, "
         f"{sent / half / count:.1f} messages, {bytes_sent / half / count:.0f} bytes sent; "
-        f"{(resident() - before) / count * 1024:.0f} KB a view"
+        f"{(resident() - before) / count * 1024:.0f} KB per view"
     )
     counts = sorted(view.count("edge") for view in views.values())
-    print(f"count as one view estimates it, median: {counts[count // 2]} of {count}")
+    print(f"number of edges as a view estimates it, median: {counts[count // 2]} of {count}")
 
 
 PARTS = {
--- a/benchmarks/watching.py
+++ b/benchmarks/watching.py
@@ -1,8 +1,10 @@
-"""What edges that ask cost three core processes: `python benchmarks/watching.py [--edges N] [--upstreams N]`.
+"""Measures the cost of watching edges in three core processes.
 
-Starts three core processes and plays a platform, of whose list `--moved` entries change each time it is read,
-and edges that only ask, all in this process: how many asks, whole lists, deltas and bytes there are in the
-first seconds, when all start at once, and afterwards; and the processor of each core process.
+Usage: python benchmarks/watching.py [--edges N] [--upstreams N] [--moved N] [--rate N]
+
+Starts three core processes. A stand-in platform, of whose list `--moved` entries change each time it is read,
+and the edges, which only send watch requests, run in this process. Prints requests, full lists, deltas, bytes
+and the CPU of each core process in the first seconds, when all edges start at once, and afterwards.
 """
 
 import argparse
@@ -31,12 +33,12 @@
 from shedgrade.peer_transport.connection import PeerCallError
 from shedgrade.peer_transport.tcp import PeerConnectionPool
 
-SPAN = 5  # s of each measurement
-PAGE = 50  # entries
+SPAN = 5  # duration of each measurement, s
+PAGE = 50  # entries of a page
 
 
 class Platform:
-    """The list, in pages; some entries change each time its first page is read."""
+    """Serves the list in pages; some entries change each time its first page is read."""
 
     def __init__(self, count: Counter, upstreams: int, moved: int) -> None:
         self.count, self.moved, self.random = count, moved, Random(1)
@@ -74,7 +76,7 @@
 
 
 class Edge:
-    """One edge that asks, and does nothing with what it is told."""
+    """An edge that watches the control state and discards the updates."""
 
     def __init__(self, loop, number: int, count: Counter) -> None:
         self.loop, self.count, self.tasks = loop, count, set()
@@ -128,7 +130,7 @@
     server = await asyncio.start_server(
         lambda *ends: streams.quietly(platform.serve, *ends), *streams.PLATFORM
     )
-    await asyncio.sleep(4)  # the core processes found their system, one polls
+    await asyncio.sleep(4)  # the core processes form a quorum and one begins to poll
     edges = [Edge(loop, number, count) for number in range(options.edges)]
     count.clear()
     tasks = [loop.create_task(edge.run()) for edge in edges]
