--- a/benchmarks/absence.py
+++ b/benchmarks/absence.py
@@ -14,7 +14,7 @@
 from shedgrade.simulation.replica_outages import ReplicaOutageRun
 
 
-def play(job: tuple[int, int]) -> tuple[int, list[str], int]:
+def run_seed(job: tuple[int, int]) -> tuple[int, list[str], int]:
     """Runs one seed; returns the seed, its findings and the number of acknowledged changes."""
     seed, tolerated = job
     try:
@@ -32,16 +32,16 @@
     parser.add_argument("--jobs", type=int, default=2)
     options = parser.parse_args()
     jobs = [(seed, options.tolerated) for seed in range(options.first, options.first + options.seeds)]
-    failed = changes = most = 0
+    failed = changes = largest_count = 0
     with ProcessPoolExecutor(options.jobs) as pool:
-        for seed, wrong, acknowledged in pool.map(play, jobs):
-            changes, most = changes + acknowledged, max(most, acknowledged)
-            if wrong:
+        for seed, findings, acknowledged in pool.map(run_seed, jobs):
+            changes, largest_count = changes + acknowledged, max(largest_count, acknowledged)
+            if findings:
                 failed += 1
-                print(f"seed {seed}: {len(wrong)} findings, first: {wrong[0]}", flush=True)
+                print(f"seed {seed}: {len(findings)} findings, first: {findings[0]}", flush=True)
     print(
         f"t={options.tolerated}: {failed} of {len(jobs)} seeds with findings; {changes} changes "
-        f"acknowledged, at most {most} in one seed"
+        f"acknowledged, at most {largest_count} in one seed"
     )
     sys.exit(bool(failed))
 
--- a/benchmarks/own_days.py
+++ b/benchmarks/own_days.py
@@ -12,11 +12,11 @@
 from pathlib import Path
 from random import Random
 
-QUIET_AT_FIRST = 4.0  # s before the first planned stop
-QUIET_AT_LAST = 12.0  # s without new stops at the end, in which the system must recover
+QUIET_START_S = 4.0  # s before the first planned stop
+QUIET_END_S = 12.0  # s without new stops at the end, in which the system must recover
 # Share of the waves of stops that have a fault beside them; on some days there are planned stops only.
-TROUBLED = (0.0, 0.75, 0.75)
-ZONE_STOPS = (0.0, 0.3, 1.5)  # s between the planned stops of two zones of one wave
+FAULT_SHARES = (0.0, 0.75, 0.75)
+ZONE_STOP_GAPS_S = (0.0, 0.3, 1.5)  # s between the planned stops of two zones of one wave
 FAULTS = (
     'kind = "srv_crash", share = 0.17, for_s = 4.5',
     'kind = "srv_crash", share = 0.2, for_s = 5.0, how = "dark"',
@@ -58,7 +58,7 @@
     'kind = "retry_abuse", share = 0.2, x = 2, for_s = 5.0',
     'kind = "give_up", share = 0.2, for_s = 5.0',
 )
-PLANNED = (
+PLANNED_EVENTS = (
     'kind = "evacuate", for_s = 7.0, zone = "{zone}"',
     'kind = "release", share = 0.45, x = 1.0, gap_s = 1.0',
     'kind = "scale_in", share = 0.13',
@@ -66,7 +66,7 @@
     'kind = "bad_config", count = 3, gap_s = 1.0',
     'kind = "hup", share = 0.4, gap_s = 2.0',
 )
-CLOSINGS = (
+CLOSING_EVENTS = (
     "",
     'closing = { kind = "power_off_all", down_s = 1.3 }',
     'closing = { kind = "wipe_after_ack", down_s = 0.7 }',
@@ -77,7 +77,7 @@
     return f"  {{ at = {at:.1f}, {text} }},"
 
 
-def stop_of_zone(random: Random, at: float, zone: str) -> str:
+def zone_stop(random: Random, at: float, zone: str) -> str:
     """Returns the planned stop of all edges of a zone, at once or in turn."""
     at_once, gap = random.choice(((2, 1.0), (1, 0.5), (1, 2.0), (9, 1.0)))
     return entry(at, f'kind = "roll_term", zone = "{zone}", share = 1.0, x = {at_once}, gap_s = {gap}')
@@ -92,33 +92,33 @@
     found = []
     if kind != "core":
         chosen = random.sample(zones, 1 if kind == "zone" else random.randint(2, max(2, len(zones) - 1)))
-        apart = random.choice(ZONE_STOPS)
-        found += [stop_of_zone(random, at + order * apart, zone) for order, zone in enumerate(chosen)]
+        apart = random.choice(ZONE_STOP_GAPS_S)
+        found += [zone_stop(random, at + order * apart, zone) for order, zone in enumerate(chosen)]
     if kind in ("core", "zones and core"):
         more = random.uniform(0.0, 1.0)
         found.append(entry(at + more, 'kind = "roll_term", on = "core", count = 1, gap_s = 6.0'))
     return found
 
 
-def drawn(zones: list[str], seed: int, length: float) -> str:
+def draw_day(zones: list[str], seed: int, length: float) -> str:
     """Returns the day as TOML."""
     random = Random(seed)
-    last = length - QUIET_AT_LAST
+    last = length - QUIET_END_S
     gap = random.choice((0.3, 0.5, 0.8))
     plan = [entry(1.0, f'kind = "config_storm", gap_s = {gap}, count = {int((last - 1.0) / gap)}')]
     faults = []
-    troubled = random.choice(TROUBLED)
-    at = QUIET_AT_FIRST
+    fault_share = random.choice(FAULT_SHARES)
+    at = QUIET_START_S
     while at < last:
         plan += planned_stops(random, at, zones)
-        if random.random() < troubled:
+        if random.random() < fault_share:
             faults.append(entry(max(1.0, at + random.uniform(-3.0, 4.0)), random.choice(FAULTS)))
         if random.random() < 0.4:
-            text = random.choice(PLANNED).format(zone=random.choice(zones))
+            text = random.choice(PLANNED_EVENTS).format(zone=random.choice(zones))
             plan.append(entry(at + random.uniform(0.0, 6.0), text))
         at += random.choice((7.0, 10.0, 13.0, 18.0))
     head = ["[[day]]", f'name = "own-{seed}"', 'slot = "trouble"', f"seed = {seed}"]
-    lines = [*head, "one = 0.9", "zero = 0.2", "goal = { floor = 0.05 }", random.choice(CLOSINGS)]
+    lines = [*head, "one = 0.9", "zero = 0.2", "goal = { floor = 0.05 }", random.choice(CLOSING_EVENTS)]
     lines += ["plan = [", *plan, "]", "faults = [", *faults, "]"]
     return "\n".join(line for line in lines if line)
 
@@ -129,7 +129,7 @@
         return 2
     site = tomllib.loads(Path(sys.argv[1]).read_text())
     zones = [zone["name"] for zone in site["zones"]]
-    print(drawn(zones, int(sys.argv[2]), float(sys.argv[3]) if len(sys.argv) == 4 else 150.0))
+    print(draw_day(zones, int(sys.argv[2]), float(sys.argv[3]) if len(sys.argv) == 4 else 150.0))
     return 0
 
 
--- a/benchmarks/replication_seeds.py
+++ b/benchmarks/replication_seeds.py
@@ -16,7 +16,7 @@
 from shedgrade.simulation.register import OK
 
 
-def play(job):
+def run_seed(job):
     """Runs one seed.
 
     Returns the seed, its findings, the times from each death of a primary to the next acknowledgement, and
@@ -25,27 +25,27 @@
     seed, tolerated, profile = job
     try:
         cluster = SimulatedCluster(seed, tolerated, profile)
-        wrong = cluster.run_and_check()
+        findings = cluster.run_and_check()
     except Exception:  # an exception is reported as a finding of its seed
         return seed, [traceback.format_exc()], [], []
     history = cluster.history
-    acks = sorted(
+    acknowledgements = sorted(
         (call.completed_at, call.invoked_at)
         for call in history.operations
         if call.request and call.outcome == OK
     )
     deaths = [
-        next((ended - death for ended, _ in acks if ended > death), 99.0)
+        next((ended - death for ended, _ in acknowledgements if ended > death), 99.0)
         for death in history.primary_deaths
         if death + 6 < history.end
     ]
     calm = [
         ended - began
         for start, stop in stable_spans(history.unstable_spans, history.end, STABLE_AFTER_S)
-        for ended, began in acks
+        for ended, began in acknowledgements
         if began >= start and ended <= stop
     ]
-    return seed, wrong, deaths, calm
+    return seed, findings, deaths, calm
 
 
 def percentiles(values):
@@ -72,12 +72,12 @@
     ]
     failed, deaths, calm = [], [], []
     with ProcessPoolExecutor(options.jobs) as pool:
-        for seed, wrong, died, acks in pool.map(play, jobs, chunksize=8):
-            deaths += died
-            calm += acks
-            if wrong:
+        for seed, findings, recovery_times, ack_times in pool.map(run_seed, jobs, chunksize=8):
+            deaths += recovery_times
+            calm += ack_times
+            if findings:
                 failed.append(seed)
-                print(f"seed {seed}: {len(wrong)} findings, first: {wrong[0]}", flush=True)
+                print(f"seed {seed}: {len(findings)} findings, first: {findings[0]}", flush=True)
     print(f"{options.profile}, t={options.tolerated}: {len(failed)} of {len(jobs)} seeds fail")
     print("time from the primary's death to the next acknowledgement:", percentiles(deaths))
     print("time to acknowledge while the core is stable:", percentiles(calm))
--- a/benchmarks/storage.py
+++ b/benchmarks/storage.py
@@ -41,16 +41,16 @@
     store = Store(folder, files)
     store.load()
     store.write({"evacuations": b"[]", "version": b"0"})
-    took, largest, bytes_before, syncs_before = [], 0, files.written, files.syncs
+    durations, largest, bytes_before, syncs_before = [], 0, files.written, files.syncs
     begun = time.perf_counter()
     while time.perf_counter() - begun < seconds:
-        value = len(took).to_bytes(8, "little") + bytes(size - 8)
+        value = len(durations).to_bytes(8, "little") + bytes(size - 8)
         at = time.perf_counter()
-        store.write({"configuration": value, "version": b"%d" % len(took)})
-        took.append(time.perf_counter() - at)
-        if len(took) % 16 == 0:
+        store.write({"configuration": value, "version": b"%d" % len(durations)})
+        durations.append(time.perf_counter() - at)
+        if len(durations) % 16 == 0:
             largest = max(largest, sum(path.stat().st_size for path in folder.iterdir()))
-    spent = sum(took)
+    spent = sum(durations)
     written, syncs = files.written - bytes_before, files.syncs - syncs_before
     store.close()
     at = time.perf_counter()
@@ -58,11 +58,12 @@
     again.load()
     start = time.perf_counter() - at
     again.close()
-    took.sort()
+    durations.sort()
     return (
-        f"{size} B: {len(took) / spent:.0f} writes/s, "
-        f"median {took[len(took) // 2] * 1000:.2f} ms, p99 {took[len(took) * 99 // 100] * 1000:.2f} ms, "
-        f"{written / len(took):.0f} bytes and {syncs / len(took):.2f} syncs per write, "
+        f"{size} B: {len(durations) / spent:.0f} writes/s, "
+        f"median {durations[len(durations) // 2] * 1000:.2f} ms, "
+        f"p99 {durations[len(durations) * 99 // 100] * 1000:.2f} ms, "
+        f"{written / len(durations):.0f} bytes and {syncs / len(durations):.2f} syncs per write, "
         f"folder up to {largest} bytes, start {start * 1000:.1f} ms"
     )
 
