--- a/benchmarks/ablation.py
+++ b/benchmarks/ablation.py
@@ -25,7 +25,7 @@
 
 ROOT = Path(__file__).resolve().parent.parent
 TABLE = Path(__file__).with_name("ablations.toml")
-AS_IT_IS = "as it is"
+UNCHANGED = "as it is"
 COPIED = ("shedgrade", "benchmarks", "deploy", "requirements.txt")
 
 
@@ -85,7 +85,7 @@
     return folder
 
 
-def played_scene(folder: Path, scene: Path, seed: int, seconds: float) -> dict[str, float]:
+def run_scene(folder: Path, scene: Path, seed: int, seconds: float) -> dict[str, float]:
     """Runs a scene with the sources in `folder`, in a process of its own; returns its figures by name."""
     program = (
         "import json, sys, tomllib; from benchmarks.choice import play;"
@@ -97,19 +97,19 @@
     return json.loads(done.stdout)
 
 
-def played_day(folder: Path, bench: Path, site: Path, day: str, seed: int) -> dict[str, float]:
+def run_day(folder: Path, bench: Path, site: Path, day: str, seed: int) -> dict[str, float]:
     """Runs one day of the operators' bench; returns its figures by name, with the number of broken rules."""
     report = folder / f"report-{seed}.json"
     arguments = [str(bench), "run", str(site), day, "--report", str(report)]
     subprocess.run(
         arguments + (["--seed", str(seed)] if seed else []), cwd=folder, capture_output=True, check=False
     )
-    told = json.loads(report.read_text())
-    parts = {name: value for name, _, value in told["parts"]}
-    return {"worth": told["G"], **parts, "rules broken": float(len(told["breaks"]))}
+    day_report = json.loads(report.read_text())
+    parts = {name: value for name, _, value in day_report["parts"]}
+    return {"worth": day_report["G"], **parts, "rules broken": float(len(day_report["breaks"]))}
 
 
-def row(name: str, found: list[dict[str, float]], columns: list[str]) -> str:
+def table_row(name: str, found: list[dict[str, float]], columns: list[str]) -> str:
     cells = []
     for column in columns:
         values = [one[column] for one in found]
@@ -121,43 +121,43 @@
 def table(title: str, plays: dict[str, list[dict[str, float]]]) -> str:
     columns = list(next(iter(plays.values()))[0])
     lines = [f"## {title}", "", f"| without | {' | '.join(columns)} |", "| --- " * (len(columns) + 1) + "|"]
-    return "\n".join(lines + [row(name, found, columns) for name, found in plays.items()]) + "\n"
+    return "\n".join(lines + [table_row(name, found, columns) for name, found in plays.items()]) + "\n"
 
 
-def chosen(names: list[str], needs: tuple[str, ...]) -> dict[str, Variant | None]:
+def select_variants(names: list[str], needs: tuple[str, ...]) -> dict[str, Variant | None]:
     """Returns the variants to be measured by name, the unchanged program first.
 
     Without `names`, these are all variants whose `needs` is in `needs`.
     """
     wanted = {one.name: one for one in variants() if (one.name in names if names else one.needs in needs)}
-    return {AS_IT_IS: None, **wanted}
+    return {UNCHANGED: None, **wanted}
 
 
-def scenes(options: argparse.Namespace, folder: Path) -> None:
+def measure_scenes(options: argparse.Namespace, folder: Path) -> None:
     copies = {}
-    for number, (name, variant) in enumerate(chosen(options.variant, ("choice",)).items()):
+    for number, (name, variant) in enumerate(select_variants(options.variant, ("choice",)).items()):
         copies[name] = copy(variant, folder / str(number))
     with ThreadPoolExecutor(options.jobs) as pool:
         for scene in options.what:
             found = {
                 name: [
-                    pool.submit(played_scene, where, Path(scene), seed, options.seconds)
+                    pool.submit(run_scene, source_folder, Path(scene), seed, options.seconds)
                     for seed in range(options.seeds)
                 ]
-                for name, where in copies.items()
+                for name, source_folder in copies.items()
             }
             plays = {name: [one.result() for one in them] for name, them in found.items()}
             print(table(f"{Path(scene).stem}, simulated", plays), flush=True)
 
 
-def days(options: argparse.Namespace, folder: Path) -> None:
+def measure_days(options: argparse.Namespace, folder: Path) -> None:
     site, day = options.what
     plays: dict[str, list[dict[str, float]]] = {}
-    for number, (name, variant) in enumerate(chosen(options.variant, ("choice", "bench")).items()):
-        where = copy(variant, folder / str(number))
-        subprocess.run(["git", "init", "-q", str(where)], check=True)
+    for number, (name, variant) in enumerate(select_variants(options.variant, ("choice", "bench")).items()):
+        source_folder = copy(variant, folder / str(number))
+        subprocess.run(["git", "init", "-q", str(source_folder)], check=True)
         plays[name] = [
-            played_day(where, options.bench.resolve(), Path(site).resolve(), day, seed)
+            run_day(source_folder, options.bench.resolve(), Path(site).resolve(), day, seed)
             for seed in range(options.seeds)
         ]
     print(table(f"{Path(site).stem}, {day}", plays))
@@ -174,7 +174,7 @@
     parser.add_argument("--folder", type=Path, help="parent of the copies; default: the temporary folder")
     options = parser.parse_args()
     with tempfile.TemporaryDirectory(dir=options.folder) as folder:
-        (days if options.bench else scenes)(options, Path(folder))
+        (measure_days if options.bench else measure_scenes)(options, Path(folder))
 
 
 if __name__ == "__main__":
--- a/benchmarks/door.py
+++ b/benchmarks/door.py
@@ -22,26 +22,26 @@
 )
 
 
-def listener(port: int) -> socket.socket:
-    made = socket.socket()
-    made.setsockopt(socket.SOL_SOCKET, socket.SO_REUSEPORT, 1)
-    made.bind(("127.0.0.1", port))
-    made.listen(1024)
-    made.setblocking(False)
-    return made
+def open_listener(port: int) -> socket.socket:
+    listener = socket.socket()
+    listener.setsockopt(socket.SOL_SOCKET, socket.SO_REUSEPORT, 1)
+    listener.bind(("127.0.0.1", port))
+    listener.listen(1024)
+    listener.setblocking(False)
+    return listener
 
 
-def steer(made: socket.socket, place: int) -> None:
+def steer_connections(listener: socket.socket, place: int) -> None:
     """Sends all new connections to socket `place` of the SO_REUSEPORT group, by a one-instruction filter."""
     code = create_string_buffer(struct.pack("HBBI", 0x06, 0, 0, place))
     program = struct.pack("HL", 1, addressof(code))
-    made.setsockopt(socket.SOL_SOCKET, SO_ATTACH_REUSEPORT_CBPF, program)
+    listener.setsockopt(socket.SOL_SOCKET, SO_ATTACH_REUSEPORT_CBPF, program)
 
 
-def accept_all(made: socket.socket) -> None:
+def answer_pending(listener: socket.socket) -> None:
     while True:
         try:
-            one, _ = made.accept()
+            one, _ = listener.accept()
         except BlockingIOError:
             return
         one.setblocking(True)
@@ -50,17 +50,17 @@
         one.close()
 
 
-def serve(made: socket.socket, other: socket.socket, until: float, drains: bool) -> None:
+def serve(listener: socket.socket, other: socket.socket, until: float, drains: bool) -> None:
     other.close()  # the socket stays open as long as any process has a copy
     while time.monotonic() < until:
-        accept_all(made)
+        answer_pending(listener)
         time.sleep(0.005)
     if drains:
-        accept_all(made)
-    made.close()
+        answer_pending(listener)
+    listener.close()
 
 
-def ask(port: int, sockets: tuple, until: float, lost, asked) -> None:
+def run_client(port: int, sockets: tuple, until: float, lost, asked) -> None:
     for one in sockets:
         one.close()
     while time.monotonic() < until:
@@ -74,22 +74,22 @@
             lost.value += 1
 
 
-def run(way: str) -> tuple[int, int]:
+def count_losses(way: str) -> tuple[int, int]:
     start = multiprocessing.get_context("fork").Process
     count, total = 0, 0
     for _ in range(ROUNDS):
-        old = listener(0)
+        old = open_listener(0)
         port = old.getsockname()[1]
-        new = old.dup() if way == "socket handed over" else listener(port)
+        new = old.dup() if way == "socket handed over" else open_listener(port)
         if way.startswith("steered"):
-            steer(new, 1)
+            steer_connections(new, 1)
         begin = time.monotonic()
         counts = [(multiprocessing.Value("i"), multiprocessing.Value("i")) for _ in range(CLIENTS)]
         children = [
             start(target=serve, args=(old, new, begin + 0.5, way != "closed without draining")),
             start(target=serve, args=(new, old, begin + 1.2, True)),
         ]
-        children += [start(target=ask, args=(port, (old, new), begin + 1.0, *pair)) for pair in counts]
+        children += [start(target=run_client, args=(port, (old, new), begin + 1.0, *pair)) for pair in counts]
         for child in children:
             child.start()
         old.close()
@@ -103,6 +103,6 @@
 
 if __name__ == "__main__":
     for way in WAYS:
-        lost, asked = run(way)
+        lost, asked = count_losses(way)
         print(f"{way}: {lost} of {asked} requests lost in {ROUNDS} upgrades")
     sys.exit(0)
--- a/benchmarks/move.py
+++ b/benchmarks/move.py
@@ -23,7 +23,7 @@
 SIDECARS, ZONES = 300, 4
 
 
-def conf(**more):
+def balancer_settings(**more):
     return settings(
         [method("once"), method(payoff=3.0)],
         zones=ZONES,
@@ -35,7 +35,7 @@
     )
 
 
-def rows(count, chance, changed=None):
+def endpoint_rows(count, chance, changed=None):
     return [
         (
             up,
@@ -51,7 +51,7 @@
     ]
 
 
-def timed(call, times):
+def median_us(call, times):
     found = []
     for _ in range(times):
         start = perf_counter()
@@ -60,33 +60,37 @@
     return median(found)
 
 
-def renewal():
+def measure_list_updates():
     for count in (13, 66, 300):
         chance = Random(1)
-        b = load_balancing.Balancer(conf(), 1, 0)
-        b.list_changed(0, rows(count, chance), True, True)
-        whole = timed(lambda b=b, c=chance, n=count: b.list_changed(1, rows(n, c), False, True), 200)
-        alone = timed(lambda c=chance, n=count: rows(n, c), 200)
+        b = load_balancing.Balancer(balancer_settings(), 1, 0)
+        b.list_changed(0, endpoint_rows(count, chance), True, True)
+        whole = median_us(
+            lambda b=b, c=chance, n=count: b.list_changed(1, endpoint_rows(n, c), False, True), 200
+        )
+        alone = median_us(lambda c=chance, n=count: endpoint_rows(n, c), 200)
         flip = [load_balancing.DRAINING, load_balancing.READY]
 
         def change(b=b, c=chance, flip=flip):
             flip.reverse()
-            (row,) = rows(1, c, [0])
+            (row,) = endpoint_rows(1, c, [0])
             b.list_changed(1, [(*row[:2], flip[0], *row[3:])], False, True)
 
         print(
             f"{count} upstreams: {whole - alone:.0f} us to apply a list with all weights changed, "
-            f"{timed(change, 200):.0f} us with one upstream changed"
+            f"{median_us(change, 200):.0f} us with one upstream changed"
         )
 
 
-def watch():
-    def world(watched):
+def measure_shadow_policy():
+    def make_workload(watched):
         if watched:
-            b = ShadowPolicyPart(Watch(settings={"limits": {"multiplex": 1}}), "f").decisions(conf(), 1, 0)
+            b = ShadowPolicyPart(Watch(settings={"limits": {"multiplex": 1}}), "f").decisions(
+                balancer_settings(), 1, 0
+            )
         else:
-            b = load_balancing.Balancer(conf(), 1, 0)
-        b.list_changed(0, rows(66, Random(1)), True, True)
+            b = load_balancing.Balancer(balancer_settings(), 1, 0)
+        b.list_changed(0, endpoint_rows(66, Random(1)), True, True)
         state = [0]
 
         def rpcs():
@@ -103,8 +107,8 @@
 
         return rpcs
 
-    plain, watched = world(False), world(True)
-    pairs = [(timed(plain, 1) / 200, timed(watched, 1) / 200) for _ in range(30)]
+    run_plain, watched = make_workload(False), make_workload(True)
+    pairs = [(median_us(run_plain, 1) / 200, median_us(watched, 1) / 200) for _ in range(30)]
     print(
         f"{median(a for a, _ in pairs):.1f} us per RPC, {median(b for _, b in pairs):.1f} us with a shadow "
         f"policy, ratio {median(b / a for a, b in pairs):.2f}"
@@ -112,4 +116,4 @@
 
 
 if __name__ == "__main__":
-    {"renewal": renewal, "watch": watch}[sys.argv[1]]()
+    {"renewal": measure_list_updates, "watch": measure_shadow_policy}[sys.argv[1]]()
--- a/benchmarks/parts.py
+++ b/benchmarks/parts.py
@@ -34,41 +34,42 @@
     ]
 
 
-def dealt(sidecars: int, told: list[tuple], numbers: range | None = None) -> list[set[int]]:
+def subsets(sidecars: int, endpoint_rows: list[tuple], numbers: range | None = None) -> list[set[int]]:
     """Returns the subset of each sidecar, as upstream indices."""
-    conf, kept = settings(ZONES), []
+    conf, assigned = settings(ZONES), []
     balancer = load_balancing.Balancer({**conf, "balancers": sidecars, "prices": {"handshake": 0.08}}, 1, 0)
-    balancer.list_changed(0, told, True, True)
+    balancer.list_changed(0, endpoint_rows, True, True)
     for number in numbers or range(sidecars):
         balancer.own_zone, balancer.sidecar_number = number % ZONES, number
         balancer.assign_subset()
-        kept.append({up.index for zone in balancer.zones for up in zone.subset})
-    return kept
+        assigned.append({up.index for zone in balancer.zones for up in zone.subset})
+    return assigned
 
 
-def moved(before: list[set], after: list[set]) -> float:
+def new_share(before: list[set], after: list[set]) -> float:
     return sum(len(new - old) for old, new in zip(before, after, strict=False)) / sum(map(len, before))
 
 
 def figures(sidecars: int, upstreams: int) -> str:
-    told = rows(upstreams + 1)
-    kept = dealt(sidecars, told[:upstreams])
-    met = [sum(number in part for part in kept) for number in range(upstreams)]
-    more, fewer = dealt(sidecars, told), dealt(sidecars, told[1:upstreams])
-    grown = dealt(max(sidecars + 1, round(sidecars * 1.05)), told[:upstreams], range(sidecars))
-    own = min(sum(up % ZONES == number % ZONES for up in part) for number, part in enumerate(kept))
+    endpoint_rows = rows(upstreams + 1)
+    assigned = subsets(sidecars, endpoint_rows[:upstreams])
+    counts = [sum(number in part for part in assigned) for number in range(upstreams)]
+    more, fewer = subsets(sidecars, endpoint_rows), subsets(sidecars, endpoint_rows[1:upstreams])
+    grown = subsets(max(sidecars + 1, round(sidecars * 1.05)), endpoint_rows[:upstreams], range(sidecars))
+    own = min(sum(up % ZONES == number % ZONES for up in part) for number, part in enumerate(assigned))
     conf = {**settings(ZONES), "balancers": sidecars, "prices": {"handshake": 0.08}}
     balancer = load_balancing.Balancer(conf, 1, 0)
-    balancer.list_changed(0, told, True, True)
+    balancer.list_changed(0, endpoint_rows, True, True)
     begun = time.perf_counter()
     for _ in range(5):
         balancer.assign_subset()
     took = (time.perf_counter() - begun) / 5 * 1e3
     return (
-        f"{sidecars} x {upstreams}: {min(met)}, {fmean(met):.1f}, {max(met)} sidecars per upstream, "
-        f"variation {pstdev(met) / fmean(met):.3f}, max/mean {max(met) / fmean(met):.2f}; one upstream more "
-        f"moves {moved(kept, more) * upstreams:.1f} m, one less {moved(kept, fewer) * upstreams:.1f} m, "
-        f"5% more sidecars {moved(kept, grown):.3f}; own zone at least {own}; {took:.1f} ms"
+        f"{sidecars} x {upstreams}: {min(counts)}, {fmean(counts):.1f}, {max(counts)} sidecars per upstream, "
+        f"variation {pstdev(counts) / fmean(counts):.3f}, max/mean {max(counts) / fmean(counts):.2f}; "
+        f"one upstream more moves {new_share(assigned, more) * upstreams:.1f} m, "
+        f"one less {new_share(assigned, fewer) * upstreams:.1f} m, "
+        f"5% more sidecars {new_share(assigned, grown):.3f}; own zone at least {own}; {took:.1f} ms"
     )
 
 
