--- a/benchmarks/system.py
+++ b/benchmarks/system.py
@@ -24,7 +24,7 @@
 HOSTS = 300  # hosts over which the routes are spread; tenants differ by path prefix
 
 
-def spent(call, times: int = 1) -> float:
+def cpu_ms(call, times: int = 1) -> float:
     """Returns the CPU time of a call, in milliseconds."""
     gc.collect()
     begun = process_time()
@@ -33,7 +33,7 @@
     return (process_time() - begun) * 1000 / times
 
 
-def resident() -> float:
+def resident_mib() -> float:
     """Returns the resident memory of this process, in MiB."""
     pages = int(Path("/proc/self/statm").read_text().split()[1])
     return pages * resource.getpagesize() / 2**20
@@ -43,7 +43,7 @@
     return {f"zone-{number}": f"region-{number % REGIONS}" for number in range(ZONES)}
 
 
-def entries(count: int) -> list[dict]:
+def endpoint_entries(count: int) -> list[dict]:
     """Returns the platform's list of `count` upstreams."""
     return [
         {
@@ -102,7 +102,7 @@
     ).encode()
 
 
-def an_edge(loop):
+def make_edge_state(loop):
     """Returns the control state of an edge, without sockets."""
     from shedgrade.buffers.budget import Budget
     from shedgrade.dataplane.service import ServicePool
@@ -122,7 +122,7 @@
     return state
 
 
-def change(raw: bytes | None, sequence: int = 1, evacuations: tuple = ()):
+def control_change(raw: bytes | None, sequence: int = 1, evacuations: tuple = ()):
     from shedgrade.control_messages import ControlChange, compress_configuration
 
     whole, compressed = (None, False) if raw is None else compress_configuration(raw)
@@ -136,31 +136,37 @@
 
     log.set_sink(SimpleNamespace(**dict.fromkeys(log.METHODS, lambda *_, **__: None)))
     loop, count = asyncio.new_event_loop(), options.upstreams
-    state = an_edge(loop)
-    state.apply_control(change(configuration(10)))
-    told, held = entries(count), EndpointList(lambda: 0.0)
-    held.begin_term(1)
-    print(f"core applies a list of {count} entries: {spent(lambda: held.apply_poll(0.0, told)):.1f} ms")
-    print(f"core applies the same list again: {spent(lambda: held.apply_poll(1.0, told), 3):.1f} ms")
-    whole = held.update_since(0, 0, 1.0)
+    state = make_edge_state(loop)
+    state.apply_control(control_change(configuration(10)))
+    entries, endpoint_list = endpoint_entries(count), EndpointList(lambda: 0.0)
+    endpoint_list.begin_term(1)
+    print(
+        f"core applies a list of {count} entries: "
+        f"{cpu_ms(lambda: endpoint_list.apply_poll(0.0, entries)):.1f} ms"
+    )
+    print(
+        f"core applies the same list again: "
+        f"{cpu_ms(lambda: endpoint_list.apply_poll(1.0, entries), 3):.1f} ms"
+    )
+    whole = endpoint_list.update_since(0, 0, 1.0)
     raw = control_messages.encode(whole)
     print(
-        f"full list encoded: {spent(lambda: control_messages.encode(whole), 3):.1f} ms, {len(raw)} bytes, "
+        f"full list encoded: {cpu_ms(lambda: control_messages.encode(whole), 3):.1f} ms, {len(raw)} bytes, "
         f"{len(zlib.compress(raw, 1))} with zlib"
     )
-    print(f"full list decoded: {spent(lambda: control_messages.decode(raw), 3):.1f} ms")
-    before = resident()
-    taken = spent(lambda: state.apply_endpoint_list(control_messages.decode(raw)))
-    print(f"edge applies the full list: {taken:.1f} ms, {resident() - before:.1f} MB more")
-    base = held.version
-    told[5] = {**told[5], "state": "draining"}
-    print(f"core applies one changed entry: {spent(lambda: held.apply_poll(2.0, told)):.1f} ms")
-    delta = held.update_since(*base, 2.0)
+    print(f"full list decoded: {cpu_ms(lambda: control_messages.decode(raw), 3):.1f} ms")
+    before = resident_mib()
+    apply_ms = cpu_ms(lambda: state.apply_endpoint_list(control_messages.decode(raw)))
+    print(f"edge applies the full list: {apply_ms:.1f} ms, {resident_mib() - before:.1f} MB more")
+    base = endpoint_list.version
+    entries[5] = {**entries[5], "state": "draining"}
+    print(f"core applies one changed entry: {cpu_ms(lambda: endpoint_list.apply_poll(2.0, entries)):.1f} ms")
+    delta = endpoint_list.update_since(*base, 2.0)
     small = control_messages.encode(delta)
-    made = spent(lambda: held.update_since(*base, 2.0), 100)
-    print(f"delta of one entry: {made:.4f} ms to create, {len(small)} bytes")
-    taken = spent(lambda: state.apply_endpoint_list(control_messages.decode(small)), 3)
-    print(f"edge applies a delta of one entry: {taken:.1f} ms")
+    create_ms = cpu_ms(lambda: endpoint_list.update_since(*base, 2.0), 100)
+    print(f"delta of one entry: {create_ms:.4f} ms to create, {len(small)} bytes")
+    apply_ms = cpu_ms(lambda: state.apply_endpoint_list(control_messages.decode(small)), 3)
+    print(f"edge applies a delta of one entry: {apply_ms:.1f} ms")
 
 
 def measure_configuration(options) -> None:
@@ -171,30 +177,30 @@
     packed = zlib.compress(raw, 1)
     print(
         f"{options.routes} routes: {len(raw)} bytes, {len(packed)} with zlib; "
-        f"compressed in {spent(lambda: zlib.compress(raw, 1)):.1f} ms, "
-        f"decompressed in {spent(lambda: zlib.decompress(packed)):.1f} ms"
+        f"compressed in {cpu_ms(lambda: zlib.compress(raw, 1)):.1f} ms, "
+        f"decompressed in {cpu_ms(lambda: zlib.decompress(packed)):.1f} ms"
     )
     regions = {name: number for number, name in enumerate(sorted(set(zones().values())))}
     gc.collect()
-    before, made = resident(), []
-    took = spent(lambda: made.append(Routes(parse(raw), regions)))
-    print(f"edge parses it and builds its routes: {took:.1f} ms, {resident() - before:.1f} MB more")
-    print(f"of this, parsing of the JSON (json.loads): {spent(lambda: json.loads(raw)):.1f} ms")
-    random, routes = Random(1), made[0]
-    asked = [
+    before, results = resident_mib(), []
+    took = cpu_ms(lambda: results.append(Routes(parse(raw), regions)))
+    print(f"edge parses it and builds its routes: {took:.1f} ms, {resident_mib() - before:.1f} MB more")
+    print(f"of this, parsing of the JSON (json.loads): {cpu_ms(lambda: json.loads(raw)):.1f} ms")
+    random, routes = Random(1), results[0]
+    lookups = [
         (
             b"h%d.example" % random.randrange(HOSTS),
             b"/tenant-%d/chat" % random.randrange(options.routes // HOSTS),
         )
         for _ in range(20_000)
     ]
-    print(f"lookup of a route: {spent(lambda: [routes.find(*one) for one in asked]) / 20:.2f} us")
+    print(f"lookup of a route: {cpu_ms(lambda: [routes.find(*one) for one in lookups]) / 20:.2f} us")
     from shedgrade.controlplane.configuration_validation import read_configuration
 
-    before = resident()
+    before = resident_mib()
     print(
-        f"core reads and validates it: {spent(lambda: made.append(read_configuration(raw))):.1f} ms, "
-        f"{resident() - before:.1f} MB more"
+        f"core reads and validates it: {cpu_ms(lambda: results.append(read_configuration(raw))):.1f} ms, "
+        f"{resident_mib() - before:.1f} MB more"
     )
 
 
@@ -207,7 +213,7 @@
     for count, regions in ((options.upstreams // REGIONS, 1), (options.upstreams, REGIONS)):
         balancer = ServingBalancer(names, 0, 7, 0, RetryBudget(0.2, 52, 100_000), "edge-1")
         rows = [(index, index % regions, READY, 0, 0, 1000 + index, 1.0, 0) for index in range(count)]
-        took = spent(lambda b=balancer, r=rows: b.list_changed(0, r, True, False))
+        took = cpu_ms(lambda b=balancer, r=rows: b.list_changed(0, r, True, False))
         print(f"list of {count} upstreams in {regions} regions applied: {took:.1f} ms")
         for shared, keys in (
             ("no shared parts", [b""]),
@@ -225,9 +231,9 @@
                 if len(flight) > 60:
                     flight.pop(random.randrange(60)).attempt_finished(now, 0, COMPLETED, 1000, True)
 
-            spent(one, 5000)
+            cpu_ms(one, 5000)
             print(
-                f"request admitted, sent, ended, 60 in flight, {shared}: {spent(one, 10_000) * 1000:.1f} us"
+                f"request admitted, sent, ended, 60 in flight, {shared}: {cpu_ms(one, 10_000) * 1000:.1f} us"
             )
 
 
@@ -238,13 +244,13 @@
     from shedgrade.controlplane.watch_hub import WatchHub
     from shedgrade.peer_transport import frames
 
-    hub, count, out = WatchHub(0.0), options.edges, []
+    hub, count, responses = WatchHub(0.0), options.edges, []
     hub.set_members(0.0, tuple(f"10.0.0.{number}:7300" for number in range(5)))
-    held = EndpointList(lambda: 0.0)
-    held.begin_term(1)
-    told = entries(options.upstreams)
-    held.apply_poll(0.0, told)
-    hub.set_endpoint_list(0.0, held)
+    endpoint_list = EndpointList(lambda: 0.0)
+    endpoint_list.begin_term(1)
+    entries = endpoint_entries(options.upstreams)
+    endpoint_list.apply_poll(0.0, entries)
+    hub.set_endpoint_list(0.0, endpoint_list)
 
     raw = configuration(20)
 
@@ -252,45 +258,45 @@
         state = {"configuration": raw, "version": b"%d" % sequence, "evacuations": b"[]"}
         hub.apply_control_state(0.0, 1, sequence, state)
 
-    def asks(now, sequence):
+    def add_watch_requests(now, sequence):
         for number in range(count):
             zone = f"zone-{number % ZONES}"
             edge = EdgeStatus(f"edge-{number}", "10.1.0.12:8263", zone, "region-0", 1, READY)
-            ask = WatchRequest(edge, (1, sequence), held.version, 1.2, sequence, 0.1)
-            body = frames.encode("10.1.0.12:7300", 5, False, b"K" + control_messages.encode(ask))
+            watch_request = WatchRequest(edge, (1, sequence), endpoint_list.version, 1.2, sequence, 0.1)
+            body = frames.encode("10.1.0.12:7300", 5, False, b"K" + control_messages.encode(watch_request))
             bodies.append(body[4:])
 
-    def answer(told):
-        out.append(frames.encode("10.0.0.1:7300", 5, True, b"K" + control_messages.encode(told)))
+    def answer(response):
+        responses.append(frames.encode("10.0.0.1:7300", 5, True, b"K" + control_messages.encode(response)))
 
     control(1)
     bodies: list[bytes] = []
-    asks(0.0, 1)
-    before = resident()
+    add_watch_requests(0.0, 1)
+    before = resident_mib()
 
-    def take():
+    def handle_requests():
         for body in bodies:
             hub.watch(0.1, control_messages.decode(frames.decode(body).body[1:]), answer)
 
     print(
-        f"{count} watch requests read and parked: {spent(take) / count * 1000:.0f} us each, "
-        f"request of {len(bodies[0])} bytes, {resident() - before:.1f} MB"
+        f"{count} watch requests read and parked: {cpu_ms(handle_requests) / count * 1000:.0f} us each, "
+        f"request of {len(bodies[0])} bytes, {resident_mib() - before:.1f} MB"
     )
-    took = spent(lambda: hub.tick(1.5))
-    print(f"answered at the end of their wait: {took / count * 1000:.0f} us each, {len(out[-1])} bytes")
-    take()
-    took = spent(lambda: control(2))
-    print(f"configuration of {len(raw)} bytes sent to all: {took:.1f} ms, {len(out[-1])} bytes each")
+    took = cpu_ms(lambda: hub.tick(1.5))
+    print(f"answered at the end of their wait: {took / count * 1000:.0f} us each, {len(responses[-1])} bytes")
+    handle_requests()
+    took = cpu_ms(lambda: control(2))
+    print(f"configuration of {len(raw)} bytes sent to all: {took:.1f} ms, {len(responses[-1])} bytes each")
     bodies.clear()
-    asks(0.0, 2)
-    take()
-    told[5] = {**told[5], "state": "draining"}
-    held.apply_poll(1.0, told)
-    took = spent(lambda: hub.set_endpoint_list(1.0, held))
-    print(f"delta of one upstream sent to all: {took:.1f} ms, {len(out[-1])} bytes each")
-    word = control_messages.encode(hub.edges.own_edges(1.0))
-    took = spent(lambda: control_messages.encode(hub.edges.own_edges(1.0)))
-    print(f"report of {count} edges to another member: {took:.1f} ms, {len(word)} bytes")
+    add_watch_requests(0.0, 2)
+    handle_requests()
+    entries[5] = {**entries[5], "state": "draining"}
+    endpoint_list.apply_poll(1.0, entries)
+    took = cpu_ms(lambda: hub.set_endpoint_list(1.0, endpoint_list))
+    print(f"delta of one upstream sent to all: {took:.1f} ms, {len(responses[-1])} bytes each")
+    report = control_messages.encode(hub.edges.own_edges(1.0))
+    took = cpu_ms(lambda: control_messages.encode(hub.edges.own_edges(1.0)))
+    print(f"report of {count} edges to another member: {took:.1f} ms, {len(report)} bytes")
 
 
 def measure_views(options) -> None:
@@ -310,7 +316,7 @@
         )
         for number in range(count)
     ]
-    before = resident()
+    before = resident_mib()
     views = {node.address: PartialView(node, Random(random.random()), 0.0) for node in nodes}
     for view in views.values():
         view.add_contacts(nodes[:3])
@@ -326,20 +332,20 @@
             view.tick(now)
         busy = list(views.values())
         while busy:
-            met = []
+            receiving_views = []
             for view in busy:
                 instructions, view.instructions[:] = list(view.instructions), []
                 for effect in instructions:
                     sent, bytes_sent = sent + 1, bytes_sent + len(effect.body)
                     if effect.address in views:
                         views[effect.address].receive(now, view.table.me.address, effect.body)
-                        met.append(views[effect.address])
-            busy = met
+                        receiving_views.append(views[effect.address])
+            busy = receiving_views
     half = seconds / 2
     print(
         f"{count} views, per view and second: {(process_time() - begun) / half / count * 1000:.2f} ms, "
         f"{sent / half / count:.1f} messages, {bytes_sent / half / count:.0f} bytes sent; "
-        f"{(resident() - before) / count * 1024:.0f} KB per view"
+        f"{(resident_mib() - before) / count * 1024:.0f} KB per view"
     )
     counts = sorted(view.count("edge") for view in views.values())
     print(f"number of edges as a view estimates it, median: {counts[count // 2]} of {count}")
