--- a/benchmarks/capture.py
+++ b/benchmarks/capture.py
@@ -32,8 +32,8 @@
 
 
 def deploy(place: Path, times: int) -> None:
-    told = runner.run(scenarios.load(ROOT / "scenarios/deploy-shrink.toml"), place / "run")
-    print("breaches", len(told["breaches"]), "no result", told["no_result"])
+    summary = runner.run(scenarios.load(ROOT / "scenarios/deploy-shrink.toml"), place / "run")
+    print("breaches", len(summary["breaches"]), "no result", summary["no_result"])
     for path in sorted((place / "run").glob("*capture/*.sgc")):
         records, why = load(path)
         rpcs = sum(row[0] == TAKE for _, row in calls(records))
@@ -66,7 +66,7 @@
     print("\n".join(experiments.table(found)))
 
 
-def drive(balancer, rpcs: int, upstreams: int) -> float:
+def decision_cpu_us(balancer, rpcs: int, upstreams: int) -> float:
     """Returns the CPU time per RPC of decisions requested as the sidecar requests them, in microseconds."""
     chance = Random(1)
     balancer.list_changed(
@@ -95,14 +95,14 @@
     return (time.process_time() - begun) / rpcs * 1e6
 
 
-def alone(rpcs: int = 40_000) -> None:
+def measure_recorder(rpcs: int = 40_000) -> None:
     for upstreams in (10, 100, 1000):
         pairs = []
         for _ in range(3):
-            plain = drive(load_balancing.Balancer(settings(4), 1, 0), rpcs, upstreams)
+            plain = decision_cpu_us(load_balancing.Balancer(settings(4), 1, 0), rpcs, upstreams)
             ring = Ring(2**26)
             recorder = Recorder(settings(4), 1, 0, ring, most_rows=10**9, checkpoint=10**9)
-            pairs.append((plain, drive(recorder, rpcs, upstreams) - plain))
+            pairs.append((plain, decision_cpu_us(recorder, rpcs, upstreams) - plain))
         plain, more = min(pairs), min(pair[1] for pair in pairs)
         before, begun = ring.size, time.perf_counter()
         recorder.save(rpcs * 5)
@@ -119,14 +119,14 @@
 
 
 def main() -> None:
-    what = sys.argv[1] if len(sys.argv) > 1 else ""
+    benchmark = sys.argv[1] if len(sys.argv) > 1 else ""
     with tempfile.TemporaryDirectory() as place:
-        if what == "deploy":
+        if benchmark == "deploy":
             deploy(Path(place), int(os.environ.get("TIMES", "100")))
-        elif what == "cost":
+        elif benchmark == "cost":
             cost(Path(place), int(os.environ.get("ROUNDS", "4")), int(os.environ.get("LANES", "1")))
-        elif what == "calls":
-            alone()
+        elif benchmark == "calls":
+            measure_recorder()
         else:
             print(__doc__)
             sys.exit(2)
--- a/benchmarks/quotas.py
+++ b/benchmarks/quotas.py
@@ -49,7 +49,7 @@
     return found
 
 
-def most_in_any(times: list[float], window: float) -> int:
+def max_in_window(times: list[float], window: float) -> int:
     """Returns the largest number of times within any interval of length `window`."""
     times, start, most = sorted(times), 0, 0
     for end, at in enumerate(times):
@@ -95,7 +95,7 @@
         rows.append(
             f"| {name} | "
             + " | ".join(f"{share:.3f}" for share in shares)
-            + f" | {sum(good) / 13:.0f} | {jain:.2f} | {most_in_any(times, 1.0)} | {most_in_any(times, 5.0)} "
+            + f" | {sum(good) / 13:.0f} | {jain:.2f} | {max_in_window(times, 1.0)} | {max_in_window(times, 5.0)} "
             f"| {late[int(len(late) * 0.99)] if late else 0:.0f} | {len(runs[0]['breaches'])} |"
         )
     return rows
@@ -156,7 +156,7 @@
     The window is 1 s. The first organisation is always active, the others are active at random times.
     `reserve`: part of each guarantee that is never lent, in thousandths. `length`: ticks of 0.1 ms.
     """
-    chance = Random(4)
+    random = Random(4)
     root = Node("all", None, (Limit("requests", 10_000, 450),), LendingTerms(reserve, 10))
     nodes = [
         Node(name, root, (Limit("requests", 10_000, 450, kept),))
@@ -164,16 +164,16 @@
     ]
     tree, rates = Tree(root), (1500, 300, 300)
     asked, got, own, own_got, log = [0] * 3, [0] * 3, [0] * 3, [0] * 3, []
-    awake, change = [True, False, False], [0.0] * 3
-    due, now = [chance.expovariate(rate / 10_000) for rate in rates], 0.0
+    active, next_change = [True, False, False], [0.0] * 3
+    due, now = [random.expovariate(rate / 10_000) for rate in rates], 0.0
     while now < length:
         number = min(range(3), key=due.__getitem__)
         now = due[number]
-        due[number] += chance.expovariate(rates[number] / 10_000)
-        if number and now >= change[number]:
-            awake[number] = not awake[number]
-            change[number] = now + chance.expovariate(1 / 80_000)  # 8 s on average
-        if not awake[number]:
+        due[number] += random.expovariate(rates[number] / 10_000)
+        if number and now >= next_change[number]:
+            active[number] = not active[number]
+            next_change[number] = now + random.expovariate(1 / 80_000)  # 8 s on average
+        if not active[number]:
             continue
         account = nodes[number].accounts["requests", 10_000]
         within = account.used(int(now)) < account.guarantee
@@ -198,7 +198,7 @@
             round(one / max(1, all_), 4) for one, all_ in zip(own_got[1:], own[1:], strict=True)
         ],
         "Jain": round(sum(shares) ** 2 / (3 * sum(share**2 for share in shares)), 3),
-        "max in 1 s (limit 450)": most_in_any(log, 10_000),
+        "max in 1 s (limit 450)": max_in_window(log, 10_000),
         "debts": len(pool.repayment.history),
         "repaid late": len(late),
         "longest until repaid, s (limit 10.5)": max(
@@ -208,11 +208,11 @@
 
 
 def main() -> None:
-    what = sys.argv[1] if len(sys.argv) > 1 else ""
-    if what == "flood":
+    benchmark = sys.argv[1] if len(sys.argv) > 1 else ""
+    if benchmark == "flood":
         with tempfile.TemporaryDirectory() as place:
             print("\n".join(flood(Path(place), int(os.environ.get("LANES", "1")))))
-    elif what == "lend":
+    elif benchmark == "lend":
         for name, reserve, guarantees in (
             ("no guarantees", 0, (0, 0, 0)),
             ("no lending", 1000, (150, 150, 150)),
@@ -220,7 +220,7 @@
             ("as shipped", 250, (150, 150, 150)),
         ):
             print(name, lend(reserve, guarantees))
-    elif what == "cost":
+    elif benchmark == "cost":
         for guaranteed in (False, True):
             for leaves in (10, 1_000, 50_000):
                 print(cost(leaves, guaranteed=guaranteed))
--- a/benchmarks/saved.py
+++ b/benchmarks/saved.py
@@ -51,26 +51,26 @@
 
 def stream(seed: int, rows: int = 50):
     """Yields endless records: a full list, then changes that each replace one instance."""
-    chance, wall, generation, number = Random(seed), WallClock(), 1, rows
+    random, wall, generation, number = Random(seed), WallClock(), 1, rows
     alive = list(range(rows))
     fields = msgspec.structs.astuple(wall.now())
     yield {"k": "list", "rows": [entry(one) for one in alive], "whole": True, "generation": 1, "at": fields}
     while True:
         generation += 1
-        one = alive.pop(chance.randrange(len(alive)))
-        told = [entry(one, "terminated"), entry(number)]
+        one = alive.pop(random.randrange(len(alive)))
+        changed_rows = [entry(one, "terminated"), entry(number)]
         alive.append(number)
         number += 1
-        yield {"k": "list", "rows": told, "whole": False, "generation": generation, "at": fields}
+        yield {"k": "list", "rows": changed_rows, "whole": False, "generation": generation, "at": fields}
 
 
-def told(snapshot: Snapshot) -> tuple:
+def contents(snapshot: Snapshot) -> tuple:
     return snapshot.generation, frozenset(snapshot.endpoints)
 
 
 def kills(count: int, folder: Path, most: float = 0.02, seed: int = 1) -> dict:
     """Kills forked writers after random times and checks that each recovery finds a list that was written."""
-    chance, wall = Random(seed), WallClock()
+    random, wall = Random(seed), WallClock()
     worst, furthest = 0.0, 0
     for number in range(count):
         child = os.fork()
@@ -84,7 +84,7 @@
                     time.sleep(0.0002)
             finally:
                 os._exit(1)
-        time.sleep(chance.uniform(0.002, most))
+        time.sleep(random.uniform(0.002, most))
         os.kill(child, signal.SIGKILL)
         os.waitpid(child, 0)
         begun = time.perf_counter()
@@ -101,7 +101,7 @@
                 snapshot.apply(record)
                 if snapshot.generation >= found.snapshot.generation:
                     break
-            if told(snapshot) == told(found.snapshot):
+            if contents(snapshot) == contents(found.snapshot):
                 break
         else:
             raise AssertionError(f"kill {number}: generation {found.snapshot.generation} was never told")
@@ -184,7 +184,7 @@
     found = recover(Files(folder), "n1")
     read = time.perf_counter() - begun
     verdicts = assess(found.snapshot, wall.now(), Trusting())
-    weighed = time.perf_counter() - begun - read
+    assessed = time.perf_counter() - begun - read
     begun = time.perf_counter()
     again = Store(Files(folder), "n1", wall.now)
     again.open()
@@ -193,12 +193,12 @@
     return {
         "rows": len(verdicts),
         "read ms": round(read * 1000, 1),
-        "weigh ms": round(weighed * 1000, 1),
+        "weigh ms": round(assessed * 1000, 1),
         "open, snapshot synced, ms": round(opened * 1000, 1),
     }
 
 
-async def restarts(count: int, lanes: int, place: Path) -> dict:
+async def restarts(count: int, lanes: int, parent_folder: Path) -> dict:
     """Runs and kills sidecars whose stand-in discovery changes the list ten times a second."""
     from random import Random as Chance
 
@@ -206,13 +206,13 @@
     from shedgrade.lab.processes import free_port
     from shedgrade.lab.worker import tied
 
-    loop, chance = asyncio.get_running_loop(), Chance(1)
+    loop, random = asyncio.get_running_loop(), Chance(1)
     discovery = Discovery(loop, time.monotonic, lanes, [0.0, 0.05], 1, lambda entry: None)
-    ports = [(free_port(chance), free_port(chance)) for _ in range(lanes)]
+    ports = [(free_port(random), free_port(random)) for _ in range(lanes)]
     await discovery.listen([[("127.0.0.1", port)] for _, port in ports])
     for agent in discovery.agents:
         agent.entries = {entry(number)["instanceId"]: entry(number) for number in range(50)}
-    told = {entry(number)["instanceId"] for number in range(50)}
+    listed_ids = {entry(number)["instanceId"] for number in range(50)}
     done = {"kills": 0, "starts that failed": 0, "damaged": 0, "rows never told": 0, "from saved": 0}
 
     async def churn() -> None:
@@ -220,13 +220,13 @@
         next(records)
         while True:
             for one in next(records)["rows"]:
-                told.add(one["instanceId"])
+                listed_ids.add(one["instanceId"])
                 discovery.change([one] * lanes)
             await asyncio.sleep(0.1)
 
     async def lane(number: int) -> None:
         listen, port = ports[number]
-        folder = place / f"n{number}"
+        folder = parent_folder / f"n{number}"
         method = {
             "name": "m",
             "idempotency": "once",
@@ -267,7 +267,7 @@
                 "stop_sending_within": 500.0,
             },
         }
-        (place / f"{number}.json").write_text(
+        (parent_folder / f"{number}.json").write_text(
             json.dumps(
                 {
                     "name": f"n{number}",
@@ -277,9 +277,9 @@
                 }
             )
         )
-        (place / f"{number}.toml").write_text(f'[saved]\nfolder = "{folder}"\nstate_s = 0.1\n')
+        (parent_folder / f"{number}.toml").write_text(f'[saved]\nfolder = "{folder}"\nstate_s = 0.1\n')
         for _ in range(count // lanes):
-            log = place / f"{number}.log"
+            log = parent_folder / f"{number}.log"
             with log.open("wb") as file:
                 process = await asyncio.create_subprocess_exec(
                     sys.executable,
@@ -287,9 +287,9 @@
                     "shedgrade",
                     "serve",
                     "--config",
-                    str(place / f"{number}.json"),
+                    str(parent_folder / f"{number}.json"),
                     "--features",
-                    str(place / f"{number}.toml"),
+                    str(parent_folder / f"{number}.toml"),
                     stderr=file,
                     preexec_fn=tied(None, 9),
                     cwd=Path(__file__).resolve().parents[1],
@@ -301,7 +301,7 @@
                 and (time.monotonic() < until)
             ):
                 await asyncio.sleep(0.02)
-            await asyncio.sleep(chance.uniform(0.0, 0.5))
+            await asyncio.sleep(random.uniform(0.0, 0.5))
             text = log.read_text()
             done["starts that failed"] += process.returncode is not None or "after=serving" not in text
             done["damaged"] += "damaged" in text
@@ -311,7 +311,7 @@
             await process.wait()
             done["kills"] += 1
             snapshot = recover(Files(folder), f"n{number}").snapshot
-            done["rows never told"] += bool(set(snapshot.endpoints) - told)
+            done["rows never told"] += bool(set(snapshot.endpoints) - listed_ids)
 
     task = asyncio.create_task(churn())
     await asyncio.gather(*(lane(number) for number in range(lanes)))
@@ -428,22 +428,22 @@
 
 
 def main() -> None:
-    what = sys.argv[1] if len(sys.argv) > 1 else ""
-    with tempfile.TemporaryDirectory() as place:
-        folder = Path(place) / "n1"
-        if what == "matrix":
-            print("\n".join(matrix(int(os.environ.get("LANES", "2")), 1, Path(place))))
-        elif what == "kills":
+    benchmark = sys.argv[1] if len(sys.argv) > 1 else ""
+    with tempfile.TemporaryDirectory() as parent_folder:
+        folder = Path(parent_folder) / "n1"
+        if benchmark == "matrix":
+            print("\n".join(matrix(int(os.environ.get("LANES", "2")), 1, Path(parent_folder))))
+        elif benchmark == "kills":
             print(kills(1000, folder))
-        elif what == "restarts":
-            print(asyncio.run(restarts(1000, int(os.environ.get("LANES", "4")), Path(place))))
-        elif what == "cost":
+        elif benchmark == "restarts":
+            print(asyncio.run(restarts(1000, int(os.environ.get("LANES", "4")), Path(parent_folder))))
+        elif benchmark == "cost":
             for number, changes in enumerate((1, 10, 100)):
-                print(cost(10, changes, 100, Path(place) / str(number)))
-        elif what == "startup":
+                print(cost(10, changes, 100, Path(parent_folder) / str(number)))
+        elif benchmark == "startup":
             for rows in (10, 100, 1000, 10_000):
-                print(startup(rows, Path(place) / str(rows)))
-        elif what == "slowdisk":
+                print(startup(rows, Path(parent_folder) / str(rows)))
+        elif benchmark == "slowdisk":
             print(slowdisk(10, folder))
         else:
             print(__doc__)
--- a/benchmarks/tunnels.py
+++ b/benchmarks/tunnels.py
@@ -27,10 +27,10 @@
 from shedgrade.sidecar.tunnel import connect, socks
 from shedgrade.sidecar.tunnel.destinations import destination
 
-IDLE = 5_000  # idle tunnels
+IDLE_TUNNELS = 5_000
 
 
-class Sink(asyncio.Protocol):
+class UpstreamProtocol(asyncio.Protocol):
     """Discards what it receives, but answers HTTP requests that arrive in one piece."""
 
     def connection_made(self, transport) -> None:
@@ -41,21 +41,23 @@
             self.transport.write(b"HTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\nok")
 
 
-def upstream(port: int) -> None:
+def run_upstream(port: int) -> None:
     """Runs the stand-in upstream; the body of a process."""
 
     async def run() -> None:
-        server = await asyncio.get_running_loop().create_server(Sink, "127.0.0.1", port, backlog=4096)
+        server = await asyncio.get_running_loop().create_server(
+            UpstreamProtocol, "127.0.0.1", port, backlog=4096
+        )
         await server.serve_forever()
 
     raise_limit()
     uvloop.run(run())
 
 
-class Rig:
+class SidecarSetup:
     """A sidecar and a stand-in upstream, as processes."""
 
-    def __init__(self, place: Path) -> None:
+    def __init__(self, folder: Path) -> None:
         import random
 
         chance = random.Random()
@@ -80,7 +82,7 @@
             "weight": 1.0,
             "startedAtMs": 0,
         }
-        (place / "c.json").write_text(
+        (folder / "c.json").write_text(
             json.dumps(
                 {
                     "name": "n1",
@@ -126,7 +128,7 @@
                 }
             )
         )
-        (place / "f.toml").write_text(
+        (folder / "f.toml").write_text(
             f'[tunnel]\nsocks = "127.0.0.1:{self.socks}"\nconnect = "127.0.0.1:{self.connect}"\nmost = 9000\n'
             "open_ms = 8000.0\nidle_s = 3600.0\n"
             '[[tunnel.routes]]\nnames = ["raw.internal"]\nuse = "opaque"\nmethod = "m"\n'
@@ -142,9 +144,9 @@
                 "shedgrade",
                 "serve",
                 "--config",
-                str(place / "c.json"),
+                str(folder / "c.json"),
                 "--features",
-                str(place / "f.toml"),
+                str(folder / "f.toml"),
                 "--log-level",
                 "ERROR",
             ],
@@ -152,7 +154,7 @@
             preexec_fn=begin,
         )
 
-    async def up_and_running(self) -> None:
+    async def wait_until_listening(self) -> None:
         for port in (self.up, self.front):
             for _ in range(200):
                 try:
@@ -162,7 +164,7 @@
                 except OSError:
                     await asyncio.sleep(0.05)
 
-    def stat(self) -> dict:
+    def sidecar_stats(self) -> dict:
         return stat_of(self.sidecar.pid)
 
     def end(self) -> None:
@@ -193,16 +195,16 @@
         return reader, writer
 
 
-async def relay(rig: Rig, total: int = 2 << 30) -> dict:
-    _, writer = await rig.tunnel()
-    before, begun, block = rig.stat(), time.monotonic(), b"x" * (1 << 18)
+async def relay(setup: SidecarSetup, total: int = 2 << 30) -> dict:
+    _, writer = await setup.tunnel()
+    before, begun, block = setup.sidecar_stats(), time.monotonic(), b"x" * (1 << 18)
     for _ in range(total // len(block)):
         writer.write(block)
         await writer.drain()
     writer.write_eof()
     while time.monotonic() < begun + 120 and writer.transport.get_write_buffer_size():
         await asyncio.sleep(0.01)
-    took, after = time.monotonic() - begun, rig.stat()
+    took, after = time.monotonic() - begun, setup.sidecar_stats()
     writer.close()
     return {
         "GB": round(total / 1e9, 2),
@@ -212,36 +214,36 @@
     }
 
 
-async def handshakes(rig: Rig, count: int = 3000, workers: int = 2) -> dict:
+async def handshakes(setup: SidecarSetup, count: int = 3000, workers: int = 2) -> dict:
     found = {}
     for kind in ("connect", "socks5"):
-        before, begun, good = rig.stat(), time.monotonic(), 0
+        before, begun, good = setup.sidecar_stats(), time.monotonic(), 0
 
         async def work(kind=kind) -> int:
             done = 0
             for _ in range(count // workers):
-                streams = await rig.tunnel(kind)
+                streams = await setup.tunnel(kind)
                 if streams is not None:
                     done += 1
                     streams[1].close()
             return done
 
         good = sum(await asyncio.gather(*(work() for _ in range(workers))))
-        took, after = time.monotonic() - begun, rig.stat()
+        took, after = time.monotonic() - begun, setup.sidecar_stats()
         found[kind] = {
             "opened": good,
-            "a second": round(count / took),
-            "CPU us each": round((after["cpu"] - before["cpu"]) / count * 1e6),
+            "per second": round(count / took),
+            "CPU us per tunnel": round((after["cpu"] - before["cpu"]) / count * 1e6),
         }
     return found
 
 
-async def rpcs(rig: Rig, rate: float = 200.0, seconds: float = 10.0) -> dict:
+async def rpcs(setup: SidecarSetup, rate: float = 200.0, seconds: float = 10.0) -> dict:
     """Sends RPCs in an open loop over kept connections; returns latencies from the scheduled start, ms."""
     pool, took, tasks, late = [], [], [], 0.0
 
     async def one(number: int, due: float) -> None:
-        reader, writer = pool.pop() if pool else await asyncio.open_connection("127.0.0.1", rig.front)
+        reader, writer = pool.pop() if pool else await asyncio.open_connection("127.0.0.1", setup.front)
         writer.write(
             b"POST /m HTTP/1.1\r\nHost: x\r\nX-Request-ID: r%d\r\nX-Timeout-Ms: 4000\r\n"
             b"Content-Length: 0\r\n\r\n" % number
@@ -271,54 +273,54 @@
     }
 
 
-async def idle(rig: Rig) -> dict:
-    await rpcs(rig, seconds=3)  # warm-up
-    before = {"tail before": await rpcs(rig), "rss MB": rig.stat()["rss"] / 1024}
+async def idle(setup: SidecarSetup) -> dict:
+    await rpcs(setup, seconds=3)  # warm-up
+    before = {"latency before, ms": await rpcs(setup), "rss MB": setup.sidecar_stats()["rss"] / 1024}
     held, refused = [], 0
-    while len(held) < IDLE and refused < 50:
-        for streams in await asyncio.gather(*(rig.tunnel() for _ in range(4))):
+    while len(held) < IDLE_TUNNELS and refused < 50:
+        for streams in await asyncio.gather(*(setup.tunnel() for _ in range(4))):
             if streams is None:
                 refused += 1
                 await asyncio.sleep(0.02)
             else:
                 held.append(streams)
     await asyncio.sleep(2)
-    stat = rig.stat()
-    beside = await rpcs(rig)
+    sidecar_stats = setup.sidecar_stats()
+    beside = await rpcs(setup)
     return {
         "idle tunnels": len(held),
         "refused on the way": refused,
         **before,
-        "KB an idle tunnel": round((stat["rss"] - before["rss MB"] * 1024) / max(1, len(held)), 1),
-        "descriptors": stat["fds"],
-        "tail beside them": beside,
+        "KB per idle tunnel": round((sidecar_stats["rss"] - before["rss MB"] * 1024) / max(1, len(held)), 1),
+        "descriptors": sidecar_stats["fds"],
+        "latency beside them, ms": beside,
     }
 
 
 def main() -> None:
-    what = sys.argv[1] if len(sys.argv) > 1 else ""
-    if what == "upstream":
-        upstream(int(sys.argv[2]))
+    benchmark = sys.argv[1] if len(sys.argv) > 1 else ""
+    if benchmark == "upstream":
+        run_upstream(int(sys.argv[2]))
         return
     jobs = {"relay": relay, "handshakes": handshakes, "idle": idle}
-    if what and what not in jobs:
+    if benchmark and benchmark not in jobs:
         print(__doc__)
         sys.exit(2)
     raise_limit()
-    if resource.getrlimit(resource.RLIMIT_NOFILE)[0] < 2 * IDLE + 1000 and what in ("", "idle"):
+    if resource.getrlimit(resource.RLIMIT_NOFILE)[0] < 2 * IDLE_TUNNELS + 1000 and benchmark in ("", "idle"):
         sys.exit("idle: too few descriptors (ulimit -n)")
 
     async def run(job) -> None:
-        with tempfile.TemporaryDirectory() as place:
-            rig = Rig(Path(place))
+        with tempfile.TemporaryDirectory() as folder:
+            setup = SidecarSetup(Path(folder))
             try:
-                await rig.up_and_running()
-                print(job.__name__, await job(rig), flush=True)
+                await setup.wait_until_listening()
+                print(job.__name__, await job(setup), flush=True)
             finally:
-                rig.end()
+                setup.end()
 
     for name, job in jobs.items():
-        if what in ("", name):
+        if benchmark in ("", name):
             uvloop.run(run(job))
 
 
