--- a/benchmarks/streams.py
+++ b/benchmarks/streams.py
@@ -24,15 +24,15 @@
 PLATFORM, UPSTREAM, EDGE = ("127.0.0.20", 8266), ("127.0.0.30", 9000), ("127.0.0.10", 8161)
 CORES = ("127.0.0.2", "127.0.0.3", "127.0.0.4")
 ZONES = {"zone-a": "region-a", "zone-b": "region-b", "zone-c": "region-c"}
-TICK = os.sysconf("SC_CLK_TCK")
-EVENTS = 200  # in a stream
+CLOCK_TICKS_PER_S = os.sysconf("SC_CLK_TCK")
+EVENTS_PER_STREAM = 200
 
 
-def settings(name: str, kind: str, ip: str, zone: str, listen: dict, folder: str | None) -> dict:
+def process_settings(name: str, role: str, ip: str, zone: str, listen: dict, folder: str | None) -> dict:
     return {
         "nodeName": name,
-        "role": kind,
-        "machineClass": kind,
+        "role": role,
+        "machineClass": role,
         "servedRoles": list(listen),
         "ipAddress": ip,
         "zone": zone,
@@ -42,7 +42,7 @@
         "internalPortRange": [7300, 7315],
         "seedNodes": [f"{core}:8262" for core in CORES],
         "initialStart": True,
-        "lossCounted": kind == "core",
+        "lossCounted": role == "core",
         "limits": {
             "cpuShare": 1.0,
             "cores": 1,
@@ -118,7 +118,7 @@
             writer.write(start + b"Content-Length: 5\r\n\r\nhello")
             continue
         writer.write(start + b"Content-Type: text/event-stream\r\nTransfer-Encoding: chunked\r\n\r\n")
-        for number in range(EVENTS):
+        for number in range(EVENTS_PER_STREAM):
             event = b"id: %d\ndata: %s\n\n" % (number + 1, b"token " * 5)
             writer.write(b"%x\r\n%s\r\n" % (len(event), event))
             await writer.drain()
@@ -126,16 +126,16 @@
         writer.write(b"0\r\n\r\n")
 
 
-async def quietly(story, *given) -> None:
+async def ignore_disconnects(handler, *args) -> None:
     with contextlib.suppress(asyncio.IncompleteReadError, ConnectionError, asyncio.CancelledError):
-        await story(*given)
+        await handler(*args)
 
 
 class Load:
-    """Clients that each have one request in progress; counts complete answers (`whole`) and refusals."""
+    """Clients that each have one request in progress; counts complete answers and refusals."""
 
     def __init__(self) -> None:
-        self.whole = self.refused = self.number = 0
+        self.completed = self.refused = self.number = 0
 
     async def client(self, path: bytes, until: float) -> None:
         loop = asyncio.get_running_loop()
@@ -154,38 +154,40 @@
                 reader, writer = await asyncio.open_connection(*EDGE)
                 continue
             await reader.readuntil(end)
-            self.whole += 1
+            self.completed += 1
         writer.close()
 
 
-def processor(process) -> float:
+def cpu_seconds(process) -> float:
     """Returns the CPU time that a process has used so far, in seconds."""
     fields = Path(f"/proc/{process.pid}/stat").read_text().rpartition(")")[2].split()
-    return (int(fields[11]) + int(fields[12])) / TICK
+    return (int(fields[11]) + int(fields[12])) / CLOCK_TICKS_PER_S
 
 
-def resident(process) -> float:
+def resident_mib(process) -> float:
     return int(Path(f"/proc/{process.pid}/statm").read_text().split()[1]) * os.sysconf("SC_PAGE_SIZE") / 2**20
 
 
-async def ready(path: str) -> None:
+async def wait_until_ready(path: str) -> None:
     """Waits until the edge's readiness check succeeds."""
 
-    def asks() -> bool:
+    def is_ready() -> bool:
         try:
             return urllib.request.urlopen(path, timeout=1).status == 200
         except OSError:
             return False
 
-    while not await asyncio.to_thread(asks):
+    while not await asyncio.to_thread(is_ready):
         await asyncio.sleep(0.2)
 
 
-async def play(processes: dict, seconds: float, streams: list[int], pause: float) -> None:
+async def measure(processes: dict, seconds: float, streams: list[int], pause: float) -> None:
     loop = asyncio.get_running_loop()
     servers = [
-        await asyncio.start_server(lambda *ends: quietly(platform, *ends), *PLATFORM),
-        await asyncio.start_server(lambda *ends: quietly(upstream, *ends, pause), *UPSTREAM, backlog=4096),
+        await asyncio.start_server(lambda *ends: ignore_disconnects(platform, *ends), *PLATFORM),
+        await asyncio.start_server(
+            lambda *ends: ignore_disconnects(upstream, *ends, pause), *UPSTREAM, backlog=4096
+        ),
     ]
     with tempfile.NamedTemporaryFile("w", suffix=".json") as file:
         json.dump(CONFIGURATION, file)
@@ -202,29 +204,30 @@
         )
         assert await put.wait() == 0
     async with asyncio.timeout(20):
-        await ready("http://127.0.0.10:8162/readiness")
+        await wait_until_ready("http://127.0.0.10:8162/readiness")
     edge, cores = processes["edge"], [processes[name] for name in ("core-a", "core-b", "core-c")]
-    before = processor(edge), [processor(core) for core in cores]
+    before = cpu_seconds(edge), [cpu_seconds(core) for core in cores]
     await asyncio.sleep(5)
-    idle = [(processor(core) - was) / 5 * 100 for core, was in zip(cores, before[1], strict=True)]
+    idle = [(cpu_seconds(core) - was) / 5 * 100 for core, was in zip(cores, before[1], strict=True)]
     print(
-        f"idle: edge {(processor(edge) - before[0]) / 5 * 100:.2f}% of a core, {resident(edge):.1f} MB; "
+        f"idle: edge {(cpu_seconds(edge) - before[0]) / 5 * 100:.2f}% of a core, "
+        f"{resident_mib(edge):.1f} MB; "
         f"cores {', '.join(f'{part:.2f}%' for part in idle)}, "
-        f"{', '.join(f'{resident(core):.1f}' for core in cores)} MB"
+        f"{', '.join(f'{resident_mib(core):.1f}' for core in cores)} MB"
     )
     for path, counts in ((b"/short/", [8]), (b"/stream/", streams)):
         for count in counts:
-            load, begun = Load(), processor(edge)
+            load, begun = Load(), cpu_seconds(edge)
             until = loop.time() + seconds
             started = loop.time()
-            await asyncio.gather(*(quietly(load.client, path, until) for _ in range(count)))
-            spent, took = processor(edge) - begun, loop.time() - started
-            each = load.whole * (EVENTS if path == b"/stream/" else 1)
+            await asyncio.gather(*(ignore_disconnects(load.client, path, until) for _ in range(count)))
+            spent, took = cpu_seconds(edge) - begun, loop.time() - started
+            units = load.completed * (EVENTS_PER_STREAM if path == b"/stream/" else 1)
             print(
-                f"{path.decode()} {count} concurrent: {load.whole} complete, {load.refused} refused, "
-                f"{each / took:.0f} {'events' if path == b'/stream/' else 'requests'} per second, "
-                f"{spent / each * 1e6:.0f} us each, edge at {100 * spent / took:.0f}% of a core, "
-                f"{resident(edge):.1f} MB"
+                f"{path.decode()} {count} concurrent: {load.completed} complete, {load.refused} refused, "
+                f"{units / took:.0f} {'events' if path == b'/stream/' else 'requests'} per second, "
+                f"{spent / units * 1e6:.0f} us each, edge at {100 * spent / took:.0f}% of a core, "
+                f"{resident_mib(edge):.1f} MB"
             )
     for server in servers:
         server.close()
@@ -243,10 +246,14 @@
                 data = Path(folder, name)
                 data.mkdir()
                 listen = {"control": f"{ip}:8262", "directory": f"{ip}:8263"}
-                processes[name] = start(folder, settings(name, "core", ip, zone, listen, str(data)))
+                processes[name] = start_process(
+                    folder, process_settings(name, "core", ip, zone, listen, str(data))
+                )
             listen = {"front": "{}:{}".format(*EDGE), "readiness": "127.0.0.10:8162"}
-            processes["edge"] = start(folder, settings("edge", "edge", EDGE[0], "zone-a", listen, None))
-            asyncio.run(play(processes, options.seconds, options.streams, options.pause))
+            processes["edge"] = start_process(
+                folder, process_settings("edge", "edge", EDGE[0], "zone-a", listen, None)
+            )
+            asyncio.run(measure(processes, options.seconds, options.streams, options.pause))
         finally:
             for process in processes.values():
                 process.terminate()
@@ -254,10 +261,10 @@
                 process.wait()
 
 
-def start(folder: str, told: dict) -> subprocess.Popen:
-    path = Path(folder, told["nodeName"] + ".yaml")
-    path.write_text(yaml.safe_dump(told))
-    module = "shedgrade.controlplane" if told["machineClass"] == "core" else "shedgrade.dataplane"
+def start_process(folder: str, node_settings: dict) -> subprocess.Popen:
+    path = Path(folder, node_settings["nodeName"] + ".yaml")
+    path.write_text(yaml.safe_dump(node_settings))
+    module = "shedgrade.controlplane" if node_settings["machineClass"] == "core" else "shedgrade.dataplane"
     return subprocess.Popen(
         [sys.executable, "-m", module, "--settings", str(path)], cwd=Path(__file__).resolve().parents[1]
     )
--- a/benchmarks/watching.py
+++ b/benchmarks/watching.py
@@ -33,11 +33,11 @@
 from shedgrade.peer_transport.connection import PeerCallError
 from shedgrade.peer_transport.tcp import PeerConnectionPool
 
-SPAN = 5  # duration of each measurement, s
-PAGE = 50  # entries of a page
+SPAN_S = 5  # duration of each measurement
+PAGE_SIZE = 50  # entries of a page
 
 
-class Platform:
+class StandInPlatform:
     """Serves the list in pages; some entries change each time its first page is read."""
 
     def __init__(self, count: Counter, upstreams: int, moved: int) -> None:
@@ -65,29 +65,33 @@
             at = int(target.rpartition(b"p-")[2]) if b"p-" in target else 0
             for entry in self.random.sample(self.entries, self.moved) if at == 0 else ():
                 entry["state"] = "draining" if entry["state"] == "available" else "available"
-            rest = f"p-{at + PAGE}" if at + PAGE < len(self.entries) else None
-            body = json.dumps({"instanceList": self.entries[at : at + PAGE], "nextToken": rest}).encode()
-            self.count["platform's pages"] += 1
-            self.count["platform's bytes"] += len(body)
+            next_token = f"p-{at + PAGE_SIZE}" if at + PAGE_SIZE < len(self.entries) else None
+            body = json.dumps(
+                {"instanceList": self.entries[at : at + PAGE_SIZE], "nextToken": next_token}
+            ).encode()
+            self.count["platform pages"] += 1
+            self.count["platform bytes"] += len(body)
             writer.write(
                 b"HTTP/1.1 200 OK\r\nContent-Type: application/json\r\nContent-Length: %d\r\n\r\n" % len(body)
                 + body
             )
 
 
-class Edge:
+class WatchingEdge:
     """An edge that watches the control state and discards the updates."""
 
     def __init__(self, loop, number: int, count: Counter) -> None:
         self.loop, self.count, self.tasks = loop, count, set()
         address = f"127.0.6.{number % 250}:{7300 + number}"
         state = EdgeStatus(f"edge-{number}", address, "zone-a", "region-a", number, READY)
-        self.links = PeerConnectionPool(loop, address, lambda sender, frame: None, address.partition(":")[0])
+        self.connections = PeerConnectionPool(
+            loop, address, lambda sender, frame: None, address.partition(":")[0]
+        )
         self.watcher = Watcher(
             state, [f"{core}:7300" for core in streams.CORES], Random(number), loop.time(), max_wait_s=0.5
         )
 
-    def pump(self) -> None:
+    def execute_instructions(self) -> None:
         for instruction in self.watcher.take_instructions():
             match instruction:
                 case SendWatchRequest():
@@ -100,51 +104,51 @@
     def count_lists(self, updates: tuple[Update, ...]) -> None:
         for update in updates:
             if isinstance(update, EndpointUpdate):
-                self.count["whole lists" if update.is_full else "deltas of the list"] += 1
+                self.count["full lists" if update.is_full else "deltas"] += 1
 
     async def call(self, sent: SendWatchRequest) -> None:
         try:
-            body = await self.links.call(
+            body = await self.connections.call(
                 sent.address, b"K" + control_messages.encode(sent.request), sent.timeout_s
             )
         except PeerCallError:
-            self.count["asks without an answer"] += 1
+            self.count["watch requests without a response"] += 1
             self.watcher.handle_event(RequestFailedEvent(self.loop.time(), sent.address, sent.number))
         else:
-            self.count["asks answered"] += 1
-            self.count["bytes told"] += len(body)
+            self.count["watch requests answered"] += 1
+            self.count["bytes received"] += len(body)
             response = control_messages.decode(body[1:])
             self.watcher.handle_event(ResponseEvent(self.loop.time(), sent.address, response, sent.number))
-        self.pump()
+        self.execute_instructions()
 
     async def run(self) -> None:
         while True:
             self.watcher.handle_event(TickEvent(self.loop.time()))
-            self.pump()
+            self.execute_instructions()
             await asyncio.sleep(max(0.01, min(1.0, self.watcher.wake_at() - self.loop.time())))
 
 
-async def play(options, processes: list) -> None:
+async def measure(options, processes: list) -> None:
     loop, count = asyncio.get_running_loop(), Counter()
-    platform = Platform(count, options.upstreams, options.moved)
+    platform = StandInPlatform(count, options.upstreams, options.moved)
     server = await asyncio.start_server(
-        lambda *ends: streams.quietly(platform.serve, *ends), *streams.PLATFORM
+        lambda *ends: streams.ignore_disconnects(platform.serve, *ends), *streams.PLATFORM
     )
     await asyncio.sleep(4)  # the core processes form a quorum and one begins to poll
-    edges = [Edge(loop, number, count) for number in range(options.edges)]
+    edges = [WatchingEdge(loop, number, count) for number in range(options.edges)]
     count.clear()
     tasks = [loop.create_task(edge.run()) for edge in edges]
-    for called in ("first", "settling", "then"):
+    for phase in ("first", "settling", "then"):
         count.clear()
-        before = [streams.processor(process) for process in processes]
-        await asyncio.sleep(SPAN)
+        before = [streams.cpu_seconds(process) for process in processes]
+        await asyncio.sleep(SPAN_S)
         spent = [
-            100 * (streams.processor(process) - was) / SPAN
+            100 * (streams.cpu_seconds(process) - was) / SPAN_S
             for process, was in zip(processes, before, strict=True)
         ]
-        if called != "settling":
-            said = ", ".join(f"{name} {number / SPAN:.1f}" for name, number in sorted(count.items()))
-            print(f"{called} {SPAN} s, a second: {said}")
+        if phase != "settling":
+            figures = ", ".join(f"{name} {number / SPAN_S:.1f}" for name, number in sorted(count.items()))
+            print(f"{phase} {SPAN_S} s, per second: {figures}")
             print(f"  core processes: {', '.join(f'{part:.0f}%' for part in spent)} of a core")
     for task in tasks:
         task.cancel()
@@ -153,8 +157,8 @@
 
 def main() -> None:
     parser = argparse.ArgumentParser(description=__doc__.splitlines()[0])
-    for name, usual in (("edges", 300), ("upstreams", 3000), ("moved", 10), ("rate", 400)):
-        parser.add_argument(f"--{name}", type=int, default=usual)
+    for name, default_value in (("edges", 300), ("upstreams", 3000), ("moved", 10), ("rate", 400)):
+        parser.add_argument(f"--{name}", type=int, default=default_value)
     options = parser.parse_args()
     processes = []
     with tempfile.TemporaryDirectory() as folder:
@@ -164,10 +168,10 @@
                 data = Path(folder, name)
                 data.mkdir()
                 listen = {"control": f"{ip}:8262", "directory": f"{ip}:8263"}
-                told = streams.settings(name, "core", ip, zone, listen, str(data))
-                told["cloudApi"]["ratePerS"] = float(options.rate)
-                processes.append(streams.start(folder, told))
-            uvloop.run(play(options, processes))
+                node_settings = streams.process_settings(name, "core", ip, zone, listen, str(data))
+                node_settings["cloudApi"]["ratePerS"] = float(options.rate)
+                processes.append(streams.start_process(folder, node_settings))
+            uvloop.run(measure(options, processes))
         finally:
             for process in processes:
                 process.terminate()
--- a/tests/tools/test_known_red.py
+++ b/tests/tools/test_known_red.py
@@ -32,7 +32,7 @@
         pytester.makeini("[pytest]\ntestpaths = .\n")
         if lines:
             pytester.path.joinpath(known_red.FILE_NAME).write_text("\n".join(lines) + "\n")
-        # Without hypothesis, whose import would take a second each time.
+        # Disables the hypothesis plugin, whose import takes a second each time.
         plugins = ("-p", "tools.known_red", "-p", "no:hypothesispytest", "-p", "no:anyio")
         result = pytester.runpytest_inprocess("-q", *plugins, *arguments)
         return result, result.stdout.str() + result.stderr.str()
