--- a/benchmarks/capture.py
+++ b/benchmarks/capture.py
@@ -50,8 +50,8 @@
                 "cut": why,
                 "replayed": times,
                 "differences": differences,
-                "calls a second": round(one.calls * times / took),
-                "bytes an RPC": round(path.stat().st_size / max(1, rpcs)),
+                "calls per second": round(one.calls * times / took),
+                "bytes per RPC": round(path.stat().st_size / max(1, rpcs)),
             }
         )
 
@@ -109,9 +109,9 @@
         print(
             {
                 "upstreams": upstreams,
-                "decisions us an RPC": round(plain[0], 1),
+                "decisions us per RPC": round(plain[0], 1),
                 "capture us": round(more, 1),
-                "bytes an RPC": round(before / rpcs),
+                "bytes per RPC": round(before / rpcs),
                 "checkpoint ms": round((time.perf_counter() - begun) * 1e3, 1),
                 "checkpoint bytes": ring.size - before,
             }
--- a/benchmarks/quotas.py
+++ b/benchmarks/quotas.py
@@ -72,31 +72,31 @@
             continue
         folder = max(place.glob(f"{name}-0*"), key=os.path.getmtime)
         records = list(results.records(folder))
-        tries = {one["id"]: one for one in records if one["k"] == "try"}
-        kinds = {one["rpc"]: one["kind"] for one in tries.values()}
-        asked, good = [0] * 3, [0] * 3
-        for one in records:
-            if one["k"] == "rpc" and one["due"] >= 2.0:
-                kind = kinds[one["rpc"]]
-                asked[kind] += 1
-                good[kind] += one["how"] == "served" and one["end"] - one["due"] <= 0.4
-        shares = [served / max(1, count) for served, count in zip(good, asked, strict=True)]
-        first = {}
-        for one in records:
-            if one["k"] == "tx":
-                first[one["id"]] = min(first.get(one["id"], 1e9), one["begun"])
-        times = list(first.values())
-        late = sorted(
-            (one["end"] - one["sent"]) * 1000
-            for one in tries.values()
-            if one["how"] == "refused" and one["sent"]
+        tries = {record["id"]: record for record in records if record["k"] == "try"}
+        kinds = {record["rpc"]: record["kind"] for record in tries.values()}
+        requested, served_in_time = [0] * 3, [0] * 3
+        for record in records:
+            if record["k"] == "rpc" and record["due"] >= 2.0:
+                kind = kinds[record["rpc"]]
+                requested[kind] += 1
+                served_in_time[kind] += record["how"] == "served" and record["end"] - record["due"] <= 0.4
+        shares = [served / max(1, count) for served, count in zip(served_in_time, requested, strict=True)]
+        first_sent_at = {}
+        for record in records:
+            if record["k"] == "tx":
+                first_sent_at[record["id"]] = min(first_sent_at.get(record["id"], 1e9), record["begun"])
+        times = list(first_sent_at.values())
+        refusal_delays = sorted(
+            (record["end"] - record["sent"]) * 1000
+            for record in tries.values()
+            if record["how"] == "refused" and record["sent"]
         )
         jain = sum(shares) ** 2 / (3 * sum(share**2 for share in shares) or 1)
         rows.append(
             f"| {name} | "
             + " | ".join(f"{share:.3f}" for share in shares)
-            + f" | {sum(good) / 13:.0f} | {jain:.2f} | {max_in_window(times, 1.0)} | {max_in_window(times, 5.0)} "
-            f"| {late[int(len(late) * 0.99)] if late else 0:.0f} | {len(runs[0]['breaches'])} |"
+            + f" | {sum(served_in_time) / 13:.0f} | {jain:.2f} | {max_in_window(times, 1.0)} | {max_in_window(times, 5.0)} "
+            f"| {refusal_delays[int(len(refusal_delays) * 0.99)] if refusal_delays else 0:.0f} | {len(runs[0]['breaches'])} |"
         )
     return rows
 
@@ -106,7 +106,7 @@
 
     `guaranteed`: whether siblings reserve a guaranteed part for each chain.
     """
-    kept = 10**6 if guaranteed else 0
+    guarantee = 10**6 if guaranteed else 0
     chains = max(1, leaves // 100)
     ceiling = 10**9
     limits = (
@@ -115,7 +115,11 @@
         Limit("work", 10_000, ceiling),
     )
     root = Node("all", None, limits)
-    inner = (Limit("requests", 10_000, ceiling, kept), Limit("requests", 600_000, ceiling, kept), limits[2])
+    inner = (
+        Limit("requests", 10_000, ceiling, guarantee),
+        Limit("requests", 600_000, ceiling, guarantee),
+        limits[2],
+    )
 
     def make(parent: Node, name: str) -> Node:
         node = Node(name, parent, inner if parent is root else limits[:2])
@@ -159,11 +163,17 @@
     random = Random(4)
     root = Node("all", None, (Limit("requests", 10_000, 450),), LendingTerms(reserve, 10))
     nodes = [
-        Node(name, root, (Limit("requests", 10_000, 450, kept),))
-        for name, kept in zip(("flood", "ash", "oak"), guarantees, strict=True)
+        Node(name, root, (Limit("requests", 10_000, 450, guarantee),))
+        for name, guarantee in zip(("flood", "ash", "oak"), guarantees, strict=True)
     ]
     tree, rates = Tree(root), (1500, 300, 300)
-    asked, got, own, own_got, log = [0] * 3, [0] * 3, [0] * 3, [0] * 3, []
+    requested, admitted, requested_within, admitted_within, admitted_at = (
+        [0] * 3,
+        [0] * 3,
+        [0] * 3,
+        [0] * 3,
+        [],
+    )
     active, next_change = [True, False, False], [0.0] * 3
     due, now = [random.expovariate(rate / 10_000) for rate in rates], 0.0
     while now < length:
@@ -177,30 +187,31 @@
             continue
         account = nodes[number].accounts["requests", 10_000]
         within = account.used(int(now)) < account.guarantee
-        asked[number] += 1
-        own[number] += within
+        requested[number] += 1
+        requested_within[number] += within
         if isinstance(tree.admit(int(now), nodes[number], {"requests": 1}), Ticket):
-            got[number] += 1
-            own_got[number] += within
-            log.append(now)
+            admitted[number] += 1
+            admitted_within[number] += within
+            admitted_at.append(now)
     pool = root.accounts["requests", 10_000].children_pool
     pool.advance(int(now) + 200_000)
     shares = [
-        served / max(1, min(wanted, kept * length / 10_000))
-        for served, wanted, kept in zip(got, asked, guarantees, strict=True)
+        served / max(1, min(wanted, guarantee * length / 10_000))
+        for served, wanted, guarantee in zip(admitted, requested, guarantees, strict=True)
     ]
-    late = [debt for debt in pool.repayment.history if debt.paid_at is None or debt.paid_at > debt.due]
+    repaid_late = [debt for debt in pool.repayment.history if debt.paid_at is None or debt.paid_at > debt.due]
     return {
         "reserve": reserve / 1000,
-        "served per second": round(len(log) / length * 10_000),
-        "flood, ash, oak": [round(one / length * 10_000) for one in got],
+        "served per second": round(len(admitted_at) / length * 10_000),
+        "flood, ash, oak": [round(one / length * 10_000) for one in admitted],
         "served share of requests within guarantees, ash, oak": [
-            round(one / max(1, all_), 4) for one, all_ in zip(own_got[1:], own[1:], strict=True)
+            round(one / max(1, all_), 4)
+            for one, all_ in zip(admitted_within[1:], requested_within[1:], strict=True)
         ],
         "Jain": round(sum(shares) ** 2 / (3 * sum(share**2 for share in shares)), 3),
-        "max in 1 s (limit 450)": max_in_window(log, 10_000),
+        "max in 1 s (limit 450)": max_in_window(admitted_at, 10_000),
         "debts": len(pool.repayment.history),
-        "repaid late": len(late),
+        "repaid late": len(repaid_late),
         "longest until repaid, s (limit 10.5)": max(
             ((debt.paid_at - debt.at) / 10_000 for debt in pool.repayment.history), default=0
         ),
