--- a/benchmarks/saved.py
+++ b/benchmarks/saved.py
@@ -104,7 +104,7 @@
             if contents(snapshot) == contents(found.snapshot):
                 break
         else:
-            raise AssertionError(f"kill {number}: generation {found.snapshot.generation} was never told")
+            raise AssertionError(f"kill {number}: generation {found.snapshot.generation} was never written")
         sizes = sum(path.stat().st_size for path in folder.iterdir())
     return {
         "kills": count,
@@ -153,8 +153,8 @@
         return {
             "rows": rows,
             "changes/s": round(count / seconds, 1),
-            "cpu ms/s, all": round(spent / seconds * 1000, 2),
-            "of it on the loop's thread": round(loop_cpu / seconds * 1000, 3),
+            "cpu ms/s, process": round(spent / seconds * 1000, 2),
+            "cpu ms/s, event loop thread": round(loop_cpu / seconds * 1000, 3),
             "bytes/s": round(saved.store.bytes_written / seconds),
             "writes/s": round(saved.store.writes / seconds, 1),
         }
@@ -193,7 +193,7 @@
     return {
         "rows": len(verdicts),
         "read ms": round(read * 1000, 1),
-        "weigh ms": round(assessed * 1000, 1),
+        "assess ms": round(assessed * 1000, 1),
         "open, snapshot synced, ms": round(opened * 1000, 1),
     }
 
@@ -213,7 +213,13 @@
     for agent in discovery.agents:
         agent.entries = {entry(number)["instanceId"]: entry(number) for number in range(50)}
     listed_ids = {entry(number)["instanceId"] for number in range(50)}
-    done = {"kills": 0, "starts that failed": 0, "damaged": 0, "rows never told": 0, "from saved": 0}
+    done = {
+        "kills": 0,
+        "starts that failed": 0,
+        "damaged": 0,
+        "rows never listed": 0,
+        "starts from the saved list": 0,
+    }
 
     async def churn() -> None:
         records = stream(1)
@@ -305,13 +311,15 @@
             text = log.read_text()
             done["starts that failed"] += process.returncode is not None or "after=serving" not in text
             done["damaged"] += "damaged" in text
-            done["from saved"] += "endpoint list source changed previous=nothing source=saved" in text
+            done["starts from the saved list"] += (
+                "endpoint list source changed previous=nothing source=saved" in text
+            )
             if process.returncode is None:
                 process.kill()
             await process.wait()
             done["kills"] += 1
             snapshot = recover(Files(folder), f"n{number}").snapshot
-            done["rows never told"] += bool(set(snapshot.endpoints) - listed_ids)
+            done["rows never listed"] += bool(set(snapshot.endpoints) - listed_ids)
 
     task = asyncio.create_task(churn())
     await asyncio.gather(*(lane(number) for number in range(lanes)))
@@ -355,8 +363,8 @@
         saved.close()
         return {
             "changes": count,
-            "longest stall of the loop ms": round(worst * 1000, 2),
-            "writes the disk took": saved.store.writes,
+            "longest stall of the event loop ms": round(worst * 1000, 2),
+            "writes to the disk": saved.store.writes,
         }
 
     return asyncio.run(scene())
