--- a/benchmarks/quotas.py
+++ b/benchmarks/quotas.py
@@ -1,8 +1,8 @@
-"""Figures of quotas: `python benchmarks/quotas.py flood|cost`. On this machine, loopback.
+"""Benchmarks of quotas on loopback: `python benchmarks/quotas.py flood|lend|cost`.
 
-flood   three organisations behind one sidecar, one flooding, against no quota, flat ones and no lending
-lend    the same three organisations in simulated time, each awake and asleep by chance for five minutes
-cost    CPU of an admission at depth 3 with 10, 1,000 and 50,000 leaves, and memory a leaf (minutes)
+flood   three organisations behind one sidecar, one flooding: without quotas, with flat limits, without lending
+lend    the same three organisations for five minutes of simulated time, two of them active at random times
+cost    CPU of an admission at depth 3 with 10, 1,000 and 50,000 leaves, and memory per leaf; takes minutes
 """
 
 # ruff: noqa: E501
@@ -49,8 +49,8 @@
     return found
 
 
-def most_in_any(times: list[float], window: float) -> int:
-    """The most that any interval of this length holds."""
+def max_in_window(times: list[float], window: float) -> int:
+    """Returns the largest number of times within any interval of length `window`."""
     times, start, most = sorted(times), 0, 0
     for end, at in enumerate(times):
         while times[start] <= at - window:
@@ -61,8 +61,8 @@
 
 def flood(place: Path, lanes: int) -> list[str]:
     rows = [
-        "| variant | ash | oak | flood | served a second | Jain | most in 1 s (limit 450) | in 5 s (2,200) "
-        "| refused after, p99 ms | breaches |",
+        "| variant | ash | oak | flood | served per second | Jain | max in 1 s (limit 450) | in 5 s (2,200) "
+        "| refusal delay, p99 ms | breaches |",
         "|" + " --- |" * 10,
     ]
     found = experiments.series(variants(), 1, place, lanes, lambda line: print(line, file=sys.stderr))
@@ -72,39 +72,41 @@
             continue
         folder = max(place.glob(f"{name}-0*"), key=os.path.getmtime)
         records = list(results.records(folder))
-        tries = {one["id"]: one for one in records if one["k"] == "try"}
-        kinds = {one["rpc"]: one["kind"] for one in tries.values()}
-        asked, good = [0] * 3, [0] * 3
-        for one in records:
-            if one["k"] == "rpc" and one["due"] >= 2.0:
-                kind = kinds[one["rpc"]]
-                asked[kind] += 1
-                good[kind] += one["how"] == "served" and one["end"] - one["due"] <= 0.4
-        shares = [served / max(1, count) for served, count in zip(good, asked, strict=True)]
-        first = {}
-        for one in records:
-            if one["k"] == "tx":
-                first[one["id"]] = min(first.get(one["id"], 1e9), one["begun"])
-        times = list(first.values())
-        late = sorted(
-            (one["end"] - one["sent"]) * 1000
-            for one in tries.values()
-            if one["how"] == "refused" and one["sent"]
+        tries = {record["id"]: record for record in records if record["k"] == "try"}
+        kinds = {record["rpc"]: record["kind"] for record in tries.values()}
+        requested, served_in_time = [0] * 3, [0] * 3
+        for record in records:
+            if record["k"] == "rpc" and record["due"] >= 2.0:
+                kind = kinds[record["rpc"]]
+                requested[kind] += 1
+                served_in_time[kind] += record["how"] == "served" and record["end"] - record["due"] <= 0.4
+        shares = [served / max(1, count) for served, count in zip(served_in_time, requested, strict=True)]
+        first_sent_at = {}
+        for record in records:
+            if record["k"] == "tx":
+                first_sent_at[record["id"]] = min(first_sent_at.get(record["id"], 1e9), record["begun"])
+        times = list(first_sent_at.values())
+        refusal_delays = sorted(
+            (record["end"] - record["sent"]) * 1000
+            for record in tries.values()
+            if record["how"] == "refused" and record["sent"]
         )
         jain = sum(shares) ** 2 / (3 * sum(share**2 for share in shares) or 1)
         rows.append(
             f"| {name} | "
             + " | ".join(f"{share:.3f}" for share in shares)
-            + f" | {sum(good) / 13:.0f} | {jain:.2f} | {most_in_any(times, 1.0)} | {most_in_any(times, 5.0)} "
-            f"| {late[int(len(late) * 0.99)] if late else 0:.0f} | {len(runs[0]['breaches'])} |"
+            + f" | {sum(served_in_time) / 13:.0f} | {jain:.2f} | {max_in_window(times, 1.0)} | {max_in_window(times, 5.0)} "
+            f"| {refusal_delays[int(len(refusal_delays) * 0.99)] if refusal_delays else 0:.0f} | {len(runs[0]['breaches'])} |"
         )
     return rows
 
 
 def cost(leaves: int, count: int = 20_000, guaranteed: bool = False) -> dict:
-    """Three levels, two to three limits each on the way down; all leaves have been used once. With
-    `guaranteed`, every chain has a part that its siblings keep for it."""
-    kept = 10**6 if guaranteed else 0
+    """Measures admissions in a tree of three levels with two or three limits a node; all leaves are in use.
+
+    `guaranteed`: whether siblings reserve a guaranteed part for each chain.
+    """
+    guarantee = 10**6 if guaranteed else 0
     chains = max(1, leaves // 100)
     ceiling = 10**9
     limits = (
@@ -113,7 +115,11 @@
         Limit("work", 10_000, ceiling),
     )
     root = Node("all", None, limits)
-    inner = (Limit("requests", 10_000, ceiling, kept), Limit("requests", 600_000, ceiling, kept), limits[2])
+    inner = (
+        Limit("requests", 10_000, ceiling, guarantee),
+        Limit("requests", 600_000, ceiling, guarantee),
+        limits[2],
+    )
 
     def make(parent: Node, name: str) -> Node:
         node = Node(name, parent, inner if parent is root else limits[:2])
@@ -142,75 +148,84 @@
         "leaves": leaves,
         "chains": chains,
         "guaranteed": guaranteed,
-        "us an admission, settled": round((time.process_time() - begun) / count * 1e6, 1),
-        "bytes a leaf, unused": round(empty),
+        "us per admission with settlement": round((time.process_time() - begun) / count * 1e6, 1),
+        "bytes per unused leaf": round(empty),
         "used": round(used),
     }
 
 
 def lend(reserve: int, guarantees: tuple[int, int, int] = (150, 150, 150), length: int = 3_000_000) -> dict:
-    """Organisations of 1,500, 300 and 300 a second while awake, under a parent of 450 a second; 1 s
-    windows.
+    """Simulates organisations of 1,500, 300 and 300 requests a second under a limit of 450 a second.
+
+    The window is 1 s. The first organisation is always active, the others are active at random times.
+    `reserve`: part of each guarantee that is never lent, in thousandths. `length`: ticks of 0.1 ms.
     """
-    chance = Random(4)
+    random = Random(4)
     root = Node("all", None, (Limit("requests", 10_000, 450),), LendingTerms(reserve, 10))
     nodes = [
-        Node(name, root, (Limit("requests", 10_000, 450, kept),))
-        for name, kept in zip(("flood", "ash", "oak"), guarantees, strict=True)
+        Node(name, root, (Limit("requests", 10_000, 450, guarantee),))
+        for name, guarantee in zip(("flood", "ash", "oak"), guarantees, strict=True)
     ]
     tree, rates = Tree(root), (1500, 300, 300)
-    asked, got, own, own_got, log = [0] * 3, [0] * 3, [0] * 3, [0] * 3, []
-    awake, change = [True, False, False], [0.0] * 3
-    due, now = [chance.expovariate(rate / 10_000) for rate in rates], 0.0
+    requested, admitted, requested_within, admitted_within, admitted_at = (
+        [0] * 3,
+        [0] * 3,
+        [0] * 3,
+        [0] * 3,
+        [],
+    )
+    active, next_change = [True, False, False], [0.0] * 3
+    due, now = [random.expovariate(rate / 10_000) for rate in rates], 0.0
     while now < length:
         number = min(range(3), key=due.__getitem__)
         now = due[number]
-        due[number] += chance.expovariate(rates[number] / 10_000)
-        if number and now >= change[number]:
-            awake[number] = not awake[number]
-            change[number] = now + chance.expovariate(1 / 80_000)  # 8 s on average
-        if not awake[number]:
+        due[number] += random.expovariate(rates[number] / 10_000)
+        if number and now >= next_change[number]:
+            active[number] = not active[number]
+            next_change[number] = now + random.expovariate(1 / 80_000)  # 8 s on average
+        if not active[number]:
             continue
         account = nodes[number].accounts["requests", 10_000]
         within = account.used(int(now)) < account.guarantee
-        asked[number] += 1
-        own[number] += within
+        requested[number] += 1
+        requested_within[number] += within
         if isinstance(tree.admit(int(now), nodes[number], {"requests": 1}), Ticket):
-            got[number] += 1
-            own_got[number] += within
-            log.append(now)
+            admitted[number] += 1
+            admitted_within[number] += within
+            admitted_at.append(now)
     pool = root.accounts["requests", 10_000].children_pool
     pool.advance(int(now) + 200_000)
     shares = [
-        served / max(1, min(wanted, kept * length / 10_000))
-        for served, wanted, kept in zip(got, asked, guarantees, strict=True)
+        served / max(1, min(wanted, guarantee * length / 10_000))
+        for served, wanted, guarantee in zip(admitted, requested, guarantees, strict=True)
     ]
-    late = [
+    repaid_late = [
         debt for debt in pool.repayment.debt_history if debt.paid_at is None or debt.paid_at > debt.due_at
     ]
     return {
         "reserve": reserve / 1000,
-        "served a second": round(len(log) / length * 10_000),
-        "flood, ash, oak": [round(one / length * 10_000) for one in got],
-        "of what is within their own, ash, oak": [
-            round(one / max(1, all_), 4) for one, all_ in zip(own_got[1:], own[1:], strict=True)
+        "served per second": round(len(admitted_at) / length * 10_000),
+        "flood, ash, oak": [round(one / length * 10_000) for one in admitted],
+        "served share of requests within guarantees, ash, oak": [
+            round(one / max(1, all_), 4)
+            for one, all_ in zip(admitted_within[1:], requested_within[1:], strict=True)
         ],
         "Jain": round(sum(shares) ** 2 / (3 * sum(share**2 for share in shares)), 3),
-        "most in 1 s (450)": most_in_any(log, 10_000),
-        "debts kept": len(pool.repayment.debt_history),
-        "repaid late": len(late),
-        "longest until repaid, s (due in 10.5)": max(
+        "max in 1 s (limit 450)": max_in_window(admitted_at, 10_000),
+        "debts": len(pool.repayment.debt_history),
+        "repaid late": len(repaid_late),
+        "longest until repaid, s (limit 10.5)": max(
             ((debt.paid_at - debt.created_at) / 10_000 for debt in pool.repayment.debt_history), default=0
         ),
     }
 
 
 def main() -> None:
-    what = sys.argv[1] if len(sys.argv) > 1 else ""
-    if what == "flood":
+    benchmark = sys.argv[1] if len(sys.argv) > 1 else ""
+    if benchmark == "flood":
         with tempfile.TemporaryDirectory() as place:
             print("\n".join(flood(Path(place), int(os.environ.get("LANES", "1")))))
-    elif what == "lend":
+    elif benchmark == "lend":
         for name, reserve, guarantees in (
             ("no guarantees", 0, (0, 0, 0)),
             ("no lending", 1000, (150, 150, 150)),
@@ -218,7 +233,7 @@
             ("as shipped", 250, (150, 150, 150)),
         ):
             print(name, lend(reserve, guarantees))
-    elif what == "cost":
+    elif benchmark == "cost":
         for guaranteed in (False, True):
             for leaves in (10, 1_000, 50_000):
                 print(cost(leaves, guaranteed=guaranteed))
--- a/benchmarks/saved.py
+++ b/benchmarks/saved.py
@@ -1,11 +1,13 @@
-"""Figures of the saved list: `python benchmarks/saved.py WHAT`. All on this machine.
-
-matrix    service of the first 20 s with discovery down, by age and stale share, against none and blind
-kills     a writer killed outright a thousand times while its list churns
-restarts  real sidecars killed outright a thousand times in all, every second or so, while the list churns
-cost      CPU and bytes a second of keeping the list under churn
-startup   reading and beginning, by rows
-slowdisk  the loop's longest stall beside a disk that takes a second for every write
+"""Benchmarks of the saved endpoint list: `python benchmarks/saved.py NAME`. The names:
+
+matrix    service in the first 20 s while discovery is down, by age and stale share of the list; compared
+          with discovery up, no saved list, and a list that is trusted whatever its age
+kills     a writer is killed with SIGKILL a thousand times while its list changes
+restarts  real sidecars are killed with SIGKILL, a thousand times in all, about once a second, while the
+          list changes
+cost      CPU and bytes per second of saving a list that changes
+startup   time to read and assess a saved list, by its number of rows
+slowdisk  longest stall of the event loop while the disk takes a second for every write
 """
 
 import asyncio
@@ -48,28 +50,27 @@
 
 
 def stream(seed: int, rows: int = 50):
-    """Records without end: a whole list, then changes, removals and additions."""
-    chance, wall, generation, number = Random(seed), WallClock(), 1, rows
+    """Yields endless records: a full list, then changes that each replace one instance."""
+    random, wall, generation, number = Random(seed), WallClock(), 1, rows
     alive = list(range(rows))
     fields = msgspec.structs.astuple(wall.now())
     yield {"k": "list", "rows": [entry(one) for one in alive], "whole": True, "generation": 1, "at": fields}
     while True:
         generation += 1
-        one = alive.pop(chance.randrange(len(alive)))
-        told = [entry(one, "terminated"), entry(number)]
+        one = alive.pop(random.randrange(len(alive)))
+        changed_rows = [entry(one, "terminated"), entry(number)]
         alive.append(number)
         number += 1
-        yield {"k": "list", "rows": told, "whole": False, "generation": generation, "at": fields}
+        yield {"k": "list", "rows": changed_rows, "whole": False, "generation": generation, "at": fields}
 
 
-def told(snapshot: Snapshot) -> tuple:
+def contents(snapshot: Snapshot) -> tuple:
     return snapshot.generation, frozenset(snapshot.endpoints)
 
 
 def kills(count: int, folder: Path, most: float = 0.02, seed: int = 1) -> dict:
-    """Forks a writer, kills it after a random time, recovers, and looks whether that was told; so many
-    times."""
-    chance, wall = Random(seed), WallClock()
+    """Kills forked writers after random times and checks that each recovery finds a list that was written."""
+    random, wall = Random(seed), WallClock()
     worst, furthest = 0.0, 0
     for number in range(count):
         child = os.fork()
@@ -83,7 +84,7 @@
                     time.sleep(0.0002)
             finally:
                 os._exit(1)
-        time.sleep(chance.uniform(0.002, most))
+        time.sleep(random.uniform(0.002, most))
         os.kill(child, signal.SIGKILL)
         os.waitpid(child, 0)
         begun = time.perf_counter()
@@ -93,17 +94,17 @@
         if found is None or not found.snapshot.generation:
             continue
         furthest = max(furthest, found.snapshot.generation)
-        # What was found is what some writer told at some moment: its own stream up to that generation.
+        # The recovered list must be one that a writer wrote: the prefix of its stream up to that generation.
         for writer in range(number, -1, -1):
             snapshot = Snapshot()
             for record in stream(writer):
                 snapshot.apply(record)
                 if snapshot.generation >= found.snapshot.generation:
                     break
-            if told(snapshot) == told(found.snapshot):
+            if contents(snapshot) == contents(found.snapshot):
                 break
         else:
-            raise AssertionError(f"kill {number}: generation {found.snapshot.generation} was never told")
+            raise AssertionError(f"kill {number}: generation {found.snapshot.generation} was never written")
         sizes = sum(path.stat().st_size for path in folder.iterdir())
     return {
         "kills": count,
@@ -114,7 +115,7 @@
 
 
 def cost(seconds: float, changes: float, rows: int, folder: Path, sync: str = "interval") -> dict:
-    """Keeping a list of `rows` under `changes` a second, what was learnt saved each 10 s."""
+    """Saves a list of `rows` entries with `changes` changes a second, and the learned state every 10 s."""
 
     async def scene() -> dict:
         saved = SavedList(SavedListConfig(folder=str(folder), sync=sync), "n1", SETTINGS)
@@ -152,8 +153,8 @@
         return {
             "rows": rows,
             "changes/s": round(count / seconds, 1),
-            "cpu ms/s, all": round(spent / seconds * 1000, 2),
-            "of it on the loop's thread": round(loop_cpu / seconds * 1000, 3),
+            "cpu ms/s, process": round(spent / seconds * 1000, 2),
+            "cpu ms/s, event loop thread": round(loop_cpu / seconds * 1000, 3),
             "bytes/s": round(saved.store.bytes_written / seconds),
             "writes/s": round(saved.store.writes / seconds, 1),
         }
@@ -162,7 +163,7 @@
 
 
 def startup(rows: int, folder: Path) -> dict:
-    """From a folder of so many rows to a list that can be handed over."""
+    """Measures the start from a saved list, from the folder of files to the trust assessment of each row."""
     wall = WallClock()
     store = Store(Files(folder), "n1", wall.now, "never")
     store.open()
@@ -183,7 +184,7 @@
     found = recover(Files(folder), "n1")
     read = time.perf_counter() - begun
     verdicts = assess(found.snapshot, wall.now(), TrustConfig())
-    weighed = time.perf_counter() - begun - read
+    assessed = time.perf_counter() - begun - read
     begun = time.perf_counter()
     again = Store(Files(folder), "n1", wall.now)
     again.open()
@@ -192,40 +193,46 @@
     return {
         "rows": len(verdicts),
         "read ms": round(read * 1000, 1),
-        "weigh ms": round(weighed * 1000, 1),
+        "assess ms": round(assessed * 1000, 1),
         "open, snapshot synced, ms": round(opened * 1000, 1),
     }
 
 
-async def restarts(count: int, lanes: int, place: Path) -> dict:
-    """Real sidecars beside a stand-in discovery whose list changes ten times a second."""
+async def restarts(count: int, lanes: int, parent_folder: Path) -> dict:
+    """Runs and kills sidecars whose stand-in discovery changes the list ten times a second."""
     from random import Random as Chance
 
     from shedgrade.lab.listing import Discovery
     from shedgrade.lab.processes import free_port
     from shedgrade.lab.worker import tied
 
-    loop, chance = asyncio.get_running_loop(), Chance(1)
+    loop, random = asyncio.get_running_loop(), Chance(1)
     discovery = Discovery(loop, time.monotonic, lanes, [0.0, 0.05], 1, lambda entry: None)
-    ports = [(free_port(chance), free_port(chance)) for _ in range(lanes)]
+    ports = [(free_port(random), free_port(random)) for _ in range(lanes)]
     await discovery.listen([[("127.0.0.1", port)] for _, port in ports])
     for agent in discovery.agents:
         agent.entries = {entry(number)["instanceId"]: entry(number) for number in range(50)}
-    told = {entry(number)["instanceId"] for number in range(50)}
-    done = {"kills": 0, "starts that failed": 0, "damaged": 0, "rows never told": 0, "from saved": 0}
+    listed_ids = {entry(number)["instanceId"] for number in range(50)}
+    done = {
+        "kills": 0,
+        "starts that failed": 0,
+        "damaged": 0,
+        "rows never listed": 0,
+        "starts from the saved list": 0,
+    }
 
     async def churn() -> None:
         records = stream(1)
         next(records)
         while True:
             for one in next(records)["rows"]:
-                told.add(one["instanceId"])
+                listed_ids.add(one["instanceId"])
                 discovery.change([one] * lanes)
             await asyncio.sleep(0.1)
 
     async def lane(number: int) -> None:
         listen, port = ports[number]
-        folder = place / f"n{number}"
+        folder = parent_folder / f"n{number}"
         method = {
             "name": "m",
             "idempotency": "once",
@@ -266,7 +273,7 @@
                 "stop_sending_within": 500.0,
             },
         }
-        (place / f"{number}.json").write_text(
+        (parent_folder / f"{number}.json").write_text(
             json.dumps(
                 {
                     "name": f"n{number}",
@@ -276,9 +283,9 @@
                 }
             )
         )
-        (place / f"{number}.toml").write_text(f'[saved]\nfolder = "{folder}"\nstate_s = 0.1\n')
+        (parent_folder / f"{number}.toml").write_text(f'[saved]\nfolder = "{folder}"\nstate_s = 0.1\n')
         for _ in range(count // lanes):
-            log = place / f"{number}.log"
+            log = parent_folder / f"{number}.log"
             with log.open("wb") as file:
                 process = await asyncio.create_subprocess_exec(
                     sys.executable,
@@ -286,9 +293,9 @@
                     "shedgrade",
                     "serve",
                     "--config",
-                    str(place / f"{number}.json"),
+                    str(parent_folder / f"{number}.json"),
                     "--features",
-                    str(place / f"{number}.toml"),
+                    str(parent_folder / f"{number}.toml"),
                     stderr=file,
                     preexec_fn=tied(None, 9),
                     cwd=Path(__file__).resolve().parents[1],
@@ -300,17 +307,19 @@
                 and (time.monotonic() < until)
             ):
                 await asyncio.sleep(0.02)
-            await asyncio.sleep(chance.uniform(0.0, 0.5))
+            await asyncio.sleep(random.uniform(0.0, 0.5))
             text = log.read_text()
             done["starts that failed"] += process.returncode is not None or "after=serving" not in text
             done["damaged"] += "damaged" in text
-            done["from saved"] += "endpoint list source changed previous=nothing source=saved" in text
+            done["starts from the saved list"] += (
+                "endpoint list source changed previous=nothing source=saved" in text
+            )
             if process.returncode is None:
                 process.kill()
             await process.wait()
             done["kills"] += 1
             snapshot = recover(Files(folder), f"n{number}").snapshot
-            done["rows never told"] += bool(set(snapshot.endpoints) - told)
+            done["rows never listed"] += bool(set(snapshot.endpoints) - listed_ids)
 
     task = asyncio.create_task(churn())
     await asyncio.gather(*(lane(number) for number in range(lanes)))
@@ -319,7 +328,7 @@
 
 
 class SlowFiles(Files):
-    """A disk that takes a second for every write."""
+    """A disk that takes a second for every write while `slow`."""
 
     slow = False
 
@@ -330,7 +339,7 @@
 
 
 def slowdisk(seconds: float, folder: Path) -> dict:
-    """How late a 1 ms timer of the loop gets while discovery tells 100 changes a second."""
+    """Measures the delay of a 1 ms timer on the event loop while discovery sends 100 changes a second."""
 
     async def scene() -> dict:
         files = SlowFiles(folder)
@@ -354,15 +363,15 @@
         saved.close()
         return {
             "changes": count,
-            "longest stall of the loop ms": round(worst * 1000, 2),
-            "writes the disk took": saved.store.writes,
+            "longest stall of the event loop ms": round(worst * 1000, 2),
+            "writes to the disk": saved.store.writes,
         }
 
     return asyncio.run(scene())
 
 
 def matrix(lanes: int, rounds: int, out: Path, length: float = 20.0) -> list[str]:
-    """Service of the first seconds while discovery is down, by age and stale share."""
+    """Measures the service of the first seconds while discovery is down, by age and stale share."""
     from shedgrade.lab import experiments
     from shedgrade.lab.scenario import load
 
@@ -427,22 +436,22 @@
 
 
 def main() -> None:
-    what = sys.argv[1] if len(sys.argv) > 1 else ""
-    with tempfile.TemporaryDirectory() as place:
-        folder = Path(place) / "n1"
-        if what == "matrix":
-            print("\n".join(matrix(int(os.environ.get("LANES", "2")), 1, Path(place))))
-        elif what == "kills":
+    benchmark = sys.argv[1] if len(sys.argv) > 1 else ""
+    with tempfile.TemporaryDirectory() as parent_folder:
+        folder = Path(parent_folder) / "n1"
+        if benchmark == "matrix":
+            print("\n".join(matrix(int(os.environ.get("LANES", "2")), 1, Path(parent_folder))))
+        elif benchmark == "kills":
             print(kills(1000, folder))
-        elif what == "restarts":
-            print(asyncio.run(restarts(1000, int(os.environ.get("LANES", "4")), Path(place))))
-        elif what == "cost":
+        elif benchmark == "restarts":
+            print(asyncio.run(restarts(1000, int(os.environ.get("LANES", "4")), Path(parent_folder))))
+        elif benchmark == "cost":
             for number, changes in enumerate((1, 10, 100)):
-                print(cost(10, changes, 100, Path(place) / str(number)))
-        elif what == "startup":
+                print(cost(10, changes, 100, Path(parent_folder) / str(number)))
+        elif benchmark == "startup":
             for rows in (10, 100, 1000, 10_000):
-                print(startup(rows, Path(place) / str(rows)))
-        elif what == "slowdisk":
+                print(startup(rows, Path(parent_folder) / str(rows)))
+        elif benchmark == "slowdisk":
             print(slowdisk(10, folder))
         else:
             print(__doc__)
