--- a/shedgrade/replication/candidate.py
+++ b/shedgrade/replication/candidate.py
@@ -30,7 +30,7 @@
     is_quorum,
     majority,
     may_hold,
-    newest,
+    newer_config,
     next_groups,
 )
 from shedgrade.replication.replica_state import ReplicatedState
@@ -271,7 +271,7 @@
         promises = list(self.promises.values())
         base = replica.epoch_config
         for each in promises:
-            base = newest(base, each.epoch_config)
+            base = newer_config(base, each.epoch_config)
         if not is_quorum(base, promises):
             return
         if self.change is None and base.active:
--- a/shedgrade/replication/member.py
+++ b/shedgrade/replication/member.py
@@ -19,7 +19,7 @@
 from shedgrade.replication.pending_requests import PendingRequests
 from shedgrade.replication.primary import Primary
 from shedgrade.replication.primary_monitor import PrimaryMonitor
-from shedgrade.replication.quorums import MembershipChangeProtocol, electorate, matches
+from shedgrade.replication.quorums import MembershipChangeProtocol, electorate, is_same_member
 from shedgrade.replication.reconfiguration import Reconfiguration
 from shedgrade.replication.replica_state import CommittedState, ReplicaState
 from shedgrade.replication.timing import Timing
@@ -373,7 +373,7 @@
         if replica.founding and not replica.epoch_config.number:
             return True
         return any(
-            matches(peer, replica.incarnation, self.address, replica.founding)
+            is_same_member(peer, replica.incarnation, self.address, replica.founding)
             for peer in electorate(replica.epoch_config)
         )
 
--- a/shedgrade/replication/quorums.py
+++ b/shedgrade/replication/quorums.py
@@ -62,7 +62,7 @@
     return len(peers) // 2 + 1
 
 
-def matches(peer: Peer, incarnation: int, address: str, founding: bool) -> bool:
+def is_same_member(peer: Peer, incarnation: int, address: str, founding: bool) -> bool:
     """Whether the voter is this member.
 
     A founder that has kept its disk (`founding`) matches by address while its incarnation is not known.
@@ -72,21 +72,23 @@
 
 def is_among(peers: Iterable[Peer], voter: Voter) -> bool:
     """Whether the voter is one of the peers."""
-    return any(matches(peer, voter.incarnation, voter.address, voter.founding) for peer in peers)
+    return any(is_same_member(peer, voter.incarnation, voter.address, voter.founding) for peer in peers)
 
 
-def count(peers: tuple[Peer, ...], voters: Iterable[Voter]) -> int:
+def count_voting_peers(peers: tuple[Peer, ...], voters: Iterable[Voter]) -> int:
     """Returns how many of the peers are among the voters."""
     voters = list(voters)
-    return sum(any(matches(peer, v.incarnation, v.address, v.founding) for v in voters) for peer in peers)
+    return sum(
+        any(is_same_member(peer, v.incarnation, v.address, v.founding) for v in voters) for peer in peers
+    )
 
 
 def is_quorum(config: EpochConfig, voters: Iterable[Voter]) -> bool:
     """Whether the voters are a majority of the members, and of those before unless `config` is active."""
     voters = list(voters)
-    if count(config.members, voters) < majority(config.members):
+    if count_voting_peers(config.members, voters) < majority(config.members):
         return False
-    return config.active or count(config.before, voters) >= majority(config.before)
+    return config.active or count_voting_peers(config.before, voters) >= majority(config.before)
 
 
 def electorate(config: EpochConfig) -> tuple[Peer, ...]:
@@ -127,6 +129,6 @@
     return msgspec.structs.replace(config, before=config.members, active=True)
 
 
-def newest(one: EpochConfig, other: EpochConfig) -> EpochConfig:
+def newer_config(one: EpochConfig, other: EpochConfig) -> EpochConfig:
     """Returns the configuration of the higher epoch or, of the same epoch, the one known to be active."""
     return other if (other.number, other.active) > (one.number, one.active) else one
--- a/shedgrade/replication/replica_state.py
+++ b/shedgrade/replication/replica_state.py
@@ -13,7 +13,7 @@
 from shedgrade.replication.disk_writer import DiskWriter, DurableCallback
 from shedgrade.replication.effects import Committed, Instruction
 from shedgrade.replication.messages import Changes, EpochConfig, LogPosition, Peer
-from shedgrade.replication.quorums import newest
+from shedgrade.replication.quorums import newer_config
 
 # Keys on the disk. They are stored and stay as they are, even if an attribute is renamed.
 INCARNATION_KEY = "replication/incarnation"
@@ -179,7 +179,7 @@
 
         The caller knows a newer epoch to be active.
         """
-        if newest(self.epoch_config, config) is self.epoch_config:
+        if newer_config(self.epoch_config, config) is self.epoch_config:
             return
         self.epoch_config = config
         changes: Changes = {EPOCH_KEY: _encode(config)}
--- a/tests/replication/test_member_parts.py
+++ b/tests/replication/test_member_parts.py
@@ -49,10 +49,14 @@
 
 def test_a_voter_matches_by_incarnation_and_a_founder_not_heard_yet_by_address():
     member, founder = Peer(7, "a", "a:1"), Peer(0, "", "b:1")
-    assert quorums.matches(member, 7, "elsewhere:1", False)
-    assert not quorums.matches(member, 8, "a:1", False) and not quorums.matches(member, 8, "a:1", True)
-    assert quorums.matches(founder, 9, "b:1", True)
-    assert not quorums.matches(founder, 9, "b:1", False) and not quorums.matches(founder, 9, "c:1", True)
+    assert quorums.is_same_member(member, 7, "elsewhere:1", False)
+    assert not quorums.is_same_member(member, 8, "a:1", False) and not quorums.is_same_member(
+        member, 8, "a:1", True
+    )
+    assert quorums.is_same_member(founder, 9, "b:1", True)
+    assert not quorums.is_same_member(founder, 9, "b:1", False) and not quorums.is_same_member(
+        founder, 9, "c:1", True
+    )
 
 
 def test_a_hint_of_its_own_address_is_ignored():
--- a/tests/replication/test_messages.py
+++ b/tests/replication/test_messages.py
@@ -47,6 +47,6 @@
 
 def test_a_founder_not_heard_matches_by_address_and_only_if_it_kept_its_disk():
     unheard_founder = m.Peer(0, "", "a:1")
-    assert quorums.matches(unheard_founder, 5, "a:1", True)
-    assert not quorums.matches(unheard_founder, 5, "a:1", False)
-    assert not quorums.matches(unheard_founder, 5, "b:1", True)
+    assert quorums.is_same_member(unheard_founder, 5, "a:1", True)
+    assert not quorums.is_same_member(unheard_founder, 5, "a:1", False)
+    assert not quorums.is_same_member(unheard_founder, 5, "b:1", True)
--- a/tests/replication/test_quorum_rules.py
+++ b/tests/replication/test_quorum_rules.py
@@ -80,5 +80,5 @@
     inactive = msgspec.structs.replace(ACTIVE, active=False)
     older = msgspec.structs.replace(ACTIVE, number=3)
     for one, other in ((ACTIVE, older), (older, ACTIVE), (ACTIVE, inactive), (inactive, ACTIVE)):
-        assert quorums.newest(one, other) is ACTIVE
-    assert quorums.newest(ACTIVE, msgspec.structs.replace(ACTIVE)) is ACTIVE
+        assert quorums.newer_config(one, other) is ACTIVE
+    assert quorums.newer_config(ACTIVE, msgspec.structs.replace(ACTIVE)) is ACTIVE
--- a/tests/replication/test_quorums.py
+++ b/tests/replication/test_quorums.py
@@ -74,7 +74,9 @@
     """Only the new group agrees to a membership change."""
 
     is_quorum = staticmethod(
-        lambda config, voters: quorums.count(config.members, voters) >= quorums.majority(config.members)
+        lambda config, voters: (
+            quorums.count_voting_peers(config.members, voters) >= quorums.majority(config.members)
+        )
     )
 
 
--- a/tests/simulation/faulty_members.py
+++ b/tests/simulation/faulty_members.py
@@ -160,7 +160,7 @@
         def choose_epoch(self, now):
             original = candidate.is_quorum
             candidate.is_quorum = lambda config, voters: (
-                quorums.count(config.members, voters) >= quorums.majority(config.members)
+                quorums.count_voting_peers(config.members, voters) >= quorums.majority(config.members)
             )
             try:
                 super().choose_epoch(now)
--- a/tests/simulation/planted_system_faults.py
+++ b/tests/simulation/planted_system_faults.py
@@ -279,7 +279,7 @@
 
 def voters_are_matched_by_address(monkeypatch, reached):
     """A process with an empty disk counts as the member that had its address before."""
-    original_matches = quorums.matches
+    original_matches = quorums.is_same_member
 
     def by_address(peer, incarnation, address, founding):
         found = peer.address == address or original_matches(peer, incarnation, address, founding)
@@ -287,8 +287,8 @@
             reached()
         return found
 
-    monkeypatch.setattr(quorums, "matches", by_address)
-    monkeypatch.setattr("shedgrade.replication.member.matches", by_address)
+    monkeypatch.setattr(quorums, "is_same_member", by_address)
+    monkeypatch.setattr("shedgrade.replication.member.is_same_member", by_address)
 
 
 class FollowsOldPrimary(MemberWithRoles):
@@ -321,7 +321,7 @@
         def choose_epoch(self, now):
             original = candidate.is_quorum
             candidate.is_quorum = lambda config, voters: (
-                quorums.count(config.members, voters) >= quorums.majority(config.members)
+                quorums.count_voting_peers(config.members, voters) >= quorums.majority(config.members)
             )
             try:
                 super().choose_epoch(now)
