--- a/shedgrade/controlplane/plane.py
+++ b/shedgrade/controlplane/plane.py
@@ -98,7 +98,7 @@
             founding=self.is_founding,
             seeds=settings.seed_links,
             tolerated=settings.tolerated.machines,
-            found=loaded.values or None,
+            stored_values=loaded.values or None,
             random=self.random,
             now=self.loop.time(),
             decide=make_decide(settings.zones),
--- a/shedgrade/replication/acceptor.py
+++ b/shedgrade/replication/acceptor.py
@@ -22,7 +22,7 @@
     Refusal,
     Replicate,
     Transfer,
-    size,
+    value_bytes,
 )
 
 if TYPE_CHECKING:
@@ -198,11 +198,13 @@
             self.commit(heartbeat.epoch, heartbeat.committed)
             # A member whose acks don't reach the primary still hears heartbeats, but is sent no state.
             if self.member.replica.committed.position >= heartbeat.committed:
-                self.member.confirm_up_to_date(self.sent_after(now, heartbeat) - heartbeat.confirmed_ago)
+                self.member.confirm_up_to_date(
+                    self.earliest_sending_time(now, heartbeat) - heartbeat.confirmed_ago
+                )
             self.send_ack(now, sender, heartbeat.epoch, heartbeat.read_index_round)
             self.acknowledgement_times.record(now, heartbeat.epoch, heartbeat.read_index_round)
 
-    def sent_after(self, now: float, heartbeat: Heartbeat) -> float:
+    def earliest_sending_time(self, now: float, heartbeat: Heartbeat) -> float:
         """Returns a time before which the heartbeat was not sent.
 
         A primary of an older version doesn't send `acknowledged_round`: the time of arrival stands in for
@@ -210,7 +212,7 @@
         """
         if heartbeat.acknowledged_round < 0:
             return now - self.member.receive_delay_s
-        return self.acknowledgement_times.sent_after(heartbeat.epoch, heartbeat.acknowledged_round)
+        return self.acknowledgement_times.earliest_sending_time(heartbeat.epoch, heartbeat.acknowledged_round)
 
     def on_replicate(self, now: float, sender: str, write: Replicate) -> None:
         """Appends the next change of the epoch, as a backup."""
@@ -224,7 +226,7 @@
                 now, write.sequence, write.changes, lambda at: self.send_ack(at, sender, write.epoch, 0)
             )
             # acknowledged before the sync too, since a long write is expensive to send again
-            if size(write.changes) > CHUNK_BYTES:
+            if value_bytes(write.changes) > CHUNK_BYTES:
                 self.send_ack(now, sender, write.epoch, 0)
         else:  # the ack tells the primary what was received, and it fills the gap
             self.send_ack(now, sender, write.epoch, 0)
--- a/shedgrade/replication/acknowledgement_times.py
+++ b/shedgrade/replication/acknowledgement_times.py
@@ -45,7 +45,7 @@
         if number > last.number and now >= last.sent_at + MIN_INTERVAL_S:
             self.rounds.append(AcknowledgedRound(number, now))
 
-    def sent_after(self, epoch: int, number: int) -> float:
+    def earliest_sending_time(self, epoch: int, number: int) -> float:
         """Returns a time after which a heartbeat that names the round `number` as acknowledged was sent.
 
         `NEVER` if no bound is known.
--- a/shedgrade/replication/candidate.py
+++ b/shedgrade/replication/candidate.py
@@ -20,7 +20,7 @@
     Promise,
     Refusal,
     Transfer,
-    size,
+    value_bytes,
 )
 from shedgrade.replication.quorums import (
     Groups,
@@ -346,12 +346,14 @@
         """Returns the members of the new epoch and those before, with incarnations of founders filled in."""
         known = dict(self.member.peers.founders)
         known.update((each.address, each.incarnation) for each in promises if each.founding)
-        members = tuple(peer if peer.incarnation else self.founder(peer, known) for peer in base.members)
+        members = tuple(
+            peer if peer.incarnation else self.with_known_incarnation(peer, known) for peer in base.members
+        )
         is_due = self.change is not None and base.number == self.change.number
         groups = next_groups(msgspec.structs.replace(base, members=members), self.change if is_due else None)
-        return groups._replace(before=base.members) if base.active else groups
+        return groups._replace(previous_members=base.members) if base.active else groups
 
-    def founder(self, peer: Peer, known: dict[str, int]) -> Peer:
+    def with_known_incarnation(self, peer: Peer, known: dict[str, int]) -> Peer:
         """Returns the founder with its incarnation if it was heard: the same member, now with its number."""
         incarnation = known.get(peer.address, 0)
         return Peer(incarnation, self.member.peers.names.get(incarnation, peer.name), peer.address)
@@ -380,7 +382,7 @@
         """Writes the epoch and sends it to the other holders."""
         member, replica, number = self.member, self.member.replica, self.number
         timing = member.timing
-        transfer_s = size(state) / timing.bytes_per_second
+        transfer_s = value_bytes(state) / timing.bytes_per_second
         self.phase = Phase.INSTALL
         self.resend_at = now + timing.resend_interval_s
         self.deadline = now + timing.election_timeout_s + transfer_s
@@ -389,7 +391,7 @@
         is_own_state = position == replica.log_position
         if not is_own_state:
             # the commands that this process decided are not in the log that the epoch continues
-            member.primary_role.abandon(now)
+            member.primary_role.resign(now)
         replica.install_epoch(
             now,
             self.epoch_config,
@@ -407,7 +409,7 @@
         member, replica, promise = self.member, self.member.replica, self.promises[incarnation]
         # a witness has the committed state in memory
         base, changes = replica.changes_since(promise.log_position, promise.committed)
-        wait_s = max(member.timing.resend_interval_s, size(changes) / member.timing.bytes_per_second)
+        wait_s = max(member.timing.resend_interval_s, value_bytes(changes) / member.timing.bytes_per_second)
         is_resent = incarnation in self.install_resend_at
         self.install_resend_at[incarnation] = now + wait_s * (2 if is_resent else 1)
         address = member.peers.address_of(incarnation, promise.address)
@@ -424,7 +426,7 @@
         self.installed_holders.add(incarnation)
         if self.installed_holders.issuperset(self.epoch_config.holders):
             self.stop()
-            self.member.primary_role.begin(now, activated(self.epoch_config), self.leaving_voters())
+            self.member.primary_role.begin_epoch(now, activated(self.epoch_config), self.leaving_voters())
 
     # --- time
 
--- a/shedgrade/replication/chunking.py
+++ b/shedgrade/replication/chunking.py
@@ -13,7 +13,7 @@
 import msgspec
 
 from shedgrade.replication import messages as m
-from shedgrade.replication.messages import size
+from shedgrade.replication.messages import value_bytes
 from shedgrade.replication.timing import Timing
 
 CHUNK_BYTES = 32_768
@@ -161,7 +161,7 @@
         """Whether the message is long, or a write that must not overtake a long message."""
         if isinstance(message, m.Replicate) and address in self.queues:
             return True
-        return isinstance(message, CHUNKED_KINDS) and size(message.changes) > CHUNK_BYTES
+        return isinstance(message, CHUNKED_KINDS) and value_bytes(message.changes) > CHUNK_BYTES
 
     def send(self, now: float, address: str, message: m.Message) -> None:
         """Queues a message for which `needs_chunking` is true."""
--- a/shedgrade/replication/command_pipeline.py
+++ b/shedgrade/replication/command_pipeline.py
@@ -7,7 +7,7 @@
 
 from shedgrade.replication.effects import Answer, Decision, OutcomeUnknown, ReadResult, Unavailable
 from shedgrade.replication.follower import Follower, InFlightWrite, PendingReply, QueuedCommand
-from shedgrade.replication.messages import Changes, LogPosition, Replicate, size
+from shedgrade.replication.messages import Changes, LogPosition, Replicate, value_bytes
 from shedgrade.replication.replica_state import merge
 
 if TYPE_CHECKING:
@@ -102,7 +102,7 @@
         """
         if len(self.in_flight) >= self.member.MAX_WRITES_IN_FLIGHT:
             return False
-        return sum(size(write.changes) for write in self.in_flight) < MAX_IN_FLIGHT_BYTES
+        return sum(value_bytes(write.changes) for write in self.in_flight) < MAX_IN_FLIGHT_BYTES
 
     def write(self, now: float, changes: Changes, decided: list[DecidedCommand]) -> None:
         """Appends the changes, and queues the answers until they are committed.
@@ -121,7 +121,7 @@
             return
         epoch = self.primary.epoch
         timing = member.timing
-        late_at = now + timing.write_timeout_s + size(changes) / timing.bytes_per_second
+        late_at = now + timing.write_timeout_s + value_bytes(changes) / timing.bytes_per_second
         self.in_flight.append(InFlightWrite(sequence, changes, late_at))
         replica.append(now, sequence, changes, lambda at: self.on_own_write_durable(at, epoch, sequence))
         for incarnation in self.primary.holders:
@@ -133,7 +133,7 @@
         """Sends one change to a holder."""
         timing = self.member.timing
         follower.sent_sequence = max(follower.sent_sequence, sequence)
-        follower.resend_at = now + (timing.resend_interval_s + size(changes) / timing.bytes_per_second)
+        follower.resend_at = now + (timing.resend_interval_s + value_bytes(changes) / timing.bytes_per_second)
         committed = self.member.replica.committed.position
         self.member.send(follower.address, Replicate(self.primary.epoch, sequence, committed, changes))
 
--- a/shedgrade/replication/graceful_leave.py
+++ b/shedgrade/replication/graceful_leave.py
@@ -74,7 +74,7 @@
             primary.leave_requests.grant_all(now)
             self.stop(now)
             return
-        self.draining = is_alone or primary.leave_requests.enough_stay(now)
+        self.draining = is_alone or primary.leave_requests.enough_members_stay(now)
         if not self.draining:
             member.pending_requests.resolve(now)
         elif not primary.commands.in_flight and not primary.commands.queue:
@@ -149,7 +149,7 @@
         member = self.primary.member
         return max(majority(member.members), member.tolerated)
 
-    def enough_stay(self, now: float) -> bool:
+    def enough_members_stay(self, now: float) -> bool:
         """Whether the other members can form an epoch without this process."""
         supervision, own = self.primary.supervision, self.primary.member.replica.incarnation
         confirming = self.followers_confirming(now, own)
@@ -186,10 +186,10 @@
                 continue
             is_member = primary.member.replica.has_member(incarnation)
             is_due = now - self.granted_at.get(incarnation, NEVER) >= resend_s
-            if is_member and self.may_go(now, incarnation) and is_due:
+            if is_member and self.may_leave(now, incarnation) and is_due:
                 self.grant(now, follower)
 
-    def may_go(self, now: float, leaver: int) -> bool:
+    def may_leave(self, now: float, leaver: int) -> bool:
         """Whether the other holders suffice without the leaver, and confirmed a round after its request."""
         confirmed = {each.incarnation for each in self.followers_confirming(now, leaver)}
         delay_s = self.primary.member.timing.leave_grant_delay_s
--- a/shedgrade/replication/member.py
+++ b/shedgrade/replication/member.py
@@ -45,10 +45,10 @@
 class Member:
     """A core process's participation in the replicated control state.
 
-    `address` and `seeds` are link addresses; `found` holds the durable values of an earlier incarnation
-    (None or empty: empty disk); `decide(state, request)` is pure and is called at the primary only. The
-    caller drains `effects` after each call. Times are seconds of one steady clock. Source: Harp (Liskov et
-    al., 1991) with the quorums of Vertical Paxos (Lamport, Malkhi, Zhou, 2009).
+    `address` and `seeds` are link addresses; `stored_values` holds the durable values of an earlier
+    incarnation (None or empty: empty disk); `decide(state, request)` is pure and is called at the primary
+    only. The caller drains `effects` after each call. Times are seconds of one steady clock. Source: Harp
+    (Liskov et al., 1991) with the quorums of Vertical Paxos (Lamport, Malkhi, Zhou, 2009).
 
     Parts:
 
@@ -94,7 +94,7 @@
         founding: bool,
         seeds: tuple[str, ...],
         tolerated: int,
-        found: Mapping[str, bytes] | None,
+        stored_values: Mapping[str, bytes] | None,
         random: Random,
         now: float,
         decide: Callable[[State, Any], Decision],
@@ -114,7 +114,9 @@
         self.effects: list[Instruction] = []
         self.disk_writer = DiskWriter(self.effects, timing.disk_timeout_s, timing.disk_retry_interval_s)
         founding = founding and address in self.seeds
-        self.replica = ReplicaState(found, self.disk_writer, self.effects, self.seeds, founding, random)
+        self.replica = ReplicaState(
+            stored_values, self.disk_writer, self.effects, self.seeds, founding, random
+        )
         self.peers = PeerDirectory(self.replica.incarnation, address, name, self.replica.founding)
         self.transport = Transport(address, self.effects, self.peers, timing, random)
         self.primary_monitor = PrimaryMonitor(address, timing)
@@ -409,7 +411,7 @@
         if self.primary_monitor.note_hint(now, address):
             self.reconfiguration.join_request_at = min(self.reconfiguration.join_request_at, now)
 
-    def on_primary_restarted(self, now: float) -> None:
+    def on_primary_lost_disk(self, now: float) -> None:
         """Forgets the primary, which has lost its disk: a new incarnation asked to join from its address."""
         if not self.primary_role.active and self.primary is not None:
             self.primary_monitor.forget_primary()
@@ -465,7 +467,7 @@
         self.candidate.stop()
         if self.primary == self.address:
             self.primary_monitor.forget_primary()
-        self.primary_role.abandon(now)
+        self.primary_role.resign(now)
         self.election_timer.schedule_after_step_down(now)
 
     def hand_over(self, now: float, successor: str) -> None:
--- a/shedgrade/replication/messages.py
+++ b/shedgrade/replication/messages.py
@@ -41,16 +41,17 @@
     `primary`: incarnation of the primary.
     `holders`: incarnations of the members that store the replicated state, including the primary. The other
     members are witnesses, which only vote.
-    `before`: the members of the last epoch that is known to have been active.
+    `previous_members`: the members of the last epoch that is known to have been active.
     `active`: whether all holders are known to have installed the epoch. Until then a candidate needs a
-    majority of `members` and one of `before`, since another epoch may have been formed from `before`.
+    majority of `members` and one of `previous_members`, since another epoch may have been formed from the
+    latter.
     """
 
     number: int
     primary: int
     holders: tuple[int, ...]
     members: tuple[Peer, ...]
-    before: tuple[Peer, ...]
+    previous_members: tuple[Peer, ...]
     active: bool
 
 
@@ -314,6 +315,6 @@
 )
 
 
-def size(changes: Changes | dict[str, bytes]) -> int:
+def value_bytes(changes: Changes | dict[str, bytes]) -> int:
     """Returns the total length of the values in bytes."""
     return sum(len(value) for value in changes.values() if value)
--- a/shedgrade/replication/primary.py
+++ b/shedgrade/replication/primary.py
@@ -16,7 +16,7 @@
     Heartbeat,
     JoinRequest,
     LogPosition,
-    size,
+    value_bytes,
 )
 
 if TYPE_CHECKING:
@@ -77,7 +77,7 @@
 
     # --- begin and end
 
-    def begin(self, now: float, config: EpochConfig, leaving: frozenset[int] = NO_INCARNATIONS) -> None:
+    def begin_epoch(self, now: float, config: EpochConfig, leaving: frozenset[int] = NO_INCARNATIONS) -> None:
         """Becomes the primary once all holders have synced the epoch: the state that they hold is committed.
 
         `leaving`: members that asked to leave before the epoch.
@@ -145,7 +145,7 @@
         """Suspends the role during an election of this process; pending commands and reads are kept."""
         self.active = False
 
-    def abandon(self, now: float) -> None:
+    def resign(self, now: float) -> None:
         """Gives up the role, since another primary decides now."""
         self.active = False
         self.followers = {}
@@ -253,7 +253,7 @@
             return
         newest_first = sorted((follower.committed, follower.durable_position), reverse=True)
         base, changes = replica.committed_changes_since(*newest_first)
-        length = size(changes)
+        length = value_bytes(changes)
         wait_s = timing.resend_interval_s + length / timing.bytes_per_second
         follower.catch_up_retries = follower.catch_up_retries + 1 if is_sent else 0
         follower.catch_up_position = position
--- a/shedgrade/replication/quorums.py
+++ b/shedgrade/replication/quorums.py
@@ -47,7 +47,7 @@
     """The members of a new epoch, and those of the last epoch that is known to have been active."""
 
     members: tuple[Peer, ...]
-    before: tuple[Peer, ...]
+    previous_members: tuple[Peer, ...]
 
 
 class HolderCount(NamedTuple):
@@ -88,12 +88,14 @@
     voters = list(voters)
     if count_voting_peers(config.members, voters) < majority(config.members):
         return False
-    return config.active or count_voting_peers(config.before, voters) >= majority(config.before)
+    return config.active or count_voting_peers(config.previous_members, voters) >= majority(
+        config.previous_members
+    )
 
 
 def electorate(config: EpochConfig) -> tuple[Peer, ...]:
     """Returns the peers whose promises count: the members, and those before unless `config` is active."""
-    return config.members if config.active else config.members + config.before
+    return config.members if config.active else config.members + config.previous_members
 
 
 def next_groups(
@@ -104,7 +106,7 @@
     The members change only if `base` is known to be active.
     """
     if not base.active:
-        return Groups(base.members, base.before)
+        return Groups(base.members, base.previous_members)
     return Groups(base.members if change is None else change(base.members), base.members)
 
 
@@ -115,18 +117,18 @@
     contains a holder.
     """
     is_member = any(peer.incarnation == voter.incarnation for peer in groups.members)
-    return is_member and is_among(groups.before, voter)
+    return is_member and is_among(groups.previous_members, voter)
 
 
 def holder_count(groups: Groups, tolerated: int) -> HolderCount:
     """Returns the holder counts. `tolerated`: t, the number of simultaneous losses the state must survive."""
-    minimum = max(majority(groups.members), majority(groups.before))
+    minimum = max(majority(groups.members), majority(groups.previous_members))
     return HolderCount(minimum, max(minimum, tolerated + 1))
 
 
 def activated(config: EpochConfig) -> EpochConfig:
-    """Returns the configuration for when all holders have synced the epoch: `before` no longer counts."""
-    return msgspec.structs.replace(config, before=config.members, active=True)
+    """Returns the configuration for when all holders have synced the epoch, without previous members."""
+    return msgspec.structs.replace(config, previous_members=config.members, active=True)
 
 
 def newer_config(one: EpochConfig, other: EpochConfig) -> EpochConfig:
--- a/shedgrade/replication/reconfiguration.py
+++ b/shedgrade/replication/reconfiguration.py
@@ -96,7 +96,7 @@
         self.note_request(now, request)
         config = member.replica.epoch_config
         if request.address == member.primary and request.incarnation != config.primary:
-            member.on_primary_restarted(now)
+            member.on_primary_lost_disk(now)
         if member.primary_role.active:
             member.primary_role.on_join_request(now, request)
         elif not (request.founding and member.epoch == 0):
--- a/shedgrade/replication/transport.py
+++ b/shedgrade/replication/transport.py
@@ -49,7 +49,7 @@
         `skipped`: incarnations that receive nothing.
         """
         done = {self.address}
-        for peer in (*config.members, *(() if config.active else config.before)):
+        for peer in (*config.members, *(() if config.active else config.previous_members)):
             address = self.peers.address_of(peer.incarnation, peer.address)
             if peer.incarnation not in skipped and address not in done:
                 done.add(address)
--- a/shedgrade/simulation/machine.py
+++ b/shedgrade/simulation/machine.py
@@ -112,7 +112,7 @@
             founding=founding,
             seeds=self.seeds,
             tolerated=environment.tolerated,
-            found=dict(self.durable),
+            stored_values=dict(self.durable),
             random=Random(environment.random.getrandbits(64)),
             now=self.steady_now,
             decide=environment.decide,
--- a/shedgrade/simulation/network.py
+++ b/shedgrade/simulation/network.py
@@ -5,7 +5,7 @@
 from collections.abc import Callable, Iterable
 from random import Random
 
-from shedgrade.replication.messages import Chunk, Message, size
+from shedgrade.replication.messages import Chunk, Message, value_bytes
 from shedgrade.simulation.clock import Scheduler
 
 Link = tuple[str, str]  # (sender's address, receiver's address): one direction of a link
@@ -21,7 +21,7 @@
     if type(message) is Chunk:
         return len(message.body)
     changes = getattr(message, "changes", None)
-    return size(changes) if changes else 0
+    return value_bytes(changes) if changes else 0
 
 
 class Network:
--- a/tests/controlplane/control_net.py
+++ b/tests/controlplane/control_net.py
@@ -87,7 +87,7 @@
             founding=True,
             seeds=tuple(f"{peer}:1" for peer in NAMES),
             tolerated=1,
-            found=None,
+            stored_values=None,
             random=Random(f"{net.seed}{name}"),
             now=net.loop.time(),
             decide=net.decide,
--- a/tests/replication/hand_net.py
+++ b/tests/replication/hand_net.py
@@ -42,7 +42,7 @@
             founding=founding,
             seeds=SEEDS,
             tolerated=self.tolerated,
-            found=dict(self.disks[address]),
+            stored_values=dict(self.disks[address]),
             random=Random(address + str(self.now)),
             now=self.now,
             decide=decide,
--- a/tests/replication/test_calm_epoch.py
+++ b/tests/replication/test_calm_epoch.py
@@ -24,7 +24,7 @@
             founding=founding,
             seeds=ADDRESSES,
             tolerated=1,
-            found=dict(self.disks[address]) or None,
+            stored_values=dict(self.disks[address]) or None,
             random=Random(address),
             now=self.now,
             decide=lambda state, command: Decision({"key": command}, command),
--- a/tests/simulation/faulty_members.py
+++ b/tests/simulation/faulty_members.py
@@ -219,4 +219,4 @@
     class Primary(primary.Primary):
         def __init__(self, member):
             super().__init__(member)
-            self.leave_requests.may_go = lambda now, leaver: True
+            self.leave_requests.may_leave = lambda now, leaver: True
--- a/tests/simulation/planted_system_faults.py
+++ b/tests/simulation/planted_system_faults.py
@@ -174,7 +174,7 @@
         reached()
         return now - self.member.receive_delay_s
 
-    monkeypatch.setattr(acceptor.Acceptor, "sent_after", sent_on_arrival)
+    monkeypatch.setattr(acceptor.Acceptor, "earliest_sending_time", sent_on_arrival)
 
 
 def lease_outlasts_its_votes(monkeypatch, reached):
@@ -367,14 +367,14 @@
 
 def primary_leaves_without_a_successor(monkeypatch, reached):
     """A primary leaves without a successor that could form an epoch."""
-    enough = graceful_leave.LeaveRequests.enough_stay
+    enough = graceful_leave.LeaveRequests.enough_members_stay
 
     def always_enough(self, now):
         if not enough(self, now):
             reached()
         return True
 
-    monkeypatch.setattr(graceful_leave.LeaveRequests, "enough_stay", always_enough)
+    monkeypatch.setattr(graceful_leave.LeaveRequests, "enough_members_stay", always_enough)
     tick = graceful_leave.GracefulLeave.tick_as_primary
 
     def tick_and_stop(self, now):
--- a/tests/stored/test_structs_as_found.py
+++ b/tests/stored/test_structs_as_found.py
@@ -52,6 +52,7 @@
     },
     "quota.state:Counted": {"parts": "slots"},
     "quota.state:Saved": {"v": "version", "counted": "use"},
+    "replication.messages:EpochRecord": {"before": "previous_members"},
     "replication.messages:Hello": {"record": "known_epoch", "finished": "committed"},
     "replication.messages:Whereabouts": {"record": "epoch_config"},
     "replication.messages:PreVote": {"record": "known_epoch", "accepted": "accepted_epoch"},
