--- a/shedgrade/cli/replay.py
+++ b/shedgrade/cli/replay.py
@@ -33,7 +33,7 @@
 
 
 def test_the_same_decisions_are_made():
-    _, records, damage = file_frames.read(CAPTURE, b"C")
+    _, records, damage = file_frames.decode_file(CAPTURE, b"C")
     assert not damage
     replay = Replay(records)
     differences = list(replay.run())
@@ -100,7 +100,8 @@
             )
             if out is not None:
                 out.write_bytes(
-                    file_frames.header(KIND, 0) + b"".join(file_frames.frame(one) for one in records)
+                    file_frames.encode_header(KIND, 0)
+                    + b"".join(file_frames.encode_record(one) for one in records)
                 )
         if explained:
             print("\n".join(explain(records, find_rpc_number(records, explained), module, end_time)))
@@ -128,7 +129,9 @@
     except StateError as error:
         fail(error)
     if to_test is not None:
-        data = file_frames.header(KIND, 0) + b"".join(file_frames.frame(one) for one in records)
+        data = file_frames.encode_header(KIND, 0) + b"".join(
+            file_frames.encode_record(one) for one in records
+        )
         text = base64.b85encode(data).decode()
         lines = "\n".join(f"    {text[place : place + 96]!r}" for place in range(0, len(text), 96))
         to_test.write_text(
--- a/shedgrade/cli/saved.py
+++ b/shedgrade/cli/saved.py
@@ -34,7 +34,7 @@
         reverse=True,
     ):
         try:
-            _, records, _ = file_frames.read(files.read(name), file_frames.SNAPSHOT)
+            _, records, _ = file_frames.decode_file(files.read(name), file_frames.SNAPSHOT)
         except (file_frames.FormatError, OSError):
             continue
         if records and records[0].get("k") == "owner":
--- a/shedgrade/file_frames.py
+++ b/shedgrade/file_frames.py
@@ -74,20 +74,20 @@
     damage: str
 
 
-def header(kind: bytes, number: int) -> bytes:
+def encode_header(kind: bytes, number: int) -> bytes:
     """Returns the header of a file. `kind`: one byte; `number`: chosen by the owner of the file."""
     head = HEADER.pack(MAGIC, kind, VERSION, number)
     return head + CHECKSUM.pack(crc32(head))
 
 
-def frame(record: Record) -> bytes:
+def encode_record(record: Record) -> bytes:
     """Returns a record with its length and checksum, as it is appended to a file."""
     payload = encoder.encode(record)
     length = CHECKSUM.pack(len(payload))
     return length + CHECKSUM.pack(crc32(payload, crc32(length))) + payload
 
 
-def read(data: bytes, kind: bytes) -> FileContent:
+def decode_file(data: bytes, kind: bytes) -> FileContent:
     """Returns the content of a whole file. `kind`: the kind that its header must have.
 
     Raises FormatError if the header is damaged or of another kind, NewerVersionError if its version is later
--- a/shedgrade/sidecar/capture/files.py
+++ b/shedgrade/sidecar/capture/files.py
@@ -24,7 +24,7 @@
     capture, or has no record that a replay may begin with.
     """
     try:
-        _, records, damage = file_frames.read(path.read_bytes(), KIND)
+        _, records, damage = file_frames.decode_file(path.read_bytes(), KIND)
     except OSError as failure:
         raise CaptureError(f"{path}: {failure.strerror}") from failure
     except file_frames.FormatError as error:
@@ -141,7 +141,7 @@
         number = next_number(self.folder)
         handle = os.open(self.folder / f"capture-{number}.sgc", os.O_WRONLY | os.O_CREAT | os.O_EXCL, 0o600)
         self.file = os.fdopen(handle, "wb")
-        head = file_frames.header(KIND, number)
+        head = file_frames.encode_header(KIND, number)
         self.file.write(head)
         self.size = len(head)
 
--- a/shedgrade/sidecar/capture/rows.py
+++ b/shedgrade/sidecar/capture/rows.py
@@ -83,7 +83,7 @@
 
     def add(self, record: dict) -> bytes:
         """Adds a record, drops the oldest ones above the limit, and returns the encoded record."""
-        data = file_frames.frame(record)
+        data = file_frames.encode_record(record)
         start = record["k"] in ("begin", "state")
         self.records.append((start, data))
         self.start_count += start
@@ -104,7 +104,7 @@
 
     def data(self, number: int = 0) -> bytes:
         """Returns all records kept, as the content of a file."""
-        return file_frames.header(KIND, number) + b"".join(data for _, data in self.records)
+        return file_frames.encode_header(KIND, number) + b"".join(data for _, data in self.records)
 
 
 def calls(records: list[dict]) -> Iterator[tuple[int, list]]:
--- a/shedgrade/sidecar/endpoint_snapshot/recovery.py
+++ b/shedgrade/sidecar/endpoint_snapshot/recovery.py
@@ -104,7 +104,9 @@
         """Reads one snapshot. Returns whether it is valid and of this owner, and so becomes the base."""
         snapshot = Snapshot()
         try:
-            header_number, records, reason = file_frames.read(self.files.read(name), file_frames.SNAPSHOT)
+            header_number, records, reason = file_frames.decode_file(
+                self.files.read(name), file_frames.SNAPSHOT
+            )
             if header_number != number:
                 raise file_frames.FormatError(f"its header has number {header_number}")
             # A snapshot is renamed to this name only once it is written in full: an incomplete one is
@@ -136,7 +138,7 @@
         in bytes, or UNKNOWN_LENGTH if it is not valid to its end."""
         try:
             data = self.files.read(name)
-            _, records, reason = file_frames.read(data, file_frames.LOG)
+            _, records, reason = file_frames.decode_file(data, file_frames.LOG)
         except file_frames.NewerVersionError:
             self.found.newer.append(name)
             return UNKNOWN_LENGTH
--- a/shedgrade/sidecar/endpoint_snapshot/store.py
+++ b/shedgrade/sidecar/endpoint_snapshot/store.py
@@ -180,8 +180,8 @@
         """Writes a snapshot under a temporary name and renames it once it is complete. Returns its number."""
         temporary = f"snapshot-{number}.new"
         records = [*self.snapshot.records(self.now()), END_RECORD]
-        frames = b"".join(file_frames.frame(record) for record in records)
-        data = file_frames.header(file_frames.SNAPSHOT, number) + frames
+        frames = b"".join(file_frames.encode_record(record) for record in records)
+        data = file_frames.encode_header(file_frames.SNAPSHOT, number) + frames
         for name in self.files.list_names():
             if name.endswith(".new"):
                 self.files.remove(name)
@@ -199,7 +199,7 @@
         """Begins a log. Its first record names the log before and its length, so that a gap between the two
         is detected if the snapshot is unusable."""
         head = {"k": "owner", "name": self.owner, "after": before, "size": length_before}
-        data = file_frames.header(file_frames.LOG, self.number) + file_frames.frame(head)
+        data = file_frames.encode_header(file_frames.LOG, self.number) + file_frames.encode_record(head)
         self.write(f"log-{self.number}", data)
         if self.sync != "never":
             self.files.sync(f"log-{self.number}")
@@ -285,7 +285,7 @@
                     self.report(StoreEvent("INFO", "saved endpoint list written again"))
                 return
             if records:
-                data = b"".join(file_frames.frame(record) for record in records)
+                data = b"".join(file_frames.encode_record(record) for record in records)
                 self.write(f"log-{self.number}", data)
                 self.log_bytes += len(data)
                 self.unsynced = True
--- a/shedgrade/storage/layout.py
+++ b/shedgrade/storage/layout.py
@@ -67,17 +67,17 @@
 
 def encode_slot(lsn: int, values: dict[str, bytes]) -> bytes:
     """Returns the bytes of a whole slot file."""
-    return file_frames.header(SLOT_KIND, lsn) + file_frames.frame({"n": lsn, "v": values})
+    return file_frames.encode_header(SLOT_KIND, lsn) + file_frames.encode_record({"n": lsn, "v": values})
 
 
 def encode_log_header(base_lsn: int) -> bytes:
     """Returns the header of the log that continues the slot with LSN `base_lsn`."""
-    return file_frames.header(LOG_KIND, base_lsn)
+    return file_frames.encode_header(LOG_KIND, base_lsn)
 
 
 def encode_log_record(lsn: int, changes: Changes) -> bytes:
     """Returns the record of one write, as it is appended to a log."""
-    return file_frames.frame({"n": lsn, "c": changes})
+    return file_frames.encode_record({"n": lsn, "c": changes})
 
 
 def decode_slot(data: bytes) -> SlotContent:
@@ -117,7 +117,7 @@
     Raises FormatError if the header is damaged, or if another program wrote the file.
     """
     try:
-        content = file_frames.read(data, kind)
+        content = file_frames.decode_file(data, kind)
     except (TypeError, RecursionError) as error:
         # a file of another program may have sound checksums around records of another shape
         raise file_frames.FormatError(f"not a file of the store ({type(error).__name__})") from error
--- a/tests/sidecar/capture/capture_world.py
+++ b/tests/sidecar/capture/capture_world.py
@@ -90,7 +90,7 @@
 
     def records(self):
         self.balancer.flush()
-        _, records, damage = file_frames.read(self.ring.data(), KIND)
+        _, records, damage = file_frames.decode_file(self.ring.data(), KIND)
         assert not damage
         return records
 
--- a/tests/sidecar/capture/test_operating.py
+++ b/tests/sidecar/capture/test_operating.py
@@ -46,7 +46,7 @@
     recorder = Recorder(settings([method("once", soft=9e3, hard=9e3)]), 7, 0, ring)
     run_scenario(recorder)
     recorder.flush()
-    _, records, _ = file_frames.read(ring.data(), b"C")
+    _, records, _ = file_frames.decode_file(ring.data(), b"C")
     replay = Replay(records)
     assert list(replay.run()) == [] and replay.calls > 20 and replay.left_out == 0
     assert replay.settings["tick"] == 5.0 and replay.balancer.slow_start_share == 0.5
--- a/tests/sidecar/capture/test_part.py
+++ b/tests/sidecar/capture/test_part.py
@@ -124,8 +124,8 @@
     for content in (
         b"",
         b"no capture at all, but long enough for one",
-        file_frames.header(KIND, 1),
-        file_frames.header(b"L", 1),
+        file_frames.encode_header(KIND, 1),
+        file_frames.encode_header(b"L", 1),
     ):
         path.write_bytes(content)
         with pytest.raises(CaptureError):
@@ -138,7 +138,7 @@
     monkeypatch.setattr(files, "FILE_BYTES", 2000)
     write_errors = []
     writer = Writer(tmp_path / "n1", 6000, write_errors.append)
-    data = file_frames.frame({"k": "state", "pad": "x" * 300})
+    data = file_frames.encode_record({"k": "state", "pad": "x" * 300})
     for number in range(60):
         assert writer.put(data, number % 5 == 0)
         if number % 5 == 4:
@@ -150,7 +150,7 @@
     kept = captures(tmp_path / "n1")
     assert 1 <= len(kept) <= 4 and sum(path.stat().st_size for path in kept) < 10_000
     for path in kept:
-        file_frames.read(path.read_bytes(), KIND)
+        file_frames.decode_file(path.read_bytes(), KIND)
     blocked = tmp_path / "file"
     blocked.write_text("")
     writer = Writer(blocked / "n2", 6000, write_errors.append)
--- a/tests/sidecar/capture/test_replay.py
+++ b/tests/sidecar/capture/test_replay.py
@@ -60,7 +60,7 @@
     assert replay_without_difference(records).calls > 10
     # A capture cut off within a record is read up to there, and has the same results so far.
     data = world.ring.data()
-    _, cut, why = file_frames.read(data[: len(data) * 2 // 3], KIND)
+    _, cut, why = file_frames.decode_file(data[: len(data) * 2 // 3], KIND)
     assert "torn" in why
     replay_without_difference(cut)
 
--- a/tests/sidecar/endpoint_snapshot/test_store.py
+++ b/tests/sidecar/endpoint_snapshot/test_store.py
@@ -170,8 +170,8 @@
     names = sorted(disk.data)
     assert names == ["log-1", "log-2", "snapshot-1", "snapshot-2"]
     # The newest snapshot is damaged, and the log before it ends at a record boundary without its last record.
-    _, records, _ = file_frames.read(disk.read("log-1"), file_frames.LOG)
-    cut = bytes(disk.data["log-1"])[: -len(file_frames.frame(records[-1]))]
+    _, records, _ = file_frames.decode_file(disk.read("log-1"), file_frames.LOG)
+    cut = bytes(disk.data["log-1"])[: -len(file_frames.encode_record(records[-1]))]
     snapshot = recover(MemoryDisk({**disk.data, "snapshot-2": b"x", "log-1": cut}), "n1").snapshot
     assert (
         visible_state(snapshot) == visible_states()[3]
@@ -189,7 +189,7 @@
     assert (
         "snapshot-1.damaged" in other.files.list_names() or "snapshot-2.damaged" in other.files.list_names()
     )
-    newer_snapshot = bytearray(file_frames.header(file_frames.SNAPSHOT, 9))
+    newer_snapshot = bytearray(file_frames.encode_header(file_frames.SNAPSHOT, 9))
     head = file_frames.HEADER.pack(file_frames.MAGIC, file_frames.SNAPSHOT, file_frames.VERSION + 1, 9)
     newer_snapshot = head + file_frames.CHECKSUM.pack(file_frames.crc32(head))
     left = MemoryDisk({**disk.data, "snapshot-9": newer_snapshot, "notes.txt": b"mine"})
@@ -206,7 +206,7 @@
     store = write_records(disk)
     store.write(
         f"log-{store.number}",
-        file_frames.frame({"k": "surprise"}) + file_frames.frame(list_record(90, whole=True)),
+        file_frames.encode_record({"k": "surprise"}) + file_frames.encode_record(list_record(90, whole=True)),
     )
     found = recover(disk, "n1")
     assert (
--- a/tests/sidecar/shadow_policy/test_watch.py
+++ b/tests/sidecar/shadow_policy/test_watch.py
@@ -249,7 +249,7 @@
             assert isinstance(watched.inner, Recorder) and watched.follower is not None
             assert watched.rpc_count == 40 and not watched.counts
             watched.inner.flush()
-            _, records, torn = file_frames.read(watched.inner.ring.data(), KIND)
+            _, records, torn = file_frames.decode_file(watched.inner.ring.data(), KIND)
             assert not torn and list(Replay(records).run()) == []
 
     scenario()
--- a/tests/storage/test_storage_damage.py
+++ b/tests/storage/test_storage_damage.py
@@ -82,11 +82,17 @@
         {"log-b": b""},
         {"slot-a": b"what is this"},
         {"log-a": layout.encode_log_header(4) + layout.encode_log_record(5, {"a": b"1"})},
-        {"slot-a": file_frames.header(file_frames.SNAPSHOT, 1) + file_frames.frame({"n": 1, "v": {}})},
+        {
+            "slot-a": file_frames.encode_header(file_frames.SNAPSHOT, 1)
+            + file_frames.encode_record({"n": 1, "v": {}})
+        },
         {"slot-a": layout.encode_slot(3, {"a": "text"})},
         {"slot-a": layout.encode_slot(3, ["a"])},
-        {"slot-a": file_frames.header(layout.SLOT_KIND, 3) + file_frames.frame({"n": 2, "v": {}})},
-        {"slot-a": file_frames.header(layout.SLOT_KIND, 3) + file_frames.frame({1: 2})},
+        {
+            "slot-a": file_frames.encode_header(layout.SLOT_KIND, 3)
+            + file_frames.encode_record({"n": 2, "v": {}})
+        },
+        {"slot-a": file_frames.encode_header(layout.SLOT_KIND, 3) + file_frames.encode_record({1: 2})},
         {"slot-a": layout.encode_slot(layout.LSN_LIMIT, {})},
     ],
 )
@@ -181,14 +187,14 @@
 @given(st.binary(max_size=200), ANYTHING, st.integers(0, 2**64 - 1))
 def test_readers_raise_nothing_on_any_bytes_with_sound_checksums_or_without(tail, payload, sequence):
     for head in (
-        file_frames.header(layout.SLOT_KIND, sequence),
-        file_frames.header(layout.LOG_KIND, sequence),
+        file_frames.encode_header(layout.SLOT_KIND, sequence),
+        file_frames.encode_header(layout.LOG_KIND, sequence),
         b"",
     ):
         for body in (
             tail,
-            file_frames.frame(payload),
-            file_frames.frame({"n": sequence, "c": payload, "v": payload}),
+            file_frames.encode_record(payload),
+            file_frames.encode_record({"n": sequence, "c": payload, "v": payload}),
         ):
             for read in (layout.decode_slot, layout.decode_log):
                 assert not read(head + body + tail).newer_version
@@ -198,5 +204,5 @@
     payload = b"\x82\xa1n" + b"\x91" * 100_000
     size = file_frames.CHECKSUM.pack(len(payload))
     record = size + file_frames.CHECKSUM.pack(file_frames.crc32(payload, file_frames.crc32(size))) + payload
-    assert layout.decode_slot(file_frames.header(layout.SLOT_KIND, 1) + record).values is None
+    assert layout.decode_slot(file_frames.encode_header(layout.SLOT_KIND, 1) + record).values is None
     assert layout.decode_log(layout.encode_log_header(1) + b"torn" + record).lsn_after_damage == -1
--- a/tests/storage/test_store_calls.py
+++ b/tests/storage/test_store_calls.py
@@ -313,17 +313,20 @@
 
 def test_the_error_for_a_later_version_contains_both_versions(monkeypatch):
     monkeypatch.setattr(file_frames, "VERSION", 3)
-    later = file_frames.header(file_frames.SNAPSHOT, 1)
+    later = file_frames.encode_header(file_frames.SNAPSHOT, 1)
     monkeypatch.undo()
     with pytest.raises(file_frames.NewerVersionError) as error:
-        file_frames.read(later, file_frames.SNAPSHOT)
+        file_frames.decode_file(later, file_frames.SNAPSHOT)
     assert (error.value.version, error.value.supported) == (3, 1)
 
 
 def test_the_error_for_a_damaged_record_contains_its_damage_and_offset():
-    data = file_frames.header(file_frames.LOG, 1) + file_frames.frame({"n": 1})
+    data = file_frames.encode_header(file_frames.LOG, 1) + file_frames.encode_record({"n": 1})
     with pytest.raises(file_frames.RecordError) as error:
         file_frames.read_record(data[:-1], file_frames.HEADER_BYTES)
     assert error.value.damage is file_frames.RecordDamage.TORN
     assert error.value.offset == file_frames.HEADER_BYTES
-    assert file_frames.read(data[:-1], file_frames.LOG).damage == f"torn at byte {file_frames.HEADER_BYTES}"
+    assert (
+        file_frames.decode_file(data[:-1], file_frames.LOG).damage
+        == f"torn at byte {file_frames.HEADER_BYTES}"
+    )
--- a/tests/stored/test_sidecar_files_as_found.py
+++ b/tests/stored/test_sidecar_files_as_found.py
@@ -25,7 +25,7 @@
 
 
 def records_of(name):
-    number, records, reason = file_frames.read((DATA / "capture" / name).read_bytes(), KIND)
+    number, records, reason = file_frames.decode_file((DATA / "capture" / name).read_bytes(), KIND)
     assert (number, reason) == (0, "")
     return records
 
@@ -119,7 +119,9 @@
 
 
 def test_a_snapshot_is_written_in_the_records_of_an_earlier_program():
-    _, records, _ = file_frames.read((DATA / "saved" / "snapshot-3").read_bytes(), file_frames.SNAPSHOT)
+    _, records, _ = file_frames.decode_file(
+        (DATA / "saved" / "snapshot-3").read_bytes(), file_frames.SNAPSHOT
+    )
     snapshot = recover(Files(DATA / "saved"), "n1").snapshot
     snapshot.confirm(Moment(1_006_000, "boot", 6000), 6)  # the state at the time of the snapshot
     again = [json.loads(json.dumps(record)) for record in snapshot.records(Moment(1_020_000))]
@@ -132,6 +134,6 @@
         ("saved/log-3", file_frames.LOG, 3),
     ):
         data = (DATA / name).read_bytes()
-        assert data.startswith(file_frames.header(kind, number))
+        assert data.startswith(file_frames.encode_header(kind, number))
     for record in records_of("from-start.bin"):
-        assert file_frames.frame(record) in (DATA / "capture" / "from-start.bin").read_bytes()
+        assert file_frames.encode_record(record) in (DATA / "capture" / "from-start.bin").read_bytes()
