--- a/shedgrade/control_messages.py
+++ b/shedgrade/control_messages.py
@@ -62,12 +62,12 @@
         address: "host:port".
         zone: its failure domain.
         state: AVAILABLE or DRAINING.
-        cold_left_ms: time until it is warmed up, as of sending; 0 if it is warm.
+        warmup_remaining_ms: time until it is warmed up, as of sending; 0 if it is warm.
         slots: number of requests that it runs at once; 0 if not known.
         version: of its software.
         stage: release stage, as the platform names it.
         models: that it has loaded.
-        time_left_ms: time until the platform removes it, as of sending; -1 if no removal is announced.
+        time_until_removal_ms: until the platform removes it, as of sending; -1 if no removal is announced.
     """
 
     id: str
@@ -75,12 +75,12 @@
     address: str
     zone: str
     state: str
-    cold_left_ms: float = 0
+    warmup_remaining_ms: float = 0
     slots: int = 0
     version: str = ""
     stage: str = ""
     models: tuple[Model, ...] = ()
-    time_left_ms: float = -1
+    time_until_removal_ms: float = -1
 
 
 class EndpointUpdate(msgspec.Struct, array_like=True, frozen=True, tag="list_moved"):
@@ -150,12 +150,12 @@
     in_flight: int = 0
 
     @property
-    def ready(self) -> bool:
+    def is_ready(self) -> bool:
         """Whether clients may be sent to the edge."""
         return self.state == READY
 
     @property
-    def leaving(self) -> bool:
+    def is_leaving(self) -> bool:
         """Whether the edge is shutting down and still accepts requests."""
         return self.state == LEAVING
 
@@ -170,12 +170,12 @@
 
     Attributes:
         last_seen: when any member last heard from the edge, in seconds of this process's clock.
-        ending_since: when the edge was first observed in its current stage of shutdown, on the same clock;
-            0 if it isn't shutting down.
+        shutdown_stage_since: when the edge was first observed in its current stage of shutdown, on the same
+            clock; 0 if it isn't shutting down.
     """
 
     last_seen: float = 0.0
-    ending_since: float = 0.0
+    shutdown_stage_since: float = 0.0
 
 
 class EdgeObservation(msgspec.Struct, array_like=True, frozen=True):
@@ -209,7 +209,7 @@
         wait_s: time for which the response may be held back if there is nothing newer.
         configuration_version: version of the operators' configuration that the edge has; -1 for none.
         endpoints_age_s: time since the platform confirmed the edge's endpoint list.
-        prefix_reads: pairs that the edge has observed since its last request.
+        observed_prefixes: pairs that the edge has observed since its last request.
         prefix_index_version: (source, number) of the edge's prefix index; (0, -1) if it has none, (-1, -1)
             if it wants none.
     """
@@ -220,7 +220,7 @@
     wait_s: float
     configuration_version: int = -1
     endpoints_age_s: float = UNKNOWN_AGE_S
-    prefix_reads: tuple[Pair, ...] = ()
+    observed_prefixes: tuple[Pair, ...] = ()
     prefix_index_version: tuple[int, int] = (-1, -1)
 
 
@@ -230,7 +230,7 @@
     Attributes:
         epoch: with `sequence`, the version of the control state.
         sequence: see `epoch`.
-        version: of the configuration.
+        configuration_version: version of `configuration`.
         configuration: the bytes that the operator sent; None if the receiver has that version already.
         evacuations: names of the evacuated zones.
         compressed: whether `configuration` is in zlib format.
@@ -238,7 +238,7 @@
 
     epoch: int
     sequence: int
-    version: int
+    configuration_version: int
     configuration: bytes | None
     evacuations: tuple[str, ...] = ()
     compressed: bool = False
@@ -255,7 +255,7 @@
         members: link addresses of the core members.
         primary_age_s: time since this member heard from the primary.
         endpoints_age_s: age of this member's endpoint list.
-        pending_s: time for which the request waited at this member.
+        held_s: time for which the request waited at this member.
         prefix_index: what the edge's prefix index lacks; None if it lacks nothing, or if this member's index
             isn't valid.
         drain_target: for an edge that shuts down, state of the edges that take over its clients: READY,
@@ -268,7 +268,7 @@
     members: tuple[str, ...]
     primary_age_s: float
     endpoints_age_s: float
-    pending_s: float = 0.0
+    held_s: float = 0.0
     prefix_index: PrefixIndexUpdate | None = None
     drain_target: str = READY
 
--- a/shedgrade/controlplane/directory.py
+++ b/shedgrade/controlplane/directory.py
@@ -125,7 +125,7 @@
         nearest ones, but it never names a region that the home regions of the host exclude.
         """
         with_address = [edge for edge in edges if edge.listen_address]
-        ready = [edge for edge in with_address if edge.ready]
+        ready = [edge for edge in with_address if edge.is_ready]
         candidates = [edge for edge in ready if edge.zone == zone]
         if len(candidates) >= MIN_ZONE_EDGES:
             return candidates
@@ -154,13 +154,13 @@
     """
     by_region: dict[str, list[EdgeRecord]] = {}
     for edge in edges:
-        if edge.leaving:
+        if edge.is_leaving:
             by_region.setdefault(edge.region, []).append(edge)
     last: list[EdgeRecord] = []
     for leaving in by_region.values():
-        since = max(edge.ending_since for edge in leaving)
+        since = max(edge.shutdown_stage_since for edge in leaving)
         simultaneous = sorted(
-            (edge for edge in leaving if since - edge.ending_since <= SIMULTANEOUS_SHUTDOWN_S),
+            (edge for edge in leaving if since - edge.shutdown_stage_since <= SIMULTANEOUS_SHUTDOWN_S),
             key=lambda edge: edge.name,
         )
         last += simultaneous[len(simultaneous) // 2 :]
@@ -172,7 +172,7 @@
     LEAVING after it, or NO_DRAIN_TARGET. `homes`: by host, where else its clients may go.
     """
     others = [other for other in others if other.listen_address]
-    ready_regions = {other.region for other in others if other.ready and other.name != edge.name}
+    ready_regions = {other.region for other in others if other.is_ready and other.name != edge.name}
     has_ready_homes = bool(homes) and all(
         bool(ready_regions) if regions is None else not ready_regions.isdisjoint(regions)
         for regions in homes.values()
--- a/shedgrade/controlplane/endpoint_list.py
+++ b/shedgrade/controlplane/endpoint_list.py
@@ -51,8 +51,10 @@
 
     def __init__(self, now: float, endpoint: Endpoint) -> None:
         self.endpoint = endpoint
-        self.warm_at = now + endpoint.cold_left_ms / 1000 if endpoint.cold_left_ms > 0 else None
-        self.removal_at = now + endpoint.time_left_ms / 1000 if endpoint.time_left_ms >= 0 else None
+        self.warm_at = now + endpoint.warmup_remaining_ms / 1000 if endpoint.warmup_remaining_ms > 0 else None
+        self.removal_at = (
+            now + endpoint.time_until_removal_ms / 1000 if endpoint.time_until_removal_ms >= 0 else None
+        )
 
     def is_unchanged(self, now: float, other: "CachedEndpoint") -> bool:
         """Whether `other`, received at `now`, differs in nothing but the time that has passed."""
@@ -69,13 +71,13 @@
         cold_ms = 0 if self.warm_at is None else max(0.0, self.warm_at - now) * 1000
         left_ms = -1 if self.removal_at is None else max(0.0, self.removal_at - now) * 1000
         return msgspec.structs.replace(
-            self.endpoint, cold_left_ms=round(cold_ms), time_left_ms=round(left_ms)
+            self.endpoint, warmup_remaining_ms=round(cold_ms), time_until_removal_ms=round(left_ms)
         )
 
 
 def without_countdowns(endpoint: Endpoint) -> Endpoint:
     """The endpoint without the fields that change as time passes."""
-    return msgspec.structs.replace(endpoint, cold_left_ms=0, time_left_ms=-1)
+    return msgspec.structs.replace(endpoint, warmup_remaining_ms=0, time_until_removal_ms=-1)
 
 
 def end_shift_s(now: float, before: float | None, after: float | None) -> float:
@@ -282,8 +284,8 @@
     host, _, port = entry["address"].rpartition(":")
     if not host or not 0 < int(port) < 65536:
         raise ValueError(f"invalid address {entry['address']!r:.60}")
-    cold_left_ms = entry.get("coldLeftMs") or 0
-    time_left_ms = entry.get("timeLeftMs")
+    warmup_remaining_ms = entry.get("coldLeftMs") or 0
+    time_until_removal_ms = entry.get("timeLeftMs")
     slots = entry.get("capacitySlots") or 0
     state = required_text(entry, "state")
     return Endpoint(
@@ -292,12 +294,12 @@
         address=entry["address"],
         zone=required_text(entry, "zone"),
         state=AVAILABLE if state == AVAILABLE else DRAINING,
-        cold_left_ms=checked_count(cold_left_ms),
+        warmup_remaining_ms=checked_count(warmup_remaining_ms),
         slots=int(checked_count(slots)),
         version=str(entry.get("configVersion") or ""),
         stage=str(entry.get("stage") or ""),
         models=tuple(map(parse_model, entry.get("modelList") or ())),
-        time_left_ms=-1 if time_left_ms is None else checked_count(time_left_ms),
+        time_until_removal_ms=-1 if time_until_removal_ms is None else checked_count(time_until_removal_ms),
     )
 
 
--- a/shedgrade/controlplane/prefix_index_exchange.py
+++ b/shedgrade/controlplane/prefix_index_exchange.py
@@ -61,9 +61,9 @@
             self.in_contact_since = None
         elif not self.index.is_valid:
             self.recover(now)
-        if self.hub.unsent_prefix_reads:
-            pairs = tuple(self.hub.unsent_prefix_reads)
-            self.hub.unsent_prefix_reads = []
+        if self.hub.unsent_observed_prefixes:
+            pairs = tuple(self.hub.unsent_observed_prefixes)
+            self.hub.unsent_observed_prefixes = []
             self.broadcast(PrefixIndexAdditions(pairs))
 
     def recover(self, now: float) -> None:
--- a/shedgrade/controlplane/watch_hub.py
+++ b/shedgrade/controlplane/watch_hub.py
@@ -95,7 +95,7 @@
         self.pending: dict[str, PendingWatch] = {}
         self.edges = EdgeTable(exchange_interval_s)
         self.prefix_index: PrefixIndex | None = None
-        self.unsent_prefix_reads: list[Pair] = []
+        self.unsent_observed_prefixes: list[Pair] = []
 
     def check_invariants(self) -> None:
         """Raises AssertionError if the attributes contradict each other."""
@@ -156,8 +156,8 @@
         may have waited unread at this process."""
         self.now = now
         self.edges.update(HeardEdge(request.edge, now - unread_s, request.wait_s, True))
-        if self.prefix_index is not None and request.prefix_reads:
-            self.unsent_prefix_reads += self.prefix_index.add(now, request.prefix_reads)
+        if self.prefix_index is not None and request.observed_prefixes:
+            self.unsent_observed_prefixes += self.prefix_index.add(now, request.observed_prefixes)
         watch = PendingWatch(request, respond, now)
         self.pending.pop(request.edge.name, None)
         if self.has_update(watch) or watch.deadline <= now or len(self.pending) >= MAX_PENDING_WATCHES:
--- a/shedgrade/dataplane/control_client.py
+++ b/shedgrade/dataplane/control_client.py
@@ -299,9 +299,9 @@
         member = self.members.get(event.address)
         request = None
         if member is not None:
-            request = member.match_response(now, event.number, response.pending_s)
+            request = member.match_response(now, event.number, response.held_s)
         if request is not None:
-            response = with_current_ages(response, max(0.0, now - request.sent_at - response.pending_s))
+            response = with_current_ages(response, max(0.0, now - request.sent_at - response.held_s))
         try:
             brought_news = self.received.take(now, response)
         except ValueError as error:
@@ -315,7 +315,7 @@
         self.received.last_response_at = now
         if member is not None:
             member.note_response(
-                now, request, response.pending_s, response.primary_age_s, response.endpoints_age_s
+                now, request, response.held_s, response.primary_age_s, response.endpoints_age_s
             )
             self._prefer_if_better(now, member)
             if member is self.preferred_member:
@@ -367,7 +367,7 @@
         early = (
             request is not None
             and not brought_news
-            and response.pending_s < EARLY_RESPONSE_RATIO * request.wait_s
+            and response.held_s < EARLY_RESPONSE_RATIO * request.wait_s
         )
         self.next_request_at = max(sent_at + RESEND_GAP_S, now + EARLY_PAUSE_S if early else now)
 
--- a/shedgrade/dataplane/control_exchange.py
+++ b/shedgrade/dataplane/control_exchange.py
@@ -101,7 +101,7 @@
             # its own versions of the index.
             reads = self._prefix_index.take_unsent()
             request = msgspec.structs.replace(
-                request, prefix_reads=reads, prefix_index_version=self._prefix_index.version
+                request, observed_prefixes=reads, prefix_index_version=self._prefix_index.version
             )
         try:
             body = await self.links.call(
--- a/shedgrade/dataplane/received_state.py
+++ b/shedgrade/dataplane/received_state.py
@@ -108,11 +108,11 @@
         if change is None or (change.epoch, change.sequence) <= self.control:
             return None
         configuration = decompress_configuration(change)
-        if configuration is None and change.version != self.configuration_version:
+        if configuration is None and change.configuration_version != self.configuration_version:
             # The member omitted the configuration that this edge had when it sent the request, but the edge
             # has received another version since.
             return None
-        if change.version == self.configuration_version:
+        if change.configuration_version == self.configuration_version:
             configuration = None
         return msgspec.structs.replace(change, configuration=configuration or None, compressed=False)
 
@@ -132,7 +132,7 @@
     def take_control(self, now: float, change: ControlChange) -> None:
         """Records newer control state, which is withheld until `take` or `release_withheld` releases it."""
         self.control = change.epoch, change.sequence
-        self.configuration_version = change.version
+        self.configuration_version = change.configuration_version
         self.withheld.append(change)
         if not self.control_applied:
             self.withheld_until = min(self.withheld_until, now + FIRST_STATE_WAIT_S)
--- a/shedgrade/dataplane/state.py
+++ b/shedgrade/dataplane/state.py
@@ -128,7 +128,7 @@
         for endpoint in change.changed:
             # The remaining slow start is stored as a point in time: the list may be read again much later.
             self.instances[endpoint.id] = endpoint
-            self.warming_up_until[endpoint.id] = now + endpoint.cold_left_ms / 1000
+            self.warming_up_until[endpoint.id] = now + endpoint.warmup_remaining_ms / 1000
             affected.add(endpoint.service)
         self.warming_up_until = {
             name: until for name, until in self.warming_up_until.items() if name in self.instances
--- a/shedgrade/file_frames.py
+++ b/shedgrade/file_frames.py
@@ -106,7 +106,7 @@
 
 
 def read_header(data: bytes, kind: bytes) -> int:
-    """Returns the number in the header of a file of kind `kind`. Raises the same errors as `read`."""
+    """Returns the number in the header of a file of kind `kind`. Raises the same errors as `decode_file`."""
     if not data:
         raise FormatError("empty")
     if len(data) < HEADER_BYTES:
--- a/shedgrade/simulation/system/simulated_system.py
+++ b/shedgrade/simulation/system/simulated_system.py
@@ -398,10 +398,18 @@
         position = change.epoch, change.sequence
         evacuations = tuple(change.evacuations)
         view = EdgeView(
-            self.time.now, machine.name, machine.incarnation, position, change.version, key, evacuations
+            self.time.now,
+            machine.name,
+            machine.incarnation,
+            position,
+            change.configuration_version,
+            key,
+            evacuations,
         )
         self.history.views.append(view)
-        self.history.log(f"applied {position} {change.version} {key} {list(evacuations)}", machine.name)
+        self.history.log(
+            f"applied {position} {change.configuration_version} {key} {list(evacuations)}", machine.name
+        )
 
     def acknowledged(self, operation: Operation) -> None:
         """Called when a change or a zone command is acknowledged; some faults are injected at that moment."""
--- a/tests/controlplane/test_directory.py
+++ b/tests/controlplane/test_directory.py
@@ -173,7 +173,7 @@
 def test_the_leaving_edges_whose_shutdown_began_last_are_named(directory):
     """Those edges accept requests the longest."""
     leaves = [
-        msgspec.structs.replace(edge(number, state=LEAVING), ending_since=since)
+        msgspec.structs.replace(edge(number, state=LEAVING), shutdown_stage_since=since)
         for number, since in [(1, 10.0), (2, 12.0), (3, 12.3)]
     ]
     assert resolved(directory, leaves) == [3]
@@ -205,7 +205,7 @@
 
 def test_the_edge_whose_shutdown_began_earlier_stops_first():
     early, late = (
-        msgspec.structs.replace(edge(number, state=LEAVING), ending_since=since)
+        msgspec.structs.replace(edge(number, state=LEAVING), shutdown_stage_since=since)
         for number, since in [(2, 10.0), (1, 12.0)]
     )
     assert drain_target(early, [early, late], {"h": ANYWHERE}) == LEAVING
--- a/tests/controlplane/test_platform_poller.py
+++ b/tests/controlplane/test_platform_poller.py
@@ -62,10 +62,10 @@
         polled_list([entry("a", coldLeftMs=1500, timeLeftMs=9000, state="draining")]), 100.0
     )["a"]
     assert (one.service, one.address, one.zone, one.state) == ("s", "10.128.0.9:8080", "north-a", "draining")
-    assert (one.cold_left_ms, one.time_left_ms, one.slots) == (1500, 9000, 64)
+    assert (one.warmup_remaining_ms, one.time_until_removal_ms, one.slots) == (1500, 9000, 64)
     assert (one.version, one.stage) == ("v1", "dual")
     assert [(model.name, model.version, model.adapters) for model in one.models] == [("m", 1, ())]
-    assert endpoints_by_id(polled_list([entry("a")]), 100.0)["a"].time_left_ms == -1
+    assert endpoints_by_id(polled_list([entry("a")]), 100.0)["a"].time_until_removal_ms == -1
 
 
 def test_each_change_raises_the_number_by_one():
@@ -82,11 +82,11 @@
     assert not held.apply_poll(101.0, [entry("a", coldLeftMs=3100, timeLeftMs=19_200, state="draining")])
     assert not held.apply_poll(102.0, [entry("a", coldLeftMs=1600, timeLeftMs=18_000, state="draining")])
     one = endpoints_by_id(held, 102.5)["a"]
-    assert (one.cold_left_ms, one.time_left_ms) == (1500, 17_500)
+    assert (one.warmup_remaining_ms, one.time_until_removal_ms) == (1500, 17_500)
     assert not held.apply_poll(104.0, [entry("a", coldLeftMs=0, timeLeftMs=16_000, state="draining")])
-    assert endpoints_by_id(held, 104.5)["a"].cold_left_ms == 0
+    assert endpoints_by_id(held, 104.5)["a"].warmup_remaining_ms == 0
     assert held.apply_poll(105.0, [entry("a", coldLeftMs=3000, timeLeftMs=15_000, state="draining")])
-    assert endpoints_by_id(held, 105.5)["a"].cold_left_ms == 2500
+    assert endpoints_by_id(held, 105.5)["a"].warmup_remaining_ms == 2500
     assert held.apply_poll(106.0, [entry("a", coldLeftMs=2500, timeLeftMs=15_000, state="draining")])
     assert held.apply_poll(106.5, [entry("a", coldLeftMs=2000, timeLeftMs=2000, state="draining")])
 
@@ -112,7 +112,7 @@
 def test_an_invalid_entry_of_a_known_upstream_keeps_it_and_its_draining_counts(lines):
     held = polled_list([entry("a"), entry("b", coldLeftMs=2000)])
     assert not held.apply_poll(101.0, [entry("a"), entry("b", address=None)])
-    assert endpoints_by_id(held, 101.0)["b"].cold_left_ms == 1000
+    assert endpoints_by_id(held, 101.0)["b"].warmup_remaining_ms == 1000
     assert held.apply_poll(102.0, [entry("a"), entry("b", address=None, state="draining")])
     assert endpoints_by_id(held, 102.0)["b"].state == "draining"
     assert endpoints_by_id(held, 102.0)["b"].address == "10.128.0.9:8080"
@@ -142,7 +142,7 @@
     held.apply_poll(102.0, [entry("a"), entry("b", state="draining"), entry("d", coldLeftMs=3000)])
     answer = held.update_since(1, 1, now=103.0)
     assert (answer.term, answer.number, answer.from_term, answer.from_number) == (1, 3, 1, 1)
-    assert {one.id: one.cold_left_ms for one in answer.changed} == {"b": 0, "d": 2000}
+    assert {one.id: one.warmup_remaining_ms for one in answer.changed} == {"b": 0, "d": 2000}
     assert answer.removed == ("c",) and answer.age_s == 1.0 and not answer.is_full
     assert held.update_since(1, 3, now=103.0) == EndpointUpdate(1, 3, 1.0, 1, 3)
     assert held.update_since(0, 7, now=103.0).is_full and held.update_since(1, 9, now=103.0).is_full
@@ -163,7 +163,7 @@
     )
     assert second.apply_update(decode(encode(first.update_since(0, 0, now=101.0))), now=201.0)
     assert second.version == (1, 1) and second.age_s(201.0) == 1.0
-    assert endpoints_by_id(second, 202.0)["b"].cold_left_ms == 3000  # 4 s were left when it was sent
+    assert endpoints_by_id(second, 202.0)["b"].warmup_remaining_ms == 3000  # 4 s were left when it was sent
     assert third.apply_update(second.update_since(0, 0, now=202.0), now=302.0)
     first.apply_poll(103.0, [entry("a", state="draining"), entry("b", coldLeftMs=2000)])
     assert second.apply_update(first.update_since(1, 1, now=103.0), now=203.0)
--- a/tests/controlplane/test_prefix_index_exchange.py
+++ b/tests/controlplane/test_prefix_index_exchange.py
@@ -17,11 +17,13 @@
     return PrefixIndexExchange(hub, source, is_founding, sent.append), sent
 
 
-def watch(exchange, now, prefix_reads=(), version=(0, -1)):
+def watch(exchange, now, observed_prefixes=(), version=(0, -1)):
     sent = []
     exchange.hub.watch(
         now,
-        WatchRequest(EDGE, (0, 0), (0, 0), 0.0, prefix_reads=prefix_reads, prefix_index_version=version),
+        WatchRequest(
+            EDGE, (0, 0), (0, 0), 0.0, observed_prefixes=observed_prefixes, prefix_index_version=version
+        ),
         sent.append,
     )
     return sent[0].prefix_index
@@ -29,7 +31,7 @@
 
 def test_additions_of_edges_are_sent_to_the_others_once():
     exchange, sent = make_exchange(1)
-    watch(exchange, 1.0, prefix_reads=((5, 11),))
+    watch(exchange, 1.0, observed_prefixes=((5, 11),))
     exchange.tick(1.0, 1.0)
     exchange.tick(1.1, 1.1)
     assert sent == [PrefixIndexAdditions(((5, 11),))]
@@ -40,7 +42,7 @@
 
 def test_a_member_that_rejoins_sends_nothing_before_it_has_another_members_index():
     exchange, sent = make_exchange(1)
-    watch(exchange, 1.0, prefix_reads=((5, 11),))
+    watch(exchange, 1.0, observed_prefixes=((5, 11),))
     exchange.tick(9.0, 1.0)
     assert watch(exchange, 9.0) is None
     exchange.tick(10.0, 10.0)
@@ -70,7 +72,7 @@
 
 def test_an_incarnation_that_left_the_list_is_removed():
     exchange, _ = make_exchange(1)
-    watch(exchange, 1.0, prefix_reads=((5, crc32(b"i-1")), (5, crc32(b"i-2"))))
+    watch(exchange, 1.0, observed_prefixes=((5, crc32(b"i-1")), (5, crc32(b"i-2"))))
     exchange.retain_endpoints(SimpleNamespace(endpoints={"i-2": None}))
     update = watch(exchange, 1.1)
     assert update.pairs == ((5, crc32(b"i-2")),)
--- a/tests/controlplane/test_watch_hub.py
+++ b/tests/controlplane/test_watch_hub.py
@@ -85,7 +85,11 @@
     client = EdgeClient(hub)
     client.watch(100.0)
     (response,) = client.responses
-    assert (response.control.epoch, response.control.sequence, response.control.version) == (1, 3, 7)
+    assert (response.control.epoch, response.control.sequence, response.control.configuration_version) == (
+        1,
+        3,
+        7,
+    )
     assert decompress_configuration(response.control) == state(7)[
         "configuration"
     ] and response.control.evacuations == ("south-a",)
@@ -97,7 +101,7 @@
     assert (
         response.primary_age_s == pytest.approx(0.1)
         and response.endpoints_age_s == 0.5
-        and response.pending_s == 0
+        and response.held_s == 0
     )
 
 
@@ -114,7 +118,7 @@
     assert response.control is response.endpoints is None
     assert (
         response.primary_age_s == response.endpoints_age_s == UNKNOWN_AGE_S
-        and response.pending_s == 1.0
+        and response.held_s == 1.0
         and hub.wake_at() == inf
     )
     client.watch(102.0, wait=0.0)
@@ -293,12 +297,12 @@
     (record,) = hub.listed_edges(100.0)
     assert (
         record.last_seen == 100.0
-        and not record.ready
+        and not record.is_ready
         and record.zone == "north-a"
         and record.incarnation == 1
     )
     EdgeClient(hub).watch(100.2, wait=1.0)
-    assert hub.listed_edges(101.6)[0].ready and listed(hub, 101.8) == []
+    assert hub.listed_edges(101.6)[0].is_ready and listed(hub, 101.8) == []
     assert hub.edges.count(101.8) == 1 and hub.edges.count(104.3) == 0
 
 
@@ -334,9 +338,9 @@
     client.watch(100.0)
     for at in (100.2, 100.7, 101.1):
         client.watch(at, state=LEAVING)
-    assert [record.ending_since for record in hub.listed_edges(101.1)] == [100.2]
+    assert [record.shutdown_stage_since for record in hub.listed_edges(101.1)] == [100.2]
     EdgeClient(hub, incarnation=2).watch(101.5, state=LEAVING)
-    assert [record.ending_since for record in hub.listed_edges(101.5)] == [101.5]
+    assert [record.shutdown_stage_since for record in hub.listed_edges(101.5)] == [101.5]
 
 
 def test_a_closed_edge_does_not_return_to_leaving():
@@ -467,10 +471,12 @@
                 known = known_by_edge[name]
                 if response.control is not None:
                     assert (response.control.epoch, response.control.sequence) > known[0]
-                    assert (response.control.configuration is None) == (response.control.version == known[2])
+                    assert (response.control.configuration is None) == (
+                        response.control.configuration_version == known[2]
+                    )
                     known[0], known[2] = (
                         (response.control.epoch, response.control.sequence),
-                        response.control.version,
+                        response.control.configuration_version,
                     )
                 if response.endpoints is not None:
                     version = response.endpoints.term, response.endpoints.number
--- a/tests/dataplane/test_ingress.py
+++ b/tests/dataplane/test_ingress.py
@@ -790,7 +790,9 @@
             state.now = lambda: at[0]
             endpoint = state.instances["i-1"]
             state.apply_endpoint_list(
-                EndpointUpdate(1, 2, 0.0, 1, 1, (msgspec.structs.replace(endpoint, cold_left_ms=3000),))
+                EndpointUpdate(
+                    1, 2, 0.0, 1, 1, (msgspec.structs.replace(endpoint, warmup_remaining_ms=3000),)
+                )
             )
             until = pool.balancer.warming_up_until[index]
             at[0] += 2.0
--- a/tests/dataplane/test_watcher.py
+++ b/tests/dataplane/test_watcher.py
@@ -395,7 +395,7 @@
         assert sum(at == world.now for at, _, _ in world.sent_requests) == 1
         world.run(0.02)
         (seen,) = world.hubs[preferred.address].listed_edges(world.now)
-        assert seen.ready
+        assert seen.is_ready
         for step in range(30):
             world.run(0.1 * (step % 4))
             changed = msgspec.structs.replace(EDGE, state=READY, in_flight=step)
