--- a/shedgrade/controlplane/configuration_validation.py
+++ b/shedgrade/controlplane/configuration_validation.py
@@ -102,7 +102,8 @@
     """The models of a list's elements that are valid by themselves. Calls `check` with each and its place."""
     found = []
     for index, value in enumerate(values or ()):
-        if findings.full():  # guards against a long response to a long configuration that is wrong throughout
+        # guards against a long response to a long configuration that is wrong throughout
+        if findings.is_full():
             break
         place = f"{list_name}[{index}]"
         element = make_model(model_class, value, place, findings)
--- a/shedgrade/controlplane/plane.py
+++ b/shedgrade/controlplane/plane.py
@@ -96,7 +96,7 @@
             settings.node_name,
             self.own,
             founding=self.is_founding,
-            seeds=settings.seed_links,
+            seeds=settings.seed_link_addresses,
             tolerated=settings.tolerated.machines,
             stored_values=loaded.values or None,
             random=self.random,
@@ -110,7 +110,7 @@
         self.links = PeerConnectionPool(
             self.loop, self.own, self.on_outbound_connection_frame, settings.ip_address, self.on_frame
         )
-        listen_at = (settings.ip_address, settings.internal_ports[0])
+        listen_at = (settings.ip_address, settings.internal_port_range[0])
         self.server = PeerServer(self.loop, listen_at, self.own, self.on_frame, self.links.adopt)
         self.messenger = PeerMessenger(self.links, self.own, self.member_addresses)
         clock = steady_clock(self.loop)
@@ -170,7 +170,7 @@
             self.random.getrandbits(48),
             self.own,
         )
-        self.gossip = Gossip(self.loop, node, settings.seed_gossips, self.random)
+        self.gossip = Gossip(self.loop, node, settings.seed_gossip_addresses, self.random)
 
     def make_services(self, settings_watcher: SettingsFileWatcher | None) -> None:
         """Creates the HTTP API for operators and the reloading of settings."""
@@ -242,7 +242,7 @@
 
     def member_addresses(self) -> tuple[str, ...]:
         """Returns the peer addresses of the members in the newest epoch, or the seeds before there is one."""
-        return tuple(peer.address for peer in self.member.members) or self.settings.seed_links
+        return tuple(peer.address for peer in self.member.members) or self.settings.seed_link_addresses
 
     def primary_contact_at(self) -> float:
         """Returns when this member last heard from the primary, or was confirmed as primary by a majority."""
--- a/shedgrade/dataplane/plane.py
+++ b/shedgrade/dataplane/plane.py
@@ -78,7 +78,7 @@
         )
         self.watcher = Watcher(
             self.edge_state(),
-            settings.seed_links,
+            settings.seed_link_addresses,
             random,
             loop.time(),
             max_wait_s=min(MAX_WATCH_WAIT_S, settings.heartbeat_ms / 1000),
@@ -110,7 +110,7 @@
                 front_address=edge.listen_address,
                 state=edge.state,
             ),
-            settings.seed_gossips,
+            settings.seed_gossip_addresses,
             random,
         )
         self.was_ready = False
--- a/shedgrade/findings.py
+++ b/shedgrade/findings.py
@@ -54,7 +54,7 @@
         """The findings that were kept."""
         return tuple(self.kept)
 
-    def full(self) -> bool:
+    def is_full(self) -> bool:
         """Whether further findings are only counted."""
         return len(self.kept) >= self.limit
 
--- a/shedgrade/process_settings/__init__.py
+++ b/shedgrade/process_settings/__init__.py
@@ -1,6 +1,6 @@
 """Settings of a process: loads, validates and watches the YAML file that the platform writes for it."""
 
-from shedgrade.process_settings.errors import SettingsError, explain
+from shedgrade.process_settings.errors import SettingsError, format_findings
 from shedgrade.process_settings.file_watcher import SettingsFileWatcher
 from shedgrade.process_settings.loading import SETTINGS_VARIABLE, load
 from shedgrade.process_settings.reloader import SettingsReloader
@@ -17,7 +17,7 @@
     "SettingsReloader",
     "TimingBounds",
     "ToleratedLosses",
-    "explain",
+    "format_findings",
     "load",
     "require",
     "validate",
--- a/shedgrade/process_settings/errors.py
+++ b/shedgrade/process_settings/errors.py
@@ -22,6 +22,6 @@
         self.path = path
 
 
-def explain(error: SettingsError) -> str:
+def format_findings(error: SettingsError) -> str:
     """The findings for stderr, one a line. The command then ends with status 2."""
     return "\n".join(f"settings: {finding}" for finding in error.findings)
--- a/shedgrade/process_settings/reloader.py
+++ b/shedgrade/process_settings/reloader.py
@@ -11,7 +11,7 @@
 LIVE_FIELDS = {"bounds": "timingBounds", "cloud_api": "cloudApi", "zones": "zones"}  # names as in the file
 # Names in the file of fields whose names aren't the same in camel case.
 RENAMED_FIELDS = {
-    "internal_ports": "internalPortRange",
+    "internal_port_range": "internalPortRange",
     "listen": "listenAddresses",
     "seeds": "seedNodes",
     "tolerated": "toleratedLosses",
--- a/shedgrade/process_settings/settings.py
+++ b/shedgrade/process_settings/settings.py
@@ -101,7 +101,7 @@
     Attributes:
         zones: region by zone.
         listen: addresses to listen on, by the name of what is served there.
-        internal_ports: first and last port that are reserved for the system itself.
+        internal_port_range: first and last port that are reserved for the system itself.
         seeds: control addresses of the seed nodes, each "ip:port".
         initial_start: whether the system is started for the first time.
         loss_counted: whether a loss of this machine counts towards the tolerated losses.
@@ -119,7 +119,7 @@
     region: str
     zones: dict[str, str]
     listen: dict[str, tuple[str, int]]
-    internal_ports: tuple[int, int]
+    internal_port_range: tuple[int, int]
     seeds: tuple[str, ...]
     initial_start: bool
     loss_counted: bool
@@ -134,19 +134,19 @@
     @property
     def link_address(self) -> str:
         """The process's own TCP address for other processes of the system."""
-        return f"{self.ip_address}:{self.internal_ports[0]}"
+        return f"{self.ip_address}:{self.internal_port_range[0]}"
 
     @property
     def gossip_address(self) -> str:
         """The process's own UDP address for membership gossip."""
-        return f"{self.ip_address}:{self.internal_ports[0] + 1}"
+        return f"{self.ip_address}:{self.internal_port_range[0] + 1}"
 
     @property
-    def seed_links(self) -> tuple[str, ...]:
+    def seed_link_addresses(self) -> tuple[str, ...]:
         """Link addresses of the seeds. All machines use the same ports."""
-        return tuple(f"{seed.rpartition(':')[0]}:{self.internal_ports[0]}" for seed in self.seeds)
+        return tuple(f"{seed.rpartition(':')[0]}:{self.internal_port_range[0]}" for seed in self.seeds)
 
     @property
-    def seed_gossips(self) -> tuple[str, ...]:
+    def seed_gossip_addresses(self) -> tuple[str, ...]:
         """Gossip addresses of the seeds. All machines use the same ports."""
-        return tuple(f"{seed.rpartition(':')[0]}:{self.internal_ports[0] + 1}" for seed in self.seeds)
+        return tuple(f"{seed.rpartition(':')[0]}:{self.internal_port_range[0] + 1}" for seed in self.seeds)
--- a/shedgrade/process_settings/validation.py
+++ b/shedgrade/process_settings/validation.py
@@ -101,7 +101,7 @@
         region=top.optional("region", non_empty_string, (zones or {}).get(zone, "")),
         zones=zones,
         listen=top.optional("listenAddresses", mapping_of(address), {}),
-        internal_ports=top.required("internalPortRange", port_range),
+        internal_port_range=top.required("internalPortRange", port_range),
         seeds=top.required("seedNodes", sequence_of(address_text)),
         # The defaults are the safe values: no second cluster is founded, and no disk is relied on.
         initial_start=top.optional("initialStart", boolean, False),
--- a/shedgrade/program.py
+++ b/shedgrade/program.py
@@ -9,7 +9,7 @@
 import uvloop
 from docopt import docopt
 
-from shedgrade.process_settings.errors import SettingsError, explain
+from shedgrade.process_settings.errors import SettingsError, format_findings
 from shedgrade.process_settings.file_watcher import SettingsFileWatcher
 from shedgrade.process_settings.settings import Settings
 from shedgrade.runtime.log import set_sink
@@ -45,7 +45,7 @@
         settings = watcher.settings
         check(settings)
     except SettingsError as error:
-        print(explain(error), file=sys.stderr)
+        print(format_findings(error), file=sys.stderr)
         return EXIT_SETTINGS
     log_buffer = LogRingBuffer(settings.node_name)
     set_sink(log_buffer)
--- a/tests/controlplane/test_cut_off_side.py
+++ b/tests/controlplane/test_cut_off_side.py
@@ -165,7 +165,9 @@
 
         assert (status("homed.example"), status("free.example")) == (503, 200)
         plane.dispatcher.dispatch(
-            settings.seed_links[1], CONTROL_CHANNEL + control_messages.encode(EdgeObservations(())), None
+            settings.seed_link_addresses[1],
+            CONTROL_CHANNEL + control_messages.encode(EdgeObservations(())),
+            None,
         )
         assert (status("homed.example"), status("free.example")) == (200, 200)
         plane.links.close()
--- a/tests/process_settings/test_settings_reloader.py
+++ b/tests/process_settings/test_settings_reloader.py
@@ -81,7 +81,7 @@
     process.document["timingBounds"]["drainMs"] = 700
     process.write()
     [settings] = process.poll(forced=True)
-    assert (settings.node_name, settings.internal_ports) == ("edge-1", (7300, 7315))
+    assert (settings.node_name, settings.internal_port_range) == ("edge-1", (7300, 7315))
     assert settings.seeds == ("10.1.0.14:8262", "10.2.0.41:8262") and settings.bounds["drain_ms"] == 700
     fields = {"in_force": "timingBounds", "needs_restart": "nodeName, internalPortRange, seedNodes"}
     assert lines == [("warning", "settings reloaded", fields)]
--- a/tests/process_settings/test_settings_validation.py
+++ b/tests/process_settings/test_settings_validation.py
@@ -9,7 +9,7 @@
 import pytest
 import yaml
 
-from shedgrade.process_settings import SettingsError, SettingsFileWatcher, explain, load, validate
+from shedgrade.process_settings import SettingsError, SettingsFileWatcher, format_findings, load, validate
 
 DOCUMENT = {
     "nodeName": "edge-1",
@@ -70,7 +70,7 @@
     assert settings == load(str(path))
     assert settings.node_name == "edge-1" and settings.served_roles == ("edge",)
     assert settings.listen == {"front": ("10.1.0.12", 8263), "readiness": ("10.1.0.12", 8268)}
-    assert settings.internal_ports == (7300, 7315) and settings.initial_start is True
+    assert settings.internal_port_range == (7300, 7315) and settings.initial_start is True
     assert settings.limits.memory_mb == 300 and settings.limits.cpu_share == 0.5
     assert settings.data_dir is None and settings.active_contracts == ("base", "drain")
     assert settings.tolerated.machines == 1 and settings.heartbeat_ms == 1200
@@ -81,7 +81,7 @@
     settings = validate(DOCUMENT)
     assert settings.link_address == "10.1.0.12:7300"
     assert settings.gossip_address == "10.1.0.12:7301"
-    assert settings.seed_links == ("10.1.0.14:7300", "10.2.0.41:7300")
+    assert settings.seed_link_addresses == ("10.1.0.14:7300", "10.2.0.41:7300")
 
 
 def test_bounds_have_defaults_and_are_found_in_either_case():
@@ -196,7 +196,7 @@
     del document["nodeName"]
     with pytest.raises(SettingsError) as raised:
         validate(document)
-    lines = explain(raised.value).splitlines()
+    lines = format_findings(raised.value).splitlines()
     assert len(lines) == len(raised.value.findings) == 4
     assert all(line.startswith("settings: ") for line in lines)
 
--- a/tests/route_matching/test_matching.py
+++ b/tests/route_matching/test_matching.py
@@ -178,7 +178,7 @@
     for index in range(3):
         findings.add(f"at[{index}]", "is wrong")
     assert findings.all() == (Finding("at[0]", "is wrong"), Finding("at[1]", "is wrong"))
-    assert findings.omitted == 1 and findings.full() and len(findings) == 2
+    assert findings.omitted == 1 and findings.is_full() and len(findings) == 2
     assert str(findings.all()[0]) == "at[0]: is wrong"
 
 
