--- a/benchmarks/watching.py
+++ b/benchmarks/watching.py
@@ -80,7 +80,9 @@
         self.loop, self.count, self.tasks = loop, count, set()
         address = f"127.0.6.{number % 250}:{7300 + number}"
         state = EdgeStatus(f"edge-{number}", address, "zone-a", "region-a", number, READY)
-        self.links = PeerConnectionPool(loop, address, lambda sender, frame: None, address.partition(":")[0])
+        self.peer_connections = PeerConnectionPool(
+            loop, address, lambda sender, frame: None, address.partition(":")[0]
+        )
         self.watcher = Watcher(
             state, [f"{core}:7300" for core in streams.CORES], Random(number), loop.time(), max_wait_s=0.5
         )
@@ -102,7 +104,7 @@
 
     async def call(self, sent: SendWatchRequest) -> None:
         try:
-            body = await self.links.call(
+            body = await self.peer_connections.call(
                 sent.address, b"K" + control_messages.encode(sent.request), sent.timeout_s
             )
         except PeerCallError:
--- a/shedgrade/controlplane/command_router.py
+++ b/shedgrade/controlplane/command_router.py
@@ -126,7 +126,9 @@
         held_version = configuration_version(known)
         request = COMMAND_CHANNEL + channels.encode(ForwardedRequest(self.command, held_version))
         try:
-            body = await self.router.links.call(address, request, FORWARD_TIMEOUT_S + self.extra_wait_s)
+            body = await self.router.peer_connections.call(
+                address, request, FORWARD_TIMEOUT_S + self.extra_wait_s
+            )
             response = channels.decode(body[1:])
         except (PeerCallError, msgspec.DecodeError, ValueError):
             response = None
@@ -226,8 +228,8 @@
 class CommandRouter:
     """Submits commands and reads to the member of this process and forwards them to the primary.
 
-    `links`: calls to other members. `pump()`: carries out the effects that the member requests. `clock`:
-    returns the current time of a steady clock in s; None: the loop's clock.
+    `peer_connections`: calls to other members. `pump()`: carries out the effects that the member
+    requests. `clock`: returns the current time of a steady clock in s; None: the loop's clock.
 
     Attributes:
         on_outcomes: callback for the member's outcome by ticket; removed when the outcome arrives.
@@ -239,13 +241,13 @@
         self,
         loop: asyncio.AbstractEventLoop,
         member: Member,
-        links: PeerCalls,
+        peer_connections: PeerCalls,
         pump: Callable[[], None],
         clock: Callable[[], float] | None = None,
     ) -> None:
         self.loop = loop
         self.member = member
-        self.links = links
+        self.peer_connections = peer_connections
         self.pump = pump
         self.clock = clock or loop.time
         self.on_outcomes: dict[int, OnMemberOutcome] = {}
--- a/shedgrade/controlplane/commands.py
+++ b/shedgrade/controlplane/commands.py
@@ -1,7 +1,7 @@
 """The operators' commands and how they are decided against the newest control state. Pure, no I/O.
 
-This is the state machine of the replicated log: `make_decide` returns the function with which the primary
-turns a command into changes of the state (keys: `state_keys.py`) and an outcome.
+This is the state machine of the replicated log: `make_decision_function` returns the function with which the
+primary turns a command into changes of the state (keys: `state_keys.py`) and an outcome.
 
 A command for a zone is a conditional write. The member that receives the command adds the zone's revision
 that it knows while the caller is waiting. The command changes nothing if another command for that zone was
@@ -17,7 +17,7 @@
 
 from shedgrade.controlplane import deduplication
 from shedgrade.controlplane.deduplication import AcceptanceStatus
-from shedgrade.controlplane.delta import EMPTY, apply_delta
+from shedgrade.controlplane.delta import EMPTY_CONFIGURATION, apply_delta
 from shedgrade.controlplane.state_keys import (
     CONFIGURATION,
     EVACUATION_REVISIONS,
@@ -135,7 +135,7 @@
     """The configuration after the command is applied to the newest state, or why it can't be applied."""
     if isinstance(command, PutConfiguration):
         return Ok(command.raw)
-    return apply_delta(state.get(CONFIGURATION) or EMPTY, command.raw, command.version)
+    return apply_delta(state.get(CONFIGURATION) or EMPTY_CONFIGURATION, command.raw, command.version)
 
 
 def is_already_applied(
@@ -198,7 +198,7 @@
     return Decision(changes, CommandReply(200))
 
 
-def make_decide(zones: Container[str]) -> Decide:
+def make_decision_function(zones: Container[str]) -> Decide:
     """Returns `decide(state, command)` for a deployment with these zones. The outcome of a decision is a
     CommandReply or a RevisionConflict. `decide` raises TypeError if `command` is not a Command."""
 
--- a/shedgrade/controlplane/deduplication.py
+++ b/shedgrade/controlplane/deduplication.py
@@ -35,7 +35,7 @@
     return blake2b(raw, digest_size=DIGEST_BYTES).digest()
 
 
-def count(state: Mapping[str, bytes]) -> int:
+def entry_count(state: Mapping[str, bytes]) -> int:
     """The number of entries ever written."""
     return int(state.get(ACCEPTED_COUNT) or 0)
 
@@ -55,7 +55,7 @@
     """Whether the change with this version and content was accepted, according to the newest `state`."""
     if version > configuration_version(state):
         return AcceptanceStatus.NEVER_ACCEPTED
-    entries = count(state)
+    entries = entry_count(state)
     oldest = low = oldest_block(entries)
     if not entries or version < first_version(state, oldest):
         return AcceptanceStatus.FORGOTTEN if oldest or not entries else AcceptanceStatus.NEVER_ACCEPTED
@@ -73,7 +73,7 @@
 
 def record_acceptance(state: Mapping[str, bytes], version: int, raw: bytes) -> dict[str, bytes | None]:
     """The changes of the state that record an accepted change; its version must be above all recorded."""
-    entries = count(state)
+    entries = entry_count(state)
     block, position = divmod(entries, BLOCK_ENTRIES)
     key = ACCEPTED_BLOCK.format(block)
     before = state.get(key, b"") if position else b""
--- a/shedgrade/controlplane/delta.py
+++ b/shedgrade/controlplane/delta.py
@@ -28,7 +28,7 @@
 ADD = "addModify"
 REMOVE = "remove"
 MODELS: dict[str, type] = {ROUTES: Route, SERVICES: Service}
-EMPTY = b'{"routeList":[],"serviceList":[]}'  # base of the first configuration
+EMPTY_CONFIGURATION = b'{"routeList":[],"serviceList":[]}'  # base of the first configuration
 
 Rejection = tuple[Finding, ...]
 
--- a/shedgrade/controlplane/directory.py
+++ b/shedgrade/controlplane/directory.py
@@ -56,7 +56,7 @@
         self,
         request: Request,
         edges: Iterable[EdgeRecord],
-        stranded: Container[str] = frozenset(),
+        unservable_hosts: Container[str] = frozenset(),
         homes: Callable[[str], Regions] = lambda host: ANYWHERE,
     ) -> Reply:
         """Returns the response to a request.
@@ -64,13 +64,13 @@
         Args:
             request: the HTTP request.
             edges: edges that were heard from lately and are not closed.
-            stranded: hosts, in lower case, that these edges can't serve while they are cut off.
+            unservable_hosts: hosts, in lower case, that these edges can't serve while they are cut off.
             homes: `homes(host)` returns the regions, other than the client's own, to which the client may be
                 sent; called only if the client's region has no ready edge.
         """
         match self.calls.find(request.method, request.path):
             case Match(call):
-                return call(request, edges, stranded, homes)
+                return call(request, edges, unservable_hosts, homes)
             case NotAllowed(allowed):
                 return failure(
                     405,
@@ -84,12 +84,12 @@
         self,
         request: Request,
         edges: Iterable[EdgeRecord],
-        stranded: Container[str],
+        unservable_hosts: Container[str],
         homes: Callable[[str], Regions],
     ) -> Reply:
         """Answers `GET /resolution`; parameters as for `handle`."""
         host = request.query.get("name", "")
-        if host.lower() in stranded:
+        if host.lower() in unservable_hosts:
             # Guards against keeping clients on the minority side of a partition: after a 503 they ask another
             # member.
             return failure(503, Finding("name", "can't be served from here, as this region is cut off"))
@@ -135,13 +135,13 @@
         other_regions = homes()
         last = last_leaving_edges(with_address)
         return (
-            admissible(ready, other_regions)
+            edges_in_regions(ready, other_regions)
             or [edge for edge in last if edge.zone == zone or edge.region == region]
-            or admissible(last, other_regions)
+            or edges_in_regions(last, other_regions)
         )
 
 
-def admissible(edges: list[EdgeRecord], regions: Regions) -> list[EdgeRecord]:
+def edges_in_regions(edges: list[EdgeRecord], regions: Regions) -> list[EdgeRecord]:
     """The edges in `regions`: the regions, other than the client's own, to which the client may be sent. All
     edges if `regions` is None."""
     return edges if regions is None else [edge for edge in edges if edge.region in regions]
--- a/shedgrade/controlplane/directory_service.py
+++ b/shedgrade/controlplane/directory_service.py
@@ -52,12 +52,12 @@
     def resolve(self, request: Request, respond: Respond) -> None:
         """Responds with the edges to which the client may be sent."""
         now = self.loop.time()
-        stranded: frozenset[str] = frozenset()
+        unservable_hosts: frozenset[str] = frozenset()
         if self.reachability.is_cut_off(now, self.members(), self.primary_contact_at()):
             services = self.endpoint_sync.services_in(self.region)
-            stranded = self.reachability.stranded_hosts(self.hub.configuration, services)
+            unservable_hosts = self.reachability.unservable_hosts(self.hub.configuration, services)
         edges = self.hub.listed_edges(now)
-        respond(self.directory.handle(request, edges, stranded, self.homes_of))
+        respond(self.directory.handle(request, edges, unservable_hosts, self.homes_of))
 
     def homes_of(self, host: str) -> Regions:
         """The regions other than their own to which clients of a host may be sent."""
--- a/shedgrade/controlplane/edge_table.py
+++ b/shedgrade/controlplane/edge_table.py
@@ -18,23 +18,23 @@
 SHUTDOWN_REMEMBERED_S = 10.0  # in which a later stage of a shutdown overrides earlier observations of others
 
 
-class HeardEdge:
+class LocalEdgeRecord:
     """The last observation of an edge.
 
     Attributes:
         edge: its status.
-        at: when it was heard.
-        wait: time until its next heartbeat at the latest, in s.
-        own: whether this member heard it, and not another.
+        heard_at: when it was heard.
+        wait_s: time until its next heartbeat at the latest, in s.
+        heard_here: whether this member heard it, and not another.
     """
 
-    __slots__ = ("edge", "at", "wait", "own")
+    __slots__ = ("edge", "heard_at", "wait_s", "heard_here")
 
-    def __init__(self, edge: EdgeStatus, at: float, wait: float, own: bool) -> None:
+    def __init__(self, edge: EdgeStatus, heard_at: float, wait_s: float, heard_here: bool) -> None:
         self.edge = edge
-        self.at = at
-        self.wait = wait
-        self.own = own
+        self.heard_at = heard_at
+        self.wait_s = wait_s
+        self.heard_here = heard_here
 
 
 class ShutdownStage(msgspec.Struct, frozen=True):
@@ -83,7 +83,7 @@
 
     def __init__(self, exchange_interval_s: float) -> None:
         self.exchange_interval_s = exchange_interval_s
-        self.records: dict[str, HeardEdge] = {}
+        self.records: dict[str, LocalEdgeRecord] = {}
         self.shutdown_stages: dict[str, ShutdownStage] = {}
         self.disconnected_at: dict[str, float] = {}
         self.own_version = 0
@@ -100,7 +100,7 @@
         for name, stage in self.shutdown_stages.items():
             assert stage.since <= stage.at, f"{name} was in its stage before it was first heard there"
 
-    def update(self, record: HeardEdge) -> None:
+    def update(self, record: LocalEdgeRecord) -> None:
         """Records an observation of an edge, unless a newer one is known."""
         name = record.edge.name
         # Guards against a delayed observation, which would bring back an edge that is leaving or gone.
@@ -112,8 +112,8 @@
                 and stage.incarnation == record.edge.incarnation
                 and record.edge.shutdown_stage < stage.shutdown_stage
             )
-            or (not record.own and record.at <= self.disconnected_at.get(name, -inf))
-            or (known is not None and record.at < known.at)
+            or (not record.heard_here and record.heard_at <= self.disconnected_at.get(name, -inf))
+            or (known is not None and record.heard_at < known.heard_at)
         ):
             return
         if known is None or (known.edge.incarnation, known.edge.state) != (
@@ -121,16 +121,16 @@
             record.edge.state,
         ):
             self.listing = None
-            self.own_version += record.own
+            self.own_version += record.heard_here
         if record.edge.shutdown_stage:
-            self.shutdown_stages[name] = ShutdownStage.after(stage, record.edge, record.at)
+            self.shutdown_stages[name] = ShutdownStage.after(stage, record.edge, record.heard_at)
         self.records[name] = record
 
-    def update_from_member(self, now: float, edges: Iterable[EdgeObservation], unread_s: float) -> None:
-        """Records the observations of another member. `unread_s`: time its message may have waited here."""
+    def update_from_member(self, now: float, edges: Iterable[EdgeObservation], max_unread_s: float) -> None:
+        """Records the observations of another member, whose message may have waited for `max_unread_s`."""
         for heard in edges:
-            at = now - unread_s - max(0.0, heard.age_s)
-            self.update(HeardEdge(heard.edge, at, heard.wait_s, False))
+            at = now - max_unread_s - max(0.0, heard.age_s)
+            self.update(LocalEdgeRecord(heard.edge, at, heard.wait_s, False))
 
     def disconnected(self, now: float, name: str) -> None:
         """Handles the end of an edge's connection: it is not listed until any member hears it again."""
@@ -140,7 +140,7 @@
 
     def forget(self, now: float) -> None:
         """Removes records that are too old."""
-        for name in [name for name, record in self.records.items() if now - record.at > FORGET_AFTER_S]:
+        for name in [name for name, record in self.records.items() if now - record.heard_at > FORGET_AFTER_S]:
             del self.records[name]
         for name in [
             name for name, stage in self.shutdown_stages.items() if now - stage.at > SHUTDOWN_REMEMBERED_S
@@ -149,9 +149,11 @@
         for name in [name for name, at in self.disconnected_at.items() if now - at > FORGET_AFTER_S]:
             del self.disconnected_at[name]
 
-    def overdue_s(self, now: float, record: HeardEdge) -> float:
+    def overdue_s(self, now: float, record: LocalEdgeRecord) -> float:
         """Time in s since its next heartbeat was due here; negative before."""
-        return now - record.at - record.wait - (0.0 if record.own else self.exchange_interval_s)
+        return (
+            now - record.heard_at - record.wait_s - (0.0 if record.heard_here else self.exchange_interval_s)
+        )
 
     def listed(self, now: float) -> tuple[EdgeRecord, ...]:
         """Edges that any member heard lately and that are not closed, including those that leave."""
@@ -164,11 +166,11 @@
             self.listing = EdgeListing(now, edges)
         return self.listing.edges
 
-    def edge_record(self, record: HeardEdge) -> EdgeRecord:
+    def edge_record(self, record: LocalEdgeRecord) -> EdgeRecord:
         """An edge with the times at which it was heard and at which its shutdown stage began."""
         edge = record.edge
         since = self.shutdown_stages[edge.name].since if edge.shutdown_stage else 0.0
-        return EdgeRecord(*msgspec.structs.astuple(edge), record.at, since)  # type: ignore[call-arg]
+        return EdgeRecord(*msgspec.structs.astuple(edge), record.heard_at, since)  # type: ignore[call-arg]
 
     def count(self, now: float) -> int:
         """The number of edges that may still send requests, including those that leave."""
@@ -181,8 +183,8 @@
         """The observations of this member, to send to the others, including edges that leave."""
         return EdgeObservations(
             tuple(
-                EdgeObservation(record.edge, now - record.at, record.wait)
+                EdgeObservation(record.edge, now - record.heard_at, record.wait_s)
                 for record in self.records.values()
-                if record.own and now - record.at <= SHUTDOWN_REMEMBERED_S
+                if record.heard_here and now - record.heard_at <= SHUTDOWN_REMEMBERED_S
             )
         )
--- a/shedgrade/controlplane/endpoint_list.py
+++ b/shedgrade/controlplane/endpoint_list.py
@@ -244,14 +244,17 @@
                 return EndpointUpdate(self.term, self.number, age_s, term, number, changed, removed)
         return EndpointUpdate(self.term, self.number, age_s, changed=self.snapshot(now))
 
-    def apply_update(self, message: EndpointUpdate, now: float | None = None, unread_s: float = 0.0) -> bool:
+    def apply_update(
+        self, message: EndpointUpdate, now: float | None = None, max_unread_s: float = 0.0
+    ) -> bool:
         """Applies an update of another member. Returns whether the list changed.
 
         Sets `needs_request` if the update belongs to a newer list but is a delta from another version than
-        this list's: the caller sends `request()`. `unread_s`: time that the message may have waited unread.
+        this list's: the caller sends `request()`. `max_unread_s`: how long the message may have
+        waited unread.
         """
         now = self.clock() if now is None else now
-        age_s = message.age_s + unread_s
+        age_s = message.age_s + max_unread_s
         version = message.term, message.number
         if version == self.version:
             if self.confirmed_at is None or now - age_s > self.confirmed_at:
--- a/shedgrade/controlplane/endpoint_list_sync.py
+++ b/shedgrade/controlplane/endpoint_list_sync.py
@@ -80,10 +80,10 @@
         self.messenger.broadcast_control(self.endpoint_list.update_since(*self.sent_version, now))
         self.sent_version = self.endpoint_list.version
 
-    def on_update(self, now: float, update: EndpointUpdate, unread_s: float) -> bool:
-        """Applies an update of another member, which may have waited here for `unread_s`. Returns whether the
-        full list must be requested, because the list that the update builds on is missing here."""
-        if self.endpoint_list.apply_update(update, now, unread_s):
+    def on_update(self, now: float, update: EndpointUpdate, max_unread_s: float) -> bool:
+        """Applies an update of another member, which may have waited here for `max_unread_s`. Returns
+        whether the full list must be requested, because the list that the update builds on is missing."""
+        if self.endpoint_list.apply_update(update, now, max_unread_s):
             self.on_changed(now)
             return False
         return self.endpoint_list.needs_request
--- a/shedgrade/controlplane/message_dispatcher.py
+++ b/shedgrade/controlplane/message_dispatcher.py
@@ -94,13 +94,13 @@
             if frame.number:
                 connection.send(body, frame.number, True)
             else:
-                self.messenger.links.send(frame.sender, body)
+                self.messenger.peer_connections.send(frame.sender, body)
 
         self.dispatch(frame.sender, frame.body, respond)
 
     def on_outbound_connection_frame(self, sender: str, frame: Frame) -> None:
         """Handles a frame on a connection that this process opened."""
-        self.dispatch(sender, frame.body, lambda body: self.messenger.links.send(sender, body))
+        self.dispatch(sender, frame.body, lambda body: self.messenger.peer_connections.send(sender, body))
 
     def track_edge(self, connection: PeerConnection, sender: str) -> None:
         """Records the connection of an edge. When the connection closes, clients are no longer sent to the
@@ -116,7 +116,7 @@
         del self.edge_connections[sender]
         host = parse_address(sender)[0]
         for name, record in list(self.hub.edges.records.items()):
-            if record.own and parse_address(record.edge.listen_address)[0] == host:
+            if record.heard_here and parse_address(record.edge.listen_address)[0] == host:
                 self.hub.edge_disconnected(name)
 
     # --- messages
@@ -126,18 +126,18 @@
         channel, body = body[:1], body[1:]
         now = self.loop.time()
         self.stalls.observe(now)
-        unread_s = self.stalls.unread_s(now)
+        max_unread_s = self.stalls.max_unread_s(now)
         try:
             if channel != CONTROL_CHANNEL:
-                self.reachability.record_contact(now - unread_s, sender)
+                self.reachability.record_contact(now - max_unread_s, sender)
             if channel == REPLICATION_CHANNEL:
-                self.member.receive_delay_s = unread_s
+                self.member.receive_delay_s = max_unread_s
                 self.member.receive(now, sender, decode_replication(body))
                 self.hub.set_confirmed_at(self.member.confirmed_at)
             elif channel == ROLE_CHANNEL:
                 self.roles.receive(now, sender, decode_role_message(body))
             elif channel == CONTROL_CHANNEL:
-                self.on_control_message(now, sender, control_messages.decode(body), respond, unread_s)
+                self.on_control_message(now, sender, control_messages.decode(body), respond, max_unread_s)
             elif channel == COMMAND_CHANNEL:
                 self.router.on_forwarded(body, respond)
         except msgspec.MsgspecError as error:
@@ -151,12 +151,12 @@
         sender: str,
         message: control_messages.Message,
         respond: Respond,
-        unread_s: float,
+        max_unread_s: float,
     ) -> None:
-        """Handles a control message. `unread_s`: how long it may have waited unread at this process."""
+        """Handles a control message. `max_unread_s`: how long it may have waited unread at this process."""
         match message:
             case WatchRequest():
-                self.on_watch(now, message, respond, unread_s)
+                self.on_watch(now, message, respond, max_unread_s)
             case LoadReport():
                 self.loads.receive_report(
                     now, message, lambda update: self.messenger.send_control(sender, update)
@@ -166,21 +166,21 @@
             case PrefixIndexUpdate() | PrefixIndexAdditions() | PrefixIndexRequest():
                 self.prefix_exchange.receive(now, message, lambda body: respond(CONTROL_CHANNEL + body))
             case EdgeObservations():
-                self.reachability.record_contact(now - unread_s, sender)
-                self.hub.update_edges(now, message, unread_s)
+                self.reachability.record_contact(now - max_unread_s, sender)
+                self.hub.update_edges(now, message, max_unread_s)
             case EndpointListRequest(term, number):
                 respond(
                     encode_control_message(self.endpoint_sync.endpoint_list.update_since(term, number, now))
                 )
             case EndpointUpdate():
-                if self.endpoint_sync.on_update(now, message, unread_s):
+                if self.endpoint_sync.on_update(now, message, max_unread_s):
                     respond(encode_control_message(self.endpoint_sync.endpoint_list.request(now)))
 
-    def on_watch(self, now: float, request: WatchRequest, respond: Respond, unread_s: float) -> None:
+    def on_watch(self, now: float, request: WatchRequest, respond: Respond, max_unread_s: float) -> None:
         """Handles a watch of an edge, which is also its heartbeat."""
         # Guards against core members that all restarted: their terms must go above the one that edges have.
         self.roles.observe_term(now, ENDPOINT_LIST_ROLE, request.endpoints_version[0])
         version_before = self.hub.edges.own_version
-        self.hub.watch(now, request, lambda response: respond(encode_control_message(response)), unread_s)
+        self.hub.watch(now, request, lambda response: respond(encode_control_message(response)), max_unread_s)
         if self.hub.edges.own_version != version_before:
             self.report_edges(now)
--- a/shedgrade/controlplane/peer_messenger.py
+++ b/shedgrade/controlplane/peer_messenger.py
@@ -21,29 +21,31 @@
 class PeerMessenger:
     """Encodes and sends messages. `members()`: peer addresses of the core members, including this one."""
 
-    def __init__(self, links: Links, own_address: str, members: Callable[[], tuple[str, ...]]) -> None:
-        self.links = links
+    def __init__(
+        self, peer_connections: Links, own_address: str, members: Callable[[], tuple[str, ...]]
+    ) -> None:
+        self.peer_connections = peer_connections
         self.own_address = own_address
         self.members = members
 
     def send_replication(self, address: str, message: msgspec.Struct) -> None:
         """Sends a message of the replication protocol."""
-        self.links.send(address, REPLICATION_CHANNEL + encode(message))
+        self.peer_connections.send(address, REPLICATION_CHANNEL + encode(message))
 
     def send_role_message(self, address: str, message: msgspec.Struct) -> None:
         """Sends a message of the election of singleton roles."""
-        self.links.send(address, ROLE_CHANNEL + encode(message))
+        self.peer_connections.send(address, ROLE_CHANNEL + encode(message))
 
     def send_control(self, address: str, message: msgspec.Struct) -> None:
         """Sends a control message to one process."""
-        self.links.send(address, encode_control_message(message))
+        self.peer_connections.send(address, encode_control_message(message))
 
     def broadcast_control(self, message: msgspec.Struct) -> None:
         """Sends a control message to all other core members."""
         body = encode_control_message(message)
         for address in self.members():
             if address != self.own_address:
-                self.links.send(address, body)
+                self.peer_connections.send(address, body)
 
 
 def encode_control_message(message: msgspec.Struct) -> bytes:
--- a/shedgrade/controlplane/plane.py
+++ b/shedgrade/controlplane/plane.py
@@ -8,7 +8,7 @@
 from time import time
 
 from shedgrade.controlplane.command_router import CommandRouter
-from shedgrade.controlplane.commands import make_decide
+from shedgrade.controlplane.commands import make_decision_function
 from shedgrade.controlplane.directory_service import DirectoryService
 from shedgrade.controlplane.disk_thread import DiskThread, load_store
 from shedgrade.controlplane.endpoint_list import EndpointList
@@ -72,7 +72,7 @@
         self.settings = settings
         self.loop = loop
         self.random = random
-        self.own = settings.link_address
+        self.own_address = settings.link_address
         self.store = Store(settings.data_dir, files)
         loaded = load_store(self.store)
         for finding in loaded.findings:
@@ -94,28 +94,30 @@
         settings = self.settings
         self.member = Member(
             settings.node_name,
-            self.own,
+            self.own_address,
             founding=self.is_founding,
             seeds=settings.seed_link_addresses,
             tolerated=settings.tolerated.machines,
             stored_values=loaded.values or None,
             random=self.random,
             now=self.loop.time(),
-            decide=make_decide(settings.zones),
+            decide=make_decision_function(settings.zones),
         )
 
     def make_links(self) -> None:
         """Creates the links to other processes, and the router that forwards commands over them."""
         settings = self.settings
-        self.links = PeerConnectionPool(
-            self.loop, self.own, self.on_outbound_connection_frame, settings.ip_address, self.on_frame
+        self.peer_connections = PeerConnectionPool(
+            self.loop, self.own_address, self.on_outbound_connection_frame, settings.ip_address, self.on_frame
         )
         listen_at = (settings.ip_address, settings.internal_port_range[0])
-        self.server = PeerServer(self.loop, listen_at, self.own, self.on_frame, self.links.adopt)
-        self.messenger = PeerMessenger(self.links, self.own, self.member_addresses)
+        self.server = PeerServer(
+            self.loop, listen_at, self.own_address, self.on_frame, self.peer_connections.adopt
+        )
+        self.messenger = PeerMessenger(self.peer_connections, self.own_address, self.member_addresses)
         clock = steady_clock(self.loop)
         self.command_router = CommandRouter(
-            self.loop, self.member, self.links, self.run_state_machines, clock
+            self.loop, self.member, self.peer_connections, self.run_state_machines, clock
         )
         self.arrivals = ArrivalClock(self.loop, clock)
         self.stalls = StallDetector(self.loop.time())
@@ -127,7 +129,7 @@
             self.loop, self.settings, self.random, self.endpoint_list, self.messenger
         )
         self.roles = SingletonRoles(
-            self.own,
+            self.own_address,
             self.member_addresses,
             self.random,
             self.loop.time(),
@@ -137,7 +139,7 @@
 
     def make_hub(self) -> None:
         """Creates the parts that answer edges, and the directory in which clients look edges up."""
-        self.reachability = ReachabilityMonitor(self.own, self.settings.region)
+        self.reachability = ReachabilityMonitor(self.own_address, self.settings.region)
         self.directory_service = DirectoryService(
             self.loop,
             self.settings,
@@ -156,7 +158,7 @@
         self.prefix_exchange = PrefixIndexExchange(
             self.hub, self.random.getrandbits(40) + 1, self.is_founding, self.messenger.broadcast_control
         )
-        self.loads = LoadAggregator(self.own)
+        self.loads = LoadAggregator(self.own_address)
         self.endpoint_sync.connect(self.hub, self.prefix_exchange, self.loads)
 
     def make_gossip(self) -> None:
@@ -168,7 +170,7 @@
             "core",
             settings.zone,
             self.random.getrandbits(48),
-            self.own,
+            self.own_address,
         )
         self.gossip = Gossip(self.loop, node, settings.seed_gossip_addresses, self.random)
 
@@ -312,7 +314,7 @@
         self.arrivals.close()
         self.endpoint_sync.stop()
         self.gossip.close()
-        self.links.close()
+        self.peer_connections.close()
         self.server.close()
         self.disk.close()
 
@@ -327,6 +329,6 @@
     def apply_settings(self, settings: Settings) -> None:
         """Applies reloaded settings."""
         self.settings = settings
-        self.member.decide = make_decide(settings.zones)
+        self.member.decide = make_decision_function(settings.zones)
         self.directory_service.apply_settings(settings)
         self.endpoint_sync.apply_settings(settings)
--- a/shedgrade/controlplane/reachability.py
+++ b/shedgrade/controlplane/reachability.py
@@ -70,7 +70,7 @@
             return True
         return now - self.last_heard_at.get(member, -inf) <= MEMBER_TIMEOUT_S
 
-    def stranded_hosts(self, configuration: bytes, local_services: Iterable[str]) -> frozenset[str]:
+    def unservable_hosts(self, configuration: bytes, local_services: Iterable[str]) -> frozenset[str]:
         """Returns the hosts with a route that the own region can't serve by itself, because the region is
         none of the route's homes or has no endpoint of its services. `local_services`: services with a ready
         endpoint in the own region.
--- a/shedgrade/controlplane/state_machine_driver.py
+++ b/shedgrade/controlplane/state_machine_driver.py
@@ -70,15 +70,15 @@
             while self.member.effects or self.roles.instructions:
                 effects, self.member.effects[:] = list(self.member.effects), []
                 for effect in effects:
-                    self.carry_out(effect)
+                    self.execute(effect)
                 instructions, self.roles.instructions[:] = list(self.roles.instructions), []
                 for instruction in instructions:
-                    self.carry_out_for_role(instruction)
+                    self.execute_role_instruction(instruction)
         finally:
             self.is_running = False
         self.set_timer()
 
-    def carry_out(self, effect: Effect) -> None:
+    def execute(self, effect: Effect) -> None:
         """Carries out one instruction of the replication member."""
         match effect:
             case Send(address, message):
@@ -92,7 +92,7 @@
             case Exit():
                 self.may_exit.set()
 
-    def carry_out_for_role(self, instruction: role_messages.Instruction) -> None:
+    def execute_role_instruction(self, instruction: role_messages.Instruction) -> None:
         """Carries out one instruction of the singleton roles; the only role is polling the endpoint list."""
         match instruction:
             case role_messages.Send(address, message):
--- a/shedgrade/controlplane/status.py
+++ b/shedgrade/controlplane/status.py
@@ -138,7 +138,7 @@
                 "zone": heard.edge.zone,
                 "region": heard.edge.region,
                 "state": heard.edge.state,
-                "ageS": round(now - heard.at, 3),
+                "ageS": round(now - heard.heard_at, 3),
                 "configVersion": None if pending is None else pending.request.configuration_version,
             }
         )
--- a/shedgrade/controlplane/watch_hub.py
+++ b/shedgrade/controlplane/watch_hub.py
@@ -26,7 +26,7 @@
     WatchResponse,
     compress_configuration,
 )
-from shedgrade.controlplane.edge_table import EdgeTable, HeardEdge
+from shedgrade.controlplane.edge_table import EdgeTable, LocalEdgeRecord
 from shedgrade.controlplane.endpoint_list import EndpointList
 from shedgrade.controlplane.state_keys import CONFIGURATION, EVACUATIONS, configuration_version
 from shedgrade.prefix_cache_index.index import Pair, PrefixIndex
@@ -41,15 +41,15 @@
 
 
 class PendingWatch:
-    """A watch received at the time `at` that waits for something newer until `deadline` at the latest."""
+    """A watch, received at `received_at`, that waits for something newer until `deadline` at the latest."""
 
-    __slots__ = ("request", "respond", "at", "deadline")
+    __slots__ = ("request", "respond", "received_at", "deadline")
 
-    def __init__(self, request: WatchRequest, respond: Respond, at: float) -> None:
+    def __init__(self, request: WatchRequest, respond: Respond, received_at: float) -> None:
         self.request = request
         self.respond = respond
-        self.at = at
-        self.deadline = at + min(max(request.wait_s, 0.0), MAX_WAIT_S)
+        self.received_at = received_at
+        self.deadline = received_at + min(max(request.wait_s, 0.0), MAX_WAIT_S)
 
 
 class WatchHub:
@@ -103,7 +103,9 @@
             assert watch.request.edge.name == name, (
                 f"the watch of {watch.request.edge.name} is pending as {name}"
             )
-            assert watch.at <= watch.deadline <= watch.at + MAX_WAIT_S, f"{name} waits too long"
+            assert watch.received_at <= watch.deadline <= watch.received_at + MAX_WAIT_S, (
+                f"{name} waits too long"
+            )
         assert len(self.pending) <= MAX_PENDING_WATCHES, "too many watches are pending"
         self.edges.check_invariants()
 
@@ -150,18 +152,18 @@
 
     # --- watches
 
-    def watch(self, now: float, request: WatchRequest, respond: Respond, unread_s: float = 0.0) -> None:
+    def watch(self, now: float, request: WatchRequest, respond: Respond, max_unread_s: float = 0.0) -> None:
         """Answers at once if something is newer than what the edge has, otherwise later, exactly once; not at
-        all if the same edge sends another watch first or is disconnected. `unread_s`: how long the request
-        may have waited unread at this process."""
+        all if the same edge sends another watch first or is disconnected. `max_unread_s`: how long the
+        request may have waited unread at this process."""
         self.now = now
-        self.edges.update(HeardEdge(request.edge, now - unread_s, request.wait_s, True))
+        self.edges.update(LocalEdgeRecord(request.edge, now - max_unread_s, request.wait_s, True))
         if self.prefix_index is not None and request.observed_prefixes:
             self.unsent_observed_prefixes += self.prefix_index.add(now, request.observed_prefixes)
         watch = PendingWatch(request, respond, now)
         self.pending.pop(request.edge.name, None)
         if self.has_update(watch) or watch.deadline <= now or len(self.pending) >= MAX_PENDING_WATCHES:
-            self.answer(now, watch, {})
+            self.respond_to(now, watch, {})
         else:
             self.pending[request.edge.name] = watch
 
@@ -186,7 +188,7 @@
             # An edge may send its next watch while it handles its response; that one stays pending.
             if self.pending.get(watch.request.edge.name) is watch:
                 del self.pending[watch.request.edge.name]
-            self.answer(now, watch, deltas)
+            self.respond_to(now, watch, deltas)
 
     def has_update(self, watch: PendingWatch) -> bool:
         """Returns whether something is newer than what the edge has."""
@@ -194,12 +196,12 @@
 
     def has_newer_list(self, watch: PendingWatch) -> bool:
         """Returns whether the endpoint list, or its age, is newer than what the edge has."""
-        age_s = watch.request.endpoints_age_s + self.now - watch.at
+        age_s = watch.request.endpoints_age_s + self.now - watch.received_at
         return self.endpoint_list is not None and self.endpoint_list.newer_than(
             *watch.request.endpoints_version, age_s, self.now
         )
 
-    def answer(self, now: float, watch: PendingWatch, deltas: Deltas) -> None:
+    def respond_to(self, now: float, watch: PendingWatch, deltas: Deltas) -> None:
         """Responds to one watch. `deltas`: those made before; a new one is added."""
         request = watch.request
         # Guards against a restarted member that knows less than the edge: it must not claim to be up to date.
@@ -212,7 +214,7 @@
                 self.member_addresses,
                 UNKNOWN_AGE_S if is_behind else max(0.0, now - self.confirmed_at),
                 UNKNOWN_AGE_S if self.endpoint_list is None else self.endpoint_list.age_s(now),
-                now - watch.at,
+                now - watch.received_at,
                 None
                 if self.prefix_index is None
                 else self.prefix_index.update_since(*request.prefix_index_version),
@@ -265,10 +267,10 @@
         self.edges.disconnected(self.now, name)
 
     def update_edges(
-        self, now: float, edges: EdgeObservations | Iterable[EdgeObservation], unread_s: float = 0.0
+        self, now: float, edges: EdgeObservations | Iterable[EdgeObservation], max_unread_s: float = 0.0
     ) -> None:
-        """Records what another member heard of edges itself. `unread_s`: how long its message may have waited
-        unread at this process."""
+        """Records what another member heard of edges itself. `max_unread_s`: how long its message may have
+        waited unread at this process."""
         self.now = now
         observations = edges.edges if isinstance(edges, EdgeObservations) else edges
-        self.edges.update_from_member(now, observations, unread_s)
+        self.edges.update_from_member(now, observations, max_unread_s)
--- a/shedgrade/ctl/config.py
+++ b/shedgrade/ctl/config.py
@@ -86,9 +86,9 @@
 
 def print_patch(old: bytes | None, new: bytes, output: Output) -> ExitCode:
     """Prints the delta byte for byte, so that it can be sent."""
-    from shedgrade.controlplane.delta import EMPTY, make_delta
+    from shedgrade.controlplane.delta import EMPTY_CONFIGURATION, make_delta
 
-    delta_result = make_delta(old or EMPTY, new)
+    delta_result = make_delta(old or EMPTY_CONFIGURATION, new)
     if delta_result.is_error():
         raise RejectedError(*delta_result.error)
     output.out.write(delta_result.ok.decode() + "\n")
--- a/shedgrade/dataplane/control_exchange.py
+++ b/shedgrade/dataplane/control_exchange.py
@@ -28,7 +28,7 @@
 
 
 class ControlExchange:
-    """One edge's exchange with the core over `links`.
+    """One edge's exchange with the core over `peer_connections`.
 
     `apply`: called with the updates to apply, in order. `cover_received`: called for each response with the
     edges that take over this edge's clients; NO_DRAIN_TARGET if the request didn't say that this edge is
@@ -38,13 +38,13 @@
     def __init__(
         self,
         loop: asyncio.AbstractEventLoop,
-        links: PeerConnectionPool,
+        peer_connections: PeerConnectionPool,
         watcher: Watcher,
         prefix_index: EdgePrefixIndex,
         apply: Callable[[tuple[Update, ...]], None],
         cover_received: Callable[[str], None],
     ) -> None:
-        self.links = links
+        self.peer_connections = peer_connections
         self.watcher = watcher
         self._loop = loop
         self._prefix_index = prefix_index
@@ -104,7 +104,7 @@
                 request, observed_prefixes=reads, prefix_index_version=self._prefix_index.version
             )
         try:
-            body = await self.links.call(
+            body = await self.peer_connections.call(
                 address, BODY_KIND + control_messages.encode(request), instruction.timeout_s
             )
             response = control_messages.decode(body[1:])
--- a/shedgrade/dataplane/load_exchange.py
+++ b/shedgrade/dataplane/load_exchange.py
@@ -16,12 +16,12 @@
     def __init__(
         self,
         loop: asyncio.AbstractEventLoop,
-        links: PeerConnectionPool,
+        peer_connections: PeerConnectionPool,
         reporter: LoadReporter,
         own_loads: Callable[[], dict[int, int]],
         apply: Callable[[Mapping[int, int]], None],
     ) -> None:
-        self.links = links
+        self.peer_connections = peer_connections
         self._loop = loop
         self._reporter = reporter
         self.other_edges = PeerLoads()
@@ -37,7 +37,7 @@
             return
         report = self._reporter.report(now, address, self._own_loads(), len(self.other_edges.loads))
         if report is not None:
-            self.links.send(address, BODY_KIND + control_messages.encode(report))
+            self.peer_connections.send(address, BODY_KIND + control_messages.encode(report))
 
     def take(self, loads: LoadUpdate) -> None:
         """Applies the other edges' requests in flight, as sent by the core."""
--- a/shedgrade/dataplane/plane.py
+++ b/shedgrade/dataplane/plane.py
@@ -73,7 +73,7 @@
         self.shutdown = GracefulShutdown(loop, self)
         self.front = IngressFront(loop, self, self.budget, random)
         self.incarnation = random.getrandbits(48)
-        self.links = PeerConnectionPool(
+        self.peer_connections = PeerConnectionPool(
             loop, settings.link_address, self.message_received, settings.ip_address
         )
         self.watcher = Watcher(
@@ -85,7 +85,7 @@
         )
         self.control = ControlExchange(
             loop,
-            self.links,
+            self.peer_connections,
             self.watcher,
             self.prefix_index,
             lambda updates: self.state.apply(updates),  # looked up at each call: simulations replace it
@@ -93,7 +93,7 @@
         )
         self.loads = LoadExchange(
             loop,
-            self.links,
+            self.peer_connections,
             LoadReporter(settings.node_name, settings.region),
             self.state.own_loads,
             self.state.apply_other_loads,
@@ -214,7 +214,7 @@
         self.listener.close()
         await asyncio.sleep(FINAL_SEND_S)
         self.gossip.close()
-        self.links.close()
+        self.peer_connections.close()
         self.readiness.close()
 
     def answer_readiness(self, request: Request, respond: Respond) -> None:
--- a/shedgrade/membership/gossip.py
+++ b/shedgrade/membership/gossip.py
@@ -60,7 +60,7 @@
             self.view.leave(self.loop.time())
         else:
             self.view.update(msgspec.structs.replace(self.view.table.me, state=state))
-        self.carry_out()
+        self.execute_instructions()
 
     def close(self) -> None:
         """Closes the socket; nothing is sent or received afterwards."""
@@ -72,15 +72,15 @@
     def on_datagram(self, sender: str, body: bytes) -> None:
         """Passes a datagram to the view."""
         self.view.receive(self.loop.time(), sender, body)
-        self.carry_out()
+        self.execute_instructions()
 
     def on_timer(self) -> None:
         """Runs the time-outs, shuffles and pings of the view that are due."""
         self.timer = None
         self.view.tick(self.loop.time())
-        self.carry_out()
+        self.execute_instructions()
 
-    def carry_out(self) -> None:
+    def execute_instructions(self) -> None:
         """Sends the datagrams of the view's instructions, and sets the timer."""
         instructions = list(self.view.instructions)
         self.view.instructions.clear()
--- a/shedgrade/runtime/stall_detection.py
+++ b/shedgrade/runtime/stall_detection.py
@@ -100,11 +100,11 @@
         """Records an event; called with every event, and periodically."""
         gap = now - self.last_event_at
         if gap > STALL_THRESHOLD_S:
-            self.stall_s = gap + self.unread_s(self.last_event_at)
+            self.stall_s = gap + self.max_unread_s(self.last_event_at)
             self.stall_ended_at = now
         self.last_event_at = now
 
-    def unread_s(self, now: float) -> float:
+    def max_unread_s(self, now: float) -> float:
         """Returns the longest time for which a frame that is read now may have waited; 0 without a stall."""
         if now >= self.stall_ended_at + FRAMES_SETTLING_S:
             return 0.0
--- a/shedgrade/simulation/system/message_faults.py
+++ b/shedgrade/simulation/system/message_faults.py
@@ -67,7 +67,7 @@
         """Schedules the delivery of a message after a random delay."""
         delay = self.random.uniform(MIN_DELAY_S, MAX_DELAY_S)
         body = REPLICATION_CHANNEL + encode(message)
-        link = sender.program.own if sender.program is not None else ""
+        link = sender.program.own_address if sender.program is not None else ""
         self.system.time.after(delay, self.deliver, sender, link, address, body)
 
     def deliver(self, sender: CoreMachine, link: str, address: str, body: bytes) -> None:
--- a/shedgrade/simulation/system/replication_monitor.py
+++ b/shedgrade/simulation/system/replication_monitor.py
@@ -116,7 +116,7 @@
     def observe(self, machine: Machine[ControlPlane], plane: ControlPlane) -> None:
         """Observes the messages that this process sends from now on, and its exit."""
         transport, driver = plane.member.transport, plane.driver
-        send, carry_out = transport.send, driver.carry_out
+        send, execute = transport.send, driver.execute
 
         def observed_send(address: str, message: Message) -> None:
             self.on_send(machine, plane, message)
@@ -127,13 +127,13 @@
             if not self.system.delayed_messages.holds(machine, address, message):
                 send(address, message)
 
-        def observed_carry_out(effect: Any) -> None:
+        def observed_execute(effect: Any) -> None:
             if isinstance(effect, effects.Exit):
                 self.on_exit(machine, plane)
-            carry_out(effect)
+            execute(effect)
 
         setattr(transport, "send", observed_send)  # noqa: B010 (the type checker refuses a method's name)
-        setattr(driver, "carry_out", observed_carry_out)  # noqa: B010
+        setattr(driver, "execute", observed_execute)  # noqa: B010
 
     def report(self, kind: FindingKind, machine: Machine[ControlPlane], detail: str) -> None:
         """Adds a finding about a machine, unless its current process already has one of this kind."""
--- a/shedgrade/simulation/system/simulated_system.py
+++ b/shedgrade/simulation/system/simulated_system.py
@@ -332,7 +332,7 @@
 
     def observe_watch_answers(self, machine: Machine[ControlPlane], plane: ControlPlane) -> None:
         """Records as of which time a control plane's answer confirms the state that an edge then holds."""
-        original_answer = plane.hub.answer
+        original_answer = plane.hub.respond_to
 
         def observed_answer(now: float, watch: PendingWatch, deltas: Deltas) -> None:
             def respond(response: WatchResponse) -> None:
@@ -347,9 +347,9 @@
                     )
                 watch.respond(response)
 
-            original_answer(now, PendingWatch(watch.request, respond, watch.at), deltas)
+            original_answer(now, PendingWatch(watch.request, respond, watch.received_at), deltas)
 
-        setattr(plane.hub, "answer", observed_answer)  # noqa: B010
+        setattr(plane.hub, "respond_to", observed_answer)  # noqa: B010
 
     def record_committed(
         self, machine: Machine[ControlPlane], position: Position, state: Mapping[str, bytes]
--- a/tests/controlplane/control_net.py
+++ b/tests/controlplane/control_net.py
@@ -11,7 +11,7 @@
 from random import Random
 
 from shedgrade.controlplane.command_router import CommandRouter
-from shedgrade.controlplane.commands import make_decide
+from shedgrade.controlplane.commands import make_decision_function
 from shedgrade.controlplane.operator_api import OperatorApi
 from shedgrade.http.server import Request
 from shedgrade.peer_transport.connection import PeerCallError
@@ -73,7 +73,7 @@
 
 
 class Process:
-    """One core process. It also serves as the `links` of its `CommandRouter`."""
+    """One core process. It also serves as the `peer_connections` of its `CommandRouter`."""
 
     def __init__(self, net, name):
         self.net, self.name, self.address = net, name, f"{name}:1"
@@ -177,7 +177,7 @@
 
     def __init__(self, loop, seed=1, delay=0.02, decide=None):
         self.loop, self.seed, self.delay = loop, seed, delay
-        self.decide = decide or make_decide(ZONES)
+        self.decide = decide or make_decision_function(ZONES)
         self.random = Random(seed)
         self.cuts: dict[frozenset[str], list[tuple]] = {}
         self.latest_arrival: dict[tuple[str, str], float] = {}
--- a/tests/controlplane/cut_world.py
+++ b/tests/controlplane/cut_world.py
@@ -153,9 +153,9 @@
         self.cluster, self.number, self.address = cluster, number, address(number)
         self.loop = ProcessLoop(cluster.loop)
         self.plane = make(self.loop)
-        self.links = self.plane.links = Links(cluster, self)
+        self.links = self.plane.peer_connections = Links(cluster, self)
         if isinstance(self.plane, DataPlane):
-            self.plane.control.links = self.plane.loads.links = self.links
+            self.plane.control.peer_connections = self.plane.loads.peer_connections = self.links
 
     def receive(self, sender: str, body: bytes, number: int, is_response: bool) -> None:
         if is_response:
@@ -216,7 +216,7 @@
             self, number, lambda loop: ControlPlane(settings, loop, Random(self.random.getrandbits(40)))
         )
         plane = process.plane
-        plane.command_router.links = plane.messenger.links = process.links
+        plane.command_router.peer_connections = plane.messenger.peer_connections = process.links
         plane.endpoint_sync.poller = Poller(self, process)
         plane.disk = SimpleNamespace(
             write=lambda token, changes: process.loop.call_soon(plane.on_persisted, token, True),
--- a/tests/controlplane/test_command_decisions.py
+++ b/tests/controlplane/test_command_decisions.py
@@ -16,12 +16,12 @@
     PatchConfiguration,
     PutConfiguration,
     RevisionConflict,
-    make_decide,
+    make_decision_function,
 )
 from shedgrade.controlplane.state_keys import EVACUATION_REVISIONS
 from shedgrade.replication.effects import Decision
 
-decide = make_decide({"north-a": "north", "south-a": "south"})
+decide = make_decision_function({"north-a": "north", "south-a": "south"})
 
 
 def put(version, base, content=0):
--- a/tests/controlplane/test_commands_model.py
+++ b/tests/controlplane/test_commands_model.py
@@ -42,13 +42,13 @@
 
 def replace_decide(monkeypatch, change):
     """Replaces deciding by `change(state, command, decide)`."""
-    real = commands.make_decide
+    real = commands.make_decision_function
 
     def make(zones):
         decide = real(zones)
         return lambda state, command: change(state, command, decide)
 
-    monkeypatch.setattr("control_net.make_decide", make)
+    monkeypatch.setattr("control_net.make_decision_function", make)
 
 
 def base_not_compared(monkeypatch):
--- a/tests/controlplane/test_cut_off_side.py
+++ b/tests/controlplane/test_cut_off_side.py
@@ -89,7 +89,7 @@
         ("both.example", ["north", "south"], {"service": "big"}),
         ("free.example", [], {"service": "big"}),
     )
-    assert monitor.stranded_hosts(raw, ["big"]) == {"homed.example"}
+    assert monitor.unservable_hosts(raw, ["big"]) == {"homed.example"}
 
 
 def test_a_host_is_stranded_where_its_services_have_no_upstream(monitor):
@@ -102,17 +102,19 @@
             {"weightedSplit": [{"service": "big", "weight": 1}, {"service": "small", "weight": 9}]},
         ),
     )
-    assert monitor.stranded_hosts(raw, ["big"]) == {"two.example"}
-    assert monitor.stranded_hosts(raw, []) == {"one.example", "two.example", "split.example"}
+    assert monitor.unservable_hosts(raw, ["big"]) == {"two.example"}
+    assert monitor.unservable_hosts(raw, []) == {"one.example", "two.example", "split.example"}
 
 
 def test_no_host_is_stranded_before_a_configuration_is_known(monitor):
-    assert monitor.stranded_hosts(b"", []) == frozenset()
+    assert monitor.unservable_hosts(b"", []) == frozenset()
 
 
 def test_a_changed_configuration_is_parsed_again(monitor):
-    assert monitor.stranded_hosts(configuration(("one.example", ["north"], {"service": "big"})), ["big"])
-    assert not monitor.stranded_hosts(configuration(("one.example", ["south"], {"service": "big"})), ["big"])
+    assert monitor.unservable_hosts(configuration(("one.example", ["north"], {"service": "big"})), ["big"])
+    assert not monitor.unservable_hosts(
+        configuration(("one.example", ["south"], {"service": "big"})), ["big"]
+    )
 
 
 def test_the_directory_rejects_requests_for_a_stranded_host():
@@ -170,6 +172,6 @@
             None,
         )
         assert (status("homed.example"), status("free.example")) == (200, 200)
-        plane.links.close()
+        plane.peer_connections.close()
 
     asyncio.run(scenario())
--- a/tests/controlplane/test_delta.py
+++ b/tests/controlplane/test_delta.py
@@ -4,7 +4,7 @@
 import pytest
 
 from shedgrade.controlplane.configuration_validation import read_configuration
-from shedgrade.controlplane.delta import EMPTY, apply_delta, make_delta, read_delta
+from shedgrade.controlplane.delta import EMPTY_CONFIGURATION, apply_delta, make_delta, read_delta
 
 
 def route(name, **more):
@@ -60,7 +60,7 @@
 
 def test_the_first_configuration_may_be_a_delta():
     parts = {"addModify": {"routeList": [route("a")], "serviceList": [{"name": "s"}]}}
-    assert read_configuration(applied(parts, EMPTY).ok).ok.routes[0].name == "a"
+    assert read_configuration(applied(parts, EMPTY_CONFIGURATION).ok).ok.routes[0].name == "a"
 
 
 @pytest.mark.parametrize(
--- a/tests/controlplane/test_late_commands.py
+++ b/tests/controlplane/test_late_commands.py
@@ -180,7 +180,7 @@
 
 def unconditional(monkeypatch):
     """A command builds on no revision."""
-    real = commands.make_decide
+    real = commands.make_decision_function
 
     def make(zones):
         decide = real(zones)
@@ -193,7 +193,7 @@
 
         return blind
 
-    monkeypatch.setattr("control_net.make_decide", make)
+    monkeypatch.setattr("control_net.make_decision_function", make)
 
 
 def callers_trusted_to_wait(monkeypatch):
@@ -219,13 +219,13 @@
 
 
 def test_a_planted_fault_in_commands_that_change_nothing_is_found(monkeypatch):
-    real = commands.make_decide
+    real = commands.make_decision_function
 
     def make(zones):
         decide = real(zones)
         return lambda state, command: unchanged_zone_keeps_its_revision(state, command, decide)
 
-    monkeypatch.setattr("control_net.make_decide", make)
+    monkeypatch.setattr("control_net.make_decision_function", make)
     wrong = []
 
     async def scenario(net):
--- a/tests/controlplane/test_operator_api.py
+++ b/tests/controlplane/test_operator_api.py
@@ -8,7 +8,7 @@
 import pytest
 
 import shedgrade.controlplane.operator_api
-from shedgrade.controlplane.commands import CommandReply, ZoneCommand, make_decide, zone_revisions
+from shedgrade.controlplane.commands import CommandReply, ZoneCommand, make_decision_function, zone_revisions
 from shedgrade.controlplane.operator_api import CHECKED_CHANGES, OperatorApi, if_match_version
 from shedgrade.http.server import Request
 
@@ -18,7 +18,7 @@
 
     def __init__(self):
         self.state, self.primary_available, self.submitted = {}, True, []
-        self.decide = make_decide({"north-a": "north", "söuth": "south"})
+        self.decide = make_decision_function({"north-a": "north", "söuth": "south"})
 
     def submit(self, command, respond, caller):
         command = self.on_newest(command)
--- a/tests/controlplane/test_stalled_process.py
+++ b/tests/controlplane/test_stalled_process.py
@@ -15,13 +15,13 @@
     for now in (10.25, 10.5, 10.5 + STALL_THRESHOLD_S):
         detector.observe(now)
         detector.check_invariants()
-        assert detector.unread_s(now) == 0
+        assert detector.max_unread_s(now) == 0
     detector.observe(31.25)
     detector.check_invariants()
-    assert detector.unread_s(31.25) == 20.0 and detector.unread_s(31.5) == 20.25
+    assert detector.max_unread_s(31.25) == 20.0 and detector.max_unread_s(31.5) == 20.25
     detector.observe(31.25 + FRAMES_SETTLING_S)
     detector.check_invariants()
-    assert detector.unread_s(31.25 + FRAMES_SETTLING_S) == 0
+    assert detector.max_unread_s(31.25 + FRAMES_SETTLING_S) == 0
 
 
 def test_a_second_stall_right_after_the_first_adds_to_it():
@@ -30,7 +30,7 @@
     detector.observe(20.25)
     detector.observe(22.25)
     detector.check_invariants()
-    assert detector.unread_s(22.25) == 12.25
+    assert detector.max_unread_s(22.25) == 12.25
 
 
 def directory_status(core) -> list[str] | int:
--- a/tests/simulation/planted_system_faults.py
+++ b/tests/simulation/planted_system_faults.py
@@ -65,10 +65,10 @@
 
 def late_zone_commands_are_applied(monkeypatch, reached):
     """A zone command is applied whatever commands came since, even if its caller no longer waits."""
-    make_decide = commands.make_decide
+    make_decision_function = commands.make_decision_function
 
-    def faulty_make_decide(zones):
-        decide = make_decide(zones)
+    def faulty_make_decision_function(zones):
+        decide = make_decision_function(zones)
 
         def faulty_decide(state, command):
             if not isinstance(command, commands.ZoneCommand):
@@ -80,16 +80,16 @@
 
         return faulty_decide
 
-    monkeypatch.setattr(plane, "make_decide", faulty_make_decide)
+    monkeypatch.setattr(plane, "make_decision_function", faulty_make_decision_function)
     monkeypatch.setattr(PendingZoneCommand, "caller_is_waiting", lambda self: True)
 
 
 def accepts_conflicting_changes(monkeypatch, reached):
     """A change is accepted though another change has replaced its base version."""
-    make_decide = commands.make_decide
+    make_decision_function = commands.make_decision_function
 
-    def faulty_make_decide(zones):
-        decide = make_decide(zones)
+    def faulty_make_decision_function(zones):
+        decide = make_decision_function(zones)
 
         def faulty_decide(state, command):
             decision = decide(state, command)
@@ -103,7 +103,7 @@
 
         return faulty_decide
 
-    monkeypatch.setattr(plane, "make_decide", faulty_make_decide)
+    monkeypatch.setattr(plane, "make_decision_function", faulty_make_decision_function)
 
 
 class AnswersAfterOwnDiskOnly(MemberWithRoles):
@@ -128,13 +128,13 @@
 def lists_edges_outside_the_home_regions(monkeypatch, reached):
     """The directory lists all ready edges where neither the client's region nor a home region has one."""
 
-    def admissible(edges, regions):
+    def edges_in_regions(edges, regions):
         found = [edge for edge in edges if regions is not None and edge.region in regions]
         if not found and edges:
             reached()
         return found or edges
 
-    monkeypatch.setattr(directory, "admissible", admissible)
+    monkeypatch.setattr(directory, "edges_in_regions", edges_in_regions)
 
 
 def unknown_hosts_are_served_anywhere(monkeypatch, reached):
@@ -156,11 +156,11 @@
     """A member reports its state as confirmed now, however long ago it was confirmed."""
 
     class ReportsConfirmedState(WatchHub):
-        def answer(self, now, watch, deltas):
+        def respond_to(self, now, watch, deltas):
             reached()
             before, self.confirmed_at = self.confirmed_at, now
             try:
-                super().answer(now, watch, deltas)
+                super().respond_to(now, watch, deltas)
             finally:
                 self.confirmed_at = before
 
@@ -197,27 +197,27 @@
 
     original_newer_control = ReceivedState.newer_control
     monkeypatch.setattr(ReceivedState, "newer_control", faulty_newer_control)
-    monkeypatch.setattr(WatchHub, "has_update", lambda self, watch: self.now - watch.at > 0.1)
-    answer = WatchHub.answer
+    monkeypatch.setattr(WatchHub, "has_update", lambda self, watch: self.now - watch.received_at > 0.1)
+    respond_to = WatchHub.respond_to
 
-    def answer_always(self, now, watch, deltas):
+    def respond_always(self, now, watch, deltas):
         request = msgspec.structs.replace(watch.request, control_version=(-1, -1), configuration_version=-1)
-        answer(self, now, PendingWatch(request, watch.respond, watch.at), deltas)
+        respond_to(self, now, PendingWatch(request, watch.respond, watch.received_at), deltas)
 
-    monkeypatch.setattr(WatchHub, "answer", answer_always)
+    monkeypatch.setattr(WatchHub, "respond_to", respond_always)
 
 
 def primary_age_is_not_reported(monkeypatch, reached):
     """A member that lost its primary tells edges that it just heard from it, so they stay connected."""
 
     class HidesPrimaryAge(WatchHub):
-        def answer(self, now, watch, deltas):
+        def respond_to(self, now, watch, deltas):
             def respond(response):
                 if 0.0 < response.primary_age_s < UNKNOWN_AGE_S:
                     reached()
                 watch.respond(msgspec.structs.replace(response, primary_age_s=0.0))
 
-            super().answer(now, PendingWatch(watch.request, respond, watch.at), deltas)
+            super().respond_to(now, PendingWatch(watch.request, respond, watch.received_at), deltas)
 
     monkeypatch.setattr(plane, "WatchHub", HidesPrimaryAge)
 
--- a/tests/simulation/test_killed_at_once.py
+++ b/tests/simulation/test_killed_at_once.py
@@ -40,9 +40,9 @@
     watched_at = []
     original_watch = WatchHub.watch
 
-    def watch(self, now, request, respond, unread_s=0.0):
+    def watch(self, now, request, respond, max_unread_s=0.0):
         watched_at.append(now)
-        original_watch(self, now, request, respond, unread_s)
+        original_watch(self, now, request, respond, max_unread_s)
 
     monkeypatch.setattr(WatchHub, "watch", watch)
     script = Script(seed=4, tolerated=1, edges=16)
--- a/tests/simulation/test_processor_quota.py
+++ b/tests/simulation/test_processor_quota.py
@@ -18,7 +18,7 @@
     for machine in system.machines():
         script.faults.throttle(machine, DURATION_S, share)
     script.run(1.0)
-    stalls = [core.program.stalls.unread_s(core.loop.time()) for core in system.cores]
+    stalls = [core.program.stalls.max_unread_s(core.loop.time()) for core in system.cores]
     change = script.call(script.operator.put(1, 2, "second"))
     script.run(DURATION_S - 1.0)
     assert system.primary() is before and before.program.member.epoch == epoch
--- a/tests/simulation/test_system_faults.py
+++ b/tests/simulation/test_system_faults.py
@@ -47,16 +47,16 @@
     """An exception doesn't count as the finding that the fault should cause."""
 
     def broken(monkeypatch, reached):
-        answer, failed = WatchHub.answer, []
+        respond_to, failed = WatchHub.respond_to, []
 
         def fails_once(self, now, watch, deltas):
             if not failed:
                 reached()
                 failed.append(True)
                 raise AttributeError("injected")
-            answer(self, now, watch, deltas)
+            respond_to(self, now, watch, deltas)
 
-        monkeypatch.setattr(WatchHub, "answer", fails_once)
+        monkeypatch.setattr(WatchHub, "respond_to", fails_once)
 
     case = Case(broken, FindingKind.STALE_READ, "calm", 1)
     with pytest.raises(AssertionError, match="error of its own"):
--- a/tests/stored/test_core_folder_as_found.py
+++ b/tests/stored/test_core_folder_as_found.py
@@ -11,7 +11,7 @@
 import pytest
 
 from shedgrade.controlplane import deduplication
-from shedgrade.controlplane.commands import make_decide, zone_revisions
+from shedgrade.controlplane.commands import make_decision_function, zone_revisions
 from shedgrade.controlplane.configuration_validation import read_configuration
 from shedgrade.replication import (
     Answer,
@@ -64,7 +64,7 @@
     """The three members, on a network and disks without delay."""
 
     def __init__(self, found, skipped=()):
-        decide = make_decide(("hall-1", "hall-2", "hall-3"))
+        decide = make_decision_function(("hall-1", "hall-2", "hall-3"))
         self.now, self.disks = 0.0, found
         self.answers, self.committed = {}, {}
         self.members = {
@@ -138,7 +138,7 @@
         stored_values=values,
         random=Random(1),
         now=0.0,
-        decide=make_decide(()),
+        decide=make_decision_function(()),
     )
     assert member.epoch == 1
     assert {peer.name: peer.address for peer in member.members} == ADDRESSES
@@ -154,7 +154,7 @@
     assert [service.name for service in configuration.services] == ["rota-lm", "rota-small"]
     assert json.loads(state["evacuations"]) == ["hall-2"]
     assert zone_revisions(state) == {"hall-2": 1, "hall-3": 2}
-    assert deduplication.count(state) == 4
+    assert deduplication.entry_count(state) == 4
     for version in (1, 2, 3, 4):
         assert (
             deduplication.acceptance_status(state, version, b"something else")
