--- a/benchmarks/system.py
+++ b/benchmarks/system.py
@@ -133,7 +133,7 @@
     from shedgrade.controlplane.endpoint_list import EndpointList
     from shedgrade.runtime import log
 
-    log.set_sink(SimpleNamespace(**dict.fromkeys(log.METHODS, lambda *_, **__: None)))
+    log.set_sink(SimpleNamespace(**dict.fromkeys(log.LOG_METHODS, lambda *_, **__: None)))
     loop, count = asyncio.new_event_loop(), options.upstreams
     state = an_edge(loop)
     state.apply_control(change(configuration(10)))
@@ -334,7 +334,7 @@
                 for effect in instructions:
                     sent, bytes_sent = sent + 1, bytes_sent + len(effect.body)
                     if effect.address in views:
-                        views[effect.address].receive(now, view.table.me.address, effect.body)
+                        views[effect.address].receive(now, view.table.own_node.address, effect.body)
                         met.append(views[effect.address])
             busy = met
     half = seconds / 2
--- a/shedgrade/controlplane/message_dispatcher.py
+++ b/shedgrade/controlplane/message_dispatcher.py
@@ -87,12 +87,12 @@
 
     def on_frame(self, connection: PeerConnection, frame: Frame) -> None:
         """Handles a frame on a connection that another process opened; the response goes back on it."""
-        if frame.body[:1] == CONTROL_CHANNEL and frame.number:
+        if frame.body[:1] == CONTROL_CHANNEL and frame.call_number:
             self.track_edge(connection, frame.sender)
 
         def respond(body: bytes) -> None:
-            if frame.number:
-                connection.send(body, frame.number, True)
+            if frame.call_number:
+                connection.send(body, frame.call_number, True)
             else:
                 self.messenger.peer_connections.send(frame.sender, body)
 
--- a/shedgrade/controlplane/plane.py
+++ b/shedgrade/controlplane/plane.py
@@ -34,7 +34,7 @@
 from shedgrade.replication import Member
 from shedgrade.runtime.log import logger
 from shedgrade.runtime.loop_errors import log_uncaught
-from shedgrade.runtime.stall_detection import ArrivalClock, StallDetector, steady_clock
+from shedgrade.runtime.stall_detection import ArrivalClock, StallDetector, monotonic_clock
 from shedgrade.storage import LoadResult, Store
 from shedgrade.storage.files import WritableFolder
 
@@ -115,7 +115,7 @@
             self.loop, listen_at, self.own_address, self.on_frame, self.peer_connections.adopt
         )
         self.messenger = PeerMessenger(self.peer_connections, self.own_address, self.member_addresses)
-        clock = steady_clock(self.loop)
+        clock = monotonic_clock(self.loop)
         self.command_router = CommandRouter(
             self.loop, self.member, self.peer_connections, self.run_state_machines, clock
         )
--- a/shedgrade/dataplane/control_exchange.py
+++ b/shedgrade/dataplane/control_exchange.py
@@ -30,7 +30,7 @@
 class ControlExchange:
     """One edge's exchange with the core over `peer_connections`.
 
-    `apply`: called with the updates to apply, in order. `cover_received`: called for each response with the
+    `apply`: called with the updates to apply, in order. `on_drain_target`: called for each response with the
     edges that take over this edge's clients; NO_DRAIN_TARGET if the request didn't say that this edge is
     leaving.
     """
@@ -42,14 +42,14 @@
         watcher: Watcher,
         prefix_index: EdgePrefixIndex,
         apply: Callable[[tuple[Update, ...]], None],
-        cover_received: Callable[[str], None],
+        on_drain_target: Callable[[str], None],
     ) -> None:
         self.peer_connections = peer_connections
         self.watcher = watcher
         self._loop = loop
         self._prefix_index = prefix_index
         self._apply = apply
-        self._cover_received = cover_received
+        self._on_drain_target = on_drain_target
         self._tasks: set[asyncio.Task[None]] = set()
         self._timer: asyncio.TimerHandle | None = None
         self._stopped = False
@@ -116,7 +116,7 @@
                 self._prefix_index.apply_response(
                     now, response.primary_age_s < STALE_CONTROL_S, response.prefix_index
                 )
-            self._cover_received(response.drain_target if request.edge.shutdown_stage else NO_DRAIN_TARGET)
+            self._on_drain_target(response.drain_target if request.edge.shutdown_stage else NO_DRAIN_TARGET)
             self.watcher.handle_event(ResponseEvent(now, address, response, instruction.number))
         else:
             self._prefix_index.restore_unsent(reads)
--- a/shedgrade/dataplane/draining.py
+++ b/shedgrade/dataplane/draining.py
@@ -19,7 +19,9 @@
 CANCEL_BEFORE_KILL_S = 0.6  # requests still in flight are cancelled this long before SIGKILL
 EXIT_BEFORE_KILL_S = 0.25  # the process exits this long before SIGKILL, even if requests are still in flight
 RESTART_S = 1.0  # from the exit of a process until the machine's next process serves
-COVER_VALID_S = 1.5  # validity of the control plane's statement on who takes over: three watch requests
+DRAIN_TARGET_VALID_S = (
+    1.5  # validity of the control plane's statement on who takes over: three watch requests
+)
 
 
 class Draining:
@@ -30,9 +32,9 @@
         cancel_at: when requests still in flight are cancelled; never before the process has stopped accepting
             all requests.
         exit_at: when the process exits at the latest; not before `cancel_at`.
-        cover: the edges that take over the clients according to the control plane: READY ones, ones that are
-            LEAVING later, or NO_DRAIN_TARGET.
-        cover_received_at: when `cover` was received; -inf if it never was.
+        drain_target: the edges that take over the clients as the control plane says: READY ones, ones that
+            are LEAVING later, or NO_DRAIN_TARGET.
+        drain_target_received_at: when `drain_target` was received; -inf if it never was.
     """
 
     def __init__(self, now: float, grace_s: float) -> None:
@@ -40,24 +42,28 @@
         self.started_at = now
         self.cancel_at = now + max(ACCEPT_ALL_S, grace_s - CANCEL_BEFORE_KILL_S)
         self.exit_at = max(self.cancel_at, now + grace_s - EXIT_BEFORE_KILL_S)
-        self.cover = NO_DRAIN_TARGET
-        self.cover_received_at = -inf
+        self.drain_target = NO_DRAIN_TARGET
+        self.drain_target_received_at = -inf
 
-    def cover_received(self, now: float, cover: str) -> None:
+    def on_drain_target(self, now: float, drain_target: str) -> None:
         """Records the control plane's statement on which edges take over the clients."""
-        self.cover = cover
-        self.cover_received_at = now
+        self.drain_target = drain_target
+        self.drain_target_received_at = now
 
-    def covered_by(self, now: float) -> str:
+    def current_drain_target(self, now: float) -> str:
         """The edges that take over the clients, as far as known.
 
         Guards against unknown state: without a recent statement, the other edges may have exited too.
         """
-        return self.cover if now - self.cover_received_at <= COVER_VALID_S else NO_DRAIN_TARGET
+        return (
+            self.drain_target
+            if now - self.drain_target_received_at <= DRAIN_TARGET_VALID_S
+            else NO_DRAIN_TARGET
+        )
 
     def accepts_all(self, now: float) -> bool:
         """Whether all requests are still accepted."""
-        first = self.covered_by(now) == LEAVING
+        first = self.current_drain_target(now) == LEAVING
         return now - self.started_at <= (ACCEPT_ALL_FIRST_S if first else ACCEPT_ALL_S)
 
     def accepts(self, now: float, longest_s: float, in_flight_until: float) -> bool:
@@ -71,12 +77,12 @@
 
     def retry_after_s(self, now: float, in_flight_until: float) -> float:
         """The time after which a rejected client finds an edge that serves; 0 if others serve already."""
-        if self.covered_by(now) in (READY, LEAVING):
+        if self.current_drain_target(now) in (READY, LEAVING):
             return 0.0
         return max(now, min(in_flight_until, self.cancel_at)) + RESTART_S - now
 
     def check_invariants(self) -> None:
         """Checks the documented properties of the attributes. AssertionError if one doesn't hold."""
         assert self.started_at + ACCEPT_ALL_S <= self.cancel_at <= self.exit_at, self.exit_at
-        assert self.cover in (READY, LEAVING, NO_DRAIN_TARGET), self.cover
-        assert self.cover == NO_DRAIN_TARGET or self.cover_received_at > -inf
+        assert self.drain_target in (READY, LEAVING, NO_DRAIN_TARGET), self.drain_target
+        assert self.drain_target == NO_DRAIN_TARGET or self.drain_target_received_at > -inf
--- a/shedgrade/dataplane/exchange.py
+++ b/shedgrade/dataplane/exchange.py
@@ -3,7 +3,7 @@
 from shedgrade.in_flight import ActiveRequest, Answer, Request
 from shedgrade.model_routing.request import RoutingConstraints
 
-TICKS = 10_000  # ticks of the clock per second
+TICKS_PER_SECOND = 10_000  # ticks of the clock per second
 LATE_RESPONSE_GRACE = 1_500  # tenths of a ms after its deadline in which an answer is still forwarded
 
 
@@ -53,11 +53,12 @@
         self.received_at = service.clock.now()
         self.response_started_at: int | None = None
 
-    def may_last_until(self) -> float:
+    def latest_response_at(self) -> float:
         """When the answer is complete at the latest, estimated from the service's recent answers and bounded
         by the deadline. In tenths of a ms on the clock."""
         return min(
-            self.deadline, self.received_at + self.service.times.longest(self.streams, self.usage) * TICKS
+            self.deadline,
+            self.received_at + self.service.times.longest(self.streams, self.usage) * TICKS_PER_SECOND,
         )
 
     @property
--- a/shedgrade/dataplane/graceful_shutdown.py
+++ b/shedgrade/dataplane/graceful_shutdown.py
@@ -72,10 +72,10 @@
             return 0.0
         return self.draining.retry_after_s(self._loop.time(), self._process.in_flight_until())
 
-    def cover_received(self, cover: str) -> None:
+    def on_drain_target(self, drain_target: str) -> None:
         """Records the control plane's statement on which edges take over the clients."""
         if self.draining is not None:
-            self.draining.cover_received(self._loop.time(), cover)
+            self.draining.on_drain_target(self._loop.time(), drain_target)
 
     def _check(self, draining: Draining) -> None:
         """Ends the process once all requests are answered. Guards against an exception in this check, which
--- a/shedgrade/dataplane/ingress.py
+++ b/shedgrade/dataplane/ingress.py
@@ -2,7 +2,7 @@
 
 from shedgrade.buffers.flow import SMALL_MESSAGE_BYTES, Flow
 from shedgrade.configuration import Limits
-from shedgrade.dataplane.exchange import TICKS, Exchange
+from shedgrade.dataplane.exchange import TICKS_PER_SECOND, Exchange
 from shedgrade.dataplane.routes import ServedRoute, shared_parts, token_usage
 from shedgrade.dataplane.streams import ResumableStream
 from shedgrade.http.inbound_connection import InboundConnection
@@ -227,11 +227,11 @@
         """Records the duration of a complete answer with its service. A resumed stream is not measured."""
         now, times = self.front.clock.now(), exchange.service.times
         if not exchange.streams:
-            times.record_answer((now - exchange.received_at) / TICKS)
+            times.record_answer((now - exchange.received_at) / TICKS_PER_SECOND)
         elif exchange.response_started_at is not None:
             times.record_stream(
-                (exchange.response_started_at - exchange.received_at) / TICKS,
-                (now - exchange.response_started_at) / TICKS,
+                (exchange.response_started_at - exchange.received_at) / TICKS_PER_SECOND,
+                (now - exchange.response_started_at) / TICKS_PER_SECOND,
                 self.events_written,
                 exchange.constraints.prompt_tokens,
             )
--- a/shedgrade/dataplane/plane.py
+++ b/shedgrade/dataplane/plane.py
@@ -13,7 +13,7 @@
 from shedgrade.control_messages import CLOSED, LEAVING, READY, STARTING, EdgeStatus
 from shedgrade.dataplane.control_client import EdgeChangedEvent, MembersDiscoveredEvent, Watcher
 from shedgrade.dataplane.control_exchange import ControlExchange
-from shedgrade.dataplane.exchange import TICKS, Exchange
+from shedgrade.dataplane.exchange import TICKS_PER_SECOND, Exchange
 from shedgrade.dataplane.front import IngressFront
 from shedgrade.dataplane.graceful_shutdown import GracefulShutdown
 from shedgrade.dataplane.ingress import IngressConnection
@@ -89,7 +89,7 @@
             self.watcher,
             self.prefix_index,
             lambda updates: self.state.apply(updates),  # looked up at each call: simulations replace it
-            self.shutdown.cover_received,
+            self.shutdown.on_drain_target,
         )
         self.loads = LoadExchange(
             loop,
@@ -173,8 +173,8 @@
     def in_flight_until(self) -> float:
         """When all requests in flight will have been answered at the latest, on the loop's clock."""
         now = self.clock.now()
-        latest = max((exchange.may_last_until() for exchange in self.in_flight()), default=now)
-        return self.loop.time() + max(0.0, latest - now) / TICKS
+        latest = max((exchange.latest_response_at() for exchange in self.in_flight()), default=now)
+        return self.loop.time() + max(0.0, latest - now) / TICKS_PER_SECOND
 
     def busy(self) -> bool:
         """Whether clients are connected or waiting for a connection, or requests are in flight."""
--- a/shedgrade/membership/gossip.py
+++ b/shedgrade/membership/gossip.py
@@ -31,13 +31,13 @@
     """
 
     def __init__(
-        self, loop: asyncio.AbstractEventLoop, me: Node, contacts: Iterable[str], random: Random
+        self, loop: asyncio.AbstractEventLoop, own_node: Node, contacts: Iterable[str], random: Random
     ) -> None:
-        """`me`: the own node; `contacts`: UDP addresses "ip:port" of processes that may know members."""
+        """`own_node`: this process; `contacts`: UDP addresses of processes that may know members."""
         self.loop = loop
-        self.view = PartialView(me, random, loop.time(), period_s=PERIOD_S)
+        self.view = PartialView(own_node, random, loop.time(), period_s=PERIOD_S)
         self.view.add_contacts(Node("", address) for address in contacts)
-        self.datagrams = DatagramEndpoint(loop, parse_address(me.address), self.on_datagram)
+        self.datagrams = DatagramEndpoint(loop, parse_address(own_node.address), self.on_datagram)
         self.timer: asyncio.TimerHandle | None = None
         self.timer_at = float("inf")
         self.is_running = False
@@ -48,7 +48,9 @@
             await self.datagrams.start()
         except OSError as error:
             # The process goes on without gossip, since the core reports members too.
-            logger.warning("gossip socket not opened", address=self.view.table.me.address, error=str(error))
+            logger.warning(
+                "gossip socket not opened", address=self.view.table.own_node.address, error=str(error)
+            )
             return
         self.is_running = True
         self.on_timer()
@@ -59,7 +61,7 @@
         if state == "leaving":
             self.view.leave(self.loop.time())
         else:
-            self.view.update(msgspec.structs.replace(self.view.table.me, state=state))
+            self.view.update(msgspec.structs.replace(self.view.table.own_node, state=state))
         self.execute_instructions()
 
     def close(self) -> None:
--- a/shedgrade/membership/table.py
+++ b/shedgrade/membership/table.py
@@ -112,11 +112,11 @@
 
 
 class Table:
-    """The membership state of one member. Raises ValueError if `me` is too long for a datagram.
+    """The membership state of one member. Raises ValueError if `own_node` is too long for a datagram.
 
     Attributes:
-        me: the own node, as it is described to others.
-        incarnation: of the own node; raised to refute and with each change of `me`, never lowered.
+        own_node: the own node, as it is described to others.
+        incarnation: of the own node; raised to refute and with each change of `own_node`, never lowered.
         size: largest number of entries.
         last_heard_at: when any datagram last arrived; before the first, when the table was created.
         entries: neighbours by name, alive or suspected; neither this member nor a node in `departed`.
@@ -124,7 +124,7 @@
         rumours: rumours that are being spread, by the name of their node, the next to be sent first.
     """
 
-    def __init__(self, me: Node, random: Random, now: float, size: int) -> None:
+    def __init__(self, own_node: Node, random: Random, now: float, size: int) -> None:
         self.random = random
         self.size = size
         self.last_heard_at = now
@@ -132,20 +132,20 @@
         self.entries: dict[str, Entry] = {}
         self.departed: dict[str, Departed] = {}
         self.rumours: dict[str, SpreadingRumour] = {}
-        self.set_own_node(me)
+        self.set_own_node(own_node)
 
     def check_invariants(self) -> None:
         """Raises AssertionError if an attribute breaks its description. For tests and the simulation."""
         assert self.incarnation >= 0
         assert len(self.entries) <= self.size
         assert len(self.departed) <= MAX_DEPARTED
-        assert self.me.name not in self.entries
+        assert self.own_node.name not in self.entries
         assert not self.entries.keys() & self.departed.keys()
         for name, entry in self.entries.items():
             assert name
             assert name == entry.node.name
             assert entry.name_hash == hash_name(name)
-            assert entry.node.address != self.me.address
+            assert entry.node.address != self.own_node.address
         for name, departed in self.departed.items():
             assert name == departed.node.name
             assert departed.status in (DROPPED, LEFT)
@@ -155,21 +155,21 @@
 
     # --- the own node
 
-    def set_own_node(self, me: Node) -> None:
+    def set_own_node(self, own_node: Node) -> None:
         """Replaces the own node. Raises ValueError if it is too long for a datagram."""
-        descriptor = Descriptor(me, self.incarnation)
+        descriptor = Descriptor(own_node, self.incarnation)
         if len(encode(ShuffleRequest(2**32, descriptor, [descriptor], []))) > MAX_MESSAGE_BYTES:
             raise ValueError("node is too long for a datagram")
-        self.me = me
+        self.own_node = own_node
 
     def own_descriptor(self) -> Descriptor:
         """Returns the descriptor of the own node."""
-        return Descriptor(self.me, self.incarnation)
+        return Descriptor(self.own_node, self.incarnation)
 
     def refute(self, incarnation: int) -> None:
         """Raises the own incarnation above `incarnation`, in which others hold wrong information about this
         member. A member that leaves doesn't refute."""
-        if incarnation >= self.incarnation and self.me.state != "leaving":
+        if incarnation >= self.incarnation and self.own_node.state != "leaving":
             self.incarnation = incarnation + 1
 
     # --- other nodes
@@ -178,12 +178,12 @@
         """Applies a descriptor. `replaceable`: names of entries that a new entry may replace, the first ones
         first; None: it may replace any."""
         node = descriptor.node
-        if node.name == self.me.name:
+        if node.name == self.own_node.name:
             # From an earlier process of this name, an earlier state, or a rumour about an earlier process.
-            if node != self.me or descriptor.incarnation > self.incarnation:
+            if node != self.own_node or descriptor.incarnation > self.incarnation:
                 self.refute(descriptor.incarnation)
             return
-        if not node.name or node.address == self.me.address or not is_address(node.address):
+        if not node.name or node.address == self.own_node.address or not is_address(node.address):
             return
         departed, entry = self.departed.get(node.name), self.entries.get(node.name)
         if departed is not None and descriptor.incarnation <= departed.incarnation:
@@ -217,7 +217,7 @@
 
     def apply_rumour(self, now: float, rumour: Rumour) -> None:
         """Applies a rumour unless a higher incarnation is known; refutes one about this member."""
-        if rumour.name == self.me.name:
+        if rumour.name == self.own_node.name:
             self.refute(rumour.incarnation)
             return
         entry, departed = self.entries.get(rumour.name), self.departed.get(rumour.name)
@@ -365,7 +365,7 @@
             elif entry is not None:
                 if digest.incarnation > entry.incarnation:
                     wanted.append(digest.name_hash)
-            elif digest.name_hash != hash_name(self.me.name) and (
+            elif digest.name_hash != hash_name(self.own_node.name) and (
                 departed is None
                 or digest.incarnation > departed.incarnation
                 or last_alive_at > departed.at + RETURN_MARGIN_S
--- a/shedgrade/membership/view.py
+++ b/shedgrade/membership/view.py
@@ -101,7 +101,7 @@
     """One member's view, a state machine: its inputs are calls and datagrams, its outputs are instructions.
 
     The caller takes the `instructions` after each call, and calls `tick` when `wake_at` is due. All times are
-    seconds of the caller's monotonic clock. Raises ValueError if `me` is too long for a datagram.
+    seconds of the caller's monotonic clock. Raises ValueError if `own_node` is too long for a datagram.
 
     A neighbour is alive, suspected (`Entry.drop_at` is set), or departed (`Table.departed`). An unanswered
     shuffle leads to indirect pings, and then to suspicion. The member itself is active until `leave`, which
@@ -126,7 +126,7 @@
 
     def __init__(
         self,
-        me: Node,
+        own_node: Node,
         random: Random,
         now: float,
         size: int = 16,
@@ -137,7 +137,7 @@
         self.random = random
         self.shuffle_length = shuffle_length
         self.period_s = period_s
-        self.table = Table(me, random, now, size)
+        self.table = Table(own_node, random, now, size)
         self.estimator = PopulationEstimator()
         self.instructions: list[SendDatagram] = []
         self.contacts: dict[str, float] = {}
@@ -158,18 +158,18 @@
         assert not self.pending_shuffles.keys() & self.relayed_pings.keys()
         partners = [pending.name for pending in self.pending_shuffles.values() if pending.name]
         assert len(partners) == len(set(partners))
-        assert self.table.me.name not in partners
-        assert self.table.me.address not in self.contacts
+        assert self.table.own_node.name not in partners
+        assert self.table.own_node.address not in self.contacts
         assert self.period_s <= self.contact_ping_interval_s <= MAX_CONTACT_PING_PERIODS * self.period_s
         if self.has_left:
-            assert self.table.me.state == "leaving"
+            assert self.table.own_node.state == "leaving"
             assert self.wake_at() == float("inf")
 
     # --- queries
 
     def nodes(self) -> tuple[Node, ...]:
         """Returns the nodes that are not departed, the own node first; suspected ones are included."""
-        return self.table.me, *(entry.node for entry in self.table.entries.values())
+        return self.table.own_node, *(entry.node for entry in self.table.entries.values())
 
     def count(self, kind: str) -> int:
         """Returns the number of nodes of a kind, the own node included: exact while the view has room, else
@@ -177,7 +177,7 @@
         others = sum(entry.node.kind == kind for entry in self.table.entries.values())
         if len(self.table.entries) >= self.table.size:
             others = max(others, self.estimator.count(kind))
-        return others + (self.table.me.kind == kind)
+        return others + (self.table.own_node.kind == kind)
 
     def wake_at(self) -> float:
         """Returns when `tick` is due next; infinity after `leave`."""
@@ -196,25 +196,25 @@
         table = self.table
         for node in nodes:
             parse_address(node.address)
-            if node.address == table.me.address or node.name == table.me.name:
+            if node.address == table.own_node.address or node.name == table.own_node.name:
                 continue
             self.contacts.setdefault(node.address, float("-inf"))
             if node.name and node.name not in table.departed and len(table.entries) < table.size:
                 heard_at = table.last_heard_at
                 table.entries.setdefault(node.name, Entry(node, -1, heard_at - self.period_s, heard_at))
 
-    def update(self, me: Node) -> None:
+    def update(self, own_node: Node) -> None:
         """Changes the own node, except its name and address, and raises its incarnation. Raises ValueError if
         the node is too long for a datagram."""
-        if me != self.table.me:
-            self.table.set_own_node(me)
+        if own_node != self.table.own_node:
+            self.table.set_own_node(own_node)
             self.table.incarnation += 1
 
     def leave(self, now: float) -> None:
         """Leaves: tells all neighbours, and starts no further shuffle."""
         if self.has_left:
             return
-        self.update(msgspec.structs.replace(self.table.me, state="leaving"))
+        self.update(msgspec.structs.replace(self.table.own_node, state="leaving"))
         self.has_left = True
         for entry in self.table.entries.values():
             self.send(entry.node.address, self.leave_update())
@@ -343,7 +343,7 @@
             message = decode(body)
         except (msgspec.MsgspecError, RecursionError):
             return
-        if sender == self.table.me.address:
+        if sender == self.table.own_node.address:
             return
         self.table.last_heard_at = now
         if self.has_left:
@@ -410,7 +410,7 @@
             [
                 (descriptor.node.name, descriptor.node.kind)
                 for descriptor in descriptors
-                if descriptor.node.name != table.me.name and descriptor.node.name not in table.departed
+                if descriptor.node.name != table.own_node.name and descriptor.node.name not in table.departed
             ],
         )
         wanted = table.merge_digests(now, message.digests[: self.shuffle_length])
@@ -491,7 +491,7 @@
 
     def leave_update(self) -> MembershipUpdate:
         """Returns the message that this member has left."""
-        return MembershipUpdate([], [Rumour(self.table.me.name, self.table.incarnation, LEFT)])
+        return MembershipUpdate([], [Rumour(self.table.own_node.name, self.table.incarnation, LEFT)])
 
     def ping(self, address: str, rumours: list[Rumour]) -> int:
         """Sends a ping and returns its number."""
--- a/shedgrade/peer_transport/connection.py
+++ b/shedgrade/peer_transport/connection.py
@@ -145,7 +145,7 @@
 
     def complete_call(self, frame: Frame) -> None:
         """Passes a response to its call; drops it if the caller has given up."""
-        answer = self.pending_calls.pop(frame.number, None)
+        answer = self.pending_calls.pop(frame.call_number, None)
         if answer is not None and not answer.done():
             answer.set_result(frame.body)
 
--- a/shedgrade/peer_transport/frames.py
+++ b/shedgrade/peer_transport/frames.py
@@ -30,21 +30,21 @@
 
     Attributes:
         sender: link address of the sender, "ip:port".
-        number: number of the call that the frame makes or answers; 0 if it is one-way.
+        call_number: number of the call that the frame makes or answers; 0 if it is one-way.
         is_response: whether it answers a call.
         body: opaque bytes.
     """
 
-    __slots__ = ("sender", "number", "is_response", "body")
+    __slots__ = ("sender", "call_number", "is_response", "body")
 
-    def __init__(self, sender: str, number: int, is_response: bool, body: bytes) -> None:
+    def __init__(self, sender: str, call_number: int, is_response: bool, body: bytes) -> None:
         self.sender = sender
-        self.number = number
+        self.call_number = call_number
         self.is_response = is_response
         self.body = body
 
     def __repr__(self) -> str:
-        return f"Frame({self.sender!r}, {self.number}, {self.is_response}, {len(self.body)} bytes)"
+        return f"Frame({self.sender!r}, {self.call_number}, {self.is_response}, {len(self.body)} bytes)"
 
 
 def encode(sender: str, number: int, is_response: bool, body: bytes) -> bytes:
--- a/shedgrade/peer_transport/tcp.py
+++ b/shedgrade/peer_transport/tcp.py
@@ -31,7 +31,7 @@
 class PeerServer:
     """Accepts connections at `address`.
 
-    `on_frame` answers a call by `peer.send(body, frame.number, is_response=True)`.
+    `on_frame` answers a call by `peer.send(body, frame.call_number, is_response=True)`.
     """
 
     def __init__(
@@ -338,7 +338,7 @@
 
     def handle_frame(self, connection: PeerConnection, frame: Frame) -> None:
         """Passes on a frame that arrived on an own connection."""
-        if frame.number and self.on_call is not None:
+        if frame.call_number and self.on_call is not None:
             self.on_call(connection, frame)
         else:
             self.on_message(frame.sender, frame)
--- a/shedgrade/request_dispatch.py
+++ b/shedgrade/request_dispatch.py
@@ -224,7 +224,7 @@
             self.timer = self.timer_at = None
         if at != load_balancing.inf:
             self.timer_at = at
-            self.timer = self.loop.call_at(self.clock.on_monotonic(at), self.on_timer)
+            self.timer = self.loop.call_at(self.clock.to_monotonic(at), self.on_timer)
 
     def on_timer(self) -> None:
         """Handles the timer: measures its lag, and starts a pass."""
--- a/shedgrade/runtime/clock.py
+++ b/shedgrade/runtime/clock.py
@@ -18,6 +18,6 @@
         """Returns Unix time in tenths of a millisecond."""
         return (monotonic_ns() + self.offset_ns) // 100_000
 
-    def on_monotonic(self, at: float) -> float:
+    def to_monotonic(self, at: float) -> float:
         """Converts `at`, a time of `now`, to seconds of the monotonic clock, which is the event loop's."""
         return at / 10_000 - self.offset_ns / 1e9
--- a/shedgrade/runtime/log.py
+++ b/shedgrade/runtime/log.py
@@ -7,14 +7,16 @@
 from collections.abc import Callable
 from typing import Any, Protocol
 
-METHODS = ("debug", "info", "warning", "error", "exception")
+LOG_METHODS = ("debug", "info", "warning", "error", "exception")
 
 LogMethod = Callable[..., None]
 
 
 class Sink(Protocol):
-    """A receiver of log events. Each of METHODS is called as `info(event, *values, **fields)`; `exception` is
-    `error` with the exception that is being handled."""
+    """A receiver of log events. Each of LOG_METHODS is called as `info(event, *values, **fields)`.
+
+    `exception` is `error` with the exception that is being handled.
+    """
 
     debug: LogMethod
     info: LogMethod
@@ -32,13 +34,13 @@
     def set_sink(self, sink: Any | None) -> None:
         """Sets a `Sink`; None selects loguru again, from the next call on. Raises AttributeError if a method
         is missing, and keeps the previous sink then."""
-        methods = {} if sink is None else {name: getattr(sink, name) for name in METHODS}
+        methods = {} if sink is None else {name: getattr(sink, name) for name in LOG_METHODS}
         self.__dict__.clear()
         self.__dict__.update(methods)
 
     def __getattr__(self, name: str) -> LogMethod:
         """Selects loguru; called only while no sink is set."""
-        if name not in METHODS:
+        if name not in LOG_METHODS:
             raise AttributeError(name)
         from loguru import logger as loguru
 
--- a/shedgrade/runtime/log_ring.py
+++ b/shedgrade/runtime/log_ring.py
@@ -127,13 +127,13 @@
         *,
         size: int = DEFAULT_SIZE,
         clock: Callable[[], float] = time.time,
-        steady_clock: Callable[[], float] = time.monotonic,
+        monotonic_clock: Callable[[], float] = time.monotonic,
     ) -> None:
-        """`clock`: Unix time of events; `steady_clock`: monotonic time of writes. Both in seconds."""
+        """`clock`: Unix time of events; `monotonic_clock`: monotonic time of writes. Both in seconds."""
         self.name = name
         self.stream = stream
         self.clock = clock
-        self.steady_clock = steady_clock
+        self.monotonic_clock = monotonic_clock
         self.events: deque[LogEvent] = deque(maxlen=size)
         self.unwritten = 0
         self.omitted = 0
@@ -171,7 +171,7 @@
         }
         self.events.append(LogEvent(self.clock(), level, text, values, plain))
         self.is_urgent = self.is_urgent or level in URGENT_LEVELS
-        if self.is_urgent and self.steady_clock() >= self.next_write_at:
+        if self.is_urgent and self.monotonic_clock() >= self.next_write_at:
             self.write()
         raise structlog.DropEvent
 
@@ -182,7 +182,7 @@
 
     def write(self) -> None:
         """Writes the unwritten events now; only the newest of them if they exceed MAX_WRITE_BYTES."""
-        self.next_write_at = self.steady_clock() + WRITE_INTERVAL_S
+        self.next_write_at = self.monotonic_clock() + WRITE_INTERVAL_S
         self.is_urgent = False
         lines = self.take_lines()
         stream = self.stream or sys.stderr
--- a/shedgrade/runtime/stall_detection.py
+++ b/shedgrade/runtime/stall_detection.py
@@ -22,7 +22,7 @@
 SETTLING_S = 0.25  # after a late tick within which all data that arrived during the stall has been read
 
 
-def steady_clock(loop: asyncio.AbstractEventLoop) -> Callable[[], float]:
+def monotonic_clock(loop: asyncio.AbstractEventLoop) -> Callable[[], float]:
     """Returns a clock of the loop's time in seconds that reads the time at each call. `loop.time()` of uvloop
     doesn't: it returns the time at which the current iteration began."""
     return monotonic if isinstance(loop, uvloop.Loop) else loop.time
@@ -32,7 +32,7 @@
     """Detects stalls by a periodic timer, and bounds when data that is read now can have arrived.
 
     Attributes, times in seconds of `clock`:
-        clock: a clock of `steady_clock`.
+        clock: a clock of `monotonic_clock`.
         last_tick_at, previous_tick_at: times of the last two ticks; of the start, before there are two.
         before_stall_at: what `earliest_arrival` returns while the loop settles after a stall.
         settled_at: when the loop has settled after the last stall.
--- a/shedgrade/simulation/system/patched_modules.py
+++ b/shedgrade/simulation/system/patched_modules.py
@@ -156,7 +156,7 @@
         return int(running_loop().time() * 10_000)
 
     @staticmethod
-    def on_monotonic(at: float) -> float:
+    def to_monotonic(at: float) -> float:
         """Converts a time of this clock to seconds."""
         return at / 10_000
 
--- a/tests/controlplane/test_watch_hub.py
+++ b/tests/controlplane/test_watch_hub.py
@@ -258,7 +258,9 @@
 def test_an_invalid_state_leaves_the_last_one_in_force(broken):
     lines = []
     log.set_sink(
-        SimpleNamespace(**{name: lambda text, **fields: lines.append((text, fields)) for name in log.METHODS})
+        SimpleNamespace(
+            **{name: lambda text, **fields: lines.append((text, fields)) for name in log.LOG_METHODS}
+        )
     )
     try:
         hub = WatchHub(100.0)
--- a/tests/dataplane/ingress_rig.py
+++ b/tests/dataplane/ingress_rig.py
@@ -100,7 +100,7 @@
     def now(self):
         return self.at
 
-    def on_monotonic(self, at):
+    def to_monotonic(self, at):
         return self.loop.time() + 3600
 
     def advance(self, milliseconds, *pools):
--- a/tests/dataplane/stepped_rig.py
+++ b/tests/dataplane/stepped_rig.py
@@ -72,7 +72,7 @@
     def now(self):
         return self.at
 
-    def on_monotonic(self, at):
+    def to_monotonic(self, at):
         return at / 10_000
 
     def time(self):
--- a/tests/dataplane/test_draining.py
+++ b/tests/dataplane/test_draining.py
@@ -9,7 +9,7 @@
     ACCEPT_ALL_FIRST_S,
     ACCEPT_ALL_S,
     CANCEL_BEFORE_KILL_S,
-    COVER_VALID_S,
+    DRAIN_TARGET_VALID_S,
     EXIT_BEFORE_KILL_S,
     RESTART_S,
     Draining,
@@ -27,10 +27,10 @@
     state.check_invariants()
 
 
-@pytest.mark.parametrize("cover", [READY, NO_DRAIN_TARGET])
-def test_all_requests_are_accepted_at_first(draining, cover):
+@pytest.mark.parametrize("drain_target", [READY, NO_DRAIN_TARGET])
+def test_all_requests_are_accepted_at_first(draining, drain_target):
     """Clients keep addresses this long; a request that is cut off later counts as planned."""
-    draining.cover_received(SIGTERM + ACCEPT_ALL_S, cover)
+    draining.on_drain_target(SIGTERM + ACCEPT_ALL_S, drain_target)
     assert draining.accepts(SIGTERM + ACCEPT_ALL_S, inf, SIGTERM) and not draining.accepts(AFTER, inf, inf)
     assert not draining.may_exit(SIGTERM + ACCEPT_ALL_S) and draining.may_exit(AFTER)
     assert ACCEPT_ALL_S < 3.0
@@ -38,7 +38,7 @@
 
 def test_a_process_that_exits_before_others_of_its_region_drains_faster(draining):
     """It serves again while the others still take its clients."""
-    draining.cover_received(SIGTERM + ACCEPT_ALL_FIRST_S, LEAVING)
+    draining.on_drain_target(SIGTERM + ACCEPT_ALL_FIRST_S, LEAVING)
     assert not draining.may_exit(SIGTERM + ACCEPT_ALL_FIRST_S)
     assert draining.may_exit(SIGTERM + ACCEPT_ALL_FIRST_S + 0.01)
     assert not draining.accepts(SIGTERM + ACCEPT_ALL_FIRST_S + 0.01, inf, inf)
@@ -56,24 +56,24 @@
 
 def test_an_outdated_cover_is_ignored(draining):
     """The others may have been shut down as well, and the control plane may be unreachable."""
-    assert draining.covered_by(SIGTERM) == NO_DRAIN_TARGET
-    draining.cover_received(SIGTERM + 2.0, READY)
-    assert draining.covered_by(SIGTERM + 2.0 + COVER_VALID_S) == READY
-    assert draining.covered_by(SIGTERM + 2.01 + COVER_VALID_S) == NO_DRAIN_TARGET
+    assert draining.current_drain_target(SIGTERM) == NO_DRAIN_TARGET
+    draining.on_drain_target(SIGTERM + 2.0, READY)
+    assert draining.current_drain_target(SIGTERM + 2.0 + DRAIN_TARGET_VALID_S) == READY
+    assert draining.current_drain_target(SIGTERM + 2.01 + DRAIN_TARGET_VALID_S) == NO_DRAIN_TARGET
 
 
 def test_a_rejected_client_gets_the_time_when_an_edge_serves_again(draining):
     """That is when the requests in flight are answered and the machine's next process has started."""
-    draining.cover_received(AFTER, NO_DRAIN_TARGET)
+    draining.on_drain_target(AFTER, NO_DRAIN_TARGET)
     assert draining.retry_after_s(AFTER, AFTER + 2.0) == pytest.approx(2.0 + RESTART_S)
     assert draining.retry_after_s(AFTER, AFTER - 1.0) == pytest.approx(RESTART_S)
     latest = draining.cancel_at + RESTART_S
     assert draining.retry_after_s(AFTER, inf) == pytest.approx(latest - AFTER)
 
 
-@pytest.mark.parametrize("cover", [READY, LEAVING])
-def test_a_rejected_client_goes_elsewhere_at_once_where_others_serve(draining, cover):
-    draining.cover_received(AFTER, cover)
+@pytest.mark.parametrize("drain_target", [READY, LEAVING])
+def test_a_rejected_client_goes_elsewhere_at_once_where_others_serve(draining, drain_target):
+    draining.on_drain_target(AFTER, drain_target)
     assert draining.retry_after_s(AFTER, AFTER + 2.0) == 0.0
 
 
--- a/tests/dataplane/test_exchange.py
+++ b/tests/dataplane/test_exchange.py
@@ -4,7 +4,7 @@
 
 import pytest
 
-from shedgrade.dataplane.exchange import TICKS, Exchange
+from shedgrade.dataplane.exchange import TICKS_PER_SECOND, Exchange
 from shedgrade.in_flight import Request
 
 NOW = 1_000_000  # tenths of a ms
@@ -16,6 +16,6 @@
     times = SimpleNamespace(longest=lambda *arguments: calls.append(arguments) or longest_s)
     service = SimpleNamespace(clock=SimpleNamespace(now=lambda: NOW), times=times)
     request = Request(b"id", b"POST", b"/a/", [], b"")
-    exchange = Exchange(None, request, service, None, True, None, NOW + 4 * TICKS, (1460, 80))
-    assert exchange.may_last_until() == NOW + expected_s * TICKS
+    exchange = Exchange(None, request, service, None, True, None, NOW + 4 * TICKS_PER_SECOND, (1460, 80))
+    assert exchange.latest_response_at() == NOW + expected_s * TICKS_PER_SECOND
     assert calls == [(True, (1460, 80))]
--- a/tests/load_balancing/test_in_memory.py
+++ b/tests/load_balancing/test_in_memory.py
@@ -27,7 +27,7 @@
     def now(self):
         return self.time
 
-    def on_monotonic(self, at):
+    def to_monotonic(self, at):
         return at
 
     def call_soon(self, call):
--- a/tests/membership/test_gossip_socket.py
+++ b/tests/membership/test_gossip_socket.py
@@ -30,8 +30,10 @@
     return Node(name, host_port(free_address()), kind, "hall-1", 7, "127.0.0.1:7300", **node_fields)
 
 
-def make_gossip(me, *contacts):
-    return Gossip(asyncio.get_running_loop(), me, [contact.address for contact in contacts], Random(me.name))
+def make_gossip(own_node, *contacts):
+    return Gossip(
+        asyncio.get_running_loop(), own_node, [contact.address for contact in contacts], Random(own_node.name)
+    )
 
 
 async def wait_until(condition):
@@ -98,24 +100,26 @@
 
 def test_an_address_in_use_is_logged_and_the_process_goes_on(run_scenario):
     async def scenario():
-        me, logged_events = node("edge-1"), []
+        own_node, logged_events = node("edge-1"), []
         log.set_sink(
             SimpleNamespace(
-                **dict.fromkeys(log.METHODS, lambda event, **fields: logged_events.append((event, fields)))
+                **dict.fromkeys(
+                    log.LOG_METHODS, lambda event, **fields: logged_events.append((event, fields))
+                )
             )
         )
-        first, second = make_gossip(me), make_gossip(me)
+        first, second = make_gossip(own_node), make_gossip(own_node)
         try:
             await first.start()
             await second.start()
             second.announce_state("ready")
             [(event, fields)] = logged_events
             assert event == "gossip socket not opened"
-            assert fields["address"] == me.address
+            assert fields["address"] == own_node.address
             assert "in use" in fields["error"]
             second.close()
             first.close()
-            await wait_until(lambda: can_bind(me.address))
+            await wait_until(lambda: can_bind(own_node.address))
         finally:
             log.set_sink(None)
 
--- a/tests/membership/test_partial_view.py
+++ b/tests/membership/test_partial_view.py
@@ -58,11 +58,11 @@
         self.event_number += 1
         heapq.heappush(self.events, (at, self.event_number, *event))
 
-    def start(self, me):
-        view = self.views[me.address] = PartialView(me, Random(self.random.random()), self.now)
+    def start(self, own_node):
+        view = self.views[own_node.address] = PartialView(own_node, Random(self.random.random()), self.now)
         view.add_contacts(self.seeds)
-        self.wake_times.pop(me.address, None)
-        self.apply_instructions(me.address)
+        self.wake_times.pop(own_node.address, None)
+        self.apply_instructions(own_node.address)
 
     def kill(self, address):
         del self.views[address]
@@ -120,14 +120,14 @@
 
     def all_know_all(self):
         """Returns whether all views contain all members."""
-        all_names = {view.table.me.name for view in self.views.values()}
+        all_names = {view.table.own_node.name for view in self.views.values()}
         return all(self.names(address) == all_names for address in self.views)
 
     def addresses_knowing(self, name):
         return [address for address in self.views if name in self.names(address)]
 
     def in_degrees(self):
-        degrees = {view.table.me.name: 0 for view in self.views.values()}
+        degrees = {view.table.own_node.name: 0 for view in self.views.values()}
         for view in self.views.values():
             for each in view.nodes()[1:]:
                 if each.name in degrees:
@@ -419,7 +419,7 @@
         network = SimulatedNetwork(seed, 9)
         inject_faults(network, 60)
         assert network.run(8, network.all_know_all) is not None, seed
-        own_nodes = {view.table.me for view in network.views.values()}
+        own_nodes = {view.table.own_node for view in network.views.values()}
         network.run(10)
         assert all(set(view.nodes()) == own_nodes for view in network.views.values()), seed
 
--- a/tests/peer_transport/test_connections.py
+++ b/tests/peer_transport/test_connections.py
@@ -33,9 +33,9 @@
         self.received.put_nowait((sender, frame.body))
 
     def on_server_frame(self, peer, frame):
-        if frame.number:
+        if frame.call_number:
             if frame.body != b"mute":
-                peer.send(b"echo " + frame.body, frame.number, is_response=True)
+                peer.send(b"echo " + frame.body, frame.call_number, is_response=True)
         else:
             self.received.put_nowait((frame.sender, frame.body))
 
--- a/tests/peer_transport/test_frames.py
+++ b/tests/peer_transport/test_frames.py
@@ -13,7 +13,7 @@
 
 
 def frame_fields(frame):
-    return frame.sender, frame.number, frame.is_response, frame.body
+    return frame.sender, frame.call_number, frame.is_response, frame.body
 
 
 @given(st.lists(FRAME, max_size=6), st.lists(st.integers(1, 97), min_size=1))
--- a/tests/process_settings/test_settings_reloader.py
+++ b/tests/process_settings/test_settings_reloader.py
@@ -27,7 +27,7 @@
     def sink(level):
         return lambda event, **fields: logged.append((level, event, fields))
 
-    log.set_sink(SimpleNamespace(**{level: sink(level) for level in log.METHODS}))
+    log.set_sink(SimpleNamespace(**{level: sink(level) for level in log.LOG_METHODS}))
     yield logged
     log.set_sink(None)
 
--- a/tests/runtime/test_log_ring.py
+++ b/tests/runtime/test_log_ring.py
@@ -31,7 +31,7 @@
 @pytest.fixture
 def ring(clock):
     return LogRingBuffer(
-        "edge-1", io.StringIO(), size=8, clock=lambda: 1000.0 + clock.now, steady_clock=clock
+        "edge-1", io.StringIO(), size=8, clock=lambda: 1000.0 + clock.now, monotonic_clock=clock
     )
 
 
@@ -129,7 +129,7 @@
 
 
 def test_the_size_of_one_write_is_bounded(clock):
-    ring = LogRingBuffer("edge-of-the-far-north-1" * 4, io.StringIO(), steady_clock=clock)
+    ring = LogRingBuffer("edge-of-the-far-north-1" * 4, io.StringIO(), monotonic_clock=clock)
     for number in range(500):
         ring.info("{} {}", number, "x" * 190)
     ring.warning("end")
@@ -200,7 +200,7 @@
 )
 def test_any_events_are_written_as_json_and_each_at_most_once(events):
     clock = FakeClock()
-    ring = LogRingBuffer("p", io.StringIO(), size=5, steady_clock=clock)
+    ring = LogRingBuffer("p", io.StringIO(), size=5, monotonic_clock=clock)
     for level, text, values, fields, delay in events:
         clock.now += delay
         getattr(ring, level)(text, *values, **fields)
--- a/tests/simulation/test_edge_ends.py
+++ b/tests/simulation/test_edge_ends.py
@@ -3,7 +3,7 @@
 import pytest
 
 from shedgrade.control_messages import CLOSED, SHUTDOWN_STAGES
-from shedgrade.dataplane.exchange import TICKS
+from shedgrade.dataplane.exchange import TICKS_PER_SECOND
 from shedgrade.simulation.system.caller import ResponseReader
 from shedgrade.simulation.system.script import Script
 from shedgrade.simulation.system.simulated_system import FRONT
@@ -88,8 +88,8 @@
 
 def test_an_edge_knows_until_when_its_requests_in_flight_may_last():
     class LastingRequest:
-        def may_last_until(self):
-            return program.clock.now() + 2 * TICKS
+        def latest_response_at(self):
+            return program.clock.now() + 2 * TICKS_PER_SECOND
 
     script = Script(seed=2, edges=4)
     script.until_ready()
