--- a/benchmarks/capture.py
+++ b/benchmarks/capture.py
@@ -61,8 +61,8 @@
         (name, msgspec.structs.replace(base, sidecars=msgspec.structs.replace(base.sidecars, capture=name)))
         for name in ("off", "ring", "files")
     ]
-    found = experiments.series(variants, rounds, place, lanes, lambda line: print(line, file=sys.stderr))
-    print("\n".join(experiments.table(found)))
+    found = experiments.run_rounds(variants, rounds, place, lanes, lambda line: print(line, file=sys.stderr))
+    print("\n".join(experiments.comparison_table(found)))
 
 
 def drive(balancer, rpcs: int, upstreams: int) -> float:
--- a/benchmarks/choice.py
+++ b/benchmarks/choice.py
@@ -24,7 +24,7 @@
 from shedgrade import load_balancing
 from shedgrade.engines.engine import Engine
 from shedgrade.engines.settings import EngineSettings
-from shedgrade.engines.work import Done, Event, Late, Rejected, Work
+from shedgrade.engines.work import DeadlineExceeded, Done, Event, Rejected, Work
 from shedgrade.model_routing.balancer import ServingBalancer
 from shedgrade.model_routing.request import IDEMPOTENT, ONCE, RoutingConstraints
 from shedgrade.model_routing.retry_budget import RetryBudget
@@ -325,7 +325,7 @@
                 case Done():
                     del self.tries[index][effect.number]
                     self.finish(now, one, True)
-                case Late() | Rejected():
+                case DeadlineExceeded() | Rejected():
                     del self.tries[index][effect.number]
                     self.counts["rejected"] += isinstance(effect, Rejected)
                     self.finish(now, one, False)
--- a/benchmarks/quotas.py
+++ b/benchmarks/quotas.py
@@ -65,7 +65,7 @@
         "| refused after, p99 ms | breaches |",
         "|" + " --- |" * 10,
     ]
-    found = experiments.series(variants(), 1, place, lanes, lambda line: print(line, file=sys.stderr))
+    found = experiments.run_rounds(variants(), 1, place, lanes, lambda line: print(line, file=sys.stderr))
     for name, runs in found.items():
         if runs[0] is None:
             rows.append(f"| {name} | no result |" + " |" * 8)
--- a/benchmarks/saved.py
+++ b/benchmarks/saved.py
@@ -398,7 +398,7 @@
                     f"sidecars.saved.cold={str(age > 5).lower()}",
                 ]
                 variants.append((f"{trust}, {age} s, {stale:.0%} stale", load(path, [*base, *sets])))
-    found = experiments.series(variants, rounds, out, lanes, lambda line: print(line, file=sys.stderr))
+    found = experiments.run_rounds(variants, rounds, out, lanes, lambda line: print(line, file=sys.stderr))
     rows = [
         "| start | service | of discovery up | p99 ms | max ms | errored | fell over | breaches |",
         "|" + " --- |" * 8,
--- a/shedgrade/cli/lab.py
+++ b/shedgrade/cli/lab.py
@@ -126,9 +126,9 @@
         (checkout_a, checkout_b),
     )
     folder = results.new_folder(out, "compare")
-    summaries = experiments.series(both, rounds, folder, lanes, log_line)
-    print("\n".join(experiments.table(summaries)))
-    (folder / "compare.md").write_text("\n".join(experiments.table(summaries)) + "\n")
+    summaries = experiments.run_rounds(both, rounds, folder, lanes, log_line)
+    print("\n".join(experiments.comparison_table(summaries)))
+    (folder / "compare.md").write_text("\n".join(experiments.comparison_table(summaries)) + "\n")
 
 
 @app.command()
@@ -151,9 +151,9 @@
         for policy in ("shedgrade", "random", "rotation", "least")
     ]
     folder = results.new_folder(out, f"baselines-{loaded.name}")
-    summaries = experiments.series(policies, rounds, folder, lanes, log_line)
-    print(f"## {loaded.name}\n\n" + "\n".join(experiments.table(summaries)))
-    (folder / "baselines.md").write_text("\n".join(experiments.table(summaries)) + "\n")
+    summaries = experiments.run_rounds(policies, rounds, folder, lanes, log_line)
+    print(f"## {loaded.name}\n\n" + "\n".join(experiments.comparison_table(summaries)))
+    (folder / "baselines.md").write_text("\n".join(experiments.comparison_table(summaries)) + "\n")
 
 
 @app.command()
@@ -173,7 +173,7 @@
     given = [value.strip() for value in values.split(",")]
     runs = [(f"{param}={value}", read(scenario, [*(sets or []), f"{param}={value}"])) for value in given]
     folder = results.new_folder(out, f"sweep-{runs[0][1].name}")
-    summaries = experiments.series(runs, rounds, folder, lanes, log_line)
+    summaries = experiments.run_rounds(runs, rounds, folder, lanes, log_line)
     rows = [
         f"| {param} | RPCs/s | service | p50 ms | p99 ms | max ms | CPU us/RPC | CPU share | peak MB "
         "| breaches |",
@@ -226,7 +226,7 @@
     start_log("WARNING", log_format)
     loaded = [read(path, sets) for path in scenarios]
     folder = results.new_folder(out, "suite")
-    summaries = experiments.series(
+    summaries = experiments.run_rounds(
         [(scenario.name, scenario) for scenario in loaded], 1, folder, lanes, log_line
     )
     print("| scenario | RPCs | service | p50 ms | p99 ms | max ms | transmissions | fell over | breaches |")
--- a/shedgrade/engines/__init__.py
+++ b/shedgrade/engines/__init__.py
@@ -8,12 +8,22 @@
 from shedgrade.engines.settings import EngineSettings
 from shedgrade.engines.work import (
     Crashed,
+    DeadlineExceeded,
     Done,
     Event,
-    Late,
     Rejected,
     Started,
     Work,
 )
 
-__all__ = ["Crashed", "Done", "Engine", "EngineSettings", "Event", "Late", "Rejected", "Started", "Work"]
+__all__ = [
+    "Crashed",
+    "Done",
+    "Engine",
+    "EngineSettings",
+    "DeadlineExceeded",
+    "Event",
+    "Rejected",
+    "Started",
+    "Work",
+]
--- a/shedgrade/engines/content.py
+++ b/shedgrade/engines/content.py
@@ -13,7 +13,7 @@
     return blake2s(b"%b %b\n%b" % (method, target, body), digest_size=16).digest()
 
 
-def mark(request_digest: bytes, event_id: int) -> str:
+def event_text(request_digest: bytes, event_id: int) -> str:
     """The text in event `event_id` of the response to the request with this digest."""
     return blake2s(b"%b %d" % (request_digest, event_id), digest_size=6).hexdigest()
 
@@ -23,14 +23,14 @@
     version_line = b"" if version is None else b"versions: %d\n" % version
     return version_line + b"id: %d\ndata: %s x%d\n\n" % (
         event_id,
-        mark(request_digest, event_id).encode(),
+        event_text(request_digest, event_id).encode(),
         tokens,
     )
 
 
 def body(request_digest: bytes, size: int) -> bytes:
     """The body of a response that is not streamed: `size` bytes."""
-    text = mark(request_digest, 0).encode()
+    text = event_text(request_digest, 0).encode()
     return (text * (size // len(text) + 1))[:size]
 
 
--- a/shedgrade/engines/engine.py
+++ b/shedgrade/engines/engine.py
@@ -13,10 +13,10 @@
 from shedgrade.engines.work import (
     LOWEST_PRIORITY,
     Crashed,
+    DeadlineExceeded,
     Done,
     Event,
     Job,
-    Late,
     Rejected,
     Started,
     Work,
@@ -154,7 +154,7 @@
         job = self.jobs.get(number)
         if job is not None:
             self.remove(job)
-            self.effects.append(Late(number) if job.started else Rejected(number, "deadline"))
+            self.effects.append(DeadlineExceeded(number) if job.started else Rejected(number, "deadline"))
 
     # --- slots
 
--- a/shedgrade/engines/server.py
+++ b/shedgrade/engines/server.py
@@ -11,9 +11,9 @@
 from shedgrade.engines.records import Run
 from shedgrade.engines.work import (
     Crashed,
+    DeadlineExceeded,
     Done,
     Event,
-    Late,
     Rejected,
     Started,
 )
@@ -183,7 +183,7 @@
         connection = self.in_flight.get(effect.number)
         if connection is None or self.is_unresponsive:
             return
-        if isinstance(effect, (Done, Rejected, Late)):
+        if isinstance(effect, (Done, Rejected, DeadlineExceeded)):
             del self.in_flight[effect.number]
         match effect:
             case Started():
@@ -194,7 +194,7 @@
                 connection.on_done()
             case Rejected(_, reason):
                 connection.reject(503, reason)
-            case Late():
+            case DeadlineExceeded():
                 connection.on_late()
 
 
--- a/shedgrade/engines/work.py
+++ b/shedgrade/engines/work.py
@@ -104,7 +104,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Late:
+class DeadlineExceeded:
     """The deadline passed while the request ran."""
 
     number: int
--- a/shedgrade/lab/capacity.py
+++ b/shedgrade/lab/capacity.py
@@ -1,9 +1,9 @@
 """Models the capacity of a stand-in upstream, without I/O; real and simulated time use the same model.
 
 All RPCs that run on one upstream progress at the same rate. A single work clock, advanced exactly through the
-rising capacity of a cold start, therefore gives the end of each RPC. Inputs: `take`, `cancel`, `speed_now`
-and `draining`. Outputs: `ends`, `next_end` and `fell`. Times are in seconds on any one clock; work is in
-milliseconds on a core of speed 1. The model draws no random numbers.
+rising capacity of a cold start, therefore gives the end of each RPC. Inputs: `take`, `cancel`,
+`set_machine_share` and `draining`. Outputs: `ends`, `next_end` and `fell`. Times are in seconds on any one
+clock; work is in milliseconds on a core of speed 1. The model draws no random numbers.
 """
 
 from collections import deque
@@ -190,7 +190,7 @@
         self.start_queued()
         return True
 
-    def speed_now(self, now: float, factor: float) -> None:
+    def set_machine_share(self, now: float, factor: float) -> None:
         """Sets the share of the machine that a noisy neighbour leaves from `now` on."""
         self.advance(now)
         self.factor = factor
--- a/shedgrade/lab/experiments.py
+++ b/shedgrade/lab/experiments.py
@@ -66,7 +66,7 @@
     ]
 
 
-def series(
+def run_rounds(
     variants: list[tuple[str, Scenario]],
     rounds: int,
     folder: Path,
@@ -126,7 +126,7 @@
     ]
 
 
-def table(summaries: dict[str, list[dict | None]]) -> list[str]:
+def comparison_table(summaries: dict[str, list[dict | None]]) -> list[str]:
     """Returns a Markdown table: each variant's mean, and its difference to the first with an interval."""
     labels = list(summaries)
     rows = [
--- a/shedgrade/lab/system/judge.py
+++ b/shedgrade/lab/system/judge.py
@@ -82,7 +82,7 @@
         if number != expected:
             yield Breach("ORDER", f"{name}: event {number} where {expected} was due")
             return
-        if mark != content.mark(client_try.digest, number):
+        if mark != content.event_text(client_try.digest, number):
             yield Breach("MIXED", f"{name}: event {number} is not this request's")
             return
         expected += 1
--- a/shedgrade/lab/upstreams.py
+++ b/shedgrade/lab/upstreams.py
@@ -383,7 +383,7 @@
         now = self.now()
         self.complete_finished(now)
         self.hanging = on
-        self.capacity.speed_now(now, 0.0 if on else 1.0)
+        self.capacity.set_machine_share(now, 0.0 if on else 1.0)
         self.set_timer()
 
     def refuse(self, on: bool) -> None:
@@ -399,7 +399,7 @@
 
     def set_speed(self, factor: float) -> None:
         self.complete_finished(self.now())
-        self.capacity.speed_now(self.now(), factor)
+        self.capacity.set_machine_share(self.now(), factor)
         self.set_timer()
 
     def reset(self) -> None:
--- a/shedgrade/simulation/catch_up.py
+++ b/shedgrade/simulation/catch_up.py
@@ -104,8 +104,8 @@
             clock,
             random,
             deliver,
-            between_s=case.delay,
-            within_s=case.delay,
+            inter_region_delay_s=case.delay,
+            intra_region_delay_s=case.delay,
             held_share=0.0,
             loss=case.loss,
         )
--- a/shedgrade/simulation/cluster.py
+++ b/shedgrade/simulation/cluster.py
@@ -103,13 +103,13 @@
     def draw_network(self) -> Network:
         """Draws the delays and bandwidth of the links; in some storms they lose and duplicate messages."""
         draw = self.random
-        between_s = draw.choice((0.0005, 0.02, 0.035, 0.055))
+        inter_region_delay_s = draw.choice((0.0005, 0.02, 0.035, 0.055))
         lossy = draw.random() < (0.6 if self.profile == "storm" else 0.0)
         return Network(
             self.clock,
             draw,
             self.deliver,
-            between_s=between_s,
+            inter_region_delay_s=inter_region_delay_s,
             loss=draw.choice((0.01, 0.05, 0.15)) if lossy else 0.0,
             duplication=0.05 if lossy else 0.0,
             jitter=draw.choice((0.02, 0.1, 0.5)),
--- a/shedgrade/simulation/disk.py
+++ b/shedgrade/simulation/disk.py
@@ -12,7 +12,7 @@
 
 Change = tuple[int, bytes | None]  # a write (offset, data), or a change of length (new length, None)
 SectorWrite = tuple[int, bytes]  # (offset, data)
-SECTOR = 512  # bytes; a torn write keeps or loses each sector as a whole
+SECTOR_BYTES = 512  # bytes; a torn write keeps or loses each sector as a whole
 
 
 class SimulatedFile:
@@ -240,7 +240,7 @@
     sectors: list[SectorWrite] = []
     start = 0
     while start < len(data):
-        end = min(len(data), start + SECTOR - (offset + start) % SECTOR)
+        end = min(len(data), start + SECTOR_BYTES - (offset + start) % SECTOR_BYTES)
         sectors.append((offset + start, data[start:end]))
         start = end
     return sectors
--- a/shedgrade/simulation/network.py
+++ b/shedgrade/simulation/network.py
@@ -31,8 +31,8 @@
     an open connection that retransmits would do.
 
     Attributes:
-        between_s: one-way delay between regions, seconds.
-        within_s: one-way delay within a region, seconds.
+        inter_region_delay_s: one-way delay between regions, seconds.
+        intra_region_delay_s: one-way delay within a region, seconds.
         jitter: maximum share of the delay that is added at random.
         loss: probability that a message is lost.
         duplication: probability that a message arrives twice.
@@ -53,8 +53,8 @@
         random: Random,
         deliver: Deliver,
         *,
-        between_s: float,
-        within_s: float = 0.001,
+        inter_region_delay_s: float,
+        intra_region_delay_s: float = 0.001,
         loss: float = 0.0,
         duplication: float = 0.0,
         jitter: float = 0.1,
@@ -64,8 +64,8 @@
         self.clock = clock
         self.random = random
         self.deliver = deliver
-        self.between_s = between_s
-        self.within_s = within_s
+        self.inter_region_delay_s = inter_region_delay_s
+        self.intra_region_delay_s = intra_region_delay_s
         self.loss = loss
         self.duplication = duplication
         self.jitter = jitter
@@ -124,7 +124,7 @@
         """Returns when a message sent now arrives. Bulk data occupies the link and delays later messages."""
         link = sender, receiver
         same_region = self.region.get(sender) == self.region.get(receiver)
-        delay = self.within_s if same_region else self.between_s
+        delay = self.intra_region_delay_s if same_region else self.inter_region_delay_s
         delay *= 1 + self.jitter * self.random.random()
         delay += self.extra_delay_s.get(sender, 0.0) + self.extra_delay_s.get(receiver, 0.0) + HOST_DELAY_S
         payload = payload_bytes(message) if self.bandwidth else 0
--- a/shedgrade/simulation/replica_outages.py
+++ b/shedgrade/simulation/replica_outages.py
@@ -256,7 +256,7 @@
             self.clock,
             self.random,
             self.deliver,
-            between_s=delay,
+            inter_region_delay_s=delay,
             bandwidth=self.random.choice((0.0, 625_000.0)),
         )
         self.machines = [
--- a/shedgrade/simulation/system/caller.py
+++ b/shedgrade/simulation/system/caller.py
@@ -137,7 +137,7 @@
         members: returns the core members in the operator's list.
         port: port of the members' HTTP interface.
         random: source of the random choices.
-        answers_lost: probability that a response is lost.
+        response_loss: probability that a response is lost.
         timeout_s: time without received data after which an attempt fails, seconds.
     """
 
@@ -148,7 +148,7 @@
         members: Callable[[], list[MemberAddress]],
         port: int,
         random: Random,
-        answers_lost: float = 0.0,
+        response_loss: float = 0.0,
         timeout_s: float = ATTEMPT_TIMEOUT_S,
     ) -> None:
         self.loop = loop
@@ -156,7 +156,7 @@
         self.members = members
         self.port = port
         self.random = random
-        self.answers_lost = answers_lost
+        self.response_loss = response_loss
         self.timeout_s = timeout_s
 
     async def call(
@@ -224,7 +224,7 @@
                 reader.on_data = lambda: deadline.reschedule(self.loop.time() + self.timeout_s)
                 transport.write(request.encoded(ip))
                 response: Response = await reader.answer
-                if self.random.random() < self.answers_lost:
+                if self.random.random() < self.response_loss:
                     attempt.failure = "answer lost"
                     if self.random.random() < 0.5:
                         await self.loop.create_future()  # never done, so the attempt times out
--- a/shedgrade/simulation/system/network.py
+++ b/shedgrade/simulation/system/network.py
@@ -35,8 +35,8 @@
     Attributes:
         time: the virtual clock.
         random: source of the random choices.
-        between_s: one-way delay between two regions, seconds.
-        within_s: one-way delay within a region, seconds.
+        inter_region_delay_s: one-way delay between two regions, seconds.
+        intra_region_delay_s: one-way delay within a region, seconds.
         jitter: greatest share of the delay that is added at random.
         datagram_loss: probability that a datagram is lost.
         window: bytes that may be unread or in flight in one direction of a connection.
@@ -56,16 +56,16 @@
         time: VirtualTime,
         random: Random,
         *,
-        between_s: float,
-        within_s: float = 0.0003,
+        inter_region_delay_s: float,
+        intra_region_delay_s: float = 0.0003,
         jitter: float = 0.1,
         datagram_loss: float = 0.02,
         window: int = 128 * 1024,
     ) -> None:
         self.time = time
         self.random = random
-        self.between_s = between_s
-        self.within_s = within_s
+        self.inter_region_delay_s = inter_region_delay_s
+        self.intra_region_delay_s = intra_region_delay_s
         self.jitter = jitter
         self.datagram_loss = datagram_loss
         self.window = window
@@ -97,7 +97,7 @@
 
     def delay(self, sender: Host, receiver: Host, random: Random) -> float:
         """Returns the one-way delay of a packet, in seconds."""
-        delay = self.within_s if sender.region == receiver.region else self.between_s
+        delay = self.intra_region_delay_s if sender.region == receiver.region else self.inter_region_delay_s
         jitter = 1 + self.jitter * random.random()
         return delay * jitter + sender.extra_delay_s + receiver.extra_delay_s + PACKET_DELAY_S
 
--- a/shedgrade/simulation/system/simulated_system.py
+++ b/shedgrade/simulation/system/simulated_system.py
@@ -63,7 +63,7 @@
         disk_latency: mean time of a disk write.
         padding: bytes added to each configuration.
         pace: mean pause of an operator between two operations.
-        answers_lost: probability that the answer to an operator's request is lost.
+        response_loss: probability that the answer to an operator's request is lost.
         datagram_loss: probability that a datagram is lost.
         delayed: share of the replication messages that are delivered a second time, seconds later.
         attempt_timeout: time without an answer after which an operator retries.
@@ -84,7 +84,7 @@
     disk_latency: float = 0.005
     padding: int = 0
     pace: float = 0.4
-    answers_lost: float = 0.0
+    response_loss: float = 0.0
     delayed: float = 0.0
     attempt_timeout: float = ATTEMPT_TIMEOUT_S
     datagram_loss: float = 0.02
@@ -141,7 +141,7 @@
         self.network = Network(
             self.time,
             Random(self.random.getrandbits(64)),
-            between_s=parameters.between,
+            inter_region_delay_s=parameters.between,
             jitter=parameters.jitter,
             window=parameters.window,
             datagram_loss=parameters.datagram_loss,
@@ -280,7 +280,7 @@
         loop = new_process_loop(self.time, self.network, host)
         random = Random(self.random.getrandbits(64))
         caller = Caller(
-            loop, name, self.members, CONTROL, random, parameters.answers_lost, parameters.attempt_timeout
+            loop, name, self.members, CONTROL, random, parameters.response_loss, parameters.attempt_timeout
         )
         zones = tuple(list(self.zones)[number :: parameters.operators])
         return Operator(
--- a/shedgrade/simulation/system/simulation_run.py
+++ b/shedgrade/simulation/system/simulation_run.py
@@ -47,7 +47,7 @@
             window=window * KILOBYTE,
             disk_latency=random.choice((0.001, 0.005, 0.02)),
             pace=random.choice((0.1, 0.4, 1.0)) if padding < 100 * KILOBYTE else 2.0,
-            answers_lost=random.choice((0.0, 0.0, 0.1, 0.4, 0.7)),
+            response_loss=random.choice((0.0, 0.0, 0.1, 0.4, 0.7)),
             datagram_loss=random.choice((0.0, 0.02, 0.2)),
         ),
         **profile_parameters,
@@ -89,7 +89,7 @@
             self.schedule.end()
             system.run(length + RECOVERY_S)
             for operator in system.operators:
-                operator.stopped, operator.caller.answers_lost = True, 0.0
+                operator.stopped, operator.caller.response_loss = True, 0.0
             for client in system.clients:
                 client.stopped = True
             until = length + RECOVERY_S + LAST_OPERATIONS_S
@@ -105,5 +105,5 @@
         """Whether times are checked: not in storms, nor if answers are lost or changes are too large."""
         parameters = self.parameters
         return (
-            self.profile != "storm" and not parameters.answers_lost and parameters.padding <= 100 * KILOBYTE
+            self.profile != "storm" and not parameters.response_loss and parameters.padding <= 100 * KILOBYTE
         )
--- a/tests/engines/test_engine_core.py
+++ b/tests/engines/test_engine_core.py
@@ -7,11 +7,11 @@
 
 from shedgrade.engines import (
     Crashed,
+    DeadlineExceeded,
     Done,
     Engine,
     EngineSettings,
     Event,
-    Late,
     Rejected,
     Started,
     Work,
@@ -128,7 +128,7 @@
     engine = Engine(SMALL, 0.0)
     number = engine.submit(0.0, Work(prompt=1, out=400, deadline=0.5))
     timeline = run_engine(engine)
-    assert effects_of(timeline, number, Started) and time_of(timeline, Late(number)) == 0.5
+    assert effects_of(timeline, number, Started) and time_of(timeline, DeadlineExceeded(number)) == 0.5
     assert engine.memory.used == 0 and not engine.running
 
 
@@ -349,7 +349,7 @@
     effects += [effect for _, effect in run_engine(engine)]
     for number in range(1, len(requests) + 1):
         own_effects = [effect for effect in effects if effect.number == number]
-        ends = [effect for effect in own_effects if isinstance(effect, (Done, Rejected, Late))]
+        ends = [effect for effect in own_effects if isinstance(effect, (Done, Rejected, DeadlineExceeded))]
         assert len(ends) == (number not in cancelled)
         ids = [effect.id for effect in own_effects if isinstance(effect, Event)]
         assert ids == list(range(1, len(ids) + 1))
--- a/tests/lab/test_capacity.py
+++ b/tests/lab/test_capacity.py
@@ -56,9 +56,9 @@
         upstream.take(0.0, key, 10.0)
     # One core holds four RPCs, two more than `crowd_at`, which halves the pace.
     assert upstream.next_end() == pytest.approx(0.020)
-    upstream.speed_now(0.005, 0.0)
+    upstream.set_machine_share(0.005, 0.0)
     assert upstream.next_end() == inf and upstream.ends(9.0) == []
-    upstream.speed_now(9.0, 1.0)
+    upstream.set_machine_share(9.0, 1.0)
     assert upstream.next_end() == pytest.approx(9.015)
 
 
--- a/tests/lab/test_run.py
+++ b/tests/lab/test_run.py
@@ -332,8 +332,8 @@
 
 def test_two_variants_are_interleaved_and_compared_in_pairs(tmp_path):
     one, other = tree(length_s=1.5), tree(length_s=1.5, sidecars={"count": 2, "policy": "least"})
-    found = experiments.series([("A", one), ("B", other)], 2, tmp_path, lanes=2)
-    rows = experiments.table(found)
+    found = experiments.run_rounds([("A", one), ("B", other)], 2, tmp_path, lanes=2)
+    rows = experiments.comparison_table(found)
     assert "Runs counted: A 2, B 2." in rows[-1] and rows[2].startswith("| service | 1 | 1 |")
 
 
--- a/tests/lab_system/test_system_judge.py
+++ b/tests/lab_system/test_system_judge.py
@@ -47,7 +47,8 @@
     client_try.seal = content.seal(KEY, "i-1", client_try.attempt, client_try.digest)
     if request_kind.streams:
         client_try.events = [
-            (event, content.mark(client_try.digest, event), at) for event in range(1, request_kind.events + 1)
+            (event, content.event_text(client_try.digest, event), at)
+            for event in range(1, request_kind.events + 1)
         ]
     else:
         client_try.body = content.body(client_try.digest, request_kind.answer_bytes)
--- a/tests/replication/test_disk_trouble.py
+++ b/tests/replication/test_disk_trouble.py
@@ -24,7 +24,7 @@
     def __init__(self, seed: int, kind: str, write_number: int, second: bool):
         super().__init__(seed, 1, machine_class=CountingMachine, length=14.0)
         self.pace, self.padding = 0.1, 100
-        self.network.between_s, self.network.bandwidth = 0.02, 0.0
+        self.network.inter_region_delay_s, self.network.bandwidth = 0.02, 0.0
         self.kind, self.write_number, self.skip = kind, write_number, second
         self.fault_began_at: float | None = None
         self.acknowledged_at: list[float] = []
--- a/tests/simulation/test_control_faults.py
+++ b/tests/simulation/test_control_faults.py
@@ -17,7 +17,7 @@
     for machine in cluster.machines:
         machine.sync_s = machine.usual_sync_s = 0.005
     network = cluster.network
-    network.between_s, network.jitter, network.bandwidth = between, 0.1, 0.0
+    network.inter_region_delay_s, network.jitter, network.bandwidth = between, 0.1, 0.0
     cluster.max_pause_s, cluster.padding, cluster.decide = max_pause_s, 0, register.decide
     return cluster
 
--- a/tests/simulation/test_system_faults.py
+++ b/tests/simulation/test_system_faults.py
@@ -7,7 +7,7 @@
 from shedgrade.controlplane.watch_hub import WatchHub
 from shedgrade.simulation.system.findings import FindingKind
 
-MANY_COMMANDS = {"operators": 3, "zones": 9, "at_once": 4, "pace": 0.1, "answers_lost": 0.0}
+MANY_COMMANDS = {"operators": 3, "zones": 9, "at_once": 4, "pace": 0.1, "response_loss": 0.0}
 INJECTED_FAULTS = [
     Case(injected.forgets_accepted_changes, FindingKind.ACCEPTED_AND_REFUSED, "fair", 3),
     Case(injected.reads_without_confirmation, FindingKind.STALE_READ, "fair", 3),
--- a/tests/storage/test_crash_points.py
+++ b/tests/storage/test_crash_points.py
@@ -9,7 +9,7 @@
 
 from shedgrade.simulation.crash_enumeration import CrashEnumeration
 from shedgrade.simulation.crash_points import CrashImage, FileImage, survivors
-from shedgrade.simulation.disk import SECTOR
+from shedgrade.simulation.disk import SECTOR_BYTES
 from shedgrade.storage import Store, recovery, store
 
 
@@ -111,6 +111,11 @@
     assert {each["a"] for each in contents(a=unsynced)} == {b"ab", b"Xb", b"ab\0", b"Xb\0"}
     new = FileImage(b"", (), False)
     assert len(contents(a=new, b=new)) == 4
-    long = FileImage(b"", ((0, b"1" * 3 * SECTOR),), True)
+    long = FileImage(b"", ((0, b"1" * 3 * SECTOR_BYTES),), True)
     found = {each["a"] for each in contents(a=long)}
-    assert {b"", b"1" * 3 * SECTOR, b"1" * SECTOR, b"1" * SECTOR + bytes(SECTOR) + b"1" * SECTOR} <= found
+    assert {
+        b"",
+        b"1" * 3 * SECTOR_BYTES,
+        b"1" * SECTOR_BYTES,
+        b"1" * SECTOR_BYTES + bytes(SECTOR_BYTES) + b"1" * SECTOR_BYTES,
+    } <= found
--- a/tests/storage/test_simulated_disk.py
+++ b/tests/storage/test_simulated_disk.py
@@ -5,7 +5,7 @@
 
 import pytest
 
-from shedgrade.simulation.disk import SECTOR, SimulatedDisk
+from shedgrade.simulation.disk import SECTOR_BYTES, SimulatedDisk
 
 
 def after_loss(prepare, name, seeds=300):
@@ -60,14 +60,20 @@
 
 def test_a_torn_write_loses_sectors_or_its_end():
     def prepare(files):
-        files.write("x", 0, bytes(2 * SECTOR))
+        files.write("x", 0, bytes(2 * SECTOR_BYTES))
         files.sync("x")
         files.sync_folder()
-        files.write("x", 0, b"1" * 2 * SECTOR)
+        files.write("x", 0, b"1" * 2 * SECTOR_BYTES)
 
     found = after_loss(prepare, "x")
-    assert {bytes(2 * SECTOR), b"1" * 2 * SECTOR, bytes(SECTOR) + b"1" * SECTOR} <= found
-    assert any(content.rstrip(b"\0") not in (b"", b"1" * SECTOR, b"1" * 2 * SECTOR) for content in found)
+    assert {
+        bytes(2 * SECTOR_BYTES),
+        b"1" * 2 * SECTOR_BYTES,
+        bytes(SECTOR_BYTES) + b"1" * SECTOR_BYTES,
+    } <= found
+    assert any(
+        content.rstrip(b"\0") not in (b"", b"1" * SECTOR_BYTES, b"1" * 2 * SECTOR_BYTES) for content in found
+    )
 
 
 def test_a_full_disk_refuses_each_write_and_keeps_what_it_has():
