--- a/shedgrade/controlplane/directory.py
+++ b/shedgrade/controlplane/directory.py
@@ -56,7 +56,7 @@
         self,
         request: Request,
         edges: Iterable[EdgeRecord],
-        stranded: Container[str] = frozenset(),
+        unservable_hosts: Container[str] = frozenset(),
         homes: Callable[[str], Regions] = lambda host: ANYWHERE,
     ) -> Reply:
         """Returns the response to a request.
@@ -64,13 +64,13 @@
         Args:
             request: the HTTP request.
             edges: edges that were heard from lately and are not closed.
-            stranded: hosts, in lower case, that these edges can't serve while they are cut off.
+            unservable_hosts: hosts, in lower case, that these edges can't serve while they are cut off.
             homes: `homes(host)` returns the regions, other than the client's own, to which the client may be
                 sent; called only if the client's region has no ready edge.
         """
         match self.calls.find(request.method, request.path):
             case Match(call):
-                return call(request, edges, stranded, homes)
+                return call(request, edges, unservable_hosts, homes)
             case NotAllowed(allowed):
                 return failure(
                     405,
@@ -84,12 +84,12 @@
         self,
         request: Request,
         edges: Iterable[EdgeRecord],
-        stranded: Container[str],
+        unservable_hosts: Container[str],
         homes: Callable[[str], Regions],
     ) -> Reply:
         """Answers `GET /resolution`; parameters as for `handle`."""
         host = request.query.get("name", "")
-        if host.lower() in stranded:
+        if host.lower() in unservable_hosts:
             # Guards against keeping clients on the minority side of a partition: after a 503 they ask another
             # member.
             return failure(503, Finding("name", "can't be served from here, as this region is cut off"))
@@ -125,7 +125,7 @@
         nearest ones, but it never names a region that the home regions of the host exclude.
         """
         with_address = [edge for edge in edges if edge.listen_address]
-        ready = [edge for edge in with_address if edge.ready]
+        ready = [edge for edge in with_address if edge.is_ready]
         candidates = [edge for edge in ready if edge.zone == zone]
         if len(candidates) >= MIN_ZONE_EDGES:
             return candidates
@@ -135,13 +135,13 @@
         other_regions = homes()
         last = last_leaving_edges(with_address)
         return (
-            admissible(ready, other_regions)
+            edges_in_regions(ready, other_regions)
             or [edge for edge in last if edge.zone == zone or edge.region == region]
-            or admissible(last, other_regions)
+            or edges_in_regions(last, other_regions)
         )
 
 
-def admissible(edges: list[EdgeRecord], regions: Regions) -> list[EdgeRecord]:
+def edges_in_regions(edges: list[EdgeRecord], regions: Regions) -> list[EdgeRecord]:
     """The edges in `regions`: the regions, other than the client's own, to which the client may be sent. All
     edges if `regions` is None."""
     return edges if regions is None else [edge for edge in edges if edge.region in regions]
@@ -154,13 +154,13 @@
     """
     by_region: dict[str, list[EdgeRecord]] = {}
     for edge in edges:
-        if edge.leaving:
+        if edge.is_leaving:
             by_region.setdefault(edge.region, []).append(edge)
     last: list[EdgeRecord] = []
     for leaving in by_region.values():
-        since = max(edge.ending_since for edge in leaving)
+        since = max(edge.shutdown_stage_since for edge in leaving)
         simultaneous = sorted(
-            (edge for edge in leaving if since - edge.ending_since <= SIMULTANEOUS_SHUTDOWN_S),
+            (edge for edge in leaving if since - edge.shutdown_stage_since <= SIMULTANEOUS_SHUTDOWN_S),
             key=lambda edge: edge.name,
         )
         last += simultaneous[len(simultaneous) // 2 :]
@@ -172,7 +172,7 @@
     LEAVING after it, or NO_DRAIN_TARGET. `homes`: by host, where else its clients may go.
     """
     others = [other for other in others if other.listen_address]
-    ready_regions = {other.region for other in others if other.ready and other.name != edge.name}
+    ready_regions = {other.region for other in others if other.is_ready and other.name != edge.name}
     has_ready_homes = bool(homes) and all(
         bool(ready_regions) if regions is None else not ready_regions.isdisjoint(regions)
         for regions in homes.values()
--- a/shedgrade/dataplane/control_exchange.py
+++ b/shedgrade/dataplane/control_exchange.py
@@ -28,9 +28,9 @@
 
 
 class ControlExchange:
-    """One edge's exchange with the core over `links`.
+    """One edge's exchange with the core over `peer_connections`.
 
-    `apply`: called with the updates to apply, in order. `cover_received`: called for each response with the
+    `apply`: called with the updates to apply, in order. `on_drain_target`: called for each response with the
     edges that take over this edge's clients; NO_DRAIN_TARGET if the request didn't say that this edge is
     leaving.
     """
@@ -38,18 +38,18 @@
     def __init__(
         self,
         loop: asyncio.AbstractEventLoop,
-        links: PeerConnectionPool,
+        peer_connections: PeerConnectionPool,
         watcher: Watcher,
         prefix_index: EdgePrefixIndex,
         apply: Callable[[tuple[Update, ...]], None],
-        cover_received: Callable[[str], None],
+        on_drain_target: Callable[[str], None],
     ) -> None:
-        self.links = links
+        self.peer_connections = peer_connections
         self.watcher = watcher
         self._loop = loop
         self._prefix_index = prefix_index
         self._apply = apply
-        self._cover_received = cover_received
+        self._on_drain_target = on_drain_target
         self._tasks: set[asyncio.Task[None]] = set()
         self._timer: asyncio.TimerHandle | None = None
         self._stopped = False
@@ -101,10 +101,10 @@
             # its own versions of the index.
             reads = self._prefix_index.take_unsent()
             request = msgspec.structs.replace(
-                request, prefix_reads=reads, prefix_index_version=self._prefix_index.version
+                request, observed_prefixes=reads, prefix_index_version=self._prefix_index.version
             )
         try:
-            body = await self.links.call(
+            body = await self.peer_connections.call(
                 address, BODY_KIND + control_messages.encode(request), instruction.timeout_s
             )
             response = control_messages.decode(body[1:])
@@ -116,7 +116,7 @@
                 self._prefix_index.apply_response(
                     now, response.primary_age_s < STALE_CONTROL_S, response.prefix_index
                 )
-            self._cover_received(response.drain_target if request.edge.shutdown_stage else NO_DRAIN_TARGET)
+            self._on_drain_target(response.drain_target if request.edge.shutdown_stage else NO_DRAIN_TARGET)
             self.watcher.handle_event(ResponseEvent(now, address, response, instruction.number))
         else:
             self._prefix_index.restore_unsent(reads)
--- a/tests/simulation/test_system_faults.py
+++ b/tests/simulation/test_system_faults.py
@@ -7,7 +7,7 @@
 from shedgrade.controlplane.watch_hub import WatchHub
 from shedgrade.simulation.system.findings import FindingKind
 
-MANY_COMMANDS = {"operators": 3, "zones": 9, "at_once": 4, "pace": 0.1, "answers_lost": 0.0}
+MANY_COMMANDS = {"operators": 3, "zones": 9, "at_once": 4, "pace": 0.1, "response_loss": 0.0}
 INJECTED_FAULTS = [
     Case(injected.forgets_accepted_changes, FindingKind.ACCEPTED_AND_REFUSED, "fair", 3),
     Case(injected.reads_without_confirmation, FindingKind.STALE_READ, "fair", 3),
@@ -47,16 +47,16 @@
     """An exception doesn't count as the finding that the fault should cause."""
 
     def broken(monkeypatch, reached):
-        answer, failed = WatchHub.answer, []
+        respond_to, failed = WatchHub.respond_to, []
 
         def fails_once(self, now, watch, deltas):
             if not failed:
                 reached()
                 failed.append(True)
                 raise AttributeError("injected")
-            answer(self, now, watch, deltas)
+            respond_to(self, now, watch, deltas)
 
-        monkeypatch.setattr(WatchHub, "answer", fails_once)
+        monkeypatch.setattr(WatchHub, "respond_to", fails_once)
 
     case = Case(broken, FindingKind.STALE_READ, "calm", 1)
     with pytest.raises(AssertionError, match="error of its own"):
