--- a/shedgrade/file_frames.py
+++ b/shedgrade/file_frames.py
@@ -105,6 +105,10 @@
     return FileContent(number, records, "")
 
 
+# Tests that `shedgrade replay --to-test` of earlier versions wrote call the function by this name.
+read = decode_file
+
+
 def read_header(data: bytes, kind: bytes) -> int:
     """Returns the number in the header of a file of kind `kind`. Raises the same errors as `decode_file`."""
     if not data:
--- a/tests/stored/test_sidecar_files_as_found.py
+++ b/tests/stored/test_sidecar_files_as_found.py
@@ -39,6 +39,15 @@
     assert not replay.left_out
 
 
+def test_the_calls_of_a_generated_test_still_run():
+    """Earlier versions of `shedgrade replay --to-test` wrote these calls into users' test files."""
+    _, records, why = file_frames.read((DATA / "capture" / "from-start.bin").read_bytes(), b"C")
+    assert not why
+    replay = Replay(records)
+    differences = list(replay.run())
+    assert not differences and replay.calls > 1000
+
+
 @pytest.mark.parametrize("name", ["from-start.bin", "from-checkpoint.bin"])
 def test_a_checkpoint_is_read_and_written_with_the_same_names(name):
     """This lets an earlier program read the captures of this one."""
