--- a/shedgrade/file_frames.py
+++ b/shedgrade/file_frames.py
@@ -46,10 +46,10 @@
     """Why a record can't be read. `TORN`: the file ends within it, as after an interrupted write."""
 
     TORN = "torn"
-    LENGTH = "length out of bounds"
-    CHECKSUM = "checksum mismatch"
-    ENCODING = "invalid MessagePack"
-    NOT_A_MAP = "not a record"
+    LENGTH = "a length out of bounds"
+    CHECKSUM = "checksum"
+    ENCODING = "no MessagePack"
+    NOT_A_MAP = "no record"
 
 
 class RecordError(Exception):
