--- a/benchmarks/ablation.py
+++ b/benchmarks/ablation.py
@@ -1,11 +1,11 @@
-"""Switches off one mechanism after another and prints what each is worth: means over seeds, with spread.
+"""Measures what each mechanism of load balancing is worth: runs the program without it, over several seeds.
 
 Usage: python -m benchmarks.ablation SCENE... [--seeds N] [--seconds S] [--jobs N] [--variant NAME]...
        python -m benchmarks.ablation SITE DAY --bench PROGRAM [--seeds N] [--variant NAME]...
 
-With scenes, `benchmarks/choice.py` plays them and all figures are simulated. With `--bench`, the operators'
-bench plays DAY of SITE, one play after another. Each variant of `ablations.toml` is played on a copy of the
-sources of its own; what stands in the working tree is not touched.
+Scenes are simulated by `benchmarks/choice.py`. With `--bench`, the operators' bench plays DAY of SITE, one
+run after another. Each variant of `ablations.toml` is applied to its own copy of the sources; the working
+tree is not changed. The tables show means with their standard errors.
 """
 
 from __future__ import annotations
@@ -25,13 +25,13 @@
 
 ROOT = Path(__file__).resolve().parent.parent
 TABLE = Path(__file__).with_name("ablations.toml")
-AS_IT_IS = "as it is"
+UNCHANGED = "as it is"
 COPIED = ("shedgrade", "benchmarks", "deploy", "requirements.txt")
 
 
 @dataclass(frozen=True)
 class Edit:
-    """In `file`, every `find` becomes `put`."""
+    """A replacement of text: in `file`, every `find` becomes `put`."""
 
     file: str
     find: str
@@ -40,7 +40,13 @@
 
 @dataclass(frozen=True)
 class Variant:
-    """One mechanism switched off. `needs`: "choice", or "bench" where only that can show it."""
+    """One mechanism switched off.
+
+    Attributes:
+        name: name of the mechanism.
+        needs: "choice", or "bench" if only the operators' bench shows the effect.
+        edits: the replacements that switch it off.
+    """
 
     name: str
     needs: str
@@ -48,22 +54,26 @@
 
 
 def variants() -> list[Variant]:
-    """As the table says."""
+    """Returns the variants listed in `ablations.toml`."""
     table = tomllib.loads(TABLE.read_text())["variant"]
     return [Variant(one["name"], one["needs"], tuple(Edit(**edit) for edit in one["edits"])) for one in table]
 
 
 def apply(edit: Edit, root: Path) -> None:
-    """ValueError if the text no longer stands there: then the variant would measure nothing."""
+    """Applies an edit to the sources in `root`.
+
+    Raises:
+        ValueError: the file no longer contains the text, so that the variant would measure nothing.
+    """
     path = root / edit.file
     text = path.read_text()
     if edit.find not in text:
-        raise ValueError(f"{edit.file}: {edit.find!r} does not stand there")
+        raise ValueError(f"{edit.file} does not contain {edit.find!r}")
     path.write_text(text.replace(edit.find, edit.put))
 
 
 def copy(variant: Variant | None, folder: Path) -> Path:
-    """The sources with the variant's edits, as a repository of its own, which the bench asks for."""
+    """Copies the sources to `folder` and applies the variant's edits; None applies none. Returns `folder`."""
     for name in COPIED:
         source = ROOT / name
         if source.is_dir():
@@ -75,8 +85,8 @@
     return folder
 
 
-def played_scene(folder: Path, scene: Path, seed: int, seconds: float) -> dict[str, float]:
-    """One play by `benchmarks.choice` in a process of its own, as the sources differ."""
+def run_scene(folder: Path, scene: Path, seed: int, seconds: float) -> dict[str, float]:
+    """Runs a scene with the sources in `folder`, in a process of its own; returns its figures by name."""
     program = (
         "import json, sys, tomllib; from benchmarks.choice import play;"
         "scene = tomllib.loads(open(sys.argv[1]).read());"
@@ -87,19 +97,19 @@
     return json.loads(done.stdout)
 
 
-def played_day(folder: Path, bench: Path, site: Path, day: str, seed: int) -> dict[str, float]:
-    """One play by the operators' bench. Broken rules are counted, so that they stand in the table."""
+def run_day(folder: Path, bench: Path, site: Path, day: str, seed: int) -> dict[str, float]:
+    """Runs one day of the operators' bench; returns its figures by name, with the number of broken rules."""
     report = folder / f"report-{seed}.json"
     arguments = [str(bench), "run", str(site), day, "--report", str(report)]
     subprocess.run(
         arguments + (["--seed", str(seed)] if seed else []), cwd=folder, capture_output=True, check=False
     )
-    told = json.loads(report.read_text())
-    parts = {name: value for name, _, value in told["parts"]}
-    return {"worth": told["G"], **parts, "rules broken": float(len(told["breaks"]))}
+    day_report = json.loads(report.read_text())
+    parts = {name: value for name, _, value in day_report["parts"]}
+    return {"worth": day_report["G"], **parts, "rules broken": float(len(day_report["breaks"]))}
 
 
-def row(name: str, found: list[dict[str, float]], columns: list[str]) -> str:
+def table_row(name: str, found: list[dict[str, float]], columns: list[str]) -> str:
     cells = []
     for column in columns:
         values = [one[column] for one in found]
@@ -111,40 +121,43 @@
 def table(title: str, plays: dict[str, list[dict[str, float]]]) -> str:
     columns = list(next(iter(plays.values()))[0])
     lines = [f"## {title}", "", f"| without | {' | '.join(columns)} |", "| --- " * (len(columns) + 1) + "|"]
-    return "\n".join(lines + [row(name, found, columns) for name, found in plays.items()]) + "\n"
+    return "\n".join(lines + [table_row(name, found, columns) for name, found in plays.items()]) + "\n"
+
 
+def select_variants(names: list[str], needs: tuple[str, ...]) -> dict[str, Variant | None]:
+    """Returns the variants to be measured by name, the unchanged program first.
 
-def chosen(names: list[str], needs: tuple[str, ...]) -> dict[str, Variant | None]:
-    """Variants by name, the program as it is first."""
+    Without `names`, these are all variants whose `needs` is in `needs`.
+    """
     wanted = {one.name: one for one in variants() if (one.name in names if names else one.needs in needs)}
-    return {AS_IT_IS: None, **wanted}
+    return {UNCHANGED: None, **wanted}
 
 
-def scenes(options: argparse.Namespace, folder: Path) -> None:
+def measure_scenes(options: argparse.Namespace, folder: Path) -> None:
     copies = {}
-    for number, (name, variant) in enumerate(chosen(options.variant, ("choice",)).items()):
+    for number, (name, variant) in enumerate(select_variants(options.variant, ("choice",)).items()):
         copies[name] = copy(variant, folder / str(number))
     with ThreadPoolExecutor(options.jobs) as pool:
         for scene in options.what:
             found = {
                 name: [
-                    pool.submit(played_scene, where, Path(scene), seed, options.seconds)
+                    pool.submit(run_scene, source_folder, Path(scene), seed, options.seconds)
                     for seed in range(options.seeds)
                 ]
-                for name, where in copies.items()
+                for name, source_folder in copies.items()
             }
             plays = {name: [one.result() for one in them] for name, them in found.items()}
             print(table(f"{Path(scene).stem}, simulated", plays), flush=True)
 
 
-def days(options: argparse.Namespace, folder: Path) -> None:
+def measure_days(options: argparse.Namespace, folder: Path) -> None:
     site, day = options.what
     plays: dict[str, list[dict[str, float]]] = {}
-    for number, (name, variant) in enumerate(chosen(options.variant, ("choice", "bench")).items()):
-        where = copy(variant, folder / str(number))
-        subprocess.run(["git", "init", "-q", str(where)], check=True)
+    for number, (name, variant) in enumerate(select_variants(options.variant, ("choice", "bench")).items()):
+        source_folder = copy(variant, folder / str(number))
+        subprocess.run(["git", "init", "-q", str(source_folder)], check=True)
         plays[name] = [
-            played_day(where, options.bench.resolve(), Path(site).resolve(), day, seed)
+            run_day(source_folder, options.bench.resolve(), Path(site).resolve(), day, seed)
             for seed in range(options.seeds)
         ]
     print(table(f"{Path(site).stem}, {day}", plays))
@@ -152,16 +165,16 @@
 
 def main() -> None:
     parser = argparse.ArgumentParser(description=__doc__.splitlines()[0])
-    parser.add_argument("what", nargs="+", help="scenes, or with --bench a site file and a day")
+    parser.add_argument("what", nargs="+", help="scenes; with --bench, a site file and the name of a day")
     parser.add_argument("--bench", type=Path)
     parser.add_argument("--seeds", type=int, default=3)
     parser.add_argument("--seconds", type=float, default=24.0)
     parser.add_argument("--jobs", type=int, default=3)
     parser.add_argument("--variant", action="append", default=[])
-    parser.add_argument("--folder", type=Path, help="where copies are laid; a temporary one otherwise")
+    parser.add_argument("--folder", type=Path, help="parent of the copies; default: the temporary folder")
     options = parser.parse_args()
     with tempfile.TemporaryDirectory(dir=options.folder) as folder:
-        (days if options.bench else scenes)(options, Path(folder))
+        (measure_days if options.bench else measure_scenes)(options, Path(folder))
 
 
 if __name__ == "__main__":
--- a/benchmarks/capture.py
+++ b/benchmarks/capture.py
@@ -1,9 +1,10 @@
-"""Figures of capture: `python benchmarks/capture.py deploy|cost|calls`. On this machine, loopback.
+"""Benchmarks of capture on loopback: `python benchmarks/capture.py deploy|cost|calls`.
 
-deploy  an overlapping deploy and shrink on real sockets, captured, replayed a hundred times (`TIMES`)
-cost    the daemon's CPU an RPC with capture off, in memory, as files; paired runs (`ROUNDS`, `LANES`)
-calls   the recorder alone, without sockets: CPU an RPC beside the decisions', bytes an RPC, a checkpoint's
-cost
+deploy  captures an overlapping deploy and shrink on real sockets and replays it `TIMES` times (default 100)
+cost    CPU of the sidecar per RPC: capture off, to memory, to files; `ROUNDS` paired runs, `LANES` at a time
+calls   the recorder without sockets: added CPU per RPC, bytes per RPC, cost of a checkpoint
+
+TIMES, ROUNDS and LANES are environment variables.
 """
 
 import os
@@ -25,17 +26,17 @@
 from shedgrade.sidecar.capture.files import load
 from shedgrade.sidecar.capture.recorder import Recorder
 from shedgrade.sidecar.capture.replay import Replay
-from shedgrade.sidecar.capture.rows import TAKE, Ring, calls
+from shedgrade.sidecar.capture.rows import ADMIT, Ring, calls
 
 ROOT = Path(__file__).resolve().parents[1]
 
 
 def deploy(place: Path, times: int) -> None:
-    told = runner.run(scenarios.load(ROOT / "scenarios/deploy-shrink.toml"), place / "run")
-    print("breaches", len(told["breaches"]), "no result", told["no_result"])
+    summary = runner.run(scenarios.load(ROOT / "scenarios/deploy-shrink.toml"), place / "run")
+    print("breaches", len(summary["breaches"]), "no result", summary["no_result"])
     for path in sorted((place / "run").glob("*capture/*.sgc")):
         records, why = load(path)
-        rpcs = sum(row[0] == TAKE for _, row in calls(records))
+        rpcs = sum(row[0] == ADMIT for _, row in calls(records))
         begun, differences = time.perf_counter(), 0
         for _ in range(times):
             one = Replay(records)
@@ -49,8 +50,8 @@
                 "cut": why,
                 "replayed": times,
                 "differences": differences,
-                "calls a second": round(one.calls * times / took),
-                "bytes an RPC": round(path.stat().st_size / max(1, rpcs)),
+                "calls per second": round(one.calls * times / took),
+                "bytes per RPC": round(path.stat().st_size / max(1, rpcs)),
             }
         )
 
@@ -65,8 +66,8 @@
     print("\n".join(experiments.table(found)))
 
 
-def drive(balancer, rpcs: int, upstreams: int) -> float:
-    """CPU microseconds an RPC of decisions that are asked as the turn asks them."""
+def decision_cpu_us(balancer, rpcs: int, upstreams: int) -> float:
+    """Returns the CPU time per RPC of decisions requested as the sidecar requests them, in microseconds."""
     chance = Random(1)
     balancer.list_changed(
         0,
@@ -89,28 +90,28 @@
         for rpc in balancer.due(now):
             rpc.tag.rpc.decide(now)
         balancer.take_released()
-        if hasattr(balancer, "after_turn"):
-            balancer.after_turn(now, 0)
+        if hasattr(balancer, "after_pass"):
+            balancer.after_pass(now, 0)
     return (time.process_time() - begun) / rpcs * 1e6
 
 
-def alone(rpcs: int = 40_000) -> None:
+def measure_recorder(rpcs: int = 40_000) -> None:
     for upstreams in (10, 100, 1000):
         pairs = []
         for _ in range(3):
-            plain = drive(load_balancing.Balancer(settings(4), 1, 0), rpcs, upstreams)
+            plain = decision_cpu_us(load_balancing.Balancer(settings(4), 1, 0), rpcs, upstreams)
             ring = Ring(2**26)
             recorder = Recorder(settings(4), 1, 0, ring, most_rows=10**9, checkpoint=10**9)
-            pairs.append((plain, drive(recorder, rpcs, upstreams) - plain))
+            pairs.append((plain, decision_cpu_us(recorder, rpcs, upstreams) - plain))
         plain, more = min(pairs), min(pair[1] for pair in pairs)
         before, begun = ring.size, time.perf_counter()
-        recorder.save(rpcs * 5)
+        recorder.take_checkpoint(rpcs * 5)
         print(
             {
                 "upstreams": upstreams,
-                "decisions us an RPC": round(plain[0], 1),
+                "decisions us per RPC": round(plain[0], 1),
                 "capture us": round(more, 1),
-                "bytes an RPC": round(before / rpcs),
+                "bytes per RPC": round(before / rpcs),
                 "checkpoint ms": round((time.perf_counter() - begun) * 1e3, 1),
                 "checkpoint bytes": ring.size - before,
             }
@@ -118,14 +119,14 @@
 
 
 def main() -> None:
-    what = sys.argv[1] if len(sys.argv) > 1 else ""
+    benchmark = sys.argv[1] if len(sys.argv) > 1 else ""
     with tempfile.TemporaryDirectory() as place:
-        if what == "deploy":
+        if benchmark == "deploy":
             deploy(Path(place), int(os.environ.get("TIMES", "100")))
-        elif what == "cost":
+        elif benchmark == "cost":
             cost(Path(place), int(os.environ.get("ROUNDS", "4")), int(os.environ.get("LANES", "1")))
-        elif what == "calls":
-            alone()
+        elif benchmark == "calls":
+            measure_recorder()
         else:
             print(__doc__)
             sys.exit(2)
--- a/shedgrade/dataplane/service.py
+++ b/shedgrade/dataplane/service.py
@@ -7,7 +7,7 @@
 from shedgrade.dataplane.engine_connection_pool import EngineConnectionPool, ProbeResult
 from shedgrade.dataplane.engine_protocol import EngineProtocol
 from shedgrade.dataplane.service_times import ServiceTimes
-from shedgrade.load_balancing.upstream_indices import Addresses, Indices
+from shedgrade.load_balancing.upstream_indices import UpstreamAddresses, UpstreamIndices
 from shedgrade.model_routing.balancer import ServingBalancer
 from shedgrade.model_routing.retry_budget import RetryBudget
 from shedgrade.prefix_cache_index import EdgePrefixIndex
@@ -29,7 +29,7 @@
         """The upstreams that cache a prefix, by id hash, each with the number of cached tokens."""
         return self.prefix_index.endpoints_caching(self.loop.time(), key)
 
-    def saw(self, key: int, id_hash: int) -> None:
+    def record_holder(self, key: int, id_hash: int) -> None:
         """Records that an upstream has processed a prompt with this prefix."""
         self.prefix_index.record_prefill(self.loop.time(), key, id_hash)
 
@@ -53,7 +53,7 @@
         """`regions`: region numbers by name; `own_region`: name of this sidecar's region; `node_name`: this
         sidecar's name; `prefix_index`: which upstreams cache which prompt prefixes."""
         self.name, self.regions, self.clock, self.loop = name, regions, clock, loop
-        self.indices, self.addresses = Indices(), Addresses()
+        self.indices, self.addresses = UpstreamIndices(), UpstreamAddresses()
         self.balancer = ServingBalancer(
             list(regions), regions[own_region], seed, clock.now(), retry_budget, node_name
         )
@@ -140,14 +140,14 @@
 
     def misdirected(self, upstream: int) -> None:
         """Another incarnation answers at this upstream's address: it is gone, whatever the list says."""
-        self.dispatcher.gather(self.eject_replaced, upstream)
+        self.dispatcher.enqueue_event(self.eject_replaced, upstream)
 
     def eject_replaced(self, now: int, upstream: int) -> None:
         """Ejects an upstream whose address another incarnation has, and closes its idle connections."""
         up = self.balancer.upstreams.get(upstream)
         if up is not None:
             self.balancer.eject(now, up, True)
-            self.connections.forget(upstream)
+            self.connections.close_idle_to(upstream)
 
     def probe_silent(self) -> None:
         """Probes upstreams that are silent or about to return from an ejection.
@@ -171,7 +171,7 @@
         result = await self.connections.probe(upstream)
         if result is not ProbeResult.UP:
             logger.info("upstream unreachable", upstream=self.indices.ids[upstream], result=result.value)
-            self.dispatcher.gather(self.eject_unreachable, upstream, result)
+            self.dispatcher.enqueue_event(self.eject_unreachable, upstream, result)
 
     def eject_unreachable(self, now: int, upstream: int, result: ProbeResult) -> None:
         """Ejects an upstream. Its requests in flight are failed only if its machine is unreachable: an
--- a/shedgrade/http/response_writer.py
+++ b/shedgrade/http/response_writer.py
@@ -2,7 +2,7 @@
 
 from collections.abc import Iterable
 
-from shedgrade.buffers.flow import Flow, nothing
+from shedgrade.buffers.flow import Flow, no_op
 from shedgrade.http.message_grammar import REASON_PHRASES
 from shedgrade.http.request_parser import InboundFront, RequestParser
 from shedgrade.http.socket_state import reset, unread_in_kernel, unsent_bytes
@@ -47,7 +47,7 @@
             return
         self.active_request = None
         self.responding = False
-        self.front.used(self)
+        self.front.response_sent_on(self)
         if self.transport.is_closing():
             return
         if answer is None:
@@ -56,11 +56,11 @@
         elif self.response_flow is None and not self.flushing:
             self.response_sent()
 
-    def flowing(self, answer: Answer) -> None:
+    def response_flow_started(self, answer: Answer) -> None:
         """Starts a long response."""
         self.response_flow = answer.flow
         self.responding = True
-        self.response_flow.news = self.write_flow
+        self.response_flow.on_data = self.write_flow
         self.chunked = answer.length is None and not self.http_1_0
         if self.request_method == b"HEAD":
             self.response_flow.discard()
@@ -85,7 +85,7 @@
             if piece:
                 self.write(*((b"%x\r\n" % len(piece), piece, b"\r\n") if self.chunked else (piece,)))
             elif flow.ended:
-                flow.news = nothing
+                flow.on_data = no_op
                 self.response_flow = None
                 if (not self.chunked or self.write(b"0\r\n\r\n")) and not self.responding:
                     self.response_sent()
@@ -130,7 +130,7 @@
         else:
             self.lingering = True
             self.parsed_requests.clear()
-            self.used(len(self.incoming))
+            self.consume(len(self.incoming))
             self.transport.write_eof()
 
     def break_off(self) -> None:
@@ -169,7 +169,7 @@
             # before it reads the response.
             self.request_flow.discard()
             self.closing = True
-        self.front.used(self)
+        self.front.response_sent_on(self)
         if self.transport.is_closing():
             return
         self.note_progress(self.bytes_written, self.front.loop.time())
@@ -188,7 +188,7 @@
         """Returns the bytes before the body. `framing`: the header that states the body's framing, or b""."""
         self.waiting_since = self.front.loop.time()
         # Guards requests that came early: the connection has taken them, even if they are unread.
-        if (self.front.draining() or self.front.crowded()) and not (
+        if (self.front.draining() or self.front.closes_after_response()) and not (
             self.parsed_requests or self.request_begun or self.incoming or unread_in_kernel(self.transport)
         ):
             self.closing = True
--- a/shedgrade/http/server_connection.py
+++ b/shedgrade/http/server_connection.py
@@ -156,7 +156,7 @@
         is_incomplete = self.has_begun and self.current is None
         return not self.is_idle() and not self.is_lingering and not is_incomplete
 
-    def caller_gone(self) -> bool:
+    def client_disconnected(self) -> bool:
         """Whether the client has closed its sending direction or the connection, even if that is unread."""
         return (
             self.client_finished
@@ -216,7 +216,7 @@
     def buffer_updated(self, count: int) -> None:
         """Called by the event loop: `count` bytes were read."""
         if not self.has_begun and not len(self.incoming):
-            self.arrived_after = self.server.earliest()
+            self.arrived_after = self.server.earliest_arrival()
         super().buffer_updated(count)
 
     def read(self) -> None:
@@ -226,7 +226,7 @@
         self.is_reading = True
         while self.current is None and not self.flushing and not self.transport.is_closing():
             if self.is_lingering:
-                self.used(len(self.incoming))
+                self.consume(len(self.incoming))
                 break
             if self.queue:
                 self.dispatch(self.queue.popleft())
@@ -257,7 +257,7 @@
         except httptools.HttpParserError:
             if not self.stops_parsing:  # bytes after the last request are ignored
                 self.reject(400, "is no request in HTTP/1.1")
-        self.used(len(part))
+        self.consume(len(part))
         # Guards against an endless head, which the parser would buffer.
         if self.has_begun and not self.head_complete and self.raw_head_bytes > MAX_RAW_HEAD_BYTES:
             self.reject(431, "has too long a head")
@@ -338,7 +338,7 @@
             self.headers,
             b"".join(self.body_parts),
             self.arrived_after,
-            self.caller_gone,
+            self.client_disconnected,
         )
         keeps_alive = self.parser.should_keep_alive()
         self.queue.append(QueuedMessage(request, keeps_alive))
--- a/shedgrade/request_dispatch.py
+++ b/shedgrade/request_dispatch.py
@@ -1,6 +1,6 @@
 """Dispatch of requests: gathers events, passes them to the balancer together and carries out its decisions.
 
-Nothing else calls the balancer. A pass starts with the loop's next iteration after an event was gathered, so
+Nothing else calls the balancer. A pass starts with the loop's next iteration after an event was queued, so
 all that one iteration of the loop read is decided on together. One timer, set to the earliest time that the
 balancer or a transmission waits for, starts a pass when nothing else does.
 """
@@ -56,9 +56,9 @@
         self.lag = 0.0  # recent delay of passes behind their timer, tenths of a millisecond
         self.concluding = False  # the process ends now: only final answers are given
 
-    # --- gathering: called by connections, discovery and the timer
+    # --- enqueuing events: called by connections, discovery and the timer
 
-    def gather(self, call: Callable, *args) -> None:
+    def enqueue_event(self, call: Callable, *args) -> None:
         """Queues a call for the next pass, which passes the time as its first argument."""
         self.events.append((call, args))
         if not self.scheduled:
@@ -72,50 +72,55 @@
         self.active_requests.add(active_request)
         active_request.timeout_ms = wait
         at = self.clock.now()
-        self.gather(self.on_submitted, active_request, method, at + wait * 10, retry, tenant)
+        self.enqueue_event(self.on_submitted, active_request, method, at + wait * 10, retry, tenant)
 
     def attempt_finished(self, transmission: Transmission, outcome: int, answer: Answer | None) -> None:
         """Reports the end of an attempt, with its answer if there is one."""
-        self.gather(self.on_attempt_finished, transmission, outcome, answer, self.clock.now())
+        self.enqueue_event(self.on_attempt_finished, transmission, outcome, answer, self.clock.now())
 
-    def body_received(self, active_request: ActiveRequest, here: bool, whole: bool) -> None:
-        """Reports bytes of a body. `here`: all are still buffered; `whole`: the last one has arrived."""
-        self.gather(self.on_body_received, active_request, here, whole, self.clock.now())
+    def body_received(self, active_request: ActiveRequest, buffered: bool, complete: bool) -> None:
+        """Reports bytes of a body.
+
+        `buffered`: all are still buffered; `complete`: the last one has arrived.
+        """
+        self.enqueue_event(self.on_body_received, active_request, buffered, complete, self.clock.now())
 
     def response_started(self, transmission: Transmission, answer: Answer, at: int) -> None:
         """Reports that a long answer has begun, its head at `at`; it is then forwarded to its client."""
-        self.gather(self.on_response_started, transmission, answer, at)
+        self.enqueue_event(self.on_response_started, transmission, answer, at)
 
     def stream_opened(self, transmission: Transmission) -> None:
         """Reports that a stream's connection is established; the stream is then passed to its client."""
-        self.gather(self.on_stream_opened, transmission)
+        self.enqueue_event(self.on_stream_opened, transmission)
 
     def client_disconnected(self, active_request: ActiveRequest) -> None:
         """Reports that the request's client has disconnected."""
-        self.gather(self.on_client_disconnected, active_request)
+        self.enqueue_event(self.on_client_disconnected, active_request)
 
-    def list_changed(self, rows: list, whole: bool, asked: bool) -> None:
+    def list_changed(self, rows: list, complete: bool, requested: bool) -> None:
         """Passes on rows of the endpoint list, as `Balancer.list_changed` takes them."""
-        self.gather(self.on_list_changed, rows, whole, asked)
+        self.enqueue_event(self.on_list_changed, rows, complete, requested)
 
     def set_withdrawn(self, upstream: int, out: bool, told: Callable[[], None]) -> None:
         """Withdraws an upstream by operators' order or reinstates it; calls `told` once that is in force."""
-        self.gather(self.on_withdrawn_changed, upstream, out, told)
+        self.enqueue_event(self.on_withdrawn_changed, upstream, out, told)
 
     def list_failed(self) -> None:
         """Reports that endpoint discovery failed."""
-        self.gather(lambda now: self.balancer.list_failed(now))
+        self.enqueue_event(lambda now: self.balancer.list_failed(now))
 
-    def mark_unverified(self, upstreams: list[int], ends: int, last: bool) -> None:
+    def mark_unverified(self, upstreams: list[int], required_successes: int, last_resort: bool) -> None:
         """Marks upstreams of a list older than discovery's as unverified."""
-        self.gather(lambda now: self.balancer.mark_unverified(now, upstreams, ends, last))
+        self.enqueue_event(
+            lambda now: self.balancer.mark_unverified(now, upstreams, required_successes, last_resort)
+        )
 
     def restore(self, state: dict, age: float) -> None:
         """Restores what an earlier process learned, `age` seconds ago."""
-        self.gather(lambda now: learned_state.restore(self.balancer, now, state, age))
+        self.enqueue_event(lambda now: learned_state.restore(self.balancer, now, state, age))
 
     def update_settings(self, settings: dict, numbers: dict[int, int]) -> None:
-        """Applies other settings, after a pass over the events gathered so far.
+        """Applies other settings, after a pass over the events queued so far.
 
         `numbers`: of the methods that stay, the new number by the old one.
         """
@@ -126,11 +131,11 @@
                 (gate, ticket, numbers.get(method, -1), at)
                 for gate, ticket, method, at in active_request.gate_tickets
             )
-        self.gather(lambda now: None)
+        self.enqueue_event(lambda now: None)
 
     def set_slow_start_share(self, part: float) -> None:
         """Sets this process's share of the slow start rate, as two processes run during an upgrade."""
-        self.gather(lambda now: self.balancer.set_slow_start_share(part))
+        self.enqueue_event(lambda now: self.balancer.set_slow_start_share(part))
 
     def conclude(self) -> None:
         """Gives every active request its final answer, as the process ends now; nothing more is sent."""
@@ -142,7 +147,7 @@
                     load_balancing.STOPPED if self.connections.stop(transmission) else load_balancing.UNSENT
                 )
                 self.attempt_finished(transmission, outcome, None)
-            self.gather(self.on_final_answer_due, active_request)
+            self.enqueue_event(self.on_final_answer_due, active_request)
         self.run()
 
     def export(self) -> dict:
@@ -152,7 +157,7 @@
     # --- the pass
 
     def run(self) -> None:
-        """Runs a dispatch pass: expired time limits, all gathered events, due decisions, then the actions."""
+        """Runs a dispatch pass: expired time limits, all queued events, due decisions, then the actions."""
         self.scheduled = False
         now = self.clock.now()
         self.expire(now)
@@ -164,12 +169,12 @@
             actions, self.actions = self.actions, []
             for call, args in actions:
                 self.guarded(call, *args)
-        # An index is free for another upstream only now, as no gathered event names it any more.
+        # An index is free for another upstream only now, as no queued event names it any more.
         for upstream in self.balancer.take_released():
             self.release_upstream(upstream)
         self.set_timer()
         for observer in self.observers:
-            observer.after_turn(now, self.lag)
+            observer.after_pass(now, self.lag)
 
     def guarded(self, call: Callable, *args) -> None:
         """Calls `call`. An exception ends the requests among its arguments, not the process."""
@@ -225,7 +230,7 @@
         """Handles the timer: measures its lag, and starts a pass."""
         self.lag = max(self.lag * 0.99, min(MAX_LAG, self.clock.now() - self.timer_at))
         self.timer = self.timer_at = None
-        self.gather(lambda now: None)
+        self.enqueue_event(lambda now: None)
 
     # --- calls of the balancer
 
@@ -241,7 +246,7 @@
         """Passes the request through the gates, then admits it to the balancer."""
         if active_request.done:
             return
-        if active_request.client.has_left():
+        if active_request.client.has_disconnected():
             # Guards against work for no client: a request whose bytes waited unread is read before the end of
             # its client's connection.
             self.finish(active_request)
@@ -293,15 +298,15 @@
             self.actions.insert(done, (self.connections.abandon, (transmission,)))
 
     def on_body_received(
-        self, now: int, active_request: ActiveRequest, here: bool, whole: bool, at: int
+        self, now: int, active_request: ActiveRequest, buffered: bool, complete: bool, at: int
     ) -> None:
         """Updates the deadlines of a long request; the last byte starts its attempts' time limits."""
         if active_request.done or active_request.rpc is None:
             return
         limit = active_request.rpc.body_received(
-            now, at + active_request.timeout_ms * 10 - RESPONSE_ALLOWANCE - int(self.lag), here, whole
+            now, at + active_request.timeout_ms * 10 - RESPONSE_ALLOWANCE - int(self.lag), buffered, complete
         )
-        if whole:
+        if complete:
             active_request.is_body_incomplete = False
             for transmission in active_request.transmissions.values():
                 if transmission.response_began_at is None:
@@ -323,7 +328,7 @@
         self.stop(
             now, active_request, [tx for tx in active_request.transmissions if tx != transmission.attempt]
         )
-        self.actions.append((active_request.client.flowing, (answer,)))
+        self.actions.append((active_request.client.response_flow_started, (answer,)))
 
     def on_stream_opened(self, now: int, transmission: Transmission) -> None:
         """Passes an open stream to its client; the stream lasts until either side ends it."""
@@ -341,9 +346,9 @@
         if active_request.rpc is not None:
             self.stop(now, active_request, active_request.rpc.client_disconnected(now))
 
-    def on_list_changed(self, now: int, rows: list, whole: bool, asked: bool) -> None:
+    def on_list_changed(self, now: int, rows: list, complete: bool, requested: bool) -> None:
         """Passes rows of the list to the balancer."""
-        self.balancer.list_changed(now, rows, whole, asked)
+        self.balancer.list_changed(now, rows, complete, requested)
 
     def on_withdrawn_changed(self, now: int, upstream: int, out: bool, told: Callable[[], None]) -> None:
         """Passes an operator's order to the balancer, and calls `told` once it is in force."""
@@ -364,7 +369,7 @@
             return
         what, value = answer
         if what >= 0:
-            until = active_request.latest_end if active_request.is_body_incomplete else now + value
+            until = active_request.hard_end if active_request.is_body_incomplete else now + value
             transmission = Transmission(
                 active_request, len(active_request.rpc.attempts) - 1, what, now, until
             )
@@ -437,7 +442,7 @@
         if up is None or not up.listed:
             return False
         if now - active_request.client_checked_at > CLIENT_CHECK_INTERVAL:
-            if active_request.client.has_left():
+            if active_request.client.has_disconnected():
                 self.client_disconnected(active_request)
                 active_request.client.close()
                 return False
@@ -448,11 +453,11 @@
         """Returns the time until which a long answer may go on; `now` if no answer has begun.
 
         For an answer that has stalled, that time has passed. An answer that makes progress, or waits for its
-        client, is cut only at the request's `latest_end`.
+        client, is cut only at the request's `hard_end`.
         """
         if transmission.response_began_at is not None:
-            moved = transmission.link.moved()
-        elif self.connections.in_time(transmission):
+            moved = transmission.link.last_progress_at()
+        elif self.connections.long_response_has_begun(transmission):
             moved = now  # its client gets it in this pass
         else:
             return now
@@ -461,13 +466,13 @@
     def response_time_limit(self, active_request: ActiveRequest, moved: int) -> float:
         """Returns the time until which a long answer may go on that last made progress at `moved`.
 
-        A request with a `latest_end` may go on until then; any other is cut after STALLED_RESPONSE_TIMEOUT
+        A request with a `hard_end` may go on until then; any other is cut after STALLED_RESPONSE_TIMEOUT
         without progress.
         """
         return (
             moved + STALLED_RESPONSE_TIMEOUT
-            if active_request.latest_end == load_balancing.inf
-            else active_request.latest_end
+            if active_request.hard_end == load_balancing.inf
+            else active_request.hard_end
         )
 
     def expire(self, now: int) -> None:
@@ -485,7 +490,7 @@
                 self.add_expiry(transmission, until)
                 continue
             if self.connections.give_up(transmission):
-                self.connections.silent(transmission)
+                self.connections.no_response_received(transmission)
                 outcome = load_balancing.TIMED_OUT
                 logger.debug("attempt timed out", upstream=upstream)
             else:
@@ -494,7 +499,7 @@
                 late = (
                     upstreams_part
                     and now >= (transmission.connect_expires_at or now)
-                    and not self.connections.proxied
+                    and not self.connections.uses_proxy
                 )
                 outcome = load_balancing.UNCONNECTED if late else load_balancing.UNSENT
                 logger.debug("attempt not sent in time", upstream=upstream)
--- a/shedgrade/sidecar/capture/config.py
+++ b/shedgrade/sidecar/capture/config.py
@@ -6,7 +6,7 @@
 from msgspec import Meta, Struct
 
 
-class Capture(Struct, kw_only=True, forbid_unknown_fields=True):
+class CaptureConfig(Struct, kw_only=True, forbid_unknown_fields=True):
     """Settings of the capture.
 
     folder: directory of the captures of this sidecar and no other one; created with mode 700. Captures are
@@ -27,7 +27,7 @@
     continuous: bool = False
     keep_mb: Annotated[int, Meta(ge=32)] = 256
 
-    def problems(self) -> Iterator[tuple[str, str]]:
+    def find_problems(self) -> Iterator[tuple[str, str]]:
         """Yields (key, reason) for values that the types allow and the capture does not."""
         if not self.folder:
             yield "folder", "is empty"
--- a/shedgrade/sidecar/capture/recorder.py
+++ b/shedgrade/sidecar/capture/recorder.py
@@ -11,6 +11,7 @@
 from shedgrade import load_balancing
 from shedgrade.load_balancing import learned_state
 from shedgrade.sidecar.capture.rows import (
+    ADMIT,
     ATTEMPT_FINISHED,
     BODY_RECEIVED,
     CLIENT_DISCONNECTED,
@@ -27,7 +28,6 @@
     ROWS_PER_RECORD,
     SET_SLOW_START_SHARE,
     SET_WITHDRAWN,
-    TAKE,
     TAKE_RELEASED,
     UNIFORM,
     UPDATE_SETTINGS,
@@ -133,10 +133,10 @@
         self.rpc.response_started(long_lived)
         self.recorder.record_call(self.recorder.now, RESPONSE_STARTED, self.number, long_lived)
 
-    def body_received(self, now: int, deadline: int, here: bool, whole: bool) -> int:
+    def body_received(self, now: int, deadline: int, buffered: bool, complete: bool) -> int:
         """Passes the progress of a request's body on, and records it with the time limit returned."""
-        limit = self.rpc.body_received(now, deadline, here, whole)
-        self.recorder.record_call(now, BODY_RECEIVED, self.number, deadline - now, here, whole, limit)
+        limit = self.rpc.body_received(now, deadline, buffered, complete)
+        self.recorder.record_call(now, BODY_RECEIVED, self.number, deadline - now, buffered, complete, limit)
         return limit
 
     def client_disconnected(self, now: int) -> list[int]:
@@ -229,7 +229,7 @@
             self.rows = []
         self.record_start = self.last_row_at
 
-    def after_turn(self, now: int, lag: int) -> None:
+    def after_pass(self, now: int, lag: int) -> None:
         """Pauses recording under load, resumes it after, and takes a checkpoint when one is due.
 
         Called after each dispatch pass, as the state is consistent only then. `lag`: the lag of passes, in
@@ -255,7 +255,7 @@
             )
             self.is_paused, self.unrecorded_calls, self.rows_in_second, self.records_lost = False, 0, 0, False
             self.last_row_at = self.record_start = now
-            self.save(now)
+            self.take_checkpoint(now)
             return
         if now - self.second_start >= SECOND:
             self.second_start, self.rows_in_second = now, 0
@@ -266,9 +266,9 @@
         elif self.checkpoint_wanted or now - self.checkpoint_at >= self.checkpoint * (
             1 if len(self.live_rpcs) < MANY_LIVE_RPCS else POSTPONED_INTERVAL_FACTOR
         ):
-            self.save(now)
+            self.take_checkpoint(now)
 
-    def save(self, now: int) -> None:
+    def take_checkpoint(self, now: int) -> None:
         """Adds a checkpoint: the balancer's whole state."""
         self.flush()
         self.checkpoint_at, self.checkpoint_wanted = now, False
@@ -313,7 +313,7 @@
         name = tag.request.name if self.ids != "none" else b""
         self.record_call(
             now,
-            TAKE,
+            ADMIT,
             self.rpc_count,
             method,
             deadline - now,
@@ -324,24 +324,26 @@
         self.live_rpcs[self.rpc_count] = rpc
         return RecordedRpc(self, rpc, self.rpc_count)
 
-    def list_changed(self, now: int, rows: list, whole: bool, asked: bool) -> None:
+    def list_changed(self, now: int, rows: list, complete: bool, requested: bool) -> None:
         """Passes on rows of a changed endpoint list, and records them with the ids of their upstreams."""
         rows = list(rows)
-        self.inner.list_changed(now, rows, whole, asked)
+        self.inner.list_changed(now, rows, complete, requested)
         if self.upstream_id is not None and rows and not self.is_paused:
             self.flush()
             self.add_record({"k": "names", "names": {str(row[0]): self.upstream_id(row[0]) for row in rows}})
-        self.record_call(now, LIST_CHANGED, rows, whole, asked)
+        self.record_call(now, LIST_CHANGED, rows, complete, requested)
 
     def list_failed(self, now: int) -> None:
         """Passes the failed request for the list on, and records it."""
         self.inner.list_failed(now)
         self.record_call(now, LIST_FAILED)
 
-    def mark_unverified(self, now: int, upstreams: list[int], ends: int, last: bool) -> None:
+    def mark_unverified(
+        self, now: int, upstreams: list[int], required_successes: int, last_resort: bool
+    ) -> None:
         """Passes on which upstreams are unverified, and records the call."""
-        self.inner.mark_unverified(now, upstreams, ends, last)
-        self.record_call(now, MARK_UNVERIFIED, upstreams, ends, last)
+        self.inner.mark_unverified(now, upstreams, required_successes, last_resort)
+        self.record_call(now, MARK_UNVERIFIED, upstreams, required_successes, last_resort)
 
     def set_withdrawn(self, now: int, index: int, withdrawn: bool) -> None:
         """Passes on that operators withdrew or reinstated an upstream, and records the call."""
--- a/shedgrade/sidecar/lifecycle/features.py
+++ b/shedgrade/sidecar/lifecycle/features.py
@@ -10,11 +10,11 @@
 
 import msgspec
 
-from shedgrade.sidecar.capture.config import Capture
-from shedgrade.sidecar.endpoint_snapshot.config import Saved
+from shedgrade.sidecar.capture.config import CaptureConfig
+from shedgrade.sidecar.endpoint_snapshot.config import SavedListConfig
 from shedgrade.sidecar.quota.config import Quota
-from shedgrade.sidecar.quota.config_checks import problems as quota_problems
-from shedgrade.sidecar.shadow_policy.config import Watch
+from shedgrade.sidecar.quota.config_checks import find_problems as find_quota_problems
+from shedgrade.sidecar.shadow_policy.config import ShadowPolicyConfig
 from shedgrade.sidecar.tunnel.config import PoolTable, ProxyTable, Tunnel, check
 from shedgrade.upstream_pool.errors import ConfigError
 
@@ -25,10 +25,10 @@
     A feature is disabled if its field is None or empty. The class of each field documents the table's keys.
     """
 
-    saved: Saved | None = None
-    capture: Capture | None = None
+    saved: SavedListConfig | None = None
+    capture: CaptureConfig | None = None
     quota: Quota | None = None
-    watch: Watch | None = None
+    watch: ShadowPolicyConfig | None = None
     tunnel: Tunnel | None = None
     pools: dict[str, PoolTable] = msgspec.field(default_factory=dict)
     proxies: dict[str, ProxyTable] = msgspec.field(default_factory=dict)
@@ -40,7 +40,7 @@
     Raises ConfigError with one line that names the file, the key, what was found and what is allowed.
     """
     features = parse(path, read(path))
-    for key, reason in problems(features):
+    for key, reason in find_problems(features):
         raise ConfigError(f"{path}: {key}: {reason}")
     try:
         check(features.tunnel, features.pools, features.proxies, set(methods))
@@ -69,16 +69,16 @@
         raise ConfigError(f"{path}: {key}: {reason}") from error
 
 
-def problems(features: Features) -> Iterator[tuple[str, str]]:
+def find_problems(features: Features) -> Iterator[tuple[str, str]]:
     """Yields (key, reason) for each problem that the types alone do not rule out."""
     if features.saved is not None:
-        yield from prefixed("saved", features.saved.problems())
+        yield from prefixed("saved", features.saved.find_problems())
     if features.capture is not None:
-        yield from prefixed("capture", features.capture.problems())
+        yield from prefixed("capture", features.capture.find_problems())
     if features.watch is not None:
-        yield from prefixed("watch", features.watch.problems())
+        yield from prefixed("watch", features.watch.find_problems())
     if features.quota is not None:
-        yield from prefixed("quota", quota_problems(features.quota))
+        yield from prefixed("quota", find_quota_problems(features.quota))
 
 
 def prefixed(table: str, found: Iterator[tuple[str, str]]) -> Iterator[tuple[str, str]]:
--- a/tests/dataplane/stepped_rig.py
+++ b/tests/dataplane/stepped_rig.py
@@ -247,7 +247,7 @@
 
     errored = IngressConnection.errored
 
-    def has_left(self):
+    def has_disconnected(self):
         return self.disconnected
 
     def close(self):
@@ -264,9 +264,9 @@
         status = None if answer is None else self.head.status
         self.final_answers.append((status, dict(self.head.headers), self.received_body))
 
-    def flowing(self, answer):
+    def response_flow_started(self, answer):
         self.head, self.flow = answer, answer.flow
-        answer.flow.news = self.take
+        answer.flow.on_data = self.take
 
     def take(self):
         while piece := self.flow.take():
@@ -352,7 +352,7 @@
             client,
             request,
             self.pool,
-            RoutingConstraints(most=MAX_ATTEMPTS),
+            RoutingConstraints(max_attempts=MAX_ATTEMPTS),
             streams,
             None,
             self.loop.now() + WAIT_MS * 10,
@@ -389,7 +389,7 @@
 
     def pass_time(self, milliseconds):
         self.loop.at += milliseconds * 10
-        self.pool.dispatcher.gather(lambda now: None)
+        self.pool.dispatcher.enqueue_event(lambda now: None)
 
     def on_wire(self, number, call, *arguments):
         open_wires = [wire for wire in self.wires if not wire.closing]
--- a/tests/sidecar/process/test_sockets.py
+++ b/tests/sidecar/process/test_sockets.py
@@ -34,7 +34,7 @@
 from typer.testing import CliRunner
 
 from shedgrade import load_balancing
-from shedgrade.buffers.budget import RESERVE
+from shedgrade.buffers.budget import RESERVED_DESCRIPTORS
 from shedgrade.cli import app
 from shedgrade.http.idle_connections import IdleConnections
 from shedgrade.http.upstream_connection import UpstreamConnection
@@ -246,7 +246,7 @@
                 # A request for the whole list, and one for the watch.
                 await until(lambda seen=seen: len(other.seen) == seen + 2)
             assert old.transport.is_closing()
-            assert world.sidecar.budget.max_connections == 300 - RESERVE
+            assert world.sidecar.budget.max_connections == 300 - RESERVED_DESCRIPTORS
             assert [(await ask(world))[0] for _ in range(4)] == [200] * 4 and not world.upstreams[0].seen
             other.stop()
             logger.remove(sink)
@@ -280,7 +280,7 @@
     async with World(lambda *_: SILENT if world.sent() > 2 else message()) as world:
         connections = world.sidecar.pool.connections
         await ask(world)
-        first = connections.idle.oldest()
+        first = connections.idle.pop_oldest()
         await ask(world)
         connections.keep(first)
         assert len(connections.idle) == 2
@@ -404,7 +404,7 @@
         now = world.sidecar.clock.now()
         link = next(iter(connections.open))
         assert connections.idle.take(0, now + 500) is None and len(connections.idle) == 1
-        assert connections.idle.stale(now + 500) == [link] and len(connections.idle) == 0
+        assert connections.idle.pop_stale(now + 500) == [link] and len(connections.idle) == 0
 
 
 @on_sockets
@@ -469,7 +469,7 @@
             assert (await ask(world))[0] == 200
             kept.append(
                 (
-                    len(sidecar.pool.reader.told),
+                    len(sidecar.pool.reader.known_entries),
                     len(sidecar.pool.reader.indices.ids),
                     len(sidecar.pool.balancer.upstreams),
                     len(sidecar.pool.reader.addresses.known),
@@ -505,7 +505,7 @@
 async def test_up_reports_whether_a_list_is_known():
     async with World(serve, known=False) as world:
         assert (await ask(world, b"GET /up HTTP/1.1\r\n\r\n"))[0] == 200
-        world.sidecar.pool.listed_once = False
+        world.sidecar.pool.has_list = False
         assert (await ask(world, b"GET /up HTTP/1.1\r\n\r\n"))[0] == 503
 
 
--- a/tests/sidecar/size/test_size.py
+++ b/tests/sidecar/size/test_size.py
@@ -282,7 +282,7 @@
         await asyncio.sleep(0.3)
         for one in world.sidecar.front.clients:
             one.note_progress(one.bytes_received, one.progress_at - 10)
-            one.front.look_after()
+            one.front.check_timeouts()
         for reader in ends:
             assert (await reader.read()).startswith(b"HTTP/1.1 408")
         for one in (paused_client[1], *writers):
@@ -612,7 +612,7 @@
 def test_a_flow_is_replayable_until_it_has_received_too_much_and_bytes_were_taken():
     budget, told = Budget(100, 1), []
     flow = Flow(budget, [b"a" * 70_000])
-    flow.lost = lambda: told.append(flow.total_bytes)
+    flow.on_replay_lost = lambda: told.append(flow.total_bytes)
     flow.check_invariants()
     assert flow.full() and flow.take() and flow.rewind() and flow.queued_bytes == 70_000
     flow.check_invariants()
