--- a/shedgrade/dataplane/plane.py
+++ b/shedgrade/dataplane/plane.py
@@ -13,7 +13,7 @@
 from shedgrade.control_messages import CLOSED, LEAVING, READY, STARTING, EdgeStatus
 from shedgrade.dataplane.control_client import EdgeChangedEvent, MembersDiscoveredEvent, Watcher
 from shedgrade.dataplane.control_exchange import ControlExchange
-from shedgrade.dataplane.exchange import TICKS, Exchange
+from shedgrade.dataplane.exchange import TICKS_PER_SECOND, Exchange
 from shedgrade.dataplane.front import IngressFront
 from shedgrade.dataplane.graceful_shutdown import GracefulShutdown
 from shedgrade.dataplane.ingress import IngressConnection
@@ -73,27 +73,27 @@
         self.shutdown = GracefulShutdown(loop, self)
         self.front = IngressFront(loop, self, self.budget, random)
         self.incarnation = random.getrandbits(48)
-        self.links = PeerConnectionPool(
+        self.peer_connections = PeerConnectionPool(
             loop, settings.link_address, self.message_received, settings.ip_address
         )
         self.watcher = Watcher(
             self.edge_state(),
-            settings.seed_links,
+            settings.seed_link_addresses,
             random,
             loop.time(),
             max_wait_s=min(MAX_WATCH_WAIT_S, settings.heartbeat_ms / 1000),
         )
         self.control = ControlExchange(
             loop,
-            self.links,
+            self.peer_connections,
             self.watcher,
             self.prefix_index,
             lambda updates: self.state.apply(updates),  # looked up at each call: simulations replace it
-            self.shutdown.cover_received,
+            self.shutdown.on_drain_target,
         )
         self.loads = LoadExchange(
             loop,
-            self.links,
+            self.peer_connections,
             LoadReporter(settings.node_name, settings.region),
             self.state.own_loads,
             self.state.apply_other_loads,
@@ -110,7 +110,7 @@
                 front_address=edge.listen_address,
                 state=edge.state,
             ),
-            settings.seed_gossips,
+            settings.seed_gossip_addresses,
             random,
         )
         self.was_ready = False
@@ -173,8 +173,8 @@
     def in_flight_until(self) -> float:
         """When all requests in flight will have been answered at the latest, on the loop's clock."""
         now = self.clock.now()
-        latest = max((exchange.may_last_until() for exchange in self.in_flight()), default=now)
-        return self.loop.time() + max(0.0, latest - now) / TICKS
+        latest = max((exchange.latest_response_at() for exchange in self.in_flight()), default=now)
+        return self.loop.time() + max(0.0, latest - now) / TICKS_PER_SECOND
 
     def busy(self) -> bool:
         """Whether clients are connected or waiting for a connection, or requests are in flight."""
@@ -214,7 +214,7 @@
         self.listener.close()
         await asyncio.sleep(FINAL_SEND_S)
         self.gossip.close()
-        self.links.close()
+        self.peer_connections.close()
         self.readiness.close()
 
     def answer_readiness(self, request: Request, respond: Respond) -> None:
--- a/shedgrade/runtime/stall_detection.py
+++ b/shedgrade/runtime/stall_detection.py
@@ -22,7 +22,7 @@
 SETTLING_S = 0.25  # after a late tick within which all data that arrived during the stall has been read
 
 
-def steady_clock(loop: asyncio.AbstractEventLoop) -> Callable[[], float]:
+def monotonic_clock(loop: asyncio.AbstractEventLoop) -> Callable[[], float]:
     """Returns a clock of the loop's time in seconds that reads the time at each call. `loop.time()` of uvloop
     doesn't: it returns the time at which the current iteration began."""
     return monotonic if isinstance(loop, uvloop.Loop) else loop.time
@@ -32,7 +32,7 @@
     """Detects stalls by a periodic timer, and bounds when data that is read now can have arrived.
 
     Attributes, times in seconds of `clock`:
-        clock: a clock of `steady_clock`.
+        clock: a clock of `monotonic_clock`.
         last_tick_at, previous_tick_at: times of the last two ticks; of the start, before there are two.
         before_stall_at: what `earliest_arrival` returns while the loop settles after a stall.
         settled_at: when the loop has settled after the last stall.
@@ -100,11 +100,11 @@
         """Records an event; called with every event, and periodically."""
         gap = now - self.last_event_at
         if gap > STALL_THRESHOLD_S:
-            self.stall_s = gap + self.unread_s(self.last_event_at)
+            self.stall_s = gap + self.max_unread_s(self.last_event_at)
             self.stall_ended_at = now
         self.last_event_at = now
 
-    def unread_s(self, now: float) -> float:
+    def max_unread_s(self, now: float) -> float:
         """Returns the longest time for which a frame that is read now may have waited; 0 without a stall."""
         if now >= self.stall_ended_at + FRAMES_SETTLING_S:
             return 0.0
