--- a/tests/system/test_planes_together.py
+++ b/tests/system/test_planes_together.py
@@ -234,7 +234,7 @@
         reported_member = next(
             number
             for number, core in system.cores.items()
-            if core.own == first_edge.watcher.preferred_member.address
+            if core.own_address == first_edge.watcher.preferred_member.address
         )
         await system.close_core(reported_member)
         change_load(first_edge, 5)
