--- a/Makefile
+++ b/Makefile
@@ -1,5 +1,6 @@
-# make demo: sets up, then the whole system for a minute, with troubles and a judge. make demo-sidecar: half a minute of
-# load on sidecars through a rolling deploy. make test: sets up and runs the tests.
+# make demo: sets up, then runs the whole system for a minute, injects faults and checks the results.
+# make demo-sidecar: puts load on sidecars for half a minute, during a rolling deploy.
+# make test: sets up and runs the tests.
 .PHONY: demo demo-sidecar test setup sites mutants
 PYTHON ?= python3
 
@@ -10,7 +11,7 @@
 	.venv/bin/pip -q install -r requirements.txt -r requirements-dev.txt
 	touch .venv/ready
 
-# The demo needs what the programs need, and no more: it is to be seen soon after a clone.
+# The demo installs only what the programs need, so that it starts soon after a clone.
 .venv/programs: requirements.txt
 	test -d .venv || $(PYTHON) -m venv .venv
 	.venv/bin/pip -q install -r requirements.txt
@@ -25,11 +26,12 @@
 test: setup
 	.venv/bin/python -m pytest -q && .venv/bin/ruff check . && .venv/bin/python -m tools.checks
 
-# Chosen mutants of the program, each of which its test must kill: a few minutes.
+# Checks that the tests kill the mutants listed in tests/mutants.toml; takes a few minutes.
 mutants: setup
 	.venv/bin/python -m tools.mutants
 
-# The operators' files that their bench wants beside a site: laid there, never committed. KIT is their folder.
+# Copies the operators' files that their bench needs beside a site into deploy/sites. These copies are never committed.
+# KIT: the folder of the operators' files.
 KIT ?= ../given/kit
 sites:
 	cp -f $(KIT)/sites/real.json $(KIT)/sites/wire.json $(KIT)/sites/unlock.txt deploy/sites/
--- a/tools/__init__.py
+++ b/tools/__init__.py
@@ -1,1 +1,1 @@
-"""Programs for those who work on this repository; nothing that serves imports them."""
+"""Development tools; the shipped programs do not import them."""
--- a/tools/checks.py
+++ b/tools/checks.py
@@ -1,8 +1,8 @@
-"""Checks beside `ruff check`: the formatter for the whole tree, doc comments and types for finished packages.
+"""Checks beyond `ruff check`: formatting of the whole tree, doc comments and types of finished packages.
 
 Usage: python -m tools.checks
 
-A package that is finished is added to `DOCUMENTED` and `TYPED`; the lists only grow.
+A finished package is added to `DOCUMENTED` and `TYPED`; entries of these lists are not removed.
 """
 
 import subprocess
@@ -148,15 +148,17 @@
     "shedgrade/upstream_pool/front.py",
     "tools",
 )
-# Public modules, classes, functions and methods have a doc comment; every function says what it returns.
+# Rules that require a doc comment on each public module, class, function and method, and a return annotation
+# on each function.
 DOC_RULES = "D100,D101,D102,D103,D104,D106,D2,D3,D4,ANN2"
-# Left out: D203 and D213, the opposites of D211 and D212; D205, D209, D400, D415: a summary may go on over a
-# line and end in it; D401: "True if" as well as "Return"; D404 to D413: sections that are not used here.
+# D203 and D213 are the opposites of D211 and D212. D205, D209, D400 and D415 would forbid a summary that
+# continues on the next line and ends there, D401 one that starts with "True if" in place of "Return", and
+# D404 one that starts with "This". D406, D407 and D413 require a form of sections that is not used here.
 LEFT_OUT = "D203,D205,D209,D213,D400,D401,D404,D406,D407,D413,D415"
 
 
 def commands() -> list[list[str]]:
-    """The checks, each as a program with its arguments."""
+    """Returns the checks, each as a command with its arguments."""
     ruff, mypy = [sys.executable, "-m", "ruff"], [sys.executable, "-m", "mypy"]
     return [
         [*ruff, "format", "--check", "--quiet", "."],
@@ -166,7 +168,7 @@
 
 
 def main() -> int:
-    """Runs all checks, also after one that fails. Exit status 1 if any did."""
+    """Runs all checks, even after one has failed. Returns 1 as the exit status if any failed, else 0."""
     failed = [command for command in commands() if subprocess.run(command, check=False).returncode]
     for command in failed:
         print("failed:", " ".join(command[1:]), file=sys.stderr)
--- a/tools/known_red.py
+++ b/tools/known_red.py
@@ -68,10 +68,10 @@
 
 
 class KnownRedPlugin:
-    """Expects each listed test to fail, and fails the run where one of them does not."""
+    """Marks each listed test as expected to fail, and fails the run if one of them does not fail."""
 
     def __init__(self, known: list[KnownRed], whole_suite: bool) -> None:
-        """`whole_suite`: no test was chosen on the command line, so each listed one must be run."""
+        """`whole_suite`: no tests were selected on the command line, so each listed test must be run."""
         self.known = {one.node_id: one for one in known}
         self.whole_suite = whole_suite
         self.red: set[str] = set()
@@ -85,14 +85,17 @@
                 item.add_marker(pytest.mark.xfail(reason=listed.observed, strict=True))
 
     def pytest_runtest_logreport(self, report: pytest.TestReport) -> None:
-        """Notes how each listed test ended."""
+        """Records whether a listed test failed as expected or was skipped."""
         if report.nodeid not in self.known or not report.skipped:
             return
         expected_to_fail = hasattr(report, "wasxfail")
         (self.red if expected_to_fail else self.skipped).add(report.nodeid)
 
     def problems(self, reported: set[str]) -> Iterator[str]:
-        """Sentences on listed tests that are not red. `reported`: all tests that ended in any way."""
+        """Yields a message for each listed test that was skipped or does not exist.
+
+        `reported`: node ids of all tests with a report.
+        """
         for node_id in self.known:
             if node_id in self.skipped:
                 yield f"{node_id} was skipped: a listed test must run and fail"
@@ -101,12 +104,12 @@
 
     @pytest.hookimpl(tryfirst=True)
     def pytest_sessionfinish(self, session: pytest.Session) -> None:
-        """Fails a run that passed but for listed tests that are not red."""
+        """Fails a run that passed apart from listed tests that were skipped or do not exist."""
         if session.exitstatus == pytest.ExitCode.OK and any(self.problems(reported_tests(session.config))):
             session.exitstatus = pytest.ExitCode.TESTS_FAILED
 
     def pytest_terminal_summary(self, terminalreporter: pytest.TerminalReporter) -> None:
-        """Prints the listed tests, and what is wrong with the list."""
+        """Prints the listed tests and the problems of the list."""
         terminalreporter.section(FILE_NAME)
         for one in self.known.values():
             state = "red" if one.node_id in self.red else "not red"
@@ -116,7 +119,7 @@
 
 
 def reported_tests(config: pytest.Config) -> set[str]:
-    """The names of all tests that ended in any way in this run."""
+    """Returns the node ids of all tests that have a report in this run, whatever their outcome."""
     reporter = config.pluginmanager.get_plugin("terminalreporter")
     groups = reporter.stats.values() if reporter is not None else ()
     reports = [report for group in groups for report in group]
@@ -124,7 +127,7 @@
 
 
 def pytest_configure(config: pytest.Config) -> None:
-    """Takes part only where tests are run and the file lists any."""
+    """Registers the plugin if tests are run, not only collected, and the file lists any."""
     path = Path(config.rootpath, FILE_NAME)
     if config.option.collectonly or not path.exists():
         return
@@ -137,7 +140,7 @@
 
 
 def runs_whole_suite(config: pytest.Config) -> bool:
-    """Whether no test was chosen on the command line, by path, name, mark or last failure."""
+    """Returns whether no tests were selected on the command line, by path, name, mark or last failure."""
     chosen_by_path = config.args_source is pytest.Config.ArgsSource.ARGS
     options = (config.option.keyword, config.option.markexpr, config.getoption("lf", False))
     return not chosen_by_path and not any(options)
--- a/tools/workers.py
+++ b/tools/workers.py
@@ -1,22 +1,23 @@
-"""A pytest plugin that runs the whole suite on a few worker processes, and chosen tests in one.
+"""A pytest plugin that runs the whole suite on several worker processes, and selected tests in one process.
 
-Whole files go to a worker, so that fixtures of a module are made once and tests that load the machine stay
-one after another. Each worker claims loopback networks of its own (`tests/addresses.py`). Without
-pytest-xdist, or with `-n` on the command line, nothing is changed.
+All tests of a file run on one worker, so that fixtures of a module are made once and tests that load the
+machine run one after another. Each worker claims its own loopback networks (`tests/addresses.py`). The plugin
+changes nothing without pytest-xdist, or with `-n` on the command line.
 """
 
 import os
 
 import pytest
 
-WORKERS = 4  # half of them wait at any time, so that tests with real times keep their processor
-CORES_A_WORKER = 2  # fewer cores, fewer workers
-LONGEST = "tests/simulation/"  # few tests a file, up to a minute each
-WORKER_MARK = "PYTEST_XDIST_WORKER"  # the variable that xdist sets for a worker and all that it starts
+WORKERS = 4  # about half of them wait at any time, which leaves cores to tests that use real time
+CORES_A_WORKER = 2  # a machine with fewer cores gets fewer workers
+LONGEST = "tests/simulation/"  # files with few tests, each of up to a minute
+# Environment variable that xdist sets for a worker; child processes inherit it.
+WORKER_MARK = "PYTEST_XDIST_WORKER"
 
 
 def worker_count(cores: int) -> int:
-    """Worker processes for a machine with so many cores; 0: the tests run in the process itself.
+    """Returns the number of worker processes for a number of cores; 0: the tests run in the main process.
 
     >>> worker_count(16), worker_count(4), worker_count(2)
     (4, 2, 0)
@@ -27,18 +28,18 @@
 
 @pytest.hookimpl(tryfirst=True)
 def pytest_cmdline_main(config: pytest.Config) -> None:
-    """Before xdist's hook of the same name, which reads these options."""
+    """Sets options of pytest-xdist before its own hook of this name reads them."""
     if WORKER_MARK in os.environ:
-        return  # a worker, or what one of its tests runs, would start workers again, without end
+        return  # a worker, or a pytest run that its tests start, must not start workers in turn
     chosen = config.args_source is pytest.Config.ArgsSource.ARGS
     if chosen or not config.pluginmanager.has_plugin("xdist") or config.option.collectonly:
         return
     if config.option.numprocesses is None and not config.option.tx:
         config.option.numprocesses = worker_count(len(os.sched_getaffinity(0)))
         config.option.dist = "loadfile"
-        config.option.loadscopereorder = False  # xdist would begin with the files of the most tests
+        config.option.loadscopereorder = False  # xdist would start with the files that have the most tests
 
 
 def pytest_collection_modifyitems(items: list[pytest.Item]) -> None:
-    """The longest files first: a worker that gets one of them last keeps all others waiting."""
+    """Puts the longest files first: the whole run would wait for a worker that starts one of them last."""
     items.sort(key=lambda item: not item.nodeid.startswith(LONGEST))
